--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -80,7 +80,7 @@
 	}
 	was := <-before
 	pause := settle - h.now().Sub(was.at)
-	for patience := h.changePatience(reach); wait(h.ctx, pause); pause = settle {
+	for patience := h.changePatience(reach); sleep(h.ctx, pause); pause = settle {
 		is := h.stateEnds()
 		if part := grown(was, is); part >= 0 {
 			switch by := h.writer(lead, h.stateParts()[part]); by {
@@ -184,7 +184,7 @@
 		if err := h.peers.Ask(ctx, former, h.syncMessage(), new(peer.SyncReply)); err == nil {
 			return
 		}
-		if !wait(ctx, backAgain) {
+		if !sleep(ctx, backAgain) {
 			break
 		}
 	}
--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -211,7 +211,7 @@
 	f.wg.Go(func() {
 		for f.ctx.Err() == nil {
 			_, _ = f.join(observers, 0)
-			wait(f.ctx, joinEvery)
+			sleep(f.ctx, joinEvery)
 		}
 	})
 }
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -30,7 +30,7 @@
 		all, from, err := store.Table(h.ctx, h.store, topic, 0)
 		h.noteRead(topic, from, err)
 		if err != nil {
-			wait(h.ctx, followRetry)
+			sleep(h.ctx, followRetry)
 			continue
 		}
 		read(all)
@@ -74,7 +74,7 @@
 		}
 		h.noteRead(topic, from, err)
 		if err != nil {
-			wait(h.ctx, followRetry)
+			sleep(h.ctx, followRetry)
 			continue
 		}
 		if len(a.Records) > 0 {
@@ -83,7 +83,7 @@
 		from += int64(len(a.Records))
 		if len(a.Records) == 0 {
 			// While the direct way is silent, reads do not wait for records.
-			wait(h.ctx, followPause-h.now().Sub(began))
+			sleep(h.ctx, followPause-h.now().Sub(began))
 		}
 	}
 }
@@ -220,7 +220,7 @@
 				return
 			}
 			h.log.Warn("lead: announcement has no answer.", "term", t.number, "err", err)
-			if !wait(t.ctx, announceAgain) {
+			if !sleep(t.ctx, announceAgain) {
 				return
 			}
 		}
--- a/internal/entry/group.go
+++ b/internal/entry/group.go
@@ -137,7 +137,7 @@
 				h.wg.Go(h.should)
 			}
 		}
-		wait(h.ctx, joinEvery)
+		sleep(h.ctx, joinEvery)
 	}
 }
 
--- a/internal/entry/heir.go
+++ b/internal/entry/heir.go
@@ -42,7 +42,7 @@
 	ctx, cancel := context.WithTimeout(h.ctx, goneWait)
 	defer cancel()
 	for h.peers.Reach(ctx, lead) != peer.Refused {
-		if !wait(ctx, goneAgain) {
+		if !sleep(ctx, goneAgain) {
 			return false
 		}
 	}
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -232,7 +232,7 @@
 	h.mu.Unlock()
 	h.leave(t)
 	grace := time.Duration(h.cfg.Times.Grace)
-	wait(h.ctx, min(leaveWait, max(grace-lastWait-time.Second, 0)))
+	sleep(h.ctx, min(leaveWait, max(grace-lastWait-time.Second, 0)))
 	ctx, cancel := context.WithTimeout(h.ctx, lastWait)
 	for _, s := range h.servers {
 		if err := s.Shutdown(ctx); err != nil {
@@ -245,8 +245,8 @@
 	h.log.Info("entry: stopped.", "host", h.cfg.Name)
 }
 
-// wait sleeps; false when ctx has ended.
-func wait(ctx context.Context, d time.Duration) bool {
+// sleep sleeps; false when ctx has ended.
+func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
--- a/internal/entry/inbox.go
+++ b/internal/entry/inbox.go
@@ -128,7 +128,7 @@
 			finish(all, &store.UnansweredError{Op: store.Append, Cause: err})
 			return
 		}
-		wait(b.h.ctx, againAfter)
+		sleep(b.h.ctx, againAfter)
 	}
 }
 
@@ -160,7 +160,7 @@
 func (h *Host) hand(part int, first int64, records []store.Record) {
 	h.wg.Go(func() {
 		for range handTries {
-			if h.handOver(part, first, records) || !wait(h.ctx, handAgain) {
+			if h.handOver(part, first, records) || !sleep(h.ctx, handAgain) {
 				return
 			}
 		}
--- a/internal/entry/load.go
+++ b/internal/entry/load.go
@@ -23,7 +23,7 @@
 func (t *term) load() {
 	was, at, cpu := t.h.loadCounts(), t.h.now(), processorTime()
 	for more := true; more; {
-		more = wait(t.ctx, loadEvery)
+		more = sleep(t.ctx, loadEvery)
 		is, now, used := t.h.loadCounts(), t.h.now(), processorTime()
 		t.mu.Lock()
 		late := t.late
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -85,7 +85,7 @@
 	}
 	// Another host may lead since, or be about to: a lead that leaves asks one to
 	// succeed it, and the group names another.
-	if lead != "" && !wait(h.ctx, settle-h.now().Sub(began)) {
+	if lead != "" && !sleep(h.ctx, settle-h.now().Sub(began)) {
 		return
 	}
 	if all, _, err := store.Table(h.ctx, h.store, leadTopic, 0); err == nil {
@@ -167,7 +167,7 @@
 
 // sync keeps what callers are told, and the list of hosts, as the lead has them.
 func (h *Host) sync() {
-	for wait(h.ctx, syncEvery) {
+	for sleep(h.ctx, syncEvery) {
 		h.mu.Lock()
 		lead, leading, alone := h.lead, h.leading != nil, len(h.hosts) < 2
 		h.mu.Unlock()
--- a/internal/entry/servers.go
+++ b/internal/entry/servers.go
@@ -17,7 +17,7 @@
 	for t.ctx.Err() == nil {
 		all, from, err := store.Table(t.ctx, t.h.store, platform.ServersTopic, 0)
 		if err != nil {
-			wait(t.ctx, followRetry)
+			sleep(t.ctx, followRetry)
 			continue
 		}
 		clear(t.listed)
@@ -27,7 +27,7 @@
 }
 
 func (t *term) serversFrom(from int64) {
-	for wait(t.ctx, serversEvery) {
+	for sleep(t.ctx, serversEvery) {
 		a, err := t.h.store.Do(t.ctx, store.Call{Op: store.Read, Topic: platform.ServersTopic, From: from})
 		var trimmed *store.TrimmedError
 		switch {
--- a/internal/entry/states.go
+++ b/internal/entry/states.go
@@ -187,7 +187,7 @@
 		s.h.count("state.read")
 		s.h.observe("state.read.took", s.h.now().Sub(began))
 		s.h.log.Info("state: read from the store.", "asked", len(r.ids), "found", len(r.found), "took", s.h.now().Sub(began), "err", r.err)
-		wait(s.h.ctx, readStatesEvery-s.h.now().Sub(began))
+		sleep(s.h.ctx, readStatesEvery-s.h.now().Sub(began))
 	}
 }
 
@@ -226,7 +226,7 @@
 	if len(unproved) == 0 || err != nil {
 		return err
 	}
-	if !wait(ctx, readAcceptedEvery-s.h.now().Sub(s.accepted)) {
+	if !sleep(ctx, readAcceptedEvery-s.h.now().Sub(s.accepted)) {
 		return &store.UnansweredError{Op: store.Newest, Cause: ctx.Err()}
 	}
 	s.accepted = s.h.now()
