--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -30,19 +30,19 @@
 	cfg Settings
 	log *slog.Logger
 	now func() time.Time
-	// began is when this life of the host did; it names the life.
-	began   time.Time
-	store   *store.Routed
-	workers *platform.Workers
-	policy  *platform.Policy
-	peers   *peer.Clients
-	metrics metrics.Registry
-	inbox   *inbox
-	states  *states
-	ctx     context.Context
-	cancel  context.CancelFunc
-	wg      sync.WaitGroup
-	servers []*http.Server
+	// startedAt is when this life of the host did; it names the life.
+	startedAt time.Time
+	store     *store.Routed
+	workers   *platform.Workers
+	policy    *platform.Policy
+	peers     *peer.Clients
+	metrics   metrics.Registry
+	inbox     *inbox
+	states    *states
+	ctx       context.Context
+	cancel    context.CancelFunc
+	wg        sync.WaitGroup
+	servers   []*http.Server
 
 	mu    sync.Mutex
 	table *platform.Table
@@ -95,7 +95,7 @@
 func New(cfg Settings, log *slog.Logger, now func() time.Time) (*Host, error) {
 	c := platform.New()
 	h := &Host{
-		cfg: cfg, log: log, now: now, began: now(), workers: platform.NewWorkers(c),
+		cfg: cfg, log: log, now: now, startedAt: now(), workers: platform.NewWorkers(c),
 		peers: peer.NewClients(map[string]netip.AddrPort{}), metrics: metrics.NewRegistry(),
 		hosts: map[string]netip.AddrPort{cfg.Name: cfg.Listen.Peer}, pending: map[string]int{},
 		recent: map[string]time.Time{}, seen: map[string]sighting{}, unread: map[string]time.Time{},
@@ -116,7 +116,7 @@
 	return h, nil
 }
 
-func (h *Host) life() string { return strconv.FormatInt(h.began.UnixNano(), lifeBase) }
+func (h *Host) life() string { return strconv.FormatInt(h.startedAt.UnixNano(), lifeBase) }
 
 func (h *Host) count(name string) { metrics.GetOrRegisterCounter(name, h.metrics).Inc(1) }
 
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -246,7 +246,7 @@
 
 func (h *Host) syncMessage() peer.Sync {
 	term, next := h.states.followed()
-	return peer.Sync{From: h.cfg.Name, Addr: h.cfg.Listen.Peer, Power: h.cfg.Power, Began: h.began, Term: term, Endings: next}
+	return peer.Sync{From: h.cfg.Name, Addr: h.cfg.Listen.Peer, Power: h.cfg.Power, Began: h.startedAt, Term: term, Endings: next}
 }
 
 // sighting is a host that was heard of at some time; began is when its life did.
