--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -58,7 +58,7 @@
 // long. before is where its partitions ended when the question was put.
 func (h *Host) works(before <-chan ends) bool {
 	h.mu.Lock()
-	lead, mute, silence := h.lead, h.mute == h.lead, time.Duration(0)
+	lead, mute, silence := h.leader, h.mute == h.leader, time.Duration(0)
 	if !h.leadAsked.IsZero() {
 		silence = h.now().Sub(h.leadAsked)
 	}
@@ -128,7 +128,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
-	case h.lead != lead:
+	case h.leader != lead:
 		// It was announced meanwhile, or another one was.
 		return name
 	case name == h.former:
@@ -260,7 +260,7 @@
 func (h *Host) heardLead(name string, r peer.SyncReply, late bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if name != h.lead || !r.Lead && !r.Leading {
+	if name != h.leader || !r.Lead && !r.Leading {
 		// One that the store does not serve leads on, and is heard.
 		return
 	}
@@ -274,7 +274,7 @@
 func (h *Host) askedLead(name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if name == h.lead && h.leadAsked.IsZero() {
+	if name == h.leader && h.leadAsked.IsZero() {
 		h.leadAsked = h.now()
 	}
 }
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -117,7 +117,7 @@
 	for n, a := range h.hosts {
 		hosts[n] = a.String()
 	}
-	claiming, leaving, successor, enough, follows := h.claiming, h.leaving, h.successor, h.enoughPower(), h.lead
+	claiming, leaving, successor, enough, follows := h.claiming, h.leaving, h.successor, h.enoughPower(), h.leader
 	h.mu.Unlock()
 	served := h.store.Fresh(leadFresh)
 	if t == nil || !served {
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -243,7 +243,7 @@
 // store can accept nothing, and callers do better at another one.
 func (h *Host) ready() bool {
 	h.mu.Lock()
-	table, leaving, lead, was := h.table != nil, h.leaving, h.lead, h.wasReady
+	table, leaving, lead, was := h.table != nil, h.leaving, h.leader, h.wasReady
 	served := h.store.Fresh(readyAfter)
 	is := table && !leaving && lead != "" && served
 	h.wasReady = is
--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -142,7 +142,7 @@
 func (h *Host) Follow(name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.lead = name
+	h.leader = name
 }
 
 // LearnLead tells the host who leads, as the store's record does.
@@ -188,7 +188,7 @@
 	for _, n := range others {
 		h.hosts[n] = netip.AddrPort{}
 	}
-	h.lead = lead
+	h.leader = lead
 	h.store = store.NewRouted(direct, &throughPeers{h, through}, time.Now, h.storeLost)
 	return &Follower{h}
 }
@@ -246,7 +246,7 @@
 // LoseLead has the host, as its heir, notice that a lead's connection has ended.
 func (h *Host) LoseLead(name string) {
 	h.mu.Lock()
-	h.lead, h.heir = name, h.cfg.Name
+	h.leader, h.heir = name, h.cfg.Name
 	h.mu.Unlock()
 	h.peerLost(name)
 }
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -187,15 +187,15 @@
 
 // changeLead has the host follow another lead; mu is held.
 func (h *Host) changeLead(name string) {
-	if h.lead != "" && h.lead != name {
+	if h.leader != "" && h.leader != name {
 		// Nobody had told of it: whoever claimed believed the lead to be gone.
-		at, former := h.now(), h.lead
+		at, former := h.now(), h.leader
 		h.changes = append(h.lately(), at)
 		if former != h.cfg.Name {
 			h.wg.Go(func() { h.reviewChange(at, former) })
 		}
 	}
-	h.lead, h.heir = name, ""
+	h.leader, h.heir = name, ""
 	h.leadSince, h.leadAsked, h.leadLate = h.now(), time.Time{}, time.Time{}
 }
 
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -47,9 +47,9 @@
 	mu    sync.Mutex
 	table *platform.Table
 	// hosts are the entry hosts by name; lead is the one that leads, in term.
-	hosts map[string]netip.AddrPort
-	lead  string
-	term  int64
+	hosts  map[string]netip.AddrPort
+	leader string
+	term   int64
 	// former is the host that led before, as far as is known. bounds are what it
 	// told at its stop, at boundsAt.
 	former   string
@@ -269,7 +269,7 @@
 	var before, after []string
 	for _, n := range slices.Sorted(maps.Keys(h.hosts)) {
 		switch {
-		case n == h.lead:
+		case n == h.leader:
 		case n < h.cfg.Name:
 			before = append(before, n)
 		case n > h.cfg.Name:
@@ -277,8 +277,8 @@
 		}
 	}
 	all := slices.Concat(after, before)
-	if _, ok := h.hosts[h.lead]; ok && h.lead != h.cfg.Name {
-		all = slices.Insert(all, 0, h.lead)
+	if _, ok := h.hosts[h.leader]; ok && h.leader != h.cfg.Name {
+		all = slices.Insert(all, 0, h.leader)
 	}
 	return all
 }
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -104,14 +104,14 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if term >= h.term {
-		h.lead, h.leadSince = lead, h.now()
+		h.leader, h.leadSince = lead, h.now()
 	}
 }
 
 func (h *Host) leadNow() (name string, leading bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.lead, h.leading != nil
+	return h.leader, h.leading != nil
 }
 
 func (h *Host) termNow() int64 {
@@ -169,7 +169,7 @@
 func (h *Host) sync() {
 	for sleep(h.ctx, syncEvery) {
 		h.mu.Lock()
-		lead, leading, alone := h.lead, h.leading != nil, len(h.hosts) < 2
+		lead, leading, alone := h.leader, h.leading != nil, len(h.hosts) < 2
 		h.mu.Unlock()
 		switch {
 		case leading:
@@ -230,7 +230,7 @@
 // refreshPending asks the lead, or takes what this host knows as the lead.
 func (h *Host) refreshPending(ctx context.Context) {
 	h.mu.Lock()
-	t, lead := h.leading, h.lead
+	t, lead := h.leading, h.leader
 	h.mu.Unlock()
 	if t != nil {
 		n := t.pending()
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -171,8 +171,8 @@
 	if t.h.leading == t {
 		t.h.leading = nil
 	}
-	if t.h.lead == t.h.cfg.Name {
-		t.h.lead = ""
+	if t.h.leader == t.h.cfg.Name {
+		t.h.leader = ""
 	}
 	t.h.mu.Unlock()
 	t.h.log.Info("lead: term ends.", "term", t.number, "why", why)
