--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -131,7 +131,7 @@
 	case h.leader != lead:
 		// It was announced meanwhile, or another one was.
 		return name
-	case name == h.former:
+	case name == h.previousLeader:
 		return ""
 	}
 	h.changeLead(name)
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -162,7 +162,7 @@
 		return
 	}
 	if l.Name != h.cfg.Name || h.leading == nil {
-		h.former = l.Name
+		h.previousLeader = l.Name
 	}
 	h.changeLead(l.Name)
 	h.term = l.Term
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -50,11 +50,11 @@
 	hosts  map[string]netip.AddrPort
 	leader string
 	term   int64
-	// former is the host that led before, as far as is known. bounds are what it
+	// previousLeader is the host that led before, as far as is known. bounds are what it
 	// told at its stop, at boundsAt.
-	former   string
-	bounds   map[string]time.Duration
-	boundsAt time.Time
+	previousLeader string
+	bounds         map[string]time.Duration
+	boundsAt       time.Time
 	// pending is how many jobs of each queue wait, as the lead said last.
 	pending   map[string]int
 	pendingAt time.Time
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -126,7 +126,7 @@
 // that it does not lead, or it was this very host.
 func (t *term) formerLead() {
 	t.h.mu.Lock()
-	former := t.h.former
+	former := t.h.previousLeader
 	over := sched.FormerOver{Since: t.h.boundsAt, Bounds: t.h.bounds}
 	t.h.bounds = nil
 	t.h.mu.Unlock()
