--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -53,7 +53,7 @@
 	// previousLeader is the host that led before, as far as is known. bounds are what it
 	// told at its stop, at boundsAt.
 	previousLeader string
-	bounds         map[string]time.Duration
+	handoverBounds map[string]time.Duration
 	boundsAt       time.Time
 	// pending is how many jobs of each queue wait, as the lead said last.
 	pending   map[string]int
