--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -52,9 +52,9 @@
 	term   int64
 	// previousLeader is the host that led before, as far as is known. bounds are what it
 	// told at its stop, at boundsAt.
-	previousLeader string
-	handoverBounds map[string]time.Duration
-	boundsAt       time.Time
+	previousLeader   string
+	handoverBounds   map[string]time.Duration
+	handoverBoundsAt time.Time
 	// pending is how many jobs of each queue wait, as the lead said last.
 	pending   map[string]int
 	pendingAt time.Time
--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -33,7 +33,7 @@
 		bounds[life] = d.Duration
 	}
 	h.mu.Lock()
-	h.handoverBounds, h.boundsAt = bounds, h.now()
+	h.handoverBounds, h.handoverBoundsAt = bounds, h.now()
 	h.mu.Unlock()
 	h.wg.Go(func() { h.claim("the lead leaves") })
 }
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -127,7 +127,7 @@
 func (t *term) formerLead() {
 	t.h.mu.Lock()
 	former := t.h.previousLeader
-	over := sched.FormerOver{Since: t.h.boundsAt, Bounds: t.h.handoverBounds}
+	over := sched.FormerOver{Since: t.h.handoverBoundsAt, Bounds: t.h.handoverBounds}
 	t.h.handoverBounds = nil
 	t.h.mu.Unlock()
 	// A lead that asked to be succeeded has ended its term before.
