--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -37,7 +37,7 @@
 	switch m := m.(type) {
 	case peer.Hand:
 		h.mu.Lock()
-		t := h.leading
+		t := h.ownTerm
 		h.mu.Unlock()
 		if t != nil {
 			t.take(m.Part, m.First, m.Records)
@@ -82,7 +82,7 @@
 // has ended.
 func (h *Host) localState(id string) peer.StateReply {
 	h.mu.Lock()
-	t := h.leading
+	t := h.ownTerm
 	h.mu.Unlock()
 	if t == nil {
 		return peer.StateReply{}
@@ -112,7 +112,7 @@
 // syncReply leaves out what only a lead that the store serves can vouch for.
 func (h *Host) syncReply(m peer.Sync) peer.SyncReply {
 	h.mu.Lock()
-	t := h.leading
+	t := h.ownTerm
 	hosts := make(map[string]string, len(h.hosts))
 	for n, a := range h.hosts {
 		hosts[n] = a.String()
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -41,7 +41,7 @@
 	}
 	defer h.claims.Unlock()
 	h.mu.Lock()
-	busy := h.leading != nil || h.leaving
+	busy := h.ownTerm != nil || h.leaving
 	h.claiming = !busy
 	if !busy {
 		h.successor = ""
--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -22,7 +22,7 @@
 // Kill ends the host at once, as a signal that cannot be caught does.
 func (h *Host) Kill() {
 	h.mu.Lock()
-	t := h.leading
+	t := h.ownTerm
 	h.leaving = true
 	h.mu.Unlock()
 	h.cancel()
@@ -166,7 +166,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_, ok := h.hosts[name]
-	return h.leading != nil && ok
+	return h.ownTerm != nil && ok
 }
 
 // Heir is the host that the lead wants to lead if it dies, as this one knows it.
@@ -278,7 +278,7 @@
 // host does not lead.
 func (h *Host) Work(id string) bool {
 	h.mu.Lock()
-	t := h.leading
+	t := h.ownTerm
 	h.mu.Unlock()
 	if t == nil {
 		return false
@@ -318,7 +318,7 @@
 // the store and find the job as soon as its core is free. It returns the answer.
 func (h *Host) Meanwhile(id string) peer.StateReply {
 	h.mu.Lock()
-	t := h.leading
+	t := h.ownTerm
 	h.mu.Unlock()
 	t.mu.Lock()
 	t.polled = h.now().Add(-knowAge)
@@ -353,7 +353,7 @@
 // HoldCore keeps the lead's core busy until the returned function is called.
 func (h *Host) HoldCore() func() {
 	h.mu.Lock()
-	t := h.leading
+	t := h.ownTerm
 	h.mu.Unlock()
 	t.mu.Lock()
 	return t.mu.Unlock
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -115,7 +115,7 @@
 		return
 	}
 	h.table = t
-	lead := h.leading
+	lead := h.ownTerm
 	h.mu.Unlock()
 	metrics.GetOrRegisterGauge("table.version", h.metrics).Update(t.Version)
 	h.log.Info("table: in force.", "version", t.Version, "queues", len(t.Routes))
@@ -161,7 +161,7 @@
 		h.mu.Unlock()
 		return
 	}
-	if l.Name != h.cfg.Name || h.leading == nil {
+	if l.Name != h.cfg.Name || h.ownTerm == nil {
 		h.previousLeader = l.Name
 	}
 	h.changeLead(l.Name)
@@ -169,7 +169,7 @@
 	if _, ok := h.hosts[l.Name]; !ok && l.Addr.IsValid() {
 		h.hosts[l.Name] = l.Addr
 	}
-	t := h.leading
+	t := h.ownTerm
 	h.mu.Unlock()
 	if l.Name != h.cfg.Name && l.Addr.IsValid() {
 		h.peers.Set(l.Name, l.Addr)
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -58,8 +58,8 @@
 	// pending is how many jobs of each queue wait, as the lead said last.
 	pending   map[string]int
 	pendingAt time.Time
-	// leading is the term that this host leads; nil when it does not.
-	leading *term
+	// ownTerm is the term that this host leads; nil when it does not.
+	ownTerm *term
 	// leadSince is when this host heard of the lead first, leadAsked when it asked that one
 	// first since the last answer, leadLate when an answer came too late, synced when one
 	// came in time, delegated when this host asked another one to lead.
@@ -228,7 +228,7 @@
 	h.log.Info("entry: planned stop.", "host", h.cfg.Name, "peak-mib", peakMemory())
 	h.mu.Lock()
 	h.leaving = true
-	t := h.leading
+	t := h.ownTerm
 	h.mu.Unlock()
 	h.leave(t)
 	grace := time.Duration(h.cfg.Times.Grace)
@@ -289,7 +289,7 @@
 	h.mu.Lock()
 	// It is added to when another lead is learned, while this one is walked below.
 	h.hosts = maps.Clone(all)
-	t := h.leading
+	t := h.ownTerm
 	h.mu.Unlock()
 	for n, a := range all {
 		if n != h.cfg.Name {
--- a/internal/entry/inbox.go
+++ b/internal/entry/inbox.go
@@ -171,7 +171,7 @@
 // handOver tells whoever leads now; false if that host did not take it as the lead.
 func (h *Host) handOver(part int, first int64, records []store.Record) bool {
 	h.mu.Lock()
-	lead, t := h.leader, h.leading
+	lead, t := h.leader, h.ownTerm
 	h.mu.Unlock()
 	if t != nil {
 		t.take(part, first, records)
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -111,7 +111,7 @@
 func (h *Host) leadNow() (name string, leading bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.leader, h.leading != nil
+	return h.leader, h.ownTerm != nil
 }
 
 func (h *Host) termNow() int64 {
@@ -169,7 +169,7 @@
 func (h *Host) sync() {
 	for sleep(h.ctx, syncEvery) {
 		h.mu.Lock()
-		lead, leading, alone := h.leader, h.leading != nil, len(h.hosts) < 2
+		lead, leading, alone := h.leader, h.ownTerm != nil, len(h.hosts) < 2
 		h.mu.Unlock()
 		switch {
 		case leading:
@@ -194,7 +194,7 @@
 func (h *Host) orphaned() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.leading != nil || h.leaving {
+	if h.ownTerm != nil || h.leaving {
 		h.synced = h.now()
 		return false
 	}
@@ -230,7 +230,7 @@
 // refreshPending asks the lead, or takes what this host knows as the lead.
 func (h *Host) refreshPending(ctx context.Context) {
 	h.mu.Lock()
-	t, lead := h.leading, h.leader
+	t, lead := h.ownTerm, h.leader
 	h.mu.Unlock()
 	if t != nil {
 		n := t.pending()
@@ -267,7 +267,7 @@
 	h.mu.Lock()
 	h.seen[m.From] = sighting{addr: m.Addr, power: m.Power, began: m.Began, at: h.now()}
 	_, known := h.hosts[m.From]
-	leading := h.leading != nil
+	leading := h.ownTerm != nil
 	h.mu.Unlock()
 	if leading && !known {
 		h.setHosts(h.heardHosts())
@@ -279,7 +279,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	all := map[string]netip.AddrPort{}
-	fresh := h.leading != nil && h.now().Sub(h.leading.began) < heardFor
+	fresh := h.ownTerm != nil && h.now().Sub(h.ownTerm.began) < heardFor
 	for n, s := range h.seen {
 		if h.now().Sub(s.at) < heardFor {
 			all[n] = s.addr
--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -185,7 +185,7 @@
 // askState asks the lead for a job's state.
 func (h *Host) askState(ctx context.Context, id string) (flow.State, bool, error) {
 	h.mu.Lock()
-	lead, term, leading := h.leader, h.term, h.leading != nil
+	lead, term, leading := h.leader, h.term, h.ownTerm != nil
 	h.mu.Unlock()
 	began := h.now()
 	var r peer.StateReply
--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -147,7 +147,7 @@
 // cede leaves the lead to a host with much more power, if there is one.
 func (h *Host) cede() {
 	h.mu.Lock()
-	t := h.leading
+	t := h.ownTerm
 	h.mu.Unlock()
 	if t == nil || h.now().Sub(t.began) < cedeAfter {
 		return
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -100,7 +100,7 @@
 		}
 	}
 	h.mu.Lock()
-	h.leading = t
+	h.ownTerm = t
 	table := h.table
 	names := slices.Sorted(maps.Keys(h.hosts))
 	h.mu.Unlock()
@@ -168,8 +168,8 @@
 	}
 	t.cancel()
 	t.h.mu.Lock()
-	if t.h.leading == t {
-		t.h.leading = nil
+	if t.h.ownTerm == t {
+		t.h.ownTerm = nil
 	}
 	if t.h.leader == t.h.cfg.Name {
 		t.h.leader = ""
