--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -104,7 +104,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if term >= h.term {
-		h.leader, h.leadSince = lead, h.now()
+		h.leader, h.leaderSince = lead, h.now()
 	}
 }
 
@@ -159,7 +159,7 @@
 func (h *Host) leadPatience() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.now().Sub(h.leadSince) < youngTerm {
+	if h.now().Sub(h.leaderSince) < youngTerm {
 		return youngWait
 	}
 	return leadWait
