--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -59,8 +59,8 @@
 func (h *Host) works(before <-chan ends) bool {
 	h.mu.Lock()
 	lead, mute, silence := h.leader, h.mute == h.leader, time.Duration(0)
-	if !h.leadAsked.IsZero() {
-		silence = h.now().Sub(h.leadAsked)
+	if !h.unansweredSince.IsZero() {
+		silence = h.now().Sub(h.unansweredSince)
 	}
 	h.mu.Unlock()
 	if !mute {
@@ -264,7 +264,7 @@
 		// One that the store does not serve leads on, and is heard.
 		return
 	}
-	h.leadAsked = time.Time{}
+	h.unansweredSince = time.Time{}
 	if late {
 		h.leadLate = h.now()
 	}
@@ -274,8 +274,8 @@
 func (h *Host) askedLead(name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if name == h.leader && h.leadAsked.IsZero() {
-		h.leadAsked = h.now()
+	if name == h.leader && h.unansweredSince.IsZero() {
+		h.unansweredSince = h.now()
 	}
 }
 
