--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -148,7 +148,7 @@
 // answersLate tells whether the lead has answered late just now.
 func (h *Host) answersLate(lead string) bool {
 	h.mu.Lock()
-	late := h.now().Sub(h.leadLate)
+	late := h.now().Sub(h.lastLateReply)
 	h.mu.Unlock()
 	if late >= lateFor {
 		return false
@@ -266,7 +266,7 @@
 	}
 	h.unansweredSince = time.Time{}
 	if late {
-		h.leadLate = h.now()
+		h.lastLateReply = h.now()
 	}
 }
 
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -196,7 +196,7 @@
 		}
 	}
 	h.leader, h.heir = name, ""
-	h.leaderSince, h.unansweredSince, h.leadLate = h.now(), time.Time{}, time.Time{}
+	h.leaderSince, h.unansweredSince, h.lastLateReply = h.now(), time.Time{}, time.Time{}
 }
 
 // announceAgain is the pause before an announcement without an answer is repeated.
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -61,9 +61,9 @@
 	// ownTerm is the term that this host leads; nil when it does not.
 	ownTerm *term
 	// leaderSince is when this host heard of the lead first, unansweredSince when it asked that one
-	// first since the last answer, leadLate when an answer came too late, synced when one
+	// first since the last answer, lastLateReply when an answer came too late, synced when one
 	// came in time, delegated when this host asked another one to lead.
-	leaderSince, unansweredSince, leadLate, synced, delegated time.Time
+	leaderSince, unansweredSince, lastLateReply, synced, delegated time.Time
 	// changes are when the lead changed of late and nobody had told that it would, without
 	// those that turned out right.
 	changes []time.Time
