--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -61,9 +61,9 @@
 	// ownTerm is the term that this host leads; nil when it does not.
 	ownTerm *term
 	// leaderSince is when this host heard of the lead first, unansweredSince when it asked that one
-	// first since the last answer, lastLateReply when an answer came too late, synced when one
+	// first since the last answer, lastLateReply when an answer came too late, lastSync when one
 	// came in time, delegated when this host asked another one to lead.
-	leaderSince, unansweredSince, lastLateReply, synced, delegated time.Time
+	leaderSince, unansweredSince, lastLateReply, lastSync, delegated time.Time
 	// changes are when the lead changed of late and nobody had told that it would, without
 	// those that turned out right.
 	changes []time.Time
@@ -108,7 +108,7 @@
 		h.policy = platform.NewPolicy(c, addr)
 	}
 	h.peers.Lost(h.peerLost)
-	h.synced = now()
+	h.lastSync = now()
 	h.ctx, h.cancel = context.WithCancel(context.Background())
 	h.store = store.NewRouted(platform.NewStore(platform.New(), cfg.Store), relay{h}, now, h.storeLost)
 	h.inbox = newInbox(h)
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -195,7 +195,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.ownTerm != nil || h.leaving {
-		h.synced = h.now()
+		h.lastSync = h.now()
 		return false
 	}
 	rank := 0
@@ -204,7 +204,7 @@
 			rank++
 		}
 	}
-	return h.now().Sub(h.synced) > orphanAfter+time.Duration(rank)*orphanStep
+	return h.now().Sub(h.lastSync) > orphanAfter+time.Duration(rank)*orphanStep
 }
 
 func (h *Host) syncWith(lead string) {
@@ -216,7 +216,7 @@
 	}
 	h.mu.Lock()
 	h.pending, h.pendingAt = r.Pending, h.now()
-	h.synced, h.enough, h.heir = h.now(), r.Enough, r.Heir
+	h.lastSync, h.enough, h.heir = h.now(), r.Enough, r.Heir
 	h.mu.Unlock()
 	all := make(map[string]netip.AddrPort, len(r.Hosts))
 	for n, a := range r.Hosts {
