--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -62,8 +62,8 @@
 	ownTerm *term
 	// leaderSince is when this host heard of the lead first, unansweredSince when it asked that one
 	// first since the last answer, lastLateReply when an answer came too late, lastSync when one
-	// came in time, delegated when this host asked another one to lead.
-	leaderSince, unansweredSince, lastLateReply, lastSync, delegated time.Time
+	// came in time, lastDelegation when this host asked another one to lead.
+	leaderSince, unansweredSince, lastLateReply, lastSync, lastDelegation time.Time
 	// changes are when the lead changed of late and nobody had told that it would, without
 	// those that turned out right.
 	changes []time.Time
--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -176,7 +176,7 @@
 func (h *Host) delegate() bool {
 	h.listHosts()
 	h.mu.Lock()
-	lately := h.now().Sub(h.delegated) < delegateEvery
+	lately := h.now().Sub(h.lastDelegation) < delegateEvery
 	term := h.term
 	h.mu.Unlock()
 	if lately {
@@ -189,7 +189,7 @@
 		return false
 	}
 	h.mu.Lock()
-	h.delegated = h.now()
+	h.lastDelegation = h.now()
 	h.mu.Unlock()
 	h.log.Info("lead: left to a stronger host.", "host", best)
 	h.tellSuccessor(ctx, best, peer.Succeed{Term: term})
