--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -168,8 +168,8 @@
 	if reach == peer.NoAnswer {
 		return patience
 	}
-	h.changes = h.lately()
-	for range h.changes {
+	h.leaderChanges = h.lately()
+	for range h.leaderChanges {
 		patience = min(morePatient*patience, mostPatience)
 	}
 	return patience
@@ -192,14 +192,14 @@
 		return
 	}
 	h.mu.Lock()
-	h.changes = slices.DeleteFunc(h.changes, func(c time.Time) bool { return c.Equal(at) })
+	h.leaderChanges = slices.DeleteFunc(h.leaderChanges, func(c time.Time) bool { return c.Equal(at) })
 	h.mu.Unlock()
 	h.log.Info("lead: change was right.", "host", former, "silent", h.now().Sub(at))
 }
 
 // lately are the changes of the lead that count still; mu is held. The caller keeps them as h.changes.
 func (h *Host) lately() []time.Time {
-	return slices.DeleteFunc(h.changes, func(at time.Time) bool { return h.now().Sub(at) > changesFor })
+	return slices.DeleteFunc(h.leaderChanges, func(at time.Time) bool { return h.now().Sub(at) > changesFor })
 }
 
 // grown is the first of the partitions that have grown, -1 if none has.
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -64,9 +64,9 @@
 	// first since the last answer, lastLateReply when an answer came too late, lastSync when one
 	// came in time, lastDelegation when this host asked another one to lead.
 	leaderSince, unansweredSince, lastLateReply, lastSync, lastDelegation time.Time
-	// changes are when the lead changed of late and nobody had told that it would, without
+	// leaderChanges are when the lead changed of late and nobody had told that it would, without
 	// those that turned out right.
-	changes []time.Time
+	leaderChanges []time.Time
 	// enough is the power of which, as the lead says, there are enough hosts to lead.
 	enough float64
 	// mute is the host that left the last question about who leads without an answer,
