--- a/internal/entry/group.go
+++ b/internal/entry/group.go
@@ -93,7 +93,7 @@
 func (h *Host) candidate() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.ownTerm != nil || h.cfg.Power*stronger > h.enough || h.now().Sub(h.lastSync) > enoughFor
+	return h.ownTerm != nil || h.cfg.Power*stronger > h.strongPower || h.now().Sub(h.lastSync) > enoughFor
 }
 
 // enoughPower is the power of the weakest of the enoughHosts strongest hosts;
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -67,8 +67,8 @@
 	// leaderChanges are when the lead changed of late and nobody had told that it would, without
 	// those that turned out right.
 	leaderChanges []time.Time
-	// enough is the power of which, as the lead says, there are enough hosts to lead.
-	enough float64
+	// strongPower is the power of which, as the lead says, there are strongPower hosts to lead.
+	strongPower float64
 	// mute is the host that left the last question about who leads without an answer,
 	// at muteAt.
 	mute   string
