--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -58,7 +58,7 @@
 // long. before is where its partitions ended when the question was put.
 func (h *Host) works(before <-chan ends) bool {
 	h.mu.Lock()
-	lead, mute, silence := h.leader, h.mute == h.leader, time.Duration(0)
+	lead, mute, silence := h.leader, h.unresponsive == h.leader, time.Duration(0)
 	if !h.unansweredSince.IsZero() {
 		silence = h.now().Sub(h.unansweredSince)
 	}
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -69,10 +69,10 @@
 	leaderChanges []time.Time
 	// strongPower is the power of which, as the lead says, there are strongPower hosts to lead.
 	strongPower float64
-	// mute is the host that left the last question about who leads without an answer,
+	// unresponsive is the host that left the last question about who leads without an answer,
 	// at muteAt.
-	mute   string
-	muteAt time.Time
+	unresponsive string
+	muteAt       time.Time
 	// looking is held while the host asks whether it should lead, claims while it
 	// tries to; claiming tells of the latter.
 	looking, claims   sync.Mutex
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -142,9 +142,9 @@
 	defer h.mu.Unlock()
 	switch {
 	case err != nil:
-		h.mute, h.muteAt = name, h.now()
-	case h.mute == name:
-		h.mute = ""
+		h.unresponsive, h.muteAt = name, h.now()
+	case h.unresponsive == name:
+		h.unresponsive = ""
 	}
 	return r, err
 }
@@ -152,7 +152,7 @@
 func (h *Host) isMute(name string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.mute == name && h.now().Sub(h.muteAt) < muteFor
+	return h.unresponsive == name && h.now().Sub(h.muteAt) < muteFor
 }
 
 // leadPatience is how long the lead may take to answer.
