--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -71,8 +71,8 @@
 	strongPower float64
 	// unresponsive is the host that left the last question about who leads without an answer,
 	// at muteAt.
-	unresponsive string
-	muteAt       time.Time
+	unresponsive   string
+	unresponsiveAt time.Time
 	// looking is held while the host asks whether it should lead, claims while it
 	// tries to; claiming tells of the latter.
 	looking, claims   sync.Mutex
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -142,7 +142,7 @@
 	defer h.mu.Unlock()
 	switch {
 	case err != nil:
-		h.unresponsive, h.muteAt = name, h.now()
+		h.unresponsive, h.unresponsiveAt = name, h.now()
 	case h.unresponsive == name:
 		h.unresponsive = ""
 	}
@@ -152,7 +152,7 @@
 func (h *Host) isMute(name string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.unresponsive == name && h.now().Sub(h.muteAt) < muteFor
+	return h.unresponsive == name && h.now().Sub(h.unresponsiveAt) < muteFor
 }
 
 // leadPatience is how long the lead may take to answer.
