--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -70,10 +70,10 @@
 // should is called while the group says that this host leads. A lead that works
 // is left alone: the group deals its partitions anew without a reason at times.
 func (h *Host) should() {
-	if !h.looking.TryLock() {
+	if !h.electionMu.TryLock() {
 		return
 	}
-	defer h.looking.Unlock()
+	defer h.electionMu.Unlock()
 	lead, leading := h.leadNow()
 	if leading {
 		return
