--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -36,10 +36,10 @@
 
 // claim tries to begin a term.
 func (h *Host) claim(why string) {
-	if !h.claims.TryLock() {
+	if !h.claimMu.TryLock() {
 		return
 	}
-	defer h.claims.Unlock()
+	defer h.claimMu.Unlock()
 	h.mu.Lock()
 	busy := h.ownTerm != nil || h.leaving
 	h.claiming = !busy
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -73,10 +73,10 @@
 	// at muteAt.
 	unresponsive   string
 	unresponsiveAt time.Time
-	// electionMu is held while the host asks whether it should lead, claims while it
+	// electionMu is held while the host asks whether it should lead, claimMu while it
 	// tries to; claiming tells of the latter.
-	electionMu, claims sync.Mutex
-	claiming, leaving  bool
+	electionMu, claimMu sync.Mutex
+	claiming, leaving   bool
 	// successor is the host that this one asked to lead in its place.
 	successor string
 	// heir is the host that the lead wants to lead if it dies.
