--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -173,7 +173,7 @@
 func (h *Host) Heir() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.heir
+	return h.standby
 }
 
 // Follower is a host without a network that follows the operators' table and keeps its
@@ -246,7 +246,7 @@
 // LoseLead has the host, as its heir, notice that a lead's connection has ended.
 func (h *Host) LoseLead(name string) {
 	h.mu.Lock()
-	h.leader, h.heir = name, h.cfg.Name
+	h.leader, h.standby = name, h.cfg.Name
 	h.mu.Unlock()
 	h.peerLost(name)
 }
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -195,7 +195,7 @@
 			h.wg.Go(func() { h.reviewChange(at, former) })
 		}
 	}
-	h.leader, h.heir = name, ""
+	h.leader, h.standby = name, ""
 	h.leaderSince, h.unansweredSince, h.lastLateReply = h.now(), time.Time{}, time.Time{}
 }
 
--- a/internal/entry/heir.go
+++ b/internal/entry/heir.go
@@ -30,7 +30,7 @@
 func (h *Host) peerLost(name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.ownTerm == nil && !h.leaving && name == h.leader && h.heir == h.cfg.Name {
+	if h.ownTerm == nil && !h.leaving && name == h.leader && h.standby == h.cfg.Name {
 		h.wg.Go(func() { h.inherit(name) })
 	}
 }
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -79,8 +79,8 @@
 	claiming, leaving   bool
 	// successor is the host that this one asked to lead in its place.
 	successor string
-	// heir is the host that the lead wants to lead if it dies.
-	heir string
+	// standby is the host that the lead wants to lead if it dies.
+	standby string
 	// recent are the jobs that this host accepted lately, seen the hosts that asked
 	// it.
 	recent map[string]time.Time
