--- a/internal/entry/group.go
+++ b/internal/entry/group.go
@@ -100,7 +100,7 @@
 // zero if there are fewer. mu is held.
 func (h *Host) enoughPower() float64 {
 	powers := []float64{h.cfg.Power}
-	for _, s := range h.seen {
+	for _, s := range h.peersSeen {
 		if h.now().Sub(s.at) < heardFor {
 			powers = append(powers, s.power)
 		}
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -265,7 +265,7 @@
 		return
 	}
 	h.mu.Lock()
-	h.seen[m.From] = sighting{addr: m.Addr, power: m.Power, began: m.Began, at: h.now()}
+	h.peersSeen[m.From] = sighting{addr: m.Addr, power: m.Power, began: m.Began, at: h.now()}
 	_, known := h.hosts[m.From]
 	leading := h.ownTerm != nil
 	h.mu.Unlock()
@@ -280,7 +280,7 @@
 	defer h.mu.Unlock()
 	all := map[string]netip.AddrPort{}
 	fresh := h.ownTerm != nil && h.now().Sub(h.ownTerm.began) < heardFor
-	for n, s := range h.seen {
+	for n, s := range h.peersSeen {
 		if h.now().Sub(s.at) < heardFor {
 			all[n] = s.addr
 		}
--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -125,7 +125,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	lately := map[string]sighting{}
-	for n, s := range h.seen {
+	for n, s := range h.peersSeen {
 		if n != h.cfg.Name && h.now().Sub(s.at) < heardFor {
 			lately[n] = s
 		}
@@ -167,7 +167,7 @@
 	all := h.successors()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return slices.DeleteFunc(all, func(n string) bool { return h.seen[n].power < h.cfg.Power*stronger })
+	return slices.DeleteFunc(all, func(n string) bool { return h.peersSeen[n].power < h.cfg.Power*stronger })
 }
 
 // delegate asks a host with much more power to lead; false if there is none, or
