--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -42,12 +42,12 @@
 // host believes of it may be old by as much.
 func (h *Host) noteRead(topic string, from int64, err error) {
 	h.mu.Lock()
-	since, lost := h.unread[topic]
+	since, lost := h.failedSince[topic]
 	switch {
 	case err == nil:
-		delete(h.unread, topic)
+		delete(h.failedSince, topic)
 	case !lost:
-		h.unread[topic] = h.now()
+		h.failedSince[topic] = h.now()
 	}
 	h.mu.Unlock()
 	switch {
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -87,8 +87,8 @@
 	peersSeen map[string]sighting
 	// wasReady is what the balancer was told last.
 	wasReady bool
-	// unread are the topics whose last read failed, and since when.
-	unread map[string]time.Time
+	// failedSince are the topics whose last read failed, and since when.
+	failedSince map[string]time.Time
 }
 
 // New returns a host that is not started.
@@ -98,7 +98,7 @@
 		cfg: cfg, log: log, now: now, startedAt: now(), workers: platform.NewWorkers(c),
 		peers: peer.NewClients(map[string]netip.AddrPort{}), metrics: metrics.NewRegistry(),
 		hosts: map[string]netip.AddrPort{cfg.Name: cfg.Listen.Peer}, pending: map[string]int{},
-		recent: map[string]time.Time{}, peersSeen: map[string]sighting{}, unread: map[string]time.Time{},
+		recent: map[string]time.Time{}, peersSeen: map[string]sighting{}, failedSince: map[string]time.Time{},
 	}
 	if cfg.Policy != "" {
 		addr, err := netip.ParseAddrPort(cfg.Policy)
