--- a/internal/entry/group.go
+++ b/internal/entry/group.go
@@ -45,7 +45,7 @@
 // memberName is how the group knows this life of the host: name, address, life,
 // power.
 func (h *Host) memberName() string {
-	return h.cfg.Name + " " + h.cfg.Listen.Peer.String() + " " + h.life() + " " + strconv.FormatFloat(h.cfg.Power, 'g', -1, 64)
+	return h.cfg.Name + " " + h.cfg.Listen.Peer.String() + " " + h.incarnation() + " " + strconv.FormatFloat(h.cfg.Power, 'g', -1, 64)
 }
 
 // parseMember reads a member's name; false if it is none of ours.
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -116,7 +116,7 @@
 	return h, nil
 }
 
-func (h *Host) life() string { return strconv.FormatInt(h.startedAt.UnixNano(), lifeBase) }
+func (h *Host) incarnation() string { return strconv.FormatInt(h.startedAt.UnixNano(), lifeBase) }
 
 func (h *Host) count(name string) { metrics.GetOrRegisterCounter(name, h.metrics).Inc(1) }
 
@@ -148,7 +148,7 @@
 
 // Start listens and begins to follow the platform.
 func (h *Host) Start() error {
-	h.log.Info("entry: start.", "host", h.cfg.Name, "life", h.life(), "domain", h.cfg.Domain)
+	h.log.Info("entry: start.", "host", h.cfg.Name, "life", h.incarnation(), "domain", h.cfg.Domain)
 	var lc net.ListenConfig
 	open := func(addr netip.AddrPort) (net.Listener, error) {
 		ln, err := lc.Listen(h.ctx, "tcp", addr.String())
