--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -85,7 +85,7 @@
 		if part := grown(was, is); part >= 0 {
 			switch by := h.writer(lead, h.stateParts()[part]); by {
 			case lead:
-				h.count("lead.slow")
+				h.incCounter("lead.slow")
 				h.log.Info("lead: is slow, and works.", "host", lead, "part", h.stateParts()[part], "from", was.part[part], "to", is.part[part], "unheard", silence)
 				return true
 			case h.cfg.Name:
@@ -153,7 +153,7 @@
 	if late >= lateFor {
 		return false
 	}
-	h.count("lead.slow")
+	h.incCounter("lead.slow")
 	h.log.Info("lead: is slow, and answers.", "host", lead, "ago", late)
 	return true
 }
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -33,7 +33,7 @@
 
 // answer answers a peer.
 func (h *Host) answer(ctx context.Context, m peer.Message) (any, error) {
-	h.count("peer." + peer.Kind(m))
+	h.incCounter("peer." + peer.Kind(m))
 	switch m := m.(type) {
 	case peer.Hand:
 		h.mu.Lock()
@@ -93,7 +93,7 @@
 	began := h.now()
 	state, known, sure := t.state(id)
 	if took := h.now().Sub(began); took > lateState {
-		h.count("state.late")
+		h.incCounter("state.late")
 		h.log.Info("state: told late.", "id", id, "term", t.number, "waited", took)
 	}
 	return peer.StateReply{Lead: true, Known: known, Unsure: !sure, State: string(state)}
@@ -236,7 +236,7 @@
 
 func (h *Host) advised(a sched.Ask, good map[string]string, err error) sched.Advised {
 	if err != nil {
-		h.count("advice.failed")
+		h.incCounter("advice.failed")
 		h.log.Warn("advice: no answer.", "step", a.Step, "host", a.Host, "err", err)
 	}
 	return sched.Advised{Step: a.Step, Host: a.Host, Good: good, Failed: err != nil}
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -55,7 +55,7 @@
 	began := h.now()
 	defer func() {
 		if r.Context().Err() != nil {
-			h.count("caller.left")
+			h.incCounter("caller.left")
 			h.log.Info("caller: left before its answer.", "id", id, "method", r.Method, "after", h.now().Sub(began), "deadline", deadline(r))
 		}
 	}()
@@ -118,7 +118,7 @@
 
 // refuse answers with the reason and, where coming back helps, when.
 func (h *Host) refuse(w http.ResponseWriter, code int, id, reason string) {
-	h.count("caller.refused." + strconv.Itoa(code))
+	h.incCounter("caller.refused." + strconv.Itoa(code))
 	h.log.Info("caller: refused.", "id", id, "code", code, "reason", reason)
 	if code == http.StatusServiceUnavailable || code == http.StatusTooManyRequests {
 		w.Header().Set("Retry-After", again)
@@ -177,7 +177,7 @@
 }
 
 func (h *Host) accepted(id string) {
-	h.count("caller.accepted")
+	h.incCounter("caller.accepted")
 	h.mu.Lock()
 	h.recent[id] = h.now()
 	h.mu.Unlock()
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -60,11 +60,11 @@
 	began := h.now()
 	t, err := h.begin(ctx)
 	if err != nil {
-		h.count("lead.claim.failed")
+		h.incCounter("lead.claim.failed")
 		h.log.Warn("lead: claim failed.", "why", why, "err", err)
 		return
 	}
-	h.count("lead.claimed")
+	h.incCounter("lead.claimed")
 	h.observe("lead.takeover", h.now().Sub(began))
 	h.log.Info(
 		"lead: term begins.", "term", t.number, "why", why, "jobs", t.jobs, "open", t.open,
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -55,7 +55,7 @@
 	case err == nil && lost:
 		h.log.Info("follow: read again.", "topic", topic, "from", from, "after", h.now().Sub(since))
 	case err != nil:
-		h.count("follow.failed." + topic)
+		h.incCounter("follow.failed." + topic)
 		if !lost {
 			h.log.Warn("follow: cannot be read.", "topic", topic, "from", from, "err", err)
 		}
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -118,7 +118,7 @@
 
 func (h *Host) incarnation() string { return strconv.FormatInt(h.startedAt.UnixNano(), lifeBase) }
 
-func (h *Host) count(name string) { metrics.GetOrRegisterCounter(name, h.metrics).Inc(1) }
+func (h *Host) incCounter(name string) { metrics.GetOrRegisterCounter(name, h.metrics).Inc(1) }
 
 // observe adds to a histogram.
 func (h *Host) observe(name string, d time.Duration) {
@@ -142,7 +142,7 @@
 		h.log.Info("store: answers this host again.", what, "part", c.Part)
 		return
 	}
-	h.count("store.lost")
+	h.incCounter("store.lost")
 	h.log.Warn("store: does not serve this host.", what, "part", c.Part, "err", err)
 }
 
--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -200,7 +200,7 @@
 	}
 	state, known, err := known(id, r, err)
 	if err != nil {
-		h.count("state.untold")
+		h.incCounter("state.untold")
 		h.log.Info("state: the lead did not tell.", "id", id, "lead", lead, "term", term, "waited", h.now().Sub(began), "err", err)
 	}
 	return state, known, err
--- a/internal/entry/states.go
+++ b/internal/entry/states.go
@@ -184,7 +184,7 @@
 		began := s.h.now()
 		r.err = s.readAll(s.h.ctx, r)
 		close(r.done)
-		s.h.count("state.read")
+		s.h.incCounter("state.read")
 		s.h.observe("state.read.took", s.h.now().Sub(began))
 		s.h.log.Info("state: read from the store.", "asked", len(r.ids), "found", len(r.found), "took", s.h.now().Sub(began), "err", r.err)
 		sleep(s.h.ctx, readStatesEvery-s.h.now().Sub(began))
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -209,20 +209,20 @@
 	case sched.Start:
 		t.h.wg.Go(func() {
 			got := t.order(a.To.Life, func(ctx context.Context) sched.Outcome { return t.h.workers.Start(ctx, a) })
-			t.h.count("start." + got.String())
+			t.h.incCounter("start." + got.String())
 			t.step(sched.Started{Task: a.Task, Run: a.Run, Worker: a.To.Life, Outcome: got})
 		})
 	case sched.Stop:
 		t.h.wg.Go(func() {
 			got := t.order(a.To.Life, func(ctx context.Context) sched.Outcome { return t.h.workers.Stop(ctx, a) })
-			t.h.count("stop." + got.String())
+			t.h.incCounter("stop." + got.String())
 			t.step(sched.Stopped{Task: a.Task, Run: a.Run, Worker: a.To.Life, Outcome: got})
 		})
 	case sched.Pace:
 		t.h.wg.Go(func() {
 			ctx, cancel := context.WithTimeout(t.ctx, orderWait)
 			defer cancel()
-			t.h.count("pace." + t.h.workers.Pace(ctx, a).String())
+			t.h.incCounter("pace." + t.h.workers.Pace(ctx, a).String())
 		})
 	case sched.Ask:
 		t.h.wg.Go(func() { t.step(t.h.ask(t.ctx, a)) })
@@ -258,7 +258,7 @@
 		return t.h.workers.Hold(ctx, a)
 	}, func(r sched.Held) bool { return r.Outcome != sched.Unanswered }, sched.Held{Worker: a.To.Life, Outcome: sched.Unanswered, Look: a.Look, Seen: a.Seen})
 	got.Sent, got.Received = sent, t.h.now()
-	t.h.count(heldAs(got))
+	t.h.incCounter(heldAs(got))
 	t.step(got)
 }
 
