--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -125,9 +125,9 @@
 	metrics.GetOrRegisterTimer(name, h.metrics).Update(d)
 }
 
-// waited adds to the histograms of what steps wait for, by the rank of their queue: queues
+// observeWait adds to the histograms of what steps wait for, by the rank of their queue: queues
 // come and go with the table, and ranks are few.
-func (h *Host) waited(w sched.Waited) {
+func (h *Host) observeWait(w sched.Waited) {
 	h.observe(fmt.Sprintf("step.wait.rank%d", w.Rank), w.By.Total())
 	for r, d := range w.By {
 		if d > 0 {
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -231,7 +231,7 @@
 	case sched.Depose:
 		t.end("worker " + a.Worker + " obeys a later term")
 	case sched.Waited:
-		t.h.waited(a)
+		t.h.observeWait(a)
 	case sched.Begun:
 		t.h.observe(fmt.Sprintf("job.start.rank%d", a.Rank), a.After)
 	case sched.Ended:
