--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -189,7 +189,7 @@
 		h.hosts[n] = netip.AddrPort{}
 	}
 	h.leader = lead
-	h.store = store.NewRouted(direct, &throughPeers{h, through}, time.Now, h.storeLost)
+	h.store = store.NewRouted(direct, &throughPeers{h, through}, time.Now, h.storeChanged)
 	return &Follower{h}
 }
 
@@ -261,7 +261,7 @@
 	if err != nil {
 		return nil, err
 	}
-	h.store = store.NewRouted(direct, relay{h}, time.Now, h.storeLost)
+	h.store = store.NewRouted(direct, relay{h}, time.Now, h.storeChanged)
 	h.peers.Through(dial)
 	srv := peer.NewServer(func(ctx context.Context, m peer.Message) (any, error) {
 		before(ctx)
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -110,7 +110,7 @@
 	h.peers.Lost(h.peerLost)
 	h.lastSync = now()
 	h.ctx, h.cancel = context.WithCancel(context.Background())
-	h.store = store.NewRouted(platform.NewStore(platform.New(), cfg.Store), relay{h}, now, h.storeLost)
+	h.store = store.NewRouted(platform.NewStore(platform.New(), cfg.Store), relay{h}, now, h.storeChanged)
 	h.inbox = newInbox(h)
 	h.states = newStates(h)
 	return h, nil
@@ -136,7 +136,7 @@
 	}
 }
 
-func (h *Host) storeLost(c store.Call, ok bool, err error) {
+func (h *Host) storeChanged(c store.Call, ok bool, err error) {
 	what := slog.String("what", c.Topic+c.Group)
 	if ok {
 		h.log.Info("store: answers this host again.", what, "part", c.Part)
