--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -186,7 +186,7 @@
 			return err
 		}
 		s := &http.Server{
-			Handler: l.handler, ReadHeaderTimeout: headerWait, IdleTimeout: idleWait,
+			Handler: l.handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleWait,
 			ErrorLog: slog.NewLogLogger(h.log.Handler(), slog.LevelDebug),
 		}
 		h.servers = append(h.servers, s)
@@ -197,8 +197,8 @@
 
 // Bounds of a caller's connection.
 const (
-	// headerWait is as long as the table's limits allow a head to take.
-	headerWait = 3 * time.Second
+	// headerTimeout is as long as the table's limits allow a head to take.
+	headerTimeout = 3 * time.Second
 	// idleWait is longer than callers keep connections open between requests.
 	idleWait = 30 * time.Second
 )
