--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -186,7 +186,7 @@
 			return err
 		}
 		s := &http.Server{
-			Handler: l.handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleWait,
+			Handler: l.handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
 			ErrorLog: slog.NewLogLogger(h.log.Handler(), slog.LevelDebug),
 		}
 		h.servers = append(h.servers, s)
@@ -199,8 +199,8 @@
 const (
 	// headerTimeout is as long as the table's limits allow a head to take.
 	headerTimeout = 3 * time.Second
-	// idleWait is longer than callers keep connections open between requests.
-	idleWait = 30 * time.Second
+	// idleTimeout is longer than callers keep connections open between requests.
+	idleTimeout = 30 * time.Second
 )
 
 // Reload takes note of changed settings. Addresses hold until the next start.
