--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -59,7 +59,7 @@
 	platform *platform.Client
 	peers    *peer.Clients
 	relay    *relay.Relay
-	lead     *lead.Lead
+	lead     *lead.Leader
 	trail    *trail.Trail
 
 	mu      sync.Mutex
--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -42,7 +42,7 @@
 }
 
 // Census answers a peer's question.
-func (l *Lead) Census(from string, q Question) Census {
+func (l *Leader) Census(from string, q Question) Census {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lease(lease.Tick{})
@@ -72,7 +72,7 @@
 // shows tells whether a worker's list shows all starts of jobs that were given up here, and of
 // the keys that are asked for. The asker would take a task that is not listed for one that runs
 // nowhere.
-func (l *Lead) shows(name string, r lease.Reading, q Question) bool {
+func (l *Leader) shows(name string, r lease.Reading, q Question) bool {
 	if len(q.Keys) > 0 && !r.Sent.After(l.limited[name]) {
 		l.lease(lease.Look{Worker: name, After: lookAgain})
 		return false
@@ -85,7 +85,7 @@
 	return r.Sent.After(l.left[name])
 }
 
-func (l *Lead) view(name string, r lease.Reading, q Question) View {
+func (l *Leader) view(name string, r lease.Reading, q Question) View {
 	v := View{Worker: name, Clock: r.Clock, Age: l.Clock().Sub(r.Sent), Life: r.Life}
 	for _, t := range r.Tasks {
 		if slices.Contains(q.Jobs, t.Job) {
@@ -100,7 +100,7 @@
 
 // Question is what to ask peers for: the jobs that wait for a census and those with tasks on
 // workers that this host does not hold, and what is counted here.
-func (l *Lead) Question() Question {
+func (l *Leader) Question() Question {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	q := Question{Asked: l.Clock(), Waits: l.Takeover.Waiting(), Keys: slices.Sorted(maps.Keys(l.counts))}
@@ -115,7 +115,7 @@
 
 // askLives asks the peers, one of which may have led a worker in its life of now, before this host
 // waits for the starts to an earlier one.
-func (l *Lead) askLives() {
+func (l *Leader) askLives() {
 	now := l.Clock()
 	if l.Ask == nil || now.Sub(l.askedLives) < livesEvery || !l.Leases.Unsettled(now) {
 		return
@@ -127,7 +127,7 @@
 // Answered takes a peer's answer to a question. A worker that this host holds, or held
 // since it asked, is passed over: what the peer told of it is older than what this host
 // knows. The peer lists tasks of the jobs that were asked for, and no others.
-func (l *Lead) Answered(host string, q Question, c Census) {
+func (l *Leader) Answered(host string, q Question, c Census) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for name, life := range c.Lives {
--- a/internal/lead/crash.go
+++ b/internal/lead/crash.go
@@ -7,7 +7,7 @@
 )
 
 // crashed has the lives stored that ended under a task, before it is started again.
-func (l *Lead) crashed(a job.Crashed) {
+func (l *Leader) crashed(a job.Crashed) {
 	l.Count("lead.crashed")
 	l.Log.Warn("lead: worker crashed while a task ran there.", "task", a.Task, "worker", a.Worker, "lives", a.Lives)
 	l.note(a.Job, a.Worker+" crashed while "+a.Task+" ran there")
@@ -22,13 +22,13 @@
 }
 
 // Noted tells that the lives that ended under a task are stored.
-func (l *Lead) Noted(task string, lives int64) {
+func (l *Leader) Noted(task string, lives int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.job(job.Noted{Task: task, Lives: lives})
 }
 
-func (l *Lead) livesOf(id string) map[string]int64 {
+func (l *Leader) livesOf(id string) map[string]int64 {
 	if l.Lives == nil {
 		return nil
 	}
@@ -37,7 +37,7 @@
 
 // apart is the room of a task that is tried on a worker of its own: all of the smallest worker
 // that has enough. Where the table's limits never allow that it stays as it was.
-func (l *Lead) apart(w place.Want) cell.Size {
+func (l *Leader) apart(w place.Want) cell.Size {
 	alone := w
 	alone.Size = cell.Size{}
 	for _, name := range l.Leases.Held() {
--- a/internal/lead/fault_test.go
+++ b/internal/lead/fault_test.go
@@ -31,7 +31,7 @@
 	workers  map[string]*standin.Worker
 	machines []lead.Machine
 	over     *standin.Oversight
-	hosts    map[string]*lead.Lead
+	hosts    map[string]*lead.Leader
 	queues   map[string][]func()
 	// cut holds the workers that a host does not reach.
 	cut map[string]string
@@ -65,7 +65,7 @@
 func newPairOn(t *testing.T, workers int, told io.Writer, through func(p *pair, name string) http.RoundTripper) *pair {
 	p := &pair{
 		T: t, now: time.Unix(1_700_000_000, 0), workers: map[string]*standin.Worker{}, over: standin.NewOversight(),
-		hosts: map[string]*lead.Lead{}, queues: map[string][]func(){}, cut: map[string]string{},
+		hosts: map[string]*lead.Leader{}, queues: map[string][]func(){}, cut: map[string]string{},
 	}
 	clock := func() time.Time { return p.now }
 	var names []string
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -25,14 +25,14 @@
 // Epoch numbers the time since this host last held no worker at all. While it
 // stays the same no other host can have completed a census without asking this
 // one, so what this host knows of its jobs is true. Zero: it holds none.
-func (l *Lead) Epoch() int64 {
+func (l *Leader) Epoch() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.epochNow()
 }
 
 // epochNow notices leases that lapsed during a pause before it answers.
-func (l *Lead) epochNow() int64 {
+func (l *Leader) epochNow() int64 {
 	l.lease(lease.Tick{})
 	if len(l.Leases.Held()) == 0 {
 		return 0
@@ -41,7 +41,7 @@
 }
 
 // SetDomain tells the workers of the failure domain and its live peers.
-func (l *Lead) SetDomain(workers, peers []string) {
+func (l *Leader) SetDomain(workers, peers []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lease(lease.Known{Workers: workers})
@@ -51,7 +51,7 @@
 
 // Inherit takes over jobs whose lead is gone. They go on as far as their tasks
 // are found, and start nothing new before their census is complete.
-func (l *Lead) Inherit(specs []job.Spec) {
+func (l *Leader) Inherit(specs []job.Spec) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	fresh := false
@@ -72,7 +72,7 @@
 
 // readAll shows the job core the lists of all held workers again: tasks of a
 // job that is new here may be among them.
-func (l *Lead) readAll() {
+func (l *Leader) readAll() {
 	for _, name := range l.Leases.Held() {
 		if r, ok := l.Leases.Last(name); ok {
 			l.seen(name, r)
@@ -80,27 +80,27 @@
 	}
 }
 
-func (l *Lead) knows(id string) bool {
+func (l *Leader) knows(id string) bool {
 	_, err := l.Jobs.Status(id)
 	return err == nil
 }
 
 // Knows tells whether a job is led here, waits here for its census or ended here.
-func (l *Lead) Knows(id string) bool {
+func (l *Leader) Knows(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.knows(id)
 }
 
 // Ended tells how a job ended that was led here; false if it did not.
-func (l *Lead) Ended(id string) (string, bool) {
+func (l *Leader) Ended(id string) (string, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.Jobs.Ended(id)
 }
 
 // Forfeit forgets an inherited job that another host leads or that has ended.
-func (l *Lead) Forfeit(id string) {
+func (l *Leader) Forfeit(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.Jobs.Waits(id) {
@@ -111,7 +111,7 @@
 }
 
 // Waiting lists the inherited jobs that wait for their census.
-func (l *Lead) Waiting() []string {
+func (l *Leader) Waiting() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.Takeover.Waiting()
@@ -119,13 +119,13 @@
 
 // LogRead tells that the log of jobs was read to its end by a question that
 // was sent at asked.
-func (l *Lead) LogRead(asked time.Time) {
+func (l *Leader) LogRead(asked time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.takeover(takeover.Log{Asked: asked})
 }
 
-func (l *Lead) ended(a job.Ended) {
+func (l *Leader) ended(a job.Ended) {
 	l.takeover(takeover.Gone{Job: a.ID})
 	if l.End == nil {
 		return
@@ -137,14 +137,14 @@
 }
 
 // Kept tells that a job's end is in the log, so that its tasks may be forgotten.
-func (l *Lead) Kept(id string) {
+func (l *Leader) Kept(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.job(job.Kept{ID: id})
 }
 
 // Leave makes this host take no job any more, before it hands over what it has.
-func (l *Lead) Leave() {
+func (l *Leader) Leave() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.leaving = true
@@ -152,7 +152,7 @@
 
 // Open lists the jobs that are led here and have not ended, without those that
 // wait for their census.
-func (l *Lead) Open() []job.Spec {
+func (l *Leader) Open() []job.Spec {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.DeleteFunc(l.Jobs.Open(), func(s job.Spec) bool { return l.Jobs.Waits(s.ID) })
@@ -164,7 +164,7 @@
 
 // drop keeps in mind the starts of a dropped job that may still land: their
 // room stays taken until the worker shows that they did not.
-func (l *Lead) drop(id string, recall bool) {
+func (l *Leader) drop(id string, recall bool) {
 	now := l.Clock()
 	if c, ok := l.Jobs.Carry(id); ok {
 		for i, t := range c.Tasks {
@@ -184,7 +184,7 @@
 // demote gives up all jobs when the last worker is lost. Another host may have
 // taken this one for dead and completed a census, so every job needs one of
 // its own again.
-func (l *Lead) demote() {
+func (l *Leader) demote() {
 	l.epoch++
 	for _, s := range l.Jobs.Open() {
 		l.Count("lead.forfeited")
@@ -194,7 +194,7 @@
 	}
 }
 
-func (l *Lead) takeover(ev takeover.Event) {
+func (l *Leader) takeover(ev takeover.Event) {
 	for _, a := range l.Takeover.Step(l.Clock(), ev) {
 		switch a := a.(type) {
 		case takeover.Ask:
@@ -218,7 +218,7 @@
 
 // watch tells which workers have tasks of own jobs, or tasks that are counted here, but are not
 // held here.
-func (l *Lead) watch() {
+func (l *Leader) watch() {
 	held := l.Leases.Held()
 	names := l.Jobs.Places()
 	for name := range l.elsewhere {
@@ -232,7 +232,7 @@
 
 // clean frees the room of tasks that another host's job, or nobody's, took on
 // a held worker, and lets the worker forget those whose job has ended.
-func (l *Lead) clean(name string, r lease.Reading) {
+func (l *Leader) clean(name string, r lease.Reading) {
 	running := map[string]bool{}
 	for _, t := range r.Tasks {
 		if t.State == "running" {
@@ -265,7 +265,7 @@
 
 // free gives the room of a task back unless the job core knows the task and
 // does it itself, or the task runs on another worker by now.
-func (l *Lead) free(id, name string) {
+func (l *Leader) free(id, name string) {
 	if at, ok := l.rooms[id]; ok && at != name {
 		return
 	}
@@ -275,14 +275,14 @@
 	}
 }
 
-func (l *Lead) forgetStart(name, start string) {
+func (l *Leader) forgetStart(name, start string) {
 	if start != "" && !slices.Contains(l.forget[name], start) {
 		l.forget[name] = append(l.forget[name], start)
 	}
 }
 
 // Leads tells whether a job is led here and waits for no census.
-func (l *Lead) Leads(id string) bool {
+func (l *Leader) Leads(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.knows(id) && !l.Jobs.Waits(id)
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -59,8 +59,8 @@
 	Log *slog.Logger
 }
 
-// Lead is the jobs' part of one entry host. It is safe for concurrent use.
-type Lead struct {
+// Leader is the jobs' part of one entry host. It is safe for concurrent use.
+type Leader struct {
 	Deps
 	ctx      context.Context
 	mu       sync.Mutex
@@ -106,21 +106,21 @@
 const askTimeout = time.Second
 
 // New returns a lead without workers; its exchanges end with ctx.
-func New(ctx context.Context, d Deps) *Lead {
+func New(ctx context.Context, d Deps) *Leader {
 	if d.Estimates == nil {
 		d.Estimates = estimate.New()
 	}
 	if d.Count == nil {
 		d.Count = func(string) {}
 	}
-	return &Lead{
+	return &Leader{
 		Deps: d, ctx: ctx, machines: map[string]Machine{}, forget: map[string][]string{}, rooms: map[string]string{},
 		counts: map[string]*count{}, elsewhere: map[string][]Counted{}, limited: map[string]time.Time{}, loose: map[string]loose{}, left: map[string]time.Time{}, expected: map[string]expected{}, held: map[string]time.Time{}, lives: map[string]*life{}, rules: map[string]place.Rule{}, epoch: 1,
 	}
 }
 
 // Tick lets time pass.
-func (l *Lead) Tick() {
+func (l *Leader) Tick() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lease(lease.Tick{})
@@ -132,14 +132,14 @@
 }
 
 // Held lists the workers that this host leads.
-func (l *Lead) Held() []string {
+func (l *Leader) Held() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.Leases.Held()
 }
 
 // Release gives all anchors back and waits for the exchanges under way.
-func (l *Lead) Release() {
+func (l *Leader) Release() {
 	l.mu.Lock()
 	l.lease(lease.Release{})
 	l.mu.Unlock()
@@ -158,7 +158,7 @@
 // Check tells whether a job may be taken here: a NeverError if it can never
 // run, a NoWorkerError or LeavingError if another host should be asked. The
 // epoch is the one to submit it in.
-func (l *Lead) Check(spec job.Spec) (int64, error) {
+func (l *Leader) Check(spec job.Spec) (int64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	epoch := l.epochNow()
@@ -174,7 +174,7 @@
 // Submit takes a job that was checked in that epoch and is kept by now. A
 // NoWorkerError tells that all workers were lost in between: another host may
 // lead the job already.
-func (l *Lead) Submit(spec job.Spec, epoch int64) (job.Status, error) {
+func (l *Leader) Submit(spec job.Spec, epoch int64) (job.Status, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
@@ -189,7 +189,7 @@
 }
 
 // Status returns a job's state, or a job.UnknownError.
-func (l *Lead) Status(id string) (job.Status, error) {
+func (l *Leader) Status(id string) (job.Status, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.Jobs.Status(id)
@@ -197,7 +197,7 @@
 
 // Cancel asks that a job stops and returns its state then. Leases that lapsed
 // in a pause are noticed first: the job may have another lead since then.
-func (l *Lead) Cancel(id string) (job.Status, error) {
+func (l *Leader) Cancel(id string) (job.Status, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.epochNow()
@@ -206,14 +206,14 @@
 	return l.Jobs.Status(id)
 }
 
-func (l *Lead) note(id, what string) {
+func (l *Leader) note(id, what string) {
 	l.Log.Info("lead: job.", "id", id, "what", what)
 	l.Trail.Add(trail.Note{At: l.Clock(), ID: id, Part: "lead", What: what})
 }
 
 // lease, place and job step one core and carry out its actions. They are
 // called with mu held; exchanges with workers run beside.
-func (l *Lead) lease(ev lease.Event) {
+func (l *Leader) lease(ev lease.Event) {
 	for _, a := range l.Leases.Step(l.Clock(), ev) {
 		switch a := a.(type) {
 		case lease.Take:
@@ -238,7 +238,7 @@
 
 // down gives up a worker. A host that loses its last worker may have been
 // taken for dead, and gives up its jobs too.
-func (l *Lead) down(name string) {
+func (l *Leader) down(name string) {
 	l.Log.Info("lead: worker is no longer led.", "worker", name)
 	l.Count("lead.down")
 	l.held[name] = l.Clock()
@@ -257,7 +257,7 @@
 	}
 }
 
-func (l *Lead) spawn(f func(ctx context.Context)) {
+func (l *Leader) spawn(f func(ctx context.Context)) {
 	run := func() {
 		ctx, cancel := context.WithTimeout(l.ctx, askTimeout)
 		defer cancel()
@@ -270,18 +270,18 @@
 	l.wg.Go(run)
 }
 
-func (l *Lead) address(name string) netip.AddrPort {
+func (l *Leader) address(name string) netip.AddrPort {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.machines[name].Address
 }
 
-func (l *Lead) take(ctx context.Context, a lease.Take) {
+func (l *Leader) take(ctx context.Context, a lease.Take) {
 	r, err := l.Workers.Take(ctx, l.address(a.Worker), a.TTL)
 	l.tellLease(a.Worker, err, lease.Granted{Worker: a.Worker, Reading: r})
 }
 
-func (l *Lead) renew(ctx context.Context, a lease.Renew) {
+func (l *Leader) renew(ctx context.Context, a lease.Renew) {
 	l.mu.Lock()
 	forget := slices.Clone(l.forget[a.Worker])
 	l.mu.Unlock()
@@ -294,7 +294,7 @@
 	l.tellLease(a.Worker, err, lease.Renewed{Worker: a.Worker, Reading: r})
 }
 
-func (l *Lead) tellLease(name string, err error, good lease.Event) {
+func (l *Leader) tellLease(name string, err error, good lease.Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var held *worker.HeldError
@@ -310,7 +310,7 @@
 }
 
 // meet asks a worker for its life. One that does not answer is asked again.
-func (l *Lead) meet(ctx context.Context, a lease.Meet) {
+func (l *Leader) meet(ctx context.Context, a lease.Meet) {
 	name, err := l.Workers.Life(ctx, l.address(a.Worker))
 	if err != nil {
 		l.Log.Debug("lead: life of a worker not told.", "worker", a.Worker, "err", err)
@@ -321,13 +321,13 @@
 	l.lease(lease.Met{Worker: a.Worker, Life: name})
 }
 
-func (l *Lead) give(ctx context.Context, a lease.Give) {
+func (l *Leader) give(ctx context.Context, a lease.Give) {
 	if err := l.Workers.Give(ctx, l.address(a.Worker), a.Lease); err != nil {
 		l.Log.Warn("lead: anchor not given back.", "worker", a.Worker, "err", err)
 	}
 }
 
-func (l *Lead) up(a lease.Up) {
+func (l *Leader) up(a lease.Up) {
 	m := l.machines[a.Worker]
 	var used []place.Used
 	for _, t := range a.Tasks {
@@ -344,7 +344,7 @@
 	l.takeover(takeover.Held{Worker: a.Worker})
 }
 
-func (l *Lead) seen(name string, r lease.Reading) {
+func (l *Leader) seen(name string, r lease.Reading) {
 	ev := job.Seen{Worker: name, Clock: r.Clock, Sent: r.Sent, Life: r.Life}
 	var wait bool
 	if ev.RackLost, wait = l.rackLost(name, r); wait {
@@ -359,7 +359,7 @@
 	l.used(r.Tasks)
 }
 
-func (l *Lead) job(ev job.Event) {
+func (l *Leader) job(ev job.Event) {
 	for _, a := range l.Jobs.Step(l.Clock(), ev) {
 		switch a := a.(type) {
 		case job.Want:
--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -29,7 +29,7 @@
 // anyone may start. Two hosts may both take themselves for the lead of the row's rack, but a
 // worker has one holder. One that is silent for longer than any lease is passed over: with it
 // the row would stand still for as long as it is listed.
-func (l *Lead) arbiter(row table.Row) (key, worker string) {
+func (l *Leader) arbiter(row table.Row) (key, worker string) {
 	if l.Key == nil {
 		return "", ""
 	}
@@ -44,7 +44,7 @@
 	return key, ""
 }
 
-func (l *Lead) keyOf(row string) string {
+func (l *Leader) keyOf(row string) string {
 	if l.Key == nil {
 		return ""
 	}
@@ -54,7 +54,7 @@
 
 // mayStart tells whether tasks of a row may be started here, and begins to count what runs of it
 // when the worker is held that allows it.
-func (l *Lead) mayStart(row table.Row) bool {
+func (l *Leader) mayStart(row table.Row) bool {
 	key, worker := l.arbiter(row)
 	if key == "" {
 		return true
@@ -73,7 +73,7 @@
 	return c.done
 }
 
-func (l *Lead) uncount(key string) {
+func (l *Leader) uncount(key string) {
 	if _, ok := l.counts[key]; !ok {
 		return
 	}
@@ -83,7 +83,7 @@
 }
 
 // counted begins to start tasks of a key, of which all that runs is known now.
-func (l *Lead) counted(key string) {
+func (l *Leader) counted(key string) {
 	c, ok := l.counts[key]
 	if !ok {
 		return
@@ -95,7 +95,7 @@
 }
 
 // lose ends the counting that rests on a worker.
-func (l *Lead) lose(worker string) {
+func (l *Leader) lose(worker string) {
 	lost := false
 	for key, c := range l.counts {
 		if c.worker == worker {
@@ -109,7 +109,7 @@
 }
 
 // runsElsewhere notes what runs of the counted keys on a worker of another host.
-func (l *Lead) runsElsewhere(worker string, tasks []Counted) {
+func (l *Leader) runsElsewhere(worker string, tasks []Counted) {
 	if len(tasks) == 0 {
 		delete(l.elsewhere, worker)
 		return
@@ -118,7 +118,7 @@
 }
 
 // toldElsewhere notes what a peer told of some keys; of others it was not asked.
-func (l *Lead) toldElsewhere(worker string, keys []string, tasks []Counted) {
+func (l *Leader) toldElsewhere(worker string, keys []string, tasks []Counted) {
 	for _, t := range l.elsewhere[worker] {
 		if !slices.Contains(keys, l.keyOf(t.Row)) {
 			tasks = append(tasks, t)
@@ -128,7 +128,7 @@
 }
 
 // keepCounted notes what ran of counted keys on a worker that is given up.
-func (l *Lead) keepCounted(worker string) {
+func (l *Leader) keepCounted(worker string) {
 	var all []Counted
 	for _, u := range l.Placer.On(worker) {
 		if l.keyOf(u.Row) != "" {
@@ -139,7 +139,7 @@
 }
 
 // lessElsewhere takes off a rule what runs on workers of other hosts.
-func (l *Lead) lessElsewhere(row table.Row, r place.Rule) place.Rule {
+func (l *Leader) lessElsewhere(row table.Row, r place.Rule) place.Rule {
 	for _, tasks := range l.elsewhere {
 		for _, t := range tasks {
 			other, _ := l.Row(t.Row)
@@ -172,7 +172,7 @@
 
 // putOff puts back a task whose row may not be started here any more. A lease that lapsed before
 // anyone noticed is noticed first: the task would get its room again at once.
-func (l *Lead) putOff(a job.Start) {
+func (l *Leader) putOff(a job.Start) {
 	l.lease(lease.Tick{})
 	l.note(a.Spec.ID, "start of "+a.Task+" put off: its row is counted elsewhere")
 	l.retell()
--- a/internal/lead/machines.go
+++ b/internal/lead/machines.go
@@ -16,7 +16,7 @@
 }
 
 // SetMachines replaces the workers that this host should lead.
-func (l *Lead) SetMachines(all []Machine) {
+func (l *Leader) SetMachines(all []Machine) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	names := make([]string, 0, len(all))
@@ -30,7 +30,7 @@
 // Know tells where all workers of the failure domain are, led here or not. A job
 // that was handed over may have tasks on another host's workers; without their
 // addresses a stop could never be sent, and a cancelled job would stay unknown.
-func (l *Lead) Know(all []Machine) {
+func (l *Leader) Know(all []Machine) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, m := range all {
@@ -40,7 +40,7 @@
 
 // know takes what the host list says of a worker now. Its size counts at once if it is led here;
 // one that cannot be is no room.
-func (l *Lead) know(m Machine) {
+func (l *Leader) know(m Machine) {
 	before, known := l.machines[m.Name]
 	listed := m.Size
 	if !(cell.Size{}).Fits(listed) || !listed.Fits(cell.Largest) {
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -18,7 +18,7 @@
 
 // place steps the placement core and carries out its actions. A Put that no
 // longer holds is passed over: an action before it may have changed the room.
-func (l *Lead) place(ev place.Event) {
+func (l *Leader) place(ev place.Event) {
 	for _, a := range l.Placer.Step(l.Clock(), ev) {
 		switch a := a.(type) {
 		case place.Put:
@@ -39,7 +39,7 @@
 	}
 }
 
-func (l *Lead) preempt(a place.Preempt) {
+func (l *Leader) preempt(a place.Preempt) {
 	l.Count("lead.preempted")
 	l.Log.Info("lead: task is stopped for others.", "task", a.Task, "worker", a.Worker, "why", a.Why)
 	l.note(jobOf(a.Task), "stop of "+a.Task+" on "+a.Worker+": "+a.Why)
@@ -56,7 +56,7 @@
 	return task
 }
 
-func (l *Lead) throttle(ctx context.Context, a place.Throttle) {
+func (l *Leader) throttle(ctx context.Context, a place.Throttle) {
 	l.Count("lead.throttled")
 	l.Log.Warn("lead: task uses more than its worker has and is throttled.", "task", a.Task, "worker", a.Worker, "share", a.Share)
 	if err := l.Workers.Throttle(ctx, l.address(a.Worker), a.Task, a.Share); err != nil {
@@ -64,7 +64,7 @@
 	}
 }
 
-func (l *Lead) result(a job.Result) {
+func (l *Leader) result(a job.Result) {
 	l.Estimates.Drop(a.Task)
 	if spec, ok := l.Jobs.Spec(a.Task); ok && !a.Failed {
 		l.Estimates.Ran(a.Row, spec.Time.Duration, a.Run)
@@ -76,7 +76,7 @@
 	l.place(place.Result{Worker: a.Worker, Row: a.Row, Failed: a.Failed})
 }
 
-func (l *Lead) want(a job.Want) {
+func (l *Leader) want(a job.Want) {
 	row, _ := l.Row(a.Spec.Row)
 	w := l.wantOf(a.Spec, a.Tasks)
 	w.Rule = l.ruleNow(row)
@@ -90,7 +90,7 @@
 }
 
 // wantOf is a job's need as it was declared.
-func (l *Lead) wantOf(s job.Spec, tasks []string) place.Want {
+func (l *Leader) wantOf(s job.Spec, tasks []string) place.Want {
 	row, _ := l.Row(s.Row)
 	return place.Want{
 		Job: s.ID, Row: s.Row, Team: row.Team, Class: s.Class, Size: s.Size, Tasks: tasks, Gang: s.Gang,
@@ -101,7 +101,7 @@
 // corrected is the size to pack by. Where the declared size could run and the
 // corrected one never can, the declared one is kept: the job would otherwise
 // wait for ever for a guess.
-func (l *Lead) corrected(w place.Want) cell.Size {
+func (l *Leader) corrected(w place.Want) cell.Size {
 	declared := w.Size
 	w.Size = l.Estimates.Size(w.Row, declared)
 	if l.Placer.Never(w) != nil {
@@ -111,7 +111,7 @@
 }
 
 // rule is what the table says of a row in this failure domain.
-func (l *Lead) rule(row table.Row) place.Rule {
+func (l *Leader) rule(row table.Row) place.Rule {
 	r := place.Rule{Weight: row.Weight, Limit: row.Limits.Room, MaxTasks: row.Limits.Tasks}
 	if l.Shares != nil {
 		own, team := l.Shares(row)
@@ -122,7 +122,7 @@
 }
 
 // ruleNow is what of it may be started here now.
-func (l *Lead) ruleNow(row table.Row) place.Rule {
+func (l *Leader) ruleNow(row table.Row) place.Rule {
 	r := l.rule(row)
 	if !l.mayStart(row) {
 		r.MaxTasks = -1
@@ -151,7 +151,7 @@
 const ruleEvery = time.Second
 
 // reread applies edits of the table to work that waits already.
-func (l *Lead) reread() {
+func (l *Leader) reread() {
 	if l.Clock().Sub(l.ruled) < ruleEvery {
 		return
 	}
@@ -166,7 +166,7 @@
 }
 
 // retell applies what may be started here now to all work that waits.
-func (l *Lead) retell() {
+func (l *Leader) retell() {
 	for _, name := range l.Placer.Rows() {
 		row, _ := l.Row(name)
 		l.rules[name] = l.ruleNow(row)
@@ -174,7 +174,7 @@
 	}
 }
 
-func (l *Lead) never(spec job.Spec) error {
+func (l *Leader) never(spec job.Spec) error {
 	w := l.wantOf(spec, make([]string, spec.Tasks))
 	var never *place.NeverError
 	if errors.As(l.Placer.Never(w), &never) {
@@ -185,7 +185,7 @@
 }
 
 // used books what a worker's list says that its tasks use.
-func (l *Lead) used(tasks []lease.Task) {
+func (l *Leader) used(tasks []lease.Task) {
 	for _, t := range tasks {
 		if t.State != "running" {
 			l.Estimates.Drop(t.ID)
@@ -218,7 +218,7 @@
 
 // grown books a task of a job that is not led here, of which nobody knows what
 // was declared: its room never shrinks.
-func (l *Lead) grown(t lease.Task) {
+func (l *Leader) grown(t lease.Task) {
 	if room, ok := l.Placer.Room(t.ID); ok && t.Use != (cell.Size{}) {
 		size := cell.Size{CPU: max(room.CPU, t.Use.CPU), Mem: max(room.Mem, t.Use.Mem), Accel: room.Accel}
 		l.place(place.Resized{Task: t.ID, Size: size, Use: t.Use})
@@ -226,7 +226,7 @@
 }
 
 // Explain tells why a job waits, where it was tried and what was refused.
-func (l *Lead) Explain(id string) []trail.Note {
+func (l *Leader) Explain(id string) []trail.Note {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	notes := l.Trail.Of(id)
@@ -247,7 +247,7 @@
 }
 
 // whyPutOff tells that a waiting task's row is counted by another host.
-func (l *Lead) whyPutOff(id, task string) []trail.Note {
+func (l *Leader) whyPutOff(id, task string) []trail.Note {
 	spec, _ := l.Jobs.Spec(task)
 	row, _ := l.Row(spec.Row)
 	if l.mayStart(row) {
--- a/internal/lead/place_test.go
+++ b/internal/lead/place_test.go
@@ -25,7 +25,7 @@
 
 // fleet is a lead of stand-in workers.
 type fleet struct {
-	*lead.Lead
+	*lead.Leader
 	t       *testing.T
 	over    *standin.Oversight
 	workers []*standin.Worker
@@ -47,7 +47,7 @@
 		f.addresses = append(f.addresses, addr)
 		machines = append(machines, lead.Machine{Name: fmt.Sprintf("w%d", i), Rack: "r", Address: addr, Size: whole})
 	}
-	f.Lead = lead.New(t.Context(), lead.Deps{
+	f.Leader = lead.New(t.Context(), lead.Deps{
 		Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: job.New(),
 		Takeover: takeover.New("h", takeover.Limits{Longest: time.Minute, Every: time.Second}), Workers: worker.New("h", 1, nil, time.Now),
 		Ask: func() {}, Done: func(string) bool { return false }, End: func(job.Ended, bool) {},
--- a/internal/lead/rack.go
+++ b/internal/lead/rack.go
@@ -27,7 +27,7 @@
 
 // rackLost tells whether a worker began a new life together with all of its rack, which is no
 // fault of the tasks that ran there. With wait set that is not known yet.
-func (l *Lead) rackLost(name string, r lease.Reading) (lost, wait bool) {
+func (l *Leader) rackLost(name string, r lease.Reading) (lost, wait bool) {
 	now := l.Clock()
 	w := l.lives[name]
 	switch {
@@ -62,7 +62,7 @@
 }
 
 // mates are the workers of a worker's rack that are held here or were a short while ago.
-func (l *Lead) mates(name string) []string {
+func (l *Leader) mates(name string) []string {
 	held := l.Leases.Held()
 	var mates []string
 	for _, other := range slices.Sorted(maps.Keys(l.machines)) {
@@ -79,7 +79,7 @@
 
 // signs tells whether some worker has gone on with its life since then, and whether some has given
 // no sign.
-func (l *Lead) signs(mates []string, since time.Time) (alive, silent bool) {
+func (l *Leader) signs(mates []string, since time.Time) (alive, silent bool) {
 	for _, mate := range mates {
 		r, held := l.Leases.Last(mate)
 		w := l.lives[mate]
@@ -95,7 +95,7 @@
 }
 
 // lookAtOpen reads the workers again whose lists wait for a sign of the rack.
-func (l *Lead) lookAtOpen(mate string) {
+func (l *Leader) lookAtOpen(mate string) {
 	for _, name := range slices.Sorted(maps.Keys(l.lives)) {
 		if l.lives[name].open && l.machines[name].Rack == l.machines[mate].Rack {
 			l.lease(lease.Look{Worker: name, After: lookAgain})
--- a/internal/lead/start.go
+++ b/internal/lead/start.go
@@ -16,7 +16,7 @@
 
 // start fixes the start's deadline now, in the worker's clock, before the
 // start can be delayed: what arrives later is dead on arrival.
-func (l *Lead) start(a job.Start) {
+func (l *Leader) start(a job.Start) {
 	deadline, ok := l.Leases.Deadline(l.Clock(), a.Worker)
 	if !ok {
 		l.lapsed(a)
@@ -47,13 +47,13 @@
 // lapsed puts back a task whose worker's lease ran out before anyone noticed,
 // as after a pause. The worker must be gone from the placement first: it would
 // get the task again at once, and the host would die of the endless recursion.
-func (l *Lead) lapsed(a job.Start) {
+func (l *Leader) lapsed(a job.Start) {
 	l.lease(lease.Tick{})
 	l.place(place.Down{Worker: a.Worker})
 	l.job(job.NotStarted{Task: a.Task, Attempt: a.Attempt})
 }
 
-func (l *Lead) sendStart(ctx context.Context, a job.Start, arbiter string, size cell.Size, deadline time.Time) {
+func (l *Leader) sendStart(ctx context.Context, a job.Start, arbiter string, size cell.Size, deadline time.Time) {
 	ctx, end := spans.Hop(ctx, "worker", a.Task)
 	defer end()
 	err := l.Workers.Start(ctx, l.address(a.Worker), worker.Start{
@@ -86,7 +86,7 @@
 	}
 }
 
-func (l *Lead) startTTL() time.Duration {
+func (l *Leader) startTTL() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.Leases.TTL()
--- a/internal/lead/stop.go
+++ b/internal/lead/stop.go
@@ -15,14 +15,14 @@
 const stopRetry = 250 * time.Millisecond
 
 // stop asks until the worker confirms.
-func (l *Lead) stop(ctx context.Context, a job.Stop) {
+func (l *Leader) stop(ctx context.Context, a job.Stop) {
 	l.stopped(a.Worker, job.Stopped{Task: a.Task, Attempt: a.Attempt}, l.Workers.Stop(ctx, l.address(a.Worker), a.Task))
 }
 
 // pause checkpoints a task and then stops it. Without an answer to the first
 // it is not stopped: its work would be lost. The worker's list shows then
 // whether it still runs, and brings the next try.
-func (l *Lead) pause(ctx context.Context, a job.Pause) {
+func (l *Leader) pause(ctx context.Context, a job.Pause) {
 	addr := l.address(a.Worker)
 	err := l.Workers.Checkpoint(ctx, addr, a.Task)
 	if err == nil {
@@ -34,7 +34,7 @@
 // stopped takes note of a stop's answer. A stop whose answer is lost, or that
 // overtook the start, is followed by a look at the worker's list, which brings
 // the next stop as long as the task runs.
-func (l *Lead) stopped(on string, ev job.Stopped, err error) {
+func (l *Leader) stopped(on string, ev job.Stopped, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var gone *worker.GoneError
--- a/internal/measure/takeover.go
+++ b/internal/measure/takeover.go
@@ -57,7 +57,7 @@
 
 type domainHost struct {
 	name string
-	lead *lead.Lead
+	lead *lead.Leader
 	jobs *job.Jobs
 }
 
