--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -117,11 +117,11 @@
 // waits for the starts to an earlier one.
 func (l *Leader) askLives() {
 	now := l.Clock()
-	if l.Ask == nil || now.Sub(l.askedLives) < livesEvery || !l.Leases.Unsettled(now) {
+	if l.RequestInventory == nil || now.Sub(l.askedLives) < livesEvery || !l.Leases.Unsettled(now) {
 		return
 	}
 	l.askedLives = now
-	l.Ask()
+	l.RequestInventory()
 }
 
 // Answered takes a peer's answer to a question. A worker that this host holds, or held
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -198,8 +198,8 @@
 	for _, a := range l.Takeover.Step(l.Clock(), ev) {
 		switch a := a.(type) {
 		case takeover.Ask:
-			if l.Ask != nil {
-				l.Ask()
+			if l.RequestInventory != nil {
+				l.RequestInventory()
 			}
 		case takeover.Release:
 			l.Count("lead.released")
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -29,8 +29,8 @@
 	Jobs     *job.Jobs
 	Takeover *takeover.Takeover
 	Workers  *worker.Client
-	// Ask sends the census question to the peers and must not wait.
-	Ask func()
+	// RequestInventory sends the census question to the peers and must not wait.
+	RequestInventory func()
 	// Done tells whether a job's end is in the log.
 	Done func(id string) bool
 	// End is told how a job ended, to keep it, and must not wait.
