--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -243,7 +243,7 @@
 		if l.Jobs.Has(t.ID) {
 			continue
 		}
-		if l.Done != nil && l.Done(t.Job) {
+		if l.EndLogged != nil && l.EndLogged(t.Job) {
 			l.forgetStart(name, t.Lease)
 		}
 		l.free(t.ID, name)
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -31,8 +31,8 @@
 	Workers  *worker.Client
 	// RequestInventory sends the census question to the peers and must not wait.
 	RequestInventory func()
-	// Done tells whether a job's end is in the log.
-	Done func(id string) bool
+	// EndLogged tells whether a job's end is in the log.
+	EndLogged func(id string) bool
 	// End is told how a job ended, to keep it, and must not wait.
 	End func(end job.Ended, ran bool)
 	// Crashed is told to store how many lives of workers ended under a task and then to call
