--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -127,12 +127,12 @@
 
 func (l *Leader) ended(a job.Ended) {
 	l.takeover(takeover.Gone{Job: a.ID})
-	if l.End == nil {
+	if l.StoreEnd == nil {
 		return
 	}
 	s, err := l.Jobs.Status(a.ID)
 	if err == nil {
-		l.End(a, s.Ran)
+		l.StoreEnd(a, s.Ran)
 	}
 }
 
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -33,8 +33,8 @@
 	RequestInventory func()
 	// EndLogged tells whether a job's end is in the log.
 	EndLogged func(id string) bool
-	// End is told how a job ended, to keep it, and must not wait.
-	End func(end job.Ended, ran bool)
+	// StoreEnd is told how a job ended, to keep it, and must not wait.
+	StoreEnd func(end job.Ended, ran bool)
 	// Crashed is told to store how many lives of workers ended under a task and then to call
 	// Noted; it must not wait. Nil stores nothing.
 	Crashed func(spec job.Spec, task string, lives int64)
--- a/internal/lead/lead_test.go
+++ b/internal/lead/lead_test.go
@@ -40,7 +40,7 @@
 	l := lead.New(t.Context(), lead.Deps{
 		Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: job.New(),
 		Takeover: takeover.New("h", takeover.Limits{Longest: time.Minute, Every: time.Second}), Workers: worker.New("h", 1, nil, clock),
-		RequestInventory: func() {}, EndLogged: func(string) bool { return false }, End: func(job.Ended, bool) {},
+		RequestInventory: func() {}, EndLogged: func(string) bool { return false }, StoreEnd: func(job.Ended, bool) {},
 		Row:   func(string) (table.Row, int64) { return row, 1 },
 		Trail: trail.New(10), Clock: clock, Log: slog.New(slog.DiscardHandler),
 	})
