--- a/internal/lead/crash.go
+++ b/internal/lead/crash.go
@@ -14,10 +14,10 @@
 	spec, ok := l.Jobs.Spec(a.Task)
 	switch {
 	case !ok:
-	case l.Crashed == nil:
+	case l.StoreCrashes == nil:
 		l.job(job.Noted{Task: a.Task, Lives: a.Lives})
 	default:
-		l.Crashed(spec, a.Task, a.Lives)
+		l.StoreCrashes(spec, a.Task, a.Lives)
 	}
 }
 
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -35,9 +35,9 @@
 	EndLogged func(id string) bool
 	// StoreEnd is told how a job ended, to keep it, and must not wait.
 	StoreEnd func(end job.Ended, ran bool)
-	// Crashed is told to store how many lives of workers ended under a task and then to call
+	// StoreCrashes is told to store how many lives of workers ended under a task and then to call
 	// Noted; it must not wait. Nil stores nothing.
-	Crashed func(spec job.Spec, task string, lives int64)
+	StoreCrashes func(spec job.Spec, task string, lives int64)
 	// Lives tells how many are stored of a job's tasks; nil: none.
 	Lives func(id string) map[string]int64
 	Row   func(name string) (table.Row, int64)
