--- a/internal/lead/crash.go
+++ b/internal/lead/crash.go
@@ -29,10 +29,10 @@
 }
 
 func (l *Leader) livesOf(id string) map[string]int64 {
-	if l.Lives == nil {
+	if l.CrashCounts == nil {
 		return nil
 	}
-	return l.Lives(id)
+	return l.CrashCounts(id)
 }
 
 // apart is the room of a task that is tried on a worker of its own: all of the smallest worker
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -38,9 +38,9 @@
 	// StoreCrashes is told to store how many lives of workers ended under a task and then to call
 	// Noted; it must not wait. Nil stores nothing.
 	StoreCrashes func(spec job.Spec, task string, lives int64)
-	// Lives tells how many are stored of a job's tasks; nil: none.
-	Lives func(id string) map[string]int64
-	Row   func(name string) (table.Row, int64)
+	// CrashCounts tells how many are stored of a job's tasks; nil: none.
+	CrashCounts func(id string) map[string]int64
+	Row         func(name string) (table.Row, int64)
 	// Key returns what a row is counted by; nil or an empty name: it may be started anywhere.
 	// KeyWorkers lists the workers of a key in the order in which they allow to start it.
 	Key        func(row table.Row) string
