--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -41,9 +41,9 @@
 	// CrashCounts tells how many are stored of a job's tasks; nil: none.
 	CrashCounts func(id string) map[string]int64
 	Row         func(name string) (table.Row, int64)
-	// Key returns what a row is counted by; nil or an empty name: it may be started anywhere.
+	// LimitKey returns what a row is counted by; nil or an empty name: it may be started anywhere.
 	// KeyWorkers lists the workers of a key in the order in which they allow to start it.
-	Key        func(row table.Row) string
+	LimitKey   func(row table.Row) string
 	KeyWorkers func(key string) []string
 	// Shares returns what a row and its team may use here; nil: the row's limits.
 	Shares func(row table.Row) (own, team table.Share)
--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -30,10 +30,10 @@
 // worker has one holder. One that is silent for longer than any lease is passed over: with it
 // the row would stand still for as long as it is listed.
 func (l *Leader) arbiter(row table.Row) (key, worker string) {
-	if l.Key == nil {
+	if l.LimitKey == nil {
 		return "", ""
 	}
-	if key = l.Key(row); key == "" {
+	if key = l.LimitKey(row); key == "" {
 		return "", ""
 	}
 	for _, name := range l.KeyWorkers(key) {
@@ -45,11 +45,11 @@
 }
 
 func (l *Leader) keyOf(row string) string {
-	if l.Key == nil {
+	if l.LimitKey == nil {
 		return ""
 	}
 	r, _ := l.Row(row)
-	return l.Key(r)
+	return l.LimitKey(r)
 }
 
 // mayStart tells whether tasks of a row may be started here, and begins to count what runs of it
--- a/internal/lead/limits_test.go
+++ b/internal/lead/limits_test.go
@@ -19,7 +19,7 @@
 		l.Row = func(name string) (table.Row, int64) {
 			return table.Row{Name: name, Class: "normal", Limits: table.Limits{Tasks: 1}}, 1
 		}
-		l.Key = func(row table.Row) string { return map[string]string{"scan": "row scan"}[row.Name] }
+		l.LimitKey = func(row table.Row) string { return map[string]string{"scan": "row scan"}[row.Name] }
 		l.KeyWorkers = func(string) []string { return []string{p.machines[0].Name} }
 	}
 	return p
