--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -127,7 +127,7 @@
 		Takeover:         takeover.New(cfg.Name, takeover.Limits{Longest: lease.DefaultLimits.Long, Every: takeoverEvery}),
 		RequestInventory: h.askCensus, EndLogged: h.done, StoreEnd: h.ended, StoreCrashes: h.crashed, CrashCounts: h.lives,
 		Workers: worker.New(cfg.Name, now.UnixMilli(), transport(control), clock), Row: h.Row, Trail: h.trail, Clock: clock, Log: log,
-		LimitKey: h.limitKey, KeyWorkers: h.keyWorkers, Shares: h.rowShares, Count: func(name string) { metrics.GetOrRegisterCounter(name, h.metrics).Inc(1) },
+		LimitKey: h.limitKey, Arbiters: h.keyWorkers, Shares: h.rowShares, Count: func(name string) { metrics.GetOrRegisterCounter(name, h.metrics).Inc(1) },
 	})
 	return h
 }
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -43,8 +43,8 @@
 	Row         func(name string) (table.Row, int64)
 	// LimitKey returns what a row is counted by; nil or an empty name: it may be started anywhere.
 	// KeyWorkers lists the workers of a key in the order in which they allow to start it.
-	LimitKey   func(row table.Row) string
-	KeyWorkers func(key string) []string
+	LimitKey func(row table.Row) string
+	Arbiters func(key string) []string
 	// Shares returns what a row and its team may use here; nil: the row's limits.
 	Shares func(row table.Row) (own, team table.Share)
 	// Estimates correct declared sizes and times.
--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -36,7 +36,7 @@
 	if key = l.LimitKey(row); key == "" {
 		return "", ""
 	}
-	for _, name := range l.KeyWorkers(key) {
+	for _, name := range l.Arbiters(key) {
 		if !l.Takeover.Gone(l.Clock(), name) {
 			return key, name
 		}
--- a/internal/lead/limits_test.go
+++ b/internal/lead/limits_test.go
@@ -20,7 +20,7 @@
 			return table.Row{Name: name, Class: "normal", Limits: table.Limits{Tasks: 1}}, 1
 		}
 		l.LimitKey = func(row table.Row) string { return map[string]string{"scan": "row scan"}[row.Name] }
-		l.KeyWorkers = func(string) []string { return []string{p.machines[0].Name} }
+		l.Arbiters = func(string) []string { return []string{p.machines[0].Name} }
 	}
 	return p
 }
@@ -158,7 +158,7 @@
 func TestSilentWorkerDoesNotHoldUpItsRow(t *testing.T) {
 	p := limitedPair(t, 2)
 	for _, l := range p.hosts {
-		l.KeyWorkers = func(string) []string { return []string{p.machines[0].Name, p.machines[1].Name} }
+		l.Arbiters = func(string) []string { return []string{p.machines[0].Name, p.machines[1].Name} }
 	}
 	p.cut["a"] = p.machines[0].Name
 	p.run("a", 10*time.Second)
