--- a/internal/lead/know_test.go
+++ b/internal/lead/know_test.go
@@ -42,8 +42,8 @@
 		Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: job.New(),
 		Takeover: takeover.New("h", takeover.Limits{Longest: time.Minute, Every: time.Second}), Workers: worker.New("h", 1, nil, time.Now),
 		RequestInventory: func() {}, EndLogged: func(string) bool { return false }, StoreEnd: func(job.Ended, bool) {},
-		Row:   func(string) (table.Row, int64) { return table.Row{}, 1 },
-		Trail: trail.New(10), Clock: time.Now, Log: slog.New(slog.DiscardHandler),
+		Row:     func(string) (table.Row, int64) { return table.Row{}, 1 },
+		History: trail.New(10), Clock: time.Now, Log: slog.New(slog.DiscardHandler),
 	})
 	l.Know(machines)
 	l.SetMachines(machines[:1])
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -50,9 +50,9 @@
 	// Estimates correct declared sizes and times.
 	Estimates *estimate.Estimates
 	// Count adds one to a metric; nil counts nothing.
-	Count func(name string)
-	Trail *trail.Trail
-	Clock func() time.Time
+	Count   func(name string)
+	History *trail.Trail
+	Clock   func() time.Time
 	// Go runs an exchange with a worker later, for measuring on a passed-in
 	// clock; nil runs each in a goroutine of its own.
 	Go  func(f func())
@@ -208,7 +208,7 @@
 
 func (l *Leader) note(id, what string) {
 	l.Log.Info("lead: job.", "id", id, "what", what)
-	l.Trail.Add(trail.Note{At: l.Clock(), ID: id, Part: "lead", What: what})
+	l.History.Add(trail.Note{At: l.Clock(), ID: id, Part: "lead", What: what})
 }
 
 // lease, place and job step one core and carry out its actions. They are
--- a/internal/lead/lead_test.go
+++ b/internal/lead/lead_test.go
@@ -41,8 +41,8 @@
 		Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: job.New(),
 		Takeover: takeover.New("h", takeover.Limits{Longest: time.Minute, Every: time.Second}), Workers: worker.New("h", 1, nil, clock),
 		RequestInventory: func() {}, EndLogged: func(string) bool { return false }, StoreEnd: func(job.Ended, bool) {},
-		Row:   func(string) (table.Row, int64) { return row, 1 },
-		Trail: trail.New(10), Clock: clock, Log: slog.New(slog.DiscardHandler),
+		Row:     func(string) (table.Row, int64) { return row, 1 },
+		History: trail.New(10), Clock: clock, Log: slog.New(slog.DiscardHandler),
 	})
 	l.SetMachines(machines)
 	require.Eventually(t, func() bool { l.Tick(); return len(l.Held()) == 2 }, 30*time.Second, 5*time.Millisecond)
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -229,7 +229,7 @@
 func (l *Leader) Explain(id string) []trail.Note {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	notes := l.Trail.Of(id)
+	notes := l.History.Of(id)
 	for _, task := range l.Jobs.Waiting(id) {
 		if why, ok := l.Placer.Why(task); ok {
 			notes = append(notes, trail.Note{At: l.Clock(), ID: id, Part: "place", What: why})
--- a/internal/lead/place_test.go
+++ b/internal/lead/place_test.go
@@ -51,8 +51,8 @@
 		Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: job.New(),
 		Takeover: takeover.New("h", takeover.Limits{Longest: time.Minute, Every: time.Second}), Workers: worker.New("h", 1, nil, time.Now),
 		RequestInventory: func() {}, EndLogged: func(string) bool { return false }, StoreEnd: func(job.Ended, bool) {},
-		Row:   func(name string) (table.Row, int64) { return rows[name], 1 },
-		Trail: trail.New(1000), Clock: time.Now, Log: slog.New(slog.DiscardHandler),
+		Row:     func(name string) (table.Row, int64) { return rows[name], 1 },
+		History: trail.New(1000), Clock: time.Now, Log: slog.New(slog.DiscardHandler),
 	})
 	f.SetMachines(machines)
 	f.until(func() bool { return len(f.Held()) == n })
