--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -279,7 +279,7 @@
 
 func jobReply(s job.Status, err error) peer.JobReply {
 	var unknown *job.UnknownError
-	var never *lead.NeverError
+	var never *lead.UnschedulableError
 	switch {
 	case err == nil:
 		return peer.JobReply{Status: s}
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -150,10 +150,10 @@
 	l.wg.Wait()
 }
 
-// NeverError tells that a job can never run here and names the nearest limit.
-type NeverError struct{ Reason string }
+// UnschedulableError tells that a job can never run here and names the nearest limit.
+type UnschedulableError struct{ Reason string }
 
-func (e *NeverError) Error() string { return "job can never run: " + e.Reason }
+func (e *UnschedulableError) Error() string { return "job can never run: " + e.Reason }
 
 // Check tells whether a job may be taken here: a NeverError if it can never
 // run, a NoWorkerError or LeavingError if another host should be asked. The
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -179,7 +179,7 @@
 	var never *place.NeverError
 	if errors.As(l.Placer.Never(w), &never) {
 		l.Count("lead.never")
-		return &NeverError{Reason: never.Error()}
+		return &UnschedulableError{Reason: never.Error()}
 	}
 	return nil
 }
