--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -134,7 +134,7 @@
 	}
 	c := lead.Census{Leads: reply.Leads, Waits: reply.Waits, Lives: reply.Lives}
 	for _, w := range reply.Workers {
-		v := lead.View{Worker: w.Name, Clock: w.Clock, Age: w.Age.Duration, Life: w.Life, Tasks: w.Tasks}
+		v := lead.WorkerState{Worker: w.Name, Clock: w.Clock, Age: w.Age.Duration, Life: w.Life, Tasks: w.Tasks}
 		for _, t := range w.Counted {
 			v.Counted = append(v.Counted, lead.Counted(t))
 		}
--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -10,8 +10,8 @@
 	"pollencroft/internal/takeover"
 )
 
-// View is one held worker as this host last read it.
-type View struct {
+// WorkerState is one held worker as this host last read it.
+type WorkerState struct {
 	Worker string
 	Clock  time.Time
 	// Age is how long ago the worker was asked.
@@ -26,7 +26,7 @@
 // Census is what one host tells another of what it holds, and of the jobs that
 // were asked for: those that it leads and those that it waits for itself.
 type Census struct {
-	Views        []View
+	Views        []WorkerState
 	Leads, Waits []string
 	// Lives holds by worker the life in which no start to an earlier one is under way any more.
 	Lives map[string]string
@@ -85,8 +85,8 @@
 	return r.Sent.After(l.left[name])
 }
 
-func (l *Leader) view(name string, r lease.Reading, q Question) View {
-	v := View{Worker: name, Clock: r.Clock, Age: l.Clock().Sub(r.Sent), Life: r.Life}
+func (l *Leader) view(name string, r lease.Reading, q Question) WorkerState {
+	v := WorkerState{Worker: name, Clock: r.Clock, Age: l.Clock().Sub(r.Sent), Life: r.Life}
 	for _, t := range r.Tasks {
 		if slices.Contains(q.Jobs, t.Job) {
 			v.Tasks = append(v.Tasks, job.Listed{ID: t.ID, State: t.State, Lease: t.Lease})
