--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -134,7 +134,7 @@
 	}
 	c := lead.Census{Leads: reply.Leads, Waits: reply.Waits, Lives: reply.Lives}
 	for _, w := range reply.Workers {
-		v := lead.WorkerState{Worker: w.Name, Clock: w.Clock, Age: w.Age.Duration, Life: w.Life, Tasks: w.Tasks}
+		v := lead.WorkerState{Worker: w.Name, Clock: w.Clock, Age: w.Age.Duration, Incarnation: w.Life, Tasks: w.Tasks}
 		for _, t := range w.Counted {
 			v.Counted = append(v.Counted, lead.Counted(t))
 		}
@@ -154,7 +154,7 @@
 	c := h.lead.Census(m.From, lead.Question{Jobs: m.Jobs, Waits: m.Waits, Keys: m.Keys})
 	reply := peer.CensusReply{Leads: append(busy, c.Leads...), Waits: c.Waits, Lives: c.Lives}
 	for _, v := range c.Views {
-		w := peer.CensusWorker{Name: v.Worker, Clock: v.Clock, Age: cell.Duration{Duration: v.Age}, Life: v.Life, Tasks: v.Tasks}
+		w := peer.CensusWorker{Name: v.Worker, Clock: v.Clock, Age: cell.Duration{Duration: v.Age}, Life: v.Incarnation, Tasks: v.Tasks}
 		for _, t := range v.Counted {
 			w.Counted = append(w.Counted, peer.CountedTask(t))
 		}
--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -16,9 +16,9 @@
 	Clock  time.Time
 	// Age is how long ago the worker was asked.
 	Age time.Duration
-	// Life names the worker's life.
-	Life  string
-	Tasks []job.Listed
+	// Incarnation names the worker's life.
+	Incarnation string
+	Tasks       []job.Listed
 	// Counted are the running tasks of the keys that were asked for.
 	Counted []Counted
 }
@@ -86,7 +86,7 @@
 }
 
 func (l *Leader) view(name string, r lease.Reading, q Question) WorkerState {
-	v := WorkerState{Worker: name, Clock: r.Clock, Age: l.Clock().Sub(r.Sent), Life: r.Life}
+	v := WorkerState{Worker: name, Clock: r.Clock, Age: l.Clock().Sub(r.Sent), Incarnation: r.Life}
 	for _, t := range r.Tasks {
 		if slices.Contains(q.Jobs, t.Job) {
 			v.Tasks = append(v.Tasks, job.Listed{ID: t.ID, State: t.State, Lease: t.Lease})
@@ -141,7 +141,7 @@
 		}
 		ev.Workers = append(ev.Workers, v.Worker)
 		l.toldElsewhere(v.Worker, q.Keys, v.Counted)
-		l.job(job.Seen{Worker: v.Worker, Clock: v.Clock, Sent: q.Asked.Add(-v.Age), Tasks: v.Tasks, Jobs: q.Jobs, Life: v.Life})
+		l.job(job.Seen{Worker: v.Worker, Clock: v.Clock, Sent: q.Asked.Add(-v.Age), Tasks: v.Tasks, Jobs: q.Jobs, Life: v.Incarnation})
 	}
 	l.takeover(ev)
 }
