--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -138,7 +138,7 @@
 		for _, t := range w.Counted {
 			v.Counted = append(v.Counted, lead.Counted(t))
 		}
-		c.Views = append(c.Views, v)
+		c.Workers = append(c.Workers, v)
 	}
 	h.takeOver()
 	h.lead.Answered(name, q, c)
@@ -153,7 +153,7 @@
 	busy := h.busyOf(m.Jobs)
 	c := h.lead.Census(m.From, lead.Question{Jobs: m.Jobs, Waits: m.Waits, Keys: m.Keys})
 	reply := peer.CensusReply{Leads: append(busy, c.Leads...), Waits: c.Waits, Lives: c.Lives}
-	for _, v := range c.Views {
+	for _, v := range c.Workers {
 		w := peer.CensusWorker{Name: v.Worker, Clock: v.Clock, Age: cell.Duration{Duration: v.Age}, Life: v.Incarnation, Tasks: v.Tasks}
 		for _, t := range v.Counted {
 			w.Counted = append(w.Counted, peer.CountedTask(t))
--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -26,7 +26,7 @@
 // Census is what one host tells another of what it holds, and of the jobs that
 // were asked for: those that it leads and those that it waits for itself.
 type Census struct {
-	Views        []WorkerState
+	Workers      []WorkerState
 	Leads, Waits []string
 	// Lives holds by worker the life in which no start to an earlier one is under way any more.
 	Lives map[string]string
@@ -63,7 +63,7 @@
 	}
 	for _, name := range l.Leases.Held() {
 		if r, ok := l.Leases.Last(name); ok && l.shows(name, r, q) {
-			c.Views = append(c.Views, l.view(name, r, q))
+			c.Workers = append(c.Workers, l.view(name, r, q))
 		}
 	}
 	return c
@@ -135,7 +135,7 @@
 	}
 	ev := takeover.Answer{Host: host, Asked: q.Asked, Leads: c.Leads, Waits: c.Waits}
 	held := l.Leases.Held()
-	for _, v := range c.Views {
+	for _, v := range c.Workers {
 		if slices.Contains(held, v.Worker) || l.held[v.Worker].After(q.Asked) {
 			continue
 		}
--- a/internal/lead/handover_test.go
+++ b/internal/lead/handover_test.go
@@ -87,9 +87,9 @@
 	p.drain("a")
 	require.Equal(t, "running", p.state("a", "old"))
 	a.HandOver([]string{"d.r.old"})
-	require.Empty(t, a.Census("b", ask).Views)
+	require.Empty(t, a.Census("b", ask).Workers)
 	p.run("a", 300*time.Millisecond)
-	views := a.Census("b", ask).Views
+	views := a.Census("b", ask).Workers
 	require.Len(t, views, 1, "its list is read at once")
 	require.Len(t, views[0].Tasks, 1)
 }
