--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -132,7 +132,7 @@
 	for _, rec := range reply.Records {
 		h.remember(rec)
 	}
-	c := lead.Census{Leads: reply.Leads, Waits: reply.Waits, Lives: reply.Lives}
+	c := lead.Census{Leads: reply.Leads, Waits: reply.Waits, Incarnations: reply.Lives}
 	for _, w := range reply.Workers {
 		v := lead.WorkerState{Worker: w.Name, Clock: w.Clock, Age: w.Age.Duration, Incarnation: w.Life, Tasks: w.Tasks}
 		for _, t := range w.Counted {
@@ -152,7 +152,7 @@
 	defer h.jobs.transfer.RUnlock()
 	busy := h.busyOf(m.Jobs)
 	c := h.lead.Census(m.From, lead.Question{Jobs: m.Jobs, Waits: m.Waits, Keys: m.Keys})
-	reply := peer.CensusReply{Leads: append(busy, c.Leads...), Waits: c.Waits, Lives: c.Lives}
+	reply := peer.CensusReply{Leads: append(busy, c.Leads...), Waits: c.Waits, Lives: c.Incarnations}
 	for _, v := range c.Workers {
 		w := peer.CensusWorker{Name: v.Worker, Clock: v.Clock, Age: cell.Duration{Duration: v.Age}, Life: v.Incarnation, Tasks: v.Tasks}
 		for _, t := range v.Counted {
--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -28,8 +28,8 @@
 type Census struct {
 	Workers      []WorkerState
 	Leads, Waits []string
-	// Lives holds by worker the life in which no start to an earlier one is under way any more.
-	Lives map[string]string
+	// Incarnations holds by worker the life in which no start to an earlier one is under way any more.
+	Incarnations map[string]string
 }
 
 // Question is what one host asks another: which of some jobs it leads, and what the workers that
@@ -52,7 +52,7 @@
 		// before and arrives now would have two leads.
 		clear(l.expected)
 	}
-	c := Census{Lives: l.Leases.Settled(l.Clock())}
+	c := Census{Incarnations: l.Leases.Settled(l.Clock())}
 	for _, id := range q.Jobs {
 		switch {
 		case l.Jobs.Waits(id):
@@ -130,7 +130,7 @@
 func (l *Leader) Answered(host string, q Question, c Census) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for name, life := range c.Lives {
+	for name, life := range c.Incarnations {
 		l.lease(lease.Vouched{Worker: name, Life: life})
 	}
 	ev := takeover.Answer{Host: host, Asked: q.Asked, Leads: c.Leads, Waits: c.Waits}
