--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -32,17 +32,17 @@
 	Incarnations map[string]string
 }
 
-// Question is what one host asks another: which of some jobs it leads, and what the workers that
+// InventoryRequest is what one host asks another: which of some jobs it leads, and what the workers that
 // it holds run of those jobs and of some keys. Waits are the jobs that the asker wants to inherit.
 // Asked is when it was put together: what is to be known since then is not in it.
-type Question struct {
+type InventoryRequest struct {
 	Asked       time.Time
 	Jobs, Waits []string
 	Keys        []string
 }
 
 // Census answers a peer's question.
-func (l *Leader) Census(from string, q Question) Census {
+func (l *Leader) Census(from string, q InventoryRequest) Census {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lease(lease.Tick{})
@@ -72,7 +72,7 @@
 // shows tells whether a worker's list shows all starts of jobs that were given up here, and of
 // the keys that are asked for. The asker would take a task that is not listed for one that runs
 // nowhere.
-func (l *Leader) shows(name string, r lease.Reading, q Question) bool {
+func (l *Leader) shows(name string, r lease.Reading, q InventoryRequest) bool {
 	if len(q.Keys) > 0 && !r.Sent.After(l.limited[name]) {
 		l.lease(lease.Look{Worker: name, After: lookAgain})
 		return false
@@ -85,7 +85,7 @@
 	return r.Sent.After(l.left[name])
 }
 
-func (l *Leader) view(name string, r lease.Reading, q Question) WorkerState {
+func (l *Leader) view(name string, r lease.Reading, q InventoryRequest) WorkerState {
 	v := WorkerState{Worker: name, Clock: r.Clock, Age: l.Clock().Sub(r.Sent), Incarnation: r.Life}
 	for _, t := range r.Tasks {
 		if slices.Contains(q.Jobs, t.Job) {
@@ -100,10 +100,10 @@
 
 // Question is what to ask peers for: the jobs that wait for a census and those with tasks on
 // workers that this host does not hold, and what is counted here.
-func (l *Leader) Question() Question {
+func (l *Leader) Question() InventoryRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	q := Question{Asked: l.Clock(), Waits: l.Takeover.Waiting(), Keys: slices.Sorted(maps.Keys(l.counts))}
+	q := InventoryRequest{Asked: l.Clock(), Waits: l.Takeover.Waiting(), Keys: slices.Sorted(maps.Keys(l.counts))}
 	for _, s := range l.Jobs.Open() {
 		q.Jobs = append(q.Jobs, s.ID)
 	}
@@ -127,7 +127,7 @@
 // Answered takes a peer's answer to a question. A worker that this host holds, or held
 // since it asked, is passed over: what the peer told of it is older than what this host
 // knows. The peer lists tasks of the jobs that were asked for, and no others.
-func (l *Leader) Answered(host string, q Question, c Census) {
+func (l *Leader) Answered(host string, q InventoryRequest, c Census) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for name, life := range c.Incarnations {
--- a/internal/lead/handover_test.go
+++ b/internal/lead/handover_test.go
@@ -11,7 +11,7 @@
 )
 
 // ask is a question for the job that a peer wants to inherit.
-var ask = lead.Question{Jobs: []string{"d.r.old"}, Waits: []string{"d.r.old"}}
+var ask = lead.InventoryRequest{Jobs: []string{"d.r.old"}, Waits: []string{"d.r.old"}}
 
 // split gives host a the first worker and host b the second; a leads a job that runs on its own.
 func split(t *testing.T) *pair {
