--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -114,7 +114,7 @@
 // askCensus asks all live peers of the domain what they hold and lead.
 func (h *Host) askCensus() {
 	h.wg.Go(func() {
-		q := h.lead.Question()
+		q := h.lead.InventoryRequest()
 		for _, name := range h.domainPeers() {
 			h.wg.Go(func() { h.askOne(name, q) })
 		}
--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -98,9 +98,9 @@
 	return v
 }
 
-// Question is what to ask peers for: the jobs that wait for a census and those with tasks on
+// InventoryRequest is what to ask peers for: the jobs that wait for a census and those with tasks on
 // workers that this host does not hold, and what is counted here.
-func (l *Leader) Question() InventoryRequest {
+func (l *Leader) InventoryRequest() InventoryRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	q := InventoryRequest{Asked: l.Clock(), Waits: l.Takeover.Waiting(), Keys: slices.Sorted(maps.Keys(l.counts))}
--- a/internal/lead/fault_test.go
+++ b/internal/lead/fault_test.go
@@ -212,7 +212,7 @@
 	for range 30 {
 		p.run("ab", time.Second)
 		for _, name := range []string{"a", "b"} {
-			q := p.hosts[name].Question()
+			q := p.hosts[name].InventoryRequest()
 			other := map[string]string{"a": "b", "b": "a"}[name]
 			p.hosts[name].Answered(other, q, p.hosts[other].Census(name, q))
 		}
--- a/internal/lead/handover_test.go
+++ b/internal/lead/handover_test.go
@@ -100,7 +100,7 @@
 	p := split(t)
 	p.alive()
 	b := p.hosts["b"]
-	q := b.Question()
+	q := b.InventoryRequest()
 	p.run("ab", 100*time.Millisecond)
 	b.Inherit([]job.Spec{p.spec("old")})
 	p.run("ab", 100*time.Millisecond)
--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -415,7 +415,7 @@
 	if name == "" || h.paused[other(name)] {
 		return
 	}
-	q := h.hosts[name].Question()
+	q := h.hosts[name].InventoryRequest()
 	c := h.hosts[other(name)].Census(name, q)
 	for _, id := range q.Jobs {
 		if h.hands(other(name), id) {
--- a/internal/lead/limits_test.go
+++ b/internal/lead/limits_test.go
@@ -37,7 +37,7 @@
 	for end := p.now.Add(d); p.now.Before(end); {
 		p.run("ab", 500*time.Millisecond)
 		for _, name := range []string{"a", "b"} {
-			q := p.hosts[name].Question()
+			q := p.hosts[name].InventoryRequest()
 			p.hosts[name].Answered(other(name), q, p.hosts[other(name)].Census(name, q))
 		}
 	}
--- a/internal/measure/takeover.go
+++ b/internal/measure/takeover.go
@@ -118,7 +118,7 @@
 
 // ask brings the census question to all live peers at once.
 func (r *takeoverRun) ask(h *domainHost) {
-	q := h.lead.Question()
+	q := h.lead.InventoryRequest()
 	for _, other := range r.hosts {
 		if other != h && slices.Contains(r.live, other.name) {
 			h.lead.Answered(other.name, q, other.lead.Census(h.name, q))
