--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -132,7 +132,7 @@
 	for _, rec := range reply.Records {
 		h.remember(rec)
 	}
-	c := lead.Census{Leads: reply.Leads, Waits: reply.Waits, Incarnations: reply.Lives}
+	c := lead.InventoryReply{Leads: reply.Leads, Waits: reply.Waits, Incarnations: reply.Lives}
 	for _, w := range reply.Workers {
 		v := lead.WorkerState{Worker: w.Name, Clock: w.Clock, Age: w.Age.Duration, Incarnation: w.Life, Tasks: w.Tasks}
 		for _, t := range w.Counted {
--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -23,9 +23,9 @@
 	Counted []Counted
 }
 
-// Census is what one host tells another of what it holds, and of the jobs that
+// InventoryReply is what one host tells another of what it holds, and of the jobs that
 // were asked for: those that it leads and those that it waits for itself.
-type Census struct {
+type InventoryReply struct {
 	Workers      []WorkerState
 	Leads, Waits []string
 	// Incarnations holds by worker the life in which no start to an earlier one is under way any more.
@@ -42,7 +42,7 @@
 }
 
 // Census answers a peer's question.
-func (l *Leader) Census(from string, q InventoryRequest) Census {
+func (l *Leader) Census(from string, q InventoryRequest) InventoryReply {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lease(lease.Tick{})
@@ -52,7 +52,7 @@
 		// before and arrives now would have two leads.
 		clear(l.expected)
 	}
-	c := Census{Incarnations: l.Leases.Settled(l.Clock())}
+	c := InventoryReply{Incarnations: l.Leases.Settled(l.Clock())}
 	for _, id := range q.Jobs {
 		switch {
 		case l.Jobs.Waits(id):
@@ -127,7 +127,7 @@
 // Answered takes a peer's answer to a question. A worker that this host holds, or held
 // since it asked, is passed over: what the peer told of it is older than what this host
 // knows. The peer lists tasks of the jobs that were asked for, and no others.
-func (l *Leader) Answered(host string, q InventoryRequest, c Census) {
+func (l *Leader) Answered(host string, q InventoryRequest, c InventoryReply) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for name, life := range c.Incarnations {
