--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -151,7 +151,7 @@
 	h.jobs.transfer.RLock()
 	defer h.jobs.transfer.RUnlock()
 	busy := h.busyOf(m.Jobs)
-	c := h.lead.Census(m.From, lead.InventoryRequest{Jobs: m.Jobs, Waits: m.Waits, Keys: m.Keys})
+	c := h.lead.Inventory(m.From, lead.InventoryRequest{Jobs: m.Jobs, Waits: m.Waits, Keys: m.Keys})
 	reply := peer.CensusReply{Leads: append(busy, c.Leads...), Waits: c.Waits, Lives: c.Incarnations}
 	for _, v := range c.Workers {
 		w := peer.CensusWorker{Name: v.Worker, Clock: v.Clock, Age: cell.Duration{Duration: v.Age}, Life: v.Incarnation, Tasks: v.Tasks}
--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -41,8 +41,8 @@
 	Keys        []string
 }
 
-// Census answers a peer's question.
-func (l *Leader) Census(from string, q InventoryRequest) InventoryReply {
+// Inventory answers a peer's question.
+func (l *Leader) Inventory(from string, q InventoryRequest) InventoryReply {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lease(lease.Tick{})
--- a/internal/lead/handover_test.go
+++ b/internal/lead/handover_test.go
@@ -33,7 +33,7 @@
 	token, err := p.hosts["b"].Expect("a")
 	require.NoError(t, err)
 	jobs, _ := p.hosts["a"].HandOver([]string{"d.r.old"})
-	require.Empty(t, p.hosts["b"].Census("c", ask).Leads)
+	require.Empty(t, p.hosts["b"].Inventory("c", ask).Leads)
 	require.ErrorAs(t, p.hosts["b"].Adopt("a", token, jobs), new(*lead.StaleError))
 	require.False(t, p.hosts["b"].Knows("d.r.old"))
 	token, err = p.hosts["b"].Expect("a")
@@ -87,9 +87,9 @@
 	p.drain("a")
 	require.Equal(t, "running", p.state("a", "old"))
 	a.HandOver([]string{"d.r.old"})
-	require.Empty(t, a.Census("b", ask).Workers)
+	require.Empty(t, a.Inventory("b", ask).Workers)
 	p.run("a", 300*time.Millisecond)
-	views := a.Census("b", ask).Workers
+	views := a.Inventory("b", ask).Workers
 	require.Len(t, views, 1, "its list is read at once")
 	require.Len(t, views[0].Tasks, 1)
 }
@@ -104,7 +104,7 @@
 	p.run("ab", 100*time.Millisecond)
 	b.Inherit([]job.Spec{p.spec("old")})
 	p.run("ab", 100*time.Millisecond)
-	b.Answered("a", q, p.hosts["a"].Census("b", q))
+	b.Answered("a", q, p.hosts["a"].Inventory("b", q))
 	p.run("ab", 100*time.Millisecond)
 	require.Equal(t, []string{"d.r.old"}, b.Waiting())
 }
--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -416,7 +416,7 @@
 		return
 	}
 	q := h.hosts[name].InventoryRequest()
-	c := h.hosts[other(name)].Census(name, q)
+	c := h.hosts[other(name)].Inventory(name, q)
 	for _, id := range q.Jobs {
 		if h.hands(other(name), id) {
 			c.Leads = append(c.Leads, id)
