--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -141,7 +141,7 @@
 		c.Workers = append(c.Workers, v)
 	}
 	h.takeOver()
-	h.lead.Answered(name, q, c)
+	h.lead.HandleInventory(name, q, c)
 }
 
 // census answers a peer's question. Jobs that this host is about to lead, or
--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -124,10 +124,10 @@
 	l.RequestInventory()
 }
 
-// Answered takes a peer's answer to a question. A worker that this host holds, or held
+// HandleInventory takes a peer's answer to a question. A worker that this host holds, or held
 // since it asked, is passed over: what the peer told of it is older than what this host
 // knows. The peer lists tasks of the jobs that were asked for, and no others.
-func (l *Leader) Answered(host string, q InventoryRequest, c InventoryReply) {
+func (l *Leader) HandleInventory(host string, q InventoryRequest, c InventoryReply) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for name, life := range c.Incarnations {
--- a/internal/lead/fault_test.go
+++ b/internal/lead/fault_test.go
@@ -214,7 +214,7 @@
 		for _, name := range []string{"a", "b"} {
 			q := p.hosts[name].InventoryRequest()
 			other := map[string]string{"a": "b", "b": "a"}[name]
-			p.hosts[name].Answered(other, q, p.hosts[other].Inventory(name, q))
+			p.hosts[name].HandleInventory(other, q, p.hosts[other].Inventory(name, q))
 		}
 	}
 	require.Equal(t, "running", p.state("a", "one"))
--- a/internal/lead/handover_test.go
+++ b/internal/lead/handover_test.go
@@ -104,7 +104,7 @@
 	p.run("ab", 100*time.Millisecond)
 	b.Inherit([]job.Spec{p.spec("old")})
 	p.run("ab", 100*time.Millisecond)
-	b.Answered("a", q, p.hosts["a"].Inventory("b", q))
+	b.HandleInventory("a", q, p.hosts["a"].Inventory("b", q))
 	p.run("ab", 100*time.Millisecond)
 	require.Equal(t, []string{"d.r.old"}, b.Waiting())
 }
--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -422,7 +422,7 @@
 			c.Leads = append(c.Leads, id)
 		}
 	}
-	h.hosts[name].Answered(other(name), q, c)
+	h.hosts[name].HandleInventory(other(name), q, c)
 }
 
 func TestMain(m *testing.M) { randtest.Main(m, 1500, 30) }
--- a/internal/lead/limits_test.go
+++ b/internal/lead/limits_test.go
@@ -38,7 +38,7 @@
 		p.run("ab", 500*time.Millisecond)
 		for _, name := range []string{"a", "b"} {
 			q := p.hosts[name].InventoryRequest()
-			p.hosts[name].Answered(other(name), q, p.hosts[other(name)].Inventory(name, q))
+			p.hosts[name].HandleInventory(other(name), q, p.hosts[other(name)].Inventory(name, q))
 		}
 	}
 }
--- a/internal/measure/takeover.go
+++ b/internal/measure/takeover.go
@@ -121,7 +121,7 @@
 	q := h.lead.InventoryRequest()
 	for _, other := range r.hosts {
 		if other != h && slices.Contains(r.live, other.name) {
-			h.lead.Answered(other.name, q, other.lead.Inventory(h.name, q))
+			h.lead.HandleInventory(other.name, q, other.lead.Inventory(h.name, q))
 		}
 	}
 }
