--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -136,7 +136,7 @@
 	for _, w := range reply.Workers {
 		v := lead.WorkerState{Worker: w.Name, Clock: w.Clock, Age: w.Age.Duration, Incarnation: w.Life, Tasks: w.Tasks}
 		for _, t := range w.Counted {
-			v.Counted = append(v.Counted, lead.Counted(t))
+			v.Counted = append(v.Counted, lead.CountedTask(t))
 		}
 		c.Workers = append(c.Workers, v)
 	}
--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -20,7 +20,7 @@
 	Incarnation string
 	Tasks       []job.Listed
 	// Counted are the running tasks of the keys that were asked for.
-	Counted []Counted
+	Counted []CountedTask
 }
 
 // InventoryReply is what one host tells another of what it holds, and of the jobs that
@@ -92,7 +92,7 @@
 			v.Tasks = append(v.Tasks, job.Listed{ID: t.ID, State: t.State, Lease: t.Lease})
 		}
 		if len(q.Keys) > 0 && t.State == "running" && slices.Contains(q.Keys, l.keyOf(t.Row)) {
-			v.Counted = append(v.Counted, Counted{Row: t.Row, Size: roomOf(t)})
+			v.Counted = append(v.Counted, CountedTask{Row: t.Row, Size: roomOf(t)})
 		}
 	}
 	return v
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -77,7 +77,7 @@
 	// counts holds by key what is counted here, elsewhere by worker what is counted and runs on
 	// workers of other hosts.
 	counts    map[string]*count
-	elsewhere map[string][]Counted
+	elsewhere map[string][]CountedTask
 	// limited is when a start of a counted row to a worker was last answered.
 	limited map[string]time.Time
 	// held is when each worker was last held.
@@ -115,7 +115,7 @@
 	}
 	return &Leader{
 		Deps: d, ctx: ctx, machines: map[string]Machine{}, forget: map[string][]string{}, rooms: map[string]string{},
-		counts: map[string]*count{}, elsewhere: map[string][]Counted{}, limited: map[string]time.Time{}, loose: map[string]loose{}, left: map[string]time.Time{}, expected: map[string]expected{}, held: map[string]time.Time{}, lives: map[string]*life{}, rules: map[string]place.Rule{}, epoch: 1,
+		counts: map[string]*count{}, elsewhere: map[string][]CountedTask{}, limited: map[string]time.Time{}, loose: map[string]loose{}, left: map[string]time.Time{}, expected: map[string]expected{}, held: map[string]time.Time{}, lives: map[string]*life{}, rules: map[string]place.Rule{}, epoch: 1,
 	}
 }
 
--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -11,9 +11,9 @@
 	"pollencroft/internal/takeover"
 )
 
-// Counted is one running task of a key. A key is what is counted together: a row with limits, or
+// CountedTask is one running task of a key. A key is what is counted together: a row with limits, or
 // the rows of a team with a quota.
-type Counted struct {
+type CountedTask struct {
 	Row  string    `json:"row"`
 	Size cell.Size `json:"size"`
 }
@@ -109,7 +109,7 @@
 }
 
 // runsElsewhere notes what runs of the counted keys on a worker of another host.
-func (l *Leader) runsElsewhere(worker string, tasks []Counted) {
+func (l *Leader) runsElsewhere(worker string, tasks []CountedTask) {
 	if len(tasks) == 0 {
 		delete(l.elsewhere, worker)
 		return
@@ -118,7 +118,7 @@
 }
 
 // toldElsewhere notes what a peer told of some keys; of others it was not asked.
-func (l *Leader) toldElsewhere(worker string, keys []string, tasks []Counted) {
+func (l *Leader) toldElsewhere(worker string, keys []string, tasks []CountedTask) {
 	for _, t := range l.elsewhere[worker] {
 		if !slices.Contains(keys, l.keyOf(t.Row)) {
 			tasks = append(tasks, t)
@@ -129,10 +129,10 @@
 
 // keepCounted notes what ran of counted keys on a worker that is given up.
 func (l *Leader) keepCounted(worker string) {
-	var all []Counted
+	var all []CountedTask
 	for _, u := range l.Placer.On(worker) {
 		if l.keyOf(u.Row) != "" {
-			all = append(all, Counted{Row: u.Row, Size: u.Size})
+			all = append(all, CountedTask{Row: u.Row, Size: u.Size})
 		}
 	}
 	l.runsElsewhere(worker, all)
