--- a/internal/host/cell.go
+++ b/internal/host/cell.go
@@ -68,7 +68,7 @@
 	if !h.Ready() && h.handing() > 0 {
 		workers = h.keepOne(known)
 	}
-	h.lead.SetMachines(workers)
+	h.lead.SetLedMachines(workers)
 }
 
 // keepOne is one of the workers that a leaving host still holds. As long as it does, nobody else
--- a/internal/lead/crash_test.go
+++ b/internal/lead/crash_test.go
@@ -138,7 +138,7 @@
 	for i := range p.machines[first:] {
 		p.machines[first+i].Rack = "s"
 	}
-	p.hosts["a"].SetMachines(p.machines)
+	p.hosts["a"].SetLedMachines(p.machines)
 }
 
 // keepOn lets time pass for a host that inherits what it gave up, as hosts do.
@@ -231,14 +231,14 @@
 // Guards against a task that runs twice since a census passed over a new life's list.
 func TestListOfANewLifeCountsForTheCensusAtOnce(t *testing.T) {
 	p := newPair(t, 2)
-	p.hosts["a"].SetMachines(p.machines[1:])
+	p.hosts["a"].SetLedMachines(p.machines[1:])
 	p.workers[p.machines[0].Name].Crash()
-	p.hosts["b"].SetMachines(p.machines[:1])
+	p.hosts["b"].SetLedMachines(p.machines[:1])
 	p.run("ab", 10*time.Second)
 	p.submit("b", "old")
 	p.run("ab", time.Second)
 	require.Equal(t, "running", p.state("b", "old"))
-	p.hosts["a"].SetMachines(p.machines)
+	p.hosts["a"].SetLedMachines(p.machines)
 	p.hosts["a"].Inherit([]job.Spec{p.spec("old")})
 	p.run("a", 10*time.Second)
 	require.Equal(t, "running", p.state("a", "old"))
--- a/internal/lead/fault_test.go
+++ b/internal/lead/fault_test.go
@@ -87,7 +87,7 @@
 		l.Know(p.machines)
 		l.SetDomain(names, nil)
 	}
-	p.hosts["a"].SetMachines(p.machines)
+	p.hosts["a"].SetLedMachines(p.machines)
 	// Both hosts wait for what may have been sent to the workers before.
 	p.run("ab", 10*time.Second)
 	require.Len(t, p.hosts["a"].Held(), workers)
@@ -161,7 +161,7 @@
 	p := newPair(t, 1)
 	p.submit("a", "old")
 	require.NotEmpty(t, p.queues["a"], "the start is decided and not sent")
-	p.hosts["b"].SetMachines(p.machines)
+	p.hosts["b"].SetLedMachines(p.machines)
 	p.run("b", 10*time.Second)
 	p.submit("b", "new")
 	p.run("b", time.Second)
@@ -181,7 +181,7 @@
 	p.submit("a", "full")
 	p.run("a", time.Second)
 	p.submit("a", "old")
-	p.hosts["b"].SetMachines(p.machines)
+	p.hosts["b"].SetLedMachines(p.machines)
 	p.hosts["b"].Inherit([]job.Spec{p.spec("full"), p.spec("old")})
 	notes := p.hosts["b"].Explain("d.r.old")
 	require.Equal(t, "waits for its census: log", notes[len(notes)-1].What)
@@ -203,7 +203,7 @@
 	p.submit("a", "two")
 	p.run("a", 2*time.Second)
 	p.cut["a"], p.cut["b"] = p.machines[0].Name, ""
-	p.hosts["b"].SetMachines(p.machines)
+	p.hosts["b"].SetLedMachines(p.machines)
 	p.run("ab", 10*time.Second)
 	require.Equal(t, []string{p.machines[1].Name}, p.hosts["a"].Held())
 	require.Equal(t, []string{p.machines[0].Name}, p.hosts["b"].Held())
--- a/internal/lead/handover_test.go
+++ b/internal/lead/handover_test.go
@@ -17,8 +17,8 @@
 func split(t *testing.T) *pair {
 	t.Helper()
 	p := newPair(t, 2)
-	p.hosts["a"].SetMachines(p.machines[:1])
-	p.hosts["b"].SetMachines(p.machines[1:])
+	p.hosts["a"].SetLedMachines(p.machines[:1])
+	p.hosts["b"].SetLedMachines(p.machines[1:])
 	p.run("ab", 5*time.Second)
 	p.submit("a", "old")
 	p.run("ab", time.Second)
--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -267,8 +267,8 @@
 	}
 	held := h.hosts[name].Held()
 	led := slices.DeleteFunc(slices.Clone(h.machines), func(m lead.Machine) bool { return !slices.Contains(held, m.Name) })
-	h.hosts[name].SetMachines(nil)
-	h.hosts[name].SetMachines(led)
+	h.hosts[name].SetLedMachines(nil)
+	h.hosts[name].SetLedMachines(led)
 }
 
 // divide gives each worker to one host, now and then to both or to none.
@@ -281,7 +281,7 @@
 	}
 	for _, name := range []string{"a", "b"} {
 		if !h.paused[name] {
-			h.hosts[name].SetMachines(led[name])
+			h.hosts[name].SetLedMachines(led[name])
 		}
 	}
 }
--- a/internal/lead/lead_test.go
+++ b/internal/lead/lead_test.go
@@ -44,7 +44,7 @@
 		Row:     func(string) (table.Row, int64) { return row, 1 },
 		History: trail.New(10), Clock: clock, Log: slog.New(slog.DiscardHandler),
 	})
-	l.SetMachines(machines)
+	l.SetLedMachines(machines)
 	require.Eventually(t, func() bool { l.Tick(); return len(l.Held()) == 2 }, 30*time.Second, 5*time.Millisecond)
 	spec := func(id string) job.Spec {
 		return job.Spec{ID: "d.r." + id, Tasks: 1, Size: size, Time: cell.Duration{Duration: 2 * time.Hour}, Tries: 1}
--- a/internal/lead/life_test.go
+++ b/internal/lead/life_test.go
@@ -62,7 +62,7 @@
 	require.Len(t, net["a"].held, 1)
 	worker := p.machines[0].Name
 	p.workers[worker].Crash()
-	p.hosts["b"].SetMachines(p.machines)
+	p.hosts["b"].SetLedMachines(p.machines)
 	p.hosts["b"].Inherit([]job.Spec{p.spec("old")})
 	p.run("b", 500*time.Millisecond)
 	net["a"].arrive()
@@ -83,8 +83,8 @@
 	require.NoError(t, err)
 	p.run("a", 2*time.Second)
 	net["a"].path = "/anchor"
-	p.hosts["a"].SetMachines(nil)
-	p.hosts["a"].SetMachines(p.machines)
+	p.hosts["a"].SetLedMachines(nil)
+	p.hosts["a"].SetLedMachines(p.machines)
 	p.run("a", 8*time.Second)
 	net["a"].path = ""
 	held := net["a"].held[:1]
--- a/internal/lead/limits_test.go
+++ b/internal/lead/limits_test.go
@@ -27,8 +27,8 @@
 
 // divide gives each host its workers.
 func (p *pair) divide(a, b []lead.Machine) {
-	p.hosts["a"].SetMachines(a)
-	p.hosts["b"].SetMachines(b)
+	p.hosts["a"].SetLedMachines(a)
+	p.hosts["b"].SetLedMachines(b)
 	p.together(5 * time.Second)
 }
 
@@ -146,7 +146,7 @@
 	p.cut["a"] = ""
 	p.limited("a", "one")
 	require.NotEmpty(t, p.queues["a"], "the start is decided and not sent")
-	p.hosts["b"].SetMachines(p.machines[:1])
+	p.hosts["b"].SetLedMachines(p.machines[:1])
 	p.run("b", 1500*time.Millisecond)
 	require.Len(t, p.hosts["b"].Held(), 1)
 	p.drain("a")
--- a/internal/lead/machines.go
+++ b/internal/lead/machines.go
@@ -15,8 +15,8 @@
 	Size       cell.Size
 }
 
-// SetMachines replaces the workers that this host should lead.
-func (l *Leader) SetMachines(all []Machine) {
+// SetLedMachines replaces the workers that this host should lead.
+func (l *Leader) SetLedMachines(all []Machine) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	names := make([]string, 0, len(all))
--- a/internal/lead/place_test.go
+++ b/internal/lead/place_test.go
@@ -54,7 +54,7 @@
 		Row:     func(name string) (table.Row, int64) { return rows[name], 1 },
 		History: trail.New(1000), Clock: time.Now, Log: slog.New(slog.DiscardHandler),
 	})
-	f.SetMachines(machines)
+	f.SetLedMachines(machines)
 	f.until(func() bool { return len(f.Held()) == n })
 	return f
 }
--- a/internal/lead/size_test.go
+++ b/internal/lead/size_test.go
@@ -19,7 +19,7 @@
 	resize := func(cores int64) {
 		size := cell.Size{CPU: cores * 1000, Mem: cores << 30}
 		w.Resize(size)
-		f.SetMachines([]lead.Machine{{Name: "w0", Rack: "r", Address: f.addresses[0], Size: size}})
+		f.SetLedMachines([]lead.Machine{{Name: "w0", Rack: "r", Address: f.addresses[0], Size: size}})
 	}
 	started := func() int { return len(w.Record().Started) }
 	f.submit("a", "", cell.Urgent, 500, 1, time.Hour)
@@ -43,7 +43,7 @@
 		{CPU: 4000, Mem: math.MaxInt64}, {},
 	} {
 		f := newFleet(t, 2, nil)
-		f.SetMachines([]lead.Machine{
+		f.SetLedMachines([]lead.Machine{
 			{Name: "w0", Rack: "r", Address: f.addresses[0], Size: size}, {Name: "w1", Rack: "r", Address: f.addresses[1], Size: whole},
 		})
 		f.submit("a", "", cell.Bulk, 500, 3, time.Hour)
--- a/internal/measure/takeover.go
+++ b/internal/measure/takeover.go
@@ -154,7 +154,7 @@
 		}
 		mine := slices.DeleteFunc(slices.Clone(r.machines), func(m lead.Machine) bool { return leads[m.Rack] != h.name })
 		h.lead.SetDomain(names, slices.DeleteFunc(slices.Clone(r.live), func(n string) bool { return n == h.name }))
-		h.lead.SetMachines(mine)
+		h.lead.SetLedMachines(mine)
 	}
 }
 
