--- a/internal/host/cell.go
+++ b/internal/host/cell.go
@@ -62,7 +62,7 @@
 		}
 	}
 	h.relay.SetServers(servers)
-	h.lead.Know(known)
+	h.lead.UpdateMachines(known)
 	h.lead.SetDomain(names, without(live, h.cfg.Name))
 	h.collect()
 	if !h.Ready() && h.handing() > 0 {
--- a/internal/lead/fault_test.go
+++ b/internal/lead/fault_test.go
@@ -84,7 +84,7 @@
 			Go: func(f func()) { p.queues[name] = append(p.queues[name], f) },
 		})
 		p.hosts[name] = l
-		l.Know(p.machines)
+		l.UpdateMachines(p.machines)
 		l.SetDomain(names, nil)
 	}
 	p.hosts["a"].SetLedMachines(p.machines)
--- a/internal/lead/know_test.go
+++ b/internal/lead/know_test.go
@@ -45,7 +45,7 @@
 		Row:     func(string) (table.Row, int64) { return table.Row{}, 1 },
 		History: trail.New(10), Clock: time.Now, Log: slog.New(slog.DiscardHandler),
 	})
-	l.Know(machines)
+	l.UpdateMachines(machines)
 	l.SetLedMachines(machines[:1])
 	require.Eventually(t, func() bool { l.Tick(); return len(l.Held()) == 1 }, 30*time.Second, 5*time.Millisecond)
 	spec := job.Spec{ID: "d.w1.j", Tasks: 1, Size: size, Time: cell.Duration{Duration: time.Hour}, Tries: 1}
--- a/internal/lead/machines.go
+++ b/internal/lead/machines.go
@@ -27,10 +27,10 @@
 	l.lease(lease.Lead{Workers: names})
 }
 
-// Know tells where all workers of the failure domain are, led here or not. A job
+// UpdateMachines tells where all workers of the failure domain are, led here or not. A job
 // that was handed over may have tasks on another host's workers; without their
 // addresses a stop could never be sent, and a cancelled job would stay unknown.
-func (l *Leader) Know(all []Machine) {
+func (l *Leader) UpdateMachines(all []Machine) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, m := range all {
--- a/internal/lead/size_test.go
+++ b/internal/lead/size_test.go
@@ -56,7 +56,7 @@
 func (h *history) resume() {
 	name := h.host("host")
 	h.paused[name] = false
-	h.hosts[name].Know(h.machines)
+	h.hosts[name].UpdateMachines(h.machines)
 }
 
 // resize gives a worker another size, which the hosts that are not paused are told of.
@@ -67,7 +67,7 @@
 	m.Size = room.Times(part)
 	for _, name := range []string{"a", "b"} {
 		if !h.paused[name] {
-			h.hosts[name].Know(h.machines)
+			h.hosts[name].UpdateMachines(h.machines)
 		}
 	}
 	if h.has[m.Name].Fits(m.Size) {
