--- a/internal/host/crash.go
+++ b/internal/host/crash.go
@@ -15,7 +15,7 @@
 // noted tells the lead which lives are stored.
 func (h *Host) noted(rec joblog.Record) {
 	for task, lives := range rec.Lives {
-		h.lead.Noted(task, lives)
+		h.lead.AckCrashes(task, lives)
 	}
 }
 
--- a/internal/lead/crash.go
+++ b/internal/lead/crash.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// Noted tells that the lives that ended under a task are stored.
-func (l *Leader) Noted(task string, lives int64) {
+// AckCrashes tells that the lives that ended under a task are stored.
+func (l *Leader) AckCrashes(task string, lives int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.job(job.Noted{Task: task, Lives: lives})
