--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -233,7 +233,7 @@
 	}
 	h.mu.Unlock()
 	if rec.State != "" {
-		h.lead.Kept(rec.ID)
+		h.lead.AckEnd(rec.ID)
 	}
 	h.noted(rec)
 }
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -136,8 +136,8 @@
 	}
 }
 
-// Kept tells that a job's end is in the log, so that its tasks may be forgotten.
-func (l *Leader) Kept(id string) {
+// AckEnd tells that a job's end is in the log, so that its tasks may be forgotten.
+func (l *Leader) AckEnd(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.job(job.Kept{ID: id})
