--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -247,7 +247,7 @@
 // end when a second host knows it too.
 func (h *Host) honest(r peer.JobReply) peer.JobReply {
 	id := r.Status.ID
-	state, ended := h.lead.Ended(id)
+	state, ended := h.lead.EndState(id)
 	if r.Code != 0 || !ended {
 		return r
 	}
@@ -265,7 +265,7 @@
 	ctx, cancel := context.WithTimeout(ctx, keepWait)
 	defer cancel()
 	for r.Status.State == "stopping" && ctx.Err() == nil {
-		if _, ended := h.lead.Ended(r.Status.ID); !ended {
+		if _, ended := h.lead.EndState(r.Status.ID); !ended {
 			return r
 		}
 		select {
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -92,8 +92,8 @@
 	return l.knows(id)
 }
 
-// Ended tells how a job ended that was led here; false if it did not.
-func (l *Leader) Ended(id string) (string, bool) {
+// EndState tells how a job ended that was led here; false if it did not.
+func (l *Leader) EndState(id string) (string, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.Jobs.Ended(id)
