--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -338,7 +338,7 @@
 		return
 	}
 	for _, s := range old {
-		if h.lead.Knows(s.ID) {
+		if h.lead.HasJob(s.ID) {
 			h.owe(joblog.Record{ID: s.ID, Spec: &s, Lives: h.lives(s.ID)})
 		}
 	}
--- a/internal/lead/handover_test.go
+++ b/internal/lead/handover_test.go
@@ -35,7 +35,7 @@
 	jobs, _ := p.hosts["a"].HandOver([]string{"d.r.old"})
 	require.Empty(t, p.hosts["b"].Inventory("c", ask).Leads)
 	require.ErrorAs(t, p.hosts["b"].Adopt("a", token, jobs), new(*lead.StaleError))
-	require.False(t, p.hosts["b"].Knows("d.r.old"))
+	require.False(t, p.hosts["b"].HasJob("d.r.old"))
 	token, err = p.hosts["b"].Expect("a")
 	require.NoError(t, err)
 	require.NoError(t, p.hosts["b"].Adopt("a", token, jobs), "sent anew it is taken")
@@ -62,7 +62,7 @@
 	p.run("b", 10*time.Second)
 	p.run("ab", 5*time.Second)
 	require.ErrorAs(t, p.hosts["a"].TakeBack(jobs, epoch), new(*lead.NoWorkerError))
-	require.False(t, p.hosts["a"].Knows("d.r.old"))
+	require.False(t, p.hosts["a"].HasJob("d.r.old"))
 }
 
 // Guards against a job with two leads: of two tokens that a host was given, only the later counts.
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -85,8 +85,8 @@
 	return err == nil
 }
 
-// Knows tells whether a job is led here, waits here for its census or ended here.
-func (l *Leader) Knows(id string) bool {
+// HasJob tells whether a job is led here, waits here for its census or ended here.
+func (l *Leader) HasJob(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.knows(id)
