--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -303,7 +303,7 @@
 
 // jobsWait makes the log answer at once while a census waits for it.
 func (h *Host) jobsWait() time.Duration {
-	if len(h.lead.Waiting()) > 0 {
+	if len(h.lead.AwaitingInventory()) > 0 {
 		return readPause
 	}
 	return readWait
--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -64,7 +64,7 @@
 		}
 	}
 	h.lead.Inherit(mine)
-	for _, id := range h.lead.Waiting() {
+	for _, id := range h.lead.AwaitingInventory() {
 		h.mu.Lock()
 		_, ended := h.jobs.log.End(id)
 		h.mu.Unlock()
--- a/internal/lead/handover_test.go
+++ b/internal/lead/handover_test.go
@@ -106,5 +106,5 @@
 	p.run("ab", 100*time.Millisecond)
 	b.HandleInventory("a", q, p.hosts["a"].Inventory("b", q))
 	p.run("ab", 100*time.Millisecond)
-	require.Equal(t, []string{"d.r.old"}, b.Waiting())
+	require.Equal(t, []string{"d.r.old"}, b.AwaitingInventory())
 }
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -110,8 +110,8 @@
 	l.drop(id, false)
 }
 
-// Waiting lists the inherited jobs that wait for their census.
-func (l *Leader) Waiting() []string {
+// AwaitingInventory lists the inherited jobs that wait for their census.
+func (l *Leader) AwaitingInventory() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.Takeover.Waiting()
