--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -45,7 +45,7 @@
 	h.jobs.collecting.Lock()
 	defer h.jobs.collecting.Unlock()
 	to := map[string][]string{}
-	for _, s := range h.lead.Open() {
+	for _, s := range h.lead.OpenJobs() {
 		if name := h.nextLead(s.ID); name != "" && name != h.cfg.Name {
 			to[name] = append(to[name], s.ID)
 		}
--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -307,7 +307,7 @@
 		return
 	}
 	var ids []string
-	for _, s := range h.hosts[name].Open() {
+	for _, s := range h.hosts[name].OpenJobs() {
 		ids = append(ids, s.ID)
 	}
 	jobs, epoch := h.hosts[name].HandOver(ids)
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -150,9 +150,9 @@
 	l.leaving = true
 }
 
-// Open lists the jobs that are led here and have not ended, without those that
+// OpenJobs lists the jobs that are led here and have not ended, without those that
 // wait for their census.
-func (l *Leader) Open() []job.Spec {
+func (l *Leader) OpenJobs() []job.Spec {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.DeleteFunc(l.Jobs.Open(), func(s job.Spec) bool { return l.Jobs.Waits(s.ID) })
