--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -69,7 +69,7 @@
 		_, ended := h.jobs.log.End(id)
 		h.mu.Unlock()
 		if ended || h.leadOf(id) != h.cfg.Name {
-			h.lead.Forfeit(id)
+			h.lead.ForgetInherited(id)
 		}
 	}
 }
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -99,8 +99,8 @@
 	return l.Jobs.Ended(id)
 }
 
-// Forfeit forgets an inherited job that another host leads or that has ended.
-func (l *Leader) Forfeit(id string) {
+// ForgetInherited forgets an inherited job that another host leads or that has ended.
+func (l *Leader) ForgetInherited(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.Jobs.Waits(id) {
