--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -397,7 +397,7 @@
 	case peer.Census:
 		return h.census(m), nil
 	case peer.Expect:
-		token, err := h.lead.Expect(m.From)
+		token, err := h.lead.ExpectHandover(m.From)
 		return peer.Expected{Token: token}, err
 	case peer.Handover:
 		return h.adopt(m)
--- a/internal/lead/fault_test.go
+++ b/internal/lead/fault_test.go
@@ -127,7 +127,7 @@
 
 func (p *pair) handOver(from, to string, ids ...string) {
 	p.Helper()
-	token, err := p.hosts[to].Expect(from)
+	token, err := p.hosts[to].ExpectHandover(from)
 	require.NoError(p, err)
 	jobs, _ := p.hosts[from].HandOver(ids)
 	require.NoError(p, p.hosts[to].Adopt(from, token, jobs))
--- a/internal/lead/handover.go
+++ b/internal/lead/handover.go
@@ -19,10 +19,10 @@
 
 func (e *StaleError) Error() string { return "hand-over from " + e.From + " is out of date" }
 
-// Expect returns the token with which a peer may hand jobs over next. A message may lie in a
+// ExpectHandover returns the token with which a peer may hand jobs over next. A message may lie in a
 // paused host's sockets for any time; without a token the state that it carries would be taken
 // for that of now.
-func (l *Leader) Expect(from string) (string, error) {
+func (l *Leader) ExpectHandover(from string) (string, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	epoch := l.epochNow()
--- a/internal/lead/handover_test.go
+++ b/internal/lead/handover_test.go
@@ -30,13 +30,13 @@
 // first tells a third host that it does not lead the job, and then reads it.
 func TestHandOverFromBeforeACensusIsNotTaken(t *testing.T) {
 	p := split(t)
-	token, err := p.hosts["b"].Expect("a")
+	token, err := p.hosts["b"].ExpectHandover("a")
 	require.NoError(t, err)
 	jobs, _ := p.hosts["a"].HandOver([]string{"d.r.old"})
 	require.Empty(t, p.hosts["b"].Inventory("c", ask).Leads)
 	require.ErrorAs(t, p.hosts["b"].Adopt("a", token, jobs), new(*lead.StaleError))
 	require.False(t, p.hosts["b"].HasJob("d.r.old"))
-	token, err = p.hosts["b"].Expect("a")
+	token, err = p.hosts["b"].ExpectHandover("a")
 	require.NoError(t, err)
 	require.NoError(t, p.hosts["b"].Adopt("a", token, jobs), "sent anew it is taken")
 }
@@ -45,7 +45,7 @@
 // workers by now and takes the paused one for gone.
 func TestHandOverFromBeforeTheLossOfAllWorkersIsNotTaken(t *testing.T) {
 	p := split(t)
-	token, err := p.hosts["b"].Expect("a")
+	token, err := p.hosts["b"].ExpectHandover("a")
 	require.NoError(t, err)
 	jobs, _ := p.hosts["a"].HandOver([]string{"d.r.old"})
 	p.run("a", 10*time.Second)
@@ -68,9 +68,9 @@
 // Guards against a job with two leads: of two tokens that a host was given, only the later counts.
 func TestSecondTokenReplacesTheFirst(t *testing.T) {
 	p := split(t)
-	first, err := p.hosts["b"].Expect("a")
+	first, err := p.hosts["b"].ExpectHandover("a")
 	require.NoError(t, err)
-	second, err := p.hosts["b"].Expect("a")
+	second, err := p.hosts["b"].ExpectHandover("a")
 	require.NoError(t, err)
 	var none []job.Carry
 	require.ErrorAs(t, p.hosts["b"].Adopt("a", first, none), new(*lead.StaleError))
--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -323,7 +323,7 @@
 		return
 	}
 	h.handing[name] = slices.DeleteFunc(h.handing[name], func(p *outgoing) bool { return p.epoch != h.hosts[name].Epoch() })
-	token, err := h.hosts[other(name)].Expect(name)
+	token, err := h.hosts[other(name)].ExpectHandover(name)
 	if err != nil || len(h.handing[name]) == 0 {
 		h.giveUp(name)
 		return
--- a/internal/lead/know_test.go
+++ b/internal/lead/know_test.go
@@ -49,7 +49,7 @@
 	l.SetLedMachines(machines[:1])
 	require.Eventually(t, func() bool { l.Tick(); return len(l.Held()) == 1 }, 30*time.Second, 5*time.Millisecond)
 	spec := job.Spec{ID: "d.w1.j", Tasks: 1, Size: size, Time: cell.Duration{Duration: time.Hour}, Tries: 1}
-	token, err := l.Expect("other")
+	token, err := l.ExpectHandover("other")
 	require.NoError(t, err)
 	require.NoError(t, l.Adopt("other", token, []job.Carry{{
 		Spec: spec, State: "running", Began: time.Now(), First: time.Now(),
--- a/internal/lead/suspect_test.go
+++ b/internal/lead/suspect_test.go
@@ -65,7 +65,7 @@
 	p.run("a", 500*time.Millisecond)
 	started := func() int { return p.workers[p.machines[0].Name].Record().Started["d.r.good.0"] }
 	require.Equal(t, 1, started())
-	token, err := p.hosts["b"].Expect("a")
+	token, err := p.hosts["b"].ExpectHandover("a")
 	require.Error(t, err, "b holds no worker")
 	require.Empty(t, token)
 	jobs, epoch := p.hosts["a"].HandOver([]string{"d.r.good"})
