--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -125,7 +125,7 @@
 	switch {
 	case err == nil:
 		h.clearHanded(all)
-	case errors.As(err, new(*lead.StaleError)):
+	case errors.As(err, new(*lead.StaleHandoverError)):
 		h.log.Info("host: hand-over was overtaken, it is sent again.", "to", name, "jobs", len(all))
 	case no && h.Ready(), !h.isLive(name):
 		h.log.Warn("host: jobs not handed over.", "to", name, "jobs", len(all), "err", err)
@@ -157,7 +157,7 @@
 		}
 	}
 	if err == nil && reply.Stale {
-		return &lead.StaleError{From: h.cfg.Name}
+		return &lead.StaleHandoverError{From: h.cfg.Name}
 	}
 	return err
 }
@@ -251,7 +251,7 @@
 	}
 	h.mu.Unlock()
 	err := h.lead.Adopt(m.From, m.Token, m.Jobs)
-	if errors.As(err, new(*lead.StaleError)) {
+	if errors.As(err, new(*lead.StaleHandoverError)) {
 		h.log.Warn("host: hand-over is out of date.", "from", m.From, "jobs", len(m.Jobs))
 		return peer.HandoverReply{Stale: true}, nil
 	}
--- a/internal/lead/handover.go
+++ b/internal/lead/handover.go
@@ -13,11 +13,11 @@
 	epoch int64
 }
 
-// StaleError tells that a hand-over was sent before something after which it counts no more: a
+// StaleHandoverError tells that a hand-over was sent before something after which it counts no more: a
 // census, the loss of all workers, or a newer token.
-type StaleError struct{ From string }
+type StaleHandoverError struct{ From string }
 
-func (e *StaleError) Error() string { return "hand-over from " + e.From + " is out of date" }
+func (e *StaleHandoverError) Error() string { return "hand-over from " + e.From + " is out of date" }
 
 // ExpectHandover returns the token with which a peer may hand jobs over next. A message may lie in a
 // paused host's sockets for any time; without a token the state that it carries would be taken
@@ -51,7 +51,7 @@
 		return &NoWorkerError{}
 	}
 	if l.expected[from] != (expected{token: token, epoch: epoch}) {
-		return &StaleError{From: from}
+		return &StaleHandoverError{From: from}
 	}
 	delete(l.expected, from)
 	l.adopt(jobs, "handed over by its former lead")
--- a/internal/lead/handover_test.go
+++ b/internal/lead/handover_test.go
@@ -34,7 +34,7 @@
 	require.NoError(t, err)
 	jobs, _ := p.hosts["a"].HandOver([]string{"d.r.old"})
 	require.Empty(t, p.hosts["b"].Inventory("c", ask).Leads)
-	require.ErrorAs(t, p.hosts["b"].Adopt("a", token, jobs), new(*lead.StaleError))
+	require.ErrorAs(t, p.hosts["b"].Adopt("a", token, jobs), new(*lead.StaleHandoverError))
 	require.False(t, p.hosts["b"].HasJob("d.r.old"))
 	token, err = p.hosts["b"].ExpectHandover("a")
 	require.NoError(t, err)
@@ -51,7 +51,7 @@
 	p.run("a", 10*time.Second)
 	p.run("ab", 5*time.Second)
 	require.Len(t, p.hosts["b"].Held(), 1)
-	require.ErrorAs(t, p.hosts["b"].Adopt("a", token, jobs), new(*lead.StaleError))
+	require.ErrorAs(t, p.hosts["b"].Adopt("a", token, jobs), new(*lead.StaleHandoverError))
 }
 
 // Guards against a job with two leads: a host that hands a job over is paused, loses all its
@@ -73,9 +73,9 @@
 	second, err := p.hosts["b"].ExpectHandover("a")
 	require.NoError(t, err)
 	var none []job.Carry
-	require.ErrorAs(t, p.hosts["b"].Adopt("a", first, none), new(*lead.StaleError))
+	require.ErrorAs(t, p.hosts["b"].Adopt("a", first, none), new(*lead.StaleHandoverError))
 	require.NoError(t, p.hosts["b"].Adopt("a", second, none))
-	require.ErrorAs(t, p.hosts["b"].Adopt("a", second, none), new(*lead.StaleError), "it counts once")
+	require.ErrorAs(t, p.hosts["b"].Adopt("a", second, none), new(*lead.StaleHandoverError), "it counts once")
 }
 
 // Guards against a task that runs twice: a host hands over a job whose next lead dies, and tells
--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -348,7 +348,7 @@
 	switch {
 	case err == nil:
 		h.handing[name] = nil
-	case errors.As(err, new(*lead.StaleError)):
+	case errors.As(err, new(*lead.StaleHandoverError)):
 	default:
 		h.giveUp(name)
 	}
