--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -19,7 +19,7 @@
 // crash starts a task on a worker that comes back in the next life without it.
 func crash(j *job.Jobs, task, worker, from, to string, at time.Time) []job.Action {
 	j.Step(at, inLife(worker, from, at))
-	for _, a := range only[job.Start](j.Step(at, job.Put{Task: task, Worker: worker})) {
+	for _, a := range only[job.Start](j.Step(at, job.Placed{Task: task, Worker: worker})) {
 		j.Step(at, job.Started{Task: task, Attempt: a.Attempt})
 	}
 	return j.Step(at.Add(time.Second), inLife(worker, to, at.Add(time.Second)))
--- a/internal/job/inherit_test.go
+++ b/internal/job/inherit_test.go
@@ -27,7 +27,7 @@
 
 // confirm puts a task on a worker, which confirms the start.
 func confirm(j *job.Jobs, task, worker string) {
-	for _, a := range only[job.Start](j.Step(now, job.Put{Task: task, Worker: worker})) {
+	for _, a := range only[job.Start](j.Step(now, job.Placed{Task: task, Worker: worker})) {
 		j.Step(now, job.Started{Task: task, Attempt: a.Attempt})
 	}
 }
@@ -90,7 +90,7 @@
 func TestStopThatOvertakesItsStart(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
-	j.Step(now, job.Put{Task: "d.r.j.0", Worker: "w1"})
+	j.Step(now, job.Placed{Task: "d.r.j.0", Worker: "w1"})
 	j.Step(now, job.Sent{Task: "d.r.j.0", Deadline: now.Add(3 * time.Second)})
 	j.Step(now, job.Cancel{ID: "d.r.j"})
 	j.Step(now, seen("w1", now.Add(time.Second)))
@@ -116,7 +116,7 @@
 func TestHandedOverStartStaysUnsure(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(2)})
-	j.Step(now, job.Put{Task: "d.r.j.0", Worker: "w1"})
+	j.Step(now, job.Placed{Task: "d.r.j.0", Worker: "w1"})
 	j.Step(now, job.Sent{Task: "d.r.j.0", Deadline: now.Add(3 * time.Second)})
 	c, ok := j.Carry("d.r.j")
 	require.True(t, ok)
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -141,7 +141,7 @@
 		return j.submit(now, ev.Spec)
 	case Cancel:
 		return j.cancel(ev.ID)
-	case Put:
+	case Placed:
 		return j.put(now, ev)
 	case Started:
 		return j.answered(ev.Task, ev.Attempt, func() []Action { return j.started(now, ev.Task) })
@@ -223,7 +223,7 @@
 	}
 }
 
-func (j *Jobs) put(now time.Time, ev Put) []Action {
+func (j *Jobs) put(now time.Time, ev Placed) []Action {
 	t, ok := j.tasks[ev.Task]
 	if ok && t.state != "waiting" && t.worker == ev.Worker {
 		return nil
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -45,7 +45,7 @@
 	require.NoError(t, err)
 	require.Equal(t, "cancelled", s.State)
 	require.False(t, s.Ran)
-	require.Equal(t, []job.Action{job.Free{Task: "d.r.j.0"}}, j.Step(now, job.Put{Task: "d.r.j.0", Worker: "w1"}))
+	require.Equal(t, []job.Action{job.Free{Task: "d.r.j.0"}}, j.Step(now, job.Placed{Task: "d.r.j.0", Worker: "w1"}))
 }
 
 // A row's own bug fails every task. The job must come to an end instead of
@@ -63,7 +63,7 @@
 func TestJobEndsWithItsLastTask(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
-	j.Step(now, job.Put{Task: "d.r.j.0", Worker: "w1"})
+	j.Step(now, job.Placed{Task: "d.r.j.0", Worker: "w1"})
 	j.Step(now, job.Seen{Worker: "w1", Clock: now, Tasks: []job.Listed{{ID: "d.r.j.0", State: "ended"}}})
 	require.Equal(t, "ended", state(t, j))
 }
--- a/internal/job/messages.go
+++ b/internal/job/messages.go
@@ -28,8 +28,8 @@
 // Cancel asks that a job stops.
 type Cancel struct{ ID string }
 
-// Put tells that a task got room on a worker.
-type Put struct{ Task, Worker string }
+// Placed tells that a task got room on a worker.
+type Placed struct{ Task, Worker string }
 
 // Started tells that a worker confirmed a start. Attempt is that of the start: an
 // answer may come after the task has left the worker, and says nothing of its next start.
@@ -100,7 +100,7 @@
 
 func (Submit) event()     {}
 func (Cancel) event()     {}
-func (Put) event()        {}
+func (Placed) event()     {}
 func (Started) event()    {}
 func (NotStarted) event() {}
 func (Unsure) event()     {}
--- a/internal/job/stale_test.go
+++ b/internal/job/stale_test.go
@@ -12,7 +12,7 @@
 // startOf puts a task on a worker and returns the start that is sent for it.
 func startOf(t *testing.T, j *job.Jobs, task, worker string) job.Start {
 	t.Helper()
-	starts := only[job.Start](j.Step(now, job.Put{Task: task, Worker: worker}))
+	starts := only[job.Start](j.Step(now, job.Placed{Task: task, Worker: worker}))
 	require.Len(t, starts, 1)
 	return starts[0]
 }
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -23,7 +23,7 @@
 		switch a := a.(type) {
 		case place.Put:
 			if l.Placer.Holds(a.Task, a.Worker) {
-				l.job(job.Put{Task: a.Task, Worker: a.Worker})
+				l.job(job.Placed{Task: a.Task, Worker: a.Worker})
 			}
 		case place.Preempt:
 			l.preempt(a)
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -275,7 +275,7 @@
 		task := h.queue[0]
 		h.queue = h.queue[1:]
 		room[task] = true
-		w.job(h, job.Put{Task: task, Worker: name})
+		w.job(h, job.Placed{Task: task, Worker: name})
 	}
 }
 
