--- a/internal/job/inherit_test.go
+++ b/internal/job/inherit_test.go
@@ -152,7 +152,7 @@
 func TestTasksOfASilentWorkerAreStartedElsewhere(t *testing.T) {
 	j := started(1)
 	require.Equal(t, []string{"w1"}, j.Places())
-	require.Len(t, only[job.Want](j.Step(now, job.Seen{Worker: "w1", Gone: true})), 1)
+	require.Len(t, only[job.Want](j.Step(now, job.Seen{Worker: "w1", LeasesExpired: true})), 1)
 }
 
 // A host leads jobs for weeks. It must not remember every task that ever ran.
--- a/internal/job/messages.go
+++ b/internal/job/messages.go
@@ -69,9 +69,9 @@
 	Tasks  []Listed
 	// Jobs are those that the list is about; nil: all.
 	Jobs []string
-	// Gone tells that the worker was silent for longer than any lease runs,
+	// LeasesExpired tells that the worker was silent for longer than any lease runs,
 	// so that nothing runs there.
-	Gone bool
+	LeasesExpired bool
 	// Life names the worker's life, from its start to its end; empty: not told.
 	Life string
 	// RackLost tells that all workers of its rack began their lives at about the same time.
--- a/internal/job/seen.go
+++ b/internal/job/seen.go
@@ -64,7 +64,7 @@
 // or could no longer be carried out.
 func (t *task) landed(ev Seen) bool {
 	switch {
-	case ev.Gone:
+	case ev.LeasesExpired:
 		return true
 	case t.state == "starting":
 		return false
@@ -173,7 +173,7 @@
 	if t.blamed && t.state != "stopping" {
 		return j.crashed(now, t)
 	}
-	if ev.Gone && t.state != "stopping" && t.life != "" && !t.proven(now) {
+	if ev.LeasesExpired && t.state != "stopping" && t.life != "" && !t.proven(now) {
 		j.goneFrom(t, ev.Worker)
 	}
 	switch t.state {
