--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -104,10 +104,10 @@
 // judge notes under which tasks a worker's former life ended. What ended it is not known: of
 // several tasks only those are blamed under which the most lives ended before.
 func (j *Jobs) judge(ev Seen, listed map[string]bool) []Action {
-	if ev.Life == "" || ev.Sent.Before(j.lives[ev.Worker].sent) {
+	if ev.Incarnation == "" || ev.Sent.Before(j.lives[ev.Worker].sent) {
 		return nil
 	}
-	j.lives[ev.Worker] = life{name: ev.Life, sent: ev.Sent}
+	j.lives[ev.Worker] = life{name: ev.Incarnation, sent: ev.Sent}
 	under, late := j.under(ev, listed), j.late(ev)
 	most := int64(0)
 	for _, t := range slices.Concat(under, late) {
@@ -155,7 +155,7 @@
 	}
 	var late []*task
 	for _, p := range j.away[ev.Worker] {
-		if t, ok := j.tasks[p.task]; ok && p.life != ev.Life && !taskLife.Final(t.state) {
+		if t, ok := j.tasks[p.task]; ok && p.life != ev.Incarnation && !taskLife.Final(t.state) {
 			late = append(late, t)
 		}
 	}
@@ -187,13 +187,13 @@
 		if !t.since.Before(ev.Sent) || ev.Jobs != nil && !slices.Contains(ev.Jobs, t.job.spec.ID) {
 			continue
 		}
-		if t.life != "" && t.life != ev.Life && !listed[id] && !taskLife.Final(t.state) {
+		if t.life != "" && t.life != ev.Incarnation && !listed[id] && !taskLife.Final(t.state) {
 			under = append(under, t)
 		}
-		t.life = ev.Life
+		t.life = ev.Incarnation
 	}
 	for _, t := range j.backAt(ev) {
-		if t.worker == "" && t.job.census && !listed[t.id] && t.former.life != ev.Life {
+		if t.worker == "" && t.job.census && !listed[t.id] && t.former.life != ev.Incarnation {
 			under = append(under, t)
 		}
 	}
--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -12,7 +12,7 @@
 // inLife is a worker's list in one of its lives.
 func inLife(worker, life string, sent time.Time, tasks ...job.Listed) job.Seen {
 	ev := seen(worker, sent, tasks...)
-	ev.Life = life
+	ev.Incarnation = life
 	return ev
 }
 
--- a/internal/job/messages.go
+++ b/internal/job/messages.go
@@ -72,8 +72,8 @@
 	// LeasesExpired tells that the worker was silent for longer than any lease runs,
 	// so that nothing runs there.
 	LeasesExpired bool
-	// Life names the worker's life, from its start to its end; empty: not told.
-	Life string
+	// Incarnation names the worker's life, from its start to its end; empty: not told.
+	Incarnation string
 	// RackLost tells that all workers of its rack began their lives at about the same time.
 	RackLost bool
 }
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -345,11 +345,11 @@
 }
 
 func (l *Lead) seen(name string, r lease.Reading) {
-	ev := job.Seen{Worker: name, Clock: r.Clock, Sent: r.Sent, Life: r.Life}
+	ev := job.Seen{Worker: name, Clock: r.Clock, Sent: r.Sent, Incarnation: r.Life}
 	var wait bool
 	if ev.RackLost, wait = l.rackLost(name, r); wait {
 		// What is listed runs, whatever became of the rest. A census may rest on it now.
-		ev.Life, ev.Jobs = "", []string{}
+		ev.Incarnation, ev.Jobs = "", []string{}
 	}
 	for _, t := range r.Tasks {
 		ev.Tasks = append(ev.Tasks, job.Listed{ID: t.ID, State: t.State, Lease: t.Lease})
