--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -85,7 +85,7 @@
 }
 
 // backAt takes out the recalled tasks that were on a worker of which a list came.
-func (j *Jobs) backAt(ev Seen) []*task {
+func (j *Jobs) backAt(ev WorkerList) []*task {
 	var back, rest []*task
 	for _, t := range j.recalled[ev.Worker] {
 		if ev.Jobs == nil || slices.Contains(ev.Jobs, t.job.spec.ID) {
@@ -103,7 +103,7 @@
 
 // judge notes under which tasks a worker's former life ended. What ended it is not known: of
 // several tasks only those are blamed under which the most lives ended before.
-func (j *Jobs) judge(ev Seen, listed map[string]bool) []Action {
+func (j *Jobs) judge(ev WorkerList, listed map[string]bool) []Action {
 	if ev.Incarnation == "" || ev.Sent.Before(j.lives[ev.Worker].sent) {
 		return nil
 	}
@@ -140,7 +140,7 @@
 	j.away[worker] = append(j.away[worker], place{task: t.id, life: t.life})
 }
 
-func (t *task) spare(ev Seen) bool {
+func (t *task) spare(ev WorkerList) bool {
 	if !ev.RackLost || t.spared >= sparedMost {
 		return false
 	}
@@ -149,7 +149,7 @@
 }
 
 // late are the tasks that were on a worker when it fell silent, if it has another life since.
-func (j *Jobs) late(ev Seen) []*task {
+func (j *Jobs) late(ev WorkerList) []*task {
 	if ev.Jobs != nil {
 		return nil
 	}
@@ -180,7 +180,7 @@
 }
 
 // under are the tasks that were on a worker in an earlier life than the one that its list is from.
-func (j *Jobs) under(ev Seen, listed map[string]bool) []*task {
+func (j *Jobs) under(ev WorkerList, listed map[string]bool) []*task {
 	var under []*task
 	for _, id := range slices.Sorted(maps.Keys(j.on[ev.Worker])) {
 		t := j.tasks[id]
--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -10,7 +10,7 @@
 )
 
 // inLife is a worker's list in one of its lives.
-func inLife(worker, life string, sent time.Time, tasks ...job.Listed) job.Seen {
+func inLife(worker, life string, sent time.Time, tasks ...job.Listed) job.WorkerList {
 	ev := seen(worker, sent, tasks...)
 	ev.Incarnation = life
 	return ev
@@ -82,7 +82,7 @@
 		},
 		"the worker is silent": func(j *job.Jobs, a job.Start) []job.Action {
 			j.Step(now, job.Started{Task: a.Task, Attempt: a.Attempt})
-			return j.Step(later, job.Seen{Worker: "w1", LeasesExpired: true})
+			return j.Step(later, job.WorkerList{Worker: "w1", LeasesExpired: true})
 		},
 		"the start arrived in the next life": func(j *job.Jobs, a job.Start) []job.Action {
 			j.Step(now, job.Unsure{Task: a.Task, Attempt: a.Attempt, Deadline: now})
@@ -184,7 +184,7 @@
 		j.Step(now, inLife("w1", "1", now))
 		confirm(j, "d.r.j.0", "w1")
 		later := now.Add(time.Minute)
-		require.Len(t, only[job.Want](j.Step(later, job.Seen{Worker: "w1", LeasesExpired: true})), 1)
+		require.Len(t, only[job.Want](j.Step(later, job.WorkerList{Worker: "w1", LeasesExpired: true})), 1)
 		acts := j.Step(later, inLife("w1", life, later))
 		require.Equal(t, want, lives(acts))
 		require.Len(t, only[job.Free](acts), int(want), "it waits until the crash is stored")
--- a/internal/job/inherit_test.go
+++ b/internal/job/inherit_test.go
@@ -19,8 +19,8 @@
 	return found
 }
 
-func seen(worker string, sent time.Time, tasks ...job.Listed) job.Seen {
-	return job.Seen{Worker: worker, Clock: sent, Sent: sent, Tasks: tasks}
+func seen(worker string, sent time.Time, tasks ...job.Listed) job.WorkerList {
+	return job.WorkerList{Worker: worker, Clock: sent, Sent: sent, Tasks: tasks}
 }
 
 func listed(id, state string) job.Listed { return job.Listed{ID: id, State: state, Lease: "l-" + id} }
@@ -152,7 +152,7 @@
 func TestTasksOfASilentWorkerAreStartedElsewhere(t *testing.T) {
 	j := started(1)
 	require.Equal(t, []string{"w1"}, j.Places())
-	require.Len(t, only[job.Want](j.Step(now, job.Seen{Worker: "w1", LeasesExpired: true})), 1)
+	require.Len(t, only[job.Want](j.Step(now, job.WorkerList{Worker: "w1", LeasesExpired: true})), 1)
 }
 
 // A host leads jobs for weeks. It must not remember every task that ever ran.
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -153,7 +153,7 @@
 		return j.answered(ev.Task, ev.Attempt, func() []Action { return j.stopped(ev.Task) })
 	case Preempt:
 		return j.pause(ev.Task)
-	case Seen:
+	case WorkerList:
 		return j.seen(now, ev)
 	case Noted:
 		return j.notedLives(ev)
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -30,8 +30,8 @@
 	j.Step(now, job.Submit{Spec: spec(1)})
 	start := startOf(t, j, "d.r.j.0", "w1")
 	require.Empty(t, j.Step(now, job.Unsure{Task: "d.r.j.0", Attempt: start.Attempt, Deadline: now.Add(time.Second)}))
-	require.Empty(t, j.Step(now, job.Seen{Worker: "w1", Clock: now}))
-	acts := j.Step(now, job.Seen{Worker: "w1", Clock: now.Add(2 * time.Second)})
+	require.Empty(t, j.Step(now, job.WorkerList{Worker: "w1", Clock: now}))
+	acts := j.Step(now, job.WorkerList{Worker: "w1", Clock: now.Add(2 * time.Second)})
 	require.IsType(t, job.Want{}, acts[1])
 }
 
@@ -64,7 +64,7 @@
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
 	j.Step(now, job.Placed{Task: "d.r.j.0", Worker: "w1"})
-	j.Step(now, job.Seen{Worker: "w1", Clock: now, Tasks: []job.Listed{{ID: "d.r.j.0", State: "ended"}}})
+	j.Step(now, job.WorkerList{Worker: "w1", Clock: now, Tasks: []job.Listed{{ID: "d.r.j.0", State: "ended"}}})
 	require.Equal(t, "ended", state(t, j))
 }
 
--- a/internal/job/messages.go
+++ b/internal/job/messages.go
@@ -60,9 +60,9 @@
 	Attempt int64
 }
 
-// Seen is all that one worker lists, at Clock in its own time. Sent is when
+// WorkerList is all that one worker lists, at Clock in its own time. Sent is when
 // it was asked, by this host's clock.
-type Seen struct {
+type WorkerList struct {
 	Worker string
 	Clock  time.Time
 	Sent   time.Time
@@ -105,7 +105,7 @@
 func (NotStarted) event() {}
 func (Unsure) event()     {}
 func (Stopped) event()    {}
-func (Seen) event()       {}
+func (WorkerList) event() {}
 func (Preempt) event()    {}
 func (Noted) event()      {}
 func (Tick) event()       {}
--- a/internal/job/seen.go
+++ b/internal/job/seen.go
@@ -8,7 +8,7 @@
 	"pollencroft/internal/chart"
 )
 
-func (j *Jobs) seen(now time.Time, ev Seen) []Action {
+func (j *Jobs) seen(now time.Time, ev WorkerList) []Action {
 	var acts []Action
 	listed := map[string]bool{}
 	for _, l := range ev.Tasks {
@@ -28,7 +28,7 @@
 
 // read takes one line of a worker's list. A line of a job that is not known
 // here changes nothing: its lead may be about to learn how the task ended.
-func (j *Jobs) read(now time.Time, ev Seen, l Listed) []Action {
+func (j *Jobs) read(now time.Time, ev WorkerList, l Listed) []Action {
 	t, ok := j.tasks[l.ID]
 	if !ok {
 		return nil
@@ -49,7 +49,7 @@
 // ofFormer tells whether a line may be about an earlier start of the task on the same worker,
 // which lists that one until the next start lands. Taken for the next one's end, it would have
 // the task started elsewhere while its start is under way.
-func (j *Jobs) ofFormer(t *task, ev Seen, l Listed) bool {
+func (j *Jobs) ofFormer(t *task, ev WorkerList, l Listed) bool {
 	switch l.State {
 	case workerEnded:
 		return false
@@ -62,7 +62,7 @@
 
 // landed tells that a list is from a time when the task's last start had arrived at the worker
 // or could no longer be carried out.
-func (t *task) landed(ev Seen) bool {
+func (t *task) landed(ev WorkerList) bool {
 	switch {
 	case ev.LeasesExpired:
 		return true
@@ -166,7 +166,7 @@
 // still be on its way until its deadline has passed in the worker's clock. A
 // list that was asked for before a start was confirmed says nothing of it:
 // without this rule the task would be started a second time beside the first.
-func (j *Jobs) missing(now time.Time, t *task, ev Seen) []Action {
+func (j *Jobs) missing(now time.Time, t *task, ev WorkerList) []Action {
 	if !t.landed(ev) {
 		return nil
 	}
--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -141,7 +141,7 @@
 		}
 		ev.Workers = append(ev.Workers, v.Worker)
 		l.toldElsewhere(v.Worker, q.Keys, v.Counted)
-		l.job(job.Seen{Worker: v.Worker, Clock: v.Clock, Sent: q.Asked.Add(-v.Age), Tasks: v.Tasks, Jobs: q.Jobs, Incarnation: v.Life})
+		l.job(job.WorkerList{Worker: v.Worker, Clock: v.Clock, Sent: q.Asked.Add(-v.Age), Tasks: v.Tasks, Jobs: q.Jobs, Incarnation: v.Life})
 	}
 	l.takeover(ev)
 }
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -211,7 +211,7 @@
 			l.Log.Warn("lead: worker is silent for longer than any lease.", "worker", a.Worker)
 			l.Count("lead.silent")
 			delete(l.elsewhere, a.Worker)
-			l.job(job.Seen{Worker: a.Worker, LeasesExpired: true})
+			l.job(job.WorkerList{Worker: a.Worker, LeasesExpired: true})
 		}
 	}
 }
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -209,7 +209,7 @@
 }
 
 func (w *World) seen(h *host, name string, r lease.Reading) {
-	ev := job.Seen{Worker: name, Clock: r.Clock, Sent: r.Sent}
+	ev := job.WorkerList{Worker: name, Clock: r.Clock, Sent: r.Sent}
 	listed := map[string]bool{}
 	for _, t := range r.Tasks {
 		listed[t.ID] = true
