--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -10,7 +10,7 @@
 )
 
 // inLife is a worker's list in one of its lives.
-func inLife(worker, life string, sent time.Time, tasks ...job.Listed) job.WorkerList {
+func inLife(worker, life string, sent time.Time, tasks ...job.ListedTask) job.WorkerList {
 	ev := seen(worker, sent, tasks...)
 	ev.Incarnation = life
 	return ev
--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -113,7 +113,7 @@
 
 // found takes the first sight of an inherited task. An older try that failed
 // or lapsed says nothing of a newer one that may run elsewhere.
-func (j *Jobs) found(now time.Time, t *task, worker string, l Listed) []Action {
+func (j *Jobs) found(now time.Time, t *task, worker string, l ListedTask) []Action {
 	if l.State != workerRunning && l.State != workerEnded {
 		return []Action{Forget{Task: l.ID, Worker: worker, Lease: l.Lease}}
 	}
--- a/internal/job/inherit_test.go
+++ b/internal/job/inherit_test.go
@@ -19,11 +19,13 @@
 	return found
 }
 
-func seen(worker string, sent time.Time, tasks ...job.Listed) job.WorkerList {
+func seen(worker string, sent time.Time, tasks ...job.ListedTask) job.WorkerList {
 	return job.WorkerList{Worker: worker, Clock: sent, Sent: sent, Tasks: tasks}
 }
 
-func listed(id, state string) job.Listed { return job.Listed{ID: id, State: state, Lease: "l-" + id} }
+func listed(id, state string) job.ListedTask {
+	return job.ListedTask{ID: id, State: state, Lease: "l-" + id}
+}
 
 // confirm puts a task on a worker, which confirms the start.
 func confirm(j *job.Jobs, task, worker string) {
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -64,7 +64,7 @@
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
 	j.Step(now, job.Placed{Task: "d.r.j.0", Worker: "w1"})
-	j.Step(now, job.WorkerList{Worker: "w1", Clock: now, Tasks: []job.Listed{{ID: "d.r.j.0", State: "ended"}}})
+	j.Step(now, job.WorkerList{Worker: "w1", Clock: now, Tasks: []job.ListedTask{{ID: "d.r.j.0", State: "ended"}}})
 	require.Equal(t, "ended", state(t, j))
 }
 
--- a/internal/job/messages.go
+++ b/internal/job/messages.go
@@ -66,7 +66,7 @@
 	Worker string
 	Clock  time.Time
 	Sent   time.Time
-	Tasks  []Listed
+	Tasks  []ListedTask
 	// Jobs are those that the list is about; nil: all.
 	Jobs []string
 	// LeasesExpired tells that the worker was silent for longer than any lease runs,
@@ -84,8 +84,8 @@
 	Lives int64
 }
 
-// Listed is one task in a worker's list. Lease names the start.
-type Listed struct {
+// ListedTask is one task in a worker's list. Lease names the start.
+type ListedTask struct {
 	ID    string `json:"id"`
 	State string `json:"state"`
 	Lease string `json:"lease,omitempty"`
--- a/internal/job/seen.go
+++ b/internal/job/seen.go
@@ -28,7 +28,7 @@
 
 // read takes one line of a worker's list. A line of a job that is not known
 // here changes nothing: its lead may be about to learn how the task ended.
-func (j *Jobs) read(now time.Time, ev WorkerList, l Listed) []Action {
+func (j *Jobs) read(now time.Time, ev WorkerList, l ListedTask) []Action {
 	t, ok := j.tasks[l.ID]
 	if !ok {
 		return nil
@@ -49,7 +49,7 @@
 // ofFormer tells whether a line may be about an earlier start of the task on the same worker,
 // which lists that one until the next start lands. Taken for the next one's end, it would have
 // the task started elsewhere while its start is under way.
-func (j *Jobs) ofFormer(t *task, ev WorkerList, l Listed) bool {
+func (j *Jobs) ofFormer(t *task, ev WorkerList, l ListedTask) bool {
 	switch l.State {
 	case workerEnded:
 		return false
@@ -76,14 +76,14 @@
 }
 
 // other takes a line about a task that is elsewhere by now: a former try.
-func (j *Jobs) other(t *task, worker string, l Listed) []Action {
+func (j *Jobs) other(t *task, worker string, l ListedTask) []Action {
 	if l.State == workerRunning || l.State == workerEnded && !t.job.kept {
 		return nil
 	}
 	return []Action{Forget{Task: l.ID, Worker: worker, Lease: l.Lease}}
 }
 
-func (j *Jobs) listed(now time.Time, t *task, l Listed) []Action {
+func (j *Jobs) listed(now time.Time, t *task, l ListedTask) []Action {
 	switch l.State {
 	case workerRunning:
 		if t.state == "stopping" {
--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -18,7 +18,7 @@
 	Age time.Duration
 	// Life names the worker's life.
 	Life  string
-	Tasks []job.Listed
+	Tasks []job.ListedTask
 	// Counted are the running tasks of the keys that were asked for.
 	Counted []Counted
 }
@@ -89,7 +89,7 @@
 	v := View{Worker: name, Clock: r.Clock, Age: l.Clock().Sub(r.Sent), Life: r.Life}
 	for _, t := range r.Tasks {
 		if slices.Contains(q.Jobs, t.Job) {
-			v.Tasks = append(v.Tasks, job.Listed{ID: t.ID, State: t.State, Lease: t.Lease})
+			v.Tasks = append(v.Tasks, job.ListedTask{ID: t.ID, State: t.State, Lease: t.Lease})
 		}
 		if len(q.Keys) > 0 && t.State == "running" && slices.Contains(q.Keys, l.keyOf(t.Row)) {
 			v.Counted = append(v.Counted, Counted{Row: t.Row, Size: roomOf(t)})
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -352,7 +352,7 @@
 		ev.Incarnation, ev.Jobs = "", []string{}
 	}
 	for _, t := range r.Tasks {
-		ev.Tasks = append(ev.Tasks, job.Listed{ID: t.ID, State: t.State, Lease: t.Lease})
+		ev.Tasks = append(ev.Tasks, job.ListedTask{ID: t.ID, State: t.State, Lease: t.Lease})
 	}
 	l.job(ev)
 	l.clean(name, r)
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -213,7 +213,7 @@
 	listed := map[string]bool{}
 	for _, t := range r.Tasks {
 		listed[t.ID] = true
-		ev.Tasks = append(ev.Tasks, job.Listed{ID: t.ID, State: t.State, Lease: t.Lease})
+		ev.Tasks = append(ev.Tasks, job.ListedTask{ID: t.ID, State: t.State, Lease: t.Lease})
 		h.room[name][t.ID] = true
 	}
 	w.job(h, ev)
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -143,8 +143,8 @@
 	Clock time.Time     `json:"clock"`
 	Age   cell.Duration `json:"age"`
 	// Life names the worker's life.
-	Life  string       `json:"life,omitempty"`
-	Tasks []job.Listed `json:"tasks,omitempty"`
+	Life  string           `json:"life,omitempty"`
+	Tasks []job.ListedTask `json:"tasks,omitempty"`
 	// Counted are the running tasks of the asked keys.
 	Counted []CountedTask `json:"counted,omitempty"`
 }
