--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -244,10 +244,10 @@
 // notedLives asks for room for a task that waited for its count to be stored.
 func (j *Jobs) notedLives(ev Noted) []Action {
 	t, ok := j.tasks[ev.Task]
-	if !ok || t.noted >= t.lives || ev.Lives < t.lives {
+	if !ok || t.noted >= t.lives || ev.Crashes < t.lives {
 		return nil
 	}
-	t.noted = ev.Lives
+	t.noted = ev.Crashes
 	if t.state != "waiting" || t.job.census {
 		return nil
 	}
--- a/internal/job/messages.go
+++ b/internal/job/messages.go
@@ -80,8 +80,8 @@
 
 // Noted tells that a count of Crashed is stored.
 type Noted struct {
-	Task  string
-	Lives int64
+	Task    string
+	Crashes int64
 }
 
 // ListedTask is one task in a worker's list. Lease names the start.
