--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -242,7 +242,7 @@
 }
 
 // notedLives asks for room for a task that waited for its count to be stored.
-func (j *Jobs) notedLives(ev Noted) []Action {
+func (j *Jobs) notedLives(ev CrashCountStored) []Action {
 	t, ok := j.tasks[ev.Task]
 	if !ok || t.noted >= t.lives || ev.Crashes < t.lives {
 		return nil
--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -40,8 +40,8 @@
 	acts := crash(j, "d.r.j.0", "w1", "1", "2", now)
 	require.Equal(t, int64(1), lives(acts))
 	require.Empty(t, only[job.Want](acts))
-	require.Len(t, only[job.Want](j.Step(now, job.Noted{Task: "d.r.j.0", Crashes: 1})), 1)
-	require.Empty(t, only[job.Want](j.Step(now, job.Noted{Task: "d.r.j.0", Crashes: 1})), "once is enough")
+	require.Len(t, only[job.Want](j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), 1)
+	require.Empty(t, only[job.Want](j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), "once is enough")
 }
 
 // Guards against a task that crashes its workers again and again beside others.
@@ -50,7 +50,7 @@
 	j.Step(now, job.Submit{Spec: spec(2)})
 	for n, worker := range []string{"w1", "w2"} {
 		require.Equal(t, int64(n+1), lives(crash(j, "d.r.j.0", worker, "1", "2", now)))
-		want := only[job.Want](j.Step(now, job.Noted{Task: "d.r.j.0", Crashes: int64(n + 1)}))
+		want := only[job.Want](j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: int64(n + 1)}))
 		require.Equal(t, n == 1, want[0].Apart)
 	}
 	acts := crash(j, "d.r.j.0", "w3", "1", "2", now)
@@ -117,7 +117,7 @@
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(2)})
 	crash(j, "d.r.j.0", "w1", "1", "2", now)
-	j.Step(now, job.Noted{Task: "d.r.j.0", Crashes: 1})
+	j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})
 	confirm(j, "d.r.j.0", "w1")
 	confirm(j, "d.r.j.1", "w1")
 	acts := j.Step(now, inLife("w1", "3", now.Add(2*time.Second)))
@@ -167,7 +167,7 @@
 			for n := range int64(3) {
 				require.Equal(t, n+1, lives(crash(j, "d.r.j.0", "w1", "1", "2", now)))
 				if n < 2 {
-					j.Step(now, job.Noted{Task: "d.r.j.0", Crashes: n + 1})
+					j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: n + 1})
 					j = next(j, n+1)
 				}
 			}
@@ -188,7 +188,7 @@
 		acts := j.Step(later, inLife("w1", life, later))
 		require.Equal(t, want, lives(acts))
 		require.Len(t, only[job.Free](acts), int(want), "it waits until the crash is stored")
-		require.Len(t, only[job.Want](j.Step(later, job.Noted{Task: "d.r.j.0", Crashes: 1})), int(want))
+		require.Len(t, only[job.Want](j.Step(later, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), int(want))
 	}
 }
 
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -155,7 +155,7 @@
 		return j.pause(ev.Task)
 	case WorkerList:
 		return j.seen(now, ev)
-	case Noted:
+	case CrashCountStored:
 		return j.notedLives(ev)
 	default:
 		return j.change(now, ev)
--- a/internal/job/messages.go
+++ b/internal/job/messages.go
@@ -78,8 +78,8 @@
 	RackLost bool
 }
 
-// Noted tells that a count of Crashed is stored.
-type Noted struct {
+// CrashCountStored tells that a count of Crashed is stored.
+type CrashCountStored struct {
 	Task    string
 	Crashes int64
 }
@@ -98,17 +98,17 @@
 // Tick lets time pass.
 type Tick struct{}
 
-func (Submit) event()     {}
-func (Cancel) event()     {}
-func (Placed) event()     {}
-func (Started) event()    {}
-func (NotStarted) event() {}
-func (Unsure) event()     {}
-func (Stopped) event()    {}
-func (WorkerList) event() {}
-func (Preempt) event()    {}
-func (Noted) event()      {}
-func (Tick) event()       {}
+func (Submit) event()           {}
+func (Cancel) event()           {}
+func (Placed) event()           {}
+func (Started) event()          {}
+func (NotStarted) event()       {}
+func (Unsure) event()           {}
+func (Stopped) event()          {}
+func (WorkerList) event()       {}
+func (Preempt) event()          {}
+func (CrashCountStored) event() {}
+func (Tick) event()             {}
 
 // Action is what the job core asks its edge to do.
 type Action interface{ action() }
--- a/internal/lead/crash.go
+++ b/internal/lead/crash.go
@@ -15,7 +15,7 @@
 	switch {
 	case !ok:
 	case l.Crashed == nil:
-		l.job(job.Noted{Task: a.Task, Crashes: a.Lives})
+		l.job(job.CrashCountStored{Task: a.Task, Crashes: a.Lives})
 	default:
 		l.Crashed(spec, a.Task, a.Lives)
 	}
@@ -25,7 +25,7 @@
 func (l *Lead) Noted(task string, lives int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.job(job.Noted{Task: task, Crashes: lives})
+	l.job(job.CrashCountStored{Task: task, Crashes: lives})
 }
 
 func (l *Lead) livesOf(id string) map[string]int64 {
