--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -202,7 +202,7 @@
 
 func (t *task) count(worker string) Crashed {
 	t.lives++
-	return Crashed{Job: t.job.spec.ID, Task: t.id, Worker: worker, Lives: t.lives}
+	return Crashed{Job: t.job.spec.ID, Task: t.id, Worker: worker, Crashes: t.lives}
 }
 
 // crashed counts a life that ended under a task, which certainly runs no more.
--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -28,7 +28,7 @@
 func lives(acts []job.Action) int64 {
 	n := int64(0)
 	for _, a := range only[job.Crashed](acts) {
-		n = max(n, a.Lives)
+		n = max(n, a.Crashes)
 	}
 	return n
 }
@@ -121,7 +121,7 @@
 	confirm(j, "d.r.j.0", "w1")
 	confirm(j, "d.r.j.1", "w1")
 	acts := j.Step(now, inLife("w1", "3", now.Add(2*time.Second)))
-	require.Equal(t, []job.Crashed{{Job: "d.r.j", Task: "d.r.j.0", Worker: "w1", Lives: 2}}, only[job.Crashed](acts))
+	require.Equal(t, []job.Crashed{{Job: "d.r.j", Task: "d.r.j.0", Worker: "w1", Crashes: 2}}, only[job.Crashed](acts))
 	require.Equal(t, []string{"d.r.j.1"}, only[job.Want](acts)[0].Tasks)
 }
 
--- a/internal/job/messages.go
+++ b/internal/job/messages.go
@@ -131,7 +131,7 @@
 // again before Noted.
 type Crashed struct {
 	Job, Task, Worker string
-	Lives             int64
+	Crashes           int64
 }
 
 // Pause asks a worker to checkpoint a task and then to stop it.
--- a/internal/lead/crash.go
+++ b/internal/lead/crash.go
@@ -9,15 +9,15 @@
 // crashed has the lives stored that ended under a task, before it is started again.
 func (l *Lead) crashed(a job.Crashed) {
 	l.Count("lead.crashed")
-	l.Log.Warn("lead: worker crashed while a task ran there.", "task", a.Task, "worker", a.Worker, "lives", a.Lives)
+	l.Log.Warn("lead: worker crashed while a task ran there.", "task", a.Task, "worker", a.Worker, "lives", a.Crashes)
 	l.note(a.Job, a.Worker+" crashed while "+a.Task+" ran there")
 	spec, ok := l.Jobs.Spec(a.Task)
 	switch {
 	case !ok:
 	case l.Crashed == nil:
-		l.job(job.CrashCountStored{Task: a.Task, Crashes: a.Lives})
+		l.job(job.CrashCountStored{Task: a.Task, Crashes: a.Crashes})
 	default:
-		l.Crashed(spec, a.Task, a.Lives)
+		l.Crashed(spec, a.Task, a.Crashes)
 	}
 }
 
