--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -200,9 +200,9 @@
 	return under
 }
 
-func (t *task) count(worker string) Crashed {
+func (t *task) count(worker string) StoreCrashCount {
 	t.lives++
-	return Crashed{Job: t.job.spec.ID, Task: t.id, Worker: worker, Crashes: t.lives}
+	return StoreCrashCount{Job: t.job.spec.ID, Task: t.id, Worker: worker, Crashes: t.lives}
 }
 
 // crashed counts a life that ended under a task, which certainly runs no more.
--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -27,7 +27,7 @@
 
 func lives(acts []job.Action) int64 {
 	n := int64(0)
-	for _, a := range only[job.Crashed](acts) {
+	for _, a := range only[job.StoreCrashCount](acts) {
 		n = max(n, a.Crashes)
 	}
 	return n
@@ -121,7 +121,7 @@
 	confirm(j, "d.r.j.0", "w1")
 	confirm(j, "d.r.j.1", "w1")
 	acts := j.Step(now, inLife("w1", "3", now.Add(2*time.Second)))
-	require.Equal(t, []job.Crashed{{Job: "d.r.j", Task: "d.r.j.0", Worker: "w1", Crashes: 2}}, only[job.Crashed](acts))
+	require.Equal(t, []job.StoreCrashCount{{Job: "d.r.j", Task: "d.r.j.0", Worker: "w1", Crashes: 2}}, only[job.StoreCrashCount](acts))
 	require.Equal(t, []string{"d.r.j.1"}, only[job.Want](acts)[0].Tasks)
 }
 
@@ -199,8 +199,8 @@
 	gang.Gang = true
 	last := func(acts []job.Action) {
 		t.Helper()
-		require.NotEmpty(t, only[job.Crashed](acts))
-		require.IsType(t, job.Crashed{}, acts[len(acts)-1])
+		require.NotEmpty(t, only[job.StoreCrashCount](acts))
+		require.IsType(t, job.StoreCrashCount{}, acts[len(acts)-1])
 	}
 	j := job.New()
 	j.Step(now, job.Submit{Spec: gang})
--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -238,7 +238,7 @@
 		t.avoid, t.failed, t.back = ct.Avoid, ct.Failed, ct.Back
 		delete(j.former, t.id)
 		if t.lives > t.noted {
-			crashed = append(crashed, Crashed{Job: jb.spec.ID, Task: t.id, Crashes: t.lives})
+			crashed = append(crashed, StoreCrashCount{Job: jb.spec.ID, Task: t.id, Crashes: t.lives})
 		}
 		switch t.state {
 		case "waiting":
--- a/internal/job/messages.go
+++ b/internal/job/messages.go
@@ -127,9 +127,9 @@
 	Apart bool
 }
 
-// Crashed asks to store how many lives of workers ended under a task. The task is not wanted
+// StoreCrashCount asks to store how many lives of workers ended under a task. The task is not wanted
 // again before Noted.
-type Crashed struct {
+type StoreCrashCount struct {
 	Job, Task, Worker string
 	Crashes           int64
 }
@@ -175,12 +175,12 @@
 	Reason string
 }
 
-func (Want) action()    {}
-func (Pause) action()   {}
-func (Result) action()  {}
-func (Start) action()   {}
-func (Stop) action()    {}
-func (Free) action()    {}
-func (Forget) action()  {}
-func (Ended) action()   {}
-func (Crashed) action() {}
+func (Want) action()            {}
+func (Pause) action()           {}
+func (Result) action()          {}
+func (Start) action()           {}
+func (Stop) action()            {}
+func (Free) action()            {}
+func (Forget) action()          {}
+func (Ended) action()           {}
+func (StoreCrashCount) action() {}
--- a/internal/lead/crash.go
+++ b/internal/lead/crash.go
@@ -7,7 +7,7 @@
 )
 
 // crashed has the lives stored that ended under a task, before it is started again.
-func (l *Lead) crashed(a job.Crashed) {
+func (l *Lead) crashed(a job.StoreCrashCount) {
 	l.Count("lead.crashed")
 	l.Log.Warn("lead: worker crashed while a task ran there.", "task", a.Task, "worker", a.Worker, "lives", a.Crashes)
 	l.note(a.Job, a.Worker+" crashed while "+a.Task+" ran there")
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -376,7 +376,7 @@
 			l.place(place.Freed{Task: a.Task})
 		case job.Forget:
 			l.forgetStart(a.Worker, a.Lease)
-		case job.Crashed:
+		case job.StoreCrashCount:
 			l.crashed(a)
 		case job.Ended:
 			l.note(a.ID, "ended as "+a.State)
