--- a/internal/job/retry.go
+++ b/internal/job/retry.go
@@ -105,7 +105,7 @@
 func (t *task) want() Want {
 	return Want{
 		Spec: t.job.spec, Tasks: []string{t.id}, Since: t.job.began, Apart: t.apart(),
-		Avoid: slices.Clone(t.avoid), Failed: t.failed, Back: t.back,
+		Avoid: slices.Clone(t.avoid), LastFailure: t.failed, Back: t.back,
 	}
 }
 
@@ -136,7 +136,7 @@
 			acts = append(acts, Free{Task: o.id})
 			want.Tasks = append(want.Tasks, o.id)
 			want.Avoid = append(want.Avoid, o.avoid...)
-			want.Failed = slices.MaxFunc([]time.Time{want.Failed, o.failed}, time.Time.Compare)
+			want.LastFailure = slices.MaxFunc([]time.Time{want.LastFailure, o.failed}, time.Time.Compare)
 			want.Back = slices.MaxFunc([]time.Time{want.Back, o.back}, time.Time.Compare)
 			want.Apart = want.Apart || o.apart()
 			whole = whole && o.lives == o.noted
