--- a/internal/job/messages.go
+++ b/internal/job/messages.go
@@ -121,8 +121,8 @@
 	Since time.Time
 	// Avoid are workers that these tasks have failed on, the last time at Failed. They go back to
 	// one of them at Back, or sooner if it has run another task well since.
-	Avoid             []string
-	LastFailure, Back time.Time
+	Avoid                   []string
+	LastFailure, AvoidUntil time.Time
 	// Apart asks for workers on which nothing else runs.
 	Apart bool
 }
--- a/internal/job/retry.go
+++ b/internal/job/retry.go
@@ -105,7 +105,7 @@
 func (t *task) want() Want {
 	return Want{
 		Spec: t.job.spec, Tasks: []string{t.id}, Since: t.job.began, Apart: t.apart(),
-		Avoid: slices.Clone(t.avoid), LastFailure: t.failed, Back: t.back,
+		Avoid: slices.Clone(t.avoid), LastFailure: t.failed, AvoidUntil: t.back,
 	}
 }
 
@@ -137,7 +137,7 @@
 			want.Tasks = append(want.Tasks, o.id)
 			want.Avoid = append(want.Avoid, o.avoid...)
 			want.LastFailure = slices.MaxFunc([]time.Time{want.LastFailure, o.failed}, time.Time.Compare)
-			want.Back = slices.MaxFunc([]time.Time{want.Back, o.back}, time.Time.Compare)
+			want.AvoidUntil = slices.MaxFunc([]time.Time{want.AvoidUntil, o.back}, time.Time.Compare)
 			want.Apart = want.Apart || o.apart()
 			whole = whole && o.lives == o.noted
 		default:
