--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -51,7 +51,7 @@
 	for n, worker := range []string{"w1", "w2"} {
 		require.Equal(t, int64(n+1), lives(crash(j, "d.r.j.0", worker, "1", "2", now)))
 		want := only[job.Want](j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: int64(n + 1)}))
-		require.Equal(t, n == 1, want[0].Apart)
+		require.Equal(t, n == 1, want[0].Exclusive)
 	}
 	acts := crash(j, "d.r.j.0", "w3", "1", "2", now)
 	ended := only[job.Ended](acts)
@@ -135,7 +135,7 @@
 		later := now.Add(2 * time.Hour)
 		acts := j.Step(later, inLife("w1", "2", later))
 		require.Zero(t, lives(acts))
-		require.False(t, only[job.Want](acts)[0].Apart)
+		require.False(t, only[job.Want](acts)[0].Exclusive)
 		j = moved(t, j)
 	}
 }
--- a/internal/job/messages.go
+++ b/internal/job/messages.go
@@ -123,8 +123,8 @@
 	// one of them at Back, or sooner if it has run another task well since.
 	Avoid                   []string
 	LastFailure, AvoidUntil time.Time
-	// Apart asks for workers on which nothing else runs.
-	Apart bool
+	// Exclusive asks for workers on which nothing else runs.
+	Exclusive bool
 }
 
 // StoreCrashCount asks to store how many lives of workers ended under a task. The task is not wanted
--- a/internal/job/retry.go
+++ b/internal/job/retry.go
@@ -104,7 +104,7 @@
 // want asks for room for a task that is not one of a gang.
 func (t *task) want() Want {
 	return Want{
-		Spec: t.job.spec, Tasks: []string{t.id}, Since: t.job.began, Apart: t.apart(),
+		Spec: t.job.spec, Tasks: []string{t.id}, Since: t.job.began, Exclusive: t.apart(),
 		Avoid: slices.Clone(t.avoid), LastFailure: t.failed, AvoidUntil: t.back,
 	}
 }
@@ -138,7 +138,7 @@
 			want.Avoid = append(want.Avoid, o.avoid...)
 			want.LastFailure = slices.MaxFunc([]time.Time{want.LastFailure, o.failed}, time.Time.Compare)
 			want.AvoidUntil = slices.MaxFunc([]time.Time{want.AvoidUntil, o.back}, time.Time.Compare)
-			want.Apart = want.Apart || o.apart()
+			want.Exclusive = want.Exclusive || o.apart()
 			whole = whole && o.lives == o.noted
 		default:
 			whole = false
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -83,7 +83,7 @@
 	w.Since, w.Avoid, w.Failed, w.Back = a.Since, a.Avoid, a.LastFailure, a.AvoidUntil
 	w.Declared = w.Size
 	w.Size, w.Time = l.corrected(w), l.Estimates.Time(w.Row, w.Time)
-	if a.Apart {
+	if a.Exclusive {
 		w.Size = l.apart(w)
 	}
 	l.place(w)
