--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -39,9 +39,9 @@
 	j.Step(now, job.Submit{Spec: spec(1)})
 	acts := crash(j, "d.r.j.0", "w1", "1", "2", now)
 	require.Equal(t, int64(1), lives(acts))
-	require.Empty(t, only[job.Want](acts))
-	require.Len(t, only[job.Want](j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), 1)
-	require.Empty(t, only[job.Want](j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), "once is enough")
+	require.Empty(t, only[job.RequestPlacement](acts))
+	require.Len(t, only[job.RequestPlacement](j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), 1)
+	require.Empty(t, only[job.RequestPlacement](j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), "once is enough")
 }
 
 // Guards against a task that crashes its workers again and again beside others.
@@ -50,7 +50,7 @@
 	j.Step(now, job.Submit{Spec: spec(2)})
 	for n, worker := range []string{"w1", "w2"} {
 		require.Equal(t, int64(n+1), lives(crash(j, "d.r.j.0", worker, "1", "2", now)))
-		want := only[job.Want](j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: int64(n + 1)}))
+		want := only[job.RequestPlacement](j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: int64(n + 1)}))
 		require.Equal(t, n == 1, want[0].Exclusive)
 	}
 	acts := crash(j, "d.r.j.0", "w3", "1", "2", now)
@@ -96,7 +96,7 @@
 			j.Step(now, inLife("w1", "1", now))
 			acts := end(j, startOf(t, j, "d.r.j.0", "w1"))
 			require.Zero(t, lives(acts))
-			require.Len(t, only[job.Want](acts), 1)
+			require.Len(t, only[job.RequestPlacement](acts), 1)
 		})
 	}
 }
@@ -122,7 +122,7 @@
 	confirm(j, "d.r.j.1", "w1")
 	acts := j.Step(now, inLife("w1", "3", now.Add(2*time.Second)))
 	require.Equal(t, []job.StoreCrashCount{{Job: "d.r.j", Task: "d.r.j.0", Worker: "w1", Crashes: 2}}, only[job.StoreCrashCount](acts))
-	require.Equal(t, []string{"d.r.j.1"}, only[job.Want](acts)[0].Tasks)
+	require.Equal(t, []string{"d.r.j.1"}, only[job.RequestPlacement](acts)[0].Tasks)
 }
 
 // Guards against services that are given up because workers crash now and then.
@@ -135,7 +135,7 @@
 		later := now.Add(2 * time.Hour)
 		acts := j.Step(later, inLife("w1", "2", later))
 		require.Zero(t, lives(acts))
-		require.False(t, only[job.Want](acts)[0].Exclusive)
+		require.False(t, only[job.RequestPlacement](acts)[0].Exclusive)
 		j = moved(t, j)
 	}
 }
@@ -184,11 +184,11 @@
 		j.Step(now, inLife("w1", "1", now))
 		confirm(j, "d.r.j.0", "w1")
 		later := now.Add(time.Minute)
-		require.Len(t, only[job.Want](j.Step(later, job.WorkerList{Worker: "w1", LeasesExpired: true})), 1)
+		require.Len(t, only[job.RequestPlacement](j.Step(later, job.WorkerList{Worker: "w1", LeasesExpired: true})), 1)
 		acts := j.Step(later, inLife("w1", life, later))
 		require.Equal(t, want, lives(acts))
 		require.Len(t, only[job.Free](acts), int(want), "it waits until the crash is stored")
-		require.Len(t, only[job.Want](j.Step(later, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), int(want))
+		require.Len(t, only[job.RequestPlacement](j.Step(later, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), int(want))
 	}
 }
 
--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -173,7 +173,7 @@
 		return j.requeue(j.tasks[names[0]])
 	}
 	var acts []Action
-	want := Want{Spec: jb.spec, Since: jb.began}
+	want := RequestPlacement{Spec: jb.spec, Since: jb.began}
 	for _, name := range names {
 		switch t := j.tasks[name]; {
 		case t.lives > t.noted:
--- a/internal/job/inherit_test.go
+++ b/internal/job/inherit_test.go
@@ -51,9 +51,9 @@
 	require.Empty(t, j.Step(now, job.Inherit{Spec: spec(3)}))
 	j.Step(now, seen("w1", now, listed("d.r.j.0", "running")))
 	acts := j.Step(now, seen("w2", now, listed("d.r.j.1", "ended"), listed("d.r.j.2", "failed")))
-	require.Empty(t, only[job.Want](acts))
+	require.Empty(t, only[job.RequestPlacement](acts))
 	require.Equal(t, []job.Forget{{Task: "d.r.j.2", Worker: "w2", Lease: "l-d.r.j.2"}}, only[job.Forget](acts))
-	want := only[job.Want](j.Step(now, job.Release{ID: "d.r.j"}))
+	want := only[job.RequestPlacement](j.Step(now, job.Release{ID: "d.r.j"}))
 	require.Equal(t, []string{"d.r.j.2"}, want[0].Tasks)
 	s, err := j.Status("d.r.j")
 	require.NoError(t, err)
@@ -72,8 +72,8 @@
 		if state == "" {
 			later.Tasks = nil
 		}
-		require.Empty(t, only[job.Want](j.Step(now.Add(time.Second), later)), state)
-		require.Len(t, only[job.Want](j.Step(now.Add(2*time.Second), job.Release{ID: "d.r.j"})), 1, state)
+		require.Empty(t, only[job.RequestPlacement](j.Step(now.Add(time.Second), later)), state)
+		require.Len(t, only[job.RequestPlacement](j.Step(now.Add(2*time.Second), job.Release{ID: "d.r.j"})), 1, state)
 	}
 }
 
@@ -83,7 +83,7 @@
 func TestListFromBeforeTheStartProvesNothing(t *testing.T) {
 	j := started(1)
 	require.Empty(t, j.Step(now.Add(time.Second), seen("w1", now.Add(-time.Millisecond))))
-	want := only[job.Want](j.Step(now.Add(time.Second), seen("w1", now.Add(time.Millisecond))))
+	want := only[job.RequestPlacement](j.Step(now.Add(time.Second), seen("w1", now.Add(time.Millisecond))))
 	require.Len(t, want, 1, "a later list shows that it lapsed")
 }
 
@@ -127,11 +127,11 @@
 	require.Error(t, err)
 
 	to := job.New()
-	want := only[job.Want](to.Step(now, job.Adopt{Carry: c}))
+	want := only[job.RequestPlacement](to.Step(now, job.Adopt{Carry: c}))
 	require.Equal(t, []string{"d.r.j.1"}, want[0].Tasks)
 	require.Empty(t, to.Step(now, job.Adopt{Carry: c}), "the same hand-over again changes nothing")
 	require.Empty(t, to.Step(now, seen("w1", now.Add(2*time.Second))))
-	again := only[job.Want](to.Step(now, seen("w1", now.Add(4*time.Second))))
+	again := only[job.RequestPlacement](to.Step(now, seen("w1", now.Add(4*time.Second))))
 	require.Equal(t, []string{"d.r.j.0"}, again[0].Tasks)
 }
 
@@ -140,13 +140,13 @@
 func TestHandOverThatComesAgainIsPassedOver(t *testing.T) {
 	j := job.New()
 	first := job.Carry{Name: "h1", Spec: spec(1), State: "waiting", Tasks: []job.CarriedTask{{State: "waiting"}}}
-	require.Len(t, only[job.Want](j.Step(now, job.Adopt{Carry: first})), 1)
+	require.Len(t, only[job.RequestPlacement](j.Step(now, job.Adopt{Carry: first})), 1)
 	startOf(t, j, "d.r.j.0", "w1")
 	j.Step(now, job.Drop{ID: "d.r.j"})
 	require.Empty(t, j.Step(now, job.Adopt{Carry: first}))
 	require.Empty(t, j.Open())
 	first.Name = "h2"
-	require.Len(t, only[job.Want](j.Step(now, job.Adopt{Carry: first})), 1, "a new hand-over of the job is adopted")
+	require.Len(t, only[job.RequestPlacement](j.Step(now, job.Adopt{Carry: first})), 1, "a new hand-over of the job is adopted")
 }
 
 // A worker was silent for longer than any lease. What ran there runs no more
@@ -154,7 +154,7 @@
 func TestTasksOfASilentWorkerAreStartedElsewhere(t *testing.T) {
 	j := started(1)
 	require.Equal(t, []string{"w1"}, j.Places())
-	require.Len(t, only[job.Want](j.Step(now, job.WorkerList{Worker: "w1", LeasesExpired: true})), 1)
+	require.Len(t, only[job.RequestPlacement](j.Step(now, job.WorkerList{Worker: "w1", LeasesExpired: true})), 1)
 }
 
 // A host leads jobs for weeks. It must not remember every task that ever ran.
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -179,7 +179,7 @@
 	for i, t := range jb.tasks {
 		names[i] = t.id
 	}
-	return []Action{Want{Spec: spec, Tasks: names, Since: now}}
+	return []Action{RequestPlacement{Spec: spec, Tasks: names, Since: now}}
 }
 
 func (j *Jobs) add(now time.Time, spec Spec) *job {
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -32,7 +32,7 @@
 	require.Empty(t, j.Step(now, job.Unsure{Task: "d.r.j.0", Attempt: start.Attempt, Deadline: now.Add(time.Second)}))
 	require.Empty(t, j.Step(now, job.WorkerList{Worker: "w1", Clock: now}))
 	acts := j.Step(now, job.WorkerList{Worker: "w1", Clock: now.Add(2 * time.Second)})
-	require.IsType(t, job.Want{}, acts[1])
+	require.IsType(t, job.RequestPlacement{}, acts[1])
 }
 
 // A print batch is cancelled before any start was sent. The desk is told that
--- a/internal/job/messages.go
+++ b/internal/job/messages.go
@@ -113,8 +113,8 @@
 // Action is what the job core asks its edge to do.
 type Action interface{ action() }
 
-// Want asks the placement for room for tasks.
-type Want struct {
+// RequestPlacement asks the placement for room for tasks.
+type RequestPlacement struct {
 	Spec  Spec
 	Tasks []string
 	// Since is when the job was accepted.
@@ -175,12 +175,12 @@
 	Reason string
 }
 
-func (Want) action()            {}
-func (Pause) action()           {}
-func (Result) action()          {}
-func (Start) action()           {}
-func (Stop) action()            {}
-func (Free) action()            {}
-func (Forget) action()          {}
-func (Ended) action()           {}
-func (StoreCrashCount) action() {}
+func (RequestPlacement) action() {}
+func (Pause) action()            {}
+func (Result) action()           {}
+func (Start) action()            {}
+func (Stop) action()             {}
+func (Free) action()             {}
+func (Forget) action()           {}
+func (Ended) action()            {}
+func (StoreCrashCount) action()  {}
--- a/internal/job/retry.go
+++ b/internal/job/retry.go
@@ -102,8 +102,8 @@
 }
 
 // want asks for room for a task that is not one of a gang.
-func (t *task) want() Want {
-	return Want{
+func (t *task) want() RequestPlacement {
+	return RequestPlacement{
 		Spec: t.job.spec, Tasks: []string{t.id}, Since: t.job.began, Exclusive: t.apart(),
 		Avoid: slices.Clone(t.avoid), LastFailure: t.failed, AvoidUntil: t.back,
 	}
@@ -127,7 +127,7 @@
 		return acts
 	}
 	acts := []Action{free}
-	want := Want{Spec: t.job.spec, Since: t.job.began}
+	want := RequestPlacement{Spec: t.job.spec, Since: t.job.began}
 	whole := true
 	for _, o := range t.job.tasks {
 		switch {
--- a/internal/job/stale_test.go
+++ b/internal/job/stale_test.go
@@ -21,7 +21,7 @@
 func preempt(t *testing.T, j *job.Jobs, task string) {
 	t.Helper()
 	for _, a := range only[job.Pause](j.Step(now, job.Preempt{Task: task})) {
-		require.Len(t, only[job.Want](j.Step(now, job.Stopped{Task: task, Attempt: a.Attempt})), 1)
+		require.Len(t, only[job.RequestPlacement](j.Step(now, job.Stopped{Task: task, Attempt: a.Attempt})), 1)
 	}
 }
 
@@ -64,7 +64,7 @@
 // the stop of the same task on its next worker.
 func TestLateStopOfAFormerTryChangesNothing(t *testing.T) {
 	j := job.New()
-	put(j, only[job.Want](j.Step(now, job.Submit{Spec: spec(1)})))
+	put(j, only[job.RequestPlacement](j.Step(now, job.Submit{Spec: spec(1)})))
 	first := only[job.Pause](j.Step(now, job.Preempt{Task: "d.r.j.0"}))[0]
 	j.Step(now, seen("w0", now.Add(time.Second), listed("d.r.j.0", "stopped")))
 	next := startOf(t, j, "d.r.j.0", "w1")
@@ -85,5 +85,5 @@
 	require.Empty(t, j.Step(now, list))
 	list.Jobs = append(list.Jobs, "d.r.j")
 	acts := j.Step(now, list)
-	require.Len(t, only[job.Want](acts), 1)
+	require.Len(t, only[job.RequestPlacement](acts), 1)
 }
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -362,7 +362,7 @@
 func (l *Lead) job(ev job.Event) {
 	for _, a := range l.Jobs.Step(l.Clock(), ev) {
 		switch a := a.(type) {
-		case job.Want:
+		case job.RequestPlacement:
 			l.want(a)
 		case job.Start:
 			l.start(a)
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -76,7 +76,7 @@
 	l.place(place.Result{Worker: a.Worker, Row: a.Row, Failed: a.Failed})
 }
 
-func (l *Lead) want(a job.Want) {
+func (l *Lead) want(a job.RequestPlacement) {
 	row, _ := l.Row(a.Spec.Row)
 	w := l.wantOf(a.Spec, a.Tasks)
 	w.Rule = l.ruleNow(row)
--- a/internal/measure/jobmemory.go
+++ b/internal/measure/jobmemory.go
@@ -25,7 +25,7 @@
 			Size: cell.Size{CPU: 1000, Mem: 1 << 30}, Time: cell.Duration{Duration: time.Minute},
 		}
 		for _, a := range jobs.Step(now, job.Submit{Spec: spec}) {
-			if w, ok := a.(job.Want); ok {
+			if w, ok := a.(job.RequestPlacement); ok {
 				placer.Step(now, place.Want{Job: spec.ID, Row: spec.Row, Class: spec.Class, Size: spec.Size, Tasks: w.Tasks})
 			}
 		}
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -235,7 +235,7 @@
 func (w *World) job(h *host, ev job.Event) {
 	for _, a := range h.jobs.Step(w.now, ev) {
 		switch a := a.(type) {
-		case job.Want:
+		case job.RequestPlacement:
 			h.spec[a.Spec.ID] = a.Spec
 			h.queue = append(h.queue, a.Tasks...)
 		case job.Start:
