--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -157,7 +157,7 @@
 		"inherited": func(_ *job.Jobs, lives int64) *job.Jobs {
 			j := job.New()
 			j.Step(now, job.Inherit{Spec: spec(1)})
-			j.Step(now, job.Release{ID: "d.r.j", Lives: map[string]int64{"d.r.j.0": lives}})
+			j.Step(now, job.Release{ID: "d.r.j", Crashes: map[string]int64{"d.r.j.0": lives}})
 			return j
 		},
 	} {
--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -16,8 +16,8 @@
 // no list has shown until now runs nowhere.
 // Lives are how many lives of workers ended under its tasks, as far as that is stored.
 type Release struct {
-	ID    string
-	Lives map[string]int64
+	ID      string
+	Crashes map[string]int64
 }
 
 // Adopt takes over a job from its live lead, with all that this one knew.
@@ -143,7 +143,7 @@
 	var names []string
 	var acts, crashed []Action
 	for _, t := range jb.tasks {
-		t.noted = max(t.noted, ev.Lives[t.id])
+		t.noted = max(t.noted, ev.Crashes[t.id])
 		t.lives = max(t.lives, t.noted)
 		switch {
 		case t.worker != "":
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -204,7 +204,7 @@
 		case takeover.Release:
 			l.Count("lead.released")
 			l.note(a.Job, "census complete")
-			l.job(job.Release{ID: a.Job, Lives: l.livesOf(a.Job)})
+			l.job(job.Release{ID: a.Job, Crashes: l.livesOf(a.Job)})
 		case takeover.Counted:
 			l.counted(a.Key)
 		case takeover.Silent:
