--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -146,7 +146,7 @@
 	c, ok := j.Carry("d.r.j")
 	require.True(t, ok)
 	next := job.New()
-	next.Step(now, job.Adopt{Carry: c})
+	next.Step(now, job.Adopt{Snapshot: c})
 	return next
 }
 
@@ -214,5 +214,5 @@
 	last(j.Step(later, job.Release{ID: "d.r.j"}))
 	c, ok := j.Carry("d.r.j")
 	require.True(t, ok)
-	last(job.New().Step(later, job.Adopt{Carry: c}))
+	last(job.New().Step(later, job.Adopt{Snapshot: c}))
 }
--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -21,7 +21,7 @@
 }
 
 // Adopt takes over a job from its live lead, with all that this one knew.
-type Adopt struct{ Carry Carry }
+type Adopt struct{ Snapshot Carry }
 
 // Drop forgets a job that another host leads now. With Recall set it is given up because all workers
 // were lost, and where its tasks were is remembered until it is inherited.
@@ -85,7 +85,7 @@
 	case Release:
 		return j.release(ev)
 	case Adopt:
-		return j.adopt(now, ev.Carry)
+		return j.adopt(now, ev.Snapshot)
 	case Drop:
 		return j.drop(now, ev)
 	case Kept:
--- a/internal/job/inherit_test.go
+++ b/internal/job/inherit_test.go
@@ -127,9 +127,9 @@
 	require.Error(t, err)
 
 	to := job.New()
-	want := only[job.RequestPlacement](to.Step(now, job.Adopt{Carry: c}))
+	want := only[job.RequestPlacement](to.Step(now, job.Adopt{Snapshot: c}))
 	require.Equal(t, []string{"d.r.j.1"}, want[0].Tasks)
-	require.Empty(t, to.Step(now, job.Adopt{Carry: c}), "the same hand-over again changes nothing")
+	require.Empty(t, to.Step(now, job.Adopt{Snapshot: c}), "the same hand-over again changes nothing")
 	require.Empty(t, to.Step(now, seen("w1", now.Add(2*time.Second))))
 	again := only[job.RequestPlacement](to.Step(now, seen("w1", now.Add(4*time.Second))))
 	require.Equal(t, []string{"d.r.j.0"}, again[0].Tasks)
@@ -140,13 +140,13 @@
 func TestHandOverThatComesAgainIsPassedOver(t *testing.T) {
 	j := job.New()
 	first := job.Carry{Name: "h1", Spec: spec(1), State: "waiting", Tasks: []job.CarriedTask{{State: "waiting"}}}
-	require.Len(t, only[job.RequestPlacement](j.Step(now, job.Adopt{Carry: first})), 1)
+	require.Len(t, only[job.RequestPlacement](j.Step(now, job.Adopt{Snapshot: first})), 1)
 	startOf(t, j, "d.r.j.0", "w1")
 	j.Step(now, job.Drop{ID: "d.r.j"})
-	require.Empty(t, j.Step(now, job.Adopt{Carry: first}))
+	require.Empty(t, j.Step(now, job.Adopt{Snapshot: first}))
 	require.Empty(t, j.Open())
 	first.Name = "h2"
-	require.Len(t, only[job.RequestPlacement](j.Step(now, job.Adopt{Carry: first})), 1, "a new hand-over of the job is adopted")
+	require.Len(t, only[job.RequestPlacement](j.Step(now, job.Adopt{Snapshot: first})), 1, "a new hand-over of the job is adopted")
 }
 
 // A worker was silent for longer than any lease. What ran there runs no more
--- a/internal/lead/handover.go
+++ b/internal/lead/handover.go
@@ -77,7 +77,7 @@
 		l.takeover(takeover.Gone{Job: c.Spec.ID})
 		l.Count("lead.adopted")
 		l.note(c.Spec.ID, how)
-		l.job(job.Adopt{Carry: c})
+		l.job(job.Adopt{Snapshot: c})
 	}
 	l.readAll()
 }
