--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -207,7 +207,7 @@
 	j.Step(now, inLife("w1", "1", now))
 	confirm(j, "d.r.j.0", "w1")
 	confirm(j, "d.r.j.1", "w1")
-	j.Step(now, job.Drop{ID: "d.r.j", Recall: true})
+	j.Step(now, job.Drop{ID: "d.r.j", RememberPlaces: true})
 	j.Step(now, job.Inherit{Spec: gang})
 	later := now.Add(time.Minute)
 	j.Step(later, inLife("w1", "2", later))
--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -26,8 +26,8 @@
 // Drop forgets a job that another host leads now. With Recall set it is given up because all workers
 // were lost, and where its tasks were is remembered until it is inherited.
 type Drop struct {
-	ID     string
-	Recall bool
+	ID             string
+	RememberPlaces bool
 }
 
 // Kept tells that the end of a job lies where a successor finds it, so that
@@ -277,7 +277,7 @@
 		if t.state == "waiting" {
 			acts = append(acts, Free{Task: t.id})
 		}
-		if ev.Recall {
+		if ev.RememberPlaces {
 			j.remember(now, t)
 		}
 	}
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -178,7 +178,7 @@
 			}
 		}
 	}
-	l.job(job.Drop{ID: id, Recall: recall})
+	l.job(job.Drop{ID: id, RememberPlaces: recall})
 }
 
 // demote gives up all jobs when the last worker is lost. Another host may have
