--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -30,9 +30,9 @@
 	RememberPlaces bool
 }
 
-// Kept tells that the end of a job lies where a successor finds it, so that
+// EndStored tells that the end of a job lies where a successor finds it, so that
 // workers may forget its tasks.
-type Kept struct{ ID string }
+type EndStored struct{ ID string }
 
 // Sent tells the deadline of a start, in the worker's clock.
 type Sent struct {
@@ -40,12 +40,12 @@
 	Deadline time.Time
 }
 
-func (Inherit) event() {}
-func (Release) event() {}
-func (Adopt) event()   {}
-func (Drop) event()    {}
-func (Kept) event()    {}
-func (Sent) event()    {}
+func (Inherit) event()   {}
+func (Release) event()   {}
+func (Adopt) event()     {}
+func (Drop) event()      {}
+func (EndStored) event() {}
+func (Sent) event()      {}
 
 // Carry is one job's whole state, as its lead hands it over. Name tells one hand-over from all
 // others; sent again, it keeps it.
@@ -88,7 +88,7 @@
 		return j.adopt(now, ev.Snapshot)
 	case Drop:
 		return j.drop(now, ev)
-	case Kept:
+	case EndStored:
 		return j.keep(ev.ID)
 	case Sent:
 		j.sent(ev)
--- a/internal/job/inherit_test.go
+++ b/internal/job/inherit_test.go
@@ -110,7 +110,7 @@
 	acts := j.Step(now, seen("w1", now, listed("d.r.j.0", "ended"), listed("d.r.j.1", "ended")))
 	require.Equal(t, []job.Ended{{ID: "d.r.j", State: "ended"}}, only[job.Ended](acts))
 	require.Empty(t, only[job.Forget](acts))
-	require.Len(t, only[job.Forget](j.Step(now, job.Kept{ID: "d.r.j"})), 2)
+	require.Len(t, only[job.Forget](j.Step(now, job.EndStored{ID: "d.r.j"})), 2)
 }
 
 // A live lead hands a job over with a start still under way. The next lead must
@@ -165,7 +165,7 @@
 		s.ID = job.TaskID("d.r", i)
 		j.Step(now, job.Submit{Spec: s})
 		j.Step(now, job.Cancel{ID: s.ID})
-		j.Step(now, job.Kept{ID: s.ID})
+		j.Step(now, job.EndStored{ID: s.ID})
 	}
 	_, err := j.Status("d.r.0")
 	require.Error(t, err)
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -140,7 +140,7 @@
 func (l *Lead) Kept(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.job(job.Kept{ID: id})
+	l.job(job.EndStored{ID: id})
 }
 
 // Leave makes this host take no job any more, before it hands over what it has.
