--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -34,8 +34,8 @@
 // workers may forget its tasks.
 type EndStored struct{ ID string }
 
-// Sent tells the deadline of a start, in the worker's clock.
-type Sent struct {
+// StartSent tells the deadline of a start, in the worker's clock.
+type StartSent struct {
 	Task     string
 	Deadline time.Time
 }
@@ -45,7 +45,7 @@
 func (Adopt) event()     {}
 func (Drop) event()      {}
 func (EndStored) event() {}
-func (Sent) event()      {}
+func (StartSent) event() {}
 
 // Carry is one job's whole state, as its lead hands it over. Name tells one hand-over from all
 // others; sent again, it keeps it.
@@ -90,7 +90,7 @@
 		return j.drop(now, ev)
 	case EndStored:
 		return j.keep(ev.ID)
-	case Sent:
+	case StartSent:
 		j.sent(ev)
 	case Tick:
 	}
@@ -325,7 +325,7 @@
 }
 
 // sent notes until when a start may still be carried out.
-func (j *Jobs) sent(ev Sent) {
+func (j *Jobs) sent(ev StartSent) {
 	if t, ok := j.tasks[ev.Task]; ok {
 		t.deadline = ev.Deadline
 	}
--- a/internal/job/stale_test.go
+++ b/internal/job/stale_test.go
@@ -45,7 +45,7 @@
 	first := startOf(t, j, "d.r.j.0", "w1")
 	preempt(t, j, "d.r.j.0")
 	startOf(t, j, "d.r.j.0", "w2")
-	j.Step(now, job.Sent{Task: "d.r.j.0", Deadline: now.Add(5 * time.Second)})
+	j.Step(now, job.StartSent{Task: "d.r.j.0", Deadline: now.Add(5 * time.Second)})
 	j.Step(now, job.Unsure{Task: "d.r.j.0", Attempt: first.Attempt, Deadline: now.Add(time.Second)})
 	require.Empty(t, j.Step(now, seen("w2", now.Add(2*time.Second))), "the start to w2 may still land")
 }
--- a/internal/lead/start.go
+++ b/internal/lead/start.go
@@ -35,7 +35,7 @@
 	if !ok {
 		size = a.Spec.Size
 	}
-	l.job(job.Sent{Task: a.Task, Deadline: deadline})
+	l.job(job.StartSent{Task: a.Task, Deadline: deadline})
 	l.lease(lease.Sent{Worker: a.Worker, Task: a.Task})
 	if arbiter != "" && arbiter != a.Worker {
 		// The worker whose holder may start the row is not given back under the start either.
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -256,7 +256,7 @@
 		w.job(h, job.NotStarted{Task: a.Task, Attempt: a.Attempt})
 		return
 	}
-	w.job(h, job.Sent{Task: a.Task, Deadline: deadline})
+	w.job(h, job.StartSent{Task: a.Task, Deadline: deadline})
 	w.lease(h, lease.Sent{Worker: a.Worker, Task: a.Task})
 	if w.rules.NoDeadline {
 		deadline = time.Time{}
