--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -50,12 +50,12 @@
 // Carry is one job's whole state, as its lead hands it over. Name tells one hand-over from all
 // others; sent again, it keeps it.
 type Carry struct {
-	Name  string        `json:"name,omitempty"`
-	Spec  Spec          `json:"spec"`
-	State string        `json:"state"`
-	Began time.Time     `json:"began"`
-	First time.Time     `json:"first,omitzero"`
-	Tasks []CarriedTask `json:"tasks"`
+	HandoverID string        `json:"name,omitempty"`
+	Spec       Spec          `json:"spec"`
+	State      string        `json:"state"`
+	Began      time.Time     `json:"began"`
+	First      time.Time     `json:"first,omitzero"`
+	Tasks      []CarriedTask `json:"tasks"`
 }
 
 // CarriedTask is one task in a Carry, in the order of the job's tasks.
@@ -216,10 +216,10 @@
 // A hand-over that was adopted before comes again when its answer was lost. The job may have been
 // handed on since, and its tasks started by other leads.
 func (j *Jobs) adopt(now time.Time, c Carry) []Action {
-	if c.Name != "" && slices.Contains(j.adopted, c.Name) {
+	if c.HandoverID != "" && slices.Contains(j.adopted, c.HandoverID) {
 		return nil
 	}
-	j.noteAdopted(c.Name)
+	j.noteAdopted(c.HandoverID)
 	if jb, ok := j.jobs[c.Spec.ID]; ok {
 		if !jb.census || len(c.Tasks) != len(jb.tasks) {
 			return nil
--- a/internal/job/inherit_test.go
+++ b/internal/job/inherit_test.go
@@ -139,13 +139,13 @@
 // receiver has started the job's tasks and handed it on.
 func TestHandOverThatComesAgainIsPassedOver(t *testing.T) {
 	j := job.New()
-	first := job.Carry{Name: "h1", Spec: spec(1), State: "waiting", Tasks: []job.CarriedTask{{State: "waiting"}}}
+	first := job.Carry{HandoverID: "h1", Spec: spec(1), State: "waiting", Tasks: []job.CarriedTask{{State: "waiting"}}}
 	require.Len(t, only[job.RequestPlacement](j.Step(now, job.Adopt{Snapshot: first})), 1)
 	startOf(t, j, "d.r.j.0", "w1")
 	j.Step(now, job.Drop{ID: "d.r.j"})
 	require.Empty(t, j.Step(now, job.Adopt{Snapshot: first}))
 	require.Empty(t, j.Open())
-	first.Name = "h2"
+	first.HandoverID = "h2"
 	require.Len(t, only[job.RequestPlacement](j.Step(now, job.Adopt{Snapshot: first})), 1, "a new hand-over of the job is adopted")
 }
 
--- a/internal/lead/handover.go
+++ b/internal/lead/handover.go
@@ -95,7 +95,7 @@
 			l.Count("lead.handed")
 			l.note(id, "handed over")
 			l.drop(id, false)
-			c.Name = cell.NewID()
+			c.HandoverID = cell.NewID()
 			all = append(all, c)
 		}
 	}
