--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -67,9 +67,9 @@
 	Sent     bool      `json:"sent,omitempty"`
 	// Incarnation is the worker's life, Lives and Noted are how many ended under the task and how many
 	// of these are stored.
-	Incarnation string `json:"life,omitempty"`
-	Crashes     int64  `json:"lives,omitempty"`
-	Noted       int64  `json:"noted,omitempty"`
+	Incarnation   string `json:"life,omitempty"`
+	Crashes       int64  `json:"lives,omitempty"`
+	StoredCrashes int64  `json:"noted,omitempty"`
 	// Avoid are the workers that the task has failed on, the last time at Failed. It goes back to one
 	// of them at Back.
 	Avoid  []string  `json:"avoid,omitempty"`
@@ -204,7 +204,7 @@
 		}
 		c.Tasks = append(c.Tasks, CarriedTask{
 			State: string(state), Worker: t.worker, Tries: t.tries, Deadline: t.deadline, Sent: t.sent,
-			Incarnation: t.life, Crashes: t.lives, Noted: t.noted, Avoid: slices.Clone(t.avoid), Failed: t.failed, Back: t.back,
+			Incarnation: t.life, Crashes: t.lives, StoredCrashes: t.noted, Avoid: slices.Clone(t.avoid), Failed: t.failed, Back: t.back,
 		})
 	}
 	return c, true
@@ -234,7 +234,7 @@
 		ct := c.Tasks[i]
 		t.state, t.tries, t.deadline, t.sent = chart.State(ct.State), ct.Tries, ct.Deadline, ct.Sent
 		j.move(t, ct.Worker, now)
-		t.life, t.lives, t.noted = ct.Incarnation, ct.Crashes, ct.Noted
+		t.life, t.lives, t.noted = ct.Incarnation, ct.Crashes, ct.StoredCrashes
 		t.avoid, t.failed, t.back = ct.Avoid, ct.Failed, ct.Back
 		delete(j.former, t.id)
 		if t.lives > t.noted {
