--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -74,7 +74,7 @@
 	// of them at Back.
 	Avoid       []string  `json:"avoid,omitempty"`
 	LastFailure time.Time `json:"failed,omitzero"`
-	Back        time.Time `json:"back,omitzero"`
+	AvoidUntil  time.Time `json:"back,omitzero"`
 }
 
 // change handles the events that give a job another lead.
@@ -204,7 +204,7 @@
 		}
 		c.Tasks = append(c.Tasks, CarriedTask{
 			State: string(state), Worker: t.worker, Tries: t.tries, Deadline: t.deadline, Sent: t.sent,
-			Incarnation: t.life, Crashes: t.lives, StoredCrashes: t.noted, Avoid: slices.Clone(t.avoid), LastFailure: t.failed, Back: t.back,
+			Incarnation: t.life, Crashes: t.lives, StoredCrashes: t.noted, Avoid: slices.Clone(t.avoid), LastFailure: t.failed, AvoidUntil: t.back,
 		})
 	}
 	return c, true
@@ -235,7 +235,7 @@
 		t.state, t.tries, t.deadline, t.sent = chart.State(ct.State), ct.Tries, ct.Deadline, ct.Sent
 		j.move(t, ct.Worker, now)
 		t.life, t.lives, t.noted = ct.Incarnation, ct.Crashes, ct.StoredCrashes
-		t.avoid, t.failed, t.back = ct.Avoid, ct.LastFailure, ct.Back
+		t.avoid, t.failed, t.back = ct.Avoid, ct.LastFailure, ct.AvoidUntil
 		delete(j.former, t.id)
 		if t.lives > t.noted {
 			crashed = append(crashed, StoreCrashCount{Job: jb.spec.ID, Task: t.id, Crashes: t.lives})
