--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -50,16 +50,16 @@
 // Carry is one job's whole state, as its lead hands it over. Name tells one hand-over from all
 // others; sent again, it keeps it.
 type Carry struct {
-	HandoverID string        `json:"name,omitempty"`
-	Spec       Spec          `json:"spec"`
-	State      string        `json:"state"`
-	Began      time.Time     `json:"began"`
-	First      time.Time     `json:"first,omitzero"`
-	Tasks      []CarriedTask `json:"tasks"`
+	HandoverID string         `json:"name,omitempty"`
+	Spec       Spec           `json:"spec"`
+	State      string         `json:"state"`
+	Began      time.Time      `json:"began"`
+	First      time.Time      `json:"first,omitzero"`
+	Tasks      []TaskSnapshot `json:"tasks"`
 }
 
-// CarriedTask is one task in a Carry, in the order of the job's tasks.
-type CarriedTask struct {
+// TaskSnapshot is one task in a Carry, in the order of the job's tasks.
+type TaskSnapshot struct {
 	State    string    `json:"state"`
 	Worker   string    `json:"worker,omitempty"`
 	Tries    int64     `json:"tries,omitempty"`
@@ -202,7 +202,7 @@
 		if state == "starting" {
 			state = "unsure"
 		}
-		c.Tasks = append(c.Tasks, CarriedTask{
+		c.Tasks = append(c.Tasks, TaskSnapshot{
 			State: string(state), Worker: t.worker, Tries: t.tries, Deadline: t.deadline, Sent: t.sent,
 			Incarnation: t.life, Crashes: t.lives, StoredCrashes: t.noted, Avoid: slices.Clone(t.avoid), LastFailure: t.failed, AvoidUntil: t.back,
 		})
--- a/internal/lead/know_test.go
+++ b/internal/lead/know_test.go
@@ -53,7 +53,7 @@
 	require.NoError(t, err)
 	require.NoError(t, l.Adopt("other", token, []job.Carry{{
 		Spec: spec, State: "running", Began: time.Now(), First: time.Now(),
-		Tasks: []job.CarriedTask{{State: "running", Worker: "w2", Tries: 1, Sent: true}},
+		Tasks: []job.TaskSnapshot{{State: "running", Worker: "w2", Tries: 1, Sent: true}},
 	}}))
 	_, err = l.Cancel(spec.ID)
 	require.NoError(t, err)
