--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -143,7 +143,7 @@
 // moved hands the job over to another lead.
 func moved(t *testing.T, j *job.Jobs) *job.Jobs {
 	t.Helper()
-	c, ok := j.Carry("d.r.j")
+	c, ok := j.Snapshot("d.r.j")
 	require.True(t, ok)
 	next := job.New()
 	next.Step(now, job.Adopt{Snapshot: c})
@@ -212,7 +212,7 @@
 	later := now.Add(time.Minute)
 	j.Step(later, inLife("w1", "2", later))
 	last(j.Step(later, job.Release{ID: "d.r.j"}))
-	c, ok := j.Carry("d.r.j")
+	c, ok := j.Snapshot("d.r.j")
 	require.True(t, ok)
 	last(job.New().Step(later, job.Adopt{Snapshot: c}))
 }
--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -189,9 +189,9 @@
 	return acts
 }
 
-// Carry returns a job's state for its next lead; false if it is not led here,
+// Snapshot returns a job's state for its next lead; false if it is not led here,
 // has ended or waits for its own census.
-func (j *Jobs) Carry(id string) (Carry, bool) {
+func (j *Jobs) Snapshot(id string) (Carry, bool) {
 	jb, ok := j.jobs[id]
 	if !ok || jb.census || jobLife.Final(jb.state) {
 		return Carry{}, false
--- a/internal/job/inherit_test.go
+++ b/internal/job/inherit_test.go
@@ -120,7 +120,7 @@
 	j.Step(now, job.Submit{Spec: spec(2)})
 	j.Step(now, job.Placed{Task: "d.r.j.0", Worker: "w1"})
 	j.Step(now, job.StartSent{Task: "d.r.j.0", Deadline: now.Add(3 * time.Second)})
-	c, ok := j.Carry("d.r.j")
+	c, ok := j.Snapshot("d.r.j")
 	require.True(t, ok)
 	require.Equal(t, []job.Action{job.Free{Task: "d.r.j.1"}}, j.Step(now, job.Drop{ID: "d.r.j"}))
 	_, err := j.Status("d.r.j")
--- a/internal/lead/handover.go
+++ b/internal/lead/handover.go
@@ -91,7 +91,7 @@
 	var all []job.Carry
 	epoch := l.epochNow()
 	for _, id := range ids {
-		if c, ok := l.Jobs.Carry(id); ok {
+		if c, ok := l.Jobs.Snapshot(id); ok {
 			l.Count("lead.handed")
 			l.note(id, "handed over")
 			l.drop(id, false)
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -166,7 +166,7 @@
 // room stays taken until the worker shows that they did not.
 func (l *Lead) drop(id string, recall bool) {
 	now := l.Clock()
-	if c, ok := l.Jobs.Carry(id); ok {
+	if c, ok := l.Jobs.Snapshot(id); ok {
 		for i, t := range c.Tasks {
 			if t.Worker == "" {
 				continue
