--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -20,7 +20,7 @@
 // handed is a job on its way to another lead. It is not led here meanwhile:
 // the other may have it already.
 type handed struct {
-	carry job.Carry
+	carry job.Snapshot
 	to    string
 	// epoch is the one in which the job was led here.
 	epoch int64
@@ -174,7 +174,7 @@
 		case one.unsure:
 			h.log.Warn("host: job waits for a census.", "id", id, "to", one.to)
 		case h.Ready():
-			if err := h.lead.TakeBack([]job.Carry{one.carry}, one.epoch); err != nil {
+			if err := h.lead.TakeBack([]job.Snapshot{one.carry}, one.epoch); err != nil {
 				h.log.Warn("host: job waits for a census.", "id", id, "err", err)
 			}
 		default:
@@ -209,7 +209,7 @@
 	notesMost = 400
 )
 
-func (h *Host) notesOf(carries []job.Carry) []trail.Note {
+func (h *Host) notesOf(carries []job.Snapshot) []trail.Note {
 	var all []trail.Note
 	for _, c := range carries {
 		if len(all) < notesMost {
--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -21,7 +21,7 @@
 }
 
 // Adopt takes over a job from its live lead, with all that this one knew.
-type Adopt struct{ Snapshot Carry }
+type Adopt struct{ Snapshot Snapshot }
 
 // Drop forgets a job that another host leads now. With Recall set it is given up because all workers
 // were lost, and where its tasks were is remembered until it is inherited.
@@ -47,9 +47,9 @@
 func (EndStored) event() {}
 func (StartSent) event() {}
 
-// Carry is one job's whole state, as its lead hands it over. Name tells one hand-over from all
+// Snapshot is one job's whole state, as its lead hands it over. Name tells one hand-over from all
 // others; sent again, it keeps it.
-type Carry struct {
+type Snapshot struct {
 	HandoverID string         `json:"name,omitempty"`
 	Spec       Spec           `json:"spec"`
 	State      string         `json:"state"`
@@ -191,12 +191,12 @@
 
 // Snapshot returns a job's state for its next lead; false if it is not led here,
 // has ended or waits for its own census.
-func (j *Jobs) Snapshot(id string) (Carry, bool) {
+func (j *Jobs) Snapshot(id string) (Snapshot, bool) {
 	jb, ok := j.jobs[id]
 	if !ok || jb.census || jobLife.Final(jb.state) {
-		return Carry{}, false
+		return Snapshot{}, false
 	}
-	c := Carry{Spec: jb.spec, State: string(jb.state), Began: jb.began, First: jb.first}
+	c := Snapshot{Spec: jb.spec, State: string(jb.state), Began: jb.began, First: jb.first}
 	for _, t := range jb.tasks {
 		state := t.state
 		if state == "starting" {
@@ -215,7 +215,7 @@
 //
 // A hand-over that was adopted before comes again when its answer was lost. The job may have been
 // handed on since, and its tasks started by other leads.
-func (j *Jobs) adopt(now time.Time, c Carry) []Action {
+func (j *Jobs) adopt(now time.Time, c Snapshot) []Action {
 	if c.HandoverID != "" && slices.Contains(j.adopted, c.HandoverID) {
 		return nil
 	}
--- a/internal/job/inherit_test.go
+++ b/internal/job/inherit_test.go
@@ -139,7 +139,7 @@
 // receiver has started the job's tasks and handed it on.
 func TestHandOverThatComesAgainIsPassedOver(t *testing.T) {
 	j := job.New()
-	first := job.Carry{HandoverID: "h1", Spec: spec(1), State: "waiting", Tasks: []job.TaskSnapshot{{State: "waiting"}}}
+	first := job.Snapshot{HandoverID: "h1", Spec: spec(1), State: "waiting", Tasks: []job.TaskSnapshot{{State: "waiting"}}}
 	require.Len(t, only[job.RequestPlacement](j.Step(now, job.Adopt{Snapshot: first})), 1)
 	startOf(t, j, "d.r.j.0", "w1")
 	j.Step(now, job.Drop{ID: "d.r.j"})
--- a/internal/job/stale_test.go
+++ b/internal/job/stale_test.go
@@ -77,7 +77,7 @@
 // asked for, and says nothing of a start of a job that was handed over since the question.
 func TestListOfOtherJobsProvesNothing(t *testing.T) {
 	j := job.New()
-	j.Step(now, job.Adopt{Snapshot: job.Carry{Spec: spec(1), State: "waiting", Tasks: []job.TaskSnapshot{
+	j.Step(now, job.Adopt{Snapshot: job.Snapshot{Spec: spec(1), State: "waiting", Tasks: []job.TaskSnapshot{
 		{State: "unsure", Worker: "w1", Tries: 1, Deadline: now, Sent: true},
 	}}})
 	list := seen("w1", now.Add(2*time.Second))
--- a/internal/lead/handover.go
+++ b/internal/lead/handover.go
@@ -40,7 +40,7 @@
 // Adopt goes on with jobs that their live lead handed over. It refuses them
 // while this host holds no worker: it could not know then whether it was taken
 // for dead.
-func (l *Lead) Adopt(from, token string, jobs []job.Carry) error {
+func (l *Lead) Adopt(from, token string, jobs []job.Snapshot) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.leaving {
@@ -59,7 +59,7 @@
 }
 
 // TakeBack leads jobs again that were handed over in that epoch and whose next lead refused them.
-func (l *Lead) TakeBack(jobs []job.Carry, epoch int64) error {
+func (l *Lead) TakeBack(jobs []job.Snapshot, epoch int64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.leaving {
@@ -72,7 +72,7 @@
 	return nil
 }
 
-func (l *Lead) adopt(jobs []job.Carry, how string) {
+func (l *Lead) adopt(jobs []job.Snapshot, how string) {
 	for _, c := range jobs {
 		l.takeover(takeover.Gone{Job: c.Spec.ID})
 		l.Count("lead.adopted")
@@ -85,10 +85,10 @@
 // HandOver stops leading jobs and returns all that is known of them, for the
 // next lead, and the epoch in which that is true. Jobs that wait for a census
 // are left out: nothing is known of them.
-func (l *Lead) HandOver(ids []string) ([]job.Carry, int64) {
+func (l *Lead) HandOver(ids []string) ([]job.Snapshot, int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var all []job.Carry
+	var all []job.Snapshot
 	epoch := l.epochNow()
 	for _, id := range ids {
 		if c, ok := l.Jobs.Snapshot(id); ok {
--- a/internal/lead/handover_test.go
+++ b/internal/lead/handover_test.go
@@ -72,7 +72,7 @@
 	require.NoError(t, err)
 	second, err := p.hosts["b"].Expect("a")
 	require.NoError(t, err)
-	var none []job.Carry
+	var none []job.Snapshot
 	require.ErrorAs(t, p.hosts["b"].Adopt("a", first, none), new(*lead.StaleError))
 	require.NoError(t, p.hosts["b"].Adopt("a", second, none))
 	require.ErrorAs(t, p.hosts["b"].Adopt("a", second, none), new(*lead.StaleError), "it counts once")
--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -288,7 +288,7 @@
 
 // outgoing is a job that is handed over.
 type outgoing struct {
-	carry job.Carry
+	carry job.Snapshot
 	epoch int64
 	// unsure tells that it was sent and has no answer.
 	unsure bool
@@ -297,7 +297,7 @@
 // message is a hand-over that was sent and has not arrived.
 type message struct {
 	from, token string
-	jobs        []job.Carry
+	jobs        []job.Snapshot
 }
 
 // hand takes jobs off their lead, to be sent to the other host.
@@ -364,7 +364,7 @@
 func (h *history) giveUp(name string) {
 	for _, p := range h.handing[name] {
 		if !p.unsure {
-			_ = h.hosts[name].TakeBack([]job.Carry{p.carry}, p.epoch)
+			_ = h.hosts[name].TakeBack([]job.Snapshot{p.carry}, p.epoch)
 		}
 	}
 	h.handing[name] = nil
--- a/internal/lead/know_test.go
+++ b/internal/lead/know_test.go
@@ -51,7 +51,7 @@
 	spec := job.Spec{ID: "d.w1.j", Tasks: 1, Size: size, Time: cell.Duration{Duration: time.Hour}, Tries: 1}
 	token, err := l.Expect("other")
 	require.NoError(t, err)
-	require.NoError(t, l.Adopt("other", token, []job.Carry{{
+	require.NoError(t, l.Adopt("other", token, []job.Snapshot{{
 		Spec: spec, State: "running", Began: time.Now(), First: time.Now(),
 		Tasks: []job.TaskSnapshot{{State: "running", Worker: "w2", Tries: 1, Sent: true}},
 	}}))
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -82,7 +82,7 @@
 type Handover struct {
 	From  string
 	Token string
-	Jobs  []job.Carry
+	Jobs  []job.Snapshot
 	Notes []trail.Note `json:",omitempty"`
 }
 
