--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -340,8 +340,8 @@
 	return string(jb.state), true
 }
 
-// Waits tells whether a job is inherited and waits for its census.
-func (j *Jobs) Waits(id string) bool {
+// AwaitsInventory tells whether a job is inherited and waits for its census.
+func (j *Jobs) AwaitsInventory(id string) bool {
 	jb, ok := j.jobs[id]
 	return ok && jb.census
 }
--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -55,7 +55,7 @@
 	c := Census{Lives: l.Leases.Settled(l.Clock())}
 	for _, id := range q.Jobs {
 		switch {
-		case l.Jobs.Waits(id):
+		case l.Jobs.AwaitsInventory(id):
 			c.Waits = append(c.Waits, id)
 		case l.knows(id):
 			c.Leads = append(c.Leads, id)
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -103,7 +103,7 @@
 func (l *Lead) Forfeit(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.Jobs.Waits(id) {
+	if !l.Jobs.AwaitsInventory(id) {
 		return
 	}
 	l.takeover(takeover.Gone{Job: id})
@@ -155,7 +155,7 @@
 func (l *Lead) Open() []job.Spec {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return slices.DeleteFunc(l.Jobs.Open(), func(s job.Spec) bool { return l.Jobs.Waits(s.ID) })
+	return slices.DeleteFunc(l.Jobs.Open(), func(s job.Spec) bool { return l.Jobs.AwaitsInventory(s.ID) })
 }
 
 // lookAgain is how long after a job was given up its workers are read. A list that was asked for
@@ -285,5 +285,5 @@
 func (l *Lead) Leads(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.knows(id) && !l.Jobs.Waits(id)
+	return l.knows(id) && !l.Jobs.AwaitsInventory(id)
 }
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -237,7 +237,7 @@
 			break
 		}
 	}
-	if l.Jobs.Waits(id) {
+	if l.Jobs.AwaitsInventory(id) {
 		notes = append(notes, trail.Note{At: l.Clock(), ID: id, Part: "lead", What: "waits for its census: " + l.Takeover.Missing(l.Clock(), id)})
 	}
 	if aside := l.Placer.Asides(); len(notes) > 0 && len(aside) > 0 {
