--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -346,8 +346,8 @@
 	return ok && jb.census
 }
 
-// Places lists the workers that tasks of open jobs are on, without order.
-func (j *Jobs) Places() []string {
+// Workers lists the workers that tasks of open jobs are on, without order.
+func (j *Jobs) Workers() []string {
 	var all []string
 	for worker, on := range j.on {
 		for _, t := range on {
--- a/internal/job/inherit_test.go
+++ b/internal/job/inherit_test.go
@@ -153,7 +153,7 @@
 // and is started elsewhere.
 func TestTasksOfASilentWorkerAreStartedElsewhere(t *testing.T) {
 	j := started(1)
-	require.Equal(t, []string{"w1"}, j.Places())
+	require.Equal(t, []string{"w1"}, j.Workers())
 	require.Len(t, only[job.RequestPlacement](j.Step(now, job.WorkerList{Worker: "w1", LeasesExpired: true})), 1)
 }
 
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -220,7 +220,7 @@
 // held here.
 func (l *Lead) watch() {
 	held := l.Leases.Held()
-	names := l.Jobs.Places()
+	names := l.Jobs.Workers()
 	for name := range l.elsewhere {
 		if !slices.Contains(names, name) {
 			names = append(names, name)
