--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -360,8 +360,8 @@
 	return all
 }
 
-// Has tells whether a task is known here.
-func (j *Jobs) Has(task string) bool {
+// HasTask tells whether a task is known here.
+func (j *Jobs) HasTask(task string) bool {
 	_, ok := j.tasks[task]
 	return ok
 }
--- a/internal/job/inherit_test.go
+++ b/internal/job/inherit_test.go
@@ -169,7 +169,7 @@
 	}
 	_, err := j.Status("d.r.0")
 	require.Error(t, err)
-	require.False(t, j.Has("d.r.0.0"))
+	require.False(t, j.HasTask("d.r.0.0"))
 	_, err = j.Status("d.r.599")
 	require.NoError(t, err)
 }
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -240,7 +240,7 @@
 			l.rooms[t.ID] = name
 			continue
 		}
-		if l.Jobs.Has(t.ID) {
+		if l.Jobs.HasTask(t.ID) {
 			continue
 		}
 		if l.Done != nil && l.Done(t.Job) {
@@ -270,7 +270,7 @@
 		return
 	}
 	delete(l.rooms, id)
-	if !l.Jobs.Has(id) {
+	if !l.Jobs.HasTask(id) {
 		l.place(place.Freed{Task: id})
 	}
 }
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -218,7 +218,7 @@
 	}
 	w.job(h, ev)
 	for id := range h.room[name] {
-		if !listed[id] && !h.jobs.Has(id) {
+		if !listed[id] && !h.jobs.HasTask(id) {
 			delete(h.room[name], id)
 		}
 	}
