--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -378,8 +378,8 @@
 	return t.job.spec, true
 }
 
-// Waiting lists a job's tasks that wait for room.
-func (j *Jobs) Waiting(id string) []string {
+// WaitingTasks lists a job's tasks that wait for room.
+func (j *Jobs) WaitingTasks(id string) []string {
 	jb, ok := j.jobs[id]
 	if !ok {
 		return nil
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -230,7 +230,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	notes := l.Trail.Of(id)
-	for _, task := range l.Jobs.Waiting(id) {
+	for _, task := range l.Jobs.WaitingTasks(id) {
 		if why, ok := l.Placer.Why(task); ok {
 			notes = append(notes, trail.Note{At: l.Clock(), ID: id, Part: "place", What: why})
 			notes = append(notes, l.whyPutOff(id, task)...)
