--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -78,8 +78,8 @@
 
 func (t *task) apart() bool { return t.lives >= livesApart }
 
-// Apart tells whether a task is tried on a worker of its own.
-func (j *Jobs) Apart(id string) bool {
+// NeedsExclusiveWorker tells whether a task is tried on a worker of its own.
+func (j *Jobs) NeedsExclusiveWorker(id string) bool {
 	t, ok := j.tasks[id]
 	return ok && t.apart()
 }
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -196,7 +196,7 @@
 		case !ok:
 			l.grown(t)
 			continue
-		case l.Jobs.Apart(t.ID):
+		case l.Jobs.NeedsExclusiveWorker(t.ID):
 			continue
 		}
 		if room, ok := l.Estimates.Seen(t.ID, t.Row, spec.Size, t.Use); ok {
