--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -30,12 +30,12 @@
 
 // CrashedError tells that a task was given up because workers crashed under it.
 type CrashedError struct {
-	Task  string
-	Lives int64
+	Task    string
+	Crashes int64
 }
 
 func (e *CrashedError) Error() string {
-	return fmt.Sprintf("task %s was given up: %d workers crashed while it ran", e.Task, e.Lives)
+	return fmt.Sprintf("task %s was given up: %d workers crashed while it ran", e.Task, e.Crashes)
 }
 
 // life is a worker's life, told by a list that was asked for at sent.
@@ -231,7 +231,7 @@
 	if jb.crashed != nil || i < 0 {
 		return nil
 	}
-	jb.crashed = &CrashedError{Task: jb.tasks[i].id, Lives: jb.tasks[i].lives}
+	jb.crashed = &CrashedError{Task: jb.tasks[i].id, Crashes: jb.tasks[i].lives}
 	var acts []Action
 	for _, t := range jb.tasks {
 		if t.state == "waiting" && t.move("fail") {
--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -57,7 +57,7 @@
 	ended := only[job.Ended](acts)
 	require.Len(t, ended, 1)
 	require.Equal(t, "failed", ended[0].State)
-	require.Equal(t, (&job.CrashedError{Task: "d.r.j.0", Lives: 3}).Error(), ended[0].Reason)
+	require.Equal(t, (&job.CrashedError{Task: "d.r.j.0", Crashes: 3}).Error(), ended[0].Reason)
 	s, err := j.Status("d.r.j")
 	require.NoError(t, err)
 	require.Equal(t, ended[0].Reason, s.Reason)
