--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -10,16 +10,16 @@
 )
 
 // inLife is a worker's list in one of its lives.
-func inLife(worker, life string, sent time.Time, tasks ...job.Listed) job.Seen {
+func inLife(worker, life string, sent time.Time, tasks ...job.ListedTask) job.WorkerList {
 	ev := seen(worker, sent, tasks...)
-	ev.Life = life
+	ev.Incarnation = life
 	return ev
 }
 
 // crash starts a task on a worker that comes back in the next life without it.
 func crash(j *job.Jobs, task, worker, from, to string, at time.Time) []job.Action {
 	j.Step(at, inLife(worker, from, at))
-	for _, a := range only[job.Start](j.Step(at, job.Put{Task: task, Worker: worker})) {
+	for _, a := range only[job.Start](j.Step(at, job.Placed{Task: task, Worker: worker})) {
 		j.Step(at, job.Started{Task: task, Attempt: a.Attempt})
 	}
 	return j.Step(at.Add(time.Second), inLife(worker, to, at.Add(time.Second)))
@@ -27,8 +27,8 @@
 
 func lives(acts []job.Action) int64 {
 	n := int64(0)
-	for _, a := range only[job.Crashed](acts) {
-		n = max(n, a.Lives)
+	for _, a := range only[job.StoreCrashCount](acts) {
+		n = max(n, a.Crashes)
 	}
 	return n
 }
@@ -39,9 +39,9 @@
 	j.Step(now, job.Submit{Spec: spec(1)})
 	acts := crash(j, "d.r.j.0", "w1", "1", "2", now)
 	require.Equal(t, int64(1), lives(acts))
-	require.Empty(t, only[job.Want](acts))
-	require.Len(t, only[job.Want](j.Step(now, job.Noted{Task: "d.r.j.0", Lives: 1})), 1)
-	require.Empty(t, only[job.Want](j.Step(now, job.Noted{Task: "d.r.j.0", Lives: 1})), "once is enough")
+	require.Empty(t, only[job.RequestPlacement](acts))
+	require.Len(t, only[job.RequestPlacement](j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), 1)
+	require.Empty(t, only[job.RequestPlacement](j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), "once is enough")
 }
 
 // Guards against a task that crashes its workers again and again beside others.
@@ -50,14 +50,14 @@
 	j.Step(now, job.Submit{Spec: spec(2)})
 	for n, worker := range []string{"w1", "w2"} {
 		require.Equal(t, int64(n+1), lives(crash(j, "d.r.j.0", worker, "1", "2", now)))
-		want := only[job.Want](j.Step(now, job.Noted{Task: "d.r.j.0", Lives: int64(n + 1)}))
-		require.Equal(t, n == 1, want[0].Apart)
+		want := only[job.RequestPlacement](j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: int64(n + 1)}))
+		require.Equal(t, n == 1, want[0].Exclusive)
 	}
 	acts := crash(j, "d.r.j.0", "w3", "1", "2", now)
 	ended := only[job.Ended](acts)
 	require.Len(t, ended, 1)
 	require.Equal(t, "failed", ended[0].State)
-	require.Equal(t, (&job.CrashedError{Task: "d.r.j.0", Lives: 3}).Error(), ended[0].Reason)
+	require.Equal(t, (&job.CrashedError{Task: "d.r.j.0", Crashes: 3}).Error(), ended[0].Reason)
 	s, err := j.Status("d.r.j")
 	require.NoError(t, err)
 	require.Equal(t, ended[0].Reason, s.Reason)
@@ -82,7 +82,7 @@
 		},
 		"the worker is silent": func(j *job.Jobs, a job.Start) []job.Action {
 			j.Step(now, job.Started{Task: a.Task, Attempt: a.Attempt})
-			return j.Step(later, job.Seen{Worker: "w1", Gone: true})
+			return j.Step(later, job.WorkerList{Worker: "w1", LeasesExpired: true})
 		},
 		"the start arrived in the next life": func(j *job.Jobs, a job.Start) []job.Action {
 			j.Step(now, job.Unsure{Task: a.Task, Attempt: a.Attempt, Deadline: now})
@@ -96,7 +96,7 @@
 			j.Step(now, inLife("w1", "1", now))
 			acts := end(j, startOf(t, j, "d.r.j.0", "w1"))
 			require.Zero(t, lives(acts))
-			require.Len(t, only[job.Want](acts), 1)
+			require.Len(t, only[job.RequestPlacement](acts), 1)
 		})
 	}
 }
@@ -117,12 +117,12 @@
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(2)})
 	crash(j, "d.r.j.0", "w1", "1", "2", now)
-	j.Step(now, job.Noted{Task: "d.r.j.0", Lives: 1})
+	j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})
 	confirm(j, "d.r.j.0", "w1")
 	confirm(j, "d.r.j.1", "w1")
 	acts := j.Step(now, inLife("w1", "3", now.Add(2*time.Second)))
-	require.Equal(t, []job.Crashed{{Job: "d.r.j", Task: "d.r.j.0", Worker: "w1", Lives: 2}}, only[job.Crashed](acts))
-	require.Equal(t, []string{"d.r.j.1"}, only[job.Want](acts)[0].Tasks)
+	require.Equal(t, []job.StoreCrashCount{{Job: "d.r.j", Task: "d.r.j.0", Worker: "w1", Crashes: 2}}, only[job.StoreCrashCount](acts))
+	require.Equal(t, []string{"d.r.j.1"}, only[job.RequestPlacement](acts)[0].Tasks)
 }
 
 // Guards against services that are given up because workers crash now and then.
@@ -135,7 +135,7 @@
 		later := now.Add(2 * time.Hour)
 		acts := j.Step(later, inLife("w1", "2", later))
 		require.Zero(t, lives(acts))
-		require.False(t, only[job.Want](acts)[0].Apart)
+		require.False(t, only[job.RequestPlacement](acts)[0].Exclusive)
 		j = moved(t, j)
 	}
 }
@@ -143,10 +143,10 @@
 // moved hands the job over to another lead.
 func moved(t *testing.T, j *job.Jobs) *job.Jobs {
 	t.Helper()
-	c, ok := j.Carry("d.r.j")
+	c, ok := j.Snapshot("d.r.j")
 	require.True(t, ok)
 	next := job.New()
-	next.Step(now, job.Adopt{Carry: c})
+	next.Step(now, job.Adopt{Snapshot: c})
 	return next
 }
 
@@ -157,7 +157,7 @@
 		"inherited": func(_ *job.Jobs, lives int64) *job.Jobs {
 			j := job.New()
 			j.Step(now, job.Inherit{Spec: spec(1)})
-			j.Step(now, job.Release{ID: "d.r.j", Lives: map[string]int64{"d.r.j.0": lives}})
+			j.Step(now, job.Release{ID: "d.r.j", Crashes: map[string]int64{"d.r.j.0": lives}})
 			return j
 		},
 	} {
@@ -167,7 +167,7 @@
 			for n := range int64(3) {
 				require.Equal(t, n+1, lives(crash(j, "d.r.j.0", "w1", "1", "2", now)))
 				if n < 2 {
-					j.Step(now, job.Noted{Task: "d.r.j.0", Lives: n + 1})
+					j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: n + 1})
 					j = next(j, n+1)
 				}
 			}
@@ -184,11 +184,11 @@
 		j.Step(now, inLife("w1", "1", now))
 		confirm(j, "d.r.j.0", "w1")
 		later := now.Add(time.Minute)
-		require.Len(t, only[job.Want](j.Step(later, job.Seen{Worker: "w1", Gone: true})), 1)
+		require.Len(t, only[job.RequestPlacement](j.Step(later, job.WorkerList{Worker: "w1", LeasesExpired: true})), 1)
 		acts := j.Step(later, inLife("w1", life, later))
 		require.Equal(t, want, lives(acts))
 		require.Len(t, only[job.Free](acts), int(want), "it waits until the crash is stored")
-		require.Len(t, only[job.Want](j.Step(later, job.Noted{Task: "d.r.j.0", Lives: 1})), int(want))
+		require.Len(t, only[job.RequestPlacement](j.Step(later, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), int(want))
 	}
 }
 
@@ -199,20 +199,20 @@
 	gang.Gang = true
 	last := func(acts []job.Action) {
 		t.Helper()
-		require.NotEmpty(t, only[job.Crashed](acts))
-		require.IsType(t, job.Crashed{}, acts[len(acts)-1])
+		require.NotEmpty(t, only[job.StoreCrashCount](acts))
+		require.IsType(t, job.StoreCrashCount{}, acts[len(acts)-1])
 	}
 	j := job.New()
 	j.Step(now, job.Submit{Spec: gang})
 	j.Step(now, inLife("w1", "1", now))
 	confirm(j, "d.r.j.0", "w1")
 	confirm(j, "d.r.j.1", "w1")
-	j.Step(now, job.Drop{ID: "d.r.j", Recall: true})
+	j.Step(now, job.Drop{ID: "d.r.j", RememberPlaces: true})
 	j.Step(now, job.Inherit{Spec: gang})
 	later := now.Add(time.Minute)
 	j.Step(later, inLife("w1", "2", later))
 	last(j.Step(later, job.Release{ID: "d.r.j"}))
-	c, ok := j.Carry("d.r.j")
+	c, ok := j.Snapshot("d.r.j")
 	require.True(t, ok)
-	last(job.New().Step(later, job.Adopt{Carry: c}))
+	last(job.New().Step(later, job.Adopt{Snapshot: c}))
 }
--- a/internal/job/messages.go
+++ b/internal/job/messages.go
@@ -28,8 +28,8 @@
 // Cancel asks that a job stops.
 type Cancel struct{ ID string }
 
-// Put tells that a task got room on a worker.
-type Put struct{ Task, Worker string }
+// Placed tells that a task got room on a worker.
+type Placed struct{ Task, Worker string }
 
 // Started tells that a worker confirmed a start. Attempt is that of the start: an
 // answer may come after the task has left the worker, and says nothing of its next start.
@@ -60,32 +60,32 @@
 	Attempt int64
 }
 
-// Seen is all that one worker lists, at Clock in its own time. Sent is when
+// WorkerList is all that one worker lists, at Clock in its own time. Sent is when
 // it was asked, by this host's clock.
-type Seen struct {
+type WorkerList struct {
 	Worker string
 	Clock  time.Time
 	Sent   time.Time
-	Tasks  []Listed
+	Tasks  []ListedTask
 	// Jobs are those that the list is about; nil: all.
 	Jobs []string
-	// Gone tells that the worker was silent for longer than any lease runs,
+	// LeasesExpired tells that the worker was silent for longer than any lease runs,
 	// so that nothing runs there.
-	Gone bool
-	// Life names the worker's life, from its start to its end; empty: not told.
-	Life string
+	LeasesExpired bool
+	// Incarnation names the worker's life, from its start to its end; empty: not told.
+	Incarnation string
 	// RackLost tells that all workers of its rack began their lives at about the same time.
 	RackLost bool
 }
 
-// Noted tells that a count of Crashed is stored.
-type Noted struct {
-	Task  string
-	Lives int64
+// CrashCountStored tells that a count of Crashed is stored.
+type CrashCountStored struct {
+	Task    string
+	Crashes int64
 }
 
-// Listed is one task in a worker's list. Lease names the start.
-type Listed struct {
+// ListedTask is one task in a worker's list. Lease names the start.
+type ListedTask struct {
 	ID    string `json:"id"`
 	State string `json:"state"`
 	Lease string `json:"lease,omitempty"`
@@ -98,40 +98,40 @@
 // Tick lets time pass.
 type Tick struct{}
 
-func (Submit) event()     {}
-func (Cancel) event()     {}
-func (Put) event()        {}
-func (Started) event()    {}
-func (NotStarted) event() {}
-func (Unsure) event()     {}
-func (Stopped) event()    {}
-func (Seen) event()       {}
-func (Preempt) event()    {}
-func (Noted) event()      {}
-func (Tick) event()       {}
+func (Submit) event()           {}
+func (Cancel) event()           {}
+func (Placed) event()           {}
+func (Started) event()          {}
+func (NotStarted) event()       {}
+func (Unsure) event()           {}
+func (Stopped) event()          {}
+func (WorkerList) event()       {}
+func (Preempt) event()          {}
+func (CrashCountStored) event() {}
+func (Tick) event()             {}
 
 // Action is what the job core asks its edge to do.
 type Action interface{ action() }
 
-// Want asks the placement for room for tasks.
-type Want struct {
+// RequestPlacement asks the placement for room for tasks.
+type RequestPlacement struct {
 	Spec  Spec
 	Tasks []string
 	// Since is when the job was accepted.
 	Since time.Time
 	// Avoid are workers that these tasks have failed on, the last time at Failed. They go back to
 	// one of them at Back, or sooner if it has run another task well since.
-	Avoid        []string
-	Failed, Back time.Time
-	// Apart asks for workers on which nothing else runs.
-	Apart bool
+	Avoid                   []string
+	LastFailure, AvoidUntil time.Time
+	// Exclusive asks for workers on which nothing else runs.
+	Exclusive bool
 }
 
-// Crashed asks to store how many lives of workers ended under a task. The task is not wanted
+// StoreCrashCount asks to store how many lives of workers ended under a task. The task is not wanted
 // again before Noted.
-type Crashed struct {
+type StoreCrashCount struct {
 	Job, Task, Worker string
-	Lives             int64
+	Crashes           int64
 }
 
 // Pause asks a worker to checkpoint a task and then to stop it.
@@ -175,12 +175,12 @@
 	Reason string
 }
 
-func (Want) action()    {}
-func (Pause) action()   {}
-func (Result) action()  {}
-func (Start) action()   {}
-func (Stop) action()    {}
-func (Free) action()    {}
-func (Forget) action()  {}
-func (Ended) action()   {}
-func (Crashed) action() {}
+func (RequestPlacement) action() {}
+func (Pause) action()            {}
+func (Result) action()           {}
+func (Start) action()            {}
+func (Stop) action()             {}
+func (Free) action()             {}
+func (Forget) action()           {}
+func (Ended) action()            {}
+func (StoreCrashCount) action()  {}
--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -18,7 +18,7 @@
 	Age time.Duration
 	// Incarnation names the worker's life.
 	Incarnation string
-	Tasks       []job.Listed
+	Tasks       []job.ListedTask
 	// Counted are the running tasks of the keys that were asked for.
 	Counted []CountedTask
 }
@@ -55,7 +55,7 @@
 	c := InventoryReply{Incarnations: l.Leases.Settled(l.Clock())}
 	for _, id := range q.Jobs {
 		switch {
-		case l.Jobs.Waits(id):
+		case l.Jobs.AwaitsInventory(id):
 			c.Waits = append(c.Waits, id)
 		case l.knows(id):
 			c.Leads = append(c.Leads, id)
@@ -89,7 +89,7 @@
 	v := WorkerState{Worker: name, Clock: r.Clock, Age: l.Clock().Sub(r.Sent), Incarnation: r.Life}
 	for _, t := range r.Tasks {
 		if slices.Contains(q.Jobs, t.Job) {
-			v.Tasks = append(v.Tasks, job.Listed{ID: t.ID, State: t.State, Lease: t.Lease})
+			v.Tasks = append(v.Tasks, job.ListedTask{ID: t.ID, State: t.State, Lease: t.Lease})
 		}
 		if len(q.Keys) > 0 && t.State == "running" && slices.Contains(q.Keys, l.keyOf(t.Row)) {
 			v.Counted = append(v.Counted, CountedTask{Row: t.Row, Size: roomOf(t)})
@@ -141,7 +141,7 @@
 		}
 		ev.Workers = append(ev.Workers, v.Worker)
 		l.toldElsewhere(v.Worker, q.Keys, v.Counted)
-		l.job(job.Seen{Worker: v.Worker, Clock: v.Clock, Sent: q.Asked.Add(-v.Age), Tasks: v.Tasks, Jobs: q.Jobs, Life: v.Incarnation})
+		l.job(job.WorkerList{Worker: v.Worker, Clock: v.Clock, Sent: q.Asked.Add(-v.Age), Tasks: v.Tasks, Jobs: q.Jobs, Incarnation: v.Incarnation})
 	}
 	l.takeover(ev)
 }
--- a/internal/lead/handover.go
+++ b/internal/lead/handover.go
@@ -40,7 +40,7 @@
 // Adopt goes on with jobs that their live lead handed over. It refuses them
 // while this host holds no worker: it could not know then whether it was taken
 // for dead.
-func (l *Leader) Adopt(from, token string, jobs []job.Carry) error {
+func (l *Leader) Adopt(from, token string, jobs []job.Snapshot) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.leaving {
@@ -59,7 +59,7 @@
 }
 
 // TakeBack leads jobs again that were handed over in that epoch and whose next lead refused them.
-func (l *Leader) TakeBack(jobs []job.Carry, epoch int64) error {
+func (l *Leader) TakeBack(jobs []job.Snapshot, epoch int64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.leaving {
@@ -72,12 +72,12 @@
 	return nil
 }
 
-func (l *Leader) adopt(jobs []job.Carry, how string) {
+func (l *Leader) adopt(jobs []job.Snapshot, how string) {
 	for _, c := range jobs {
 		l.takeover(takeover.Gone{Job: c.Spec.ID})
 		l.Count("lead.adopted")
 		l.note(c.Spec.ID, how)
-		l.job(job.Adopt{Carry: c})
+		l.job(job.Adopt{Snapshot: c})
 	}
 	l.readAll()
 }
@@ -85,17 +85,17 @@
 // HandOver stops leading jobs and returns all that is known of them, for the
 // next lead, and the epoch in which that is true. Jobs that wait for a census
 // are left out: nothing is known of them.
-func (l *Leader) HandOver(ids []string) ([]job.Carry, int64) {
+func (l *Leader) HandOver(ids []string) ([]job.Snapshot, int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var all []job.Carry
+	var all []job.Snapshot
 	epoch := l.epochNow()
 	for _, id := range ids {
-		if c, ok := l.Jobs.Carry(id); ok {
+		if c, ok := l.Jobs.Snapshot(id); ok {
 			l.Count("lead.handed")
 			l.note(id, "handed over")
 			l.drop(id, false)
-			c.Name = cell.NewID()
+			c.HandoverID = cell.NewID()
 			all = append(all, c)
 		}
 	}
