--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -208,15 +208,15 @@
 		t.h.wg.Go(func() { t.hold(a) })
 	case sched.Start:
 		t.h.wg.Go(func() {
-			got := t.order(a.To.Life, func(ctx context.Context) sched.Outcome { return t.h.workers.Start(ctx, a) })
+			got := t.order(a.To.Incarnation, func(ctx context.Context) sched.Outcome { return t.h.workers.Start(ctx, a) })
 			t.h.count("start." + got.String())
-			t.step(sched.Started{Task: a.Task, Run: a.Run, Worker: a.To.Life, Outcome: got})
+			t.step(sched.Started{Task: a.Task, Run: a.Run, Worker: a.To.Incarnation, Outcome: got})
 		})
 	case sched.Stop:
 		t.h.wg.Go(func() {
-			got := t.order(a.To.Life, func(ctx context.Context) sched.Outcome { return t.h.workers.Stop(ctx, a) })
+			got := t.order(a.To.Incarnation, func(ctx context.Context) sched.Outcome { return t.h.workers.Stop(ctx, a) })
 			t.h.count("stop." + got.String())
-			t.step(sched.Stopped{Task: a.Task, Run: a.Run, Worker: a.To.Life, Outcome: got})
+			t.step(sched.Stopped{Task: a.Task, Run: a.Run, Worker: a.To.Incarnation, Outcome: got})
 		})
 	case sched.Pace:
 		t.h.wg.Go(func() {
@@ -252,11 +252,11 @@
 
 func (t *term) hold(a sched.Hold) {
 	sent := t.h.now()
-	got := inTime(t.orders, t.h.now, a.To.Life, a.Wait, func() sched.Held {
+	got := inTime(t.orders, t.h.now, a.To.Incarnation, a.Wait, func() sched.Held {
 		ctx, cancel := context.WithTimeout(t.ctx, a.Wait+orderWait)
 		defer cancel()
 		return t.h.workers.Hold(ctx, a)
-	}, func(r sched.Held) bool { return r.Outcome != sched.Unanswered }, sched.Held{Worker: a.To.Life, Outcome: sched.Unanswered, Look: a.Look, Seen: a.Seen})
+	}, func(r sched.Held) bool { return r.Outcome != sched.Unanswered }, sched.Held{Worker: a.To.Incarnation, Outcome: sched.Unanswered, Look: a.Look, Seen: a.Seen})
 	got.Sent, got.Received = sent, t.h.now()
 	t.h.count(heldAs(got))
 	t.step(got)
--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -67,7 +67,7 @@
 	if !ok {
 		return "", false
 	}
-	got, ok := a.good[w.Life]
+	got, ok := a.good[w.Incarnation]
 	if !ok || !s.now.Before(got.until) {
 		return "", false
 	}
@@ -113,9 +113,9 @@
 
 func (s *Sched) dropTicket(t *flow.Task, w *worker) {
 	if a, ok := s.advice[t.Step]; ok {
-		if got, ok := a.good[w.Life]; ok {
+		if got, ok := a.good[w.Incarnation]; ok {
 			got.until = time.Time{}
-			a.good[w.Life] = got
+			a.good[w.Incarnation] = got
 		}
 	}
 }
--- a/internal/sched/ahead.go
+++ b/internal/sched/ahead.go
@@ -43,8 +43,8 @@
 	var all []candidate
 	var most int64
 	for _, w := range p.workers {
-		got, known := a.good[w.Life]
-		if !a.bad[w.Life] && r.stage.Spec.Room().Fits(w.Size) {
+		got, known := a.good[w.Incarnation]
+		if !a.bad[w.Incarnation] && r.stage.Spec.Room().Fits(w.Size) {
 			most += r.stage.Spec.Room().Into(w.Size)
 		}
 		if known && s.now.Add(cost).Before(got.until) {
@@ -54,10 +54,10 @@
 			}
 			continue
 		}
-		if a.bad[w.Life] || !r.stage.Spec.Room().Fits(w.Size) || !s.suits(r, r.tasks[0], w) {
+		if a.bad[w.Incarnation] || !r.stage.Spec.Room().Fits(w.Size) || !s.suits(r, r.tasks[0], w) {
 			continue
 		}
-		all = append(all, candidate{life: w.Life, known: known, cost: s.cost(r, w)})
+		all = append(all, candidate{life: w.Incarnation, known: known, cost: s.cost(r, w)})
 	}
 	if r.stage.Spec.Gang && most < int64(len(r.tasks)) {
 		// Nothing could start with all that may be allowed empty.
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -107,7 +107,7 @@
 
 func (b *cellBench) addWorker(life string, i int) *fakeWorker {
 	w := &fakeWorker{b: b, slow: 1, runs: map[flow.Name]*fakeRun{}, tombs: map[flow.Name]int{}, info: sched.Worker{
-		Address: sched.Address{Life: life, Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 80)},
+		Address: sched.Address{Incarnation: life, Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 80)},
 		Service: "pass", Domain: fmt.Sprintf("d%d", i%3), Rack: fmt.Sprintf("r%d", i%3), Size: cell.Size{CPU: 64_000, Mem: 256 << 30},
 	}}
 	b.workers[life] = w
@@ -223,12 +223,12 @@
 		b.after(took, func() { b.store(term, a) })
 	case sched.Hold:
 		b.holds++
-		b.after(hop, func() { b.workers[a.To.Life].hold(term, a, b.now.Add(-hop)) })
+		b.after(hop, func() { b.workers[a.To.Incarnation].hold(term, a, b.now.Add(-hop)) })
 	case sched.Start:
 		sent := b.order
-		b.after(hop, func() { b.workers[a.To.Life].start(term, a, sent) })
+		b.after(hop, func() { b.workers[a.To.Incarnation].start(term, a, sent) })
 	case sched.Stop:
-		b.after(hop, func() { b.workers[a.To.Life].stop(term, a) })
+		b.after(hop, func() { b.workers[a.To.Incarnation].stop(term, a) })
 	case sched.Pace:
 		b.paces = append(b.paces, a)
 	case sched.Ask:
--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -33,7 +33,7 @@
 	for i := range 4 + r.IntN(8) {
 		w := d.addWorker(fmt.Sprintf("w%02d", i), i)
 		w.info.Size = d.size
-		d.sure[w.info.Life] = i < 3
+		d.sure[w.info.Incarnation] = i < 3
 	}
 	d.list()
 	d.queues = nil
@@ -136,7 +136,7 @@
 		if step.Gang {
 			need = step.Room().Times(float64(step.Tasks))
 		}
-		advised := d.specs[id].Queue.Advice == nil || d.policy(id+".0.0", w.info.Life)
+		advised := d.specs[id].Queue.Advice == nil || d.policy(id+".0.0", w.info.Incarnation)
 		room = room || advised && need.Fits(free)
 	}
 	return room && used.Share(whole) < 0.5
--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -74,7 +74,7 @@
 	if t == nil || !t.Spec().Copies || t.State != flow.Waiting || l.Run < t.Run {
 		return false
 	}
-	t.Worker, t.Run = w.Life, l.Run
+	t.Worker, t.Run = w.Incarnation, l.Run
 	t.Move(flow.Assign, s.now)
 	t.Move(flow.Send, s.now)
 	w.put(t)
@@ -105,7 +105,7 @@
 // and could not store that any more. Left out, its task would be tried more often than
 // its caller allows. A run that is not newer than what the record says was counted with it.
 func (s *Sched) failedCopy(w *worker, t *flow.Task, e End) {
-	beside := t.Out() && t.Worker != w.Life && e.Run == t.Run
+	beside := t.Out() && t.Worker != w.Incarnation && e.Run == t.Run
 	if e.Run <= t.Run && !beside {
 		return
 	}
--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -32,7 +32,7 @@
 
 // lose notes that a run may have ended the life of a worker that answers no more.
 func (s *Sched) lose(t *flow.Task, w *worker) {
-	if t.State == flow.Assigned || w.draining || t.Job.State.Final() || !t.Lose(w.Life) {
+	if t.State == flow.Assigned || w.draining || t.Job.State.Final() || !t.Lose(w.Incarnation) {
 		return
 	}
 	w.lost[t.Name] = lostRun{t, t.Run, s.now}
@@ -50,12 +50,12 @@
 	case w.draining, t.Doubt() > 1 && s.rackFell(w, t):
 		s.acquit(t, w)
 		return
-	case !t.Crash(w.Life):
+	case !t.Crash(w.Incarnation):
 		return
 	}
 	s.suspects[t] = true
 	s.touch(j)
-	s.do(Note{ID: t.Name.String(), What: "worker crashed under it", Worker: w.Life, Run: t.Run, Detail: strconv.Itoa(len(t.Crashed))})
+	s.do(Note{ID: t.Name.String(), What: "worker crashed under it", Worker: w.Incarnation, Run: t.Run, Detail: strconv.Itoa(len(t.Crashed))})
 	if len(t.Crashed) < mostCrashes {
 		return
 	}
@@ -65,8 +65,8 @@
 
 // acquit takes back that a task may have ended a worker's life.
 func (s *Sched) acquit(t *flow.Task, w *worker) {
-	if t.Acquit(w.Life) {
-		s.do(Note{ID: t.Name.String(), What: "crash ruled out", Worker: w.Life, Run: t.Run})
+	if t.Acquit(w.Incarnation) {
+		s.do(Note{ID: t.Name.String(), What: "crash ruled out", Worker: w.Incarnation, Run: t.Run})
 		s.touch(t.Job)
 	}
 }
@@ -153,7 +153,7 @@
 	maps.DeleteFunc(s.suspects, func(t *flow.Task, _ bool) bool { return over(t) || t.Doubt() == 0 })
 	for _, w := range s.workers {
 		maps.DeleteFunc(w.lost, func(_ flow.Name, l lostRun) bool {
-			return over(l.task) || !slices.Contains(l.task.Lost, w.Life)
+			return over(l.task) || !slices.Contains(l.task.Lost, w.Incarnation)
 		})
 	}
 }
--- a/internal/sched/ends.go
+++ b/internal/sched/ends.go
@@ -9,7 +9,7 @@
 // listed takes note of a run that is at the worker.
 func (s *Sched) listed(w *worker, l Listed, clock time.Time) {
 	t := s.task(runKey{l.Task, l.Run})
-	if t == nil || t.Worker != w.Life {
+	if t == nil || t.Worker != w.Incarnation {
 		if !s.adoptCopy(w, l) {
 			s.stray(w, l)
 		}
@@ -40,7 +40,7 @@
 	} else {
 		w.loosenWhole(k, until)
 	}
-	s.do(Note{ID: l.Task.String(), What: "stray run", Worker: w.Life, Run: l.Run})
+	s.do(Note{ID: l.Task.String(), What: "stray run", Worker: w.Incarnation, Run: l.Run})
 	s.do(Stop{To: w.Address, Term: s.term, Task: l.Task, Run: l.Run})
 }
 
@@ -69,7 +69,7 @@
 // twice if it had not.
 func (s *Sched) ended(w *worker, e End, clock time.Time) {
 	t := s.task(runKey{e.Task, e.Run})
-	if t == nil || t.Worker != w.Life || !t.Out() {
+	if t == nil || t.Worker != w.Incarnation || !t.Out() {
 		s.endedCopy(w, e)
 		return
 	}
--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -80,10 +80,10 @@
 	case Taken:
 		s.read(w, ev)
 	case OtherLife:
-		s.died(w.Life)
+		s.died(w.Incarnation)
 		return
 	case Fenced:
-		s.do(Depose{Worker: w.Life})
+		s.do(Depose{Worker: w.Incarnation})
 		return
 	default:
 		if w.doubt.IsZero() {
@@ -91,7 +91,7 @@
 			// ends at the worker are not known before.
 			w.doubt = s.now
 			s.fell(w)
-			s.do(Note{ID: w.Life, What: "worker does not answer", Worker: w.Life, Detail: ev.Outcome.String()})
+			s.do(Note{ID: w.Incarnation, What: "worker does not answer", Worker: w.Incarnation, Detail: ev.Outcome.String()})
 			break
 		}
 		w.again = s.now.Add(retryAfter)
@@ -108,7 +108,7 @@
 	if !w.doubt.IsZero() {
 		w.back = s.now
 		s.rose(w)
-		s.do(Note{ID: w.Life, What: "worker answers again", Worker: w.Life})
+		s.do(Note{ID: w.Incarnation, What: "worker answers again", Worker: w.Incarnation})
 	}
 	w.doubt = time.Time{}
 	if ev.Received.After(w.read) {
--- a/internal/sched/list.go
+++ b/internal/sched/list.go
@@ -14,14 +14,14 @@
 func (s *Sched) setWorkers(ev Workers) {
 	listed := make(map[string]bool, len(ev.All))
 	for _, l := range ev.All {
-		listed[l.Life] = true
-		w, ok := s.workers[l.Life]
+		listed[l.Incarnation] = true
+		w, ok := s.workers[l.Incarnation]
 		if !ok {
 			w = newWorker(l)
 			w.came = s.now
-			s.workers[l.Life] = w
+			s.workers[l.Incarnation] = w
 			s.forgetOrder()
-			s.do(Note{ID: l.Life, What: "worker listed", Worker: l.Life, Detail: l.Domain})
+			s.do(Note{ID: l.Incarnation, What: "worker listed", Worker: l.Incarnation, Detail: l.Domain})
 		}
 		s.relist(w, l)
 		w.listed, w.unlisted = true, time.Time{}
@@ -31,7 +31,7 @@
 		s.keepHolding(w)
 	}
 	for _, w := range s.lives() {
-		life := w.Life
+		life := w.Incarnation
 		if !listed[life] && w.listed {
 			w.listed, w.unlisted = false, s.now
 			s.do(Note{ID: life, What: "worker not listed", Worker: life})
@@ -61,7 +61,7 @@
 		return
 	}
 	a, b := w.Size, l.Size
-	s.do(Note{ID: w.Life, What: "worker resized", Worker: w.Life, Detail: fmt.Sprintf(
+	s.do(Note{ID: w.Incarnation, What: "worker resized", Worker: w.Incarnation, Detail: fmt.Sprintf(
 		"cpu %d to %d, mem %d to %d, accel %d to %d, entry %d; before: entry %d, %s",
 		a.CPU, b.CPU, a.Mem, b.Mem, a.Accel, b.Accel, l.Version, w.Version, s.now.Sub(since),
 	)})
@@ -91,5 +91,5 @@
 func (s *Sched) drain(w *worker, left time.Duration) {
 	w.draining = true
 	w.leaves = s.now.Add(left)
-	s.do(Note{ID: w.Life, What: "worker leaves", Worker: w.Life, Detail: left.String()})
+	s.do(Note{ID: w.Incarnation, What: "worker leaves", Worker: w.Incarnation, Detail: left.String()})
 }
--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -11,8 +11,8 @@
 // Address is where one life of a worker is reached. A worker that crashed comes
 // back as another life, which runs nothing.
 type Address struct {
-	Life string
-	Addr netip.AddrPort
+	Incarnation string
+	Addr        netip.AddrPort
 }
 
 // Worker is one worker as the platform lists it.
--- a/internal/sched/naming.go
+++ b/internal/sched/naming.go
@@ -73,15 +73,15 @@
 			continue
 		}
 		some = true
-		if a.bad[w.Life] || !s.suits(r, r.tasks[0], w) {
+		if a.bad[w.Incarnation] || !s.suits(r, r.tasks[0], w) {
 			continue
 		}
 		hold := r.hold(w)
 		most += hold
-		got, known := a.good[w.Life]
+		got, known := a.good[w.Incarnation]
 		if !known || !s.now.Before(got.until) {
 			// One with a ticket was passed over for another reason.
-			all = append(all, candidate{life: w.Life, tasks: hold, known: known, cost: s.cost(r, w)})
+			all = append(all, candidate{life: w.Incarnation, tasks: hold, known: known, cost: s.cost(r, w)})
 		}
 	}
 	if !some {
@@ -96,11 +96,11 @@
 	var all []candidate
 	room := r.stage.Spec.Room()
 	for _, w := range p.workers {
-		_, known := a.good[w.Life]
-		if known || a.bad[w.Life] || !room.Fits(w.Size) || room.Fits(w.open().Sub(w.booked)) || !s.suits(r, r.tasks[0], w) {
+		_, known := a.good[w.Incarnation]
+		if known || a.bad[w.Incarnation] || !room.Fits(w.Size) || room.Fits(w.open().Sub(w.booked)) || !s.suits(r, r.tasks[0], w) {
 			continue
 		}
-		all = append(all, candidate{life: w.Life, cost: s.cost(r, w)})
+		all = append(all, candidate{life: w.Incarnation, cost: s.cost(r, w)})
 	}
 	slices.SortStableFunc(all, candidate.compare)
 	return all
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -223,7 +223,7 @@
 		return false
 	case st.Label != "" && !slices.Contains(w.Labels, st.Label):
 		return false
-	case t.Avoid == w.Life && s.now.Sub(t.Since) < avoidFor:
+	case t.Avoid == w.Incarnation && s.now.Sub(t.Since) < avoidFor:
 		return false
 	case st.Fills && w.filled+st.Size.CPU > max(w.free().CPU, 0):
 		return false
--- a/internal/sched/rack.go
+++ b/internal/sched/rack.go
@@ -29,10 +29,10 @@
 // fell notes that a worker stopped answering or has ended, and asks the idle workers of its
 // rack if a task under which a life had ended before was there.
 func (s *Sched) fell(w *worker) {
-	if w.Rack == "" || slices.ContainsFunc(s.falls, func(f fall) bool { return f.life == w.Life }) {
+	if w.Rack == "" || slices.ContainsFunc(s.falls, func(f fall) bool { return f.life == w.Incarnation }) {
 		return
 	}
-	f := fall{at: s.now, life: w.Life, rack: w.Rack, steps: map[*flow.Stage]bool{}}
+	f := fall{at: s.now, life: w.Incarnation, rack: w.Rack, steps: map[*flow.Stage]bool{}}
 	suspect := false
 	for _, t := range w.tasks {
 		f.steps[t.Step] = true
@@ -51,22 +51,22 @@
 
 // rose forgets that a worker stopped answering.
 func (s *Sched) rose(w *worker) {
-	s.falls = slices.DeleteFunc(s.falls, func(f fall) bool { return f.life == w.Life })
+	s.falls = slices.DeleteFunc(s.falls, func(f fall) bool { return f.life == w.Incarnation })
 }
 
 // rackFell tells whether all workers of a rack ended together for a cause that was not a
 // task of this step. Bad tasks that start together end several lives at once as well, so
 // there must be an idle worker among them.
 func (s *Sched) rackFell(w *worker, t *flow.Task) bool {
-	i := slices.IndexFunc(s.falls, func(f fall) bool { return f.life == w.Life })
+	i := slices.IndexFunc(s.falls, func(f fall) bool { return f.life == w.Incarnation })
 	if i < 0 {
 		return false
 	}
 	at := s.falls[i].at
 	idle, everywhere := false, true
-	down := map[string]bool{w.Life: true}
+	down := map[string]bool{w.Incarnation: true}
 	for _, f := range s.falls {
-		if f.life == w.Life || f.rack != w.Rack || f.at.Sub(at).Abs() > togetherWithin {
+		if f.life == w.Incarnation || f.rack != w.Rack || f.at.Sub(at).Abs() > togetherWithin {
 			continue
 		}
 		down[f.life] = true
@@ -79,7 +79,7 @@
 // anyUp tells whether any worker of a rack that was known by then is not down.
 func (s *Sched) anyUp(rack string, by time.Time, down map[string]bool) bool {
 	for _, w := range s.workers {
-		if w.Rack == rack && !w.dead && !down[w.Life] && w.came.Before(by) {
+		if w.Rack == rack && !w.dead && !down[w.Incarnation] && w.came.Before(by) {
 			return true
 		}
 	}
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -121,7 +121,7 @@
 func (s *Sched) known(life string) *worker {
 	w, ok := s.workers[life]
 	if !ok {
-		w = newWorker(Worker{Address: Address{Life: life}})
+		w = newWorker(Worker{Address: Address{Incarnation: life}})
 		s.workers[life] = w
 		s.forgetOrder()
 	}
--- a/internal/sched/slow.go
+++ b/internal/sched/slow.go
@@ -61,7 +61,7 @@
 	still := max(stillLeast, time.Duration(stillShare*float64(st.Time)))
 	if clock.Sub(t.Moved) > still {
 		s.blame(w, t)
-		t.Avoid = w.Life
+		t.Avoid = w.Incarnation
 		s.stop(t, "stands still at "+strconv.Itoa(l.Percent)+" percent")
 	}
 }
@@ -95,7 +95,7 @@
 			continue
 		}
 		t.Restarts++
-		t.Avoid = w.Life
+		t.Avoid = w.Incarnation
 		s.stop(t, "is too slow")
 	}
 }
--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -12,7 +12,7 @@
 // when the store is slow and endless while it is away. One that may crash its worker
 // waits: each lead would start it anew.
 func (s *Sched) assign(t *flow.Task, w *worker, run int) {
-	t.Worker, t.Run = w.Life, run
+	t.Worker, t.Run = w.Incarnation, run
 	t.Move(flow.Assign, s.now)
 	t.Seen, t.Moved, t.Percent, t.Pace = time.Time{}, time.Time{}, 0, 100
 	if t.Job.Domain == "" {
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -192,7 +192,7 @@
 // watchWorkers notices leases that have surely lapsed and goes on asking.
 func (s *Sched) watchWorkers() {
 	for _, w := range s.lives() {
-		life := w.Life
+		life := w.Incarnation
 		if w.draining && !w.dead {
 			s.evacuate(w)
 		}
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -109,18 +109,18 @@
 
 func (w *fakeWorker) start(term int64, a sched.Start, sent int) {
 	answer := func(o sched.Outcome) {
-		w.reply(term, sched.Started{Task: a.Task, Run: a.Run, Worker: w.info.Life, Outcome: o})
+		w.reply(term, sched.Started{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: o})
 	}
 	if w.reborn && !w.silent {
 		answer(sched.OtherLife)
 		return
 	}
 	if w.silent || w.dead {
-		w.unanswered(term, sched.Started{Task: a.Task, Run: a.Run, Worker: w.info.Life, Outcome: sched.Unanswered})
+		w.unanswered(term, sched.Started{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: sched.Unanswered})
 		return
 	}
 	if late := w.lateStart; late > 0 {
-		w.unanswered(term, sched.Started{Task: a.Task, Run: a.Run, Worker: w.info.Life, Outcome: sched.Unanswered})
+		w.unanswered(term, sched.Started{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: sched.Unanswered})
 		w.b.after(late, func() {
 			if !w.dead {
 				w.begin(a, sent)
@@ -156,7 +156,7 @@
 		w.deadline = a.Deadline
 	}
 	if used, size := w.used(), w.sizeSince(sent); !used.Fits(size) {
-		w.b.wrong("%s is over its size: %+v of %+v", w.info.Life, used, size)
+		w.b.wrong("%s is over its size: %+v of %+v", w.info.Incarnation, used, size)
 	}
 	w.lapseLater()
 	if w.b.bad != nil && w.b.bad(a.Task) {
@@ -181,7 +181,7 @@
 	}
 	for _, o := range b.workers {
 		if r, ok := o.runs[a.Task]; ok && !o.dead && o != w {
-			b.wrong("%s run %d on %s while run %d is on %s", a.Task, a.Run, w.info.Life, r.run, o.info.Life)
+			b.wrong("%s run %d on %s while run %d is on %s", a.Task, a.Run, w.info.Incarnation, r.run, o.info.Incarnation)
 		}
 	}
 }
@@ -260,11 +260,11 @@
 
 func (w *fakeWorker) stop(term int64, a sched.Stop) {
 	if w.reborn && !w.silent {
-		w.reply(term, sched.Stopped{Task: a.Task, Run: a.Run, Worker: w.info.Life, Outcome: sched.OtherLife})
+		w.reply(term, sched.Stopped{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: sched.OtherLife})
 		return
 	}
 	if w.silent || w.dead {
-		w.unanswered(term, sched.Stopped{Task: a.Task, Run: a.Run, Worker: w.info.Life, Outcome: sched.Unanswered})
+		w.unanswered(term, sched.Stopped{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: sched.Unanswered})
 		return
 	}
 	out := sched.Taken
@@ -281,11 +281,11 @@
 			})
 		}
 	}
-	w.reply(term, sched.Stopped{Task: a.Task, Run: a.Run, Worker: w.info.Life, Outcome: out})
+	w.reply(term, sched.Stopped{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: out})
 }
 
 func (w *fakeWorker) hold(term int64, a sched.Hold, sent time.Time) {
-	ev := sched.Held{Worker: w.info.Life, Look: a.Look, Seen: a.Seen, Sent: sent}
+	ev := sched.Held{Worker: w.info.Incarnation, Look: a.Look, Seen: a.Seen, Sent: sent}
 	if w.denied(term, a, ev) {
 		return
 	}
--- a/internal/sched/yield.go
+++ b/internal/sched/yield.go
@@ -54,7 +54,7 @@
 			s.stop(t, "gives way to "+r.stage.Tasks[0].Name.StepName())
 		}
 		w.reserved = w.reserved.Add(room)
-		s.yields[r.stage] = append(s.yields[r.stage], yield{w.Life, s.now.Add(yieldFor)})
+		s.yields[r.stage] = append(s.yields[r.stage], yield{w.Incarnation, s.now.Add(yieldFor)})
 	}
 }
 
