--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -263,7 +263,7 @@
 						continue
 					}
 					if i%4 == 3 {
-						w.info.Draining, w.info.Left = true, time.Second
+						w.info.Draining, w.info.Remaining = true, time.Second
 						b.list()
 						b.play(time.Second)
 						w.dead, w.reborn, w.runs = true, true, map[flow.Name]*fakeRun{}
@@ -276,7 +276,7 @@
 					w.silent = false
 					b.play(time.Second)
 					// The next run begins on another worker.
-					w.info.Draining, w.info.Left = true, time.Minute
+					w.info.Draining, w.info.Remaining = true, time.Minute
 					b.list()
 					break
 				}
--- a/internal/sched/history_test.go
+++ b/internal/sched/history_test.go
@@ -157,7 +157,7 @@
 	case 5:
 		w.lateStart = time.Duration(r.IntN(2)) * time.Duration(r.IntN(6)) * time.Second
 	case 6:
-		w.info.Draining, w.info.Left = true, 3*time.Second
+		w.info.Draining, w.info.Remaining = true, 3*time.Second
 		spare++
 		b.addWorker(fmt.Sprintf("x%02d", spare), spare).info.Size = w.full()
 	}
--- a/internal/sched/list.go
+++ b/internal/sched/list.go
@@ -26,7 +26,7 @@
 		s.relist(w, l)
 		w.listed, w.unlisted = true, time.Time{}
 		if l.Draining && !w.draining {
-			s.drain(w, l.Left)
+			s.drain(w, l.Remaining)
 		}
 		s.keepHolding(w)
 	}
--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -24,8 +24,8 @@
 	// Version is that of the entry.
 	Version  int64
 	Draining bool
-	// Left is the least time that a draining worker still has.
-	Left time.Duration
+	// Remaining is the least time that a draining worker still has.
+	Remaining time.Duration
 }
 
 // Outcome is what became of an order to a worker.
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -272,7 +272,7 @@
 	b.play(time.Second)
 	leaving := b.workers["w00"]
 	require.NotEmpty(t, leaving.runs)
-	leaving.info.Draining, leaving.info.Left = true, 4*time.Second
+	leaving.info.Draining, leaving.info.Remaining = true, 4*time.Second
 	b.list()
 	b.play(time.Second)
 	require.Empty(t, leaving.runs)
