--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -265,7 +265,7 @@
 // heldAs names the counter of a hold by what came of it.
 func heldAs(r sched.Held) string {
 	switch {
-	case r.Outcome != sched.Taken:
+	case r.Outcome != sched.Accepted:
 		return "hold." + r.Outcome.String()
 	case r.Look:
 		return "hold.look"
--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -100,7 +100,7 @@
 
 // startedAtDead takes the answer to a start at a life that has ended since.
 func (s *Sched) startedAtDead(t *flow.Task, w *worker, o Outcome) {
-	if o == Taken || o == Unanswered {
+	if o == Accepted || o == Unanswered {
 		s.lose(t, w)
 	}
 	s.gone(t, "worker died")
@@ -109,7 +109,7 @@
 // notBegun acquits a run that was lost on a silent worker before it was known that its
 // start was never carried out.
 func (s *Sched) notBegun(w *worker, ev Started) {
-	if ev.Outcome == Taken || ev.Outcome == Unanswered {
+	if ev.Outcome == Accepted || ev.Outcome == Unanswered {
 		return
 	}
 	if l, ok := w.lost[ev.Task]; ok && l.run == ev.Run {
--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -77,7 +77,7 @@
 		w.holding = false
 	}
 	switch ev.Outcome {
-	case Taken:
+	case Accepted:
 		s.read(w, ev)
 	case OtherLife:
 		s.died(w.Incarnation)
--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -33,8 +33,8 @@
 
 // The outcomes. After all but Unanswered it is certain what the worker did.
 const (
-	// Taken means that the order was carried out, now or before.
-	Taken Outcome = iota
+	// Accepted means that the order was carried out, now or before.
+	Accepted Outcome = iota
 	// NotTaken means that nothing was done.
 	NotTaken
 	// NoRoom means that the worker was fuller than the lead believed.
--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -88,7 +88,7 @@
 		s.gone(t, "worker died")
 		s.died(ev.Worker)
 		return
-	case Taken:
+	case Accepted:
 		s.confirm(t)
 		s.keepHolding(w)
 		return
--- a/internal/sched/stop.go
+++ b/internal/sched/stop.go
@@ -58,7 +58,7 @@
 	}
 	st.flying = false
 	switch ev.Outcome {
-	case Taken:
+	case Accepted:
 		st.sure = s.now
 		if w, ok := s.workers[ev.Worker]; ok {
 			s.look(w)
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -142,7 +142,7 @@
 	}
 	w.fence = a.Term
 	if r, ok := w.runs[a.Task]; ok && r.run == a.Run {
-		return sched.Taken
+		return sched.Accepted
 	}
 	w.b.check(w, a)
 	w.b.starts[a.Task]++
@@ -165,7 +165,7 @@
 	if !st.Lasts && !w.still {
 		w.b.after(r.ends.Sub(w.b.now), func() { w.finish(a.Task, r) })
 	}
-	return sched.Taken
+	return sched.Accepted
 }
 
 // check notes a start that must never happen.
@@ -267,7 +267,7 @@
 		w.unanswered(term, sched.Stopped{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: sched.Unanswered})
 		return
 	}
-	out := sched.Taken
+	out := sched.Accepted
 	if a.Term < w.fence {
 		out = sched.Fenced
 	} else {
