--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -35,8 +35,8 @@
 const (
 	// Accepted means that the order was carried out, now or before.
 	Accepted Outcome = iota
-	// NotTaken means that nothing was done.
-	NotTaken
+	// Rejected means that nothing was done.
+	Rejected
 	// NoRoom means that the worker was fuller than the lead believed.
 	NoRoom
 	// BadTicket means that the policy service's ticket does not hold.
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -136,9 +136,9 @@
 	case a.Term < w.fence:
 		return sched.Fenced
 	case w.b.now.After(a.Deadline):
-		return sched.NotTaken
+		return sched.Rejected
 	case w.tombs[a.Task] >= a.Run:
-		return sched.NotTaken
+		return sched.Rejected
 	}
 	w.fence = a.Term
 	if r, ok := w.runs[a.Task]; ok && r.run == a.Run {
