--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -37,8 +37,8 @@
 	Accepted Outcome = iota
 	// Rejected means that nothing was done.
 	Rejected
-	// NoRoom means that the worker was fuller than the lead believed.
-	NoRoom
+	// NoCapacity means that the worker was fuller than the lead believed.
+	NoCapacity
 	// BadTicket means that the policy service's ticket does not hold.
 	BadTicket
 	// Fenced means that a lead of a later term gives orders there.
--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -102,7 +102,7 @@
 		return
 	case BadTicket:
 		s.dropTicket(t, w)
-	case NoRoom:
+	case NoCapacity:
 		w.full = s.now.Add(retryAfter)
 	default:
 		w.full = s.now.Add(retryAfter)
