--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -79,7 +79,7 @@
 	switch ev.Outcome {
 	case Accepted:
 		s.read(w, ev)
-	case OtherLife:
+	case OtherIncarnation:
 		s.died(w.Incarnation)
 		return
 	case Fenced:
--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -43,8 +43,8 @@
 	BadTicket
 	// Fenced means that a lead of a later term gives orders there.
 	Fenced
-	// OtherLife means that the worker has begun a new life.
-	OtherLife
+	// OtherIncarnation means that the worker has begun a new life.
+	OtherIncarnation
 	// Unanswered means that the order may be carried out, also later.
 	Unanswered
 )
--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -83,7 +83,7 @@
 		return
 	}
 	switch ev.Outcome {
-	case OtherLife:
+	case OtherIncarnation:
 		// The life had ended before the start came.
 		s.gone(t, "worker died")
 		s.died(ev.Worker)
--- a/internal/sched/stop.go
+++ b/internal/sched/stop.go
@@ -63,7 +63,7 @@
 		if w, ok := s.workers[ev.Worker]; ok {
 			s.look(w)
 		}
-	case OtherLife:
+	case OtherIncarnation:
 		s.died(ev.Worker)
 	case Fenced:
 		s.do(Depose{Worker: ev.Worker})
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -112,7 +112,7 @@
 		w.reply(term, sched.Started{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: o})
 	}
 	if w.reborn && !w.silent {
-		answer(sched.OtherLife)
+		answer(sched.OtherIncarnation)
 		return
 	}
 	if w.silent || w.dead {
@@ -260,7 +260,7 @@
 
 func (w *fakeWorker) stop(term int64, a sched.Stop) {
 	if w.reborn && !w.silent {
-		w.reply(term, sched.Stopped{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: sched.OtherLife})
+		w.reply(term, sched.Stopped{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: sched.OtherIncarnation})
 		return
 	}
 	if w.silent || w.dead {
@@ -335,7 +335,7 @@
 		w.unanswered(term, ev)
 		return true
 	case w.reborn:
-		ev.Outcome = sched.OtherLife
+		ev.Outcome = sched.OtherIncarnation
 	case a.Term < w.fence:
 		ev.Outcome = sched.Fenced
 	default:
