--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -59,7 +59,7 @@
 		return
 	}
 	w.looking = true
-	s.do(Hold{To: w.Address, Term: s.term, Seen: w.noted, Look: true})
+	s.do(Hold{To: w.Address, Term: s.term, Seen: w.noted, Probe: true})
 }
 
 func (s *Sched) held(ev Held) {
--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -205,7 +205,7 @@
 	Deadline time.Time
 	Seen     int64
 	Wait     time.Duration
-	Look     bool
+	Probe    bool
 }
 
 // Start asks a worker to start a run. It is dead on arrival after Deadline in
