--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -256,7 +256,7 @@
 		ctx, cancel := context.WithTimeout(t.ctx, a.Wait+orderWait)
 		defer cancel()
 		return t.h.workers.Hold(ctx, a)
-	}, func(r sched.Held) bool { return r.Outcome != sched.Unanswered }, sched.Held{Worker: a.To.Incarnation, Outcome: sched.Unanswered, Look: a.Probe, Seen: a.Seen})
+	}, func(r sched.Held) bool { return r.Outcome != sched.Unanswered }, sched.Held{Worker: a.To.Incarnation, Outcome: sched.Unanswered, Probe: a.Probe, Seen: a.Seen})
 	got.Sent, got.Received = sent, t.h.now()
 	t.h.count(heldAs(got))
 	t.step(got)
@@ -267,7 +267,7 @@
 	switch {
 	case r.Outcome != sched.Accepted:
 		return "hold." + r.Outcome.String()
-	case r.Look:
+	case r.Probe:
 		return "hold.look"
 	case len(r.Ended) == 0:
 		return "hold.nothing"
--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -67,7 +67,7 @@
 	if !ok || w.dead {
 		return
 	}
-	if ev.Look {
+	if ev.Probe {
 		w.looking = false
 		if w.lookAgain {
 			w.lookAgain = false
--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -104,7 +104,7 @@
 type Held struct {
 	Worker  string
 	Outcome Outcome
-	Look    bool
+	Probe   bool
 	// Seen is the last end that the question had the worker forget.
 	Seen           int64
 	Sent, Received time.Time
