--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -18,7 +18,7 @@
 		return
 	}
 	w.holding, w.asked = true, s.now
-	h := Hold{To: w.Address, Term: s.term, Seen: w.noted}
+	h := Hold{To: w.Address, Term: s.term, AckedEnd: w.noted}
 	if w.fenced && w.doubt.IsZero() {
 		// A worker that does not answer is only asked: a hold that is carried out
 		// unanswered would lengthen leases, and a dead worker's never ran out.
@@ -59,7 +59,7 @@
 		return
 	}
 	w.looking = true
-	s.do(Hold{To: w.Address, Term: s.term, Seen: w.noted, Probe: true})
+	s.do(Hold{To: w.Address, Term: s.term, AckedEnd: w.noted, Probe: true})
 }
 
 func (s *Sched) held(ev Held) {
--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -203,7 +203,7 @@
 	To       Address
 	Term     int64
 	Deadline time.Time
-	Seen     int64
+	AckedEnd int64
 	Wait     time.Duration
 	Probe    bool
 }
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -285,12 +285,12 @@
 }
 
 func (w *fakeWorker) hold(term int64, a sched.Hold, sent time.Time) {
-	ev := sched.Held{Worker: w.info.Incarnation, Probe: a.Probe, Seen: a.Seen, Sent: sent}
+	ev := sched.Held{Worker: w.info.Incarnation, Probe: a.Probe, Seen: a.AckedEnd, Sent: sent}
 	if w.denied(term, a, ev) {
 		return
 	}
 	w.fence = a.Term
-	for len(w.ends) > 0 && w.ends[0].Number <= a.Seen {
+	for len(w.ends) > 0 && w.ends[0].Number <= a.AckedEnd {
 		if w.ends[0].How == sched.EndDone && w.ends[0].Number > w.void {
 			w.b.done[w.ends[0].Task] = true
 		}
