--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -256,7 +256,7 @@
 		ctx, cancel := context.WithTimeout(t.ctx, a.Wait+orderWait)
 		defer cancel()
 		return t.h.workers.Hold(ctx, a)
-	}, func(r sched.Held) bool { return r.Outcome != sched.Unanswered }, sched.Held{Worker: a.To.Incarnation, Outcome: sched.Unanswered, Probe: a.Probe, Seen: a.AckedEnd})
+	}, func(r sched.Held) bool { return r.Outcome != sched.Unanswered }, sched.Held{Worker: a.To.Incarnation, Outcome: sched.Unanswered, Probe: a.Probe, AckedEnd: a.AckedEnd})
 	got.Sent, got.Received = sent, t.h.now()
 	t.h.count(heldAs(got))
 	t.step(got)
--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -120,7 +120,7 @@
 	if first {
 		w.promise(ev.Clock.Add(s.limits.Lease))
 	}
-	w.told = max(w.told, ev.Seen)
+	w.told = max(w.told, ev.AckedEnd)
 	for _, e := range ev.Ended {
 		if e.Number > w.seen {
 			w.seen = e.Number
--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -105,8 +105,8 @@
 	Worker  string
 	Outcome Outcome
 	Probe   bool
-	// Seen is the last end that the question had the worker forget.
-	Seen           int64
+	// AckedEnd is the last end that the question had the worker forget.
+	AckedEnd       int64
 	Sent, Received time.Time
 	Clock          time.Time
 	Running        []Listed
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -285,7 +285,7 @@
 }
 
 func (w *fakeWorker) hold(term int64, a sched.Hold, sent time.Time) {
-	ev := sched.Held{Worker: w.info.Incarnation, Probe: a.Probe, Seen: a.AckedEnd, Sent: sent}
+	ev := sched.Held{Worker: w.info.Incarnation, Probe: a.Probe, AckedEnd: a.AckedEnd, Sent: sent}
 	if w.denied(term, a, ev) {
 		return
 	}
