--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -252,18 +252,18 @@
 
 func (t *term) hold(a sched.Hold) {
 	sent := t.h.now()
-	got := inTime(t.orders, t.h.now, a.To.Incarnation, a.Wait, func() sched.Held {
+	got := inTime(t.orders, t.h.now, a.To.Incarnation, a.Wait, func() sched.HoldReply {
 		ctx, cancel := context.WithTimeout(t.ctx, a.Wait+orderWait)
 		defer cancel()
 		return t.h.workers.Hold(ctx, a)
-	}, func(r sched.Held) bool { return r.Outcome != sched.Unanswered }, sched.Held{Worker: a.To.Incarnation, Outcome: sched.Unanswered, Probe: a.Probe, AckedEnd: a.AckedEnd})
+	}, func(r sched.HoldReply) bool { return r.Outcome != sched.Unanswered }, sched.HoldReply{Worker: a.To.Incarnation, Outcome: sched.Unanswered, Probe: a.Probe, AckedEnd: a.AckedEnd})
 	got.Sent, got.Received = sent, t.h.now()
 	t.h.count(heldAs(got))
 	t.step(got)
 }
 
 // heldAs names the counter of a hold by what came of it.
-func heldAs(r sched.Held) string {
+func heldAs(r sched.HoldReply) string {
 	switch {
 	case r.Outcome != sched.Accepted:
 		return "hold." + r.Outcome.String()
--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -62,7 +62,7 @@
 	s.do(Hold{To: w.Address, Term: s.term, AckedEnd: w.noted, Probe: true})
 }
 
-func (s *Sched) held(ev Held) {
+func (s *Sched) held(ev HoldReply) {
 	w, ok := s.workers[ev.Worker]
 	if !ok || w.dead {
 		return
@@ -104,7 +104,7 @@
 }
 
 // read takes over a worker's lists.
-func (s *Sched) read(w *worker, ev Held) {
+func (s *Sched) read(w *worker, ev HoldReply) {
 	if !w.doubt.IsZero() {
 		w.back = s.now
 		s.rose(w)
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -80,7 +80,7 @@
 	b.play(time.Second)
 	require.Len(t, b.workers["w00"].runs, 3)
 	tail := func(ms int64) {
-		ev := sched.Held{Worker: "w00", Probe: true, Sent: b.now, Received: b.now, Clock: b.now}
+		ev := sched.HoldReply{Worker: "w00", Probe: true, Sent: b.now, Received: b.now, Clock: b.now}
 		for n, r := range b.workers["w00"].runs {
 			l := sched.Listed{Task: n, Run: r.run, Percent: 100}
 			if r.step.Target > 0 {
--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -99,9 +99,9 @@
 // order.
 type Appended struct{ Number int64 }
 
-// Held is a worker's answer to a Hold. Sent and Received are by this host's
+// HoldReply is a worker's answer to a Hold. Sent and Received are by this host's
 // clock, Clock by the worker's.
-type Held struct {
+type HoldReply struct {
 	Worker  string
 	Outcome Outcome
 	Probe   bool
@@ -172,7 +172,7 @@
 func (Submit) event()     {}
 func (Cancel) event()     {}
 func (Appended) event()   {}
-func (Held) event()       {}
+func (HoldReply) event()  {}
 func (Started) event()    {}
 func (Stopped) event()    {}
 func (Advised) event()    {}
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -156,7 +156,7 @@
 		s.cancel(ev.ID)
 	case Appended:
 		s.appended(ev.Number)
-	case Held:
+	case HoldReply:
 		s.held(ev)
 	case Started:
 		s.started(ev)
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -285,7 +285,7 @@
 }
 
 func (w *fakeWorker) hold(term int64, a sched.Hold, sent time.Time) {
-	ev := sched.Held{Worker: w.info.Incarnation, Probe: a.Probe, AckedEnd: a.AckedEnd, Sent: sent}
+	ev := sched.HoldReply{Worker: w.info.Incarnation, Probe: a.Probe, AckedEnd: a.AckedEnd, Sent: sent}
 	if w.denied(term, a, ev) {
 		return
 	}
@@ -328,7 +328,7 @@
 }
 
 // denied tells whether a hold is not carried out, and answers it then.
-func (w *fakeWorker) denied(term int64, a sched.Hold, ev sched.Held) bool {
+func (w *fakeWorker) denied(term int64, a sched.Hold, ev sched.HoldReply) bool {
 	switch {
 	case w.silent || w.dead && !w.reborn:
 		ev.Outcome = sched.Unanswered
@@ -345,7 +345,7 @@
 	return true
 }
 
-func (w *fakeWorker) list(term int64, ev sched.Held) {
+func (w *fakeWorker) list(term int64, ev sched.HoldReply) {
 	if w.silent {
 		ev.Outcome = sched.Unanswered
 		w.unanswered(term, ev)
