--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -84,7 +84,7 @@
 		for n, r := range b.workers["w00"].runs {
 			l := sched.Listed{Task: n, Run: r.run, Percent: 100}
 			if r.step.Target > 0 {
-				l.Figure = ms
+				l.Metric = ms
 			}
 			ev.Running = append(ev.Running, l)
 		}
--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -120,7 +120,7 @@
 	Run     int
 	Saved   string
 	Percent int
-	Figure  int64
+	Metric  int64
 }
 
 // End is one run that ended at a worker. Number rises in each life.
--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -38,7 +38,7 @@
 		if t == nil || t.Run != l.Run || t.Spec().Target == 0 {
 			continue
 		}
-		worst = max(worst, float64(l.Figure)/float64(t.Spec().Target.Milliseconds()))
+		worst = max(worst, float64(l.Metric)/float64(t.Spec().Target.Milliseconds()))
 	}
 	return worst
 }
