--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -65,7 +65,7 @@
 
 // adoptCopy takes over a copy that a former lead started and could not store
 // any more.
-func (s *Sched) adoptCopy(w *worker, l Listed) bool {
+func (s *Sched) adoptCopy(w *worker, l RunStatus) bool {
 	j, ok := s.jobs[l.Task.Job]
 	if !ok || j.State.Final() {
 		return false
--- a/internal/sched/ends.go
+++ b/internal/sched/ends.go
@@ -7,7 +7,7 @@
 )
 
 // listed takes note of a run that is at the worker.
-func (s *Sched) listed(w *worker, l Listed, clock time.Time) {
+func (s *Sched) listed(w *worker, l RunStatus, clock time.Time) {
 	t := s.task(runKey{l.Task, l.Run})
 	if t == nil || t.Worker != w.Incarnation {
 		if !s.adoptCopy(w, l) {
@@ -31,7 +31,7 @@
 
 // stray stops a run that no record names. It can only be one that was given up
 // for lapsed by a clock that was wrong; it must not work on unseen.
-func (s *Sched) stray(w *worker, l Listed) {
+func (s *Sched) stray(w *worker, l RunStatus) {
 	k := runKey{l.Task, l.Run}
 	// A run that is listed has begun. Lists from before that may still be on their way.
 	until := s.now.Add(onItsWay)
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -82,7 +82,7 @@
 	tail := func(ms int64) {
 		ev := sched.HoldReply{Worker: "w00", Probe: true, Sent: b.now, Received: b.now, Clock: b.now}
 		for n, r := range b.workers["w00"].runs {
-			l := sched.Listed{Task: n, Run: r.run, Percent: 100}
+			l := sched.RunStatus{Task: n, Run: r.run, Percent: 100}
 			if r.step.Target > 0 {
 				l.Metric = ms
 			}
--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -109,13 +109,13 @@
 	AckedEnd       int64
 	Sent, Received time.Time
 	Clock          time.Time
-	Running        []Listed
+	Running        []RunStatus
 	Ended          []End
 }
 
-// Listed is one run that a worker lists. Figure is the tail of the response
+// RunStatus is one run that a worker lists. Figure is the tail of the response
 // times in milliseconds of a task that serves, else the processors in use.
-type Listed struct {
+type RunStatus struct {
 	Task    flow.Name
 	Run     int
 	Saved   string
--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -31,7 +31,7 @@
 func newPacing() pacing { return pacing{level: 100} }
 
 // worstTail is the highest tail of a task that serves, as a share of its target.
-func (w *worker) worstTail(running []Listed) float64 {
+func (w *worker) worstTail(running []RunStatus) float64 {
 	worst := 0.0
 	for _, l := range running {
 		t := w.tasks[l.Task]
@@ -44,7 +44,7 @@
 }
 
 // repace follows the tails that a worker lists.
-func (s *Sched) repace(w *worker, running []Listed) {
+func (s *Sched) repace(w *worker, running []RunStatus) {
 	if w.filled == 0 {
 		return
 	}
--- a/internal/sched/slow.go
+++ b/internal/sched/slow.go
@@ -41,7 +41,7 @@
 )
 
 // progress judges a run by how far its worker says it got.
-func (s *Sched) progress(w *worker, t *flow.Task, l Listed, clock time.Time) {
+func (s *Sched) progress(w *worker, t *flow.Task, l RunStatus, clock time.Time) {
 	if t.Seen.IsZero() {
 		t.Seen, t.Moved, t.Percent = clock, clock, l.Percent
 		return
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -354,7 +354,7 @@
 	ev.Clock = w.b.now
 	for _, n := range slices.SortedFunc(maps.Keys(w.runs), func(x, y flow.Name) int { return strings.Compare(x.String(), y.String()) }) {
 		r := w.runs[n]
-		l := sched.Listed{Task: n, Run: r.run, Percent: 100}
+		l := sched.RunStatus{Task: n, Run: r.run, Percent: 100}
 		if !r.step.Lasts && r.step.Time > 0 && !w.still {
 			l.Percent = int(100 * w.b.now.Sub(r.began) / r.ends.Sub(r.began))
 		}
