--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -84,7 +84,7 @@
 }
 
 // endedCopy takes the end of a copy that is not the one that is followed.
-func (s *Sched) endedCopy(w *worker, e End) {
+func (s *Sched) endedCopy(w *worker, e RunEnd) {
 	j, ok := s.jobs[e.Task.Job]
 	if !ok || j.State.Final() {
 		return
@@ -104,7 +104,7 @@
 // failedCopy counts a run that failed and that no record names: a former lead started it
 // and could not store that any more. Left out, its task would be tried more often than
 // its caller allows. A run that is not newer than what the record says was counted with it.
-func (s *Sched) failedCopy(w *worker, t *flow.Task, e End) {
+func (s *Sched) failedCopy(w *worker, t *flow.Task, e RunEnd) {
 	beside := t.Out() && t.Worker != w.Incarnation && e.Run == t.Run
 	if e.Run <= t.Run && !beside {
 		return
--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -110,7 +110,7 @@
 	Sent, Received time.Time
 	Clock          time.Time
 	Running        []RunStatus
-	Ended          []End
+	Ended          []RunEnd
 }
 
 // RunStatus is one run that a worker lists. Figure is the tail of the response
@@ -123,8 +123,8 @@
 	Metric  int64
 }
 
-// End is one run that ended at a worker. Number rises in each life.
-type End struct {
+// RunEnd is one run that ended at a worker. Number rises in each life.
+type RunEnd struct {
 	Number int64
 	Task   flow.Name
 	Run    int
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -24,7 +24,7 @@
 	fence     int64
 	deadline  time.Time
 	runs      map[flow.Name]*fakeRun
-	ends      []sched.End
+	ends      []sched.RunEnd
 	number    int64
 	void      int64
 	tombs     map[flow.Name]int
@@ -231,7 +231,7 @@
 	delete(w.runs, n)
 	w.tombs[n] = max(w.tombs[n], r.run)
 	w.number++
-	w.ends = append(w.ends, sched.End{Number: w.number, Task: n, Run: r.run, How: how})
+	w.ends = append(w.ends, sched.RunEnd{Number: w.number, Task: n, Run: r.run, How: how})
 	w.wake()
 }
 
