--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -210,7 +210,7 @@
 		t.h.wg.Go(func() {
 			got := t.order(a.To.Incarnation, func(ctx context.Context) sched.Outcome { return t.h.workers.Start(ctx, a) })
 			t.h.count("start." + got.String())
-			t.step(sched.Started{Task: a.Task, Run: a.Run, Worker: a.To.Incarnation, Outcome: got})
+			t.step(sched.StartReply{Task: a.Task, Run: a.Run, Worker: a.To.Incarnation, Outcome: got})
 		})
 	case sched.Stop:
 		t.h.wg.Go(func() {
--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -108,7 +108,7 @@
 
 // notBegun acquits a run that was lost on a silent worker before it was known that its
 // start was never carried out.
-func (s *Sched) notBegun(w *worker, ev Started) {
+func (s *Sched) notBegun(w *worker, ev StartReply) {
 	if ev.Outcome == Accepted || ev.Outcome == Unanswered {
 		return
 	}
--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -132,8 +132,8 @@
 	Saved  string
 }
 
-// Started tells what became of a Start.
-type Started struct {
+// StartReply tells what became of a Start.
+type StartReply struct {
 	Task    flow.Name
 	Run     int
 	Worker  string
@@ -173,7 +173,7 @@
 func (Cancel) event()     {}
 func (Appended) event()   {}
 func (HoldReply) event()  {}
-func (Started) event()    {}
+func (StartReply) event() {}
 func (Stopped) event()    {}
 func (Advised) event()    {}
 func (FormerOver) event() {}
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -158,7 +158,7 @@
 		s.appended(ev.Number)
 	case HoldReply:
 		s.held(ev)
-	case Started:
+	case StartReply:
 		s.started(ev)
 	case Stopped:
 		s.stopped(ev)
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -109,18 +109,18 @@
 
 func (w *fakeWorker) start(term int64, a sched.Start, sent int) {
 	answer := func(o sched.Outcome) {
-		w.reply(term, sched.Started{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: o})
+		w.reply(term, sched.StartReply{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: o})
 	}
 	if w.reborn && !w.silent {
 		answer(sched.OtherIncarnation)
 		return
 	}
 	if w.silent || w.dead {
-		w.unanswered(term, sched.Started{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: sched.Unanswered})
+		w.unanswered(term, sched.StartReply{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: sched.Unanswered})
 		return
 	}
 	if late := w.lateStart; late > 0 {
-		w.unanswered(term, sched.Started{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: sched.Unanswered})
+		w.unanswered(term, sched.StartReply{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: sched.Unanswered})
 		w.b.after(late, func() {
 			if !w.dead {
 				w.begin(a, sent)
