--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -216,7 +216,7 @@
 		t.h.wg.Go(func() {
 			got := t.order(a.To.Incarnation, func(ctx context.Context) sched.Outcome { return t.h.workers.Stop(ctx, a) })
 			t.h.count("stop." + got.String())
-			t.step(sched.Stopped{Task: a.Task, Run: a.Run, Worker: a.To.Incarnation, Outcome: got})
+			t.step(sched.StopReply{Task: a.Task, Run: a.Run, Worker: a.To.Incarnation, Outcome: got})
 		})
 	case sched.Pace:
 		t.h.wg.Go(func() {
--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -140,8 +140,8 @@
 	Outcome Outcome
 }
 
-// Stopped tells what became of a Stop.
-type Stopped struct {
+// StopReply tells what became of a Stop.
+type StopReply struct {
 	Task    flow.Name
 	Run     int
 	Worker  string
@@ -174,7 +174,7 @@
 func (Appended) event()   {}
 func (HoldReply) event()  {}
 func (StartReply) event() {}
-func (Stopped) event()    {}
+func (StopReply) event()  {}
 func (Advised) event()    {}
 func (FormerOver) event() {}
 func (Tick) event()       {}
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -160,7 +160,7 @@
 		s.held(ev)
 	case StartReply:
 		s.started(ev)
-	case Stopped:
+	case StopReply:
 		s.stopped(ev)
 	case Advised:
 		s.advised(ev)
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -260,11 +260,11 @@
 
 func (w *fakeWorker) stop(term int64, a sched.Stop) {
 	if w.reborn && !w.silent {
-		w.reply(term, sched.Stopped{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: sched.OtherIncarnation})
+		w.reply(term, sched.StopReply{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: sched.OtherIncarnation})
 		return
 	}
 	if w.silent || w.dead {
-		w.unanswered(term, sched.Stopped{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: sched.Unanswered})
+		w.unanswered(term, sched.StopReply{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: sched.Unanswered})
 		return
 	}
 	out := sched.Accepted
@@ -281,7 +281,7 @@
 			})
 		}
 	}
-	w.reply(term, sched.Stopped{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: out})
+	w.reply(term, sched.StopReply{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: out})
 }
 
 func (w *fakeWorker) hold(term int64, a sched.Hold, sent time.Time) {
