--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -239,5 +239,5 @@
 		h.count("advice.failed")
 		h.log.Warn("advice: no answer.", "step", a.Step, "host", a.Host, "err", err)
 	}
-	return sched.Advised{Step: a.Step, Host: a.Host, Good: good, Failed: err != nil}
+	return sched.Advised{Step: a.Step, Host: a.Host, Tickets: good, Failed: err != nil}
 }
--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -227,7 +227,7 @@
 	}
 	fresh, good := 0, 0
 	for _, life := range a.named {
-		text, ok := ev.Good[life]
+		text, ok := ev.Tickets[life]
 		_, known := a.good[life]
 		if !known {
 			fresh++
--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -152,7 +152,7 @@
 // may run the step. Failed tells that there was none.
 type Advised struct {
 	Step, Host string
-	Good       map[string]string
+	Tickets    map[string]string
 	Failed     bool
 }
 
