--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -202,7 +202,7 @@
 	return firstRate
 }
 
-func (s *Sched) advised(ev Advised) {
+func (s *Sched) advised(ev PolicyReply) {
 	for _, st := range s.asked() {
 		a := s.advice[st]
 		if a.host != ev.Host || st.Tasks[0].Name.StepName() != ev.Step {
@@ -219,7 +219,7 @@
 	}
 }
 
-func (s *Sched) answer(a *advice, ev Advised) {
+func (s *Sched) answer(a *advice, ev PolicyReply) {
 	a.asked = time.Time{}
 	if ev.Failed {
 		s.do(Note{ID: ev.Step, What: "advice failed", Detail: ev.Host})
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -282,7 +282,7 @@
 			good[w] = "ticket"
 		}
 	}
-	b.tell(term, sched.Advised{Step: a.Step, Host: a.Host, Tickets: good})
+	b.tell(term, sched.PolicyReply{Step: a.Step, Host: a.Host, Tickets: good})
 }
 
 // submit hands in a job of like steps, each after the one before.
--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -148,9 +148,9 @@
 	Outcome Outcome
 }
 
-// Advised is the policy service's answer: a ticket for each named worker that
+// PolicyReply is the policy service's answer: a ticket for each named worker that
 // may run the step. Failed tells that there was none.
-type Advised struct {
+type PolicyReply struct {
 	Step, Host string
 	Tickets    map[string]string
 	Failed     bool
@@ -166,18 +166,18 @@
 // Tick lets time pass.
 type Tick struct{}
 
-func (Queues) event()     {}
-func (Workers) event()    {}
-func (Hosts) event()      {}
-func (Submit) event()     {}
-func (Cancel) event()     {}
-func (Appended) event()   {}
-func (HoldReply) event()  {}
-func (StartReply) event() {}
-func (StopReply) event()  {}
-func (Advised) event()    {}
-func (FormerOver) event() {}
-func (Tick) event()       {}
+func (Queues) event()      {}
+func (Workers) event()     {}
+func (Hosts) event()       {}
+func (Submit) event()      {}
+func (Cancel) event()      {}
+func (Appended) event()    {}
+func (HoldReply) event()   {}
+func (StartReply) event()  {}
+func (StopReply) event()   {}
+func (PolicyReply) event() {}
+func (FormerOver) event()  {}
+func (Tick) event()        {}
 
 // Action is what the scheduler core asks its edge to do.
 type Action interface{ action() }
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -162,7 +162,7 @@
 		s.started(ev)
 	case StopReply:
 		s.stopped(ev)
-	case Advised:
+	case PolicyReply:
 		s.advised(ev)
 	case FormerOver:
 		s.formerOver(ev)
