--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -219,7 +219,7 @@
 
 // ask has a host, perhaps this one, ask the policy service.
 func (h *Host) ask(ctx context.Context, a sched.Ask) sched.PolicyReply {
-	ctx, cancel := context.WithTimeout(ctx, min(a.Within, longestAdvice))
+	ctx, cancel := context.WithTimeout(ctx, min(a.Timeout, longestAdvice))
 	defer cancel()
 	began := h.now()
 	defer func() { h.observe("advice.answer", h.now().Sub(began)) }()
@@ -229,7 +229,7 @@
 	}
 	var r peer.AdviseReply
 	m := peer.Advise{Step: a.Step, Workers: a.Workers}
-	m.Within.Duration = a.Within
+	m.Within.Duration = a.Timeout
 	err := h.peers.Ask(ctx, a.Host, m, &r)
 	return h.advised(a, r.Good, err)
 }
--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -243,8 +243,8 @@
 type Ask struct {
 	Host, Step string
 	Workers    []string
-	// Within is when the answer is no longer of use.
-	Within time.Duration
+	// Timeout is when the answer is no longer of use.
+	Timeout time.Duration
 }
 
 // Forget drops a job that ended long ago: its spec and then its progress.
