--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -218,7 +218,7 @@
 const longestAdvice = 10 * time.Second
 
 // ask has a host, perhaps this one, ask the policy service.
-func (h *Host) ask(ctx context.Context, a sched.Ask) sched.PolicyReply {
+func (h *Host) ask(ctx context.Context, a sched.QueryPolicy) sched.PolicyReply {
 	ctx, cancel := context.WithTimeout(ctx, min(a.Timeout, longestAdvice))
 	defer cancel()
 	began := h.now()
@@ -234,7 +234,7 @@
 	return h.advised(a, r.Good, err)
 }
 
-func (h *Host) advised(a sched.Ask, good map[string]string, err error) sched.PolicyReply {
+func (h *Host) advised(a sched.QueryPolicy, good map[string]string, err error) sched.PolicyReply {
 	if err != nil {
 		h.count("advice.failed")
 		h.log.Warn("advice: no answer.", "step", a.Step, "host", a.Host, "err", err)
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -224,7 +224,7 @@
 			defer cancel()
 			t.h.count("pace." + t.h.workers.Pace(ctx, a).String())
 		})
-	case sched.Ask:
+	case sched.QueryPolicy:
 		t.h.wg.Go(func() { t.step(t.h.ask(t.ctx, a)) })
 	case sched.Forget:
 		t.h.wg.Go(func() { t.forget(a.ID) })
--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -169,7 +169,7 @@
 	}
 	a.asked, a.host, a.named, a.gives = s.now, name, named, h.busy.Add(overdue)
 	a.valid, a.queue = r.queue.Advice.Valid, r.queue.Name
-	s.do(Ask{Host: name, Step: r.stage.Tasks[0].Name.StepName(), Workers: named, Timeout: a.gives.Sub(s.now)})
+	s.do(QueryPolicy{Host: name, Step: r.stage.Tasks[0].Name.StepName(), Workers: named, Timeout: a.gives.Sub(s.now)})
 }
 
 // book sets aside the room that the answer of a step's question is likely to take, so that
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -45,8 +45,8 @@
 	copies bool
 	policy func(step, worker string) bool
 	// policyTime is how long the policy service takes for a question; nil is 30 ms.
-	policyTime func(sched.Ask) time.Duration
-	asks       []sched.Ask
+	policyTime func(sched.QueryPolicy) time.Duration
+	asks       []sched.QueryPolicy
 	paces      []sched.Pace
 	deposed    bool
 	// waited, begun and long are what the core told of waits.
@@ -231,7 +231,7 @@
 		b.after(hop, func() { b.workers[a.To.Incarnation].stop(term, a) })
 	case sched.Pace:
 		b.paces = append(b.paces, a)
-	case sched.Ask:
+	case sched.QueryPolicy:
 		b.asks = append(b.asks, a)
 		took := 30 * time.Millisecond
 		if b.policyTime != nil {
@@ -275,7 +275,7 @@
 	b.after(3*time.Millisecond, func() { b.tell(term, sched.Appended{Number: a.Number}) })
 }
 
-func (b *cellBench) advise(term int64, a sched.Ask) {
+func (b *cellBench) advise(term int64, a sched.QueryPolicy) {
 	good := map[string]string{}
 	for _, w := range a.Workers {
 		if b.policy == nil || b.policy(a.Step, w) {
--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -239,8 +239,8 @@
 	Percent int
 }
 
-// Ask has a host ask the policy service about a step.
-type Ask struct {
+// QueryPolicy has a host ask the policy service about a step.
+type QueryPolicy struct {
 	Host, Step string
 	Workers    []string
 	// Timeout is when the answer is no longer of use.
@@ -280,15 +280,15 @@
 	Detail   string
 }
 
-func (Append) action() {}
-func (Hold) action()   {}
-func (Start) action()  {}
-func (Stop) action()   {}
-func (Pace) action()   {}
-func (Ask) action()    {}
-func (Forget) action() {}
-func (Depose) action() {}
-func (Waited) action() {}
-func (Begun) action()  {}
-func (Ended) action()  {}
-func (Note) action()   {}
+func (Append) action()      {}
+func (Hold) action()        {}
+func (Start) action()       {}
+func (Stop) action()        {}
+func (Pace) action()        {}
+func (QueryPolicy) action() {}
+func (Forget) action()      {}
+func (Depose) action()      {}
+func (Waited) action()      {}
+func (Begun) action()       {}
+func (Ended) action()       {}
+func (Note) action()        {}
