--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -127,11 +127,11 @@
 func (t *term) formerLead() {
 	t.h.mu.Lock()
 	former := t.h.former
-	over := sched.FormerOver{Since: t.h.boundsAt, Bounds: t.h.bounds}
+	over := sched.FormerOver{Since: t.h.boundsAt, LeaseBounds: t.h.bounds}
 	t.h.bounds = nil
 	t.h.mu.Unlock()
 	// A lead that asked to be succeeded has ended its term before.
-	for over.Bounds == nil && former != "" && former != t.h.cfg.Name {
+	for over.LeaseBounds == nil && former != "" && former != t.h.cfg.Name {
 		ctx, cancel := context.WithTimeout(t.ctx, askWait)
 		var r peer.SyncReply
 		err := t.h.peers.Ask(ctx, former, t.h.syncMessage(), &r)
--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -159,8 +159,8 @@
 // FormerOver tells that the former lead holds no worker any more. Bounds are
 // what it said of workers that do not answer, as of Since.
 type FormerOver struct {
-	Since  time.Time
-	Bounds map[string]time.Duration
+	Since       time.Time
+	LeaseBounds map[string]time.Duration
 }
 
 // Tick lets time pass.
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -174,7 +174,7 @@
 // formerOver takes what the former lead said when it left.
 func (s *Sched) formerOver(ev FormerOver) {
 	s.former = s.now
-	for life, left := range ev.Bounds {
+	for life, left := range ev.LeaseBounds {
 		if w, ok := s.workers[life]; ok {
 			w.until = ev.Since.Add(left)
 		}
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -200,7 +200,7 @@
 		b.play(2500 * time.Millisecond)
 		bounds := b.core.Bounds(b.now)
 		b.takeover()
-		b.step(sched.FormerOver{Since: b.now, Bounds: bounds})
+		b.step(sched.FormerOver{Since: b.now, LeaseBounds: bounds})
 	}
 	require.Equal(t, before, total(b.starts))
 	b.play(2500 * time.Millisecond)
