--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -127,7 +127,7 @@
 func (t *term) formerLead() {
 	t.h.mu.Lock()
 	former := t.h.former
-	over := sched.FormerOver{Since: t.h.boundsAt, LeaseBounds: t.h.bounds}
+	over := sched.PredecessorStopped{Since: t.h.boundsAt, LeaseBounds: t.h.bounds}
 	t.h.bounds = nil
 	t.h.mu.Unlock()
 	// A lead that asked to be succeeded has ended its term before.
--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -177,7 +177,7 @@
 			}
 		case n < 14:
 			d.takeover()
-			d.step(sched.FormerOver{Since: d.now})
+			d.step(sched.PredecessorStopped{Since: d.now})
 		case n < 15:
 			d.storeAway = !d.storeAway
 		case n < 18:
--- a/internal/sched/history_test.go
+++ b/internal/sched/history_test.go
@@ -84,7 +84,7 @@
 		case n < 12:
 			b.takeover()
 			if r.IntN(2) == 0 {
-				b.step(sched.FormerOver{Since: b.now})
+				b.step(sched.PredecessorStopped{Since: b.now})
 			}
 		case n < 13:
 			b.storeAway = !b.storeAway
--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -156,9 +156,9 @@
 	Failed     bool
 }
 
-// FormerOver tells that the former lead holds no worker any more. Bounds are
+// PredecessorStopped tells that the former lead holds no worker any more. Bounds are
 // what it said of workers that do not answer, as of Since.
-type FormerOver struct {
+type PredecessorStopped struct {
 	Since       time.Time
 	LeaseBounds map[string]time.Duration
 }
@@ -166,18 +166,18 @@
 // Tick lets time pass.
 type Tick struct{}
 
-func (Queues) event()      {}
-func (Workers) event()     {}
-func (Hosts) event()       {}
-func (Submit) event()      {}
-func (Cancel) event()      {}
-func (Appended) event()    {}
-func (HoldReply) event()   {}
-func (StartReply) event()  {}
-func (StopReply) event()   {}
-func (PolicyReply) event() {}
-func (FormerOver) event()  {}
-func (Tick) event()        {}
+func (Queues) event()             {}
+func (Workers) event()            {}
+func (Hosts) event()              {}
+func (Submit) event()             {}
+func (Cancel) event()             {}
+func (Appended) event()           {}
+func (HoldReply) event()          {}
+func (StartReply) event()         {}
+func (StopReply) event()          {}
+func (PolicyReply) event()        {}
+func (PredecessorStopped) event() {}
+func (Tick) event()               {}
 
 // Action is what the scheduler core asks its edge to do.
 type Action interface{ action() }
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -164,7 +164,7 @@
 		s.stopped(ev)
 	case PolicyReply:
 		s.advised(ev)
-	case FormerOver:
+	case PredecessorStopped:
 		s.formerOver(ev)
 	case Tick:
 		s.tick()
@@ -172,7 +172,7 @@
 }
 
 // formerOver takes what the former lead said when it left.
-func (s *Sched) formerOver(ev FormerOver) {
+func (s *Sched) formerOver(ev PredecessorStopped) {
 	s.former = s.now
 	for life, left := range ev.LeaseBounds {
 		if w, ok := s.workers[life]; ok {
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -179,7 +179,7 @@
 	held := len(w.runs)
 	w.dead = true
 	b.takeover()
-	b.step(sched.FormerOver{})
+	b.step(sched.PredecessorStopped{})
 	before := total(b.starts)
 	b.play(8 * time.Second)
 	require.Equal(t, before, total(b.starts))
@@ -200,7 +200,7 @@
 		b.play(2500 * time.Millisecond)
 		bounds := b.core.Bounds(b.now)
 		b.takeover()
-		b.step(sched.FormerOver{Since: b.now, LeaseBounds: bounds})
+		b.step(sched.PredecessorStopped{Since: b.now, LeaseBounds: bounds})
 	}
 	require.Equal(t, before, total(b.starts))
 	b.play(2500 * time.Millisecond)
