--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -228,7 +228,7 @@
 		t.h.wg.Go(func() { t.step(t.h.ask(t.ctx, a)) })
 	case sched.Forget:
 		t.h.wg.Go(func() { t.forget(a.ID) })
-	case sched.Depose:
+	case sched.StepDown:
 		t.end("worker " + a.Worker + " obeys a later term")
 	case sched.Waited:
 		t.h.waited(a)
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -238,7 +238,7 @@
 			took = b.policyTime(a)
 		}
 		b.after(took, func() { b.advise(term, a) })
-	case sched.Depose:
+	case sched.StepDown:
 		b.deposed = true
 	case sched.Waited:
 		b.waited = append(b.waited, a)
--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -83,7 +83,7 @@
 		s.died(w.Incarnation)
 		return
 	case Fenced:
-		s.do(Depose{Worker: w.Incarnation})
+		s.do(StepDown{Worker: w.Incarnation})
 		return
 	default:
 		if w.doubt.IsZero() {
--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -250,8 +250,8 @@
 // Forget drops a job that ended long ago: its spec and then its progress.
 type Forget struct{ ID string }
 
-// Depose tells that a lead of a later term was seen: this one has ended.
-type Depose struct{ Worker string }
+// StepDown tells that a lead of a later term was seen: this one has ended.
+type StepDown struct{ Worker string }
 
 // Waited tells how long a step waited, and for what, until all its tasks had room. Rank is
 // its queue's.
@@ -287,7 +287,7 @@
 func (Pace) action()        {}
 func (QueryPolicy) action() {}
 func (Forget) action()      {}
-func (Depose) action()      {}
+func (StepDown) action()    {}
 func (Waited) action()      {}
 func (Begun) action()       {}
 func (Ended) action()       {}
--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -93,7 +93,7 @@
 		s.keepHolding(w)
 		return
 	case Fenced:
-		s.do(Depose{Worker: ev.Worker})
+		s.do(StepDown{Worker: ev.Worker})
 		return
 	case Unanswered:
 		// It may begin now or seconds later. Only a stop makes sure that it
--- a/internal/sched/stop.go
+++ b/internal/sched/stop.go
@@ -66,7 +66,7 @@
 	case OtherIncarnation:
 		s.died(ev.Worker)
 	case Fenced:
-		s.do(Depose{Worker: ev.Worker})
+		s.do(StepDown{Worker: ev.Worker})
 	default:
 		st.again = s.now.Add(retryAfter)
 	}
