--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -127,7 +127,7 @@
 
 // waited adds to the histograms of what steps wait for, by the rank of their queue: queues
 // come and go with the table, and ranks are few.
-func (h *Host) waited(w sched.Waited) {
+func (h *Host) waited(w sched.StepWaited) {
 	h.observe(fmt.Sprintf("step.wait.rank%d", w.Rank), w.By.Total())
 	for r, d := range w.By {
 		if d > 0 {
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -230,7 +230,7 @@
 		t.h.wg.Go(func() { t.forget(a.ID) })
 	case sched.StepDown:
 		t.end("worker " + a.Worker + " obeys a later term")
-	case sched.Waited:
+	case sched.StepWaited:
 		t.h.waited(a)
 	case sched.Begun:
 		t.h.observe(fmt.Sprintf("job.start.rank%d", a.Rank), a.After)
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -50,7 +50,7 @@
 	paces      []sched.Pace
 	deposed    bool
 	// waited, begun and long are what the core told of waits.
-	waited []sched.Waited
+	waited []sched.StepWaited
 	begun  []sched.Begun
 	long   []sched.Note
 	// resized are what the core told of changes of size.
@@ -240,7 +240,7 @@
 		b.after(took, func() { b.advise(term, a) })
 	case sched.StepDown:
 		b.deposed = true
-	case sched.Waited:
+	case sched.StepWaited:
 		b.waited = append(b.waited, a)
 	case sched.Begun:
 		b.begun = append(b.begun, a)
--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -253,9 +253,9 @@
 // StepDown tells that a lead of a later term was seen: this one has ended.
 type StepDown struct{ Worker string }
 
-// Waited tells how long a step waited, and for what, until all its tasks had room. Rank is
+// StepWaited tells how long a step waited, and for what, until all its tasks had room. Rank is
 // its queue's.
-type Waited struct {
+type StepWaited struct {
 	Rank int
 	By   Waits
 }
@@ -288,7 +288,7 @@
 func (QueryPolicy) action() {}
 func (Forget) action()      {}
 func (StepDown) action()    {}
-func (Waited) action()      {}
+func (StepWaited) action()  {}
 func (Begun) action()       {}
 func (Ended) action()       {}
 func (Note) action()        {}
