--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -232,7 +232,7 @@
 		t.end("worker " + a.Worker + " obeys a later term")
 	case sched.StepWaited:
 		t.h.waited(a)
-	case sched.Begun:
+	case sched.JobStarted:
 		t.h.observe(fmt.Sprintf("job.start.rank%d", a.Rank), a.After)
 	case sched.Ended:
 		t.ended(a)
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -51,7 +51,7 @@
 	deposed    bool
 	// waited, begun and long are what the core told of waits.
 	waited []sched.StepWaited
-	begun  []sched.Begun
+	begun  []sched.JobStarted
 	long   []sched.Note
 	// resized are what the core told of changes of size.
 	resized []sched.Note
@@ -242,7 +242,7 @@
 		b.deposed = true
 	case sched.StepWaited:
 		b.waited = append(b.waited, a)
-	case sched.Begun:
+	case sched.JobStarted:
 		b.begun = append(b.begun, a)
 	case sched.Note:
 		b.keep(a)
--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -260,8 +260,8 @@
 	By   Waits
 }
 
-// Begun tells how long after its acceptance a job's first task began.
-type Begun struct {
+// JobStarted tells how long after its acceptance a job's first task began.
+type JobStarted struct {
 	Rank  int
 	After time.Duration
 }
@@ -289,6 +289,6 @@
 func (Forget) action()      {}
 func (StepDown) action()    {}
 func (StepWaited) action()  {}
-func (Begun) action()       {}
+func (JobStarted) action()  {}
 func (Ended) action()       {}
 func (Note) action()        {}
--- a/internal/sched/waits.go
+++ b/internal/sched/waits.go
@@ -108,5 +108,5 @@
 
 // begun tells how long a job waited from its acceptance to its first start.
 func (s *Sched) begun(j *flow.Job) {
-	s.do(Begun{Rank: s.queue(j).Rank, After: s.now.Sub(j.Began)})
+	s.do(JobStarted{Rank: s.queue(j).Rank, After: s.now.Sub(j.Began)})
 }
