--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -234,7 +234,7 @@
 		t.h.waited(a)
 	case sched.JobStarted:
 		t.h.observe(fmt.Sprintf("job.start.rank%d", a.Rank), a.After)
-	case sched.Ended:
+	case sched.JobEnded:
 		t.ended(a)
 	case sched.Note:
 		t.h.log.Info("sched: "+a.What+".", "id", a.ID, "worker", a.Worker, "run", a.Run, "term", t.number, "detail", a.Detail)
@@ -277,7 +277,7 @@
 }
 
 // ended takes note of a final state, for this host and for those that ask.
-func (t *term) ended(a sched.Ended) {
+func (t *term) ended(a sched.JobEnded) {
 	t.h.log.Info("sched: ended.", "id", a.ID, "term", t.number, "detail", a.State)
 	t.h.states.learn(a.ID, a.State)
 	now := t.h.now()
--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -266,8 +266,8 @@
 	After time.Duration
 }
 
-// Ended tells that a job's final state is stored. It never changes.
-type Ended struct {
+// JobEnded tells that a job's final state is stored. It never changes.
+type JobEnded struct {
 	ID    string
 	State flow.State
 }
@@ -290,5 +290,5 @@
 func (StepDown) action()    {}
 func (StepWaited) action()  {}
 func (JobStarted) action()  {}
-func (Ended) action()       {}
+func (JobEnded) action()    {}
 func (Note) action()        {}
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -369,7 +369,7 @@
 	}
 	j.Shown, j.Recorded = b.shown[j], b.number
 	if j.Shown.Final() {
-		s.do(Ended{ID: j.Spec.ID, State: j.Shown})
+		s.do(JobEnded{ID: j.Spec.ID, State: j.Shown})
 	}
 }
 
