--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -257,7 +257,7 @@
 // its queue's.
 type StepWaited struct {
 	Rank int
-	By   Waits
+	By   WaitTimes
 }
 
 // JobStarted tells how long after its acceptance a job's first task began.
--- a/internal/sched/waits.go
+++ b/internal/sched/waits.go
@@ -27,11 +27,11 @@
 // String returns the reason for logs and metrics.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Waits are times by reason.
-type Waits [reasons]time.Duration
+// WaitTimes are times by reason.
+type WaitTimes [reasons]time.Duration
 
 // Total is the sum over all reasons.
-func (w Waits) Total() time.Duration {
+func (w WaitTimes) Total() time.Duration {
 	var sum time.Duration
 	for _, d := range w {
 		sum += d
@@ -40,7 +40,7 @@
 }
 
 // String returns the times that are not zero, for logs.
-func (w Waits) String() string {
+func (w WaitTimes) String() string {
 	var all []string
 	for r, d := range w {
 		if d > 0 {
@@ -57,7 +57,7 @@
 // wait is a step that waits, since at for a reason; it is told of once it has waited until
 // long.
 type wait struct {
-	by   Waits
+	by   WaitTimes
 	at   time.Time
 	why  Reason
 	long time.Duration
