--- a/internal/sched/waits.go
+++ b/internal/sched/waits.go
@@ -14,9 +14,9 @@
 
 // The reasons.
 const (
-	// ForHost is a host that can ask the policy service, ForAdvice its answer, ForRoom a
+	// WaitForHost is a host that can ask the policy service, ForAdvice its answer, ForRoom a
 	// worker that the step may use and that has room.
-	ForHost Reason = iota
+	WaitForHost Reason = iota
 	ForAdvice
 	ForRoom
 	reasons
@@ -100,7 +100,7 @@
 	case ok && !a.asked.IsZero():
 		return ForAdvice
 	case s.unaskable[kind]:
-		return ForHost
+		return WaitForHost
 	default:
 		return ForRoom
 	}
