--- a/internal/sched/waits.go
+++ b/internal/sched/waits.go
@@ -17,7 +17,7 @@
 	// WaitForHost is a host that can ask the policy service, ForAdvice its answer, ForRoom a
 	// worker that the step may use and that has room.
 	WaitForHost Reason = iota
-	ForAdvice
+	WaitForPolicy
 	ForRoom
 	reasons
 )
@@ -98,7 +98,7 @@
 	case r.queue.Advice == nil, s.ticketed(r):
 		return ForRoom
 	case ok && !a.asked.IsZero():
-		return ForAdvice
+		return WaitForPolicy
 	case s.unaskable[kind]:
 		return WaitForHost
 	default:
