--- a/internal/sched/waits.go
+++ b/internal/sched/waits.go
@@ -18,7 +18,7 @@
 	// worker that the step may use and that has room.
 	WaitForHost Reason = iota
 	WaitForPolicy
-	ForRoom
+	WaitForCapacity
 	reasons
 )
 
@@ -96,13 +96,13 @@
 	a, ok := s.advice[r.stage]
 	switch {
 	case r.queue.Advice == nil, s.ticketed(r):
-		return ForRoom
+		return WaitForCapacity
 	case ok && !a.asked.IsZero():
 		return WaitForPolicy
 	case s.unaskable[kind]:
 		return WaitForHost
 	default:
-		return ForRoom
+		return WaitForCapacity
 	}
 }
 
