--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -131,7 +131,7 @@
 	h.observe(fmt.Sprintf("step.wait.rank%d", w.Rank), w.By.Total())
 	for r, d := range w.By {
 		if d > 0 {
-			h.observe(fmt.Sprintf("step.wait.rank%d.%s", w.Rank, sched.Reason(r)), d)
+			h.observe(fmt.Sprintf("step.wait.rank%d.%s", w.Rank, sched.WaitReason(r)), d)
 		}
 	}
 }
--- a/internal/sched/waits.go
+++ b/internal/sched/waits.go
@@ -9,14 +9,14 @@
 	"pollencroft/internal/flow"
 )
 
-// Reason is what a step with tasks that could run waits for.
-type Reason int
+// WaitReason is what a step with tasks that could run waits for.
+type WaitReason int
 
 // The reasons.
 const (
 	// WaitForHost is a host that can ask the policy service, ForAdvice its answer, ForRoom a
 	// worker that the step may use and that has room.
-	WaitForHost Reason = iota
+	WaitForHost WaitReason = iota
 	WaitForPolicy
 	WaitForCapacity
 	reasons
@@ -25,7 +25,7 @@
 var reasonNames = [reasons]string{"host", "advice", "room"}
 
 // String returns the reason for logs and metrics.
-func (r Reason) String() string { return reasonNames[r] }
+func (r WaitReason) String() string { return reasonNames[r] }
 
 // WaitTimes are times by reason.
 type WaitTimes [reasons]time.Duration
@@ -44,7 +44,7 @@
 	var all []string
 	for r, d := range w {
 		if d > 0 {
-			all = append(all, fmt.Sprintf("%s %s", Reason(r), d.Round(time.Millisecond)))
+			all = append(all, fmt.Sprintf("%s %s", WaitReason(r), d.Round(time.Millisecond)))
 		}
 	}
 	return strings.Join(all, ", ")
@@ -59,7 +59,7 @@
 type wait struct {
 	by   WaitTimes
 	at   time.Time
-	why  Reason
+	why  WaitReason
 	long time.Duration
 }
 
@@ -88,7 +88,7 @@
 }
 
 // waitsFor is what a step waits for in this pass.
-func (s *Sched) waitsFor(r ready) Reason {
+func (s *Sched) waitsFor(r ready) WaitReason {
 	kind := 0
 	if s.long(r.queue) {
 		kind = 1
