--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -151,7 +151,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m := peer.Succeed{Term: t.number, Bounds: map[string]cell.Duration{}}
-	for life, left := range t.core.Bounds(t.h.now()) {
+	for life, left := range t.core.LeaseBounds(t.h.now()) {
 		m.Bounds[life] = cell.Duration{Duration: left}
 	}
 	return m
--- a/internal/sched/lapse.go
+++ b/internal/sched/lapse.go
@@ -29,9 +29,9 @@
 	return at
 }
 
-// Bounds returns how much longer anything may run on each worker that does not
+// LeaseBounds returns how much longer anything may run on each worker that does not
 // answer. A successor would wait for a whole lease again.
-func (s *Sched) Bounds(now time.Time) map[string]time.Duration {
+func (s *Sched) LeaseBounds(now time.Time) map[string]time.Duration {
 	all := map[string]time.Duration{}
 	for life, w := range s.workers {
 		if len(w.tasks) > 0 && (!w.fenced || w.silent(now)) {
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -198,7 +198,7 @@
 	before := total(b.starts)
 	for range 3 {
 		b.play(2500 * time.Millisecond)
-		bounds := b.core.Bounds(b.now)
+		bounds := b.core.LeaseBounds(b.now)
 		b.takeover()
 		b.step(sched.PredecessorStopped{Since: b.now, LeaseBounds: bounds})
 	}
