--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -185,9 +185,9 @@
 		t.mu.Unlock()
 		return
 	}
-	placed, began := t.core.Placed(), t.h.now()
+	placed, began := t.core.LastPass(), t.h.now()
 	acts := t.core.Step(began, ev)
-	if t.core.Placed() != placed {
+	if t.core.LastPass() != placed {
 		t.core.Took(t.h.now().Sub(began))
 	}
 	t.mu.Unlock()
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -194,10 +194,10 @@
 func (b *cellBench) step(ev sched.Event) {
 	term := b.term
 	began := time.Now()
-	placed := b.core.Placed()
+	placed := b.core.LastPass()
 	acts := b.core.Step(b.now, ev)
 	b.inCore += time.Since(began)
-	if b.core.Placed() != placed {
+	if b.core.LastPass() != placed {
 		b.passes++
 		b.core.Took(b.passTook)
 	}
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -287,8 +287,8 @@
 	return s.placed.Add(max(s.limits.Gather, time.Duration(float64(s.took)/passShare)))
 }
 
-// Placed is when the last pass was made.
-func (s *Sched) Placed() time.Time { return s.placed }
+// LastPass is when the last pass was made.
+func (s *Sched) LastPass() time.Time { return s.placed }
 
 // Took tells how long the step with the last pass took. The core has no clock of its own: the
 // same work takes a host that is short of processor several times as long. One that was
