--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -188,7 +188,7 @@
 	placed, began := t.core.LastPass(), t.h.now()
 	acts := t.core.Step(began, ev)
 	if t.core.LastPass() != placed {
-		t.core.Took(t.h.now().Sub(began))
+		t.core.RecordPassDuration(t.h.now().Sub(began))
 	}
 	t.mu.Unlock()
 	for _, a := range acts {
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -199,7 +199,7 @@
 	b.inCore += time.Since(began)
 	if b.core.LastPass() != placed {
 		b.passes++
-		b.core.Took(b.passTook)
+		b.core.RecordPassDuration(b.passTook)
 	}
 	for _, a := range acts {
 		b.carry(term, a)
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -194,7 +194,7 @@
 func TestALeadThatWasSuspendedInAPassGoesOnAtItsPace(t *testing.T) {
 	b := newBench(t, 2)
 	b.submit("first", "scan", scan(1))
-	b.core.Took(5 * time.Second)
+	b.core.RecordPassDuration(5 * time.Second)
 	b.passes = 0
 	for n := range 100 {
 		b.submit(fmt.Sprintf("a%03d", n), "scan", scan(1))
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -290,10 +290,10 @@
 // LastPass is when the last pass was made.
 func (s *Sched) LastPass() time.Time { return s.placed }
 
-// Took tells how long the step with the last pass took. The core has no clock of its own: the
+// RecordPassDuration tells how long the step with the last pass took. The core has no clock of its own: the
 // same work takes a host that is short of processor several times as long. One that was
 // suspended in a pass for seconds says nothing of the next ones.
-func (s *Sched) Took(d time.Duration) {
+func (s *Sched) RecordPassDuration(d time.Duration) {
 	s.took = min(d, time.Duration(passShare*float64(mostPause)))
 }
 
