--- a/internal/sched/mechanism.go
+++ b/internal/sched/mechanism.go
@@ -8,8 +8,8 @@
 
 // The mechanisms.
 const (
-	// KeepFewHosts keeps hosts free of long questions by what urgent ones take.
-	KeepFewHosts Mechanism = "keep-few-hosts"
+	// AdaptUrgentHosts keeps hosts free of long questions by what urgent ones take.
+	AdaptUrgentHosts Mechanism = "keep-few-hosts"
 	// NameMore learns of more workers with a question than the tasks need now.
 	NameMore Mechanism = "name-more"
 	// AskAhead gets tickets while workers are still full.
@@ -26,7 +26,7 @@
 
 // Mechanisms lists all of them.
 func Mechanisms() []Mechanism {
-	return []Mechanism{KeepFewHosts, NameMore, AskAhead, ReserveForWide, GiveWay, InTimeFirst, PacePasses}
+	return []Mechanism{AdaptUrgentHosts, NameMore, AskAhead, ReserveForWide, GiveWay, InTimeFirst, PacePasses}
 }
 
 // on tells whether a mechanism is in use.
