--- a/internal/sched/mechanism.go
+++ b/internal/sched/mechanism.go
@@ -10,8 +10,8 @@
 const (
 	// AdaptUrgentHosts keeps hosts free of long questions by what urgent ones take.
 	AdaptUrgentHosts Mechanism = "keep-few-hosts"
-	// NameMore learns of more workers with a question than the tasks need now.
-	NameMore Mechanism = "name-more"
+	// QueryMoreWorkers learns of more workers with a question than the tasks need now.
+	QueryMoreWorkers Mechanism = "name-more"
 	// AskAhead gets tickets while workers are still full.
 	AskAhead Mechanism = "ask-ahead"
 	// ReserveForWide holds room for tasks that need half a worker or more.
@@ -26,7 +26,7 @@
 
 // Mechanisms lists all of them.
 func Mechanisms() []Mechanism {
-	return []Mechanism{AdaptUrgentHosts, NameMore, AskAhead, ReserveForWide, GiveWay, InTimeFirst, PacePasses}
+	return []Mechanism{AdaptUrgentHosts, QueryMoreWorkers, AskAhead, ReserveForWide, GiveWay, InTimeFirst, PacePasses}
 }
 
 // on tells whether a mechanism is in use.
