--- a/internal/sched/mechanism.go
+++ b/internal/sched/mechanism.go
@@ -12,8 +12,8 @@
 	AdaptUrgentHosts Mechanism = "keep-few-hosts"
 	// QueryMoreWorkers learns of more workers with a question than the tasks need now.
 	QueryMoreWorkers Mechanism = "name-more"
-	// AskAhead gets tickets while workers are still full.
-	AskAhead Mechanism = "ask-ahead"
+	// PrefetchTickets gets tickets while workers are still full.
+	PrefetchTickets Mechanism = "ask-ahead"
 	// ReserveForWide holds room for tasks that need half a worker or more.
 	ReserveForWide Mechanism = "reserve-for-wide"
 	// GiveWay stops bulk that saves its progress for more urgent work.
@@ -26,7 +26,7 @@
 
 // Mechanisms lists all of them.
 func Mechanisms() []Mechanism {
-	return []Mechanism{AdaptUrgentHosts, QueryMoreWorkers, AskAhead, ReserveForWide, GiveWay, InTimeFirst, PacePasses}
+	return []Mechanism{AdaptUrgentHosts, QueryMoreWorkers, PrefetchTickets, ReserveForWide, GiveWay, InTimeFirst, PacePasses}
 }
 
 // on tells whether a mechanism is in use.
