--- a/internal/sched/mechanism.go
+++ b/internal/sched/mechanism.go
@@ -16,8 +16,8 @@
 	PrefetchTickets Mechanism = "ask-ahead"
 	// ReserveForWide holds room for tasks that need half a worker or more.
 	ReserveForWide Mechanism = "reserve-for-wide"
-	// GiveWay stops bulk that saves its progress for more urgent work.
-	GiveWay Mechanism = "give-way"
+	// PreemptBulk stops bulk that saves its progress for more urgent work.
+	PreemptBulk Mechanism = "give-way"
 	// InTimeFirst has work go first that can still be in time.
 	InTimeFirst Mechanism = "in-time-first"
 	// PacePasses bounds what passes take of the lead's time.
@@ -26,7 +26,7 @@
 
 // Mechanisms lists all of them.
 func Mechanisms() []Mechanism {
-	return []Mechanism{AdaptUrgentHosts, QueryMoreWorkers, PrefetchTickets, ReserveForWide, GiveWay, InTimeFirst, PacePasses}
+	return []Mechanism{AdaptUrgentHosts, QueryMoreWorkers, PrefetchTickets, ReserveForWide, PreemptBulk, InTimeFirst, PacePasses}
 }
 
 // on tells whether a mechanism is in use.
