--- a/internal/sched/mechanism.go
+++ b/internal/sched/mechanism.go
@@ -18,15 +18,15 @@
 	ReserveForWide Mechanism = "reserve-for-wide"
 	// PreemptBulk stops bulk that saves its progress for more urgent work.
 	PreemptBulk Mechanism = "give-way"
-	// InTimeFirst has work go first that can still be in time.
-	InTimeFirst Mechanism = "in-time-first"
+	// OnTimeFirst has work go first that can still be in time.
+	OnTimeFirst Mechanism = "in-time-first"
 	// PacePasses bounds what passes take of the lead's time.
 	PacePasses Mechanism = "pace-passes"
 )
 
 // Mechanisms lists all of them.
 func Mechanisms() []Mechanism {
-	return []Mechanism{AdaptUrgentHosts, QueryMoreWorkers, PrefetchTickets, ReserveForWide, PreemptBulk, InTimeFirst, PacePasses}
+	return []Mechanism{AdaptUrgentHosts, QueryMoreWorkers, PrefetchTickets, ReserveForWide, PreemptBulk, OnTimeFirst, PacePasses}
 }
 
 // on tells whether a mechanism is in use.
