--- a/internal/sched/mechanism.go
+++ b/internal/sched/mechanism.go
@@ -20,13 +20,13 @@
 	PreemptBulk Mechanism = "give-way"
 	// OnTimeFirst has work go first that can still be in time.
 	OnTimeFirst Mechanism = "in-time-first"
-	// PacePasses bounds what passes take of the lead's time.
-	PacePasses Mechanism = "pace-passes"
+	// LimitPassTime bounds what passes take of the lead's time.
+	LimitPassTime Mechanism = "pace-passes"
 )
 
 // Mechanisms lists all of them.
 func Mechanisms() []Mechanism {
-	return []Mechanism{AdaptUrgentHosts, QueryMoreWorkers, PrefetchTickets, ReserveForWide, PreemptBulk, OnTimeFirst, PacePasses}
+	return []Mechanism{AdaptUrgentHosts, QueryMoreWorkers, PrefetchTickets, ReserveForWide, PreemptBulk, OnTimeFirst, LimitPassTime}
 }
 
 // on tells whether a mechanism is in use.
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -281,7 +281,7 @@
 
 // placeable is when the next pass may be made.
 func (s *Sched) placeable() time.Time {
-	if !s.on(PacePasses) {
+	if !s.on(LimitPassTime) {
 		return s.placed.Add(s.limits.Gather)
 	}
 	return s.placed.Add(max(s.limits.Gather, time.Duration(float64(s.took)/passShare)))
