--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -76,7 +76,7 @@
 	limits.Lease = min(limits.Lease, time.Duration(h.cfg.Times.Lease)*95/100)
 	limits.StopGrace = time.Duration(h.cfg.Times.Stop)
 	limits.Off = h.cfg.Off
-	limits.Keep = time.Duration(h.cfg.Times.Keep) * 5 / 4
+	limits.Retention = time.Duration(h.cfg.Times.Keep) * 5 / 4
 	t := &term{
 		h: h, number: number, read: read, began: began, polled: read, jobs: len(r.jobs) + len(r.fresh), open: len(r.fresh),
 		kick: make(chan struct{}, 1), next: next, where: map[string]map[int]bool{}, listed: map[string]sched.Worker{}, unread: map[string]bool{},
--- a/internal/sched/limits.go
+++ b/internal/sched/limits.go
@@ -11,8 +11,8 @@
 	Lease time.Duration
 	// StopGrace is how long a run may take to stop.
 	StopGrace time.Duration
-	// Keep is how long an ended job's state is told.
-	Keep time.Duration
+	// Retention is how long an ended job's state is told.
+	Retention time.Duration
 	// Gather is the least time between two appends: the store counts calls, and
 	// what is decided within this time is stored at once.
 	Gather time.Duration
@@ -28,7 +28,7 @@
 var DefaultLimits = Limits{
 	Lease:     8 * time.Second,
 	StopGrace: time.Second,
-	Keep:      150 * time.Second,
+	Retention: 150 * time.Second,
 	Gather:    20 * time.Millisecond,
 	Wait:      600 * time.Millisecond,
 }
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -387,10 +387,10 @@
 // accepted and only then their progress: a spec without progress is a new job to
 // the next lead, which would run it again.
 func (s *Sched) forget() {
-	maps.DeleteFunc(s.cancels, func(_ string, at time.Time) bool { return s.now.Sub(at) > s.limits.Keep })
+	maps.DeleteFunc(s.cancels, func(_ string, at time.Time) bool { return s.now.Sub(at) > s.limits.Retention })
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		j := s.jobs[id]
-		if j.State.Final() && j.Shown.Final() && s.now.Sub(j.Ended) > s.limits.Keep {
+		if j.State.Final() && j.Shown.Final() && s.now.Sub(j.Ended) > s.limits.Retention {
 			delete(s.jobs, id)
 			delete(s.open, id)
 			s.do(Forget{ID: id})
