--- a/internal/sched/limits.go
+++ b/internal/sched/limits.go
@@ -13,9 +13,9 @@
 	StopGrace time.Duration
 	// Retention is how long an ended job's state is told.
 	Retention time.Duration
-	// Gather is the least time between two appends: the store counts calls, and
+	// BatchInterval is the least time between two appends: the store counts calls, and
 	// what is decided within this time is stored at once.
-	Gather time.Duration
+	BatchInterval time.Duration
 	// Wait is how long a hold waits for an end: the least time between two looks
 	// at a worker on which nothing ends.
 	Wait time.Duration
@@ -26,11 +26,11 @@
 // DefaultLimits suit the platform's longest lease of 10 s and its waits of 2 s:
 // a run lives through a cut of 5.5 s, the usual one, and one hold's wait.
 var DefaultLimits = Limits{
-	Lease:     8 * time.Second,
-	StopGrace: time.Second,
-	Retention: 150 * time.Second,
-	Gather:    20 * time.Millisecond,
-	Wait:      600 * time.Millisecond,
+	Lease:         8 * time.Second,
+	StopGrace:     time.Second,
+	Retention:     150 * time.Second,
+	BatchInterval: 20 * time.Millisecond,
+	Wait:          600 * time.Millisecond,
 }
 
 const (
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -238,7 +238,7 @@
 
 // flush places what waits and stores what changed, one append at a time.
 func (s *Sched) flush() {
-	if s.now.Sub(s.placed) < s.limits.Gather {
+	if s.now.Sub(s.placed) < s.limits.BatchInterval {
 		return
 	}
 	if s.stirred && !s.now.Before(s.placeable()) {
@@ -282,9 +282,9 @@
 // placeable is when the next pass may be made.
 func (s *Sched) placeable() time.Time {
 	if !s.on(LimitPassTime) {
-		return s.placed.Add(s.limits.Gather)
+		return s.placed.Add(s.limits.BatchInterval)
 	}
-	return s.placed.Add(max(s.limits.Gather, time.Duration(float64(s.took)/passShare)))
+	return s.placed.Add(max(s.limits.BatchInterval, time.Duration(float64(s.took)/passShare)))
 }
 
 // LastPass is when the last pass was made.
@@ -308,17 +308,17 @@
 func (s *Sched) appendable() time.Time {
 	switch n := len(s.flights); {
 	case n == 0:
-		return s.last.Add(s.limits.Gather)
+		return s.last.Add(s.limits.BatchInterval)
 	case n < mostFlights:
-		return s.last.Add(max(s.limits.Gather, overlapAfter))
+		return s.last.Add(max(s.limits.BatchInterval, overlapAfter))
 	default:
-		return s.now.Add(s.limits.Gather)
+		return s.now.Add(s.limits.BatchInterval)
 	}
 }
 
 // flushable is when what changed is stored: with a pass, or between two that are far apart.
 func (s *Sched) flushable() time.Time {
-	at := s.placed.Add(s.limits.Gather)
+	at := s.placed.Add(s.limits.BatchInterval)
 	if next := s.appendable(); next.After(at) {
 		return next
 	}
