--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -41,11 +41,11 @@
 	case len(w.tasks) == 0 && len(w.loose) == 0:
 		return 0
 	case len(w.tasks) == 0 && w.firstLoose().After(s.now):
-		return min(s.limits.Wait, max(w.firstLoose().Sub(s.now), s.limits.BatchInterval))
+		return min(s.limits.HoldWait, max(w.firstLoose().Sub(s.now), s.limits.BatchInterval))
 	case w.filled > 0 && w.serves():
 		return stepEvery / 2
 	default:
-		return s.limits.Wait
+		return s.limits.HoldWait
 	}
 }
 
--- a/internal/sched/limits.go
+++ b/internal/sched/limits.go
@@ -16,9 +16,9 @@
 	// BatchInterval is the least time between two appends: the store counts calls, and
 	// what is decided within this time is stored at once.
 	BatchInterval time.Duration
-	// Wait is how long a hold waits for an end: the least time between two looks
+	// HoldWait is how long a hold waits for an end: the least time between two looks
 	// at a worker on which nothing ends.
-	Wait time.Duration
+	HoldWait time.Duration
 	// Off are the mechanisms that are not used; none by default.
 	Off []Mechanism
 }
@@ -30,7 +30,7 @@
 	StopGrace:     time.Second,
 	Retention:     150 * time.Second,
 	BatchInterval: 20 * time.Millisecond,
-	Wait:          600 * time.Millisecond,
+	HoldWait:      600 * time.Millisecond,
 }
 
 const (
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -218,7 +218,7 @@
 	const watched = 3 * time.Second
 	b.play(watched)
 	require.Positive(t, b.holds, "until its room is given back")
-	require.LessOrEqual(t, b.holds, 2+len(b.workers)*int(watched/sched.DefaultLimits.Wait))
+	require.LessOrEqual(t, b.holds, 2+len(b.workers)*int(watched/sched.DefaultLimits.HoldWait))
 }
 
 // A lead ends with copies started that it could not store. Its successor finds
@@ -323,7 +323,7 @@
 	require.Zero(t, b.workers["w00"].loseEnds)
 	// The work, the rest of a hold's wait, and the patience for its answer.
 	t.Log(b.now.Sub(began))
-	require.Less(t, b.now.Sub(began), time.Second+sched.DefaultLimits.Wait+patience)
+	require.Less(t, b.now.Sub(began), time.Second+sched.DefaultLimits.HoldWait+patience)
 }
 
 // The store takes 53 times as long for each append, as on the users' slow days, and
