--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -75,7 +75,7 @@
 	limits := sched.DefaultLimits
 	limits.Lease = min(limits.Lease, time.Duration(h.cfg.Times.Lease)*95/100)
 	limits.StopGrace = time.Duration(h.cfg.Times.Stop)
-	limits.Off = h.cfg.Off
+	limits.Disabled = h.cfg.Off
 	limits.Retention = time.Duration(h.cfg.Times.Keep) * 5 / 4
 	t := &term{
 		h: h, number: number, read: read, began: began, polled: read, jobs: len(r.jobs) + len(r.fresh), open: len(r.fresh),
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -94,7 +94,7 @@
 		queues: []flow.Queue{{Name: "scan", Service: "pass", Rank: 0, Attempts: 3}, {Name: "print", Service: "pass", Rank: 2, Attempts: 4}},
 	}
 	limits := sched.DefaultLimits
-	limits.Off = off()
+	limits.Disabled = off()
 	b.core = sched.New(limits, b.term, nil)
 	for i := range workers {
 		b.addWorker(fmt.Sprintf("w%02d", i), i)
--- a/internal/sched/limits.go
+++ b/internal/sched/limits.go
@@ -19,8 +19,8 @@
 	// HoldWait is how long a hold waits for an end: the least time between two looks
 	// at a worker on which nothing ends.
 	HoldWait time.Duration
-	// Off are the mechanisms that are not used; none by default.
-	Off []Mechanism
+	// Disabled are the mechanisms that are not used; none by default.
+	Disabled []Mechanism
 }
 
 // DefaultLimits suit the platform's longest lease of 10 s and its waits of 2 s:
--- a/internal/sched/mechanism.go
+++ b/internal/sched/mechanism.go
@@ -30,4 +30,4 @@
 }
 
 // on tells whether a mechanism is in use.
-func (s *Sched) on(m Mechanism) bool { return !slices.Contains(s.limits.Off, m) }
+func (s *Sched) on(m Mechanism) bool { return !slices.Contains(s.limits.Disabled, m) }
