--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -349,7 +349,7 @@
 			t.late = max(t.late, t.h.now().Sub(set)-pause)
 			t.mu.Unlock()
 		}
-		if t.h.now().Sub(t.h.store.Good()) > sched.GiveUp {
+		if t.h.now().Sub(t.h.store.Good()) > sched.StoreTimeout {
 			t.end("the store does not answer")
 			return
 		}
--- a/internal/sched/limits.go
+++ b/internal/sched/limits.go
@@ -59,9 +59,9 @@
 	// times what the store takes.
 	mostFlights  = 3
 	overlapAfter = 40 * time.Millisecond
-	// GiveUp is how long a lead goes on holding workers after the store answered
+	// StoreTimeout is how long a lead goes on holding workers after the store answered
 	// it last. By then a successor may have begun.
-	GiveUp = 8 * time.Second
+	StoreTimeout = 8 * time.Second
 	// onItsWay bounds how long a hold that was sent takes to be carried out or
 	// dropped, besides those that the platform delays.
 	onItsWay = 500 * time.Millisecond
