--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -30,12 +30,12 @@
 
 // CrashedError tells that a task was given up because workers crashed under it.
 type CrashedError struct {
-	Task  string
-	Lives int64
+	Task    string
+	Crashes int64
 }
 
 func (e *CrashedError) Error() string {
-	return fmt.Sprintf("task %s was given up: %d workers crashed while it ran", e.Task, e.Lives)
+	return fmt.Sprintf("task %s was given up: %d workers crashed while it ran", e.Task, e.Crashes)
 }
 
 // life is a worker's life, told by a list that was asked for at sent.
@@ -78,14 +78,14 @@
 
 func (t *task) apart() bool { return t.lives >= livesApart }
 
-// Apart tells whether a task is tried on a worker of its own.
-func (j *Jobs) Apart(id string) bool {
+// NeedsExclusiveWorker tells whether a task is tried on a worker of its own.
+func (j *Jobs) NeedsExclusiveWorker(id string) bool {
 	t, ok := j.tasks[id]
 	return ok && t.apart()
 }
 
 // backAt takes out the recalled tasks that were on a worker of which a list came.
-func (j *Jobs) backAt(ev Seen) []*task {
+func (j *Jobs) backAt(ev WorkerList) []*task {
 	var back, rest []*task
 	for _, t := range j.recalled[ev.Worker] {
 		if ev.Jobs == nil || slices.Contains(ev.Jobs, t.job.spec.ID) {
@@ -103,11 +103,11 @@
 
 // judge notes under which tasks a worker's former life ended. What ended it is not known: of
 // several tasks only those are blamed under which the most lives ended before.
-func (j *Jobs) judge(ev Seen, listed map[string]bool) []Action {
-	if ev.Life == "" || ev.Sent.Before(j.lives[ev.Worker].sent) {
+func (j *Jobs) judge(ev WorkerList, listed map[string]bool) []Action {
+	if ev.Incarnation == "" || ev.Sent.Before(j.lives[ev.Worker].sent) {
 		return nil
 	}
-	j.lives[ev.Worker] = life{name: ev.Life, sent: ev.Sent}
+	j.lives[ev.Worker] = life{name: ev.Incarnation, sent: ev.Sent}
 	under, late := j.under(ev, listed), j.late(ev)
 	most := int64(0)
 	for _, t := range slices.Concat(under, late) {
@@ -140,7 +140,7 @@
 	j.away[worker] = append(j.away[worker], place{task: t.id, life: t.life})
 }
 
-func (t *task) spare(ev Seen) bool {
+func (t *task) spare(ev WorkerList) bool {
 	if !ev.RackLost || t.spared >= sparedMost {
 		return false
 	}
@@ -149,13 +149,13 @@
 }
 
 // late are the tasks that were on a worker when it fell silent, if it has another life since.
-func (j *Jobs) late(ev Seen) []*task {
+func (j *Jobs) late(ev WorkerList) []*task {
 	if ev.Jobs != nil {
 		return nil
 	}
 	var late []*task
 	for _, p := range j.away[ev.Worker] {
-		if t, ok := j.tasks[p.task]; ok && p.life != ev.Life && !taskLife.Final(t.state) {
+		if t, ok := j.tasks[p.task]; ok && p.life != ev.Incarnation && !taskLife.Final(t.state) {
 			late = append(late, t)
 		}
 	}
@@ -180,29 +180,29 @@
 }
 
 // under are the tasks that were on a worker in an earlier life than the one that its list is from.
-func (j *Jobs) under(ev Seen, listed map[string]bool) []*task {
+func (j *Jobs) under(ev WorkerList, listed map[string]bool) []*task {
 	var under []*task
 	for _, id := range slices.Sorted(maps.Keys(j.on[ev.Worker])) {
 		t := j.tasks[id]
 		if !t.since.Before(ev.Sent) || ev.Jobs != nil && !slices.Contains(ev.Jobs, t.job.spec.ID) {
 			continue
 		}
-		if t.life != "" && t.life != ev.Life && !listed[id] && !taskLife.Final(t.state) {
+		if t.life != "" && t.life != ev.Incarnation && !listed[id] && !taskLife.Final(t.state) {
 			under = append(under, t)
 		}
-		t.life = ev.Life
+		t.life = ev.Incarnation
 	}
 	for _, t := range j.backAt(ev) {
-		if t.worker == "" && t.job.census && !listed[t.id] && t.former.life != ev.Life {
+		if t.worker == "" && t.job.census && !listed[t.id] && t.former.life != ev.Incarnation {
 			under = append(under, t)
 		}
 	}
 	return under
 }
 
-func (t *task) count(worker string) Crashed {
+func (t *task) count(worker string) StoreCrashCount {
 	t.lives++
-	return Crashed{Job: t.job.spec.ID, Task: t.id, Worker: worker, Lives: t.lives}
+	return StoreCrashCount{Job: t.job.spec.ID, Task: t.id, Worker: worker, Crashes: t.lives}
 }
 
 // crashed counts a life that ended under a task, which certainly runs no more.
@@ -231,7 +231,7 @@
 	if jb.crashed != nil || i < 0 {
 		return nil
 	}
-	jb.crashed = &CrashedError{Task: jb.tasks[i].id, Lives: jb.tasks[i].lives}
+	jb.crashed = &CrashedError{Task: jb.tasks[i].id, Crashes: jb.tasks[i].lives}
 	var acts []Action
 	for _, t := range jb.tasks {
 		if t.state == "waiting" && t.move("fail") {
@@ -242,12 +242,12 @@
 }
 
 // notedLives asks for room for a task that waited for its count to be stored.
-func (j *Jobs) notedLives(ev Noted) []Action {
+func (j *Jobs) notedLives(ev CrashCountStored) []Action {
 	t, ok := j.tasks[ev.Task]
-	if !ok || t.noted >= t.lives || ev.Lives < t.lives {
+	if !ok || t.noted >= t.lives || ev.Crashes < t.lives {
 		return nil
 	}
-	t.noted = ev.Lives
+	t.noted = ev.Crashes
 	if t.state != "waiting" || t.job.census {
 		return nil
 	}
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -30,9 +30,9 @@
 	j.Step(now, job.Submit{Spec: spec(1)})
 	start := startOf(t, j, "d.r.j.0", "w1")
 	require.Empty(t, j.Step(now, job.Unsure{Task: "d.r.j.0", Attempt: start.Attempt, Deadline: now.Add(time.Second)}))
-	require.Empty(t, j.Step(now, job.Seen{Worker: "w1", Clock: now}))
-	acts := j.Step(now, job.Seen{Worker: "w1", Clock: now.Add(2 * time.Second)})
-	require.IsType(t, job.Want{}, acts[1])
+	require.Empty(t, j.Step(now, job.WorkerList{Worker: "w1", Clock: now}))
+	acts := j.Step(now, job.WorkerList{Worker: "w1", Clock: now.Add(2 * time.Second)})
+	require.IsType(t, job.RequestPlacement{}, acts[1])
 }
 
 // A print batch is cancelled before any start was sent. The desk is told that
@@ -45,7 +45,7 @@
 	require.NoError(t, err)
 	require.Equal(t, "cancelled", s.State)
 	require.False(t, s.Ran)
-	require.Equal(t, []job.Action{job.Free{Task: "d.r.j.0"}}, j.Step(now, job.Put{Task: "d.r.j.0", Worker: "w1"}))
+	require.Equal(t, []job.Action{job.Free{Task: "d.r.j.0"}}, j.Step(now, job.Placed{Task: "d.r.j.0", Worker: "w1"}))
 }
 
 // A row's own bug fails every task. The job must come to an end instead of
@@ -63,8 +63,8 @@
 func TestJobEndsWithItsLastTask(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
-	j.Step(now, job.Put{Task: "d.r.j.0", Worker: "w1"})
-	j.Step(now, job.Seen{Worker: "w1", Clock: now, Tasks: []job.Listed{{ID: "d.r.j.0", State: "ended"}}})
+	j.Step(now, job.Placed{Task: "d.r.j.0", Worker: "w1"})
+	j.Step(now, job.WorkerList{Worker: "w1", Clock: now, Tasks: []job.ListedTask{{ID: "d.r.j.0", State: "ended"}}})
 	require.Equal(t, "ended", state(t, j))
 }
 
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -103,7 +103,7 @@
 func (l *Lead) Forfeit(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.Jobs.Waits(id) {
+	if !l.Jobs.AwaitsInventory(id) {
 		return
 	}
 	l.takeover(takeover.Gone{Job: id})
@@ -140,7 +140,7 @@
 func (l *Lead) Kept(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.job(job.Kept{ID: id})
+	l.job(job.EndStored{ID: id})
 }
 
 // Leave makes this host take no job any more, before it hands over what it has.
@@ -155,7 +155,7 @@
 func (l *Lead) Open() []job.Spec {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return slices.DeleteFunc(l.Jobs.Open(), func(s job.Spec) bool { return l.Jobs.Waits(s.ID) })
+	return slices.DeleteFunc(l.Jobs.Open(), func(s job.Spec) bool { return l.Jobs.AwaitsInventory(s.ID) })
 }
 
 // lookAgain is how long after a job was given up its workers are read. A list that was asked for
@@ -166,7 +166,7 @@
 // room stays taken until the worker shows that they did not.
 func (l *Lead) drop(id string, recall bool) {
 	now := l.Clock()
-	if c, ok := l.Jobs.Carry(id); ok {
+	if c, ok := l.Jobs.Snapshot(id); ok {
 		for i, t := range c.Tasks {
 			if t.Worker == "" {
 				continue
@@ -178,7 +178,7 @@
 			}
 		}
 	}
-	l.job(job.Drop{ID: id, Recall: recall})
+	l.job(job.Drop{ID: id, RememberPlaces: recall})
 }
 
 // demote gives up all jobs when the last worker is lost. Another host may have
@@ -204,14 +204,14 @@
 		case takeover.Release:
 			l.Count("lead.released")
 			l.note(a.Job, "census complete")
-			l.job(job.Release{ID: a.Job, Lives: l.livesOf(a.Job)})
+			l.job(job.Release{ID: a.Job, Crashes: l.livesOf(a.Job)})
 		case takeover.Counted:
 			l.counted(a.Key)
 		case takeover.Silent:
 			l.Log.Warn("lead: worker is silent for longer than any lease.", "worker", a.Worker)
 			l.Count("lead.silent")
 			delete(l.elsewhere, a.Worker)
-			l.job(job.Seen{Worker: a.Worker, Gone: true})
+			l.job(job.WorkerList{Worker: a.Worker, LeasesExpired: true})
 		}
 	}
 }
@@ -220,7 +220,7 @@
 // held here.
 func (l *Lead) watch() {
 	held := l.Leases.Held()
-	names := l.Jobs.Places()
+	names := l.Jobs.Workers()
 	for name := range l.elsewhere {
 		if !slices.Contains(names, name) {
 			names = append(names, name)
@@ -240,7 +240,7 @@
 			l.rooms[t.ID] = name
 			continue
 		}
-		if l.Jobs.Has(t.ID) {
+		if l.Jobs.HasTask(t.ID) {
 			continue
 		}
 		if l.Done != nil && l.Done(t.Job) {
@@ -270,7 +270,7 @@
 		return
 	}
 	delete(l.rooms, id)
-	if !l.Jobs.Has(id) {
+	if !l.Jobs.HasTask(id) {
 		l.place(place.Freed{Task: id})
 	}
 }
@@ -285,5 +285,5 @@
 func (l *Lead) Leads(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.knows(id) && !l.Jobs.Waits(id)
+	return l.knows(id) && !l.Jobs.AwaitsInventory(id)
 }
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -345,14 +345,14 @@
 }
 
 func (l *Lead) seen(name string, r lease.Reading) {
-	ev := job.Seen{Worker: name, Clock: r.Clock, Sent: r.Sent, Life: r.Life}
+	ev := job.WorkerList{Worker: name, Clock: r.Clock, Sent: r.Sent, Incarnation: r.Life}
 	var wait bool
 	if ev.RackLost, wait = l.rackLost(name, r); wait {
 		// What is listed runs, whatever became of the rest. A census may rest on it now.
-		ev.Life, ev.Jobs = "", []string{}
+		ev.Incarnation, ev.Jobs = "", []string{}
 	}
 	for _, t := range r.Tasks {
-		ev.Tasks = append(ev.Tasks, job.Listed{ID: t.ID, State: t.State, Lease: t.Lease})
+		ev.Tasks = append(ev.Tasks, job.ListedTask{ID: t.ID, State: t.State, Lease: t.Lease})
 	}
 	l.job(ev)
 	l.clean(name, r)
@@ -362,7 +362,7 @@
 func (l *Lead) job(ev job.Event) {
 	for _, a := range l.Jobs.Step(l.Clock(), ev) {
 		switch a := a.(type) {
-		case job.Want:
+		case job.RequestPlacement:
 			l.want(a)
 		case job.Start:
 			l.start(a)
@@ -376,7 +376,7 @@
 			l.place(place.Freed{Task: a.Task})
 		case job.Forget:
 			l.forgetStart(a.Worker, a.Lease)
-		case job.Crashed:
+		case job.StoreCrashCount:
 			l.crashed(a)
 		case job.Ended:
 			l.note(a.ID, "ended as "+a.State)
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -23,7 +23,7 @@
 		switch a := a.(type) {
 		case place.Put:
 			if l.Placer.Holds(a.Task, a.Worker) {
-				l.job(job.Put{Task: a.Task, Worker: a.Worker})
+				l.job(job.Placed{Task: a.Task, Worker: a.Worker})
 			}
 		case place.Preempt:
 			l.preempt(a)
@@ -76,14 +76,14 @@
 	l.place(place.Result{Worker: a.Worker, Row: a.Row, Failed: a.Failed})
 }
 
-func (l *Lead) want(a job.Want) {
+func (l *Lead) want(a job.RequestPlacement) {
 	row, _ := l.Row(a.Spec.Row)
 	w := l.wantOf(a.Spec, a.Tasks)
 	w.Rule = l.ruleNow(row)
-	w.Since, w.Avoid, w.Failed, w.Back = a.Since, a.Avoid, a.Failed, a.Back
+	w.Since, w.Avoid, w.Failed, w.Back = a.Since, a.Avoid, a.LastFailure, a.AvoidUntil
 	w.Declared = w.Size
 	w.Size, w.Time = l.corrected(w), l.Estimates.Time(w.Row, w.Time)
-	if a.Apart {
+	if a.Exclusive {
 		w.Size = l.apart(w)
 	}
 	l.place(w)
@@ -196,7 +196,7 @@
 		case !ok:
 			l.grown(t)
 			continue
-		case l.Jobs.Apart(t.ID):
+		case l.Jobs.NeedsExclusiveWorker(t.ID):
 			continue
 		}
 		if room, ok := l.Estimates.Seen(t.ID, t.Row, spec.Size, t.Use); ok {
@@ -230,14 +230,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	notes := l.Trail.Of(id)
-	for _, task := range l.Jobs.Waiting(id) {
+	for _, task := range l.Jobs.WaitingTasks(id) {
 		if why, ok := l.Placer.Why(task); ok {
 			notes = append(notes, trail.Note{At: l.Clock(), ID: id, Part: "place", What: why})
 			notes = append(notes, l.whyPutOff(id, task)...)
 			break
 		}
 	}
-	if l.Jobs.Waits(id) {
+	if l.Jobs.AwaitsInventory(id) {
 		notes = append(notes, trail.Note{At: l.Clock(), ID: id, Part: "lead", What: "waits for its census: " + l.Takeover.Missing(l.Clock(), id)})
 	}
 	if aside := l.Placer.Asides(); len(notes) > 0 && len(aside) > 0 {
