--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -65,7 +65,7 @@
 
 // adoptCopy takes over a copy that a former lead started and could not store
 // any more.
-func (s *Sched) adoptCopy(w *worker, l Listed) bool {
+func (s *Sched) adoptCopy(w *worker, l RunStatus) bool {
 	j, ok := s.jobs[l.Task.Job]
 	if !ok || j.State.Final() {
 		return false
@@ -74,7 +74,7 @@
 	if t == nil || !t.Spec().Copies || t.State != flow.Waiting || l.Run < t.Run {
 		return false
 	}
-	t.Worker, t.Run = w.Life, l.Run
+	t.Worker, t.Run = w.Incarnation, l.Run
 	t.Move(flow.Assign, s.now)
 	t.Move(flow.Send, s.now)
 	w.put(t)
@@ -84,7 +84,7 @@
 }
 
 // endedCopy takes the end of a copy that is not the one that is followed.
-func (s *Sched) endedCopy(w *worker, e End) {
+func (s *Sched) endedCopy(w *worker, e RunEnd) {
 	j, ok := s.jobs[e.Task.Job]
 	if !ok || j.State.Final() {
 		return
@@ -104,8 +104,8 @@
 // failedCopy counts a run that failed and that no record names: a former lead started it
 // and could not store that any more. Left out, its task would be tried more often than
 // its caller allows. A run that is not newer than what the record says was counted with it.
-func (s *Sched) failedCopy(w *worker, t *flow.Task, e End) {
-	beside := t.Out() && t.Worker != w.Life && e.Run == t.Run
+func (s *Sched) failedCopy(w *worker, t *flow.Task, e RunEnd) {
+	beside := t.Out() && t.Worker != w.Incarnation && e.Run == t.Run
 	if e.Run <= t.Run && !beside {
 		return
 	}
--- a/internal/sched/limits.go
+++ b/internal/sched/limits.go
@@ -11,26 +11,26 @@
 	Lease time.Duration
 	// StopGrace is how long a run may take to stop.
 	StopGrace time.Duration
-	// Keep is how long an ended job's state is told.
-	Keep time.Duration
-	// Gather is the least time between two appends: the store counts calls, and
+	// Retention is how long an ended job's state is told.
+	Retention time.Duration
+	// BatchInterval is the least time between two appends: the store counts calls, and
 	// what is decided within this time is stored at once.
-	Gather time.Duration
-	// Wait is how long a hold waits for an end: the least time between two looks
+	BatchInterval time.Duration
+	// HoldWait is how long a hold waits for an end: the least time between two looks
 	// at a worker on which nothing ends.
-	Wait time.Duration
-	// Off are the mechanisms that are not used; none by default.
-	Off []Mechanism
+	HoldWait time.Duration
+	// Disabled are the mechanisms that are not used; none by default.
+	Disabled []Mechanism
 }
 
 // DefaultLimits suit the platform's longest lease of 10 s and its waits of 2 s:
 // a run lives through a cut of 5.5 s, the usual one, and one hold's wait.
 var DefaultLimits = Limits{
-	Lease:     8 * time.Second,
-	StopGrace: time.Second,
-	Keep:      150 * time.Second,
-	Gather:    20 * time.Millisecond,
-	Wait:      600 * time.Millisecond,
+	Lease:         8 * time.Second,
+	StopGrace:     time.Second,
+	Retention:     150 * time.Second,
+	BatchInterval: 20 * time.Millisecond,
+	HoldWait:      600 * time.Millisecond,
 }
 
 const (
@@ -59,9 +59,9 @@
 	// times what the store takes.
 	mostFlights  = 3
 	overlapAfter = 40 * time.Millisecond
-	// GiveUp is how long a lead goes on holding workers after the store answered
+	// StoreTimeout is how long a lead goes on holding workers after the store answered
 	// it last. By then a successor may have begun.
-	GiveUp = 8 * time.Second
+	StoreTimeout = 8 * time.Second
 	// onItsWay bounds how long a hold that was sent takes to be carried out or
 	// dropped, besides those that the platform delays.
 	onItsWay = 500 * time.Millisecond
--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -11,8 +11,8 @@
 // Address is where one life of a worker is reached. A worker that crashed comes
 // back as another life, which runs nothing.
 type Address struct {
-	Life string
-	Addr netip.AddrPort
+	Incarnation string
+	Addr        netip.AddrPort
 }
 
 // Worker is one worker as the platform lists it.
@@ -24,8 +24,8 @@
 	// Version is that of the entry.
 	Version  int64
 	Draining bool
-	// Left is the least time that a draining worker still has.
-	Left time.Duration
+	// Remaining is the least time that a draining worker still has.
+	Remaining time.Duration
 }
 
 // Outcome is what became of an order to a worker.
@@ -33,18 +33,18 @@
 
 // The outcomes. After all but Unanswered it is certain what the worker did.
 const (
-	// Taken means that the order was carried out, now or before.
-	Taken Outcome = iota
-	// NotTaken means that nothing was done.
-	NotTaken
-	// NoRoom means that the worker was fuller than the lead believed.
-	NoRoom
+	// Accepted means that the order was carried out, now or before.
+	Accepted Outcome = iota
+	// Rejected means that nothing was done.
+	Rejected
+	// NoCapacity means that the worker was fuller than the lead believed.
+	NoCapacity
 	// BadTicket means that the policy service's ticket does not hold.
 	BadTicket
 	// Fenced means that a lead of a later term gives orders there.
 	Fenced
-	// OtherLife means that the worker has begun a new life.
-	OtherLife
+	// OtherIncarnation means that the worker has begun a new life.
+	OtherIncarnation
 	// Unanswered means that the order may be carried out, also later.
 	Unanswered
 )
@@ -99,32 +99,32 @@
 // order.
 type Appended struct{ Number int64 }
 
-// Held is a worker's answer to a Hold. Sent and Received are by this host's
+// HoldReply is a worker's answer to a Hold. Sent and Received are by this host's
 // clock, Clock by the worker's.
-type Held struct {
+type HoldReply struct {
 	Worker  string
 	Outcome Outcome
-	Look    bool
-	// Seen is the last end that the question had the worker forget.
-	Seen           int64
+	Probe   bool
+	// AckedEnd is the last end that the question had the worker forget.
+	AckedEnd       int64
 	Sent, Received time.Time
 	Clock          time.Time
-	Running        []Listed
-	Ended          []End
+	Running        []RunStatus
+	Ended          []RunEnd
 }
 
-// Listed is one run that a worker lists. Figure is the tail of the response
+// RunStatus is one run that a worker lists. Figure is the tail of the response
 // times in milliseconds of a task that serves, else the processors in use.
-type Listed struct {
+type RunStatus struct {
 	Task    flow.Name
 	Run     int
 	Saved   string
 	Percent int
-	Figure  int64
+	Metric  int64
 }
 
-// End is one run that ended at a worker. Number rises in each life.
-type End struct {
+// RunEnd is one run that ended at a worker. Number rises in each life.
+type RunEnd struct {
 	Number int64
 	Task   flow.Name
 	Run    int
@@ -132,52 +132,52 @@
 	Saved  string
 }
 
-// Started tells what became of a Start.
-type Started struct {
+// StartReply tells what became of a Start.
+type StartReply struct {
 	Task    flow.Name
 	Run     int
 	Worker  string
 	Outcome Outcome
 }
 
-// Stopped tells what became of a Stop.
-type Stopped struct {
+// StopReply tells what became of a Stop.
+type StopReply struct {
 	Task    flow.Name
 	Run     int
 	Worker  string
 	Outcome Outcome
 }
 
-// Advised is the policy service's answer: a ticket for each named worker that
+// PolicyReply is the policy service's answer: a ticket for each named worker that
 // may run the step. Failed tells that there was none.
-type Advised struct {
+type PolicyReply struct {
 	Step, Host string
-	Good       map[string]string
+	Tickets    map[string]string
 	Failed     bool
 }
 
-// FormerOver tells that the former lead holds no worker any more. Bounds are
+// PredecessorStopped tells that the former lead holds no worker any more. Bounds are
 // what it said of workers that do not answer, as of Since.
-type FormerOver struct {
-	Since  time.Time
-	Bounds map[string]time.Duration
+type PredecessorStopped struct {
+	Since       time.Time
+	LeaseBounds map[string]time.Duration
 }
 
 // Tick lets time pass.
 type Tick struct{}
 
-func (Queues) event()     {}
-func (Workers) event()    {}
-func (Hosts) event()      {}
-func (Submit) event()     {}
-func (Cancel) event()     {}
-func (Appended) event()   {}
-func (Held) event()       {}
-func (Started) event()    {}
-func (Stopped) event()    {}
-func (Advised) event()    {}
-func (FormerOver) event() {}
-func (Tick) event()       {}
+func (Queues) event()             {}
+func (Workers) event()            {}
+func (Hosts) event()              {}
+func (Submit) event()             {}
+func (Cancel) event()             {}
+func (Appended) event()           {}
+func (HoldReply) event()          {}
+func (StartReply) event()         {}
+func (StopReply) event()          {}
+func (PolicyReply) event()        {}
+func (PredecessorStopped) event() {}
+func (Tick) event()               {}
 
 // Action is what the scheduler core asks its edge to do.
 type Action interface{ action() }
@@ -203,9 +203,9 @@
 	To       Address
 	Term     int64
 	Deadline time.Time
-	Seen     int64
+	AckedEnd int64
 	Wait     time.Duration
-	Look     bool
+	Probe    bool
 }
 
 // Start asks a worker to start a run. It is dead on arrival after Deadline in
@@ -239,35 +239,35 @@
 	Percent int
 }
 
-// Ask has a host ask the policy service about a step.
-type Ask struct {
+// QueryPolicy has a host ask the policy service about a step.
+type QueryPolicy struct {
 	Host, Step string
 	Workers    []string
-	// Within is when the answer is no longer of use.
-	Within time.Duration
+	// Timeout is when the answer is no longer of use.
+	Timeout time.Duration
 }
 
 // Forget drops a job that ended long ago: its spec and then its progress.
 type Forget struct{ ID string }
 
-// Depose tells that a lead of a later term was seen: this one has ended.
-type Depose struct{ Worker string }
+// StepDown tells that a lead of a later term was seen: this one has ended.
+type StepDown struct{ Worker string }
 
-// Waited tells how long a step waited, and for what, until all its tasks had room. Rank is
+// StepWaited tells how long a step waited, and for what, until all its tasks had room. Rank is
 // its queue's.
-type Waited struct {
+type StepWaited struct {
 	Rank int
-	By   Waits
+	By   WaitTimes
 }
 
-// Begun tells how long after its acceptance a job's first task began.
-type Begun struct {
+// JobStarted tells how long after its acceptance a job's first task began.
+type JobStarted struct {
 	Rank  int
 	After time.Duration
 }
 
-// Ended tells that a job's final state is stored. It never changes.
-type Ended struct {
+// JobEnded tells that a job's final state is stored. It never changes.
+type JobEnded struct {
 	ID    string
 	State flow.State
 }
@@ -280,15 +280,15 @@
 	Detail   string
 }
 
-func (Append) action() {}
-func (Hold) action()   {}
-func (Start) action()  {}
-func (Stop) action()   {}
-func (Pace) action()   {}
-func (Ask) action()    {}
-func (Forget) action() {}
-func (Depose) action() {}
-func (Waited) action() {}
-func (Begun) action()  {}
-func (Ended) action()  {}
-func (Note) action()   {}
+func (Append) action()      {}
+func (Hold) action()        {}
+func (Start) action()       {}
+func (Stop) action()        {}
+func (Pace) action()        {}
+func (QueryPolicy) action() {}
+func (Forget) action()      {}
+func (StepDown) action()    {}
+func (StepWaited) action()  {}
+func (JobStarted) action()  {}
+func (JobEnded) action()    {}
+func (Note) action()        {}
--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -31,20 +31,20 @@
 func newPacing() pacing { return pacing{level: 100} }
 
 // worstTail is the highest tail of a task that serves, as a share of its target.
-func (w *worker) worstTail(running []Listed) float64 {
+func (w *worker) worstTail(running []RunStatus) float64 {
 	worst := 0.0
 	for _, l := range running {
 		t := w.tasks[l.Task]
 		if t == nil || t.Run != l.Run || t.Spec().Target == 0 {
 			continue
 		}
-		worst = max(worst, float64(l.Figure)/float64(t.Spec().Target.Milliseconds()))
+		worst = max(worst, float64(l.Metric)/float64(t.Spec().Target.Milliseconds()))
 	}
 	return worst
 }
 
 // repace follows the tails that a worker lists.
-func (s *Sched) repace(w *worker, running []Listed) {
+func (s *Sched) repace(w *worker, running []RunStatus) {
 	if w.filled == 0 {
 		return
 	}
--- a/internal/sched/waits.go
+++ b/internal/sched/waits.go
@@ -9,29 +9,29 @@
 	"pollencroft/internal/flow"
 )
 
-// Reason is what a step with tasks that could run waits for.
-type Reason int
+// WaitReason is what a step with tasks that could run waits for.
+type WaitReason int
 
 // The reasons.
 const (
-	// ForHost is a host that can ask the policy service, ForAdvice its answer, ForRoom a
+	// WaitForHost is a host that can ask the policy service, ForAdvice its answer, ForRoom a
 	// worker that the step may use and that has room.
-	ForHost Reason = iota
-	ForAdvice
-	ForRoom
+	WaitForHost WaitReason = iota
+	WaitForPolicy
+	WaitForCapacity
 	reasons
 )
 
 var reasonNames = [reasons]string{"host", "advice", "room"}
 
 // String returns the reason for logs and metrics.
-func (r Reason) String() string { return reasonNames[r] }
+func (r WaitReason) String() string { return reasonNames[r] }
 
-// Waits are times by reason.
-type Waits [reasons]time.Duration
+// WaitTimes are times by reason.
+type WaitTimes [reasons]time.Duration
 
 // Total is the sum over all reasons.
-func (w Waits) Total() time.Duration {
+func (w WaitTimes) Total() time.Duration {
 	var sum time.Duration
 	for _, d := range w {
 		sum += d
@@ -40,11 +40,11 @@
 }
 
 // String returns the times that are not zero, for logs.
-func (w Waits) String() string {
+func (w WaitTimes) String() string {
 	var all []string
 	for r, d := range w {
 		if d > 0 {
-			all = append(all, fmt.Sprintf("%s %s", Reason(r), d.Round(time.Millisecond)))
+			all = append(all, fmt.Sprintf("%s %s", WaitReason(r), d.Round(time.Millisecond)))
 		}
 	}
 	return strings.Join(all, ", ")
@@ -57,9 +57,9 @@
 // wait is a step that waits, since at for a reason; it is told of once it has waited until
 // long.
 type wait struct {
-	by   Waits
+	by   WaitTimes
 	at   time.Time
-	why  Reason
+	why  WaitReason
 	long time.Duration
 }
 
@@ -77,7 +77,7 @@
 		w.at, w.why = s.now, s.waitsFor(r)
 		if !slices.ContainsFunc(r.stage.Tasks, func(t *flow.Task) bool { return t.State == flow.Waiting }) {
 			delete(s.waits, r.stage)
-			s.do(Waited{Rank: r.queue.Rank, By: w.by})
+			s.do(StepWaited{Rank: r.queue.Rank, By: w.by})
 			continue
 		}
 		if total := w.by.Total(); total >= w.long {
@@ -88,7 +88,7 @@
 }
 
 // waitsFor is what a step waits for in this pass.
-func (s *Sched) waitsFor(r ready) Reason {
+func (s *Sched) waitsFor(r ready) WaitReason {
 	kind := 0
 	if s.long(r.queue) {
 		kind = 1
@@ -96,17 +96,17 @@
 	a, ok := s.advice[r.stage]
 	switch {
 	case r.queue.Advice == nil, s.ticketed(r):
-		return ForRoom
+		return WaitForCapacity
 	case ok && !a.asked.IsZero():
-		return ForAdvice
+		return WaitForPolicy
 	case s.unaskable[kind]:
-		return ForHost
+		return WaitForHost
 	default:
-		return ForRoom
+		return WaitForCapacity
 	}
 }
 
 // begun tells how long a job waited from its acceptance to its first start.
 func (s *Sched) begun(j *flow.Job) {
-	s.do(Begun{Rank: s.queue(j).Rank, After: s.now.Sub(j.Began)})
+	s.do(JobStarted{Rank: s.queue(j).Rank, After: s.now.Sub(j.Began)})
 }
