--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -127,11 +127,11 @@
 
 // observeWait adds to the histograms of what steps wait for, by the rank of their queue: queues
 // come and go with the table, and ranks are few.
-func (h *Host) observeWait(w sched.Waited) {
+func (h *Host) observeWait(w sched.StepWaited) {
 	h.observe(fmt.Sprintf("step.wait.rank%d", w.Rank), w.By.Total())
 	for r, d := range w.By {
 		if d > 0 {
-			h.observe(fmt.Sprintf("step.wait.rank%d.%s", w.Rank, sched.Reason(r)), d)
+			h.observe(fmt.Sprintf("step.wait.rank%d.%s", w.Rank, sched.WaitReason(r)), d)
 		}
 	}
 }
--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -20,7 +20,7 @@
 // handed is a job on its way to another lead. It is not led here meanwhile:
 // the other may have it already.
 type handed struct {
-	carry job.Carry
+	carry job.Snapshot
 	to    string
 	// epoch is the one in which the job was led here.
 	epoch int64
@@ -45,7 +45,7 @@
 	h.jobs.collecting.Lock()
 	defer h.jobs.collecting.Unlock()
 	to := map[string][]string{}
-	for _, s := range h.lead.Open() {
+	for _, s := range h.lead.OpenJobs() {
 		if name := h.nextLead(s.ID); name != "" && name != h.cfg.Name {
 			to[name] = append(to[name], s.ID)
 		}
@@ -125,7 +125,7 @@
 	switch {
 	case err == nil:
 		h.clearHanded(all)
-	case errors.As(err, new(*lead.StaleError)):
+	case errors.As(err, new(*lead.StaleHandoverError)):
 		h.log.Info("host: hand-over was overtaken, it is sent again.", "to", name, "jobs", len(all))
 	case no && h.Ready(), !h.isLive(name):
 		h.log.Warn("host: jobs not handed over.", "to", name, "jobs", len(all), "err", err)
@@ -157,7 +157,7 @@
 		}
 	}
 	if err == nil && reply.Stale {
-		return &lead.StaleError{From: h.cfg.Name}
+		return &lead.StaleHandoverError{From: h.cfg.Name}
 	}
 	return err
 }
@@ -174,7 +174,7 @@
 		case one.unsure:
 			h.log.Warn("host: job waits for a census.", "id", id, "to", one.to)
 		case h.Ready():
-			if err := h.lead.TakeBack([]job.Carry{one.carry}, one.epoch); err != nil {
+			if err := h.lead.TakeBack([]job.Snapshot{one.carry}, one.epoch); err != nil {
 				h.log.Warn("host: job waits for a census.", "id", id, "err", err)
 			}
 		default:
@@ -209,7 +209,7 @@
 	notesMost = 400
 )
 
-func (h *Host) notesOf(carries []job.Carry) []trail.Note {
+func (h *Host) notesOf(carries []job.Snapshot) []trail.Note {
 	var all []trail.Note
 	for _, c := range carries {
 		if len(all) < notesMost {
@@ -251,7 +251,7 @@
 	}
 	h.mu.Unlock()
 	err := h.lead.Adopt(m.From, m.Token, m.Jobs)
-	if errors.As(err, new(*lead.StaleError)) {
+	if errors.As(err, new(*lead.StaleHandoverError)) {
 		h.log.Warn("host: hand-over is out of date.", "from", m.From, "jobs", len(m.Jobs))
 		return peer.HandoverReply{Stale: true}, nil
 	}
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -59,7 +59,7 @@
 	platform *platform.Client
 	peers    *peer.Clients
 	relay    *relay.Relay
-	lead     *lead.Lead
+	lead     *lead.Leader
 	trail    *trail.Trail
 
 	mu      sync.Mutex
@@ -124,10 +124,10 @@
 	})
 	h.lead = lead.New(ctx, lead.Deps{
 		Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: job.New(),
-		Takeover: takeover.New(cfg.Name, takeover.Limits{Longest: lease.DefaultLimits.Long, Every: takeoverEvery}),
-		Ask:      h.askCensus, Done: h.done, End: h.ended, Crashed: h.crashed, Lives: h.lives,
-		Workers: worker.New(cfg.Name, now.UnixMilli(), transport(control), clock), Row: h.Row, Trail: h.trail, Clock: clock, Log: log,
-		Key: h.limitKey, KeyWorkers: h.keyWorkers, Shares: h.rowShares, Count: func(name string) { metrics.GetOrRegisterCounter(name, h.metrics).Inc(1) },
+		Takeover:         takeover.New(cfg.Name, takeover.Limits{Longest: lease.DefaultLimits.Long, Every: takeoverEvery}),
+		RequestInventory: h.askCensus, EndLogged: h.done, StoreEnd: h.ended, StoreCrashes: h.crashed, CrashCounts: h.lives,
+		Workers: worker.New(cfg.Name, now.UnixMilli(), transport(control), clock), Row: h.Row, History: h.trail, Clock: clock, Log: log,
+		LimitKey: h.limitKey, Arbiters: h.keyWorkers, Shares: h.rowShares, Count: func(name string) { metrics.GetOrRegisterCounter(name, h.metrics).Inc(1) },
 	})
 	return h
 }
--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -64,12 +64,12 @@
 		}
 	}
 	h.lead.Inherit(mine)
-	for _, id := range h.lead.Waiting() {
+	for _, id := range h.lead.AwaitingInventory() {
 		h.mu.Lock()
 		_, ended := h.jobs.log.End(id)
 		h.mu.Unlock()
 		if ended || h.leadOf(id) != h.cfg.Name {
-			h.lead.Forfeit(id)
+			h.lead.ForgetInherited(id)
 		}
 	}
 }
@@ -114,14 +114,14 @@
 // askCensus asks all live peers of the domain what they hold and lead.
 func (h *Host) askCensus() {
 	h.wg.Go(func() {
-		q := h.lead.Question()
+		q := h.lead.InventoryRequest()
 		for _, name := range h.domainPeers() {
 			h.wg.Go(func() { h.askOne(name, q) })
 		}
 	})
 }
 
-func (h *Host) askOne(name string, q lead.Question) {
+func (h *Host) askOne(name string, q lead.InventoryRequest) {
 	ctx, cancel := context.WithTimeout(h.ctx, censusWait)
 	defer cancel()
 	var reply peer.CensusReply
@@ -132,16 +132,16 @@
 	for _, rec := range reply.Records {
 		h.remember(rec)
 	}
-	c := lead.Census{Leads: reply.Leads, Waits: reply.Waits, Lives: reply.Lives}
+	c := lead.InventoryReply{Leads: reply.Leads, Waits: reply.Waits, Incarnations: reply.Lives}
 	for _, w := range reply.Workers {
-		v := lead.View{Worker: w.Name, Clock: w.Clock, Age: w.Age.Duration, Life: w.Life, Tasks: w.Tasks}
+		v := lead.WorkerState{Worker: w.Name, Clock: w.Clock, Age: w.Age.Duration, Incarnation: w.Life, Tasks: w.Tasks}
 		for _, t := range w.Counted {
-			v.Counted = append(v.Counted, lead.Counted(t))
+			v.Counted = append(v.Counted, lead.CountedTask(t))
 		}
-		c.Views = append(c.Views, v)
+		c.Workers = append(c.Workers, v)
 	}
 	h.takeOver()
-	h.lead.Answered(name, q, c)
+	h.lead.HandleInventory(name, q, c)
 }
 
 // census answers a peer's question. Jobs that this host is about to lead, or
@@ -151,10 +151,10 @@
 	h.jobs.transfer.RLock()
 	defer h.jobs.transfer.RUnlock()
 	busy := h.busyOf(m.Jobs)
-	c := h.lead.Census(m.From, lead.Question{Jobs: m.Jobs, Waits: m.Waits, Keys: m.Keys})
-	reply := peer.CensusReply{Leads: append(busy, c.Leads...), Waits: c.Waits, Lives: c.Lives}
-	for _, v := range c.Views {
-		w := peer.CensusWorker{Name: v.Worker, Clock: v.Clock, Age: cell.Duration{Duration: v.Age}, Life: v.Life, Tasks: v.Tasks}
+	c := h.lead.Inventory(m.From, lead.InventoryRequest{Jobs: m.Jobs, Waits: m.Waits, Keys: m.Keys})
+	reply := peer.CensusReply{Leads: append(busy, c.Leads...), Waits: c.Waits, Lives: c.Incarnations}
+	for _, v := range c.Workers {
+		w := peer.CensusWorker{Name: v.Worker, Clock: v.Clock, Age: cell.Duration{Duration: v.Age}, Life: v.Incarnation, Tasks: v.Tasks}
 		for _, t := range v.Counted {
 			w.Counted = append(w.Counted, peer.CountedTask(t))
 		}
--- a/internal/job/inherit_test.go
+++ b/internal/job/inherit_test.go
@@ -19,15 +19,17 @@
 	return found
 }
 
-func seen(worker string, sent time.Time, tasks ...job.Listed) job.Seen {
-	return job.Seen{Worker: worker, Clock: sent, Sent: sent, Tasks: tasks}
+func seen(worker string, sent time.Time, tasks ...job.ListedTask) job.WorkerList {
+	return job.WorkerList{Worker: worker, Clock: sent, Sent: sent, Tasks: tasks}
 }
 
-func listed(id, state string) job.Listed { return job.Listed{ID: id, State: state, Lease: "l-" + id} }
+func listed(id, state string) job.ListedTask {
+	return job.ListedTask{ID: id, State: state, Lease: "l-" + id}
+}
 
 // confirm puts a task on a worker, which confirms the start.
 func confirm(j *job.Jobs, task, worker string) {
-	for _, a := range only[job.Start](j.Step(now, job.Put{Task: task, Worker: worker})) {
+	for _, a := range only[job.Start](j.Step(now, job.Placed{Task: task, Worker: worker})) {
 		j.Step(now, job.Started{Task: task, Attempt: a.Attempt})
 	}
 }
@@ -49,9 +51,9 @@
 	require.Empty(t, j.Step(now, job.Inherit{Spec: spec(3)}))
 	j.Step(now, seen("w1", now, listed("d.r.j.0", "running")))
 	acts := j.Step(now, seen("w2", now, listed("d.r.j.1", "ended"), listed("d.r.j.2", "failed")))
-	require.Empty(t, only[job.Want](acts))
+	require.Empty(t, only[job.RequestPlacement](acts))
 	require.Equal(t, []job.Forget{{Task: "d.r.j.2", Worker: "w2", Lease: "l-d.r.j.2"}}, only[job.Forget](acts))
-	want := only[job.Want](j.Step(now, job.Release{ID: "d.r.j"}))
+	want := only[job.RequestPlacement](j.Step(now, job.Release{ID: "d.r.j"}))
 	require.Equal(t, []string{"d.r.j.2"}, want[0].Tasks)
 	s, err := j.Status("d.r.j")
 	require.NoError(t, err)
@@ -70,8 +72,8 @@
 		if state == "" {
 			later.Tasks = nil
 		}
-		require.Empty(t, only[job.Want](j.Step(now.Add(time.Second), later)), state)
-		require.Len(t, only[job.Want](j.Step(now.Add(2*time.Second), job.Release{ID: "d.r.j"})), 1, state)
+		require.Empty(t, only[job.RequestPlacement](j.Step(now.Add(time.Second), later)), state)
+		require.Len(t, only[job.RequestPlacement](j.Step(now.Add(2*time.Second), job.Release{ID: "d.r.j"})), 1, state)
 	}
 }
 
@@ -81,7 +83,7 @@
 func TestListFromBeforeTheStartProvesNothing(t *testing.T) {
 	j := started(1)
 	require.Empty(t, j.Step(now.Add(time.Second), seen("w1", now.Add(-time.Millisecond))))
-	want := only[job.Want](j.Step(now.Add(time.Second), seen("w1", now.Add(time.Millisecond))))
+	want := only[job.RequestPlacement](j.Step(now.Add(time.Second), seen("w1", now.Add(time.Millisecond))))
 	require.Len(t, want, 1, "a later list shows that it lapsed")
 }
 
@@ -90,8 +92,8 @@
 func TestStopThatOvertakesItsStart(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
-	j.Step(now, job.Put{Task: "d.r.j.0", Worker: "w1"})
-	j.Step(now, job.Sent{Task: "d.r.j.0", Deadline: now.Add(3 * time.Second)})
+	j.Step(now, job.Placed{Task: "d.r.j.0", Worker: "w1"})
+	j.Step(now, job.StartSent{Task: "d.r.j.0", Deadline: now.Add(3 * time.Second)})
 	j.Step(now, job.Cancel{ID: "d.r.j"})
 	j.Step(now, seen("w1", now.Add(time.Second)))
 	require.Equal(t, "stopping", state(t, j))
@@ -108,7 +110,7 @@
 	acts := j.Step(now, seen("w1", now, listed("d.r.j.0", "ended"), listed("d.r.j.1", "ended")))
 	require.Equal(t, []job.Ended{{ID: "d.r.j", State: "ended"}}, only[job.Ended](acts))
 	require.Empty(t, only[job.Forget](acts))
-	require.Len(t, only[job.Forget](j.Step(now, job.Kept{ID: "d.r.j"})), 2)
+	require.Len(t, only[job.Forget](j.Step(now, job.EndStored{ID: "d.r.j"})), 2)
 }
 
 // A live lead hands a job over with a start still under way. The next lead must
@@ -116,20 +118,20 @@
 func TestHandedOverStartStaysUnsure(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(2)})
-	j.Step(now, job.Put{Task: "d.r.j.0", Worker: "w1"})
-	j.Step(now, job.Sent{Task: "d.r.j.0", Deadline: now.Add(3 * time.Second)})
-	c, ok := j.Carry("d.r.j")
+	j.Step(now, job.Placed{Task: "d.r.j.0", Worker: "w1"})
+	j.Step(now, job.StartSent{Task: "d.r.j.0", Deadline: now.Add(3 * time.Second)})
+	c, ok := j.Snapshot("d.r.j")
 	require.True(t, ok)
 	require.Equal(t, []job.Action{job.Free{Task: "d.r.j.1"}}, j.Step(now, job.Drop{ID: "d.r.j"}))
 	_, err := j.Status("d.r.j")
 	require.Error(t, err)
 
 	to := job.New()
-	want := only[job.Want](to.Step(now, job.Adopt{Carry: c}))
+	want := only[job.RequestPlacement](to.Step(now, job.Adopt{Snapshot: c}))
 	require.Equal(t, []string{"d.r.j.1"}, want[0].Tasks)
-	require.Empty(t, to.Step(now, job.Adopt{Carry: c}), "the same hand-over again changes nothing")
+	require.Empty(t, to.Step(now, job.Adopt{Snapshot: c}), "the same hand-over again changes nothing")
 	require.Empty(t, to.Step(now, seen("w1", now.Add(2*time.Second))))
-	again := only[job.Want](to.Step(now, seen("w1", now.Add(4*time.Second))))
+	again := only[job.RequestPlacement](to.Step(now, seen("w1", now.Add(4*time.Second))))
 	require.Equal(t, []string{"d.r.j.0"}, again[0].Tasks)
 }
 
@@ -137,22 +139,22 @@
 // receiver has started the job's tasks and handed it on.
 func TestHandOverThatComesAgainIsPassedOver(t *testing.T) {
 	j := job.New()
-	first := job.Carry{Name: "h1", Spec: spec(1), State: "waiting", Tasks: []job.CarriedTask{{State: "waiting"}}}
-	require.Len(t, only[job.Want](j.Step(now, job.Adopt{Carry: first})), 1)
+	first := job.Snapshot{HandoverID: "h1", Spec: spec(1), State: "waiting", Tasks: []job.TaskSnapshot{{State: "waiting"}}}
+	require.Len(t, only[job.RequestPlacement](j.Step(now, job.Adopt{Snapshot: first})), 1)
 	startOf(t, j, "d.r.j.0", "w1")
 	j.Step(now, job.Drop{ID: "d.r.j"})
-	require.Empty(t, j.Step(now, job.Adopt{Carry: first}))
+	require.Empty(t, j.Step(now, job.Adopt{Snapshot: first}))
 	require.Empty(t, j.Open())
-	first.Name = "h2"
-	require.Len(t, only[job.Want](j.Step(now, job.Adopt{Carry: first})), 1, "a new hand-over of the job is adopted")
+	first.HandoverID = "h2"
+	require.Len(t, only[job.RequestPlacement](j.Step(now, job.Adopt{Snapshot: first})), 1, "a new hand-over of the job is adopted")
 }
 
 // A worker was silent for longer than any lease. What ran there runs no more
 // and is started elsewhere.
 func TestTasksOfASilentWorkerAreStartedElsewhere(t *testing.T) {
 	j := started(1)
-	require.Equal(t, []string{"w1"}, j.Places())
-	require.Len(t, only[job.Want](j.Step(now, job.Seen{Worker: "w1", Gone: true})), 1)
+	require.Equal(t, []string{"w1"}, j.Workers())
+	require.Len(t, only[job.RequestPlacement](j.Step(now, job.WorkerList{Worker: "w1", LeasesExpired: true})), 1)
 }
 
 // A host leads jobs for weeks. It must not remember every task that ever ran.
@@ -163,11 +165,11 @@
 		s.ID = job.TaskID("d.r", i)
 		j.Step(now, job.Submit{Spec: s})
 		j.Step(now, job.Cancel{ID: s.ID})
-		j.Step(now, job.Kept{ID: s.ID})
+		j.Step(now, job.EndStored{ID: s.ID})
 	}
 	_, err := j.Status("d.r.0")
 	require.Error(t, err)
-	require.False(t, j.Has("d.r.0.0"))
+	require.False(t, j.HasTask("d.r.0.0"))
 	_, err = j.Status("d.r.599")
 	require.NoError(t, err)
 }
--- a/internal/job/retry.go
+++ b/internal/job/retry.go
@@ -102,10 +102,10 @@
 }
 
 // want asks for room for a task that is not one of a gang.
-func (t *task) want() Want {
-	return Want{
-		Spec: t.job.spec, Tasks: []string{t.id}, Since: t.job.began, Apart: t.apart(),
-		Avoid: slices.Clone(t.avoid), Failed: t.failed, Back: t.back,
+func (t *task) want() RequestPlacement {
+	return RequestPlacement{
+		Spec: t.job.spec, Tasks: []string{t.id}, Since: t.job.began, Exclusive: t.apart(),
+		Avoid: slices.Clone(t.avoid), LastFailure: t.failed, AvoidUntil: t.back,
 	}
 }
 
@@ -127,7 +127,7 @@
 		return acts
 	}
 	acts := []Action{free}
-	want := Want{Spec: t.job.spec, Since: t.job.began}
+	want := RequestPlacement{Spec: t.job.spec, Since: t.job.began}
 	whole := true
 	for _, o := range t.job.tasks {
 		switch {
@@ -136,9 +136,9 @@
 			acts = append(acts, Free{Task: o.id})
 			want.Tasks = append(want.Tasks, o.id)
 			want.Avoid = append(want.Avoid, o.avoid...)
-			want.Failed = slices.MaxFunc([]time.Time{want.Failed, o.failed}, time.Time.Compare)
-			want.Back = slices.MaxFunc([]time.Time{want.Back, o.back}, time.Time.Compare)
-			want.Apart = want.Apart || o.apart()
+			want.LastFailure = slices.MaxFunc([]time.Time{want.LastFailure, o.failed}, time.Time.Compare)
+			want.AvoidUntil = slices.MaxFunc([]time.Time{want.AvoidUntil, o.back}, time.Time.Compare)
+			want.Exclusive = want.Exclusive || o.apart()
 			whole = whole && o.lives == o.noted
 		default:
 			whole = false
--- a/internal/lead/crash.go
+++ b/internal/lead/crash.go
@@ -7,37 +7,37 @@
 )
 
 // crashed has the lives stored that ended under a task, before it is started again.
-func (l *Lead) crashed(a job.Crashed) {
+func (l *Leader) crashed(a job.StoreCrashCount) {
 	l.Count("lead.crashed")
-	l.Log.Warn("lead: worker crashed while a task ran there.", "task", a.Task, "worker", a.Worker, "lives", a.Lives)
+	l.Log.Warn("lead: worker crashed while a task ran there.", "task", a.Task, "worker", a.Worker, "lives", a.Crashes)
 	l.note(a.Job, a.Worker+" crashed while "+a.Task+" ran there")
 	spec, ok := l.Jobs.Spec(a.Task)
 	switch {
 	case !ok:
-	case l.Crashed == nil:
-		l.job(job.Noted{Task: a.Task, Lives: a.Lives})
+	case l.StoreCrashes == nil:
+		l.job(job.CrashCountStored{Task: a.Task, Crashes: a.Crashes})
 	default:
-		l.Crashed(spec, a.Task, a.Lives)
+		l.StoreCrashes(spec, a.Task, a.Crashes)
 	}
 }
 
-// Noted tells that the lives that ended under a task are stored.
-func (l *Lead) Noted(task string, lives int64) {
+// AckCrashes tells that the lives that ended under a task are stored.
+func (l *Leader) AckCrashes(task string, lives int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.job(job.Noted{Task: task, Lives: lives})
+	l.job(job.CrashCountStored{Task: task, Crashes: lives})
 }
 
-func (l *Lead) livesOf(id string) map[string]int64 {
-	if l.Lives == nil {
+func (l *Leader) livesOf(id string) map[string]int64 {
+	if l.CrashCounts == nil {
 		return nil
 	}
-	return l.Lives(id)
+	return l.CrashCounts(id)
 }
 
 // apart is the room of a task that is tried on a worker of its own: all of the smallest worker
 // that has enough. Where the table's limits never allow that it stays as it was.
-func (l *Lead) apart(w place.Want) cell.Size {
+func (l *Leader) apart(w place.Want) cell.Size {
 	alone := w
 	alone.Size = cell.Size{}
 	for _, name := range l.Leases.Held() {
--- a/internal/lead/fault_test.go
+++ b/internal/lead/fault_test.go
@@ -31,7 +31,7 @@
 	workers  map[string]*standin.Worker
 	machines []lead.Machine
 	over     *standin.Oversight
-	hosts    map[string]*lead.Lead
+	hosts    map[string]*lead.Leader
 	queues   map[string][]func()
 	// cut holds the workers that a host does not reach.
 	cut map[string]string
@@ -65,7 +65,7 @@
 func newPairOn(t *testing.T, workers int, told io.Writer, through func(p *pair, name string) http.RoundTripper) *pair {
 	p := &pair{
 		T: t, now: time.Unix(1_700_000_000, 0), workers: map[string]*standin.Worker{}, over: standin.NewOversight(),
-		hosts: map[string]*lead.Lead{}, queues: map[string][]func(){}, cut: map[string]string{},
+		hosts: map[string]*lead.Leader{}, queues: map[string][]func(){}, cut: map[string]string{},
 	}
 	clock := func() time.Time { return p.now }
 	var names []string
@@ -80,14 +80,14 @@
 			Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: job.New(),
 			Takeover: takeover.New(name, takeover.Limits{Longest: lease.DefaultLimits.Long, Every: time.Second}),
 			Workers:  worker.New(name, 1, through(p, name), clock), Row: func(string) (table.Row, int64) { return table.Row{}, 1 },
-			Trail: trail.New(100), Clock: clock, Log: slog.New(slog.NewTextHandler(told, nil)).With("host", name),
+			History: trail.New(100), Clock: clock, Log: slog.New(slog.NewTextHandler(told, nil)).With("host", name),
 			Go: func(f func()) { p.queues[name] = append(p.queues[name], f) },
 		})
 		p.hosts[name] = l
-		l.Know(p.machines)
+		l.UpdateMachines(p.machines)
 		l.SetDomain(names, nil)
 	}
-	p.hosts["a"].SetMachines(p.machines)
+	p.hosts["a"].SetLedMachines(p.machines)
 	// Both hosts wait for what may have been sent to the workers before.
 	p.run("ab", 10*time.Second)
 	require.Len(t, p.hosts["a"].Held(), workers)
@@ -127,7 +127,7 @@
 
 func (p *pair) handOver(from, to string, ids ...string) {
 	p.Helper()
-	token, err := p.hosts[to].Expect(from)
+	token, err := p.hosts[to].ExpectHandover(from)
 	require.NoError(p, err)
 	jobs, _ := p.hosts[from].HandOver(ids)
 	require.NoError(p, p.hosts[to].Adopt(from, token, jobs))
@@ -161,7 +161,7 @@
 	p := newPair(t, 1)
 	p.submit("a", "old")
 	require.NotEmpty(t, p.queues["a"], "the start is decided and not sent")
-	p.hosts["b"].SetMachines(p.machines)
+	p.hosts["b"].SetLedMachines(p.machines)
 	p.run("b", 10*time.Second)
 	p.submit("b", "new")
 	p.run("b", time.Second)
@@ -181,7 +181,7 @@
 	p.submit("a", "full")
 	p.run("a", time.Second)
 	p.submit("a", "old")
-	p.hosts["b"].SetMachines(p.machines)
+	p.hosts["b"].SetLedMachines(p.machines)
 	p.hosts["b"].Inherit([]job.Spec{p.spec("full"), p.spec("old")})
 	notes := p.hosts["b"].Explain("d.r.old")
 	require.Equal(t, "waits for its census: log", notes[len(notes)-1].What)
@@ -203,7 +203,7 @@
 	p.submit("a", "two")
 	p.run("a", 2*time.Second)
 	p.cut["a"], p.cut["b"] = p.machines[0].Name, ""
-	p.hosts["b"].SetMachines(p.machines)
+	p.hosts["b"].SetLedMachines(p.machines)
 	p.run("ab", 10*time.Second)
 	require.Equal(t, []string{p.machines[1].Name}, p.hosts["a"].Held())
 	require.Equal(t, []string{p.machines[0].Name}, p.hosts["b"].Held())
@@ -212,9 +212,9 @@
 	for range 30 {
 		p.run("ab", time.Second)
 		for _, name := range []string{"a", "b"} {
-			q := p.hosts[name].Question()
+			q := p.hosts[name].InventoryRequest()
 			other := map[string]string{"a": "b", "b": "a"}[name]
-			p.hosts[name].Answered(other, q, p.hosts[other].Census(name, q))
+			p.hosts[name].HandleInventory(other, q, p.hosts[other].Inventory(name, q))
 		}
 	}
 	require.Equal(t, "running", p.state("a", "one"))
--- a/internal/lead/handover.go
+++ b/internal/lead/handover.go
@@ -13,16 +13,16 @@
 	epoch int64
 }
 
-// StaleError tells that a hand-over was sent before something after which it counts no more: a
+// StaleHandoverError tells that a hand-over was sent before something after which it counts no more: a
 // census, the loss of all workers, or a newer token.
-type StaleError struct{ From string }
+type StaleHandoverError struct{ From string }
 
-func (e *StaleError) Error() string { return "hand-over from " + e.From + " is out of date" }
+func (e *StaleHandoverError) Error() string { return "hand-over from " + e.From + " is out of date" }
 
-// Expect returns the token with which a peer may hand jobs over next. A message may lie in a
+// ExpectHandover returns the token with which a peer may hand jobs over next. A message may lie in a
 // paused host's sockets for any time; without a token the state that it carries would be taken
 // for that of now.
-func (l *Lead) Expect(from string) (string, error) {
+func (l *Leader) ExpectHandover(from string) (string, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	epoch := l.epochNow()
@@ -40,7 +40,7 @@
 // Adopt goes on with jobs that their live lead handed over. It refuses them
 // while this host holds no worker: it could not know then whether it was taken
 // for dead.
-func (l *Lead) Adopt(from, token string, jobs []job.Carry) error {
+func (l *Leader) Adopt(from, token string, jobs []job.Snapshot) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.leaving {
@@ -51,7 +51,7 @@
 		return &NoWorkerError{}
 	}
 	if l.expected[from] != (expected{token: token, epoch: epoch}) {
-		return &StaleError{From: from}
+		return &StaleHandoverError{From: from}
 	}
 	delete(l.expected, from)
 	l.adopt(jobs, "handed over by its former lead")
@@ -59,7 +59,7 @@
 }
 
 // TakeBack leads jobs again that were handed over in that epoch and whose next lead refused them.
-func (l *Lead) TakeBack(jobs []job.Carry, epoch int64) error {
+func (l *Leader) TakeBack(jobs []job.Snapshot, epoch int64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.leaving {
@@ -72,12 +72,12 @@
 	return nil
 }
 
-func (l *Lead) adopt(jobs []job.Carry, how string) {
+func (l *Leader) adopt(jobs []job.Snapshot, how string) {
 	for _, c := range jobs {
 		l.takeover(takeover.Gone{Job: c.Spec.ID})
 		l.Count("lead.adopted")
 		l.note(c.Spec.ID, how)
-		l.job(job.Adopt{Carry: c})
+		l.job(job.Adopt{Snapshot: c})
 	}
 	l.readAll()
 }
@@ -85,17 +85,17 @@
 // HandOver stops leading jobs and returns all that is known of them, for the
 // next lead, and the epoch in which that is true. Jobs that wait for a census
 // are left out: nothing is known of them.
-func (l *Lead) HandOver(ids []string) ([]job.Carry, int64) {
+func (l *Leader) HandOver(ids []string) ([]job.Snapshot, int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var all []job.Carry
+	var all []job.Snapshot
 	epoch := l.epochNow()
 	for _, id := range ids {
-		if c, ok := l.Jobs.Carry(id); ok {
+		if c, ok := l.Jobs.Snapshot(id); ok {
 			l.Count("lead.handed")
 			l.note(id, "handed over")
 			l.drop(id, false)
-			c.Name = cell.NewID()
+			c.HandoverID = cell.NewID()
 			all = append(all, c)
 		}
 	}
--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -267,8 +267,8 @@
 	}
 	held := h.hosts[name].Held()
 	led := slices.DeleteFunc(slices.Clone(h.machines), func(m lead.Machine) bool { return !slices.Contains(held, m.Name) })
-	h.hosts[name].SetMachines(nil)
-	h.hosts[name].SetMachines(led)
+	h.hosts[name].SetLedMachines(nil)
+	h.hosts[name].SetLedMachines(led)
 }
 
 // divide gives each worker to one host, now and then to both or to none.
@@ -281,14 +281,14 @@
 	}
 	for _, name := range []string{"a", "b"} {
 		if !h.paused[name] {
-			h.hosts[name].SetMachines(led[name])
+			h.hosts[name].SetLedMachines(led[name])
 		}
 	}
 }
 
 // outgoing is a job that is handed over.
 type outgoing struct {
-	carry job.Carry
+	carry job.Snapshot
 	epoch int64
 	// unsure tells that it was sent and has no answer.
 	unsure bool
@@ -297,7 +297,7 @@
 // message is a hand-over that was sent and has not arrived.
 type message struct {
 	from, token string
-	jobs        []job.Carry
+	jobs        []job.Snapshot
 }
 
 // hand takes jobs off their lead, to be sent to the other host.
@@ -307,7 +307,7 @@
 		return
 	}
 	var ids []string
-	for _, s := range h.hosts[name].Open() {
+	for _, s := range h.hosts[name].OpenJobs() {
 		ids = append(ids, s.ID)
 	}
 	jobs, epoch := h.hosts[name].HandOver(ids)
@@ -323,7 +323,7 @@
 		return
 	}
 	h.handing[name] = slices.DeleteFunc(h.handing[name], func(p *outgoing) bool { return p.epoch != h.hosts[name].Epoch() })
-	token, err := h.hosts[other(name)].Expect(name)
+	token, err := h.hosts[other(name)].ExpectHandover(name)
 	if err != nil || len(h.handing[name]) == 0 {
 		h.giveUp(name)
 		return
@@ -348,7 +348,7 @@
 	switch {
 	case err == nil:
 		h.handing[name] = nil
-	case errors.As(err, new(*lead.StaleError)):
+	case errors.As(err, new(*lead.StaleHandoverError)):
 	default:
 		h.giveUp(name)
 	}
@@ -364,7 +364,7 @@
 func (h *history) giveUp(name string) {
 	for _, p := range h.handing[name] {
 		if !p.unsure {
-			_ = h.hosts[name].TakeBack([]job.Carry{p.carry}, p.epoch)
+			_ = h.hosts[name].TakeBack([]job.Snapshot{p.carry}, p.epoch)
 		}
 	}
 	h.handing[name] = nil
@@ -415,14 +415,14 @@
 	if name == "" || h.paused[other(name)] {
 		return
 	}
-	q := h.hosts[name].Question()
-	c := h.hosts[other(name)].Census(name, q)
+	q := h.hosts[name].InventoryRequest()
+	c := h.hosts[other(name)].Inventory(name, q)
 	for _, id := range q.Jobs {
 		if h.hands(other(name), id) {
 			c.Leads = append(c.Leads, id)
 		}
 	}
-	h.hosts[name].Answered(other(name), q, c)
+	h.hosts[name].HandleInventory(other(name), q, c)
 }
 
 func TestMain(m *testing.M) { randtest.Main(m, 1500, 30) }
--- a/internal/lead/know_test.go
+++ b/internal/lead/know_test.go
@@ -41,19 +41,19 @@
 	l := lead.New(t.Context(), lead.Deps{
 		Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: job.New(),
 		Takeover: takeover.New("h", takeover.Limits{Longest: time.Minute, Every: time.Second}), Workers: worker.New("h", 1, nil, time.Now),
-		Ask: func() {}, Done: func(string) bool { return false }, End: func(job.Ended, bool) {},
-		Row:   func(string) (table.Row, int64) { return table.Row{}, 1 },
-		Trail: trail.New(10), Clock: time.Now, Log: slog.New(slog.DiscardHandler),
+		RequestInventory: func() {}, EndLogged: func(string) bool { return false }, StoreEnd: func(job.Ended, bool) {},
+		Row:     func(string) (table.Row, int64) { return table.Row{}, 1 },
+		History: trail.New(10), Clock: time.Now, Log: slog.New(slog.DiscardHandler),
 	})
-	l.Know(machines)
-	l.SetMachines(machines[:1])
+	l.UpdateMachines(machines)
+	l.SetLedMachines(machines[:1])
 	require.Eventually(t, func() bool { l.Tick(); return len(l.Held()) == 1 }, 30*time.Second, 5*time.Millisecond)
 	spec := job.Spec{ID: "d.w1.j", Tasks: 1, Size: size, Time: cell.Duration{Duration: time.Hour}, Tries: 1}
-	token, err := l.Expect("other")
+	token, err := l.ExpectHandover("other")
 	require.NoError(t, err)
-	require.NoError(t, l.Adopt("other", token, []job.Carry{{
+	require.NoError(t, l.Adopt("other", token, []job.Snapshot{{
 		Spec: spec, State: "running", Began: time.Now(), First: time.Now(),
-		Tasks: []job.CarriedTask{{State: "running", Worker: "w2", Tries: 1, Sent: true}},
+		Tasks: []job.TaskSnapshot{{State: "running", Worker: "w2", Tries: 1, Sent: true}},
 	}}))
 	_, err = l.Cancel(spec.ID)
 	require.NoError(t, err)
--- a/internal/lead/lead_test.go
+++ b/internal/lead/lead_test.go
@@ -40,11 +40,11 @@
 	l := lead.New(t.Context(), lead.Deps{
 		Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: job.New(),
 		Takeover: takeover.New("h", takeover.Limits{Longest: time.Minute, Every: time.Second}), Workers: worker.New("h", 1, nil, clock),
-		Ask: func() {}, Done: func(string) bool { return false }, End: func(job.Ended, bool) {},
-		Row:   func(string) (table.Row, int64) { return row, 1 },
-		Trail: trail.New(10), Clock: clock, Log: slog.New(slog.DiscardHandler),
+		RequestInventory: func() {}, EndLogged: func(string) bool { return false }, StoreEnd: func(job.Ended, bool) {},
+		Row:     func(string) (table.Row, int64) { return row, 1 },
+		History: trail.New(10), Clock: clock, Log: slog.New(slog.DiscardHandler),
 	})
-	l.SetMachines(machines)
+	l.SetLedMachines(machines)
 	require.Eventually(t, func() bool { l.Tick(); return len(l.Held()) == 2 }, 30*time.Second, 5*time.Millisecond)
 	spec := func(id string) job.Spec {
 		return job.Spec{ID: "d.r." + id, Tasks: 1, Size: size, Time: cell.Duration{Duration: 2 * time.Hour}, Tries: 1}
--- a/internal/measure/takeover.go
+++ b/internal/measure/takeover.go
@@ -57,7 +57,7 @@
 
 type domainHost struct {
 	name string
-	lead *lead.Lead
+	lead *lead.Leader
 	jobs *job.Jobs
 }
 
@@ -107,10 +107,10 @@
 	h.lead = lead.New(context.Background(), lead.Deps{
 		Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: h.jobs,
 		Takeover: takeover.New(name, takeover.Limits{Longest: lease.DefaultLimits.Long, Every: 250 * time.Millisecond}),
-		Workers:  worker.New(name, 1, r, clock), Trail: trail.New(1), Clock: clock, Log: slog.New(slog.DiscardHandler),
-		Row: func(string) (table.Row, int64) { return table.Row{Weight: 1}, 1 },
-		Go:  func(f func()) { r.queue = append(r.queue, f) },
-		Ask: func() { r.queue = append(r.queue, func() { r.ask(h) }) },
+		Workers:  worker.New(name, 1, r, clock), History: trail.New(1), Clock: clock, Log: slog.New(slog.DiscardHandler),
+		Row:              func(string) (table.Row, int64) { return table.Row{Weight: 1}, 1 },
+		Go:               func(f func()) { r.queue = append(r.queue, f) },
+		RequestInventory: func() { r.queue = append(r.queue, func() { r.ask(h) }) },
 	})
 	r.hosts = append(r.hosts, h)
 	r.live = append(r.live, name)
@@ -118,10 +118,10 @@
 
 // ask brings the census question to all live peers at once.
 func (r *takeoverRun) ask(h *domainHost) {
-	q := h.lead.Question()
+	q := h.lead.InventoryRequest()
 	for _, other := range r.hosts {
 		if other != h && slices.Contains(r.live, other.name) {
-			h.lead.Answered(other.name, q, other.lead.Census(h.name, q))
+			h.lead.HandleInventory(other.name, q, other.lead.Inventory(h.name, q))
 		}
 	}
 }
@@ -154,7 +154,7 @@
 		}
 		mine := slices.DeleteFunc(slices.Clone(r.machines), func(m lead.Machine) bool { return leads[m.Rack] != h.name })
 		h.lead.SetDomain(names, slices.DeleteFunc(slices.Clone(r.live), func(n string) bool { return n == h.name }))
-		h.lead.SetMachines(mine)
+		h.lead.SetLedMachines(mine)
 	}
 }
 
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -209,16 +209,16 @@
 }
 
 func (w *World) seen(h *host, name string, r lease.Reading) {
-	ev := job.Seen{Worker: name, Clock: r.Clock, Sent: r.Sent}
+	ev := job.WorkerList{Worker: name, Clock: r.Clock, Sent: r.Sent}
 	listed := map[string]bool{}
 	for _, t := range r.Tasks {
 		listed[t.ID] = true
-		ev.Tasks = append(ev.Tasks, job.Listed{ID: t.ID, State: t.State, Lease: t.Lease})
+		ev.Tasks = append(ev.Tasks, job.ListedTask{ID: t.ID, State: t.State, Lease: t.Lease})
 		h.room[name][t.ID] = true
 	}
 	w.job(h, ev)
 	for id := range h.room[name] {
-		if !listed[id] && !h.jobs.Has(id) {
+		if !listed[id] && !h.jobs.HasTask(id) {
 			delete(h.room[name], id)
 		}
 	}
@@ -235,7 +235,7 @@
 func (w *World) job(h *host, ev job.Event) {
 	for _, a := range h.jobs.Step(w.now, ev) {
 		switch a := a.(type) {
-		case job.Want:
+		case job.RequestPlacement:
 			h.spec[a.Spec.ID] = a.Spec
 			h.queue = append(h.queue, a.Tasks...)
 		case job.Start:
@@ -256,7 +256,7 @@
 		w.job(h, job.NotStarted{Task: a.Task, Attempt: a.Attempt})
 		return
 	}
-	w.job(h, job.Sent{Task: a.Task, Deadline: deadline})
+	w.job(h, job.StartSent{Task: a.Task, Deadline: deadline})
 	w.lease(h, lease.Sent{Worker: a.Worker, Task: a.Task})
 	if w.rules.NoDeadline {
 		deadline = time.Time{}
@@ -275,7 +275,7 @@
 		task := h.queue[0]
 		h.queue = h.queue[1:]
 		room[task] = true
-		w.job(h, job.Put{Task: task, Worker: name})
+		w.job(h, job.Placed{Task: task, Worker: name})
 	}
 }
 
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -82,7 +82,7 @@
 type Handover struct {
 	From  string
 	Token string
-	Jobs  []job.Carry
+	Jobs  []job.Snapshot
 	Notes []trail.Note `json:",omitempty"`
 }
 
@@ -143,8 +143,8 @@
 	Clock time.Time     `json:"clock"`
 	Age   cell.Duration `json:"age"`
 	// Life names the worker's life.
-	Life  string       `json:"life,omitempty"`
-	Tasks []job.Listed `json:"tasks,omitempty"`
+	Life  string           `json:"life,omitempty"`
+	Tasks []job.ListedTask `json:"tasks,omitempty"`
 	// Counted are the running tasks of the asked keys.
 	Counted []CountedTask `json:"counted,omitempty"`
 }
--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -67,7 +67,7 @@
 	if !ok {
 		return "", false
 	}
-	got, ok := a.good[w.Life]
+	got, ok := a.good[w.Incarnation]
 	if !ok || !s.now.Before(got.until) {
 		return "", false
 	}
@@ -113,9 +113,9 @@
 
 func (s *Sched) dropTicket(t *flow.Task, w *worker) {
 	if a, ok := s.advice[t.Step]; ok {
-		if got, ok := a.good[w.Life]; ok {
+		if got, ok := a.good[w.Incarnation]; ok {
 			got.until = time.Time{}
-			a.good[w.Life] = got
+			a.good[w.Incarnation] = got
 		}
 	}
 }
@@ -169,7 +169,7 @@
 	}
 	a.asked, a.host, a.named, a.gives = s.now, name, named, h.busy.Add(overdue)
 	a.valid, a.queue = r.queue.Advice.Valid, r.queue.Name
-	s.do(Ask{Host: name, Step: r.stage.Tasks[0].Name.StepName(), Workers: named, Within: a.gives.Sub(s.now)})
+	s.do(QueryPolicy{Host: name, Step: r.stage.Tasks[0].Name.StepName(), Workers: named, Timeout: a.gives.Sub(s.now)})
 }
 
 // book sets aside the room that the answer of a step's question is likely to take, so that
@@ -202,7 +202,7 @@
 	return firstRate
 }
 
-func (s *Sched) advised(ev Advised) {
+func (s *Sched) advised(ev PolicyReply) {
 	for _, st := range s.asked() {
 		a := s.advice[st]
 		if a.host != ev.Host || st.Tasks[0].Name.StepName() != ev.Step {
@@ -219,7 +219,7 @@
 	}
 }
 
-func (s *Sched) answer(a *advice, ev Advised) {
+func (s *Sched) answer(a *advice, ev PolicyReply) {
 	a.asked = time.Time{}
 	if ev.Failed {
 		s.do(Note{ID: ev.Step, What: "advice failed", Detail: ev.Host})
@@ -227,7 +227,7 @@
 	}
 	fresh, good := 0, 0
 	for _, life := range a.named {
-		text, ok := ev.Good[life]
+		text, ok := ev.Tickets[life]
 		_, known := a.good[life]
 		if !known {
 			fresh++
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -45,13 +45,13 @@
 	copies bool
 	policy func(step, worker string) bool
 	// policyTime is how long the policy service takes for a question; nil is 30 ms.
-	policyTime func(sched.Ask) time.Duration
-	asks       []sched.Ask
+	policyTime func(sched.QueryPolicy) time.Duration
+	asks       []sched.QueryPolicy
 	paces      []sched.Pace
 	deposed    bool
 	// waited, begun and long are what the core told of waits.
-	waited []sched.Waited
-	begun  []sched.Begun
+	waited []sched.StepWaited
+	begun  []sched.JobStarted
 	long   []sched.Note
 	// resized are what the core told of changes of size.
 	resized []sched.Note
@@ -94,7 +94,7 @@
 		queues: []flow.Queue{{Name: "scan", Service: "pass", Rank: 0, Attempts: 3}, {Name: "print", Service: "pass", Rank: 2, Attempts: 4}},
 	}
 	limits := sched.DefaultLimits
-	limits.Off = off()
+	limits.Disabled = off()
 	b.core = sched.New(limits, b.term, nil)
 	for i := range workers {
 		b.addWorker(fmt.Sprintf("w%02d", i), i)
@@ -107,7 +107,7 @@
 
 func (b *cellBench) addWorker(life string, i int) *fakeWorker {
 	w := &fakeWorker{b: b, slow: 1, runs: map[flow.Name]*fakeRun{}, tombs: map[flow.Name]int{}, info: sched.Worker{
-		Address: sched.Address{Life: life, Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 80)},
+		Address: sched.Address{Incarnation: life, Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 80)},
 		Service: "pass", Domain: fmt.Sprintf("d%d", i%3), Rack: fmt.Sprintf("r%d", i%3), Size: cell.Size{CPU: 64_000, Mem: 256 << 30},
 	}}
 	b.workers[life] = w
@@ -194,12 +194,12 @@
 func (b *cellBench) step(ev sched.Event) {
 	term := b.term
 	began := time.Now()
-	placed := b.core.Placed()
+	placed := b.core.LastPass()
 	acts := b.core.Step(b.now, ev)
 	b.inCore += time.Since(began)
-	if b.core.Placed() != placed {
+	if b.core.LastPass() != placed {
 		b.passes++
-		b.core.Took(b.passTook)
+		b.core.RecordPassDuration(b.passTook)
 	}
 	for _, a := range acts {
 		b.carry(term, a)
@@ -223,26 +223,26 @@
 		b.after(took, func() { b.store(term, a) })
 	case sched.Hold:
 		b.holds++
-		b.after(hop, func() { b.workers[a.To.Life].hold(term, a, b.now.Add(-hop)) })
+		b.after(hop, func() { b.workers[a.To.Incarnation].hold(term, a, b.now.Add(-hop)) })
 	case sched.Start:
 		sent := b.order
-		b.after(hop, func() { b.workers[a.To.Life].start(term, a, sent) })
+		b.after(hop, func() { b.workers[a.To.Incarnation].start(term, a, sent) })
 	case sched.Stop:
-		b.after(hop, func() { b.workers[a.To.Life].stop(term, a) })
+		b.after(hop, func() { b.workers[a.To.Incarnation].stop(term, a) })
 	case sched.Pace:
 		b.paces = append(b.paces, a)
-	case sched.Ask:
+	case sched.QueryPolicy:
 		b.asks = append(b.asks, a)
 		took := 30 * time.Millisecond
 		if b.policyTime != nil {
 			took = b.policyTime(a)
 		}
 		b.after(took, func() { b.advise(term, a) })
-	case sched.Depose:
+	case sched.StepDown:
 		b.deposed = true
-	case sched.Waited:
+	case sched.StepWaited:
 		b.waited = append(b.waited, a)
-	case sched.Begun:
+	case sched.JobStarted:
 		b.begun = append(b.begun, a)
 	case sched.Note:
 		b.keep(a)
@@ -275,14 +275,14 @@
 	b.after(3*time.Millisecond, func() { b.tell(term, sched.Appended{Number: a.Number}) })
 }
 
-func (b *cellBench) advise(term int64, a sched.Ask) {
+func (b *cellBench) advise(term int64, a sched.QueryPolicy) {
 	good := map[string]string{}
 	for _, w := range a.Workers {
 		if b.policy == nil || b.policy(a.Step, w) {
 			good[w] = "ticket"
 		}
 	}
-	b.tell(term, sched.Advised{Step: a.Step, Host: a.Host, Good: good})
+	b.tell(term, sched.PolicyReply{Step: a.Step, Host: a.Host, Tickets: good})
 }
 
 // submit hands in a job of like steps, each after the one before.
--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -33,7 +33,7 @@
 	for i := range 4 + r.IntN(8) {
 		w := d.addWorker(fmt.Sprintf("w%02d", i), i)
 		w.info.Size = d.size
-		d.sure[w.info.Life] = i < 3
+		d.sure[w.info.Incarnation] = i < 3
 	}
 	d.list()
 	d.queues = nil
@@ -49,7 +49,7 @@
 	d.policy = func(step, worker string) bool {
 		return d.sure[worker] || worker[0] == 'x' || xxhash.Sum64String(step+worker)%1000 < share
 	}
-	d.policyTime = func(a sched.Ask) time.Duration {
+	d.policyTime = func(a sched.QueryPolicy) time.Duration {
 		return d.specs[jobOf(a.Step)].Queue.Advice.Cost(len(a.Workers))
 	}
 	return d
@@ -136,7 +136,7 @@
 		if step.Gang {
 			need = step.Room().Times(float64(step.Tasks))
 		}
-		advised := d.specs[id].Queue.Advice == nil || d.policy(id+".0.0", w.info.Life)
+		advised := d.specs[id].Queue.Advice == nil || d.policy(id+".0.0", w.info.Incarnation)
 		room = room || advised && need.Fits(free)
 	}
 	return room && used.Share(whole) < 0.5
@@ -177,7 +177,7 @@
 			}
 		case n < 14:
 			d.takeover()
-			d.step(sched.FormerOver{Since: d.now})
+			d.step(sched.PredecessorStopped{Since: d.now})
 		case n < 15:
 			d.storeAway = !d.storeAway
 		case n < 18:
--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -18,7 +18,7 @@
 		return
 	}
 	w.holding, w.asked = true, s.now
-	h := Hold{To: w.Address, Term: s.term, Seen: w.noted}
+	h := Hold{To: w.Address, Term: s.term, AckedEnd: w.noted}
 	if w.fenced && w.doubt.IsZero() {
 		// A worker that does not answer is only asked: a hold that is carried out
 		// unanswered would lengthen leases, and a dead worker's never ran out.
@@ -41,11 +41,11 @@
 	case len(w.tasks) == 0 && len(w.loose) == 0:
 		return 0
 	case len(w.tasks) == 0 && w.firstLoose().After(s.now):
-		return min(s.limits.Wait, max(w.firstLoose().Sub(s.now), s.limits.Gather))
+		return min(s.limits.HoldWait, max(w.firstLoose().Sub(s.now), s.limits.BatchInterval))
 	case w.filled > 0 && w.serves():
 		return stepEvery / 2
 	default:
-		return s.limits.Wait
+		return s.limits.HoldWait
 	}
 }
 
@@ -59,15 +59,15 @@
 		return
 	}
 	w.looking = true
-	s.do(Hold{To: w.Address, Term: s.term, Seen: w.noted, Look: true})
+	s.do(Hold{To: w.Address, Term: s.term, AckedEnd: w.noted, Probe: true})
 }
 
-func (s *Sched) held(ev Held) {
+func (s *Sched) held(ev HoldReply) {
 	w, ok := s.workers[ev.Worker]
 	if !ok || w.dead {
 		return
 	}
-	if ev.Look {
+	if ev.Probe {
 		w.looking = false
 		if w.lookAgain {
 			w.lookAgain = false
@@ -77,13 +77,13 @@
 		w.holding = false
 	}
 	switch ev.Outcome {
-	case Taken:
+	case Accepted:
 		s.read(w, ev)
-	case OtherLife:
-		s.died(w.Life)
+	case OtherIncarnation:
+		s.died(w.Incarnation)
 		return
 	case Fenced:
-		s.do(Depose{Worker: w.Life})
+		s.do(StepDown{Worker: w.Incarnation})
 		return
 	default:
 		if w.doubt.IsZero() {
@@ -91,7 +91,7 @@
 			// ends at the worker are not known before.
 			w.doubt = s.now
 			s.fell(w)
-			s.do(Note{ID: w.Life, What: "worker does not answer", Worker: w.Life, Detail: ev.Outcome.String()})
+			s.do(Note{ID: w.Incarnation, What: "worker does not answer", Worker: w.Incarnation, Detail: ev.Outcome.String()})
 			break
 		}
 		w.again = s.now.Add(retryAfter)
@@ -104,11 +104,11 @@
 }
 
 // read takes over a worker's lists.
-func (s *Sched) read(w *worker, ev Held) {
+func (s *Sched) read(w *worker, ev HoldReply) {
 	if !w.doubt.IsZero() {
 		w.back = s.now
 		s.rose(w)
-		s.do(Note{ID: w.Life, What: "worker answers again", Worker: w.Life})
+		s.do(Note{ID: w.Incarnation, What: "worker answers again", Worker: w.Incarnation})
 	}
 	w.doubt = time.Time{}
 	if ev.Received.After(w.read) {
@@ -120,7 +120,7 @@
 	if first {
 		w.promise(ev.Clock.Add(s.limits.Lease))
 	}
-	w.told = max(w.told, ev.Seen)
+	w.told = max(w.told, ev.AckedEnd)
 	for _, e := range ev.Ended {
 		if e.Number > w.seen {
 			w.seen = e.Number
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -121,7 +121,7 @@
 func (s *Sched) known(life string) *worker {
 	w, ok := s.workers[life]
 	if !ok {
-		w = newWorker(Worker{Address: Address{Life: life}})
+		w = newWorker(Worker{Address: Address{Incarnation: life}})
 		s.workers[life] = w
 		s.forgetOrder()
 	}
@@ -156,15 +156,15 @@
 		s.cancel(ev.ID)
 	case Appended:
 		s.appended(ev.Number)
-	case Held:
+	case HoldReply:
 		s.held(ev)
-	case Started:
+	case StartReply:
 		s.started(ev)
-	case Stopped:
+	case StopReply:
 		s.stopped(ev)
-	case Advised:
+	case PolicyReply:
 		s.advised(ev)
-	case FormerOver:
+	case PredecessorStopped:
 		s.formerOver(ev)
 	case Tick:
 		s.tick()
@@ -172,9 +172,9 @@
 }
 
 // formerOver takes what the former lead said when it left.
-func (s *Sched) formerOver(ev FormerOver) {
+func (s *Sched) formerOver(ev PredecessorStopped) {
 	s.former = s.now
-	for life, left := range ev.Bounds {
+	for life, left := range ev.LeaseBounds {
 		if w, ok := s.workers[life]; ok {
 			w.until = ev.Since.Add(left)
 		}
@@ -238,7 +238,7 @@
 
 // flush places what waits and stores what changed, one append at a time.
 func (s *Sched) flush() {
-	if s.now.Sub(s.placed) < s.limits.Gather {
+	if s.now.Sub(s.placed) < s.limits.BatchInterval {
 		return
 	}
 	if s.stirred && !s.now.Before(s.placeable()) {
@@ -281,19 +281,19 @@
 
 // placeable is when the next pass may be made.
 func (s *Sched) placeable() time.Time {
-	if !s.on(PacePasses) {
-		return s.placed.Add(s.limits.Gather)
+	if !s.on(LimitPassTime) {
+		return s.placed.Add(s.limits.BatchInterval)
 	}
-	return s.placed.Add(max(s.limits.Gather, time.Duration(float64(s.took)/passShare)))
+	return s.placed.Add(max(s.limits.BatchInterval, time.Duration(float64(s.took)/passShare)))
 }
 
-// Placed is when the last pass was made.
-func (s *Sched) Placed() time.Time { return s.placed }
+// LastPass is when the last pass was made.
+func (s *Sched) LastPass() time.Time { return s.placed }
 
-// Took tells how long the step with the last pass took. The core has no clock of its own: the
+// RecordPassDuration tells how long the step with the last pass took. The core has no clock of its own: the
 // same work takes a host that is short of processor several times as long. One that was
 // suspended in a pass for seconds says nothing of the next ones.
-func (s *Sched) Took(d time.Duration) {
+func (s *Sched) RecordPassDuration(d time.Duration) {
 	s.took = min(d, time.Duration(passShare*float64(mostPause)))
 }
 
@@ -308,17 +308,17 @@
 func (s *Sched) appendable() time.Time {
 	switch n := len(s.flights); {
 	case n == 0:
-		return s.last.Add(s.limits.Gather)
+		return s.last.Add(s.limits.BatchInterval)
 	case n < mostFlights:
-		return s.last.Add(max(s.limits.Gather, overlapAfter))
+		return s.last.Add(max(s.limits.BatchInterval, overlapAfter))
 	default:
-		return s.now.Add(s.limits.Gather)
+		return s.now.Add(s.limits.BatchInterval)
 	}
 }
 
 // flushable is when what changed is stored: with a pass, or between two that are far apart.
 func (s *Sched) flushable() time.Time {
-	at := s.placed.Add(s.limits.Gather)
+	at := s.placed.Add(s.limits.BatchInterval)
 	if next := s.appendable(); next.After(at) {
 		return next
 	}
@@ -369,7 +369,7 @@
 	}
 	j.Shown, j.Recorded = b.shown[j], b.number
 	if j.Shown.Final() {
-		s.do(Ended{ID: j.Spec.ID, State: j.Shown})
+		s.do(JobEnded{ID: j.Spec.ID, State: j.Shown})
 	}
 }
 
@@ -387,10 +387,10 @@
 // accepted and only then their progress: a spec without progress is a new job to
 // the next lead, which would run it again.
 func (s *Sched) forget() {
-	maps.DeleteFunc(s.cancels, func(_ string, at time.Time) bool { return s.now.Sub(at) > s.limits.Keep })
+	maps.DeleteFunc(s.cancels, func(_ string, at time.Time) bool { return s.now.Sub(at) > s.limits.Retention })
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		j := s.jobs[id]
-		if j.State.Final() && j.Shown.Final() && s.now.Sub(j.Ended) > s.limits.Keep {
+		if j.State.Final() && j.Shown.Final() && s.now.Sub(j.Ended) > s.limits.Retention {
 			delete(s.jobs, id)
 			delete(s.open, id)
 			s.do(Forget{ID: id})
--- a/internal/sched/slow.go
+++ b/internal/sched/slow.go
@@ -41,7 +41,7 @@
 )
 
 // progress judges a run by how far its worker says it got.
-func (s *Sched) progress(w *worker, t *flow.Task, l Listed, clock time.Time) {
+func (s *Sched) progress(w *worker, t *flow.Task, l RunStatus, clock time.Time) {
 	if t.Seen.IsZero() {
 		t.Seen, t.Moved, t.Percent = clock, clock, l.Percent
 		return
@@ -61,7 +61,7 @@
 	still := max(stillLeast, time.Duration(stillShare*float64(st.Time)))
 	if clock.Sub(t.Moved) > still {
 		s.blame(w, t)
-		t.Avoid = w.Life
+		t.Avoid = w.Incarnation
 		s.stop(t, "stands still at "+strconv.Itoa(l.Percent)+" percent")
 	}
 }
@@ -95,7 +95,7 @@
 			continue
 		}
 		t.Restarts++
-		t.Avoid = w.Life
+		t.Avoid = w.Incarnation
 		s.stop(t, "is too slow")
 	}
 }
--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -12,7 +12,7 @@
 // when the store is slow and endless while it is away. One that may crash its worker
 // waits: each lead would start it anew.
 func (s *Sched) assign(t *flow.Task, w *worker, run int) {
-	t.Worker, t.Run = w.Life, run
+	t.Worker, t.Run = w.Incarnation, run
 	t.Move(flow.Assign, s.now)
 	t.Seen, t.Moved, t.Percent, t.Pace = time.Time{}, time.Time{}, 0, 100
 	if t.Job.Domain == "" {
@@ -68,7 +68,7 @@
 	return t
 }
 
-func (s *Sched) started(ev Started) {
+func (s *Sched) started(ev StartReply) {
 	t := s.task(runKey{ev.Task, ev.Run})
 	w := s.workers[ev.Worker]
 	if w != nil {
@@ -83,17 +83,17 @@
 		return
 	}
 	switch ev.Outcome {
-	case OtherLife:
+	case OtherIncarnation:
 		// The life had ended before the start came.
 		s.gone(t, "worker died")
 		s.died(ev.Worker)
 		return
-	case Taken:
+	case Accepted:
 		s.confirm(t)
 		s.keepHolding(w)
 		return
 	case Fenced:
-		s.do(Depose{Worker: ev.Worker})
+		s.do(StepDown{Worker: ev.Worker})
 		return
 	case Unanswered:
 		// It may begin now or seconds later. Only a stop makes sure that it
@@ -102,7 +102,7 @@
 		return
 	case BadTicket:
 		s.dropTicket(t, w)
-	case NoRoom:
+	case NoCapacity:
 		w.full = s.now.Add(retryAfter)
 	default:
 		w.full = s.now.Add(retryAfter)
