--- a/internal/lead/crash.go
+++ b/internal/lead/crash.go
@@ -37,7 +37,7 @@
 
 // apart is the room of a task that is tried on a worker of its own: all of the smallest worker
 // that has enough. Where the table's limits never allow that it stays as it was.
-func (l *Lead) apart(w place.Want) cell.Size {
+func (l *Lead) apart(w place.Request) cell.Size {
 	alone := w
 	alone.Size = cell.Size{}
 	for _, name := range l.Leases.Held() {
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -90,9 +90,9 @@
 }
 
 // wantOf is a job's need as it was declared.
-func (l *Lead) wantOf(s job.Spec, tasks []string) place.Want {
+func (l *Lead) wantOf(s job.Spec, tasks []string) place.Request {
 	row, _ := l.Row(s.Row)
-	return place.Want{
+	return place.Request{
 		Job: s.ID, Row: s.Row, Team: row.Team, Class: s.Class, Size: s.Size, Tasks: tasks, Gang: s.Gang,
 		Spread: row.Kind == table.Service, Time: s.Time.Duration, Rule: l.rule(row),
 	}
@@ -101,7 +101,7 @@
 // corrected is the size to pack by. Where the declared size could run and the
 // corrected one never can, the declared one is kept: the job would otherwise
 // wait for ever for a guess.
-func (l *Lead) corrected(w place.Want) cell.Size {
+func (l *Lead) corrected(w place.Request) cell.Size {
 	declared := w.Size
 	w.Size = l.Estimates.Size(w.Row, declared)
 	if l.Placer.Never(w) != nil {
--- a/internal/measure/decide.go
+++ b/internal/measure/decide.go
@@ -64,11 +64,11 @@
 	return d
 }
 
-func (d *Decide) want() place.Want {
+func (d *Decide) want() place.Request {
 	row := d.rng.IntN(decideRows)
 	d.jobs++
 	job := fmt.Sprintf("j%d", d.jobs)
-	return place.Want{
+	return place.Request{
 		Job: job, Row: fmt.Sprintf("row%d", row), Class: cell.Classes[row%len(cell.Classes)], Rule: place.Rule{Weight: int64(1 + row%4)},
 		Size:  cell.Size{CPU: int64(1+d.rng.IntN(16)) * 500, Mem: int64(1+d.rng.IntN(32)) << 30},
 		Tasks: []string{job + ".0"},
--- a/internal/measure/jobmemory.go
+++ b/internal/measure/jobmemory.go
@@ -26,7 +26,7 @@
 		}
 		for _, a := range jobs.Step(now, job.Submit{Spec: spec}) {
 			if w, ok := a.(job.Want); ok {
-				placer.Step(now, place.Want{Job: spec.ID, Row: spec.Row, Class: spec.Class, Size: spec.Size, Tasks: w.Tasks})
+				placer.Step(now, place.Request{Job: spec.ID, Row: spec.Row, Class: spec.Class, Size: spec.Size, Tasks: w.Tasks})
 			}
 		}
 	}
--- a/internal/measure/jobs.go
+++ b/internal/measure/jobs.go
@@ -201,7 +201,7 @@
 
 func (r *jobRun) want(t *jobTask) {
 	row := r.Rows[t.row]
-	w := place.Want{
+	w := place.Request{
 		Job: t.id, Row: fmt.Sprint(t.row), Class: row.Class, Size: t.declared, Time: row.Time, Tasks: []string{t.id},
 		Since: t.came, Avoid: t.avoid, Rule: place.Rule{Weight: 1},
 	}
--- a/internal/measure/scan.go
+++ b/internal/measure/scan.go
@@ -15,7 +15,7 @@
 	free    []cell.Size
 	taken   map[string]cell.Size
 	on      map[string]int
-	waiting [][]place.Want
+	waiting [][]place.Request
 	// first takes the first worker that fits instead of the fullest, and one
 	// makes one queue of all classes, in which nothing passes the head.
 	first, one bool
@@ -40,7 +40,7 @@
 func NewScan() *Scan {
 	return &Scan{
 		taken: map[string]cell.Size{}, on: map[string]int{},
-		waiting: make([][]place.Want, len(cell.Classes)),
+		waiting: make([][]place.Request, len(cell.Classes)),
 	}
 }
 
@@ -50,7 +50,7 @@
 	case place.Up:
 		s.names = append(s.names, ev.Worker)
 		s.free = append(s.free, ev.Size)
-	case place.Want:
+	case place.Request:
 		c := ev.Class
 		if s.one {
 			c = cell.Urgent
@@ -72,7 +72,7 @@
 
 func (s *Scan) drop(task string) {
 	for c := range s.waiting {
-		s.waiting[c] = slices.DeleteFunc(s.waiting[c], func(w place.Want) bool { return w.Tasks[0] == task })
+		s.waiting[c] = slices.DeleteFunc(s.waiting[c], func(w place.Request) bool { return w.Tasks[0] == task })
 	}
 }
 
@@ -80,7 +80,7 @@
 	var acts []place.Action
 	for c := range s.waiting {
 		held := false
-		s.waiting[c] = slices.DeleteFunc(s.waiting[c], func(w place.Want) bool {
+		s.waiting[c] = slices.DeleteFunc(s.waiting[c], func(w place.Request) bool {
 			if held {
 				return false
 			}
--- a/internal/place/declared.go
+++ b/internal/place/declared.go
@@ -60,7 +60,7 @@
 
 // resize queues an entry anew with its declared size.
 func (p *Placer) resize(e *entry) {
-	w := e.Want
+	w := e.Request
 	w.Size, w.Declared = e.Declared, cell.Size{}
 	w.Tasks = slices.DeleteFunc(slices.Clone(e.Tasks), func(task string) bool { return p.queue.tasks[task] != e })
 	for _, task := range w.Tasks {
--- a/internal/place/declared_test.go
+++ b/internal/place/declared_test.go
@@ -11,15 +11,15 @@
 )
 
 // corrected is a gang of four that declared one core a task and was sized with two.
-func corrected() place.Want {
-	return place.Want{Job: "g", Row: "seats", Class: cell.Normal, Size: cores(2), Declared: cores(1), Tasks: tasks("g", 4), Gang: true}
+func corrected() place.Request {
+	return place.Request{Job: "g", Row: "seats", Class: cell.Normal, Size: cores(2), Declared: cores(1), Tasks: tasks("g", 4), Gang: true}
 }
 
 // Guards against a gang that waits for good: its size was corrected while its lead had more
 // workers, and those that are left hold it only as it was declared.
 func TestCorrectedSizeIsGivenUpWhenWorkersGo(t *testing.T) {
 	p := fleet(place.DefaultLimits, 3)
-	p.Step(now, place.Want{Job: "x", Row: "other", Class: cell.Normal, Size: cores(3), Tasks: tasks("x", 2), Time: time.Second})
+	p.Step(now, place.Request{Job: "x", Row: "other", Class: cell.Normal, Size: cores(3), Tasks: tasks("x", 2), Time: time.Second})
 	require.Empty(t, puts(p.Step(now, corrected())))
 	p.Step(now, place.Down{Worker: "w02"})
 	p.Step(now, place.Down{Worker: "w01"})
@@ -32,7 +32,7 @@
 // it only as it was declared.
 func TestCorrectedSizeIsGivenUpBesideTasksThatLast(t *testing.T) {
 	p := fleet(place.DefaultLimits, 2)
-	p.Step(now, place.Want{Job: "x", Row: "watch", Class: cell.Normal, Size: cores(1), Tasks: tasks("x", 1), Time: time.Hour})
+	p.Step(now, place.Request{Job: "x", Row: "watch", Class: cell.Normal, Size: cores(1), Tasks: tasks("x", 1), Time: time.Hour})
 	require.Empty(t, puts(p.Step(now, corrected())))
 	require.Len(t, puts(p.Step(now.Add(2*time.Second), place.Tick{})), 4)
 }
--- a/internal/place/health_test.go
+++ b/internal/place/health_test.go
@@ -45,12 +45,12 @@
 	}
 	acts := results(p, at, "r", true, "w00", "w00", "w00")
 	require.Equal(t, []place.Action{place.Aside{Worker: "w00"}}, acts)
-	on := puts(p.Step(at, place.Want{Job: "j", Row: "r", Size: cores(4), Tasks: tasks("j", 8)}))
+	on := puts(p.Step(at, place.Request{Job: "j", Row: "r", Size: cores(4), Tasks: tasks("j", 8)}))
 	require.Len(t, on, 7)
 	at = at.Add(place.DefaultLimits.Trial + time.Second)
 	trial := puts(p.Step(at, place.Tick{}))
 	require.Equal(t, map[string]string{"j.7": "w00"}, trial)
-	p.Step(at, place.Want{Job: "k", Row: "r", Size: cores(1), Tasks: tasks("k", 1)})
+	p.Step(at, place.Request{Job: "k", Row: "r", Size: cores(1), Tasks: tasks("k", 1)})
 	require.Empty(t, puts(p.Step(at, place.Freed{Task: "j.7"})), "one trial at a time")
 	results(p, at, "r", true, "w00")
 	at = at.Add(place.DefaultLimits.Trial + time.Second)
@@ -105,8 +105,8 @@
 // least is checkpointed and stopped.
 func TestGrowthIsThrottledBeforeItIsStopped(t *testing.T) {
 	p := fleet(place.Limits{}, 1)
-	p.Step(now, place.Want{Job: "u", Row: "u", Class: cell.Urgent, Size: cores(2), Tasks: tasks("u", 1)})
-	p.Step(now, place.Want{Job: "b", Row: "b", Class: cell.Bulk, Size: cores(2), Tasks: tasks("b", 1)})
+	p.Step(now, place.Request{Job: "u", Row: "u", Class: cell.Urgent, Size: cores(2), Tasks: tasks("u", 1)})
+	p.Step(now, place.Request{Job: "b", Row: "b", Class: cell.Bulk, Size: cores(2), Tasks: tasks("b", 1)})
 	require.Empty(t, p.Step(now, resized("u.0", cores(2))))
 	acts := p.Step(now, resized("b.0", cell.Size{CPU: 3000, Mem: 2 * gib}))
 	require.Empty(t, only[place.Preempt](acts))
@@ -122,7 +122,7 @@
 // in force for them too, not only for jobs that come later.
 func TestEditOfALimitIsInForceForWaitingWork(t *testing.T) {
 	p := fleet(place.Limits{}, 1)
-	p.Step(now, place.Want{Job: "j", Row: "r", Size: cores(1), Tasks: tasks("j", 4), Rule: place.Rule{MaxTasks: 1}})
+	p.Step(now, place.Request{Job: "j", Row: "r", Size: cores(1), Tasks: tasks("j", 4), Rule: place.Rule{MaxTasks: 1}})
 	require.Equal(t, []string{"r"}, p.Rows())
 	require.Len(t, puts(p.Step(now, place.Ruled{Row: "r", Rule: place.Rule{MaxTasks: 3}})), 2)
 	require.Empty(t, puts(p.Step(now, place.Ruled{Row: "r", Rule: place.Rule{MaxTasks: -1}})), "none allowed")
@@ -132,10 +132,10 @@
 // the queue is, and what is left is placed as before.
 func TestWaveOfCancellationsLeavesTheRest(t *testing.T) {
 	p := fleet(place.Limits{}, 1)
-	p.Step(now, place.Want{Job: "x", Row: "r", Size: cores(4), Tasks: tasks("x", 1)})
+	p.Step(now, place.Request{Job: "x", Row: "r", Size: cores(4), Tasks: tasks("x", 1)})
 	for i := range 10_000 {
 		job := fmt.Sprintf("j%d", i)
-		p.Step(now, place.Want{Job: job, Row: "r", Size: cores(int64(1 + i%4)), Tasks: tasks(job, 1)})
+		p.Step(now, place.Request{Job: job, Row: "r", Size: cores(int64(1 + i%4)), Tasks: tasks(job, 1)})
 	}
 	for i := range 9_999 {
 		require.Empty(t, p.Step(now, place.Freed{Task: fmt.Sprintf("j%d.0", i)}))
@@ -150,7 +150,7 @@
 // there is no other worker at all it is tried again where it is.
 func TestRetryWaitsForAWorkerThatItHasNotFailedOn(t *testing.T) {
 	whole := cell.Size{CPU: 4000, Mem: 1 << 30}
-	retry := place.Want{Job: "j", Row: "r", Size: whole, Tasks: []string{"a"}, Avoid: []string{"bad"}}
+	retry := place.Request{Job: "j", Row: "r", Size: whole, Tasks: []string{"a"}, Avoid: []string{"bad"}}
 	p := place.New(place.Limits{})
 	up(p, "bad")
 	p.Step(now, place.Up{Worker: "good", Rack: "r1", Size: whole, Used: []place.Used{{Task: "x", Row: "r", Size: whole}}})
@@ -172,7 +172,7 @@
 	}{"too few without it": {2, true}, "enough without it": {3, false}} {
 		t.Run(name, func(t *testing.T) {
 			p := fleet(place.DefaultLimits, tc.workers)
-			gang := place.Want{Job: "g", Row: "r", Size: cores(1), Tasks: tasks("g", 6), Gang: true, Avoid: []string{"w00"}}
+			gang := place.Request{Job: "g", Row: "r", Size: cores(1), Tasks: tasks("g", 6), Gang: true, Avoid: []string{"w00"}}
 			on := puts(p.Step(now, gang))
 			require.Len(t, on, 6)
 			require.Equal(t, tc.back, slices.Contains(slices.Collect(maps.Values(on)), "w00"))
@@ -189,7 +189,7 @@
 		results(p, now, "r", false, "w01")
 	}
 	require.Contains(t, results(p, now, "r", true, "w00", "w00", "w00"), place.Aside{Worker: "w00"})
-	gang := place.Want{Job: "g", Row: "r", Size: cores(1), Tasks: tasks("g", 6), Gang: true, Avoid: []string{"w00"}}
+	gang := place.Request{Job: "g", Row: "r", Size: cores(1), Tasks: tasks("g", 6), Gang: true, Avoid: []string{"w00"}}
 	require.Empty(t, puts(p.Step(now, gang)))
 	require.Len(t, puts(p.Step(now.Add(l.Trial+time.Second), place.Tick{})), 6)
 }
@@ -204,12 +204,12 @@
 		results(p, now, "r", false, "w01")
 	}
 	require.Contains(t, results(p, now, "r", true, "w00", "w00", "w00"), place.Aside{Worker: "w00"})
-	p.Step(now, place.Want{Job: "x", Row: "r", Size: cores(4), Tasks: tasks("x", 1)})
-	p.Step(now, place.Want{Job: "watch", Row: "r", Size: cores(1), Tasks: tasks("watch", 1)})
+	p.Step(now, place.Request{Job: "x", Row: "r", Size: cores(4), Tasks: tasks("x", 1)})
+	p.Step(now, place.Request{Job: "watch", Row: "r", Size: cores(1), Tasks: tasks("watch", 1)})
 	at := now.Add(l.Trial + time.Second)
 	require.Equal(t, map[string]string{"watch.0": "w00"}, puts(p.Step(at, place.Tick{})))
 	p.Step(at, place.Freed{Task: "x.0"})
-	gang := place.Want{Job: "g", Row: "r", Size: cores(1), Tasks: tasks("g", 6), Gang: true, Avoid: []string{"w00"}}
+	gang := place.Request{Job: "g", Row: "r", Size: cores(1), Tasks: tasks("g", 6), Gang: true, Avoid: []string{"w00"}}
 	require.Empty(t, puts(p.Step(at, gang)))
 	require.Empty(t, puts(p.Step(at.Add(l.Trial-time.Second), place.Tick{})), "one trial at a time")
 	require.Len(t, puts(p.Step(at.Add(2*l.Trial+time.Second), place.Tick{})), 6)
--- a/internal/place/limits.go
+++ b/internal/place/limits.go
@@ -89,7 +89,7 @@
 
 // Never returns a NeverError for a job that no end of other work could ever
 // make room for, nil for one that can run or of which nothing is known yet.
-func (p *Placer) Never(w Want) error {
+func (p *Placer) Never(w Request) error {
 	n := int64(len(w.Tasks))
 	if !w.Gang {
 		n = 1
@@ -114,7 +114,7 @@
 	return p.neverFits(w, n)
 }
 
-func (p *Placer) neverFits(w Want, n int64) error {
+func (p *Placer) neverFits(w Request, n int64) error {
 	if len(p.workers) == 0 {
 		return nil
 	}
--- a/internal/place/messages.go
+++ b/internal/place/messages.go
@@ -37,9 +37,9 @@
 // Down tells that a worker may not be used now.
 type Down struct{ Worker string }
 
-// Want asks for room for the tasks of one job. With Gang set all of them get
+// Request asks for room for the tasks of one job. With Gang set all of them get
 // room at once or none does.
-type Want struct {
+type Request struct {
 	Job   string
 	Row   string
 	Team  string
@@ -106,7 +106,7 @@
 func (Up) event()      {}
 func (Sized) event()   {}
 func (Down) event()    {}
-func (Want) event()    {}
+func (Request) event() {}
 func (Freed) event()   {}
 func (Resized) event() {}
 func (Result) event()  {}
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -80,7 +80,7 @@
 		p.sized(ev)
 	case Down:
 		p.down(ev.Worker)
-	case Want:
+	case Request:
 		p.queue.add(now, ev)
 	case Freed:
 		if p.queue.drop(ev.Task) {
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -21,7 +21,7 @@
 func TestGangGetsAllOrNothing(t *testing.T) {
 	p := place.New(place.Limits{})
 	up(p, "w1")
-	gang := place.Want{Job: "j", Row: "sort", Size: cell.Size{CPU: 1500, Mem: 1 << 30}, Tasks: []string{"a", "b", "c"}, Gang: true}
+	gang := place.Request{Job: "j", Row: "sort", Size: cell.Size{CPU: 1500, Mem: 1 << 30}, Tasks: []string{"a", "b", "c"}, Gang: true}
 	require.Empty(t, p.Step(now, gang))
 	require.Len(t, up(p, "w2"), 3)
 }
@@ -31,9 +31,9 @@
 func TestBulkLeavesTheReserve(t *testing.T) {
 	p := place.New(place.Limits{Reserve: 0.25})
 	up(p, "w1")
-	bulk := place.Want{Job: "j", Row: "badges", Class: cell.Bulk, Size: cell.Size{CPU: 1000, Mem: 1 << 20}, Tasks: []string{"a", "b", "c", "d"}}
+	bulk := place.Request{Job: "j", Row: "badges", Class: cell.Bulk, Size: cell.Size{CPU: 1000, Mem: 1 << 20}, Tasks: []string{"a", "b", "c", "d"}}
 	require.Len(t, p.Step(now, bulk), 3)
-	urgent := place.Want{Job: "u", Row: "gate", Class: cell.Urgent, Size: cell.Size{CPU: 1000, Mem: 1 << 20}, Tasks: []string{"u"}}
+	urgent := place.Request{Job: "u", Row: "gate", Class: cell.Urgent, Size: cell.Size{CPU: 1000, Mem: 1 << 20}, Tasks: []string{"u"}}
 	require.Equal(t, []place.Action{place.Put{Task: "u", Worker: "w1"}}, p.Step(now, urgent))
 }
 
@@ -41,31 +41,31 @@
 	p := place.New(place.Limits{})
 	up(p, "w1")
 	p.Step(now, place.Up{Worker: "w2", Rack: "r1", Size: cell.Size{CPU: 4000, Mem: 4 << 30}, Used: []place.Used{{Task: "x", Row: "r", Size: cell.Size{CPU: 3000, Mem: 1 << 30}}}})
-	acts := p.Step(now, place.Want{Job: "j", Row: "r", Size: cell.Size{CPU: 1000, Mem: 1 << 30}, Tasks: []string{"a"}})
+	acts := p.Step(now, place.Request{Job: "j", Row: "r", Size: cell.Size{CPU: 1000, Mem: 1 << 30}, Tasks: []string{"a"}})
 	require.Equal(t, []place.Action{place.Put{Task: "a", Worker: "w2"}}, acts)
 }
 
 // Guards against room kept idle on a worker that has become too small for it.
 func TestRoomKeptOnAWorkerThatShrankIsGivenUp(t *testing.T) {
 	p := fleet(place.Limits{Overdue: map[cell.Class]time.Duration{cell.Normal: time.Minute}}, 2)
-	p.Step(now, place.Want{Job: "x", Row: "r", Class: cell.Normal, Size: cores(2), Tasks: tasks("x", 2), Time: time.Hour, Spread: true})
-	require.Empty(t, puts(p.Step(now, place.Want{Job: "big", Row: "s", Class: cell.Normal, Size: cores(4), Tasks: tasks("big", 2), Gang: true})))
+	p.Step(now, place.Request{Job: "x", Row: "r", Class: cell.Normal, Size: cores(2), Tasks: tasks("x", 2), Time: time.Hour, Spread: true})
+	require.Empty(t, puts(p.Step(now, place.Request{Job: "big", Row: "s", Class: cell.Normal, Size: cores(4), Tasks: tasks("big", 2), Gang: true})))
 	at := now.Add(2 * time.Minute)
 	p.Step(at, place.Tick{})
-	require.Empty(t, puts(p.Step(at, place.Want{Job: "small", Row: "t", Class: cell.Normal, Size: cores(1), Tasks: tasks("small", 1)})))
+	require.Empty(t, puts(p.Step(at, place.Request{Job: "small", Row: "t", Class: cell.Normal, Size: cores(1), Tasks: tasks("small", 1)})))
 	require.Len(t, puts(p.Step(at, place.Sized{Worker: "w00", Size: cores(3)})), 1)
 }
 
 // Guards against free room that is wrong after a worker shrank below what runs there.
 func TestSizesThatComeAndGo(t *testing.T) {
 	p := fleet(place.Limits{}, 1)
-	require.Empty(t, puts(p.Step(now, place.Want{Job: "wide", Row: "r", Size: cores(6), Tasks: tasks("wide", 1)})))
+	require.Empty(t, puts(p.Step(now, place.Request{Job: "wide", Row: "r", Size: cores(6), Tasks: tasks("wide", 1)})))
 	require.Len(t, puts(p.Step(now, place.Sized{Worker: "w00", Size: cores(9)})), 1)
 	p.Step(now, place.Sized{Worker: "w00", Size: cores(4)})
-	require.Empty(t, puts(p.Step(now, place.Want{Job: "small", Row: "r", Size: cores(2), Tasks: tasks("small", 2)})))
+	require.Empty(t, puts(p.Step(now, place.Request{Job: "small", Row: "r", Size: cores(2), Tasks: tasks("small", 2)})))
 	require.Len(t, puts(p.Step(now, place.Sized{Worker: "w00", Size: cores(8)})), 1)
 	require.Len(t, puts(p.Step(now, place.Freed{Task: "wide.0"})), 1)
-	require.Empty(t, puts(p.Step(now, place.Want{Job: "gang", Row: "r", Size: cores(3), Tasks: tasks("gang", 3), Gang: true})))
+	require.Empty(t, puts(p.Step(now, place.Request{Job: "gang", Row: "r", Size: cores(3), Tasks: tasks("gang", 3), Gang: true})))
 	require.Len(t, puts(p.Step(now, place.Sized{Worker: "w00", Size: cores(13)})), 3)
 	require.Empty(t, puts(p.Step(now, place.Sized{Worker: "gone", Size: cores(8)})))
 }
@@ -73,7 +73,7 @@
 // Bulk leaves a part of all room free, and that part follows the workers' sizes.
 func TestTheReserveFollowsSizes(t *testing.T) {
 	p := fleet(place.Limits{Reserve: 0.25}, 1)
-	require.Len(t, puts(p.Step(now, place.Want{Job: "bulk", Row: "s", Class: cell.Bulk, Size: cores(1), Tasks: tasks("bulk", 9)})), 3)
+	require.Len(t, puts(p.Step(now, place.Request{Job: "bulk", Row: "s", Class: cell.Bulk, Size: cores(1), Tasks: tasks("bulk", 9)})), 3)
 	require.Len(t, puts(p.Step(now, place.Sized{Worker: "w00", Size: cores(8)})), 3)
 	p.Step(now, place.Sized{Worker: "w00", Size: cores(4)})
 	require.Empty(t, puts(p.Step(now, place.Freed{Task: "bulk.0"})))
@@ -83,6 +83,6 @@
 func TestAWorkerIsFoundByItsNewSize(t *testing.T) {
 	p := fleet(place.Limits{}, 1)
 	p.Step(now, place.Up{Worker: "small", Rack: "r0", Size: cores(1)})
-	require.Len(t, puts(p.Step(now, place.Want{Job: "x", Row: "r", Size: cores(4), Tasks: tasks("x", 2)})), 1)
+	require.Len(t, puts(p.Step(now, place.Request{Job: "x", Row: "r", Size: cores(4), Tasks: tasks("x", 2)})), 1)
 	require.Equal(t, map[string]string{"x.1": "small"}, puts(p.Step(now, place.Sized{Worker: "small", Size: cores(4)})))
 }
--- a/internal/place/policy_test.go
+++ b/internal/place/policy_test.go
@@ -62,10 +62,10 @@
 // jobs behind it, and of other rows, still get the room that it cannot use.
 func TestBlockedBigJobHoldsUpNobody(t *testing.T) {
 	p := fleet(place.Limits{}, 1)
-	p.Step(now, place.Want{Job: "x", Row: "r", Size: cores(2), Tasks: tasks("x", 1)})
-	require.Empty(t, p.Step(now, place.Want{Job: "big", Row: "r", Size: cores(4), Tasks: tasks("big", 1)}))
-	require.Len(t, p.Step(now, place.Want{Job: "small", Row: "r", Size: cores(1), Tasks: tasks("small", 1)}), 1)
-	require.Len(t, p.Step(now, place.Want{Job: "other", Row: "s", Size: cores(1), Tasks: tasks("other", 1)}), 1)
+	p.Step(now, place.Request{Job: "x", Row: "r", Size: cores(2), Tasks: tasks("x", 1)})
+	require.Empty(t, p.Step(now, place.Request{Job: "big", Row: "r", Size: cores(4), Tasks: tasks("big", 1)}))
+	require.Len(t, p.Step(now, place.Request{Job: "small", Row: "r", Size: cores(1), Tasks: tasks("small", 1)}), 1)
+	require.Len(t, p.Step(now, place.Request{Job: "other", Row: "s", Size: cores(1), Tasks: tasks("other", 1)}), 1)
 }
 
 // Small jobs keep coming and would for ever take each piece of room as it
@@ -93,9 +93,9 @@
 		}
 		for i := range 8 {
 			job := fmt.Sprintf("first%d", i)
-			note(p.Step(at, place.Want{Job: job, Row: "r", Class: flood, Size: cores(1), Time: run, Tasks: tasks(job, 1)}))
+			note(p.Step(at, place.Request{Job: job, Row: "r", Class: flood, Size: cores(1), Time: run, Tasks: tasks(job, 1)}))
 		}
-		p.Step(at, place.Want{Job: "big", Row: "big", Class: class, Size: cores(4), Time: run, Tasks: tasks("big", 1)})
+		p.Step(at, place.Request{Job: "big", Row: "big", Class: class, Size: cores(4), Time: run, Tasks: tasks("big", 1)})
 		started := false
 		for i := 0; !started && at.Before(now.Add(5*time.Minute)); i++ {
 			at = at.Add(time.Second)
@@ -107,7 +107,7 @@
 				}
 			}
 			job := fmt.Sprintf("flood%d", i)
-			started = note(p.Step(at, place.Want{Job: job, Row: "r", Class: flood, Size: cores(1), Time: run, Tasks: tasks(job, 1)})) || started
+			started = note(p.Step(at, place.Request{Job: job, Row: "r", Class: flood, Size: cores(1), Time: run, Tasks: tasks(job, 1)})) || started
 		}
 		require.True(t, started, class)
 		require.LessOrEqual(t, at.Sub(now), time.Minute+run+2*time.Second, class)
@@ -128,9 +128,9 @@
 			started = started || a.Task == "bulk.0"
 		}
 	}
-	flood := place.Want{Job: "f", Row: "f", Class: cell.Normal, Size: cores(1), Time: 10 * time.Second, Tasks: tasks("f", 1000)}
+	flood := place.Request{Job: "f", Row: "f", Class: cell.Normal, Size: cores(1), Time: 10 * time.Second, Tasks: tasks("f", 1000)}
 	note(p.Step(now, flood))
-	note(p.Step(now, place.Want{Job: "bulk", Row: "b", Class: cell.Bulk, Size: cores(1), Time: time.Second, Tasks: tasks("bulk", 1)}))
+	note(p.Step(now, place.Request{Job: "bulk", Row: "b", Class: cell.Bulk, Size: cores(1), Time: time.Second, Tasks: tasks("bulk", 1)}))
 	waited := time.Duration(0)
 	for ; !started && waited < 5*time.Minute; waited += 10 * time.Second {
 		at := now.Add(waited)
@@ -150,10 +150,10 @@
 func TestJobAtItsLimitIsNotTheOverdueOne(t *testing.T) {
 	limits := place.Limits{Overdue: map[cell.Class]time.Duration{cell.Normal: time.Minute}}
 	p := fleet(limits, 1)
-	small := place.Want{Job: "s", Row: "s", Class: cell.Normal, Size: cores(1), Time: time.Hour, Tasks: tasks("s", 1000), Rule: place.Rule{Weight: 1}}
-	p.Step(now, place.Want{Job: "l", Row: "l", Class: cell.Normal, Size: cores(1), Tasks: tasks("l", 2), Rule: place.Rule{MaxTasks: 1}, Time: time.Hour, Since: now.Add(-2 * time.Second)})
+	small := place.Request{Job: "s", Row: "s", Class: cell.Normal, Size: cores(1), Time: time.Hour, Tasks: tasks("s", 1000), Rule: place.Rule{Weight: 1}}
+	p.Step(now, place.Request{Job: "l", Row: "l", Class: cell.Normal, Size: cores(1), Tasks: tasks("l", 2), Rule: place.Rule{MaxTasks: 1}, Time: time.Hour, Since: now.Add(-2 * time.Second)})
 	p.Step(now, small)
-	p.Step(now, place.Want{Job: "big", Row: "big", Class: cell.Normal, Size: cores(3), Tasks: tasks("big", 1), Time: time.Hour, Since: now.Add(-time.Second)})
+	p.Step(now, place.Request{Job: "big", Row: "big", Class: cell.Normal, Size: cores(3), Tasks: tasks("big", 1), Time: time.Hour, Since: now.Add(-time.Second)})
 	p.Step(now.Add(2*time.Minute), place.Tick{})
 	for i := range 3 {
 		got := puts(p.Step(now.Add(2*time.Minute), place.Freed{Task: fmt.Sprintf("s.%d", i)}))
@@ -169,15 +169,15 @@
 // would wait for each other for ever; the older one goes, then the other.
 func TestTwoGangsDoNotLockEachOther(t *testing.T) {
 	p := fleet(place.Limits{Overdue: map[cell.Class]time.Duration{cell.Normal: time.Second}}, 2)
-	p.Step(now, place.Want{Job: "x", Row: "r", Class: cell.Normal, Size: cores(2), Tasks: tasks("x", 2), Time: time.Minute})
+	p.Step(now, place.Request{Job: "x", Row: "r", Class: cell.Normal, Size: cores(2), Tasks: tasks("x", 2), Time: time.Minute})
 	for _, job := range []string{"a", "b"} {
-		require.Empty(t, p.Step(now, place.Want{Job: job, Row: job, Class: cell.Normal, Size: cores(2), Tasks: tasks(job, 3), Gang: true, Time: time.Minute}))
+		require.Empty(t, p.Step(now, place.Request{Job: job, Row: job, Class: cell.Normal, Size: cores(2), Tasks: tasks(job, 3), Gang: true, Time: time.Minute}))
 	}
 	at := now.Add(2 * time.Second)
 	p.Step(at, place.Tick{})
-	long := place.Want{Job: "long", Row: "r", Class: cell.Normal, Size: cores(1), Tasks: tasks("long", 1), Time: time.Hour}
+	long := place.Request{Job: "long", Row: "r", Class: cell.Normal, Size: cores(1), Tasks: tasks("long", 1), Time: time.Hour}
 	require.Empty(t, p.Step(at, long), "room kept for the oldest gang")
-	short := place.Want{Job: "short", Row: "r", Class: cell.Normal, Size: cores(1), Tasks: tasks("short", 1), Time: time.Second}
+	short := place.Request{Job: "short", Row: "r", Class: cell.Normal, Size: cores(1), Tasks: tasks("short", 1), Time: time.Second}
 	require.Len(t, p.Step(at, short), 1, "short work backfills")
 	p.Step(at, place.Freed{Task: "short.0"})
 	first := puts(p.Step(at, place.Freed{Task: "x.0"}))
@@ -197,9 +197,9 @@
 // the urgent job and not to the next bulk task.
 func TestUrgentPreemptsTheCheapestBulk(t *testing.T) {
 	p := fleet(place.Limits{UrgentCap: 0.8}, 1)
-	p.Step(now, place.Want{Job: "old", Row: "b", Class: cell.Bulk, Size: cores(2), Tasks: tasks("old", 1)})
-	p.Step(now.Add(time.Minute), place.Want{Job: "new", Row: "b", Class: cell.Bulk, Size: cores(2), Tasks: tasks("new", 3)})
-	urgent := place.Want{Job: "u", Row: "u", Class: cell.Urgent, Size: cores(3), Tasks: tasks("u", 1)}
+	p.Step(now, place.Request{Job: "old", Row: "b", Class: cell.Bulk, Size: cores(2), Tasks: tasks("old", 1)})
+	p.Step(now.Add(time.Minute), place.Request{Job: "new", Row: "b", Class: cell.Bulk, Size: cores(2), Tasks: tasks("new", 3)})
+	urgent := place.Request{Job: "u", Row: "u", Class: cell.Urgent, Size: cores(3), Tasks: tasks("u", 1)}
 	at := now.Add(2 * time.Minute)
 	acts := only[place.Preempt](p.Step(at, urgent))
 	require.Len(t, acts, 2)
@@ -214,12 +214,12 @@
 	p := fleet(place.Limits{}, 2)
 	for i := range 100 {
 		job := fmt.Sprintf("a%d", i)
-		p.Step(now, place.Want{Job: job, Row: "ra", Team: "a", Class: cell.Normal, Size: cores(1), Tasks: tasks(job, 1)})
+		p.Step(now, place.Request{Job: job, Row: "ra", Team: "a", Class: cell.Normal, Size: cores(1), Tasks: tasks(job, 1)})
 	}
-	p.Step(now, place.Want{Job: "b", Row: "rb", Team: "b", Class: cell.Normal, Size: cores(1), Tasks: tasks("b", 1)})
+	p.Step(now, place.Request{Job: "b", Row: "rb", Team: "b", Class: cell.Normal, Size: cores(1), Tasks: tasks("b", 1)})
 	require.Contains(t, puts(p.Step(now, place.Freed{Task: "a0.0"})), "b.0")
-	p.Step(now, place.Want{Job: "h", Row: "heavy", Team: "c", Class: cell.Normal, Size: cores(1), Rule: place.Rule{Weight: 3}, Tasks: tasks("h", 9)})
-	p.Step(now, place.Want{Job: "l", Row: "light", Team: "c", Class: cell.Normal, Size: cores(1), Rule: place.Rule{Weight: 1}, Tasks: tasks("l", 9)})
+	p.Step(now, place.Request{Job: "h", Row: "heavy", Team: "c", Class: cell.Normal, Size: cores(1), Rule: place.Rule{Weight: 3}, Tasks: tasks("h", 9)})
+	p.Step(now, place.Request{Job: "l", Row: "light", Team: "c", Class: cell.Normal, Size: cores(1), Rule: place.Rule{Weight: 1}, Tasks: tasks("l", 9)})
 	got := map[byte]int{}
 	for i := 1; i < 8; i++ {
 		for task := range puts(p.Step(now, place.Freed{Task: fmt.Sprintf("a%d.0", i)})) {
@@ -234,7 +234,7 @@
 // tasks sit on several racks goes on.
 func TestServiceIsSpreadOverRacks(t *testing.T) {
 	p := fleet(place.Limits{}, 6)
-	on := puts(p.Step(now, place.Want{Job: "s", Row: "watch", Size: cores(1), Tasks: tasks("s", 3), Spread: true}))
+	on := puts(p.Step(now, place.Request{Job: "s", Row: "watch", Size: cores(1), Tasks: tasks("s", 3), Spread: true}))
 	racks := map[byte]bool{}
 	for _, w := range on {
 		racks[(w[2]-'0')/2] = true
@@ -245,13 +245,13 @@
 func TestLimitsHoldAndAreNamed(t *testing.T) {
 	size := cores(1)
 	for _, c := range []struct {
-		want place.Want
+		want place.Request
 		why  string
 	}{
-		{place.Want{Rule: place.Rule{MaxTasks: 2}}, "as many tasks as its limit"},
-		{place.Want{Rule: place.Rule{Limit: cell.Size{CPU: 2500}}}, "its row takes as much room"},
-		{place.Want{Rule: place.Rule{Limit: cell.Size{Mem: 2 * gib}}}, "its row takes as much room"},
-		{place.Want{Rule: place.Rule{Quota: cell.Size{CPU: 2000}}}, "its team takes as much room"},
+		{place.Request{Rule: place.Rule{MaxTasks: 2}}, "as many tasks as its limit"},
+		{place.Request{Rule: place.Rule{Limit: cell.Size{CPU: 2500}}}, "its row takes as much room"},
+		{place.Request{Rule: place.Rule{Limit: cell.Size{Mem: 2 * gib}}}, "its row takes as much room"},
+		{place.Request{Rule: place.Rule{Quota: cell.Size{CPU: 2000}}}, "its team takes as much room"},
 	} {
 		p := fleet(place.Limits{}, 2)
 		w := c.want
@@ -270,23 +270,23 @@
 	p := fleet(place.Limits{}, 2)
 	huge := int64(1) << 62
 	for _, c := range []struct {
-		want  place.Want
+		want  place.Request
 		limit string
 	}{
-		{place.Want{Size: cores(5), Tasks: tasks("j", 1)}, "cpu of the largest worker"},
-		{place.Want{Size: cell.Size{CPU: 1, Mem: 5 * gib}, Tasks: tasks("j", 1)}, "mem of the largest worker"},
-		{place.Want{Size: cell.Size{CPU: 1, Mem: 1, Accel: 1}, Tasks: tasks("j", 1)}, "accel of the largest worker"},
-		{place.Want{Size: cores(1), Tasks: tasks("j", 3), Gang: true, Rule: place.Rule{MaxTasks: 2}}, "the row's tasks at a time"},
-		{place.Want{Size: cores(3), Tasks: tasks("j", 1), Rule: place.Rule{Limit: cell.Size{CPU: 2000}}}, "cpu of the row's room"},
-		{place.Want{Size: cores(1), Tasks: tasks("j", 3), Gang: true, Rule: place.Rule{Quota: cell.Size{Mem: 2 * gib}}}, "mem of the team's quota"},
-		{place.Want{Size: cores(1), Tasks: tasks("j", 9), Gang: true}, "tasks that all workers hold at once"},
-		{place.Want{Size: cell.Size{CPU: huge, Mem: huge}, Tasks: tasks("j", 4), Gang: true, Rule: place.Rule{Limit: cores(4)}}, "cpu of the row's room"},
+		{place.Request{Size: cores(5), Tasks: tasks("j", 1)}, "cpu of the largest worker"},
+		{place.Request{Size: cell.Size{CPU: 1, Mem: 5 * gib}, Tasks: tasks("j", 1)}, "mem of the largest worker"},
+		{place.Request{Size: cell.Size{CPU: 1, Mem: 1, Accel: 1}, Tasks: tasks("j", 1)}, "accel of the largest worker"},
+		{place.Request{Size: cores(1), Tasks: tasks("j", 3), Gang: true, Rule: place.Rule{MaxTasks: 2}}, "the row's tasks at a time"},
+		{place.Request{Size: cores(3), Tasks: tasks("j", 1), Rule: place.Rule{Limit: cell.Size{CPU: 2000}}}, "cpu of the row's room"},
+		{place.Request{Size: cores(1), Tasks: tasks("j", 3), Gang: true, Rule: place.Rule{Quota: cell.Size{Mem: 2 * gib}}}, "mem of the team's quota"},
+		{place.Request{Size: cores(1), Tasks: tasks("j", 9), Gang: true}, "tasks that all workers hold at once"},
+		{place.Request{Size: cell.Size{CPU: huge, Mem: huge}, Tasks: tasks("j", 4), Gang: true, Rule: place.Rule{Limit: cores(4)}}, "cpu of the row's room"},
 	} {
 		var never *place.NeverError
 		require.ErrorAs(t, p.Never(c.want), &never)
 		require.Equal(t, c.limit, never.Limit)
 	}
-	require.NoError(t, p.Never(place.Want{Size: cores(4), Tasks: tasks("j", 8)}))
+	require.NoError(t, p.Never(place.Request{Size: cores(4), Tasks: tasks("j", 8)}))
 }
 
 // Jobs come, end, grow and are cancelled in any order, and workers come and
@@ -311,7 +311,7 @@
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0, 1:
 				job := fmt.Sprintf("j%d", i)
-				w := place.Want{
+				w := place.Request{
 					Job: job, Row: rapid.SampledFrom([]string{"r", "s"}).Draw(t, "row"), Class: rapid.SampledFrom(cell.Classes).Draw(t, "class"),
 					Size: cell.Size{CPU: rapid.Int64Range(700, 4000).Draw(t, "cpu"), Mem: rapid.Int64Range(1, 4*gib).Draw(t, "mem")}, Tasks: tasks(job, rapid.IntRange(1, 4).Draw(t, "tasks")),
 					Gang: rapid.Bool().Draw(t, "gang"), Spread: rapid.Bool().Draw(t, "spread"), Time: time.Second,
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -27,7 +27,7 @@
 
 // entry is one job's tasks that wait for room.
 type entry struct {
-	Want
+	Request
 	seq    int64
 	shape  *shape
 	live   int
@@ -95,7 +95,7 @@
 	}
 }
 
-func (q *queue) lane(w Want) *lane {
+func (q *queue) lane(w Request) *lane {
 	key := laneKey{class: w.Class, row: w.Row, team: w.Team}
 	l, ok := q.lanes[key]
 	if !ok {
@@ -107,12 +107,12 @@
 	return l
 }
 
-func (q *queue) add(now time.Time, w Want) {
+func (q *queue) add(now time.Time, w Request) {
 	q.seq++
 	if w.Since.IsZero() {
 		w.Since = now
 	}
-	e := &entry{Want: w, seq: q.seq}
+	e := &entry{Request: w, seq: q.seq}
 	for _, task := range w.Tasks {
 		if _, ok := q.tasks[task]; !ok {
 			q.tasks[task] = e
