--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -21,7 +21,7 @@
 func (l *Lead) place(ev place.Event) {
 	for _, a := range l.Placer.Step(l.Clock(), ev) {
 		switch a := a.(type) {
-		case place.Put:
+		case place.Assign:
 			if l.Placer.Holds(a.Task, a.Worker) {
 				l.job(job.Put{Task: a.Task, Worker: a.Worker})
 			}
--- a/internal/measure/decide.go
+++ b/internal/measure/decide.go
@@ -83,7 +83,7 @@
 	}
 	for _, a := range acts {
 		switch a := a.(type) {
-		case place.Put:
+		case place.Assign:
 			d.running = append(d.running, a.Task)
 			d.Puts++
 		case place.Preempt:
--- a/internal/measure/jobs.go
+++ b/internal/measure/jobs.go
@@ -215,7 +215,7 @@
 func (r *jobRun) step(ev place.Event) {
 	for _, a := range r.core.Step(r.now, ev) {
 		switch a := a.(type) {
-		case place.Put:
+		case place.Assign:
 			r.begin(r.tasks[a.Task], a.Worker)
 		case place.Preempt:
 			t := r.tasks[a.Task]
--- a/internal/measure/scan.go
+++ b/internal/measure/scan.go
@@ -91,7 +91,7 @@
 			}
 			s.free[i] = s.free[i].Sub(w.Size)
 			s.taken[w.Tasks[0]], s.on[w.Tasks[0]] = w.Size, i
-			acts = append(acts, place.Put{Task: w.Tasks[0], Worker: s.names[i]})
+			acts = append(acts, place.Assign{Task: w.Tasks[0], Worker: s.names[i]})
 			return true
 		})
 	}
--- a/internal/place/health_test.go
+++ b/internal/place/health_test.go
@@ -155,11 +155,11 @@
 	up(p, "bad")
 	p.Step(now, place.Up{Worker: "good", Rack: "r1", Size: whole, Used: []place.Used{{Task: "x", Row: "r", Size: whole}}})
 	require.Empty(t, p.Step(now, retry))
-	require.Equal(t, []place.Action{place.Put{Task: "a", Worker: "good"}}, p.Step(now, place.Freed{Task: "x"}))
+	require.Equal(t, []place.Action{place.Assign{Task: "a", Worker: "good"}}, p.Step(now, place.Freed{Task: "x"}))
 
 	p = place.New(place.Limits{})
 	up(p, "bad")
-	require.Equal(t, []place.Action{place.Put{Task: "a", Worker: "bad"}}, p.Step(now, retry))
+	require.Equal(t, []place.Action{place.Assign{Task: "a", Worker: "bad"}}, p.Step(now, retry))
 }
 
 // Tasks of a gang have failed on one worker, and all the others together are too small for the
--- a/internal/place/messages.go
+++ b/internal/place/messages.go
@@ -116,8 +116,8 @@
 // Action is what the placement core asks its edge to do.
 type Action interface{ action() }
 
-// Put gives a task room on a worker. The room is taken until Freed.
-type Put struct{ Task, Worker string }
+// Assign gives a task room on a worker. The room is taken until Freed.
+type Assign struct{ Task, Worker string }
 
 // Preempt asks that a task is checkpointed, stopped and queued again. Its
 // room stays taken until Freed.
@@ -135,7 +135,7 @@
 // Restored tells that a worker set aside gets work as before.
 type Restored struct{ Worker string }
 
-func (Put) action()      {}
+func (Assign) action()   {}
 func (Preempt) action()  {}
 func (Throttle) action() {}
 func (Aside) action()    {}
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -276,7 +276,7 @@
 	}
 	p.take(r, w)
 	p.tried(w)
-	p.do(Put{Task: task, Worker: w.name})
+	p.do(Assign{Task: task, Worker: w.name})
 	if !e.waiting() {
 		p.unmark(e)
 	}
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -34,7 +34,7 @@
 	bulk := place.Request{Job: "j", Row: "badges", Class: cell.Bulk, Size: cell.Size{CPU: 1000, Mem: 1 << 20}, Tasks: []string{"a", "b", "c", "d"}}
 	require.Len(t, p.Step(now, bulk), 3)
 	urgent := place.Request{Job: "u", Row: "gate", Class: cell.Urgent, Size: cell.Size{CPU: 1000, Mem: 1 << 20}, Tasks: []string{"u"}}
-	require.Equal(t, []place.Action{place.Put{Task: "u", Worker: "w1"}}, p.Step(now, urgent))
+	require.Equal(t, []place.Action{place.Assign{Task: "u", Worker: "w1"}}, p.Step(now, urgent))
 }
 
 func TestTasksGoWhereTheyFillBest(t *testing.T) {
@@ -42,7 +42,7 @@
 	up(p, "w1")
 	p.Step(now, place.Up{Worker: "w2", Rack: "r1", Size: cell.Size{CPU: 4000, Mem: 4 << 30}, Used: []place.Used{{Task: "x", Row: "r", Size: cell.Size{CPU: 3000, Mem: 1 << 30}}}})
 	acts := p.Step(now, place.Request{Job: "j", Row: "r", Size: cell.Size{CPU: 1000, Mem: 1 << 30}, Tasks: []string{"a"}})
-	require.Equal(t, []place.Action{place.Put{Task: "a", Worker: "w2"}}, acts)
+	require.Equal(t, []place.Action{place.Assign{Task: "a", Worker: "w2"}}, acts)
 }
 
 // Guards against room kept idle on a worker that has become too small for it.
--- a/internal/place/policy_test.go
+++ b/internal/place/policy_test.go
@@ -41,7 +41,7 @@
 func puts(acts []place.Action) map[string]string {
 	on := map[string]string{}
 	for _, a := range acts {
-		if put, ok := a.(place.Put); ok {
+		if put, ok := a.(place.Assign); ok {
 			on[put.Task] = put.Worker
 		}
 	}
@@ -123,7 +123,7 @@
 	var running []string
 	started := false
 	note := func(acts []place.Action) {
-		for _, a := range only[place.Put](acts) {
+		for _, a := range only[place.Assign](acts) {
 			running = append(running, a.Task)
 			started = started || a.Task == "bulk.0"
 		}
