--- a/internal/lead/machines.go
+++ b/internal/lead/machines.go
@@ -57,5 +57,5 @@
 		return
 	}
 	l.Log.Info("lead: worker resized.", "worker", m.Name, "size", m.Size, "before", before.Size)
-	l.place(place.Sized{Worker: m.Name, Size: m.Size})
+	l.place(place.WorkerResized{Worker: m.Name, Size: m.Size})
 }
--- a/internal/place/messages.go
+++ b/internal/place/messages.go
@@ -28,8 +28,8 @@
 	Left time.Duration
 }
 
-// Sized tells that a worker that is up has another size than it had.
-type Sized struct {
+// WorkerResized tells that a worker that is up has another size than it had.
+type WorkerResized struct {
 	Worker string
 	Size   cell.Size
 }
@@ -103,15 +103,15 @@
 // Tick lets time pass.
 type Tick struct{}
 
-func (Up) event()      {}
-func (Sized) event()   {}
-func (Down) event()    {}
-func (Request) event() {}
-func (Freed) event()   {}
-func (Resized) event() {}
-func (Result) event()  {}
-func (Ruled) event()   {}
-func (Tick) event()    {}
+func (Up) event()            {}
+func (WorkerResized) event() {}
+func (Down) event()          {}
+func (Request) event()       {}
+func (Freed) event()         {}
+func (Resized) event()       {}
+func (Result) event()        {}
+func (Ruled) event()         {}
+func (Tick) event()          {}
 
 // Action is what the placement core asks its edge to do.
 type Action interface{ action() }
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -76,7 +76,7 @@
 	switch ev := ev.(type) {
 	case Up:
 		p.up(ev)
-	case Sized:
+	case WorkerResized:
 		p.sized(ev)
 	case Down:
 		p.down(ev.Worker)
@@ -147,7 +147,7 @@
 // sized books another size of a worker. What runs there goes on; its free room is negative while
 // that takes more than it has. Room that is kept there for an entry which does not fit any more
 // is given up.
-func (p *Placer) sized(ev Sized) {
+func (p *Placer) sized(ev WorkerResized) {
 	w, ok := p.workers[ev.Worker]
 	if !ok || w.size == ev.Size {
 		return
--- a/internal/place/policy_test.go
+++ b/internal/place/policy_test.go
@@ -329,7 +329,7 @@
 			case 4:
 				name := rapid.SampledFrom(slices.Sorted(maps.Keys(has))).Draw(t, "worker")
 				has[name] = cell.Size{CPU: rapid.Int64Range(0, 8000).Draw(t, "cpu"), Mem: rapid.Int64Range(0, 8*gib).Draw(t, "mem")}
-				ev, over[name] = place.Sized{Worker: name, Size: has[name]}, true
+				ev, over[name] = place.WorkerResized{Worker: name, Size: has[name]}, true
 			}
 			for name, on := range puts(p.Step(at, ev)) {
 				require.NotContains(t, rooms, name, "placed twice")
