--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -200,7 +200,7 @@
 			continue
 		}
 		if room, ok := l.Estimates.Seen(t.ID, t.Row, spec.Size, t.Use); ok {
-			l.place(place.Resized{Task: t.ID, Size: room, Use: t.Use})
+			l.place(place.TaskResized{Task: t.ID, Size: room, Use: t.Use})
 		}
 	}
 }
@@ -221,7 +221,7 @@
 func (l *Lead) grown(t lease.Task) {
 	if room, ok := l.Placer.Room(t.ID); ok && t.Use != (cell.Size{}) {
 		size := cell.Size{CPU: max(room.CPU, t.Use.CPU), Mem: max(room.Mem, t.Use.Mem), Accel: room.Accel}
-		l.place(place.Resized{Task: t.ID, Size: size, Use: t.Use})
+		l.place(place.TaskResized{Task: t.ID, Size: size, Use: t.Use})
 	}
 }
 
--- a/internal/measure/jobs.go
+++ b/internal/measure/jobs.go
@@ -339,7 +339,7 @@
 				continue
 			}
 			if room, ok := r.est.Seen(id, fmt.Sprint(t.row), t.declared, t.uses(r.now.Add(-reportLag))); ok {
-				r.step(place.Resized{Task: id, Size: room, Use: t.uses(r.now.Add(-reportLag))})
+				r.step(place.TaskResized{Task: id, Size: room, Use: t.uses(r.now.Add(-reportLag))})
 			}
 		}
 	}
--- a/internal/place/health_test.go
+++ b/internal/place/health_test.go
@@ -13,8 +13,8 @@
 	"pollencroft/internal/place"
 )
 
-func resized(task string, use cell.Size) place.Resized {
-	return place.Resized{Task: task, Size: use, Use: use}
+func resized(task string, use cell.Size) place.TaskResized {
+	return place.TaskResized{Task: task, Size: use, Use: use}
 }
 
 // results tells how tasks of a row ended, one on each of the workers.
--- a/internal/place/messages.go
+++ b/internal/place/messages.go
@@ -87,9 +87,9 @@
 // Freed tells that a task takes room no longer or wants none any more.
 type Freed struct{ Task string }
 
-// Resized tells that a running task takes another room than was thought, and
+// TaskResized tells that a running task takes another room than was thought, and
 // what it was seen to use.
-type Resized struct {
+type TaskResized struct {
 	Task      string
 	Size, Use cell.Size
 }
@@ -108,7 +108,7 @@
 func (Down) event()          {}
 func (Request) event()       {}
 func (Freed) event()         {}
-func (Resized) event()       {}
+func (TaskResized) event()   {}
 func (Result) event()        {}
 func (Ruled) event()         {}
 func (Tick) event()          {}
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -87,7 +87,7 @@
 			return nil
 		}
 		p.freed(ev.Task)
-	case Resized:
+	case TaskResized:
 		p.resized(ev)
 	case Result:
 		p.result(ev)
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -105,7 +105,7 @@
 
 // resized books what a task is seen to use. A worker that comes out overfull
 // is relieved at once.
-func (p *Placer) resized(ev Resized) {
+func (p *Placer) resized(ev TaskResized) {
 	r, ok := p.taken[ev.Task]
 	if !ok {
 		return
