--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -160,7 +160,7 @@
 		row, _ := l.Row(name)
 		if r := l.ruleNow(row); l.rules[name] != r {
 			l.rules[name] = r
-			l.place(place.Ruled{Row: name, Rule: r})
+			l.place(place.RuleChanged{Row: name, Rule: r})
 		}
 	}
 }
@@ -170,7 +170,7 @@
 	for _, name := range l.Placer.Rows() {
 		row, _ := l.Row(name)
 		l.rules[name] = l.ruleNow(row)
-		l.place(place.Ruled{Row: name, Rule: l.rules[name]})
+		l.place(place.RuleChanged{Row: name, Rule: l.rules[name]})
 	}
 }
 
--- a/internal/place/health_test.go
+++ b/internal/place/health_test.go
@@ -124,8 +124,8 @@
 	p := fleet(place.Limits{}, 1)
 	p.Step(now, place.Request{Job: "j", Row: "r", Size: cores(1), Tasks: tasks("j", 4), Rule: place.Rule{MaxTasks: 1}})
 	require.Equal(t, []string{"r"}, p.Rows())
-	require.Len(t, puts(p.Step(now, place.Ruled{Row: "r", Rule: place.Rule{MaxTasks: 3}})), 2)
-	require.Empty(t, puts(p.Step(now, place.Ruled{Row: "r", Rule: place.Rule{MaxTasks: -1}})), "none allowed")
+	require.Len(t, puts(p.Step(now, place.RuleChanged{Row: "r", Rule: place.Rule{MaxTasks: 3}})), 2)
+	require.Empty(t, puts(p.Step(now, place.RuleChanged{Row: "r", Rule: place.Rule{MaxTasks: -1}})), "none allowed")
 }
 
 // Ten thousand jobs are cancelled at once. Each costs the same however long
--- a/internal/place/messages.go
+++ b/internal/place/messages.go
@@ -78,8 +78,8 @@
 	QuotaTasks int64
 }
 
-// Ruled tells that the table says something else of a row now.
-type Ruled struct {
+// RuleChanged tells that the table says something else of a row now.
+type RuleChanged struct {
 	Row string
 	Rule
 }
@@ -110,7 +110,7 @@
 func (Freed) event()         {}
 func (TaskResized) event()   {}
 func (Result) event()        {}
-func (Ruled) event()         {}
+func (RuleChanged) event()   {}
 func (Tick) event()          {}
 
 // Action is what the placement core asks its edge to do.
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -91,7 +91,7 @@
 		p.resized(ev)
 	case Result:
 		p.result(ev)
-	case Ruled:
+	case RuleChanged:
 		p.queue.ruled(ev)
 	case Tick:
 		p.tick()
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -261,7 +261,7 @@
 
 // ruled applies what the table says now to work that waits already. Without it
 // an accepted edit would be in force for new jobs only.
-func (q *queue) ruled(ev Ruled) {
+func (q *queue) ruled(ev RuleChanged) {
 	for key, l := range q.lanes {
 		if key.row != ev.Row {
 			continue
