--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -29,7 +29,7 @@
 			l.preempt(a)
 		case place.Throttle:
 			l.spawn(func(ctx context.Context) { l.throttle(ctx, a) })
-		case place.Aside:
+		case place.Quarantined:
 			l.Count("lead.aside")
 			l.Log.Warn("lead: worker fails what others run and is set aside.", "worker", a.Worker)
 		case place.Restored:
--- a/internal/place/health.go
+++ b/internal/place/health.go
@@ -91,7 +91,7 @@
 		h.aside, h.trial, h.wait = true, false, p.limits.Trial
 		h.next = p.now.Add(h.wait)
 		p.sort(w)
-		p.do(Aside{Worker: w.name})
+		p.do(Quarantined{Worker: w.name})
 	}
 }
 
--- a/internal/place/health_test.go
+++ b/internal/place/health_test.go
@@ -44,7 +44,7 @@
 		results(p, at, "r", false, names(1, 8)...)
 	}
 	acts := results(p, at, "r", true, "w00", "w00", "w00")
-	require.Equal(t, []place.Action{place.Aside{Worker: "w00"}}, acts)
+	require.Equal(t, []place.Action{place.Quarantined{Worker: "w00"}}, acts)
 	on := puts(p.Step(at, place.Request{Job: "j", Row: "r", Size: cores(4), Tasks: tasks("j", 8)}))
 	require.Len(t, on, 7)
 	at = at.Add(place.DefaultLimits.Trial + time.Second)
@@ -70,14 +70,14 @@
 		acts = append(acts, results(p, now, "good", false, names(0, 8)...)...)
 		acts = append(acts, results(p, now, "bug", true, names(0, 8)...)...)
 	}
-	require.Empty(t, only[place.Aside](acts))
+	require.Empty(t, only[place.Quarantined](acts))
 }
 
 // A new row with a bug fails on one worker before any other has run it. When
 // it fails elsewhere too, the worker is pardoned.
 func TestWorkerIsPardonedWhenTheRowFailsElsewhere(t *testing.T) {
 	p := fleet(place.DefaultLimits, 8)
-	require.Len(t, only[place.Aside](results(p, now, "new", true, "w00", "w00", "w00", "w00")), 1)
+	require.Len(t, only[place.Quarantined](results(p, now, "new", true, "w00", "w00", "w00", "w00")), 1)
 	for range 4 {
 		results(p, now, "new", true, names(1, 8)...)
 	}
@@ -96,7 +96,7 @@
 	for range 5 {
 		acts = append(acts, results(p, now, "r", true, names(0, 5)...)...)
 	}
-	require.Len(t, only[place.Aside](acts), 2)
+	require.Len(t, only[place.Quarantined](acts), 2)
 	require.Equal(t, []string{"w00", "w01"}, p.Asides())
 }
 
@@ -188,7 +188,7 @@
 	for range 3 {
 		results(p, now, "r", false, "w01")
 	}
-	require.Contains(t, results(p, now, "r", true, "w00", "w00", "w00"), place.Aside{Worker: "w00"})
+	require.Contains(t, results(p, now, "r", true, "w00", "w00", "w00"), place.Quarantined{Worker: "w00"})
 	gang := place.Request{Job: "g", Row: "r", Size: cores(1), Tasks: tasks("g", 6), Gang: true, Avoid: []string{"w00"}}
 	require.Empty(t, puts(p.Step(now, gang)))
 	require.Len(t, puts(p.Step(now.Add(l.Trial+time.Second), place.Tick{})), 6)
@@ -203,7 +203,7 @@
 	for range 3 {
 		results(p, now, "r", false, "w01")
 	}
-	require.Contains(t, results(p, now, "r", true, "w00", "w00", "w00"), place.Aside{Worker: "w00"})
+	require.Contains(t, results(p, now, "r", true, "w00", "w00", "w00"), place.Quarantined{Worker: "w00"})
 	p.Step(now, place.Request{Job: "x", Row: "r", Size: cores(4), Tasks: tasks("x", 1)})
 	p.Step(now, place.Request{Job: "watch", Row: "r", Size: cores(1), Tasks: tasks("watch", 1)})
 	at := now.Add(l.Trial + time.Second)
--- a/internal/place/messages.go
+++ b/internal/place/messages.go
@@ -129,14 +129,14 @@
 	Share        float64
 }
 
-// Aside tells that a worker fails what others run and gets only trials now.
-type Aside struct{ Worker string }
+// Quarantined tells that a worker fails what others run and gets only trials now.
+type Quarantined struct{ Worker string }
 
 // Restored tells that a worker set aside gets work as before.
 type Restored struct{ Worker string }
 
-func (Assign) action()   {}
-func (Preempt) action()  {}
-func (Throttle) action() {}
-func (Aside) action()    {}
-func (Restored) action() {}
+func (Assign) action()      {}
+func (Preempt) action()     {}
+func (Throttle) action()    {}
+func (Quarantined) action() {}
+func (Restored) action()    {}
