--- a/internal/place/messages.go
+++ b/internal/place/messages.go
@@ -24,8 +24,8 @@
 	Team  string
 	Class cell.Class
 	Size  cell.Size
-	// Left is how long the task is expected to run yet; zero is not known.
-	Left time.Duration
+	// Remaining is how long the task is expected to run yet; zero is not known.
+	Remaining time.Duration
 }
 
 // WorkerResized tells that a worker that is up has another size than it had.
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -126,8 +126,8 @@
 	p.rescale(w)
 	for _, u := range ev.Used {
 		r := &room{task: u.Task, row: u.Row, team: u.Team, class: u.Class, size: u.Size, began: p.now}
-		if u.Left > 0 {
-			r.ends = p.now.Add(u.Left)
+		if u.Remaining > 0 {
+			r.ends = p.now.Add(u.Remaining)
 		}
 		p.take(r, w)
 	}
