--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -82,7 +82,7 @@
 	w.Rule = l.ruleNow(row)
 	w.Since, w.Avoid, w.Failed, w.Back = a.Since, a.Avoid, a.Failed, a.Back
 	w.Declared = w.Size
-	w.Size, w.Time = l.corrected(w), l.Estimates.Time(w.Row, w.Time)
+	w.Size, w.RunTime = l.corrected(w), l.Estimates.Time(w.Row, w.RunTime)
 	if a.Apart {
 		w.Size = l.apart(w)
 	}
@@ -94,7 +94,7 @@
 	row, _ := l.Row(s.Row)
 	return place.Request{
 		Job: s.ID, Row: s.Row, Team: row.Team, Class: s.Class, Size: s.Size, Tasks: tasks, Gang: s.Gang,
-		Spread: row.Kind == table.Service, Time: s.Time.Duration, Rule: l.rule(row),
+		Spread: row.Kind == table.Service, RunTime: s.Time.Duration, Rule: l.rule(row),
 	}
 }
 
--- a/internal/measure/jobs.go
+++ b/internal/measure/jobs.go
@@ -202,11 +202,11 @@
 func (r *jobRun) want(t *jobTask) {
 	row := r.Rows[t.row]
 	w := place.Request{
-		Job: t.id, Row: fmt.Sprint(t.row), Class: row.Class, Size: t.declared, Time: row.Time, Tasks: []string{t.id},
+		Job: t.id, Row: fmt.Sprint(t.row), Class: row.Class, Size: t.declared, RunTime: row.Time, Tasks: []string{t.id},
 		Since: t.came, Avoid: t.avoid, Rule: place.Rule{Weight: 1},
 	}
 	if r.est != nil {
-		w.Size, w.Time = r.est.Size(w.Row, w.Size), r.est.Time(w.Row, w.Time)
+		w.Size, w.RunTime = r.est.Size(w.Row, w.Size), r.est.Time(w.Row, w.RunTime)
 	}
 	r.waiting[t.id] = true
 	r.step(w)
--- a/internal/place/declared_test.go
+++ b/internal/place/declared_test.go
@@ -19,7 +19,7 @@
 // workers, and those that are left hold it only as it was declared.
 func TestCorrectedSizeIsGivenUpWhenWorkersGo(t *testing.T) {
 	p := fleet(place.DefaultLimits, 3)
-	p.Step(now, place.Request{Job: "x", Row: "other", Class: cell.Normal, Size: cores(3), Tasks: tasks("x", 2), Time: time.Second})
+	p.Step(now, place.Request{Job: "x", Row: "other", Class: cell.Normal, Size: cores(3), Tasks: tasks("x", 2), RunTime: time.Second})
 	require.Empty(t, puts(p.Step(now, corrected())))
 	p.Step(now, place.Down{Worker: "w02"})
 	p.Step(now, place.Down{Worker: "w01"})
@@ -32,7 +32,7 @@
 // it only as it was declared.
 func TestCorrectedSizeIsGivenUpBesideTasksThatLast(t *testing.T) {
 	p := fleet(place.DefaultLimits, 2)
-	p.Step(now, place.Request{Job: "x", Row: "watch", Class: cell.Normal, Size: cores(1), Tasks: tasks("x", 1), Time: time.Hour})
+	p.Step(now, place.Request{Job: "x", Row: "watch", Class: cell.Normal, Size: cores(1), Tasks: tasks("x", 1), RunTime: time.Hour})
 	require.Empty(t, puts(p.Step(now, corrected())))
 	require.Len(t, puts(p.Step(now.Add(2*time.Second), place.Tick{})), 4)
 }
--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -28,7 +28,7 @@
 	if e.Class == cell.Urgent && p.urgent.size.Share(p.whole) < p.limits.UrgentCap {
 		return true
 	}
-	return e.Time > 0 && !p.now.Add(e.Time).After(w.mark.from)
+	return e.RunTime > 0 && !p.now.Add(e.RunTime).After(w.mark.from)
 }
 
 func (p *Placer) keep(e *entry, w *worker, from time.Time) {
--- a/internal/place/messages.go
+++ b/internal/place/messages.go
@@ -53,8 +53,8 @@
 	// Spread puts the row's tasks on as many racks as there are, so that a
 	// rack that fails does not take a whole service along.
 	Spread bool
-	// Time is how long one task is expected to run; zero is not known.
-	Time time.Duration
+	// RunTime is how long one task is expected to run; zero is not known.
+	RunTime time.Duration
 	// Since is when the job was accepted; zero means now.
 	Since time.Time
 	// Avoid are workers that these tasks have failed on, the last time at Failed. They go back to one
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -271,8 +271,8 @@
 func (p *Placer) put(e *entry, w *worker) {
 	task := p.queue.pop(e)
 	r := &room{task: task, row: e.Row, team: e.Team, class: e.Class, size: e.Size, began: p.now}
-	if e.Time > 0 {
-		r.ends = p.now.Add(e.Time)
+	if e.RunTime > 0 {
+		r.ends = p.now.Add(e.RunTime)
 	}
 	p.take(r, w)
 	p.tried(w)
--- a/internal/place/policy_test.go
+++ b/internal/place/policy_test.go
@@ -93,9 +93,9 @@
 		}
 		for i := range 8 {
 			job := fmt.Sprintf("first%d", i)
-			note(p.Step(at, place.Request{Job: job, Row: "r", Class: flood, Size: cores(1), Time: run, Tasks: tasks(job, 1)}))
+			note(p.Step(at, place.Request{Job: job, Row: "r", Class: flood, Size: cores(1), RunTime: run, Tasks: tasks(job, 1)}))
 		}
-		p.Step(at, place.Request{Job: "big", Row: "big", Class: class, Size: cores(4), Time: run, Tasks: tasks("big", 1)})
+		p.Step(at, place.Request{Job: "big", Row: "big", Class: class, Size: cores(4), RunTime: run, Tasks: tasks("big", 1)})
 		started := false
 		for i := 0; !started && at.Before(now.Add(5*time.Minute)); i++ {
 			at = at.Add(time.Second)
@@ -107,7 +107,7 @@
 				}
 			}
 			job := fmt.Sprintf("flood%d", i)
-			started = note(p.Step(at, place.Request{Job: job, Row: "r", Class: flood, Size: cores(1), Time: run, Tasks: tasks(job, 1)})) || started
+			started = note(p.Step(at, place.Request{Job: job, Row: "r", Class: flood, Size: cores(1), RunTime: run, Tasks: tasks(job, 1)})) || started
 		}
 		require.True(t, started, class)
 		require.LessOrEqual(t, at.Sub(now), time.Minute+run+2*time.Second, class)
@@ -128,9 +128,9 @@
 			started = started || a.Task == "bulk.0"
 		}
 	}
-	flood := place.Request{Job: "f", Row: "f", Class: cell.Normal, Size: cores(1), Time: 10 * time.Second, Tasks: tasks("f", 1000)}
+	flood := place.Request{Job: "f", Row: "f", Class: cell.Normal, Size: cores(1), RunTime: 10 * time.Second, Tasks: tasks("f", 1000)}
 	note(p.Step(now, flood))
-	note(p.Step(now, place.Request{Job: "bulk", Row: "b", Class: cell.Bulk, Size: cores(1), Time: time.Second, Tasks: tasks("bulk", 1)}))
+	note(p.Step(now, place.Request{Job: "bulk", Row: "b", Class: cell.Bulk, Size: cores(1), RunTime: time.Second, Tasks: tasks("bulk", 1)}))
 	waited := time.Duration(0)
 	for ; !started && waited < 5*time.Minute; waited += 10 * time.Second {
 		at := now.Add(waited)
@@ -150,10 +150,10 @@
 func TestJobAtItsLimitIsNotTheOverdueOne(t *testing.T) {
 	limits := place.Limits{Overdue: map[cell.Class]time.Duration{cell.Normal: time.Minute}}
 	p := fleet(limits, 1)
-	small := place.Request{Job: "s", Row: "s", Class: cell.Normal, Size: cores(1), Time: time.Hour, Tasks: tasks("s", 1000), Rule: place.Rule{Weight: 1}}
-	p.Step(now, place.Request{Job: "l", Row: "l", Class: cell.Normal, Size: cores(1), Tasks: tasks("l", 2), Rule: place.Rule{MaxTasks: 1}, Time: time.Hour, Since: now.Add(-2 * time.Second)})
+	small := place.Request{Job: "s", Row: "s", Class: cell.Normal, Size: cores(1), RunTime: time.Hour, Tasks: tasks("s", 1000), Rule: place.Rule{Weight: 1}}
+	p.Step(now, place.Request{Job: "l", Row: "l", Class: cell.Normal, Size: cores(1), Tasks: tasks("l", 2), Rule: place.Rule{MaxTasks: 1}, RunTime: time.Hour, Since: now.Add(-2 * time.Second)})
 	p.Step(now, small)
-	p.Step(now, place.Request{Job: "big", Row: "big", Class: cell.Normal, Size: cores(3), Tasks: tasks("big", 1), Time: time.Hour, Since: now.Add(-time.Second)})
+	p.Step(now, place.Request{Job: "big", Row: "big", Class: cell.Normal, Size: cores(3), Tasks: tasks("big", 1), RunTime: time.Hour, Since: now.Add(-time.Second)})
 	p.Step(now.Add(2*time.Minute), place.Tick{})
 	for i := range 3 {
 		got := puts(p.Step(now.Add(2*time.Minute), place.Freed{Task: fmt.Sprintf("s.%d", i)}))
@@ -169,15 +169,15 @@
 // would wait for each other for ever; the older one goes, then the other.
 func TestTwoGangsDoNotLockEachOther(t *testing.T) {
 	p := fleet(place.Limits{Overdue: map[cell.Class]time.Duration{cell.Normal: time.Second}}, 2)
-	p.Step(now, place.Request{Job: "x", Row: "r", Class: cell.Normal, Size: cores(2), Tasks: tasks("x", 2), Time: time.Minute})
+	p.Step(now, place.Request{Job: "x", Row: "r", Class: cell.Normal, Size: cores(2), Tasks: tasks("x", 2), RunTime: time.Minute})
 	for _, job := range []string{"a", "b"} {
-		require.Empty(t, p.Step(now, place.Request{Job: job, Row: job, Class: cell.Normal, Size: cores(2), Tasks: tasks(job, 3), Gang: true, Time: time.Minute}))
+		require.Empty(t, p.Step(now, place.Request{Job: job, Row: job, Class: cell.Normal, Size: cores(2), Tasks: tasks(job, 3), Gang: true, RunTime: time.Minute}))
 	}
 	at := now.Add(2 * time.Second)
 	p.Step(at, place.Tick{})
-	long := place.Request{Job: "long", Row: "r", Class: cell.Normal, Size: cores(1), Tasks: tasks("long", 1), Time: time.Hour}
+	long := place.Request{Job: "long", Row: "r", Class: cell.Normal, Size: cores(1), Tasks: tasks("long", 1), RunTime: time.Hour}
 	require.Empty(t, p.Step(at, long), "room kept for the oldest gang")
-	short := place.Request{Job: "short", Row: "r", Class: cell.Normal, Size: cores(1), Tasks: tasks("short", 1), Time: time.Second}
+	short := place.Request{Job: "short", Row: "r", Class: cell.Normal, Size: cores(1), Tasks: tasks("short", 1), RunTime: time.Second}
 	require.Len(t, p.Step(at, short), 1, "short work backfills")
 	p.Step(at, place.Freed{Task: "short.0"})
 	first := puts(p.Step(at, place.Freed{Task: "x.0"}))
@@ -314,7 +314,7 @@
 				w := place.Request{
 					Job: job, Row: rapid.SampledFrom([]string{"r", "s"}).Draw(t, "row"), Class: rapid.SampledFrom(cell.Classes).Draw(t, "class"),
 					Size: cell.Size{CPU: rapid.Int64Range(700, 4000).Draw(t, "cpu"), Mem: rapid.Int64Range(1, 4*gib).Draw(t, "mem")}, Tasks: tasks(job, rapid.IntRange(1, 4).Draw(t, "tasks")),
-					Gang: rapid.Bool().Draw(t, "gang"), Spread: rapid.Bool().Draw(t, "spread"), Time: time.Second,
+					Gang: rapid.Bool().Draw(t, "gang"), Spread: rapid.Bool().Draw(t, "spread"), RunTime: time.Second,
 				}
 				for _, name := range w.Tasks {
 					sizes[name] = w.Size
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -120,12 +120,12 @@
 		}
 	}
 	l := q.lane(w)
-	key := shapeKey{laneKey: laneKey{class: w.Class, row: w.Row, team: w.Team}, size: w.Size, time: w.Time}
+	key := shapeKey{laneKey: laneKey{class: w.Class, row: w.Row, team: w.Team}, size: w.Size, time: w.RunTime}
 	// Work that cannot be tried together with other work gets its own shape.
 	own := w.Gang || w.Spread || len(w.Avoid) > 0
 	s, ok := q.shapes[key]
 	if own || !ok {
-		s = &shape{lane: l, size: w.Size, time: w.Time}
+		s = &shape{lane: l, size: w.Size, time: w.RunTime}
 		l.shapes = append(l.shapes, s)
 		l.ready = append(l.ready, s)
 	}
