--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -300,7 +300,7 @@
 // mayReturn tells whether the entry's tasks may be put on a worker that they have failed on. Tried
 // there again at once, they would spend all their tries on a worker that fails everything.
 func (p *Placer) mayReturn(w *worker, e *entry) bool {
-	return !slices.Contains(e.Avoid, w.name) || !p.now.Before(e.Back) || w.good.After(e.Failed)
+	return !slices.Contains(e.Avoid, w.name) || !p.now.Before(e.Back) || w.good.After(e.LastFailed)
 }
 
 // wakeReturning has work tried that may go back now to the workers that it has failed on.
