--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -80,7 +80,7 @@
 	row, _ := l.Row(a.Spec.Row)
 	w := l.wantOf(a.Spec, a.Tasks)
 	w.Rule = l.ruleNow(row)
-	w.Since, w.Avoid, w.LastFailed, w.Back = a.Since, a.Avoid, a.Failed, a.Back
+	w.Since, w.Avoid, w.LastFailed, w.AvoidUntil = a.Since, a.Avoid, a.Failed, a.Back
 	w.Declared = w.Size
 	w.Size, w.RunTime = l.corrected(w), l.Estimates.Time(w.Row, w.RunTime)
 	if a.Apart {
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -300,17 +300,17 @@
 // mayReturn tells whether the entry's tasks may be put on a worker that they have failed on. Tried
 // there again at once, they would spend all their tries on a worker that fails everything.
 func (p *Placer) mayReturn(w *worker, e *entry) bool {
-	return !slices.Contains(e.Avoid, w.name) || !p.now.Before(e.Back) || w.good.After(e.LastFailed)
+	return !slices.Contains(e.Avoid, w.name) || !p.now.Before(e.AvoidUntil) || w.good.After(e.LastFailed)
 }
 
 // wakeReturning has work tried that may go back now to the workers that it has failed on.
 func (p *Placer) wakeReturning() {
 	p.queue.wake(func(s *shape) bool {
 		e := s.head()
-		if e.Back.IsZero() || p.now.Before(e.Back) {
+		if e.AvoidUntil.IsZero() || p.now.Before(e.AvoidUntil) {
 			return false
 		}
-		e.Back = time.Time{}
+		e.AvoidUntil = time.Time{}
 		return true
 	})
 }
