--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -41,8 +41,8 @@
 
 func (l *Lead) preempt(a place.Preempt) {
 	l.Count("lead.preempted")
-	l.Log.Info("lead: task is stopped for others.", "task", a.Task, "worker", a.Worker, "why", a.Why)
-	l.note(jobOf(a.Task), "stop of "+a.Task+" on "+a.Worker+": "+a.Why)
+	l.Log.Info("lead: task is stopped for others.", "task", a.Task, "worker", a.Worker, "why", a.Reason)
+	l.note(jobOf(a.Task), "stop of "+a.Task+" on "+a.Worker+": "+a.Reason)
 	l.job(job.Preempt{Task: a.Task})
 }
 
--- a/internal/place/messages.go
+++ b/internal/place/messages.go
@@ -121,7 +121,7 @@
 
 // Preempt asks that a task is checkpointed, stopped and queued again. Its
 // room stays taken until Freed.
-type Preempt struct{ Task, Worker, Why string }
+type Preempt struct{ Task, Worker, Reason string }
 
 // Throttle asks that a task is held to Share of the processors it asked for.
 type Throttle struct {
--- a/internal/place/preempt.go
+++ b/internal/place/preempt.go
@@ -34,7 +34,7 @@
 	p.keep(e, best, p.now)
 	for _, r := range victims {
 		r.leaving = true
-		p.do(Preempt{Task: r.task, Worker: best.name, Why: "urgent job " + e.Job + " found no room"})
+		p.do(Preempt{Task: r.task, Worker: best.name, Reason: "urgent job " + e.Job + " found no room"})
 	}
 }
 
@@ -88,7 +88,7 @@
 		}
 		r.leaving = true
 		free = free.Add(r.seen)
-		p.do(Preempt{Task: r.task, Worker: w.name, Why: "tasks use more memory than the worker has"})
+		p.do(Preempt{Task: r.task, Worker: w.name, Reason: "tasks use more memory than the worker has"})
 	}
 }
 
