--- a/internal/place/health.go
+++ b/internal/place/health.go
@@ -115,7 +115,7 @@
 			aside++
 		}
 	}
-	return float64(aside) <= p.limits.Aside*float64(len(p.workers))
+	return float64(aside) <= p.limits.MaxQuarantined*float64(len(p.workers))
 }
 
 func (p *Placer) judgeTrial(w *worker, failed bool) {
--- a/internal/place/health_test.go
+++ b/internal/place/health_test.go
@@ -183,7 +183,7 @@
 // The one worker that a gang cannot do without is set aside for its failures. The gang is its trial.
 func TestGangIsTheTrialOfAWorkerThatItCannotDoWithout(t *testing.T) {
 	l := place.DefaultLimits
-	l.Aside = 0.5
+	l.MaxQuarantined = 0.5
 	p := fleet(l, 2)
 	for range 3 {
 		results(p, now, "r", false, "w01")
@@ -198,7 +198,7 @@
 // went well, and the worker is let alone for ten minutes; whoever needs its room waits beside it.
 func TestATrialThatLastsDoesNotKeepAWorkerAside(t *testing.T) {
 	l := place.DefaultLimits
-	l.Aside = 0.5
+	l.MaxQuarantined = 0.5
 	p := fleet(l, 2)
 	for range 3 {
 		results(p, now, "r", false, "w01")
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -22,19 +22,19 @@
 	// UrgentCap is the share of all room up to which urgent tasks may take
 	// room that is kept for an overdue job.
 	UrgentCap float64
-	// Aside is the largest share of the workers that may be set aside.
-	Aside float64
+	// MaxQuarantined is the largest share of the workers that may be set aside.
+	MaxQuarantined float64
 	// Trial is how long a worker set aside waits for its next trial.
 	Trial time.Duration
 }
 
 // DefaultLimits suit both users.
 var DefaultLimits = Limits{
-	Reserve:   0.1,
-	Overdue:   map[cell.Class]time.Duration{cell.Urgent: 2 * time.Second, cell.Normal: time.Minute, cell.Bulk: 10 * time.Minute},
-	UrgentCap: 0.8,
-	Aside:     0.25,
-	Trial:     10 * time.Second,
+	Reserve:        0.1,
+	Overdue:        map[cell.Class]time.Duration{cell.Urgent: 2 * time.Second, cell.Normal: time.Minute, cell.Bulk: 10 * time.Minute},
+	UrgentCap:      0.8,
+	MaxQuarantined: 0.25,
+	Trial:          10 * time.Second,
 }
 
 // Placer is the placement core of one host.
