--- a/internal/place/health.go
+++ b/internal/place/health.go
@@ -88,7 +88,7 @@
 		return
 	}
 	if ev.Failed && p.unexplained(w) >= excess && p.mayAside() {
-		h.aside, h.trial, h.wait = true, false, p.limits.Trial
+		h.aside, h.trial, h.wait = true, false, p.limits.TrialInterval
 		h.next = p.now.Add(h.wait)
 		p.sort(w)
 		p.do(Quarantined{Worker: w.name})
--- a/internal/place/health_test.go
+++ b/internal/place/health_test.go
@@ -47,15 +47,15 @@
 	require.Equal(t, []place.Action{place.Quarantined{Worker: "w00"}}, acts)
 	on := puts(p.Step(at, place.Request{Job: "j", Row: "r", Size: cores(4), Tasks: tasks("j", 8)}))
 	require.Len(t, on, 7)
-	at = at.Add(place.DefaultLimits.Trial + time.Second)
+	at = at.Add(place.DefaultLimits.TrialInterval + time.Second)
 	trial := puts(p.Step(at, place.Tick{}))
 	require.Equal(t, map[string]string{"j.7": "w00"}, trial)
 	p.Step(at, place.Request{Job: "k", Row: "r", Size: cores(1), Tasks: tasks("k", 1)})
 	require.Empty(t, puts(p.Step(at, place.Freed{Task: "j.7"})), "one trial at a time")
 	results(p, at, "r", true, "w00")
-	at = at.Add(place.DefaultLimits.Trial + time.Second)
+	at = at.Add(place.DefaultLimits.TrialInterval + time.Second)
 	require.Empty(t, puts(p.Step(at, place.Tick{})), "a failed trial doubles the wait")
-	at = at.Add(place.DefaultLimits.Trial)
+	at = at.Add(place.DefaultLimits.TrialInterval)
 	require.Equal(t, map[string]string{"k.0": "w00"}, puts(p.Step(at, place.Tick{})))
 	results(p, at, "r", false, "w00")
 	require.Contains(t, results(p, at, "r", false, "w00"), place.Restored{Worker: "w00"})
@@ -191,7 +191,7 @@
 	require.Contains(t, results(p, now, "r", true, "w00", "w00", "w00"), place.Quarantined{Worker: "w00"})
 	gang := place.Request{Job: "g", Row: "r", Size: cores(1), Tasks: tasks("g", 6), Gang: true, Avoid: []string{"w00"}}
 	require.Empty(t, puts(p.Step(now, gang)))
-	require.Len(t, puts(p.Step(now.Add(l.Trial+time.Second), place.Tick{})), 6)
+	require.Len(t, puts(p.Step(now.Add(l.TrialInterval+time.Second), place.Tick{})), 6)
 }
 
 // A worker was mended, and its trial is a task that lasts for hours. Nothing tells that the trial
@@ -206,11 +206,11 @@
 	require.Contains(t, results(p, now, "r", true, "w00", "w00", "w00"), place.Quarantined{Worker: "w00"})
 	p.Step(now, place.Request{Job: "x", Row: "r", Size: cores(4), Tasks: tasks("x", 1)})
 	p.Step(now, place.Request{Job: "watch", Row: "r", Size: cores(1), Tasks: tasks("watch", 1)})
-	at := now.Add(l.Trial + time.Second)
+	at := now.Add(l.TrialInterval + time.Second)
 	require.Equal(t, map[string]string{"watch.0": "w00"}, puts(p.Step(at, place.Tick{})))
 	p.Step(at, place.Freed{Task: "x.0"})
 	gang := place.Request{Job: "g", Row: "r", Size: cores(1), Tasks: tasks("g", 6), Gang: true, Avoid: []string{"w00"}}
 	require.Empty(t, puts(p.Step(at, gang)))
-	require.Empty(t, puts(p.Step(at.Add(l.Trial-time.Second), place.Tick{})), "one trial at a time")
-	require.Len(t, puts(p.Step(at.Add(2*l.Trial+time.Second), place.Tick{})), 6)
+	require.Empty(t, puts(p.Step(at.Add(l.TrialInterval-time.Second), place.Tick{})), "one trial at a time")
+	require.Len(t, puts(p.Step(at.Add(2*l.TrialInterval+time.Second), place.Tick{})), 6)
 }
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -24,8 +24,8 @@
 	UrgentCap float64
 	// MaxQuarantined is the largest share of the workers that may be set aside.
 	MaxQuarantined float64
-	// Trial is how long a worker set aside waits for its next trial.
-	Trial time.Duration
+	// TrialInterval is how long a worker set aside waits for its next trial.
+	TrialInterval time.Duration
 }
 
 // DefaultLimits suit both users.
@@ -34,7 +34,7 @@
 	Overdue:        map[cell.Class]time.Duration{cell.Urgent: 2 * time.Second, cell.Normal: time.Minute, cell.Bulk: 10 * time.Minute},
 	UrgentCap:      0.8,
 	MaxQuarantined: 0.25,
-	Trial:          10 * time.Second,
+	TrialInterval:  10 * time.Second,
 }
 
 // Placer is the placement core of one host.
