--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -14,8 +14,8 @@
 
 // Limits set the policy that is not in the table.
 type Limits struct {
-	// Reserve is the share of all room that bulk tasks may not take.
-	Reserve float64
+	// UrgentReserve is the share of all room that bulk tasks may not take.
+	UrgentReserve float64
 	// Overdue is how long the oldest job of each class may wait before room
 	// is kept for it. Zero means never.
 	Overdue map[cell.Class]time.Duration
@@ -30,7 +30,7 @@
 
 // DefaultLimits suit both users.
 var DefaultLimits = Limits{
-	Reserve:        0.1,
+	UrgentReserve:  0.1,
 	Overdue:        map[cell.Class]time.Duration{cell.Urgent: 2 * time.Second, cell.Normal: time.Minute, cell.Bulk: 10 * time.Minute},
 	UrgentCap:      0.8,
 	MaxQuarantined: 0.25,
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -29,7 +29,7 @@
 // A night's bulk work fills the hall. The last part of the room stays free, so
 // that an urgent task starts at once.
 func TestBulkLeavesTheReserve(t *testing.T) {
-	p := place.New(place.Limits{Reserve: 0.25})
+	p := place.New(place.Limits{UrgentReserve: 0.25})
 	up(p, "w1")
 	bulk := place.Request{Job: "j", Row: "badges", Class: cell.Bulk, Size: cell.Size{CPU: 1000, Mem: 1 << 20}, Tasks: []string{"a", "b", "c", "d"}}
 	require.Len(t, p.Step(now, bulk), 3)
@@ -72,7 +72,7 @@
 
 // Bulk leaves a part of all room free, and that part follows the workers' sizes.
 func TestTheReserveFollowsSizes(t *testing.T) {
-	p := fleet(place.Limits{Reserve: 0.25}, 1)
+	p := fleet(place.Limits{UrgentReserve: 0.25}, 1)
 	require.Len(t, puts(p.Step(now, place.Request{Job: "bulk", Row: "s", Class: cell.Bulk, Size: cores(1), Tasks: tasks("bulk", 9)})), 3)
 	require.Len(t, puts(p.Step(now, place.WorkerResized{Worker: "w00", Size: cores(8)})), 3)
 	p.Step(now, place.WorkerResized{Worker: "w00", Size: cores(4)})
--- a/internal/place/policy_test.go
+++ b/internal/place/policy_test.go
@@ -118,7 +118,7 @@
 // is never whole and a bulk job would wait for ever behind it. Once it is
 // overdue the normal work has to leave room for it and for the reserve.
 func TestOverdueBulkIsNotLockedOutByTheReserve(t *testing.T) {
-	limits := place.Limits{Reserve: 0.25, Overdue: map[cell.Class]time.Duration{cell.Bulk: time.Minute}}
+	limits := place.Limits{UrgentReserve: 0.25, Overdue: map[cell.Class]time.Duration{cell.Bulk: time.Minute}}
 	p := fleet(limits, 8)
 	var running []string
 	started := false
