--- a/internal/place/declared_test.go
+++ b/internal/place/declared_test.go
@@ -44,7 +44,7 @@
 	p.Step(now, place.Up{Worker: "w01", Rack: "r0", Size: cores(4)})
 	require.Empty(t, puts(p.Step(now, corrected())))
 	require.Empty(t, puts(p.Step(now.Add(30*time.Second), place.Tick{})), "the room may come free")
-	over := now.Add(place.DefaultLimits.Overdue[cell.Normal] + time.Second)
+	over := now.Add(place.DefaultLimits.OverdueAfter[cell.Normal] + time.Second)
 	started := puts(p.Step(over, place.Tick{}))
 	for at := over; len(started) == 0 && at.Before(over.Add(5*time.Second)); at = at.Add(time.Second) {
 		started = puts(p.Step(at, place.Tick{}))
--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -134,7 +134,7 @@
 		for _, l := range lanes {
 			for _, s := range l.shapes {
 				e := s.head()
-				limit := p.limits.Overdue[l.class]
+				limit := p.limits.OverdueAfter[l.class]
 				if e == nil || limit == 0 || s.blocked.limit() {
 					continue
 				}
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -16,9 +16,9 @@
 type Limits struct {
 	// UrgentReserve is the share of all room that bulk tasks may not take.
 	UrgentReserve float64
-	// Overdue is how long the oldest job of each class may wait before room
+	// OverdueAfter is how long the oldest job of each class may wait before room
 	// is kept for it. Zero means never.
-	Overdue map[cell.Class]time.Duration
+	OverdueAfter map[cell.Class]time.Duration
 	// UrgentCap is the share of all room up to which urgent tasks may take
 	// room that is kept for an overdue job.
 	UrgentCap float64
@@ -31,7 +31,7 @@
 // DefaultLimits suit both users.
 var DefaultLimits = Limits{
 	UrgentReserve:  0.1,
-	Overdue:        map[cell.Class]time.Duration{cell.Urgent: 2 * time.Second, cell.Normal: time.Minute, cell.Bulk: 10 * time.Minute},
+	OverdueAfter:   map[cell.Class]time.Duration{cell.Urgent: 2 * time.Second, cell.Normal: time.Minute, cell.Bulk: 10 * time.Minute},
 	UrgentCap:      0.8,
 	MaxQuarantined: 0.25,
 	TrialInterval:  10 * time.Second,
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -47,7 +47,7 @@
 
 // Guards against room kept idle on a worker that has become too small for it.
 func TestRoomKeptOnAWorkerThatShrankIsGivenUp(t *testing.T) {
-	p := fleet(place.Limits{Overdue: map[cell.Class]time.Duration{cell.Normal: time.Minute}}, 2)
+	p := fleet(place.Limits{OverdueAfter: map[cell.Class]time.Duration{cell.Normal: time.Minute}}, 2)
 	p.Step(now, place.Request{Job: "x", Row: "r", Class: cell.Normal, Size: cores(2), Tasks: tasks("x", 2), RunTime: time.Hour, Spread: true})
 	require.Empty(t, puts(p.Step(now, place.Request{Job: "big", Row: "s", Class: cell.Normal, Size: cores(4), Tasks: tasks("big", 2), Gang: true})))
 	at := now.Add(2 * time.Minute)
--- a/internal/place/policy_test.go
+++ b/internal/place/policy_test.go
@@ -73,7 +73,7 @@
 // longer than its class's time and the longest task that runs then.
 func TestNoClassStarves(t *testing.T) {
 	for _, class := range cell.Classes {
-		limits := place.Limits{Overdue: map[cell.Class]time.Duration{class: time.Minute}}
+		limits := place.Limits{OverdueAfter: map[cell.Class]time.Duration{class: time.Minute}}
 		p := fleet(limits, 1)
 		const run = 10 * time.Second
 		at := now
@@ -118,7 +118,7 @@
 // is never whole and a bulk job would wait for ever behind it. Once it is
 // overdue the normal work has to leave room for it and for the reserve.
 func TestOverdueBulkIsNotLockedOutByTheReserve(t *testing.T) {
-	limits := place.Limits{UrgentReserve: 0.25, Overdue: map[cell.Class]time.Duration{cell.Bulk: time.Minute}}
+	limits := place.Limits{UrgentReserve: 0.25, OverdueAfter: map[cell.Class]time.Duration{cell.Bulk: time.Minute}}
 	p := fleet(limits, 8)
 	var running []string
 	started := false
@@ -148,7 +148,7 @@
 // A job waits for its row's limit for hours. It must not take the place of the
 // one overdue job that room is kept for: all other old jobs would starve.
 func TestJobAtItsLimitIsNotTheOverdueOne(t *testing.T) {
-	limits := place.Limits{Overdue: map[cell.Class]time.Duration{cell.Normal: time.Minute}}
+	limits := place.Limits{OverdueAfter: map[cell.Class]time.Duration{cell.Normal: time.Minute}}
 	p := fleet(limits, 1)
 	small := place.Request{Job: "s", Row: "s", Class: cell.Normal, Size: cores(1), RunTime: time.Hour, Tasks: tasks("s", 1000), Rule: place.Rule{Weight: 1}}
 	p.Step(now, place.Request{Job: "l", Row: "l", Class: cell.Normal, Size: cores(1), Tasks: tasks("l", 2), Rule: place.Rule{MaxTasks: 1}, RunTime: time.Hour, Since: now.Add(-2 * time.Second)})
@@ -168,7 +168,7 @@
 // Two all-at-once jobs each need most of the workers. If each held a part they
 // would wait for each other for ever; the older one goes, then the other.
 func TestTwoGangsDoNotLockEachOther(t *testing.T) {
-	p := fleet(place.Limits{Overdue: map[cell.Class]time.Duration{cell.Normal: time.Second}}, 2)
+	p := fleet(place.Limits{OverdueAfter: map[cell.Class]time.Duration{cell.Normal: time.Second}}, 2)
 	p.Step(now, place.Request{Job: "x", Row: "r", Class: cell.Normal, Size: cores(2), Tasks: tasks("x", 2), RunTime: time.Minute})
 	for _, job := range []string{"a", "b"} {
 		require.Empty(t, p.Step(now, place.Request{Job: job, Row: job, Class: cell.Normal, Size: cores(2), Tasks: tasks(job, 3), Gang: true, RunTime: time.Minute}))
