--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -240,7 +240,7 @@
 	if l.Jobs.Waits(id) {
 		notes = append(notes, trail.Note{At: l.Clock(), ID: id, Part: "lead", What: "waits for its census: " + l.Takeover.Missing(l.Clock(), id)})
 	}
-	if aside := l.Placer.Asides(); len(notes) > 0 && len(aside) > 0 {
+	if aside := l.Placer.QuarantinedWorkers(); len(notes) > 0 && len(aside) > 0 {
 		notes = append(notes, trail.Note{At: l.Clock(), ID: id, Part: "place", What: fmt.Sprintf("workers set aside: %v", aside)})
 	}
 	return notes
--- a/internal/place/health_test.go
+++ b/internal/place/health_test.go
@@ -97,7 +97,7 @@
 		acts = append(acts, results(p, now, "r", true, names(0, 5)...)...)
 	}
 	require.Len(t, only[place.Quarantined](acts), 2)
-	require.Equal(t, []string{"w00", "w01"}, p.Asides())
+	require.Equal(t, []string{"w00", "w01"}, p.QuarantinedWorkers())
 }
 
 // A task uses more than it asked for and its worker is overfull. Processors
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -392,8 +392,8 @@
 	return ok && r.worker.name == worker
 }
 
-// Asides lists the workers set aside, in order of name.
-func (p *Placer) Asides() []string {
+// QuarantinedWorkers lists the workers set aside, in order of name.
+func (p *Placer) QuarantinedWorkers() []string {
 	var all []string
 	for _, w := range p.inNameOrder() {
 		if w.health.aside {
