--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -219,7 +219,7 @@
 // grown books a task of a job that is not led here, of which nobody knows what
 // was declared: its room never shrinks.
 func (l *Lead) grown(t lease.Task) {
-	if room, ok := l.Placer.Room(t.ID); ok && t.Use != (cell.Size{}) {
+	if room, ok := l.Placer.AllocatedSize(t.ID); ok && t.Use != (cell.Size{}) {
 		size := cell.Size{CPU: max(room.CPU, t.Use.CPU), Mem: max(room.Mem, t.Use.Mem), Accel: room.Accel}
 		l.place(place.TaskResized{Task: t.ID, Size: size, Use: t.Use})
 	}
--- a/internal/lead/start.go
+++ b/internal/lead/start.go
@@ -31,7 +31,7 @@
 		}
 	}
 	l.note(a.Spec.ID, "start of "+a.Task+" sent to "+a.Worker)
-	size, ok := l.Placer.Room(a.Task)
+	size, ok := l.Placer.AllocatedSize(a.Task)
 	if !ok {
 		size = a.Spec.Size
 	}
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -377,8 +377,8 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// Room returns the room that a task takes; false if it takes none.
-func (p *Placer) Room(task string) (cell.Size, bool) {
+// AllocatedSize returns the room that a task takes; false if it takes none.
+func (p *Placer) AllocatedSize(task string) (cell.Size, bool) {
 	r, ok := p.taken[task]
 	if !ok {
 		return cell.Size{}, false
