--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -22,7 +22,7 @@
 	for _, a := range l.Placer.Step(l.Clock(), ev) {
 		switch a := a.(type) {
 		case place.Assign:
-			if l.Placer.Holds(a.Task, a.Worker) {
+			if l.Placer.IsAssigned(a.Task, a.Worker) {
 				l.job(job.Put{Task: a.Task, Worker: a.Worker})
 			}
 		case place.Preempt:
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -386,8 +386,8 @@
 	return r.size, true
 }
 
-// Holds tells whether a task has its room on that worker.
-func (p *Placer) Holds(task, worker string) bool {
+// IsAssigned tells whether a task has its room on that worker.
+func (p *Placer) IsAssigned(task, worker string) bool {
 	r, ok := p.taken[task]
 	return ok && r.worker.name == worker
 }
