--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -176,7 +176,7 @@
 
 func (l *Lead) never(spec job.Spec) error {
 	w := l.wantOf(spec, make([]string, spec.Tasks))
-	var never *place.NeverError
+	var never *place.InfeasibleError
 	if errors.As(l.Placer.Never(w), &never) {
 		l.Count("lead.never")
 		return &NeverError{Reason: never.Error()}
--- a/internal/place/policy_test.go
+++ b/internal/place/policy_test.go
@@ -282,7 +282,7 @@
 		{place.Request{Size: cores(1), Tasks: tasks("j", 9), Gang: true}, "tasks that all workers hold at once"},
 		{place.Request{Size: cell.Size{CPU: huge, Mem: huge}, Tasks: tasks("j", 4), Gang: true, Rule: place.Rule{Limit: cores(4)}}, "cpu of the row's room"},
 	} {
-		var never *place.NeverError
+		var never *place.InfeasibleError
 		require.ErrorAs(t, p.Never(c.want), &never)
 		require.Equal(t, c.limit, never.Limit)
 	}
