--- a/internal/lead/crash.go
+++ b/internal/lead/crash.go
@@ -46,7 +46,7 @@
 			alone.Size = size
 		}
 	}
-	if (alone.Size == cell.Size{}) || l.Placer.Never(alone) != nil {
+	if (alone.Size == cell.Size{}) || l.Placer.CheckFeasible(alone) != nil {
 		return w.Size
 	}
 	return alone.Size
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -104,7 +104,7 @@
 func (l *Lead) corrected(w place.Request) cell.Size {
 	declared := w.Size
 	w.Size = l.Estimates.Size(w.Row, declared)
-	if l.Placer.Never(w) != nil {
+	if l.Placer.CheckFeasible(w) != nil {
 		return declared
 	}
 	return w.Size
@@ -177,7 +177,7 @@
 func (l *Lead) never(spec job.Spec) error {
 	w := l.wantOf(spec, make([]string, spec.Tasks))
 	var never *place.InfeasibleError
-	if errors.As(l.Placer.Never(w), &never) {
+	if errors.As(l.Placer.CheckFeasible(w), &never) {
 		l.Count("lead.never")
 		return &NeverError{Reason: never.Error()}
 	}
--- a/internal/place/limits.go
+++ b/internal/place/limits.go
@@ -87,9 +87,9 @@
 	return fmt.Sprintf("can never run: needs %d of %s, there is %d", e.Needed, e.Limit, e.Has)
 }
 
-// Never returns a NeverError for a job that no end of other work could ever
+// CheckFeasible returns a NeverError for a job that no end of other work could ever
 // make room for, nil for one that can run or of which nothing is known yet.
-func (p *Placer) Never(w Request) error {
+func (p *Placer) CheckFeasible(w Request) error {
 	n := int64(len(w.Tasks))
 	if !w.Gang {
 		n = 1
--- a/internal/place/policy_test.go
+++ b/internal/place/policy_test.go
@@ -283,10 +283,10 @@
 		{place.Request{Size: cell.Size{CPU: huge, Mem: huge}, Tasks: tasks("j", 4), Gang: true, Rule: place.Rule{Limit: cores(4)}}, "cpu of the row's room"},
 	} {
 		var never *place.InfeasibleError
-		require.ErrorAs(t, p.Never(c.want), &never)
+		require.ErrorAs(t, p.CheckFeasible(c.want), &never)
 		require.Equal(t, c.limit, never.Limit)
 	}
-	require.NoError(t, p.Never(place.Request{Size: cores(4), Tasks: tasks("j", 8)}))
+	require.NoError(t, p.CheckFeasible(place.Request{Size: cores(4), Tasks: tasks("j", 8)}))
 }
 
 // Jobs come, end, grow and are cancelled in any order, and workers come and
