--- a/internal/place/limits.go
+++ b/internal/place/limits.go
@@ -79,12 +79,12 @@
 // InfeasibleError tells that a job can never run and names the nearest limit, what
 // is needed of it and what there is.
 type InfeasibleError struct {
-	Limit       string
-	Needed, Has int64
+	Limit             string
+	Needed, Available int64
 }
 
 func (e *InfeasibleError) Error() string {
-	return fmt.Sprintf("can never run: needs %d of %s, there is %d", e.Needed, e.Limit, e.Has)
+	return fmt.Sprintf("can never run: needs %d of %s, there is %d", e.Needed, e.Limit, e.Available)
 }
 
 // CheckFeasible returns a NeverError for a job that no end of other work could ever
@@ -99,7 +99,7 @@
 		has  int64
 	}{{"the row's tasks at a time", w.MaxTasks}, {"the team's tasks at a time", w.QuotaTasks}} {
 		if l.has != 0 && n > l.has {
-			return &InfeasibleError{Limit: l.name, Needed: n, Has: max(l.has, 0)}
+			return &InfeasibleError{Limit: l.name, Needed: n, Available: max(l.has, 0)}
 		}
 	}
 	together := times(w.Size, n)
@@ -130,7 +130,7 @@
 		return never("the largest worker", part, w.Size, p.index.most)
 	}
 	if w.Gang && holds < n {
-		return &InfeasibleError{Limit: "tasks that all workers hold at once", Needed: n, Has: holds}
+		return &InfeasibleError{Limit: "tasks that all workers hold at once", Needed: n, Available: holds}
 	}
 	return nil
 }
@@ -150,7 +150,7 @@
 func never(limit, part string, needed, has cell.Size) error {
 	parts := map[string][2]int64{"cpu": {needed.CPU, has.CPU}, "mem": {needed.Mem, has.Mem}, "accel": {needed.Accel, has.Accel}}
 	v := parts[part]
-	return &InfeasibleError{Limit: part + " of " + limit, Needed: v[0], Has: v[1]}
+	return &InfeasibleError{Limit: part + " of " + limit, Needed: v[0], Available: v[1]}
 }
 
 // copies is how many tasks of that size go into room.
