--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -231,7 +231,7 @@
 	defer l.mu.Unlock()
 	notes := l.Trail.Of(id)
 	for _, task := range l.Jobs.Waiting(id) {
-		if why, ok := l.Placer.Why(task); ok {
+		if why, ok := l.Placer.ExplainWait(task); ok {
 			notes = append(notes, trail.Note{At: l.Clock(), ID: id, Part: "place", What: why})
 			notes = append(notes, l.whyPutOff(id, task)...)
 			break
--- a/internal/place/explain.go
+++ b/internal/place/explain.go
@@ -15,8 +15,8 @@
 // String tells operators what the work waits for.
 func (b Block) String() string { return blockNames[b] }
 
-// Why tells why a job's waiting tasks wait; false when none waits here.
-func (p *Placer) Why(task string) (string, bool) {
+// ExplainWait tells why a job's waiting tasks wait; false when none waits here.
+func (p *Placer) ExplainWait(task string) (string, bool) {
 	e, ok := p.queue.tasks[task]
 	if !ok {
 		return "", false
--- a/internal/place/policy_test.go
+++ b/internal/place/policy_test.go
@@ -257,7 +257,7 @@
 		w := c.want
 		w.Job, w.Row, w.Team, w.Size, w.Tasks = "j", "r", "t", size, tasks("j", 3)
 		require.Len(t, p.Step(now, w), 2)
-		why, ok := p.Why("j.2")
+		why, ok := p.ExplainWait("j.2")
 		require.True(t, ok)
 		require.Contains(t, why, c.why)
 		require.Len(t, p.Step(now, place.Freed{Task: "j.0"}), 1)
