--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -130,7 +130,7 @@
 // keepCounted notes what ran of counted keys on a worker that is given up.
 func (l *Lead) keepCounted(worker string) {
 	var all []Counted
-	for _, u := range l.Placer.On(worker) {
+	for _, u := range l.Placer.TasksOn(worker) {
 		if l.keyOf(u.Row) != "" {
 			all = append(all, Counted{Row: u.Row, Size: u.Size})
 		}
--- a/internal/place/explain.go
+++ b/internal/place/explain.go
@@ -31,8 +31,8 @@
 	return text, true
 }
 
-// On lists the tasks that take room on a worker.
-func (p *Placer) On(worker string) []Used {
+// TasksOn lists the tasks that take room on a worker.
+func (p *Placer) TasksOn(worker string) []Used {
 	w, ok := p.workers[worker]
 	if !ok {
 		return nil
