--- a/internal/place/explain.go
+++ b/internal/place/explain.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-var blockNames = map[Block]string{
+var blockNames = map[BlockReason]string{
 	Ready:    "is about to be tried",
 	NoRoom:   "no worker has room for one task",
 	TooFew:   "too few workers have room for all tasks at once",
@@ -13,7 +13,7 @@
 }
 
 // String tells operators what the work waits for.
-func (b Block) String() string { return blockNames[b] }
+func (b BlockReason) String() string { return blockNames[b] }
 
 // ExplainWait tells why a job's waiting tasks wait; false when none waits here.
 func (p *Placer) ExplainWait(task string) (string, bool) {
--- a/internal/place/limits.go
+++ b/internal/place/limits.go
@@ -7,7 +7,7 @@
 )
 
 // allowed returns what forbids one more of the entry's tasks, or Ready.
-func (p *Placer) allowed(e *entry) Block {
+func (p *Placer) allowed(e *entry) BlockReason {
 	n := int64(1)
 	if e.Gang {
 		n = int64(e.live)
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -7,12 +7,12 @@
 	"pollencroft/internal/cell"
 )
 
-// Block is what waiting work waits for.
-type Block int
+// BlockReason is what waiting work waits for.
+type BlockReason int
 
 // What work may wait for. Ready work has not been tried since a change.
 const (
-	Ready Block = iota
+	Ready BlockReason = iota
 	NoRoom
 	TooFew
 	RowTasks
@@ -23,7 +23,7 @@
 
 // limit tells whether the work waits for a limit of the table, which no room
 // that is kept for it can help.
-func (b Block) limit() bool { return b == RowTasks || b == RowRoom || b == TeamRoom }
+func (b BlockReason) limit() bool { return b == RowTasks || b == RowRoom || b == TeamRoom }
 
 // entry is one job's tasks that wait for room.
 type entry struct {
@@ -42,7 +42,7 @@
 	lane    *lane
 	size    cell.Size
 	time    time.Duration
-	blocked Block
+	blocked BlockReason
 	// looked is the step in which the shape was last tried again.
 	looked  int64
 	entries []*entry
@@ -160,7 +160,7 @@
 	}
 }
 
-func (q *queue) block(s *shape, why Block) {
+func (q *queue) block(s *shape, why BlockReason) {
 	s.blocked = why
 	if i := slices.Index(s.lane.ready, s); i >= 0 {
 		s.lane.ready = slices.Delete(s.lane.ready, i, i+1)
