--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -223,7 +223,7 @@
 		if e.shape.blocked == Ready {
 			// The others have their turn before this one's next task.
 			e.shape.looked = 0
-			p.queue.block(e.shape, NoRoom)
+			p.queue.block(e.shape, NoCapacity)
 		}
 	}
 }
@@ -261,7 +261,7 @@
 	}
 	w := p.best(e)
 	if w == nil {
-		p.queue.block(e.shape, NoRoom)
+		p.queue.block(e.shape, NoCapacity)
 		p.makeRoom(e)
 		return
 	}
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -13,7 +13,7 @@
 // What work may wait for. Ready work has not been tried since a change.
 const (
 	Ready BlockReason = iota
-	NoRoom
+	NoCapacity
 	TooFew
 	RowTasks
 	RowRoom
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -148,7 +148,7 @@
 
 func (p *Placer) passes(s *shape, w *worker) bool {
 	switch s.blocked {
-	case NoRoom, TooFew:
+	case NoCapacity, TooFew:
 		return s.size.Fits(w.free)
 	case Reserved:
 		return p.beyondReserve(s.size)
