--- a/internal/place/declared.go
+++ b/internal/place/declared.go
@@ -20,7 +20,7 @@
 }
 
 func (p *Placer) giveUpCorrection(s *shape) {
-	if s.blocked != NoCapacity && s.blocked != TooFew {
+	if s.blocked != NoCapacity && s.blocked != GangTooLarge {
 		return
 	}
 	for _, e := range slices.Clone(s.entries) {
--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -66,7 +66,7 @@
 // hold room while it waits for the rest, and two halves for ever.
 func (p *Placer) tryGang(e *entry) {
 	if p.holds(e) < int64(e.live) {
-		p.queue.block(e.shape, TooFew)
+		p.queue.block(e.shape, GangTooLarge)
 		return
 	}
 	var chosen []*worker
@@ -88,7 +88,7 @@
 		p.release(r.task)
 	}
 	if len(chosen) < e.live {
-		p.queue.block(e.shape, TooFew)
+		p.queue.block(e.shape, GangTooLarge)
 		return
 	}
 	for _, w := range chosen {
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -184,7 +184,7 @@
 	p.whole = p.whole.Sub(w.size)
 	p.free = p.free.Sub(w.free)
 	delete(p.workers, name)
-	p.queue.wake(func(s *shape) bool { return s.blocked == TooFew })
+	p.queue.wake(func(s *shape) bool { return s.blocked == GangTooLarge })
 }
 
 func (p *Placer) freed(task string) {
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -14,7 +14,7 @@
 const (
 	Ready BlockReason = iota
 	NoCapacity
-	TooFew
+	GangTooLarge
 	RowTasks
 	RowRoom
 	TeamRoom
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -148,7 +148,7 @@
 
 func (p *Placer) passes(s *shape, w *worker) bool {
 	switch s.blocked {
-	case NoCapacity, TooFew:
+	case NoCapacity, GangTooLarge:
 		return s.size.Fits(w.free)
 	case Reserved:
 		return p.beyondReserve(s.size)
