--- a/internal/place/limits.go
+++ b/internal/place/limits.go
@@ -16,7 +16,7 @@
 	row, team := p.rows[e.Row], p.teams[e.Team]
 	switch {
 	case e.MaxTasks != 0 && row.tasks+n > e.MaxTasks:
-		return RowTasks
+		return RowTaskLimit
 	case overSize(row.size.Add(size), e.Limit) != "":
 		return RowRoom
 	case e.QuotaTasks != 0 && team.tasks+n > e.QuotaTasks, overSize(team.size.Add(size), e.Quota) != "":
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -15,7 +15,7 @@
 	Ready BlockReason = iota
 	NoCapacity
 	GangTooLarge
-	RowTasks
+	RowTaskLimit
 	RowRoom
 	TeamRoom
 	Reserved
@@ -23,7 +23,7 @@
 
 // limit tells whether the work waits for a limit of the table, which no room
 // that is kept for it can help.
-func (b BlockReason) limit() bool { return b == RowTasks || b == RowRoom || b == TeamRoom }
+func (b BlockReason) limit() bool { return b == RowTaskLimit || b == RowRoom || b == TeamRoom }
 
 // entry is one job's tasks that wait for room.
 type entry struct {
