--- a/internal/place/limits.go
+++ b/internal/place/limits.go
@@ -18,7 +18,7 @@
 	case e.MaxTasks != 0 && row.tasks+n > e.MaxTasks:
 		return RowTaskLimit
 	case overSize(row.size.Add(size), e.Limit) != "":
-		return RowRoom
+		return RowSizeLimit
 	case e.QuotaTasks != 0 && team.tasks+n > e.QuotaTasks, overSize(team.size.Add(size), e.Quota) != "":
 		return TeamRoom
 	case e.Class == cell.Bulk && !p.beyondReserve(size), p.crowdsOut(e, size):
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -196,7 +196,7 @@
 	p.wakeFor(r.worker)
 	p.queue.wake(func(s *shape) bool {
 		switch s.blocked {
-		case RowTaskLimit, RowRoom:
+		case RowTaskLimit, RowSizeLimit:
 			return s.lane.row == r.row
 		case TeamRoom:
 			return s.lane.team == r.team
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -16,14 +16,14 @@
 	NoCapacity
 	GangTooLarge
 	RowTaskLimit
-	RowRoom
+	RowSizeLimit
 	TeamRoom
 	Reserved
 )
 
 // limit tells whether the work waits for a limit of the table, which no room
 // that is kept for it can help.
-func (b BlockReason) limit() bool { return b == RowTaskLimit || b == RowRoom || b == TeamRoom }
+func (b BlockReason) limit() bool { return b == RowTaskLimit || b == RowSizeLimit || b == TeamRoom }
 
 // entry is one job's tasks that wait for room.
 type entry struct {
