--- a/internal/place/explain.go
+++ b/internal/place/explain.go
@@ -8,7 +8,7 @@
 	GangTooLarge: "too few workers have room for all tasks at once",
 	RowTaskLimit: "its row runs as many tasks as its limit allows",
 	RowSizeLimit: "its row takes as much room as its limit allows",
-	TeamRoom:     "its team takes as much room as its quota allows",
+	TeamQuota:    "its team takes as much room as its quota allows",
 	Reserved:     "what is free is kept back for urgent work",
 }
 
--- a/internal/place/limits.go
+++ b/internal/place/limits.go
@@ -20,7 +20,7 @@
 	case overSize(row.size.Add(size), e.Limit) != "":
 		return RowSizeLimit
 	case e.QuotaTasks != 0 && team.tasks+n > e.QuotaTasks, overSize(team.size.Add(size), e.Quota) != "":
-		return TeamRoom
+		return TeamQuota
 	case e.Class == cell.Bulk && !p.beyondReserve(size), p.crowdsOut(e, size):
 		return Reserved
 	default:
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -198,7 +198,7 @@
 		switch s.blocked {
 		case RowTaskLimit, RowSizeLimit:
 			return s.lane.row == r.row
-		case TeamRoom:
+		case TeamQuota:
 			return s.lane.team == r.team
 		default:
 			return false
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -17,13 +17,13 @@
 	GangTooLarge
 	RowTaskLimit
 	RowSizeLimit
-	TeamRoom
+	TeamQuota
 	Reserved
 )
 
 // limit tells whether the work waits for a limit of the table, which no room
 // that is kept for it can help.
-func (b BlockReason) limit() bool { return b == RowTaskLimit || b == RowSizeLimit || b == TeamRoom }
+func (b BlockReason) limit() bool { return b == RowTaskLimit || b == RowSizeLimit || b == TeamQuota }
 
 // entry is one job's tasks that wait for room.
 type entry struct {
