--- a/internal/place/explain.go
+++ b/internal/place/explain.go
@@ -3,13 +3,13 @@
 import "fmt"
 
 var blockNames = map[BlockReason]string{
-	Ready:        "is about to be tried",
-	NoCapacity:   "no worker has room for one task",
-	GangTooLarge: "too few workers have room for all tasks at once",
-	RowTaskLimit: "its row runs as many tasks as its limit allows",
-	RowSizeLimit: "its row takes as much room as its limit allows",
-	TeamQuota:    "its team takes as much room as its quota allows",
-	Reserved:     "what is free is kept back for urgent work",
+	Ready:             "is about to be tried",
+	NoCapacity:        "no worker has room for one task",
+	GangTooLarge:      "too few workers have room for all tasks at once",
+	RowTaskLimit:      "its row runs as many tasks as its limit allows",
+	RowSizeLimit:      "its row takes as much room as its limit allows",
+	TeamQuota:         "its team takes as much room as its quota allows",
+	ReservedForUrgent: "what is free is kept back for urgent work",
 }
 
 // String tells operators what the work waits for.
--- a/internal/place/limits.go
+++ b/internal/place/limits.go
@@ -22,7 +22,7 @@
 	case e.QuotaTasks != 0 && team.tasks+n > e.QuotaTasks, overSize(team.size.Add(size), e.Quota) != "":
 		return TeamQuota
 	case e.Class == cell.Bulk && !p.beyondReserve(size), p.crowdsOut(e, size):
-		return Reserved
+		return ReservedForUrgent
 	default:
 		return Ready
 	}
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -18,7 +18,7 @@
 	RowTaskLimit
 	RowSizeLimit
 	TeamQuota
-	Reserved
+	ReservedForUrgent
 )
 
 // limit tells whether the work waits for a limit of the table, which no room
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -150,7 +150,7 @@
 	switch s.blocked {
 	case NoCapacity, GangTooLarge:
 		return s.size.Fits(w.free)
-	case Reserved:
+	case ReservedForUrgent:
 		return p.beyondReserve(s.size)
 	default:
 		return false
