--- a/internal/lead/machines.go
+++ b/internal/lead/machines.go
@@ -24,7 +24,7 @@
 		l.know(m)
 		names = append(names, m.Name)
 	}
-	l.lease(lease.Lead{Workers: names})
+	l.lease(lease.Wanted{Workers: names})
 }
 
 // Know tells where all workers of the failure domain are, led here or not. A job
--- a/internal/lease/fault_test.go
+++ b/internal/lease/fault_test.go
@@ -76,7 +76,7 @@
 	l := lease.New(limits)
 	hold(t, l)
 	l.Step(start, lease.Sent{Worker: "w1", Task: "t"})
-	acts := l.Step(start, lease.Lead{})
+	acts := l.Step(start, lease.Wanted{})
 	require.Len(t, kinds[lease.Down](acts), 1)
 	require.Empty(t, kinds[lease.Give](acts))
 	_, ok := l.Deadline(start, "w1")
@@ -92,7 +92,7 @@
 	hold(t, l)
 	l.Step(start, lease.Sent{Worker: "w1", Task: "t"})
 	l.Step(start, lease.Sent{Worker: "w1", Task: "t"})
-	require.Empty(t, kinds[lease.Give](l.Step(start, lease.Lead{})))
+	require.Empty(t, kinds[lease.Give](l.Step(start, lease.Wanted{})))
 	require.Empty(t, kinds[lease.Give](l.Step(start, lease.Answered{Worker: "w1", Task: "t", Sure: true})))
 	require.Len(t, kinds[lease.Give](l.Step(start, lease.Answered{Worker: "w1", Task: "t", Sure: true})), 1)
 }
@@ -103,7 +103,7 @@
 	l := lease.New(limits)
 	hold(t, l)
 	l.Step(start, lease.Sent{Worker: "w1", Task: "t"})
-	l.Step(start, lease.Lead{})
+	l.Step(start, lease.Wanted{})
 	require.Empty(t, kinds[lease.Give](l.Step(start.Add(time.Second), lease.Answered{Worker: "w1", Task: "t"})))
 	require.Empty(t, kinds[lease.Give](l.Step(start.Add(4*time.Second), lease.Tick{})))
 }
@@ -115,7 +115,7 @@
 	slow := limits
 	slow.TTL = 30 * time.Second
 	l := lease.New(slow)
-	l.Step(start, lease.Lead{Workers: []string{"w1"}})
+	l.Step(start, lease.Wanted{Workers: []string{"w1"}})
 	r := reading(start)
 	r.Left = 30 * time.Second
 	l.Step(start, lease.Granted{Worker: "w1", Reading: r})
@@ -138,20 +138,20 @@
 // their budget, and never fall below three seconds.
 func TestLeasesFollowTheByteBudget(t *testing.T) {
 	l := lease.New(lease.DefaultLimits)
-	l.Step(start, lease.Lead{Workers: []string{"w1"}})
+	l.Step(start, lease.Wanted{Workers: []string{"w1"}})
 	require.Equal(t, 3*time.Second, l.TTL())
 	names := make([]string, 46)
 	for i := range names {
 		names[i] = string(rune('A' + i))
 	}
-	l.Step(start, lease.Lead{Workers: names})
+	l.Step(start, lease.Wanted{Workers: names})
 	bytes := 46 * float64(lease.DefaultLimits.Cost) / (l.TTL().Seconds() * 2 / 5)
 	require.LessOrEqual(t, bytes, float64(lease.DefaultLimits.Budget)*1.01)
 	require.Greater(t, lease.DefaultLimits.Long, 2*l.TTL(), "tasks outlive their lead")
 	for len(names) < 5000 {
 		names = append(names, strconv.Itoa(len(names)))
 	}
-	l.Step(start, lease.Lead{Workers: names})
+	l.Step(start, lease.Wanted{Workers: names})
 	require.LessOrEqual(t, l.TTL(), lease.DefaultLimits.Long/3, "no start outlasts a census")
 }
 
@@ -161,9 +161,9 @@
 	l := lease.New(limits)
 	hold(t, l)
 	l.Step(start, lease.Sent{Worker: "w1", Task: "t"})
-	require.Len(t, kinds[lease.Down](l.Step(start, lease.Lead{})), 1)
+	require.Len(t, kinds[lease.Down](l.Step(start, lease.Wanted{})), 1)
 	at := start.Add(100 * time.Millisecond)
-	acts := l.Step(at, lease.Lead{Workers: []string{"w1"}})
+	acts := l.Step(at, lease.Wanted{Workers: []string{"w1"}})
 	require.Empty(t, kinds[lease.Up](acts))
 	require.Len(t, kinds[lease.Renew](acts), 1, "its list is read at once")
 	require.Empty(t, kinds[lease.Up](l.Step(at, lease.Renewed{Worker: "w1", Reading: reading(at)})), "the start may still land")
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -60,7 +60,7 @@
 func (l *Leases) Step(now time.Time, ev Event) []Action {
 	var acts []Action
 	switch ev := ev.(type) {
-	case Lead:
+	case Wanted:
 		acts = l.lead(now, ev.Workers)
 	case Granted:
 		acts = l.granted(now, ev)
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -16,7 +16,7 @@
 
 func hold(t *testing.T, l *lease.Leases) {
 	t.Helper()
-	require.Equal(t, []lease.Action{lease.Take{Worker: "w1", TTL: 3 * time.Second}}, l.Step(start, lease.Lead{Workers: []string{"w1"}}))
+	require.Equal(t, []lease.Action{lease.Take{Worker: "w1", TTL: 3 * time.Second}}, l.Step(start, lease.Wanted{Workers: []string{"w1"}}))
 	acts := l.Step(start, lease.Granted{Worker: "w1", Reading: lease.Reading{Sent: start, Clock: start, Left: 3 * time.Second}})
 	require.IsType(t, lease.Up{}, acts[0])
 }
@@ -39,7 +39,7 @@
 // worker's own clock, so the start is neither refused nor late.
 func TestDeadlineIsInTheWorkersClock(t *testing.T) {
 	l := lease.New(limits)
-	l.Step(start, lease.Lead{Workers: []string{"w1"}})
+	l.Step(start, lease.Wanted{Workers: []string{"w1"}})
 	theirs := start.Add(-5 * time.Hour)
 	l.Step(start, lease.Granted{Worker: "w1", Reading: lease.Reading{Sent: start, Clock: theirs, Left: 3 * time.Second}})
 	d, ok := l.Deadline(start.Add(time.Second), "w1")
@@ -51,7 +51,7 @@
 // hosts start tasks on one worker.
 func TestLateGrantIsNotTaken(t *testing.T) {
 	l := lease.New(limits)
-	l.Step(start, lease.Lead{Workers: []string{"w1"}})
+	l.Step(start, lease.Wanted{Workers: []string{"w1"}})
 	acts := l.Step(start.Add(5*time.Second), lease.Granted{Worker: "w1", Reading: lease.Reading{Sent: start, Clock: start, Left: 3 * time.Second}})
 	for _, a := range acts {
 		_, up := a.(lease.Up)
--- a/internal/lease/life_test.go
+++ b/internal/lease/life_test.go
@@ -19,14 +19,14 @@
 	t.Helper()
 	l.Step(start.Add(-time.Minute), lease.Known{Workers: []string{"w1"}})
 	l.Step(start.Add(-time.Minute), lease.Met{Worker: "w1", Life: life})
-	l.Step(start, lease.Lead{Workers: []string{"w1"}})
+	l.Step(start, lease.Wanted{Workers: []string{"w1"}})
 	acts := l.Step(start, lease.Granted{Worker: "w1", Reading: inLife(start, life, left)})
 	require.Len(t, kinds[lease.Up](acts), 1)
 }
 
 // grant takes a worker in a life at a time and tells whether it is led then.
 func grant(l *lease.Leases, at time.Time, life string) bool {
-	l.Step(at, lease.Lead{Workers: []string{"w1"}})
+	l.Step(at, lease.Wanted{Workers: []string{"w1"}})
 	return len(kinds[lease.Up](l.Step(at, lease.Granted{Worker: "w1", Reading: inLife(at, life, 3*time.Second)}))) == 1
 }
 
@@ -139,7 +139,7 @@
 		}
 	}
 	step(start, lease.Known{Workers: names})
-	step(start, lease.Lead{Workers: names})
+	step(start, lease.Wanted{Workers: names})
 	for at := start; at.Before(start.Add(time.Minute)); at = at.Add(50 * time.Millisecond) {
 		step(at, lease.Tick{})
 		for len(pending) > 0 {
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -9,8 +9,8 @@
 // Event is what the lease core is told.
 type Event interface{ event() }
 
-// Lead replaces the set of workers that this host should try to hold.
-type Lead struct{ Workers []string }
+// Wanted replaces the set of workers that this host should try to hold.
+type Wanted struct{ Workers []string }
 
 // Reading is what one answered exchange with a worker says. Sent is when the
 // question left, by this host's clock; Clock is the worker's own clock at the
@@ -101,7 +101,7 @@
 // Tick lets time pass.
 type Tick struct{}
 
-func (Lead) event()     {}
+func (Wanted) event()   {}
 func (Granted) event()  {}
 func (Renewed) event()  {}
 func (Refused) event()  {}
--- a/internal/measure/takeover_test.go
+++ b/internal/measure/takeover_test.go
@@ -47,7 +47,7 @@
 		for i := range names {
 			names[i] = strconv.Itoa(i)
 		}
-		l.Step(time.Unix(0, 0), lease.Lead{Workers: names})
+		l.Step(time.Unix(0, 0), lease.Wanted{Workers: names})
 		b.ReportMetric(got.Renewal, "bytes/renewal")
 		b.ReportMetric(got.Renewal/got.Whole, "renewal/whole")
 		b.ReportMetric(got.Start, "bytes/start")
--- a/internal/model/actions.go
+++ b/internal/model/actions.go
@@ -91,7 +91,7 @@
 			w.lead(w.hosts[former])
 			return
 		}
-		w.lease(w.hosts[former], lease.Lead{})
+		w.lease(w.hosts[former], lease.Wanted{})
 	}
 }
 
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -146,7 +146,7 @@
 	return job.Spec{ID: id, Tasks: 1, Size: cell.Size{CPU: 1, Mem: 1}, Tries: 9}
 }
 
-func (w *World) lead(h *host) { w.lease(h, lease.Lead{Workers: w.names()}) }
+func (w *World) lead(h *host) { w.lease(h, lease.Wanted{Workers: w.names()}) }
 
 func (w *World) submit(h *host, id string) { w.job(h, job.Submit{Spec: specOf(id)}) }
 
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -86,7 +86,7 @@
 	require.NoError(t, err)
 	l.Step(b.now, lease.Met{Worker: "w", Life: life})
 	b.now = b.now.Add(time.Minute)
-	l.Step(b.now, lease.Lead{Workers: []string{"w"}})
+	l.Step(b.now, lease.Wanted{Workers: []string{"w"}})
 	r, err := a.Take(ctx, b.addr, 3*time.Second)
 	require.NoError(t, err)
 	l.Step(b.now, lease.Granted{Worker: "w", Reading: r})
