--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -141,7 +141,7 @@
 // Release gives all anchors back and waits for the exchanges under way.
 func (l *Lead) Release() {
 	l.mu.Lock()
-	l.lease(lease.Release{})
+	l.lease(lease.ReleaseAll{})
 	l.mu.Unlock()
 	l.wg.Wait()
 	l.mu.Lock()
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -82,7 +82,7 @@
 		l.answered(now, ev)
 	case Look:
 		l.look(now, ev)
-	case Release:
+	case ReleaseAll:
 		acts = l.lead(now, nil)
 	case Tick:
 	}
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -95,25 +95,25 @@
 // it in this one.
 type Vouched struct{ Worker, Life string }
 
-// Release gives all anchors back, for a planned stop.
-type Release struct{}
+// ReleaseAll gives all anchors back, for a planned stop.
+type ReleaseAll struct{}
 
 // Tick lets time pass.
 type Tick struct{}
 
-func (Wanted) event()   {}
-func (Granted) event()  {}
-func (Renewed) event()  {}
-func (Refused) event()  {}
-func (Lost) event()     {}
-func (Sent) event()     {}
-func (Answered) event() {}
-func (Look) event()     {}
-func (Known) event()    {}
-func (Met) event()      {}
-func (Vouched) event()  {}
-func (Release) event()  {}
-func (Tick) event()     {}
+func (Wanted) event()     {}
+func (Granted) event()    {}
+func (Renewed) event()    {}
+func (Refused) event()    {}
+func (Lost) event()       {}
+func (Sent) event()       {}
+func (Answered) event()   {}
+func (Look) event()       {}
+func (Known) event()      {}
+func (Met) event()        {}
+func (Vouched) event()    {}
+func (ReleaseAll) event() {}
+func (Tick) event()       {}
 
 // Action is what the lease core asks its edge to do.
 type Action interface{ action() }
