--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -220,7 +220,7 @@
 			l.spawn(func(ctx context.Context) { l.take(ctx, a) })
 		case lease.Renew:
 			l.spawn(func(ctx context.Context) { l.renew(ctx, a) })
-		case lease.Give:
+		case lease.Release:
 			l.spawn(func(ctx context.Context) { l.give(ctx, a) })
 		case lease.Meet:
 			l.spawn(func(ctx context.Context) { l.meet(ctx, a) })
@@ -321,7 +321,7 @@
 	l.lease(lease.Met{Worker: a.Worker, Life: name})
 }
 
-func (l *Lead) give(ctx context.Context, a lease.Give) {
+func (l *Lead) give(ctx context.Context, a lease.Release) {
 	if err := l.Workers.Give(ctx, l.address(a.Worker), a.Lease); err != nil {
 		l.Log.Warn("lead: anchor not given back.", "worker", a.Worker, "err", err)
 	}
--- a/internal/lease/fault_test.go
+++ b/internal/lease/fault_test.go
@@ -78,11 +78,11 @@
 	l.Step(start, lease.Sent{Worker: "w1", Task: "t"})
 	acts := l.Step(start, lease.Wanted{})
 	require.Len(t, kinds[lease.Down](acts), 1)
-	require.Empty(t, kinds[lease.Give](acts))
+	require.Empty(t, kinds[lease.Release](acts))
 	_, ok := l.Deadline(start, "w1")
 	require.False(t, ok, "a worker that is given up gets no new start")
 	sure := l.Step(start.Add(time.Second), lease.Answered{Worker: "w1", Task: "t", Sure: true})
-	require.Equal(t, []lease.Give{{Worker: "w1", Lease: ""}}, kinds[lease.Give](sure))
+	require.Equal(t, []lease.Release{{Worker: "w1", Lease: ""}}, kinds[lease.Release](sure))
 }
 
 // Guards against an overfull worker: a task is started again on the worker while the answer to
@@ -92,9 +92,9 @@
 	hold(t, l)
 	l.Step(start, lease.Sent{Worker: "w1", Task: "t"})
 	l.Step(start, lease.Sent{Worker: "w1", Task: "t"})
-	require.Empty(t, kinds[lease.Give](l.Step(start, lease.Wanted{})))
-	require.Empty(t, kinds[lease.Give](l.Step(start, lease.Answered{Worker: "w1", Task: "t", Sure: true})))
-	require.Len(t, kinds[lease.Give](l.Step(start, lease.Answered{Worker: "w1", Task: "t", Sure: true})), 1)
+	require.Empty(t, kinds[lease.Release](l.Step(start, lease.Wanted{})))
+	require.Empty(t, kinds[lease.Release](l.Step(start, lease.Answered{Worker: "w1", Task: "t", Sure: true})))
+	require.Len(t, kinds[lease.Release](l.Step(start, lease.Answered{Worker: "w1", Task: "t", Sure: true})), 1)
 }
 
 // The answer to that start is lost: nobody knows whether it will still land.
@@ -104,8 +104,8 @@
 	hold(t, l)
 	l.Step(start, lease.Sent{Worker: "w1", Task: "t"})
 	l.Step(start, lease.Wanted{})
-	require.Empty(t, kinds[lease.Give](l.Step(start.Add(time.Second), lease.Answered{Worker: "w1", Task: "t"})))
-	require.Empty(t, kinds[lease.Give](l.Step(start.Add(4*time.Second), lease.Tick{})))
+	require.Empty(t, kinds[lease.Release](l.Step(start.Add(time.Second), lease.Answered{Worker: "w1", Task: "t"})))
+	require.Empty(t, kinds[lease.Release](l.Step(start.Add(4*time.Second), lease.Tick{})))
 }
 
 // A task ends long before the next renewal is due. Its room must not stay
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -346,7 +346,7 @@
 		return nil
 	}
 	w.move("give")
-	return []Action{Give{Worker: name, Lease: w.reading.Lease}}
+	return []Action{Release{Worker: name, Lease: w.reading.Lease}}
 }
 
 func (l *Leases) wanted() int {
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -133,9 +133,9 @@
 	Since  int64
 }
 
-// Give returns a worker's anchor. A give that arrives late, after the anchor
+// Release returns a worker's anchor. A give that arrives late, after the anchor
 // was taken anew, names another lease and changes nothing.
-type Give struct{ Worker, Lease string }
+type Release struct{ Worker, Lease string }
 
 // Meet asks a worker for its life.
 type Meet struct{ Worker string }
@@ -162,11 +162,11 @@
 // Down tells that this host leads a worker no longer.
 type Down struct{ Worker string }
 
-func (Take) action()  {}
-func (Meet) action()  {}
-func (Waits) action() {}
-func (Renew) action() {}
-func (Give) action()  {}
-func (Up) action()    {}
-func (Seen) action()  {}
-func (Down) action()  {}
+func (Take) action()    {}
+func (Meet) action()    {}
+func (Waits) action()   {}
+func (Renew) action()   {}
+func (Release) action() {}
+func (Up) action()      {}
+func (Seen) action()    {}
+func (Down) action()    {}
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -180,7 +180,7 @@
 			w.send(h, message{kind: "take", worker: a.Worker, ttl: a.TTL})
 		case lease.Renew:
 			w.send(h, message{kind: "renew", worker: a.Worker, ttl: a.TTL, long: a.Long})
-		case lease.Give:
+		case lease.Release:
 			w.send(h, message{kind: "give", worker: a.Worker, lease: a.Lease})
 		case lease.Up:
 			h.room[a.Worker] = map[string]bool{}
