--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -216,7 +216,7 @@
 func (l *Lead) lease(ev lease.Event) {
 	for _, a := range l.Leases.Step(l.Clock(), ev) {
 		switch a := a.(type) {
-		case lease.Take:
+		case lease.Acquire:
 			l.spawn(func(ctx context.Context) { l.take(ctx, a) })
 		case lease.Renew:
 			l.spawn(func(ctx context.Context) { l.renew(ctx, a) })
@@ -276,7 +276,7 @@
 	return l.machines[name].Address
 }
 
-func (l *Lead) take(ctx context.Context, a lease.Take) {
+func (l *Lead) take(ctx context.Context, a lease.Acquire) {
 	r, err := l.Workers.Take(ctx, l.address(a.Worker), a.TTL)
 	l.tellLease(a.Worker, err, lease.Granted{Worker: a.Worker, Reading: r})
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -330,7 +330,7 @@
 	case w.state == "free":
 		w.move("take")
 		w.next = now.Add(l.limits.TTL)
-		return []Action{Take{Worker: name, TTL: l.limits.ttl(l.wanted())}}
+		return []Action{Acquire{Worker: name, TTL: l.limits.ttl(l.wanted())}}
 	case w.state == "held":
 		w.next = now.Add(l.limits.Retry)
 		return []Action{Renew{Worker: name, TTL: l.limits.ttl(l.wanted()), Long: l.limits.Long, Since: w.reading.Mark}}
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -16,7 +16,7 @@
 
 func hold(t *testing.T, l *lease.Leases) {
 	t.Helper()
-	require.Equal(t, []lease.Action{lease.Take{Worker: "w1", TTL: 3 * time.Second}}, l.Step(start, lease.Wanted{Workers: []string{"w1"}}))
+	require.Equal(t, []lease.Action{lease.Acquire{Worker: "w1", TTL: 3 * time.Second}}, l.Step(start, lease.Wanted{Workers: []string{"w1"}}))
 	acts := l.Step(start, lease.Granted{Worker: "w1", Reading: lease.Reading{Sent: start, Clock: start, Left: 3 * time.Second}})
 	require.IsType(t, lease.Up{}, acts[0])
 }
--- a/internal/lease/life_test.go
+++ b/internal/lease/life_test.go
@@ -108,7 +108,7 @@
 	l.Step(at, lease.Met{Worker: "w1", Life: "2"})
 	acts := l.Step(at, lease.Renewed{Worker: "w1", Reading: inLife(at, "2", 3*time.Second)})
 	require.Len(t, kinds[lease.Down](acts), 1)
-	require.Len(t, kinds[lease.Take](acts), 1)
+	require.Len(t, kinds[lease.Acquire](acts), 1)
 }
 
 // Guards against workers of other hosts whose lives nobody here knows when their holder is lost.
@@ -146,7 +146,7 @@
 			a := pending[0]
 			pending = pending[1:]
 			switch a := a.(type) {
-			case lease.Take:
+			case lease.Acquire:
 				step(at, lease.Granted{Worker: a.Worker, Reading: inLife(at, "1", a.TTL)})
 			case lease.Renew:
 				step(at, lease.Renewed{Worker: a.Worker, Reading: inLife(at, "1", a.TTL)})
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -118,8 +118,8 @@
 // Action is what the lease core asks its edge to do.
 type Action interface{ action() }
 
-// Take asks a worker for its anchor.
-type Take struct {
+// Acquire asks a worker for its anchor.
+type Acquire struct {
 	Worker string
 	TTL    time.Duration
 }
@@ -162,7 +162,7 @@
 // Down tells that this host leads a worker no longer.
 type Down struct{ Worker string }
 
-func (Take) action()    {}
+func (Acquire) action() {}
 func (Meet) action()    {}
 func (Waits) action()   {}
 func (Renew) action()   {}
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -176,7 +176,7 @@
 func (w *World) lease(h *host, ev lease.Event) {
 	for _, a := range h.leases.Step(w.now, ev) {
 		switch a := a.(type) {
-		case lease.Take:
+		case lease.Acquire:
 			w.send(h, message{kind: "take", worker: a.Worker, ttl: a.TTL})
 		case lease.Renew:
 			w.send(h, message{kind: "renew", worker: a.Worker, ttl: a.TTL, long: a.Long})
