--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -74,7 +74,7 @@
 // nowhere.
 func (l *Lead) shows(name string, r lease.Reading, q Question) bool {
 	if len(q.Keys) > 0 && !r.Sent.After(l.limited[name]) {
-		l.lease(lease.Look{Worker: name, After: lookAgain})
+		l.lease(lease.Poll{Worker: name, After: lookAgain})
 		return false
 	}
 	for _, lo := range l.loose {
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -172,7 +172,7 @@
 				continue
 			}
 			l.left[t.Worker] = now
-			l.lease(lease.Look{Worker: t.Worker, After: lookAgain})
+			l.lease(lease.Poll{Worker: t.Worker, After: lookAgain})
 			if t.State == "unsure" || t.State == "stopping" || t.State == "pausing" {
 				l.loose[job.TaskID(id, i)] = loose{worker: t.Worker, deadline: t.Deadline, since: now}
 			}
--- a/internal/lead/rack.go
+++ b/internal/lead/rack.go
@@ -51,9 +51,9 @@
 		return false, false
 	case silent && now.Sub(w.since) < rackWait:
 		for _, mate := range mates {
-			l.lease(lease.Look{Worker: mate, After: lookAgain})
+			l.lease(lease.Poll{Worker: mate, After: lookAgain})
 		}
-		l.lease(lease.Look{Worker: name, After: rackLook})
+		l.lease(lease.Poll{Worker: name, After: rackLook})
 		return false, true
 	}
 	w.open, w.lost = false, true
@@ -98,7 +98,7 @@
 func (l *Lead) lookAtOpen(mate string) {
 	for _, name := range slices.Sorted(maps.Keys(l.lives)) {
 		if l.lives[name].open && l.machines[name].Rack == l.machines[mate].Rack {
-			l.lease(lease.Look{Worker: name, After: lookAgain})
+			l.lease(lease.Poll{Worker: name, After: lookAgain})
 		}
 	}
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -80,7 +80,7 @@
 		l.sent(ev)
 	case Answered:
 		l.answered(now, ev)
-	case Look:
+	case Poll:
 		l.look(now, ev)
 	case ReleaseAll:
 		acts = l.lead(now, nil)
@@ -298,7 +298,7 @@
 // look is how long after its expected end a task is looked for.
 const look = 20 * time.Millisecond
 
-func (l *Leases) look(now time.Time, ev Look) {
+func (l *Leases) look(now time.Time, ev Poll) {
 	if w, ok := l.workers[ev.Worker]; ok && now.Add(ev.After).Before(w.next) {
 		w.next = now.Add(ev.After)
 	}
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -79,8 +79,8 @@
 	Run          time.Duration
 }
 
-// Look asks to read a worker again after so long.
-type Look struct {
+// Poll asks to read a worker again after so long.
+type Poll struct {
 	Worker string
 	After  time.Duration
 }
@@ -108,7 +108,7 @@
 func (Lost) event()       {}
 func (Sent) event()       {}
 func (Answered) event()   {}
-func (Look) event()       {}
+func (Poll) event()       {}
 func (Known) event()      {}
 func (Met) event()        {}
 func (Vouched) event()    {}
