--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -305,7 +305,7 @@
 		l.takeover(takeover.Sign{Worker: name})
 		l.lease(lease.Refused{Worker: name, Holder: held.Holder, Left: held.Left, Sent: held.Sent, Life: held.Life})
 	default:
-		l.lease(lease.Lost{Worker: name})
+		l.lease(lease.Unanswered{Worker: name})
 	}
 }
 
--- a/internal/lease/fault_test.go
+++ b/internal/lease/fault_test.go
@@ -51,7 +51,7 @@
 	for now := start; now.Before(start.Add(2900 * time.Millisecond)); now = now.Add(50 * time.Millisecond) {
 		for range kinds[lease.Renew](l.Step(now, lease.Tick{})) {
 			sent++
-			l.Step(now, lease.Lost{Worker: "w1"})
+			l.Step(now, lease.Unanswered{Worker: "w1"})
 		}
 	}
 	require.GreaterOrEqual(t, sent, 3)
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -68,7 +68,7 @@
 		acts = l.renewed(now, ev)
 	case Refused:
 		acts = l.refused(now, ev)
-	case Lost:
+	case Unanswered:
 		l.lost(now, ev.Worker)
 	case Known:
 		l.know(now, ev.Workers)
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -65,8 +65,8 @@
 	Life string
 }
 
-// Lost tells that an exchange with a worker had no answer.
-type Lost struct{ Worker string }
+// Unanswered tells that an exchange with a worker had no answer.
+type Unanswered struct{ Worker string }
 
 // Sent tells that a start is under way to a worker.
 type Sent struct{ Worker, Task string }
@@ -105,7 +105,7 @@
 func (Granted) event()    {}
 func (Renewed) event()    {}
 func (Refused) event()    {}
-func (Lost) event()       {}
+func (Unanswered) event() {}
 func (Sent) event()       {}
 func (Answered) event()   {}
 func (Poll) event()       {}
--- a/internal/model/actions.go
+++ b/internal/model/actions.go
@@ -164,7 +164,7 @@
 	h := w.hosts[m.host]
 	switch m.kind {
 	case "take", "renew":
-		w.lease(h, lease.Lost{Worker: m.worker})
+		w.lease(h, lease.Unanswered{Worker: m.worker})
 	case "start":
 		w.lease(h, lease.Answered{Worker: m.worker, Task: m.task})
 		w.job(h, job.Unsure{Task: m.task, Attempt: m.attempt, Deadline: m.deadline})
