--- a/internal/lead/start.go
+++ b/internal/lead/start.go
@@ -36,10 +36,10 @@
 		size = a.Spec.Size
 	}
 	l.job(job.Sent{Task: a.Task, Deadline: deadline})
-	l.lease(lease.Sent{Worker: a.Worker, Task: a.Task})
+	l.lease(lease.StartSent{Worker: a.Worker, Task: a.Task})
 	if arbiter != "" && arbiter != a.Worker {
 		// The worker whose holder may start the row is not given back under the start either.
-		l.lease(lease.Sent{Worker: arbiter, Task: a.Task})
+		l.lease(lease.StartSent{Worker: arbiter, Task: a.Task})
 	}
 	l.spawn(func(ctx context.Context) { l.sendStart(ctx, a, arbiter, size, deadline) })
 }
--- a/internal/lease/fault_test.go
+++ b/internal/lease/fault_test.go
@@ -75,7 +75,7 @@
 func TestAnchorIsNotGivenBackUnderAStart(t *testing.T) {
 	l := lease.New(limits)
 	hold(t, l)
-	l.Step(start, lease.Sent{Worker: "w1", Task: "t"})
+	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
 	acts := l.Step(start, lease.Wanted{})
 	require.Len(t, kinds[lease.Down](acts), 1)
 	require.Empty(t, kinds[lease.Release](acts))
@@ -90,8 +90,8 @@
 func TestAnchorIsNotGivenBackUnderASecondStartOfATask(t *testing.T) {
 	l := lease.New(limits)
 	hold(t, l)
-	l.Step(start, lease.Sent{Worker: "w1", Task: "t"})
-	l.Step(start, lease.Sent{Worker: "w1", Task: "t"})
+	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
+	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
 	require.Empty(t, kinds[lease.Release](l.Step(start, lease.Wanted{})))
 	require.Empty(t, kinds[lease.Release](l.Step(start, lease.Answered{Worker: "w1", Task: "t", Sure: true})))
 	require.Len(t, kinds[lease.Release](l.Step(start, lease.Answered{Worker: "w1", Task: "t", Sure: true})), 1)
@@ -102,7 +102,7 @@
 func TestAnchorLapsesUnderAnUnsureStart(t *testing.T) {
 	l := lease.New(limits)
 	hold(t, l)
-	l.Step(start, lease.Sent{Worker: "w1", Task: "t"})
+	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
 	l.Step(start, lease.Wanted{})
 	require.Empty(t, kinds[lease.Release](l.Step(start.Add(time.Second), lease.Answered{Worker: "w1", Task: "t"})))
 	require.Empty(t, kinds[lease.Release](l.Step(start.Add(4*time.Second), lease.Tick{})))
@@ -119,7 +119,7 @@
 	r := reading(start)
 	r.Left = 30 * time.Second
 	l.Step(start, lease.Granted{Worker: "w1", Reading: r})
-	l.Step(start, lease.Sent{Worker: "w1", Task: "t"})
+	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
 	l.Step(start, lease.Answered{Worker: "w1", Task: "t", Sure: true, Run: time.Second})
 	var at []time.Duration
 	for now := start; now.Before(start.Add(11 * time.Second)); now = now.Add(10 * time.Millisecond) {
@@ -160,7 +160,7 @@
 func TestWorkerIsLedAgainOnlyWithAListOfAllItsStarts(t *testing.T) {
 	l := lease.New(limits)
 	hold(t, l)
-	l.Step(start, lease.Sent{Worker: "w1", Task: "t"})
+	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
 	require.Len(t, kinds[lease.Down](l.Step(start, lease.Wanted{})), 1)
 	at := start.Add(100 * time.Millisecond)
 	acts := l.Step(at, lease.Wanted{Workers: []string{"w1"}})
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -76,7 +76,7 @@
 		l.met(now, ev)
 	case Vouched:
 		l.vouched(now, ev)
-	case Sent:
+	case StartSent:
 		l.sent(ev)
 	case Answered:
 		l.answered(now, ev)
@@ -250,7 +250,7 @@
 	}
 }
 
-func (l *Leases) sent(ev Sent) {
+func (l *Leases) sent(ev StartSent) {
 	if w, ok := l.workers[ev.Worker]; ok {
 		w.flying[ev.Task]++
 	}
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -68,8 +68,8 @@
 // Unanswered tells that an exchange with a worker had no answer.
 type Unanswered struct{ Worker string }
 
-// Sent tells that a start is under way to a worker.
-type Sent struct{ Worker, Task string }
+// StartSent tells that a start is under way to a worker.
+type StartSent struct{ Worker, Task string }
 
 // Answered tells that a start's answer came, or with Sure unset, that it is
 // lost. Run is how long the task is expected to run; zero if it was not started.
@@ -106,7 +106,7 @@
 func (Renewed) event()    {}
 func (Refused) event()    {}
 func (Unanswered) event() {}
-func (Sent) event()       {}
+func (StartSent) event()  {}
 func (Answered) event()   {}
 func (Poll) event()       {}
 func (Known) event()      {}
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -257,7 +257,7 @@
 		return
 	}
 	w.job(h, job.Sent{Task: a.Task, Deadline: deadline})
-	w.lease(h, lease.Sent{Worker: a.Worker, Task: a.Task})
+	w.lease(h, lease.StartSent{Worker: a.Worker, Task: a.Task})
 	if w.rules.NoDeadline {
 		deadline = time.Time{}
 	}
