--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -78,7 +78,7 @@
 		l.vouched(now, ev)
 	case StartSent:
 		l.sent(ev)
-	case Answered:
+	case StartAnswered:
 		l.answered(now, ev)
 	case Poll:
 		l.look(now, ev)
@@ -256,7 +256,7 @@
 	}
 }
 
-func (l *Leases) answered(now time.Time, ev Answered) {
+func (l *Leases) answered(now time.Time, ev StartAnswered) {
 	w, ok := l.workers[ev.Worker]
 	if !ok {
 		return
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -71,9 +71,9 @@
 // StartSent tells that a start is under way to a worker.
 type StartSent struct{ Worker, Task string }
 
-// Answered tells that a start's answer came, or with Sure unset, that it is
+// StartAnswered tells that a start's answer came, or with Sure unset, that it is
 // lost. Run is how long the task is expected to run; zero if it was not started.
-type Answered struct {
+type StartAnswered struct {
 	Worker, Task string
 	Sure         bool
 	Run          time.Duration
@@ -101,19 +101,19 @@
 // Tick lets time pass.
 type Tick struct{}
 
-func (Wanted) event()     {}
-func (Granted) event()    {}
-func (Renewed) event()    {}
-func (Refused) event()    {}
-func (Unanswered) event() {}
-func (StartSent) event()  {}
-func (Answered) event()   {}
-func (Poll) event()       {}
-func (Known) event()      {}
-func (Met) event()        {}
-func (Vouched) event()    {}
-func (ReleaseAll) event() {}
-func (Tick) event()       {}
+func (Wanted) event()        {}
+func (Granted) event()       {}
+func (Renewed) event()       {}
+func (Refused) event()       {}
+func (Unanswered) event()    {}
+func (StartSent) event()     {}
+func (StartAnswered) event() {}
+func (Poll) event()          {}
+func (Known) event()         {}
+func (Met) event()           {}
+func (Vouched) event()       {}
+func (ReleaseAll) event()    {}
+func (Tick) event()          {}
 
 // Action is what the lease core asks its edge to do.
 type Action interface{ action() }
--- a/internal/model/actions.go
+++ b/internal/model/actions.go
@@ -166,7 +166,7 @@
 	case "take", "renew":
 		w.lease(h, lease.Unanswered{Worker: m.worker})
 	case "start":
-		w.lease(h, lease.Answered{Worker: m.worker, Task: m.task})
+		w.lease(h, lease.StartAnswered{Worker: m.worker, Task: m.task})
 		w.job(h, job.Unsure{Task: m.task, Attempt: m.attempt, Deadline: m.deadline})
 	}
 }
@@ -175,7 +175,7 @@
 	m.reading.Sent = m.sent
 	switch {
 	case m.kind == "start":
-		w.lease(h, lease.Answered{Worker: m.worker, Task: m.task, Sure: true})
+		w.lease(h, lease.StartAnswered{Worker: m.worker, Task: m.task, Sure: true})
 		if m.late {
 			w.job(h, job.NotStarted{Task: m.task, Attempt: m.attempt})
 			return
