--- a/internal/lead/start.go
+++ b/internal/lead/start.go
@@ -67,15 +67,15 @@
 		l.limited[a.Worker] = l.Clock()
 	}
 	if arbiter != "" && arbiter != a.Worker {
-		l.lease(lease.StartAnswered{Worker: arbiter, Task: a.Task, Sure: err == nil || errors.As(err, &late)})
+		l.lease(lease.StartAnswered{Worker: arbiter, Task: a.Task, OutcomeKnown: err == nil || errors.As(err, &late)})
 	}
 	switch {
 	case err == nil:
-		l.lease(lease.StartAnswered{Worker: a.Worker, Task: a.Task, Sure: true, Run: a.Spec.Time.Duration})
+		l.lease(lease.StartAnswered{Worker: a.Worker, Task: a.Task, OutcomeKnown: true, Run: a.Spec.Time.Duration})
 		l.job(job.Started{Task: a.Task, Attempt: a.Attempt})
 	case errors.As(err, &late):
 		l.Count("lead.late")
-		l.lease(lease.StartAnswered{Worker: a.Worker, Task: a.Task, Sure: true})
+		l.lease(lease.StartAnswered{Worker: a.Worker, Task: a.Task, OutcomeKnown: true})
 		l.job(job.NotStarted{Task: a.Task, Attempt: a.Attempt})
 	default:
 		var unreached *worker.UnreachedError
--- a/internal/lease/fault_test.go
+++ b/internal/lease/fault_test.go
@@ -81,7 +81,7 @@
 	require.Empty(t, kinds[lease.Release](acts))
 	_, ok := l.Deadline(start, "w1")
 	require.False(t, ok, "a worker that is given up gets no new start")
-	sure := l.Step(start.Add(time.Second), lease.StartAnswered{Worker: "w1", Task: "t", Sure: true})
+	sure := l.Step(start.Add(time.Second), lease.StartAnswered{Worker: "w1", Task: "t", OutcomeKnown: true})
 	require.Equal(t, []lease.Release{{Worker: "w1", Lease: ""}}, kinds[lease.Release](sure))
 }
 
@@ -93,8 +93,8 @@
 	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
 	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
 	require.Empty(t, kinds[lease.Release](l.Step(start, lease.Wanted{})))
-	require.Empty(t, kinds[lease.Release](l.Step(start, lease.StartAnswered{Worker: "w1", Task: "t", Sure: true})))
-	require.Len(t, kinds[lease.Release](l.Step(start, lease.StartAnswered{Worker: "w1", Task: "t", Sure: true})), 1)
+	require.Empty(t, kinds[lease.Release](l.Step(start, lease.StartAnswered{Worker: "w1", Task: "t", OutcomeKnown: true})))
+	require.Len(t, kinds[lease.Release](l.Step(start, lease.StartAnswered{Worker: "w1", Task: "t", OutcomeKnown: true})), 1)
 }
 
 // The answer to that start is lost: nobody knows whether it will still land.
@@ -120,7 +120,7 @@
 	r.Left = 30 * time.Second
 	l.Step(start, lease.Granted{Worker: "w1", Reading: r})
 	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
-	l.Step(start, lease.StartAnswered{Worker: "w1", Task: "t", Sure: true, Run: time.Second})
+	l.Step(start, lease.StartAnswered{Worker: "w1", Task: "t", OutcomeKnown: true, Run: time.Second})
 	var at []time.Duration
 	for now := start; now.Before(start.Add(11 * time.Second)); now = now.Add(10 * time.Millisecond) {
 		if len(kinds[lease.Renew](l.Step(now, lease.Tick{}))) > 0 {
@@ -170,7 +170,7 @@
 	_, ok := l.Deadline(at, "w1")
 	require.False(t, ok)
 	at = at.Add(100 * time.Millisecond)
-	require.Len(t, kinds[lease.Renew](l.Step(at, lease.StartAnswered{Worker: "w1", Task: "t", Sure: true})), 1)
+	require.Len(t, kinds[lease.Renew](l.Step(at, lease.StartAnswered{Worker: "w1", Task: "t", OutcomeKnown: true})), 1)
 	later := at.Add(100 * time.Millisecond)
 	up := kinds[lease.Up](l.Step(later, lease.Renewed{Worker: "w1", Reading: reading(later, running("t"))}))
 	require.Len(t, up, 1)
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -268,10 +268,10 @@
 	if !w.up {
 		w.next = now
 	}
-	if !ev.Sure && w.over.After(w.risk) {
+	if !ev.OutcomeKnown && w.over.After(w.risk) {
 		w.risk = w.over
 	}
-	if ev.Sure && ev.Run > 0 && w.looks != nil {
+	if ev.OutcomeKnown && ev.Run > 0 && w.looks != nil {
 		w.looks[ev.Task] = now.Add(ev.Run)
 		w.watch(now, l.limits.Retry)
 	}
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -75,7 +75,7 @@
 // lost. Run is how long the task is expected to run; zero if it was not started.
 type StartAnswered struct {
 	Worker, Task string
-	Sure         bool
+	OutcomeKnown bool
 	Run          time.Duration
 }
 
--- a/internal/model/actions.go
+++ b/internal/model/actions.go
@@ -175,7 +175,7 @@
 	m.reading.Sent = m.sent
 	switch {
 	case m.kind == "start":
-		w.lease(h, lease.StartAnswered{Worker: m.worker, Task: m.task, Sure: true})
+		w.lease(h, lease.StartAnswered{Worker: m.worker, Task: m.task, OutcomeKnown: true})
 		if m.late {
 			w.job(h, job.NotStarted{Task: m.task, Attempt: m.attempt})
 			return
