--- a/internal/lead/start.go
+++ b/internal/lead/start.go
@@ -71,7 +71,7 @@
 	}
 	switch {
 	case err == nil:
-		l.lease(lease.StartAnswered{Worker: a.Worker, Task: a.Task, OutcomeKnown: true, Run: a.Spec.Time.Duration})
+		l.lease(lease.StartAnswered{Worker: a.Worker, Task: a.Task, OutcomeKnown: true, RunTime: a.Spec.Time.Duration})
 		l.job(job.Started{Task: a.Task, Attempt: a.Attempt})
 	case errors.As(err, &late):
 		l.Count("lead.late")
--- a/internal/lease/fault_test.go
+++ b/internal/lease/fault_test.go
@@ -120,7 +120,7 @@
 	r.Left = 30 * time.Second
 	l.Step(start, lease.Granted{Worker: "w1", Reading: r})
 	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
-	l.Step(start, lease.StartAnswered{Worker: "w1", Task: "t", OutcomeKnown: true, Run: time.Second})
+	l.Step(start, lease.StartAnswered{Worker: "w1", Task: "t", OutcomeKnown: true, RunTime: time.Second})
 	var at []time.Duration
 	for now := start; now.Before(start.Add(11 * time.Second)); now = now.Add(10 * time.Millisecond) {
 		if len(kinds[lease.Renew](l.Step(now, lease.Tick{}))) > 0 {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -271,8 +271,8 @@
 	if !ev.OutcomeKnown && w.over.After(w.risk) {
 		w.risk = w.over
 	}
-	if ev.OutcomeKnown && ev.Run > 0 && w.looks != nil {
-		w.looks[ev.Task] = now.Add(ev.Run)
+	if ev.OutcomeKnown && ev.RunTime > 0 && w.looks != nil {
+		w.looks[ev.Task] = now.Add(ev.RunTime)
 		w.watch(now, l.limits.Retry)
 	}
 }
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -76,7 +76,7 @@
 type StartAnswered struct {
 	Worker, Task string
 	OutcomeKnown bool
-	Run          time.Duration
+	RunTime      time.Duration
 }
 
 // Poll asks to read a worker again after so long.
