--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -44,7 +44,7 @@
 func (l *Lead) SetDomain(workers, peers []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lease(lease.Known{Workers: workers})
+	l.lease(lease.DomainWorkers{Workers: workers})
 	l.takeover(takeover.Workers{Names: workers})
 	l.takeover(takeover.Peers{Names: peers})
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -70,7 +70,7 @@
 		acts = l.refused(now, ev)
 	case Unanswered:
 		l.lost(now, ev.Worker)
-	case Known:
+	case DomainWorkers:
 		l.know(now, ev.Workers)
 	case Met:
 		l.met(now, ev)
--- a/internal/lease/life_test.go
+++ b/internal/lease/life_test.go
@@ -17,7 +17,7 @@
 // holdIn has a worker led in a life that was met a while ago.
 func holdIn(t *testing.T, l *lease.Leases, life string, left time.Duration) {
 	t.Helper()
-	l.Step(start.Add(-time.Minute), lease.Known{Workers: []string{"w1"}})
+	l.Step(start.Add(-time.Minute), lease.DomainWorkers{Workers: []string{"w1"}})
 	l.Step(start.Add(-time.Minute), lease.Met{Worker: "w1", Life: life})
 	l.Step(start, lease.Wanted{Workers: []string{"w1"}})
 	acts := l.Step(start, lease.Granted{Worker: "w1", Reading: inLife(start, life, left)})
@@ -67,7 +67,7 @@
 func TestLifeThatAPeerVouchesForIsNotWaitedFor(t *testing.T) {
 	l := lease.New(limits)
 	l.Step(start, lease.Vouched{Worker: "w1", Life: "1"})
-	l.Step(start, lease.Known{Workers: []string{"w1"}})
+	l.Step(start, lease.DomainWorkers{Workers: []string{"w1"}})
 	l.Step(start, lease.Vouched{Worker: "w1", Life: "1"})
 	require.True(t, grant(l, start, "1"))
 }
@@ -75,7 +75,7 @@
 // Guards against a peer's word about a life that has ended since.
 func TestWordAboutAFormerLifeDoesNotCount(t *testing.T) {
 	l := lease.New(limits)
-	l.Step(start, lease.Known{Workers: []string{"w1"}})
+	l.Step(start, lease.DomainWorkers{Workers: []string{"w1"}})
 	l.Step(start, lease.Vouched{Worker: "w1", Life: "1"})
 	require.False(t, grant(l, start, "2"))
 	l.Step(start, lease.Vouched{Worker: "w1", Life: "1"})
@@ -115,7 +115,7 @@
 func TestWorkersOfOtherHostsAreMet(t *testing.T) {
 	l := lease.New(limits)
 	ask := func(after time.Duration) int { return len(kinds[lease.Meet](l.Step(start.Add(after), lease.Tick{}))) }
-	require.Len(t, kinds[lease.Meet](l.Step(start, lease.Known{Workers: []string{"w1", "w2"}})), 2)
+	require.Len(t, kinds[lease.Meet](l.Step(start, lease.DomainWorkers{Workers: []string{"w1", "w2"}})), 2)
 	l.Step(start, lease.Met{Worker: "w1", Life: "1"})
 	require.Equal(t, 1, ask(time.Second), "the other did not answer")
 	require.Equal(t, 1, ask(2*time.Second))
@@ -138,7 +138,7 @@
 			pending = append(pending, a)
 		}
 	}
-	step(start, lease.Known{Workers: names})
+	step(start, lease.DomainWorkers{Workers: names})
 	step(start, lease.Wanted{Workers: names})
 	for at := start; at.Before(start.Add(time.Minute)); at = at.Add(50 * time.Millisecond) {
 		step(at, lease.Tick{})
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -85,8 +85,8 @@
 	After  time.Duration
 }
 
-// Known replaces the workers of the failure domain, wanted or not.
-type Known struct{ Workers []string }
+// DomainWorkers replaces the workers of the failure domain, wanted or not.
+type DomainWorkers struct{ Workers []string }
 
 // Met tells in which life a worker answered that is not wanted.
 type Met struct{ Worker, Life string }
@@ -109,7 +109,7 @@
 func (StartSent) event()     {}
 func (StartAnswered) event() {}
 func (Poll) event()          {}
-func (Known) event()         {}
+func (DomainWorkers) event() {}
 func (Met) event()           {}
 func (Vouched) event()       {}
 func (ReleaseAll) event()    {}
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -81,7 +81,7 @@
 	b.worker.SetFaults(standin.WorkerFaults{Skew: -7 * time.Hour})
 	l := lease.New(lease.Limits{TTL: 3 * time.Second})
 	a := b.client("a", 1)
-	l.Step(b.now, lease.Known{Workers: []string{"w"}})
+	l.Step(b.now, lease.DomainWorkers{Workers: []string{"w"}})
 	life, err := a.Life(ctx, b.addr)
 	require.NoError(t, err)
 	l.Step(b.now, lease.Met{Worker: "w", Life: life})
