--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -318,7 +318,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lease(lease.Met{Worker: a.Worker, Life: name})
+	l.lease(lease.IncarnationLearned{Worker: a.Worker, Life: name})
 }
 
 func (l *Lead) give(ctx context.Context, a lease.Release) {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -72,7 +72,7 @@
 		l.lost(now, ev.Worker)
 	case DomainWorkers:
 		l.know(now, ev.Workers)
-	case Met:
+	case IncarnationLearned:
 		l.met(now, ev)
 	case Vouched:
 		l.vouched(now, ev)
--- a/internal/lease/life.go
+++ b/internal/lease/life.go
@@ -53,7 +53,7 @@
 	}
 }
 
-func (l *Leases) met(now time.Time, ev Met) {
+func (l *Leases) met(now time.Time, ev IncarnationLearned) {
 	if w, ok := l.workers[ev.Worker]; ok && ev.Life != "" {
 		w.meet = now.Add(meetEvery)
 		l.tellLife(now, w, ev.Life)
--- a/internal/lease/life_test.go
+++ b/internal/lease/life_test.go
@@ -18,7 +18,7 @@
 func holdIn(t *testing.T, l *lease.Leases, life string, left time.Duration) {
 	t.Helper()
 	l.Step(start.Add(-time.Minute), lease.DomainWorkers{Workers: []string{"w1"}})
-	l.Step(start.Add(-time.Minute), lease.Met{Worker: "w1", Life: life})
+	l.Step(start.Add(-time.Minute), lease.IncarnationLearned{Worker: "w1", Life: life})
 	l.Step(start, lease.Wanted{Workers: []string{"w1"}})
 	acts := l.Step(start, lease.Granted{Worker: "w1", Reading: inLife(start, life, left)})
 	require.Len(t, kinds[lease.Up](acts), 1)
@@ -105,7 +105,7 @@
 	l := lease.New(limits)
 	holdIn(t, l, "1", 3*time.Second)
 	at := start.Add(time.Second)
-	l.Step(at, lease.Met{Worker: "w1", Life: "2"})
+	l.Step(at, lease.IncarnationLearned{Worker: "w1", Life: "2"})
 	acts := l.Step(at, lease.Renewed{Worker: "w1", Reading: inLife(at, "2", 3*time.Second)})
 	require.Len(t, kinds[lease.Down](acts), 1)
 	require.Len(t, kinds[lease.Acquire](acts), 1)
@@ -116,7 +116,7 @@
 	l := lease.New(limits)
 	ask := func(after time.Duration) int { return len(kinds[lease.Meet](l.Step(start.Add(after), lease.Tick{}))) }
 	require.Len(t, kinds[lease.Meet](l.Step(start, lease.DomainWorkers{Workers: []string{"w1", "w2"}})), 2)
-	l.Step(start, lease.Met{Worker: "w1", Life: "1"})
+	l.Step(start, lease.IncarnationLearned{Worker: "w1", Life: "1"})
 	require.Equal(t, 1, ask(time.Second), "the other did not answer")
 	require.Equal(t, 1, ask(2*time.Second))
 	require.True(t, grant(l, start.Add(10*time.Second), "1"))
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -88,8 +88,8 @@
 // DomainWorkers replaces the workers of the failure domain, wanted or not.
 type DomainWorkers struct{ Workers []string }
 
-// Met tells in which life a worker answered that is not wanted.
-type Met struct{ Worker, Life string }
+// IncarnationLearned tells in which life a worker answered that is not wanted.
+type IncarnationLearned struct{ Worker, Life string }
 
 // Vouched tells that no start to a former life of a worker was under way any more when a peer saw
 // it in this one.
@@ -101,19 +101,19 @@
 // Tick lets time pass.
 type Tick struct{}
 
-func (Wanted) event()        {}
-func (Granted) event()       {}
-func (Renewed) event()       {}
-func (Refused) event()       {}
-func (Unanswered) event()    {}
-func (StartSent) event()     {}
-func (StartAnswered) event() {}
-func (Poll) event()          {}
-func (DomainWorkers) event() {}
-func (Met) event()           {}
-func (Vouched) event()       {}
-func (ReleaseAll) event()    {}
-func (Tick) event()          {}
+func (Wanted) event()             {}
+func (Granted) event()            {}
+func (Renewed) event()            {}
+func (Refused) event()            {}
+func (Unanswered) event()         {}
+func (StartSent) event()          {}
+func (StartAnswered) event()      {}
+func (Poll) event()               {}
+func (DomainWorkers) event()      {}
+func (IncarnationLearned) event() {}
+func (Vouched) event()            {}
+func (ReleaseAll) event()         {}
+func (Tick) event()               {}
 
 // Action is what the lease core asks its edge to do.
 type Action interface{ action() }
