--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -131,7 +131,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for name, life := range c.Lives {
-		l.lease(lease.Vouched{Worker: name, Life: life})
+		l.lease(lease.IncarnationConfirmed{Worker: name, Life: life})
 	}
 	ev := takeover.Answer{Host: host, Asked: q.Asked, Leads: c.Leads, Waits: c.Waits}
 	held := l.Leases.Held()
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -74,7 +74,7 @@
 		l.know(now, ev.Workers)
 	case IncarnationLearned:
 		l.met(now, ev)
-	case Vouched:
+	case IncarnationConfirmed:
 		l.vouched(now, ev)
 	case StartSent:
 		l.sent(ev)
--- a/internal/lease/life.go
+++ b/internal/lease/life.go
@@ -61,7 +61,7 @@
 }
 
 // vouched takes a peer's word that it waited for the starts of a worker's former lives.
-func (l *Leases) vouched(now time.Time, ev Vouched) {
+func (l *Leases) vouched(now time.Time, ev IncarnationConfirmed) {
 	w, ok := l.workers[ev.Worker]
 	if !ok || ev.Life == "" || w.life != "" && w.life != ev.Life {
 		return
--- a/internal/lease/life_test.go
+++ b/internal/lease/life_test.go
@@ -66,9 +66,9 @@
 // Guards against workers that are idle after each change of their holder.
 func TestLifeThatAPeerVouchesForIsNotWaitedFor(t *testing.T) {
 	l := lease.New(limits)
-	l.Step(start, lease.Vouched{Worker: "w1", Life: "1"})
+	l.Step(start, lease.IncarnationConfirmed{Worker: "w1", Life: "1"})
 	l.Step(start, lease.DomainWorkers{Workers: []string{"w1"}})
-	l.Step(start, lease.Vouched{Worker: "w1", Life: "1"})
+	l.Step(start, lease.IncarnationConfirmed{Worker: "w1", Life: "1"})
 	require.True(t, grant(l, start, "1"))
 }
 
@@ -76,9 +76,9 @@
 func TestWordAboutAFormerLifeDoesNotCount(t *testing.T) {
 	l := lease.New(limits)
 	l.Step(start, lease.DomainWorkers{Workers: []string{"w1"}})
-	l.Step(start, lease.Vouched{Worker: "w1", Life: "1"})
+	l.Step(start, lease.IncarnationConfirmed{Worker: "w1", Life: "1"})
 	require.False(t, grant(l, start, "2"))
-	l.Step(start, lease.Vouched{Worker: "w1", Life: "1"})
+	l.Step(start, lease.IncarnationConfirmed{Worker: "w1", Life: "1"})
 	require.True(t, l.Unsettled(start))
 }
 
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -91,9 +91,9 @@
 // IncarnationLearned tells in which life a worker answered that is not wanted.
 type IncarnationLearned struct{ Worker, Life string }
 
-// Vouched tells that no start to a former life of a worker was under way any more when a peer saw
+// IncarnationConfirmed tells that no start to a former life of a worker was under way any more when a peer saw
 // it in this one.
-type Vouched struct{ Worker, Life string }
+type IncarnationConfirmed struct{ Worker, Life string }
 
 // ReleaseAll gives all anchors back, for a planned stop.
 type ReleaseAll struct{}
@@ -101,19 +101,19 @@
 // Tick lets time pass.
 type Tick struct{}
 
-func (Wanted) event()             {}
-func (Granted) event()            {}
-func (Renewed) event()            {}
-func (Refused) event()            {}
-func (Unanswered) event()         {}
-func (StartSent) event()          {}
-func (StartAnswered) event()      {}
-func (Poll) event()               {}
-func (DomainWorkers) event()      {}
-func (IncarnationLearned) event() {}
-func (Vouched) event()            {}
-func (ReleaseAll) event()         {}
-func (Tick) event()               {}
+func (Wanted) event()               {}
+func (Granted) event()              {}
+func (Renewed) event()              {}
+func (Refused) event()              {}
+func (Unanswered) event()           {}
+func (StartSent) event()            {}
+func (StartAnswered) event()        {}
+func (Poll) event()                 {}
+func (DomainWorkers) event()        {}
+func (IncarnationLearned) event()   {}
+func (IncarnationConfirmed) event() {}
+func (ReleaseAll) event()           {}
+func (Tick) event()                 {}
 
 // Action is what the lease core asks its edge to do.
 type Action interface{ action() }
