--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -222,7 +222,7 @@
 			l.spawn(func(ctx context.Context) { l.renew(ctx, a) })
 		case lease.Release:
 			l.spawn(func(ctx context.Context) { l.give(ctx, a) })
-		case lease.Meet:
+		case lease.AskIncarnation:
 			l.spawn(func(ctx context.Context) { l.meet(ctx, a) })
 		case lease.Waits:
 			l.Log.Info("lead: worker is in a life that is new here; waiting for starts to the former one.", "worker", a.Worker, "life", a.Life, "until", a.Until)
@@ -310,7 +310,7 @@
 }
 
 // meet asks a worker for its life. One that does not answer is asked again.
-func (l *Lead) meet(ctx context.Context, a lease.Meet) {
+func (l *Lead) meet(ctx context.Context, a lease.AskIncarnation) {
 	name, err := l.Workers.Life(ctx, l.address(a.Worker))
 	if err != nil {
 		l.Log.Debug("lead: life of a worker not told.", "worker", a.Worker, "err", err)
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -324,7 +324,7 @@
 		return w.down(name)
 	case !w.want && w.known && !w.meet.After(now):
 		w.meet = now.Add(meetAgain)
-		return []Action{Meet{Worker: name}}
+		return []Action{AskIncarnation{Worker: name}}
 	case !w.want || w.next.After(now):
 		return nil
 	case w.state == "free":
--- a/internal/lease/life_test.go
+++ b/internal/lease/life_test.go
@@ -114,8 +114,10 @@
 // Guards against workers of other hosts whose lives nobody here knows when their holder is lost.
 func TestWorkersOfOtherHostsAreMet(t *testing.T) {
 	l := lease.New(limits)
-	ask := func(after time.Duration) int { return len(kinds[lease.Meet](l.Step(start.Add(after), lease.Tick{}))) }
-	require.Len(t, kinds[lease.Meet](l.Step(start, lease.DomainWorkers{Workers: []string{"w1", "w2"}})), 2)
+	ask := func(after time.Duration) int {
+		return len(kinds[lease.AskIncarnation](l.Step(start.Add(after), lease.Tick{})))
+	}
+	require.Len(t, kinds[lease.AskIncarnation](l.Step(start, lease.DomainWorkers{Workers: []string{"w1", "w2"}})), 2)
 	l.Step(start, lease.IncarnationLearned{Worker: "w1", Life: "1"})
 	require.Equal(t, 1, ask(time.Second), "the other did not answer")
 	require.Equal(t, 1, ask(2*time.Second))
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -137,8 +137,8 @@
 // was taken anew, names another lease and changes nothing.
 type Release struct{ Worker, Lease string }
 
-// Meet asks a worker for its life.
-type Meet struct{ Worker string }
+// AskIncarnation asks a worker for its life.
+type AskIncarnation struct{ Worker string }
 
 // Waits tells that a worker is held and not led before Until: starts of other hosts to its former
 // life may arrive.
@@ -162,11 +162,11 @@
 // Down tells that this host leads a worker no longer.
 type Down struct{ Worker string }
 
-func (Acquire) action() {}
-func (Meet) action()    {}
-func (Waits) action()   {}
-func (Renew) action()   {}
-func (Release) action() {}
-func (Up) action()      {}
-func (Seen) action()    {}
-func (Down) action()    {}
+func (Acquire) action()        {}
+func (AskIncarnation) action() {}
+func (Waits) action()          {}
+func (Renew) action()          {}
+func (Release) action()        {}
+func (Up) action()             {}
+func (Seen) action()           {}
+func (Down) action()           {}
