--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -224,7 +224,7 @@
 			l.spawn(func(ctx context.Context) { l.give(ctx, a) })
 		case lease.AskIncarnation:
 			l.spawn(func(ctx context.Context) { l.meet(ctx, a) })
-		case lease.Waits:
+		case lease.AwaitStarts:
 			l.Log.Info("lead: worker is in a life that is new here; waiting for starts to the former one.", "worker", a.Worker, "life", a.Life, "until", a.Until)
 		case lease.Up:
 			l.up(a)
--- a/internal/lease/life.go
+++ b/internal/lease/life.go
@@ -39,7 +39,7 @@
 		return nil
 	}
 	w.waits = w.life
-	return []Action{Waits{Worker: name, Life: w.life, Until: at}}
+	return []Action{AwaitStarts{Worker: name, Life: w.life, Until: at}}
 }
 
 func (l *Leases) know(now time.Time, names []string) {
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -140,9 +140,9 @@
 // AskIncarnation asks a worker for its life.
 type AskIncarnation struct{ Worker string }
 
-// Waits tells that a worker is held and not led before Until: starts of other hosts to its former
+// AwaitStarts tells that a worker is held and not led before Until: starts of other hosts to its former
 // life may arrive.
-type Waits struct {
+type AwaitStarts struct {
 	Worker, Life string
 	Until        time.Time
 }
@@ -164,7 +164,7 @@
 
 func (Acquire) action()        {}
 func (AskIncarnation) action() {}
-func (Waits) action()          {}
+func (AwaitStarts) action()    {}
 func (Renew) action()          {}
 func (Release) action()        {}
 func (Up) action()             {}
