--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -228,7 +228,7 @@
 			l.Log.Info("lead: worker is in a life that is new here; waiting for starts to the former one.", "worker", a.Worker, "life", a.Life, "until", a.Until)
 		case lease.Up:
 			l.up(a)
-		case lease.Seen:
+		case lease.Updated:
 			l.seen(a.Worker, a.Reading)
 		case lease.Down:
 			l.down(a.Worker)
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -131,7 +131,7 @@
 	case !w.want:
 		return nil
 	case w.up:
-		return []Action{Seen{Worker: name, Reading: w.whole()}}
+		return []Action{Updated{Worker: name, Reading: w.whole()}}
 	case len(w.flying) > 0 || w.risk.After(now) || !w.reading.Sent.After(w.started):
 		w.next = now.Add(l.limits.Retry)
 		return nil
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -153,8 +153,8 @@
 	Reading
 }
 
-// Seen tells what a led worker runs now.
-type Seen struct {
+// Updated tells what a led worker runs now.
+type Updated struct {
 	Worker string
 	Reading
 }
@@ -168,5 +168,5 @@
 func (Renew) action()          {}
 func (Release) action()        {}
 func (Up) action()             {}
-func (Seen) action()           {}
+func (Updated) action()        {}
 func (Down) action()           {}
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -186,7 +186,7 @@
 			h.room[a.Worker] = map[string]bool{}
 			w.seen(h, a.Worker, a.Reading)
 			w.overtake(h, takeover.Held{Worker: a.Worker})
-		case lease.Seen:
+		case lease.Updated:
 			w.seen(h, a.Worker, a.Reading)
 		case lease.Down:
 			delete(h.room, a.Worker)
