--- a/internal/lease/fault_test.go
+++ b/internal/lease/fault_test.go
@@ -11,7 +11,7 @@
 )
 
 func reading(sent time.Time, tasks ...lease.Task) lease.Reading {
-	return lease.Reading{Sent: sent, Clock: sent, Left: 3 * time.Second, Lease: "7", Mark: int64(len(tasks)), Tasks: tasks}
+	return lease.Reading{Sent: sent, Clock: sent, Remaining: 3 * time.Second, Lease: "7", Mark: int64(len(tasks)), Tasks: tasks}
 }
 
 func kinds[T lease.Action](acts []lease.Action) []T {
@@ -117,7 +117,7 @@
 	l := lease.New(slow)
 	l.Step(start, lease.Wanted{Workers: []string{"w1"}})
 	r := reading(start)
-	r.Left = 30 * time.Second
+	r.Remaining = 30 * time.Second
 	l.Step(start, lease.Granted{Worker: "w1", Reading: r})
 	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
 	l.Step(start, lease.StartAnswered{Worker: "w1", Task: "t", OutcomeKnown: true, RunTime: time.Second})
@@ -126,7 +126,7 @@
 		if len(kinds[lease.Renew](l.Step(now, lease.Tick{}))) > 0 {
 			at = append(at, now.Sub(start))
 			r := reading(now, running("t"))
-			r.Left = 30 * time.Second
+			r.Remaining = 30 * time.Second
 			l.Step(now, lease.Renewed{Worker: "w1", Reading: r})
 		}
 	}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -152,8 +152,8 @@
 // read takes over an answer. The lease is counted from when the question was
 // sent: the worker may have begun to count as early as that.
 func (w *worker) read(now time.Time, r Reading) {
-	w.until = r.Sent.Add(r.Left - r.Left/drift)
-	w.over = now.Add(r.Left)
+	w.until = r.Sent.Add(r.Remaining - r.Remaining/drift)
+	w.over = now.Add(r.Remaining)
 	if r.Whole {
 		w.tasks = map[string]Task{}
 	}
@@ -368,7 +368,7 @@
 	if !ok || !w.up || w.state != "held" || !l.fresh(w).After(now) {
 		return time.Time{}, false
 	}
-	left := min(w.reading.Left, l.limits.start())
+	left := min(w.reading.Remaining, l.limits.start())
 	return w.reading.Clock.Add(left - left/drift), true
 }
 
@@ -389,7 +389,7 @@
 		return time.Time{}, false
 	}
 	w := l.workers[name]
-	passed := now.Sub(w.over.Add(-w.reading.Left))
+	passed := now.Sub(w.over.Add(-w.reading.Remaining))
 	clock := w.reading.Clock.Add(passed - passed/drift)
 	if end := clock.Add(l.workers[other].until.Sub(now)); end.Before(deadline) {
 		deadline = end
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -17,7 +17,7 @@
 func hold(t *testing.T, l *lease.Leases) {
 	t.Helper()
 	require.Equal(t, []lease.Action{lease.Acquire{Worker: "w1", TTL: 3 * time.Second}}, l.Step(start, lease.Wanted{Workers: []string{"w1"}}))
-	acts := l.Step(start, lease.Granted{Worker: "w1", Reading: lease.Reading{Sent: start, Clock: start, Left: 3 * time.Second}})
+	acts := l.Step(start, lease.Granted{Worker: "w1", Reading: lease.Reading{Sent: start, Clock: start, Remaining: 3 * time.Second}})
 	require.IsType(t, lease.Up{}, acts[0])
 }
 
@@ -41,7 +41,7 @@
 	l := lease.New(limits)
 	l.Step(start, lease.Wanted{Workers: []string{"w1"}})
 	theirs := start.Add(-5 * time.Hour)
-	l.Step(start, lease.Granted{Worker: "w1", Reading: lease.Reading{Sent: start, Clock: theirs, Left: 3 * time.Second}})
+	l.Step(start, lease.Granted{Worker: "w1", Reading: lease.Reading{Sent: start, Clock: theirs, Remaining: 3 * time.Second}})
 	d, ok := l.Deadline(start.Add(time.Second), "w1")
 	require.True(t, ok)
 	require.True(t, d.After(theirs) && d.Before(theirs.Add(3*time.Second)))
@@ -52,7 +52,7 @@
 func TestLateGrantIsNotTaken(t *testing.T) {
 	l := lease.New(limits)
 	l.Step(start, lease.Wanted{Workers: []string{"w1"}})
-	acts := l.Step(start.Add(5*time.Second), lease.Granted{Worker: "w1", Reading: lease.Reading{Sent: start, Clock: start, Left: 3 * time.Second}})
+	acts := l.Step(start.Add(5*time.Second), lease.Granted{Worker: "w1", Reading: lease.Reading{Sent: start, Clock: start, Remaining: 3 * time.Second}})
 	for _, a := range acts {
 		_, up := a.(lease.Up)
 		require.False(t, up)
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -16,9 +16,9 @@
 // question left, by this host's clock; Clock is the worker's own clock at the
 // answer; Left is how long the anchor still runs from then.
 type Reading struct {
-	Sent  time.Time
-	Clock time.Time
-	Left  time.Duration
+	Sent      time.Time
+	Clock     time.Time
+	Remaining time.Duration
 	// Lease names the anchor's lease.
 	Lease string
 	// Life names the worker's life, from its start to its end; empty: not told.
--- a/internal/model/machine.go
+++ b/internal/model/machine.go
@@ -32,7 +32,7 @@
 }
 
 func (m *machine) reading(now time.Time) lease.Reading {
-	r := lease.Reading{Clock: now.Add(skew), Left: m.until.Sub(now), Lease: strconv.Itoa(m.lease), Whole: true}
+	r := lease.Reading{Clock: now.Add(skew), Remaining: m.until.Sub(now), Lease: strconv.Itoa(m.lease), Whole: true}
 	for id := range m.tasks {
 		r.Tasks = append(r.Tasks, lease.Task{ID: id, Lease: id, Job: jobOf(id), State: "running"})
 	}
@@ -46,7 +46,7 @@
 	switch q.kind {
 	case "take":
 		if held && m.holder != q.holder {
-			q.refused, q.reading.Left = true, m.until.Sub(now)
+			q.refused, q.reading.Remaining = true, m.until.Sub(now)
 			return q
 		}
 		m.lease++
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -123,7 +123,7 @@
 
 func (s saysBody) reading(sent time.Time) lease.Reading {
 	r := lease.Reading{
-		Sent: sent, Clock: time.UnixMilli(s.Clock), Left: time.Duration(s.Left) * time.Millisecond,
+		Sent: sent, Clock: time.UnixMilli(s.Clock), Remaining: time.Duration(s.Left) * time.Millisecond,
 		Lease: s.Lease, Life: s.Life, Mark: s.Mark, Whole: s.Whole, Gone: s.Gone,
 	}
 	for _, t := range s.Tasks {
