--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -86,7 +86,7 @@
 }
 
 func (l *Lead) view(name string, r lease.Reading, q Question) View {
-	v := View{Worker: name, Clock: r.Clock, Age: l.Clock().Sub(r.Sent), Life: r.Life}
+	v := View{Worker: name, Clock: r.Clock, Age: l.Clock().Sub(r.Sent), Life: r.Incarnation}
 	for _, t := range r.Tasks {
 		if slices.Contains(q.Jobs, t.Job) {
 			v.Tasks = append(v.Tasks, job.Listed{ID: t.ID, State: t.State, Lease: t.Lease})
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -345,7 +345,7 @@
 }
 
 func (l *Lead) seen(name string, r lease.Reading) {
-	ev := job.Seen{Worker: name, Clock: r.Clock, Sent: r.Sent, Life: r.Life}
+	ev := job.Seen{Worker: name, Clock: r.Clock, Sent: r.Sent, Life: r.Incarnation}
 	var wait bool
 	if ev.RackLost, wait = l.rackLost(name, r); wait {
 		// What is listed runs, whatever became of the rest. A census may rest on it now.
--- a/internal/lead/rack.go
+++ b/internal/lead/rack.go
@@ -31,13 +31,13 @@
 	now := l.Clock()
 	w := l.lives[name]
 	switch {
-	case r.Life == "":
+	case r.Incarnation == "":
 		return false, false
 	case w == nil:
-		w = &life{name: r.Life}
+		w = &life{name: r.Incarnation}
 		l.lives[name] = w
-	case w.name != r.Life:
-		*w = life{name: r.Life, since: now, open: true}
+	case w.name != r.Incarnation:
+		*w = life{name: r.Incarnation, since: now, open: true}
 	}
 	if !w.open {
 		l.lookAtOpen(name)
@@ -85,7 +85,7 @@
 		w := l.lives[mate]
 		switch {
 		case w != nil && !w.since.IsZero() && since.Sub(w.since) < rackApart:
-		case held && r.Sent.After(since) && (w == nil || w.name == r.Life):
+		case held && r.Sent.After(since) && (w == nil || w.name == r.Incarnation):
 			alive = true
 		default:
 			silent = true
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -182,7 +182,7 @@
 	if !ok || !w.move("granted") {
 		return nil
 	}
-	l.tellLife(now, w, ev.Life)
+	l.tellLife(now, w, ev.Incarnation)
 	ev.Whole = true
 	w.read(now, ev.Reading)
 	if !w.until.After(now) {
@@ -208,8 +208,8 @@
 	if !ok || w.state != "held" || !ev.Sent.After(w.reading.Sent) {
 		return nil
 	}
-	if ev.Life != w.reading.Life {
-		l.tellLife(now, w, ev.Life)
+	if ev.Incarnation != w.reading.Incarnation {
+		l.tellLife(now, w, ev.Incarnation)
 		w.move("lapse")
 		w.next = now
 		return w.down(ev.Worker)
--- a/internal/lease/life_test.go
+++ b/internal/lease/life_test.go
@@ -11,7 +11,7 @@
 )
 
 func inLife(sent time.Time, life string, left time.Duration) lease.Reading {
-	return lease.Reading{Sent: sent, Clock: sent, Remaining: left, Lease: "7", Life: life}
+	return lease.Reading{Sent: sent, Clock: sent, Remaining: left, Lease: "7", Incarnation: life}
 }
 
 // holdIn has a worker led in a life that was met a while ago.
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -21,8 +21,8 @@
 	Remaining time.Duration
 	// Lease names the anchor's lease.
 	Lease string
-	// Life names the worker's life, from its start to its end; empty: not told.
-	Life string
+	// Incarnation names the worker's life, from its start to its end; empty: not told.
+	Incarnation string
 	// Mark is where the worker's list of changes stood.
 	Mark int64
 	// Tasks are all tasks if Whole is set, else those that changed since the
