--- a/internal/lease/fault_test.go
+++ b/internal/lease/fault_test.go
@@ -11,7 +11,7 @@
 )
 
 func reading(sent time.Time, tasks ...lease.Task) lease.Reading {
-	return lease.Reading{Sent: sent, Clock: sent, Remaining: 3 * time.Second, Lease: "7", Mark: int64(len(tasks)), Tasks: tasks}
+	return lease.Reading{Sent: sent, Clock: sent, Remaining: 3 * time.Second, Lease: "7", Cursor: int64(len(tasks)), Tasks: tasks}
 }
 
 func kinds[T lease.Action](acts []lease.Action) []T {
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -23,8 +23,8 @@
 	Lease string
 	// Incarnation names the worker's life, from its start to its end; empty: not told.
 	Incarnation string
-	// Mark is where the worker's list of changes stood.
-	Mark int64
+	// Cursor is where the worker's list of changes stood.
+	Cursor int64
 	// Tasks are all tasks if Whole is set, else those that changed since the
 	// mark that was sent; Gone are those that the worker has forgotten.
 	Tasks []Task
--- a/internal/measure/renew.go
+++ b/internal/measure/renew.go
@@ -88,7 +88,7 @@
 	before := bytes.Load()
 	for range n {
 		if marks {
-			ask.Since = r.Mark
+			ask.Since = r.Cursor
 		}
 		if r, err = c.Renew(ctx, addr, ask, nil); err != nil {
 			return 0, err
