--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -160,7 +160,7 @@
 	for _, t := range r.Tasks {
 		w.tasks[t.ID] = t
 	}
-	for _, id := range r.Gone {
+	for _, id := range r.Removed {
 		delete(w.tasks, id)
 	}
 	w.reading = r
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -27,9 +27,9 @@
 	Cursor int64
 	// Tasks are all tasks if Whole is set, else those that changed since the
 	// mark that was sent; Gone are those that the worker has forgotten.
-	Tasks []Task
-	Gone  []string
-	Whole bool
+	Tasks   []Task
+	Removed []string
+	Whole   bool
 }
 
 // Task is one task as a worker lists it. Lease names its start.
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -142,7 +142,7 @@
 	require.Len(t, r.Tasks, 1)
 	r, err = a.Renew(ctx, b.addr, renew, []string{r.Tasks[0].Lease})
 	require.NoError(t, err)
-	require.Equal(t, []string{"t"}, r.Gone)
+	require.Equal(t, []string{"t"}, r.Removed)
 }
 
 // The stand-in has its guards off: it takes a second copy and an overload, and
