--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -154,7 +154,7 @@
 func (w *worker) read(now time.Time, r Reading) {
 	w.until = r.Sent.Add(r.Remaining - r.Remaining/drift)
 	w.over = now.Add(r.Remaining)
-	if r.Whole {
+	if r.Full {
 		w.tasks = map[string]Task{}
 	}
 	for _, t := range r.Tasks {
@@ -183,7 +183,7 @@
 		return nil
 	}
 	l.tellLife(now, w, ev.Incarnation)
-	ev.Whole = true
+	ev.Full = true
 	w.read(now, ev.Reading)
 	if !w.until.After(now) {
 		// The grant arrived after it had lapsed: a paused host would start
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -29,7 +29,7 @@
 	// mark that was sent; Gone are those that the worker has forgotten.
 	Tasks   []Task
 	Removed []string
-	Whole   bool
+	Full    bool
 }
 
 // Task is one task as a worker lists it. Lease names its start.
--- a/internal/model/machine.go
+++ b/internal/model/machine.go
@@ -32,7 +32,7 @@
 }
 
 func (m *machine) reading(now time.Time) lease.Reading {
-	r := lease.Reading{Clock: now.Add(skew), Remaining: m.until.Sub(now), Lease: strconv.Itoa(m.lease), Whole: true}
+	r := lease.Reading{Clock: now.Add(skew), Remaining: m.until.Sub(now), Lease: strconv.Itoa(m.lease), Full: true}
 	for id := range m.tasks {
 		r.Tasks = append(r.Tasks, lease.Task{ID: id, Lease: id, Job: jobOf(id), State: "running"})
 	}
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -124,7 +124,7 @@
 func (s saysBody) reading(sent time.Time) lease.Reading {
 	r := lease.Reading{
 		Sent: sent, Clock: time.UnixMilli(s.Clock), Remaining: time.Duration(s.Left) * time.Millisecond,
-		Lease: s.Lease, Incarnation: s.Life, Cursor: s.Mark, Whole: s.Whole, Removed: s.Gone,
+		Lease: s.Lease, Incarnation: s.Life, Cursor: s.Mark, Full: s.Whole, Removed: s.Gone,
 	}
 	for _, t := range s.Tasks {
 		r.Tasks = append(r.Tasks, lease.Task{ID: t.ID, Lease: t.Lease, Job: t.Job, Row: t.Row, State: t.State, Size: t.Size, Use: t.Use})
