--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -225,7 +225,7 @@
 	if !ok {
 		return nil
 	}
-	w.next = now.Add(max(l.limits.Retry, ev.Left))
+	w.next = now.Add(max(l.limits.Retry, ev.Remaining))
 	if w.state == "held" {
 		if !ev.Sent.After(w.reading.Sent) {
 			return nil
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -57,10 +57,10 @@
 
 // Refused tells that another host holds a worker's anchor for Left more.
 type Refused struct {
-	Worker string
-	Holder string
-	Left   time.Duration
-	Sent   time.Time
+	Worker    string
+	Holder    string
+	Remaining time.Duration
+	Sent      time.Time
 	// Life names the worker's life; empty: not told.
 	Life string
 }
--- a/internal/model/actions.go
+++ b/internal/model/actions.go
@@ -184,7 +184,7 @@
 	case m.kind == "give":
 	case m.refused:
 		w.overtake(h, takeover.Sign{Worker: m.worker})
-		w.lease(h, lease.Refused{Worker: m.worker, Left: m.reading.Remaining, Sent: m.sent})
+		w.lease(h, lease.Refused{Worker: m.worker, Remaining: m.reading.Remaining, Sent: m.sent})
 	case m.kind == "take":
 		w.lease(h, lease.Granted{Worker: m.worker, Reading: m.reading})
 	default:
