--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -303,7 +303,7 @@
 		l.lease(good)
 	case errors.As(err, &held):
 		l.takeover(takeover.Sign{Worker: name})
-		l.lease(lease.Refused{Worker: name, Holder: held.Holder, Remaining: held.Left, Sent: held.Sent, Life: held.Life})
+		l.lease(lease.Refused{Worker: name, Holder: held.Holder, Remaining: held.Left, Sent: held.Sent, Incarnation: held.Life})
 	default:
 		l.lease(lease.Unanswered{Worker: name})
 	}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -230,11 +230,11 @@
 		if !ev.Sent.After(w.reading.Sent) {
 			return nil
 		}
-		l.tellLife(now, w, ev.Life)
+		l.tellLife(now, w, ev.Incarnation)
 		w.move("lapse")
 		return w.down(ev.Worker)
 	}
-	l.tellLife(now, w, ev.Life)
+	l.tellLife(now, w, ev.Incarnation)
 	w.move("refused")
 	return nil
 }
--- a/internal/lease/life_test.go
+++ b/internal/lease/life_test.go
@@ -50,7 +50,7 @@
 	l := lease.New(limits)
 	holdIn(t, l, "1", 3*time.Second)
 	at := start.Add(time.Second)
-	acts := l.Step(at, lease.Refused{Worker: "w1", Sent: at, Life: "2"})
+	acts := l.Step(at, lease.Refused{Worker: "w1", Sent: at, Incarnation: "2"})
 	require.Len(t, kinds[lease.Down](acts), 1)
 	require.True(t, grant(l, at.Add(limits.Retry), "2"))
 }
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -61,8 +61,8 @@
 	Holder    string
 	Remaining time.Duration
 	Sent      time.Time
-	// Life names the worker's life; empty: not told.
-	Life string
+	// Incarnation names the worker's life; empty: not told.
+	Incarnation string
 }
 
 // Unanswered tells that an exchange with a worker had no answer.
