--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -333,7 +333,7 @@
 		return []Action{Acquire{Worker: name, TTL: l.limits.ttl(l.wanted())}}
 	case w.state == "held":
 		w.next = now.Add(l.limits.Retry)
-		return []Action{Renew{Worker: name, TTL: l.limits.ttl(l.wanted()), Long: l.limits.Long, Since: w.reading.Cursor}}
+		return []Action{Renew{Worker: name, TTL: l.limits.ttl(l.wanted()), TaskTTL: l.limits.Long, Since: w.reading.Cursor}}
 	}
 	return nil
 }
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -127,10 +127,10 @@
 // Renew lengthens the anchor by TTL and all tasks on a worker by Long, in one
 // message. The answer tells what changed since the mark Since.
 type Renew struct {
-	Worker string
-	TTL    time.Duration
-	Long   time.Duration
-	Since  int64
+	Worker  string
+	TTL     time.Duration
+	TaskTTL time.Duration
+	Since   int64
 }
 
 // Release returns a worker's anchor. A give that arrives late, after the anchor
--- a/internal/measure/renew.go
+++ b/internal/measure/renew.go
@@ -80,7 +80,7 @@
 // renewals returns the bytes of one renewal, on average over some of them.
 func renewals(ctx context.Context, c *worker.Client, addr netip.AddrPort, bytes *atomic.Int64, marks bool) (float64, error) {
 	const n = 20
-	ask := lease.Renew{TTL: time.Minute, Long: time.Minute}
+	ask := lease.Renew{TTL: time.Minute, TaskTTL: time.Minute}
 	r, err := c.Renew(ctx, addr, ask, nil)
 	if err != nil {
 		return 0, err
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -179,7 +179,7 @@
 		case lease.Acquire:
 			w.send(h, message{kind: "take", worker: a.Worker, ttl: a.TTL})
 		case lease.Renew:
-			w.send(h, message{kind: "renew", worker: a.Worker, ttl: a.TTL, long: a.Long})
+			w.send(h, message{kind: "renew", worker: a.Worker, ttl: a.TTL, long: a.TaskTTL})
 		case lease.Release:
 			w.send(h, message{kind: "give", worker: a.Worker, lease: a.Lease})
 		case lease.Up:
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -140,7 +140,7 @@
 // Renew lengthens the anchor by TTL and the leases of all tasks by Long, and
 // lets the worker forget ended starts by their leases. Errors are as for Take.
 func (c *Client) Renew(ctx context.Context, addr netip.AddrPort, a lease.Renew, forget []string) (lease.Reading, error) {
-	return c.lease(ctx, addr, "/renew", askBody{TTL: a.TTL.Milliseconds(), Keep: a.Long.Milliseconds(), Since: a.Since, Forget: forget})
+	return c.lease(ctx, addr, "/renew", askBody{TTL: a.TTL.Milliseconds(), Keep: a.TaskTTL.Milliseconds(), Since: a.Since, Forget: forget})
 }
 
 func (c *Client) lease(ctx context.Context, addr netip.AddrPort, path string, ask askBody) (lease.Reading, error) {
