--- a/internal/lease/fault_test.go
+++ b/internal/lease/fault_test.go
@@ -147,12 +147,12 @@
 	l.Step(start, lease.Wanted{Workers: names})
 	bytes := 46 * float64(lease.DefaultLimits.Cost) / (l.TTL().Seconds() * 2 / 5)
 	require.LessOrEqual(t, bytes, float64(lease.DefaultLimits.Budget)*1.01)
-	require.Greater(t, lease.DefaultLimits.Long, 2*l.TTL(), "tasks outlive their lead")
+	require.Greater(t, lease.DefaultLimits.TaskTTL, 2*l.TTL(), "tasks outlive their lead")
 	for len(names) < 5000 {
 		names = append(names, strconv.Itoa(len(names)))
 	}
 	l.Step(start, lease.Wanted{Workers: names})
-	require.LessOrEqual(t, l.TTL(), lease.DefaultLimits.Long/3, "no start outlasts a census")
+	require.LessOrEqual(t, l.TTL(), lease.DefaultLimits.TaskTTL/3, "no start outlasts a census")
 }
 
 // Guards against an overfull worker: a host gives a rack up and gets it back while a start is
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -333,7 +333,7 @@
 		return []Action{Acquire{Worker: name, TTL: l.limits.ttl(l.wanted())}}
 	case w.state == "held":
 		w.next = now.Add(l.limits.Retry)
-		return []Action{Renew{Worker: name, TTL: l.limits.ttl(l.wanted()), TaskTTL: l.limits.Long, Since: w.reading.Cursor}}
+		return []Action{Renew{Worker: name, TTL: l.limits.ttl(l.wanted()), TaskTTL: l.limits.TaskTTL, Since: w.reading.Cursor}}
 	}
 	return nil
 }
@@ -402,7 +402,7 @@
 func (l *Leases) TTL() time.Duration { return l.limits.ttl(l.wanted()) }
 
 // Longest is how long any task may go on without its holder.
-func (l *Leases) Longest() time.Duration { return l.limits.Long }
+func (l *Leases) Longest() time.Duration { return l.limits.TaskTTL }
 
 // Held lists the workers that this host leads, in order of name.
 func (l *Leases) Held() []string {
--- a/internal/lease/limits.go
+++ b/internal/lease/limits.go
@@ -6,9 +6,9 @@
 type Limits struct {
 	// TTL is the shortest time that an anchor runs from a renewal.
 	TTL time.Duration
-	// Long is how long the lease of a running task runs from a renewal. It
+	// TaskTTL is how long the lease of a running task runs from a renewal. It
 	// outlasts the anchor, so that tasks outlive the death of their lead.
-	Long time.Duration
+	TaskTTL time.Duration
 	// Retry is the least time between two tries for one anchor.
 	Retry time.Duration
 	// Cost is what one renewal exchange takes on the wire, in bytes.
@@ -18,7 +18,7 @@
 }
 
 // DefaultLimits keep the renewals of 46 led workers under 3 KB/s.
-var DefaultLimits = Limits{TTL: 3 * time.Second, Long: 45 * time.Second, Retry: 250 * time.Millisecond, Cost: 360, Budget: 3000}
+var DefaultLimits = Limits{TTL: 3 * time.Second, TaskTTL: 45 * time.Second, Retry: 250 * time.Millisecond, Cost: 360, Budget: 3000}
 
 // tries is how many renewals are sent before an anchor lapses.
 const tries = 5
@@ -39,7 +39,7 @@
 	return min(l.most(), max(least, time.Duration(int64(n)*l.Cost)*time.Second/time.Duration(l.Budget)))
 }
 
-func (l Limits) most() time.Duration { return max(l.TTL*2/tries, l.Long*2/tries/outlast) }
+func (l Limits) most() time.Duration { return max(l.TTL*2/tries, l.TaskTTL*2/tries/outlast) }
 
 // start is how long after an answer of a worker a start may be carried out there, whoever holds the
 // worker and for how long. A host that meets the worker in a new life waits for as long. The rarest
