--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -133,7 +133,7 @@
 	case w.up:
 		return []Action{Updated{Worker: name, Reading: w.whole()}}
 	case len(w.flying) > 0 || w.risk.After(now) || !w.reading.Sent.After(w.started):
-		w.next = now.Add(l.limits.Retry)
+		w.next = now.Add(l.limits.RetryInterval)
 		return nil
 	case !w.reading.Sent.After(w.former):
 		return w.wait(name)
@@ -216,7 +216,7 @@
 	}
 	w.read(now, ev.Reading)
 	w.next = now.Add(l.every())
-	w.watch(now, l.limits.Retry)
+	w.watch(now, l.limits.RetryInterval)
 	return l.show(now, ev.Worker, w)
 }
 
@@ -225,7 +225,7 @@
 	if !ok {
 		return nil
 	}
-	w.next = now.Add(max(l.limits.Retry, ev.Remaining))
+	w.next = now.Add(max(l.limits.RetryInterval, ev.Remaining))
 	if w.state == "held" {
 		if !ev.Sent.After(w.reading.Sent) {
 			return nil
@@ -244,7 +244,7 @@
 	if !ok {
 		return
 	}
-	w.next = now.Add(l.limits.Retry)
+	w.next = now.Add(l.limits.RetryInterval)
 	if w.state == "taking" {
 		w.move("lost")
 	}
@@ -273,7 +273,7 @@
 	}
 	if ev.OutcomeKnown && ev.RunTime > 0 && w.looks != nil {
 		w.looks[ev.Task] = now.Add(ev.RunTime)
-		w.watch(now, l.limits.Retry)
+		w.watch(now, l.limits.RetryInterval)
 	}
 }
 
@@ -332,7 +332,7 @@
 		w.next = now.Add(l.limits.TTL)
 		return []Action{Acquire{Worker: name, TTL: l.limits.ttl(l.wanted())}}
 	case w.state == "held":
-		w.next = now.Add(l.limits.Retry)
+		w.next = now.Add(l.limits.RetryInterval)
 		return []Action{Renew{Worker: name, TTL: l.limits.ttl(l.wanted()), TaskTTL: l.limits.TaskTTL, Since: w.reading.Cursor}}
 	}
 	return nil
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -11,7 +11,7 @@
 
 var (
 	start  = time.Unix(1_700_000_000, 0)
-	limits = lease.Limits{TTL: 3 * time.Second, TaskTTL: 9 * time.Second, Retry: 250 * time.Millisecond}
+	limits = lease.Limits{TTL: 3 * time.Second, TaskTTL: 9 * time.Second, RetryInterval: 250 * time.Millisecond}
 )
 
 func hold(t *testing.T, l *lease.Leases) {
--- a/internal/lease/life_test.go
+++ b/internal/lease/life_test.go
@@ -52,7 +52,7 @@
 	at := start.Add(time.Second)
 	acts := l.Step(at, lease.Refused{Worker: "w1", Sent: at, Incarnation: "2"})
 	require.Len(t, kinds[lease.Down](acts), 1)
-	require.True(t, grant(l, at.Add(limits.Retry), "2"))
+	require.True(t, grant(l, at.Add(limits.RetryInterval), "2"))
 }
 
 // Guards against an empty worker that is taken for known: its former holder had lost it before the crash.
--- a/internal/lease/limits.go
+++ b/internal/lease/limits.go
@@ -9,8 +9,8 @@
 	// TaskTTL is how long the lease of a running task runs from a renewal. It
 	// outlasts the anchor, so that tasks outlive the death of their lead.
 	TaskTTL time.Duration
-	// Retry is the least time between two tries for one anchor.
-	Retry time.Duration
+	// RetryInterval is the least time between two tries for one anchor.
+	RetryInterval time.Duration
 	// Cost is what one renewal exchange takes on the wire, in bytes.
 	Cost int64
 	// Budget is what all renewals together may take, in bytes a second.
@@ -18,7 +18,7 @@
 }
 
 // DefaultLimits keep the renewals of 46 led workers under 3 KB/s.
-var DefaultLimits = Limits{TTL: 3 * time.Second, TaskTTL: 45 * time.Second, Retry: 250 * time.Millisecond, Cost: 360, Budget: 3000}
+var DefaultLimits = Limits{TTL: 3 * time.Second, TaskTTL: 45 * time.Second, RetryInterval: 250 * time.Millisecond, Cost: 360, Budget: 3000}
 
 // tries is how many renewals are sent before an anchor lapses.
 const tries = 5
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -126,7 +126,7 @@
 
 func (w *World) newHost(name string, inc int) *host {
 	h := &host{
-		name: name, inc: inc, leases: lease.New(lease.Limits{TTL: ttl, TaskTTL: long, Retry: step / 2}), jobs: job.New(),
+		name: name, inc: inc, leases: lease.New(lease.Limits{TTL: ttl, TaskTTL: long, RetryInterval: step / 2}), jobs: job.New(),
 		over: takeover.New(name, takeover.Limits{Longest: never, Every: never}),
 		room: map[string]map[string]bool{}, spec: map[string]job.Spec{},
 	}
