--- a/internal/lease/fault_test.go
+++ b/internal/lease/fault_test.go
@@ -145,7 +145,7 @@
 		names[i] = string(rune('A' + i))
 	}
 	l.Step(start, lease.Wanted{Workers: names})
-	bytes := 46 * float64(lease.DefaultLimits.Cost) / (l.TTL().Seconds() * 2 / 5)
+	bytes := 46 * float64(lease.DefaultLimits.RenewalBytes) / (l.TTL().Seconds() * 2 / 5)
 	require.LessOrEqual(t, bytes, float64(lease.DefaultLimits.Budget)*1.01)
 	require.Greater(t, lease.DefaultLimits.TaskTTL, 2*l.TTL(), "tasks outlive their lead")
 	for len(names) < 5000 {
--- a/internal/lease/limits.go
+++ b/internal/lease/limits.go
@@ -11,14 +11,14 @@
 	TaskTTL time.Duration
 	// RetryInterval is the least time between two tries for one anchor.
 	RetryInterval time.Duration
-	// Cost is what one renewal exchange takes on the wire, in bytes.
-	Cost int64
+	// RenewalBytes is what one renewal exchange takes on the wire, in bytes.
+	RenewalBytes int64
 	// Budget is what all renewals together may take, in bytes a second.
 	Budget int64
 }
 
 // DefaultLimits keep the renewals of 46 led workers under 3 KB/s.
-var DefaultLimits = Limits{TTL: 3 * time.Second, TaskTTL: 45 * time.Second, RetryInterval: 250 * time.Millisecond, Cost: 360, Budget: 3000}
+var DefaultLimits = Limits{TTL: 3 * time.Second, TaskTTL: 45 * time.Second, RetryInterval: 250 * time.Millisecond, RenewalBytes: 360, Budget: 3000}
 
 // tries is how many renewals are sent before an anchor lapses.
 const tries = 5
@@ -36,7 +36,7 @@
 	if l.Budget <= 0 {
 		return least
 	}
-	return min(l.most(), max(least, time.Duration(int64(n)*l.Cost)*time.Second/time.Duration(l.Budget)))
+	return min(l.most(), max(least, time.Duration(int64(n)*l.RenewalBytes)*time.Second/time.Duration(l.Budget)))
 }
 
 func (l Limits) most() time.Duration { return max(l.TTL*2/tries, l.TaskTTL*2/tries/outlast) }
