--- a/internal/lease/fault_test.go
+++ b/internal/lease/fault_test.go
@@ -146,7 +146,7 @@
 	}
 	l.Step(start, lease.Wanted{Workers: names})
 	bytes := 46 * float64(lease.DefaultLimits.RenewalBytes) / (l.TTL().Seconds() * 2 / 5)
-	require.LessOrEqual(t, bytes, float64(lease.DefaultLimits.Budget)*1.01)
+	require.LessOrEqual(t, bytes, float64(lease.DefaultLimits.BytesPerSecond)*1.01)
 	require.Greater(t, lease.DefaultLimits.TaskTTL, 2*l.TTL(), "tasks outlive their lead")
 	for len(names) < 5000 {
 		names = append(names, strconv.Itoa(len(names)))
--- a/internal/lease/limits.go
+++ b/internal/lease/limits.go
@@ -13,12 +13,12 @@
 	RetryInterval time.Duration
 	// RenewalBytes is what one renewal exchange takes on the wire, in bytes.
 	RenewalBytes int64
-	// Budget is what all renewals together may take, in bytes a second.
-	Budget int64
+	// BytesPerSecond is what all renewals together may take, in bytes a second.
+	BytesPerSecond int64
 }
 
 // DefaultLimits keep the renewals of 46 led workers under 3 KB/s.
-var DefaultLimits = Limits{TTL: 3 * time.Second, TaskTTL: 45 * time.Second, RetryInterval: 250 * time.Millisecond, RenewalBytes: 360, Budget: 3000}
+var DefaultLimits = Limits{TTL: 3 * time.Second, TaskTTL: 45 * time.Second, RetryInterval: 250 * time.Millisecond, RenewalBytes: 360, BytesPerSecond: 3000}
 
 // tries is how many renewals are sent before an anchor lapses.
 const tries = 5
@@ -33,10 +33,10 @@
 // would run for longer than a census waits for a silent worker.
 func (l Limits) every(n int) time.Duration {
 	least := l.TTL * 2 / tries
-	if l.Budget <= 0 {
+	if l.BytesPerSecond <= 0 {
 		return least
 	}
-	return min(l.most(), max(least, time.Duration(int64(n)*l.RenewalBytes)*time.Second/time.Duration(l.Budget)))
+	return min(l.most(), max(least, time.Duration(int64(n)*l.RenewalBytes)*time.Second/time.Duration(l.BytesPerSecond)))
 }
 
 func (l Limits) most() time.Duration { return max(l.TTL*2/tries, l.TaskTTL*2/tries/outlast) }
