--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -401,8 +401,8 @@
 // it to the long one.
 func (l *Leases) TTL() time.Duration { return l.limits.ttl(l.wanted()) }
 
-// Longest is how long any task may go on without its holder.
-func (l *Leases) Longest() time.Duration { return l.limits.TaskTTL }
+// TaskTTL is how long any task may go on without its holder.
+func (l *Leases) TaskTTL() time.Duration { return l.limits.TaskTTL }
 
 // Held lists the workers that this host leads, in order of name.
 func (l *Leases) Held() []string {
