--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -62,7 +62,7 @@
 		}
 	}
 	for _, name := range l.Leases.Held() {
-		if r, ok := l.Leases.Last(name); ok && l.shows(name, r, q) {
+		if r, ok := l.Leases.LastReading(name); ok && l.shows(name, r, q) {
 			c.Views = append(c.Views, l.view(name, r, q))
 		}
 	}
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -74,7 +74,7 @@
 // job that is new here may be among them.
 func (l *Lead) readAll() {
 	for _, name := range l.Leases.Held() {
-		if r, ok := l.Leases.Last(name); ok {
+		if r, ok := l.Leases.LastReading(name); ok {
 			l.seen(name, r)
 		}
 	}
--- a/internal/lead/rack.go
+++ b/internal/lead/rack.go
@@ -81,7 +81,7 @@
 // no sign.
 func (l *Lead) signs(mates []string, since time.Time) (alive, silent bool) {
 	for _, mate := range mates {
-		r, held := l.Leases.Last(mate)
+		r, held := l.Leases.LastReading(mate)
 		w := l.lives[mate]
 		switch {
 		case w != nil && !w.since.IsZero() && since.Sub(w.since) < rackApart:
--- a/internal/lease/fault_test.go
+++ b/internal/lease/fault_test.go
@@ -37,7 +37,7 @@
 	require.Len(t, kinds[lease.Updated](acts)[0].Tasks, 1)
 	acts = l.Step(newer, lease.Renewed{Worker: "w1", Reading: reading(older)})
 	require.Empty(t, kinds[lease.Updated](acts))
-	r, _ := l.Last("w1")
+	r, _ := l.LastReading("w1")
 	require.Len(t, r.Tasks, 1)
 	require.Empty(t, kinds[lease.Down](l.Step(newer, lease.Refused{Worker: "w1", Sent: older})))
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -415,9 +415,9 @@
 	return held
 }
 
-// Last returns the last answer of a held worker with all its tasks; false if
+// LastReading returns the last answer of a held worker with all its tasks; false if
 // the worker is not held.
-func (l *Leases) Last(name string) (Reading, bool) {
+func (l *Leases) LastReading(name string) (Reading, bool) {
 	w, ok := l.workers[name]
 	if !ok || w.state != "held" {
 		return Reading{}, false
