--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -52,7 +52,7 @@
 		// before and arrives now would have two leads.
 		clear(l.expected)
 	}
-	c := Census{Lives: l.Leases.Settled(l.Clock())}
+	c := Census{Lives: l.Leases.ConfirmedIncarnations(l.Clock())}
 	for _, id := range q.Jobs {
 		switch {
 		case l.Jobs.Waits(id):
--- a/internal/lease/life.go
+++ b/internal/lease/life.go
@@ -72,8 +72,8 @@
 	w.life, w.former = ev.Life, time.Time{}
 }
 
-// Settled holds by worker the life in which no start to an earlier one is under way any more.
-func (l *Leases) Settled(now time.Time) map[string]string {
+// ConfirmedIncarnations holds by worker the life in which no start to an earlier one is under way any more.
+func (l *Leases) ConfirmedIncarnations(now time.Time) map[string]string {
 	all := map[string]string{}
 	for name, w := range l.workers {
 		if w.life != "" && !w.former.After(now) {
--- a/internal/lease/life_test.go
+++ b/internal/lease/life_test.go
@@ -42,7 +42,7 @@
 	require.False(t, led(time.Second))
 	require.False(t, led(4200*time.Millisecond))
 	require.True(t, led(4400*time.Millisecond))
-	require.Equal(t, map[string]string{"w1": "1"}, l.Settled(start.Add(5*time.Second)))
+	require.Equal(t, map[string]string{"w1": "1"}, l.ConfirmedIncarnations(start.Add(5*time.Second)))
 }
 
 // Guards against a worker that is idle after each crash: its holder has no other's starts to fear.
