--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -117,7 +117,7 @@
 // waits for the starts to an earlier one.
 func (l *Lead) askLives() {
 	now := l.Clock()
-	if l.Ask == nil || now.Sub(l.askedLives) < livesEvery || !l.Leases.Unsettled(now) {
+	if l.Ask == nil || now.Sub(l.askedLives) < livesEvery || !l.Leases.HasUnconfirmed(now) {
 		return
 	}
 	l.askedLives = now
--- a/internal/lease/life_test.go
+++ b/internal/lease/life_test.go
@@ -34,7 +34,7 @@
 func TestWorkerInAnUnknownLifeIsWaitedFor(t *testing.T) {
 	l := lease.New(limits)
 	require.False(t, grant(l, start, "1"))
-	require.True(t, l.Unsettled(start))
+	require.True(t, l.HasUnconfirmed(start))
 	led := func(after time.Duration) bool {
 		at := start.Add(after)
 		return len(kinds[lease.Up](l.Step(at, lease.Renewed{Worker: "w1", Reading: inLife(at, "1", 3*time.Second)}))) == 1
@@ -79,7 +79,7 @@
 	l.Step(start, lease.IncarnationConfirmed{Worker: "w1", Life: "1"})
 	require.False(t, grant(l, start, "2"))
 	l.Step(start, lease.IncarnationConfirmed{Worker: "w1", Life: "1"})
-	require.True(t, l.Unsettled(start))
+	require.True(t, l.HasUnconfirmed(start))
 }
 
 // Guards against a start that is sent on an old answer: another host that meets the worker in its
