--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -35,14 +35,14 @@
 	States map[string]map[string]string `toml:"states"`
 }
 
-// MoveError tells that an event is not allowed in a state.
-type MoveError struct {
+// TransitionError tells that an event is not allowed in a state.
+type TransitionError struct {
 	Chart string
 	From  State
 	Event Event
 }
 
-func (e *MoveError) Error() string {
+func (e *TransitionError) Error() string {
 	return fmt.Sprintf("%s: no way out of %q by %q", e.Chart, e.From, e.Event)
 }
 
@@ -132,7 +132,7 @@
 func (c *Chart) Next(s State, ev Event) (State, error) {
 	to, ok := c.states[s][ev]
 	if !ok {
-		return s, &MoveError{Chart: c.Name, From: s, Event: ev}
+		return s, &TransitionError{Chart: c.Name, From: s, Event: ev}
 	}
 	return to, nil
 }
--- a/internal/chart/chart_test.go
+++ b/internal/chart/chart_test.go
@@ -35,6 +35,6 @@
 	require.NoError(t, err)
 	require.Equal(t, chart.State("sent"), s)
 	_, err = c.Next("done", "send")
-	require.ErrorAs(t, err, new(*chart.MoveError))
+	require.ErrorAs(t, err, new(*chart.TransitionError))
 	require.True(t, c.Final("done"))
 }
