--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -247,7 +247,7 @@
 // end when a second host knows it too.
 func (h *Host) honest(r peer.JobReply) peer.JobReply {
 	id := r.Status.ID
-	state, ended := h.lead.Ended(id)
+	state, ended := h.lead.EndState(id)
 	if r.Code != 0 || !ended {
 		return r
 	}
@@ -265,7 +265,7 @@
 	ctx, cancel := context.WithTimeout(ctx, keepWait)
 	defer cancel()
 	for r.Status.State == "stopping" && ctx.Err() == nil {
-		if _, ended := h.lead.Ended(r.Status.ID); !ended {
+		if _, ended := h.lead.EndState(r.Status.ID); !ended {
 			return r
 		}
 		select {
@@ -279,7 +279,7 @@
 
 func jobReply(s job.Status, err error) peer.JobReply {
 	var unknown *job.UnknownError
-	var never *lead.NeverError
+	var never *lead.UnschedulableError
 	switch {
 	case err == nil:
 		return peer.JobReply{Status: s}
@@ -397,7 +397,7 @@
 	case peer.Census:
 		return h.census(m), nil
 	case peer.Expect:
-		token, err := h.lead.Expect(m.From)
+		token, err := h.lead.ExpectHandover(m.From)
 		return peer.Expected{Token: token}, err
 	case peer.Handover:
 		return h.adopt(m)
--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -16,65 +16,65 @@
 // no list has shown until now runs nowhere.
 // Lives are how many lives of workers ended under its tasks, as far as that is stored.
 type Release struct {
-	ID    string
-	Lives map[string]int64
+	ID      string
+	Crashes map[string]int64
 }
 
 // Adopt takes over a job from its live lead, with all that this one knew.
-type Adopt struct{ Carry Carry }
+type Adopt struct{ Snapshot Snapshot }
 
 // Drop forgets a job that another host leads now. With Recall set it is given up because all workers
 // were lost, and where its tasks were is remembered until it is inherited.
 type Drop struct {
-	ID     string
-	Recall bool
+	ID             string
+	RememberPlaces bool
 }
 
-// Kept tells that the end of a job lies where a successor finds it, so that
+// EndStored tells that the end of a job lies where a successor finds it, so that
 // workers may forget its tasks.
-type Kept struct{ ID string }
+type EndStored struct{ ID string }
 
-// Sent tells the deadline of a start, in the worker's clock.
-type Sent struct {
+// StartSent tells the deadline of a start, in the worker's clock.
+type StartSent struct {
 	Task     string
 	Deadline time.Time
 }
 
-func (Inherit) event() {}
-func (Release) event() {}
-func (Adopt) event()   {}
-func (Drop) event()    {}
-func (Kept) event()    {}
-func (Sent) event()    {}
+func (Inherit) event()   {}
+func (Release) event()   {}
+func (Adopt) event()     {}
+func (Drop) event()      {}
+func (EndStored) event() {}
+func (StartSent) event() {}
 
-// Carry is one job's whole state, as its lead hands it over. Name tells one hand-over from all
+// Snapshot is one job's whole state, as its lead hands it over. Name tells one hand-over from all
 // others; sent again, it keeps it.
-type Carry struct {
-	Name  string        `json:"name,omitempty"`
-	Spec  Spec          `json:"spec"`
-	State string        `json:"state"`
-	Began time.Time     `json:"began"`
-	First time.Time     `json:"first,omitzero"`
-	Tasks []CarriedTask `json:"tasks"`
+type Snapshot struct {
+	HandoverID string         `json:"name,omitempty"`
+	Spec       Spec           `json:"spec"`
+	State      string         `json:"state"`
+	Began      time.Time      `json:"began"`
+	First      time.Time      `json:"first,omitzero"`
+	Tasks      []TaskSnapshot `json:"tasks"`
 }
 
-// CarriedTask is one task in a Carry, in the order of the job's tasks.
-type CarriedTask struct {
+// TaskSnapshot is one task in a Carry, in the order of the job's tasks.
+type TaskSnapshot struct {
 	State    string    `json:"state"`
 	Worker   string    `json:"worker,omitempty"`
 	Tries    int64     `json:"tries,omitempty"`
 	Deadline time.Time `json:"deadline,omitzero"`
 	Sent     bool      `json:"sent,omitempty"`
-	// Life is the worker's life, Lives and Noted are how many ended under the task and how many
+	// Incarnation is the worker's life, Lives and Noted are how many ended under the task and how many
 	// of these are stored.
-	Life  string `json:"life,omitempty"`
-	Lives int64  `json:"lives,omitempty"`
-	Noted int64  `json:"noted,omitempty"`
+	Incarnation   string `json:"life,omitempty"`
+	Crashes       int64  `json:"lives,omitempty"`
+	StoredCrashes int64  `json:"noted,omitempty"`
 	// Avoid are the workers that the task has failed on, the last time at Failed. It goes back to one
 	// of them at Back.
-	Avoid  []string  `json:"avoid,omitempty"`
-	Failed time.Time `json:"failed,omitzero"`
-	Back   time.Time `json:"back,omitzero"`
+	Avoid       []string  `json:"avoid,omitempty"`
+	LastFailure time.Time `json:"failed,omitzero"`
+	AvoidUntil  time.Time `json:"back,omitzero"`
 }
 
 // change handles the events that give a job another lead.
@@ -85,12 +85,12 @@
 	case Release:
 		return j.release(ev)
 	case Adopt:
-		return j.adopt(now, ev.Carry)
+		return j.adopt(now, ev.Snapshot)
 	case Drop:
 		return j.drop(now, ev)
-	case Kept:
+	case EndStored:
 		return j.keep(ev.ID)
-	case Sent:
+	case StartSent:
 		j.sent(ev)
 	case Tick:
 	}
@@ -113,7 +113,7 @@
 
 // found takes the first sight of an inherited task. An older try that failed
 // or lapsed says nothing of a newer one that may run elsewhere.
-func (j *Jobs) found(now time.Time, t *task, worker string, l Listed) []Action {
+func (j *Jobs) found(now time.Time, t *task, worker string, l ListedTask) []Action {
 	if l.State != workerRunning && l.State != workerEnded {
 		return []Action{Forget{Task: l.ID, Worker: worker, Lease: l.Lease}}
 	}
@@ -143,7 +143,7 @@
 	var names []string
 	var acts, crashed []Action
 	for _, t := range jb.tasks {
-		t.noted = max(t.noted, ev.Lives[t.id])
+		t.noted = max(t.noted, ev.Crashes[t.id])
 		t.lives = max(t.lives, t.noted)
 		switch {
 		case t.worker != "":
@@ -173,7 +173,7 @@
 		return j.requeue(j.tasks[names[0]])
 	}
 	var acts []Action
-	want := Want{Spec: jb.spec, Since: jb.began}
+	want := RequestPlacement{Spec: jb.spec, Since: jb.began}
 	for _, name := range names {
 		switch t := j.tasks[name]; {
 		case t.lives > t.noted:
@@ -189,22 +189,22 @@
 	return acts
 }
 
-// Carry returns a job's state for its next lead; false if it is not led here,
+// Snapshot returns a job's state for its next lead; false if it is not led here,
 // has ended or waits for its own census.
-func (j *Jobs) Carry(id string) (Carry, bool) {
+func (j *Jobs) Snapshot(id string) (Snapshot, bool) {
 	jb, ok := j.jobs[id]
 	if !ok || jb.census || jobLife.Final(jb.state) {
-		return Carry{}, false
+		return Snapshot{}, false
 	}
-	c := Carry{Spec: jb.spec, State: string(jb.state), Began: jb.began, First: jb.first}
+	c := Snapshot{Spec: jb.spec, State: string(jb.state), Began: jb.began, First: jb.first}
 	for _, t := range jb.tasks {
 		state := t.state
 		if state == "starting" {
 			state = "unsure"
 		}
-		c.Tasks = append(c.Tasks, CarriedTask{
+		c.Tasks = append(c.Tasks, TaskSnapshot{
 			State: string(state), Worker: t.worker, Tries: t.tries, Deadline: t.deadline, Sent: t.sent,
-			Life: t.life, Lives: t.lives, Noted: t.noted, Avoid: slices.Clone(t.avoid), Failed: t.failed, Back: t.back,
+			Incarnation: t.life, Crashes: t.lives, StoredCrashes: t.noted, Avoid: slices.Clone(t.avoid), LastFailure: t.failed, AvoidUntil: t.back,
 		})
 	}
 	return c, true
@@ -215,11 +215,11 @@
 //
 // A hand-over that was adopted before comes again when its answer was lost. The job may have been
 // handed on since, and its tasks started by other leads.
-func (j *Jobs) adopt(now time.Time, c Carry) []Action {
-	if c.Name != "" && slices.Contains(j.adopted, c.Name) {
+func (j *Jobs) adopt(now time.Time, c Snapshot) []Action {
+	if c.HandoverID != "" && slices.Contains(j.adopted, c.HandoverID) {
 		return nil
 	}
-	j.noteAdopted(c.Name)
+	j.noteAdopted(c.HandoverID)
 	if jb, ok := j.jobs[c.Spec.ID]; ok {
 		if !jb.census || len(c.Tasks) != len(jb.tasks) {
 			return nil
@@ -234,11 +234,11 @@
 		ct := c.Tasks[i]
 		t.state, t.tries, t.deadline, t.sent = chart.State(ct.State), ct.Tries, ct.Deadline, ct.Sent
 		j.move(t, ct.Worker, now)
-		t.life, t.lives, t.noted = ct.Life, ct.Lives, ct.Noted
-		t.avoid, t.failed, t.back = ct.Avoid, ct.Failed, ct.Back
+		t.life, t.lives, t.noted = ct.Incarnation, ct.Crashes, ct.StoredCrashes
+		t.avoid, t.failed, t.back = ct.Avoid, ct.LastFailure, ct.AvoidUntil
 		delete(j.former, t.id)
 		if t.lives > t.noted {
-			crashed = append(crashed, Crashed{Job: jb.spec.ID, Task: t.id, Lives: t.lives})
+			crashed = append(crashed, StoreCrashCount{Job: jb.spec.ID, Task: t.id, Crashes: t.lives})
 		}
 		switch t.state {
 		case "waiting":
@@ -277,7 +277,7 @@
 		if t.state == "waiting" {
 			acts = append(acts, Free{Task: t.id})
 		}
-		if ev.Recall {
+		if ev.RememberPlaces {
 			j.remember(now, t)
 		}
 	}
@@ -325,7 +325,7 @@
 }
 
 // sent notes until when a start may still be carried out.
-func (j *Jobs) sent(ev Sent) {
+func (j *Jobs) sent(ev StartSent) {
 	if t, ok := j.tasks[ev.Task]; ok {
 		t.deadline = ev.Deadline
 	}
@@ -340,14 +340,14 @@
 	return string(jb.state), true
 }
 
-// Waits tells whether a job is inherited and waits for its census.
-func (j *Jobs) Waits(id string) bool {
+// AwaitsInventory tells whether a job is inherited and waits for its census.
+func (j *Jobs) AwaitsInventory(id string) bool {
 	jb, ok := j.jobs[id]
 	return ok && jb.census
 }
 
-// Places lists the workers that tasks of open jobs are on, without order.
-func (j *Jobs) Places() []string {
+// Workers lists the workers that tasks of open jobs are on, without order.
+func (j *Jobs) Workers() []string {
 	var all []string
 	for worker, on := range j.on {
 		for _, t := range on {
@@ -360,8 +360,8 @@
 	return all
 }
 
-// Has tells whether a task is known here.
-func (j *Jobs) Has(task string) bool {
+// HasTask tells whether a task is known here.
+func (j *Jobs) HasTask(task string) bool {
 	_, ok := j.tasks[task]
 	return ok
 }
@@ -378,8 +378,8 @@
 	return t.job.spec, true
 }
 
-// Waiting lists a job's tasks that wait for room.
-func (j *Jobs) Waiting(id string) []string {
+// WaitingTasks lists a job's tasks that wait for room.
+func (j *Jobs) WaitingTasks(id string) []string {
 	jb, ok := j.jobs[id]
 	if !ok {
 		return nil
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -141,7 +141,7 @@
 		return j.submit(now, ev.Spec)
 	case Cancel:
 		return j.cancel(ev.ID)
-	case Put:
+	case Placed:
 		return j.put(now, ev)
 	case Started:
 		return j.answered(ev.Task, ev.Attempt, func() []Action { return j.started(now, ev.Task) })
@@ -153,9 +153,9 @@
 		return j.answered(ev.Task, ev.Attempt, func() []Action { return j.stopped(ev.Task) })
 	case Preempt:
 		return j.pause(ev.Task)
-	case Seen:
+	case WorkerList:
 		return j.seen(now, ev)
-	case Noted:
+	case CrashCountStored:
 		return j.notedLives(ev)
 	default:
 		return j.change(now, ev)
@@ -179,7 +179,7 @@
 	for i, t := range jb.tasks {
 		names[i] = t.id
 	}
-	return []Action{Want{Spec: spec, Tasks: names, Since: now}}
+	return []Action{RequestPlacement{Spec: spec, Tasks: names, Since: now}}
 }
 
 func (j *Jobs) add(now time.Time, spec Spec) *job {
@@ -223,7 +223,7 @@
 	}
 }
 
-func (j *Jobs) put(now time.Time, ev Put) []Action {
+func (j *Jobs) put(now time.Time, ev Placed) []Action {
 	t, ok := j.tasks[ev.Task]
 	if ok && t.state != "waiting" && t.worker == ev.Worker {
 		return nil
--- a/internal/job/stale_test.go
+++ b/internal/job/stale_test.go
@@ -12,7 +12,7 @@
 // startOf puts a task on a worker and returns the start that is sent for it.
 func startOf(t *testing.T, j *job.Jobs, task, worker string) job.Start {
 	t.Helper()
-	starts := only[job.Start](j.Step(now, job.Put{Task: task, Worker: worker}))
+	starts := only[job.Start](j.Step(now, job.Placed{Task: task, Worker: worker}))
 	require.Len(t, starts, 1)
 	return starts[0]
 }
@@ -21,7 +21,7 @@
 func preempt(t *testing.T, j *job.Jobs, task string) {
 	t.Helper()
 	for _, a := range only[job.Pause](j.Step(now, job.Preempt{Task: task})) {
-		require.Len(t, only[job.Want](j.Step(now, job.Stopped{Task: task, Attempt: a.Attempt})), 1)
+		require.Len(t, only[job.RequestPlacement](j.Step(now, job.Stopped{Task: task, Attempt: a.Attempt})), 1)
 	}
 }
 
@@ -45,7 +45,7 @@
 	first := startOf(t, j, "d.r.j.0", "w1")
 	preempt(t, j, "d.r.j.0")
 	startOf(t, j, "d.r.j.0", "w2")
-	j.Step(now, job.Sent{Task: "d.r.j.0", Deadline: now.Add(5 * time.Second)})
+	j.Step(now, job.StartSent{Task: "d.r.j.0", Deadline: now.Add(5 * time.Second)})
 	j.Step(now, job.Unsure{Task: "d.r.j.0", Attempt: first.Attempt, Deadline: now.Add(time.Second)})
 	require.Empty(t, j.Step(now, seen("w2", now.Add(2*time.Second))), "the start to w2 may still land")
 }
@@ -64,7 +64,7 @@
 // the stop of the same task on its next worker.
 func TestLateStopOfAFormerTryChangesNothing(t *testing.T) {
 	j := job.New()
-	put(j, only[job.Want](j.Step(now, job.Submit{Spec: spec(1)})))
+	put(j, only[job.RequestPlacement](j.Step(now, job.Submit{Spec: spec(1)})))
 	first := only[job.Pause](j.Step(now, job.Preempt{Task: "d.r.j.0"}))[0]
 	j.Step(now, seen("w0", now.Add(time.Second), listed("d.r.j.0", "stopped")))
 	next := startOf(t, j, "d.r.j.0", "w1")
@@ -77,7 +77,7 @@
 // asked for, and says nothing of a start of a job that was handed over since the question.
 func TestListOfOtherJobsProvesNothing(t *testing.T) {
 	j := job.New()
-	j.Step(now, job.Adopt{Carry: job.Carry{Spec: spec(1), State: "waiting", Tasks: []job.CarriedTask{
+	j.Step(now, job.Adopt{Snapshot: job.Snapshot{Spec: spec(1), State: "waiting", Tasks: []job.TaskSnapshot{
 		{State: "unsure", Worker: "w1", Tries: 1, Deadline: now, Sent: true},
 	}}})
 	list := seen("w1", now.Add(2*time.Second))
@@ -85,5 +85,5 @@
 	require.Empty(t, j.Step(now, list))
 	list.Jobs = append(list.Jobs, "d.r.j")
 	acts := j.Step(now, list)
-	require.Len(t, only[job.Want](acts), 1)
+	require.Len(t, only[job.RequestPlacement](acts), 1)
 }
--- a/internal/lead/handover_test.go
+++ b/internal/lead/handover_test.go
@@ -11,14 +11,14 @@
 )
 
 // ask is a question for the job that a peer wants to inherit.
-var ask = lead.Question{Jobs: []string{"d.r.old"}, Waits: []string{"d.r.old"}}
+var ask = lead.InventoryRequest{Jobs: []string{"d.r.old"}, Waits: []string{"d.r.old"}}
 
 // split gives host a the first worker and host b the second; a leads a job that runs on its own.
 func split(t *testing.T) *pair {
 	t.Helper()
 	p := newPair(t, 2)
-	p.hosts["a"].SetMachines(p.machines[:1])
-	p.hosts["b"].SetMachines(p.machines[1:])
+	p.hosts["a"].SetLedMachines(p.machines[:1])
+	p.hosts["b"].SetLedMachines(p.machines[1:])
 	p.run("ab", 5*time.Second)
 	p.submit("a", "old")
 	p.run("ab", time.Second)
@@ -30,13 +30,13 @@
 // first tells a third host that it does not lead the job, and then reads it.
 func TestHandOverFromBeforeACensusIsNotTaken(t *testing.T) {
 	p := split(t)
-	token, err := p.hosts["b"].Expect("a")
+	token, err := p.hosts["b"].ExpectHandover("a")
 	require.NoError(t, err)
 	jobs, _ := p.hosts["a"].HandOver([]string{"d.r.old"})
-	require.Empty(t, p.hosts["b"].Census("c", ask).Leads)
-	require.ErrorAs(t, p.hosts["b"].Adopt("a", token, jobs), new(*lead.StaleError))
-	require.False(t, p.hosts["b"].Knows("d.r.old"))
-	token, err = p.hosts["b"].Expect("a")
+	require.Empty(t, p.hosts["b"].Inventory("c", ask).Leads)
+	require.ErrorAs(t, p.hosts["b"].Adopt("a", token, jobs), new(*lead.StaleHandoverError))
+	require.False(t, p.hosts["b"].HasJob("d.r.old"))
+	token, err = p.hosts["b"].ExpectHandover("a")
 	require.NoError(t, err)
 	require.NoError(t, p.hosts["b"].Adopt("a", token, jobs), "sent anew it is taken")
 }
@@ -45,13 +45,13 @@
 // workers by now and takes the paused one for gone.
 func TestHandOverFromBeforeTheLossOfAllWorkersIsNotTaken(t *testing.T) {
 	p := split(t)
-	token, err := p.hosts["b"].Expect("a")
+	token, err := p.hosts["b"].ExpectHandover("a")
 	require.NoError(t, err)
 	jobs, _ := p.hosts["a"].HandOver([]string{"d.r.old"})
 	p.run("a", 10*time.Second)
 	p.run("ab", 5*time.Second)
 	require.Len(t, p.hosts["b"].Held(), 1)
-	require.ErrorAs(t, p.hosts["b"].Adopt("a", token, jobs), new(*lead.StaleError))
+	require.ErrorAs(t, p.hosts["b"].Adopt("a", token, jobs), new(*lead.StaleHandoverError))
 }
 
 // Guards against a job with two leads: a host that hands a job over is paused, loses all its
@@ -62,20 +62,20 @@
 	p.run("b", 10*time.Second)
 	p.run("ab", 5*time.Second)
 	require.ErrorAs(t, p.hosts["a"].TakeBack(jobs, epoch), new(*lead.NoWorkerError))
-	require.False(t, p.hosts["a"].Knows("d.r.old"))
+	require.False(t, p.hosts["a"].HasJob("d.r.old"))
 }
 
 // Guards against a job with two leads: of two tokens that a host was given, only the later counts.
 func TestSecondTokenReplacesTheFirst(t *testing.T) {
 	p := split(t)
-	first, err := p.hosts["b"].Expect("a")
+	first, err := p.hosts["b"].ExpectHandover("a")
 	require.NoError(t, err)
-	second, err := p.hosts["b"].Expect("a")
+	second, err := p.hosts["b"].ExpectHandover("a")
 	require.NoError(t, err)
-	var none []job.Carry
-	require.ErrorAs(t, p.hosts["b"].Adopt("a", first, none), new(*lead.StaleError))
+	var none []job.Snapshot
+	require.ErrorAs(t, p.hosts["b"].Adopt("a", first, none), new(*lead.StaleHandoverError))
 	require.NoError(t, p.hosts["b"].Adopt("a", second, none))
-	require.ErrorAs(t, p.hosts["b"].Adopt("a", second, none), new(*lead.StaleError), "it counts once")
+	require.ErrorAs(t, p.hosts["b"].Adopt("a", second, none), new(*lead.StaleHandoverError), "it counts once")
 }
 
 // Guards against a task that runs twice: a host hands over a job whose next lead dies, and tells
@@ -87,9 +87,9 @@
 	p.drain("a")
 	require.Equal(t, "running", p.state("a", "old"))
 	a.HandOver([]string{"d.r.old"})
-	require.Empty(t, a.Census("b", ask).Views)
+	require.Empty(t, a.Inventory("b", ask).Workers)
 	p.run("a", 300*time.Millisecond)
-	views := a.Census("b", ask).Views
+	views := a.Inventory("b", ask).Workers
 	require.Len(t, views, 1, "its list is read at once")
 	require.Len(t, views[0].Tasks, 1)
 }
@@ -100,11 +100,11 @@
 	p := split(t)
 	p.alive()
 	b := p.hosts["b"]
-	q := b.Question()
+	q := b.InventoryRequest()
 	p.run("ab", 100*time.Millisecond)
 	b.Inherit([]job.Spec{p.spec("old")})
 	p.run("ab", 100*time.Millisecond)
-	b.Answered("a", q, p.hosts["a"].Census("b", q))
+	b.HandleInventory("a", q, p.hosts["a"].Inventory("b", q))
 	p.run("ab", 100*time.Millisecond)
-	require.Equal(t, []string{"d.r.old"}, b.Waiting())
+	require.Equal(t, []string{"d.r.old"}, b.AwaitingInventory())
 }
--- a/internal/lead/limits_test.go
+++ b/internal/lead/limits_test.go
@@ -19,16 +19,16 @@
 		l.Row = func(name string) (table.Row, int64) {
 			return table.Row{Name: name, Class: "normal", Limits: table.Limits{Tasks: 1}}, 1
 		}
-		l.Key = func(row table.Row) string { return map[string]string{"scan": "row scan"}[row.Name] }
-		l.KeyWorkers = func(string) []string { return []string{p.machines[0].Name} }
+		l.LimitKey = func(row table.Row) string { return map[string]string{"scan": "row scan"}[row.Name] }
+		l.Arbiters = func(string) []string { return []string{p.machines[0].Name} }
 	}
 	return p
 }
 
 // divide gives each host its workers.
 func (p *pair) divide(a, b []lead.Machine) {
-	p.hosts["a"].SetMachines(a)
-	p.hosts["b"].SetMachines(b)
+	p.hosts["a"].SetLedMachines(a)
+	p.hosts["b"].SetLedMachines(b)
 	p.together(5 * time.Second)
 }
 
@@ -37,8 +37,8 @@
 	for end := p.now.Add(d); p.now.Before(end); {
 		p.run("ab", 500*time.Millisecond)
 		for _, name := range []string{"a", "b"} {
-			q := p.hosts[name].Question()
-			p.hosts[name].Answered(other(name), q, p.hosts[other(name)].Census(name, q))
+			q := p.hosts[name].InventoryRequest()
+			p.hosts[name].HandleInventory(other(name), q, p.hosts[other(name)].Inventory(name, q))
 		}
 	}
 }
@@ -146,7 +146,7 @@
 	p.cut["a"] = ""
 	p.limited("a", "one")
 	require.NotEmpty(t, p.queues["a"], "the start is decided and not sent")
-	p.hosts["b"].SetMachines(p.machines[:1])
+	p.hosts["b"].SetLedMachines(p.machines[:1])
 	p.run("b", 1500*time.Millisecond)
 	require.Len(t, p.hosts["b"].Held(), 1)
 	p.drain("a")
@@ -158,7 +158,7 @@
 func TestSilentWorkerDoesNotHoldUpItsRow(t *testing.T) {
 	p := limitedPair(t, 2)
 	for _, l := range p.hosts {
-		l.KeyWorkers = func(string) []string { return []string{p.machines[0].Name, p.machines[1].Name} }
+		l.Arbiters = func(string) []string { return []string{p.machines[0].Name, p.machines[1].Name} }
 	}
 	p.cut["a"] = p.machines[0].Name
 	p.run("a", 10*time.Second)
--- a/internal/lead/place_test.go
+++ b/internal/lead/place_test.go
@@ -25,7 +25,7 @@
 
 // fleet is a lead of stand-in workers.
 type fleet struct {
-	*lead.Lead
+	*lead.Leader
 	t       *testing.T
 	over    *standin.Oversight
 	workers []*standin.Worker
@@ -47,14 +47,14 @@
 		f.addresses = append(f.addresses, addr)
 		machines = append(machines, lead.Machine{Name: fmt.Sprintf("w%d", i), Rack: "r", Address: addr, Size: whole})
 	}
-	f.Lead = lead.New(t.Context(), lead.Deps{
+	f.Leader = lead.New(t.Context(), lead.Deps{
 		Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: job.New(),
 		Takeover: takeover.New("h", takeover.Limits{Longest: time.Minute, Every: time.Second}), Workers: worker.New("h", 1, nil, time.Now),
-		Ask: func() {}, Done: func(string) bool { return false }, End: func(job.Ended, bool) {},
-		Row:   func(name string) (table.Row, int64) { return rows[name], 1 },
-		Trail: trail.New(1000), Clock: time.Now, Log: slog.New(slog.DiscardHandler),
+		RequestInventory: func() {}, EndLogged: func(string) bool { return false }, StoreEnd: func(job.Ended, bool) {},
+		Row:     func(name string) (table.Row, int64) { return rows[name], 1 },
+		History: trail.New(1000), Clock: time.Now, Log: slog.New(slog.DiscardHandler),
 	})
-	f.SetMachines(machines)
+	f.SetLedMachines(machines)
 	f.until(func() bool { return len(f.Held()) == n })
 	return f
 }
@@ -132,7 +132,7 @@
 	f.submit("b", "menu", cell.Normal, 500, 1, time.Hour)
 	require.Contains(t, f.notes("b"), "its row runs as many tasks as its limit allows")
 	_, err := f.Check(job.Spec{ID: "d.r.c", Row: "menu", Tasks: 1, Size: cell.Size{CPU: 5000, Mem: 1}})
-	var never *lead.NeverError
+	var never *lead.UnschedulableError
 	require.ErrorAs(t, err, &never)
 	require.Contains(t, never.Reason, "cpu of the largest worker")
 }
--- a/internal/sched/ends.go
+++ b/internal/sched/ends.go
@@ -7,9 +7,9 @@
 )
 
 // listed takes note of a run that is at the worker.
-func (s *Sched) listed(w *worker, l Listed, clock time.Time) {
+func (s *Sched) listed(w *worker, l RunStatus, clock time.Time) {
 	t := s.task(runKey{l.Task, l.Run})
-	if t == nil || t.Worker != w.Life {
+	if t == nil || t.Worker != w.Incarnation {
 		if !s.adoptCopy(w, l) {
 			s.stray(w, l)
 		}
@@ -31,7 +31,7 @@
 
 // stray stops a run that no record names. It can only be one that was given up
 // for lapsed by a clock that was wrong; it must not work on unseen.
-func (s *Sched) stray(w *worker, l Listed) {
+func (s *Sched) stray(w *worker, l RunStatus) {
 	k := runKey{l.Task, l.Run}
 	// A run that is listed has begun. Lists from before that may still be on their way.
 	until := s.now.Add(onItsWay)
@@ -40,7 +40,7 @@
 	} else {
 		w.loosenWhole(k, until)
 	}
-	s.do(Note{ID: l.Task.String(), What: "stray run", Worker: w.Life, Run: l.Run})
+	s.do(Note{ID: l.Task.String(), What: "stray run", Worker: w.Incarnation, Run: l.Run})
 	s.do(Stop{To: w.Address, Term: s.term, Task: l.Task, Run: l.Run})
 }
 
@@ -67,9 +67,9 @@
 // ended takes note of a run's end. An end as done counts whatever became of the
 // leases since: taking it for lapsed and running the task again would run it
 // twice if it had not.
-func (s *Sched) ended(w *worker, e End, clock time.Time) {
+func (s *Sched) ended(w *worker, e RunEnd, clock time.Time) {
 	t := s.task(runKey{e.Task, e.Run})
-	if t == nil || t.Worker != w.Life || !t.Out() {
+	if t == nil || t.Worker != w.Incarnation || !t.Out() {
 		s.endedCopy(w, e)
 		return
 	}
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -80,11 +80,11 @@
 	b.play(time.Second)
 	require.Len(t, b.workers["w00"].runs, 3)
 	tail := func(ms int64) {
-		ev := sched.Held{Worker: "w00", Look: true, Sent: b.now, Received: b.now, Clock: b.now}
+		ev := sched.HoldReply{Worker: "w00", Probe: true, Sent: b.now, Received: b.now, Clock: b.now}
 		for n, r := range b.workers["w00"].runs {
-			l := sched.Listed{Task: n, Run: r.run, Percent: 100}
+			l := sched.RunStatus{Task: n, Run: r.run, Percent: 100}
 			if r.step.Target > 0 {
-				l.Figure = ms
+				l.Metric = ms
 			}
 			ev.Running = append(ev.Running, l)
 		}
@@ -194,7 +194,7 @@
 func TestALeadThatWasSuspendedInAPassGoesOnAtItsPace(t *testing.T) {
 	b := newBench(t, 2)
 	b.submit("first", "scan", scan(1))
-	b.core.Took(5 * time.Second)
+	b.core.RecordPassDuration(5 * time.Second)
 	b.passes = 0
 	for n := range 100 {
 		b.submit(fmt.Sprintf("a%03d", n), "scan", scan(1))
@@ -218,7 +218,7 @@
 	const watched = 3 * time.Second
 	b.play(watched)
 	require.Positive(t, b.holds, "until its room is given back")
-	require.LessOrEqual(t, b.holds, 2+len(b.workers)*int(watched/sched.DefaultLimits.Wait))
+	require.LessOrEqual(t, b.holds, 2+len(b.workers)*int(watched/sched.DefaultLimits.HoldWait))
 }
 
 // A lead ends with copies started that it could not store. Its successor finds
@@ -323,7 +323,7 @@
 	require.Zero(t, b.workers["w00"].loseEnds)
 	// The work, the rest of a hold's wait, and the patience for its answer.
 	t.Log(b.now.Sub(began))
-	require.Less(t, b.now.Sub(began), time.Second+sched.DefaultLimits.Wait+patience)
+	require.Less(t, b.now.Sub(began), time.Second+sched.DefaultLimits.HoldWait+patience)
 }
 
 // The store takes 53 times as long for each append, as on the users' slow days, and
--- a/internal/sched/mechanism.go
+++ b/internal/sched/mechanism.go
@@ -8,26 +8,26 @@
 
 // The mechanisms.
 const (
-	// KeepFewHosts keeps hosts free of long questions by what urgent ones take.
-	KeepFewHosts Mechanism = "keep-few-hosts"
-	// NameMore learns of more workers with a question than the tasks need now.
-	NameMore Mechanism = "name-more"
-	// AskAhead gets tickets while workers are still full.
-	AskAhead Mechanism = "ask-ahead"
+	// AdaptUrgentHosts keeps hosts free of long questions by what urgent ones take.
+	AdaptUrgentHosts Mechanism = "keep-few-hosts"
+	// QueryMoreWorkers learns of more workers with a question than the tasks need now.
+	QueryMoreWorkers Mechanism = "name-more"
+	// PrefetchTickets gets tickets while workers are still full.
+	PrefetchTickets Mechanism = "ask-ahead"
 	// ReserveForWide holds room for tasks that need half a worker or more.
 	ReserveForWide Mechanism = "reserve-for-wide"
-	// GiveWay stops bulk that saves its progress for more urgent work.
-	GiveWay Mechanism = "give-way"
-	// InTimeFirst has work go first that can still be in time.
-	InTimeFirst Mechanism = "in-time-first"
-	// PacePasses bounds what passes take of the lead's time.
-	PacePasses Mechanism = "pace-passes"
+	// PreemptBulk stops bulk that saves its progress for more urgent work.
+	PreemptBulk Mechanism = "give-way"
+	// OnTimeFirst has work go first that can still be in time.
+	OnTimeFirst Mechanism = "in-time-first"
+	// LimitPassTime bounds what passes take of the lead's time.
+	LimitPassTime Mechanism = "pace-passes"
 )
 
 // Mechanisms lists all of them.
 func Mechanisms() []Mechanism {
-	return []Mechanism{KeepFewHosts, NameMore, AskAhead, ReserveForWide, GiveWay, InTimeFirst, PacePasses}
+	return []Mechanism{AdaptUrgentHosts, QueryMoreWorkers, PrefetchTickets, ReserveForWide, PreemptBulk, OnTimeFirst, LimitPassTime}
 }
 
 // on tells whether a mechanism is in use.
-func (s *Sched) on(m Mechanism) bool { return !slices.Contains(s.limits.Off, m) }
+func (s *Sched) on(m Mechanism) bool { return !slices.Contains(s.limits.Disabled, m) }
--- a/internal/sched/stop.go
+++ b/internal/sched/stop.go
@@ -50,7 +50,7 @@
 	}
 }
 
-func (s *Sched) stopped(ev Stopped) {
+func (s *Sched) stopped(ev StopReply) {
 	k := runKey{ev.Task, ev.Run}
 	st, ok := s.stops[k]
 	if !ok || st.worker != ev.Worker {
@@ -58,15 +58,15 @@
 	}
 	st.flying = false
 	switch ev.Outcome {
-	case Taken:
+	case Accepted:
 		st.sure = s.now
 		if w, ok := s.workers[ev.Worker]; ok {
 			s.look(w)
 		}
-	case OtherLife:
+	case OtherIncarnation:
 		s.died(ev.Worker)
 	case Fenced:
-		s.do(Depose{Worker: ev.Worker})
+		s.do(StepDown{Worker: ev.Worker})
 	default:
 		st.again = s.now.Add(retryAfter)
 	}
