--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -52,7 +52,7 @@
 		// before and arrives now would have two leads.
 		clear(l.expected)
 	}
-	c := InventoryReply{Incarnations: l.Leases.Settled(l.Clock())}
+	c := InventoryReply{Incarnations: l.Leases.ConfirmedIncarnations(l.Clock())}
 	for _, id := range q.Jobs {
 		switch {
 		case l.Jobs.AwaitsInventory(id):
@@ -62,7 +62,7 @@
 		}
 	}
 	for _, name := range l.Leases.Held() {
-		if r, ok := l.Leases.Last(name); ok && l.shows(name, r, q) {
+		if r, ok := l.Leases.LastReading(name); ok && l.shows(name, r, q) {
 			c.Workers = append(c.Workers, l.view(name, r, q))
 		}
 	}
@@ -74,7 +74,7 @@
 // nowhere.
 func (l *Leader) shows(name string, r lease.Reading, q InventoryRequest) bool {
 	if len(q.Keys) > 0 && !r.Sent.After(l.limited[name]) {
-		l.lease(lease.Look{Worker: name, After: lookAgain})
+		l.lease(lease.Poll{Worker: name, After: lookAgain})
 		return false
 	}
 	for _, lo := range l.loose {
@@ -86,7 +86,7 @@
 }
 
 func (l *Leader) view(name string, r lease.Reading, q InventoryRequest) WorkerState {
-	v := WorkerState{Worker: name, Clock: r.Clock, Age: l.Clock().Sub(r.Sent), Incarnation: r.Life}
+	v := WorkerState{Worker: name, Clock: r.Clock, Age: l.Clock().Sub(r.Sent), Incarnation: r.Incarnation}
 	for _, t := range r.Tasks {
 		if slices.Contains(q.Jobs, t.Job) {
 			v.Tasks = append(v.Tasks, job.ListedTask{ID: t.ID, State: t.State, Lease: t.Lease})
@@ -117,7 +117,7 @@
 // waits for the starts to an earlier one.
 func (l *Leader) askLives() {
 	now := l.Clock()
-	if l.RequestInventory == nil || now.Sub(l.askedLives) < livesEvery || !l.Leases.Unsettled(now) {
+	if l.RequestInventory == nil || now.Sub(l.askedLives) < livesEvery || !l.Leases.HasUnconfirmed(now) {
 		return
 	}
 	l.askedLives = now
@@ -131,7 +131,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for name, life := range c.Incarnations {
-		l.lease(lease.Vouched{Worker: name, Life: life})
+		l.lease(lease.IncarnationConfirmed{Worker: name, Life: life})
 	}
 	ev := takeover.Answer{Host: host, Asked: q.Asked, Leads: c.Leads, Waits: c.Waits}
 	held := l.Leases.Held()
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -44,7 +44,7 @@
 func (l *Leader) SetDomain(workers, peers []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lease(lease.Known{Workers: workers})
+	l.lease(lease.DomainWorkers{Workers: workers})
 	l.takeover(takeover.Workers{Names: workers})
 	l.takeover(takeover.Peers{Names: peers})
 }
@@ -74,7 +74,7 @@
 // job that is new here may be among them.
 func (l *Leader) readAll() {
 	for _, name := range l.Leases.Held() {
-		if r, ok := l.Leases.Last(name); ok {
+		if r, ok := l.Leases.LastReading(name); ok {
 			l.seen(name, r)
 		}
 	}
@@ -172,7 +172,7 @@
 				continue
 			}
 			l.left[t.Worker] = now
-			l.lease(lease.Look{Worker: t.Worker, After: lookAgain})
+			l.lease(lease.Poll{Worker: t.Worker, After: lookAgain})
 			if t.State == "unsure" || t.State == "stopping" || t.State == "pausing" {
 				l.loose[job.TaskID(id, i)] = loose{worker: t.Worker, deadline: t.Deadline, since: now}
 			}
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -141,7 +141,7 @@
 // Release gives all anchors back and waits for the exchanges under way.
 func (l *Leader) Release() {
 	l.mu.Lock()
-	l.lease(lease.Release{})
+	l.lease(lease.ReleaseAll{})
 	l.mu.Unlock()
 	l.wg.Wait()
 	l.mu.Lock()
@@ -216,19 +216,19 @@
 func (l *Leader) lease(ev lease.Event) {
 	for _, a := range l.Leases.Step(l.Clock(), ev) {
 		switch a := a.(type) {
-		case lease.Take:
+		case lease.Acquire:
 			l.spawn(func(ctx context.Context) { l.take(ctx, a) })
 		case lease.Renew:
 			l.spawn(func(ctx context.Context) { l.renew(ctx, a) })
-		case lease.Give:
+		case lease.Release:
 			l.spawn(func(ctx context.Context) { l.give(ctx, a) })
-		case lease.Meet:
+		case lease.AskIncarnation:
 			l.spawn(func(ctx context.Context) { l.meet(ctx, a) })
-		case lease.Waits:
+		case lease.AwaitStarts:
 			l.Log.Info("lead: worker is in a life that is new here; waiting for starts to the former one.", "worker", a.Worker, "life", a.Life, "until", a.Until)
 		case lease.Up:
 			l.up(a)
-		case lease.Seen:
+		case lease.Updated:
 			l.seen(a.Worker, a.Reading)
 		case lease.Down:
 			l.down(a.Worker)
@@ -276,7 +276,7 @@
 	return l.machines[name].Address
 }
 
-func (l *Leader) take(ctx context.Context, a lease.Take) {
+func (l *Leader) take(ctx context.Context, a lease.Acquire) {
 	r, err := l.Workers.Take(ctx, l.address(a.Worker), a.TTL)
 	l.tellLease(a.Worker, err, lease.Granted{Worker: a.Worker, Reading: r})
 }
@@ -303,14 +303,14 @@
 		l.lease(good)
 	case errors.As(err, &held):
 		l.takeover(takeover.Sign{Worker: name})
-		l.lease(lease.Refused{Worker: name, Holder: held.Holder, Left: held.Left, Sent: held.Sent, Life: held.Life})
+		l.lease(lease.Refused{Worker: name, Holder: held.Holder, Remaining: held.Left, Sent: held.Sent, Incarnation: held.Life})
 	default:
-		l.lease(lease.Lost{Worker: name})
+		l.lease(lease.Unanswered{Worker: name})
 	}
 }
 
 // meet asks a worker for its life. One that does not answer is asked again.
-func (l *Leader) meet(ctx context.Context, a lease.Meet) {
+func (l *Leader) meet(ctx context.Context, a lease.AskIncarnation) {
 	name, err := l.Workers.Life(ctx, l.address(a.Worker))
 	if err != nil {
 		l.Log.Debug("lead: life of a worker not told.", "worker", a.Worker, "err", err)
@@ -318,10 +318,10 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lease(lease.Met{Worker: a.Worker, Life: name})
+	l.lease(lease.IncarnationLearned{Worker: a.Worker, Life: name})
 }
 
-func (l *Leader) give(ctx context.Context, a lease.Give) {
+func (l *Leader) give(ctx context.Context, a lease.Release) {
 	if err := l.Workers.Give(ctx, l.address(a.Worker), a.Lease); err != nil {
 		l.Log.Warn("lead: anchor not given back.", "worker", a.Worker, "err", err)
 	}
@@ -345,7 +345,7 @@
 }
 
 func (l *Leader) seen(name string, r lease.Reading) {
-	ev := job.WorkerList{Worker: name, Clock: r.Clock, Sent: r.Sent, Incarnation: r.Life}
+	ev := job.WorkerList{Worker: name, Clock: r.Clock, Sent: r.Sent, Incarnation: r.Incarnation}
 	var wait bool
 	if ev.RackLost, wait = l.rackLost(name, r); wait {
 		// What is listed runs, whatever became of the rest. A census may rest on it now.
--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -130,7 +130,7 @@
 // keepCounted notes what ran of counted keys on a worker that is given up.
 func (l *Leader) keepCounted(worker string) {
 	var all []CountedTask
-	for _, u := range l.Placer.On(worker) {
+	for _, u := range l.Placer.TasksOn(worker) {
 		if l.keyOf(u.Row) != "" {
 			all = append(all, CountedTask{Row: u.Row, Size: u.Size})
 		}
--- a/internal/lead/machines.go
+++ b/internal/lead/machines.go
@@ -24,7 +24,7 @@
 		l.know(m)
 		names = append(names, m.Name)
 	}
-	l.lease(lease.Lead{Workers: names})
+	l.lease(lease.Wanted{Workers: names})
 }
 
 // UpdateMachines tells where all workers of the failure domain are, led here or not. A job
@@ -57,5 +57,5 @@
 		return
 	}
 	l.Log.Info("lead: worker resized.", "worker", m.Name, "size", m.Size, "before", before.Size)
-	l.place(place.Sized{Worker: m.Name, Size: m.Size})
+	l.place(place.WorkerResized{Worker: m.Name, Size: m.Size})
 }
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -21,15 +21,15 @@
 func (l *Leader) place(ev place.Event) {
 	for _, a := range l.Placer.Step(l.Clock(), ev) {
 		switch a := a.(type) {
-		case place.Put:
-			if l.Placer.Holds(a.Task, a.Worker) {
+		case place.Assign:
+			if l.Placer.IsAssigned(a.Task, a.Worker) {
 				l.job(job.Placed{Task: a.Task, Worker: a.Worker})
 			}
 		case place.Preempt:
 			l.preempt(a)
 		case place.Throttle:
 			l.spawn(func(ctx context.Context) { l.throttle(ctx, a) })
-		case place.Aside:
+		case place.Quarantined:
 			l.Count("lead.aside")
 			l.Log.Warn("lead: worker fails what others run and is set aside.", "worker", a.Worker)
 		case place.Restored:
@@ -41,8 +41,8 @@
 
 func (l *Leader) preempt(a place.Preempt) {
 	l.Count("lead.preempted")
-	l.Log.Info("lead: task is stopped for others.", "task", a.Task, "worker", a.Worker, "why", a.Why)
-	l.note(jobOf(a.Task), "stop of "+a.Task+" on "+a.Worker+": "+a.Why)
+	l.Log.Info("lead: task is stopped for others.", "task", a.Task, "worker", a.Worker, "why", a.Reason)
+	l.note(jobOf(a.Task), "stop of "+a.Task+" on "+a.Worker+": "+a.Reason)
 	l.job(job.Preempt{Task: a.Task})
 }
 
@@ -80,9 +80,9 @@
 	row, _ := l.Row(a.Spec.Row)
 	w := l.wantOf(a.Spec, a.Tasks)
 	w.Rule = l.ruleNow(row)
-	w.Since, w.Avoid, w.Failed, w.Back = a.Since, a.Avoid, a.LastFailure, a.AvoidUntil
+	w.Since, w.Avoid, w.LastFailed, w.AvoidUntil = a.Since, a.Avoid, a.LastFailure, a.AvoidUntil
 	w.Declared = w.Size
-	w.Size, w.Time = l.corrected(w), l.Estimates.Time(w.Row, w.Time)
+	w.Size, w.RunTime = l.corrected(w), l.Estimates.Time(w.Row, w.RunTime)
 	if a.Exclusive {
 		w.Size = l.apart(w)
 	}
@@ -90,21 +90,21 @@
 }
 
 // wantOf is a job's need as it was declared.
-func (l *Leader) wantOf(s job.Spec, tasks []string) place.Want {
+func (l *Leader) wantOf(s job.Spec, tasks []string) place.Request {
 	row, _ := l.Row(s.Row)
-	return place.Want{
+	return place.Request{
 		Job: s.ID, Row: s.Row, Team: row.Team, Class: s.Class, Size: s.Size, Tasks: tasks, Gang: s.Gang,
-		Spread: row.Kind == table.Service, Time: s.Time.Duration, Rule: l.rule(row),
+		Spread: row.Kind == table.Service, RunTime: s.Time.Duration, Rule: l.rule(row),
 	}
 }
 
 // corrected is the size to pack by. Where the declared size could run and the
 // corrected one never can, the declared one is kept: the job would otherwise
 // wait for ever for a guess.
-func (l *Leader) corrected(w place.Want) cell.Size {
+func (l *Leader) corrected(w place.Request) cell.Size {
 	declared := w.Size
 	w.Size = l.Estimates.Size(w.Row, declared)
-	if l.Placer.Never(w) != nil {
+	if l.Placer.CheckFeasible(w) != nil {
 		return declared
 	}
 	return w.Size
@@ -160,7 +160,7 @@
 		row, _ := l.Row(name)
 		if r := l.ruleNow(row); l.rules[name] != r {
 			l.rules[name] = r
-			l.place(place.Ruled{Row: name, Rule: r})
+			l.place(place.RuleChanged{Row: name, Rule: r})
 		}
 	}
 }
@@ -170,14 +170,14 @@
 	for _, name := range l.Placer.Rows() {
 		row, _ := l.Row(name)
 		l.rules[name] = l.ruleNow(row)
-		l.place(place.Ruled{Row: name, Rule: l.rules[name]})
+		l.place(place.RuleChanged{Row: name, Rule: l.rules[name]})
 	}
 }
 
 func (l *Leader) never(spec job.Spec) error {
 	w := l.wantOf(spec, make([]string, spec.Tasks))
-	var never *place.NeverError
-	if errors.As(l.Placer.Never(w), &never) {
+	var never *place.InfeasibleError
+	if errors.As(l.Placer.CheckFeasible(w), &never) {
 		l.Count("lead.never")
 		return &UnschedulableError{Reason: never.Error()}
 	}
@@ -200,7 +200,7 @@
 			continue
 		}
 		if room, ok := l.Estimates.Seen(t.ID, t.Row, spec.Size, t.Use); ok {
-			l.place(place.Resized{Task: t.ID, Size: room, Use: t.Use})
+			l.place(place.TaskResized{Task: t.ID, Size: room, Use: t.Use})
 		}
 	}
 }
@@ -219,9 +219,9 @@
 // grown books a task of a job that is not led here, of which nobody knows what
 // was declared: its room never shrinks.
 func (l *Leader) grown(t lease.Task) {
-	if room, ok := l.Placer.Room(t.ID); ok && t.Use != (cell.Size{}) {
+	if room, ok := l.Placer.AllocatedSize(t.ID); ok && t.Use != (cell.Size{}) {
 		size := cell.Size{CPU: max(room.CPU, t.Use.CPU), Mem: max(room.Mem, t.Use.Mem), Accel: room.Accel}
-		l.place(place.Resized{Task: t.ID, Size: size, Use: t.Use})
+		l.place(place.TaskResized{Task: t.ID, Size: size, Use: t.Use})
 	}
 }
 
@@ -231,7 +231,7 @@
 	defer l.mu.Unlock()
 	notes := l.History.Of(id)
 	for _, task := range l.Jobs.WaitingTasks(id) {
-		if why, ok := l.Placer.Why(task); ok {
+		if why, ok := l.Placer.ExplainWait(task); ok {
 			notes = append(notes, trail.Note{At: l.Clock(), ID: id, Part: "place", What: why})
 			notes = append(notes, l.whyPutOff(id, task)...)
 			break
@@ -240,7 +240,7 @@
 	if l.Jobs.AwaitsInventory(id) {
 		notes = append(notes, trail.Note{At: l.Clock(), ID: id, Part: "lead", What: "waits for its census: " + l.Takeover.Missing(l.Clock(), id)})
 	}
-	if aside := l.Placer.Asides(); len(notes) > 0 && len(aside) > 0 {
+	if aside := l.Placer.QuarantinedWorkers(); len(notes) > 0 && len(aside) > 0 {
 		notes = append(notes, trail.Note{At: l.Clock(), ID: id, Part: "place", What: fmt.Sprintf("workers set aside: %v", aside)})
 	}
 	return notes
--- a/internal/lead/rack.go
+++ b/internal/lead/rack.go
@@ -31,13 +31,13 @@
 	now := l.Clock()
 	w := l.lives[name]
 	switch {
-	case r.Life == "":
+	case r.Incarnation == "":
 		return false, false
 	case w == nil:
-		w = &life{name: r.Life}
+		w = &life{name: r.Incarnation}
 		l.lives[name] = w
-	case w.name != r.Life:
-		*w = life{name: r.Life, since: now, open: true}
+	case w.name != r.Incarnation:
+		*w = life{name: r.Incarnation, since: now, open: true}
 	}
 	if !w.open {
 		l.lookAtOpen(name)
@@ -51,9 +51,9 @@
 		return false, false
 	case silent && now.Sub(w.since) < rackWait:
 		for _, mate := range mates {
-			l.lease(lease.Look{Worker: mate, After: lookAgain})
+			l.lease(lease.Poll{Worker: mate, After: lookAgain})
 		}
-		l.lease(lease.Look{Worker: name, After: rackLook})
+		l.lease(lease.Poll{Worker: name, After: rackLook})
 		return false, true
 	}
 	w.open, w.lost = false, true
@@ -81,11 +81,11 @@
 // no sign.
 func (l *Leader) signs(mates []string, since time.Time) (alive, silent bool) {
 	for _, mate := range mates {
-		r, held := l.Leases.Last(mate)
+		r, held := l.Leases.LastReading(mate)
 		w := l.lives[mate]
 		switch {
 		case w != nil && !w.since.IsZero() && since.Sub(w.since) < rackApart:
-		case held && r.Sent.After(since) && (w == nil || w.name == r.Life):
+		case held && r.Sent.After(since) && (w == nil || w.name == r.Incarnation):
 			alive = true
 		default:
 			silent = true
@@ -98,7 +98,7 @@
 func (l *Leader) lookAtOpen(mate string) {
 	for _, name := range slices.Sorted(maps.Keys(l.lives)) {
 		if l.lives[name].open && l.machines[name].Rack == l.machines[mate].Rack {
-			l.lease(lease.Look{Worker: name, After: lookAgain})
+			l.lease(lease.Poll{Worker: name, After: lookAgain})
 		}
 	}
 }
--- a/internal/lead/start.go
+++ b/internal/lead/start.go
@@ -31,15 +31,15 @@
 		}
 	}
 	l.note(a.Spec.ID, "start of "+a.Task+" sent to "+a.Worker)
-	size, ok := l.Placer.Room(a.Task)
+	size, ok := l.Placer.AllocatedSize(a.Task)
 	if !ok {
 		size = a.Spec.Size
 	}
 	l.job(job.StartSent{Task: a.Task, Deadline: deadline})
-	l.lease(lease.Sent{Worker: a.Worker, Task: a.Task})
+	l.lease(lease.StartSent{Worker: a.Worker, Task: a.Task})
 	if arbiter != "" && arbiter != a.Worker {
 		// The worker whose holder may start the row is not given back under the start either.
-		l.lease(lease.Sent{Worker: arbiter, Task: a.Task})
+		l.lease(lease.StartSent{Worker: arbiter, Task: a.Task})
 	}
 	l.spawn(func(ctx context.Context) { l.sendStart(ctx, a, arbiter, size, deadline) })
 }
@@ -67,20 +67,20 @@
 		l.limited[a.Worker] = l.Clock()
 	}
 	if arbiter != "" && arbiter != a.Worker {
-		l.lease(lease.Answered{Worker: arbiter, Task: a.Task, Sure: err == nil || errors.As(err, &late)})
+		l.lease(lease.StartAnswered{Worker: arbiter, Task: a.Task, OutcomeKnown: err == nil || errors.As(err, &late)})
 	}
 	switch {
 	case err == nil:
-		l.lease(lease.Answered{Worker: a.Worker, Task: a.Task, Sure: true, Run: a.Spec.Time.Duration})
+		l.lease(lease.StartAnswered{Worker: a.Worker, Task: a.Task, OutcomeKnown: true, RunTime: a.Spec.Time.Duration})
 		l.job(job.Started{Task: a.Task, Attempt: a.Attempt})
 	case errors.As(err, &late):
 		l.Count("lead.late")
-		l.lease(lease.Answered{Worker: a.Worker, Task: a.Task, Sure: true})
+		l.lease(lease.StartAnswered{Worker: a.Worker, Task: a.Task, OutcomeKnown: true})
 		l.job(job.NotStarted{Task: a.Task, Attempt: a.Attempt})
 	default:
 		var unreached *worker.UnreachedError
 		l.Count("lead.unsure")
-		l.lease(lease.Answered{Worker: a.Worker, Task: a.Task})
+		l.lease(lease.StartAnswered{Worker: a.Worker, Task: a.Task})
 		l.note(a.Spec.ID, "start of "+a.Task+" has no answer")
 		l.job(job.Unsure{Task: a.Task, Attempt: a.Attempt, Deadline: deadline, Unreached: errors.As(err, &unreached)})
 	}
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -9,27 +9,27 @@
 // Event is what the lease core is told.
 type Event interface{ event() }
 
-// Lead replaces the set of workers that this host should try to hold.
-type Lead struct{ Workers []string }
+// Wanted replaces the set of workers that this host should try to hold.
+type Wanted struct{ Workers []string }
 
 // Reading is what one answered exchange with a worker says. Sent is when the
 // question left, by this host's clock; Clock is the worker's own clock at the
 // answer; Left is how long the anchor still runs from then.
 type Reading struct {
-	Sent  time.Time
-	Clock time.Time
-	Left  time.Duration
+	Sent      time.Time
+	Clock     time.Time
+	Remaining time.Duration
 	// Lease names the anchor's lease.
 	Lease string
-	// Life names the worker's life, from its start to its end; empty: not told.
-	Life string
-	// Mark is where the worker's list of changes stood.
-	Mark int64
+	// Incarnation names the worker's life, from its start to its end; empty: not told.
+	Incarnation string
+	// Cursor is where the worker's list of changes stood.
+	Cursor int64
 	// Tasks are all tasks if Whole is set, else those that changed since the
 	// mark that was sent; Gone are those that the worker has forgotten.
-	Tasks []Task
-	Gone  []string
-	Whole bool
+	Tasks   []Task
+	Removed []string
+	Full    bool
 }
 
 // Task is one task as a worker lists it. Lease names its start.
@@ -57,69 +57,69 @@
 
 // Refused tells that another host holds a worker's anchor for Left more.
 type Refused struct {
-	Worker string
-	Holder string
-	Left   time.Duration
-	Sent   time.Time
-	// Life names the worker's life; empty: not told.
-	Life string
+	Worker    string
+	Holder    string
+	Remaining time.Duration
+	Sent      time.Time
+	// Incarnation names the worker's life; empty: not told.
+	Incarnation string
 }
 
-// Lost tells that an exchange with a worker had no answer.
-type Lost struct{ Worker string }
+// Unanswered tells that an exchange with a worker had no answer.
+type Unanswered struct{ Worker string }
 
-// Sent tells that a start is under way to a worker.
-type Sent struct{ Worker, Task string }
+// StartSent tells that a start is under way to a worker.
+type StartSent struct{ Worker, Task string }
 
-// Answered tells that a start's answer came, or with Sure unset, that it is
+// StartAnswered tells that a start's answer came, or with Sure unset, that it is
 // lost. Run is how long the task is expected to run; zero if it was not started.
-type Answered struct {
+type StartAnswered struct {
 	Worker, Task string
-	Sure         bool
-	Run          time.Duration
+	OutcomeKnown bool
+	RunTime      time.Duration
 }
 
-// Look asks to read a worker again after so long.
-type Look struct {
+// Poll asks to read a worker again after so long.
+type Poll struct {
 	Worker string
 	After  time.Duration
 }
 
-// Known replaces the workers of the failure domain, wanted or not.
-type Known struct{ Workers []string }
+// DomainWorkers replaces the workers of the failure domain, wanted or not.
+type DomainWorkers struct{ Workers []string }
 
-// Met tells in which life a worker answered that is not wanted.
-type Met struct{ Worker, Life string }
+// IncarnationLearned tells in which life a worker answered that is not wanted.
+type IncarnationLearned struct{ Worker, Life string }
 
-// Vouched tells that no start to a former life of a worker was under way any more when a peer saw
+// IncarnationConfirmed tells that no start to a former life of a worker was under way any more when a peer saw
 // it in this one.
-type Vouched struct{ Worker, Life string }
+type IncarnationConfirmed struct{ Worker, Life string }
 
-// Release gives all anchors back, for a planned stop.
-type Release struct{}
+// ReleaseAll gives all anchors back, for a planned stop.
+type ReleaseAll struct{}
 
 // Tick lets time pass.
 type Tick struct{}
 
-func (Lead) event()     {}
-func (Granted) event()  {}
-func (Renewed) event()  {}
-func (Refused) event()  {}
-func (Lost) event()     {}
-func (Sent) event()     {}
-func (Answered) event() {}
-func (Look) event()     {}
-func (Known) event()    {}
-func (Met) event()      {}
-func (Vouched) event()  {}
-func (Release) event()  {}
-func (Tick) event()     {}
+func (Wanted) event()               {}
+func (Granted) event()              {}
+func (Renewed) event()              {}
+func (Refused) event()              {}
+func (Unanswered) event()           {}
+func (StartSent) event()            {}
+func (StartAnswered) event()        {}
+func (Poll) event()                 {}
+func (DomainWorkers) event()        {}
+func (IncarnationLearned) event()   {}
+func (IncarnationConfirmed) event() {}
+func (ReleaseAll) event()           {}
+func (Tick) event()                 {}
 
 // Action is what the lease core asks its edge to do.
 type Action interface{ action() }
 
-// Take asks a worker for its anchor.
-type Take struct {
+// Acquire asks a worker for its anchor.
+type Acquire struct {
 	Worker string
 	TTL    time.Duration
 }
@@ -127,22 +127,22 @@
 // Renew lengthens the anchor by TTL and all tasks on a worker by Long, in one
 // message. The answer tells what changed since the mark Since.
 type Renew struct {
-	Worker string
-	TTL    time.Duration
-	Long   time.Duration
-	Since  int64
+	Worker  string
+	TTL     time.Duration
+	TaskTTL time.Duration
+	Since   int64
 }
 
-// Give returns a worker's anchor. A give that arrives late, after the anchor
+// Release returns a worker's anchor. A give that arrives late, after the anchor
 // was taken anew, names another lease and changes nothing.
-type Give struct{ Worker, Lease string }
+type Release struct{ Worker, Lease string }
 
-// Meet asks a worker for its life.
-type Meet struct{ Worker string }
+// AskIncarnation asks a worker for its life.
+type AskIncarnation struct{ Worker string }
 
-// Waits tells that a worker is held and not led before Until: starts of other hosts to its former
+// AwaitStarts tells that a worker is held and not led before Until: starts of other hosts to its former
 // life may arrive.
-type Waits struct {
+type AwaitStarts struct {
 	Worker, Life string
 	Until        time.Time
 }
@@ -153,8 +153,8 @@
 	Reading
 }
 
-// Seen tells what a led worker runs now.
-type Seen struct {
+// Updated tells what a led worker runs now.
+type Updated struct {
 	Worker string
 	Reading
 }
@@ -162,11 +162,11 @@
 // Down tells that this host leads a worker no longer.
 type Down struct{ Worker string }
 
-func (Take) action()  {}
-func (Meet) action()  {}
-func (Waits) action() {}
-func (Renew) action() {}
-func (Give) action()  {}
-func (Up) action()    {}
-func (Seen) action()  {}
-func (Down) action()  {}
+func (Acquire) action()        {}
+func (AskIncarnation) action() {}
+func (AwaitStarts) action()    {}
+func (Renew) action()          {}
+func (Release) action()        {}
+func (Up) action()             {}
+func (Updated) action()        {}
+func (Down) action()           {}
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -126,7 +126,7 @@
 
 func (w *World) newHost(name string, inc int) *host {
 	h := &host{
-		name: name, inc: inc, leases: lease.New(lease.Limits{TTL: ttl, Long: long, Retry: step / 2}), jobs: job.New(),
+		name: name, inc: inc, leases: lease.New(lease.Limits{TTL: ttl, TaskTTL: long, RetryInterval: step / 2}), jobs: job.New(),
 		over: takeover.New(name, takeover.Limits{Longest: never, Every: never}),
 		room: map[string]map[string]bool{}, spec: map[string]job.Spec{},
 	}
@@ -146,7 +146,7 @@
 	return job.Spec{ID: id, Tasks: 1, Size: cell.Size{CPU: 1, Mem: 1}, Tries: 9}
 }
 
-func (w *World) lead(h *host) { w.lease(h, lease.Lead{Workers: w.names()}) }
+func (w *World) lead(h *host) { w.lease(h, lease.Wanted{Workers: w.names()}) }
 
 func (w *World) submit(h *host, id string) { w.job(h, job.Submit{Spec: specOf(id)}) }
 
@@ -176,17 +176,17 @@
 func (w *World) lease(h *host, ev lease.Event) {
 	for _, a := range h.leases.Step(w.now, ev) {
 		switch a := a.(type) {
-		case lease.Take:
+		case lease.Acquire:
 			w.send(h, message{kind: "take", worker: a.Worker, ttl: a.TTL})
 		case lease.Renew:
-			w.send(h, message{kind: "renew", worker: a.Worker, ttl: a.TTL, long: a.Long})
-		case lease.Give:
+			w.send(h, message{kind: "renew", worker: a.Worker, ttl: a.TTL, long: a.TaskTTL})
+		case lease.Release:
 			w.send(h, message{kind: "give", worker: a.Worker, lease: a.Lease})
 		case lease.Up:
 			h.room[a.Worker] = map[string]bool{}
 			w.seen(h, a.Worker, a.Reading)
 			w.overtake(h, takeover.Held{Worker: a.Worker})
-		case lease.Seen:
+		case lease.Updated:
 			w.seen(h, a.Worker, a.Reading)
 		case lease.Down:
 			delete(h.room, a.Worker)
@@ -257,7 +257,7 @@
 		return
 	}
 	w.job(h, job.StartSent{Task: a.Task, Deadline: deadline})
-	w.lease(h, lease.Sent{Worker: a.Worker, Task: a.Task})
+	w.lease(h, lease.StartSent{Worker: a.Worker, Task: a.Task})
 	if w.rules.NoDeadline {
 		deadline = time.Time{}
 	}
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -14,27 +14,27 @@
 
 // Limits set the policy that is not in the table.
 type Limits struct {
-	// Reserve is the share of all room that bulk tasks may not take.
-	Reserve float64
-	// Overdue is how long the oldest job of each class may wait before room
+	// UrgentReserve is the share of all room that bulk tasks may not take.
+	UrgentReserve float64
+	// OverdueAfter is how long the oldest job of each class may wait before room
 	// is kept for it. Zero means never.
-	Overdue map[cell.Class]time.Duration
+	OverdueAfter map[cell.Class]time.Duration
 	// UrgentCap is the share of all room up to which urgent tasks may take
 	// room that is kept for an overdue job.
 	UrgentCap float64
-	// Aside is the largest share of the workers that may be set aside.
-	Aside float64
-	// Trial is how long a worker set aside waits for its next trial.
-	Trial time.Duration
+	// MaxQuarantined is the largest share of the workers that may be set aside.
+	MaxQuarantined float64
+	// TrialInterval is how long a worker set aside waits for its next trial.
+	TrialInterval time.Duration
 }
 
 // DefaultLimits suit both users.
 var DefaultLimits = Limits{
-	Reserve:   0.1,
-	Overdue:   map[cell.Class]time.Duration{cell.Urgent: 2 * time.Second, cell.Normal: time.Minute, cell.Bulk: 10 * time.Minute},
-	UrgentCap: 0.8,
-	Aside:     0.25,
-	Trial:     10 * time.Second,
+	UrgentReserve:  0.1,
+	OverdueAfter:   map[cell.Class]time.Duration{cell.Urgent: 2 * time.Second, cell.Normal: time.Minute, cell.Bulk: 10 * time.Minute},
+	UrgentCap:      0.8,
+	MaxQuarantined: 0.25,
+	TrialInterval:  10 * time.Second,
 }
 
 // Placer is the placement core of one host.
@@ -76,22 +76,22 @@
 	switch ev := ev.(type) {
 	case Up:
 		p.up(ev)
-	case Sized:
+	case WorkerResized:
 		p.sized(ev)
 	case Down:
 		p.down(ev.Worker)
-	case Want:
+	case Request:
 		p.queue.add(now, ev)
 	case Freed:
 		if p.queue.drop(ev.Task) {
 			return nil
 		}
 		p.freed(ev.Task)
-	case Resized:
+	case TaskResized:
 		p.resized(ev)
 	case Result:
 		p.result(ev)
-	case Ruled:
+	case RuleChanged:
 		p.queue.ruled(ev)
 	case Tick:
 		p.tick()
@@ -126,8 +126,8 @@
 	p.rescale(w)
 	for _, u := range ev.Used {
 		r := &room{task: u.Task, row: u.Row, team: u.Team, class: u.Class, size: u.Size, began: p.now}
-		if u.Left > 0 {
-			r.ends = p.now.Add(u.Left)
+		if u.Remaining > 0 {
+			r.ends = p.now.Add(u.Remaining)
 		}
 		p.take(r, w)
 	}
@@ -147,7 +147,7 @@
 // sized books another size of a worker. What runs there goes on; its free room is negative while
 // that takes more than it has. Room that is kept there for an entry which does not fit any more
 // is given up.
-func (p *Placer) sized(ev Sized) {
+func (p *Placer) sized(ev WorkerResized) {
 	w, ok := p.workers[ev.Worker]
 	if !ok || w.size == ev.Size {
 		return
@@ -184,7 +184,7 @@
 	p.whole = p.whole.Sub(w.size)
 	p.free = p.free.Sub(w.free)
 	delete(p.workers, name)
-	p.queue.wake(func(s *shape) bool { return s.blocked == TooFew })
+	p.queue.wake(func(s *shape) bool { return s.blocked == GangTooLarge })
 }
 
 func (p *Placer) freed(task string) {
@@ -196,9 +196,9 @@
 	p.wakeFor(r.worker)
 	p.queue.wake(func(s *shape) bool {
 		switch s.blocked {
-		case RowTasks, RowRoom:
+		case RowTaskLimit, RowSizeLimit:
 			return s.lane.row == r.row
-		case TeamRoom:
+		case TeamQuota:
 			return s.lane.team == r.team
 		default:
 			return false
@@ -223,7 +223,7 @@
 		if e.shape.blocked == Ready {
 			// The others have their turn before this one's next task.
 			e.shape.looked = 0
-			p.queue.block(e.shape, NoRoom)
+			p.queue.block(e.shape, NoCapacity)
 		}
 	}
 }
@@ -261,7 +261,7 @@
 	}
 	w := p.best(e)
 	if w == nil {
-		p.queue.block(e.shape, NoRoom)
+		p.queue.block(e.shape, NoCapacity)
 		p.makeRoom(e)
 		return
 	}
@@ -271,12 +271,12 @@
 func (p *Placer) put(e *entry, w *worker) {
 	task := p.queue.pop(e)
 	r := &room{task: task, row: e.Row, team: e.Team, class: e.Class, size: e.Size, began: p.now}
-	if e.Time > 0 {
-		r.ends = p.now.Add(e.Time)
+	if e.RunTime > 0 {
+		r.ends = p.now.Add(e.RunTime)
 	}
 	p.take(r, w)
 	p.tried(w)
-	p.do(Put{Task: task, Worker: w.name})
+	p.do(Assign{Task: task, Worker: w.name})
 	if !e.waiting() {
 		p.unmark(e)
 	}
@@ -300,17 +300,17 @@
 // mayReturn tells whether the entry's tasks may be put on a worker that they have failed on. Tried
 // there again at once, they would spend all their tries on a worker that fails everything.
 func (p *Placer) mayReturn(w *worker, e *entry) bool {
-	return !slices.Contains(e.Avoid, w.name) || !p.now.Before(e.Back) || w.good.After(e.Failed)
+	return !slices.Contains(e.Avoid, w.name) || !p.now.Before(e.AvoidUntil) || w.good.After(e.LastFailed)
 }
 
 // wakeReturning has work tried that may go back now to the workers that it has failed on.
 func (p *Placer) wakeReturning() {
 	p.queue.wake(func(s *shape) bool {
 		e := s.head()
-		if e.Back.IsZero() || p.now.Before(e.Back) {
+		if e.AvoidUntil.IsZero() || p.now.Before(e.AvoidUntil) {
 			return false
 		}
-		e.Back = time.Time{}
+		e.AvoidUntil = time.Time{}
 		return true
 	})
 }
@@ -377,8 +377,8 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// Room returns the room that a task takes; false if it takes none.
-func (p *Placer) Room(task string) (cell.Size, bool) {
+// AllocatedSize returns the room that a task takes; false if it takes none.
+func (p *Placer) AllocatedSize(task string) (cell.Size, bool) {
 	r, ok := p.taken[task]
 	if !ok {
 		return cell.Size{}, false
@@ -386,14 +386,14 @@
 	return r.size, true
 }
 
-// Holds tells whether a task has its room on that worker.
-func (p *Placer) Holds(task, worker string) bool {
+// IsAssigned tells whether a task has its room on that worker.
+func (p *Placer) IsAssigned(task, worker string) bool {
 	r, ok := p.taken[task]
 	return ok && r.worker.name == worker
 }
 
-// Asides lists the workers set aside, in order of name.
-func (p *Placer) Asides() []string {
+// QuarantinedWorkers lists the workers set aside, in order of name.
+func (p *Placer) QuarantinedWorkers() []string {
 	var all []string
 	for _, w := range p.inNameOrder() {
 		if w.health.aside {
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -7,27 +7,27 @@
 	"pollencroft/internal/cell"
 )
 
-// Block is what waiting work waits for.
-type Block int
+// BlockReason is what waiting work waits for.
+type BlockReason int
 
 // What work may wait for. Ready work has not been tried since a change.
 const (
-	Ready Block = iota
-	NoRoom
-	TooFew
-	RowTasks
-	RowRoom
-	TeamRoom
-	Reserved
+	Ready BlockReason = iota
+	NoCapacity
+	GangTooLarge
+	RowTaskLimit
+	RowSizeLimit
+	TeamQuota
+	ReservedForUrgent
 )
 
 // limit tells whether the work waits for a limit of the table, which no room
 // that is kept for it can help.
-func (b Block) limit() bool { return b == RowTasks || b == RowRoom || b == TeamRoom }
+func (b BlockReason) limit() bool { return b == RowTaskLimit || b == RowSizeLimit || b == TeamQuota }
 
 // entry is one job's tasks that wait for room.
 type entry struct {
-	Want
+	Request
 	seq    int64
 	shape  *shape
 	live   int
@@ -42,7 +42,7 @@
 	lane    *lane
 	size    cell.Size
 	time    time.Duration
-	blocked Block
+	blocked BlockReason
 	// looked is the step in which the shape was last tried again.
 	looked  int64
 	entries []*entry
@@ -95,7 +95,7 @@
 	}
 }
 
-func (q *queue) lane(w Want) *lane {
+func (q *queue) lane(w Request) *lane {
 	key := laneKey{class: w.Class, row: w.Row, team: w.Team}
 	l, ok := q.lanes[key]
 	if !ok {
@@ -107,12 +107,12 @@
 	return l
 }
 
-func (q *queue) add(now time.Time, w Want) {
+func (q *queue) add(now time.Time, w Request) {
 	q.seq++
 	if w.Since.IsZero() {
 		w.Since = now
 	}
-	e := &entry{Want: w, seq: q.seq}
+	e := &entry{Request: w, seq: q.seq}
 	for _, task := range w.Tasks {
 		if _, ok := q.tasks[task]; !ok {
 			q.tasks[task] = e
@@ -120,12 +120,12 @@
 		}
 	}
 	l := q.lane(w)
-	key := shapeKey{laneKey: laneKey{class: w.Class, row: w.Row, team: w.Team}, size: w.Size, time: w.Time}
+	key := shapeKey{laneKey: laneKey{class: w.Class, row: w.Row, team: w.Team}, size: w.Size, time: w.RunTime}
 	// Work that cannot be tried together with other work gets its own shape.
 	own := w.Gang || w.Spread || len(w.Avoid) > 0
 	s, ok := q.shapes[key]
 	if own || !ok {
-		s = &shape{lane: l, size: w.Size, time: w.Time}
+		s = &shape{lane: l, size: w.Size, time: w.RunTime}
 		l.shapes = append(l.shapes, s)
 		l.ready = append(l.ready, s)
 	}
@@ -160,7 +160,7 @@
 	}
 }
 
-func (q *queue) block(s *shape, why Block) {
+func (q *queue) block(s *shape, why BlockReason) {
 	s.blocked = why
 	if i := slices.Index(s.lane.ready, s); i >= 0 {
 		s.lane.ready = slices.Delete(s.lane.ready, i, i+1)
@@ -261,7 +261,7 @@
 
 // ruled applies what the table says now to work that waits already. Without it
 // an accepted edit would be in force for new jobs only.
-func (q *queue) ruled(ev Ruled) {
+func (q *queue) ruled(ev RuleChanged) {
 	for key, l := range q.lanes {
 		if key.row != ev.Row {
 			continue
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -105,7 +105,7 @@
 
 // resized books what a task is seen to use. A worker that comes out overfull
 // is relieved at once.
-func (p *Placer) resized(ev Resized) {
+func (p *Placer) resized(ev TaskResized) {
 	r, ok := p.taken[ev.Task]
 	if !ok {
 		return
@@ -148,9 +148,9 @@
 
 func (p *Placer) passes(s *shape, w *worker) bool {
 	switch s.blocked {
-	case NoRoom, TooFew:
+	case NoCapacity, GangTooLarge:
 		return s.size.Fits(w.free)
-	case Reserved:
+	case ReservedForUrgent:
 		return p.beyondReserve(s.size)
 	default:
 		return false
