--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -213,10 +213,10 @@
 }
 
 const (
-	// leaveWait is how long a stopping host goes on serving after it has turned
+	// drainWait is how long a stopping host goes on serving after it has turned
 	// not ready: two looks of the balancer, a second apart, and what was on its
 	// way then.
-	leaveWait = 2500 * time.Millisecond
+	drainWait = 2500 * time.Millisecond
 	// lastWait is how long requests under way have after that; a stop in all has
 	// to fit the platform's grace.
 	lastWait = 1500 * time.Millisecond
@@ -232,7 +232,7 @@
 	h.mu.Unlock()
 	h.leave(t)
 	grace := time.Duration(h.cfg.Times.Grace)
-	sleep(h.ctx, min(leaveWait, max(grace-lastWait-time.Second, 0)))
+	sleep(h.ctx, min(drainWait, max(grace-lastWait-time.Second, 0)))
 	ctx, cancel := context.WithTimeout(h.ctx, lastWait)
 	for _, s := range h.servers {
 		if err := s.Shutdown(ctx); err != nil {
