--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -217,9 +217,9 @@
 	// not ready: two looks of the balancer, a second apart, and what was on its
 	// way then.
 	drainWait = 2500 * time.Millisecond
-	// lastWait is how long requests under way have after that; a stop in all has
+	// shutdownTimeout is how long requests under way have after that; a stop in all has
 	// to fit the platform's grace.
-	lastWait = 1500 * time.Millisecond
+	shutdownTimeout = 1500 * time.Millisecond
 )
 
 // Stop ends the host in good order: another one leads, callers go elsewhere,
@@ -232,8 +232,8 @@
 	h.mu.Unlock()
 	h.leave(t)
 	grace := time.Duration(h.cfg.Times.Grace)
-	sleep(h.ctx, min(drainWait, max(grace-lastWait-time.Second, 0)))
-	ctx, cancel := context.WithTimeout(h.ctx, lastWait)
+	sleep(h.ctx, min(drainWait, max(grace-shutdownTimeout-time.Second, 0)))
+	ctx, cancel := context.WithTimeout(h.ctx, shutdownTimeout)
 	for _, s := range h.servers {
 		if err := s.Shutdown(ctx); err != nil {
 			h.log.Warn("entry: connections were still open.", "err", err)
