--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -142,7 +142,7 @@
 type relay struct{ h *Host }
 
 // Peers lists the peers to ask.
-func (r relay) Peers() []string { return r.h.others() }
+func (r relay) Peers() []string { return r.h.otherHosts() }
 
 // Do has a peer make the call.
 func (r relay) Do(ctx context.Context, name string, c store.Call) (store.Answer, error) {
--- a/internal/entry/heir.go
+++ b/internal/entry/heir.go
@@ -58,7 +58,7 @@
 	h.log.Info("lead: its process is gone.", "host", lead, "term", term)
 	// Others would claim beside this one, above all the dead one's next life.
 	succeed := peer.Succeed{Term: term, Successor: h.cfg.Name}
-	for _, p := range h.others() {
+	for _, p := range h.otherHosts() {
 		if p == lead {
 			continue
 		}
@@ -86,7 +86,7 @@
 func (h *Host) followed() string {
 	ctx, cancel := context.WithTimeout(h.ctx, followsWait)
 	defer cancel()
-	all := apart(h.others(), mostAsked)
+	all := apart(h.otherHosts(), mostAsked)
 	names := make([]string, len(all))
 	var wg sync.WaitGroup
 	for i := range names {
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -260,10 +260,10 @@
 	}
 }
 
-// others lists the other hosts' names, the lead first: it is the one that the store most
+// otherHosts lists the other hosts' names, the lead first: it is the one that the store most
 // likely serves. The rest follow in order of name from this host's on, so that hosts that
 // the store turns away do not all ask the same ones.
-func (h *Host) others() []string {
+func (h *Host) otherHosts() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var before, after []string
--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -65,7 +65,7 @@
 		h.tellOne(ctx, successor, succeed)
 	}
 	var wg sync.WaitGroup
-	for _, p := range h.others() {
+	for _, p := range h.otherHosts() {
 		if p != successor {
 			wg.Go(func() { h.tellOne(ctx, p, succeed) })
 		}
