--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -17,10 +17,10 @@
 // answer says that the lead is slow. That it is gone is believed of a lead that stores nothing
 // either, or that this host has not heard for unheard.
 
-// unheard is how long a lead that goes on storing may leave a host's questions unanswered. Slow
+// maxSilence is how long a lead that goes on storing may leave a host's questions unanswered. Slow
 // ones fell behind by a second or two; one that only the store can reach has to be succeeded
 // well within what callers allow for a recovery.
-const unheard = 4 * time.Second
+const maxSilence = 4 * time.Second
 
 // doubtAfter is how long the lead may take to answer before a look is taken at what it stores:
 // longer than a calm one takes, and so early that the look costs no time.
@@ -74,7 +74,7 @@
 	if h.answersLate(lead) {
 		return true
 	}
-	if silence > unheard {
+	if silence > maxSilence {
 		h.log.Warn("lead: is not heard any more.", "host", lead, "for", silence)
 		return false
 	}
@@ -290,7 +290,7 @@
 	sent := h.now()
 	h.askedLead(name)
 	h.wg.Go(func() {
-		ctx, cancel := context.WithTimeout(h.ctx, unheard)
+		ctx, cancel := context.WithTimeout(h.ctx, maxSilence)
 		defer cancel()
 		var got result
 		got.err = h.peers.Ask(ctx, name, h.syncMessage(), &got.reply)
