--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -22,9 +22,9 @@
 // well within what callers allow for a recovery.
 const maxSilence = 4 * time.Second
 
-// doubtAfter is how long the lead may take to answer before a look is taken at what it stores:
+// storeCheckDelay is how long the lead may take to answer before a look is taken at what it stores:
 // longer than a calm one takes, and so early that the look costs no time.
-const doubtAfter = 50 * time.Millisecond
+const storeCheckDelay = 50 * time.Millisecond
 
 // lateFor is for how long a late answer shows that the lead is alive: a lead that is always late
 // is asked, left alone for muteFor and asked again within that.
@@ -237,7 +237,7 @@
 func (h *Host) leadsOrEnds(lead string) (leads bool, before <-chan ends) {
 	got, yes, no := make(chan ends, 1), make(chan struct{}), make(chan struct{})
 	h.wg.Go(func() {
-		t := time.NewTimer(doubtAfter)
+		t := time.NewTimer(storeCheckDelay)
 		defer t.Stop()
 		defer close(got)
 		select {
