--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -26,9 +26,9 @@
 // longer than a calm one takes, and so early that the look costs no time.
 const storeCheckDelay = 50 * time.Millisecond
 
-// lateFor is for how long a late answer shows that the lead is alive: a lead that is always late
+// lateReplyValidity is for how long a late answer shows that the lead is alive: a lead that is always late
 // is asked, left alone for muteFor and asked again within that.
-const lateFor = 1500 * time.Millisecond
+const lateReplyValidity = 1500 * time.Millisecond
 
 const (
 	// changesFor is for how long a change of the lead makes hosts more patient with the next
@@ -150,7 +150,7 @@
 	h.mu.Lock()
 	late := h.now().Sub(h.lastLateReply)
 	h.mu.Unlock()
-	if late >= lateFor {
+	if late >= lateReplyValidity {
 		return false
 	}
 	h.incCounter("lead.slow")
