--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -31,9 +31,9 @@
 const lateReplyValidity = 1500 * time.Millisecond
 
 const (
-	// changesFor is for how long a change of the lead makes hosts more patient with the next
+	// leaderChangeWindow is for how long a change of the lead makes hosts more patient with the next
 	// one: several times what it takes to catch up after it.
-	changesFor = time.Minute
+	leaderChangeWindow = time.Minute
 	// morePatient is by how much, mostPatience the bound: less than unheard, after which no
 	// sign of life counts.
 	morePatient  = 4
@@ -199,7 +199,7 @@
 
 // lately are the changes of the lead that count still; mu is held. The caller keeps them as h.changes.
 func (h *Host) lately() []time.Time {
-	return slices.DeleteFunc(h.leaderChanges, func(at time.Time) bool { return h.now().Sub(at) > changesFor })
+	return slices.DeleteFunc(h.leaderChanges, func(at time.Time) bool { return h.now().Sub(at) > leaderChangeWindow })
 }
 
 // grown is the first of the partitions that have grown, -1 if none has.
