--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -34,10 +34,10 @@
 	// leaderChangeWindow is for how long a change of the lead makes hosts more patient with the next
 	// one: several times what it takes to catch up after it.
 	leaderChangeWindow = time.Minute
-	// morePatient is by how much, mostPatience the bound: less than unheard, after which no
+	// progressTimeoutFactor is by how much, mostPatience the bound: less than unheard, after which no
 	// sign of life counts.
-	morePatient  = 4
-	mostPatience = 3 * time.Second
+	progressTimeoutFactor = 4
+	mostPatience          = 3 * time.Second
 	// backWithin is how soon after a change the former lead answers if it was only slow.
 	backWithin = 1500 * time.Millisecond
 	// backAgain is the pause before it is asked again.
@@ -170,7 +170,7 @@
 	}
 	h.leaderChanges = h.lately()
 	for range h.leaderChanges {
-		patience = min(morePatient*patience, mostPatience)
+		patience = min(progressTimeoutFactor*patience, mostPatience)
 	}
 	return patience
 }
