--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -37,7 +37,7 @@
 	// progressTimeoutFactor is by how much, mostPatience the bound: less than unheard, after which no
 	// sign of life counts.
 	progressTimeoutFactor = 4
-	mostPatience          = 3 * time.Second
+	maxProgressTimeout    = 3 * time.Second
 	// backWithin is how soon after a change the former lead answers if it was only slow.
 	backWithin = 1500 * time.Millisecond
 	// backAgain is the pause before it is asked again.
@@ -170,7 +170,7 @@
 	}
 	h.leaderChanges = h.lately()
 	for range h.leaderChanges {
-		patience = min(progressTimeoutFactor*patience, mostPatience)
+		patience = min(progressTimeoutFactor*patience, maxProgressTimeout)
 	}
 	return patience
 }
