--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -38,8 +38,8 @@
 	// sign of life counts.
 	progressTimeoutFactor = 4
 	maxProgressTimeout    = 3 * time.Second
-	// backWithin is how soon after a change the former lead answers if it was only slow.
-	backWithin = 1500 * time.Millisecond
+	// returnWindow is how soon after a change the former lead answers if it was only slow.
+	returnWindow = 1500 * time.Millisecond
 	// backAgain is the pause before it is asked again.
 	backAgain = 300 * time.Millisecond
 )
@@ -178,7 +178,7 @@
 // reviewChange asks the former lead after a change that nobody had told of. If it stays silent,
 // the change was right and is no reason to be more patient.
 func (h *Host) reviewChange(at time.Time, former string) {
-	ctx, cancel := context.WithTimeout(h.ctx, backWithin)
+	ctx, cancel := context.WithTimeout(h.ctx, returnWindow)
 	defer cancel()
 	for {
 		if err := h.peers.Ask(ctx, former, h.syncMessage(), new(peer.SyncReply)); err == nil {
