--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -40,8 +40,8 @@
 	maxProgressTimeout    = 3 * time.Second
 	// returnWindow is how soon after a change the former lead answers if it was only slow.
 	returnWindow = 1500 * time.Millisecond
-	// backAgain is the pause before it is asked again.
-	backAgain = 300 * time.Millisecond
+	// returnPollInterval is the pause before it is asked again.
+	returnPollInterval = 300 * time.Millisecond
 )
 
 // afterAll sorts after every key of stateTopic.
@@ -184,7 +184,7 @@
 		if err := h.peers.Ask(ctx, former, h.syncMessage(), new(peer.SyncReply)); err == nil {
 			return
 		}
-		if !sleep(ctx, backAgain) {
+		if !sleep(ctx, returnPollInterval) {
 			break
 		}
 	}
