--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -44,8 +44,8 @@
 	returnPollInterval = 300 * time.Millisecond
 )
 
-// afterAll sorts after every key of stateTopic.
-const afterAll = "~"
+// maxKey sorts after every key of stateTopic.
+const maxKey = "~"
 
 // ends are where the partitions of stateTopic ended at some moment.
 type ends struct {
@@ -220,7 +220,7 @@
 	g, ctx := errgroup.WithContext(h.ctx)
 	for i, part := range parts {
 		g.Go(func() error {
-			a, err := h.store.Do(ctx, store.Call{Op: store.Newest, Topic: stateTopic, Part: part, After: afterAll})
+			a, err := h.store.Do(ctx, store.Call{Op: store.Newest, Topic: stateTopic, Part: part, After: maxKey})
 			e.part[i] = a.End
 			return err
 		})
