--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -47,8 +47,8 @@
 // maxKey sorts after every key of stateTopic.
 const maxKey = "~"
 
-// ends are where the partitions of stateTopic ended at some moment.
-type ends struct {
+// logEnds are where the partitions of stateTopic ended at some moment.
+type logEnds struct {
 	at   time.Time
 	part []int64
 }
@@ -56,7 +56,7 @@
 // works tells whether the lead, which did not answer in time, is slow and not gone: it answered
 // late just now, or it stores something while this host watches, and has not been unheard for too
 // long. before is where its partitions ended when the question was put.
-func (h *Host) works(before <-chan ends) bool {
+func (h *Host) works(before <-chan logEnds) bool {
 	h.mu.Lock()
 	lead, mute, silence := h.leader, h.unresponsive == h.leader, time.Duration(0)
 	if !h.unansweredSince.IsZero() {
@@ -203,7 +203,7 @@
 }
 
 // grown is the first of the partitions that have grown, -1 if none has.
-func grown(was, is ends) int {
+func grown(was, is logEnds) int {
 	for i := range min(len(was.part), len(is.part)) {
 		if is.part[i] > was.part[i] {
 			return i
@@ -214,9 +214,9 @@
 
 // stateEnds returns where the partitions of stateTopic end; nothing if one cannot be read,
 // as then nobody can take over anyway.
-func (h *Host) stateEnds() ends {
+func (h *Host) stateEnds() logEnds {
 	parts := h.stateParts()
-	e := ends{at: h.now(), part: make([]int64, len(parts))}
+	e := logEnds{at: h.now(), part: make([]int64, len(parts))}
 	g, ctx := errgroup.WithContext(h.ctx)
 	for i, part := range parts {
 		g.Go(func() error {
@@ -227,15 +227,15 @@
 	}
 	if err := g.Wait(); err != nil {
 		h.log.Warn("lead: what it stores cannot be seen.", "err", err)
-		return ends{at: e.at}
+		return logEnds{at: e.at}
 	}
 	return e
 }
 
 // leadsOrEnds asks the lead whether it leads. While there is no answer, or if it is no, it also
 // looks at what the lead stores.
-func (h *Host) leadsOrEnds(lead string) (leads bool, before <-chan ends) {
-	got, yes, no := make(chan ends, 1), make(chan struct{}), make(chan struct{})
+func (h *Host) leadsOrEnds(lead string) (leads bool, before <-chan logEnds) {
+	got, yes, no := make(chan logEnds, 1), make(chan struct{}), make(chan struct{})
 	h.wg.Go(func() {
 		t := time.NewTimer(storeCheckDelay)
 		defer t.Stop()
