--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -49,8 +49,8 @@
 
 // logEnds are where the partitions of stateTopic ended at some moment.
 type logEnds struct {
-	at   time.Time
-	part []int64
+	at      time.Time
+	offsets []int64
 }
 
 // works tells whether the lead, which did not answer in time, is slow and not gone: it answered
@@ -86,7 +86,7 @@
 			switch by := h.writer(lead, h.stateParts()[part]); by {
 			case lead:
 				h.incCounter("lead.slow")
-				h.log.Info("lead: is slow, and works.", "host", lead, "part", h.stateParts()[part], "from", was.part[part], "to", is.part[part], "unheard", silence)
+				h.log.Info("lead: is slow, and works.", "host", lead, "part", h.stateParts()[part], "from", was.offsets[part], "to", is.offsets[part], "unheard", silence)
 				return true
 			case h.cfg.Name:
 				h.log.Info("lead: was fenced off by this host.", "host", lead, "unheard", silence)
@@ -101,7 +101,7 @@
 			return true
 		}
 		if h.now().Sub(was.at) >= patience {
-			h.log.Warn("lead: stores nothing either.", "host", lead, "ends", is.part, "unheard", silence, "patience", patience)
+			h.log.Warn("lead: stores nothing either.", "host", lead, "ends", is.offsets, "unheard", silence, "patience", patience)
 			return false
 		}
 	}
@@ -204,8 +204,8 @@
 
 // grown is the first of the partitions that have grown, -1 if none has.
 func grown(was, is logEnds) int {
-	for i := range min(len(was.part), len(is.part)) {
-		if is.part[i] > was.part[i] {
+	for i := range min(len(was.offsets), len(is.offsets)) {
+		if is.offsets[i] > was.offsets[i] {
 			return i
 		}
 	}
@@ -216,12 +216,12 @@
 // as then nobody can take over anyway.
 func (h *Host) stateEnds() logEnds {
 	parts := h.stateParts()
-	e := logEnds{at: h.now(), part: make([]int64, len(parts))}
+	e := logEnds{at: h.now(), offsets: make([]int64, len(parts))}
 	g, ctx := errgroup.WithContext(h.ctx)
 	for i, part := range parts {
 		g.Go(func() error {
 			a, err := h.store.Do(ctx, store.Call{Op: store.Newest, Topic: stateTopic, Part: part, After: maxKey})
-			e.part[i] = a.End
+			e.offsets[i] = a.End
 			return err
 		})
 	}
