--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -53,10 +53,10 @@
 	offsets []int64
 }
 
-// works tells whether the lead, which did not answer in time, is slow and not gone: it answered
+// isLeaderAlive tells whether the lead, which did not answer in time, is slow and not gone: it answered
 // late just now, or it stores something while this host watches, and has not been unheard for too
 // long. before is where its partitions ended when the question was put.
-func (h *Host) works(before <-chan logEnds) bool {
+func (h *Host) isLeaderAlive(before <-chan logEnds) bool {
 	h.mu.Lock()
 	lead, mute, silence := h.leader, h.unresponsive == h.leader, time.Duration(0)
 	if !h.unansweredSince.IsZero() {
--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -298,7 +298,7 @@
 func (h *Host) Doubt() bool {
 	name, _ := h.leadNow()
 	leads, before := h.leadsOrEnds(name)
-	return leads || h.works(before)
+	return leads || h.isLeaderAlive(before)
 }
 
 // KnowsEnds tells whether the host was told that all these jobs have ended.
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -91,7 +91,7 @@
 	if all, _, err := store.Table(h.ctx, h.store, leadTopic, 0); err == nil {
 		h.readLead(all)
 	}
-	if newer, _ := h.leadNow(); h.leads(newer) || newer != "" && h.works(before) {
+	if newer, _ := h.leadNow(); h.leads(newer) || newer != "" && h.isLeaderAlive(before) {
 		return
 	}
 	if !h.delegate() {
