--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -83,7 +83,7 @@
 	for patience := h.changePatience(reach); sleep(h.ctx, pause); pause = settle {
 		is := h.stateEnds()
 		if part := grown(was, is); part >= 0 {
-			switch by := h.writer(lead, h.stateParts()[part]); by {
+			switch by := h.progressAuthor(lead, h.stateParts()[part]); by {
 			case lead:
 				h.incCounter("lead.slow")
 				h.log.Info("lead: is slow, and works.", "host", lead, "part", h.stateParts()[part], "from", was.offsets[part], "to", is.offsets[part], "unheard", silence)
@@ -108,10 +108,10 @@
 	return false
 }
 
-// writer tells whose work the growth of a partition of stateTopic is while lead is doubted; empty
+// progressAuthor tells whose work the growth of a partition of stateTopic is while lead is doubted; empty
 // if it is that of a lead that has left. A host that has claimed since is followed: its term
 // cannot be known yet, nor that it ever begins, but the one before is fenced off.
-func (h *Host) writer(lead string, part int) string {
+func (h *Host) progressAuthor(lead string, part int) string {
 	a, err := h.store.Do(h.ctx, store.Call{Op: store.Newest, Topic: stateTopic, Part: part})
 	if err != nil {
 		// Nobody could take over while that cannot be read.
