--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -67,7 +67,7 @@
 		// It says that it does not lead.
 		return false
 	}
-	reach := h.reach(lead)
+	reach := h.tryConnect(lead)
 	if reach == peer.Refused {
 		return false
 	}
@@ -138,8 +138,8 @@
 	return name
 }
 
-// reach tries a new connection to a host.
-func (h *Host) reach(name string) peer.Reach {
+// tryConnect tries a new connection to a host.
+func (h *Host) tryConnect(name string) peer.Reach {
 	ctx, cancel := context.WithTimeout(h.ctx, goneWait)
 	defer cancel()
 	return h.peers.Reach(ctx, name)
