--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -71,7 +71,7 @@
 	if reach == peer.Refused {
 		return false
 	}
-	if h.answersLate(lead) {
+	if h.repliedLate(lead) {
 		return true
 	}
 	if silence > maxSilence {
@@ -97,7 +97,7 @@
 				return true
 			}
 		}
-		if h.answersLate(lead) {
+		if h.repliedLate(lead) {
 			return true
 		}
 		if h.now().Sub(was.at) >= patience {
@@ -145,8 +145,8 @@
 	return h.peers.Reach(ctx, name)
 }
 
-// answersLate tells whether the lead has answered late just now.
-func (h *Host) answersLate(lead string) bool {
+// repliedLate tells whether the lead has answered late just now.
+func (h *Host) repliedLate(lead string) bool {
 	h.mu.Lock()
 	late := h.now().Sub(h.lastLateReply)
 	h.mu.Unlock()
