--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -80,7 +80,7 @@
 	}
 	was := <-before
 	pause := settle - h.now().Sub(was.at)
-	for patience := h.changePatience(reach); sleep(h.ctx, pause); pause = settle {
+	for patience := h.progressTimeout(reach); sleep(h.ctx, pause); pause = settle {
 		is := h.stateEnds()
 		if part := grown(was, is); part >= 0 {
 			switch by := h.progressAuthor(lead, h.stateParts()[part]); by {
@@ -158,10 +158,10 @@
 	return true
 }
 
-// changePatience is how long the lead may store nothing. It grows with each change of late that
+// progressTimeout is how long the lead may store nothing. It grows with each change of late that
 // nobody had told of and that may have been a mistake: that it was is the likelier, and costs the
 // more, the more there were. A host that takes no connection is off or cut off, and not slow.
-func (h *Host) changePatience(reach peer.Reach) time.Duration {
+func (h *Host) progressTimeout(reach peer.Reach) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	patience := settle
