--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -175,9 +175,9 @@
 	return patience
 }
 
-// reviewChange asks the former lead after a change that nobody had told of. If it stays silent,
+// verifyLeaderChange asks the former lead after a change that nobody had told of. If it stays silent,
 // the change was right and is no reason to be more patient.
-func (h *Host) reviewChange(at time.Time, former string) {
+func (h *Host) verifyLeaderChange(at time.Time, former string) {
 	ctx, cancel := context.WithTimeout(h.ctx, returnWindow)
 	defer cancel()
 	for {
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -192,7 +192,7 @@
 		at, former := h.now(), h.leader
 		h.leaderChanges = append(h.lately(), at)
 		if former != h.cfg.Name {
-			h.wg.Go(func() { h.reviewChange(at, former) })
+			h.wg.Go(func() { h.verifyLeaderChange(at, former) })
 		}
 	}
 	h.leader, h.standby = name, ""
