--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -168,7 +168,7 @@
 	if reach == peer.NoAnswer {
 		return patience
 	}
-	h.leaderChanges = h.lately()
+	h.leaderChanges = h.recentLeaderChanges()
 	for range h.leaderChanges {
 		patience = min(progressTimeoutFactor*patience, maxProgressTimeout)
 	}
@@ -197,8 +197,8 @@
 	h.log.Info("lead: change was right.", "host", former, "silent", h.now().Sub(at))
 }
 
-// lately are the changes of the lead that count still; mu is held. The caller keeps them as h.changes.
-func (h *Host) lately() []time.Time {
+// recentLeaderChanges are the changes of the lead that count still; mu is held. The caller keeps them as h.changes.
+func (h *Host) recentLeaderChanges() []time.Time {
 	return slices.DeleteFunc(h.leaderChanges, func(at time.Time) bool { return h.now().Sub(at) > leaderChangeWindow })
 }
 
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -190,7 +190,7 @@
 	if h.leader != "" && h.leader != name {
 		// Nobody had told of it: whoever claimed believed the lead to be gone.
 		at, former := h.now(), h.leader
-		h.leaderChanges = append(h.lately(), at)
+		h.leaderChanges = append(h.recentLeaderChanges(), at)
 		if former != h.cfg.Name {
 			h.wg.Go(func() { h.verifyLeaderChange(at, former) })
 		}
