--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -82,7 +82,7 @@
 	pause := settle - h.now().Sub(was.at)
 	for patience := h.progressTimeout(reach); sleep(h.ctx, pause); pause = settle {
 		is := h.stateEnds()
-		if part := grown(was, is); part >= 0 {
+		if part := firstGrown(was, is); part >= 0 {
 			switch by := h.progressAuthor(lead, h.stateParts()[part]); by {
 			case lead:
 				h.incCounter("lead.slow")
@@ -202,8 +202,8 @@
 	return slices.DeleteFunc(h.leaderChanges, func(at time.Time) bool { return h.now().Sub(at) > leaderChangeWindow })
 }
 
-// grown is the first of the partitions that have grown, -1 if none has.
-func grown(was, is logEnds) int {
+// firstGrown is the first of the partitions that have firstGrown, -1 if none has.
+func firstGrown(was, is logEnds) int {
 	for i := range min(len(was.offsets), len(is.offsets)) {
 		if is.offsets[i] > was.offsets[i] {
 			return i
