--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -81,7 +81,7 @@
 	was := <-before
 	pause := settle - h.now().Sub(was.at)
 	for patience := h.progressTimeout(reach); sleep(h.ctx, pause); pause = settle {
-		is := h.stateEnds()
+		is := h.stateLogEnds()
 		if part := firstGrown(was, is); part >= 0 {
 			switch by := h.progressAuthor(lead, h.stateParts()[part]); by {
 			case lead:
@@ -212,9 +212,9 @@
 	return -1
 }
 
-// stateEnds returns where the partitions of stateTopic end; nothing if one cannot be read,
+// stateLogEnds returns where the partitions of stateTopic end; nothing if one cannot be read,
 // as then nobody can take over anyway.
-func (h *Host) stateEnds() logEnds {
+func (h *Host) stateLogEnds() logEnds {
 	parts := h.stateParts()
 	e := logEnds{at: h.now(), offsets: make([]int64, len(parts))}
 	g, ctx := errgroup.WithContext(h.ctx)
@@ -246,7 +246,7 @@
 		case <-no:
 		case <-t.C:
 		}
-		got <- h.stateEnds()
+		got <- h.stateLogEnds()
 	})
 	if h.leads(lead) {
 		close(yes)
