--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -232,9 +232,9 @@
 	return e
 }
 
-// leadsOrEnds asks the lead whether it leads. While there is no answer, or if it is no, it also
+// checkLeader asks the lead whether it leads. While there is no answer, or if it is no, it also
 // looks at what the lead stores.
-func (h *Host) leadsOrEnds(lead string) (leads bool, before <-chan logEnds) {
+func (h *Host) checkLeader(lead string) (leads bool, before <-chan logEnds) {
 	got, yes, no := make(chan logEnds, 1), make(chan struct{}), make(chan struct{})
 	h.wg.Go(func() {
 		t := time.NewTimer(storeCheckDelay)
--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -297,7 +297,7 @@
 // Doubt asks the lead whether it leads, and tells whether it does or works nevertheless.
 func (h *Host) Doubt() bool {
 	name, _ := h.leadNow()
-	leads, before := h.leadsOrEnds(name)
+	leads, before := h.checkLeader(name)
 	return leads || h.isLeaderAlive(before)
 }
 
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -79,7 +79,7 @@
 		return
 	}
 	began := h.now()
-	leads, before := h.leadsOrEnds(lead)
+	leads, before := h.checkLeader(lead)
 	if leads {
 		return
 	}
