--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -256,8 +256,8 @@
 	return false, got
 }
 
-// heardLead notes an answer of the lead, also a late one.
-func (h *Host) heardLead(name string, r peer.SyncReply, late bool) {
+// noteLeaderReply notes an answer of the lead, also a late one.
+func (h *Host) noteLeaderReply(name string, r peer.SyncReply, late bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if name != h.leader || !r.Lead && !r.Leading {
@@ -296,7 +296,7 @@
 		got.err = h.peers.Ask(ctx, name, h.syncMessage(), &got.reply)
 		if got.err == nil {
 			h.states.follow(got.reply)
-			h.heardLead(name, got.reply, h.now().Sub(sent) > patience)
+			h.noteLeaderReply(name, got.reply, h.now().Sub(sent) > patience)
 		}
 		answered <- got
 	})
