--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -270,8 +270,8 @@
 	}
 }
 
-// askedLead notes a question to the lead.
-func (h *Host) askedLead(name string) {
+// noteLeaderRequest notes a question to the lead.
+func (h *Host) noteLeaderRequest(name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if name == h.leader && h.unansweredSince.IsZero() {
@@ -288,7 +288,7 @@
 	}
 	answered := make(chan result, 1)
 	sent := h.now()
-	h.askedLead(name)
+	h.noteLeaderRequest(name)
 	h.wg.Go(func() {
 		ctx, cancel := context.WithTimeout(h.ctx, maxSilence)
 		defer cancel()
