--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -279,9 +279,9 @@
 	}
 }
 
-// question asks a host whether it leads, for patience; an answer that comes later than that
+// requestSync asks a host whether it leads, for patience; an answer that comes later than that
 // is only noted.
-func (h *Host) question(name string, patience time.Duration) (peer.SyncReply, error) {
+func (h *Host) requestSync(name string, patience time.Duration) (peer.SyncReply, error) {
 	type result struct {
 		reply peer.SyncReply
 		err   error
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -137,7 +137,7 @@
 	if name == "" || name == h.cfg.Name || h.isMute(name) {
 		return peer.SyncReply{}, &NoLeadError{}
 	}
-	r, err := h.question(name, h.leadPatience())
+	r, err := h.requestSync(name, h.leadPatience())
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
@@ -208,7 +208,7 @@
 }
 
 func (h *Host) syncWith(lead string) {
-	r, err := h.question(lead, askWait)
+	r, err := h.requestSync(lead, askWait)
 	if err != nil || !r.Lead {
 		h.log.Warn("lead: does not answer.", "host", lead, "err", err)
 		h.listHosts()
