--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -16,10 +16,10 @@
 
 func (*UnknownMessageError) Error() string { return "message is not for this host" }
 
-// NoLeadError tells that no host is known to lead.
-type NoLeadError struct{}
+// NoLeaderError tells that no host is known to lead.
+type NoLeaderError struct{}
 
-func (*NoLeadError) Error() string { return "no host leads" }
+func (*NoLeaderError) Error() string { return "no host leads" }
 
 // LateError tells that a host did not answer in time; it may yet.
 type LateError struct {
--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -69,7 +69,7 @@
 // waited for.
 func (h *Host) Waits(name string) bool {
 	_, err := h.askLead(name)
-	return !errors.As(err, new(*NoLeadError))
+	return !errors.As(err, new(*NoLeaderError))
 }
 
 // StandsReady tells whether the host may be named to lead.
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -135,7 +135,7 @@
 // times, with all starts at rest.
 func (h *Host) askLead(name string) (peer.SyncReply, error) {
 	if name == "" || name == h.cfg.Name || h.isMute(name) {
-		return peer.SyncReply{}, &NoLeadError{}
+		return peer.SyncReply{}, &NoLeaderError{}
 	}
 	r, err := h.requestSync(name, h.leadPatience())
 	h.mu.Lock()
--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -194,7 +194,7 @@
 	case leading:
 		r, err = h.ownState(ctx, id)
 	case lead == "" || lead == h.cfg.Name:
-		err = &NoLeadError{}
+		err = &NoLeaderError{}
 	default:
 		err = h.peers.Ask(ctx, lead, peer.AskState{ID: id}, &r)
 	}
@@ -212,7 +212,7 @@
 	case err != nil:
 		return "", false, err
 	case !r.Lead:
-		return "", false, &NoLeadError{}
+		return "", false, &NoLeaderError{}
 	case r.Unsure:
 		return "", false, &UnsureError{ID: id}
 	default:
