--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -99,11 +99,13 @@
 	return peer.StateReply{Lead: true, Known: known, Unsure: !sure, State: string(state)}
 }
 
-// UnsureError tells that the lead does not know a job and has not read lately
+// UncertainError tells that the lead does not know a job and has not read lately
 // what was stored.
-type UnsureError struct{ ID string }
+type UncertainError struct{ ID string }
 
-func (e *UnsureError) Error() string { return "lead has not read yet whether there is a job " + e.ID }
+func (e *UncertainError) Error() string {
+	return "lead has not read yet whether there is a job " + e.ID
+}
 
 // leadFresh is how long ago the store may have answered a lead that others leave
 // alone: about as long as the group takes to name another one.
--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -214,7 +214,7 @@
 	case !r.Lead:
 		return "", false, &NoLeaderError{}
 	case r.Unsure:
-		return "", false, &UnsureError{ID: id}
+		return "", false, &UncertainError{ID: id}
 	default:
 		return flow.State(r.State), r.Known, nil
 	}
