--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -31,8 +31,8 @@
 	return "host " + e.Host + " has not answered within " + e.After.String()
 }
 
-// answer answers a peer.
-func (h *Host) answer(ctx context.Context, m peer.Message) (any, error) {
+// handleMessage answers a peer.
+func (h *Host) handleMessage(ctx context.Context, m peer.Message) (any, error) {
 	h.incCounter("peer." + peer.Kind(m))
 	switch m := m.(type) {
 	case peer.Hand:
--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -265,7 +265,7 @@
 	h.peers.Through(dial)
 	srv := peer.NewServer(func(ctx context.Context, m peer.Message) (any, error) {
 		before(ctx)
-		return h.answer(ctx, m)
+		return h.handleMessage(ctx, m)
 	})
 	h.wg.Go(func() { srv.Serve(h.ctx, ln) })
 	h.wg.Go(func() { h.follow(leadTopic, h.readLead) })
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -158,7 +158,7 @@
 	if err != nil {
 		return err
 	}
-	srv := peer.NewServer(h.answer)
+	srv := peer.NewServer(h.handleMessage)
 	h.wg.Go(func() { srv.Serve(h.ctx, lnPeer) })
 	if err := h.listen(open); err != nil {
 		return err
