--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -51,7 +51,7 @@
 	case peer.Advise:
 		ctx, cancel := context.WithTimeout(ctx, m.Within.Duration)
 		defer cancel()
-		good, err := h.advise(ctx, m.Step, m.Workers)
+		good, err := h.askPolicy(ctx, m.Step, m.Workers)
 		return peer.AdviseReply{Good: good}, err
 	case peer.StoreCall:
 		return storeReply(h.store.Direct(ctx, m.Call)), nil
@@ -68,7 +68,7 @@
 
 func (*NoPolicyError) Error() string { return "settings name no policy service" }
 
-func (h *Host) advise(ctx context.Context, step string, workers []string) (map[string]string, error) {
+func (h *Host) askPolicy(ctx context.Context, step string, workers []string) (map[string]string, error) {
 	if h.policy == nil {
 		return nil, &NoPolicyError{}
 	}
@@ -226,7 +226,7 @@
 	began := h.now()
 	defer func() { h.observe("advice.answer", h.now().Sub(began)) }()
 	if a.Host == h.cfg.Name {
-		good, err := h.advise(ctx, a.Step, a.Workers)
+		good, err := h.askPolicy(ctx, a.Step, a.Workers)
 		return h.advised(a, good, err)
 	}
 	var r peer.AdviseReply
