--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -219,8 +219,8 @@
 // longestAdvice bounds a question to the policy service that a peer asks.
 const longestAdvice = 10 * time.Second
 
-// ask has a host, perhaps this one, ask the policy service.
-func (h *Host) ask(ctx context.Context, a sched.QueryPolicy) sched.PolicyReply {
+// askPolicyVia has a host, perhaps this one, askPolicyVia the policy service.
+func (h *Host) askPolicyVia(ctx context.Context, a sched.QueryPolicy) sched.PolicyReply {
 	ctx, cancel := context.WithTimeout(ctx, min(a.Timeout, longestAdvice))
 	defer cancel()
 	began := h.now()
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -225,7 +225,7 @@
 			t.h.incCounter("pace." + t.h.workers.Pace(ctx, a).String())
 		})
 	case sched.QueryPolicy:
-		t.h.wg.Go(func() { t.step(t.h.ask(t.ctx, a)) })
+		t.h.wg.Go(func() { t.step(t.h.askPolicyVia(t.ctx, a)) })
 	case sched.Forget:
 		t.h.wg.Go(func() { t.forget(a.ID) })
 	case sched.StepDown:
