--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -227,16 +227,16 @@
 	defer func() { h.observe("advice.answer", h.now().Sub(began)) }()
 	if a.Host == h.cfg.Name {
 		good, err := h.askPolicy(ctx, a.Step, a.Workers)
-		return h.advised(a, good, err)
+		return h.policyResult(a, good, err)
 	}
 	var r peer.AdviseReply
 	m := peer.Advise{Step: a.Step, Workers: a.Workers}
 	m.Within.Duration = a.Timeout
 	err := h.peers.Ask(ctx, a.Host, m, &r)
-	return h.advised(a, r.Good, err)
+	return h.policyResult(a, r.Good, err)
 }
 
-func (h *Host) advised(a sched.QueryPolicy, good map[string]string, err error) sched.PolicyReply {
+func (h *Host) policyResult(a sched.QueryPolicy, good map[string]string, err error) sched.PolicyReply {
 	if err != nil {
 		h.incCounter("advice.failed")
 		h.log.Warn("advice: no answer.", "step", a.Step, "host", a.Host, "err", err)
