--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -75,8 +75,8 @@
 	return h.policy.Ask(ctx, step, workers)
 }
 
-// lateState is how long a lead may take for a state before that is told.
-const lateState = 100 * time.Millisecond
+// slowStateReply is how long a lead may take for a state before that is told.
+const slowStateReply = 100 * time.Millisecond
 
 // localState tells a state as the lead. It waits while the core takes a step, unless the job
 // has ended.
@@ -92,7 +92,7 @@
 	}
 	began := h.now()
 	state, known, sure := t.state(id)
-	if took := h.now().Sub(began); took > lateState {
+	if took := h.now().Sub(began); took > slowStateReply {
 		h.incCounter("state.late")
 		h.log.Info("state: told late.", "id", id, "term", t.number, "waited", took)
 	}
