--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -107,9 +107,9 @@
 	return "lead has not read yet whether there is a job " + e.ID
 }
 
-// leadFresh is how long ago the store may have answered a lead that others leave
+// leaderFreshness is how long ago the store may have answered a lead that others leave
 // alone: about as long as the group takes to name another one.
-const leadFresh = 2 * time.Second
+const leaderFreshness = 2 * time.Second
 
 // syncReply leaves out what only a lead that the store serves can vouch for.
 func (h *Host) syncReply(m peer.Sync) peer.SyncReply {
@@ -121,7 +121,7 @@
 	}
 	claiming, leaving, successor, enough, follows := h.claiming, h.leaving, h.successor, h.enoughPower(), h.leader
 	h.mu.Unlock()
-	served := h.store.Fresh(leadFresh)
+	served := h.store.Fresh(leaderFreshness)
 	if t == nil || !served {
 		return peer.SyncReply{Leading: t != nil, Claiming: claiming, Leaving: leaving, Served: served, Successor: successor, Follows: follows}
 	}
