--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -162,12 +162,12 @@
 
 // Names of the store's failures between hosts.
 const (
-	failRefused  = "refused"
-	failUnsure   = "unanswered"
-	failFenced   = "fenced"
-	failMoved    = "moved"
-	failTrimmed  = "trimmed"
-	failNotKnown = "bad"
+	failRefused = "refused"
+	failUnsure  = "unanswered"
+	failFenced  = "fenced"
+	failMoved   = "moved"
+	failTrimmed = "trimmed"
+	failOther   = "bad"
 )
 
 func storeReply(a store.Answer, err error) peer.StoreReply {
@@ -192,7 +192,7 @@
 	case errors.As(err, &trimmed):
 		r.Failure, r.Number = failTrimmed, trimmed.First
 	default:
-		r.Failure = failNotKnown
+		r.Failure = failOther
 	}
 	return r
 }
@@ -209,7 +209,7 @@
 		return &store.MovedError{End: r.Number}
 	case failTrimmed:
 		return &store.TrimmedError{First: r.Number}
-	case failNotKnown:
+	case failOther:
 		return &store.BadError{Op: c.Op, Reason: r.Reason}
 	default:
 		return &store.UnansweredError{Op: c.Op, Cause: &store.BadError{Op: c.Op, Reason: r.Reason}}
