--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -54,7 +54,7 @@
 		good, err := h.askPolicy(ctx, m.Step, m.Workers)
 		return peer.AdviseReply{Good: good}, err
 	case peer.StoreCall:
-		return storeReply(h.store.Direct(ctx, m.Call)), nil
+		return encodeStoreReply(h.store.Direct(ctx, m.Call)), nil
 	case peer.Succeed:
 		h.succeed(m)
 		return nil, nil
@@ -170,7 +170,7 @@
 	failOther   = "bad"
 )
 
-func storeReply(a store.Answer, err error) peer.StoreReply {
+func encodeStoreReply(a store.Answer, err error) peer.StoreReply {
 	r := peer.StoreReply{Answer: a}
 	if err == nil {
 		return r
