--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -157,7 +157,7 @@
 	case err != nil:
 		return store.Answer{}, &store.UnansweredError{Op: c.Op, Cause: err}
 	}
-	return got.Answer, failureOf(c, got)
+	return got.Answer, decodeStoreError(c, got)
 }
 
 // Names of the store's failures between hosts.
@@ -197,7 +197,7 @@
 	return r
 }
 
-func failureOf(c store.Call, r peer.StoreReply) error {
+func decodeStoreError(c store.Call, r peer.StoreReply) error {
 	switch r.Failure {
 	case "":
 		return nil
