--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -216,12 +216,12 @@
 	}
 }
 
-// longestAdvice bounds a question to the policy service that a peer asks.
-const longestAdvice = 10 * time.Second
+// maxAdviceTimeout bounds a question to the policy service that a peer asks.
+const maxAdviceTimeout = 10 * time.Second
 
 // askPolicyVia has a host, perhaps this one, askPolicyVia the policy service.
 func (h *Host) askPolicyVia(ctx context.Context, a sched.QueryPolicy) sched.PolicyReply {
-	ctx, cancel := context.WithTimeout(ctx, min(a.Timeout, longestAdvice))
+	ctx, cancel := context.WithTimeout(ctx, min(a.Timeout, maxAdviceTimeout))
 	defer cancel()
 	began := h.now()
 	defer func() { h.observe("advice.answer", h.now().Sub(began)) }()
