--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -19,8 +19,8 @@
 const (
 	// deadlineHeader says how long the caller waits, in milliseconds.
 	deadlineHeader = "X-Deadline-Ms"
-	// usualDeadline is for callers that do not say it.
-	usualDeadline = 3 * time.Second
+	// defaultDeadline is for callers that do not say it.
+	defaultDeadline = 3 * time.Second
 	// answerTime is left for the answer's way back.
 	answerTime = 150 * time.Millisecond
 	// usualBody bounds a body until the table says how much it may have.
@@ -103,7 +103,7 @@
 func deadline(r *http.Request) time.Duration {
 	ms, err := strconv.Atoi(r.Header.Get(deadlineHeader))
 	if err != nil || ms <= 0 {
-		return usualDeadline - answerTime
+		return defaultDeadline - answerTime
 	}
 	return max(time.Duration(ms)*time.Millisecond-answerTime, answerTime)
 }
