--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -21,8 +21,8 @@
 	deadlineHeader = "X-Deadline-Ms"
 	// defaultDeadline is for callers that do not say it.
 	defaultDeadline = 3 * time.Second
-	// answerTime is left for the answer's way back.
-	answerTime = 150 * time.Millisecond
+	// replyMargin is left for the answer's way back.
+	replyMargin = 150 * time.Millisecond
 	// usualBody bounds a body until the table says how much it may have.
 	usualBody = 256 << 10
 	// again is when a caller that was turned away may come back, in seconds: a
@@ -103,9 +103,9 @@
 func deadline(r *http.Request) time.Duration {
 	ms, err := strconv.Atoi(r.Header.Get(deadlineHeader))
 	if err != nil || ms <= 0 {
-		return defaultDeadline - answerTime
+		return defaultDeadline - replyMargin
 	}
-	return max(time.Duration(ms)*time.Millisecond-answerTime, answerTime)
+	return max(time.Duration(ms)*time.Millisecond-replyMargin, replyMargin)
 }
 
 func reply(w http.ResponseWriter, code int, body []byte) {
