--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -23,8 +23,8 @@
 	defaultDeadline = 3 * time.Second
 	// replyMargin is left for the answer's way back.
 	replyMargin = 150 * time.Millisecond
-	// usualBody bounds a body until the table says how much it may have.
-	usualBody = 256 << 10
+	// defaultMaxBody bounds a body until the table says how much it may have.
+	defaultMaxBody = 256 << 10
 	// again is when a caller that was turned away may come back, in seconds: a
 	// store that is away stays so for seconds, and a second is the least that the
 	// header can say.
@@ -173,7 +173,7 @@
 	if h.table != nil && h.table.MaxBody > 0 {
 		return h.table.MaxBody
 	}
-	return usualBody
+	return defaultMaxBody
 }
 
 func (h *Host) accepted(id string) {
