--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -25,10 +25,10 @@
 	replyMargin = 150 * time.Millisecond
 	// defaultMaxBody bounds a body until the table says how much it may have.
 	defaultMaxBody = 256 << 10
-	// again is when a caller that was turned away may come back, in seconds: a
+	// retryAfterSeconds is when a caller that was turned away may come back, in seconds: a
 	// store that is away stays so for seconds, and a second is the least that the
 	// header can say.
-	again = "1"
+	retryAfterSeconds = "1"
 )
 
 func (h *Host) callers() http.Handler {
@@ -121,7 +121,7 @@
 	h.incCounter("caller.refused." + strconv.Itoa(code))
 	h.log.Info("caller: refused.", "id", id, "code", code, "reason", reason)
 	if code == http.StatusServiceUnavailable || code == http.StatusTooManyRequests {
-		w.Header().Set("Retry-After", again)
+		w.Header().Set("Retry-After", retryAfterSeconds)
 	}
 	b, err := json.Marshal(map[string]string{"error": reason})
 	if err != nil {
