--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -31,7 +31,7 @@
 	retryAfterSeconds = "1"
 )
 
-func (h *Host) callers() http.Handler {
+func (h *Host) callerHandler() http.Handler {
 	r := chi.NewRouter()
 	r.HandleFunc("/*", h.serveCaller)
 	return r
