--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -254,7 +254,7 @@
 	return is
 }
 
-func (h *Host) readiness() http.Handler {
+func (h *Host) readyHandler() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/*", func(w http.ResponseWriter, _ *http.Request) {
 		if h.ready() {
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -176,7 +176,7 @@
 		addr    netip.AddrPort
 		handler http.Handler
 	}
-	all := []listener{{h.cfg.Listen.Caller, h.callerHandler()}, {h.cfg.Listen.Ready, h.readiness()}}
+	all := []listener{{h.cfg.Listen.Caller, h.callerHandler()}, {h.cfg.Listen.Ready, h.readyHandler()}}
 	if h.cfg.Listen.Metrics.IsValid() {
 		all = append(all, listener{h.cfg.Listen.Metrics, h.figures()})
 	}
