--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -266,7 +266,7 @@
 	return r
 }
 
-func (h *Host) figures() http.Handler {
+func (h *Host) metricsHandler() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/metrics", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain")
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -178,7 +178,7 @@
 	}
 	all := []listener{{h.cfg.Listen.Caller, h.callerHandler()}, {h.cfg.Listen.Ready, h.readyHandler()}}
 	if h.cfg.Listen.Metrics.IsValid() {
-		all = append(all, listener{h.cfg.Listen.Metrics, h.figures()})
+		all = append(all, listener{h.cfg.Listen.Metrics, h.metricsHandler()})
 	}
 	for _, l := range all {
 		ln, err := open(l.addr)
