--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// pendingAge is how old the count of a queue's jobs may be.
-const pendingAge = 1800 * time.Millisecond
+// maxPendingAge is how old the count of a queue's jobs may be.
+const maxPendingAge = 1800 * time.Millisecond
 
 // tellPending answers with how many jobs of a queue wait. A count that is too
 // old is asked for anew, and not told: its reader would believe that work has
@@ -97,7 +97,7 @@
 func (h *Host) pendingOf(q flow.Queue) (int, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.pending[q.Name], h.now().Sub(h.pendingAt) < pendingAge
+	return h.pending[q.Name], h.now().Sub(h.pendingAt) < maxPendingAge
 }
 
 func deadline(r *http.Request) time.Duration {
