--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -61,7 +61,7 @@
 	}()
 	switch {
 	case id == "" && r.Method == http.MethodGet:
-		h.tellPending(ctx, w, q)
+		h.servePending(ctx, w, q)
 	case !platform.JobID(id):
 		h.refuse(w, http.StatusNotFound, id, "no job's id")
 	case r.Method == http.MethodPost:
@@ -78,10 +78,10 @@
 // maxPendingAge is how old the count of a queue's jobs may be.
 const maxPendingAge = 1800 * time.Millisecond
 
-// tellPending answers with how many jobs of a queue wait. A count that is too
+// servePending answers with how many jobs of a queue wait. A count that is too
 // old is asked for anew, and not told: its reader would believe that work has
 // begun that still waits.
-func (h *Host) tellPending(ctx context.Context, w http.ResponseWriter, q flow.Queue) {
+func (h *Host) servePending(ctx context.Context, w http.ResponseWriter, q flow.Queue) {
 	if n, ok := h.pendingOf(q); ok {
 		reply(w, http.StatusOK, platform.PendingBody(n))
 		return
