--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -82,19 +82,19 @@
 // old is asked for anew, and not told: its reader would believe that work has
 // begun that still waits.
 func (h *Host) servePending(ctx context.Context, w http.ResponseWriter, q flow.Queue) {
-	if n, ok := h.pendingOf(q); ok {
+	if n, ok := h.cachedPending(q); ok {
 		reply(w, http.StatusOK, platform.PendingBody(n))
 		return
 	}
 	h.refreshPending(ctx)
-	if n, ok := h.pendingOf(q); ok {
+	if n, ok := h.cachedPending(q); ok {
 		reply(w, http.StatusOK, platform.PendingBody(n))
 		return
 	}
 	h.refuse(w, http.StatusServiceUnavailable, q.Name, "no lead answers")
 }
 
-func (h *Host) pendingOf(q flow.Queue) (int, bool) {
+func (h *Host) cachedPending(q flow.Queue) (int, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.pending[q.Name], h.now().Sub(h.pendingAt) < maxPendingAge
