--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -132,7 +132,7 @@
 
 // submit stores a job. Only a store that certainly did nothing makes it refused.
 func (h *Host) submit(ctx context.Context, w http.ResponseWriter, r *http.Request, q flow.Queue, id string) {
-	most := h.mostBody()
+	most := h.maxBody()
 	body, err := io.ReadAll(io.LimitReader(r.Body, most+1))
 	if err != nil {
 		h.refuse(w, http.StatusBadRequest, id, "body ends too early")
@@ -167,7 +167,7 @@
 	}
 }
 
-func (h *Host) mostBody() int64 {
+func (h *Host) maxBody() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.table != nil && h.table.MaxBody > 0 {
