--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -45,7 +45,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lease(lease.Known{Workers: workers})
-	l.takeover(takeover.Workers{Names: workers})
+	l.takeover(takeover.SetWorkers{Names: workers})
 	l.takeover(takeover.Peers{Names: peers})
 }
 
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -130,7 +130,7 @@
 		over: takeover.New(name, takeover.Limits{Longest: never, Every: never}),
 		room: map[string]map[string]bool{}, spec: map[string]job.Spec{},
 	}
-	w.overtake(h, takeover.Workers{Names: w.names()})
+	w.overtake(h, takeover.SetWorkers{Names: w.names()})
 	return h
 }
 
--- a/internal/takeover/messages.go
+++ b/internal/takeover/messages.go
@@ -5,8 +5,8 @@
 // Event is what the takeover core is told.
 type Event interface{ event() }
 
-// Workers replaces the workers of the failure domain.
-type Workers struct{ Names []string }
+// SetWorkers replaces the workers of the failure domain.
+type SetWorkers struct{ Names []string }
 
 // Peers replaces the live peers of the failure domain.
 type Peers struct{ Names []string }
@@ -61,20 +61,20 @@
 // Tick lets time pass.
 type Tick struct{}
 
-func (Workers) event() {}
-func (Peers) event()   {}
-func (Found) event()   {}
-func (Gone) event()    {}
-func (Watch) event()   {}
-func (Held) event()    {}
-func (Down) event()    {}
-func (Sign) event()    {}
-func (Log) event()     {}
-func (Answer) event()  {}
-func (Asked) event()   {}
-func (Count) event()   {}
-func (Uncount) event() {}
-func (Tick) event()    {}
+func (SetWorkers) event() {}
+func (Peers) event()      {}
+func (Found) event()      {}
+func (Gone) event()       {}
+func (Watch) event()      {}
+func (Held) event()       {}
+func (Down) event()       {}
+func (Sign) event()       {}
+func (Log) event()        {}
+func (Answer) event()     {}
+func (Asked) event()      {}
+func (Count) event()      {}
+func (Uncount) event()    {}
+func (Tick) event()       {}
 
 // Action is what the takeover core asks its edge to do.
 type Action interface{ action() }
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -55,7 +55,7 @@
 // Step takes one event and returns which jobs may go on and what to ask.
 func (t *Takeover) Step(now time.Time, ev Event) []Action {
 	switch ev := ev.(type) {
-	case Workers:
+	case SetWorkers:
 		t.setWorkers(now, ev.Names)
 	case Peers:
 		t.setPeers(now, ev.Names)
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -22,7 +22,7 @@
 // inherits a job one second later.
 func waiting(self string) *takeover.Takeover {
 	t := takeover.New(self, limits)
-	t.Step(at(0), takeover.Workers{Names: []string{"w1", "w2"}})
+	t.Step(at(0), takeover.SetWorkers{Names: []string{"w1", "w2"}})
 	t.Step(at(0), takeover.Peers{Names: []string{"p"}})
 	t.Step(at(0), takeover.Held{Worker: "w1"})
 	t.Step(at(1), takeover.Found{Job: "j"})
@@ -70,7 +70,7 @@
 		"a host went after it was asked":       {[]takeover.Event{log(2), answer(2, "w2"), takeover.Peers{}}, 2.5, true},
 		"a host went before the log was read":  {[]takeover.Event{answer(1.5, "w2"), takeover.Peers{}, log(1.6)}, 2.5, false},
 		"its answer came after it had gone":    {[]takeover.Event{takeover.Peers{}, answer(2, "w2"), log(3)}, 3, false},
-		"worker taken off the platform's list": {[]takeover.Event{log(2), answer(2), takeover.Workers{Names: []string{"w1"}}}, 2.5, true},
+		"worker taken off the platform's list": {[]takeover.Event{log(2), answer(2), takeover.SetWorkers{Names: []string{"w1"}}}, 2.5, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tk := waiting("b")
@@ -88,7 +88,7 @@
 // dead. It must not decide about any job.
 func TestHostWithoutWorkersReleasesNothing(t *testing.T) {
 	tk := takeover.New("b", limits)
-	tk.Step(at(0), takeover.Workers{Names: []string{"w1"}})
+	tk.Step(at(0), takeover.SetWorkers{Names: []string{"w1"}})
 	tk.Step(at(0), takeover.Peers{Names: []string{"p"}})
 	tk.Step(at(1), takeover.Found{Job: "j"})
 	tk.Step(at(2), log(2))
@@ -105,7 +105,7 @@
 		answers := map[string]takeover.Answer{}
 		for _, name := range []string{"a", "b"} {
 			heirs[name] = takeover.New(name, limits)
-			heirs[name].Step(at(0), takeover.Workers{Names: []string{"w-" + name}})
+			heirs[name].Step(at(0), takeover.SetWorkers{Names: []string{"w-" + name}})
 			heirs[name].Step(at(0), takeover.Peers{Names: []string{map[string]string{"a": "b", "b": "a"}[name]}})
 			heirs[name].Step(at(0), takeover.Held{Worker: "w-" + name})
 		}
