--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -46,7 +46,7 @@
 	defer l.mu.Unlock()
 	l.lease(lease.Known{Workers: workers})
 	l.takeover(takeover.SetWorkers{Names: workers})
-	l.takeover(takeover.Peers{Names: peers})
+	l.takeover(takeover.SetPeers{Names: peers})
 }
 
 // Inherit takes over jobs whose lead is gone. They go on as far as their tasks
--- a/internal/takeover/messages.go
+++ b/internal/takeover/messages.go
@@ -8,8 +8,8 @@
 // SetWorkers replaces the workers of the failure domain.
 type SetWorkers struct{ Names []string }
 
-// Peers replaces the live peers of the failure domain.
-type Peers struct{ Names []string }
+// SetPeers replaces the live peers of the failure domain.
+type SetPeers struct{ Names []string }
 
 // Found tells of a job that this host should lead now and knows nothing about.
 type Found struct{ Job string }
@@ -62,7 +62,7 @@
 type Tick struct{}
 
 func (SetWorkers) event() {}
-func (Peers) event()      {}
+func (SetPeers) event()   {}
 func (Found) event()      {}
 func (Gone) event()       {}
 func (Watch) event()      {}
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -57,7 +57,7 @@
 	switch ev := ev.(type) {
 	case SetWorkers:
 		t.setWorkers(now, ev.Names)
-	case Peers:
+	case SetPeers:
 		t.setPeers(now, ev.Names)
 	case Found, Gone, Count, Uncount:
 		t.wait(now, ev)
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -23,7 +23,7 @@
 func waiting(self string) *takeover.Takeover {
 	t := takeover.New(self, limits)
 	t.Step(at(0), takeover.SetWorkers{Names: []string{"w1", "w2"}})
-	t.Step(at(0), takeover.Peers{Names: []string{"p"}})
+	t.Step(at(0), takeover.SetPeers{Names: []string{"p"}})
 	t.Step(at(0), takeover.Held{Worker: "w1"})
 	t.Step(at(1), takeover.Found{Job: "j"})
 	return t
@@ -66,10 +66,10 @@
 		"worker gives signs but is not read":   {[]takeover.Event{log(2), answer(2), takeover.Sign{Worker: "w2"}}, 41.9, false},
 		"worker lost again":                    {[]takeover.Event{log(2), answer(2), takeover.Down{Worker: "w1"}, takeover.Held{Worker: "w1"}, held}, 2.5, false},
 		"peer leads the job":                   {[]takeover.Event{log(2), takeover.Answer{Host: "p", Asked: at(2), Leads: []string{"j"}}, held}, 2.5, false},
-		"a host joined and was not asked":      {[]takeover.Event{log(2), answer(2), takeover.Peers{Names: []string{"p", "q"}}, held}, 2.5, false},
-		"a host went after it was asked":       {[]takeover.Event{log(2), answer(2, "w2"), takeover.Peers{}}, 2.5, true},
-		"a host went before the log was read":  {[]takeover.Event{answer(1.5, "w2"), takeover.Peers{}, log(1.6)}, 2.5, false},
-		"its answer came after it had gone":    {[]takeover.Event{takeover.Peers{}, answer(2, "w2"), log(3)}, 3, false},
+		"a host joined and was not asked":      {[]takeover.Event{log(2), answer(2), takeover.SetPeers{Names: []string{"p", "q"}}, held}, 2.5, false},
+		"a host went after it was asked":       {[]takeover.Event{log(2), answer(2, "w2"), takeover.SetPeers{}}, 2.5, true},
+		"a host went before the log was read":  {[]takeover.Event{answer(1.5, "w2"), takeover.SetPeers{}, log(1.6)}, 2.5, false},
+		"its answer came after it had gone":    {[]takeover.Event{takeover.SetPeers{}, answer(2, "w2"), log(3)}, 3, false},
 		"worker taken off the platform's list": {[]takeover.Event{log(2), answer(2), takeover.SetWorkers{Names: []string{"w1"}}}, 2.5, true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -89,7 +89,7 @@
 func TestHostWithoutWorkersReleasesNothing(t *testing.T) {
 	tk := takeover.New("b", limits)
 	tk.Step(at(0), takeover.SetWorkers{Names: []string{"w1"}})
-	tk.Step(at(0), takeover.Peers{Names: []string{"p"}})
+	tk.Step(at(0), takeover.SetPeers{Names: []string{"p"}})
 	tk.Step(at(1), takeover.Found{Job: "j"})
 	tk.Step(at(2), log(2))
 	require.False(t, released(tk.Step(at(2), answer(2, "w1"))))
@@ -106,7 +106,7 @@
 		for _, name := range []string{"a", "b"} {
 			heirs[name] = takeover.New(name, limits)
 			heirs[name].Step(at(0), takeover.SetWorkers{Names: []string{"w-" + name}})
-			heirs[name].Step(at(0), takeover.Peers{Names: []string{map[string]string{"a": "b", "b": "a"}[name]}})
+			heirs[name].Step(at(0), takeover.SetPeers{Names: []string{map[string]string{"a": "b", "b": "a"}[name]}})
 			heirs[name].Step(at(0), takeover.Held{Worker: "w-" + name})
 		}
 		heirs["a"].Step(at(1), takeover.Found{Job: "j"})
