--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -63,7 +63,7 @@
 		l.Count("lead.inherited")
 		l.note(s.ID, "inherited, waits for the census")
 		l.job(job.Inherit{Spec: s})
-		l.takeover(takeover.Found{Job: s.ID})
+		l.takeover(takeover.FoundJob{Job: s.ID})
 	}
 	if fresh {
 		l.readAll()
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -154,7 +154,7 @@
 func (w *World) inherit(h *host) {
 	w.lead(h)
 	w.job(h, job.Inherit{Spec: specOf(old)})
-	w.overtake(h, takeover.Found{Job: old})
+	w.overtake(h, takeover.FoundJob{Job: old})
 	if w.rules.NoCensus {
 		w.job(h, job.Release{ID: old})
 	}
--- a/internal/takeover/messages.go
+++ b/internal/takeover/messages.go
@@ -11,8 +11,8 @@
 // SetPeers replaces the live peers of the failure domain.
 type SetPeers struct{ Names []string }
 
-// Found tells of a job that this host should lead now and knows nothing about.
-type Found struct{ Job string }
+// FoundJob tells of a job that this host should lead now and knows nothing about.
+type FoundJob struct{ Job string }
 
 // Gone tells that a found job ended or has another lead.
 type Gone struct{ Job string }
@@ -63,7 +63,7 @@
 
 func (SetWorkers) event() {}
 func (SetPeers) event()   {}
-func (Found) event()      {}
+func (FoundJob) event()   {}
 func (Gone) event()       {}
 func (Watch) event()      {}
 func (Held) event()       {}
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -59,7 +59,7 @@
 		t.setWorkers(now, ev.Names)
 	case SetPeers:
 		t.setPeers(now, ev.Names)
-	case Found, Gone, Count, Uncount:
+	case FoundJob, Gone, Count, Uncount:
 		t.wait(now, ev)
 	case Watch:
 		t.setWatch(now, ev.Workers)
@@ -83,7 +83,7 @@
 // wait begins or ends what waits for a census.
 func (t *Takeover) wait(now time.Time, ev Event) {
 	switch ev := ev.(type) {
-	case Found:
+	case FoundJob:
 		if _, ok := t.jobs[ev.Job]; !ok {
 			t.jobs[ev.Job] = now
 		}
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -25,7 +25,7 @@
 	t.Step(at(0), takeover.SetWorkers{Names: []string{"w1", "w2"}})
 	t.Step(at(0), takeover.SetPeers{Names: []string{"p"}})
 	t.Step(at(0), takeover.Held{Worker: "w1"})
-	t.Step(at(1), takeover.Found{Job: "j"})
+	t.Step(at(1), takeover.FoundJob{Job: "j"})
 	return t
 }
 
@@ -90,7 +90,7 @@
 	tk := takeover.New("b", limits)
 	tk.Step(at(0), takeover.SetWorkers{Names: []string{"w1"}})
 	tk.Step(at(0), takeover.SetPeers{Names: []string{"p"}})
-	tk.Step(at(1), takeover.Found{Job: "j"})
+	tk.Step(at(1), takeover.FoundJob{Job: "j"})
 	tk.Step(at(2), log(2))
 	require.False(t, released(tk.Step(at(2), answer(2, "w1"))))
 	require.True(t, released(tk.Step(at(3), takeover.Held{Worker: "w1"})))
@@ -109,8 +109,8 @@
 			heirs[name].Step(at(0), takeover.SetPeers{Names: []string{map[string]string{"a": "b", "b": "a"}[name]}})
 			heirs[name].Step(at(0), takeover.Held{Worker: "w-" + name})
 		}
-		heirs["a"].Step(at(1), takeover.Found{Job: "j"})
-		heirs["b"].Step(at(1+2.05*float64(order%3)), takeover.Found{Job: "j"})
+		heirs["a"].Step(at(1), takeover.FoundJob{Job: "j"})
+		heirs["b"].Step(at(1+2.05*float64(order%3)), takeover.FoundJob{Job: "j"})
 		for bit := range 12 {
 			now := 3 + float64(bit)
 			asker, asked := "a", "b"
