--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -106,7 +106,7 @@
 	if !l.Jobs.AwaitsInventory(id) {
 		return
 	}
-	l.takeover(takeover.Gone{Job: id})
+	l.takeover(takeover.GoneJob{Job: id})
 	l.drop(id, false)
 }
 
@@ -126,7 +126,7 @@
 }
 
 func (l *Lead) ended(a job.Ended) {
-	l.takeover(takeover.Gone{Job: a.ID})
+	l.takeover(takeover.GoneJob{Job: a.ID})
 	if l.End == nil {
 		return
 	}
@@ -189,7 +189,7 @@
 	for _, s := range l.Jobs.Open() {
 		l.Count("lead.forfeited")
 		l.note(s.ID, "its lead held no worker any more")
-		l.takeover(takeover.Gone{Job: s.ID})
+		l.takeover(takeover.GoneJob{Job: s.ID})
 		l.drop(s.ID, true)
 	}
 }
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -203,7 +203,7 @@
 		return
 	}
 	for _, s := range h.jobs.Open() {
-		w.overtake(h, takeover.Gone{Job: s.ID})
+		w.overtake(h, takeover.GoneJob{Job: s.ID})
 		w.job(h, job.Drop{ID: s.ID})
 	}
 }
--- a/internal/takeover/messages.go
+++ b/internal/takeover/messages.go
@@ -14,8 +14,8 @@
 // FoundJob tells of a job that this host should lead now and knows nothing about.
 type FoundJob struct{ Job string }
 
-// Gone tells that a found job ended or has another lead.
-type Gone struct{ Job string }
+// GoneJob tells that a found job ended or has another lead.
+type GoneJob struct{ Job string }
 
 // Watch replaces the workers that tasks of this host's own jobs run on while
 // another host, or nobody, holds them.
@@ -64,7 +64,7 @@
 func (SetWorkers) event() {}
 func (SetPeers) event()   {}
 func (FoundJob) event()   {}
-func (Gone) event()       {}
+func (GoneJob) event()    {}
 func (Watch) event()      {}
 func (Held) event()       {}
 func (Down) event()       {}
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -59,7 +59,7 @@
 		t.setWorkers(now, ev.Names)
 	case SetPeers:
 		t.setPeers(now, ev.Names)
-	case FoundJob, Gone, Count, Uncount:
+	case FoundJob, GoneJob, Count, Uncount:
 		t.wait(now, ev)
 	case Watch:
 		t.setWatch(now, ev.Workers)
@@ -87,7 +87,7 @@
 		if _, ok := t.jobs[ev.Job]; !ok {
 			t.jobs[ev.Job] = now
 		}
-	case Gone:
+	case GoneJob:
 		delete(t.jobs, ev.Job)
 	case Count:
 		t.keys[ev.Key] = now
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -142,7 +142,7 @@
 // are started elsewhere instead of waiting for ever.
 func TestWatchedWorkerIsTakenForSilentAfterTheLongestLease(t *testing.T) {
 	tk := waiting("b")
-	tk.Step(at(1), takeover.Gone{Job: "j"})
+	tk.Step(at(1), takeover.GoneJob{Job: "j"})
 	tk.Step(at(2), takeover.Watch{Workers: []string{"w2"}})
 	require.Equal(t, []takeover.Action{takeover.Ask{}}, tk.Step(at(30), takeover.Tick{}))
 	tk.Step(at(30), answer(30, "w2"))
