--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -227,7 +227,7 @@
 		}
 	}
 	names = slices.DeleteFunc(names, func(n string) bool { return slices.Contains(held, n) })
-	l.takeover(takeover.Watch{Workers: names})
+	l.takeover(takeover.WatchWorkers{Workers: names})
 }
 
 // clean frees the room of tasks that another host's job, or nobody's, took on
--- a/internal/takeover/messages.go
+++ b/internal/takeover/messages.go
@@ -17,9 +17,9 @@
 // GoneJob tells that a found job ended or has another lead.
 type GoneJob struct{ Job string }
 
-// Watch replaces the workers that tasks of this host's own jobs run on while
+// WatchWorkers replaces the workers that tasks of this host's own jobs run on while
 // another host, or nobody, holds them.
-type Watch struct{ Workers []string }
+type WatchWorkers struct{ Workers []string }
 
 // Held tells that this host holds a worker and has read its list.
 type Held struct{ Worker string }
@@ -61,20 +61,20 @@
 // Tick lets time pass.
 type Tick struct{}
 
-func (SetWorkers) event() {}
-func (SetPeers) event()   {}
-func (FoundJob) event()   {}
-func (GoneJob) event()    {}
-func (Watch) event()      {}
-func (Held) event()       {}
-func (Down) event()       {}
-func (Sign) event()       {}
-func (Log) event()        {}
-func (Answer) event()     {}
-func (Asked) event()      {}
-func (Count) event()      {}
-func (Uncount) event()    {}
-func (Tick) event()       {}
+func (SetWorkers) event()   {}
+func (SetPeers) event()     {}
+func (FoundJob) event()     {}
+func (GoneJob) event()      {}
+func (WatchWorkers) event() {}
+func (Held) event()         {}
+func (Down) event()         {}
+func (Sign) event()         {}
+func (Log) event()          {}
+func (Answer) event()       {}
+func (Asked) event()        {}
+func (Count) event()        {}
+func (Uncount) event()      {}
+func (Tick) event()         {}
 
 // Action is what the takeover core asks its edge to do.
 type Action interface{ action() }
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -61,7 +61,7 @@
 		t.setPeers(now, ev.Names)
 	case FoundJob, GoneJob, Count, Uncount:
 		t.wait(now, ev)
-	case Watch:
+	case WatchWorkers:
 		t.setWatch(now, ev.Workers)
 	case Held:
 		t.sign(now, ev.Worker, true)
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -143,7 +143,7 @@
 func TestWatchedWorkerIsTakenForSilentAfterTheLongestLease(t *testing.T) {
 	tk := waiting("b")
 	tk.Step(at(1), takeover.GoneJob{Job: "j"})
-	tk.Step(at(2), takeover.Watch{Workers: []string{"w2"}})
+	tk.Step(at(2), takeover.WatchWorkers{Workers: []string{"w2"}})
 	require.Equal(t, []takeover.Action{takeover.Ask{}}, tk.Step(at(30), takeover.Tick{}))
 	tk.Step(at(30), answer(30, "w2"))
 	require.NotContains(t, tk.Step(at(69), takeover.Tick{}), takeover.Silent{Worker: "w2"})
