--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -341,7 +341,7 @@
 	l.Log.Info("lead: worker is led.", "worker", a.Worker, "tasks", len(used))
 	l.place(place.Up{Worker: m.Name, Rack: m.Rack, Size: m.Size, Used: used})
 	l.seen(a.Worker, a.Reading)
-	l.takeover(takeover.Held{Worker: a.Worker})
+	l.takeover(takeover.WorkerHeld{Worker: a.Worker})
 }
 
 func (l *Lead) seen(name string, r lease.Reading) {
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -185,7 +185,7 @@
 		case lease.Up:
 			h.room[a.Worker] = map[string]bool{}
 			w.seen(h, a.Worker, a.Reading)
-			w.overtake(h, takeover.Held{Worker: a.Worker})
+			w.overtake(h, takeover.WorkerHeld{Worker: a.Worker})
 		case lease.Seen:
 			w.seen(h, a.Worker, a.Reading)
 		case lease.Down:
--- a/internal/takeover/messages.go
+++ b/internal/takeover/messages.go
@@ -21,8 +21,8 @@
 // another host, or nobody, holds them.
 type WatchWorkers struct{ Workers []string }
 
-// Held tells that this host holds a worker and has read its list.
-type Held struct{ Worker string }
+// WorkerHeld tells that this host holds a worker and has read its list.
+type WorkerHeld struct{ Worker string }
 
 // Down tells that this host holds a worker no longer.
 type Down struct{ Worker string }
@@ -66,7 +66,7 @@
 func (FoundJob) event()     {}
 func (GoneJob) event()      {}
 func (WatchWorkers) event() {}
-func (Held) event()         {}
+func (WorkerHeld) event()   {}
 func (Down) event()         {}
 func (Sign) event()         {}
 func (Log) event()          {}
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -63,7 +63,7 @@
 		t.wait(now, ev)
 	case WatchWorkers:
 		t.setWatch(now, ev.Workers)
-	case Held:
+	case WorkerHeld:
 		t.sign(now, ev.Worker, true)
 	case Down:
 		t.down(now, ev.Worker)
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -24,7 +24,7 @@
 	t := takeover.New(self, limits)
 	t.Step(at(0), takeover.SetWorkers{Names: []string{"w1", "w2"}})
 	t.Step(at(0), takeover.SetPeers{Names: []string{"p"}})
-	t.Step(at(0), takeover.Held{Worker: "w1"})
+	t.Step(at(0), takeover.WorkerHeld{Worker: "w1"})
 	t.Step(at(1), takeover.FoundJob{Job: "j"})
 	return t
 }
@@ -48,7 +48,7 @@
 // that could still tell has to be asked after the takeover began; if the next
 // lead went on without one, a task could run beside its first copy.
 func TestCensusWaitsForAllThatCouldTell(t *testing.T) {
-	held := takeover.Held{Worker: "w2"}
+	held := takeover.WorkerHeld{Worker: "w2"}
 	for name, c := range map[string]struct {
 		events []takeover.Event
 		last   float64
@@ -64,7 +64,7 @@
 		"worker answered for before":           {[]takeover.Event{answer(0.5, "w2"), log(2), answer(2)}, 2.5, false},
 		"worker silent for the longest lease":  {[]takeover.Event{log(2), answer(2)}, 42, true},
 		"worker gives signs but is not read":   {[]takeover.Event{log(2), answer(2), takeover.Sign{Worker: "w2"}}, 41.9, false},
-		"worker lost again":                    {[]takeover.Event{log(2), answer(2), takeover.Down{Worker: "w1"}, takeover.Held{Worker: "w1"}, held}, 2.5, false},
+		"worker lost again":                    {[]takeover.Event{log(2), answer(2), takeover.Down{Worker: "w1"}, takeover.WorkerHeld{Worker: "w1"}, held}, 2.5, false},
 		"peer leads the job":                   {[]takeover.Event{log(2), takeover.Answer{Host: "p", Asked: at(2), Leads: []string{"j"}}, held}, 2.5, false},
 		"a host joined and was not asked":      {[]takeover.Event{log(2), answer(2), takeover.SetPeers{Names: []string{"p", "q"}}, held}, 2.5, false},
 		"a host went after it was asked":       {[]takeover.Event{log(2), answer(2, "w2"), takeover.SetPeers{}}, 2.5, true},
@@ -93,7 +93,7 @@
 	tk.Step(at(1), takeover.FoundJob{Job: "j"})
 	tk.Step(at(2), log(2))
 	require.False(t, released(tk.Step(at(2), answer(2, "w1"))))
-	require.True(t, released(tk.Step(at(3), takeover.Held{Worker: "w1"})))
+	require.True(t, released(tk.Step(at(3), takeover.WorkerHeld{Worker: "w1"})))
 }
 
 // Two hosts disagree about who lives, and both inherit the job. In whatever
@@ -107,7 +107,7 @@
 			heirs[name] = takeover.New(name, limits)
 			heirs[name].Step(at(0), takeover.SetWorkers{Names: []string{"w-" + name}})
 			heirs[name].Step(at(0), takeover.SetPeers{Names: []string{map[string]string{"a": "b", "b": "a"}[name]}})
-			heirs[name].Step(at(0), takeover.Held{Worker: "w-" + name})
+			heirs[name].Step(at(0), takeover.WorkerHeld{Worker: "w-" + name})
 		}
 		heirs["a"].Step(at(1), takeover.FoundJob{Job: "j"})
 		heirs["b"].Step(at(1+2.05*float64(order%3)), takeover.FoundJob{Job: "j"})
