--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -250,7 +250,7 @@
 	}
 	l.keepCounted(name)
 	l.place(place.Down{Worker: name})
-	l.takeover(takeover.Down{Worker: name})
+	l.takeover(takeover.WorkerLost{Worker: name})
 	l.lose(name)
 	if len(l.Leases.Held()) == 0 && !l.leaving {
 		l.demote()
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -190,7 +190,7 @@
 			w.seen(h, a.Worker, a.Reading)
 		case lease.Down:
 			delete(h.room, a.Worker)
-			w.overtake(h, takeover.Down{Worker: a.Worker})
+			w.overtake(h, takeover.WorkerLost{Worker: a.Worker})
 			w.demote(h)
 		}
 	}
--- a/internal/takeover/messages.go
+++ b/internal/takeover/messages.go
@@ -24,8 +24,8 @@
 // WorkerHeld tells that this host holds a worker and has read its list.
 type WorkerHeld struct{ Worker string }
 
-// Down tells that this host holds a worker no longer.
-type Down struct{ Worker string }
+// WorkerLost tells that this host holds a worker no longer.
+type WorkerLost struct{ Worker string }
 
 // Sign tells that a worker answered, if only to refuse.
 type Sign struct{ Worker string }
@@ -67,7 +67,7 @@
 func (GoneJob) event()      {}
 func (WatchWorkers) event() {}
 func (WorkerHeld) event()   {}
-func (Down) event()         {}
+func (WorkerLost) event()   {}
 func (Sign) event()         {}
 func (Log) event()          {}
 func (Answer) event()       {}
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -65,7 +65,7 @@
 		t.setWatch(now, ev.Workers)
 	case WorkerHeld:
 		t.sign(now, ev.Worker, true)
-	case Down:
+	case WorkerLost:
 		t.down(now, ev.Worker)
 	case Sign:
 		t.sign(now, ev.Worker, false)
