--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -302,7 +302,7 @@
 	case err == nil:
 		l.lease(good)
 	case errors.As(err, &held):
-		l.takeover(takeover.Sign{Worker: name})
+		l.takeover(takeover.WorkerContact{Worker: name})
 		l.lease(lease.Refused{Worker: name, Holder: held.Holder, Left: held.Left, Sent: held.Sent, Life: held.Life})
 	default:
 		l.lease(lease.Lost{Worker: name})
--- a/internal/model/actions.go
+++ b/internal/model/actions.go
@@ -183,7 +183,7 @@
 		w.job(h, job.Started{Task: m.task, Attempt: m.attempt})
 	case m.kind == "give":
 	case m.refused:
-		w.overtake(h, takeover.Sign{Worker: m.worker})
+		w.overtake(h, takeover.WorkerContact{Worker: m.worker})
 		w.lease(h, lease.Refused{Worker: m.worker, Left: m.reading.Left, Sent: m.sent})
 	case m.kind == "take":
 		w.lease(h, lease.Granted{Worker: m.worker, Reading: m.reading})
--- a/internal/takeover/messages.go
+++ b/internal/takeover/messages.go
@@ -27,8 +27,8 @@
 // WorkerLost tells that this host holds a worker no longer.
 type WorkerLost struct{ Worker string }
 
-// Sign tells that a worker answered, if only to refuse.
-type Sign struct{ Worker string }
+// WorkerContact tells that a worker answered, if only to refuse.
+type WorkerContact struct{ Worker string }
 
 // Log tells that the log of jobs was read to its end by a question that was
 // sent at Asked.
@@ -61,20 +61,20 @@
 // Tick lets time pass.
 type Tick struct{}
 
-func (SetWorkers) event()   {}
-func (SetPeers) event()     {}
-func (FoundJob) event()     {}
-func (GoneJob) event()      {}
-func (WatchWorkers) event() {}
-func (WorkerHeld) event()   {}
-func (WorkerLost) event()   {}
-func (Sign) event()         {}
-func (Log) event()          {}
-func (Answer) event()       {}
-func (Asked) event()        {}
-func (Count) event()        {}
-func (Uncount) event()      {}
-func (Tick) event()         {}
+func (SetWorkers) event()    {}
+func (SetPeers) event()      {}
+func (FoundJob) event()      {}
+func (GoneJob) event()       {}
+func (WatchWorkers) event()  {}
+func (WorkerHeld) event()    {}
+func (WorkerLost) event()    {}
+func (WorkerContact) event() {}
+func (Log) event()           {}
+func (Answer) event()        {}
+func (Asked) event()         {}
+func (Count) event()         {}
+func (Uncount) event()       {}
+func (Tick) event()          {}
 
 // Action is what the takeover core asks its edge to do.
 type Action interface{ action() }
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -67,7 +67,7 @@
 		t.sign(now, ev.Worker, true)
 	case WorkerLost:
 		t.down(now, ev.Worker)
-	case Sign:
+	case WorkerContact:
 		t.sign(now, ev.Worker, false)
 	case Log:
 		t.log = later(t.log, ev.Asked)
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -63,7 +63,7 @@
 		"worker not read":                      {[]takeover.Event{log(2), answer(2)}, 2.5, false},
 		"worker answered for before":           {[]takeover.Event{answer(0.5, "w2"), log(2), answer(2)}, 2.5, false},
 		"worker silent for the longest lease":  {[]takeover.Event{log(2), answer(2)}, 42, true},
-		"worker gives signs but is not read":   {[]takeover.Event{log(2), answer(2), takeover.Sign{Worker: "w2"}}, 41.9, false},
+		"worker gives signs but is not read":   {[]takeover.Event{log(2), answer(2), takeover.WorkerContact{Worker: "w2"}}, 41.9, false},
 		"worker lost again":                    {[]takeover.Event{log(2), answer(2), takeover.WorkerLost{Worker: "w1"}, takeover.WorkerHeld{Worker: "w1"}, held}, 2.5, false},
 		"peer leads the job":                   {[]takeover.Event{log(2), takeover.Answer{Host: "p", Asked: at(2), Leads: []string{"j"}}, held}, 2.5, false},
 		"a host joined and was not asked":      {[]takeover.Event{log(2), answer(2), takeover.SetPeers{Names: []string{"p", "q"}}, held}, 2.5, false},
