--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -122,7 +122,7 @@
 func (l *Lead) LogRead(asked time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.takeover(takeover.Log{Asked: asked})
+	l.takeover(takeover.LogRead{Asked: asked})
 }
 
 func (l *Lead) ended(a job.Ended) {
--- a/internal/model/actions.go
+++ b/internal/model/actions.go
@@ -109,7 +109,7 @@
 
 func (w *World) tick(h *host) {
 	w.lease(h, lease.Tick{})
-	w.overtake(h, takeover.Log{Asked: w.now})
+	w.overtake(h, takeover.LogRead{Asked: w.now})
 }
 
 func (w *World) pause() {
--- a/internal/takeover/messages.go
+++ b/internal/takeover/messages.go
@@ -30,9 +30,9 @@
 // WorkerContact tells that a worker answered, if only to refuse.
 type WorkerContact struct{ Worker string }
 
-// Log tells that the log of jobs was read to its end by a question that was
+// LogRead tells that the log of jobs was read to its end by a question that was
 // sent at Asked.
-type Log struct{ Asked time.Time }
+type LogRead struct{ Asked time.Time }
 
 // Answer is a peer's answer to a question that was sent at Asked: the workers
 // that it holds and has read, and which of the found jobs it leads or
@@ -69,7 +69,7 @@
 func (WorkerHeld) event()    {}
 func (WorkerLost) event()    {}
 func (WorkerContact) event() {}
-func (Log) event()           {}
+func (LogRead) event()       {}
 func (Answer) event()        {}
 func (Asked) event()         {}
 func (Count) event()         {}
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -69,7 +69,7 @@
 		t.down(now, ev.Worker)
 	case WorkerContact:
 		t.sign(now, ev.Worker, false)
-	case Log:
+	case LogRead:
 		t.log = later(t.log, ev.Asked)
 	case Answer:
 		t.answer(now, ev)
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -38,7 +38,7 @@
 	return false
 }
 
-func log(s float64) takeover.Log { return takeover.Log{Asked: at(s)} }
+func log(s float64) takeover.LogRead { return takeover.LogRead{Asked: at(s)} }
 
 func answer(s float64, workers ...string) takeover.Answer {
 	return takeover.Answer{Host: "p", Asked: at(s), Workers: workers}
