--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -133,7 +133,7 @@
 	for name, life := range c.Lives {
 		l.lease(lease.Vouched{Worker: name, Life: life})
 	}
-	ev := takeover.Answer{Host: host, Asked: q.Asked, Leads: c.Leads, Waits: c.Waits}
+	ev := takeover.PeerAnswer{Host: host, Asked: q.Asked, Leads: c.Leads, Waits: c.Waits}
 	held := l.Leases.Held()
 	for _, v := range c.Views {
 		if slices.Contains(held, v.Worker) || l.held[v.Worker].After(q.Asked) {
--- a/internal/takeover/messages.go
+++ b/internal/takeover/messages.go
@@ -34,10 +34,10 @@
 // sent at Asked.
 type LogRead struct{ Asked time.Time }
 
-// Answer is a peer's answer to a question that was sent at Asked: the workers
+// PeerAnswer is a peer's answer to a question that was sent at Asked: the workers
 // that it holds and has read, and which of the found jobs it leads or
 // waits for too.
-type Answer struct {
+type PeerAnswer struct {
 	Host    string
 	Asked   time.Time
 	Workers []string
@@ -70,7 +70,7 @@
 func (WorkerLost) event()    {}
 func (WorkerContact) event() {}
 func (LogRead) event()       {}
-func (Answer) event()        {}
+func (PeerAnswer) event()    {}
 func (Asked) event()         {}
 func (Count) event()         {}
 func (Uncount) event()       {}
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -71,7 +71,7 @@
 		t.sign(now, ev.Worker, false)
 	case LogRead:
 		t.log = later(t.log, ev.Asked)
-	case Answer:
+	case PeerAnswer:
 		t.answer(now, ev)
 	case Asked:
 		t.yield(now, ev.Host, ev.Jobs)
@@ -171,7 +171,7 @@
 	}
 }
 
-func (t *Takeover) answer(now time.Time, ev Answer) {
+func (t *Takeover) answer(now time.Time, ev PeerAnswer) {
 	if _, ok := t.peers[ev.Host]; !ok {
 		return
 	}
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -40,8 +40,8 @@
 
 func log(s float64) takeover.LogRead { return takeover.LogRead{Asked: at(s)} }
 
-func answer(s float64, workers ...string) takeover.Answer {
-	return takeover.Answer{Host: "p", Asked: at(s), Workers: workers}
+func answer(s float64, workers ...string) takeover.PeerAnswer {
+	return takeover.PeerAnswer{Host: "p", Asked: at(s), Workers: workers}
 }
 
 // A lead is gone, and nobody knows which of its tasks run. Each of the things
@@ -65,7 +65,7 @@
 		"worker silent for the longest lease":  {[]takeover.Event{log(2), answer(2)}, 42, true},
 		"worker gives signs but is not read":   {[]takeover.Event{log(2), answer(2), takeover.WorkerContact{Worker: "w2"}}, 41.9, false},
 		"worker lost again":                    {[]takeover.Event{log(2), answer(2), takeover.WorkerLost{Worker: "w1"}, takeover.WorkerHeld{Worker: "w1"}, held}, 2.5, false},
-		"peer leads the job":                   {[]takeover.Event{log(2), takeover.Answer{Host: "p", Asked: at(2), Leads: []string{"j"}}, held}, 2.5, false},
+		"peer leads the job":                   {[]takeover.Event{log(2), takeover.PeerAnswer{Host: "p", Asked: at(2), Leads: []string{"j"}}, held}, 2.5, false},
 		"a host joined and was not asked":      {[]takeover.Event{log(2), answer(2), takeover.SetPeers{Names: []string{"p", "q"}}, held}, 2.5, false},
 		"a host went after it was asked":       {[]takeover.Event{log(2), answer(2, "w2"), takeover.SetPeers{}}, 2.5, true},
 		"a host went before the log was read":  {[]takeover.Event{answer(1.5, "w2"), takeover.SetPeers{}, log(1.6)}, 2.5, false},
@@ -102,7 +102,7 @@
 	for order := range 1 << 12 {
 		heirs := map[string]*takeover.Takeover{}
 		leads := map[string]bool{}
-		answers := map[string]takeover.Answer{}
+		answers := map[string]takeover.PeerAnswer{}
 		for _, name := range []string{"a", "b"} {
 			heirs[name] = takeover.New(name, limits)
 			heirs[name].Step(at(0), takeover.SetWorkers{Names: []string{"w-" + name}})
@@ -121,7 +121,7 @@
 				leads[asker] = true
 			}
 			heirs[asked].Step(at(now+0.1), takeover.Asked{Host: asker, Jobs: heirs[asker].Waiting()})
-			ev := takeover.Answer{Host: asked, Asked: at(now + 0.1), Waits: heirs[asked].Waiting()}
+			ev := takeover.PeerAnswer{Host: asked, Asked: at(now + 0.1), Waits: heirs[asked].Waiting()}
 			if leads[asked] {
 				ev.Leads = []string{"j"}
 			}
