--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -46,7 +46,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lease(lease.Tick{})
-	l.takeover(takeover.Asked{Host: from, Jobs: q.Waits})
+	l.takeover(takeover.PeerAsked{Host: from, Jobs: q.Waits})
 	if len(q.Waits) > 0 {
 		// The peer may go on with the jobs that are not led here. One of them that was sent here
 		// before and arrives now would have two leads.
--- a/internal/takeover/messages.go
+++ b/internal/takeover/messages.go
@@ -45,8 +45,8 @@
 	Waits   []string
 }
 
-// Asked tells that a peer asked for jobs that it waits for itself.
-type Asked struct {
+// PeerAsked tells that a peer asked for jobs that it waits for itself.
+type PeerAsked struct {
 	Host string
 	Jobs []string
 }
@@ -71,7 +71,7 @@
 func (WorkerContact) event() {}
 func (LogRead) event()       {}
 func (PeerAnswer) event()    {}
-func (Asked) event()         {}
+func (PeerAsked) event()     {}
 func (Count) event()         {}
 func (Uncount) event()       {}
 func (Tick) event()          {}
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -73,7 +73,7 @@
 		t.log = later(t.log, ev.Asked)
 	case PeerAnswer:
 		t.answer(now, ev)
-	case Asked:
+	case PeerAsked:
 		t.yield(now, ev.Host, ev.Jobs)
 	case Tick:
 	}
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -120,7 +120,7 @@
 			if ev, ok := answers[asker]; ok && released(heirs[asker].Step(at(now), ev)) {
 				leads[asker] = true
 			}
-			heirs[asked].Step(at(now+0.1), takeover.Asked{Host: asker, Jobs: heirs[asker].Waiting()})
+			heirs[asked].Step(at(now+0.1), takeover.PeerAsked{Host: asker, Jobs: heirs[asker].Waiting()})
 			ev := takeover.PeerAnswer{Host: asked, Asked: at(now + 0.1), Waits: heirs[asked].Waiting()}
 			if leads[asked] {
 				ev.Leads = []string{"j"}
