--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -68,7 +68,7 @@
 		c = &count{worker: worker}
 		l.counts[key] = c
 		l.Log.Info("lead: counting what runs.", "key", key, "worker", worker)
-		l.takeover(takeover.Count{Key: key})
+		l.takeover(takeover.AddKey{Key: key})
 	}
 	return c.done
 }
--- a/internal/takeover/messages.go
+++ b/internal/takeover/messages.go
@@ -51,9 +51,9 @@
 	Jobs []string
 }
 
-// Count asks for a census of what runs of a key, which this host is the only one to start from
+// AddKey asks for a census of what runs of a key, which this host is the only one to start from
 // now on. It needs no log: nothing of it depends on which jobs there are.
-type Count struct{ Key string }
+type AddKey struct{ Key string }
 
 // Uncount tells that another host may start what the key stands for.
 type Uncount struct{ Key string }
@@ -72,7 +72,7 @@
 func (LogRead) event()       {}
 func (PeerAnswer) event()    {}
 func (PeerAsked) event()     {}
-func (Count) event()         {}
+func (AddKey) event()        {}
 func (Uncount) event()       {}
 func (Tick) event()          {}
 
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -59,7 +59,7 @@
 		t.setWorkers(now, ev.Names)
 	case SetPeers:
 		t.setPeers(now, ev.Names)
-	case FoundJob, GoneJob, Count, Uncount:
+	case FoundJob, GoneJob, AddKey, Uncount:
 		t.wait(now, ev)
 	case WatchWorkers:
 		t.setWatch(now, ev.Workers)
@@ -89,7 +89,7 @@
 		}
 	case GoneJob:
 		delete(t.jobs, ev.Job)
-	case Count:
+	case AddKey:
 		t.keys[ev.Key] = now
 	case Uncount:
 		delete(t.keys, ev.Key)
