--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -79,7 +79,7 @@
 	}
 	delete(l.counts, key)
 	l.Log.Info("lead: another host may count what runs.", "key", key)
-	l.takeover(takeover.Uncount{Key: key})
+	l.takeover(takeover.RemoveKey{Key: key})
 }
 
 // counted begins to start tasks of a key, of which all that runs is known now.
--- a/internal/takeover/messages.go
+++ b/internal/takeover/messages.go
@@ -55,8 +55,8 @@
 // now on. It needs no log: nothing of it depends on which jobs there are.
 type AddKey struct{ Key string }
 
-// Uncount tells that another host may start what the key stands for.
-type Uncount struct{ Key string }
+// RemoveKey tells that another host may start what the key stands for.
+type RemoveKey struct{ Key string }
 
 // Tick lets time pass.
 type Tick struct{}
@@ -73,7 +73,7 @@
 func (PeerAnswer) event()    {}
 func (PeerAsked) event()     {}
 func (AddKey) event()        {}
-func (Uncount) event()       {}
+func (RemoveKey) event()     {}
 func (Tick) event()          {}
 
 // Action is what the takeover core asks its edge to do.
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -59,7 +59,7 @@
 		t.setWorkers(now, ev.Names)
 	case SetPeers:
 		t.setPeers(now, ev.Names)
-	case FoundJob, GoneJob, AddKey, Uncount:
+	case FoundJob, GoneJob, AddKey, RemoveKey:
 		t.wait(now, ev)
 	case WatchWorkers:
 		t.setWatch(now, ev.Workers)
@@ -91,7 +91,7 @@
 		delete(t.jobs, ev.Job)
 	case AddKey:
 		t.keys[ev.Key] = now
-	case Uncount:
+	case RemoveKey:
 		delete(t.keys, ev.Key)
 	}
 }
