--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -197,7 +197,7 @@
 func (l *Lead) takeover(ev takeover.Event) {
 	for _, a := range l.Takeover.Step(l.Clock(), ev) {
 		switch a := a.(type) {
-		case takeover.Ask:
+		case takeover.AskPeers:
 			if l.Ask != nil {
 				l.Ask()
 			}
--- a/internal/takeover/messages.go
+++ b/internal/takeover/messages.go
@@ -79,8 +79,8 @@
 // Action is what the takeover core asks its edge to do.
 type Action interface{ action() }
 
-// Ask asks every live peer of the domain for what it holds and leads.
-type Ask struct{}
+// AskPeers asks every live peer of the domain for what it holds and leads.
+type AskPeers struct{}
 
 // Release tells that the census for a job is complete.
 type Release struct{ Job string }
@@ -91,7 +91,7 @@
 // Silent tells that a watched worker gave no sign for longer than any lease.
 type Silent struct{ Worker string }
 
-func (Ask) action()     {}
-func (Release) action() {}
-func (Counted) action() {}
-func (Silent) action()  {}
+func (AskPeers) action() {}
+func (Release) action()  {}
+func (Counted) action()  {}
+func (Silent) action()   {}
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -283,7 +283,7 @@
 	}
 	if len(t.jobs)+len(t.keys)+len(t.watch) > 0 && now.Sub(t.asked) >= t.limits.Every {
 		t.asked = now
-		acts = append(acts, Ask{})
+		acts = append(acts, AskPeers{})
 	}
 	return acts
 }
