--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -201,7 +201,7 @@
 			if l.Ask != nil {
 				l.Ask()
 			}
-		case takeover.Release:
+		case takeover.ReleaseJob:
 			l.Count("lead.released")
 			l.note(a.Job, "census complete")
 			l.job(job.Release{ID: a.Job, Crashes: l.livesOf(a.Job)})
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -226,7 +226,7 @@
 
 func (w *World) overtake(h *host, ev takeover.Event) {
 	for _, a := range h.over.Step(w.now, ev) {
-		if a, ok := a.(takeover.Release); ok {
+		if a, ok := a.(takeover.ReleaseJob); ok {
 			w.job(h, job.Release{ID: a.Job})
 		}
 	}
--- a/internal/takeover/messages.go
+++ b/internal/takeover/messages.go
@@ -82,8 +82,8 @@
 // AskPeers asks every live peer of the domain for what it holds and leads.
 type AskPeers struct{}
 
-// Release tells that the census for a job is complete.
-type Release struct{ Job string }
+// ReleaseJob tells that the census for a job is complete.
+type ReleaseJob struct{ Job string }
 
 // Counted tells that the census for a key is complete.
 type Counted struct{ Key string }
@@ -91,7 +91,7 @@
 // Silent tells that a watched worker gave no sign for longer than any lease.
 type Silent struct{ Worker string }
 
-func (AskPeers) action() {}
-func (Release) action()  {}
-func (Counted) action()  {}
-func (Silent) action()   {}
+func (AskPeers) action()   {}
+func (ReleaseJob) action() {}
+func (Counted) action()    {}
+func (Silent) action()     {}
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -216,7 +216,7 @@
 	for _, id := range slices.Sorted(maps.Keys(t.jobs)) {
 		if t.Missing(now, id) == "" {
 			delete(t.jobs, id)
-			acts = append(acts, Release{Job: id})
+			acts = append(acts, ReleaseJob{Job: id})
 		}
 	}
 	for _, key := range slices.Sorted(maps.Keys(t.keys)) {
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -31,7 +31,7 @@
 
 func released(acts []takeover.Action) bool {
 	for _, a := range acts {
-		if _, ok := a.(takeover.Release); ok {
+		if _, ok := a.(takeover.ReleaseJob); ok {
 			return true
 		}
 	}
