--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -205,7 +205,7 @@
 			l.Count("lead.released")
 			l.note(a.Job, "census complete")
 			l.job(job.Release{ID: a.Job, Crashes: l.livesOf(a.Job)})
-		case takeover.Counted:
+		case takeover.ReleaseKey:
 			l.counted(a.Key)
 		case takeover.Silent:
 			l.Log.Warn("lead: worker is silent for longer than any lease.", "worker", a.Worker)
--- a/internal/takeover/messages.go
+++ b/internal/takeover/messages.go
@@ -85,13 +85,13 @@
 // ReleaseJob tells that the census for a job is complete.
 type ReleaseJob struct{ Job string }
 
-// Counted tells that the census for a key is complete.
-type Counted struct{ Key string }
+// ReleaseKey tells that the census for a key is complete.
+type ReleaseKey struct{ Key string }
 
 // Silent tells that a watched worker gave no sign for longer than any lease.
 type Silent struct{ Worker string }
 
 func (AskPeers) action()   {}
 func (ReleaseJob) action() {}
-func (Counted) action()    {}
+func (ReleaseKey) action() {}
 func (Silent) action()     {}
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -222,7 +222,7 @@
 	for _, key := range slices.Sorted(maps.Keys(t.keys)) {
 		if t.unread(now, t.keys[key]) == "" {
 			delete(t.keys, key)
-			acts = append(acts, Counted{Key: key})
+			acts = append(acts, ReleaseKey{Key: key})
 		}
 	}
 	return acts
