--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -207,7 +207,7 @@
 			l.job(job.Release{ID: a.Job, Crashes: l.livesOf(a.Job)})
 		case takeover.ReleaseKey:
 			l.counted(a.Key)
-		case takeover.Silent:
+		case takeover.WorkerSilent:
 			l.Log.Warn("lead: worker is silent for longer than any lease.", "worker", a.Worker)
 			l.Count("lead.silent")
 			delete(l.elsewhere, a.Worker)
--- a/internal/takeover/messages.go
+++ b/internal/takeover/messages.go
@@ -88,10 +88,10 @@
 // ReleaseKey tells that the census for a key is complete.
 type ReleaseKey struct{ Key string }
 
-// Silent tells that a watched worker gave no sign for longer than any lease.
-type Silent struct{ Worker string }
+// WorkerSilent tells that a watched worker gave no sign for longer than any lease.
+type WorkerSilent struct{ Worker string }
 
-func (AskPeers) action()   {}
-func (ReleaseJob) action() {}
-func (ReleaseKey) action() {}
-func (Silent) action()     {}
+func (AskPeers) action()     {}
+func (ReleaseJob) action()   {}
+func (ReleaseKey) action()   {}
+func (WorkerSilent) action() {}
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -278,7 +278,7 @@
 	for _, name := range slices.Sorted(maps.Keys(t.watch)) {
 		if t.dead(now, name) {
 			t.watch[name] = now
-			acts = append(acts, Silent{Worker: name})
+			acts = append(acts, WorkerSilent{Worker: name})
 		}
 	}
 	if len(t.jobs)+len(t.keys)+len(t.watch) > 0 && now.Sub(t.asked) >= t.limits.Every {
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -146,6 +146,6 @@
 	tk.Step(at(2), takeover.WatchWorkers{Workers: []string{"w2"}})
 	require.Equal(t, []takeover.Action{takeover.AskPeers{}}, tk.Step(at(30), takeover.Tick{}))
 	tk.Step(at(30), answer(30, "w2"))
-	require.NotContains(t, tk.Step(at(69), takeover.Tick{}), takeover.Silent{Worker: "w2"})
-	require.Contains(t, tk.Step(at(71), takeover.Tick{}), takeover.Silent{Worker: "w2"})
+	require.NotContains(t, tk.Step(at(69), takeover.Tick{}), takeover.WorkerSilent{Worker: "w2"})
+	require.Contains(t, tk.Step(at(71), takeover.Tick{}), takeover.WorkerSilent{Worker: "w2"})
 }
