--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -12,9 +12,9 @@
 
 // Limits set the times of a census.
 type Limits struct {
-	// Longest is the longest lease of a task: a worker that was silent for so
+	// LongestLease is the longest lease of a task: a worker that was silent for so
 	// long runs nothing that a former lead started.
-	Longest time.Duration
+	LongestLease time.Duration
 	// Every is how often the peers are asked while anything waits.
 	Every time.Duration
 }
@@ -256,7 +256,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(t.workers)) {
 		w := t.workers[name]
-		if !w.held && !w.answered.After(since) && now.Sub(later(w.sign, since)) <= t.limits.Longest {
+		if !w.held && !w.answered.After(since) && now.Sub(later(w.sign, since)) <= t.limits.LongestLease {
 			return name
 		}
 	}
@@ -270,7 +270,7 @@
 // than any lease.
 func (t *Takeover) Gone(now time.Time, name string) bool {
 	w, ok := t.workers[name]
-	return ok && !w.held && now.Sub(w.sign) > t.limits.Longest
+	return ok && !w.held && now.Sub(w.sign) > t.limits.LongestLease
 }
 
 func (t *Takeover) due(now time.Time) []Action {
@@ -295,5 +295,5 @@
 	if w, ok := t.workers[name]; ok {
 		since = later(since, w.sign)
 	}
-	return now.Sub(since) > t.limits.Longest
+	return now.Sub(since) > t.limits.LongestLease
 }
