--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -124,7 +124,7 @@
 	})
 	h.lead = lead.New(ctx, lead.Deps{
 		Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: job.New(),
-		Takeover: takeover.New(cfg.Name, takeover.Limits{LongestLease: lease.DefaultLimits.Long, Every: takeoverEvery}),
+		Takeover: takeover.New(cfg.Name, takeover.Limits{LongestLease: lease.DefaultLimits.Long, AskInterval: takeoverEvery}),
 		Ask:      h.askCensus, Done: h.done, End: h.ended, Crashed: h.crashed, Lives: h.lives,
 		Workers: worker.New(cfg.Name, now.UnixMilli(), transport(control), clock), Row: h.Row, Trail: h.trail, Clock: clock, Log: log,
 		Key: h.limitKey, KeyWorkers: h.keyWorkers, Shares: h.rowShares, Count: func(name string) { metrics.GetOrRegisterCounter(name, h.metrics).Inc(1) },
--- a/internal/lead/fault_test.go
+++ b/internal/lead/fault_test.go
@@ -78,7 +78,7 @@
 	for _, name := range []string{"a", "b"} {
 		l := lead.New(t.Context(), lead.Deps{
 			Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: job.New(),
-			Takeover: takeover.New(name, takeover.Limits{LongestLease: lease.DefaultLimits.Long, Every: time.Second}),
+			Takeover: takeover.New(name, takeover.Limits{LongestLease: lease.DefaultLimits.Long, AskInterval: time.Second}),
 			Workers:  worker.New(name, 1, through(p, name), clock), Row: func(string) (table.Row, int64) { return table.Row{}, 1 },
 			Trail: trail.New(100), Clock: clock, Log: slog.New(slog.NewTextHandler(told, nil)).With("host", name),
 			Go: func(f func()) { p.queues[name] = append(p.queues[name], f) },
--- a/internal/lead/know_test.go
+++ b/internal/lead/know_test.go
@@ -40,7 +40,7 @@
 	}))
 	l := lead.New(t.Context(), lead.Deps{
 		Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: job.New(),
-		Takeover: takeover.New("h", takeover.Limits{LongestLease: time.Minute, Every: time.Second}), Workers: worker.New("h", 1, nil, time.Now),
+		Takeover: takeover.New("h", takeover.Limits{LongestLease: time.Minute, AskInterval: time.Second}), Workers: worker.New("h", 1, nil, time.Now),
 		Ask: func() {}, Done: func(string) bool { return false }, End: func(job.Ended, bool) {},
 		Row:   func(string) (table.Row, int64) { return table.Row{}, 1 },
 		Trail: trail.New(10), Clock: time.Now, Log: slog.New(slog.DiscardHandler),
--- a/internal/lead/lead_test.go
+++ b/internal/lead/lead_test.go
@@ -39,7 +39,7 @@
 	row := table.Row{Limits: table.Limits{Tasks: 1}}
 	l := lead.New(t.Context(), lead.Deps{
 		Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: job.New(),
-		Takeover: takeover.New("h", takeover.Limits{LongestLease: time.Minute, Every: time.Second}), Workers: worker.New("h", 1, nil, clock),
+		Takeover: takeover.New("h", takeover.Limits{LongestLease: time.Minute, AskInterval: time.Second}), Workers: worker.New("h", 1, nil, clock),
 		Ask: func() {}, Done: func(string) bool { return false }, End: func(job.Ended, bool) {},
 		Row:   func(string) (table.Row, int64) { return row, 1 },
 		Trail: trail.New(10), Clock: clock, Log: slog.New(slog.DiscardHandler),
--- a/internal/lead/place_test.go
+++ b/internal/lead/place_test.go
@@ -49,7 +49,7 @@
 	}
 	f.Lead = lead.New(t.Context(), lead.Deps{
 		Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: job.New(),
-		Takeover: takeover.New("h", takeover.Limits{LongestLease: time.Minute, Every: time.Second}), Workers: worker.New("h", 1, nil, time.Now),
+		Takeover: takeover.New("h", takeover.Limits{LongestLease: time.Minute, AskInterval: time.Second}), Workers: worker.New("h", 1, nil, time.Now),
 		Ask: func() {}, Done: func(string) bool { return false }, End: func(job.Ended, bool) {},
 		Row:   func(name string) (table.Row, int64) { return rows[name], 1 },
 		Trail: trail.New(1000), Clock: time.Now, Log: slog.New(slog.DiscardHandler),
--- a/internal/measure/takeover.go
+++ b/internal/measure/takeover.go
@@ -106,7 +106,7 @@
 	h := &domainHost{name: name, jobs: job.New()}
 	h.lead = lead.New(context.Background(), lead.Deps{
 		Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: h.jobs,
-		Takeover: takeover.New(name, takeover.Limits{LongestLease: lease.DefaultLimits.Long, Every: 250 * time.Millisecond}),
+		Takeover: takeover.New(name, takeover.Limits{LongestLease: lease.DefaultLimits.Long, AskInterval: 250 * time.Millisecond}),
 		Workers:  worker.New(name, 1, r, clock), Trail: trail.New(1), Clock: clock, Log: slog.New(slog.DiscardHandler),
 		Row: func(string) (table.Row, int64) { return table.Row{Weight: 1}, 1 },
 		Go:  func(f func()) { r.queue = append(r.queue, f) },
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -127,7 +127,7 @@
 func (w *World) newHost(name string, inc int) *host {
 	h := &host{
 		name: name, inc: inc, leases: lease.New(lease.Limits{TTL: ttl, Long: long, Retry: step / 2}), jobs: job.New(),
-		over: takeover.New(name, takeover.Limits{LongestLease: never, Every: never}),
+		over: takeover.New(name, takeover.Limits{LongestLease: never, AskInterval: never}),
 		room: map[string]map[string]bool{}, spec: map[string]job.Spec{},
 	}
 	w.overtake(h, takeover.SetWorkers{Names: w.names()})
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -15,8 +15,8 @@
 	// LongestLease is the longest lease of a task: a worker that was silent for so
 	// long runs nothing that a former lead started.
 	LongestLease time.Duration
-	// Every is how often the peers are asked while anything waits.
-	Every time.Duration
+	// AskInterval is how often the peers are asked while anything waits.
+	AskInterval time.Duration
 }
 
 type worker struct {
@@ -281,7 +281,7 @@
 			acts = append(acts, WorkerSilent{Worker: name})
 		}
 	}
-	if len(t.jobs)+len(t.keys)+len(t.watch) > 0 && now.Sub(t.asked) >= t.limits.Every {
+	if len(t.jobs)+len(t.keys)+len(t.watch) > 0 && now.Sub(t.asked) >= t.limits.AskInterval {
 		t.asked = now
 		acts = append(acts, AskPeers{})
 	}
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -11,7 +11,7 @@
 
 var (
 	start  = time.Unix(1_700_000_000, 0)
-	limits = takeover.Limits{LongestLease: 40 * time.Second, Every: 250 * time.Millisecond}
+	limits = takeover.Limits{LongestLease: 40 * time.Second, AskInterval: 250 * time.Millisecond}
 )
 
 func at(seconds float64) time.Time {
