--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -37,7 +37,7 @@
 		return "", ""
 	}
 	for _, name := range l.KeyWorkers(key) {
-		if !l.Takeover.Gone(l.Clock(), name) {
+		if !l.Takeover.LeasesExpired(l.Clock(), name) {
 			return key, name
 		}
 	}
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -266,9 +266,9 @@
 // Waiting lists the found jobs that wait for their census.
 func (t *Takeover) Waiting() []string { return slices.Sorted(maps.Keys(t.jobs)) }
 
-// Gone tells whether a worker gave no sign, to this host or to a peer that answered, for longer
+// LeasesExpired tells whether a worker gave no sign, to this host or to a peer that answered, for longer
 // than any lease.
-func (t *Takeover) Gone(now time.Time, name string) bool {
+func (t *Takeover) LeasesExpired(now time.Time, name string) bool {
 	w, ok := t.workers[name]
 	return ok && !w.held && now.Sub(w.sign) > t.limits.LongestLease
 }
