--- a/internal/share/messages.go
+++ b/internal/share/messages.go
@@ -4,7 +4,7 @@
 type Event interface{ event() }
 
 // Heard is a word that arrived from another host of the failure domain.
-type Heard struct{ Word Word }
+type Heard struct{ Announcement Word }
 
 // Listed is the platform's list of entry hosts, as it was read just now.
 type Listed struct{ Names []string }
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -78,7 +78,7 @@
 	var acts []Action
 	switch ev := ev.(type) {
 	case Heard:
-		s.hear(ev.Word)
+		s.hear(ev.Announcement)
 	case Listed:
 		s.list(now, ev.Names)
 	case Drained:
