--- a/internal/share/messages.go
+++ b/internal/share/messages.go
@@ -3,8 +3,8 @@
 // Event is what the share core is told.
 type Event interface{ event() }
 
-// Heard is a word that arrived from another host of the failure domain.
-type Heard struct{ Announcement Word }
+// AnnouncementReceived is a word that arrived from another host of the failure domain.
+type AnnouncementReceived struct{ Announcement Word }
 
 // Listed is the platform's list of entry hosts, as it was read just now.
 type Listed struct{ Names []string }
@@ -19,11 +19,11 @@
 // Tick lets time pass.
 type Tick struct{}
 
-func (Heard) event()   {}
-func (Listed) event()  {}
-func (Drained) event() {}
-func (Quit) event()    {}
-func (Tick) event()    {}
+func (AnnouncementReceived) event() {}
+func (Listed) event()               {}
+func (Drained) event()              {}
+func (Quit) event()                 {}
+func (Tick) event()                 {}
 
 // Action is what the share core asks its edge to do.
 type Action interface{ action() }
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -77,7 +77,7 @@
 	s.resume(now)
 	var acts []Action
 	switch ev := ev.(type) {
-	case Heard:
+	case AnnouncementReceived:
 		s.hear(ev.Announcement)
 	case Listed:
 		s.list(now, ev.Names)
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -142,7 +142,7 @@
 			w.step(p, share.Listed{Names: w.all()})
 			for _, o := range w.processes {
 				if o != p && !o.dead {
-					w.step(o, share.Heard{Announcement: p.core.Word()})
+					w.step(o, share.AnnouncementReceived{Announcement: p.core.Word()})
 				}
 			}
 		}
@@ -198,7 +198,7 @@
 			"say":   live(func(p *process) { w.words = append(w.words, p.core.Word()) }),
 			"hear": live(func(p *process) {
 				if len(w.words) > 0 {
-					w.step(p, share.Heard{Announcement: w.words[rapid.IntRange(0, len(w.words)-1).Draw(t, "word")]})
+					w.step(p, share.AnnouncementReceived{Announcement: w.words[rapid.IntRange(0, len(w.words)-1).Draw(t, "word")]})
 				}
 			}),
 			"read": live(func(p *process) { p.list = w.all() }),
@@ -206,7 +206,7 @@
 			"talk": live(func(p *process) {
 				for _, o := range w.processes {
 					if o != p && !o.dead {
-						w.step(o, share.Heard{Announcement: p.core.Word()})
+						w.step(o, share.AnnouncementReceived{Announcement: p.core.Word()})
 					}
 				}
 			}),
@@ -234,10 +234,10 @@
 			w.step(gone, share.Quit{})
 			w.drain(gone)
 			require.Len(t, w.words, 1)
-			w.step(w.processes[1], share.Heard{Announcement: w.words[0]})
-			w.step(w.processes[2], share.Heard{Announcement: w.words[0]})
+			w.step(w.processes[1], share.AnnouncementReceived{Announcement: w.words[0]})
+			w.step(w.processes[2], share.AnnouncementReceived{Announcement: w.words[0]})
 			require.Equal(t, slots, w.inUse(), "what was given is used at once")
-			w.step(w.processes[1], share.Heard{Announcement: stale})
+			w.step(w.processes[1], share.AnnouncementReceived{Announcement: stale})
 			require.Equal(t, slots, w.inUse(), "a late word of the stopped host changes nothing")
 		}
 		gone.dead, w.listed[gone.name] = true, false
@@ -284,8 +284,8 @@
 			heir = w.processes[3]
 		}
 		w.pass(longest / 5)
-		w.step(heir, share.Heard{Announcement: w.processes[2].core.Word()})
-		w.step(w.processes[2], share.Heard{Announcement: heir.core.Word()})
+		w.step(heir, share.AnnouncementReceived{Announcement: w.processes[2].core.Word()})
+		w.step(w.processes[2], share.AnnouncementReceived{Announcement: heir.core.Word()})
 		w.use()
 		w.settle()
 		require.Equal(t, slots, w.inUse())
