--- a/internal/host/list.go
+++ b/internal/host/list.go
@@ -88,7 +88,7 @@
 	h.mu.Lock()
 	names := entryHosts(h.list, h.cfg.Domain)
 	h.mu.Unlock()
-	h.shareStep(share.Listed{Names: names})
+	h.shareStep(share.HostsListed{Names: names})
 }
 
 func (h *Host) tellList() {
--- a/internal/share/messages.go
+++ b/internal/share/messages.go
@@ -6,8 +6,8 @@
 // AnnouncementReceived is a word that arrived from another host of the failure domain.
 type AnnouncementReceived struct{ Announcement Word }
 
-// Listed is the platform's list of entry hosts, as it was read just now.
-type Listed struct{ Names []string }
+// HostsListed is the platform's list of entry hosts, as it was read just now.
+type HostsListed struct{ Names []string }
 
 // Drained tells that no backend server has more of this host's requests than
 // this host's share of it.
@@ -20,7 +20,7 @@
 type Tick struct{}
 
 func (AnnouncementReceived) event() {}
-func (Listed) event()               {}
+func (HostsListed) event()          {}
 func (Drained) event()              {}
 func (Quit) event()                 {}
 func (Tick) event()                 {}
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -79,7 +79,7 @@
 	switch ev := ev.(type) {
 	case AnnouncementReceived:
 		s.hear(ev.Announcement)
-	case Listed:
+	case HostsListed:
 		s.list(now, ev.Names)
 	case Drained:
 		acts = s.drained()
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -139,7 +139,7 @@
 				continue
 			}
 			w.drain(p)
-			w.step(p, share.Listed{Names: w.all()})
+			w.step(p, share.HostsListed{Names: w.all()})
 			for _, o := range w.processes {
 				if o != p && !o.dead {
 					w.step(o, share.AnnouncementReceived{Announcement: p.core.Word()})
@@ -202,7 +202,7 @@
 				}
 			}),
 			"read": live(func(p *process) { p.list = w.all() }),
-			"list": live(func(p *process) { w.step(p, share.Listed{Names: p.list}); p.list = w.all() }),
+			"list": live(func(p *process) { w.step(p, share.HostsListed{Names: p.list}); p.list = w.all() }),
 			"talk": live(func(p *process) {
 				for _, o := range w.processes {
 					if o != p && !o.dead {
@@ -210,7 +210,7 @@
 					}
 				}
 			}),
-			"look": live(func(p *process) { w.step(p, share.Listed{Names: w.all()}) }),
+			"look": live(func(p *process) { w.step(p, share.HostsListed{Names: w.all()}) }),
 			"pass": func(t *rapid.T) { w.pass(time.Duration(rapid.IntRange(1, 12).Draw(t, "tenths")) * longest / 10) },
 		})
 	})
@@ -267,7 +267,7 @@
 		w.begin(1)
 		w.settle()
 		w.processes[0].dead, w.listed["h0"] = true, false
-		w.step(w.processes[1], share.Listed{Names: w.all()})
+		w.step(w.processes[1], share.HostsListed{Names: w.all()})
 		for range 3 {
 			w.pass(longest / 3)
 		}
