--- a/internal/host/share.go
+++ b/internal/host/share.go
@@ -119,7 +119,7 @@
 // giveSlots ends a planned stop's use of slots and gives them to their heirs,
 // which would otherwise wait until the host list shows that this host is gone.
 func (h *Host) giveSlots(ctx context.Context) {
-	h.shareStep(share.Quit{})
+	h.shareStep(share.Stopping{})
 	for ctx.Err() == nil && !h.relay.Drained() {
 		h.pause(tickEvery)
 	}
--- a/internal/share/messages.go
+++ b/internal/share/messages.go
@@ -13,8 +13,8 @@
 // this host's share of it.
 type Drained struct{}
 
-// Quit tells that this host begins a planned stop.
-type Quit struct{}
+// Stopping tells that this host begins a planned stop.
+type Stopping struct{}
 
 // Tick lets time pass.
 type Tick struct{}
@@ -22,7 +22,7 @@
 func (AnnouncementReceived) event() {}
 func (HostsListed) event()          {}
 func (Drained) event()              {}
-func (Quit) event()                 {}
+func (Stopping) event()             {}
 func (Tick) event()                 {}
 
 // Action is what the share core asks its edge to do.
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -83,7 +83,7 @@
 		s.list(now, ev.Names)
 	case Drained:
 		acts = s.drained()
-	case Quit:
+	case Stopping:
 		s.stop()
 	case Tick:
 	}
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -193,7 +193,7 @@
 					w.begin(i)
 				}
 			},
-			"quit":  live(func(p *process) { p.quit = true; w.step(p, share.Quit{}) }),
+			"quit":  live(func(p *process) { p.quit = true; w.step(p, share.Stopping{}) }),
 			"drain": live(w.drain),
 			"say":   live(func(p *process) { w.words = append(w.words, p.core.Word()) }),
 			"hear": live(func(p *process) {
@@ -231,7 +231,7 @@
 		gone := w.processes[0]
 		stale := gone.core.Word()
 		if planned {
-			w.step(gone, share.Quit{})
+			w.step(gone, share.Stopping{})
 			w.drain(gone)
 			require.Len(t, w.words, 1)
 			w.step(w.processes[1], share.AnnouncementReceived{Announcement: w.words[0]})
