--- a/internal/host/share.go
+++ b/internal/host/share.go
@@ -54,7 +54,7 @@
 	h.mu.Unlock()
 	for _, a := range acts {
 		switch a := a.(type) {
-		case share.Changed:
+		case share.SlotsChanged:
 			metrics.GetOrRegisterGauge("share.awaited", h.metrics).Update(int64(len(awaited)))
 			h.log.Info("share: slots changed.", "awaited", awaited)
 			h.shareOut()
--- a/internal/share/messages.go
+++ b/internal/share/messages.go
@@ -28,14 +28,14 @@
 // Action is what the share core asks its edge to do.
 type Action interface{ action() }
 
-// Changed tells that Slots gives other numbers now.
-type Changed struct{}
+// SlotsChanged tells that Slots gives other numbers now.
+type SlotsChanged struct{}
 
 // Tell asks to send a word to all hosts of the failure domain at once.
 type Tell struct{ Word Word }
 
-func (Changed) action() {}
-func (Tell) action()    {}
+func (SlotsChanged) action() {}
+func (Tell) action()         {}
 
 // Word is what a host says of the shares. It may be lost, late or doubled.
 type Word struct {
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -89,7 +89,7 @@
 	}
 	s.pass(now)
 	if !slices.Equal(before, s.rights()) {
-		acts = append(acts, Changed{})
+		acts = append(acts, SlotsChanged{})
 	}
 	return acts
 }
