--- a/internal/host/share.go
+++ b/internal/host/share.go
@@ -59,7 +59,7 @@
 			h.log.Info("share: slots changed.", "awaited", awaited)
 			h.shareOut()
 		case share.Tell:
-			h.tellShares(a.Word)
+			h.tellShares(a.Announcement)
 		}
 	}
 }
--- a/internal/share/messages.go
+++ b/internal/share/messages.go
@@ -32,7 +32,7 @@
 type SlotsChanged struct{}
 
 // Tell asks to send a word to all hosts of the failure domain at once.
-type Tell struct{ Word Word }
+type Tell struct{ Announcement Word }
 
 func (SlotsChanged) action() {}
 func (Tell) action()         {}
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -150,7 +150,7 @@
 		return nil
 	}
 	s.self.Given = true
-	return []Action{Tell{Word: s.Word()}}
+	return []Action{Tell{Announcement: s.Word()}}
 }
 
 func (s *Shares) stop() {
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -74,7 +74,7 @@
 func (w *world) step(p *process, ev share.Event) {
 	for _, a := range p.core.Step(w.now, ev) {
 		if tell, ok := a.(share.Tell); ok {
-			w.words = append(w.words, tell.Word)
+			w.words = append(w.words, tell.Announcement)
 		}
 	}
 }
