--- a/internal/host/share.go
+++ b/internal/host/share.go
@@ -58,7 +58,7 @@
 			metrics.GetOrRegisterGauge("share.awaited", h.metrics).Update(int64(len(awaited)))
 			h.log.Info("share: slots changed.", "awaited", awaited)
 			h.shareOut()
-		case share.Tell:
+		case share.SendAnnouncement:
 			h.tellShares(a.Announcement)
 		}
 	}
--- a/internal/share/messages.go
+++ b/internal/share/messages.go
@@ -31,11 +31,11 @@
 // SlotsChanged tells that Slots gives other numbers now.
 type SlotsChanged struct{}
 
-// Tell asks to send a word to all hosts of the failure domain at once.
-type Tell struct{ Announcement Word }
+// SendAnnouncement asks to send a word to all hosts of the failure domain at once.
+type SendAnnouncement struct{ Announcement Word }
 
-func (SlotsChanged) action() {}
-func (Tell) action()         {}
+func (SlotsChanged) action()     {}
+func (SendAnnouncement) action() {}
 
 // Word is what a host says of the shares. It may be lost, late or doubled.
 type Word struct {
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -150,7 +150,7 @@
 		return nil
 	}
 	s.self.Given = true
-	return []Action{Tell{Announcement: s.Word()}}
+	return []Action{SendAnnouncement{Announcement: s.Word()}}
 }
 
 func (s *Shares) stop() {
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -73,7 +73,7 @@
 
 func (w *world) step(p *process, ev share.Event) {
 	for _, a := range p.core.Step(w.now, ev) {
-		if tell, ok := a.(share.Tell); ok {
+		if tell, ok := a.(share.SendAnnouncement); ok {
 			w.words = append(w.words, tell.Announcement)
 		}
 	}
