--- a/internal/share/messages.go
+++ b/internal/share/messages.go
@@ -44,6 +44,6 @@
 	// Freed holds hosts with the incarnation whose slots the sender neither
 	// uses nor will use while that incarnation runs.
 	Freed map[string]int64 `json:"freed,omitempty"`
-	// Given tells that the sender's slots are in no use any more.
-	Given bool `json:"given,omitempty"`
+	// Released tells that the sender's slots are in no use any more.
+	Released bool `json:"given,omitempty"`
 }
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -114,11 +114,11 @@
 	if !ok || w.Incarnation < p.incarnation || w.Incarnation == p.incarnation && p.given {
 		return
 	}
-	p.incarnation, p.given = w.Incarnation, w.Given
+	p.incarnation, p.given = w.Incarnation, w.Released
 	p.away = time.Time{}
 	p.busy = p.busy || p.gone
-	p.gone = w.Given && !s.quit
-	if w.Given || w.Freed[s.self.Name] == s.self.Incarnation {
+	p.gone = w.Released && !s.quit
+	if w.Released || w.Freed[s.self.Name] == s.self.Incarnation {
 		p.own = !s.quit
 	}
 }
@@ -146,10 +146,10 @@
 	for _, p := range s.pairs {
 		p.busy = false
 	}
-	if !s.quit || !s.settled || s.self.Given {
+	if !s.quit || !s.settled || s.self.Released {
 		return nil
 	}
-	s.self.Given = true
+	s.self.Released = true
 	return []Action{SendAnnouncement{Announcement: s.Word()}}
 }
 
