--- a/internal/host/share.go
+++ b/internal/host/share.go
@@ -77,7 +77,7 @@
 func (h *Host) shareWord() share.Word {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.shares.Word()
+	return h.shares.Announcement()
 }
 
 // shareRest is how often a word is told again that has not changed. A word is
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -150,7 +150,7 @@
 		return nil
 	}
 	s.self.Released = true
-	return []Action{SendAnnouncement{Announcement: s.Word()}}
+	return []Action{SendAnnouncement{Announcement: s.Announcement()}}
 }
 
 func (s *Shares) stop() {
@@ -174,8 +174,8 @@
 	}
 }
 
-// Word is what this host has to tell the others of its failure domain now.
-func (s *Shares) Word() Word {
+// Announcement is what this host has to tell the others of its failure domain now.
+func (s *Shares) Announcement() Word {
 	w := s.self
 	w.Freed = map[string]int64{}
 	for name, p := range s.pairs {
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -142,7 +142,7 @@
 			w.step(p, share.HostsListed{Names: w.all()})
 			for _, o := range w.processes {
 				if o != p && !o.dead {
-					w.step(o, share.AnnouncementReceived{Announcement: p.core.Word()})
+					w.step(o, share.AnnouncementReceived{Announcement: p.core.Announcement()})
 				}
 			}
 		}
@@ -195,7 +195,7 @@
 			},
 			"quit":  live(func(p *process) { p.quit = true; w.step(p, share.Stopping{}) }),
 			"drain": live(w.drain),
-			"say":   live(func(p *process) { w.words = append(w.words, p.core.Word()) }),
+			"say":   live(func(p *process) { w.words = append(w.words, p.core.Announcement()) }),
 			"hear": live(func(p *process) {
 				if len(w.words) > 0 {
 					w.step(p, share.AnnouncementReceived{Announcement: w.words[rapid.IntRange(0, len(w.words)-1).Draw(t, "word")]})
@@ -206,7 +206,7 @@
 			"talk": live(func(p *process) {
 				for _, o := range w.processes {
 					if o != p && !o.dead {
-						w.step(o, share.AnnouncementReceived{Announcement: p.core.Word()})
+						w.step(o, share.AnnouncementReceived{Announcement: p.core.Announcement()})
 					}
 				}
 			}),
@@ -229,7 +229,7 @@
 		w.settle()
 		require.Equal(t, slots, w.inUse())
 		gone := w.processes[0]
-		stale := gone.core.Word()
+		stale := gone.core.Announcement()
 		if planned {
 			w.step(gone, share.Stopping{})
 			w.drain(gone)
@@ -284,8 +284,8 @@
 			heir = w.processes[3]
 		}
 		w.pass(longest / 5)
-		w.step(heir, share.AnnouncementReceived{Announcement: w.processes[2].core.Word()})
-		w.step(w.processes[2], share.AnnouncementReceived{Announcement: heir.core.Word()})
+		w.step(heir, share.AnnouncementReceived{Announcement: w.processes[2].core.Announcement()})
+		w.step(w.processes[2], share.AnnouncementReceived{Announcement: heir.core.Announcement()})
 		w.use()
 		w.settle()
 		require.Equal(t, slots, w.inUse())
