--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -69,7 +69,7 @@
 	table *table.Table
 	grown chan struct{}
 	// told… is what repeatShares has told last.
-	toldWord    share.Word
+	toldWord    share.Announcement
 	toldLeaving []string
 	toldLive    []string
 	toldAt      time.Time
--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -379,7 +379,7 @@
 		h.member(member.Left{Name: m.Name})
 		return nil, nil
 	case peer.Slots:
-		h.shareStep(share.AnnouncementReceived{Announcement: m.Word})
+		h.shareStep(share.AnnouncementReceived{Announcement: m.Announcement})
 		h.relay.Told(m.Leaving)
 		return nil, nil
 	case peer.Relay:
--- a/internal/host/share.go
+++ b/internal/host/share.go
@@ -74,7 +74,7 @@
 	h.shareStepHeld(share.Tick{})
 }
 
-func (h *Host) shareWord() share.Word {
+func (h *Host) shareWord() share.Announcement {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.shares.Announcement()
@@ -102,7 +102,7 @@
 
 // tellShares tells the hosts of this failure domain; a lost word is told again
 // with the next heartbeat.
-func (h *Host) tellShares(w share.Word) {
+func (h *Host) tellShares(w share.Announcement) {
 	leaving := h.relay.Leaving()
 	for _, p := range h.cfg.Peers {
 		if p.Domain != h.cfg.Domain {
@@ -111,7 +111,7 @@
 		h.wg.Go(func() {
 			ctx, cancel := context.WithTimeout(h.ctx, beatWait)
 			defer cancel()
-			_ = h.peers.Tell(ctx, p.Name, peer.Slots{Word: w, Leaving: leaving})
+			_ = h.peers.Tell(ctx, p.Name, peer.Slots{Announcement: w, Leaving: leaving})
 		})
 	}
 }
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -92,7 +92,7 @@
 
 // Slots tells what a host says of the shares of writers; it has no answer.
 type Slots struct {
-	share.Word
+	share.Announcement
 	// Leaving names backend servers that told the sender that they leave.
 	Leaving []string `json:"leaving,omitempty"`
 }
--- a/internal/share/messages.go
+++ b/internal/share/messages.go
@@ -4,7 +4,7 @@
 type Event interface{ event() }
 
 // AnnouncementReceived is a word that arrived from another host of the failure domain.
-type AnnouncementReceived struct{ Announcement Word }
+type AnnouncementReceived struct{ Announcement Announcement }
 
 // HostsListed is the platform's list of entry hosts, as it was read just now.
 type HostsListed struct{ Names []string }
@@ -32,13 +32,13 @@
 type SlotsChanged struct{}
 
 // SendAnnouncement asks to send a word to all hosts of the failure domain at once.
-type SendAnnouncement struct{ Announcement Word }
+type SendAnnouncement struct{ Announcement Announcement }
 
 func (SlotsChanged) action()     {}
 func (SendAnnouncement) action() {}
 
-// Word is what a host says of the shares. It may be lost, late or doubled.
-type Word struct {
+// Announcement is what a host says of the shares. It may be lost, late or doubled.
+type Announcement struct {
 	Name        string `json:"name"`
 	Incarnation int64  `json:"inc"`
 	// Freed holds hosts with the incarnation whose slots the sender neither
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -48,7 +48,7 @@
 // Shares is the share core of one host.
 type Shares struct {
 	limits  Limits
-	self    Word
+	self    Announcement
 	began   time.Time
 	last    time.Time
 	names   []string
@@ -61,7 +61,7 @@
 // its failure domain as the settings name them.
 func New(limits Limits, self string, incarnation int64, others []string, now time.Time) *Shares {
 	s := &Shares{
-		limits: limits, self: Word{Name: self, Incarnation: incarnation}, began: now, last: now,
+		limits: limits, self: Announcement{Name: self, Incarnation: incarnation}, began: now, last: now,
 		names: append(slices.Clone(others), self), pairs: map[string]*pair{},
 	}
 	slices.Sort(s.names)
@@ -109,7 +109,7 @@
 	}
 }
 
-func (s *Shares) hear(w Word) {
+func (s *Shares) hear(w Announcement) {
 	p, ok := s.pairs[w.Name]
 	if !ok || w.Incarnation < p.incarnation || w.Incarnation == p.incarnation && p.given {
 		return
@@ -175,7 +175,7 @@
 }
 
 // Announcement is what this host has to tell the others of its failure domain now.
-func (s *Shares) Announcement() Word {
+func (s *Shares) Announcement() Announcement {
 	w := s.self
 	w.Freed = map[string]int64{}
 	for name, p := range s.pairs {
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -39,7 +39,7 @@
 	now       time.Time
 	names     []string
 	processes []*process
-	words     []share.Word
+	words     []share.Announcement
 	listed    map[string]bool
 	until     [slots]map[*process]time.Time
 }
