--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -21,9 +21,9 @@
 
 // Limits are the times that the rights depend on.
 type Limits struct {
-	// Longest is how long a sent request can take at most. A line of the host
+	// LongestDeadline is how long a sent request can take at most. A line of the host
 	// list must not be late by more.
-	Longest time.Duration
+	LongestDeadline time.Duration
 	// Settle is how long a started host waits for what its former incarnation
 	// sent. It is Longest unless no former incarnation can have run.
 	Settle time.Duration
@@ -100,7 +100,7 @@
 func (s *Shares) resume(now time.Time) {
 	gap := now.Sub(s.last)
 	s.last = now
-	if gap <= s.limits.Longest/2 {
+	if gap <= s.limits.LongestDeadline/2 {
 		return
 	}
 	s.self.Incarnation++
@@ -168,7 +168,7 @@
 		return
 	}
 	for _, p := range s.pairs {
-		if !p.away.IsZero() && now.Sub(p.away) >= s.limits.Longest {
+		if !p.away.IsZero() && now.Sub(p.away) >= s.limits.LongestDeadline {
 			p.own, p.gone = true, true
 		}
 	}
