--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -24,9 +24,9 @@
 	// LongestDeadline is how long a sent request can take at most. A line of the host
 	// list must not be late by more.
 	LongestDeadline time.Duration
-	// Settle is how long a started host waits for what its former incarnation
+	// StartupWait is how long a started host waits for what its former incarnation
 	// sent. It is Longest unless no former incarnation can have run.
-	Settle time.Duration
+	StartupWait time.Duration
 }
 
 // pair is what this host knows of one other host of its failure domain.
@@ -163,7 +163,7 @@
 
 // pass grants what time alone proves.
 func (s *Shares) pass(now time.Time) {
-	s.settled = s.settled || now.Sub(s.began) >= s.limits.Settle
+	s.settled = s.settled || now.Sub(s.began) >= s.limits.StartupWait
 	if s.quit {
 		return
 	}
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -19,7 +19,7 @@
 
 var (
 	start  = time.Unix(1_700_000_000, 0)
-	limits = share.Limits{LongestDeadline: longest, Settle: longest}
+	limits = share.Limits{LongestDeadline: longest, StartupWait: longest}
 )
 
 func TestMain(m *testing.M) { randtest.Main(m, 300, 100) }
