--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -212,15 +212,15 @@
 func (s *Shares) Slots(minion string, slots int) int {
 	n := 0
 	for i := range slots {
-		if s.May(minion, i) {
+		if s.MayUse(minion, i) {
 			n++
 		}
 	}
 	return n
 }
 
-// May tells whether this host may use one slot of a backend server now.
-func (s *Shares) May(minion string, slot int) bool {
+// MayUse tells whether this host may use one slot of a backend server now.
+func (s *Shares) MayUse(minion string, slot int) bool {
 	if !s.settled || s.quit {
 		return false
 	}
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -86,7 +86,7 @@
 			continue
 		}
 		for i := range slots {
-			if p.core.May("m", i) {
+			if p.core.MayUse("m", i) {
 				w.until[i][p] = w.now.Add(longest)
 			}
 		}
@@ -114,7 +114,7 @@
 
 func (w *world) drain(p *process) {
 	for i := range slots {
-		if !p.core.May("m", i) {
+		if !p.core.MayUse("m", i) {
 			delete(w.until[i], p)
 		}
 	}
