--- a/internal/host/routes.go
+++ b/internal/host/routes.go
@@ -118,7 +118,7 @@
 	}
 	for _, m := range h.list {
 		if m.Kind == cell.MinionHost && m.Domain == h.cfg.Domain {
-			v.Slots[m.Name] = h.shares.Slots(m.Name, m.Slots)
+			v.Slots[m.Name] = h.shares.UsableSlots(m.Name, m.Slots)
 		}
 	}
 	return v
--- a/internal/host/share.go
+++ b/internal/host/share.go
@@ -133,7 +133,7 @@
 func (h *Host) slots(minion string, slots int) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.shares.Slots(minion, slots)
+	return h.shares.UsableSlots(minion, slots)
 }
 
 // part is this host's part of a row's limit, which holds in the whole cell.
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -208,8 +208,8 @@
 	return all
 }
 
-// Slots is how many of a backend server's slots this host may use now.
-func (s *Shares) Slots(minion string, slots int) int {
+// UsableSlots is how many of a backend server's slots this host may use now.
+func (s *Shares) UsableSlots(minion string, slots int) int {
 	n := 0
 	for i := range slots {
 		if s.MayUse(minion, i) {
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -154,7 +154,7 @@
 	n := 0
 	for _, p := range w.processes {
 		if !p.dead {
-			n += p.core.Slots("m", slots)
+			n += p.core.UsableSlots("m", slots)
 		}
 	}
 	return n
@@ -253,7 +253,7 @@
 		w.begin(0)
 		w.settle()
 		require.Equal(t, slots, w.inUse())
-		require.Positive(t, w.running("h0").core.Slots("m", slots))
+		require.Positive(t, w.running("h0").core.UsableSlots("m", slots))
 	}
 }
 
