--- a/internal/host/routes.go
+++ b/internal/host/routes.go
@@ -114,7 +114,7 @@
 	defer h.mu.Unlock()
 	v := hostView{
 		Self: h.cfg.Name, Live: h.members.Live(), Next: h.table.Wants(), Seen: h.members.Beats(),
-		Slots: map[string]int{}, Awaited: h.shares.Awaited(), Aside: aside,
+		Slots: map[string]int{}, Awaited: h.shares.AwaitedHosts(), Aside: aside,
 	}
 	for _, m := range h.list {
 		if m.Kind == cell.MinionHost && m.Domain == h.cfg.Domain {
--- a/internal/host/share.go
+++ b/internal/host/share.go
@@ -50,7 +50,7 @@
 func (h *Host) shareStepHeld(ev share.Event) {
 	h.mu.Lock()
 	acts := h.shares.Step(h.clock(), ev)
-	awaited := h.shares.Awaited()
+	awaited := h.shares.AwaitedHosts()
 	h.mu.Unlock()
 	for _, a := range acts {
 		switch a := a.(type) {
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -186,9 +186,9 @@
 	return w
 }
 
-// Awaited lists the hosts that have not yet freed their part of this host's
+// AwaitedHosts lists the hosts that have not yet freed their part of this host's
 // slots, in order of name.
-func (s *Shares) Awaited() []string {
+func (s *Shares) AwaitedHosts() []string {
 	var all []string
 	for _, name := range slices.Sorted(maps.Keys(s.pairs)) {
 		if !s.pairs[name].own {
