--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -218,8 +218,8 @@
 const longestAdvice = 10 * time.Second
 
 // ask has a host, perhaps this one, ask the policy service.
-func (h *Host) ask(ctx context.Context, a sched.Ask) sched.Advised {
-	ctx, cancel := context.WithTimeout(ctx, min(a.Within, longestAdvice))
+func (h *Host) ask(ctx context.Context, a sched.QueryPolicy) sched.PolicyReply {
+	ctx, cancel := context.WithTimeout(ctx, min(a.Timeout, longestAdvice))
 	defer cancel()
 	began := h.now()
 	defer func() { h.observe("advice.answer", h.now().Sub(began)) }()
@@ -229,15 +229,15 @@
 	}
 	var r peer.AdviseReply
 	m := peer.Advise{Step: a.Step, Workers: a.Workers}
-	m.Within.Duration = a.Within
+	m.Within.Duration = a.Timeout
 	err := h.peers.Ask(ctx, a.Host, m, &r)
 	return h.advised(a, r.Good, err)
 }
 
-func (h *Host) advised(a sched.Ask, good map[string]string, err error) sched.Advised {
+func (h *Host) advised(a sched.QueryPolicy, good map[string]string, err error) sched.PolicyReply {
 	if err != nil {
 		h.count("advice.failed")
 		h.log.Warn("advice: no answer.", "step", a.Step, "host", a.Host, "err", err)
 	}
-	return sched.Advised{Step: a.Step, Host: a.Host, Good: good, Failed: err != nil}
+	return sched.PolicyReply{Step: a.Step, Host: a.Host, Tickets: good, Failed: err != nil}
 }
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -75,8 +75,8 @@
 	limits := sched.DefaultLimits
 	limits.Lease = min(limits.Lease, time.Duration(h.cfg.Times.Lease)*95/100)
 	limits.StopGrace = time.Duration(h.cfg.Times.Stop)
-	limits.Off = h.cfg.Off
-	limits.Keep = time.Duration(h.cfg.Times.Keep) * 5 / 4
+	limits.Disabled = h.cfg.Off
+	limits.Retention = time.Duration(h.cfg.Times.Keep) * 5 / 4
 	t := &term{
 		h: h, number: number, read: read, began: began, polled: read, jobs: len(r.jobs) + len(r.fresh), open: len(r.fresh),
 		kick: make(chan struct{}, 1), next: next, where: map[string]map[int]bool{}, listed: map[string]sched.Worker{}, unread: map[string]bool{},
@@ -127,11 +127,11 @@
 func (t *term) formerLead() {
 	t.h.mu.Lock()
 	former := t.h.former
-	over := sched.FormerOver{Since: t.h.boundsAt, Bounds: t.h.bounds}
+	over := sched.PredecessorStopped{Since: t.h.boundsAt, LeaseBounds: t.h.bounds}
 	t.h.bounds = nil
 	t.h.mu.Unlock()
 	// A lead that asked to be succeeded has ended its term before.
-	for over.Bounds == nil && former != "" && former != t.h.cfg.Name {
+	for over.LeaseBounds == nil && former != "" && former != t.h.cfg.Name {
 		ctx, cancel := context.WithTimeout(t.ctx, askWait)
 		var r peer.SyncReply
 		err := t.h.peers.Ask(ctx, former, t.h.syncMessage(), &r)
@@ -151,7 +151,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m := peer.Succeed{Term: t.number, Bounds: map[string]cell.Duration{}}
-	for life, left := range t.core.Bounds(t.h.now()) {
+	for life, left := range t.core.LeaseBounds(t.h.now()) {
 		m.Bounds[life] = cell.Duration{Duration: left}
 	}
 	return m
@@ -185,10 +185,10 @@
 		t.mu.Unlock()
 		return
 	}
-	placed, began := t.core.Placed(), t.h.now()
+	placed, began := t.core.LastPass(), t.h.now()
 	acts := t.core.Step(began, ev)
-	if t.core.Placed() != placed {
-		t.core.Took(t.h.now().Sub(began))
+	if t.core.LastPass() != placed {
+		t.core.RecordPassDuration(t.h.now().Sub(began))
 	}
 	t.mu.Unlock()
 	for _, a := range acts {
@@ -208,15 +208,15 @@
 		t.h.wg.Go(func() { t.hold(a) })
 	case sched.Start:
 		t.h.wg.Go(func() {
-			got := t.order(a.To.Life, func(ctx context.Context) sched.Outcome { return t.h.workers.Start(ctx, a) })
+			got := t.order(a.To.Incarnation, func(ctx context.Context) sched.Outcome { return t.h.workers.Start(ctx, a) })
 			t.h.count("start." + got.String())
-			t.step(sched.Started{Task: a.Task, Run: a.Run, Worker: a.To.Life, Outcome: got})
+			t.step(sched.StartReply{Task: a.Task, Run: a.Run, Worker: a.To.Incarnation, Outcome: got})
 		})
 	case sched.Stop:
 		t.h.wg.Go(func() {
-			got := t.order(a.To.Life, func(ctx context.Context) sched.Outcome { return t.h.workers.Stop(ctx, a) })
+			got := t.order(a.To.Incarnation, func(ctx context.Context) sched.Outcome { return t.h.workers.Stop(ctx, a) })
 			t.h.count("stop." + got.String())
-			t.step(sched.Stopped{Task: a.Task, Run: a.Run, Worker: a.To.Life, Outcome: got})
+			t.step(sched.StopReply{Task: a.Task, Run: a.Run, Worker: a.To.Incarnation, Outcome: got})
 		})
 	case sched.Pace:
 		t.h.wg.Go(func() {
@@ -224,17 +224,17 @@
 			defer cancel()
 			t.h.count("pace." + t.h.workers.Pace(ctx, a).String())
 		})
-	case sched.Ask:
+	case sched.QueryPolicy:
 		t.h.wg.Go(func() { t.step(t.h.ask(t.ctx, a)) })
 	case sched.Forget:
 		t.h.wg.Go(func() { t.forget(a.ID) })
-	case sched.Depose:
+	case sched.StepDown:
 		t.end("worker " + a.Worker + " obeys a later term")
-	case sched.Waited:
+	case sched.StepWaited:
 		t.h.waited(a)
-	case sched.Begun:
+	case sched.JobStarted:
 		t.h.observe(fmt.Sprintf("job.start.rank%d", a.Rank), a.After)
-	case sched.Ended:
+	case sched.JobEnded:
 		t.ended(a)
 	case sched.Note:
 		t.h.log.Info("sched: "+a.What+".", "id", a.ID, "worker", a.Worker, "run", a.Run, "term", t.number, "detail", a.Detail)
@@ -252,22 +252,22 @@
 
 func (t *term) hold(a sched.Hold) {
 	sent := t.h.now()
-	got := inTime(t.orders, t.h.now, a.To.Life, a.Wait, func() sched.Held {
+	got := inTime(t.orders, t.h.now, a.To.Incarnation, a.Wait, func() sched.HoldReply {
 		ctx, cancel := context.WithTimeout(t.ctx, a.Wait+orderWait)
 		defer cancel()
 		return t.h.workers.Hold(ctx, a)
-	}, func(r sched.Held) bool { return r.Outcome != sched.Unanswered }, sched.Held{Worker: a.To.Life, Outcome: sched.Unanswered, Look: a.Look, Seen: a.Seen})
+	}, func(r sched.HoldReply) bool { return r.Outcome != sched.Unanswered }, sched.HoldReply{Worker: a.To.Incarnation, Outcome: sched.Unanswered, Probe: a.Probe, AckedEnd: a.AckedEnd})
 	got.Sent, got.Received = sent, t.h.now()
 	t.h.count(heldAs(got))
 	t.step(got)
 }
 
 // heldAs names the counter of a hold by what came of it.
-func heldAs(r sched.Held) string {
+func heldAs(r sched.HoldReply) string {
 	switch {
-	case r.Outcome != sched.Taken:
+	case r.Outcome != sched.Accepted:
 		return "hold." + r.Outcome.String()
-	case r.Look:
+	case r.Probe:
 		return "hold.look"
 	case len(r.Ended) == 0:
 		return "hold.nothing"
@@ -277,7 +277,7 @@
 }
 
 // ended takes note of a final state, for this host and for those that ask.
-func (t *term) ended(a sched.Ended) {
+func (t *term) ended(a sched.JobEnded) {
 	t.h.log.Info("sched: ended.", "id", a.ID, "term", t.number, "detail", a.State)
 	t.h.states.learn(a.ID, a.State)
 	now := t.h.now()
@@ -349,7 +349,7 @@
 			t.late = max(t.late, t.h.now().Sub(set)-pause)
 			t.mu.Unlock()
 		}
-		if t.h.now().Sub(t.h.store.Good()) > sched.GiveUp {
+		if t.h.now().Sub(t.h.store.Good()) > sched.StoreTimeout {
 			t.end("the store does not answer")
 			return
 		}
--- a/internal/host/cell.go
+++ b/internal/host/cell.go
@@ -62,13 +62,13 @@
 		}
 	}
 	h.relay.SetServers(servers)
-	h.lead.Know(known)
+	h.lead.UpdateMachines(known)
 	h.lead.SetDomain(names, without(live, h.cfg.Name))
 	h.collect()
 	if !h.Ready() && h.handing() > 0 {
 		workers = h.keepOne(known)
 	}
-	h.lead.SetMachines(workers)
+	h.lead.SetLedMachines(workers)
 }
 
 // keepOne is one of the workers that a leaving host still holds. As long as it does, nobody else
--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -10,39 +10,39 @@
 	"pollencroft/internal/takeover"
 )
 
-// View is one held worker as this host last read it.
-type View struct {
+// WorkerState is one held worker as this host last read it.
+type WorkerState struct {
 	Worker string
 	Clock  time.Time
 	// Age is how long ago the worker was asked.
 	Age time.Duration
-	// Life names the worker's life.
-	Life  string
-	Tasks []job.ListedTask
+	// Incarnation names the worker's life.
+	Incarnation string
+	Tasks       []job.ListedTask
 	// Counted are the running tasks of the keys that were asked for.
-	Counted []Counted
+	Counted []CountedTask
 }
 
-// Census is what one host tells another of what it holds, and of the jobs that
+// InventoryReply is what one host tells another of what it holds, and of the jobs that
 // were asked for: those that it leads and those that it waits for itself.
-type Census struct {
-	Views        []View
+type InventoryReply struct {
+	Workers      []WorkerState
 	Leads, Waits []string
-	// Lives holds by worker the life in which no start to an earlier one is under way any more.
-	Lives map[string]string
+	// Incarnations holds by worker the life in which no start to an earlier one is under way any more.
+	Incarnations map[string]string
 }
 
-// Question is what one host asks another: which of some jobs it leads, and what the workers that
+// InventoryRequest is what one host asks another: which of some jobs it leads, and what the workers that
 // it holds run of those jobs and of some keys. Waits are the jobs that the asker wants to inherit.
 // Asked is when it was put together: what is to be known since then is not in it.
-type Question struct {
+type InventoryRequest struct {
 	Asked       time.Time
 	Jobs, Waits []string
 	Keys        []string
 }
 
-// Census answers a peer's question.
-func (l *Lead) Census(from string, q Question) Census {
+// Inventory answers a peer's question.
+func (l *Leader) Inventory(from string, q InventoryRequest) InventoryReply {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lease(lease.Tick{})
@@ -52,7 +52,7 @@
 		// before and arrives now would have two leads.
 		clear(l.expected)
 	}
-	c := Census{Lives: l.Leases.Settled(l.Clock())}
+	c := InventoryReply{Incarnations: l.Leases.ConfirmedIncarnations(l.Clock())}
 	for _, id := range q.Jobs {
 		switch {
 		case l.Jobs.AwaitsInventory(id):
@@ -62,8 +62,8 @@
 		}
 	}
 	for _, name := range l.Leases.Held() {
-		if r, ok := l.Leases.Last(name); ok && l.shows(name, r, q) {
-			c.Views = append(c.Views, l.view(name, r, q))
+		if r, ok := l.Leases.LastReading(name); ok && l.shows(name, r, q) {
+			c.Workers = append(c.Workers, l.view(name, r, q))
 		}
 	}
 	return c
@@ -72,9 +72,9 @@
 // shows tells whether a worker's list shows all starts of jobs that were given up here, and of
 // the keys that are asked for. The asker would take a task that is not listed for one that runs
 // nowhere.
-func (l *Lead) shows(name string, r lease.Reading, q Question) bool {
+func (l *Leader) shows(name string, r lease.Reading, q InventoryRequest) bool {
 	if len(q.Keys) > 0 && !r.Sent.After(l.limited[name]) {
-		l.lease(lease.Look{Worker: name, After: lookAgain})
+		l.lease(lease.Poll{Worker: name, After: lookAgain})
 		return false
 	}
 	for _, lo := range l.loose {
@@ -85,25 +85,25 @@
 	return r.Sent.After(l.left[name])
 }
 
-func (l *Lead) view(name string, r lease.Reading, q Question) View {
-	v := View{Worker: name, Clock: r.Clock, Age: l.Clock().Sub(r.Sent), Life: r.Life}
+func (l *Leader) view(name string, r lease.Reading, q InventoryRequest) WorkerState {
+	v := WorkerState{Worker: name, Clock: r.Clock, Age: l.Clock().Sub(r.Sent), Incarnation: r.Incarnation}
 	for _, t := range r.Tasks {
 		if slices.Contains(q.Jobs, t.Job) {
 			v.Tasks = append(v.Tasks, job.ListedTask{ID: t.ID, State: t.State, Lease: t.Lease})
 		}
 		if len(q.Keys) > 0 && t.State == "running" && slices.Contains(q.Keys, l.keyOf(t.Row)) {
-			v.Counted = append(v.Counted, Counted{Row: t.Row, Size: roomOf(t)})
+			v.Counted = append(v.Counted, CountedTask{Row: t.Row, Size: roomOf(t)})
 		}
 	}
 	return v
 }
 
-// Question is what to ask peers for: the jobs that wait for a census and those with tasks on
+// InventoryRequest is what to ask peers for: the jobs that wait for a census and those with tasks on
 // workers that this host does not hold, and what is counted here.
-func (l *Lead) Question() Question {
+func (l *Leader) InventoryRequest() InventoryRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	q := Question{Asked: l.Clock(), Waits: l.Takeover.Waiting(), Keys: slices.Sorted(maps.Keys(l.counts))}
+	q := InventoryRequest{Asked: l.Clock(), Waits: l.Takeover.Waiting(), Keys: slices.Sorted(maps.Keys(l.counts))}
 	for _, s := range l.Jobs.Open() {
 		q.Jobs = append(q.Jobs, s.ID)
 	}
@@ -115,33 +115,33 @@
 
 // askLives asks the peers, one of which may have led a worker in its life of now, before this host
 // waits for the starts to an earlier one.
-func (l *Lead) askLives() {
+func (l *Leader) askLives() {
 	now := l.Clock()
-	if l.Ask == nil || now.Sub(l.askedLives) < livesEvery || !l.Leases.Unsettled(now) {
+	if l.RequestInventory == nil || now.Sub(l.askedLives) < livesEvery || !l.Leases.HasUnconfirmed(now) {
 		return
 	}
 	l.askedLives = now
-	l.Ask()
+	l.RequestInventory()
 }
 
-// Answered takes a peer's answer to a question. A worker that this host holds, or held
+// HandleInventory takes a peer's answer to a question. A worker that this host holds, or held
 // since it asked, is passed over: what the peer told of it is older than what this host
 // knows. The peer lists tasks of the jobs that were asked for, and no others.
-func (l *Lead) Answered(host string, q Question, c Census) {
+func (l *Leader) HandleInventory(host string, q InventoryRequest, c InventoryReply) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for name, life := range c.Lives {
-		l.lease(lease.Vouched{Worker: name, Life: life})
+	for name, life := range c.Incarnations {
+		l.lease(lease.IncarnationConfirmed{Worker: name, Life: life})
 	}
 	ev := takeover.PeerAnswer{Host: host, Asked: q.Asked, Leads: c.Leads, Waits: c.Waits}
 	held := l.Leases.Held()
-	for _, v := range c.Views {
+	for _, v := range c.Workers {
 		if slices.Contains(held, v.Worker) || l.held[v.Worker].After(q.Asked) {
 			continue
 		}
 		ev.Workers = append(ev.Workers, v.Worker)
 		l.toldElsewhere(v.Worker, q.Keys, v.Counted)
-		l.job(job.WorkerList{Worker: v.Worker, Clock: v.Clock, Sent: q.Asked.Add(-v.Age), Tasks: v.Tasks, Jobs: q.Jobs, Incarnation: v.Life})
+		l.job(job.WorkerList{Worker: v.Worker, Clock: v.Clock, Sent: q.Asked.Add(-v.Age), Tasks: v.Tasks, Jobs: q.Jobs, Incarnation: v.Incarnation})
 	}
 	l.takeover(ev)
 }
--- a/internal/lead/machines.go
+++ b/internal/lead/machines.go
@@ -15,8 +15,8 @@
 	Size       cell.Size
 }
 
-// SetMachines replaces the workers that this host should lead.
-func (l *Lead) SetMachines(all []Machine) {
+// SetLedMachines replaces the workers that this host should lead.
+func (l *Leader) SetLedMachines(all []Machine) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	names := make([]string, 0, len(all))
@@ -24,13 +24,13 @@
 		l.know(m)
 		names = append(names, m.Name)
 	}
-	l.lease(lease.Lead{Workers: names})
+	l.lease(lease.Wanted{Workers: names})
 }
 
-// Know tells where all workers of the failure domain are, led here or not. A job
+// UpdateMachines tells where all workers of the failure domain are, led here or not. A job
 // that was handed over may have tasks on another host's workers; without their
 // addresses a stop could never be sent, and a cancelled job would stay unknown.
-func (l *Lead) Know(all []Machine) {
+func (l *Leader) UpdateMachines(all []Machine) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, m := range all {
@@ -40,7 +40,7 @@
 
 // know takes what the host list says of a worker now. Its size counts at once if it is led here;
 // one that cannot be is no room.
-func (l *Lead) know(m Machine) {
+func (l *Leader) know(m Machine) {
 	before, known := l.machines[m.Name]
 	listed := m.Size
 	if !(cell.Size{}).Fits(listed) || !listed.Fits(cell.Largest) {
@@ -57,5 +57,5 @@
 		return
 	}
 	l.Log.Info("lead: worker resized.", "worker", m.Name, "size", m.Size, "before", before.Size)
-	l.place(place.Sized{Worker: m.Name, Size: m.Size})
+	l.place(place.WorkerResized{Worker: m.Name, Size: m.Size})
 }
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -18,18 +18,18 @@
 
 // place steps the placement core and carries out its actions. A Put that no
 // longer holds is passed over: an action before it may have changed the room.
-func (l *Lead) place(ev place.Event) {
+func (l *Leader) place(ev place.Event) {
 	for _, a := range l.Placer.Step(l.Clock(), ev) {
 		switch a := a.(type) {
-		case place.Put:
-			if l.Placer.Holds(a.Task, a.Worker) {
+		case place.Assign:
+			if l.Placer.IsAssigned(a.Task, a.Worker) {
 				l.job(job.Placed{Task: a.Task, Worker: a.Worker})
 			}
 		case place.Preempt:
 			l.preempt(a)
 		case place.Throttle:
 			l.spawn(func(ctx context.Context) { l.throttle(ctx, a) })
-		case place.Aside:
+		case place.Quarantined:
 			l.Count("lead.aside")
 			l.Log.Warn("lead: worker fails what others run and is set aside.", "worker", a.Worker)
 		case place.Restored:
@@ -39,10 +39,10 @@
 	}
 }
 
-func (l *Lead) preempt(a place.Preempt) {
+func (l *Leader) preempt(a place.Preempt) {
 	l.Count("lead.preempted")
-	l.Log.Info("lead: task is stopped for others.", "task", a.Task, "worker", a.Worker, "why", a.Why)
-	l.note(jobOf(a.Task), "stop of "+a.Task+" on "+a.Worker+": "+a.Why)
+	l.Log.Info("lead: task is stopped for others.", "task", a.Task, "worker", a.Worker, "why", a.Reason)
+	l.note(jobOf(a.Task), "stop of "+a.Task+" on "+a.Worker+": "+a.Reason)
 	l.job(job.Preempt{Task: a.Task})
 }
 
@@ -56,7 +56,7 @@
 	return task
 }
 
-func (l *Lead) throttle(ctx context.Context, a place.Throttle) {
+func (l *Leader) throttle(ctx context.Context, a place.Throttle) {
 	l.Count("lead.throttled")
 	l.Log.Warn("lead: task uses more than its worker has and is throttled.", "task", a.Task, "worker", a.Worker, "share", a.Share)
 	if err := l.Workers.Throttle(ctx, l.address(a.Worker), a.Task, a.Share); err != nil {
@@ -64,7 +64,7 @@
 	}
 }
 
-func (l *Lead) result(a job.Result) {
+func (l *Leader) result(a job.Result) {
 	l.Estimates.Drop(a.Task)
 	if spec, ok := l.Jobs.Spec(a.Task); ok && !a.Failed {
 		l.Estimates.Ran(a.Row, spec.Time.Duration, a.Run)
@@ -76,13 +76,13 @@
 	l.place(place.Result{Worker: a.Worker, Row: a.Row, Failed: a.Failed})
 }
 
-func (l *Lead) want(a job.RequestPlacement) {
+func (l *Leader) want(a job.RequestPlacement) {
 	row, _ := l.Row(a.Spec.Row)
 	w := l.wantOf(a.Spec, a.Tasks)
 	w.Rule = l.ruleNow(row)
-	w.Since, w.Avoid, w.Failed, w.Back = a.Since, a.Avoid, a.LastFailure, a.AvoidUntil
+	w.Since, w.Avoid, w.LastFailed, w.AvoidUntil = a.Since, a.Avoid, a.LastFailure, a.AvoidUntil
 	w.Declared = w.Size
-	w.Size, w.Time = l.corrected(w), l.Estimates.Time(w.Row, w.Time)
+	w.Size, w.RunTime = l.corrected(w), l.Estimates.Time(w.Row, w.RunTime)
 	if a.Exclusive {
 		w.Size = l.apart(w)
 	}
@@ -90,28 +90,28 @@
 }
 
 // wantOf is a job's need as it was declared.
-func (l *Lead) wantOf(s job.Spec, tasks []string) place.Want {
+func (l *Leader) wantOf(s job.Spec, tasks []string) place.Request {
 	row, _ := l.Row(s.Row)
-	return place.Want{
+	return place.Request{
 		Job: s.ID, Row: s.Row, Team: row.Team, Class: s.Class, Size: s.Size, Tasks: tasks, Gang: s.Gang,
-		Spread: row.Kind == table.Service, Time: s.Time.Duration, Rule: l.rule(row),
+		Spread: row.Kind == table.Service, RunTime: s.Time.Duration, Rule: l.rule(row),
 	}
 }
 
 // corrected is the size to pack by. Where the declared size could run and the
 // corrected one never can, the declared one is kept: the job would otherwise
 // wait for ever for a guess.
-func (l *Lead) corrected(w place.Want) cell.Size {
+func (l *Leader) corrected(w place.Request) cell.Size {
 	declared := w.Size
 	w.Size = l.Estimates.Size(w.Row, declared)
-	if l.Placer.Never(w) != nil {
+	if l.Placer.CheckFeasible(w) != nil {
 		return declared
 	}
 	return w.Size
 }
 
 // rule is what the table says of a row in this failure domain.
-func (l *Lead) rule(row table.Row) place.Rule {
+func (l *Leader) rule(row table.Row) place.Rule {
 	r := place.Rule{Weight: row.Weight, Limit: row.Limits.Room, MaxTasks: row.Limits.Tasks}
 	if l.Shares != nil {
 		own, team := l.Shares(row)
@@ -122,7 +122,7 @@
 }
 
 // ruleNow is what of it may be started here now.
-func (l *Lead) ruleNow(row table.Row) place.Rule {
+func (l *Leader) ruleNow(row table.Row) place.Rule {
 	r := l.rule(row)
 	if !l.mayStart(row) {
 		r.MaxTasks = -1
@@ -151,7 +151,7 @@
 const ruleEvery = time.Second
 
 // reread applies edits of the table to work that waits already.
-func (l *Lead) reread() {
+func (l *Leader) reread() {
 	if l.Clock().Sub(l.ruled) < ruleEvery {
 		return
 	}
@@ -160,32 +160,32 @@
 		row, _ := l.Row(name)
 		if r := l.ruleNow(row); l.rules[name] != r {
 			l.rules[name] = r
-			l.place(place.Ruled{Row: name, Rule: r})
+			l.place(place.RuleChanged{Row: name, Rule: r})
 		}
 	}
 }
 
 // retell applies what may be started here now to all work that waits.
-func (l *Lead) retell() {
+func (l *Leader) retell() {
 	for _, name := range l.Placer.Rows() {
 		row, _ := l.Row(name)
 		l.rules[name] = l.ruleNow(row)
-		l.place(place.Ruled{Row: name, Rule: l.rules[name]})
+		l.place(place.RuleChanged{Row: name, Rule: l.rules[name]})
 	}
 }
 
-func (l *Lead) never(spec job.Spec) error {
+func (l *Leader) never(spec job.Spec) error {
 	w := l.wantOf(spec, make([]string, spec.Tasks))
-	var never *place.NeverError
-	if errors.As(l.Placer.Never(w), &never) {
+	var never *place.InfeasibleError
+	if errors.As(l.Placer.CheckFeasible(w), &never) {
 		l.Count("lead.never")
-		return &NeverError{Reason: never.Error()}
+		return &UnschedulableError{Reason: never.Error()}
 	}
 	return nil
 }
 
 // used books what a worker's list says that its tasks use.
-func (l *Lead) used(tasks []lease.Task) {
+func (l *Leader) used(tasks []lease.Task) {
 	for _, t := range tasks {
 		if t.State != "running" {
 			l.Estimates.Drop(t.ID)
@@ -200,7 +200,7 @@
 			continue
 		}
 		if room, ok := l.Estimates.Seen(t.ID, t.Row, spec.Size, t.Use); ok {
-			l.place(place.Resized{Task: t.ID, Size: room, Use: t.Use})
+			l.place(place.TaskResized{Task: t.ID, Size: room, Use: t.Use})
 		}
 	}
 }
@@ -218,20 +218,20 @@
 
 // grown books a task of a job that is not led here, of which nobody knows what
 // was declared: its room never shrinks.
-func (l *Lead) grown(t lease.Task) {
-	if room, ok := l.Placer.Room(t.ID); ok && t.Use != (cell.Size{}) {
+func (l *Leader) grown(t lease.Task) {
+	if room, ok := l.Placer.AllocatedSize(t.ID); ok && t.Use != (cell.Size{}) {
 		size := cell.Size{CPU: max(room.CPU, t.Use.CPU), Mem: max(room.Mem, t.Use.Mem), Accel: room.Accel}
-		l.place(place.Resized{Task: t.ID, Size: size, Use: t.Use})
+		l.place(place.TaskResized{Task: t.ID, Size: size, Use: t.Use})
 	}
 }
 
 // Explain tells why a job waits, where it was tried and what was refused.
-func (l *Lead) Explain(id string) []trail.Note {
+func (l *Leader) Explain(id string) []trail.Note {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	notes := l.Trail.Of(id)
+	notes := l.History.Of(id)
 	for _, task := range l.Jobs.WaitingTasks(id) {
-		if why, ok := l.Placer.Why(task); ok {
+		if why, ok := l.Placer.ExplainWait(task); ok {
 			notes = append(notes, trail.Note{At: l.Clock(), ID: id, Part: "place", What: why})
 			notes = append(notes, l.whyPutOff(id, task)...)
 			break
@@ -240,14 +240,14 @@
 	if l.Jobs.AwaitsInventory(id) {
 		notes = append(notes, trail.Note{At: l.Clock(), ID: id, Part: "lead", What: "waits for its census: " + l.Takeover.Missing(l.Clock(), id)})
 	}
-	if aside := l.Placer.Asides(); len(notes) > 0 && len(aside) > 0 {
+	if aside := l.Placer.QuarantinedWorkers(); len(notes) > 0 && len(aside) > 0 {
 		notes = append(notes, trail.Note{At: l.Clock(), ID: id, Part: "place", What: fmt.Sprintf("workers set aside: %v", aside)})
 	}
 	return notes
 }
 
 // whyPutOff tells that a waiting task's row is counted by another host.
-func (l *Lead) whyPutOff(id, task string) []trail.Note {
+func (l *Leader) whyPutOff(id, task string) []trail.Note {
 	spec, _ := l.Jobs.Spec(task)
 	row, _ := l.Row(spec.Row)
 	if l.mayStart(row) {
--- a/internal/lead/rack.go
+++ b/internal/lead/rack.go
@@ -27,17 +27,17 @@
 
 // rackLost tells whether a worker began a new life together with all of its rack, which is no
 // fault of the tasks that ran there. With wait set that is not known yet.
-func (l *Lead) rackLost(name string, r lease.Reading) (lost, wait bool) {
+func (l *Leader) rackLost(name string, r lease.Reading) (lost, wait bool) {
 	now := l.Clock()
 	w := l.lives[name]
 	switch {
-	case r.Life == "":
+	case r.Incarnation == "":
 		return false, false
 	case w == nil:
-		w = &life{name: r.Life}
+		w = &life{name: r.Incarnation}
 		l.lives[name] = w
-	case w.name != r.Life:
-		*w = life{name: r.Life, since: now, open: true}
+	case w.name != r.Incarnation:
+		*w = life{name: r.Incarnation, since: now, open: true}
 	}
 	if !w.open {
 		l.lookAtOpen(name)
@@ -51,9 +51,9 @@
 		return false, false
 	case silent && now.Sub(w.since) < rackWait:
 		for _, mate := range mates {
-			l.lease(lease.Look{Worker: mate, After: lookAgain})
+			l.lease(lease.Poll{Worker: mate, After: lookAgain})
 		}
-		l.lease(lease.Look{Worker: name, After: rackLook})
+		l.lease(lease.Poll{Worker: name, After: rackLook})
 		return false, true
 	}
 	w.open, w.lost = false, true
@@ -62,7 +62,7 @@
 }
 
 // mates are the workers of a worker's rack that are held here or were a short while ago.
-func (l *Lead) mates(name string) []string {
+func (l *Leader) mates(name string) []string {
 	held := l.Leases.Held()
 	var mates []string
 	for _, other := range slices.Sorted(maps.Keys(l.machines)) {
@@ -79,13 +79,13 @@
 
 // signs tells whether some worker has gone on with its life since then, and whether some has given
 // no sign.
-func (l *Lead) signs(mates []string, since time.Time) (alive, silent bool) {
+func (l *Leader) signs(mates []string, since time.Time) (alive, silent bool) {
 	for _, mate := range mates {
-		r, held := l.Leases.Last(mate)
+		r, held := l.Leases.LastReading(mate)
 		w := l.lives[mate]
 		switch {
 		case w != nil && !w.since.IsZero() && since.Sub(w.since) < rackApart:
-		case held && r.Sent.After(since) && (w == nil || w.name == r.Life):
+		case held && r.Sent.After(since) && (w == nil || w.name == r.Incarnation):
 			alive = true
 		default:
 			silent = true
@@ -95,10 +95,10 @@
 }
 
 // lookAtOpen reads the workers again whose lists wait for a sign of the rack.
-func (l *Lead) lookAtOpen(mate string) {
+func (l *Leader) lookAtOpen(mate string) {
 	for _, name := range slices.Sorted(maps.Keys(l.lives)) {
 		if l.lives[name].open && l.machines[name].Rack == l.machines[mate].Rack {
-			l.lease(lease.Look{Worker: name, After: lookAgain})
+			l.lease(lease.Poll{Worker: name, After: lookAgain})
 		}
 	}
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -60,7 +60,7 @@
 func (l *Leases) Step(now time.Time, ev Event) []Action {
 	var acts []Action
 	switch ev := ev.(type) {
-	case Lead:
+	case Wanted:
 		acts = l.lead(now, ev.Workers)
 	case Granted:
 		acts = l.granted(now, ev)
@@ -68,21 +68,21 @@
 		acts = l.renewed(now, ev)
 	case Refused:
 		acts = l.refused(now, ev)
-	case Lost:
+	case Unanswered:
 		l.lost(now, ev.Worker)
-	case Known:
+	case DomainWorkers:
 		l.know(now, ev.Workers)
-	case Met:
+	case IncarnationLearned:
 		l.met(now, ev)
-	case Vouched:
+	case IncarnationConfirmed:
 		l.vouched(now, ev)
-	case Sent:
+	case StartSent:
 		l.sent(ev)
-	case Answered:
+	case StartAnswered:
 		l.answered(now, ev)
-	case Look:
+	case Poll:
 		l.look(now, ev)
-	case Release:
+	case ReleaseAll:
 		acts = l.lead(now, nil)
 	case Tick:
 	}
@@ -131,9 +131,9 @@
 	case !w.want:
 		return nil
 	case w.up:
-		return []Action{Seen{Worker: name, Reading: w.whole()}}
+		return []Action{Updated{Worker: name, Reading: w.whole()}}
 	case len(w.flying) > 0 || w.risk.After(now) || !w.reading.Sent.After(w.started):
-		w.next = now.Add(l.limits.Retry)
+		w.next = now.Add(l.limits.RetryInterval)
 		return nil
 	case !w.reading.Sent.After(w.former):
 		return w.wait(name)
@@ -152,15 +152,15 @@
 // read takes over an answer. The lease is counted from when the question was
 // sent: the worker may have begun to count as early as that.
 func (w *worker) read(now time.Time, r Reading) {
-	w.until = r.Sent.Add(r.Left - r.Left/drift)
-	w.over = now.Add(r.Left)
-	if r.Whole {
+	w.until = r.Sent.Add(r.Remaining - r.Remaining/drift)
+	w.over = now.Add(r.Remaining)
+	if r.Full {
 		w.tasks = map[string]Task{}
 	}
 	for _, t := range r.Tasks {
 		w.tasks[t.ID] = t
 	}
-	for _, id := range r.Gone {
+	for _, id := range r.Removed {
 		delete(w.tasks, id)
 	}
 	w.reading = r
@@ -182,8 +182,8 @@
 	if !ok || !w.move("granted") {
 		return nil
 	}
-	l.tellLife(now, w, ev.Life)
-	ev.Whole = true
+	l.tellLife(now, w, ev.Incarnation)
+	ev.Full = true
 	w.read(now, ev.Reading)
 	if !w.until.After(now) {
 		// The grant arrived after it had lapsed: a paused host would start
@@ -208,15 +208,15 @@
 	if !ok || w.state != "held" || !ev.Sent.After(w.reading.Sent) {
 		return nil
 	}
-	if ev.Life != w.reading.Life {
-		l.tellLife(now, w, ev.Life)
+	if ev.Incarnation != w.reading.Incarnation {
+		l.tellLife(now, w, ev.Incarnation)
 		w.move("lapse")
 		w.next = now
 		return w.down(ev.Worker)
 	}
 	w.read(now, ev.Reading)
 	w.next = now.Add(l.every())
-	w.watch(now, l.limits.Retry)
+	w.watch(now, l.limits.RetryInterval)
 	return l.show(now, ev.Worker, w)
 }
 
@@ -225,16 +225,16 @@
 	if !ok {
 		return nil
 	}
-	w.next = now.Add(max(l.limits.Retry, ev.Left))
+	w.next = now.Add(max(l.limits.RetryInterval, ev.Remaining))
 	if w.state == "held" {
 		if !ev.Sent.After(w.reading.Sent) {
 			return nil
 		}
-		l.tellLife(now, w, ev.Life)
+		l.tellLife(now, w, ev.Incarnation)
 		w.move("lapse")
 		return w.down(ev.Worker)
 	}
-	l.tellLife(now, w, ev.Life)
+	l.tellLife(now, w, ev.Incarnation)
 	w.move("refused")
 	return nil
 }
@@ -244,19 +244,19 @@
 	if !ok {
 		return
 	}
-	w.next = now.Add(l.limits.Retry)
+	w.next = now.Add(l.limits.RetryInterval)
 	if w.state == "taking" {
 		w.move("lost")
 	}
 }
 
-func (l *Leases) sent(ev Sent) {
+func (l *Leases) sent(ev StartSent) {
 	if w, ok := l.workers[ev.Worker]; ok {
 		w.flying[ev.Task]++
 	}
 }
 
-func (l *Leases) answered(now time.Time, ev Answered) {
+func (l *Leases) answered(now time.Time, ev StartAnswered) {
 	w, ok := l.workers[ev.Worker]
 	if !ok {
 		return
@@ -268,12 +268,12 @@
 	if !w.up {
 		w.next = now
 	}
-	if !ev.Sure && w.over.After(w.risk) {
+	if !ev.OutcomeKnown && w.over.After(w.risk) {
 		w.risk = w.over
 	}
-	if ev.Sure && ev.Run > 0 && w.looks != nil {
-		w.looks[ev.Task] = now.Add(ev.Run)
-		w.watch(now, l.limits.Retry)
+	if ev.OutcomeKnown && ev.RunTime > 0 && w.looks != nil {
+		w.looks[ev.Task] = now.Add(ev.RunTime)
+		w.watch(now, l.limits.RetryInterval)
 	}
 }
 
@@ -298,7 +298,7 @@
 // look is how long after its expected end a task is looked for.
 const look = 20 * time.Millisecond
 
-func (l *Leases) look(now time.Time, ev Look) {
+func (l *Leases) look(now time.Time, ev Poll) {
 	if w, ok := l.workers[ev.Worker]; ok && now.Add(ev.After).Before(w.next) {
 		w.next = now.Add(ev.After)
 	}
@@ -324,16 +324,16 @@
 		return w.down(name)
 	case !w.want && w.known && !w.meet.After(now):
 		w.meet = now.Add(meetAgain)
-		return []Action{Meet{Worker: name}}
+		return []Action{AskIncarnation{Worker: name}}
 	case !w.want || w.next.After(now):
 		return nil
 	case w.state == "free":
 		w.move("take")
 		w.next = now.Add(l.limits.TTL)
-		return []Action{Take{Worker: name, TTL: l.limits.ttl(l.wanted())}}
+		return []Action{Acquire{Worker: name, TTL: l.limits.ttl(l.wanted())}}
 	case w.state == "held":
-		w.next = now.Add(l.limits.Retry)
-		return []Action{Renew{Worker: name, TTL: l.limits.ttl(l.wanted()), Long: l.limits.Long, Since: w.reading.Mark}}
+		w.next = now.Add(l.limits.RetryInterval)
+		return []Action{Renew{Worker: name, TTL: l.limits.ttl(l.wanted()), TaskTTL: l.limits.TaskTTL, Since: w.reading.Cursor}}
 	}
 	return nil
 }
@@ -346,7 +346,7 @@
 		return nil
 	}
 	w.move("give")
-	return []Action{Give{Worker: name, Lease: w.reading.Lease}}
+	return []Action{Release{Worker: name, Lease: w.reading.Lease}}
 }
 
 func (l *Leases) wanted() int {
@@ -368,7 +368,7 @@
 	if !ok || !w.up || w.state != "held" || !l.fresh(w).After(now) {
 		return time.Time{}, false
 	}
-	left := min(w.reading.Left, l.limits.start())
+	left := min(w.reading.Remaining, l.limits.start())
 	return w.reading.Clock.Add(left - left/drift), true
 }
 
@@ -389,7 +389,7 @@
 		return time.Time{}, false
 	}
 	w := l.workers[name]
-	passed := now.Sub(w.over.Add(-w.reading.Left))
+	passed := now.Sub(w.over.Add(-w.reading.Remaining))
 	clock := w.reading.Clock.Add(passed - passed/drift)
 	if end := clock.Add(l.workers[other].until.Sub(now)); end.Before(deadline) {
 		deadline = end
@@ -401,8 +401,8 @@
 // it to the long one.
 func (l *Leases) TTL() time.Duration { return l.limits.ttl(l.wanted()) }
 
-// Longest is how long any task may go on without its holder.
-func (l *Leases) Longest() time.Duration { return l.limits.Long }
+// TaskTTL is how long any task may go on without its holder.
+func (l *Leases) TaskTTL() time.Duration { return l.limits.TaskTTL }
 
 // Held lists the workers that this host leads, in order of name.
 func (l *Leases) Held() []string {
@@ -415,9 +415,9 @@
 	return held
 }
 
-// Last returns the last answer of a held worker with all its tasks; false if
+// LastReading returns the last answer of a held worker with all its tasks; false if
 // the worker is not held.
-func (l *Leases) Last(name string) (Reading, bool) {
+func (l *Leases) LastReading(name string) (Reading, bool) {
 	w, ok := l.workers[name]
 	if !ok || w.state != "held" {
 		return Reading{}, false
--- a/internal/lease/life.go
+++ b/internal/lease/life.go
@@ -39,7 +39,7 @@
 		return nil
 	}
 	w.waits = w.life
-	return []Action{Waits{Worker: name, Life: w.life, Until: at}}
+	return []Action{AwaitStarts{Worker: name, Life: w.life, Until: at}}
 }
 
 func (l *Leases) know(now time.Time, names []string) {
@@ -53,7 +53,7 @@
 	}
 }
 
-func (l *Leases) met(now time.Time, ev Met) {
+func (l *Leases) met(now time.Time, ev IncarnationLearned) {
 	if w, ok := l.workers[ev.Worker]; ok && ev.Life != "" {
 		w.meet = now.Add(meetEvery)
 		l.tellLife(now, w, ev.Life)
@@ -61,7 +61,7 @@
 }
 
 // vouched takes a peer's word that it waited for the starts of a worker's former lives.
-func (l *Leases) vouched(now time.Time, ev Vouched) {
+func (l *Leases) vouched(now time.Time, ev IncarnationConfirmed) {
 	w, ok := l.workers[ev.Worker]
 	if !ok || ev.Life == "" || w.life != "" && w.life != ev.Life {
 		return
@@ -72,8 +72,8 @@
 	w.life, w.former = ev.Life, time.Time{}
 }
 
-// Settled holds by worker the life in which no start to an earlier one is under way any more.
-func (l *Leases) Settled(now time.Time) map[string]string {
+// ConfirmedIncarnations holds by worker the life in which no start to an earlier one is under way any more.
+func (l *Leases) ConfirmedIncarnations(now time.Time) map[string]string {
 	all := map[string]string{}
 	for name, w := range l.workers {
 		if w.life != "" && !w.former.After(now) {
@@ -83,8 +83,8 @@
 	return all
 }
 
-// Unsettled tells whether starts to an earlier life of a wanted worker may be under way.
-func (l *Leases) Unsettled(now time.Time) bool {
+// HasUnconfirmed tells whether starts to an earlier life of a wanted worker may be under way.
+func (l *Leases) HasUnconfirmed(now time.Time) bool {
 	for _, w := range l.workers {
 		if w.want && w.former.After(now) {
 			return true
--- a/internal/lease/life_test.go
+++ b/internal/lease/life_test.go
@@ -11,22 +11,22 @@
 )
 
 func inLife(sent time.Time, life string, left time.Duration) lease.Reading {
-	return lease.Reading{Sent: sent, Clock: sent, Left: left, Lease: "7", Life: life}
+	return lease.Reading{Sent: sent, Clock: sent, Remaining: left, Lease: "7", Incarnation: life}
 }
 
 // holdIn has a worker led in a life that was met a while ago.
 func holdIn(t *testing.T, l *lease.Leases, life string, left time.Duration) {
 	t.Helper()
-	l.Step(start.Add(-time.Minute), lease.Known{Workers: []string{"w1"}})
-	l.Step(start.Add(-time.Minute), lease.Met{Worker: "w1", Life: life})
-	l.Step(start, lease.Lead{Workers: []string{"w1"}})
+	l.Step(start.Add(-time.Minute), lease.DomainWorkers{Workers: []string{"w1"}})
+	l.Step(start.Add(-time.Minute), lease.IncarnationLearned{Worker: "w1", Life: life})
+	l.Step(start, lease.Wanted{Workers: []string{"w1"}})
 	acts := l.Step(start, lease.Granted{Worker: "w1", Reading: inLife(start, life, left)})
 	require.Len(t, kinds[lease.Up](acts), 1)
 }
 
 // grant takes a worker in a life at a time and tells whether it is led then.
 func grant(l *lease.Leases, at time.Time, life string) bool {
-	l.Step(at, lease.Lead{Workers: []string{"w1"}})
+	l.Step(at, lease.Wanted{Workers: []string{"w1"}})
 	return len(kinds[lease.Up](l.Step(at, lease.Granted{Worker: "w1", Reading: inLife(at, life, 3*time.Second)}))) == 1
 }
 
@@ -34,7 +34,7 @@
 func TestWorkerInAnUnknownLifeIsWaitedFor(t *testing.T) {
 	l := lease.New(limits)
 	require.False(t, grant(l, start, "1"))
-	require.True(t, l.Unsettled(start))
+	require.True(t, l.HasUnconfirmed(start))
 	led := func(after time.Duration) bool {
 		at := start.Add(after)
 		return len(kinds[lease.Up](l.Step(at, lease.Renewed{Worker: "w1", Reading: inLife(at, "1", 3*time.Second)}))) == 1
@@ -42,7 +42,7 @@
 	require.False(t, led(time.Second))
 	require.False(t, led(4200*time.Millisecond))
 	require.True(t, led(4400*time.Millisecond))
-	require.Equal(t, map[string]string{"w1": "1"}, l.Settled(start.Add(5*time.Second)))
+	require.Equal(t, map[string]string{"w1": "1"}, l.ConfirmedIncarnations(start.Add(5*time.Second)))
 }
 
 // Guards against a worker that is idle after each crash: its holder has no other's starts to fear.
@@ -50,9 +50,9 @@
 	l := lease.New(limits)
 	holdIn(t, l, "1", 3*time.Second)
 	at := start.Add(time.Second)
-	acts := l.Step(at, lease.Refused{Worker: "w1", Sent: at, Life: "2"})
+	acts := l.Step(at, lease.Refused{Worker: "w1", Sent: at, Incarnation: "2"})
 	require.Len(t, kinds[lease.Down](acts), 1)
-	require.True(t, grant(l, at.Add(limits.Retry), "2"))
+	require.True(t, grant(l, at.Add(limits.RetryInterval), "2"))
 }
 
 // Guards against an empty worker that is taken for known: its former holder had lost it before the crash.
@@ -66,20 +66,20 @@
 // Guards against workers that are idle after each change of their holder.
 func TestLifeThatAPeerVouchesForIsNotWaitedFor(t *testing.T) {
 	l := lease.New(limits)
-	l.Step(start, lease.Vouched{Worker: "w1", Life: "1"})
-	l.Step(start, lease.Known{Workers: []string{"w1"}})
-	l.Step(start, lease.Vouched{Worker: "w1", Life: "1"})
+	l.Step(start, lease.IncarnationConfirmed{Worker: "w1", Life: "1"})
+	l.Step(start, lease.DomainWorkers{Workers: []string{"w1"}})
+	l.Step(start, lease.IncarnationConfirmed{Worker: "w1", Life: "1"})
 	require.True(t, grant(l, start, "1"))
 }
 
 // Guards against a peer's word about a life that has ended since.
 func TestWordAboutAFormerLifeDoesNotCount(t *testing.T) {
 	l := lease.New(limits)
-	l.Step(start, lease.Known{Workers: []string{"w1"}})
-	l.Step(start, lease.Vouched{Worker: "w1", Life: "1"})
+	l.Step(start, lease.DomainWorkers{Workers: []string{"w1"}})
+	l.Step(start, lease.IncarnationConfirmed{Worker: "w1", Life: "1"})
 	require.False(t, grant(l, start, "2"))
-	l.Step(start, lease.Vouched{Worker: "w1", Life: "1"})
-	require.True(t, l.Unsettled(start))
+	l.Step(start, lease.IncarnationConfirmed{Worker: "w1", Life: "1"})
+	require.True(t, l.HasUnconfirmed(start))
 }
 
 // Guards against a start that is sent on an old answer: another host that meets the worker in its
@@ -105,18 +105,20 @@
 	l := lease.New(limits)
 	holdIn(t, l, "1", 3*time.Second)
 	at := start.Add(time.Second)
-	l.Step(at, lease.Met{Worker: "w1", Life: "2"})
+	l.Step(at, lease.IncarnationLearned{Worker: "w1", Life: "2"})
 	acts := l.Step(at, lease.Renewed{Worker: "w1", Reading: inLife(at, "2", 3*time.Second)})
 	require.Len(t, kinds[lease.Down](acts), 1)
-	require.Len(t, kinds[lease.Take](acts), 1)
+	require.Len(t, kinds[lease.Acquire](acts), 1)
 }
 
 // Guards against workers of other hosts whose lives nobody here knows when their holder is lost.
 func TestWorkersOfOtherHostsAreMet(t *testing.T) {
 	l := lease.New(limits)
-	ask := func(after time.Duration) int { return len(kinds[lease.Meet](l.Step(start.Add(after), lease.Tick{}))) }
-	require.Len(t, kinds[lease.Meet](l.Step(start, lease.Known{Workers: []string{"w1", "w2"}})), 2)
-	l.Step(start, lease.Met{Worker: "w1", Life: "1"})
+	ask := func(after time.Duration) int {
+		return len(kinds[lease.AskIncarnation](l.Step(start.Add(after), lease.Tick{})))
+	}
+	require.Len(t, kinds[lease.AskIncarnation](l.Step(start, lease.DomainWorkers{Workers: []string{"w1", "w2"}})), 2)
+	l.Step(start, lease.IncarnationLearned{Worker: "w1", Life: "1"})
 	require.Equal(t, 1, ask(time.Second), "the other did not answer")
 	require.Equal(t, 1, ask(2*time.Second))
 	require.True(t, grant(l, start.Add(10*time.Second), "1"))
@@ -138,15 +140,15 @@
 			pending = append(pending, a)
 		}
 	}
-	step(start, lease.Known{Workers: names})
-	step(start, lease.Lead{Workers: names})
+	step(start, lease.DomainWorkers{Workers: names})
+	step(start, lease.Wanted{Workers: names})
 	for at := start; at.Before(start.Add(time.Minute)); at = at.Add(50 * time.Millisecond) {
 		step(at, lease.Tick{})
 		for len(pending) > 0 {
 			a := pending[0]
 			pending = pending[1:]
 			switch a := a.(type) {
-			case lease.Take:
+			case lease.Acquire:
 				step(at, lease.Granted{Worker: a.Worker, Reading: inLife(at, "1", a.TTL)})
 			case lease.Renew:
 				step(at, lease.Renewed{Worker: a.Worker, Reading: inLife(at, "1", a.TTL)})
--- a/internal/place/declared.go
+++ b/internal/place/declared.go
@@ -20,7 +20,7 @@
 }
 
 func (p *Placer) giveUpCorrection(s *shape) {
-	if s.blocked != NoRoom && s.blocked != TooFew {
+	if s.blocked != NoCapacity && s.blocked != GangTooLarge {
 		return
 	}
 	for _, e := range slices.Clone(s.entries) {
@@ -51,7 +51,7 @@
 func (p *Placer) besideLasting(w *worker, class cell.Class) cell.Size {
 	free := w.size
 	for _, r := range w.tasks {
-		if !r.ends.IsZero() && r.ends.Sub(p.now) > p.limits.Overdue[class] {
+		if !r.ends.IsZero() && r.ends.Sub(p.now) > p.limits.OverdueAfter[class] {
 			free = free.Sub(r.size)
 		}
 	}
@@ -60,7 +60,7 @@
 
 // resize queues an entry anew with its declared size.
 func (p *Placer) resize(e *entry) {
-	w := e.Want
+	w := e.Request
 	w.Size, w.Declared = e.Declared, cell.Size{}
 	w.Tasks = slices.DeleteFunc(slices.Clone(e.Tasks), func(task string) bool { return p.queue.tasks[task] != e })
 	for _, task := range w.Tasks {
--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -28,7 +28,7 @@
 	if e.Class == cell.Urgent && p.urgent.size.Share(p.whole) < p.limits.UrgentCap {
 		return true
 	}
-	return e.Time > 0 && !p.now.Add(e.Time).After(w.mark.from)
+	return e.RunTime > 0 && !p.now.Add(e.RunTime).After(w.mark.from)
 }
 
 func (p *Placer) keep(e *entry, w *worker, from time.Time) {
@@ -66,7 +66,7 @@
 // hold room while it waits for the rest, and two halves for ever.
 func (p *Placer) tryGang(e *entry) {
 	if p.holds(e) < int64(e.live) {
-		p.queue.block(e.shape, TooFew)
+		p.queue.block(e.shape, GangTooLarge)
 		return
 	}
 	var chosen []*worker
@@ -88,7 +88,7 @@
 		p.release(r.task)
 	}
 	if len(chosen) < e.live {
-		p.queue.block(e.shape, TooFew)
+		p.queue.block(e.shape, GangTooLarge)
 		return
 	}
 	for _, w := range chosen {
@@ -134,7 +134,7 @@
 		for _, l := range lanes {
 			for _, s := range l.shapes {
 				e := s.head()
-				limit := p.limits.Overdue[l.class]
+				limit := p.limits.OverdueAfter[l.class]
 				if e == nil || limit == 0 || s.blocked.limit() {
 					continue
 				}
--- a/internal/place/health_test.go
+++ b/internal/place/health_test.go
@@ -13,8 +13,8 @@
 	"pollencroft/internal/place"
 )
 
-func resized(task string, use cell.Size) place.Resized {
-	return place.Resized{Task: task, Size: use, Use: use}
+func resized(task string, use cell.Size) place.TaskResized {
+	return place.TaskResized{Task: task, Size: use, Use: use}
 }
 
 // results tells how tasks of a row ended, one on each of the workers.
@@ -44,18 +44,18 @@
 		results(p, at, "r", false, names(1, 8)...)
 	}
 	acts := results(p, at, "r", true, "w00", "w00", "w00")
-	require.Equal(t, []place.Action{place.Aside{Worker: "w00"}}, acts)
-	on := puts(p.Step(at, place.Want{Job: "j", Row: "r", Size: cores(4), Tasks: tasks("j", 8)}))
+	require.Equal(t, []place.Action{place.Quarantined{Worker: "w00"}}, acts)
+	on := puts(p.Step(at, place.Request{Job: "j", Row: "r", Size: cores(4), Tasks: tasks("j", 8)}))
 	require.Len(t, on, 7)
-	at = at.Add(place.DefaultLimits.Trial + time.Second)
+	at = at.Add(place.DefaultLimits.TrialInterval + time.Second)
 	trial := puts(p.Step(at, place.Tick{}))
 	require.Equal(t, map[string]string{"j.7": "w00"}, trial)
-	p.Step(at, place.Want{Job: "k", Row: "r", Size: cores(1), Tasks: tasks("k", 1)})
+	p.Step(at, place.Request{Job: "k", Row: "r", Size: cores(1), Tasks: tasks("k", 1)})
 	require.Empty(t, puts(p.Step(at, place.Freed{Task: "j.7"})), "one trial at a time")
 	results(p, at, "r", true, "w00")
-	at = at.Add(place.DefaultLimits.Trial + time.Second)
+	at = at.Add(place.DefaultLimits.TrialInterval + time.Second)
 	require.Empty(t, puts(p.Step(at, place.Tick{})), "a failed trial doubles the wait")
-	at = at.Add(place.DefaultLimits.Trial)
+	at = at.Add(place.DefaultLimits.TrialInterval)
 	require.Equal(t, map[string]string{"k.0": "w00"}, puts(p.Step(at, place.Tick{})))
 	results(p, at, "r", false, "w00")
 	require.Contains(t, results(p, at, "r", false, "w00"), place.Restored{Worker: "w00"})
@@ -70,14 +70,14 @@
 		acts = append(acts, results(p, now, "good", false, names(0, 8)...)...)
 		acts = append(acts, results(p, now, "bug", true, names(0, 8)...)...)
 	}
-	require.Empty(t, only[place.Aside](acts))
+	require.Empty(t, only[place.Quarantined](acts))
 }
 
 // A new row with a bug fails on one worker before any other has run it. When
 // it fails elsewhere too, the worker is pardoned.
 func TestWorkerIsPardonedWhenTheRowFailsElsewhere(t *testing.T) {
 	p := fleet(place.DefaultLimits, 8)
-	require.Len(t, only[place.Aside](results(p, now, "new", true, "w00", "w00", "w00", "w00")), 1)
+	require.Len(t, only[place.Quarantined](results(p, now, "new", true, "w00", "w00", "w00", "w00")), 1)
 	for range 4 {
 		results(p, now, "new", true, names(1, 8)...)
 	}
@@ -96,8 +96,8 @@
 	for range 5 {
 		acts = append(acts, results(p, now, "r", true, names(0, 5)...)...)
 	}
-	require.Len(t, only[place.Aside](acts), 2)
-	require.Equal(t, []string{"w00", "w01"}, p.Asides())
+	require.Len(t, only[place.Quarantined](acts), 2)
+	require.Equal(t, []string{"w00", "w01"}, p.QuarantinedWorkers())
 }
 
 // A task uses more than it asked for and its worker is overfull. Processors
@@ -105,8 +105,8 @@
 // least is checkpointed and stopped.
 func TestGrowthIsThrottledBeforeItIsStopped(t *testing.T) {
 	p := fleet(place.Limits{}, 1)
-	p.Step(now, place.Want{Job: "u", Row: "u", Class: cell.Urgent, Size: cores(2), Tasks: tasks("u", 1)})
-	p.Step(now, place.Want{Job: "b", Row: "b", Class: cell.Bulk, Size: cores(2), Tasks: tasks("b", 1)})
+	p.Step(now, place.Request{Job: "u", Row: "u", Class: cell.Urgent, Size: cores(2), Tasks: tasks("u", 1)})
+	p.Step(now, place.Request{Job: "b", Row: "b", Class: cell.Bulk, Size: cores(2), Tasks: tasks("b", 1)})
 	require.Empty(t, p.Step(now, resized("u.0", cores(2))))
 	acts := p.Step(now, resized("b.0", cell.Size{CPU: 3000, Mem: 2 * gib}))
 	require.Empty(t, only[place.Preempt](acts))
@@ -122,20 +122,20 @@
 // in force for them too, not only for jobs that come later.
 func TestEditOfALimitIsInForceForWaitingWork(t *testing.T) {
 	p := fleet(place.Limits{}, 1)
-	p.Step(now, place.Want{Job: "j", Row: "r", Size: cores(1), Tasks: tasks("j", 4), Rule: place.Rule{MaxTasks: 1}})
+	p.Step(now, place.Request{Job: "j", Row: "r", Size: cores(1), Tasks: tasks("j", 4), Rule: place.Rule{MaxTasks: 1}})
 	require.Equal(t, []string{"r"}, p.Rows())
-	require.Len(t, puts(p.Step(now, place.Ruled{Row: "r", Rule: place.Rule{MaxTasks: 3}})), 2)
-	require.Empty(t, puts(p.Step(now, place.Ruled{Row: "r", Rule: place.Rule{MaxTasks: -1}})), "none allowed")
+	require.Len(t, puts(p.Step(now, place.RuleChanged{Row: "r", Rule: place.Rule{MaxTasks: 3}})), 2)
+	require.Empty(t, puts(p.Step(now, place.RuleChanged{Row: "r", Rule: place.Rule{MaxTasks: -1}})), "none allowed")
 }
 
 // Ten thousand jobs are cancelled at once. Each costs the same however long
 // the queue is, and what is left is placed as before.
 func TestWaveOfCancellationsLeavesTheRest(t *testing.T) {
 	p := fleet(place.Limits{}, 1)
-	p.Step(now, place.Want{Job: "x", Row: "r", Size: cores(4), Tasks: tasks("x", 1)})
+	p.Step(now, place.Request{Job: "x", Row: "r", Size: cores(4), Tasks: tasks("x", 1)})
 	for i := range 10_000 {
 		job := fmt.Sprintf("j%d", i)
-		p.Step(now, place.Want{Job: job, Row: "r", Size: cores(int64(1 + i%4)), Tasks: tasks(job, 1)})
+		p.Step(now, place.Request{Job: job, Row: "r", Size: cores(int64(1 + i%4)), Tasks: tasks(job, 1)})
 	}
 	for i := range 9_999 {
 		require.Empty(t, p.Step(now, place.Freed{Task: fmt.Sprintf("j%d.0", i)}))
@@ -150,16 +150,16 @@
 // there is no other worker at all it is tried again where it is.
 func TestRetryWaitsForAWorkerThatItHasNotFailedOn(t *testing.T) {
 	whole := cell.Size{CPU: 4000, Mem: 1 << 30}
-	retry := place.Want{Job: "j", Row: "r", Size: whole, Tasks: []string{"a"}, Avoid: []string{"bad"}}
+	retry := place.Request{Job: "j", Row: "r", Size: whole, Tasks: []string{"a"}, Avoid: []string{"bad"}}
 	p := place.New(place.Limits{})
 	up(p, "bad")
 	p.Step(now, place.Up{Worker: "good", Rack: "r1", Size: whole, Used: []place.Used{{Task: "x", Row: "r", Size: whole}}})
 	require.Empty(t, p.Step(now, retry))
-	require.Equal(t, []place.Action{place.Put{Task: "a", Worker: "good"}}, p.Step(now, place.Freed{Task: "x"}))
+	require.Equal(t, []place.Action{place.Assign{Task: "a", Worker: "good"}}, p.Step(now, place.Freed{Task: "x"}))
 
 	p = place.New(place.Limits{})
 	up(p, "bad")
-	require.Equal(t, []place.Action{place.Put{Task: "a", Worker: "bad"}}, p.Step(now, retry))
+	require.Equal(t, []place.Action{place.Assign{Task: "a", Worker: "bad"}}, p.Step(now, retry))
 }
 
 // Tasks of a gang have failed on one worker, and all the others together are too small for the
@@ -172,7 +172,7 @@
 	}{"too few without it": {2, true}, "enough without it": {3, false}} {
 		t.Run(name, func(t *testing.T) {
 			p := fleet(place.DefaultLimits, tc.workers)
-			gang := place.Want{Job: "g", Row: "r", Size: cores(1), Tasks: tasks("g", 6), Gang: true, Avoid: []string{"w00"}}
+			gang := place.Request{Job: "g", Row: "r", Size: cores(1), Tasks: tasks("g", 6), Gang: true, Avoid: []string{"w00"}}
 			on := puts(p.Step(now, gang))
 			require.Len(t, on, 6)
 			require.Equal(t, tc.back, slices.Contains(slices.Collect(maps.Values(on)), "w00"))
@@ -183,34 +183,34 @@
 // The one worker that a gang cannot do without is set aside for its failures. The gang is its trial.
 func TestGangIsTheTrialOfAWorkerThatItCannotDoWithout(t *testing.T) {
 	l := place.DefaultLimits
-	l.Aside = 0.5
+	l.MaxQuarantined = 0.5
 	p := fleet(l, 2)
 	for range 3 {
 		results(p, now, "r", false, "w01")
 	}
-	require.Contains(t, results(p, now, "r", true, "w00", "w00", "w00"), place.Aside{Worker: "w00"})
-	gang := place.Want{Job: "g", Row: "r", Size: cores(1), Tasks: tasks("g", 6), Gang: true, Avoid: []string{"w00"}}
+	require.Contains(t, results(p, now, "r", true, "w00", "w00", "w00"), place.Quarantined{Worker: "w00"})
+	gang := place.Request{Job: "g", Row: "r", Size: cores(1), Tasks: tasks("g", 6), Gang: true, Avoid: []string{"w00"}}
 	require.Empty(t, puts(p.Step(now, gang)))
-	require.Len(t, puts(p.Step(now.Add(l.Trial+time.Second), place.Tick{})), 6)
+	require.Len(t, puts(p.Step(now.Add(l.TrialInterval+time.Second), place.Tick{})), 6)
 }
 
 // A worker was mended, and its trial is a task that lasts for hours. Nothing tells that the trial
 // went well, and the worker is let alone for ten minutes; whoever needs its room waits beside it.
 func TestATrialThatLastsDoesNotKeepAWorkerAside(t *testing.T) {
 	l := place.DefaultLimits
-	l.Aside = 0.5
+	l.MaxQuarantined = 0.5
 	p := fleet(l, 2)
 	for range 3 {
 		results(p, now, "r", false, "w01")
 	}
-	require.Contains(t, results(p, now, "r", true, "w00", "w00", "w00"), place.Aside{Worker: "w00"})
-	p.Step(now, place.Want{Job: "x", Row: "r", Size: cores(4), Tasks: tasks("x", 1)})
-	p.Step(now, place.Want{Job: "watch", Row: "r", Size: cores(1), Tasks: tasks("watch", 1)})
-	at := now.Add(l.Trial + time.Second)
+	require.Contains(t, results(p, now, "r", true, "w00", "w00", "w00"), place.Quarantined{Worker: "w00"})
+	p.Step(now, place.Request{Job: "x", Row: "r", Size: cores(4), Tasks: tasks("x", 1)})
+	p.Step(now, place.Request{Job: "watch", Row: "r", Size: cores(1), Tasks: tasks("watch", 1)})
+	at := now.Add(l.TrialInterval + time.Second)
 	require.Equal(t, map[string]string{"watch.0": "w00"}, puts(p.Step(at, place.Tick{})))
 	p.Step(at, place.Freed{Task: "x.0"})
-	gang := place.Want{Job: "g", Row: "r", Size: cores(1), Tasks: tasks("g", 6), Gang: true, Avoid: []string{"w00"}}
+	gang := place.Request{Job: "g", Row: "r", Size: cores(1), Tasks: tasks("g", 6), Gang: true, Avoid: []string{"w00"}}
 	require.Empty(t, puts(p.Step(at, gang)))
-	require.Empty(t, puts(p.Step(at.Add(l.Trial-time.Second), place.Tick{})), "one trial at a time")
-	require.Len(t, puts(p.Step(at.Add(2*l.Trial+time.Second), place.Tick{})), 6)
+	require.Empty(t, puts(p.Step(at.Add(l.TrialInterval-time.Second), place.Tick{})), "one trial at a time")
+	require.Len(t, puts(p.Step(at.Add(2*l.TrialInterval+time.Second), place.Tick{})), 6)
 }
--- a/internal/place/limits.go
+++ b/internal/place/limits.go
@@ -7,7 +7,7 @@
 )
 
 // allowed returns what forbids one more of the entry's tasks, or Ready.
-func (p *Placer) allowed(e *entry) Block {
+func (p *Placer) allowed(e *entry) BlockReason {
 	n := int64(1)
 	if e.Gang {
 		n = int64(e.live)
@@ -16,13 +16,13 @@
 	row, team := p.rows[e.Row], p.teams[e.Team]
 	switch {
 	case e.MaxTasks != 0 && row.tasks+n > e.MaxTasks:
-		return RowTasks
+		return RowTaskLimit
 	case overSize(row.size.Add(size), e.Limit) != "":
-		return RowRoom
+		return RowSizeLimit
 	case e.QuotaTasks != 0 && team.tasks+n > e.QuotaTasks, overSize(team.size.Add(size), e.Quota) != "":
-		return TeamRoom
+		return TeamQuota
 	case e.Class == cell.Bulk && !p.beyondReserve(size), p.crowdsOut(e, size):
-		return Reserved
+		return ReservedForUrgent
 	default:
 		return Ready
 	}
@@ -32,7 +32,7 @@
 // takes that much. Without it a night's bulk work would take the last room,
 // and an urgent task would have to wait for a stop.
 func (p *Placer) beyondReserve(size cell.Size) bool {
-	return p.free.Sub(size).Least(p.whole) >= p.limits.Reserve
+	return p.free.Sub(size).Least(p.whole) >= p.limits.UrgentReserve
 }
 
 // crowdsOut tells whether normal work would take what an overdue bulk job waits
@@ -76,20 +76,20 @@
 	return v * n
 }
 
-// NeverError tells that a job can never run and names the nearest limit, what
+// InfeasibleError tells that a job can never run and names the nearest limit, what
 // is needed of it and what there is.
-type NeverError struct {
-	Limit       string
-	Needed, Has int64
+type InfeasibleError struct {
+	Limit             string
+	Needed, Available int64
 }
 
-func (e *NeverError) Error() string {
-	return fmt.Sprintf("can never run: needs %d of %s, there is %d", e.Needed, e.Limit, e.Has)
+func (e *InfeasibleError) Error() string {
+	return fmt.Sprintf("can never run: needs %d of %s, there is %d", e.Needed, e.Limit, e.Available)
 }
 
-// Never returns a NeverError for a job that no end of other work could ever
+// CheckFeasible returns a NeverError for a job that no end of other work could ever
 // make room for, nil for one that can run or of which nothing is known yet.
-func (p *Placer) Never(w Want) error {
+func (p *Placer) CheckFeasible(w Request) error {
 	n := int64(len(w.Tasks))
 	if !w.Gang {
 		n = 1
@@ -99,7 +99,7 @@
 		has  int64
 	}{{"the row's tasks at a time", w.MaxTasks}, {"the team's tasks at a time", w.QuotaTasks}} {
 		if l.has != 0 && n > l.has {
-			return &NeverError{Limit: l.name, Needed: n, Has: max(l.has, 0)}
+			return &InfeasibleError{Limit: l.name, Needed: n, Available: max(l.has, 0)}
 		}
 	}
 	together := times(w.Size, n)
@@ -114,7 +114,7 @@
 	return p.neverFits(w, n)
 }
 
-func (p *Placer) neverFits(w Want, n int64) error {
+func (p *Placer) neverFits(w Request, n int64) error {
 	if len(p.workers) == 0 {
 		return nil
 	}
@@ -130,7 +130,7 @@
 		return never("the largest worker", part, w.Size, p.index.most)
 	}
 	if w.Gang && holds < n {
-		return &NeverError{Limit: "tasks that all workers hold at once", Needed: n, Has: holds}
+		return &InfeasibleError{Limit: "tasks that all workers hold at once", Needed: n, Available: holds}
 	}
 	return nil
 }
@@ -150,7 +150,7 @@
 func never(limit, part string, needed, has cell.Size) error {
 	parts := map[string][2]int64{"cpu": {needed.CPU, has.CPU}, "mem": {needed.Mem, has.Mem}, "accel": {needed.Accel, has.Accel}}
 	v := parts[part]
-	return &NeverError{Limit: part + " of " + limit, Needed: v[0], Has: v[1]}
+	return &InfeasibleError{Limit: part + " of " + limit, Needed: v[0], Available: v[1]}
 }
 
 // copies is how many tasks of that size go into room.
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -179,7 +179,7 @@
 	held := len(w.runs)
 	w.dead = true
 	b.takeover()
-	b.step(sched.FormerOver{})
+	b.step(sched.PredecessorStopped{})
 	before := total(b.starts)
 	b.play(8 * time.Second)
 	require.Equal(t, before, total(b.starts))
@@ -198,9 +198,9 @@
 	before := total(b.starts)
 	for range 3 {
 		b.play(2500 * time.Millisecond)
-		bounds := b.core.Bounds(b.now)
+		bounds := b.core.LeaseBounds(b.now)
 		b.takeover()
-		b.step(sched.FormerOver{Since: b.now, Bounds: bounds})
+		b.step(sched.PredecessorStopped{Since: b.now, LeaseBounds: bounds})
 	}
 	require.Equal(t, before, total(b.starts))
 	b.play(2500 * time.Millisecond)
@@ -272,7 +272,7 @@
 	b.play(time.Second)
 	leaving := b.workers["w00"]
 	require.NotEmpty(t, leaving.runs)
-	leaving.info.Draining, leaving.info.Left = true, 4*time.Second
+	leaving.info.Draining, leaving.info.Remaining = true, 4*time.Second
 	b.list()
 	b.play(time.Second)
 	require.Empty(t, leaving.runs)
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -24,7 +24,7 @@
 	fence     int64
 	deadline  time.Time
 	runs      map[flow.Name]*fakeRun
-	ends      []sched.End
+	ends      []sched.RunEnd
 	number    int64
 	void      int64
 	tombs     map[flow.Name]int
@@ -109,18 +109,18 @@
 
 func (w *fakeWorker) start(term int64, a sched.Start, sent int) {
 	answer := func(o sched.Outcome) {
-		w.reply(term, sched.Started{Task: a.Task, Run: a.Run, Worker: w.info.Life, Outcome: o})
+		w.reply(term, sched.StartReply{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: o})
 	}
 	if w.reborn && !w.silent {
-		answer(sched.OtherLife)
+		answer(sched.OtherIncarnation)
 		return
 	}
 	if w.silent || w.dead {
-		w.unanswered(term, sched.Started{Task: a.Task, Run: a.Run, Worker: w.info.Life, Outcome: sched.Unanswered})
+		w.unanswered(term, sched.StartReply{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: sched.Unanswered})
 		return
 	}
 	if late := w.lateStart; late > 0 {
-		w.unanswered(term, sched.Started{Task: a.Task, Run: a.Run, Worker: w.info.Life, Outcome: sched.Unanswered})
+		w.unanswered(term, sched.StartReply{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: sched.Unanswered})
 		w.b.after(late, func() {
 			if !w.dead {
 				w.begin(a, sent)
@@ -136,13 +136,13 @@
 	case a.Term < w.fence:
 		return sched.Fenced
 	case w.b.now.After(a.Deadline):
-		return sched.NotTaken
+		return sched.Rejected
 	case w.tombs[a.Task] >= a.Run:
-		return sched.NotTaken
+		return sched.Rejected
 	}
 	w.fence = a.Term
 	if r, ok := w.runs[a.Task]; ok && r.run == a.Run {
-		return sched.Taken
+		return sched.Accepted
 	}
 	w.b.check(w, a)
 	w.b.starts[a.Task]++
@@ -156,7 +156,7 @@
 		w.deadline = a.Deadline
 	}
 	if used, size := w.used(), w.sizeSince(sent); !used.Fits(size) {
-		w.b.wrong("%s is over its size: %+v of %+v", w.info.Life, used, size)
+		w.b.wrong("%s is over its size: %+v of %+v", w.info.Incarnation, used, size)
 	}
 	w.lapseLater()
 	if w.b.bad != nil && w.b.bad(a.Task) {
@@ -165,7 +165,7 @@
 	if !st.Lasts && !w.still {
 		w.b.after(r.ends.Sub(w.b.now), func() { w.finish(a.Task, r) })
 	}
-	return sched.Taken
+	return sched.Accepted
 }
 
 // check notes a start that must never happen.
@@ -181,7 +181,7 @@
 	}
 	for _, o := range b.workers {
 		if r, ok := o.runs[a.Task]; ok && !o.dead && o != w {
-			b.wrong("%s run %d on %s while run %d is on %s", a.Task, a.Run, w.info.Life, r.run, o.info.Life)
+			b.wrong("%s run %d on %s while run %d is on %s", a.Task, a.Run, w.info.Incarnation, r.run, o.info.Incarnation)
 		}
 	}
 }
@@ -231,7 +231,7 @@
 	delete(w.runs, n)
 	w.tombs[n] = max(w.tombs[n], r.run)
 	w.number++
-	w.ends = append(w.ends, sched.End{Number: w.number, Task: n, Run: r.run, How: how})
+	w.ends = append(w.ends, sched.RunEnd{Number: w.number, Task: n, Run: r.run, How: how})
 	w.wake()
 }
 
@@ -260,14 +260,14 @@
 
 func (w *fakeWorker) stop(term int64, a sched.Stop) {
 	if w.reborn && !w.silent {
-		w.reply(term, sched.Stopped{Task: a.Task, Run: a.Run, Worker: w.info.Life, Outcome: sched.OtherLife})
+		w.reply(term, sched.StopReply{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: sched.OtherIncarnation})
 		return
 	}
 	if w.silent || w.dead {
-		w.unanswered(term, sched.Stopped{Task: a.Task, Run: a.Run, Worker: w.info.Life, Outcome: sched.Unanswered})
+		w.unanswered(term, sched.StopReply{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: sched.Unanswered})
 		return
 	}
-	out := sched.Taken
+	out := sched.Accepted
 	if a.Term < w.fence {
 		out = sched.Fenced
 	} else {
@@ -281,16 +281,16 @@
 			})
 		}
 	}
-	w.reply(term, sched.Stopped{Task: a.Task, Run: a.Run, Worker: w.info.Life, Outcome: out})
+	w.reply(term, sched.StopReply{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: out})
 }
 
 func (w *fakeWorker) hold(term int64, a sched.Hold, sent time.Time) {
-	ev := sched.Held{Worker: w.info.Life, Look: a.Look, Seen: a.Seen, Sent: sent}
+	ev := sched.HoldReply{Worker: w.info.Incarnation, Probe: a.Probe, AckedEnd: a.AckedEnd, Sent: sent}
 	if w.denied(term, a, ev) {
 		return
 	}
 	w.fence = a.Term
-	for len(w.ends) > 0 && w.ends[0].Number <= a.Seen {
+	for len(w.ends) > 0 && w.ends[0].Number <= a.AckedEnd {
 		if w.ends[0].How == sched.EndDone && w.ends[0].Number > w.void {
 			w.b.done[w.ends[0].Task] = true
 		}
@@ -328,14 +328,14 @@
 }
 
 // denied tells whether a hold is not carried out, and answers it then.
-func (w *fakeWorker) denied(term int64, a sched.Hold, ev sched.Held) bool {
+func (w *fakeWorker) denied(term int64, a sched.Hold, ev sched.HoldReply) bool {
 	switch {
 	case w.silent || w.dead && !w.reborn:
 		ev.Outcome = sched.Unanswered
 		w.unanswered(term, ev)
 		return true
 	case w.reborn:
-		ev.Outcome = sched.OtherLife
+		ev.Outcome = sched.OtherIncarnation
 	case a.Term < w.fence:
 		ev.Outcome = sched.Fenced
 	default:
@@ -345,7 +345,7 @@
 	return true
 }
 
-func (w *fakeWorker) list(term int64, ev sched.Held) {
+func (w *fakeWorker) list(term int64, ev sched.HoldReply) {
 	if w.silent {
 		ev.Outcome = sched.Unanswered
 		w.unanswered(term, ev)
@@ -354,7 +354,7 @@
 	ev.Clock = w.b.now
 	for _, n := range slices.SortedFunc(maps.Keys(w.runs), func(x, y flow.Name) int { return strings.Compare(x.String(), y.String()) }) {
 		r := w.runs[n]
-		l := sched.Listed{Task: n, Run: r.run, Percent: 100}
+		l := sched.RunStatus{Task: n, Run: r.run, Percent: 100}
 		if !r.step.Lasts && r.step.Time > 0 && !w.still {
 			l.Percent = int(100 * w.b.now.Sub(r.began) / r.ends.Sub(r.began))
 		}
