--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -58,9 +58,9 @@
 // long. before is where its partitions ended when the question was put.
 func (h *Host) works(before <-chan ends) bool {
 	h.mu.Lock()
-	lead, mute, silence := h.lead, h.mute == h.lead, time.Duration(0)
-	if !h.leadAsked.IsZero() {
-		silence = h.now().Sub(h.leadAsked)
+	lead, mute, silence := h.leader, h.unresponsive == h.leader, time.Duration(0)
+	if !h.unansweredSince.IsZero() {
+		silence = h.now().Sub(h.unansweredSince)
 	}
 	h.mu.Unlock()
 	if !mute {
@@ -80,12 +80,12 @@
 	}
 	was := <-before
 	pause := settle - h.now().Sub(was.at)
-	for patience := h.changePatience(reach); wait(h.ctx, pause); pause = settle {
+	for patience := h.changePatience(reach); sleep(h.ctx, pause); pause = settle {
 		is := h.stateEnds()
 		if part := grown(was, is); part >= 0 {
 			switch by := h.writer(lead, h.stateParts()[part]); by {
 			case lead:
-				h.count("lead.slow")
+				h.incCounter("lead.slow")
 				h.log.Info("lead: is slow, and works.", "host", lead, "part", h.stateParts()[part], "from", was.part[part], "to", is.part[part], "unheard", silence)
 				return true
 			case h.cfg.Name:
@@ -128,10 +128,10 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
-	case h.lead != lead:
+	case h.leader != lead:
 		// It was announced meanwhile, or another one was.
 		return name
-	case name == h.former:
+	case name == h.previousLeader:
 		return ""
 	}
 	h.changeLead(name)
@@ -148,12 +148,12 @@
 // answersLate tells whether the lead has answered late just now.
 func (h *Host) answersLate(lead string) bool {
 	h.mu.Lock()
-	late := h.now().Sub(h.leadLate)
+	late := h.now().Sub(h.lastLateReply)
 	h.mu.Unlock()
 	if late >= lateFor {
 		return false
 	}
-	h.count("lead.slow")
+	h.incCounter("lead.slow")
 	h.log.Info("lead: is slow, and answers.", "host", lead, "ago", late)
 	return true
 }
@@ -168,8 +168,8 @@
 	if reach == peer.NoAnswer {
 		return patience
 	}
-	h.changes = h.lately()
-	for range h.changes {
+	h.leaderChanges = h.lately()
+	for range h.leaderChanges {
 		patience = min(morePatient*patience, mostPatience)
 	}
 	return patience
@@ -184,7 +184,7 @@
 		if err := h.peers.Ask(ctx, former, h.syncMessage(), new(peer.SyncReply)); err == nil {
 			return
 		}
-		if !wait(ctx, backAgain) {
+		if !sleep(ctx, backAgain) {
 			break
 		}
 	}
@@ -192,14 +192,14 @@
 		return
 	}
 	h.mu.Lock()
-	h.changes = slices.DeleteFunc(h.changes, func(c time.Time) bool { return c.Equal(at) })
+	h.leaderChanges = slices.DeleteFunc(h.leaderChanges, func(c time.Time) bool { return c.Equal(at) })
 	h.mu.Unlock()
 	h.log.Info("lead: change was right.", "host", former, "silent", h.now().Sub(at))
 }
 
 // lately are the changes of the lead that count still; mu is held. The caller keeps them as h.changes.
 func (h *Host) lately() []time.Time {
-	return slices.DeleteFunc(h.changes, func(at time.Time) bool { return h.now().Sub(at) > changesFor })
+	return slices.DeleteFunc(h.leaderChanges, func(at time.Time) bool { return h.now().Sub(at) > changesFor })
 }
 
 // grown is the first of the partitions that have grown, -1 if none has.
@@ -260,13 +260,13 @@
 func (h *Host) heardLead(name string, r peer.SyncReply, late bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if name != h.lead || !r.Lead && !r.Leading {
+	if name != h.leader || !r.Lead && !r.Leading {
 		// One that the store does not serve leads on, and is heard.
 		return
 	}
-	h.leadAsked = time.Time{}
+	h.unansweredSince = time.Time{}
 	if late {
-		h.leadLate = h.now()
+		h.lastLateReply = h.now()
 	}
 }
 
@@ -274,8 +274,8 @@
 func (h *Host) askedLead(name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if name == h.lead && h.leadAsked.IsZero() {
-		h.leadAsked = h.now()
+	if name == h.leader && h.unansweredSince.IsZero() {
+		h.unansweredSince = h.now()
 	}
 }
 
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -33,11 +33,11 @@
 
 // answer answers a peer.
 func (h *Host) answer(ctx context.Context, m peer.Message) (any, error) {
-	h.count("peer." + peer.Kind(m))
+	h.incCounter("peer." + peer.Kind(m))
 	switch m := m.(type) {
 	case peer.Hand:
 		h.mu.Lock()
-		t := h.leading
+		t := h.ownTerm
 		h.mu.Unlock()
 		if t != nil {
 			t.take(m.Part, m.First, m.Records)
@@ -82,7 +82,7 @@
 // has ended.
 func (h *Host) localState(id string) peer.StateReply {
 	h.mu.Lock()
-	t := h.leading
+	t := h.ownTerm
 	h.mu.Unlock()
 	if t == nil {
 		return peer.StateReply{}
@@ -93,7 +93,7 @@
 	began := h.now()
 	state, known, sure := t.state(id)
 	if took := h.now().Sub(began); took > lateState {
-		h.count("state.late")
+		h.incCounter("state.late")
 		h.log.Info("state: told late.", "id", id, "term", t.number, "waited", took)
 	}
 	return peer.StateReply{Lead: true, Known: known, Unsure: !sure, State: string(state)}
@@ -112,12 +112,12 @@
 // syncReply leaves out what only a lead that the store serves can vouch for.
 func (h *Host) syncReply(m peer.Sync) peer.SyncReply {
 	h.mu.Lock()
-	t := h.leading
+	t := h.ownTerm
 	hosts := make(map[string]string, len(h.hosts))
 	for n, a := range h.hosts {
 		hosts[n] = a.String()
 	}
-	claiming, leaving, successor, enough, follows := h.claiming, h.leaving, h.successor, h.enoughPower(), h.lead
+	claiming, leaving, successor, enough, follows := h.claiming, h.leaving, h.successor, h.enoughPower(), h.leader
 	h.mu.Unlock()
 	served := h.store.Fresh(leadFresh)
 	if t == nil || !served {
@@ -236,7 +236,7 @@
 
 func (h *Host) advised(a sched.QueryPolicy, good map[string]string, err error) sched.PolicyReply {
 	if err != nil {
-		h.count("advice.failed")
+		h.incCounter("advice.failed")
 		h.log.Warn("advice: no answer.", "step", a.Step, "host", a.Host, "err", err)
 	}
 	return sched.PolicyReply{Step: a.Step, Host: a.Host, Tickets: good, Failed: err != nil}
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -30,7 +30,7 @@
 		all, from, err := store.Table(h.ctx, h.store, topic, 0)
 		h.noteRead(topic, from, err)
 		if err != nil {
-			wait(h.ctx, followRetry)
+			sleep(h.ctx, followRetry)
 			continue
 		}
 		read(all)
@@ -42,12 +42,12 @@
 // host believes of it may be old by as much.
 func (h *Host) noteRead(topic string, from int64, err error) {
 	h.mu.Lock()
-	since, lost := h.unread[topic]
+	since, lost := h.failedSince[topic]
 	switch {
 	case err == nil:
-		delete(h.unread, topic)
+		delete(h.failedSince, topic)
 	case !lost:
-		h.unread[topic] = h.now()
+		h.failedSince[topic] = h.now()
 	}
 	h.mu.Unlock()
 	switch {
@@ -55,7 +55,7 @@
 	case err == nil && lost:
 		h.log.Info("follow: read again.", "topic", topic, "from", from, "after", h.now().Sub(since))
 	case err != nil:
-		h.count("follow.failed." + topic)
+		h.incCounter("follow.failed." + topic)
 		if !lost {
 			h.log.Warn("follow: cannot be read.", "topic", topic, "from", from, "err", err)
 		}
@@ -74,7 +74,7 @@
 		}
 		h.noteRead(topic, from, err)
 		if err != nil {
-			wait(h.ctx, followRetry)
+			sleep(h.ctx, followRetry)
 			continue
 		}
 		if len(a.Records) > 0 {
@@ -83,7 +83,7 @@
 		from += int64(len(a.Records))
 		if len(a.Records) == 0 {
 			// While the direct way is silent, reads do not wait for records.
-			wait(h.ctx, followPause-h.now().Sub(began))
+			sleep(h.ctx, followPause-h.now().Sub(began))
 		}
 	}
 }
@@ -115,7 +115,7 @@
 		return
 	}
 	h.table = t
-	lead := h.leading
+	lead := h.ownTerm
 	h.mu.Unlock()
 	metrics.GetOrRegisterGauge("table.version", h.metrics).Update(t.Version)
 	h.log.Info("table: in force.", "version", t.Version, "queues", len(t.Routes))
@@ -161,15 +161,15 @@
 		h.mu.Unlock()
 		return
 	}
-	if l.Name != h.cfg.Name || h.leading == nil {
-		h.former = l.Name
+	if l.Name != h.cfg.Name || h.ownTerm == nil {
+		h.previousLeader = l.Name
 	}
 	h.changeLead(l.Name)
 	h.term = l.Term
 	if _, ok := h.hosts[l.Name]; !ok && l.Addr.IsValid() {
 		h.hosts[l.Name] = l.Addr
 	}
-	t := h.leading
+	t := h.ownTerm
 	h.mu.Unlock()
 	if l.Name != h.cfg.Name && l.Addr.IsValid() {
 		h.peers.Set(l.Name, l.Addr)
@@ -187,16 +187,16 @@
 
 // changeLead has the host follow another lead; mu is held.
 func (h *Host) changeLead(name string) {
-	if h.lead != "" && h.lead != name {
+	if h.leader != "" && h.leader != name {
 		// Nobody had told of it: whoever claimed believed the lead to be gone.
-		at, former := h.now(), h.lead
-		h.changes = append(h.lately(), at)
+		at, former := h.now(), h.leader
+		h.leaderChanges = append(h.lately(), at)
 		if former != h.cfg.Name {
 			h.wg.Go(func() { h.reviewChange(at, former) })
 		}
 	}
-	h.lead, h.heir = name, ""
-	h.leadSince, h.leadAsked, h.leadLate = h.now(), time.Time{}, time.Time{}
+	h.leader, h.standby = name, ""
+	h.leaderSince, h.unansweredSince, h.lastLateReply = h.now(), time.Time{}, time.Time{}
 }
 
 // announceAgain is the pause before an announcement without an answer is repeated.
@@ -220,7 +220,7 @@
 				return
 			}
 			h.log.Warn("lead: announcement has no answer.", "term", t.number, "err", err)
-			if !wait(t.ctx, announceAgain) {
+			if !sleep(t.ctx, announceAgain) {
 				return
 			}
 		}
--- a/internal/entry/group.go
+++ b/internal/entry/group.go
@@ -45,7 +45,7 @@
 // memberName is how the group knows this life of the host: name, address, life,
 // power.
 func (h *Host) memberName() string {
-	return h.cfg.Name + " " + h.cfg.Listen.Peer.String() + " " + h.life() + " " + strconv.FormatFloat(h.cfg.Power, 'g', -1, 64)
+	return h.cfg.Name + " " + h.cfg.Listen.Peer.String() + " " + h.incarnation() + " " + strconv.FormatFloat(h.cfg.Power, 'g', -1, 64)
 }
 
 // parseMember reads a member's name; false if it is none of ours.
@@ -93,14 +93,14 @@
 func (h *Host) candidate() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.leading != nil || h.cfg.Power*stronger > h.enough || h.now().Sub(h.synced) > enoughFor
+	return h.ownTerm != nil || h.cfg.Power*stronger > h.strongPower || h.now().Sub(h.lastSync) > enoughFor
 }
 
 // enoughPower is the power of the weakest of the enoughHosts strongest hosts;
 // zero if there are fewer. mu is held.
 func (h *Host) enoughPower() float64 {
 	powers := []float64{h.cfg.Power}
-	for _, s := range h.seen {
+	for _, s := range h.peersSeen {
 		if h.now().Sub(s.at) < heardFor {
 			powers = append(powers, s.power)
 		}
@@ -137,7 +137,7 @@
 				h.wg.Go(h.should)
 			}
 		}
-		wait(h.ctx, joinEvery)
+		sleep(h.ctx, joinEvery)
 	}
 }
 
--- a/internal/entry/heir.go
+++ b/internal/entry/heir.go
@@ -30,7 +30,7 @@
 func (h *Host) peerLost(name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.leading == nil && !h.leaving && name == h.lead && h.heir == h.cfg.Name {
+	if h.ownTerm == nil && !h.leaving && name == h.leader && h.standby == h.cfg.Name {
 		h.wg.Go(func() { h.inherit(name) })
 	}
 }
@@ -42,7 +42,7 @@
 	ctx, cancel := context.WithTimeout(h.ctx, goneWait)
 	defer cancel()
 	for h.peers.Reach(ctx, lead) != peer.Refused {
-		if !wait(ctx, goneAgain) {
+		if !sleep(ctx, goneAgain) {
 			return false
 		}
 	}
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -30,75 +30,75 @@
 	cfg Settings
 	log *slog.Logger
 	now func() time.Time
-	// began is when this life of the host did; it names the life.
-	began   time.Time
-	store   *store.Routed
-	workers *platform.Workers
-	policy  *platform.Policy
-	peers   *peer.Clients
-	metrics metrics.Registry
-	inbox   *inbox
-	states  *states
-	ctx     context.Context
-	cancel  context.CancelFunc
-	wg      sync.WaitGroup
-	servers []*http.Server
+	// startedAt is when this life of the host did; it names the life.
+	startedAt time.Time
+	store     *store.Routed
+	workers   *platform.Workers
+	policy    *platform.Policy
+	peers     *peer.Clients
+	metrics   metrics.Registry
+	inbox     *inbox
+	states    *states
+	ctx       context.Context
+	cancel    context.CancelFunc
+	wg        sync.WaitGroup
+	servers   []*http.Server
 
 	mu    sync.Mutex
 	table *platform.Table
 	// hosts are the entry hosts by name; lead is the one that leads, in term.
-	hosts map[string]netip.AddrPort
-	lead  string
-	term  int64
-	// former is the host that led before, as far as is known. bounds are what it
+	hosts  map[string]netip.AddrPort
+	leader string
+	term   int64
+	// previousLeader is the host that led before, as far as is known. bounds are what it
 	// told at its stop, at boundsAt.
-	former   string
-	bounds   map[string]time.Duration
-	boundsAt time.Time
+	previousLeader   string
+	handoverBounds   map[string]time.Duration
+	handoverBoundsAt time.Time
 	// pending is how many jobs of each queue wait, as the lead said last.
 	pending   map[string]int
 	pendingAt time.Time
-	// leading is the term that this host leads; nil when it does not.
-	leading *term
-	// leadSince is when this host heard of the lead first, leadAsked when it asked that one
-	// first since the last answer, leadLate when an answer came too late, synced when one
-	// came in time, delegated when this host asked another one to lead.
-	leadSince, leadAsked, leadLate, synced, delegated time.Time
-	// changes are when the lead changed of late and nobody had told that it would, without
+	// ownTerm is the term that this host leads; nil when it does not.
+	ownTerm *term
+	// leaderSince is when this host heard of the lead first, unansweredSince when it asked that one
+	// first since the last answer, lastLateReply when an answer came too late, lastSync when one
+	// came in time, lastDelegation when this host asked another one to lead.
+	leaderSince, unansweredSince, lastLateReply, lastSync, lastDelegation time.Time
+	// leaderChanges are when the lead changed of late and nobody had told that it would, without
 	// those that turned out right.
-	changes []time.Time
-	// enough is the power of which, as the lead says, there are enough hosts to lead.
-	enough float64
-	// mute is the host that left the last question about who leads without an answer,
+	leaderChanges []time.Time
+	// strongPower is the power of which, as the lead says, there are strongPower hosts to lead.
+	strongPower float64
+	// unresponsive is the host that left the last question about who leads without an answer,
 	// at muteAt.
-	mute   string
-	muteAt time.Time
-	// looking is held while the host asks whether it should lead, claims while it
+	unresponsive   string
+	unresponsiveAt time.Time
+	// electionMu is held while the host asks whether it should lead, claimMu while it
 	// tries to; claiming tells of the latter.
-	looking, claims   sync.Mutex
-	claiming, leaving bool
+	electionMu, claimMu sync.Mutex
+	claiming, leaving   bool
 	// successor is the host that this one asked to lead in its place.
 	successor string
-	// heir is the host that the lead wants to lead if it dies.
-	heir string
+	// standby is the host that the lead wants to lead if it dies.
+	standby string
 	// recent are the jobs that this host accepted lately, seen the hosts that asked
 	// it.
-	recent map[string]time.Time
-	seen   map[string]sighting
+	recent    map[string]time.Time
+	peersSeen map[string]sighting
 	// wasReady is what the balancer was told last.
 	wasReady bool
-	// unread are the topics whose last read failed, and since when.
-	unread map[string]time.Time
+	// failedSince are the topics whose last read failed, and since when.
+	failedSince map[string]time.Time
 }
 
 // New returns a host that is not started.
 func New(cfg Settings, log *slog.Logger, now func() time.Time) (*Host, error) {
 	c := platform.New()
 	h := &Host{
-		cfg: cfg, log: log, now: now, began: now(), workers: platform.NewWorkers(c),
+		cfg: cfg, log: log, now: now, startedAt: now(), workers: platform.NewWorkers(c),
 		peers: peer.NewClients(map[string]netip.AddrPort{}), metrics: metrics.NewRegistry(),
 		hosts: map[string]netip.AddrPort{cfg.Name: cfg.Listen.Peer}, pending: map[string]int{},
-		recent: map[string]time.Time{}, seen: map[string]sighting{}, unread: map[string]time.Time{},
+		recent: map[string]time.Time{}, peersSeen: map[string]sighting{}, failedSince: map[string]time.Time{},
 	}
 	if cfg.Policy != "" {
 		addr, err := netip.ParseAddrPort(cfg.Policy)
@@ -108,26 +108,26 @@
 		h.policy = platform.NewPolicy(c, addr)
 	}
 	h.peers.Lost(h.peerLost)
-	h.synced = now()
+	h.lastSync = now()
 	h.ctx, h.cancel = context.WithCancel(context.Background())
-	h.store = store.NewRouted(platform.NewStore(platform.New(), cfg.Store), relay{h}, now, h.storeLost)
+	h.store = store.NewRouted(platform.NewStore(platform.New(), cfg.Store), relay{h}, now, h.storeChanged)
 	h.inbox = newInbox(h)
 	h.states = newStates(h)
 	return h, nil
 }
 
-func (h *Host) life() string { return strconv.FormatInt(h.began.UnixNano(), lifeBase) }
+func (h *Host) incarnation() string { return strconv.FormatInt(h.startedAt.UnixNano(), lifeBase) }
 
-func (h *Host) count(name string) { metrics.GetOrRegisterCounter(name, h.metrics).Inc(1) }
+func (h *Host) incCounter(name string) { metrics.GetOrRegisterCounter(name, h.metrics).Inc(1) }
 
 // observe adds to a histogram.
 func (h *Host) observe(name string, d time.Duration) {
 	metrics.GetOrRegisterTimer(name, h.metrics).Update(d)
 }
 
-// waited adds to the histograms of what steps wait for, by the rank of their queue: queues
+// observeWait adds to the histograms of what steps wait for, by the rank of their queue: queues
 // come and go with the table, and ranks are few.
-func (h *Host) waited(w sched.StepWaited) {
+func (h *Host) observeWait(w sched.StepWaited) {
 	h.observe(fmt.Sprintf("step.wait.rank%d", w.Rank), w.By.Total())
 	for r, d := range w.By {
 		if d > 0 {
@@ -136,19 +136,19 @@
 	}
 }
 
-func (h *Host) storeLost(c store.Call, ok bool, err error) {
+func (h *Host) storeChanged(c store.Call, ok bool, err error) {
 	what := slog.String("what", c.Topic+c.Group)
 	if ok {
 		h.log.Info("store: answers this host again.", what, "part", c.Part)
 		return
 	}
-	h.count("store.lost")
+	h.incCounter("store.lost")
 	h.log.Warn("store: does not serve this host.", what, "part", c.Part, "err", err)
 }
 
 // Start listens and begins to follow the platform.
 func (h *Host) Start() error {
-	h.log.Info("entry: start.", "host", h.cfg.Name, "life", h.life(), "domain", h.cfg.Domain)
+	h.log.Info("entry: start.", "host", h.cfg.Name, "life", h.incarnation(), "domain", h.cfg.Domain)
 	var lc net.ListenConfig
 	open := func(addr netip.AddrPort) (net.Listener, error) {
 		ln, err := lc.Listen(h.ctx, "tcp", addr.String())
@@ -186,7 +186,7 @@
 			return err
 		}
 		s := &http.Server{
-			Handler: l.handler, ReadHeaderTimeout: headerWait, IdleTimeout: idleWait,
+			Handler: l.handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
 			ErrorLog: slog.NewLogLogger(h.log.Handler(), slog.LevelDebug),
 		}
 		h.servers = append(h.servers, s)
@@ -197,10 +197,10 @@
 
 // Bounds of a caller's connection.
 const (
-	// headerWait is as long as the table's limits allow a head to take.
-	headerWait = 3 * time.Second
-	// idleWait is longer than callers keep connections open between requests.
-	idleWait = 30 * time.Second
+	// headerTimeout is as long as the table's limits allow a head to take.
+	headerTimeout = 3 * time.Second
+	// idleTimeout is longer than callers keep connections open between requests.
+	idleTimeout = 30 * time.Second
 )
 
 // Reload takes note of changed settings. Addresses hold until the next start.
@@ -228,11 +228,11 @@
 	h.log.Info("entry: planned stop.", "host", h.cfg.Name, "peak-mib", peakMemory())
 	h.mu.Lock()
 	h.leaving = true
-	t := h.leading
+	t := h.ownTerm
 	h.mu.Unlock()
 	h.leave(t)
 	grace := time.Duration(h.cfg.Times.Grace)
-	wait(h.ctx, min(leaveWait, max(grace-lastWait-time.Second, 0)))
+	sleep(h.ctx, min(leaveWait, max(grace-lastWait-time.Second, 0)))
 	ctx, cancel := context.WithTimeout(h.ctx, lastWait)
 	for _, s := range h.servers {
 		if err := s.Shutdown(ctx); err != nil {
@@ -245,8 +245,8 @@
 	h.log.Info("entry: stopped.", "host", h.cfg.Name)
 }
 
-// wait sleeps; false when ctx has ended.
-func wait(ctx context.Context, d time.Duration) bool {
+// sleep sleeps; false when ctx has ended.
+func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
@@ -269,7 +269,7 @@
 	var before, after []string
 	for _, n := range slices.Sorted(maps.Keys(h.hosts)) {
 		switch {
-		case n == h.lead:
+		case n == h.leader:
 		case n < h.cfg.Name:
 			before = append(before, n)
 		case n > h.cfg.Name:
@@ -277,8 +277,8 @@
 		}
 	}
 	all := slices.Concat(after, before)
-	if _, ok := h.hosts[h.lead]; ok && h.lead != h.cfg.Name {
-		all = slices.Insert(all, 0, h.lead)
+	if _, ok := h.hosts[h.leader]; ok && h.leader != h.cfg.Name {
+		all = slices.Insert(all, 0, h.leader)
 	}
 	return all
 }
@@ -289,7 +289,7 @@
 	h.mu.Lock()
 	// It is added to when another lead is learned, while this one is walked below.
 	h.hosts = maps.Clone(all)
-	t := h.leading
+	t := h.ownTerm
 	h.mu.Unlock()
 	for n, a := range all {
 		if n != h.cfg.Name {
--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -185,7 +185,7 @@
 // askState asks the lead for a job's state.
 func (h *Host) askState(ctx context.Context, id string) (flow.State, bool, error) {
 	h.mu.Lock()
-	lead, term, leading := h.lead, h.term, h.leading != nil
+	lead, term, leading := h.leader, h.term, h.ownTerm != nil
 	h.mu.Unlock()
 	began := h.now()
 	var r peer.StateReply
@@ -200,7 +200,7 @@
 	}
 	state, known, err := known(id, r, err)
 	if err != nil {
-		h.count("state.untold")
+		h.incCounter("state.untold")
 		h.log.Info("state: the lead did not tell.", "id", id, "lead", lead, "term", term, "waited", h.now().Sub(began), "err", err)
 	}
 	return state, known, err
