--- a/internal/host/share.go
+++ b/internal/host/share.go
@@ -27,7 +27,7 @@
 			others = append(others, p.Name)
 		}
 	}
-	limits := share.Limits{Longest: cfg.Limits.Deadline, Settle: cfg.Limits.Settle}
+	limits := share.Limits{LongestDeadline: cfg.Limits.Deadline, StartupWait: cfg.Limits.Settle}
 	return share.New(limits, cfg.Name, now.UnixMilli(), others, now)
 }
 
@@ -50,16 +50,16 @@
 func (h *Host) shareStepHeld(ev share.Event) {
 	h.mu.Lock()
 	acts := h.shares.Step(h.clock(), ev)
-	awaited := h.shares.Awaited()
+	awaited := h.shares.AwaitedHosts()
 	h.mu.Unlock()
 	for _, a := range acts {
 		switch a := a.(type) {
-		case share.Changed:
+		case share.SlotsChanged:
 			metrics.GetOrRegisterGauge("share.awaited", h.metrics).Update(int64(len(awaited)))
 			h.log.Info("share: slots changed.", "awaited", awaited)
 			h.shareOut()
-		case share.Tell:
-			h.tellShares(a.Word)
+		case share.SendAnnouncement:
+			h.tellShares(a.Announcement)
 		}
 	}
 }
@@ -74,10 +74,10 @@
 	h.shareStepHeld(share.Tick{})
 }
 
-func (h *Host) shareWord() share.Word {
+func (h *Host) shareWord() share.Announcement {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.shares.Word()
+	return h.shares.Announcement()
 }
 
 // shareRest is how often a word is told again that has not changed. A word is
@@ -102,7 +102,7 @@
 
 // tellShares tells the hosts of this failure domain; a lost word is told again
 // with the next heartbeat.
-func (h *Host) tellShares(w share.Word) {
+func (h *Host) tellShares(w share.Announcement) {
 	leaving := h.relay.Leaving()
 	for _, p := range h.cfg.Peers {
 		if p.Domain != h.cfg.Domain {
@@ -111,7 +111,7 @@
 		h.wg.Go(func() {
 			ctx, cancel := context.WithTimeout(h.ctx, beatWait)
 			defer cancel()
-			_ = h.peers.Tell(ctx, p.Name, peer.Slots{Word: w, Leaving: leaving})
+			_ = h.peers.Tell(ctx, p.Name, peer.Slots{Announcement: w, Leaving: leaving})
 		})
 	}
 }
@@ -119,7 +119,7 @@
 // giveSlots ends a planned stop's use of slots and gives them to their heirs,
 // which would otherwise wait until the host list shows that this host is gone.
 func (h *Host) giveSlots(ctx context.Context) {
-	h.shareStep(share.Quit{})
+	h.shareStep(share.Stopping{})
 	for ctx.Err() == nil && !h.relay.Drained() {
 		h.pause(tickEvery)
 	}
@@ -133,7 +133,7 @@
 func (h *Host) slots(minion string, slots int) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.shares.Slots(minion, slots)
+	return h.shares.UsableSlots(minion, slots)
 }
 
 // part is this host's part of a row's limit, which holds in the whole cell.
--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -46,7 +46,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lease(lease.Tick{})
-	l.takeover(takeover.Asked{Host: from, Jobs: q.Waits})
+	l.takeover(takeover.PeerAsked{Host: from, Jobs: q.Waits})
 	if len(q.Waits) > 0 {
 		// The peer may go on with the jobs that are not led here. One of them that was sent here
 		// before and arrives now would have two leads.
@@ -133,7 +133,7 @@
 	for name, life := range c.Incarnations {
 		l.lease(lease.IncarnationConfirmed{Worker: name, Life: life})
 	}
-	ev := takeover.Answer{Host: host, Asked: q.Asked, Leads: c.Leads, Waits: c.Waits}
+	ev := takeover.PeerAnswer{Host: host, Asked: q.Asked, Leads: c.Leads, Waits: c.Waits}
 	held := l.Leases.Held()
 	for _, v := range c.Workers {
 		if slices.Contains(held, v.Worker) || l.held[v.Worker].After(q.Asked) {
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -45,8 +45,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lease(lease.DomainWorkers{Workers: workers})
-	l.takeover(takeover.Workers{Names: workers})
-	l.takeover(takeover.Peers{Names: peers})
+	l.takeover(takeover.SetWorkers{Names: workers})
+	l.takeover(takeover.SetPeers{Names: peers})
 }
 
 // Inherit takes over jobs whose lead is gone. They go on as far as their tasks
@@ -63,7 +63,7 @@
 		l.Count("lead.inherited")
 		l.note(s.ID, "inherited, waits for the census")
 		l.job(job.Inherit{Spec: s})
-		l.takeover(takeover.Found{Job: s.ID})
+		l.takeover(takeover.FoundJob{Job: s.ID})
 	}
 	if fresh {
 		l.readAll()
@@ -106,7 +106,7 @@
 	if !l.Jobs.AwaitsInventory(id) {
 		return
 	}
-	l.takeover(takeover.Gone{Job: id})
+	l.takeover(takeover.GoneJob{Job: id})
 	l.drop(id, false)
 }
 
@@ -122,11 +122,11 @@
 func (l *Leader) LogRead(asked time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.takeover(takeover.Log{Asked: asked})
+	l.takeover(takeover.LogRead{Asked: asked})
 }
 
 func (l *Leader) ended(a job.Ended) {
-	l.takeover(takeover.Gone{Job: a.ID})
+	l.takeover(takeover.GoneJob{Job: a.ID})
 	if l.StoreEnd == nil {
 		return
 	}
@@ -189,7 +189,7 @@
 	for _, s := range l.Jobs.Open() {
 		l.Count("lead.forfeited")
 		l.note(s.ID, "its lead held no worker any more")
-		l.takeover(takeover.Gone{Job: s.ID})
+		l.takeover(takeover.GoneJob{Job: s.ID})
 		l.drop(s.ID, true)
 	}
 }
@@ -197,17 +197,17 @@
 func (l *Leader) takeover(ev takeover.Event) {
 	for _, a := range l.Takeover.Step(l.Clock(), ev) {
 		switch a := a.(type) {
-		case takeover.Ask:
+		case takeover.AskPeers:
 			if l.RequestInventory != nil {
 				l.RequestInventory()
 			}
-		case takeover.Release:
+		case takeover.ReleaseJob:
 			l.Count("lead.released")
 			l.note(a.Job, "census complete")
 			l.job(job.Release{ID: a.Job, Crashes: l.livesOf(a.Job)})
-		case takeover.Counted:
+		case takeover.ReleaseKey:
 			l.counted(a.Key)
-		case takeover.Silent:
+		case takeover.WorkerSilent:
 			l.Log.Warn("lead: worker is silent for longer than any lease.", "worker", a.Worker)
 			l.Count("lead.silent")
 			delete(l.elsewhere, a.Worker)
@@ -227,7 +227,7 @@
 		}
 	}
 	names = slices.DeleteFunc(names, func(n string) bool { return slices.Contains(held, n) })
-	l.takeover(takeover.Watch{Workers: names})
+	l.takeover(takeover.WatchWorkers{Workers: names})
 }
 
 // clean frees the room of tasks that another host's job, or nobody's, took on
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -250,7 +250,7 @@
 	}
 	l.keepCounted(name)
 	l.place(place.Down{Worker: name})
-	l.takeover(takeover.Down{Worker: name})
+	l.takeover(takeover.WorkerLost{Worker: name})
 	l.lose(name)
 	if len(l.Leases.Held()) == 0 && !l.leaving {
 		l.demote()
@@ -302,7 +302,7 @@
 	case err == nil:
 		l.lease(good)
 	case errors.As(err, &held):
-		l.takeover(takeover.Sign{Worker: name})
+		l.takeover(takeover.WorkerContact{Worker: name})
 		l.lease(lease.Refused{Worker: name, Holder: held.Holder, Remaining: held.Left, Sent: held.Sent, Incarnation: held.Life})
 	default:
 		l.lease(lease.Unanswered{Worker: name})
@@ -341,7 +341,7 @@
 	l.Log.Info("lead: worker is led.", "worker", a.Worker, "tasks", len(used))
 	l.place(place.Up{Worker: m.Name, Rack: m.Rack, Size: m.Size, Used: used})
 	l.seen(a.Worker, a.Reading)
-	l.takeover(takeover.Held{Worker: a.Worker})
+	l.takeover(takeover.WorkerHeld{Worker: a.Worker})
 }
 
 func (l *Leader) seen(name string, r lease.Reading) {
--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -37,7 +37,7 @@
 		return "", ""
 	}
 	for _, name := range l.Arbiters(key) {
-		if !l.Takeover.Gone(l.Clock(), name) {
+		if !l.Takeover.LeasesExpired(l.Clock(), name) {
 			return key, name
 		}
 	}
@@ -68,7 +68,7 @@
 		c = &count{worker: worker}
 		l.counts[key] = c
 		l.Log.Info("lead: counting what runs.", "key", key, "worker", worker)
-		l.takeover(takeover.Count{Key: key})
+		l.takeover(takeover.AddKey{Key: key})
 	}
 	return c.done
 }
@@ -79,7 +79,7 @@
 	}
 	delete(l.counts, key)
 	l.Log.Info("lead: another host may count what runs.", "key", key)
-	l.takeover(takeover.Uncount{Key: key})
+	l.takeover(takeover.RemoveKey{Key: key})
 }
 
 // counted begins to start tasks of a key, of which all that runs is known now.
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -19,7 +19,7 @@
 
 var (
 	start  = time.Unix(1_700_000_000, 0)
-	limits = share.Limits{Longest: longest, Settle: longest}
+	limits = share.Limits{LongestDeadline: longest, StartupWait: longest}
 )
 
 func TestMain(m *testing.M) { randtest.Main(m, 300, 100) }
@@ -39,7 +39,7 @@
 	now       time.Time
 	names     []string
 	processes []*process
-	words     []share.Word
+	words     []share.Announcement
 	listed    map[string]bool
 	until     [slots]map[*process]time.Time
 }
@@ -73,8 +73,8 @@
 
 func (w *world) step(p *process, ev share.Event) {
 	for _, a := range p.core.Step(w.now, ev) {
-		if tell, ok := a.(share.Tell); ok {
-			w.words = append(w.words, tell.Word)
+		if tell, ok := a.(share.SendAnnouncement); ok {
+			w.words = append(w.words, tell.Announcement)
 		}
 	}
 }
@@ -86,7 +86,7 @@
 			continue
 		}
 		for i := range slots {
-			if p.core.May("m", i) {
+			if p.core.MayUse("m", i) {
 				w.until[i][p] = w.now.Add(longest)
 			}
 		}
@@ -114,7 +114,7 @@
 
 func (w *world) drain(p *process) {
 	for i := range slots {
-		if !p.core.May("m", i) {
+		if !p.core.MayUse("m", i) {
 			delete(w.until[i], p)
 		}
 	}
@@ -139,10 +139,10 @@
 				continue
 			}
 			w.drain(p)
-			w.step(p, share.Listed{Names: w.all()})
+			w.step(p, share.HostsListed{Names: w.all()})
 			for _, o := range w.processes {
 				if o != p && !o.dead {
-					w.step(o, share.Heard{Word: p.core.Word()})
+					w.step(o, share.AnnouncementReceived{Announcement: p.core.Announcement()})
 				}
 			}
 		}
@@ -154,7 +154,7 @@
 	n := 0
 	for _, p := range w.processes {
 		if !p.dead {
-			n += p.core.Slots("m", slots)
+			n += p.core.UsableSlots("m", slots)
 		}
 	}
 	return n
@@ -193,24 +193,24 @@
 					w.begin(i)
 				}
 			},
-			"quit":  live(func(p *process) { p.quit = true; w.step(p, share.Quit{}) }),
+			"quit":  live(func(p *process) { p.quit = true; w.step(p, share.Stopping{}) }),
 			"drain": live(w.drain),
-			"say":   live(func(p *process) { w.words = append(w.words, p.core.Word()) }),
+			"say":   live(func(p *process) { w.words = append(w.words, p.core.Announcement()) }),
 			"hear": live(func(p *process) {
 				if len(w.words) > 0 {
-					w.step(p, share.Heard{Word: w.words[rapid.IntRange(0, len(w.words)-1).Draw(t, "word")]})
+					w.step(p, share.AnnouncementReceived{Announcement: w.words[rapid.IntRange(0, len(w.words)-1).Draw(t, "word")]})
 				}
 			}),
 			"read": live(func(p *process) { p.list = w.all() }),
-			"list": live(func(p *process) { w.step(p, share.Listed{Names: p.list}); p.list = w.all() }),
+			"list": live(func(p *process) { w.step(p, share.HostsListed{Names: p.list}); p.list = w.all() }),
 			"talk": live(func(p *process) {
 				for _, o := range w.processes {
 					if o != p && !o.dead {
-						w.step(o, share.Heard{Word: p.core.Word()})
+						w.step(o, share.AnnouncementReceived{Announcement: p.core.Announcement()})
 					}
 				}
 			}),
-			"look": live(func(p *process) { w.step(p, share.Listed{Names: w.all()}) }),
+			"look": live(func(p *process) { w.step(p, share.HostsListed{Names: w.all()}) }),
 			"pass": func(t *rapid.T) { w.pass(time.Duration(rapid.IntRange(1, 12).Draw(t, "tenths")) * longest / 10) },
 		})
 	})
@@ -229,15 +229,15 @@
 		w.settle()
 		require.Equal(t, slots, w.inUse())
 		gone := w.processes[0]
-		stale := gone.core.Word()
+		stale := gone.core.Announcement()
 		if planned {
-			w.step(gone, share.Quit{})
+			w.step(gone, share.Stopping{})
 			w.drain(gone)
 			require.Len(t, w.words, 1)
-			w.step(w.processes[1], share.Heard{Word: w.words[0]})
-			w.step(w.processes[2], share.Heard{Word: w.words[0]})
+			w.step(w.processes[1], share.AnnouncementReceived{Announcement: w.words[0]})
+			w.step(w.processes[2], share.AnnouncementReceived{Announcement: w.words[0]})
 			require.Equal(t, slots, w.inUse(), "what was given is used at once")
-			w.step(w.processes[1], share.Heard{Word: stale})
+			w.step(w.processes[1], share.AnnouncementReceived{Announcement: stale})
 			require.Equal(t, slots, w.inUse(), "a late word of the stopped host changes nothing")
 		}
 		gone.dead, w.listed[gone.name] = true, false
@@ -253,7 +253,7 @@
 		w.begin(0)
 		w.settle()
 		require.Equal(t, slots, w.inUse())
-		require.Positive(t, w.running("h0").core.Slots("m", slots))
+		require.Positive(t, w.running("h0").core.UsableSlots("m", slots))
 	}
 }
 
@@ -267,7 +267,7 @@
 		w.begin(1)
 		w.settle()
 		w.processes[0].dead, w.listed["h0"] = true, false
-		w.step(w.processes[1], share.Listed{Names: w.all()})
+		w.step(w.processes[1], share.HostsListed{Names: w.all()})
 		for range 3 {
 			w.pass(longest / 3)
 		}
@@ -284,8 +284,8 @@
 			heir = w.processes[3]
 		}
 		w.pass(longest / 5)
-		w.step(heir, share.Heard{Word: w.processes[2].core.Word()})
-		w.step(w.processes[2], share.Heard{Word: heir.core.Word()})
+		w.step(heir, share.AnnouncementReceived{Announcement: w.processes[2].core.Announcement()})
+		w.step(w.processes[2], share.AnnouncementReceived{Announcement: heir.core.Announcement()})
 		w.use()
 		w.settle()
 		require.Equal(t, slots, w.inUse())
