--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -157,7 +157,7 @@
 	h.observe("caller.store", h.now().Sub(began))
 	switch {
 	case err == nil:
-		h.accepted(id)
+		h.noteAccepted(id)
 		h.log.Info("caller: accepted.", "id", id, "queue", q.Name)
 		reply(w, http.StatusOK, []byte("{}"))
 	case store.NotDone(err):
@@ -176,7 +176,7 @@
 	return defaultMaxBody
 }
 
-func (h *Host) accepted(id string) {
+func (h *Host) noteAccepted(id string) {
 	h.incCounter("caller.accepted")
 	h.mu.Lock()
 	h.recent[id] = h.now()
