--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -179,7 +179,7 @@
 func (h *Host) noteAccepted(id string) {
 	h.incCounter("caller.accepted")
 	h.mu.Lock()
-	h.recent[id] = h.now()
+	h.accepted[id] = h.now()
 	h.mu.Unlock()
 }
 
@@ -187,7 +187,7 @@
 func (h *Host) isRecent(id string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_, ok := h.recent[id]
+	_, ok := h.accepted[id]
 	return ok
 }
 
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -81,9 +81,9 @@
 	successor string
 	// standby is the host that the lead wants to lead if it dies.
 	standby string
-	// recent are the jobs that this host accepted lately, seen the hosts that asked
+	// accepted are the jobs that this host accepted lately, seen the hosts that asked
 	// it.
-	recent    map[string]time.Time
+	accepted  map[string]time.Time
 	peersSeen map[string]sighting
 	// wasReady is what the balancer was told last.
 	wasReady bool
@@ -98,7 +98,7 @@
 		cfg: cfg, log: log, now: now, startedAt: now(), workers: platform.NewWorkers(c),
 		peers: peer.NewClients(map[string]netip.AddrPort{}), metrics: metrics.NewRegistry(),
 		hosts: map[string]netip.AddrPort{cfg.Name: cfg.Listen.Peer}, pending: map[string]int{},
-		recent: map[string]time.Time{}, peersSeen: map[string]sighting{}, failedSince: map[string]time.Time{},
+		accepted: map[string]time.Time{}, peersSeen: map[string]sighting{}, failedSince: map[string]time.Time{},
 	}
 	if cfg.Policy != "" {
 		addr, err := netip.ParseAddrPort(cfg.Policy)
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -302,9 +302,9 @@
 func (h *Host) dropRecent() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for id, at := range h.recent {
+	for id, at := range h.accepted {
 		if h.now().Sub(at) > keepRecent {
-			delete(h.recent, id)
+			delete(h.accepted, id)
 		}
 	}
 }
