--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -183,8 +183,8 @@
 	h.mu.Unlock()
 }
 
-// isRecent tells whether this host accepted the job lately.
-func (h *Host) isRecent(id string) bool {
+// acceptedRecently tells whether this host accepted the job lately.
+func (h *Host) acceptedRecently(id string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_, ok := h.accepted[id]
@@ -198,7 +198,7 @@
 		h.log.Info("caller: told.", "id", id, "state", state, "term", h.termNow(), "took", h.now().Sub(began))
 	}
 	switch {
-	case err == nil && !known && h.isRecent(id):
+	case err == nil && !known && h.acceptedRecently(id):
 		// The lead has not heard of it yet, so nothing of it has begun.
 		reply(w, http.StatusOK, platform.StateBody(flow.Queued))
 	case err != nil:
@@ -214,7 +214,7 @@
 // without asking whether there is such a job: one that is not is never started.
 func (h *Host) cancelJob(ctx context.Context, w http.ResponseWriter, id string) {
 	state, known, err := h.toldBefore(ctx, id)
-	if err == nil && !known && !h.isRecent(id) {
+	if err == nil && !known && !h.acceptedRecently(id) {
 		h.refuse(w, http.StatusGone, id, "no such job")
 		return
 	}
