--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -67,7 +67,7 @@
 	case r.Method == http.MethodPost:
 		h.submit(ctx, w, r, q, id)
 	case r.Method == http.MethodGet:
-		h.tell(ctx, w, id)
+		h.serveState(ctx, w, id)
 	case r.Method == http.MethodDelete:
 		h.cancelJob(ctx, w, id)
 	default:
@@ -191,7 +191,7 @@
 	return ok
 }
 
-func (h *Host) tell(ctx context.Context, w http.ResponseWriter, id string) {
+func (h *Host) serveState(ctx context.Context, w http.ResponseWriter, id string) {
 	began := h.now()
 	state, known, err := h.stateOf(ctx, id)
 	if err == nil && known {
