--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -234,17 +234,17 @@
 	}
 }
 
-// readyAfter is how long ago the store may have answered a host that is ready.
+// readyFreshness is how long ago the store may have answered a host that is ready.
 // It is asked at least every joinEvery; the balancer needs two more seconds
 // until callers of a failure domain that is cut off are served elsewhere.
-const readyAfter = time.Second
+const readyFreshness = time.Second
 
 // ready tells whether callers are served here: a host without a way to the
 // store can accept nothing, and callers do better at another one.
 func (h *Host) ready() bool {
 	h.mu.Lock()
 	table, leaving, lead, was := h.table != nil, h.leaving, h.leader, h.wasReady
-	served := h.store.Fresh(readyAfter)
+	served := h.store.Fresh(readyFreshness)
 	is := table && !leaving && lead != "" && served
 	h.wasReady = is
 	h.mu.Unlock()
