--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -23,9 +23,9 @@
 	claimKey   = "!"
 )
 
-// claimWait bounds one try to lead: five calls at a store that answers as late as
+// claimTimeout bounds one try to lead: five calls at a store that answers as late as
 // it may without counting as away.
-const claimWait = 8 * time.Second
+const claimTimeout = 8 * time.Second
 
 // LostClaimError tells that another host began the same term.
 type LostClaimError struct{ Term int64 }
@@ -55,7 +55,7 @@
 		h.claiming = false
 		h.mu.Unlock()
 	}()
-	ctx, cancel := context.WithTimeout(h.ctx, claimWait)
+	ctx, cancel := context.WithTimeout(h.ctx, claimTimeout)
 	defer cancel()
 	began := h.now()
 	t, err := h.begin(ctx)
