--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -86,7 +86,7 @@
 		return nil, errors.Wrap(err, "read the log's end")
 	}
 	if other, busy := h.claimant(a.Records); busy {
-		return nil, &BusyClaimError{Host: other}
+		return nil, &LeaderExistsError{Host: other}
 	}
 	number := a.End + 1
 	mine := h.memberName() + " " + strconv.FormatInt(h.now().UnixNano(), 36)
@@ -126,10 +126,10 @@
 	return g.Wait()
 }
 
-// BusyClaimError tells that another host leads or is about to.
-type BusyClaimError struct{ Host string }
+// LeaderExistsError tells that another host leads or is about to.
+type LeaderExistsError struct{ Host string }
 
-func (e *BusyClaimError) Error() string { return "host " + e.Host + " leads or is about to" }
+func (e *LeaderExistsError) Error() string { return "host " + e.Host + " leads or is about to" }
 
 // claimant returns the host of the newest claim, and whether it leads or is
 // about to. A claim takes a weak host a second to read what it takes over, and
