--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -58,7 +58,7 @@
 	ctx, cancel := context.WithTimeout(h.ctx, claimTimeout)
 	defer cancel()
 	began := h.now()
-	t, err := h.begin(ctx)
+	t, err := h.beginTerm(ctx)
 	if err != nil {
 		h.incCounter("lead.claim.failed")
 		h.log.Warn("lead: claim failed.", "why", why, "err", err)
@@ -73,14 +73,14 @@
 	h.announce(t)
 }
 
-// begin fences off all former leads and reads what they left.
+// beginTerm fences off all former leads and reads what they left.
 //
 // The term is the epoch of the appends to stateTopic. It is one more than the
 // log's end, which only rises, so it is above all former ones; two hosts that
 // saw the same end would share it, and each reads back whose claim was stored.
 // A slow store takes a third of a second for a call, and nothing is led
 // meanwhile: there are three calls one after the other, and no more.
-func (h *Host) begin(ctx context.Context) (*term, error) {
+func (h *Host) beginTerm(ctx context.Context) (*term, error) {
 	a, err := h.store.Do(ctx, store.Call{Op: store.Newest, Topic: stateTopic})
 	if err != nil {
 		return nil, errors.Wrap(err, "read the log's end")
