--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -99,7 +99,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "read what the former lead left")
 	}
-	if !claimed(states[0], mine) {
+	if !holdsNewestClaim(states[0], mine) {
 		return nil, &LostClaimError{Term: number}
 	}
 	return h.newTerm(number, slices.Concat(states...), asks, next, read), nil
@@ -159,8 +159,8 @@
 	return parseMember(string(records[i].Value))
 }
 
-// claimed tells whether the newest claim is the host's own.
-func claimed(states []store.Record, mine string) bool {
+// holdsNewestClaim tells whether the newest claim is the host's own.
+func holdsNewestClaim(states []store.Record, mine string) bool {
 	return slices.ContainsFunc(states, func(r store.Record) bool { return r.Key == claimKey && string(r.Value) == mine })
 }
 
