--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -204,9 +204,9 @@
 
 // restored is what the store says of all jobs.
 type restored struct {
-	jobs    []*flow.Job
-	fresh   []flow.Spec
-	cancels []string
+	jobs       []*flow.Job
+	notStarted []flow.Spec
+	cancels    []string
 	// unread are those that cannot be read.
 	unread []string
 }
@@ -248,7 +248,7 @@
 		}
 		had[a.Key] = true
 		if !ok {
-			r.fresh = append(r.fresh, spec)
+			r.notStarted = append(r.notStarted, spec)
 			continue
 		}
 		j, err := flow.Restore(spec, b, h.now())
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -78,7 +78,7 @@
 	limits.Disabled = h.cfg.Off
 	limits.Retention = time.Duration(h.cfg.Times.Keep) * 5 / 4
 	t := &term{
-		h: h, number: number, read: read, began: began, polled: read, jobs: len(r.jobs) + len(r.fresh), open: len(r.fresh),
+		h: h, number: number, read: read, began: began, polled: read, jobs: len(r.jobs) + len(r.notStarted), open: len(r.notStarted),
 		kick: make(chan struct{}, 1), next: next, where: map[string]map[int]bool{}, listed: map[string]sched.Worker{}, unread: map[string]bool{},
 		core: sched.New(limits, number, r.jobs), journal: newJournal(h.store, h.log, &h.wg, number, h.stateParts()), orders: newOrders(),
 	}
@@ -108,7 +108,7 @@
 		t.step(queuesOf(table))
 	}
 	t.step(sched.Hosts{Names: names})
-	for _, spec := range r.fresh {
+	for _, spec := range r.notStarted {
 		t.step(sched.Submit{Spec: spec})
 	}
 	for _, id := range r.cancels {
