--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -207,8 +207,8 @@
 	jobs       []*flow.Job
 	notStarted []flow.Spec
 	cancels    []string
-	// unread are those that cannot be read.
-	unread []string
+	// unreadable are those that cannot be read.
+	unreadable []string
 }
 
 // restore puts specs and progress together. A record that cannot be read is
@@ -243,7 +243,7 @@
 		var spec flow.Spec
 		if err := json.Unmarshal(a.Value, &spec); err != nil {
 			h.log.Error("lead: job cannot be read.", "id", a.Key, "offset", a.Offset, "err", err)
-			r.unread = append(r.unread, a.Key)
+			r.unreadable = append(r.unreadable, a.Key)
 			continue
 		}
 		had[a.Key] = true
@@ -254,7 +254,7 @@
 		j, err := flow.Restore(spec, b, h.now())
 		if err != nil {
 			h.log.Error("lead: progress cannot be read.", "id", a.Key, "err", err)
-			r.unread = append(r.unread, a.Key)
+			r.unreadable = append(r.unreadable, a.Key)
 			continue
 		}
 		r.jobs = append(r.jobs, j)
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -82,7 +82,7 @@
 		kick: make(chan struct{}, 1), next: next, where: map[string]map[int]bool{}, listed: map[string]sched.Worker{}, unread: map[string]bool{},
 		core: sched.New(limits, number, r.jobs), journal: newJournal(h.store, h.log, &h.wg, number, h.stateParts()), orders: newOrders(),
 	}
-	for _, id := range r.unread {
+	for _, id := range r.unreadable {
 		t.unread[id] = true
 	}
 	for _, j := range r.jobs {
