--- a/internal/entry/endings.go
+++ b/internal/entry/endings.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// mostEndings is how many final states one answer carries.
-	mostEndings = 500
+	// maxFinalStatesPerReply is how many final states one answer carries.
+	maxFinalStatesPerReply = 500
 )
 
 // endings are the final states of a term in the order in which they were stored. Hosts take
@@ -37,7 +37,7 @@
 	if n < 0 {
 		n = len(e.all)
 	}
-	if n < mostEndings {
+	if n < maxFinalStatesPerReply {
 		return
 	}
 	e.first += n
@@ -48,7 +48,7 @@
 func (e *endings) from(n int) (map[flow.State][]string, int) {
 	n = min(max(n, e.first), e.first+len(e.all))
 	some := e.all[n-e.first:]
-	some = some[:min(len(some), mostEndings)]
+	some = some[:min(len(some), maxFinalStatesPerReply)]
 	by := map[flow.State][]string{}
 	for _, x := range some {
 		by[x.state] = append(by[x.state], x.id)
