--- a/internal/entry/endings.go
+++ b/internal/entry/endings.go
@@ -12,10 +12,10 @@
 	maxFinalStatesPerReply = 500
 )
 
-// endings are the final states of a term in the order in which they were stored. Hosts take
+// finalStates are the final states of a term in the order in which they were stored. Hosts take
 // them with each sync: they go on telling them when they reach neither the lead nor the store.
 // It is not safe for concurrent use.
-type endings struct {
+type finalStates struct {
 	// first is the number of the oldest that is kept.
 	first int
 	all   []ending
@@ -27,12 +27,12 @@
 	at    time.Time
 }
 
-func (e *endings) add(id string, state flow.State, now time.Time) {
+func (e *finalStates) add(id string, state flow.State, now time.Time) {
 	e.all = append(e.all, ending{id, state, now})
 }
 
 // drop forgets those that were kept since before then, many at a time: the rest is moved.
-func (e *endings) drop(before time.Time) {
+func (e *finalStates) drop(before time.Time) {
 	n := slices.IndexFunc(e.all, func(x ending) bool { return !x.at.Before(before) })
 	if n < 0 {
 		n = len(e.all)
@@ -45,7 +45,7 @@
 }
 
 // from returns jobs by state from a number on, and the number to go on with.
-func (e *endings) from(n int) (map[flow.State][]string, int) {
+func (e *finalStates) from(n int) (map[flow.State][]string, int) {
 	n = min(max(n, e.first), e.first+len(e.all))
 	some := e.all[n-e.first:]
 	some = some[:min(len(some), maxFinalStatesPerReply)]
--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -360,7 +360,7 @@
 }
 
 // Endings are the final states of a term.
-type Endings struct{ endings }
+type Endings struct{ finalStates }
 
 // Add adds one.
 func (e *Endings) Add(id string, state flow.State, now time.Time) { e.add(id, state, now) }
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -43,7 +43,7 @@
 	// listed are the workers by life, as the store has them.
 	listed map[string]sched.Worker
 	// endings are the final states of its jobs.
-	endings endings
+	endings finalStates
 	// unread are stored jobs that it cannot read: it does not know them, and they are there.
 	unread map[string]bool
 	// late is the most by which a step came after it was due, since that was told last.
