--- a/internal/entry/endings.go
+++ b/internal/entry/endings.go
@@ -18,22 +18,22 @@
 type finalStates struct {
 	// first is the number of the oldest that is kept.
 	first int
-	all   []ending
+	all   []finalState
 }
 
-type ending struct {
+type finalState struct {
 	id    string
 	state flow.State
 	at    time.Time
 }
 
 func (e *finalStates) add(id string, state flow.State, now time.Time) {
-	e.all = append(e.all, ending{id, state, now})
+	e.all = append(e.all, finalState{id, state, now})
 }
 
 // drop forgets those that were kept since before then, many at a time: the rest is moved.
 func (e *finalStates) drop(before time.Time) {
-	n := slices.IndexFunc(e.all, func(x ending) bool { return !x.at.Before(before) })
+	n := slices.IndexFunc(e.all, func(x finalState) bool { return !x.at.Before(before) })
 	if n < 0 {
 		n = len(e.all)
 	}
