--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// followWait is how long a read waits for records. It bounds how long a
+	// followReadWait is how long a read waits for records. It bounds how long a
 	// connection that has gone silent delays a new table: the table has to be in
 	// force within two seconds.
-	followWait = 1300 * time.Millisecond
+	followReadWait = 1300 * time.Millisecond
 	// followRetry is the pause after a read that failed, followPause the least time
 	// between two that brought nothing.
 	followRetry = 200 * time.Millisecond
@@ -66,7 +66,7 @@
 func (h *Host) followFrom(topic string, from int64, read func([]store.Record)) {
 	for h.ctx.Err() == nil {
 		began := h.now()
-		a, err := h.store.Do(h.ctx, store.Call{Op: store.Read, Topic: topic, From: from, Wait: followWait})
+		a, err := h.store.Do(h.ctx, store.Call{Op: store.Read, Topic: topic, From: from, Wait: followReadWait})
 		var trimmed *store.TrimmedError
 		if errors.As(err, &trimmed) {
 			h.log.Info("follow: history is gone.", "topic", topic, "from", from, "first", trimmed.First)
