--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -20,8 +20,8 @@
 	followReadWait = 1300 * time.Millisecond
 	// followRetry is the pause after a read that failed, followPause the least time
 	// between two that brought nothing.
-	followRetry = 200 * time.Millisecond
-	followPause = 400 * time.Millisecond
+	followRetry       = 200 * time.Millisecond
+	followMinInterval = 400 * time.Millisecond
 )
 
 // follow hands all records of a topic to read, the newest of each key first.
@@ -83,7 +83,7 @@
 		from += int64(len(a.Records))
 		if len(a.Records) == 0 {
 			// While the direct way is silent, reads do not wait for records.
-			sleep(h.ctx, followPause-h.now().Sub(began))
+			sleep(h.ctx, followMinInterval-h.now().Sub(began))
 		}
 	}
 }
