--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -28,7 +28,7 @@
 func (h *Host) follow(topic string, read func([]store.Record)) {
 	for h.ctx.Err() == nil {
 		all, from, err := store.Table(h.ctx, h.store, topic, 0)
-		h.noteRead(topic, from, err)
+		h.trackReadFailure(topic, from, err)
 		if err != nil {
 			sleep(h.ctx, followRetry)
 			continue
@@ -38,9 +38,9 @@
 	}
 }
 
-// noteRead tells when a topic cannot be read any more and when it is read again: what the
+// trackReadFailure tells when a topic cannot be read any more and when it is read again: what the
 // host believes of it may be old by as much.
-func (h *Host) noteRead(topic string, from int64, err error) {
+func (h *Host) trackReadFailure(topic string, from int64, err error) {
 	h.mu.Lock()
 	since, lost := h.failedSince[topic]
 	switch {
@@ -72,7 +72,7 @@
 			h.log.Info("follow: history is gone.", "topic", topic, "from", from, "first", trimmed.First)
 			return
 		}
-		h.noteRead(topic, from, err)
+		h.trackReadFailure(topic, from, err)
 		if err != nil {
 			sleep(h.ctx, followRetry)
 			continue
