--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -207,7 +207,7 @@
 
 // Run follows until the host is stopped.
 func (f *Follower) Run() {
-	f.wg.Go(func() { f.follow(platform.TableTopic, f.readTable) })
+	f.wg.Go(func() { f.follow(platform.TableTopic, f.applyTable) })
 	f.wg.Go(func() {
 		for f.ctx.Err() == nil {
 			_, _ = f.join(observers, 0)
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -88,9 +88,9 @@
 	}
 }
 
-// readTable takes the newest table. A version below the one in force is a
+// applyTable takes the newest table. A version below the one in force is a
 // record that was read twice, and is passed over: the table never goes back.
-func (h *Host) readTable(all []store.Record) {
+func (h *Host) applyTable(all []store.Record) {
 	for _, r := range all {
 		if r.Key != platform.TableKey || len(r.Value) == 0 {
 			continue
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -163,7 +163,7 @@
 	if err := h.listen(open); err != nil {
 		return err
 	}
-	h.wg.Go(func() { h.follow(platform.TableTopic, h.readTable) })
+	h.wg.Go(func() { h.follow(platform.TableTopic, h.applyTable) })
 	h.wg.Go(func() { h.follow(leadTopic, h.readLead) })
 	h.wg.Go(h.member)
 	h.wg.Go(h.sync)
