--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -132,8 +132,8 @@
 	return ev
 }
 
-// leadRecord tells who leads.
-type leadRecord struct {
+// leaderRecord tells who leads.
+type leaderRecord struct {
 	Name string         `json:"name"`
 	Addr netip.AddrPort `json:"addr"`
 	Term int64          `json:"term"`
@@ -147,7 +147,7 @@
 
 func (h *Host) readLead(all []store.Record) {
 	for _, r := range all {
-		var l leadRecord
+		var l leaderRecord
 		if r.Key != leadKey || json.Unmarshal(r.Value, &l) != nil {
 			continue
 		}
@@ -155,7 +155,7 @@
 	}
 }
 
-func (h *Host) setLead(l leadRecord) {
+func (h *Host) setLead(l leaderRecord) {
 	h.mu.Lock()
 	if l.Term <= h.term {
 		h.mu.Unlock()
@@ -205,7 +205,7 @@
 // announce tells all hosts that this one leads, and goes on until it is stored: a
 // host that never hears of it asks the former lead for ever.
 func (h *Host) announce(t *term) {
-	l := leadRecord{Name: h.cfg.Name, Addr: h.cfg.Listen.Peer, Term: t.number}
+	l := leaderRecord{Name: h.cfg.Name, Addr: h.cfg.Listen.Peer, Term: t.number}
 	h.setLead(l)
 	b, err := json.Marshal(l)
 	if err != nil {
