--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -140,9 +140,9 @@
 }
 
 const (
-	// leadTopic tells all hosts who leads, under leadKey.
-	leadTopic = "lead"
-	leadKey   = "0"
+	// leaderTopic tells all hosts who leads, under leadKey.
+	leaderTopic = "lead"
+	leadKey     = "0"
 )
 
 func (h *Host) readLead(all []store.Record) {
@@ -212,7 +212,7 @@
 		h.log.Error("lead: cannot be announced.", "err", err)
 		return
 	}
-	c := store.Call{Op: store.Append, Topic: leadTopic, Keyed: true, Records: []store.Record{{Key: leadKey, Value: b}}}
+	c := store.Call{Op: store.Append, Topic: leaderTopic, Keyed: true, Records: []store.Record{{Key: leadKey, Value: b}}}
 	h.wg.Go(func() {
 		for {
 			_, err := h.store.Do(t.ctx, c)
--- a/internal/entry/group.go
+++ b/internal/entry/group.go
@@ -146,7 +146,7 @@
 	ctx, cancel := context.WithTimeout(h.ctx, max(joinWait, joinSlower*h.store.Usual()))
 	defer cancel()
 	return h.store.Do(ctx, store.Call{
-		Op: store.Join, Group: name, Member: h.memberName(), Topics: []string{leadTopic}, TTL: joinTTL, Generation: generation,
+		Op: store.Join, Group: name, Member: h.memberName(), Topics: []string{leaderTopic}, TTL: joinTTL, Generation: generation,
 	})
 }
 
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -47,7 +47,7 @@
 		defer close(listed)
 		h.listHosts()
 	})
-	all, _, err := store.Table(h.ctx, h.store, leadTopic, 0)
+	all, _, err := store.Table(h.ctx, h.store, leaderTopic, 0)
 	if err != nil {
 		return
 	}
@@ -88,7 +88,7 @@
 	if lead != "" && !sleep(h.ctx, settle-h.now().Sub(began)) {
 		return
 	}
-	if all, _, err := store.Table(h.ctx, h.store, leadTopic, 0); err == nil {
+	if all, _, err := store.Table(h.ctx, h.store, leaderTopic, 0); err == nil {
 		h.readLead(all)
 	}
 	if newer, _ := h.leadNow(); h.leads(newer) || newer != "" && h.isLeaderAlive(before) {
