--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -142,13 +142,13 @@
 const (
 	// leaderTopic tells all hosts who leads, under leadKey.
 	leaderTopic = "lead"
-	leadKey     = "0"
+	leaderKey   = "0"
 )
 
 func (h *Host) readLead(all []store.Record) {
 	for _, r := range all {
 		var l leaderRecord
-		if r.Key != leadKey || json.Unmarshal(r.Value, &l) != nil {
+		if r.Key != leaderKey || json.Unmarshal(r.Value, &l) != nil {
 			continue
 		}
 		h.setLead(l)
@@ -212,7 +212,7 @@
 		h.log.Error("lead: cannot be announced.", "err", err)
 		return
 	}
-	c := store.Call{Op: store.Append, Topic: leaderTopic, Keyed: true, Records: []store.Record{{Key: leadKey, Value: b}}}
+	c := store.Call{Op: store.Append, Topic: leaderTopic, Keyed: true, Records: []store.Record{{Key: leaderKey, Value: b}}}
 	h.wg.Go(func() {
 		for {
 			_, err := h.store.Do(t.ctx, c)
