--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -268,7 +268,7 @@
 		return h.handleMessage(ctx, m)
 	})
 	h.wg.Go(func() { srv.Serve(h.ctx, ln) })
-	h.wg.Go(func() { h.follow(leaderTopic, h.readLead) })
+	h.wg.Go(func() { h.follow(leaderTopic, h.applyLeader) })
 	h.wg.Go(h.member)
 	h.wg.Go(h.sync)
 	return h, nil
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -145,7 +145,7 @@
 	leaderKey   = "0"
 )
 
-func (h *Host) readLead(all []store.Record) {
+func (h *Host) applyLeader(all []store.Record) {
 	for _, r := range all {
 		var l leaderRecord
 		if r.Key != leaderKey || json.Unmarshal(r.Value, &l) != nil {
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return
 	}
-	h.readLead(all)
+	h.applyLeader(all)
 	switch name, _ := h.leadNow(); name {
 	case h.cfg.Name:
 		<-listed
@@ -89,7 +89,7 @@
 		return
 	}
 	if all, _, err := store.Table(h.ctx, h.store, leaderTopic, 0); err == nil {
-		h.readLead(all)
+		h.applyLeader(all)
 	}
 	if newer, _ := h.leadNow(); h.leads(newer) || newer != "" && h.isLeaderAlive(before) {
 		return
