--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -145,7 +145,7 @@
 	if err == nil && r.Lead {
 		// Its announcement may be lost. Everybody would leave the lead to it, and
 		// nobody would know it; callers would be told for ever that no host leads.
-		h.setLead(leaderRecord{Name: name, Addr: seen.addr, Term: r.Term})
+		h.setLeader(leaderRecord{Name: name, Addr: seen.addr, Term: r.Term})
 	}
 	return name, err == nil && (r.Lead || r.Claiming)
 }
--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -147,7 +147,7 @@
 
 // LearnLead tells the host who leads, as the store's record does.
 func (h *Host) LearnLead(name string, addr netip.AddrPort, term int64) {
-	h.setLead(leaderRecord{Name: name, Addr: addr, Term: term})
+	h.setLeader(leaderRecord{Name: name, Addr: addr, Term: term})
 }
 
 // LeadName is the host that this one takes for the lead.
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -151,11 +151,11 @@
 		if r.Key != leaderKey || json.Unmarshal(r.Value, &l) != nil {
 			continue
 		}
-		h.setLead(l)
+		h.setLeader(l)
 	}
 }
 
-func (h *Host) setLead(l leaderRecord) {
+func (h *Host) setLeader(l leaderRecord) {
 	h.mu.Lock()
 	if l.Term <= h.term {
 		h.mu.Unlock()
@@ -206,7 +206,7 @@
 // host that never hears of it asks the former lead for ever.
 func (h *Host) announce(t *term) {
 	l := leaderRecord{Name: h.cfg.Name, Addr: h.cfg.Listen.Peer, Term: t.number}
-	h.setLead(l)
+	h.setLeader(l)
 	b, err := json.Marshal(l)
 	if err != nil {
 		h.log.Error("lead: cannot be announced.", "err", err)
