--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -134,7 +134,7 @@
 	case name == h.previousLeader:
 		return ""
 	}
-	h.changeLead(name)
+	h.switchLeader(name)
 	return name
 }
 
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -164,7 +164,7 @@
 	if l.Name != h.cfg.Name || h.ownTerm == nil {
 		h.previousLeader = l.Name
 	}
-	h.changeLead(l.Name)
+	h.switchLeader(l.Name)
 	h.term = l.Term
 	if _, ok := h.hosts[l.Name]; !ok && l.Addr.IsValid() {
 		h.hosts[l.Name] = l.Addr
@@ -185,8 +185,8 @@
 	}
 }
 
-// changeLead has the host follow another lead; mu is held.
-func (h *Host) changeLead(name string) {
+// switchLeader has the host follow another lead; mu is held.
+func (h *Host) switchLeader(name string) {
 	if h.leader != "" && h.leader != name {
 		// Nobody had told of it: whoever claimed believed the lead to be gone.
 		at, former := h.now(), h.leader
