--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -199,8 +199,8 @@
 	h.leaderSince, h.unansweredSince, h.lastLateReply = h.now(), time.Time{}, time.Time{}
 }
 
-// announceAgain is the pause before an announcement without an answer is repeated.
-const announceAgain = 300 * time.Millisecond
+// announceRetry is the pause before an announcement without an answer is repeated.
+const announceRetry = 300 * time.Millisecond
 
 // announce tells all hosts that this one leads, and goes on until it is stored: a
 // host that never hears of it asks the former lead for ever.
@@ -220,7 +220,7 @@
 				return
 			}
 			h.log.Warn("lead: announcement has no answer.", "term", t.number, "err", err)
-			if !sleep(t.ctx, announceAgain) {
+			if !sleep(t.ctx, announceRetry) {
 				return
 			}
 		}
