--- a/internal/entry/group.go
+++ b/internal/entry/group.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// group is the group of the hosts that stand ready to lead. Whoever holds the
+	// candidateGroup is the candidateGroup of the hosts that stand ready to lead. Whoever holds the
 	// first partition of leadTopic should: it says who tries, never who may. Other
 	// hosts are in observers, which says nothing; being in one of the two shows a
 	// host that the store serves it.
-	group     = "hosts"
-	observers = "others"
+	candidateGroup = "hosts"
+	observers      = "others"
 	// joinEvery and joinTTL keep a host in its group: a host that is gone is
 	// noticed within joinTTL and a joinEvery, for a tenth of a call each.
 	joinEvery = 200 * time.Millisecond
@@ -70,7 +70,7 @@
 // and the group would keep their places for joinTTL: after a loss of all power
 // nobody would lead for that long.
 func (h *Host) leaveFormer() {
-	a, err := h.store.Do(h.ctx, store.Call{Op: store.Owners, Group: group})
+	a, err := h.store.Do(h.ctx, store.Call{Op: store.Owners, Group: candidateGroup})
 	if err != nil {
 		return
 	}
@@ -81,7 +81,7 @@
 			continue
 		}
 		left[s.Member] = true
-		if _, err := h.store.Do(h.ctx, store.Call{Op: store.Leave, Group: group, Member: s.Member}); err != nil {
+		if _, err := h.store.Do(h.ctx, store.Call{Op: store.Leave, Group: candidateGroup, Member: s.Member}); err != nil {
 			h.log.Warn("entry: former life stays in the group.", "member", s.Member, "err", err)
 		}
 	}
@@ -120,7 +120,7 @@
 	for h.ctx.Err() == nil {
 		should := observers
 		if h.candidate() {
-			should = group
+			should = candidateGroup
 		}
 		if in != should {
 			h.leaveGroup(in)
@@ -132,7 +132,7 @@
 		}
 		if err == nil {
 			generation = a.Generation
-			if in == group && slices.ContainsFunc(a.Shares, func(s store.Share) bool { return s.Part == 0 }) {
+			if in == candidateGroup && slices.ContainsFunc(a.Shares, func(s store.Share) bool { return s.Part == 0 }) {
 				// It may wait for an answer; the host must not lapse meanwhile.
 				h.wg.Go(h.should)
 			}
@@ -170,7 +170,7 @@
 
 // listHosts reads from the store which hosts there are.
 func (h *Host) listHosts() {
-	a, err := h.store.Do(h.ctx, store.Call{Op: store.Owners, Group: group})
+	a, err := h.store.Do(h.ctx, store.Call{Op: store.Owners, Group: candidateGroup})
 	if err != nil {
 		return
 	}
--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -50,7 +50,7 @@
 		t.end("planned stop")
 		h.tellSuccessor(ctx, successor, t.succeed())
 	}
-	h.leaveGroup(group)
+	h.leaveGroup(candidateGroup)
 }
 
 // tellSuccessor tells all hosts, the successor first, who is to lead now. The others
