--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -210,7 +210,7 @@
 	f.wg.Go(func() { f.follow(platform.TableTopic, f.applyTable) })
 	f.wg.Go(func() {
 		for f.ctx.Err() == nil {
-			_, _ = f.join(observers, 0)
+			_, _ = f.join(observerGroup, 0)
 			sleep(f.ctx, joinEvery)
 		}
 	})
--- a/internal/entry/group.go
+++ b/internal/entry/group.go
@@ -18,7 +18,7 @@
 	// hosts are in observers, which says nothing; being in one of the two shows a
 	// host that the store serves it.
 	candidateGroup = "hosts"
-	observers      = "others"
+	observerGroup  = "others"
 	// joinEvery and joinTTL keep a host in its group: a host that is gone is
 	// noticed within joinTTL and a joinEvery, for a tenth of a call each.
 	joinEvery = 200 * time.Millisecond
@@ -118,7 +118,7 @@
 	h.leaveFormer()
 	in, generation := "", int64(0)
 	for h.ctx.Err() == nil {
-		should := observers
+		should := observerGroup
 		if h.candidate() {
 			should = candidateGroup
 		}
