--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -211,7 +211,7 @@
 	f.wg.Go(func() {
 		for f.ctx.Err() == nil {
 			_, _ = f.join(observerGroup, 0)
-			sleep(f.ctx, joinEvery)
+			sleep(f.ctx, joinInterval)
 		}
 	})
 }
--- a/internal/entry/group.go
+++ b/internal/entry/group.go
@@ -19,10 +19,10 @@
 	// host that the store serves it.
 	candidateGroup = "hosts"
 	observerGroup  = "others"
-	// joinEvery and joinTTL keep a host in its group: a host that is gone is
-	// noticed within joinTTL and a joinEvery, for a tenth of a call each.
-	joinEvery = 200 * time.Millisecond
-	joinTTL   = time.Second
+	// joinInterval and joinTTL keep a host in its group: a host that is gone is
+	// noticed within joinTTL and a joinInterval, for a tenth of a call each.
+	joinInterval = 200 * time.Millisecond
+	joinTTL      = time.Second
 	// joinWait bounds a join, at a store that answers as usual: a hundred times what it
 	// takes. It is the call that finds out when a silent store is back: what was sent into
 	// the silence is never answered, and for as long as it is waited for callers are
@@ -137,7 +137,7 @@
 				h.wg.Go(h.should)
 			}
 		}
-		sleep(h.ctx, joinEvery)
+		sleep(h.ctx, joinInterval)
 	}
 }
 
