--- a/internal/entry/group.go
+++ b/internal/entry/group.go
@@ -28,8 +28,8 @@
 	// the silence is never answered, and for as long as it is waited for callers are
 	// refused although the store serves again. joinSlower is by how many usual answers it
 	// waits at a slow store.
-	joinTimeout = 400 * time.Millisecond
-	joinSlower  = 3
+	joinTimeout       = 400 * time.Millisecond
+	joinTimeoutFactor = 3
 	// enoughHosts is how many hosts have to be much stronger than one that does not
 	// stand ready to lead: of three, two may be lost.
 	enoughHosts = 3
@@ -143,7 +143,7 @@
 
 // join takes or keeps the host's place in a group.
 func (h *Host) join(name string, generation int64) (store.Answer, error) {
-	ctx, cancel := context.WithTimeout(h.ctx, max(joinTimeout, joinSlower*h.store.Usual()))
+	ctx, cancel := context.WithTimeout(h.ctx, max(joinTimeout, joinTimeoutFactor*h.store.Usual()))
 	defer cancel()
 	return h.store.Do(ctx, store.Call{
 		Op: store.Join, Group: name, Member: h.memberName(), Topics: []string{leaderTopic}, TTL: joinTTL, Generation: generation,
