--- a/internal/entry/group.go
+++ b/internal/entry/group.go
@@ -30,9 +30,9 @@
 	// waits at a slow store.
 	joinTimeout       = 400 * time.Millisecond
 	joinTimeoutFactor = 3
-	// enoughHosts is how many hosts have to be much stronger than one that does not
+	// minStrongHosts is how many hosts have to be much stronger than one that does not
 	// stand ready to lead: of three, two may be lost.
-	enoughHosts = 3
+	minStrongHosts = 3
 	// enoughFor is how long the lead's word on them holds: three of its answers.
 	// Without a lead for so long every host stands ready.
 	enoughFor = 3500 * time.Millisecond
@@ -105,11 +105,11 @@
 			powers = append(powers, s.power)
 		}
 	}
-	if len(powers) < enoughHosts {
+	if len(powers) < minStrongHosts {
 		return 0
 	}
 	slices.Sort(powers)
-	return powers[len(powers)-enoughHosts]
+	return powers[len(powers)-minStrongHosts]
 }
 
 // member keeps the host in its group for as long as it lives.
