--- a/internal/entry/group.go
+++ b/internal/entry/group.go
@@ -33,9 +33,9 @@
 	// minStrongHosts is how many hosts have to be much stronger than one that does not
 	// stand ready to lead: of three, two may be lost.
 	minStrongHosts = 3
-	// enoughFor is how long the lead's word on them holds: three of its answers.
+	// strongPowerValidity is how long the lead's word on them holds: three of its answers.
 	// Without a lead for so long every host stands ready.
-	enoughFor = 3500 * time.Millisecond
+	strongPowerValidity = 3500 * time.Millisecond
 )
 
 // lifeBase is the base of the number that names a life of a host, the nanosecond
@@ -93,7 +93,7 @@
 func (h *Host) candidate() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.ownTerm != nil || h.cfg.Power*stronger > h.strongPower || h.now().Sub(h.lastSync) > enoughFor
+	return h.ownTerm != nil || h.cfg.Power*stronger > h.strongPower || h.now().Sub(h.lastSync) > strongPowerValidity
 }
 
 // enoughPower is the power of the weakest of the enoughHosts strongest hosts;
