--- a/internal/entry/group.go
+++ b/internal/entry/group.go
@@ -38,9 +38,9 @@
 	strongPowerValidity = 3500 * time.Millisecond
 )
 
-// lifeBase is the base of the number that names a life of a host, the nanosecond
+// incarnationBase is the base of the number that names a life of a host, the nanosecond
 // in which it began.
-const lifeBase = 36
+const incarnationBase = 36
 
 // memberName is how the group knows this life of the host: name, address, life,
 // power.
@@ -62,7 +62,7 @@
 	if err != nil {
 		return "", sighting{}, false
 	}
-	began, err := strconv.ParseInt(fields[2], lifeBase, 64)
+	began, err := strconv.ParseInt(fields[2], incarnationBase, 64)
 	return fields[0], sighting{addr: addr, power: power, began: time.Unix(0, began)}, err == nil
 }
 
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -116,7 +116,9 @@
 	return h, nil
 }
 
-func (h *Host) incarnation() string { return strconv.FormatInt(h.startedAt.UnixNano(), lifeBase) }
+func (h *Host) incarnation() string {
+	return strconv.FormatInt(h.startedAt.UnixNano(), incarnationBase)
+}
 
 func (h *Host) incCounter(name string) { metrics.GetOrRegisterCounter(name, h.metrics).Inc(1) }
 
