--- a/internal/entry/group.go
+++ b/internal/entry/group.go
@@ -66,10 +66,10 @@
 	return fields[0], sighting{addr: addr, power: power, began: time.Unix(0, began)}, err == nil
 }
 
-// leaveFormer takes former lives of this host out of the group. They are over,
+// removePreviousIncarnations takes former lives of this host out of the group. They are over,
 // and the group would keep their places for joinTTL: after a loss of all power
 // nobody would lead for that long.
-func (h *Host) leaveFormer() {
+func (h *Host) removePreviousIncarnations() {
 	a, err := h.store.Do(h.ctx, store.Call{Op: store.Owners, Group: candidateGroup})
 	if err != nil {
 		return
@@ -115,7 +115,7 @@
 // member keeps the host in its group for as long as it lives.
 func (h *Host) member() {
 	h.resume()
-	h.leaveFormer()
+	h.removePreviousIncarnations()
 	in, generation := "", int64(0)
 	for h.ctx.Err() == nil {
 		should := observerGroup
