--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -73,7 +73,7 @@
 }
 
 // StandsReady tells whether the host may be named to lead.
-func (h *Host) StandsReady() bool { return h.candidate() }
+func (h *Host) StandsReady() bool { return h.isCandidate() }
 
 // Journal is the writer of progress.
 type Journal struct{ *journal }
--- a/internal/entry/group.go
+++ b/internal/entry/group.go
@@ -87,10 +87,10 @@
 	}
 }
 
-// candidate tells whether the host should stand ready to lead. Where hosts differ,
+// isCandidate tells whether the host should stand ready to lead. Where hosts differ,
 // a weak one that the group names leads so slowly that it cannot even be asked to
 // leave the lead to another; nearly no job would be served in time.
-func (h *Host) candidate() bool {
+func (h *Host) isCandidate() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.ownTerm != nil || h.cfg.Power*stronger > h.strongPower || h.now().Sub(h.lastSync) > strongPowerValidity
@@ -119,7 +119,7 @@
 	in, generation := "", int64(0)
 	for h.ctx.Err() == nil {
 		should := observerGroup
-		if h.candidate() {
+		if h.isCandidate() {
 			should = candidateGroup
 		}
 		if in != should {
