--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -119,7 +119,7 @@
 	for n, a := range h.hosts {
 		hosts[n] = a.String()
 	}
-	claiming, leaving, successor, enough, follows := h.claiming, h.leaving, h.successor, h.enoughPower(), h.leader
+	claiming, leaving, successor, enough, follows := h.claiming, h.leaving, h.successor, h.minStrongPower(), h.leader
 	h.mu.Unlock()
 	served := h.store.Fresh(leaderFreshness)
 	if t == nil || !served {
--- a/internal/entry/group.go
+++ b/internal/entry/group.go
@@ -96,9 +96,9 @@
 	return h.ownTerm != nil || h.cfg.Power*stronger > h.strongPower || h.now().Sub(h.lastSync) > strongPowerValidity
 }
 
-// enoughPower is the power of the weakest of the enoughHosts strongest hosts;
+// minStrongPower is the power of the weakest of the enoughHosts strongest hosts;
 // zero if there are fewer. mu is held.
-func (h *Host) enoughPower() float64 {
+func (h *Host) minStrongPower() float64 {
 	powers := []float64{h.cfg.Power}
 	for _, s := range h.peersSeen {
 		if h.now().Sub(s.at) < heardFor {
