--- a/internal/entry/group.go
+++ b/internal/entry/group.go
@@ -112,8 +112,8 @@
 	return powers[len(powers)-minStrongHosts]
 }
 
-// member keeps the host in its group for as long as it lives.
-func (h *Host) member() {
+// maintainMembership keeps the host in its group for as long as it lives.
+func (h *Host) maintainMembership() {
 	h.resume()
 	h.removePreviousIncarnations()
 	in, generation := "", int64(0)
