--- a/internal/entry/group.go
+++ b/internal/entry/group.go
@@ -127,7 +127,7 @@
 			in, generation = should, 0
 		}
 		a, err := h.join(in, generation)
-		if h.gone() {
+		if h.isLeaving() {
 			return
 		}
 		if err == nil {
@@ -162,7 +162,7 @@
 	}
 }
 
-func (h *Host) gone() bool {
+func (h *Host) isLeaving() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.leaving
