--- a/internal/entry/group.go
+++ b/internal/entry/group.go
@@ -168,8 +168,8 @@
 	return h.leaving
 }
 
-// listHosts reads from the store which hosts there are.
-func (h *Host) listHosts() {
+// readHosts reads from the store which hosts there are.
+func (h *Host) readHosts() {
 	a, err := h.store.Do(h.ctx, store.Call{Op: store.Owners, Group: candidateGroup})
 	if err != nil {
 		return
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -45,7 +45,7 @@
 	listed := make(chan struct{})
 	h.wg.Go(func() {
 		defer close(listed)
-		h.listHosts()
+		h.readHosts()
 	})
 	all, _, err := store.Table(h.ctx, h.store, leaderTopic, 0)
 	if err != nil {
@@ -178,7 +178,7 @@
 		case lead != "" && !alone:
 			h.syncWith(lead)
 		default:
-			h.listHosts()
+			h.readHosts()
 		}
 		h.dropRecent()
 		h.states.drop()
@@ -211,7 +211,7 @@
 	r, err := h.requestSync(lead, askWait)
 	if err != nil || !r.Lead {
 		h.log.Warn("lead: does not answer.", "host", lead, "err", err)
-		h.listHosts()
+		h.readHosts()
 		return
 	}
 	h.mu.Lock()
--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -174,7 +174,7 @@
 // if one was asked lately: it may be gone and still be listed, and nothing would
 // be led for as long as it is asked again.
 func (h *Host) delegate() bool {
-	h.listHosts()
+	h.readHosts()
 	h.mu.Lock()
 	lately := h.now().Sub(h.lastDelegation) < delegateEvery
 	term := h.term
