--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -140,7 +140,7 @@
 
 // tryConnect tries a new connection to a host.
 func (h *Host) tryConnect(name string) peer.Reach {
-	ctx, cancel := context.WithTimeout(h.ctx, goneWait)
+	ctx, cancel := context.WithTimeout(h.ctx, goneTimeout)
 	defer cancel()
 	return h.peers.Reach(ctx, name)
 }
--- a/internal/entry/heir.go
+++ b/internal/entry/heir.go
@@ -15,10 +15,10 @@
 // heir, and that one claims at once. It says who tries; the store still says who may.
 
 const (
-	// goneWait bounds the question whether a process is gone, goneAgain is the pause before
+	// goneTimeout bounds the question whether a process is gone, goneAgain is the pause before
 	// it is asked again. A refusal takes one way to the host and back.
-	goneWait  = 100 * time.Millisecond
-	goneAgain = 15 * time.Millisecond
+	goneTimeout = 100 * time.Millisecond
+	goneAgain   = 15 * time.Millisecond
 	// followsWait bounds the question whom other hosts follow, a few ways to a host and
 	// back: after a loss of all power nobody answers it, and nothing is led meanwhile.
 	followsWait = 50 * time.Millisecond
@@ -39,7 +39,7 @@
 // and its port one by one. Asked once, the port may still be open, the heir would take the lead
 // for alive, and nothing would be started until the group notices.
 func (h *Host) isGone(lead string) bool {
-	ctx, cancel := context.WithTimeout(h.ctx, goneWait)
+	ctx, cancel := context.WithTimeout(h.ctx, goneTimeout)
 	defer cancel()
 	for h.peers.Reach(ctx, lead) != peer.Refused {
 		if !sleep(ctx, goneAgain) {
