--- a/internal/entry/heir.go
+++ b/internal/entry/heir.go
@@ -18,7 +18,7 @@
 	// goneTimeout bounds the question whether a process is gone, goneAgain is the pause before
 	// it is asked again. A refusal takes one way to the host and back.
 	goneTimeout = 100 * time.Millisecond
-	goneAgain   = 15 * time.Millisecond
+	goneRetry   = 15 * time.Millisecond
 	// followsWait bounds the question whom other hosts follow, a few ways to a host and
 	// back: after a loss of all power nobody answers it, and nothing is led meanwhile.
 	followsWait = 50 * time.Millisecond
@@ -42,7 +42,7 @@
 	ctx, cancel := context.WithTimeout(h.ctx, goneTimeout)
 	defer cancel()
 	for h.peers.Reach(ctx, lead) != peer.Refused {
-		if !sleep(ctx, goneAgain) {
+		if !sleep(ctx, goneRetry) {
 			return false
 		}
 	}
