--- a/internal/entry/heir.go
+++ b/internal/entry/heir.go
@@ -19,9 +19,9 @@
 	// it is asked again. A refusal takes one way to the host and back.
 	goneTimeout = 100 * time.Millisecond
 	goneRetry   = 15 * time.Millisecond
-	// followsWait bounds the question whom other hosts follow, a few ways to a host and
+	// followsTimeout bounds the question whom other hosts follow, a few ways to a host and
 	// back: after a loss of all power nobody answers it, and nothing is led meanwhile.
-	followsWait = 50 * time.Millisecond
+	followsTimeout = 50 * time.Millisecond
 	// mostAsked is how many hosts are asked at once.
 	mostAsked = 3
 )
@@ -84,7 +84,7 @@
 // about to; empty if there is none. A lead that comes back at once would otherwise claim
 // beside its heir, and at a slow store two claims cost each other seconds.
 func (h *Host) followed() string {
-	ctx, cancel := context.WithTimeout(h.ctx, followsWait)
+	ctx, cancel := context.WithTimeout(h.ctx, followsTimeout)
 	defer cancel()
 	all := apart(h.otherHosts(), mostAsked)
 	names := make([]string, len(all))
