--- a/internal/entry/heir.go
+++ b/internal/entry/heir.go
@@ -22,8 +22,8 @@
 	// followsTimeout bounds the question whom other hosts follow, a few ways to a host and
 	// back: after a loss of all power nobody answers it, and nothing is led meanwhile.
 	followsTimeout = 50 * time.Millisecond
-	// mostAsked is how many hosts are asked at once.
-	mostAsked = 3
+	// maxConcurrentAsks is how many hosts are asked at once.
+	maxConcurrentAsks = 3
 )
 
 // peerLost is called when a connection to a host has ended. A host that leaves begins nothing.
@@ -86,7 +86,7 @@
 func (h *Host) followed() string {
 	ctx, cancel := context.WithTimeout(h.ctx, followsTimeout)
 	defer cancel()
-	all := apart(h.otherHosts(), mostAsked)
+	all := apart(h.otherHosts(), maxConcurrentAsks)
 	names := make([]string, len(all))
 	var wg sync.WaitGroup
 	for i := range names {
--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -96,7 +96,7 @@
 // best may lie together in a failure domain that is cut off, and one after the other they
 // would use up the time that a lead has to leave.
 func firstOf(ctx context.Context, hosts []string, ask func(ctx context.Context, name string) bool) string {
-	for some := range slices.Chunk(hosts, mostAsked) {
+	for some := range slices.Chunk(hosts, maxConcurrentAsks) {
 		if p := firstOfSome(ctx, some, ask); p != "" {
 			return p
 		}
