--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -248,7 +248,7 @@
 	h.mu.Lock()
 	h.leader, h.standby = name, h.cfg.Name
 	h.mu.Unlock()
-	h.peerLost(name)
+	h.onPeerLost(name)
 }
 
 // IsGone tells whether the host takes another one's process for gone.
--- a/internal/entry/heir.go
+++ b/internal/entry/heir.go
@@ -26,8 +26,8 @@
 	maxConcurrentAsks = 3
 )
 
-// peerLost is called when a connection to a host has ended. A host that leaves begins nothing.
-func (h *Host) peerLost(name string) {
+// onPeerLost is called when a connection to a host has ended. A host that leaves begins nothing.
+func (h *Host) onPeerLost(name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.ownTerm == nil && !h.leaving && name == h.leader && h.standby == h.cfg.Name {
