--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -252,7 +252,7 @@
 }
 
 // IsGone tells whether the host takes another one's process for gone.
-func (h *Host) IsGone(name string) bool { return h.isGone(name) }
+func (h *Host) IsGone(name string) bool { return h.isProcessGone(name) }
 
 // NewNetless returns a host that reaches its peers by dial and the store by log, and is
 // reached through ln. What it is asked passes before first.
--- a/internal/entry/heir.go
+++ b/internal/entry/heir.go
@@ -35,10 +35,10 @@
 	}
 }
 
-// isGone tells whether a host's process is gone. A process that dies closes its connections
+// isProcessGone tells whether a host's process is gone. A process that dies closes its connections
 // and its port one by one. Asked once, the port may still be open, the heir would take the lead
 // for alive, and nothing would be started until the group notices.
-func (h *Host) isGone(lead string) bool {
+func (h *Host) isProcessGone(lead string) bool {
 	ctx, cancel := context.WithTimeout(h.ctx, goneTimeout)
 	defer cancel()
 	for h.peers.Reach(ctx, lead) != peer.Refused {
@@ -51,7 +51,7 @@
 
 // inherit claims if the lead's process is gone.
 func (h *Host) inherit(lead string) {
-	if !h.isGone(lead) {
+	if !h.isProcessGone(lead) {
 		return
 	}
 	term := h.termNow()
