--- a/internal/entry/heir.go
+++ b/internal/entry/heir.go
@@ -31,7 +31,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.ownTerm == nil && !h.leaving && name == h.leader && h.standby == h.cfg.Name {
-		h.wg.Go(func() { h.inherit(name) })
+		h.wg.Go(func() { h.takeOver(name) })
 	}
 }
 
@@ -49,8 +49,8 @@
 	return true
 }
 
-// inherit claims if the lead's process is gone.
-func (h *Host) inherit(lead string) {
+// takeOver claims if the lead's process is gone.
+func (h *Host) takeOver(lead string) {
 	if !h.isProcessGone(lead) {
 		return
 	}
