--- a/internal/entry/heir.go
+++ b/internal/entry/heir.go
@@ -71,9 +71,9 @@
 	h.claim("the lead's process is gone")
 }
 
-// heirNow is whom the lead wants to lead after it: the strongest host, of equals the one
+// chooseStandby is whom the lead wants to lead after it: the strongest host, of equals the one
 // that began last.
-func (h *Host) heirNow() string {
+func (h *Host) chooseStandby() string {
 	if all := h.successors(); len(all) > 0 {
 		return all[0]
 	}
