--- a/internal/entry/heir.go
+++ b/internal/entry/heir.go
@@ -80,10 +80,10 @@
 	return ""
 }
 
-// followed is the host that others follow instead of this one, if that one leads or is
+// leaderOfOthers is the host that others follow instead of this one, if that one leads or is
 // about to; empty if there is none. A lead that comes back at once would otherwise claim
 // beside its heir, and at a slow store two claims cost each other seconds.
-func (h *Host) followed() string {
+func (h *Host) leaderOfOthers() string {
 	ctx, cancel := context.WithTimeout(h.ctx, followsTimeout)
 	defer cancel()
 	all := apart(h.otherHosts(), maxConcurrentAsks)
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -55,7 +55,7 @@
 	switch name, _ := h.leadNow(); name {
 	case h.cfg.Name:
 		<-listed
-		if heir := h.followed(); heir != "" {
+		if heir := h.leaderOfOthers(); heir != "" {
 			h.log.Info("lead: another host leads in place of this one's former life.", "host", heir)
 			h.follower(heir, h.termNow())
 			return
