--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -241,7 +241,7 @@
 }
 
 // Apart picks hosts that lie far from each other.
-func Apart(all []string, n int) []string { return apart(all, n) }
+func Apart(all []string, n int) []string { return spacedSample(all, n) }
 
 // LoseLead has the host, as its heir, notice that a lead's connection has ended.
 func (h *Host) LoseLead(name string) {
--- a/internal/entry/heir.go
+++ b/internal/entry/heir.go
@@ -86,7 +86,7 @@
 func (h *Host) leaderOfOthers() string {
 	ctx, cancel := context.WithTimeout(h.ctx, followsTimeout)
 	defer cancel()
-	all := apart(h.otherHosts(), maxConcurrentAsks)
+	all := spacedSample(h.otherHosts(), maxConcurrentAsks)
 	names := make([]string, len(all))
 	var wg sync.WaitGroup
 	for i := range names {
@@ -106,9 +106,9 @@
 	return ""
 }
 
-// apart picks n hosts that lie far from each other in the list: those of a failure domain
+// spacedSample picks n hosts that lie far from each other in the list: those of a failure domain
 // often stand together in it, and may all be cut off.
-func apart(all []string, n int) []string {
+func spacedSample(all []string, n int) []string {
 	n = min(n, len(all))
 	some := make([]string, n)
 	for i := range some {
