--- a/internal/entry/inbox.go
+++ b/internal/entry/inbox.go
@@ -25,7 +25,7 @@
 	h *Host
 	// parts are where it may append, its own partition first.
 	parts []int
-	asks  chan ask
+	queue chan ask
 }
 
 type ask struct {
@@ -48,7 +48,7 @@
 
 func newInbox(h *Host) *inbox {
 	own := int(xxhash.Sum64String(h.cfg.Name) % uint64(h.cfg.Parts))
-	return &inbox{h: h, parts: partsFrom(own, h.cfg.Parts), asks: make(chan ask, mostAsks)}
+	return &inbox{h: h, parts: partsFrom(own, h.cfg.Parts), queue: make(chan ask, mostAsks)}
 }
 
 // put stores a record. After a store.RefusedError it is certain that it is not
@@ -61,7 +61,7 @@
 	}
 	a := ask{ctx: ctx, record: r, done: make(chan error, 1)}
 	select {
-	case b.asks <- a:
+	case b.queue <- a:
 	default:
 		return &store.RefusedError{Op: store.Append, Reason: "too many wait"}
 	}
@@ -78,7 +78,7 @@
 		select {
 		case <-b.h.ctx.Done():
 			return
-		case a := <-b.asks:
+		case a := <-b.queue:
 			b.store(b.gather(a))
 		}
 	}
@@ -89,7 +89,7 @@
 	size := len(first.record.Value)
 	for size < mostBytes {
 		select {
-		case a := <-b.asks:
+		case a := <-b.queue:
 			all = append(all, a)
 			size += len(a.record.Value)
 		default:
