--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -276,8 +276,8 @@
 }
 
 func (l *Leader) forgetStart(name, start string) {
-	if start != "" && !slices.Contains(l.forget[name], start) {
-		l.forget[name] = append(l.forget[name], start)
+	if start != "" && !slices.Contains(l.toForget[name], start) {
+		l.toForget[name] = append(l.toForget[name], start)
 	}
 }
 
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -65,8 +65,8 @@
 	ctx      context.Context
 	mu       sync.Mutex
 	machines map[string]Machine
-	// forget holds by worker the leases of ended starts that it may drop.
-	forget map[string][]string
+	// toForget holds by worker the leases of ended starts that it may drop.
+	toForget map[string][]string
 	// rooms holds on which held worker each listed task runs.
 	rooms map[string]string
 	loose map[string]loose
@@ -114,7 +114,7 @@
 		d.Count = func(string) {}
 	}
 	return &Leader{
-		Deps: d, ctx: ctx, machines: map[string]Machine{}, forget: map[string][]string{}, rooms: map[string]string{},
+		Deps: d, ctx: ctx, machines: map[string]Machine{}, toForget: map[string][]string{}, rooms: map[string]string{},
 		counts: map[string]*count{}, elsewhere: map[string][]CountedTask{}, limited: map[string]time.Time{}, loose: map[string]loose{}, left: map[string]time.Time{}, expected: map[string]expected{}, held: map[string]time.Time{}, lives: map[string]*life{}, rules: map[string]place.Rule{}, epoch: 1,
 	}
 }
@@ -283,12 +283,12 @@
 
 func (l *Leader) renew(ctx context.Context, a lease.Renew) {
 	l.mu.Lock()
-	forget := slices.Clone(l.forget[a.Worker])
+	forget := slices.Clone(l.toForget[a.Worker])
 	l.mu.Unlock()
 	r, err := l.Workers.Renew(ctx, l.address(a.Worker), a, forget)
 	if err == nil && len(forget) > 0 {
 		l.mu.Lock()
-		l.forget[a.Worker] = slices.DeleteFunc(l.forget[a.Worker], func(s string) bool { return slices.Contains(forget, s) })
+		l.toForget[a.Worker] = slices.DeleteFunc(l.toForget[a.Worker], func(s string) bool { return slices.Contains(forget, s) })
 		l.mu.Unlock()
 	}
 	l.tellLease(a.Worker, err, lease.Renewed{Worker: a.Worker, Reading: r})
