--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -237,7 +237,7 @@
 	for _, t := range r.Tasks {
 		if t.State == "running" {
 			running[t.ID] = true
-			l.rooms[t.ID] = name
+			l.taskWorkers[t.ID] = name
 			continue
 		}
 		if l.Jobs.HasTask(t.ID) {
@@ -248,8 +248,8 @@
 		}
 		l.free(t.ID, name)
 	}
-	for _, id := range slices.Sorted(maps.Keys(l.rooms)) {
-		if l.rooms[id] == name && !running[id] {
+	for _, id := range slices.Sorted(maps.Keys(l.taskWorkers)) {
+		if l.taskWorkers[id] == name && !running[id] {
 			l.free(id, name)
 		}
 	}
@@ -266,10 +266,10 @@
 // free gives the room of a task back unless the job core knows the task and
 // does it itself, or the task runs on another worker by now.
 func (l *Leader) free(id, name string) {
-	if at, ok := l.rooms[id]; ok && at != name {
+	if at, ok := l.taskWorkers[id]; ok && at != name {
 		return
 	}
-	delete(l.rooms, id)
+	delete(l.taskWorkers, id)
 	if !l.Jobs.HasTask(id) {
 		l.place(place.Freed{Task: id})
 	}
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -67,9 +67,9 @@
 	machines map[string]Machine
 	// toForget holds by worker the leases of ended starts that it may drop.
 	toForget map[string][]string
-	// rooms holds on which held worker each listed task runs.
-	rooms map[string]string
-	loose map[string]loose
+	// taskWorkers holds on which held worker each listed task runs.
+	taskWorkers map[string]string
+	loose       map[string]loose
 	// left is when a job that had tasks on a worker was last given up.
 	left map[string]time.Time
 	// expected holds by peer the hand-over that it may send next.
@@ -114,7 +114,7 @@
 		d.Count = func(string) {}
 	}
 	return &Leader{
-		Deps: d, ctx: ctx, machines: map[string]Machine{}, toForget: map[string][]string{}, rooms: map[string]string{},
+		Deps: d, ctx: ctx, machines: map[string]Machine{}, toForget: map[string][]string{}, taskWorkers: map[string]string{},
 		counts: map[string]*count{}, elsewhere: map[string][]CountedTask{}, limited: map[string]time.Time{}, loose: map[string]loose{}, left: map[string]time.Time{}, expected: map[string]expected{}, held: map[string]time.Time{}, lives: map[string]*life{}, rules: map[string]place.Rule{}, epoch: 1,
 	}
 }
@@ -242,9 +242,9 @@
 	l.Log.Info("lead: worker is no longer led.", "worker", name)
 	l.Count("lead.down")
 	l.held[name] = l.Clock()
-	for id, at := range l.rooms {
+	for id, at := range l.taskWorkers {
 		if at == name {
-			delete(l.rooms, id)
+			delete(l.taskWorkers, id)
 			l.Estimates.Drop(id)
 		}
 	}
