--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -174,7 +174,7 @@
 			l.left[t.Worker] = now
 			l.lease(lease.Look{Worker: t.Worker, After: lookAgain})
 			if t.State == "unsure" || t.State == "stopping" || t.State == "pausing" {
-				l.loose[job.TaskID(id, i)] = loose{worker: t.Worker, deadline: t.Deadline, since: now}
+				l.loose[job.TaskID(id, i)] = untrackedRun{worker: t.Worker, deadline: t.Deadline, since: now}
 			}
 		}
 	}
