--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -77,7 +77,7 @@
 		l.lease(lease.Look{Worker: name, After: lookAgain})
 		return false
 	}
-	for _, lo := range l.loose {
+	for _, lo := range l.untracked {
 		if lo.worker == name {
 			return false
 		}
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -174,7 +174,7 @@
 			l.left[t.Worker] = now
 			l.lease(lease.Look{Worker: t.Worker, After: lookAgain})
 			if t.State == "unsure" || t.State == "stopping" || t.State == "pausing" {
-				l.loose[job.TaskID(id, i)] = untrackedRun{worker: t.Worker, deadline: t.Deadline, since: now}
+				l.untracked[job.TaskID(id, i)] = untrackedRun{worker: t.Worker, deadline: t.Deadline, since: now}
 			}
 		}
 	}
@@ -253,9 +253,9 @@
 			l.free(id, name)
 		}
 	}
-	for id, lo := range l.loose {
+	for id, lo := range l.untracked {
 		if lo.worker == name && (running[id] || r.Sent.After(lo.since) && r.Clock.After(lo.deadline)) {
-			delete(l.loose, id)
+			delete(l.untracked, id)
 			if !running[id] {
 				l.free(id, name)
 			}
