--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -82,7 +82,7 @@
 			return false
 		}
 	}
-	return r.Sent.After(l.left[name])
+	return r.Sent.After(l.lastDropped[name])
 }
 
 func (l *Leader) view(name string, r lease.Reading, q InventoryRequest) WorkerState {
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -171,7 +171,7 @@
 			if t.Worker == "" {
 				continue
 			}
-			l.left[t.Worker] = now
+			l.lastDropped[t.Worker] = now
 			l.lease(lease.Look{Worker: t.Worker, After: lookAgain})
 			if t.State == "unsure" || t.State == "stopping" || t.State == "pausing" {
 				l.untracked[job.TaskID(id, i)] = untrackedRun{worker: t.Worker, deadline: t.Deadline, since: now}
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -70,8 +70,8 @@
 	// taskWorkers holds on which held worker each listed task runs.
 	taskWorkers map[string]string
 	untracked   map[string]untrackedRun
-	// left is when a job that had tasks on a worker was last given up.
-	left map[string]time.Time
+	// lastDropped is when a job that had tasks on a worker was last given up.
+	lastDropped map[string]time.Time
 	// expected holds by peer the hand-over that it may send next.
 	expected map[string]expected
 	// counts holds by key what is counted here, elsewhere by worker what is counted and runs on
@@ -115,7 +115,7 @@
 	}
 	return &Leader{
 		Deps: d, ctx: ctx, machines: map[string]Machine{}, toForget: map[string][]string{}, taskWorkers: map[string]string{},
-		counts: map[string]*count{}, elsewhere: map[string][]CountedTask{}, limited: map[string]time.Time{}, untracked: map[string]untrackedRun{}, left: map[string]time.Time{}, expected: map[string]expected{}, held: map[string]time.Time{}, lives: map[string]*life{}, rules: map[string]place.Rule{}, epoch: 1,
+		counts: map[string]*count{}, elsewhere: map[string][]CountedTask{}, limited: map[string]time.Time{}, untracked: map[string]untrackedRun{}, lastDropped: map[string]time.Time{}, expected: map[string]expected{}, held: map[string]time.Time{}, lives: map[string]*life{}, rules: map[string]place.Rule{}, epoch: 1,
 	}
 }
 
