--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -210,7 +210,7 @@
 		case takeover.Silent:
 			l.Log.Warn("lead: worker is silent for longer than any lease.", "worker", a.Worker)
 			l.Count("lead.silent")
-			delete(l.elsewhere, a.Worker)
+			delete(l.countedElsewhere, a.Worker)
 			l.job(job.WorkerList{Worker: a.Worker, LeasesExpired: true})
 		}
 	}
@@ -221,7 +221,7 @@
 func (l *Leader) watch() {
 	held := l.Leases.Held()
 	names := l.Jobs.Workers()
-	for name := range l.elsewhere {
+	for name := range l.countedElsewhere {
 		if !slices.Contains(names, name) {
 			names = append(names, name)
 		}
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -76,8 +76,8 @@
 	expected map[string]expected
 	// counts holds by key what is counted here, elsewhere by worker what is counted and runs on
 	// workers of other hosts.
-	counts    map[string]*count
-	elsewhere map[string][]CountedTask
+	counts           map[string]*count
+	countedElsewhere map[string][]CountedTask
 	// limited is when a start of a counted row to a worker was last answered.
 	limited map[string]time.Time
 	// held is when each worker was last held.
@@ -115,7 +115,7 @@
 	}
 	return &Leader{
 		Deps: d, ctx: ctx, machines: map[string]Machine{}, toForget: map[string][]string{}, taskWorkers: map[string]string{},
-		counts: map[string]*count{}, elsewhere: map[string][]CountedTask{}, limited: map[string]time.Time{}, untracked: map[string]untrackedRun{}, lastDropped: map[string]time.Time{}, expected: map[string]expected{}, held: map[string]time.Time{}, lives: map[string]*life{}, rules: map[string]place.Rule{}, epoch: 1,
+		counts: map[string]*count{}, countedElsewhere: map[string][]CountedTask{}, limited: map[string]time.Time{}, untracked: map[string]untrackedRun{}, lastDropped: map[string]time.Time{}, expected: map[string]expected{}, held: map[string]time.Time{}, lives: map[string]*life{}, rules: map[string]place.Rule{}, epoch: 1,
 	}
 }
 
@@ -337,7 +337,7 @@
 		}
 	}
 	l.Count("lead.up")
-	delete(l.elsewhere, a.Worker)
+	delete(l.countedElsewhere, a.Worker)
 	l.Log.Info("lead: worker is led.", "worker", a.Worker, "tasks", len(used))
 	l.place(place.Up{Worker: m.Name, Rack: m.Rack, Size: m.Size, Used: used})
 	l.seen(a.Worker, a.Reading)
--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -111,15 +111,15 @@
 // runsElsewhere notes what runs of the counted keys on a worker of another host.
 func (l *Leader) runsElsewhere(worker string, tasks []CountedTask) {
 	if len(tasks) == 0 {
-		delete(l.elsewhere, worker)
+		delete(l.countedElsewhere, worker)
 		return
 	}
-	l.elsewhere[worker] = tasks
+	l.countedElsewhere[worker] = tasks
 }
 
 // toldElsewhere notes what a peer told of some keys; of others it was not asked.
 func (l *Leader) toldElsewhere(worker string, keys []string, tasks []CountedTask) {
-	for _, t := range l.elsewhere[worker] {
+	for _, t := range l.countedElsewhere[worker] {
 		if !slices.Contains(keys, l.keyOf(t.Row)) {
 			tasks = append(tasks, t)
 		}
@@ -140,7 +140,7 @@
 
 // lessElsewhere takes off a rule what runs on workers of other hosts.
 func (l *Leader) lessElsewhere(row table.Row, r place.Rule) place.Rule {
-	for _, tasks := range l.elsewhere {
+	for _, tasks := range l.countedElsewhere {
 		for _, t := range tasks {
 			other, _ := l.Row(t.Row)
 			if t.Row == row.Name {
