--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -73,7 +73,7 @@
 // the keys that are asked for. The asker would take a task that is not listed for one that runs
 // nowhere.
 func (l *Leader) shows(name string, r lease.Reading, q InventoryRequest) bool {
-	if len(q.Keys) > 0 && !r.Sent.After(l.limited[name]) {
+	if len(q.Keys) > 0 && !r.Sent.After(l.lastLimitedStart[name]) {
 		l.lease(lease.Look{Worker: name, After: lookAgain})
 		return false
 	}
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -78,8 +78,8 @@
 	// workers of other hosts.
 	counts           map[string]*count
 	countedElsewhere map[string][]CountedTask
-	// limited is when a start of a counted row to a worker was last answered.
-	limited map[string]time.Time
+	// lastLimitedStart is when a start of a counted row to a worker was last answered.
+	lastLimitedStart map[string]time.Time
 	// held is when each worker was last held.
 	held map[string]time.Time
 	// askedLives is when the peers were last asked for what they know of the workers' lives.
@@ -115,7 +115,7 @@
 	}
 	return &Leader{
 		Deps: d, ctx: ctx, machines: map[string]Machine{}, toForget: map[string][]string{}, taskWorkers: map[string]string{},
-		counts: map[string]*count{}, countedElsewhere: map[string][]CountedTask{}, limited: map[string]time.Time{}, untracked: map[string]untrackedRun{}, lastDropped: map[string]time.Time{}, expected: map[string]expected{}, held: map[string]time.Time{}, lives: map[string]*life{}, rules: map[string]place.Rule{}, epoch: 1,
+		counts: map[string]*count{}, countedElsewhere: map[string][]CountedTask{}, lastLimitedStart: map[string]time.Time{}, untracked: map[string]untrackedRun{}, lastDropped: map[string]time.Time{}, expected: map[string]expected{}, held: map[string]time.Time{}, lives: map[string]*life{}, rules: map[string]place.Rule{}, epoch: 1,
 	}
 }
 
--- a/internal/lead/start.go
+++ b/internal/lead/start.go
@@ -64,7 +64,7 @@
 	defer l.mu.Unlock()
 	var late *worker.LateError
 	if arbiter != "" {
-		l.limited[a.Worker] = l.Clock()
+		l.lastLimitedStart[a.Worker] = l.Clock()
 	}
 	if arbiter != "" && arbiter != a.Worker {
 		l.lease(lease.Answered{Worker: arbiter, Task: a.Task, Sure: err == nil || errors.As(err, &late)})
