--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -136,7 +136,7 @@
 	ev := takeover.Answer{Host: host, Asked: q.Asked, Leads: c.Leads, Waits: c.Waits}
 	held := l.Leases.Held()
 	for _, v := range c.Workers {
-		if slices.Contains(held, v.Worker) || l.held[v.Worker].After(q.Asked) {
+		if slices.Contains(held, v.Worker) || l.lastHeld[v.Worker].After(q.Asked) {
 			continue
 		}
 		ev.Workers = append(ev.Workers, v.Worker)
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -80,8 +80,8 @@
 	countedElsewhere map[string][]CountedTask
 	// lastLimitedStart is when a start of a counted row to a worker was last answered.
 	lastLimitedStart map[string]time.Time
-	// held is when each worker was last held.
-	held map[string]time.Time
+	// lastHeld is when each worker was last lastHeld.
+	lastHeld map[string]time.Time
 	// askedLives is when the peers were last asked for what they know of the workers' lives.
 	askedLives time.Time
 	// lives are the workers' lives as this host last saw them.
@@ -115,7 +115,7 @@
 	}
 	return &Leader{
 		Deps: d, ctx: ctx, machines: map[string]Machine{}, toForget: map[string][]string{}, taskWorkers: map[string]string{},
-		counts: map[string]*count{}, countedElsewhere: map[string][]CountedTask{}, lastLimitedStart: map[string]time.Time{}, untracked: map[string]untrackedRun{}, lastDropped: map[string]time.Time{}, expected: map[string]expected{}, held: map[string]time.Time{}, lives: map[string]*life{}, rules: map[string]place.Rule{}, epoch: 1,
+		counts: map[string]*count{}, countedElsewhere: map[string][]CountedTask{}, lastLimitedStart: map[string]time.Time{}, untracked: map[string]untrackedRun{}, lastDropped: map[string]time.Time{}, expected: map[string]expected{}, lastHeld: map[string]time.Time{}, lives: map[string]*life{}, rules: map[string]place.Rule{}, epoch: 1,
 	}
 }
 
@@ -241,7 +241,7 @@
 func (l *Leader) down(name string) {
 	l.Log.Info("lead: worker is no longer led.", "worker", name)
 	l.Count("lead.down")
-	l.held[name] = l.Clock()
+	l.lastHeld[name] = l.Clock()
 	for id, at := range l.taskWorkers {
 		if at == name {
 			delete(l.taskWorkers, id)
--- a/internal/lead/rack.go
+++ b/internal/lead/rack.go
@@ -69,7 +69,7 @@
 		if other == name || l.machines[other].Rack != l.machines[name].Rack {
 			continue
 		}
-		lost, ok := l.held[other]
+		lost, ok := l.lastHeld[other]
 		if slices.Contains(held, other) || ok && l.Clock().Sub(lost) < rackApart {
 			mates = append(mates, other)
 		}
