--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -117,10 +117,10 @@
 // waits for the starts to an earlier one.
 func (l *Leader) askLives() {
 	now := l.Clock()
-	if l.RequestInventory == nil || now.Sub(l.askedLives) < livesEvery || !l.Leases.Unsettled(now) {
+	if l.RequestInventory == nil || now.Sub(l.incarnationsAsked) < livesEvery || !l.Leases.Unsettled(now) {
 		return
 	}
-	l.askedLives = now
+	l.incarnationsAsked = now
 	l.RequestInventory()
 }
 
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -82,8 +82,8 @@
 	lastLimitedStart map[string]time.Time
 	// lastHeld is when each worker was last lastHeld.
 	lastHeld map[string]time.Time
-	// askedLives is when the peers were last asked for what they know of the workers' lives.
-	askedLives time.Time
+	// incarnationsAsked is when the peers were last asked for what they know of the workers' lives.
+	incarnationsAsked time.Time
 	// lives are the workers' lives as this host last saw them.
 	lives map[string]*life
 	// rules hold what was last told to the placement, and ruled is when.
