--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -84,8 +84,8 @@
 	lastHeld map[string]time.Time
 	// incarnationsAsked is when the peers were last asked for what they know of the workers' lives.
 	incarnationsAsked time.Time
-	// lives are the workers' lives as this host last saw them.
-	lives map[string]*life
+	// incarnations are the workers' incarnations as this host last saw them.
+	incarnations map[string]*life
 	// rules hold what was last told to the placement, and ruled is when.
 	rules   map[string]place.Rule
 	ruled   time.Time
@@ -115,7 +115,7 @@
 	}
 	return &Leader{
 		Deps: d, ctx: ctx, machines: map[string]Machine{}, toForget: map[string][]string{}, taskWorkers: map[string]string{},
-		counts: map[string]*count{}, countedElsewhere: map[string][]CountedTask{}, lastLimitedStart: map[string]time.Time{}, untracked: map[string]untrackedRun{}, lastDropped: map[string]time.Time{}, expected: map[string]expected{}, lastHeld: map[string]time.Time{}, lives: map[string]*life{}, rules: map[string]place.Rule{}, epoch: 1,
+		counts: map[string]*count{}, countedElsewhere: map[string][]CountedTask{}, lastLimitedStart: map[string]time.Time{}, untracked: map[string]untrackedRun{}, lastDropped: map[string]time.Time{}, expected: map[string]expected{}, lastHeld: map[string]time.Time{}, incarnations: map[string]*life{}, rules: map[string]place.Rule{}, epoch: 1,
 	}
 }
 
--- a/internal/lead/rack.go
+++ b/internal/lead/rack.go
@@ -29,13 +29,13 @@
 // fault of the tasks that ran there. With wait set that is not known yet.
 func (l *Leader) rackLost(name string, r lease.Reading) (lost, wait bool) {
 	now := l.Clock()
-	w := l.lives[name]
+	w := l.incarnations[name]
 	switch {
 	case r.Life == "":
 		return false, false
 	case w == nil:
 		w = &life{name: r.Life}
-		l.lives[name] = w
+		l.incarnations[name] = w
 	case w.name != r.Life:
 		*w = life{name: r.Life, since: now, open: true}
 	}
@@ -82,7 +82,7 @@
 func (l *Leader) signs(mates []string, since time.Time) (alive, silent bool) {
 	for _, mate := range mates {
 		r, held := l.Leases.Last(mate)
-		w := l.lives[mate]
+		w := l.incarnations[mate]
 		switch {
 		case w != nil && !w.since.IsZero() && since.Sub(w.since) < rackApart:
 		case held && r.Sent.After(since) && (w == nil || w.name == r.Life):
@@ -96,8 +96,8 @@
 
 // lookAtOpen reads the workers again whose lists wait for a sign of the rack.
 func (l *Leader) lookAtOpen(mate string) {
-	for _, name := range slices.Sorted(maps.Keys(l.lives)) {
-		if l.lives[name].open && l.machines[name].Rack == l.machines[mate].Rack {
+	for _, name := range slices.Sorted(maps.Keys(l.incarnations)) {
+		if l.incarnations[name].open && l.machines[name].Rack == l.machines[mate].Rack {
 			l.lease(lease.Look{Worker: name, After: lookAgain})
 		}
 	}
