--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -86,12 +86,12 @@
 	incarnationsAsked time.Time
 	// incarnations are the workers' incarnations as this host last saw them.
 	incarnations map[string]*life
-	// rules hold what was last told to the placement, and ruled is when.
-	rules   map[string]place.Rule
-	ruled   time.Time
-	epoch   int64
-	leaving bool
-	wg      sync.WaitGroup
+	// appliedRules hold what was last told to the placement, and ruled is when.
+	appliedRules map[string]place.Rule
+	ruled        time.Time
+	epoch        int64
+	leaving      bool
+	wg           sync.WaitGroup
 }
 
 // untrackedRun is a start of a job that is led here no longer, which may still land.
@@ -115,7 +115,7 @@
 	}
 	return &Leader{
 		Deps: d, ctx: ctx, machines: map[string]Machine{}, toForget: map[string][]string{}, taskWorkers: map[string]string{},
-		counts: map[string]*count{}, countedElsewhere: map[string][]CountedTask{}, lastLimitedStart: map[string]time.Time{}, untracked: map[string]untrackedRun{}, lastDropped: map[string]time.Time{}, expected: map[string]expected{}, lastHeld: map[string]time.Time{}, incarnations: map[string]*life{}, rules: map[string]place.Rule{}, epoch: 1,
+		counts: map[string]*count{}, countedElsewhere: map[string][]CountedTask{}, lastLimitedStart: map[string]time.Time{}, untracked: map[string]untrackedRun{}, lastDropped: map[string]time.Time{}, expected: map[string]expected{}, lastHeld: map[string]time.Time{}, incarnations: map[string]*life{}, appliedRules: map[string]place.Rule{}, epoch: 1,
 	}
 }
 
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -158,8 +158,8 @@
 	l.ruled = l.Clock()
 	for _, name := range l.Placer.Rows() {
 		row, _ := l.Row(name)
-		if r := l.ruleNow(row); l.rules[name] != r {
-			l.rules[name] = r
+		if r := l.ruleNow(row); l.appliedRules[name] != r {
+			l.appliedRules[name] = r
 			l.place(place.Ruled{Row: name, Rule: r})
 		}
 	}
@@ -169,8 +169,8 @@
 func (l *Leader) retell() {
 	for _, name := range l.Placer.Rows() {
 		row, _ := l.Row(name)
-		l.rules[name] = l.ruleNow(row)
-		l.place(place.Ruled{Row: name, Rule: l.rules[name]})
+		l.appliedRules[name] = l.ruleNow(row)
+		l.place(place.Ruled{Row: name, Rule: l.appliedRules[name]})
 	}
 }
 
