--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -87,11 +87,11 @@
 	// incarnations are the workers' incarnations as this host last saw them.
 	incarnations map[string]*life
 	// appliedRules hold what was last told to the placement, and ruled is when.
-	appliedRules map[string]place.Rule
-	ruled        time.Time
-	epoch        int64
-	leaving      bool
-	wg           sync.WaitGroup
+	appliedRules   map[string]place.Rule
+	rulesRefreshed time.Time
+	epoch          int64
+	leaving        bool
+	wg             sync.WaitGroup
 }
 
 // untrackedRun is a start of a job that is led here no longer, which may still land.
--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -91,7 +91,7 @@
 	c.done = true
 	l.Log.Info("lead: what runs is counted.", "key", key, "worker", c.worker)
 	// The rows that wait are told with the next tick.
-	l.ruled = l.ruled.Add(-ruleEvery)
+	l.rulesRefreshed = l.rulesRefreshed.Add(-ruleEvery)
 }
 
 // lose ends the counting that rests on a worker.
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -152,10 +152,10 @@
 
 // reread applies edits of the table to work that waits already.
 func (l *Leader) reread() {
-	if l.Clock().Sub(l.ruled) < ruleEvery {
+	if l.Clock().Sub(l.rulesRefreshed) < ruleEvery {
 		return
 	}
-	l.ruled = l.Clock()
+	l.rulesRefreshed = l.Clock()
 	for _, name := range l.Placer.Rows() {
 		row, _ := l.Row(name)
 		if r := l.ruleNow(row); l.appliedRules[name] != r {
