--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -50,7 +50,7 @@
 	if len(q.Waits) > 0 {
 		// The peer may go on with the jobs that are not led here. One of them that was sent here
 		// before and arrives now would have two leads.
-		clear(l.expected)
+		clear(l.expectedHandovers)
 	}
 	c := InventoryReply{Incarnations: l.Leases.Settled(l.Clock())}
 	for _, id := range q.Jobs {
--- a/internal/lead/handover.go
+++ b/internal/lead/handover.go
@@ -33,7 +33,7 @@
 		return "", &NoWorkerError{}
 	}
 	e := expected{token: cell.NewID(), epoch: epoch}
-	l.expected[from] = e
+	l.expectedHandovers[from] = e
 	return e.token, nil
 }
 
@@ -50,10 +50,10 @@
 	if epoch == 0 {
 		return &NoWorkerError{}
 	}
-	if l.expected[from] != (expected{token: token, epoch: epoch}) {
+	if l.expectedHandovers[from] != (expected{token: token, epoch: epoch}) {
 		return &StaleHandoverError{From: from}
 	}
-	delete(l.expected, from)
+	delete(l.expectedHandovers, from)
 	l.adopt(jobs, "handed over by its former lead")
 	return nil
 }
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -72,8 +72,8 @@
 	untracked   map[string]untrackedRun
 	// lastDropped is when a job that had tasks on a worker was last given up.
 	lastDropped map[string]time.Time
-	// expected holds by peer the hand-over that it may send next.
-	expected map[string]expected
+	// expectedHandovers holds by peer the hand-over that it may send next.
+	expectedHandovers map[string]expected
 	// counts holds by key what is counted here, elsewhere by worker what is counted and runs on
 	// workers of other hosts.
 	counts           map[string]*count
@@ -115,7 +115,7 @@
 	}
 	return &Leader{
 		Deps: d, ctx: ctx, machines: map[string]Machine{}, toForget: map[string][]string{}, taskWorkers: map[string]string{},
-		counts: map[string]*count{}, countedElsewhere: map[string][]CountedTask{}, lastLimitedStart: map[string]time.Time{}, untracked: map[string]untrackedRun{}, lastDropped: map[string]time.Time{}, expected: map[string]expected{}, lastHeld: map[string]time.Time{}, incarnations: map[string]*life{}, appliedRules: map[string]place.Rule{}, epoch: 1,
+		counts: map[string]*count{}, countedElsewhere: map[string][]CountedTask{}, lastLimitedStart: map[string]time.Time{}, untracked: map[string]untrackedRun{}, lastDropped: map[string]time.Time{}, expectedHandovers: map[string]expected{}, lastHeld: map[string]time.Time{}, incarnations: map[string]*life{}, appliedRules: map[string]place.Rule{}, epoch: 1,
 	}
 }
 
