--- a/internal/lead/handover.go
+++ b/internal/lead/handover.go
@@ -6,9 +6,9 @@
 	"pollencroft/internal/takeover"
 )
 
-// expected is a hand-over that a peer was promised to be heard for. Epoch is the one in which
+// expectedHandover is a hand-over that a peer was promised to be heard for. Epoch is the one in which
 // it was.
-type expected struct {
+type expectedHandover struct {
 	token string
 	epoch int64
 }
@@ -32,7 +32,7 @@
 	case epoch == 0:
 		return "", &NoWorkerError{}
 	}
-	e := expected{token: cell.NewID(), epoch: epoch}
+	e := expectedHandover{token: cell.NewID(), epoch: epoch}
 	l.expectedHandovers[from] = e
 	return e.token, nil
 }
@@ -50,7 +50,7 @@
 	if epoch == 0 {
 		return &NoWorkerError{}
 	}
-	if l.expectedHandovers[from] != (expected{token: token, epoch: epoch}) {
+	if l.expectedHandovers[from] != (expectedHandover{token: token, epoch: epoch}) {
 		return &StaleHandoverError{From: from}
 	}
 	delete(l.expectedHandovers, from)
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -73,7 +73,7 @@
 	// lastDropped is when a job that had tasks on a worker was last given up.
 	lastDropped map[string]time.Time
 	// expectedHandovers holds by peer the hand-over that it may send next.
-	expectedHandovers map[string]expected
+	expectedHandovers map[string]expectedHandover
 	// counts holds by key what is counted here, elsewhere by worker what is counted and runs on
 	// workers of other hosts.
 	counts           map[string]*count
@@ -115,7 +115,7 @@
 	}
 	return &Leader{
 		Deps: d, ctx: ctx, machines: map[string]Machine{}, toForget: map[string][]string{}, taskWorkers: map[string]string{},
-		counts: map[string]*count{}, countedElsewhere: map[string][]CountedTask{}, lastLimitedStart: map[string]time.Time{}, untracked: map[string]untrackedRun{}, lastDropped: map[string]time.Time{}, expectedHandovers: map[string]expected{}, lastHeld: map[string]time.Time{}, incarnations: map[string]*life{}, appliedRules: map[string]place.Rule{}, epoch: 1,
+		counts: map[string]*count{}, countedElsewhere: map[string][]CountedTask{}, lastLimitedStart: map[string]time.Time{}, untracked: map[string]untrackedRun{}, lastDropped: map[string]time.Time{}, expectedHandovers: map[string]expectedHandover{}, lastHeld: map[string]time.Time{}, incarnations: map[string]*life{}, appliedRules: map[string]place.Rule{}, epoch: 1,
 	}
 }
 
