--- a/internal/lead/rack.go
+++ b/internal/lead/rack.go
@@ -20,9 +20,9 @@
 // life is one life of a worker. Since is when it was first seen; zero: it is the first one that
 // this host saw. Open tells that its list waits for a sign of the rack, lost that there was none.
 type life struct {
-	name       string
-	since      time.Time
-	open, lost bool
+	name            string
+	since           time.Time
+	undecided, lost bool
 }
 
 // rackLost tells whether a worker began a new life together with all of its rack, which is no
@@ -37,9 +37,9 @@
 		w = &life{name: r.Life}
 		l.incarnations[name] = w
 	case w.name != r.Life:
-		*w = life{name: r.Life, since: now, open: true}
+		*w = life{name: r.Life, since: now, undecided: true}
 	}
-	if !w.open {
+	if !w.undecided {
 		l.lookAtOpen(name)
 		return w.lost, false
 	}
@@ -47,7 +47,7 @@
 	alive, silent := l.signs(mates, w.since)
 	switch {
 	case alive || len(mates) == 0:
-		w.open = false
+		w.undecided = false
 		return false, false
 	case silent && now.Sub(w.since) < rackWait:
 		for _, mate := range mates {
@@ -56,7 +56,7 @@
 		l.lease(lease.Look{Worker: name, After: rackLook})
 		return false, true
 	}
-	w.open, w.lost = false, true
+	w.undecided, w.lost = false, true
 	l.Log.Warn("lead: whole rack was lost.", "rack", l.machines[name].Rack, "worker", name)
 	return true, false
 }
@@ -97,7 +97,7 @@
 // lookAtOpen reads the workers again whose lists wait for a sign of the rack.
 func (l *Leader) lookAtOpen(mate string) {
 	for _, name := range slices.Sorted(maps.Keys(l.incarnations)) {
-		if l.incarnations[name].open && l.machines[name].Rack == l.machines[mate].Rack {
+		if l.incarnations[name].undecided && l.machines[name].Rack == l.machines[mate].Rack {
 			l.lease(lease.Look{Worker: name, After: lookAgain})
 		}
 	}
