--- a/internal/lead/rack.go
+++ b/internal/lead/rack.go
@@ -20,9 +20,9 @@
 // life is one life of a worker. Since is when it was first seen; zero: it is the first one that
 // this host saw. Open tells that its list waits for a sign of the rack, lost that there was none.
 type life struct {
-	name            string
-	since           time.Time
-	undecided, lost bool
+	name                string
+	since               time.Time
+	undecided, rackLost bool
 }
 
 // rackLost tells whether a worker began a new life together with all of its rack, which is no
@@ -41,7 +41,7 @@
 	}
 	if !w.undecided {
 		l.lookAtOpen(name)
-		return w.lost, false
+		return w.rackLost, false
 	}
 	mates := l.mates(name)
 	alive, silent := l.signs(mates, w.since)
@@ -56,7 +56,7 @@
 		l.lease(lease.Look{Worker: name, After: rackLook})
 		return false, true
 	}
-	w.undecided, w.lost = false, true
+	w.undecided, w.rackLost = false, true
 	l.Log.Warn("lead: whole rack was lost.", "rack", l.machines[name].Rack, "worker", name)
 	return true, false
 }
