--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -85,7 +85,7 @@
 	// incarnationsAsked is when the peers were last asked for what they know of the workers' lives.
 	incarnationsAsked time.Time
 	// incarnations are the workers' incarnations as this host last saw them.
-	incarnations map[string]*life
+	incarnations map[string]*incarnation
 	// appliedRules hold what was last told to the placement, and ruled is when.
 	appliedRules   map[string]place.Rule
 	rulesRefreshed time.Time
@@ -115,7 +115,7 @@
 	}
 	return &Leader{
 		Deps: d, ctx: ctx, machines: map[string]Machine{}, toForget: map[string][]string{}, taskWorkers: map[string]string{},
-		counts: map[string]*count{}, countedElsewhere: map[string][]CountedTask{}, lastLimitedStart: map[string]time.Time{}, untracked: map[string]untrackedRun{}, lastDropped: map[string]time.Time{}, expectedHandovers: map[string]expectedHandover{}, lastHeld: map[string]time.Time{}, incarnations: map[string]*life{}, appliedRules: map[string]place.Rule{}, epoch: 1,
+		counts: map[string]*count{}, countedElsewhere: map[string][]CountedTask{}, lastLimitedStart: map[string]time.Time{}, untracked: map[string]untrackedRun{}, lastDropped: map[string]time.Time{}, expectedHandovers: map[string]expectedHandover{}, lastHeld: map[string]time.Time{}, incarnations: map[string]*incarnation{}, appliedRules: map[string]place.Rule{}, epoch: 1,
 	}
 }
 
--- a/internal/lead/rack.go
+++ b/internal/lead/rack.go
@@ -17,9 +17,9 @@
 	rackLook = 250 * time.Millisecond
 )
 
-// life is one life of a worker. Since is when it was first seen; zero: it is the first one that
+// incarnation is one incarnation of a worker. Since is when it was first seen; zero: it is the first one that
 // this host saw. Open tells that its list waits for a sign of the rack, lost that there was none.
-type life struct {
+type incarnation struct {
 	name                string
 	since               time.Time
 	undecided, rackLost bool
@@ -34,10 +34,10 @@
 	case r.Life == "":
 		return false, false
 	case w == nil:
-		w = &life{name: r.Life}
+		w = &incarnation{name: r.Life}
 		l.incarnations[name] = w
 	case w.name != r.Life:
-		*w = life{name: r.Life, since: now, undecided: true}
+		*w = incarnation{name: r.Life, since: now, undecided: true}
 	}
 	if !w.undecided {
 		l.lookAtOpen(name)
