--- a/internal/lead/rack.go
+++ b/internal/lead/rack.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// rackWait is how long the list of a worker in a new life waits for a sign of its rack.
-	rackWait = 2 * time.Second
+	// rackDecisionTimeout is how long the list of a worker in a new life waits for a sign of its rack.
+	rackDecisionTimeout = 2 * time.Second
 	// rackApart is how far apart the workers of a rack come back that was lost as a whole.
 	rackApart = 30 * time.Second
 	// rackLook is how often the worker is read meanwhile.
@@ -49,7 +49,7 @@
 	case alive || len(mates) == 0:
 		w.undecided = false
 		return false, false
-	case silent && now.Sub(w.since) < rackWait:
+	case silent && now.Sub(w.since) < rackDecisionTimeout:
 		for _, mate := range mates {
 			l.lease(lease.Look{Worker: mate, After: lookAgain})
 		}
