--- a/internal/lead/rack.go
+++ b/internal/lead/rack.go
@@ -11,8 +11,8 @@
 const (
 	// rackDecisionTimeout is how long the list of a worker in a new life waits for a sign of its rack.
 	rackDecisionTimeout = 2 * time.Second
-	// rackApart is how far apart the workers of a rack come back that was lost as a whole.
-	rackApart = 30 * time.Second
+	// rackRestartSpread is how far apart the workers of a rack come back that was lost as a whole.
+	rackRestartSpread = 30 * time.Second
 	// rackLook is how often the worker is read meanwhile.
 	rackLook = 250 * time.Millisecond
 )
@@ -70,7 +70,7 @@
 			continue
 		}
 		lost, ok := l.lastHeld[other]
-		if slices.Contains(held, other) || ok && l.Clock().Sub(lost) < rackApart {
+		if slices.Contains(held, other) || ok && l.Clock().Sub(lost) < rackRestartSpread {
 			mates = append(mates, other)
 		}
 	}
@@ -84,7 +84,7 @@
 		r, held := l.Leases.Last(mate)
 		w := l.incarnations[mate]
 		switch {
-		case w != nil && !w.since.IsZero() && since.Sub(w.since) < rackApart:
+		case w != nil && !w.since.IsZero() && since.Sub(w.since) < rackRestartSpread:
 		case held && r.Sent.After(since) && (w == nil || w.name == r.Life):
 			alive = true
 		default:
