--- a/internal/lead/rack.go
+++ b/internal/lead/rack.go
@@ -13,8 +13,8 @@
 	rackDecisionTimeout = 2 * time.Second
 	// rackRestartSpread is how far apart the workers of a rack come back that was lost as a whole.
 	rackRestartSpread = 30 * time.Second
-	// rackLook is how often the worker is read meanwhile.
-	rackLook = 250 * time.Millisecond
+	// rackPollInterval is how often the worker is read meanwhile.
+	rackPollInterval = 250 * time.Millisecond
 )
 
 // incarnation is one incarnation of a worker. Since is when it was first seen; zero: it is the first one that
@@ -53,7 +53,7 @@
 		for _, mate := range mates {
 			l.lease(lease.Look{Worker: mate, After: lookAgain})
 		}
-		l.lease(lease.Look{Worker: name, After: rackLook})
+		l.lease(lease.Look{Worker: name, After: rackPollInterval})
 		return false, true
 	}
 	w.undecided, w.rackLost = false, true
