--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -347,7 +347,7 @@
 func (l *Leader) seen(name string, r lease.Reading) {
 	ev := job.WorkerList{Worker: name, Clock: r.Clock, Sent: r.Sent, Incarnation: r.Life}
 	var wait bool
-	if ev.RackLost, wait = l.rackLost(name, r); wait {
+	if ev.RackLost, wait = l.wholeRackLost(name, r); wait {
 		// What is listed runs, whatever became of the rest. A census may rest on it now.
 		ev.Incarnation, ev.Jobs = "", []string{}
 	}
--- a/internal/lead/rack.go
+++ b/internal/lead/rack.go
@@ -25,9 +25,9 @@
 	undecided, rackLost bool
 }
 
-// rackLost tells whether a worker began a new life together with all of its rack, which is no
+// wholeRackLost tells whether a worker began a new life together with all of its rack, which is no
 // fault of the tasks that ran there. With wait set that is not known yet.
-func (l *Leader) rackLost(name string, r lease.Reading) (lost, wait bool) {
+func (l *Leader) wholeRackLost(name string, r lease.Reading) (lost, wait bool) {
 	now := l.Clock()
 	w := l.incarnations[name]
 	switch {
