--- a/internal/lead/rack.go
+++ b/internal/lead/rack.go
@@ -43,7 +43,7 @@
 		l.lookAtOpen(name)
 		return w.rackLost, false
 	}
-	mates := l.mates(name)
+	mates := l.rackPeers(name)
 	alive, silent := l.signs(mates, w.since)
 	switch {
 	case alive || len(mates) == 0:
@@ -61,8 +61,8 @@
 	return true, false
 }
 
-// mates are the workers of a worker's rack that are held here or were a short while ago.
-func (l *Leader) mates(name string) []string {
+// rackPeers are the workers of a worker's rack that are held here or were a short while ago.
+func (l *Leader) rackPeers(name string) []string {
 	held := l.Leases.Held()
 	var mates []string
 	for _, other := range slices.Sorted(maps.Keys(l.machines)) {
