--- a/internal/lead/rack.go
+++ b/internal/lead/rack.go
@@ -44,7 +44,7 @@
 		return w.rackLost, false
 	}
 	mates := l.rackPeers(name)
-	alive, silent := l.signs(mates, w.since)
+	alive, silent := l.rackSigns(mates, w.since)
 	switch {
 	case alive || len(mates) == 0:
 		w.undecided = false
@@ -77,9 +77,9 @@
 	return mates
 }
 
-// signs tells whether some worker has gone on with its life since then, and whether some has given
+// rackSigns tells whether some worker has gone on with its life since then, and whether some has given
 // no sign.
-func (l *Leader) signs(mates []string, since time.Time) (alive, silent bool) {
+func (l *Leader) rackSigns(mates []string, since time.Time) (alive, silent bool) {
 	for _, mate := range mates {
 		r, held := l.Leases.Last(mate)
 		w := l.incarnations[mate]
