--- a/internal/lead/rack.go
+++ b/internal/lead/rack.go
@@ -40,7 +40,7 @@
 		*w = incarnation{name: r.Life, since: now, undecided: true}
 	}
 	if !w.undecided {
-		l.lookAtOpen(name)
+		l.rereadUndecided(name)
 		return w.rackLost, false
 	}
 	mates := l.rackPeers(name)
@@ -94,8 +94,8 @@
 	return alive, silent
 }
 
-// lookAtOpen reads the workers again whose lists wait for a sign of the rack.
-func (l *Leader) lookAtOpen(mate string) {
+// rereadUndecided reads the workers again whose lists wait for a sign of the rack.
+func (l *Leader) rereadUndecided(mate string) {
 	for _, name := range slices.Sorted(maps.Keys(l.incarnations)) {
 		if l.incarnations[name].undecided && l.machines[name].Rack == l.machines[mate].Rack {
 			l.lease(lease.Look{Worker: name, After: lookAgain})
