--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -74,7 +74,7 @@
 // nowhere.
 func (l *Leader) shows(name string, r lease.Reading, q InventoryRequest) bool {
 	if len(q.Keys) > 0 && !r.Sent.After(l.lastLimitedStart[name]) {
-		l.lease(lease.Look{Worker: name, After: lookAgain})
+		l.lease(lease.Look{Worker: name, After: rereadDelay})
 		return false
 	}
 	for _, lo := range l.untracked {
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -158,9 +158,9 @@
 	return slices.DeleteFunc(l.Jobs.Open(), func(s job.Spec) bool { return l.Jobs.AwaitsInventory(s.ID) })
 }
 
-// lookAgain is how long after a job was given up its workers are read. A list that was asked for
+// rereadDelay is how long after a job was given up its workers are read. A list that was asked for
 // at the same time may not show what was started last.
-const lookAgain = time.Millisecond
+const rereadDelay = time.Millisecond
 
 // drop keeps in mind the starts of a dropped job that may still land: their
 // room stays taken until the worker shows that they did not.
@@ -172,7 +172,7 @@
 				continue
 			}
 			l.lastDropped[t.Worker] = now
-			l.lease(lease.Look{Worker: t.Worker, After: lookAgain})
+			l.lease(lease.Look{Worker: t.Worker, After: rereadDelay})
 			if t.State == "unsure" || t.State == "stopping" || t.State == "pausing" {
 				l.untracked[job.TaskID(id, i)] = untrackedRun{worker: t.Worker, deadline: t.Deadline, since: now}
 			}
