--- a/internal/lead/handover.go
+++ b/internal/lead/handover.go
@@ -25,7 +25,7 @@
 func (l *Leader) ExpectHandover(from string) (string, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	epoch := l.epochNow()
+	epoch := l.currentEpoch()
 	switch {
 	case l.leaving:
 		return "", &LeavingError{}
@@ -46,7 +46,7 @@
 	if l.leaving {
 		return &LeavingError{}
 	}
-	epoch := l.epochNow()
+	epoch := l.currentEpoch()
 	if epoch == 0 {
 		return &NoWorkerError{}
 	}
@@ -65,7 +65,7 @@
 	if l.leaving {
 		return &LeavingError{}
 	}
-	if l.epochNow() != epoch {
+	if l.currentEpoch() != epoch {
 		return &NoWorkerError{}
 	}
 	l.adopt(jobs, "taken back")
@@ -89,7 +89,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var all []job.Snapshot
-	epoch := l.epochNow()
+	epoch := l.currentEpoch()
 	for _, id := range ids {
 		if c, ok := l.Jobs.Snapshot(id); ok {
 			l.Count("lead.handed")
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -28,11 +28,11 @@
 func (l *Leader) Epoch() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.epochNow()
+	return l.currentEpoch()
 }
 
-// epochNow notices leases that lapsed during a pause before it answers.
-func (l *Leader) epochNow() int64 {
+// currentEpoch notices leases that lapsed during a pause before it answers.
+func (l *Leader) currentEpoch() int64 {
 	l.lease(lease.Tick{})
 	if len(l.Leases.Held()) == 0 {
 		return 0
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -161,7 +161,7 @@
 func (l *Leader) Check(spec job.Spec) (int64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	epoch := l.epochNow()
+	epoch := l.currentEpoch()
 	switch {
 	case l.leaving:
 		return 0, &LeavingError{}
@@ -178,7 +178,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case l.epochNow() != epoch:
+	case l.currentEpoch() != epoch:
 		return job.Status{}, &NoWorkerError{}
 	case l.leaving:
 		return job.Status{}, &LeavingError{}
@@ -200,7 +200,7 @@
 func (l *Leader) Cancel(id string) (job.Status, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.epochNow()
+	l.currentEpoch()
 	l.note(id, "cancelled by its caller")
 	l.job(job.Cancel{ID: id})
 	return l.Jobs.Status(id)
