--- a/internal/lead/handover.go
+++ b/internal/lead/handover.go
@@ -79,7 +79,7 @@
 		l.note(c.Spec.ID, how)
 		l.job(job.Adopt{Snapshot: c})
 	}
-	l.readAll()
+	l.replayReadings()
 }
 
 // HandOver stops leading jobs and returns all that is known of them, for the
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -66,13 +66,13 @@
 		l.takeover(takeover.Found{Job: s.ID})
 	}
 	if fresh {
-		l.readAll()
+		l.replayReadings()
 	}
 }
 
-// readAll shows the job core the lists of all held workers again: tasks of a
+// replayReadings shows the job core the lists of all held workers again: tasks of a
 // job that is new here may be among them.
-func (l *Leader) readAll() {
+func (l *Leader) replayReadings() {
 	for _, name := range l.Leases.Held() {
 		if r, ok := l.Leases.Last(name); ok {
 			l.seen(name, r)
