--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -57,7 +57,7 @@
 		switch {
 		case l.Jobs.AwaitsInventory(id):
 			c.Waits = append(c.Waits, id)
-		case l.knows(id):
+		case l.hasJob(id):
 			c.Leads = append(c.Leads, id)
 		}
 	}
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -56,7 +56,7 @@
 	defer l.mu.Unlock()
 	fresh := false
 	for _, s := range specs {
-		if l.leaving || l.knows(s.ID) {
+		if l.leaving || l.hasJob(s.ID) {
 			continue
 		}
 		fresh = true
@@ -80,7 +80,7 @@
 	}
 }
 
-func (l *Leader) knows(id string) bool {
+func (l *Leader) hasJob(id string) bool {
 	_, err := l.Jobs.Status(id)
 	return err == nil
 }
@@ -89,7 +89,7 @@
 func (l *Leader) HasJob(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.knows(id)
+	return l.hasJob(id)
 }
 
 // EndState tells how a job ended that was led here; false if it did not.
@@ -285,5 +285,5 @@
 func (l *Leader) Leads(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.knows(id) && !l.Jobs.AwaitsInventory(id)
+	return l.hasJob(id) && !l.Jobs.AwaitsInventory(id)
 }
