--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -125,7 +125,7 @@
 	l.takeover(takeover.Log{Asked: asked})
 }
 
-func (l *Leader) ended(a job.Ended) {
+func (l *Leader) handleEnd(a job.Ended) {
 	l.takeover(takeover.Gone{Job: a.ID})
 	if l.StoreEnd == nil {
 		return
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -380,7 +380,7 @@
 			l.crashed(a)
 		case job.Ended:
 			l.note(a.ID, "ended as "+a.State)
-			l.ended(a)
+			l.handleEnd(a)
 		}
 	}
 }
