--- a/internal/lead/handover.go
+++ b/internal/lead/handover.go
@@ -94,7 +94,7 @@
 		if c, ok := l.Jobs.Snapshot(id); ok {
 			l.Count("lead.handed")
 			l.note(id, "handed over")
-			l.drop(id, false)
+			l.dropJob(id, false)
 			c.HandoverID = cell.NewID()
 			all = append(all, c)
 		}
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -107,7 +107,7 @@
 		return
 	}
 	l.takeover(takeover.Gone{Job: id})
-	l.drop(id, false)
+	l.dropJob(id, false)
 }
 
 // AwaitingInventory lists the inherited jobs that wait for their census.
@@ -162,9 +162,9 @@
 // at the same time may not show what was started last.
 const rereadDelay = time.Millisecond
 
-// drop keeps in mind the starts of a dropped job that may still land: their
+// dropJob keeps in mind the starts of a dropped job that may still land: their
 // room stays taken until the worker shows that they did not.
-func (l *Leader) drop(id string, recall bool) {
+func (l *Leader) dropJob(id string, recall bool) {
 	now := l.Clock()
 	if c, ok := l.Jobs.Snapshot(id); ok {
 		for i, t := range c.Tasks {
@@ -190,7 +190,7 @@
 		l.Count("lead.forfeited")
 		l.note(s.ID, "its lead held no worker any more")
 		l.takeover(takeover.Gone{Job: s.ID})
-		l.drop(s.ID, true)
+		l.dropJob(s.ID, true)
 	}
 }
 
