--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -181,10 +181,10 @@
 	l.job(job.Drop{ID: id, RememberPlaces: recall})
 }
 
-// demote gives up all jobs when the last worker is lost. Another host may have
+// dropAllJobs gives up all jobs when the last worker is lost. Another host may have
 // taken this one for dead and completed a census, so every job needs one of
 // its own again.
-func (l *Leader) demote() {
+func (l *Leader) dropAllJobs() {
 	l.epoch++
 	for _, s := range l.Jobs.Open() {
 		l.Count("lead.forfeited")
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -253,7 +253,7 @@
 	l.takeover(takeover.Down{Worker: name})
 	l.lose(name)
 	if len(l.Leases.Held()) == 0 && !l.leaving {
-		l.demote()
+		l.dropAllJobs()
 	}
 }
 
