--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -46,7 +46,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lease(lease.Tick{})
-	l.takeover(takeover.Asked{Host: from, Jobs: q.Waits})
+	l.stepTakeover(takeover.Asked{Host: from, Jobs: q.Waits})
 	if len(q.Waits) > 0 {
 		// The peer may go on with the jobs that are not led here. One of them that was sent here
 		// before and arrives now would have two leads.
@@ -143,5 +143,5 @@
 		l.toldElsewhere(v.Worker, q.Keys, v.Counted)
 		l.job(job.WorkerList{Worker: v.Worker, Clock: v.Clock, Sent: q.Asked.Add(-v.Age), Tasks: v.Tasks, Jobs: q.Jobs, Incarnation: v.Incarnation})
 	}
-	l.takeover(ev)
+	l.stepTakeover(ev)
 }
--- a/internal/lead/handover.go
+++ b/internal/lead/handover.go
@@ -74,7 +74,7 @@
 
 func (l *Leader) adopt(jobs []job.Snapshot, how string) {
 	for _, c := range jobs {
-		l.takeover(takeover.Gone{Job: c.Spec.ID})
+		l.stepTakeover(takeover.Gone{Job: c.Spec.ID})
 		l.Count("lead.adopted")
 		l.note(c.Spec.ID, how)
 		l.job(job.Adopt{Snapshot: c})
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -45,8 +45,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lease(lease.Known{Workers: workers})
-	l.takeover(takeover.Workers{Names: workers})
-	l.takeover(takeover.Peers{Names: peers})
+	l.stepTakeover(takeover.Workers{Names: workers})
+	l.stepTakeover(takeover.Peers{Names: peers})
 }
 
 // Inherit takes over jobs whose lead is gone. They go on as far as their tasks
@@ -63,7 +63,7 @@
 		l.Count("lead.inherited")
 		l.note(s.ID, "inherited, waits for the census")
 		l.job(job.Inherit{Spec: s})
-		l.takeover(takeover.Found{Job: s.ID})
+		l.stepTakeover(takeover.Found{Job: s.ID})
 	}
 	if fresh {
 		l.replayReadings()
@@ -106,7 +106,7 @@
 	if !l.Jobs.AwaitsInventory(id) {
 		return
 	}
-	l.takeover(takeover.Gone{Job: id})
+	l.stepTakeover(takeover.Gone{Job: id})
 	l.dropJob(id, false)
 }
 
@@ -122,11 +122,11 @@
 func (l *Leader) LogRead(asked time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.takeover(takeover.Log{Asked: asked})
+	l.stepTakeover(takeover.Log{Asked: asked})
 }
 
 func (l *Leader) handleEnd(a job.Ended) {
-	l.takeover(takeover.Gone{Job: a.ID})
+	l.stepTakeover(takeover.Gone{Job: a.ID})
 	if l.StoreEnd == nil {
 		return
 	}
@@ -189,12 +189,12 @@
 	for _, s := range l.Jobs.Open() {
 		l.Count("lead.forfeited")
 		l.note(s.ID, "its lead held no worker any more")
-		l.takeover(takeover.Gone{Job: s.ID})
+		l.stepTakeover(takeover.Gone{Job: s.ID})
 		l.dropJob(s.ID, true)
 	}
 }
 
-func (l *Leader) takeover(ev takeover.Event) {
+func (l *Leader) stepTakeover(ev takeover.Event) {
 	for _, a := range l.Takeover.Step(l.Clock(), ev) {
 		switch a := a.(type) {
 		case takeover.Ask:
@@ -227,7 +227,7 @@
 		}
 	}
 	names = slices.DeleteFunc(names, func(n string) bool { return slices.Contains(held, n) })
-	l.takeover(takeover.Watch{Workers: names})
+	l.stepTakeover(takeover.Watch{Workers: names})
 }
 
 // clean frees the room of tasks that another host's job, or nobody's, took on
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -128,7 +128,7 @@
 	l.reread()
 	l.place(place.Tick{})
 	l.watch()
-	l.takeover(takeover.Tick{})
+	l.stepTakeover(takeover.Tick{})
 }
 
 // Held lists the workers that this host leads.
@@ -250,7 +250,7 @@
 	}
 	l.keepCounted(name)
 	l.place(place.Down{Worker: name})
-	l.takeover(takeover.Down{Worker: name})
+	l.stepTakeover(takeover.Down{Worker: name})
 	l.lose(name)
 	if len(l.Leases.Held()) == 0 && !l.leaving {
 		l.dropAllJobs()
@@ -302,7 +302,7 @@
 	case err == nil:
 		l.lease(good)
 	case errors.As(err, &held):
-		l.takeover(takeover.Sign{Worker: name})
+		l.stepTakeover(takeover.Sign{Worker: name})
 		l.lease(lease.Refused{Worker: name, Holder: held.Holder, Left: held.Left, Sent: held.Sent, Life: held.Life})
 	default:
 		l.lease(lease.Lost{Worker: name})
@@ -341,7 +341,7 @@
 	l.Log.Info("lead: worker is led.", "worker", a.Worker, "tasks", len(used))
 	l.place(place.Up{Worker: m.Name, Rack: m.Rack, Size: m.Size, Used: used})
 	l.seen(a.Worker, a.Reading)
-	l.takeover(takeover.Held{Worker: a.Worker})
+	l.stepTakeover(takeover.Held{Worker: a.Worker})
 }
 
 func (l *Leader) seen(name string, r lease.Reading) {
--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -68,7 +68,7 @@
 		c = &count{worker: worker}
 		l.counts[key] = c
 		l.Log.Info("lead: counting what runs.", "key", key, "worker", worker)
-		l.takeover(takeover.Count{Key: key})
+		l.stepTakeover(takeover.Count{Key: key})
 	}
 	return c.done
 }
@@ -79,7 +79,7 @@
 	}
 	delete(l.counts, key)
 	l.Log.Info("lead: another host may count what runs.", "key", key)
-	l.takeover(takeover.Uncount{Key: key})
+	l.stepTakeover(takeover.Uncount{Key: key})
 }
 
 // counted begins to start tasks of a key, of which all that runs is known now.
