--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -216,9 +216,9 @@
 	}
 }
 
-// watch tells which workers have tasks of own jobs, or tasks that are counted here, but are not
+// watchUnheld tells which workers have tasks of own jobs, or tasks that are counted here, but are not
 // held here.
-func (l *Leader) watch() {
+func (l *Leader) watchUnheld() {
 	held := l.Leases.Held()
 	names := l.Jobs.Workers()
 	for name := range l.countedElsewhere {
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -127,7 +127,7 @@
 	l.askLives()
 	l.reread()
 	l.place(place.Tick{})
-	l.watch()
+	l.watchUnheld()
 	l.stepTakeover(takeover.Tick{})
 }
 
