--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -230,9 +230,9 @@
 	l.stepTakeover(takeover.Watch{Workers: names})
 }
 
-// clean frees the room of tasks that another host's job, or nobody's, took on
+// reconcile frees the room of tasks that another host's job, or nobody's, took on
 // a held worker, and lets the worker forget those whose job has ended.
-func (l *Leader) clean(name string, r lease.Reading) {
+func (l *Leader) reconcile(name string, r lease.Reading) {
 	running := map[string]bool{}
 	for _, t := range r.Tasks {
 		if t.State == "running" {
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -355,7 +355,7 @@
 		ev.Tasks = append(ev.Tasks, job.ListedTask{ID: t.ID, State: t.State, Lease: t.Lease})
 	}
 	l.job(ev)
-	l.clean(name, r)
+	l.reconcile(name, r)
 	l.used(r.Tasks)
 }
 
