--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -246,26 +246,26 @@
 		if l.EndLogged != nil && l.EndLogged(t.Job) {
 			l.forgetStart(name, t.Lease)
 		}
-		l.free(t.ID, name)
+		l.freeCapacity(t.ID, name)
 	}
 	for _, id := range slices.Sorted(maps.Keys(l.taskWorkers)) {
 		if l.taskWorkers[id] == name && !running[id] {
-			l.free(id, name)
+			l.freeCapacity(id, name)
 		}
 	}
 	for id, lo := range l.untracked {
 		if lo.worker == name && (running[id] || r.Sent.After(lo.since) && r.Clock.After(lo.deadline)) {
 			delete(l.untracked, id)
 			if !running[id] {
-				l.free(id, name)
+				l.freeCapacity(id, name)
 			}
 		}
 	}
 }
 
-// free gives the room of a task back unless the job core knows the task and
+// freeCapacity gives the room of a task back unless the job core knows the task and
 // does it itself, or the task runs on another worker by now.
-func (l *Leader) free(id, name string) {
+func (l *Leader) freeCapacity(id, name string) {
 	if at, ok := l.taskWorkers[id]; ok && at != name {
 		return
 	}
