--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -45,7 +45,7 @@
 func (l *Leader) Inventory(from string, q InventoryRequest) InventoryReply {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lease(lease.Tick{})
+	l.stepLeases(lease.Tick{})
 	l.stepTakeover(takeover.Asked{Host: from, Jobs: q.Waits})
 	if len(q.Waits) > 0 {
 		// The peer may go on with the jobs that are not led here. One of them that was sent here
@@ -74,7 +74,7 @@
 // nowhere.
 func (l *Leader) shows(name string, r lease.Reading, q InventoryRequest) bool {
 	if len(q.Keys) > 0 && !r.Sent.After(l.lastLimitedStart[name]) {
-		l.lease(lease.Look{Worker: name, After: rereadDelay})
+		l.stepLeases(lease.Look{Worker: name, After: rereadDelay})
 		return false
 	}
 	for _, lo := range l.untracked {
@@ -131,7 +131,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for name, life := range c.Incarnations {
-		l.lease(lease.Vouched{Worker: name, Life: life})
+		l.stepLeases(lease.Vouched{Worker: name, Life: life})
 	}
 	ev := takeover.Answer{Host: host, Asked: q.Asked, Leads: c.Leads, Waits: c.Waits}
 	held := l.Leases.Held()
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -33,7 +33,7 @@
 
 // currentEpoch notices leases that lapsed during a pause before it answers.
 func (l *Leader) currentEpoch() int64 {
-	l.lease(lease.Tick{})
+	l.stepLeases(lease.Tick{})
 	if len(l.Leases.Held()) == 0 {
 		return 0
 	}
@@ -44,7 +44,7 @@
 func (l *Leader) SetDomain(workers, peers []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lease(lease.Known{Workers: workers})
+	l.stepLeases(lease.Known{Workers: workers})
 	l.stepTakeover(takeover.Workers{Names: workers})
 	l.stepTakeover(takeover.Peers{Names: peers})
 }
@@ -172,7 +172,7 @@
 				continue
 			}
 			l.lastDropped[t.Worker] = now
-			l.lease(lease.Look{Worker: t.Worker, After: rereadDelay})
+			l.stepLeases(lease.Look{Worker: t.Worker, After: rereadDelay})
 			if t.State == "unsure" || t.State == "stopping" || t.State == "pausing" {
 				l.untracked[job.TaskID(id, i)] = untrackedRun{worker: t.Worker, deadline: t.Deadline, since: now}
 			}
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -123,7 +123,7 @@
 func (l *Leader) Tick() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lease(lease.Tick{})
+	l.stepLeases(lease.Tick{})
 	l.askLives()
 	l.reread()
 	l.place(place.Tick{})
@@ -141,11 +141,11 @@
 // Release gives all anchors back and waits for the exchanges under way.
 func (l *Leader) Release() {
 	l.mu.Lock()
-	l.lease(lease.Release{})
+	l.stepLeases(lease.Release{})
 	l.mu.Unlock()
 	l.wg.Wait()
 	l.mu.Lock()
-	l.lease(lease.Tick{})
+	l.stepLeases(lease.Tick{})
 	l.mu.Unlock()
 	l.wg.Wait()
 }
@@ -211,9 +211,9 @@
 	l.History.Add(trail.Note{At: l.Clock(), ID: id, Part: "lead", What: what})
 }
 
-// lease, place and job step one core and carry out its actions. They are
+// stepLeases, place and job step one core and carry out its actions. They are
 // called with mu held; exchanges with workers run beside.
-func (l *Leader) lease(ev lease.Event) {
+func (l *Leader) stepLeases(ev lease.Event) {
 	for _, a := range l.Leases.Step(l.Clock(), ev) {
 		switch a := a.(type) {
 		case lease.Take:
@@ -300,12 +300,12 @@
 	var held *worker.HeldError
 	switch {
 	case err == nil:
-		l.lease(good)
+		l.stepLeases(good)
 	case errors.As(err, &held):
 		l.stepTakeover(takeover.Sign{Worker: name})
-		l.lease(lease.Refused{Worker: name, Holder: held.Holder, Left: held.Left, Sent: held.Sent, Life: held.Life})
+		l.stepLeases(lease.Refused{Worker: name, Holder: held.Holder, Left: held.Left, Sent: held.Sent, Life: held.Life})
 	default:
-		l.lease(lease.Lost{Worker: name})
+		l.stepLeases(lease.Lost{Worker: name})
 	}
 }
 
@@ -318,7 +318,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lease(lease.Met{Worker: a.Worker, Life: name})
+	l.stepLeases(lease.Met{Worker: a.Worker, Life: name})
 }
 
 func (l *Leader) give(ctx context.Context, a lease.Give) {
--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -173,7 +173,7 @@
 // putOff puts back a task whose row may not be started here any more. A lease that lapsed before
 // anyone noticed is noticed first: the task would get its room again at once.
 func (l *Leader) putOff(a job.Start) {
-	l.lease(lease.Tick{})
+	l.stepLeases(lease.Tick{})
 	l.note(a.Spec.ID, "start of "+a.Task+" put off: its row is counted elsewhere")
 	l.retell()
 	l.job(job.NotStarted{Task: a.Task, Attempt: a.Attempt})
--- a/internal/lead/machines.go
+++ b/internal/lead/machines.go
@@ -24,7 +24,7 @@
 		l.know(m)
 		names = append(names, m.Name)
 	}
-	l.lease(lease.Lead{Workers: names})
+	l.stepLeases(lease.Lead{Workers: names})
 }
 
 // UpdateMachines tells where all workers of the failure domain are, led here or not. A job
--- a/internal/lead/rack.go
+++ b/internal/lead/rack.go
@@ -51,9 +51,9 @@
 		return false, false
 	case silent && now.Sub(w.since) < rackDecisionTimeout:
 		for _, mate := range mates {
-			l.lease(lease.Look{Worker: mate, After: rereadDelay})
+			l.stepLeases(lease.Look{Worker: mate, After: rereadDelay})
 		}
-		l.lease(lease.Look{Worker: name, After: rackPollInterval})
+		l.stepLeases(lease.Look{Worker: name, After: rackPollInterval})
 		return false, true
 	}
 	w.undecided, w.rackLost = false, true
@@ -98,7 +98,7 @@
 func (l *Leader) rereadUndecided(mate string) {
 	for _, name := range slices.Sorted(maps.Keys(l.incarnations)) {
 		if l.incarnations[name].undecided && l.machines[name].Rack == l.machines[mate].Rack {
-			l.lease(lease.Look{Worker: name, After: rereadDelay})
+			l.stepLeases(lease.Look{Worker: name, After: rereadDelay})
 		}
 	}
 }
--- a/internal/lead/start.go
+++ b/internal/lead/start.go
@@ -36,10 +36,10 @@
 		size = a.Spec.Size
 	}
 	l.job(job.StartSent{Task: a.Task, Deadline: deadline})
-	l.lease(lease.Sent{Worker: a.Worker, Task: a.Task})
+	l.stepLeases(lease.Sent{Worker: a.Worker, Task: a.Task})
 	if arbiter != "" && arbiter != a.Worker {
 		// The worker whose holder may start the row is not given back under the start either.
-		l.lease(lease.Sent{Worker: arbiter, Task: a.Task})
+		l.stepLeases(lease.Sent{Worker: arbiter, Task: a.Task})
 	}
 	l.spawn(func(ctx context.Context) { l.sendStart(ctx, a, arbiter, size, deadline) })
 }
@@ -48,7 +48,7 @@
 // as after a pause. The worker must be gone from the placement first: it would
 // get the task again at once, and the host would die of the endless recursion.
 func (l *Leader) lapsed(a job.Start) {
-	l.lease(lease.Tick{})
+	l.stepLeases(lease.Tick{})
 	l.place(place.Down{Worker: a.Worker})
 	l.job(job.NotStarted{Task: a.Task, Attempt: a.Attempt})
 }
@@ -67,20 +67,20 @@
 		l.lastLimitedStart[a.Worker] = l.Clock()
 	}
 	if arbiter != "" && arbiter != a.Worker {
-		l.lease(lease.Answered{Worker: arbiter, Task: a.Task, Sure: err == nil || errors.As(err, &late)})
+		l.stepLeases(lease.Answered{Worker: arbiter, Task: a.Task, Sure: err == nil || errors.As(err, &late)})
 	}
 	switch {
 	case err == nil:
-		l.lease(lease.Answered{Worker: a.Worker, Task: a.Task, Sure: true, Run: a.Spec.Time.Duration})
+		l.stepLeases(lease.Answered{Worker: a.Worker, Task: a.Task, Sure: true, Run: a.Spec.Time.Duration})
 		l.job(job.Started{Task: a.Task, Attempt: a.Attempt})
 	case errors.As(err, &late):
 		l.Count("lead.late")
-		l.lease(lease.Answered{Worker: a.Worker, Task: a.Task, Sure: true})
+		l.stepLeases(lease.Answered{Worker: a.Worker, Task: a.Task, Sure: true})
 		l.job(job.NotStarted{Task: a.Task, Attempt: a.Attempt})
 	default:
 		var unreached *worker.UnreachedError
 		l.Count("lead.unsure")
-		l.lease(lease.Answered{Worker: a.Worker, Task: a.Task})
+		l.stepLeases(lease.Answered{Worker: a.Worker, Task: a.Task})
 		l.note(a.Spec.ID, "start of "+a.Task+" has no answer")
 		l.job(job.Unsure{Task: a.Task, Attempt: a.Attempt, Deadline: deadline, Unreached: errors.As(err, &unreached)})
 	}
--- a/internal/lead/stop.go
+++ b/internal/lead/stop.go
@@ -42,9 +42,9 @@
 	case err == nil:
 		l.job(ev)
 	case errors.As(err, &gone):
-		l.lease(lease.Look{Worker: on})
+		l.stepLeases(lease.Look{Worker: on})
 	default:
 		l.Log.Warn("lead: stop has no answer.", "task", ev.Task, "worker", on, "err", err)
-		l.lease(lease.Look{Worker: on, After: stopRetry})
+		l.stepLeases(lease.Look{Worker: on, After: stopRetry})
 	}
 }
