--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -141,7 +141,7 @@
 		}
 		ev.Workers = append(ev.Workers, v.Worker)
 		l.toldElsewhere(v.Worker, q.Keys, v.Counted)
-		l.job(job.WorkerList{Worker: v.Worker, Clock: v.Clock, Sent: q.Asked.Add(-v.Age), Tasks: v.Tasks, Jobs: q.Jobs, Incarnation: v.Incarnation})
+		l.stepJobs(job.WorkerList{Worker: v.Worker, Clock: v.Clock, Sent: q.Asked.Add(-v.Age), Tasks: v.Tasks, Jobs: q.Jobs, Incarnation: v.Incarnation})
 	}
 	l.stepTakeover(ev)
 }
--- a/internal/lead/crash.go
+++ b/internal/lead/crash.go
@@ -15,7 +15,7 @@
 	switch {
 	case !ok:
 	case l.StoreCrashes == nil:
-		l.job(job.CrashCountStored{Task: a.Task, Crashes: a.Crashes})
+		l.stepJobs(job.CrashCountStored{Task: a.Task, Crashes: a.Crashes})
 	default:
 		l.StoreCrashes(spec, a.Task, a.Crashes)
 	}
@@ -25,7 +25,7 @@
 func (l *Leader) AckCrashes(task string, lives int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.job(job.CrashCountStored{Task: task, Crashes: lives})
+	l.stepJobs(job.CrashCountStored{Task: task, Crashes: lives})
 }
 
 func (l *Leader) livesOf(id string) map[string]int64 {
--- a/internal/lead/handover.go
+++ b/internal/lead/handover.go
@@ -77,7 +77,7 @@
 		l.stepTakeover(takeover.Gone{Job: c.Spec.ID})
 		l.Count("lead.adopted")
 		l.note(c.Spec.ID, how)
-		l.job(job.Adopt{Snapshot: c})
+		l.stepJobs(job.Adopt{Snapshot: c})
 	}
 	l.replayReadings()
 }
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -62,7 +62,7 @@
 		fresh = true
 		l.Count("lead.inherited")
 		l.note(s.ID, "inherited, waits for the census")
-		l.job(job.Inherit{Spec: s})
+		l.stepJobs(job.Inherit{Spec: s})
 		l.stepTakeover(takeover.Found{Job: s.ID})
 	}
 	if fresh {
@@ -140,7 +140,7 @@
 func (l *Leader) AckEnd(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.job(job.EndStored{ID: id})
+	l.stepJobs(job.EndStored{ID: id})
 }
 
 // Leave makes this host take no job any more, before it hands over what it has.
@@ -178,7 +178,7 @@
 			}
 		}
 	}
-	l.job(job.Drop{ID: id, RememberPlaces: recall})
+	l.stepJobs(job.Drop{ID: id, RememberPlaces: recall})
 }
 
 // dropAllJobs gives up all jobs when the last worker is lost. Another host may have
@@ -204,14 +204,14 @@
 		case takeover.Release:
 			l.Count("lead.released")
 			l.note(a.Job, "census complete")
-			l.job(job.Release{ID: a.Job, Crashes: l.livesOf(a.Job)})
+			l.stepJobs(job.Release{ID: a.Job, Crashes: l.livesOf(a.Job)})
 		case takeover.Counted:
 			l.counted(a.Key)
 		case takeover.Silent:
 			l.Log.Warn("lead: worker is silent for longer than any lease.", "worker", a.Worker)
 			l.Count("lead.silent")
 			delete(l.countedElsewhere, a.Worker)
-			l.job(job.WorkerList{Worker: a.Worker, LeasesExpired: true})
+			l.stepJobs(job.WorkerList{Worker: a.Worker, LeasesExpired: true})
 		}
 	}
 }
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -184,7 +184,7 @@
 		return job.Status{}, &LeavingError{}
 	}
 	l.note(spec.ID, "accepted")
-	l.job(job.Submit{Spec: spec})
+	l.stepJobs(job.Submit{Spec: spec})
 	return l.Jobs.Status(spec.ID)
 }
 
@@ -202,7 +202,7 @@
 	defer l.mu.Unlock()
 	l.currentEpoch()
 	l.note(id, "cancelled by its caller")
-	l.job(job.Cancel{ID: id})
+	l.stepJobs(job.Cancel{ID: id})
 	return l.Jobs.Status(id)
 }
 
@@ -354,12 +354,12 @@
 	for _, t := range r.Tasks {
 		ev.Tasks = append(ev.Tasks, job.ListedTask{ID: t.ID, State: t.State, Lease: t.Lease})
 	}
-	l.job(ev)
+	l.stepJobs(ev)
 	l.reconcile(name, r)
 	l.used(r.Tasks)
 }
 
-func (l *Leader) job(ev job.Event) {
+func (l *Leader) stepJobs(ev job.Event) {
 	for _, a := range l.Jobs.Step(l.Clock(), ev) {
 		switch a := a.(type) {
 		case job.RequestPlacement:
--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -176,5 +176,5 @@
 	l.stepLeases(lease.Tick{})
 	l.note(a.Spec.ID, "start of "+a.Task+" put off: its row is counted elsewhere")
 	l.retell()
-	l.job(job.NotStarted{Task: a.Task, Attempt: a.Attempt})
+	l.stepJobs(job.NotStarted{Task: a.Task, Attempt: a.Attempt})
 }
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -23,7 +23,7 @@
 		switch a := a.(type) {
 		case place.Put:
 			if l.Placer.Holds(a.Task, a.Worker) {
-				l.job(job.Placed{Task: a.Task, Worker: a.Worker})
+				l.stepJobs(job.Placed{Task: a.Task, Worker: a.Worker})
 			}
 		case place.Preempt:
 			l.preempt(a)
@@ -43,7 +43,7 @@
 	l.Count("lead.preempted")
 	l.Log.Info("lead: task is stopped for others.", "task", a.Task, "worker", a.Worker, "why", a.Why)
 	l.note(jobOf(a.Task), "stop of "+a.Task+" on "+a.Worker+": "+a.Why)
-	l.job(job.Preempt{Task: a.Task})
+	l.stepJobs(job.Preempt{Task: a.Task})
 }
 
 // jobOf is the job that a task id belongs to.
--- a/internal/lead/start.go
+++ b/internal/lead/start.go
@@ -35,7 +35,7 @@
 	if !ok {
 		size = a.Spec.Size
 	}
-	l.job(job.StartSent{Task: a.Task, Deadline: deadline})
+	l.stepJobs(job.StartSent{Task: a.Task, Deadline: deadline})
 	l.stepLeases(lease.Sent{Worker: a.Worker, Task: a.Task})
 	if arbiter != "" && arbiter != a.Worker {
 		// The worker whose holder may start the row is not given back under the start either.
@@ -50,7 +50,7 @@
 func (l *Leader) lapsed(a job.Start) {
 	l.stepLeases(lease.Tick{})
 	l.place(place.Down{Worker: a.Worker})
-	l.job(job.NotStarted{Task: a.Task, Attempt: a.Attempt})
+	l.stepJobs(job.NotStarted{Task: a.Task, Attempt: a.Attempt})
 }
 
 func (l *Leader) sendStart(ctx context.Context, a job.Start, arbiter string, size cell.Size, deadline time.Time) {
@@ -72,17 +72,17 @@
 	switch {
 	case err == nil:
 		l.stepLeases(lease.Answered{Worker: a.Worker, Task: a.Task, Sure: true, Run: a.Spec.Time.Duration})
-		l.job(job.Started{Task: a.Task, Attempt: a.Attempt})
+		l.stepJobs(job.Started{Task: a.Task, Attempt: a.Attempt})
 	case errors.As(err, &late):
 		l.Count("lead.late")
 		l.stepLeases(lease.Answered{Worker: a.Worker, Task: a.Task, Sure: true})
-		l.job(job.NotStarted{Task: a.Task, Attempt: a.Attempt})
+		l.stepJobs(job.NotStarted{Task: a.Task, Attempt: a.Attempt})
 	default:
 		var unreached *worker.UnreachedError
 		l.Count("lead.unsure")
 		l.stepLeases(lease.Answered{Worker: a.Worker, Task: a.Task})
 		l.note(a.Spec.ID, "start of "+a.Task+" has no answer")
-		l.job(job.Unsure{Task: a.Task, Attempt: a.Attempt, Deadline: deadline, Unreached: errors.As(err, &unreached)})
+		l.stepJobs(job.Unsure{Task: a.Task, Attempt: a.Attempt, Deadline: deadline, Unreached: errors.As(err, &unreached)})
 	}
 }
 
--- a/internal/lead/stop.go
+++ b/internal/lead/stop.go
@@ -40,7 +40,7 @@
 	var gone *worker.GoneError
 	switch {
 	case err == nil:
-		l.job(ev)
+		l.stepJobs(ev)
 	case errors.As(err, &gone):
 		l.stepLeases(lease.Look{Worker: on})
 	default:
