--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -271,7 +271,7 @@
 	}
 	delete(l.taskWorkers, id)
 	if !l.Jobs.HasTask(id) {
-		l.place(place.Freed{Task: id})
+		l.stepPlacement(place.Freed{Task: id})
 	}
 }
 
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -126,7 +126,7 @@
 	l.stepLeases(lease.Tick{})
 	l.askLives()
 	l.reread()
-	l.place(place.Tick{})
+	l.stepPlacement(place.Tick{})
 	l.watchUnheld()
 	l.stepTakeover(takeover.Tick{})
 }
@@ -249,7 +249,7 @@
 		}
 	}
 	l.keepCounted(name)
-	l.place(place.Down{Worker: name})
+	l.stepPlacement(place.Down{Worker: name})
 	l.stepTakeover(takeover.Down{Worker: name})
 	l.lose(name)
 	if len(l.Leases.Held()) == 0 && !l.leaving {
@@ -339,7 +339,7 @@
 	l.Count("lead.up")
 	delete(l.countedElsewhere, a.Worker)
 	l.Log.Info("lead: worker is led.", "worker", a.Worker, "tasks", len(used))
-	l.place(place.Up{Worker: m.Name, Rack: m.Rack, Size: m.Size, Used: used})
+	l.stepPlacement(place.Up{Worker: m.Name, Rack: m.Rack, Size: m.Size, Used: used})
 	l.seen(a.Worker, a.Reading)
 	l.stepTakeover(takeover.Held{Worker: a.Worker})
 }
@@ -373,7 +373,7 @@
 		case job.Result:
 			l.result(a)
 		case job.Free:
-			l.place(place.Freed{Task: a.Task})
+			l.stepPlacement(place.Freed{Task: a.Task})
 		case job.Forget:
 			l.forgetStart(a.Worker, a.Lease)
 		case job.StoreCrashCount:
--- a/internal/lead/machines.go
+++ b/internal/lead/machines.go
@@ -57,5 +57,5 @@
 		return
 	}
 	l.Log.Info("lead: worker resized.", "worker", m.Name, "size", m.Size, "before", before.Size)
-	l.place(place.Sized{Worker: m.Name, Size: m.Size})
+	l.stepPlacement(place.Sized{Worker: m.Name, Size: m.Size})
 }
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -16,9 +16,9 @@
 	"pollencroft/internal/trail"
 )
 
-// place steps the placement core and carries out its actions. A Put that no
+// stepPlacement steps the placement core and carries out its actions. A Put that no
 // longer holds is passed over: an action before it may have changed the room.
-func (l *Leader) place(ev place.Event) {
+func (l *Leader) stepPlacement(ev place.Event) {
 	for _, a := range l.Placer.Step(l.Clock(), ev) {
 		switch a := a.(type) {
 		case place.Put:
@@ -73,7 +73,7 @@
 		l.Count("lead.failed")
 		l.note(jobOf(a.Task), a.Task+" failed on "+a.Worker)
 	}
-	l.place(place.Result{Worker: a.Worker, Row: a.Row, Failed: a.Failed})
+	l.stepPlacement(place.Result{Worker: a.Worker, Row: a.Row, Failed: a.Failed})
 }
 
 func (l *Leader) want(a job.RequestPlacement) {
@@ -86,7 +86,7 @@
 	if a.Exclusive {
 		w.Size = l.apart(w)
 	}
-	l.place(w)
+	l.stepPlacement(w)
 }
 
 // wantOf is a job's need as it was declared.
@@ -160,7 +160,7 @@
 		row, _ := l.Row(name)
 		if r := l.ruleNow(row); l.appliedRules[name] != r {
 			l.appliedRules[name] = r
-			l.place(place.Ruled{Row: name, Rule: r})
+			l.stepPlacement(place.Ruled{Row: name, Rule: r})
 		}
 	}
 }
@@ -170,7 +170,7 @@
 	for _, name := range l.Placer.Rows() {
 		row, _ := l.Row(name)
 		l.appliedRules[name] = l.ruleNow(row)
-		l.place(place.Ruled{Row: name, Rule: l.appliedRules[name]})
+		l.stepPlacement(place.Ruled{Row: name, Rule: l.appliedRules[name]})
 	}
 }
 
@@ -200,7 +200,7 @@
 			continue
 		}
 		if room, ok := l.Estimates.Seen(t.ID, t.Row, spec.Size, t.Use); ok {
-			l.place(place.Resized{Task: t.ID, Size: room, Use: t.Use})
+			l.stepPlacement(place.Resized{Task: t.ID, Size: room, Use: t.Use})
 		}
 	}
 }
@@ -221,7 +221,7 @@
 func (l *Leader) grown(t lease.Task) {
 	if room, ok := l.Placer.Room(t.ID); ok && t.Use != (cell.Size{}) {
 		size := cell.Size{CPU: max(room.CPU, t.Use.CPU), Mem: max(room.Mem, t.Use.Mem), Accel: room.Accel}
-		l.place(place.Resized{Task: t.ID, Size: size, Use: t.Use})
+		l.stepPlacement(place.Resized{Task: t.ID, Size: size, Use: t.Use})
 	}
 }
 
--- a/internal/lead/start.go
+++ b/internal/lead/start.go
@@ -49,7 +49,7 @@
 // get the task again at once, and the host would die of the endless recursion.
 func (l *Leader) lapsed(a job.Start) {
 	l.stepLeases(lease.Tick{})
-	l.place(place.Down{Worker: a.Worker})
+	l.stepPlacement(place.Down{Worker: a.Worker})
 	l.stepJobs(job.NotStarted{Task: a.Task, Attempt: a.Attempt})
 }
 
