--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -231,14 +231,14 @@
 		case lease.Seen:
 			l.seen(a.Worker, a.Reading)
 		case lease.Down:
-			l.down(a.Worker)
+			l.workerDown(a.Worker)
 		}
 	}
 }
 
-// down gives up a worker. A host that loses its last worker may have been
+// workerDown gives up a worker. A host that loses its last worker may have been
 // taken for dead, and gives up its jobs too.
-func (l *Leader) down(name string) {
+func (l *Leader) workerDown(name string) {
 	l.Log.Info("lead: worker is no longer led.", "worker", name)
 	l.Count("lead.down")
 	l.lastHeld[name] = l.Clock()
