--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -227,7 +227,7 @@
 		case lease.Waits:
 			l.Log.Info("lead: worker is in a life that is new here; waiting for starts to the former one.", "worker", a.Worker, "life", a.Life, "until", a.Until)
 		case lease.Up:
-			l.up(a)
+			l.workerUp(a)
 		case lease.Seen:
 			l.seen(a.Worker, a.Reading)
 		case lease.Down:
@@ -327,7 +327,7 @@
 	}
 }
 
-func (l *Leader) up(a lease.Up) {
+func (l *Leader) workerUp(a lease.Up) {
 	m := l.machines[a.Worker]
 	var used []place.Used
 	for _, t := range a.Tasks {
