--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -75,7 +75,7 @@
 func (l *Leader) replayReadings() {
 	for _, name := range l.Leases.Held() {
 		if r, ok := l.Leases.Last(name); ok {
-			l.seen(name, r)
+			l.handleReading(name, r)
 		}
 	}
 }
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -229,7 +229,7 @@
 		case lease.Up:
 			l.workerUp(a)
 		case lease.Seen:
-			l.seen(a.Worker, a.Reading)
+			l.handleReading(a.Worker, a.Reading)
 		case lease.Down:
 			l.workerDown(a.Worker)
 		}
@@ -340,11 +340,11 @@
 	delete(l.countedElsewhere, a.Worker)
 	l.Log.Info("lead: worker is led.", "worker", a.Worker, "tasks", len(used))
 	l.stepPlacement(place.Up{Worker: m.Name, Rack: m.Rack, Size: m.Size, Used: used})
-	l.seen(a.Worker, a.Reading)
+	l.handleReading(a.Worker, a.Reading)
 	l.stepTakeover(takeover.Held{Worker: a.Worker})
 }
 
-func (l *Leader) seen(name string, r lease.Reading) {
+func (l *Leader) handleReading(name string, r lease.Reading) {
 	ev := job.WorkerList{Worker: name, Clock: r.Clock, Sent: r.Sent, Incarnation: r.Life}
 	var wait bool
 	if ev.RackLost, wait = l.wholeRackLost(name, r); wait {
