--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -217,7 +217,7 @@
 	for _, a := range l.Leases.Step(l.Clock(), ev) {
 		switch a := a.(type) {
 		case lease.Take:
-			l.spawn(func(ctx context.Context) { l.take(ctx, a) })
+			l.spawn(func(ctx context.Context) { l.takeLease(ctx, a) })
 		case lease.Renew:
 			l.spawn(func(ctx context.Context) { l.renew(ctx, a) })
 		case lease.Give:
@@ -276,7 +276,7 @@
 	return l.machines[name].Address
 }
 
-func (l *Leader) take(ctx context.Context, a lease.Take) {
+func (l *Leader) takeLease(ctx context.Context, a lease.Take) {
 	r, err := l.Workers.Take(ctx, l.address(a.Worker), a.TTL)
 	l.tellLease(a.Worker, err, lease.Granted{Worker: a.Worker, Reading: r})
 }
