--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -219,7 +219,7 @@
 		case lease.Take:
 			l.spawn(func(ctx context.Context) { l.takeLease(ctx, a) })
 		case lease.Renew:
-			l.spawn(func(ctx context.Context) { l.renew(ctx, a) })
+			l.spawn(func(ctx context.Context) { l.renewLease(ctx, a) })
 		case lease.Give:
 			l.spawn(func(ctx context.Context) { l.give(ctx, a) })
 		case lease.Meet:
@@ -281,7 +281,7 @@
 	l.tellLease(a.Worker, err, lease.Granted{Worker: a.Worker, Reading: r})
 }
 
-func (l *Leader) renew(ctx context.Context, a lease.Renew) {
+func (l *Leader) renewLease(ctx context.Context, a lease.Renew) {
 	l.mu.Lock()
 	forget := slices.Clone(l.toForget[a.Worker])
 	l.mu.Unlock()
