--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -221,7 +221,7 @@
 		case lease.Renew:
 			l.spawn(func(ctx context.Context) { l.renewLease(ctx, a) })
 		case lease.Give:
-			l.spawn(func(ctx context.Context) { l.give(ctx, a) })
+			l.spawn(func(ctx context.Context) { l.releaseLease(ctx, a) })
 		case lease.Meet:
 			l.spawn(func(ctx context.Context) { l.meet(ctx, a) })
 		case lease.Waits:
@@ -321,7 +321,7 @@
 	l.stepLeases(lease.Met{Worker: a.Worker, Life: name})
 }
 
-func (l *Leader) give(ctx context.Context, a lease.Give) {
+func (l *Leader) releaseLease(ctx context.Context, a lease.Give) {
 	if err := l.Workers.Give(ctx, l.address(a.Worker), a.Lease); err != nil {
 		l.Log.Warn("lead: anchor not given back.", "worker", a.Worker, "err", err)
 	}
