--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -223,7 +223,7 @@
 		case lease.Give:
 			l.spawn(func(ctx context.Context) { l.releaseLease(ctx, a) })
 		case lease.Meet:
-			l.spawn(func(ctx context.Context) { l.meet(ctx, a) })
+			l.spawn(func(ctx context.Context) { l.askIncarnation(ctx, a) })
 		case lease.Waits:
 			l.Log.Info("lead: worker is in a life that is new here; waiting for starts to the former one.", "worker", a.Worker, "life", a.Life, "until", a.Until)
 		case lease.Up:
@@ -309,8 +309,8 @@
 	}
 }
 
-// meet asks a worker for its life. One that does not answer is asked again.
-func (l *Leader) meet(ctx context.Context, a lease.Meet) {
+// askIncarnation asks a worker for its life. One that does not answer is asked again.
+func (l *Leader) askIncarnation(ctx context.Context, a lease.Meet) {
 	name, err := l.Workers.Life(ctx, l.address(a.Worker))
 	if err != nil {
 		l.Log.Debug("lead: life of a worker not told.", "worker", a.Worker, "err", err)
