--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -278,7 +278,7 @@
 
 func (l *Leader) takeLease(ctx context.Context, a lease.Take) {
 	r, err := l.Workers.Take(ctx, l.address(a.Worker), a.TTL)
-	l.tellLease(a.Worker, err, lease.Granted{Worker: a.Worker, Reading: r})
+	l.reportLease(a.Worker, err, lease.Granted{Worker: a.Worker, Reading: r})
 }
 
 func (l *Leader) renewLease(ctx context.Context, a lease.Renew) {
@@ -291,10 +291,10 @@
 		l.toForget[a.Worker] = slices.DeleteFunc(l.toForget[a.Worker], func(s string) bool { return slices.Contains(forget, s) })
 		l.mu.Unlock()
 	}
-	l.tellLease(a.Worker, err, lease.Renewed{Worker: a.Worker, Reading: r})
+	l.reportLease(a.Worker, err, lease.Renewed{Worker: a.Worker, Reading: r})
 }
 
-func (l *Leader) tellLease(name string, err error, good lease.Event) {
+func (l *Leader) reportLease(name string, err error, good lease.Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var held *worker.HeldError
