--- a/internal/lead/crash.go
+++ b/internal/lead/crash.go
@@ -10,7 +10,7 @@
 func (l *Leader) crashed(a job.StoreCrashCount) {
 	l.Count("lead.crashed")
 	l.Log.Warn("lead: worker crashed while a task ran there.", "task", a.Task, "worker", a.Worker, "lives", a.Crashes)
-	l.note(a.Job, a.Worker+" crashed while "+a.Task+" ran there")
+	l.addNote(a.Job, a.Worker+" crashed while "+a.Task+" ran there")
 	spec, ok := l.Jobs.Spec(a.Task)
 	switch {
 	case !ok:
--- a/internal/lead/handover.go
+++ b/internal/lead/handover.go
@@ -76,7 +76,7 @@
 	for _, c := range jobs {
 		l.stepTakeover(takeover.Gone{Job: c.Spec.ID})
 		l.Count("lead.adopted")
-		l.note(c.Spec.ID, how)
+		l.addNote(c.Spec.ID, how)
 		l.stepJobs(job.Adopt{Snapshot: c})
 	}
 	l.replayReadings()
@@ -93,7 +93,7 @@
 	for _, id := range ids {
 		if c, ok := l.Jobs.Snapshot(id); ok {
 			l.Count("lead.handed")
-			l.note(id, "handed over")
+			l.addNote(id, "handed over")
 			l.dropJob(id, false)
 			c.HandoverID = cell.NewID()
 			all = append(all, c)
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -61,7 +61,7 @@
 		}
 		fresh = true
 		l.Count("lead.inherited")
-		l.note(s.ID, "inherited, waits for the census")
+		l.addNote(s.ID, "inherited, waits for the census")
 		l.stepJobs(job.Inherit{Spec: s})
 		l.stepTakeover(takeover.Found{Job: s.ID})
 	}
@@ -188,7 +188,7 @@
 	l.epoch++
 	for _, s := range l.Jobs.Open() {
 		l.Count("lead.forfeited")
-		l.note(s.ID, "its lead held no worker any more")
+		l.addNote(s.ID, "its lead held no worker any more")
 		l.stepTakeover(takeover.Gone{Job: s.ID})
 		l.dropJob(s.ID, true)
 	}
@@ -203,7 +203,7 @@
 			}
 		case takeover.Release:
 			l.Count("lead.released")
-			l.note(a.Job, "census complete")
+			l.addNote(a.Job, "census complete")
 			l.stepJobs(job.Release{ID: a.Job, Crashes: l.livesOf(a.Job)})
 		case takeover.Counted:
 			l.counted(a.Key)
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -183,7 +183,7 @@
 	case l.leaving:
 		return job.Status{}, &LeavingError{}
 	}
-	l.note(spec.ID, "accepted")
+	l.addNote(spec.ID, "accepted")
 	l.stepJobs(job.Submit{Spec: spec})
 	return l.Jobs.Status(spec.ID)
 }
@@ -201,12 +201,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.currentEpoch()
-	l.note(id, "cancelled by its caller")
+	l.addNote(id, "cancelled by its caller")
 	l.stepJobs(job.Cancel{ID: id})
 	return l.Jobs.Status(id)
 }
 
-func (l *Leader) note(id, what string) {
+func (l *Leader) addNote(id, what string) {
 	l.Log.Info("lead: job.", "id", id, "what", what)
 	l.History.Add(trail.Note{At: l.Clock(), ID: id, Part: "lead", What: what})
 }
@@ -379,7 +379,7 @@
 		case job.StoreCrashCount:
 			l.crashed(a)
 		case job.Ended:
-			l.note(a.ID, "ended as "+a.State)
+			l.addNote(a.ID, "ended as "+a.State)
 			l.handleEnd(a)
 		}
 	}
--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -174,7 +174,7 @@
 // anyone noticed is noticed first: the task would get its room again at once.
 func (l *Leader) putOff(a job.Start) {
 	l.stepLeases(lease.Tick{})
-	l.note(a.Spec.ID, "start of "+a.Task+" put off: its row is counted elsewhere")
+	l.addNote(a.Spec.ID, "start of "+a.Task+" put off: its row is counted elsewhere")
 	l.retell()
 	l.stepJobs(job.NotStarted{Task: a.Task, Attempt: a.Attempt})
 }
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -42,7 +42,7 @@
 func (l *Leader) preempt(a place.Preempt) {
 	l.Count("lead.preempted")
 	l.Log.Info("lead: task is stopped for others.", "task", a.Task, "worker", a.Worker, "why", a.Why)
-	l.note(jobOf(a.Task), "stop of "+a.Task+" on "+a.Worker+": "+a.Why)
+	l.addNote(jobOf(a.Task), "stop of "+a.Task+" on "+a.Worker+": "+a.Why)
 	l.stepJobs(job.Preempt{Task: a.Task})
 }
 
@@ -71,7 +71,7 @@
 	}
 	if a.Failed {
 		l.Count("lead.failed")
-		l.note(jobOf(a.Task), a.Task+" failed on "+a.Worker)
+		l.addNote(jobOf(a.Task), a.Task+" failed on "+a.Worker)
 	}
 	l.stepPlacement(place.Result{Worker: a.Worker, Row: a.Row, Failed: a.Failed})
 }
--- a/internal/lead/start.go
+++ b/internal/lead/start.go
@@ -30,7 +30,7 @@
 			return
 		}
 	}
-	l.note(a.Spec.ID, "start of "+a.Task+" sent to "+a.Worker)
+	l.addNote(a.Spec.ID, "start of "+a.Task+" sent to "+a.Worker)
 	size, ok := l.Placer.Room(a.Task)
 	if !ok {
 		size = a.Spec.Size
@@ -81,7 +81,7 @@
 		var unreached *worker.UnreachedError
 		l.Count("lead.unsure")
 		l.stepLeases(lease.Answered{Worker: a.Worker, Task: a.Task})
-		l.note(a.Spec.ID, "start of "+a.Task+" has no answer")
+		l.addNote(a.Spec.ID, "start of "+a.Task+" has no answer")
 		l.stepJobs(job.Unsure{Task: a.Task, Attempt: a.Attempt, Deadline: deadline, Unreached: errors.As(err, &unreached)})
 	}
 }
