--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -62,17 +62,17 @@
 		}
 	}
 	for _, name := range l.Leases.Held() {
-		if r, ok := l.Leases.Last(name); ok && l.shows(name, r, q) {
+		if r, ok := l.Leases.Last(name); ok && l.listIsComplete(name, r, q) {
 			c.Workers = append(c.Workers, l.view(name, r, q))
 		}
 	}
 	return c
 }
 
-// shows tells whether a worker's list shows all starts of jobs that were given up here, and of
+// listIsComplete tells whether a worker's list listIsComplete all starts of jobs that were given up here, and of
 // the keys that are asked for. The asker would take a task that is not listed for one that runs
 // nowhere.
-func (l *Leader) shows(name string, r lease.Reading, q InventoryRequest) bool {
+func (l *Leader) listIsComplete(name string, r lease.Reading, q InventoryRequest) bool {
 	if len(q.Keys) > 0 && !r.Sent.After(l.lastLimitedStart[name]) {
 		l.stepLeases(lease.Look{Worker: name, After: rereadDelay})
 		return false
