--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -63,7 +63,7 @@
 	}
 	for _, name := range l.Leases.Held() {
 		if r, ok := l.Leases.Last(name); ok && l.listIsComplete(name, r, q) {
-			c.Workers = append(c.Workers, l.view(name, r, q))
+			c.Workers = append(c.Workers, l.workerState(name, r, q))
 		}
 	}
 	return c
@@ -85,7 +85,7 @@
 	return r.Sent.After(l.lastDropped[name])
 }
 
-func (l *Leader) view(name string, r lease.Reading, q InventoryRequest) WorkerState {
+func (l *Leader) workerState(name string, r lease.Reading, q InventoryRequest) WorkerState {
 	v := WorkerState{Worker: name, Clock: r.Clock, Age: l.Clock().Sub(r.Sent), Incarnation: r.Life}
 	for _, t := range r.Tasks {
 		if slices.Contains(q.Jobs, t.Job) {
