--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -113,9 +113,9 @@
 // livesEvery is how often peers are asked for the workers' lives while one is not settled.
 const livesEvery = 250 * time.Millisecond
 
-// askLives asks the peers, one of which may have led a worker in its life of now, before this host
+// askIncarnations asks the peers, one of which may have led a worker in its life of now, before this host
 // waits for the starts to an earlier one.
-func (l *Leader) askLives() {
+func (l *Leader) askIncarnations() {
 	now := l.Clock()
 	if l.RequestInventory == nil || now.Sub(l.incarnationsAsked) < livesEvery || !l.Leases.Unsettled(now) {
 		return
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -124,7 +124,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stepLeases(lease.Tick{})
-	l.askLives()
+	l.askIncarnations()
 	l.reread()
 	l.stepPlacement(place.Tick{})
 	l.watchUnheld()
