--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -110,14 +110,14 @@
 	return q
 }
 
-// livesEvery is how often peers are asked for the workers' lives while one is not settled.
-const livesEvery = 250 * time.Millisecond
+// incarnationPollInterval is how often peers are asked for the workers' lives while one is not settled.
+const incarnationPollInterval = 250 * time.Millisecond
 
 // askIncarnations asks the peers, one of which may have led a worker in its life of now, before this host
 // waits for the starts to an earlier one.
 func (l *Leader) askIncarnations() {
 	now := l.Clock()
-	if l.RequestInventory == nil || now.Sub(l.incarnationsAsked) < livesEvery || !l.Leases.Unsettled(now) {
+	if l.RequestInventory == nil || now.Sub(l.incarnationsAsked) < incarnationPollInterval || !l.Leases.Unsettled(now) {
 		return
 	}
 	l.incarnationsAsked = now
