--- a/internal/lead/crash.go
+++ b/internal/lead/crash.go
@@ -6,8 +6,8 @@
 	"pollencroft/internal/place"
 )
 
-// crashed has the lives stored that ended under a task, before it is started again.
-func (l *Leader) crashed(a job.StoreCrashCount) {
+// handleCrash has the lives stored that ended under a task, before it is started again.
+func (l *Leader) handleCrash(a job.StoreCrashCount) {
 	l.Count("lead.crashed")
 	l.Log.Warn("lead: worker crashed while a task ran there.", "task", a.Task, "worker", a.Worker, "lives", a.Crashes)
 	l.addNote(a.Job, a.Worker+" crashed while "+a.Task+" ran there")
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -377,7 +377,7 @@
 		case job.Forget:
 			l.forgetStart(a.Worker, a.Lease)
 		case job.StoreCrashCount:
-			l.crashed(a)
+			l.handleCrash(a)
 		case job.Ended:
 			l.addNote(a.ID, "ended as "+a.State)
 			l.handleEnd(a)
