--- a/internal/lead/crash.go
+++ b/internal/lead/crash.go
@@ -28,7 +28,7 @@
 	l.stepJobs(job.CrashCountStored{Task: task, Crashes: lives})
 }
 
-func (l *Leader) livesOf(id string) map[string]int64 {
+func (l *Leader) crashCounts(id string) map[string]int64 {
 	if l.CrashCounts == nil {
 		return nil
 	}
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -204,7 +204,7 @@
 		case takeover.Release:
 			l.Count("lead.released")
 			l.addNote(a.Job, "census complete")
-			l.stepJobs(job.Release{ID: a.Job, Crashes: l.livesOf(a.Job)})
+			l.stepJobs(job.Release{ID: a.Job, Crashes: l.crashCounts(a.Job)})
 		case takeover.Counted:
 			l.counted(a.Key)
 		case takeover.Silent:
