--- a/internal/lead/crash.go
+++ b/internal/lead/crash.go
@@ -35,9 +35,9 @@
 	return l.CrashCounts(id)
 }
 
-// apart is the room of a task that is tried on a worker of its own: all of the smallest worker
+// exclusiveSize is the room of a task that is tried on a worker of its own: all of the smallest worker
 // that has enough. Where the table's limits never allow that it stays as it was.
-func (l *Leader) apart(w place.Want) cell.Size {
+func (l *Leader) exclusiveSize(w place.Want) cell.Size {
 	alone := w
 	alone.Size = cell.Size{}
 	for _, name := range l.Leases.Held() {
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -84,7 +84,7 @@
 	w.Declared = w.Size
 	w.Size, w.Time = l.corrected(w), l.Estimates.Time(w.Row, w.Time)
 	if a.Exclusive {
-		w.Size = l.apart(w)
+		w.Size = l.exclusiveSize(w)
 	}
 	l.stepPlacement(w)
 }
