--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -76,7 +76,7 @@
 	expectedHandovers map[string]expectedHandover
 	// counts holds by key what is counted here, elsewhere by worker what is counted and runs on
 	// workers of other hosts.
-	counts           map[string]*count
+	counts           map[string]*keyCount
 	countedElsewhere map[string][]CountedTask
 	// lastLimitedStart is when a start of a counted row to a worker was last answered.
 	lastLimitedStart map[string]time.Time
@@ -115,7 +115,7 @@
 	}
 	return &Leader{
 		Deps: d, ctx: ctx, machines: map[string]Machine{}, toForget: map[string][]string{}, taskWorkers: map[string]string{},
-		counts: map[string]*count{}, countedElsewhere: map[string][]CountedTask{}, lastLimitedStart: map[string]time.Time{}, untracked: map[string]untrackedRun{}, lastDropped: map[string]time.Time{}, expectedHandovers: map[string]expectedHandover{}, lastHeld: map[string]time.Time{}, incarnations: map[string]*incarnation{}, appliedRules: map[string]place.Rule{}, epoch: 1,
+		counts: map[string]*keyCount{}, countedElsewhere: map[string][]CountedTask{}, lastLimitedStart: map[string]time.Time{}, untracked: map[string]untrackedRun{}, lastDropped: map[string]time.Time{}, expectedHandovers: map[string]expectedHandover{}, lastHeld: map[string]time.Time{}, incarnations: map[string]*incarnation{}, appliedRules: map[string]place.Rule{}, epoch: 1,
 	}
 }
 
--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -18,9 +18,9 @@
 	Size cell.Size `json:"size"`
 }
 
-// count is a key that is counted here as long as this host holds the worker. Done is set when
+// keyCount is a key that is counted here as long as this host holds the worker. Done is set when
 // all is known that runs of it.
-type count struct {
+type keyCount struct {
 	worker string
 	done   bool
 }
@@ -65,7 +65,7 @@
 		return false
 	}
 	if c == nil || c.worker != worker {
-		c = &count{worker: worker}
+		c = &keyCount{worker: worker}
 		l.counts[key] = c
 		l.Log.Info("lead: counting what runs.", "key", key, "worker", worker)
 		l.stepTakeover(takeover.Count{Key: key})
