--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -21,8 +21,8 @@
 // keyCount is a key that is counted here as long as this host holds the worker. Done is set when
 // all is known that runs of it.
 type keyCount struct {
-	worker string
-	done   bool
+	worker   string
+	complete bool
 }
 
 // arbiter is the worker that must be held to start tasks of a row; empty names for a row that
@@ -70,7 +70,7 @@
 		l.Log.Info("lead: counting what runs.", "key", key, "worker", worker)
 		l.stepTakeover(takeover.Count{Key: key})
 	}
-	return c.done
+	return c.complete
 }
 
 func (l *Leader) uncount(key string) {
@@ -88,7 +88,7 @@
 	if !ok {
 		return
 	}
-	c.done = true
+	c.complete = true
 	l.Log.Info("lead: what runs is counted.", "key", key, "worker", c.worker)
 	// The rows that wait are told with the next tick.
 	l.rulesRefreshed = l.rulesRefreshed.Add(-ruleEvery)
