--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -91,7 +91,7 @@
 		if slices.Contains(q.Jobs, t.Job) {
 			v.Tasks = append(v.Tasks, job.ListedTask{ID: t.ID, State: t.State, Lease: t.Lease})
 		}
-		if len(q.Keys) > 0 && t.State == "running" && slices.Contains(q.Keys, l.keyOf(t.Row)) {
+		if len(q.Keys) > 0 && t.State == "running" && slices.Contains(q.Keys, l.limitKeyOf(t.Row)) {
 			v.Counted = append(v.Counted, CountedTask{Row: t.Row, Size: roomOf(t)})
 		}
 	}
--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -44,7 +44,7 @@
 	return key, ""
 }
 
-func (l *Leader) keyOf(row string) string {
+func (l *Leader) limitKeyOf(row string) string {
 	if l.LimitKey == nil {
 		return ""
 	}
@@ -120,7 +120,7 @@
 // toldElsewhere notes what a peer told of some keys; of others it was not asked.
 func (l *Leader) toldElsewhere(worker string, keys []string, tasks []CountedTask) {
 	for _, t := range l.countedElsewhere[worker] {
-		if !slices.Contains(keys, l.keyOf(t.Row)) {
+		if !slices.Contains(keys, l.limitKeyOf(t.Row)) {
 			tasks = append(tasks, t)
 		}
 	}
@@ -131,7 +131,7 @@
 func (l *Leader) keepCounted(worker string) {
 	var all []CountedTask
 	for _, u := range l.Placer.On(worker) {
-		if l.keyOf(u.Row) != "" {
+		if l.limitKeyOf(u.Row) != "" {
 			all = append(all, CountedTask{Row: u.Row, Size: u.Size})
 		}
 	}
