--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -61,7 +61,7 @@
 	}
 	c := l.counts[key]
 	if !slices.Contains(l.Leases.Held(), worker) {
-		l.uncount(key)
+		l.stopCounting(key)
 		return false
 	}
 	if c == nil || c.worker != worker {
@@ -73,7 +73,7 @@
 	return c.complete
 }
 
-func (l *Leader) uncount(key string) {
+func (l *Leader) stopCounting(key string) {
 	if _, ok := l.counts[key]; !ok {
 		return
 	}
@@ -99,7 +99,7 @@
 	lost := false
 	for key, c := range l.counts {
 		if c.worker == worker {
-			l.uncount(key)
+			l.stopCounting(key)
 			lost = true
 		}
 	}
