--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -206,7 +206,7 @@
 			l.addNote(a.Job, "census complete")
 			l.stepJobs(job.Release{ID: a.Job, Crashes: l.crashCounts(a.Job)})
 		case takeover.Counted:
-			l.counted(a.Key)
+			l.finishCounting(a.Key)
 		case takeover.Silent:
 			l.Log.Warn("lead: worker is silent for longer than any lease.", "worker", a.Worker)
 			l.Count("lead.silent")
--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -82,8 +82,8 @@
 	l.stepTakeover(takeover.Uncount{Key: key})
 }
 
-// counted begins to start tasks of a key, of which all that runs is known now.
-func (l *Leader) counted(key string) {
+// finishCounting begins to start tasks of a key, of which all that runs is known now.
+func (l *Leader) finishCounting(key string) {
 	c, ok := l.counts[key]
 	if !ok {
 		return
