--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -251,7 +251,7 @@
 	l.keepCounted(name)
 	l.stepPlacement(place.Down{Worker: name})
 	l.stepTakeover(takeover.Down{Worker: name})
-	l.lose(name)
+	l.stopCountingOn(name)
 	if len(l.Leases.Held()) == 0 && !l.leaving {
 		l.dropAllJobs()
 	}
--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -94,8 +94,8 @@
 	l.rulesRefreshed = l.rulesRefreshed.Add(-ruleEvery)
 }
 
-// lose ends the counting that rests on a worker.
-func (l *Leader) lose(worker string) {
+// stopCountingOn ends the counting that rests on a worker.
+func (l *Leader) stopCountingOn(worker string) {
 	lost := false
 	for key, c := range l.counts {
 		if c.worker == worker {
