--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// runsElsewhere notes what runs of the counted keys on a worker of another host.
-func (l *Leader) runsElsewhere(worker string, tasks []CountedTask) {
+// setElsewhere notes what runs of the counted keys on a worker of another host.
+func (l *Leader) setElsewhere(worker string, tasks []CountedTask) {
 	if len(tasks) == 0 {
 		delete(l.countedElsewhere, worker)
 		return
@@ -124,7 +124,7 @@
 			tasks = append(tasks, t)
 		}
 	}
-	l.runsElsewhere(worker, tasks)
+	l.setElsewhere(worker, tasks)
 }
 
 // keepCounted notes what ran of counted keys on a worker that is given up.
@@ -135,7 +135,7 @@
 			all = append(all, CountedTask{Row: u.Row, Size: u.Size})
 		}
 	}
-	l.runsElsewhere(worker, all)
+	l.setElsewhere(worker, all)
 }
 
 // lessElsewhere takes off a rule what runs on workers of other hosts.
