--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -140,7 +140,7 @@
 			continue
 		}
 		ev.Workers = append(ev.Workers, v.Worker)
-		l.toldElsewhere(v.Worker, q.Keys, v.Counted)
+		l.mergeElsewhere(v.Worker, q.Keys, v.Counted)
 		l.stepJobs(job.WorkerList{Worker: v.Worker, Clock: v.Clock, Sent: q.Asked.Add(-v.Age), Tasks: v.Tasks, Jobs: q.Jobs, Incarnation: v.Incarnation})
 	}
 	l.stepTakeover(ev)
--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -117,8 +117,8 @@
 	l.countedElsewhere[worker] = tasks
 }
 
-// toldElsewhere notes what a peer told of some keys; of others it was not asked.
-func (l *Leader) toldElsewhere(worker string, keys []string, tasks []CountedTask) {
+// mergeElsewhere notes what a peer told of some keys; of others it was not asked.
+func (l *Leader) mergeElsewhere(worker string, keys []string, tasks []CountedTask) {
 	for _, t := range l.countedElsewhere[worker] {
 		if !slices.Contains(keys, l.limitKeyOf(t.Row)) {
 			tasks = append(tasks, t)
