--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -138,8 +138,8 @@
 	l.setElsewhere(worker, all)
 }
 
-// lessElsewhere takes off a rule what runs on workers of other hosts.
-func (l *Leader) lessElsewhere(row table.Row, r place.Rule) place.Rule {
+// subtractElsewhere takes off a rule what runs on workers of other hosts.
+func (l *Leader) subtractElsewhere(row table.Row, r place.Rule) place.Rule {
 	for _, tasks := range l.countedElsewhere {
 		for _, t := range tasks {
 			other, _ := l.Row(t.Row)
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -128,7 +128,7 @@
 		r.MaxTasks = -1
 		return r
 	}
-	return l.lessElsewhere(row, r)
+	return l.subtractElsewhere(row, r)
 }
 
 // limitOf turns a share of the table, where NoLimit is open and zero nothing,
