--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -144,18 +144,18 @@
 		for _, t := range tasks {
 			other, _ := l.Row(t.Row)
 			if t.Row == row.Name {
-				r.MaxTasks, r.Limit = less(r.MaxTasks, 1), lessSize(r.Limit, t.Size)
+				r.MaxTasks, r.Limit = reduceLimit(r.MaxTasks, 1), lessSize(r.Limit, t.Size)
 			}
 			if row.Team != "" && other.Team == row.Team {
-				r.QuotaTasks, r.Quota = less(r.QuotaTasks, 1), lessSize(r.Quota, t.Size)
+				r.QuotaTasks, r.Quota = reduceLimit(r.QuotaTasks, 1), lessSize(r.Quota, t.Size)
 			}
 		}
 	}
 	return r
 }
 
-// less is a limit of the placement that n of are taken: zero is open, a negative one allows nothing.
-func less(limit, n int64) int64 {
+// reduceLimit is a limit of the placement that n of are taken: zero is open, a negative one allows nothing.
+func reduceLimit(limit, n int64) int64 {
 	switch {
 	case limit <= 0:
 		return limit
@@ -167,7 +167,7 @@
 }
 
 func lessSize(limit, size cell.Size) cell.Size {
-	return cell.Size{CPU: less(limit.CPU, size.CPU), Mem: less(limit.Mem, size.Mem), Accel: less(limit.Accel, size.Accel)}
+	return cell.Size{CPU: reduceLimit(limit.CPU, size.CPU), Mem: reduceLimit(limit.Mem, size.Mem), Accel: reduceLimit(limit.Accel, size.Accel)}
 }
 
 // putOff puts back a task whose row may not be started here any more. A lease that lapsed before
