--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -144,10 +144,10 @@
 		for _, t := range tasks {
 			other, _ := l.Row(t.Row)
 			if t.Row == row.Name {
-				r.MaxTasks, r.Limit = reduceLimit(r.MaxTasks, 1), lessSize(r.Limit, t.Size)
+				r.MaxTasks, r.Limit = reduceLimit(r.MaxTasks, 1), reduceSize(r.Limit, t.Size)
 			}
 			if row.Team != "" && other.Team == row.Team {
-				r.QuotaTasks, r.Quota = reduceLimit(r.QuotaTasks, 1), lessSize(r.Quota, t.Size)
+				r.QuotaTasks, r.Quota = reduceLimit(r.QuotaTasks, 1), reduceSize(r.Quota, t.Size)
 			}
 		}
 	}
@@ -166,7 +166,7 @@
 	}
 }
 
-func lessSize(limit, size cell.Size) cell.Size {
+func reduceSize(limit, size cell.Size) cell.Size {
 	return cell.Size{CPU: reduceLimit(limit.CPU, size.CPU), Mem: reduceLimit(limit.Mem, size.Mem), Accel: reduceLimit(limit.Accel, size.Accel)}
 }
 
