--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -170,9 +170,9 @@
 	return cell.Size{CPU: reduceLimit(limit.CPU, size.CPU), Mem: reduceLimit(limit.Mem, size.Mem), Accel: reduceLimit(limit.Accel, size.Accel)}
 }
 
-// putOff puts back a task whose row may not be started here any more. A lease that lapsed before
+// postponeStart puts back a task whose row may not be started here any more. A lease that lapsed before
 // anyone noticed is noticed first: the task would get its room again at once.
-func (l *Leader) putOff(a job.Start) {
+func (l *Leader) postponeStart(a job.Start) {
 	l.stepLeases(lease.Tick{})
 	l.addNote(a.Spec.ID, "start of "+a.Task+" put off: its row is counted elsewhere")
 	l.retell()
--- a/internal/lead/start.go
+++ b/internal/lead/start.go
@@ -26,7 +26,7 @@
 	key, arbiter := l.arbiter(row)
 	if key != "" {
 		if deadline, ok = l.Leases.DeadlineWith(l.Clock(), a.Worker, arbiter); !ok || !l.mayStart(row) {
-			l.putOff(a)
+			l.postponeStart(a)
 			return
 		}
 	}
