--- a/internal/lead/machines.go
+++ b/internal/lead/machines.go
@@ -21,7 +21,7 @@
 	defer l.mu.Unlock()
 	names := make([]string, 0, len(all))
 	for _, m := range all {
-		l.know(m)
+		l.updateMachine(m)
 		names = append(names, m.Name)
 	}
 	l.stepLeases(lease.Lead{Workers: names})
@@ -34,13 +34,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, m := range all {
-		l.know(m)
+		l.updateMachine(m)
 	}
 }
 
-// know takes what the host list says of a worker now. Its size counts at once if it is led here;
+// updateMachine takes what the host list says of a worker now. Its size counts at once if it is led here;
 // one that cannot be is no room.
-func (l *Leader) know(m Machine) {
+func (l *Leader) updateMachine(m Machine) {
 	before, known := l.machines[m.Name]
 	listed := m.Size
 	if !(cell.Size{}).Fits(listed) || !listed.Fits(cell.Largest) {
