--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -371,7 +371,7 @@
 		case job.Pause:
 			l.spawn(func(ctx context.Context) { l.pause(ctx, a) })
 		case job.Result:
-			l.result(a)
+			l.handleResult(a)
 		case job.Free:
 			l.stepPlacement(place.Freed{Task: a.Task})
 		case job.Forget:
