--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -363,7 +363,7 @@
 	for _, a := range l.Jobs.Step(l.Clock(), ev) {
 		switch a := a.(type) {
 		case job.RequestPlacement:
-			l.want(a)
+			l.requestPlacement(a)
 		case job.Start:
 			l.start(a)
 		case job.Stop:
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -76,7 +76,7 @@
 	l.stepPlacement(place.Result{Worker: a.Worker, Row: a.Row, Failed: a.Failed})
 }
 
-func (l *Leader) want(a job.RequestPlacement) {
+func (l *Leader) requestPlacement(a job.RequestPlacement) {
 	row, _ := l.Row(a.Spec.Row)
 	w := l.wantOf(a.Spec, a.Tasks)
 	w.Rule = l.ruleNow(row)
