--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -78,7 +78,7 @@
 
 func (l *Leader) requestPlacement(a job.RequestPlacement) {
 	row, _ := l.Row(a.Spec.Row)
-	w := l.wantOf(a.Spec, a.Tasks)
+	w := l.declaredWant(a.Spec, a.Tasks)
 	w.Rule = l.ruleNow(row)
 	w.Since, w.Avoid, w.Failed, w.Back = a.Since, a.Avoid, a.LastFailure, a.AvoidUntil
 	w.Declared = w.Size
@@ -89,8 +89,8 @@
 	l.stepPlacement(w)
 }
 
-// wantOf is a job's need as it was declared.
-func (l *Leader) wantOf(s job.Spec, tasks []string) place.Want {
+// declaredWant is a job's need as it was declared.
+func (l *Leader) declaredWant(s job.Spec, tasks []string) place.Want {
 	row, _ := l.Row(s.Row)
 	return place.Want{
 		Job: s.ID, Row: s.Row, Team: row.Team, Class: s.Class, Size: s.Size, Tasks: tasks, Gang: s.Gang,
@@ -175,7 +175,7 @@
 }
 
 func (l *Leader) never(spec job.Spec) error {
-	w := l.wantOf(spec, make([]string, spec.Tasks))
+	w := l.declaredWant(spec, make([]string, spec.Tasks))
 	var never *place.NeverError
 	if errors.As(l.Placer.Never(w), &never) {
 		l.Count("lead.never")
