--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -82,7 +82,7 @@
 	w.Rule = l.ruleNow(row)
 	w.Since, w.Avoid, w.Failed, w.Back = a.Since, a.Avoid, a.LastFailure, a.AvoidUntil
 	w.Declared = w.Size
-	w.Size, w.Time = l.corrected(w), l.Estimates.Time(w.Row, w.Time)
+	w.Size, w.Time = l.estimatedSize(w), l.Estimates.Time(w.Row, w.Time)
 	if a.Exclusive {
 		w.Size = l.exclusiveSize(w)
 	}
@@ -98,10 +98,10 @@
 	}
 }
 
-// corrected is the size to pack by. Where the declared size could run and the
-// corrected one never can, the declared one is kept: the job would otherwise
+// estimatedSize is the size to pack by. Where the declared size could run and the
+// estimatedSize one never can, the declared one is kept: the job would otherwise
 // wait for ever for a guess.
-func (l *Leader) corrected(w place.Want) cell.Size {
+func (l *Leader) estimatedSize(w place.Want) cell.Size {
 	declared := w.Size
 	w.Size = l.Estimates.Size(w.Row, declared)
 	if l.Placer.Never(w) != nil {
