--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -94,7 +94,7 @@
 	row, _ := l.Row(s.Row)
 	return place.Want{
 		Job: s.ID, Row: s.Row, Team: row.Team, Class: s.Class, Size: s.Size, Tasks: tasks, Gang: s.Gang,
-		Spread: row.Kind == table.Service, Time: s.Time.Duration, Rule: l.rule(row),
+		Spread: row.Kind == table.Service, Time: s.Time.Duration, Rule: l.tableRule(row),
 	}
 }
 
@@ -110,8 +110,8 @@
 	return w.Size
 }
 
-// rule is what the table says of a row in this failure domain.
-func (l *Leader) rule(row table.Row) place.Rule {
+// tableRule is what the table says of a row in this failure domain.
+func (l *Leader) tableRule(row table.Row) place.Rule {
 	r := place.Rule{Weight: row.Weight, Limit: row.Limits.Room, MaxTasks: row.Limits.Tasks}
 	if l.Shares != nil {
 		own, team := l.Shares(row)
@@ -123,7 +123,7 @@
 
 // ruleNow is what of it may be started here now.
 func (l *Leader) ruleNow(row table.Row) place.Rule {
-	r := l.rule(row)
+	r := l.tableRule(row)
 	if !l.mayStart(row) {
 		r.MaxTasks = -1
 		return r
