--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -79,7 +79,7 @@
 func (l *Leader) requestPlacement(a job.RequestPlacement) {
 	row, _ := l.Row(a.Spec.Row)
 	w := l.declaredWant(a.Spec, a.Tasks)
-	w.Rule = l.ruleNow(row)
+	w.Rule = l.currentRule(row)
 	w.Since, w.Avoid, w.Failed, w.Back = a.Since, a.Avoid, a.LastFailure, a.AvoidUntil
 	w.Declared = w.Size
 	w.Size, w.Time = l.estimatedSize(w), l.Estimates.Time(w.Row, w.Time)
@@ -121,8 +121,8 @@
 	return r
 }
 
-// ruleNow is what of it may be started here now.
-func (l *Leader) ruleNow(row table.Row) place.Rule {
+// currentRule is what of it may be started here now.
+func (l *Leader) currentRule(row table.Row) place.Rule {
 	r := l.tableRule(row)
 	if !l.mayStart(row) {
 		r.MaxTasks = -1
@@ -158,7 +158,7 @@
 	l.rulesRefreshed = l.Clock()
 	for _, name := range l.Placer.Rows() {
 		row, _ := l.Row(name)
-		if r := l.ruleNow(row); l.appliedRules[name] != r {
+		if r := l.currentRule(row); l.appliedRules[name] != r {
 			l.appliedRules[name] = r
 			l.stepPlacement(place.Ruled{Row: name, Rule: r})
 		}
@@ -169,7 +169,7 @@
 func (l *Leader) retell() {
 	for _, name := range l.Placer.Rows() {
 		row, _ := l.Row(name)
-		l.appliedRules[name] = l.ruleNow(row)
+		l.appliedRules[name] = l.currentRule(row)
 		l.stepPlacement(place.Ruled{Row: name, Rule: l.appliedRules[name]})
 	}
 }
