--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -115,8 +115,8 @@
 	r := place.Rule{Weight: row.Weight, Limit: row.Limits.Room, MaxTasks: row.Limits.Tasks}
 	if l.Shares != nil {
 		own, team := l.Shares(row)
-		r.Limit, r.MaxTasks = limitOf(own)
-		r.Quota, r.QuotaTasks = limitOf(team)
+		r.Limit, r.MaxTasks = placementLimit(own)
+		r.Quota, r.QuotaTasks = placementLimit(team)
 	}
 	return r
 }
@@ -131,9 +131,9 @@
 	return l.subtractElsewhere(row, r)
 }
 
-// limitOf turns a share of the table, where NoLimit is open and zero nothing,
+// placementLimit turns a share of the table, where NoLimit is open and zero nothing,
 // into a limit of the placement, where zero is open and -1 nothing.
-func limitOf(s table.Share) (cell.Size, int64) {
+func placementLimit(s table.Share) (cell.Size, int64) {
 	part := func(n int64) int64 {
 		switch n {
 		case table.NoLimit:
