--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -91,7 +91,7 @@
 	c.complete = true
 	l.Log.Info("lead: what runs is counted.", "key", key, "worker", c.worker)
 	// The rows that wait are told with the next tick.
-	l.rulesRefreshed = l.rulesRefreshed.Add(-ruleEvery)
+	l.rulesRefreshed = l.rulesRefreshed.Add(-ruleRefreshInterval)
 }
 
 // stopCountingOn ends the counting that rests on a worker.
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -147,12 +147,12 @@
 	return cell.Size{CPU: part(s.Room.CPU), Mem: part(s.Room.Mem), Accel: part(s.Room.Accel)}, part(s.Tasks)
 }
 
-// ruleEvery is how often the table is looked at for work that waits.
-const ruleEvery = time.Second
+// ruleRefreshInterval is how often the table is looked at for work that waits.
+const ruleRefreshInterval = time.Second
 
 // reread applies edits of the table to work that waits already.
 func (l *Leader) reread() {
-	if l.Clock().Sub(l.rulesRefreshed) < ruleEvery {
+	if l.Clock().Sub(l.rulesRefreshed) < ruleRefreshInterval {
 		return
 	}
 	l.rulesRefreshed = l.Clock()
