--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -125,7 +125,7 @@
 	defer l.mu.Unlock()
 	l.stepLeases(lease.Tick{})
 	l.askIncarnations()
-	l.reread()
+	l.refreshRules()
 	l.stepPlacement(place.Tick{})
 	l.watchUnheld()
 	l.stepTakeover(takeover.Tick{})
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -150,8 +150,8 @@
 // ruleRefreshInterval is how often the table is looked at for work that waits.
 const ruleRefreshInterval = time.Second
 
-// reread applies edits of the table to work that waits already.
-func (l *Leader) reread() {
+// refreshRules applies edits of the table to work that waits already.
+func (l *Leader) refreshRules() {
 	if l.Clock().Sub(l.rulesRefreshed) < ruleRefreshInterval {
 		return
 	}
