--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -104,7 +104,7 @@
 		}
 	}
 	if lost {
-		l.retell()
+		l.reapplyRules()
 	}
 }
 
@@ -175,6 +175,6 @@
 func (l *Leader) postponeStart(a job.Start) {
 	l.stepLeases(lease.Tick{})
 	l.addNote(a.Spec.ID, "start of "+a.Task+" put off: its row is counted elsewhere")
-	l.retell()
+	l.reapplyRules()
 	l.stepJobs(job.NotStarted{Task: a.Task, Attempt: a.Attempt})
 }
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -165,8 +165,8 @@
 	}
 }
 
-// retell applies what may be started here now to all work that waits.
-func (l *Leader) retell() {
+// reapplyRules applies what may be started here now to all work that waits.
+func (l *Leader) reapplyRules() {
 	for _, name := range l.Placer.Rows() {
 		row, _ := l.Row(name)
 		l.appliedRules[name] = l.currentRule(row)
