--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -168,7 +168,7 @@
 	case epoch == 0:
 		return 0, &NoWorkerError{}
 	}
-	return epoch, l.never(spec)
+	return epoch, l.checkSchedulable(spec)
 }
 
 // Submit takes a job that was checked in that epoch and is kept by now. A
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -174,7 +174,7 @@
 	}
 }
 
-func (l *Leader) never(spec job.Spec) error {
+func (l *Leader) checkSchedulable(spec job.Spec) error {
 	w := l.declaredWant(spec, make([]string, spec.Tasks))
 	var never *place.NeverError
 	if errors.As(l.Placer.Never(w), &never) {
