--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -356,7 +356,7 @@
 	}
 	l.stepJobs(ev)
 	l.reconcile(name, r)
-	l.used(r.Tasks)
+	l.recordUsage(r.Tasks)
 }
 
 func (l *Leader) stepJobs(ev job.Event) {
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -184,8 +184,8 @@
 	return nil
 }
 
-// used books what a worker's list says that its tasks use.
-func (l *Leader) used(tasks []lease.Task) {
+// recordUsage books what a worker's list says that its tasks use.
+func (l *Leader) recordUsage(tasks []lease.Task) {
 	for _, t := range tasks {
 		if t.State != "running" {
 			l.Estimates.Drop(t.ID)
