--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -92,7 +92,7 @@
 			v.Tasks = append(v.Tasks, job.ListedTask{ID: t.ID, State: t.State, Lease: t.Lease})
 		}
 		if len(q.Keys) > 0 && t.State == "running" && slices.Contains(q.Keys, l.limitKeyOf(t.Row)) {
-			v.Counted = append(v.Counted, CountedTask{Row: t.Row, Size: roomOf(t)})
+			v.Counted = append(v.Counted, CountedTask{Row: t.Row, Size: foundTaskSize(t)})
 		}
 	}
 	return v
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -333,7 +333,7 @@
 	for _, t := range a.Tasks {
 		if t.State == "running" {
 			row, _ := l.Row(t.Row)
-			used = append(used, place.Used{Task: t.ID, Row: t.Row, Team: row.Team, Class: row.Urgency(), Size: roomOf(t)})
+			used = append(used, place.Used{Task: t.ID, Row: t.Row, Team: row.Team, Class: row.Urgency(), Size: foundTaskSize(t)})
 		}
 	}
 	l.Count("lead.up")
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -205,10 +205,10 @@
 	}
 }
 
-// roomOf is the room of a task that ran before this host led its worker. The
+// foundTaskSize is the room of a task that ran before this host led its worker. The
 // room that it was started with may have been a guess, so what it is seen to
 // use goes before, with the same margin as for measured rows.
-func roomOf(t lease.Task) cell.Size {
+func foundTaskSize(t lease.Task) cell.Size {
 	if t.Use == (cell.Size{}) {
 		return t.Size
 	}
