--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -194,7 +194,7 @@
 		spec, ok := l.Jobs.Spec(t.ID)
 		switch {
 		case !ok:
-			l.grown(t)
+			l.growForeignTask(t)
 			continue
 		case l.Jobs.NeedsExclusiveWorker(t.ID):
 			continue
@@ -216,9 +216,9 @@
 	return cell.Size{CPU: part(t.Size.CPU, t.Use.CPU), Mem: part(t.Size.Mem, t.Use.Mem), Accel: t.Size.Accel}
 }
 
-// grown books a task of a job that is not led here, of which nobody knows what
+// growForeignTask books a task of a job that is not led here, of which nobody knows what
 // was declared: its room never shrinks.
-func (l *Leader) grown(t lease.Task) {
+func (l *Leader) growForeignTask(t lease.Task) {
 	if room, ok := l.Placer.Room(t.ID); ok && t.Use != (cell.Size{}) {
 		size := cell.Size{CPU: max(room.CPU, t.Use.CPU), Mem: max(room.Mem, t.Use.Mem), Accel: room.Accel}
 		l.stepPlacement(place.Resized{Task: t.ID, Size: size, Use: t.Use})
