--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -233,7 +233,7 @@
 	for _, task := range l.Jobs.WaitingTasks(id) {
 		if why, ok := l.Placer.Why(task); ok {
 			notes = append(notes, trail.Note{At: l.Clock(), ID: id, Part: "place", What: why})
-			notes = append(notes, l.whyPutOff(id, task)...)
+			notes = append(notes, l.explainPostponed(id, task)...)
 			break
 		}
 	}
@@ -246,8 +246,8 @@
 	return notes
 }
 
-// whyPutOff tells that a waiting task's row is counted by another host.
-func (l *Leader) whyPutOff(id, task string) []trail.Note {
+// explainPostponed tells that a waiting task's row is counted by another host.
+func (l *Leader) explainPostponed(id, task string) []trail.Note {
 	spec, _ := l.Jobs.Spec(task)
 	row, _ := l.Row(spec.Row)
 	if l.mayStart(row) {
