--- a/internal/lead/start.go
+++ b/internal/lead/start.go
@@ -19,7 +19,7 @@
 func (l *Leader) start(a job.Start) {
 	deadline, ok := l.Leases.Deadline(l.Clock(), a.Worker)
 	if !ok {
-		l.lapsed(a)
+		l.handleLapsedLease(a)
 		return
 	}
 	row, _ := l.Row(a.Spec.Row)
@@ -44,10 +44,10 @@
 	l.spawn(func(ctx context.Context) { l.sendStart(ctx, a, arbiter, size, deadline) })
 }
 
-// lapsed puts back a task whose worker's lease ran out before anyone noticed,
+// handleLapsedLease puts back a task whose worker's lease ran out before anyone noticed,
 // as after a pause. The worker must be gone from the placement first: it would
 // get the task again at once, and the host would die of the endless recursion.
-func (l *Leader) lapsed(a job.Start) {
+func (l *Leader) handleLapsedLease(a job.Start) {
 	l.stepLeases(lease.Tick{})
 	l.stepPlacement(place.Down{Worker: a.Worker})
 	l.stepJobs(job.NotStarted{Task: a.Task, Attempt: a.Attempt})
