--- a/internal/lead/stop.go
+++ b/internal/lead/stop.go
@@ -16,7 +16,7 @@
 
 // stop asks until the worker confirms.
 func (l *Leader) stop(ctx context.Context, a job.Stop) {
-	l.stopped(a.Worker, job.Stopped{Task: a.Task, Attempt: a.Attempt}, l.Workers.Stop(ctx, l.address(a.Worker), a.Task))
+	l.handleStopReply(a.Worker, job.Stopped{Task: a.Task, Attempt: a.Attempt}, l.Workers.Stop(ctx, l.address(a.Worker), a.Task))
 }
 
 // pause checkpoints a task and then stops it. Without an answer to the first
@@ -28,13 +28,13 @@
 	if err == nil {
 		err = l.Workers.Stop(ctx, addr, a.Task)
 	}
-	l.stopped(a.Worker, job.Stopped{Task: a.Task, Attempt: a.Attempt}, err)
+	l.handleStopReply(a.Worker, job.Stopped{Task: a.Task, Attempt: a.Attempt}, err)
 }
 
-// stopped takes note of a stop's answer. A stop whose answer is lost, or that
+// handleStopReply takes note of a stop's answer. A stop whose answer is lost, or that
 // overtook the start, is followed by a look at the worker's list, which brings
 // the next stop as long as the task runs.
-func (l *Leader) stopped(on string, ev job.Stopped, err error) {
+func (l *Leader) handleStopReply(on string, ev job.Stopped, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var gone *worker.GoneError
