--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -16,10 +16,10 @@
 
 func (*UnknownMessageError) Error() string { return "message is not for this host" }
 
-// NoLeadError tells that no host is known to lead.
-type NoLeadError struct{}
+// NoLeaderError tells that no host is known to lead.
+type NoLeaderError struct{}
 
-func (*NoLeadError) Error() string { return "no host leads" }
+func (*NoLeaderError) Error() string { return "no host leads" }
 
 // LateError tells that a host did not answer in time; it may yet.
 type LateError struct {
@@ -31,13 +31,13 @@
 	return "host " + e.Host + " has not answered within " + e.After.String()
 }
 
-// answer answers a peer.
-func (h *Host) answer(ctx context.Context, m peer.Message) (any, error) {
-	h.count("peer." + peer.Kind(m))
+// handleMessage answers a peer.
+func (h *Host) handleMessage(ctx context.Context, m peer.Message) (any, error) {
+	h.incCounter("peer." + peer.Kind(m))
 	switch m := m.(type) {
 	case peer.Hand:
 		h.mu.Lock()
-		t := h.leading
+		t := h.ownTerm
 		h.mu.Unlock()
 		if t != nil {
 			t.take(m.Part, m.First, m.Records)
@@ -51,10 +51,10 @@
 	case peer.Advise:
 		ctx, cancel := context.WithTimeout(ctx, m.Within.Duration)
 		defer cancel()
-		good, err := h.advise(ctx, m.Step, m.Workers)
+		good, err := h.askPolicy(ctx, m.Step, m.Workers)
 		return peer.AdviseReply{Good: good}, err
 	case peer.StoreCall:
-		return storeReply(h.store.Direct(ctx, m.Call)), nil
+		return encodeStoreReply(h.store.Direct(ctx, m.Call)), nil
 	case peer.Succeed:
 		h.succeed(m)
 		return nil, nil
@@ -68,21 +68,21 @@
 
 func (*NoPolicyError) Error() string { return "settings name no policy service" }
 
-func (h *Host) advise(ctx context.Context, step string, workers []string) (map[string]string, error) {
+func (h *Host) askPolicy(ctx context.Context, step string, workers []string) (map[string]string, error) {
 	if h.policy == nil {
 		return nil, &NoPolicyError{}
 	}
 	return h.policy.Ask(ctx, step, workers)
 }
 
-// lateState is how long a lead may take for a state before that is told.
-const lateState = 100 * time.Millisecond
+// slowStateReply is how long a lead may take for a state before that is told.
+const slowStateReply = 100 * time.Millisecond
 
 // localState tells a state as the lead. It waits while the core takes a step, unless the job
 // has ended.
 func (h *Host) localState(id string) peer.StateReply {
 	h.mu.Lock()
-	t := h.leading
+	t := h.ownTerm
 	h.mu.Unlock()
 	if t == nil {
 		return peer.StateReply{}
@@ -92,34 +92,36 @@
 	}
 	began := h.now()
 	state, known, sure := t.state(id)
-	if took := h.now().Sub(began); took > lateState {
-		h.count("state.late")
+	if took := h.now().Sub(began); took > slowStateReply {
+		h.incCounter("state.late")
 		h.log.Info("state: told late.", "id", id, "term", t.number, "waited", took)
 	}
 	return peer.StateReply{Lead: true, Known: known, Unsure: !sure, State: string(state)}
 }
 
-// UnsureError tells that the lead does not know a job and has not read lately
+// UncertainError tells that the lead does not know a job and has not read lately
 // what was stored.
-type UnsureError struct{ ID string }
+type UncertainError struct{ ID string }
 
-func (e *UnsureError) Error() string { return "lead has not read yet whether there is a job " + e.ID }
+func (e *UncertainError) Error() string {
+	return "lead has not read yet whether there is a job " + e.ID
+}
 
-// leadFresh is how long ago the store may have answered a lead that others leave
+// leaderFreshness is how long ago the store may have answered a lead that others leave
 // alone: about as long as the group takes to name another one.
-const leadFresh = 2 * time.Second
+const leaderFreshness = 2 * time.Second
 
 // syncReply leaves out what only a lead that the store serves can vouch for.
 func (h *Host) syncReply(m peer.Sync) peer.SyncReply {
 	h.mu.Lock()
-	t := h.leading
+	t := h.ownTerm
 	hosts := make(map[string]string, len(h.hosts))
 	for n, a := range h.hosts {
 		hosts[n] = a.String()
 	}
-	claiming, leaving, successor, enough, follows := h.claiming, h.leaving, h.successor, h.enoughPower(), h.lead
+	claiming, leaving, successor, enough, follows := h.claiming, h.leaving, h.successor, h.enoughPower(), h.leader
 	h.mu.Unlock()
-	served := h.store.Fresh(leadFresh)
+	served := h.store.Fresh(leaderFreshness)
 	if t == nil || !served {
 		return peer.SyncReply{Leading: t != nil, Claiming: claiming, Leaving: leaving, Served: served, Successor: successor, Follows: follows}
 	}
@@ -142,7 +144,7 @@
 type relay struct{ h *Host }
 
 // Peers lists the peers to ask.
-func (r relay) Peers() []string { return r.h.others() }
+func (r relay) Peers() []string { return r.h.otherHosts() }
 
 // Do has a peer make the call.
 func (r relay) Do(ctx context.Context, name string, c store.Call) (store.Answer, error) {
@@ -155,20 +157,20 @@
 	case err != nil:
 		return store.Answer{}, &store.UnansweredError{Op: c.Op, Cause: err}
 	}
-	return got.Answer, failureOf(c, got)
+	return got.Answer, decodeStoreError(c, got)
 }
 
 // Names of the store's failures between hosts.
 const (
-	failRefused  = "refused"
-	failUnsure   = "unanswered"
-	failFenced   = "fenced"
-	failMoved    = "moved"
-	failTrimmed  = "trimmed"
-	failNotKnown = "bad"
+	failRefused = "refused"
+	failUnsure  = "unanswered"
+	failFenced  = "fenced"
+	failMoved   = "moved"
+	failTrimmed = "trimmed"
+	failOther   = "bad"
 )
 
-func storeReply(a store.Answer, err error) peer.StoreReply {
+func encodeStoreReply(a store.Answer, err error) peer.StoreReply {
 	r := peer.StoreReply{Answer: a}
 	if err == nil {
 		return r
@@ -190,12 +192,12 @@
 	case errors.As(err, &trimmed):
 		r.Failure, r.Number = failTrimmed, trimmed.First
 	default:
-		r.Failure = failNotKnown
+		r.Failure = failOther
 	}
 	return r
 }
 
-func failureOf(c store.Call, r peer.StoreReply) error {
+func decodeStoreError(c store.Call, r peer.StoreReply) error {
 	switch r.Failure {
 	case "":
 		return nil
@@ -207,36 +209,36 @@
 		return &store.MovedError{End: r.Number}
 	case failTrimmed:
 		return &store.TrimmedError{First: r.Number}
-	case failNotKnown:
+	case failOther:
 		return &store.BadError{Op: c.Op, Reason: r.Reason}
 	default:
 		return &store.UnansweredError{Op: c.Op, Cause: &store.BadError{Op: c.Op, Reason: r.Reason}}
 	}
 }
 
-// longestAdvice bounds a question to the policy service that a peer asks.
-const longestAdvice = 10 * time.Second
+// maxAdviceTimeout bounds a question to the policy service that a peer asks.
+const maxAdviceTimeout = 10 * time.Second
 
-// ask has a host, perhaps this one, ask the policy service.
-func (h *Host) ask(ctx context.Context, a sched.QueryPolicy) sched.PolicyReply {
-	ctx, cancel := context.WithTimeout(ctx, min(a.Timeout, longestAdvice))
+// askPolicyVia has a host, perhaps this one, askPolicyVia the policy service.
+func (h *Host) askPolicyVia(ctx context.Context, a sched.QueryPolicy) sched.PolicyReply {
+	ctx, cancel := context.WithTimeout(ctx, min(a.Timeout, maxAdviceTimeout))
 	defer cancel()
 	began := h.now()
 	defer func() { h.observe("advice.answer", h.now().Sub(began)) }()
 	if a.Host == h.cfg.Name {
-		good, err := h.advise(ctx, a.Step, a.Workers)
-		return h.advised(a, good, err)
+		good, err := h.askPolicy(ctx, a.Step, a.Workers)
+		return h.policyResult(a, good, err)
 	}
 	var r peer.AdviseReply
 	m := peer.Advise{Step: a.Step, Workers: a.Workers}
 	m.Within.Duration = a.Timeout
 	err := h.peers.Ask(ctx, a.Host, m, &r)
-	return h.advised(a, r.Good, err)
+	return h.policyResult(a, r.Good, err)
 }
 
-func (h *Host) advised(a sched.QueryPolicy, good map[string]string, err error) sched.PolicyReply {
+func (h *Host) policyResult(a sched.QueryPolicy, good map[string]string, err error) sched.PolicyReply {
 	if err != nil {
-		h.count("advice.failed")
+		h.incCounter("advice.failed")
 		h.log.Warn("advice: no answer.", "step", a.Step, "host", a.Host, "err", err)
 	}
 	return sched.PolicyReply{Step: a.Step, Host: a.Host, Tickets: good, Failed: err != nil}
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -36,12 +36,12 @@
 
 // claim tries to begin a term.
 func (h *Host) claim(why string) {
-	if !h.claims.TryLock() {
+	if !h.claimMu.TryLock() {
 		return
 	}
-	defer h.claims.Unlock()
+	defer h.claimMu.Unlock()
 	h.mu.Lock()
-	busy := h.leading != nil || h.leaving
+	busy := h.ownTerm != nil || h.leaving
 	h.claiming = !busy
 	if !busy {
 		h.successor = ""
@@ -60,11 +60,11 @@
 	began := h.now()
 	t, err := h.begin(ctx)
 	if err != nil {
-		h.count("lead.claim.failed")
+		h.incCounter("lead.claim.failed")
 		h.log.Warn("lead: claim failed.", "why", why, "err", err)
 		return
 	}
-	h.count("lead.claimed")
+	h.incCounter("lead.claimed")
 	h.observe("lead.takeover", h.now().Sub(began))
 	h.log.Info(
 		"lead: term begins.", "term", t.number, "why", why, "jobs", t.jobs, "open", t.open,
--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -22,7 +22,7 @@
 // Kill ends the host at once, as a signal that cannot be caught does.
 func (h *Host) Kill() {
 	h.mu.Lock()
-	t := h.leading
+	t := h.ownTerm
 	h.leaving = true
 	h.mu.Unlock()
 	h.cancel()
@@ -69,7 +69,7 @@
 // waited for.
 func (h *Host) Waits(name string) bool {
 	_, err := h.askLead(name)
-	return !errors.As(err, new(*NoLeadError))
+	return !errors.As(err, new(*NoLeaderError))
 }
 
 // StandsReady tells whether the host may be named to lead.
@@ -142,7 +142,7 @@
 func (h *Host) Follow(name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.lead = name
+	h.leader = name
 }
 
 // LearnLead tells the host who leads, as the store's record does.
@@ -166,14 +166,14 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_, ok := h.hosts[name]
-	return h.leading != nil && ok
+	return h.ownTerm != nil && ok
 }
 
 // Heir is the host that the lead wants to lead if it dies, as this one knows it.
 func (h *Host) Heir() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.heir
+	return h.standby
 }
 
 // Follower is a host without a network that follows the operators' table and keeps its
@@ -188,8 +188,8 @@
 	for _, n := range others {
 		h.hosts[n] = netip.AddrPort{}
 	}
-	h.lead = lead
-	h.store = store.NewRouted(direct, &throughPeers{h, through}, time.Now, h.storeLost)
+	h.leader = lead
+	h.store = store.NewRouted(direct, &throughPeers{h, through}, time.Now, h.storeChanged)
 	return &Follower{h}
 }
 
@@ -211,7 +211,7 @@
 	f.wg.Go(func() {
 		for f.ctx.Err() == nil {
 			_, _ = f.join(observers, 0)
-			wait(f.ctx, joinEvery)
+			sleep(f.ctx, joinEvery)
 		}
 	})
 }
@@ -246,7 +246,7 @@
 // LoseLead has the host, as its heir, notice that a lead's connection has ended.
 func (h *Host) LoseLead(name string) {
 	h.mu.Lock()
-	h.lead, h.heir = name, h.cfg.Name
+	h.leader, h.standby = name, h.cfg.Name
 	h.mu.Unlock()
 	h.peerLost(name)
 }
@@ -261,11 +261,11 @@
 	if err != nil {
 		return nil, err
 	}
-	h.store = store.NewRouted(direct, relay{h}, time.Now, h.storeLost)
+	h.store = store.NewRouted(direct, relay{h}, time.Now, h.storeChanged)
 	h.peers.Through(dial)
 	srv := peer.NewServer(func(ctx context.Context, m peer.Message) (any, error) {
 		before(ctx)
-		return h.answer(ctx, m)
+		return h.handleMessage(ctx, m)
 	})
 	h.wg.Go(func() { srv.Serve(h.ctx, ln) })
 	h.wg.Go(func() { h.follow(leadTopic, h.readLead) })
@@ -278,7 +278,7 @@
 // host does not lead.
 func (h *Host) Work(id string) bool {
 	h.mu.Lock()
-	t := h.leading
+	t := h.ownTerm
 	h.mu.Unlock()
 	if t == nil {
 		return false
@@ -297,8 +297,8 @@
 // Doubt asks the lead whether it leads, and tells whether it does or works nevertheless.
 func (h *Host) Doubt() bool {
 	name, _ := h.leadNow()
-	leads, before := h.leadsOrEnds(name)
-	return leads || h.works(before)
+	leads, before := h.checkLeader(name)
+	return leads || h.isLeaderAlive(before)
 }
 
 // KnowsEnds tells whether the host was told that all these jobs have ended.
@@ -318,7 +318,7 @@
 // the store and find the job as soon as its core is free. It returns the answer.
 func (h *Host) Meanwhile(id string) peer.StateReply {
 	h.mu.Lock()
-	t := h.leading
+	t := h.ownTerm
 	h.mu.Unlock()
 	t.mu.Lock()
 	t.polled = h.now().Add(-knowAge)
@@ -353,7 +353,7 @@
 // HoldCore keeps the lead's core busy until the returned function is called.
 func (h *Host) HoldCore() func() {
 	h.mu.Lock()
-	t := h.leading
+	t := h.ownTerm
 	h.mu.Unlock()
 	t.mu.Lock()
 	return t.mu.Unlock
--- a/internal/entry/heir.go
+++ b/internal/entry/heir.go
@@ -30,7 +30,7 @@
 func (h *Host) peerLost(name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.leading == nil && !h.leaving && name == h.lead && h.heir == h.cfg.Name {
+	if h.ownTerm == nil && !h.leaving && name == h.leader && h.standby == h.cfg.Name {
 		h.wg.Go(func() { h.inherit(name) })
 	}
 }
@@ -42,7 +42,7 @@
 	ctx, cancel := context.WithTimeout(h.ctx, goneWait)
 	defer cancel()
 	for h.peers.Reach(ctx, lead) != peer.Refused {
-		if !wait(ctx, goneAgain) {
+		if !sleep(ctx, goneAgain) {
 			return false
 		}
 	}
@@ -58,7 +58,7 @@
 	h.log.Info("lead: its process is gone.", "host", lead, "term", term)
 	// Others would claim beside this one, above all the dead one's next life.
 	succeed := peer.Succeed{Term: term, Successor: h.cfg.Name}
-	for _, p := range h.others() {
+	for _, p := range h.otherHosts() {
 		if p == lead {
 			continue
 		}
@@ -86,7 +86,7 @@
 func (h *Host) followed() string {
 	ctx, cancel := context.WithTimeout(h.ctx, followsWait)
 	defer cancel()
-	all := apart(h.others(), mostAsked)
+	all := apart(h.otherHosts(), mostAsked)
 	names := make([]string, len(all))
 	var wg sync.WaitGroup
 	for i := range names {
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -70,28 +70,28 @@
 // should is called while the group says that this host leads. A lead that works
 // is left alone: the group deals its partitions anew without a reason at times.
 func (h *Host) should() {
-	if !h.looking.TryLock() {
+	if !h.electionMu.TryLock() {
 		return
 	}
-	defer h.looking.Unlock()
+	defer h.electionMu.Unlock()
 	lead, leading := h.leadNow()
 	if leading {
 		return
 	}
 	began := h.now()
-	leads, before := h.leadsOrEnds(lead)
+	leads, before := h.checkLeader(lead)
 	if leads {
 		return
 	}
 	// Another host may lead since, or be about to: a lead that leaves asks one to
 	// succeed it, and the group names another.
-	if lead != "" && !wait(h.ctx, settle-h.now().Sub(began)) {
+	if lead != "" && !sleep(h.ctx, settle-h.now().Sub(began)) {
 		return
 	}
 	if all, _, err := store.Table(h.ctx, h.store, leadTopic, 0); err == nil {
 		h.readLead(all)
 	}
-	if newer, _ := h.leadNow(); h.leads(newer) || newer != "" && h.works(before) {
+	if newer, _ := h.leadNow(); h.leads(newer) || newer != "" && h.isLeaderAlive(before) {
 		return
 	}
 	if !h.delegate() {
@@ -104,14 +104,14 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if term >= h.term {
-		h.lead, h.leadSince = lead, h.now()
+		h.leader, h.leaderSince = lead, h.now()
 	}
 }
 
 func (h *Host) leadNow() (name string, leading bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.lead, h.leading != nil
+	return h.leader, h.ownTerm != nil
 }
 
 func (h *Host) termNow() int64 {
@@ -135,16 +135,16 @@
 // times, with all starts at rest.
 func (h *Host) askLead(name string) (peer.SyncReply, error) {
 	if name == "" || name == h.cfg.Name || h.isMute(name) {
-		return peer.SyncReply{}, &NoLeadError{}
+		return peer.SyncReply{}, &NoLeaderError{}
 	}
-	r, err := h.question(name, h.leadPatience())
+	r, err := h.requestSync(name, h.leadPatience())
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
 	case err != nil:
-		h.mute, h.muteAt = name, h.now()
-	case h.mute == name:
-		h.mute = ""
+		h.unresponsive, h.unresponsiveAt = name, h.now()
+	case h.unresponsive == name:
+		h.unresponsive = ""
 	}
 	return r, err
 }
@@ -152,14 +152,14 @@
 func (h *Host) isMute(name string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.mute == name && h.now().Sub(h.muteAt) < muteFor
+	return h.unresponsive == name && h.now().Sub(h.unresponsiveAt) < muteFor
 }
 
 // leadPatience is how long the lead may take to answer.
 func (h *Host) leadPatience() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.now().Sub(h.leadSince) < youngTerm {
+	if h.now().Sub(h.leaderSince) < youngTerm {
 		return youngWait
 	}
 	return leadWait
@@ -167,9 +167,9 @@
 
 // sync keeps what callers are told, and the list of hosts, as the lead has them.
 func (h *Host) sync() {
-	for wait(h.ctx, syncEvery) {
+	for sleep(h.ctx, syncEvery) {
 		h.mu.Lock()
-		lead, leading, alone := h.lead, h.leading != nil, len(h.hosts) < 2
+		lead, leading, alone := h.leader, h.ownTerm != nil, len(h.hosts) < 2
 		h.mu.Unlock()
 		switch {
 		case leading:
@@ -194,8 +194,8 @@
 func (h *Host) orphaned() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.leading != nil || h.leaving {
-		h.synced = h.now()
+	if h.ownTerm != nil || h.leaving {
+		h.lastSync = h.now()
 		return false
 	}
 	rank := 0
@@ -204,11 +204,11 @@
 			rank++
 		}
 	}
-	return h.now().Sub(h.synced) > orphanAfter+time.Duration(rank)*orphanStep
+	return h.now().Sub(h.lastSync) > orphanAfter+time.Duration(rank)*orphanStep
 }
 
 func (h *Host) syncWith(lead string) {
-	r, err := h.question(lead, askWait)
+	r, err := h.requestSync(lead, askWait)
 	if err != nil || !r.Lead {
 		h.log.Warn("lead: does not answer.", "host", lead, "err", err)
 		h.listHosts()
@@ -216,7 +216,7 @@
 	}
 	h.mu.Lock()
 	h.pending, h.pendingAt = r.Pending, h.now()
-	h.synced, h.enough, h.heir = h.now(), r.Enough, r.Heir
+	h.lastSync, h.strongPower, h.standby = h.now(), r.Enough, r.Heir
 	h.mu.Unlock()
 	all := make(map[string]netip.AddrPort, len(r.Hosts))
 	for n, a := range r.Hosts {
@@ -230,7 +230,7 @@
 // refreshPending asks the lead, or takes what this host knows as the lead.
 func (h *Host) refreshPending(ctx context.Context) {
 	h.mu.Lock()
-	t, lead := h.leading, h.lead
+	t, lead := h.ownTerm, h.leader
 	h.mu.Unlock()
 	if t != nil {
 		n := t.pending()
@@ -246,7 +246,7 @@
 
 func (h *Host) syncMessage() peer.Sync {
 	term, next := h.states.followed()
-	return peer.Sync{From: h.cfg.Name, Addr: h.cfg.Listen.Peer, Power: h.cfg.Power, Began: h.began, Term: term, Endings: next}
+	return peer.Sync{From: h.cfg.Name, Addr: h.cfg.Listen.Peer, Power: h.cfg.Power, Began: h.startedAt, Term: term, Endings: next}
 }
 
 // sighting is a host that was heard of at some time; began is when its life did.
@@ -265,9 +265,9 @@
 		return
 	}
 	h.mu.Lock()
-	h.seen[m.From] = sighting{addr: m.Addr, power: m.Power, began: m.Began, at: h.now()}
+	h.peersSeen[m.From] = sighting{addr: m.Addr, power: m.Power, began: m.Began, at: h.now()}
 	_, known := h.hosts[m.From]
-	leading := h.leading != nil
+	leading := h.ownTerm != nil
 	h.mu.Unlock()
 	if leading && !known {
 		h.setHosts(h.heardHosts())
@@ -279,8 +279,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	all := map[string]netip.AddrPort{}
-	fresh := h.leading != nil && h.now().Sub(h.leading.began) < heardFor
-	for n, s := range h.seen {
+	fresh := h.ownTerm != nil && h.now().Sub(h.ownTerm.began) < heardFor
+	for n, s := range h.peersSeen {
 		if h.now().Sub(s.at) < heardFor {
 			all[n] = s.addr
 		}
--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -185,7 +185,7 @@
 // askState asks the lead for a job's state.
 func (h *Host) askState(ctx context.Context, id string) (flow.State, bool, error) {
 	h.mu.Lock()
-	lead, term, leading := h.lead, h.term, h.leading != nil
+	lead, term, leading := h.leader, h.term, h.ownTerm != nil
 	h.mu.Unlock()
 	began := h.now()
 	var r peer.StateReply
@@ -194,13 +194,13 @@
 	case leading:
 		r, err = h.ownState(ctx, id)
 	case lead == "" || lead == h.cfg.Name:
-		err = &NoLeadError{}
+		err = &NoLeaderError{}
 	default:
 		err = h.peers.Ask(ctx, lead, peer.AskState{ID: id}, &r)
 	}
 	state, known, err := known(id, r, err)
 	if err != nil {
-		h.count("state.untold")
+		h.incCounter("state.untold")
 		h.log.Info("state: the lead did not tell.", "id", id, "lead", lead, "term", term, "waited", h.now().Sub(began), "err", err)
 	}
 	return state, known, err
@@ -212,9 +212,9 @@
 	case err != nil:
 		return "", false, err
 	case !r.Lead:
-		return "", false, &NoLeadError{}
+		return "", false, &NoLeaderError{}
 	case r.Unsure:
-		return "", false, &UnsureError{ID: id}
+		return "", false, &UncertainError{ID: id}
 	default:
 		return flow.State(r.State), r.Known, nil
 	}
--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -33,7 +33,7 @@
 		bounds[life] = d.Duration
 	}
 	h.mu.Lock()
-	h.bounds, h.boundsAt = bounds, h.now()
+	h.handoverBounds, h.handoverBoundsAt = bounds, h.now()
 	h.mu.Unlock()
 	h.wg.Go(func() { h.claim("the lead leaves") })
 }
@@ -65,7 +65,7 @@
 		h.tellOne(ctx, successor, succeed)
 	}
 	var wg sync.WaitGroup
-	for _, p := range h.others() {
+	for _, p := range h.otherHosts() {
 		if p != successor {
 			wg.Go(func() { h.tellOne(ctx, p, succeed) })
 		}
@@ -125,7 +125,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	lately := map[string]sighting{}
-	for n, s := range h.seen {
+	for n, s := range h.peersSeen {
 		if n != h.cfg.Name && h.now().Sub(s.at) < heardFor {
 			lately[n] = s
 		}
@@ -147,7 +147,7 @@
 // cede leaves the lead to a host with much more power, if there is one.
 func (h *Host) cede() {
 	h.mu.Lock()
-	t := h.leading
+	t := h.ownTerm
 	h.mu.Unlock()
 	if t == nil || h.now().Sub(t.began) < cedeAfter {
 		return
@@ -167,7 +167,7 @@
 	all := h.successors()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return slices.DeleteFunc(all, func(n string) bool { return h.seen[n].power < h.cfg.Power*stronger })
+	return slices.DeleteFunc(all, func(n string) bool { return h.peersSeen[n].power < h.cfg.Power*stronger })
 }
 
 // delegate asks a host with much more power to lead; false if there is none, or
@@ -176,7 +176,7 @@
 func (h *Host) delegate() bool {
 	h.listHosts()
 	h.mu.Lock()
-	lately := h.now().Sub(h.delegated) < delegateEvery
+	lately := h.now().Sub(h.lastDelegation) < delegateEvery
 	term := h.term
 	h.mu.Unlock()
 	if lately {
@@ -189,7 +189,7 @@
 		return false
 	}
 	h.mu.Lock()
-	h.delegated = h.now()
+	h.lastDelegation = h.now()
 	h.mu.Unlock()
 	h.log.Info("lead: left to a stronger host.", "host", best)
 	h.tellSuccessor(ctx, best, peer.Succeed{Term: term})
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -100,7 +100,7 @@
 		}
 	}
 	h.mu.Lock()
-	h.leading = t
+	h.ownTerm = t
 	table := h.table
 	names := slices.Sorted(maps.Keys(h.hosts))
 	h.mu.Unlock()
@@ -126,9 +126,9 @@
 // that it does not lead, or it was this very host.
 func (t *term) formerLead() {
 	t.h.mu.Lock()
-	former := t.h.former
-	over := sched.PredecessorStopped{Since: t.h.boundsAt, LeaseBounds: t.h.bounds}
-	t.h.bounds = nil
+	former := t.h.previousLeader
+	over := sched.PredecessorStopped{Since: t.h.handoverBoundsAt, LeaseBounds: t.h.handoverBounds}
+	t.h.handoverBounds = nil
 	t.h.mu.Unlock()
 	// A lead that asked to be succeeded has ended its term before.
 	for over.LeaseBounds == nil && former != "" && former != t.h.cfg.Name {
@@ -139,7 +139,7 @@
 		if err == nil && !r.Leading {
 			break
 		}
-		if !wait(t.ctx, syncEvery) {
+		if !sleep(t.ctx, syncEvery) {
 			return
 		}
 	}
@@ -168,11 +168,11 @@
 	}
 	t.cancel()
 	t.h.mu.Lock()
-	if t.h.leading == t {
-		t.h.leading = nil
+	if t.h.ownTerm == t {
+		t.h.ownTerm = nil
 	}
-	if t.h.lead == t.h.cfg.Name {
-		t.h.lead = ""
+	if t.h.leader == t.h.cfg.Name {
+		t.h.leader = ""
 	}
 	t.h.mu.Unlock()
 	t.h.log.Info("lead: term ends.", "term", t.number, "why", why)
@@ -209,29 +209,29 @@
 	case sched.Start:
 		t.h.wg.Go(func() {
 			got := t.order(a.To.Incarnation, func(ctx context.Context) sched.Outcome { return t.h.workers.Start(ctx, a) })
-			t.h.count("start." + got.String())
+			t.h.incCounter("start." + got.String())
 			t.step(sched.StartReply{Task: a.Task, Run: a.Run, Worker: a.To.Incarnation, Outcome: got})
 		})
 	case sched.Stop:
 		t.h.wg.Go(func() {
 			got := t.order(a.To.Incarnation, func(ctx context.Context) sched.Outcome { return t.h.workers.Stop(ctx, a) })
-			t.h.count("stop." + got.String())
+			t.h.incCounter("stop." + got.String())
 			t.step(sched.StopReply{Task: a.Task, Run: a.Run, Worker: a.To.Incarnation, Outcome: got})
 		})
 	case sched.Pace:
 		t.h.wg.Go(func() {
 			ctx, cancel := context.WithTimeout(t.ctx, orderWait)
 			defer cancel()
-			t.h.count("pace." + t.h.workers.Pace(ctx, a).String())
+			t.h.incCounter("pace." + t.h.workers.Pace(ctx, a).String())
 		})
 	case sched.QueryPolicy:
-		t.h.wg.Go(func() { t.step(t.h.ask(t.ctx, a)) })
+		t.h.wg.Go(func() { t.step(t.h.askPolicyVia(t.ctx, a)) })
 	case sched.Forget:
 		t.h.wg.Go(func() { t.forget(a.ID) })
 	case sched.StepDown:
 		t.end("worker " + a.Worker + " obeys a later term")
 	case sched.StepWaited:
-		t.h.waited(a)
+		t.h.observeWait(a)
 	case sched.JobStarted:
 		t.h.observe(fmt.Sprintf("job.start.rank%d", a.Rank), a.After)
 	case sched.JobEnded:
@@ -258,7 +258,7 @@
 		return t.h.workers.Hold(ctx, a)
 	}, func(r sched.HoldReply) bool { return r.Outcome != sched.Unanswered }, sched.HoldReply{Worker: a.To.Incarnation, Outcome: sched.Unanswered, Probe: a.Probe, AckedEnd: a.AckedEnd})
 	got.Sent, got.Received = sent, t.h.now()
-	t.h.count(heldAs(got))
+	t.h.incCounter(heldAs(got))
 	t.step(got)
 }
 
--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -46,13 +46,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stepLeases(lease.Tick{})
-	l.stepTakeover(takeover.Asked{Host: from, Jobs: q.Waits})
+	l.stepTakeover(takeover.PeerAsked{Host: from, Jobs: q.Waits})
 	if len(q.Waits) > 0 {
 		// The peer may go on with the jobs that are not led here. One of them that was sent here
 		// before and arrives now would have two leads.
 		clear(l.expectedHandovers)
 	}
-	c := InventoryReply{Incarnations: l.Leases.Settled(l.Clock())}
+	c := InventoryReply{Incarnations: l.Leases.ConfirmedIncarnations(l.Clock())}
 	for _, id := range q.Jobs {
 		switch {
 		case l.Jobs.AwaitsInventory(id):
@@ -62,7 +62,7 @@
 		}
 	}
 	for _, name := range l.Leases.Held() {
-		if r, ok := l.Leases.Last(name); ok && l.listIsComplete(name, r, q) {
+		if r, ok := l.Leases.LastReading(name); ok && l.listIsComplete(name, r, q) {
 			c.Workers = append(c.Workers, l.workerState(name, r, q))
 		}
 	}
@@ -74,7 +74,7 @@
 // nowhere.
 func (l *Leader) listIsComplete(name string, r lease.Reading, q InventoryRequest) bool {
 	if len(q.Keys) > 0 && !r.Sent.After(l.lastLimitedStart[name]) {
-		l.stepLeases(lease.Look{Worker: name, After: rereadDelay})
+		l.stepLeases(lease.Poll{Worker: name, After: rereadDelay})
 		return false
 	}
 	for _, lo := range l.untracked {
@@ -86,7 +86,7 @@
 }
 
 func (l *Leader) workerState(name string, r lease.Reading, q InventoryRequest) WorkerState {
-	v := WorkerState{Worker: name, Clock: r.Clock, Age: l.Clock().Sub(r.Sent), Incarnation: r.Life}
+	v := WorkerState{Worker: name, Clock: r.Clock, Age: l.Clock().Sub(r.Sent), Incarnation: r.Incarnation}
 	for _, t := range r.Tasks {
 		if slices.Contains(q.Jobs, t.Job) {
 			v.Tasks = append(v.Tasks, job.ListedTask{ID: t.ID, State: t.State, Lease: t.Lease})
@@ -117,7 +117,7 @@
 // waits for the starts to an earlier one.
 func (l *Leader) askIncarnations() {
 	now := l.Clock()
-	if l.RequestInventory == nil || now.Sub(l.incarnationsAsked) < incarnationPollInterval || !l.Leases.Unsettled(now) {
+	if l.RequestInventory == nil || now.Sub(l.incarnationsAsked) < incarnationPollInterval || !l.Leases.HasUnconfirmed(now) {
 		return
 	}
 	l.incarnationsAsked = now
@@ -131,9 +131,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for name, life := range c.Incarnations {
-		l.stepLeases(lease.Vouched{Worker: name, Life: life})
+		l.stepLeases(lease.IncarnationConfirmed{Worker: name, Life: life})
 	}
-	ev := takeover.Answer{Host: host, Asked: q.Asked, Leads: c.Leads, Waits: c.Waits}
+	ev := takeover.PeerAnswer{Host: host, Asked: q.Asked, Leads: c.Leads, Waits: c.Waits}
 	held := l.Leases.Held()
 	for _, v := range c.Workers {
 		if slices.Contains(held, v.Worker) || l.lastHeld[v.Worker].After(q.Asked) {
--- a/internal/lead/crash.go
+++ b/internal/lead/crash.go
@@ -37,7 +37,7 @@
 
 // exclusiveSize is the room of a task that is tried on a worker of its own: all of the smallest worker
 // that has enough. Where the table's limits never allow that it stays as it was.
-func (l *Leader) exclusiveSize(w place.Want) cell.Size {
+func (l *Leader) exclusiveSize(w place.Request) cell.Size {
 	alone := w
 	alone.Size = cell.Size{}
 	for _, name := range l.Leases.Held() {
@@ -46,7 +46,7 @@
 			alone.Size = size
 		}
 	}
-	if (alone.Size == cell.Size{}) || l.Placer.Never(alone) != nil {
+	if (alone.Size == cell.Size{}) || l.Placer.CheckFeasible(alone) != nil {
 		return w.Size
 	}
 	return alone.Size
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -44,9 +44,9 @@
 func (l *Leader) SetDomain(workers, peers []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.stepLeases(lease.Known{Workers: workers})
-	l.stepTakeover(takeover.Workers{Names: workers})
-	l.stepTakeover(takeover.Peers{Names: peers})
+	l.stepLeases(lease.DomainWorkers{Workers: workers})
+	l.stepTakeover(takeover.SetWorkers{Names: workers})
+	l.stepTakeover(takeover.SetPeers{Names: peers})
 }
 
 // Inherit takes over jobs whose lead is gone. They go on as far as their tasks
@@ -63,7 +63,7 @@
 		l.Count("lead.inherited")
 		l.addNote(s.ID, "inherited, waits for the census")
 		l.stepJobs(job.Inherit{Spec: s})
-		l.stepTakeover(takeover.Found{Job: s.ID})
+		l.stepTakeover(takeover.FoundJob{Job: s.ID})
 	}
 	if fresh {
 		l.replayReadings()
@@ -74,7 +74,7 @@
 // job that is new here may be among them.
 func (l *Leader) replayReadings() {
 	for _, name := range l.Leases.Held() {
-		if r, ok := l.Leases.Last(name); ok {
+		if r, ok := l.Leases.LastReading(name); ok {
 			l.handleReading(name, r)
 		}
 	}
@@ -106,7 +106,7 @@
 	if !l.Jobs.AwaitsInventory(id) {
 		return
 	}
-	l.stepTakeover(takeover.Gone{Job: id})
+	l.stepTakeover(takeover.GoneJob{Job: id})
 	l.dropJob(id, false)
 }
 
@@ -122,11 +122,11 @@
 func (l *Leader) LogRead(asked time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.stepTakeover(takeover.Log{Asked: asked})
+	l.stepTakeover(takeover.LogRead{Asked: asked})
 }
 
 func (l *Leader) handleEnd(a job.Ended) {
-	l.stepTakeover(takeover.Gone{Job: a.ID})
+	l.stepTakeover(takeover.GoneJob{Job: a.ID})
 	if l.StoreEnd == nil {
 		return
 	}
@@ -172,7 +172,7 @@
 				continue
 			}
 			l.lastDropped[t.Worker] = now
-			l.stepLeases(lease.Look{Worker: t.Worker, After: rereadDelay})
+			l.stepLeases(lease.Poll{Worker: t.Worker, After: rereadDelay})
 			if t.State == "unsure" || t.State == "stopping" || t.State == "pausing" {
 				l.untracked[job.TaskID(id, i)] = untrackedRun{worker: t.Worker, deadline: t.Deadline, since: now}
 			}
@@ -189,7 +189,7 @@
 	for _, s := range l.Jobs.Open() {
 		l.Count("lead.forfeited")
 		l.addNote(s.ID, "its lead held no worker any more")
-		l.stepTakeover(takeover.Gone{Job: s.ID})
+		l.stepTakeover(takeover.GoneJob{Job: s.ID})
 		l.dropJob(s.ID, true)
 	}
 }
@@ -197,17 +197,17 @@
 func (l *Leader) stepTakeover(ev takeover.Event) {
 	for _, a := range l.Takeover.Step(l.Clock(), ev) {
 		switch a := a.(type) {
-		case takeover.Ask:
+		case takeover.AskPeers:
 			if l.RequestInventory != nil {
 				l.RequestInventory()
 			}
-		case takeover.Release:
+		case takeover.ReleaseJob:
 			l.Count("lead.released")
 			l.addNote(a.Job, "census complete")
 			l.stepJobs(job.Release{ID: a.Job, Crashes: l.crashCounts(a.Job)})
-		case takeover.Counted:
+		case takeover.ReleaseKey:
 			l.finishCounting(a.Key)
-		case takeover.Silent:
+		case takeover.WorkerSilent:
 			l.Log.Warn("lead: worker is silent for longer than any lease.", "worker", a.Worker)
 			l.Count("lead.silent")
 			delete(l.countedElsewhere, a.Worker)
@@ -227,7 +227,7 @@
 		}
 	}
 	names = slices.DeleteFunc(names, func(n string) bool { return slices.Contains(held, n) })
-	l.stepTakeover(takeover.Watch{Workers: names})
+	l.stepTakeover(takeover.WatchWorkers{Workers: names})
 }
 
 // reconcile frees the room of tasks that another host's job, or nobody's, took on
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -141,7 +141,7 @@
 // Release gives all anchors back and waits for the exchanges under way.
 func (l *Leader) Release() {
 	l.mu.Lock()
-	l.stepLeases(lease.Release{})
+	l.stepLeases(lease.ReleaseAll{})
 	l.mu.Unlock()
 	l.wg.Wait()
 	l.mu.Lock()
@@ -216,19 +216,19 @@
 func (l *Leader) stepLeases(ev lease.Event) {
 	for _, a := range l.Leases.Step(l.Clock(), ev) {
 		switch a := a.(type) {
-		case lease.Take:
+		case lease.Acquire:
 			l.spawn(func(ctx context.Context) { l.takeLease(ctx, a) })
 		case lease.Renew:
 			l.spawn(func(ctx context.Context) { l.renewLease(ctx, a) })
-		case lease.Give:
+		case lease.Release:
 			l.spawn(func(ctx context.Context) { l.releaseLease(ctx, a) })
-		case lease.Meet:
+		case lease.AskIncarnation:
 			l.spawn(func(ctx context.Context) { l.askIncarnation(ctx, a) })
-		case lease.Waits:
+		case lease.AwaitStarts:
 			l.Log.Info("lead: worker is in a life that is new here; waiting for starts to the former one.", "worker", a.Worker, "life", a.Life, "until", a.Until)
 		case lease.Up:
 			l.workerUp(a)
-		case lease.Seen:
+		case lease.Updated:
 			l.handleReading(a.Worker, a.Reading)
 		case lease.Down:
 			l.workerDown(a.Worker)
@@ -250,7 +250,7 @@
 	}
 	l.keepCounted(name)
 	l.stepPlacement(place.Down{Worker: name})
-	l.stepTakeover(takeover.Down{Worker: name})
+	l.stepTakeover(takeover.WorkerLost{Worker: name})
 	l.stopCountingOn(name)
 	if len(l.Leases.Held()) == 0 && !l.leaving {
 		l.dropAllJobs()
@@ -276,7 +276,7 @@
 	return l.machines[name].Address
 }
 
-func (l *Leader) takeLease(ctx context.Context, a lease.Take) {
+func (l *Leader) takeLease(ctx context.Context, a lease.Acquire) {
 	r, err := l.Workers.Take(ctx, l.address(a.Worker), a.TTL)
 	l.reportLease(a.Worker, err, lease.Granted{Worker: a.Worker, Reading: r})
 }
@@ -302,15 +302,15 @@
 	case err == nil:
 		l.stepLeases(good)
 	case errors.As(err, &held):
-		l.stepTakeover(takeover.Sign{Worker: name})
-		l.stepLeases(lease.Refused{Worker: name, Holder: held.Holder, Left: held.Left, Sent: held.Sent, Life: held.Life})
+		l.stepTakeover(takeover.WorkerContact{Worker: name})
+		l.stepLeases(lease.Refused{Worker: name, Holder: held.Holder, Remaining: held.Left, Sent: held.Sent, Incarnation: held.Life})
 	default:
-		l.stepLeases(lease.Lost{Worker: name})
+		l.stepLeases(lease.Unanswered{Worker: name})
 	}
 }
 
 // askIncarnation asks a worker for its life. One that does not answer is asked again.
-func (l *Leader) askIncarnation(ctx context.Context, a lease.Meet) {
+func (l *Leader) askIncarnation(ctx context.Context, a lease.AskIncarnation) {
 	name, err := l.Workers.Life(ctx, l.address(a.Worker))
 	if err != nil {
 		l.Log.Debug("lead: life of a worker not told.", "worker", a.Worker, "err", err)
@@ -318,10 +318,10 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.stepLeases(lease.Met{Worker: a.Worker, Life: name})
+	l.stepLeases(lease.IncarnationLearned{Worker: a.Worker, Life: name})
 }
 
-func (l *Leader) releaseLease(ctx context.Context, a lease.Give) {
+func (l *Leader) releaseLease(ctx context.Context, a lease.Release) {
 	if err := l.Workers.Give(ctx, l.address(a.Worker), a.Lease); err != nil {
 		l.Log.Warn("lead: anchor not given back.", "worker", a.Worker, "err", err)
 	}
@@ -341,11 +341,11 @@
 	l.Log.Info("lead: worker is led.", "worker", a.Worker, "tasks", len(used))
 	l.stepPlacement(place.Up{Worker: m.Name, Rack: m.Rack, Size: m.Size, Used: used})
 	l.handleReading(a.Worker, a.Reading)
-	l.stepTakeover(takeover.Held{Worker: a.Worker})
+	l.stepTakeover(takeover.WorkerHeld{Worker: a.Worker})
 }
 
 func (l *Leader) handleReading(name string, r lease.Reading) {
-	ev := job.WorkerList{Worker: name, Clock: r.Clock, Sent: r.Sent, Incarnation: r.Life}
+	ev := job.WorkerList{Worker: name, Clock: r.Clock, Sent: r.Sent, Incarnation: r.Incarnation}
 	var wait bool
 	if ev.RackLost, wait = l.wholeRackLost(name, r); wait {
 		// What is listed runs, whatever became of the rest. A census may rest on it now.
--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -37,7 +37,7 @@
 		return "", ""
 	}
 	for _, name := range l.Arbiters(key) {
-		if !l.Takeover.Gone(l.Clock(), name) {
+		if !l.Takeover.LeasesExpired(l.Clock(), name) {
 			return key, name
 		}
 	}
@@ -68,7 +68,7 @@
 		c = &keyCount{worker: worker}
 		l.counts[key] = c
 		l.Log.Info("lead: counting what runs.", "key", key, "worker", worker)
-		l.stepTakeover(takeover.Count{Key: key})
+		l.stepTakeover(takeover.AddKey{Key: key})
 	}
 	return c.complete
 }
@@ -79,7 +79,7 @@
 	}
 	delete(l.counts, key)
 	l.Log.Info("lead: another host may count what runs.", "key", key)
-	l.stepTakeover(takeover.Uncount{Key: key})
+	l.stepTakeover(takeover.RemoveKey{Key: key})
 }
 
 // finishCounting begins to start tasks of a key, of which all that runs is known now.
@@ -130,7 +130,7 @@
 // keepCounted notes what ran of counted keys on a worker that is given up.
 func (l *Leader) keepCounted(worker string) {
 	var all []CountedTask
-	for _, u := range l.Placer.On(worker) {
+	for _, u := range l.Placer.TasksOn(worker) {
 		if l.limitKeyOf(u.Row) != "" {
 			all = append(all, CountedTask{Row: u.Row, Size: u.Size})
 		}
--- a/internal/lead/rack.go
+++ b/internal/lead/rack.go
@@ -31,13 +31,13 @@
 	now := l.Clock()
 	w := l.incarnations[name]
 	switch {
-	case r.Life == "":
+	case r.Incarnation == "":
 		return false, false
 	case w == nil:
-		w = &incarnation{name: r.Life}
+		w = &incarnation{name: r.Incarnation}
 		l.incarnations[name] = w
-	case w.name != r.Life:
-		*w = incarnation{name: r.Life, since: now, undecided: true}
+	case w.name != r.Incarnation:
+		*w = incarnation{name: r.Incarnation, since: now, undecided: true}
 	}
 	if !w.undecided {
 		l.rereadUndecided(name)
@@ -51,9 +51,9 @@
 		return false, false
 	case silent && now.Sub(w.since) < rackDecisionTimeout:
 		for _, mate := range mates {
-			l.stepLeases(lease.Look{Worker: mate, After: rereadDelay})
+			l.stepLeases(lease.Poll{Worker: mate, After: rereadDelay})
 		}
-		l.stepLeases(lease.Look{Worker: name, After: rackPollInterval})
+		l.stepLeases(lease.Poll{Worker: name, After: rackPollInterval})
 		return false, true
 	}
 	w.undecided, w.rackLost = false, true
@@ -81,11 +81,11 @@
 // no sign.
 func (l *Leader) rackSigns(mates []string, since time.Time) (alive, silent bool) {
 	for _, mate := range mates {
-		r, held := l.Leases.Last(mate)
+		r, held := l.Leases.LastReading(mate)
 		w := l.incarnations[mate]
 		switch {
 		case w != nil && !w.since.IsZero() && since.Sub(w.since) < rackRestartSpread:
-		case held && r.Sent.After(since) && (w == nil || w.name == r.Life):
+		case held && r.Sent.After(since) && (w == nil || w.name == r.Incarnation):
 			alive = true
 		default:
 			silent = true
@@ -98,7 +98,7 @@
 func (l *Leader) rereadUndecided(mate string) {
 	for _, name := range slices.Sorted(maps.Keys(l.incarnations)) {
 		if l.incarnations[name].undecided && l.machines[name].Rack == l.machines[mate].Rack {
-			l.stepLeases(lease.Look{Worker: name, After: rereadDelay})
+			l.stepLeases(lease.Poll{Worker: name, After: rereadDelay})
 		}
 	}
 }
--- a/internal/lead/stop.go
+++ b/internal/lead/stop.go
@@ -42,9 +42,9 @@
 	case err == nil:
 		l.stepJobs(ev)
 	case errors.As(err, &gone):
-		l.stepLeases(lease.Look{Worker: on})
+		l.stepLeases(lease.Poll{Worker: on})
 	default:
 		l.Log.Warn("lead: stop has no answer.", "task", ev.Task, "worker", on, "err", err)
-		l.stepLeases(lease.Look{Worker: on, After: stopRetry})
+		l.stepLeases(lease.Poll{Worker: on, After: stopRetry})
 	}
 }
--- a/internal/lease/fault_test.go
+++ b/internal/lease/fault_test.go
@@ -11,7 +11,7 @@
 )
 
 func reading(sent time.Time, tasks ...lease.Task) lease.Reading {
-	return lease.Reading{Sent: sent, Clock: sent, Left: 3 * time.Second, Lease: "7", Mark: int64(len(tasks)), Tasks: tasks}
+	return lease.Reading{Sent: sent, Clock: sent, Remaining: 3 * time.Second, Lease: "7", Cursor: int64(len(tasks)), Tasks: tasks}
 }
 
 func kinds[T lease.Action](acts []lease.Action) []T {
@@ -34,10 +34,10 @@
 	hold(t, l)
 	newer, older := start.Add(1500*time.Millisecond), start.Add(time.Second)
 	acts := l.Step(newer, lease.Renewed{Worker: "w1", Reading: reading(newer, running("t"))})
-	require.Len(t, kinds[lease.Seen](acts)[0].Tasks, 1)
+	require.Len(t, kinds[lease.Updated](acts)[0].Tasks, 1)
 	acts = l.Step(newer, lease.Renewed{Worker: "w1", Reading: reading(older)})
-	require.Empty(t, kinds[lease.Seen](acts))
-	r, _ := l.Last("w1")
+	require.Empty(t, kinds[lease.Updated](acts))
+	r, _ := l.LastReading("w1")
 	require.Len(t, r.Tasks, 1)
 	require.Empty(t, kinds[lease.Down](l.Step(newer, lease.Refused{Worker: "w1", Sent: older})))
 }
@@ -51,7 +51,7 @@
 	for now := start; now.Before(start.Add(2900 * time.Millisecond)); now = now.Add(50 * time.Millisecond) {
 		for range kinds[lease.Renew](l.Step(now, lease.Tick{})) {
 			sent++
-			l.Step(now, lease.Lost{Worker: "w1"})
+			l.Step(now, lease.Unanswered{Worker: "w1"})
 		}
 	}
 	require.GreaterOrEqual(t, sent, 3)
@@ -75,14 +75,14 @@
 func TestAnchorIsNotGivenBackUnderAStart(t *testing.T) {
 	l := lease.New(limits)
 	hold(t, l)
-	l.Step(start, lease.Sent{Worker: "w1", Task: "t"})
-	acts := l.Step(start, lease.Lead{})
+	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
+	acts := l.Step(start, lease.Wanted{})
 	require.Len(t, kinds[lease.Down](acts), 1)
-	require.Empty(t, kinds[lease.Give](acts))
+	require.Empty(t, kinds[lease.Release](acts))
 	_, ok := l.Deadline(start, "w1")
 	require.False(t, ok, "a worker that is given up gets no new start")
-	sure := l.Step(start.Add(time.Second), lease.Answered{Worker: "w1", Task: "t", Sure: true})
-	require.Equal(t, []lease.Give{{Worker: "w1", Lease: ""}}, kinds[lease.Give](sure))
+	sure := l.Step(start.Add(time.Second), lease.StartAnswered{Worker: "w1", Task: "t", OutcomeKnown: true})
+	require.Equal(t, []lease.Release{{Worker: "w1", Lease: ""}}, kinds[lease.Release](sure))
 }
 
 // Guards against an overfull worker: a task is started again on the worker while the answer to
@@ -90,11 +90,11 @@
 func TestAnchorIsNotGivenBackUnderASecondStartOfATask(t *testing.T) {
 	l := lease.New(limits)
 	hold(t, l)
-	l.Step(start, lease.Sent{Worker: "w1", Task: "t"})
-	l.Step(start, lease.Sent{Worker: "w1", Task: "t"})
-	require.Empty(t, kinds[lease.Give](l.Step(start, lease.Lead{})))
-	require.Empty(t, kinds[lease.Give](l.Step(start, lease.Answered{Worker: "w1", Task: "t", Sure: true})))
-	require.Len(t, kinds[lease.Give](l.Step(start, lease.Answered{Worker: "w1", Task: "t", Sure: true})), 1)
+	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
+	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
+	require.Empty(t, kinds[lease.Release](l.Step(start, lease.Wanted{})))
+	require.Empty(t, kinds[lease.Release](l.Step(start, lease.StartAnswered{Worker: "w1", Task: "t", OutcomeKnown: true})))
+	require.Len(t, kinds[lease.Release](l.Step(start, lease.StartAnswered{Worker: "w1", Task: "t", OutcomeKnown: true})), 1)
 }
 
 // The answer to that start is lost: nobody knows whether it will still land.
@@ -102,10 +102,10 @@
 func TestAnchorLapsesUnderAnUnsureStart(t *testing.T) {
 	l := lease.New(limits)
 	hold(t, l)
-	l.Step(start, lease.Sent{Worker: "w1", Task: "t"})
-	l.Step(start, lease.Lead{})
-	require.Empty(t, kinds[lease.Give](l.Step(start.Add(time.Second), lease.Answered{Worker: "w1", Task: "t"})))
-	require.Empty(t, kinds[lease.Give](l.Step(start.Add(4*time.Second), lease.Tick{})))
+	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
+	l.Step(start, lease.Wanted{})
+	require.Empty(t, kinds[lease.Release](l.Step(start.Add(time.Second), lease.StartAnswered{Worker: "w1", Task: "t"})))
+	require.Empty(t, kinds[lease.Release](l.Step(start.Add(4*time.Second), lease.Tick{})))
 }
 
 // A task ends long before the next renewal is due. Its room must not stay
@@ -115,18 +115,18 @@
 	slow := limits
 	slow.TTL = 30 * time.Second
 	l := lease.New(slow)
-	l.Step(start, lease.Lead{Workers: []string{"w1"}})
+	l.Step(start, lease.Wanted{Workers: []string{"w1"}})
 	r := reading(start)
-	r.Left = 30 * time.Second
+	r.Remaining = 30 * time.Second
 	l.Step(start, lease.Granted{Worker: "w1", Reading: r})
-	l.Step(start, lease.Sent{Worker: "w1", Task: "t"})
-	l.Step(start, lease.Answered{Worker: "w1", Task: "t", Sure: true, Run: time.Second})
+	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
+	l.Step(start, lease.StartAnswered{Worker: "w1", Task: "t", OutcomeKnown: true, RunTime: time.Second})
 	var at []time.Duration
 	for now := start; now.Before(start.Add(11 * time.Second)); now = now.Add(10 * time.Millisecond) {
 		if len(kinds[lease.Renew](l.Step(now, lease.Tick{}))) > 0 {
 			at = append(at, now.Sub(start))
 			r := reading(now, running("t"))
-			r.Left = 30 * time.Second
+			r.Remaining = 30 * time.Second
 			l.Step(now, lease.Renewed{Worker: "w1", Reading: r})
 		}
 	}
@@ -138,21 +138,21 @@
 // their budget, and never fall below three seconds.
 func TestLeasesFollowTheByteBudget(t *testing.T) {
 	l := lease.New(lease.DefaultLimits)
-	l.Step(start, lease.Lead{Workers: []string{"w1"}})
+	l.Step(start, lease.Wanted{Workers: []string{"w1"}})
 	require.Equal(t, 3*time.Second, l.TTL())
 	names := make([]string, 46)
 	for i := range names {
 		names[i] = string(rune('A' + i))
 	}
-	l.Step(start, lease.Lead{Workers: names})
-	bytes := 46 * float64(lease.DefaultLimits.Cost) / (l.TTL().Seconds() * 2 / 5)
-	require.LessOrEqual(t, bytes, float64(lease.DefaultLimits.Budget)*1.01)
-	require.Greater(t, lease.DefaultLimits.Long, 2*l.TTL(), "tasks outlive their lead")
+	l.Step(start, lease.Wanted{Workers: names})
+	bytes := 46 * float64(lease.DefaultLimits.RenewalBytes) / (l.TTL().Seconds() * 2 / 5)
+	require.LessOrEqual(t, bytes, float64(lease.DefaultLimits.BytesPerSecond)*1.01)
+	require.Greater(t, lease.DefaultLimits.TaskTTL, 2*l.TTL(), "tasks outlive their lead")
 	for len(names) < 5000 {
 		names = append(names, strconv.Itoa(len(names)))
 	}
-	l.Step(start, lease.Lead{Workers: names})
-	require.LessOrEqual(t, l.TTL(), lease.DefaultLimits.Long/3, "no start outlasts a census")
+	l.Step(start, lease.Wanted{Workers: names})
+	require.LessOrEqual(t, l.TTL(), lease.DefaultLimits.TaskTTL/3, "no start outlasts a census")
 }
 
 // Guards against an overfull worker: a host gives a rack up and gets it back while a start is
@@ -160,17 +160,17 @@
 func TestWorkerIsLedAgainOnlyWithAListOfAllItsStarts(t *testing.T) {
 	l := lease.New(limits)
 	hold(t, l)
-	l.Step(start, lease.Sent{Worker: "w1", Task: "t"})
-	require.Len(t, kinds[lease.Down](l.Step(start, lease.Lead{})), 1)
+	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
+	require.Len(t, kinds[lease.Down](l.Step(start, lease.Wanted{})), 1)
 	at := start.Add(100 * time.Millisecond)
-	acts := l.Step(at, lease.Lead{Workers: []string{"w1"}})
+	acts := l.Step(at, lease.Wanted{Workers: []string{"w1"}})
 	require.Empty(t, kinds[lease.Up](acts))
 	require.Len(t, kinds[lease.Renew](acts), 1, "its list is read at once")
 	require.Empty(t, kinds[lease.Up](l.Step(at, lease.Renewed{Worker: "w1", Reading: reading(at)})), "the start may still land")
 	_, ok := l.Deadline(at, "w1")
 	require.False(t, ok)
 	at = at.Add(100 * time.Millisecond)
-	require.Len(t, kinds[lease.Renew](l.Step(at, lease.Answered{Worker: "w1", Task: "t", Sure: true})), 1)
+	require.Len(t, kinds[lease.Renew](l.Step(at, lease.StartAnswered{Worker: "w1", Task: "t", OutcomeKnown: true})), 1)
 	later := at.Add(100 * time.Millisecond)
 	up := kinds[lease.Up](l.Step(later, lease.Renewed{Worker: "w1", Reading: reading(later, running("t"))}))
 	require.Len(t, up, 1)
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -11,13 +11,13 @@
 
 var (
 	start  = time.Unix(1_700_000_000, 0)
-	limits = lease.Limits{TTL: 3 * time.Second, Long: 9 * time.Second, Retry: 250 * time.Millisecond}
+	limits = lease.Limits{TTL: 3 * time.Second, TaskTTL: 9 * time.Second, RetryInterval: 250 * time.Millisecond}
 )
 
 func hold(t *testing.T, l *lease.Leases) {
 	t.Helper()
-	require.Equal(t, []lease.Action{lease.Take{Worker: "w1", TTL: 3 * time.Second}}, l.Step(start, lease.Lead{Workers: []string{"w1"}}))
-	acts := l.Step(start, lease.Granted{Worker: "w1", Reading: lease.Reading{Sent: start, Clock: start, Left: 3 * time.Second}})
+	require.Equal(t, []lease.Action{lease.Acquire{Worker: "w1", TTL: 3 * time.Second}}, l.Step(start, lease.Wanted{Workers: []string{"w1"}}))
+	acts := l.Step(start, lease.Granted{Worker: "w1", Reading: lease.Reading{Sent: start, Clock: start, Remaining: 3 * time.Second}})
 	require.IsType(t, lease.Up{}, acts[0])
 }
 
@@ -39,9 +39,9 @@
 // worker's own clock, so the start is neither refused nor late.
 func TestDeadlineIsInTheWorkersClock(t *testing.T) {
 	l := lease.New(limits)
-	l.Step(start, lease.Lead{Workers: []string{"w1"}})
+	l.Step(start, lease.Wanted{Workers: []string{"w1"}})
 	theirs := start.Add(-5 * time.Hour)
-	l.Step(start, lease.Granted{Worker: "w1", Reading: lease.Reading{Sent: start, Clock: theirs, Left: 3 * time.Second}})
+	l.Step(start, lease.Granted{Worker: "w1", Reading: lease.Reading{Sent: start, Clock: theirs, Remaining: 3 * time.Second}})
 	d, ok := l.Deadline(start.Add(time.Second), "w1")
 	require.True(t, ok)
 	require.True(t, d.After(theirs) && d.Before(theirs.Add(3*time.Second)))
@@ -51,8 +51,8 @@
 // hosts start tasks on one worker.
 func TestLateGrantIsNotTaken(t *testing.T) {
 	l := lease.New(limits)
-	l.Step(start, lease.Lead{Workers: []string{"w1"}})
-	acts := l.Step(start.Add(5*time.Second), lease.Granted{Worker: "w1", Reading: lease.Reading{Sent: start, Clock: start, Left: 3 * time.Second}})
+	l.Step(start, lease.Wanted{Workers: []string{"w1"}})
+	acts := l.Step(start.Add(5*time.Second), lease.Granted{Worker: "w1", Reading: lease.Reading{Sent: start, Clock: start, Remaining: 3 * time.Second}})
 	for _, a := range acts {
 		_, up := a.(lease.Up)
 		require.False(t, up)
--- a/internal/model/actions.go
+++ b/internal/model/actions.go
@@ -91,7 +91,7 @@
 			w.lead(w.hosts[former])
 			return
 		}
-		w.lease(w.hosts[former], lease.Lead{})
+		w.lease(w.hosts[former], lease.Wanted{})
 	}
 }
 
@@ -109,7 +109,7 @@
 
 func (w *World) tick(h *host) {
 	w.lease(h, lease.Tick{})
-	w.overtake(h, takeover.Log{Asked: w.now})
+	w.overtake(h, takeover.LogRead{Asked: w.now})
 }
 
 func (w *World) pause() {
@@ -164,9 +164,9 @@
 	h := w.hosts[m.host]
 	switch m.kind {
 	case "take", "renew":
-		w.lease(h, lease.Lost{Worker: m.worker})
+		w.lease(h, lease.Unanswered{Worker: m.worker})
 	case "start":
-		w.lease(h, lease.Answered{Worker: m.worker, Task: m.task})
+		w.lease(h, lease.StartAnswered{Worker: m.worker, Task: m.task})
 		w.job(h, job.Unsure{Task: m.task, Attempt: m.attempt, Deadline: m.deadline})
 	}
 }
@@ -175,7 +175,7 @@
 	m.reading.Sent = m.sent
 	switch {
 	case m.kind == "start":
-		w.lease(h, lease.Answered{Worker: m.worker, Task: m.task, Sure: true})
+		w.lease(h, lease.StartAnswered{Worker: m.worker, Task: m.task, OutcomeKnown: true})
 		if m.late {
 			w.job(h, job.NotStarted{Task: m.task, Attempt: m.attempt})
 			return
@@ -183,8 +183,8 @@
 		w.job(h, job.Started{Task: m.task, Attempt: m.attempt})
 	case m.kind == "give":
 	case m.refused:
-		w.overtake(h, takeover.Sign{Worker: m.worker})
-		w.lease(h, lease.Refused{Worker: m.worker, Left: m.reading.Left, Sent: m.sent})
+		w.overtake(h, takeover.WorkerContact{Worker: m.worker})
+		w.lease(h, lease.Refused{Worker: m.worker, Remaining: m.reading.Remaining, Sent: m.sent})
 	case m.kind == "take":
 		w.lease(h, lease.Granted{Worker: m.worker, Reading: m.reading})
 	default:
--- a/internal/place/explain.go
+++ b/internal/place/explain.go
@@ -2,21 +2,21 @@
 
 import "fmt"
 
-var blockNames = map[Block]string{
-	Ready:    "is about to be tried",
-	NoRoom:   "no worker has room for one task",
-	TooFew:   "too few workers have room for all tasks at once",
-	RowTasks: "its row runs as many tasks as its limit allows",
-	RowRoom:  "its row takes as much room as its limit allows",
-	TeamRoom: "its team takes as much room as its quota allows",
-	Reserved: "what is free is kept back for urgent work",
+var blockNames = map[BlockReason]string{
+	Ready:             "is about to be tried",
+	NoCapacity:        "no worker has room for one task",
+	GangTooLarge:      "too few workers have room for all tasks at once",
+	RowTaskLimit:      "its row runs as many tasks as its limit allows",
+	RowSizeLimit:      "its row takes as much room as its limit allows",
+	TeamQuota:         "its team takes as much room as its quota allows",
+	ReservedForUrgent: "what is free is kept back for urgent work",
 }
 
 // String tells operators what the work waits for.
-func (b Block) String() string { return blockNames[b] }
+func (b BlockReason) String() string { return blockNames[b] }
 
-// Why tells why a job's waiting tasks wait; false when none waits here.
-func (p *Placer) Why(task string) (string, bool) {
+// ExplainWait tells why a job's waiting tasks wait; false when none waits here.
+func (p *Placer) ExplainWait(task string) (string, bool) {
 	e, ok := p.queue.tasks[task]
 	if !ok {
 		return "", false
@@ -31,8 +31,8 @@
 	return text, true
 }
 
-// On lists the tasks that take room on a worker.
-func (p *Placer) On(worker string) []Used {
+// TasksOn lists the tasks that take room on a worker.
+func (p *Placer) TasksOn(worker string) []Used {
 	w, ok := p.workers[worker]
 	if !ok {
 		return nil
--- a/internal/place/health.go
+++ b/internal/place/health.go
@@ -88,10 +88,10 @@
 		return
 	}
 	if ev.Failed && p.unexplained(w) >= excess && p.mayAside() {
-		h.aside, h.trial, h.wait = true, false, p.limits.Trial
+		h.aside, h.trial, h.wait = true, false, p.limits.TrialInterval
 		h.next = p.now.Add(h.wait)
 		p.sort(w)
-		p.do(Aside{Worker: w.name})
+		p.do(Quarantined{Worker: w.name})
 	}
 }
 
@@ -115,7 +115,7 @@
 			aside++
 		}
 	}
-	return float64(aside) <= p.limits.Aside*float64(len(p.workers))
+	return float64(aside) <= p.limits.MaxQuarantined*float64(len(p.workers))
 }
 
 func (p *Placer) judgeTrial(w *worker, failed bool) {
--- a/internal/place/messages.go
+++ b/internal/place/messages.go
@@ -24,12 +24,12 @@
 	Team  string
 	Class cell.Class
 	Size  cell.Size
-	// Left is how long the task is expected to run yet; zero is not known.
-	Left time.Duration
+	// Remaining is how long the task is expected to run yet; zero is not known.
+	Remaining time.Duration
 }
 
-// Sized tells that a worker that is up has another size than it had.
-type Sized struct {
+// WorkerResized tells that a worker that is up has another size than it had.
+type WorkerResized struct {
 	Worker string
 	Size   cell.Size
 }
@@ -37,9 +37,9 @@
 // Down tells that a worker may not be used now.
 type Down struct{ Worker string }
 
-// Want asks for room for the tasks of one job. With Gang set all of them get
+// Request asks for room for the tasks of one job. With Gang set all of them get
 // room at once or none does.
-type Want struct {
+type Request struct {
 	Job   string
 	Row   string
 	Team  string
@@ -53,14 +53,14 @@
 	// Spread puts the row's tasks on as many racks as there are, so that a
 	// rack that fails does not take a whole service along.
 	Spread bool
-	// Time is how long one task is expected to run; zero is not known.
-	Time time.Duration
+	// RunTime is how long one task is expected to run; zero is not known.
+	RunTime time.Duration
 	// Since is when the job was accepted; zero means now.
 	Since time.Time
 	// Avoid are workers that these tasks have failed on, the last time at Failed. They go back to one
 	// of them, if they cannot do without, at Back, or sooner if it has run another task well since.
-	Avoid        []string
-	Failed, Back time.Time
+	Avoid                  []string
+	LastFailed, AvoidUntil time.Time
 	Rule
 }
 
@@ -78,8 +78,8 @@
 	QuotaTasks int64
 }
 
-// Ruled tells that the table says something else of a row now.
-type Ruled struct {
+// RuleChanged tells that the table says something else of a row now.
+type RuleChanged struct {
 	Row string
 	Rule
 }
@@ -87,9 +87,9 @@
 // Freed tells that a task takes room no longer or wants none any more.
 type Freed struct{ Task string }
 
-// Resized tells that a running task takes another room than was thought, and
+// TaskResized tells that a running task takes another room than was thought, and
 // what it was seen to use.
-type Resized struct {
+type TaskResized struct {
 	Task      string
 	Size, Use cell.Size
 }
@@ -103,25 +103,25 @@
 // Tick lets time pass.
 type Tick struct{}
 
-func (Up) event()      {}
-func (Sized) event()   {}
-func (Down) event()    {}
-func (Want) event()    {}
-func (Freed) event()   {}
-func (Resized) event() {}
-func (Result) event()  {}
-func (Ruled) event()   {}
-func (Tick) event()    {}
+func (Up) event()            {}
+func (WorkerResized) event() {}
+func (Down) event()          {}
+func (Request) event()       {}
+func (Freed) event()         {}
+func (TaskResized) event()   {}
+func (Result) event()        {}
+func (RuleChanged) event()   {}
+func (Tick) event()          {}
 
 // Action is what the placement core asks its edge to do.
 type Action interface{ action() }
 
-// Put gives a task room on a worker. The room is taken until Freed.
-type Put struct{ Task, Worker string }
+// Assign gives a task room on a worker. The room is taken until Freed.
+type Assign struct{ Task, Worker string }
 
 // Preempt asks that a task is checkpointed, stopped and queued again. Its
 // room stays taken until Freed.
-type Preempt struct{ Task, Worker, Why string }
+type Preempt struct{ Task, Worker, Reason string }
 
 // Throttle asks that a task is held to Share of the processors it asked for.
 type Throttle struct {
@@ -129,14 +129,14 @@
 	Share        float64
 }
 
-// Aside tells that a worker fails what others run and gets only trials now.
-type Aside struct{ Worker string }
+// Quarantined tells that a worker fails what others run and gets only trials now.
+type Quarantined struct{ Worker string }
 
 // Restored tells that a worker set aside gets work as before.
 type Restored struct{ Worker string }
 
-func (Put) action()      {}
-func (Preempt) action()  {}
-func (Throttle) action() {}
-func (Aside) action()    {}
-func (Restored) action() {}
+func (Assign) action()      {}
+func (Preempt) action()     {}
+func (Throttle) action()    {}
+func (Quarantined) action() {}
+func (Restored) action()    {}
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -21,12 +21,12 @@
 
 // Limits are the times that the rights depend on.
 type Limits struct {
-	// Longest is how long a sent request can take at most. A line of the host
+	// LongestDeadline is how long a sent request can take at most. A line of the host
 	// list must not be late by more.
-	Longest time.Duration
-	// Settle is how long a started host waits for what its former incarnation
+	LongestDeadline time.Duration
+	// StartupWait is how long a started host waits for what its former incarnation
 	// sent. It is Longest unless no former incarnation can have run.
-	Settle time.Duration
+	StartupWait time.Duration
 }
 
 // pair is what this host knows of one other host of its failure domain.
@@ -48,7 +48,7 @@
 // Shares is the share core of one host.
 type Shares struct {
 	limits  Limits
-	self    Word
+	self    Announcement
 	began   time.Time
 	last    time.Time
 	names   []string
@@ -61,7 +61,7 @@
 // its failure domain as the settings name them.
 func New(limits Limits, self string, incarnation int64, others []string, now time.Time) *Shares {
 	s := &Shares{
-		limits: limits, self: Word{Name: self, Incarnation: incarnation}, began: now, last: now,
+		limits: limits, self: Announcement{Name: self, Incarnation: incarnation}, began: now, last: now,
 		names: append(slices.Clone(others), self), pairs: map[string]*pair{},
 	}
 	slices.Sort(s.names)
@@ -77,19 +77,19 @@
 	s.resume(now)
 	var acts []Action
 	switch ev := ev.(type) {
-	case Heard:
-		s.hear(ev.Word)
-	case Listed:
+	case AnnouncementReceived:
+		s.hear(ev.Announcement)
+	case HostsListed:
 		s.list(now, ev.Names)
 	case Drained:
 		acts = s.drained()
-	case Quit:
+	case Stopping:
 		s.stop()
 	case Tick:
 	}
 	s.pass(now)
 	if !slices.Equal(before, s.rights()) {
-		acts = append(acts, Changed{})
+		acts = append(acts, SlotsChanged{})
 	}
 	return acts
 }
@@ -100,7 +100,7 @@
 func (s *Shares) resume(now time.Time) {
 	gap := now.Sub(s.last)
 	s.last = now
-	if gap <= s.limits.Longest/2 {
+	if gap <= s.limits.LongestDeadline/2 {
 		return
 	}
 	s.self.Incarnation++
@@ -109,16 +109,16 @@
 	}
 }
 
-func (s *Shares) hear(w Word) {
+func (s *Shares) hear(w Announcement) {
 	p, ok := s.pairs[w.Name]
 	if !ok || w.Incarnation < p.incarnation || w.Incarnation == p.incarnation && p.given {
 		return
 	}
-	p.incarnation, p.given = w.Incarnation, w.Given
+	p.incarnation, p.given = w.Incarnation, w.Released
 	p.away = time.Time{}
 	p.busy = p.busy || p.gone
-	p.gone = w.Given && !s.quit
-	if w.Given || w.Freed[s.self.Name] == s.self.Incarnation {
+	p.gone = w.Released && !s.quit
+	if w.Released || w.Freed[s.self.Name] == s.self.Incarnation {
 		p.own = !s.quit
 	}
 }
@@ -146,11 +146,11 @@
 	for _, p := range s.pairs {
 		p.busy = false
 	}
-	if !s.quit || !s.settled || s.self.Given {
+	if !s.quit || !s.settled || s.self.Released {
 		return nil
 	}
-	s.self.Given = true
-	return []Action{Tell{Word: s.Word()}}
+	s.self.Released = true
+	return []Action{SendAnnouncement{Announcement: s.Announcement()}}
 }
 
 func (s *Shares) stop() {
@@ -163,19 +163,19 @@
 
 // pass grants what time alone proves.
 func (s *Shares) pass(now time.Time) {
-	s.settled = s.settled || now.Sub(s.began) >= s.limits.Settle
+	s.settled = s.settled || now.Sub(s.began) >= s.limits.StartupWait
 	if s.quit {
 		return
 	}
 	for _, p := range s.pairs {
-		if !p.away.IsZero() && now.Sub(p.away) >= s.limits.Longest {
+		if !p.away.IsZero() && now.Sub(p.away) >= s.limits.LongestDeadline {
 			p.own, p.gone = true, true
 		}
 	}
 }
 
-// Word is what this host has to tell the others of its failure domain now.
-func (s *Shares) Word() Word {
+// Announcement is what this host has to tell the others of its failure domain now.
+func (s *Shares) Announcement() Announcement {
 	w := s.self
 	w.Freed = map[string]int64{}
 	for name, p := range s.pairs {
@@ -186,9 +186,9 @@
 	return w
 }
 
-// Awaited lists the hosts that have not yet freed their part of this host's
+// AwaitedHosts lists the hosts that have not yet freed their part of this host's
 // slots, in order of name.
-func (s *Shares) Awaited() []string {
+func (s *Shares) AwaitedHosts() []string {
 	var all []string
 	for _, name := range slices.Sorted(maps.Keys(s.pairs)) {
 		if !s.pairs[name].own {
@@ -208,19 +208,19 @@
 	return all
 }
 
-// Slots is how many of a backend server's slots this host may use now.
-func (s *Shares) Slots(minion string, slots int) int {
+// UsableSlots is how many of a backend server's slots this host may use now.
+func (s *Shares) UsableSlots(minion string, slots int) int {
 	n := 0
 	for i := range slots {
-		if s.May(minion, i) {
+		if s.MayUse(minion, i) {
 			n++
 		}
 	}
 	return n
 }
 
-// May tells whether this host may use one slot of a backend server now.
-func (s *Shares) May(minion string, slot int) bool {
+// MayUse tells whether this host may use one slot of a backend server now.
+func (s *Shares) MayUse(minion string, slot int) bool {
 	if !s.settled || s.quit {
 		return false
 	}
--- a/internal/takeover/messages.go
+++ b/internal/takeover/messages.go
@@ -5,39 +5,39 @@
 // Event is what the takeover core is told.
 type Event interface{ event() }
 
-// Workers replaces the workers of the failure domain.
-type Workers struct{ Names []string }
+// SetWorkers replaces the workers of the failure domain.
+type SetWorkers struct{ Names []string }
 
-// Peers replaces the live peers of the failure domain.
-type Peers struct{ Names []string }
+// SetPeers replaces the live peers of the failure domain.
+type SetPeers struct{ Names []string }
 
-// Found tells of a job that this host should lead now and knows nothing about.
-type Found struct{ Job string }
+// FoundJob tells of a job that this host should lead now and knows nothing about.
+type FoundJob struct{ Job string }
 
-// Gone tells that a found job ended or has another lead.
-type Gone struct{ Job string }
+// GoneJob tells that a found job ended or has another lead.
+type GoneJob struct{ Job string }
 
-// Watch replaces the workers that tasks of this host's own jobs run on while
+// WatchWorkers replaces the workers that tasks of this host's own jobs run on while
 // another host, or nobody, holds them.
-type Watch struct{ Workers []string }
+type WatchWorkers struct{ Workers []string }
 
-// Held tells that this host holds a worker and has read its list.
-type Held struct{ Worker string }
+// WorkerHeld tells that this host holds a worker and has read its list.
+type WorkerHeld struct{ Worker string }
 
-// Down tells that this host holds a worker no longer.
-type Down struct{ Worker string }
+// WorkerLost tells that this host holds a worker no longer.
+type WorkerLost struct{ Worker string }
 
-// Sign tells that a worker answered, if only to refuse.
-type Sign struct{ Worker string }
+// WorkerContact tells that a worker answered, if only to refuse.
+type WorkerContact struct{ Worker string }
 
-// Log tells that the log of jobs was read to its end by a question that was
+// LogRead tells that the log of jobs was read to its end by a question that was
 // sent at Asked.
-type Log struct{ Asked time.Time }
+type LogRead struct{ Asked time.Time }
 
-// Answer is a peer's answer to a question that was sent at Asked: the workers
+// PeerAnswer is a peer's answer to a question that was sent at Asked: the workers
 // that it holds and has read, and which of the found jobs it leads or
 // waits for too.
-type Answer struct {
+type PeerAnswer struct {
 	Host    string
 	Asked   time.Time
 	Workers []string
@@ -45,53 +45,53 @@
 	Waits   []string
 }
 
-// Asked tells that a peer asked for jobs that it waits for itself.
-type Asked struct {
+// PeerAsked tells that a peer asked for jobs that it waits for itself.
+type PeerAsked struct {
 	Host string
 	Jobs []string
 }
 
-// Count asks for a census of what runs of a key, which this host is the only one to start from
+// AddKey asks for a census of what runs of a key, which this host is the only one to start from
 // now on. It needs no log: nothing of it depends on which jobs there are.
-type Count struct{ Key string }
+type AddKey struct{ Key string }
 
-// Uncount tells that another host may start what the key stands for.
-type Uncount struct{ Key string }
+// RemoveKey tells that another host may start what the key stands for.
+type RemoveKey struct{ Key string }
 
 // Tick lets time pass.
 type Tick struct{}
 
-func (Workers) event() {}
-func (Peers) event()   {}
-func (Found) event()   {}
-func (Gone) event()    {}
-func (Watch) event()   {}
-func (Held) event()    {}
-func (Down) event()    {}
-func (Sign) event()    {}
-func (Log) event()     {}
-func (Answer) event()  {}
-func (Asked) event()   {}
-func (Count) event()   {}
-func (Uncount) event() {}
-func (Tick) event()    {}
+func (SetWorkers) event()    {}
+func (SetPeers) event()      {}
+func (FoundJob) event()      {}
+func (GoneJob) event()       {}
+func (WatchWorkers) event()  {}
+func (WorkerHeld) event()    {}
+func (WorkerLost) event()    {}
+func (WorkerContact) event() {}
+func (LogRead) event()       {}
+func (PeerAnswer) event()    {}
+func (PeerAsked) event()     {}
+func (AddKey) event()        {}
+func (RemoveKey) event()     {}
+func (Tick) event()          {}
 
 // Action is what the takeover core asks its edge to do.
 type Action interface{ action() }
 
-// Ask asks every live peer of the domain for what it holds and leads.
-type Ask struct{}
+// AskPeers asks every live peer of the domain for what it holds and leads.
+type AskPeers struct{}
 
-// Release tells that the census for a job is complete.
-type Release struct{ Job string }
+// ReleaseJob tells that the census for a job is complete.
+type ReleaseJob struct{ Job string }
 
-// Counted tells that the census for a key is complete.
-type Counted struct{ Key string }
+// ReleaseKey tells that the census for a key is complete.
+type ReleaseKey struct{ Key string }
 
-// Silent tells that a watched worker gave no sign for longer than any lease.
-type Silent struct{ Worker string }
+// WorkerSilent tells that a watched worker gave no sign for longer than any lease.
+type WorkerSilent struct{ Worker string }
 
-func (Ask) action()     {}
-func (Release) action() {}
-func (Counted) action() {}
-func (Silent) action()  {}
+func (AskPeers) action()     {}
+func (ReleaseJob) action()   {}
+func (ReleaseKey) action()   {}
+func (WorkerSilent) action() {}
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -12,11 +12,11 @@
 
 // Limits set the times of a census.
 type Limits struct {
-	// Longest is the longest lease of a task: a worker that was silent for so
+	// LongestLease is the longest lease of a task: a worker that was silent for so
 	// long runs nothing that a former lead started.
-	Longest time.Duration
-	// Every is how often the peers are asked while anything waits.
-	Every time.Duration
+	LongestLease time.Duration
+	// AskInterval is how often the peers are asked while anything waits.
+	AskInterval time.Duration
 }
 
 type worker struct {
@@ -55,25 +55,25 @@
 // Step takes one event and returns which jobs may go on and what to ask.
 func (t *Takeover) Step(now time.Time, ev Event) []Action {
 	switch ev := ev.(type) {
-	case Workers:
+	case SetWorkers:
 		t.setWorkers(now, ev.Names)
-	case Peers:
+	case SetPeers:
 		t.setPeers(now, ev.Names)
-	case Found, Gone, Count, Uncount:
+	case FoundJob, GoneJob, AddKey, RemoveKey:
 		t.wait(now, ev)
-	case Watch:
+	case WatchWorkers:
 		t.setWatch(now, ev.Workers)
-	case Held:
+	case WorkerHeld:
 		t.sign(now, ev.Worker, true)
-	case Down:
+	case WorkerLost:
 		t.down(now, ev.Worker)
-	case Sign:
+	case WorkerContact:
 		t.sign(now, ev.Worker, false)
-	case Log:
+	case LogRead:
 		t.log = later(t.log, ev.Asked)
-	case Answer:
+	case PeerAnswer:
 		t.answer(now, ev)
-	case Asked:
+	case PeerAsked:
 		t.yield(now, ev.Host, ev.Jobs)
 	case Tick:
 	}
@@ -83,15 +83,15 @@
 // wait begins or ends what waits for a census.
 func (t *Takeover) wait(now time.Time, ev Event) {
 	switch ev := ev.(type) {
-	case Found:
+	case FoundJob:
 		if _, ok := t.jobs[ev.Job]; !ok {
 			t.jobs[ev.Job] = now
 		}
-	case Gone:
+	case GoneJob:
 		delete(t.jobs, ev.Job)
-	case Count:
+	case AddKey:
 		t.keys[ev.Key] = now
-	case Uncount:
+	case RemoveKey:
 		delete(t.keys, ev.Key)
 	}
 }
@@ -171,7 +171,7 @@
 	}
 }
 
-func (t *Takeover) answer(now time.Time, ev Answer) {
+func (t *Takeover) answer(now time.Time, ev PeerAnswer) {
 	if _, ok := t.peers[ev.Host]; !ok {
 		return
 	}
@@ -216,13 +216,13 @@
 	for _, id := range slices.Sorted(maps.Keys(t.jobs)) {
 		if t.Missing(now, id) == "" {
 			delete(t.jobs, id)
-			acts = append(acts, Release{Job: id})
+			acts = append(acts, ReleaseJob{Job: id})
 		}
 	}
 	for _, key := range slices.Sorted(maps.Keys(t.keys)) {
 		if t.unread(now, t.keys[key]) == "" {
 			delete(t.keys, key)
-			acts = append(acts, Counted{Key: key})
+			acts = append(acts, ReleaseKey{Key: key})
 		}
 	}
 	return acts
@@ -256,7 +256,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(t.workers)) {
 		w := t.workers[name]
-		if !w.held && !w.answered.After(since) && now.Sub(later(w.sign, since)) <= t.limits.Longest {
+		if !w.held && !w.answered.After(since) && now.Sub(later(w.sign, since)) <= t.limits.LongestLease {
 			return name
 		}
 	}
@@ -266,11 +266,11 @@
 // Waiting lists the found jobs that wait for their census.
 func (t *Takeover) Waiting() []string { return slices.Sorted(maps.Keys(t.jobs)) }
 
-// Gone tells whether a worker gave no sign, to this host or to a peer that answered, for longer
+// LeasesExpired tells whether a worker gave no sign, to this host or to a peer that answered, for longer
 // than any lease.
-func (t *Takeover) Gone(now time.Time, name string) bool {
+func (t *Takeover) LeasesExpired(now time.Time, name string) bool {
 	w, ok := t.workers[name]
-	return ok && !w.held && now.Sub(w.sign) > t.limits.Longest
+	return ok && !w.held && now.Sub(w.sign) > t.limits.LongestLease
 }
 
 func (t *Takeover) due(now time.Time) []Action {
@@ -278,12 +278,12 @@
 	for _, name := range slices.Sorted(maps.Keys(t.watch)) {
 		if t.dead(now, name) {
 			t.watch[name] = now
-			acts = append(acts, Silent{Worker: name})
+			acts = append(acts, WorkerSilent{Worker: name})
 		}
 	}
-	if len(t.jobs)+len(t.keys)+len(t.watch) > 0 && now.Sub(t.asked) >= t.limits.Every {
+	if len(t.jobs)+len(t.keys)+len(t.watch) > 0 && now.Sub(t.asked) >= t.limits.AskInterval {
 		t.asked = now
-		acts = append(acts, Ask{})
+		acts = append(acts, AskPeers{})
 	}
 	return acts
 }
@@ -295,5 +295,5 @@
 	if w, ok := t.workers[name]; ok {
 		since = later(since, w.sign)
 	}
-	return now.Sub(since) > t.limits.Longest
+	return now.Sub(since) > t.limits.LongestLease
 }
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -123,8 +123,8 @@
 
 func (s saysBody) reading(sent time.Time) lease.Reading {
 	r := lease.Reading{
-		Sent: sent, Clock: time.UnixMilli(s.Clock), Left: time.Duration(s.Left) * time.Millisecond,
-		Lease: s.Lease, Life: s.Life, Mark: s.Mark, Whole: s.Whole, Gone: s.Gone,
+		Sent: sent, Clock: time.UnixMilli(s.Clock), Remaining: time.Duration(s.Left) * time.Millisecond,
+		Lease: s.Lease, Incarnation: s.Life, Cursor: s.Mark, Full: s.Whole, Removed: s.Gone,
 	}
 	for _, t := range s.Tasks {
 		r.Tasks = append(r.Tasks, lease.Task{ID: t.ID, Lease: t.Lease, Job: t.Job, Row: t.Row, State: t.State, Size: t.Size, Use: t.Use})
@@ -140,7 +140,7 @@
 // Renew lengthens the anchor by TTL and the leases of all tasks by Long, and
 // lets the worker forget ended starts by their leases. Errors are as for Take.
 func (c *Client) Renew(ctx context.Context, addr netip.AddrPort, a lease.Renew, forget []string) (lease.Reading, error) {
-	return c.lease(ctx, addr, "/renew", askBody{TTL: a.TTL.Milliseconds(), Keep: a.Long.Milliseconds(), Since: a.Since, Forget: forget})
+	return c.lease(ctx, addr, "/renew", askBody{TTL: a.TTL.Milliseconds(), Keep: a.TaskTTL.Milliseconds(), Since: a.Since, Forget: forget})
 }
 
 func (c *Client) lease(ctx context.Context, addr netip.AddrPort, path string, ask askBody) (lease.Reading, error) {
