--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -10,46 +10,47 @@
 	"pollencroft/internal/takeover"
 )
 
-// WorkerState is one held worker as this host last read it.
+// WorkerState is the state of a held worker as this host last read it.
 type WorkerState struct {
 	Worker string
 	Clock  time.Time
-	// Age is how long ago the worker was asked.
+	// Age is the time since the worker was asked.
 	Age time.Duration
-	// Incarnation names the worker's life.
+	// Incarnation identifies the worker process; it changes when the worker restarts.
 	Incarnation string
 	Tasks       []job.ListedTask
-	// Counted are the running tasks of the keys that were asked for.
+	// Counted are the running tasks of the requested keys.
 	Counted []CountedTask
 }
 
-// InventoryReply is what one host tells another of what it holds, and of the jobs that
-// were asked for: those that it leads and those that it waits for itself.
+// InventoryReply lists the workers that a host holds and, of the requested jobs, those that it
+// leads and those that it has inherited and that still wait for an inventory.
 type InventoryReply struct {
 	Workers      []WorkerState
 	Leads, Waits []string
-	// Incarnations holds by worker the life in which no start to an earlier one is under way any more.
+	// Incarnations holds, by worker, the incarnation for which no start to an earlier one can still
+	// be in flight.
 	Incarnations map[string]string
 }
 
-// InventoryRequest is what one host asks another: which of some jobs it leads, and what the workers that
-// it holds run of those jobs and of some keys. Waits are the jobs that the asker wants to inherit.
-// Asked is when it was put together: what is to be known since then is not in it.
+// InventoryRequest asks a peer which of the jobs it leads, and which tasks of those jobs and keys
+// run on the workers that it holds. Waits are the jobs that the sender wants to inherit. Asked is
+// when the request was built: the answer proves nothing about jobs and keys that were added later.
 type InventoryRequest struct {
 	Asked       time.Time
 	Jobs, Waits []string
 	Keys        []string
 }
 
-// Inventory answers a peer's question.
+// Inventory answers a peer's request.
 func (l *Leader) Inventory(from string, q InventoryRequest) InventoryReply {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stepLeases(lease.Tick{})
 	l.stepTakeover(takeover.PeerAsked{Host: from, Jobs: q.Waits})
 	if len(q.Waits) > 0 {
-		// The peer may go on with the jobs that are not led here. One of them that was sent here
-		// before and arrives now would have two leads.
+		// The peer may go on with jobs that are not led here. If one of them was handed over to
+		// this host earlier and arrived only now, it would have two leaders.
 		clear(l.expectedHandovers)
 	}
 	c := InventoryReply{Incarnations: l.Leases.ConfirmedIncarnations(l.Clock())}
@@ -69,9 +70,9 @@
 	return c
 }
 
-// listIsComplete tells whether a worker's list listIsComplete all starts of jobs that were given up here, and of
-// the keys that are asked for. The asker would take a task that is not listed for one that runs
-// nowhere.
+// listIsComplete reports whether a worker's list shows all starts of the jobs that were dropped
+// here and, if keys are requested, of counted rows. The peer would conclude that a task missing
+// from the list runs nowhere.
 func (l *Leader) listIsComplete(name string, r lease.Reading, q InventoryRequest) bool {
 	if len(q.Keys) > 0 && !r.Sent.After(l.lastLimitedStart[name]) {
 		l.stepLeases(lease.Poll{Worker: name, After: rereadDelay})
@@ -98,8 +99,8 @@
 	return v
 }
 
-// InventoryRequest is what to ask peers for: the jobs that wait for a census and those with tasks on
-// workers that this host does not hold, and what is counted here.
+// InventoryRequest returns the request to send to the peers. It contains all open jobs, the jobs
+// that wait for an inventory and the keys that this host counts.
 func (l *Leader) InventoryRequest() InventoryRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -110,11 +111,12 @@
 	return q
 }
 
-// incarnationPollInterval is how often peers are asked for the workers' lives while one is not settled.
+// incarnationPollInterval is how often peers are asked about worker incarnations while at least one
+// worker still waits for starts to an earlier incarnation.
 const incarnationPollInterval = 250 * time.Millisecond
 
-// askIncarnations asks the peers, one of which may have led a worker in its life of now, before this host
-// waits for the starts to an earlier one.
+// askIncarnations asks the peers about worker incarnations. A peer that has led a worker in its
+// current incarnation can confirm it, which saves the wait for starts to an earlier one.
 func (l *Leader) askIncarnations() {
 	now := l.Clock()
 	if l.RequestInventory == nil || now.Sub(l.incarnationsAsked) < incarnationPollInterval || !l.Leases.HasUnconfirmed(now) {
@@ -124,9 +126,9 @@
 	l.RequestInventory()
 }
 
-// HandleInventory takes a peer's answer to a question. A worker that this host holds, or held
-// since it asked, is passed over: what the peer told of it is older than what this host
-// knows. The peer lists tasks of the jobs that were asked for, and no others.
+// HandleInventory processes a peer's answer. It skips workers that this host holds or has held
+// since it asked, because its own information on them is newer. The peer lists only tasks of the
+// requested jobs.
 func (l *Leader) HandleInventory(host string, q InventoryRequest, c InventoryReply) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lead/crash.go
+++ b/internal/lead/crash.go
@@ -6,10 +6,10 @@
 	"pollencroft/internal/place"
 )
 
-// handleCrash has the lives stored that ended under a task, before it is started again.
+// handleCrash has the crash count of a task stored before the task is started again.
 func (l *Leader) handleCrash(a job.StoreCrashCount) {
 	l.Count("lead.crashed")
-	l.Log.Warn("lead: worker crashed while a task ran there.", "task", a.Task, "worker", a.Worker, "lives", a.Crashes)
+	l.Log.Warn("lead: worker crashed while running a task.", "task", a.Task, "worker", a.Worker, "lives", a.Crashes)
 	l.addNote(a.Job, a.Worker+" crashed while "+a.Task+" ran there")
 	spec, ok := l.Jobs.Spec(a.Task)
 	switch {
@@ -21,7 +21,7 @@
 	}
 }
 
-// AckCrashes tells that the lives that ended under a task are stored.
+// AckCrashes reports that the crash count of a task is stored.
 func (l *Leader) AckCrashes(task string, lives int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -35,8 +35,9 @@
 	return l.CrashCounts(id)
 }
 
-// exclusiveSize is the room of a task that is tried on a worker of its own: all of the smallest worker
-// that has enough. Where the table's limits never allow that it stays as it was.
+// exclusiveSize returns the size of a task that must run alone on its worker: the full size of the
+// smallest held worker that fits it. If the limits of the table never allow that size, the task
+// keeps its own.
 func (l *Leader) exclusiveSize(w place.Request) cell.Size {
 	alone := w
 	alone.Size = cell.Size{}
--- a/internal/lead/handover.go
+++ b/internal/lead/handover.go
@@ -6,22 +6,22 @@
 	"pollencroft/internal/takeover"
 )
 
-// expectedHandover is a hand-over that a peer was promised to be heard for. Epoch is the one in which
-// it was.
+// expectedHandover is a handover that a peer may send. It is valid only in the epoch in which its
+// token was issued.
 type expectedHandover struct {
 	token string
 	epoch int64
 }
 
-// StaleHandoverError tells that a hand-over was sent before something after which it counts no more: a
-// census, the loss of all workers, or a newer token.
+// StaleHandoverError reports that a handover was sent before an event that makes it invalid: an
+// inventory, the loss of all workers, or a newer token.
 type StaleHandoverError struct{ From string }
 
 func (e *StaleHandoverError) Error() string { return "hand-over from " + e.From + " is out of date" }
 
-// ExpectHandover returns the token with which a peer may hand jobs over next. A message may lie in a
-// paused host's sockets for any time; without a token the state that it carries would be taken
-// for that of now.
+// ExpectHandover returns the token that a peer must send with its next handover. A message may stay
+// in the socket buffers of a paused host for any time; the token keeps such an outdated state from
+// being accepted as current.
 func (l *Leader) ExpectHandover(from string) (string, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -37,9 +37,8 @@
 	return e.token, nil
 }
 
-// Adopt goes on with jobs that their live lead handed over. It refuses them
-// while this host holds no worker: it could not know then whether it was taken
-// for dead.
+// Adopt continues jobs that their leader, which is alive, handed over. It refuses them while this
+// host holds no worker, because then it cannot tell whether its peers considered it dead.
 func (l *Leader) Adopt(from, token string, jobs []job.Snapshot) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,7 +57,8 @@
 	return nil
 }
 
-// TakeBack leads jobs again that were handed over in that epoch and whose next lead refused them.
+// TakeBack leads jobs again that were handed over in that epoch and that the receiving host
+// refused.
 func (l *Leader) TakeBack(jobs []job.Snapshot, epoch int64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,9 +82,9 @@
 	l.replayReadings()
 }
 
-// HandOver stops leading jobs and returns all that is known of them, for the
-// next lead, and the epoch in which that is true. Jobs that wait for a census
-// are left out: nothing is known of them.
+// HandOver stops leading jobs. It returns their full state for the next leader, and the epoch in
+// which that state is valid. It skips jobs that wait for an inventory, because their state is
+// unknown.
 func (l *Leader) HandOver(ids []string) ([]job.Snapshot, int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -11,27 +11,27 @@
 	"pollencroft/internal/takeover"
 )
 
-// NoWorkerError tells that this host holds no worker, or lost all of them
-// meanwhile, so that it may decide nothing about a job.
+// NoWorkerError reports that this host holds no worker, or lost all of them in the meantime, and
+// therefore must not decide anything about a job.
 type NoWorkerError struct{}
 
 func (e *NoWorkerError) Error() string { return "no worker is held here" }
 
-// LeavingError tells that this host hands its jobs over and takes none.
+// LeavingError reports that this host is handing over its jobs and accepts none.
 type LeavingError struct{}
 
 func (e *LeavingError) Error() string { return "host is leaving" }
 
-// Epoch numbers the time since this host last held no worker at all. While it
-// stays the same no other host can have completed a census without asking this
-// one, so what this host knows of its jobs is true. Zero: it holds none.
+// Epoch returns a number that grows each time this host loses its last worker, or zero while it
+// holds none. As long as the number stays the same, no other host can have completed an inventory
+// without asking this one, so what this host knows of its jobs is valid.
 func (l *Leader) Epoch() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.currentEpoch()
 }
 
-// currentEpoch notices leases that lapsed during a pause before it answers.
+// currentEpoch first handles leases that expired during a pause.
 func (l *Leader) currentEpoch() int64 {
 	l.stepLeases(lease.Tick{})
 	if len(l.Leases.Held()) == 0 {
@@ -40,7 +40,7 @@
 	return l.epoch
 }
 
-// SetDomain tells the workers of the failure domain and its live peers.
+// SetDomain sets the workers of the failure domain and its live peers.
 func (l *Leader) SetDomain(workers, peers []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,8 +49,8 @@
 	l.stepTakeover(takeover.SetPeers{Names: peers})
 }
 
-// Inherit takes over jobs whose lead is gone. They go on as far as their tasks
-// are found, and start nothing new before their census is complete.
+// Inherit takes over jobs whose leader is gone. Tasks that are found running continue, but nothing
+// new is started before the inventory for the job is complete.
 func (l *Leader) Inherit(specs []job.Spec) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,8 +70,8 @@
 	}
 }
 
-// replayReadings shows the job core the lists of all held workers again: tasks of a
-// job that is new here may be among them.
+// replayReadings passes the last lists of all held workers to the job state machine again, because
+// they may contain tasks of a job that was just added.
 func (l *Leader) replayReadings() {
 	for _, name := range l.Leases.Held() {
 		if r, ok := l.Leases.LastReading(name); ok {
@@ -85,21 +85,22 @@
 	return err == nil
 }
 
-// HasJob tells whether a job is led here, waits here for its census or ended here.
+// HasJob reports whether a job is led here, waits here for its inventory, or ended here.
 func (l *Leader) HasJob(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.hasJob(id)
 }
 
-// EndState tells how a job ended that was led here; false if it did not.
+// EndState returns how a job that was led here ended. It returns false if the job has not ended
+// here.
 func (l *Leader) EndState(id string) (string, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.Jobs.Ended(id)
 }
 
-// ForgetInherited forgets an inherited job that another host leads or that has ended.
+// ForgetInherited drops an inherited job that another host leads or that has ended.
 func (l *Leader) ForgetInherited(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -110,15 +111,14 @@
 	l.dropJob(id, false)
 }
 
-// AwaitingInventory lists the inherited jobs that wait for their census.
+// AwaitingInventory lists the inherited jobs that wait for their inventory.
 func (l *Leader) AwaitingInventory() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.Takeover.Waiting()
 }
 
-// LogRead tells that the log of jobs was read to its end by a question that
-// was sent at asked.
+// LogRead reports that the job log was read to its end by a request sent at asked.
 func (l *Leader) LogRead(asked time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -136,34 +136,34 @@
 	}
 }
 
-// AckEnd tells that a job's end is in the log, so that its tasks may be forgotten.
+// AckEnd reports that the end of a job is in the log, so that its tasks may be forgotten.
 func (l *Leader) AckEnd(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stepJobs(job.EndStored{ID: id})
 }
 
-// Leave makes this host take no job any more, before it hands over what it has.
+// Leave makes this host refuse new jobs. It is called before its jobs are handed over.
 func (l *Leader) Leave() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.leaving = true
 }
 
-// OpenJobs lists the jobs that are led here and have not ended, without those that
-// wait for their census.
+// OpenJobs lists the jobs that are led here and have not ended, except those that wait for their
+// inventory.
 func (l *Leader) OpenJobs() []job.Spec {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.DeleteFunc(l.Jobs.Open(), func(s job.Spec) bool { return l.Jobs.AwaitsInventory(s.ID) })
 }
 
-// rereadDelay is how long after a job was given up its workers are read. A list that was asked for
-// at the same time may not show what was started last.
+// rereadDelay is the delay between dropping a job and reading its workers again. A list requested
+// at the same instant might not show the most recent start.
 const rereadDelay = time.Millisecond
 
-// dropJob keeps in mind the starts of a dropped job that may still land: their
-// room stays taken until the worker shows that they did not.
+// dropJob stops leading a job. It remembers the job's starts that may still arrive; their capacity
+// stays taken until the worker shows that they did not.
 func (l *Leader) dropJob(id string, recall bool) {
 	now := l.Clock()
 	if c, ok := l.Jobs.Snapshot(id); ok {
@@ -181,9 +181,9 @@
 	l.stepJobs(job.Drop{ID: id, RememberPlaces: recall})
 }
 
-// dropAllJobs gives up all jobs when the last worker is lost. Another host may have
-// taken this one for dead and completed a census, so every job needs one of
-// its own again.
+// dropAllJobs drops all jobs when the last worker is lost. Another host may have considered this
+// one dead and completed an inventory, so each job needs a new inventory before this host may lead
+// it again.
 func (l *Leader) dropAllJobs() {
 	l.epoch++
 	for _, s := range l.Jobs.Open() {
@@ -216,8 +216,8 @@
 	}
 }
 
-// watchUnheld tells which workers have tasks of own jobs, or tasks that are counted here, but are not
-// held here.
+// watchUnheld reports to the takeover state machine which workers have tasks of jobs led here, or
+// counted tasks, but are not held here.
 func (l *Leader) watchUnheld() {
 	held := l.Leases.Held()
 	names := l.Jobs.Workers()
@@ -230,8 +230,8 @@
 	l.stepTakeover(takeover.WatchWorkers{Workers: names})
 }
 
-// reconcile frees the room of tasks that another host's job, or nobody's, took on
-// a held worker, and lets the worker forget those whose job has ended.
+// reconcile frees the capacity of tasks on a held worker that are no longer running and that the
+// job state machine does not track, and lets the worker forget those whose jobs have ended.
 func (l *Leader) reconcile(name string, r lease.Reading) {
 	running := map[string]bool{}
 	for _, t := range r.Tasks {
@@ -263,8 +263,8 @@
 	}
 }
 
-// freeCapacity gives the room of a task back unless the job core knows the task and
-// does it itself, or the task runs on another worker by now.
+// freeCapacity releases the capacity of a task, unless the task now runs on another worker or the
+// job state machine tracks it and releases the capacity itself.
 func (l *Leader) freeCapacity(id, name string) {
 	if at, ok := l.taskWorkers[id]; ok && at != name {
 		return
@@ -281,7 +281,7 @@
 	}
 }
 
-// Leads tells whether a job is led here and waits for no census.
+// Leads reports whether a job is led here and does not wait for an inventory.
 func (l *Leader) Leads(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -1,5 +1,5 @@
-// Package lead runs jobs on the workers that this host leads. It joins the
-// lease, placement and job cores and carries their actions to the workers.
+// Package lead runs jobs on the workers whose leases this host holds. It connects the state
+// machines for leases, placement, jobs and takeover, and carries out their actions on the workers.
 package lead
 
 import (
@@ -22,71 +22,76 @@
 	"pollencroft/internal/worker"
 )
 
-// Deps are what a Lead works with.
+// Deps are the dependencies of a Leader.
 type Deps struct {
 	Leases   *lease.Leases
 	Placer   *place.Placer
 	Jobs     *job.Jobs
 	Takeover *takeover.Takeover
 	Workers  *worker.Client
-	// RequestInventory sends the census question to the peers and must not wait.
+	// RequestInventory asks the peers for their inventories. It must not block.
 	RequestInventory func()
-	// EndLogged tells whether a job's end is in the log.
+	// EndLogged reports whether the end of a job is stored in the job log.
 	EndLogged func(id string) bool
-	// StoreEnd is told how a job ended, to keep it, and must not wait.
+	// StoreEnd stores how a job ended. It must not block.
 	StoreEnd func(end job.Ended, ran bool)
-	// StoreCrashes is told to store how many lives of workers ended under a task and then to call
-	// Noted; it must not wait. Nil stores nothing.
+	// StoreCrashes stores the number of worker incarnations that ended while the task ran, and then
+	// calls AckCrashes. It must not block. If it is nil, nothing is stored.
 	StoreCrashes func(spec job.Spec, task string, lives int64)
-	// CrashCounts tells how many are stored of a job's tasks; nil: none.
+	// CrashCounts returns the stored crash counts of a job's tasks. If it is nil, there are none.
 	CrashCounts func(id string) map[string]int64
 	Row         func(name string) (table.Row, int64)
-	// LimitKey returns what a row is counted by; nil or an empty name: it may be started anywhere.
-	// KeyWorkers lists the workers of a key in the order in which they allow to start it.
+	// LimitKey returns the key under which the tasks of a row are counted. If it is nil or returns
+	// an empty string, any host may start the row. Arbiters lists the workers of a key in order of
+	// precedence: the holder of the first usable one may start tasks of the key.
 	LimitKey func(row table.Row) string
 	Arbiters func(key string) []string
-	// Shares returns what a row and its team may use here; nil: the row's limits.
+	// Shares returns what a row and its team may use in this failure domain. If it is nil, the
+	// limits of the row apply.
 	Shares func(row table.Row) (own, team table.Share)
-	// Estimates correct declared sizes and times.
+	// Estimates correct declared sizes and run times.
 	Estimates *estimate.Estimates
-	// Count adds one to a metric; nil counts nothing.
+	// Count adds one to a metric. If it is nil, nothing is counted.
 	Count   func(name string)
 	History *trail.Trail
 	Clock   func() time.Time
-	// Go runs an exchange with a worker later, for measuring on a passed-in
-	// clock; nil runs each in a goroutine of its own.
+	// Go runs an exchange with a worker asynchronously; tests set it to control the order on a
+	// simulated clock. If it is nil, each exchange runs in its own goroutine.
 	Go  func(f func())
 	Log *slog.Logger
 }
 
-// Leader is the jobs' part of one entry host. It is safe for concurrent use.
+// Leader leads the jobs of one entry host. It is safe for concurrent use.
 type Leader struct {
 	Deps
 	ctx      context.Context
 	mu       sync.Mutex
 	machines map[string]Machine
-	// toForget holds by worker the leases of ended starts that it may drop.
+	// toForget holds, by worker, the leases of ended starts that the worker may drop from its list.
 	toForget map[string][]string
-	// taskWorkers holds on which held worker each listed task runs.
+	// taskWorkers holds, by task, the held worker on which the task is listed as running.
 	taskWorkers map[string]string
+	// untracked holds, by task, starts that may still arrive although this host no longer leads the
+	// job.
 	untracked   map[string]untrackedRun
-	// lastDropped is when a job that had tasks on a worker was last given up.
+	// lastDropped holds, by worker, the time at which a job with tasks there was last dropped.
 	lastDropped map[string]time.Time
-	// expectedHandovers holds by peer the hand-over that it may send next.
+	// expectedHandovers holds, by peer, the handover that the peer may send next.
 	expectedHandovers map[string]expectedHandover
-	// counts holds by key what is counted here, elsewhere by worker what is counted and runs on
-	// workers of other hosts.
+	// counts holds the keys that this host counts. countedElsewhere holds, by worker, the running
+	// tasks of counted keys on workers that other hosts hold.
 	counts           map[string]*keyCount
 	countedElsewhere map[string][]CountedTask
-	// lastLimitedStart is when a start of a counted row to a worker was last answered.
+	// lastLimitedStart holds, by worker, the time of the last answer to a start of a counted row.
 	lastLimitedStart map[string]time.Time
-	// lastHeld is when each worker was last lastHeld.
+	// lastHeld holds, by worker, the time at which this host last gave it up.
 	lastHeld map[string]time.Time
-	// incarnationsAsked is when the peers were last asked for what they know of the workers' lives.
+	// incarnationsAsked is when the peers were last asked which worker incarnations they have seen.
 	incarnationsAsked time.Time
-	// incarnations are the workers' incarnations as this host last saw them.
+	// incarnations holds the worker incarnations that this host last saw.
 	incarnations map[string]*incarnation
-	// appliedRules hold what was last told to the placement, and ruled is when.
+	// appliedRules holds, by row, the rule last passed to the placer. rulesRefreshed is when the
+	// rules were last checked.
 	appliedRules   map[string]place.Rule
 	rulesRefreshed time.Time
 	epoch          int64
@@ -94,18 +99,18 @@
 	wg             sync.WaitGroup
 }
 
-// untrackedRun is a start of a job that is led here no longer, which may still land.
+// untrackedRun is a start of a job that is no longer led here. It may still reach the worker.
 type untrackedRun struct {
 	worker   string
 	deadline time.Time
-	// since is when the job was given up.
+	// since is when the job was dropped.
 	since time.Time
 }
 
-// askTimeout bounds one exchange with a worker.
+// askTimeout limits one exchange with a worker.
 const askTimeout = time.Second
 
-// New returns a lead without workers; its exchanges end with ctx.
+// New returns a Leader without workers. Its exchanges end when ctx is cancelled.
 func New(ctx context.Context, d Deps) *Leader {
 	if d.Estimates == nil {
 		d.Estimates = estimate.New()
@@ -119,7 +124,7 @@
 	}
 }
 
-// Tick lets time pass.
+// Tick advances the state machines to the current time.
 func (l *Leader) Tick() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -131,14 +136,14 @@
 	l.stepTakeover(takeover.Tick{})
 }
 
-// Held lists the workers that this host leads.
+// Held lists the workers whose leases this host holds.
 func (l *Leader) Held() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.Leases.Held()
 }
 
-// Release gives all anchors back and waits for the exchanges under way.
+// Release gives up all leases and waits for the exchanges in flight.
 func (l *Leader) Release() {
 	l.mu.Lock()
 	l.stepLeases(lease.ReleaseAll{})
@@ -150,14 +155,15 @@
 	l.wg.Wait()
 }
 
-// UnschedulableError tells that a job can never run here and names the nearest limit.
+// UnschedulableError reports that a job can never run here. Reason names the limit that the job
+// exceeds.
 type UnschedulableError struct{ Reason string }
 
 func (e *UnschedulableError) Error() string { return "job can never run: " + e.Reason }
 
-// Check tells whether a job may be taken here: a NeverError if it can never
-// run, a NoWorkerError or LeavingError if another host should be asked. The
-// epoch is the one to submit it in.
+// Check reports whether this host may accept a job. It returns an UnschedulableError if the job can
+// never run here, and a NoWorkerError or LeavingError if another host should be asked. The returned
+// epoch must be passed to Submit.
 func (l *Leader) Check(spec job.Spec) (int64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -171,9 +177,8 @@
 	return epoch, l.checkSchedulable(spec)
 }
 
-// Submit takes a job that was checked in that epoch and is kept by now. A
-// NoWorkerError tells that all workers were lost in between: another host may
-// lead the job already.
+// Submit accepts a job that was checked in that epoch and has been stored since. It returns a
+// NoWorkerError if all workers were lost in between, because another host may lead the job already.
 func (l *Leader) Submit(spec job.Spec, epoch int64) (job.Status, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -188,15 +193,15 @@
 	return l.Jobs.Status(spec.ID)
 }
 
-// Status returns a job's state, or a job.UnknownError.
+// Status returns the state of a job, or a job.UnknownError.
 func (l *Leader) Status(id string) (job.Status, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.Jobs.Status(id)
 }
 
-// Cancel asks that a job stops and returns its state then. Leases that lapsed
-// in a pause are noticed first: the job may have another lead since then.
+// Cancel requests that a job stops, and returns the resulting state. It first handles leases that
+// expired during a pause, because another host may have led the job since then.
 func (l *Leader) Cancel(id string) (job.Status, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -211,8 +216,8 @@
 	l.History.Add(trail.Note{At: l.Clock(), ID: id, Part: "lead", What: what})
 }
 
-// stepLeases, place and job step one core and carry out its actions. They are
-// called with mu held; exchanges with workers run beside.
+// stepLeases, stepPlacement, stepJobs and stepTakeover each pass an event to one state machine and
+// carry out its actions. mu must be held. Exchanges with workers run asynchronously.
 func (l *Leader) stepLeases(ev lease.Event) {
 	for _, a := range l.Leases.Step(l.Clock(), ev) {
 		switch a := a.(type) {
@@ -225,7 +230,7 @@
 		case lease.AskIncarnation:
 			l.spawn(func(ctx context.Context) { l.askIncarnation(ctx, a) })
 		case lease.AwaitStarts:
-			l.Log.Info("lead: worker is in a life that is new here; waiting for starts to the former one.", "worker", a.Worker, "life", a.Life, "until", a.Until)
+			l.Log.Info("lead: worker has a new incarnation; waiting for starts to the previous one to expire.", "worker", a.Worker, "life", a.Life, "until", a.Until)
 		case lease.Up:
 			l.workerUp(a)
 		case lease.Updated:
@@ -236,8 +241,8 @@
 	}
 }
 
-// workerDown gives up a worker. A host that loses its last worker may have been
-// taken for dead, and gives up its jobs too.
+// workerDown gives up a worker. Peers may have considered a host without workers dead and taken
+// over its jobs, so a host that loses its last worker drops its jobs too.
 func (l *Leader) workerDown(name string) {
 	l.Log.Info("lead: worker is no longer led.", "worker", name)
 	l.Count("lead.down")
@@ -309,11 +314,12 @@
 	}
 }
 
-// askIncarnation asks a worker for its life. One that does not answer is asked again.
+// askIncarnation asks a worker for its incarnation. The lease state machine asks again if there is
+// no answer.
 func (l *Leader) askIncarnation(ctx context.Context, a lease.AskIncarnation) {
 	name, err := l.Workers.Life(ctx, l.address(a.Worker))
 	if err != nil {
-		l.Log.Debug("lead: life of a worker not told.", "worker", a.Worker, "err", err)
+		l.Log.Debug("lead: incarnation of a worker not available.", "worker", a.Worker, "err", err)
 		return
 	}
 	l.mu.Lock()
@@ -323,7 +329,7 @@
 
 func (l *Leader) releaseLease(ctx context.Context, a lease.Release) {
 	if err := l.Workers.Give(ctx, l.address(a.Worker), a.Lease); err != nil {
-		l.Log.Warn("lead: anchor not given back.", "worker", a.Worker, "err", err)
+		l.Log.Warn("lead: lease not released.", "worker", a.Worker, "err", err)
 	}
 }
 
@@ -348,7 +354,8 @@
 	ev := job.WorkerList{Worker: name, Clock: r.Clock, Sent: r.Sent, Incarnation: r.Incarnation}
 	var wait bool
 	if ev.RackLost, wait = l.wholeRackLost(name, r); wait {
-		// What is listed runs, whatever became of the rest. A census may rest on it now.
+		// The reading shows which tasks run, but not yet why the others are gone. Passing it on at
+		// once lets an inventory rely on the running tasks.
 		ev.Incarnation, ev.Jobs = "", []string{}
 	}
 	for _, t := range r.Tasks {
--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -11,24 +11,25 @@
 	"pollencroft/internal/takeover"
 )
 
-// CountedTask is one running task of a key. A key is what is counted together: a row with limits, or
-// the rows of a team with a quota.
+// CountedTask is a running task of a key. A key groups the tasks that are counted together: those
+// of a row with limits, or of all rows of a team with a quota.
 type CountedTask struct {
 	Row  string    `json:"row"`
 	Size cell.Size `json:"size"`
 }
 
-// keyCount is a key that is counted here as long as this host holds the worker. Done is set when
-// all is known that runs of it.
+// keyCount is a key that this host counts while it holds worker. complete is set once all running
+// tasks of the key are known.
 type keyCount struct {
 	worker   string
 	complete bool
 }
 
-// arbiter is the worker that must be held to start tasks of a row; empty names for a row that
-// anyone may start. Two hosts may both take themselves for the lead of the row's rack, but a
-// worker has one holder. One that is silent for longer than any lease is passed over: with it
-// the row would stand still for as long as it is listed.
+// arbiter returns the key of a row and the worker whose holder alone may start tasks of the row.
+// The key is empty if any host may start them. Two hosts may both believe that they lead the row's
+// rack, but a worker has only one holder. Workers that have been silent for longer than any lease
+// are skipped; otherwise the row would be blocked for as long as such a worker stays on the host
+// list. If all are silent, the worker is empty and no host may start the row.
 func (l *Leader) arbiter(row table.Row) (key, worker string) {
 	if l.LimitKey == nil {
 		return "", ""
@@ -52,8 +53,8 @@
 	return l.LimitKey(r)
 }
 
-// mayStart tells whether tasks of a row may be started here, and begins to count what runs of it
-// when the worker is held that allows it.
+// mayStart reports whether this host may start tasks of a row. When this host holds the row's
+// arbiter, mayStart begins to count the running tasks of the row's key.
 func (l *Leader) mayStart(row table.Row) bool {
 	key, worker := l.arbiter(row)
 	if key == "" {
@@ -67,7 +68,7 @@
 	if c == nil || c.worker != worker {
 		c = &keyCount{worker: worker}
 		l.counts[key] = c
-		l.Log.Info("lead: counting what runs.", "key", key, "worker", worker)
+		l.Log.Info("lead: counting running tasks of a key.", "key", key, "worker", worker)
 		l.stepTakeover(takeover.AddKey{Key: key})
 	}
 	return c.complete
@@ -78,23 +79,23 @@
 		return
 	}
 	delete(l.counts, key)
-	l.Log.Info("lead: another host may count what runs.", "key", key)
+	l.Log.Info("lead: no longer counting running tasks of a key.", "key", key)
 	l.stepTakeover(takeover.RemoveKey{Key: key})
 }
 
-// finishCounting begins to start tasks of a key, of which all that runs is known now.
+// finishCounting allows tasks of a key to start, now that all running tasks of the key are known.
 func (l *Leader) finishCounting(key string) {
 	c, ok := l.counts[key]
 	if !ok {
 		return
 	}
 	c.complete = true
-	l.Log.Info("lead: what runs is counted.", "key", key, "worker", c.worker)
-	// The rows that wait are told with the next tick.
+	l.Log.Info("lead: running tasks of a key are counted.", "key", key, "worker", c.worker)
+	// The next tick passes the new rules on to the waiting rows.
 	l.rulesRefreshed = l.rulesRefreshed.Add(-ruleRefreshInterval)
 }
 
-// stopCountingOn ends the counting that rests on a worker.
+// stopCountingOn stops counting the keys whose arbiter is this worker.
 func (l *Leader) stopCountingOn(worker string) {
 	lost := false
 	for key, c := range l.counts {
@@ -108,7 +109,7 @@
 	}
 }
 
-// setElsewhere notes what runs of the counted keys on a worker of another host.
+// setElsewhere records the running tasks of counted keys on a worker that another host holds.
 func (l *Leader) setElsewhere(worker string, tasks []CountedTask) {
 	if len(tasks) == 0 {
 		delete(l.countedElsewhere, worker)
@@ -117,7 +118,8 @@
 	l.countedElsewhere[worker] = tasks
 }
 
-// mergeElsewhere notes what a peer told of some keys; of others it was not asked.
+// mergeElsewhere records a peer's answer for the requested keys and keeps the recorded tasks of all
+// other keys.
 func (l *Leader) mergeElsewhere(worker string, keys []string, tasks []CountedTask) {
 	for _, t := range l.countedElsewhere[worker] {
 		if !slices.Contains(keys, l.limitKeyOf(t.Row)) {
@@ -127,7 +129,7 @@
 	l.setElsewhere(worker, tasks)
 }
 
-// keepCounted notes what ran of counted keys on a worker that is given up.
+// keepCounted records the running tasks of counted keys on a worker that is given up.
 func (l *Leader) keepCounted(worker string) {
 	var all []CountedTask
 	for _, u := range l.Placer.TasksOn(worker) {
@@ -138,7 +140,7 @@
 	l.setElsewhere(worker, all)
 }
 
-// subtractElsewhere takes off a rule what runs on workers of other hosts.
+// subtractElsewhere reduces a rule by what runs on workers that other hosts hold.
 func (l *Leader) subtractElsewhere(row table.Row, r place.Rule) place.Rule {
 	for _, tasks := range l.countedElsewhere {
 		for _, t := range tasks {
@@ -154,7 +156,8 @@
 	return r
 }
 
-// reduceLimit is a limit of the placement that n of are taken: zero is open, a negative one allows nothing.
+// reduceLimit returns a placement limit reduced by n. Zero means no limit; a negative limit allows
+// nothing.
 func reduceLimit(limit, n int64) int64 {
 	switch {
 	case limit <= 0:
@@ -170,8 +173,9 @@
 	return cell.Size{CPU: reduceLimit(limit.CPU, size.CPU), Mem: reduceLimit(limit.Mem, size.Mem), Accel: reduceLimit(limit.Accel, size.Accel)}
 }
 
-// postponeStart puts back a task whose row may not be started here any more. A lease that lapsed before
-// anyone noticed is noticed first: the task would get its room again at once.
+// postponeStart returns a task to the queue because its row may no longer be started here. It first
+// handles an expired lease that has not been noticed yet; otherwise the task would be placed on the
+// same worker at once.
 func (l *Leader) postponeStart(a job.Start) {
 	l.stepLeases(lease.Tick{})
 	l.addNote(a.Spec.ID, "start of "+a.Task+" put off: its row is counted elsewhere")
--- a/internal/lead/machines.go
+++ b/internal/lead/machines.go
@@ -8,14 +8,14 @@
 	"pollencroft/internal/place"
 )
 
-// Machine is a worker as the host list describes it.
+// Machine describes a worker as the host list has it.
 type Machine struct {
 	Name, Rack string
 	Address    netip.AddrPort
 	Size       cell.Size
 }
 
-// SetLedMachines replaces the workers that this host should lead.
+// SetLedMachines replaces the set of workers that this host should lead.
 func (l *Leader) SetLedMachines(all []Machine) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -27,9 +27,9 @@
 	l.stepLeases(lease.Wanted{Workers: names})
 }
 
-// UpdateMachines tells where all workers of the failure domain are, led here or not. A job
-// that was handed over may have tasks on another host's workers; without their
-// addresses a stop could never be sent, and a cancelled job would stay unknown.
+// UpdateMachines updates the addresses and sizes of all workers of the failure domain, including
+// those that other hosts lead. A job that was handed over may have tasks on another host's workers.
+// Without the addresses, a stop could not be sent there and a cancelled job would stay unknown.
 func (l *Leader) UpdateMachines(all []Machine) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -38,8 +38,8 @@
 	}
 }
 
-// updateMachine takes what the host list says of a worker now. Its size counts at once if it is led here;
-// one that cannot be is no room.
+// updateMachine applies a worker's entry in the host list. A new size takes effect at once if the
+// worker is led here. An invalid size counts as no capacity.
 func (l *Leader) updateMachine(m Machine) {
 	before, known := l.machines[m.Name]
 	listed := m.Size
@@ -51,7 +51,7 @@
 		return
 	}
 	if m.Size != listed {
-		l.Log.Warn("lead: size of a worker cannot be; it gets no work.", "worker", m.Name, "size", listed)
+		l.Log.Warn("lead: size of a worker is invalid; it gets no work.", "worker", m.Name, "size", listed)
 	}
 	if !known {
 		return
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -16,8 +16,8 @@
 	"pollencroft/internal/trail"
 )
 
-// stepPlacement steps the placement core and carries out its actions. A Put that no
-// longer holds is passed over: an action before it may have changed the room.
+// stepPlacement passes an event to the placer and carries out its actions. A Put is skipped if it
+// is no longer valid, because an earlier action may have changed the free capacity.
 func (l *Leader) stepPlacement(ev place.Event) {
 	for _, a := range l.Placer.Step(l.Clock(), ev) {
 		switch a := a.(type) {
@@ -31,22 +31,22 @@
 			l.spawn(func(ctx context.Context) { l.throttle(ctx, a) })
 		case place.Quarantined:
 			l.Count("lead.aside")
-			l.Log.Warn("lead: worker fails what others run and is set aside.", "worker", a.Worker)
+			l.Log.Warn("lead: worker fails tasks that succeed elsewhere and is quarantined.", "worker", a.Worker)
 		case place.Restored:
 			l.Count("lead.restored")
-			l.Log.Info("lead: worker gets work again.", "worker", a.Worker)
+			l.Log.Info("lead: worker is no longer quarantined.", "worker", a.Worker)
 		}
 	}
 }
 
 func (l *Leader) preempt(a place.Preempt) {
 	l.Count("lead.preempted")
-	l.Log.Info("lead: task is stopped for others.", "task", a.Task, "worker", a.Worker, "why", a.Reason)
+	l.Log.Info("lead: task is preempted.", "task", a.Task, "worker", a.Worker, "why", a.Reason)
 	l.addNote(jobOf(a.Task), "stop of "+a.Task+" on "+a.Worker+": "+a.Reason)
 	l.stepJobs(job.Preempt{Task: a.Task})
 }
 
-// jobOf is the job that a task id belongs to.
+// jobOf returns the id of the job that a task belongs to.
 func jobOf(task string) string {
 	for i := len(task) - 1; i >= 0; i-- {
 		if task[i] == '.' {
@@ -60,7 +60,7 @@
 	l.Count("lead.throttled")
 	l.Log.Warn("lead: task uses more than its worker has and is throttled.", "task", a.Task, "worker", a.Worker, "share", a.Share)
 	if err := l.Workers.Throttle(ctx, l.address(a.Worker), a.Task, a.Share); err != nil {
-		l.Log.Warn("lead: throttle has no answer.", "task", a.Task, "worker", a.Worker, "err", err)
+		l.Log.Warn("lead: throttle request got no answer.", "task", a.Task, "worker", a.Worker, "err", err)
 	}
 }
 
@@ -89,7 +89,7 @@
 	l.stepPlacement(w)
 }
 
-// declaredWant is a job's need as it was declared.
+// declaredWant returns the placement request of a job with its declared size and time.
 func (l *Leader) declaredWant(s job.Spec, tasks []string) place.Request {
 	row, _ := l.Row(s.Row)
 	return place.Request{
@@ -98,9 +98,9 @@
 	}
 }
 
-// estimatedSize is the size to pack by. Where the declared size could run and the
-// estimatedSize one never can, the declared one is kept: the job would otherwise
-// wait for ever for a guess.
+// estimatedSize returns the size to place a job by. If the job could run with its declared size but
+// never with the estimated one, the declared size is used; otherwise the job would wait forever
+// because of an estimate.
 func (l *Leader) estimatedSize(w place.Request) cell.Size {
 	declared := w.Size
 	w.Size = l.Estimates.Size(w.Row, declared)
@@ -110,7 +110,7 @@
 	return w.Size
 }
 
-// tableRule is what the table says of a row in this failure domain.
+// tableRule returns the rule of a row in this failure domain according to the table.
 func (l *Leader) tableRule(row table.Row) place.Rule {
 	r := place.Rule{Weight: row.Weight, Limit: row.Limits.Room, MaxTasks: row.Limits.Tasks}
 	if l.Shares != nil {
@@ -121,7 +121,7 @@
 	return r
 }
 
-// currentRule is what of it may be started here now.
+// currentRule returns the part of tableRule that this host may still use now.
 func (l *Leader) currentRule(row table.Row) place.Rule {
 	r := l.tableRule(row)
 	if !l.mayStart(row) {
@@ -131,8 +131,8 @@
 	return l.subtractElsewhere(row, r)
 }
 
-// placementLimit turns a share of the table, where NoLimit is open and zero nothing,
-// into a limit of the placement, where zero is open and -1 nothing.
+// placementLimit converts a share of the table into a placement limit. In the table, NoLimit means
+// no limit and zero allows nothing; in the placer, zero means no limit and -1 allows nothing.
 func placementLimit(s table.Share) (cell.Size, int64) {
 	part := func(n int64) int64 {
 		switch n {
@@ -147,10 +147,10 @@
 	return cell.Size{CPU: part(s.Room.CPU), Mem: part(s.Room.Mem), Accel: part(s.Room.Accel)}, part(s.Tasks)
 }
 
-// ruleRefreshInterval is how often the table is looked at for work that waits.
+// ruleRefreshInterval is how often the rules of rows with waiting work are compared with the table.
 const ruleRefreshInterval = time.Second
 
-// refreshRules applies edits of the table to work that waits already.
+// refreshRules applies edits of the table to work that is already waiting.
 func (l *Leader) refreshRules() {
 	if l.Clock().Sub(l.rulesRefreshed) < ruleRefreshInterval {
 		return
@@ -165,7 +165,7 @@
 	}
 }
 
-// reapplyRules applies what may be started here now to all work that waits.
+// reapplyRules passes the current rules of all rows with waiting work to the placer.
 func (l *Leader) reapplyRules() {
 	for _, name := range l.Placer.Rows() {
 		row, _ := l.Row(name)
@@ -184,7 +184,8 @@
 	return nil
 }
 
-// recordUsage books what a worker's list says that its tasks use.
+// recordUsage updates the estimates and the placer with the resource usage that a worker reports
+// for its tasks.
 func (l *Leader) recordUsage(tasks []lease.Task) {
 	for _, t := range tasks {
 		if t.State != "running" {
@@ -205,9 +206,9 @@
 	}
 }
 
-// foundTaskSize is the room of a task that ran before this host led its worker. The
-// room that it was started with may have been a guess, so what it is seen to
-// use goes before, with the same margin as for measured rows.
+// foundTaskSize returns the size to reserve for a task that ran before this host led its worker.
+// The size that it was started with may have been an estimate, so its measured use takes
+// precedence, with the same margin as for measured rows.
 func foundTaskSize(t lease.Task) cell.Size {
 	if t.Use == (cell.Size{}) {
 		return t.Size
@@ -216,8 +217,8 @@
 	return cell.Size{CPU: part(t.Size.CPU, t.Use.CPU), Mem: part(t.Size.Mem, t.Use.Mem), Accel: t.Size.Accel}
 }
 
-// growForeignTask books a task of a job that is not led here, of which nobody knows what
-// was declared: its room never shrinks.
+// growForeignTask adjusts the size of a task whose job is not led here. Its declared size is
+// unknown, so its reserved size never shrinks.
 func (l *Leader) growForeignTask(t lease.Task) {
 	if room, ok := l.Placer.AllocatedSize(t.ID); ok && t.Use != (cell.Size{}) {
 		size := cell.Size{CPU: max(room.CPU, t.Use.CPU), Mem: max(room.Mem, t.Use.Mem), Accel: room.Accel}
@@ -225,7 +226,8 @@
 	}
 }
 
-// Explain tells why a job waits, where it was tried and what was refused.
+// Explain returns the history of a job: why it waits, where it was tried and which placements were
+// refused.
 func (l *Leader) Explain(id string) []trail.Note {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -246,7 +248,7 @@
 	return notes
 }
 
-// explainPostponed tells that a waiting task's row is counted by another host.
+// explainPostponed returns a note if another host counts the row of a waiting task.
 func (l *Leader) explainPostponed(id, task string) []trail.Note {
 	spec, _ := l.Jobs.Spec(task)
 	row, _ := l.Row(spec.Row)
--- a/internal/lead/rack.go
+++ b/internal/lead/rack.go
@@ -9,24 +9,27 @@
 )
 
 const (
-	// rackDecisionTimeout is how long the list of a worker in a new life waits for a sign of its rack.
+	// rackDecisionTimeout is how long the list of a restarted worker is held back while it is
+	// unclear whether the other workers of its rack still run.
 	rackDecisionTimeout = 2 * time.Second
-	// rackRestartSpread is how far apart the workers of a rack come back that was lost as a whole.
+	// rackRestartSpread is the longest time between the restarts of workers whose rack failed as a
+	// whole.
 	rackRestartSpread = 30 * time.Second
-	// rackPollInterval is how often the worker is read meanwhile.
+	// rackPollInterval is how often a worker is read during that wait.
 	rackPollInterval = 250 * time.Millisecond
 )
 
-// incarnation is one incarnation of a worker. Since is when it was first seen; zero: it is the first one that
-// this host saw. Open tells that its list waits for a sign of the rack, lost that there was none.
+// incarnation is one incarnation of a worker. since is when it was first seen, or zero if it is the
+// first one that this host saw. undecided means that it is not known yet whether the whole rack was
+// lost; rackLost means that it was.
 type incarnation struct {
 	name                string
 	since               time.Time
 	undecided, rackLost bool
 }
 
-// wholeRackLost tells whether a worker began a new life together with all of its rack, which is no
-// fault of the tasks that ran there. With wait set that is not known yet.
+// wholeRackLost reports whether a worker restarted together with its whole rack, so that the
+// restart does not count against the tasks that ran there. If wait is true, that is not known yet.
 func (l *Leader) wholeRackLost(name string, r lease.Reading) (lost, wait bool) {
 	now := l.Clock()
 	w := l.incarnations[name]
@@ -57,11 +60,12 @@
 		return false, true
 	}
 	w.undecided, w.rackLost = false, true
-	l.Log.Warn("lead: whole rack was lost.", "rack", l.machines[name].Rack, "worker", name)
+	l.Log.Warn("lead: all workers of a rack restarted together.", "rack", l.machines[name].Rack, "worker", name)
 	return true, false
 }
 
-// rackPeers are the workers of a worker's rack that are held here or were a short while ago.
+// rackPeers lists the other workers of a worker's rack that are held here or were held until
+// recently.
 func (l *Leader) rackPeers(name string) []string {
 	held := l.Leases.Held()
 	var mates []string
@@ -77,8 +81,8 @@
 	return mates
 }
 
-// rackSigns tells whether some worker has gone on with its life since then, and whether some has given
-// no sign.
+// rackSigns reports whether at least one of the workers has continued its incarnation after since,
+// and whether at least one has not been heard from.
 func (l *Leader) rackSigns(mates []string, since time.Time) (alive, silent bool) {
 	for _, mate := range mates {
 		r, held := l.Leases.LastReading(mate)
@@ -94,7 +98,8 @@
 	return alive, silent
 }
 
-// rereadUndecided reads the workers again whose lists wait for a sign of the rack.
+// rereadUndecided reads the workers of a rack again for which it is not decided yet whether the
+// rack was lost.
 func (l *Leader) rereadUndecided(mate string) {
 	for _, name := range slices.Sorted(maps.Keys(l.incarnations)) {
 		if l.incarnations[name].undecided && l.machines[name].Rack == l.machines[mate].Rack {
--- a/internal/lead/start.go
+++ b/internal/lead/start.go
@@ -14,8 +14,8 @@
 	"pollencroft/internal/worker"
 )
 
-// start fixes the start's deadline now, in the worker's clock, before the
-// start can be delayed: what arrives later is dead on arrival.
+// start sends a start to a worker. It fixes the deadline now, in the worker's clock, before the
+// start can be delayed; the worker rejects a start that arrives later.
 func (l *Leader) start(a job.Start) {
 	deadline, ok := l.Leases.Deadline(l.Clock(), a.Worker)
 	if !ok {
@@ -38,15 +38,15 @@
 	l.stepJobs(job.StartSent{Task: a.Task, Deadline: deadline})
 	l.stepLeases(lease.StartSent{Worker: a.Worker, Task: a.Task})
 	if arbiter != "" && arbiter != a.Worker {
-		// The worker whose holder may start the row is not given back under the start either.
+		// The lease of the arbiter must not be released while the start is in flight either.
 		l.stepLeases(lease.StartSent{Worker: arbiter, Task: a.Task})
 	}
 	l.spawn(func(ctx context.Context) { l.sendStart(ctx, a, arbiter, size, deadline) })
 }
 
-// handleLapsedLease puts back a task whose worker's lease ran out before anyone noticed,
-// as after a pause. The worker must be gone from the placement first: it would
-// get the task again at once, and the host would die of the endless recursion.
+// handleLapsedLease returns a task to the queue because the lease of its worker expired unnoticed,
+// for example during a pause. The worker must be removed from the placer first: otherwise the
+// placer would assign the task to it again at once, and the host would crash with endless recursion.
 func (l *Leader) handleLapsedLease(a job.Start) {
 	l.stepLeases(lease.Tick{})
 	l.stepPlacement(place.Down{Worker: a.Worker})
--- a/internal/lead/stop.go
+++ b/internal/lead/stop.go
@@ -11,17 +11,17 @@
 	"pollencroft/internal/worker"
 )
 
-// stopRetry is how long after a lost stop the worker's list is read.
+// stopRetry is the delay after an unanswered stop before the worker's list is read.
 const stopRetry = 250 * time.Millisecond
 
-// stop asks until the worker confirms.
+// stop asks a worker to stop a task. It is repeated until the worker confirms.
 func (l *Leader) stop(ctx context.Context, a job.Stop) {
 	l.handleStopReply(a.Worker, job.Stopped{Task: a.Task, Attempt: a.Attempt}, l.Workers.Stop(ctx, l.address(a.Worker), a.Task))
 }
 
-// pause checkpoints a task and then stops it. Without an answer to the first
-// it is not stopped: its work would be lost. The worker's list shows then
-// whether it still runs, and brings the next try.
+// pause checkpoints a task and then stops it. If the checkpoint is not confirmed, the task is not
+// stopped, because its work would be lost. The worker's list then shows whether the task still
+// runs, which triggers the next attempt.
 func (l *Leader) pause(ctx context.Context, a job.Pause) {
 	addr := l.address(a.Worker)
 	err := l.Workers.Checkpoint(ctx, addr, a.Task)
@@ -31,9 +31,9 @@
 	l.handleStopReply(a.Worker, job.Stopped{Task: a.Task, Attempt: a.Attempt}, err)
 }
 
-// handleStopReply takes note of a stop's answer. A stop whose answer is lost, or that
-// overtook the start, is followed by a look at the worker's list, which brings
-// the next stop as long as the task runs.
+// handleStopReply handles the result of a stop. If the answer was lost, or the stop overtook the
+// start, the worker's list is read again. The job state machine repeats the stop as long as the
+// list shows the task running.
 func (l *Leader) handleStopReply(on string, ev job.Stopped, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
