--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -73,7 +73,7 @@
 	taskWorkers map[string]string
 	// untracked holds, by task, starts that may still arrive although this host no longer leads the
 	// job.
-	untracked   map[string]untrackedRun
+	untracked map[string]untrackedRun
 	// lastDropped holds, by worker, the time at which a job with tasks there was last dropped.
 	lastDropped map[string]time.Time
 	// expectedHandovers holds, by peer, the handover that the peer may send next.
