--- a/internal/lead/limits.go
+++ b/internal/lead/limits.go
@@ -11,24 +11,25 @@
 	"pollencroft/internal/takeover"
 )
 
-// CountedTask is one running task of a key. A key is what is counted together: a row with limits, or
-// the rows of a team with a quota.
+// CountedTask is a running task of a key. A key groups the tasks that are counted together: those
+// of a row with limits, or of all rows of a team with a quota.
 type CountedTask struct {
 	Row  string    `json:"row"`
 	Size cell.Size `json:"size"`
 }
 
-// count is a key that is counted here as long as this host holds the worker. Done is set when
-// all is known that runs of it.
-type count struct {
-	worker string
-	done   bool
+// keyCount is a key that this host counts while it holds worker. complete is set once all running
+// tasks of the key are known.
+type keyCount struct {
+	worker   string
+	complete bool
 }
 
-// arbiter is the worker that must be held to start tasks of a row; empty names for a row that
-// anyone may start. Two hosts may both take themselves for the lead of the row's rack, but a
-// worker has one holder. One that is silent for longer than any lease is passed over: with it
-// the row would stand still for as long as it is listed.
+// arbiter returns the key of a row and the worker whose holder alone may start tasks of the row.
+// The key is empty if any host may start them. Two hosts may both believe that they lead the row's
+// rack, but a worker has only one holder. Workers that have been silent for longer than any lease
+// are skipped; otherwise the row would be blocked for as long as such a worker stays on the host
+// list. If all are silent, the worker is empty and no host may start the row.
 func (l *Leader) arbiter(row table.Row) (key, worker string) {
 	if l.LimitKey == nil {
 		return "", ""
@@ -44,7 +45,7 @@
 	return key, ""
 }
 
-func (l *Leader) keyOf(row string) string {
+func (l *Leader) limitKeyOf(row string) string {
 	if l.LimitKey == nil {
 		return ""
 	}
@@ -52,8 +53,8 @@
 	return l.LimitKey(r)
 }
 
-// mayStart tells whether tasks of a row may be started here, and begins to count what runs of it
-// when the worker is held that allows it.
+// mayStart reports whether this host may start tasks of a row. When this host holds the row's
+// arbiter, mayStart begins to count the running tasks of the row's key.
 func (l *Leader) mayStart(row table.Row) bool {
 	key, worker := l.arbiter(row)
 	if key == "" {
@@ -61,101 +62,103 @@
 	}
 	c := l.counts[key]
 	if !slices.Contains(l.Leases.Held(), worker) {
-		l.uncount(key)
+		l.stopCounting(key)
 		return false
 	}
 	if c == nil || c.worker != worker {
-		c = &count{worker: worker}
+		c = &keyCount{worker: worker}
 		l.counts[key] = c
-		l.Log.Info("lead: counting what runs.", "key", key, "worker", worker)
-		l.takeover(takeover.AddKey{Key: key})
+		l.Log.Info("lead: counting running tasks of a key.", "key", key, "worker", worker)
+		l.stepTakeover(takeover.AddKey{Key: key})
 	}
-	return c.done
+	return c.complete
 }
 
-func (l *Leader) uncount(key string) {
+func (l *Leader) stopCounting(key string) {
 	if _, ok := l.counts[key]; !ok {
 		return
 	}
 	delete(l.counts, key)
-	l.Log.Info("lead: another host may count what runs.", "key", key)
-	l.takeover(takeover.RemoveKey{Key: key})
+	l.Log.Info("lead: no longer counting running tasks of a key.", "key", key)
+	l.stepTakeover(takeover.RemoveKey{Key: key})
 }
 
-// counted begins to start tasks of a key, of which all that runs is known now.
-func (l *Leader) counted(key string) {
+// finishCounting allows tasks of a key to start, now that all running tasks of the key are known.
+func (l *Leader) finishCounting(key string) {
 	c, ok := l.counts[key]
 	if !ok {
 		return
 	}
-	c.done = true
-	l.Log.Info("lead: what runs is counted.", "key", key, "worker", c.worker)
-	// The rows that wait are told with the next tick.
-	l.ruled = l.ruled.Add(-ruleEvery)
+	c.complete = true
+	l.Log.Info("lead: running tasks of a key are counted.", "key", key, "worker", c.worker)
+	// The next tick passes the new rules on to the waiting rows.
+	l.rulesRefreshed = l.rulesRefreshed.Add(-ruleRefreshInterval)
 }
 
-// lose ends the counting that rests on a worker.
-func (l *Leader) lose(worker string) {
+// stopCountingOn stops counting the keys whose arbiter is this worker.
+func (l *Leader) stopCountingOn(worker string) {
 	lost := false
 	for key, c := range l.counts {
 		if c.worker == worker {
-			l.uncount(key)
+			l.stopCounting(key)
 			lost = true
 		}
 	}
 	if lost {
-		l.retell()
+		l.reapplyRules()
 	}
 }
 
-// runsElsewhere notes what runs of the counted keys on a worker of another host.
-func (l *Leader) runsElsewhere(worker string, tasks []CountedTask) {
+// setElsewhere records the running tasks of counted keys on a worker that another host holds.
+func (l *Leader) setElsewhere(worker string, tasks []CountedTask) {
 	if len(tasks) == 0 {
-		delete(l.elsewhere, worker)
+		delete(l.countedElsewhere, worker)
 		return
 	}
-	l.elsewhere[worker] = tasks
+	l.countedElsewhere[worker] = tasks
 }
 
-// toldElsewhere notes what a peer told of some keys; of others it was not asked.
-func (l *Leader) toldElsewhere(worker string, keys []string, tasks []CountedTask) {
-	for _, t := range l.elsewhere[worker] {
-		if !slices.Contains(keys, l.keyOf(t.Row)) {
+// mergeElsewhere records a peer's answer for the requested keys and keeps the recorded tasks of all
+// other keys.
+func (l *Leader) mergeElsewhere(worker string, keys []string, tasks []CountedTask) {
+	for _, t := range l.countedElsewhere[worker] {
+		if !slices.Contains(keys, l.limitKeyOf(t.Row)) {
 			tasks = append(tasks, t)
 		}
 	}
-	l.runsElsewhere(worker, tasks)
+	l.setElsewhere(worker, tasks)
 }
 
-// keepCounted notes what ran of counted keys on a worker that is given up.
+// keepCounted records the running tasks of counted keys on a worker that is given up.
 func (l *Leader) keepCounted(worker string) {
 	var all []CountedTask
 	for _, u := range l.Placer.TasksOn(worker) {
-		if l.keyOf(u.Row) != "" {
+		if l.limitKeyOf(u.Row) != "" {
 			all = append(all, CountedTask{Row: u.Row, Size: u.Size})
 		}
 	}
-	l.runsElsewhere(worker, all)
+	l.setElsewhere(worker, all)
 }
 
-// lessElsewhere takes off a rule what runs on workers of other hosts.
-func (l *Leader) lessElsewhere(row table.Row, r place.Rule) place.Rule {
-	for _, tasks := range l.elsewhere {
+// subtractElsewhere reduces a rule by what runs on workers that other hosts hold.
+func (l *Leader) subtractElsewhere(row table.Row, r place.Rule) place.Rule {
+	for _, tasks := range l.countedElsewhere {
 		for _, t := range tasks {
 			other, _ := l.Row(t.Row)
 			if t.Row == row.Name {
-				r.MaxTasks, r.Limit = less(r.MaxTasks, 1), lessSize(r.Limit, t.Size)
+				r.MaxTasks, r.Limit = reduceLimit(r.MaxTasks, 1), reduceSize(r.Limit, t.Size)
 			}
 			if row.Team != "" && other.Team == row.Team {
-				r.QuotaTasks, r.Quota = less(r.QuotaTasks, 1), lessSize(r.Quota, t.Size)
+				r.QuotaTasks, r.Quota = reduceLimit(r.QuotaTasks, 1), reduceSize(r.Quota, t.Size)
 			}
 		}
 	}
 	return r
 }
 
-// less is a limit of the placement that n of are taken: zero is open, a negative one allows nothing.
-func less(limit, n int64) int64 {
+// reduceLimit returns a placement limit reduced by n. Zero means no limit; a negative limit allows
+// nothing.
+func reduceLimit(limit, n int64) int64 {
 	switch {
 	case limit <= 0:
 		return limit
@@ -166,15 +169,16 @@
 	}
 }
 
-func lessSize(limit, size cell.Size) cell.Size {
-	return cell.Size{CPU: less(limit.CPU, size.CPU), Mem: less(limit.Mem, size.Mem), Accel: less(limit.Accel, size.Accel)}
+func reduceSize(limit, size cell.Size) cell.Size {
+	return cell.Size{CPU: reduceLimit(limit.CPU, size.CPU), Mem: reduceLimit(limit.Mem, size.Mem), Accel: reduceLimit(limit.Accel, size.Accel)}
 }
 
-// putOff puts back a task whose row may not be started here any more. A lease that lapsed before
-// anyone noticed is noticed first: the task would get its room again at once.
-func (l *Leader) putOff(a job.Start) {
-	l.lease(lease.Tick{})
-	l.note(a.Spec.ID, "start of "+a.Task+" put off: its row is counted elsewhere")
-	l.retell()
-	l.job(job.NotStarted{Task: a.Task, Attempt: a.Attempt})
+// postponeStart returns a task to the queue because its row may no longer be started here. It first
+// handles an expired lease that has not been noticed yet; otherwise the task would be placed on the
+// same worker at once.
+func (l *Leader) postponeStart(a job.Start) {
+	l.stepLeases(lease.Tick{})
+	l.addNote(a.Spec.ID, "start of "+a.Task+" put off: its row is counted elsewhere")
+	l.reapplyRules()
+	l.stepJobs(job.NotStarted{Task: a.Task, Attempt: a.Attempt})
 }
