--- a/internal/entry/inbox.go
+++ b/internal/entry/inbox.go
@@ -25,10 +25,10 @@
 	h *Host
 	// parts are where it may append, its own partition first.
 	parts []int
-	queue chan ask
+	queue chan appendRequest
 }
 
-type ask struct {
+type appendRequest struct {
 	ctx    context.Context
 	record store.Record
 	done   chan error
@@ -48,7 +48,7 @@
 
 func newInbox(h *Host) *inbox {
 	own := int(xxhash.Sum64String(h.cfg.Name) % uint64(h.cfg.Parts))
-	return &inbox{h: h, parts: partsFrom(own, h.cfg.Parts), queue: make(chan ask, mostAsks)}
+	return &inbox{h: h, parts: partsFrom(own, h.cfg.Parts), queue: make(chan appendRequest, mostAsks)}
 }
 
 // put stores a record. After a store.RefusedError it is certain that it is not
@@ -59,7 +59,7 @@
 		// that nobody knows. What is not sent is certainly not stored.
 		return &store.RefusedError{Op: store.Append, Reason: "the store has not answered for a while"}
 	}
-	a := ask{ctx: ctx, record: r, done: make(chan error, 1)}
+	a := appendRequest{ctx: ctx, record: r, done: make(chan error, 1)}
 	select {
 	case b.queue <- a:
 	default:
@@ -84,8 +84,8 @@
 	}
 }
 
-func (b *inbox) gather(first ask) []ask {
-	all := []ask{first}
+func (b *inbox) gather(first appendRequest) []appendRequest {
+	all := []appendRequest{first}
 	size := len(first.record.Value)
 	for size < mostBytes {
 		select {
@@ -102,7 +102,7 @@
 // store appends until there is an answer or nobody waits any more, at another
 // partition if the host's own one is down. An append that is repeated says the same
 // under the same keys.
-func (b *inbox) store(all []ask) {
+func (b *inbox) store(all []appendRequest) {
 	records := make([]store.Record, len(all))
 	for i, a := range all {
 		records[i] = a.record
@@ -132,13 +132,13 @@
 	}
 }
 
-func finish(all []ask, err error) {
+func finish(all []appendRequest, err error) {
 	for _, a := range all {
 		a.done <- err
 	}
 }
 
-func waited(all []ask) bool {
+func waited(all []appendRequest) bool {
 	for _, a := range all {
 		if a.ctx.Err() == nil {
 			return true
