--- a/internal/entry/inbox.go
+++ b/internal/entry/inbox.go
@@ -35,8 +35,8 @@
 }
 
 const (
-	// mostAsks is how many may wait for the next append; more are turned away.
-	mostAsks = 512
+	// maxQueuedRequests is how many may wait for the next append; more are turned away.
+	maxQueuedRequests = 512
 	// mostBytes keeps one append below the store's bound on a call.
 	mostBytes = 1 << 20
 	// staleAfter is how long ago the store may have answered when a job is sent to
@@ -48,7 +48,7 @@
 
 func newInbox(h *Host) *inbox {
 	own := int(xxhash.Sum64String(h.cfg.Name) % uint64(h.cfg.Parts))
-	return &inbox{h: h, parts: partsFrom(own, h.cfg.Parts), queue: make(chan appendRequest, mostAsks)}
+	return &inbox{h: h, parts: partsFrom(own, h.cfg.Parts), queue: make(chan appendRequest, maxQueuedRequests)}
 }
 
 // put stores a record. After a store.RefusedError it is certain that it is not
