--- a/internal/entry/inbox.go
+++ b/internal/entry/inbox.go
@@ -37,8 +37,8 @@
 const (
 	// maxQueuedRequests is how many may wait for the next append; more are turned away.
 	maxQueuedRequests = 512
-	// mostBytes keeps one append below the store's bound on a call.
-	mostBytes = 1 << 20
+	// maxAppendBytes keeps one append below the store's bound on a call.
+	maxAppendBytes = 1 << 20
 	// staleAfter is how long ago the store may have answered when a job is sent to
 	// it: two of the host's own calls have failed by then.
 	staleAfter = 900 * time.Millisecond
@@ -87,7 +87,7 @@
 func (b *inbox) gather(first appendRequest) []appendRequest {
 	all := []appendRequest{first}
 	size := len(first.record.Value)
-	for size < mostBytes {
+	for size < maxAppendBytes {
 		select {
 		case a := <-b.queue:
 			all = append(all, a)
