--- a/internal/entry/inbox.go
+++ b/internal/entry/inbox.go
@@ -39,9 +39,9 @@
 	maxQueuedRequests = 512
 	// maxAppendBytes keeps one append below the store's bound on a call.
 	maxAppendBytes = 1 << 20
-	// staleAfter is how long ago the store may have answered when a job is sent to
+	// storeFreshness is how long ago the store may have answered when a job is sent to
 	// it: two of the host's own calls have failed by then.
-	staleAfter = 900 * time.Millisecond
+	storeFreshness = 900 * time.Millisecond
 	// againAfter is the pause before an append without an answer is repeated.
 	againAfter = 60 * time.Millisecond
 )
@@ -54,7 +54,7 @@
 // put stores a record. After a store.RefusedError it is certain that it is not
 // stored and never will be; after another error nobody knows.
 func (b *inbox) put(ctx context.Context, r store.Record) error {
-	if !b.h.store.Fresh(staleAfter) {
+	if !b.h.store.Fresh(storeFreshness) {
 		// What is sent into a cut has no answer, and its caller could only be told
 		// that nobody knows. What is not sent is certainly not stored.
 		return &store.RefusedError{Op: store.Append, Reason: "the store has not answered for a while"}
--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -116,7 +116,7 @@
 // vain tells whether no more answer is to be expected: a host that the store does not answer
 // while its lead is late is cut off.
 func (q *question) vain() bool {
-	return q.storeErr != nil && (q.open == 0 || !q.h.store.Fresh(staleAfter))
+	return q.storeErr != nil && (q.open == 0 || !q.h.store.Fresh(storeFreshness))
 }
 
 func (q *question) untold() told {
