--- a/internal/entry/inbox.go
+++ b/internal/entry/inbox.go
@@ -42,8 +42,8 @@
 	// storeFreshness is how long ago the store may have answered when a job is sent to
 	// it: two of the host's own calls have failed by then.
 	storeFreshness = 900 * time.Millisecond
-	// againAfter is the pause before an append without an answer is repeated.
-	againAfter = 60 * time.Millisecond
+	// unansweredRetry is the pause before an append without an answer is repeated.
+	unansweredRetry = 60 * time.Millisecond
 )
 
 func newInbox(h *Host) *inbox {
@@ -128,7 +128,7 @@
 			finish(all, &store.UnansweredError{Op: store.Append, Cause: err})
 			return
 		}
-		sleep(b.h.ctx, againAfter)
+		sleep(b.h.ctx, unansweredRetry)
 	}
 }
 
