--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -153,7 +153,7 @@
 		return
 	}
 	began := h.now()
-	err = h.inbox.put(ctx, store.Record{Key: id, Value: b})
+	err = h.inbox.append(ctx, store.Record{Key: id, Value: b})
 	h.observe("caller.store", h.now().Sub(began))
 	switch {
 	case err == nil:
@@ -222,7 +222,7 @@
 		reply(w, http.StatusOK, []byte("{}"))
 		return
 	}
-	err = h.inbox.put(ctx, store.Record{Key: id + cancelMark, Value: []byte("1")})
+	err = h.inbox.append(ctx, store.Record{Key: id + cancelMark, Value: []byte("1")})
 	switch {
 	case err == nil:
 		h.log.Info("caller: cancelled.", "id", id)
--- a/internal/entry/inbox.go
+++ b/internal/entry/inbox.go
@@ -51,9 +51,9 @@
 	return &inbox{h: h, parts: partsFrom(own, h.cfg.Parts), queue: make(chan appendRequest, maxQueuedRequests)}
 }
 
-// put stores a record. After a store.RefusedError it is certain that it is not
+// append stores a record. After a store.RefusedError it is certain that it is not
 // stored and never will be; after another error nobody knows.
-func (b *inbox) put(ctx context.Context, r store.Record) error {
+func (b *inbox) append(ctx context.Context, r store.Record) error {
 	if !b.h.store.Fresh(storeFreshness) {
 		// What is sent into a cut has no answer, and its caller could only be told
 		// that nobody knows. What is not sent is certainly not stored.
