--- a/internal/entry/inbox.go
+++ b/internal/entry/inbox.go
@@ -79,12 +79,12 @@
 		case <-b.h.ctx.Done():
 			return
 		case a := <-b.queue:
-			b.store(b.gather(a))
+			b.store(b.batch(a))
 		}
 	}
 }
 
-func (b *inbox) gather(first appendRequest) []appendRequest {
+func (b *inbox) batch(first appendRequest) []appendRequest {
 	all := []appendRequest{first}
 	size := len(first.record.Value)
 	for size < maxAppendBytes {
