--- a/internal/entry/inbox.go
+++ b/internal/entry/inbox.go
@@ -79,7 +79,7 @@
 		case <-b.h.ctx.Done():
 			return
 		case a := <-b.queue:
-			b.store(b.batch(a))
+			b.appendBatch(b.batch(a))
 		}
 	}
 }
@@ -99,10 +99,10 @@
 	return all
 }
 
-// store appends until there is an answer or nobody waits any more, at another
+// appendBatch appends until there is an answer or nobody waits any more, at another
 // partition if the host's own one is down. An append that is repeated says the same
 // under the same keys.
-func (b *inbox) store(all []appendRequest) {
+func (b *inbox) appendBatch(all []appendRequest) {
 	records := make([]store.Record, len(all))
 	for i, a := range all {
 		records[i] = a.record
