--- a/internal/entry/inbox.go
+++ b/internal/entry/inbox.go
@@ -124,7 +124,7 @@
 			return
 		}
 		unsure = true
-		if b.h.ctx.Err() != nil || !waited(all) {
+		if b.h.ctx.Err() != nil || !anyWaiting(all) {
 			finish(all, &store.UnansweredError{Op: store.Append, Cause: err})
 			return
 		}
@@ -138,7 +138,7 @@
 	}
 }
 
-func waited(all []appendRequest) bool {
+func anyWaiting(all []appendRequest) bool {
 	for _, a := range all {
 		if a.ctx.Err() == nil {
 			return true
