--- a/internal/entry/inbox.go
+++ b/internal/entry/inbox.go
@@ -148,10 +148,10 @@
 }
 
 const (
-	// handTries is how often a lead is told of what is stored, handAgain the pause
+	// notifyTries is how often a lead is told of what is stored, handAgain the pause
 	// between: until another one has taken over and looks for itself.
-	handTries = 12
-	handAgain = 150 * time.Millisecond
+	notifyTries = 12
+	handAgain   = 150 * time.Millisecond
 )
 
 // hand tells the lead what is stored, so that it need not look. Whoever leads next
@@ -159,7 +159,7 @@
 // changes would wait for the new one's next look through all partitions.
 func (h *Host) hand(part int, first int64, records []store.Record) {
 	h.wg.Go(func() {
-		for range handTries {
+		for range notifyTries {
 			if h.handOver(part, first, records) || !sleep(h.ctx, handAgain) {
 				return
 			}
