--- a/internal/entry/inbox.go
+++ b/internal/entry/inbox.go
@@ -150,8 +150,8 @@
 const (
 	// notifyTries is how often a lead is told of what is stored, handAgain the pause
 	// between: until another one has taken over and looks for itself.
-	notifyTries = 12
-	handAgain   = 150 * time.Millisecond
+	notifyTries    = 12
+	notifyInterval = 150 * time.Millisecond
 )
 
 // hand tells the lead what is stored, so that it need not look. Whoever leads next
@@ -160,7 +160,7 @@
 func (h *Host) hand(part int, first int64, records []store.Record) {
 	h.wg.Go(func() {
 		for range notifyTries {
-			if h.handOver(part, first, records) || !sleep(h.ctx, handAgain) {
+			if h.handOver(part, first, records) || !sleep(h.ctx, notifyInterval) {
 				return
 			}
 		}
