--- a/internal/entry/inbox.go
+++ b/internal/entry/inbox.go
@@ -114,7 +114,7 @@
 			return b.h.store.Do(b.h.ctx, store.Call{Op: store.Append, Topic: jobsTopic, Part: parts[i], Keyed: true, Records: records})
 		})
 		if err == nil {
-			b.h.hand(parts[first], got.Offset, records)
+			b.h.notifyLeader(parts[first], got.Offset, records)
 			b.parts[0], b.parts[first] = b.parts[first], b.parts[0]
 			finish(all, nil)
 			return
@@ -154,10 +154,10 @@
 	notifyInterval = 150 * time.Millisecond
 )
 
-// hand tells the lead what is stored, so that it need not look. Whoever leads next
+// notifyLeader tells the lead what is stored, so that it need not look. Whoever leads next
 // is told if it is not the lead any more: a job that is stored while the lead
 // changes would wait for the new one's next look through all partitions.
-func (h *Host) hand(part int, first int64, records []store.Record) {
+func (h *Host) notifyLeader(part int, first int64, records []store.Record) {
 	h.wg.Go(func() {
 		for range notifyTries {
 			if h.handOver(part, first, records) || !sleep(h.ctx, notifyInterval) {
