--- a/internal/entry/inbox.go
+++ b/internal/entry/inbox.go
@@ -160,7 +160,7 @@
 func (h *Host) notifyLeader(part int, first int64, records []store.Record) {
 	h.wg.Go(func() {
 		for range notifyTries {
-			if h.handOver(part, first, records) || !sleep(h.ctx, notifyInterval) {
+			if h.notifyCurrentLeader(part, first, records) || !sleep(h.ctx, notifyInterval) {
 				return
 			}
 		}
@@ -168,8 +168,8 @@
 	})
 }
 
-// handOver tells whoever leads now; false if that host did not take it as the lead.
-func (h *Host) handOver(part int, first int64, records []store.Record) bool {
+// notifyCurrentLeader tells whoever leads now; false if that host did not take it as the lead.
+func (h *Host) notifyCurrentLeader(part int, first int64, records []store.Record) bool {
 	h.mu.Lock()
 	lead, t := h.leader, h.ownTerm
 	h.mu.Unlock()
