--- a/internal/entry/journal.go
+++ b/internal/entry/journal.go
@@ -19,10 +19,10 @@
 // version, and the newest counts. A candidate fences all partitions before it reads
 // any, so nothing can be stored behind its back.
 type journal struct {
-	log   store.Log
-	lines *slog.Logger
-	wg    *sync.WaitGroup
-	term  int64
+	log    store.Log
+	logger *slog.Logger
+	wg     *sync.WaitGroup
+	term   int64
 	// width is how many partitions there are, readable without mu: the order of writers
 	// changes while appends are under way.
 	width int
@@ -54,7 +54,7 @@
 )
 
 func newJournal(log store.Log, lines *slog.Logger, wg *sync.WaitGroup, term int64, parts []int) *journal {
-	j := &journal{log: log, lines: lines, wg: wg, term: term, width: len(parts)}
+	j := &journal{log: log, logger: lines, wg: wg, term: term, width: len(parts)}
 	for _, p := range parts {
 		// The claim was the first append.
 		j.writers = append(j.writers, &partWriter{part: p, seq: 1, stored: map[string]int64{}})
@@ -133,7 +133,7 @@
 	if !failed[j.writers[0]] {
 		return
 	}
-	j.lines.Info("lead: progress goes to another partition.", "part", w.part, "before", j.writers[0].part, "term", j.term)
+	j.logger.Info("lead: progress goes to another partition.", "part", w.part, "before", j.writers[0].part, "term", j.term)
 	i := slices.Index(j.writers, w)
 	j.writers = slices.Insert(slices.Delete(j.writers, i, i+1), 0, w)
 }
@@ -163,7 +163,7 @@
 			j.release(w)
 			return err
 		case !store.Away(err):
-			j.lines.Warn("lead: partition takes nothing of this term any more.", "part", w.part, "term", j.term, "err", err)
+			j.logger.Warn("lead: partition takes nothing of this term any more.", "part", w.part, "term", j.term, "err", err)
 			return err
 		}
 		unsure = true
@@ -229,7 +229,7 @@
 		j.wg.Go(func() {
 			if err := j.write(ctx, w, 0, nil); err != nil {
 				// They stay for the next append there.
-				j.lines.Warn("lead: ended jobs are not dropped.", "part", w.part, "err", err)
+				j.logger.Warn("lead: ended jobs are not dropped.", "part", w.part, "err", err)
 			}
 		})
 	}
