--- a/internal/entry/journal.go
+++ b/internal/entry/journal.go
@@ -23,9 +23,9 @@
 	logger *slog.Logger
 	wg     *sync.WaitGroup
 	term   int64
-	// width is how many partitions there are, readable without mu: the order of writers
+	// parts is how many partitions there are, readable without mu: the order of writers
 	// changes while appends are under way.
-	width int
+	parts int
 
 	mu sync.Mutex
 	// writers are the partitions, the one that was served last first.
@@ -54,7 +54,7 @@
 )
 
 func newJournal(log store.Log, lines *slog.Logger, wg *sync.WaitGroup, term int64, parts []int) *journal {
-	j := &journal{log: log, logger: lines, wg: wg, term: term, width: len(parts)}
+	j := &journal{log: log, logger: lines, wg: wg, term: term, parts: len(parts)}
 	for _, p := range parts {
 		// The claim was the first append.
 		j.writers = append(j.writers, &partWriter{part: p, seq: 1, stored: map[string]int64{}})
@@ -71,7 +71,7 @@
 		w   *partWriter
 		err error
 	}
-	results := make(chan result, j.width)
+	results := make(chan result, j.parts)
 	flying, failed := 0, map[*partWriter]bool{}
 	for {
 		w := j.take(failed)
