--- a/internal/entry/journal.go
+++ b/internal/entry/journal.go
@@ -47,8 +47,8 @@
 }
 
 const (
-	// mostDrops is how many drops wait for a partition that is not written to.
-	mostDrops = 256
+	// maxPendingDrops is how many drops wait for a partition that is not written to.
+	maxPendingDrops = 256
 	// busyWait is the pause while no partition can be appended to.
 	busyWait = 50 * time.Millisecond
 )
@@ -219,7 +219,7 @@
 	var full []*partWriter
 	for _, w := range j.writers {
 		w.drops = append(w.drops, id)
-		if len(w.drops) > mostDrops && !w.busy {
+		if len(w.drops) > maxPendingDrops && !w.busy {
 			w.busy = true
 			full = append(full, w)
 		}
