--- a/internal/entry/journal.go
+++ b/internal/entry/journal.go
@@ -49,8 +49,8 @@
 const (
 	// maxPendingDrops is how many drops wait for a partition that is not written to.
 	maxPendingDrops = 256
-	// busyWait is the pause while no partition can be appended to.
-	busyWait = 50 * time.Millisecond
+	// busyPause is the pause while no partition can be appended to.
+	busyPause = 50 * time.Millisecond
 )
 
 func newJournal(log store.Log, lines *slog.Logger, wg *sync.WaitGroup, term int64, parts []int) *journal {
@@ -82,7 +82,7 @@
 			j.wg.Go(func() { results <- result{w, j.write(ctx, w, number, records)} })
 		case flying == 0:
 			clear(failed)
-			pause = busyWait
+			pause = busyPause
 		}
 		timer := time.NewTimer(pause)
 		select {
