--- a/internal/entry/journal.go
+++ b/internal/entry/journal.go
@@ -74,7 +74,7 @@
 	results := make(chan result, j.parts)
 	flying, failed := 0, map[*partWriter]bool{}
 	for {
-		w := j.take(failed)
+		w := j.reserve(failed)
 		pause := patience
 		switch {
 		case w != nil:
@@ -106,9 +106,9 @@
 	}
 }
 
-// take reserves the first partition without an append under way; nil if there is
+// reserve reserves the first partition without an append under way; nil if there is
 // none but those that failed.
-func (j *journal) take(failed map[*partWriter]bool) *partWriter {
+func (j *journal) reserve(failed map[*partWriter]bool) *partWriter {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, w := range j.writers {
