--- a/internal/entry/journal.go
+++ b/internal/entry/journal.go
@@ -72,15 +72,15 @@
 		err error
 	}
 	results := make(chan result, j.parts)
-	flying, failed := 0, map[*partWriter]bool{}
+	inFlight, failed := 0, map[*partWriter]bool{}
 	for {
 		w := j.reserve(failed)
 		pause := patience
 		switch {
 		case w != nil:
-			flying++
+			inFlight++
 			j.wg.Go(func() { results <- result{w, j.write(ctx, w, number, records)} })
-		case flying == 0:
+		case inFlight == 0:
 			clear(failed)
 			pause = busyPause
 		}
@@ -93,7 +93,7 @@
 			continue
 		case r := <-results:
 			timer.Stop()
-			flying--
+			inFlight--
 			switch {
 			case r.err == nil:
 				j.prefer(r.w, failed)
