--- a/internal/entry/journal.go
+++ b/internal/entry/journal.go
@@ -141,7 +141,7 @@
 // write appends to one partition and repeats what has no answer under the same
 // number, which the store carries out once. The partition is free again after that.
 func (j *journal) write(ctx context.Context, w *partWriter, number int64, records []store.Record) error {
-	c := store.Call{Op: store.Append, Topic: stateTopic, Part: w.part, Keyed: true, Epoch: j.term, Seq: w.seq, Records: w.missing(number, records)}
+	c := store.Call{Op: store.Append, Topic: stateTopic, Part: w.part, Keyed: true, Epoch: j.term, Seq: w.seq, Records: w.notYetWritten(number, records)}
 	drops := j.takeDrops(w)
 	for _, id := range drops {
 		c.Records = append(c.Records, store.Record{Key: id})
@@ -173,11 +173,11 @@
 	}
 }
 
-// missing leaves out the records of which the partition holds a newer one. It keeps
+// notYetWritten leaves out the records of which the partition holds a newer one. It keeps
 // what was written last, not what has the newest version, and an append that was
 // tried elsewhere in vain may come here after a later one. A successor would take a
 // job that is told as completed for one that runs, and run it again.
-func (w *partWriter) missing(number int64, records []store.Record) []store.Record {
+func (w *partWriter) notYetWritten(number int64, records []store.Record) []store.Record {
 	var all []store.Record
 	for _, r := range records {
 		if w.stored[r.Key] < number {
