--- a/internal/entry/journal.go
+++ b/internal/entry/journal.go
@@ -155,7 +155,7 @@
 		_, err := j.log.Do(ctx, c)
 		switch {
 		case err == nil:
-			w.wrote(number, c.Records)
+			w.recordWritten(number, c.Records)
 			j.release(w)
 			return nil
 		case store.NotDone(err) && !unsure:
@@ -187,8 +187,8 @@
 	return all
 }
 
-// wrote notes what the append of that number left in the partition.
-func (w *partWriter) wrote(number int64, records []store.Record) {
+// recordWritten notes what the append of that number left in the partition.
+func (w *partWriter) recordWritten(number int64, records []store.Record) {
 	w.seq++
 	for _, r := range records {
 		if len(r.Value) == 0 {
