--- a/internal/entry/journal.go
+++ b/internal/entry/journal.go
@@ -159,7 +159,7 @@
 			j.release(w)
 			return nil
 		case store.NotDone(err) && !unsure:
-			j.putDrops(w, drops)
+			j.returnDrops(w, drops)
 			j.release(w)
 			return err
 		case !store.Away(err):
@@ -207,7 +207,7 @@
 	return drops
 }
 
-func (j *journal) putDrops(w *partWriter, drops []string) {
+func (j *journal) returnDrops(w *partWriter, drops []string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	w.drops = append(drops, w.drops...)
