--- a/internal/entry/load.go
+++ b/internal/entry/load.go
@@ -11,8 +11,8 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// loadEvery is how often a lead tells what it is busy with.
-const loadEvery = 5 * time.Second
+// loadInterval is how often a lead tells what it is busy with.
+const loadInterval = 5 * time.Second
 
 // loadParts are the counters of what a lead's processor goes to, as prefixes of their names.
 var loadParts = []string{"start.", "stop.", "pace.", "hold.", "peer."}
@@ -23,7 +23,7 @@
 func (t *term) load() {
 	was, at, cpu := t.h.loadCounts(), t.h.now(), processorTime()
 	for more := true; more; {
-		more = sleep(t.ctx, loadEvery)
+		more = sleep(t.ctx, loadInterval)
 		is, now, used := t.h.loadCounts(), t.h.now(), processorTime()
 		t.mu.Lock()
 		late := t.late
