--- a/internal/entry/load.go
+++ b/internal/entry/load.go
@@ -14,8 +14,8 @@
 // loadInterval is how often a lead tells what it is busy with.
 const loadInterval = 5 * time.Second
 
-// loadParts are the counters of what a lead's processor goes to, as prefixes of their names.
-var loadParts = []string{"start.", "stop.", "pace.", "hold.", "peer."}
+// loadCounterPrefixes are the counters of what a lead's processor goes to, as prefixes of their names.
+var loadCounterPrefixes = []string{"start.", "stop.", "pace.", "hold.", "peer."}
 
 // load tells every loadEvery, and at the end of the term, what the lead did and what processor
 // time the process took. A lead that is short of processor answers late, is taken for gone and
@@ -45,7 +45,7 @@
 	all := map[string]int64{}
 	h.metrics.Each(func(name string, m any) {
 		c, ok := m.(metrics.Counter)
-		if ok && slices.ContainsFunc(loadParts, func(p string) bool { return strings.HasPrefix(name, p) }) {
+		if ok && slices.ContainsFunc(loadCounterPrefixes, func(p string) bool { return strings.HasPrefix(name, p) }) {
 			all[name] = c.Count()
 		}
 	})
