--- a/internal/entry/load.go
+++ b/internal/entry/load.go
@@ -17,10 +17,10 @@
 // loadCounterPrefixes are the counters of what a lead's processor goes to, as prefixes of their names.
 var loadCounterPrefixes = []string{"start.", "stop.", "pace.", "hold.", "peer."}
 
-// load tells every loadEvery, and at the end of the term, what the lead did and what processor
+// reportLoad tells every loadEvery, and at the end of the term, what the lead did and what processor
 // time the process took. A lead that is short of processor answers late, is taken for gone and
 // fenced off; from these lines one sees which work it was short for.
-func (t *term) load() {
+func (t *term) reportLoad() {
 	was, at, cpu := t.h.loadCounts(), t.h.now(), processorTime()
 	for more := true; more; {
 		more = sleep(t.ctx, loadInterval)
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -118,7 +118,7 @@
 	h.wg.Go(t.servers)
 	h.wg.Go(t.poll)
 	h.wg.Go(t.ticks)
-	h.wg.Go(t.load)
+	h.wg.Go(t.reportLoad)
 	return t
 }
 
