--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -79,8 +79,8 @@
 		return false
 	}
 	was := <-before
-	pause := settle - h.now().Sub(was.at)
-	for patience := h.progressTimeout(reach); sleep(h.ctx, pause); pause = settle {
+	pause := claimGrace - h.now().Sub(was.at)
+	for patience := h.progressTimeout(reach); sleep(h.ctx, pause); pause = claimGrace {
 		is := h.stateLogEnds()
 		if part := firstGrown(was, is); part >= 0 {
 			switch by := h.progressAuthor(lead, h.stateParts()[part]); by {
@@ -164,7 +164,7 @@
 func (h *Host) progressTimeout(reach peer.Reach) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	patience := settle
+	patience := claimGrace
 	if reach == peer.NoAnswer {
 		return patience
 	}
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// settle is how long a host that should lead waits for another one's claim:
+	// claimGrace is how long a host that should lead waits for another one's claim:
 	// twice what a claim takes.
-	settle = 150 * time.Millisecond
+	claimGrace = 150 * time.Millisecond
 	// syncEvery is how often a host asks the lead; what it tells callers may be
 	// two seconds old.
 	syncEvery = time.Second
@@ -85,7 +85,7 @@
 	}
 	// Another host may lead since, or be about to: a lead that leaves asks one to
 	// succeed it, and the group names another.
-	if lead != "" && !sleep(h.ctx, settle-h.now().Sub(began)) {
+	if lead != "" && !sleep(h.ctx, claimGrace-h.now().Sub(began)) {
 		return
 	}
 	if all, _, err := store.Table(h.ctx, h.store, leaderTopic, 0); err == nil {
