--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -13,9 +13,9 @@
 	// claimGrace is how long a host that should lead waits for another one's claim:
 	// twice what a claim takes.
 	claimGrace = 150 * time.Millisecond
-	// syncEvery is how often a host asks the lead; what it tells callers may be
+	// syncInterval is how often a host asks the lead; what it tells callers may be
 	// two seconds old.
-	syncEvery = time.Second
+	syncInterval = time.Second
 	// askWait bounds a question to a peer: ten times what a busy one takes.
 	askWait = 400 * time.Millisecond
 	// leadWait is how long a lead may take to say that it leads: a hundred times what
@@ -167,7 +167,7 @@
 
 // sync keeps what callers are told, and the list of hosts, as the lead has them.
 func (h *Host) sync() {
-	for sleep(h.ctx, syncEvery) {
+	for sleep(h.ctx, syncInterval) {
 		h.mu.Lock()
 		lead, leading, alone := h.leader, h.ownTerm != nil, len(h.hosts) < 2
 		h.mu.Unlock()
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -139,7 +139,7 @@
 		if err == nil && !r.Leading {
 			break
 		}
-		if !sleep(t.ctx, syncEvery) {
+		if !sleep(t.ctx, syncInterval) {
 			return
 		}
 	}
