--- a/internal/entry/heir.go
+++ b/internal/entry/heir.go
@@ -63,7 +63,7 @@
 			continue
 		}
 		h.wg.Go(func() {
-			ctx, cancel := context.WithTimeout(h.ctx, askWait)
+			ctx, cancel := context.WithTimeout(h.ctx, askTimeout)
 			defer cancel()
 			h.tellOne(ctx, p, succeed)
 		})
--- a/internal/entry/inbox.go
+++ b/internal/entry/inbox.go
@@ -180,7 +180,7 @@
 	if lead == "" || lead == h.cfg.Name {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(h.ctx, askWait)
+	ctx, cancel := context.WithTimeout(h.ctx, askTimeout)
 	defer cancel()
 	var r peer.HandReply
 	err := h.peers.Ask(ctx, lead, peer.Hand{Part: part, First: first, Records: records}, &r)
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -16,8 +16,8 @@
 	// syncInterval is how often a host asks the lead; what it tells callers may be
 	// two seconds old.
 	syncInterval = time.Second
-	// askWait bounds a question to a peer: ten times what a busy one takes.
-	askWait = 400 * time.Millisecond
+	// askTimeout bounds a question to a peer: ten times what a busy one takes.
+	askTimeout = 400 * time.Millisecond
 	// leadWait is how long a lead may take to say that it leads: a hundred times what
 	// an idle one takes, twice what one takes whose processor's share is used up for a
 	// period. The group names another host only if it heard nothing for joinTTL.
@@ -208,7 +208,7 @@
 }
 
 func (h *Host) syncWith(lead string) {
-	r, err := h.requestSync(lead, askWait)
+	r, err := h.requestSync(lead, askTimeout)
 	if err != nil || !r.Lead {
 		h.log.Warn("lead: does not answer.", "host", lead, "err", err)
 		h.readHosts()
--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -177,7 +177,7 @@
 	if state, ok := h.states.final(id); ok {
 		return state, true, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, askWait)
+	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	return h.askState(ctx, id)
 }
--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -182,7 +182,7 @@
 	if lately {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(h.ctx, askWait)
+	ctx, cancel := context.WithTimeout(h.ctx, askTimeout)
 	defer cancel()
 	best := h.able(ctx, h.strongerHosts())
 	if best == "" {
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -132,7 +132,7 @@
 	t.h.mu.Unlock()
 	// A lead that asked to be succeeded has ended its term before.
 	for over.LeaseBounds == nil && former != "" && former != t.h.cfg.Name {
-		ctx, cancel := context.WithTimeout(t.ctx, askWait)
+		ctx, cancel := context.WithTimeout(t.ctx, askTimeout)
 		var r peer.SyncReply
 		err := t.h.peers.Ask(ctx, former, t.h.syncMessage(), &r)
 		cancel()
