--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -18,10 +18,10 @@
 	syncInterval = time.Second
 	// askTimeout bounds a question to a peer: ten times what a busy one takes.
 	askTimeout = 400 * time.Millisecond
-	// leadWait is how long a lead may take to say that it leads: a hundred times what
+	// leaderTimeout is how long a lead may take to say that it leads: a hundred times what
 	// an idle one takes, twice what one takes whose processor's share is used up for a
 	// period. The group names another host only if it heard nothing for joinTTL.
-	leadWait = 250 * time.Millisecond
+	leaderTimeout = 250 * time.Millisecond
 	// muteFor is for how long a host that left that question without an answer is not
 	// asked again: about what a claim takes, after which another one is asked.
 	muteFor = 700 * time.Millisecond
@@ -162,7 +162,7 @@
 	if h.now().Sub(h.leaderSince) < youngTerm {
 		return youngWait
 	}
-	return leadWait
+	return leaderTimeout
 }
 
 // sync keeps what callers are told, and the list of hosts, as the lead has them.
