--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -22,9 +22,9 @@
 	// an idle one takes, twice what one takes whose processor's share is used up for a
 	// period. The group names another host only if it heard nothing for joinTTL.
 	leaderTimeout = 250 * time.Millisecond
-	// muteFor is for how long a host that left that question without an answer is not
+	// unresponsivePeriod is for how long a host that left that question without an answer is not
 	// asked again: about what a claim takes, after which another one is asked.
-	muteFor = 700 * time.Millisecond
+	unresponsivePeriod = 700 * time.Millisecond
 	// youngTerm is for how long a new lead is busy with what it took over, and
 	// youngWait how long its answer may take then. Taken for dead it would be fenced
 	// off, and so would the next one.
@@ -152,7 +152,7 @@
 func (h *Host) isMute(name string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.unresponsive == name && h.now().Sub(h.unresponsiveAt) < muteFor
+	return h.unresponsive == name && h.now().Sub(h.unresponsiveAt) < unresponsivePeriod
 }
 
 // leadPatience is how long the lead may take to answer.
