--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -25,11 +25,11 @@
 	// unresponsivePeriod is for how long a host that left that question without an answer is not
 	// asked again: about what a claim takes, after which another one is asked.
 	unresponsivePeriod = 700 * time.Millisecond
-	// youngTerm is for how long a new lead is busy with what it took over, and
+	// newTermPeriod is for how long a new lead is busy with what it took over, and
 	// youngWait how long its answer may take then. Taken for dead it would be fenced
 	// off, and so would the next one.
-	youngTerm = 3 * time.Second
-	youngWait = time.Second
+	newTermPeriod = 3 * time.Second
+	youngWait     = time.Second
 	// orphanAfter is how long a host is without a lead before it tries whoever the
 	// group names: twice what a change of the lead takes. orphanStep parts the
 	// hosts by what a claim takes.
@@ -159,7 +159,7 @@
 func (h *Host) leadPatience() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.now().Sub(h.leaderSince) < youngTerm {
+	if h.now().Sub(h.leaderSince) < newTermPeriod {
 		return youngWait
 	}
 	return leaderTimeout
