--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -28,8 +28,8 @@
 	// newTermPeriod is for how long a new lead is busy with what it took over, and
 	// youngWait how long its answer may take then. Taken for dead it would be fenced
 	// off, and so would the next one.
-	newTermPeriod = 3 * time.Second
-	youngWait     = time.Second
+	newTermPeriod    = 3 * time.Second
+	newLeaderTimeout = time.Second
 	// orphanAfter is how long a host is without a lead before it tries whoever the
 	// group names: twice what a change of the lead takes. orphanStep parts the
 	// hosts by what a claim takes.
@@ -160,7 +160,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.now().Sub(h.leaderSince) < newTermPeriod {
-		return youngWait
+		return newLeaderTimeout
 	}
 	return leaderTimeout
 }
