--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -30,11 +30,11 @@
 	// off, and so would the next one.
 	newTermPeriod    = 3 * time.Second
 	newLeaderTimeout = time.Second
-	// orphanAfter is how long a host is without a lead before it tries whoever the
+	// leaderlessTimeout is how long a host is without a lead before it tries whoever the
 	// group names: twice what a change of the lead takes. orphanStep parts the
 	// hosts by what a claim takes.
-	orphanAfter = 5 * time.Second
-	orphanStep  = time.Second
+	leaderlessTimeout = 5 * time.Second
+	orphanStep        = time.Second
 	// heardFor is how long a host that the lead hears nothing of counts as there:
 	// three of its questions.
 	heardFor = 3500 * time.Millisecond
@@ -204,7 +204,7 @@
 			rank++
 		}
 	}
-	return h.now().Sub(h.lastSync) > orphanAfter+time.Duration(rank)*orphanStep
+	return h.now().Sub(h.lastSync) > leaderlessTimeout+time.Duration(rank)*orphanStep
 }
 
 func (h *Host) syncWith(lead string) {
