--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -34,7 +34,7 @@
 	// group names: twice what a change of the lead takes. orphanStep parts the
 	// hosts by what a claim takes.
 	leaderlessTimeout = 5 * time.Second
-	orphanStep        = time.Second
+	leaderlessStep    = time.Second
 	// heardFor is how long a host that the lead hears nothing of counts as there:
 	// three of its questions.
 	heardFor = 3500 * time.Millisecond
@@ -204,7 +204,7 @@
 			rank++
 		}
 	}
-	return h.now().Sub(h.lastSync) > leaderlessTimeout+time.Duration(rank)*orphanStep
+	return h.now().Sub(h.lastSync) > leaderlessTimeout+time.Duration(rank)*leaderlessStep
 }
 
 func (h *Host) syncWith(lead string) {
