--- a/internal/entry/group.go
+++ b/internal/entry/group.go
@@ -101,7 +101,7 @@
 func (h *Host) minStrongPower() float64 {
 	powers := []float64{h.cfg.Power}
 	for _, s := range h.peersSeen {
-		if h.now().Sub(s.at) < heardFor {
+		if h.now().Sub(s.at) < hostExpiry {
 			powers = append(powers, s.power)
 		}
 	}
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -35,9 +35,9 @@
 	// hosts by what a claim takes.
 	leaderlessTimeout = 5 * time.Second
 	leaderlessStep    = time.Second
-	// heardFor is how long a host that the lead hears nothing of counts as there:
+	// hostExpiry is how long a host that the lead hears nothing of counts as there:
 	// three of its questions.
-	heardFor = 3500 * time.Millisecond
+	hostExpiry = 3500 * time.Millisecond
 )
 
 // resume takes up the term of this host's own former life, unless its heir has done so.
@@ -279,9 +279,9 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	all := map[string]netip.AddrPort{}
-	fresh := h.ownTerm != nil && h.now().Sub(h.ownTerm.began) < heardFor
+	fresh := h.ownTerm != nil && h.now().Sub(h.ownTerm.began) < hostExpiry
 	for n, s := range h.peersSeen {
-		if h.now().Sub(s.at) < heardFor {
+		if h.now().Sub(s.at) < hostExpiry {
 			all[n] = s.addr
 		}
 	}
--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -126,7 +126,7 @@
 	defer h.mu.Unlock()
 	lately := map[string]sighting{}
 	for n, s := range h.peersSeen {
-		if n != h.cfg.Name && h.now().Sub(s.at) < heardFor {
+		if n != h.cfg.Name && h.now().Sub(s.at) < hostExpiry {
 			lately[n] = s
 		}
 	}
