--- a/internal/entry/group.go
+++ b/internal/entry/group.go
@@ -114,7 +114,7 @@
 
 // maintainMembership keeps the host in its group for as long as it lives.
 func (h *Host) maintainMembership() {
-	h.resume()
+	h.resumeTerm()
 	h.removePreviousIncarnations()
 	in, generation := "", int64(0)
 	for h.ctx.Err() == nil {
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -40,8 +40,8 @@
 	hostExpiry = 3500 * time.Millisecond
 )
 
-// resume takes up the term of this host's own former life, unless its heir has done so.
-func (h *Host) resume() {
+// resumeTerm takes up the term of this host's own former life, unless its heir has done so.
+func (h *Host) resumeTerm() {
 	listed := make(chan struct{})
 	h.wg.Go(func() {
 		defer close(listed)
