--- a/internal/entry/group.go
+++ b/internal/entry/group.go
@@ -134,7 +134,7 @@
 			generation = a.Generation
 			if in == candidateGroup && slices.ContainsFunc(a.Shares, func(s store.Share) bool { return s.Part == 0 }) {
 				// It may wait for an answer; the host must not lapse meanwhile.
-				h.wg.Go(h.should)
+				h.wg.Go(h.considerClaim)
 			}
 		}
 		sleep(h.ctx, joinInterval)
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -67,9 +67,9 @@
 	}
 }
 
-// should is called while the group says that this host leads. A lead that works
+// considerClaim is called while the group says that this host leads. A lead that works
 // is left alone: the group deals its partitions anew without a reason at times.
-func (h *Host) should() {
+func (h *Host) considerClaim() {
 	if !h.electionMu.TryLock() {
 		return
 	}
@@ -183,7 +183,7 @@
 		h.dropRecent()
 		h.states.drop()
 		if h.orphaned() {
-			h.wg.Go(h.should)
+			h.wg.Go(h.considerClaim)
 		}
 	}
 }
