--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -57,7 +57,7 @@
 		<-listed
 		if heir := h.leaderOfOthers(); heir != "" {
 			h.log.Info("lead: another host leads in place of this one's former life.", "host", heir)
-			h.follower(heir, h.termNow())
+			h.followLeader(heir, h.termNow())
 			return
 		}
 		h.claim("a former life of this host led")
@@ -99,8 +99,8 @@
 	}
 }
 
-// follower takes a host for the lead until another term is announced.
-func (h *Host) follower(lead string, term int64) {
+// followLeader takes a host for the lead until another term is announced.
+func (h *Host) followLeader(lead string, term int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if term >= h.term {
--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -25,7 +25,7 @@
 // succeed takes over from a lead that leaves, or lets its successor do so.
 func (h *Host) succeed(m peer.Succeed) {
 	if m.Successor != h.cfg.Name {
-		h.follower(m.Successor, m.Term)
+		h.followLeader(m.Successor, m.Term)
 		return
 	}
 	bounds := make(map[string]time.Duration, len(m.Bounds))
@@ -193,6 +193,6 @@
 	h.mu.Unlock()
 	h.log.Info("lead: left to a stronger host.", "host", best)
 	h.tellSuccessor(ctx, best, peer.Succeed{Term: term})
-	h.follower(best, term)
+	h.followLeader(best, term)
 	return true
 }
