--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -40,7 +40,7 @@
 
 // Leading tells whether the host leads.
 func (h *Host) Leading() bool {
-	_, leading := h.leadNow()
+	_, leading := h.currentLeader()
 	return leading
 }
 
@@ -152,7 +152,7 @@
 
 // LeadName is the host that this one takes for the lead.
 func (h *Host) LeadName() string {
-	name, _ := h.leadNow()
+	name, _ := h.currentLeader()
 	return name
 }
 
@@ -296,7 +296,7 @@
 
 // Doubt asks the lead whether it leads, and tells whether it does or works nevertheless.
 func (h *Host) Doubt() bool {
-	name, _ := h.leadNow()
+	name, _ := h.currentLeader()
 	leads, before := h.checkLeader(name)
 	return leads || h.isLeaderAlive(before)
 }
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -52,7 +52,7 @@
 		return
 	}
 	h.applyLeader(all)
-	switch name, _ := h.leadNow(); name {
+	switch name, _ := h.currentLeader(); name {
 	case h.cfg.Name:
 		<-listed
 		if heir := h.leaderOfOthers(); heir != "" {
@@ -74,7 +74,7 @@
 		return
 	}
 	defer h.electionMu.Unlock()
-	lead, leading := h.leadNow()
+	lead, leading := h.currentLeader()
 	if leading {
 		return
 	}
@@ -91,7 +91,7 @@
 	if all, _, err := store.Table(h.ctx, h.store, leaderTopic, 0); err == nil {
 		h.applyLeader(all)
 	}
-	if newer, _ := h.leadNow(); h.leads(newer) || newer != "" && h.isLeaderAlive(before) {
+	if newer, _ := h.currentLeader(); h.leads(newer) || newer != "" && h.isLeaderAlive(before) {
 		return
 	}
 	if !h.delegate() {
@@ -108,7 +108,7 @@
 	}
 }
 
-func (h *Host) leadNow() (name string, leading bool) {
+func (h *Host) currentLeader() (name string, leading bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.leader, h.ownTerm != nil
--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -139,7 +139,7 @@
 // askNewLead puts the question to whoever leads now, if that is not who was asked last. A host
 // that has claimed is followed before its term is known.
 func (q *question) askNewLead() {
-	lead, _ := q.h.leadNow()
+	lead, _ := q.h.currentLeader()
 	if lead != q.lead || q.h.termNow() != q.term {
 		q.askLead()
 	}
@@ -152,7 +152,7 @@
 	}
 	q.leads++
 	q.open++
-	q.lead, _ = q.h.leadNow()
+	q.lead, _ = q.h.currentLeader()
 	q.term = q.h.termNow()
 	go func() {
 		state, known, err := q.h.askState(q.ctx, q.id)
