--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -195,7 +195,7 @@
 	began := h.now()
 	state, known, err := h.stateOf(ctx, id)
 	if err == nil && known {
-		h.log.Info("caller: told.", "id", id, "state", state, "term", h.termNow(), "took", h.now().Sub(began))
+		h.log.Info("caller: told.", "id", id, "state", state, "term", h.currentTerm(), "took", h.now().Sub(began))
 	}
 	switch {
 	case err == nil && !known && h.acceptedRecently(id):
--- a/internal/entry/heir.go
+++ b/internal/entry/heir.go
@@ -54,7 +54,7 @@
 	if !h.isProcessGone(lead) {
 		return
 	}
-	term := h.termNow()
+	term := h.currentTerm()
 	h.log.Info("lead: its process is gone.", "host", lead, "term", term)
 	// Others would claim beside this one, above all the dead one's next life.
 	succeed := peer.Succeed{Term: term, Successor: h.cfg.Name}
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -57,7 +57,7 @@
 		<-listed
 		if heir := h.leaderOfOthers(); heir != "" {
 			h.log.Info("lead: another host leads in place of this one's former life.", "host", heir)
-			h.followLeader(heir, h.termNow())
+			h.followLeader(heir, h.currentTerm())
 			return
 		}
 		h.claim("a former life of this host led")
@@ -114,7 +114,7 @@
 	return h.leader, h.ownTerm != nil
 }
 
-func (h *Host) termNow() int64 {
+func (h *Host) currentTerm() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.term
--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -140,7 +140,7 @@
 // that has claimed is followed before its term is known.
 func (q *question) askNewLead() {
 	lead, _ := q.h.currentLeader()
-	if lead != q.lead || q.h.termNow() != q.term {
+	if lead != q.lead || q.h.currentTerm() != q.term {
 		q.askLead()
 	}
 }
@@ -153,7 +153,7 @@
 	q.leads++
 	q.open++
 	q.lead, _ = q.h.currentLeader()
-	q.term = q.h.termNow()
+	q.term = q.h.currentTerm()
 	go func() {
 		state, known, err := q.h.askState(q.ctx, q.id)
 		q.answers <- told{state: state, known: known, err: err}
