--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -248,7 +248,7 @@
 		}
 		got <- h.stateLogEnds()
 	})
-	if h.leads(lead) {
+	if h.isLeaderOrClaiming(lead) {
 		close(yes)
 		return true, got
 	}
--- a/internal/entry/heir.go
+++ b/internal/entry/heir.go
@@ -99,7 +99,7 @@
 	}
 	wg.Wait()
 	for _, name := range names {
-		if name != "" && name != h.cfg.Name && h.leads(name) {
+		if name != "" && name != h.cfg.Name && h.isLeaderOrClaiming(name) {
 			return name
 		}
 	}
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -91,7 +91,7 @@
 	if all, _, err := store.Table(h.ctx, h.store, leaderTopic, 0); err == nil {
 		h.applyLeader(all)
 	}
-	if newer, _ := h.currentLeader(); h.leads(newer) || newer != "" && h.isLeaderAlive(before) {
+	if newer, _ := h.currentLeader(); h.isLeaderOrClaiming(newer) || newer != "" && h.isLeaderAlive(before) {
 		return
 	}
 	if !h.delegate() {
@@ -120,9 +120,9 @@
 	return h.term
 }
 
-// leads asks a host whether it leads and is served by the store, or is about to;
+// isLeaderOrClaiming asks a host whether it isLeaderOrClaiming and is served by the store, or is about to;
 // of one that left, whether its successor does.
-func (h *Host) leads(name string) bool {
+func (h *Host) isLeaderOrClaiming(name string) bool {
 	r, err := h.askLead(name)
 	if err == nil && r.Successor != "" {
 		r, err = h.askLead(r.Successor)
