--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -141,7 +141,7 @@
 		return name, false
 	}
 	h.peers.Set(name, seen.addr)
-	r, err := h.askLead(name)
+	r, err := h.askWhetherLeads(name)
 	if err == nil && r.Lead {
 		// Its announcement may be lost. Everybody would leave the lead to it, and
 		// nobody would know it; callers would be told for ever that no host leads.
--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -68,7 +68,7 @@
 // Waits asks a host whether it leads, in vain, and tells whether its answer was
 // waited for.
 func (h *Host) Waits(name string) bool {
-	_, err := h.askLead(name)
+	_, err := h.askWhetherLeads(name)
 	return !errors.As(err, new(*NoLeaderError))
 }
 
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -123,17 +123,17 @@
 // isLeaderOrClaiming asks a host whether it isLeaderOrClaiming and is served by the store, or is about to;
 // of one that left, whether its successor does.
 func (h *Host) isLeaderOrClaiming(name string) bool {
-	r, err := h.askLead(name)
+	r, err := h.askWhetherLeads(name)
 	if err == nil && r.Successor != "" {
-		r, err = h.askLead(r.Successor)
+		r, err = h.askWhetherLeads(r.Successor)
 	}
 	return err == nil && (r.Lead || r.Claiming)
 }
 
-// askLead asks a host whether it leads. One that left the question without an answer
+// askWhetherLeads asks a host whether it leads. One that left the question without an answer
 // just now is not asked again: on the way to a claim it would be waited for three
 // times, with all starts at rest.
-func (h *Host) askLead(name string) (peer.SyncReply, error) {
+func (h *Host) askWhetherLeads(name string) (peer.SyncReply, error) {
 	if name == "" || name == h.cfg.Name || h.isMute(name) {
 		return peer.SyncReply{}, &NoLeaderError{}
 	}
