--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -134,7 +134,7 @@
 // just now is not asked again: on the way to a claim it would be waited for three
 // times, with all starts at rest.
 func (h *Host) askWhetherLeads(name string) (peer.SyncReply, error) {
-	if name == "" || name == h.cfg.Name || h.isMute(name) {
+	if name == "" || name == h.cfg.Name || h.isUnresponsive(name) {
 		return peer.SyncReply{}, &NoLeaderError{}
 	}
 	r, err := h.requestSync(name, h.leadPatience())
@@ -149,7 +149,7 @@
 	return r, err
 }
 
-func (h *Host) isMute(name string) bool {
+func (h *Host) isUnresponsive(name string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.unresponsive == name && h.now().Sub(h.unresponsiveAt) < unresponsivePeriod
