--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -137,7 +137,7 @@
 	if name == "" || name == h.cfg.Name || h.isUnresponsive(name) {
 		return peer.SyncReply{}, &NoLeaderError{}
 	}
-	r, err := h.requestSync(name, h.leadPatience())
+	r, err := h.requestSync(name, h.leaderReplyTimeout())
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
@@ -155,8 +155,8 @@
 	return h.unresponsive == name && h.now().Sub(h.unresponsiveAt) < unresponsivePeriod
 }
 
-// leadPatience is how long the lead may take to answer.
-func (h *Host) leadPatience() time.Duration {
+// leaderReplyTimeout is how long the lead may take to answer.
+func (h *Host) leaderReplyTimeout() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.now().Sub(h.leaderSince) < newTermPeriod {
