--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -270,7 +270,7 @@
 	h.wg.Go(func() { srv.Serve(h.ctx, ln) })
 	h.wg.Go(func() { h.follow(leaderTopic, h.applyLeader) })
 	h.wg.Go(h.maintainMembership)
-	h.wg.Go(h.sync)
+	h.wg.Go(h.syncPeriodically)
 	return h, nil
 }
 
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -168,7 +168,7 @@
 	h.wg.Go(func() { h.follow(platform.TableTopic, h.applyTable) })
 	h.wg.Go(func() { h.follow(leaderTopic, h.applyLeader) })
 	h.wg.Go(h.maintainMembership)
-	h.wg.Go(h.sync)
+	h.wg.Go(h.syncPeriodically)
 	h.wg.Go(h.inbox.run)
 	return nil
 }
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -165,8 +165,8 @@
 	return leaderTimeout
 }
 
-// sync keeps what callers are told, and the list of hosts, as the lead has them.
-func (h *Host) sync() {
+// syncPeriodically keeps what callers are told, and the list of hosts, as the lead has them.
+func (h *Host) syncPeriodically() {
 	for sleep(h.ctx, syncInterval) {
 		h.mu.Lock()
 		lead, leading, alone := h.leader, h.ownTerm != nil, len(h.hosts) < 2
