--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -182,16 +182,16 @@
 		}
 		h.dropRecent()
 		h.states.drop()
-		if h.orphaned() {
+		if h.isLeaderless() {
 			h.wg.Go(h.considerClaim)
 		}
 	}
 }
 
-// orphaned tells whether no lead has worked for so long that this host should
+// isLeaderless tells whether no lead has worked for so long that this host should
 // try, whoever the group names: that one may be unable to. One notices hosts that
 // wait for a lead that never comes. The hosts try one after the other.
-func (h *Host) orphaned() bool {
+func (h *Host) isLeaderless() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.ownTerm != nil || h.leaving {
