--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -178,7 +178,7 @@
 	if l.Name != h.cfg.Name {
 		// It asks the policy service only through hosts that it heard of. After a loss
 		// of all power it has heard of none, and work would wait for the next sync.
-		h.wg.Go(func() { h.syncWith(l.Name) })
+		h.wg.Go(func() { h.syncWithLeader(l.Name) })
 	}
 	if t != nil && t.number < l.Term {
 		t.end("a later term began")
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -63,7 +63,7 @@
 		h.claim("a former life of this host led")
 	case "":
 	default:
-		h.syncWith(name)
+		h.syncWithLeader(name)
 	}
 }
 
@@ -176,7 +176,7 @@
 			h.setHosts(h.heardHosts())
 			h.cede()
 		case lead != "" && !alone:
-			h.syncWith(lead)
+			h.syncWithLeader(lead)
 		default:
 			h.readHosts()
 		}
@@ -207,7 +207,7 @@
 	return h.now().Sub(h.lastSync) > leaderlessTimeout+time.Duration(rank)*leaderlessStep
 }
 
-func (h *Host) syncWith(lead string) {
+func (h *Host) syncWithLeader(lead string) {
 	r, err := h.requestSync(lead, askTimeout)
 	if err != nil || !r.Lead {
 		h.log.Warn("lead: does not answer.", "host", lead, "err", err)
@@ -240,7 +240,7 @@
 		return
 	}
 	if lead != "" && lead != h.cfg.Name && ctx.Err() == nil {
-		h.syncWith(lead)
+		h.syncWithLeader(lead)
 	}
 }
 
