--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -151,10 +151,10 @@
 }
 
 // newestClaim returns the host of the claim among the records of a partition; false if there is none.
-func newestClaim(records []store.Record) (string, sighting, bool) {
+func newestClaim(records []store.Record) (string, hostInfo, bool) {
 	i := slices.IndexFunc(records, func(r store.Record) bool { return r.Key == claimKey })
 	if i < 0 {
-		return "", sighting{}, false
+		return "", hostInfo{}, false
 	}
 	return parseMember(string(records[i].Value))
 }
--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -52,9 +52,9 @@
 
 // ByPower orders hosts as successors.
 func ByPower(seen map[string]Sighting) []string {
-	all := map[string]sighting{}
+	all := map[string]hostInfo{}
 	for n, s := range seen {
-		all[n] = sighting{power: s.Power, began: s.Began}
+		all[n] = hostInfo{power: s.Power, began: s.Began}
 	}
 	return byPower(all)
 }
--- a/internal/entry/group.go
+++ b/internal/entry/group.go
@@ -49,21 +49,21 @@
 }
 
 // parseMember reads a member's name; false if it is none of ours.
-func parseMember(s string) (string, sighting, bool) {
+func parseMember(s string) (string, hostInfo, bool) {
 	fields := strings.Fields(s)
 	if len(fields) < 4 {
-		return "", sighting{}, false
+		return "", hostInfo{}, false
 	}
 	addr, err := netip.ParseAddrPort(fields[1])
 	if err != nil {
-		return "", sighting{}, false
+		return "", hostInfo{}, false
 	}
 	power, err := strconv.ParseFloat(fields[3], 64)
 	if err != nil {
-		return "", sighting{}, false
+		return "", hostInfo{}, false
 	}
 	began, err := strconv.ParseInt(fields[2], incarnationBase, 64)
-	return fields[0], sighting{addr: addr, power: power, began: time.Unix(0, began)}, err == nil
+	return fields[0], hostInfo{addr: addr, power: power, began: time.Unix(0, began)}, err == nil
 }
 
 // removePreviousIncarnations takes former lives of this host out of the group. They are over,
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -84,7 +84,7 @@
 	// accepted are the jobs that this host accepted lately, seen the hosts that asked
 	// it.
 	accepted  map[string]time.Time
-	peersSeen map[string]sighting
+	peersSeen map[string]hostInfo
 	// wasReady is what the balancer was told last.
 	wasReady bool
 	// failedSince are the topics whose last read failed, and since when.
@@ -98,7 +98,7 @@
 		cfg: cfg, log: log, now: now, startedAt: now(), workers: platform.NewWorkers(c),
 		peers: peer.NewClients(map[string]netip.AddrPort{}), metrics: metrics.NewRegistry(),
 		hosts: map[string]netip.AddrPort{cfg.Name: cfg.Listen.Peer}, pending: map[string]int{},
-		accepted: map[string]time.Time{}, peersSeen: map[string]sighting{}, failedSince: map[string]time.Time{},
+		accepted: map[string]time.Time{}, peersSeen: map[string]hostInfo{}, failedSince: map[string]time.Time{},
 	}
 	if cfg.Policy != "" {
 		addr, err := netip.ParseAddrPort(cfg.Policy)
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -249,8 +249,8 @@
 	return peer.Sync{From: h.cfg.Name, Addr: h.cfg.Listen.Peer, Power: h.cfg.Power, Began: h.startedAt, Term: term, Endings: next}
 }
 
-// sighting is a host that was heard of at some time; began is when its life did.
-type sighting struct {
+// hostInfo is a host that was heard of at some time; began is when its life did.
+type hostInfo struct {
 	addr  netip.AddrPort
 	power float64
 	began time.Time
@@ -265,7 +265,7 @@
 		return
 	}
 	h.mu.Lock()
-	h.peersSeen[m.From] = sighting{addr: m.Addr, power: m.Power, began: m.Began, at: h.now()}
+	h.peersSeen[m.From] = hostInfo{addr: m.Addr, power: m.Power, began: m.Began, at: h.now()}
 	_, known := h.hosts[m.From]
 	leading := h.ownTerm != nil
 	h.mu.Unlock()
--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -124,7 +124,7 @@
 func (h *Host) successors() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	lately := map[string]sighting{}
+	lately := map[string]hostInfo{}
 	for n, s := range h.peersSeen {
 		if n != h.cfg.Name && h.now().Sub(s.at) < hostExpiry {
 			lately[n] = s
@@ -138,7 +138,7 @@
 // all starts at rest, and leaves the lead to a stronger one soon after. Among
 // equals the one that began last: when hosts are stopped in turn, it has been
 // already.
-func byPower(seen map[string]sighting) []string {
+func byPower(seen map[string]hostInfo) []string {
 	return slices.SortedFunc(maps.Keys(seen), func(a, b string) int {
 		return cmp.Or(cmp.Compare(seen[b].power, seen[a].power), seen[b].began.Compare(seen[a].began), cmp.Compare(a, b))
 	})
