--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -46,7 +46,7 @@
 	case peer.AskState:
 		return h.localState(m.ID), nil
 	case peer.Sync:
-		h.heard(m)
+		h.noteHost(m)
 		return h.syncReply(m), nil
 	case peer.Advise:
 		ctx, cancel := context.WithTimeout(ctx, m.Within.Duration)
--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -158,7 +158,7 @@
 
 // Hear has the host hear of another one.
 func (h *Host) Hear(name string, addr netip.AddrPort) {
-	h.heard(peer.Sync{From: name, Addr: addr, Power: 1, Began: h.now()})
+	h.noteHost(peer.Sync{From: name, Addr: addr, Power: 1, Began: h.now()})
 }
 
 // Uses tells whether the host, as the lead, has another one ask the policy service.
--- a/internal/entry/group.go
+++ b/internal/entry/group.go
@@ -178,7 +178,7 @@
 	for _, s := range a.Shares {
 		if name, seen, ok := parseMember(s.Member); ok {
 			all[name] = seen.addr
-			h.heard(peer.Sync{From: name, Addr: seen.addr, Power: seen.power, Began: seen.began})
+			h.noteHost(peer.Sync{From: name, Addr: seen.addr, Power: seen.power, Began: seen.began})
 		}
 	}
 	if len(all) > 0 {
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -257,10 +257,10 @@
 	at    time.Time
 }
 
-// heard takes note of a host. A lead that did not know it has work for it at once: after
+// noteHost takes note of a host. A lead that did not know it has work for it at once: after
 // a loss of all power it knows no host but itself, and the questions of all who waited
 // would go through that one until its next round.
-func (h *Host) heard(m peer.Sync) {
+func (h *Host) noteHost(m peer.Sync) {
 	if !m.Addr.IsValid() {
 		return
 	}
