--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -173,7 +173,7 @@
 		h.mu.Unlock()
 		switch {
 		case leading:
-			h.setHosts(h.heardHosts())
+			h.setHosts(h.recentHosts())
 			h.cede()
 		case lead != "" && !alone:
 			h.syncWithLeader(lead)
@@ -270,12 +270,12 @@
 	leading := h.ownTerm != nil
 	h.mu.Unlock()
 	if leading && !known {
-		h.setHosts(h.heardHosts())
+		h.setHosts(h.recentHosts())
 	}
 }
 
-// heardHosts lists the hosts that asked this one lately.
-func (h *Host) heardHosts() map[string]netip.AddrPort {
+// recentHosts lists the hosts that asked this one lately.
+func (h *Host) recentHosts() map[string]netip.AddrPort {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	all := map[string]netip.AddrPort{}
