--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -296,14 +296,14 @@
 	return all
 }
 
-// keepRecent is longer than a job may take to be known to the lead.
-const keepRecent = 10 * time.Second
+// acceptedExpiry is longer than a job may take to be known to the lead.
+const acceptedExpiry = 10 * time.Second
 
 func (h *Host) dropRecent() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for id, at := range h.accepted {
-		if h.now().Sub(at) > keepRecent {
+		if h.now().Sub(at) > acceptedExpiry {
 			delete(h.accepted, id)
 		}
 	}
