--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -180,7 +180,7 @@
 		default:
 			h.readHosts()
 		}
-		h.dropRecent()
+		h.dropAccepted()
 		h.states.drop()
 		if h.isLeaderless() {
 			h.wg.Go(h.considerClaim)
@@ -299,7 +299,7 @@
 // acceptedExpiry is longer than a job may take to be known to the lead.
 const acceptedExpiry = 10 * time.Second
 
-func (h *Host) dropRecent() {
+func (h *Host) dropAccepted() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for id, at := range h.accepted {
