--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// orderWait bounds an order to a worker.
-	orderWait = 500 * time.Millisecond
+	// maxOrderTimeout bounds an order to a worker.
+	maxOrderTimeout = 500 * time.Millisecond
 	// orderLeast is how long an order goes without an answer at least before it
 	// counts as unanswered. Answers take a millisecond or two; a lead that its
 	// processor's share holds up for a period of 100 ms must not doubt its workers.
@@ -39,7 +39,7 @@
 	defer o.mu.Unlock()
 	o.turn(now)
 	usual := max(o.slowest[0], o.slowest[1], o.workers[life])
-	return min(max(orderSlower*usual, orderLeast), orderWait)
+	return min(max(orderSlower*usual, orderLeast), maxOrderTimeout)
 }
 
 // took notes an answer that came after d.
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -220,7 +220,7 @@
 		})
 	case sched.Pace:
 		t.h.wg.Go(func() {
-			ctx, cancel := context.WithTimeout(t.ctx, orderWait)
+			ctx, cancel := context.WithTimeout(t.ctx, maxOrderTimeout)
 			defer cancel()
 			t.h.incCounter("pace." + t.h.workers.Pace(ctx, a).String())
 		})
@@ -244,7 +244,7 @@
 // order sends an order to a worker.
 func (t *term) order(life string, send func(ctx context.Context) sched.Outcome) sched.Outcome {
 	return inTime(t.orders, t.h.now, life, 0, func() sched.Outcome {
-		ctx, cancel := context.WithTimeout(t.ctx, orderWait)
+		ctx, cancel := context.WithTimeout(t.ctx, maxOrderTimeout)
 		defer cancel()
 		return send(ctx)
 	}, func(o sched.Outcome) bool { return o != sched.Unanswered }, sched.Unanswered)
@@ -253,7 +253,7 @@
 func (t *term) hold(a sched.Hold) {
 	sent := t.h.now()
 	got := inTime(t.orders, t.h.now, a.To.Incarnation, a.Wait, func() sched.HoldReply {
-		ctx, cancel := context.WithTimeout(t.ctx, a.Wait+orderWait)
+		ctx, cancel := context.WithTimeout(t.ctx, a.Wait+maxOrderTimeout)
 		defer cancel()
 		return t.h.workers.Hold(ctx, a)
 	}, func(r sched.HoldReply) bool { return r.Outcome != sched.Unanswered }, sched.HoldReply{Worker: a.To.Incarnation, Outcome: sched.Unanswered, Probe: a.Probe, AckedEnd: a.AckedEnd})
