--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -8,10 +8,10 @@
 const (
 	// maxOrderTimeout bounds an order to a worker.
 	maxOrderTimeout = 500 * time.Millisecond
-	// orderLeast is how long an order goes without an answer at least before it
+	// minOrderTimeout is how long an order goes without an answer at least before it
 	// counts as unanswered. Answers take a millisecond or two; a lead that its
 	// processor's share holds up for a period of 100 ms must not doubt its workers.
-	orderLeast = 120 * time.Millisecond
+	minOrderTimeout = 120 * time.Millisecond
 	// orderSlower is how many times the slowest answer of late an order may take.
 	orderSlower = 4
 	// orderSpan is how long an answer counts as late, twice at most.
@@ -39,7 +39,7 @@
 	defer o.mu.Unlock()
 	o.turn(now)
 	usual := max(o.slowest[0], o.slowest[1], o.workers[life])
-	return min(max(orderSlower*usual, orderLeast), maxOrderTimeout)
+	return min(max(orderSlower*usual, minOrderTimeout), maxOrderTimeout)
 }
 
 // took notes an answer that came after d.
@@ -47,7 +47,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.turn(now)
-	if d > orderLeast {
+	if d > minOrderTimeout {
 		o.workers[life] = max(o.workers[life], d)
 		return
 	}
