--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -12,8 +12,8 @@
 	// counts as unanswered. Answers take a millisecond or two; a lead that its
 	// processor's share holds up for a period of 100 ms must not doubt its workers.
 	minOrderTimeout = 120 * time.Millisecond
-	// orderSlower is how many times the slowest answer of late an order may take.
-	orderSlower = 4
+	// orderTimeoutFactor is how many times the slowest answer of late an order may take.
+	orderTimeoutFactor = 4
 	// orderSpan is how long an answer counts as late, twice at most.
 	orderSpan = time.Second
 )
@@ -39,7 +39,7 @@
 	defer o.mu.Unlock()
 	o.turn(now)
 	usual := max(o.slowest[0], o.slowest[1], o.workers[life])
-	return min(max(orderSlower*usual, minOrderTimeout), maxOrderTimeout)
+	return min(max(orderTimeoutFactor*usual, minOrderTimeout), maxOrderTimeout)
 }
 
 // took notes an answer that came after d.
