--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -14,8 +14,8 @@
 	minOrderTimeout = 120 * time.Millisecond
 	// orderTimeoutFactor is how many times the slowest answer of late an order may take.
 	orderTimeoutFactor = 4
-	// orderSpan is how long an answer counts as late, twice at most.
-	orderSpan = time.Second
+	// responseTimeWindow is how long an answer counts as late, twice at most.
+	responseTimeWindow = time.Second
 )
 
 // orders knows how fast workers answered lately. An order whose answer is lost is
@@ -55,7 +55,7 @@
 }
 
 func (o *orders) turn(now time.Time) {
-	if now.Sub(o.since) < orderSpan {
+	if now.Sub(o.since) < responseTimeWindow {
 		return
 	}
 	o.since = now
