--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -127,7 +127,7 @@
 func (h *Host) Unsure(id string) bool { return h.localState(id).Unsure }
 
 // Orders knows how fast workers answer.
-type Orders struct{ *orders }
+type Orders struct{ *responseTimes }
 
 // NewOrders returns one that knows nothing.
 func NewOrders() Orders { return Orders{newOrders()} }
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -18,11 +18,11 @@
 	responseTimeWindow = time.Second
 )
 
-// orders knows how fast workers answered lately. An order whose answer is lost is
+// responseTimes knows how fast workers answered lately. An order whose answer is lost is
 // found out by waiting; with the longest wait for each, one order in twenty lost
 // made two jobs in three late by half a second. A worker that is slow itself gets
 // more time: what it begins would be stopped for nothing.
-type orders struct {
+type responseTimes struct {
 	mu    sync.Mutex
 	since time.Time
 	// slowest is the slowest answer of all workers in this span and the one before.
@@ -31,10 +31,10 @@
 	workers map[string]time.Duration
 }
 
-func newOrders() *orders { return &orders{workers: map[string]time.Duration{}} }
+func newOrders() *responseTimes { return &responseTimes{workers: map[string]time.Duration{}} }
 
 // patience is how long to wait for a worker's answer.
-func (o *orders) patience(life string, now time.Time) time.Duration {
+func (o *responseTimes) patience(life string, now time.Time) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.turn(now)
@@ -43,7 +43,7 @@
 }
 
 // took notes an answer that came after d.
-func (o *orders) took(life string, d time.Duration, now time.Time) {
+func (o *responseTimes) took(life string, d time.Duration, now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.turn(now)
@@ -54,7 +54,7 @@
 	o.slowest[0] = max(o.slowest[0], d)
 }
 
-func (o *orders) turn(now time.Time) {
+func (o *responseTimes) turn(now time.Time) {
 	if now.Sub(o.since) < responseTimeWindow {
 		return
 	}
@@ -64,7 +64,7 @@
 
 // inTime makes an order and waits for its answer for extra and the usual time. An
 // answer that comes later only tells how slow the worker is.
-func inTime[T any](o *orders, now func() time.Time, life string, extra time.Duration, order func() T, answered func(T) bool, lost T) T {
+func inTime[T any](o *responseTimes, now func() time.Time, life string, extra time.Duration, order func() T, answered func(T) bool, lost T) T {
 	sent := now()
 	got := make(chan T, 1)
 	go func() {
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -33,7 +33,7 @@
 	core    *sched.Sched
 	over    bool
 	journal *journal
-	orders  *orders
+	orders  *responseTimes
 	// next is by partition the first offset of jobsTopic that was not taken.
 	next []int64
 	// polled is when the last look through all partitions began.
