--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -23,8 +23,8 @@
 // made two jobs in three late by half a second. A worker that is slow itself gets
 // more time: what it begins would be stopped for nothing.
 type responseTimes struct {
-	mu    sync.Mutex
-	since time.Time
+	mu          sync.Mutex
+	windowStart time.Time
 	// slowest is the slowest answer of all workers in this span and the one before.
 	slowest [2]time.Duration
 	// workers are the slowest answers of those that exceeded their time, by life.
@@ -55,10 +55,10 @@
 }
 
 func (o *responseTimes) turn(now time.Time) {
-	if now.Sub(o.since) < responseTimeWindow {
+	if now.Sub(o.windowStart) < responseTimeWindow {
 		return
 	}
-	o.since = now
+	o.windowStart = now
 	o.slowest = [2]time.Duration{0, o.slowest[0]}
 }
 
