--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -27,18 +27,18 @@
 	windowStart time.Time
 	// slowest is the slowest answer of all workers in this span and the one before.
 	slowest [2]time.Duration
-	// workers are the slowest answers of those that exceeded their time, by life.
-	workers map[string]time.Duration
+	// slowWorkers are the slowest answers of those that exceeded their time, by life.
+	slowWorkers map[string]time.Duration
 }
 
-func newOrders() *responseTimes { return &responseTimes{workers: map[string]time.Duration{}} }
+func newOrders() *responseTimes { return &responseTimes{slowWorkers: map[string]time.Duration{}} }
 
 // patience is how long to wait for a worker's answer.
 func (o *responseTimes) patience(life string, now time.Time) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.turn(now)
-	usual := max(o.slowest[0], o.slowest[1], o.workers[life])
+	usual := max(o.slowest[0], o.slowest[1], o.slowWorkers[life])
 	return min(max(orderTimeoutFactor*usual, minOrderTimeout), maxOrderTimeout)
 }
 
@@ -48,7 +48,7 @@
 	defer o.mu.Unlock()
 	o.turn(now)
 	if d > minOrderTimeout {
-		o.workers[life] = max(o.workers[life], d)
+		o.slowWorkers[life] = max(o.slowWorkers[life], d)
 		return
 	}
 	o.slowest[0] = max(o.slowest[0], d)
