--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -133,7 +133,7 @@
 func NewOrders() Orders { return Orders{newOrders()} }
 
 // Patience is how long to wait for a worker's answer.
-func (o Orders) Patience(life string, now time.Time) time.Duration { return o.patience(life, now) }
+func (o Orders) Patience(life string, now time.Time) time.Duration { return o.timeout(life, now) }
 
 // Took notes an answer.
 func (o Orders) Took(life string, d time.Duration, now time.Time) { o.took(life, d, now) }
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -33,8 +33,8 @@
 
 func newOrders() *responseTimes { return &responseTimes{slowWorkers: map[string]time.Duration{}} }
 
-// patience is how long to wait for a worker's answer.
-func (o *responseTimes) patience(life string, now time.Time) time.Duration {
+// timeout is how long to wait for a worker's answer.
+func (o *responseTimes) timeout(life string, now time.Time) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.turn(now)
@@ -74,7 +74,7 @@
 		}
 		got <- r
 	}()
-	t := time.NewTimer(extra + o.patience(life, sent))
+	t := time.NewTimer(extra + o.timeout(life, sent))
 	defer t.Stop()
 	select {
 	case r := <-got:
