--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -136,7 +136,7 @@
 func (o Orders) Patience(life string, now time.Time) time.Duration { return o.timeout(life, now) }
 
 // Took notes an answer.
-func (o Orders) Took(life string, d time.Duration, now time.Time) { o.took(life, d, now) }
+func (o Orders) Took(life string, d time.Duration, now time.Time) { o.record(life, d, now) }
 
 // Follow has the host take another one for the lead.
 func (h *Host) Follow(name string) {
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -42,8 +42,8 @@
 	return min(max(orderTimeoutFactor*usual, minOrderTimeout), maxOrderTimeout)
 }
 
-// took notes an answer that came after d.
-func (o *responseTimes) took(life string, d time.Duration, now time.Time) {
+// record notes an answer that came after d.
+func (o *responseTimes) record(life string, d time.Duration, now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.turn(now)
@@ -70,7 +70,7 @@
 	go func() {
 		r := order()
 		if d := now().Sub(sent) - extra; answered(r) && d > 0 {
-			o.took(life, d, now())
+			o.record(life, d, now())
 		}
 		got <- r
 	}()
