--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -37,7 +37,7 @@
 func (o *responseTimes) timeout(life string, now time.Time) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.turn(now)
+	o.rotate(now)
 	usual := max(o.slowest[0], o.slowest[1], o.slowWorkers[life])
 	return min(max(orderTimeoutFactor*usual, minOrderTimeout), maxOrderTimeout)
 }
@@ -46,7 +46,7 @@
 func (o *responseTimes) record(life string, d time.Duration, now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.turn(now)
+	o.rotate(now)
 	if d > minOrderTimeout {
 		o.slowWorkers[life] = max(o.slowWorkers[life], d)
 		return
@@ -54,7 +54,7 @@
 	o.slowest[0] = max(o.slowest[0], d)
 }
 
-func (o *responseTimes) turn(now time.Time) {
+func (o *responseTimes) rotate(now time.Time) {
 	if now.Sub(o.windowStart) < responseTimeWindow {
 		return
 	}
