--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -62,9 +62,9 @@
 	o.slowest = [2]time.Duration{0, o.slowest[0]}
 }
 
-// inTime makes an order and waits for its answer for extra and the usual time. An
+// callWorker makes an order and waits for its answer for extra and the usual time. An
 // answer that comes later only tells how slow the worker is.
-func inTime[T any](o *responseTimes, now func() time.Time, life string, extra time.Duration, order func() T, answered func(T) bool, lost T) T {
+func callWorker[T any](o *responseTimes, now func() time.Time, life string, extra time.Duration, order func() T, answered func(T) bool, lost T) T {
 	sent := now()
 	got := make(chan T, 1)
 	go func() {
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -243,7 +243,7 @@
 
 // order sends an order to a worker.
 func (t *term) order(life string, send func(ctx context.Context) sched.Outcome) sched.Outcome {
-	return inTime(t.orders, t.h.now, life, 0, func() sched.Outcome {
+	return callWorker(t.orders, t.h.now, life, 0, func() sched.Outcome {
 		ctx, cancel := context.WithTimeout(t.ctx, maxOrderTimeout)
 		defer cancel()
 		return send(ctx)
@@ -252,7 +252,7 @@
 
 func (t *term) hold(a sched.Hold) {
 	sent := t.h.now()
-	got := inTime(t.orders, t.h.now, a.To.Incarnation, a.Wait, func() sched.HoldReply {
+	got := callWorker(t.orders, t.h.now, a.To.Incarnation, a.Wait, func() sched.HoldReply {
 		ctx, cancel := context.WithTimeout(t.ctx, a.Wait+maxOrderTimeout)
 		defer cancel()
 		return t.h.workers.Hold(ctx, a)
