--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// storeAfter is how long the lead may take before the store is read beside. A host that is
+	// storeReadDelay is how long the lead may take before the store is read beside. A host that is
 	// short of processor hears its answer late, and pages of states would make it later.
-	storeAfter = time.Second
+	storeReadDelay = time.Second
 	// leadLook is how often a question looks whether another host leads by now, and whether
 	// this one has learned the job's end.
 	leadLook = 200 * time.Millisecond
@@ -108,9 +108,9 @@
 // patience is how long the lead is waited for alone: half of the caller's time at most.
 func (q *question) patience() time.Duration {
 	if at, ok := q.ctx.Deadline(); ok {
-		return min(storeAfter, time.Until(at)/2)
+		return min(storeReadDelay, time.Until(at)/2)
 	}
-	return storeAfter
+	return storeReadDelay
 }
 
 // vain tells whether no more answer is to be expected: a host that the store does not answer
