--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -14,9 +14,9 @@
 	// storeReadDelay is how long the lead may take before the store is read beside. A host that is
 	// short of processor hears its answer late, and pages of states would make it later.
 	storeReadDelay = time.Second
-	// leadLook is how often a question looks whether another host leads by now, and whether
+	// recheckInterval is how often a question looks whether another host leads by now, and whether
 	// this one has learned the job's end.
-	leadLook = 200 * time.Millisecond
+	recheckInterval = 200 * time.Millisecond
 	// mostLeads is how many leads one question is put to.
 	mostLeads = 4
 )
@@ -78,7 +78,7 @@
 	q.askLead()
 	patience := time.NewTimer(q.patience())
 	defer patience.Stop()
-	look := time.NewTicker(leadLook)
+	look := time.NewTicker(recheckInterval)
 	defer look.Stop()
 	for !q.vain() {
 		select {
