--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -17,8 +17,8 @@
 	// recheckInterval is how often a question looks whether another host leads by now, and whether
 	// this one has learned the job's end.
 	recheckInterval = 200 * time.Millisecond
-	// mostLeads is how many leads one question is put to.
-	mostLeads = 4
+	// maxLeadersAsked is how many leads one question is put to.
+	maxLeadersAsked = 4
 )
 
 // UntoldError tells why nobody told a job's state.
@@ -69,7 +69,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	q := &question{h: h, ctx: ctx, id: id, answers: make(chan told, mostLeads+1), leadErr: &LateError{Host: h.cfg.Name}}
+	q := &question{h: h, ctx: ctx, id: id, answers: make(chan told, maxLeadersAsked+1), leadErr: &LateError{Host: h.cfg.Name}}
 	a := q.run()
 	return a.state, a.known, a.err
 }
@@ -147,7 +147,7 @@
 
 // askLead puts the question to whoever leads now.
 func (q *question) askLead() {
-	if q.leads == mostLeads {
+	if q.leads == maxLeadersAsked {
 		return
 	}
 	q.leads++
