--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -21,19 +21,19 @@
 	maxLeadersAsked = 4
 )
 
-// UntoldError tells why nobody told a job's state.
-type UntoldError struct {
+// StateUnavailableError tells why nobody told a job's state.
+type StateUnavailableError struct {
 	ID string
 	// Lead is why the lead did not, Store why it cannot be read from the store.
 	Lead, Store error
 }
 
-func (e *UntoldError) Error() string {
+func (e *StateUnavailableError) Error() string {
 	return "no lead answers: " + e.Lead.Error() + "; not read from the store: " + e.Store.Error()
 }
 
 // Unwrap returns both failures.
-func (e *UntoldError) Unwrap() []error { return []error{e.Lead, e.Store} }
+func (e *StateUnavailableError) Unwrap() []error { return []error{e.Lead, e.Store} }
 
 // question is one question for a job's state. It is put to the lead, to the next one if the
 // lead changes, and to the store if there is no answer soon. The first answer counts: the
@@ -120,7 +120,7 @@
 }
 
 func (q *question) untold() told {
-	return told{err: &UntoldError{ID: q.id, Lead: q.leadErr, Store: q.storeErr}}
+	return told{err: &StateUnavailableError{ID: q.id, Lead: q.leadErr, Store: q.storeErr}}
 }
 
 // failed takes note of a way that told nothing.
