--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -24,16 +24,16 @@
 // StateUnavailableError tells why nobody told a job's state.
 type StateUnavailableError struct {
 	ID string
-	// LeaderErr is why the lead did not, Store why it cannot be read from the store.
-	LeaderErr, Store error
+	// LeaderErr is why the lead did not, StoreErr why it cannot be read from the store.
+	LeaderErr, StoreErr error
 }
 
 func (e *StateUnavailableError) Error() string {
-	return "no lead answers: " + e.LeaderErr.Error() + "; not read from the store: " + e.Store.Error()
+	return "no lead answers: " + e.LeaderErr.Error() + "; not read from the store: " + e.StoreErr.Error()
 }
 
 // Unwrap returns both failures.
-func (e *StateUnavailableError) Unwrap() []error { return []error{e.LeaderErr, e.Store} }
+func (e *StateUnavailableError) Unwrap() []error { return []error{e.LeaderErr, e.StoreErr} }
 
 // question is one question for a job's state. It is put to the lead, to the next one if the
 // lead changes, and to the store if there is no answer soon. The first answer counts: the
@@ -120,7 +120,7 @@
 }
 
 func (q *question) untold() told {
-	return told{err: &StateUnavailableError{ID: q.id, LeaderErr: q.leadErr, Store: q.storeErr}}
+	return told{err: &StateUnavailableError{ID: q.id, LeaderErr: q.leadErr, StoreErr: q.storeErr}}
 }
 
 // failed takes note of a way that told nothing.
