--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -35,10 +35,10 @@
 // Unwrap returns both failures.
 func (e *StateUnavailableError) Unwrap() []error { return []error{e.LeaderErr, e.StoreErr} }
 
-// question is one question for a job's state. It is put to the lead, to the next one if the
+// stateQuery is one stateQuery for a job's state. It is put to the lead, to the next one if the
 // lead changes, and to the store if there is no answer soon. The first answer counts: the
 // store holds what any lead tells.
-type question struct {
+type stateQuery struct {
 	h       *Host
 	ctx     context.Context
 	id      string
@@ -69,12 +69,12 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	q := &question{h: h, ctx: ctx, id: id, answers: make(chan told, maxLeadersAsked+1), leadErr: &LateError{Host: h.cfg.Name}}
+	q := &stateQuery{h: h, ctx: ctx, id: id, answers: make(chan told, maxLeadersAsked+1), leadErr: &LateError{Host: h.cfg.Name}}
 	a := q.run()
 	return a.state, a.known, a.err
 }
 
-func (q *question) run() told {
+func (q *stateQuery) run() told {
 	q.askLead()
 	patience := time.NewTimer(q.patience())
 	defer patience.Stop()
@@ -106,7 +106,7 @@
 }
 
 // patience is how long the lead is waited for alone: half of the caller's time at most.
-func (q *question) patience() time.Duration {
+func (q *stateQuery) patience() time.Duration {
 	if at, ok := q.ctx.Deadline(); ok {
 		return min(storeReadDelay, time.Until(at)/2)
 	}
@@ -115,16 +115,16 @@
 
 // vain tells whether no more answer is to be expected: a host that the store does not answer
 // while its lead is late is cut off.
-func (q *question) vain() bool {
+func (q *stateQuery) vain() bool {
 	return q.storeErr != nil && (q.open == 0 || !q.h.store.Fresh(storeFreshness))
 }
 
-func (q *question) untold() told {
+func (q *stateQuery) untold() told {
 	return told{err: &StateUnavailableError{ID: q.id, LeaderErr: q.leadErr, StoreErr: q.storeErr}}
 }
 
 // failed takes note of a way that told nothing.
-func (q *question) failed(a told) {
+func (q *stateQuery) failed(a told) {
 	if a.stored {
 		q.storeErr = a.err
 		return
@@ -138,7 +138,7 @@
 
 // askNewLead puts the question to whoever leads now, if that is not who was asked last. A host
 // that has claimed is followed before its term is known.
-func (q *question) askNewLead() {
+func (q *stateQuery) askNewLead() {
 	lead, _ := q.h.currentLeader()
 	if lead != q.lead || q.h.currentTerm() != q.term {
 		q.askLead()
@@ -146,7 +146,7 @@
 }
 
 // askLead puts the question to whoever leads now.
-func (q *question) askLead() {
+func (q *stateQuery) askLead() {
 	if q.leads == maxLeadersAsked {
 		return
 	}
@@ -160,7 +160,7 @@
 	}()
 }
 
-func (q *question) readStore() {
+func (q *stateQuery) readStore() {
 	if q.reading {
 		return
 	}
