--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -43,10 +43,10 @@
 	ctx     context.Context
 	id      string
 	answers chan told
-	// lead and term are those that were asked last, leads how many were.
-	lead  string
-	term  int64
-	leads int
+	// leader and term are those that were asked last, leads how many were.
+	leader string
+	term   int64
+	leads  int
 	// open is how many leads have not answered, reading tells that the store is being read.
 	open    int
 	reading bool
@@ -140,7 +140,7 @@
 // that has claimed is followed before its term is known.
 func (q *stateQuery) askNewLead() {
 	lead, _ := q.h.currentLeader()
-	if lead != q.lead || q.h.currentTerm() != q.term {
+	if lead != q.leader || q.h.currentTerm() != q.term {
 		q.askLead()
 	}
 }
@@ -152,7 +152,7 @@
 	}
 	q.leads++
 	q.open++
-	q.lead, _ = q.h.currentLeader()
+	q.leader, _ = q.h.currentLeader()
 	q.term = q.h.currentTerm()
 	go func() {
 		state, known, err := q.h.askState(q.ctx, q.id)
