--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -46,7 +46,7 @@
 	// leader and term are those that were asked last, leads how many were.
 	leader string
 	term   int64
-	leads  int
+	asked  int
 	// open is how many leads have not answered, reading tells that the store is being read.
 	open    int
 	reading bool
@@ -147,10 +147,10 @@
 
 // askLead puts the question to whoever leads now.
 func (q *stateQuery) askLead() {
-	if q.leads == maxLeadersAsked {
+	if q.asked == maxLeadersAsked {
 		return
 	}
-	q.leads++
+	q.asked++
 	q.open++
 	q.leader, _ = q.h.currentLeader()
 	q.term = q.h.currentTerm()
