--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -47,9 +47,9 @@
 	leader string
 	term   int64
 	asked  int
-	// open is how many leads have not answered, reading tells that the store is being read.
-	open    int
-	reading bool
+	// unanswered is how many leads have not answered, reading tells that the store is being read.
+	unanswered int
+	reading    bool
 	// leadErr and storeErr are why there was no answer.
 	leadErr, storeErr error
 }
@@ -116,7 +116,7 @@
 // vain tells whether no more answer is to be expected: a host that the store does not answer
 // while its lead is late is cut off.
 func (q *stateQuery) vain() bool {
-	return q.storeErr != nil && (q.open == 0 || !q.h.store.Fresh(storeFreshness))
+	return q.storeErr != nil && (q.unanswered == 0 || !q.h.store.Fresh(storeFreshness))
 }
 
 func (q *stateQuery) untold() told {
@@ -129,9 +129,9 @@
 		q.storeErr = a.err
 		return
 	}
-	q.open--
+	q.unanswered--
 	q.leadErr = a.err
-	if q.open == 0 {
+	if q.unanswered == 0 {
 		q.readStore()
 	}
 }
@@ -151,7 +151,7 @@
 		return
 	}
 	q.asked++
-	q.open++
+	q.unanswered++
 	q.leader, _ = q.h.currentLeader()
 	q.term = q.h.currentTerm()
 	go func() {
