--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -48,8 +48,8 @@
 	term   int64
 	asked  int
 	// unanswered is how many leads have not answered, reading tells that the store is being read.
-	unanswered int
-	reading    bool
+	unanswered   int
+	readingStore bool
 	// leadErr and storeErr are why there was no answer.
 	leadErr, storeErr error
 }
@@ -161,10 +161,10 @@
 }
 
 func (q *stateQuery) readStore() {
-	if q.reading {
+	if q.readingStore {
 		return
 	}
-	q.reading = true
+	q.readingStore = true
 	go func() {
 		state, known, err := q.h.states.read(q.ctx, q.id)
 		q.answers <- told{state: state, known: known, err: err, stored: true}
