--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -50,8 +50,8 @@
 	// unanswered is how many leads have not answered, reading tells that the store is being read.
 	unanswered   int
 	readingStore bool
-	// leadErr and storeErr are why there was no answer.
-	leadErr, storeErr error
+	// leaderErr and storeErr are why there was no answer.
+	leaderErr, storeErr error
 }
 
 type told struct {
@@ -69,7 +69,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	q := &stateQuery{h: h, ctx: ctx, id: id, answers: make(chan told, maxLeadersAsked+1), leadErr: &LateError{Host: h.cfg.Name}}
+	q := &stateQuery{h: h, ctx: ctx, id: id, answers: make(chan told, maxLeadersAsked+1), leaderErr: &LateError{Host: h.cfg.Name}}
 	a := q.run()
 	return a.state, a.known, a.err
 }
@@ -120,7 +120,7 @@
 }
 
 func (q *stateQuery) untold() told {
-	return told{err: &StateUnavailableError{ID: q.id, LeaderErr: q.leadErr, StoreErr: q.storeErr}}
+	return told{err: &StateUnavailableError{ID: q.id, LeaderErr: q.leaderErr, StoreErr: q.storeErr}}
 }
 
 // failed takes note of a way that told nothing.
@@ -130,7 +130,7 @@
 		return
 	}
 	q.unanswered--
-	q.leadErr = a.err
+	q.leaderErr = a.err
 	if q.unanswered == 0 {
 		q.readStore()
 	}
