--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -42,7 +42,7 @@
 	h       *Host
 	ctx     context.Context
 	id      string
-	answers chan told
+	answers chan stateAnswer
 	// leader and term are those that were asked last, leads how many were.
 	leader string
 	term   int64
@@ -54,7 +54,7 @@
 	leaderErr, storeErr error
 }
 
-type told struct {
+type stateAnswer struct {
 	state flow.State
 	known bool
 	err   error
@@ -69,12 +69,12 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	q := &stateQuery{h: h, ctx: ctx, id: id, answers: make(chan told, maxLeadersAsked+1), leaderErr: &LateError{Host: h.cfg.Name}}
+	q := &stateQuery{h: h, ctx: ctx, id: id, answers: make(chan stateAnswer, maxLeadersAsked+1), leaderErr: &LateError{Host: h.cfg.Name}}
 	a := q.run()
 	return a.state, a.known, a.err
 }
 
-func (q *stateQuery) run() told {
+func (q *stateQuery) run() stateAnswer {
 	q.askLead()
 	patience := time.NewTimer(q.patience())
 	defer patience.Stop()
@@ -92,7 +92,7 @@
 			q.readStore()
 		case <-look.C:
 			if state, ok := q.h.states.final(q.id); ok {
-				return told{state: state, known: true}
+				return stateAnswer{state: state, known: true}
 			}
 			q.askNewLead()
 		case <-q.ctx.Done():
@@ -119,12 +119,12 @@
 	return q.storeErr != nil && (q.unanswered == 0 || !q.h.store.Fresh(storeFreshness))
 }
 
-func (q *stateQuery) untold() told {
-	return told{err: &StateUnavailableError{ID: q.id, LeaderErr: q.leaderErr, StoreErr: q.storeErr}}
+func (q *stateQuery) untold() stateAnswer {
+	return stateAnswer{err: &StateUnavailableError{ID: q.id, LeaderErr: q.leaderErr, StoreErr: q.storeErr}}
 }
 
 // failed takes note of a way that told nothing.
-func (q *stateQuery) failed(a told) {
+func (q *stateQuery) failed(a stateAnswer) {
 	if a.stored {
 		q.storeErr = a.err
 		return
@@ -156,7 +156,7 @@
 	q.term = q.h.currentTerm()
 	go func() {
 		state, known, err := q.h.askState(q.ctx, q.id)
-		q.answers <- told{state: state, known: known, err: err}
+		q.answers <- stateAnswer{state: state, known: known, err: err}
 	}()
 }
 
@@ -167,7 +167,7 @@
 	q.readingStore = true
 	go func() {
 		state, known, err := q.h.states.read(q.ctx, q.id)
-		q.answers <- told{state: state, known: known, err: err, stored: true}
+		q.answers <- stateAnswer{state: state, known: known, err: err, stored: true}
 	}()
 }
 
