--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -76,7 +76,7 @@
 
 func (q *stateQuery) run() stateAnswer {
 	q.askLead()
-	patience := time.NewTimer(q.patience())
+	patience := time.NewTimer(q.leaderPatience())
 	defer patience.Stop()
 	look := time.NewTicker(recheckInterval)
 	defer look.Stop()
@@ -105,8 +105,8 @@
 	return q.untold()
 }
 
-// patience is how long the lead is waited for alone: half of the caller's time at most.
-func (q *stateQuery) patience() time.Duration {
+// leaderPatience is how long the lead is waited for alone: half of the caller's time at most.
+func (q *stateQuery) leaderPatience() time.Duration {
 	if at, ok := q.ctx.Deadline(); ok {
 		return min(storeReadDelay, time.Until(at)/2)
 	}
