--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -80,7 +80,7 @@
 	defer patience.Stop()
 	look := time.NewTicker(recheckInterval)
 	defer look.Stop()
-	for !q.vain() {
+	for !q.isExhausted() {
 		select {
 		case a := <-q.answers:
 			if a.err == nil {
@@ -113,9 +113,9 @@
 	return storeReadDelay
 }
 
-// vain tells whether no more answer is to be expected: a host that the store does not answer
+// isExhausted tells whether no more answer is to be expected: a host that the store does not answer
 // while its lead is late is cut off.
-func (q *stateQuery) vain() bool {
+func (q *stateQuery) isExhausted() bool {
 	return q.storeErr != nil && (q.unanswered == 0 || !q.h.store.Fresh(storeFreshness))
 }
 
