--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -99,10 +99,10 @@
 			if q.storeErr == nil {
 				q.storeErr = errors.Wrap(q.ctx.Err(), "wait for the store")
 			}
-			return q.untold()
+			return q.unavailable()
 		}
 	}
-	return q.untold()
+	return q.unavailable()
 }
 
 // leaderPatience is how long the lead is waited for alone: half of the caller's time at most.
@@ -119,7 +119,7 @@
 	return q.storeErr != nil && (q.unanswered == 0 || !q.h.store.Fresh(storeFreshness))
 }
 
-func (q *stateQuery) untold() stateAnswer {
+func (q *stateQuery) unavailable() stateAnswer {
 	return stateAnswer{err: &StateUnavailableError{ID: q.id, LeaderErr: q.leaderErr, StoreErr: q.storeErr}}
 }
 
