--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -87,7 +87,7 @@
 				q.h.states.learn(q.id, a.state)
 				return a
 			}
-			q.failed(a)
+			q.noteFailure(a)
 		case <-patience.C:
 			q.readStore()
 		case <-look.C:
@@ -123,8 +123,8 @@
 	return stateAnswer{err: &StateUnavailableError{ID: q.id, LeaderErr: q.leaderErr, StoreErr: q.storeErr}}
 }
 
-// failed takes note of a way that told nothing.
-func (q *stateQuery) failed(a stateAnswer) {
+// noteFailure takes note of a way that told nothing.
+func (q *stateQuery) noteFailure(a stateAnswer) {
 	if a.stored {
 		q.storeErr = a.err
 		return
