--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -94,7 +94,7 @@
 			if state, ok := q.h.states.final(q.id); ok {
 				return stateAnswer{state: state, known: true}
 			}
-			q.askNewLead()
+			q.askNewLeader()
 		case <-q.ctx.Done():
 			if q.storeErr == nil {
 				q.storeErr = errors.Wrap(q.ctx.Err(), "wait for the store")
@@ -136,9 +136,9 @@
 	}
 }
 
-// askNewLead puts the question to whoever leads now, if that is not who was asked last. A host
+// askNewLeader puts the question to whoever leads now, if that is not who was asked last. A host
 // that has claimed is followed before its term is known.
-func (q *stateQuery) askNewLead() {
+func (q *stateQuery) askNewLeader() {
 	lead, _ := q.h.currentLeader()
 	if lead != q.leader || q.h.currentTerm() != q.term {
 		q.askLead()
