--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -75,7 +75,7 @@
 }
 
 func (q *stateQuery) run() stateAnswer {
-	q.askLead()
+	q.askLeader()
 	patience := time.NewTimer(q.leaderPatience())
 	defer patience.Stop()
 	look := time.NewTicker(recheckInterval)
@@ -141,12 +141,12 @@
 func (q *stateQuery) askNewLeader() {
 	lead, _ := q.h.currentLeader()
 	if lead != q.leader || q.h.currentTerm() != q.term {
-		q.askLead()
+		q.askLeader()
 	}
 }
 
-// askLead puts the question to whoever leads now.
-func (q *stateQuery) askLead() {
+// askLeader puts the question to whoever leads now.
+func (q *stateQuery) askLeader() {
 	if q.asked == maxLeadersAsked {
 		return
 	}
