--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -198,7 +198,7 @@
 	default:
 		err = h.peers.Ask(ctx, lead, peer.AskState{ID: id}, &r)
 	}
-	state, known, err := known(id, r, err)
+	state, known, err := parseStateReply(id, r, err)
 	if err != nil {
 		h.incCounter("state.untold")
 		h.log.Info("state: the lead did not tell.", "id", id, "lead", lead, "term", term, "waited", h.now().Sub(began), "err", err)
@@ -206,8 +206,8 @@
 	return state, known, err
 }
 
-// known reads a lead's answer.
-func known(id string, r peer.StateReply, err error) (flow.State, bool, error) {
+// parseStateReply reads a lead's answer.
+func parseStateReply(id string, r peer.StateReply, err error) (flow.State, bool, error) {
 	switch {
 	case err != nil:
 		return "", false, err
