--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -213,7 +213,7 @@
 // cancelJob stores that a job is to stop. While no lead answers it is stored
 // without asking whether there is such a job: one that is not is never started.
 func (h *Host) cancelJob(ctx context.Context, w http.ResponseWriter, id string) {
-	state, known, err := h.toldBefore(ctx, id)
+	state, known, err := h.finalOrLeaderState(ctx, id)
 	if err == nil && !known && !h.acceptedRecently(id) {
 		h.refuse(w, http.StatusGone, id, "no such job")
 		return
--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -171,9 +171,9 @@
 	}()
 }
 
-// toldBefore is what this host was told of a job, if it has ended, or what the lead tells
+// finalOrLeaderState is what this host was told of a job, if it has ended, or what the lead tells
 // within the time of a question to a host.
-func (h *Host) toldBefore(ctx context.Context, id string) (flow.State, bool, error) {
+func (h *Host) finalOrLeaderState(ctx context.Context, id string) (flow.State, bool, error) {
 	if state, ok := h.states.final(id); ok {
 		return state, true, nil
 	}
