--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -192,7 +192,7 @@
 	var err error
 	switch {
 	case leading:
-		r, err = h.ownState(ctx, id)
+		r, err = h.localStateInTime(ctx, id)
 	case lead == "" || lead == h.cfg.Name:
 		err = &NoLeaderError{}
 	default:
@@ -220,8 +220,8 @@
 	}
 }
 
-// ownState tells a state as the lead, if its core lets go of it in time.
-func (h *Host) ownState(ctx context.Context, id string) (peer.StateReply, error) {
+// localStateInTime tells a state as the lead, if its core lets go of it in time.
+func (h *Host) localStateInTime(ctx context.Context, id string) (peer.StateReply, error) {
 	began := h.now()
 	told := make(chan peer.StateReply, 1)
 	go func() { told <- h.localState(id) }()
