--- a/internal/entry/servers.go
+++ b/internal/entry/servers.go
@@ -12,8 +12,8 @@
 	"pollencroft/platform"
 )
 
-// servers follows the workers' entries.
-func (t *term) servers() {
+// followWorkers follows the workers' entries.
+func (t *term) followWorkers() {
 	for t.ctx.Err() == nil {
 		all, from, err := store.Table(t.ctx, t.h.store, platform.ServersTopic, 0)
 		if err != nil {
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -115,7 +115,7 @@
 		t.step(sched.Cancel{ID: id})
 	}
 	h.wg.Go(t.formerLead)
-	h.wg.Go(t.servers)
+	h.wg.Go(t.followWorkers)
 	h.wg.Go(t.poll)
 	h.wg.Go(t.ticks)
 	h.wg.Go(t.reportLoad)
