--- a/internal/entry/servers.go
+++ b/internal/entry/servers.go
@@ -22,11 +22,11 @@
 		}
 		clear(t.listed)
 		t.entries(all)
-		t.serversFrom(from)
+		t.followWorkersFrom(from)
 	}
 }
 
-func (t *term) serversFrom(from int64) {
+func (t *term) followWorkersFrom(from int64) {
 	for sleep(t.ctx, serversEvery) {
 		a, err := t.h.store.Do(t.ctx, store.Call{Op: store.Read, Topic: platform.ServersTopic, From: from})
 		var trimmed *store.TrimmedError
