--- a/internal/entry/servers.go
+++ b/internal/entry/servers.go
@@ -21,7 +21,7 @@
 			continue
 		}
 		clear(t.listed)
-		t.entries(all)
+		t.applyWorkers(all)
 		t.followWorkersFrom(from)
 	}
 }
@@ -38,14 +38,14 @@
 		}
 		from += int64(len(a.Records))
 		if len(a.Records) > 0 {
-			t.entries(a.Records)
+			t.applyWorkers(a.Records)
 		}
 	}
 }
 
-// entries applies changed entries. One that cannot be read names no worker; if it was good
+// applyWorkers applies changed applyWorkers. One that cannot be read names no worker; if it was good
 // before, the worker has no room until it is good again, and what it runs goes on.
-func (t *term) entries(all []store.Record) {
+func (t *term) applyWorkers(all []store.Record) {
 	for _, r := range all {
 		if len(r.Value) == 0 {
 			delete(t.listed, r.Key)
