--- a/internal/entry/spread.go
+++ b/internal/entry/spread.go
@@ -16,8 +16,8 @@
 	// spreadTimeout is how long an append goes without an answer before it is made at
 	// the next partition too, and spreadSlower how many usual answers that is at
 	// least: a store that is slow everywhere would only be made slower.
-	spreadTimeout = 200 * time.Millisecond
-	spreadSlower  = 3
+	spreadTimeout       = 200 * time.Millisecond
+	spreadTimeoutFactor = 3
 )
 
 // partsFrom lists the partitions that a writer may use, far apart, its first one
@@ -33,7 +33,7 @@
 
 // spreadPatience is how long to wait for one partition before the next is tried.
 func (h *Host) spreadPatience() time.Duration {
-	return max(spreadTimeout, spreadSlower*h.store.Usual())
+	return max(spreadTimeout, spreadTimeoutFactor*h.store.Usual())
 }
 
 // spread makes the same append at one partition after the other until one has it:
