--- a/internal/entry/inbox.go
+++ b/internal/entry/inbox.go
@@ -110,7 +110,7 @@
 	parts := slices.Clone(b.parts)
 	unsure := false
 	for {
-		first, _, got, err := spread(b.h.ctx, &b.h.wg, len(parts), b.h.spreadPatience(), func(i int) (store.Answer, error) {
+		first, _, got, err := spread(b.h.ctx, &b.h.wg, len(parts), b.h.appendTimeout(), func(i int) (store.Answer, error) {
 			return b.h.store.Do(b.h.ctx, store.Call{Op: store.Append, Topic: jobsTopic, Part: parts[i], Keyed: true, Records: records})
 		})
 		if err == nil {
--- a/internal/entry/spread.go
+++ b/internal/entry/spread.go
@@ -31,8 +31,8 @@
 	return all
 }
 
-// spreadPatience is how long to wait for one partition before the next is tried.
-func (h *Host) spreadPatience() time.Duration {
+// appendTimeout is how long to wait for one partition before the next is tried.
+func (h *Host) appendTimeout() time.Duration {
 	return max(spreadTimeout, spreadTimeoutFactor*h.store.Usual())
 }
 
