--- a/internal/entry/spread.go
+++ b/internal/entry/spread.go
@@ -50,11 +50,11 @@
 		err error
 	}
 	results := make(chan result, n)
-	next, flying := 0, 0
+	next, inFlight := 0, 0
 	begin := func() {
 		i := next
 		next++
-		flying++
+		inFlight++
 		wg.Go(func() {
 			got, err := try(i)
 			results <- result{i, got, err}
@@ -78,7 +78,7 @@
 			begin()
 			continue
 		case r = <-results:
-			flying--
+			inFlight--
 		}
 		if timer != nil {
 			timer.Stop()
@@ -90,7 +90,7 @@
 		switch {
 		case next < n:
 			begin()
-		case flying == 0:
+		case inFlight == 0:
 			return 0, next, none, failed
 		}
 	}
