--- a/internal/entry/states.go
+++ b/internal/entry/states.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// readStatesEvery is the least time between two reads of all states: while no host leads,
+	// statesReadInterval is the least time between two reads of all states: while no host leads,
 	// every host reads them, and the next lead has to.
-	readStatesEvery = 500 * time.Millisecond
+	statesReadInterval = 500 * time.Millisecond
 	// readAcceptedEvery is the same for where jobs are accepted: specs are ten times as large.
 	readAcceptedEvery = time.Second
 	// statesTries is how often the states are read for one question.
@@ -187,7 +187,7 @@
 		s.h.incCounter("state.read")
 		s.h.observe("state.read.took", s.h.now().Sub(began))
 		s.h.log.Info("state: read from the store.", "asked", len(r.ids), "found", len(r.found), "took", s.h.now().Sub(began), "err", r.err)
-		sleep(s.h.ctx, readStatesEvery-s.h.now().Sub(began))
+		sleep(s.h.ctx, statesReadInterval-s.h.now().Sub(began))
 	}
 }
 
