--- a/internal/entry/states.go
+++ b/internal/entry/states.go
@@ -18,8 +18,8 @@
 	// statesReadInterval is the least time between two reads of all states: while no host leads,
 	// every host reads them, and the next lead has to.
 	statesReadInterval = 500 * time.Millisecond
-	// readAcceptedEvery is the same for where jobs are accepted: specs are ten times as large.
-	readAcceptedEvery = time.Second
+	// acceptedReadInterval is the same for where jobs are accepted: specs are ten times as large.
+	acceptedReadInterval = time.Second
 	// statesTries is how often the states are read for one question.
 	statesTries = 2
 	// mostEnded bounds how many final states a host keeps.
@@ -226,7 +226,7 @@
 	if len(unproved) == 0 || err != nil {
 		return err
 	}
-	if !sleep(ctx, readAcceptedEvery-s.h.now().Sub(s.accepted)) {
+	if !sleep(ctx, acceptedReadInterval-s.h.now().Sub(s.accepted)) {
 		return &store.UnansweredError{Op: store.Newest, Cause: ctx.Err()}
 	}
 	s.accepted = s.h.now()
