--- a/internal/entry/states.go
+++ b/internal/entry/states.go
@@ -20,8 +20,8 @@
 	statesReadInterval = 500 * time.Millisecond
 	// acceptedReadInterval is the same for where jobs are accepted: specs are ten times as large.
 	acceptedReadInterval = time.Second
-	// statesTries is how often the states are read for one question.
-	statesTries = 2
+	// maxStateReads is how often the states are read for one question.
+	maxStateReads = 2
 	// mostEnded bounds how many final states a host keeps.
 	mostEnded = 50_000
 )
@@ -144,7 +144,7 @@
 			return state, true, nil
 		case r.unreadable[id]:
 			return "", false, &UnreadableStateError{ID: id}
-		case try == statesTries || !store.Away(r.err):
+		case try == maxStateReads || !store.Away(r.err):
 			return "", false, r.err
 		}
 	}
