--- a/internal/entry/states.go
+++ b/internal/entry/states.go
@@ -22,8 +22,8 @@
 	acceptedReadInterval = time.Second
 	// maxStateReads is how often the states are read for one question.
 	maxStateReads = 2
-	// mostEnded bounds how many final states a host keeps.
-	mostEnded = 50_000
+	// maxFinalStates bounds how many final states a host keeps.
+	maxFinalStates = 50_000
 )
 
 // states knows final states, which never change, and reads the others from the store for
@@ -77,7 +77,7 @@
 
 // keep is learn; mu is held.
 func (s *states) keep(id string, state flow.State) {
-	if _, ok := s.ended[id]; !ok && len(s.ended) < mostEnded {
+	if _, ok := s.ended[id]; !ok && len(s.ended) < maxFinalStates {
 		s.ended[id] = endedState{state, s.h.now()}
 	}
 }
