--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -38,7 +38,7 @@
 	peers     *peer.Clients
 	metrics   metrics.Registry
 	inbox     *inbox
-	states    *states
+	states    *stateCache
 	ctx       context.Context
 	cancel    context.CancelFunc
 	wg        sync.WaitGroup
--- a/internal/entry/states.go
+++ b/internal/entry/states.go
@@ -26,10 +26,10 @@
 	maxFinalStates = 50_000
 )
 
-// states knows final states, which never change, and reads the others from the store for
+// stateCache knows final stateCache, which never change, and reads the others from the store for
 // callers whom no lead tells them. All questions that come while a read is under way share
 // the next one.
-type states struct {
+type stateCache struct {
 	h *Host
 
 	mu sync.Mutex
@@ -63,10 +63,10 @@
 	err error
 }
 
-func newStates(h *Host) *states { return &states{h: h, ended: map[string]endedState{}} }
+func newStates(h *Host) *stateCache { return &stateCache{h: h, ended: map[string]endedState{}} }
 
 // learn keeps a final state.
-func (s *states) learn(id string, state flow.State) {
+func (s *stateCache) learn(id string, state flow.State) {
 	if !state.Final() {
 		return
 	}
@@ -76,21 +76,21 @@
 }
 
 // keep is learn; mu is held.
-func (s *states) keep(id string, state flow.State) {
+func (s *stateCache) keep(id string, state flow.State) {
 	if _, ok := s.ended[id]; !ok && len(s.ended) < maxFinalStates {
 		s.ended[id] = endedState{state, s.h.now()}
 	}
 }
 
 // followed is up to where the lead told final states.
-func (s *states) followed() (term int64, next int) {
+func (s *stateCache) followed() (term int64, next int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.term, s.told
 }
 
 // follow keeps the final states that a lead tells.
-func (s *states) follow(r peer.SyncReply) {
+func (s *stateCache) follow(r peer.SyncReply) {
 	if !r.Lead {
 		return
 	}
@@ -110,7 +110,7 @@
 }
 
 // final returns the state of a job that is known to have ended.
-func (s *states) final(id string) (flow.State, bool) {
+func (s *stateCache) final(id string) (flow.State, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e, ok := s.ended[id]
@@ -118,7 +118,7 @@
 }
 
 // drop forgets states that were kept for as long as they have to be told.
-func (s *states) drop() {
+func (s *stateCache) drop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	maps.DeleteFunc(s.ended, func(_ string, e endedState) bool { return s.h.now().Sub(e.at) > time.Duration(s.h.cfg.Times.Keep) })
@@ -127,7 +127,7 @@
 // read returns a job's state as the store has it after the call; false if there is no such
 // job. While a part of the store cannot be read, it returns only what the rest cannot change.
 // A read that fails is made once more as long as the store answers this host.
-func (s *states) read(ctx context.Context, id string) (flow.State, bool, error) {
+func (s *stateCache) read(ctx context.Context, id string) (flow.State, bool, error) {
 	for try := 1; ; try++ {
 		if !s.h.store.Fresh(storeFreshness) {
 			return "", false, &store.RefusedError{Op: store.Newest, Reason: "the store has not answered for a while"}
@@ -156,7 +156,7 @@
 func (e *UnreadableStateError) Error() string { return "record of job " + e.ID + " cannot be read" }
 
 // join adds a job to the next read.
-func (s *states) join(id string) *stateRead {
+func (s *stateCache) join(id string) *stateRead {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.next == nil {
@@ -171,7 +171,7 @@
 }
 
 // run makes one read after the other while there are questions.
-func (s *states) run() {
+func (s *stateCache) run() {
 	for {
 		s.mu.Lock()
 		r := s.next
@@ -192,7 +192,7 @@
 }
 
 // missing lists the jobs of a read whose end is not known yet, in order.
-func (s *states) missing(r *stateRead) []string {
+func (s *stateCache) missing(r *stateRead) []string {
 	for id := range r.ids {
 		if state, ok := s.final(id); ok {
 			r.found[id] = state
@@ -203,7 +203,7 @@
 
 // readAll looks for jobs first where their progress lies, and for those without any where
 // they were accepted. In this order a job that is forgotten meanwhile is found in neither.
-func (s *states) readAll(ctx context.Context, r *stateRead) error {
+func (s *stateCache) readAll(ctx context.Context, r *stateRead) error {
 	ids := s.missing(r)
 	if len(ids) == 0 {
 		return nil
@@ -242,13 +242,13 @@
 
 // forgettable tells whether a job that was accepted then may have ended and been forgotten.
 // One partition may keep an older record of it for a while.
-func (s *states) forgettable(began time.Time) bool {
+func (s *stateCache) forgettable(began time.Time) bool {
 	return s.h.now().Sub(began) > time.Duration(s.h.cfg.Times.Keep)
 }
 
 // readProgress reads the newest record of each job that is asked for, and keeps all final
 // states that it meets.
-func (s *states) readProgress(ctx context.Context, ids []string) (map[string][]byte, error) {
+func (s *stateCache) readProgress(ctx context.Context, ids []string) (map[string][]byte, error) {
 	newest := map[string][]byte{}
 	err := s.scan(ctx, stateTopic, s.h.stateParts(), ids, func(rec store.Record, asked bool) {
 		if rec.Key == claimKey {
@@ -265,7 +265,7 @@
 }
 
 // readAccepted returns which jobs lie where hosts accepted them.
-func (s *states) readAccepted(ctx context.Context, ids []string) (map[string]bool, error) {
+func (s *stateCache) readAccepted(ctx context.Context, ids []string) (map[string]bool, error) {
 	parts := make([]int, s.h.cfg.Parts)
 	for i := range parts {
 		parts[i] = i
@@ -283,7 +283,7 @@
 // whether its job is asked for. Partitions that can be read are read whatever becomes of the
 // others; the error is that of the first that cannot. A whole topic takes a host with a small
 // share of a processor and a slow link seconds.
-func (s *states) scan(ctx context.Context, topic string, parts []int, ids []string, visit func(rec store.Record, asked bool)) error {
+func (s *stateCache) scan(ctx context.Context, topic string, parts []int, ids []string, visit func(rec store.Record, asked bool)) error {
 	var mu sync.Mutex
 	var g errgroup.Group
 	g.SetLimit(pollAtOnce)
@@ -305,7 +305,7 @@
 }
 
 // scanPart reads the pages of one partition; ids are sorted.
-func (s *states) scanPart(ctx context.Context, topic string, part int, ids []string, visit func([]store.Record)) error {
+func (s *stateCache) scanPart(ctx context.Context, topic string, part int, ids []string, visit func([]store.Record)) error {
 	last := ""
 	for _, id := range ids {
 		if id <= last {
