--- a/internal/entry/states.go
+++ b/internal/entry/states.go
@@ -36,8 +36,8 @@
 	// ended are final states by job, and when each was learned.
 	ended map[string]endedState
 	// term and told are up to which final state of which term the lead told.
-	term int64
-	told int
+	term     int64
+	position int
 	// next is the read that questions join, nil without any; reading tells that one is
 	// under way or about to be.
 	next    *stateRead
@@ -86,7 +86,7 @@
 func (s *stateCache) followed() (term int64, next int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.term, s.told
+	return s.term, s.position
 }
 
 // follow keeps the final states that a lead tells.
@@ -103,9 +103,9 @@
 	}
 	switch {
 	case r.Term > s.term:
-		s.term, s.told = r.Term, r.Endings
+		s.term, s.position = r.Term, r.Endings
 	case r.Term == s.term:
-		s.told = max(s.told, r.Endings)
+		s.position = max(s.position, r.Endings)
 	}
 }
 
