--- a/internal/entry/states.go
+++ b/internal/entry/states.go
@@ -42,8 +42,8 @@
 	// under way or about to be.
 	next    *stateRead
 	reading bool
-	// accepted is when it was last looked where jobs are accepted.
-	accepted time.Time
+	// lastAcceptedRead is when it was last looked where jobs are lastAcceptedRead.
+	lastAcceptedRead time.Time
 }
 
 type endedState struct {
@@ -226,10 +226,10 @@
 	if len(unproved) == 0 || err != nil {
 		return err
 	}
-	if !sleep(ctx, acceptedReadInterval-s.h.now().Sub(s.accepted)) {
+	if !sleep(ctx, acceptedReadInterval-s.h.now().Sub(s.lastAcceptedRead)) {
 		return &store.UnansweredError{Op: store.Newest, Cause: ctx.Err()}
 	}
-	s.accepted = s.h.now()
+	s.lastAcceptedRead = s.h.now()
 	accepted, err := s.readAccepted(ctx, unproved)
 	for id := range accepted {
 		r.found[id] = flow.Queued
