--- a/internal/entry/states.go
+++ b/internal/entry/states.go
@@ -34,7 +34,7 @@
 
 	mu sync.Mutex
 	// ended are final states by job, and when each was learned.
-	ended map[string]endedState
+	ended map[string]cachedState
 	// term and told are up to which final state of which term the lead told.
 	term     int64
 	position int
@@ -46,7 +46,7 @@
 	lastAcceptedRead time.Time
 }
 
-type endedState struct {
+type cachedState struct {
 	state flow.State
 	at    time.Time
 }
@@ -63,7 +63,7 @@
 	err error
 }
 
-func newStates(h *Host) *stateCache { return &stateCache{h: h, ended: map[string]endedState{}} }
+func newStates(h *Host) *stateCache { return &stateCache{h: h, ended: map[string]cachedState{}} }
 
 // learn keeps a final state.
 func (s *stateCache) learn(id string, state flow.State) {
@@ -78,7 +78,7 @@
 // keep is learn; mu is held.
 func (s *stateCache) keep(id string, state flow.State) {
 	if _, ok := s.ended[id]; !ok && len(s.ended) < maxFinalStates {
-		s.ended[id] = endedState{state, s.h.now()}
+		s.ended[id] = cachedState{state, s.h.now()}
 	}
 }
 
@@ -121,7 +121,7 @@
 func (s *stateCache) drop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	maps.DeleteFunc(s.ended, func(_ string, e endedState) bool { return s.h.now().Sub(e.at) > time.Duration(s.h.cfg.Times.Keep) })
+	maps.DeleteFunc(s.ended, func(_ string, e cachedState) bool { return s.h.now().Sub(e.at) > time.Duration(s.h.cfg.Times.Keep) })
 }
 
 // read returns a job's state as the store has it after the call; false if there is no such
