--- a/internal/lead/crash.go
+++ b/internal/lead/crash.go
@@ -22,10 +22,10 @@
 }
 
 // AckCrashes reports that the crash count of a task is stored.
-func (l *Leader) AckCrashes(task string, lives int64) {
+func (l *Leader) AckCrashes(task string, crashes int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.stepJobs(job.CrashCountStored{Task: task, Crashes: lives})
+	l.stepJobs(job.CrashCountStored{Task: task, Crashes: crashes})
 }
 
 func (l *Leader) crashCounts(id string) map[string]int64 {
