--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -37,7 +37,7 @@
 	StoreEnd func(end job.Ended, ran bool)
 	// StoreCrashes stores the number of worker incarnations that ended while the task ran, and then
 	// calls AckCrashes. It must not block. If it is nil, nothing is stored.
-	StoreCrashes func(spec job.Spec, task string, lives int64)
+	StoreCrashes func(spec job.Spec, task string, crashes int64)
 	// CrashCounts returns the stored crash counts of a job's tasks. If it is nil, there are none.
 	CrashCounts func(id string) map[string]int64
 	Row         func(name string) (table.Row, int64)
