--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -132,8 +132,8 @@
 func (l *Leader) HandleInventory(host string, q InventoryRequest, c InventoryReply) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for name, life := range c.Incarnations {
-		l.stepLeases(lease.IncarnationConfirmed{Worker: name, Life: life})
+	for name, incarnation := range c.Incarnations {
+		l.stepLeases(lease.IncarnationConfirmed{Worker: name, Life: incarnation})
 	}
 	ev := takeover.PeerAnswer{Host: host, Asked: q.Asked, Leads: c.Leads, Waits: c.Waits}
 	held := l.Leases.Held()
