--- a/internal/lead/rack.go
+++ b/internal/lead/rack.go
@@ -46,14 +46,14 @@
 		l.rereadUndecided(name)
 		return w.rackLost, false
 	}
-	mates := l.rackPeers(name)
-	alive, silent := l.rackSigns(mates, w.since)
+	others := l.rackPeers(name)
+	alive, silent := l.rackSigns(others, w.since)
 	switch {
-	case alive || len(mates) == 0:
+	case alive || len(others) == 0:
 		w.undecided = false
 		return false, false
 	case silent && now.Sub(w.since) < rackDecisionTimeout:
-		for _, mate := range mates {
+		for _, mate := range others {
 			l.stepLeases(lease.Poll{Worker: mate, After: rereadDelay})
 		}
 		l.stepLeases(lease.Poll{Worker: name, After: rackPollInterval})
