--- a/internal/lead/rack.go
+++ b/internal/lead/rack.go
@@ -68,17 +68,17 @@
 // recently.
 func (l *Leader) rackPeers(name string) []string {
 	held := l.Leases.Held()
-	var mates []string
+	var others []string
 	for _, other := range slices.Sorted(maps.Keys(l.machines)) {
 		if other == name || l.machines[other].Rack != l.machines[name].Rack {
 			continue
 		}
 		lost, ok := l.lastHeld[other]
 		if slices.Contains(held, other) || ok && l.Clock().Sub(lost) < rackRestartSpread {
-			mates = append(mates, other)
+			others = append(others, other)
 		}
 	}
-	return mates
+	return others
 }
 
 // rackSigns reports whether at least one of the workers has continued its incarnation after since,
