--- a/internal/lead/rack.go
+++ b/internal/lead/rack.go
@@ -83,8 +83,8 @@
 
 // rackSigns reports whether at least one of the workers has continued its incarnation after since,
 // and whether at least one has not been heard from.
-func (l *Leader) rackSigns(mates []string, since time.Time) (alive, silent bool) {
-	for _, mate := range mates {
+func (l *Leader) rackSigns(workers []string, since time.Time) (alive, silent bool) {
+	for _, mate := range workers {
 		r, held := l.Leases.LastReading(mate)
 		w := l.incarnations[mate]
 		switch {
