--- a/internal/lead/rack.go
+++ b/internal/lead/rack.go
@@ -53,8 +53,8 @@
 		w.undecided = false
 		return false, false
 	case silent && now.Sub(w.since) < rackDecisionTimeout:
-		for _, mate := range others {
-			l.stepLeases(lease.Poll{Worker: mate, After: rereadDelay})
+		for _, other := range others {
+			l.stepLeases(lease.Poll{Worker: other, After: rereadDelay})
 		}
 		l.stepLeases(lease.Poll{Worker: name, After: rackPollInterval})
 		return false, true
