--- a/internal/lead/rack.go
+++ b/internal/lead/rack.go
@@ -84,9 +84,9 @@
 // rackSigns reports whether at least one of the workers has continued its incarnation after since,
 // and whether at least one has not been heard from.
 func (l *Leader) rackSigns(workers []string, since time.Time) (alive, silent bool) {
-	for _, mate := range workers {
-		r, held := l.Leases.LastReading(mate)
-		w := l.incarnations[mate]
+	for _, other := range workers {
+		r, held := l.Leases.LastReading(other)
+		w := l.incarnations[other]
 		switch {
 		case w != nil && !w.since.IsZero() && since.Sub(w.since) < rackRestartSpread:
 		case held && r.Sent.After(since) && (w == nil || w.name == r.Incarnation):
