--- a/internal/lead/rack.go
+++ b/internal/lead/rack.go
@@ -100,9 +100,9 @@
 
 // rereadUndecided reads the workers of a rack again for which it is not decided yet whether the
 // rack was lost.
-func (l *Leader) rereadUndecided(mate string) {
+func (l *Leader) rereadUndecided(worker string) {
 	for _, name := range slices.Sorted(maps.Keys(l.incarnations)) {
-		if l.incarnations[name].undecided && l.machines[name].Rack == l.machines[mate].Rack {
+		if l.incarnations[name].undecided && l.machines[name].Rack == l.machines[worker].Rack {
 			l.stepLeases(lease.Poll{Worker: name, After: rereadDelay})
 		}
 	}
