--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -253,8 +253,8 @@
 			l.freeCapacity(id, name)
 		}
 	}
-	for id, lo := range l.untracked {
-		if lo.worker == name && (running[id] || r.Sent.After(lo.since) && r.Clock.After(lo.deadline)) {
+	for id, run := range l.untracked {
+		if run.worker == name && (running[id] || r.Sent.After(run.since) && r.Clock.After(run.deadline)) {
 			delete(l.untracked, id)
 			if !running[id] {
 				l.freeCapacity(id, name)
