--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -78,8 +78,8 @@
 		l.stepLeases(lease.Poll{Worker: name, After: rereadDelay})
 		return false
 	}
-	for _, lo := range l.untracked {
-		if lo.worker == name {
+	for _, run := range l.untracked {
+		if run.worker == name {
 			return false
 		}
 	}
