--- a/internal/lead/stop.go
+++ b/internal/lead/stop.go
@@ -34,7 +34,7 @@
 // handleStopReply handles the result of a stop. If the answer was lost, or the stop overtook the
 // start, the worker's list is read again. The job state machine repeats the stop as long as the
 // list shows the task running.
-func (l *Leader) handleStopReply(on string, ev job.Stopped, err error) {
+func (l *Leader) handleStopReply(name string, ev job.Stopped, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var gone *worker.GoneError
@@ -42,9 +42,9 @@
 	case err == nil:
 		l.stepJobs(ev)
 	case errors.As(err, &gone):
-		l.stepLeases(lease.Poll{Worker: on})
+		l.stepLeases(lease.Poll{Worker: name})
 	default:
-		l.Log.Warn("lead: stop has no answer.", "task", ev.Task, "worker", on, "err", err)
-		l.stepLeases(lease.Poll{Worker: on, After: stopRetry})
+		l.Log.Warn("lead: stop has no answer.", "task", ev.Task, "worker", name, "err", err)
+		l.stepLeases(lease.Poll{Worker: name, After: stopRetry})
 	}
 }
