--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -54,18 +54,18 @@
 func (l *Leader) Inherit(specs []job.Spec) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	fresh := false
+	added := false
 	for _, s := range specs {
 		if l.leaving || l.hasJob(s.ID) {
 			continue
 		}
-		fresh = true
+		added = true
 		l.Count("lead.inherited")
 		l.addNote(s.ID, "inherited, waits for the census")
 		l.stepJobs(job.Inherit{Spec: s})
 		l.stepTakeover(takeover.FoundJob{Job: s.ID})
 	}
-	if fresh {
+	if added {
 		l.replayReadings()
 	}
 }
