--- a/internal/lead/fault_test.go
+++ b/internal/lead/fault_test.go
@@ -37,7 +37,7 @@
 	cut map[string]string
 }
 
-type path struct {
+type transport struct {
 	*pair
 	from string
 }
@@ -46,7 +46,7 @@
 
 func (cutError) Error() string { return "network is cut" }
 
-func (p path) RoundTrip(req *http.Request) (*http.Response, error) {
+func (p transport) RoundTrip(req *http.Request) (*http.Response, error) {
 	if p.cut[p.from] == req.URL.Host {
 		return nil, cutError{}
 	}
@@ -58,7 +58,7 @@
 var room = cell.Size{CPU: 1000, Mem: 1000}
 
 func newPair(t *testing.T, workers int) *pair {
-	return newPairOn(t, workers, io.Discard, func(p *pair, name string) http.RoundTripper { return path{p, name} })
+	return newPairOn(t, workers, io.Discard, func(p *pair, name string) http.RoundTripper { return transport{p, name} })
 }
 
 // newPairOn is a pair that logs to told and whose hosts reach the workers in the given way.
--- a/internal/lead/life_test.go
+++ b/internal/lead/life_test.go
@@ -22,7 +22,7 @@
 
 func (d *delayed) RoundTrip(req *http.Request) (*http.Response, error) {
 	if d.path == "" || req.URL.Path != d.path || req.Method != http.MethodPost {
-		return path{d.pair, d.from}.RoundTrip(req)
+		return transport{d.pair, d.from}.RoundTrip(req)
 	}
 	body, err := io.ReadAll(req.Body)
 	if err != nil {
