--- a/internal/lead/fault_test.go
+++ b/internal/lead/fault_test.go
@@ -33,8 +33,8 @@
 	over     *standin.Oversight
 	hosts    map[string]*lead.Leader
 	queues   map[string][]func()
-	// cut holds the workers that a host does not reach.
-	cut map[string]string
+	// unreachable holds the workers that a host does not reach.
+	unreachable map[string]string
 }
 
 type transport struct {
@@ -47,7 +47,7 @@
 func (cutError) Error() string { return "network is cut" }
 
 func (p transport) RoundTrip(req *http.Request) (*http.Response, error) {
-	if p.cut[p.from] == req.URL.Host {
+	if p.unreachable[p.from] == req.URL.Host {
 		return nil, cutError{}
 	}
 	rec := httptest.NewRecorder()
@@ -65,7 +65,7 @@
 func newPairOn(t *testing.T, workers int, told io.Writer, through func(p *pair, name string) http.RoundTripper) *pair {
 	p := &pair{
 		T: t, now: time.Unix(1_700_000_000, 0), workers: map[string]*standin.Worker{}, over: standin.NewOversight(),
-		hosts: map[string]*lead.Leader{}, queues: map[string][]func(){}, cut: map[string]string{},
+		hosts: map[string]*lead.Leader{}, queues: map[string][]func(){}, unreachable: map[string]string{},
 	}
 	clock := func() time.Time { return p.now }
 	var names []string
@@ -202,7 +202,7 @@
 	p.submit("a", "one")
 	p.submit("a", "two")
 	p.run("a", 2*time.Second)
-	p.cut["a"], p.cut["b"] = p.machines[0].Name, ""
+	p.unreachable["a"], p.unreachable["b"] = p.machines[0].Name, ""
 	p.hosts["b"].SetLedMachines(p.machines)
 	p.run("ab", 10*time.Second)
 	require.Equal(t, []string{p.machines[1].Name}, p.hosts["a"].Held())
@@ -230,12 +230,12 @@
 	p := newPair(t, 1)
 	p.submit("a", "old")
 	p.run("a", time.Second)
-	p.cut["a"] = p.machines[0].Name
+	p.unreachable["a"] = p.machines[0].Name
 	_, err := p.hosts["a"].Cancel("d.r.old")
 	require.NoError(t, err)
 	p.run("a", 500*time.Millisecond)
 	require.Equal(t, "stopping", p.state("a", "old"))
-	p.cut["a"] = ""
+	p.unreachable["a"] = ""
 	p.run("a", 3*time.Second)
 	require.Equal(t, "cancelled", p.state("a", "old"))
 	for _, w := range p.workers {
--- a/internal/lead/limits_test.go
+++ b/internal/lead/limits_test.go
@@ -141,9 +141,9 @@
 	_, err := p.hosts["a"].Cancel("d.r.zero")
 	require.NoError(t, err)
 	p.together(2 * time.Second)
-	p.cut["a"] = p.machines[0].Name
+	p.unreachable["a"] = p.machines[0].Name
 	p.run("a", 2*time.Second)
-	p.cut["a"] = ""
+	p.unreachable["a"] = ""
 	p.limited("a", "one")
 	require.NotEmpty(t, p.queues["a"], "the start is decided and not sent")
 	p.hosts["b"].SetLedMachines(p.machines[:1])
@@ -160,7 +160,7 @@
 	for _, l := range p.hosts {
 		l.Arbiters = func(string) []string { return []string{p.machines[0].Name, p.machines[1].Name} }
 	}
-	p.cut["a"] = p.machines[0].Name
+	p.unreachable["a"] = p.machines[0].Name
 	p.run("a", 10*time.Second)
 	p.limited("a", "one")
 	p.run("a", 2*time.Second)
