--- a/internal/lead/fault_test.go
+++ b/internal/lead/fault_test.go
@@ -42,13 +42,13 @@
 	from string
 }
 
-type cutError struct{}
+type unreachableError struct{}
 
-func (cutError) Error() string { return "network is cut" }
+func (unreachableError) Error() string { return "network is cut" }
 
 func (p transport) RoundTrip(req *http.Request) (*http.Response, error) {
 	if p.unreachable[p.from] == req.URL.Host {
-		return nil, cutError{}
+		return nil, unreachableError{}
 	}
 	rec := httptest.NewRecorder()
 	p.workers[req.URL.Host].Handler().ServeHTTP(rec, req)
--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -64,12 +64,12 @@
 		held := req.Clone(u.history.Context())
 		held.Body = io.NopCloser(bytes.NewReader(body))
 		u.history.overdue = append(u.history.overdue, held)
-		return nil, cutError{}
+		return nil, unreachableError{}
 	case answerLost:
 		if _, err := u.path.RoundTrip(req); err != nil {
 			return nil, err
 		}
-		return nil, cutError{}
+		return nil, unreachableError{}
 	default:
 		return u.path.RoundTrip(req)
 	}
--- a/internal/lead/life_test.go
+++ b/internal/lead/life_test.go
@@ -31,7 +31,7 @@
 	late := req.Clone(d.Context())
 	late.Body = io.NopCloser(bytes.NewReader(body))
 	d.held = append(d.held, late)
-	return nil, cutError{}
+	return nil, unreachableError{}
 }
 
 // arrive has the requests that were held back arrive.
