--- a/internal/lead/fault_test.go
+++ b/internal/lead/fault_test.go
@@ -55,7 +55,7 @@
 	return rec.Result(), nil
 }
 
-var room = cell.Size{CPU: 1000, Mem: 1000}
+var pairWorkerSize = cell.Size{CPU: 1000, Mem: 1000}
 
 func newPair(t *testing.T, workers int) *pair {
 	return newPairOn(t, workers, io.Discard, func(p *pair, name string) http.RoundTripper { return transport{p, name} })
@@ -71,8 +71,8 @@
 	var names []string
 	for i := range workers {
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(1+i))
-		p.workers[addr.String()] = standin.NewWorker(room, p.over, clock)
-		p.machines = append(p.machines, lead.Machine{Name: addr.String(), Rack: "r", Address: addr, Size: room})
+		p.workers[addr.String()] = standin.NewWorker(pairWorkerSize, p.over, clock)
+		p.machines = append(p.machines, lead.Machine{Name: addr.String(), Rack: "r", Address: addr, Size: pairWorkerSize})
 		names = append(names, addr.String())
 	}
 	for _, name := range []string{"a", "b"} {
@@ -114,7 +114,7 @@
 }
 
 func (p *pair) spec(id string) job.Spec {
-	return job.Spec{ID: "d.r." + id, Row: "scan", Tasks: 1, Size: room, Time: cell.Duration{Duration: time.Hour}, Tries: 3}
+	return job.Spec{ID: "d.r." + id, Row: "scan", Tasks: 1, Size: pairWorkerSize, Time: cell.Duration{Duration: time.Hour}, Tries: 3}
 }
 
 func (p *pair) submit(name, id string) {
--- a/internal/lead/suspect_test.go
+++ b/internal/lead/suspect_test.go
@@ -13,7 +13,7 @@
 
 func twelfths(id string, tasks int, gang bool) job.Spec {
 	return job.Spec{
-		ID: "d.r." + id, Row: "batch", Tasks: tasks, Gang: gang, Size: cell.Size{CPU: room.CPU / 16, Mem: room.Mem / 16},
+		ID: "d.r." + id, Row: "batch", Tasks: tasks, Gang: gang, Size: cell.Size{CPU: pairWorkerSize.CPU / 16, Mem: pairWorkerSize.Mem / 16},
 		Time: cell.Duration{Duration: 2 * time.Second}, Tries: 3, Class: cell.Bulk,
 	}
 }
