--- a/internal/lead/fault_test.go
+++ b/internal/lead/fault_test.go
@@ -62,7 +62,7 @@
 }
 
 // newPairOn is a pair that logs to told and whose hosts reach the workers in the given way.
-func newPairOn(t *testing.T, workers int, told io.Writer, through func(p *pair, name string) http.RoundTripper) *pair {
+func newPairOn(t *testing.T, workers int, logs io.Writer, through func(p *pair, name string) http.RoundTripper) *pair {
 	p := &pair{
 		T: t, now: time.Unix(1_700_000_000, 0), workers: map[string]*standin.Worker{}, over: standin.NewOversight(),
 		hosts: map[string]*lead.Leader{}, queues: map[string][]func(){}, unreachable: map[string]string{},
@@ -80,7 +80,7 @@
 			Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: job.New(),
 			Takeover: takeover.New(name, takeover.Limits{LongestLease: lease.DefaultLimits.TaskTTL, AskInterval: time.Second}),
 			Workers:  worker.New(name, 1, through(p, name), clock), Row: func(string) (table.Row, int64) { return table.Row{}, 1 },
-			History: trail.New(100), Clock: clock, Log: slog.New(slog.NewTextHandler(told, nil)).With("host", name),
+			History: trail.New(100), Clock: clock, Log: slog.New(slog.NewTextHandler(logs, nil)).With("host", name),
 			Go: func(f func()) { p.queues[name] = append(p.queues[name], f) },
 		})
 		p.hosts[name] = l
