--- a/internal/lead/fault_test.go
+++ b/internal/lead/fault_test.go
@@ -58,11 +58,11 @@
 var pairWorkerSize = cell.Size{CPU: 1000, Mem: 1000}
 
 func newPair(t *testing.T, workers int) *pair {
-	return newPairOn(t, workers, io.Discard, func(p *pair, name string) http.RoundTripper { return transport{p, name} })
+	return newPairWithTransport(t, workers, io.Discard, func(p *pair, name string) http.RoundTripper { return transport{p, name} })
 }
 
-// newPairOn is a pair that logs to told and whose hosts reach the workers in the given way.
-func newPairOn(t *testing.T, workers int, logs io.Writer, through func(p *pair, name string) http.RoundTripper) *pair {
+// newPairWithTransport is a pair that logs to told and whose hosts reach the workers in the given way.
+func newPairWithTransport(t *testing.T, workers int, logs io.Writer, through func(p *pair, name string) http.RoundTripper) *pair {
 	p := &pair{
 		T: t, now: time.Unix(1_700_000_000, 0), workers: map[string]*standin.Worker{}, over: standin.NewOversight(),
 		hosts: map[string]*lead.Leader{}, queues: map[string][]func(){}, unreachable: map[string]string{},
--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -85,7 +85,7 @@
 
 func newHistory(t *testing.T, draw *rapid.T) *history {
 	h := &history{draw: draw, open: map[string]job.Spec{}, handing: map[string][]*outgoing{}, paused: map[string]bool{}, has: map[string]cell.Size{}}
-	h.pair = newPairOn(t, rapid.IntRange(1, 3).Draw(draw, "workers"), drawLog{draw}, func(p *pair, name string) http.RoundTripper {
+	h.pair = newPairWithTransport(t, rapid.IntRange(1, 3).Draw(draw, "workers"), drawLog{draw}, func(p *pair, name string) http.RoundTripper {
 		return unruly{history: h, path: transport{p, name}}
 	})
 	for _, m := range h.machines {
--- a/internal/lead/life_test.go
+++ b/internal/lead/life_test.go
@@ -44,7 +44,7 @@
 
 func newDelayedPair(t *testing.T) map[string]*delayed {
 	net := map[string]*delayed{}
-	newPairOn(t, 1, io.Discard, func(p *pair, name string) http.RoundTripper {
+	newPairWithTransport(t, 1, io.Discard, func(p *pair, name string) http.RoundTripper {
 		net[name] = &delayed{pair: p, from: name}
 		return net[name]
 	})
