--- a/internal/lead/fault_test.go
+++ b/internal/lead/fault_test.go
@@ -94,7 +94,7 @@
 	return p
 }
 
-func (p *pair) drain(name string) {
+func (p *pair) runQueued(name string) {
 	for len(p.queues[name]) > 0 {
 		f := p.queues[name][0]
 		p.queues[name] = p.queues[name][1:]
@@ -108,7 +108,7 @@
 		for _, n := range names {
 			p.hosts[string(n)].Tick()
 			p.hosts[string(n)].LogRead(p.now)
-			p.drain(string(n))
+			p.runQueued(string(n))
 		}
 	}
 }
@@ -166,7 +166,7 @@
 	p.submit("b", "new")
 	p.run("b", time.Second)
 	require.Equal(t, "running", p.state("b", "new"))
-	p.drain("a")
+	p.runQueued("a")
 	p.run("ab", 5*time.Second)
 	require.Equal(t, 1, p.late())
 	require.Equal(t, "running", p.state("b", "new"))
--- a/internal/lead/handover_test.go
+++ b/internal/lead/handover_test.go
@@ -84,7 +84,7 @@
 	p := newPair(t, 1)
 	a := p.hosts["a"]
 	p.submit("a", "old")
-	p.drain("a")
+	p.runQueued("a")
 	require.Equal(t, "running", p.state("a", "old"))
 	a.HandOver([]string{"d.r.old"})
 	require.Empty(t, a.Inventory("b", ask).Workers)
--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -213,7 +213,7 @@
 			if !h.paused[name] {
 				h.hosts[name].Tick()
 				h.hosts[name].LogRead(h.now)
-				h.drain(name)
+				h.runQueued(name)
 			}
 		}
 	}
--- a/internal/lead/life_test.go
+++ b/internal/lead/life_test.go
@@ -58,7 +58,7 @@
 	p := net["a"].pair
 	net["a"].path = "/tasks"
 	p.submit("a", "old")
-	p.drain("a")
+	p.runQueued("a")
 	require.Len(t, net["a"].held, 1)
 	worker := p.machines[0].Name
 	p.workers[worker].Crash()
--- a/internal/lead/limits_test.go
+++ b/internal/lead/limits_test.go
@@ -149,7 +149,7 @@
 	p.hosts["b"].SetLedMachines(p.machines[:1])
 	p.run("b", 1500*time.Millisecond)
 	require.Len(t, p.hosts["b"].Held(), 1)
-	p.drain("a")
+	p.runQueued("a")
 	require.Equal(t, 1, p.late())
 }
 
