--- a/internal/lead/crash_test.go
+++ b/internal/lead/crash_test.go
@@ -242,5 +242,5 @@
 	p.hosts["a"].Inherit([]job.Spec{p.spec("old")})
 	p.run("a", 10*time.Second)
 	require.Equal(t, "running", p.state("a", "old"))
-	p.sound()
+	p.requireConsistent()
 }
--- a/internal/lead/fault_test.go
+++ b/internal/lead/fault_test.go
@@ -138,8 +138,8 @@
 	return s.State
 }
 
-// sound checks the workers' own records.
-func (p *pair) sound() {
+// requireConsistent checks the workers' own records.
+func (p *pair) requireConsistent() {
 	p.Helper()
 	require.Empty(p, p.over.Doubled())
 	for _, w := range p.workers {
@@ -170,7 +170,7 @@
 	p.run("ab", 5*time.Second)
 	require.Equal(t, 1, p.late())
 	require.Equal(t, "running", p.state("b", "new"))
-	p.sound()
+	p.requireConsistent()
 }
 
 // A host wakes from a pause and is asked at once to cancel a job. Another host
@@ -192,7 +192,7 @@
 	var unknown *job.UnknownError
 	require.ErrorAs(t, err, &unknown)
 	require.Zero(t, p.hosts["a"].Epoch())
-	p.sound()
+	p.requireConsistent()
 }
 
 // A host is cut off from half of its rack. The other half stays its own; the
@@ -221,7 +221,7 @@
 	require.Equal(t, "running", p.state("a", "two"))
 	require.Equal(t, "waiting", p.state("a", "three"))
 	require.Equal(t, "waiting", p.state("b", "four"))
-	p.sound()
+	p.requireConsistent()
 }
 
 // The answer to a stop is lost. The caller would wait for ever for the word
--- a/internal/lead/former_test.go
+++ b/internal/lead/former_test.go
@@ -69,7 +69,7 @@
 	require.NoError(t, err)
 	p.run("ab", 30*time.Second)
 	require.Equal(t, "running", p.state("b", "old"))
-	p.sound()
+	p.requireConsistent()
 }
 
 // Guards against a worker that is overfull: the line of a task's former, failed start frees the room
@@ -81,5 +81,5 @@
 	a.SetLedMachines([]lead.Machine{p.at("one")})
 	b.SetLedMachines([]lead.Machine{p.at("two"), bad})
 	p.run("ab", 30*time.Second)
-	p.sound()
+	p.requireConsistent()
 }
--- a/internal/lead/life_test.go
+++ b/internal/lead/life_test.go
@@ -68,7 +68,7 @@
 	net["a"].arrive()
 	p.run("b", 30*time.Second)
 	require.Equal(t, "running", p.state("b", "old"))
-	p.sound()
+	p.requireConsistent()
 }
 
 // Guards against a task that runs twice since a worker's next life lists what changed since a mark
@@ -96,5 +96,5 @@
 	p.submit("a", "next")
 	p.keepOn(30*time.Second, p.spec("next"))
 	require.Equal(t, "running", p.state("a", "next"))
-	p.sound()
+	p.requireConsistent()
 }
