--- a/internal/lead/fault_test.go
+++ b/internal/lead/fault_test.go
@@ -147,7 +147,7 @@
 	}
 }
 
-func (p *pair) late() int {
+func (p *pair) lateStarts() int {
 	n := 0
 	for _, w := range p.workers {
 		n += w.Record().Late
@@ -168,7 +168,7 @@
 	require.Equal(t, "running", p.state("b", "new"))
 	p.runQueued("a")
 	p.run("ab", 5*time.Second)
-	require.Equal(t, 1, p.late())
+	require.Equal(t, 1, p.lateStarts())
 	require.Equal(t, "running", p.state("b", "new"))
 	p.requireConsistent()
 }
--- a/internal/lead/limits_test.go
+++ b/internal/lead/limits_test.go
@@ -150,7 +150,7 @@
 	p.run("b", 1500*time.Millisecond)
 	require.Len(t, p.hosts["b"].Held(), 1)
 	p.runQueued("a")
-	require.Equal(t, 1, p.late())
+	require.Equal(t, 1, p.lateStarts())
 }
 
 // Guards against rows with a limit that stand still for good: the worker that allows to start
