--- a/internal/lead/place_test.go
+++ b/internal/lead/place_test.go
@@ -86,8 +86,8 @@
 	return strings.Join(all, "\n")
 }
 
-// honest checks what the workers themselves saw.
-func (f *fleet) honest() {
+// requireConsistent checks what the workers themselves saw.
+func (f *fleet) requireConsistent() {
 	f.t.Helper()
 	require.Empty(f.t, f.over.Doubled())
 	for _, w := range f.workers {
@@ -106,7 +106,7 @@
 	f.until(f.is("gate", "ended"))
 	require.Contains(t, f.notes("bulk"), "urgent job d.r.gate found no room")
 	f.until(func() bool { s, _ := f.Status("d.r.bulk"); return s.Tasks["running"] == 2 })
-	f.honest()
+	f.requireConsistent()
 }
 
 // One worker fails everything at once and so always has room. It is set aside
@@ -121,7 +121,7 @@
 		f.until(f.is(fmt.Sprint(i), "ended"))
 	}
 	require.LessOrEqual(t, len(f.workers[0].Record().Started), 12)
-	f.honest()
+	f.requireConsistent()
 }
 
 // A job waits and its owner asks why. The nearest limit is named; one that can
