--- a/internal/lead/place_test.go
+++ b/internal/lead/place_test.go
@@ -33,19 +33,19 @@
 	addresses []netip.AddrPort
 }
 
-var whole = cell.Size{CPU: 4000, Mem: 4 << 30}
+var fleetWorkerSize = cell.Size{CPU: 4000, Mem: 4 << 30}
 
 func newFleet(t *testing.T, n int, rows map[string]table.Row) *fleet {
 	f := &fleet{t: t, over: standin.NewOversight()}
 	var machines []lead.Machine
 	for i := range n {
-		w := standin.NewWorker(whole, f.over, time.Now)
+		w := standin.NewWorker(fleetWorkerSize, f.over, time.Now)
 		srv := httptest.NewServer(w.Handler())
 		t.Cleanup(srv.Close)
 		f.workers = append(f.workers, w)
 		addr := netip.MustParseAddrPort(srv.Listener.Addr().String())
 		f.addresses = append(f.addresses, addr)
-		machines = append(machines, lead.Machine{Name: fmt.Sprintf("w%d", i), Rack: "r", Address: addr, Size: whole})
+		machines = append(machines, lead.Machine{Name: fmt.Sprintf("w%d", i), Rack: "r", Address: addr, Size: fleetWorkerSize})
 	}
 	f.Leader = lead.New(t.Context(), lead.Deps{
 		Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: job.New(),
--- a/internal/lead/size_test.go
+++ b/internal/lead/size_test.go
@@ -44,7 +44,7 @@
 	} {
 		f := newFleet(t, 2, nil)
 		f.SetLedMachines([]lead.Machine{
-			{Name: "w0", Rack: "r", Address: f.addresses[0], Size: size}, {Name: "w1", Rack: "r", Address: f.addresses[1], Size: whole},
+			{Name: "w0", Rack: "r", Address: f.addresses[0], Size: size}, {Name: "w1", Rack: "r", Address: f.addresses[1], Size: fleetWorkerSize},
 		})
 		f.submit("a", "", cell.Bulk, 500, 3, time.Hour)
 		f.until(func() bool { return len(f.workers[1].Record().Started) == 3 })
