--- a/internal/lead/place_test.go
+++ b/internal/lead/place_test.go
@@ -74,7 +74,7 @@
 	require.NoError(f.t, err)
 }
 
-func (f *fleet) is(id, state string) func() bool {
+func (f *fleet) hasState(id, state string) func() bool {
 	return func() bool { s, err := f.Status("d.r." + id); return err == nil && s.State == state }
 }
 
@@ -103,7 +103,7 @@
 	f.submit("bulk", "badges", cell.Bulk, 900, 2, time.Hour)
 	f.until(func() bool { s, _ := f.Status("d.r.bulk"); return s.Tasks["running"] == 2 })
 	f.submit("gate", "gate", cell.Urgent, 1000, 1, 300*time.Millisecond)
-	f.until(f.is("gate", "ended"))
+	f.until(f.hasState("gate", "ended"))
 	require.Contains(t, f.notes("bulk"), "urgent job d.r.gate found no room")
 	f.until(func() bool { s, _ := f.Status("d.r.bulk"); return s.Tasks["running"] == 2 })
 	f.requireConsistent()
@@ -118,7 +118,7 @@
 		f.submit(fmt.Sprint(i), "menu", cell.Normal, 1000, 1, 50*time.Millisecond)
 	}
 	for i := range 200 {
-		f.until(f.is(fmt.Sprint(i), "ended"))
+		f.until(f.hasState(fmt.Sprint(i), "ended"))
 	}
 	require.LessOrEqual(t, len(f.workers[0].Record().Started), 12)
 	f.requireConsistent()
