--- a/internal/lead/crash_test.go
+++ b/internal/lead/crash_test.go
@@ -15,8 +15,8 @@
 	"pollencroft/internal/standin"
 )
 
-// crashing makes each task of a row crash its worker that long after its start.
-func (p *pair) crashing(row string, after time.Duration) {
+// setCrashRow makes each task of a row crash its worker that long after its start.
+func (p *pair) setCrashRow(row string, after time.Duration) {
 	for _, w := range p.workers {
 		w.SetFaults(standin.WorkerFaults{CrashRow: row, CrashAfter: after})
 	}
@@ -66,7 +66,7 @@
 	for _, after := range []time.Duration{0, 10 * time.Millisecond, 500 * time.Millisecond} {
 		t.Run(after.String(), func(t *testing.T) {
 			p := newPair(t, 4)
-			p.crashing("bad", after)
+			p.setCrashRow("bad", after)
 			p.take("bad", "bad", 1, false)
 			p.run("a", 5*time.Minute)
 			t.Logf("crashes: %d, starts of one task: %d", p.crashes(), p.most())
@@ -80,7 +80,7 @@
 // Guards against an all-at-once job that takes workers down for good.
 func TestGangThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	p := newPair(t, 4)
-	p.crashing("bad", 10*time.Millisecond)
+	p.setCrashRow("bad", 10*time.Millisecond)
 	p.take("bad", "bad", 3, true)
 	p.run("a", 10*time.Minute)
 	t.Logf("crashes: %d, starts of one task: %d", p.crashes(), p.most())
@@ -91,7 +91,7 @@
 // Guards against good jobs that are given up, or do not end, beside jobs that crash workers.
 func TestNeighboursOfCrashingTasksEnd(t *testing.T) {
 	p := newPair(t, 8)
-	p.crashing("bad", 500*time.Millisecond)
+	p.setCrashRow("bad", 500*time.Millisecond)
 	for i := range 20 {
 		if i%10 == 0 {
 			p.take(fmt.Sprint("bad", i), "bad", 3, false)
@@ -112,7 +112,7 @@
 // Guards against a task that crashes the only worker of its lead for good.
 func TestCrashOfTheLastWorkerCounts(t *testing.T) {
 	p := newPair(t, 1)
-	p.crashing("bad", 10*time.Millisecond)
+	p.setCrashRow("bad", 10*time.Millisecond)
 	p.take("bad", "bad", 1, false)
 	p.keepOn(5*time.Minute, quarters("bad", "bad", 1, false))
 	t.Logf("crashes: %d, starts of one task: %d", p.crashes(), p.most())
@@ -173,7 +173,7 @@
 // Guards against a job that is never given up because it crashes all workers of a rack together.
 func TestGangThatCrashesAWholeRackIsGivenUp(t *testing.T) {
 	p := newPair(t, 2)
-	p.crashing("bad", 10*time.Millisecond)
+	p.setCrashRow("bad", 10*time.Millisecond)
 	p.take("bad", "bad", 8, true)
 	p.keepOn(10*time.Minute, quarters("bad", "bad", 8, true))
 	t.Logf("crashes: %d, starts of one task: %d", p.crashes(), p.most())
@@ -205,7 +205,7 @@
 // Guards against neighbours that crash along with a task known to crash its workers.
 func TestTaskThatCrashedTwiceRunsAlone(t *testing.T) {
 	p := newPair(t, 4)
-	p.crashing("bad", 3*time.Second)
+	p.setCrashRow("bad", 3*time.Second)
 	p.take("good", "good", 80, false)
 	p.take("bad", "bad", 1, false)
 	for p.most() < 3 {
