--- a/internal/lead/crash_test.go
+++ b/internal/lead/crash_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// crashes counts the crashes of all workers.
-func (p *pair) crashes() int {
+// crashCount counts the crashCount of all workers.
+func (p *pair) crashCount() int {
 	n := 0
 	for _, w := range p.workers {
 		n += w.Record().Crashed
@@ -69,9 +69,9 @@
 			p.setCrashRow("bad", after)
 			p.take("bad", "bad", 1, false)
 			p.run("a", 5*time.Minute)
-			t.Logf("crashes: %d, starts of one task: %d", p.crashes(), p.most())
+			t.Logf("crashes: %d, starts of one task: %d", p.crashCount(), p.most())
 			require.Equal(t, "failed", p.state("a", "bad"))
-			require.LessOrEqual(t, p.crashes(), 3)
+			require.LessOrEqual(t, p.crashCount(), 3)
 			require.LessOrEqual(t, p.most(), 3)
 		})
 	}
@@ -83,9 +83,9 @@
 	p.setCrashRow("bad", 10*time.Millisecond)
 	p.take("bad", "bad", 3, true)
 	p.run("a", 10*time.Minute)
-	t.Logf("crashes: %d, starts of one task: %d", p.crashes(), p.most())
+	t.Logf("crashes: %d, starts of one task: %d", p.crashCount(), p.most())
 	require.Equal(t, "failed", p.state("a", "bad"))
-	require.LessOrEqual(t, p.crashes(), 9)
+	require.LessOrEqual(t, p.crashCount(), 9)
 }
 
 // Guards against good jobs that are given up, or do not end, beside jobs that crash workers.
@@ -99,14 +99,14 @@
 		p.take(fmt.Sprint("good", i), "good", 2, false)
 	}
 	p.run("a", 10*time.Minute)
-	t.Logf("crashes: %d, starts of one task: %d", p.crashes(), p.most())
+	t.Logf("crashes: %d, starts of one task: %d", p.crashCount(), p.most())
 	for i := range 20 {
 		if i%10 == 0 {
 			require.Equal(t, "failed", p.state("a", fmt.Sprint("bad", i)))
 		}
 		require.Equal(t, "ended", p.state("a", fmt.Sprint("good", i)), i)
 	}
-	require.LessOrEqual(t, p.crashes(), 18)
+	require.LessOrEqual(t, p.crashCount(), 18)
 }
 
 // Guards against a task that crashes the only worker of its lead for good.
@@ -115,9 +115,9 @@
 	p.setCrashRow("bad", 10*time.Millisecond)
 	p.take("bad", "bad", 1, false)
 	p.keepOn(5*time.Minute, quarters("bad", "bad", 1, false))
-	t.Logf("crashes: %d, starts of one task: %d", p.crashes(), p.most())
+	t.Logf("crashes: %d, starts of one task: %d", p.crashCount(), p.most())
 	require.Equal(t, "failed", p.state("a", "bad"))
-	require.LessOrEqual(t, p.crashes(), 3)
+	require.LessOrEqual(t, p.crashCount(), 3)
 }
 
 // Guards against crashes that do not count since the worker stays away for longer than a lease.
@@ -128,9 +128,9 @@
 	}
 	p.take("bad", "bad", 1, false)
 	p.run("a", 20*time.Minute)
-	t.Logf("crashes: %d, starts of one task: %d", p.crashes(), p.most())
+	t.Logf("crashes: %d, starts of one task: %d", p.crashCount(), p.most())
 	require.Equal(t, "failed", p.state("a", "bad"))
-	require.LessOrEqual(t, p.crashes(), 5)
+	require.LessOrEqual(t, p.crashCount(), 5)
 }
 
 // racks puts all but the first few workers into another rack.
@@ -176,7 +176,7 @@
 	p.setCrashRow("bad", 10*time.Millisecond)
 	p.take("bad", "bad", 8, true)
 	p.keepOn(10*time.Minute, quarters("bad", "bad", 8, true))
-	t.Logf("crashes: %d, starts of one task: %d", p.crashes(), p.most())
+	t.Logf("crashes: %d, starts of one task: %d", p.crashCount(), p.most())
 	require.Equal(t, "failed", p.state("a", "bad"))
 	require.LessOrEqual(t, p.most(), 6)
 }
