--- a/internal/lead/crash_test.go
+++ b/internal/lead/crash_test.go
@@ -31,8 +31,8 @@
 	return n
 }
 
-// most is how often any one task was started.
-func (p *pair) most() int {
+// maxStarts is how often any one task was started.
+func (p *pair) maxStarts() int {
 	starts := map[string]int{}
 	n := 0
 	for _, w := range p.workers {
@@ -69,10 +69,10 @@
 			p.setCrashRow("bad", after)
 			p.take("bad", "bad", 1, false)
 			p.run("a", 5*time.Minute)
-			t.Logf("crashes: %d, starts of one task: %d", p.crashCount(), p.most())
+			t.Logf("crashes: %d, starts of one task: %d", p.crashCount(), p.maxStarts())
 			require.Equal(t, "failed", p.state("a", "bad"))
 			require.LessOrEqual(t, p.crashCount(), 3)
-			require.LessOrEqual(t, p.most(), 3)
+			require.LessOrEqual(t, p.maxStarts(), 3)
 		})
 	}
 }
@@ -83,7 +83,7 @@
 	p.setCrashRow("bad", 10*time.Millisecond)
 	p.take("bad", "bad", 3, true)
 	p.run("a", 10*time.Minute)
-	t.Logf("crashes: %d, starts of one task: %d", p.crashCount(), p.most())
+	t.Logf("crashes: %d, starts of one task: %d", p.crashCount(), p.maxStarts())
 	require.Equal(t, "failed", p.state("a", "bad"))
 	require.LessOrEqual(t, p.crashCount(), 9)
 }
@@ -99,7 +99,7 @@
 		p.take(fmt.Sprint("good", i), "good", 2, false)
 	}
 	p.run("a", 10*time.Minute)
-	t.Logf("crashes: %d, starts of one task: %d", p.crashCount(), p.most())
+	t.Logf("crashes: %d, starts of one task: %d", p.crashCount(), p.maxStarts())
 	for i := range 20 {
 		if i%10 == 0 {
 			require.Equal(t, "failed", p.state("a", fmt.Sprint("bad", i)))
@@ -115,7 +115,7 @@
 	p.setCrashRow("bad", 10*time.Millisecond)
 	p.take("bad", "bad", 1, false)
 	p.keepOn(5*time.Minute, quarters("bad", "bad", 1, false))
-	t.Logf("crashes: %d, starts of one task: %d", p.crashCount(), p.most())
+	t.Logf("crashes: %d, starts of one task: %d", p.crashCount(), p.maxStarts())
 	require.Equal(t, "failed", p.state("a", "bad"))
 	require.LessOrEqual(t, p.crashCount(), 3)
 }
@@ -128,7 +128,7 @@
 	}
 	p.take("bad", "bad", 1, false)
 	p.run("a", 20*time.Minute)
-	t.Logf("crashes: %d, starts of one task: %d", p.crashCount(), p.most())
+	t.Logf("crashes: %d, starts of one task: %d", p.crashCount(), p.maxStarts())
 	require.Equal(t, "failed", p.state("a", "bad"))
 	require.LessOrEqual(t, p.crashCount(), 5)
 }
@@ -176,9 +176,9 @@
 	p.setCrashRow("bad", 10*time.Millisecond)
 	p.take("bad", "bad", 8, true)
 	p.keepOn(10*time.Minute, quarters("bad", "bad", 8, true))
-	t.Logf("crashes: %d, starts of one task: %d", p.crashCount(), p.most())
+	t.Logf("crashes: %d, starts of one task: %d", p.crashCount(), p.maxStarts())
 	require.Equal(t, "failed", p.state("a", "bad"))
-	require.LessOrEqual(t, p.most(), 6)
+	require.LessOrEqual(t, p.maxStarts(), 6)
 }
 
 // along counts by time the tasks that crashed together with one.
@@ -208,7 +208,7 @@
 	p.setCrashRow("bad", 3*time.Second)
 	p.take("good", "good", 80, false)
 	p.take("bad", "bad", 1, false)
-	for p.most() < 3 {
+	for p.maxStarts() < 3 {
 		p.run("a", 100*time.Millisecond)
 	}
 	p.take("late", "good", 80, false)
--- a/internal/lead/suspect_test.go
+++ b/internal/lead/suspect_test.go
@@ -87,7 +87,7 @@
 			p.hand("a", twelfths("bad", 4, gang))
 			p.run("a", 2*time.Minute)
 			require.Equal(t, "failed", p.state("a", "bad"))
-			require.LessOrEqual(t, p.most(), 3)
+			require.LessOrEqual(t, p.maxStarts(), 3)
 		}
 	}
 }
