--- a/internal/lead/crash_test.go
+++ b/internal/lead/crash_test.go
@@ -44,7 +44,7 @@
 	return n
 }
 
-func quarters(id, row string, tasks int, gang bool) job.Spec {
+func quarterSizeJob(id, row string, tasks int, gang bool) job.Spec {
 	return job.Spec{
 		ID: "d.r." + id, Row: row, Tasks: tasks, Size: cell.Size{CPU: 250, Mem: 250},
 		Time: cell.Duration{Duration: 5 * time.Second}, Tries: 3, Gang: gang,
@@ -54,7 +54,7 @@
 // take hands in a job of some tasks of a quarter of a worker each.
 func (p *pair) take(id, row string, tasks int, gang bool) {
 	p.Helper()
-	spec := quarters(id, row, tasks, gang)
+	spec := quarterSizeJob(id, row, tasks, gang)
 	epoch, err := p.hosts["a"].Check(spec)
 	require.NoError(p, err)
 	_, err = p.hosts["a"].Submit(spec, epoch)
@@ -114,7 +114,7 @@
 	p := newPair(t, 1)
 	p.setCrashRow("bad", 10*time.Millisecond)
 	p.take("bad", "bad", 1, false)
-	p.keepOn(5*time.Minute, quarters("bad", "bad", 1, false))
+	p.keepOn(5*time.Minute, quarterSizeJob("bad", "bad", 1, false))
 	t.Logf("crashes: %d, starts of one task: %d", p.crashCount(), p.maxStarts())
 	require.Equal(t, "failed", p.state("a", "bad"))
 	require.LessOrEqual(t, p.crashCount(), 3)
@@ -154,7 +154,7 @@
 	for _, others := range []int{0, 2} {
 		p := newPair(t, 4+others)
 		p.racks(4)
-		specs := []job.Spec{quarters("good", "good", 12, false), quarters("gang", "good", 3, true)}
+		specs := []job.Spec{quarterSizeJob("good", "good", 12, false), quarterSizeJob("gang", "good", 3, true)}
 		for _, s := range specs {
 			p.take(strings.TrimPrefix(s.ID, "d.r."), s.Row, s.Tasks, s.Gang)
 		}
@@ -175,7 +175,7 @@
 	p := newPair(t, 2)
 	p.setCrashRow("bad", 10*time.Millisecond)
 	p.take("bad", "bad", 8, true)
-	p.keepOn(10*time.Minute, quarters("bad", "bad", 8, true))
+	p.keepOn(10*time.Minute, quarterSizeJob("bad", "bad", 8, true))
 	t.Logf("crashes: %d, starts of one task: %d", p.crashCount(), p.maxStarts())
 	require.Equal(t, "failed", p.state("a", "bad"))
 	require.LessOrEqual(t, p.maxStarts(), 6)
