--- a/internal/lead/crash_test.go
+++ b/internal/lead/crash_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// take hands in a job of some tasks of a quarter of a worker each.
-func (p *pair) take(id, row string, tasks int, gang bool) {
+// submitQuarterSize hands in a job of some tasks of a quarter of a worker each.
+func (p *pair) submitQuarterSize(id, row string, tasks int, gang bool) {
 	p.Helper()
 	spec := quarterSizeJob(id, row, tasks, gang)
 	epoch, err := p.hosts["a"].Check(spec)
@@ -67,7 +67,7 @@
 		t.Run(after.String(), func(t *testing.T) {
 			p := newPair(t, 4)
 			p.setCrashRow("bad", after)
-			p.take("bad", "bad", 1, false)
+			p.submitQuarterSize("bad", "bad", 1, false)
 			p.run("a", 5*time.Minute)
 			t.Logf("crashes: %d, starts of one task: %d", p.crashCount(), p.maxStarts())
 			require.Equal(t, "failed", p.state("a", "bad"))
@@ -81,7 +81,7 @@
 func TestGangThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	p := newPair(t, 4)
 	p.setCrashRow("bad", 10*time.Millisecond)
-	p.take("bad", "bad", 3, true)
+	p.submitQuarterSize("bad", "bad", 3, true)
 	p.run("a", 10*time.Minute)
 	t.Logf("crashes: %d, starts of one task: %d", p.crashCount(), p.maxStarts())
 	require.Equal(t, "failed", p.state("a", "bad"))
@@ -94,9 +94,9 @@
 	p.setCrashRow("bad", 500*time.Millisecond)
 	for i := range 20 {
 		if i%10 == 0 {
-			p.take(fmt.Sprint("bad", i), "bad", 3, false)
+			p.submitQuarterSize(fmt.Sprint("bad", i), "bad", 3, false)
 		}
-		p.take(fmt.Sprint("good", i), "good", 2, false)
+		p.submitQuarterSize(fmt.Sprint("good", i), "good", 2, false)
 	}
 	p.run("a", 10*time.Minute)
 	t.Logf("crashes: %d, starts of one task: %d", p.crashCount(), p.maxStarts())
@@ -113,7 +113,7 @@
 func TestCrashOfTheLastWorkerCounts(t *testing.T) {
 	p := newPair(t, 1)
 	p.setCrashRow("bad", 10*time.Millisecond)
-	p.take("bad", "bad", 1, false)
+	p.submitQuarterSize("bad", "bad", 1, false)
 	p.keepOn(5*time.Minute, quarterSizeJob("bad", "bad", 1, false))
 	t.Logf("crashes: %d, starts of one task: %d", p.crashCount(), p.maxStarts())
 	require.Equal(t, "failed", p.state("a", "bad"))
@@ -126,7 +126,7 @@
 	for _, w := range p.workers {
 		w.SetFaults(standin.WorkerFaults{CrashRow: "bad", CrashAfter: 10 * time.Millisecond, CrashAway: time.Minute})
 	}
-	p.take("bad", "bad", 1, false)
+	p.submitQuarterSize("bad", "bad", 1, false)
 	p.run("a", 20*time.Minute)
 	t.Logf("crashes: %d, starts of one task: %d", p.crashCount(), p.maxStarts())
 	require.Equal(t, "failed", p.state("a", "bad"))
@@ -156,7 +156,7 @@
 		p.racks(4)
 		specs := []job.Spec{quarterSizeJob("good", "good", 12, false), quarterSizeJob("gang", "good", 3, true)}
 		for _, s := range specs {
-			p.take(strings.TrimPrefix(s.ID, "d.r."), s.Row, s.Tasks, s.Gang)
+			p.submitQuarterSize(strings.TrimPrefix(s.ID, "d.r."), s.Row, s.Tasks, s.Gang)
 		}
 		for range 4 {
 			p.keepOn(3*time.Second, specs...)
@@ -174,7 +174,7 @@
 func TestGangThatCrashesAWholeRackIsGivenUp(t *testing.T) {
 	p := newPair(t, 2)
 	p.setCrashRow("bad", 10*time.Millisecond)
-	p.take("bad", "bad", 8, true)
+	p.submitQuarterSize("bad", "bad", 8, true)
 	p.keepOn(10*time.Minute, quarterSizeJob("bad", "bad", 8, true))
 	t.Logf("crashes: %d, starts of one task: %d", p.crashCount(), p.maxStarts())
 	require.Equal(t, "failed", p.state("a", "bad"))
@@ -206,12 +206,12 @@
 func TestTaskThatCrashedTwiceRunsAlone(t *testing.T) {
 	p := newPair(t, 4)
 	p.setCrashRow("bad", 3*time.Second)
-	p.take("good", "good", 80, false)
-	p.take("bad", "bad", 1, false)
+	p.submitQuarterSize("good", "good", 80, false)
+	p.submitQuarterSize("bad", "bad", 1, false)
 	for p.maxStarts() < 3 {
 		p.run("a", 100*time.Millisecond)
 	}
-	p.take("late", "good", 80, false)
+	p.submitQuarterSize("late", "good", 80, false)
 	p.run("a", 5*time.Minute)
 	var others []string
 	for i := range 80 {
