--- a/internal/lead/crash_test.go
+++ b/internal/lead/crash_test.go
@@ -133,8 +133,8 @@
 	require.LessOrEqual(t, p.crashCount(), 5)
 }
 
-// racks puts all but the first few workers into another rack.
-func (p *pair) racks(first int) {
+// moveToSecondRack puts all but the first few workers into another rack.
+func (p *pair) moveToSecondRack(first int) {
 	for i := range p.machines[first:] {
 		p.machines[first+i].Rack = "s"
 	}
@@ -153,7 +153,7 @@
 func TestLossOfAWholeRackIsNoFaultOfItsTasks(t *testing.T) {
 	for _, others := range []int{0, 2} {
 		p := newPair(t, 4+others)
-		p.racks(4)
+		p.moveToSecondRack(4)
 		specs := []job.Spec{quarterSizeJob("good", "good", 12, false), quarterSizeJob("gang", "good", 3, true)}
 		for _, s := range specs {
 			p.submitQuarterSize(strings.TrimPrefix(s.ID, "d.r."), s.Row, s.Tasks, s.Gang)
