--- a/internal/lead/crash_test.go
+++ b/internal/lead/crash_test.go
@@ -114,7 +114,7 @@
 	p := newPair(t, 1)
 	p.setCrashRow("bad", 10*time.Millisecond)
 	p.submitQuarterSize("bad", "bad", 1, false)
-	p.keepOn(5*time.Minute, quarterSizeJob("bad", "bad", 1, false))
+	p.runAndInherit(5*time.Minute, quarterSizeJob("bad", "bad", 1, false))
 	t.Logf("crashes: %d, starts of one task: %d", p.crashCount(), p.maxStarts())
 	require.Equal(t, "failed", p.state("a", "bad"))
 	require.LessOrEqual(t, p.crashCount(), 3)
@@ -141,8 +141,8 @@
 	p.hosts["a"].SetLedMachines(p.machines)
 }
 
-// keepOn lets time pass for a host that inherits what it gave up, as hosts do.
-func (p *pair) keepOn(d time.Duration, specs ...job.Spec) {
+// runAndInherit lets time pass for a host that inherits what it gave up, as hosts do.
+func (p *pair) runAndInherit(d time.Duration, specs ...job.Spec) {
 	for end := p.now.Add(d); p.now.Before(end); {
 		p.run("a", 500*time.Millisecond)
 		p.hosts["a"].Inherit(specs)
@@ -159,12 +159,12 @@
 			p.submitQuarterSize(strings.TrimPrefix(s.ID, "d.r."), s.Row, s.Tasks, s.Gang)
 		}
 		for range 4 {
-			p.keepOn(3*time.Second, specs...)
+			p.runAndInherit(3*time.Second, specs...)
 			for _, m := range p.machines[:4] {
 				p.workers[m.Name].Crash()
 			}
 		}
-		p.keepOn(time.Minute, specs...)
+		p.runAndInherit(time.Minute, specs...)
 		require.Equal(t, "ended", p.state("a", "good"), others)
 		require.Equal(t, "ended", p.state("a", "gang"), others)
 	}
@@ -175,7 +175,7 @@
 	p := newPair(t, 2)
 	p.setCrashRow("bad", 10*time.Millisecond)
 	p.submitQuarterSize("bad", "bad", 8, true)
-	p.keepOn(10*time.Minute, quarterSizeJob("bad", "bad", 8, true))
+	p.runAndInherit(10*time.Minute, quarterSizeJob("bad", "bad", 8, true))
 	t.Logf("crashes: %d, starts of one task: %d", p.crashCount(), p.maxStarts())
 	require.Equal(t, "failed", p.state("a", "bad"))
 	require.LessOrEqual(t, p.maxStarts(), 6)
--- a/internal/lead/life_test.go
+++ b/internal/lead/life_test.go
@@ -94,7 +94,7 @@
 	net["a"].held = held
 	net["a"].arrive()
 	p.submit("a", "next")
-	p.keepOn(30*time.Second, p.spec("next"))
+	p.runAndInherit(30*time.Second, p.spec("next"))
 	require.Equal(t, "running", p.state("a", "next"))
 	p.requireConsistent()
 }
