--- a/internal/lead/crash_test.go
+++ b/internal/lead/crash_test.go
@@ -181,8 +181,8 @@
 	require.LessOrEqual(t, p.maxStarts(), 6)
 }
 
-// along counts by time the tasks that crashed together with one.
-func (p *pair) along(id string, others ...string) map[time.Time]int {
+// crashedTogether counts by time the tasks that crashed together with one.
+func (p *pair) crashedTogether(id string, others ...string) map[time.Time]int {
 	all := map[time.Time]int{}
 	for _, w := range p.workers {
 		for _, s := range w.History(id) {
@@ -217,7 +217,7 @@
 	for i := range 80 {
 		others = append(others, job.TaskID("d.r.good", i), job.TaskID("d.r.late", i))
 	}
-	along := p.along("d.r.bad.0", others...)
+	along := p.crashedTogether("d.r.bad.0", others...)
 	times := slices.SortedFunc(maps.Keys(along), time.Time.Compare)
 	t.Logf("crashed along: %v", along)
 	require.Len(t, times, 3)
