--- a/internal/lead/former_test.go
+++ b/internal/lead/former_test.go
@@ -10,8 +10,8 @@
 	"pollencroft/internal/standin"
 )
 
-// idle is the one worker that runs nothing.
-func (p *pair) idle() lead.Machine {
+// idleWorker is the one worker that runs nothing.
+func (p *pair) idleWorker() lead.Machine {
 	p.Helper()
 	for _, m := range p.machines {
 		if len(p.workers[m.Name].Record().Started) == 0 {
@@ -42,7 +42,7 @@
 	p.submit("a", "one")
 	p.submit("a", "two")
 	p.run("a", time.Second)
-	bad = p.idle()
+	bad = p.idleWorker()
 	a.SetLedMachines([]lead.Machine{p.at("one"), bad})
 	b.SetLedMachines([]lead.Machine{p.at("two")})
 	p.run("ab", 5*time.Second)
