--- a/internal/lead/former_test.go
+++ b/internal/lead/former_test.go
@@ -22,8 +22,8 @@
 	return lead.Machine{}
 }
 
-// at is the worker that started a job's task.
-func (p *pair) at(id string) lead.Machine {
+// startedOn is the worker that started a job's task.
+func (p *pair) startedOn(id string) lead.Machine {
 	p.Helper()
 	for _, m := range p.machines {
 		if p.workers[m.Name].Record().Started["d.r."+id+".0"] > 0 {
@@ -43,8 +43,8 @@
 	p.submit("a", "two")
 	p.run("a", time.Second)
 	bad = p.idleWorker()
-	a.SetLedMachines([]lead.Machine{p.at("one"), bad})
-	b.SetLedMachines([]lead.Machine{p.at("two")})
+	a.SetLedMachines([]lead.Machine{p.startedOn("one"), bad})
+	b.SetLedMachines([]lead.Machine{p.startedOn("two")})
 	p.run("ab", 5*time.Second)
 	p.workers[bad.Name].SetFaults(standin.WorkerFaults{FailAll: true})
 	p.submit("a", "old")
@@ -62,8 +62,8 @@
 func TestListOfAFormerStartSaysNothingOfTheNext(t *testing.T) {
 	p, bad := failedBefore(t)
 	a, b := p.hosts["a"], p.hosts["b"]
-	a.SetLedMachines([]lead.Machine{p.at("one")})
-	b.SetLedMachines([]lead.Machine{p.at("two"), bad})
+	a.SetLedMachines([]lead.Machine{p.startedOn("one")})
+	b.SetLedMachines([]lead.Machine{p.startedOn("two"), bad})
 	p.run("ab", 300*time.Millisecond)
 	_, err := b.Cancel("d.r.two")
 	require.NoError(t, err)
@@ -78,8 +78,8 @@
 	p, bad := failedBefore(t)
 	a, b := p.hosts["a"], p.hosts["b"]
 	p.submit("b", "next")
-	a.SetLedMachines([]lead.Machine{p.at("one")})
-	b.SetLedMachines([]lead.Machine{p.at("two"), bad})
+	a.SetLedMachines([]lead.Machine{p.startedOn("one")})
+	b.SetLedMachines([]lead.Machine{p.startedOn("two"), bad})
 	p.run("ab", 30*time.Second)
 	p.requireConsistent()
 }
--- a/internal/lead/limits_test.go
+++ b/internal/lead/limits_test.go
@@ -116,7 +116,7 @@
 	p.divide(p.machines[:2], p.machines[2:])
 	p.limited("a", "one")
 	p.together(2 * time.Second)
-	require.Equal(t, p.machines[1].Name, p.at("one").Name)
+	require.Equal(t, p.machines[1].Name, p.startedOn("one").Name)
 	p.divide(p.machines[1:2], []lead.Machine{p.machines[0], p.machines[2]})
 	p.limited("b", "two")
 	p.limited("a", "three")
