--- a/internal/lead/former_test.go
+++ b/internal/lead/former_test.go
@@ -34,9 +34,9 @@
 	return lead.Machine{}
 }
 
-// failedBefore is a pair of which a hands the job old over to b. Its task has failed on the worker
+// newPairAfterFailure is a pair of which a hands the job old over to b. Its task has failed on the worker
 // bad, which lists that still and works again; b leads another worker, which runs the job two.
-func failedBefore(t *testing.T) (p *pair, bad lead.Machine) {
+func newPairAfterFailure(t *testing.T) (p *pair, bad lead.Machine) {
 	p = newPair(t, 3)
 	a, b := p.hosts["a"], p.hosts["b"]
 	p.submit("a", "one")
@@ -60,7 +60,7 @@
 // Guards against a task that runs twice: a new lead starts a task on a worker that still lists
 // the task's former, failed start, and takes that line for the end of the new one.
 func TestListOfAFormerStartSaysNothingOfTheNext(t *testing.T) {
-	p, bad := failedBefore(t)
+	p, bad := newPairAfterFailure(t)
 	a, b := p.hosts["a"], p.hosts["b"]
 	a.SetLedMachines([]lead.Machine{p.startedOn("one")})
 	b.SetLedMachines([]lead.Machine{p.startedOn("two"), bad})
@@ -75,7 +75,7 @@
 // Guards against a worker that is overfull: the line of a task's former, failed start frees the room
 // of the one that is under way, and another job gets it.
 func TestListOfAFormerStartFreesNoRoom(t *testing.T) {
-	p, bad := failedBefore(t)
+	p, bad := newPairAfterFailure(t)
 	a, b := p.hosts["a"], p.hosts["b"]
 	p.submit("b", "next")
 	a.SetLedMachines([]lead.Machine{p.startedOn("one")})
