--- a/internal/lead/handover_test.go
+++ b/internal/lead/handover_test.go
@@ -10,8 +10,8 @@
 	"pollencroft/internal/lead"
 )
 
-// ask is a question for the job that a peer wants to inherit.
-var ask = lead.InventoryRequest{Jobs: []string{"d.r.old"}, Waits: []string{"d.r.old"}}
+// inheritRequest is a question for the job that a peer wants to inherit.
+var inheritRequest = lead.InventoryRequest{Jobs: []string{"d.r.old"}, Waits: []string{"d.r.old"}}
 
 // split gives host a the first worker and host b the second; a leads a job that runs on its own.
 func split(t *testing.T) *pair {
@@ -33,7 +33,7 @@
 	token, err := p.hosts["b"].ExpectHandover("a")
 	require.NoError(t, err)
 	jobs, _ := p.hosts["a"].HandOver([]string{"d.r.old"})
-	require.Empty(t, p.hosts["b"].Inventory("c", ask).Leads)
+	require.Empty(t, p.hosts["b"].Inventory("c", inheritRequest).Leads)
 	require.ErrorAs(t, p.hosts["b"].Adopt("a", token, jobs), new(*lead.StaleHandoverError))
 	require.False(t, p.hosts["b"].HasJob("d.r.old"))
 	token, err = p.hosts["b"].ExpectHandover("a")
@@ -87,9 +87,9 @@
 	p.runQueued("a")
 	require.Equal(t, "running", p.state("a", "old"))
 	a.HandOver([]string{"d.r.old"})
-	require.Empty(t, a.Inventory("b", ask).Workers)
+	require.Empty(t, a.Inventory("b", inheritRequest).Workers)
 	p.run("a", 300*time.Millisecond)
-	views := a.Inventory("b", ask).Workers
+	views := a.Inventory("b", inheritRequest).Workers
 	require.Len(t, views, 1, "its list is read at once")
 	require.Len(t, views[0].Tasks, 1)
 }
