--- a/internal/lead/handover_test.go
+++ b/internal/lead/handover_test.go
@@ -13,8 +13,8 @@
 // inheritRequest is a question for the job that a peer wants to inherit.
 var inheritRequest = lead.InventoryRequest{Jobs: []string{"d.r.old"}, Waits: []string{"d.r.old"}}
 
-// split gives host a the first worker and host b the second; a leads a job that runs on its own.
-func split(t *testing.T) *pair {
+// newSplitPair gives host a the first worker and host b the second; a leads a job that runs on its own.
+func newSplitPair(t *testing.T) *pair {
 	t.Helper()
 	p := newPair(t, 2)
 	p.hosts["a"].SetLedMachines(p.machines[:1])
@@ -29,7 +29,7 @@
 // Guards against a job with two leads: a hand-over lies in the sockets of a paused host, which
 // first tells a third host that it does not lead the job, and then reads it.
 func TestHandOverFromBeforeACensusIsNotTaken(t *testing.T) {
-	p := split(t)
+	p := newSplitPair(t)
 	token, err := p.hosts["b"].ExpectHandover("a")
 	require.NoError(t, err)
 	jobs, _ := p.hosts["a"].HandOver([]string{"d.r.old"})
@@ -44,7 +44,7 @@
 // Guards against a job with two leads: the same without a question, since the third host has all
 // workers by now and takes the paused one for gone.
 func TestHandOverFromBeforeTheLossOfAllWorkersIsNotTaken(t *testing.T) {
-	p := split(t)
+	p := newSplitPair(t)
 	token, err := p.hosts["b"].ExpectHandover("a")
 	require.NoError(t, err)
 	jobs, _ := p.hosts["a"].HandOver([]string{"d.r.old"})
@@ -57,7 +57,7 @@
 // Guards against a job with two leads: a host that hands a job over is paused, loses all its
 // workers, and goes on with the job as it knew it.
 func TestJobFromBeforeTheLossOfAllWorkersIsNotTakenBack(t *testing.T) {
-	p := split(t)
+	p := newSplitPair(t)
 	jobs, epoch := p.hosts["a"].HandOver([]string{"d.r.old"})
 	p.run("b", 10*time.Second)
 	p.run("ab", 5*time.Second)
@@ -67,7 +67,7 @@
 
 // Guards against a job with two leads: of two tokens that a host was given, only the later counts.
 func TestSecondTokenReplacesTheFirst(t *testing.T) {
-	p := split(t)
+	p := newSplitPair(t)
 	first, err := p.hosts["b"].ExpectHandover("a")
 	require.NoError(t, err)
 	second, err := p.hosts["b"].ExpectHandover("a")
@@ -97,7 +97,7 @@
 // Guards against a job with two leads: a host puts its question together, finds a job that it
 // should lead, and takes the answer for one about that job too.
 func TestAnswerToAQuestionFromBeforeAJobProvesNothing(t *testing.T) {
-	p := split(t)
+	p := newSplitPair(t)
 	p.alive()
 	b := p.hosts["b"]
 	q := b.InventoryRequest()
