--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -48,13 +48,13 @@
 	has map[string]cell.Size
 }
 
-// unruly gives each exchange its fate.
-type unruly struct {
+// faultyTransport gives each exchange its fate.
+type faultyTransport struct {
 	history *history
 	path    transport
 }
 
-func (u unruly) RoundTrip(req *http.Request) (*http.Response, error) {
+func (u faultyTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	switch u.history.fate {
 	case late:
 		body, err := io.ReadAll(req.Body)
@@ -86,7 +86,7 @@
 func newHistory(t *testing.T, draw *rapid.T) *history {
 	h := &history{draw: draw, open: map[string]job.Spec{}, handing: map[string][]*outgoing{}, paused: map[string]bool{}, has: map[string]cell.Size{}}
 	h.pair = newPairWithTransport(t, rapid.IntRange(1, 3).Draw(draw, "workers"), drawLog{draw}, func(p *pair, name string) http.RoundTripper {
-		return unruly{history: h, path: transport{p, name}}
+		return faultyTransport{history: h, path: transport{p, name}}
 	})
 	for _, m := range h.machines {
 		h.has[m.Name] = m.Size
