--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -33,8 +33,8 @@
 type history struct {
 	*pair
 	draw *rapid.T
-	// fate is that of the exchange that runs now.
-	fate int
+	// outcome is that of the exchange that runs now.
+	outcome int
 	// overdue are requests that their sender has given up.
 	overdue  []*http.Request
 	open     map[string]job.Spec
@@ -55,7 +55,7 @@
 }
 
 func (u faultyTransport) RoundTrip(req *http.Request) (*http.Response, error) {
-	switch u.history.fate {
+	switch u.history.outcome {
 	case late:
 		body, err := io.ReadAll(req.Body)
 		if err != nil {
@@ -190,9 +190,9 @@
 	i := rapid.IntRange(0, len(h.queues[name])-1).Draw(h.draw, "which")
 	f := h.queues[name][i]
 	h.queues[name] = slices.Delete(h.queues[name], i, i+1)
-	h.fate = fate
+	h.outcome = fate
 	f()
-	h.fate = answered
+	h.outcome = answered
 }
 
 func (h *history) arrive() {
