--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -24,8 +24,8 @@
 // Fates of an exchange with a worker.
 const (
 	answered = iota
-	// answerLost is carried out without an answer, late is carried out some time later.
-	answerLost
+	// replyLost is carried out without an answer, late is carried out some time later.
+	replyLost
 	late
 )
 
@@ -65,7 +65,7 @@
 		held.Body = io.NopCloser(bytes.NewReader(body))
 		u.history.overdue = append(u.history.overdue, held)
 		return nil, unreachableError{}
-	case answerLost:
+	case replyLost:
 		if _, err := u.path.RoundTrip(req); err != nil {
 			return nil, err
 		}
@@ -134,7 +134,7 @@
 	all := []action{
 		{"time", 3, h.time},
 		{"exchange", 6, func() { h.exchange(answered) }},
-		{"lost", 1, func() { h.exchange(answerLost) }},
+		{"lost", 1, func() { h.exchange(replyLost) }},
 		{"late", 1, func() { h.exchange(late) }},
 		{"arrive", 1, h.arrive},
 		{"settle", 2, h.settle},
@@ -335,7 +335,7 @@
 	switch rapid.IntRange(answered, late).Draw(h.draw, "fate") {
 	case answered:
 		h.answer(name, h.hosts[other(name)].Adopt(l.from, l.token, l.jobs))
-	case answerLost:
+	case replyLost:
 		_ = h.hosts[other(name)].Adopt(l.from, l.token, l.jobs)
 		h.doubt(name)
 	case late:
