--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -36,12 +36,12 @@
 	// outcome is that of the exchange that runs now.
 	outcome int
 	// overdue are requests that their sender has given up.
-	overdue  []*http.Request
-	open     map[string]job.Spec
-	handing  map[string][]*outgoing
-	messages []message
-	paused   map[string]bool
-	jobs     int
+	overdue     []*http.Request
+	open        map[string]job.Spec
+	handingOver map[string][]*outgoing
+	messages    []message
+	paused      map[string]bool
+	jobs        int
 	// crashes tells that workers crash, too.
 	crashes bool
 	// has is what each worker has, which may be more than what is listed.
@@ -84,7 +84,7 @@
 }
 
 func newHistory(t *testing.T, draw *rapid.T) *history {
-	h := &history{draw: draw, open: map[string]job.Spec{}, handing: map[string][]*outgoing{}, paused: map[string]bool{}, has: map[string]cell.Size{}}
+	h := &history{draw: draw, open: map[string]job.Spec{}, handingOver: map[string][]*outgoing{}, paused: map[string]bool{}, has: map[string]cell.Size{}}
 	h.pair = newPairWithTransport(t, rapid.IntRange(1, 3).Draw(draw, "workers"), drawLog{draw}, func(p *pair, name string) http.RoundTripper {
 		return faultyTransport{history: h, path: transport{p, name}}
 	})
@@ -312,7 +312,7 @@
 	}
 	jobs, epoch := h.hosts[name].HandOver(ids)
 	for _, c := range jobs {
-		h.handing[name] = append(h.handing[name], &outgoing{carry: c, epoch: epoch})
+		h.handingOver[name] = append(h.handingOver[name], &outgoing{carry: c, epoch: epoch})
 	}
 }
 
@@ -322,14 +322,14 @@
 	if name == "" || h.paused[other(name)] {
 		return
 	}
-	h.handing[name] = slices.DeleteFunc(h.handing[name], func(p *outgoing) bool { return p.epoch != h.hosts[name].Epoch() })
+	h.handingOver[name] = slices.DeleteFunc(h.handingOver[name], func(p *outgoing) bool { return p.epoch != h.hosts[name].Epoch() })
 	token, err := h.hosts[other(name)].ExpectHandover(name)
-	if err != nil || len(h.handing[name]) == 0 {
+	if err != nil || len(h.handingOver[name]) == 0 {
 		h.giveUp(name)
 		return
 	}
 	l := message{from: name, token: token}
-	for _, p := range h.handing[name] {
+	for _, p := range h.handingOver[name] {
 		l.jobs = append(l.jobs, p.carry)
 	}
 	switch rapid.IntRange(answered, late).Draw(h.draw, "fate") {
@@ -347,7 +347,7 @@
 func (h *history) answer(name string, err error) {
 	switch {
 	case err == nil:
-		h.handing[name] = nil
+		h.handingOver[name] = nil
 	case errors.As(err, new(*lead.StaleHandoverError)):
 	default:
 		h.giveUp(name)
@@ -355,19 +355,19 @@
 }
 
 func (h *history) doubt(name string) {
-	for _, p := range h.handing[name] {
+	for _, p := range h.handingOver[name] {
 		p.unsure = true
 	}
 }
 
 // giveUp takes back what the other host has certainly not got; the rest needs a census.
 func (h *history) giveUp(name string) {
-	for _, p := range h.handing[name] {
+	for _, p := range h.handingOver[name] {
 		if !p.unsure {
 			_ = h.hosts[name].TakeBack([]job.Snapshot{p.carry}, p.epoch)
 		}
 	}
-	h.handing[name] = nil
+	h.handingOver[name] = nil
 }
 
 // receive has a late hand-over arrive.
@@ -407,7 +407,7 @@
 }
 
 func (h *history) hands(name, id string) bool {
-	return slices.ContainsFunc(h.handing[name], func(p *outgoing) bool { return p.carry.Spec.ID == id })
+	return slices.ContainsFunc(h.handingOver[name], func(p *outgoing) bool { return p.carry.Spec.ID == id })
 }
 
 func (h *history) census() {
