--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -44,8 +44,8 @@
 	jobs        int
 	// crashes tells that workers crash, too.
 	crashes bool
-	// has is what each worker has, which may be more than what is listed.
-	has map[string]cell.Size
+	// actualSizes is what each worker actualSizes, which may be more than what is listed.
+	actualSizes map[string]cell.Size
 }
 
 // faultyTransport gives each exchange its fate.
@@ -84,12 +84,12 @@
 }
 
 func newHistory(t *testing.T, draw *rapid.T) *history {
-	h := &history{draw: draw, open: map[string]job.Spec{}, handingOver: map[string][]*outgoing{}, paused: map[string]bool{}, has: map[string]cell.Size{}}
+	h := &history{draw: draw, open: map[string]job.Spec{}, handingOver: map[string][]*outgoing{}, paused: map[string]bool{}, actualSizes: map[string]cell.Size{}}
 	h.pair = newPairWithTransport(t, rapid.IntRange(1, 3).Draw(draw, "workers"), drawLog{draw}, func(p *pair, name string) http.RoundTripper {
 		return faultyTransport{history: h, path: transport{p, name}}
 	})
 	for _, m := range h.machines {
-		h.has[m.Name] = m.Size
+		h.actualSizes[m.Name] = m.Size
 	}
 	h.knows("a", true)
 	h.knows("b", true)
--- a/internal/lead/size_test.go
+++ b/internal/lead/size_test.go
@@ -70,14 +70,14 @@
 			h.hosts[name].UpdateMachines(h.machines)
 		}
 	}
-	if h.has[m.Name].Fits(m.Size) {
+	if h.actualSizes[m.Name].Fits(m.Size) {
 		h.become(*m)
 	}
 }
 
 // become gives a worker the size that is listed.
 func (h *history) become(m lead.Machine) {
-	h.has[m.Name] = m.Size
+	h.actualSizes[m.Name] = m.Size
 	h.workers[m.Name].Resize(m.Size)
 }
 
