--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -35,8 +35,8 @@
 	draw *rapid.T
 	// outcome is that of the exchange that runs now.
 	outcome int
-	// overdue are requests that their sender has given up.
-	overdue     []*http.Request
+	// delayed are requests that their sender has given up.
+	delayed     []*http.Request
 	open        map[string]job.Spec
 	handingOver map[string][]*outgoing
 	messages    []message
@@ -63,7 +63,7 @@
 		}
 		held := req.Clone(u.history.Context())
 		held.Body = io.NopCloser(bytes.NewReader(body))
-		u.history.overdue = append(u.history.overdue, held)
+		u.history.delayed = append(u.history.delayed, held)
 		return nil, unreachableError{}
 	case replyLost:
 		if _, err := u.path.RoundTrip(req); err != nil {
@@ -196,12 +196,12 @@
 }
 
 func (h *history) arrive() {
-	if len(h.overdue) == 0 {
+	if len(h.delayed) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(h.overdue)-1).Draw(h.draw, "which")
-	req := h.overdue[i]
-	h.overdue = slices.Delete(h.overdue, i, i+1)
+	i := rapid.IntRange(0, len(h.delayed)-1).Draw(h.draw, "which")
+	req := h.delayed[i]
+	h.delayed = slices.Delete(h.delayed, i, i+1)
 	h.workers[req.URL.Host].Handler().ServeHTTP(httptest.NewRecorder(), req)
 }
 
--- a/internal/lead/size_test.go
+++ b/internal/lead/size_test.go
@@ -84,7 +84,7 @@
 // shrink makes workers as small as they are listed, once nothing that was sent before can arrive
 // any more.
 func (h *history) shrink() {
-	if h.paused["a"] || h.paused["b"] || len(h.queues["a"])+len(h.queues["b"])+len(h.overdue) > 0 {
+	if h.paused["a"] || h.paused["b"] || len(h.queues["a"])+len(h.queues["b"])+len(h.delayed) > 0 {
 		return
 	}
 	for _, m := range h.machines {
