--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -91,13 +91,13 @@
 	for _, m := range h.machines {
 		h.actualSizes[m.Name] = m.Size
 	}
-	h.knows("a", true)
-	h.knows("b", true)
+	h.setDomain("a", true)
+	h.setDomain("b", true)
 	return h
 }
 
-// knows tells a host which workers there are, and whether it takes the other host for alive.
-func (h *history) knows(name string, alive bool) {
+// setDomain tells a host which workers there are, and whether it takes the other host for alive.
+func (h *history) setDomain(name string, alive bool) {
 	var workers, peers []string
 	for _, m := range h.machines {
 		workers = append(workers, m.Name)
@@ -402,7 +402,7 @@
 // suspect has a host take the other for gone, or for alive again.
 func (h *history) suspect() {
 	if name := h.awake(); name != "" {
-		h.knows(name, rapid.Bool().Draw(h.draw, "alive"))
+		h.setDomain(name, rapid.Bool().Draw(h.draw, "alive"))
 	}
 }
 
