--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -114,8 +114,8 @@
 
 func other(name string) string { return map[string]string{"a": "b", "b": "a"}[name] }
 
-// awake is a host that is not paused; empty if the drawn one is.
-func (h *history) awake() string {
+// activeHost is a host that is not paused; empty if the drawn one is.
+func (h *history) activeHost() string {
 	name := h.host("host")
 	if h.paused[name] {
 		return ""
@@ -183,7 +183,7 @@
 
 // exchange runs one of a host's exchanges, in any order.
 func (h *history) exchange(fate int) {
-	name := h.awake()
+	name := h.activeHost()
 	if name == "" || len(h.queues[name]) == 0 {
 		return
 	}
@@ -220,7 +220,7 @@
 }
 
 func (h *history) submitOne() {
-	name := h.awake()
+	name := h.activeHost()
 	if name == "" {
 		return
 	}
@@ -239,7 +239,7 @@
 }
 
 func (h *history) cancel() {
-	name := h.awake()
+	name := h.activeHost()
 	open := slices.Sorted(maps.Keys(h.open))
 	if name == "" || len(open) == 0 {
 		return
@@ -261,7 +261,7 @@
 
 // flap has a host give up all its workers and want them back at once.
 func (h *history) flap() {
-	name := h.awake()
+	name := h.activeHost()
 	if name == "" {
 		return
 	}
@@ -302,7 +302,7 @@
 
 // hand takes jobs off their lead, to be sent to the other host.
 func (h *history) hand() {
-	name := h.awake()
+	name := h.activeHost()
 	if name == "" {
 		return
 	}
@@ -318,7 +318,7 @@
 
 // push sends what a host hands over. Its answer may be lost, or it may itself be late.
 func (h *history) push() {
-	name := h.awake()
+	name := h.activeHost()
 	if name == "" || h.paused[other(name)] {
 		return
 	}
@@ -385,14 +385,14 @@
 
 // abandon has a host take the other for gone while it hands jobs over.
 func (h *history) abandon() {
-	if name := h.awake(); name != "" {
+	if name := h.activeHost(); name != "" {
 		h.giveUp(name)
 	}
 }
 
 // inherit has a host take the other's jobs over, as one that takes the other for gone would.
 func (h *history) inherit() {
-	name := h.awake()
+	name := h.activeHost()
 	if name == "" {
 		return
 	}
@@ -401,7 +401,7 @@
 
 // suspect has a host take the other for gone, or for alive again.
 func (h *history) suspect() {
-	if name := h.awake(); name != "" {
+	if name := h.activeHost(); name != "" {
 		h.setDomain(name, rapid.Bool().Draw(h.draw, "alive"))
 	}
 }
@@ -411,7 +411,7 @@
 }
 
 func (h *history) census() {
-	name := h.awake()
+	name := h.activeHost()
 	if name == "" || h.paused[other(name)] {
 		return
 	}
