--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -132,7 +132,7 @@
 
 func (h *history) actions() []action {
 	all := []action{
-		{"time", 3, h.time},
+		{"time", 3, h.advance},
 		{"exchange", 6, func() { h.exchange(answered) }},
 		{"lost", 1, func() { h.exchange(replyLost) }},
 		{"late", 1, func() { h.exchange(late) }},
@@ -171,7 +171,7 @@
 	return do[rapid.SampledFrom(all).Draw(h.draw, "next")]
 }
 
-func (h *history) time() {
+func (h *history) advance() {
 	h.now = h.now.Add(time.Duration(rapid.IntRange(1, 15).Draw(h.draw, "tenths")) * 100 * time.Millisecond)
 	for _, name := range []string{"a", "b"} {
 		if !h.paused[name] {
