--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -137,7 +137,7 @@
 		{"lost", 1, func() { h.exchange(replyLost) }},
 		{"late", 1, func() { h.exchange(late) }},
 		{"arrive", 1, h.arrive},
-		{"settle", 2, h.settle},
+		{"settle", 2, h.advanceWithoutFaults},
 		{"submit", 3, h.submitOne},
 		{"cancel", 1, h.cancel},
 		{"fail", 2, h.fail},
@@ -205,8 +205,8 @@
 	h.workers[req.URL.Host].Handler().ServeHTTP(httptest.NewRecorder(), req)
 }
 
-// settle is a while in which nothing goes wrong.
-func (h *history) settle() {
+// advanceWithoutFaults is a while in which nothing goes wrong.
+func (h *history) advanceWithoutFaults() {
 	for range rapid.IntRange(1, 20).Draw(h.draw, "ticks") {
 		h.now = h.now.Add(100 * time.Millisecond)
 		for _, name := range []string{"a", "b"} {
