--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -133,9 +133,9 @@
 func (h *history) actions() []action {
 	all := []action{
 		{"time", 3, h.advance},
-		{"exchange", 6, func() { h.exchange(answered) }},
-		{"lost", 1, func() { h.exchange(replyLost) }},
-		{"late", 1, func() { h.exchange(late) }},
+		{"exchange", 6, func() { h.runExchange(answered) }},
+		{"lost", 1, func() { h.runExchange(replyLost) }},
+		{"late", 1, func() { h.runExchange(late) }},
 		{"arrive", 1, h.arrive},
 		{"settle", 2, h.advanceWithoutFaults},
 		{"submit", 3, h.submitOne},
@@ -181,8 +181,8 @@
 	}
 }
 
-// exchange runs one of a host's exchanges, in any order.
-func (h *history) exchange(fate int) {
+// runExchange runs one of a host's exchanges, in any order.
+func (h *history) runExchange(fate int) {
 	name := h.activeHost()
 	if name == "" || len(h.queues[name]) == 0 {
 		return
