--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -136,7 +136,7 @@
 		{"exchange", 6, func() { h.runExchange(answered) }},
 		{"lost", 1, func() { h.runExchange(replyLost) }},
 		{"late", 1, func() { h.runExchange(late) }},
-		{"arrive", 1, h.arrive},
+		{"arrive", 1, h.deliverDelayed},
 		{"settle", 2, h.advanceWithoutFaults},
 		{"submit", 3, h.submitOne},
 		{"cancel", 1, h.cancel},
@@ -195,7 +195,7 @@
 	h.outcome = answered
 }
 
-func (h *history) arrive() {
+func (h *history) deliverDelayed() {
 	if len(h.delayed) == 0 {
 		return
 	}
