--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -146,7 +146,7 @@
 		{"pause", 1, func() { h.paused[h.host("host")] = true }},
 		{"resume", 2, h.resume},
 		{"resize", 2, h.resize},
-		{"hand", 2, h.hand},
+		{"hand", 2, h.beginHandover},
 		{"push", 4, h.push},
 		{"receive", 2, h.receive},
 		{"abandon", 2, h.abandon},
@@ -300,8 +300,8 @@
 	jobs        []job.Snapshot
 }
 
-// hand takes jobs off their lead, to be sent to the other host.
-func (h *history) hand() {
+// beginHandover takes jobs off their lead, to be sent to the other host.
+func (h *history) beginHandover() {
 	name := h.activeHost()
 	if name == "" {
 		return
