--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -147,7 +147,7 @@
 		{"resume", 2, h.resume},
 		{"resize", 2, h.resize},
 		{"hand", 2, h.beginHandover},
-		{"push", 4, h.push},
+		{"push", 4, h.sendHandover},
 		{"receive", 2, h.receive},
 		{"abandon", 2, h.abandon},
 		{"inherit", 3, h.inherit},
@@ -316,8 +316,8 @@
 	}
 }
 
-// push sends what a host hands over. Its answer may be lost, or it may itself be late.
-func (h *history) push() {
+// sendHandover sends what a host hands over. Its answer may be lost, or it may itself be late.
+func (h *history) sendHandover() {
 	name := h.activeHost()
 	if name == "" || h.paused[other(name)] {
 		return
