--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -148,7 +148,7 @@
 		{"resize", 2, h.resize},
 		{"hand", 2, h.beginHandover},
 		{"push", 4, h.sendHandover},
-		{"receive", 2, h.receive},
+		{"receive", 2, h.deliverHandover},
 		{"abandon", 2, h.abandon},
 		{"inherit", 3, h.inherit},
 		{"census", 4, h.census},
@@ -370,8 +370,8 @@
 	h.handingOver[name] = nil
 }
 
-// receive has a late hand-over arrive.
-func (h *history) receive() {
+// deliverHandover has a late hand-over arrive.
+func (h *history) deliverHandover() {
 	if len(h.messages) == 0 {
 		return
 	}
