--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -149,7 +149,7 @@
 		{"hand", 2, h.beginHandover},
 		{"push", 4, h.sendHandover},
 		{"receive", 2, h.deliverHandover},
-		{"abandon", 2, h.abandon},
+		{"abandon", 2, h.abandonHandover},
 		{"inherit", 3, h.inherit},
 		{"census", 4, h.census},
 		{"suspect", 1, h.suspect},
@@ -383,8 +383,8 @@
 	}
 }
 
-// abandon has a host take the other for gone while it hands jobs over.
-func (h *history) abandon() {
+// abandonHandover has a host take the other for gone while it hands jobs over.
+func (h *history) abandonHandover() {
 	if name := h.activeHost(); name != "" {
 		h.giveUp(name)
 	}
