--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -334,7 +334,7 @@
 	}
 	switch rapid.IntRange(answered, late).Draw(h.draw, "fate") {
 	case answered:
-		h.answer(name, h.hosts[other(name)].Adopt(l.from, l.token, l.jobs))
+		h.handleAnswer(name, h.hosts[other(name)].Adopt(l.from, l.token, l.jobs))
 	case replyLost:
 		_ = h.hosts[other(name)].Adopt(l.from, l.token, l.jobs)
 		h.doubt(name)
@@ -344,7 +344,7 @@
 	}
 }
 
-func (h *history) answer(name string, err error) {
+func (h *history) handleAnswer(name string, err error) {
 	switch {
 	case err == nil:
 		h.handingOver[name] = nil
