--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -337,10 +337,10 @@
 		h.handleAnswer(name, h.hosts[other(name)].Adopt(l.from, l.token, l.jobs))
 	case replyLost:
 		_ = h.hosts[other(name)].Adopt(l.from, l.token, l.jobs)
-		h.doubt(name)
+		h.markUnsure(name)
 	case late:
 		h.messages = append(h.messages, l)
-		h.doubt(name)
+		h.markUnsure(name)
 	}
 }
 
@@ -354,7 +354,7 @@
 	}
 }
 
-func (h *history) doubt(name string) {
+func (h *history) markUnsure(name string) {
 	for _, p := range h.handingOver[name] {
 		p.unsure = true
 	}
