--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -325,7 +325,7 @@
 	h.handingOver[name] = slices.DeleteFunc(h.handingOver[name], func(p *outgoing) bool { return p.epoch != h.hosts[name].Epoch() })
 	token, err := h.hosts[other(name)].ExpectHandover(name)
 	if err != nil || len(h.handingOver[name]) == 0 {
-		h.giveUp(name)
+		h.takeBackUnsent(name)
 		return
 	}
 	l := message{from: name, token: token}
@@ -350,7 +350,7 @@
 		h.handingOver[name] = nil
 	case errors.As(err, new(*lead.StaleHandoverError)):
 	default:
-		h.giveUp(name)
+		h.takeBackUnsent(name)
 	}
 }
 
@@ -360,8 +360,8 @@
 	}
 }
 
-// giveUp takes back what the other host has certainly not got; the rest needs a census.
-func (h *history) giveUp(name string) {
+// takeBackUnsent takes back what the other host has certainly not got; the rest needs a census.
+func (h *history) takeBackUnsent(name string) {
 	for _, p := range h.handingOver[name] {
 		if !p.unsure {
 			_ = h.hosts[name].TakeBack([]job.Snapshot{p.carry}, p.epoch)
@@ -386,7 +386,7 @@
 // abandonHandover has a host take the other for gone while it hands jobs over.
 func (h *history) abandonHandover() {
 	if name := h.activeHost(); name != "" {
-		h.giveUp(name)
+		h.takeBackUnsent(name)
 	}
 }
 
