--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -152,7 +152,7 @@
 		{"abandon", 2, h.abandonHandover},
 		{"inherit", 3, h.inherit},
 		{"census", 4, h.census},
-		{"suspect", 1, h.suspect},
+		{"suspect", 1, h.changeSuspicion},
 	}
 	if h.crashes {
 		all = append(all, action{"crash", 1, h.crash})
@@ -399,8 +399,8 @@
 	h.hosts[name].Inherit(slices.DeleteFunc(slices.Collect(maps.Values(h.open)), func(s job.Spec) bool { return h.hands(name, s.ID) }))
 }
 
-// suspect has a host take the other for gone, or for alive again.
-func (h *history) suspect() {
+// changeSuspicion has a host take the other for gone, or for alive again.
+func (h *history) changeSuspicion() {
 	if name := h.activeHost(); name != "" {
 		h.setDomain(name, rapid.Bool().Draw(h.draw, "alive"))
 	}
