--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -396,7 +396,7 @@
 	if name == "" {
 		return
 	}
-	h.hosts[name].Inherit(slices.DeleteFunc(slices.Collect(maps.Values(h.open)), func(s job.Spec) bool { return h.hands(name, s.ID) }))
+	h.hosts[name].Inherit(slices.DeleteFunc(slices.Collect(maps.Values(h.open)), func(s job.Spec) bool { return h.isHandingOver(name, s.ID) }))
 }
 
 // changeSuspicion has a host take the other for gone, or for alive again.
@@ -406,7 +406,7 @@
 	}
 }
 
-func (h *history) hands(name, id string) bool {
+func (h *history) isHandingOver(name, id string) bool {
 	return slices.ContainsFunc(h.handingOver[name], func(p *outgoing) bool { return p.carry.Spec.ID == id })
 }
 
@@ -418,7 +418,7 @@
 	q := h.hosts[name].InventoryRequest()
 	c := h.hosts[other(name)].Inventory(name, q)
 	for _, id := range q.Jobs {
-		if h.hands(other(name), id) {
+		if h.isHandingOver(other(name), id) {
 			c.Leads = append(c.Leads, id)
 		}
 	}
