--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -141,7 +141,7 @@
 		{"submit", 3, h.submitOne},
 		{"cancel", 1, h.cancel},
 		{"fail", 2, h.fail},
-		{"divide", 2, h.divide},
+		{"divide", 2, h.assignWorkers},
 		{"flap", 1, h.flap},
 		{"pause", 1, func() { h.paused[h.host("host")] = true }},
 		{"resume", 2, h.resume},
@@ -271,8 +271,8 @@
 	h.hosts[name].SetLedMachines(led)
 }
 
-// divide gives each worker to one host, now and then to both or to none.
-func (h *history) divide() {
+// assignWorkers gives each worker to one host, now and then to both or to none.
+func (h *history) assignWorkers() {
 	led := map[string][]lead.Machine{}
 	for _, m := range h.machines {
 		for _, name := range rapid.SampledFrom([]string{"a", "b", "a", "b", "a", "b", "ab", ""}).Draw(h.draw, "leads") {
