--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -151,7 +151,7 @@
 		{"receive", 2, h.deliverHandover},
 		{"abandon", 2, h.abandonHandover},
 		{"inherit", 3, h.inherit},
-		{"census", 4, h.census},
+		{"census", 4, h.requestInventory},
 		{"suspect", 1, h.changeSuspicion},
 	}
 	if h.crashes {
@@ -410,7 +410,7 @@
 	return slices.ContainsFunc(h.handingOver[name], func(p *outgoing) bool { return p.carry.Spec.ID == id })
 }
 
-func (h *history) census() {
+func (h *history) requestInventory() {
 	name := h.activeHost()
 	if name == "" || h.paused[other(name)] {
 		return
