--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -429,12 +429,12 @@
 
 // Guards against tasks that run twice and workers that are overfull, over histories in which
 // answers are lost, starts are late, workers fail, shrink and grow, hosts pause and hand over or inherit jobs.
-func TestNoHistoryRunsATaskTwice(t *testing.T) { playHistories(t, false) }
+func TestNoHistoryRunsATaskTwice(t *testing.T) { runHistories(t, false) }
 
 // Guards against a start that arrives at a crashed worker's next life after another host took it.
-func TestNoHistoryWithCrashesRunsATaskTwice(t *testing.T) { playHistories(t, true) }
+func TestNoHistoryWithCrashesRunsATaskTwice(t *testing.T) { runHistories(t, true) }
 
-func playHistories(t *testing.T, crashes bool) {
+func runHistories(t *testing.T, crashes bool) {
 	rapid.Check(t, func(draw *rapid.T) {
 		h := newHistory(t, draw)
 		h.crashes = crashes
