--- a/internal/lead/life_test.go
+++ b/internal/lead/life_test.go
@@ -13,14 +13,14 @@
 	"pollencroft/internal/job"
 )
 
-// delayed is a network that holds back the requests to one path.
-type delayed struct {
+// delayingTransport is a network that holds back the requests to one path.
+type delayingTransport struct {
 	*pair
 	from, path string
 	held       []*http.Request
 }
 
-func (d *delayed) RoundTrip(req *http.Request) (*http.Response, error) {
+func (d *delayingTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	if d.path == "" || req.URL.Path != d.path || req.Method != http.MethodPost {
 		return transport{d.pair, d.from}.RoundTrip(req)
 	}
@@ -35,17 +35,17 @@
 }
 
 // arrive has the requests that were held back arrive.
-func (d *delayed) arrive() {
+func (d *delayingTransport) arrive() {
 	for _, req := range d.held {
 		d.workers[req.URL.Host].Handler().ServeHTTP(httptest.NewRecorder(), req)
 	}
 	d.held = nil
 }
 
-func newDelayedPair(t *testing.T) map[string]*delayed {
-	net := map[string]*delayed{}
+func newDelayedPair(t *testing.T) map[string]*delayingTransport {
+	net := map[string]*delayingTransport{}
 	newPairWithTransport(t, 1, io.Discard, func(p *pair, name string) http.RoundTripper {
-		net[name] = &delayed{pair: p, from: name}
+		net[name] = &delayingTransport{pair: p, from: name}
 		return net[name]
 	})
 	return net
