--- a/internal/lead/life_test.go
+++ b/internal/lead/life_test.go
@@ -34,8 +34,8 @@
 	return nil, unreachableError{}
 }
 
-// arrive has the requests that were held back arrive.
-func (d *delayingTransport) arrive() {
+// deliverHeld has the requests that were held back deliverHeld.
+func (d *delayingTransport) deliverHeld() {
 	for _, req := range d.held {
 		d.workers[req.URL.Host].Handler().ServeHTTP(httptest.NewRecorder(), req)
 	}
@@ -65,7 +65,7 @@
 	p.hosts["b"].SetLedMachines(p.machines)
 	p.hosts["b"].Inherit([]job.Spec{p.spec("old")})
 	p.run("b", 500*time.Millisecond)
-	net["a"].arrive()
+	net["a"].deliverHeld()
 	p.run("b", 30*time.Second)
 	require.Equal(t, "running", p.state("b", "old"))
 	p.requireConsistent()
@@ -92,7 +92,7 @@
 	require.Len(t, p.hosts["a"].Held(), 1)
 	p.workers[worker].Crash()
 	net["a"].held = held
-	net["a"].arrive()
+	net["a"].deliverHeld()
 	p.submit("a", "next")
 	p.runAndInherit(30*time.Second, p.spec("next"))
 	require.Equal(t, "running", p.state("a", "next"))
