--- a/internal/lead/limits_test.go
+++ b/internal/lead/limits_test.go
@@ -25,8 +25,8 @@
 	return p
 }
 
-// divide gives each host its workers.
-func (p *pair) divide(a, b []lead.Machine) {
+// assign gives each host its workers.
+func (p *pair) assign(a, b []lead.Machine) {
 	p.hosts["a"].SetLedMachines(a)
 	p.hosts["b"].SetLedMachines(b)
 	p.together(5 * time.Second)
@@ -82,7 +82,7 @@
 func TestRowIsStartedByTheHolderOfItsWorkerOnly(t *testing.T) {
 	p := limitedPair(t, 2)
 	p.alive()
-	p.divide(p.machines[:1], p.machines[1:])
+	p.assign(p.machines[:1], p.machines[1:])
 	p.limited("b", "one")
 	p.limited("a", "two")
 	p.limited("b", "three")
@@ -97,7 +97,7 @@
 // tasks of the limited one run elsewhere.
 func (p *pair) fillFirst() {
 	p.Helper()
-	p.divide(p.machines[:1], nil)
+	p.assign(p.machines[:1], nil)
 	spec := p.spec("full")
 	spec.Row = "other"
 	epoch, err := p.hosts["a"].Check(spec)
@@ -113,11 +113,11 @@
 	p := limitedPair(t, 3)
 	p.alive()
 	p.fillFirst()
-	p.divide(p.machines[:2], p.machines[2:])
+	p.assign(p.machines[:2], p.machines[2:])
 	p.limited("a", "one")
 	p.together(2 * time.Second)
 	require.Equal(t, p.machines[1].Name, p.startedOn("one").Name)
-	p.divide(p.machines[1:2], []lead.Machine{p.machines[0], p.machines[2]})
+	p.assign(p.machines[1:2], []lead.Machine{p.machines[0], p.machines[2]})
 	p.limited("b", "two")
 	p.limited("a", "three")
 	p.together(20 * time.Second)
@@ -135,7 +135,7 @@
 	p := limitedPair(t, 2)
 	p.alive()
 	p.fillFirst()
-	p.divide(p.machines, nil)
+	p.assign(p.machines, nil)
 	p.limited("a", "zero")
 	p.together(2 * time.Second)
 	_, err := p.hosts["a"].Cancel("d.r.zero")
