--- a/internal/lead/limits_test.go
+++ b/internal/lead/limits_test.go
@@ -29,11 +29,11 @@
 func (p *pair) assign(a, b []lead.Machine) {
 	p.hosts["a"].SetLedMachines(a)
 	p.hosts["b"].SetLedMachines(b)
-	p.together(5 * time.Second)
+	p.runTogether(5 * time.Second)
 }
 
-// together lets time pass for both hosts, which take each other for alive and ask each other.
-func (p *pair) together(d time.Duration) {
+// runTogether lets time pass for both hosts, which take each other for alive and ask each other.
+func (p *pair) runTogether(d time.Duration) {
 	for end := p.now.Add(d); p.now.Before(end); {
 		p.run("ab", 500*time.Millisecond)
 		for _, name := range []string{"a", "b"} {
@@ -86,7 +86,7 @@
 	p.limited("b", "one")
 	p.limited("a", "two")
 	p.limited("b", "three")
-	p.together(20 * time.Second)
+	p.runTogether(20 * time.Second)
 	require.Equal(t, 1, p.running())
 	require.Equal(t, "running", p.state("a", "two"))
 	notes := p.hosts["b"].Explain("d.r.one")
@@ -104,7 +104,7 @@
 	require.NoError(p, err)
 	_, err = p.hosts["a"].Submit(spec, epoch)
 	require.NoError(p, err)
-	p.together(time.Second)
+	p.runTogether(time.Second)
 }
 
 // Guards against a row's limit that is exceeded: the worker that allows to start it changes its
@@ -115,16 +115,16 @@
 	p.fillFirst()
 	p.assign(p.machines[:2], p.machines[2:])
 	p.limited("a", "one")
-	p.together(2 * time.Second)
+	p.runTogether(2 * time.Second)
 	require.Equal(t, p.machines[1].Name, p.startedOn("one").Name)
 	p.assign(p.machines[1:2], []lead.Machine{p.machines[0], p.machines[2]})
 	p.limited("b", "two")
 	p.limited("a", "three")
-	p.together(20 * time.Second)
+	p.runTogether(20 * time.Second)
 	require.Equal(t, 2, p.running(), "the full worker's and one of the row")
 	_, err := p.hosts["a"].Cancel("d.r.one")
 	require.NoError(t, err)
-	p.together(10 * time.Second)
+	p.runTogether(10 * time.Second)
 	require.Equal(t, "running", p.state("b", "two"), "its turn comes when the first has ended")
 	require.Equal(t, 2, p.running())
 }
@@ -137,10 +137,10 @@
 	p.fillFirst()
 	p.assign(p.machines, nil)
 	p.limited("a", "zero")
-	p.together(2 * time.Second)
+	p.runTogether(2 * time.Second)
 	_, err := p.hosts["a"].Cancel("d.r.zero")
 	require.NoError(t, err)
-	p.together(2 * time.Second)
+	p.runTogether(2 * time.Second)
 	p.unreachable["a"] = p.machines[0].Name
 	p.run("a", 2*time.Second)
 	p.unreachable["a"] = ""
