--- a/internal/lead/limits_test.go
+++ b/internal/lead/limits_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// limited submits a job of the row with one small task.
-func (p *pair) limited(name, id string) {
+// submitLimited submits a job of the row with one small task.
+func (p *pair) submitLimited(name, id string) {
 	p.Helper()
 	spec := p.spec(id)
 	spec.Size = cell.Size{CPU: 100, Mem: 100}
@@ -83,9 +83,9 @@
 	p := limitedPair(t, 2)
 	p.alive()
 	p.assign(p.machines[:1], p.machines[1:])
-	p.limited("b", "one")
-	p.limited("a", "two")
-	p.limited("b", "three")
+	p.submitLimited("b", "one")
+	p.submitLimited("a", "two")
+	p.submitLimited("b", "three")
 	p.runTogether(20 * time.Second)
 	require.Equal(t, 1, p.running())
 	require.Equal(t, "running", p.state("a", "two"))
@@ -114,12 +114,12 @@
 	p.alive()
 	p.fillFirst()
 	p.assign(p.machines[:2], p.machines[2:])
-	p.limited("a", "one")
+	p.submitLimited("a", "one")
 	p.runTogether(2 * time.Second)
 	require.Equal(t, p.machines[1].Name, p.startedOn("one").Name)
 	p.assign(p.machines[1:2], []lead.Machine{p.machines[0], p.machines[2]})
-	p.limited("b", "two")
-	p.limited("a", "three")
+	p.submitLimited("b", "two")
+	p.submitLimited("a", "three")
 	p.runTogether(20 * time.Second)
 	require.Equal(t, 2, p.running(), "the full worker's and one of the row")
 	_, err := p.hosts["a"].Cancel("d.r.one")
@@ -136,7 +136,7 @@
 	p.alive()
 	p.fillFirst()
 	p.assign(p.machines, nil)
-	p.limited("a", "zero")
+	p.submitLimited("a", "zero")
 	p.runTogether(2 * time.Second)
 	_, err := p.hosts["a"].Cancel("d.r.zero")
 	require.NoError(t, err)
@@ -144,7 +144,7 @@
 	p.unreachable["a"] = p.machines[0].Name
 	p.run("a", 2*time.Second)
 	p.unreachable["a"] = ""
-	p.limited("a", "one")
+	p.submitLimited("a", "one")
 	require.NotEmpty(t, p.queues["a"], "the start is decided and not sent")
 	p.hosts["b"].SetLedMachines(p.machines[:1])
 	p.run("b", 1500*time.Millisecond)
@@ -162,7 +162,7 @@
 	}
 	p.unreachable["a"] = p.machines[0].Name
 	p.run("a", 10*time.Second)
-	p.limited("a", "one")
+	p.submitLimited("a", "one")
 	p.run("a", 2*time.Second)
 	require.Zero(t, p.running())
 	p.run("a", 2*time.Minute)
