--- a/internal/lead/limits_test.go
+++ b/internal/lead/limits_test.go
@@ -54,8 +54,8 @@
 	require.NoError(p, err)
 }
 
-// running counts the tasks that run on all workers.
-func (p *pair) running() int {
+// runningTasks counts the tasks that run on all workers.
+func (p *pair) runningTasks() int {
 	n := 0
 	for _, w := range p.workers {
 		rec := w.Record()
@@ -87,7 +87,7 @@
 	p.submitLimited("a", "two")
 	p.submitLimited("b", "three")
 	p.runTogether(20 * time.Second)
-	require.Equal(t, 1, p.running())
+	require.Equal(t, 1, p.runningTasks())
 	require.Equal(t, "running", p.state("a", "two"))
 	notes := p.hosts["b"].Explain("d.r.one")
 	require.Equal(t, "the host that holds "+p.machines[0].Name+" counts row scan", notes[len(notes)-1].What)
@@ -121,12 +121,12 @@
 	p.submitLimited("b", "two")
 	p.submitLimited("a", "three")
 	p.runTogether(20 * time.Second)
-	require.Equal(t, 2, p.running(), "the full worker's and one of the row")
+	require.Equal(t, 2, p.runningTasks(), "the full worker's and one of the row")
 	_, err := p.hosts["a"].Cancel("d.r.one")
 	require.NoError(t, err)
 	p.runTogether(10 * time.Second)
 	require.Equal(t, "running", p.state("b", "two"), "its turn comes when the first has ended")
-	require.Equal(t, 2, p.running())
+	require.Equal(t, 2, p.runningTasks())
 }
 
 // Guards against a row's limit that is exceeded: a start is decided, and sent when another host
@@ -164,7 +164,7 @@
 	p.run("a", 10*time.Second)
 	p.submitLimited("a", "one")
 	p.run("a", 2*time.Second)
-	require.Zero(t, p.running())
+	require.Zero(t, p.runningTasks())
 	p.run("a", 2*time.Minute)
-	require.Equal(t, 1, p.running())
+	require.Equal(t, 1, p.runningTasks())
 }
