--- a/internal/lead/handover_test.go
+++ b/internal/lead/handover_test.go
@@ -98,7 +98,7 @@
 // should lead, and takes the answer for one about that job too.
 func TestAnswerToAQuestionFromBeforeAJobProvesNothing(t *testing.T) {
 	p := newSplitPair(t)
-	p.alive()
+	p.setBothAlive()
 	b := p.hosts["b"]
 	q := b.InventoryRequest()
 	p.run("ab", 100*time.Millisecond)
--- a/internal/lead/limits_test.go
+++ b/internal/lead/limits_test.go
@@ -68,7 +68,7 @@
 	return n
 }
 
-func (p *pair) alive() {
+func (p *pair) setBothAlive() {
 	var names []string
 	for _, m := range p.machines {
 		names = append(names, m.Name)
@@ -81,7 +81,7 @@
 // the row's rack and accept its jobs.
 func TestRowIsStartedByTheHolderOfItsWorkerOnly(t *testing.T) {
 	p := limitedPair(t, 2)
-	p.alive()
+	p.setBothAlive()
 	p.assign(p.machines[:1], p.machines[1:])
 	p.submitLimited("b", "one")
 	p.submitLimited("a", "two")
@@ -111,7 +111,7 @@
 // holder while a task of the row runs on another worker of the former one.
 func TestNextHolderCountsWhatRunsElsewhere(t *testing.T) {
 	p := limitedPair(t, 3)
-	p.alive()
+	p.setBothAlive()
 	p.fillFirst()
 	p.assign(p.machines[:2], p.machines[2:])
 	p.submitLimited("a", "one")
@@ -133,7 +133,7 @@
 // holds the worker that allows to start the row.
 func TestStartOfALimitedRowIsDeadWithItsWorkersLease(t *testing.T) {
 	p := limitedPair(t, 2)
-	p.alive()
+	p.setBothAlive()
 	p.fillFirst()
 	p.assign(p.machines, nil)
 	p.submitLimited("a", "zero")
