--- a/internal/lead/limits_test.go
+++ b/internal/lead/limits_test.go
@@ -93,9 +93,9 @@
 	require.Equal(t, "the host that holds "+p.machines[0].Name+" counts row scan", notes[len(notes)-1].What)
 }
 
-// fillFirst has host a lead the first worker alone and fill it with a task of another row, so that
+// fillFirstWorker has host a lead the first worker alone and fill it with a task of another row, so that
 // tasks of the limited one run elsewhere.
-func (p *pair) fillFirst() {
+func (p *pair) fillFirstWorker() {
 	p.Helper()
 	p.assign(p.machines[:1], nil)
 	spec := p.spec("full")
@@ -112,7 +112,7 @@
 func TestNextHolderCountsWhatRunsElsewhere(t *testing.T) {
 	p := limitedPair(t, 3)
 	p.setBothAlive()
-	p.fillFirst()
+	p.fillFirstWorker()
 	p.assign(p.machines[:2], p.machines[2:])
 	p.submitLimited("a", "one")
 	p.runTogether(2 * time.Second)
@@ -134,7 +134,7 @@
 func TestStartOfALimitedRowIsDeadWithItsWorkersLease(t *testing.T) {
 	p := limitedPair(t, 2)
 	p.setBothAlive()
-	p.fillFirst()
+	p.fillFirstWorker()
 	p.assign(p.machines, nil)
 	p.submitLimited("a", "zero")
 	p.runTogether(2 * time.Second)
