--- a/internal/lead/size_test.go
+++ b/internal/lead/size_test.go
@@ -71,12 +71,12 @@
 		}
 	}
 	if h.actualSizes[m.Name].Fits(m.Size) {
-		h.become(*m)
+		h.applySize(*m)
 	}
 }
 
-// become gives a worker the size that is listed.
-func (h *history) become(m lead.Machine) {
+// applySize gives a worker the size that is listed.
+func (h *history) applySize(m lead.Machine) {
 	h.actualSizes[m.Name] = m.Size
 	h.workers[m.Name].Resize(m.Size)
 }
@@ -88,6 +88,6 @@
 		return
 	}
 	for _, m := range h.machines {
-		h.become(m)
+		h.applySize(m)
 	}
 }
