--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -440,7 +440,7 @@
 		h.crashes = crashes
 		for range rapid.IntRange(1, 300).Draw(draw, "steps") {
 			h.next()()
-			h.shrink()
+			h.applyListedSizes()
 			require.Empty(draw, h.over.Doubled())
 			for _, m := range h.machines {
 				require.Zero(draw, h.workers[m.Name].Record().Overfilled, m.Name)
--- a/internal/lead/size_test.go
+++ b/internal/lead/size_test.go
@@ -81,9 +81,9 @@
 	h.workers[m.Name].Resize(m.Size)
 }
 
-// shrink makes workers as small as they are listed, once nothing that was sent before can arrive
+// applyListedSizes makes workers as small as they are listed, once nothing that was sent before can arrive
 // any more.
-func (h *history) shrink() {
+func (h *history) applyListedSizes() {
 	if h.paused["a"] || h.paused["b"] || len(h.queues["a"])+len(h.queues["b"])+len(h.delayed) > 0 {
 		return
 	}
