--- a/internal/lead/suspect_test.go
+++ b/internal/lead/suspect_test.go
@@ -11,7 +11,7 @@
 	"pollencroft/internal/standin"
 )
 
-func twelfths(id string, tasks int, gang bool) job.Spec {
+func sixteenthSizeJob(id string, tasks int, gang bool) job.Spec {
 	return job.Spec{
 		ID: "d.r." + id, Row: "batch", Tasks: tasks, Gang: gang, Size: cell.Size{CPU: pairWorkerSize.CPU / 16, Mem: pairWorkerSize.Mem / 16},
 		Time: cell.Duration{Duration: 2 * time.Second}, Tries: 3, Class: cell.Bulk,
@@ -48,7 +48,7 @@
 		t.Run(name, func(t *testing.T) {
 			p := newPair(t, c.workers)
 			p.workers[p.machines[0].Name].SetFaults(standin.WorkerFaults{FailAll: true})
-			p.hand("a", twelfths("good", c.tasks, c.gang))
+			p.hand("a", sixteenthSizeJob("good", c.tasks, c.gang))
 			p.run("a", 5*time.Second)
 			p.failing(false)
 			p.run("a", time.Minute)
@@ -61,7 +61,7 @@
 func TestTriesOutlastAFailingWorkerOverAChangeOfTheLead(t *testing.T) {
 	p := newPair(t, 1)
 	p.failing(true)
-	p.hand("a", twelfths("good", 1, false))
+	p.hand("a", sixteenthSizeJob("good", 1, false))
 	p.run("a", 500*time.Millisecond)
 	started := func() int { return p.workers[p.machines[0].Name].Record().Started["d.r.good.0"] }
 	require.Equal(t, 1, started())
@@ -84,7 +84,7 @@
 		for _, gang := range []bool{false, true} {
 			p := newPair(t, workers)
 			p.failing(true)
-			p.hand("a", twelfths("bad", 4, gang))
+			p.hand("a", sixteenthSizeJob("bad", 4, gang))
 			p.run("a", 2*time.Minute)
 			require.Equal(t, "failed", p.state("a", "bad"))
 			require.LessOrEqual(t, p.maxStarts(), 3)
@@ -96,10 +96,10 @@
 func TestWorkerThatEndsAnotherTaskIsTriedAgainAtOnce(t *testing.T) {
 	p := newPair(t, 1)
 	p.failing(true)
-	p.hand("a", twelfths("good", 1, false))
+	p.hand("a", sixteenthSizeJob("good", 1, false))
 	p.run("a", 500*time.Millisecond)
 	p.failing(false)
-	other := twelfths("other", 1, false)
+	other := sixteenthSizeJob("other", 1, false)
 	other.Time.Duration = 100 * time.Millisecond
 	p.hand("a", other)
 	p.run("a", 5*time.Second)
