--- a/internal/lead/suspect_test.go
+++ b/internal/lead/suspect_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-func (p *pair) hand(name string, spec job.Spec) {
+func (p *pair) submitSpec(name string, spec job.Spec) {
 	p.Helper()
 	epoch, err := p.hosts[name].Check(spec)
 	require.NoError(p, err)
@@ -48,7 +48,7 @@
 		t.Run(name, func(t *testing.T) {
 			p := newPair(t, c.workers)
 			p.workers[p.machines[0].Name].SetFaults(standin.WorkerFaults{FailAll: true})
-			p.hand("a", sixteenthSizeJob("good", c.tasks, c.gang))
+			p.submitSpec("a", sixteenthSizeJob("good", c.tasks, c.gang))
 			p.run("a", 5*time.Second)
 			p.failing(false)
 			p.run("a", time.Minute)
@@ -61,7 +61,7 @@
 func TestTriesOutlastAFailingWorkerOverAChangeOfTheLead(t *testing.T) {
 	p := newPair(t, 1)
 	p.failing(true)
-	p.hand("a", sixteenthSizeJob("good", 1, false))
+	p.submitSpec("a", sixteenthSizeJob("good", 1, false))
 	p.run("a", 500*time.Millisecond)
 	started := func() int { return p.workers[p.machines[0].Name].Record().Started["d.r.good.0"] }
 	require.Equal(t, 1, started())
@@ -84,7 +84,7 @@
 		for _, gang := range []bool{false, true} {
 			p := newPair(t, workers)
 			p.failing(true)
-			p.hand("a", sixteenthSizeJob("bad", 4, gang))
+			p.submitSpec("a", sixteenthSizeJob("bad", 4, gang))
 			p.run("a", 2*time.Minute)
 			require.Equal(t, "failed", p.state("a", "bad"))
 			require.LessOrEqual(t, p.maxStarts(), 3)
@@ -96,12 +96,12 @@
 func TestWorkerThatEndsAnotherTaskIsTriedAgainAtOnce(t *testing.T) {
 	p := newPair(t, 1)
 	p.failing(true)
-	p.hand("a", sixteenthSizeJob("good", 1, false))
+	p.submitSpec("a", sixteenthSizeJob("good", 1, false))
 	p.run("a", 500*time.Millisecond)
 	p.failing(false)
 	other := sixteenthSizeJob("other", 1, false)
 	other.Time.Duration = 100 * time.Millisecond
-	p.hand("a", other)
+	p.submitSpec("a", other)
 	p.run("a", 5*time.Second)
 	require.Equal(t, "ended", p.state("a", "good"))
 }
