--- a/internal/lead/suspect_test.go
+++ b/internal/lead/suspect_test.go
@@ -26,7 +26,7 @@
 	require.NoError(p, err)
 }
 
-func (p *pair) failing(all bool) {
+func (p *pair) setFailing(all bool) {
 	for _, m := range p.machines {
 		p.workers[m.Name].SetFaults(standin.WorkerFaults{FailAll: all})
 	}
@@ -50,7 +50,7 @@
 			p.workers[p.machines[0].Name].SetFaults(standin.WorkerFaults{FailAll: true})
 			p.submitSpec("a", sixteenthSizeJob("good", c.tasks, c.gang))
 			p.run("a", 5*time.Second)
-			p.failing(false)
+			p.setFailing(false)
 			p.run("a", time.Minute)
 			require.Equal(t, "ended", p.state("a", "good"))
 		})
@@ -60,7 +60,7 @@
 // Guards against a task that its next lead sends back at once to the worker that it has failed on.
 func TestTriesOutlastAFailingWorkerOverAChangeOfTheLead(t *testing.T) {
 	p := newPair(t, 1)
-	p.failing(true)
+	p.setFailing(true)
 	p.submitSpec("a", sixteenthSizeJob("good", 1, false))
 	p.run("a", 500*time.Millisecond)
 	started := func() int { return p.workers[p.machines[0].Name].Record().Started["d.r.good.0"] }
@@ -72,7 +72,7 @@
 	require.NoError(t, p.hosts["a"].TakeBack(jobs, epoch))
 	p.run("a", 2*time.Second)
 	require.Equal(t, 1, started())
-	p.failing(false)
+	p.setFailing(false)
 	p.run("a", time.Minute)
 	require.Equal(t, "ended", p.state("a", "good"))
 }
@@ -83,7 +83,7 @@
 	for workers := 1; workers <= 4; workers++ {
 		for _, gang := range []bool{false, true} {
 			p := newPair(t, workers)
-			p.failing(true)
+			p.setFailing(true)
 			p.submitSpec("a", sixteenthSizeJob("bad", 4, gang))
 			p.run("a", 2*time.Minute)
 			require.Equal(t, "failed", p.state("a", "bad"))
@@ -95,10 +95,10 @@
 // Guards against a wait that goes on although the worker does its work again.
 func TestWorkerThatEndsAnotherTaskIsTriedAgainAtOnce(t *testing.T) {
 	p := newPair(t, 1)
-	p.failing(true)
+	p.setFailing(true)
 	p.submitSpec("a", sixteenthSizeJob("good", 1, false))
 	p.run("a", 500*time.Millisecond)
-	p.failing(false)
+	p.setFailing(false)
 	other := sixteenthSizeJob("other", 1, false)
 	other.Time.Duration = 100 * time.Millisecond
 	p.submitSpec("a", other)
