--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -79,8 +79,8 @@
 		return false
 	}
 	was := <-before
-	pause := settle - h.now().Sub(was.at)
-	for patience := h.progressTimeout(reach); sleep(h.ctx, pause); pause = settle {
+	pause := claimGrace - h.now().Sub(was.at)
+	for patience := h.progressTimeout(reach); sleep(h.ctx, pause); pause = claimGrace {
 		is := h.stateLogEnds()
 		if part := firstGrown(was, is); part >= 0 {
 			switch by := h.progressAuthor(lead, h.stateParts()[part]); by {
@@ -134,13 +134,13 @@
 	case name == h.previousLeader:
 		return ""
 	}
-	h.changeLead(name)
+	h.switchLeader(name)
 	return name
 }
 
 // tryConnect tries a new connection to a host.
 func (h *Host) tryConnect(name string) peer.Reach {
-	ctx, cancel := context.WithTimeout(h.ctx, goneWait)
+	ctx, cancel := context.WithTimeout(h.ctx, goneTimeout)
 	defer cancel()
 	return h.peers.Reach(ctx, name)
 }
@@ -164,7 +164,7 @@
 func (h *Host) progressTimeout(reach peer.Reach) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	patience := settle
+	patience := claimGrace
 	if reach == peer.NoAnswer {
 		return patience
 	}
@@ -248,7 +248,7 @@
 		}
 		got <- h.stateLogEnds()
 	})
-	if h.leads(lead) {
+	if h.isLeaderOrClaiming(lead) {
 		close(yes)
 		return true, got
 	}
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -46,7 +46,7 @@
 	case peer.AskState:
 		return h.localState(m.ID), nil
 	case peer.Sync:
-		h.heard(m)
+		h.noteHost(m)
 		return h.syncReply(m), nil
 	case peer.Advise:
 		ctx, cancel := context.WithTimeout(ctx, m.Within.Duration)
@@ -119,7 +119,7 @@
 	for n, a := range h.hosts {
 		hosts[n] = a.String()
 	}
-	claiming, leaving, successor, enough, follows := h.claiming, h.leaving, h.successor, h.enoughPower(), h.leader
+	claiming, leaving, successor, enough, follows := h.claiming, h.leaving, h.successor, h.minStrongPower(), h.leader
 	h.mu.Unlock()
 	served := h.store.Fresh(leaderFreshness)
 	if t == nil || !served {
@@ -135,7 +135,7 @@
 		ended[string(state)] = ids
 	}
 	return peer.SyncReply{
-		Ended: ended, Endings: next, Leading: true, Lead: true, Leaving: leaving, Served: true, Heir: h.heirNow(), Follows: follows,
+		Ended: ended, Endings: next, Leading: true, Lead: true, Leaving: leaving, Served: true, Heir: h.chooseStandby(), Follows: follows,
 		Enough: enough, Term: t.number, Pending: pending, Hosts: hosts,
 	}
 }
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -67,7 +67,7 @@
 	case r.Method == http.MethodPost:
 		h.submit(ctx, w, r, q, id)
 	case r.Method == http.MethodGet:
-		h.tell(ctx, w, id)
+		h.serveState(ctx, w, id)
 	case r.Method == http.MethodDelete:
 		h.cancelJob(ctx, w, id)
 	default:
@@ -153,11 +153,11 @@
 		return
 	}
 	began := h.now()
-	err = h.inbox.put(ctx, store.Record{Key: id, Value: b})
+	err = h.inbox.append(ctx, store.Record{Key: id, Value: b})
 	h.observe("caller.store", h.now().Sub(began))
 	switch {
 	case err == nil:
-		h.accepted(id)
+		h.noteAccepted(id)
 		h.log.Info("caller: accepted.", "id", id, "queue", q.Name)
 		reply(w, http.StatusOK, []byte("{}"))
 	case store.NotDone(err):
@@ -176,29 +176,29 @@
 	return defaultMaxBody
 }
 
-func (h *Host) accepted(id string) {
+func (h *Host) noteAccepted(id string) {
 	h.incCounter("caller.accepted")
 	h.mu.Lock()
-	h.recent[id] = h.now()
+	h.accepted[id] = h.now()
 	h.mu.Unlock()
 }
 
-// isRecent tells whether this host accepted the job lately.
-func (h *Host) isRecent(id string) bool {
+// acceptedRecently tells whether this host accepted the job lately.
+func (h *Host) acceptedRecently(id string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_, ok := h.recent[id]
+	_, ok := h.accepted[id]
 	return ok
 }
 
-func (h *Host) tell(ctx context.Context, w http.ResponseWriter, id string) {
+func (h *Host) serveState(ctx context.Context, w http.ResponseWriter, id string) {
 	began := h.now()
 	state, known, err := h.stateOf(ctx, id)
 	if err == nil && known {
-		h.log.Info("caller: told.", "id", id, "state", state, "term", h.termNow(), "took", h.now().Sub(began))
+		h.log.Info("caller: told.", "id", id, "state", state, "term", h.currentTerm(), "took", h.now().Sub(began))
 	}
 	switch {
-	case err == nil && !known && h.isRecent(id):
+	case err == nil && !known && h.acceptedRecently(id):
 		// The lead has not heard of it yet, so nothing of it has begun.
 		reply(w, http.StatusOK, platform.StateBody(flow.Queued))
 	case err != nil:
@@ -214,7 +214,7 @@
 // without asking whether there is such a job: one that is not is never started.
 func (h *Host) cancelJob(ctx context.Context, w http.ResponseWriter, id string) {
 	state, known, err := h.toldBefore(ctx, id)
-	if err == nil && !known && !h.isRecent(id) {
+	if err == nil && !known && !h.acceptedRecently(id) {
 		h.refuse(w, http.StatusGone, id, "no such job")
 		return
 	}
@@ -222,7 +222,7 @@
 		reply(w, http.StatusOK, []byte("{}"))
 		return
 	}
-	err = h.inbox.put(ctx, store.Record{Key: id + cancelMark, Value: []byte("1")})
+	err = h.inbox.append(ctx, store.Record{Key: id + cancelMark, Value: []byte("1")})
 	switch {
 	case err == nil:
 		h.log.Info("caller: cancelled.", "id", id)
@@ -234,17 +234,17 @@
 	}
 }
 
-// readyAfter is how long ago the store may have answered a host that is ready.
+// readyFreshness is how long ago the store may have answered a host that is ready.
 // It is asked at least every joinEvery; the balancer needs two more seconds
 // until callers of a failure domain that is cut off are served elsewhere.
-const readyAfter = time.Second
+const readyFreshness = time.Second
 
 // ready tells whether callers are served here: a host without a way to the
 // store can accept nothing, and callers do better at another one.
 func (h *Host) ready() bool {
 	h.mu.Lock()
 	table, leaving, lead, was := h.table != nil, h.leaving, h.leader, h.wasReady
-	served := h.store.Fresh(readyAfter)
+	served := h.store.Fresh(readyFreshness)
 	is := table && !leaving && lead != "" && served
 	h.wasReady = is
 	h.mu.Unlock()
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// followWait is how long a read waits for records. It bounds how long a
+	// followReadWait is how long a read waits for records. It bounds how long a
 	// connection that has gone silent delays a new table: the table has to be in
 	// force within two seconds.
-	followWait = 1300 * time.Millisecond
+	followReadWait = 1300 * time.Millisecond
 	// followRetry is the pause after a read that failed, followPause the least time
 	// between two that brought nothing.
-	followRetry = 200 * time.Millisecond
-	followPause = 400 * time.Millisecond
+	followRetry       = 200 * time.Millisecond
+	followMinInterval = 400 * time.Millisecond
 )
 
 // follow hands all records of a topic to read, the newest of each key first.
 func (h *Host) follow(topic string, read func([]store.Record)) {
 	for h.ctx.Err() == nil {
 		all, from, err := store.Table(h.ctx, h.store, topic, 0)
-		h.noteRead(topic, from, err)
+		h.trackReadFailure(topic, from, err)
 		if err != nil {
 			sleep(h.ctx, followRetry)
 			continue
@@ -38,9 +38,9 @@
 	}
 }
 
-// noteRead tells when a topic cannot be read any more and when it is read again: what the
+// trackReadFailure tells when a topic cannot be read any more and when it is read again: what the
 // host believes of it may be old by as much.
-func (h *Host) noteRead(topic string, from int64, err error) {
+func (h *Host) trackReadFailure(topic string, from int64, err error) {
 	h.mu.Lock()
 	since, lost := h.failedSince[topic]
 	switch {
@@ -66,13 +66,13 @@
 func (h *Host) followFrom(topic string, from int64, read func([]store.Record)) {
 	for h.ctx.Err() == nil {
 		began := h.now()
-		a, err := h.store.Do(h.ctx, store.Call{Op: store.Read, Topic: topic, From: from, Wait: followWait})
+		a, err := h.store.Do(h.ctx, store.Call{Op: store.Read, Topic: topic, From: from, Wait: followReadWait})
 		var trimmed *store.TrimmedError
 		if errors.As(err, &trimmed) {
 			h.log.Info("follow: history is gone.", "topic", topic, "from", from, "first", trimmed.First)
 			return
 		}
-		h.noteRead(topic, from, err)
+		h.trackReadFailure(topic, from, err)
 		if err != nil {
 			sleep(h.ctx, followRetry)
 			continue
@@ -83,14 +83,14 @@
 		from += int64(len(a.Records))
 		if len(a.Records) == 0 {
 			// While the direct way is silent, reads do not wait for records.
-			sleep(h.ctx, followPause-h.now().Sub(began))
+			sleep(h.ctx, followMinInterval-h.now().Sub(began))
 		}
 	}
 }
 
-// readTable takes the newest table. A version below the one in force is a
+// applyTable takes the newest table. A version below the one in force is a
 // record that was read twice, and is passed over: the table never goes back.
-func (h *Host) readTable(all []store.Record) {
+func (h *Host) applyTable(all []store.Record) {
 	for _, r := range all {
 		if r.Key != platform.TableKey || len(r.Value) == 0 {
 			continue
@@ -132,30 +132,30 @@
 	return ev
 }
 
-// leadRecord tells who leads.
-type leadRecord struct {
+// leaderRecord tells who leads.
+type leaderRecord struct {
 	Name string         `json:"name"`
 	Addr netip.AddrPort `json:"addr"`
 	Term int64          `json:"term"`
 }
 
 const (
-	// leadTopic tells all hosts who leads, under leadKey.
-	leadTopic = "lead"
-	leadKey   = "0"
+	// leaderTopic tells all hosts who leads, under leadKey.
+	leaderTopic = "lead"
+	leaderKey   = "0"
 )
 
-func (h *Host) readLead(all []store.Record) {
+func (h *Host) applyLeader(all []store.Record) {
 	for _, r := range all {
-		var l leadRecord
-		if r.Key != leadKey || json.Unmarshal(r.Value, &l) != nil {
+		var l leaderRecord
+		if r.Key != leaderKey || json.Unmarshal(r.Value, &l) != nil {
 			continue
 		}
-		h.setLead(l)
+		h.setLeader(l)
 	}
 }
 
-func (h *Host) setLead(l leadRecord) {
+func (h *Host) setLeader(l leaderRecord) {
 	h.mu.Lock()
 	if l.Term <= h.term {
 		h.mu.Unlock()
@@ -164,7 +164,7 @@
 	if l.Name != h.cfg.Name || h.ownTerm == nil {
 		h.previousLeader = l.Name
 	}
-	h.changeLead(l.Name)
+	h.switchLeader(l.Name)
 	h.term = l.Term
 	if _, ok := h.hosts[l.Name]; !ok && l.Addr.IsValid() {
 		h.hosts[l.Name] = l.Addr
@@ -178,15 +178,15 @@
 	if l.Name != h.cfg.Name {
 		// It asks the policy service only through hosts that it heard of. After a loss
 		// of all power it has heard of none, and work would wait for the next sync.
-		h.wg.Go(func() { h.syncWith(l.Name) })
+		h.wg.Go(func() { h.syncWithLeader(l.Name) })
 	}
 	if t != nil && t.number < l.Term {
 		t.end("a later term began")
 	}
 }
 
-// changeLead has the host follow another lead; mu is held.
-func (h *Host) changeLead(name string) {
+// switchLeader has the host follow another lead; mu is held.
+func (h *Host) switchLeader(name string) {
 	if h.leader != "" && h.leader != name {
 		// Nobody had told of it: whoever claimed believed the lead to be gone.
 		at, former := h.now(), h.leader
@@ -199,20 +199,20 @@
 	h.leaderSince, h.unansweredSince, h.lastLateReply = h.now(), time.Time{}, time.Time{}
 }
 
-// announceAgain is the pause before an announcement without an answer is repeated.
-const announceAgain = 300 * time.Millisecond
+// announceRetry is the pause before an announcement without an answer is repeated.
+const announceRetry = 300 * time.Millisecond
 
 // announce tells all hosts that this one leads, and goes on until it is stored: a
 // host that never hears of it asks the former lead for ever.
 func (h *Host) announce(t *term) {
-	l := leadRecord{Name: h.cfg.Name, Addr: h.cfg.Listen.Peer, Term: t.number}
-	h.setLead(l)
+	l := leaderRecord{Name: h.cfg.Name, Addr: h.cfg.Listen.Peer, Term: t.number}
+	h.setLeader(l)
 	b, err := json.Marshal(l)
 	if err != nil {
 		h.log.Error("lead: cannot be announced.", "err", err)
 		return
 	}
-	c := store.Call{Op: store.Append, Topic: leadTopic, Keyed: true, Records: []store.Record{{Key: leadKey, Value: b}}}
+	c := store.Call{Op: store.Append, Topic: leaderTopic, Keyed: true, Records: []store.Record{{Key: leaderKey, Value: b}}}
 	h.wg.Go(func() {
 		for {
 			_, err := h.store.Do(t.ctx, c)
@@ -220,7 +220,7 @@
 				return
 			}
 			h.log.Warn("lead: announcement has no answer.", "term", t.number, "err", err)
-			if !sleep(t.ctx, announceAgain) {
+			if !sleep(t.ctx, announceRetry) {
 				return
 			}
 		}
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -81,10 +81,10 @@
 	successor string
 	// standby is the host that the lead wants to lead if it dies.
 	standby string
-	// recent are the jobs that this host accepted lately, seen the hosts that asked
+	// accepted are the jobs that this host accepted lately, seen the hosts that asked
 	// it.
-	recent    map[string]time.Time
-	peersSeen map[string]sighting
+	accepted  map[string]time.Time
+	peersSeen map[string]hostInfo
 	// wasReady is what the balancer was told last.
 	wasReady bool
 	// failedSince are the topics whose last read failed, and since when.
@@ -98,7 +98,7 @@
 		cfg: cfg, log: log, now: now, startedAt: now(), workers: platform.NewWorkers(c),
 		peers: peer.NewClients(map[string]netip.AddrPort{}), metrics: metrics.NewRegistry(),
 		hosts: map[string]netip.AddrPort{cfg.Name: cfg.Listen.Peer}, pending: map[string]int{},
-		recent: map[string]time.Time{}, peersSeen: map[string]sighting{}, failedSince: map[string]time.Time{},
+		accepted: map[string]time.Time{}, peersSeen: map[string]hostInfo{}, failedSince: map[string]time.Time{},
 	}
 	if cfg.Policy != "" {
 		addr, err := netip.ParseAddrPort(cfg.Policy)
@@ -107,7 +107,7 @@
 		}
 		h.policy = platform.NewPolicy(c, addr)
 	}
-	h.peers.Lost(h.peerLost)
+	h.peers.Lost(h.onPeerLost)
 	h.lastSync = now()
 	h.ctx, h.cancel = context.WithCancel(context.Background())
 	h.store = store.NewRouted(platform.NewStore(platform.New(), cfg.Store), relay{h}, now, h.storeChanged)
@@ -116,7 +116,9 @@
 	return h, nil
 }
 
-func (h *Host) incarnation() string { return strconv.FormatInt(h.startedAt.UnixNano(), lifeBase) }
+func (h *Host) incarnation() string {
+	return strconv.FormatInt(h.startedAt.UnixNano(), incarnationBase)
+}
 
 func (h *Host) incCounter(name string) { metrics.GetOrRegisterCounter(name, h.metrics).Inc(1) }
 
@@ -163,10 +165,10 @@
 	if err := h.listen(open); err != nil {
 		return err
 	}
-	h.wg.Go(func() { h.follow(platform.TableTopic, h.readTable) })
-	h.wg.Go(func() { h.follow(leadTopic, h.readLead) })
-	h.wg.Go(h.member)
-	h.wg.Go(h.sync)
+	h.wg.Go(func() { h.follow(platform.TableTopic, h.applyTable) })
+	h.wg.Go(func() { h.follow(leaderTopic, h.applyLeader) })
+	h.wg.Go(h.maintainMembership)
+	h.wg.Go(h.syncPeriodically)
 	h.wg.Go(h.inbox.run)
 	return nil
 }
--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -116,7 +116,7 @@
 // vain tells whether no more answer is to be expected: a host that the store does not answer
 // while its lead is late is cut off.
 func (q *question) vain() bool {
-	return q.storeErr != nil && (q.open == 0 || !q.h.store.Fresh(staleAfter))
+	return q.storeErr != nil && (q.open == 0 || !q.h.store.Fresh(storeFreshness))
 }
 
 func (q *question) untold() told {
@@ -139,8 +139,8 @@
 // askNewLead puts the question to whoever leads now, if that is not who was asked last. A host
 // that has claimed is followed before its term is known.
 func (q *question) askNewLead() {
-	lead, _ := q.h.leadNow()
-	if lead != q.lead || q.h.termNow() != q.term {
+	lead, _ := q.h.currentLeader()
+	if lead != q.lead || q.h.currentTerm() != q.term {
 		q.askLead()
 	}
 }
@@ -152,8 +152,8 @@
 	}
 	q.leads++
 	q.open++
-	q.lead, _ = q.h.leadNow()
-	q.term = q.h.termNow()
+	q.lead, _ = q.h.currentLeader()
+	q.term = q.h.currentTerm()
 	go func() {
 		state, known, err := q.h.askState(q.ctx, q.id)
 		q.answers <- told{state: state, known: known, err: err}
@@ -177,7 +177,7 @@
 	if state, ok := h.states.final(id); ok {
 		return state, true, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, askWait)
+	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	return h.askState(ctx, id)
 }
