--- a/internal/lead/crash_test.go
+++ b/internal/lead/crash_test.go
@@ -150,7 +150,7 @@
 }
 
 // Guards against good jobs that are given up because their rack loses power.
-func TestLossOfAWholeRackIsNoFaultOfItsTasks(t *testing.T) {
+func TestLossOfAWholeRackDoesNotCountAgainstItsTasks(t *testing.T) {
 	for _, others := range []int{0, 2} {
 		p := newPair(t, 4+others)
 		p.moveToSecondRack(4)
@@ -229,7 +229,7 @@
 }
 
 // Guards against a task that runs twice since a census passed over a new life's list.
-func TestListOfANewLifeCountsForTheCensusAtOnce(t *testing.T) {
+func TestListOfANewIncarnationCountsForTheInventoryAtOnce(t *testing.T) {
 	p := newPair(t, 2)
 	p.hosts["a"].SetLedMachines(p.machines[1:])
 	p.workers[p.machines[0].Name].Crash()
--- a/internal/lead/fault_test.go
+++ b/internal/lead/fault_test.go
@@ -176,7 +176,7 @@
 // A host wakes from a pause and is asked at once to cancel a job. Another host
 // may have completed its census and run the job meanwhile, so the host must not
 // say that it did not run; it says that it does not know the job any more.
-func TestHostThatWakesDecidesNothing(t *testing.T) {
+func TestResumedHostDecidesNothingOfItsFormerJobs(t *testing.T) {
 	p := newPair(t, 1)
 	p.submit("a", "full")
 	p.run("a", time.Second)
@@ -226,7 +226,7 @@
 
 // The answer to a stop is lost. The caller would wait for ever for the word
 // that the batch was stopped; the host asks again until the worker confirms.
-func TestLostStopIsRepeated(t *testing.T) {
+func TestUnansweredStopIsRepeated(t *testing.T) {
 	p := newPair(t, 1)
 	p.submit("a", "old")
 	p.run("a", time.Second)
--- a/internal/lead/former_test.go
+++ b/internal/lead/former_test.go
@@ -59,7 +59,7 @@
 
 // Guards against a task that runs twice: a new lead starts a task on a worker that still lists
 // the task's former, failed start, and takes that line for the end of the new one.
-func TestListOfAFormerStartSaysNothingOfTheNext(t *testing.T) {
+func TestListedEarlierStartDoesNotEndTheNextStart(t *testing.T) {
 	p, bad := newPairAfterFailure(t)
 	a, b := p.hosts["a"], p.hosts["b"]
 	a.SetLedMachines([]lead.Machine{p.startedOn("one")})
@@ -74,7 +74,7 @@
 
 // Guards against a worker that is overfull: the line of a task's former, failed start frees the room
 // of the one that is under way, and another job gets it.
-func TestListOfAFormerStartFreesNoRoom(t *testing.T) {
+func TestListedEarlierStartFreesNoCapacity(t *testing.T) {
 	p, bad := newPairAfterFailure(t)
 	a, b := p.hosts["a"], p.hosts["b"]
 	p.submit("b", "next")
--- a/internal/lead/handover_test.go
+++ b/internal/lead/handover_test.go
@@ -28,7 +28,7 @@
 
 // Guards against a job with two leads: a hand-over lies in the sockets of a paused host, which
 // first tells a third host that it does not lead the job, and then reads it.
-func TestHandOverFromBeforeACensusIsNotTaken(t *testing.T) {
+func TestHandoverFromBeforeAnInventoryIsRefused(t *testing.T) {
 	p := newSplitPair(t)
 	token, err := p.hosts["b"].ExpectHandover("a")
 	require.NoError(t, err)
@@ -43,7 +43,7 @@
 
 // Guards against a job with two leads: the same without a question, since the third host has all
 // workers by now and takes the paused one for gone.
-func TestHandOverFromBeforeTheLossOfAllWorkersIsNotTaken(t *testing.T) {
+func TestHandoverFromBeforeTheLossOfAllWorkersIsRefused(t *testing.T) {
 	p := newSplitPair(t)
 	token, err := p.hosts["b"].ExpectHandover("a")
 	require.NoError(t, err)
@@ -80,7 +80,7 @@
 
 // Guards against a task that runs twice: a host hands over a job whose next lead dies, and tells
 // the one after it what a worker listed before the host had started the job's task there.
-func TestCensusTellsOfNoListFromBeforeAStart(t *testing.T) {
+func TestInventoryOmitsListsFromBeforeAStart(t *testing.T) {
 	p := newPair(t, 1)
 	a := p.hosts["a"]
 	p.submit("a", "old")
@@ -96,7 +96,7 @@
 
 // Guards against a job with two leads: a host puts its question together, finds a job that it
 // should lead, and takes the answer for one about that job too.
-func TestAnswerToAQuestionFromBeforeAJobProvesNothing(t *testing.T) {
+func TestInventoryRequestedBeforeAJobDoesNotReleaseIt(t *testing.T) {
 	p := newSplitPair(t)
 	p.setBothAlive()
 	b := p.hosts["b"]
--- a/internal/lead/life_test.go
+++ b/internal/lead/life_test.go
@@ -53,7 +53,7 @@
 
 // Guards against a task that runs twice since the start of a former holder arrives at a crashed
 // worker that another host took in its next life.
-func TestNextHolderWaitsForStartsToAFormerLife(t *testing.T) {
+func TestNextHolderWaitsForStartsToAPreviousIncarnation(t *testing.T) {
 	net := newDelayedPair(t)
 	p := net["a"].pair
 	net["a"].path = "/tasks"
@@ -73,7 +73,7 @@
 
 // Guards against a task that runs twice since a worker's next life lists what changed since a mark
 // of the former one.
-func TestMarkOfAFormerLifeIsNotUsed(t *testing.T) {
+func TestMarkOfAPreviousIncarnationIsNotUsed(t *testing.T) {
 	net := newDelayedPair(t)
 	p := net["a"].pair
 	worker := p.machines[0].Name
--- a/internal/lead/limits_test.go
+++ b/internal/lead/limits_test.go
@@ -79,7 +79,7 @@
 
 // Guards against a row's limit that is exceeded: two hosts both take themselves for the lead of
 // the row's rack and accept its jobs.
-func TestRowIsStartedByTheHolderOfItsWorkerOnly(t *testing.T) {
+func TestOnlyTheHolderOfItsArbiterStartsARow(t *testing.T) {
 	p := limitedPair(t, 2)
 	p.setBothAlive()
 	p.assign(p.machines[:1], p.machines[1:])
@@ -109,7 +109,7 @@
 
 // Guards against a row's limit that is exceeded: the worker that allows to start it changes its
 // holder while a task of the row runs on another worker of the former one.
-func TestNextHolderCountsWhatRunsElsewhere(t *testing.T) {
+func TestNextHolderCountsTasksOnOtherHostsWorkers(t *testing.T) {
 	p := limitedPair(t, 3)
 	p.setBothAlive()
 	p.fillFirstWorker()
@@ -131,7 +131,7 @@
 
 // Guards against a row's limit that is exceeded: a start is decided, and sent when another host
 // holds the worker that allows to start the row.
-func TestStartOfALimitedRowIsDeadWithItsWorkersLease(t *testing.T) {
+func TestStartOfALimitedRowExpiresWithItsArbitersLease(t *testing.T) {
 	p := limitedPair(t, 2)
 	p.setBothAlive()
 	p.fillFirstWorker()
@@ -155,7 +155,7 @@
 
 // Guards against rows with a limit that stand still for good: the worker that allows to start
 // them is listed and has been silent for longer than any lease.
-func TestSilentWorkerDoesNotHoldUpItsRow(t *testing.T) {
+func TestSilentArbiterDoesNotBlockItsRow(t *testing.T) {
 	p := limitedPair(t, 2)
 	for _, l := range p.hosts {
 		l.Arbiters = func(string) []string { return []string{p.machines[0].Name, p.machines[1].Name} }
--- a/internal/lead/place_test.go
+++ b/internal/lead/place_test.go
@@ -98,7 +98,7 @@
 // A night's bulk work holds all room when a gate needs an urgent job. A bulk
 // task is checkpointed and stopped, the urgent one runs in its place, and the
 // bulk task runs again afterwards; both trails say so.
-func TestUrgentJobStopsBulkOverTheWire(t *testing.T) {
+func TestUrgentJobPreemptsBulkTask(t *testing.T) {
 	f := newFleet(t, 1, map[string]table.Row{"gate": {Class: "urgent"}, "badges": {Class: "bulk"}})
 	f.submit("bulk", "badges", cell.Bulk, 900, 2, time.Hour)
 	f.until(func() bool { s, _ := f.Status("d.r.bulk"); return s.Tasks["running"] == 2 })
@@ -111,7 +111,7 @@
 
 // One worker fails everything at once and so always has room. It is set aside
 // after a few tasks instead of swallowing the queue, and the jobs end.
-func TestBlackHoleDoesNotSwallowTheQueue(t *testing.T) {
+func TestWorkerThatFailsEverythingIsQuarantined(t *testing.T) {
 	f := newFleet(t, 5, map[string]table.Row{"menu": {Class: "normal"}})
 	f.workers[0].SetFaults(standin.WorkerFaults{FailAll: true})
 	for i := range 200 {
--- a/internal/lead/size_test.go
+++ b/internal/lead/size_test.go
@@ -13,7 +13,7 @@
 )
 
 // Guards against tasks placed by the size that a worker had when it was taken.
-func TestALedWorkerThatShrinksGetsNoMoreThanItHolds(t *testing.T) {
+func TestShrunkWorkerGetsNoMoreThanItsNewSize(t *testing.T) {
 	f := newFleet(t, 1, nil)
 	w := f.workers[0]
 	resize := func(cores int64) {
@@ -37,7 +37,7 @@
 }
 
 // The host list names sizes that cannot be. They are no room, and other workers are used as ever.
-func TestASizeThatCannotBeIsNoRoom(t *testing.T) {
+func TestInvalidWorkerSizeGivesNoCapacity(t *testing.T) {
 	for _, size := range []cell.Size{
 		{CPU: -4000, Mem: 4 << 30}, {CPU: 4000, Mem: -1}, {CPU: 4000, Mem: 4 << 30, Accel: -1}, {CPU: math.MaxInt64, Mem: 4 << 30},
 		{CPU: 4000, Mem: math.MaxInt64}, {},
--- a/internal/lead/suspect_test.go
+++ b/internal/lead/suspect_test.go
@@ -34,7 +34,7 @@
 
 // Guards against good jobs that spend all their tries within an instant on a worker that fails
 // everything for some seconds, and that they cannot do without.
-func TestTriesOutlastAWorkerThatFailsEverything(t *testing.T) {
+func TestRetriesOutlastAWorkerThatFailsEverything(t *testing.T) {
 	for name, c := range map[string]struct {
 		workers, tasks int
 		gang           bool
@@ -58,7 +58,7 @@
 }
 
 // Guards against a task that its next lead sends back at once to the worker that it has failed on.
-func TestTriesOutlastAFailingWorkerOverAChangeOfTheLead(t *testing.T) {
+func TestRetriesOutlastAFailingWorkerAcrossAHandover(t *testing.T) {
 	p := newPair(t, 1)
 	p.setFailing(true)
 	p.submitSpec("a", sixteenthSizeJob("good", 1, false))
