--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -55,7 +55,7 @@
 const formerMost = 20_000
 
 func (j *Jobs) remember(now time.Time, t *task) {
-	if t.life != "" && !t.proven(now) && !taskLife.Final(t.state) && len(j.former) < formerMost {
+	if t.life != "" && !t.proven(now) && !taskChart.Final(t.state) && len(j.former) < formerMost {
 		j.former[t.id] = place{worker: t.worker, life: t.life, lives: t.lives, noted: t.noted, spared: t.spared}
 	}
 }
@@ -131,7 +131,7 @@
 	for name, all := range j.away {
 		j.away[name] = slices.DeleteFunc(all, func(p place) bool {
 			other, ok := j.tasks[p.task]
-			return !ok || taskLife.Final(other.state)
+			return !ok || taskChart.Final(other.state)
 		})
 		if len(j.away[name]) == 0 {
 			delete(j.away, name)
@@ -155,7 +155,7 @@
 	}
 	var late []*task
 	for _, p := range j.away[ev.Worker] {
-		if t, ok := j.tasks[p.task]; ok && p.life != ev.Incarnation && !taskLife.Final(t.state) {
+		if t, ok := j.tasks[p.task]; ok && p.life != ev.Incarnation && !taskChart.Final(t.state) {
 			late = append(late, t)
 		}
 	}
@@ -187,7 +187,7 @@
 		if !t.since.Before(ev.Sent) || ev.Jobs != nil && !slices.Contains(ev.Jobs, t.job.spec.ID) {
 			continue
 		}
-		if t.life != "" && t.life != ev.Incarnation && !listed[id] && !taskLife.Final(t.state) {
+		if t.life != "" && t.life != ev.Incarnation && !listed[id] && !taskChart.Final(t.state) {
 			under = append(under, t)
 		}
 		t.life = ev.Incarnation
@@ -226,7 +226,7 @@
 // giveUpOver fails what waits of a job under one of whose tasks too many lives ended: a part of it
 // can never be had. What runs may end.
 func (j *Jobs) giveUpOver(jb *job) []Action {
-	over := func(t *task) bool { return t.lives >= livesMost && !taskLife.Final(t.state) }
+	over := func(t *task) bool { return t.lives >= livesMost && !taskChart.Final(t.state) }
 	i := slices.IndexFunc(jb.tasks, over)
 	if jb.crashed != nil || i < 0 {
 		return nil
--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -351,7 +351,7 @@
 	var all []string
 	for worker, on := range j.on {
 		for _, t := range on {
-			if !taskLife.Final(t.state) {
+			if !taskChart.Final(t.state) {
 				all = append(all, worker)
 				break
 			}
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -14,8 +14,8 @@
 )
 
 var (
-	taskLife = chart.MustLoad("task")
-	jobLife  = chart.MustLoad("job")
+	taskChart = chart.MustLoad("task")
+	jobLife   = chart.MustLoad("job")
 )
 
 // States of tasks as workers list them.
@@ -185,7 +185,7 @@
 func (j *Jobs) add(now time.Time, spec Spec) *job {
 	jb := &job{spec: spec, state: jobLife.Start(), began: now}
 	for i := range spec.Tasks {
-		t := &task{id: TaskID(spec.ID, i), job: jb, state: taskLife.Start()}
+		t := &task{id: TaskID(spec.ID, i), job: jb, state: taskChart.Start()}
 		jb.tasks = append(jb.tasks, t)
 		j.tasks[t.id] = t
 	}
@@ -212,7 +212,7 @@
 }
 
 func (t *task) move(ev chart.Event) bool {
-	next, err := taskLife.Next(t.state, ev)
+	next, err := taskChart.Next(t.state, ev)
 	t.state = next
 	return err == nil
 }
@@ -307,7 +307,7 @@
 	jb.move("stop")
 	var acts []Action
 	for _, t := range jb.tasks {
-		if taskLife.Final(t.state) {
+		if taskChart.Final(t.state) {
 			continue
 		}
 		worker := t.worker
@@ -327,7 +327,7 @@
 func (j *Jobs) settle(jb *job) []Action {
 	failed, cancelled := false, false
 	for _, t := range jb.tasks {
-		if !taskLife.Final(t.state) {
+		if !taskChart.Final(t.state) {
 			return nil
 		}
 		failed = failed || t.state == "failed"
--- a/internal/job/retry.go
+++ b/internal/job/retry.go
@@ -131,7 +131,7 @@
 	whole := true
 	for _, o := range t.job.tasks {
 		switch {
-		case taskLife.Final(o.state):
+		case taskChart.Final(o.state):
 		case o.state == "waiting":
 			acts = append(acts, Free{Task: o.id})
 			want.Tasks = append(want.Tasks, o.id)
