--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -193,7 +193,7 @@
 // has ended or waits for its own census.
 func (j *Jobs) Snapshot(id string) (Snapshot, bool) {
 	jb, ok := j.jobs[id]
-	if !ok || jb.census || jobLife.Final(jb.state) {
+	if !ok || jb.census || jobChart.Final(jb.state) {
 		return Snapshot{}, false
 	}
 	c := Snapshot{Spec: jb.spec, State: string(jb.state), Began: jb.began, First: jb.first}
@@ -295,7 +295,7 @@
 
 func (j *Jobs) keep(id string) []Action {
 	jb, ok := j.jobs[id]
-	if !ok || jb.kept || !jobLife.Final(jb.state) {
+	if !ok || jb.kept || !jobChart.Final(jb.state) {
 		return nil
 	}
 	jb.kept = true
@@ -334,7 +334,7 @@
 // Ended tells whether a job is known here and has ended, and how.
 func (j *Jobs) Ended(id string) (state string, ok bool) {
 	jb, known := j.jobs[id]
-	if !known || !jobLife.Final(jb.state) {
+	if !known || !jobChart.Final(jb.state) {
 		return "", false
 	}
 	return string(jb.state), true
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -15,7 +15,7 @@
 
 var (
 	taskChart = chart.MustLoad("task")
-	jobLife   = chart.MustLoad("job")
+	jobChart  = chart.MustLoad("job")
 )
 
 // States of tasks as workers list them.
@@ -183,7 +183,7 @@
 }
 
 func (j *Jobs) add(now time.Time, spec Spec) *job {
-	jb := &job{spec: spec, state: jobLife.Start(), began: now}
+	jb := &job{spec: spec, state: jobChart.Start(), began: now}
 	for i := range spec.Tasks {
 		t := &task{id: TaskID(spec.ID, i), job: jb, state: taskChart.Start()}
 		jb.tasks = append(jb.tasks, t)
@@ -218,7 +218,7 @@
 }
 
 func (j *job) move(ev chart.Event) {
-	if next, err := jobLife.Next(j.state, ev); err == nil {
+	if next, err := jobChart.Next(j.state, ev); err == nil {
 		j.state = next
 	}
 }
@@ -301,7 +301,7 @@
 
 func (j *Jobs) cancel(id string) []Action {
 	jb, ok := j.jobs[id]
-	if !ok || jobLife.Final(jb.state) {
+	if !ok || jobChart.Final(jb.state) {
 		return nil
 	}
 	jb.move("stop")
@@ -380,7 +380,7 @@
 func (j *Jobs) Open() []Spec {
 	var open []Spec
 	for _, id := range slices.Sorted(maps.Keys(j.jobs)) {
-		if jb := j.jobs[id]; !jobLife.Final(jb.state) {
+		if jb := j.jobs[id]; !jobChart.Final(jb.state) {
 			open = append(open, jb.spec)
 		}
 	}
