--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -25,7 +25,7 @@
 const proven = time.Hour
 
 func (t *task) proven(now time.Time) bool {
-	return t.state != "unsure" && t.state != "starting" && now.Sub(t.since) >= proven
+	return t.state != "unsure" && t.state != "starting" && now.Sub(t.onWorkerSince) >= proven
 }
 
 // CrashedError tells that a task was given up because workers crashed under it.
@@ -184,7 +184,7 @@
 	var under []*task
 	for _, id := range slices.Sorted(maps.Keys(j.on[ev.Worker])) {
 		t := j.tasks[id]
-		if !t.since.Before(ev.Sent) || ev.Jobs != nil && !slices.Contains(ev.Jobs, t.job.spec.ID) {
+		if !t.onWorkerSince.Before(ev.Sent) || ev.Jobs != nil && !slices.Contains(ev.Jobs, t.job.spec.ID) {
 			continue
 		}
 		if t.life != "" && t.life != ev.Incarnation && !listed[id] && !taskChart.Final(t.state) {
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -35,9 +35,9 @@
 	tries    int64
 	deadline time.Time
 	sent     bool
-	// since is when this host learnt that the task is on its worker: a list
+	// onWorkerSince is when this host learnt that the task is on its worker: a list
 	// that was asked for earlier cannot tell that the task is gone.
-	since time.Time
+	onWorkerSince time.Time
 	// lease names the start that the worker lists, so that it forgets no other.
 	lease string
 	// avoid are the workers that the task failed on last, the last time at failed. It goes back to
@@ -198,7 +198,7 @@
 	if t.worker != "" {
 		delete(j.on[t.worker], t.id)
 	}
-	t.worker, t.since, t.lease, t.attempt = worker, now, "", 0
+	t.worker, t.onWorkerSince, t.lease, t.attempt = worker, now, "", 0
 	t.life, t.blamed = j.lives[worker].name, false
 	if worker == "" {
 		return
@@ -243,12 +243,12 @@
 		return nil
 	}
 	if t.state == "stopping" || t.state == "pausing" {
-		t.since, t.deadline = now, time.Time{}
+		t.onWorkerSince, t.deadline = now, time.Time{}
 	}
 	if !t.move("started") {
 		return nil
 	}
-	t.since, t.deadline = now, time.Time{}
+	t.onWorkerSince, t.deadline = now, time.Time{}
 	if t.job.first.IsZero() {
 		t.job.first = now
 	}
--- a/internal/job/retry.go
+++ b/internal/job/retry.go
@@ -56,7 +56,7 @@
 }
 
 func (t *task) result(now time.Time, failed bool) Result {
-	return Result{Task: t.id, Row: t.job.spec.Row, Worker: t.worker, Failed: failed, Run: now.Sub(t.since)}
+	return Result{Task: t.id, Row: t.job.spec.Row, Worker: t.worker, Failed: failed, Run: now.Sub(t.onWorkerSince)}
 }
 
 // giveUp fails the tasks that still wait when none of the job's tasks ever
--- a/internal/job/seen.go
+++ b/internal/job/seen.go
@@ -54,7 +54,7 @@
 	case workerEnded:
 		return false
 	case workerRunning:
-		return (t.state == "starting" || t.state == "unsure") && !t.since.Before(ev.Sent)
+		return (t.state == "starting" || t.state == "unsure") && !t.onWorkerSince.Before(ev.Sent)
 	default:
 		return !t.landed(ev)
 	}
@@ -71,7 +71,7 @@
 	case t.state != "running" && !t.deadline.IsZero():
 		return ev.Clock.After(t.deadline)
 	default:
-		return t.since.Before(ev.Sent)
+		return t.onWorkerSince.Before(ev.Sent)
 	}
 }
 
@@ -94,7 +94,7 @@
 		}
 		if t.state == "unsure" {
 			t.move("found")
-			t.since, t.deadline = now, time.Time{}
+			t.onWorkerSince, t.deadline = now, time.Time{}
 			t.job.move("start")
 			return nil
 		}
