--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -42,8 +42,8 @@
 	lease string
 	// avoid are the workers that the task failed on last, the last time at failed. It goes back to
 	// one of them at back.
-	avoid             []string
-	lastFailure, back time.Time
+	avoid                   []string
+	lastFailure, avoidUntil time.Time
 	// life is the one of its worker in which the task was started or seen; empty: not known.
 	life string
 	// lives counts the lives of workers that ended under the task, noted is how many of them are
--- a/internal/job/retry.go
+++ b/internal/job/retry.go
@@ -46,7 +46,7 @@
 )
 
 func (t *task) shun(now time.Time, worker string) {
-	t.lastFailure, t.back = now, now.Add(min(returnAfter<<min(max(t.tries-1, 0), 10), returnMost))
+	t.lastFailure, t.avoidUntil = now, now.Add(min(returnAfter<<min(max(t.tries-1, 0), 10), returnMost))
 	if !slices.Contains(t.avoid, worker) {
 		t.avoid = append(t.avoid, worker)
 	}
@@ -105,7 +105,7 @@
 func (t *task) want() RequestPlacement {
 	return RequestPlacement{
 		Spec: t.job.spec, Tasks: []string{t.id}, Since: t.job.began, Exclusive: t.apart(),
-		Avoid: slices.Clone(t.avoid), LastFailure: t.lastFailure, AvoidUntil: t.back,
+		Avoid: slices.Clone(t.avoid), LastFailure: t.lastFailure, AvoidUntil: t.avoidUntil,
 	}
 }
 
@@ -137,7 +137,7 @@
 			want.Tasks = append(want.Tasks, o.id)
 			want.Avoid = append(want.Avoid, o.avoid...)
 			want.LastFailure = slices.MaxFunc([]time.Time{want.LastFailure, o.lastFailure}, time.Time.Compare)
-			want.AvoidUntil = slices.MaxFunc([]time.Time{want.AvoidUntil, o.back}, time.Time.Compare)
+			want.AvoidUntil = slices.MaxFunc([]time.Time{want.AvoidUntil, o.avoidUntil}, time.Time.Compare)
 			want.Exclusive = want.Exclusive || o.apart()
 			whole = whole && o.lives == o.noted
 		default:
