--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -55,8 +55,8 @@
 const formerMost = 20_000
 
 func (j *Jobs) remember(now time.Time, t *task) {
-	if t.life != "" && !t.proven(now) && !taskChart.Final(t.state) && len(j.former) < formerMost {
-		j.former[t.id] = place{worker: t.worker, life: t.life, lives: t.lives, noted: t.noted, spared: t.spared}
+	if t.incarnation != "" && !t.proven(now) && !taskChart.Final(t.state) && len(j.former) < formerMost {
+		j.former[t.id] = place{worker: t.worker, life: t.incarnation, lives: t.lives, noted: t.noted, spared: t.spared}
 	}
 }
 
@@ -137,7 +137,7 @@
 			delete(j.away, name)
 		}
 	}
-	j.away[worker] = append(j.away[worker], place{task: t.id, life: t.life})
+	j.away[worker] = append(j.away[worker], place{task: t.id, life: t.incarnation})
 }
 
 func (t *task) spare(ev WorkerList) bool {
@@ -187,10 +187,10 @@
 		if !t.onWorkerSince.Before(ev.Sent) || ev.Jobs != nil && !slices.Contains(ev.Jobs, t.job.spec.ID) {
 			continue
 		}
-		if t.life != "" && t.life != ev.Incarnation && !listed[id] && !taskChart.Final(t.state) {
+		if t.incarnation != "" && t.incarnation != ev.Incarnation && !listed[id] && !taskChart.Final(t.state) {
 			under = append(under, t)
 		}
-		t.life = ev.Incarnation
+		t.incarnation = ev.Incarnation
 	}
 	for _, t := range j.backAt(ev) {
 		if t.worker == "" && t.job.census && !listed[t.id] && t.former.life != ev.Incarnation {
--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -204,7 +204,7 @@
 		}
 		c.Tasks = append(c.Tasks, TaskSnapshot{
 			State: string(state), Worker: t.worker, Tries: t.tries, Deadline: t.deadline, Sent: t.sent,
-			Incarnation: t.life, Crashes: t.lives, StoredCrashes: t.noted, Avoid: slices.Clone(t.avoid), LastFailure: t.lastFailure, AvoidUntil: t.avoidUntil,
+			Incarnation: t.incarnation, Crashes: t.lives, StoredCrashes: t.noted, Avoid: slices.Clone(t.avoid), LastFailure: t.lastFailure, AvoidUntil: t.avoidUntil,
 		})
 	}
 	return c, true
@@ -234,7 +234,7 @@
 		ct := c.Tasks[i]
 		t.state, t.tries, t.deadline, t.sent = chart.State(ct.State), ct.Tries, ct.Deadline, ct.Sent
 		j.move(t, ct.Worker, now)
-		t.life, t.lives, t.noted = ct.Incarnation, ct.Crashes, ct.StoredCrashes
+		t.incarnation, t.lives, t.noted = ct.Incarnation, ct.Crashes, ct.StoredCrashes
 		t.avoid, t.lastFailure, t.avoidUntil = ct.Avoid, ct.LastFailure, ct.AvoidUntil
 		delete(j.former, t.id)
 		if t.lives > t.noted {
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -44,8 +44,8 @@
 	// one of them at back.
 	avoid                   []string
 	lastFailure, avoidUntil time.Time
-	// life is the one of its worker in which the task was started or seen; empty: not known.
-	life string
+	// incarnation is the one of its worker in which the task was started or seen; empty: not known.
+	incarnation string
 	// lives counts the lives of workers that ended under the task, noted is how many of them are
 	// stored. blamed tells that the last one is to be counted once it is sure that the task is gone.
 	lives, noted int64
@@ -199,7 +199,7 @@
 		delete(j.on[t.worker], t.id)
 	}
 	t.worker, t.onWorkerSince, t.lease, t.attempt = worker, now, "", 0
-	t.life, t.blamed = j.lives[worker].name, false
+	t.incarnation, t.blamed = j.lives[worker].name, false
 	if worker == "" {
 		return
 	}
@@ -282,7 +282,7 @@
 	}
 	t.deadline = ev.Deadline
 	if ev.Unreached {
-		t.life, t.blamed = "", false
+		t.incarnation, t.blamed = "", false
 	}
 	t.move("lost")
 	return nil
--- a/internal/job/seen.go
+++ b/internal/job/seen.go
@@ -173,7 +173,7 @@
 	if t.blamed && t.state != "stopping" {
 		return j.crashed(now, t)
 	}
-	if ev.LeasesExpired && t.state != "stopping" && t.life != "" && !t.proven(now) {
+	if ev.LeasesExpired && t.state != "stopping" && t.incarnation != "" && !t.proven(now) {
 		j.goneFrom(t, ev.Worker)
 	}
 	switch t.state {
