--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -56,7 +56,7 @@
 
 func (j *Jobs) remember(now time.Time, t *task) {
 	if t.incarnation != "" && !t.proven(now) && !taskChart.Final(t.state) && len(j.former) < formerMost {
-		j.former[t.id] = place{worker: t.worker, life: t.incarnation, lives: t.lives, noted: t.noted, spared: t.spared}
+		j.former[t.id] = place{worker: t.worker, life: t.incarnation, lives: t.crashes, noted: t.noted, spared: t.spared}
 	}
 }
 
@@ -64,7 +64,7 @@
 func (j *Jobs) recall(t *task) {
 	if f, ok := j.former[t.id]; ok {
 		delete(j.former, t.id)
-		t.former, t.lives, t.noted, t.spared = &f, f.lives, f.noted, f.spared
+		t.former, t.crashes, t.noted, t.spared = &f, f.lives, f.noted, f.spared
 		j.recalled[f.worker] = append(j.recalled[f.worker], t)
 	}
 }
@@ -76,7 +76,7 @@
 	return j.crashed.Error()
 }
 
-func (t *task) apart() bool { return t.lives >= livesApart }
+func (t *task) apart() bool { return t.crashes >= livesApart }
 
 // NeedsExclusiveWorker tells whether a task is tried on a worker of its own.
 func (j *Jobs) NeedsExclusiveWorker(id string) bool {
@@ -111,14 +111,14 @@
 	under, late := j.under(ev, listed), j.late(ev)
 	most := int64(0)
 	for _, t := range slices.Concat(under, late) {
-		most = max(most, t.lives)
+		most = max(most, t.crashes)
 	}
 	for _, t := range under {
-		t.blamed = t.lives == most && !t.spare(ev)
+		t.blamed = t.crashes == most && !t.spare(ev)
 	}
 	var acts []Action
 	for _, t := range late {
-		if t.lives == most && !t.spare(ev) {
+		if t.crashes == most && !t.spare(ev) {
 			acts = append(acts, j.countLate(t, ev.Worker)...)
 		}
 	}
@@ -201,8 +201,8 @@
 }
 
 func (t *task) count(worker string) StoreCrashCount {
-	t.lives++
-	return StoreCrashCount{Job: t.job.spec.ID, Task: t.id, Worker: worker, Crashes: t.lives}
+	t.crashes++
+	return StoreCrashCount{Job: t.job.spec.ID, Task: t.id, Worker: worker, Crashes: t.crashes}
 }
 
 // crashed counts a life that ended under a task, which certainly runs no more.
@@ -226,12 +226,12 @@
 // giveUpOver fails what waits of a job under one of whose tasks too many lives ended: a part of it
 // can never be had. What runs may end.
 func (j *Jobs) giveUpOver(jb *job) []Action {
-	over := func(t *task) bool { return t.lives >= livesMost && !taskChart.Final(t.state) }
+	over := func(t *task) bool { return t.crashes >= livesMost && !taskChart.Final(t.state) }
 	i := slices.IndexFunc(jb.tasks, over)
 	if jb.crashed != nil || i < 0 {
 		return nil
 	}
-	jb.crashed = &CrashedError{Task: jb.tasks[i].id, Crashes: jb.tasks[i].lives}
+	jb.crashed = &CrashedError{Task: jb.tasks[i].id, Crashes: jb.tasks[i].crashes}
 	var acts []Action
 	for _, t := range jb.tasks {
 		if t.state == "waiting" && t.move("fail") {
@@ -244,7 +244,7 @@
 // notedLives asks for room for a task that waited for its count to be stored.
 func (j *Jobs) notedLives(ev CrashCountStored) []Action {
 	t, ok := j.tasks[ev.Task]
-	if !ok || t.noted >= t.lives || ev.Crashes < t.lives {
+	if !ok || t.noted >= t.crashes || ev.Crashes < t.crashes {
 		return nil
 	}
 	t.noted = ev.Crashes
