--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -56,7 +56,7 @@
 
 func (j *Jobs) remember(now time.Time, t *task) {
 	if t.incarnation != "" && !t.proven(now) && !taskChart.Final(t.state) && len(j.former) < formerMost {
-		j.former[t.id] = place{worker: t.worker, life: t.incarnation, lives: t.crashes, noted: t.noted, spared: t.spared}
+		j.former[t.id] = place{worker: t.worker, life: t.incarnation, lives: t.crashes, noted: t.storedCrashes, spared: t.spared}
 	}
 }
 
@@ -64,7 +64,7 @@
 func (j *Jobs) recall(t *task) {
 	if f, ok := j.former[t.id]; ok {
 		delete(j.former, t.id)
-		t.former, t.crashes, t.noted, t.spared = &f, f.lives, f.noted, f.spared
+		t.former, t.crashes, t.storedCrashes, t.spared = &f, f.lives, f.noted, f.spared
 		j.recalled[f.worker] = append(j.recalled[f.worker], t)
 	}
 }
@@ -244,10 +244,10 @@
 // notedLives asks for room for a task that waited for its count to be stored.
 func (j *Jobs) notedLives(ev CrashCountStored) []Action {
 	t, ok := j.tasks[ev.Task]
-	if !ok || t.noted >= t.crashes || ev.Crashes < t.crashes {
+	if !ok || t.storedCrashes >= t.crashes || ev.Crashes < t.crashes {
 		return nil
 	}
-	t.noted = ev.Crashes
+	t.storedCrashes = ev.Crashes
 	if t.state != "waiting" || t.job.census {
 		return nil
 	}
--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -143,8 +143,8 @@
 	var names []string
 	var acts, crashed []Action
 	for _, t := range jb.tasks {
-		t.noted = max(t.noted, ev.Crashes[t.id])
-		t.crashes = max(t.crashes, t.noted)
+		t.storedCrashes = max(t.storedCrashes, ev.Crashes[t.id])
+		t.crashes = max(t.crashes, t.storedCrashes)
 		switch {
 		case t.worker != "":
 		case t.state == "unsure":
@@ -176,7 +176,7 @@
 	want := RequestPlacement{Spec: jb.spec, Since: jb.began}
 	for _, name := range names {
 		switch t := j.tasks[name]; {
-		case t.crashes > t.noted:
+		case t.crashes > t.storedCrashes:
 		case t.apart() || len(t.avoid) > 0:
 			acts = append(acts, t.want())
 		default:
@@ -204,7 +204,7 @@
 		}
 		c.Tasks = append(c.Tasks, TaskSnapshot{
 			State: string(state), Worker: t.worker, Tries: t.tries, Deadline: t.deadline, Sent: t.sent,
-			Incarnation: t.incarnation, Crashes: t.crashes, StoredCrashes: t.noted, Avoid: slices.Clone(t.avoid), LastFailure: t.lastFailure, AvoidUntil: t.avoidUntil,
+			Incarnation: t.incarnation, Crashes: t.crashes, StoredCrashes: t.storedCrashes, Avoid: slices.Clone(t.avoid), LastFailure: t.lastFailure, AvoidUntil: t.avoidUntil,
 		})
 	}
 	return c, true
@@ -234,10 +234,10 @@
 		ct := c.Tasks[i]
 		t.state, t.tries, t.deadline, t.sent = chart.State(ct.State), ct.Tries, ct.Deadline, ct.Sent
 		j.move(t, ct.Worker, now)
-		t.incarnation, t.crashes, t.noted = ct.Incarnation, ct.Crashes, ct.StoredCrashes
+		t.incarnation, t.crashes, t.storedCrashes = ct.Incarnation, ct.Crashes, ct.StoredCrashes
 		t.avoid, t.lastFailure, t.avoidUntil = ct.Avoid, ct.LastFailure, ct.AvoidUntil
 		delete(j.former, t.id)
-		if t.crashes > t.noted {
+		if t.crashes > t.storedCrashes {
 			crashed = append(crashed, StoreCrashCount{Job: jb.spec.ID, Task: t.id, Crashes: t.crashes})
 		}
 		switch t.state {
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -46,10 +46,10 @@
 	lastFailure, avoidUntil time.Time
 	// incarnation is the one of its worker in which the task was started or seen; empty: not known.
 	incarnation string
-	// crashes counts the crashes of workers that ended under the task, noted is how many of them are
+	// crashes counts the crashes of workers that ended under the task, storedCrashes is how many of them are
 	// stored. blamed tells that the last one is to be counted once it is sure that the task is gone.
-	crashes, noted int64
-	blamed         bool
+	crashes, storedCrashes int64
+	blamed                 bool
 	// spared counts the lives that did not count since the whole rack was lost.
 	spared int
 	// former is where the task was when this host gave its job up.
--- a/internal/job/retry.go
+++ b/internal/job/retry.go
@@ -121,7 +121,7 @@
 	}
 	if !t.job.spec.Gang {
 		acts := []Action{free}
-		if t.crashes == t.noted {
+		if t.crashes == t.storedCrashes {
 			acts = append(acts, t.want())
 		}
 		return acts
@@ -139,7 +139,7 @@
 			want.LastFailure = slices.MaxFunc([]time.Time{want.LastFailure, o.lastFailure}, time.Time.Compare)
 			want.AvoidUntil = slices.MaxFunc([]time.Time{want.AvoidUntil, o.avoidUntil}, time.Time.Compare)
 			want.Exclusive = want.Exclusive || o.apart()
-			whole = whole && o.crashes == o.noted
+			whole = whole && o.crashes == o.storedCrashes
 		default:
 			whole = false
 			acts = append(acts, j.pause(o.id)...)
