--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -114,7 +114,7 @@
 		most = max(most, t.crashes)
 	}
 	for _, t := range under {
-		t.blamed = t.crashes == most && !t.spare(ev)
+		t.suspected = t.crashes == most && !t.spare(ev)
 	}
 	var acts []Action
 	for _, t := range late {
--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -150,8 +150,8 @@
 		case t.state == "unsure":
 			t.move("gone")
 			names = append(names, t.id)
-			if t.blamed {
-				t.blamed = false
+			if t.suspected {
+				t.suspected = false
 				crashed = append(crashed, t.count(t.former.worker))
 			}
 		case t.state == "stopping":
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -49,7 +49,7 @@
 	// crashes counts the crashes of workers that ended under the task, storedCrashes is how many of them are
 	// stored. blamed tells that the last one is to be counted once it is sure that the task is gone.
 	crashes, storedCrashes int64
-	blamed                 bool
+	suspected              bool
 	// spared counts the lives that did not count since the whole rack was lost.
 	spared int
 	// former is where the task was when this host gave its job up.
@@ -199,7 +199,7 @@
 		delete(j.on[t.worker], t.id)
 	}
 	t.worker, t.onWorkerSince, t.lease, t.attempt = worker, now, "", 0
-	t.incarnation, t.blamed = j.lives[worker].name, false
+	t.incarnation, t.suspected = j.lives[worker].name, false
 	if worker == "" {
 		return
 	}
@@ -282,7 +282,7 @@
 	}
 	t.deadline = ev.Deadline
 	if ev.Unreached {
-		t.incarnation, t.blamed = "", false
+		t.incarnation, t.suspected = "", false
 	}
 	t.move("lost")
 	return nil
--- a/internal/job/seen.go
+++ b/internal/job/seen.go
@@ -170,7 +170,7 @@
 	if !t.landed(ev) {
 		return nil
 	}
-	if t.blamed && t.state != "stopping" {
+	if t.suspected && t.state != "stopping" {
 		return j.crashed(now, t)
 	}
 	if ev.LeasesExpired && t.state != "stopping" && t.incarnation != "" && !t.proven(now) {
