--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -56,7 +56,7 @@
 
 func (j *Jobs) remember(now time.Time, t *task) {
 	if t.incarnation != "" && !t.proven(now) && !taskChart.Final(t.state) && len(j.former) < formerMost {
-		j.former[t.id] = place{worker: t.worker, life: t.incarnation, lives: t.crashes, noted: t.storedCrashes, spared: t.spared}
+		j.former[t.id] = place{worker: t.worker, life: t.incarnation, lives: t.crashes, noted: t.storedCrashes, spared: t.excusedCrashes}
 	}
 }
 
@@ -64,7 +64,7 @@
 func (j *Jobs) recall(t *task) {
 	if f, ok := j.former[t.id]; ok {
 		delete(j.former, t.id)
-		t.former, t.crashes, t.storedCrashes, t.spared = &f, f.lives, f.noted, f.spared
+		t.former, t.crashes, t.storedCrashes, t.excusedCrashes = &f, f.lives, f.noted, f.spared
 		j.recalled[f.worker] = append(j.recalled[f.worker], t)
 	}
 }
@@ -141,10 +141,10 @@
 }
 
 func (t *task) spare(ev WorkerList) bool {
-	if !ev.RackLost || t.spared >= sparedMost {
+	if !ev.RackLost || t.excusedCrashes >= sparedMost {
 		return false
 	}
-	t.spared++
+	t.excusedCrashes++
 	return true
 }
 
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -50,8 +50,8 @@
 	// stored. blamed tells that the last one is to be counted once it is sure that the task is gone.
 	crashes, storedCrashes int64
 	suspected              bool
-	// spared counts the lives that did not count since the whole rack was lost.
-	spared int
+	// excusedCrashes counts the lives that did not count since the whole rack was lost.
+	excusedCrashes int
 	// former is where the task was when this host gave its job up.
 	former *place
 }
