--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -64,7 +64,7 @@
 func (j *Jobs) recall(t *task) {
 	if f, ok := j.former[t.id]; ok {
 		delete(j.former, t.id)
-		t.former, t.crashes, t.storedCrashes, t.excusedCrashes = &f, f.lives, f.noted, f.spared
+		t.lastPlace, t.crashes, t.storedCrashes, t.excusedCrashes = &f, f.lives, f.noted, f.spared
 		j.recalled[f.worker] = append(j.recalled[f.worker], t)
 	}
 }
@@ -193,7 +193,7 @@
 		t.incarnation = ev.Incarnation
 	}
 	for _, t := range j.backAt(ev) {
-		if t.worker == "" && t.job.census && !listed[t.id] && t.former.life != ev.Incarnation {
+		if t.worker == "" && t.job.census && !listed[t.id] && t.lastPlace.life != ev.Incarnation {
 			under = append(under, t)
 		}
 	}
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -52,8 +52,8 @@
 	suspected              bool
 	// excusedCrashes counts the lives that did not count since the whole rack was lost.
 	excusedCrashes int
-	// former is where the task was when this host gave its job up.
-	former *place
+	// lastPlace is where the task was when this host gave its job up.
+	lastPlace *place
 }
 
 type job struct {
