--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -57,10 +57,10 @@
 }
 
 type job struct {
-	spec  Spec
-	state chart.State
-	tasks []*task
-	began time.Time
+	spec       Spec
+	state      chart.State
+	tasks      []*task
+	acceptedAt time.Time
 	// first is when the first task was confirmed to run.
 	first time.Time
 	// census is set while nobody knows yet where a former lead ran tasks.
@@ -183,7 +183,7 @@
 }
 
 func (j *Jobs) add(now time.Time, spec Spec) *job {
-	jb := &job{spec: spec, state: jobChart.Start(), began: now}
+	jb := &job{spec: spec, state: jobChart.Start(), acceptedAt: now}
 	for i := range spec.Tasks {
 		t := &task{id: TaskID(spec.ID, i), job: jb, state: taskChart.Start()}
 		jb.tasks = append(jb.tasks, t)
@@ -371,7 +371,7 @@
 		s.Ran = s.Ran || t.sent
 	}
 	if !jb.first.IsZero() {
-		s.Wait = cell.Duration{Duration: jb.first.Sub(jb.began)}
+		s.Wait = cell.Duration{Duration: jb.first.Sub(jb.acceptedAt)}
 	}
 	return s, nil
 }
--- a/internal/job/retry.go
+++ b/internal/job/retry.go
@@ -104,7 +104,7 @@
 // want asks for room for a task that is not one of a gang.
 func (t *task) want() RequestPlacement {
 	return RequestPlacement{
-		Spec: t.job.spec, Tasks: []string{t.id}, Since: t.job.began, Exclusive: t.apart(),
+		Spec: t.job.spec, Tasks: []string{t.id}, Since: t.job.acceptedAt, Exclusive: t.apart(),
 		Avoid: slices.Clone(t.avoid), LastFailure: t.lastFailure, AvoidUntil: t.avoidUntil,
 	}
 }
@@ -127,7 +127,7 @@
 		return acts
 	}
 	acts := []Action{free}
-	want := RequestPlacement{Spec: t.job.spec, Since: t.job.began}
+	want := RequestPlacement{Spec: t.job.spec, Since: t.job.acceptedAt}
 	whole := true
 	for _, o := range t.job.tasks {
 		switch {
