--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -196,7 +196,7 @@
 	if !ok || jb.census || jobChart.Final(jb.state) {
 		return Snapshot{}, false
 	}
-	c := Snapshot{Spec: jb.spec, State: string(jb.state), Began: jb.acceptedAt, First: jb.first}
+	c := Snapshot{Spec: jb.spec, State: string(jb.state), Began: jb.acceptedAt, First: jb.firstStart}
 	for _, t := range jb.tasks {
 		state := t.state
 		if state == "starting" {
@@ -227,7 +227,7 @@
 		j.erase(jb)
 	}
 	jb := j.add(now, c.Spec)
-	jb.state, jb.acceptedAt, jb.first = chart.State(c.State), c.Began, c.First
+	jb.state, jb.acceptedAt, jb.firstStart = chart.State(c.State), c.Began, c.First
 	var names []string
 	var acts, crashed []Action
 	for i, t := range jb.tasks {
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -61,8 +61,8 @@
 	state      chart.State
 	tasks      []*task
 	acceptedAt time.Time
-	// first is when the first task was confirmed to run.
-	first time.Time
+	// firstStart is when the firstStart task was confirmed to run.
+	firstStart time.Time
 	// census is set while nobody knows yet where a former lead ran tasks.
 	census bool
 	// kept is set when the job's end is where a successor will find it.
@@ -249,8 +249,8 @@
 		return nil
 	}
 	t.onWorkerSince, t.deadline = now, time.Time{}
-	if t.job.first.IsZero() {
-		t.job.first = now
+	if t.job.firstStart.IsZero() {
+		t.job.firstStart = now
 	}
 	t.job.move("start")
 	return nil
@@ -370,8 +370,8 @@
 		s.Tasks[string(t.state)]++
 		s.Ran = s.Ran || t.sent
 	}
-	if !jb.first.IsZero() {
-		s.Wait = cell.Duration{Duration: jb.first.Sub(jb.acceptedAt)}
+	if !jb.firstStart.IsZero() {
+		s.Wait = cell.Duration{Duration: jb.firstStart.Sub(jb.acceptedAt)}
 	}
 	return s, nil
 }
