--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -167,7 +167,7 @@
 // waits for its count to be stored first.
 func (j *Jobs) countLate(t *task, worker string) []Action {
 	crashed := t.count(worker)
-	if t.job.census {
+	if t.job.awaitsInventory {
 		return []Action{crashed}
 	}
 	var acts []Action
@@ -193,7 +193,7 @@
 		t.incarnation = ev.Incarnation
 	}
 	for _, t := range j.backAt(ev) {
-		if t.worker == "" && t.job.census && !listed[t.id] && t.lastPlace.life != ev.Incarnation {
+		if t.worker == "" && t.job.awaitsInventory && !listed[t.id] && t.lastPlace.life != ev.Incarnation {
 			under = append(under, t)
 		}
 	}
@@ -216,7 +216,7 @@
 	}
 	crashed := t.count(t.worker)
 	acts := j.again(t.id, why)
-	if !t.job.census {
+	if !t.job.awaitsInventory {
 		acts = append(acts, j.giveUpOver(t.job)...)
 	}
 	// The room has to be free before the task is wanted again.
@@ -248,7 +248,7 @@
 		return nil
 	}
 	t.storedCrashes = ev.Crashes
-	if t.state != "waiting" || t.job.census {
+	if t.state != "waiting" || t.job.awaitsInventory {
 		return nil
 	}
 	return j.requeue(t)
--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -102,7 +102,7 @@
 		return
 	}
 	jb := j.add(now, spec)
-	jb.census = true
+	jb.awaitsInventory = true
 	for _, t := range jb.tasks {
 		// A start may have been sent for all that is known, so nobody may be
 		// told that this job did not run.
@@ -136,10 +136,10 @@
 // its task wanted again before the other actions are carried out.
 func (j *Jobs) release(ev Release) []Action {
 	jb, ok := j.jobs[ev.ID]
-	if !ok || !jb.census {
+	if !ok || !jb.awaitsInventory {
 		return nil
 	}
-	jb.census = false
+	jb.awaitsInventory = false
 	var names []string
 	var acts, crashed []Action
 	for _, t := range jb.tasks {
@@ -193,7 +193,7 @@
 // has ended or waits for its own census.
 func (j *Jobs) Snapshot(id string) (Snapshot, bool) {
 	jb, ok := j.jobs[id]
-	if !ok || jb.census || jobChart.Final(jb.state) {
+	if !ok || jb.awaitsInventory || jobChart.Final(jb.state) {
 		return Snapshot{}, false
 	}
 	c := Snapshot{Spec: jb.spec, State: string(jb.state), Began: jb.acceptedAt, First: jb.firstStart}
@@ -221,7 +221,7 @@
 	}
 	j.noteAdopted(c.HandoverID)
 	if jb, ok := j.jobs[c.Spec.ID]; ok {
-		if !jb.census || len(c.Tasks) != len(jb.tasks) {
+		if !jb.awaitsInventory || len(c.Tasks) != len(jb.tasks) {
 			return nil
 		}
 		j.erase(jb)
@@ -343,7 +343,7 @@
 // AwaitsInventory tells whether a job is inherited and waits for its census.
 func (j *Jobs) AwaitsInventory(id string) bool {
 	jb, ok := j.jobs[id]
-	return ok && jb.census
+	return ok && jb.awaitsInventory
 }
 
 // Workers lists the workers that tasks of open jobs are on, without order.
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -63,8 +63,8 @@
 	acceptedAt time.Time
 	// firstStart is when the firstStart task was confirmed to run.
 	firstStart time.Time
-	// census is set while nobody knows yet where a former lead ran tasks.
-	census bool
+	// awaitsInventory is set while nobody knows yet where a former lead ran tasks.
+	awaitsInventory bool
 	// kept is set when the job's end is where a successor will find it.
 	kept bool
 	// crashed is why the job was given up.
@@ -265,7 +265,7 @@
 	if t.state == "stopping" || t.state == "pausing" {
 		return j.stopped(id)
 	}
-	if t.job.census {
+	if t.job.awaitsInventory {
 		return j.forgetPlace(t)
 	}
 	if !t.move(why) {
--- a/internal/job/retry.go
+++ b/internal/job/retry.go
@@ -86,7 +86,7 @@
 // pause takes a task off its worker to run it again later.
 func (j *Jobs) pause(id string) []Action {
 	t, ok := j.tasks[id]
-	if !ok || t.job.census || !t.move("pause") {
+	if !ok || t.job.awaitsInventory || !t.move("pause") {
 		return nil
 	}
 	return []Action{Pause{Task: id, Worker: t.worker, Attempt: t.attempt}}
--- a/internal/job/seen.go
+++ b/internal/job/seen.go
@@ -132,7 +132,7 @@
 	if t.state == "unsure" {
 		t.move("found")
 	}
-	if t.job.census {
+	if t.job.awaitsInventory {
 		return j.retry(t, "gone")
 	}
 	if t.tries < t.job.spec.Tries && (t.state == "running" || t.state == "pausing") && j.spend(t.job.spec.Row) {
