--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -295,10 +295,10 @@
 
 func (j *Jobs) keep(id string) []Action {
 	jb, ok := j.jobs[id]
-	if !ok || jb.kept || !jobChart.Final(jb.state) {
+	if !ok || jb.endStored || !jobChart.Final(jb.state) {
 		return nil
 	}
-	jb.kept = true
+	jb.endStored = true
 	var acts []Action
 	for _, t := range jb.tasks {
 		if t.worker != "" {
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -65,8 +65,8 @@
 	firstStart time.Time
 	// awaitsInventory is set while nobody knows yet where a former lead ran tasks.
 	awaitsInventory bool
-	// kept is set when the job's end is where a successor will find it.
-	kept bool
+	// endStored is set when the job's end is where a successor will find it.
+	endStored bool
 	// crashed is why the job was given up.
 	crashed *CrashedError
 }
--- a/internal/job/seen.go
+++ b/internal/job/seen.go
@@ -77,7 +77,7 @@
 
 // other takes a line about a task that is elsewhere by now: a former try.
 func (j *Jobs) other(t *task, worker string, l ListedTask) []Action {
-	if l.State == workerRunning || l.State == workerEnded && !t.job.kept {
+	if l.State == workerRunning || l.State == workerEnded && !t.job.endStored {
 		return nil
 	}
 	return []Action{Forget{Task: l.ID, Worker: worker, Lease: l.Lease}}
