--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -70,10 +70,10 @@
 }
 
 func (j *job) reason() string {
-	if j.crashed == nil {
+	if j.crashErr == nil {
 		return ""
 	}
-	return j.crashed.Error()
+	return j.crashErr.Error()
 }
 
 func (t *task) apart() bool { return t.crashes >= livesApart }
@@ -228,10 +228,10 @@
 func (j *Jobs) giveUpOver(jb *job) []Action {
 	over := func(t *task) bool { return t.crashes >= livesMost && !taskChart.Final(t.state) }
 	i := slices.IndexFunc(jb.tasks, over)
-	if jb.crashed != nil || i < 0 {
+	if jb.crashErr != nil || i < 0 {
 		return nil
 	}
-	jb.crashed = &CrashedError{Task: jb.tasks[i].id, Crashes: jb.tasks[i].crashes}
+	jb.crashErr = &CrashedError{Task: jb.tasks[i].id, Crashes: jb.tasks[i].crashes}
 	var acts []Action
 	for _, t := range jb.tasks {
 		if t.state == "waiting" && t.move("fail") {
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -67,8 +67,8 @@
 	awaitsInventory bool
 	// endStored is set when the job's end is where a successor will find it.
 	endStored bool
-	// crashed is why the job was given up.
-	crashed *CrashedError
+	// crashErr is why the job was given up.
+	crashErr *CrashedError
 }
 
 // Jobs is the job core of one host.
--- a/internal/job/retry.go
+++ b/internal/job/retry.go
@@ -115,7 +115,7 @@
 // that runs would hold its room for as long as the rest finds none.
 func (j *Jobs) requeue(t *task) []Action {
 	free := Free{Task: t.id}
-	if t.job.crashed != nil {
+	if t.job.crashErr != nil {
 		t.move("fail")
 		return append([]Action{free}, j.settle(t.job)...)
 	}
