--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -182,7 +182,7 @@
 // under are the tasks that were on a worker in an earlier life than the one that its list is from.
 func (j *Jobs) under(ev WorkerList, listed map[string]bool) []*task {
 	var under []*task
-	for _, id := range slices.Sorted(maps.Keys(j.on[ev.Worker])) {
+	for _, id := range slices.Sorted(maps.Keys(j.byWorker[ev.Worker])) {
 		t := j.tasks[id]
 		if !t.onWorkerSince.Before(ev.Sent) || ev.Jobs != nil && !slices.Contains(ev.Jobs, t.job.spec.ID) {
 			continue
--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -349,7 +349,7 @@
 // Workers lists the workers that tasks of open jobs are on, without order.
 func (j *Jobs) Workers() []string {
 	var all []string
-	for worker, on := range j.on {
+	for worker, on := range j.byWorker {
 		for _, t := range on {
 			if !taskChart.Final(t.state) {
 				all = append(all, worker)
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -75,8 +75,8 @@
 type Jobs struct {
 	jobs  map[string]*job
 	tasks map[string]*task
-	// on holds the tasks that are on each worker, as far as is known.
-	on map[string]map[string]*task
+	// byWorker holds the tasks that are byWorker each worker, as far as is known.
+	byWorker map[string]map[string]*task
 	// budgets hold by row how many retries are left.
 	budgets map[string]float64
 	// ended are jobs whose end is kept, oldest first.
@@ -97,7 +97,7 @@
 
 // New returns a core that knows no job.
 func New() *Jobs {
-	return &Jobs{jobs: map[string]*job{}, tasks: map[string]*task{}, on: map[string]map[string]*task{}, budgets: map[string]float64{}, lives: map[string]life{}, former: map[string]place{}, recalled: map[string][]*task{}, away: map[string][]place{}}
+	return &Jobs{jobs: map[string]*job{}, tasks: map[string]*task{}, byWorker: map[string]map[string]*task{}, budgets: map[string]float64{}, lives: map[string]life{}, former: map[string]place{}, recalled: map[string][]*task{}, away: map[string][]place{}}
 }
 
 // UnknownError tells that no such job is known here.
@@ -196,7 +196,7 @@
 // move sets where a task is; an empty worker means nowhere.
 func (j *Jobs) move(t *task, worker string, now time.Time) {
 	if t.worker != "" {
-		delete(j.on[t.worker], t.id)
+		delete(j.byWorker[t.worker], t.id)
 	}
 	t.worker, t.onWorkerSince, t.lease, t.attempt = worker, now, "", 0
 	t.incarnation, t.suspected = j.lives[worker].name, false
@@ -205,10 +205,10 @@
 	}
 	j.attempts++
 	t.attempt = j.attempts
-	if j.on[worker] == nil {
-		j.on[worker] = map[string]*task{}
+	if j.byWorker[worker] == nil {
+		j.byWorker[worker] = map[string]*task{}
 	}
-	j.on[worker][t.id] = t
+	j.byWorker[worker][t.id] = t
 }
 
 func (t *task) move(ev chart.Event) bool {
--- a/internal/job/seen.go
+++ b/internal/job/seen.go
@@ -18,7 +18,7 @@
 	for _, l := range ev.Tasks {
 		acts = append(acts, j.read(now, ev, l)...)
 	}
-	for _, id := range slices.Sorted(maps.Keys(j.on[ev.Worker])) {
+	for _, id := range slices.Sorted(maps.Keys(j.byWorker[ev.Worker])) {
 		if !listed[id] && (ev.Jobs == nil || slices.Contains(ev.Jobs, j.tasks[id].job.spec.ID)) {
 			acts = append(acts, j.missing(now, j.tasks[id], ev)...)
 		}
