--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -104,10 +104,10 @@
 // judge notes under which tasks a worker's former life ended. What ended it is not known: of
 // several tasks only those are blamed under which the most lives ended before.
 func (j *Jobs) judge(ev WorkerList, listed map[string]bool) []Action {
-	if ev.Incarnation == "" || ev.Sent.Before(j.lives[ev.Worker].sent) {
+	if ev.Incarnation == "" || ev.Sent.Before(j.incarnations[ev.Worker].sent) {
 		return nil
 	}
-	j.lives[ev.Worker] = life{name: ev.Incarnation, sent: ev.Sent}
+	j.incarnations[ev.Worker] = life{name: ev.Incarnation, sent: ev.Sent}
 	under, late := j.under(ev, listed), j.late(ev)
 	most := int64(0)
 	for _, t := range slices.Concat(under, late) {
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -83,8 +83,8 @@
 	ended []string
 	// adopted are the names of hand-overs that were adopted, oldest first.
 	adopted []string
-	// lives holds each worker's life as it was last told.
-	lives map[string]life
+	// incarnations holds each worker's life as it was last told.
+	incarnations map[string]life
 	// former holds where tasks were whose jobs were given up with the last worker. recalled are by
 	// worker those of them that were inherited since, until the worker is seen.
 	former   map[string]place
@@ -97,7 +97,7 @@
 
 // New returns a core that knows no job.
 func New() *Jobs {
-	return &Jobs{jobs: map[string]*job{}, tasks: map[string]*task{}, byWorker: map[string]map[string]*task{}, budgets: map[string]float64{}, lives: map[string]life{}, former: map[string]place{}, recalled: map[string][]*task{}, away: map[string][]place{}}
+	return &Jobs{jobs: map[string]*job{}, tasks: map[string]*task{}, byWorker: map[string]map[string]*task{}, budgets: map[string]float64{}, incarnations: map[string]life{}, former: map[string]place{}, recalled: map[string][]*task{}, away: map[string][]place{}}
 }
 
 // UnknownError tells that no such job is known here.
@@ -199,7 +199,7 @@
 		delete(j.byWorker[t.worker], t.id)
 	}
 	t.worker, t.onWorkerSince, t.lease, t.attempt = worker, now, "", 0
-	t.incarnation, t.suspected = j.lives[worker].name, false
+	t.incarnation, t.suspected = j.incarnations[worker].name, false
 	if worker == "" {
 		return
 	}
