--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -55,15 +55,15 @@
 const formerMost = 20_000
 
 func (j *Jobs) remember(now time.Time, t *task) {
-	if t.incarnation != "" && !t.proven(now) && !taskChart.Final(t.state) && len(j.former) < formerMost {
-		j.former[t.id] = place{worker: t.worker, life: t.incarnation, lives: t.crashes, noted: t.storedCrashes, spared: t.excusedCrashes}
+	if t.incarnation != "" && !t.proven(now) && !taskChart.Final(t.state) && len(j.droppedPlaces) < formerMost {
+		j.droppedPlaces[t.id] = place{worker: t.worker, life: t.incarnation, lives: t.crashes, noted: t.storedCrashes, spared: t.excusedCrashes}
 	}
 }
 
 // recall brings back what was known of an inherited task when this host gave it up.
 func (j *Jobs) recall(t *task) {
-	if f, ok := j.former[t.id]; ok {
-		delete(j.former, t.id)
+	if f, ok := j.droppedPlaces[t.id]; ok {
+		delete(j.droppedPlaces, t.id)
 		t.lastPlace, t.crashes, t.storedCrashes, t.excusedCrashes = &f, f.lives, f.noted, f.spared
 		j.recalled[f.worker] = append(j.recalled[f.worker], t)
 	}
--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -236,7 +236,7 @@
 		j.move(t, ct.Worker, now)
 		t.incarnation, t.crashes, t.storedCrashes = ct.Incarnation, ct.Crashes, ct.StoredCrashes
 		t.avoid, t.lastFailure, t.avoidUntil = ct.Avoid, ct.LastFailure, ct.AvoidUntil
-		delete(j.former, t.id)
+		delete(j.droppedPlaces, t.id)
 		if t.crashes > t.storedCrashes {
 			crashed = append(crashed, StoreCrashCount{Job: jb.spec.ID, Task: t.id, Crashes: t.crashes})
 		}
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -85,10 +85,10 @@
 	adopted []string
 	// incarnations holds each worker's life as it was last told.
 	incarnations map[string]life
-	// former holds where tasks were whose jobs were given up with the last worker. recalled are by
+	// droppedPlaces holds where tasks were whose jobs were given up with the last worker. recalled are by
 	// worker those of them that were inherited since, until the worker is seen.
-	former   map[string]place
-	recalled map[string][]*task
+	droppedPlaces map[string]place
+	recalled      map[string][]*task
 	// away holds by worker which tasks were there when it was silent for longer than any lease.
 	away map[string][]place
 	// attempts counts the stays of all tasks on workers.
@@ -97,7 +97,7 @@
 
 // New returns a core that knows no job.
 func New() *Jobs {
-	return &Jobs{jobs: map[string]*job{}, tasks: map[string]*task{}, byWorker: map[string]map[string]*task{}, budgets: map[string]float64{}, incarnations: map[string]life{}, former: map[string]place{}, recalled: map[string][]*task{}, away: map[string][]place{}}
+	return &Jobs{jobs: map[string]*job{}, tasks: map[string]*task{}, byWorker: map[string]map[string]*task{}, budgets: map[string]float64{}, incarnations: map[string]life{}, droppedPlaces: map[string]place{}, recalled: map[string][]*task{}, away: map[string][]place{}}
 }
 
 // UnknownError tells that no such job is known here.
