--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -128,16 +128,16 @@
 // goneFrom notes that a task was on a worker that is silent for longer than any lease. Entries of
 // tasks that have ended are dropped: their workers may never come back.
 func (j *Jobs) goneFrom(t *task, worker string) {
-	for name, all := range j.away {
-		j.away[name] = slices.DeleteFunc(all, func(p place) bool {
+	for name, all := range j.silentPlaces {
+		j.silentPlaces[name] = slices.DeleteFunc(all, func(p place) bool {
 			other, ok := j.tasks[p.task]
 			return !ok || taskChart.Final(other.state)
 		})
-		if len(j.away[name]) == 0 {
-			delete(j.away, name)
+		if len(j.silentPlaces[name]) == 0 {
+			delete(j.silentPlaces, name)
 		}
 	}
-	j.away[worker] = append(j.away[worker], place{task: t.id, life: t.incarnation})
+	j.silentPlaces[worker] = append(j.silentPlaces[worker], place{task: t.id, life: t.incarnation})
 }
 
 func (t *task) spare(ev WorkerList) bool {
@@ -154,12 +154,12 @@
 		return nil
 	}
 	var late []*task
-	for _, p := range j.away[ev.Worker] {
+	for _, p := range j.silentPlaces[ev.Worker] {
 		if t, ok := j.tasks[p.task]; ok && p.life != ev.Incarnation && !taskChart.Final(t.state) {
 			late = append(late, t)
 		}
 	}
-	delete(j.away, ev.Worker)
+	delete(j.silentPlaces, ev.Worker)
 	return late
 }
 
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -89,15 +89,15 @@
 	// worker those of them that were inherited since, until the worker is seen.
 	droppedPlaces map[string]place
 	recalled      map[string][]*task
-	// away holds by worker which tasks were there when it was silent for longer than any lease.
-	away map[string][]place
+	// silentPlaces holds by worker which tasks were there when it was silent for longer than any lease.
+	silentPlaces map[string][]place
 	// attempts counts the stays of all tasks on workers.
 	attempts int64
 }
 
 // New returns a core that knows no job.
 func New() *Jobs {
-	return &Jobs{jobs: map[string]*job{}, tasks: map[string]*task{}, byWorker: map[string]map[string]*task{}, budgets: map[string]float64{}, incarnations: map[string]life{}, droppedPlaces: map[string]place{}, recalled: map[string][]*task{}, away: map[string][]place{}}
+	return &Jobs{jobs: map[string]*job{}, tasks: map[string]*task{}, byWorker: map[string]map[string]*task{}, budgets: map[string]float64{}, incarnations: map[string]life{}, droppedPlaces: map[string]place{}, recalled: map[string][]*task{}, silentPlaces: map[string][]place{}}
 }
 
 // UnknownError tells that no such job is known here.
