--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -212,10 +212,10 @@
 		why = "retry"
 	}
 	if t.proven(now) {
-		return j.again(t.id, why)
+		return j.queueAgain(t.id, why)
 	}
 	crashed := t.count(t.worker)
-	acts := j.again(t.id, why)
+	acts := j.queueAgain(t.id, why)
 	if !t.job.awaitsInventory {
 		acts = append(acts, j.giveUpOver(t.job)...)
 	}
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -146,7 +146,7 @@
 	case Started:
 		return j.answered(ev.Task, ev.Attempt, func() []Action { return j.started(now, ev.Task) })
 	case NotStarted:
-		return j.answered(ev.Task, ev.Attempt, func() []Action { return j.again(ev.Task, "refused") })
+		return j.answered(ev.Task, ev.Attempt, func() []Action { return j.queueAgain(ev.Task, "refused") })
 	case Unsure:
 		return j.answered(ev.Task, ev.Attempt, func() []Action { return j.unsure(ev) })
 	case Stopped:
@@ -256,8 +256,8 @@
 	return nil
 }
 
-// again puts a task that certainly does not run back in the queue.
-func (j *Jobs) again(id string, why chart.Event) []Action {
+// queueAgain puts a task that certainly does not run back in the queue.
+func (j *Jobs) queueAgain(id string, why chart.Event) []Action {
 	t, ok := j.tasks[id]
 	if !ok {
 		return nil
--- a/internal/job/seen.go
+++ b/internal/job/seen.go
@@ -159,7 +159,7 @@
 // retry lets the worker forget a try that came to nothing before the next one.
 func (j *Jobs) retry(t *task, why chart.Event) []Action {
 	forget := Forget{Task: t.id, Worker: t.worker, Lease: t.lease}
-	return append([]Action{forget}, j.again(t.id, why)...)
+	return append([]Action{forget}, j.queueAgain(t.id, why)...)
 }
 
 // missing handles a task that its worker does not list. An unsure start may
@@ -178,9 +178,9 @@
 	}
 	switch t.state {
 	case "unsure", "stopping", "pausing":
-		return j.again(t.id, "gone")
+		return j.queueAgain(t.id, "gone")
 	case "running":
-		return j.again(t.id, "retry")
+		return j.queueAgain(t.id, "retry")
 	}
 	return nil
 }
