--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -238,7 +238,7 @@
 			acts = append(acts, Free{Task: t.id})
 		}
 	}
-	return append(acts, j.settle(jb)...)
+	return append(acts, j.endIfDone(jb)...)
 }
 
 // notedLives asks for room for a task that waited for its count to be stored.
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -296,7 +296,7 @@
 	if !ok || !t.move("stopped") {
 		return nil
 	}
-	return append([]Action{Free{Task: id}}, j.settle(t.job)...)
+	return append([]Action{Free{Task: id}}, j.endIfDone(t.job)...)
 }
 
 func (j *Jobs) cancel(id string) []Action {
@@ -320,11 +320,11 @@
 		}
 		acts = append(acts, Free{Task: t.id})
 	}
-	return append(acts, j.settle(jb)...)
+	return append(acts, j.endIfDone(jb)...)
 }
 
-// settle ends a job when all its tasks have ended.
-func (j *Jobs) settle(jb *job) []Action {
+// endIfDone ends a job when all its tasks have ended.
+func (j *Jobs) endIfDone(jb *job) []Action {
 	failed, cancelled := false, false
 	for _, t := range jb.tasks {
 		if !taskChart.Final(t.state) {
--- a/internal/job/retry.go
+++ b/internal/job/retry.go
@@ -117,7 +117,7 @@
 	free := Free{Task: t.id}
 	if t.job.crashErr != nil {
 		t.move("fail")
-		return append([]Action{free}, j.settle(t.job)...)
+		return append([]Action{free}, j.endIfDone(t.job)...)
 	}
 	if !t.job.spec.Gang {
 		acts := []Action{free}
--- a/internal/job/seen.go
+++ b/internal/job/seen.go
@@ -122,7 +122,7 @@
 	} else {
 		j.earn(t.job.spec.Row)
 	}
-	return append(acts, j.settle(t.job)...)
+	return append(acts, j.endIfDone(t.job)...)
 }
 
 // failed tries a task again while its number of tries and its row's budget of
