--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -144,13 +144,13 @@
 	case Placed:
 		return j.put(now, ev)
 	case Started:
-		return j.answered(ev.Task, ev.Attempt, func() []Action { return j.started(now, ev.Task) })
+		return j.onAnswer(ev.Task, ev.Attempt, func() []Action { return j.started(now, ev.Task) })
 	case NotStarted:
-		return j.answered(ev.Task, ev.Attempt, func() []Action { return j.queueAgain(ev.Task, "refused") })
+		return j.onAnswer(ev.Task, ev.Attempt, func() []Action { return j.queueAgain(ev.Task, "refused") })
 	case Unsure:
-		return j.answered(ev.Task, ev.Attempt, func() []Action { return j.unsure(ev) })
+		return j.onAnswer(ev.Task, ev.Attempt, func() []Action { return j.unsure(ev) })
 	case Stopped:
-		return j.answered(ev.Task, ev.Attempt, func() []Action { return j.stopped(ev.Task) })
+		return j.onAnswer(ev.Task, ev.Attempt, func() []Action { return j.stopped(ev.Task) })
 	case Preempt:
 		return j.pause(ev.Task)
 	case WorkerList:
@@ -162,8 +162,8 @@
 	}
 }
 
-// answered takes a worker's answer unless the task has left the worker since.
-func (j *Jobs) answered(id string, attempt int64, take func() []Action) []Action {
+// onAnswer takes a worker's answer unless the task has left the worker since.
+func (j *Jobs) onAnswer(id string, attempt int64, take func() []Action) []Action {
 	if t, ok := j.tasks[id]; !ok || t.attempt != attempt {
 		return nil
 	}
