--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -12,8 +12,8 @@
 // A task is tried on a worker of its own after some lives of workers ended under it, and given up
 // after some more.
 const (
-	livesApart = 2
-	livesMost  = 3
+	exclusiveAfterCrashes = 2
+	livesMost             = 3
 )
 
 // sparedMost is how many losses of whole racks are not counted for a task. It may be one of those
@@ -76,7 +76,7 @@
 	return j.crashErr.Error()
 }
 
-func (t *task) apart() bool { return t.crashes >= livesApart }
+func (t *task) apart() bool { return t.crashes >= exclusiveAfterCrashes }
 
 // NeedsExclusiveWorker tells whether a task is tried on a worker of its own.
 func (j *Jobs) NeedsExclusiveWorker(id string) bool {
