--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -13,7 +13,7 @@
 // after some more.
 const (
 	exclusiveAfterCrashes = 2
-	livesMost             = 3
+	maxCrashes            = 3
 )
 
 // sparedMost is how many losses of whole racks are not counted for a task. It may be one of those
@@ -226,7 +226,7 @@
 // giveUpOver fails what waits of a job under one of whose tasks too many lives ended: a part of it
 // can never be had. What runs may end.
 func (j *Jobs) giveUpOver(jb *job) []Action {
-	over := func(t *task) bool { return t.crashes >= livesMost && !taskChart.Final(t.state) }
+	over := func(t *task) bool { return t.crashes >= maxCrashes && !taskChart.Final(t.state) }
 	i := slices.IndexFunc(jb.tasks, over)
 	if jb.crashErr != nil || i < 0 {
 		return nil
