--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -16,9 +16,9 @@
 	maxCrashes            = 3
 )
 
-// sparedMost is how many losses of whole racks are not counted for a task. It may be one of those
+// maxExcusedCrashes is how many losses of whole racks are not counted for a task. It may be one of those
 // that crash all workers of a rack together.
-const sparedMost = 3
+const maxExcusedCrashes = 3
 
 // proven is how long a task has to run for the end of its worker's life not to count. Without it
 // every task that lasts would be given up in the end, since workers also crash by themselves.
@@ -141,7 +141,7 @@
 }
 
 func (t *task) spare(ev WorkerList) bool {
-	if !ev.RackLost || t.excusedCrashes >= sparedMost {
+	if !ev.RackLost || t.excusedCrashes >= maxExcusedCrashes {
 		return false
 	}
 	t.excusedCrashes++
