--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -20,12 +20,12 @@
 // that crash all workers of a rack together.
 const maxExcusedCrashes = 3
 
-// proven is how long a task has to run for the end of its worker's life not to count. Without it
+// provenAfter is how long a task has to run for the end of its worker's life not to count. Without it
 // every task that lasts would be given up in the end, since workers also crash by themselves.
-const proven = time.Hour
+const provenAfter = time.Hour
 
 func (t *task) proven(now time.Time) bool {
-	return t.state != "unsure" && t.state != "starting" && now.Sub(t.onWorkerSince) >= proven
+	return t.state != "unsure" && t.state != "starting" && now.Sub(t.onWorkerSince) >= provenAfter
 }
 
 // CrashedError tells that a task was given up because workers crashed under it.
