--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -38,8 +38,8 @@
 	return fmt.Sprintf("task %s was given up: %d workers crashed while it ran", e.Task, e.Crashes)
 }
 
-// life is a worker's life, told by a list that was asked for at sent.
-type life struct {
+// incarnation is a worker's incarnation, told by a list that was asked for at sent.
+type incarnation struct {
 	name string
 	sent time.Time
 }
@@ -107,7 +107,7 @@
 	if ev.Incarnation == "" || ev.Sent.Before(j.incarnations[ev.Worker].sent) {
 		return nil
 	}
-	j.incarnations[ev.Worker] = life{name: ev.Incarnation, sent: ev.Sent}
+	j.incarnations[ev.Worker] = incarnation{name: ev.Incarnation, sent: ev.Sent}
 	under, late := j.under(ev, listed), j.late(ev)
 	most := int64(0)
 	for _, t := range slices.Concat(under, late) {
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -84,7 +84,7 @@
 	// adopted are the names of hand-overs that were adopted, oldest first.
 	adopted []string
 	// incarnations holds each worker's life as it was last told.
-	incarnations map[string]life
+	incarnations map[string]incarnation
 	// droppedPlaces holds where tasks were whose jobs were given up with the last worker. recalled are by
 	// worker those of them that were inherited since, until the worker is seen.
 	droppedPlaces map[string]place
@@ -97,7 +97,7 @@
 
 // New returns a core that knows no job.
 func New() *Jobs {
-	return &Jobs{jobs: map[string]*job{}, tasks: map[string]*task{}, byWorker: map[string]map[string]*task{}, budgets: map[string]float64{}, incarnations: map[string]life{}, droppedPlaces: map[string]place{}, recalled: map[string][]*task{}, silentPlaces: map[string][]place{}}
+	return &Jobs{jobs: map[string]*job{}, tasks: map[string]*task{}, byWorker: map[string]map[string]*task{}, budgets: map[string]float64{}, incarnations: map[string]incarnation{}, droppedPlaces: map[string]place{}, recalled: map[string][]*task{}, silentPlaces: map[string][]place{}}
 }
 
 // UnknownError tells that no such job is known here.
