--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -46,9 +46,9 @@
 
 // place is where a task was, and what was counted of it.
 type place struct {
-	task, worker, life string
-	lives, noted       int64
-	spared             int
+	task, worker, incarnation string
+	lives, noted              int64
+	spared                    int
 }
 
 // formerMost bounds of how many tasks that were given up the place is remembered.
@@ -56,7 +56,7 @@
 
 func (j *Jobs) remember(now time.Time, t *task) {
 	if t.incarnation != "" && !t.proven(now) && !taskChart.Final(t.state) && len(j.droppedPlaces) < formerMost {
-		j.droppedPlaces[t.id] = place{worker: t.worker, life: t.incarnation, lives: t.crashes, noted: t.storedCrashes, spared: t.excusedCrashes}
+		j.droppedPlaces[t.id] = place{worker: t.worker, incarnation: t.incarnation, lives: t.crashes, noted: t.storedCrashes, spared: t.excusedCrashes}
 	}
 }
 
@@ -137,7 +137,7 @@
 			delete(j.silentPlaces, name)
 		}
 	}
-	j.silentPlaces[worker] = append(j.silentPlaces[worker], place{task: t.id, life: t.incarnation})
+	j.silentPlaces[worker] = append(j.silentPlaces[worker], place{task: t.id, incarnation: t.incarnation})
 }
 
 func (t *task) spare(ev WorkerList) bool {
@@ -155,7 +155,7 @@
 	}
 	var late []*task
 	for _, p := range j.silentPlaces[ev.Worker] {
-		if t, ok := j.tasks[p.task]; ok && p.life != ev.Incarnation && !taskChart.Final(t.state) {
+		if t, ok := j.tasks[p.task]; ok && p.incarnation != ev.Incarnation && !taskChart.Final(t.state) {
 			late = append(late, t)
 		}
 	}
@@ -193,7 +193,7 @@
 		t.incarnation = ev.Incarnation
 	}
 	for _, t := range j.backAt(ev) {
-		if t.worker == "" && t.job.awaitsInventory && !listed[t.id] && t.lastPlace.life != ev.Incarnation {
+		if t.worker == "" && t.job.awaitsInventory && !listed[t.id] && t.lastPlace.incarnation != ev.Incarnation {
 			under = append(under, t)
 		}
 	}
