--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -47,7 +47,7 @@
 // place is where a task was, and what was counted of it.
 type place struct {
 	task, worker, incarnation string
-	crashes, noted            int64
+	crashes, storedCrashes    int64
 	spared                    int
 }
 
@@ -56,7 +56,7 @@
 
 func (j *Jobs) remember(now time.Time, t *task) {
 	if t.incarnation != "" && !t.proven(now) && !taskChart.Final(t.state) && len(j.droppedPlaces) < formerMost {
-		j.droppedPlaces[t.id] = place{worker: t.worker, incarnation: t.incarnation, crashes: t.crashes, noted: t.storedCrashes, spared: t.excusedCrashes}
+		j.droppedPlaces[t.id] = place{worker: t.worker, incarnation: t.incarnation, crashes: t.crashes, storedCrashes: t.storedCrashes, spared: t.excusedCrashes}
 	}
 }
 
@@ -64,7 +64,7 @@
 func (j *Jobs) recall(t *task) {
 	if f, ok := j.droppedPlaces[t.id]; ok {
 		delete(j.droppedPlaces, t.id)
-		t.lastPlace, t.crashes, t.storedCrashes, t.excusedCrashes = &f, f.crashes, f.noted, f.spared
+		t.lastPlace, t.crashes, t.storedCrashes, t.excusedCrashes = &f, f.crashes, f.storedCrashes, f.spared
 		j.recalled[f.worker] = append(j.recalled[f.worker], t)
 	}
 }
