--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -48,7 +48,7 @@
 type place struct {
 	task, worker, incarnation string
 	crashes, storedCrashes    int64
-	spared                    int
+	excusedCrashes            int
 }
 
 // formerMost bounds of how many tasks that were given up the place is remembered.
@@ -56,7 +56,7 @@
 
 func (j *Jobs) remember(now time.Time, t *task) {
 	if t.incarnation != "" && !t.proven(now) && !taskChart.Final(t.state) && len(j.droppedPlaces) < formerMost {
-		j.droppedPlaces[t.id] = place{worker: t.worker, incarnation: t.incarnation, crashes: t.crashes, storedCrashes: t.storedCrashes, spared: t.excusedCrashes}
+		j.droppedPlaces[t.id] = place{worker: t.worker, incarnation: t.incarnation, crashes: t.crashes, storedCrashes: t.storedCrashes, excusedCrashes: t.excusedCrashes}
 	}
 }
 
@@ -64,7 +64,7 @@
 func (j *Jobs) recall(t *task) {
 	if f, ok := j.droppedPlaces[t.id]; ok {
 		delete(j.droppedPlaces, t.id)
-		t.lastPlace, t.crashes, t.storedCrashes, t.excusedCrashes = &f, f.crashes, f.storedCrashes, f.spared
+		t.lastPlace, t.crashes, t.storedCrashes, t.excusedCrashes = &f, f.crashes, f.storedCrashes, f.excusedCrashes
 		j.recalled[f.worker] = append(j.recalled[f.worker], t)
 	}
 }
