--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -51,11 +51,11 @@
 	excusedCrashes            int
 }
 
-// formerMost bounds of how many tasks that were given up the place is remembered.
-const formerMost = 20_000
+// maxDroppedPlaces bounds of how many tasks that were given up the place is remembered.
+const maxDroppedPlaces = 20_000
 
 func (j *Jobs) remember(now time.Time, t *task) {
-	if t.incarnation != "" && !t.proven(now) && !taskChart.Final(t.state) && len(j.droppedPlaces) < formerMost {
+	if t.incarnation != "" && !t.proven(now) && !taskChart.Final(t.state) && len(j.droppedPlaces) < maxDroppedPlaces {
 		j.droppedPlaces[t.id] = place{worker: t.worker, incarnation: t.incarnation, crashes: t.crashes, storedCrashes: t.storedCrashes, excusedCrashes: t.excusedCrashes}
 	}
 }
