--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -54,7 +54,7 @@
 // maxDroppedPlaces bounds of how many tasks that were given up the place is remembered.
 const maxDroppedPlaces = 20_000
 
-func (j *Jobs) remember(now time.Time, t *task) {
+func (j *Jobs) rememberPlace(now time.Time, t *task) {
 	if t.incarnation != "" && !t.proven(now) && !taskChart.Final(t.state) && len(j.droppedPlaces) < maxDroppedPlaces {
 		j.droppedPlaces[t.id] = place{worker: t.worker, incarnation: t.incarnation, crashes: t.crashes, storedCrashes: t.storedCrashes, excusedCrashes: t.excusedCrashes}
 	}
--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -278,7 +278,7 @@
 			acts = append(acts, Free{Task: t.id})
 		}
 		if ev.RememberPlaces {
-			j.remember(now, t)
+			j.rememberPlace(now, t)
 		}
 	}
 	j.erase(jb)
