--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// recall brings back what was known of an inherited task when this host gave it up.
-func (j *Jobs) recall(t *task) {
+// recallPlace brings back what was known of an inherited task when this host gave it up.
+func (j *Jobs) recallPlace(t *task) {
 	if f, ok := j.droppedPlaces[t.id]; ok {
 		delete(j.droppedPlaces, t.id)
 		t.lastPlace, t.crashes, t.storedCrashes, t.excusedCrashes = &f, f.crashes, f.storedCrashes, f.excusedCrashes
--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -107,7 +107,7 @@
 		// A start may have been sent for all that is known, so nobody may be
 		// told that this job did not run.
 		t.state, t.sent = "unsure", true
-		j.recall(t)
+		j.recallPlace(t)
 	}
 }
 
