--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -76,12 +76,12 @@
 	return j.crashErr.Error()
 }
 
-func (t *task) apart() bool { return t.crashes >= exclusiveAfterCrashes }
+func (t *task) needsExclusiveWorker() bool { return t.crashes >= exclusiveAfterCrashes }
 
 // NeedsExclusiveWorker tells whether a task is tried on a worker of its own.
 func (j *Jobs) NeedsExclusiveWorker(id string) bool {
 	t, ok := j.tasks[id]
-	return ok && t.apart()
+	return ok && t.needsExclusiveWorker()
 }
 
 // backAt takes out the recalled tasks that were on a worker of which a list came.
--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -177,7 +177,7 @@
 	for _, name := range names {
 		switch t := j.tasks[name]; {
 		case t.crashes > t.storedCrashes:
-		case t.apart() || len(t.avoid) > 0:
+		case t.needsExclusiveWorker() || len(t.avoid) > 0:
 			acts = append(acts, t.want())
 		default:
 			want.Tasks = append(want.Tasks, name)
--- a/internal/job/retry.go
+++ b/internal/job/retry.go
@@ -104,7 +104,7 @@
 // want asks for room for a task that is not one of a gang.
 func (t *task) want() RequestPlacement {
 	return RequestPlacement{
-		Spec: t.job.spec, Tasks: []string{t.id}, Since: t.job.acceptedAt, Exclusive: t.apart(),
+		Spec: t.job.spec, Tasks: []string{t.id}, Since: t.job.acceptedAt, Exclusive: t.needsExclusiveWorker(),
 		Avoid: slices.Clone(t.avoid), LastFailure: t.lastFailure, AvoidUntil: t.avoidUntil,
 	}
 }
@@ -138,7 +138,7 @@
 			want.Avoid = append(want.Avoid, o.avoid...)
 			want.LastFailure = slices.MaxFunc([]time.Time{want.LastFailure, o.lastFailure}, time.Time.Compare)
 			want.AvoidUntil = slices.MaxFunc([]time.Time{want.AvoidUntil, o.avoidUntil}, time.Time.Compare)
-			want.Exclusive = want.Exclusive || o.apart()
+			want.Exclusive = want.Exclusive || o.needsExclusiveWorker()
 			whole = whole && o.crashes == o.storedCrashes
 		default:
 			whole = false
