--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -84,8 +84,8 @@
 	return ok && t.needsExclusiveWorker()
 }
 
-// backAt takes out the recalled tasks that were on a worker of which a list came.
-func (j *Jobs) backAt(ev WorkerList) []*task {
+// takeRecalled takes out the recalled tasks that were on a worker of which a list came.
+func (j *Jobs) takeRecalled(ev WorkerList) []*task {
 	var back, rest []*task
 	for _, t := range j.recalled[ev.Worker] {
 		if ev.Jobs == nil || slices.Contains(ev.Jobs, t.job.spec.ID) {
@@ -192,7 +192,7 @@
 		}
 		t.incarnation = ev.Incarnation
 	}
-	for _, t := range j.backAt(ev) {
+	for _, t := range j.takeRecalled(ev) {
 		if t.worker == "" && t.job.awaitsInventory && !listed[t.id] && t.lastPlace.incarnation != ev.Incarnation {
 			under = append(under, t)
 		}
