--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -101,9 +101,9 @@
 	return back
 }
 
-// judge notes under which tasks a worker's former life ended. What ended it is not known: of
+// attributeCrashes notes under which tasks a worker's former life ended. What ended it is not known: of
 // several tasks only those are blamed under which the most lives ended before.
-func (j *Jobs) judge(ev WorkerList, listed map[string]bool) []Action {
+func (j *Jobs) attributeCrashes(ev WorkerList, listed map[string]bool) []Action {
 	if ev.Incarnation == "" || ev.Sent.Before(j.incarnations[ev.Worker].sent) {
 		return nil
 	}
--- a/internal/job/seen.go
+++ b/internal/job/seen.go
@@ -14,7 +14,7 @@
 	for _, l := range ev.Tasks {
 		listed[l.ID] = true
 	}
-	acts = append(acts, j.judge(ev, listed)...)
+	acts = append(acts, j.attributeCrashes(ev, listed)...)
 	for _, l := range ev.Tasks {
 		acts = append(acts, j.read(now, ev, l)...)
 	}
