--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -125,9 +125,9 @@
 	return acts
 }
 
-// goneFrom notes that a task was on a worker that is silent for longer than any lease. Entries of
+// recordSilent notes that a task was on a worker that is silent for longer than any lease. Entries of
 // tasks that have ended are dropped: their workers may never come back.
-func (j *Jobs) goneFrom(t *task, worker string) {
+func (j *Jobs) recordSilent(t *task, worker string) {
 	for name, all := range j.silentPlaces {
 		j.silentPlaces[name] = slices.DeleteFunc(all, func(p place) bool {
 			other, ok := j.tasks[p.task]
--- a/internal/job/seen.go
+++ b/internal/job/seen.go
@@ -174,7 +174,7 @@
 		return j.crashed(now, t)
 	}
 	if ev.LeasesExpired && t.state != "stopping" && t.incarnation != "" && !t.proven(now) {
-		j.goneFrom(t, ev.Worker)
+		j.recordSilent(t, ev.Worker)
 	}
 	switch t.state {
 	case "unsure", "stopping", "pausing":
