--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -114,11 +114,11 @@
 		most = max(most, t.crashes)
 	}
 	for _, t := range under {
-		t.suspected = t.crashes == most && !t.spare(ev)
+		t.suspected = t.crashes == most && !t.excuse(ev)
 	}
 	var acts []Action
 	for _, t := range late {
-		if t.crashes == most && !t.spare(ev) {
+		if t.crashes == most && !t.excuse(ev) {
 			acts = append(acts, j.countLate(t, ev.Worker)...)
 		}
 	}
@@ -140,7 +140,7 @@
 	j.silentPlaces[worker] = append(j.silentPlaces[worker], place{task: t.id, incarnation: t.incarnation})
 }
 
-func (t *task) spare(ev WorkerList) bool {
+func (t *task) excuse(ev WorkerList) bool {
 	if !ev.RackLost || t.excusedCrashes >= maxExcusedCrashes {
 		return false
 	}
