--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -108,7 +108,7 @@
 		return nil
 	}
 	j.incarnations[ev.Worker] = incarnation{name: ev.Incarnation, sent: ev.Sent}
-	under, late := j.under(ev, listed), j.late(ev)
+	under, late := j.under(ev, listed), j.crashedWhileSilent(ev)
 	most := int64(0)
 	for _, t := range slices.Concat(under, late) {
 		most = max(most, t.crashes)
@@ -148,8 +148,8 @@
 	return true
 }
 
-// late are the tasks that were on a worker when it fell silent, if it has another life since.
-func (j *Jobs) late(ev WorkerList) []*task {
+// crashedWhileSilent are the tasks that were on a worker when it fell silent, if it has another life since.
+func (j *Jobs) crashedWhileSilent(ev WorkerList) []*task {
 	if ev.Jobs != nil {
 		return nil
 	}
