--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -119,7 +119,7 @@
 	var acts []Action
 	for _, t := range late {
 		if t.crashes == most && !t.excuse(ev) {
-			acts = append(acts, j.countLate(t, ev.Worker)...)
+			acts = append(acts, j.countLateCrash(t, ev.Worker)...)
 		}
 	}
 	return acts
@@ -163,9 +163,9 @@
 	return late
 }
 
-// countLate counts a life for a task that was tried elsewhere meanwhile. If it waits for room, it
+// countLateCrash counts a life for a task that was tried elsewhere meanwhile. If it waits for room, it
 // waits for its count to be stored first.
-func (j *Jobs) countLate(t *task, worker string) []Action {
+func (j *Jobs) countLateCrash(t *task, worker string) []Action {
 	crashed := t.count(worker)
 	if t.job.awaitsInventory {
 		return []Action{crashed}
