--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -108,7 +108,7 @@
 		return nil
 	}
 	j.incarnations[ev.Worker] = incarnation{name: ev.Incarnation, sent: ev.Sent}
-	under, late := j.under(ev, listed), j.crashedWhileSilent(ev)
+	under, late := j.lostInCrash(ev, listed), j.crashedWhileSilent(ev)
 	most := int64(0)
 	for _, t := range slices.Concat(under, late) {
 		most = max(most, t.crashes)
@@ -179,8 +179,8 @@
 	return append(append(acts, j.giveUpOver(t.job)...), crashed)
 }
 
-// under are the tasks that were on a worker in an earlier life than the one that its list is from.
-func (j *Jobs) under(ev WorkerList, listed map[string]bool) []*task {
+// lostInCrash are the tasks that were on a worker in an earlier life than the one that its list is from.
+func (j *Jobs) lostInCrash(ev WorkerList, listed map[string]bool) []*task {
 	var under []*task
 	for _, id := range slices.Sorted(maps.Keys(j.byWorker[ev.Worker])) {
 		t := j.tasks[id]
