--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -166,7 +166,7 @@
 // countLateCrash counts a life for a task that was tried elsewhere meanwhile. If it waits for room, it
 // waits for its count to be stored first.
 func (j *Jobs) countLateCrash(t *task, worker string) []Action {
-	crashed := t.count(worker)
+	crashed := t.countCrash(worker)
 	if t.job.awaitsInventory {
 		return []Action{crashed}
 	}
@@ -200,7 +200,7 @@
 	return under
 }
 
-func (t *task) count(worker string) StoreCrashCount {
+func (t *task) countCrash(worker string) StoreCrashCount {
 	t.crashes++
 	return StoreCrashCount{Job: t.job.spec.ID, Task: t.id, Worker: worker, Crashes: t.crashes}
 }
@@ -214,7 +214,7 @@
 	if t.proven(now) {
 		return j.queueAgain(t.id, why)
 	}
-	crashed := t.count(t.worker)
+	crashed := t.countCrash(t.worker)
 	acts := j.queueAgain(t.id, why)
 	if !t.job.awaitsInventory {
 		acts = append(acts, j.giveUpOver(t.job)...)
--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -152,7 +152,7 @@
 			names = append(names, t.id)
 			if t.suspected {
 				t.suspected = false
-				crashed = append(crashed, t.count(t.lastPlace.worker))
+				crashed = append(crashed, t.countCrash(t.lastPlace.worker))
 			}
 		case t.state == "stopping":
 			acts = append(acts, j.stopped(t.id)...)
