--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -205,8 +205,8 @@
 	return StoreCrashCount{Job: t.job.spec.ID, Task: t.id, Worker: worker, Crashes: t.crashes}
 }
 
-// crashed counts a life that ended under a task, which certainly runs no more.
-func (j *Jobs) crashed(now time.Time, t *task) []Action {
+// handleCrash counts a life that ended under a task, which certainly runs no more.
+func (j *Jobs) handleCrash(now time.Time, t *task) []Action {
 	why := chart.Event("gone")
 	if t.state == "running" {
 		why = "retry"
--- a/internal/job/seen.go
+++ b/internal/job/seen.go
@@ -171,7 +171,7 @@
 		return nil
 	}
 	if t.suspected && t.state != "stopping" {
-		return j.crashed(now, t)
+		return j.handleCrash(now, t)
 	}
 	if ev.LeasesExpired && t.state != "stopping" && t.incarnation != "" && !t.proven(now) {
 		j.recordSilent(t, ev.Worker)
