--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -176,7 +176,7 @@
 			acts = append(acts, Free{Task: o.id})
 		}
 	}
-	return append(append(acts, j.giveUpOver(t.job)...), crashed)
+	return append(append(acts, j.giveUpAfterCrashes(t.job)...), crashed)
 }
 
 // lostInCrash are the tasks that were on a worker in an earlier life than the one that its list is from.
@@ -217,15 +217,15 @@
 	crashed := t.countCrash(t.worker)
 	acts := j.queueAgain(t.id, why)
 	if !t.job.awaitsInventory {
-		acts = append(acts, j.giveUpOver(t.job)...)
+		acts = append(acts, j.giveUpAfterCrashes(t.job)...)
 	}
 	// The room has to be free before the task is wanted again.
 	return append(acts, crashed)
 }
 
-// giveUpOver fails what waits of a job under one of whose tasks too many lives ended: a part of it
+// giveUpAfterCrashes fails what waits of a job under one of whose tasks too many lives ended: a part of it
 // can never be had. What runs may end.
-func (j *Jobs) giveUpOver(jb *job) []Action {
+func (j *Jobs) giveUpAfterCrashes(jb *job) []Action {
 	over := func(t *task) bool { return t.crashes >= maxCrashes && !taskChart.Final(t.state) }
 	i := slices.IndexFunc(jb.tasks, over)
 	if jb.crashErr != nil || i < 0 {
--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -158,7 +158,7 @@
 			acts = append(acts, j.stopped(t.id)...)
 		}
 	}
-	if acts = append(acts, j.giveUpOver(jb)...); jb.crashErr == nil {
+	if acts = append(acts, j.giveUpAfterCrashes(jb)...); jb.crashErr == nil {
 		acts = append(acts, j.wantAll(jb, names)...)
 	}
 	return append(acts, crashed...)
