--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -241,8 +241,8 @@
 	return append(acts, j.endIfDone(jb)...)
 }
 
-// notedLives asks for room for a task that waited for its count to be stored.
-func (j *Jobs) notedLives(ev CrashCountStored) []Action {
+// crashCountStored asks for room for a task that waited for its count to be stored.
+func (j *Jobs) crashCountStored(ev CrashCountStored) []Action {
 	t, ok := j.tasks[ev.Task]
 	if !ok || t.storedCrashes >= t.crashes || ev.Crashes < t.crashes {
 		return nil
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -156,7 +156,7 @@
 	case WorkerList:
 		return j.seen(now, ev)
 	case CrashCountStored:
-		return j.notedLives(ev)
+		return j.crashCountStored(ev)
 	default:
 		return j.change(now, ev)
 	}
