--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -154,7 +154,7 @@
 	case Preempt:
 		return j.pause(ev.Task)
 	case WorkerList:
-		return j.seen(now, ev)
+		return j.handleList(now, ev)
 	case CrashCountStored:
 		return j.crashCountStored(ev)
 	default:
--- a/internal/job/seen.go
+++ b/internal/job/seen.go
@@ -8,7 +8,7 @@
 	"pollencroft/internal/chart"
 )
 
-func (j *Jobs) seen(now time.Time, ev WorkerList) []Action {
+func (j *Jobs) handleList(now time.Time, ev WorkerList) []Action {
 	var acts []Action
 	listed := map[string]bool{}
 	for _, l := range ev.Tasks {
