--- a/internal/job/seen.go
+++ b/internal/job/seen.go
@@ -16,7 +16,7 @@
 	}
 	acts = append(acts, j.attributeCrashes(ev, listed)...)
 	for _, l := range ev.Tasks {
-		acts = append(acts, j.read(now, ev, l)...)
+		acts = append(acts, j.handleEntry(now, ev, l)...)
 	}
 	for _, id := range slices.Sorted(maps.Keys(j.byWorker[ev.Worker])) {
 		if !listed[id] && (ev.Jobs == nil || slices.Contains(ev.Jobs, j.tasks[id].job.spec.ID)) {
@@ -26,9 +26,9 @@
 	return acts
 }
 
-// read takes one line of a worker's list. A line of a job that is not known
+// handleEntry takes one line of a worker's list. A line of a job that is not known
 // here changes nothing: its lead may be about to learn how the task ended.
-func (j *Jobs) read(now time.Time, ev WorkerList, l ListedTask) []Action {
+func (j *Jobs) handleEntry(now time.Time, ev WorkerList, l ListedTask) []Action {
 	t, ok := j.tasks[l.ID]
 	if !ok {
 		return nil
