--- a/internal/job/seen.go
+++ b/internal/job/seen.go
@@ -39,17 +39,17 @@
 	if t.worker != ev.Worker {
 		return j.other(t, ev.Worker, l)
 	}
-	if j.ofFormer(t, ev, l) {
+	if j.isEarlierStart(t, ev, l) {
 		return nil
 	}
 	t.lease = l.Lease
 	return j.listed(now, t, l)
 }
 
-// ofFormer tells whether a line may be about an earlier start of the task on the same worker,
+// isEarlierStart tells whether a line may be about an earlier start of the task on the same worker,
 // which lists that one until the next start lands. Taken for the next one's end, it would have
 // the task started elsewhere while its start is under way.
-func (j *Jobs) ofFormer(t *task, ev WorkerList, l ListedTask) bool {
+func (j *Jobs) isEarlierStart(t *task, ev WorkerList, l ListedTask) bool {
 	switch l.State {
 	case workerEnded:
 		return false
