--- a/internal/job/seen.go
+++ b/internal/job/seen.go
@@ -56,13 +56,13 @@
 	case workerRunning:
 		return (t.state == "starting" || t.state == "unsure") && !t.onWorkerSince.Before(ev.Sent)
 	default:
-		return !t.landed(ev)
+		return !t.startResolved(ev)
 	}
 }
 
-// landed tells that a list is from a time when the task's last start had arrived at the worker
+// startResolved tells that a list is from a time when the task's last start had arrived at the worker
 // or could no longer be carried out.
-func (t *task) landed(ev WorkerList) bool {
+func (t *task) startResolved(ev WorkerList) bool {
 	switch {
 	case ev.LeasesExpired:
 		return true
@@ -167,7 +167,7 @@
 // list that was asked for before a start was confirmed says nothing of it:
 // without this rule the task would be started a second time beside the first.
 func (j *Jobs) missing(now time.Time, t *task, ev WorkerList) []Action {
-	if !t.landed(ev) {
+	if !t.startResolved(ev) {
 		return nil
 	}
 	if t.suspected && t.state != "stopping" {
