--- a/internal/job/seen.go
+++ b/internal/job/seen.go
@@ -37,7 +37,7 @@
 		return j.found(now, t, ev.Worker, l)
 	}
 	if t.worker != ev.Worker {
-		return j.other(t, ev.Worker, l)
+		return j.handleEntryElsewhere(t, ev.Worker, l)
 	}
 	if j.isEarlierStart(t, ev, l) {
 		return nil
@@ -75,8 +75,8 @@
 	}
 }
 
-// other takes a line about a task that is elsewhere by now: a former try.
-func (j *Jobs) other(t *task, worker string, l ListedTask) []Action {
+// handleEntryElsewhere takes a line about a task that is elsewhere by now: a former try.
+func (j *Jobs) handleEntryElsewhere(t *task, worker string, l ListedTask) []Action {
 	if l.State == workerRunning || l.State == workerEnded && !t.job.endStored {
 		return nil
 	}
