--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -120,7 +120,7 @@
 	j.move(t, worker, now)
 	t.lease = l.Lease
 	t.tries = max(t.tries, 1)
-	return j.listed(now, t, l)
+	return j.applyEntry(now, t, l)
 }
 
 // forgetPlace forgets where a task of an inherited job was found, since it runs there no more. Before
--- a/internal/job/seen.go
+++ b/internal/job/seen.go
@@ -43,7 +43,7 @@
 		return nil
 	}
 	t.lease = l.Lease
-	return j.listed(now, t, l)
+	return j.applyEntry(now, t, l)
 }
 
 // isEarlierStart tells whether a line may be about an earlier start of the task on the same worker,
@@ -83,7 +83,7 @@
 	return []Action{Forget{Task: l.ID, Worker: worker, Lease: l.Lease}}
 }
 
-func (j *Jobs) listed(now time.Time, t *task, l ListedTask) []Action {
+func (j *Jobs) applyEntry(now time.Time, t *task, l ListedTask) []Action {
 	switch l.State {
 	case workerRunning:
 		if t.state == "stopping" {
