--- a/internal/job/seen.go
+++ b/internal/job/seen.go
@@ -102,7 +102,7 @@
 	case workerEnded:
 		return j.finish(now, t, "end")
 	case workerFailed:
-		return j.failed(now, t)
+		return j.handleFailure(now, t)
 	default:
 		return j.lapsed(t)
 	}
@@ -125,10 +125,10 @@
 	return append(acts, j.endIfDone(t.job)...)
 }
 
-// failed tries a task again while its number of tries and its row's budget of
-// retries allow it. After that the whole job has failed, since a part of it
+// handleFailure tries a task again while its number of tries and its row's budget of
+// retries allow it. After that the whole job has handleFailure, since a part of it
 // can never be had.
-func (j *Jobs) failed(now time.Time, t *task) []Action {
+func (j *Jobs) handleFailure(now time.Time, t *task) []Action {
 	if t.state == "unsure" {
 		t.move("found")
 	}
