--- a/internal/job/seen.go
+++ b/internal/job/seen.go
@@ -104,7 +104,7 @@
 	case workerFailed:
 		return j.handleFailure(now, t)
 	default:
-		return j.lapsed(t)
+		return j.handleLapse(t)
 	}
 }
 
@@ -146,7 +146,7 @@
 	return j.finish(now, t, "fail")
 }
 
-func (j *Jobs) lapsed(t *task) []Action {
+func (j *Jobs) handleLapse(t *task) []Action {
 	if t.state == "stopping" || t.state == "pausing" {
 		return j.stopped(t.id)
 	}
