--- a/internal/job/seen.go
+++ b/internal/job/seen.go
@@ -20,7 +20,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(j.byWorker[ev.Worker])) {
 		if !listed[id] && (ev.Jobs == nil || slices.Contains(ev.Jobs, j.tasks[id].job.spec.ID)) {
-			acts = append(acts, j.missing(now, j.tasks[id], ev)...)
+			acts = append(acts, j.handleMissing(now, j.tasks[id], ev)...)
 		}
 	}
 	return acts
@@ -162,11 +162,11 @@
 	return append([]Action{forget}, j.queueAgain(t.id, why)...)
 }
 
-// missing handles a task that its worker does not list. An unsure start may
+// handleMissing handles a task that its worker does not list. An unsure start may
 // still be on its way until its deadline has passed in the worker's clock. A
 // list that was asked for before a start was confirmed says nothing of it:
 // without this rule the task would be started a second time beside the first.
-func (j *Jobs) missing(now time.Time, t *task, ev WorkerList) []Action {
+func (j *Jobs) handleMissing(now time.Time, t *task, ev WorkerList) []Action {
 	if !t.startResolved(ev) {
 		return nil
 	}
