--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -77,8 +77,8 @@
 	AvoidUntil  time.Time `json:"back,omitzero"`
 }
 
-// change handles the events that give a job another lead.
-func (j *Jobs) change(now time.Time, ev Event) []Action {
+// changeLeader handles the events that give a job another lead.
+func (j *Jobs) changeLeader(now time.Time, ev Event) []Action {
 	switch ev := ev.(type) {
 	case Inherit:
 		j.inherit(now, ev.Spec)
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -158,7 +158,7 @@
 	case CrashCountStored:
 		return j.crashCountStored(ev)
 	default:
-		return j.change(now, ev)
+		return j.changeLeader(now, ev)
 	}
 }
 
