--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -111,9 +111,9 @@
 	}
 }
 
-// found takes the first sight of an inherited task. An older try that failed
+// foundInherited takes the first sight of an inherited task. An older try that failed
 // or lapsed says nothing of a newer one that may run elsewhere.
-func (j *Jobs) found(now time.Time, t *task, worker string, l ListedTask) []Action {
+func (j *Jobs) foundInherited(now time.Time, t *task, worker string, l ListedTask) []Action {
 	if l.State != workerRunning && l.State != workerEnded {
 		return []Action{Forget{Task: l.ID, Worker: worker, Lease: l.Lease}}
 	}
--- a/internal/job/seen.go
+++ b/internal/job/seen.go
@@ -34,7 +34,7 @@
 		return nil
 	}
 	if t.worker == "" && (t.state == "unsure" || t.state == "stopping") {
-		return j.found(now, t, ev.Worker, l)
+		return j.foundInherited(now, t, ev.Worker, l)
 	}
 	if t.worker != ev.Worker {
 		return j.handleEntryElsewhere(t, ev.Worker, l)
