--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -123,10 +123,10 @@
 	return j.applyEntry(now, t, l)
 }
 
-// forgetPlace forgets where a task of an inherited job was found, since it runs there no more. Before
+// clearPlace forgets where a task of an inherited job was found, since it runs there no more. Before
 // the census is complete it may run elsewhere under a lead that this host does not know of, so
 // it is not started again until then.
-func (j *Jobs) forgetPlace(t *task) []Action {
+func (j *Jobs) clearPlace(t *task) []Action {
 	j.move(t, "", time.Time{})
 	t.state, t.deadline = "unsure", time.Time{}
 	return []Action{Free{Task: t.id}}
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -266,7 +266,7 @@
 		return j.stopped(id)
 	}
 	if t.job.awaitsInventory {
-		return j.forgetPlace(t)
+		return j.clearPlace(t)
 	}
 	if !t.move(why) {
 		return nil
