--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -159,13 +159,13 @@
 		}
 	}
 	if acts = append(acts, j.giveUpAfterCrashes(jb)...); jb.crashErr == nil {
-		acts = append(acts, j.wantAll(jb, names)...)
+		acts = append(acts, j.requestAll(jb, names)...)
 	}
 	return append(acts, crashed...)
 }
 
-// wantAll asks for room for waiting tasks of a job that got another lead.
-func (j *Jobs) wantAll(jb *job, names []string) []Action {
+// requestAll asks for room for waiting tasks of a job that got another lead.
+func (j *Jobs) requestAll(jb *job, names []string) []Action {
 	switch {
 	case len(names) == 0:
 		return nil
@@ -249,7 +249,7 @@
 			acts = append(acts, Pause{Task: t.id, Worker: t.worker, Attempt: t.attempt})
 		}
 	}
-	return append(append(acts, j.wantAll(jb, names)...), crashed...)
+	return append(append(acts, j.requestAll(jb, names)...), crashed...)
 }
 
 // adoptedMost bounds how many adopted hand-overs are remembered.
