--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -219,7 +219,7 @@
 	if c.HandoverID != "" && slices.Contains(j.adopted, c.HandoverID) {
 		return nil
 	}
-	j.noteAdopted(c.HandoverID)
+	j.recordAdopted(c.HandoverID)
 	if jb, ok := j.jobs[c.Spec.ID]; ok {
 		if !jb.awaitsInventory || len(c.Tasks) != len(jb.tasks) {
 			return nil
@@ -255,7 +255,7 @@
 // adoptedMost bounds how many adopted hand-overs are remembered.
 const adoptedMost = 2000
 
-func (j *Jobs) noteAdopted(name string) {
+func (j *Jobs) recordAdopted(name string) {
 	if name == "" {
 		return
 	}
