--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -89,7 +89,7 @@
 	case Drop:
 		return j.drop(now, ev)
 	case EndStored:
-		return j.keep(ev.ID)
+		return j.markEndStored(ev.ID)
 	case StartSent:
 		j.sent(ev)
 	case Tick:
@@ -293,7 +293,7 @@
 	delete(j.jobs, jb.spec.ID)
 }
 
-func (j *Jobs) keep(id string) []Action {
+func (j *Jobs) markEndStored(id string) []Action {
 	jb, ok := j.jobs[id]
 	if !ok || jb.endStored || !jobChart.Final(jb.state) {
 		return nil
