--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -307,7 +307,7 @@
 		}
 	}
 	j.ended = append(j.ended, id)
-	j.trim()
+	j.trimEnded()
 	return acts
 }
 
@@ -315,7 +315,7 @@
 // older ones ended is in the log.
 const endedJobs = 500
 
-func (j *Jobs) trim() {
+func (j *Jobs) trimEnded() {
 	for len(j.ended) > endedJobs {
 		if jb, ok := j.jobs[j.ended[0]]; ok {
 			j.erase(jb)
