--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -91,7 +91,7 @@
 	case EndStored:
 		return j.markEndStored(ev.ID)
 	case StartSent:
-		j.sent(ev)
+		j.recordDeadline(ev)
 	case Tick:
 	}
 	return nil
@@ -324,8 +324,8 @@
 	}
 }
 
-// sent notes until when a start may still be carried out.
-func (j *Jobs) sent(ev StartSent) {
+// recordDeadline notes until when a start may still be carried out.
+func (j *Jobs) recordDeadline(ev StartSent) {
 	if t, ok := j.tasks[ev.Task]; ok {
 		t.deadline = ev.Deadline
 	}
