--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -224,7 +224,7 @@
 		if !jb.awaitsInventory || len(c.Tasks) != len(jb.tasks) {
 			return nil
 		}
-		j.erase(jb)
+		j.remove(jb)
 	}
 	jb := j.add(now, c.Spec)
 	jb.state, jb.acceptedAt, jb.firstStart = chart.State(c.State), c.Began, c.First
@@ -281,11 +281,11 @@
 			j.rememberPlace(now, t)
 		}
 	}
-	j.erase(jb)
+	j.remove(jb)
 	return acts
 }
 
-func (j *Jobs) erase(jb *job) {
+func (j *Jobs) remove(jb *job) {
 	for _, t := range jb.tasks {
 		j.move(t, "", time.Time{})
 		delete(j.tasks, t.id)
@@ -318,7 +318,7 @@
 func (j *Jobs) trimEnded() {
 	for len(j.ended) > endedJobs {
 		if jb, ok := j.jobs[j.ended[0]]; ok {
-			j.erase(jb)
+			j.remove(jb)
 		}
 		j.ended = j.ended[1:]
 	}
