--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -311,12 +311,12 @@
 	return acts
 }
 
-// endedJobs bounds how many ended jobs are remembered with all their tasks; how
+// maxEndedJobs bounds how many ended jobs are remembered with all their tasks; how
 // older ones ended is in the log.
-const endedJobs = 500
+const maxEndedJobs = 500
 
 func (j *Jobs) trimEnded() {
-	for len(j.ended) > endedJobs {
+	for len(j.ended) > maxEndedJobs {
 		if jb, ok := j.jobs[j.ended[0]]; ok {
 			j.remove(jb)
 		}
