--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -252,15 +252,15 @@
 	return append(append(acts, j.requestAll(jb, names)...), crashed...)
 }
 
-// adoptedMost bounds how many adopted hand-overs are remembered.
-const adoptedMost = 2000
+// maxAdopted bounds how many adopted hand-overs are remembered.
+const maxAdopted = 2000
 
 func (j *Jobs) recordAdopted(name string) {
 	if name == "" {
 		return
 	}
 	j.adopted = append(j.adopted, name)
-	if len(j.adopted) > adoptedMost {
+	if len(j.adopted) > maxAdopted {
 		j.adopted = j.adopted[1:]
 	}
 }
