--- a/internal/job/retry.go
+++ b/internal/job/retry.go
@@ -9,8 +9,8 @@
 // each ended task earns a part, so that a row whose tasks always fail stops
 // taking workers' time after a bounded number of starts.
 const (
-	maxRetryBudget = 50.0
-	budgetEarn     = 0.2
+	maxRetryBudget     = 50.0
+	budgetPerEndedTask = 0.2
 )
 
 // hopeless is how many of a job's tasks may fail for good, with none ended,
@@ -34,7 +34,7 @@
 
 func (j *Jobs) earn(row string) {
 	if left, ok := j.budgets[row]; ok {
-		j.budgets[row] = min(left+budgetEarn, maxRetryBudget)
+		j.budgets[row] = min(left+budgetPerEndedTask, maxRetryBudget)
 	}
 }
 
