--- a/internal/job/retry.go
+++ b/internal/job/retry.go
@@ -13,9 +13,9 @@
 	budgetPerEndedTask = 0.2
 )
 
-// hopeless is how many of a job's tasks may fail for good, with none ended,
+// giveUpAfterFailures is how many of a job's tasks may fail for good, with none ended,
 // before the rest is not started any more.
-const hopeless = 10
+const giveUpAfterFailures = 10
 
 // avoided is how many workers one task avoids.
 const avoided = 3
@@ -71,7 +71,7 @@
 			failed++
 		}
 	}
-	if failed < hopeless {
+	if failed < giveUpAfterFailures {
 		return nil
 	}
 	var acts []Action
