--- a/internal/job/retry.go
+++ b/internal/job/retry.go
@@ -17,8 +17,8 @@
 // before the rest is not started any more.
 const giveUpAfterFailures = 10
 
-// avoided is how many workers one task avoids.
-const avoided = 3
+// maxAvoidedWorkers is how many workers one task avoids.
+const maxAvoidedWorkers = 3
 
 func (j *Jobs) spend(row string) bool {
 	left, ok := j.budgets[row]
@@ -50,7 +50,7 @@
 	if !slices.Contains(t.avoid, worker) {
 		t.avoid = append(t.avoid, worker)
 	}
-	if len(t.avoid) > avoided {
+	if len(t.avoid) > maxAvoidedWorkers {
 		t.avoid = t.avoid[1:]
 	}
 }
