--- a/internal/job/retry.go
+++ b/internal/job/retry.go
@@ -20,7 +20,7 @@
 // maxAvoidedWorkers is how many workers one task avoids.
 const maxAvoidedWorkers = 3
 
-func (j *Jobs) spend(row string) bool {
+func (j *Jobs) spendRetry(row string) bool {
 	left, ok := j.budgets[row]
 	if !ok {
 		left = maxRetryBudget
--- a/internal/job/seen.go
+++ b/internal/job/seen.go
@@ -135,7 +135,7 @@
 	if t.job.awaitsInventory {
 		return j.retry(t, "gone")
 	}
-	if t.tries < t.job.spec.Tries && (t.state == "running" || t.state == "pausing") && j.spend(t.job.spec.Row) {
+	if t.tries < t.job.spec.Tries && (t.state == "running" || t.state == "pausing") && j.spendRetry(t.job.spec.Row) {
 		t.shun(now, t.worker)
 		acts := []Action{t.result(now, true)}
 		if t.state == "pausing" {
