--- a/internal/job/retry.go
+++ b/internal/job/retry.go
@@ -32,7 +32,7 @@
 	return true
 }
 
-func (j *Jobs) earn(row string) {
+func (j *Jobs) earnRetry(row string) {
 	if left, ok := j.budgets[row]; ok {
 		j.budgets[row] = min(left+budgetPerEndedTask, maxRetryBudget)
 	}
--- a/internal/job/seen.go
+++ b/internal/job/seen.go
@@ -120,7 +120,7 @@
 	if ev == "fail" {
 		acts = append(acts, j.giveUp(t.job)...)
 	} else {
-		j.earn(t.job.spec.Row)
+		j.earnRetry(t.job.spec.Row)
 	}
 	return append(acts, j.endIfDone(t.job)...)
 }
