--- a/internal/job/retry.go
+++ b/internal/job/retry.go
@@ -41,12 +41,12 @@
 // A task that cannot do without a worker that it has failed on goes back there after a while, which
 // doubles with each failure. Failures in quick succession on one worker tell nothing more of the task.
 const (
-	returnAfter = 10 * time.Second
-	returnMost  = time.Minute
+	minAvoidTime = 10 * time.Second
+	returnMost   = time.Minute
 )
 
 func (t *task) shun(now time.Time, worker string) {
-	t.lastFailure, t.avoidUntil = now, now.Add(min(returnAfter<<min(max(t.tries-1, 0), 10), returnMost))
+	t.lastFailure, t.avoidUntil = now, now.Add(min(minAvoidTime<<min(max(t.tries-1, 0), 10), returnMost))
 	if !slices.Contains(t.avoid, worker) {
 		t.avoid = append(t.avoid, worker)
 	}
