--- a/internal/job/retry.go
+++ b/internal/job/retry.go
@@ -42,11 +42,11 @@
 // doubles with each failure. Failures in quick succession on one worker tell nothing more of the task.
 const (
 	minAvoidTime = 10 * time.Second
-	returnMost   = time.Minute
+	maxAvoidTime = time.Minute
 )
 
 func (t *task) shun(now time.Time, worker string) {
-	t.lastFailure, t.avoidUntil = now, now.Add(min(minAvoidTime<<min(max(t.tries-1, 0), 10), returnMost))
+	t.lastFailure, t.avoidUntil = now, now.Add(min(minAvoidTime<<min(max(t.tries-1, 0), 10), maxAvoidTime))
 	if !slices.Contains(t.avoid, worker) {
 		t.avoid = append(t.avoid, worker)
 	}
