--- a/internal/job/retry.go
+++ b/internal/job/retry.go
@@ -45,7 +45,7 @@
 	maxAvoidTime = time.Minute
 )
 
-func (t *task) shun(now time.Time, worker string) {
+func (t *task) avoidWorker(now time.Time, worker string) {
 	t.lastFailure, t.avoidUntil = now, now.Add(min(minAvoidTime<<min(max(t.tries-1, 0), 10), maxAvoidTime))
 	if !slices.Contains(t.avoid, worker) {
 		t.avoid = append(t.avoid, worker)
--- a/internal/job/seen.go
+++ b/internal/job/seen.go
@@ -136,7 +136,7 @@
 		return j.retry(t, "gone")
 	}
 	if t.tries < t.job.spec.Tries && (t.state == "running" || t.state == "pausing") && j.spendRetry(t.job.spec.Row) {
-		t.shun(now, t.worker)
+		t.avoidWorker(now, t.worker)
 		acts := []Action{t.result(now, true)}
 		if t.state == "pausing" {
 			t.tries++
