--- a/internal/job/retry.go
+++ b/internal/job/retry.go
@@ -59,9 +59,9 @@
 	return Result{Task: t.id, Row: t.job.spec.Row, Worker: t.worker, Failed: failed, Run: now.Sub(t.onWorkerSince)}
 }
 
-// giveUp fails the tasks that still wait when none of the job's tasks ever
+// giveUpFailing fails the tasks that still wait when none of the job's tasks ever
 // ended and many failed.
-func (j *Jobs) giveUp(jb *job) []Action {
+func (j *Jobs) giveUpFailing(jb *job) []Action {
 	failed := 0
 	for _, t := range jb.tasks {
 		switch t.state {
--- a/internal/job/seen.go
+++ b/internal/job/seen.go
@@ -118,7 +118,7 @@
 	t.job.move("start")
 	acts := []Action{t.result(now, ev == "fail"), Free{Task: t.id}}
 	if ev == "fail" {
-		acts = append(acts, j.giveUp(t.job)...)
+		acts = append(acts, j.giveUpFailing(t.job)...)
 	} else {
 		j.earnRetry(t.job.spec.Row)
 	}
