--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -178,7 +178,7 @@
 		switch t := j.tasks[name]; {
 		case t.crashes > t.storedCrashes:
 		case t.needsExclusiveWorker() || len(t.avoid) > 0:
-			acts = append(acts, t.want())
+			acts = append(acts, t.placementRequest())
 		default:
 			want.Tasks = append(want.Tasks, name)
 		}
--- a/internal/job/retry.go
+++ b/internal/job/retry.go
@@ -101,8 +101,8 @@
 	return j.requeue(t)
 }
 
-// want asks for room for a task that is not one of a gang.
-func (t *task) want() RequestPlacement {
+// placementRequest asks for room for a task that is not one of a gang.
+func (t *task) placementRequest() RequestPlacement {
 	return RequestPlacement{
 		Spec: t.job.spec, Tasks: []string{t.id}, Since: t.job.acceptedAt, Exclusive: t.needsExclusiveWorker(),
 		Avoid: slices.Clone(t.avoid), LastFailure: t.lastFailure, AvoidUntil: t.avoidUntil,
@@ -122,7 +122,7 @@
 	if !t.job.spec.Gang {
 		acts := []Action{free}
 		if t.crashes == t.storedCrashes {
-			acts = append(acts, t.want())
+			acts = append(acts, t.placementRequest())
 		}
 		return acts
 	}
