--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -9,8 +9,8 @@
 	"pollencroft/internal/job"
 )
 
-// inLife is a worker's list in one of its lives.
-func inLife(worker, life string, sent time.Time, tasks ...job.ListedTask) job.WorkerList {
+// listInIncarnation is a worker's list in one of its lives.
+func listInIncarnation(worker, life string, sent time.Time, tasks ...job.ListedTask) job.WorkerList {
 	ev := seen(worker, sent, tasks...)
 	ev.Incarnation = life
 	return ev
@@ -18,11 +18,11 @@
 
 // crash starts a task on a worker that comes back in the next life without it.
 func crash(j *job.Jobs, task, worker, from, to string, at time.Time) []job.Action {
-	j.Step(at, inLife(worker, from, at))
+	j.Step(at, listInIncarnation(worker, from, at))
 	for _, a := range only[job.Start](j.Step(at, job.Placed{Task: task, Worker: worker})) {
 		j.Step(at, job.Started{Task: task, Attempt: a.Attempt})
 	}
-	return j.Step(at.Add(time.Second), inLife(worker, to, at.Add(time.Second)))
+	return j.Step(at.Add(time.Second), listInIncarnation(worker, to, at.Add(time.Second)))
 }
 
 func lives(acts []job.Action) int64 {
@@ -70,15 +70,15 @@
 	for name, end := range map[string]func(j *job.Jobs, a job.Start) []job.Action{
 		"the lease ran out": func(j *job.Jobs, a job.Start) []job.Action {
 			j.Step(now, job.Started{Task: a.Task, Attempt: a.Attempt})
-			return j.Step(later, inLife("w1", "1", later, listed(a.Task, "lapsed")))
+			return j.Step(later, listInIncarnation("w1", "1", later, listed(a.Task, "lapsed")))
 		},
 		"the start did not arrive in this life": func(j *job.Jobs, a job.Start) []job.Action {
 			j.Step(now, job.Unsure{Task: a.Task, Attempt: a.Attempt, Deadline: now})
-			return j.Step(later, inLife("w1", "1", later))
+			return j.Step(later, listInIncarnation("w1", "1", later))
 		},
 		"the worker took no connection": func(j *job.Jobs, a job.Start) []job.Action {
 			j.Step(now, job.Unsure{Task: a.Task, Attempt: a.Attempt, Deadline: now, Unreached: true})
-			return j.Step(later, inLife("w1", "2", later))
+			return j.Step(later, listInIncarnation("w1", "2", later))
 		},
 		"the worker is silent": func(j *job.Jobs, a job.Start) []job.Action {
 			j.Step(now, job.Started{Task: a.Task, Attempt: a.Attempt})
@@ -86,14 +86,14 @@
 		},
 		"the start arrived in the next life": func(j *job.Jobs, a job.Start) []job.Action {
 			j.Step(now, job.Unsure{Task: a.Task, Attempt: a.Attempt, Deadline: now})
-			j.Step(later, inLife("w1", "2", later, listed(a.Task, "running")))
-			return j.Step(later.Add(time.Second), inLife("w1", "2", later.Add(time.Second), listed(a.Task, "lapsed")))
+			j.Step(later, listInIncarnation("w1", "2", later, listed(a.Task, "running")))
+			return j.Step(later.Add(time.Second), listInIncarnation("w1", "2", later.Add(time.Second), listed(a.Task, "lapsed")))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			j := job.New()
 			j.Step(now, job.Submit{Spec: spec(1)})
-			j.Step(now, inLife("w1", "1", now))
+			j.Step(now, listInIncarnation("w1", "1", now))
 			acts := end(j, startOf(t, j, "d.r.j.0", "w1"))
 			require.Zero(t, lives(acts))
 			require.Len(t, only[job.RequestPlacement](acts), 1)
@@ -105,11 +105,11 @@
 func TestUnsureStartMayHaveCrashedItsWorker(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
-	j.Step(now, inLife("w1", "1", now))
+	j.Step(now, listInIncarnation("w1", "1", now))
 	a := startOf(t, j, "d.r.j.0", "w1")
 	j.Step(now, job.Unsure{Task: a.Task, Attempt: a.Attempt, Deadline: now.Add(3 * time.Second)})
-	require.Empty(t, j.Step(now, inLife("w1", "2", now.Add(time.Second))), "the start may still arrive")
-	require.Equal(t, int64(1), lives(j.Step(now, inLife("w1", "2", now.Add(4*time.Second)))))
+	require.Empty(t, j.Step(now, listInIncarnation("w1", "2", now.Add(time.Second))), "the start may still arrive")
+	require.Equal(t, int64(1), lives(j.Step(now, listInIncarnation("w1", "2", now.Add(4*time.Second)))))
 }
 
 // Guards against good tasks that are given up for their neighbours' sake.
@@ -120,7 +120,7 @@
 	j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})
 	confirm(j, "d.r.j.0", "w1")
 	confirm(j, "d.r.j.1", "w1")
-	acts := j.Step(now, inLife("w1", "3", now.Add(2*time.Second)))
+	acts := j.Step(now, listInIncarnation("w1", "3", now.Add(2*time.Second)))
 	require.Equal(t, []job.StoreCrashCount{{Job: "d.r.j", Task: "d.r.j.0", Worker: "w1", Crashes: 2}}, only[job.StoreCrashCount](acts))
 	require.Equal(t, []string{"d.r.j.1"}, only[job.RequestPlacement](acts)[0].Tasks)
 }
@@ -131,9 +131,9 @@
 	j.Step(now, job.Submit{Spec: spec(1)})
 	for range 10 {
 		confirm(j, "d.r.j.0", "w1")
-		j.Step(now, inLife("w1", "1", now.Add(time.Second), listed("d.r.j.0", "running")))
+		j.Step(now, listInIncarnation("w1", "1", now.Add(time.Second), listed("d.r.j.0", "running")))
 		later := now.Add(2 * time.Hour)
-		acts := j.Step(later, inLife("w1", "2", later))
+		acts := j.Step(later, listInIncarnation("w1", "2", later))
 		require.Zero(t, lives(acts))
 		require.False(t, only[job.RequestPlacement](acts)[0].Exclusive)
 		j = moved(t, j)
@@ -181,11 +181,11 @@
 	for life, want := range map[string]int64{"1": 0, "2": 1} {
 		j := job.New()
 		j.Step(now, job.Submit{Spec: spec(1)})
-		j.Step(now, inLife("w1", "1", now))
+		j.Step(now, listInIncarnation("w1", "1", now))
 		confirm(j, "d.r.j.0", "w1")
 		later := now.Add(time.Minute)
 		require.Len(t, only[job.RequestPlacement](j.Step(later, job.WorkerList{Worker: "w1", LeasesExpired: true})), 1)
-		acts := j.Step(later, inLife("w1", life, later))
+		acts := j.Step(later, listInIncarnation("w1", life, later))
 		require.Equal(t, want, lives(acts))
 		require.Len(t, only[job.Free](acts), int(want), "it waits until the crash is stored")
 		require.Len(t, only[job.RequestPlacement](j.Step(later, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), int(want))
@@ -204,13 +204,13 @@
 	}
 	j := job.New()
 	j.Step(now, job.Submit{Spec: gang})
-	j.Step(now, inLife("w1", "1", now))
+	j.Step(now, listInIncarnation("w1", "1", now))
 	confirm(j, "d.r.j.0", "w1")
 	confirm(j, "d.r.j.1", "w1")
 	j.Step(now, job.Drop{ID: "d.r.j", RememberPlaces: true})
 	j.Step(now, job.Inherit{Spec: gang})
 	later := now.Add(time.Minute)
-	j.Step(later, inLife("w1", "2", later))
+	j.Step(later, listInIncarnation("w1", "2", later))
 	last(j.Step(later, job.Release{ID: "d.r.j"}))
 	c, ok := j.Snapshot("d.r.j")
 	require.True(t, ok)
