--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -25,7 +25,7 @@
 	return j.Step(at.Add(time.Second), listInIncarnation(worker, to, at.Add(time.Second)))
 }
 
-func lives(acts []job.Action) int64 {
+func reportedCrashes(acts []job.Action) int64 {
 	n := int64(0)
 	for _, a := range only[job.StoreCrashCount](acts) {
 		n = max(n, a.Crashes)
@@ -38,7 +38,7 @@
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
 	acts := crash(j, "d.r.j.0", "w1", "1", "2", now)
-	require.Equal(t, int64(1), lives(acts))
+	require.Equal(t, int64(1), reportedCrashes(acts))
 	require.Empty(t, only[job.RequestPlacement](acts))
 	require.Len(t, only[job.RequestPlacement](j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), 1)
 	require.Empty(t, only[job.RequestPlacement](j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), "once is enough")
@@ -49,7 +49,7 @@
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(2)})
 	for n, worker := range []string{"w1", "w2"} {
-		require.Equal(t, int64(n+1), lives(crash(j, "d.r.j.0", worker, "1", "2", now)))
+		require.Equal(t, int64(n+1), reportedCrashes(crash(j, "d.r.j.0", worker, "1", "2", now)))
 		want := only[job.RequestPlacement](j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: int64(n + 1)}))
 		require.Equal(t, n == 1, want[0].Exclusive)
 	}
@@ -95,7 +95,7 @@
 			j.Step(now, job.Submit{Spec: spec(1)})
 			j.Step(now, listInIncarnation("w1", "1", now))
 			acts := end(j, startOf(t, j, "d.r.j.0", "w1"))
-			require.Zero(t, lives(acts))
+			require.Zero(t, reportedCrashes(acts))
 			require.Len(t, only[job.RequestPlacement](acts), 1)
 		})
 	}
@@ -109,7 +109,7 @@
 	a := startOf(t, j, "d.r.j.0", "w1")
 	j.Step(now, job.Unsure{Task: a.Task, Attempt: a.Attempt, Deadline: now.Add(3 * time.Second)})
 	require.Empty(t, j.Step(now, listInIncarnation("w1", "2", now.Add(time.Second))), "the start may still arrive")
-	require.Equal(t, int64(1), lives(j.Step(now, listInIncarnation("w1", "2", now.Add(4*time.Second)))))
+	require.Equal(t, int64(1), reportedCrashes(j.Step(now, listInIncarnation("w1", "2", now.Add(4*time.Second)))))
 }
 
 // Guards against good tasks that are given up for their neighbours' sake.
@@ -134,7 +134,7 @@
 		j.Step(now, listInIncarnation("w1", "1", now.Add(time.Second), listed("d.r.j.0", "running")))
 		later := now.Add(2 * time.Hour)
 		acts := j.Step(later, listInIncarnation("w1", "2", later))
-		require.Zero(t, lives(acts))
+		require.Zero(t, reportedCrashes(acts))
 		require.False(t, only[job.RequestPlacement](acts)[0].Exclusive)
 		j = moved(t, j)
 	}
@@ -165,7 +165,7 @@
 			j := job.New()
 			j.Step(now, job.Submit{Spec: spec(1)})
 			for n := range int64(3) {
-				require.Equal(t, n+1, lives(crash(j, "d.r.j.0", "w1", "1", "2", now)))
+				require.Equal(t, n+1, reportedCrashes(crash(j, "d.r.j.0", "w1", "1", "2", now)))
 				if n < 2 {
 					j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: n + 1})
 					j = next(j, n+1)
@@ -186,7 +186,7 @@
 		later := now.Add(time.Minute)
 		require.Len(t, only[job.RequestPlacement](j.Step(later, job.WorkerList{Worker: "w1", LeasesExpired: true})), 1)
 		acts := j.Step(later, listInIncarnation("w1", life, later))
-		require.Equal(t, want, lives(acts))
+		require.Equal(t, want, reportedCrashes(acts))
 		require.Len(t, only[job.Free](acts), int(want), "it waits until the crash is stored")
 		require.Len(t, only[job.RequestPlacement](j.Step(later, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), int(want))
 	}
