--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -136,12 +136,12 @@
 		acts := j.Step(later, listInIncarnation("w1", "2", later))
 		require.Zero(t, reportedCrashes(acts))
 		require.False(t, only[job.RequestPlacement](acts)[0].Exclusive)
-		j = moved(t, j)
+		j = handOver(t, j)
 	}
 }
 
-// moved hands the job over to another lead.
-func moved(t *testing.T, j *job.Jobs) *job.Jobs {
+// handOver hands the job over to another lead.
+func handOver(t *testing.T, j *job.Jobs) *job.Jobs {
 	t.Helper()
 	c, ok := j.Snapshot("d.r.j")
 	require.True(t, ok)
@@ -153,7 +153,7 @@
 // Guards against a count that each new lead begins anew.
 func TestCrashesOutliveTheLead(t *testing.T) {
 	for how, next := range map[string]func(j *job.Jobs, lives int64) *job.Jobs{
-		"handed over": func(j *job.Jobs, _ int64) *job.Jobs { return moved(t, j) },
+		"handed over": func(j *job.Jobs, _ int64) *job.Jobs { return handOver(t, j) },
 		"inherited": func(_ *job.Jobs, lives int64) *job.Jobs {
 			j := job.New()
 			j.Step(now, job.Inherit{Spec: spec(1)})
