--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -19,7 +19,7 @@
 // crash starts a task on a worker that comes back in the next life without it.
 func crash(j *job.Jobs, task, worker, from, to string, at time.Time) []job.Action {
 	j.Step(at, listInIncarnation(worker, from, at))
-	for _, a := range only[job.Start](j.Step(at, job.Placed{Task: task, Worker: worker})) {
+	for _, a := range actionsOf[job.Start](j.Step(at, job.Placed{Task: task, Worker: worker})) {
 		j.Step(at, job.Started{Task: task, Attempt: a.Attempt})
 	}
 	return j.Step(at.Add(time.Second), listInIncarnation(worker, to, at.Add(time.Second)))
@@ -27,7 +27,7 @@
 
 func reportedCrashes(acts []job.Action) int64 {
 	n := int64(0)
-	for _, a := range only[job.StoreCrashCount](acts) {
+	for _, a := range actionsOf[job.StoreCrashCount](acts) {
 		n = max(n, a.Crashes)
 	}
 	return n
@@ -39,9 +39,9 @@
 	j.Step(now, job.Submit{Spec: spec(1)})
 	acts := crash(j, "d.r.j.0", "w1", "1", "2", now)
 	require.Equal(t, int64(1), reportedCrashes(acts))
-	require.Empty(t, only[job.RequestPlacement](acts))
-	require.Len(t, only[job.RequestPlacement](j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), 1)
-	require.Empty(t, only[job.RequestPlacement](j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), "once is enough")
+	require.Empty(t, actionsOf[job.RequestPlacement](acts))
+	require.Len(t, actionsOf[job.RequestPlacement](j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), 1)
+	require.Empty(t, actionsOf[job.RequestPlacement](j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), "once is enough")
 }
 
 // Guards against a task that crashes its workers again and again beside others.
@@ -50,11 +50,11 @@
 	j.Step(now, job.Submit{Spec: spec(2)})
 	for n, worker := range []string{"w1", "w2"} {
 		require.Equal(t, int64(n+1), reportedCrashes(crash(j, "d.r.j.0", worker, "1", "2", now)))
-		want := only[job.RequestPlacement](j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: int64(n + 1)}))
+		want := actionsOf[job.RequestPlacement](j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: int64(n + 1)}))
 		require.Equal(t, n == 1, want[0].Exclusive)
 	}
 	acts := crash(j, "d.r.j.0", "w3", "1", "2", now)
-	ended := only[job.Ended](acts)
+	ended := actionsOf[job.Ended](acts)
 	require.Len(t, ended, 1)
 	require.Equal(t, "failed", ended[0].State)
 	require.Equal(t, (&job.CrashedError{Task: "d.r.j.0", Crashes: 3}).Error(), ended[0].Reason)
@@ -96,7 +96,7 @@
 			j.Step(now, listInIncarnation("w1", "1", now))
 			acts := end(j, startOf(t, j, "d.r.j.0", "w1"))
 			require.Zero(t, reportedCrashes(acts))
-			require.Len(t, only[job.RequestPlacement](acts), 1)
+			require.Len(t, actionsOf[job.RequestPlacement](acts), 1)
 		})
 	}
 }
@@ -121,8 +121,8 @@
 	confirm(j, "d.r.j.0", "w1")
 	confirm(j, "d.r.j.1", "w1")
 	acts := j.Step(now, listInIncarnation("w1", "3", now.Add(2*time.Second)))
-	require.Equal(t, []job.StoreCrashCount{{Job: "d.r.j", Task: "d.r.j.0", Worker: "w1", Crashes: 2}}, only[job.StoreCrashCount](acts))
-	require.Equal(t, []string{"d.r.j.1"}, only[job.RequestPlacement](acts)[0].Tasks)
+	require.Equal(t, []job.StoreCrashCount{{Job: "d.r.j", Task: "d.r.j.0", Worker: "w1", Crashes: 2}}, actionsOf[job.StoreCrashCount](acts))
+	require.Equal(t, []string{"d.r.j.1"}, actionsOf[job.RequestPlacement](acts)[0].Tasks)
 }
 
 // Guards against services that are given up because workers crash now and then.
@@ -135,7 +135,7 @@
 		later := now.Add(2 * time.Hour)
 		acts := j.Step(later, listInIncarnation("w1", "2", later))
 		require.Zero(t, reportedCrashes(acts))
-		require.False(t, only[job.RequestPlacement](acts)[0].Exclusive)
+		require.False(t, actionsOf[job.RequestPlacement](acts)[0].Exclusive)
 		j = handOver(t, j)
 	}
 }
@@ -184,11 +184,11 @@
 		j.Step(now, listInIncarnation("w1", "1", now))
 		confirm(j, "d.r.j.0", "w1")
 		later := now.Add(time.Minute)
-		require.Len(t, only[job.RequestPlacement](j.Step(later, job.WorkerList{Worker: "w1", LeasesExpired: true})), 1)
+		require.Len(t, actionsOf[job.RequestPlacement](j.Step(later, job.WorkerList{Worker: "w1", LeasesExpired: true})), 1)
 		acts := j.Step(later, listInIncarnation("w1", life, later))
 		require.Equal(t, want, reportedCrashes(acts))
-		require.Len(t, only[job.Free](acts), int(want), "it waits until the crash is stored")
-		require.Len(t, only[job.RequestPlacement](j.Step(later, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), int(want))
+		require.Len(t, actionsOf[job.Free](acts), int(want), "it waits until the crash is stored")
+		require.Len(t, actionsOf[job.RequestPlacement](j.Step(later, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), int(want))
 	}
 }
 
@@ -199,7 +199,7 @@
 	gang.Gang = true
 	last := func(acts []job.Action) {
 		t.Helper()
-		require.NotEmpty(t, only[job.StoreCrashCount](acts))
+		require.NotEmpty(t, actionsOf[job.StoreCrashCount](acts))
 		require.IsType(t, job.StoreCrashCount{}, acts[len(acts)-1])
 	}
 	j := job.New()
--- a/internal/job/inherit_test.go
+++ b/internal/job/inherit_test.go
@@ -9,7 +9,7 @@
 	"pollencroft/internal/job"
 )
 
-func only[T job.Action](acts []job.Action) []T {
+func actionsOf[T job.Action](acts []job.Action) []T {
 	var found []T
 	for _, a := range acts {
 		if a, ok := a.(T); ok {
@@ -29,7 +29,7 @@
 
 // confirm puts a task on a worker, which confirms the start.
 func confirm(j *job.Jobs, task, worker string) {
-	for _, a := range only[job.Start](j.Step(now, job.Placed{Task: task, Worker: worker})) {
+	for _, a := range actionsOf[job.Start](j.Step(now, job.Placed{Task: task, Worker: worker})) {
 		j.Step(now, job.Started{Task: task, Attempt: a.Attempt})
 	}
 }
@@ -51,9 +51,9 @@
 	require.Empty(t, j.Step(now, job.Inherit{Spec: spec(3)}))
 	j.Step(now, seen("w1", now, listed("d.r.j.0", "running")))
 	acts := j.Step(now, seen("w2", now, listed("d.r.j.1", "ended"), listed("d.r.j.2", "failed")))
-	require.Empty(t, only[job.RequestPlacement](acts))
-	require.Equal(t, []job.Forget{{Task: "d.r.j.2", Worker: "w2", Lease: "l-d.r.j.2"}}, only[job.Forget](acts))
-	want := only[job.RequestPlacement](j.Step(now, job.Release{ID: "d.r.j"}))
+	require.Empty(t, actionsOf[job.RequestPlacement](acts))
+	require.Equal(t, []job.Forget{{Task: "d.r.j.2", Worker: "w2", Lease: "l-d.r.j.2"}}, actionsOf[job.Forget](acts))
+	want := actionsOf[job.RequestPlacement](j.Step(now, job.Release{ID: "d.r.j"}))
 	require.Equal(t, []string{"d.r.j.2"}, want[0].Tasks)
 	s, err := j.Status("d.r.j")
 	require.NoError(t, err)
@@ -72,8 +72,8 @@
 		if state == "" {
 			later.Tasks = nil
 		}
-		require.Empty(t, only[job.RequestPlacement](j.Step(now.Add(time.Second), later)), state)
-		require.Len(t, only[job.RequestPlacement](j.Step(now.Add(2*time.Second), job.Release{ID: "d.r.j"})), 1, state)
+		require.Empty(t, actionsOf[job.RequestPlacement](j.Step(now.Add(time.Second), later)), state)
+		require.Len(t, actionsOf[job.RequestPlacement](j.Step(now.Add(2*time.Second), job.Release{ID: "d.r.j"})), 1, state)
 	}
 }
 
@@ -83,7 +83,7 @@
 func TestListFromBeforeTheStartProvesNothing(t *testing.T) {
 	j := started(1)
 	require.Empty(t, j.Step(now.Add(time.Second), seen("w1", now.Add(-time.Millisecond))))
-	want := only[job.RequestPlacement](j.Step(now.Add(time.Second), seen("w1", now.Add(time.Millisecond))))
+	want := actionsOf[job.RequestPlacement](j.Step(now.Add(time.Second), seen("w1", now.Add(time.Millisecond))))
 	require.Len(t, want, 1, "a later list shows that it lapsed")
 }
 
@@ -98,7 +98,7 @@
 	j.Step(now, seen("w1", now.Add(time.Second)))
 	require.Equal(t, "stopping", state(t, j))
 	acts := j.Step(now, seen("w1", now.Add(2*time.Second), listed("d.r.j.0", "running")))
-	require.Len(t, only[job.Stop](acts), 1, "it is stopped again")
+	require.Len(t, actionsOf[job.Stop](acts), 1, "it is stopped again")
 	j.Step(now, seen("w1", now.Add(4*time.Second)))
 	require.Equal(t, "cancelled", state(t, j))
 }
@@ -108,9 +108,9 @@
 func TestEndedTasksAreForgottenOnlyWhenTheEndIsKept(t *testing.T) {
 	j := started(2)
 	acts := j.Step(now, seen("w1", now, listed("d.r.j.0", "ended"), listed("d.r.j.1", "ended")))
-	require.Equal(t, []job.Ended{{ID: "d.r.j", State: "ended"}}, only[job.Ended](acts))
-	require.Empty(t, only[job.Forget](acts))
-	require.Len(t, only[job.Forget](j.Step(now, job.EndStored{ID: "d.r.j"})), 2)
+	require.Equal(t, []job.Ended{{ID: "d.r.j", State: "ended"}}, actionsOf[job.Ended](acts))
+	require.Empty(t, actionsOf[job.Forget](acts))
+	require.Len(t, actionsOf[job.Forget](j.Step(now, job.EndStored{ID: "d.r.j"})), 2)
 }
 
 // A live lead hands a job over with a start still under way. The next lead must
@@ -127,11 +127,11 @@
 	require.Error(t, err)
 
 	to := job.New()
-	want := only[job.RequestPlacement](to.Step(now, job.Adopt{Snapshot: c}))
+	want := actionsOf[job.RequestPlacement](to.Step(now, job.Adopt{Snapshot: c}))
 	require.Equal(t, []string{"d.r.j.1"}, want[0].Tasks)
 	require.Empty(t, to.Step(now, job.Adopt{Snapshot: c}), "the same hand-over again changes nothing")
 	require.Empty(t, to.Step(now, seen("w1", now.Add(2*time.Second))))
-	again := only[job.RequestPlacement](to.Step(now, seen("w1", now.Add(4*time.Second))))
+	again := actionsOf[job.RequestPlacement](to.Step(now, seen("w1", now.Add(4*time.Second))))
 	require.Equal(t, []string{"d.r.j.0"}, again[0].Tasks)
 }
 
@@ -140,13 +140,13 @@
 func TestHandOverThatComesAgainIsPassedOver(t *testing.T) {
 	j := job.New()
 	first := job.Snapshot{HandoverID: "h1", Spec: spec(1), State: "waiting", Tasks: []job.TaskSnapshot{{State: "waiting"}}}
-	require.Len(t, only[job.RequestPlacement](j.Step(now, job.Adopt{Snapshot: first})), 1)
+	require.Len(t, actionsOf[job.RequestPlacement](j.Step(now, job.Adopt{Snapshot: first})), 1)
 	startOf(t, j, "d.r.j.0", "w1")
 	j.Step(now, job.Drop{ID: "d.r.j"})
 	require.Empty(t, j.Step(now, job.Adopt{Snapshot: first}))
 	require.Empty(t, j.Open())
 	first.HandoverID = "h2"
-	require.Len(t, only[job.RequestPlacement](j.Step(now, job.Adopt{Snapshot: first})), 1, "a new hand-over of the job is adopted")
+	require.Len(t, actionsOf[job.RequestPlacement](j.Step(now, job.Adopt{Snapshot: first})), 1, "a new hand-over of the job is adopted")
 }
 
 // A worker was silent for longer than any lease. What ran there runs no more
@@ -154,7 +154,7 @@
 func TestTasksOfASilentWorkerAreStartedElsewhere(t *testing.T) {
 	j := started(1)
 	require.Equal(t, []string{"w1"}, j.Workers())
-	require.Len(t, only[job.RequestPlacement](j.Step(now, job.WorkerList{Worker: "w1", LeasesExpired: true})), 1)
+	require.Len(t, actionsOf[job.RequestPlacement](j.Step(now, job.WorkerList{Worker: "w1", LeasesExpired: true})), 1)
 }
 
 // A host leads jobs for weeks. It must not remember every task that ever ran.
--- a/internal/job/retry_test.go
+++ b/internal/job/retry_test.go
@@ -30,12 +30,12 @@
 // stopped, and only when the last has stopped is room asked for all together.
 func TestGangWithAFailedStartComesTogetherAgain(t *testing.T) {
 	j := job.New()
-	put(j, only[job.RequestPlacement](j.Step(now, job.Submit{Spec: gang(3)})))
+	put(j, actionsOf[job.RequestPlacement](j.Step(now, job.Submit{Spec: gang(3)})))
 	acts := j.Step(now, seen("w1", now.Add(time.Second)))
-	require.Equal(t, []job.Pause{{Task: "d.r.j.0", Worker: "w0", Attempt: 1}, {Task: "d.r.j.2", Worker: "w2", Attempt: 3}}, only[job.Pause](acts))
-	require.Empty(t, only[job.RequestPlacement](acts))
-	require.Empty(t, only[job.RequestPlacement](j.Step(now, job.Stopped{Task: "d.r.j.0", Attempt: 1})))
-	want := only[job.RequestPlacement](j.Step(now, job.Stopped{Task: "d.r.j.2", Attempt: 3}))
+	require.Equal(t, []job.Pause{{Task: "d.r.j.0", Worker: "w0", Attempt: 1}, {Task: "d.r.j.2", Worker: "w2", Attempt: 3}}, actionsOf[job.Pause](acts))
+	require.Empty(t, actionsOf[job.RequestPlacement](acts))
+	require.Empty(t, actionsOf[job.RequestPlacement](j.Step(now, job.Stopped{Task: "d.r.j.0", Attempt: 1})))
+	want := actionsOf[job.RequestPlacement](j.Step(now, job.Stopped{Task: "d.r.j.2", Attempt: 3}))
 	require.Len(t, want, 1)
 	require.Equal(t, []string{"d.r.j.0", "d.r.j.1", "d.r.j.2"}, want[0].Tasks)
 	put(j, want)
@@ -48,19 +48,19 @@
 // after its worker has confirmed the stop, and it loses no try by it.
 func TestPreemptionUsesUpNoTry(t *testing.T) {
 	j := job.New()
-	wants := only[job.RequestPlacement](j.Step(now, job.Submit{Spec: spec(1)}))
+	wants := actionsOf[job.RequestPlacement](j.Step(now, job.Submit{Spec: spec(1)}))
 	for n := range int64(5) {
 		put(j, wants)
 		acts := j.Step(now, job.Preempt{Task: "d.r.j.0"})
 		require.Equal(t, []job.Action{job.Pause{Task: "d.r.j.0", Worker: "w0", Attempt: n + 1}}, acts)
 		require.Empty(t, j.Step(now, job.Preempt{Task: "d.r.j.0"}), "once is enough")
-		require.Empty(t, only[job.Free](j.Step(now, seen("w0", now.Add(-time.Second)))))
-		wants = only[job.RequestPlacement](j.Step(now, job.Stopped{Task: "d.r.j.0", Attempt: n + 1}))
+		require.Empty(t, actionsOf[job.Free](j.Step(now, seen("w0", now.Add(-time.Second)))))
+		wants = actionsOf[job.RequestPlacement](j.Step(now, job.Stopped{Task: "d.r.j.0", Attempt: n + 1}))
 		require.Len(t, wants, 1)
 	}
 	put(j, wants)
 	fails := j.Step(now, seen("w0", now.Add(time.Second), listed("d.r.j.0", "failed")))
-	require.Equal(t, []string{"w0"}, only[job.RequestPlacement](fails)[0].Avoid, "the first failure is tried again, elsewhere")
+	require.Equal(t, []string{"w0"}, actionsOf[job.RequestPlacement](fails)[0].Avoid, "the first failure is tried again, elsewhere")
 }
 
 // The stop of a preempted task has no answer. While the worker lists it the
@@ -71,7 +71,7 @@
 	acts := j.Step(now, seen("w1", now.Add(time.Second), listed("d.r.j.0", "running")))
 	require.Equal(t, []job.Action{job.Pause{Task: "d.r.j.0", Worker: "w1", Attempt: 1}}, acts)
 	acts = j.Step(now, seen("w1", now.Add(2*time.Second), listed("d.r.j.0", "stopped")))
-	require.Len(t, only[job.RequestPlacement](acts), 1)
+	require.Len(t, actionsOf[job.RequestPlacement](acts), 1)
 }
 
 // A preempted task ends before its stop arrives, or its job is cancelled. Both
@@ -83,8 +83,8 @@
 	require.Equal(t, "ended", state(t, j))
 	j = started(1)
 	j.Step(now, job.Preempt{Task: "d.r.j.0"})
-	require.Len(t, only[job.Stop](j.Step(now, job.Cancel{ID: "d.r.j"})), 1)
-	require.Empty(t, only[job.RequestPlacement](j.Step(now, job.Stopped{Task: "d.r.j.0", Attempt: 1})))
+	require.Len(t, actionsOf[job.Stop](j.Step(now, job.Cancel{ID: "d.r.j"})), 1)
+	require.Empty(t, actionsOf[job.RequestPlacement](j.Step(now, job.Stopped{Task: "d.r.j.0", Attempt: 1})))
 	require.Equal(t, "cancelled", state(t, j))
 }
 
@@ -94,7 +94,7 @@
 	j := job.New()
 	s := spec(5000)
 	s.Tries = 100
-	waiting := only[job.RequestPlacement](j.Step(now, job.Submit{Spec: s}))[0].Tasks
+	waiting := actionsOf[job.RequestPlacement](j.Step(now, job.Submit{Spec: s}))[0].Tasks
 	starts := 0
 	for state(t, j) != "failed" {
 		id := waiting[0]
@@ -102,7 +102,7 @@
 		starts++
 		confirm(j, id, "w1")
 		acts := j.Step(now, seen("w1", now.Add(time.Second), listed(id, "failed")))
-		for _, w := range only[job.RequestPlacement](acts) {
+		for _, w := range actionsOf[job.RequestPlacement](acts) {
 			waiting = append(waiting, w.Tasks...)
 		}
 	}
@@ -110,7 +110,7 @@
 	retries := 0
 	for range 10 {
 		confirm(j, waiting[0], "w1")
-		retries += len(only[job.RequestPlacement](j.Step(now, seen("w1", now.Add(time.Second), listed(waiting[0], "failed")))))
+		retries += len(actionsOf[job.RequestPlacement](j.Step(now, seen("w1", now.Add(time.Second), listed(waiting[0], "failed")))))
 	}
 	require.Zero(t, retries)
 }
--- a/internal/job/stale_test.go
+++ b/internal/job/stale_test.go
@@ -12,7 +12,7 @@
 // startOf puts a task on a worker and returns the start that is sent for it.
 func startOf(t *testing.T, j *job.Jobs, task, worker string) job.Start {
 	t.Helper()
-	starts := only[job.Start](j.Step(now, job.Placed{Task: task, Worker: worker}))
+	starts := actionsOf[job.Start](j.Step(now, job.Placed{Task: task, Worker: worker}))
 	require.Len(t, starts, 1)
 	return starts[0]
 }
@@ -20,8 +20,8 @@
 // preempt stops a task before its start's own answer is there.
 func preempt(t *testing.T, j *job.Jobs, task string) {
 	t.Helper()
-	for _, a := range only[job.Pause](j.Step(now, job.Preempt{Task: task})) {
-		require.Len(t, only[job.RequestPlacement](j.Step(now, job.Stopped{Task: task, Attempt: a.Attempt})), 1)
+	for _, a := range actionsOf[job.Pause](j.Step(now, job.Preempt{Task: task})) {
+		require.Len(t, actionsOf[job.RequestPlacement](j.Step(now, job.Stopped{Task: task, Attempt: a.Attempt})), 1)
 	}
 }
 
@@ -64,8 +64,8 @@
 // the stop of the same task on its next worker.
 func TestLateStopOfAFormerTryChangesNothing(t *testing.T) {
 	j := job.New()
-	put(j, only[job.RequestPlacement](j.Step(now, job.Submit{Spec: spec(1)})))
-	first := only[job.Pause](j.Step(now, job.Preempt{Task: "d.r.j.0"}))[0]
+	put(j, actionsOf[job.RequestPlacement](j.Step(now, job.Submit{Spec: spec(1)})))
+	first := actionsOf[job.Pause](j.Step(now, job.Preempt{Task: "d.r.j.0"}))[0]
 	j.Step(now, seen("w0", now.Add(time.Second), listed("d.r.j.0", "stopped")))
 	next := startOf(t, j, "d.r.j.0", "w1")
 	j.Step(now, job.Started{Task: "d.r.j.0", Attempt: next.Attempt})
@@ -85,5 +85,5 @@
 	require.Empty(t, j.Step(now, list))
 	list.Jobs = append(list.Jobs, "d.r.j")
 	acts := j.Step(now, list)
-	require.Len(t, only[job.RequestPlacement](acts), 1)
+	require.Len(t, actionsOf[job.RequestPlacement](acts), 1)
 }
