--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -11,7 +11,7 @@
 
 // listInIncarnation is a worker's list in one of its lives.
 func listInIncarnation(worker, life string, sent time.Time, tasks ...job.ListedTask) job.WorkerList {
-	ev := seen(worker, sent, tasks...)
+	ev := listOf(worker, sent, tasks...)
 	ev.Incarnation = life
 	return ev
 }
--- a/internal/job/former_test.go
+++ b/internal/job/former_test.go
@@ -20,11 +20,11 @@
 		j.Step(now, job.Submit{Spec: spec(1)})
 		next := startOf(t, j, "d.r.j.0", "w1")
 		line := listed("d.r.j.0", state)
-		require.Empty(t, j.Step(now, seen("w1", now.Add(-time.Second), line)), "a list from before the start")
-		require.Empty(t, j.Step(now, seen("w1", now.Add(time.Second), line)), "the start has not landed yet")
+		require.Empty(t, j.Step(now, listOf("w1", now.Add(-time.Second), line)), "a list from before the start")
+		require.Empty(t, j.Step(now, listOf("w1", now.Add(time.Second), line)), "the start has not landed yet")
 		j.Step(now.Add(2*time.Second), job.Started{Task: "d.r.j.0", Attempt: next.Attempt})
-		require.Empty(t, j.Step(now, seen("w1", now.Add(time.Second), line)), "a list from before the confirmation")
-		require.Len(t, actionsOf[job.RequestPlacement](j.Step(now, seen("w1", now.Add(3*time.Second), line))), 1, state)
+		require.Empty(t, j.Step(now, listOf("w1", now.Add(time.Second), line)), "a list from before the confirmation")
+		require.Len(t, actionsOf[job.RequestPlacement](j.Step(now, listOf("w1", now.Add(3*time.Second), line))), 1, state)
 	}
 }
 
@@ -39,8 +39,8 @@
 		j.Step(now, job.StartSent{Task: "d.r.j.0", Deadline: deadline})
 		j.Step(now, job.Unsure{Task: "d.r.j.0", Attempt: next.Attempt, Deadline: deadline})
 		line := listed("d.r.j.0", state)
-		require.Empty(t, j.Step(now, seen("w1", now.Add(2*time.Second), line)))
-		require.Len(t, actionsOf[job.RequestPlacement](j.Step(now, seen("w1", now.Add(4*time.Second), line))), 1, state)
+		require.Empty(t, j.Step(now, listOf("w1", now.Add(2*time.Second), line)))
+		require.Len(t, actionsOf[job.RequestPlacement](j.Step(now, listOf("w1", now.Add(4*time.Second), line))), 1, state)
 	}
 }
 
@@ -50,8 +50,8 @@
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
 	startOf(t, j, "d.r.j.0", "w1")
-	require.Empty(t, j.Step(now, seen("w1", now.Add(-time.Second), listed("d.r.j.0", "running"))))
-	require.Empty(t, actionsOf[job.RequestPlacement](j.Step(now, seen("w1", now.Add(time.Second)))))
+	require.Empty(t, j.Step(now, listOf("w1", now.Add(-time.Second), listed("d.r.j.0", "running"))))
+	require.Empty(t, actionsOf[job.RequestPlacement](j.Step(now, listOf("w1", now.Add(time.Second)))))
 }
 
 // Guards against a task that runs twice: the start of a task that is being stopped has no answer
@@ -62,8 +62,8 @@
 	startOf(t, j, "d.r.j.0", "w1")
 	j.Step(now, job.StartSent{Task: "d.r.j.0", Deadline: now.Add(3 * time.Second)})
 	j.Step(now, job.Preempt{Task: "d.r.j.0"})
-	require.Empty(t, actionsOf[job.RequestPlacement](j.Step(now, seen("w1", now.Add(2*time.Second), listed("d.r.j.0", "lapsed")))))
-	require.Len(t, actionsOf[job.RequestPlacement](j.Step(now, seen("w1", now.Add(4*time.Second), listed("d.r.j.0", "lapsed")))), 1)
+	require.Empty(t, actionsOf[job.RequestPlacement](j.Step(now, listOf("w1", now.Add(2*time.Second), listed("d.r.j.0", "lapsed")))))
+	require.Len(t, actionsOf[job.RequestPlacement](j.Step(now, listOf("w1", now.Add(4*time.Second), listed("d.r.j.0", "lapsed")))), 1)
 }
 
 // Guards against a job that fails with tries left: a task whose start had no answer has failed.
@@ -72,7 +72,7 @@
 	j.Step(now, job.Submit{Spec: spec(1)})
 	first := startOf(t, j, "d.r.j.0", "w1")
 	j.Step(now, job.Unsure{Task: "d.r.j.0", Attempt: first.Attempt, Deadline: now.Add(time.Second)})
-	acts := j.Step(now, seen("w1", now.Add(2*time.Second), listed("d.r.j.0", "failed")))
+	acts := j.Step(now, listOf("w1", now.Add(2*time.Second), listed("d.r.j.0", "failed")))
 	require.Equal(t, []string{"w1"}, actionsOf[job.RequestPlacement](acts)[0].Avoid)
 	require.Equal(t, "waiting", state(t, j))
 }
--- a/internal/job/inherit_test.go
+++ b/internal/job/inherit_test.go
@@ -19,7 +19,7 @@
 	return found
 }
 
-func seen(worker string, sent time.Time, tasks ...job.ListedTask) job.WorkerList {
+func listOf(worker string, sent time.Time, tasks ...job.ListedTask) job.WorkerList {
 	return job.WorkerList{Worker: worker, Clock: sent, Sent: sent, Tasks: tasks}
 }
 
@@ -49,8 +49,8 @@
 func TestInheritedJobGoesOnWhereItWas(t *testing.T) {
 	j := job.New()
 	require.Empty(t, j.Step(now, job.Inherit{Spec: spec(3)}))
-	j.Step(now, seen("w1", now, listed("d.r.j.0", "running")))
-	acts := j.Step(now, seen("w2", now, listed("d.r.j.1", "ended"), listed("d.r.j.2", "failed")))
+	j.Step(now, listOf("w1", now, listed("d.r.j.0", "running")))
+	acts := j.Step(now, listOf("w2", now, listed("d.r.j.1", "ended"), listed("d.r.j.2", "failed")))
 	require.Empty(t, actionsOf[job.RequestPlacement](acts))
 	require.Equal(t, []job.Forget{{Task: "d.r.j.2", Worker: "w2", Lease: "l-d.r.j.2"}}, actionsOf[job.Forget](acts))
 	want := actionsOf[job.RequestPlacement](j.Step(now, job.Release{ID: "d.r.j"}))
@@ -67,8 +67,8 @@
 	for _, state := range append(over, "") {
 		j := job.New()
 		j.Step(now, job.Inherit{Spec: spec(1)})
-		j.Step(now, seen("w1", now, listed("d.r.j.0", "running")))
-		later := seen("w1", now.Add(time.Second), listed("d.r.j.0", state))
+		j.Step(now, listOf("w1", now, listed("d.r.j.0", "running")))
+		later := listOf("w1", now.Add(time.Second), listed("d.r.j.0", state))
 		if state == "" {
 			later.Tasks = nil
 		}
@@ -82,8 +82,8 @@
 // task would be started a second time beside the first.
 func TestListFromBeforeTheStartProvesNothing(t *testing.T) {
 	j := started(1)
-	require.Empty(t, j.Step(now.Add(time.Second), seen("w1", now.Add(-time.Millisecond))))
-	want := actionsOf[job.RequestPlacement](j.Step(now.Add(time.Second), seen("w1", now.Add(time.Millisecond))))
+	require.Empty(t, j.Step(now.Add(time.Second), listOf("w1", now.Add(-time.Millisecond))))
+	want := actionsOf[job.RequestPlacement](j.Step(now.Add(time.Second), listOf("w1", now.Add(time.Millisecond))))
 	require.Len(t, want, 1, "a later list shows that it lapsed")
 }
 
@@ -95,11 +95,11 @@
 	j.Step(now, job.Placed{Task: "d.r.j.0", Worker: "w1"})
 	j.Step(now, job.StartSent{Task: "d.r.j.0", Deadline: now.Add(3 * time.Second)})
 	j.Step(now, job.Cancel{ID: "d.r.j"})
-	j.Step(now, seen("w1", now.Add(time.Second)))
+	j.Step(now, listOf("w1", now.Add(time.Second)))
 	require.Equal(t, "stopping", state(t, j))
-	acts := j.Step(now, seen("w1", now.Add(2*time.Second), listed("d.r.j.0", "running")))
+	acts := j.Step(now, listOf("w1", now.Add(2*time.Second), listed("d.r.j.0", "running")))
 	require.Len(t, actionsOf[job.Stop](acts), 1, "it is stopped again")
-	j.Step(now, seen("w1", now.Add(4*time.Second)))
+	j.Step(now, listOf("w1", now.Add(4*time.Second)))
 	require.Equal(t, "cancelled", state(t, j))
 }
 
@@ -107,7 +107,7 @@
 // told before a successor could know it from the log, it would run them again.
 func TestEndedTasksAreForgottenOnlyWhenTheEndIsKept(t *testing.T) {
 	j := started(2)
-	acts := j.Step(now, seen("w1", now, listed("d.r.j.0", "ended"), listed("d.r.j.1", "ended")))
+	acts := j.Step(now, listOf("w1", now, listed("d.r.j.0", "ended"), listed("d.r.j.1", "ended")))
 	require.Equal(t, []job.Ended{{ID: "d.r.j", State: "ended"}}, actionsOf[job.Ended](acts))
 	require.Empty(t, actionsOf[job.Forget](acts))
 	require.Len(t, actionsOf[job.Forget](j.Step(now, job.EndStored{ID: "d.r.j"})), 2)
@@ -130,8 +130,8 @@
 	want := actionsOf[job.RequestPlacement](to.Step(now, job.Adopt{Snapshot: c}))
 	require.Equal(t, []string{"d.r.j.1"}, want[0].Tasks)
 	require.Empty(t, to.Step(now, job.Adopt{Snapshot: c}), "the same hand-over again changes nothing")
-	require.Empty(t, to.Step(now, seen("w1", now.Add(2*time.Second))))
-	again := actionsOf[job.RequestPlacement](to.Step(now, seen("w1", now.Add(4*time.Second))))
+	require.Empty(t, to.Step(now, listOf("w1", now.Add(2*time.Second))))
+	again := actionsOf[job.RequestPlacement](to.Step(now, listOf("w1", now.Add(4*time.Second))))
 	require.Equal(t, []string{"d.r.j.0"}, again[0].Tasks)
 }
 
--- a/internal/job/retry_test.go
+++ b/internal/job/retry_test.go
@@ -31,7 +31,7 @@
 func TestGangWithAFailedStartComesTogetherAgain(t *testing.T) {
 	j := job.New()
 	put(j, actionsOf[job.RequestPlacement](j.Step(now, job.Submit{Spec: gang(3)})))
-	acts := j.Step(now, seen("w1", now.Add(time.Second)))
+	acts := j.Step(now, listOf("w1", now.Add(time.Second)))
 	require.Equal(t, []job.Pause{{Task: "d.r.j.0", Worker: "w0", Attempt: 1}, {Task: "d.r.j.2", Worker: "w2", Attempt: 3}}, actionsOf[job.Pause](acts))
 	require.Empty(t, actionsOf[job.RequestPlacement](acts))
 	require.Empty(t, actionsOf[job.RequestPlacement](j.Step(now, job.Stopped{Task: "d.r.j.0", Attempt: 1})))
@@ -54,12 +54,12 @@
 		acts := j.Step(now, job.Preempt{Task: "d.r.j.0"})
 		require.Equal(t, []job.Action{job.Pause{Task: "d.r.j.0", Worker: "w0", Attempt: n + 1}}, acts)
 		require.Empty(t, j.Step(now, job.Preempt{Task: "d.r.j.0"}), "once is enough")
-		require.Empty(t, actionsOf[job.Free](j.Step(now, seen("w0", now.Add(-time.Second)))))
+		require.Empty(t, actionsOf[job.Free](j.Step(now, listOf("w0", now.Add(-time.Second)))))
 		wants = actionsOf[job.RequestPlacement](j.Step(now, job.Stopped{Task: "d.r.j.0", Attempt: n + 1}))
 		require.Len(t, wants, 1)
 	}
 	put(j, wants)
-	fails := j.Step(now, seen("w0", now.Add(time.Second), listed("d.r.j.0", "failed")))
+	fails := j.Step(now, listOf("w0", now.Add(time.Second), listed("d.r.j.0", "failed")))
 	require.Equal(t, []string{"w0"}, actionsOf[job.RequestPlacement](fails)[0].Avoid, "the first failure is tried again, elsewhere")
 }
 
@@ -68,9 +68,9 @@
 func TestPreemptedTaskWaitsForItsStop(t *testing.T) {
 	j := started(1)
 	j.Step(now, job.Preempt{Task: "d.r.j.0"})
-	acts := j.Step(now, seen("w1", now.Add(time.Second), listed("d.r.j.0", "running")))
+	acts := j.Step(now, listOf("w1", now.Add(time.Second), listed("d.r.j.0", "running")))
 	require.Equal(t, []job.Action{job.Pause{Task: "d.r.j.0", Worker: "w1", Attempt: 1}}, acts)
-	acts = j.Step(now, seen("w1", now.Add(2*time.Second), listed("d.r.j.0", "stopped")))
+	acts = j.Step(now, listOf("w1", now.Add(2*time.Second), listed("d.r.j.0", "stopped")))
 	require.Len(t, actionsOf[job.RequestPlacement](acts), 1)
 }
 
@@ -79,7 +79,7 @@
 func TestPreemptedTaskMayEndOrBeCancelled(t *testing.T) {
 	j := started(1)
 	j.Step(now, job.Preempt{Task: "d.r.j.0"})
-	j.Step(now, seen("w1", now, listed("d.r.j.0", "ended")))
+	j.Step(now, listOf("w1", now, listed("d.r.j.0", "ended")))
 	require.Equal(t, "ended", state(t, j))
 	j = started(1)
 	j.Step(now, job.Preempt{Task: "d.r.j.0"})
@@ -101,7 +101,7 @@
 		waiting = waiting[1:]
 		starts++
 		confirm(j, id, "w1")
-		acts := j.Step(now, seen("w1", now.Add(time.Second), listed(id, "failed")))
+		acts := j.Step(now, listOf("w1", now.Add(time.Second), listed(id, "failed")))
 		for _, w := range actionsOf[job.RequestPlacement](acts) {
 			waiting = append(waiting, w.Tasks...)
 		}
@@ -110,7 +110,7 @@
 	retries := 0
 	for range 10 {
 		confirm(j, waiting[0], "w1")
-		retries += len(actionsOf[job.RequestPlacement](j.Step(now, seen("w1", now.Add(time.Second), listed(waiting[0], "failed")))))
+		retries += len(actionsOf[job.RequestPlacement](j.Step(now, listOf("w1", now.Add(time.Second), listed(waiting[0], "failed")))))
 	}
 	require.Zero(t, retries)
 }
--- a/internal/job/stale_test.go
+++ b/internal/job/stale_test.go
@@ -34,7 +34,7 @@
 	preempt(t, j, "d.r.j.0")
 	startOf(t, j, "d.r.j.0", "w2")
 	j.Step(now, job.Started{Task: "d.r.j.0", Attempt: first.Attempt})
-	require.Empty(t, j.Step(now, seen("w2", now.Add(time.Second))), "the start to w2 may still land")
+	require.Empty(t, j.Step(now, listOf("w2", now.Add(time.Second))), "the start to w2 may still land")
 }
 
 // Guards against a task that runs twice: the lost answer of a former try sets an
@@ -47,7 +47,7 @@
 	startOf(t, j, "d.r.j.0", "w2")
 	j.Step(now, job.StartSent{Task: "d.r.j.0", Deadline: now.Add(5 * time.Second)})
 	j.Step(now, job.Unsure{Task: "d.r.j.0", Attempt: first.Attempt, Deadline: now.Add(time.Second)})
-	require.Empty(t, j.Step(now, seen("w2", now.Add(2*time.Second))), "the start to w2 may still land")
+	require.Empty(t, j.Step(now, listOf("w2", now.Add(2*time.Second))), "the start to w2 may still land")
 }
 
 // Guards against a task that runs twice: a former try's refusal is taken for one of the next try.
@@ -66,7 +66,7 @@
 	j := job.New()
 	put(j, actionsOf[job.RequestPlacement](j.Step(now, job.Submit{Spec: spec(1)})))
 	first := actionsOf[job.Pause](j.Step(now, job.Preempt{Task: "d.r.j.0"}))[0]
-	j.Step(now, seen("w0", now.Add(time.Second), listed("d.r.j.0", "stopped")))
+	j.Step(now, listOf("w0", now.Add(time.Second), listed("d.r.j.0", "stopped")))
 	next := startOf(t, j, "d.r.j.0", "w1")
 	j.Step(now, job.Started{Task: "d.r.j.0", Attempt: next.Attempt})
 	j.Step(now, job.Preempt{Task: "d.r.j.0"})
@@ -80,7 +80,7 @@
 	j.Step(now, job.Adopt{Snapshot: job.Snapshot{Spec: spec(1), State: "waiting", Tasks: []job.TaskSnapshot{
 		{State: "unsure", Worker: "w1", Tries: 1, Deadline: now, Sent: true},
 	}}})
-	list := seen("w1", now.Add(2*time.Second))
+	list := listOf("w1", now.Add(2*time.Second))
 	list.Jobs = []string{"d.r.other"}
 	require.Empty(t, j.Step(now, list))
 	list.Jobs = append(list.Jobs, "d.r.j")
