--- a/internal/job/inherit_test.go
+++ b/internal/job/inherit_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func started(tasks int) *job.Jobs {
+func startedJob(tasks int) *job.Jobs {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(tasks)})
 	for i := range tasks {
@@ -81,7 +81,7 @@
 // way. That list does not show the task; taken as proof that it is gone, the
 // task would be started a second time beside the first.
 func TestListFromBeforeTheStartProvesNothing(t *testing.T) {
-	j := started(1)
+	j := startedJob(1)
 	require.Empty(t, j.Step(now.Add(time.Second), listOf("w1", now.Add(-time.Millisecond))))
 	want := actionsOf[job.RequestPlacement](j.Step(now.Add(time.Second), listOf("w1", now.Add(time.Millisecond))))
 	require.Len(t, want, 1, "a later list shows that it lapsed")
@@ -106,7 +106,7 @@
 // Workers remember how tasks ended until they are told to forget. If they were
 // told before a successor could know it from the log, it would run them again.
 func TestEndedTasksAreForgottenOnlyWhenTheEndIsKept(t *testing.T) {
-	j := started(2)
+	j := startedJob(2)
 	acts := j.Step(now, listOf("w1", now, listed("d.r.j.0", "ended"), listed("d.r.j.1", "ended")))
 	require.Equal(t, []job.Ended{{ID: "d.r.j", State: "ended"}}, actionsOf[job.Ended](acts))
 	require.Empty(t, actionsOf[job.Forget](acts))
@@ -152,7 +152,7 @@
 // A worker was silent for longer than any lease. What ran there runs no more
 // and is started elsewhere.
 func TestTasksOfASilentWorkerAreStartedElsewhere(t *testing.T) {
-	j := started(1)
+	j := startedJob(1)
 	require.Equal(t, []string{"w1"}, j.Workers())
 	require.Len(t, actionsOf[job.RequestPlacement](j.Step(now, job.WorkerList{Worker: "w1", LeasesExpired: true})), 1)
 }
--- a/internal/job/retry_test.go
+++ b/internal/job/retry_test.go
@@ -66,7 +66,7 @@
 // The stop of a preempted task has no answer. While the worker lists it the
 // stop is asked for again; the task must not be started elsewhere meanwhile.
 func TestPreemptedTaskWaitsForItsStop(t *testing.T) {
-	j := started(1)
+	j := startedJob(1)
 	j.Step(now, job.Preempt{Task: "d.r.j.0"})
 	acts := j.Step(now, listOf("w1", now.Add(time.Second), listed("d.r.j.0", "running")))
 	require.Equal(t, []job.Action{job.Pause{Task: "d.r.j.0", Worker: "w1", Attempt: 1}}, acts)
@@ -77,11 +77,11 @@
 // A preempted task ends before its stop arrives, or its job is cancelled. Both
 // are taken for what they are; it is not run again.
 func TestPreemptedTaskMayEndOrBeCancelled(t *testing.T) {
-	j := started(1)
+	j := startedJob(1)
 	j.Step(now, job.Preempt{Task: "d.r.j.0"})
 	j.Step(now, listOf("w1", now, listed("d.r.j.0", "ended")))
 	require.Equal(t, "ended", state(t, j))
-	j = started(1)
+	j = startedJob(1)
 	j.Step(now, job.Preempt{Task: "d.r.j.0"})
 	require.Len(t, actionsOf[job.Stop](j.Step(now, job.Cancel{ID: "d.r.j"})), 1)
 	require.Empty(t, actionsOf[job.RequestPlacement](j.Step(now, job.Stopped{Task: "d.r.j.0", Attempt: 1})))
