--- a/internal/job/inherit_test.go
+++ b/internal/job/inherit_test.go
@@ -27,8 +27,8 @@
 	return job.ListedTask{ID: id, State: state, Lease: "l-" + id}
 }
 
-// confirm puts a task on a worker, which confirms the start.
-func confirm(j *job.Jobs, task, worker string) {
+// startOn puts a task on a worker, which confirms the start.
+func startOn(j *job.Jobs, task, worker string) {
 	for _, a := range actionsOf[job.Start](j.Step(now, job.Placed{Task: task, Worker: worker})) {
 		j.Step(now, job.Started{Task: task, Attempt: a.Attempt})
 	}
@@ -38,7 +38,7 @@
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(tasks)})
 	for i := range tasks {
-		confirm(j, job.TaskID("d.r.j", i), "w1")
+		startOn(j, job.TaskID("d.r.j", i), "w1")
 	}
 	return j
 }
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -54,7 +54,7 @@
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
 	for range 2 {
-		confirm(j, "d.r.j.0", "w1")
+		startOn(j, "d.r.j.0", "w1")
 		j.Step(now, listOf("w1", now.Add(time.Second), listed("d.r.j.0", "failed")))
 	}
 	require.Equal(t, "failed", state(t, j))
--- a/internal/job/retry_test.go
+++ b/internal/job/retry_test.go
@@ -20,7 +20,7 @@
 func put(j *job.Jobs, wants []job.RequestPlacement) {
 	for _, w := range wants {
 		for i, id := range w.Tasks {
-			confirm(j, id, fmt.Sprintf("w%d", i))
+			startOn(j, id, fmt.Sprintf("w%d", i))
 		}
 	}
 }
@@ -100,7 +100,7 @@
 		id := waiting[0]
 		waiting = waiting[1:]
 		starts++
-		confirm(j, id, "w1")
+		startOn(j, id, "w1")
 		acts := j.Step(now, listOf("w1", now.Add(time.Second), listed(id, "failed")))
 		for _, w := range actionsOf[job.RequestPlacement](acts) {
 			waiting = append(waiting, w.Tasks...)
@@ -109,7 +109,7 @@
 	require.LessOrEqual(t, starts, 60)
 	retries := 0
 	for range 10 {
-		confirm(j, waiting[0], "w1")
+		startOn(j, waiting[0], "w1")
 		retries += len(actionsOf[job.RequestPlacement](j.Step(now, listOf("w1", now.Add(time.Second), listed(waiting[0], "failed")))))
 	}
 	require.Zero(t, retries)
