--- a/internal/job/former_test.go
+++ b/internal/job/former_test.go
@@ -9,13 +9,13 @@
 	"pollencroft/internal/job"
 )
 
-// over are the states in which a worker lists a start that came to nothing.
-var over = []string{"failed", "stopped", "lapsed"}
+// unfinished are the states in which a worker lists a start that came to nothing.
+var unfinished = []string{"failed", "stopped", "lapsed"}
 
 // Guards against a task that runs twice: the line of its former start on the same worker is
 // taken for the end of a start that is still under way.
 func TestLineOfAFormerStartDoesNotEndTheNext(t *testing.T) {
-	for _, state := range over {
+	for _, state := range unfinished {
 		j := job.New()
 		j.Step(now, job.Submit{Spec: spec(1)})
 		next := startOf(t, j, "d.r.j.0", "w1")
--- a/internal/job/inherit_test.go
+++ b/internal/job/inherit_test.go
@@ -64,7 +64,7 @@
 // Guards against a task that runs twice: a task of an inherited job was found running, has come
 // to nothing since, and is started again before the census tells that nobody leads the job.
 func TestInheritedTaskThatLapsesWaitsForTheCensus(t *testing.T) {
-	for _, state := range append(over, "") {
+	for _, state := range append(unfinished, "") {
 		j := job.New()
 		j.Step(now, job.Inherit{Spec: spec(1)})
 		j.Step(now, listOf("w1", now, listed("d.r.j.0", "running")))
