--- a/internal/job/retry_test.go
+++ b/internal/job/retry_test.go
@@ -16,8 +16,8 @@
 	return s
 }
 
-// put gives room to and confirms all wanted tasks.
-func put(j *job.Jobs, wants []job.RequestPlacement) {
+// startAll gives room to and confirms all wanted tasks.
+func startAll(j *job.Jobs, wants []job.RequestPlacement) {
 	for _, w := range wants {
 		for i, id := range w.Tasks {
 			startOn(j, id, fmt.Sprintf("w%d", i))
@@ -30,7 +30,7 @@
 // stopped, and only when the last has stopped is room asked for all together.
 func TestGangWithAFailedStartComesTogetherAgain(t *testing.T) {
 	j := job.New()
-	put(j, actionsOf[job.RequestPlacement](j.Step(now, job.Submit{Spec: gang(3)})))
+	startAll(j, actionsOf[job.RequestPlacement](j.Step(now, job.Submit{Spec: gang(3)})))
 	acts := j.Step(now, listOf("w1", now.Add(time.Second)))
 	require.Equal(t, []job.Pause{{Task: "d.r.j.0", Worker: "w0", Attempt: 1}, {Task: "d.r.j.2", Worker: "w2", Attempt: 3}}, actionsOf[job.Pause](acts))
 	require.Empty(t, actionsOf[job.RequestPlacement](acts))
@@ -38,7 +38,7 @@
 	want := actionsOf[job.RequestPlacement](j.Step(now, job.Stopped{Task: "d.r.j.2", Attempt: 3}))
 	require.Len(t, want, 1)
 	require.Equal(t, []string{"d.r.j.0", "d.r.j.1", "d.r.j.2"}, want[0].Tasks)
-	put(j, want)
+	startAll(j, want)
 	s, err := j.Status("d.r.j")
 	require.NoError(t, err)
 	require.Equal(t, map[string]int{"running": 3}, s.Tasks)
@@ -50,7 +50,7 @@
 	j := job.New()
 	wants := actionsOf[job.RequestPlacement](j.Step(now, job.Submit{Spec: spec(1)}))
 	for n := range int64(5) {
-		put(j, wants)
+		startAll(j, wants)
 		acts := j.Step(now, job.Preempt{Task: "d.r.j.0"})
 		require.Equal(t, []job.Action{job.Pause{Task: "d.r.j.0", Worker: "w0", Attempt: n + 1}}, acts)
 		require.Empty(t, j.Step(now, job.Preempt{Task: "d.r.j.0"}), "once is enough")
@@ -58,7 +58,7 @@
 		wants = actionsOf[job.RequestPlacement](j.Step(now, job.Stopped{Task: "d.r.j.0", Attempt: n + 1}))
 		require.Len(t, wants, 1)
 	}
-	put(j, wants)
+	startAll(j, wants)
 	fails := j.Step(now, listOf("w0", now.Add(time.Second), listed("d.r.j.0", "failed")))
 	require.Equal(t, []string{"w0"}, actionsOf[job.RequestPlacement](fails)[0].Avoid, "the first failure is tried again, elsewhere")
 }
--- a/internal/job/stale_test.go
+++ b/internal/job/stale_test.go
@@ -64,7 +64,7 @@
 // the stop of the same task on its next worker.
 func TestLateStopOfAFormerTryChangesNothing(t *testing.T) {
 	j := job.New()
-	put(j, actionsOf[job.RequestPlacement](j.Step(now, job.Submit{Spec: spec(1)})))
+	startAll(j, actionsOf[job.RequestPlacement](j.Step(now, job.Submit{Spec: spec(1)})))
 	first := actionsOf[job.Pause](j.Step(now, job.Preempt{Task: "d.r.j.0"}))[0]
 	j.Step(now, listOf("w0", now.Add(time.Second), listed("d.r.j.0", "stopped")))
 	next := startOf(t, j, "d.r.j.0", "w1")
