--- a/internal/job/former_test.go
+++ b/internal/job/former_test.go
@@ -18,7 +18,7 @@
 	for _, state := range unfinished {
 		j := job.New()
 		j.Step(now, job.Submit{Spec: spec(1)})
-		next := startOf(t, j, "d.r.j.0", "w1")
+		next := placeOn(t, j, "d.r.j.0", "w1")
 		line := listed("d.r.j.0", state)
 		require.Empty(t, j.Step(now, listOf("w1", now.Add(-time.Second), line)), "a list from before the start")
 		require.Empty(t, j.Step(now, listOf("w1", now.Add(time.Second), line)), "the start has not landed yet")
@@ -34,7 +34,7 @@
 	for _, state := range []string{"stopped", "lapsed"} {
 		j := job.New()
 		j.Step(now, job.Submit{Spec: spec(1)})
-		next := startOf(t, j, "d.r.j.0", "w1")
+		next := placeOn(t, j, "d.r.j.0", "w1")
 		deadline := now.Add(3 * time.Second)
 		j.Step(now, job.StartSent{Task: "d.r.j.0", Deadline: deadline})
 		j.Step(now, job.Unsure{Task: "d.r.j.0", Attempt: next.Attempt, Deadline: deadline})
@@ -49,7 +49,7 @@
 func TestLineOfAStoppedStartDoesNotConfirmTheNext(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
-	startOf(t, j, "d.r.j.0", "w1")
+	placeOn(t, j, "d.r.j.0", "w1")
 	require.Empty(t, j.Step(now, listOf("w1", now.Add(-time.Second), listed("d.r.j.0", "running"))))
 	require.Empty(t, actionsOf[job.RequestPlacement](j.Step(now, listOf("w1", now.Add(time.Second)))))
 }
@@ -59,7 +59,7 @@
 func TestLineOfAFormerStartDoesNotStopTheNext(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
-	startOf(t, j, "d.r.j.0", "w1")
+	placeOn(t, j, "d.r.j.0", "w1")
 	j.Step(now, job.StartSent{Task: "d.r.j.0", Deadline: now.Add(3 * time.Second)})
 	j.Step(now, job.Preempt{Task: "d.r.j.0"})
 	require.Empty(t, actionsOf[job.RequestPlacement](j.Step(now, listOf("w1", now.Add(2*time.Second), listed("d.r.j.0", "lapsed")))))
@@ -70,7 +70,7 @@
 func TestFailureOfAnUnsureStartIsTriedAgain(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
-	first := startOf(t, j, "d.r.j.0", "w1")
+	first := placeOn(t, j, "d.r.j.0", "w1")
 	j.Step(now, job.Unsure{Task: "d.r.j.0", Attempt: first.Attempt, Deadline: now.Add(time.Second)})
 	acts := j.Step(now, listOf("w1", now.Add(2*time.Second), listed("d.r.j.0", "failed")))
 	require.Equal(t, []string{"w1"}, actionsOf[job.RequestPlacement](acts)[0].Avoid)
--- a/internal/job/inherit_test.go
+++ b/internal/job/inherit_test.go
@@ -141,7 +141,7 @@
 	j := job.New()
 	first := job.Snapshot{HandoverID: "h1", Spec: spec(1), State: "waiting", Tasks: []job.TaskSnapshot{{State: "waiting"}}}
 	require.Len(t, actionsOf[job.RequestPlacement](j.Step(now, job.Adopt{Snapshot: first})), 1)
-	startOf(t, j, "d.r.j.0", "w1")
+	placeOn(t, j, "d.r.j.0", "w1")
 	j.Step(now, job.Drop{ID: "d.r.j"})
 	require.Empty(t, j.Step(now, job.Adopt{Snapshot: first}))
 	require.Empty(t, j.Open())
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -28,7 +28,7 @@
 func TestUnsureStartWaitsForItsDeadline(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
-	start := startOf(t, j, "d.r.j.0", "w1")
+	start := placeOn(t, j, "d.r.j.0", "w1")
 	require.Empty(t, j.Step(now, job.Unsure{Task: "d.r.j.0", Attempt: start.Attempt, Deadline: now.Add(time.Second)}))
 	require.Empty(t, j.Step(now, job.WorkerList{Worker: "w1", Clock: now}))
 	acts := j.Step(now, job.WorkerList{Worker: "w1", Clock: now.Add(2 * time.Second)})
--- a/internal/job/stale_test.go
+++ b/internal/job/stale_test.go
@@ -9,8 +9,8 @@
 	"pollencroft/internal/job"
 )
 
-// startOf puts a task on a worker and returns the start that is sent for it.
-func startOf(t *testing.T, j *job.Jobs, task, worker string) job.Start {
+// placeOn puts a task on a worker and returns the start that is sent for it.
+func placeOn(t *testing.T, j *job.Jobs, task, worker string) job.Start {
 	t.Helper()
 	starts := actionsOf[job.Start](j.Step(now, job.Placed{Task: task, Worker: worker}))
 	require.Len(t, starts, 1)
@@ -30,9 +30,9 @@
 func TestLateConfirmationOfAFormerTryChangesNothing(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
-	first := startOf(t, j, "d.r.j.0", "w1")
+	first := placeOn(t, j, "d.r.j.0", "w1")
 	preempt(t, j, "d.r.j.0")
-	startOf(t, j, "d.r.j.0", "w2")
+	placeOn(t, j, "d.r.j.0", "w2")
 	j.Step(now, job.Started{Task: "d.r.j.0", Attempt: first.Attempt})
 	require.Empty(t, j.Step(now, listOf("w2", now.Add(time.Second))), "the start to w2 may still land")
 }
@@ -42,9 +42,9 @@
 func TestLostAnswerOfAFormerTryChangesNothing(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
-	first := startOf(t, j, "d.r.j.0", "w1")
+	first := placeOn(t, j, "d.r.j.0", "w1")
 	preempt(t, j, "d.r.j.0")
-	startOf(t, j, "d.r.j.0", "w2")
+	placeOn(t, j, "d.r.j.0", "w2")
 	j.Step(now, job.StartSent{Task: "d.r.j.0", Deadline: now.Add(5 * time.Second)})
 	j.Step(now, job.Unsure{Task: "d.r.j.0", Attempt: first.Attempt, Deadline: now.Add(time.Second)})
 	require.Empty(t, j.Step(now, listOf("w2", now.Add(2*time.Second))), "the start to w2 may still land")
@@ -54,9 +54,9 @@
 func TestLateRefusalOfAFormerTryChangesNothing(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
-	first := startOf(t, j, "d.r.j.0", "w1")
+	first := placeOn(t, j, "d.r.j.0", "w1")
 	preempt(t, j, "d.r.j.0")
-	startOf(t, j, "d.r.j.0", "w2")
+	placeOn(t, j, "d.r.j.0", "w2")
 	require.Empty(t, j.Step(now, job.NotStarted{Task: "d.r.j.0", Attempt: first.Attempt}))
 }
 
@@ -67,7 +67,7 @@
 	startAll(j, actionsOf[job.RequestPlacement](j.Step(now, job.Submit{Spec: spec(1)})))
 	first := actionsOf[job.Pause](j.Step(now, job.Preempt{Task: "d.r.j.0"}))[0]
 	j.Step(now, listOf("w0", now.Add(time.Second), listed("d.r.j.0", "stopped")))
-	next := startOf(t, j, "d.r.j.0", "w1")
+	next := placeOn(t, j, "d.r.j.0", "w1")
 	j.Step(now, job.Started{Task: "d.r.j.0", Attempt: next.Attempt})
 	j.Step(now, job.Preempt{Task: "d.r.j.0"})
 	require.Empty(t, j.Step(now, job.Stopped{Task: "d.r.j.0", Attempt: first.Attempt}))
