--- a/internal/job/stale_test.go
+++ b/internal/job/stale_test.go
@@ -17,8 +17,8 @@
 	return starts[0]
 }
 
-// preempt stops a task before its start's own answer is there.
-func preempt(t *testing.T, j *job.Jobs, task string) {
+// preemptUnanswered stops a task before its start's own answer is there.
+func preemptUnanswered(t *testing.T, j *job.Jobs, task string) {
 	t.Helper()
 	for _, a := range actionsOf[job.Pause](j.Step(now, job.Preempt{Task: task})) {
 		require.Len(t, actionsOf[job.RequestPlacement](j.Step(now, job.Stopped{Task: task, Attempt: a.Attempt})), 1)
@@ -31,7 +31,7 @@
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
 	first := placeOn(t, j, "d.r.j.0", "w1")
-	preempt(t, j, "d.r.j.0")
+	preemptUnanswered(t, j, "d.r.j.0")
 	placeOn(t, j, "d.r.j.0", "w2")
 	j.Step(now, job.Started{Task: "d.r.j.0", Attempt: first.Attempt})
 	require.Empty(t, j.Step(now, listOf("w2", now.Add(time.Second))), "the start to w2 may still land")
@@ -43,7 +43,7 @@
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
 	first := placeOn(t, j, "d.r.j.0", "w1")
-	preempt(t, j, "d.r.j.0")
+	preemptUnanswered(t, j, "d.r.j.0")
 	placeOn(t, j, "d.r.j.0", "w2")
 	j.Step(now, job.StartSent{Task: "d.r.j.0", Deadline: now.Add(5 * time.Second)})
 	j.Step(now, job.Unsure{Task: "d.r.j.0", Attempt: first.Attempt, Deadline: now.Add(time.Second)})
@@ -55,7 +55,7 @@
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
 	first := placeOn(t, j, "d.r.j.0", "w1")
-	preempt(t, j, "d.r.j.0")
+	preemptUnanswered(t, j, "d.r.j.0")
 	placeOn(t, j, "d.r.j.0", "w2")
 	require.Empty(t, j.Step(now, job.NotStarted{Task: "d.r.j.0", Attempt: first.Attempt}))
 }
