--- a/internal/job/former_test.go
+++ b/internal/job/former_test.go
@@ -14,7 +14,7 @@
 
 // Guards against a task that runs twice: the line of its former start on the same worker is
 // taken for the end of a start that is still under way.
-func TestLineOfAFormerStartDoesNotEndTheNext(t *testing.T) {
+func TestEntryOfPreviousStartDoesNotEndTheNext(t *testing.T) {
 	for _, state := range unfinished {
 		j := job.New()
 		j.Step(now, job.Submit{Spec: spec(1)})
