--- a/internal/job/former_test.go
+++ b/internal/job/former_test.go
@@ -30,7 +30,7 @@
 
 // Guards against a task that runs twice: the same with the start's answer lost, so that it may
 // land until its deadline.
-func TestLineOfAFormerStartDoesNotEndAnUnsureOne(t *testing.T) {
+func TestEntryOfPreviousStartDoesNotEndAnUnsureOne(t *testing.T) {
 	for _, state := range []string{"stopped", "lapsed"} {
 		j := job.New()
 		j.Step(now, job.Submit{Spec: spec(1)})
