--- a/internal/job/former_test.go
+++ b/internal/job/former_test.go
@@ -46,7 +46,7 @@
 
 // Guards against a task that runs twice: a task is stopped and started again on the same worker,
 // and a list from before the stop shows it running.
-func TestLineOfAStoppedStartDoesNotConfirmTheNext(t *testing.T) {
+func TestEntryOfStoppedStartDoesNotConfirmTheNext(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
 	placeOn(t, j, "d.r.j.0", "w1")
