--- a/internal/job/former_test.go
+++ b/internal/job/former_test.go
@@ -56,7 +56,7 @@
 
 // Guards against a task that runs twice: the start of a task that is being stopped has no answer
 // yet, and the line of its former start is taken for the stop.
-func TestLineOfAFormerStartDoesNotStopTheNext(t *testing.T) {
+func TestEntryOfPreviousStartDoesNotStopTheNext(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
 	placeOn(t, j, "d.r.j.0", "w1")
