--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -45,7 +45,7 @@
 }
 
 // Guards against a task that crashes its workers again and again beside others.
-func TestCrashingTaskIsTriedApartAndGivenUp(t *testing.T) {
+func TestCrashingTaskGetsExclusiveWorkerAndIsGivenUp(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(2)})
 	for n, worker := range []string{"w1", "w2"} {
