--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -65,7 +65,7 @@
 }
 
 // Guards against good tasks given up for cuts, or for starts that never arrived.
-func TestWhatIsNoCrashUnderATask(t *testing.T) {
+func TestEventsThatAreNotCountedAsCrash(t *testing.T) {
 	later := now.Add(2 * time.Second)
 	for name, end := range map[string]func(j *job.Jobs, a job.Start) []job.Action{
 		"the lease ran out": func(j *job.Jobs, a job.Start) []job.Action {
