--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -151,7 +151,7 @@
 }
 
 // Guards against a count that each new lead begins anew.
-func TestCrashesOutliveTheLead(t *testing.T) {
+func TestCrashCountSurvivesLeaderChange(t *testing.T) {
 	for how, next := range map[string]func(j *job.Jobs, lives int64) *job.Jobs{
 		"handed over": func(j *job.Jobs, _ int64) *job.Jobs { return handOver(t, j) },
 		"inherited": func(_ *job.Jobs, lives int64) *job.Jobs {
