--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -177,7 +177,7 @@
 }
 
 // Guards against a task that is given up because workers were cut off for long.
-func TestWorkerThatComesBackInTheSameLifeDidNotCrash(t *testing.T) {
+func TestWorkerThatReturnsInTheSameIncarnationDidNotCrash(t *testing.T) {
 	for life, want := range map[string]int64{"1": 0, "2": 1} {
 		j := job.New()
 		j.Step(now, job.Submit{Spec: spec(1)})
