--- a/internal/job/inherit_test.go
+++ b/internal/job/inherit_test.go
@@ -46,7 +46,7 @@
 // The lead of a job died. One task runs, one has ended, one was never started.
 // The next lead adopts the first, does not run the second again, and starts the
 // third only when the census shows that it runs nowhere.
-func TestInheritedJobGoesOnWhereItWas(t *testing.T) {
+func TestInheritedJobResumes(t *testing.T) {
 	j := job.New()
 	require.Empty(t, j.Step(now, job.Inherit{Spec: spec(3)}))
 	j.Step(now, listOf("w1", now, listed("d.r.j.0", "running")))
