--- a/internal/job/inherit_test.go
+++ b/internal/job/inherit_test.go
@@ -63,7 +63,7 @@
 
 // Guards against a task that runs twice: a task of an inherited job was found running, has come
 // to nothing since, and is started again before the census tells that nobody leads the job.
-func TestInheritedTaskThatLapsesWaitsForTheCensus(t *testing.T) {
+func TestInheritedTaskThatLapsesWaitsForTheInventory(t *testing.T) {
 	for _, state := range append(unfinished, "") {
 		j := job.New()
 		j.Step(now, job.Inherit{Spec: spec(1)})
