--- a/internal/job/inherit_test.go
+++ b/internal/job/inherit_test.go
@@ -105,7 +105,7 @@
 
 // Workers remember how tasks ended until they are told to forget. If they were
 // told before a successor could know it from the log, it would run them again.
-func TestEndedTasksAreForgottenOnlyWhenTheEndIsKept(t *testing.T) {
+func TestEndedTasksAreForgottenOnlyWhenTheEndIsStored(t *testing.T) {
 	j := startedJob(2)
 	acts := j.Step(now, listOf("w1", now, listed("d.r.j.0", "ended"), listed("d.r.j.1", "ended")))
 	require.Equal(t, []job.Ended{{ID: "d.r.j", State: "ended"}}, actionsOf[job.Ended](acts))
