--- a/internal/job/stale_test.go
+++ b/internal/job/stale_test.go
@@ -39,7 +39,7 @@
 
 // Guards against a task that runs twice: the lost answer of a former try sets an
 // earlier deadline for the next one.
-func TestLostAnswerOfAFormerTryChangesNothing(t *testing.T) {
+func TestLostAnswerOfAPreviousTryChangesNothing(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
 	first := placeOn(t, j, "d.r.j.0", "w1")
