--- a/internal/job/stale_test.go
+++ b/internal/job/stale_test.go
@@ -51,7 +51,7 @@
 }
 
 // Guards against a task that runs twice: a former try's refusal is taken for one of the next try.
-func TestLateRefusalOfAFormerTryChangesNothing(t *testing.T) {
+func TestLateRefusalOfAPreviousTryChangesNothing(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
 	first := placeOn(t, j, "d.r.j.0", "w1")
