--- a/internal/job/stale_test.go
+++ b/internal/job/stale_test.go
@@ -62,7 +62,7 @@
 
 // Guards against a task that runs twice: a stop that was confirmed on one worker is taken for
 // the stop of the same task on its next worker.
-func TestLateStopOfAFormerTryChangesNothing(t *testing.T) {
+func TestLateStopOfAPreviousTryChangesNothing(t *testing.T) {
 	j := job.New()
 	startAll(j, actionsOf[job.RequestPlacement](j.Step(now, job.Submit{Spec: spec(1)})))
 	first := actionsOf[job.Pause](j.Step(now, job.Preempt{Task: "d.r.j.0"}))[0]
