--- a/internal/job/retry_test.go
+++ b/internal/job/retry_test.go
@@ -28,7 +28,7 @@
 // One start of an all-at-once job is refused while the others run. The others
 // would wait for it and hold their room for nothing; they are checkpointed and
 // stopped, and only when the last has stopped is room asked for all together.
-func TestGangWithAFailedStartComesTogetherAgain(t *testing.T) {
+func TestGangIsRestartedTogetherAfterAFailedStart(t *testing.T) {
 	j := job.New()
 	startAll(j, actionsOf[job.RequestPlacement](j.Step(now, job.Submit{Spec: gang(3)})))
 	acts := j.Step(now, listOf("w1", now.Add(time.Second)))
