--- a/internal/job/retry_test.go
+++ b/internal/job/retry_test.go
@@ -117,7 +117,7 @@
 
 // A desk cancels its whole night's work. Each cancellation touches only its
 // own tasks, and one for a job that has ended changes nothing.
-func TestCancellationsInAWave(t *testing.T) {
+func TestBulkCancellation(t *testing.T) {
 	j := job.New()
 	const jobs = 10_000
 	for i := range jobs {
