--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -21,8 +21,8 @@
 
 type worker struct {
 	held bool
-	// sign is when the worker last gave a sign of life, or was first known.
-	sign time.Time
+	// lastContact is when the worker last gave a lastContact of life, or was first known.
+	lastContact time.Time
 	// answered is when the question was sent that its live holder answered.
 	answered time.Time
 }
@@ -106,7 +106,7 @@
 func (t *Takeover) setWorkers(now time.Time, names []string) {
 	for _, name := range names {
 		if t.workers[name] == nil {
-			t.workers[name] = &worker{sign: now}
+			t.workers[name] = &worker{lastContact: now}
 		}
 	}
 	for name := range t.workers {
@@ -156,7 +156,7 @@
 
 func (t *Takeover) sign(now time.Time, name string, held bool) {
 	if w, ok := t.workers[name]; ok {
-		w.sign = now
+		w.lastContact = now
 		w.held = w.held || held
 	}
 }
@@ -166,7 +166,7 @@
 // have completed its own census and started the job since then.
 func (t *Takeover) down(now time.Time, name string) {
 	if w, ok := t.workers[name]; ok && w.held {
-		w.held, w.sign = false, now
+		w.held, w.lastContact = false, now
 		t.restart(now)
 	}
 }
@@ -179,7 +179,7 @@
 	for _, name := range ev.Workers {
 		if w, ok := t.workers[name]; ok {
 			w.answered = later(w.answered, ev.Asked)
-			w.sign = now
+			w.lastContact = now
 		}
 	}
 	t.again(now, ev.Leads)
@@ -256,7 +256,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(t.workers)) {
 		w := t.workers[name]
-		if !w.held && !w.answered.After(since) && now.Sub(later(w.sign, since)) <= t.limits.LongestLease {
+		if !w.held && !w.answered.After(since) && now.Sub(later(w.lastContact, since)) <= t.limits.LongestLease {
 			return name
 		}
 	}
@@ -270,7 +270,7 @@
 // than any lease.
 func (t *Takeover) LeasesExpired(now time.Time, name string) bool {
 	w, ok := t.workers[name]
-	return ok && !w.held && now.Sub(w.sign) > t.limits.LongestLease
+	return ok && !w.held && now.Sub(w.lastContact) > t.limits.LongestLease
 }
 
 func (t *Takeover) due(now time.Time) []Action {
@@ -293,7 +293,7 @@
 func (t *Takeover) dead(now time.Time, name string) bool {
 	since := t.watch[name]
 	if w, ok := t.workers[name]; ok {
-		since = later(since, w.sign)
+		since = later(since, w.lastContact)
 	}
 	return now.Sub(since) > t.limits.LongestLease
 }
