--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -23,8 +23,8 @@
 	held bool
 	// lastContact is when the worker last gave a lastContact of life, or was first known.
 	lastContact time.Time
-	// answered is when the question was sent that its live holder answered.
-	answered time.Time
+	// reportedAt is when the question was sent that its live holder reportedAt.
+	reportedAt time.Time
 }
 
 // Takeover is the takeover core of one host.
@@ -178,7 +178,7 @@
 	t.peers[ev.Host] = later(t.peers[ev.Host], ev.Asked)
 	for _, name := range ev.Workers {
 		if w, ok := t.workers[name]; ok {
-			w.answered = later(w.answered, ev.Asked)
+			w.reportedAt = later(w.reportedAt, ev.Asked)
 			w.lastContact = now
 		}
 	}
@@ -256,7 +256,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(t.workers)) {
 		w := t.workers[name]
-		if !w.held && !w.answered.After(since) && now.Sub(later(w.lastContact, since)) <= t.limits.LongestLease {
+		if !w.held && !w.reportedAt.After(since) && now.Sub(later(w.lastContact, since)) <= t.limits.LongestLease {
 			return name
 		}
 	}
