--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -38,17 +38,17 @@
 	// counts for it.
 	jobs map[string]time.Time
 	// keys are the same for what is counted.
-	keys  map[string]time.Time
-	watch map[string]time.Time
-	log   time.Time
-	asked time.Time
+	keys    map[string]time.Time
+	watched map[string]time.Time
+	log     time.Time
+	asked   time.Time
 }
 
 // New returns the core of the host that is called self. It knows no worker.
 func New(self string, limits Limits) *Takeover {
 	return &Takeover{
 		limits: limits, self: self, workers: map[string]*worker{}, peers: map[string]time.Time{},
-		jobs: map[string]time.Time{}, keys: map[string]time.Time{}, watch: map[string]time.Time{},
+		jobs: map[string]time.Time{}, keys: map[string]time.Time{}, watched: map[string]time.Time{},
 	}
 }
 
@@ -143,13 +143,13 @@
 
 func (t *Takeover) setWatch(now time.Time, names []string) {
 	for _, name := range names {
-		if _, ok := t.watch[name]; !ok {
-			t.watch[name] = now
+		if _, ok := t.watched[name]; !ok {
+			t.watched[name] = now
 		}
 	}
-	for name := range t.watch {
+	for name := range t.watched {
 		if !slices.Contains(names, name) {
-			delete(t.watch, name)
+			delete(t.watched, name)
 		}
 	}
 }
@@ -275,13 +275,13 @@
 
 func (t *Takeover) due(now time.Time) []Action {
 	var acts []Action
-	for _, name := range slices.Sorted(maps.Keys(t.watch)) {
+	for _, name := range slices.Sorted(maps.Keys(t.watched)) {
 		if t.dead(now, name) {
-			t.watch[name] = now
+			t.watched[name] = now
 			acts = append(acts, WorkerSilent{Worker: name})
 		}
 	}
-	if len(t.jobs)+len(t.keys)+len(t.watch) > 0 && now.Sub(t.asked) >= t.limits.AskInterval {
+	if len(t.jobs)+len(t.keys)+len(t.watched) > 0 && now.Sub(t.asked) >= t.limits.AskInterval {
 		t.asked = now
 		acts = append(acts, AskPeers{})
 	}
@@ -291,7 +291,7 @@
 // dead tells whether a watched worker gave no sign for longer than any lease,
 // to this host or to any live peer that was asked since.
 func (t *Takeover) dead(now time.Time, name string) bool {
-	since := t.watch[name]
+	since := t.watched[name]
 	if w, ok := t.workers[name]; ok {
 		since = later(since, w.lastContact)
 	}
