--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -40,7 +40,7 @@
 	// keys are the same for what is counted.
 	keys    map[string]time.Time
 	watched map[string]time.Time
-	log     time.Time
+	logRead time.Time
 	asked   time.Time
 }
 
@@ -70,7 +70,7 @@
 	case WorkerContact:
 		t.sign(now, ev.Worker, false)
 	case LogRead:
-		t.log = later(t.log, ev.Asked)
+		t.logRead = later(t.logRead, ev.Asked)
 	case PeerAnswer:
 		t.answer(now, ev)
 	case PeerAsked:
@@ -241,7 +241,7 @@
 // worker; empty if nothing.
 func (t *Takeover) Missing(now time.Time, id string) string {
 	since := t.jobs[id]
-	if !t.log.After(since) {
+	if !t.logRead.After(since) {
 		return "log"
 	}
 	return t.unread(now, since)
