--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -38,10 +38,10 @@
 	// counts for it.
 	jobs map[string]time.Time
 	// keys are the same for what is counted.
-	keys    map[string]time.Time
-	watched map[string]time.Time
-	logRead time.Time
-	asked   time.Time
+	keys      map[string]time.Time
+	watched   map[string]time.Time
+	logRead   time.Time
+	lastAsked time.Time
 }
 
 // New returns the core of the host that is called self. It knows no worker.
@@ -281,8 +281,8 @@
 			acts = append(acts, WorkerSilent{Worker: name})
 		}
 	}
-	if len(t.jobs)+len(t.keys)+len(t.watched) > 0 && now.Sub(t.asked) >= t.limits.AskInterval {
-		t.asked = now
+	if len(t.jobs)+len(t.keys)+len(t.watched) > 0 && now.Sub(t.lastAsked) >= t.limits.AskInterval {
+		t.lastAsked = now
 		acts = append(acts, AskPeers{})
 	}
 	return acts
