--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -60,7 +60,7 @@
 	case SetPeers:
 		t.setPeers(now, ev.Names)
 	case FoundJob, GoneJob, AddKey, RemoveKey:
-		t.wait(now, ev)
+		t.updateWaiting(now, ev)
 	case WatchWorkers:
 		t.setWatch(now, ev.Workers)
 	case WorkerHeld:
@@ -80,8 +80,8 @@
 	return append(t.complete(now), t.due(now)...)
 }
 
-// wait begins or ends what waits for a census.
-func (t *Takeover) wait(now time.Time, ev Event) {
+// updateWaiting begins or ends what waits for a census.
+func (t *Takeover) updateWaiting(now time.Time, ev Event) {
 	switch ev := ev.(type) {
 	case FoundJob:
 		if _, ok := t.jobs[ev.Job]; !ok {
