--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -64,11 +64,11 @@
 	case WatchWorkers:
 		t.setWatch(now, ev.Workers)
 	case WorkerHeld:
-		t.sign(now, ev.Worker, true)
+		t.recordContact(now, ev.Worker, true)
 	case WorkerLost:
 		t.down(now, ev.Worker)
 	case WorkerContact:
-		t.sign(now, ev.Worker, false)
+		t.recordContact(now, ev.Worker, false)
 	case LogRead:
 		t.logRead = later(t.logRead, ev.Asked)
 	case PeerAnswer:
@@ -154,7 +154,7 @@
 	}
 }
 
-func (t *Takeover) sign(now time.Time, name string, held bool) {
+func (t *Takeover) recordContact(now time.Time, name string, held bool) {
 	if w, ok := t.workers[name]; ok {
 		w.lastContact = now
 		w.held = w.held || held
