--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -66,7 +66,7 @@
 	case WorkerHeld:
 		t.recordContact(now, ev.Worker, true)
 	case WorkerLost:
-		t.down(now, ev.Worker)
+		t.workerLost(now, ev.Worker)
 	case WorkerContact:
 		t.recordContact(now, ev.Worker, false)
 	case LogRead:
@@ -161,10 +161,10 @@
 	}
 }
 
-// down restarts every census. A host that was paused for so long that it lost
+// workerLost restarts every census. A host that was paused for so long that it lost
 // a worker must not go on with answers from before the pause: another host may
 // have completed its own census and started the job since then.
-func (t *Takeover) down(now time.Time, name string) {
+func (t *Takeover) workerLost(now time.Time, name string) {
 	if w, ok := t.workers[name]; ok && w.held {
 		w.held, w.lastContact = false, now
 		t.restart(now)
