--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -182,7 +182,7 @@
 			w.lastContact = now
 		}
 	}
-	t.again(now, ev.Leads)
+	t.restartJobs(now, ev.Leads)
 	t.yield(now, ev.Host, ev.Waits)
 }
 
@@ -192,12 +192,12 @@
 // another answer of that peer, which leads the job by then or has given it up.
 func (t *Takeover) yield(now time.Time, host string, ids []string) {
 	if host < t.self {
-		t.again(now, ids)
+		t.restartJobs(now, ids)
 	}
 }
 
-// again restarts the census of some jobs.
-func (t *Takeover) again(now time.Time, ids []string) {
+// restartJobs restarts the census of some jobs.
+func (t *Takeover) restartJobs(now time.Time, ids []string) {
 	for _, id := range ids {
 		if _, ok := t.jobs[id]; ok {
 			t.jobs[id] = now
