--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -122,7 +122,7 @@
 	for name := range t.peers {
 		if !slices.Contains(names, name) {
 			delete(t.peers, name)
-			t.restart(now)
+			t.restartAll(now)
 		}
 	}
 	for _, name := range names {
@@ -132,7 +132,7 @@
 	}
 }
 
-func (t *Takeover) restart(now time.Time) {
+func (t *Takeover) restartAll(now time.Time) {
 	for id := range t.jobs {
 		t.jobs[id] = now
 	}
@@ -167,7 +167,7 @@
 func (t *Takeover) workerLost(now time.Time, name string) {
 	if w, ok := t.workers[name]; ok && w.held {
 		w.held, w.lastContact = false, now
-		t.restart(now)
+		t.restartAll(now)
 	}
 }
 
