--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -77,7 +77,7 @@
 		t.yield(now, ev.Host, ev.Jobs)
 	case Tick:
 	}
-	return append(t.complete(now), t.due(now)...)
+	return append(t.releaseComplete(now), t.due(now)...)
 }
 
 // updateWaiting begins or ends what waits for a census.
@@ -205,10 +205,10 @@
 	}
 }
 
-// complete releases the jobs whose census is complete. Without any worker this
+// releaseComplete releases the jobs whose census is releaseComplete. Without any worker this
 // host has nothing that would show it that it was taken for dead, so it
 // releases nothing then.
-func (t *Takeover) complete(now time.Time) []Action {
+func (t *Takeover) releaseComplete(now time.Time) []Action {
 	var acts []Action
 	if !t.holds() {
 		return nil
