--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -210,7 +210,7 @@
 // releases nothing then.
 func (t *Takeover) releaseComplete(now time.Time) []Action {
 	var acts []Action
-	if !t.holds() {
+	if !t.holdsAnyWorker() {
 		return nil
 	}
 	for _, id := range slices.Sorted(maps.Keys(t.jobs)) {
@@ -228,7 +228,7 @@
 	return acts
 }
 
-func (t *Takeover) holds() bool {
+func (t *Takeover) holdsAnyWorker() bool {
 	for _, w := range t.workers {
 		if w.held {
 			return true
