--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -220,7 +220,7 @@
 		}
 	}
 	for _, key := range slices.Sorted(maps.Keys(t.keys)) {
-		if t.unread(now, t.keys[key]) == "" {
+		if t.missingSince(now, t.keys[key]) == "" {
 			delete(t.keys, key)
 			acts = append(acts, ReleaseKey{Key: key})
 		}
@@ -244,11 +244,11 @@
 	if !t.logRead.After(since) {
 		return "log"
 	}
-	return t.unread(now, since)
+	return t.missingSince(now, since)
 }
 
-// unread names a peer or worker that was not heard of since then; empty if none.
-func (t *Takeover) unread(now, since time.Time) string {
+// missingSince names a peer or worker that was not heard of since then; empty if none.
+func (t *Takeover) missingSince(now, since time.Time) string {
 	for _, name := range slices.Sorted(maps.Keys(t.peers)) {
 		if !t.peers[name].After(since) {
 			return name
