--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -276,7 +276,7 @@
 func (t *Takeover) due(now time.Time) []Action {
 	var acts []Action
 	for _, name := range slices.Sorted(maps.Keys(t.watched)) {
-		if t.dead(now, name) {
+		if t.isSilent(now, name) {
 			t.watched[name] = now
 			acts = append(acts, WorkerSilent{Worker: name})
 		}
@@ -288,9 +288,9 @@
 	return acts
 }
 
-// dead tells whether a watched worker gave no sign for longer than any lease,
+// isSilent tells whether a watched worker gave no sign for longer than any lease,
 // to this host or to any live peer that was asked since.
-func (t *Takeover) dead(now time.Time, name string) bool {
+func (t *Takeover) isSilent(now time.Time, name string) bool {
 	since := t.watched[name]
 	if w, ok := t.workers[name]; ok {
 		since = later(since, w.lastContact)
