--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -18,9 +18,9 @@
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// waiting is a host that holds one of two workers, has one live peer, and
+// newWaiting is a host that holds one of two workers, has one live peer, and
 // inherits a job one second later.
-func waiting(self string) *takeover.Takeover {
+func newWaiting(self string) *takeover.Takeover {
 	t := takeover.New(self, limits)
 	t.Step(at(0), takeover.SetWorkers{Names: []string{"w1", "w2"}})
 	t.Step(at(0), takeover.SetPeers{Names: []string{"p"}})
@@ -73,7 +73,7 @@
 		"worker taken off the platform's list": {[]takeover.Event{log(2), answer(2), takeover.SetWorkers{Names: []string{"w1"}}}, 2.5, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			tk := waiting("b")
+			tk := newWaiting("b")
 			done := false
 			for _, ev := range c.events {
 				done = released(tk.Step(at(2.5), ev)) || done
@@ -141,7 +141,7 @@
 // shown. After the longest lease nothing of it can run any more, and the tasks
 // are started elsewhere instead of waiting for ever.
 func TestWatchedWorkerIsTakenForSilentAfterTheLongestLease(t *testing.T) {
-	tk := waiting("b")
+	tk := newWaiting("b")
 	tk.Step(at(1), takeover.GoneJob{Job: "j"})
 	tk.Step(at(2), takeover.WatchWorkers{Workers: []string{"w2"}})
 	require.Equal(t, []takeover.Action{takeover.AskPeers{}}, tk.Step(at(30), takeover.Tick{}))
