--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -38,7 +38,7 @@
 	return false
 }
 
-func log(s float64) takeover.LogRead { return takeover.LogRead{Asked: at(s)} }
+func logRead(s float64) takeover.LogRead { return takeover.LogRead{Asked: at(s)} }
 
 func answer(s float64, workers ...string) takeover.PeerAnswer {
 	return takeover.PeerAnswer{Host: "p", Asked: at(s), Workers: workers}
@@ -54,23 +54,23 @@
 		last   float64
 		want   bool
 	}{
-		"all answered":                         {[]takeover.Event{log(2), answer(2), held}, 2.5, true},
-		"answered for by the live holder":      {[]takeover.Event{log(2), answer(2, "w2")}, 2.5, true},
+		"all answered":                         {[]takeover.Event{logRead(2), answer(2), held}, 2.5, true},
+		"answered for by the live holder":      {[]takeover.Event{logRead(2), answer(2, "w2")}, 2.5, true},
 		"log not read":                         {[]takeover.Event{answer(2), held}, 2.5, false},
-		"log read before":                      {[]takeover.Event{log(0.5), answer(2), held}, 2.5, false},
-		"peer not asked":                       {[]takeover.Event{log(2), held}, 2.5, false},
-		"peer asked before":                    {[]takeover.Event{log(2), answer(0.5), held}, 2.5, false},
-		"worker not read":                      {[]takeover.Event{log(2), answer(2)}, 2.5, false},
-		"worker answered for before":           {[]takeover.Event{answer(0.5, "w2"), log(2), answer(2)}, 2.5, false},
-		"worker silent for the longest lease":  {[]takeover.Event{log(2), answer(2)}, 42, true},
-		"worker gives signs but is not read":   {[]takeover.Event{log(2), answer(2), takeover.WorkerContact{Worker: "w2"}}, 41.9, false},
-		"worker lost again":                    {[]takeover.Event{log(2), answer(2), takeover.WorkerLost{Worker: "w1"}, takeover.WorkerHeld{Worker: "w1"}, held}, 2.5, false},
-		"peer leads the job":                   {[]takeover.Event{log(2), takeover.PeerAnswer{Host: "p", Asked: at(2), Leads: []string{"j"}}, held}, 2.5, false},
-		"a host joined and was not asked":      {[]takeover.Event{log(2), answer(2), takeover.SetPeers{Names: []string{"p", "q"}}, held}, 2.5, false},
-		"a host went after it was asked":       {[]takeover.Event{log(2), answer(2, "w2"), takeover.SetPeers{}}, 2.5, true},
-		"a host went before the log was read":  {[]takeover.Event{answer(1.5, "w2"), takeover.SetPeers{}, log(1.6)}, 2.5, false},
-		"its answer came after it had gone":    {[]takeover.Event{takeover.SetPeers{}, answer(2, "w2"), log(3)}, 3, false},
-		"worker taken off the platform's list": {[]takeover.Event{log(2), answer(2), takeover.SetWorkers{Names: []string{"w1"}}}, 2.5, true},
+		"log read before":                      {[]takeover.Event{logRead(0.5), answer(2), held}, 2.5, false},
+		"peer not asked":                       {[]takeover.Event{logRead(2), held}, 2.5, false},
+		"peer asked before":                    {[]takeover.Event{logRead(2), answer(0.5), held}, 2.5, false},
+		"worker not read":                      {[]takeover.Event{logRead(2), answer(2)}, 2.5, false},
+		"worker answered for before":           {[]takeover.Event{answer(0.5, "w2"), logRead(2), answer(2)}, 2.5, false},
+		"worker silent for the longest lease":  {[]takeover.Event{logRead(2), answer(2)}, 42, true},
+		"worker gives signs but is not read":   {[]takeover.Event{logRead(2), answer(2), takeover.WorkerContact{Worker: "w2"}}, 41.9, false},
+		"worker lost again":                    {[]takeover.Event{logRead(2), answer(2), takeover.WorkerLost{Worker: "w1"}, takeover.WorkerHeld{Worker: "w1"}, held}, 2.5, false},
+		"peer leads the job":                   {[]takeover.Event{logRead(2), takeover.PeerAnswer{Host: "p", Asked: at(2), Leads: []string{"j"}}, held}, 2.5, false},
+		"a host joined and was not asked":      {[]takeover.Event{logRead(2), answer(2), takeover.SetPeers{Names: []string{"p", "q"}}, held}, 2.5, false},
+		"a host went after it was asked":       {[]takeover.Event{logRead(2), answer(2, "w2"), takeover.SetPeers{}}, 2.5, true},
+		"a host went before the log was read":  {[]takeover.Event{answer(1.5, "w2"), takeover.SetPeers{}, logRead(1.6)}, 2.5, false},
+		"its answer came after it had gone":    {[]takeover.Event{takeover.SetPeers{}, answer(2, "w2"), logRead(3)}, 3, false},
+		"worker taken off the platform's list": {[]takeover.Event{logRead(2), answer(2), takeover.SetWorkers{Names: []string{"w1"}}}, 2.5, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tk := newWaiting("b")
@@ -91,7 +91,7 @@
 	tk.Step(at(0), takeover.SetWorkers{Names: []string{"w1"}})
 	tk.Step(at(0), takeover.SetPeers{Names: []string{"p"}})
 	tk.Step(at(1), takeover.FoundJob{Job: "j"})
-	tk.Step(at(2), log(2))
+	tk.Step(at(2), logRead(2))
 	require.False(t, released(tk.Step(at(2), answer(2, "w1"))))
 	require.True(t, released(tk.Step(at(3), takeover.WorkerHeld{Worker: "w1"})))
 }
@@ -127,7 +127,7 @@
 			}
 			answers[asker] = ev
 			for name, h := range heirs {
-				leads[name] = released(h.Step(at(now+0.2), log(now+0.2))) || leads[name]
+				leads[name] = released(h.Step(at(now+0.2), logRead(now+0.2))) || leads[name]
 			}
 			require.False(t, leads["a"] && leads["b"], "order %b", order)
 		}
