--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -40,7 +40,7 @@
 
 func logRead(s float64) takeover.LogRead { return takeover.LogRead{Asked: at(s)} }
 
-func answer(s float64, workers ...string) takeover.PeerAnswer {
+func peerAnswer(s float64, workers ...string) takeover.PeerAnswer {
 	return takeover.PeerAnswer{Host: "p", Asked: at(s), Workers: workers}
 }
 
@@ -54,23 +54,23 @@
 		last   float64
 		want   bool
 	}{
-		"all answered":                         {[]takeover.Event{logRead(2), answer(2), held}, 2.5, true},
-		"answered for by the live holder":      {[]takeover.Event{logRead(2), answer(2, "w2")}, 2.5, true},
-		"log not read":                         {[]takeover.Event{answer(2), held}, 2.5, false},
-		"log read before":                      {[]takeover.Event{logRead(0.5), answer(2), held}, 2.5, false},
+		"all answered":                         {[]takeover.Event{logRead(2), peerAnswer(2), held}, 2.5, true},
+		"answered for by the live holder":      {[]takeover.Event{logRead(2), peerAnswer(2, "w2")}, 2.5, true},
+		"log not read":                         {[]takeover.Event{peerAnswer(2), held}, 2.5, false},
+		"log read before":                      {[]takeover.Event{logRead(0.5), peerAnswer(2), held}, 2.5, false},
 		"peer not asked":                       {[]takeover.Event{logRead(2), held}, 2.5, false},
-		"peer asked before":                    {[]takeover.Event{logRead(2), answer(0.5), held}, 2.5, false},
-		"worker not read":                      {[]takeover.Event{logRead(2), answer(2)}, 2.5, false},
-		"worker answered for before":           {[]takeover.Event{answer(0.5, "w2"), logRead(2), answer(2)}, 2.5, false},
-		"worker silent for the longest lease":  {[]takeover.Event{logRead(2), answer(2)}, 42, true},
-		"worker gives signs but is not read":   {[]takeover.Event{logRead(2), answer(2), takeover.WorkerContact{Worker: "w2"}}, 41.9, false},
-		"worker lost again":                    {[]takeover.Event{logRead(2), answer(2), takeover.WorkerLost{Worker: "w1"}, takeover.WorkerHeld{Worker: "w1"}, held}, 2.5, false},
+		"peer asked before":                    {[]takeover.Event{logRead(2), peerAnswer(0.5), held}, 2.5, false},
+		"worker not read":                      {[]takeover.Event{logRead(2), peerAnswer(2)}, 2.5, false},
+		"worker answered for before":           {[]takeover.Event{peerAnswer(0.5, "w2"), logRead(2), peerAnswer(2)}, 2.5, false},
+		"worker silent for the longest lease":  {[]takeover.Event{logRead(2), peerAnswer(2)}, 42, true},
+		"worker gives signs but is not read":   {[]takeover.Event{logRead(2), peerAnswer(2), takeover.WorkerContact{Worker: "w2"}}, 41.9, false},
+		"worker lost again":                    {[]takeover.Event{logRead(2), peerAnswer(2), takeover.WorkerLost{Worker: "w1"}, takeover.WorkerHeld{Worker: "w1"}, held}, 2.5, false},
 		"peer leads the job":                   {[]takeover.Event{logRead(2), takeover.PeerAnswer{Host: "p", Asked: at(2), Leads: []string{"j"}}, held}, 2.5, false},
-		"a host joined and was not asked":      {[]takeover.Event{logRead(2), answer(2), takeover.SetPeers{Names: []string{"p", "q"}}, held}, 2.5, false},
-		"a host went after it was asked":       {[]takeover.Event{logRead(2), answer(2, "w2"), takeover.SetPeers{}}, 2.5, true},
-		"a host went before the log was read":  {[]takeover.Event{answer(1.5, "w2"), takeover.SetPeers{}, logRead(1.6)}, 2.5, false},
-		"its answer came after it had gone":    {[]takeover.Event{takeover.SetPeers{}, answer(2, "w2"), logRead(3)}, 3, false},
-		"worker taken off the platform's list": {[]takeover.Event{logRead(2), answer(2), takeover.SetWorkers{Names: []string{"w1"}}}, 2.5, true},
+		"a host joined and was not asked":      {[]takeover.Event{logRead(2), peerAnswer(2), takeover.SetPeers{Names: []string{"p", "q"}}, held}, 2.5, false},
+		"a host went after it was asked":       {[]takeover.Event{logRead(2), peerAnswer(2, "w2"), takeover.SetPeers{}}, 2.5, true},
+		"a host went before the log was read":  {[]takeover.Event{peerAnswer(1.5, "w2"), takeover.SetPeers{}, logRead(1.6)}, 2.5, false},
+		"its answer came after it had gone":    {[]takeover.Event{takeover.SetPeers{}, peerAnswer(2, "w2"), logRead(3)}, 3, false},
+		"worker taken off the platform's list": {[]takeover.Event{logRead(2), peerAnswer(2), takeover.SetWorkers{Names: []string{"w1"}}}, 2.5, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tk := newWaiting("b")
@@ -92,7 +92,7 @@
 	tk.Step(at(0), takeover.SetPeers{Names: []string{"p"}})
 	tk.Step(at(1), takeover.FoundJob{Job: "j"})
 	tk.Step(at(2), logRead(2))
-	require.False(t, released(tk.Step(at(2), answer(2, "w1"))))
+	require.False(t, released(tk.Step(at(2), peerAnswer(2, "w1"))))
 	require.True(t, released(tk.Step(at(3), takeover.WorkerHeld{Worker: "w1"})))
 }
 
@@ -145,7 +145,7 @@
 	tk.Step(at(1), takeover.GoneJob{Job: "j"})
 	tk.Step(at(2), takeover.WatchWorkers{Workers: []string{"w2"}})
 	require.Equal(t, []takeover.Action{takeover.AskPeers{}}, tk.Step(at(30), takeover.Tick{}))
-	tk.Step(at(30), answer(30, "w2"))
+	tk.Step(at(30), peerAnswer(30, "w2"))
 	require.NotContains(t, tk.Step(at(69), takeover.Tick{}), takeover.WorkerSilent{Worker: "w2"})
 	require.Contains(t, tk.Step(at(71), takeover.Tick{}), takeover.WorkerSilent{Worker: "w2"})
 }
