--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -47,7 +47,7 @@
 // A lead is gone, and nobody knows which of its tasks run. Each of the things
 // that could still tell has to be asked after the takeover began; if the next
 // lead went on without one, a task could run beside its first copy.
-func TestCensusWaitsForAllThatCouldTell(t *testing.T) {
+func TestInventoryWaitsForAllSources(t *testing.T) {
 	held := takeover.WorkerHeld{Worker: "w2"}
 	for name, c := range map[string]struct {
 		events []takeover.Event
