--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -98,7 +98,7 @@
 
 // Two hosts disagree about who lives, and both inherit the job. In whatever
 // order they ask each other, at most one of them may go on with it.
-func TestTwoHeirsOfOneJob(t *testing.T) {
+func TestTwoHostsInheritOneJob(t *testing.T) {
 	for order := range 1 << 12 {
 		heirs := map[string]*takeover.Takeover{}
 		leads := map[string]bool{}
