--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -29,8 +29,8 @@
 	StartupWait time.Duration
 }
 
-// pair is what this host knows of one other host of its failure domain.
-type pair struct {
+// peerState is what this host knows of one other host of its failure domain.
+type peerState struct {
 	incarnation int64
 	// given tells that the incarnation gave its slots away.
 	given bool
@@ -52,7 +52,7 @@
 	began   time.Time
 	last    time.Time
 	names   []string
-	pairs   map[string]*pair
+	pairs   map[string]*peerState
 	settled bool
 	quit    bool
 }
@@ -62,11 +62,11 @@
 func New(limits Limits, self string, incarnation int64, others []string, now time.Time) *Shares {
 	s := &Shares{
 		limits: limits, self: Announcement{Name: self, Incarnation: incarnation}, began: now, last: now,
-		names: append(slices.Clone(others), self), pairs: map[string]*pair{},
+		names: append(slices.Clone(others), self), pairs: map[string]*peerState{},
 	}
 	slices.Sort(s.names)
 	for _, name := range others {
-		s.pairs[name] = &pair{}
+		s.pairs[name] = &peerState{}
 	}
 	return s
 }
@@ -105,7 +105,7 @@
 	}
 	s.self.Incarnation++
 	for _, p := range s.pairs {
-		*p = pair{incarnation: p.incarnation, given: p.given, busy: p.busy || p.gone}
+		*p = peerState{incarnation: p.incarnation, given: p.given, busy: p.busy || p.gone}
 	}
 }
 
