--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -32,8 +32,8 @@
 // peerState is what this host knows of one other host of its failure domain.
 type peerState struct {
 	incarnation int64
-	// given tells that the incarnation gave its slots away.
-	given bool
+	// released tells that the incarnation gave its slots away.
+	released bool
 	// own tells that the other host uses no slot in which this one precedes it.
 	own bool
 	// gone tells that the other host uses no slot at all.
@@ -105,16 +105,16 @@
 	}
 	s.self.Incarnation++
 	for _, p := range s.pairs {
-		*p = peerState{incarnation: p.incarnation, given: p.given, busy: p.busy || p.gone}
+		*p = peerState{incarnation: p.incarnation, released: p.released, busy: p.busy || p.gone}
 	}
 }
 
 func (s *Shares) hear(w Announcement) {
 	p, ok := s.pairs[w.Name]
-	if !ok || w.Incarnation < p.incarnation || w.Incarnation == p.incarnation && p.given {
+	if !ok || w.Incarnation < p.incarnation || w.Incarnation == p.incarnation && p.released {
 		return
 	}
-	p.incarnation, p.given = w.Incarnation, w.Released
+	p.incarnation, p.released = w.Incarnation, w.Released
 	p.away = time.Time{}
 	p.busy = p.busy || p.gone
 	p.gone = w.Released && !s.quit
@@ -179,7 +179,7 @@
 	w := s.self
 	w.Freed = map[string]int64{}
 	for name, p := range s.pairs {
-		if s.settled && p.incarnation > 0 && !p.given && !p.gone && !p.busy {
+		if s.settled && p.incarnation > 0 && !p.released && !p.gone && !p.busy {
 			w.Freed[name] = p.incarnation
 		}
 	}
