--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -34,8 +34,8 @@
 	incarnation int64
 	// released tells that the incarnation gave its slots away.
 	released bool
-	// own tells that the other host uses no slot in which this one precedes it.
-	own bool
+	// freedOwnSlots tells that the other host uses no slot in which this one precedes it.
+	freedOwnSlots bool
 	// gone tells that the other host uses no slot at all.
 	gone bool
 	// busy tells that slots taken while it was gone may still be in use.
@@ -119,7 +119,7 @@
 	p.busy = p.busy || p.gone
 	p.gone = w.Released && !s.quit
 	if w.Released || w.Freed[s.self.Name] == s.self.Incarnation {
-		p.own = !s.quit
+		p.freedOwnSlots = !s.quit
 	}
 }
 
@@ -157,7 +157,7 @@
 	s.quit = true
 	for _, p := range s.pairs {
 		p.busy = p.busy || p.gone
-		p.own, p.gone = false, false
+		p.freedOwnSlots, p.gone = false, false
 	}
 }
 
@@ -169,7 +169,7 @@
 	}
 	for _, p := range s.pairs {
 		if !p.away.IsZero() && now.Sub(p.away) >= s.limits.LongestDeadline {
-			p.own, p.gone = true, true
+			p.freedOwnSlots, p.gone = true, true
 		}
 	}
 }
@@ -191,7 +191,7 @@
 func (s *Shares) AwaitedHosts() []string {
 	var all []string
 	for _, name := range slices.Sorted(maps.Keys(s.pairs)) {
-		if !s.pairs[name].own {
+		if !s.pairs[name].freedOwnSlots {
 			all = append(all, name)
 		}
 	}
@@ -202,7 +202,7 @@
 	all := []bool{s.settled, s.quit}
 	for _, name := range s.names {
 		if p, ok := s.pairs[name]; ok {
-			all = append(all, p.own, p.gone)
+			all = append(all, p.freedOwnSlots, p.gone)
 		}
 	}
 	return all
@@ -229,7 +229,7 @@
 		switch {
 		case name == s.self.Name:
 			before = false
-		case before && !s.pairs[name].gone, !before && !s.pairs[name].own:
+		case before && !s.pairs[name].gone, !before && !s.pairs[name].freedOwnSlots:
 			return false
 		}
 	}
