--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -38,8 +38,8 @@
 	freedOwnSlots bool
 	// gone tells that the other host uses no slot at all.
 	gone bool
-	// busy tells that slots taken while it was gone may still be in use.
-	busy bool
+	// takenInUse tells that slots taken while it was gone may still be in use.
+	takenInUse bool
 	// away is since when the list and the host itself say that it is gone;
 	// zero when either says that it is there.
 	away time.Time
@@ -105,7 +105,7 @@
 	}
 	s.self.Incarnation++
 	for _, p := range s.pairs {
-		*p = peerState{incarnation: p.incarnation, released: p.released, busy: p.busy || p.gone}
+		*p = peerState{incarnation: p.incarnation, released: p.released, takenInUse: p.takenInUse || p.gone}
 	}
 }
 
@@ -116,7 +116,7 @@
 	}
 	p.incarnation, p.released = w.Incarnation, w.Released
 	p.away = time.Time{}
-	p.busy = p.busy || p.gone
+	p.takenInUse = p.takenInUse || p.gone
 	p.gone = w.Released && !s.quit
 	if w.Released || w.Freed[s.self.Name] == s.self.Incarnation {
 		p.freedOwnSlots = !s.quit
@@ -144,7 +144,7 @@
 // run, and the heir would send a second request into the same slot.
 func (s *Shares) drained() []Action {
 	for _, p := range s.pairs {
-		p.busy = false
+		p.takenInUse = false
 	}
 	if !s.quit || !s.settled || s.self.Released {
 		return nil
@@ -156,7 +156,7 @@
 func (s *Shares) stop() {
 	s.quit = true
 	for _, p := range s.pairs {
-		p.busy = p.busy || p.gone
+		p.takenInUse = p.takenInUse || p.gone
 		p.freedOwnSlots, p.gone = false, false
 	}
 }
@@ -179,7 +179,7 @@
 	w := s.self
 	w.Freed = map[string]int64{}
 	for name, p := range s.pairs {
-		if s.settled && p.incarnation > 0 && !p.released && !p.gone && !p.busy {
+		if s.settled && p.incarnation > 0 && !p.released && !p.gone && !p.takenInUse {
 			w.Freed[name] = p.incarnation
 		}
 	}
