--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -40,9 +40,9 @@
 	gone bool
 	// takenInUse tells that slots taken while it was gone may still be in use.
 	takenInUse bool
-	// away is since when the list and the host itself say that it is gone;
+	// absentSince is since when the list and the host itself say that it is gone;
 	// zero when either says that it is there.
-	away time.Time
+	absentSince time.Time
 }
 
 // Shares is the share core of one host.
@@ -115,7 +115,7 @@
 		return
 	}
 	p.incarnation, p.released = w.Incarnation, w.Released
-	p.away = time.Time{}
+	p.absentSince = time.Time{}
 	p.takenInUse = p.takenInUse || p.gone
 	p.gone = w.Released && !s.quit
 	if w.Released || w.Freed[s.self.Name] == s.self.Incarnation {
@@ -132,9 +132,9 @@
 	for name, p := range s.pairs {
 		switch {
 		case slices.Contains(names, name):
-			p.away = time.Time{}
-		case p.away.IsZero():
-			p.away = now
+			p.absentSince = time.Time{}
+		case p.absentSince.IsZero():
+			p.absentSince = now
 		}
 	}
 }
@@ -168,7 +168,7 @@
 		return
 	}
 	for _, p := range s.pairs {
-		if !p.away.IsZero() && now.Sub(p.away) >= s.limits.LongestDeadline {
+		if !p.absentSince.IsZero() && now.Sub(p.absentSince) >= s.limits.LongestDeadline {
 			p.freedOwnSlots, p.gone = true, true
 		}
 	}
