--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -47,14 +47,14 @@
 
 // Shares is the share core of one host.
 type Shares struct {
-	limits  Limits
-	self    Announcement
-	began   time.Time
-	last    time.Time
-	names   []string
-	pairs   map[string]*peerState
-	settled bool
-	quit    bool
+	limits      Limits
+	self        Announcement
+	began       time.Time
+	last        time.Time
+	names       []string
+	pairs       map[string]*peerState
+	startupDone bool
+	quit        bool
 }
 
 // New returns the core of the host called self; others are the other hosts of
@@ -146,7 +146,7 @@
 	for _, p := range s.pairs {
 		p.takenInUse = false
 	}
-	if !s.quit || !s.settled || s.self.Released {
+	if !s.quit || !s.startupDone || s.self.Released {
 		return nil
 	}
 	s.self.Released = true
@@ -163,7 +163,7 @@
 
 // pass grants what time alone proves.
 func (s *Shares) pass(now time.Time) {
-	s.settled = s.settled || now.Sub(s.began) >= s.limits.StartupWait
+	s.startupDone = s.startupDone || now.Sub(s.began) >= s.limits.StartupWait
 	if s.quit {
 		return
 	}
@@ -179,7 +179,7 @@
 	w := s.self
 	w.Freed = map[string]int64{}
 	for name, p := range s.pairs {
-		if s.settled && p.incarnation > 0 && !p.released && !p.gone && !p.takenInUse {
+		if s.startupDone && p.incarnation > 0 && !p.released && !p.gone && !p.takenInUse {
 			w.Freed[name] = p.incarnation
 		}
 	}
@@ -199,7 +199,7 @@
 }
 
 func (s *Shares) rights() []bool {
-	all := []bool{s.settled, s.quit}
+	all := []bool{s.startupDone, s.quit}
 	for _, name := range s.names {
 		if p, ok := s.pairs[name]; ok {
 			all = append(all, p.freedOwnSlots, p.gone)
@@ -221,7 +221,7 @@
 
 // MayUse tells whether this host may use one slot of a backend server now.
 func (s *Shares) MayUse(minion string, slot int) bool {
-	if !s.settled || s.quit {
+	if !s.startupDone || s.quit {
 		return false
 	}
 	before := true
