--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -54,7 +54,7 @@
 	names       []string
 	pairs       map[string]*peerState
 	startupDone bool
-	quit        bool
+	stopping    bool
 }
 
 // New returns the core of the host called self; others are the other hosts of
@@ -117,9 +117,9 @@
 	p.incarnation, p.released = w.Incarnation, w.Released
 	p.absentSince = time.Time{}
 	p.takenInUse = p.takenInUse || p.gone
-	p.gone = w.Released && !s.quit
+	p.gone = w.Released && !s.stopping
 	if w.Released || w.Freed[s.self.Name] == s.self.Incarnation {
-		p.freedOwnSlots = !s.quit
+		p.freedOwnSlots = !s.stopping
 	}
 }
 
@@ -146,7 +146,7 @@
 	for _, p := range s.pairs {
 		p.takenInUse = false
 	}
-	if !s.quit || !s.startupDone || s.self.Released {
+	if !s.stopping || !s.startupDone || s.self.Released {
 		return nil
 	}
 	s.self.Released = true
@@ -154,7 +154,7 @@
 }
 
 func (s *Shares) stop() {
-	s.quit = true
+	s.stopping = true
 	for _, p := range s.pairs {
 		p.takenInUse = p.takenInUse || p.gone
 		p.freedOwnSlots, p.gone = false, false
@@ -164,7 +164,7 @@
 // pass grants what time alone proves.
 func (s *Shares) pass(now time.Time) {
 	s.startupDone = s.startupDone || now.Sub(s.began) >= s.limits.StartupWait
-	if s.quit {
+	if s.stopping {
 		return
 	}
 	for _, p := range s.pairs {
@@ -199,7 +199,7 @@
 }
 
 func (s *Shares) rights() []bool {
-	all := []bool{s.startupDone, s.quit}
+	all := []bool{s.startupDone, s.stopping}
 	for _, name := range s.names {
 		if p, ok := s.pairs[name]; ok {
 			all = append(all, p.freedOwnSlots, p.gone)
@@ -221,7 +221,7 @@
 
 // MayUse tells whether this host may use one slot of a backend server now.
 func (s *Shares) MayUse(minion string, slot int) bool {
-	if !s.startupDone || s.quit {
+	if !s.startupDone || s.stopping {
 		return false
 	}
 	before := true
