--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -52,7 +52,7 @@
 	began       time.Time
 	last        time.Time
 	names       []string
-	pairs       map[string]*peerState
+	peers       map[string]*peerState
 	startupDone bool
 	stopping    bool
 }
@@ -62,11 +62,11 @@
 func New(limits Limits, self string, incarnation int64, others []string, now time.Time) *Shares {
 	s := &Shares{
 		limits: limits, self: Announcement{Name: self, Incarnation: incarnation}, began: now, last: now,
-		names: append(slices.Clone(others), self), pairs: map[string]*peerState{},
+		names: append(slices.Clone(others), self), peers: map[string]*peerState{},
 	}
 	slices.Sort(s.names)
 	for _, name := range others {
-		s.pairs[name] = &peerState{}
+		s.peers[name] = &peerState{}
 	}
 	return s
 }
@@ -104,13 +104,13 @@
 		return
 	}
 	s.self.Incarnation++
-	for _, p := range s.pairs {
+	for _, p := range s.peers {
 		*p = peerState{incarnation: p.incarnation, released: p.released, takenInUse: p.takenInUse || p.gone}
 	}
 }
 
 func (s *Shares) hear(w Announcement) {
-	p, ok := s.pairs[w.Name]
+	p, ok := s.peers[w.Name]
 	if !ok || w.Incarnation < p.incarnation || w.Incarnation == p.incarnation && p.released {
 		return
 	}
@@ -129,7 +129,7 @@
 	if !slices.Contains(names, s.self.Name) {
 		return
 	}
-	for name, p := range s.pairs {
+	for name, p := range s.peers {
 		switch {
 		case slices.Contains(names, name):
 			p.absentSince = time.Time{}
@@ -143,7 +143,7 @@
 // before it settled gives nothing: what its former incarnation sent may still
 // run, and the heir would send a second request into the same slot.
 func (s *Shares) drained() []Action {
-	for _, p := range s.pairs {
+	for _, p := range s.peers {
 		p.takenInUse = false
 	}
 	if !s.stopping || !s.startupDone || s.self.Released {
@@ -155,7 +155,7 @@
 
 func (s *Shares) stop() {
 	s.stopping = true
-	for _, p := range s.pairs {
+	for _, p := range s.peers {
 		p.takenInUse = p.takenInUse || p.gone
 		p.freedOwnSlots, p.gone = false, false
 	}
@@ -167,7 +167,7 @@
 	if s.stopping {
 		return
 	}
-	for _, p := range s.pairs {
+	for _, p := range s.peers {
 		if !p.absentSince.IsZero() && now.Sub(p.absentSince) >= s.limits.LongestDeadline {
 			p.freedOwnSlots, p.gone = true, true
 		}
@@ -178,7 +178,7 @@
 func (s *Shares) Announcement() Announcement {
 	w := s.self
 	w.Freed = map[string]int64{}
-	for name, p := range s.pairs {
+	for name, p := range s.peers {
 		if s.startupDone && p.incarnation > 0 && !p.released && !p.gone && !p.takenInUse {
 			w.Freed[name] = p.incarnation
 		}
@@ -190,8 +190,8 @@
 // slots, in order of name.
 func (s *Shares) AwaitedHosts() []string {
 	var all []string
-	for _, name := range slices.Sorted(maps.Keys(s.pairs)) {
-		if !s.pairs[name].freedOwnSlots {
+	for _, name := range slices.Sorted(maps.Keys(s.peers)) {
+		if !s.peers[name].freedOwnSlots {
 			all = append(all, name)
 		}
 	}
@@ -201,7 +201,7 @@
 func (s *Shares) rights() []bool {
 	all := []bool{s.startupDone, s.stopping}
 	for _, name := range s.names {
-		if p, ok := s.pairs[name]; ok {
+		if p, ok := s.peers[name]; ok {
 			all = append(all, p.freedOwnSlots, p.gone)
 		}
 	}
@@ -229,7 +229,7 @@
 		switch {
 		case name == s.self.Name:
 			before = false
-		case before && !s.pairs[name].gone, !before && !s.pairs[name].freedOwnSlots:
+		case before && !s.peers[name].gone, !before && !s.peers[name].freedOwnSlots:
 			return false
 		}
 	}
