--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -50,7 +50,7 @@
 	limits      Limits
 	self        Announcement
 	began       time.Time
-	last        time.Time
+	lastStep    time.Time
 	names       []string
 	peers       map[string]*peerState
 	startupDone bool
@@ -61,7 +61,7 @@
 // its failure domain as the settings name them.
 func New(limits Limits, self string, incarnation int64, others []string, now time.Time) *Shares {
 	s := &Shares{
-		limits: limits, self: Announcement{Name: self, Incarnation: incarnation}, began: now, last: now,
+		limits: limits, self: Announcement{Name: self, Incarnation: incarnation}, began: now, lastStep: now,
 		names: append(slices.Clone(others), self), peers: map[string]*peerState{},
 	}
 	slices.Sort(s.names)
@@ -98,8 +98,8 @@
 // have taken its slots meanwhile; it would use them a second time, which shows
 // as a backend server with more than its slots in use.
 func (s *Shares) resume(now time.Time) {
-	gap := now.Sub(s.last)
-	s.last = now
+	gap := now.Sub(s.lastStep)
+	s.lastStep = now
 	if gap <= s.limits.LongestDeadline/2 {
 		return
 	}
