--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -78,7 +78,7 @@
 	var acts []Action
 	switch ev := ev.(type) {
 	case AnnouncementReceived:
-		s.hear(ev.Announcement)
+		s.receive(ev.Announcement)
 	case HostsListed:
 		s.list(now, ev.Names)
 	case Drained:
@@ -109,7 +109,7 @@
 	}
 }
 
-func (s *Shares) hear(w Announcement) {
+func (s *Shares) receive(w Announcement) {
 	p, ok := s.peers[w.Name]
 	if !ok || w.Incarnation < p.incarnation || w.Incarnation == p.incarnation && p.released {
 		return
