--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -80,7 +80,7 @@
 	case AnnouncementReceived:
 		s.receive(ev.Announcement)
 	case HostsListed:
-		s.list(now, ev.Names)
+		s.updateHosts(now, ev.Names)
 	case Drained:
 		acts = s.drained()
 	case Stopping:
@@ -123,9 +123,9 @@
 	}
 }
 
-// list notes who is gone. A list without this host itself comes from before
+// updateHosts notes who is gone. A updateHosts without this host itself comes from before
 // this host's start and proves nothing.
-func (s *Shares) list(now time.Time, names []string) {
+func (s *Shares) updateHosts(now time.Time, names []string) {
 	if !slices.Contains(names, s.self.Name) {
 		return
 	}
