--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -84,7 +84,7 @@
 	case Drained:
 		acts = s.drained()
 	case Stopping:
-		s.stop()
+		s.beginStop()
 	case Tick:
 	}
 	s.pass(now)
@@ -153,7 +153,7 @@
 	return []Action{SendAnnouncement{Announcement: s.Announcement()}}
 }
 
-func (s *Shares) stop() {
+func (s *Shares) beginStop() {
 	s.stopping = true
 	for _, p := range s.peers {
 		p.takenInUse = p.takenInUse || p.gone
