--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -87,7 +87,7 @@
 		s.beginStop()
 	case Tick:
 	}
-	s.pass(now)
+	s.applyTimeouts(now)
 	if !slices.Equal(before, s.rights()) {
 		acts = append(acts, SlotsChanged{})
 	}
@@ -161,8 +161,8 @@
 	}
 }
 
-// pass grants what time alone proves.
-func (s *Shares) pass(now time.Time) {
+// applyTimeouts grants what time alone proves.
+func (s *Shares) applyTimeouts(now time.Time) {
 	s.startupDone = s.startupDone || now.Sub(s.began) >= s.limits.StartupWait
 	if s.stopping {
 		return
