--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -73,7 +73,7 @@
 
 // Step takes one event and returns what follows from it.
 func (s *Shares) Step(now time.Time, ev Event) []Action {
-	before := s.rights()
+	before := s.usageRights()
 	s.resume(now)
 	var acts []Action
 	switch ev := ev.(type) {
@@ -88,7 +88,7 @@
 	case Tick:
 	}
 	s.applyTimeouts(now)
-	if !slices.Equal(before, s.rights()) {
+	if !slices.Equal(before, s.usageRights()) {
 		acts = append(acts, SlotsChanged{})
 	}
 	return acts
@@ -198,7 +198,7 @@
 	return all
 }
 
-func (s *Shares) rights() []bool {
+func (s *Shares) usageRights() []bool {
 	all := []bool{s.startupDone, s.stopping}
 	for _, name := range s.names {
 		if p, ok := s.peers[name]; ok {
