--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -32,9 +32,9 @@
 	list []string
 }
 
-// world runs several cores of one failure domain and keeps, slot by slot,
+// simulation runs several cores of one failure domain and keeps, slot by slot,
 // until when which process may still have a request there.
-type world struct {
+type simulation struct {
 	t         require.TestingT
 	now       time.Time
 	names     []string
@@ -44,8 +44,8 @@
 	until     [slots]map[*process]time.Time
 }
 
-func newWorld(t require.TestingT, n int) *world {
-	w := &world{t: t, now: start, listed: map[string]bool{}}
+func newWorld(t require.TestingT, n int) *simulation {
+	w := &simulation{t: t, now: start, listed: map[string]bool{}}
 	for i := range slots {
 		w.until[i] = map[*process]time.Time{}
 	}
@@ -55,14 +55,14 @@
 	return w
 }
 
-func (w *world) begin(i int) {
+func (w *simulation) begin(i int) {
 	name := w.names[i]
 	others := append(append([]string{}, w.names[:i]...), w.names[i+1:]...)
 	w.listed[name] = true
 	w.processes = append(w.processes, &process{name: name, core: share.New(limits, name, w.now.UnixNano(), others, w.now)})
 }
 
-func (w *world) running(name string) *process {
+func (w *simulation) running(name string) *process {
 	for _, p := range w.processes {
 		if p.name == name && !p.dead {
 			return p
@@ -71,7 +71,7 @@
 	return nil
 }
 
-func (w *world) step(p *process, ev share.Event) {
+func (w *simulation) step(p *process, ev share.Event) {
 	for _, a := range p.core.Step(w.now, ev) {
 		if tell, ok := a.(share.SendAnnouncement); ok {
 			w.words = append(w.words, tell.Announcement)
@@ -80,7 +80,7 @@
 }
 
 // use sends a request on every slot that a process takes for its own.
-func (w *world) use() {
+func (w *simulation) use() {
 	for _, p := range w.processes {
 		if p.dead {
 			continue
@@ -102,7 +102,7 @@
 	}
 }
 
-func (w *world) pass(d time.Duration) {
+func (w *simulation) pass(d time.Duration) {
 	w.now = w.now.Add(d)
 	for _, p := range w.processes {
 		if !p.dead {
@@ -112,7 +112,7 @@
 	w.use()
 }
 
-func (w *world) drain(p *process) {
+func (w *simulation) drain(p *process) {
 	for i := range slots {
 		if !p.core.MayUse("m", i) {
 			delete(w.until[i], p)
@@ -121,7 +121,7 @@
 	w.step(p, share.Drained{})
 }
 
-func (w *world) all() []string {
+func (w *simulation) all() []string {
 	var names []string
 	for _, name := range w.names {
 		if w.listed[name] {
@@ -132,7 +132,7 @@
 }
 
 // settle lets every host hear every other and read the list for long enough.
-func (w *world) settle() {
+func (w *simulation) settle() {
 	for range 8 {
 		for _, p := range w.processes {
 			if p.dead {
@@ -150,7 +150,7 @@
 	}
 }
 
-func (w *world) inUse() int {
+func (w *simulation) inUse() int {
 	n := 0
 	for _, p := range w.processes {
 		if !p.dead {
