--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -44,7 +44,7 @@
 	until     [slots]map[*process]time.Time
 }
 
-func newWorld(t require.TestingT, n int) *simulation {
+func newSimulation(t require.TestingT, n int) *simulation {
 	w := &simulation{t: t, now: start, listed: map[string]bool{}}
 	for i := range slots {
 		w.until[i] = map[*process]time.Time{}
@@ -166,7 +166,7 @@
 // inside it, where no queue of ours can put them first.
 func TestNoSlotIsUsedTwiceWhateverHappens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, rapid.IntRange(2, 4).Draw(t, "hosts"))
+		w := newSimulation(t, rapid.IntRange(2, 4).Draw(t, "hosts"))
 		for i := range w.names {
 			w.begin(i)
 		}
@@ -221,7 +221,7 @@
 // When it comes back it gets its slots again.
 func TestSlotsOfAGoneHostAreTakenAndGivenBack(t *testing.T) {
 	for _, planned := range []bool{false, true} {
-		w := newWorld(t, 3)
+		w := newSimulation(t, 3)
 		for i := range w.names {
 			w.begin(i)
 		}
@@ -262,7 +262,7 @@
 // wait for those requests, or the backend server gets a ninth one.
 func TestReturningOwnerWaitsForWhatItsHeirSent(t *testing.T) {
 	for _, heirDies := range []bool{false, true} {
-		w := newWorld(t, 2)
+		w := newSimulation(t, 2)
 		w.begin(0)
 		w.begin(1)
 		w.settle()
