--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -35,13 +35,13 @@
 // simulation runs several cores of one failure domain and keeps, slot by slot,
 // until when which process may still have a request there.
 type simulation struct {
-	t         require.TestingT
-	now       time.Time
-	names     []string
-	processes []*process
-	words     []share.Announcement
-	listed    map[string]bool
-	until     [slots]map[*process]time.Time
+	t             require.TestingT
+	now           time.Time
+	names         []string
+	processes     []*process
+	announcements []share.Announcement
+	listed        map[string]bool
+	until         [slots]map[*process]time.Time
 }
 
 func newSimulation(t require.TestingT, n int) *simulation {
@@ -74,7 +74,7 @@
 func (w *simulation) step(p *process, ev share.Event) {
 	for _, a := range p.core.Step(w.now, ev) {
 		if tell, ok := a.(share.SendAnnouncement); ok {
-			w.words = append(w.words, tell.Announcement)
+			w.announcements = append(w.announcements, tell.Announcement)
 		}
 	}
 }
@@ -195,10 +195,10 @@
 			},
 			"quit":  live(func(p *process) { p.quit = true; w.step(p, share.Stopping{}) }),
 			"drain": live(w.drain),
-			"say":   live(func(p *process) { w.words = append(w.words, p.core.Announcement()) }),
+			"say":   live(func(p *process) { w.announcements = append(w.announcements, p.core.Announcement()) }),
 			"hear": live(func(p *process) {
-				if len(w.words) > 0 {
-					w.step(p, share.AnnouncementReceived{Announcement: w.words[rapid.IntRange(0, len(w.words)-1).Draw(t, "word")]})
+				if len(w.announcements) > 0 {
+					w.step(p, share.AnnouncementReceived{Announcement: w.announcements[rapid.IntRange(0, len(w.announcements)-1).Draw(t, "word")]})
 				}
 			}),
 			"read": live(func(p *process) { p.list = w.all() }),
@@ -233,9 +233,9 @@
 		if planned {
 			w.step(gone, share.Stopping{})
 			w.drain(gone)
-			require.Len(t, w.words, 1)
-			w.step(w.processes[1], share.AnnouncementReceived{Announcement: w.words[0]})
-			w.step(w.processes[2], share.AnnouncementReceived{Announcement: w.words[0]})
+			require.Len(t, w.announcements, 1)
+			w.step(w.processes[1], share.AnnouncementReceived{Announcement: w.announcements[0]})
+			w.step(w.processes[2], share.AnnouncementReceived{Announcement: w.announcements[0]})
 			require.Equal(t, slots, w.inUse(), "what was given is used at once")
 			w.step(w.processes[1], share.AnnouncementReceived{Announcement: stale})
 			require.Equal(t, slots, w.inUse(), "a late word of the stopped host changes nothing")
