--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -55,7 +55,7 @@
 	return w
 }
 
-func (w *simulation) begin(i int) {
+func (w *simulation) startProcess(i int) {
 	name := w.names[i]
 	others := append(append([]string{}, w.names[:i]...), w.names[i+1:]...)
 	w.listed[name] = true
@@ -168,7 +168,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSimulation(t, rapid.IntRange(2, 4).Draw(t, "hosts"))
 		for i := range w.names {
-			w.begin(i)
+			w.startProcess(i)
 		}
 		if rapid.Bool().Draw(t, "settled") {
 			w.settle()
@@ -190,7 +190,7 @@
 			}),
 			"begin": func(t *rapid.T) {
 				if i := rapid.IntRange(0, len(w.names)-1).Draw(t, "host"); w.running(w.names[i]) == nil {
-					w.begin(i)
+					w.startProcess(i)
 				}
 			},
 			"quit":  live(func(p *process) { p.quit = true; w.step(p, share.Stopping{}) }),
@@ -223,7 +223,7 @@
 	for _, planned := range []bool{false, true} {
 		w := newSimulation(t, 3)
 		for i := range w.names {
-			w.begin(i)
+			w.startProcess(i)
 		}
 		require.Zero(t, w.inUse(), "a joiner waits")
 		w.settle()
@@ -250,7 +250,7 @@
 		w.processes[1].dead, w.listed["h1"] = true, false
 		w.settle()
 		require.Equal(t, slots, w.inUse(), "the last host uses all")
-		w.begin(0)
+		w.startProcess(0)
 		w.settle()
 		require.Equal(t, slots, w.inUse())
 		require.Positive(t, w.running("h0").core.UsableSlots("m", slots))
@@ -263,8 +263,8 @@
 func TestReturningOwnerWaitsForWhatItsHeirSent(t *testing.T) {
 	for _, heirDies := range []bool{false, true} {
 		w := newSimulation(t, 2)
-		w.begin(0)
-		w.begin(1)
+		w.startProcess(0)
+		w.startProcess(1)
 		w.settle()
 		w.processes[0].dead, w.listed["h0"] = true, false
 		w.step(w.processes[1], share.HostsListed{Names: w.all()})
@@ -273,14 +273,14 @@
 		}
 		w.pass(longest / 3)
 		require.Equal(t, slots, w.inUse(), "the heir has taken the slots")
-		w.begin(0)
+		w.startProcess(0)
 		for range 3 {
 			w.pass(longest * 3 / 10)
 		}
 		heir := w.processes[1]
 		if heirDies {
 			heir.dead = true
-			w.begin(1)
+			w.startProcess(1)
 			heir = w.processes[3]
 		}
 		w.pass(longest / 5)
