--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// use sends a request on every slot that a process takes for its own.
-func (w *simulation) use() {
+// sendRequests sends a request on every slot that a process takes for its own.
+func (w *simulation) sendRequests() {
 	for _, p := range w.processes {
 		if p.dead {
 			continue
@@ -109,7 +109,7 @@
 			w.step(p, share.Tick{})
 		}
 	}
-	w.use()
+	w.sendRequests()
 }
 
 func (w *simulation) drain(p *process) {
@@ -184,7 +184,7 @@
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"": func(*rapid.T) { w.use() },
+			"": func(*rapid.T) { w.sendRequests() },
 			"die": live(func(p *process) {
 				p.dead, w.listed[p.name] = true, false
 			}),
@@ -286,7 +286,7 @@
 		w.pass(longest / 5)
 		w.step(heir, share.AnnouncementReceived{Announcement: w.processes[2].core.Announcement()})
 		w.step(w.processes[2], share.AnnouncementReceived{Announcement: heir.core.Announcement()})
-		w.use()
+		w.sendRequests()
 		w.settle()
 		require.Equal(t, slots, w.inUse())
 	}
