--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -102,7 +102,7 @@
 	}
 }
 
-func (w *simulation) pass(d time.Duration) {
+func (w *simulation) advance(d time.Duration) {
 	w.now = w.now.Add(d)
 	for _, p := range w.processes {
 		if !p.dead {
@@ -146,7 +146,7 @@
 				}
 			}
 		}
-		w.pass(longest / 4)
+		w.advance(longest / 4)
 	}
 }
 
@@ -211,7 +211,7 @@
 				}
 			}),
 			"look": live(func(p *process) { w.step(p, share.HostsListed{Names: w.all()}) }),
-			"pass": func(t *rapid.T) { w.pass(time.Duration(rapid.IntRange(1, 12).Draw(t, "tenths")) * longest / 10) },
+			"pass": func(t *rapid.T) { w.advance(time.Duration(rapid.IntRange(1, 12).Draw(t, "tenths")) * longest / 10) },
 		})
 	})
 }
@@ -242,7 +242,7 @@
 		}
 		gone.dead, w.listed[gone.name] = true, false
 		if !planned {
-			w.pass(time.Second)
+			w.advance(time.Second)
 			require.Less(t, w.inUse(), slots, "what it sent may still run")
 		}
 		w.settle()
@@ -269,13 +269,13 @@
 		w.processes[0].dead, w.listed["h0"] = true, false
 		w.step(w.processes[1], share.HostsListed{Names: w.all()})
 		for range 3 {
-			w.pass(longest / 3)
+			w.advance(longest / 3)
 		}
-		w.pass(longest / 3)
+		w.advance(longest / 3)
 		require.Equal(t, slots, w.inUse(), "the heir has taken the slots")
 		w.startProcess(0)
 		for range 3 {
-			w.pass(longest * 3 / 10)
+			w.advance(longest * 3 / 10)
 		}
 		heir := w.processes[1]
 		if heirDies {
@@ -283,7 +283,7 @@
 			w.startProcess(1)
 			heir = w.processes[3]
 		}
-		w.pass(longest / 5)
+		w.advance(longest / 5)
 		w.step(heir, share.AnnouncementReceived{Announcement: w.processes[2].core.Announcement()})
 		w.step(w.processes[2], share.AnnouncementReceived{Announcement: heir.core.Announcement()})
 		w.sendRequests()
