--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -121,7 +121,7 @@
 	w.step(p, share.Drained{})
 }
 
-func (w *simulation) all() []string {
+func (w *simulation) listedNames() []string {
 	var names []string
 	for _, name := range w.names {
 		if w.listed[name] {
@@ -139,7 +139,7 @@
 				continue
 			}
 			w.drain(p)
-			w.step(p, share.HostsListed{Names: w.all()})
+			w.step(p, share.HostsListed{Names: w.listedNames()})
 			for _, o := range w.processes {
 				if o != p && !o.dead {
 					w.step(o, share.AnnouncementReceived{Announcement: p.core.Announcement()})
@@ -201,8 +201,8 @@
 					w.step(p, share.AnnouncementReceived{Announcement: w.announcements[rapid.IntRange(0, len(w.announcements)-1).Draw(t, "word")]})
 				}
 			}),
-			"read": live(func(p *process) { p.list = w.all() }),
-			"list": live(func(p *process) { w.step(p, share.HostsListed{Names: p.list}); p.list = w.all() }),
+			"read": live(func(p *process) { p.list = w.listedNames() }),
+			"list": live(func(p *process) { w.step(p, share.HostsListed{Names: p.list}); p.list = w.listedNames() }),
 			"talk": live(func(p *process) {
 				for _, o := range w.processes {
 					if o != p && !o.dead {
@@ -210,7 +210,7 @@
 					}
 				}
 			}),
-			"look": live(func(p *process) { w.step(p, share.HostsListed{Names: w.all()}) }),
+			"look": live(func(p *process) { w.step(p, share.HostsListed{Names: w.listedNames()}) }),
 			"pass": func(t *rapid.T) { w.advance(time.Duration(rapid.IntRange(1, 12).Draw(t, "tenths")) * longest / 10) },
 		})
 	})
@@ -267,7 +267,7 @@
 		w.startProcess(1)
 		w.settle()
 		w.processes[0].dead, w.listed["h0"] = true, false
-		w.step(w.processes[1], share.HostsListed{Names: w.all()})
+		w.step(w.processes[1], share.HostsListed{Names: w.listedNames()})
 		for range 3 {
 			w.advance(longest / 3)
 		}
