--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -131,8 +131,8 @@
 	return names
 }
 
-// settle lets every host hear every other and read the list for long enough.
-func (w *simulation) settle() {
+// converge lets every host hear every other and read the list for long enough.
+func (w *simulation) converge() {
 	for range 8 {
 		for _, p := range w.processes {
 			if p.dead {
@@ -171,7 +171,7 @@
 			w.startProcess(i)
 		}
 		if rapid.Bool().Draw(t, "settled") {
-			w.settle()
+			w.converge()
 		}
 		host := func() *process {
 			return w.running(w.names[rapid.IntRange(0, len(w.names)-1).Draw(t, "host")])
@@ -226,7 +226,7 @@
 			w.startProcess(i)
 		}
 		require.Zero(t, w.inUse(), "a joiner waits")
-		w.settle()
+		w.converge()
 		require.Equal(t, slots, w.inUse())
 		gone := w.processes[0]
 		stale := gone.core.Announcement()
@@ -245,13 +245,13 @@
 			w.advance(time.Second)
 			require.Less(t, w.inUse(), slots, "what it sent may still run")
 		}
-		w.settle()
+		w.converge()
 		require.Equal(t, slots, w.inUse())
 		w.processes[1].dead, w.listed["h1"] = true, false
-		w.settle()
+		w.converge()
 		require.Equal(t, slots, w.inUse(), "the last host uses all")
 		w.startProcess(0)
-		w.settle()
+		w.converge()
 		require.Equal(t, slots, w.inUse())
 		require.Positive(t, w.running("h0").core.UsableSlots("m", slots))
 	}
@@ -265,7 +265,7 @@
 		w := newSimulation(t, 2)
 		w.startProcess(0)
 		w.startProcess(1)
-		w.settle()
+		w.converge()
 		w.processes[0].dead, w.listed["h0"] = true, false
 		w.step(w.processes[1], share.HostsListed{Names: w.listedNames()})
 		for range 3 {
@@ -287,7 +287,7 @@
 		w.step(heir, share.AnnouncementReceived{Announcement: w.processes[2].core.Announcement()})
 		w.step(w.processes[2], share.AnnouncementReceived{Announcement: heir.core.Announcement()})
 		w.sendRequests()
-		w.settle()
+		w.converge()
 		require.Equal(t, slots, w.inUse())
 	}
 }
