--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -260,7 +260,7 @@
 // A host returns while its heir still has requests in the slots that it took,
 // or while such an heir has just died and come back itself. The owner must
 // wait for those requests, or the backend server gets a ninth one.
-func TestReturningOwnerWaitsForWhatItsHeirSent(t *testing.T) {
+func TestReturningOwnerWaitsForRequestsInItsSlots(t *testing.T) {
 	for _, heirDies := range []bool{false, true} {
 		w := newSimulation(t, 2)
 		w.startProcess(0)
