--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -108,12 +108,12 @@
 		return nil
 	}
 	j.incarnations[ev.Worker] = incarnation{name: ev.Incarnation, sent: ev.Sent}
-	under, late := j.lostInCrash(ev, listed), j.crashedWhileSilent(ev)
+	lost, late := j.lostInCrash(ev, listed), j.crashedWhileSilent(ev)
 	most := int64(0)
-	for _, t := range slices.Concat(under, late) {
+	for _, t := range slices.Concat(lost, late) {
 		most = max(most, t.crashes)
 	}
-	for _, t := range under {
+	for _, t := range lost {
 		t.suspected = t.crashes == most && !t.excuse(ev)
 	}
 	var acts []Action
