--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -181,23 +181,23 @@
 
 // lostInCrash are the tasks that were on a worker in an earlier life than the one that its list is from.
 func (j *Jobs) lostInCrash(ev WorkerList, listed map[string]bool) []*task {
-	var under []*task
+	var lost []*task
 	for _, id := range slices.Sorted(maps.Keys(j.byWorker[ev.Worker])) {
 		t := j.tasks[id]
 		if !t.onWorkerSince.Before(ev.Sent) || ev.Jobs != nil && !slices.Contains(ev.Jobs, t.job.spec.ID) {
 			continue
 		}
 		if t.incarnation != "" && t.incarnation != ev.Incarnation && !listed[id] && !taskChart.Final(t.state) {
-			under = append(under, t)
+			lost = append(lost, t)
 		}
 		t.incarnation = ev.Incarnation
 	}
 	for _, t := range j.takeRecalled(ev) {
 		if t.worker == "" && t.job.awaitsInventory && !listed[t.id] && t.lastPlace.incarnation != ev.Incarnation {
-			under = append(under, t)
+			lost = append(lost, t)
 		}
 	}
-	return under
+	return lost
 }
 
 func (t *task) countCrash(worker string) StoreCrashCount {
