--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -100,33 +100,33 @@
 // order they ask each other, at most one of them may go on with it.
 func TestTwoHostsInheritOneJob(t *testing.T) {
 	for order := range 1 << 12 {
-		heirs := map[string]*takeover.Takeover{}
+		hosts := map[string]*takeover.Takeover{}
 		leads := map[string]bool{}
 		answers := map[string]takeover.PeerAnswer{}
 		for _, name := range []string{"a", "b"} {
-			heirs[name] = takeover.New(name, limits)
-			heirs[name].Step(at(0), takeover.SetWorkers{Names: []string{"w-" + name}})
-			heirs[name].Step(at(0), takeover.SetPeers{Names: []string{map[string]string{"a": "b", "b": "a"}[name]}})
-			heirs[name].Step(at(0), takeover.WorkerHeld{Worker: "w-" + name})
+			hosts[name] = takeover.New(name, limits)
+			hosts[name].Step(at(0), takeover.SetWorkers{Names: []string{"w-" + name}})
+			hosts[name].Step(at(0), takeover.SetPeers{Names: []string{map[string]string{"a": "b", "b": "a"}[name]}})
+			hosts[name].Step(at(0), takeover.WorkerHeld{Worker: "w-" + name})
 		}
-		heirs["a"].Step(at(1), takeover.FoundJob{Job: "j"})
-		heirs["b"].Step(at(1+2.05*float64(order%3)), takeover.FoundJob{Job: "j"})
+		hosts["a"].Step(at(1), takeover.FoundJob{Job: "j"})
+		hosts["b"].Step(at(1+2.05*float64(order%3)), takeover.FoundJob{Job: "j"})
 		for bit := range 12 {
 			now := 3 + float64(bit)
 			asker, asked := "a", "b"
 			if order>>bit&1 == 1 {
 				asker, asked = "b", "a"
 			}
-			if ev, ok := answers[asker]; ok && released(heirs[asker].Step(at(now), ev)) {
+			if ev, ok := answers[asker]; ok && released(hosts[asker].Step(at(now), ev)) {
 				leads[asker] = true
 			}
-			heirs[asked].Step(at(now+0.1), takeover.PeerAsked{Host: asker, Jobs: heirs[asker].Waiting()})
-			ev := takeover.PeerAnswer{Host: asked, Asked: at(now + 0.1), Waits: heirs[asked].Waiting()}
+			hosts[asked].Step(at(now+0.1), takeover.PeerAsked{Host: asker, Jobs: hosts[asker].Waiting()})
+			ev := takeover.PeerAnswer{Host: asked, Asked: at(now + 0.1), Waits: hosts[asked].Waiting()}
 			if leads[asked] {
 				ev.Leads = []string{"j"}
 			}
 			answers[asker] = ev
-			for name, h := range heirs {
+			for name, h := range hosts {
 				leads[name] = released(h.Step(at(now+0.2), logRead(now+0.2))) || leads[name]
 			}
 			require.False(t, leads["a"] && leads["b"], "order %b", order)
