--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -209,10 +209,10 @@
 }
 
 // UsableSlots is how many of a backend server's slots this host may use now.
-func (s *Shares) UsableSlots(minion string, slots int) int {
+func (s *Shares) UsableSlots(backend string, slots int) int {
 	n := 0
 	for i := range slots {
-		if s.MayUse(minion, i) {
+		if s.MayUse(backend, i) {
 			n++
 		}
 	}
