--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -220,12 +220,12 @@
 }
 
 // MayUse tells whether this host may use one slot of a backend server now.
-func (s *Shares) MayUse(minion string, slot int) bool {
+func (s *Shares) MayUse(backend string, slot int) bool {
 	if !s.startupDone || s.stopping {
 		return false
 	}
 	before := true
-	for _, name := range s.succession(minion, slot) {
+	for _, name := range s.succession(backend, slot) {
 		switch {
 		case name == s.self.Name:
 			before = false
