--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -238,9 +238,9 @@
 
 // succession orders the hosts that may use a slot, its owner first. The order
 // differs from slot to slot, so that what a dead host leaves is spread over all.
-func (s *Shares) succession(minion string, slot int) []string {
+func (s *Shares) succession(backend string, slot int) []string {
 	n := len(s.names)
-	turn := int(xxhash.Sum64String(minion)%uint64(n)) + slot
+	turn := int(xxhash.Sum64String(backend)%uint64(n)) + slot
 	owner := turn % n
 	order := []string{s.names[owner]}
 	for i := range n - 1 {
