--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -261,7 +261,7 @@
 // or while such an heir has just died and come back itself. The owner must
 // wait for those requests, or the backend server gets a ninth one.
 func TestReturningOwnerWaitsForRequestsInItsSlots(t *testing.T) {
-	for _, heirDies := range []bool{false, true} {
+	for _, otherDies := range []bool{false, true} {
 		w := newSimulation(t, 2)
 		w.startProcess(0)
 		w.startProcess(1)
@@ -278,7 +278,7 @@
 			w.advance(longest * 3 / 10)
 		}
 		heir := w.processes[1]
-		if heirDies {
+		if otherDies {
 			heir.dead = true
 			w.startProcess(1)
 			heir = w.processes[3]
