--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -277,15 +277,15 @@
 		for range 3 {
 			w.advance(longest * 3 / 10)
 		}
-		heir := w.processes[1]
+		other := w.processes[1]
 		if otherDies {
-			heir.dead = true
+			other.dead = true
 			w.startProcess(1)
-			heir = w.processes[3]
+			other = w.processes[3]
 		}
 		w.advance(longest / 5)
-		w.step(heir, share.AnnouncementReceived{Announcement: w.processes[2].core.Announcement()})
-		w.step(w.processes[2], share.AnnouncementReceived{Announcement: heir.core.Announcement()})
+		w.step(other, share.AnnouncementReceived{Announcement: w.processes[2].core.Announcement()})
+		w.step(w.processes[2], share.AnnouncementReceived{Announcement: other.core.Announcement()})
 		w.sendRequests()
 		w.converge()
 		require.Equal(t, slots, w.inUse())
