--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -23,9 +23,9 @@
 	claimKey   = "!"
 )
 
-// claimWait bounds one try to lead: five calls at a store that answers as late as
+// claimTimeout bounds one try to lead: five calls at a store that answers as late as
 // it may without counting as away.
-const claimWait = 8 * time.Second
+const claimTimeout = 8 * time.Second
 
 // LostClaimError tells that another host began the same term.
 type LostClaimError struct{ Term int64 }
@@ -55,10 +55,10 @@
 		h.claiming = false
 		h.mu.Unlock()
 	}()
-	ctx, cancel := context.WithTimeout(h.ctx, claimWait)
+	ctx, cancel := context.WithTimeout(h.ctx, claimTimeout)
 	defer cancel()
 	began := h.now()
-	t, err := h.begin(ctx)
+	t, err := h.beginTerm(ctx)
 	if err != nil {
 		h.incCounter("lead.claim.failed")
 		h.log.Warn("lead: claim failed.", "why", why, "err", err)
@@ -73,20 +73,20 @@
 	h.announce(t)
 }
 
-// begin fences off all former leads and reads what they left.
+// beginTerm fences off all former leads and reads what they left.
 //
 // The term is the epoch of the appends to stateTopic. It is one more than the
 // log's end, which only rises, so it is above all former ones; two hosts that
 // saw the same end would share it, and each reads back whose claim was stored.
 // A slow store takes a third of a second for a call, and nothing is led
 // meanwhile: there are three calls one after the other, and no more.
-func (h *Host) begin(ctx context.Context) (*term, error) {
+func (h *Host) beginTerm(ctx context.Context) (*term, error) {
 	a, err := h.store.Do(ctx, store.Call{Op: store.Newest, Topic: stateTopic})
 	if err != nil {
 		return nil, errors.Wrap(err, "read the log's end")
 	}
 	if other, busy := h.claimant(a.Records); busy {
-		return nil, &BusyClaimError{Host: other}
+		return nil, &LeaderExistsError{Host: other}
 	}
 	number := a.End + 1
 	mine := h.memberName() + " " + strconv.FormatInt(h.now().UnixNano(), 36)
@@ -99,7 +99,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "read what the former lead left")
 	}
-	if !claimed(states[0], mine) {
+	if !holdsNewestClaim(states[0], mine) {
 		return nil, &LostClaimError{Term: number}
 	}
 	return h.newTerm(number, slices.Concat(states...), asks, next, read), nil
@@ -126,10 +126,10 @@
 	return g.Wait()
 }
 
-// BusyClaimError tells that another host leads or is about to.
-type BusyClaimError struct{ Host string }
+// LeaderExistsError tells that another host leads or is about to.
+type LeaderExistsError struct{ Host string }
 
-func (e *BusyClaimError) Error() string { return "host " + e.Host + " leads or is about to" }
+func (e *LeaderExistsError) Error() string { return "host " + e.Host + " leads or is about to" }
 
 // claimant returns the host of the newest claim, and whether it leads or is
 // about to. A claim takes a weak host a second to read what it takes over, and
@@ -141,26 +141,26 @@
 		return name, false
 	}
 	h.peers.Set(name, seen.addr)
-	r, err := h.askLead(name)
+	r, err := h.askWhetherLeads(name)
 	if err == nil && r.Lead {
 		// Its announcement may be lost. Everybody would leave the lead to it, and
 		// nobody would know it; callers would be told for ever that no host leads.
-		h.setLead(leadRecord{Name: name, Addr: seen.addr, Term: r.Term})
+		h.setLeader(leaderRecord{Name: name, Addr: seen.addr, Term: r.Term})
 	}
 	return name, err == nil && (r.Lead || r.Claiming)
 }
 
 // newestClaim returns the host of the claim among the records of a partition; false if there is none.
-func newestClaim(records []store.Record) (string, sighting, bool) {
+func newestClaim(records []store.Record) (string, hostInfo, bool) {
 	i := slices.IndexFunc(records, func(r store.Record) bool { return r.Key == claimKey })
 	if i < 0 {
-		return "", sighting{}, false
+		return "", hostInfo{}, false
 	}
 	return parseMember(string(records[i].Value))
 }
 
-// claimed tells whether the newest claim is the host's own.
-func claimed(states []store.Record, mine string) bool {
+// holdsNewestClaim tells whether the newest claim is the host's own.
+func holdsNewestClaim(states []store.Record, mine string) bool {
 	return slices.ContainsFunc(states, func(r store.Record) bool { return r.Key == claimKey && string(r.Value) == mine })
 }
 
@@ -204,11 +204,11 @@
 
 // restored is what the store says of all jobs.
 type restored struct {
-	jobs    []*flow.Job
-	fresh   []flow.Spec
-	cancels []string
-	// unread are those that cannot be read.
-	unread []string
+	jobs       []*flow.Job
+	notStarted []flow.Spec
+	cancels    []string
+	// unreadable are those that cannot be read.
+	unreadable []string
 }
 
 // restore puts specs and progress together. A record that cannot be read is
@@ -243,18 +243,18 @@
 		var spec flow.Spec
 		if err := json.Unmarshal(a.Value, &spec); err != nil {
 			h.log.Error("lead: job cannot be read.", "id", a.Key, "offset", a.Offset, "err", err)
-			r.unread = append(r.unread, a.Key)
+			r.unreadable = append(r.unreadable, a.Key)
 			continue
 		}
 		had[a.Key] = true
 		if !ok {
-			r.fresh = append(r.fresh, spec)
+			r.notStarted = append(r.notStarted, spec)
 			continue
 		}
 		j, err := flow.Restore(spec, b, h.now())
 		if err != nil {
 			h.log.Error("lead: progress cannot be read.", "id", a.Key, "err", err)
-			r.unread = append(r.unread, a.Key)
+			r.unreadable = append(r.unreadable, a.Key)
 			continue
 		}
 		r.jobs = append(r.jobs, j)
--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -40,7 +40,7 @@
 
 // Leading tells whether the host leads.
 func (h *Host) Leading() bool {
-	_, leading := h.leadNow()
+	_, leading := h.currentLeader()
 	return leading
 }
 
@@ -52,9 +52,9 @@
 
 // ByPower orders hosts as successors.
 func ByPower(seen map[string]Sighting) []string {
-	all := map[string]sighting{}
+	all := map[string]hostInfo{}
 	for n, s := range seen {
-		all[n] = sighting{power: s.Power, began: s.Began}
+		all[n] = hostInfo{power: s.Power, began: s.Began}
 	}
 	return byPower(all)
 }
@@ -68,12 +68,12 @@
 // Waits asks a host whether it leads, in vain, and tells whether its answer was
 // waited for.
 func (h *Host) Waits(name string) bool {
-	_, err := h.askLead(name)
-	return !errors.As(err, new(*NoLeadError))
+	_, err := h.askWhetherLeads(name)
+	return !errors.As(err, new(*NoLeaderError))
 }
 
 // StandsReady tells whether the host may be named to lead.
-func (h *Host) StandsReady() bool { return h.candidate() }
+func (h *Host) StandsReady() bool { return h.isCandidate() }
 
 // Journal is the writer of progress.
 type Journal struct{ *journal }
@@ -147,18 +147,18 @@
 
 // LearnLead tells the host who leads, as the store's record does.
 func (h *Host) LearnLead(name string, addr netip.AddrPort, term int64) {
-	h.setLead(leadRecord{Name: name, Addr: addr, Term: term})
+	h.setLeader(leaderRecord{Name: name, Addr: addr, Term: term})
 }
 
 // LeadName is the host that this one takes for the lead.
 func (h *Host) LeadName() string {
-	name, _ := h.leadNow()
+	name, _ := h.currentLeader()
 	return name
 }
 
 // Hear has the host hear of another one.
 func (h *Host) Hear(name string, addr netip.AddrPort) {
-	h.heard(peer.Sync{From: name, Addr: addr, Power: 1, Began: h.now()})
+	h.noteHost(peer.Sync{From: name, Addr: addr, Power: 1, Began: h.now()})
 }
 
 // Uses tells whether the host, as the lead, has another one ask the policy service.
@@ -207,11 +207,11 @@
 
 // Run follows until the host is stopped.
 func (f *Follower) Run() {
-	f.wg.Go(func() { f.follow(platform.TableTopic, f.readTable) })
+	f.wg.Go(func() { f.follow(platform.TableTopic, f.applyTable) })
 	f.wg.Go(func() {
 		for f.ctx.Err() == nil {
-			_, _ = f.join(observers, 0)
-			sleep(f.ctx, joinEvery)
+			_, _ = f.join(observerGroup, 0)
+			sleep(f.ctx, joinInterval)
 		}
 	})
 }
@@ -241,18 +241,18 @@
 }
 
 // Apart picks hosts that lie far from each other.
-func Apart(all []string, n int) []string { return apart(all, n) }
+func Apart(all []string, n int) []string { return spacedSample(all, n) }
 
 // LoseLead has the host, as its heir, notice that a lead's connection has ended.
 func (h *Host) LoseLead(name string) {
 	h.mu.Lock()
 	h.leader, h.standby = name, h.cfg.Name
 	h.mu.Unlock()
-	h.peerLost(name)
+	h.onPeerLost(name)
 }
 
 // IsGone tells whether the host takes another one's process for gone.
-func (h *Host) IsGone(name string) bool { return h.isGone(name) }
+func (h *Host) IsGone(name string) bool { return h.isProcessGone(name) }
 
 // NewNetless returns a host that reaches its peers by dial and the store by log, and is
 // reached through ln. What it is asked passes before first.
@@ -265,12 +265,12 @@
 	h.peers.Through(dial)
 	srv := peer.NewServer(func(ctx context.Context, m peer.Message) (any, error) {
 		before(ctx)
-		return h.answer(ctx, m)
+		return h.handleMessage(ctx, m)
 	})
 	h.wg.Go(func() { srv.Serve(h.ctx, ln) })
-	h.wg.Go(func() { h.follow(leadTopic, h.readLead) })
-	h.wg.Go(h.member)
-	h.wg.Go(h.sync)
+	h.wg.Go(func() { h.follow(leaderTopic, h.applyLeader) })
+	h.wg.Go(h.maintainMembership)
+	h.wg.Go(h.syncPeriodically)
 	return h, nil
 }
 
@@ -296,9 +296,9 @@
 
 // Doubt asks the lead whether it leads, and tells whether it does or works nevertheless.
 func (h *Host) Doubt() bool {
-	name, _ := h.leadNow()
-	leads, before := h.leadsOrEnds(name)
-	return leads || h.works(before)
+	name, _ := h.currentLeader()
+	leads, before := h.checkLeader(name)
+	return leads || h.isLeaderAlive(before)
 }
 
 // KnowsEnds tells whether the host was told that all these jobs have ended.
@@ -360,7 +360,7 @@
 }
 
 // Endings are the final states of a term.
-type Endings struct{ endings }
+type Endings struct{ finalStates }
 
 // Add adds one.
 func (e *Endings) Add(id string, state flow.State, now time.Time) { e.add(id, state, now) }
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -81,10 +81,10 @@
 	successor string
 	// standby is the host that the lead wants to lead if it dies.
 	standby string
-	// recent are the jobs that this host accepted lately, seen the hosts that asked
+	// accepted are the jobs that this host accepted lately, seen the hosts that asked
 	// it.
-	recent    map[string]time.Time
-	peersSeen map[string]sighting
+	accepted  map[string]time.Time
+	peersSeen map[string]hostInfo
 	// wasReady is what the balancer was told last.
 	wasReady bool
 	// failedSince are the topics whose last read failed, and since when.
@@ -98,7 +98,7 @@
 		cfg: cfg, log: log, now: now, startedAt: now(), workers: platform.NewWorkers(c),
 		peers: peer.NewClients(map[string]netip.AddrPort{}), metrics: metrics.NewRegistry(),
 		hosts: map[string]netip.AddrPort{cfg.Name: cfg.Listen.Peer}, pending: map[string]int{},
-		recent: map[string]time.Time{}, peersSeen: map[string]sighting{}, failedSince: map[string]time.Time{},
+		accepted: map[string]time.Time{}, peersSeen: map[string]hostInfo{}, failedSince: map[string]time.Time{},
 	}
 	if cfg.Policy != "" {
 		addr, err := netip.ParseAddrPort(cfg.Policy)
@@ -107,7 +107,7 @@
 		}
 		h.policy = platform.NewPolicy(c, addr)
 	}
-	h.peers.Lost(h.peerLost)
+	h.peers.Lost(h.onPeerLost)
 	h.lastSync = now()
 	h.ctx, h.cancel = context.WithCancel(context.Background())
 	h.store = store.NewRouted(platform.NewStore(platform.New(), cfg.Store), relay{h}, now, h.storeChanged)
@@ -116,7 +116,9 @@
 	return h, nil
 }
 
-func (h *Host) incarnation() string { return strconv.FormatInt(h.startedAt.UnixNano(), lifeBase) }
+func (h *Host) incarnation() string {
+	return strconv.FormatInt(h.startedAt.UnixNano(), incarnationBase)
+}
 
 func (h *Host) incCounter(name string) { metrics.GetOrRegisterCounter(name, h.metrics).Inc(1) }
 
@@ -158,15 +160,15 @@
 	if err != nil {
 		return err
 	}
-	srv := peer.NewServer(h.answer)
+	srv := peer.NewServer(h.handleMessage)
 	h.wg.Go(func() { srv.Serve(h.ctx, lnPeer) })
 	if err := h.listen(open); err != nil {
 		return err
 	}
-	h.wg.Go(func() { h.follow(platform.TableTopic, h.readTable) })
-	h.wg.Go(func() { h.follow(leadTopic, h.readLead) })
-	h.wg.Go(h.member)
-	h.wg.Go(h.sync)
+	h.wg.Go(func() { h.follow(platform.TableTopic, h.applyTable) })
+	h.wg.Go(func() { h.follow(leaderTopic, h.applyLeader) })
+	h.wg.Go(h.maintainMembership)
+	h.wg.Go(h.syncPeriodically)
 	h.wg.Go(h.inbox.run)
 	return nil
 }
@@ -176,9 +178,9 @@
 		addr    netip.AddrPort
 		handler http.Handler
 	}
-	all := []listener{{h.cfg.Listen.Caller, h.callers()}, {h.cfg.Listen.Ready, h.readiness()}}
+	all := []listener{{h.cfg.Listen.Caller, h.callerHandler()}, {h.cfg.Listen.Ready, h.readyHandler()}}
 	if h.cfg.Listen.Metrics.IsValid() {
-		all = append(all, listener{h.cfg.Listen.Metrics, h.figures()})
+		all = append(all, listener{h.cfg.Listen.Metrics, h.metricsHandler()})
 	}
 	for _, l := range all {
 		ln, err := open(l.addr)
@@ -213,13 +215,13 @@
 }
 
 const (
-	// leaveWait is how long a stopping host goes on serving after it has turned
+	// drainWait is how long a stopping host goes on serving after it has turned
 	// not ready: two looks of the balancer, a second apart, and what was on its
 	// way then.
-	leaveWait = 2500 * time.Millisecond
-	// lastWait is how long requests under way have after that; a stop in all has
+	drainWait = 2500 * time.Millisecond
+	// shutdownTimeout is how long requests under way have after that; a stop in all has
 	// to fit the platform's grace.
-	lastWait = 1500 * time.Millisecond
+	shutdownTimeout = 1500 * time.Millisecond
 )
 
 // Stop ends the host in good order: another one leads, callers go elsewhere,
@@ -232,8 +234,8 @@
 	h.mu.Unlock()
 	h.leave(t)
 	grace := time.Duration(h.cfg.Times.Grace)
-	sleep(h.ctx, min(leaveWait, max(grace-lastWait-time.Second, 0)))
-	ctx, cancel := context.WithTimeout(h.ctx, lastWait)
+	sleep(h.ctx, min(drainWait, max(grace-shutdownTimeout-time.Second, 0)))
+	ctx, cancel := context.WithTimeout(h.ctx, shutdownTimeout)
 	for _, s := range h.servers {
 		if err := s.Shutdown(ctx); err != nil {
 			h.log.Warn("entry: connections were still open.", "err", err)
@@ -260,10 +262,10 @@
 	}
 }
 
-// others lists the other hosts' names, the lead first: it is the one that the store most
+// otherHosts lists the other hosts' names, the lead first: it is the one that the store most
 // likely serves. The rest follow in order of name from this host's on, so that hosts that
 // the store turns away do not all ask the same ones.
-func (h *Host) others() []string {
+func (h *Host) otherHosts() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var before, after []string
--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -25,7 +25,7 @@
 // succeed takes over from a lead that leaves, or lets its successor do so.
 func (h *Host) succeed(m peer.Succeed) {
 	if m.Successor != h.cfg.Name {
-		h.follower(m.Successor, m.Term)
+		h.followLeader(m.Successor, m.Term)
 		return
 	}
 	bounds := make(map[string]time.Duration, len(m.Bounds))
@@ -50,7 +50,7 @@
 		t.end("planned stop")
 		h.tellSuccessor(ctx, successor, t.succeed())
 	}
-	h.leaveGroup(group)
+	h.leaveGroup(candidateGroup)
 }
 
 // tellSuccessor tells all hosts, the successor first, who is to lead now. The others
@@ -65,7 +65,7 @@
 		h.tellOne(ctx, successor, succeed)
 	}
 	var wg sync.WaitGroup
-	for _, p := range h.others() {
+	for _, p := range h.otherHosts() {
 		if p != successor {
 			wg.Go(func() { h.tellOne(ctx, p, succeed) })
 		}
@@ -96,7 +96,7 @@
 // best may lie together in a failure domain that is cut off, and one after the other they
 // would use up the time that a lead has to leave.
 func firstOf(ctx context.Context, hosts []string, ask func(ctx context.Context, name string) bool) string {
-	for some := range slices.Chunk(hosts, mostAsked) {
+	for some := range slices.Chunk(hosts, maxConcurrentAsks) {
 		if p := firstOfSome(ctx, some, ask); p != "" {
 			return p
 		}
@@ -124,9 +124,9 @@
 func (h *Host) successors() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	lately := map[string]sighting{}
+	lately := map[string]hostInfo{}
 	for n, s := range h.peersSeen {
-		if n != h.cfg.Name && h.now().Sub(s.at) < heardFor {
+		if n != h.cfg.Name && h.now().Sub(s.at) < hostExpiry {
 			lately[n] = s
 		}
 	}
@@ -138,7 +138,7 @@
 // all starts at rest, and leaves the lead to a stronger one soon after. Among
 // equals the one that began last: when hosts are stopped in turn, it has been
 // already.
-func byPower(seen map[string]sighting) []string {
+func byPower(seen map[string]hostInfo) []string {
 	return slices.SortedFunc(maps.Keys(seen), func(a, b string) int {
 		return cmp.Or(cmp.Compare(seen[b].power, seen[a].power), seen[b].began.Compare(seen[a].began), cmp.Compare(a, b))
 	})
@@ -174,7 +174,7 @@
 // if one was asked lately: it may be gone and still be listed, and nothing would
 // be led for as long as it is asked again.
 func (h *Host) delegate() bool {
-	h.listHosts()
+	h.readHosts()
 	h.mu.Lock()
 	lately := h.now().Sub(h.lastDelegation) < delegateEvery
 	term := h.term
@@ -182,7 +182,7 @@
 	if lately {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(h.ctx, askWait)
+	ctx, cancel := context.WithTimeout(h.ctx, askTimeout)
 	defer cancel()
 	best := h.able(ctx, h.strongerHosts())
 	if best == "" {
@@ -193,6 +193,6 @@
 	h.mu.Unlock()
 	h.log.Info("lead: left to a stronger host.", "host", best)
 	h.tellSuccessor(ctx, best, peer.Succeed{Term: term})
-	h.follower(best, term)
+	h.followLeader(best, term)
 	return true
 }
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -43,7 +43,7 @@
 	// listed are the workers by life, as the store has them.
 	listed map[string]sched.Worker
 	// endings are the final states of its jobs.
-	endings endings
+	endings finalStates
 	// unread are stored jobs that it cannot read: it does not know them, and they are there.
 	unread map[string]bool
 	// late is the most by which a step came after it was due, since that was told last.
@@ -78,11 +78,11 @@
 	limits.Disabled = h.cfg.Off
 	limits.Retention = time.Duration(h.cfg.Times.Keep) * 5 / 4
 	t := &term{
-		h: h, number: number, read: read, began: began, polled: read, jobs: len(r.jobs) + len(r.fresh), open: len(r.fresh),
+		h: h, number: number, read: read, began: began, polled: read, jobs: len(r.jobs) + len(r.notStarted), open: len(r.notStarted),
 		kick: make(chan struct{}, 1), next: next, where: map[string]map[int]bool{}, listed: map[string]sched.Worker{}, unread: map[string]bool{},
 		core: sched.New(limits, number, r.jobs), journal: newJournal(h.store, h.log, &h.wg, number, h.stateParts()), orders: newOrders(),
 	}
-	for _, id := range r.unread {
+	for _, id := range r.unreadable {
 		t.unread[id] = true
 	}
 	for _, j := range r.jobs {
@@ -108,7 +108,7 @@
 		t.step(queuesOf(table))
 	}
 	t.step(sched.Hosts{Names: names})
-	for _, spec := range r.fresh {
+	for _, spec := range r.notStarted {
 		t.step(sched.Submit{Spec: spec})
 	}
 	for _, id := range r.cancels {
@@ -118,7 +118,7 @@
 	h.wg.Go(t.servers)
 	h.wg.Go(t.poll)
 	h.wg.Go(t.ticks)
-	h.wg.Go(t.load)
+	h.wg.Go(t.reportLoad)
 	return t
 }
 
@@ -132,14 +132,14 @@
 	t.h.mu.Unlock()
 	// A lead that asked to be succeeded has ended its term before.
 	for over.LeaseBounds == nil && former != "" && former != t.h.cfg.Name {
-		ctx, cancel := context.WithTimeout(t.ctx, askWait)
+		ctx, cancel := context.WithTimeout(t.ctx, askTimeout)
 		var r peer.SyncReply
 		err := t.h.peers.Ask(ctx, former, t.h.syncMessage(), &r)
 		cancel()
 		if err == nil && !r.Leading {
 			break
 		}
-		if !sleep(t.ctx, syncEvery) {
+		if !sleep(t.ctx, syncInterval) {
 			return
 		}
 	}
@@ -225,7 +225,7 @@
 			t.h.incCounter("pace." + t.h.workers.Pace(ctx, a).String())
 		})
 	case sched.QueryPolicy:
-		t.h.wg.Go(func() { t.step(t.h.ask(t.ctx, a)) })
+		t.h.wg.Go(func() { t.step(t.h.askPolicyVia(t.ctx, a)) })
 	case sched.Forget:
 		t.h.wg.Go(func() { t.forget(a.ID) })
 	case sched.StepDown:
--- a/internal/lead/fault_test.go
+++ b/internal/lead/fault_test.go
@@ -33,46 +33,46 @@
 	over     *standin.Oversight
 	hosts    map[string]*lead.Leader
 	queues   map[string][]func()
-	// cut holds the workers that a host does not reach.
-	cut map[string]string
+	// unreachable holds the workers that a host does not reach.
+	unreachable map[string]string
 }
 
-type path struct {
+type transport struct {
 	*pair
 	from string
 }
 
-type cutError struct{}
+type unreachableError struct{}
 
-func (cutError) Error() string { return "network is cut" }
+func (unreachableError) Error() string { return "network is cut" }
 
-func (p path) RoundTrip(req *http.Request) (*http.Response, error) {
-	if p.cut[p.from] == req.URL.Host {
-		return nil, cutError{}
+func (p transport) RoundTrip(req *http.Request) (*http.Response, error) {
+	if p.unreachable[p.from] == req.URL.Host {
+		return nil, unreachableError{}
 	}
 	rec := httptest.NewRecorder()
 	p.workers[req.URL.Host].Handler().ServeHTTP(rec, req)
 	return rec.Result(), nil
 }
 
-var room = cell.Size{CPU: 1000, Mem: 1000}
+var pairWorkerSize = cell.Size{CPU: 1000, Mem: 1000}
 
 func newPair(t *testing.T, workers int) *pair {
-	return newPairOn(t, workers, io.Discard, func(p *pair, name string) http.RoundTripper { return path{p, name} })
+	return newPairWithTransport(t, workers, io.Discard, func(p *pair, name string) http.RoundTripper { return transport{p, name} })
 }
 
-// newPairOn is a pair that logs to told and whose hosts reach the workers in the given way.
-func newPairOn(t *testing.T, workers int, told io.Writer, through func(p *pair, name string) http.RoundTripper) *pair {
+// newPairWithTransport is a pair that logs to told and whose hosts reach the workers in the given way.
+func newPairWithTransport(t *testing.T, workers int, logs io.Writer, through func(p *pair, name string) http.RoundTripper) *pair {
 	p := &pair{
 		T: t, now: time.Unix(1_700_000_000, 0), workers: map[string]*standin.Worker{}, over: standin.NewOversight(),
-		hosts: map[string]*lead.Leader{}, queues: map[string][]func(){}, cut: map[string]string{},
+		hosts: map[string]*lead.Leader{}, queues: map[string][]func(){}, unreachable: map[string]string{},
 	}
 	clock := func() time.Time { return p.now }
 	var names []string
 	for i := range workers {
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(1+i))
-		p.workers[addr.String()] = standin.NewWorker(room, p.over, clock)
-		p.machines = append(p.machines, lead.Machine{Name: addr.String(), Rack: "r", Address: addr, Size: room})
+		p.workers[addr.String()] = standin.NewWorker(pairWorkerSize, p.over, clock)
+		p.machines = append(p.machines, lead.Machine{Name: addr.String(), Rack: "r", Address: addr, Size: pairWorkerSize})
 		names = append(names, addr.String())
 	}
 	for _, name := range []string{"a", "b"} {
@@ -80,7 +80,7 @@
 			Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: job.New(),
 			Takeover: takeover.New(name, takeover.Limits{LongestLease: lease.DefaultLimits.TaskTTL, AskInterval: time.Second}),
 			Workers:  worker.New(name, 1, through(p, name), clock), Row: func(string) (table.Row, int64) { return table.Row{}, 1 },
-			History: trail.New(100), Clock: clock, Log: slog.New(slog.NewTextHandler(told, nil)).With("host", name),
+			History: trail.New(100), Clock: clock, Log: slog.New(slog.NewTextHandler(logs, nil)).With("host", name),
 			Go: func(f func()) { p.queues[name] = append(p.queues[name], f) },
 		})
 		p.hosts[name] = l
@@ -94,7 +94,7 @@
 	return p
 }
 
-func (p *pair) drain(name string) {
+func (p *pair) runQueued(name string) {
 	for len(p.queues[name]) > 0 {
 		f := p.queues[name][0]
 		p.queues[name] = p.queues[name][1:]
@@ -108,13 +108,13 @@
 		for _, n := range names {
 			p.hosts[string(n)].Tick()
 			p.hosts[string(n)].LogRead(p.now)
-			p.drain(string(n))
+			p.runQueued(string(n))
 		}
 	}
 }
 
 func (p *pair) spec(id string) job.Spec {
-	return job.Spec{ID: "d.r." + id, Row: "scan", Tasks: 1, Size: room, Time: cell.Duration{Duration: time.Hour}, Tries: 3}
+	return job.Spec{ID: "d.r." + id, Row: "scan", Tasks: 1, Size: pairWorkerSize, Time: cell.Duration{Duration: time.Hour}, Tries: 3}
 }
 
 func (p *pair) submit(name, id string) {
@@ -138,8 +138,8 @@
 	return s.State
 }
 
-// sound checks the workers' own records.
-func (p *pair) sound() {
+// requireConsistent checks the workers' own records.
+func (p *pair) requireConsistent() {
 	p.Helper()
 	require.Empty(p, p.over.Doubled())
 	for _, w := range p.workers {
@@ -147,7 +147,7 @@
 	}
 }
 
-func (p *pair) late() int {
+func (p *pair) lateStarts() int {
 	n := 0
 	for _, w := range p.workers {
 		n += w.Record().Late
@@ -166,11 +166,11 @@
 	p.submit("b", "new")
 	p.run("b", time.Second)
 	require.Equal(t, "running", p.state("b", "new"))
-	p.drain("a")
+	p.runQueued("a")
 	p.run("ab", 5*time.Second)
-	require.Equal(t, 1, p.late())
+	require.Equal(t, 1, p.lateStarts())
 	require.Equal(t, "running", p.state("b", "new"))
-	p.sound()
+	p.requireConsistent()
 }
 
 // A host wakes from a pause and is asked at once to cancel a job. Another host
@@ -192,7 +192,7 @@
 	var unknown *job.UnknownError
 	require.ErrorAs(t, err, &unknown)
 	require.Zero(t, p.hosts["a"].Epoch())
-	p.sound()
+	p.requireConsistent()
 }
 
 // A host is cut off from half of its rack. The other half stays its own; the
@@ -202,7 +202,7 @@
 	p.submit("a", "one")
 	p.submit("a", "two")
 	p.run("a", 2*time.Second)
-	p.cut["a"], p.cut["b"] = p.machines[0].Name, ""
+	p.unreachable["a"], p.unreachable["b"] = p.machines[0].Name, ""
 	p.hosts["b"].SetLedMachines(p.machines)
 	p.run("ab", 10*time.Second)
 	require.Equal(t, []string{p.machines[1].Name}, p.hosts["a"].Held())
@@ -221,7 +221,7 @@
 	require.Equal(t, "running", p.state("a", "two"))
 	require.Equal(t, "waiting", p.state("a", "three"))
 	require.Equal(t, "waiting", p.state("b", "four"))
-	p.sound()
+	p.requireConsistent()
 }
 
 // The answer to a stop is lost. The caller would wait for ever for the word
@@ -230,12 +230,12 @@
 	p := newPair(t, 1)
 	p.submit("a", "old")
 	p.run("a", time.Second)
-	p.cut["a"] = p.machines[0].Name
+	p.unreachable["a"] = p.machines[0].Name
 	_, err := p.hosts["a"].Cancel("d.r.old")
 	require.NoError(t, err)
 	p.run("a", 500*time.Millisecond)
 	require.Equal(t, "stopping", p.state("a", "old"))
-	p.cut["a"] = ""
+	p.unreachable["a"] = ""
 	p.run("a", 3*time.Second)
 	require.Equal(t, "cancelled", p.state("a", "old"))
 	for _, w := range p.workers {
--- a/internal/lead/size_test.go
+++ b/internal/lead/size_test.go
@@ -44,7 +44,7 @@
 	} {
 		f := newFleet(t, 2, nil)
 		f.SetLedMachines([]lead.Machine{
-			{Name: "w0", Rack: "r", Address: f.addresses[0], Size: size}, {Name: "w1", Rack: "r", Address: f.addresses[1], Size: whole},
+			{Name: "w0", Rack: "r", Address: f.addresses[0], Size: size}, {Name: "w1", Rack: "r", Address: f.addresses[1], Size: fleetWorkerSize},
 		})
 		f.submit("a", "", cell.Bulk, 500, 3, time.Hour)
 		f.until(func() bool { return len(f.workers[1].Record().Started) == 3 })
@@ -64,30 +64,30 @@
 	i := rapid.IntRange(0, len(h.machines)-1).Draw(h.draw, "worker")
 	part := rapid.SampledFrom([]float64{0, 0.5, 1, 1.5}).Draw(h.draw, "part")
 	m := &h.machines[i]
-	m.Size = room.Times(part)
+	m.Size = pairWorkerSize.Times(part)
 	for _, name := range []string{"a", "b"} {
 		if !h.paused[name] {
 			h.hosts[name].UpdateMachines(h.machines)
 		}
 	}
-	if h.has[m.Name].Fits(m.Size) {
-		h.become(*m)
+	if h.actualSizes[m.Name].Fits(m.Size) {
+		h.applySize(*m)
 	}
 }
 
-// become gives a worker the size that is listed.
-func (h *history) become(m lead.Machine) {
-	h.has[m.Name] = m.Size
+// applySize gives a worker the size that is listed.
+func (h *history) applySize(m lead.Machine) {
+	h.actualSizes[m.Name] = m.Size
 	h.workers[m.Name].Resize(m.Size)
 }
 
-// shrink makes workers as small as they are listed, once nothing that was sent before can arrive
+// applyListedSizes makes workers as small as they are listed, once nothing that was sent before can arrive
 // any more.
-func (h *history) shrink() {
-	if h.paused["a"] || h.paused["b"] || len(h.queues["a"])+len(h.queues["b"])+len(h.overdue) > 0 {
+func (h *history) applyListedSizes() {
+	if h.paused["a"] || h.paused["b"] || len(h.queues["a"])+len(h.queues["b"])+len(h.delayed) > 0 {
 		return
 	}
 	for _, m := range h.machines {
-		h.become(m)
+		h.applySize(m)
 	}
 }
--- a/internal/lead/suspect_test.go
+++ b/internal/lead/suspect_test.go
@@ -11,14 +11,14 @@
 	"pollencroft/internal/standin"
 )
 
-func twelfths(id string, tasks int, gang bool) job.Spec {
+func sixteenthSizeJob(id string, tasks int, gang bool) job.Spec {
 	return job.Spec{
-		ID: "d.r." + id, Row: "batch", Tasks: tasks, Gang: gang, Size: cell.Size{CPU: room.CPU / 16, Mem: room.Mem / 16},
+		ID: "d.r." + id, Row: "batch", Tasks: tasks, Gang: gang, Size: cell.Size{CPU: pairWorkerSize.CPU / 16, Mem: pairWorkerSize.Mem / 16},
 		Time: cell.Duration{Duration: 2 * time.Second}, Tries: 3, Class: cell.Bulk,
 	}
 }
 
-func (p *pair) hand(name string, spec job.Spec) {
+func (p *pair) submitSpec(name string, spec job.Spec) {
 	p.Helper()
 	epoch, err := p.hosts[name].Check(spec)
 	require.NoError(p, err)
@@ -26,7 +26,7 @@
 	require.NoError(p, err)
 }
 
-func (p *pair) failing(all bool) {
+func (p *pair) setFailing(all bool) {
 	for _, m := range p.machines {
 		p.workers[m.Name].SetFaults(standin.WorkerFaults{FailAll: all})
 	}
@@ -48,9 +48,9 @@
 		t.Run(name, func(t *testing.T) {
 			p := newPair(t, c.workers)
 			p.workers[p.machines[0].Name].SetFaults(standin.WorkerFaults{FailAll: true})
-			p.hand("a", twelfths("good", c.tasks, c.gang))
+			p.submitSpec("a", sixteenthSizeJob("good", c.tasks, c.gang))
 			p.run("a", 5*time.Second)
-			p.failing(false)
+			p.setFailing(false)
 			p.run("a", time.Minute)
 			require.Equal(t, "ended", p.state("a", "good"))
 		})
@@ -60,8 +60,8 @@
 // Guards against a task that its next lead sends back at once to the worker that it has failed on.
 func TestTriesOutlastAFailingWorkerOverAChangeOfTheLead(t *testing.T) {
 	p := newPair(t, 1)
-	p.failing(true)
-	p.hand("a", twelfths("good", 1, false))
+	p.setFailing(true)
+	p.submitSpec("a", sixteenthSizeJob("good", 1, false))
 	p.run("a", 500*time.Millisecond)
 	started := func() int { return p.workers[p.machines[0].Name].Record().Started["d.r.good.0"] }
 	require.Equal(t, 1, started())
@@ -72,7 +72,7 @@
 	require.NoError(t, p.hosts["a"].TakeBack(jobs, epoch))
 	p.run("a", 2*time.Second)
 	require.Equal(t, 1, started())
-	p.failing(false)
+	p.setFailing(false)
 	p.run("a", time.Minute)
 	require.Equal(t, "ended", p.state("a", "good"))
 }
@@ -83,11 +83,11 @@
 	for workers := 1; workers <= 4; workers++ {
 		for _, gang := range []bool{false, true} {
 			p := newPair(t, workers)
-			p.failing(true)
-			p.hand("a", twelfths("bad", 4, gang))
+			p.setFailing(true)
+			p.submitSpec("a", sixteenthSizeJob("bad", 4, gang))
 			p.run("a", 2*time.Minute)
 			require.Equal(t, "failed", p.state("a", "bad"))
-			require.LessOrEqual(t, p.most(), 3)
+			require.LessOrEqual(t, p.maxStarts(), 3)
 		}
 	}
 }
@@ -95,13 +95,13 @@
 // Guards against a wait that goes on although the worker does its work again.
 func TestWorkerThatEndsAnotherTaskIsTriedAgainAtOnce(t *testing.T) {
 	p := newPair(t, 1)
-	p.failing(true)
-	p.hand("a", twelfths("good", 1, false))
+	p.setFailing(true)
+	p.submitSpec("a", sixteenthSizeJob("good", 1, false))
 	p.run("a", 500*time.Millisecond)
-	p.failing(false)
-	other := twelfths("other", 1, false)
+	p.setFailing(false)
+	other := sixteenthSizeJob("other", 1, false)
 	other.Time.Duration = 100 * time.Millisecond
-	p.hand("a", other)
+	p.submitSpec("a", other)
 	p.run("a", 5*time.Second)
 	require.Equal(t, "ended", p.state("a", "good"))
 }
