--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -9,25 +9,25 @@
 	"pollencroft/internal/job"
 )
 
-// inLife is a worker's list in one of its lives.
-func inLife(worker, life string, sent time.Time, tasks ...job.ListedTask) job.WorkerList {
-	ev := seen(worker, sent, tasks...)
+// listInIncarnation is a worker's list in one of its lives.
+func listInIncarnation(worker, life string, sent time.Time, tasks ...job.ListedTask) job.WorkerList {
+	ev := listOf(worker, sent, tasks...)
 	ev.Incarnation = life
 	return ev
 }
 
 // crash starts a task on a worker that comes back in the next life without it.
 func crash(j *job.Jobs, task, worker, from, to string, at time.Time) []job.Action {
-	j.Step(at, inLife(worker, from, at))
-	for _, a := range only[job.Start](j.Step(at, job.Placed{Task: task, Worker: worker})) {
+	j.Step(at, listInIncarnation(worker, from, at))
+	for _, a := range actionsOf[job.Start](j.Step(at, job.Placed{Task: task, Worker: worker})) {
 		j.Step(at, job.Started{Task: task, Attempt: a.Attempt})
 	}
-	return j.Step(at.Add(time.Second), inLife(worker, to, at.Add(time.Second)))
+	return j.Step(at.Add(time.Second), listInIncarnation(worker, to, at.Add(time.Second)))
 }
 
-func lives(acts []job.Action) int64 {
+func reportedCrashes(acts []job.Action) int64 {
 	n := int64(0)
-	for _, a := range only[job.StoreCrashCount](acts) {
+	for _, a := range actionsOf[job.StoreCrashCount](acts) {
 		n = max(n, a.Crashes)
 	}
 	return n
@@ -38,23 +38,23 @@
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
 	acts := crash(j, "d.r.j.0", "w1", "1", "2", now)
-	require.Equal(t, int64(1), lives(acts))
-	require.Empty(t, only[job.RequestPlacement](acts))
-	require.Len(t, only[job.RequestPlacement](j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), 1)
-	require.Empty(t, only[job.RequestPlacement](j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), "once is enough")
+	require.Equal(t, int64(1), reportedCrashes(acts))
+	require.Empty(t, actionsOf[job.RequestPlacement](acts))
+	require.Len(t, actionsOf[job.RequestPlacement](j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), 1)
+	require.Empty(t, actionsOf[job.RequestPlacement](j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), "once is enough")
 }
 
 // Guards against a task that crashes its workers again and again beside others.
-func TestCrashingTaskIsTriedApartAndGivenUp(t *testing.T) {
+func TestCrashingTaskGetsExclusiveWorkerAndIsGivenUp(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(2)})
 	for n, worker := range []string{"w1", "w2"} {
-		require.Equal(t, int64(n+1), lives(crash(j, "d.r.j.0", worker, "1", "2", now)))
-		want := only[job.RequestPlacement](j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: int64(n + 1)}))
+		require.Equal(t, int64(n+1), reportedCrashes(crash(j, "d.r.j.0", worker, "1", "2", now)))
+		want := actionsOf[job.RequestPlacement](j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: int64(n + 1)}))
 		require.Equal(t, n == 1, want[0].Exclusive)
 	}
 	acts := crash(j, "d.r.j.0", "w3", "1", "2", now)
-	ended := only[job.Ended](acts)
+	ended := actionsOf[job.Ended](acts)
 	require.Len(t, ended, 1)
 	require.Equal(t, "failed", ended[0].State)
 	require.Equal(t, (&job.CrashedError{Task: "d.r.j.0", Crashes: 3}).Error(), ended[0].Reason)
@@ -65,20 +65,20 @@
 }
 
 // Guards against good tasks given up for cuts, or for starts that never arrived.
-func TestWhatIsNoCrashUnderATask(t *testing.T) {
+func TestEventsThatAreNotCountedAsCrash(t *testing.T) {
 	later := now.Add(2 * time.Second)
 	for name, end := range map[string]func(j *job.Jobs, a job.Start) []job.Action{
 		"the lease ran out": func(j *job.Jobs, a job.Start) []job.Action {
 			j.Step(now, job.Started{Task: a.Task, Attempt: a.Attempt})
-			return j.Step(later, inLife("w1", "1", later, listed(a.Task, "lapsed")))
+			return j.Step(later, listInIncarnation("w1", "1", later, listed(a.Task, "lapsed")))
 		},
 		"the start did not arrive in this life": func(j *job.Jobs, a job.Start) []job.Action {
 			j.Step(now, job.Unsure{Task: a.Task, Attempt: a.Attempt, Deadline: now})
-			return j.Step(later, inLife("w1", "1", later))
+			return j.Step(later, listInIncarnation("w1", "1", later))
 		},
 		"the worker took no connection": func(j *job.Jobs, a job.Start) []job.Action {
 			j.Step(now, job.Unsure{Task: a.Task, Attempt: a.Attempt, Deadline: now, Unreached: true})
-			return j.Step(later, inLife("w1", "2", later))
+			return j.Step(later, listInIncarnation("w1", "2", later))
 		},
 		"the worker is silent": func(j *job.Jobs, a job.Start) []job.Action {
 			j.Step(now, job.Started{Task: a.Task, Attempt: a.Attempt})
@@ -86,17 +86,17 @@
 		},
 		"the start arrived in the next life": func(j *job.Jobs, a job.Start) []job.Action {
 			j.Step(now, job.Unsure{Task: a.Task, Attempt: a.Attempt, Deadline: now})
-			j.Step(later, inLife("w1", "2", later, listed(a.Task, "running")))
-			return j.Step(later.Add(time.Second), inLife("w1", "2", later.Add(time.Second), listed(a.Task, "lapsed")))
+			j.Step(later, listInIncarnation("w1", "2", later, listed(a.Task, "running")))
+			return j.Step(later.Add(time.Second), listInIncarnation("w1", "2", later.Add(time.Second), listed(a.Task, "lapsed")))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			j := job.New()
 			j.Step(now, job.Submit{Spec: spec(1)})
-			j.Step(now, inLife("w1", "1", now))
-			acts := end(j, startOf(t, j, "d.r.j.0", "w1"))
-			require.Zero(t, lives(acts))
-			require.Len(t, only[job.RequestPlacement](acts), 1)
+			j.Step(now, listInIncarnation("w1", "1", now))
+			acts := end(j, placeOn(t, j, "d.r.j.0", "w1"))
+			require.Zero(t, reportedCrashes(acts))
+			require.Len(t, actionsOf[job.RequestPlacement](acts), 1)
 		})
 	}
 }
@@ -105,11 +105,11 @@
 func TestUnsureStartMayHaveCrashedItsWorker(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
-	j.Step(now, inLife("w1", "1", now))
-	a := startOf(t, j, "d.r.j.0", "w1")
+	j.Step(now, listInIncarnation("w1", "1", now))
+	a := placeOn(t, j, "d.r.j.0", "w1")
 	j.Step(now, job.Unsure{Task: a.Task, Attempt: a.Attempt, Deadline: now.Add(3 * time.Second)})
-	require.Empty(t, j.Step(now, inLife("w1", "2", now.Add(time.Second))), "the start may still arrive")
-	require.Equal(t, int64(1), lives(j.Step(now, inLife("w1", "2", now.Add(4*time.Second)))))
+	require.Empty(t, j.Step(now, listInIncarnation("w1", "2", now.Add(time.Second))), "the start may still arrive")
+	require.Equal(t, int64(1), reportedCrashes(j.Step(now, listInIncarnation("w1", "2", now.Add(4*time.Second)))))
 }
 
 // Guards against good tasks that are given up for their neighbours' sake.
@@ -118,11 +118,11 @@
 	j.Step(now, job.Submit{Spec: spec(2)})
 	crash(j, "d.r.j.0", "w1", "1", "2", now)
 	j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})
-	confirm(j, "d.r.j.0", "w1")
-	confirm(j, "d.r.j.1", "w1")
-	acts := j.Step(now, inLife("w1", "3", now.Add(2*time.Second)))
-	require.Equal(t, []job.StoreCrashCount{{Job: "d.r.j", Task: "d.r.j.0", Worker: "w1", Crashes: 2}}, only[job.StoreCrashCount](acts))
-	require.Equal(t, []string{"d.r.j.1"}, only[job.RequestPlacement](acts)[0].Tasks)
+	startOn(j, "d.r.j.0", "w1")
+	startOn(j, "d.r.j.1", "w1")
+	acts := j.Step(now, listInIncarnation("w1", "3", now.Add(2*time.Second)))
+	require.Equal(t, []job.StoreCrashCount{{Job: "d.r.j", Task: "d.r.j.0", Worker: "w1", Crashes: 2}}, actionsOf[job.StoreCrashCount](acts))
+	require.Equal(t, []string{"d.r.j.1"}, actionsOf[job.RequestPlacement](acts)[0].Tasks)
 }
 
 // Guards against services that are given up because workers crash now and then.
@@ -130,18 +130,18 @@
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
 	for range 10 {
-		confirm(j, "d.r.j.0", "w1")
-		j.Step(now, inLife("w1", "1", now.Add(time.Second), listed("d.r.j.0", "running")))
+		startOn(j, "d.r.j.0", "w1")
+		j.Step(now, listInIncarnation("w1", "1", now.Add(time.Second), listed("d.r.j.0", "running")))
 		later := now.Add(2 * time.Hour)
-		acts := j.Step(later, inLife("w1", "2", later))
-		require.Zero(t, lives(acts))
-		require.False(t, only[job.RequestPlacement](acts)[0].Exclusive)
-		j = moved(t, j)
+		acts := j.Step(later, listInIncarnation("w1", "2", later))
+		require.Zero(t, reportedCrashes(acts))
+		require.False(t, actionsOf[job.RequestPlacement](acts)[0].Exclusive)
+		j = handOver(t, j)
 	}
 }
 
-// moved hands the job over to another lead.
-func moved(t *testing.T, j *job.Jobs) *job.Jobs {
+// handOver hands the job over to another lead.
+func handOver(t *testing.T, j *job.Jobs) *job.Jobs {
 	t.Helper()
 	c, ok := j.Snapshot("d.r.j")
 	require.True(t, ok)
@@ -151,9 +151,9 @@
 }
 
 // Guards against a count that each new lead begins anew.
-func TestCrashesOutliveTheLead(t *testing.T) {
+func TestCrashCountSurvivesLeaderChange(t *testing.T) {
 	for how, next := range map[string]func(j *job.Jobs, lives int64) *job.Jobs{
-		"handed over": func(j *job.Jobs, _ int64) *job.Jobs { return moved(t, j) },
+		"handed over": func(j *job.Jobs, _ int64) *job.Jobs { return handOver(t, j) },
 		"inherited": func(_ *job.Jobs, lives int64) *job.Jobs {
 			j := job.New()
 			j.Step(now, job.Inherit{Spec: spec(1)})
@@ -165,7 +165,7 @@
 			j := job.New()
 			j.Step(now, job.Submit{Spec: spec(1)})
 			for n := range int64(3) {
-				require.Equal(t, n+1, lives(crash(j, "d.r.j.0", "w1", "1", "2", now)))
+				require.Equal(t, n+1, reportedCrashes(crash(j, "d.r.j.0", "w1", "1", "2", now)))
 				if n < 2 {
 					j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: n + 1})
 					j = next(j, n+1)
@@ -177,18 +177,18 @@
 }
 
 // Guards against a task that is given up because workers were cut off for long.
-func TestWorkerThatComesBackInTheSameLifeDidNotCrash(t *testing.T) {
+func TestWorkerThatReturnsInTheSameIncarnationDidNotCrash(t *testing.T) {
 	for life, want := range map[string]int64{"1": 0, "2": 1} {
 		j := job.New()
 		j.Step(now, job.Submit{Spec: spec(1)})
-		j.Step(now, inLife("w1", "1", now))
-		confirm(j, "d.r.j.0", "w1")
+		j.Step(now, listInIncarnation("w1", "1", now))
+		startOn(j, "d.r.j.0", "w1")
 		later := now.Add(time.Minute)
-		require.Len(t, only[job.RequestPlacement](j.Step(later, job.WorkerList{Worker: "w1", LeasesExpired: true})), 1)
-		acts := j.Step(later, inLife("w1", life, later))
-		require.Equal(t, want, lives(acts))
-		require.Len(t, only[job.Free](acts), int(want), "it waits until the crash is stored")
-		require.Len(t, only[job.RequestPlacement](j.Step(later, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), int(want))
+		require.Len(t, actionsOf[job.RequestPlacement](j.Step(later, job.WorkerList{Worker: "w1", LeasesExpired: true})), 1)
+		acts := j.Step(later, listInIncarnation("w1", life, later))
+		require.Equal(t, want, reportedCrashes(acts))
+		require.Len(t, actionsOf[job.Free](acts), int(want), "it waits until the crash is stored")
+		require.Len(t, actionsOf[job.RequestPlacement](j.Step(later, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), int(want))
 	}
 }
 
@@ -199,18 +199,18 @@
 	gang.Gang = true
 	last := func(acts []job.Action) {
 		t.Helper()
-		require.NotEmpty(t, only[job.StoreCrashCount](acts))
+		require.NotEmpty(t, actionsOf[job.StoreCrashCount](acts))
 		require.IsType(t, job.StoreCrashCount{}, acts[len(acts)-1])
 	}
 	j := job.New()
 	j.Step(now, job.Submit{Spec: gang})
-	j.Step(now, inLife("w1", "1", now))
-	confirm(j, "d.r.j.0", "w1")
-	confirm(j, "d.r.j.1", "w1")
+	j.Step(now, listInIncarnation("w1", "1", now))
+	startOn(j, "d.r.j.0", "w1")
+	startOn(j, "d.r.j.1", "w1")
 	j.Step(now, job.Drop{ID: "d.r.j", RememberPlaces: true})
 	j.Step(now, job.Inherit{Spec: gang})
 	later := now.Add(time.Minute)
-	j.Step(later, inLife("w1", "2", later))
+	j.Step(later, listInIncarnation("w1", "2", later))
 	last(j.Step(later, job.Release{ID: "d.r.j"}))
 	c, ok := j.Snapshot("d.r.j")
 	require.True(t, ok)
--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -77,8 +77,8 @@
 	AvoidUntil  time.Time `json:"back,omitzero"`
 }
 
-// change handles the events that give a job another lead.
-func (j *Jobs) change(now time.Time, ev Event) []Action {
+// changeLeader handles the events that give a job another lead.
+func (j *Jobs) changeLeader(now time.Time, ev Event) []Action {
 	switch ev := ev.(type) {
 	case Inherit:
 		j.inherit(now, ev.Spec)
@@ -89,9 +89,9 @@
 	case Drop:
 		return j.drop(now, ev)
 	case EndStored:
-		return j.keep(ev.ID)
+		return j.markEndStored(ev.ID)
 	case StartSent:
-		j.sent(ev)
+		j.recordDeadline(ev)
 	case Tick:
 	}
 	return nil
@@ -102,31 +102,31 @@
 		return
 	}
 	jb := j.add(now, spec)
-	jb.census = true
+	jb.awaitsInventory = true
 	for _, t := range jb.tasks {
 		// A start may have been sent for all that is known, so nobody may be
 		// told that this job did not run.
 		t.state, t.sent = "unsure", true
-		j.recall(t)
+		j.recallPlace(t)
 	}
 }
 
-// found takes the first sight of an inherited task. An older try that failed
+// foundInherited takes the first sight of an inherited task. An older try that failed
 // or lapsed says nothing of a newer one that may run elsewhere.
-func (j *Jobs) found(now time.Time, t *task, worker string, l ListedTask) []Action {
+func (j *Jobs) foundInherited(now time.Time, t *task, worker string, l ListedTask) []Action {
 	if l.State != workerRunning && l.State != workerEnded {
 		return []Action{Forget{Task: l.ID, Worker: worker, Lease: l.Lease}}
 	}
 	j.move(t, worker, now)
 	t.lease = l.Lease
 	t.tries = max(t.tries, 1)
-	return j.listed(now, t, l)
+	return j.applyEntry(now, t, l)
 }
 
-// forgetPlace forgets where a task of an inherited job was found, since it runs there no more. Before
+// clearPlace forgets where a task of an inherited job was found, since it runs there no more. Before
 // the census is complete it may run elsewhere under a lead that this host does not know of, so
 // it is not started again until then.
-func (j *Jobs) forgetPlace(t *task) []Action {
+func (j *Jobs) clearPlace(t *task) []Action {
 	j.move(t, "", time.Time{})
 	t.state, t.deadline = "unsure", time.Time{}
 	return []Action{Free{Task: t.id}}
@@ -136,36 +136,36 @@
 // its task wanted again before the other actions are carried out.
 func (j *Jobs) release(ev Release) []Action {
 	jb, ok := j.jobs[ev.ID]
-	if !ok || !jb.census {
+	if !ok || !jb.awaitsInventory {
 		return nil
 	}
-	jb.census = false
+	jb.awaitsInventory = false
 	var names []string
 	var acts, crashed []Action
 	for _, t := range jb.tasks {
-		t.noted = max(t.noted, ev.Crashes[t.id])
-		t.lives = max(t.lives, t.noted)
+		t.storedCrashes = max(t.storedCrashes, ev.Crashes[t.id])
+		t.crashes = max(t.crashes, t.storedCrashes)
 		switch {
 		case t.worker != "":
 		case t.state == "unsure":
 			t.move("gone")
 			names = append(names, t.id)
-			if t.blamed {
-				t.blamed = false
-				crashed = append(crashed, t.count(t.former.worker))
+			if t.suspected {
+				t.suspected = false
+				crashed = append(crashed, t.countCrash(t.lastPlace.worker))
 			}
 		case t.state == "stopping":
 			acts = append(acts, j.stopped(t.id)...)
 		}
 	}
-	if acts = append(acts, j.giveUpOver(jb)...); jb.crashed == nil {
-		acts = append(acts, j.wantAll(jb, names)...)
+	if acts = append(acts, j.giveUpAfterCrashes(jb)...); jb.crashErr == nil {
+		acts = append(acts, j.requestAll(jb, names)...)
 	}
 	return append(acts, crashed...)
 }
 
-// wantAll asks for room for waiting tasks of a job that got another lead.
-func (j *Jobs) wantAll(jb *job, names []string) []Action {
+// requestAll asks for room for waiting tasks of a job that got another lead.
+func (j *Jobs) requestAll(jb *job, names []string) []Action {
 	switch {
 	case len(names) == 0:
 		return nil
@@ -173,12 +173,12 @@
 		return j.requeue(j.tasks[names[0]])
 	}
 	var acts []Action
-	want := RequestPlacement{Spec: jb.spec, Since: jb.began}
+	want := RequestPlacement{Spec: jb.spec, Since: jb.acceptedAt}
 	for _, name := range names {
 		switch t := j.tasks[name]; {
-		case t.lives > t.noted:
-		case t.apart() || len(t.avoid) > 0:
-			acts = append(acts, t.want())
+		case t.crashes > t.storedCrashes:
+		case t.needsExclusiveWorker() || len(t.avoid) > 0:
+			acts = append(acts, t.placementRequest())
 		default:
 			want.Tasks = append(want.Tasks, name)
 		}
@@ -193,10 +193,10 @@
 // has ended or waits for its own census.
 func (j *Jobs) Snapshot(id string) (Snapshot, bool) {
 	jb, ok := j.jobs[id]
-	if !ok || jb.census || jobLife.Final(jb.state) {
+	if !ok || jb.awaitsInventory || jobChart.Final(jb.state) {
 		return Snapshot{}, false
 	}
-	c := Snapshot{Spec: jb.spec, State: string(jb.state), Began: jb.began, First: jb.first}
+	c := Snapshot{Spec: jb.spec, State: string(jb.state), Began: jb.acceptedAt, First: jb.firstStart}
 	for _, t := range jb.tasks {
 		state := t.state
 		if state == "starting" {
@@ -204,7 +204,7 @@
 		}
 		c.Tasks = append(c.Tasks, TaskSnapshot{
 			State: string(state), Worker: t.worker, Tries: t.tries, Deadline: t.deadline, Sent: t.sent,
-			Incarnation: t.life, Crashes: t.lives, StoredCrashes: t.noted, Avoid: slices.Clone(t.avoid), LastFailure: t.failed, AvoidUntil: t.back,
+			Incarnation: t.incarnation, Crashes: t.crashes, StoredCrashes: t.storedCrashes, Avoid: slices.Clone(t.avoid), LastFailure: t.lastFailure, AvoidUntil: t.avoidUntil,
 		})
 	}
 	return c, true
@@ -219,26 +219,26 @@
 	if c.HandoverID != "" && slices.Contains(j.adopted, c.HandoverID) {
 		return nil
 	}
-	j.noteAdopted(c.HandoverID)
+	j.recordAdopted(c.HandoverID)
 	if jb, ok := j.jobs[c.Spec.ID]; ok {
-		if !jb.census || len(c.Tasks) != len(jb.tasks) {
+		if !jb.awaitsInventory || len(c.Tasks) != len(jb.tasks) {
 			return nil
 		}
-		j.erase(jb)
+		j.remove(jb)
 	}
 	jb := j.add(now, c.Spec)
-	jb.state, jb.began, jb.first = chart.State(c.State), c.Began, c.First
+	jb.state, jb.acceptedAt, jb.firstStart = chart.State(c.State), c.Began, c.First
 	var names []string
 	var acts, crashed []Action
 	for i, t := range jb.tasks {
 		ct := c.Tasks[i]
 		t.state, t.tries, t.deadline, t.sent = chart.State(ct.State), ct.Tries, ct.Deadline, ct.Sent
 		j.move(t, ct.Worker, now)
-		t.life, t.lives, t.noted = ct.Incarnation, ct.Crashes, ct.StoredCrashes
-		t.avoid, t.failed, t.back = ct.Avoid, ct.LastFailure, ct.AvoidUntil
-		delete(j.former, t.id)
-		if t.lives > t.noted {
-			crashed = append(crashed, StoreCrashCount{Job: jb.spec.ID, Task: t.id, Crashes: t.lives})
+		t.incarnation, t.crashes, t.storedCrashes = ct.Incarnation, ct.Crashes, ct.StoredCrashes
+		t.avoid, t.lastFailure, t.avoidUntil = ct.Avoid, ct.LastFailure, ct.AvoidUntil
+		delete(j.droppedPlaces, t.id)
+		if t.crashes > t.storedCrashes {
+			crashed = append(crashed, StoreCrashCount{Job: jb.spec.ID, Task: t.id, Crashes: t.crashes})
 		}
 		switch t.state {
 		case "waiting":
@@ -249,18 +249,18 @@
 			acts = append(acts, Pause{Task: t.id, Worker: t.worker, Attempt: t.attempt})
 		}
 	}
-	return append(append(acts, j.wantAll(jb, names)...), crashed...)
+	return append(append(acts, j.requestAll(jb, names)...), crashed...)
 }
 
-// adoptedMost bounds how many adopted hand-overs are remembered.
-const adoptedMost = 2000
+// maxAdopted bounds how many adopted hand-overs are remembered.
+const maxAdopted = 2000
 
-func (j *Jobs) noteAdopted(name string) {
+func (j *Jobs) recordAdopted(name string) {
 	if name == "" {
 		return
 	}
 	j.adopted = append(j.adopted, name)
-	if len(j.adopted) > adoptedMost {
+	if len(j.adopted) > maxAdopted {
 		j.adopted = j.adopted[1:]
 	}
 }
@@ -278,14 +278,14 @@
 			acts = append(acts, Free{Task: t.id})
 		}
 		if ev.RememberPlaces {
-			j.remember(now, t)
+			j.rememberPlace(now, t)
 		}
 	}
-	j.erase(jb)
+	j.remove(jb)
 	return acts
 }
 
-func (j *Jobs) erase(jb *job) {
+func (j *Jobs) remove(jb *job) {
 	for _, t := range jb.tasks {
 		j.move(t, "", time.Time{})
 		delete(j.tasks, t.id)
@@ -293,12 +293,12 @@
 	delete(j.jobs, jb.spec.ID)
 }
 
-func (j *Jobs) keep(id string) []Action {
+func (j *Jobs) markEndStored(id string) []Action {
 	jb, ok := j.jobs[id]
-	if !ok || jb.kept || !jobLife.Final(jb.state) {
+	if !ok || jb.endStored || !jobChart.Final(jb.state) {
 		return nil
 	}
-	jb.kept = true
+	jb.endStored = true
 	var acts []Action
 	for _, t := range jb.tasks {
 		if t.worker != "" {
@@ -307,25 +307,25 @@
 		}
 	}
 	j.ended = append(j.ended, id)
-	j.trim()
+	j.trimEnded()
 	return acts
 }
 
-// endedJobs bounds how many ended jobs are remembered with all their tasks; how
+// maxEndedJobs bounds how many ended jobs are remembered with all their tasks; how
 // older ones ended is in the log.
-const endedJobs = 500
+const maxEndedJobs = 500
 
-func (j *Jobs) trim() {
-	for len(j.ended) > endedJobs {
+func (j *Jobs) trimEnded() {
+	for len(j.ended) > maxEndedJobs {
 		if jb, ok := j.jobs[j.ended[0]]; ok {
-			j.erase(jb)
+			j.remove(jb)
 		}
 		j.ended = j.ended[1:]
 	}
 }
 
-// sent notes until when a start may still be carried out.
-func (j *Jobs) sent(ev StartSent) {
+// recordDeadline notes until when a start may still be carried out.
+func (j *Jobs) recordDeadline(ev StartSent) {
 	if t, ok := j.tasks[ev.Task]; ok {
 		t.deadline = ev.Deadline
 	}
@@ -334,7 +334,7 @@
 // Ended tells whether a job is known here and has ended, and how.
 func (j *Jobs) Ended(id string) (state string, ok bool) {
 	jb, known := j.jobs[id]
-	if !known || !jobLife.Final(jb.state) {
+	if !known || !jobChart.Final(jb.state) {
 		return "", false
 	}
 	return string(jb.state), true
@@ -343,15 +343,15 @@
 // AwaitsInventory tells whether a job is inherited and waits for its census.
 func (j *Jobs) AwaitsInventory(id string) bool {
 	jb, ok := j.jobs[id]
-	return ok && jb.census
+	return ok && jb.awaitsInventory
 }
 
 // Workers lists the workers that tasks of open jobs are on, without order.
 func (j *Jobs) Workers() []string {
 	var all []string
-	for worker, on := range j.on {
+	for worker, on := range j.byWorker {
 		for _, t := range on {
-			if !taskLife.Final(t.state) {
+			if !taskChart.Final(t.state) {
 				all = append(all, worker)
 				break
 			}
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -14,8 +14,8 @@
 )
 
 var (
-	taskLife = chart.MustLoad("task")
-	jobLife  = chart.MustLoad("job")
+	taskChart = chart.MustLoad("task")
+	jobChart  = chart.MustLoad("job")
 )
 
 // States of tasks as workers list them.
@@ -35,69 +35,69 @@
 	tries    int64
 	deadline time.Time
 	sent     bool
-	// since is when this host learnt that the task is on its worker: a list
+	// onWorkerSince is when this host learnt that the task is on its worker: a list
 	// that was asked for earlier cannot tell that the task is gone.
-	since time.Time
+	onWorkerSince time.Time
 	// lease names the start that the worker lists, so that it forgets no other.
 	lease string
 	// avoid are the workers that the task failed on last, the last time at failed. It goes back to
 	// one of them at back.
-	avoid        []string
-	failed, back time.Time
-	// life is the one of its worker in which the task was started or seen; empty: not known.
-	life string
-	// lives counts the lives of workers that ended under the task, noted is how many of them are
+	avoid                   []string
+	lastFailure, avoidUntil time.Time
+	// incarnation is the one of its worker in which the task was started or seen; empty: not known.
+	incarnation string
+	// crashes counts the crashes of workers that ended under the task, storedCrashes is how many of them are
 	// stored. blamed tells that the last one is to be counted once it is sure that the task is gone.
-	lives, noted int64
-	blamed       bool
-	// spared counts the lives that did not count since the whole rack was lost.
-	spared int
-	// former is where the task was when this host gave its job up.
-	former *place
+	crashes, storedCrashes int64
+	suspected              bool
+	// excusedCrashes counts the lives that did not count since the whole rack was lost.
+	excusedCrashes int
+	// lastPlace is where the task was when this host gave its job up.
+	lastPlace *place
 }
 
 type job struct {
-	spec  Spec
-	state chart.State
-	tasks []*task
-	began time.Time
-	// first is when the first task was confirmed to run.
-	first time.Time
-	// census is set while nobody knows yet where a former lead ran tasks.
-	census bool
-	// kept is set when the job's end is where a successor will find it.
-	kept bool
-	// crashed is why the job was given up.
-	crashed *CrashedError
+	spec       Spec
+	state      chart.State
+	tasks      []*task
+	acceptedAt time.Time
+	// firstStart is when the firstStart task was confirmed to run.
+	firstStart time.Time
+	// awaitsInventory is set while nobody knows yet where a former lead ran tasks.
+	awaitsInventory bool
+	// endStored is set when the job's end is where a successor will find it.
+	endStored bool
+	// crashErr is why the job was given up.
+	crashErr *CrashedError
 }
 
 // Jobs is the job core of one host.
 type Jobs struct {
 	jobs  map[string]*job
 	tasks map[string]*task
-	// on holds the tasks that are on each worker, as far as is known.
-	on map[string]map[string]*task
+	// byWorker holds the tasks that are byWorker each worker, as far as is known.
+	byWorker map[string]map[string]*task
 	// budgets hold by row how many retries are left.
 	budgets map[string]float64
 	// ended are jobs whose end is kept, oldest first.
 	ended []string
 	// adopted are the names of hand-overs that were adopted, oldest first.
 	adopted []string
-	// lives holds each worker's life as it was last told.
-	lives map[string]life
-	// former holds where tasks were whose jobs were given up with the last worker. recalled are by
+	// incarnations holds each worker's life as it was last told.
+	incarnations map[string]incarnation
+	// droppedPlaces holds where tasks were whose jobs were given up with the last worker. recalled are by
 	// worker those of them that were inherited since, until the worker is seen.
-	former   map[string]place
-	recalled map[string][]*task
-	// away holds by worker which tasks were there when it was silent for longer than any lease.
-	away map[string][]place
+	droppedPlaces map[string]place
+	recalled      map[string][]*task
+	// silentPlaces holds by worker which tasks were there when it was silent for longer than any lease.
+	silentPlaces map[string][]place
 	// attempts counts the stays of all tasks on workers.
 	attempts int64
 }
 
 // New returns a core that knows no job.
 func New() *Jobs {
-	return &Jobs{jobs: map[string]*job{}, tasks: map[string]*task{}, on: map[string]map[string]*task{}, budgets: map[string]float64{}, lives: map[string]life{}, former: map[string]place{}, recalled: map[string][]*task{}, away: map[string][]place{}}
+	return &Jobs{jobs: map[string]*job{}, tasks: map[string]*task{}, byWorker: map[string]map[string]*task{}, budgets: map[string]float64{}, incarnations: map[string]incarnation{}, droppedPlaces: map[string]place{}, recalled: map[string][]*task{}, silentPlaces: map[string][]place{}}
 }
 
 // UnknownError tells that no such job is known here.
@@ -144,26 +144,26 @@
 	case Placed:
 		return j.put(now, ev)
 	case Started:
-		return j.answered(ev.Task, ev.Attempt, func() []Action { return j.started(now, ev.Task) })
+		return j.onAnswer(ev.Task, ev.Attempt, func() []Action { return j.started(now, ev.Task) })
 	case NotStarted:
-		return j.answered(ev.Task, ev.Attempt, func() []Action { return j.again(ev.Task, "refused") })
+		return j.onAnswer(ev.Task, ev.Attempt, func() []Action { return j.queueAgain(ev.Task, "refused") })
 	case Unsure:
-		return j.answered(ev.Task, ev.Attempt, func() []Action { return j.unsure(ev) })
+		return j.onAnswer(ev.Task, ev.Attempt, func() []Action { return j.unsure(ev) })
 	case Stopped:
-		return j.answered(ev.Task, ev.Attempt, func() []Action { return j.stopped(ev.Task) })
+		return j.onAnswer(ev.Task, ev.Attempt, func() []Action { return j.stopped(ev.Task) })
 	case Preempt:
 		return j.pause(ev.Task)
 	case WorkerList:
-		return j.seen(now, ev)
+		return j.handleList(now, ev)
 	case CrashCountStored:
-		return j.notedLives(ev)
+		return j.crashCountStored(ev)
 	default:
-		return j.change(now, ev)
+		return j.changeLeader(now, ev)
 	}
 }
 
-// answered takes a worker's answer unless the task has left the worker since.
-func (j *Jobs) answered(id string, attempt int64, take func() []Action) []Action {
+// onAnswer takes a worker's answer unless the task has left the worker since.
+func (j *Jobs) onAnswer(id string, attempt int64, take func() []Action) []Action {
 	if t, ok := j.tasks[id]; !ok || t.attempt != attempt {
 		return nil
 	}
@@ -183,9 +183,9 @@
 }
 
 func (j *Jobs) add(now time.Time, spec Spec) *job {
-	jb := &job{spec: spec, state: jobLife.Start(), began: now}
+	jb := &job{spec: spec, state: jobChart.Start(), acceptedAt: now}
 	for i := range spec.Tasks {
-		t := &task{id: TaskID(spec.ID, i), job: jb, state: taskLife.Start()}
+		t := &task{id: TaskID(spec.ID, i), job: jb, state: taskChart.Start()}
 		jb.tasks = append(jb.tasks, t)
 		j.tasks[t.id] = t
 	}
@@ -196,29 +196,29 @@
 // move sets where a task is; an empty worker means nowhere.
 func (j *Jobs) move(t *task, worker string, now time.Time) {
 	if t.worker != "" {
-		delete(j.on[t.worker], t.id)
+		delete(j.byWorker[t.worker], t.id)
 	}
-	t.worker, t.since, t.lease, t.attempt = worker, now, "", 0
-	t.life, t.blamed = j.lives[worker].name, false
+	t.worker, t.onWorkerSince, t.lease, t.attempt = worker, now, "", 0
+	t.incarnation, t.suspected = j.incarnations[worker].name, false
 	if worker == "" {
 		return
 	}
 	j.attempts++
 	t.attempt = j.attempts
-	if j.on[worker] == nil {
-		j.on[worker] = map[string]*task{}
+	if j.byWorker[worker] == nil {
+		j.byWorker[worker] = map[string]*task{}
 	}
-	j.on[worker][t.id] = t
+	j.byWorker[worker][t.id] = t
 }
 
 func (t *task) move(ev chart.Event) bool {
-	next, err := taskLife.Next(t.state, ev)
+	next, err := taskChart.Next(t.state, ev)
 	t.state = next
 	return err == nil
 }
 
 func (j *job) move(ev chart.Event) {
-	if next, err := jobLife.Next(j.state, ev); err == nil {
+	if next, err := jobChart.Next(j.state, ev); err == nil {
 		j.state = next
 	}
 }
@@ -243,21 +243,21 @@
 		return nil
 	}
 	if t.state == "stopping" || t.state == "pausing" {
-		t.since, t.deadline = now, time.Time{}
+		t.onWorkerSince, t.deadline = now, time.Time{}
 	}
 	if !t.move("started") {
 		return nil
 	}
-	t.since, t.deadline = now, time.Time{}
-	if t.job.first.IsZero() {
-		t.job.first = now
+	t.onWorkerSince, t.deadline = now, time.Time{}
+	if t.job.firstStart.IsZero() {
+		t.job.firstStart = now
 	}
 	t.job.move("start")
 	return nil
 }
 
-// again puts a task that certainly does not run back in the queue.
-func (j *Jobs) again(id string, why chart.Event) []Action {
+// queueAgain puts a task that certainly does not run back in the queue.
+func (j *Jobs) queueAgain(id string, why chart.Event) []Action {
 	t, ok := j.tasks[id]
 	if !ok {
 		return nil
@@ -265,8 +265,8 @@
 	if t.state == "stopping" || t.state == "pausing" {
 		return j.stopped(id)
 	}
-	if t.job.census {
-		return j.forgetPlace(t)
+	if t.job.awaitsInventory {
+		return j.clearPlace(t)
 	}
 	if !t.move(why) {
 		return nil
@@ -282,7 +282,7 @@
 	}
 	t.deadline = ev.Deadline
 	if ev.Unreached {
-		t.life, t.blamed = "", false
+		t.incarnation, t.suspected = "", false
 	}
 	t.move("lost")
 	return nil
@@ -296,18 +296,18 @@
 	if !ok || !t.move("stopped") {
 		return nil
 	}
-	return append([]Action{Free{Task: id}}, j.settle(t.job)...)
+	return append([]Action{Free{Task: id}}, j.endIfDone(t.job)...)
 }
 
 func (j *Jobs) cancel(id string) []Action {
 	jb, ok := j.jobs[id]
-	if !ok || jobLife.Final(jb.state) {
+	if !ok || jobChart.Final(jb.state) {
 		return nil
 	}
 	jb.move("stop")
 	var acts []Action
 	for _, t := range jb.tasks {
-		if taskLife.Final(t.state) {
+		if taskChart.Final(t.state) {
 			continue
 		}
 		worker := t.worker
@@ -320,14 +320,14 @@
 		}
 		acts = append(acts, Free{Task: t.id})
 	}
-	return append(acts, j.settle(jb)...)
+	return append(acts, j.endIfDone(jb)...)
 }
 
-// settle ends a job when all its tasks have ended.
-func (j *Jobs) settle(jb *job) []Action {
+// endIfDone ends a job when all its tasks have ended.
+func (j *Jobs) endIfDone(jb *job) []Action {
 	failed, cancelled := false, false
 	for _, t := range jb.tasks {
-		if !taskLife.Final(t.state) {
+		if !taskChart.Final(t.state) {
 			return nil
 		}
 		failed = failed || t.state == "failed"
@@ -370,8 +370,8 @@
 		s.Tasks[string(t.state)]++
 		s.Ran = s.Ran || t.sent
 	}
-	if !jb.first.IsZero() {
-		s.Wait = cell.Duration{Duration: jb.first.Sub(jb.began)}
+	if !jb.firstStart.IsZero() {
+		s.Wait = cell.Duration{Duration: jb.firstStart.Sub(jb.acceptedAt)}
 	}
 	return s, nil
 }
@@ -380,7 +380,7 @@
 func (j *Jobs) Open() []Spec {
 	var open []Spec
 	for _, id := range slices.Sorted(maps.Keys(j.jobs)) {
-		if jb := j.jobs[id]; !jobLife.Final(jb.state) {
+		if jb := j.jobs[id]; !jobChart.Final(jb.state) {
 			open = append(open, jb.spec)
 		}
 	}
--- a/internal/job/retry.go
+++ b/internal/job/retry.go
@@ -9,21 +9,21 @@
 // each ended task earns a part, so that a row whose tasks always fail stops
 // taking workers' time after a bounded number of starts.
 const (
-	budgetMost = 50.0
-	budgetEarn = 0.2
+	maxRetryBudget     = 50.0
+	budgetPerEndedTask = 0.2
 )
 
-// hopeless is how many of a job's tasks may fail for good, with none ended,
+// giveUpAfterFailures is how many of a job's tasks may fail for good, with none ended,
 // before the rest is not started any more.
-const hopeless = 10
+const giveUpAfterFailures = 10
 
-// avoided is how many workers one task avoids.
-const avoided = 3
+// maxAvoidedWorkers is how many workers one task avoids.
+const maxAvoidedWorkers = 3
 
-func (j *Jobs) spend(row string) bool {
+func (j *Jobs) spendRetry(row string) bool {
 	left, ok := j.budgets[row]
 	if !ok {
-		left = budgetMost
+		left = maxRetryBudget
 	}
 	if left < 1 {
 		return false
@@ -32,36 +32,36 @@
 	return true
 }
 
-func (j *Jobs) earn(row string) {
+func (j *Jobs) earnRetry(row string) {
 	if left, ok := j.budgets[row]; ok {
-		j.budgets[row] = min(left+budgetEarn, budgetMost)
+		j.budgets[row] = min(left+budgetPerEndedTask, maxRetryBudget)
 	}
 }
 
 // A task that cannot do without a worker that it has failed on goes back there after a while, which
 // doubles with each failure. Failures in quick succession on one worker tell nothing more of the task.
 const (
-	returnAfter = 10 * time.Second
-	returnMost  = time.Minute
+	minAvoidTime = 10 * time.Second
+	maxAvoidTime = time.Minute
 )
 
-func (t *task) shun(now time.Time, worker string) {
-	t.failed, t.back = now, now.Add(min(returnAfter<<min(max(t.tries-1, 0), 10), returnMost))
+func (t *task) avoidWorker(now time.Time, worker string) {
+	t.lastFailure, t.avoidUntil = now, now.Add(min(minAvoidTime<<min(max(t.tries-1, 0), 10), maxAvoidTime))
 	if !slices.Contains(t.avoid, worker) {
 		t.avoid = append(t.avoid, worker)
 	}
-	if len(t.avoid) > avoided {
+	if len(t.avoid) > maxAvoidedWorkers {
 		t.avoid = t.avoid[1:]
 	}
 }
 
 func (t *task) result(now time.Time, failed bool) Result {
-	return Result{Task: t.id, Row: t.job.spec.Row, Worker: t.worker, Failed: failed, Run: now.Sub(t.since)}
+	return Result{Task: t.id, Row: t.job.spec.Row, Worker: t.worker, Failed: failed, Run: now.Sub(t.onWorkerSince)}
 }
 
-// giveUp fails the tasks that still wait when none of the job's tasks ever
+// giveUpFailing fails the tasks that still wait when none of the job's tasks ever
 // ended and many failed.
-func (j *Jobs) giveUp(jb *job) []Action {
+func (j *Jobs) giveUpFailing(jb *job) []Action {
 	failed := 0
 	for _, t := range jb.tasks {
 		switch t.state {
@@ -71,7 +71,7 @@
 			failed++
 		}
 	}
-	if failed < hopeless {
+	if failed < giveUpAfterFailures {
 		return nil
 	}
 	var acts []Action
@@ -86,7 +86,7 @@
 // pause takes a task off its worker to run it again later.
 func (j *Jobs) pause(id string) []Action {
 	t, ok := j.tasks[id]
-	if !ok || t.job.census || !t.move("pause") {
+	if !ok || t.job.awaitsInventory || !t.move("pause") {
 		return nil
 	}
 	return []Action{Pause{Task: id, Worker: t.worker, Attempt: t.attempt}}
@@ -101,11 +101,11 @@
 	return j.requeue(t)
 }
 
-// want asks for room for a task that is not one of a gang.
-func (t *task) want() RequestPlacement {
+// placementRequest asks for room for a task that is not one of a gang.
+func (t *task) placementRequest() RequestPlacement {
 	return RequestPlacement{
-		Spec: t.job.spec, Tasks: []string{t.id}, Since: t.job.began, Exclusive: t.apart(),
-		Avoid: slices.Clone(t.avoid), LastFailure: t.failed, AvoidUntil: t.back,
+		Spec: t.job.spec, Tasks: []string{t.id}, Since: t.job.acceptedAt, Exclusive: t.needsExclusiveWorker(),
+		Avoid: slices.Clone(t.avoid), LastFailure: t.lastFailure, AvoidUntil: t.avoidUntil,
 	}
 }
 
@@ -115,31 +115,31 @@
 // that runs would hold its room for as long as the rest finds none.
 func (j *Jobs) requeue(t *task) []Action {
 	free := Free{Task: t.id}
-	if t.job.crashed != nil {
+	if t.job.crashErr != nil {
 		t.move("fail")
-		return append([]Action{free}, j.settle(t.job)...)
+		return append([]Action{free}, j.endIfDone(t.job)...)
 	}
 	if !t.job.spec.Gang {
 		acts := []Action{free}
-		if t.lives == t.noted {
-			acts = append(acts, t.want())
+		if t.crashes == t.storedCrashes {
+			acts = append(acts, t.placementRequest())
 		}
 		return acts
 	}
 	acts := []Action{free}
-	want := RequestPlacement{Spec: t.job.spec, Since: t.job.began}
+	want := RequestPlacement{Spec: t.job.spec, Since: t.job.acceptedAt}
 	whole := true
 	for _, o := range t.job.tasks {
 		switch {
-		case taskLife.Final(o.state):
+		case taskChart.Final(o.state):
 		case o.state == "waiting":
 			acts = append(acts, Free{Task: o.id})
 			want.Tasks = append(want.Tasks, o.id)
 			want.Avoid = append(want.Avoid, o.avoid...)
-			want.LastFailure = slices.MaxFunc([]time.Time{want.LastFailure, o.failed}, time.Time.Compare)
-			want.AvoidUntil = slices.MaxFunc([]time.Time{want.AvoidUntil, o.back}, time.Time.Compare)
-			want.Exclusive = want.Exclusive || o.apart()
-			whole = whole && o.lives == o.noted
+			want.LastFailure = slices.MaxFunc([]time.Time{want.LastFailure, o.lastFailure}, time.Time.Compare)
+			want.AvoidUntil = slices.MaxFunc([]time.Time{want.AvoidUntil, o.avoidUntil}, time.Time.Compare)
+			want.Exclusive = want.Exclusive || o.needsExclusiveWorker()
+			whole = whole && o.crashes == o.storedCrashes
 		default:
 			whole = false
 			acts = append(acts, j.pause(o.id)...)
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -21,10 +21,10 @@
 
 type worker struct {
 	held bool
-	// sign is when the worker last gave a sign of life, or was first known.
-	sign time.Time
-	// answered is when the question was sent that its live holder answered.
-	answered time.Time
+	// lastContact is when the worker last gave a lastContact of life, or was first known.
+	lastContact time.Time
+	// reportedAt is when the question was sent that its live holder reportedAt.
+	reportedAt time.Time
 }
 
 // Takeover is the takeover core of one host.
@@ -38,17 +38,17 @@
 	// counts for it.
 	jobs map[string]time.Time
 	// keys are the same for what is counted.
-	keys  map[string]time.Time
-	watch map[string]time.Time
-	log   time.Time
-	asked time.Time
+	keys      map[string]time.Time
+	watched   map[string]time.Time
+	logRead   time.Time
+	lastAsked time.Time
 }
 
 // New returns the core of the host that is called self. It knows no worker.
 func New(self string, limits Limits) *Takeover {
 	return &Takeover{
 		limits: limits, self: self, workers: map[string]*worker{}, peers: map[string]time.Time{},
-		jobs: map[string]time.Time{}, keys: map[string]time.Time{}, watch: map[string]time.Time{},
+		jobs: map[string]time.Time{}, keys: map[string]time.Time{}, watched: map[string]time.Time{},
 	}
 }
 
@@ -60,28 +60,28 @@
 	case SetPeers:
 		t.setPeers(now, ev.Names)
 	case FoundJob, GoneJob, AddKey, RemoveKey:
-		t.wait(now, ev)
+		t.updateWaiting(now, ev)
 	case WatchWorkers:
 		t.setWatch(now, ev.Workers)
 	case WorkerHeld:
-		t.sign(now, ev.Worker, true)
+		t.recordContact(now, ev.Worker, true)
 	case WorkerLost:
-		t.down(now, ev.Worker)
+		t.workerLost(now, ev.Worker)
 	case WorkerContact:
-		t.sign(now, ev.Worker, false)
+		t.recordContact(now, ev.Worker, false)
 	case LogRead:
-		t.log = later(t.log, ev.Asked)
+		t.logRead = later(t.logRead, ev.Asked)
 	case PeerAnswer:
 		t.answer(now, ev)
 	case PeerAsked:
 		t.yield(now, ev.Host, ev.Jobs)
 	case Tick:
 	}
-	return append(t.complete(now), t.due(now)...)
+	return append(t.releaseComplete(now), t.due(now)...)
 }
 
-// wait begins or ends what waits for a census.
-func (t *Takeover) wait(now time.Time, ev Event) {
+// updateWaiting begins or ends what waits for a census.
+func (t *Takeover) updateWaiting(now time.Time, ev Event) {
 	switch ev := ev.(type) {
 	case FoundJob:
 		if _, ok := t.jobs[ev.Job]; !ok {
@@ -106,7 +106,7 @@
 func (t *Takeover) setWorkers(now time.Time, names []string) {
 	for _, name := range names {
 		if t.workers[name] == nil {
-			t.workers[name] = &worker{sign: now}
+			t.workers[name] = &worker{lastContact: now}
 		}
 	}
 	for name := range t.workers {
@@ -122,7 +122,7 @@
 	for name := range t.peers {
 		if !slices.Contains(names, name) {
 			delete(t.peers, name)
-			t.restart(now)
+			t.restartAll(now)
 		}
 	}
 	for _, name := range names {
@@ -132,7 +132,7 @@
 	}
 }
 
-func (t *Takeover) restart(now time.Time) {
+func (t *Takeover) restartAll(now time.Time) {
 	for id := range t.jobs {
 		t.jobs[id] = now
 	}
@@ -143,31 +143,31 @@
 
 func (t *Takeover) setWatch(now time.Time, names []string) {
 	for _, name := range names {
-		if _, ok := t.watch[name]; !ok {
-			t.watch[name] = now
+		if _, ok := t.watched[name]; !ok {
+			t.watched[name] = now
 		}
 	}
-	for name := range t.watch {
+	for name := range t.watched {
 		if !slices.Contains(names, name) {
-			delete(t.watch, name)
+			delete(t.watched, name)
 		}
 	}
 }
 
-func (t *Takeover) sign(now time.Time, name string, held bool) {
+func (t *Takeover) recordContact(now time.Time, name string, held bool) {
 	if w, ok := t.workers[name]; ok {
-		w.sign = now
+		w.lastContact = now
 		w.held = w.held || held
 	}
 }
 
-// down restarts every census. A host that was paused for so long that it lost
+// workerLost restarts every census. A host that was paused for so long that it lost
 // a worker must not go on with answers from before the pause: another host may
 // have completed its own census and started the job since then.
-func (t *Takeover) down(now time.Time, name string) {
+func (t *Takeover) workerLost(now time.Time, name string) {
 	if w, ok := t.workers[name]; ok && w.held {
-		w.held, w.sign = false, now
-		t.restart(now)
+		w.held, w.lastContact = false, now
+		t.restartAll(now)
 	}
 }
 
@@ -178,11 +178,11 @@
 	t.peers[ev.Host] = later(t.peers[ev.Host], ev.Asked)
 	for _, name := range ev.Workers {
 		if w, ok := t.workers[name]; ok {
-			w.answered = later(w.answered, ev.Asked)
-			w.sign = now
+			w.reportedAt = later(w.reportedAt, ev.Asked)
+			w.lastContact = now
 		}
 	}
-	t.again(now, ev.Leads)
+	t.restartJobs(now, ev.Leads)
 	t.yield(now, ev.Host, ev.Waits)
 }
 
@@ -192,12 +192,12 @@
 // another answer of that peer, which leads the job by then or has given it up.
 func (t *Takeover) yield(now time.Time, host string, ids []string) {
 	if host < t.self {
-		t.again(now, ids)
+		t.restartJobs(now, ids)
 	}
 }
 
-// again restarts the census of some jobs.
-func (t *Takeover) again(now time.Time, ids []string) {
+// restartJobs restarts the census of some jobs.
+func (t *Takeover) restartJobs(now time.Time, ids []string) {
 	for _, id := range ids {
 		if _, ok := t.jobs[id]; ok {
 			t.jobs[id] = now
@@ -205,12 +205,12 @@
 	}
 }
 
-// complete releases the jobs whose census is complete. Without any worker this
+// releaseComplete releases the jobs whose census is releaseComplete. Without any worker this
 // host has nothing that would show it that it was taken for dead, so it
 // releases nothing then.
-func (t *Takeover) complete(now time.Time) []Action {
+func (t *Takeover) releaseComplete(now time.Time) []Action {
 	var acts []Action
-	if !t.holds() {
+	if !t.holdsAnyWorker() {
 		return nil
 	}
 	for _, id := range slices.Sorted(maps.Keys(t.jobs)) {
@@ -220,7 +220,7 @@
 		}
 	}
 	for _, key := range slices.Sorted(maps.Keys(t.keys)) {
-		if t.unread(now, t.keys[key]) == "" {
+		if t.missingSince(now, t.keys[key]) == "" {
 			delete(t.keys, key)
 			acts = append(acts, ReleaseKey{Key: key})
 		}
@@ -228,7 +228,7 @@
 	return acts
 }
 
-func (t *Takeover) holds() bool {
+func (t *Takeover) holdsAnyWorker() bool {
 	for _, w := range t.workers {
 		if w.held {
 			return true
@@ -241,14 +241,14 @@
 // worker; empty if nothing.
 func (t *Takeover) Missing(now time.Time, id string) string {
 	since := t.jobs[id]
-	if !t.log.After(since) {
+	if !t.logRead.After(since) {
 		return "log"
 	}
-	return t.unread(now, since)
+	return t.missingSince(now, since)
 }
 
-// unread names a peer or worker that was not heard of since then; empty if none.
-func (t *Takeover) unread(now, since time.Time) string {
+// missingSince names a peer or worker that was not heard of since then; empty if none.
+func (t *Takeover) missingSince(now, since time.Time) string {
 	for _, name := range slices.Sorted(maps.Keys(t.peers)) {
 		if !t.peers[name].After(since) {
 			return name
@@ -256,7 +256,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(t.workers)) {
 		w := t.workers[name]
-		if !w.held && !w.answered.After(since) && now.Sub(later(w.sign, since)) <= t.limits.LongestLease {
+		if !w.held && !w.reportedAt.After(since) && now.Sub(later(w.lastContact, since)) <= t.limits.LongestLease {
 			return name
 		}
 	}
@@ -270,30 +270,30 @@
 // than any lease.
 func (t *Takeover) LeasesExpired(now time.Time, name string) bool {
 	w, ok := t.workers[name]
-	return ok && !w.held && now.Sub(w.sign) > t.limits.LongestLease
+	return ok && !w.held && now.Sub(w.lastContact) > t.limits.LongestLease
 }
 
 func (t *Takeover) due(now time.Time) []Action {
 	var acts []Action
-	for _, name := range slices.Sorted(maps.Keys(t.watch)) {
-		if t.dead(now, name) {
-			t.watch[name] = now
+	for _, name := range slices.Sorted(maps.Keys(t.watched)) {
+		if t.isSilent(now, name) {
+			t.watched[name] = now
 			acts = append(acts, WorkerSilent{Worker: name})
 		}
 	}
-	if len(t.jobs)+len(t.keys)+len(t.watch) > 0 && now.Sub(t.asked) >= t.limits.AskInterval {
-		t.asked = now
+	if len(t.jobs)+len(t.keys)+len(t.watched) > 0 && now.Sub(t.lastAsked) >= t.limits.AskInterval {
+		t.lastAsked = now
 		acts = append(acts, AskPeers{})
 	}
 	return acts
 }
 
-// dead tells whether a watched worker gave no sign for longer than any lease,
+// isSilent tells whether a watched worker gave no sign for longer than any lease,
 // to this host or to any live peer that was asked since.
-func (t *Takeover) dead(now time.Time, name string) bool {
-	since := t.watch[name]
+func (t *Takeover) isSilent(now time.Time, name string) bool {
+	since := t.watched[name]
 	if w, ok := t.workers[name]; ok {
-		since = later(since, w.sign)
+		since = later(since, w.lastContact)
 	}
 	return now.Sub(since) > t.limits.LongestLease
 }
