--- a/internal/lead/crash_test.go
+++ b/internal/lead/crash_test.go
@@ -15,14 +15,14 @@
 	"pollencroft/internal/standin"
 )
 
-// setCrashRow makes each task of a row crash its worker that long after its start.
+// setCrashRow makes each task of a row crash its worker the given time after its start.
 func (p *pair) setCrashRow(row string, after time.Duration) {
 	for _, w := range p.workers {
 		w.SetFaults(standin.WorkerFaults{CrashRow: row, CrashAfter: after})
 	}
 }
 
-// crashCount counts the crashCount of all workers.
+// crashCount returns the number of crashes of all workers.
 func (p *pair) crashCount() int {
 	n := 0
 	for _, w := range p.workers {
@@ -31,7 +31,7 @@
 	return n
 }
 
-// maxStarts is how often any one task was started.
+// maxStarts returns how often the task with the most starts was started.
 func (p *pair) maxStarts() int {
 	starts := map[string]int{}
 	n := 0
@@ -51,7 +51,7 @@
 	}
 }
 
-// submitQuarterSize hands in a job of some tasks of a quarter of a worker each.
+// submitQuarterSize submits a job whose tasks take a quarter of a worker each.
 func (p *pair) submitQuarterSize(id, row string, tasks int, gang bool) {
 	p.Helper()
 	spec := quarterSizeJob(id, row, tasks, gang)
@@ -61,7 +61,7 @@
 	require.NoError(p, err)
 }
 
-// Guards against a task that takes one worker after another down for good.
+// Guards against a task that is retried without end and crashes one worker after another.
 func TestTaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	for _, after := range []time.Duration{0, 10 * time.Millisecond, 500 * time.Millisecond} {
 		t.Run(after.String(), func(t *testing.T) {
@@ -77,7 +77,7 @@
 	}
 }
 
-// Guards against an all-at-once job that takes workers down for good.
+// Guards against a gang that is retried without end and crashes workers each time.
 func TestGangThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	p := newPair(t, 4)
 	p.setCrashRow("bad", 10*time.Millisecond)
@@ -88,7 +88,8 @@
 	require.LessOrEqual(t, p.crashCount(), 9)
 }
 
-// Guards against good jobs that are given up, or do not end, beside jobs that crash workers.
+// Guards against good jobs that fail, or never end, because they run beside jobs that crash
+// workers.
 func TestNeighboursOfCrashingTasksEnd(t *testing.T) {
 	p := newPair(t, 8)
 	p.setCrashRow("bad", 500*time.Millisecond)
@@ -109,7 +110,7 @@
 	require.LessOrEqual(t, p.crashCount(), 18)
 }
 
-// Guards against a task that crashes the only worker of its lead for good.
+// Guards against a task that crashes the only worker of its leader again and again.
 func TestCrashOfTheLastWorkerCounts(t *testing.T) {
 	p := newPair(t, 1)
 	p.setCrashRow("bad", 10*time.Millisecond)
@@ -120,7 +121,8 @@
 	require.LessOrEqual(t, p.crashCount(), 3)
 }
 
-// Guards against crashes that do not count since the worker stays away for longer than a lease.
+// Guards against crashes that are not counted because the worker stays away for longer than a
+// lease.
 func TestCrashOfAWorkerThatStaysAwayCounts(t *testing.T) {
 	p := newPair(t, 4)
 	for _, w := range p.workers {
@@ -133,7 +135,7 @@
 	require.LessOrEqual(t, p.crashCount(), 5)
 }
 
-// moveToSecondRack puts all but the first few workers into another rack.
+// moveToSecondRack puts all but the first workers into another rack.
 func (p *pair) moveToSecondRack(first int) {
 	for i := range p.machines[first:] {
 		p.machines[first+i].Rack = "s"
@@ -141,7 +143,8 @@
 	p.hosts["a"].SetLedMachines(p.machines)
 }
 
-// runAndInherit lets time pass for a host that inherits what it gave up, as hosts do.
+// runAndInherit advances the clock for host a, which keeps inheriting the jobs that it dropped, as
+// real hosts do.
 func (p *pair) runAndInherit(d time.Duration, specs ...job.Spec) {
 	for end := p.now.Add(d); p.now.Before(end); {
 		p.run("a", 500*time.Millisecond)
@@ -149,7 +152,7 @@
 	}
 }
 
-// Guards against good jobs that are given up because their rack loses power.
+// Guards against good jobs that fail because their rack loses power.
 func TestLossOfAWholeRackDoesNotCountAgainstItsTasks(t *testing.T) {
 	for _, others := range []int{0, 2} {
 		p := newPair(t, 4+others)
@@ -170,7 +173,8 @@
 	}
 }
 
-// Guards against a job that is never given up because it crashes all workers of a rack together.
+// Guards against a job that is retried without end because it crashes all workers of a rack at
+// once, which looks like a power loss.
 func TestGangThatCrashesAWholeRackIsGivenUp(t *testing.T) {
 	p := newPair(t, 2)
 	p.setCrashRow("bad", 10*time.Millisecond)
@@ -181,7 +185,8 @@
 	require.LessOrEqual(t, p.maxStarts(), 6)
 }
 
-// crashedTogether counts by time the tasks that crashed together with one.
+// crashedTogether returns, for each crash of a task by its time, how many of the other tasks
+// crashed with it.
 func (p *pair) crashedTogether(id string, others ...string) map[time.Time]int {
 	all := map[time.Time]int{}
 	for _, w := range p.workers {
@@ -202,7 +207,7 @@
 	return all
 }
 
-// Guards against neighbours that crash along with a task known to crash its workers.
+// Guards against other tasks that crash together with a task already known to crash its workers.
 func TestTaskThatCrashedTwiceRunsAlone(t *testing.T) {
 	p := newPair(t, 4)
 	p.setCrashRow("bad", 3*time.Second)
@@ -219,16 +224,16 @@
 	}
 	along := p.crashedTogether("d.r.bad.0", others...)
 	times := slices.SortedFunc(maps.Keys(along), time.Time.Compare)
-	t.Logf("crashed along: %v", along)
+	t.Logf("crashed together: %v", along)
 	require.Len(t, times, 3)
-	require.Positive(t, along[times[0]], "the first time it is not known")
+	require.Positive(t, along[times[0]], "at its first crash the task is not known to crash workers")
 	require.Zero(t, along[times[2]])
 	require.Equal(t, "ended", p.state("a", "good"))
 	require.Equal(t, "ended", p.state("a", "late"))
 	require.Equal(t, "failed", p.state("a", "bad"))
 }
 
-// Guards against a task that runs twice since a census passed over a new life's list.
+// Guards against a task that runs twice because an inventory ignored the list of a new incarnation.
 func TestListOfANewIncarnationCountsForTheInventoryAtOnce(t *testing.T) {
 	p := newPair(t, 2)
 	p.hosts["a"].SetLedMachines(p.machines[1:])
--- a/internal/lead/fault_test.go
+++ b/internal/lead/fault_test.go
@@ -23,8 +23,8 @@
 	"pollencroft/internal/worker"
 )
 
-// pair is two hosts and their workers on a clock that the test sets. What a
-// host sends waits in its queue until the test runs it.
+// pair is two hosts and their workers on a simulated clock. Outgoing requests of a host wait in its
+// queue until the test runs them.
 type pair struct {
 	*testing.T
 	now      time.Time
@@ -33,7 +33,7 @@
 	over     *standin.Oversight
 	hosts    map[string]*lead.Leader
 	queues   map[string][]func()
-	// unreachable holds the workers that a host does not reach.
+	// unreachable holds, by host, the worker that the host cannot reach.
 	unreachable map[string]string
 }
 
@@ -44,7 +44,7 @@
 
 type unreachableError struct{}
 
-func (unreachableError) Error() string { return "network is cut" }
+func (unreachableError) Error() string { return "worker is unreachable" }
 
 func (p transport) RoundTrip(req *http.Request) (*http.Response, error) {
 	if p.unreachable[p.from] == req.URL.Host {
@@ -61,7 +61,8 @@
 	return newPairWithTransport(t, workers, io.Discard, func(p *pair, name string) http.RoundTripper { return transport{p, name} })
 }
 
-// newPairWithTransport is a pair that logs to told and whose hosts reach the workers in the given way.
+// newPairWithTransport returns a pair that logs to logs and whose hosts reach the workers through
+// the given transports.
 func newPairWithTransport(t *testing.T, workers int, logs io.Writer, through func(p *pair, name string) http.RoundTripper) *pair {
 	p := &pair{
 		T: t, now: time.Unix(1_700_000_000, 0), workers: map[string]*standin.Worker{}, over: standin.NewOversight(),
@@ -88,7 +89,7 @@
 		l.SetDomain(names, nil)
 	}
 	p.hosts["a"].SetLedMachines(p.machines)
-	// Both hosts wait for what may have been sent to the workers before.
+	// Both hosts wait until starts that an earlier holder may have sent to the workers have expired.
 	p.run("ab", 10*time.Second)
 	require.Len(t, p.hosts["a"].Held(), workers)
 	return p
@@ -102,7 +103,7 @@
 	}
 }
 
-// run lets time pass for some hosts; the others are paused meanwhile.
+// run advances the clock and ticks the named hosts; the other hosts are paused meanwhile.
 func (p *pair) run(names string, d time.Duration) {
 	for end := p.now.Add(d); p.now.Before(end); p.now = p.now.Add(100 * time.Millisecond) {
 		for _, n := range names {
@@ -138,7 +139,8 @@
 	return s.State
 }
 
-// requireConsistent checks the workers' own records.
+// requireConsistent checks the workers' own records: no task ran twice at once and no worker was
+// overfilled.
 func (p *pair) requireConsistent() {
 	p.Helper()
 	require.Empty(p, p.over.Doubled())
@@ -155,8 +157,8 @@
 	return n
 }
 
-// A host checks its lease, and is paused for longer than the lease runs before
-// the start leaves it. Another host has filled the worker by then.
+// A host checks its lease and is then paused for longer than the lease lasts before it sends the
+// start. By then another host has filled the worker.
 func TestPauseBetweenCheckAndSend(t *testing.T) {
 	p := newPair(t, 1)
 	p.submit("a", "old")
@@ -173,9 +175,9 @@
 	p.requireConsistent()
 }
 
-// A host wakes from a pause and is asked at once to cancel a job. Another host
-// may have completed its census and run the job meanwhile, so the host must not
-// say that it did not run; it says that it does not know the job any more.
+// A host resumes after a pause and is asked at once to cancel a job. Another host may have
+// completed its inventory and run the job in the meantime, so the host must not answer that the job
+// never ran. It answers that it does not know the job.
 func TestResumedHostDecidesNothingOfItsFormerJobs(t *testing.T) {
 	p := newPair(t, 1)
 	p.submit("a", "full")
@@ -195,8 +197,8 @@
 	p.requireConsistent()
 }
 
-// A host is cut off from half of its rack. The other half stays its own; the
-// lost half goes to another host with what runs there, and nothing runs twice.
+// A host loses its connection to half of its rack and keeps the other half. The lost half goes to
+// another host together with the tasks that run there, and no task runs twice.
 func TestCutOffFromHalfOfTheRack(t *testing.T) {
 	p := newPair(t, 2)
 	p.submit("a", "one")
@@ -224,8 +226,8 @@
 	p.requireConsistent()
 }
 
-// The answer to a stop is lost. The caller would wait for ever for the word
-// that the batch was stopped; the host asks again until the worker confirms.
+// The answer to a stop is lost. The host must repeat the stop until the worker confirms it;
+// otherwise the caller would wait forever for the job to be reported as stopped.
 func TestUnansweredStopIsRepeated(t *testing.T) {
 	p := newPair(t, 1)
 	p.submit("a", "old")
--- a/internal/lead/former_test.go
+++ b/internal/lead/former_test.go
@@ -10,7 +10,7 @@
 	"pollencroft/internal/standin"
 )
 
-// idleWorker is the one worker that runs nothing.
+// idleWorker returns the worker that has not started any task.
 func (p *pair) idleWorker() lead.Machine {
 	p.Helper()
 	for _, m := range p.machines {
@@ -22,7 +22,7 @@
 	return lead.Machine{}
 }
 
-// startedOn is the worker that started a job's task.
+// startedOn returns the worker that started a job's task.
 func (p *pair) startedOn(id string) lead.Machine {
 	p.Helper()
 	for _, m := range p.machines {
@@ -34,8 +34,9 @@
 	return lead.Machine{}
 }
 
-// newPairAfterFailure is a pair of which a hands the job old over to b. Its task has failed on the worker
-// bad, which lists that still and works again; b leads another worker, which runs the job two.
+// newPairAfterFailure returns a pair in which host a has handed the job "old" over to host b. Its
+// task has failed on the worker bad, which still lists the failure but works again. Host b leads
+// another worker, which runs the job "two".
 func newPairAfterFailure(t *testing.T) (p *pair, bad lead.Machine) {
 	p = newPair(t, 3)
 	a, b := p.hosts["a"], p.hosts["b"]
@@ -57,8 +58,8 @@
 	return p, bad
 }
 
-// Guards against a task that runs twice: a new lead starts a task on a worker that still lists
-// the task's former, failed start, and takes that line for the end of the new one.
+// Guards against a task that runs twice: a new leader starts a task on a worker that still lists an
+// earlier, failed start of it, and mistakes that entry for the end of the new start.
 func TestListedEarlierStartDoesNotEndTheNextStart(t *testing.T) {
 	p, bad := newPairAfterFailure(t)
 	a, b := p.hosts["a"], p.hosts["b"]
@@ -72,8 +73,8 @@
 	p.requireConsistent()
 }
 
-// Guards against a worker that is overfull: the line of a task's former, failed start frees the room
-// of the one that is under way, and another job gets it.
+// Guards against an overfilled worker: the entry of a task's earlier, failed start frees the
+// capacity reserved for the start in flight, and another job gets that capacity.
 func TestListedEarlierStartFreesNoCapacity(t *testing.T) {
 	p, bad := newPairAfterFailure(t)
 	a, b := p.hosts["a"], p.hosts["b"]
--- a/internal/lead/handover_test.go
+++ b/internal/lead/handover_test.go
@@ -10,10 +10,11 @@
 	"pollencroft/internal/lead"
 )
 
-// inheritRequest is a question for the job that a peer wants to inherit.
+// inheritRequest is the request of a peer that wants to inherit the job "old".
 var inheritRequest = lead.InventoryRequest{Jobs: []string{"d.r.old"}, Waits: []string{"d.r.old"}}
 
-// newSplitPair gives host a the first worker and host b the second; a leads a job that runs on its own.
+// newSplitPair returns a pair in which host a holds the first worker and host b the second. Host a
+// leads a job that runs on its worker.
 func newSplitPair(t *testing.T) *pair {
 	t.Helper()
 	p := newPair(t, 2)
@@ -26,8 +27,8 @@
 	return p
 }
 
-// Guards against a job with two leads: a hand-over lies in the sockets of a paused host, which
-// first tells a third host that it does not lead the job, and then reads it.
+// Guards against a job with two leaders: a handover waits in the socket buffers of a paused host.
+// The host first answers a third host that it does not lead the job, and then reads the handover.
 func TestHandoverFromBeforeAnInventoryIsRefused(t *testing.T) {
 	p := newSplitPair(t)
 	token, err := p.hosts["b"].ExpectHandover("a")
@@ -38,11 +39,11 @@
 	require.False(t, p.hosts["b"].HasJob("d.r.old"))
 	token, err = p.hosts["b"].ExpectHandover("a")
 	require.NoError(t, err)
-	require.NoError(t, p.hosts["b"].Adopt("a", token, jobs), "sent anew it is taken")
+	require.NoError(t, p.hosts["b"].Adopt("a", token, jobs), "the handover is accepted with a new token")
 }
 
-// Guards against a job with two leads: the same without a question, since the third host has all
-// workers by now and takes the paused one for gone.
+// Guards against a job with two leaders, as above but without an inventory request: the third host
+// already holds all workers and considers the paused host dead.
 func TestHandoverFromBeforeTheLossOfAllWorkersIsRefused(t *testing.T) {
 	p := newSplitPair(t)
 	token, err := p.hosts["b"].ExpectHandover("a")
@@ -54,8 +55,8 @@
 	require.ErrorAs(t, p.hosts["b"].Adopt("a", token, jobs), new(*lead.StaleHandoverError))
 }
 
-// Guards against a job with two leads: a host that hands a job over is paused, loses all its
-// workers, and goes on with the job as it knew it.
+// Guards against a job with two leaders: a host that is handing over a job is paused, loses all its
+// workers, and then continues the job from its outdated state.
 func TestJobFromBeforeTheLossOfAllWorkersIsNotTakenBack(t *testing.T) {
 	p := newSplitPair(t)
 	jobs, epoch := p.hosts["a"].HandOver([]string{"d.r.old"})
@@ -65,7 +66,8 @@
 	require.False(t, p.hosts["a"].HasJob("d.r.old"))
 }
 
-// Guards against a job with two leads: of two tokens that a host was given, only the later counts.
+// Guards against a job with two leaders: of two tokens issued to a host, only the later one is
+// valid.
 func TestSecondTokenReplacesTheFirst(t *testing.T) {
 	p := newSplitPair(t)
 	first, err := p.hosts["b"].ExpectHandover("a")
@@ -75,11 +77,11 @@
 	var none []job.Snapshot
 	require.ErrorAs(t, p.hosts["b"].Adopt("a", first, none), new(*lead.StaleHandoverError))
 	require.NoError(t, p.hosts["b"].Adopt("a", second, none))
-	require.ErrorAs(t, p.hosts["b"].Adopt("a", second, none), new(*lead.StaleHandoverError), "it counts once")
+	require.ErrorAs(t, p.hosts["b"].Adopt("a", second, none), new(*lead.StaleHandoverError), "a token is valid once")
 }
 
-// Guards against a task that runs twice: a host hands over a job whose next lead dies, and tells
-// the one after it what a worker listed before the host had started the job's task there.
+// Guards against a task that runs twice: a host hands over a job whose next leader dies, and then
+// reports to the leader after that a worker's list from before the job's task was started there.
 func TestInventoryOmitsListsFromBeforeAStart(t *testing.T) {
 	p := newPair(t, 1)
 	a := p.hosts["a"]
@@ -90,12 +92,12 @@
 	require.Empty(t, a.Inventory("b", inheritRequest).Workers)
 	p.run("a", 300*time.Millisecond)
 	views := a.Inventory("b", inheritRequest).Workers
-	require.Len(t, views, 1, "its list is read at once")
+	require.Len(t, views, 1, "the worker's list is read again at once")
 	require.Len(t, views[0].Tasks, 1)
 }
 
-// Guards against a job with two leads: a host puts its question together, finds a job that it
-// should lead, and takes the answer for one about that job too.
+// Guards against a job with two leaders: a host builds an inventory request, then learns of a job
+// that it should lead, and wrongly applies the answer to that job too.
 func TestInventoryRequestedBeforeAJobDoesNotReleaseIt(t *testing.T) {
 	p := newSplitPair(t)
 	p.setBothAlive()
--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -21,34 +21,36 @@
 	"pollencroft/internal/standin"
 )
 
-// Fates of an exchange with a worker.
+// Outcomes of an exchange with a worker.
 const (
 	answered = iota
-	// replyLost is carried out without an answer, late is carried out some time later.
+	// In the case of replyLost the request is carried out but its reply is lost. In the case of
+	// late the request is carried out some time later.
 	replyLost
 	late
 )
 
-// history is two hosts and their workers, with what callers and the network do drawn at random.
+// history is two hosts and their workers, driven by randomly drawn events: actions of callers,
+// faults of the network, of workers and of hosts.
 type history struct {
 	*pair
 	draw *rapid.T
-	// outcome is that of the exchange that runs now.
+	// outcome is the outcome of the exchange that is running.
 	outcome int
-	// delayed are requests that their sender has given up.
+	// delayed holds requests that their sender has given up on and that may still arrive.
 	delayed     []*http.Request
 	open        map[string]job.Spec
 	handingOver map[string][]*outgoing
 	messages    []message
 	paused      map[string]bool
 	jobs        int
-	// crashes tells that workers crash, too.
+	// crashes enables crashes of workers.
 	crashes bool
-	// actualSizes is what each worker actualSizes, which may be more than what is listed.
+	// actualSizes holds the actual sizes of the workers, which may be larger than the listed ones.
 	actualSizes map[string]cell.Size
 }
 
-// faultyTransport gives each exchange its fate.
+// faultyTransport applies the drawn outcome to each exchange.
 type faultyTransport struct {
 	history *history
 	path    transport
@@ -75,7 +77,7 @@
 	}
 }
 
-// drawLog logs with the steps of a history.
+// drawLog writes the log among the drawn steps of a history.
 type drawLog struct{ draw *rapid.T }
 
 func (l drawLog) Write(b []byte) (int, error) {
@@ -96,7 +98,7 @@
 	return h
 }
 
-// setDomain tells a host which workers there are, and whether it takes the other host for alive.
+// setDomain tells a host which workers there are, and whether the other host is alive.
 func (h *history) setDomain(name string, alive bool) {
 	var workers, peers []string
 	for _, m := range h.machines {
@@ -114,7 +116,7 @@
 
 func other(name string) string { return map[string]string{"a": "b", "b": "a"}[name] }
 
-// activeHost is a host that is not paused; empty if the drawn one is.
+// activeHost draws a host. It returns an empty string if that host is paused.
 func (h *history) activeHost() string {
 	name := h.host("host")
 	if h.paused[name] {
@@ -123,7 +125,7 @@
 	return name
 }
 
-// action is something that may happen next, more often with a larger weight.
+// action is an event that may happen next. Its probability is proportional to its weight.
 type action struct {
 	name   string
 	weight int
@@ -160,7 +162,7 @@
 	return all
 }
 
-// next draws what happens next.
+// next draws the next event.
 func (h *history) next() func() {
 	var all []string
 	do := map[string]func(){}
@@ -181,7 +183,7 @@
 	}
 }
 
-// runExchange runs one of a host's exchanges, in any order.
+// runExchange runs one of the queued exchanges of a host; any of them may come first.
 func (h *history) runExchange(fate int) {
 	name := h.activeHost()
 	if name == "" || len(h.queues[name]) == 0 {
@@ -205,7 +207,7 @@
 	h.workers[req.URL.Host].Handler().ServeHTTP(httptest.NewRecorder(), req)
 }
 
-// advanceWithoutFaults is a while in which nothing goes wrong.
+// advanceWithoutFaults advances the clock by a number of ticks in which all exchanges succeed.
 func (h *history) advanceWithoutFaults() {
 	for range rapid.IntRange(1, 20).Draw(h.draw, "ticks") {
 		h.now = h.now.Add(100 * time.Millisecond)
@@ -247,19 +249,19 @@
 	_, _ = h.hosts[name].Cancel(rapid.SampledFrom(open).Draw(h.draw, "job"))
 }
 
-// fail has a worker fail every start from now on, or no more.
+// fail makes a worker fail every start from now on, or ends that.
 func (h *history) fail() {
 	m := rapid.SampledFrom(h.machines).Draw(h.draw, "worker")
 	h.workers[m.Name].SetFaults(standin.WorkerFaults{FailAll: rapid.Bool().Draw(h.draw, "fails")})
 }
 
-// crash ends a worker's process; it is back at once and remembers nothing.
+// crash ends the process of a worker, which restarts at once without any memory of its tasks.
 func (h *history) crash() {
 	m := rapid.SampledFrom(h.machines).Draw(h.draw, "worker")
 	h.workers[m.Name].Crash()
 }
 
-// flap has a host give up all its workers and want them back at once.
+// flap makes a host give up all its workers and lead them again at once.
 func (h *history) flap() {
 	name := h.activeHost()
 	if name == "" {
@@ -271,7 +273,7 @@
 	h.hosts[name].SetLedMachines(led)
 }
 
-// assignWorkers gives each worker to one host, now and then to both or to none.
+// assignWorkers assigns each worker to one host, sometimes to both or to none.
 func (h *history) assignWorkers() {
 	led := map[string][]lead.Machine{}
 	for _, m := range h.machines {
@@ -286,21 +288,21 @@
 	}
 }
 
-// outgoing is a job that is handed over.
+// outgoing is a job that is being handed over.
 type outgoing struct {
 	carry job.Snapshot
 	epoch int64
-	// unsure tells that it was sent and has no answer.
+	// unsure is set once it was sent and its answer is missing.
 	unsure bool
 }
 
-// message is a hand-over that was sent and has not arrived.
+// message is a handover that was sent and has not arrived.
 type message struct {
 	from, token string
 	jobs        []job.Snapshot
 }
 
-// beginHandover takes jobs off their lead, to be sent to the other host.
+// beginHandover makes a host stop leading its jobs, in order to send them to the other host.
 func (h *history) beginHandover() {
 	name := h.activeHost()
 	if name == "" {
@@ -316,7 +318,7 @@
 	}
 }
 
-// sendHandover sends what a host hands over. Its answer may be lost, or it may itself be late.
+// sendHandover sends the jobs that a host hands over. The message may be late, or its answer lost.
 func (h *history) sendHandover() {
 	name := h.activeHost()
 	if name == "" || h.paused[other(name)] {
@@ -360,7 +362,8 @@
 	}
 }
 
-// takeBackUnsent takes back what the other host has certainly not got; the rest needs a census.
+// takeBackUnsent takes back the jobs that the other host has certainly not received. The others
+// need an inventory.
 func (h *history) takeBackUnsent(name string) {
 	for _, p := range h.handingOver[name] {
 		if !p.unsure {
@@ -370,7 +373,7 @@
 	h.handingOver[name] = nil
 }
 
-// deliverHandover has a late hand-over arrive.
+// deliverHandover delivers a late handover.
 func (h *history) deliverHandover() {
 	if len(h.messages) == 0 {
 		return
@@ -383,14 +386,14 @@
 	}
 }
 
-// abandonHandover has a host take the other for gone while it hands jobs over.
+// abandonHandover makes a host consider the other one dead while it hands jobs over.
 func (h *history) abandonHandover() {
 	if name := h.activeHost(); name != "" {
 		h.takeBackUnsent(name)
 	}
 }
 
-// inherit has a host take the other's jobs over, as one that takes the other for gone would.
+// inherit makes a host inherit the other host's jobs, as if it considered the other host dead.
 func (h *history) inherit() {
 	name := h.activeHost()
 	if name == "" {
@@ -399,7 +402,7 @@
 	h.hosts[name].Inherit(slices.DeleteFunc(slices.Collect(maps.Values(h.open)), func(s job.Spec) bool { return h.isHandingOver(name, s.ID) }))
 }
 
-// changeSuspicion has a host take the other for gone, or for alive again.
+// changeSuspicion makes a host consider the other one dead, or alive again.
 func (h *history) changeSuspicion() {
 	if name := h.activeHost(); name != "" {
 		h.setDomain(name, rapid.Bool().Draw(h.draw, "alive"))
@@ -427,11 +430,13 @@
 
 func TestMain(m *testing.M) { randtest.Main(m, 1500, 30) }
 
-// Guards against tasks that run twice and workers that are overfull, over histories in which
-// answers are lost, starts are late, workers fail, shrink and grow, hosts pause and hand over or inherit jobs.
+// Guards against tasks that run twice and workers that are overfilled, over random histories in
+// which answers are lost, starts are late, workers fail, shrink and grow, and hosts pause and hand
+// over or inherit jobs.
 func TestNoHistoryRunsATaskTwice(t *testing.T) { runHistories(t, false) }
 
-// Guards against a start that arrives at a crashed worker's next life after another host took it.
+// Guards against a start that arrives at the next incarnation of a crashed worker after another
+// host acquired its lease.
 func TestNoHistoryWithCrashesRunsATaskTwice(t *testing.T) { runHistories(t, true) }
 
 func runHistories(t *testing.T, crashes bool) {
--- a/internal/lead/know_test.go
+++ b/internal/lead/know_test.go
@@ -21,9 +21,9 @@
 	"pollencroft/internal/worker"
 )
 
-// A job changes its lead while a task of it runs on a worker of another host,
-// and is cancelled. The stop must reach that worker; the caller used to be told
-// unknown for as long as the task ran.
+// A job changes its leader while one of its tasks runs on a worker of another host, and is then
+// cancelled. The stop must reach that worker. Without its address the caller got the answer
+// "unknown" for as long as the task ran.
 func TestStopReachesAWorkerThatIsNotLedHere(t *testing.T) {
 	size := cell.Size{CPU: 1000, Mem: 1 << 30}
 	var machines []lead.Machine
--- a/internal/lead/lead_test.go
+++ b/internal/lead/lead_test.go
@@ -22,10 +22,9 @@
 	"pollencroft/internal/worker"
 )
 
-// A host is paused for longer than its leases and loses all its workers in
-// one step. What the first one's loss makes room for must not be started on
-// the next, which is lost as well; the host used to die of endless recursion
-// instead, and its callers saw their connections reset.
+// A host is paused for longer than its leases and loses all its workers in one step. Capacity that
+// the first lost worker frees must not lead to a start on the next worker, which is lost as well.
+// That caused endless recursion, which crashed the host and reset the connections of its callers.
 func TestAllWorkersLostAtOnce(t *testing.T) {
 	var passed atomic.Int64
 	clock := func() time.Time { return time.Now().Add(time.Duration(passed.Load())) }
--- a/internal/lead/life_test.go
+++ b/internal/lead/life_test.go
@@ -13,7 +13,7 @@
 	"pollencroft/internal/job"
 )
 
-// delayingTransport is a network that holds back the requests to one path.
+// delayingTransport holds back the requests to one path.
 type delayingTransport struct {
 	*pair
 	from, path string
@@ -34,7 +34,7 @@
 	return nil, unreachableError{}
 }
 
-// deliverHeld has the requests that were held back deliverHeld.
+// deliverHeld delivers the requests that were held back.
 func (d *delayingTransport) deliverHeld() {
 	for _, req := range d.held {
 		d.workers[req.URL.Host].Handler().ServeHTTP(httptest.NewRecorder(), req)
@@ -51,8 +51,8 @@
 	return net
 }
 
-// Guards against a task that runs twice since the start of a former holder arrives at a crashed
-// worker that another host took in its next life.
+// Guards against a task that runs twice because the start of a previous holder arrives at a crashed
+// worker whose next incarnation is held by another host.
 func TestNextHolderWaitsForStartsToAPreviousIncarnation(t *testing.T) {
 	net := newDelayedPair(t)
 	p := net["a"].pair
@@ -71,8 +71,8 @@
 	p.requireConsistent()
 }
 
-// Guards against a task that runs twice since a worker's next life lists what changed since a mark
-// of the former one.
+// Guards against a task that runs twice because the next incarnation of a worker lists only the
+// changes since a mark that the previous incarnation issued.
 func TestMarkOfAPreviousIncarnationIsNotUsed(t *testing.T) {
 	net := newDelayedPair(t)
 	p := net["a"].pair
--- a/internal/lead/limits_test.go
+++ b/internal/lead/limits_test.go
@@ -11,7 +11,8 @@
 	"pollencroft/internal/table"
 )
 
-// limitedPair is a pair whose row may run one task at a time. The first worker allows to start it.
+// limitedPair returns a pair with a row that may run one task at a time. The first worker is the
+// arbiter of the row.
 func limitedPair(t *testing.T, workers int) *pair {
 	t.Helper()
 	p := newPair(t, workers)
@@ -25,14 +26,14 @@
 	return p
 }
 
-// assign gives each host its workers.
+// assign sets the workers that each host leads.
 func (p *pair) assign(a, b []lead.Machine) {
 	p.hosts["a"].SetLedMachines(a)
 	p.hosts["b"].SetLedMachines(b)
 	p.runTogether(5 * time.Second)
 }
 
-// runTogether lets time pass for both hosts, which take each other for alive and ask each other.
+// runTogether advances the clock for both hosts, which exchange inventories.
 func (p *pair) runTogether(d time.Duration) {
 	for end := p.now.Add(d); p.now.Before(end); {
 		p.run("ab", 500*time.Millisecond)
@@ -43,7 +44,7 @@
 	}
 }
 
-// submitLimited submits a job of the row with one small task.
+// submitLimited submits a job of the limited row with one small task.
 func (p *pair) submitLimited(name, id string) {
 	p.Helper()
 	spec := p.spec(id)
@@ -54,7 +55,7 @@
 	require.NoError(p, err)
 }
 
-// runningTasks counts the tasks that run on all workers.
+// runningTasks counts the running tasks of all workers.
 func (p *pair) runningTasks() int {
 	n := 0
 	for _, w := range p.workers {
@@ -77,8 +78,8 @@
 	p.hosts["b"].SetDomain(names, []string{"a"})
 }
 
-// Guards against a row's limit that is exceeded: two hosts both take themselves for the lead of
-// the row's rack and accept its jobs.
+// Guards against an exceeded limit of a row when two hosts both believe that they lead the row's
+// rack and both accept its jobs.
 func TestOnlyTheHolderOfItsArbiterStartsARow(t *testing.T) {
 	p := limitedPair(t, 2)
 	p.setBothAlive()
@@ -93,8 +94,8 @@
 	require.Equal(t, "the host that holds "+p.machines[0].Name+" counts row scan", notes[len(notes)-1].What)
 }
 
-// fillFirstWorker has host a lead the first worker alone and fill it with a task of another row, so that
-// tasks of the limited one run elsewhere.
+// fillFirstWorker makes host a lead only the first worker and fills it with a task of another row,
+// so that tasks of the limited row run on other workers.
 func (p *pair) fillFirstWorker() {
 	p.Helper()
 	p.assign(p.machines[:1], nil)
@@ -107,8 +108,8 @@
 	p.runTogether(time.Second)
 }
 
-// Guards against a row's limit that is exceeded: the worker that allows to start it changes its
-// holder while a task of the row runs on another worker of the former one.
+// Guards against an exceeded limit of a row when the row's arbiter changes its holder while a task
+// of the row runs on another worker of the previous holder.
 func TestNextHolderCountsTasksOnOtherHostsWorkers(t *testing.T) {
 	p := limitedPair(t, 3)
 	p.setBothAlive()
@@ -121,16 +122,16 @@
 	p.submitLimited("b", "two")
 	p.submitLimited("a", "three")
 	p.runTogether(20 * time.Second)
-	require.Equal(t, 2, p.runningTasks(), "the full worker's and one of the row")
+	require.Equal(t, 2, p.runningTasks(), "the task that fills the first worker and one task of the row")
 	_, err := p.hosts["a"].Cancel("d.r.one")
 	require.NoError(t, err)
 	p.runTogether(10 * time.Second)
-	require.Equal(t, "running", p.state("b", "two"), "its turn comes when the first has ended")
+	require.Equal(t, "running", p.state("b", "two"), "the second task starts once the first has ended")
 	require.Equal(t, 2, p.runningTasks())
 }
 
-// Guards against a row's limit that is exceeded: a start is decided, and sent when another host
-// holds the worker that allows to start the row.
+// Guards against an exceeded limit of a row when a start is decided and is sent only after another
+// host has acquired the row's arbiter.
 func TestStartOfALimitedRowExpiresWithItsArbitersLease(t *testing.T) {
 	p := limitedPair(t, 2)
 	p.setBothAlive()
@@ -153,8 +154,8 @@
 	require.Equal(t, 1, p.lateStarts())
 }
 
-// Guards against rows with a limit that stand still for good: the worker that allows to start
-// them is listed and has been silent for longer than any lease.
+// Guards against rows with a limit that never run again because their arbiter is on the host list
+// but has been silent for longer than any lease.
 func TestSilentArbiterDoesNotBlockItsRow(t *testing.T) {
 	p := limitedPair(t, 2)
 	for _, l := range p.hosts {
--- a/internal/lead/place_test.go
+++ b/internal/lead/place_test.go
@@ -23,13 +23,13 @@
 	"pollencroft/internal/worker"
 )
 
-// fleet is a lead of stand-in workers.
+// fleet is a Leader with simulated workers that it reaches over HTTP.
 type fleet struct {
 	*lead.Leader
 	t       *testing.T
 	over    *standin.Oversight
 	workers []*standin.Worker
-	// addresses are where the workers are reached, in the same order.
+	// addresses are the addresses of the workers, in the same order.
 	addresses []netip.AddrPort
 }
 
@@ -59,7 +59,7 @@
 	return f
 }
 
-// until lets time pass until the condition holds.
+// until ticks the Leader until the condition holds.
 func (f *fleet) until(holds func() bool) {
 	f.t.Helper()
 	require.Eventually(f.t, func() bool { f.Tick(); return holds() }, 30*time.Second, 5*time.Millisecond)
@@ -86,7 +86,8 @@
 	return strings.Join(all, "\n")
 }
 
-// requireConsistent checks what the workers themselves saw.
+// requireConsistent checks the workers' own records: no task ran twice at once and no worker was
+// overfilled.
 func (f *fleet) requireConsistent() {
 	f.t.Helper()
 	require.Empty(f.t, f.over.Doubled())
@@ -95,9 +96,9 @@
 	}
 }
 
-// A night's bulk work holds all room when a gate needs an urgent job. A bulk
-// task is checkpointed and stopped, the urgent one runs in its place, and the
-// bulk task runs again afterwards; both trails say so.
+// Bulk work takes all capacity when an urgent job arrives. One bulk task is checkpointed and
+// stopped, the urgent job runs in its place, and the bulk task runs again afterwards. The history
+// of the bulk job shows the reason.
 func TestUrgentJobPreemptsBulkTask(t *testing.T) {
 	f := newFleet(t, 1, map[string]table.Row{"gate": {Class: "urgent"}, "badges": {Class: "bulk"}})
 	f.submit("bulk", "badges", cell.Bulk, 900, 2, time.Hour)
@@ -109,8 +110,8 @@
 	f.requireConsistent()
 }
 
-// One worker fails everything at once and so always has room. It is set aside
-// after a few tasks instead of swallowing the queue, and the jobs end.
+// One worker fails every task at once and therefore always has free capacity. It must be
+// quarantined after a few tasks instead of failing the whole queue, and all jobs must end.
 func TestWorkerThatFailsEverythingIsQuarantined(t *testing.T) {
 	f := newFleet(t, 5, map[string]table.Row{"menu": {Class: "normal"}})
 	f.workers[0].SetFaults(standin.WorkerFaults{FailAll: true})
@@ -124,8 +125,8 @@
 	f.requireConsistent()
 }
 
-// A job waits and its owner asks why. The nearest limit is named; one that can
-// never run is refused at once.
+// Explain names the limit that a waiting job has reached. A job that can never run is refused at
+// once.
 func TestExplainNamesWhatAJobWaitsFor(t *testing.T) {
 	f := newFleet(t, 1, map[string]table.Row{"menu": {Class: "normal", Limits: table.Limits{Tasks: 1}}})
 	f.submit("a", "menu", cell.Normal, 500, 1, time.Hour)
--- a/internal/lead/size_test.go
+++ b/internal/lead/size_test.go
@@ -12,7 +12,7 @@
 	"pollencroft/internal/lead"
 )
 
-// Guards against tasks placed by the size that a worker had when it was taken.
+// Guards against tasks placed by the size that a worker had when its lease was acquired.
 func TestShrunkWorkerGetsNoMoreThanItsNewSize(t *testing.T) {
 	f := newFleet(t, 1, nil)
 	w := f.workers[0]
@@ -36,7 +36,8 @@
 	require.Contains(t, f.notes("b"), "w0")
 }
 
-// The host list names sizes that cannot be. They are no room, and other workers are used as ever.
+// The host list contains invalid sizes. Such workers get no work, and other workers are used as
+// usual.
 func TestInvalidWorkerSizeGivesNoCapacity(t *testing.T) {
 	for _, size := range []cell.Size{
 		{CPU: -4000, Mem: 4 << 30}, {CPU: 4000, Mem: -1}, {CPU: 4000, Mem: 4 << 30, Accel: -1}, {CPU: math.MaxInt64, Mem: 4 << 30},
@@ -52,14 +53,14 @@
 	}
 }
 
-// resume ends a host's pause. It reads the list of workers before anything else.
+// resume ends the pause of a host, which reads the list of workers before anything else.
 func (h *history) resume() {
 	name := h.host("host")
 	h.paused[name] = false
 	h.hosts[name].UpdateMachines(h.machines)
 }
 
-// resize gives a worker another size, which the hosts that are not paused are told of.
+// resize changes the listed size of a worker and updates the hosts that are not paused.
 func (h *history) resize() {
 	i := rapid.IntRange(0, len(h.machines)-1).Draw(h.draw, "worker")
 	part := rapid.SampledFrom([]float64{0, 0.5, 1, 1.5}).Draw(h.draw, "part")
@@ -75,14 +76,14 @@
 	}
 }
 
-// applySize gives a worker the size that is listed.
+// applySize gives a worker its listed size.
 func (h *history) applySize(m lead.Machine) {
 	h.actualSizes[m.Name] = m.Size
 	h.workers[m.Name].Resize(m.Size)
 }
 
-// applyListedSizes makes workers as small as they are listed, once nothing that was sent before can arrive
-// any more.
+// applyListedSizes shrinks workers to their listed sizes once no request sent earlier can still
+// arrive.
 func (h *history) applyListedSizes() {
 	if h.paused["a"] || h.paused["b"] || len(h.queues["a"])+len(h.queues["b"])+len(h.delayed) > 0 {
 		return
--- a/internal/lead/suspect_test.go
+++ b/internal/lead/suspect_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// Guards against good jobs that spend all their tries within an instant on a worker that fails
-// everything for some seconds, and that they cannot do without.
+// Guards against good jobs that use up all their tries at once on a worker that fails everything
+// for a few seconds and that they cannot do without.
 func TestRetriesOutlastAWorkerThatFailsEverything(t *testing.T) {
 	for name, c := range map[string]struct {
 		workers, tasks int
@@ -57,7 +57,8 @@
 	}
 }
 
-// Guards against a task that its next lead sends back at once to the worker that it has failed on.
+// Guards against a task that its next leader sends back at once to the worker on which it has
+// failed.
 func TestRetriesOutlastAFailingWorkerAcrossAHandover(t *testing.T) {
 	p := newPair(t, 1)
 	p.setFailing(true)
@@ -77,7 +78,7 @@
 	require.Equal(t, "ended", p.state("a", "good"))
 }
 
-// Guards against a job that fails wherever it runs and is never given up, or tried more often than
+// Guards against a job that fails on every worker and is retried without end, or more often than
 // its class allows.
 func TestJobThatFailsWhereverItRunsIsGivenUp(t *testing.T) {
 	for workers := 1; workers <= 4; workers++ {
@@ -92,7 +93,7 @@
 	}
 }
 
-// Guards against a wait that goes on although the worker does its work again.
+// Guards against a retry delay that continues although the worker completes tasks again.
 func TestWorkerThatEndsAnotherTaskIsTriedAgainAtOnce(t *testing.T) {
 	p := newPair(t, 1)
 	p.setFailing(true)
