--- a/internal/place/limits.go
+++ b/internal/place/limits.go
@@ -32,7 +32,7 @@
 // takes that much. Without it a night's bulk work would take the last room,
 // and an urgent task would have to wait for a stop.
 func (p *Placer) beyondReserve(size cell.Size) bool {
-	return p.free.Sub(size).Least(p.whole) >= p.limits.UrgentReserve
+	return p.free.Sub(size).Least(p.total) >= p.limits.UrgentReserve
 }
 
 // crowdsOut tells whether normal work would take what an overdue bulk job waits
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -44,7 +44,7 @@
 	workers map[string]*worker
 	index   index
 	reach   index
-	whole   cell.Size
+	total   cell.Size
 	free    cell.Size
 	taken   map[string]*room
 	rows    map[string]share
@@ -121,7 +121,7 @@
 	p.down(ev.Worker)
 	w := &worker{name: ev.Worker, rack: ev.Rack, size: ev.Size, free: ev.Size, tasks: map[string]*room{}}
 	p.workers[ev.Worker] = w
-	p.whole = p.whole.Add(w.size)
+	p.total = p.total.Add(w.size)
 	p.free = p.free.Add(w.free)
 	p.rescale(w)
 	for _, u := range ev.Used {
@@ -154,7 +154,7 @@
 	}
 	more := ev.Size.Sub(w.size)
 	w.size, w.free = ev.Size, w.free.Add(more)
-	p.whole, p.free = p.whole.Add(more), p.free.Add(more)
+	p.total, p.free = p.total.Add(more), p.free.Add(more)
 	p.rescale(w)
 	p.sort(w)
 	if w.mark != nil && !w.mark.entry.Size.Fits(w.size) {
@@ -181,7 +181,7 @@
 	}
 	p.index.drop(w)
 	p.reach.drop(w)
-	p.whole = p.whole.Sub(w.size)
+	p.total = p.total.Sub(w.size)
 	p.free = p.free.Sub(w.free)
 	delete(p.workers, name)
 	p.queue.wake(func(s *shape) bool { return s.blocked == GangTooLarge })
@@ -247,7 +247,7 @@
 // deserves orders lanes of one class: the team that has the least of the cell
 // goes first, within it the row that has the least for its weight.
 func (p *Placer) deserves(l *lane) (float64, float64) {
-	return p.teams[l.team].size.Share(p.whole), p.rows[l.row].size.Share(p.whole) / float64(max(l.weight, 1))
+	return p.teams[l.team].size.Share(p.total), p.rows[l.row].size.Share(p.total) / float64(max(l.weight, 1))
 }
 
 func (p *Placer) try(e *entry) {
