--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -39,21 +39,21 @@
 
 // Placer is the placement core of one host.
 type Placer struct {
-	limits  Limits
-	now     time.Time
-	workers map[string]*worker
-	index   index
-	reach   index
-	total   cell.Size
-	free    cell.Size
-	taken   map[string]*room
-	rows    map[string]share
-	teams   map[string]share
-	urgent  share
-	queue   queue
-	old     *entry
-	looked  time.Time
-	results results
+	limits      Limits
+	now         time.Time
+	workers     map[string]*worker
+	index       index
+	reach       index
+	total       cell.Size
+	free        cell.Size
+	allocations map[string]*room
+	rows        map[string]share
+	teams       map[string]share
+	urgent      share
+	queue       queue
+	old         *entry
+	looked      time.Time
+	results     results
 	// grown are workers that got room in this step, which has the number step.
 	grown []*worker
 	step  int64
@@ -63,7 +63,7 @@
 // New returns a core without workers.
 func New(limits Limits) *Placer {
 	return &Placer{
-		limits: limits, workers: map[string]*worker{}, taken: map[string]*room{}, rows: map[string]share{},
+		limits: limits, workers: map[string]*worker{}, allocations: map[string]*room{}, rows: map[string]share{},
 		index: index{by: byFree}, reach: index{by: byReach}, teams: map[string]share{}, queue: newQueue(), results: newResults(),
 	}
 }
@@ -188,7 +188,7 @@
 }
 
 func (p *Placer) freed(task string) {
-	r, ok := p.taken[task]
+	r, ok := p.allocations[task]
 	if !ok {
 		return
 	}
@@ -379,7 +379,7 @@
 
 // AllocatedSize returns the room that a task takes; false if it takes none.
 func (p *Placer) AllocatedSize(task string) (cell.Size, bool) {
-	r, ok := p.taken[task]
+	r, ok := p.allocations[task]
 	if !ok {
 		return cell.Size{}, false
 	}
@@ -388,7 +388,7 @@
 
 // IsAssigned tells whether a task has its room on that worker.
 func (p *Placer) IsAssigned(task, worker string) bool {
-	r, ok := p.taken[task]
+	r, ok := p.allocations[task]
 	return ok && r.worker.name == worker
 }
 
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -57,7 +57,7 @@
 func (p *Placer) take(r *room, w *worker) {
 	p.release(r.task)
 	r.worker = w
-	p.taken[r.task] = r
+	p.allocations[r.task] = r
 	w.tasks[r.task] = r
 	if w.rows == nil {
 		w.rows = map[string]int{}
@@ -67,11 +67,11 @@
 }
 
 func (p *Placer) release(task string) {
-	r, ok := p.taken[task]
+	r, ok := p.allocations[task]
 	if !ok {
 		return
 	}
-	delete(p.taken, task)
+	delete(p.allocations, task)
 	delete(r.worker.tasks, task)
 	r.worker.rows[r.row]--
 	r.worker.seen = r.worker.seen.Sub(r.seen)
@@ -106,7 +106,7 @@
 // resized books what a task is seen to use. A worker that comes out overfull
 // is relieved at once.
 func (p *Placer) resized(ev TaskResized) {
-	r, ok := p.taken[ev.Task]
+	r, ok := p.allocations[ev.Task]
 	if !ok {
 		return
 	}
