--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -89,7 +89,7 @@
 	if r.class == cell.Bulk {
 		w.bulk = w.bulk.Add(size)
 	}
-	p.rows[r.row] = p.rows[r.row].add(size, n)
+	p.rowUsage[r.row] = p.rowUsage[r.row].add(size, n)
 	p.teams[r.team] = p.teams[r.team].add(size, n)
 	if r.class == cell.Urgent {
 		p.urgent = p.urgent.add(size, n)
