--- a/internal/place/limits.go
+++ b/internal/place/limits.go
@@ -13,7 +13,7 @@
 		n = int64(e.live)
 	}
 	size := times(e.Size, n)
-	row, team := p.rowUsage[e.Row], p.teams[e.Team]
+	row, team := p.rowUsage[e.Row], p.teamUsage[e.Team]
 	switch {
 	case e.MaxTasks != 0 && row.tasks+n > e.MaxTasks:
 		return RowTaskLimit
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -48,7 +48,7 @@
 	free        cell.Size
 	allocations map[string]*room
 	rowUsage    map[string]share
-	teams       map[string]share
+	teamUsage   map[string]share
 	urgent      share
 	queue       queue
 	old         *entry
@@ -64,7 +64,7 @@
 func New(limits Limits) *Placer {
 	return &Placer{
 		limits: limits, workers: map[string]*worker{}, allocations: map[string]*room{}, rowUsage: map[string]share{},
-		index: index{by: byFree}, reach: index{by: byReach}, teams: map[string]share{}, queue: newQueue(), results: newResults(),
+		index: index{by: byFree}, reach: index{by: byReach}, teamUsage: map[string]share{}, queue: newQueue(), results: newResults(),
 	}
 }
 
@@ -247,7 +247,7 @@
 // deserves orders lanes of one class: the team that has the least of the cell
 // goes first, within it the row that has the least for its weight.
 func (p *Placer) deserves(l *lane) (float64, float64) {
-	return p.teams[l.team].size.Share(p.total), p.rowUsage[l.row].size.Share(p.total) / float64(max(l.weight, 1))
+	return p.teamUsage[l.team].size.Share(p.total), p.rowUsage[l.row].size.Share(p.total) / float64(max(l.weight, 1))
 }
 
 func (p *Placer) try(e *entry) {
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -90,7 +90,7 @@
 		w.bulk = w.bulk.Add(size)
 	}
 	p.rowUsage[r.row] = p.rowUsage[r.row].add(size, n)
-	p.teams[r.team] = p.teams[r.team].add(size, n)
+	p.teamUsage[r.team] = p.teamUsage[r.team].add(size, n)
 	if r.class == cell.Urgent {
 		p.urgent = p.urgent.add(size, n)
 	}
