--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -49,7 +49,7 @@
 	allocations map[string]*room
 	rowUsage    map[string]share
 	teamUsage   map[string]share
-	urgent      share
+	urgentUsage share
 	queue       queue
 	old         *entry
 	looked      time.Time
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -92,7 +92,7 @@
 	p.rowUsage[r.row] = p.rowUsage[r.row].add(size, n)
 	p.teamUsage[r.team] = p.teamUsage[r.team].add(size, n)
 	if r.class == cell.Urgent {
-		p.urgent = p.urgent.add(size, n)
+		p.urgentUsage = p.urgentUsage.add(size, n)
 	}
 	p.sort(w)
 }
