--- a/internal/place/declared.go
+++ b/internal/place/declared.go
@@ -27,7 +27,7 @@
 		if !e.waiting() || e.Declared == (cell.Size{}) || e.Declared == e.Size || !e.Declared.Fits(e.Size) {
 			continue
 		}
-		if e == p.old || !p.couldRun(e, e.Size) && p.couldRun(e, e.Declared) {
+		if e == p.overdue || !p.couldRun(e, e.Size) && p.couldRun(e, e.Declared) {
 			p.resize(e)
 		}
 	}
@@ -68,7 +68,7 @@
 	}
 	p.unmark(e)
 	p.queue.add(p.now, w)
-	if e == p.old {
-		p.old = p.queue.tasks[w.Tasks[0]]
+	if e == p.overdue {
+		p.overdue = p.queue.tasks[w.Tasks[0]]
 	}
 }
--- a/internal/place/explain.go
+++ b/internal/place/explain.go
@@ -22,7 +22,7 @@
 		return "", false
 	}
 	text := fmt.Sprintf("%d tasks of class %s wait: %s; each takes %+v, %+v of %+v are free on %d workers", e.live, e.Class, e.shape.blocked, e.Size, p.free, p.total, len(p.workers))
-	if e == p.old {
+	if e == p.overdue {
 		text += "; it is overdue, so room is kept for it"
 	}
 	if n := len(e.marked); n > 0 {
--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -115,15 +115,15 @@
 // keeps room for it: one at a time, so that two all-at-once jobs cannot hold
 // each other's room.
 func (p *Placer) lookForOverdue() {
-	if p.old != nil && p.old.waiting() && p.old.shape.blocked.limit() {
-		p.unmark(p.old)
-		p.old = nil
+	if p.overdue != nil && p.overdue.waiting() && p.overdue.shape.blocked.limit() {
+		p.unmark(p.overdue)
+		p.overdue = nil
 	}
-	if p.old == nil || !p.old.waiting() {
-		p.old = p.oldest()
+	if p.overdue == nil || !p.overdue.waiting() {
+		p.overdue = p.oldest()
 	}
-	if p.old != nil {
-		p.earmark(p.old)
+	if p.overdue != nil {
+		p.earmark(p.overdue)
 	}
 }
 
--- a/internal/place/limits.go
+++ b/internal/place/limits.go
@@ -39,7 +39,7 @@
 // for. The bulk job alone has to leave the reserve whole, so other work that
 // takes each piece as it comes free would lock it out for ever.
 func (p *Placer) crowdsOut(e *entry, size cell.Size) bool {
-	old := p.old
+	old := p.overdue
 	if old == nil || old == e || e.Class == cell.Urgent || old.Class != cell.Bulk || !old.waiting() {
 		return false
 	}
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -51,7 +51,7 @@
 	teamUsage   map[string]share
 	urgentUsage share
 	queue       queue
-	old         *entry
+	overdue     *entry
 	looked      time.Time
 	results     results
 	// grown are workers that got room in this step, which has the number step.
@@ -238,8 +238,8 @@
 }
 
 func (p *Placer) next() *entry {
-	if p.old != nil && p.old.waiting() && p.old.shape.blocked == Ready {
-		return p.old
+	if p.overdue != nil && p.overdue.waiting() && p.overdue.shape.blocked == Ready {
+		return p.overdue
 	}
 	return p.queue.next(p.deserves)
 }
