--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -52,7 +52,7 @@
 	urgentUsage share
 	queue       queue
 	overdue     *entry
-	looked      time.Time
+	lastTick    time.Time
 	results     results
 	// grown are workers that got room in this step, which has the number step.
 	grown []*worker
@@ -106,10 +106,10 @@
 const tickEvery = time.Second
 
 func (p *Placer) tick() {
-	if p.now.Sub(p.looked) < tickEvery {
+	if p.now.Sub(p.lastTick) < tickEvery {
 		return
 	}
-	p.looked = p.now
+	p.lastTick = p.now
 	p.expireMarks()
 	p.lookForOverdue()
 	p.giveUpCorrections()
