--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -54,10 +54,10 @@
 	overdue     *entry
 	lastTick    time.Time
 	results     results
-	// grown are workers that got room in this step, which has the number step.
-	grown []*worker
-	step  int64
-	acts  []Action
+	// grownWorkers are workers that got room in this step, which has the number step.
+	grownWorkers []*worker
+	step         int64
+	acts         []Action
 }
 
 // New returns a core without workers.
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -124,8 +124,8 @@
 
 // wakeFor notes that w has room that it had not when waiting work was tried.
 func (p *Placer) wakeFor(w *worker) {
-	if w.open() && !slices.Contains(p.grown, w) {
-		p.grown = append(p.grown, w)
+	if w.open() && !slices.Contains(p.grownWorkers, w) {
+		p.grownWorkers = append(p.grownWorkers, w)
 	}
 }
 
@@ -133,15 +133,15 @@
 // which has got room, nil when there is none. All other blocked work was found
 // to fit nowhere and nothing has changed for it, so it is not tried again.
 func (p *Placer) refill() *entry {
-	for len(p.grown) > 0 {
-		w := p.grown[0]
+	for len(p.grownWorkers) > 0 {
+		w := p.grownWorkers[0]
 		e := p.queue.passing(p.deserves, func(s *shape) bool { return s.looked != p.step && p.passes(s, w) })
 		if e != nil {
 			e.shape.looked = p.step
 			p.queue.ready(e.shape)
 			return e
 		}
-		p.grown = p.grown[1:]
+		p.grownWorkers = p.grownWorkers[1:]
 	}
 	return nil
 }
