--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -39,21 +39,21 @@
 
 // Placer is the placement core of one host.
 type Placer struct {
-	limits      Limits
-	now         time.Time
-	workers     map[string]*worker
-	index       index
-	reach       index
-	total       cell.Size
-	free        cell.Size
-	allocations map[string]*room
-	rowUsage    map[string]share
-	teamUsage   map[string]share
-	urgentUsage share
-	queue       queue
-	overdue     *entry
-	lastTick    time.Time
-	results     results
+	limits       Limits
+	now          time.Time
+	workers      map[string]*worker
+	index        index
+	preemptIndex index
+	total        cell.Size
+	free         cell.Size
+	allocations  map[string]*room
+	rowUsage     map[string]share
+	teamUsage    map[string]share
+	urgentUsage  share
+	queue        queue
+	overdue      *entry
+	lastTick     time.Time
+	results      results
 	// grownWorkers are workers that got room in this step, which has the number step.
 	grownWorkers []*worker
 	step         int64
@@ -64,7 +64,7 @@
 func New(limits Limits) *Placer {
 	return &Placer{
 		limits: limits, workers: map[string]*worker{}, allocations: map[string]*room{}, rowUsage: map[string]share{},
-		index: index{by: byFree}, reach: index{by: byReach}, teamUsage: map[string]share{}, queue: newQueue(), results: newResults(),
+		index: index{by: byFree}, preemptIndex: index{by: byReach}, teamUsage: map[string]share{}, queue: newQueue(), results: newResults(),
 	}
 }
 
@@ -139,8 +139,8 @@
 func (p *Placer) rescale(w *worker) {
 	if p.index.grows(w.size) {
 		p.index.rebuild(p.inNameOrder())
-		p.reach.grows(w.size)
-		p.reach.rebuild(p.inNameOrder())
+		p.preemptIndex.grows(w.size)
+		p.preemptIndex.rebuild(p.inNameOrder())
 	}
 }
 
@@ -180,7 +180,7 @@
 		p.release(task)
 	}
 	p.index.drop(w)
-	p.reach.drop(w)
+	p.preemptIndex.drop(w)
 	p.total = p.total.Sub(w.size)
 	p.free = p.free.Sub(w.free)
 	delete(p.workers, name)
--- a/internal/place/preempt.go
+++ b/internal/place/preempt.go
@@ -22,7 +22,7 @@
 	var best *worker
 	var victims []*room
 	var least float64
-	for _, w := range p.reach.some(compared, e.Size, func(w *worker) bool { return p.usable(w, e) }) {
+	for _, w := range p.preemptIndex.some(compared, e.Size, func(w *worker) bool { return p.usable(w, e) }) {
 		chosen, cost, ok := p.victims(w, e.Size)
 		if ok && (best == nil || cost < least || cost == least && w.name < best.name) {
 			best, victims, least = w, chosen, cost
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -100,7 +100,7 @@
 // sort brings a worker to its place in both indexes.
 func (p *Placer) sort(w *worker) {
 	p.index.put(w)
-	p.reach.put(w)
+	p.preemptIndex.put(w)
 }
 
 // resized books what a task is seen to use. A worker that comes out overfull
