--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -57,7 +57,7 @@
 	// grownWorkers are workers that got room in this step, which has the number step.
 	grownWorkers []*worker
 	step         int64
-	acts         []Action
+	actions      []Action
 }
 
 // New returns a core without workers.
@@ -71,7 +71,7 @@
 // Step takes one event and returns the placements that it makes possible.
 func (p *Placer) Step(now time.Time, ev Event) []Action {
 	p.now = now
-	p.acts = nil
+	p.actions = nil
 	p.step++
 	switch ev := ev.(type) {
 	case Up:
@@ -97,10 +97,10 @@
 		p.tick()
 	}
 	p.fill()
-	return p.acts
+	return p.actions
 }
 
-func (p *Placer) do(a Action) { p.acts = append(p.acts, a) }
+func (p *Placer) do(a Action) { p.actions = append(p.actions, a) }
 
 // tickEvery bounds how often the passing of time alone is looked at.
 const tickEvery = time.Second
