--- a/internal/place/health.go
+++ b/internal/place/health.go
@@ -91,7 +91,7 @@
 		h.aside, h.trial, h.wait = true, false, p.limits.TrialInterval
 		h.next = p.now.Add(h.wait)
 		p.sort(w)
-		p.do(Quarantined{Worker: w.name})
+		p.emit(Quarantined{Worker: w.name})
 	}
 }
 
@@ -134,7 +134,7 @@
 	}
 	w.health = health{}
 	p.sort(w)
-	p.do(Restored{Worker: w.name})
+	p.emit(Restored{Worker: w.name})
 	p.wakeFor(w)
 }
 
@@ -165,7 +165,7 @@
 		case p.unexplained(w) < excess/2:
 			w.health = health{}
 			p.sort(w)
-			p.do(Restored{Worker: w.name})
+			p.emit(Restored{Worker: w.name})
 			p.wakeFor(w)
 		case !h.trial && !h.next.After(p.now):
 			p.openTrial(w)
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -100,7 +100,7 @@
 	return p.actions
 }
 
-func (p *Placer) do(a Action) { p.actions = append(p.actions, a) }
+func (p *Placer) emit(a Action) { p.actions = append(p.actions, a) }
 
 // tickEvery bounds how often the passing of time alone is looked at.
 const tickEvery = time.Second
@@ -276,7 +276,7 @@
 	}
 	p.take(r, w)
 	p.tried(w)
-	p.do(Assign{Task: task, Worker: w.name})
+	p.emit(Assign{Task: task, Worker: w.name})
 	if !e.waiting() {
 		p.unmark(e)
 	}
--- a/internal/place/preempt.go
+++ b/internal/place/preempt.go
@@ -34,7 +34,7 @@
 	p.keep(e, best, p.now)
 	for _, r := range victims {
 		r.leaving = true
-		p.do(Preempt{Task: r.task, Worker: best.name, Reason: "urgent job " + e.Job + " found no room"})
+		p.emit(Preempt{Task: r.task, Worker: best.name, Reason: "urgent job " + e.Job + " found no room"})
 	}
 }
 
@@ -88,7 +88,7 @@
 		}
 		r.leaving = true
 		free = free.Add(r.seen)
-		p.do(Preempt{Task: r.task, Worker: w.name, Reason: "tasks use more memory than the worker has"})
+		p.emit(Preempt{Task: r.task, Worker: w.name, Reason: "tasks use more memory than the worker has"})
 	}
 }
 
@@ -101,7 +101,7 @@
 		cut := min(over, r.seen.CPU/2)
 		r.throttled = true
 		share := float64(r.seen.CPU-cut) / float64(max(r.seen.CPU, 1))
-		p.do(Throttle{Task: r.task, Worker: w.name, Share: share})
+		p.emit(Throttle{Task: r.task, Worker: w.name, Share: share})
 		over -= cut
 	}
 }
