--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -102,11 +102,11 @@
 
 func (p *Placer) emit(a Action) { p.actions = append(p.actions, a) }
 
-// tickEvery bounds how often the passing of time alone is looked at.
-const tickEvery = time.Second
+// tickInterval bounds how often the passing of time alone is looked at.
+const tickInterval = time.Second
 
 func (p *Placer) tick() {
-	if p.now.Sub(p.lastTick) < tickEvery {
+	if p.now.Sub(p.lastTick) < tickInterval {
 		return
 	}
 	p.lastTick = p.now
