--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -75,7 +75,7 @@
 	p.step++
 	switch ev := ev.(type) {
 	case Up:
-		p.up(ev)
+		p.addWorker(ev)
 	case WorkerResized:
 		p.sized(ev)
 	case Down:
@@ -117,7 +117,7 @@
 	p.wakeReturning()
 }
 
-func (p *Placer) up(ev Up) {
+func (p *Placer) addWorker(ev Up) {
 	p.down(ev.Worker)
 	w := &worker{name: ev.Worker, rack: ev.Rack, size: ev.Size, free: ev.Size, tasks: map[string]*room{}}
 	p.workers[ev.Worker] = w
