--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -77,7 +77,7 @@
 	case Up:
 		p.addWorker(ev)
 	case WorkerResized:
-		p.sized(ev)
+		p.resizeWorker(ev)
 	case Down:
 		p.down(ev.Worker)
 	case Request:
@@ -144,10 +144,10 @@
 	}
 }
 
-// sized books another size of a worker. What runs there goes on; its free room is negative while
+// resizeWorker books another size of a worker. What runs there goes on; its free room is negative while
 // that takes more than it has. Room that is kept there for an entry which does not fit any more
 // is given up.
-func (p *Placer) sized(ev WorkerResized) {
+func (p *Placer) resizeWorker(ev WorkerResized) {
 	w, ok := p.workers[ev.Worker]
 	if !ok || w.size == ev.Size {
 		return
