--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -79,7 +79,7 @@
 	case WorkerResized:
 		p.resizeWorker(ev)
 	case Down:
-		p.down(ev.Worker)
+		p.removeWorker(ev.Worker)
 	case Request:
 		p.queue.add(now, ev)
 	case Freed:
@@ -118,7 +118,7 @@
 }
 
 func (p *Placer) addWorker(ev Up) {
-	p.down(ev.Worker)
+	p.removeWorker(ev.Worker)
 	w := &worker{name: ev.Worker, rack: ev.Rack, size: ev.Size, free: ev.Size, tasks: map[string]*room{}}
 	p.workers[ev.Worker] = w
 	p.total = p.total.Add(w.size)
@@ -171,7 +171,7 @@
 	return all
 }
 
-func (p *Placer) down(name string) {
+func (p *Placer) removeWorker(name string) {
 	w, ok := p.workers[name]
 	if !ok {
 		return
