--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -86,7 +86,7 @@
 		if p.queue.drop(ev.Task) {
 			return nil
 		}
-		p.freed(ev.Task)
+		p.freeTask(ev.Task)
 	case TaskResized:
 		p.resized(ev)
 	case Result:
@@ -187,7 +187,7 @@
 	p.queue.wake(func(s *shape) bool { return s.blocked == GangTooLarge })
 }
 
-func (p *Placer) freed(task string) {
+func (p *Placer) freeTask(task string) {
 	r, ok := p.allocations[task]
 	if !ok {
 		return
