--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -96,7 +96,7 @@
 	case Tick:
 		p.tick()
 	}
-	p.fill()
+	p.placeWaiting()
 	return p.actions
 }
 
@@ -206,9 +206,9 @@
 	})
 }
 
-// fill places waiting tasks, one at a time and the most deserving first, until
+// placeWaiting places waiting tasks, one at a time and the most deserving first, until
 // everything that waits is known to be blocked.
-func (p *Placer) fill() {
+func (p *Placer) placeWaiting() {
 	for {
 		if e := p.next(); e != nil {
 			p.try(e)
