--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -228,11 +228,11 @@
 	}
 }
 
-// sweepEvery is how many steps pass between two sweeps of empty shapes.
-const sweepEvery = 64
+// sweepInterval is how many steps pass between two sweeps of empty shapes.
+const sweepInterval = 64
 
 func (p *Placer) sweep() {
-	if p.step%sweepEvery == 0 {
+	if p.step%sweepInterval == 0 {
 		p.queue.wake(func(*shape) bool { return false })
 	}
 }
