--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -241,12 +241,12 @@
 	if p.overdue != nil && p.overdue.waiting() && p.overdue.shape.blocked == Ready {
 		return p.overdue
 	}
-	return p.queue.next(p.deserves)
+	return p.queue.next(p.fairShare)
 }
 
-// deserves orders lanes of one class: the team that has the least of the cell
+// fairShare orders lanes of one class: the team that has the least of the cell
 // goes first, within it the row that has the least for its weight.
-func (p *Placer) deserves(l *lane) (float64, float64) {
+func (p *Placer) fairShare(l *lane) (float64, float64) {
 	return p.teamUsage[l.team].size.Share(p.total), p.rowUsage[l.row].size.Share(p.total) / float64(max(l.weight, 1))
 }
 
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -135,7 +135,7 @@
 func (p *Placer) refill() *entry {
 	for len(p.grownWorkers) > 0 {
 		w := p.grownWorkers[0]
-		e := p.queue.passing(p.deserves, func(s *shape) bool { return s.looked != p.step && p.passes(s, w) })
+		e := p.queue.passing(p.fairShare, func(s *shape) bool { return s.looked != p.step && p.passes(s, w) })
 		if e != nil {
 			e.shape.looked = p.step
 			p.queue.ready(e.shape)
