--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -211,7 +211,7 @@
 func (p *Placer) placeWaiting() {
 	for {
 		if e := p.next(); e != nil {
-			p.try(e)
+			p.tryEntry(e)
 			continue
 		}
 		e := p.refill()
@@ -219,7 +219,7 @@
 			p.sweep()
 			return
 		}
-		p.try(e)
+		p.tryEntry(e)
 		if e.shape.blocked == Ready {
 			// The others have their turn before this one's next task.
 			e.shape.looked = 0
@@ -250,7 +250,7 @@
 	return p.teamUsage[l.team].size.Share(p.total), p.rowUsage[l.row].size.Share(p.total) / float64(max(l.weight, 1))
 }
 
-func (p *Placer) try(e *entry) {
+func (p *Placer) tryEntry(e *entry) {
 	if why := p.allowed(e); why != Ready {
 		p.queue.block(e.shape, why)
 		return
