--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -92,7 +92,7 @@
 		return
 	}
 	for _, w := range chosen {
-		p.put(e, w)
+		p.assign(e, w)
 	}
 }
 
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -265,10 +265,10 @@
 		p.makeRoom(e)
 		return
 	}
-	p.put(e, w)
+	p.assign(e, w)
 }
 
-func (p *Placer) put(e *entry, w *worker) {
+func (p *Placer) assign(e *entry, w *worker) {
 	task := p.queue.pop(e)
 	r := &room{task: task, row: e.Row, team: e.Team, class: e.Class, size: e.Size, began: p.now}
 	if e.RunTime > 0 {
