--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -75,7 +75,7 @@
 		if p.queue.tasks[task] != e {
 			continue
 		}
-		w := p.best(e)
+		w := p.bestWorker(e)
 		if w == nil {
 			break
 		}
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -259,7 +259,7 @@
 		p.tryGang(e)
 		return
 	}
-	w := p.best(e)
+	w := p.bestWorker(e)
 	if w == nil {
 		p.queue.block(e.shape, NoCapacity)
 		p.makeRoom(e)
@@ -282,8 +282,8 @@
 	}
 }
 
-// best is the fullest worker that has room for one of the entry's tasks.
-func (p *Placer) best(e *entry) *worker {
+// bestWorker is the fullest worker that has room for one of the entry's tasks.
+func (p *Placer) bestWorker(e *entry) *worker {
 	usable := func(w *worker) bool { return p.usable(w, e) }
 	if e.Spread {
 		return p.spread(e, usable)
