--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -101,7 +101,7 @@
 	var n int64
 	back := len(e.Avoid) > 0 && !p.elsewhere(e)
 	for _, w := range p.workers {
-		if w.open() && (p.usable(w, e) || back && p.mayReturn(w, e) && p.markedFor(w, e)) {
+		if w.open() && (p.usable(w, e) || back && p.mayRetryOn(w, e) && p.markedFor(w, e)) {
 			n += copies(w.free, e.Size)
 		}
 		if n >= int64(e.live) {
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -294,12 +294,12 @@
 	if len(e.Avoid) == 0 || p.elsewhere(e) {
 		return nil
 	}
-	return p.index.best(e.Size, func(w *worker) bool { return p.mayReturn(w, e) && p.markedFor(w, e) })
+	return p.index.best(e.Size, func(w *worker) bool { return p.mayRetryOn(w, e) && p.markedFor(w, e) })
 }
 
-// mayReturn tells whether the entry's tasks may be put on a worker that they have failed on. Tried
+// mayRetryOn tells whether the entry's tasks may be put on a worker that they have failed on. Tried
 // there again at once, they would spend all their tries on a worker that fails everything.
-func (p *Placer) mayReturn(w *worker, e *entry) bool {
+func (p *Placer) mayRetryOn(w *worker, e *entry) bool {
 	return !slices.Contains(e.Avoid, w.name) || !p.now.Before(e.AvoidUntil) || w.good.After(e.LastFailed)
 }
 
