--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -114,7 +114,7 @@
 	p.lookForOverdue()
 	p.giveUpCorrections()
 	p.trials()
-	p.wakeReturning()
+	p.wakeAfterAvoid()
 }
 
 func (p *Placer) addWorker(ev Up) {
@@ -303,8 +303,8 @@
 	return !slices.Contains(e.Avoid, w.name) || !p.now.Before(e.AvoidUntil) || w.good.After(e.LastFailed)
 }
 
-// wakeReturning has work tried that may go back now to the workers that it has failed on.
-func (p *Placer) wakeReturning() {
+// wakeAfterAvoid has work tried that may go back now to the workers that it has failed on.
+func (p *Placer) wakeAfterAvoid() {
 	p.queue.wake(func(s *shape) bool {
 		e := s.head()
 		if e.AvoidUntil.IsZero() || p.now.Before(e.AvoidUntil) {
