--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -99,7 +99,7 @@
 // holds is how many of the entry's tasks the free room could take now.
 func (p *Placer) holds(e *entry) int64 {
 	var n int64
-	back := len(e.Avoid) > 0 && !p.elsewhere(e)
+	back := len(e.Avoid) > 0 && !p.fitsWithoutAvoided(e)
 	for _, w := range p.workers {
 		if w.open() && (p.usable(w, e) || back && p.mayRetryOn(w, e) && p.markedFor(w, e)) {
 			n += copies(w.free, e.Size)
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -291,7 +291,7 @@
 	if w := p.index.best(e.Size, usable); w != nil {
 		return w
 	}
-	if len(e.Avoid) == 0 || p.elsewhere(e) {
+	if len(e.Avoid) == 0 || p.fitsWithoutAvoided(e) {
 		return nil
 	}
 	return p.index.best(e.Size, func(w *worker) bool { return p.mayRetryOn(w, e) && p.markedFor(w, e) })
@@ -315,12 +315,12 @@
 	})
 }
 
-// elsewhere tells whether workers that the entry's tasks have not failed on
+// fitsWithoutAvoided tells whether workers that the entry's tasks have not failed on
 // could hold one, or all of a gang, once they have room. A task that did not wait
 // for them would spend all its tries on the same bad worker, which always has room,
 // and its job would end as failed because of one machine. A gang that waited for
 // too few of them would wait for ever.
-func (p *Placer) elsewhere(e *entry) bool {
+func (p *Placer) fitsWithoutAvoided(e *entry) bool {
 	need := int64(1)
 	if e.Gang {
 		need = int64(e.live)
