--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -286,7 +286,7 @@
 func (p *Placer) bestWorker(e *entry) *worker {
 	usable := func(w *worker) bool { return p.usable(w, e) }
 	if e.Spread {
-		return p.spread(e, usable)
+		return p.bestSpread(e, usable)
 	}
 	if w := p.index.best(e.Size, usable); w != nil {
 		return w
@@ -337,8 +337,8 @@
 	return !slices.Contains(e.Avoid, w.name) && p.markedFor(w, e)
 }
 
-// spread prefers the racks that run the fewest tasks of the row.
-func (p *Placer) spread(e *entry, usable func(*worker) bool) *worker {
+// bestSpread prefers the racks that run the fewest tasks of the row.
+func (p *Placer) bestSpread(e *entry, usable func(*worker) bool) *worker {
 	count := map[string]int{}
 	for _, w := range p.workers {
 		count[w.rack] += w.rows[e.Row]
