--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -70,7 +70,7 @@
 		return
 	}
 	var chosen []*worker
-	var rooms []*room
+	var rooms []*allocation
 	for i, task := range e.Tasks {
 		if p.queue.tasks[task] != e {
 			continue
@@ -80,7 +80,7 @@
 			break
 		}
 		// The room is taken under a name of its own until all are found.
-		r := &room{task: e.Tasks[i], row: e.Row, team: e.Team, class: e.Class, size: e.Size}
+		r := &allocation{task: e.Tasks[i], row: e.Row, team: e.Team, class: e.Class, size: e.Size}
 		p.take(r, w)
 		chosen, rooms = append(chosen, w), append(rooms, r)
 	}
@@ -180,13 +180,13 @@
 // openings are the times at which w is expected to have room for one more
 // task of that size, and one more again.
 func (p *Placer) openings(w *worker, size cell.Size) []opening {
-	var rooms []*room
+	var rooms []*allocation
 	for _, r := range w.tasks {
 		if !r.ends.IsZero() {
 			rooms = append(rooms, r)
 		}
 	}
-	slices.SortFunc(rooms, func(a, b *room) int {
+	slices.SortFunc(rooms, func(a, b *allocation) int {
 		return cmp.Or(cmp.Compare(p.ends(a).UnixNano(), p.ends(b).UnixNano()), cmp.Compare(a.task, b.task))
 	})
 	free, at := w.free, p.now
@@ -206,7 +206,7 @@
 
 // ends is when a task is expected to end. One that runs longer than expected
 // is taken to run another quarter of its time so far.
-func (p *Placer) ends(r *room) time.Time {
+func (p *Placer) ends(r *allocation) time.Time {
 	if r.ends.After(p.now) {
 		return r.ends
 	}
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -46,7 +46,7 @@
 	preemptIndex index
 	total        cell.Size
 	free         cell.Size
-	allocations  map[string]*room
+	allocations  map[string]*allocation
 	rowUsage     map[string]share
 	teamUsage    map[string]share
 	urgentUsage  share
@@ -63,7 +63,7 @@
 // New returns a core without workers.
 func New(limits Limits) *Placer {
 	return &Placer{
-		limits: limits, workers: map[string]*worker{}, allocations: map[string]*room{}, rowUsage: map[string]share{},
+		limits: limits, workers: map[string]*worker{}, allocations: map[string]*allocation{}, rowUsage: map[string]share{},
 		index: index{by: byFree}, preemptIndex: index{by: byReach}, teamUsage: map[string]share{}, queue: newQueue(), results: newResults(),
 	}
 }
@@ -119,13 +119,13 @@
 
 func (p *Placer) addWorker(ev Up) {
 	p.removeWorker(ev.Worker)
-	w := &worker{name: ev.Worker, rack: ev.Rack, size: ev.Size, free: ev.Size, tasks: map[string]*room{}}
+	w := &worker{name: ev.Worker, rack: ev.Rack, size: ev.Size, free: ev.Size, tasks: map[string]*allocation{}}
 	p.workers[ev.Worker] = w
 	p.total = p.total.Add(w.size)
 	p.free = p.free.Add(w.free)
 	p.rescale(w)
 	for _, u := range ev.Used {
-		r := &room{task: u.Task, row: u.Row, team: u.Team, class: u.Class, size: u.Size, began: p.now}
+		r := &allocation{task: u.Task, row: u.Row, team: u.Team, class: u.Class, size: u.Size, began: p.now}
 		if u.Remaining > 0 {
 			r.ends = p.now.Add(u.Remaining)
 		}
@@ -270,7 +270,7 @@
 
 func (p *Placer) assign(e *entry, w *worker) {
 	task := p.queue.pop(e)
-	r := &room{task: task, row: e.Row, team: e.Team, class: e.Class, size: e.Size, began: p.now}
+	r := &allocation{task: task, row: e.Row, team: e.Team, class: e.Class, size: e.Size, began: p.now}
 	if e.RunTime > 0 {
 		r.ends = p.now.Add(e.RunTime)
 	}
--- a/internal/place/preempt.go
+++ b/internal/place/preempt.go
@@ -20,7 +20,7 @@
 		return
 	}
 	var best *worker
-	var victims []*room
+	var victims []*allocation
 	var least float64
 	for _, w := range p.preemptIndex.some(compared, e.Size, func(w *worker) bool { return p.usable(w, e) }) {
 		chosen, cost, ok := p.victims(w, e.Size)
@@ -40,9 +40,9 @@
 
 // victims are the bulk tasks of a worker that cost least to stop: those that
 // ran for the shortest time by what they take.
-func (p *Placer) victims(w *worker, size cell.Size) ([]*room, float64, bool) {
+func (p *Placer) victims(w *worker, size cell.Size) ([]*allocation, float64, bool) {
 	free := w.free
-	var bulk []*room
+	var bulk []*allocation
 	for _, r := range w.tasks {
 		switch {
 		case r.leaving:
@@ -51,7 +51,9 @@
 			bulk = append(bulk, r)
 		}
 	}
-	slices.SortFunc(bulk, func(a, b *room) int { return cmp.Or(cmp.Compare(p.cost(a), p.cost(b)), cmp.Compare(a.task, b.task)) })
+	slices.SortFunc(bulk, func(a, b *allocation) int {
+		return cmp.Or(cmp.Compare(p.cost(a), p.cost(b)), cmp.Compare(a.task, b.task))
+	})
 	var cost float64
 	for i, r := range bulk {
 		if size.Fits(free) {
@@ -64,7 +66,7 @@
 }
 
 // cost is the work that a stop may lose, in shares of a worker times seconds.
-func (p *Placer) cost(r *room) float64 {
+func (p *Placer) cost(r *allocation) float64 {
 	return (1 + p.now.Sub(r.began).Seconds()) * r.size.Share(r.worker.size)
 }
 
@@ -107,8 +109,8 @@
 }
 
 // cheapest is the least urgent task that costs least to stop.
-func (p *Placer) cheapest(w *worker) *room {
-	var best *room
+func (p *Placer) cheapest(w *worker) *allocation {
+	var best *allocation
 	for _, r := range w.tasks {
 		if r.leaving || r.seen.Mem == 0 {
 			continue
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -16,7 +16,7 @@
 	bulk cell.Size
 	// seen is what its tasks were last seen to use.
 	seen   cell.Size
-	tasks  map[string]*room
+	tasks  map[string]*allocation
 	rows   map[string]int
 	at     [sortings]position
 	mark   *mark
@@ -31,8 +31,8 @@
 // open tells whether the worker may get a task at all.
 func (w *worker) open() bool { return !w.health.aside || w.health.trial }
 
-// room is what one running task takes.
-type room struct {
+// allocation is what one running task takes.
+type allocation struct {
 	task, row, team string
 	class           cell.Class
 	worker          *worker
@@ -54,7 +54,7 @@
 	return share{size: s.size.Add(size), tasks: s.tasks + n}
 }
 
-func (p *Placer) take(r *room, w *worker) {
+func (p *Placer) take(r *allocation, w *worker) {
 	p.release(r.task)
 	r.worker = w
 	p.allocations[r.task] = r
@@ -79,7 +79,7 @@
 }
 
 // count books a room in (n = 1) or out (n = -1) of all sums.
-func (p *Placer) count(r *room, size cell.Size, n int64) {
+func (p *Placer) count(r *allocation, size cell.Size, n int64) {
 	w := r.worker
 	if n < 0 {
 		size = cell.Size{}.Sub(size)
