--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -47,9 +47,9 @@
 	total        cell.Size
 	free         cell.Size
 	allocations  map[string]*allocation
-	rowUsage     map[string]share
-	teamUsage    map[string]share
-	urgentUsage  share
+	rowUsage     map[string]usage
+	teamUsage    map[string]usage
+	urgentUsage  usage
 	queue        queue
 	overdue      *entry
 	lastTick     time.Time
@@ -63,8 +63,8 @@
 // New returns a core without workers.
 func New(limits Limits) *Placer {
 	return &Placer{
-		limits: limits, workers: map[string]*worker{}, allocations: map[string]*allocation{}, rowUsage: map[string]share{},
-		index: index{by: byFree}, preemptIndex: index{by: byReach}, teamUsage: map[string]share{}, queue: newQueue(), results: newResults(),
+		limits: limits, workers: map[string]*worker{}, allocations: map[string]*allocation{}, rowUsage: map[string]usage{},
+		index: index{by: byFree}, preemptIndex: index{by: byReach}, teamUsage: map[string]usage{}, queue: newQueue(), results: newResults(),
 	}
 }
 
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -44,14 +44,14 @@
 	throttled   bool
 }
 
-// share is what the tasks of a row, team or class take in all.
-type share struct {
+// usage is what the tasks of a row, team or class take in all.
+type usage struct {
 	size  cell.Size
 	tasks int64
 }
 
-func (s share) add(size cell.Size, n int64) share {
-	return share{size: s.size.Add(size), tasks: s.tasks + n}
+func (s usage) add(size cell.Size, n int64) usage {
+	return usage{size: s.size.Add(size), tasks: s.tasks + n}
 }
 
 func (p *Placer) take(r *allocation, w *worker) {
