--- a/internal/place/preempt.go
+++ b/internal/place/preempt.go
@@ -74,7 +74,7 @@
 // than it has. What they may use at most is no reason to stop any of them. Processor time can be held back, so the task that took most over
 // is throttled first; memory cannot, so a task is checkpointed and stopped.
 func (p *Placer) relieve(w *worker) {
-	free := w.size.Sub(w.seen)
+	free := w.size.Sub(w.usage)
 	if free.CPU < 0 {
 		p.throttle(w, -free.CPU)
 	}
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -14,8 +14,8 @@
 	free       cell.Size
 	// bulk is what tasks take that urgent work may have stopped.
 	bulk cell.Size
-	// seen is what its tasks were last seen to use.
-	seen   cell.Size
+	// usage is what its tasks were last usage to use.
+	usage  cell.Size
 	tasks  map[string]*allocation
 	rows   map[string]int
 	at     [sortings]position
@@ -74,7 +74,7 @@
 	delete(p.allocations, task)
 	delete(r.worker.tasks, task)
 	r.worker.rows[r.row]--
-	r.worker.seen = r.worker.seen.Sub(r.seen)
+	r.worker.usage = r.worker.usage.Sub(r.seen)
 	p.count(r, r.size, -1)
 }
 
@@ -110,7 +110,7 @@
 	if !ok {
 		return
 	}
-	r.worker.seen = r.worker.seen.Add(ev.Use).Sub(r.seen)
+	r.worker.usage = r.worker.usage.Add(ev.Use).Sub(r.seen)
 	r.seen = ev.Use
 	p.relieve(r.worker)
 	if r.size == ev.Size {
