--- a/internal/place/index.go
+++ b/internal/place/index.go
@@ -93,7 +93,7 @@
 func (x *index) rebuild(all []*worker) {
 	x.grids = [accelLevels]*grid{}
 	for _, w := range all {
-		w.at[x.by] = position{}
+		w.positions[x.by] = position{}
 		x.put(w)
 	}
 }
@@ -110,8 +110,8 @@
 		return
 	}
 	to := x.place(w)
-	to.slot = w.at[x.by].slot
-	if w.at[x.by] == to {
+	to.slot = w.positions[x.by].slot
+	if w.positions[x.by] == to {
 		return
 	}
 	x.drop(w)
@@ -123,12 +123,12 @@
 	to.slot = len(g.cells[to.cpu][to.mem])
 	g.cells[to.cpu][to.mem] = append(g.cells[to.cpu][to.mem], w)
 	g.bits[to.cpu] |= 1 << to.mem
-	w.at[x.by] = to
+	w.positions[x.by] = to
 }
 
 func (x *index) drop(w *worker) {
-	at := w.at[x.by]
-	w.at[x.by] = position{}
+	at := w.positions[x.by]
+	w.positions[x.by] = position{}
 	if !at.in {
 		return
 	}
@@ -136,13 +136,13 @@
 	in := g.cells[at.cpu][at.mem]
 	last := len(in) - 1
 	in[at.slot] = in[last]
-	in[at.slot].at[x.by].slot = at.slot
+	in[at.slot].positions[x.by].slot = at.slot
 	in[last] = nil
 	g.cells[at.cpu][at.mem] = in[:last]
 	if last == 0 {
 		g.bits[at.cpu] &^= 1 << at.mem
 	}
-	w.at[x.by] = position{}
+	w.positions[x.by] = position{}
 }
 
 // best returns the usable worker that is about the fullest after taking size.
