--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -22,30 +22,30 @@
 const markFor = 5 * time.Second
 
 func (p *Placer) markedFor(w *worker, e *entry) bool {
-	if w.mark == nil || w.mark.entry == e {
+	if w.reservation == nil || w.reservation.entry == e {
 		return true
 	}
 	if e.Class == cell.Urgent && p.urgentUsage.size.Share(p.total) < p.limits.UrgentCap {
 		return true
 	}
-	return e.RunTime > 0 && !p.now.Add(e.RunTime).After(w.mark.from)
+	return e.RunTime > 0 && !p.now.Add(e.RunTime).After(w.reservation.from)
 }
 
 func (p *Placer) keep(e *entry, w *worker, from time.Time) {
-	if w.mark != nil && w.mark.entry != e {
+	if w.reservation != nil && w.reservation.entry != e {
 		return
 	}
-	if w.mark == nil {
+	if w.reservation == nil {
 		e.marked = append(e.marked, w)
 	}
-	w.mark = &mark{entry: e, from: from, until: p.now.Add(markFor)}
+	w.reservation = &mark{entry: e, from: from, until: p.now.Add(markFor)}
 }
 
 func (p *Placer) unmark(e *entry) {
 	marked := e.marked
 	e.marked = nil
 	for _, w := range marked {
-		w.mark = nil
+		w.reservation = nil
 	}
 	for _, w := range marked {
 		if p.workers[w.name] == w {
@@ -56,7 +56,7 @@
 
 func (p *Placer) expireMarks() {
 	for _, w := range p.inNameOrder() {
-		if m := w.mark; m != nil && (!m.entry.waiting() || !m.until.After(p.now)) {
+		if m := w.reservation; m != nil && (!m.entry.waiting() || !m.until.After(p.now)) {
 			p.unmark(m.entry)
 		}
 	}
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -157,8 +157,8 @@
 	p.total, p.free = p.total.Add(more), p.free.Add(more)
 	p.rescale(w)
 	p.sort(w)
-	if w.mark != nil && !w.mark.entry.Size.Fits(w.size) {
-		p.unmark(w.mark.entry)
+	if w.reservation != nil && !w.reservation.entry.Size.Fits(w.size) {
+		p.unmark(w.reservation.entry)
 	}
 	p.wakeFor(w)
 }
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -15,12 +15,12 @@
 	// bulk is what tasks take that urgent work may have stopped.
 	bulk cell.Size
 	// usage is what its tasks were last usage to use.
-	usage     cell.Size
-	tasks     map[string]*allocation
-	rows      map[string]int
-	positions [sortings]position
-	mark      *mark
-	health    health
+	usage       cell.Size
+	tasks       map[string]*allocation
+	rows        map[string]int
+	positions   [sortings]position
+	reservation *mark
+	health      health
 	// good is when a task last ended well there.
 	good time.Time
 }
