--- a/internal/place/health.go
+++ b/internal/place/health.go
@@ -76,7 +76,7 @@
 		return
 	}
 	if !ev.Failed {
-		w.good = p.now
+		w.lastSuccess = p.now
 	}
 	h := &w.health
 	h.recent = append(h.recent, outcome{row: ev.Row, failed: ev.Failed})
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -21,8 +21,8 @@
 	positions   [sortings]position
 	reservation *mark
 	health      health
-	// good is when a task last ended well there.
-	good time.Time
+	// lastSuccess is when a task last ended well there.
+	lastSuccess time.Time
 }
 
 // left is the largest share that stays free when size is taken.
