--- a/internal/place/preempt.go
+++ b/internal/place/preempt.go
@@ -80,7 +80,7 @@
 	}
 	for _, r := range w.tasks {
 		if r.leaving {
-			free = free.Add(r.seen)
+			free = free.Add(r.usage)
 		}
 	}
 	for free.Mem < 0 || free.Accel < 0 {
@@ -89,7 +89,7 @@
 			return
 		}
 		r.leaving = true
-		free = free.Add(r.seen)
+		free = free.Add(r.usage)
 		p.emit(Preempt{Task: r.task, Worker: w.name, Reason: "tasks use more memory than the worker has"})
 	}
 }
@@ -100,9 +100,9 @@
 		if r.class == cell.Urgent || r.throttled || over <= 0 {
 			continue
 		}
-		cut := min(over, r.seen.CPU/2)
+		cut := min(over, r.usage.CPU/2)
 		r.throttled = true
-		share := float64(r.seen.CPU-cut) / float64(max(r.seen.CPU, 1))
+		share := float64(r.usage.CPU-cut) / float64(max(r.usage.CPU, 1))
 		p.emit(Throttle{Task: r.task, Worker: w.name, Share: share})
 		over -= cut
 	}
@@ -112,7 +112,7 @@
 func (p *Placer) cheapest(w *worker) *allocation {
 	var best *allocation
 	for _, r := range w.tasks {
-		if r.leaving || r.seen.Mem == 0 {
+		if r.leaving || r.usage.Mem == 0 {
 			continue
 		}
 		if best == nil || r.class > best.class || r.class == best.class &&
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -37,8 +37,8 @@
 	class           cell.Class
 	worker          *worker
 	size            cell.Size
-	// seen is what the task was last seen to use.
-	seen        cell.Size
+	// usage is what the task was last usage to use.
+	usage       cell.Size
 	began, ends time.Time
 	leaving     bool
 	throttled   bool
@@ -74,7 +74,7 @@
 	delete(p.allocations, task)
 	delete(r.worker.tasks, task)
 	r.worker.rows[r.row]--
-	r.worker.usage = r.worker.usage.Sub(r.seen)
+	r.worker.usage = r.worker.usage.Sub(r.usage)
 	p.count(r, r.size, -1)
 }
 
@@ -110,8 +110,8 @@
 	if !ok {
 		return
 	}
-	r.worker.usage = r.worker.usage.Add(ev.Use).Sub(r.seen)
-	r.seen = ev.Use
+	r.worker.usage = r.worker.usage.Add(ev.Use).Sub(r.usage)
+	r.usage = ev.Use
 	p.relieve(r.worker)
 	if r.size == ev.Size {
 		return
