--- a/internal/place/declared.go
+++ b/internal/place/declared.go
@@ -51,7 +51,7 @@
 func (p *Placer) besideLasting(w *worker, class cell.Class) cell.Size {
 	free := w.size
 	for _, r := range w.tasks {
-		if !r.ends.IsZero() && r.ends.Sub(p.now) > p.limits.OverdueAfter[class] {
+		if !r.plannedEnd.IsZero() && r.plannedEnd.Sub(p.now) > p.limits.OverdueAfter[class] {
 			free = free.Sub(r.size)
 		}
 	}
--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -182,7 +182,7 @@
 func (p *Placer) openings(w *worker, size cell.Size) []opening {
 	var rooms []*allocation
 	for _, r := range w.tasks {
-		if !r.ends.IsZero() {
+		if !r.plannedEnd.IsZero() {
 			rooms = append(rooms, r)
 		}
 	}
@@ -207,8 +207,8 @@
 // ends is when a task is expected to end. One that runs longer than expected
 // is taken to run another quarter of its time so far.
 func (p *Placer) ends(r *allocation) time.Time {
-	if r.ends.After(p.now) {
-		return r.ends
+	if r.plannedEnd.After(p.now) {
+		return r.plannedEnd
 	}
 	return p.now.Add(p.now.Sub(r.began) / 4)
 }
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -127,7 +127,7 @@
 	for _, u := range ev.Used {
 		r := &allocation{task: u.Task, row: u.Row, team: u.Team, class: u.Class, size: u.Size, began: p.now}
 		if u.Remaining > 0 {
-			r.ends = p.now.Add(u.Remaining)
+			r.plannedEnd = p.now.Add(u.Remaining)
 		}
 		p.take(r, w)
 	}
@@ -272,7 +272,7 @@
 	task := p.queue.pop(e)
 	r := &allocation{task: task, row: e.Row, team: e.Team, class: e.Class, size: e.Size, began: p.now}
 	if e.RunTime > 0 {
-		r.ends = p.now.Add(e.RunTime)
+		r.plannedEnd = p.now.Add(e.RunTime)
 	}
 	p.take(r, w)
 	p.tried(w)
