--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -210,5 +210,5 @@
 	if r.plannedEnd.After(p.now) {
 		return r.plannedEnd
 	}
-	return p.now.Add(p.now.Sub(r.began) / 4)
+	return p.now.Add(p.now.Sub(r.started) / 4)
 }
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -125,7 +125,7 @@
 	p.free = p.free.Add(w.free)
 	p.rescale(w)
 	for _, u := range ev.Used {
-		r := &allocation{task: u.Task, row: u.Row, team: u.Team, class: u.Class, size: u.Size, began: p.now}
+		r := &allocation{task: u.Task, row: u.Row, team: u.Team, class: u.Class, size: u.Size, started: p.now}
 		if u.Remaining > 0 {
 			r.plannedEnd = p.now.Add(u.Remaining)
 		}
@@ -270,7 +270,7 @@
 
 func (p *Placer) assign(e *entry, w *worker) {
 	task := p.queue.pop(e)
-	r := &allocation{task: task, row: e.Row, team: e.Team, class: e.Class, size: e.Size, began: p.now}
+	r := &allocation{task: task, row: e.Row, team: e.Team, class: e.Class, size: e.Size, started: p.now}
 	if e.RunTime > 0 {
 		r.plannedEnd = p.now.Add(e.RunTime)
 	}
--- a/internal/place/preempt.go
+++ b/internal/place/preempt.go
@@ -67,7 +67,7 @@
 
 // cost is the work that a stop may lose, in shares of a worker times seconds.
 func (p *Placer) cost(r *allocation) float64 {
-	return (1 + p.now.Sub(r.began).Seconds()) * r.size.Share(r.worker.size)
+	return (1 + p.now.Sub(r.started).Seconds()) * r.size.Share(r.worker.size)
 }
 
 // relieve brings a worker back to what it holds when tasks are seen to use more
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -38,10 +38,10 @@
 	worker          *worker
 	size            cell.Size
 	// usage is what the task was last usage to use.
-	usage             cell.Size
-	began, plannedEnd time.Time
-	leaving           bool
-	throttled         bool
+	usage               cell.Size
+	started, plannedEnd time.Time
+	leaving             bool
+	throttled           bool
 }
 
 // usage is what the tasks of a row, team or class take in all.
