--- a/internal/place/preempt.go
+++ b/internal/place/preempt.go
@@ -33,7 +33,7 @@
 	}
 	p.keep(e, best, p.now)
 	for _, r := range victims {
-		r.leaving = true
+		r.preempting = true
 		p.emit(Preempt{Task: r.task, Worker: best.name, Reason: "urgent job " + e.Job + " found no room"})
 	}
 }
@@ -45,7 +45,7 @@
 	var bulk []*allocation
 	for _, r := range w.tasks {
 		switch {
-		case r.leaving:
+		case r.preempting:
 			free = free.Add(r.size)
 		case r.class == cell.Bulk:
 			bulk = append(bulk, r)
@@ -79,7 +79,7 @@
 		p.throttle(w, -free.CPU)
 	}
 	for _, r := range w.tasks {
-		if r.leaving {
+		if r.preempting {
 			free = free.Add(r.usage)
 		}
 	}
@@ -88,7 +88,7 @@
 		if r == nil {
 			return
 		}
-		r.leaving = true
+		r.preempting = true
 		free = free.Add(r.usage)
 		p.emit(Preempt{Task: r.task, Worker: w.name, Reason: "tasks use more memory than the worker has"})
 	}
@@ -112,7 +112,7 @@
 func (p *Placer) cheapest(w *worker) *allocation {
 	var best *allocation
 	for _, r := range w.tasks {
-		if r.leaving || r.usage.Mem == 0 {
+		if r.preempting || r.usage.Mem == 0 {
 			continue
 		}
 		if best == nil || r.class > best.class || r.class == best.class &&
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -40,7 +40,7 @@
 	// usage is what the task was last usage to use.
 	usage               cell.Size
 	started, plannedEnd time.Time
-	leaving             bool
+	preempting          bool
 	throttled           bool
 }
 
