--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -349,7 +349,7 @@
 		if !w.open() || !e.Size.Fits(w.free) || !usable(w) {
 			continue
 		}
-		left := float64(count[w.rack]) + w.left(e.Size)/2
+		left := float64(count[w.rack]) + w.freeShareAfter(e.Size)/2
 		if best == nil || left < least || left == least && w.name < best.name {
 			best, least = w, left
 		}
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -25,8 +25,8 @@
 	lastSuccess time.Time
 }
 
-// left is the largest share that stays free when size is taken.
-func (w *worker) left(size cell.Size) float64 { return w.free.Sub(size).Share(w.size) }
+// freeShareAfter is the largest share that stays free when size is taken.
+func (w *worker) freeShareAfter(size cell.Size) float64 { return w.free.Sub(size).Share(w.size) }
 
 // open tells whether the worker may get a task at all.
 func (w *worker) open() bool { return !w.health.aside || w.health.trial }
