--- a/internal/place/declared.go
+++ b/internal/place/declared.go
@@ -41,7 +41,7 @@
 		need = int64(e.live)
 	}
 	for _, w := range p.workers {
-		if w.open() {
+		if w.acceptsTasks() {
 			need -= copies(p.besideLasting(w, e.Class), size)
 		}
 	}
--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -101,7 +101,7 @@
 	var n int64
 	back := len(e.Avoid) > 0 && !p.fitsWithoutAvoided(e)
 	for _, w := range p.workers {
-		if w.open() && (p.usable(w, e) || back && p.mayRetryOn(w, e) && p.markedFor(w, e)) {
+		if w.acceptsTasks() && (p.usable(w, e) || back && p.mayRetryOn(w, e) && p.markedFor(w, e)) {
 			n += copies(w.free, e.Size)
 		}
 		if n >= int64(e.live) {
@@ -163,7 +163,7 @@
 	}
 	var all []opening
 	for _, w := range p.inNameOrder() {
-		if w.open() && e.Size.Fits(w.size) {
+		if w.acceptsTasks() && e.Size.Fits(w.size) {
 			all = append(all, p.openings(w, e.Size)...)
 		}
 	}
--- a/internal/place/index.go
+++ b/internal/place/index.go
@@ -105,7 +105,7 @@
 
 // put sorts a worker in by what it has free now, or out when it is not open.
 func (x *index) put(w *worker) {
-	if !w.open() {
+	if !w.acceptsTasks() {
 		x.drop(w)
 		return
 	}
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -326,7 +326,7 @@
 		need = int64(e.live)
 	}
 	for _, w := range p.workers {
-		if w.open() && e.Size.Fits(w.size) && !slices.Contains(e.Avoid, w.name) {
+		if w.acceptsTasks() && e.Size.Fits(w.size) && !slices.Contains(e.Avoid, w.name) {
 			need -= copies(w.size, e.Size)
 		}
 	}
@@ -346,7 +346,7 @@
 	var best *worker
 	var least float64
 	for _, w := range p.workers {
-		if !w.open() || !e.Size.Fits(w.free) || !usable(w) {
+		if !w.acceptsTasks() || !e.Size.Fits(w.free) || !usable(w) {
 			continue
 		}
 		left := float64(count[w.rack]) + w.freeShareAfter(e.Size)/2
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -28,8 +28,8 @@
 // freeShareAfter is the largest share that stays free when size is taken.
 func (w *worker) freeShareAfter(size cell.Size) float64 { return w.free.Sub(size).Share(w.size) }
 
-// open tells whether the worker may get a task at all.
-func (w *worker) open() bool { return !w.health.aside || w.health.trial }
+// acceptsTasks tells whether the worker may get a task at all.
+func (w *worker) acceptsTasks() bool { return !w.health.aside || w.health.trial }
 
 // allocation is what one running task takes.
 type allocation struct {
@@ -124,7 +124,7 @@
 
 // wakeFor notes that w has room that it had not when waiting work was tried.
 func (p *Placer) wakeFor(w *worker) {
-	if w.open() && !slices.Contains(p.grownWorkers, w) {
+	if w.acceptsTasks() && !slices.Contains(p.grownWorkers, w) {
 		p.grownWorkers = append(p.grownWorkers, w)
 	}
 }
