--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -81,7 +81,7 @@
 		}
 		// The room is taken under a name of its own until all are found.
 		r := &allocation{task: e.Tasks[i], row: e.Row, team: e.Team, class: e.Class, size: e.Size}
-		p.take(r, w)
+		p.allocate(r, w)
 		chosen, rooms = append(chosen, w), append(rooms, r)
 	}
 	for _, r := range rooms {
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -129,7 +129,7 @@
 		if u.Remaining > 0 {
 			r.plannedEnd = p.now.Add(u.Remaining)
 		}
-		p.take(r, w)
+		p.allocate(r, w)
 	}
 	p.sort(w)
 	p.wakeFor(w)
@@ -274,7 +274,7 @@
 	if e.RunTime > 0 {
 		r.plannedEnd = p.now.Add(e.RunTime)
 	}
-	p.take(r, w)
+	p.allocate(r, w)
 	p.tried(w)
 	p.emit(Assign{Task: task, Worker: w.name})
 	if !e.waiting() {
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -54,7 +54,7 @@
 	return usage{size: s.size.Add(size), tasks: s.tasks + n}
 }
 
-func (p *Placer) take(r *allocation, w *worker) {
+func (p *Placer) allocate(r *allocation, w *worker) {
 	p.release(r.task)
 	r.worker = w
 	p.allocations[r.task] = r
