--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -63,7 +63,7 @@
 		w.rows = map[string]int{}
 	}
 	w.rows[r.row]++
-	p.count(r, r.size, 1)
+	p.account(r, r.size, 1)
 }
 
 func (p *Placer) release(task string) {
@@ -75,11 +75,11 @@
 	delete(r.worker.tasks, task)
 	r.worker.rows[r.row]--
 	r.worker.usage = r.worker.usage.Sub(r.usage)
-	p.count(r, r.size, -1)
+	p.account(r, r.size, -1)
 }
 
-// count books a room in (n = 1) or out (n = -1) of all sums.
-func (p *Placer) count(r *allocation, size cell.Size, n int64) {
+// account books a room in (n = 1) or out (n = -1) of all sums.
+func (p *Placer) account(r *allocation, size cell.Size, n int64) {
 	w := r.worker
 	if n < 0 {
 		size = cell.Size{}.Sub(size)
@@ -116,9 +116,9 @@
 	if r.size == ev.Size {
 		return
 	}
-	p.count(r, r.size, -1)
+	p.account(r, r.size, -1)
 	r.size = ev.Size
-	p.count(r, r.size, 1)
+	p.account(r, r.size, 1)
 	p.wakeFor(r.worker)
 }
 
