--- a/internal/place/health.go
+++ b/internal/place/health.go
@@ -90,7 +90,7 @@
 	if ev.Failed && p.unexplained(w) >= excess && p.mayAside() {
 		h.aside, h.trial, h.wait = true, false, p.limits.TrialInterval
 		h.next = p.now.Add(h.wait)
-		p.sort(w)
+		p.reindex(w)
 		p.emit(Quarantined{Worker: w.name})
 	}
 }
@@ -124,7 +124,7 @@
 		h.passed, h.trial = 0, false
 		h.wait = min(2*h.wait, longestTrial)
 		h.next = p.now.Add(h.wait)
-		p.sort(w)
+		p.reindex(w)
 		return
 	}
 	h.passed++
@@ -133,14 +133,14 @@
 		return
 	}
 	w.health = health{}
-	p.sort(w)
+	p.reindex(w)
 	p.emit(Restored{Worker: w.name})
 	p.wakeFor(w)
 }
 
 func (p *Placer) openTrial(w *worker) {
 	w.health.trial = true
-	p.sort(w)
+	p.reindex(w)
 	p.wakeFor(w)
 }
 
@@ -151,7 +151,7 @@
 	if h := &w.health; h.aside {
 		h.trial = false
 		h.next = p.now.Add(min(2*h.wait, longestTrial))
-		p.sort(w)
+		p.reindex(w)
 	}
 }
 
@@ -164,7 +164,7 @@
 		case !h.aside:
 		case p.unexplained(w) < excess/2:
 			w.health = health{}
-			p.sort(w)
+			p.reindex(w)
 			p.emit(Restored{Worker: w.name})
 			p.wakeFor(w)
 		case !h.trial && !h.next.After(p.now):
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -131,7 +131,7 @@
 		}
 		p.allocate(r, w)
 	}
-	p.sort(w)
+	p.reindex(w)
 	p.wakeFor(w)
 }
 
@@ -156,7 +156,7 @@
 	w.size, w.free = ev.Size, w.free.Add(more)
 	p.total, p.free = p.total.Add(more), p.free.Add(more)
 	p.rescale(w)
-	p.sort(w)
+	p.reindex(w)
 	if w.reservation != nil && !w.reservation.entry.Size.Fits(w.size) {
 		p.unmark(w.reservation.entry)
 	}
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -94,11 +94,11 @@
 	if r.class == cell.Urgent {
 		p.urgentUsage = p.urgentUsage.add(size, n)
 	}
-	p.sort(w)
+	p.reindex(w)
 }
 
-// sort brings a worker to its place in both indexes.
-func (p *Placer) sort(w *worker) {
+// reindex brings a worker to its place in both indexes.
+func (p *Placer) reindex(w *worker) {
 	p.index.put(w)
 	p.preemptIndex.put(w)
 }
