--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -88,7 +88,7 @@
 		}
 		p.freeTask(ev.Task)
 	case TaskResized:
-		p.resized(ev)
+		p.resizeTask(ev)
 	case Result:
 		p.result(ev)
 	case RuleChanged:
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -103,9 +103,9 @@
 	p.preemptIndex.put(w)
 }
 
-// resized books what a task is seen to use. A worker that comes out overfull
+// resizeTask books what a task is seen to use. A worker that comes out overfull
 // is relieved at once.
-func (p *Placer) resized(ev TaskResized) {
+func (p *Placer) resizeTask(ev TaskResized) {
 	r, ok := p.allocations[ev.Task]
 	if !ok {
 		return
