--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -49,7 +49,7 @@
 	}
 	for _, w := range marked {
 		if p.workers[w.name] == w {
-			p.wakeFor(w)
+			p.noteGrown(w)
 		}
 	}
 }
--- a/internal/place/health.go
+++ b/internal/place/health.go
@@ -135,13 +135,13 @@
 	w.health = health{}
 	p.reindex(w)
 	p.emit(Restored{Worker: w.name})
-	p.wakeFor(w)
+	p.noteGrown(w)
 }
 
 func (p *Placer) openTrial(w *worker) {
 	w.health.trial = true
 	p.reindex(w)
-	p.wakeFor(w)
+	p.noteGrown(w)
 }
 
 // tried closes a worker set aside again once it has got its trial. A task that lasts
@@ -166,7 +166,7 @@
 			w.health = health{}
 			p.reindex(w)
 			p.emit(Restored{Worker: w.name})
-			p.wakeFor(w)
+			p.noteGrown(w)
 		case !h.trial && !h.next.After(p.now):
 			p.openTrial(w)
 		}
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -132,7 +132,7 @@
 		p.allocate(r, w)
 	}
 	p.reindex(w)
-	p.wakeFor(w)
+	p.noteGrown(w)
 }
 
 // rescale makes the indexes hold a worker of that size.
@@ -160,7 +160,7 @@
 	if w.reservation != nil && !w.reservation.entry.Size.Fits(w.size) {
 		p.unmark(w.reservation.entry)
 	}
-	p.wakeFor(w)
+	p.noteGrown(w)
 }
 
 func (p *Placer) inNameOrder() []*worker {
@@ -193,7 +193,7 @@
 		return
 	}
 	p.release(task)
-	p.wakeFor(r.worker)
+	p.noteGrown(r.worker)
 	p.queue.wake(func(s *shape) bool {
 		switch s.blocked {
 		case RowTaskLimit, RowSizeLimit:
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -119,11 +119,11 @@
 	p.account(r, r.size, -1)
 	r.size = ev.Size
 	p.account(r, r.size, 1)
-	p.wakeFor(r.worker)
+	p.noteGrown(r.worker)
 }
 
-// wakeFor notes that w has room that it had not when waiting work was tried.
-func (p *Placer) wakeFor(w *worker) {
+// noteGrown notes that w has room that it had not when waiting work was tried.
+func (p *Placer) noteGrown(w *worker) {
 	if w.acceptsTasks() && !slices.Contains(p.grownWorkers, w) {
 		p.grownWorkers = append(p.grownWorkers, w)
 	}
