--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -214,7 +214,7 @@
 			p.tryEntry(e)
 			continue
 		}
-		e := p.refill()
+		e := p.nextRetry()
 		if e == nil {
 			p.sweep()
 			return
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -129,10 +129,10 @@
 	}
 }
 
-// refill returns the blocked entry that goes first of those that fit a worker
+// nextRetry returns the blocked entry that goes first of those that fit a worker
 // which has got room, nil when there is none. All other blocked work was found
 // to fit nowhere and nothing has changed for it, so it is not tried again.
-func (p *Placer) refill() *entry {
+func (p *Placer) nextRetry() *entry {
 	for len(p.grownWorkers) > 0 {
 		w := p.grownWorkers[0]
 		e := p.queue.passing(p.fairShare, func(s *shape) bool { return s.looked != p.step && p.passes(s, w) })
