--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -135,7 +135,7 @@
 func (p *Placer) nextRetry() *entry {
 	for len(p.grownWorkers) > 0 {
 		w := p.grownWorkers[0]
-		e := p.queue.passing(p.fairShare, func(s *shape) bool { return s.looked != p.step && p.passes(s, w) })
+		e := p.queue.passing(p.fairShare, func(s *shape) bool { return s.looked != p.step && p.mayFit(s, w) })
 		if e != nil {
 			e.shape.looked = p.step
 			p.queue.ready(e.shape)
@@ -146,7 +146,7 @@
 	return nil
 }
 
-func (p *Placer) passes(s *shape, w *worker) bool {
+func (p *Placer) mayFit(s *shape, w *worker) bool {
 	switch s.blocked {
 	case NoCapacity, GangTooLarge:
 		return s.size.Fits(w.free)
