--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -8,9 +8,9 @@
 	"pollencroft/internal/cell"
 )
 
-// mark keeps the room of a worker for one entry. Other work may use it only
+// reservation keeps the room of a worker for one entry. Other work may use it only
 // when it is expected to end before From.
-type mark struct {
+type reservation struct {
 	entry *entry
 	from  time.Time
 	// until ends a mark whose room never came free, as when the worker that
@@ -38,7 +38,7 @@
 	if w.reservation == nil {
 		e.marked = append(e.marked, w)
 	}
-	w.reservation = &mark{entry: e, from: from, until: p.now.Add(markFor)}
+	w.reservation = &reservation{entry: e, from: from, until: p.now.Add(markFor)}
 }
 
 func (p *Placer) unmark(e *entry) {
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -19,7 +19,7 @@
 	tasks       map[string]*allocation
 	rows        map[string]int
 	positions   [sortings]position
-	reservation *mark
+	reservation *reservation
 	health      health
 	// lastSuccess is when a task last ended well there.
 	lastSuccess time.Time
