--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -13,9 +13,9 @@
 type reservation struct {
 	entry *entry
 	from  time.Time
-	// until ends a mark whose room never came free, as when the worker that
+	// expires ends a mark whose room never came free, as when the worker that
 	// was asked to stop a task is silent.
-	until time.Time
+	expires time.Time
 }
 
 // markFor is how long a mark holds before it is set anew.
@@ -38,7 +38,7 @@
 	if w.reservation == nil {
 		e.marked = append(e.marked, w)
 	}
-	w.reservation = &reservation{entry: e, from: from, until: p.now.Add(markFor)}
+	w.reservation = &reservation{entry: e, from: from, expires: p.now.Add(markFor)}
 }
 
 func (p *Placer) unmark(e *entry) {
@@ -56,7 +56,7 @@
 
 func (p *Placer) expireMarks() {
 	for _, w := range p.inNameOrder() {
-		if m := w.reservation; m != nil && (!m.entry.waiting() || !m.until.After(p.now)) {
+		if m := w.reservation; m != nil && (!m.entry.waiting() || !m.expires.After(p.now)) {
 			p.unmark(m.entry)
 		}
 	}
