--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -11,8 +11,8 @@
 // reservation keeps the room of a worker for one entry. Other work may use it only
 // when it is expected to end before From.
 type reservation struct {
-	entry *entry
-	from  time.Time
+	entry       *entry
+	availableAt time.Time
 	// expires ends a mark whose room never came free, as when the worker that
 	// was asked to stop a task is silent.
 	expires time.Time
@@ -28,7 +28,7 @@
 	if e.Class == cell.Urgent && p.urgentUsage.size.Share(p.total) < p.limits.UrgentCap {
 		return true
 	}
-	return e.RunTime > 0 && !p.now.Add(e.RunTime).After(w.reservation.from)
+	return e.RunTime > 0 && !p.now.Add(e.RunTime).After(w.reservation.availableAt)
 }
 
 func (p *Placer) keep(e *entry, w *worker, from time.Time) {
@@ -38,7 +38,7 @@
 	if w.reservation == nil {
 		e.marked = append(e.marked, w)
 	}
-	w.reservation = &reservation{entry: e, from: from, expires: p.now.Add(markFor)}
+	w.reservation = &reservation{entry: e, availableAt: from, expires: p.now.Add(markFor)}
 }
 
 func (p *Placer) unmark(e *entry) {
