--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -18,8 +18,8 @@
 	expires time.Time
 }
 
-// markFor is how long a mark holds before it is set anew.
-const markFor = 5 * time.Second
+// reservationTTL is how long a mark holds before it is set anew.
+const reservationTTL = 5 * time.Second
 
 func (p *Placer) markedFor(w *worker, e *entry) bool {
 	if w.reservation == nil || w.reservation.entry == e {
@@ -38,7 +38,7 @@
 	if w.reservation == nil {
 		e.marked = append(e.marked, w)
 	}
-	w.reservation = &reservation{entry: e, availableAt: from, expires: p.now.Add(markFor)}
+	w.reservation = &reservation{entry: e, availableAt: from, expires: p.now.Add(reservationTTL)}
 }
 
 func (p *Placer) unmark(e *entry) {
