--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -21,7 +21,7 @@
 // reservationTTL is how long a mark holds before it is set anew.
 const reservationTTL = 5 * time.Second
 
-func (p *Placer) markedFor(w *worker, e *entry) bool {
+func (p *Placer) reservationAllows(w *worker, e *entry) bool {
 	if w.reservation == nil || w.reservation.entry == e {
 		return true
 	}
@@ -101,7 +101,7 @@
 	var n int64
 	back := len(e.Avoid) > 0 && !p.fitsWithoutAvoided(e)
 	for _, w := range p.workers {
-		if w.acceptsTasks() && (p.usable(w, e) || back && p.mayRetryOn(w, e) && p.markedFor(w, e)) {
+		if w.acceptsTasks() && (p.usable(w, e) || back && p.mayRetryOn(w, e) && p.reservationAllows(w, e)) {
 			n += copies(w.free, e.Size)
 		}
 		if n >= int64(e.live) {
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -294,7 +294,7 @@
 	if len(e.Avoid) == 0 || p.fitsWithoutAvoided(e) {
 		return nil
 	}
-	return p.index.best(e.Size, func(w *worker) bool { return p.mayRetryOn(w, e) && p.markedFor(w, e) })
+	return p.index.best(e.Size, func(w *worker) bool { return p.mayRetryOn(w, e) && p.reservationAllows(w, e) })
 }
 
 // mayRetryOn tells whether the entry's tasks may be put on a worker that they have failed on. Tried
@@ -334,7 +334,7 @@
 }
 
 func (p *Placer) usable(w *worker, e *entry) bool {
-	return !slices.Contains(e.Avoid, w.name) && p.markedFor(w, e)
+	return !slices.Contains(e.Avoid, w.name) && p.reservationAllows(w, e)
 }
 
 // bestSpread prefers the racks that run the fewest tasks of the row.
