--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -31,7 +31,7 @@
 	return e.RunTime > 0 && !p.now.Add(e.RunTime).After(w.reservation.availableAt)
 }
 
-func (p *Placer) keep(e *entry, w *worker, from time.Time) {
+func (p *Placer) reserve(e *entry, w *worker, from time.Time) {
 	if w.reservation != nil && w.reservation.entry != e {
 		return
 	}
@@ -173,7 +173,7 @@
 	slices.SortStableFunc(all, func(a, b opening) int { return cmp.Compare(a.at.UnixNano(), b.at.UnixNano()) })
 	from := all[need-1].at
 	for _, o := range all[:need] {
-		p.keep(e, o.worker, from)
+		p.reserve(e, o.worker, from)
 	}
 }
 
--- a/internal/place/preempt.go
+++ b/internal/place/preempt.go
@@ -31,7 +31,7 @@
 	if best == nil {
 		return
 	}
-	p.keep(e, best, p.now)
+	p.reserve(e, best, p.now)
 	for _, r := range victims {
 		r.preempting = true
 		p.emit(Preempt{Task: r.task, Worker: best.name, Reason: "urgent job " + e.Job + " found no room"})
