--- a/internal/place/declared.go
+++ b/internal/place/declared.go
@@ -66,7 +66,7 @@
 	for _, task := range w.Tasks {
 		p.queue.drop(task)
 	}
-	p.unmark(e)
+	p.cancelReservations(e)
 	p.queue.add(p.now, w)
 	if e == p.overdue {
 		p.overdue = p.queue.tasks[w.Tasks[0]]
--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -41,7 +41,7 @@
 	w.reservation = &reservation{entry: e, availableAt: from, expires: p.now.Add(reservationTTL)}
 }
 
-func (p *Placer) unmark(e *entry) {
+func (p *Placer) cancelReservations(e *entry) {
 	marked := e.marked
 	e.marked = nil
 	for _, w := range marked {
@@ -57,7 +57,7 @@
 func (p *Placer) expireMarks() {
 	for _, w := range p.inNameOrder() {
 		if m := w.reservation; m != nil && (!m.entry.waiting() || !m.expires.After(p.now)) {
-			p.unmark(m.entry)
+			p.cancelReservations(m.entry)
 		}
 	}
 }
@@ -116,7 +116,7 @@
 // each other's room.
 func (p *Placer) lookForOverdue() {
 	if p.overdue != nil && p.overdue.waiting() && p.overdue.shape.blocked.limit() {
-		p.unmark(p.overdue)
+		p.cancelReservations(p.overdue)
 		p.overdue = nil
 	}
 	if p.overdue == nil || !p.overdue.waiting() {
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -158,7 +158,7 @@
 	p.rescale(w)
 	p.reindex(w)
 	if w.reservation != nil && !w.reservation.entry.Size.Fits(w.size) {
-		p.unmark(w.reservation.entry)
+		p.cancelReservations(w.reservation.entry)
 	}
 	p.noteGrown(w)
 }
@@ -278,7 +278,7 @@
 	p.tried(w)
 	p.emit(Assign{Task: task, Worker: w.name})
 	if !e.waiting() {
-		p.unmark(e)
+		p.cancelReservations(e)
 	}
 }
 
