--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -54,7 +54,7 @@
 	}
 }
 
-func (p *Placer) expireMarks() {
+func (p *Placer) expireReservations() {
 	for _, w := range p.inNameOrder() {
 		if m := w.reservation; m != nil && (!m.entry.waiting() || !m.expires.After(p.now)) {
 			p.cancelReservations(m.entry)
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -110,7 +110,7 @@
 		return
 	}
 	p.lastTick = p.now
-	p.expireMarks()
+	p.expireReservations()
 	p.lookForOverdue()
 	p.giveUpCorrections()
 	p.trials()
