--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -65,7 +65,7 @@
 // tryGang gives all waiting tasks of a gang room, or none. Half a gang would
 // hold room while it waits for the rest, and two halves for ever.
 func (p *Placer) tryGang(e *entry) {
-	if p.holds(e) < int64(e.live) {
+	if p.countFittingTasks(e) < int64(e.live) {
 		p.queue.block(e.shape, GangTooLarge)
 		return
 	}
@@ -96,8 +96,8 @@
 	}
 }
 
-// holds is how many of the entry's tasks the free room could take now.
-func (p *Placer) holds(e *entry) int64 {
+// countFittingTasks is how many of the entry's tasks the free room could take now.
+func (p *Placer) countFittingTasks(e *entry) int64 {
 	var n int64
 	back := len(e.Avoid) > 0 && !p.fitsWithoutAvoided(e)
 	for _, w := range p.workers {
