--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -111,10 +111,10 @@
 	return n
 }
 
-// lookForOverdue finds the job that is the longest over its class's time and
+// updateOverdue finds the job that is the longest over its class's time and
 // keeps room for it: one at a time, so that two all-at-once jobs cannot hold
 // each other's room.
-func (p *Placer) lookForOverdue() {
+func (p *Placer) updateOverdue() {
 	if p.overdue != nil && p.overdue.waiting() && p.overdue.shape.blocked.limit() {
 		p.cancelReservations(p.overdue)
 		p.overdue = nil
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -111,7 +111,7 @@
 	}
 	p.lastTick = p.now
 	p.expireReservations()
-	p.lookForOverdue()
+	p.updateOverdue()
 	p.giveUpCorrections()
 	p.trials()
 	p.wakeAfterAvoid()
