--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -120,14 +120,14 @@
 		p.overdue = nil
 	}
 	if p.overdue == nil || !p.overdue.waiting() {
-		p.overdue = p.oldest()
+		p.overdue = p.mostOverdue()
 	}
 	if p.overdue != nil {
 		p.earmark(p.overdue)
 	}
 }
 
-func (p *Placer) oldest() *entry {
+func (p *Placer) mostOverdue() *entry {
 	var oldest *entry
 	var most time.Duration
 	for _, lanes := range p.queue.order {
