--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -123,7 +123,7 @@
 		p.overdue = p.mostOverdue()
 	}
 	if p.overdue != nil {
-		p.earmark(p.overdue)
+		p.reserveEarliest(p.overdue)
 	}
 }
 
@@ -152,8 +152,8 @@
 	at     time.Time
 }
 
-// earmark keeps the workers that are expected to have room first.
-func (p *Placer) earmark(e *entry) {
+// reserveEarliest keeps the workers that are expected to have room first.
+func (p *Placer) reserveEarliest(e *entry) {
 	if len(e.marked) > 0 {
 		return
 	}
