--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -187,7 +187,7 @@
 		}
 	}
 	slices.SortFunc(rooms, func(a, b *allocation) int {
-		return cmp.Or(cmp.Compare(p.ends(a).UnixNano(), p.ends(b).UnixNano()), cmp.Compare(a.task, b.task))
+		return cmp.Or(cmp.Compare(p.expectedEnd(a).UnixNano(), p.expectedEnd(b).UnixNano()), cmp.Compare(a.task, b.task))
 	})
 	free, at := w.free, p.now
 	var all []opening
@@ -200,13 +200,13 @@
 			return all
 		}
 		free = free.Add(rooms[i].size)
-		at = p.ends(rooms[i])
+		at = p.expectedEnd(rooms[i])
 	}
 }
 
-// ends is when a task is expected to end. One that runs longer than expected
+// expectedEnd is when a task is expected to end. One that runs longer than expected
 // is taken to run another quarter of its time so far.
-func (p *Placer) ends(r *allocation) time.Time {
+func (p *Placer) expectedEnd(r *allocation) time.Time {
 	if r.plannedEnd.After(p.now) {
 		return r.plannedEnd
 	}
