--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -70,7 +70,7 @@
 		return
 	}
 	var chosen []*worker
-	var rooms []*allocation
+	var allocations []*allocation
 	for i, task := range e.Tasks {
 		if p.queue.tasks[task] != e {
 			continue
@@ -82,9 +82,9 @@
 		// The room is taken under a name of its own until all are found.
 		r := &allocation{task: e.Tasks[i], row: e.Row, team: e.Team, class: e.Class, size: e.Size}
 		p.allocate(r, w)
-		chosen, rooms = append(chosen, w), append(rooms, r)
+		chosen, allocations = append(chosen, w), append(allocations, r)
 	}
-	for _, r := range rooms {
+	for _, r := range allocations {
 		p.release(r.task)
 	}
 	if len(chosen) < e.live {
