--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -180,13 +180,13 @@
 // openings are the times at which w is expected to have room for one more
 // task of that size, and one more again.
 func (p *Placer) openings(w *worker, size cell.Size) []opening {
-	var rooms []*allocation
+	var timed []*allocation
 	for _, r := range w.tasks {
 		if !r.plannedEnd.IsZero() {
-			rooms = append(rooms, r)
+			timed = append(timed, r)
 		}
 	}
-	slices.SortFunc(rooms, func(a, b *allocation) int {
+	slices.SortFunc(timed, func(a, b *allocation) int {
 		return cmp.Or(cmp.Compare(p.expectedEnd(a).UnixNano(), p.expectedEnd(b).UnixNano()), cmp.Compare(a.task, b.task))
 	})
 	free, at := w.free, p.now
@@ -196,11 +196,11 @@
 			free = free.Sub(size)
 			all = append(all, opening{worker: w, at: at})
 		}
-		if i == len(rooms) {
+		if i == len(timed) {
 			return all
 		}
-		free = free.Add(rooms[i].size)
-		at = p.expectedEnd(rooms[i])
+		free = free.Add(timed[i].size)
+		at = p.expectedEnd(timed[i])
 	}
 }
 
