--- a/internal/place/declared.go
+++ b/internal/place/declared.go
@@ -38,7 +38,7 @@
 func (p *Placer) couldRun(e *entry, size cell.Size) bool {
 	need := int64(1)
 	if e.Gang {
-		need = int64(e.live)
+		need = int64(e.pending)
 	}
 	for _, w := range p.workers {
 		if w.acceptsTasks() {
--- a/internal/place/explain.go
+++ b/internal/place/explain.go
@@ -21,7 +21,7 @@
 	if !ok {
 		return "", false
 	}
-	text := fmt.Sprintf("%d tasks of class %s wait: %s; each takes %+v, %+v of %+v are free on %d workers", e.live, e.Class, e.shape.blocked, e.Size, p.free, p.total, len(p.workers))
+	text := fmt.Sprintf("%d tasks of class %s wait: %s; each takes %+v, %+v of %+v are free on %d workers", e.pending, e.Class, e.shape.blocked, e.Size, p.free, p.total, len(p.workers))
 	if e == p.overdue {
 		text += "; it is overdue, so room is kept for it"
 	}
--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -65,7 +65,7 @@
 // tryGang gives all waiting tasks of a gang room, or none. Half a gang would
 // hold room while it waits for the rest, and two halves for ever.
 func (p *Placer) tryGang(e *entry) {
-	if p.countFittingTasks(e) < int64(e.live) {
+	if p.countFittingTasks(e) < int64(e.pending) {
 		p.queue.block(e.shape, GangTooLarge)
 		return
 	}
@@ -87,7 +87,7 @@
 	for _, r := range allocations {
 		p.release(r.task)
 	}
-	if len(chosen) < e.live {
+	if len(chosen) < e.pending {
 		p.queue.block(e.shape, GangTooLarge)
 		return
 	}
@@ -104,7 +104,7 @@
 		if w.acceptsTasks() && (p.usable(w, e) || back && p.mayRetryOn(w, e) && p.reservationAllows(w, e)) {
 			n += copies(w.free, e.Size)
 		}
-		if n >= int64(e.live) {
+		if n >= int64(e.pending) {
 			break
 		}
 	}
@@ -159,7 +159,7 @@
 	}
 	need := 1
 	if e.Gang {
-		need = e.live
+		need = e.pending
 	}
 	var all []opening
 	for _, w := range p.inNameOrder() {
--- a/internal/place/limits.go
+++ b/internal/place/limits.go
@@ -10,7 +10,7 @@
 func (p *Placer) allowed(e *entry) BlockReason {
 	n := int64(1)
 	if e.Gang {
-		n = int64(e.live)
+		n = int64(e.pending)
 	}
 	size := times(e.Size, n)
 	row, team := p.rowUsage[e.Row], p.teamUsage[e.Team]
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -323,7 +323,7 @@
 func (p *Placer) fitsWithoutAvoided(e *entry) bool {
 	need := int64(1)
 	if e.Gang {
-		need = int64(e.live)
+		need = int64(e.pending)
 	}
 	for _, w := range p.workers {
 		if w.acceptsTasks() && e.Size.Fits(w.size) && !slices.Contains(e.Avoid, w.name) {
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -28,13 +28,13 @@
 // entry is one job's tasks that wait for room.
 type entry struct {
 	Request
-	seq    int64
-	shape  *shape
-	live   int
-	marked []*worker
+	seq     int64
+	shape   *shape
+	pending int
+	marked  []*worker
 }
 
-func (e *entry) waiting() bool { return e.live > 0 }
+func (e *entry) waiting() bool { return e.pending > 0 }
 
 // shape is waiting work of one row that fits or does not fit alike, so that it
 // is tried and blocked as one. The work behind it is not held up.
@@ -116,7 +116,7 @@
 	for _, task := range w.Tasks {
 		if _, ok := q.tasks[task]; !ok {
 			q.tasks[task] = e
-			e.live++
+			e.pending++
 		}
 	}
 	l := q.lane(w)
@@ -144,7 +144,7 @@
 		return false
 	}
 	delete(q.tasks, task)
-	e.live--
+	e.pending--
 	return true
 }
 
