--- a/internal/place/explain.go
+++ b/internal/place/explain.go
@@ -25,7 +25,7 @@
 	if e == p.overdue {
 		text += "; it is overdue, so room is kept for it"
 	}
-	if n := len(e.marked); n > 0 {
+	if n := len(e.reserved); n > 0 {
 		text += fmt.Sprintf(" on %d workers", n)
 	}
 	return text, true
--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -36,14 +36,14 @@
 		return
 	}
 	if w.reservation == nil {
-		e.marked = append(e.marked, w)
+		e.reserved = append(e.reserved, w)
 	}
 	w.reservation = &reservation{entry: e, availableAt: from, expires: p.now.Add(reservationTTL)}
 }
 
 func (p *Placer) cancelReservations(e *entry) {
-	marked := e.marked
-	e.marked = nil
+	marked := e.reserved
+	e.reserved = nil
 	for _, w := range marked {
 		w.reservation = nil
 	}
@@ -154,7 +154,7 @@
 
 // reserveEarliest keeps the workers that are expected to have room first.
 func (p *Placer) reserveEarliest(e *entry) {
-	if len(e.marked) > 0 {
+	if len(e.reserved) > 0 {
 		return
 	}
 	need := 1
--- a/internal/place/preempt.go
+++ b/internal/place/preempt.go
@@ -16,7 +16,7 @@
 // One worker's worth is asked for at a time; the worker is kept for the job
 // meanwhile, else the next bulk task would take what was freed.
 func (p *Placer) makeRoom(e *entry) {
-	if e.Class != cell.Urgent || len(e.marked) > 0 {
+	if e.Class != cell.Urgent || len(e.reserved) > 0 {
 		return
 	}
 	var best *worker
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -28,10 +28,10 @@
 // entry is one job's tasks that wait for room.
 type entry struct {
 	Request
-	seq     int64
-	shape   *shape
-	pending int
-	marked  []*worker
+	seq      int64
+	shape    *shape
+	pending  int
+	reserved []*worker
 }
 
 func (e *entry) waiting() bool { return e.pending > 0 }
