--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -222,7 +222,7 @@
 		p.tryEntry(e)
 		if e.shape.blocked == Ready {
 			// The others have their turn before this one's next task.
-			e.shape.looked = 0
+			e.shape.lastRetry = 0
 			p.queue.block(e.shape, NoCapacity)
 		}
 	}
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -43,9 +43,9 @@
 	size    cell.Size
 	time    time.Duration
 	blocked BlockReason
-	// looked is the step in which the shape was last tried again.
-	looked  int64
-	entries []*entry
+	// lastRetry is the step in which the shape was last tried again.
+	lastRetry int64
+	entries   []*entry
 }
 
 // head is the oldest entry that still waits.
