--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -193,15 +193,15 @@
 	}
 }
 
-// deserts orders lanes of one class by what their team and row have already.
-type deserts func(*lane) (team, row float64)
+// usageFunc orders lanes of one class by what their team and row have already.
+type usageFunc func(*lane) (team, row float64)
 
 // next returns the ready entry that goes first: by class, then by what the
 // lane deserves, then by age.
-func (q *queue) next(of deserts) *entry { return q.goesFirst(of, q.first) }
+func (q *queue) next(of usageFunc) *entry { return q.goesFirst(of, q.first) }
 
 // passing returns the blocked entry that goes first of those that pass.
-func (q *queue) passing(of deserts, passed func(*shape) bool) *entry {
+func (q *queue) passing(of usageFunc, passed func(*shape) bool) *entry {
 	return q.goesFirst(of, func(l *lane) *entry {
 		var first *entry
 		for _, s := range l.shapes {
@@ -216,7 +216,7 @@
 	})
 }
 
-func (q *queue) goesFirst(of deserts, in func(*lane) *entry) *entry {
+func (q *queue) goesFirst(of usageFunc, in func(*lane) *entry) *entry {
 	for _, lanes := range q.order {
 		var first *entry
 		var firstTeam, firstRow float64
