--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -115,7 +115,7 @@
 // keeps room for it: one at a time, so that two all-at-once jobs cannot hold
 // each other's room.
 func (p *Placer) updateOverdue() {
-	if p.overdue != nil && p.overdue.waiting() && p.overdue.shape.blocked.limit() {
+	if p.overdue != nil && p.overdue.waiting() && p.overdue.shape.blocked.isLimit() {
 		p.cancelReservations(p.overdue)
 		p.overdue = nil
 	}
@@ -135,7 +135,7 @@
 			for _, s := range l.shapes {
 				e := s.head()
 				limit := p.limits.OverdueAfter[l.class]
-				if e == nil || limit == 0 || s.blocked.limit() {
+				if e == nil || limit == 0 || s.blocked.isLimit() {
 					continue
 				}
 				if over := p.now.Sub(e.Since) - limit; over > most {
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -21,9 +21,9 @@
 	ReservedForUrgent
 )
 
-// limit tells whether the work waits for a limit of the table, which no room
+// isLimit tells whether the work waits for a isLimit of the table, which no room
 // that is kept for it can help.
-func (b BlockReason) limit() bool { return b == RowTaskLimit || b == RowSizeLimit || b == TeamQuota }
+func (b BlockReason) isLimit() bool { return b == RowTaskLimit || b == RowSizeLimit || b == TeamQuota }
 
 // entry is one job's tasks that wait for room.
 type entry struct {
@@ -271,7 +271,7 @@
 			for _, e := range s.entries {
 				e.Rule = ev.Rule
 			}
-			if s.blocked.limit() {
+			if s.blocked.isLimit() {
 				q.ready(s)
 			}
 		}
