--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -167,7 +167,7 @@
 	}
 }
 
-func (q *queue) ready(s *shape) {
+func (q *queue) markReady(s *shape) {
 	if s.blocked != Ready {
 		s.blocked = Ready
 		s.lane.ready = append(s.lane.ready, s)
@@ -185,7 +185,7 @@
 					return true
 				}
 				if s.blocked != Ready && passed(s) {
-					q.ready(s)
+					q.markReady(s)
 				}
 				return false
 			})
@@ -272,7 +272,7 @@
 				e.Rule = ev.Rule
 			}
 			if s.blocked.isLimit() {
-				q.ready(s)
+				q.markReady(s)
 			}
 		}
 	}
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -138,7 +138,7 @@
 		e := p.queue.passing(p.fairShare, func(s *shape) bool { return s.lastRetry != p.step && p.mayFit(s, w) })
 		if e != nil {
 			e.shape.lastRetry = p.step
-			p.queue.ready(e.shape)
+			p.queue.markReady(e.shape)
 			return e
 		}
 		p.grownWorkers = p.grownWorkers[1:]
