--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -181,7 +181,7 @@
 		for _, l := range lanes {
 			l.shapes = slices.DeleteFunc(l.shapes, func(s *shape) bool {
 				if s.head() == nil {
-					q.forget(s)
+					q.deleteShape(s)
 					return true
 				}
 				if s.blocked != Ready && passed(s) {
@@ -245,14 +245,14 @@
 			first = e
 		}
 		if e == nil {
-			q.forget(s)
+			q.deleteShape(s)
 		}
 		return e == nil
 	})
 	return first
 }
 
-func (q *queue) forget(s *shape) {
+func (q *queue) deleteShape(s *shape) {
 	key := shapeKey{laneKey: laneKey{class: s.lane.class, row: s.lane.row, team: s.lane.team}, size: s.size, time: s.time}
 	if q.shapes[key] == s {
 		delete(q.shapes, key)
