--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -200,8 +200,8 @@
 // lane deserves, then by age.
 func (q *queue) next(of usageFunc) *entry { return q.goesFirst(of, q.first) }
 
-// passing returns the blocked entry that goes first of those that pass.
-func (q *queue) passing(of usageFunc, passed func(*shape) bool) *entry {
+// nextBlocked returns the blocked entry that goes first of those that pass.
+func (q *queue) nextBlocked(of usageFunc, passed func(*shape) bool) *entry {
 	return q.goesFirst(of, func(l *lane) *entry {
 		var first *entry
 		for _, s := range l.shapes {
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -135,7 +135,7 @@
 func (p *Placer) nextRetry() *entry {
 	for len(p.grownWorkers) > 0 {
 		w := p.grownWorkers[0]
-		e := p.queue.passing(p.fairShare, func(s *shape) bool { return s.lastRetry != p.step && p.mayFit(s, w) })
+		e := p.queue.nextBlocked(p.fairShare, func(s *shape) bool { return s.lastRetry != p.step && p.mayFit(s, w) })
 		if e != nil {
 			e.shape.lastRetry = p.step
 			p.queue.markReady(e.shape)
