--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -198,11 +198,11 @@
 
 // next returns the ready entry that goes first: by class, then by what the
 // lane deserves, then by age.
-func (q *queue) next(of usageFunc) *entry { return q.goesFirst(of, q.first) }
+func (q *queue) next(of usageFunc) *entry { return q.firstInOrder(of, q.first) }
 
 // nextBlocked returns the blocked entry that goes first of those that pass.
 func (q *queue) nextBlocked(of usageFunc, passed func(*shape) bool) *entry {
-	return q.goesFirst(of, func(l *lane) *entry {
+	return q.firstInOrder(of, func(l *lane) *entry {
 		var first *entry
 		for _, s := range l.shapes {
 			if s.blocked == Ready || !passed(s) {
@@ -216,7 +216,7 @@
 	})
 }
 
-func (q *queue) goesFirst(of usageFunc, in func(*lane) *entry) *entry {
+func (q *queue) firstInOrder(of usageFunc, in func(*lane) *entry) *entry {
 	for _, lanes := range q.order {
 		var first *entry
 		var firstTeam, firstRow float64
