--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -198,7 +198,7 @@
 
 // next returns the ready entry that goes first: by class, then by what the
 // lane deserves, then by age.
-func (q *queue) next(of usageFunc) *entry { return q.firstInOrder(of, q.first) }
+func (q *queue) next(of usageFunc) *entry { return q.firstInOrder(of, q.firstReady) }
 
 // nextBlocked returns the blocked entry that goes first of those that pass.
 func (q *queue) nextBlocked(of usageFunc, passed func(*shape) bool) *entry {
@@ -237,7 +237,7 @@
 	return nil
 }
 
-func (q *queue) first(l *lane) *entry {
+func (q *queue) firstReady(l *lane) *entry {
 	var first *entry
 	l.ready = slices.DeleteFunc(l.ready, func(s *shape) bool {
 		e := s.head()
