--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -92,7 +92,7 @@
 	case Result:
 		p.result(ev)
 	case RuleChanged:
-		p.queue.ruled(ev)
+		p.queue.applyRule(ev)
 	case Tick:
 		p.tick()
 	}
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -259,9 +259,9 @@
 	}
 }
 
-// ruled applies what the table says now to work that waits already. Without it
+// applyRule applies what the table says now to work that waits already. Without it
 // an accepted edit would be in force for new jobs only.
-func (q *queue) ruled(ev RuleChanged) {
+func (q *queue) applyRule(ev RuleChanged) {
 	for key, l := range q.lanes {
 		if key.row != ev.Row {
 			continue
