--- a/internal/place/preempt.go
+++ b/internal/place/preempt.go
@@ -8,9 +8,9 @@
 	"pollencroft/internal/cell"
 )
 
-// compared is how many workers are weighed for one preemption; the index
+// maxCandidates is how many workers are weighed for one preemption; the index
 // brings those first that would be left the fullest.
-const compared = 16
+const maxCandidates = 16
 
 // makeRoom stops the cheapest bulk work for an urgent job that found no room.
 // One worker's worth is asked for at a time; the worker is kept for the job
@@ -22,7 +22,7 @@
 	var best *worker
 	var victims []*allocation
 	var least float64
-	for _, w := range p.preemptIndex.some(compared, e.Size, func(w *worker) bool { return p.usable(w, e) }) {
+	for _, w := range p.preemptIndex.some(maxCandidates, e.Size, func(w *worker) bool { return p.usable(w, e) }) {
 		chosen, cost, ok := p.victims(w, e.Size)
 		if ok && (best == nil || cost < least || cost == least && w.name < best.name) {
 			best, victims, least = w, chosen, cost
