--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -262,7 +262,7 @@
 	w := p.bestWorker(e)
 	if w == nil {
 		p.queue.block(e.shape, NoCapacity)
-		p.makeRoom(e)
+		p.preemptFor(e)
 		return
 	}
 	p.assign(e, w)
--- a/internal/place/preempt.go
+++ b/internal/place/preempt.go
@@ -12,10 +12,10 @@
 // brings those first that would be left the fullest.
 const maxCandidates = 16
 
-// makeRoom stops the cheapest bulk work for an urgent job that found no room.
+// preemptFor stops the cheapest bulk work for an urgent job that found no room.
 // One worker's worth is asked for at a time; the worker is kept for the job
 // meanwhile, else the next bulk task would take what was freed.
-func (p *Placer) makeRoom(e *entry) {
+func (p *Placer) preemptFor(e *entry) {
 	if e.Class != cell.Urgent || len(e.reserved) > 0 {
 		return
 	}
