--- a/internal/place/preempt.go
+++ b/internal/place/preempt.go
@@ -70,10 +70,10 @@
 	return (1 + p.now.Sub(r.started).Seconds()) * r.size.Share(r.worker.size)
 }
 
-// relieve brings a worker back to what it holds when tasks are seen to use more
+// relieveOverload brings a worker back to what it holds when tasks are seen to use more
 // than it has. What they may use at most is no reason to stop any of them. Processor time can be held back, so the task that took most over
 // is throttled first; memory cannot, so a task is checkpointed and stopped.
-func (p *Placer) relieve(w *worker) {
+func (p *Placer) relieveOverload(w *worker) {
 	free := w.size.Sub(w.usage)
 	if free.CPU < 0 {
 		p.throttle(w, -free.CPU)
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -112,7 +112,7 @@
 	}
 	r.worker.usage = r.worker.usage.Add(ev.Use).Sub(r.usage)
 	r.usage = ev.Use
-	p.relieve(r.worker)
+	p.relieveOverload(r.worker)
 	if r.size == ev.Size {
 		return
 	}
