--- a/internal/place/preempt.go
+++ b/internal/place/preempt.go
@@ -84,7 +84,7 @@
 		}
 	}
 	for free.Mem < 0 || free.Accel < 0 {
-		r := p.cheapest(w)
+		r := p.cheapestVictim(w)
 		if r == nil {
 			return
 		}
@@ -108,8 +108,8 @@
 	}
 }
 
-// cheapest is the least urgent task that costs least to stop.
-func (p *Placer) cheapest(w *worker) *allocation {
+// cheapestVictim is the least urgent task that costs least to stop.
+func (p *Placer) cheapestVictim(w *worker) *allocation {
 	var best *allocation
 	for _, r := range w.tasks {
 		if r.preempting || r.usage.Mem == 0 {
