--- a/internal/place/limits.go
+++ b/internal/place/limits.go
@@ -6,8 +6,8 @@
 	"pollencroft/internal/cell"
 )
 
-// allowed returns what forbids one more of the entry's tasks, or Ready.
-func (p *Placer) allowed(e *entry) BlockReason {
+// checkLimits returns what forbids one more of the entry's tasks, or Ready.
+func (p *Placer) checkLimits(e *entry) BlockReason {
 	n := int64(1)
 	if e.Gang {
 		n = int64(e.pending)
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -251,7 +251,7 @@
 }
 
 func (p *Placer) tryEntry(e *entry) {
-	if why := p.allowed(e); why != Ready {
+	if why := p.checkLimits(e); why != Ready {
 		p.queue.block(e.shape, why)
 		return
 	}
