--- a/internal/place/limits.go
+++ b/internal/place/limits.go
@@ -21,17 +21,17 @@
 		return RowSizeLimit
 	case e.QuotaTasks != 0 && team.tasks+n > e.QuotaTasks, overSize(team.size.Add(size), e.Quota) != "":
 		return TeamQuota
-	case e.Class == cell.Bulk && !p.beyondReserve(size), p.crowdsOut(e, size):
+	case e.Class == cell.Bulk && !p.keepsUrgentReserve(size), p.crowdsOut(e, size):
 		return ReservedForUrgent
 	default:
 		return Ready
 	}
 }
 
-// beyondReserve tells whether the urgent reserve stays whole when bulk work
+// keepsUrgentReserve tells whether the urgent reserve stays whole when bulk work
 // takes that much. Without it a night's bulk work would take the last room,
 // and an urgent task would have to wait for a stop.
-func (p *Placer) beyondReserve(size cell.Size) bool {
+func (p *Placer) keepsUrgentReserve(size cell.Size) bool {
 	return p.free.Sub(size).Least(p.total) >= p.limits.UrgentReserve
 }
 
@@ -43,7 +43,7 @@
 	if old == nil || old == e || e.Class == cell.Urgent || old.Class != cell.Bulk || !old.waiting() {
 		return false
 	}
-	return !p.beyondReserve(size.Add(old.Size))
+	return !p.keepsUrgentReserve(size.Add(old.Size))
 }
 
 // overSize names the first part of size that is over its limit. A part of
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -151,7 +151,7 @@
 	case NoCapacity, GangTooLarge:
 		return s.size.Fits(w.free)
 	case ReservedForUrgent:
-		return p.beyondReserve(s.size)
+		return p.keepsUrgentReserve(s.size)
 	default:
 		return false
 	}
