--- a/internal/place/limits.go
+++ b/internal/place/limits.go
@@ -21,7 +21,7 @@
 		return RowSizeLimit
 	case e.QuotaTasks != 0 && team.tasks+n > e.QuotaTasks, overSize(team.size.Add(size), e.Quota) != "":
 		return TeamQuota
-	case e.Class == cell.Bulk && !p.keepsUrgentReserve(size), p.crowdsOut(e, size):
+	case e.Class == cell.Bulk && !p.keepsUrgentReserve(size), p.delaysOverdueBulk(e, size):
 		return ReservedForUrgent
 	default:
 		return Ready
@@ -35,10 +35,10 @@
 	return p.free.Sub(size).Least(p.total) >= p.limits.UrgentReserve
 }
 
-// crowdsOut tells whether normal work would take what an overdue bulk job waits
+// delaysOverdueBulk tells whether normal work would take what an overdue bulk job waits
 // for. The bulk job alone has to leave the reserve whole, so other work that
 // takes each piece as it comes free would lock it out for ever.
-func (p *Placer) crowdsOut(e *entry, size cell.Size) bool {
+func (p *Placer) delaysOverdueBulk(e *entry, size cell.Size) bool {
 	old := p.overdue
 	if old == nil || old == e || e.Class == cell.Urgent || old.Class != cell.Bulk || !old.waiting() {
 		return false
