--- a/internal/place/limits.go
+++ b/internal/place/limits.go
@@ -17,9 +17,9 @@
 	switch {
 	case e.MaxTasks != 0 && row.tasks+n > e.MaxTasks:
 		return RowTaskLimit
-	case overSize(row.size.Add(size), e.Limit) != "":
+	case exceededPart(row.size.Add(size), e.Limit) != "":
 		return RowSizeLimit
-	case e.QuotaTasks != 0 && team.tasks+n > e.QuotaTasks, overSize(team.size.Add(size), e.Quota) != "":
+	case e.QuotaTasks != 0 && team.tasks+n > e.QuotaTasks, exceededPart(team.size.Add(size), e.Quota) != "":
 		return TeamQuota
 	case e.Class == cell.Bulk && !p.keepsUrgentReserve(size), p.delaysOverdueBulk(e, size):
 		return ReservedForUrgent
@@ -46,9 +46,9 @@
 	return !p.keepsUrgentReserve(size.Add(old.Size))
 }
 
-// overSize names the first part of size that is over its limit. A part of
+// exceededPart names the first part of size that is over its limit. A part of
 // zero is open, a negative one allows nothing.
-func overSize(size, limit cell.Size) string {
+func exceededPart(size, limit cell.Size) string {
 	switch {
 	case limit.CPU != 0 && size.CPU > limit.CPU:
 		return "cpu"
@@ -107,7 +107,7 @@
 		name string
 		size cell.Size
 	}{{"the row's room", w.Limit}, {"the team's quota", w.Quota}} {
-		if part := overSize(together, l.size); part != "" {
+		if part := exceededPart(together, l.size); part != "" {
 			return never(l.name, part, together, l.size)
 		}
 	}
@@ -138,7 +138,7 @@
 // nearest is the first part that the largest worker lacks, or "all parts at
 // once" when no worker has them together.
 func nearest(size, largest cell.Size) string {
-	if part := overSize(size, cell.Size{CPU: max(largest.CPU, 1), Mem: max(largest.Mem, 1)}); part != "" {
+	if part := exceededPart(size, cell.Size{CPU: max(largest.CPU, 1), Mem: max(largest.Mem, 1)}); part != "" {
 		return part
 	}
 	if size.Accel > largest.Accel {
