--- a/internal/place/limits.go
+++ b/internal/place/limits.go
@@ -12,7 +12,7 @@
 	if e.Gang {
 		n = int64(e.pending)
 	}
-	size := times(e.Size, n)
+	size := multiply(e.Size, n)
 	row, team := p.rowUsage[e.Row], p.teamUsage[e.Team]
 	switch {
 	case e.MaxTasks != 0 && row.tasks+n > e.MaxTasks:
@@ -61,9 +61,9 @@
 	}
 }
 
-// times is size n times over; parts that overflow stay at the largest number,
+// multiply is size n multiply over; parts that overflow stay at the largest number,
 // which fits nowhere.
-func times(size cell.Size, n int64) cell.Size {
+func multiply(size cell.Size, n int64) cell.Size {
 	return cell.Size{CPU: timesPart(size.CPU, n), Mem: timesPart(size.Mem, n), Accel: timesPart(size.Accel, n)}
 }
 
@@ -102,7 +102,7 @@
 			return &InfeasibleError{Limit: l.name, Needed: n, Available: max(l.has, 0)}
 		}
 	}
-	together := times(w.Size, n)
+	together := multiply(w.Size, n)
 	for _, l := range []struct {
 		name string
 		size cell.Size
