--- a/internal/place/limits.go
+++ b/internal/place/limits.go
@@ -64,12 +64,12 @@
 // multiply is size n multiply over; parts that overflow stay at the largest number,
 // which fits nowhere.
 func multiply(size cell.Size, n int64) cell.Size {
-	return cell.Size{CPU: timesPart(size.CPU, n), Mem: timesPart(size.Mem, n), Accel: timesPart(size.Accel, n)}
+	return cell.Size{CPU: multiplyPart(size.CPU, n), Mem: multiplyPart(size.Mem, n), Accel: multiplyPart(size.Accel, n)}
 }
 
 const most = int64(1)<<62 - 1
 
-func timesPart(v, n int64) int64 {
+func multiplyPart(v, n int64) int64 {
 	if v > 0 && n > most/v {
 		return most
 	}
