--- a/internal/place/limits.go
+++ b/internal/place/limits.go
@@ -67,11 +67,11 @@
 	return cell.Size{CPU: multiplyPart(size.CPU, n), Mem: multiplyPart(size.Mem, n), Accel: multiplyPart(size.Accel, n)}
 }
 
-const most = int64(1)<<62 - 1
+const maxPart = int64(1)<<62 - 1
 
 func multiplyPart(v, n int64) int64 {
-	if v > 0 && n > most/v {
-		return most
+	if v > 0 && n > maxPart/v {
+		return maxPart
 	}
 	return v * n
 }
@@ -155,7 +155,7 @@
 
 // copies is how many tasks of that size go into room.
 func copies(room, size cell.Size) int64 {
-	n := most
+	n := maxPart
 	for _, part := range [][2]int64{{room.CPU, size.CPU}, {room.Mem, size.Mem}, {room.Accel, size.Accel}} {
 		if part[1] > 0 {
 			n = min(n, max(part[0], 0)/part[1])
