--- a/internal/place/limits.go
+++ b/internal/place/limits.go
@@ -111,10 +111,10 @@
 			return never(l.name, part, together, l.size)
 		}
 	}
-	return p.neverFits(w, n)
+	return p.checkWorkers(w, n)
 }
 
-func (p *Placer) neverFits(w Request, n int64) error {
+func (p *Placer) checkWorkers(w Request, n int64) error {
 	if len(p.workers) == 0 {
 		return nil
 	}
