--- a/internal/place/limits.go
+++ b/internal/place/limits.go
@@ -126,7 +126,7 @@
 		}
 	}
 	if !fits {
-		part := nearest(w.Size, p.index.most)
+		part := lackingPart(w.Size, p.index.most)
 		return never("the largest worker", part, w.Size, p.index.most)
 	}
 	if w.Gang && holds < n {
@@ -135,9 +135,9 @@
 	return nil
 }
 
-// nearest is the first part that the largest worker lacks, or "all parts at
+// lackingPart is the first part that the largest worker lacks, or "all parts at
 // once" when no worker has them together.
-func nearest(size, largest cell.Size) string {
+func lackingPart(size, largest cell.Size) string {
 	if part := exceededPart(size, cell.Size{CPU: max(largest.CPU, 1), Mem: max(largest.Mem, 1)}); part != "" {
 		return part
 	}
