--- a/internal/place/limits.go
+++ b/internal/place/limits.go
@@ -108,7 +108,7 @@
 		size cell.Size
 	}{{"the row's room", w.Limit}, {"the team's quota", w.Quota}} {
 		if part := exceededPart(together, l.size); part != "" {
-			return never(l.name, part, together, l.size)
+			return infeasible(l.name, part, together, l.size)
 		}
 	}
 	return p.checkWorkers(w, n)
@@ -127,7 +127,7 @@
 	}
 	if !fits {
 		part := lackingPart(w.Size, p.index.most)
-		return never("the largest worker", part, w.Size, p.index.most)
+		return infeasible("the largest worker", part, w.Size, p.index.most)
 	}
 	if w.Gang && holds < n {
 		return &InfeasibleError{Limit: "tasks that all workers hold at once", Needed: n, Available: holds}
@@ -147,7 +147,7 @@
 	return "cpu with mem and accel"
 }
 
-func never(limit, part string, needed, has cell.Size) error {
+func infeasible(limit, part string, needed, has cell.Size) error {
 	parts := map[string][2]int64{"cpu": {needed.CPU, has.CPU}, "mem": {needed.Mem, has.Mem}, "accel": {needed.Accel, has.Accel}}
 	v := parts[part]
 	return &InfeasibleError{Limit: part + " of " + limit, Needed: v[0], Available: v[1]}
