--- a/internal/place/declared.go
+++ b/internal/place/declared.go
@@ -42,7 +42,7 @@
 	}
 	for _, w := range p.workers {
 		if w.acceptsTasks() {
-			need -= copies(p.besideLasting(w, e.Class), size)
+			need -= countFitting(p.besideLasting(w, e.Class), size)
 		}
 	}
 	return need <= 0
--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -102,7 +102,7 @@
 	back := len(e.Avoid) > 0 && !p.fitsWithoutAvoided(e)
 	for _, w := range p.workers {
 		if w.acceptsTasks() && (p.usable(w, e) || back && p.mayRetryOn(w, e) && p.reservationAllows(w, e)) {
-			n += copies(w.free, e.Size)
+			n += countFitting(w.free, e.Size)
 		}
 		if n >= int64(e.pending) {
 			break
--- a/internal/place/limits.go
+++ b/internal/place/limits.go
@@ -122,7 +122,7 @@
 	for _, k := range p.workers {
 		if w.Size.Fits(k.size) {
 			fits = true
-			holds += copies(k.size, w.Size)
+			holds += countFitting(k.size, w.Size)
 		}
 	}
 	if !fits {
@@ -153,8 +153,8 @@
 	return &InfeasibleError{Limit: part + " of " + limit, Needed: v[0], Available: v[1]}
 }
 
-// copies is how many tasks of that size go into room.
-func copies(room, size cell.Size) int64 {
+// countFitting is how many tasks of that size go into room.
+func countFitting(room, size cell.Size) int64 {
 	n := maxPart
 	for _, part := range [][2]int64{{room.CPU, size.CPU}, {room.Mem, size.Mem}, {room.Accel, size.Accel}} {
 		if part[1] > 0 {
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -327,7 +327,7 @@
 	}
 	for _, w := range p.workers {
 		if w.acceptsTasks() && e.Size.Fits(w.size) && !slices.Contains(e.Avoid, w.name) {
-			need -= copies(w.size, e.Size)
+			need -= countFitting(w.size, e.Size)
 		}
 	}
 	return need <= 0
