--- a/internal/place/limits.go
+++ b/internal/place/limits.go
@@ -102,13 +102,13 @@
 			return &InfeasibleError{Limit: l.name, Needed: n, Available: max(l.has, 0)}
 		}
 	}
-	together := multiply(w.Size, n)
+	total := multiply(w.Size, n)
 	for _, l := range []struct {
 		name string
 		size cell.Size
 	}{{"the row's room", w.Limit}, {"the team's quota", w.Quota}} {
-		if part := exceededPart(together, l.size); part != "" {
-			return infeasible(l.name, part, together, l.size)
+		if part := exceededPart(total, l.size); part != "" {
+			return infeasible(l.name, part, total, l.size)
 		}
 	}
 	return p.checkWorkers(w, n)
