--- a/internal/place/health.go
+++ b/internal/place/health.go
@@ -4,8 +4,8 @@
 
 // health is what is known of how a worker does its work.
 type health struct {
-	recent []outcome
-	aside  bool
+	recent      []outcome
+	quarantined bool
 	// trial lets one task through while the worker is set aside.
 	trial  bool
 	next   time.Time
@@ -83,12 +83,12 @@
 	if len(h.recent) > recentKept {
 		h.recent = h.recent[1:]
 	}
-	if h.aside {
+	if h.quarantined {
 		p.judgeTrial(w, ev.Failed)
 		return
 	}
 	if ev.Failed && p.unexplained(w) >= excess && p.mayAside() {
-		h.aside, h.trial, h.wait = true, false, p.limits.TrialInterval
+		h.quarantined, h.trial, h.wait = true, false, p.limits.TrialInterval
 		h.next = p.now.Add(h.wait)
 		p.reindex(w)
 		p.emit(Quarantined{Worker: w.name})
@@ -111,7 +111,7 @@
 func (p *Placer) mayAside() bool {
 	aside := 1
 	for _, w := range p.workers {
-		if w.health.aside {
+		if w.health.quarantined {
 			aside++
 		}
 	}
@@ -148,7 +148,7 @@
 // says nothing of it for hours, and whoever cannot do without the worker would wait as
 // long: the next trial is after twice the wait, whatever this one says until then.
 func (p *Placer) tried(w *worker) {
-	if h := &w.health; h.aside {
+	if h := &w.health; h.quarantined {
 		h.trial = false
 		h.next = p.now.Add(min(2*h.wait, longestTrial))
 		p.reindex(w)
@@ -161,7 +161,7 @@
 	for _, w := range p.inNameOrder() {
 		h := &w.health
 		switch {
-		case !h.aside:
+		case !h.quarantined:
 		case p.unexplained(w) < excess/2:
 			w.health = health{}
 			p.reindex(w)
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -396,7 +396,7 @@
 func (p *Placer) QuarantinedWorkers() []string {
 	var all []string
 	for _, w := range p.inNameOrder() {
-		if w.health.aside {
+		if w.health.quarantined {
 			all = append(all, w.name)
 		}
 	}
