--- a/internal/place/health.go
+++ b/internal/place/health.go
@@ -6,11 +6,11 @@
 type health struct {
 	recent      []outcome
 	quarantined bool
-	// trial lets one task through while the worker is set aside.
-	trial  bool
-	next   time.Time
-	wait   time.Duration
-	passed int
+	// trialOpen lets one task through while the worker is set aside.
+	trialOpen bool
+	next      time.Time
+	wait      time.Duration
+	passed    int
 }
 
 type outcome struct {
@@ -88,7 +88,7 @@
 		return
 	}
 	if ev.Failed && p.unexplained(w) >= excess && p.mayAside() {
-		h.quarantined, h.trial, h.wait = true, false, p.limits.TrialInterval
+		h.quarantined, h.trialOpen, h.wait = true, false, p.limits.TrialInterval
 		h.next = p.now.Add(h.wait)
 		p.reindex(w)
 		p.emit(Quarantined{Worker: w.name})
@@ -121,7 +121,7 @@
 func (p *Placer) judgeTrial(w *worker, failed bool) {
 	h := &w.health
 	if failed {
-		h.passed, h.trial = 0, false
+		h.passed, h.trialOpen = 0, false
 		h.wait = min(2*h.wait, longestTrial)
 		h.next = p.now.Add(h.wait)
 		p.reindex(w)
@@ -139,7 +139,7 @@
 }
 
 func (p *Placer) openTrial(w *worker) {
-	w.health.trial = true
+	w.health.trialOpen = true
 	p.reindex(w)
 	p.noteGrown(w)
 }
@@ -149,7 +149,7 @@
 // long: the next trial is after twice the wait, whatever this one says until then.
 func (p *Placer) tried(w *worker) {
 	if h := &w.health; h.quarantined {
-		h.trial = false
+		h.trialOpen = false
 		h.next = p.now.Add(min(2*h.wait, longestTrial))
 		p.reindex(w)
 	}
@@ -167,7 +167,7 @@
 			p.reindex(w)
 			p.emit(Restored{Worker: w.name})
 			p.noteGrown(w)
-		case !h.trial && !h.next.After(p.now):
+		case !h.trialOpen && !h.next.After(p.now):
 			p.openTrial(w)
 		}
 	}
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -29,7 +29,7 @@
 func (w *worker) freeShareAfter(size cell.Size) float64 { return w.free.Sub(size).Share(w.size) }
 
 // acceptsTasks tells whether the worker may get a task at all.
-func (w *worker) acceptsTasks() bool { return !w.health.quarantined || w.health.trial }
+func (w *worker) acceptsTasks() bool { return !w.health.quarantined || w.health.trialOpen }
 
 // allocation is what one running task takes.
 type allocation struct {
