--- a/internal/place/health.go
+++ b/internal/place/health.go
@@ -8,7 +8,7 @@
 	quarantined bool
 	// trialOpen lets one task through while the worker is set aside.
 	trialOpen bool
-	next      time.Time
+	nextTrial time.Time
 	wait      time.Duration
 	passed    int
 }
@@ -89,7 +89,7 @@
 	}
 	if ev.Failed && p.unexplained(w) >= excess && p.mayAside() {
 		h.quarantined, h.trialOpen, h.wait = true, false, p.limits.TrialInterval
-		h.next = p.now.Add(h.wait)
+		h.nextTrial = p.now.Add(h.wait)
 		p.reindex(w)
 		p.emit(Quarantined{Worker: w.name})
 	}
@@ -123,7 +123,7 @@
 	if failed {
 		h.passed, h.trialOpen = 0, false
 		h.wait = min(2*h.wait, longestTrial)
-		h.next = p.now.Add(h.wait)
+		h.nextTrial = p.now.Add(h.wait)
 		p.reindex(w)
 		return
 	}
@@ -150,7 +150,7 @@
 func (p *Placer) tried(w *worker) {
 	if h := &w.health; h.quarantined {
 		h.trialOpen = false
-		h.next = p.now.Add(min(2*h.wait, longestTrial))
+		h.nextTrial = p.now.Add(min(2*h.wait, longestTrial))
 		p.reindex(w)
 	}
 }
@@ -167,7 +167,7 @@
 			p.reindex(w)
 			p.emit(Restored{Worker: w.name})
 			p.noteGrown(w)
-		case !h.trialOpen && !h.next.After(p.now):
+		case !h.trialOpen && !h.nextTrial.After(p.now):
 			p.openTrial(w)
 		}
 	}
