--- a/internal/place/health.go
+++ b/internal/place/health.go
@@ -7,10 +7,10 @@
 	recent      []outcome
 	quarantined bool
 	// trialOpen lets one task through while the worker is set aside.
-	trialOpen bool
-	nextTrial time.Time
-	wait      time.Duration
-	passed    int
+	trialOpen     bool
+	nextTrial     time.Time
+	trialInterval time.Duration
+	passed        int
 }
 
 type outcome struct {
@@ -88,8 +88,8 @@
 		return
 	}
 	if ev.Failed && p.unexplained(w) >= excess && p.mayAside() {
-		h.quarantined, h.trialOpen, h.wait = true, false, p.limits.TrialInterval
-		h.nextTrial = p.now.Add(h.wait)
+		h.quarantined, h.trialOpen, h.trialInterval = true, false, p.limits.TrialInterval
+		h.nextTrial = p.now.Add(h.trialInterval)
 		p.reindex(w)
 		p.emit(Quarantined{Worker: w.name})
 	}
@@ -122,8 +122,8 @@
 	h := &w.health
 	if failed {
 		h.passed, h.trialOpen = 0, false
-		h.wait = min(2*h.wait, longestTrial)
-		h.nextTrial = p.now.Add(h.wait)
+		h.trialInterval = min(2*h.trialInterval, longestTrial)
+		h.nextTrial = p.now.Add(h.trialInterval)
 		p.reindex(w)
 		return
 	}
@@ -150,7 +150,7 @@
 func (p *Placer) tried(w *worker) {
 	if h := &w.health; h.quarantined {
 		h.trialOpen = false
-		h.nextTrial = p.now.Add(min(2*h.wait, longestTrial))
+		h.nextTrial = p.now.Add(min(2*h.trialInterval, longestTrial))
 		p.reindex(w)
 	}
 }
