--- a/internal/place/health.go
+++ b/internal/place/health.go
@@ -10,7 +10,7 @@
 	trialOpen     bool
 	nextTrial     time.Time
 	trialInterval time.Duration
-	passed        int
+	passedTrials  int
 }
 
 type outcome struct {
@@ -121,14 +121,14 @@
 func (p *Placer) judgeTrial(w *worker, failed bool) {
 	h := &w.health
 	if failed {
-		h.passed, h.trialOpen = 0, false
+		h.passedTrials, h.trialOpen = 0, false
 		h.trialInterval = min(2*h.trialInterval, longestTrial)
 		h.nextTrial = p.now.Add(h.trialInterval)
 		p.reindex(w)
 		return
 	}
-	h.passed++
-	if h.passed < trialsPassed {
+	h.passedTrials++
+	if h.passedTrials < trialsPassed {
 		p.openTrial(w)
 		return
 	}
