--- a/internal/place/health.go
+++ b/internal/place/health.go
@@ -21,7 +21,7 @@
 // Judging a worker by its own failures alone would condemn workers for a row's
 // bug. Each failure therefore counts by how rarely the row fails elsewhere.
 const (
-	recentKept = 16
+	maxRecent = 16
 	// excess is how many failures more than the rows explain set a worker
 	// aside.
 	excess = 2.5
@@ -80,7 +80,7 @@
 	}
 	h := &w.health
 	h.recent = append(h.recent, outcome{row: ev.Row, failed: ev.Failed})
-	if len(h.recent) > recentKept {
+	if len(h.recent) > maxRecent {
 		h.recent = h.recent[1:]
 	}
 	if h.quarantined {
