--- a/internal/place/health.go
+++ b/internal/place/health.go
@@ -22,9 +22,9 @@
 // bug. Each failure therefore counts by how rarely the row fails elsewhere.
 const (
 	maxRecent = 16
-	// excess is how many failures more than the rows explain set a worker
+	// quarantineThreshold is how many failures more than the rows explain set a worker
 	// aside.
-	excess = 2.5
+	quarantineThreshold = 2.5
 	// trialsPassed bring a worker back.
 	trialsPassed = 2
 	longestTrial = 10 * time.Minute
@@ -87,7 +87,7 @@
 		p.judgeTrial(w, ev.Failed)
 		return
 	}
-	if ev.Failed && p.unexplained(w) >= excess && p.mayAside() {
+	if ev.Failed && p.unexplained(w) >= quarantineThreshold && p.mayAside() {
 		h.quarantined, h.trialOpen, h.trialInterval = true, false, p.limits.TrialInterval
 		h.nextTrial = p.now.Add(h.trialInterval)
 		p.reindex(w)
@@ -162,7 +162,7 @@
 		h := &w.health
 		switch {
 		case !h.quarantined:
-		case p.unexplained(w) < excess/2:
+		case p.unexplained(w) < quarantineThreshold/2:
 			w.health = health{}
 			p.reindex(w)
 			p.emit(Restored{Worker: w.name})
