--- a/internal/place/health.go
+++ b/internal/place/health.go
@@ -25,9 +25,9 @@
 	// quarantineThreshold is how many failures more than the rows explain set a worker
 	// aside.
 	quarantineThreshold = 2.5
-	// trialsPassed bring a worker back.
-	trialsPassed = 2
-	longestTrial = 10 * time.Minute
+	// trialsToRestore bring a worker back.
+	trialsToRestore = 2
+	longestTrial    = 10 * time.Minute
 	// priorFailed of priorRan runs are thought to have failed before a row
 	// has been seen.
 	priorFailed, priorRan = 0.2, 2
@@ -128,7 +128,7 @@
 		return
 	}
 	h.passedTrials++
-	if h.passedTrials < trialsPassed {
+	if h.passedTrials < trialsToRestore {
 		p.openTrial(w)
 		return
 	}
