--- a/internal/place/health.go
+++ b/internal/place/health.go
@@ -26,8 +26,8 @@
 	// aside.
 	quarantineThreshold = 2.5
 	// trialsToRestore bring a worker back.
-	trialsToRestore = 2
-	longestTrial    = 10 * time.Minute
+	trialsToRestore  = 2
+	maxTrialInterval = 10 * time.Minute
 	// priorFailed of priorRan runs are thought to have failed before a row
 	// has been seen.
 	priorFailed, priorRan = 0.2, 2
@@ -122,7 +122,7 @@
 	h := &w.health
 	if failed {
 		h.passedTrials, h.trialOpen = 0, false
-		h.trialInterval = min(2*h.trialInterval, longestTrial)
+		h.trialInterval = min(2*h.trialInterval, maxTrialInterval)
 		h.nextTrial = p.now.Add(h.trialInterval)
 		p.reindex(w)
 		return
@@ -150,7 +150,7 @@
 func (p *Placer) tried(w *worker) {
 	if h := &w.health; h.quarantined {
 		h.trialOpen = false
-		h.nextTrial = p.now.Add(min(2*h.trialInterval, longestTrial))
+		h.nextTrial = p.now.Add(min(2*h.trialInterval, maxTrialInterval))
 		p.reindex(w)
 	}
 }
