--- a/internal/place/health.go
+++ b/internal/place/health.go
@@ -42,12 +42,12 @@
 
 func newResults() results { return results{rows: map[string]tally{}} }
 
-const fade = 0.99
+const decay = 0.99
 
 func (r *results) add(row string, failed bool) {
 	t := r.rows[row]
-	t.ran = t.ran*fade + 1
-	t.failed *= fade
+	t.ran = t.ran*decay + 1
+	t.failed *= decay
 	if failed {
 		t.failed++
 	}
