--- a/internal/place/health.go
+++ b/internal/place/health.go
@@ -54,8 +54,8 @@
 	r.rows[row] = t
 }
 
-// rate is how often the row fails on other workers than this one.
-func (r *results) rate(row string, here []outcome) float64 {
+// failureRateElsewhere is how often the row fails on other workers than this one.
+func (r *results) failureRateElsewhere(row string, here []outcome) float64 {
 	t := r.rows[row]
 	for _, o := range here {
 		if o.row != row {
@@ -99,7 +99,7 @@
 func (p *Placer) unexplained(w *worker) float64 {
 	var sum float64
 	for _, o := range w.health.recent {
-		sum -= p.results.rate(o.row, w.health.recent)
+		sum -= p.results.failureRateElsewhere(o.row, w.health.recent)
 		if o.failed {
 			sum++
 		}
