--- a/internal/place/health.go
+++ b/internal/place/health.go
@@ -69,7 +69,7 @@
 	return min(1, (max(t.failed, 0)+priorFailed)/(max(t.ran, 0)+priorRan))
 }
 
-func (p *Placer) result(ev Result) {
+func (p *Placer) recordResult(ev Result) {
 	p.results.add(ev.Row, ev.Failed)
 	w, ok := p.workers[ev.Worker]
 	if !ok {
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -90,7 +90,7 @@
 	case TaskResized:
 		p.resizeTask(ev)
 	case Result:
-		p.result(ev)
+		p.recordResult(ev)
 	case RuleChanged:
 		p.queue.applyRule(ev)
 	case Tick:
