--- a/internal/place/health.go
+++ b/internal/place/health.go
@@ -87,7 +87,7 @@
 		p.judgeTrial(w, ev.Failed)
 		return
 	}
-	if ev.Failed && p.unexplained(w) >= quarantineThreshold && p.mayAside() {
+	if ev.Failed && p.unexplainedFailures(w) >= quarantineThreshold && p.mayAside() {
 		h.quarantined, h.trialOpen, h.trialInterval = true, false, p.limits.TrialInterval
 		h.nextTrial = p.now.Add(h.trialInterval)
 		p.reindex(w)
@@ -95,8 +95,8 @@
 	}
 }
 
-// unexplained is how many of the worker's failures the rows do not explain.
-func (p *Placer) unexplained(w *worker) float64 {
+// unexplainedFailures is how many of the worker's failures the rows do not explain.
+func (p *Placer) unexplainedFailures(w *worker) float64 {
 	var sum float64
 	for _, o := range w.health.recent {
 		sum -= p.results.failureRateElsewhere(o.row, w.health.recent)
@@ -162,7 +162,7 @@
 		h := &w.health
 		switch {
 		case !h.quarantined:
-		case p.unexplained(w) < quarantineThreshold/2:
+		case p.unexplainedFailures(w) < quarantineThreshold/2:
 			w.health = health{}
 			p.reindex(w)
 			p.emit(Restored{Worker: w.name})
