--- a/internal/place/health.go
+++ b/internal/place/health.go
@@ -87,7 +87,7 @@
 		p.judgeTrial(w, ev.Failed)
 		return
 	}
-	if ev.Failed && p.unexplainedFailures(w) >= quarantineThreshold && p.mayAside() {
+	if ev.Failed && p.unexplainedFailures(w) >= quarantineThreshold && p.mayQuarantine() {
 		h.quarantined, h.trialOpen, h.trialInterval = true, false, p.limits.TrialInterval
 		h.nextTrial = p.now.Add(h.trialInterval)
 		p.reindex(w)
@@ -107,8 +107,8 @@
 	return sum
 }
 
-// mayAside keeps a wrong verdict from emptying the domain.
-func (p *Placer) mayAside() bool {
+// mayQuarantine keeps a wrong verdict from emptying the domain.
+func (p *Placer) mayQuarantine() bool {
 	aside := 1
 	for _, w := range p.workers {
 		if w.health.quarantined {
