--- a/internal/place/health.go
+++ b/internal/place/health.go
@@ -109,13 +109,13 @@
 
 // mayQuarantine keeps a wrong verdict from emptying the domain.
 func (p *Placer) mayQuarantine() bool {
-	aside := 1
+	quarantined := 1
 	for _, w := range p.workers {
 		if w.health.quarantined {
-			aside++
+			quarantined++
 		}
 	}
-	return float64(aside) <= p.limits.MaxQuarantined*float64(len(p.workers))
+	return float64(quarantined) <= p.limits.MaxQuarantined*float64(len(p.workers))
 }
 
 func (p *Placer) judgeTrial(w *worker, failed bool) {
