--- a/internal/place/health.go
+++ b/internal/place/health.go
@@ -84,7 +84,7 @@
 		h.recent = h.recent[1:]
 	}
 	if h.quarantined {
-		p.judgeTrial(w, ev.Failed)
+		p.recordTrial(w, ev.Failed)
 		return
 	}
 	if ev.Failed && p.unexplainedFailures(w) >= quarantineThreshold && p.mayQuarantine() {
@@ -118,7 +118,7 @@
 	return float64(quarantined) <= p.limits.MaxQuarantined*float64(len(p.workers))
 }
 
-func (p *Placer) judgeTrial(w *worker, failed bool) {
+func (p *Placer) recordTrial(w *worker, failed bool) {
 	h := &w.health
 	if failed {
 		h.passedTrials, h.trialOpen = 0, false
