--- a/internal/place/health.go
+++ b/internal/place/health.go
@@ -144,10 +144,10 @@
 	p.noteGrown(w)
 }
 
-// tried closes a worker set aside again once it has got its trial. A task that lasts
+// closeTrial closes a worker set aside again once it has got its trial. A task that lasts
 // says nothing of it for hours, and whoever cannot do without the worker would wait as
 // long: the next trial is after twice the wait, whatever this one says until then.
-func (p *Placer) tried(w *worker) {
+func (p *Placer) closeTrial(w *worker) {
 	if h := &w.health; h.quarantined {
 		h.trialOpen = false
 		h.nextTrial = p.now.Add(min(2*h.trialInterval, maxTrialInterval))
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -275,7 +275,7 @@
 		r.plannedEnd = p.now.Add(e.RunTime)
 	}
 	p.allocate(r, w)
-	p.tried(w)
+	p.closeTrial(w)
 	p.emit(Assign{Task: task, Worker: w.name})
 	if !e.waiting() {
 		p.cancelReservations(e)
