--- a/internal/place/health.go
+++ b/internal/place/health.go
@@ -155,9 +155,9 @@
 	}
 }
 
-// trials opens the workers set aside whose time has come, and pardons those
+// reviewQuarantined opens the workers set aside whose time has come, and pardons those
 // whose failures turn out to be their rows' own.
-func (p *Placer) trials() {
+func (p *Placer) reviewQuarantined() {
 	for _, w := range p.inNameOrder() {
 		h := &w.health
 		switch {
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -113,7 +113,7 @@
 	p.expireReservations()
 	p.updateOverdue()
 	p.giveUpCorrections()
-	p.trials()
+	p.reviewQuarantined()
 	p.wakeAfterAvoid()
 }
 
