--- a/internal/place/index.go
+++ b/internal/place/index.go
@@ -28,19 +28,19 @@
 	cells [levels][levels][]*worker
 }
 
-// sorting says by what an index sorts workers.
-type sorting int
+// indexKey says by what an index sorts workers.
+type indexKey int
 
 const (
 	// byFree is what a worker has free.
-	byFree sorting = iota
+	byFree indexKey = iota
 	// byReach is what it would have free without its bulk tasks.
 	byReach
 	sortings
 )
 
 type index struct {
-	by    sorting
+	by    indexKey
 	most  cell.Size
 	grids [accelLevels]*grid
 }
