--- a/internal/place/index.go
+++ b/internal/place/index.go
@@ -34,8 +34,8 @@
 const (
 	// byFree is what a worker has free.
 	byFree indexKey = iota
-	// byReach is what it would have free without its bulk tasks.
-	byReach
+	// byFreeAfterPreemption is what it would have free without its bulk tasks.
+	byFreeAfterPreemption
 	sortings
 )
 
@@ -46,7 +46,7 @@
 }
 
 func (x *index) has(w *worker) cell.Size {
-	if x.by == byReach {
+	if x.by == byFreeAfterPreemption {
 		return w.free.Add(w.bulk)
 	}
 	return w.free
