--- a/internal/place/index.go
+++ b/internal/place/index.go
@@ -36,7 +36,7 @@
 	byFree indexKey = iota
 	// byFreeAfterPreemption is what it would have free without its bulk tasks.
 	byFreeAfterPreemption
-	sortings
+	indexCount
 )
 
 type index struct {
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -18,7 +18,7 @@
 	usage       cell.Size
 	tasks       map[string]*allocation
 	rows        map[string]int
-	positions   [sortings]position
+	positions   [indexCount]position
 	reservation *reservation
 	health      health
 	// lastSuccess is when a task last ended well there.
