--- a/internal/place/index.go
+++ b/internal/place/index.go
@@ -40,13 +40,13 @@
 )
 
 type index struct {
-	by    indexKey
+	key   indexKey
 	most  cell.Size
 	grids [accelLevels]*grid
 }
 
 func (x *index) has(w *worker) cell.Size {
-	if x.by == byFreeAfterPreemption {
+	if x.key == byFreeAfterPreemption {
 		return w.free.Add(w.bulk)
 	}
 	return w.free
@@ -93,7 +93,7 @@
 func (x *index) rebuild(all []*worker) {
 	x.grids = [accelLevels]*grid{}
 	for _, w := range all {
-		w.positions[x.by] = position{}
+		w.positions[x.key] = position{}
 		x.put(w)
 	}
 }
@@ -110,8 +110,8 @@
 		return
 	}
 	to := x.place(w)
-	to.slot = w.positions[x.by].slot
-	if w.positions[x.by] == to {
+	to.slot = w.positions[x.key].slot
+	if w.positions[x.key] == to {
 		return
 	}
 	x.drop(w)
@@ -123,12 +123,12 @@
 	to.slot = len(g.cells[to.cpu][to.mem])
 	g.cells[to.cpu][to.mem] = append(g.cells[to.cpu][to.mem], w)
 	g.bits[to.cpu] |= 1 << to.mem
-	w.positions[x.by] = to
+	w.positions[x.key] = to
 }
 
 func (x *index) drop(w *worker) {
-	at := w.positions[x.by]
-	w.positions[x.by] = position{}
+	at := w.positions[x.key]
+	w.positions[x.key] = position{}
 	if !at.in {
 		return
 	}
@@ -136,13 +136,13 @@
 	in := g.cells[at.cpu][at.mem]
 	last := len(in) - 1
 	in[at.slot] = in[last]
-	in[at.slot].positions[x.by].slot = at.slot
+	in[at.slot].positions[x.key].slot = at.slot
 	in[last] = nil
 	g.cells[at.cpu][at.mem] = in[:last]
 	if last == 0 {
 		g.bits[at.cpu] &^= 1 << at.mem
 	}
-	w.positions[x.by] = position{}
+	w.positions[x.key] = position{}
 }
 
 // best returns the usable worker that is about the fullest after taking size.
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -64,7 +64,7 @@
 func New(limits Limits) *Placer {
 	return &Placer{
 		limits: limits, workers: map[string]*worker{}, allocations: map[string]*allocation{}, rowUsage: map[string]usage{},
-		index: index{by: byFree}, preemptIndex: index{by: byFreeAfterPreemption}, teamUsage: map[string]usage{}, queue: newQueue(), results: newResults(),
+		index: index{key: byFree}, preemptIndex: index{key: byFreeAfterPreemption}, teamUsage: map[string]usage{}, queue: newQueue(), results: newResults(),
 	}
 }
 
