--- a/internal/place/index.go
+++ b/internal/place/index.go
@@ -40,9 +40,9 @@
 )
 
 type index struct {
-	key   indexKey
-	most  cell.Size
-	grids [accelLevels]*grid
+	key     indexKey
+	largest cell.Size
+	grids   [accelLevels]*grid
 }
 
 func (x *index) has(w *worker) cell.Size {
@@ -83,10 +83,10 @@
 
 // grows tells whether a worker of that size is larger than the scale.
 func (x *index) grows(size cell.Size) bool {
-	if size.Fits(x.most) {
+	if size.Fits(x.largest) {
 		return false
 	}
-	x.most = cell.Size{CPU: max(x.most.CPU, size.CPU), Mem: max(x.most.Mem, size.Mem), Accel: max(x.most.Accel, size.Accel)}
+	x.largest = cell.Size{CPU: max(x.largest.CPU, size.CPU), Mem: max(x.largest.Mem, size.Mem), Accel: max(x.largest.Accel, size.Accel)}
 	return true
 }
 
@@ -100,7 +100,7 @@
 
 func (x *index) place(w *worker) position {
 	has := x.has(w)
-	return position{in: true, accel: accelLevel(has.Accel), cpu: level(has.CPU, x.most.CPU), mem: level(has.Mem, x.most.Mem)}
+	return position{in: true, accel: accelLevel(has.Accel), cpu: level(has.CPU, x.largest.CPU), mem: level(has.Mem, x.largest.Mem)}
 }
 
 // put sorts a worker in by what it has free now, or out when it is not open.
@@ -147,7 +147,7 @@
 
 // best returns the usable worker that is about the fullest after taking size.
 func (x *index) best(size cell.Size, usable func(*worker) bool) *worker {
-	cpu, mem := level(size.CPU, x.most.CPU), level(size.Mem, x.most.Mem)
+	cpu, mem := level(size.CPU, x.largest.CPU), level(size.Mem, x.largest.Mem)
 	for a := accelLevel(size.Accel); a < accelLevels; a++ {
 		if x.grids[a] == nil {
 			continue
--- a/internal/place/limits.go
+++ b/internal/place/limits.go
@@ -126,8 +126,8 @@
 		}
 	}
 	if !fits {
-		part := lackingPart(w.Size, p.index.most)
-		return infeasible("the largest worker", part, w.Size, p.index.most)
+		part := lackingPart(w.Size, p.index.largest)
+		return infeasible("the largest worker", part, w.Size, p.index.largest)
 	}
 	if w.Gang && holds < n {
 		return &InfeasibleError{Limit: "tasks that all workers hold at once", Needed: n, Available: holds}
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -360,7 +360,7 @@
 // Largest returns the largest worker that is up in each part; false when no
 // worker is up.
 func (p *Placer) Largest() (cell.Size, bool) {
-	return p.index.most, len(p.workers) > 0
+	return p.index.largest, len(p.workers) > 0
 }
 
 // Waiting returns how many tasks wait for room.
