--- a/internal/place/index.go
+++ b/internal/place/index.go
@@ -18,7 +18,7 @@
 )
 
 type position struct {
-	in              bool
+	indexed         bool
 	accel, cpu, mem int
 	slot            int
 }
@@ -100,7 +100,7 @@
 
 func (x *index) place(w *worker) position {
 	has := x.has(w)
-	return position{in: true, accel: accelLevel(has.Accel), cpu: level(has.CPU, x.largest.CPU), mem: level(has.Mem, x.largest.Mem)}
+	return position{indexed: true, accel: accelLevel(has.Accel), cpu: level(has.CPU, x.largest.CPU), mem: level(has.Mem, x.largest.Mem)}
 }
 
 // put sorts a worker in by what it has free now, or out when it is not open.
@@ -129,7 +129,7 @@
 func (x *index) drop(w *worker) {
 	at := w.positions[x.key]
 	w.positions[x.key] = position{}
-	if !at.in {
+	if !at.indexed {
 		return
 	}
 	g := x.grids[at.accel]
