--- a/internal/place/index.go
+++ b/internal/place/index.go
@@ -45,7 +45,7 @@
 	grids   [accelLevels]*grid
 }
 
-func (x *index) has(w *worker) cell.Size {
+func (x *index) capacity(w *worker) cell.Size {
 	if x.key == byFreeAfterPreemption {
 		return w.free.Add(w.bulk)
 	}
@@ -99,7 +99,7 @@
 }
 
 func (x *index) place(w *worker) position {
-	has := x.has(w)
+	has := x.capacity(w)
 	return position{indexed: true, accel: accelLevel(has.Accel), cpu: level(has.CPU, x.largest.CPU), mem: level(has.Mem, x.largest.Mem)}
 }
 
@@ -198,7 +198,7 @@
 	var least float64
 	found := 0
 	for _, w := range in {
-		has := s.index.has(w)
+		has := s.index.capacity(w)
 		if !s.size.Fits(has) || !s.usable(w) {
 			continue
 		}
