--- a/internal/place/index.go
+++ b/internal/place/index.go
@@ -68,8 +68,8 @@
 
 func accelLevel(v int64) int { return min(bits.Len64(uint64(max(v, 0))), accelLevels-1) }
 
-// some returns up to n usable workers, about the fullest first.
-func (x *index) some(n int, size cell.Size, usable func(*worker) bool) []*worker {
+// candidates returns up to n usable workers, about the fullest first.
+func (x *index) candidates(n int, size cell.Size, usable func(*worker) bool) []*worker {
 	var found []*worker
 	x.best(size, func(w *worker) bool {
 		if len(found) == n || !usable(w) {
--- a/internal/place/preempt.go
+++ b/internal/place/preempt.go
@@ -22,7 +22,7 @@
 	var best *worker
 	var victims []*allocation
 	var least float64
-	for _, w := range p.preemptIndex.some(maxCandidates, e.Size, func(w *worker) bool { return p.usable(w, e) }) {
+	for _, w := range p.preemptIndex.candidates(maxCandidates, e.Size, func(w *worker) bool { return p.usable(w, e) }) {
 		chosen, cost, ok := p.victims(w, e.Size)
 		if ok && (best == nil || cost < least || cost == least && w.name < best.name) {
 			best, victims, least = w, chosen, cost
