--- a/internal/place/index.go
+++ b/internal/place/index.go
@@ -81,8 +81,8 @@
 	return found
 }
 
-// grows tells whether a worker of that size is larger than the scale.
-func (x *index) grows(size cell.Size) bool {
+// growScale tells whether a worker of that size is larger than the scale.
+func (x *index) growScale(size cell.Size) bool {
 	if size.Fits(x.largest) {
 		return false
 	}
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -137,9 +137,9 @@
 
 // rescale makes the indexes hold a worker of that size.
 func (p *Placer) rescale(w *worker) {
-	if p.index.grows(w.size) {
+	if p.index.growScale(w.size) {
 		p.index.rebuild(p.inNameOrder())
-		p.preemptIndex.grows(w.size)
+		p.preemptIndex.growScale(w.size)
 		p.preemptIndex.rebuild(p.inNameOrder())
 	}
 }
