--- a/internal/place/index.go
+++ b/internal/place/index.go
@@ -98,7 +98,7 @@
 	}
 }
 
-func (x *index) place(w *worker) position {
+func (x *index) positionOf(w *worker) position {
 	has := x.capacity(w)
 	return position{indexed: true, accel: accelLevel(has.Accel), cpu: level(has.CPU, x.largest.CPU), mem: level(has.Mem, x.largest.Mem)}
 }
@@ -109,7 +109,7 @@
 		x.drop(w)
 		return
 	}
-	to := x.place(w)
+	to := x.positionOf(w)
 	to.slot = w.positions[x.key].slot
 	if w.positions[x.key] == to {
 		return
