--- a/internal/place/index.go
+++ b/internal/place/index.go
@@ -94,7 +94,7 @@
 	x.grids = [accelLevels]*grid{}
 	for _, w := range all {
 		w.positions[x.key] = position{}
-		x.put(w)
+		x.insert(w)
 	}
 }
 
@@ -103,8 +103,8 @@
 	return position{indexed: true, accel: accelLevel(has.Accel), cpu: level(has.CPU, x.largest.CPU), mem: level(has.Mem, x.largest.Mem)}
 }
 
-// put sorts a worker in by what it has free now, or out when it is not open.
-func (x *index) put(w *worker) {
+// insert sorts a worker in by what it has free now, or out when it is not open.
+func (x *index) insert(w *worker) {
 	if !w.acceptsTasks() {
 		x.drop(w)
 		return
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -99,8 +99,8 @@
 
 // reindex brings a worker to its place in both indexes.
 func (p *Placer) reindex(w *worker) {
-	p.index.put(w)
-	p.preemptIndex.put(w)
+	p.index.insert(w)
+	p.preemptIndex.insert(w)
 }
 
 // resizeTask books what a task is seen to use. A worker that comes out overfull
