--- a/internal/place/index.go
+++ b/internal/place/index.go
@@ -106,7 +106,7 @@
 // insert sorts a worker in by what it has free now, or out when it is not open.
 func (x *index) insert(w *worker) {
 	if !w.acceptsTasks() {
-		x.drop(w)
+		x.remove(w)
 		return
 	}
 	to := x.positionOf(w)
@@ -114,7 +114,7 @@
 	if w.positions[x.key] == to {
 		return
 	}
-	x.drop(w)
+	x.remove(w)
 	g := x.grids[to.accel]
 	if g == nil {
 		g = &grid{}
@@ -126,7 +126,7 @@
 	w.positions[x.key] = to
 }
 
-func (x *index) drop(w *worker) {
+func (x *index) remove(w *worker) {
 	at := w.positions[x.key]
 	w.positions[x.key] = position{}
 	if !at.indexed {
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -179,8 +179,8 @@
 	for _, task := range slices.Sorted(maps.Keys(w.tasks)) {
 		p.release(task)
 	}
-	p.index.drop(w)
-	p.preemptIndex.drop(w)
+	p.index.remove(w)
+	p.preemptIndex.remove(w)
 	p.total = p.total.Sub(w.size)
 	p.free = p.free.Sub(w.free)
 	delete(p.workers, name)
