--- a/internal/place/index.go
+++ b/internal/place/index.go
@@ -183,9 +183,9 @@
 	return nil
 }
 
-// enough fitting workers of one cell are compared; they differ by less than
+// maxCompared fitting workers of one cell are compared; they differ by less than
 // one step of the scale.
-const enough = 8
+const maxCompared = 8
 
 type search struct {
 	index  *index
@@ -205,7 +205,7 @@
 		if left := has.Sub(s.size).Share(w.size); best == nil || left < least {
 			best, least = w, left
 		}
-		if found++; found == enough {
+		if found++; found == maxCompared {
 			break
 		}
 	}
