--- a/internal/place/declared.go
+++ b/internal/place/declared.go
@@ -6,10 +6,10 @@
 	"pollencroft/internal/cell"
 )
 
-// giveUpCorrections sizes waiting work as it was declared where its corrected size finds no
+// revertCorrections sizes waiting work as it was declared where its corrected size finds no
 // room: beside what lasts it never will, since workers have gone or were taken since it was
 // corrected, or it is what has waited for the longest time over its class's.
-func (p *Placer) giveUpCorrections() {
+func (p *Placer) revertCorrections() {
 	for _, lanes := range p.queue.order {
 		for _, l := range lanes {
 			for _, s := range slices.Clone(l.shapes) {
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -112,7 +112,7 @@
 	p.lastTick = p.now
 	p.expireReservations()
 	p.updateOverdue()
-	p.giveUpCorrections()
+	p.revertCorrections()
 	p.reviewQuarantined()
 	p.wakeAfterAvoid()
 }
