--- a/internal/place/declared.go
+++ b/internal/place/declared.go
@@ -13,13 +13,13 @@
 	for _, lanes := range p.queue.order {
 		for _, l := range lanes {
 			for _, s := range slices.Clone(l.shapes) {
-				p.giveUpCorrection(s)
+				p.revertCorrection(s)
 			}
 		}
 	}
 }
 
-func (p *Placer) giveUpCorrection(s *shape) {
+func (p *Placer) revertCorrection(s *shape) {
 	if s.blocked != NoCapacity && s.blocked != GangTooLarge {
 		return
 	}
