--- a/internal/place/declared.go
+++ b/internal/place/declared.go
@@ -27,15 +27,15 @@
 		if !e.waiting() || e.Declared == (cell.Size{}) || e.Declared == e.Size || !e.Declared.Fits(e.Size) {
 			continue
 		}
-		if e == p.overdue || !p.couldRun(e, e.Size) && p.couldRun(e, e.Declared) {
+		if e == p.overdue || !p.fitsBesideLongTasks(e, e.Size) && p.fitsBesideLongTasks(e, e.Declared) {
 			p.resize(e)
 		}
 	}
 }
 
-// couldRun tells whether an entry's tasks of that size would have room beside the tasks that run
+// fitsBesideLongTasks tells whether an entry's tasks of that size would have room beside the tasks that run
 // for longer than its class may wait.
-func (p *Placer) couldRun(e *entry, size cell.Size) bool {
+func (p *Placer) fitsBesideLongTasks(e *entry, size cell.Size) bool {
 	need := int64(1)
 	if e.Gang {
 		need = int64(e.pending)
