--- a/internal/place/declared.go
+++ b/internal/place/declared.go
@@ -42,13 +42,13 @@
 	}
 	for _, w := range p.workers {
 		if w.acceptsTasks() {
-			need -= countFitting(p.besideLasting(w, e.Class), size)
+			need -= countFitting(p.freeBesideLongTasks(w, e.Class), size)
 		}
 	}
 	return need <= 0
 }
 
-func (p *Placer) besideLasting(w *worker, class cell.Class) cell.Size {
+func (p *Placer) freeBesideLongTasks(w *worker, class cell.Class) cell.Size {
 	free := w.size
 	for _, r := range w.tasks {
 		if !r.plannedEnd.IsZero() && r.plannedEnd.Sub(p.now) > p.limits.OverdueAfter[class] {
