--- a/internal/place/declared.go
+++ b/internal/place/declared.go
@@ -28,7 +28,7 @@
 			continue
 		}
 		if e == p.overdue || !p.fitsBesideLongTasks(e, e.Size) && p.fitsBesideLongTasks(e, e.Declared) {
-			p.resize(e)
+			p.revertToDeclared(e)
 		}
 	}
 }
@@ -58,8 +58,8 @@
 	return free
 }
 
-// resize queues an entry anew with its declared size.
-func (p *Placer) resize(e *entry) {
+// revertToDeclared queues an entry anew with its declared size.
+func (p *Placer) revertToDeclared(e *entry) {
 	w := e.Request
 	w.Size, w.Declared = e.Declared, cell.Size{}
 	w.Tasks = slices.DeleteFunc(slices.Clone(e.Tasks), func(task string) bool { return p.queue.tasks[task] != e })
