--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -11,9 +11,9 @@
 	"pollencroft/internal/chart"
 )
 
-// drift is the part of a lease that this host leaves unused, so that a clock
+// driftDivisor is the part of a lease that this host leaves unused, so that a clock
 // that runs 1 % too slow cannot make it believe in a lease that has lapsed.
-const drift = 50
+const driftDivisor = 50
 
 var life = chart.MustLoad("lease")
 
@@ -152,7 +152,7 @@
 // read takes over an answer. The lease is counted from when the question was
 // sent: the worker may have begun to count as early as that.
 func (w *worker) read(now time.Time, r Reading) {
-	w.until = r.Sent.Add(r.Remaining - r.Remaining/drift)
+	w.until = r.Sent.Add(r.Remaining - r.Remaining/driftDivisor)
 	w.over = now.Add(r.Remaining)
 	if r.Full {
 		w.tasks = map[string]Task{}
@@ -369,13 +369,13 @@
 		return time.Time{}, false
 	}
 	left := min(w.reading.Remaining, l.limits.start())
-	return w.reading.Clock.Add(left - left/drift), true
+	return w.reading.Clock.Add(left - left/driftDivisor), true
 }
 
 // fresh is until when starts may be sent after the last answer.
 func (l *Leases) fresh(w *worker) time.Time {
 	left := l.limits.start()
-	return slices.MinFunc([]time.Time{w.until, w.reading.Sent.Add(left - left/drift)}, time.Time.Compare)
+	return slices.MinFunc([]time.Time{w.until, w.reading.Sent.Add(left - left/driftDivisor)}, time.Time.Compare)
 }
 
 // DeadlineWith is the Deadline of a start that may begin only as long as another worker is held
@@ -390,7 +390,7 @@
 	}
 	w := l.workers[name]
 	passed := now.Sub(w.over.Add(-w.reading.Remaining))
-	clock := w.reading.Clock.Add(passed - passed/drift)
+	clock := w.reading.Clock.Add(passed - passed/driftDivisor)
 	if end := clock.Add(l.workers[other].until.Sub(now)); end.Before(deadline) {
 		deadline = end
 	}
--- a/internal/lease/life.go
+++ b/internal/lease/life.go
@@ -25,7 +25,7 @@
 	w.life = life
 	if !held {
 		left := l.limits.start()
-		w.former = now.Add(left + left/drift)
+		w.former = now.Add(left + left/driftDivisor)
 	}
 }
 
