--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -15,7 +15,7 @@
 // that runs 1 % too slow cannot make it believe in a lease that has lapsed.
 const driftDivisor = 50
 
-var life = chart.MustLoad("lease")
+var leaseChart = chart.MustLoad("lease")
 
 type worker struct {
 	state chart.State
@@ -111,7 +111,7 @@
 
 func (l *Leases) add(name string) *worker {
 	if _, ok := l.workers[name]; !ok {
-		l.workers[name] = &worker{state: life.Start(), flying: map[string]int{}}
+		l.workers[name] = &worker{state: leaseChart.Start(), flying: map[string]int{}}
 	}
 	return l.workers[name]
 }
@@ -144,7 +144,7 @@
 }
 
 func (w *worker) move(ev chart.Event) bool {
-	next, err := life.Next(w.state, ev)
+	next, err := leaseChart.Next(w.state, ev)
 	w.state = next
 	return err == nil
 }
