--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -18,8 +18,8 @@
 var leaseChart = chart.MustLoad("lease")
 
 type worker struct {
-	state chart.State
-	want  bool
+	state  chart.State
+	wanted bool
 	// up tells that this host was told that it leads the worker.
 	up    bool
 	until time.Time
@@ -96,13 +96,13 @@
 	var acts []Action
 	for _, name := range slices.Sorted(maps.Keys(l.workers)) {
 		w := l.workers[name]
-		had := w.want
-		w.want = slices.Contains(names, name)
+		had := w.wanted
+		w.wanted = slices.Contains(names, name)
 		switch {
 		case w.state != "held":
-		case had && !w.want:
+		case had && !w.wanted:
 			acts = append(acts, w.down(name)...)
-		case !had && w.want:
+		case !had && w.wanted:
 			w.next = now
 		}
 	}
@@ -128,7 +128,7 @@
 // with a list that shows all of its former starts: one that lands later would overfill it.
 func (l *Leases) show(now time.Time, name string, w *worker) []Action {
 	switch {
-	case !w.want:
+	case !w.wanted:
 		return nil
 	case w.up:
 		return []Action{Updated{Worker: name, Reading: w.whole()}}
@@ -318,14 +318,14 @@
 		w.move("lapse")
 		w.next = now
 		return w.down(name)
-	case w.state == "held" && !w.want:
+	case w.state == "held" && !w.wanted:
 		return l.give(now, name, w)
 	case w.up && !l.fresh(w).After(now):
 		return w.down(name)
-	case !w.want && w.known && !w.meet.After(now):
+	case !w.wanted && w.known && !w.meet.After(now):
 		w.meet = now.Add(meetAgain)
 		return []Action{AskIncarnation{Worker: name}}
-	case !w.want || w.next.After(now):
+	case !w.wanted || w.next.After(now):
 		return nil
 	case w.state == "free":
 		w.move("take")
@@ -352,7 +352,7 @@
 func (l *Leases) wanted() int {
 	n := 0
 	for _, w := range l.workers {
-		if w.want {
+		if w.wanted {
 			n++
 		}
 	}
--- a/internal/lease/life.go
+++ b/internal/lease/life.go
@@ -86,7 +86,7 @@
 // HasUnconfirmed tells whether starts to an earlier life of a wanted worker may be under way.
 func (l *Leases) HasUnconfirmed(now time.Time) bool {
 	for _, w := range l.workers {
-		if w.want && w.former.After(now) {
+		if w.wanted && w.former.After(now) {
 			return true
 		}
 	}
