--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -20,8 +20,8 @@
 type worker struct {
 	state  chart.State
 	wanted bool
-	// up tells that this host was told that it leads the worker.
-	up    bool
+	// led tells that this host was told that it leads the worker.
+	led   bool
 	until time.Time
 	next  time.Time
 	// reading is the last answer, with all tasks that the worker lists.
@@ -117,10 +117,10 @@
 }
 
 func (w *worker) down(name string) []Action {
-	if !w.up {
+	if !w.led {
 		return nil
 	}
-	w.up = false
+	w.led = false
 	return []Action{Down{Worker: name}}
 }
 
@@ -130,7 +130,7 @@
 	switch {
 	case !w.wanted:
 		return nil
-	case w.up:
+	case w.led:
 		return []Action{Updated{Worker: name, Reading: w.whole()}}
 	case len(w.flying) > 0 || w.risk.After(now) || !w.reading.Sent.After(w.started):
 		w.next = now.Add(l.limits.RetryInterval)
@@ -138,7 +138,7 @@
 	case !w.reading.Sent.After(w.former):
 		return w.wait(name)
 	default:
-		w.up = true
+		w.led = true
 		return []Action{Up{Worker: name, Reading: w.whole()}}
 	}
 }
@@ -265,7 +265,7 @@
 		delete(w.flying, ev.Task)
 	}
 	w.started = now
-	if !w.up {
+	if !w.led {
 		w.next = now
 	}
 	if !ev.OutcomeKnown && w.over.After(w.risk) {
@@ -320,7 +320,7 @@
 		return w.down(name)
 	case w.state == "held" && !w.wanted:
 		return l.give(now, name, w)
-	case w.up && !l.fresh(w).After(now):
+	case w.led && !l.fresh(w).After(now):
 		return w.down(name)
 	case !w.wanted && w.known && !w.meet.After(now):
 		w.meet = now.Add(meetAgain)
@@ -365,7 +365,7 @@
 // start that is sent now may still begin; false if the worker is not held.
 func (l *Leases) Deadline(now time.Time, name string) (time.Time, bool) {
 	w, ok := l.workers[name]
-	if !ok || !w.up || w.state != "held" || !l.fresh(w).After(now) {
+	if !ok || !w.led || w.state != "held" || !l.fresh(w).After(now) {
 		return time.Time{}, false
 	}
 	left := min(w.reading.Remaining, l.limits.start())
@@ -408,7 +408,7 @@
 func (l *Leases) Held() []string {
 	var held []string
 	for _, name := range slices.Sorted(maps.Keys(l.workers)) {
-		if w := l.workers[name]; w.state == "held" && w.up {
+		if w := l.workers[name]; w.state == "held" && w.led {
 			held = append(held, name)
 		}
 	}
