--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -21,9 +21,9 @@
 	state  chart.State
 	wanted bool
 	// led tells that this host was told that it leads the worker.
-	led   bool
-	until time.Time
-	next  time.Time
+	led        bool
+	validUntil time.Time
+	next       time.Time
 	// reading is the last answer, with all tasks that the worker lists.
 	reading Reading
 	tasks   map[string]Task
@@ -152,7 +152,7 @@
 // read takes over an answer. The lease is counted from when the question was
 // sent: the worker may have begun to count as early as that.
 func (w *worker) read(now time.Time, r Reading) {
-	w.until = r.Sent.Add(r.Remaining - r.Remaining/driftDivisor)
+	w.validUntil = r.Sent.Add(r.Remaining - r.Remaining/driftDivisor)
 	w.over = now.Add(r.Remaining)
 	if r.Full {
 		w.tasks = map[string]Task{}
@@ -185,7 +185,7 @@
 	l.tellLife(now, w, ev.Incarnation)
 	ev.Full = true
 	w.read(now, ev.Reading)
-	if !w.until.After(now) {
+	if !w.validUntil.After(now) {
 		// The grant arrived after it had lapsed: a paused host would start
 		// tasks on a worker that another host leads by now.
 		w.move("lapse")
@@ -314,7 +314,7 @@
 
 func (l *Leases) dueAt(now time.Time, name string, w *worker) []Action {
 	switch {
-	case w.state == "held" && !w.until.After(now):
+	case w.state == "held" && !w.validUntil.After(now):
 		w.move("lapse")
 		w.next = now
 		return w.down(name)
@@ -375,7 +375,7 @@
 // fresh is until when starts may be sent after the last answer.
 func (l *Leases) fresh(w *worker) time.Time {
 	left := l.limits.start()
-	return slices.MinFunc([]time.Time{w.until, w.reading.Sent.Add(left - left/driftDivisor)}, time.Time.Compare)
+	return slices.MinFunc([]time.Time{w.validUntil, w.reading.Sent.Add(left - left/driftDivisor)}, time.Time.Compare)
 }
 
 // DeadlineWith is the Deadline of a start that may begin only as long as another worker is held
@@ -391,7 +391,7 @@
 	w := l.workers[name]
 	passed := now.Sub(w.over.Add(-w.reading.Remaining))
 	clock := w.reading.Clock.Add(passed - passed/driftDivisor)
-	if end := clock.Add(l.workers[other].until.Sub(now)); end.Before(deadline) {
+	if end := clock.Add(l.workers[other].validUntil.Sub(now)); end.Before(deadline) {
 		deadline = end
 	}
 	return deadline, true
--- a/internal/lease/life.go
+++ b/internal/lease/life.go
@@ -21,7 +21,7 @@
 	if life == "" || life == w.life {
 		return
 	}
-	held := w.led && w.state == "held" && w.until.After(now)
+	held := w.led && w.state == "held" && w.validUntil.After(now)
 	w.life = life
 	if !held {
 		left := l.limits.start()
