--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -21,9 +21,9 @@
 	state  chart.State
 	wanted bool
 	// led tells that this host was told that it leads the worker.
-	led        bool
-	validUntil time.Time
-	next       time.Time
+	led          bool
+	validUntil   time.Time
+	nextExchange time.Time
 	// reading is the last answer, with all tasks that the worker lists.
 	reading Reading
 	tasks   map[string]Task
@@ -103,7 +103,7 @@
 		case had && !w.wanted:
 			acts = append(acts, w.down(name)...)
 		case !had && w.wanted:
-			w.next = now
+			w.nextExchange = now
 		}
 	}
 	return acts
@@ -133,7 +133,7 @@
 	case w.led:
 		return []Action{Updated{Worker: name, Reading: w.whole()}}
 	case len(w.flying) > 0 || w.risk.After(now) || !w.reading.Sent.After(w.started):
-		w.next = now.Add(l.limits.RetryInterval)
+		w.nextExchange = now.Add(l.limits.RetryInterval)
 		return nil
 	case !w.reading.Sent.After(w.former):
 		return w.wait(name)
@@ -193,7 +193,7 @@
 	}
 	w.move("read")
 	w.looks = map[string]time.Time{}
-	w.next = now.Add(l.every())
+	w.nextExchange = now.Add(l.every())
 	return l.show(now, ev.Worker, w)
 }
 
@@ -211,11 +211,11 @@
 	if ev.Incarnation != w.reading.Incarnation {
 		l.tellLife(now, w, ev.Incarnation)
 		w.move("lapse")
-		w.next = now
+		w.nextExchange = now
 		return w.down(ev.Worker)
 	}
 	w.read(now, ev.Reading)
-	w.next = now.Add(l.every())
+	w.nextExchange = now.Add(l.every())
 	w.watch(now, l.limits.RetryInterval)
 	return l.show(now, ev.Worker, w)
 }
@@ -225,7 +225,7 @@
 	if !ok {
 		return nil
 	}
-	w.next = now.Add(max(l.limits.RetryInterval, ev.Remaining))
+	w.nextExchange = now.Add(max(l.limits.RetryInterval, ev.Remaining))
 	if w.state == "held" {
 		if !ev.Sent.After(w.reading.Sent) {
 			return nil
@@ -244,7 +244,7 @@
 	if !ok {
 		return
 	}
-	w.next = now.Add(l.limits.RetryInterval)
+	w.nextExchange = now.Add(l.limits.RetryInterval)
 	if w.state == "taking" {
 		w.move("lost")
 	}
@@ -266,7 +266,7 @@
 	}
 	w.started = now
 	if !w.led {
-		w.next = now
+		w.nextExchange = now
 	}
 	if !ev.OutcomeKnown && w.over.After(w.risk) {
 		w.risk = w.over
@@ -289,8 +289,8 @@
 		if !ends.After(now) {
 			ends = now.Add(max(least, now.Sub(ends)))
 		}
-		if at := ends.Add(look); at.Before(w.next) {
-			w.next = at
+		if at := ends.Add(look); at.Before(w.nextExchange) {
+			w.nextExchange = at
 		}
 	}
 }
@@ -299,8 +299,8 @@
 const look = 20 * time.Millisecond
 
 func (l *Leases) look(now time.Time, ev Poll) {
-	if w, ok := l.workers[ev.Worker]; ok && now.Add(ev.After).Before(w.next) {
-		w.next = now.Add(ev.After)
+	if w, ok := l.workers[ev.Worker]; ok && now.Add(ev.After).Before(w.nextExchange) {
+		w.nextExchange = now.Add(ev.After)
 	}
 }
 
@@ -316,7 +316,7 @@
 	switch {
 	case w.state == "held" && !w.validUntil.After(now):
 		w.move("lapse")
-		w.next = now
+		w.nextExchange = now
 		return w.down(name)
 	case w.state == "held" && !w.wanted:
 		return l.give(now, name, w)
@@ -325,14 +325,14 @@
 	case !w.wanted && w.known && !w.meet.After(now):
 		w.meet = now.Add(meetAgain)
 		return []Action{AskIncarnation{Worker: name}}
-	case !w.wanted || w.next.After(now):
+	case !w.wanted || w.nextExchange.After(now):
 		return nil
 	case w.state == "free":
 		w.move("take")
-		w.next = now.Add(l.limits.TTL)
+		w.nextExchange = now.Add(l.limits.TTL)
 		return []Action{Acquire{Worker: name, TTL: l.limits.ttl(l.wanted())}}
 	case w.state == "held":
-		w.next = now.Add(l.limits.RetryInterval)
+		w.nextExchange = now.Add(l.limits.RetryInterval)
 		return []Action{Renew{Worker: name, TTL: l.limits.ttl(l.wanted()), TaskTTL: l.limits.TaskTTL, Since: w.reading.Cursor}}
 	}
 	return nil
--- a/internal/lease/life.go
+++ b/internal/lease/life.go
@@ -32,8 +32,8 @@
 // wait has the worker read again when the starts to its former lives are dead.
 func (w *worker) wait(name string) []Action {
 	at := w.former.Add(time.Millisecond)
-	if at.Before(w.next) {
-		w.next = at
+	if at.Before(w.nextExchange) {
+		w.nextExchange = at
 	}
 	if w.waits == w.life {
 		return nil
@@ -67,7 +67,7 @@
 		return
 	}
 	if w.former.After(now) {
-		w.next = now
+		w.nextExchange = now
 	}
 	w.life, w.former = ev.Life, time.Time{}
 }
