--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -27,11 +27,11 @@
 	// reading is the last answer, with all tasks that the worker lists.
 	reading Reading
 	tasks   map[string]Task
-	// flying counts by task the starts without an answer. risk is when the last start whose
+	// inFlight counts by task the starts without an answer. risk is when the last start whose
 	// answer was lost is surely dead.
-	flying map[string]int
-	risk   time.Time
-	over   time.Time
+	inFlight map[string]int
+	risk     time.Time
+	over     time.Time
 	// started is when the last start was answered: an older list may not show its task.
 	started time.Time
 	// looks are the times at which started tasks are expected to end.
@@ -111,7 +111,7 @@
 
 func (l *Leases) add(name string) *worker {
 	if _, ok := l.workers[name]; !ok {
-		l.workers[name] = &worker{state: leaseChart.Start(), flying: map[string]int{}}
+		l.workers[name] = &worker{state: leaseChart.Start(), inFlight: map[string]int{}}
 	}
 	return l.workers[name]
 }
@@ -132,7 +132,7 @@
 		return nil
 	case w.led:
 		return []Action{Updated{Worker: name, Reading: w.whole()}}
-	case len(w.flying) > 0 || w.risk.After(now) || !w.reading.Sent.After(w.started):
+	case len(w.inFlight) > 0 || w.risk.After(now) || !w.reading.Sent.After(w.started):
 		w.nextExchange = now.Add(l.limits.RetryInterval)
 		return nil
 	case !w.reading.Sent.After(w.former):
@@ -252,7 +252,7 @@
 
 func (l *Leases) sent(ev StartSent) {
 	if w, ok := l.workers[ev.Worker]; ok {
-		w.flying[ev.Task]++
+		w.inFlight[ev.Task]++
 	}
 }
 
@@ -261,8 +261,8 @@
 	if !ok {
 		return
 	}
-	if w.flying[ev.Task]--; w.flying[ev.Task] <= 0 {
-		delete(w.flying, ev.Task)
+	if w.inFlight[ev.Task]--; w.inFlight[ev.Task] <= 0 {
+		delete(w.inFlight, ev.Task)
 	}
 	w.started = now
 	if !w.led {
@@ -342,7 +342,7 @@
 // the worker after its next holder had read the list would fill it beyond its
 // size, so with one of them unsure the anchor is left to lapse.
 func (l *Leases) give(now time.Time, name string, w *worker) []Action {
-	if len(w.flying) > 0 || w.risk.After(now) {
+	if len(w.inFlight) > 0 || w.risk.After(now) {
 		return nil
 	}
 	w.move("give")
