--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -29,9 +29,9 @@
 	tasks   map[string]Task
 	// inFlight counts by task the starts without an answer. risk is when the last start whose
 	// answer was lost is surely dead.
-	inFlight map[string]int
-	risk     time.Time
-	over     time.Time
+	inFlight        map[string]int
+	lostStartsUntil time.Time
+	over            time.Time
 	// started is when the last start was answered: an older list may not show its task.
 	started time.Time
 	// looks are the times at which started tasks are expected to end.
@@ -132,7 +132,7 @@
 		return nil
 	case w.led:
 		return []Action{Updated{Worker: name, Reading: w.whole()}}
-	case len(w.inFlight) > 0 || w.risk.After(now) || !w.reading.Sent.After(w.started):
+	case len(w.inFlight) > 0 || w.lostStartsUntil.After(now) || !w.reading.Sent.After(w.started):
 		w.nextExchange = now.Add(l.limits.RetryInterval)
 		return nil
 	case !w.reading.Sent.After(w.former):
@@ -268,8 +268,8 @@
 	if !w.led {
 		w.nextExchange = now
 	}
-	if !ev.OutcomeKnown && w.over.After(w.risk) {
-		w.risk = w.over
+	if !ev.OutcomeKnown && w.over.After(w.lostStartsUntil) {
+		w.lostStartsUntil = w.over
 	}
 	if ev.OutcomeKnown && ev.RunTime > 0 && w.looks != nil {
 		w.looks[ev.Task] = now.Add(ev.RunTime)
@@ -342,7 +342,7 @@
 // the worker after its next holder had read the list would fill it beyond its
 // size, so with one of them unsure the anchor is left to lapse.
 func (l *Leases) give(now time.Time, name string, w *worker) []Action {
-	if len(w.inFlight) > 0 || w.risk.After(now) {
+	if len(w.inFlight) > 0 || w.lostStartsUntil.After(now) {
 		return nil
 	}
 	w.move("give")
