--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -31,7 +31,7 @@
 	// answer was lost is surely dead.
 	inFlight        map[string]int
 	lostStartsUntil time.Time
-	over            time.Time
+	lapsesBy        time.Time
 	// started is when the last start was answered: an older list may not show its task.
 	started time.Time
 	// looks are the times at which started tasks are expected to end.
@@ -153,7 +153,7 @@
 // sent: the worker may have begun to count as early as that.
 func (w *worker) read(now time.Time, r Reading) {
 	w.validUntil = r.Sent.Add(r.Remaining - r.Remaining/driftDivisor)
-	w.over = now.Add(r.Remaining)
+	w.lapsesBy = now.Add(r.Remaining)
 	if r.Full {
 		w.tasks = map[string]Task{}
 	}
@@ -268,8 +268,8 @@
 	if !w.led {
 		w.nextExchange = now
 	}
-	if !ev.OutcomeKnown && w.over.After(w.lostStartsUntil) {
-		w.lostStartsUntil = w.over
+	if !ev.OutcomeKnown && w.lapsesBy.After(w.lostStartsUntil) {
+		w.lostStartsUntil = w.lapsesBy
 	}
 	if ev.OutcomeKnown && ev.RunTime > 0 && w.looks != nil {
 		w.looks[ev.Task] = now.Add(ev.RunTime)
@@ -389,7 +389,7 @@
 		return time.Time{}, false
 	}
 	w := l.workers[name]
-	passed := now.Sub(w.over.Add(-w.reading.Remaining))
+	passed := now.Sub(w.lapsesBy.Add(-w.reading.Remaining))
 	clock := w.reading.Clock.Add(passed - passed/driftDivisor)
 	if end := clock.Add(l.workers[other].validUntil.Sub(now)); end.Before(deadline) {
 		deadline = end
