--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -32,8 +32,8 @@
 	inFlight        map[string]int
 	lostStartsUntil time.Time
 	lapsesBy        time.Time
-	// started is when the last start was answered: an older list may not show its task.
-	started time.Time
+	// lastStartAnswer is when the last start was answered: an older list may not show its task.
+	lastStartAnswer time.Time
 	// looks are the times at which started tasks are expected to end.
 	looks map[string]time.Time
 	// life is the worker's life as it was last told. former is when the starts that other hosts
@@ -132,7 +132,7 @@
 		return nil
 	case w.led:
 		return []Action{Updated{Worker: name, Reading: w.whole()}}
-	case len(w.inFlight) > 0 || w.lostStartsUntil.After(now) || !w.reading.Sent.After(w.started):
+	case len(w.inFlight) > 0 || w.lostStartsUntil.After(now) || !w.reading.Sent.After(w.lastStartAnswer):
 		w.nextExchange = now.Add(l.limits.RetryInterval)
 		return nil
 	case !w.reading.Sent.After(w.former):
@@ -264,7 +264,7 @@
 	if w.inFlight[ev.Task]--; w.inFlight[ev.Task] <= 0 {
 		delete(w.inFlight, ev.Task)
 	}
-	w.started = now
+	w.lastStartAnswer = now
 	if !w.led {
 		w.nextExchange = now
 	}
