--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -34,8 +34,8 @@
 	lapsesBy        time.Time
 	// lastStartAnswer is when the last start was answered: an older list may not show its task.
 	lastStartAnswer time.Time
-	// looks are the times at which started tasks are expected to end.
-	looks map[string]time.Time
+	// expectedEnds are the times at which started tasks are expected to end.
+	expectedEnds map[string]time.Time
 	// life is the worker's life as it was last told. former is when the starts that other hosts
 	// sent to an earlier one are surely dead.
 	life   string
@@ -192,7 +192,7 @@
 		return nil
 	}
 	w.move("read")
-	w.looks = map[string]time.Time{}
+	w.expectedEnds = map[string]time.Time{}
 	w.nextExchange = now.Add(l.every())
 	return l.show(now, ev.Worker, w)
 }
@@ -271,8 +271,8 @@
 	if !ev.OutcomeKnown && w.lapsesBy.After(w.lostStartsUntil) {
 		w.lostStartsUntil = w.lapsesBy
 	}
-	if ev.OutcomeKnown && ev.RunTime > 0 && w.looks != nil {
-		w.looks[ev.Task] = now.Add(ev.RunTime)
+	if ev.OutcomeKnown && ev.RunTime > 0 && w.expectedEnds != nil {
+		w.expectedEnds[ev.Task] = now.Add(ev.RunTime)
 		w.watch(now, l.limits.RetryInterval)
 	}
 }
@@ -281,9 +281,9 @@
 // its room is not left empty until the next renewal. A task that takes longer
 // than declared is looked for less and less often.
 func (w *worker) watch(now time.Time, least time.Duration) {
-	for id, ends := range w.looks {
+	for id, ends := range w.expectedEnds {
 		if t, listed := w.tasks[id]; listed && t.State != "running" {
-			delete(w.looks, id)
+			delete(w.expectedEnds, id)
 			continue
 		}
 		if !ends.After(now) {
