--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -36,10 +36,10 @@
 	lastStartAnswer time.Time
 	// expectedEnds are the times at which started tasks are expected to end.
 	expectedEnds map[string]time.Time
-	// life is the worker's life as it was last told. former is when the starts that other hosts
+	// incarnation is the worker's incarnation as it was last told. former is when the starts that other hosts
 	// sent to an earlier one are surely dead.
-	life   string
-	former time.Time
+	incarnation string
+	former      time.Time
 	// waits is the life for which it was told that the worker is waited for.
 	waits string
 	// known tells that the worker is one of the failure domain, meet is when to ask for its life.
--- a/internal/lease/life.go
+++ b/internal/lease/life.go
@@ -18,11 +18,11 @@
 // former holder are under way. Until these are dead nothing is known of the worker. A host that
 // held it until now has no other's starts to wait for.
 func (l *Leases) tellLife(now time.Time, w *worker, life string) {
-	if life == "" || life == w.life {
+	if life == "" || life == w.incarnation {
 		return
 	}
 	held := w.led && w.state == "held" && w.validUntil.After(now)
-	w.life = life
+	w.incarnation = life
 	if !held {
 		left := l.limits.start()
 		w.former = now.Add(left + left/driftDivisor)
@@ -35,11 +35,11 @@
 	if at.Before(w.nextExchange) {
 		w.nextExchange = at
 	}
-	if w.waits == w.life {
+	if w.waits == w.incarnation {
 		return nil
 	}
-	w.waits = w.life
-	return []Action{AwaitStarts{Worker: name, Life: w.life, Until: at}}
+	w.waits = w.incarnation
+	return []Action{AwaitStarts{Worker: name, Life: w.incarnation, Until: at}}
 }
 
 func (l *Leases) know(now time.Time, names []string) {
@@ -63,21 +63,21 @@
 // vouched takes a peer's word that it waited for the starts of a worker's former lives.
 func (l *Leases) vouched(now time.Time, ev IncarnationConfirmed) {
 	w, ok := l.workers[ev.Worker]
-	if !ok || ev.Life == "" || w.life != "" && w.life != ev.Life {
+	if !ok || ev.Life == "" || w.incarnation != "" && w.incarnation != ev.Life {
 		return
 	}
 	if w.former.After(now) {
 		w.nextExchange = now
 	}
-	w.life, w.former = ev.Life, time.Time{}
+	w.incarnation, w.former = ev.Life, time.Time{}
 }
 
 // ConfirmedIncarnations holds by worker the life in which no start to an earlier one is under way any more.
 func (l *Leases) ConfirmedIncarnations(now time.Time) map[string]string {
 	all := map[string]string{}
 	for name, w := range l.workers {
-		if w.life != "" && !w.former.After(now) {
-			all[name] = w.life
+		if w.incarnation != "" && !w.former.After(now) {
+			all[name] = w.incarnation
 		}
 	}
 	return all
