--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -38,8 +38,8 @@
 	expectedEnds map[string]time.Time
 	// incarnation is the worker's incarnation as it was last told. former is when the starts that other hosts
 	// sent to an earlier one are surely dead.
-	incarnation string
-	former      time.Time
+	incarnation      string
+	staleStartsUntil time.Time
 	// waits is the life for which it was told that the worker is waited for.
 	waits string
 	// known tells that the worker is one of the failure domain, meet is when to ask for its life.
@@ -135,7 +135,7 @@
 	case len(w.inFlight) > 0 || w.lostStartsUntil.After(now) || !w.reading.Sent.After(w.lastStartAnswer):
 		w.nextExchange = now.Add(l.limits.RetryInterval)
 		return nil
-	case !w.reading.Sent.After(w.former):
+	case !w.reading.Sent.After(w.staleStartsUntil):
 		return w.wait(name)
 	default:
 		w.led = true
--- a/internal/lease/life.go
+++ b/internal/lease/life.go
@@ -25,13 +25,13 @@
 	w.incarnation = life
 	if !held {
 		left := l.limits.start()
-		w.former = now.Add(left + left/driftDivisor)
+		w.staleStartsUntil = now.Add(left + left/driftDivisor)
 	}
 }
 
 // wait has the worker read again when the starts to its former lives are dead.
 func (w *worker) wait(name string) []Action {
-	at := w.former.Add(time.Millisecond)
+	at := w.staleStartsUntil.Add(time.Millisecond)
 	if at.Before(w.nextExchange) {
 		w.nextExchange = at
 	}
@@ -66,17 +66,17 @@
 	if !ok || ev.Life == "" || w.incarnation != "" && w.incarnation != ev.Life {
 		return
 	}
-	if w.former.After(now) {
+	if w.staleStartsUntil.After(now) {
 		w.nextExchange = now
 	}
-	w.incarnation, w.former = ev.Life, time.Time{}
+	w.incarnation, w.staleStartsUntil = ev.Life, time.Time{}
 }
 
 // ConfirmedIncarnations holds by worker the life in which no start to an earlier one is under way any more.
 func (l *Leases) ConfirmedIncarnations(now time.Time) map[string]string {
 	all := map[string]string{}
 	for name, w := range l.workers {
-		if w.incarnation != "" && !w.former.After(now) {
+		if w.incarnation != "" && !w.staleStartsUntil.After(now) {
 			all[name] = w.incarnation
 		}
 	}
@@ -86,7 +86,7 @@
 // HasUnconfirmed tells whether starts to an earlier life of a wanted worker may be under way.
 func (l *Leases) HasUnconfirmed(now time.Time) bool {
 	for _, w := range l.workers {
-		if w.wanted && w.former.After(now) {
+		if w.wanted && w.staleStartsUntil.After(now) {
 			return true
 		}
 	}
