--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -40,8 +40,8 @@
 	// sent to an earlier one are surely dead.
 	incarnation      string
 	staleStartsUntil time.Time
-	// waits is the life for which it was told that the worker is waited for.
-	waits string
+	// awaitedIncarnation is the life for which it was told that the worker is waited for.
+	awaitedIncarnation string
 	// known tells that the worker is one of the failure domain, meet is when to ask for its life.
 	known bool
 	meet  time.Time
--- a/internal/lease/life.go
+++ b/internal/lease/life.go
@@ -35,10 +35,10 @@
 	if at.Before(w.nextExchange) {
 		w.nextExchange = at
 	}
-	if w.waits == w.incarnation {
+	if w.awaitedIncarnation == w.incarnation {
 		return nil
 	}
-	w.waits = w.incarnation
+	w.awaitedIncarnation = w.incarnation
 	return []Action{AwaitStarts{Worker: name, Life: w.incarnation, Until: at}}
 }
 
