--- a/internal/lease/life.go
+++ b/internal/lease/life.go
@@ -44,12 +44,12 @@
 
 func (l *Leases) know(now time.Time, names []string) {
 	for _, name := range names {
-		if w := l.add(name); !w.known {
-			w.known, w.meet = true, now
+		if w := l.add(name); !w.inDomain {
+			w.inDomain, w.meet = true, now
 		}
 	}
 	for name, w := range l.workers {
-		w.known = slices.Contains(names, name)
+		w.inDomain = slices.Contains(names, name)
 	}
 }
 
