--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -43,8 +43,8 @@
 	// awaitedIncarnation is the life for which it was told that the worker is waited for.
 	awaitedIncarnation string
 	// inDomain tells that the worker is one of the failure domain, meet is when to ask for its life.
-	inDomain bool
-	meet     time.Time
+	inDomain             bool
+	nextIncarnationQuery time.Time
 }
 
 // Leases is the lease core of one host.
@@ -322,8 +322,8 @@
 		return l.give(now, name, w)
 	case w.led && !l.fresh(w).After(now):
 		return w.down(name)
-	case !w.wanted && w.inDomain && !w.meet.After(now):
-		w.meet = now.Add(meetAgain)
+	case !w.wanted && w.inDomain && !w.nextIncarnationQuery.After(now):
+		w.nextIncarnationQuery = now.Add(meetAgain)
 		return []Action{AskIncarnation{Worker: name}}
 	case !w.wanted || w.nextExchange.After(now):
 		return nil
--- a/internal/lease/life.go
+++ b/internal/lease/life.go
@@ -45,7 +45,7 @@
 func (l *Leases) know(now time.Time, names []string) {
 	for _, name := range names {
 		if w := l.add(name); !w.inDomain {
-			w.inDomain, w.meet = true, now
+			w.inDomain, w.nextIncarnationQuery = true, now
 		}
 	}
 	for name, w := range l.workers {
@@ -55,7 +55,7 @@
 
 func (l *Leases) met(now time.Time, ev IncarnationLearned) {
 	if w, ok := l.workers[ev.Worker]; ok && ev.Life != "" {
-		w.meet = now.Add(meetEvery)
+		w.nextIncarnationQuery = now.Add(meetEvery)
 		l.tellLife(now, w, ev.Life)
 	}
 }
