--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -61,7 +61,7 @@
 	var acts []Action
 	switch ev := ev.(type) {
 	case Wanted:
-		acts = l.lead(now, ev.Workers)
+		acts = l.setWanted(now, ev.Workers)
 	case Granted:
 		acts = l.granted(now, ev)
 	case Renewed:
@@ -83,13 +83,13 @@
 	case Poll:
 		l.look(now, ev)
 	case ReleaseAll:
-		acts = l.lead(now, nil)
+		acts = l.setWanted(now, nil)
 	case Tick:
 	}
 	return append(acts, l.due(now)...)
 }
 
-func (l *Leases) lead(now time.Time, names []string) []Action {
+func (l *Leases) setWanted(now time.Time, names []string) []Action {
 	for _, name := range names {
 		l.add(name)
 	}
