--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -101,7 +101,7 @@
 		switch {
 		case w.state != "held":
 		case had && !w.wanted:
-			acts = append(acts, w.down(name)...)
+			acts = append(acts, w.markDown(name)...)
 		case !had && w.wanted:
 			w.nextExchange = now
 		}
@@ -116,7 +116,7 @@
 	return l.workers[name]
 }
 
-func (w *worker) down(name string) []Action {
+func (w *worker) markDown(name string) []Action {
 	if !w.led {
 		return nil
 	}
@@ -212,7 +212,7 @@
 		l.tellLife(now, w, ev.Incarnation)
 		w.move("lapse")
 		w.nextExchange = now
-		return w.down(ev.Worker)
+		return w.markDown(ev.Worker)
 	}
 	w.read(now, ev.Reading)
 	w.nextExchange = now.Add(l.every())
@@ -232,7 +232,7 @@
 		}
 		l.tellLife(now, w, ev.Incarnation)
 		w.move("lapse")
-		return w.down(ev.Worker)
+		return w.markDown(ev.Worker)
 	}
 	l.tellLife(now, w, ev.Incarnation)
 	w.move("refused")
@@ -317,11 +317,11 @@
 	case w.state == "held" && !w.validUntil.After(now):
 		w.move("lapse")
 		w.nextExchange = now
-		return w.down(name)
+		return w.markDown(name)
 	case w.state == "held" && !w.wanted:
 		return l.give(now, name, w)
 	case w.led && !l.fresh(w).After(now):
-		return w.down(name)
+		return w.markDown(name)
 	case !w.wanted && w.inDomain && !w.nextIncarnationQuery.After(now):
 		w.nextIncarnationQuery = now.Add(meetAgain)
 		return []Action{AskIncarnation{Worker: name}}
