--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -124,9 +124,9 @@
 	return []Action{Down{Worker: name}}
 }
 
-// show tells what a wanted worker runs. A worker that this host led before is led again only
+// publish tells what a wanted worker runs. A worker that this host led before is led again only
 // with a list that shows all of its former starts: one that lands later would overfill it.
-func (l *Leases) show(now time.Time, name string, w *worker) []Action {
+func (l *Leases) publish(now time.Time, name string, w *worker) []Action {
 	switch {
 	case !w.wanted:
 		return nil
@@ -194,7 +194,7 @@
 	w.move("read")
 	w.expectedEnds = map[string]time.Time{}
 	w.nextExchange = now.Add(l.every())
-	return l.show(now, ev.Worker, w)
+	return l.publish(now, ev.Worker, w)
 }
 
 // renewed drops an answer to a question that was sent before the one whose
@@ -217,7 +217,7 @@
 	w.read(now, ev.Reading)
 	w.nextExchange = now.Add(l.every())
 	w.watch(now, l.limits.RetryInterval)
-	return l.show(now, ev.Worker, w)
+	return l.publish(now, ev.Worker, w)
 }
 
 func (l *Leases) refused(now time.Time, ev Refused) []Action {
