--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -143,7 +143,7 @@
 	}
 }
 
-func (w *worker) move(ev chart.Event) bool {
+func (w *worker) transition(ev chart.Event) bool {
 	next, err := leaseChart.Next(w.state, ev)
 	w.state = next
 	return err == nil
@@ -179,7 +179,7 @@
 
 func (l *Leases) granted(now time.Time, ev Granted) []Action {
 	w, ok := l.workers[ev.Worker]
-	if !ok || !w.move("granted") {
+	if !ok || !w.transition("granted") {
 		return nil
 	}
 	l.tellLife(now, w, ev.Incarnation)
@@ -188,10 +188,10 @@
 	if !w.validUntil.After(now) {
 		// The grant arrived after it had lapsed: a paused host would start
 		// tasks on a worker that another host leads by now.
-		w.move("lapse")
+		w.transition("lapse")
 		return nil
 	}
-	w.move("read")
+	w.transition("read")
 	w.expectedEnds = map[string]time.Time{}
 	w.nextExchange = now.Add(l.every())
 	return l.publish(now, ev.Worker, w)
@@ -210,7 +210,7 @@
 	}
 	if ev.Incarnation != w.reading.Incarnation {
 		l.tellLife(now, w, ev.Incarnation)
-		w.move("lapse")
+		w.transition("lapse")
 		w.nextExchange = now
 		return w.markDown(ev.Worker)
 	}
@@ -231,11 +231,11 @@
 			return nil
 		}
 		l.tellLife(now, w, ev.Incarnation)
-		w.move("lapse")
+		w.transition("lapse")
 		return w.markDown(ev.Worker)
 	}
 	l.tellLife(now, w, ev.Incarnation)
-	w.move("refused")
+	w.transition("refused")
 	return nil
 }
 
@@ -246,7 +246,7 @@
 	}
 	w.nextExchange = now.Add(l.limits.RetryInterval)
 	if w.state == "taking" {
-		w.move("lost")
+		w.transition("lost")
 	}
 }
 
@@ -315,7 +315,7 @@
 func (l *Leases) dueAt(now time.Time, name string, w *worker) []Action {
 	switch {
 	case w.state == "held" && !w.validUntil.After(now):
-		w.move("lapse")
+		w.transition("lapse")
 		w.nextExchange = now
 		return w.markDown(name)
 	case w.state == "held" && !w.wanted:
@@ -328,7 +328,7 @@
 	case !w.wanted || w.nextExchange.After(now):
 		return nil
 	case w.state == "free":
-		w.move("take")
+		w.transition("take")
 		w.nextExchange = now.Add(l.limits.TTL)
 		return []Action{Acquire{Worker: name, TTL: l.limits.ttl(l.wanted())}}
 	case w.state == "held":
@@ -345,7 +345,7 @@
 	if len(w.inFlight) > 0 || w.lostStartsUntil.After(now) {
 		return nil
 	}
-	w.move("give")
+	w.transition("give")
 	return []Action{Release{Worker: name, Lease: w.reading.Lease}}
 }
 
