--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -149,9 +149,9 @@
 	return err == nil
 }
 
-// read takes over an answer. The lease is counted from when the question was
+// applyReading takes over an answer. The lease is counted from when the question was
 // sent: the worker may have begun to count as early as that.
-func (w *worker) read(now time.Time, r Reading) {
+func (w *worker) applyReading(now time.Time, r Reading) {
 	w.validUntil = r.Sent.Add(r.Remaining - r.Remaining/driftDivisor)
 	w.lapsesBy = now.Add(r.Remaining)
 	if r.Full {
@@ -184,7 +184,7 @@
 	}
 	l.tellLife(now, w, ev.Incarnation)
 	ev.Full = true
-	w.read(now, ev.Reading)
+	w.applyReading(now, ev.Reading)
 	if !w.validUntil.After(now) {
 		// The grant arrived after it had lapsed: a paused host would start
 		// tasks on a worker that another host leads by now.
@@ -214,7 +214,7 @@
 		w.nextExchange = now
 		return w.markDown(ev.Worker)
 	}
-	w.read(now, ev.Reading)
+	w.applyReading(now, ev.Reading)
 	w.nextExchange = now.Add(l.every())
 	w.watch(now, l.limits.RetryInterval)
 	return l.publish(now, ev.Worker, w)
