--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -131,7 +131,7 @@
 	case !w.wanted:
 		return nil
 	case w.led:
-		return []Action{Updated{Worker: name, Reading: w.whole()}}
+		return []Action{Updated{Worker: name, Reading: w.fullReading()}}
 	case len(w.inFlight) > 0 || w.lostStartsUntil.After(now) || !w.reading.Sent.After(w.lastStartAnswer):
 		w.nextExchange = now.Add(l.limits.RetryInterval)
 		return nil
@@ -139,7 +139,7 @@
 		return w.wait(name)
 	default:
 		w.led = true
-		return []Action{Up{Worker: name, Reading: w.whole()}}
+		return []Action{Up{Worker: name, Reading: w.fullReading()}}
 	}
 }
 
@@ -166,9 +166,9 @@
 	w.reading = r
 }
 
-// whole is the last answer with every task that the worker lists, also those
+// fullReading is the last answer with every task that the worker lists, also those
 // that did not change.
-func (w *worker) whole() Reading {
+func (w *worker) fullReading() Reading {
 	r := w.reading
 	r.Tasks = nil
 	for _, id := range slices.Sorted(maps.Keys(w.tasks)) {
@@ -422,5 +422,5 @@
 	if !ok || w.state != "held" {
 		return Reading{}, false
 	}
-	return w.whole(), true
+	return w.fullReading(), true
 }
