--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -69,7 +69,7 @@
 	case Refused:
 		acts = l.refused(now, ev)
 	case Unanswered:
-		l.lost(now, ev.Worker)
+		l.unanswered(now, ev.Worker)
 	case DomainWorkers:
 		l.know(now, ev.Workers)
 	case IncarnationLearned:
@@ -239,7 +239,7 @@
 	return nil
 }
 
-func (l *Leases) lost(now time.Time, name string) {
+func (l *Leases) unanswered(now time.Time, name string) {
 	w, ok := l.workers[name]
 	if !ok {
 		return
