--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -77,7 +77,7 @@
 	case IncarnationConfirmed:
 		l.vouched(now, ev)
 	case StartSent:
-		l.sent(ev)
+		l.startSent(ev)
 	case StartAnswered:
 		l.answered(now, ev)
 	case Poll:
@@ -250,7 +250,7 @@
 	}
 }
 
-func (l *Leases) sent(ev StartSent) {
+func (l *Leases) startSent(ev StartSent) {
 	if w, ok := l.workers[ev.Worker]; ok {
 		w.inFlight[ev.Task]++
 	}
