--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -79,7 +79,7 @@
 	case StartSent:
 		l.startSent(ev)
 	case StartAnswered:
-		l.answered(now, ev)
+		l.startAnswered(now, ev)
 	case Poll:
 		l.look(now, ev)
 	case ReleaseAll:
@@ -256,7 +256,7 @@
 	}
 }
 
-func (l *Leases) answered(now time.Time, ev StartAnswered) {
+func (l *Leases) startAnswered(now time.Time, ev StartAnswered) {
 	w, ok := l.workers[ev.Worker]
 	if !ok {
 		return
