--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -216,7 +216,7 @@
 	}
 	w.applyReading(now, ev.Reading)
 	w.nextExchange = now.Add(l.every())
-	w.watch(now, l.limits.RetryInterval)
+	w.scheduleEndPolls(now, l.limits.RetryInterval)
 	return l.publish(now, ev.Worker, w)
 }
 
@@ -273,14 +273,14 @@
 	}
 	if ev.OutcomeKnown && ev.RunTime > 0 && w.expectedEnds != nil {
 		w.expectedEnds[ev.Task] = now.Add(ev.RunTime)
-		w.watch(now, l.limits.RetryInterval)
+		w.scheduleEndPolls(now, l.limits.RetryInterval)
 	}
 }
 
-// watch reads the worker again soon after a task is expected to end, so that
+// scheduleEndPolls reads the worker again soon after a task is expected to end, so that
 // its room is not left empty until the next renewal. A task that takes longer
 // than declared is looked for less and less often.
-func (w *worker) watch(now time.Time, least time.Duration) {
+func (w *worker) scheduleEndPolls(now time.Time, least time.Duration) {
 	for id, ends := range w.expectedEnds {
 		if t, listed := w.tasks[id]; listed && t.State != "running" {
 			delete(w.expectedEnds, id)
