--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -289,14 +289,14 @@
 		if !ends.After(now) {
 			ends = now.Add(max(least, now.Sub(ends)))
 		}
-		if at := ends.Add(look); at.Before(w.nextExchange) {
+		if at := ends.Add(endPollDelay); at.Before(w.nextExchange) {
 			w.nextExchange = at
 		}
 	}
 }
 
-// look is how long after its expected end a task is looked for.
-const look = 20 * time.Millisecond
+// endPollDelay is how long after its expected end a task is looked for.
+const endPollDelay = 20 * time.Millisecond
 
 func (l *Leases) look(now time.Time, ev Poll) {
 	if w, ok := l.workers[ev.Worker]; ok && now.Add(ev.After).Before(w.nextExchange) {
