--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -81,7 +81,7 @@
 	case StartAnswered:
 		l.startAnswered(now, ev)
 	case Poll:
-		l.look(now, ev)
+		l.poll(now, ev)
 	case ReleaseAll:
 		acts = l.setWanted(now, nil)
 	case Tick:
@@ -298,7 +298,7 @@
 // endPollDelay is how long after its expected end a task is looked for.
 const endPollDelay = 20 * time.Millisecond
 
-func (l *Leases) look(now time.Time, ev Poll) {
+func (l *Leases) poll(now time.Time, ev Poll) {
 	if w, ok := l.workers[ev.Worker]; ok && now.Add(ev.After).Before(w.nextExchange) {
 		w.nextExchange = now.Add(ev.After)
 	}
