--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -86,7 +86,7 @@
 		acts = l.setWanted(now, nil)
 	case Tick:
 	}
-	return append(acts, l.due(now)...)
+	return append(acts, l.dueActions(now)...)
 }
 
 func (l *Leases) setWanted(now time.Time, names []string) []Action {
@@ -304,7 +304,7 @@
 	}
 }
 
-func (l *Leases) due(now time.Time) []Action {
+func (l *Leases) dueActions(now time.Time) []Action {
 	var acts []Action
 	for _, name := range slices.Sorted(maps.Keys(l.workers)) {
 		acts = append(acts, l.dueAt(now, name, l.workers[name])...)
