--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -307,12 +307,12 @@
 func (l *Leases) dueActions(now time.Time) []Action {
 	var acts []Action
 	for _, name := range slices.Sorted(maps.Keys(l.workers)) {
-		acts = append(acts, l.dueAt(now, name, l.workers[name])...)
+		acts = append(acts, l.dueWorker(now, name, l.workers[name])...)
 	}
 	return acts
 }
 
-func (l *Leases) dueAt(now time.Time, name string, w *worker) []Action {
+func (l *Leases) dueWorker(now time.Time, name string, w *worker) []Action {
 	switch {
 	case w.state == "held" && !w.validUntil.After(now):
 		w.transition("lapse")
