--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -319,7 +319,7 @@
 		w.nextExchange = now
 		return w.markDown(name)
 	case w.state == "held" && !w.wanted:
-		return l.give(now, name, w)
+		return l.release(now, name, w)
 	case w.led && !l.fresh(w).After(now):
 		return w.markDown(name)
 	case !w.wanted && w.inDomain && !w.nextIncarnationQuery.After(now):
@@ -338,10 +338,10 @@
 	return nil
 }
 
-// give returns an anchor once no start is under way. A start that arrived at
+// release returns an anchor once no start is under way. A start that arrived at
 // the worker after its next holder had read the list would fill it beyond its
 // size, so with one of them unsure the anchor is left to lapse.
-func (l *Leases) give(now time.Time, name string, w *worker) []Action {
+func (l *Leases) release(now time.Time, name string, w *worker) []Action {
 	if len(w.inFlight) > 0 || w.lostStartsUntil.After(now) {
 		return nil
 	}
