--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -330,10 +330,10 @@
 	case w.state == "free":
 		w.transition("take")
 		w.nextExchange = now.Add(l.limits.TTL)
-		return []Action{Acquire{Worker: name, TTL: l.limits.ttl(l.wanted())}}
+		return []Action{Acquire{Worker: name, TTL: l.limits.ttl(l.wantedCount())}}
 	case w.state == "held":
 		w.nextExchange = now.Add(l.limits.RetryInterval)
-		return []Action{Renew{Worker: name, TTL: l.limits.ttl(l.wanted()), TaskTTL: l.limits.TaskTTL, Since: w.reading.Cursor}}
+		return []Action{Renew{Worker: name, TTL: l.limits.ttl(l.wantedCount()), TaskTTL: l.limits.TaskTTL, Since: w.reading.Cursor}}
 	}
 	return nil
 }
@@ -349,7 +349,7 @@
 	return []Action{Release{Worker: name, Lease: w.reading.Lease}}
 }
 
-func (l *Leases) wanted() int {
+func (l *Leases) wantedCount() int {
 	n := 0
 	for _, w := range l.workers {
 		if w.wanted {
@@ -359,7 +359,7 @@
 	return n
 }
 
-func (l *Leases) every() time.Duration { return l.limits.every(l.wanted()) }
+func (l *Leases) every() time.Duration { return l.limits.every(l.wantedCount()) }
 
 // Deadline returns the latest time, in the worker's own clock, at which a
 // start that is sent now may still begin; false if the worker is not held.
@@ -399,7 +399,7 @@
 
 // TTL is how long the lease of a task runs from its start; renewals lengthen
 // it to the long one.
-func (l *Leases) TTL() time.Duration { return l.limits.ttl(l.wanted()) }
+func (l *Leases) TTL() time.Duration { return l.limits.ttl(l.wantedCount()) }
 
 // TaskTTL is how long any task may go on without its holder.
 func (l *Leases) TaskTTL() time.Duration { return l.limits.TaskTTL }
