--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -193,7 +193,7 @@
 	}
 	w.transition("read")
 	w.expectedEnds = map[string]time.Time{}
-	w.nextExchange = now.Add(l.every())
+	w.nextExchange = now.Add(l.renewInterval())
 	return l.publish(now, ev.Worker, w)
 }
 
@@ -215,7 +215,7 @@
 		return w.markDown(ev.Worker)
 	}
 	w.applyReading(now, ev.Reading)
-	w.nextExchange = now.Add(l.every())
+	w.nextExchange = now.Add(l.renewInterval())
 	w.scheduleEndPolls(now, l.limits.RetryInterval)
 	return l.publish(now, ev.Worker, w)
 }
@@ -359,7 +359,7 @@
 	return n
 }
 
-func (l *Leases) every() time.Duration { return l.limits.every(l.wantedCount()) }
+func (l *Leases) renewInterval() time.Duration { return l.limits.every(l.wantedCount()) }
 
 // Deadline returns the latest time, in the worker's own clock, at which a
 // start that is sent now may still begin; false if the worker is not held.
