--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -320,7 +320,7 @@
 		return w.markDown(name)
 	case w.state == "held" && !w.wanted:
 		return l.release(now, name, w)
-	case w.led && !l.fresh(w).After(now):
+	case w.led && !l.startsAllowedUntil(w).After(now):
 		return w.markDown(name)
 	case !w.wanted && w.inDomain && !w.nextIncarnationQuery.After(now):
 		w.nextIncarnationQuery = now.Add(meetAgain)
@@ -365,15 +365,15 @@
 // start that is sent now may still begin; false if the worker is not held.
 func (l *Leases) Deadline(now time.Time, name string) (time.Time, bool) {
 	w, ok := l.workers[name]
-	if !ok || !w.led || w.state != "held" || !l.fresh(w).After(now) {
+	if !ok || !w.led || w.state != "held" || !l.startsAllowedUntil(w).After(now) {
 		return time.Time{}, false
 	}
 	left := min(w.reading.Remaining, l.limits.start())
 	return w.reading.Clock.Add(left - left/driftDivisor), true
 }
 
-// fresh is until when starts may be sent after the last answer.
-func (l *Leases) fresh(w *worker) time.Time {
+// startsAllowedUntil is until when starts may be sent after the last answer.
+func (l *Leases) startsAllowedUntil(w *worker) time.Time {
 	left := l.limits.start()
 	return slices.MinFunc([]time.Time{w.validUntil, w.reading.Sent.Add(left - left/driftDivisor)}, time.Time.Compare)
 }
