--- a/internal/lease/life.go
+++ b/internal/lease/life.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// meetEvery is how often a worker that is not wanted here is asked for its life.
-	meetEvery = time.Minute
+	// incarnationQueryInterval is how often a worker that is not wanted here is asked for its life.
+	incarnationQueryInterval = time.Minute
 	// meetAgain is how long after a question for it without an answer.
 	meetAgain = time.Second
 )
@@ -55,7 +55,7 @@
 
 func (l *Leases) met(now time.Time, ev IncarnationLearned) {
 	if w, ok := l.workers[ev.Worker]; ok && ev.Life != "" {
-		w.nextIncarnationQuery = now.Add(meetEvery)
+		w.nextIncarnationQuery = now.Add(incarnationQueryInterval)
 		l.tellLife(now, w, ev.Life)
 	}
 }
