--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -323,7 +323,7 @@
 	case w.led && !l.startsAllowedUntil(w).After(now):
 		return w.markDown(name)
 	case !w.wanted && w.inDomain && !w.nextIncarnationQuery.After(now):
-		w.nextIncarnationQuery = now.Add(meetAgain)
+		w.nextIncarnationQuery = now.Add(incarnationRetryInterval)
 		return []Action{AskIncarnation{Worker: name}}
 	case !w.wanted || w.nextExchange.After(now):
 		return nil
--- a/internal/lease/life.go
+++ b/internal/lease/life.go
@@ -8,8 +8,8 @@
 const (
 	// incarnationQueryInterval is how often a worker that is not wanted here is asked for its life.
 	incarnationQueryInterval = time.Minute
-	// meetAgain is how long after a question for it without an answer.
-	meetAgain = time.Second
+	// incarnationRetryInterval is how long after a question for it without an answer.
+	incarnationRetryInterval = time.Second
 )
 
 // tellLife notes the life that a worker answered in.
