--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -182,7 +182,7 @@
 	if !ok || !w.transition("granted") {
 		return nil
 	}
-	l.tellLife(now, w, ev.Incarnation)
+	l.noteIncarnation(now, w, ev.Incarnation)
 	ev.Full = true
 	w.applyReading(now, ev.Reading)
 	if !w.validUntil.After(now) {
@@ -209,7 +209,7 @@
 		return nil
 	}
 	if ev.Incarnation != w.reading.Incarnation {
-		l.tellLife(now, w, ev.Incarnation)
+		l.noteIncarnation(now, w, ev.Incarnation)
 		w.transition("lapse")
 		w.nextExchange = now
 		return w.markDown(ev.Worker)
@@ -230,11 +230,11 @@
 		if !ev.Sent.After(w.reading.Sent) {
 			return nil
 		}
-		l.tellLife(now, w, ev.Incarnation)
+		l.noteIncarnation(now, w, ev.Incarnation)
 		w.transition("lapse")
 		return w.markDown(ev.Worker)
 	}
-	l.tellLife(now, w, ev.Incarnation)
+	l.noteIncarnation(now, w, ev.Incarnation)
 	w.transition("refused")
 	return nil
 }
--- a/internal/lease/life.go
+++ b/internal/lease/life.go
@@ -12,12 +12,12 @@
 	incarnationRetryInterval = time.Second
 )
 
-// tellLife notes the life that a worker answered in.
+// noteIncarnation notes the life that a worker answered in.
 //
 // A worker that crashed has forgotten who held it, so it may be taken at once while starts of its
 // former holder are under way. Until these are dead nothing is known of the worker. A host that
 // held it until now has no other's starts to wait for.
-func (l *Leases) tellLife(now time.Time, w *worker, life string) {
+func (l *Leases) noteIncarnation(now time.Time, w *worker, life string) {
 	if life == "" || life == w.incarnation {
 		return
 	}
@@ -56,7 +56,7 @@
 func (l *Leases) met(now time.Time, ev IncarnationLearned) {
 	if w, ok := l.workers[ev.Worker]; ok && ev.Life != "" {
 		w.nextIncarnationQuery = now.Add(incarnationQueryInterval)
-		l.tellLife(now, w, ev.Life)
+		l.noteIncarnation(now, w, ev.Life)
 	}
 }
 
