--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -136,7 +136,7 @@
 		w.nextExchange = now.Add(l.limits.RetryInterval)
 		return nil
 	case !w.reading.Sent.After(w.staleStartsUntil):
-		return w.wait(name)
+		return w.awaitStaleStarts(name)
 	default:
 		w.led = true
 		return []Action{Up{Worker: name, Reading: w.fullReading()}}
--- a/internal/lease/life.go
+++ b/internal/lease/life.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// wait has the worker read again when the starts to its former lives are dead.
-func (w *worker) wait(name string) []Action {
+// awaitStaleStarts has the worker read again when the starts to its former lives are dead.
+func (w *worker) awaitStaleStarts(name string) []Action {
 	at := w.staleStartsUntil.Add(time.Millisecond)
 	if at.Before(w.nextExchange) {
 		w.nextExchange = at
