--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -71,7 +71,7 @@
 	case Unanswered:
 		l.unanswered(now, ev.Worker)
 	case DomainWorkers:
-		l.know(now, ev.Workers)
+		l.setDomainWorkers(now, ev.Workers)
 	case IncarnationLearned:
 		l.met(now, ev)
 	case IncarnationConfirmed:
--- a/internal/lease/life.go
+++ b/internal/lease/life.go
@@ -42,7 +42,7 @@
 	return []Action{AwaitStarts{Worker: name, Life: w.incarnation, Until: at}}
 }
 
-func (l *Leases) know(now time.Time, names []string) {
+func (l *Leases) setDomainWorkers(now time.Time, names []string) {
 	for _, name := range names {
 		if w := l.add(name); !w.inDomain {
 			w.inDomain, w.nextIncarnationQuery = true, now
