--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -73,7 +73,7 @@
 	case DomainWorkers:
 		l.setDomainWorkers(now, ev.Workers)
 	case IncarnationLearned:
-		l.met(now, ev)
+		l.incarnationLearned(now, ev)
 	case IncarnationConfirmed:
 		l.vouched(now, ev)
 	case StartSent:
--- a/internal/lease/life.go
+++ b/internal/lease/life.go
@@ -53,7 +53,7 @@
 	}
 }
 
-func (l *Leases) met(now time.Time, ev IncarnationLearned) {
+func (l *Leases) incarnationLearned(now time.Time, ev IncarnationLearned) {
 	if w, ok := l.workers[ev.Worker]; ok && ev.Life != "" {
 		w.nextIncarnationQuery = now.Add(incarnationQueryInterval)
 		l.noteIncarnation(now, w, ev.Life)
