--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -75,7 +75,7 @@
 	case IncarnationLearned:
 		l.incarnationLearned(now, ev)
 	case IncarnationConfirmed:
-		l.vouched(now, ev)
+		l.incarnationConfirmed(now, ev)
 	case StartSent:
 		l.startSent(ev)
 	case StartAnswered:
--- a/internal/lease/life.go
+++ b/internal/lease/life.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// vouched takes a peer's word that it waited for the starts of a worker's former lives.
-func (l *Leases) vouched(now time.Time, ev IncarnationConfirmed) {
+// incarnationConfirmed takes a peer's word that it waited for the starts of a worker's former lives.
+func (l *Leases) incarnationConfirmed(now time.Time, ev IncarnationConfirmed) {
 	w, ok := l.workers[ev.Worker]
 	if !ok || ev.Life == "" || w.incarnation != "" && w.incarnation != ev.Life {
 		return
