--- a/internal/lease/limits.go
+++ b/internal/lease/limits.go
@@ -20,8 +20,8 @@
 // DefaultLimits keep the renewals of 46 led workers under 3 KB/s.
 var DefaultLimits = Limits{TTL: 3 * time.Second, TaskTTL: 45 * time.Second, RetryInterval: 250 * time.Millisecond, RenewalBytes: 360, BytesPerSecond: 3000}
 
-// tries is how many renewals are sent before an anchor lapses.
-const tries = 5
+// halfIntervalsPerTTL is how many renewals are sent before an anchor lapses.
+const halfIntervalsPerTTL = 5
 
 // outlast is how many anchor leases the lease of a running task outlasts.
 const outlast = 3
@@ -32,14 +32,16 @@
 // tasks would end before a successor could take their worker, and a start
 // would run for longer than a census waits for a silent worker.
 func (l Limits) every(n int) time.Duration {
-	least := l.TTL * 2 / tries
+	least := l.TTL * 2 / halfIntervalsPerTTL
 	if l.BytesPerSecond <= 0 {
 		return least
 	}
 	return min(l.most(), max(least, time.Duration(int64(n)*l.RenewalBytes)*time.Second/time.Duration(l.BytesPerSecond)))
 }
 
-func (l Limits) most() time.Duration { return max(l.TTL*2/tries, l.TaskTTL*2/tries/outlast) }
+func (l Limits) most() time.Duration {
+	return max(l.TTL*2/halfIntervalsPerTTL, l.TaskTTL*2/halfIntervalsPerTTL/outlast)
+}
 
 // start is how long after an answer of a worker a start may be carried out there, whoever holds the
 // worker and for how long. A host that meets the worker in a new life waits for as long. The rarest
@@ -47,4 +49,4 @@
 func (l Limits) start() time.Duration { return l.most() + l.TTL }
 
 // ttl lets two renewals fail before an anchor lapses.
-func (l Limits) ttl(n int) time.Duration { return max(l.TTL, l.every(n)*tries/2) }
+func (l Limits) ttl(n int) time.Duration { return max(l.TTL, l.every(n)*halfIntervalsPerTTL/2) }
