--- a/internal/lease/limits.go
+++ b/internal/lease/limits.go
@@ -23,8 +23,8 @@
 // halfIntervalsPerTTL is how many renewals are sent before an anchor lapses.
 const halfIntervalsPerTTL = 5
 
-// outlast is how many anchor leases the lease of a running task outlasts.
-const outlast = 3
+// taskTTLFactor is how many anchor leases the lease of a running task outlasts.
+const taskTTLFactor = 3
 
 // every is how often each of n held workers is renewed: as often as the
 // budget allows, but no more often than the shortest TTL asks for. A host that
@@ -40,7 +40,7 @@
 }
 
 func (l Limits) most() time.Duration {
-	return max(l.TTL*2/halfIntervalsPerTTL, l.TaskTTL*2/halfIntervalsPerTTL/outlast)
+	return max(l.TTL*2/halfIntervalsPerTTL, l.TaskTTL*2/halfIntervalsPerTTL/taskTTLFactor)
 }
 
 // start is how long after an answer of a worker a start may be carried out there, whoever holds the
