--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -359,7 +359,7 @@
 	return n
 }
 
-func (l *Leases) renewInterval() time.Duration { return l.limits.every(l.wantedCount()) }
+func (l *Leases) renewInterval() time.Duration { return l.limits.renewInterval(l.wantedCount()) }
 
 // Deadline returns the latest time, in the worker's own clock, at which a
 // start that is sent now may still begin; false if the worker is not held.
--- a/internal/lease/limits.go
+++ b/internal/lease/limits.go
@@ -26,12 +26,12 @@
 // taskTTLFactor is how many anchor leases the lease of a running task outlasts.
 const taskTTLFactor = 3
 
-// every is how often each of n held workers is renewed: as often as the
+// renewInterval is how often each of n held workers is renewed: as often as the
 // budget allows, but no more often than the shortest TTL asks for. A host that
 // leads very many workers goes over its budget: with a longer anchor lease its
 // tasks would end before a successor could take their worker, and a start
 // would run for longer than a census waits for a silent worker.
-func (l Limits) every(n int) time.Duration {
+func (l Limits) renewInterval(n int) time.Duration {
 	least := l.TTL * 2 / halfIntervalsPerTTL
 	if l.BytesPerSecond <= 0 {
 		return least
@@ -49,4 +49,4 @@
 func (l Limits) start() time.Duration { return l.most() + l.TTL }
 
 // ttl lets two renewals fail before an anchor lapses.
-func (l Limits) ttl(n int) time.Duration { return max(l.TTL, l.every(n)*halfIntervalsPerTTL/2) }
+func (l Limits) ttl(n int) time.Duration { return max(l.TTL, l.renewInterval(n)*halfIntervalsPerTTL/2) }
