--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -368,13 +368,13 @@
 	if !ok || !w.led || w.state != "held" || !l.startsAllowedUntil(w).After(now) {
 		return time.Time{}, false
 	}
-	left := min(w.reading.Remaining, l.limits.start())
+	left := min(w.reading.Remaining, l.limits.startWindow())
 	return w.reading.Clock.Add(left - left/driftDivisor), true
 }
 
 // startsAllowedUntil is until when starts may be sent after the last answer.
 func (l *Leases) startsAllowedUntil(w *worker) time.Time {
-	left := l.limits.start()
+	left := l.limits.startWindow()
 	return slices.MinFunc([]time.Time{w.validUntil, w.reading.Sent.Add(left - left/driftDivisor)}, time.Time.Compare)
 }
 
--- a/internal/lease/life.go
+++ b/internal/lease/life.go
@@ -24,7 +24,7 @@
 	held := w.led && w.state == "held" && w.validUntil.After(now)
 	w.incarnation = life
 	if !held {
-		left := l.limits.start()
+		left := l.limits.startWindow()
 		w.staleStartsUntil = now.Add(left + left/driftDivisor)
 	}
 }
--- a/internal/lease/limits.go
+++ b/internal/lease/limits.go
@@ -43,10 +43,10 @@
 	return max(l.TTL*2/halfIntervalsPerTTL, l.TaskTTL*2/halfIntervalsPerTTL/taskTTLFactor)
 }
 
-// start is how long after an answer of a worker a start may be carried out there, whoever holds the
+// startWindow is how long after an answer of a worker a startWindow may be carried out there, whoever holds the
 // worker and for how long. A host that meets the worker in a new life waits for as long. The rarest
 // renewals leave time for one that is late.
-func (l Limits) start() time.Duration { return l.maxRenewInterval() + l.TTL }
+func (l Limits) startWindow() time.Duration { return l.maxRenewInterval() + l.TTL }
 
 // ttl lets two renewals fail before an anchor lapses.
 func (l Limits) ttl(n int) time.Duration { return max(l.TTL, l.renewInterval(n)*halfIntervalsPerTTL/2) }
