--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -86,10 +86,10 @@
 	for _, s := range f.Final {
 		c.final[State(s)] = true
 	}
-	return c, c.check()
+	return c, c.validate()
 }
 
-func (c *Chart) check() error {
+func (c *Chart) validate() error {
 	seen := map[State]bool{c.start: true}
 	todo := []State{c.start}
 	for len(todo) > 0 {
