--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -91,10 +91,10 @@
 
 func (c *Chart) validate() error {
 	seen := map[State]bool{c.start: true}
-	todo := []State{c.start}
-	for len(todo) > 0 {
-		s := todo[0]
-		todo = todo[1:]
+	pending := []State{c.start}
+	for len(pending) > 0 {
+		s := pending[0]
+		pending = pending[1:]
 		moves, known := c.states[s]
 		if !known && !c.final[s] {
 			return &FileError{c.Name, fmt.Sprintf("state %q is not described", s)}
@@ -105,7 +105,7 @@
 		for _, to := range moves {
 			if !seen[to] {
 				seen[to] = true
-				todo = append(todo, to)
+				pending = append(pending, to)
 			}
 		}
 	}
