--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -95,8 +95,8 @@
 	for len(pending) > 0 {
 		s := pending[0]
 		pending = pending[1:]
-		moves, known := c.states[s]
-		if !known && !c.final[s] {
+		moves, described := c.states[s]
+		if !described && !c.final[s] {
 			return &FileError{c.Name, fmt.Sprintf("state %q is not described", s)}
 		}
 		if c.final[s] && len(moves) > 0 {
