--- a/internal/place/health_test.go
+++ b/internal/place/health_test.go
@@ -152,13 +152,13 @@
 	whole := cell.Size{CPU: 4000, Mem: 1 << 30}
 	retry := place.Request{Job: "j", Row: "r", Size: whole, Tasks: []string{"a"}, Avoid: []string{"bad"}}
 	p := place.New(place.Limits{})
-	up(p, "bad")
+	addWorker(p, "bad")
 	p.Step(now, place.Up{Worker: "good", Rack: "r1", Size: whole, Used: []place.Used{{Task: "x", Row: "r", Size: whole}}})
 	require.Empty(t, p.Step(now, retry))
 	require.Equal(t, []place.Action{place.Assign{Task: "a", Worker: "good"}}, p.Step(now, place.Freed{Task: "x"}))
 
 	p = place.New(place.Limits{})
-	up(p, "bad")
+	addWorker(p, "bad")
 	require.Equal(t, []place.Action{place.Assign{Task: "a", Worker: "bad"}}, p.Step(now, retry))
 }
 
