--- a/internal/place/declared_test.go
+++ b/internal/place/declared_test.go
@@ -20,12 +20,12 @@
 func TestCorrectedSizeIsGivenUpWhenWorkersGo(t *testing.T) {
 	p := fleet(place.DefaultLimits, 3)
 	p.Step(now, place.Request{Job: "x", Row: "other", Class: cell.Normal, Size: cores(3), Tasks: tasks("x", 2), RunTime: time.Second})
-	require.Empty(t, puts(p.Step(now, corrected())))
+	require.Empty(t, assignments(p.Step(now, corrected())))
 	p.Step(now, place.Down{Worker: "w02"})
 	p.Step(now, place.Down{Worker: "w01"})
 	p.Step(now, place.Freed{Task: "x.0"})
 	p.Step(now, place.Freed{Task: "x.1"})
-	require.Len(t, puts(p.Step(now.Add(2*time.Second), place.Tick{})), 4)
+	require.Len(t, assignments(p.Step(now.Add(2*time.Second), place.Tick{})), 4)
 }
 
 // Guards against a gang that waits for good: tasks that last take so much that the workers hold
@@ -33,8 +33,8 @@
 func TestCorrectedSizeIsGivenUpBesideTasksThatLast(t *testing.T) {
 	p := fleet(place.DefaultLimits, 2)
 	p.Step(now, place.Request{Job: "x", Row: "watch", Class: cell.Normal, Size: cores(1), Tasks: tasks("x", 1), RunTime: time.Hour})
-	require.Empty(t, puts(p.Step(now, corrected())))
-	require.Len(t, puts(p.Step(now.Add(2*time.Second), place.Tick{})), 4)
+	require.Empty(t, assignments(p.Step(now, corrected())))
+	require.Len(t, assignments(p.Step(now.Add(2*time.Second), place.Tick{})), 4)
 }
 
 // Guards against a gang that waits for good: nothing is known of how long other tasks run.
@@ -42,12 +42,12 @@
 	p := place.New(place.DefaultLimits)
 	p.Step(now, place.Up{Worker: "w00", Rack: "r0", Size: cores(4), Used: []place.Used{{Task: "x.0", Row: "watch", Size: cores(1)}}})
 	p.Step(now, place.Up{Worker: "w01", Rack: "r0", Size: cores(4)})
-	require.Empty(t, puts(p.Step(now, corrected())))
-	require.Empty(t, puts(p.Step(now.Add(30*time.Second), place.Tick{})), "the room may come free")
+	require.Empty(t, assignments(p.Step(now, corrected())))
+	require.Empty(t, assignments(p.Step(now.Add(30*time.Second), place.Tick{})), "the room may come free")
 	over := now.Add(place.DefaultLimits.OverdueAfter[cell.Normal] + time.Second)
-	started := puts(p.Step(over, place.Tick{}))
+	started := assignments(p.Step(over, place.Tick{}))
 	for at := over; len(started) == 0 && at.Before(over.Add(5*time.Second)); at = at.Add(time.Second) {
-		started = puts(p.Step(at, place.Tick{}))
+		started = assignments(p.Step(at, place.Tick{}))
 	}
 	require.Len(t, started, 4)
 }
--- a/internal/place/health_test.go
+++ b/internal/place/health_test.go
@@ -45,18 +45,18 @@
 	}
 	acts := results(p, at, "r", true, "w00", "w00", "w00")
 	require.Equal(t, []place.Action{place.Quarantined{Worker: "w00"}}, acts)
-	on := puts(p.Step(at, place.Request{Job: "j", Row: "r", Size: cores(4), Tasks: tasks("j", 8)}))
+	on := assignments(p.Step(at, place.Request{Job: "j", Row: "r", Size: cores(4), Tasks: tasks("j", 8)}))
 	require.Len(t, on, 7)
 	at = at.Add(place.DefaultLimits.TrialInterval + time.Second)
-	trial := puts(p.Step(at, place.Tick{}))
+	trial := assignments(p.Step(at, place.Tick{}))
 	require.Equal(t, map[string]string{"j.7": "w00"}, trial)
 	p.Step(at, place.Request{Job: "k", Row: "r", Size: cores(1), Tasks: tasks("k", 1)})
-	require.Empty(t, puts(p.Step(at, place.Freed{Task: "j.7"})), "one trial at a time")
+	require.Empty(t, assignments(p.Step(at, place.Freed{Task: "j.7"})), "one trial at a time")
 	results(p, at, "r", true, "w00")
 	at = at.Add(place.DefaultLimits.TrialInterval + time.Second)
-	require.Empty(t, puts(p.Step(at, place.Tick{})), "a failed trial doubles the wait")
+	require.Empty(t, assignments(p.Step(at, place.Tick{})), "a failed trial doubles the wait")
 	at = at.Add(place.DefaultLimits.TrialInterval)
-	require.Equal(t, map[string]string{"k.0": "w00"}, puts(p.Step(at, place.Tick{})))
+	require.Equal(t, map[string]string{"k.0": "w00"}, assignments(p.Step(at, place.Tick{})))
 	results(p, at, "r", false, "w00")
 	require.Contains(t, results(p, at, "r", false, "w00"), place.Restored{Worker: "w00"})
 }
@@ -124,8 +124,8 @@
 	p := fleet(place.Limits{}, 1)
 	p.Step(now, place.Request{Job: "j", Row: "r", Size: cores(1), Tasks: tasks("j", 4), Rule: place.Rule{MaxTasks: 1}})
 	require.Equal(t, []string{"r"}, p.Rows())
-	require.Len(t, puts(p.Step(now, place.RuleChanged{Row: "r", Rule: place.Rule{MaxTasks: 3}})), 2)
-	require.Empty(t, puts(p.Step(now, place.RuleChanged{Row: "r", Rule: place.Rule{MaxTasks: -1}})), "none allowed")
+	require.Len(t, assignments(p.Step(now, place.RuleChanged{Row: "r", Rule: place.Rule{MaxTasks: 3}})), 2)
+	require.Empty(t, assignments(p.Step(now, place.RuleChanged{Row: "r", Rule: place.Rule{MaxTasks: -1}})), "none allowed")
 }
 
 // Ten thousand jobs are cancelled at once. Each costs the same however long
@@ -141,7 +141,7 @@
 		require.Empty(t, p.Step(now, place.Freed{Task: fmt.Sprintf("j%d.0", i)}))
 	}
 	require.Equal(t, 1, p.Waiting())
-	require.Equal(t, map[string]string{"j9999.0": "w00"}, puts(p.Step(now, place.Freed{Task: "x.0"})))
+	require.Equal(t, map[string]string{"j9999.0": "w00"}, assignments(p.Step(now, place.Freed{Task: "x.0"})))
 }
 
 // A task has failed on a worker that fails everything and so always has room,
@@ -173,7 +173,7 @@
 		t.Run(name, func(t *testing.T) {
 			p := fleet(place.DefaultLimits, tc.workers)
 			gang := place.Request{Job: "g", Row: "r", Size: cores(1), Tasks: tasks("g", 6), Gang: true, Avoid: []string{"w00"}}
-			on := puts(p.Step(now, gang))
+			on := assignments(p.Step(now, gang))
 			require.Len(t, on, 6)
 			require.Equal(t, tc.back, slices.Contains(slices.Collect(maps.Values(on)), "w00"))
 		})
@@ -190,8 +190,8 @@
 	}
 	require.Contains(t, results(p, now, "r", true, "w00", "w00", "w00"), place.Quarantined{Worker: "w00"})
 	gang := place.Request{Job: "g", Row: "r", Size: cores(1), Tasks: tasks("g", 6), Gang: true, Avoid: []string{"w00"}}
-	require.Empty(t, puts(p.Step(now, gang)))
-	require.Len(t, puts(p.Step(now.Add(l.TrialInterval+time.Second), place.Tick{})), 6)
+	require.Empty(t, assignments(p.Step(now, gang)))
+	require.Len(t, assignments(p.Step(now.Add(l.TrialInterval+time.Second), place.Tick{})), 6)
 }
 
 // A worker was mended, and its trial is a task that lasts for hours. Nothing tells that the trial
@@ -207,10 +207,10 @@
 	p.Step(now, place.Request{Job: "x", Row: "r", Size: cores(4), Tasks: tasks("x", 1)})
 	p.Step(now, place.Request{Job: "watch", Row: "r", Size: cores(1), Tasks: tasks("watch", 1)})
 	at := now.Add(l.TrialInterval + time.Second)
-	require.Equal(t, map[string]string{"watch.0": "w00"}, puts(p.Step(at, place.Tick{})))
+	require.Equal(t, map[string]string{"watch.0": "w00"}, assignments(p.Step(at, place.Tick{})))
 	p.Step(at, place.Freed{Task: "x.0"})
 	gang := place.Request{Job: "g", Row: "r", Size: cores(1), Tasks: tasks("g", 6), Gang: true, Avoid: []string{"w00"}}
-	require.Empty(t, puts(p.Step(at, gang)))
-	require.Empty(t, puts(p.Step(at.Add(l.TrialInterval-time.Second), place.Tick{})), "one trial at a time")
-	require.Len(t, puts(p.Step(at.Add(2*l.TrialInterval+time.Second), place.Tick{})), 6)
+	require.Empty(t, assignments(p.Step(at, gang)))
+	require.Empty(t, assignments(p.Step(at.Add(l.TrialInterval-time.Second), place.Tick{})), "one trial at a time")
+	require.Len(t, assignments(p.Step(at.Add(2*l.TrialInterval+time.Second), place.Tick{})), 6)
 }
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -49,40 +49,40 @@
 func TestRoomKeptOnAWorkerThatShrankIsGivenUp(t *testing.T) {
 	p := fleet(place.Limits{OverdueAfter: map[cell.Class]time.Duration{cell.Normal: time.Minute}}, 2)
 	p.Step(now, place.Request{Job: "x", Row: "r", Class: cell.Normal, Size: cores(2), Tasks: tasks("x", 2), RunTime: time.Hour, Spread: true})
-	require.Empty(t, puts(p.Step(now, place.Request{Job: "big", Row: "s", Class: cell.Normal, Size: cores(4), Tasks: tasks("big", 2), Gang: true})))
+	require.Empty(t, assignments(p.Step(now, place.Request{Job: "big", Row: "s", Class: cell.Normal, Size: cores(4), Tasks: tasks("big", 2), Gang: true})))
 	at := now.Add(2 * time.Minute)
 	p.Step(at, place.Tick{})
-	require.Empty(t, puts(p.Step(at, place.Request{Job: "small", Row: "t", Class: cell.Normal, Size: cores(1), Tasks: tasks("small", 1)})))
-	require.Len(t, puts(p.Step(at, place.WorkerResized{Worker: "w00", Size: cores(3)})), 1)
+	require.Empty(t, assignments(p.Step(at, place.Request{Job: "small", Row: "t", Class: cell.Normal, Size: cores(1), Tasks: tasks("small", 1)})))
+	require.Len(t, assignments(p.Step(at, place.WorkerResized{Worker: "w00", Size: cores(3)})), 1)
 }
 
 // Guards against free room that is wrong after a worker shrank below what runs there.
 func TestSizesThatComeAndGo(t *testing.T) {
 	p := fleet(place.Limits{}, 1)
-	require.Empty(t, puts(p.Step(now, place.Request{Job: "wide", Row: "r", Size: cores(6), Tasks: tasks("wide", 1)})))
-	require.Len(t, puts(p.Step(now, place.WorkerResized{Worker: "w00", Size: cores(9)})), 1)
+	require.Empty(t, assignments(p.Step(now, place.Request{Job: "wide", Row: "r", Size: cores(6), Tasks: tasks("wide", 1)})))
+	require.Len(t, assignments(p.Step(now, place.WorkerResized{Worker: "w00", Size: cores(9)})), 1)
 	p.Step(now, place.WorkerResized{Worker: "w00", Size: cores(4)})
-	require.Empty(t, puts(p.Step(now, place.Request{Job: "small", Row: "r", Size: cores(2), Tasks: tasks("small", 2)})))
-	require.Len(t, puts(p.Step(now, place.WorkerResized{Worker: "w00", Size: cores(8)})), 1)
-	require.Len(t, puts(p.Step(now, place.Freed{Task: "wide.0"})), 1)
-	require.Empty(t, puts(p.Step(now, place.Request{Job: "gang", Row: "r", Size: cores(3), Tasks: tasks("gang", 3), Gang: true})))
-	require.Len(t, puts(p.Step(now, place.WorkerResized{Worker: "w00", Size: cores(13)})), 3)
-	require.Empty(t, puts(p.Step(now, place.WorkerResized{Worker: "gone", Size: cores(8)})))
+	require.Empty(t, assignments(p.Step(now, place.Request{Job: "small", Row: "r", Size: cores(2), Tasks: tasks("small", 2)})))
+	require.Len(t, assignments(p.Step(now, place.WorkerResized{Worker: "w00", Size: cores(8)})), 1)
+	require.Len(t, assignments(p.Step(now, place.Freed{Task: "wide.0"})), 1)
+	require.Empty(t, assignments(p.Step(now, place.Request{Job: "gang", Row: "r", Size: cores(3), Tasks: tasks("gang", 3), Gang: true})))
+	require.Len(t, assignments(p.Step(now, place.WorkerResized{Worker: "w00", Size: cores(13)})), 3)
+	require.Empty(t, assignments(p.Step(now, place.WorkerResized{Worker: "gone", Size: cores(8)})))
 }
 
 // Bulk leaves a part of all room free, and that part follows the workers' sizes.
 func TestTheReserveFollowsSizes(t *testing.T) {
 	p := fleet(place.Limits{UrgentReserve: 0.25}, 1)
-	require.Len(t, puts(p.Step(now, place.Request{Job: "bulk", Row: "s", Class: cell.Bulk, Size: cores(1), Tasks: tasks("bulk", 9)})), 3)
-	require.Len(t, puts(p.Step(now, place.WorkerResized{Worker: "w00", Size: cores(8)})), 3)
+	require.Len(t, assignments(p.Step(now, place.Request{Job: "bulk", Row: "s", Class: cell.Bulk, Size: cores(1), Tasks: tasks("bulk", 9)})), 3)
+	require.Len(t, assignments(p.Step(now, place.WorkerResized{Worker: "w00", Size: cores(8)})), 3)
 	p.Step(now, place.WorkerResized{Worker: "w00", Size: cores(4)})
-	require.Empty(t, puts(p.Step(now, place.Freed{Task: "bulk.0"})))
+	require.Empty(t, assignments(p.Step(now, place.Freed{Task: "bulk.0"})))
 }
 
 // A small worker grows to the size of a full one. A task that only it has room for goes there.
 func TestAWorkerIsFoundByItsNewSize(t *testing.T) {
 	p := fleet(place.Limits{}, 1)
 	p.Step(now, place.Up{Worker: "small", Rack: "r0", Size: cores(1)})
-	require.Len(t, puts(p.Step(now, place.Request{Job: "x", Row: "r", Size: cores(4), Tasks: tasks("x", 2)})), 1)
-	require.Equal(t, map[string]string{"x.1": "small"}, puts(p.Step(now, place.WorkerResized{Worker: "small", Size: cores(4)})))
+	require.Len(t, assignments(p.Step(now, place.Request{Job: "x", Row: "r", Size: cores(4), Tasks: tasks("x", 2)})), 1)
+	require.Equal(t, map[string]string{"x.1": "small"}, assignments(p.Step(now, place.WorkerResized{Worker: "small", Size: cores(4)})))
 }
--- a/internal/place/policy_test.go
+++ b/internal/place/policy_test.go
@@ -38,7 +38,7 @@
 	return p
 }
 
-func puts(acts []place.Action) map[string]string {
+func assignments(acts []place.Action) map[string]string {
 	on := map[string]string{}
 	for _, a := range acts {
 		if put, ok := a.(place.Assign); ok {
@@ -79,7 +79,7 @@
 		at := now
 		ends := map[string]time.Time{}
 		note := func(acts []place.Action) bool {
-			for task := range puts(acts) {
+			for task := range assignments(acts) {
 				if task == "big.0" {
 					return true
 				}
@@ -156,7 +156,7 @@
 	p.Step(now, place.Request{Job: "big", Row: "big", Class: cell.Normal, Size: cores(3), Tasks: tasks("big", 1), RunTime: time.Hour, Since: now.Add(-time.Second)})
 	p.Step(now.Add(2*time.Minute), place.Tick{})
 	for i := range 3 {
-		got := puts(p.Step(now.Add(2*time.Minute), place.Freed{Task: fmt.Sprintf("s.%d", i)}))
+		got := assignments(p.Step(now.Add(2*time.Minute), place.Freed{Task: fmt.Sprintf("s.%d", i)}))
 		if i < 2 {
 			require.Empty(t, got, "room is kept")
 			continue
@@ -180,12 +180,12 @@
 	short := place.Request{Job: "short", Row: "r", Class: cell.Normal, Size: cores(1), Tasks: tasks("short", 1), RunTime: time.Second}
 	require.Len(t, p.Step(at, short), 1, "short work backfills")
 	p.Step(at, place.Freed{Task: "short.0"})
-	first := puts(p.Step(at, place.Freed{Task: "x.0"}))
+	first := assignments(p.Step(at, place.Freed{Task: "x.0"}))
 	require.Len(t, first, 3)
 	require.Contains(t, first, "a.0")
 	second := map[string]string{}
 	for _, task := range []string{"x.1", "a.0", "a.1", "a.2"} {
-		for name, on := range puts(p.Step(at.Add(time.Minute), place.Freed{Task: task})) {
+		for name, on := range assignments(p.Step(at.Add(time.Minute), place.Freed{Task: task})) {
 			second[name] = on
 		}
 	}
@@ -205,7 +205,7 @@
 	require.Len(t, acts, 2)
 	require.Equal(t, "new.0", acts[0].Task)
 	require.Empty(t, p.Step(at, place.Freed{Task: "new.0"}))
-	require.Equal(t, map[string]string{"u.0": "w00"}, puts(p.Step(at, place.Freed{Task: "old.0"})))
+	require.Equal(t, map[string]string{"u.0": "w00"}, assignments(p.Step(at, place.Freed{Task: "old.0"})))
 }
 
 // One team submits a hundred jobs, then another submits one. The second team
@@ -217,12 +217,12 @@
 		p.Step(now, place.Request{Job: job, Row: "ra", Team: "a", Class: cell.Normal, Size: cores(1), Tasks: tasks(job, 1)})
 	}
 	p.Step(now, place.Request{Job: "b", Row: "rb", Team: "b", Class: cell.Normal, Size: cores(1), Tasks: tasks("b", 1)})
-	require.Contains(t, puts(p.Step(now, place.Freed{Task: "a0.0"})), "b.0")
+	require.Contains(t, assignments(p.Step(now, place.Freed{Task: "a0.0"})), "b.0")
 	p.Step(now, place.Request{Job: "h", Row: "heavy", Team: "c", Class: cell.Normal, Size: cores(1), Rule: place.Rule{Weight: 3}, Tasks: tasks("h", 9)})
 	p.Step(now, place.Request{Job: "l", Row: "light", Team: "c", Class: cell.Normal, Size: cores(1), Rule: place.Rule{Weight: 1}, Tasks: tasks("l", 9)})
 	got := map[byte]int{}
 	for i := 1; i < 8; i++ {
-		for task := range puts(p.Step(now, place.Freed{Task: fmt.Sprintf("a%d.0", i)})) {
+		for task := range assignments(p.Step(now, place.Freed{Task: fmt.Sprintf("a%d.0", i)})) {
 			got[task[0]]++
 		}
 	}
@@ -234,7 +234,7 @@
 // tasks sit on several racks goes on.
 func TestServiceIsSpreadOverRacks(t *testing.T) {
 	p := fleet(place.Limits{}, 6)
-	on := puts(p.Step(now, place.Request{Job: "s", Row: "watch", Size: cores(1), Tasks: tasks("s", 3), Spread: true}))
+	on := assignments(p.Step(now, place.Request{Job: "s", Row: "watch", Size: cores(1), Tasks: tasks("s", 3), Spread: true}))
 	racks := map[byte]bool{}
 	for _, w := range on {
 		racks[(w[2]-'0')/2] = true
@@ -331,7 +331,7 @@
 				has[name] = cell.Size{CPU: rapid.Int64Range(0, 8000).Draw(t, "cpu"), Mem: rapid.Int64Range(0, 8*gib).Draw(t, "mem")}
 				ev, over[name] = place.WorkerResized{Worker: name, Size: has[name]}, true
 			}
-			for name, on := range puts(p.Step(at, ev)) {
+			for name, on := range assignments(p.Step(at, ev)) {
 				require.NotContains(t, rooms, name, "placed twice")
 				rooms[name] = taken{on: on, size: sizes[name]}
 				over[on] = false
