--- a/internal/place/health_test.go
+++ b/internal/place/health_test.go
@@ -70,14 +70,14 @@
 		acts = append(acts, results(p, now, "good", false, names(0, 8)...)...)
 		acts = append(acts, results(p, now, "bug", true, names(0, 8)...)...)
 	}
-	require.Empty(t, only[place.Quarantined](acts))
+	require.Empty(t, actionsOf[place.Quarantined](acts))
 }
 
 // A new row with a bug fails on one worker before any other has run it. When
 // it fails elsewhere too, the worker is pardoned.
 func TestWorkerIsPardonedWhenTheRowFailsElsewhere(t *testing.T) {
 	p := fleet(place.DefaultLimits, 8)
-	require.Len(t, only[place.Quarantined](results(p, now, "new", true, "w00", "w00", "w00", "w00")), 1)
+	require.Len(t, actionsOf[place.Quarantined](results(p, now, "new", true, "w00", "w00", "w00", "w00")), 1)
 	for range 4 {
 		results(p, now, "new", true, names(1, 8)...)
 	}
@@ -96,7 +96,7 @@
 	for range 5 {
 		acts = append(acts, results(p, now, "r", true, names(0, 5)...)...)
 	}
-	require.Len(t, only[place.Quarantined](acts), 2)
+	require.Len(t, actionsOf[place.Quarantined](acts), 2)
 	require.Equal(t, []string{"w00", "w01"}, p.QuarantinedWorkers())
 }
 
@@ -109,13 +109,13 @@
 	p.Step(now, place.Request{Job: "b", Row: "b", Class: cell.Bulk, Size: cores(2), Tasks: tasks("b", 1)})
 	require.Empty(t, p.Step(now, resized("u.0", cores(2))))
 	acts := p.Step(now, resized("b.0", cell.Size{CPU: 3000, Mem: 2 * gib}))
-	require.Empty(t, only[place.Preempt](acts))
-	require.Equal(t, []place.Throttle{{Task: "b.0", Worker: "w00", Share: 2.0 / 3}}, only[place.Throttle](acts))
+	require.Empty(t, actionsOf[place.Preempt](acts))
+	require.Equal(t, []place.Throttle{{Task: "b.0", Worker: "w00", Share: 2.0 / 3}}, actionsOf[place.Throttle](acts))
 	acts = p.Step(now, resized("u.0", cores(3)))
-	stops := only[place.Preempt](acts)
+	stops := actionsOf[place.Preempt](acts)
 	require.Len(t, stops, 1)
 	require.Equal(t, "b.0", stops[0].Task)
-	require.Empty(t, only[place.Preempt](p.Step(now, resized("u.0", cell.Size{CPU: 3000, Mem: 3*gib + 1}))), "once is enough")
+	require.Empty(t, actionsOf[place.Preempt](p.Step(now, resized("u.0", cell.Size{CPU: 3000, Mem: 3*gib + 1}))), "once is enough")
 }
 
 // An operator raises a limit while jobs wait for it. The accepted edit must be
--- a/internal/place/policy_test.go
+++ b/internal/place/policy_test.go
@@ -48,7 +48,7 @@
 	return on
 }
 
-func only[A place.Action](acts []place.Action) []A {
+func actionsOf[A place.Action](acts []place.Action) []A {
 	var all []A
 	for _, a := range acts {
 		if a, ok := a.(A); ok {
@@ -123,7 +123,7 @@
 	var running []string
 	started := false
 	note := func(acts []place.Action) {
-		for _, a := range only[place.Assign](acts) {
+		for _, a := range actionsOf[place.Assign](acts) {
 			running = append(running, a.Task)
 			started = started || a.Task == "bulk.0"
 		}
@@ -201,7 +201,7 @@
 	p.Step(now.Add(time.Minute), place.Request{Job: "new", Row: "b", Class: cell.Bulk, Size: cores(2), Tasks: tasks("new", 3)})
 	urgent := place.Request{Job: "u", Row: "u", Class: cell.Urgent, Size: cores(3), Tasks: tasks("u", 1)}
 	at := now.Add(2 * time.Minute)
-	acts := only[place.Preempt](p.Step(at, urgent))
+	acts := actionsOf[place.Preempt](p.Step(at, urgent))
 	require.Len(t, acts, 2)
 	require.Equal(t, "new.0", acts[0].Task)
 	require.Empty(t, p.Step(at, place.Freed{Task: "new.0"}))
