--- a/internal/place/health_test.go
+++ b/internal/place/health_test.go
@@ -17,8 +17,8 @@
 	return place.TaskResized{Task: task, Size: use, Use: use}
 }
 
-// results tells how tasks of a row ended, one on each of the workers.
-func results(p *place.Placer, at time.Time, row string, failed bool, workers ...string) []place.Action {
+// reportResults tells how tasks of a row ended, one on each of the workers.
+func reportResults(p *place.Placer, at time.Time, row string, failed bool, workers ...string) []place.Action {
 	var acts []place.Action
 	for _, w := range workers {
 		acts = append(acts, p.Step(at, place.Result{Worker: w, Row: row, Failed: failed})...)
@@ -41,9 +41,9 @@
 	p := fleet(place.DefaultLimits, 8)
 	at := now
 	for range 3 {
-		results(p, at, "r", false, names(1, 8)...)
+		reportResults(p, at, "r", false, names(1, 8)...)
 	}
-	acts := results(p, at, "r", true, "w00", "w00", "w00")
+	acts := reportResults(p, at, "r", true, "w00", "w00", "w00")
 	require.Equal(t, []place.Action{place.Quarantined{Worker: "w00"}}, acts)
 	on := assignments(p.Step(at, place.Request{Job: "j", Row: "r", Size: cores(4), Tasks: tasks("j", 8)}))
 	require.Len(t, on, 7)
@@ -52,13 +52,13 @@
 	require.Equal(t, map[string]string{"j.7": "w00"}, trial)
 	p.Step(at, place.Request{Job: "k", Row: "r", Size: cores(1), Tasks: tasks("k", 1)})
 	require.Empty(t, assignments(p.Step(at, place.Freed{Task: "j.7"})), "one trial at a time")
-	results(p, at, "r", true, "w00")
+	reportResults(p, at, "r", true, "w00")
 	at = at.Add(place.DefaultLimits.TrialInterval + time.Second)
 	require.Empty(t, assignments(p.Step(at, place.Tick{})), "a failed trial doubles the wait")
 	at = at.Add(place.DefaultLimits.TrialInterval)
 	require.Equal(t, map[string]string{"k.0": "w00"}, assignments(p.Step(at, place.Tick{})))
-	results(p, at, "r", false, "w00")
-	require.Contains(t, results(p, at, "r", false, "w00"), place.Restored{Worker: "w00"})
+	reportResults(p, at, "r", false, "w00")
+	require.Contains(t, reportResults(p, at, "r", false, "w00"), place.Restored{Worker: "w00"})
 }
 
 // A row's own bug fails its tasks on every worker. Condemning the workers for
@@ -67,8 +67,8 @@
 	p := fleet(place.DefaultLimits, 8)
 	var acts []place.Action
 	for range 5 {
-		acts = append(acts, results(p, now, "good", false, names(0, 8)...)...)
-		acts = append(acts, results(p, now, "bug", true, names(0, 8)...)...)
+		acts = append(acts, reportResults(p, now, "good", false, names(0, 8)...)...)
+		acts = append(acts, reportResults(p, now, "bug", true, names(0, 8)...)...)
 	}
 	require.Empty(t, actionsOf[place.Quarantined](acts))
 }
@@ -77,9 +77,9 @@
 // it fails elsewhere too, the worker is pardoned.
 func TestWorkerIsPardonedWhenTheRowFailsElsewhere(t *testing.T) {
 	p := fleet(place.DefaultLimits, 8)
-	require.Len(t, actionsOf[place.Quarantined](results(p, now, "new", true, "w00", "w00", "w00", "w00")), 1)
+	require.Len(t, actionsOf[place.Quarantined](reportResults(p, now, "new", true, "w00", "w00", "w00", "w00")), 1)
 	for range 4 {
-		results(p, now, "new", true, names(1, 8)...)
+		reportResults(p, now, "new", true, names(1, 8)...)
 	}
 	require.Contains(t, p.Step(now.Add(2*time.Second), place.Tick{}), place.Restored{Worker: "w00"})
 }
@@ -90,11 +90,11 @@
 func TestNeverMoreThanAShareIsSetAside(t *testing.T) {
 	p := fleet(place.DefaultLimits, 8)
 	for range 20 {
-		results(p, now, "r", false, names(5, 8)...)
+		reportResults(p, now, "r", false, names(5, 8)...)
 	}
 	var acts []place.Action
 	for range 5 {
-		acts = append(acts, results(p, now, "r", true, names(0, 5)...)...)
+		acts = append(acts, reportResults(p, now, "r", true, names(0, 5)...)...)
 	}
 	require.Len(t, actionsOf[place.Quarantined](acts), 2)
 	require.Equal(t, []string{"w00", "w01"}, p.QuarantinedWorkers())
@@ -186,9 +186,9 @@
 	l.MaxQuarantined = 0.5
 	p := fleet(l, 2)
 	for range 3 {
-		results(p, now, "r", false, "w01")
+		reportResults(p, now, "r", false, "w01")
 	}
-	require.Contains(t, results(p, now, "r", true, "w00", "w00", "w00"), place.Quarantined{Worker: "w00"})
+	require.Contains(t, reportResults(p, now, "r", true, "w00", "w00", "w00"), place.Quarantined{Worker: "w00"})
 	gang := place.Request{Job: "g", Row: "r", Size: cores(1), Tasks: tasks("g", 6), Gang: true, Avoid: []string{"w00"}}
 	require.Empty(t, assignments(p.Step(now, gang)))
 	require.Len(t, assignments(p.Step(now.Add(l.TrialInterval+time.Second), place.Tick{})), 6)
@@ -201,9 +201,9 @@
 	l.MaxQuarantined = 0.5
 	p := fleet(l, 2)
 	for range 3 {
-		results(p, now, "r", false, "w01")
+		reportResults(p, now, "r", false, "w01")
 	}
-	require.Contains(t, results(p, now, "r", true, "w00", "w00", "w00"), place.Quarantined{Worker: "w00"})
+	require.Contains(t, reportResults(p, now, "r", true, "w00", "w00", "w00"), place.Quarantined{Worker: "w00"})
 	p.Step(now, place.Request{Job: "x", Row: "r", Size: cores(4), Tasks: tasks("x", 1)})
 	p.Step(now, place.Request{Job: "watch", Row: "r", Size: cores(1), Tasks: tasks("watch", 1)})
 	at := now.Add(l.TrialInterval + time.Second)
