--- a/internal/place/health_test.go
+++ b/internal/place/health_test.go
@@ -26,7 +26,7 @@
 	return acts
 }
 
-func names(from, to int) []string {
+func workerNames(from, to int) []string {
 	var all []string
 	for i := from; i < to; i++ {
 		all = append(all, fmt.Sprintf("w%02d", i))
@@ -41,7 +41,7 @@
 	p := fleet(place.DefaultLimits, 8)
 	at := now
 	for range 3 {
-		reportResults(p, at, "r", false, names(1, 8)...)
+		reportResults(p, at, "r", false, workerNames(1, 8)...)
 	}
 	acts := reportResults(p, at, "r", true, "w00", "w00", "w00")
 	require.Equal(t, []place.Action{place.Quarantined{Worker: "w00"}}, acts)
@@ -67,8 +67,8 @@
 	p := fleet(place.DefaultLimits, 8)
 	var acts []place.Action
 	for range 5 {
-		acts = append(acts, reportResults(p, now, "good", false, names(0, 8)...)...)
-		acts = append(acts, reportResults(p, now, "bug", true, names(0, 8)...)...)
+		acts = append(acts, reportResults(p, now, "good", false, workerNames(0, 8)...)...)
+		acts = append(acts, reportResults(p, now, "bug", true, workerNames(0, 8)...)...)
 	}
 	require.Empty(t, actionsOf[place.Quarantined](acts))
 }
@@ -79,7 +79,7 @@
 	p := fleet(place.DefaultLimits, 8)
 	require.Len(t, actionsOf[place.Quarantined](reportResults(p, now, "new", true, "w00", "w00", "w00", "w00")), 1)
 	for range 4 {
-		reportResults(p, now, "new", true, names(1, 8)...)
+		reportResults(p, now, "new", true, workerNames(1, 8)...)
 	}
 	require.Contains(t, p.Step(now.Add(2*time.Second), place.Tick{}), place.Restored{Worker: "w00"})
 }
@@ -90,11 +90,11 @@
 func TestNeverMoreThanAShareIsSetAside(t *testing.T) {
 	p := fleet(place.DefaultLimits, 8)
 	for range 20 {
-		reportResults(p, now, "r", false, names(5, 8)...)
+		reportResults(p, now, "r", false, workerNames(5, 8)...)
 	}
 	var acts []place.Action
 	for range 5 {
-		acts = append(acts, reportResults(p, now, "r", true, names(0, 5)...)...)
+		acts = append(acts, reportResults(p, now, "r", true, workerNames(0, 5)...)...)
 	}
 	require.Len(t, actionsOf[place.Quarantined](acts), 2)
 	require.Equal(t, []string{"w00", "w01"}, p.QuarantinedWorkers())
