--- a/internal/place/health_test.go
+++ b/internal/place/health_test.go
@@ -13,7 +13,7 @@
 	"pollencroft/internal/place"
 )
 
-func resized(task string, use cell.Size) place.TaskResized {
+func resizedTo(task string, use cell.Size) place.TaskResized {
 	return place.TaskResized{Task: task, Size: use, Use: use}
 }
 
@@ -107,15 +107,15 @@
 	p := fleet(place.Limits{}, 1)
 	p.Step(now, place.Request{Job: "u", Row: "u", Class: cell.Urgent, Size: cores(2), Tasks: tasks("u", 1)})
 	p.Step(now, place.Request{Job: "b", Row: "b", Class: cell.Bulk, Size: cores(2), Tasks: tasks("b", 1)})
-	require.Empty(t, p.Step(now, resized("u.0", cores(2))))
-	acts := p.Step(now, resized("b.0", cell.Size{CPU: 3000, Mem: 2 * gib}))
+	require.Empty(t, p.Step(now, resizedTo("u.0", cores(2))))
+	acts := p.Step(now, resizedTo("b.0", cell.Size{CPU: 3000, Mem: 2 * gib}))
 	require.Empty(t, actionsOf[place.Preempt](acts))
 	require.Equal(t, []place.Throttle{{Task: "b.0", Worker: "w00", Share: 2.0 / 3}}, actionsOf[place.Throttle](acts))
-	acts = p.Step(now, resized("u.0", cores(3)))
+	acts = p.Step(now, resizedTo("u.0", cores(3)))
 	stops := actionsOf[place.Preempt](acts)
 	require.Len(t, stops, 1)
 	require.Equal(t, "b.0", stops[0].Task)
-	require.Empty(t, actionsOf[place.Preempt](p.Step(now, resized("u.0", cell.Size{CPU: 3000, Mem: 3*gib + 1}))), "once is enough")
+	require.Empty(t, actionsOf[place.Preempt](p.Step(now, resizedTo("u.0", cell.Size{CPU: 3000, Mem: 3*gib + 1}))), "once is enough")
 }
 
 // An operator raises a limit while jobs wait for it. The accepted edit must be
