--- a/internal/lease/fault_test.go
+++ b/internal/lease/fault_test.go
@@ -10,7 +10,7 @@
 	"pollencroft/internal/lease"
 )
 
-func reading(sent time.Time, tasks ...lease.Task) lease.Reading {
+func newReading(sent time.Time, tasks ...lease.Task) lease.Reading {
 	return lease.Reading{Sent: sent, Clock: sent, Remaining: 3 * time.Second, Lease: "7", Cursor: int64(len(tasks)), Tasks: tasks}
 }
 
@@ -33,9 +33,9 @@
 	l := lease.New(limits)
 	hold(t, l)
 	newer, older := start.Add(1500*time.Millisecond), start.Add(time.Second)
-	acts := l.Step(newer, lease.Renewed{Worker: "w1", Reading: reading(newer, running("t"))})
+	acts := l.Step(newer, lease.Renewed{Worker: "w1", Reading: newReading(newer, running("t"))})
 	require.Len(t, kinds[lease.Updated](acts)[0].Tasks, 1)
-	acts = l.Step(newer, lease.Renewed{Worker: "w1", Reading: reading(older)})
+	acts = l.Step(newer, lease.Renewed{Worker: "w1", Reading: newReading(older)})
 	require.Empty(t, kinds[lease.Updated](acts))
 	r, _ := l.LastReading("w1")
 	require.Len(t, r.Tasks, 1)
@@ -116,7 +116,7 @@
 	slow.TTL = 30 * time.Second
 	l := lease.New(slow)
 	l.Step(start, lease.Wanted{Workers: []string{"w1"}})
-	r := reading(start)
+	r := newReading(start)
 	r.Remaining = 30 * time.Second
 	l.Step(start, lease.Granted{Worker: "w1", Reading: r})
 	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
@@ -125,7 +125,7 @@
 	for now := start; now.Before(start.Add(11 * time.Second)); now = now.Add(10 * time.Millisecond) {
 		if len(kinds[lease.Renew](l.Step(now, lease.Tick{}))) > 0 {
 			at = append(at, now.Sub(start))
-			r := reading(now, running("t"))
+			r := newReading(now, running("t"))
 			r.Remaining = 30 * time.Second
 			l.Step(now, lease.Renewed{Worker: "w1", Reading: r})
 		}
@@ -166,13 +166,13 @@
 	acts := l.Step(at, lease.Wanted{Workers: []string{"w1"}})
 	require.Empty(t, kinds[lease.Up](acts))
 	require.Len(t, kinds[lease.Renew](acts), 1, "its list is read at once")
-	require.Empty(t, kinds[lease.Up](l.Step(at, lease.Renewed{Worker: "w1", Reading: reading(at)})), "the start may still land")
+	require.Empty(t, kinds[lease.Up](l.Step(at, lease.Renewed{Worker: "w1", Reading: newReading(at)})), "the start may still land")
 	_, ok := l.Deadline(at, "w1")
 	require.False(t, ok)
 	at = at.Add(100 * time.Millisecond)
 	require.Len(t, kinds[lease.Renew](l.Step(at, lease.StartAnswered{Worker: "w1", Task: "t", OutcomeKnown: true})), 1)
 	later := at.Add(100 * time.Millisecond)
-	up := kinds[lease.Up](l.Step(later, lease.Renewed{Worker: "w1", Reading: reading(later, running("t"))}))
+	up := kinds[lease.Up](l.Step(later, lease.Renewed{Worker: "w1", Reading: newReading(later, running("t"))}))
 	require.Len(t, up, 1)
 	require.Len(t, up[0].Tasks, 1)
 }
