--- a/internal/lease/fault_test.go
+++ b/internal/lease/fault_test.go
@@ -14,7 +14,7 @@
 	return lease.Reading{Sent: sent, Clock: sent, Remaining: 3 * time.Second, Lease: "7", Cursor: int64(len(tasks)), Tasks: tasks}
 }
 
-func kinds[T lease.Action](acts []lease.Action) []T {
+func actionsOf[T lease.Action](acts []lease.Action) []T {
 	var found []T
 	for _, a := range acts {
 		if a, ok := a.(T); ok {
@@ -34,12 +34,12 @@
 	hold(t, l)
 	newer, older := start.Add(1500*time.Millisecond), start.Add(time.Second)
 	acts := l.Step(newer, lease.Renewed{Worker: "w1", Reading: newReading(newer, running("t"))})
-	require.Len(t, kinds[lease.Updated](acts)[0].Tasks, 1)
+	require.Len(t, actionsOf[lease.Updated](acts)[0].Tasks, 1)
 	acts = l.Step(newer, lease.Renewed{Worker: "w1", Reading: newReading(older)})
-	require.Empty(t, kinds[lease.Updated](acts))
+	require.Empty(t, actionsOf[lease.Updated](acts))
 	r, _ := l.LastReading("w1")
 	require.Len(t, r.Tasks, 1)
-	require.Empty(t, kinds[lease.Down](l.Step(newer, lease.Refused{Worker: "w1", Sent: older})))
+	require.Empty(t, actionsOf[lease.Down](l.Step(newer, lease.Refused{Worker: "w1", Sent: older})))
 }
 
 // The answer to a renewal is lost. The host does not know whether its lease
@@ -49,7 +49,7 @@
 	hold(t, l)
 	sent := 0
 	for now := start; now.Before(start.Add(2900 * time.Millisecond)); now = now.Add(50 * time.Millisecond) {
-		for range kinds[lease.Renew](l.Step(now, lease.Tick{})) {
+		for range actionsOf[lease.Renew](l.Step(now, lease.Tick{})) {
 			sent++
 			l.Step(now, lease.Unanswered{Worker: "w1"})
 		}
@@ -77,12 +77,12 @@
 	hold(t, l)
 	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
 	acts := l.Step(start, lease.Wanted{})
-	require.Len(t, kinds[lease.Down](acts), 1)
-	require.Empty(t, kinds[lease.Release](acts))
+	require.Len(t, actionsOf[lease.Down](acts), 1)
+	require.Empty(t, actionsOf[lease.Release](acts))
 	_, ok := l.Deadline(start, "w1")
 	require.False(t, ok, "a worker that is given up gets no new start")
 	sure := l.Step(start.Add(time.Second), lease.StartAnswered{Worker: "w1", Task: "t", OutcomeKnown: true})
-	require.Equal(t, []lease.Release{{Worker: "w1", Lease: ""}}, kinds[lease.Release](sure))
+	require.Equal(t, []lease.Release{{Worker: "w1", Lease: ""}}, actionsOf[lease.Release](sure))
 }
 
 // Guards against an overfull worker: a task is started again on the worker while the answer to
@@ -92,9 +92,9 @@
 	hold(t, l)
 	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
 	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
-	require.Empty(t, kinds[lease.Release](l.Step(start, lease.Wanted{})))
-	require.Empty(t, kinds[lease.Release](l.Step(start, lease.StartAnswered{Worker: "w1", Task: "t", OutcomeKnown: true})))
-	require.Len(t, kinds[lease.Release](l.Step(start, lease.StartAnswered{Worker: "w1", Task: "t", OutcomeKnown: true})), 1)
+	require.Empty(t, actionsOf[lease.Release](l.Step(start, lease.Wanted{})))
+	require.Empty(t, actionsOf[lease.Release](l.Step(start, lease.StartAnswered{Worker: "w1", Task: "t", OutcomeKnown: true})))
+	require.Len(t, actionsOf[lease.Release](l.Step(start, lease.StartAnswered{Worker: "w1", Task: "t", OutcomeKnown: true})), 1)
 }
 
 // The answer to that start is lost: nobody knows whether it will still land.
@@ -104,8 +104,8 @@
 	hold(t, l)
 	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
 	l.Step(start, lease.Wanted{})
-	require.Empty(t, kinds[lease.Release](l.Step(start.Add(time.Second), lease.StartAnswered{Worker: "w1", Task: "t"})))
-	require.Empty(t, kinds[lease.Release](l.Step(start.Add(4*time.Second), lease.Tick{})))
+	require.Empty(t, actionsOf[lease.Release](l.Step(start.Add(time.Second), lease.StartAnswered{Worker: "w1", Task: "t"})))
+	require.Empty(t, actionsOf[lease.Release](l.Step(start.Add(4*time.Second), lease.Tick{})))
 }
 
 // A task ends long before the next renewal is due. Its room must not stay
@@ -123,7 +123,7 @@
 	l.Step(start, lease.StartAnswered{Worker: "w1", Task: "t", OutcomeKnown: true, RunTime: time.Second})
 	var at []time.Duration
 	for now := start; now.Before(start.Add(11 * time.Second)); now = now.Add(10 * time.Millisecond) {
-		if len(kinds[lease.Renew](l.Step(now, lease.Tick{}))) > 0 {
+		if len(actionsOf[lease.Renew](l.Step(now, lease.Tick{}))) > 0 {
 			at = append(at, now.Sub(start))
 			r := newReading(now, running("t"))
 			r.Remaining = 30 * time.Second
@@ -161,18 +161,18 @@
 	l := lease.New(limits)
 	hold(t, l)
 	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
-	require.Len(t, kinds[lease.Down](l.Step(start, lease.Wanted{})), 1)
+	require.Len(t, actionsOf[lease.Down](l.Step(start, lease.Wanted{})), 1)
 	at := start.Add(100 * time.Millisecond)
 	acts := l.Step(at, lease.Wanted{Workers: []string{"w1"}})
-	require.Empty(t, kinds[lease.Up](acts))
-	require.Len(t, kinds[lease.Renew](acts), 1, "its list is read at once")
-	require.Empty(t, kinds[lease.Up](l.Step(at, lease.Renewed{Worker: "w1", Reading: newReading(at)})), "the start may still land")
+	require.Empty(t, actionsOf[lease.Up](acts))
+	require.Len(t, actionsOf[lease.Renew](acts), 1, "its list is read at once")
+	require.Empty(t, actionsOf[lease.Up](l.Step(at, lease.Renewed{Worker: "w1", Reading: newReading(at)})), "the start may still land")
 	_, ok := l.Deadline(at, "w1")
 	require.False(t, ok)
 	at = at.Add(100 * time.Millisecond)
-	require.Len(t, kinds[lease.Renew](l.Step(at, lease.StartAnswered{Worker: "w1", Task: "t", OutcomeKnown: true})), 1)
+	require.Len(t, actionsOf[lease.Renew](l.Step(at, lease.StartAnswered{Worker: "w1", Task: "t", OutcomeKnown: true})), 1)
 	later := at.Add(100 * time.Millisecond)
-	up := kinds[lease.Up](l.Step(later, lease.Renewed{Worker: "w1", Reading: newReading(later, running("t"))}))
+	up := actionsOf[lease.Up](l.Step(later, lease.Renewed{Worker: "w1", Reading: newReading(later, running("t"))}))
 	require.Len(t, up, 1)
 	require.Len(t, up[0].Tasks, 1)
 }
--- a/internal/lease/life_test.go
+++ b/internal/lease/life_test.go
@@ -21,13 +21,13 @@
 	l.Step(start.Add(-time.Minute), lease.IncarnationLearned{Worker: "w1", Life: life})
 	l.Step(start, lease.Wanted{Workers: []string{"w1"}})
 	acts := l.Step(start, lease.Granted{Worker: "w1", Reading: inLife(start, life, left)})
-	require.Len(t, kinds[lease.Up](acts), 1)
+	require.Len(t, actionsOf[lease.Up](acts), 1)
 }
 
 // grant takes a worker in a life at a time and tells whether it is led then.
 func grant(l *lease.Leases, at time.Time, life string) bool {
 	l.Step(at, lease.Wanted{Workers: []string{"w1"}})
-	return len(kinds[lease.Up](l.Step(at, lease.Granted{Worker: "w1", Reading: inLife(at, life, 3*time.Second)}))) == 1
+	return len(actionsOf[lease.Up](l.Step(at, lease.Granted{Worker: "w1", Reading: inLife(at, life, 3*time.Second)}))) == 1
 }
 
 // Guards against starts on a worker under which those of a former holder may still arrive.
@@ -37,7 +37,7 @@
 	require.True(t, l.HasUnconfirmed(start))
 	led := func(after time.Duration) bool {
 		at := start.Add(after)
-		return len(kinds[lease.Up](l.Step(at, lease.Renewed{Worker: "w1", Reading: inLife(at, "1", 3*time.Second)}))) == 1
+		return len(actionsOf[lease.Up](l.Step(at, lease.Renewed{Worker: "w1", Reading: inLife(at, "1", 3*time.Second)}))) == 1
 	}
 	require.False(t, led(time.Second))
 	require.False(t, led(4200*time.Millisecond))
@@ -51,7 +51,7 @@
 	holdIn(t, l, "1", 3*time.Second)
 	at := start.Add(time.Second)
 	acts := l.Step(at, lease.Refused{Worker: "w1", Sent: at, Incarnation: "2"})
-	require.Len(t, kinds[lease.Down](acts), 1)
+	require.Len(t, actionsOf[lease.Down](acts), 1)
 	require.True(t, grant(l, at.Add(limits.RetryInterval), "2"))
 }
 
@@ -59,7 +59,7 @@
 func TestCrashAfterItsHolderLostItIsWaitedFor(t *testing.T) {
 	l := lease.New(limits)
 	holdIn(t, l, "1", 3*time.Second)
-	require.Len(t, kinds[lease.Down](l.Step(start.Add(4*time.Second), lease.Tick{})), 1)
+	require.Len(t, actionsOf[lease.Down](l.Step(start.Add(4*time.Second), lease.Tick{})), 1)
 	require.False(t, grant(l, start.Add(5*time.Second), "2"))
 }
 
@@ -94,9 +94,9 @@
 	at := start.Add(most)
 	_, ok = l.Deadline(at, "w1")
 	require.False(t, ok)
-	require.Len(t, kinds[lease.Down](l.Step(at, lease.Tick{})), 1)
+	require.Len(t, actionsOf[lease.Down](l.Step(at, lease.Tick{})), 1)
 	acts := l.Step(at.Add(time.Second), lease.Renewed{Worker: "w1", Reading: inLife(at.Add(time.Second), "1", 15*time.Second)})
-	require.Len(t, kinds[lease.Up](acts), 1)
+	require.Len(t, actionsOf[lease.Up](acts), 1)
 }
 
 // Guards against a renewal that is read as changes of the former life, since the next one was told by
@@ -107,17 +107,17 @@
 	at := start.Add(time.Second)
 	l.Step(at, lease.IncarnationLearned{Worker: "w1", Life: "2"})
 	acts := l.Step(at, lease.Renewed{Worker: "w1", Reading: inLife(at, "2", 3*time.Second)})
-	require.Len(t, kinds[lease.Down](acts), 1)
-	require.Len(t, kinds[lease.Acquire](acts), 1)
+	require.Len(t, actionsOf[lease.Down](acts), 1)
+	require.Len(t, actionsOf[lease.Acquire](acts), 1)
 }
 
 // Guards against workers of other hosts whose lives nobody here knows when their holder is lost.
 func TestWorkersOfOtherHostsAreMet(t *testing.T) {
 	l := lease.New(limits)
 	ask := func(after time.Duration) int {
-		return len(kinds[lease.AskIncarnation](l.Step(start.Add(after), lease.Tick{})))
+		return len(actionsOf[lease.AskIncarnation](l.Step(start.Add(after), lease.Tick{})))
 	}
-	require.Len(t, kinds[lease.AskIncarnation](l.Step(start, lease.DomainWorkers{Workers: []string{"w1", "w2"}})), 2)
+	require.Len(t, actionsOf[lease.AskIncarnation](l.Step(start, lease.DomainWorkers{Workers: []string{"w1", "w2"}})), 2)
 	l.Step(start, lease.IncarnationLearned{Worker: "w1", Life: "1"})
 	require.Equal(t, 1, ask(time.Second), "the other did not answer")
 	require.Equal(t, 1, ask(2*time.Second))
