--- a/internal/lease/fault_test.go
+++ b/internal/lease/fault_test.go
@@ -31,7 +31,7 @@
 // and the task would be started a second time elsewhere.
 func TestOlderAnswerDoesNotReplaceANewer(t *testing.T) {
 	l := lease.New(limits)
-	hold(t, l)
+	holdWorker(t, l)
 	newer, older := start.Add(1500*time.Millisecond), start.Add(time.Second)
 	acts := l.Step(newer, lease.Renewed{Worker: "w1", Reading: newReading(newer, running("t"))})
 	require.Len(t, actionsOf[lease.Updated](acts)[0].Tasks, 1)
@@ -46,7 +46,7 @@
 // was lengthened, so it counts on the old one only, and tries again in time.
 func TestLostRenewalIsTriedAgainBeforeTheLeaseLapses(t *testing.T) {
 	l := lease.New(limits)
-	hold(t, l)
+	holdWorker(t, l)
 	sent := 0
 	for now := start; now.Before(start.Add(2900 * time.Millisecond)); now = now.Add(50 * time.Millisecond) {
 		for range actionsOf[lease.Renew](l.Step(now, lease.Tick{})) {
@@ -63,7 +63,7 @@
 // must stop starting tasks before the worker gives the anchor to another host.
 func TestDriftingClocksDoNotStretchALease(t *testing.T) {
 	l := lease.New(limits)
-	hold(t, l)
+	holdWorker(t, l)
 	lapsed := 3 * time.Second * 99 / 101
 	_, ok := l.Deadline(start.Add(lapsed), "w1")
 	require.False(t, ok)
@@ -74,7 +74,7 @@
 // the worker, and the start would arrive on top.
 func TestAnchorIsNotGivenBackUnderAStart(t *testing.T) {
 	l := lease.New(limits)
-	hold(t, l)
+	holdWorker(t, l)
 	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
 	acts := l.Step(start, lease.Wanted{})
 	require.Len(t, actionsOf[lease.Down](acts), 1)
@@ -89,7 +89,7 @@
 // its former start is still to come; that answer must not free the anchor under the second start.
 func TestAnchorIsNotGivenBackUnderASecondStartOfATask(t *testing.T) {
 	l := lease.New(limits)
-	hold(t, l)
+	holdWorker(t, l)
 	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
 	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
 	require.Empty(t, actionsOf[lease.Release](l.Step(start, lease.Wanted{})))
@@ -101,7 +101,7 @@
 // The anchor is left to lapse, since the start is dead by then.
 func TestAnchorLapsesUnderAnUnsureStart(t *testing.T) {
 	l := lease.New(limits)
-	hold(t, l)
+	holdWorker(t, l)
 	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
 	l.Step(start, lease.Wanted{})
 	require.Empty(t, actionsOf[lease.Release](l.Step(start.Add(time.Second), lease.StartAnswered{Worker: "w1", Task: "t"})))
@@ -159,7 +159,7 @@
 // under way, and the list that it read before does not show the task.
 func TestWorkerIsLedAgainOnlyWithAListOfAllItsStarts(t *testing.T) {
 	l := lease.New(limits)
-	hold(t, l)
+	holdWorker(t, l)
 	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
 	require.Len(t, actionsOf[lease.Down](l.Step(start, lease.Wanted{})), 1)
 	at := start.Add(100 * time.Millisecond)
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -14,7 +14,7 @@
 	limits = lease.Limits{TTL: 3 * time.Second, TaskTTL: 9 * time.Second, RetryInterval: 250 * time.Millisecond}
 )
 
-func hold(t *testing.T, l *lease.Leases) {
+func holdWorker(t *testing.T, l *lease.Leases) {
 	t.Helper()
 	require.Equal(t, []lease.Action{lease.Acquire{Worker: "w1", TTL: 3 * time.Second}}, l.Step(start, lease.Wanted{Workers: []string{"w1"}}))
 	acts := l.Step(start, lease.Granted{Worker: "w1", Reading: lease.Reading{Sent: start, Clock: start, Remaining: 3 * time.Second}})
@@ -26,7 +26,7 @@
 // beside the one that its successor started.
 func TestPausedHolderStartsNothing(t *testing.T) {
 	l := lease.New(limits)
-	hold(t, l)
+	holdWorker(t, l)
 	_, ok := l.Deadline(start.Add(time.Second), "w1")
 	require.True(t, ok)
 	_, ok = l.Deadline(start.Add(4*time.Second), "w1")
