--- a/internal/lease/life_test.go
+++ b/internal/lease/life_test.go
@@ -10,7 +10,7 @@
 	"pollencroft/internal/lease"
 )
 
-func inLife(sent time.Time, life string, left time.Duration) lease.Reading {
+func readingIn(sent time.Time, life string, left time.Duration) lease.Reading {
 	return lease.Reading{Sent: sent, Clock: sent, Remaining: left, Lease: "7", Incarnation: life}
 }
 
@@ -20,14 +20,14 @@
 	l.Step(start.Add(-time.Minute), lease.DomainWorkers{Workers: []string{"w1"}})
 	l.Step(start.Add(-time.Minute), lease.IncarnationLearned{Worker: "w1", Life: life})
 	l.Step(start, lease.Wanted{Workers: []string{"w1"}})
-	acts := l.Step(start, lease.Granted{Worker: "w1", Reading: inLife(start, life, left)})
+	acts := l.Step(start, lease.Granted{Worker: "w1", Reading: readingIn(start, life, left)})
 	require.Len(t, actionsOf[lease.Up](acts), 1)
 }
 
 // grant takes a worker in a life at a time and tells whether it is led then.
 func grant(l *lease.Leases, at time.Time, life string) bool {
 	l.Step(at, lease.Wanted{Workers: []string{"w1"}})
-	return len(actionsOf[lease.Up](l.Step(at, lease.Granted{Worker: "w1", Reading: inLife(at, life, 3*time.Second)}))) == 1
+	return len(actionsOf[lease.Up](l.Step(at, lease.Granted{Worker: "w1", Reading: readingIn(at, life, 3*time.Second)}))) == 1
 }
 
 // Guards against starts on a worker under which those of a former holder may still arrive.
@@ -37,7 +37,7 @@
 	require.True(t, l.HasUnconfirmed(start))
 	led := func(after time.Duration) bool {
 		at := start.Add(after)
-		return len(actionsOf[lease.Up](l.Step(at, lease.Renewed{Worker: "w1", Reading: inLife(at, "1", 3*time.Second)}))) == 1
+		return len(actionsOf[lease.Up](l.Step(at, lease.Renewed{Worker: "w1", Reading: readingIn(at, "1", 3*time.Second)}))) == 1
 	}
 	require.False(t, led(time.Second))
 	require.False(t, led(4200*time.Millisecond))
@@ -95,7 +95,7 @@
 	_, ok = l.Deadline(at, "w1")
 	require.False(t, ok)
 	require.Len(t, actionsOf[lease.Down](l.Step(at, lease.Tick{})), 1)
-	acts := l.Step(at.Add(time.Second), lease.Renewed{Worker: "w1", Reading: inLife(at.Add(time.Second), "1", 15*time.Second)})
+	acts := l.Step(at.Add(time.Second), lease.Renewed{Worker: "w1", Reading: readingIn(at.Add(time.Second), "1", 15*time.Second)})
 	require.Len(t, actionsOf[lease.Up](acts), 1)
 }
 
@@ -106,7 +106,7 @@
 	holdIn(t, l, "1", 3*time.Second)
 	at := start.Add(time.Second)
 	l.Step(at, lease.IncarnationLearned{Worker: "w1", Life: "2"})
-	acts := l.Step(at, lease.Renewed{Worker: "w1", Reading: inLife(at, "2", 3*time.Second)})
+	acts := l.Step(at, lease.Renewed{Worker: "w1", Reading: readingIn(at, "2", 3*time.Second)})
 	require.Len(t, actionsOf[lease.Down](acts), 1)
 	require.Len(t, actionsOf[lease.Acquire](acts), 1)
 }
@@ -149,9 +149,9 @@
 			pending = pending[1:]
 			switch a := a.(type) {
 			case lease.Acquire:
-				step(at, lease.Granted{Worker: a.Worker, Reading: inLife(at, "1", a.TTL)})
+				step(at, lease.Granted{Worker: a.Worker, Reading: readingIn(at, "1", a.TTL)})
 			case lease.Renew:
-				step(at, lease.Renewed{Worker: a.Worker, Reading: inLife(at, "1", a.TTL)})
+				step(at, lease.Renewed{Worker: a.Worker, Reading: readingIn(at, "1", a.TTL)})
 			}
 		}
 	}
