--- a/internal/lease/life_test.go
+++ b/internal/lease/life_test.go
@@ -14,8 +14,8 @@
 	return lease.Reading{Sent: sent, Clock: sent, Remaining: left, Lease: "7", Incarnation: life}
 }
 
-// holdIn has a worker led in a life that was met a while ago.
-func holdIn(t *testing.T, l *lease.Leases, life string, left time.Duration) {
+// holdIncarnation has a worker led in a life that was met a while ago.
+func holdIncarnation(t *testing.T, l *lease.Leases, life string, left time.Duration) {
 	t.Helper()
 	l.Step(start.Add(-time.Minute), lease.DomainWorkers{Workers: []string{"w1"}})
 	l.Step(start.Add(-time.Minute), lease.IncarnationLearned{Worker: "w1", Life: life})
@@ -48,7 +48,7 @@
 // Guards against a worker that is idle after each crash: its holder has no other's starts to fear.
 func TestCrashUnderItsHolderIsNotWaitedFor(t *testing.T) {
 	l := lease.New(limits)
-	holdIn(t, l, "1", 3*time.Second)
+	holdIncarnation(t, l, "1", 3*time.Second)
 	at := start.Add(time.Second)
 	acts := l.Step(at, lease.Refused{Worker: "w1", Sent: at, Incarnation: "2"})
 	require.Len(t, actionsOf[lease.Down](acts), 1)
@@ -58,7 +58,7 @@
 // Guards against an empty worker that is taken for known: its former holder had lost it before the crash.
 func TestCrashAfterItsHolderLostItIsWaitedFor(t *testing.T) {
 	l := lease.New(limits)
-	holdIn(t, l, "1", 3*time.Second)
+	holdIncarnation(t, l, "1", 3*time.Second)
 	require.Len(t, actionsOf[lease.Down](l.Step(start.Add(4*time.Second), lease.Tick{})), 1)
 	require.False(t, grant(l, start.Add(5*time.Second), "2"))
 }
@@ -86,7 +86,7 @@
 // next life waits for no longer than a start may take.
 func TestStartsAreNotSentOnAnOldAnswer(t *testing.T) {
 	l := lease.New(limits)
-	holdIn(t, l, "1", 15*time.Second)
+	holdIncarnation(t, l, "1", 15*time.Second)
 	d, ok := l.Deadline(start.Add(time.Second), "w1")
 	require.True(t, ok)
 	most := limits.TTL + limits.TTL*2/5
@@ -103,7 +103,7 @@
 // an answer that was asked for before the worker was taken.
 func TestLifeThatIsToldBesideARenewalEndsTheLease(t *testing.T) {
 	l := lease.New(limits)
-	holdIn(t, l, "1", 3*time.Second)
+	holdIncarnation(t, l, "1", 3*time.Second)
 	at := start.Add(time.Second)
 	l.Step(at, lease.IncarnationLearned{Worker: "w1", Life: "2"})
 	acts := l.Step(at, lease.Renewed{Worker: "w1", Reading: readingIn(at, "2", 3*time.Second)})
