--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -80,7 +80,7 @@
 	row, _ := l.Row(a.Spec.Row)
 	w := l.wantOf(a.Spec, a.Tasks)
 	w.Rule = l.ruleNow(row)
-	w.Since, w.Avoid, w.LastFailed, w.AvoidUntil = a.Since, a.Avoid, a.LastFailure, a.AvoidUntil
+	w.Since, w.Avoid, w.LastFailure, w.AvoidUntil = a.Since, a.Avoid, a.LastFailure, a.AvoidUntil
 	w.Declared = w.Size
 	w.Size, w.RunTime = l.corrected(w), l.Estimates.Time(w.Row, w.RunTime)
 	if a.Exclusive {
--- a/internal/place/messages.go
+++ b/internal/place/messages.go
@@ -59,8 +59,8 @@
 	Since time.Time
 	// Avoid are workers that these tasks have failed on, the last time at Failed. They go back to one
 	// of them, if they cannot do without, at Back, or sooner if it has run another task well since.
-	Avoid                  []string
-	LastFailed, AvoidUntil time.Time
+	Avoid                   []string
+	LastFailure, AvoidUntil time.Time
 	Rule
 }
 
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -300,7 +300,7 @@
 // mayRetryOn tells whether the entry's tasks may be put on a worker that they have failed on. Tried
 // there again at once, they would spend all their tries on a worker that fails everything.
 func (p *Placer) mayRetryOn(w *worker, e *entry) bool {
-	return !slices.Contains(e.Avoid, w.name) || !p.now.Before(e.AvoidUntil) || w.lastSuccess.After(e.LastFailed)
+	return !slices.Contains(e.Avoid, w.name) || !p.now.Before(e.AvoidUntil) || w.lastSuccess.After(e.LastFailure)
 }
 
 // wakeAfterAvoid has work tried that may go back now to the workers that it has failed on.
