--- a/internal/place/preempt.go
+++ b/internal/place/preempt.go
@@ -52,7 +52,7 @@
 		}
 	}
 	slices.SortFunc(bulk, func(a, b *allocation) int {
-		return cmp.Or(cmp.Compare(p.cost(a), p.cost(b)), cmp.Compare(a.task, b.task))
+		return cmp.Or(cmp.Compare(p.preemptionCost(a), p.preemptionCost(b)), cmp.Compare(a.task, b.task))
 	})
 	var cost float64
 	for i, r := range bulk {
@@ -60,13 +60,13 @@
 			return bulk[:i], cost, true
 		}
 		free = free.Add(r.size)
-		cost += p.cost(r)
+		cost += p.preemptionCost(r)
 	}
 	return bulk, cost, size.Fits(free)
 }
 
-// cost is the work that a stop may lose, in shares of a worker times seconds.
-func (p *Placer) cost(r *allocation) float64 {
+// preemptionCost is the work that a stop may lose, in shares of a worker times seconds.
+func (p *Placer) preemptionCost(r *allocation) float64 {
 	return (1 + p.now.Sub(r.started).Seconds()) * r.size.Share(r.worker.size)
 }
 
@@ -116,7 +116,7 @@
 			continue
 		}
 		if best == nil || r.class > best.class || r.class == best.class &&
-			(p.cost(r) < p.cost(best) || p.cost(r) == p.cost(best) && r.task < best.task) {
+			(p.preemptionCost(r) < p.preemptionCost(best) || p.preemptionCost(r) == p.preemptionCost(best) && r.task < best.task) {
 			best = r
 		}
 	}
