--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -42,12 +42,12 @@
 }
 
 func (p *Placer) cancelReservations(e *entry) {
-	marked := e.reserved
+	reserved := e.reserved
 	e.reserved = nil
-	for _, w := range marked {
+	for _, w := range reserved {
 		w.reservation = nil
 	}
-	for _, w := range marked {
+	for _, w := range reserved {
 		if p.workers[w.name] == w {
 			p.noteGrown(w)
 		}
