--- a/internal/place/limits.go
+++ b/internal/place/limits.go
@@ -154,9 +154,9 @@
 }
 
 // countFitting is how many tasks of that size go into room.
-func countFitting(room, size cell.Size) int64 {
+func countFitting(capacity, size cell.Size) int64 {
 	n := maxPart
-	for _, part := range [][2]int64{{room.CPU, size.CPU}, {room.Mem, size.Mem}, {room.Accel, size.Accel}} {
+	for _, part := range [][2]int64{{capacity.CPU, size.CPU}, {capacity.Mem, size.Mem}, {capacity.Accel, size.Accel}} {
 		if part[1] > 0 {
 			n = min(n, max(part[0], 0)/part[1])
 		}
