--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -17,76 +17,76 @@
 // answer says that the lead is slow. That it is gone is believed of a lead that stores nothing
 // either, or that this host has not heard for unheard.
 
-// unheard is how long a lead that goes on storing may leave a host's questions unanswered. Slow
+// maxSilence is how long a lead that goes on storing may leave a host's questions unanswered. Slow
 // ones fell behind by a second or two; one that only the store can reach has to be succeeded
 // well within what callers allow for a recovery.
-const unheard = 4 * time.Second
+const maxSilence = 4 * time.Second
 
-// doubtAfter is how long the lead may take to answer before a look is taken at what it stores:
+// storeCheckDelay is how long the lead may take to answer before a look is taken at what it stores:
 // longer than a calm one takes, and so early that the look costs no time.
-const doubtAfter = 50 * time.Millisecond
+const storeCheckDelay = 50 * time.Millisecond
 
-// lateFor is for how long a late answer shows that the lead is alive: a lead that is always late
+// lateReplyValidity is for how long a late answer shows that the lead is alive: a lead that is always late
 // is asked, left alone for muteFor and asked again within that.
-const lateFor = 1500 * time.Millisecond
+const lateReplyValidity = 1500 * time.Millisecond
 
 const (
-	// changesFor is for how long a change of the lead makes hosts more patient with the next
+	// leaderChangeWindow is for how long a change of the lead makes hosts more patient with the next
 	// one: several times what it takes to catch up after it.
-	changesFor = time.Minute
-	// morePatient is by how much, mostPatience the bound: less than unheard, after which no
+	leaderChangeWindow = time.Minute
+	// progressTimeoutFactor is by how much, mostPatience the bound: less than unheard, after which no
 	// sign of life counts.
-	morePatient  = 4
-	mostPatience = 3 * time.Second
-	// backWithin is how soon after a change the former lead answers if it was only slow.
-	backWithin = 1500 * time.Millisecond
-	// backAgain is the pause before it is asked again.
-	backAgain = 300 * time.Millisecond
+	progressTimeoutFactor = 4
+	maxProgressTimeout    = 3 * time.Second
+	// returnWindow is how soon after a change the former lead answers if it was only slow.
+	returnWindow = 1500 * time.Millisecond
+	// returnPollInterval is the pause before it is asked again.
+	returnPollInterval = 300 * time.Millisecond
 )
 
-// afterAll sorts after every key of stateTopic.
-const afterAll = "~"
+// maxKey sorts after every key of stateTopic.
+const maxKey = "~"
 
-// ends are where the partitions of stateTopic ended at some moment.
-type ends struct {
-	at   time.Time
-	part []int64
+// logEnds are where the partitions of stateTopic ended at some moment.
+type logEnds struct {
+	at      time.Time
+	offsets []int64
 }
 
-// works tells whether the lead, which did not answer in time, is slow and not gone: it answered
+// isLeaderAlive tells whether the lead, which did not answer in time, is slow and not gone: it answered
 // late just now, or it stores something while this host watches, and has not been unheard for too
 // long. before is where its partitions ended when the question was put.
-func (h *Host) works(before <-chan ends) bool {
+func (h *Host) isLeaderAlive(before <-chan logEnds) bool {
 	h.mu.Lock()
-	lead, mute, silence := h.lead, h.mute == h.lead, time.Duration(0)
-	if !h.leadAsked.IsZero() {
-		silence = h.now().Sub(h.leadAsked)
+	lead, mute, silence := h.leader, h.unresponsive == h.leader, time.Duration(0)
+	if !h.unansweredSince.IsZero() {
+		silence = h.now().Sub(h.unansweredSince)
 	}
 	h.mu.Unlock()
 	if !mute {
 		// It says that it does not lead.
 		return false
 	}
-	reach := h.reach(lead)
+	reach := h.tryConnect(lead)
 	if reach == peer.Refused {
 		return false
 	}
-	if h.answersLate(lead) {
+	if h.repliedLate(lead) {
 		return true
 	}
-	if silence > unheard {
+	if silence > maxSilence {
 		h.log.Warn("lead: is not heard any more.", "host", lead, "for", silence)
 		return false
 	}
 	was := <-before
-	pause := settle - h.now().Sub(was.at)
-	for patience := h.changePatience(reach); wait(h.ctx, pause); pause = settle {
-		is := h.stateEnds()
-		if part := grown(was, is); part >= 0 {
-			switch by := h.writer(lead, h.stateParts()[part]); by {
+	pause := claimGrace - h.now().Sub(was.at)
+	for patience := h.progressTimeout(reach); sleep(h.ctx, pause); pause = claimGrace {
+		is := h.stateLogEnds()
+		if part := firstGrown(was, is); part >= 0 {
+			switch by := h.progressAuthor(lead, h.stateParts()[part]); by {
 			case lead:
-				h.count("lead.slow")
-				h.log.Info("lead: is slow, and works.", "host", lead, "part", h.stateParts()[part], "from", was.part[part], "to", is.part[part], "unheard", silence)
+				h.incCounter("lead.slow")
+				h.log.Info("lead: is slow, and works.", "host", lead, "part", h.stateParts()[part], "from", was.offsets[part], "to", is.offsets[part], "unheard", silence)
 				return true
 			case h.cfg.Name:
 				h.log.Info("lead: was fenced off by this host.", "host", lead, "unheard", silence)
@@ -97,21 +97,21 @@
 				return true
 			}
 		}
-		if h.answersLate(lead) {
+		if h.repliedLate(lead) {
 			return true
 		}
 		if h.now().Sub(was.at) >= patience {
-			h.log.Warn("lead: stores nothing either.", "host", lead, "ends", is.part, "unheard", silence, "patience", patience)
+			h.log.Warn("lead: stores nothing either.", "host", lead, "ends", is.offsets, "unheard", silence, "patience", patience)
 			return false
 		}
 	}
 	return false
 }
 
-// writer tells whose work the growth of a partition of stateTopic is while lead is doubted; empty
+// progressAuthor tells whose work the growth of a partition of stateTopic is while lead is doubted; empty
 // if it is that of a lead that has left. A host that has claimed since is followed: its term
 // cannot be known yet, nor that it ever begins, but the one before is fenced off.
-func (h *Host) writer(lead string, part int) string {
+func (h *Host) progressAuthor(lead string, part int) string {
 	a, err := h.store.Do(h.ctx, store.Call{Op: store.Newest, Topic: stateTopic, Part: part})
 	if err != nil {
 		// Nobody could take over while that cannot be read.
@@ -128,63 +128,63 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
-	case h.lead != lead:
+	case h.leader != lead:
 		// It was announced meanwhile, or another one was.
 		return name
-	case name == h.former:
+	case name == h.previousLeader:
 		return ""
 	}
-	h.changeLead(name)
+	h.switchLeader(name)
 	return name
 }
 
-// reach tries a new connection to a host.
-func (h *Host) reach(name string) peer.Reach {
-	ctx, cancel := context.WithTimeout(h.ctx, goneWait)
+// tryConnect tries a new connection to a host.
+func (h *Host) tryConnect(name string) peer.Reach {
+	ctx, cancel := context.WithTimeout(h.ctx, goneTimeout)
 	defer cancel()
 	return h.peers.Reach(ctx, name)
 }
 
-// answersLate tells whether the lead has answered late just now.
-func (h *Host) answersLate(lead string) bool {
+// repliedLate tells whether the lead has answered late just now.
+func (h *Host) repliedLate(lead string) bool {
 	h.mu.Lock()
-	late := h.now().Sub(h.leadLate)
+	late := h.now().Sub(h.lastLateReply)
 	h.mu.Unlock()
-	if late >= lateFor {
+	if late >= lateReplyValidity {
 		return false
 	}
-	h.count("lead.slow")
+	h.incCounter("lead.slow")
 	h.log.Info("lead: is slow, and answers.", "host", lead, "ago", late)
 	return true
 }
 
-// changePatience is how long the lead may store nothing. It grows with each change of late that
+// progressTimeout is how long the lead may store nothing. It grows with each change of late that
 // nobody had told of and that may have been a mistake: that it was is the likelier, and costs the
 // more, the more there were. A host that takes no connection is off or cut off, and not slow.
-func (h *Host) changePatience(reach peer.Reach) time.Duration {
+func (h *Host) progressTimeout(reach peer.Reach) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	patience := settle
+	patience := claimGrace
 	if reach == peer.NoAnswer {
 		return patience
 	}
-	h.changes = h.lately()
-	for range h.changes {
-		patience = min(morePatient*patience, mostPatience)
+	h.leaderChanges = h.recentLeaderChanges()
+	for range h.leaderChanges {
+		patience = min(progressTimeoutFactor*patience, maxProgressTimeout)
 	}
 	return patience
 }
 
-// reviewChange asks the former lead after a change that nobody had told of. If it stays silent,
+// verifyLeaderChange asks the former lead after a change that nobody had told of. If it stays silent,
 // the change was right and is no reason to be more patient.
-func (h *Host) reviewChange(at time.Time, former string) {
-	ctx, cancel := context.WithTimeout(h.ctx, backWithin)
+func (h *Host) verifyLeaderChange(at time.Time, former string) {
+	ctx, cancel := context.WithTimeout(h.ctx, returnWindow)
 	defer cancel()
 	for {
 		if err := h.peers.Ask(ctx, former, h.syncMessage(), new(peer.SyncReply)); err == nil {
 			return
 		}
-		if !wait(ctx, backAgain) {
+		if !sleep(ctx, returnPollInterval) {
 			break
 		}
 	}
@@ -192,52 +192,52 @@
 		return
 	}
 	h.mu.Lock()
-	h.changes = slices.DeleteFunc(h.changes, func(c time.Time) bool { return c.Equal(at) })
+	h.leaderChanges = slices.DeleteFunc(h.leaderChanges, func(c time.Time) bool { return c.Equal(at) })
 	h.mu.Unlock()
 	h.log.Info("lead: change was right.", "host", former, "silent", h.now().Sub(at))
 }
 
-// lately are the changes of the lead that count still; mu is held. The caller keeps them as h.changes.
-func (h *Host) lately() []time.Time {
-	return slices.DeleteFunc(h.changes, func(at time.Time) bool { return h.now().Sub(at) > changesFor })
+// recentLeaderChanges are the changes of the lead that count still; mu is held. The caller keeps them as h.changes.
+func (h *Host) recentLeaderChanges() []time.Time {
+	return slices.DeleteFunc(h.leaderChanges, func(at time.Time) bool { return h.now().Sub(at) > leaderChangeWindow })
 }
 
-// grown is the first of the partitions that have grown, -1 if none has.
-func grown(was, is ends) int {
-	for i := range min(len(was.part), len(is.part)) {
-		if is.part[i] > was.part[i] {
+// firstGrown is the first of the partitions that have firstGrown, -1 if none has.
+func firstGrown(was, is logEnds) int {
+	for i := range min(len(was.offsets), len(is.offsets)) {
+		if is.offsets[i] > was.offsets[i] {
 			return i
 		}
 	}
 	return -1
 }
 
-// stateEnds returns where the partitions of stateTopic end; nothing if one cannot be read,
+// stateLogEnds returns where the partitions of stateTopic end; nothing if one cannot be read,
 // as then nobody can take over anyway.
-func (h *Host) stateEnds() ends {
+func (h *Host) stateLogEnds() logEnds {
 	parts := h.stateParts()
-	e := ends{at: h.now(), part: make([]int64, len(parts))}
+	e := logEnds{at: h.now(), offsets: make([]int64, len(parts))}
 	g, ctx := errgroup.WithContext(h.ctx)
 	for i, part := range parts {
 		g.Go(func() error {
-			a, err := h.store.Do(ctx, store.Call{Op: store.Newest, Topic: stateTopic, Part: part, After: afterAll})
-			e.part[i] = a.End
+			a, err := h.store.Do(ctx, store.Call{Op: store.Newest, Topic: stateTopic, Part: part, After: maxKey})
+			e.offsets[i] = a.End
 			return err
 		})
 	}
 	if err := g.Wait(); err != nil {
 		h.log.Warn("lead: what it stores cannot be seen.", "err", err)
-		return ends{at: e.at}
+		return logEnds{at: e.at}
 	}
 	return e
 }
 
-// leadsOrEnds asks the lead whether it leads. While there is no answer, or if it is no, it also
+// checkLeader asks the lead whether it leads. While there is no answer, or if it is no, it also
 // looks at what the lead stores.
-func (h *Host) leadsOrEnds(lead string) (leads bool, before <-chan ends) {
-	got, yes, no := make(chan ends, 1), make(chan struct{}), make(chan struct{})
+func (h *Host) checkLeader(lead string) (leads bool, before <-chan logEnds) {
+	got, yes, no := make(chan logEnds, 1), make(chan struct{}), make(chan struct{})
 	h.wg.Go(func() {
-		t := time.NewTimer(doubtAfter)
+		t := time.NewTimer(storeCheckDelay)
 		defer t.Stop()
 		defer close(got)
 		select {
@@ -246,9 +246,9 @@
 		case <-no:
 		case <-t.C:
 		}
-		got <- h.stateEnds()
+		got <- h.stateLogEnds()
 	})
-	if h.leads(lead) {
+	if h.isLeaderOrClaiming(lead) {
 		close(yes)
 		return true, got
 	}
@@ -256,47 +256,47 @@
 	return false, got
 }
 
-// heardLead notes an answer of the lead, also a late one.
-func (h *Host) heardLead(name string, r peer.SyncReply, late bool) {
+// noteLeaderReply notes an answer of the lead, also a late one.
+func (h *Host) noteLeaderReply(name string, r peer.SyncReply, late bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if name != h.lead || !r.Lead && !r.Leading {
+	if name != h.leader || !r.Lead && !r.Leading {
 		// One that the store does not serve leads on, and is heard.
 		return
 	}
-	h.leadAsked = time.Time{}
+	h.unansweredSince = time.Time{}
 	if late {
-		h.leadLate = h.now()
+		h.lastLateReply = h.now()
 	}
 }
 
-// askedLead notes a question to the lead.
-func (h *Host) askedLead(name string) {
+// noteLeaderRequest notes a question to the lead.
+func (h *Host) noteLeaderRequest(name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if name == h.lead && h.leadAsked.IsZero() {
-		h.leadAsked = h.now()
+	if name == h.leader && h.unansweredSince.IsZero() {
+		h.unansweredSince = h.now()
 	}
 }
 
-// question asks a host whether it leads, for patience; an answer that comes later than that
+// requestSync asks a host whether it leads, for patience; an answer that comes later than that
 // is only noted.
-func (h *Host) question(name string, patience time.Duration) (peer.SyncReply, error) {
+func (h *Host) requestSync(name string, patience time.Duration) (peer.SyncReply, error) {
 	type result struct {
 		reply peer.SyncReply
 		err   error
 	}
 	answered := make(chan result, 1)
 	sent := h.now()
-	h.askedLead(name)
+	h.noteLeaderRequest(name)
 	h.wg.Go(func() {
-		ctx, cancel := context.WithTimeout(h.ctx, unheard)
+		ctx, cancel := context.WithTimeout(h.ctx, maxSilence)
 		defer cancel()
 		var got result
 		got.err = h.peers.Ask(ctx, name, h.syncMessage(), &got.reply)
 		if got.err == nil {
 			h.states.follow(got.reply)
-			h.heardLead(name, got.reply, h.now().Sub(sent) > patience)
+			h.noteLeaderReply(name, got.reply, h.now().Sub(sent) > patience)
 		}
 		answered <- got
 	})
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -19,19 +19,19 @@
 const (
 	// deadlineHeader says how long the caller waits, in milliseconds.
 	deadlineHeader = "X-Deadline-Ms"
-	// usualDeadline is for callers that do not say it.
-	usualDeadline = 3 * time.Second
-	// answerTime is left for the answer's way back.
-	answerTime = 150 * time.Millisecond
-	// usualBody bounds a body until the table says how much it may have.
-	usualBody = 256 << 10
-	// again is when a caller that was turned away may come back, in seconds: a
+	// defaultDeadline is for callers that do not say it.
+	defaultDeadline = 3 * time.Second
+	// replyMargin is left for the answer's way back.
+	replyMargin = 150 * time.Millisecond
+	// defaultMaxBody bounds a body until the table says how much it may have.
+	defaultMaxBody = 256 << 10
+	// retryAfterSeconds is when a caller that was turned away may come back, in seconds: a
 	// store that is away stays so for seconds, and a second is the least that the
 	// header can say.
-	again = "1"
+	retryAfterSeconds = "1"
 )
 
-func (h *Host) callers() http.Handler {
+func (h *Host) callerHandler() http.Handler {
 	r := chi.NewRouter()
 	r.HandleFunc("/*", h.serveCaller)
 	return r
@@ -55,19 +55,19 @@
 	began := h.now()
 	defer func() {
 		if r.Context().Err() != nil {
-			h.count("caller.left")
+			h.incCounter("caller.left")
 			h.log.Info("caller: left before its answer.", "id", id, "method", r.Method, "after", h.now().Sub(began), "deadline", deadline(r))
 		}
 	}()
 	switch {
 	case id == "" && r.Method == http.MethodGet:
-		h.tellPending(ctx, w, q)
+		h.servePending(ctx, w, q)
 	case !platform.JobID(id):
 		h.refuse(w, http.StatusNotFound, id, "no job's id")
 	case r.Method == http.MethodPost:
 		h.submit(ctx, w, r, q, id)
 	case r.Method == http.MethodGet:
-		h.tell(ctx, w, id)
+		h.serveState(ctx, w, id)
 	case r.Method == http.MethodDelete:
 		h.cancelJob(ctx, w, id)
 	default:
@@ -75,37 +75,37 @@
 	}
 }
 
-// pendingAge is how old the count of a queue's jobs may be.
-const pendingAge = 1800 * time.Millisecond
+// maxPendingAge is how old the count of a queue's jobs may be.
+const maxPendingAge = 1800 * time.Millisecond
 
-// tellPending answers with how many jobs of a queue wait. A count that is too
+// servePending answers with how many jobs of a queue wait. A count that is too
 // old is asked for anew, and not told: its reader would believe that work has
 // begun that still waits.
-func (h *Host) tellPending(ctx context.Context, w http.ResponseWriter, q flow.Queue) {
-	if n, ok := h.pendingOf(q); ok {
+func (h *Host) servePending(ctx context.Context, w http.ResponseWriter, q flow.Queue) {
+	if n, ok := h.cachedPending(q); ok {
 		reply(w, http.StatusOK, platform.PendingBody(n))
 		return
 	}
 	h.refreshPending(ctx)
-	if n, ok := h.pendingOf(q); ok {
+	if n, ok := h.cachedPending(q); ok {
 		reply(w, http.StatusOK, platform.PendingBody(n))
 		return
 	}
 	h.refuse(w, http.StatusServiceUnavailable, q.Name, "no lead answers")
 }
 
-func (h *Host) pendingOf(q flow.Queue) (int, bool) {
+func (h *Host) cachedPending(q flow.Queue) (int, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.pending[q.Name], h.now().Sub(h.pendingAt) < pendingAge
+	return h.pending[q.Name], h.now().Sub(h.pendingAt) < maxPendingAge
 }
 
 func deadline(r *http.Request) time.Duration {
 	ms, err := strconv.Atoi(r.Header.Get(deadlineHeader))
 	if err != nil || ms <= 0 {
-		return usualDeadline - answerTime
+		return defaultDeadline - replyMargin
 	}
-	return max(time.Duration(ms)*time.Millisecond-answerTime, answerTime)
+	return max(time.Duration(ms)*time.Millisecond-replyMargin, replyMargin)
 }
 
 func reply(w http.ResponseWriter, code int, body []byte) {
@@ -118,10 +118,10 @@
 
 // refuse answers with the reason and, where coming back helps, when.
 func (h *Host) refuse(w http.ResponseWriter, code int, id, reason string) {
-	h.count("caller.refused." + strconv.Itoa(code))
+	h.incCounter("caller.refused." + strconv.Itoa(code))
 	h.log.Info("caller: refused.", "id", id, "code", code, "reason", reason)
 	if code == http.StatusServiceUnavailable || code == http.StatusTooManyRequests {
-		w.Header().Set("Retry-After", again)
+		w.Header().Set("Retry-After", retryAfterSeconds)
 	}
 	b, err := json.Marshal(map[string]string{"error": reason})
 	if err != nil {
@@ -132,7 +132,7 @@
 
 // submit stores a job. Only a store that certainly did nothing makes it refused.
 func (h *Host) submit(ctx context.Context, w http.ResponseWriter, r *http.Request, q flow.Queue, id string) {
-	most := h.mostBody()
+	most := h.maxBody()
 	body, err := io.ReadAll(io.LimitReader(r.Body, most+1))
 	if err != nil {
 		h.refuse(w, http.StatusBadRequest, id, "body ends too early")
@@ -153,11 +153,11 @@
 		return
 	}
 	began := h.now()
-	err = h.inbox.put(ctx, store.Record{Key: id, Value: b})
+	err = h.inbox.append(ctx, store.Record{Key: id, Value: b})
 	h.observe("caller.store", h.now().Sub(began))
 	switch {
 	case err == nil:
-		h.accepted(id)
+		h.noteAccepted(id)
 		h.log.Info("caller: accepted.", "id", id, "queue", q.Name)
 		reply(w, http.StatusOK, []byte("{}"))
 	case store.NotDone(err):
@@ -167,38 +167,38 @@
 	}
 }
 
-func (h *Host) mostBody() int64 {
+func (h *Host) maxBody() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.table != nil && h.table.MaxBody > 0 {
 		return h.table.MaxBody
 	}
-	return usualBody
+	return defaultMaxBody
 }
 
-func (h *Host) accepted(id string) {
-	h.count("caller.accepted")
+func (h *Host) noteAccepted(id string) {
+	h.incCounter("caller.accepted")
 	h.mu.Lock()
-	h.recent[id] = h.now()
+	h.accepted[id] = h.now()
 	h.mu.Unlock()
 }
 
-// isRecent tells whether this host accepted the job lately.
-func (h *Host) isRecent(id string) bool {
+// acceptedRecently tells whether this host accepted the job lately.
+func (h *Host) acceptedRecently(id string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_, ok := h.recent[id]
+	_, ok := h.accepted[id]
 	return ok
 }
 
-func (h *Host) tell(ctx context.Context, w http.ResponseWriter, id string) {
+func (h *Host) serveState(ctx context.Context, w http.ResponseWriter, id string) {
 	began := h.now()
 	state, known, err := h.stateOf(ctx, id)
 	if err == nil && known {
-		h.log.Info("caller: told.", "id", id, "state", state, "term", h.termNow(), "took", h.now().Sub(began))
+		h.log.Info("caller: told.", "id", id, "state", state, "term", h.currentTerm(), "took", h.now().Sub(began))
 	}
 	switch {
-	case err == nil && !known && h.isRecent(id):
+	case err == nil && !known && h.acceptedRecently(id):
 		// The lead has not heard of it yet, so nothing of it has begun.
 		reply(w, http.StatusOK, platform.StateBody(flow.Queued))
 	case err != nil:
@@ -214,7 +214,7 @@
 // without asking whether there is such a job: one that is not is never started.
 func (h *Host) cancelJob(ctx context.Context, w http.ResponseWriter, id string) {
 	state, known, err := h.toldBefore(ctx, id)
-	if err == nil && !known && !h.isRecent(id) {
+	if err == nil && !known && !h.acceptedRecently(id) {
 		h.refuse(w, http.StatusGone, id, "no such job")
 		return
 	}
@@ -222,7 +222,7 @@
 		reply(w, http.StatusOK, []byte("{}"))
 		return
 	}
-	err = h.inbox.put(ctx, store.Record{Key: id + cancelMark, Value: []byte("1")})
+	err = h.inbox.append(ctx, store.Record{Key: id + cancelMark, Value: []byte("1")})
 	switch {
 	case err == nil:
 		h.log.Info("caller: cancelled.", "id", id)
@@ -234,17 +234,17 @@
 	}
 }
 
-// readyAfter is how long ago the store may have answered a host that is ready.
+// readyFreshness is how long ago the store may have answered a host that is ready.
 // It is asked at least every joinEvery; the balancer needs two more seconds
 // until callers of a failure domain that is cut off are served elsewhere.
-const readyAfter = time.Second
+const readyFreshness = time.Second
 
 // ready tells whether callers are served here: a host without a way to the
 // store can accept nothing, and callers do better at another one.
 func (h *Host) ready() bool {
 	h.mu.Lock()
-	table, leaving, lead, was := h.table != nil, h.leaving, h.lead, h.wasReady
-	served := h.store.Fresh(readyAfter)
+	table, leaving, lead, was := h.table != nil, h.leaving, h.leader, h.wasReady
+	served := h.store.Fresh(readyFreshness)
 	is := table && !leaving && lead != "" && served
 	h.wasReady = is
 	h.mu.Unlock()
@@ -254,7 +254,7 @@
 	return is
 }
 
-func (h *Host) readiness() http.Handler {
+func (h *Host) readyHandler() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/*", func(w http.ResponseWriter, _ *http.Request) {
 		if h.ready() {
@@ -266,7 +266,7 @@
 	return r
 }
 
-func (h *Host) figures() http.Handler {
+func (h *Host) metricsHandler() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/metrics", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain")
--- a/internal/entry/heir.go
+++ b/internal/entry/heir.go
@@ -15,55 +15,55 @@
 // heir, and that one claims at once. It says who tries; the store still says who may.
 
 const (
-	// goneWait bounds the question whether a process is gone, goneAgain is the pause before
+	// goneTimeout bounds the question whether a process is gone, goneAgain is the pause before
 	// it is asked again. A refusal takes one way to the host and back.
-	goneWait  = 100 * time.Millisecond
-	goneAgain = 15 * time.Millisecond
-	// followsWait bounds the question whom other hosts follow, a few ways to a host and
+	goneTimeout = 100 * time.Millisecond
+	goneRetry   = 15 * time.Millisecond
+	// followsTimeout bounds the question whom other hosts follow, a few ways to a host and
 	// back: after a loss of all power nobody answers it, and nothing is led meanwhile.
-	followsWait = 50 * time.Millisecond
-	// mostAsked is how many hosts are asked at once.
-	mostAsked = 3
+	followsTimeout = 50 * time.Millisecond
+	// maxConcurrentAsks is how many hosts are asked at once.
+	maxConcurrentAsks = 3
 )
 
-// peerLost is called when a connection to a host has ended. A host that leaves begins nothing.
-func (h *Host) peerLost(name string) {
+// onPeerLost is called when a connection to a host has ended. A host that leaves begins nothing.
+func (h *Host) onPeerLost(name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.leading == nil && !h.leaving && name == h.lead && h.heir == h.cfg.Name {
-		h.wg.Go(func() { h.inherit(name) })
+	if h.ownTerm == nil && !h.leaving && name == h.leader && h.standby == h.cfg.Name {
+		h.wg.Go(func() { h.takeOver(name) })
 	}
 }
 
-// isGone tells whether a host's process is gone. A process that dies closes its connections
+// isProcessGone tells whether a host's process is gone. A process that dies closes its connections
 // and its port one by one. Asked once, the port may still be open, the heir would take the lead
 // for alive, and nothing would be started until the group notices.
-func (h *Host) isGone(lead string) bool {
-	ctx, cancel := context.WithTimeout(h.ctx, goneWait)
+func (h *Host) isProcessGone(lead string) bool {
+	ctx, cancel := context.WithTimeout(h.ctx, goneTimeout)
 	defer cancel()
 	for h.peers.Reach(ctx, lead) != peer.Refused {
-		if !wait(ctx, goneAgain) {
+		if !sleep(ctx, goneRetry) {
 			return false
 		}
 	}
 	return true
 }
 
-// inherit claims if the lead's process is gone.
-func (h *Host) inherit(lead string) {
-	if !h.isGone(lead) {
+// takeOver claims if the lead's process is gone.
+func (h *Host) takeOver(lead string) {
+	if !h.isProcessGone(lead) {
 		return
 	}
-	term := h.termNow()
+	term := h.currentTerm()
 	h.log.Info("lead: its process is gone.", "host", lead, "term", term)
 	// Others would claim beside this one, above all the dead one's next life.
 	succeed := peer.Succeed{Term: term, Successor: h.cfg.Name}
-	for _, p := range h.others() {
+	for _, p := range h.otherHosts() {
 		if p == lead {
 			continue
 		}
 		h.wg.Go(func() {
-			ctx, cancel := context.WithTimeout(h.ctx, askWait)
+			ctx, cancel := context.WithTimeout(h.ctx, askTimeout)
 			defer cancel()
 			h.tellOne(ctx, p, succeed)
 		})
@@ -71,22 +71,22 @@
 	h.claim("the lead's process is gone")
 }
 
-// heirNow is whom the lead wants to lead after it: the strongest host, of equals the one
+// chooseStandby is whom the lead wants to lead after it: the strongest host, of equals the one
 // that began last.
-func (h *Host) heirNow() string {
+func (h *Host) chooseStandby() string {
 	if all := h.successors(); len(all) > 0 {
 		return all[0]
 	}
 	return ""
 }
 
-// followed is the host that others follow instead of this one, if that one leads or is
+// leaderOfOthers is the host that others follow instead of this one, if that one leads or is
 // about to; empty if there is none. A lead that comes back at once would otherwise claim
 // beside its heir, and at a slow store two claims cost each other seconds.
-func (h *Host) followed() string {
-	ctx, cancel := context.WithTimeout(h.ctx, followsWait)
+func (h *Host) leaderOfOthers() string {
+	ctx, cancel := context.WithTimeout(h.ctx, followsTimeout)
 	defer cancel()
-	all := apart(h.others(), mostAsked)
+	all := spacedSample(h.otherHosts(), maxConcurrentAsks)
 	names := make([]string, len(all))
 	var wg sync.WaitGroup
 	for i := range names {
@@ -99,16 +99,16 @@
 	}
 	wg.Wait()
 	for _, name := range names {
-		if name != "" && name != h.cfg.Name && h.leads(name) {
+		if name != "" && name != h.cfg.Name && h.isLeaderOrClaiming(name) {
 			return name
 		}
 	}
 	return ""
 }
 
-// apart picks n hosts that lie far from each other in the list: those of a failure domain
+// spacedSample picks n hosts that lie far from each other in the list: those of a failure domain
 // often stand together in it, and may all be cut off.
-func apart(all []string, n int) []string {
+func spacedSample(all []string, n int) []string {
 	n = min(n, len(all))
 	some := make([]string, n)
 	for i := range some {
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -10,88 +10,88 @@
 )
 
 const (
-	// settle is how long a host that should lead waits for another one's claim:
+	// claimGrace is how long a host that should lead waits for another one's claim:
 	// twice what a claim takes.
-	settle = 150 * time.Millisecond
-	// syncEvery is how often a host asks the lead; what it tells callers may be
+	claimGrace = 150 * time.Millisecond
+	// syncInterval is how often a host asks the lead; what it tells callers may be
 	// two seconds old.
-	syncEvery = time.Second
-	// askWait bounds a question to a peer: ten times what a busy one takes.
-	askWait = 400 * time.Millisecond
-	// leadWait is how long a lead may take to say that it leads: a hundred times what
+	syncInterval = time.Second
+	// askTimeout bounds a question to a peer: ten times what a busy one takes.
+	askTimeout = 400 * time.Millisecond
+	// leaderTimeout is how long a lead may take to say that it leads: a hundred times what
 	// an idle one takes, twice what one takes whose processor's share is used up for a
 	// period. The group names another host only if it heard nothing for joinTTL.
-	leadWait = 250 * time.Millisecond
-	// muteFor is for how long a host that left that question without an answer is not
+	leaderTimeout = 250 * time.Millisecond
+	// unresponsivePeriod is for how long a host that left that question without an answer is not
 	// asked again: about what a claim takes, after which another one is asked.
-	muteFor = 700 * time.Millisecond
-	// youngTerm is for how long a new lead is busy with what it took over, and
+	unresponsivePeriod = 700 * time.Millisecond
+	// newTermPeriod is for how long a new lead is busy with what it took over, and
 	// youngWait how long its answer may take then. Taken for dead it would be fenced
 	// off, and so would the next one.
-	youngTerm = 3 * time.Second
-	youngWait = time.Second
-	// orphanAfter is how long a host is without a lead before it tries whoever the
+	newTermPeriod    = 3 * time.Second
+	newLeaderTimeout = time.Second
+	// leaderlessTimeout is how long a host is without a lead before it tries whoever the
 	// group names: twice what a change of the lead takes. orphanStep parts the
 	// hosts by what a claim takes.
-	orphanAfter = 5 * time.Second
-	orphanStep  = time.Second
-	// heardFor is how long a host that the lead hears nothing of counts as there:
+	leaderlessTimeout = 5 * time.Second
+	leaderlessStep    = time.Second
+	// hostExpiry is how long a host that the lead hears nothing of counts as there:
 	// three of its questions.
-	heardFor = 3500 * time.Millisecond
+	hostExpiry = 3500 * time.Millisecond
 )
 
-// resume takes up the term of this host's own former life, unless its heir has done so.
-func (h *Host) resume() {
+// resumeTerm takes up the term of this host's own former life, unless its heir has done so.
+func (h *Host) resumeTerm() {
 	listed := make(chan struct{})
 	h.wg.Go(func() {
 		defer close(listed)
-		h.listHosts()
+		h.readHosts()
 	})
-	all, _, err := store.Table(h.ctx, h.store, leadTopic, 0)
+	all, _, err := store.Table(h.ctx, h.store, leaderTopic, 0)
 	if err != nil {
 		return
 	}
-	h.readLead(all)
-	switch name, _ := h.leadNow(); name {
+	h.applyLeader(all)
+	switch name, _ := h.currentLeader(); name {
 	case h.cfg.Name:
 		<-listed
-		if heir := h.followed(); heir != "" {
+		if heir := h.leaderOfOthers(); heir != "" {
 			h.log.Info("lead: another host leads in place of this one's former life.", "host", heir)
-			h.follower(heir, h.termNow())
+			h.followLeader(heir, h.currentTerm())
 			return
 		}
 		h.claim("a former life of this host led")
 	case "":
 	default:
-		h.syncWith(name)
+		h.syncWithLeader(name)
 	}
 }
 
-// should is called while the group says that this host leads. A lead that works
+// considerClaim is called while the group says that this host leads. A lead that works
 // is left alone: the group deals its partitions anew without a reason at times.
-func (h *Host) should() {
-	if !h.looking.TryLock() {
+func (h *Host) considerClaim() {
+	if !h.electionMu.TryLock() {
 		return
 	}
-	defer h.looking.Unlock()
-	lead, leading := h.leadNow()
+	defer h.electionMu.Unlock()
+	lead, leading := h.currentLeader()
 	if leading {
 		return
 	}
 	began := h.now()
-	leads, before := h.leadsOrEnds(lead)
+	leads, before := h.checkLeader(lead)
 	if leads {
 		return
 	}
 	// Another host may lead since, or be about to: a lead that leaves asks one to
 	// succeed it, and the group names another.
-	if lead != "" && !wait(h.ctx, settle-h.now().Sub(began)) {
+	if lead != "" && !sleep(h.ctx, claimGrace-h.now().Sub(began)) {
 		return
 	}
-	if all, _, err := store.Table(h.ctx, h.store, leadTopic, 0); err == nil {
-		h.readLead(all)
+	if all, _, err := store.Table(h.ctx, h.store, leaderTopic, 0); err == nil {
+		h.applyLeader(all)
 	}
-	if newer, _ := h.leadNow(); h.leads(newer) || newer != "" && h.works(before) {
+	if newer, _ := h.currentLeader(); h.isLeaderOrClaiming(newer) || newer != "" && h.isLeaderAlive(before) {
 		return
 	}
 	if !h.delegate() {
@@ -99,103 +99,103 @@
 	}
 }
 
-// follower takes a host for the lead until another term is announced.
-func (h *Host) follower(lead string, term int64) {
+// followLeader takes a host for the lead until another term is announced.
+func (h *Host) followLeader(lead string, term int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if term >= h.term {
-		h.lead, h.leadSince = lead, h.now()
+		h.leader, h.leaderSince = lead, h.now()
 	}
 }
 
-func (h *Host) leadNow() (name string, leading bool) {
+func (h *Host) currentLeader() (name string, leading bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.lead, h.leading != nil
+	return h.leader, h.ownTerm != nil
 }
 
-func (h *Host) termNow() int64 {
+func (h *Host) currentTerm() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.term
 }
 
-// leads asks a host whether it leads and is served by the store, or is about to;
+// isLeaderOrClaiming asks a host whether it isLeaderOrClaiming and is served by the store, or is about to;
 // of one that left, whether its successor does.
-func (h *Host) leads(name string) bool {
-	r, err := h.askLead(name)
+func (h *Host) isLeaderOrClaiming(name string) bool {
+	r, err := h.askWhetherLeads(name)
 	if err == nil && r.Successor != "" {
-		r, err = h.askLead(r.Successor)
+		r, err = h.askWhetherLeads(r.Successor)
 	}
 	return err == nil && (r.Lead || r.Claiming)
 }
 
-// askLead asks a host whether it leads. One that left the question without an answer
+// askWhetherLeads asks a host whether it leads. One that left the question without an answer
 // just now is not asked again: on the way to a claim it would be waited for three
 // times, with all starts at rest.
-func (h *Host) askLead(name string) (peer.SyncReply, error) {
-	if name == "" || name == h.cfg.Name || h.isMute(name) {
-		return peer.SyncReply{}, &NoLeadError{}
+func (h *Host) askWhetherLeads(name string) (peer.SyncReply, error) {
+	if name == "" || name == h.cfg.Name || h.isUnresponsive(name) {
+		return peer.SyncReply{}, &NoLeaderError{}
 	}
-	r, err := h.question(name, h.leadPatience())
+	r, err := h.requestSync(name, h.leaderReplyTimeout())
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
 	case err != nil:
-		h.mute, h.muteAt = name, h.now()
-	case h.mute == name:
-		h.mute = ""
+		h.unresponsive, h.unresponsiveAt = name, h.now()
+	case h.unresponsive == name:
+		h.unresponsive = ""
 	}
 	return r, err
 }
 
-func (h *Host) isMute(name string) bool {
+func (h *Host) isUnresponsive(name string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.mute == name && h.now().Sub(h.muteAt) < muteFor
+	return h.unresponsive == name && h.now().Sub(h.unresponsiveAt) < unresponsivePeriod
 }
 
-// leadPatience is how long the lead may take to answer.
-func (h *Host) leadPatience() time.Duration {
+// leaderReplyTimeout is how long the lead may take to answer.
+func (h *Host) leaderReplyTimeout() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.now().Sub(h.leadSince) < youngTerm {
-		return youngWait
+	if h.now().Sub(h.leaderSince) < newTermPeriod {
+		return newLeaderTimeout
 	}
-	return leadWait
+	return leaderTimeout
 }
 
-// sync keeps what callers are told, and the list of hosts, as the lead has them.
-func (h *Host) sync() {
-	for wait(h.ctx, syncEvery) {
+// syncPeriodically keeps what callers are told, and the list of hosts, as the lead has them.
+func (h *Host) syncPeriodically() {
+	for sleep(h.ctx, syncInterval) {
 		h.mu.Lock()
-		lead, leading, alone := h.lead, h.leading != nil, len(h.hosts) < 2
+		lead, leading, alone := h.leader, h.ownTerm != nil, len(h.hosts) < 2
 		h.mu.Unlock()
 		switch {
 		case leading:
-			h.setHosts(h.heardHosts())
+			h.setHosts(h.recentHosts())
 			h.cede()
 		case lead != "" && !alone:
-			h.syncWith(lead)
+			h.syncWithLeader(lead)
 		default:
-			h.listHosts()
+			h.readHosts()
 		}
 		h.dropRecent()
 		h.states.drop()
-		if h.orphaned() {
-			h.wg.Go(h.should)
+		if h.isLeaderless() {
+			h.wg.Go(h.considerClaim)
 		}
 	}
 }
 
-// orphaned tells whether no lead has worked for so long that this host should
+// isLeaderless tells whether no lead has worked for so long that this host should
 // try, whoever the group names: that one may be unable to. One notices hosts that
 // wait for a lead that never comes. The hosts try one after the other.
-func (h *Host) orphaned() bool {
+func (h *Host) isLeaderless() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.leading != nil || h.leaving {
-		h.synced = h.now()
+	if h.ownTerm != nil || h.leaving {
+		h.lastSync = h.now()
 		return false
 	}
 	rank := 0
@@ -204,19 +204,19 @@
 			rank++
 		}
 	}
-	return h.now().Sub(h.synced) > orphanAfter+time.Duration(rank)*orphanStep
+	return h.now().Sub(h.lastSync) > leaderlessTimeout+time.Duration(rank)*leaderlessStep
 }
 
-func (h *Host) syncWith(lead string) {
-	r, err := h.question(lead, askWait)
+func (h *Host) syncWithLeader(lead string) {
+	r, err := h.requestSync(lead, askTimeout)
 	if err != nil || !r.Lead {
 		h.log.Warn("lead: does not answer.", "host", lead, "err", err)
-		h.listHosts()
+		h.readHosts()
 		return
 	}
 	h.mu.Lock()
 	h.pending, h.pendingAt = r.Pending, h.now()
-	h.synced, h.enough, h.heir = h.now(), r.Enough, r.Heir
+	h.lastSync, h.strongPower, h.standby = h.now(), r.Enough, r.Heir
 	h.mu.Unlock()
 	all := make(map[string]netip.AddrPort, len(r.Hosts))
 	for n, a := range r.Hosts {
@@ -230,7 +230,7 @@
 // refreshPending asks the lead, or takes what this host knows as the lead.
 func (h *Host) refreshPending(ctx context.Context) {
 	h.mu.Lock()
-	t, lead := h.leading, h.lead
+	t, lead := h.ownTerm, h.leader
 	h.mu.Unlock()
 	if t != nil {
 		n := t.pending()
@@ -240,48 +240,48 @@
 		return
 	}
 	if lead != "" && lead != h.cfg.Name && ctx.Err() == nil {
-		h.syncWith(lead)
+		h.syncWithLeader(lead)
 	}
 }
 
 func (h *Host) syncMessage() peer.Sync {
 	term, next := h.states.followed()
-	return peer.Sync{From: h.cfg.Name, Addr: h.cfg.Listen.Peer, Power: h.cfg.Power, Began: h.began, Term: term, Endings: next}
+	return peer.Sync{From: h.cfg.Name, Addr: h.cfg.Listen.Peer, Power: h.cfg.Power, Began: h.startedAt, Term: term, Endings: next}
 }
 
-// sighting is a host that was heard of at some time; began is when its life did.
-type sighting struct {
+// hostInfo is a host that was heard of at some time; began is when its life did.
+type hostInfo struct {
 	addr  netip.AddrPort
 	power float64
 	began time.Time
 	at    time.Time
 }
 
-// heard takes note of a host. A lead that did not know it has work for it at once: after
+// noteHost takes note of a host. A lead that did not know it has work for it at once: after
 // a loss of all power it knows no host but itself, and the questions of all who waited
 // would go through that one until its next round.
-func (h *Host) heard(m peer.Sync) {
+func (h *Host) noteHost(m peer.Sync) {
 	if !m.Addr.IsValid() {
 		return
 	}
 	h.mu.Lock()
-	h.seen[m.From] = sighting{addr: m.Addr, power: m.Power, began: m.Began, at: h.now()}
+	h.peersSeen[m.From] = hostInfo{addr: m.Addr, power: m.Power, began: m.Began, at: h.now()}
 	_, known := h.hosts[m.From]
-	leading := h.leading != nil
+	leading := h.ownTerm != nil
 	h.mu.Unlock()
 	if leading && !known {
-		h.setHosts(h.heardHosts())
+		h.setHosts(h.recentHosts())
 	}
 }
 
-// heardHosts lists the hosts that asked this one lately.
-func (h *Host) heardHosts() map[string]netip.AddrPort {
+// recentHosts lists the hosts that asked this one lately.
+func (h *Host) recentHosts() map[string]netip.AddrPort {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	all := map[string]netip.AddrPort{}
-	fresh := h.leading != nil && h.now().Sub(h.leading.began) < heardFor
-	for n, s := range h.seen {
-		if h.now().Sub(s.at) < heardFor {
+	fresh := h.ownTerm != nil && h.now().Sub(h.ownTerm.began) < hostExpiry
+	for n, s := range h.peersSeen {
+		if h.now().Sub(s.at) < hostExpiry {
 			all[n] = s.addr
 		}
 	}
@@ -302,9 +302,9 @@
 func (h *Host) dropRecent() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for id, at := range h.recent {
+	for id, at := range h.accepted {
 		if h.now().Sub(at) > keepRecent {
-			delete(h.recent, id)
+			delete(h.accepted, id)
 		}
 	}
 }
--- a/internal/entry/states.go
+++ b/internal/entry/states.go
@@ -129,7 +129,7 @@
 // A read that fails is made once more as long as the store answers this host.
 func (s *states) read(ctx context.Context, id string) (flow.State, bool, error) {
 	for try := 1; ; try++ {
-		if !s.h.store.Fresh(staleAfter) {
+		if !s.h.store.Fresh(storeFreshness) {
 			return "", false, &store.RefusedError{Op: store.Newest, Reason: "the store has not answered for a while"}
 		}
 		r := s.join(id)
@@ -184,10 +184,10 @@
 		began := s.h.now()
 		r.err = s.readAll(s.h.ctx, r)
 		close(r.done)
-		s.h.count("state.read")
+		s.h.incCounter("state.read")
 		s.h.observe("state.read.took", s.h.now().Sub(began))
 		s.h.log.Info("state: read from the store.", "asked", len(r.ids), "found", len(r.found), "took", s.h.now().Sub(began), "err", r.err)
-		wait(s.h.ctx, readStatesEvery-s.h.now().Sub(began))
+		sleep(s.h.ctx, readStatesEvery-s.h.now().Sub(began))
 	}
 }
 
@@ -226,7 +226,7 @@
 	if len(unproved) == 0 || err != nil {
 		return err
 	}
-	if !wait(ctx, readAcceptedEvery-s.h.now().Sub(s.accepted)) {
+	if !sleep(ctx, readAcceptedEvery-s.h.now().Sub(s.accepted)) {
 		return &store.UnansweredError{Op: store.Newest, Cause: ctx.Err()}
 	}
 	s.accepted = s.h.now()
--- a/internal/job/seen.go
+++ b/internal/job/seen.go
@@ -8,61 +8,61 @@
 	"pollencroft/internal/chart"
 )
 
-func (j *Jobs) seen(now time.Time, ev WorkerList) []Action {
+func (j *Jobs) handleList(now time.Time, ev WorkerList) []Action {
 	var acts []Action
 	listed := map[string]bool{}
 	for _, l := range ev.Tasks {
 		listed[l.ID] = true
 	}
-	acts = append(acts, j.judge(ev, listed)...)
+	acts = append(acts, j.attributeCrashes(ev, listed)...)
 	for _, l := range ev.Tasks {
-		acts = append(acts, j.read(now, ev, l)...)
+		acts = append(acts, j.handleEntry(now, ev, l)...)
 	}
-	for _, id := range slices.Sorted(maps.Keys(j.on[ev.Worker])) {
+	for _, id := range slices.Sorted(maps.Keys(j.byWorker[ev.Worker])) {
 		if !listed[id] && (ev.Jobs == nil || slices.Contains(ev.Jobs, j.tasks[id].job.spec.ID)) {
-			acts = append(acts, j.missing(now, j.tasks[id], ev)...)
+			acts = append(acts, j.handleMissing(now, j.tasks[id], ev)...)
 		}
 	}
 	return acts
 }
 
-// read takes one line of a worker's list. A line of a job that is not known
+// handleEntry takes one line of a worker's list. A line of a job that is not known
 // here changes nothing: its lead may be about to learn how the task ended.
-func (j *Jobs) read(now time.Time, ev WorkerList, l ListedTask) []Action {
+func (j *Jobs) handleEntry(now time.Time, ev WorkerList, l ListedTask) []Action {
 	t, ok := j.tasks[l.ID]
 	if !ok {
 		return nil
 	}
 	if t.worker == "" && (t.state == "unsure" || t.state == "stopping") {
-		return j.found(now, t, ev.Worker, l)
+		return j.foundInherited(now, t, ev.Worker, l)
 	}
 	if t.worker != ev.Worker {
-		return j.other(t, ev.Worker, l)
+		return j.handleEntryElsewhere(t, ev.Worker, l)
 	}
-	if j.ofFormer(t, ev, l) {
+	if j.isEarlierStart(t, ev, l) {
 		return nil
 	}
 	t.lease = l.Lease
-	return j.listed(now, t, l)
+	return j.applyEntry(now, t, l)
 }
 
-// ofFormer tells whether a line may be about an earlier start of the task on the same worker,
+// isEarlierStart tells whether a line may be about an earlier start of the task on the same worker,
 // which lists that one until the next start lands. Taken for the next one's end, it would have
 // the task started elsewhere while its start is under way.
-func (j *Jobs) ofFormer(t *task, ev WorkerList, l ListedTask) bool {
+func (j *Jobs) isEarlierStart(t *task, ev WorkerList, l ListedTask) bool {
 	switch l.State {
 	case workerEnded:
 		return false
 	case workerRunning:
-		return (t.state == "starting" || t.state == "unsure") && !t.since.Before(ev.Sent)
+		return (t.state == "starting" || t.state == "unsure") && !t.onWorkerSince.Before(ev.Sent)
 	default:
-		return !t.landed(ev)
+		return !t.startResolved(ev)
 	}
 }
 
-// landed tells that a list is from a time when the task's last start had arrived at the worker
+// startResolved tells that a list is from a time when the task's last start had arrived at the worker
 // or could no longer be carried out.
-func (t *task) landed(ev WorkerList) bool {
+func (t *task) startResolved(ev WorkerList) bool {
 	switch {
 	case ev.LeasesExpired:
 		return true
@@ -71,19 +71,19 @@
 	case t.state != "running" && !t.deadline.IsZero():
 		return ev.Clock.After(t.deadline)
 	default:
-		return t.since.Before(ev.Sent)
+		return t.onWorkerSince.Before(ev.Sent)
 	}
 }
 
-// other takes a line about a task that is elsewhere by now: a former try.
-func (j *Jobs) other(t *task, worker string, l ListedTask) []Action {
-	if l.State == workerRunning || l.State == workerEnded && !t.job.kept {
+// handleEntryElsewhere takes a line about a task that is elsewhere by now: a former try.
+func (j *Jobs) handleEntryElsewhere(t *task, worker string, l ListedTask) []Action {
+	if l.State == workerRunning || l.State == workerEnded && !t.job.endStored {
 		return nil
 	}
 	return []Action{Forget{Task: l.ID, Worker: worker, Lease: l.Lease}}
 }
 
-func (j *Jobs) listed(now time.Time, t *task, l ListedTask) []Action {
+func (j *Jobs) applyEntry(now time.Time, t *task, l ListedTask) []Action {
 	switch l.State {
 	case workerRunning:
 		if t.state == "stopping" {
@@ -94,7 +94,7 @@
 		}
 		if t.state == "unsure" {
 			t.move("found")
-			t.since, t.deadline = now, time.Time{}
+			t.onWorkerSince, t.deadline = now, time.Time{}
 			t.job.move("start")
 			return nil
 		}
@@ -102,9 +102,9 @@
 	case workerEnded:
 		return j.finish(now, t, "end")
 	case workerFailed:
-		return j.failed(now, t)
+		return j.handleFailure(now, t)
 	default:
-		return j.lapsed(t)
+		return j.handleLapse(t)
 	}
 }
 
@@ -118,25 +118,25 @@
 	t.job.move("start")
 	acts := []Action{t.result(now, ev == "fail"), Free{Task: t.id}}
 	if ev == "fail" {
-		acts = append(acts, j.giveUp(t.job)...)
+		acts = append(acts, j.giveUpFailing(t.job)...)
 	} else {
-		j.earn(t.job.spec.Row)
+		j.earnRetry(t.job.spec.Row)
 	}
-	return append(acts, j.settle(t.job)...)
+	return append(acts, j.endIfDone(t.job)...)
 }
 
-// failed tries a task again while its number of tries and its row's budget of
-// retries allow it. After that the whole job has failed, since a part of it
+// handleFailure tries a task again while its number of tries and its row's budget of
+// retries allow it. After that the whole job has handleFailure, since a part of it
 // can never be had.
-func (j *Jobs) failed(now time.Time, t *task) []Action {
+func (j *Jobs) handleFailure(now time.Time, t *task) []Action {
 	if t.state == "unsure" {
 		t.move("found")
 	}
-	if t.job.census {
+	if t.job.awaitsInventory {
 		return j.retry(t, "gone")
 	}
-	if t.tries < t.job.spec.Tries && (t.state == "running" || t.state == "pausing") && j.spend(t.job.spec.Row) {
-		t.shun(now, t.worker)
+	if t.tries < t.job.spec.Tries && (t.state == "running" || t.state == "pausing") && j.spendRetry(t.job.spec.Row) {
+		t.avoidWorker(now, t.worker)
 		acts := []Action{t.result(now, true)}
 		if t.state == "pausing" {
 			t.tries++
@@ -146,7 +146,7 @@
 	return j.finish(now, t, "fail")
 }
 
-func (j *Jobs) lapsed(t *task) []Action {
+func (j *Jobs) handleLapse(t *task) []Action {
 	if t.state == "stopping" || t.state == "pausing" {
 		return j.stopped(t.id)
 	}
@@ -159,28 +159,28 @@
 // retry lets the worker forget a try that came to nothing before the next one.
 func (j *Jobs) retry(t *task, why chart.Event) []Action {
 	forget := Forget{Task: t.id, Worker: t.worker, Lease: t.lease}
-	return append([]Action{forget}, j.again(t.id, why)...)
+	return append([]Action{forget}, j.queueAgain(t.id, why)...)
 }
 
-// missing handles a task that its worker does not list. An unsure start may
+// handleMissing handles a task that its worker does not list. An unsure start may
 // still be on its way until its deadline has passed in the worker's clock. A
 // list that was asked for before a start was confirmed says nothing of it:
 // without this rule the task would be started a second time beside the first.
-func (j *Jobs) missing(now time.Time, t *task, ev WorkerList) []Action {
-	if !t.landed(ev) {
+func (j *Jobs) handleMissing(now time.Time, t *task, ev WorkerList) []Action {
+	if !t.startResolved(ev) {
 		return nil
 	}
-	if t.blamed && t.state != "stopping" {
-		return j.crashed(now, t)
+	if t.suspected && t.state != "stopping" {
+		return j.handleCrash(now, t)
 	}
-	if ev.LeasesExpired && t.state != "stopping" && t.life != "" && !t.proven(now) {
-		j.goneFrom(t, ev.Worker)
+	if ev.LeasesExpired && t.state != "stopping" && t.incarnation != "" && !t.proven(now) {
+		j.recordSilent(t, ev.Worker)
 	}
 	switch t.state {
 	case "unsure", "stopping", "pausing":
-		return j.again(t.id, "gone")
+		return j.queueAgain(t.id, "gone")
 	case "running":
-		return j.again(t.id, "retry")
+		return j.queueAgain(t.id, "retry")
 	}
 	return nil
 }
--- a/internal/lead/former_test.go
+++ b/internal/lead/former_test.go
@@ -10,8 +10,8 @@
 	"pollencroft/internal/standin"
 )
 
-// idle is the one worker that runs nothing.
-func (p *pair) idle() lead.Machine {
+// idleWorker is the one worker that runs nothing.
+func (p *pair) idleWorker() lead.Machine {
 	p.Helper()
 	for _, m := range p.machines {
 		if len(p.workers[m.Name].Record().Started) == 0 {
@@ -22,8 +22,8 @@
 	return lead.Machine{}
 }
 
-// at is the worker that started a job's task.
-func (p *pair) at(id string) lead.Machine {
+// startedOn is the worker that started a job's task.
+func (p *pair) startedOn(id string) lead.Machine {
 	p.Helper()
 	for _, m := range p.machines {
 		if p.workers[m.Name].Record().Started["d.r."+id+".0"] > 0 {
@@ -34,17 +34,17 @@
 	return lead.Machine{}
 }
 
-// failedBefore is a pair of which a hands the job old over to b. Its task has failed on the worker
+// newPairAfterFailure is a pair of which a hands the job old over to b. Its task has failed on the worker
 // bad, which lists that still and works again; b leads another worker, which runs the job two.
-func failedBefore(t *testing.T) (p *pair, bad lead.Machine) {
+func newPairAfterFailure(t *testing.T) (p *pair, bad lead.Machine) {
 	p = newPair(t, 3)
 	a, b := p.hosts["a"], p.hosts["b"]
 	p.submit("a", "one")
 	p.submit("a", "two")
 	p.run("a", time.Second)
-	bad = p.idle()
-	a.SetLedMachines([]lead.Machine{p.at("one"), bad})
-	b.SetLedMachines([]lead.Machine{p.at("two")})
+	bad = p.idleWorker()
+	a.SetLedMachines([]lead.Machine{p.startedOn("one"), bad})
+	b.SetLedMachines([]lead.Machine{p.startedOn("two")})
 	p.run("ab", 5*time.Second)
 	p.workers[bad.Name].SetFaults(standin.WorkerFaults{FailAll: true})
 	p.submit("a", "old")
@@ -60,26 +60,26 @@
 // Guards against a task that runs twice: a new lead starts a task on a worker that still lists
 // the task's former, failed start, and takes that line for the end of the new one.
 func TestListOfAFormerStartSaysNothingOfTheNext(t *testing.T) {
-	p, bad := failedBefore(t)
+	p, bad := newPairAfterFailure(t)
 	a, b := p.hosts["a"], p.hosts["b"]
-	a.SetLedMachines([]lead.Machine{p.at("one")})
-	b.SetLedMachines([]lead.Machine{p.at("two"), bad})
+	a.SetLedMachines([]lead.Machine{p.startedOn("one")})
+	b.SetLedMachines([]lead.Machine{p.startedOn("two"), bad})
 	p.run("ab", 300*time.Millisecond)
 	_, err := b.Cancel("d.r.two")
 	require.NoError(t, err)
 	p.run("ab", 30*time.Second)
 	require.Equal(t, "running", p.state("b", "old"))
-	p.sound()
+	p.requireConsistent()
 }
 
 // Guards against a worker that is overfull: the line of a task's former, failed start frees the room
 // of the one that is under way, and another job gets it.
 func TestListOfAFormerStartFreesNoRoom(t *testing.T) {
-	p, bad := failedBefore(t)
+	p, bad := newPairAfterFailure(t)
 	a, b := p.hosts["a"], p.hosts["b"]
 	p.submit("b", "next")
-	a.SetLedMachines([]lead.Machine{p.at("one")})
-	b.SetLedMachines([]lead.Machine{p.at("two"), bad})
+	a.SetLedMachines([]lead.Machine{p.startedOn("one")})
+	b.SetLedMachines([]lead.Machine{p.startedOn("two"), bad})
 	p.run("ab", 30*time.Second)
-	p.sound()
+	p.requireConsistent()
 }
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -1,5 +1,5 @@
-// Package lead runs jobs on the workers that this host leads. It joins the
-// lease, placement and job cores and carries their actions to the workers.
+// Package lead runs jobs on the workers whose leases this host holds. It connects the state
+// machines for leases, placement, jobs and takeover, and carries out their actions on the workers.
 package lead
 
 import (
@@ -22,90 +22,95 @@
 	"pollencroft/internal/worker"
 )
 
-// Deps are what a Lead works with.
+// Deps are the dependencies of a Leader.
 type Deps struct {
 	Leases   *lease.Leases
 	Placer   *place.Placer
 	Jobs     *job.Jobs
 	Takeover *takeover.Takeover
 	Workers  *worker.Client
-	// RequestInventory sends the census question to the peers and must not wait.
+	// RequestInventory asks the peers for their inventories. It must not block.
 	RequestInventory func()
-	// EndLogged tells whether a job's end is in the log.
+	// EndLogged reports whether the end of a job is stored in the job log.
 	EndLogged func(id string) bool
-	// StoreEnd is told how a job ended, to keep it, and must not wait.
+	// StoreEnd stores how a job ended. It must not block.
 	StoreEnd func(end job.Ended, ran bool)
-	// StoreCrashes is told to store how many lives of workers ended under a task and then to call
-	// Noted; it must not wait. Nil stores nothing.
-	StoreCrashes func(spec job.Spec, task string, lives int64)
-	// CrashCounts tells how many are stored of a job's tasks; nil: none.
+	// StoreCrashes stores the number of worker incarnations that ended while the task ran, and then
+	// calls AckCrashes. It must not block. If it is nil, nothing is stored.
+	StoreCrashes func(spec job.Spec, task string, crashes int64)
+	// CrashCounts returns the stored crash counts of a job's tasks. If it is nil, there are none.
 	CrashCounts func(id string) map[string]int64
 	Row         func(name string) (table.Row, int64)
-	// LimitKey returns what a row is counted by; nil or an empty name: it may be started anywhere.
-	// KeyWorkers lists the workers of a key in the order in which they allow to start it.
+	// LimitKey returns the key under which the tasks of a row are counted. If it is nil or returns
+	// an empty string, any host may start the row. Arbiters lists the workers of a key in order of
+	// precedence: the holder of the first usable one may start tasks of the key.
 	LimitKey func(row table.Row) string
 	Arbiters func(key string) []string
-	// Shares returns what a row and its team may use here; nil: the row's limits.
+	// Shares returns what a row and its team may use in this failure domain. If it is nil, the
+	// limits of the row apply.
 	Shares func(row table.Row) (own, team table.Share)
-	// Estimates correct declared sizes and times.
+	// Estimates correct declared sizes and run times.
 	Estimates *estimate.Estimates
-	// Count adds one to a metric; nil counts nothing.
+	// Count adds one to a metric. If it is nil, nothing is counted.
 	Count   func(name string)
 	History *trail.Trail
 	Clock   func() time.Time
-	// Go runs an exchange with a worker later, for measuring on a passed-in
-	// clock; nil runs each in a goroutine of its own.
+	// Go runs an exchange with a worker asynchronously; tests set it to control the order on a
+	// simulated clock. If it is nil, each exchange runs in its own goroutine.
 	Go  func(f func())
 	Log *slog.Logger
 }
 
-// Leader is the jobs' part of one entry host. It is safe for concurrent use.
+// Leader leads the jobs of one entry host. It is safe for concurrent use.
 type Leader struct {
 	Deps
 	ctx      context.Context
 	mu       sync.Mutex
 	machines map[string]Machine
-	// forget holds by worker the leases of ended starts that it may drop.
-	forget map[string][]string
-	// rooms holds on which held worker each listed task runs.
-	rooms map[string]string
-	loose map[string]loose
-	// left is when a job that had tasks on a worker was last given up.
-	left map[string]time.Time
-	// expected holds by peer the hand-over that it may send next.
-	expected map[string]expected
-	// counts holds by key what is counted here, elsewhere by worker what is counted and runs on
-	// workers of other hosts.
-	counts    map[string]*count
-	elsewhere map[string][]CountedTask
-	// limited is when a start of a counted row to a worker was last answered.
-	limited map[string]time.Time
-	// held is when each worker was last held.
-	held map[string]time.Time
-	// askedLives is when the peers were last asked for what they know of the workers' lives.
-	askedLives time.Time
-	// lives are the workers' lives as this host last saw them.
-	lives map[string]*life
-	// rules hold what was last told to the placement, and ruled is when.
-	rules   map[string]place.Rule
-	ruled   time.Time
-	epoch   int64
-	leaving bool
-	wg      sync.WaitGroup
+	// toForget holds, by worker, the leases of ended starts that the worker may drop from its list.
+	toForget map[string][]string
+	// taskWorkers holds, by task, the held worker on which the task is listed as running.
+	taskWorkers map[string]string
+	// untracked holds, by task, starts that may still arrive although this host no longer leads the
+	// job.
+	untracked map[string]untrackedRun
+	// lastDropped holds, by worker, the time at which a job with tasks there was last dropped.
+	lastDropped map[string]time.Time
+	// expectedHandovers holds, by peer, the handover that the peer may send next.
+	expectedHandovers map[string]expectedHandover
+	// counts holds the keys that this host counts. countedElsewhere holds, by worker, the running
+	// tasks of counted keys on workers that other hosts hold.
+	counts           map[string]*keyCount
+	countedElsewhere map[string][]CountedTask
+	// lastLimitedStart holds, by worker, the time of the last answer to a start of a counted row.
+	lastLimitedStart map[string]time.Time
+	// lastHeld holds, by worker, the time at which this host last gave it up.
+	lastHeld map[string]time.Time
+	// incarnationsAsked is when the peers were last asked which worker incarnations they have seen.
+	incarnationsAsked time.Time
+	// incarnations holds the worker incarnations that this host last saw.
+	incarnations map[string]*incarnation
+	// appliedRules holds, by row, the rule last passed to the placer. rulesRefreshed is when the
+	// rules were last checked.
+	appliedRules   map[string]place.Rule
+	rulesRefreshed time.Time
+	epoch          int64
+	leaving        bool
+	wg             sync.WaitGroup
 }
 
-// loose is a start of a job that is led here no longer, which may still land.
-type loose struct {
+// untrackedRun is a start of a job that is no longer led here. It may still reach the worker.
+type untrackedRun struct {
 	worker   string
 	deadline time.Time
-	// since is when the job was given up.
+	// since is when the job was dropped.
 	since time.Time
 }
 
-// askTimeout bounds one exchange with a worker.
+// askTimeout limits one exchange with a worker.
 const askTimeout = time.Second
 
-// New returns a lead without workers; its exchanges end with ctx.
+// New returns a Leader without workers. Its exchanges end when ctx is cancelled.
 func New(ctx context.Context, d Deps) *Leader {
 	if d.Estimates == nil {
 		d.Estimates = estimate.New()
@@ -114,146 +119,146 @@
 		d.Count = func(string) {}
 	}
 	return &Leader{
-		Deps: d, ctx: ctx, machines: map[string]Machine{}, forget: map[string][]string{}, rooms: map[string]string{},
-		counts: map[string]*count{}, elsewhere: map[string][]CountedTask{}, limited: map[string]time.Time{}, loose: map[string]loose{}, left: map[string]time.Time{}, expected: map[string]expected{}, held: map[string]time.Time{}, lives: map[string]*life{}, rules: map[string]place.Rule{}, epoch: 1,
+		Deps: d, ctx: ctx, machines: map[string]Machine{}, toForget: map[string][]string{}, taskWorkers: map[string]string{},
+		counts: map[string]*keyCount{}, countedElsewhere: map[string][]CountedTask{}, lastLimitedStart: map[string]time.Time{}, untracked: map[string]untrackedRun{}, lastDropped: map[string]time.Time{}, expectedHandovers: map[string]expectedHandover{}, lastHeld: map[string]time.Time{}, incarnations: map[string]*incarnation{}, appliedRules: map[string]place.Rule{}, epoch: 1,
 	}
 }
 
-// Tick lets time pass.
+// Tick advances the state machines to the current time.
 func (l *Leader) Tick() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lease(lease.Tick{})
-	l.askLives()
-	l.reread()
-	l.place(place.Tick{})
-	l.watch()
-	l.takeover(takeover.Tick{})
+	l.stepLeases(lease.Tick{})
+	l.askIncarnations()
+	l.refreshRules()
+	l.stepPlacement(place.Tick{})
+	l.watchUnheld()
+	l.stepTakeover(takeover.Tick{})
 }
 
-// Held lists the workers that this host leads.
+// Held lists the workers whose leases this host holds.
 func (l *Leader) Held() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.Leases.Held()
 }
 
-// Release gives all anchors back and waits for the exchanges under way.
+// Release gives up all leases and waits for the exchanges in flight.
 func (l *Leader) Release() {
 	l.mu.Lock()
-	l.lease(lease.ReleaseAll{})
+	l.stepLeases(lease.ReleaseAll{})
 	l.mu.Unlock()
 	l.wg.Wait()
 	l.mu.Lock()
-	l.lease(lease.Tick{})
+	l.stepLeases(lease.Tick{})
 	l.mu.Unlock()
 	l.wg.Wait()
 }
 
-// UnschedulableError tells that a job can never run here and names the nearest limit.
+// UnschedulableError reports that a job can never run here. Reason names the limit that the job
+// exceeds.
 type UnschedulableError struct{ Reason string }
 
 func (e *UnschedulableError) Error() string { return "job can never run: " + e.Reason }
 
-// Check tells whether a job may be taken here: a NeverError if it can never
-// run, a NoWorkerError or LeavingError if another host should be asked. The
-// epoch is the one to submit it in.
+// Check reports whether this host may accept a job. It returns an UnschedulableError if the job can
+// never run here, and a NoWorkerError or LeavingError if another host should be asked. The returned
+// epoch must be passed to Submit.
 func (l *Leader) Check(spec job.Spec) (int64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	epoch := l.epochNow()
+	epoch := l.currentEpoch()
 	switch {
 	case l.leaving:
 		return 0, &LeavingError{}
 	case epoch == 0:
 		return 0, &NoWorkerError{}
 	}
-	return epoch, l.never(spec)
+	return epoch, l.checkSchedulable(spec)
 }
 
-// Submit takes a job that was checked in that epoch and is kept by now. A
-// NoWorkerError tells that all workers were lost in between: another host may
-// lead the job already.
+// Submit accepts a job that was checked in that epoch and has been stored since. It returns a
+// NoWorkerError if all workers were lost in between, because another host may lead the job already.
 func (l *Leader) Submit(spec job.Spec, epoch int64) (job.Status, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case l.epochNow() != epoch:
+	case l.currentEpoch() != epoch:
 		return job.Status{}, &NoWorkerError{}
 	case l.leaving:
 		return job.Status{}, &LeavingError{}
 	}
-	l.note(spec.ID, "accepted")
-	l.job(job.Submit{Spec: spec})
+	l.addNote(spec.ID, "accepted")
+	l.stepJobs(job.Submit{Spec: spec})
 	return l.Jobs.Status(spec.ID)
 }
 
-// Status returns a job's state, or a job.UnknownError.
+// Status returns the state of a job, or a job.UnknownError.
 func (l *Leader) Status(id string) (job.Status, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.Jobs.Status(id)
 }
 
-// Cancel asks that a job stops and returns its state then. Leases that lapsed
-// in a pause are noticed first: the job may have another lead since then.
+// Cancel requests that a job stops, and returns the resulting state. It first handles leases that
+// expired during a pause, because another host may have led the job since then.
 func (l *Leader) Cancel(id string) (job.Status, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.epochNow()
-	l.note(id, "cancelled by its caller")
-	l.job(job.Cancel{ID: id})
+	l.currentEpoch()
+	l.addNote(id, "cancelled by its caller")
+	l.stepJobs(job.Cancel{ID: id})
 	return l.Jobs.Status(id)
 }
 
-func (l *Leader) note(id, what string) {
+func (l *Leader) addNote(id, what string) {
 	l.Log.Info("lead: job.", "id", id, "what", what)
 	l.History.Add(trail.Note{At: l.Clock(), ID: id, Part: "lead", What: what})
 }
 
-// lease, place and job step one core and carry out its actions. They are
-// called with mu held; exchanges with workers run beside.
-func (l *Leader) lease(ev lease.Event) {
+// stepLeases, stepPlacement, stepJobs and stepTakeover each pass an event to one state machine and
+// carry out its actions. mu must be held. Exchanges with workers run asynchronously.
+func (l *Leader) stepLeases(ev lease.Event) {
 	for _, a := range l.Leases.Step(l.Clock(), ev) {
 		switch a := a.(type) {
 		case lease.Acquire:
-			l.spawn(func(ctx context.Context) { l.take(ctx, a) })
+			l.spawn(func(ctx context.Context) { l.takeLease(ctx, a) })
 		case lease.Renew:
-			l.spawn(func(ctx context.Context) { l.renew(ctx, a) })
+			l.spawn(func(ctx context.Context) { l.renewLease(ctx, a) })
 		case lease.Release:
-			l.spawn(func(ctx context.Context) { l.give(ctx, a) })
+			l.spawn(func(ctx context.Context) { l.releaseLease(ctx, a) })
 		case lease.AskIncarnation:
-			l.spawn(func(ctx context.Context) { l.meet(ctx, a) })
+			l.spawn(func(ctx context.Context) { l.askIncarnation(ctx, a) })
 		case lease.AwaitStarts:
-			l.Log.Info("lead: worker is in a life that is new here; waiting for starts to the former one.", "worker", a.Worker, "life", a.Life, "until", a.Until)
+			l.Log.Info("lead: worker has a new incarnation; waiting for starts to the previous one to expire.", "worker", a.Worker, "life", a.Life, "until", a.Until)
 		case lease.Up:
-			l.up(a)
+			l.workerUp(a)
 		case lease.Updated:
-			l.seen(a.Worker, a.Reading)
+			l.handleReading(a.Worker, a.Reading)
 		case lease.Down:
-			l.down(a.Worker)
+			l.workerDown(a.Worker)
 		}
 	}
 }
 
-// down gives up a worker. A host that loses its last worker may have been
-// taken for dead, and gives up its jobs too.
-func (l *Leader) down(name string) {
+// workerDown gives up a worker. Peers may have considered a host without workers dead and taken
+// over its jobs, so a host that loses its last worker drops its jobs too.
+func (l *Leader) workerDown(name string) {
 	l.Log.Info("lead: worker is no longer led.", "worker", name)
 	l.Count("lead.down")
-	l.held[name] = l.Clock()
-	for id, at := range l.rooms {
+	l.lastHeld[name] = l.Clock()
+	for id, at := range l.taskWorkers {
 		if at == name {
-			delete(l.rooms, id)
+			delete(l.taskWorkers, id)
 			l.Estimates.Drop(id)
 		}
 	}
 	l.keepCounted(name)
-	l.place(place.Down{Worker: name})
-	l.takeover(takeover.Down{Worker: name})
-	l.lose(name)
+	l.stepPlacement(place.Down{Worker: name})
+	l.stepTakeover(takeover.WorkerLost{Worker: name})
+	l.stopCountingOn(name)
 	if len(l.Leases.Held()) == 0 && !l.leaving {
-		l.demote()
+		l.dropAllJobs()
 	}
 }
 
@@ -276,94 +281,96 @@
 	return l.machines[name].Address
 }
 
-func (l *Leader) take(ctx context.Context, a lease.Acquire) {
+func (l *Leader) takeLease(ctx context.Context, a lease.Acquire) {
 	r, err := l.Workers.Take(ctx, l.address(a.Worker), a.TTL)
-	l.tellLease(a.Worker, err, lease.Granted{Worker: a.Worker, Reading: r})
+	l.reportLease(a.Worker, err, lease.Granted{Worker: a.Worker, Reading: r})
 }
 
-func (l *Leader) renew(ctx context.Context, a lease.Renew) {
+func (l *Leader) renewLease(ctx context.Context, a lease.Renew) {
 	l.mu.Lock()
-	forget := slices.Clone(l.forget[a.Worker])
+	forget := slices.Clone(l.toForget[a.Worker])
 	l.mu.Unlock()
 	r, err := l.Workers.Renew(ctx, l.address(a.Worker), a, forget)
 	if err == nil && len(forget) > 0 {
 		l.mu.Lock()
-		l.forget[a.Worker] = slices.DeleteFunc(l.forget[a.Worker], func(s string) bool { return slices.Contains(forget, s) })
+		l.toForget[a.Worker] = slices.DeleteFunc(l.toForget[a.Worker], func(s string) bool { return slices.Contains(forget, s) })
 		l.mu.Unlock()
 	}
-	l.tellLease(a.Worker, err, lease.Renewed{Worker: a.Worker, Reading: r})
+	l.reportLease(a.Worker, err, lease.Renewed{Worker: a.Worker, Reading: r})
 }
 
-func (l *Leader) tellLease(name string, err error, good lease.Event) {
+func (l *Leader) reportLease(name string, err error, good lease.Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var held *worker.HeldError
 	switch {
 	case err == nil:
-		l.lease(good)
+		l.stepLeases(good)
 	case errors.As(err, &held):
-		l.takeover(takeover.Sign{Worker: name})
-		l.lease(lease.Refused{Worker: name, Holder: held.Holder, Remaining: held.Left, Sent: held.Sent, Incarnation: held.Life})
+		l.stepTakeover(takeover.WorkerContact{Worker: name})
+		l.stepLeases(lease.Refused{Worker: name, Holder: held.Holder, Remaining: held.Left, Sent: held.Sent, Incarnation: held.Life})
 	default:
-		l.lease(lease.Unanswered{Worker: name})
+		l.stepLeases(lease.Unanswered{Worker: name})
 	}
 }
 
-// meet asks a worker for its life. One that does not answer is asked again.
-func (l *Leader) meet(ctx context.Context, a lease.AskIncarnation) {
+// askIncarnation asks a worker for its incarnation. The lease state machine asks again if there is
+// no answer.
+func (l *Leader) askIncarnation(ctx context.Context, a lease.AskIncarnation) {
 	name, err := l.Workers.Life(ctx, l.address(a.Worker))
 	if err != nil {
-		l.Log.Debug("lead: life of a worker not told.", "worker", a.Worker, "err", err)
+		l.Log.Debug("lead: incarnation of a worker not available.", "worker", a.Worker, "err", err)
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lease(lease.IncarnationLearned{Worker: a.Worker, Life: name})
+	l.stepLeases(lease.IncarnationLearned{Worker: a.Worker, Life: name})
 }
 
-func (l *Leader) give(ctx context.Context, a lease.Release) {
+func (l *Leader) releaseLease(ctx context.Context, a lease.Release) {
 	if err := l.Workers.Give(ctx, l.address(a.Worker), a.Lease); err != nil {
-		l.Log.Warn("lead: anchor not given back.", "worker", a.Worker, "err", err)
+		l.Log.Warn("lead: lease not released.", "worker", a.Worker, "err", err)
 	}
 }
 
-func (l *Leader) up(a lease.Up) {
+func (l *Leader) workerUp(a lease.Up) {
 	m := l.machines[a.Worker]
 	var used []place.Used
 	for _, t := range a.Tasks {
 		if t.State == "running" {
 			row, _ := l.Row(t.Row)
-			used = append(used, place.Used{Task: t.ID, Row: t.Row, Team: row.Team, Class: row.Urgency(), Size: roomOf(t)})
+			used = append(used, place.Used{Task: t.ID, Row: t.Row, Team: row.Team, Class: row.Urgency(), Size: foundTaskSize(t)})
 		}
 	}
 	l.Count("lead.up")
-	delete(l.elsewhere, a.Worker)
+	delete(l.countedElsewhere, a.Worker)
 	l.Log.Info("lead: worker is led.", "worker", a.Worker, "tasks", len(used))
-	l.place(place.Up{Worker: m.Name, Rack: m.Rack, Size: m.Size, Used: used})
-	l.seen(a.Worker, a.Reading)
-	l.takeover(takeover.Held{Worker: a.Worker})
+	l.stepPlacement(place.Up{Worker: m.Name, Rack: m.Rack, Size: m.Size, Used: used})
+	l.handleReading(a.Worker, a.Reading)
+	l.stepTakeover(takeover.WorkerHeld{Worker: a.Worker})
 }
 
-func (l *Leader) seen(name string, r lease.Reading) {
+func (l *Leader) handleReading(name string, r lease.Reading) {
 	ev := job.WorkerList{Worker: name, Clock: r.Clock, Sent: r.Sent, Incarnation: r.Incarnation}
 	var wait bool
-	if ev.RackLost, wait = l.rackLost(name, r); wait {
-		// What is listed runs, whatever became of the rest. A census may rest on it now.
+	if ev.RackLost, wait = l.wholeRackLost(name, r); wait {
+		// The reading shows which tasks run, but not yet why the others are gone. Passing it on at
+		// once lets an inventory rely on the running tasks.
 		ev.Incarnation, ev.Jobs = "", []string{}
 	}
 	for _, t := range r.Tasks {
 		ev.Tasks = append(ev.Tasks, job.ListedTask{ID: t.ID, State: t.State, Lease: t.Lease})
 	}
-	l.job(ev)
-	l.clean(name, r)
-	l.used(r.Tasks)
+	l.stepJobs(ev)
+	l.reconcile(name, r)
+	l.recordUsage(r.Tasks)
 }
 
-func (l *Leader) job(ev job.Event) {
+func (l *Leader) stepJobs(ev job.Event) {
 	for _, a := range l.Jobs.Step(l.Clock(), ev) {
 		switch a := a.(type) {
 		case job.RequestPlacement:
-			l.want(a)
+			l.requestPlacement(a)
 		case job.Start:
 			l.start(a)
 		case job.Stop:
@@ -371,16 +378,16 @@
 		case job.Pause:
 			l.spawn(func(ctx context.Context) { l.pause(ctx, a) })
 		case job.Result:
-			l.result(a)
+			l.handleResult(a)
 		case job.Free:
-			l.place(place.Freed{Task: a.Task})
+			l.stepPlacement(place.Freed{Task: a.Task})
 		case job.Forget:
 			l.forgetStart(a.Worker, a.Lease)
 		case job.StoreCrashCount:
-			l.crashed(a)
+			l.handleCrash(a)
 		case job.Ended:
-			l.note(a.ID, "ended as "+a.State)
-			l.ended(a)
+			l.addNote(a.ID, "ended as "+a.State)
+			l.handleEnd(a)
 		}
 	}
 }
--- a/internal/lead/place_test.go
+++ b/internal/lead/place_test.go
@@ -33,23 +33,23 @@
 	addresses []netip.AddrPort
 }
 
-var whole = cell.Size{CPU: 4000, Mem: 4 << 30}
+var fleetWorkerSize = cell.Size{CPU: 4000, Mem: 4 << 30}
 
 func newFleet(t *testing.T, n int, rows map[string]table.Row) *fleet {
 	f := &fleet{t: t, over: standin.NewOversight()}
 	var machines []lead.Machine
 	for i := range n {
-		w := standin.NewWorker(whole, f.over, time.Now)
+		w := standin.NewWorker(fleetWorkerSize, f.over, time.Now)
 		srv := httptest.NewServer(w.Handler())
 		t.Cleanup(srv.Close)
 		f.workers = append(f.workers, w)
 		addr := netip.MustParseAddrPort(srv.Listener.Addr().String())
 		f.addresses = append(f.addresses, addr)
-		machines = append(machines, lead.Machine{Name: fmt.Sprintf("w%d", i), Rack: "r", Address: addr, Size: whole})
+		machines = append(machines, lead.Machine{Name: fmt.Sprintf("w%d", i), Rack: "r", Address: addr, Size: fleetWorkerSize})
 	}
 	f.Leader = lead.New(t.Context(), lead.Deps{
 		Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: job.New(),
-		Takeover: takeover.New("h", takeover.Limits{Longest: time.Minute, Every: time.Second}), Workers: worker.New("h", 1, nil, time.Now),
+		Takeover: takeover.New("h", takeover.Limits{LongestLease: time.Minute, AskInterval: time.Second}), Workers: worker.New("h", 1, nil, time.Now),
 		RequestInventory: func() {}, EndLogged: func(string) bool { return false }, StoreEnd: func(job.Ended, bool) {},
 		Row:     func(name string) (table.Row, int64) { return rows[name], 1 },
 		History: trail.New(1000), Clock: time.Now, Log: slog.New(slog.DiscardHandler),
@@ -74,7 +74,7 @@
 	require.NoError(f.t, err)
 }
 
-func (f *fleet) is(id, state string) func() bool {
+func (f *fleet) hasState(id, state string) func() bool {
 	return func() bool { s, err := f.Status("d.r." + id); return err == nil && s.State == state }
 }
 
@@ -86,8 +86,8 @@
 	return strings.Join(all, "\n")
 }
 
-// honest checks what the workers themselves saw.
-func (f *fleet) honest() {
+// requireConsistent checks what the workers themselves saw.
+func (f *fleet) requireConsistent() {
 	f.t.Helper()
 	require.Empty(f.t, f.over.Doubled())
 	for _, w := range f.workers {
@@ -103,10 +103,10 @@
 	f.submit("bulk", "badges", cell.Bulk, 900, 2, time.Hour)
 	f.until(func() bool { s, _ := f.Status("d.r.bulk"); return s.Tasks["running"] == 2 })
 	f.submit("gate", "gate", cell.Urgent, 1000, 1, 300*time.Millisecond)
-	f.until(f.is("gate", "ended"))
+	f.until(f.hasState("gate", "ended"))
 	require.Contains(t, f.notes("bulk"), "urgent job d.r.gate found no room")
 	f.until(func() bool { s, _ := f.Status("d.r.bulk"); return s.Tasks["running"] == 2 })
-	f.honest()
+	f.requireConsistent()
 }
 
 // One worker fails everything at once and so always has room. It is set aside
@@ -118,10 +118,10 @@
 		f.submit(fmt.Sprint(i), "menu", cell.Normal, 1000, 1, 50*time.Millisecond)
 	}
 	for i := range 200 {
-		f.until(f.is(fmt.Sprint(i), "ended"))
+		f.until(f.hasState(fmt.Sprint(i), "ended"))
 	}
 	require.LessOrEqual(t, len(f.workers[0].Record().Started), 12)
-	f.honest()
+	f.requireConsistent()
 }
 
 // A job waits and its owner asks why. The nearest limit is named; one that can
--- a/internal/lead/start.go
+++ b/internal/lead/start.go
@@ -14,43 +14,43 @@
 	"pollencroft/internal/worker"
 )
 
-// start fixes the start's deadline now, in the worker's clock, before the
-// start can be delayed: what arrives later is dead on arrival.
+// start sends a start to a worker. It fixes the deadline now, in the worker's clock, before the
+// start can be delayed; the worker rejects a start that arrives later.
 func (l *Leader) start(a job.Start) {
 	deadline, ok := l.Leases.Deadline(l.Clock(), a.Worker)
 	if !ok {
-		l.lapsed(a)
+		l.handleLapsedLease(a)
 		return
 	}
 	row, _ := l.Row(a.Spec.Row)
 	key, arbiter := l.arbiter(row)
 	if key != "" {
 		if deadline, ok = l.Leases.DeadlineWith(l.Clock(), a.Worker, arbiter); !ok || !l.mayStart(row) {
-			l.putOff(a)
+			l.postponeStart(a)
 			return
 		}
 	}
-	l.note(a.Spec.ID, "start of "+a.Task+" sent to "+a.Worker)
+	l.addNote(a.Spec.ID, "start of "+a.Task+" sent to "+a.Worker)
 	size, ok := l.Placer.AllocatedSize(a.Task)
 	if !ok {
 		size = a.Spec.Size
 	}
-	l.job(job.StartSent{Task: a.Task, Deadline: deadline})
-	l.lease(lease.StartSent{Worker: a.Worker, Task: a.Task})
+	l.stepJobs(job.StartSent{Task: a.Task, Deadline: deadline})
+	l.stepLeases(lease.StartSent{Worker: a.Worker, Task: a.Task})
 	if arbiter != "" && arbiter != a.Worker {
-		// The worker whose holder may start the row is not given back under the start either.
-		l.lease(lease.StartSent{Worker: arbiter, Task: a.Task})
+		// The lease of the arbiter must not be released while the start is in flight either.
+		l.stepLeases(lease.StartSent{Worker: arbiter, Task: a.Task})
 	}
 	l.spawn(func(ctx context.Context) { l.sendStart(ctx, a, arbiter, size, deadline) })
 }
 
-// lapsed puts back a task whose worker's lease ran out before anyone noticed,
-// as after a pause. The worker must be gone from the placement first: it would
-// get the task again at once, and the host would die of the endless recursion.
-func (l *Leader) lapsed(a job.Start) {
-	l.lease(lease.Tick{})
-	l.place(place.Down{Worker: a.Worker})
-	l.job(job.NotStarted{Task: a.Task, Attempt: a.Attempt})
+// handleLapsedLease returns a task to the queue because the lease of its worker expired unnoticed,
+// for example during a pause. The worker must be removed from the placer first: otherwise the
+// placer would assign the task to it again at once, and the host would crash with endless recursion.
+func (l *Leader) handleLapsedLease(a job.Start) {
+	l.stepLeases(lease.Tick{})
+	l.stepPlacement(place.Down{Worker: a.Worker})
+	l.stepJobs(job.NotStarted{Task: a.Task, Attempt: a.Attempt})
 }
 
 func (l *Leader) sendStart(ctx context.Context, a job.Start, arbiter string, size cell.Size, deadline time.Time) {
@@ -64,25 +64,25 @@
 	defer l.mu.Unlock()
 	var late *worker.LateError
 	if arbiter != "" {
-		l.limited[a.Worker] = l.Clock()
+		l.lastLimitedStart[a.Worker] = l.Clock()
 	}
 	if arbiter != "" && arbiter != a.Worker {
-		l.lease(lease.StartAnswered{Worker: arbiter, Task: a.Task, OutcomeKnown: err == nil || errors.As(err, &late)})
+		l.stepLeases(lease.StartAnswered{Worker: arbiter, Task: a.Task, OutcomeKnown: err == nil || errors.As(err, &late)})
 	}
 	switch {
 	case err == nil:
-		l.lease(lease.StartAnswered{Worker: a.Worker, Task: a.Task, OutcomeKnown: true, RunTime: a.Spec.Time.Duration})
-		l.job(job.Started{Task: a.Task, Attempt: a.Attempt})
+		l.stepLeases(lease.StartAnswered{Worker: a.Worker, Task: a.Task, OutcomeKnown: true, RunTime: a.Spec.Time.Duration})
+		l.stepJobs(job.Started{Task: a.Task, Attempt: a.Attempt})
 	case errors.As(err, &late):
 		l.Count("lead.late")
-		l.lease(lease.StartAnswered{Worker: a.Worker, Task: a.Task, OutcomeKnown: true})
-		l.job(job.NotStarted{Task: a.Task, Attempt: a.Attempt})
+		l.stepLeases(lease.StartAnswered{Worker: a.Worker, Task: a.Task, OutcomeKnown: true})
+		l.stepJobs(job.NotStarted{Task: a.Task, Attempt: a.Attempt})
 	default:
 		var unreached *worker.UnreachedError
 		l.Count("lead.unsure")
-		l.lease(lease.StartAnswered{Worker: a.Worker, Task: a.Task})
-		l.note(a.Spec.ID, "start of "+a.Task+" has no answer")
-		l.job(job.Unsure{Task: a.Task, Attempt: a.Attempt, Deadline: deadline, Unreached: errors.As(err, &unreached)})
+		l.stepLeases(lease.StartAnswered{Worker: a.Worker, Task: a.Task})
+		l.addNote(a.Spec.ID, "start of "+a.Task+" has no answer")
+		l.stepJobs(job.Unsure{Task: a.Task, Attempt: a.Attempt, Deadline: deadline, Unreached: errors.As(err, &unreached)})
 	}
 }
 
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -127,10 +127,10 @@
 func (w *World) newHost(name string, inc int) *host {
 	h := &host{
 		name: name, inc: inc, leases: lease.New(lease.Limits{TTL: ttl, TaskTTL: long, RetryInterval: step / 2}), jobs: job.New(),
-		over: takeover.New(name, takeover.Limits{Longest: never, Every: never}),
+		over: takeover.New(name, takeover.Limits{LongestLease: never, AskInterval: never}),
 		room: map[string]map[string]bool{}, spec: map[string]job.Spec{},
 	}
-	w.overtake(h, takeover.Workers{Names: w.names()})
+	w.overtake(h, takeover.SetWorkers{Names: w.names()})
 	return h
 }
 
@@ -154,7 +154,7 @@
 func (w *World) inherit(h *host) {
 	w.lead(h)
 	w.job(h, job.Inherit{Spec: specOf(old)})
-	w.overtake(h, takeover.Found{Job: old})
+	w.overtake(h, takeover.FoundJob{Job: old})
 	if w.rules.NoCensus {
 		w.job(h, job.Release{ID: old})
 	}
@@ -185,12 +185,12 @@
 		case lease.Up:
 			h.room[a.Worker] = map[string]bool{}
 			w.seen(h, a.Worker, a.Reading)
-			w.overtake(h, takeover.Held{Worker: a.Worker})
+			w.overtake(h, takeover.WorkerHeld{Worker: a.Worker})
 		case lease.Updated:
 			w.seen(h, a.Worker, a.Reading)
 		case lease.Down:
 			delete(h.room, a.Worker)
-			w.overtake(h, takeover.Down{Worker: a.Worker})
+			w.overtake(h, takeover.WorkerLost{Worker: a.Worker})
 			w.demote(h)
 		}
 	}
@@ -203,7 +203,7 @@
 		return
 	}
 	for _, s := range h.jobs.Open() {
-		w.overtake(h, takeover.Gone{Job: s.ID})
+		w.overtake(h, takeover.GoneJob{Job: s.ID})
 		w.job(h, job.Drop{ID: s.ID})
 	}
 }
@@ -226,7 +226,7 @@
 
 func (w *World) overtake(h *host, ev takeover.Event) {
 	for _, a := range h.over.Step(w.now, ev) {
-		if a, ok := a.(takeover.Release); ok {
+		if a, ok := a.(takeover.ReleaseJob); ok {
 			w.job(h, job.Release{ID: a.Job})
 		}
 	}
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -21,75 +21,75 @@
 
 // Limits are the times that the rights depend on.
 type Limits struct {
-	// Longest is how long a sent request can take at most. A line of the host
+	// LongestDeadline is how long a sent request can take at most. A line of the host
 	// list must not be late by more.
-	Longest time.Duration
-	// Settle is how long a started host waits for what its former incarnation
+	LongestDeadline time.Duration
+	// StartupWait is how long a started host waits for what its former incarnation
 	// sent. It is Longest unless no former incarnation can have run.
-	Settle time.Duration
+	StartupWait time.Duration
 }
 
-// pair is what this host knows of one other host of its failure domain.
-type pair struct {
+// peerState is what this host knows of one other host of its failure domain.
+type peerState struct {
 	incarnation int64
-	// given tells that the incarnation gave its slots away.
-	given bool
-	// own tells that the other host uses no slot in which this one precedes it.
-	own bool
+	// released tells that the incarnation gave its slots away.
+	released bool
+	// freedOwnSlots tells that the other host uses no slot in which this one precedes it.
+	freedOwnSlots bool
 	// gone tells that the other host uses no slot at all.
 	gone bool
-	// busy tells that slots taken while it was gone may still be in use.
-	busy bool
-	// away is since when the list and the host itself say that it is gone;
+	// takenInUse tells that slots taken while it was gone may still be in use.
+	takenInUse bool
+	// absentSince is since when the list and the host itself say that it is gone;
 	// zero when either says that it is there.
-	away time.Time
+	absentSince time.Time
 }
 
 // Shares is the share core of one host.
 type Shares struct {
-	limits  Limits
-	self    Word
-	began   time.Time
-	last    time.Time
-	names   []string
-	pairs   map[string]*pair
-	settled bool
-	quit    bool
+	limits      Limits
+	self        Announcement
+	began       time.Time
+	lastStep    time.Time
+	names       []string
+	peers       map[string]*peerState
+	startupDone bool
+	stopping    bool
 }
 
 // New returns the core of the host called self; others are the other hosts of
 // its failure domain as the settings name them.
 func New(limits Limits, self string, incarnation int64, others []string, now time.Time) *Shares {
 	s := &Shares{
-		limits: limits, self: Word{Name: self, Incarnation: incarnation}, began: now, last: now,
-		names: append(slices.Clone(others), self), pairs: map[string]*pair{},
+		limits: limits, self: Announcement{Name: self, Incarnation: incarnation}, began: now, lastStep: now,
+		names: append(slices.Clone(others), self), peers: map[string]*peerState{},
 	}
 	slices.Sort(s.names)
 	for _, name := range others {
-		s.pairs[name] = &pair{}
+		s.peers[name] = &peerState{}
 	}
 	return s
 }
 
 // Step takes one event and returns what follows from it.
 func (s *Shares) Step(now time.Time, ev Event) []Action {
-	before := s.rights()
+	before := s.usageRights()
 	s.resume(now)
 	var acts []Action
 	switch ev := ev.(type) {
-	case Heard:
-		s.hear(ev.Word)
-	case Listed:
-		s.list(now, ev.Names)
+	case AnnouncementReceived:
+		s.receive(ev.Announcement)
+	case HostsListed:
+		s.updateHosts(now, ev.Names)
 	case Drained:
 		acts = s.drained()
-	case Quit:
-		s.stop()
+	case Stopping:
+		s.beginStop()
 	case Tick:
 	}
-	s.pass(now)
-	if !slices.Equal(before, s.rights()) {
-		acts = append(acts, Changed{})
+	s.applyTimeouts(now)
+	if !slices.Equal(before, s.usageRights()) {
+		acts = append(acts, SlotsChanged{})
 	}
 	return acts
 }
@@ -98,43 +98,43 @@
 // have taken its slots meanwhile; it would use them a second time, which shows
 // as a backend server with more than its slots in use.
 func (s *Shares) resume(now time.Time) {
-	gap := now.Sub(s.last)
-	s.last = now
-	if gap <= s.limits.Longest/2 {
+	gap := now.Sub(s.lastStep)
+	s.lastStep = now
+	if gap <= s.limits.LongestDeadline/2 {
 		return
 	}
 	s.self.Incarnation++
-	for _, p := range s.pairs {
-		*p = pair{incarnation: p.incarnation, given: p.given, busy: p.busy || p.gone}
+	for _, p := range s.peers {
+		*p = peerState{incarnation: p.incarnation, released: p.released, takenInUse: p.takenInUse || p.gone}
 	}
 }
 
-func (s *Shares) hear(w Word) {
-	p, ok := s.pairs[w.Name]
-	if !ok || w.Incarnation < p.incarnation || w.Incarnation == p.incarnation && p.given {
+func (s *Shares) receive(w Announcement) {
+	p, ok := s.peers[w.Name]
+	if !ok || w.Incarnation < p.incarnation || w.Incarnation == p.incarnation && p.released {
 		return
 	}
-	p.incarnation, p.given = w.Incarnation, w.Given
-	p.away = time.Time{}
-	p.busy = p.busy || p.gone
-	p.gone = w.Given && !s.quit
-	if w.Given || w.Freed[s.self.Name] == s.self.Incarnation {
-		p.own = !s.quit
+	p.incarnation, p.released = w.Incarnation, w.Released
+	p.absentSince = time.Time{}
+	p.takenInUse = p.takenInUse || p.gone
+	p.gone = w.Released && !s.stopping
+	if w.Released || w.Freed[s.self.Name] == s.self.Incarnation {
+		p.freedOwnSlots = !s.stopping
 	}
 }
 
-// list notes who is gone. A list without this host itself comes from before
+// updateHosts notes who is gone. A updateHosts without this host itself comes from before
 // this host's start and proves nothing.
-func (s *Shares) list(now time.Time, names []string) {
+func (s *Shares) updateHosts(now time.Time, names []string) {
 	if !slices.Contains(names, s.self.Name) {
 		return
 	}
-	for name, p := range s.pairs {
+	for name, p := range s.peers {
 		switch {
 		case slices.Contains(names, name):
-			p.away = time.Time{}
-		case p.away.IsZero():
-			p.away = now
+			p.absentSince = time.Time{}
+		case p.absentSince.IsZero():
+			p.absentSince = now
 		}
 	}
 }
@@ -143,93 +143,93 @@
 // before it settled gives nothing: what its former incarnation sent may still
 // run, and the heir would send a second request into the same slot.
 func (s *Shares) drained() []Action {
-	for _, p := range s.pairs {
-		p.busy = false
+	for _, p := range s.peers {
+		p.takenInUse = false
 	}
-	if !s.quit || !s.settled || s.self.Given {
+	if !s.stopping || !s.startupDone || s.self.Released {
 		return nil
 	}
-	s.self.Given = true
-	return []Action{Tell{Word: s.Word()}}
+	s.self.Released = true
+	return []Action{SendAnnouncement{Announcement: s.Announcement()}}
 }
 
-func (s *Shares) stop() {
-	s.quit = true
-	for _, p := range s.pairs {
-		p.busy = p.busy || p.gone
-		p.own, p.gone = false, false
+func (s *Shares) beginStop() {
+	s.stopping = true
+	for _, p := range s.peers {
+		p.takenInUse = p.takenInUse || p.gone
+		p.freedOwnSlots, p.gone = false, false
 	}
 }
 
-// pass grants what time alone proves.
-func (s *Shares) pass(now time.Time) {
-	s.settled = s.settled || now.Sub(s.began) >= s.limits.Settle
-	if s.quit {
+// applyTimeouts grants what time alone proves.
+func (s *Shares) applyTimeouts(now time.Time) {
+	s.startupDone = s.startupDone || now.Sub(s.began) >= s.limits.StartupWait
+	if s.stopping {
 		return
 	}
-	for _, p := range s.pairs {
-		if !p.away.IsZero() && now.Sub(p.away) >= s.limits.Longest {
-			p.own, p.gone = true, true
+	for _, p := range s.peers {
+		if !p.absentSince.IsZero() && now.Sub(p.absentSince) >= s.limits.LongestDeadline {
+			p.freedOwnSlots, p.gone = true, true
 		}
 	}
 }
 
-// Word is what this host has to tell the others of its failure domain now.
-func (s *Shares) Word() Word {
+// Announcement is what this host has to tell the others of its failure domain now.
+func (s *Shares) Announcement() Announcement {
 	w := s.self
 	w.Freed = map[string]int64{}
-	for name, p := range s.pairs {
-		if s.settled && p.incarnation > 0 && !p.given && !p.gone && !p.busy {
+	for name, p := range s.peers {
+		if s.startupDone && p.incarnation > 0 && !p.released && !p.gone && !p.takenInUse {
 			w.Freed[name] = p.incarnation
 		}
 	}
 	return w
 }
 
-// Awaited lists the hosts that have not yet freed their part of this host's
+// AwaitedHosts lists the hosts that have not yet freed their part of this host's
 // slots, in order of name.
-func (s *Shares) Awaited() []string {
+func (s *Shares) AwaitedHosts() []string {
 	var all []string
-	for _, name := range slices.Sorted(maps.Keys(s.pairs)) {
-		if !s.pairs[name].own {
+	for _, name := range slices.Sorted(maps.Keys(s.peers)) {
+		if !s.peers[name].freedOwnSlots {
 			all = append(all, name)
 		}
 	}
 	return all
 }
 
-func (s *Shares) rights() []bool {
-	all := []bool{s.settled, s.quit}
+func (s *Shares) usageRights() []bool {
+	all := []bool{s.startupDone, s.stopping}
 	for _, name := range s.names {
-		if p, ok := s.pairs[name]; ok {
-			all = append(all, p.own, p.gone)
+		if p, ok := s.peers[name]; ok {
+			all = append(all, p.freedOwnSlots, p.gone)
 		}
 	}
 	return all
 }
 
-// Slots is how many of a backend server's slots this host may use now.
-func (s *Shares) Slots(minion string, slots int) int {
+// UsableSlots is how many of a backend server's slots this host may use now.
+func (s *Shares) UsableSlots(backend string, slots int) int {
 	n := 0
 	for i := range slots {
-		if s.May(minion, i) {
+		if s.MayUse(backend, i) {
 			n++
 		}
 	}
 	return n
 }
 
-// May tells whether this host may use one slot of a backend server now.
-func (s *Shares) May(minion string, slot int) bool {
-	if !s.settled || s.quit {
+// MayUse tells whether this host may use one slot of a backend server now.
+func (s *Shares) MayUse(backend string, slot int) bool {
+	if !s.startupDone || s.stopping {
 		return false
 	}
 	before := true
-	for _, name := range s.succession(minion, slot) {
+	for _, name := range s.succession(backend, slot) {
 		switch {
 		case name == s.self.Name:
 			before = false
-		case before && !s.pairs[name].gone, !before && !s.pairs[name].own:
+		case before && !s.peers[name].gone, !before && !s.peers[name].freedOwnSlots:
 			return false
 		}
 	}
@@ -238,9 +238,9 @@
 
 // succession orders the hosts that may use a slot, its owner first. The order
 // differs from slot to slot, so that what a dead host leaves is spread over all.
-func (s *Shares) succession(minion string, slot int) []string {
+func (s *Shares) succession(backend string, slot int) []string {
 	n := len(s.names)
-	turn := int(xxhash.Sum64String(minion)%uint64(n)) + slot
+	turn := int(xxhash.Sum64String(backend)%uint64(n)) + slot
 	owner := turn % n
 	order := []string{s.names[owner]}
 	for i := range n - 1 {
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -19,7 +19,7 @@
 
 var (
 	start  = time.Unix(1_700_000_000, 0)
-	limits = share.Limits{Longest: longest, Settle: longest}
+	limits = share.Limits{LongestDeadline: longest, StartupWait: longest}
 )
 
 func TestMain(m *testing.M) { randtest.Main(m, 300, 100) }
@@ -32,20 +32,20 @@
 	list []string
 }
 
-// world runs several cores of one failure domain and keeps, slot by slot,
+// simulation runs several cores of one failure domain and keeps, slot by slot,
 // until when which process may still have a request there.
-type world struct {
-	t         require.TestingT
-	now       time.Time
-	names     []string
-	processes []*process
-	words     []share.Word
-	listed    map[string]bool
-	until     [slots]map[*process]time.Time
+type simulation struct {
+	t             require.TestingT
+	now           time.Time
+	names         []string
+	processes     []*process
+	announcements []share.Announcement
+	listed        map[string]bool
+	until         [slots]map[*process]time.Time
 }
 
-func newWorld(t require.TestingT, n int) *world {
-	w := &world{t: t, now: start, listed: map[string]bool{}}
+func newSimulation(t require.TestingT, n int) *simulation {
+	w := &simulation{t: t, now: start, listed: map[string]bool{}}
 	for i := range slots {
 		w.until[i] = map[*process]time.Time{}
 	}
@@ -55,14 +55,14 @@
 	return w
 }
 
-func (w *world) begin(i int) {
+func (w *simulation) startProcess(i int) {
 	name := w.names[i]
 	others := append(append([]string{}, w.names[:i]...), w.names[i+1:]...)
 	w.listed[name] = true
 	w.processes = append(w.processes, &process{name: name, core: share.New(limits, name, w.now.UnixNano(), others, w.now)})
 }
 
-func (w *world) running(name string) *process {
+func (w *simulation) running(name string) *process {
 	for _, p := range w.processes {
 		if p.name == name && !p.dead {
 			return p
@@ -71,22 +71,22 @@
 	return nil
 }
 
-func (w *world) step(p *process, ev share.Event) {
+func (w *simulation) step(p *process, ev share.Event) {
 	for _, a := range p.core.Step(w.now, ev) {
-		if tell, ok := a.(share.Tell); ok {
-			w.words = append(w.words, tell.Word)
+		if tell, ok := a.(share.SendAnnouncement); ok {
+			w.announcements = append(w.announcements, tell.Announcement)
 		}
 	}
 }
 
-// use sends a request on every slot that a process takes for its own.
-func (w *world) use() {
+// sendRequests sends a request on every slot that a process takes for its own.
+func (w *simulation) sendRequests() {
 	for _, p := range w.processes {
 		if p.dead {
 			continue
 		}
 		for i := range slots {
-			if p.core.May("m", i) {
+			if p.core.MayUse("m", i) {
 				w.until[i][p] = w.now.Add(longest)
 			}
 		}
@@ -102,26 +102,26 @@
 	}
 }
 
-func (w *world) pass(d time.Duration) {
+func (w *simulation) advance(d time.Duration) {
 	w.now = w.now.Add(d)
 	for _, p := range w.processes {
 		if !p.dead {
 			w.step(p, share.Tick{})
 		}
 	}
-	w.use()
+	w.sendRequests()
 }
 
-func (w *world) drain(p *process) {
+func (w *simulation) drain(p *process) {
 	for i := range slots {
-		if !p.core.May("m", i) {
+		if !p.core.MayUse("m", i) {
 			delete(w.until[i], p)
 		}
 	}
 	w.step(p, share.Drained{})
 }
 
-func (w *world) all() []string {
+func (w *simulation) listedNames() []string {
 	var names []string
 	for _, name := range w.names {
 		if w.listed[name] {
@@ -131,30 +131,30 @@
 	return names
 }
 
-// settle lets every host hear every other and read the list for long enough.
-func (w *world) settle() {
+// converge lets every host hear every other and read the list for long enough.
+func (w *simulation) converge() {
 	for range 8 {
 		for _, p := range w.processes {
 			if p.dead {
 				continue
 			}
 			w.drain(p)
-			w.step(p, share.Listed{Names: w.all()})
+			w.step(p, share.HostsListed{Names: w.listedNames()})
 			for _, o := range w.processes {
 				if o != p && !o.dead {
-					w.step(o, share.Heard{Word: p.core.Word()})
+					w.step(o, share.AnnouncementReceived{Announcement: p.core.Announcement()})
 				}
 			}
 		}
-		w.pass(longest / 4)
+		w.advance(longest / 4)
 	}
 }
 
-func (w *world) inUse() int {
+func (w *simulation) inUse() int {
 	n := 0
 	for _, p := range w.processes {
 		if !p.dead {
-			n += p.core.Slots("m", slots)
+			n += p.core.UsableSlots("m", slots)
 		}
 	}
 	return n
@@ -166,12 +166,12 @@
 // inside it, where no queue of ours can put them first.
 func TestNoSlotIsUsedTwiceWhateverHappens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, rapid.IntRange(2, 4).Draw(t, "hosts"))
+		w := newSimulation(t, rapid.IntRange(2, 4).Draw(t, "hosts"))
 		for i := range w.names {
-			w.begin(i)
+			w.startProcess(i)
 		}
 		if rapid.Bool().Draw(t, "settled") {
-			w.settle()
+			w.converge()
 		}
 		host := func() *process {
 			return w.running(w.names[rapid.IntRange(0, len(w.names)-1).Draw(t, "host")])
@@ -184,34 +184,34 @@
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"": func(*rapid.T) { w.use() },
+			"": func(*rapid.T) { w.sendRequests() },
 			"die": live(func(p *process) {
 				p.dead, w.listed[p.name] = true, false
 			}),
 			"begin": func(t *rapid.T) {
 				if i := rapid.IntRange(0, len(w.names)-1).Draw(t, "host"); w.running(w.names[i]) == nil {
-					w.begin(i)
+					w.startProcess(i)
 				}
 			},
-			"quit":  live(func(p *process) { p.quit = true; w.step(p, share.Quit{}) }),
+			"quit":  live(func(p *process) { p.quit = true; w.step(p, share.Stopping{}) }),
 			"drain": live(w.drain),
-			"say":   live(func(p *process) { w.words = append(w.words, p.core.Word()) }),
+			"say":   live(func(p *process) { w.announcements = append(w.announcements, p.core.Announcement()) }),
 			"hear": live(func(p *process) {
-				if len(w.words) > 0 {
-					w.step(p, share.Heard{Word: w.words[rapid.IntRange(0, len(w.words)-1).Draw(t, "word")]})
+				if len(w.announcements) > 0 {
+					w.step(p, share.AnnouncementReceived{Announcement: w.announcements[rapid.IntRange(0, len(w.announcements)-1).Draw(t, "word")]})
 				}
 			}),
-			"read": live(func(p *process) { p.list = w.all() }),
-			"list": live(func(p *process) { w.step(p, share.Listed{Names: p.list}); p.list = w.all() }),
+			"read": live(func(p *process) { p.list = w.listedNames() }),
+			"list": live(func(p *process) { w.step(p, share.HostsListed{Names: p.list}); p.list = w.listedNames() }),
 			"talk": live(func(p *process) {
 				for _, o := range w.processes {
 					if o != p && !o.dead {
-						w.step(o, share.Heard{Word: p.core.Word()})
+						w.step(o, share.AnnouncementReceived{Announcement: p.core.Announcement()})
 					}
 				}
 			}),
-			"look": live(func(p *process) { w.step(p, share.Listed{Names: w.all()}) }),
-			"pass": func(t *rapid.T) { w.pass(time.Duration(rapid.IntRange(1, 12).Draw(t, "tenths")) * longest / 10) },
+			"look": live(func(p *process) { w.step(p, share.HostsListed{Names: w.listedNames()}) }),
+			"pass": func(t *rapid.T) { w.advance(time.Duration(rapid.IntRange(1, 12).Draw(t, "tenths")) * longest / 10) },
 		})
 	})
 }
@@ -221,73 +221,73 @@
 // When it comes back it gets its slots again.
 func TestSlotsOfAGoneHostAreTakenAndGivenBack(t *testing.T) {
 	for _, planned := range []bool{false, true} {
-		w := newWorld(t, 3)
+		w := newSimulation(t, 3)
 		for i := range w.names {
-			w.begin(i)
+			w.startProcess(i)
 		}
 		require.Zero(t, w.inUse(), "a joiner waits")
-		w.settle()
+		w.converge()
 		require.Equal(t, slots, w.inUse())
 		gone := w.processes[0]
-		stale := gone.core.Word()
+		stale := gone.core.Announcement()
 		if planned {
-			w.step(gone, share.Quit{})
+			w.step(gone, share.Stopping{})
 			w.drain(gone)
-			require.Len(t, w.words, 1)
-			w.step(w.processes[1], share.Heard{Word: w.words[0]})
-			w.step(w.processes[2], share.Heard{Word: w.words[0]})
+			require.Len(t, w.announcements, 1)
+			w.step(w.processes[1], share.AnnouncementReceived{Announcement: w.announcements[0]})
+			w.step(w.processes[2], share.AnnouncementReceived{Announcement: w.announcements[0]})
 			require.Equal(t, slots, w.inUse(), "what was given is used at once")
-			w.step(w.processes[1], share.Heard{Word: stale})
+			w.step(w.processes[1], share.AnnouncementReceived{Announcement: stale})
 			require.Equal(t, slots, w.inUse(), "a late word of the stopped host changes nothing")
 		}
 		gone.dead, w.listed[gone.name] = true, false
 		if !planned {
-			w.pass(time.Second)
+			w.advance(time.Second)
 			require.Less(t, w.inUse(), slots, "what it sent may still run")
 		}
-		w.settle()
+		w.converge()
 		require.Equal(t, slots, w.inUse())
 		w.processes[1].dead, w.listed["h1"] = true, false
-		w.settle()
+		w.converge()
 		require.Equal(t, slots, w.inUse(), "the last host uses all")
-		w.begin(0)
-		w.settle()
+		w.startProcess(0)
+		w.converge()
 		require.Equal(t, slots, w.inUse())
-		require.Positive(t, w.running("h0").core.Slots("m", slots))
+		require.Positive(t, w.running("h0").core.UsableSlots("m", slots))
 	}
 }
 
 // A host returns while its heir still has requests in the slots that it took,
 // or while such an heir has just died and come back itself. The owner must
 // wait for those requests, or the backend server gets a ninth one.
-func TestReturningOwnerWaitsForWhatItsHeirSent(t *testing.T) {
-	for _, heirDies := range []bool{false, true} {
-		w := newWorld(t, 2)
-		w.begin(0)
-		w.begin(1)
-		w.settle()
+func TestReturningOwnerWaitsForRequestsInItsSlots(t *testing.T) {
+	for _, otherDies := range []bool{false, true} {
+		w := newSimulation(t, 2)
+		w.startProcess(0)
+		w.startProcess(1)
+		w.converge()
 		w.processes[0].dead, w.listed["h0"] = true, false
-		w.step(w.processes[1], share.Listed{Names: w.all()})
+		w.step(w.processes[1], share.HostsListed{Names: w.listedNames()})
 		for range 3 {
-			w.pass(longest / 3)
+			w.advance(longest / 3)
 		}
-		w.pass(longest / 3)
+		w.advance(longest / 3)
 		require.Equal(t, slots, w.inUse(), "the heir has taken the slots")
-		w.begin(0)
+		w.startProcess(0)
 		for range 3 {
-			w.pass(longest * 3 / 10)
+			w.advance(longest * 3 / 10)
 		}
-		heir := w.processes[1]
-		if heirDies {
-			heir.dead = true
-			w.begin(1)
-			heir = w.processes[3]
+		other := w.processes[1]
+		if otherDies {
+			other.dead = true
+			w.startProcess(1)
+			other = w.processes[3]
 		}
-		w.pass(longest / 5)
-		w.step(heir, share.Heard{Word: w.processes[2].core.Word()})
-		w.step(w.processes[2], share.Heard{Word: heir.core.Word()})
-		w.use()
-		w.settle()
+		w.advance(longest / 5)
+		w.step(other, share.AnnouncementReceived{Announcement: w.processes[2].core.Announcement()})
+		w.step(w.processes[2], share.AnnouncementReceived{Announcement: other.core.Announcement()})
+		w.sendRequests()
+		w.converge()
 		require.Equal(t, slots, w.inUse())
 	}
 }
