--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -11,40 +11,40 @@
 	"pollencroft/internal/chart"
 )
 
-// drift is the part of a lease that this host leaves unused, so that a clock
+// driftDivisor is the part of a lease that this host leaves unused, so that a clock
 // that runs 1 % too slow cannot make it believe in a lease that has lapsed.
-const drift = 50
+const driftDivisor = 50
 
-var life = chart.MustLoad("lease")
+var leaseChart = chart.MustLoad("lease")
 
 type worker struct {
-	state chart.State
-	want  bool
-	// up tells that this host was told that it leads the worker.
-	up    bool
-	until time.Time
-	next  time.Time
+	state  chart.State
+	wanted bool
+	// led tells that this host was told that it leads the worker.
+	led          bool
+	validUntil   time.Time
+	nextExchange time.Time
 	// reading is the last answer, with all tasks that the worker lists.
 	reading Reading
 	tasks   map[string]Task
-	// flying counts by task the starts without an answer. risk is when the last start whose
+	// inFlight counts by task the starts without an answer. risk is when the last start whose
 	// answer was lost is surely dead.
-	flying map[string]int
-	risk   time.Time
-	over   time.Time
-	// started is when the last start was answered: an older list may not show its task.
-	started time.Time
-	// looks are the times at which started tasks are expected to end.
-	looks map[string]time.Time
-	// life is the worker's life as it was last told. former is when the starts that other hosts
+	inFlight        map[string]int
+	lostStartsUntil time.Time
+	lapsesBy        time.Time
+	// lastStartAnswer is when the last start was answered: an older list may not show its task.
+	lastStartAnswer time.Time
+	// expectedEnds are the times at which started tasks are expected to end.
+	expectedEnds map[string]time.Time
+	// incarnation is the worker's incarnation as it was last told. former is when the starts that other hosts
 	// sent to an earlier one are surely dead.
-	life   string
-	former time.Time
-	// waits is the life for which it was told that the worker is waited for.
-	waits string
-	// known tells that the worker is one of the failure domain, meet is when to ask for its life.
-	known bool
-	meet  time.Time
+	incarnation      string
+	staleStartsUntil time.Time
+	// awaitedIncarnation is the life for which it was told that the worker is waited for.
+	awaitedIncarnation string
+	// inDomain tells that the worker is one of the failure domain, meet is when to ask for its life.
+	inDomain             bool
+	nextIncarnationQuery time.Time
 }
 
 // Leases is the lease core of one host.
@@ -61,7 +61,7 @@
 	var acts []Action
 	switch ev := ev.(type) {
 	case Wanted:
-		acts = l.lead(now, ev.Workers)
+		acts = l.setWanted(now, ev.Workers)
 	case Granted:
 		acts = l.granted(now, ev)
 	case Renewed:
@@ -69,41 +69,41 @@
 	case Refused:
 		acts = l.refused(now, ev)
 	case Unanswered:
-		l.lost(now, ev.Worker)
+		l.unanswered(now, ev.Worker)
 	case DomainWorkers:
-		l.know(now, ev.Workers)
+		l.setDomainWorkers(now, ev.Workers)
 	case IncarnationLearned:
-		l.met(now, ev)
+		l.incarnationLearned(now, ev)
 	case IncarnationConfirmed:
-		l.vouched(now, ev)
+		l.incarnationConfirmed(now, ev)
 	case StartSent:
-		l.sent(ev)
+		l.startSent(ev)
 	case StartAnswered:
-		l.answered(now, ev)
+		l.startAnswered(now, ev)
 	case Poll:
-		l.look(now, ev)
+		l.poll(now, ev)
 	case ReleaseAll:
-		acts = l.lead(now, nil)
+		acts = l.setWanted(now, nil)
 	case Tick:
 	}
-	return append(acts, l.due(now)...)
+	return append(acts, l.dueActions(now)...)
 }
 
-func (l *Leases) lead(now time.Time, names []string) []Action {
+func (l *Leases) setWanted(now time.Time, names []string) []Action {
 	for _, name := range names {
 		l.add(name)
 	}
 	var acts []Action
 	for _, name := range slices.Sorted(maps.Keys(l.workers)) {
 		w := l.workers[name]
-		had := w.want
-		w.want = slices.Contains(names, name)
+		had := w.wanted
+		w.wanted = slices.Contains(names, name)
 		switch {
 		case w.state != "held":
-		case had && !w.want:
-			acts = append(acts, w.down(name)...)
-		case !had && w.want:
-			w.next = now
+		case had && !w.wanted:
+			acts = append(acts, w.markDown(name)...)
+		case !had && w.wanted:
+			w.nextExchange = now
 		}
 	}
 	return acts
@@ -111,49 +111,49 @@
 
 func (l *Leases) add(name string) *worker {
 	if _, ok := l.workers[name]; !ok {
-		l.workers[name] = &worker{state: life.Start(), flying: map[string]int{}}
+		l.workers[name] = &worker{state: leaseChart.Start(), inFlight: map[string]int{}}
 	}
 	return l.workers[name]
 }
 
-func (w *worker) down(name string) []Action {
-	if !w.up {
+func (w *worker) markDown(name string) []Action {
+	if !w.led {
 		return nil
 	}
-	w.up = false
+	w.led = false
 	return []Action{Down{Worker: name}}
 }
 
-// show tells what a wanted worker runs. A worker that this host led before is led again only
+// publish tells what a wanted worker runs. A worker that this host led before is led again only
 // with a list that shows all of its former starts: one that lands later would overfill it.
-func (l *Leases) show(now time.Time, name string, w *worker) []Action {
+func (l *Leases) publish(now time.Time, name string, w *worker) []Action {
 	switch {
-	case !w.want:
+	case !w.wanted:
 		return nil
-	case w.up:
-		return []Action{Updated{Worker: name, Reading: w.whole()}}
-	case len(w.flying) > 0 || w.risk.After(now) || !w.reading.Sent.After(w.started):
-		w.next = now.Add(l.limits.RetryInterval)
+	case w.led:
+		return []Action{Updated{Worker: name, Reading: w.fullReading()}}
+	case len(w.inFlight) > 0 || w.lostStartsUntil.After(now) || !w.reading.Sent.After(w.lastStartAnswer):
+		w.nextExchange = now.Add(l.limits.RetryInterval)
 		return nil
-	case !w.reading.Sent.After(w.former):
-		return w.wait(name)
+	case !w.reading.Sent.After(w.staleStartsUntil):
+		return w.awaitStaleStarts(name)
 	default:
-		w.up = true
-		return []Action{Up{Worker: name, Reading: w.whole()}}
+		w.led = true
+		return []Action{Up{Worker: name, Reading: w.fullReading()}}
 	}
 }
 
-func (w *worker) move(ev chart.Event) bool {
-	next, err := life.Next(w.state, ev)
+func (w *worker) transition(ev chart.Event) bool {
+	next, err := leaseChart.Next(w.state, ev)
 	w.state = next
 	return err == nil
 }
 
-// read takes over an answer. The lease is counted from when the question was
+// applyReading takes over an answer. The lease is counted from when the question was
 // sent: the worker may have begun to count as early as that.
-func (w *worker) read(now time.Time, r Reading) {
-	w.until = r.Sent.Add(r.Remaining - r.Remaining/drift)
-	w.over = now.Add(r.Remaining)
+func (w *worker) applyReading(now time.Time, r Reading) {
+	w.validUntil = r.Sent.Add(r.Remaining - r.Remaining/driftDivisor)
+	w.lapsesBy = now.Add(r.Remaining)
 	if r.Full {
 		w.tasks = map[string]Task{}
 	}
@@ -166,9 +166,9 @@
 	w.reading = r
 }
 
-// whole is the last answer with every task that the worker lists, also those
+// fullReading is the last answer with every task that the worker lists, also those
 // that did not change.
-func (w *worker) whole() Reading {
+func (w *worker) fullReading() Reading {
 	r := w.reading
 	r.Tasks = nil
 	for _, id := range slices.Sorted(maps.Keys(w.tasks)) {
@@ -179,22 +179,22 @@
 
 func (l *Leases) granted(now time.Time, ev Granted) []Action {
 	w, ok := l.workers[ev.Worker]
-	if !ok || !w.move("granted") {
+	if !ok || !w.transition("granted") {
 		return nil
 	}
-	l.tellLife(now, w, ev.Incarnation)
+	l.noteIncarnation(now, w, ev.Incarnation)
 	ev.Full = true
-	w.read(now, ev.Reading)
-	if !w.until.After(now) {
+	w.applyReading(now, ev.Reading)
+	if !w.validUntil.After(now) {
 		// The grant arrived after it had lapsed: a paused host would start
 		// tasks on a worker that another host leads by now.
-		w.move("lapse")
+		w.transition("lapse")
 		return nil
 	}
-	w.move("read")
-	w.looks = map[string]time.Time{}
-	w.next = now.Add(l.every())
-	return l.show(now, ev.Worker, w)
+	w.transition("read")
+	w.expectedEnds = map[string]time.Time{}
+	w.nextExchange = now.Add(l.renewInterval())
+	return l.publish(now, ev.Worker, w)
 }
 
 // renewed drops an answer to a question that was sent before the one whose
@@ -209,15 +209,15 @@
 		return nil
 	}
 	if ev.Incarnation != w.reading.Incarnation {
-		l.tellLife(now, w, ev.Incarnation)
-		w.move("lapse")
-		w.next = now
-		return w.down(ev.Worker)
-	}
-	w.read(now, ev.Reading)
-	w.next = now.Add(l.every())
-	w.watch(now, l.limits.RetryInterval)
-	return l.show(now, ev.Worker, w)
+		l.noteIncarnation(now, w, ev.Incarnation)
+		w.transition("lapse")
+		w.nextExchange = now
+		return w.markDown(ev.Worker)
+	}
+	w.applyReading(now, ev.Reading)
+	w.nextExchange = now.Add(l.renewInterval())
+	w.scheduleEndPolls(now, l.limits.RetryInterval)
+	return l.publish(now, ev.Worker, w)
 }
 
 func (l *Leases) refused(now time.Time, ev Refused) []Action {
@@ -225,157 +225,157 @@
 	if !ok {
 		return nil
 	}
-	w.next = now.Add(max(l.limits.RetryInterval, ev.Remaining))
+	w.nextExchange = now.Add(max(l.limits.RetryInterval, ev.Remaining))
 	if w.state == "held" {
 		if !ev.Sent.After(w.reading.Sent) {
 			return nil
 		}
-		l.tellLife(now, w, ev.Incarnation)
-		w.move("lapse")
-		return w.down(ev.Worker)
+		l.noteIncarnation(now, w, ev.Incarnation)
+		w.transition("lapse")
+		return w.markDown(ev.Worker)
 	}
-	l.tellLife(now, w, ev.Incarnation)
-	w.move("refused")
+	l.noteIncarnation(now, w, ev.Incarnation)
+	w.transition("refused")
 	return nil
 }
 
-func (l *Leases) lost(now time.Time, name string) {
+func (l *Leases) unanswered(now time.Time, name string) {
 	w, ok := l.workers[name]
 	if !ok {
 		return
 	}
-	w.next = now.Add(l.limits.RetryInterval)
+	w.nextExchange = now.Add(l.limits.RetryInterval)
 	if w.state == "taking" {
-		w.move("lost")
+		w.transition("lost")
 	}
 }
 
-func (l *Leases) sent(ev StartSent) {
+func (l *Leases) startSent(ev StartSent) {
 	if w, ok := l.workers[ev.Worker]; ok {
-		w.flying[ev.Task]++
+		w.inFlight[ev.Task]++
 	}
 }
 
-func (l *Leases) answered(now time.Time, ev StartAnswered) {
+func (l *Leases) startAnswered(now time.Time, ev StartAnswered) {
 	w, ok := l.workers[ev.Worker]
 	if !ok {
 		return
 	}
-	if w.flying[ev.Task]--; w.flying[ev.Task] <= 0 {
-		delete(w.flying, ev.Task)
+	if w.inFlight[ev.Task]--; w.inFlight[ev.Task] <= 0 {
+		delete(w.inFlight, ev.Task)
 	}
-	w.started = now
-	if !w.up {
-		w.next = now
+	w.lastStartAnswer = now
+	if !w.led {
+		w.nextExchange = now
 	}
-	if !ev.OutcomeKnown && w.over.After(w.risk) {
-		w.risk = w.over
+	if !ev.OutcomeKnown && w.lapsesBy.After(w.lostStartsUntil) {
+		w.lostStartsUntil = w.lapsesBy
 	}
-	if ev.OutcomeKnown && ev.RunTime > 0 && w.looks != nil {
-		w.looks[ev.Task] = now.Add(ev.RunTime)
-		w.watch(now, l.limits.RetryInterval)
+	if ev.OutcomeKnown && ev.RunTime > 0 && w.expectedEnds != nil {
+		w.expectedEnds[ev.Task] = now.Add(ev.RunTime)
+		w.scheduleEndPolls(now, l.limits.RetryInterval)
 	}
 }
 
-// watch reads the worker again soon after a task is expected to end, so that
+// scheduleEndPolls reads the worker again soon after a task is expected to end, so that
 // its room is not left empty until the next renewal. A task that takes longer
 // than declared is looked for less and less often.
-func (w *worker) watch(now time.Time, least time.Duration) {
-	for id, ends := range w.looks {
+func (w *worker) scheduleEndPolls(now time.Time, least time.Duration) {
+	for id, ends := range w.expectedEnds {
 		if t, listed := w.tasks[id]; listed && t.State != "running" {
-			delete(w.looks, id)
+			delete(w.expectedEnds, id)
 			continue
 		}
 		if !ends.After(now) {
 			ends = now.Add(max(least, now.Sub(ends)))
 		}
-		if at := ends.Add(look); at.Before(w.next) {
-			w.next = at
+		if at := ends.Add(endPollDelay); at.Before(w.nextExchange) {
+			w.nextExchange = at
 		}
 	}
 }
 
-// look is how long after its expected end a task is looked for.
-const look = 20 * time.Millisecond
+// endPollDelay is how long after its expected end a task is looked for.
+const endPollDelay = 20 * time.Millisecond
 
-func (l *Leases) look(now time.Time, ev Poll) {
-	if w, ok := l.workers[ev.Worker]; ok && now.Add(ev.After).Before(w.next) {
-		w.next = now.Add(ev.After)
+func (l *Leases) poll(now time.Time, ev Poll) {
+	if w, ok := l.workers[ev.Worker]; ok && now.Add(ev.After).Before(w.nextExchange) {
+		w.nextExchange = now.Add(ev.After)
 	}
 }
 
-func (l *Leases) due(now time.Time) []Action {
+func (l *Leases) dueActions(now time.Time) []Action {
 	var acts []Action
 	for _, name := range slices.Sorted(maps.Keys(l.workers)) {
-		acts = append(acts, l.dueAt(now, name, l.workers[name])...)
+		acts = append(acts, l.dueWorker(now, name, l.workers[name])...)
 	}
 	return acts
 }
 
-func (l *Leases) dueAt(now time.Time, name string, w *worker) []Action {
+func (l *Leases) dueWorker(now time.Time, name string, w *worker) []Action {
 	switch {
-	case w.state == "held" && !w.until.After(now):
-		w.move("lapse")
-		w.next = now
-		return w.down(name)
-	case w.state == "held" && !w.want:
-		return l.give(now, name, w)
-	case w.up && !l.fresh(w).After(now):
-		return w.down(name)
-	case !w.want && w.known && !w.meet.After(now):
-		w.meet = now.Add(meetAgain)
+	case w.state == "held" && !w.validUntil.After(now):
+		w.transition("lapse")
+		w.nextExchange = now
+		return w.markDown(name)
+	case w.state == "held" && !w.wanted:
+		return l.release(now, name, w)
+	case w.led && !l.startsAllowedUntil(w).After(now):
+		return w.markDown(name)
+	case !w.wanted && w.inDomain && !w.nextIncarnationQuery.After(now):
+		w.nextIncarnationQuery = now.Add(incarnationRetryInterval)
 		return []Action{AskIncarnation{Worker: name}}
-	case !w.want || w.next.After(now):
+	case !w.wanted || w.nextExchange.After(now):
 		return nil
 	case w.state == "free":
-		w.move("take")
-		w.next = now.Add(l.limits.TTL)
-		return []Action{Acquire{Worker: name, TTL: l.limits.ttl(l.wanted())}}
+		w.transition("take")
+		w.nextExchange = now.Add(l.limits.TTL)
+		return []Action{Acquire{Worker: name, TTL: l.limits.ttl(l.wantedCount())}}
 	case w.state == "held":
-		w.next = now.Add(l.limits.RetryInterval)
-		return []Action{Renew{Worker: name, TTL: l.limits.ttl(l.wanted()), TaskTTL: l.limits.TaskTTL, Since: w.reading.Cursor}}
+		w.nextExchange = now.Add(l.limits.RetryInterval)
+		return []Action{Renew{Worker: name, TTL: l.limits.ttl(l.wantedCount()), TaskTTL: l.limits.TaskTTL, Since: w.reading.Cursor}}
 	}
 	return nil
 }
 
-// give returns an anchor once no start is under way. A start that arrived at
+// release returns an anchor once no start is under way. A start that arrived at
 // the worker after its next holder had read the list would fill it beyond its
 // size, so with one of them unsure the anchor is left to lapse.
-func (l *Leases) give(now time.Time, name string, w *worker) []Action {
-	if len(w.flying) > 0 || w.risk.After(now) {
+func (l *Leases) release(now time.Time, name string, w *worker) []Action {
+	if len(w.inFlight) > 0 || w.lostStartsUntil.After(now) {
 		return nil
 	}
-	w.move("give")
+	w.transition("give")
 	return []Action{Release{Worker: name, Lease: w.reading.Lease}}
 }
 
-func (l *Leases) wanted() int {
+func (l *Leases) wantedCount() int {
 	n := 0
 	for _, w := range l.workers {
-		if w.want {
+		if w.wanted {
 			n++
 		}
 	}
 	return n
 }
 
-func (l *Leases) every() time.Duration { return l.limits.every(l.wanted()) }
+func (l *Leases) renewInterval() time.Duration { return l.limits.renewInterval(l.wantedCount()) }
 
 // Deadline returns the latest time, in the worker's own clock, at which a
 // start that is sent now may still begin; false if the worker is not held.
 func (l *Leases) Deadline(now time.Time, name string) (time.Time, bool) {
 	w, ok := l.workers[name]
-	if !ok || !w.up || w.state != "held" || !l.fresh(w).After(now) {
+	if !ok || !w.led || w.state != "held" || !l.startsAllowedUntil(w).After(now) {
 		return time.Time{}, false
 	}
-	left := min(w.reading.Remaining, l.limits.start())
-	return w.reading.Clock.Add(left - left/drift), true
+	left := min(w.reading.Remaining, l.limits.startWindow())
+	return w.reading.Clock.Add(left - left/driftDivisor), true
 }
 
-// fresh is until when starts may be sent after the last answer.
-func (l *Leases) fresh(w *worker) time.Time {
-	left := l.limits.start()
-	return slices.MinFunc([]time.Time{w.until, w.reading.Sent.Add(left - left/drift)}, time.Time.Compare)
+// startsAllowedUntil is until when starts may be sent after the last answer.
+func (l *Leases) startsAllowedUntil(w *worker) time.Time {
+	left := l.limits.startWindow()
+	return slices.MinFunc([]time.Time{w.validUntil, w.reading.Sent.Add(left - left/driftDivisor)}, time.Time.Compare)
 }
 
 // DeadlineWith is the Deadline of a start that may begin only as long as another worker is held
@@ -389,9 +389,9 @@
 		return time.Time{}, false
 	}
 	w := l.workers[name]
-	passed := now.Sub(w.over.Add(-w.reading.Remaining))
-	clock := w.reading.Clock.Add(passed - passed/drift)
-	if end := clock.Add(l.workers[other].until.Sub(now)); end.Before(deadline) {
+	passed := now.Sub(w.lapsesBy.Add(-w.reading.Remaining))
+	clock := w.reading.Clock.Add(passed - passed/driftDivisor)
+	if end := clock.Add(l.workers[other].validUntil.Sub(now)); end.Before(deadline) {
 		deadline = end
 	}
 	return deadline, true
@@ -399,7 +399,7 @@
 
 // TTL is how long the lease of a task runs from its start; renewals lengthen
 // it to the long one.
-func (l *Leases) TTL() time.Duration { return l.limits.ttl(l.wanted()) }
+func (l *Leases) TTL() time.Duration { return l.limits.ttl(l.wantedCount()) }
 
 // TaskTTL is how long any task may go on without its holder.
 func (l *Leases) TaskTTL() time.Duration { return l.limits.TaskTTL }
@@ -408,7 +408,7 @@
 func (l *Leases) Held() []string {
 	var held []string
 	for _, name := range slices.Sorted(maps.Keys(l.workers)) {
-		if w := l.workers[name]; w.state == "held" && w.up {
+		if w := l.workers[name]; w.state == "held" && w.led {
 			held = append(held, name)
 		}
 	}
@@ -422,5 +422,5 @@
 	if !ok || w.state != "held" {
 		return Reading{}, false
 	}
-	return w.whole(), true
+	return w.fullReading(), true
 }
--- a/internal/place/explain.go
+++ b/internal/place/explain.go
@@ -21,11 +21,11 @@
 	if !ok {
 		return "", false
 	}
-	text := fmt.Sprintf("%d tasks of class %s wait: %s; each takes %+v, %+v of %+v are free on %d workers", e.live, e.Class, e.shape.blocked, e.Size, p.free, p.whole, len(p.workers))
-	if e == p.old {
+	text := fmt.Sprintf("%d tasks of class %s wait: %s; each takes %+v, %+v of %+v are free on %d workers", e.pending, e.Class, e.shape.blocked, e.Size, p.free, p.total, len(p.workers))
+	if e == p.overdue {
 		text += "; it is overdue, so room is kept for it"
 	}
-	if n := len(e.marked); n > 0 {
+	if n := len(e.reserved); n > 0 {
 		text += fmt.Sprintf(" on %d workers", n)
 	}
 	return text, true
--- a/internal/place/health.go
+++ b/internal/place/health.go
@@ -4,13 +4,13 @@
 
 // health is what is known of how a worker does its work.
 type health struct {
-	recent []outcome
-	aside  bool
-	// trial lets one task through while the worker is set aside.
-	trial  bool
-	next   time.Time
-	wait   time.Duration
-	passed int
+	recent      []outcome
+	quarantined bool
+	// trialOpen lets one task through while the worker is set aside.
+	trialOpen     bool
+	nextTrial     time.Time
+	trialInterval time.Duration
+	passedTrials  int
 }
 
 type outcome struct {
@@ -21,13 +21,13 @@
 // Judging a worker by its own failures alone would condemn workers for a row's
 // bug. Each failure therefore counts by how rarely the row fails elsewhere.
 const (
-	recentKept = 16
-	// excess is how many failures more than the rows explain set a worker
+	maxRecent = 16
+	// quarantineThreshold is how many failures more than the rows explain set a worker
 	// aside.
-	excess = 2.5
-	// trialsPassed bring a worker back.
-	trialsPassed = 2
-	longestTrial = 10 * time.Minute
+	quarantineThreshold = 2.5
+	// trialsToRestore bring a worker back.
+	trialsToRestore  = 2
+	maxTrialInterval = 10 * time.Minute
 	// priorFailed of priorRan runs are thought to have failed before a row
 	// has been seen.
 	priorFailed, priorRan = 0.2, 2
@@ -42,20 +42,20 @@
 
 func newResults() results { return results{rows: map[string]tally{}} }
 
-const fade = 0.99
+const decay = 0.99
 
 func (r *results) add(row string, failed bool) {
 	t := r.rows[row]
-	t.ran = t.ran*fade + 1
-	t.failed *= fade
+	t.ran = t.ran*decay + 1
+	t.failed *= decay
 	if failed {
 		t.failed++
 	}
 	r.rows[row] = t
 }
 
-// rate is how often the row fails on other workers than this one.
-func (r *results) rate(row string, here []outcome) float64 {
+// failureRateElsewhere is how often the row fails on other workers than this one.
+func (r *results) failureRateElsewhere(row string, here []outcome) float64 {
 	t := r.rows[row]
 	for _, o := range here {
 		if o.row != row {
@@ -69,37 +69,37 @@
 	return min(1, (max(t.failed, 0)+priorFailed)/(max(t.ran, 0)+priorRan))
 }
 
-func (p *Placer) result(ev Result) {
+func (p *Placer) recordResult(ev Result) {
 	p.results.add(ev.Row, ev.Failed)
 	w, ok := p.workers[ev.Worker]
 	if !ok {
 		return
 	}
 	if !ev.Failed {
-		w.good = p.now
+		w.lastSuccess = p.now
 	}
 	h := &w.health
 	h.recent = append(h.recent, outcome{row: ev.Row, failed: ev.Failed})
-	if len(h.recent) > recentKept {
+	if len(h.recent) > maxRecent {
 		h.recent = h.recent[1:]
 	}
-	if h.aside {
-		p.judgeTrial(w, ev.Failed)
+	if h.quarantined {
+		p.recordTrial(w, ev.Failed)
 		return
 	}
-	if ev.Failed && p.unexplained(w) >= excess && p.mayAside() {
-		h.aside, h.trial, h.wait = true, false, p.limits.TrialInterval
-		h.next = p.now.Add(h.wait)
-		p.sort(w)
-		p.do(Quarantined{Worker: w.name})
+	if ev.Failed && p.unexplainedFailures(w) >= quarantineThreshold && p.mayQuarantine() {
+		h.quarantined, h.trialOpen, h.trialInterval = true, false, p.limits.TrialInterval
+		h.nextTrial = p.now.Add(h.trialInterval)
+		p.reindex(w)
+		p.emit(Quarantined{Worker: w.name})
 	}
 }
 
-// unexplained is how many of the worker's failures the rows do not explain.
-func (p *Placer) unexplained(w *worker) float64 {
+// unexplainedFailures is how many of the worker's failures the rows do not explain.
+func (p *Placer) unexplainedFailures(w *worker) float64 {
 	var sum float64
 	for _, o := range w.health.recent {
-		sum -= p.results.rate(o.row, w.health.recent)
+		sum -= p.results.failureRateElsewhere(o.row, w.health.recent)
 		if o.failed {
 			sum++
 		}
@@ -107,67 +107,67 @@
 	return sum
 }
 
-// mayAside keeps a wrong verdict from emptying the domain.
-func (p *Placer) mayAside() bool {
-	aside := 1
+// mayQuarantine keeps a wrong verdict from emptying the domain.
+func (p *Placer) mayQuarantine() bool {
+	quarantined := 1
 	for _, w := range p.workers {
-		if w.health.aside {
-			aside++
+		if w.health.quarantined {
+			quarantined++
 		}
 	}
-	return float64(aside) <= p.limits.MaxQuarantined*float64(len(p.workers))
+	return float64(quarantined) <= p.limits.MaxQuarantined*float64(len(p.workers))
 }
 
-func (p *Placer) judgeTrial(w *worker, failed bool) {
+func (p *Placer) recordTrial(w *worker, failed bool) {
 	h := &w.health
 	if failed {
-		h.passed, h.trial = 0, false
-		h.wait = min(2*h.wait, longestTrial)
-		h.next = p.now.Add(h.wait)
-		p.sort(w)
+		h.passedTrials, h.trialOpen = 0, false
+		h.trialInterval = min(2*h.trialInterval, maxTrialInterval)
+		h.nextTrial = p.now.Add(h.trialInterval)
+		p.reindex(w)
 		return
 	}
-	h.passed++
-	if h.passed < trialsPassed {
+	h.passedTrials++
+	if h.passedTrials < trialsToRestore {
 		p.openTrial(w)
 		return
 	}
 	w.health = health{}
-	p.sort(w)
-	p.do(Restored{Worker: w.name})
-	p.wakeFor(w)
+	p.reindex(w)
+	p.emit(Restored{Worker: w.name})
+	p.noteGrown(w)
 }
 
 func (p *Placer) openTrial(w *worker) {
-	w.health.trial = true
-	p.sort(w)
-	p.wakeFor(w)
+	w.health.trialOpen = true
+	p.reindex(w)
+	p.noteGrown(w)
 }
 
-// tried closes a worker set aside again once it has got its trial. A task that lasts
+// closeTrial closes a worker set aside again once it has got its trial. A task that lasts
 // says nothing of it for hours, and whoever cannot do without the worker would wait as
 // long: the next trial is after twice the wait, whatever this one says until then.
-func (p *Placer) tried(w *worker) {
-	if h := &w.health; h.aside {
-		h.trial = false
-		h.next = p.now.Add(min(2*h.wait, longestTrial))
-		p.sort(w)
+func (p *Placer) closeTrial(w *worker) {
+	if h := &w.health; h.quarantined {
+		h.trialOpen = false
+		h.nextTrial = p.now.Add(min(2*h.trialInterval, maxTrialInterval))
+		p.reindex(w)
 	}
 }
 
-// trials opens the workers set aside whose time has come, and pardons those
+// reviewQuarantined opens the workers set aside whose time has come, and pardons those
 // whose failures turn out to be their rows' own.
-func (p *Placer) trials() {
+func (p *Placer) reviewQuarantined() {
 	for _, w := range p.inNameOrder() {
 		h := &w.health
 		switch {
-		case !h.aside:
-		case p.unexplained(w) < excess/2:
+		case !h.quarantined:
+		case p.unexplainedFailures(w) < quarantineThreshold/2:
 			w.health = health{}
-			p.sort(w)
-			p.do(Restored{Worker: w.name})
-			p.wakeFor(w)
-		case !h.trial && !h.next.After(p.now):
+			p.reindex(w)
+			p.emit(Restored{Worker: w.name})
+			p.noteGrown(w)
+		case !h.trialOpen && !h.nextTrial.After(p.now):
 			p.openTrial(w)
 		}
 	}
--- a/internal/place/health_test.go
+++ b/internal/place/health_test.go
@@ -13,12 +13,12 @@
 	"pollencroft/internal/place"
 )
 
-func resized(task string, use cell.Size) place.TaskResized {
+func resizedTo(task string, use cell.Size) place.TaskResized {
 	return place.TaskResized{Task: task, Size: use, Use: use}
 }
 
-// results tells how tasks of a row ended, one on each of the workers.
-func results(p *place.Placer, at time.Time, row string, failed bool, workers ...string) []place.Action {
+// reportResults tells how tasks of a row ended, one on each of the workers.
+func reportResults(p *place.Placer, at time.Time, row string, failed bool, workers ...string) []place.Action {
 	var acts []place.Action
 	for _, w := range workers {
 		acts = append(acts, p.Step(at, place.Result{Worker: w, Row: row, Failed: failed})...)
@@ -26,7 +26,7 @@
 	return acts
 }
 
-func names(from, to int) []string {
+func workerNames(from, to int) []string {
 	var all []string
 	for i := from; i < to; i++ {
 		all = append(all, fmt.Sprintf("w%02d", i))
@@ -41,24 +41,24 @@
 	p := fleet(place.DefaultLimits, 8)
 	at := now
 	for range 3 {
-		results(p, at, "r", false, names(1, 8)...)
+		reportResults(p, at, "r", false, workerNames(1, 8)...)
 	}
-	acts := results(p, at, "r", true, "w00", "w00", "w00")
+	acts := reportResults(p, at, "r", true, "w00", "w00", "w00")
 	require.Equal(t, []place.Action{place.Quarantined{Worker: "w00"}}, acts)
-	on := puts(p.Step(at, place.Request{Job: "j", Row: "r", Size: cores(4), Tasks: tasks("j", 8)}))
+	on := assignments(p.Step(at, place.Request{Job: "j", Row: "r", Size: cores(4), Tasks: tasks("j", 8)}))
 	require.Len(t, on, 7)
 	at = at.Add(place.DefaultLimits.TrialInterval + time.Second)
-	trial := puts(p.Step(at, place.Tick{}))
+	trial := assignments(p.Step(at, place.Tick{}))
 	require.Equal(t, map[string]string{"j.7": "w00"}, trial)
 	p.Step(at, place.Request{Job: "k", Row: "r", Size: cores(1), Tasks: tasks("k", 1)})
-	require.Empty(t, puts(p.Step(at, place.Freed{Task: "j.7"})), "one trial at a time")
-	results(p, at, "r", true, "w00")
+	require.Empty(t, assignments(p.Step(at, place.Freed{Task: "j.7"})), "one trial at a time")
+	reportResults(p, at, "r", true, "w00")
 	at = at.Add(place.DefaultLimits.TrialInterval + time.Second)
-	require.Empty(t, puts(p.Step(at, place.Tick{})), "a failed trial doubles the wait")
+	require.Empty(t, assignments(p.Step(at, place.Tick{})), "a failed trial doubles the wait")
 	at = at.Add(place.DefaultLimits.TrialInterval)
-	require.Equal(t, map[string]string{"k.0": "w00"}, puts(p.Step(at, place.Tick{})))
-	results(p, at, "r", false, "w00")
-	require.Contains(t, results(p, at, "r", false, "w00"), place.Restored{Worker: "w00"})
+	require.Equal(t, map[string]string{"k.0": "w00"}, assignments(p.Step(at, place.Tick{})))
+	reportResults(p, at, "r", false, "w00")
+	require.Contains(t, reportResults(p, at, "r", false, "w00"), place.Restored{Worker: "w00"})
 }
 
 // A row's own bug fails its tasks on every worker. Condemning the workers for
@@ -67,19 +67,19 @@
 	p := fleet(place.DefaultLimits, 8)
 	var acts []place.Action
 	for range 5 {
-		acts = append(acts, results(p, now, "good", false, names(0, 8)...)...)
-		acts = append(acts, results(p, now, "bug", true, names(0, 8)...)...)
+		acts = append(acts, reportResults(p, now, "good", false, workerNames(0, 8)...)...)
+		acts = append(acts, reportResults(p, now, "bug", true, workerNames(0, 8)...)...)
 	}
-	require.Empty(t, only[place.Quarantined](acts))
+	require.Empty(t, actionsOf[place.Quarantined](acts))
 }
 
 // A new row with a bug fails on one worker before any other has run it. When
 // it fails elsewhere too, the worker is pardoned.
 func TestWorkerIsPardonedWhenTheRowFailsElsewhere(t *testing.T) {
 	p := fleet(place.DefaultLimits, 8)
-	require.Len(t, only[place.Quarantined](results(p, now, "new", true, "w00", "w00", "w00", "w00")), 1)
+	require.Len(t, actionsOf[place.Quarantined](reportResults(p, now, "new", true, "w00", "w00", "w00", "w00")), 1)
 	for range 4 {
-		results(p, now, "new", true, names(1, 8)...)
+		reportResults(p, now, "new", true, workerNames(1, 8)...)
 	}
 	require.Contains(t, p.Step(now.Add(2*time.Second), place.Tick{}), place.Restored{Worker: "w00"})
 }
@@ -90,13 +90,13 @@
 func TestNeverMoreThanAShareIsSetAside(t *testing.T) {
 	p := fleet(place.DefaultLimits, 8)
 	for range 20 {
-		results(p, now, "r", false, names(5, 8)...)
+		reportResults(p, now, "r", false, workerNames(5, 8)...)
 	}
 	var acts []place.Action
 	for range 5 {
-		acts = append(acts, results(p, now, "r", true, names(0, 5)...)...)
+		acts = append(acts, reportResults(p, now, "r", true, workerNames(0, 5)...)...)
 	}
-	require.Len(t, only[place.Quarantined](acts), 2)
+	require.Len(t, actionsOf[place.Quarantined](acts), 2)
 	require.Equal(t, []string{"w00", "w01"}, p.QuarantinedWorkers())
 }
 
@@ -107,15 +107,15 @@
 	p := fleet(place.Limits{}, 1)
 	p.Step(now, place.Request{Job: "u", Row: "u", Class: cell.Urgent, Size: cores(2), Tasks: tasks("u", 1)})
 	p.Step(now, place.Request{Job: "b", Row: "b", Class: cell.Bulk, Size: cores(2), Tasks: tasks("b", 1)})
-	require.Empty(t, p.Step(now, resized("u.0", cores(2))))
-	acts := p.Step(now, resized("b.0", cell.Size{CPU: 3000, Mem: 2 * gib}))
-	require.Empty(t, only[place.Preempt](acts))
-	require.Equal(t, []place.Throttle{{Task: "b.0", Worker: "w00", Share: 2.0 / 3}}, only[place.Throttle](acts))
-	acts = p.Step(now, resized("u.0", cores(3)))
-	stops := only[place.Preempt](acts)
+	require.Empty(t, p.Step(now, resizedTo("u.0", cores(2))))
+	acts := p.Step(now, resizedTo("b.0", cell.Size{CPU: 3000, Mem: 2 * gib}))
+	require.Empty(t, actionsOf[place.Preempt](acts))
+	require.Equal(t, []place.Throttle{{Task: "b.0", Worker: "w00", Share: 2.0 / 3}}, actionsOf[place.Throttle](acts))
+	acts = p.Step(now, resizedTo("u.0", cores(3)))
+	stops := actionsOf[place.Preempt](acts)
 	require.Len(t, stops, 1)
 	require.Equal(t, "b.0", stops[0].Task)
-	require.Empty(t, only[place.Preempt](p.Step(now, resized("u.0", cell.Size{CPU: 3000, Mem: 3*gib + 1}))), "once is enough")
+	require.Empty(t, actionsOf[place.Preempt](p.Step(now, resizedTo("u.0", cell.Size{CPU: 3000, Mem: 3*gib + 1}))), "once is enough")
 }
 
 // An operator raises a limit while jobs wait for it. The accepted edit must be
@@ -124,8 +124,8 @@
 	p := fleet(place.Limits{}, 1)
 	p.Step(now, place.Request{Job: "j", Row: "r", Size: cores(1), Tasks: tasks("j", 4), Rule: place.Rule{MaxTasks: 1}})
 	require.Equal(t, []string{"r"}, p.Rows())
-	require.Len(t, puts(p.Step(now, place.RuleChanged{Row: "r", Rule: place.Rule{MaxTasks: 3}})), 2)
-	require.Empty(t, puts(p.Step(now, place.RuleChanged{Row: "r", Rule: place.Rule{MaxTasks: -1}})), "none allowed")
+	require.Len(t, assignments(p.Step(now, place.RuleChanged{Row: "r", Rule: place.Rule{MaxTasks: 3}})), 2)
+	require.Empty(t, assignments(p.Step(now, place.RuleChanged{Row: "r", Rule: place.Rule{MaxTasks: -1}})), "none allowed")
 }
 
 // Ten thousand jobs are cancelled at once. Each costs the same however long
@@ -141,7 +141,7 @@
 		require.Empty(t, p.Step(now, place.Freed{Task: fmt.Sprintf("j%d.0", i)}))
 	}
 	require.Equal(t, 1, p.Waiting())
-	require.Equal(t, map[string]string{"j9999.0": "w00"}, puts(p.Step(now, place.Freed{Task: "x.0"})))
+	require.Equal(t, map[string]string{"j9999.0": "w00"}, assignments(p.Step(now, place.Freed{Task: "x.0"})))
 }
 
 // A task has failed on a worker that fails everything and so always has room,
@@ -152,13 +152,13 @@
 	whole := cell.Size{CPU: 4000, Mem: 1 << 30}
 	retry := place.Request{Job: "j", Row: "r", Size: whole, Tasks: []string{"a"}, Avoid: []string{"bad"}}
 	p := place.New(place.Limits{})
-	up(p, "bad")
+	addWorker(p, "bad")
 	p.Step(now, place.Up{Worker: "good", Rack: "r1", Size: whole, Used: []place.Used{{Task: "x", Row: "r", Size: whole}}})
 	require.Empty(t, p.Step(now, retry))
 	require.Equal(t, []place.Action{place.Assign{Task: "a", Worker: "good"}}, p.Step(now, place.Freed{Task: "x"}))
 
 	p = place.New(place.Limits{})
-	up(p, "bad")
+	addWorker(p, "bad")
 	require.Equal(t, []place.Action{place.Assign{Task: "a", Worker: "bad"}}, p.Step(now, retry))
 }
 
@@ -173,7 +173,7 @@
 		t.Run(name, func(t *testing.T) {
 			p := fleet(place.DefaultLimits, tc.workers)
 			gang := place.Request{Job: "g", Row: "r", Size: cores(1), Tasks: tasks("g", 6), Gang: true, Avoid: []string{"w00"}}
-			on := puts(p.Step(now, gang))
+			on := assignments(p.Step(now, gang))
 			require.Len(t, on, 6)
 			require.Equal(t, tc.back, slices.Contains(slices.Collect(maps.Values(on)), "w00"))
 		})
@@ -186,12 +186,12 @@
 	l.MaxQuarantined = 0.5
 	p := fleet(l, 2)
 	for range 3 {
-		results(p, now, "r", false, "w01")
+		reportResults(p, now, "r", false, "w01")
 	}
-	require.Contains(t, results(p, now, "r", true, "w00", "w00", "w00"), place.Quarantined{Worker: "w00"})
+	require.Contains(t, reportResults(p, now, "r", true, "w00", "w00", "w00"), place.Quarantined{Worker: "w00"})
 	gang := place.Request{Job: "g", Row: "r", Size: cores(1), Tasks: tasks("g", 6), Gang: true, Avoid: []string{"w00"}}
-	require.Empty(t, puts(p.Step(now, gang)))
-	require.Len(t, puts(p.Step(now.Add(l.TrialInterval+time.Second), place.Tick{})), 6)
+	require.Empty(t, assignments(p.Step(now, gang)))
+	require.Len(t, assignments(p.Step(now.Add(l.TrialInterval+time.Second), place.Tick{})), 6)
 }
 
 // A worker was mended, and its trial is a task that lasts for hours. Nothing tells that the trial
@@ -201,16 +201,16 @@
 	l.MaxQuarantined = 0.5
 	p := fleet(l, 2)
 	for range 3 {
-		results(p, now, "r", false, "w01")
+		reportResults(p, now, "r", false, "w01")
 	}
-	require.Contains(t, results(p, now, "r", true, "w00", "w00", "w00"), place.Quarantined{Worker: "w00"})
+	require.Contains(t, reportResults(p, now, "r", true, "w00", "w00", "w00"), place.Quarantined{Worker: "w00"})
 	p.Step(now, place.Request{Job: "x", Row: "r", Size: cores(4), Tasks: tasks("x", 1)})
 	p.Step(now, place.Request{Job: "watch", Row: "r", Size: cores(1), Tasks: tasks("watch", 1)})
 	at := now.Add(l.TrialInterval + time.Second)
-	require.Equal(t, map[string]string{"watch.0": "w00"}, puts(p.Step(at, place.Tick{})))
+	require.Equal(t, map[string]string{"watch.0": "w00"}, assignments(p.Step(at, place.Tick{})))
 	p.Step(at, place.Freed{Task: "x.0"})
 	gang := place.Request{Job: "g", Row: "r", Size: cores(1), Tasks: tasks("g", 6), Gang: true, Avoid: []string{"w00"}}
-	require.Empty(t, puts(p.Step(at, gang)))
-	require.Empty(t, puts(p.Step(at.Add(l.TrialInterval-time.Second), place.Tick{})), "one trial at a time")
-	require.Len(t, puts(p.Step(at.Add(2*l.TrialInterval+time.Second), place.Tick{})), 6)
+	require.Empty(t, assignments(p.Step(at, gang)))
+	require.Empty(t, assignments(p.Step(at.Add(l.TrialInterval-time.Second), place.Tick{})), "one trial at a time")
+	require.Len(t, assignments(p.Step(at.Add(2*l.TrialInterval+time.Second), place.Tick{})), 6)
 }
--- a/internal/place/preempt.go
+++ b/internal/place/preempt.go
@@ -8,21 +8,21 @@
 	"pollencroft/internal/cell"
 )
 
-// compared is how many workers are weighed for one preemption; the index
+// maxCandidates is how many workers are weighed for one preemption; the index
 // brings those first that would be left the fullest.
-const compared = 16
+const maxCandidates = 16
 
-// makeRoom stops the cheapest bulk work for an urgent job that found no room.
+// preemptFor stops the cheapest bulk work for an urgent job that found no room.
 // One worker's worth is asked for at a time; the worker is kept for the job
 // meanwhile, else the next bulk task would take what was freed.
-func (p *Placer) makeRoom(e *entry) {
-	if e.Class != cell.Urgent || len(e.marked) > 0 {
+func (p *Placer) preemptFor(e *entry) {
+	if e.Class != cell.Urgent || len(e.reserved) > 0 {
 		return
 	}
 	var best *worker
-	var victims []*room
+	var victims []*allocation
 	var least float64
-	for _, w := range p.reach.some(compared, e.Size, func(w *worker) bool { return p.usable(w, e) }) {
+	for _, w := range p.preemptIndex.candidates(maxCandidates, e.Size, func(w *worker) bool { return p.usable(w, e) }) {
 		chosen, cost, ok := p.victims(w, e.Size)
 		if ok && (best == nil || cost < least || cost == least && w.name < best.name) {
 			best, victims, least = w, chosen, cost
@@ -31,64 +31,66 @@
 	if best == nil {
 		return
 	}
-	p.keep(e, best, p.now)
+	p.reserve(e, best, p.now)
 	for _, r := range victims {
-		r.leaving = true
-		p.do(Preempt{Task: r.task, Worker: best.name, Reason: "urgent job " + e.Job + " found no room"})
+		r.preempting = true
+		p.emit(Preempt{Task: r.task, Worker: best.name, Reason: "urgent job " + e.Job + " found no room"})
 	}
 }
 
 // victims are the bulk tasks of a worker that cost least to stop: those that
 // ran for the shortest time by what they take.
-func (p *Placer) victims(w *worker, size cell.Size) ([]*room, float64, bool) {
+func (p *Placer) victims(w *worker, size cell.Size) ([]*allocation, float64, bool) {
 	free := w.free
-	var bulk []*room
+	var bulk []*allocation
 	for _, r := range w.tasks {
 		switch {
-		case r.leaving:
+		case r.preempting:
 			free = free.Add(r.size)
 		case r.class == cell.Bulk:
 			bulk = append(bulk, r)
 		}
 	}
-	slices.SortFunc(bulk, func(a, b *room) int { return cmp.Or(cmp.Compare(p.cost(a), p.cost(b)), cmp.Compare(a.task, b.task)) })
+	slices.SortFunc(bulk, func(a, b *allocation) int {
+		return cmp.Or(cmp.Compare(p.preemptionCost(a), p.preemptionCost(b)), cmp.Compare(a.task, b.task))
+	})
 	var cost float64
 	for i, r := range bulk {
 		if size.Fits(free) {
 			return bulk[:i], cost, true
 		}
 		free = free.Add(r.size)
-		cost += p.cost(r)
+		cost += p.preemptionCost(r)
 	}
 	return bulk, cost, size.Fits(free)
 }
 
-// cost is the work that a stop may lose, in shares of a worker times seconds.
-func (p *Placer) cost(r *room) float64 {
-	return (1 + p.now.Sub(r.began).Seconds()) * r.size.Share(r.worker.size)
+// preemptionCost is the work that a stop may lose, in shares of a worker times seconds.
+func (p *Placer) preemptionCost(r *allocation) float64 {
+	return (1 + p.now.Sub(r.started).Seconds()) * r.size.Share(r.worker.size)
 }
 
-// relieve brings a worker back to what it holds when tasks are seen to use more
+// relieveOverload brings a worker back to what it holds when tasks are seen to use more
 // than it has. What they may use at most is no reason to stop any of them. Processor time can be held back, so the task that took most over
 // is throttled first; memory cannot, so a task is checkpointed and stopped.
-func (p *Placer) relieve(w *worker) {
-	free := w.size.Sub(w.seen)
+func (p *Placer) relieveOverload(w *worker) {
+	free := w.size.Sub(w.usage)
 	if free.CPU < 0 {
 		p.throttle(w, -free.CPU)
 	}
 	for _, r := range w.tasks {
-		if r.leaving {
-			free = free.Add(r.seen)
+		if r.preempting {
+			free = free.Add(r.usage)
 		}
 	}
 	for free.Mem < 0 || free.Accel < 0 {
-		r := p.cheapest(w)
+		r := p.cheapestVictim(w)
 		if r == nil {
 			return
 		}
-		r.leaving = true
-		free = free.Add(r.seen)
-		p.do(Preempt{Task: r.task, Worker: w.name, Reason: "tasks use more memory than the worker has"})
+		r.preempting = true
+		free = free.Add(r.usage)
+		p.emit(Preempt{Task: r.task, Worker: w.name, Reason: "tasks use more memory than the worker has"})
 	}
 }
 
@@ -98,23 +100,23 @@
 		if r.class == cell.Urgent || r.throttled || over <= 0 {
 			continue
 		}
-		cut := min(over, r.seen.CPU/2)
+		cut := min(over, r.usage.CPU/2)
 		r.throttled = true
-		share := float64(r.seen.CPU-cut) / float64(max(r.seen.CPU, 1))
-		p.do(Throttle{Task: r.task, Worker: w.name, Share: share})
+		share := float64(r.usage.CPU-cut) / float64(max(r.usage.CPU, 1))
+		p.emit(Throttle{Task: r.task, Worker: w.name, Share: share})
 		over -= cut
 	}
 }
 
-// cheapest is the least urgent task that costs least to stop.
-func (p *Placer) cheapest(w *worker) *room {
-	var best *room
+// cheapestVictim is the least urgent task that costs least to stop.
+func (p *Placer) cheapestVictim(w *worker) *allocation {
+	var best *allocation
 	for _, r := range w.tasks {
-		if r.leaving || r.seen.Mem == 0 {
+		if r.preempting || r.usage.Mem == 0 {
 			continue
 		}
 		if best == nil || r.class > best.class || r.class == best.class &&
-			(p.cost(r) < p.cost(best) || p.cost(r) == p.cost(best) && r.task < best.task) {
+			(p.preemptionCost(r) < p.preemptionCost(best) || p.preemptionCost(r) == p.preemptionCost(best) && r.task < best.task) {
 			best = r
 		}
 	}
