--- a/internal/lead/crash_test.go
+++ b/internal/lead/crash_test.go
@@ -222,12 +222,12 @@
 	for i := range 80 {
 		others = append(others, job.TaskID("d.r.good", i), job.TaskID("d.r.late", i))
 	}
-	along := p.crashedTogether("d.r.bad.0", others...)
-	times := slices.SortedFunc(maps.Keys(along), time.Time.Compare)
-	t.Logf("crashed together: %v", along)
+	together := p.crashedTogether("d.r.bad.0", others...)
+	times := slices.SortedFunc(maps.Keys(together), time.Time.Compare)
+	t.Logf("crashed together: %v", together)
 	require.Len(t, times, 3)
-	require.Positive(t, along[times[0]], "at its first crash the task is not known to crash workers")
-	require.Zero(t, along[times[2]])
+	require.Positive(t, together[times[0]], "at its first crash the task is not known to crash workers")
+	require.Zero(t, together[times[2]])
 	require.Equal(t, "ended", p.state("a", "good"))
 	require.Equal(t, "ended", p.state("a", "late"))
 	require.Equal(t, "failed", p.state("a", "bad"))
