--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -53,7 +53,7 @@
 // faultyTransport applies the drawn outcome to each exchange.
 type faultyTransport struct {
 	history *history
-	path    transport
+	next    transport
 }
 
 func (u faultyTransport) RoundTrip(req *http.Request) (*http.Response, error) {
@@ -68,12 +68,12 @@
 		u.history.delayed = append(u.history.delayed, held)
 		return nil, unreachableError{}
 	case replyLost:
-		if _, err := u.path.RoundTrip(req); err != nil {
+		if _, err := u.next.RoundTrip(req); err != nil {
 			return nil, err
 		}
 		return nil, unreachableError{}
 	default:
-		return u.path.RoundTrip(req)
+		return u.next.RoundTrip(req)
 	}
 }
 
@@ -88,7 +88,7 @@
 func newHistory(t *testing.T, draw *rapid.T) *history {
 	h := &history{draw: draw, open: map[string]job.Spec{}, handingOver: map[string][]*outgoing{}, paused: map[string]bool{}, actualSizes: map[string]cell.Size{}}
 	h.pair = newPairWithTransport(t, rapid.IntRange(1, 3).Draw(draw, "workers"), drawLog{draw}, func(p *pair, name string) http.RoundTripper {
-		return faultyTransport{history: h, path: transport{p, name}}
+		return faultyTransport{history: h, next: transport{p, name}}
 	})
 	for _, m := range h.machines {
 		h.actualSizes[m.Name] = m.Size
