--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -24,8 +24,8 @@
 // Outcomes of an exchange with a worker.
 const (
 	answered = iota
-	// In the case of replyLost the request is carried out but its reply is lost. In the case of
-	// late the request is carried out some time later.
+	// replyLost means that the request is carried out but its reply is lost; late means that it is
+	// carried out some time later.
 	replyLost
 	late
 )
