--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -9,26 +9,27 @@
 	"pollencroft/internal/chart"
 )
 
-// A task is tried on a worker of its own after some lives of workers ended under it, and given up
-// after some more.
+// A task runs on a worker without other tasks after exclusiveAfterCrashes crashes of its workers,
+// and is given up after maxCrashes.
 const (
 	exclusiveAfterCrashes = 2
 	maxCrashes            = 3
 )
 
-// maxExcusedCrashes is how many losses of whole racks are not counted for a task. It may be one of those
-// that crash all workers of a rack together.
+// maxExcusedCrashes is how many losses of whole racks are not counted against a task. The limit is
+// there since the task itself may be what crashes all workers of a rack together.
 const maxExcusedCrashes = 3
 
-// provenAfter is how long a task has to run for the end of its worker's life not to count. Without it
-// every task that lasts would be given up in the end, since workers also crash by themselves.
+// provenAfter is how long a task has to run so that the end of its worker's incarnation does not
+// count as a crash. Without this limit every long-running task would eventually be given up, since
+// workers also crash for other reasons.
 const provenAfter = time.Hour
 
 func (t *task) proven(now time.Time) bool {
 	return t.state != "unsure" && t.state != "starting" && now.Sub(t.onWorkerSince) >= provenAfter
 }
 
-// CrashedError tells that a task was given up because workers crashed under it.
+// CrashedError reports that a task was given up because workers crashed while it ran.
 type CrashedError struct {
 	Task    string
 	Crashes int64
@@ -38,20 +39,20 @@
 	return fmt.Sprintf("task %s was given up: %d workers crashed while it ran", e.Task, e.Crashes)
 }
 
-// incarnation is a worker's incarnation, told by a list that was asked for at sent.
+// incarnation is a worker's incarnation as reported by a list that was requested at sent.
 type incarnation struct {
 	name string
 	sent time.Time
 }
 
-// place is where a task was, and what was counted of it.
+// place is where a task was, with its crash counts.
 type place struct {
 	task, worker, incarnation string
 	crashes, storedCrashes    int64
 	excusedCrashes            int
 }
 
-// maxDroppedPlaces bounds of how many tasks that were given up the place is remembered.
+// maxDroppedPlaces bounds the number of dropped tasks whose place is remembered.
 const maxDroppedPlaces = 20_000
 
 func (j *Jobs) rememberPlace(now time.Time, t *task) {
@@ -60,7 +61,7 @@
 	}
 }
 
-// recallPlace brings back what was known of an inherited task when this host gave it up.
+// recallPlace restores what this host knew of an inherited task when it dropped the task's job.
 func (j *Jobs) recallPlace(t *task) {
 	if f, ok := j.droppedPlaces[t.id]; ok {
 		delete(j.droppedPlaces, t.id)
@@ -78,13 +79,14 @@
 
 func (t *task) needsExclusiveWorker() bool { return t.crashes >= exclusiveAfterCrashes }
 
-// NeedsExclusiveWorker tells whether a task is tried on a worker of its own.
+// NeedsExclusiveWorker reports whether a task must run on a worker without other tasks.
 func (j *Jobs) NeedsExclusiveWorker(id string) bool {
 	t, ok := j.tasks[id]
 	return ok && t.needsExclusiveWorker()
 }
 
-// takeRecalled takes out the recalled tasks that were on a worker of which a list came.
+// takeRecalled removes and returns the recalled tasks that were on the worker and whose jobs the
+// list covers.
 func (j *Jobs) takeRecalled(ev WorkerList) []*task {
 	var back, rest []*task
 	for _, t := range j.recalled[ev.Worker] {
@@ -101,8 +103,9 @@
 	return back
 }
 
-// attributeCrashes notes under which tasks a worker's former life ended. What ended it is not known: of
-// several tasks only those are blamed under which the most lives ended before.
+// attributeCrashes determines which tasks were on a worker when its previous incarnation ended. The
+// cause of the end is unknown, so of several tasks only those with the most crashes before are
+// suspected.
 func (j *Jobs) attributeCrashes(ev WorkerList, listed map[string]bool) []Action {
 	if ev.Incarnation == "" || ev.Sent.Before(j.incarnations[ev.Worker].sent) {
 		return nil
@@ -125,8 +128,8 @@
 	return acts
 }
 
-// recordSilent notes that a task was on a worker that is silent for longer than any lease. Entries of
-// tasks that have ended are dropped: their workers may never come back.
+// recordSilent remembers that a task was on a worker that has been silent for longer than any
+// lease. Entries of ended tasks are removed, since their workers may never come back.
 func (j *Jobs) recordSilent(t *task, worker string) {
 	for name, all := range j.silentPlaces {
 		j.silentPlaces[name] = slices.DeleteFunc(all, func(p place) bool {
@@ -148,7 +151,8 @@
 	return true
 }
 
-// crashedWhileSilent are the tasks that were on a worker when it fell silent, if it has another life since.
+// crashedWhileSilent returns the unfinished tasks that were on a worker when it fell silent, if the
+// worker has a different incarnation now.
 func (j *Jobs) crashedWhileSilent(ev WorkerList) []*task {
 	if ev.Jobs != nil {
 		return nil
@@ -163,8 +167,8 @@
 	return late
 }
 
-// countLateCrash counts a life for a task that was tried elsewhere meanwhile. If it waits for room, it
-// waits for its count to be stored first.
+// countLateCrash counts a crash for a task that has been queued or started elsewhere meanwhile. If
+// the task waits for capacity, its request is withdrawn until the count is stored.
 func (j *Jobs) countLateCrash(t *task, worker string) []Action {
 	crashed := t.countCrash(worker)
 	if t.job.awaitsInventory {
@@ -179,7 +183,8 @@
 	return append(append(acts, j.giveUpAfterCrashes(t.job)...), crashed)
 }
 
-// lostInCrash are the tasks that were on a worker in an earlier life than the one that its list is from.
+// lostInCrash returns the tasks that were on a worker in an earlier incarnation than the one that
+// sent the list.
 func (j *Jobs) lostInCrash(ev WorkerList, listed map[string]bool) []*task {
 	var lost []*task
 	for _, id := range slices.Sorted(maps.Keys(j.byWorker[ev.Worker])) {
@@ -205,7 +210,7 @@
 	return StoreCrashCount{Job: t.job.spec.ID, Task: t.id, Worker: worker, Crashes: t.crashes}
 }
 
-// handleCrash counts a life that ended under a task, which certainly runs no more.
+// handleCrash counts a worker's crash for a task that certainly runs no longer.
 func (j *Jobs) handleCrash(now time.Time, t *task) []Action {
 	why := chart.Event("gone")
 	if t.state == "running" {
@@ -219,12 +224,12 @@
 	if !t.job.awaitsInventory {
 		acts = append(acts, j.giveUpAfterCrashes(t.job)...)
 	}
-	// The room has to be free before the task is wanted again.
+	// The capacity must be freed before it is requested again.
 	return append(acts, crashed)
 }
 
-// giveUpAfterCrashes fails what waits of a job under one of whose tasks too many lives ended: a part of it
-// can never be had. What runs may end.
+// giveUpAfterCrashes fails the waiting tasks of a job if one of its tasks has reached maxCrashes,
+// since the job can't be completed then. Running tasks may end.
 func (j *Jobs) giveUpAfterCrashes(jb *job) []Action {
 	over := func(t *task) bool { return t.crashes >= maxCrashes && !taskChart.Final(t.state) }
 	i := slices.IndexFunc(jb.tasks, over)
@@ -241,7 +246,7 @@
 	return append(acts, j.endIfDone(jb)...)
 }
 
-// crashCountStored asks for room for a task that waited for its count to be stored.
+// crashCountStored requests capacity for a task that waited for its crash count to be stored.
 func (j *Jobs) crashCountStored(ev CrashCountStored) []Action {
 	t, ok := j.tasks[ev.Task]
 	if !ok || t.storedCrashes >= t.crashes || ev.Crashes < t.crashes {
--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -9,14 +9,15 @@
 	"pollencroft/internal/job"
 )
 
-// listInIncarnation is a worker's list in one of its lives.
+// listInIncarnation returns a worker's list in one of its incarnations.
 func listInIncarnation(worker, life string, sent time.Time, tasks ...job.ListedTask) job.WorkerList {
 	ev := listOf(worker, sent, tasks...)
 	ev.Incarnation = life
 	return ev
 }
 
-// crash starts a task on a worker that comes back in the next life without it.
+// crash starts a task on a worker in incarnation from. The worker then returns in incarnation to
+// without the task.
 func crash(j *job.Jobs, task, worker, from, to string, at time.Time) []job.Action {
 	j.Step(at, listInIncarnation(worker, from, at))
 	for _, a := range actionsOf[job.Start](j.Step(at, job.Placed{Task: task, Worker: worker})) {
@@ -33,7 +34,8 @@
 	return n
 }
 
-// Guards against a lead that dies after a start which no successor would count.
+// Guards against a crash that is counted nowhere: the leader dies after the task was started again,
+// and the next leader does not know about the crash.
 func TestTaskWaitsUntilACrashIsStored(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
@@ -41,10 +43,11 @@
 	require.Equal(t, int64(1), reportedCrashes(acts))
 	require.Empty(t, actionsOf[job.RequestPlacement](acts))
 	require.Len(t, actionsOf[job.RequestPlacement](j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), 1)
-	require.Empty(t, actionsOf[job.RequestPlacement](j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), "once is enough")
+	require.Empty(t, actionsOf[job.RequestPlacement](j.Step(now, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), "the same count again requests nothing")
 }
 
-// Guards against a task that crashes its workers again and again beside others.
+// Guards against a task that crashes worker after worker together with the other tasks that run
+// there.
 func TestCrashingTaskGetsExclusiveWorkerAndIsGivenUp(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(2)})
@@ -64,7 +67,8 @@
 	require.True(t, s.Ran)
 }
 
-// Guards against good tasks given up for cuts, or for starts that never arrived.
+// Guards against good tasks that are given up because of lost connections or starts that never
+// arrived.
 func TestEventsThatAreNotCountedAsCrash(t *testing.T) {
 	later := now.Add(2 * time.Second)
 	for name, end := range map[string]func(j *job.Jobs, a job.Start) []job.Action{
@@ -112,7 +116,8 @@
 	require.Equal(t, int64(1), reportedCrashes(j.Step(now, listInIncarnation("w1", "2", now.Add(4*time.Second)))))
 }
 
-// Guards against good tasks that are given up for their neighbours' sake.
+// Guards against good tasks that are given up because of crashes caused by other tasks on the same
+// worker.
 func TestTheTaskWithTheMostCrashesIsBlamed(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(2)})
@@ -140,7 +145,7 @@
 	}
 }
 
-// handOver hands the job over to another lead.
+// handOver hands the job over to another leader.
 func handOver(t *testing.T, j *job.Jobs) *job.Jobs {
 	t.Helper()
 	c, ok := j.Snapshot("d.r.j")
@@ -150,7 +155,7 @@
 	return next
 }
 
-// Guards against a count that each new lead begins anew.
+// Guards against a crash count that starts from zero with each new leader.
 func TestCrashCountSurvivesLeaderChange(t *testing.T) {
 	for how, next := range map[string]func(j *job.Jobs, lives int64) *job.Jobs{
 		"handed over": func(j *job.Jobs, _ int64) *job.Jobs { return handOver(t, j) },
@@ -176,7 +181,7 @@
 	}
 }
 
-// Guards against a task that is given up because workers were cut off for long.
+// Guards against a task that is given up because workers were disconnected for long.
 func TestWorkerThatReturnsInTheSameIncarnationDidNotCrash(t *testing.T) {
 	for life, want := range map[string]int64{"1": 0, "2": 1} {
 		j := job.New()
@@ -187,13 +192,13 @@
 		require.Len(t, actionsOf[job.RequestPlacement](j.Step(later, job.WorkerList{Worker: "w1", LeasesExpired: true})), 1)
 		acts := j.Step(later, listInIncarnation("w1", life, later))
 		require.Equal(t, want, reportedCrashes(acts))
-		require.Len(t, actionsOf[job.Free](acts), int(want), "it waits until the crash is stored")
+		require.Len(t, actionsOf[job.Free](acts), int(want), "the task waits until the crash is stored")
 		require.Len(t, actionsOf[job.RequestPlacement](j.Step(later, job.CrashCountStored{Task: "d.r.j.0", Crashes: 1})), int(want))
 	}
 }
 
-// Guards against room that is freed under a gang's tasks after they were started in it: the count of
-// a crash may be stored at once, and the gang be placed before the actions after it.
+// Guards against capacity that is freed after a gang's tasks were started on it: the count of a
+// crash may be stored at once, and the gang placed before the remaining actions are carried out.
 func TestCrashIsTheLastThatIsToldOfANewLead(t *testing.T) {
 	gang := spec(2)
 	gang.Gang = true
--- a/internal/job/former_test.go
+++ b/internal/job/former_test.go
@@ -9,11 +9,11 @@
 	"pollencroft/internal/job"
 )
 
-// unfinished are the states in which a worker lists a start that came to nothing.
+// unfinished holds the states in which a worker lists a start that did not complete.
 var unfinished = []string{"failed", "stopped", "lapsed"}
 
-// Guards against a task that runs twice: the line of its former start on the same worker is
-// taken for the end of a start that is still under way.
+// Guards against a task that runs twice: the list entry of its previous start on the same worker is
+// taken for the end of a start that is still in flight.
 func TestEntryOfPreviousStartDoesNotEndTheNext(t *testing.T) {
 	for _, state := range unfinished {
 		j := job.New()
@@ -21,15 +21,15 @@
 		next := placeOn(t, j, "d.r.j.0", "w1")
 		line := listed("d.r.j.0", state)
 		require.Empty(t, j.Step(now, listOf("w1", now.Add(-time.Second), line)), "a list from before the start")
-		require.Empty(t, j.Step(now, listOf("w1", now.Add(time.Second), line)), "the start has not landed yet")
+		require.Empty(t, j.Step(now, listOf("w1", now.Add(time.Second), line)), "the start has not arrived yet")
 		j.Step(now.Add(2*time.Second), job.Started{Task: "d.r.j.0", Attempt: next.Attempt})
 		require.Empty(t, j.Step(now, listOf("w1", now.Add(time.Second), line)), "a list from before the confirmation")
 		require.Len(t, actionsOf[job.RequestPlacement](j.Step(now, listOf("w1", now.Add(3*time.Second), line))), 1, state)
 	}
 }
 
-// Guards against a task that runs twice: the same with the start's answer lost, so that it may
-// land until its deadline.
+// Guards against a task that runs twice: as above, but the start's answer is lost, so that the
+// start may arrive until its deadline.
 func TestEntryOfPreviousStartDoesNotEndAnUnsureOne(t *testing.T) {
 	for _, state := range []string{"stopped", "lapsed"} {
 		j := job.New()
@@ -54,8 +54,8 @@
 	require.Empty(t, actionsOf[job.RequestPlacement](j.Step(now, listOf("w1", now.Add(time.Second)))))
 }
 
-// Guards against a task that runs twice: the start of a task that is being stopped has no answer
-// yet, and the line of its former start is taken for the stop.
+// Guards against a task that runs twice: the start of a task that is being stopped has not been
+// answered yet, and the entry of its previous start is taken for the confirmation of the stop.
 func TestEntryOfPreviousStartDoesNotStopTheNext(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
@@ -66,7 +66,7 @@
 	require.Len(t, actionsOf[job.RequestPlacement](j.Step(now, listOf("w1", now.Add(4*time.Second), listed("d.r.j.0", "lapsed")))), 1)
 }
 
-// Guards against a job that fails with tries left: a task whose start had no answer has failed.
+// Guards against a job that fails with tries left: a task whose start got no answer has failed.
 func TestFailureOfAnUnsureStartIsTriedAgain(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
--- a/internal/job/inherit.go
+++ b/internal/job/inherit.go
@@ -8,33 +8,32 @@
 	"pollencroft/internal/chart"
 )
 
-// Inherit takes over a job whose lead is gone. Nobody knows which of its
-// tasks run, so nothing of it is started before Release.
+// Inherit takes over a job whose leader is gone. It is not known which of its tasks are running, so
+// none is started before Release.
 type Inherit struct{ Spec Spec }
 
-// Release tells that the census for an inherited job is complete: a task that
-// no list has shown until now runs nowhere.
-// Lives are how many lives of workers ended under its tasks, as far as that is stored.
+// Release reports that the inventory for an inherited job is complete: a task that no list has
+// shown so far runs nowhere. Crashes holds the stored crash counts of its tasks.
 type Release struct {
 	ID      string
 	Crashes map[string]int64
 }
 
-// Adopt takes over a job from its live lead, with all that this one knew.
+// Adopt takes over a job from its live leader, with everything that this leader knew.
 type Adopt struct{ Snapshot Snapshot }
 
-// Drop forgets a job that another host leads now. With Recall set it is given up because all workers
-// were lost, and where its tasks were is remembered until it is inherited.
+// Drop forgets a job that another host leads now. With RememberPlaces, the job is given up because
+// all workers were lost, and the places of its tasks are remembered until the job is inherited.
 type Drop struct {
 	ID             string
 	RememberPlaces bool
 }
 
-// EndStored tells that the end of a job lies where a successor finds it, so that
-// workers may forget its tasks.
+// EndStored reports that the end of a job is stored where the next leader can find it, so workers
+// may forget its tasks.
 type EndStored struct{ ID string }
 
-// StartSent tells the deadline of a start, in the worker's clock.
+// StartSent sets the deadline of a start, by the worker's clock.
 type StartSent struct {
 	Task     string
 	Deadline time.Time
@@ -47,8 +46,8 @@
 func (EndStored) event() {}
 func (StartSent) event() {}
 
-// Snapshot is one job's whole state, as its lead hands it over. Name tells one hand-over from all
-// others; sent again, it keeps it.
+// Snapshot is the whole state of one job as its leader hands it over. HandoverID identifies the
+// handover and is unchanged when the handover is sent again.
 type Snapshot struct {
 	HandoverID string         `json:"name,omitempty"`
 	Spec       Spec           `json:"spec"`
@@ -58,26 +57,27 @@
 	Tasks      []TaskSnapshot `json:"tasks"`
 }
 
-// TaskSnapshot is one task in a Carry, in the order of the job's tasks.
+// TaskSnapshot is one task in a Snapshot, in the order of the job's tasks.
 type TaskSnapshot struct {
 	State    string    `json:"state"`
 	Worker   string    `json:"worker,omitempty"`
 	Tries    int64     `json:"tries,omitempty"`
 	Deadline time.Time `json:"deadline,omitzero"`
 	Sent     bool      `json:"sent,omitempty"`
-	// Incarnation is the worker's life, Lives and Noted are how many ended under the task and how many
-	// of these are stored.
+	// Incarnation is the worker's incarnation. Crashes counts the incarnations that ended while the
+	// task was on the worker, and StoredCrashes is how many of them are stored.
 	Incarnation   string `json:"life,omitempty"`
 	Crashes       int64  `json:"lives,omitempty"`
 	StoredCrashes int64  `json:"noted,omitempty"`
-	// Avoid are the workers that the task has failed on, the last time at Failed. It goes back to one
-	// of them at Back.
+	// Avoid holds the workers that the task has failed on, the last time at LastFailure. The task
+	// may return to one of them at AvoidUntil.
 	Avoid       []string  `json:"avoid,omitempty"`
 	LastFailure time.Time `json:"failed,omitzero"`
 	AvoidUntil  time.Time `json:"back,omitzero"`
 }
 
-// changeLeader handles the events that give a job another lead.
+// changeLeader handles the events that come with a change of a job's leader, and those that only
+// update bookkeeping.
 func (j *Jobs) changeLeader(now time.Time, ev Event) []Action {
 	switch ev := ev.(type) {
 	case Inherit:
@@ -104,15 +104,14 @@
 	jb := j.add(now, spec)
 	jb.awaitsInventory = true
 	for _, t := range jb.tasks {
-		// A start may have been sent for all that is known, so nobody may be
-		// told that this job did not run.
+		// A start may have been sent, so callers must not be told that this job did not run.
 		t.state, t.sent = "unsure", true
 		j.recallPlace(t)
 	}
 }
 
-// foundInherited takes the first sight of an inherited task. An older try that failed
-// or lapsed says nothing of a newer one that may run elsewhere.
+// foundInherited handles the first list entry that shows an inherited task. An earlier try that
+// failed or lapsed says nothing about a newer one that may be running elsewhere.
 func (j *Jobs) foundInherited(now time.Time, t *task, worker string, l ListedTask) []Action {
 	if l.State != workerRunning && l.State != workerEnded {
 		return []Action{Forget{Task: l.ID, Worker: worker, Lease: l.Lease}}
@@ -123,17 +122,17 @@
 	return j.applyEntry(now, t, l)
 }
 
-// clearPlace forgets where a task of an inherited job was found, since it runs there no more. Before
-// the census is complete it may run elsewhere under a lead that this host does not know of, so
-// it is not started again until then.
+// clearPlace forgets where a task of an inherited job was found, since it no longer runs there.
+// Before the inventory is complete, the task may be running elsewhere under a leader that this host
+// does not know about, so it is not started again until then.
 func (j *Jobs) clearPlace(t *task) []Action {
 	j.move(t, "", time.Time{})
 	t.state, t.deadline = "unsure", time.Time{}
 	return []Action{Free{Task: t.id}}
 }
 
-// release goes on with an inherited job. Crashes are told last, since one that is stored at once has
-// its task wanted again before the other actions are carried out.
+// release resumes an inherited job. StoreCrashCount actions come last: if a count is stored at
+// once, the task's capacity is requested before any later action is carried out.
 func (j *Jobs) release(ev Release) []Action {
 	jb, ok := j.jobs[ev.ID]
 	if !ok || !jb.awaitsInventory {
@@ -164,7 +163,7 @@
 	return append(acts, crashed...)
 }
 
-// requestAll asks for room for waiting tasks of a job that got another lead.
+// requestAll requests capacity for the waiting tasks of a job that has a new leader.
 func (j *Jobs) requestAll(jb *job, names []string) []Action {
 	switch {
 	case len(names) == 0:
@@ -189,8 +188,8 @@
 	return acts
 }
 
-// Snapshot returns a job's state for its next lead; false if it is not led here,
-// has ended or waits for its own census.
+// Snapshot returns a job's state for its next leader. It returns false if the job is not led here,
+// has ended or awaits its own inventory.
 func (j *Jobs) Snapshot(id string) (Snapshot, bool) {
 	jb, ok := j.jobs[id]
 	if !ok || jb.awaitsInventory || jobChart.Final(jb.state) {
@@ -210,11 +209,11 @@
 	return c, true
 }
 
-// adopt goes on with a handed-over job. It also ends a census for it: its lead
-// knew more than any list.
+// adopt resumes a job that was handed over. It also ends an inventory for the job, since the
+// previous leader knew more than any list.
 //
-// A hand-over that was adopted before comes again when its answer was lost. The job may have been
-// handed on since, and its tasks started by other leads.
+// A handover that was already adopted arrives again if its answer was lost. It is ignored, because
+// the job may have been handed on since and its tasks may have been started by other leaders.
 func (j *Jobs) adopt(now time.Time, c Snapshot) []Action {
 	if c.HandoverID != "" && slices.Contains(j.adopted, c.HandoverID) {
 		return nil
@@ -252,7 +251,7 @@
 	return append(append(acts, j.requestAll(jb, names)...), crashed...)
 }
 
-// maxAdopted bounds how many adopted hand-overs are remembered.
+// maxAdopted bounds the number of adopted handovers that are remembered.
 const maxAdopted = 2000
 
 func (j *Jobs) recordAdopted(name string) {
@@ -265,8 +264,8 @@
 	}
 }
 
-// drop frees what the job's tasks wait for. What runs keeps its room here for
-// as long as its worker lists it.
+// drop cancels the capacity requests of the job's tasks. Running tasks keep their capacity here for
+// as long as their worker lists them.
 func (j *Jobs) drop(now time.Time, ev Drop) []Action {
 	jb, ok := j.jobs[ev.ID]
 	if !ok {
@@ -311,8 +310,8 @@
 	return acts
 }
 
-// maxEndedJobs bounds how many ended jobs are remembered with all their tasks; how
-// older ones ended is in the log.
+// maxEndedJobs bounds the number of ended jobs that are kept with all their tasks. How older ones
+// ended is in the log.
 const maxEndedJobs = 500
 
 func (j *Jobs) trimEnded() {
@@ -324,14 +323,14 @@
 	}
 }
 
-// recordDeadline notes until when a start may still be carried out.
+// recordDeadline records until when a start may still be carried out.
 func (j *Jobs) recordDeadline(ev StartSent) {
 	if t, ok := j.tasks[ev.Task]; ok {
 		t.deadline = ev.Deadline
 	}
 }
 
-// Ended tells whether a job is known here and has ended, and how.
+// Ended reports whether a job is known here and has ended, and returns its final state.
 func (j *Jobs) Ended(id string) (state string, ok bool) {
 	jb, known := j.jobs[id]
 	if !known || !jobChart.Final(jb.state) {
@@ -340,13 +339,13 @@
 	return string(jb.state), true
 }
 
-// AwaitsInventory tells whether a job is inherited and waits for its census.
+// AwaitsInventory reports whether a job is inherited and its inventory is incomplete.
 func (j *Jobs) AwaitsInventory(id string) bool {
 	jb, ok := j.jobs[id]
 	return ok && jb.awaitsInventory
 }
 
-// Workers lists the workers that tasks of open jobs are on, without order.
+// Workers lists, in no particular order, the workers that unfinished tasks are on.
 func (j *Jobs) Workers() []string {
 	var all []string
 	for worker, on := range j.byWorker {
@@ -360,16 +359,16 @@
 	return all
 }
 
-// HasTask tells whether a task is known here.
+// HasTask reports whether a task is known here.
 func (j *Jobs) HasTask(task string) bool {
 	_, ok := j.tasks[task]
 	return ok
 }
 
-// TaskID names one task of a job.
+// TaskID returns the ID of the job's task n.
 func TaskID(id string, n int) string { return fmt.Sprintf("%s.%d", id, n) }
 
-// Spec returns the job that a task belongs to, as its caller asked for it.
+// Spec returns the spec of the job that a task belongs to.
 func (j *Jobs) Spec(task string) (Spec, bool) {
 	t, ok := j.tasks[task]
 	if !ok {
@@ -378,7 +377,7 @@
 	return t.job.spec, true
 }
 
-// WaitingTasks lists a job's tasks that wait for room.
+// WaitingTasks lists a job's tasks that wait for capacity.
 func (j *Jobs) WaitingTasks(id string) []string {
 	jb, ok := j.jobs[id]
 	if !ok {
--- a/internal/job/inherit_test.go
+++ b/internal/job/inherit_test.go
@@ -27,7 +27,7 @@
 	return job.ListedTask{ID: id, State: state, Lease: "l-" + id}
 }
 
-// startOn puts a task on a worker, which confirms the start.
+// startOn places a task on a worker, which confirms the start.
 func startOn(j *job.Jobs, task, worker string) {
 	for _, a := range actionsOf[job.Start](j.Step(now, job.Placed{Task: task, Worker: worker})) {
 		j.Step(now, job.Started{Task: task, Attempt: a.Attempt})
@@ -43,9 +43,9 @@
 	return j
 }
 
-// The lead of a job died. One task runs, one has ended, one was never started.
-// The next lead adopts the first, does not run the second again, and starts the
-// third only when the census shows that it runs nowhere.
+// The leader of a job died. One task runs, one has ended, one was never started. The next leader
+// must adopt the first, must not run the second again, and must start the third only when the
+// inventory shows that it runs nowhere.
 func TestInheritedJobResumes(t *testing.T) {
 	j := job.New()
 	require.Empty(t, j.Step(now, job.Inherit{Spec: spec(3)}))
@@ -58,11 +58,11 @@
 	s, err := j.Status("d.r.j")
 	require.NoError(t, err)
 	require.Equal(t, map[string]int{"running": 1, "ended": 1, "waiting": 1}, s.Tasks)
-	require.True(t, s.Ran, "nobody may be told that it did not run")
+	require.True(t, s.Ran, "callers must not be told that the job did not run")
 }
 
-// Guards against a task that runs twice: a task of an inherited job was found running, has come
-// to nothing since, and is started again before the census tells that nobody leads the job.
+// Guards against a task that runs twice: a task of an inherited job was found running, did not
+// complete, and is started again before the inventory shows that no other host leads the job.
 func TestInheritedTaskThatLapsesWaitsForTheInventory(t *testing.T) {
 	for _, state := range append(unfinished, "") {
 		j := job.New()
@@ -77,18 +77,18 @@
 	}
 }
 
-// A start is confirmed while the answer to an older question is still on its
-// way. That list does not show the task; taken as proof that it is gone, the
-// task would be started a second time beside the first.
+// A start is confirmed while the answer to an earlier list request is still in flight. That list
+// does not show the task. If this were taken as proof that the task is gone, the task would be
+// started a second time while the first start runs.
 func TestListFromBeforeTheStartProvesNothing(t *testing.T) {
 	j := startedJob(1)
 	require.Empty(t, j.Step(now.Add(time.Second), listOf("w1", now.Add(-time.Millisecond))))
 	want := actionsOf[job.RequestPlacement](j.Step(now.Add(time.Second), listOf("w1", now.Add(time.Millisecond))))
-	require.Len(t, want, 1, "a later list shows that it lapsed")
+	require.Len(t, want, 1, "a later list shows that the task is gone")
 }
 
-// A cancellation overtakes the start that it is for. The stop finds nothing,
-// and the task must not be told as stopped while its start may still land.
+// A cancellation arrives before the start of the task that it cancels. The stop finds nothing, and
+// the task must not be reported as stopped while its start may still arrive.
 func TestStopThatOvertakesItsStart(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
@@ -98,13 +98,13 @@
 	j.Step(now, listOf("w1", now.Add(time.Second)))
 	require.Equal(t, "stopping", state(t, j))
 	acts := j.Step(now, listOf("w1", now.Add(2*time.Second), listed("d.r.j.0", "running")))
-	require.Len(t, actionsOf[job.Stop](acts), 1, "it is stopped again")
+	require.Len(t, actionsOf[job.Stop](acts), 1, "the stop is requested again")
 	j.Step(now, listOf("w1", now.Add(4*time.Second)))
 	require.Equal(t, "cancelled", state(t, j))
 }
 
-// Workers remember how tasks ended until they are told to forget. If they were
-// told before a successor could know it from the log, it would run them again.
+// Workers remember how tasks ended until they are told to forget them. If they were told so before
+// the next leader could read the end from the log, that leader would run the tasks again.
 func TestEndedTasksAreForgottenOnlyWhenTheEndIsStored(t *testing.T) {
 	j := startedJob(2)
 	acts := j.Step(now, listOf("w1", now, listed("d.r.j.0", "ended"), listed("d.r.j.1", "ended")))
@@ -113,8 +113,8 @@
 	require.Len(t, actionsOf[job.Forget](j.Step(now, job.EndStored{ID: "d.r.j"})), 2)
 }
 
-// A live lead hands a job over with a start still under way. The next lead must
-// not start that task before the start is dead or found.
+// A live leader hands a job over while a start is in flight. The next leader must not start that
+// task before the start has expired or the task is found.
 func TestHandedOverStartStaysUnsure(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(2)})
@@ -129,14 +129,14 @@
 	to := job.New()
 	want := actionsOf[job.RequestPlacement](to.Step(now, job.Adopt{Snapshot: c}))
 	require.Equal(t, []string{"d.r.j.1"}, want[0].Tasks)
-	require.Empty(t, to.Step(now, job.Adopt{Snapshot: c}), "the same hand-over again changes nothing")
+	require.Empty(t, to.Step(now, job.Adopt{Snapshot: c}), "the same handover again changes nothing")
 	require.Empty(t, to.Step(now, listOf("w1", now.Add(2*time.Second))))
 	again := actionsOf[job.RequestPlacement](to.Step(now, listOf("w1", now.Add(4*time.Second))))
 	require.Equal(t, []string{"d.r.j.0"}, again[0].Tasks)
 }
 
-// Guards against a task that runs twice: a hand-over whose answer was lost comes again after its
-// receiver has started the job's tasks and handed it on.
+// Guards against a task that runs twice: a handover whose answer was lost arrives again after its
+// receiver has started the job's tasks and handed the job on.
 func TestHandOverThatComesAgainIsPassedOver(t *testing.T) {
 	j := job.New()
 	first := job.Snapshot{HandoverID: "h1", Spec: spec(1), State: "waiting", Tasks: []job.TaskSnapshot{{State: "waiting"}}}
@@ -146,11 +146,11 @@
 	require.Empty(t, j.Step(now, job.Adopt{Snapshot: first}))
 	require.Empty(t, j.Open())
 	first.HandoverID = "h2"
-	require.Len(t, actionsOf[job.RequestPlacement](j.Step(now, job.Adopt{Snapshot: first})), 1, "a new hand-over of the job is adopted")
+	require.Len(t, actionsOf[job.RequestPlacement](j.Step(now, job.Adopt{Snapshot: first})), 1, "a new handover of the job is adopted")
 }
 
-// A worker was silent for longer than any lease. What ran there runs no more
-// and is started elsewhere.
+// A worker was silent for longer than any lease. What ran there no longer runs and is started
+// elsewhere.
 func TestTasksOfASilentWorkerAreStartedElsewhere(t *testing.T) {
 	j := startedJob(1)
 	require.Equal(t, []string{"w1"}, j.Workers())
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -1,6 +1,6 @@
-// Package job follows each job and its tasks from acceptance to the end. It
-// never guesses: a task whose start had no answer is unsure until the worker
-// lists it or the start's deadline has passed there.
+// Package job tracks each job and its tasks from submission to the end. It never guesses: a task
+// whose start got no answer is unsure until the worker lists it, or until the start's deadline has
+// passed by the worker's clock.
 package job
 
 import (
@@ -18,7 +18,7 @@
 	jobChart  = chart.MustLoad("job")
 )
 
-// States of tasks as workers list them.
+// Task states in a worker's list.
 const (
 	workerRunning = "running"
 	workerEnded   = "ended"
@@ -30,29 +30,31 @@
 	job    *job
 	state  chart.State
 	worker string
-	// attempt numbers the task's stay on its worker.
+	// attempt identifies this placement of the task on its worker.
 	attempt  int64
 	tries    int64
 	deadline time.Time
 	sent     bool
-	// onWorkerSince is when this host learnt that the task is on its worker: a list
-	// that was asked for earlier cannot tell that the task is gone.
+	// onWorkerSince is when this host learned that the task is on its worker. A list that was
+	// requested earlier can't show that the task is gone.
 	onWorkerSince time.Time
-	// lease names the start that the worker lists, so that it forgets no other.
+	// lease identifies the start that the worker lists, so that the worker forgets only that one.
 	lease string
-	// avoid are the workers that the task failed on last, the last time at failed. It goes back to
-	// one of them at back.
+	// avoid holds the workers that the task failed on most recently, and lastFailure the time of
+	// the last failure. The task may return to one of them at avoidUntil.
 	avoid                   []string
 	lastFailure, avoidUntil time.Time
-	// incarnation is the one of its worker in which the task was started or seen; empty: not known.
+	// incarnation is the incarnation of the worker in which the task was started or seen; empty if
+	// unknown.
 	incarnation string
-	// crashes counts the crashes of workers that ended under the task, storedCrashes is how many of them are
-	// stored. blamed tells that the last one is to be counted once it is sure that the task is gone.
+	// crashes counts the worker incarnations that ended while the task was on the worker;
+	// storedCrashes is how many of them are stored. suspected means that the last one is counted
+	// once it is certain that the task is gone.
 	crashes, storedCrashes int64
 	suspected              bool
-	// excusedCrashes counts the lives that did not count since the whole rack was lost.
+	// excusedCrashes counts the crashes that were not counted because the whole rack was lost.
 	excusedCrashes int
-	// lastPlace is where the task was when this host gave its job up.
+	// lastPlace is where the task was when this host gave up its job.
 	lastPlace *place
 }
 
@@ -61,51 +63,53 @@
 	state      chart.State
 	tasks      []*task
 	acceptedAt time.Time
-	// firstStart is when the firstStart task was confirmed to run.
+	// firstStart is when the first task was confirmed to be running.
 	firstStart time.Time
-	// awaitsInventory is set while nobody knows yet where a former lead ran tasks.
+	// awaitsInventory is set while it is not yet known where a former leader ran the tasks.
 	awaitsInventory bool
-	// endStored is set when the job's end is where a successor will find it.
+	// endStored is set once the job's end is stored where the next leader can find it.
 	endStored bool
-	// crashErr is why the job was given up.
+	// crashErr is the reason if the job was given up because workers crashed.
 	crashErr *CrashedError
 }
 
-// Jobs is the job core of one host.
+// Jobs is the job state machine of one host.
 type Jobs struct {
 	jobs  map[string]*job
 	tasks map[string]*task
-	// byWorker holds the tasks that are byWorker each worker, as far as is known.
+	// byWorker holds the tasks that are on each worker, as far as is known.
 	byWorker map[string]map[string]*task
-	// budgets hold by row how many retries are left.
+	// budgets holds the number of retries left for each row.
 	budgets map[string]float64
-	// ended are jobs whose end is kept, oldest first.
+	// ended lists the jobs whose end is stored, oldest first.
 	ended []string
-	// adopted are the names of hand-overs that were adopted, oldest first.
+	// adopted lists the IDs of the handovers that were adopted, oldest first.
 	adopted []string
-	// incarnations holds each worker's life as it was last told.
+	// incarnations holds the latest known incarnation of each worker.
 	incarnations map[string]incarnation
-	// droppedPlaces holds where tasks were whose jobs were given up with the last worker. recalled are by
-	// worker those of them that were inherited since, until the worker is seen.
+	// droppedPlaces holds where the tasks were of jobs that were given up when the last worker was
+	// lost. recalled holds, by worker, those of these tasks that have been inherited since, until
+	// the worker reports a list.
 	droppedPlaces map[string]place
 	recalled      map[string][]*task
-	// silentPlaces holds by worker which tasks were there when it was silent for longer than any lease.
+	// silentPlaces holds, by worker, the tasks that were there when it had been silent for longer
+	// than any lease.
 	silentPlaces map[string][]place
-	// attempts counts the stays of all tasks on workers.
+	// attempts counts the placements of all tasks on workers.
 	attempts int64
 }
 
-// New returns a core that knows no job.
+// New returns a state machine without jobs.
 func New() *Jobs {
 	return &Jobs{jobs: map[string]*job{}, tasks: map[string]*task{}, byWorker: map[string]map[string]*task{}, budgets: map[string]float64{}, incarnations: map[string]incarnation{}, droppedPlaces: map[string]place{}, recalled: map[string][]*task{}, silentPlaces: map[string][]place{}}
 }
 
-// UnknownError tells that no such job is known here.
+// UnknownError reports that the job is not known on this host.
 type UnknownError struct{ ID string }
 
 func (e *UnknownError) Error() string { return "no job " + e.ID + " is known here" }
 
-// Bounds of a job's fields.
+// Upper bounds of the fields of a job.
 const (
 	maxTasks = 10_000
 	maxCPU   = 1 << 40
@@ -134,7 +138,7 @@
 	return nil
 }
 
-// Step takes one event and returns what to ask of placement and workers.
+// Step applies one event and returns the requests to the placement and to workers that follow.
 func (j *Jobs) Step(now time.Time, ev Event) []Action {
 	switch ev := ev.(type) {
 	case Submit:
@@ -162,7 +166,7 @@
 	}
 }
 
-// onAnswer takes a worker's answer unless the task has left the worker since.
+// onAnswer handles a worker's answer unless the task has left that worker since.
 func (j *Jobs) onAnswer(id string, attempt int64, take func() []Action) []Action {
 	if t, ok := j.tasks[id]; !ok || t.attempt != attempt {
 		return nil
@@ -193,7 +197,7 @@
 	return jb
 }
 
-// move sets where a task is; an empty worker means nowhere.
+// move sets the worker that a task is on; empty means none.
 func (j *Jobs) move(t *task, worker string, now time.Time) {
 	if t.worker != "" {
 		delete(j.byWorker[t.worker], t.id)
@@ -256,7 +260,7 @@
 	return nil
 }
 
-// queueAgain puts a task that certainly does not run back in the queue.
+// queueAgain returns a task that is certain not to be running to the queue.
 func (j *Jobs) queueAgain(id string, why chart.Event) []Action {
 	t, ok := j.tasks[id]
 	if !ok {
@@ -323,7 +327,7 @@
 	return append(acts, j.endIfDone(jb)...)
 }
 
-// endIfDone ends a job when all its tasks have ended.
+// endIfDone ends a job once all its tasks have ended.
 func (j *Jobs) endIfDone(jb *job) []Action {
 	failed, cancelled := false, false
 	for _, t := range jb.tasks {
@@ -344,18 +348,17 @@
 	return []Action{Ended{ID: jb.spec.ID, State: string(jb.state), Reason: jb.reason()}}
 }
 
-// Status is what a caller is told of a job.
+// Status is the state of a job as reported to callers.
 type Status struct {
 	ID    string         `json:"id"`
 	Row   string         `json:"row"`
 	State string         `json:"state"`
 	Tasks map[string]int `json:"tasks"`
-	// Ran tells whether any start was ever sent: if not, the job truly did
-	// not run.
+	// Ran reports whether any start was ever sent. If not, the job certainly did not run.
 	Ran bool `json:"ran"`
-	// Wait is how long the job waited for its first task to run.
+	// Wait is how long the job waited until its first task ran.
 	Wait cell.Duration `json:"wait"`
-	// Reason tells why the job was given up; empty: it was not.
+	// Reason is why the job was given up; empty if it was not.
 	Reason string `json:"reason,omitempty"`
 }
 
@@ -376,7 +379,7 @@
 	return s, nil
 }
 
-// Open lists the specs of jobs that have not ended, in order of id.
+// Open returns the specs of the jobs that have not ended, ordered by ID.
 func (j *Jobs) Open() []Spec {
 	var open []Spec
 	for _, id := range slices.Sorted(maps.Keys(j.jobs)) {
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -23,8 +23,8 @@
 	return s.State
 }
 
-// A worker's answer to a start is lost. The task may run there, so it must not
-// be started elsewhere until the start can no longer be carried out.
+// A worker's answer to a start is lost. The task may run there, so it must not be started elsewhere
+// until the start can no longer be carried out.
 func TestUnsureStartWaitsForItsDeadline(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
@@ -35,8 +35,8 @@
 	require.IsType(t, job.RequestPlacement{}, acts[1])
 }
 
-// A print batch is cancelled before any start was sent. The desk is told that
-// it did not run, and that must stay true.
+// A print batch is cancelled before any start was sent. The caller is told that it did not run, and
+// that must remain true.
 func TestCancelBeforeStartDidNotRun(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(2)})
@@ -48,8 +48,7 @@
 	require.Equal(t, []job.Action{job.Free{Task: "d.r.j.0"}}, j.Step(now, job.Placed{Task: "d.r.j.0", Worker: "w1"}))
 }
 
-// A row's own bug fails every task. The job must come to an end instead of
-// being tried for ever.
+// A bug in a row's program fails every task. The job must end instead of being retried forever.
 func TestFailingTaskStopsAfterItsTries(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
--- a/internal/job/messages.go
+++ b/internal/job/messages.go
@@ -6,10 +6,10 @@
 	"pollencroft/internal/cell"
 )
 
-// Event is what the job core is told.
+// Event is an input of the job state machine.
 type Event interface{ event() }
 
-// Spec is a job as its caller asked for it.
+// Spec is a job as the caller requested it.
 type Spec struct {
 	ID    string        `json:"id"`
 	Row   string        `json:"row"`
@@ -22,80 +22,80 @@
 	Tries int64         `json:"tries"`
 }
 
-// Submit takes a new job.
+// Submit adds a new job.
 type Submit struct{ Spec Spec }
 
-// Cancel asks that a job stops.
+// Cancel asks to stop a job.
 type Cancel struct{ ID string }
 
-// Placed tells that a task got room on a worker.
+// Placed reports that a task was placed on a worker.
 type Placed struct{ Task, Worker string }
 
-// Started tells that a worker confirmed a start. Attempt is that of the start: an
-// answer may come after the task has left the worker, and says nothing of its next start.
+// Started reports that a worker confirmed a start. Attempt is that of the start: the answer may
+// arrive after the task has left the worker, and then says nothing about its next start.
 type Started struct {
 	Task    string
 	Attempt int64
 }
 
-// NotStarted tells that a start was certainly not carried out.
+// NotStarted reports that a start was certainly not carried out.
 type NotStarted struct {
 	Task    string
 	Attempt int64
 }
 
-// Unsure tells that a start had no answer. It is dead on arrival after
-// Deadline in the worker's clock.
+// Unsure reports that a start got no answer. A worker no longer carries out the start after
+// Deadline, by the worker's clock.
 type Unsure struct {
 	Task     string
 	Attempt  int64
 	Deadline time.Time
-	// Unreached tells that the worker took no connection: the start did not arrive.
+	// Unreached reports that the worker accepted no connection, so the start did not arrive.
 	Unreached bool
 }
 
-// Stopped tells that a worker confirmed that a task runs no longer.
+// Stopped reports that a worker confirmed that a task is no longer running.
 type Stopped struct {
 	Task    string
 	Attempt int64
 }
 
-// WorkerList is all that one worker lists, at Clock in its own time. Sent is when
-// it was asked, by this host's clock.
+// WorkerList holds everything that one worker lists, at Clock by its own clock. Sent is when the
+// list was requested, by this host's clock.
 type WorkerList struct {
 	Worker string
 	Clock  time.Time
 	Sent   time.Time
 	Tasks  []ListedTask
-	// Jobs are those that the list is about; nil: all.
+	// Jobs are the jobs that the list covers; nil means all.
 	Jobs []string
-	// LeasesExpired tells that the worker was silent for longer than any lease runs,
-	// so that nothing runs there.
+	// LeasesExpired reports that the worker was silent for longer than any lease, so nothing runs
+	// there.
 	LeasesExpired bool
-	// Incarnation names the worker's life, from its start to its end; empty: not told.
+	// Incarnation identifies the worker's incarnation, from its start to its end; empty if unknown.
 	Incarnation string
-	// RackLost tells that all workers of its rack began their lives at about the same time.
+	// RackLost reports that the current incarnations of all workers of the rack began at about the
+	// same time.
 	RackLost bool
 }
 
-// CrashCountStored tells that a count of Crashed is stored.
+// CrashCountStored reports that the count of a StoreCrashCount is stored.
 type CrashCountStored struct {
 	Task    string
 	Crashes int64
 }
 
-// ListedTask is one task in a worker's list. Lease names the start.
+// ListedTask is one task in a worker's list. Lease identifies the start.
 type ListedTask struct {
 	ID    string `json:"id"`
 	State string `json:"state"`
 	Lease string `json:"lease,omitempty"`
 }
 
-// Preempt asks that a task is checkpointed, stopped and queued again without
-// using up a try.
+// Preempt asks to checkpoint and stop a task and to queue it again without using up a try.
 type Preempt struct{ Task string }
 
-// Tick lets time pass.
+// Tick only advances the time.
 type Tick struct{}
 
 func (Submit) event()           {}
@@ -110,25 +110,26 @@
 func (CrashCountStored) event() {}
 func (Tick) event()             {}
 
-// Action is what the job core asks its edge to do.
+// Action is a request of the job state machine to its caller.
 type Action interface{ action() }
 
-// RequestPlacement asks the placement for room for tasks.
+// RequestPlacement asks the placement for capacity for tasks.
 type RequestPlacement struct {
 	Spec  Spec
 	Tasks []string
 	// Since is when the job was accepted.
 	Since time.Time
-	// Avoid are workers that these tasks have failed on, the last time at Failed. They go back to
-	// one of them at Back, or sooner if it has run another task well since.
+	// Avoid holds the workers that these tasks have failed on, the last time at LastFailure. The
+	// tasks may return to one of them at AvoidUntil, or sooner if it has completed another task
+	// since.
 	Avoid                   []string
 	LastFailure, AvoidUntil time.Time
 	// Exclusive asks for workers on which nothing else runs.
 	Exclusive bool
 }
 
-// StoreCrashCount asks to store how many lives of workers ended under a task. The task is not wanted
-// again before Noted.
+// StoreCrashCount asks to store how many worker incarnations ended while a task was on the worker.
+// No placement is requested for the task before CrashCountStored.
 type StoreCrashCount struct {
 	Job, Task, Worker string
 	Crashes           int64
@@ -140,15 +141,14 @@
 	Attempt      int64
 }
 
-// Result tells how a task came to its end on a worker, and how long after its
-// confirmed start.
+// Result reports how a task ended on a worker, and how long after its confirmed start.
 type Result struct {
 	Task, Row, Worker string
 	Failed            bool
 	Run               time.Duration
 }
 
-// Start asks a worker to start a task. Attempt names the start in its answer.
+// Start asks a worker to start a task. The worker's answer carries the same Attempt.
 type Start struct {
 	Spec         Spec
 	Task, Worker string
@@ -161,17 +161,17 @@
 	Attempt      int64
 }
 
-// Free tells the placement that a task takes or wants room no longer.
+// Free tells the placement that a task no longer holds or requests capacity.
 type Free struct{ Task string }
 
 // Forget lets a worker drop an ended start of a task from its list.
 type Forget struct{ Task, Worker, Lease string }
 
-// Ended tells that a job came to its end.
+// Ended reports that a job has ended.
 type Ended struct {
 	ID    string
 	State string
-	// Reason tells why a job was given up; empty: it was not.
+	// Reason is why the job was given up; empty if it was not.
 	Reason string
 }
 
--- a/internal/job/retry.go
+++ b/internal/job/retry.go
@@ -5,19 +5,18 @@
 	"time"
 )
 
-// A row's budget of retries. Each failed try that is tried again costs one and
-// each ended task earns a part, so that a row whose tasks always fail stops
-// taking workers' time after a bounded number of starts.
+// The retry budget of a row. Each retry costs one and each ended task earns budgetPerEndedTask, so
+// that a row whose tasks always fail stops using workers after a bounded number of starts.
 const (
 	maxRetryBudget     = 50.0
 	budgetPerEndedTask = 0.2
 )
 
-// giveUpAfterFailures is how many of a job's tasks may fail for good, with none ended,
-// before the rest is not started any more.
+// giveUpAfterFailures is how many of a job's tasks may fail for good, with none ended, before its
+// remaining tasks are not started any more.
 const giveUpAfterFailures = 10
 
-// maxAvoidedWorkers is how many workers one task avoids.
+// maxAvoidedWorkers is how many workers one task avoids at most.
 const maxAvoidedWorkers = 3
 
 func (j *Jobs) spendRetry(row string) bool {
@@ -38,8 +37,9 @@
 	}
 }
 
-// A task that cannot do without a worker that it has failed on goes back there after a while, which
-// doubles with each failure. Failures in quick succession on one worker tell nothing more of the task.
+// If a task can't run without a worker that it has failed on, it returns to that worker after a delay
+// that doubles with each failure. Failures in quick succession on one worker say nothing more about
+// the task.
 const (
 	minAvoidTime = 10 * time.Second
 	maxAvoidTime = time.Minute
@@ -59,8 +59,8 @@
 	return Result{Task: t.id, Row: t.job.spec.Row, Worker: t.worker, Failed: failed, Run: now.Sub(t.onWorkerSince)}
 }
 
-// giveUpFailing fails the tasks that still wait when none of the job's tasks ever
-// ended and many failed.
+// giveUpFailing fails the waiting tasks if none of the job's tasks has ended and at least
+// giveUpAfterFailures have failed.
 func (j *Jobs) giveUpFailing(jb *job) []Action {
 	failed := 0
 	for _, t := range jb.tasks {
@@ -92,8 +92,7 @@
 	return []Action{Pause{Task: id, Worker: t.worker, Attempt: t.attempt}}
 }
 
-// paused queues a task again that was stopped for others. Being stopped is not
-// its fault and uses up no try.
+// paused queues a preempted task again. The preemption is not the task's fault and uses up no try.
 func (j *Jobs) paused(t *task) []Action {
 	t.move("stopped")
 	t.tries--
@@ -101,7 +100,7 @@
 	return j.requeue(t)
 }
 
-// placementRequest asks for room for a task that is not one of a gang.
+// placementRequest returns the request for a task that is not part of a gang.
 func (t *task) placementRequest() RequestPlacement {
 	return RequestPlacement{
 		Spec: t.job.spec, Tasks: []string{t.id}, Since: t.job.acceptedAt, Exclusive: t.needsExclusiveWorker(),
@@ -109,10 +108,10 @@
 	}
 }
 
-// requeue asks for room for a task that certainly runs nowhere. A gang whose
-// tasks do not all run has no use of the others: they are paused, and room is
-// asked for all of them together once the last one has stopped. Else the part
-// that runs would hold its room for as long as the rest finds none.
+// requeue requests capacity for a task that certainly runs nowhere. If some tasks of a gang run
+// without the others, they are paused, and capacity is requested for all of them together once the
+// last one has stopped. Otherwise the running tasks would hold their capacity for as long as none
+// is found for the rest.
 func (j *Jobs) requeue(t *task) []Action {
 	free := Free{Task: t.id}
 	if t.job.crashErr != nil {
--- a/internal/job/retry_test.go
+++ b/internal/job/retry_test.go
@@ -16,7 +16,7 @@
 	return s
 }
 
-// startAll gives room to and confirms all wanted tasks.
+// startAll places all requested tasks, and their workers confirm the starts.
 func startAll(j *job.Jobs, wants []job.RequestPlacement) {
 	for _, w := range wants {
 		for i, id := range w.Tasks {
@@ -25,9 +25,9 @@
 	}
 }
 
-// One start of an all-at-once job is refused while the others run. The others
-// would wait for it and hold their room for nothing; they are checkpointed and
-// stopped, and only when the last has stopped is room asked for all together.
+// One start of a gang fails while the other tasks run. The others would wait for it and hold their
+// capacity for nothing. They are checkpointed and stopped, and only when the last has stopped is
+// capacity requested for all of them together.
 func TestGangIsRestartedTogetherAfterAFailedStart(t *testing.T) {
 	j := job.New()
 	startAll(j, actionsOf[job.RequestPlacement](j.Step(now, job.Submit{Spec: gang(3)})))
@@ -44,8 +44,8 @@
 	require.Equal(t, map[string]int{"running": 3}, s.Tasks)
 }
 
-// An urgent job needs the room of a bulk task. The task is queued again only
-// after its worker has confirmed the stop, and it loses no try by it.
+// An urgent job needs the capacity of a bulk task. The task is queued again only after its worker
+// has confirmed the stop, and the preemption does not use up a try.
 func TestPreemptionUsesUpNoTry(t *testing.T) {
 	j := job.New()
 	wants := actionsOf[job.RequestPlacement](j.Step(now, job.Submit{Spec: spec(1)}))
@@ -53,18 +53,18 @@
 		startAll(j, wants)
 		acts := j.Step(now, job.Preempt{Task: "d.r.j.0"})
 		require.Equal(t, []job.Action{job.Pause{Task: "d.r.j.0", Worker: "w0", Attempt: n + 1}}, acts)
-		require.Empty(t, j.Step(now, job.Preempt{Task: "d.r.j.0"}), "once is enough")
+		require.Empty(t, j.Step(now, job.Preempt{Task: "d.r.j.0"}), "a second preemption changes nothing")
 		require.Empty(t, actionsOf[job.Free](j.Step(now, listOf("w0", now.Add(-time.Second)))))
 		wants = actionsOf[job.RequestPlacement](j.Step(now, job.Stopped{Task: "d.r.j.0", Attempt: n + 1}))
 		require.Len(t, wants, 1)
 	}
 	startAll(j, wants)
 	fails := j.Step(now, listOf("w0", now.Add(time.Second), listed("d.r.j.0", "failed")))
-	require.Equal(t, []string{"w0"}, actionsOf[job.RequestPlacement](fails)[0].Avoid, "the first failure is tried again, elsewhere")
+	require.Equal(t, []string{"w0"}, actionsOf[job.RequestPlacement](fails)[0].Avoid, "the first failure is retried on another worker")
 }
 
-// The stop of a preempted task has no answer. While the worker lists it the
-// stop is asked for again; the task must not be started elsewhere meanwhile.
+// The stop of a preempted task is not answered. While the worker lists the task, the stop is
+// requested again, and the task must not be started elsewhere meanwhile.
 func TestPreemptedTaskWaitsForItsStop(t *testing.T) {
 	j := startedJob(1)
 	j.Step(now, job.Preempt{Task: "d.r.j.0"})
@@ -74,8 +74,8 @@
 	require.Len(t, actionsOf[job.RequestPlacement](acts), 1)
 }
 
-// A preempted task ends before its stop arrives, or its job is cancelled. Both
-// are taken for what they are; it is not run again.
+// A preempted task ends before its stop arrives, or its job is cancelled. In both cases the task is
+// not run again.
 func TestPreemptedTaskMayEndOrBeCancelled(t *testing.T) {
 	j := startedJob(1)
 	j.Step(now, job.Preempt{Task: "d.r.j.0"})
@@ -88,8 +88,8 @@
 	require.Equal(t, "cancelled", state(t, j))
 }
 
-// A row's own bug fails every task of a large job. Tried again and again, and
-// on to the last task, it would keep workers busy for hours.
+// A bug in a row's program fails every task of a large job. If each task were retried until its
+// tries are used up, the job would keep workers busy for hours.
 func TestAlwaysFailingJobStopsByItsBudget(t *testing.T) {
 	j := job.New()
 	s := spec(5000)
@@ -115,8 +115,8 @@
 	require.Zero(t, retries)
 }
 
-// A desk cancels its whole night's work. Each cancellation touches only its
-// own tasks, and one for a job that has ended changes nothing.
+// A caller cancels many jobs at once. Each cancellation affects only its own tasks, and one for a
+// job that has ended changes nothing.
 func TestBulkCancellation(t *testing.T) {
 	j := job.New()
 	const jobs = 10_000
--- a/internal/job/seen.go
+++ b/internal/job/seen.go
@@ -26,8 +26,8 @@
 	return acts
 }
 
-// handleEntry takes one line of a worker's list. A line of a job that is not known
-// here changes nothing: its lead may be about to learn how the task ended.
+// handleEntry handles one entry of a worker's list. An entry of an unknown job changes nothing: its
+// leader may be about to learn how the task ended.
 func (j *Jobs) handleEntry(now time.Time, ev WorkerList, l ListedTask) []Action {
 	t, ok := j.tasks[l.ID]
 	if !ok {
@@ -46,9 +46,9 @@
 	return j.applyEntry(now, t, l)
 }
 
-// isEarlierStart tells whether a line may be about an earlier start of the task on the same worker,
-// which lists that one until the next start lands. Taken for the next one's end, it would have
-// the task started elsewhere while its start is under way.
+// isEarlierStart reports whether an entry may describe an earlier start of the task on the same
+// worker, which lists the earlier start until the next one arrives. If the entry were taken for the
+// end of the next start, the task would be started elsewhere while that start is still in flight.
 func (j *Jobs) isEarlierStart(t *task, ev WorkerList, l ListedTask) bool {
 	switch l.State {
 	case workerEnded:
@@ -60,8 +60,8 @@
 	}
 }
 
-// startResolved tells that a list is from a time when the task's last start had arrived at the worker
-// or could no longer be carried out.
+// startResolved reports whether the list was made when the task's last start had arrived at the
+// worker or could no longer be carried out.
 func (t *task) startResolved(ev WorkerList) bool {
 	switch {
 	case ev.LeasesExpired:
@@ -75,7 +75,8 @@
 	}
 }
 
-// handleEntryElsewhere takes a line about a task that is elsewhere by now: a former try.
+// handleEntryElsewhere handles an entry of a task that is on another worker now, left from an
+// earlier try.
 func (j *Jobs) handleEntryElsewhere(t *task, worker string, l ListedTask) []Action {
 	if l.State == workerRunning || l.State == workerEnded && !t.job.endStored {
 		return nil
@@ -125,9 +126,8 @@
 	return append(acts, j.endIfDone(t.job)...)
 }
 
-// handleFailure tries a task again while its number of tries and its row's budget of
-// retries allow it. After that the whole job has handleFailure, since a part of it
-// can never be had.
+// handleFailure retries a task while its number of tries and its row's retry budget allow it. After
+// that the whole job fails, since it can't be completed without the task.
 func (j *Jobs) handleFailure(now time.Time, t *task) []Action {
 	if t.state == "unsure" {
 		t.move("found")
@@ -156,16 +156,16 @@
 	return j.retry(t, "retry")
 }
 
-// retry lets the worker forget a try that came to nothing before the next one.
+// retry lets the worker forget a try that did not complete before the next try.
 func (j *Jobs) retry(t *task, why chart.Event) []Action {
 	forget := Forget{Task: t.id, Worker: t.worker, Lease: t.lease}
 	return append([]Action{forget}, j.queueAgain(t.id, why)...)
 }
 
-// handleMissing handles a task that its worker does not list. An unsure start may
-// still be on its way until its deadline has passed in the worker's clock. A
-// list that was asked for before a start was confirmed says nothing of it:
-// without this rule the task would be started a second time beside the first.
+// handleMissing handles a task that its worker does not list. An unsure start may still arrive
+// until its deadline has passed by the worker's clock. A list that was requested before a start was
+// confirmed says nothing about that start: without this rule the task would be started a second
+// time while the first start runs.
 func (j *Jobs) handleMissing(now time.Time, t *task, ev WorkerList) []Action {
 	if !t.startResolved(ev) {
 		return nil
--- a/internal/job/stale_test.go
+++ b/internal/job/stale_test.go
@@ -9,7 +9,7 @@
 	"pollencroft/internal/job"
 )
 
-// placeOn puts a task on a worker and returns the start that is sent for it.
+// placeOn places a task on a worker and returns the start that is sent for it.
 func placeOn(t *testing.T, j *job.Jobs, task, worker string) job.Start {
 	t.Helper()
 	starts := actionsOf[job.Start](j.Step(now, job.Placed{Task: task, Worker: worker}))
@@ -17,7 +17,7 @@
 	return starts[0]
 }
 
-// preemptUnanswered stops a task before its start's own answer is there.
+// preemptUnanswered preempts a task before its start is answered.
 func preemptUnanswered(t *testing.T, j *job.Jobs, task string) {
 	t.Helper()
 	for _, a := range actionsOf[job.Pause](j.Step(now, job.Preempt{Task: task})) {
@@ -25,8 +25,8 @@
 	}
 }
 
-// Guards against a task that runs twice: the confirmation of a try that was stopped
-// meanwhile is taken for that of the next try, whose start is still under way.
+// Guards against a task that runs twice: the confirmation of a try that was stopped meanwhile is
+// taken for that of the next try, whose start is still in flight.
 func TestLateConfirmationOfAFormerTryChangesNothing(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
@@ -34,11 +34,11 @@
 	preemptUnanswered(t, j, "d.r.j.0")
 	placeOn(t, j, "d.r.j.0", "w2")
 	j.Step(now, job.Started{Task: "d.r.j.0", Attempt: first.Attempt})
-	require.Empty(t, j.Step(now, listOf("w2", now.Add(time.Second))), "the start to w2 may still land")
+	require.Empty(t, j.Step(now, listOf("w2", now.Add(time.Second))), "the start to w2 may still arrive")
 }
 
-// Guards against a task that runs twice: the lost answer of a former try sets an
-// earlier deadline for the next one.
+// Guards against a task that runs twice: the lost answer of a previous try sets an earlier deadline
+// for the next one.
 func TestLostAnswerOfAPreviousTryChangesNothing(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
@@ -47,10 +47,11 @@
 	placeOn(t, j, "d.r.j.0", "w2")
 	j.Step(now, job.StartSent{Task: "d.r.j.0", Deadline: now.Add(5 * time.Second)})
 	j.Step(now, job.Unsure{Task: "d.r.j.0", Attempt: first.Attempt, Deadline: now.Add(time.Second)})
-	require.Empty(t, j.Step(now, listOf("w2", now.Add(2*time.Second))), "the start to w2 may still land")
+	require.Empty(t, j.Step(now, listOf("w2", now.Add(2*time.Second))), "the start to w2 may still arrive")
 }
 
-// Guards against a task that runs twice: a former try's refusal is taken for one of the next try.
+// Guards against a task that runs twice: the refusal of a previous try is taken for one of the next
+// try.
 func TestLateRefusalOfAPreviousTryChangesNothing(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
@@ -60,8 +61,8 @@
 	require.Empty(t, j.Step(now, job.NotStarted{Task: "d.r.j.0", Attempt: first.Attempt}))
 }
 
-// Guards against a task that runs twice: a stop that was confirmed on one worker is taken for
-// the stop of the same task on its next worker.
+// Guards against a task that runs twice: a stop that was confirmed on one worker is taken for the
+// stop of the same task on its next worker.
 func TestLateStopOfAPreviousTryChangesNothing(t *testing.T) {
 	j := job.New()
 	startAll(j, actionsOf[job.RequestPlacement](j.Step(now, job.Submit{Spec: spec(1)})))
@@ -73,8 +74,8 @@
 	require.Empty(t, j.Step(now, job.Stopped{Task: "d.r.j.0", Attempt: first.Attempt}))
 }
 
-// Guards against a task that runs twice: a peer lists only the tasks of the jobs that it was
-// asked for, and says nothing of a start of a job that was handed over since the question.
+// Guards against a task that runs twice: a peer lists only the tasks of the jobs that it was asked
+// about, and says nothing about a start of a job that was handed over since the request.
 func TestListOfOtherJobsProvesNothing(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Adopt{Snapshot: job.Snapshot{Spec: spec(1), State: "waiting", Tasks: []job.TaskSnapshot{
