--- a/internal/takeover/messages.go
+++ b/internal/takeover/messages.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Event is what the takeover core is told.
+// Event is an input of the takeover state machine.
 type Event interface{ event() }
 
 // SetWorkers replaces the workers of the failure domain.
@@ -11,32 +11,31 @@
 // SetPeers replaces the live peers of the failure domain.
 type SetPeers struct{ Names []string }
 
-// FoundJob tells of a job that this host should lead now and knows nothing about.
+// FoundJob reports a job that this host should lead now and knows nothing about.
 type FoundJob struct{ Job string }
 
-// GoneJob tells that a found job ended or has another lead.
+// GoneJob reports that a found job ended or has another leader.
 type GoneJob struct{ Job string }
 
-// WatchWorkers replaces the workers that tasks of this host's own jobs run on while
-// another host, or nobody, holds them.
+// WatchWorkers replaces the workers that run tasks of this host's own jobs while another host, or
+// no host, holds these workers.
 type WatchWorkers struct{ Workers []string }
 
-// WorkerHeld tells that this host holds a worker and has read its list.
+// WorkerHeld reports that this host holds a worker and has read its list.
 type WorkerHeld struct{ Worker string }
 
-// WorkerLost tells that this host holds a worker no longer.
+// WorkerLost reports that this host no longer holds a worker.
 type WorkerLost struct{ Worker string }
 
-// WorkerContact tells that a worker answered, if only to refuse.
+// WorkerContact reports that a worker answered, even if only to refuse.
 type WorkerContact struct{ Worker string }
 
-// LogRead tells that the log of jobs was read to its end by a question that was
-// sent at Asked.
+// LogRead reports that the log of jobs was read to its end by a request that was sent at Asked.
 type LogRead struct{ Asked time.Time }
 
-// PeerAnswer is a peer's answer to a question that was sent at Asked: the workers
-// that it holds and has read, and which of the found jobs it leads or
-// waits for too.
+// PeerAnswer is a peer's answer to a request that was sent at Asked. Workers are those that the
+// peer holds and has read. Leads and Waits are those of the found jobs that it leads, or takes over
+// too.
 type PeerAnswer struct {
 	Host    string
 	Asked   time.Time
@@ -45,20 +44,21 @@
 	Waits   []string
 }
 
-// PeerAsked tells that a peer asked for jobs that it waits for itself.
+// PeerAsked reports that a peer asked about jobs whose takeover it waits for itself.
 type PeerAsked struct {
 	Host string
 	Jobs []string
 }
 
-// AddKey asks for a census of what runs of a key, which this host is the only one to start from
-// now on. It needs no log: nothing of it depends on which jobs there are.
+// AddKey requests an inventory of the tasks that run for a key. From now on this host is the only
+// one that starts tasks for the key. The log is not needed, since nothing here depends on which
+// jobs exist.
 type AddKey struct{ Key string }
 
-// RemoveKey tells that another host may start what the key stands for.
+// RemoveKey reports that another host may start tasks for the key.
 type RemoveKey struct{ Key string }
 
-// Tick lets time pass.
+// Tick only advances the time.
 type Tick struct{}
 
 func (SetWorkers) event()    {}
@@ -76,19 +76,19 @@
 func (RemoveKey) event()     {}
 func (Tick) event()          {}
 
-// Action is what the takeover core asks its edge to do.
+// Action is a request of the takeover state machine to its caller.
 type Action interface{ action() }
 
-// AskPeers asks every live peer of the domain for what it holds and leads.
+// AskPeers asks every live peer of the domain what it holds and leads.
 type AskPeers struct{}
 
-// ReleaseJob tells that the census for a job is complete.
+// ReleaseJob reports that the inventory for a job is complete.
 type ReleaseJob struct{ Job string }
 
-// ReleaseKey tells that the census for a key is complete.
+// ReleaseKey reports that the inventory for a key is complete.
 type ReleaseKey struct{ Key string }
 
-// WorkerSilent tells that a watched worker gave no sign for longer than any lease.
+// WorkerSilent reports that a watched worker was silent for longer than any lease.
 type WorkerSilent struct{ Worker string }
 
 func (AskPeers) action()     {}
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -1,7 +1,7 @@
-// Package takeover decides when the jobs of a former lead may go on. It starts
-// nothing of them before a census of the failure domain: every worker that the
-// former lead could have held is held and read by this host, answered for by
-// its live holder, or silent for longer than the longest lease.
+// Package takeover decides when the jobs of a former leader may resume. None of their tasks is
+// started before an inventory of the failure domain is complete: every worker that the former
+// leader could have held is held and read by this host, reported by the live host that holds it, or
+// has been silent for longer than the longest lease.
 package takeover
 
 import (
@@ -10,41 +10,42 @@
 	"time"
 )
 
-// Limits set the times of a census.
+// Limits are the times of an inventory.
 type Limits struct {
-	// LongestLease is the longest lease of a task: a worker that was silent for so
-	// long runs nothing that a former lead started.
+	// LongestLease is the longest lease of a task: a worker that was silent for that long runs
+	// nothing that a former leader started.
 	LongestLease time.Duration
-	// AskInterval is how often the peers are asked while anything waits.
+	// AskInterval is how often the peers are asked while an inventory is incomplete or a worker is
+	// watched.
 	AskInterval time.Duration
 }
 
 type worker struct {
 	held bool
-	// lastContact is when the worker last gave a lastContact of life, or was first known.
+	// lastContact is when the worker was last heard of, or when it was first known.
 	lastContact time.Time
-	// reportedAt is when the question was sent that its live holder reportedAt.
+	// reportedAt is when the request was sent to which the live host that holds the worker
+	// answered.
 	reportedAt time.Time
 }
 
-// Takeover is the takeover core of one host.
+// Takeover is the takeover state machine of one host.
 type Takeover struct {
 	limits  Limits
 	self    string
 	workers map[string]*worker
-	// peers holds when each live peer was last asked with success.
+	// peers holds when the last request that each live peer answered was sent.
 	peers map[string]time.Time
-	// jobs holds since when each found job waits. Only what was learnt later
-	// counts for it.
+	// jobs holds since when each found job waits. Only what was learned later counts for it.
 	jobs map[string]time.Time
-	// keys are the same for what is counted.
+	// keys holds the same for the keys.
 	keys      map[string]time.Time
 	watched   map[string]time.Time
 	logRead   time.Time
 	lastAsked time.Time
 }
 
-// New returns the core of the host that is called self. It knows no worker.
+// New returns the state machine of the host with the name self. It knows no worker.
 func New(self string, limits Limits) *Takeover {
 	return &Takeover{
 		limits: limits, self: self, workers: map[string]*worker{}, peers: map[string]time.Time{},
@@ -52,7 +53,7 @@
 	}
 }
 
-// Step takes one event and returns which jobs may go on and what to ask.
+// Step applies one event and returns the jobs and keys that may proceed and the requests to send.
 func (t *Takeover) Step(now time.Time, ev Event) []Action {
 	switch ev := ev.(type) {
 	case SetWorkers:
@@ -80,7 +81,7 @@
 	return append(t.releaseComplete(now), t.due(now)...)
 }
 
-// updateWaiting begins or ends what waits for a census.
+// updateWaiting adds or removes a job or a key that waits for an inventory.
 func (t *Takeover) updateWaiting(now time.Time, ev Event) {
 	switch ev := ev.(type) {
 	case FoundJob:
@@ -116,8 +117,9 @@
 	}
 }
 
-// setPeers restarts every census when a host joins or goes. A host that went
-// silent may have held workers and led jobs since it was last asked.
+// setPeers replaces the live peers and restarts every inventory when a host is gone, since that
+// host may have held workers and led jobs after it was last asked. A host that joins counts as not
+// yet asked.
 func (t *Takeover) setPeers(now time.Time, names []string) {
 	for name := range t.peers {
 		if !slices.Contains(names, name) {
@@ -161,9 +163,9 @@
 	}
 }
 
-// workerLost restarts every census. A host that was paused for so long that it lost
-// a worker must not go on with answers from before the pause: another host may
-// have completed its own census and started the job since then.
+// workerLost restarts every inventory. A host that was paused for so long that it lost a worker
+// must not go on with answers from before the pause: another host may have completed its own
+// inventory and started the job since then.
 func (t *Takeover) workerLost(now time.Time, name string) {
 	if w, ok := t.workers[name]; ok && w.held {
 		w.held, w.lastContact = false, now
@@ -186,17 +188,17 @@
 	t.yield(now, ev.Host, ev.Waits)
 }
 
-// yield leaves jobs to a peer that waits for them too and comes first by name.
-// Two hosts that disagree about who lives may both inherit a job; if both
-// completed their census, its tasks would run twice. The host that yields needs
-// another answer of that peer, which leads the job by then or has given it up.
+// yield leaves jobs to a peer that is taking them over too and whose name sorts first. Two hosts
+// that disagree about which hosts are live may both inherit a job; if both completed their
+// inventory, its tasks would run twice. The host that yields needs another answer of that peer,
+// which by then leads the job or has given it up.
 func (t *Takeover) yield(now time.Time, host string, ids []string) {
 	if host < t.self {
 		t.restartJobs(now, ids)
 	}
 }
 
-// restartJobs restarts the census of some jobs.
+// restartJobs restarts the inventory of some jobs.
 func (t *Takeover) restartJobs(now time.Time, ids []string) {
 	for _, id := range ids {
 		if _, ok := t.jobs[id]; ok {
@@ -205,9 +207,8 @@
 	}
 }
 
-// releaseComplete releases the jobs whose census is releaseComplete. Without any worker this
-// host has nothing that would show it that it was taken for dead, so it
-// releases nothing then.
+// releaseComplete releases the jobs and keys whose inventory is complete. A host that holds no
+// worker releases nothing, because it has no way to notice that others have declared it dead.
 func (t *Takeover) releaseComplete(now time.Time) []Action {
 	var acts []Action
 	if !t.holdsAnyWorker() {
@@ -237,8 +238,8 @@
 	return false
 }
 
-// Missing names what the census of a job still waits for: the log, a peer or a
-// worker; empty if nothing.
+// Missing returns what the inventory of a job still waits for: the log, or the name of a peer or
+// worker. It returns an empty string if nothing is missing.
 func (t *Takeover) Missing(now time.Time, id string) string {
 	since := t.jobs[id]
 	if !t.logRead.After(since) {
@@ -247,7 +248,8 @@
 	return t.missingSince(now, since)
 }
 
-// missingSince names a peer or worker that was not heard of since then; empty if none.
+// missingSince returns a peer or worker whose state after since is still unknown; empty if there is
+// none.
 func (t *Takeover) missingSince(now, since time.Time) string {
 	for _, name := range slices.Sorted(maps.Keys(t.peers)) {
 		if !t.peers[name].After(since) {
@@ -263,11 +265,11 @@
 	return ""
 }
 
-// Waiting lists the found jobs that wait for their census.
+// Waiting lists the found jobs whose inventory is incomplete.
 func (t *Takeover) Waiting() []string { return slices.Sorted(maps.Keys(t.jobs)) }
 
-// LeasesExpired tells whether a worker gave no sign, to this host or to a peer that answered, for longer
-// than any lease.
+// LeasesExpired reports whether a worker was silent for longer than any lease, both to this host
+// and to the peers that answered.
 func (t *Takeover) LeasesExpired(now time.Time, name string) bool {
 	w, ok := t.workers[name]
 	return ok && !w.held && now.Sub(w.lastContact) > t.limits.LongestLease
@@ -288,8 +290,8 @@
 	return acts
 }
 
-// isSilent tells whether a watched worker gave no sign for longer than any lease,
-// to this host or to any live peer that was asked since.
+// isSilent reports whether a watched worker was silent for longer than any lease, both to this host
+// and to the live peers that were asked since.
 func (t *Takeover) isSilent(now time.Time, name string) bool {
 	since := t.watched[name]
 	if w, ok := t.workers[name]; ok {
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -18,8 +18,8 @@
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// newWaiting is a host that holds one of two workers, has one live peer, and
-// inherits a job one second later.
+// newWaiting returns a host that holds one of two workers, has one live peer, and inherits a job
+// one second later.
 func newWaiting(self string) *takeover.Takeover {
 	t := takeover.New(self, limits)
 	t.Step(at(0), takeover.SetWorkers{Names: []string{"w1", "w2"}})
@@ -44,9 +44,9 @@
 	return takeover.PeerAnswer{Host: "p", Asked: at(s), Workers: workers}
 }
 
-// A lead is gone, and nobody knows which of its tasks run. Each of the things
-// that could still tell has to be asked after the takeover began; if the next
-// lead went on without one, a task could run beside its first copy.
+// A leader is gone, and it is not known which of its tasks are running. Each source that could show
+// this must be asked after the takeover began. If the next leader went on without one, a task could
+// run twice.
 func TestInventoryWaitsForAllSources(t *testing.T) {
 	held := takeover.WorkerHeld{Worker: "w2"}
 	for name, c := range map[string]struct {
@@ -84,8 +84,8 @@
 	}
 }
 
-// A host that holds no worker has nothing to show it that others took it for
-// dead. It must not decide about any job.
+// A host that holds no worker has no way to notice that others have declared it dead. It must not
+// decide about any job.
 func TestHostWithoutWorkersReleasesNothing(t *testing.T) {
 	tk := takeover.New("b", limits)
 	tk.Step(at(0), takeover.SetWorkers{Names: []string{"w1"}})
@@ -96,8 +96,8 @@
 	require.True(t, released(tk.Step(at(3), takeover.WorkerHeld{Worker: "w1"})))
 }
 
-// Two hosts disagree about who lives, and both inherit the job. In whatever
-// order they ask each other, at most one of them may go on with it.
+// Two hosts disagree about which hosts are live, and both inherit the job. In whatever order they
+// ask each other, at most one of them may resume it.
 func TestTwoHostsInheritOneJob(t *testing.T) {
 	for order := range 1 << 12 {
 		hosts := map[string]*takeover.Takeover{}
@@ -132,14 +132,13 @@
 			require.False(t, leads["a"] && leads["b"], "order %b", order)
 		}
 		if order>>8 == 0 {
-			require.True(t, leads["a"] || leads["b"], "somebody goes on: order %b", order)
+			require.True(t, leads["a"] || leads["b"], "one host must resume the job: order %b", order)
 		}
 	}
 }
 
-// A worker dies with tasks of a job that another host's worker list would have
-// shown. After the longest lease nothing of it can run any more, and the tasks
-// are started elsewhere instead of waiting for ever.
+// A worker that another host holds dies while it runs tasks of this host's job. After the longest
+// lease none of them can be running, and they must be started elsewhere instead of waiting forever.
 func TestWatchedWorkerIsTakenForSilentAfterTheLongestLease(t *testing.T) {
 	tk := newWaiting("b")
 	tk.Step(at(1), takeover.GoneJob{Job: "j"})
