--- a/internal/share/messages.go
+++ b/internal/share/messages.go
@@ -1,22 +1,22 @@
 package share
 
-// Event is what the share core is told.
+// Event is an input of the share state machine.
 type Event interface{ event() }
 
-// AnnouncementReceived is a word that arrived from another host of the failure domain.
+// AnnouncementReceived is an announcement of another host of the failure domain.
 type AnnouncementReceived struct{ Announcement Announcement }
 
-// HostsListed is the platform's list of entry hosts, as it was read just now.
+// HostsListed is the platform's list of entry hosts that was just read.
 type HostsListed struct{ Names []string }
 
-// Drained tells that no backend server has more of this host's requests than
-// this host's share of it.
+// Drained reports that no backend server has more of this host's requests than this host's share of
+// its slots.
 type Drained struct{}
 
-// Stopping tells that this host begins a planned stop.
+// Stopping reports that this host begins a planned stop.
 type Stopping struct{}
 
-// Tick lets time pass.
+// Tick only advances the time.
 type Tick struct{}
 
 func (AnnouncementReceived) event() {}
@@ -25,25 +25,26 @@
 func (Stopping) event()             {}
 func (Tick) event()                 {}
 
-// Action is what the share core asks its edge to do.
+// Action is a request of the share state machine to its caller.
 type Action interface{ action() }
 
-// SlotsChanged tells that Slots gives other numbers now.
+// SlotsChanged reports that UsableSlots returns other numbers now.
 type SlotsChanged struct{}
 
-// SendAnnouncement asks to send a word to all hosts of the failure domain at once.
+// SendAnnouncement asks to send an announcement to all hosts of the failure domain at once.
 type SendAnnouncement struct{ Announcement Announcement }
 
 func (SlotsChanged) action()     {}
 func (SendAnnouncement) action() {}
 
-// Announcement is what a host says of the shares. It may be lost, late or doubled.
+// Announcement is what a host tells the other hosts about its slots. It may be lost, delayed or
+// duplicated.
 type Announcement struct {
 	Name        string `json:"name"`
 	Incarnation int64  `json:"inc"`
-	// Freed holds hosts with the incarnation whose slots the sender neither
-	// uses nor will use while that incarnation runs.
+	// Freed holds hosts by name and incarnation. The sender neither uses nor will use the slots of
+	// such a host while that incarnation runs.
 	Freed map[string]int64 `json:"freed,omitempty"`
-	// Released tells that the sender's slots are in no use any more.
+	// Released reports that the sender's slots are no longer in use.
 	Released bool `json:"given,omitempty"`
 }
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -1,14 +1,14 @@
-// Package share decides which slots of the backend servers one entry host may
-// use, so that the hosts of a failure domain never use a slot twice.
+// Package share decides which slots of the backend servers one entry host may use, so that the
+// hosts of a failure domain never use a slot twice.
 //
-// The settings give each slot an owner and put the other hosts behind it in a
-// fixed order of succession. A host uses a slot while each host before it is
-// gone and each host behind it has freed the slot, so every question is settled
-// between two hosts and needs no vote. A host is gone when it gave its slots
-// away in a planned stop, or when the platform's list has been without it, and
-// it was silent, for the longest deadline. A started host begins when its former
-// incarnation's requests must have ended and the hosts behind it have said that
-// they hold nothing of its slots. Whatever is not certain leaves a slot empty.
+// The settings assign each slot to an owner and put the other hosts after it in a fixed order of
+// succession. A host uses a slot while each host before it in this order is gone and each host
+// after it has freed the slot. Each of these conditions concerns two hosts only, so no vote is
+// needed. A host is gone when it released its slots in a planned stop, or when the platform's list
+// has been without it, and it was silent, for the longest deadline. A host that has started uses
+// its slots once the requests of its previous incarnation must have ended and the hosts after it
+// have confirmed that they hold none of its slots. A slot stays empty while any of this is
+// uncertain.
 package share
 
 import (
@@ -19,33 +19,35 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Limits are the times that the rights depend on.
+// Limits are the times on which the right to use a slot depends.
 type Limits struct {
-	// LongestDeadline is how long a sent request can take at most. A line of the host
-	// list must not be late by more.
+	// LongestDeadline is the maximum duration of a request that was sent. An entry of the host list
+	// must not be out of date by more than that.
 	LongestDeadline time.Duration
-	// StartupWait is how long a started host waits for what its former incarnation
-	// sent. It is Longest unless no former incarnation can have run.
+	// StartupWait is how long a host waits after its start for the requests of its previous
+	// incarnation to end. It is LongestDeadline unless no previous incarnation can have run.
 	StartupWait time.Duration
 }
 
-// peerState is what this host knows of one other host of its failure domain.
+// peerState is what this host knows about one other host of its failure domain.
 type peerState struct {
 	incarnation int64
-	// released tells that the incarnation gave its slots away.
+	// released reports that the incarnation released its slots.
 	released bool
-	// freedOwnSlots tells that the other host uses no slot in which this one precedes it.
+	// freedOwnSlots reports that the other host uses no slot in whose succession this host comes
+	// before it.
 	freedOwnSlots bool
-	// gone tells that the other host uses no slot at all.
+	// gone reports that the other host uses no slot at all.
 	gone bool
-	// takenInUse tells that slots taken while it was gone may still be in use.
+	// takenInUse reports that slots that were taken while the other host was gone may still be in
+	// use.
 	takenInUse bool
-	// absentSince is since when the list and the host itself say that it is gone;
-	// zero when either says that it is there.
+	// absentSince is since when both the list and the silence of the host indicate that it is gone;
+	// zero when either shows that it is there.
 	absentSince time.Time
 }
 
-// Shares is the share core of one host.
+// Shares is the share state machine of one host.
 type Shares struct {
 	limits      Limits
 	self        Announcement
@@ -57,8 +59,8 @@
 	stopping    bool
 }
 
-// New returns the core of the host called self; others are the other hosts of
-// its failure domain as the settings name them.
+// New returns the state machine of the host with the name self; others are the other hosts of its
+// failure domain according to the settings.
 func New(limits Limits, self string, incarnation int64, others []string, now time.Time) *Shares {
 	s := &Shares{
 		limits: limits, self: Announcement{Name: self, Incarnation: incarnation}, began: now, lastStep: now,
@@ -71,7 +73,7 @@
 	return s
 }
 
-// Step takes one event and returns what follows from it.
+// Step applies one event and returns the actions that follow from it.
 func (s *Shares) Step(now time.Time, ev Event) []Action {
 	before := s.usageRights()
 	s.resume(now)
@@ -94,9 +96,9 @@
 	return acts
 }
 
-// resume treats a host that was paused for long as a new one. The others may
-// have taken its slots meanwhile; it would use them a second time, which shows
-// as a backend server with more than its slots in use.
+// resume treats a host that was paused for long like one that has just started. The other hosts may
+// have taken its slots meanwhile. If the host went on using them, a backend server would have more
+// requests than slots.
 func (s *Shares) resume(now time.Time) {
 	gap := now.Sub(s.lastStep)
 	s.lastStep = now
@@ -123,8 +125,8 @@
 	}
 }
 
-// updateHosts notes who is gone. A updateHosts without this host itself comes from before
-// this host's start and proves nothing.
+// updateHosts records which hosts the list is without. A list without this host itself was made
+// before this host started and proves nothing.
 func (s *Shares) updateHosts(now time.Time, names []string) {
 	if !slices.Contains(names, s.self.Name) {
 		return
@@ -139,9 +141,9 @@
 	}
 }
 
-// drained ends a planned stop by giving the slots away. A host that stops
-// before it settled gives nothing: what its former incarnation sent may still
-// run, and the heir would send a second request into the same slot.
+// drained completes a planned stop by releasing the slots. A host that stops before the end of its
+// startup wait releases nothing: requests of its previous incarnation may still run, and the next
+// host in the succession would send a second request into the same slot.
 func (s *Shares) drained() []Action {
 	for _, p := range s.peers {
 		p.takenInUse = false
@@ -161,7 +163,7 @@
 	}
 }
 
-// applyTimeouts grants what time alone proves.
+// applyTimeouts grants the rights that follow from the passage of time alone.
 func (s *Shares) applyTimeouts(now time.Time) {
 	s.startupDone = s.startupDone || now.Sub(s.began) >= s.limits.StartupWait
 	if s.stopping {
@@ -174,7 +176,7 @@
 	}
 }
 
-// Announcement is what this host has to tell the others of its failure domain now.
+// Announcement returns this host's current announcement to the other hosts of its failure domain.
 func (s *Shares) Announcement() Announcement {
 	w := s.self
 	w.Freed = map[string]int64{}
@@ -186,8 +188,8 @@
 	return w
 }
 
-// AwaitedHosts lists the hosts that have not yet freed their part of this host's
-// slots, in order of name.
+// AwaitedHosts lists the hosts that have not yet freed their part of this host's slots, ordered by
+// name.
 func (s *Shares) AwaitedHosts() []string {
 	var all []string
 	for _, name := range slices.Sorted(maps.Keys(s.peers)) {
@@ -208,7 +210,7 @@
 	return all
 }
 
-// UsableSlots is how many of a backend server's slots this host may use now.
+// UsableSlots returns how many of a backend server's slots this host may use now.
 func (s *Shares) UsableSlots(backend string, slots int) int {
 	n := 0
 	for i := range slots {
@@ -219,7 +221,7 @@
 	return n
 }
 
-// MayUse tells whether this host may use one slot of a backend server now.
+// MayUse reports whether this host may use one slot of a backend server now.
 func (s *Shares) MayUse(backend string, slot int) bool {
 	if !s.startupDone || s.stopping {
 		return false
@@ -236,8 +238,8 @@
 	return true
 }
 
-// succession orders the hosts that may use a slot, its owner first. The order
-// differs from slot to slot, so that what a dead host leaves is spread over all.
+// succession returns the hosts that may use a slot in order of precedence, its owner first. The
+// order differs from slot to slot, so that the slots of a dead host are spread over all others.
 func (s *Shares) succession(backend string, slot int) []string {
 	n := len(s.names)
 	turn := int(xxhash.Sum64String(backend)%uint64(n)) + slot
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -32,8 +32,8 @@
 	list []string
 }
 
-// simulation runs several cores of one failure domain and keeps, slot by slot,
-// until when which process may still have a request there.
+// simulation runs several share state machines of one failure domain. For each slot it records
+// until when each process may still have a request there.
 type simulation struct {
 	t             require.TestingT
 	now           time.Time
@@ -79,7 +79,8 @@
 	}
 }
 
-// sendRequests sends a request on every slot that a process takes for its own.
+// sendRequests sends a request on every slot that a process may use, and checks that no slot has
+// two users.
 func (w *simulation) sendRequests() {
 	for _, p := range w.processes {
 		if p.dead {
@@ -131,7 +132,8 @@
 	return names
 }
 
-// converge lets every host hear every other and read the list for long enough.
+// converge lets every host receive the announcements of all others and read the list for long
+// enough.
 func (w *simulation) converge() {
 	for range 8 {
 		for _, p := range w.processes {
@@ -160,10 +162,10 @@
 	return n
 }
 
-// Hosts start, die, stop in a planned way and come back while words are lost,
-// late and doubled and each host reads an old host list. If two hosts took the
-// same slot, a backend server would get a ninth request and scans would wait
-// inside it, where no queue of ours can put them first.
+// Hosts start, die, stop in a planned way and return while announcements are lost, delayed and
+// duplicated and each host reads an outdated host list. If two hosts took the same slot, a backend
+// server would get a ninth request, and scans would wait inside it, where our queues can't put them
+// first.
 func TestNoSlotIsUsedTwiceWhateverHappens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSimulation(t, rapid.IntRange(2, 4).Draw(t, "hosts"))
@@ -216,16 +218,16 @@
 	})
 }
 
-// One of three hosts dies for good, or stops in a planned way. Its slots must
-// not stay empty for ever: the others' callers would wait beside idle servers.
-// When it comes back it gets its slots again.
+// One of three hosts dies for good, or stops in a planned way. Its slots must not stay empty
+// forever, since callers of the other hosts would wait while backend servers are idle. When it
+// returns it gets its slots again.
 func TestSlotsOfAGoneHostAreTakenAndGivenBack(t *testing.T) {
 	for _, planned := range []bool{false, true} {
 		w := newSimulation(t, 3)
 		for i := range w.names {
 			w.startProcess(i)
 		}
-		require.Zero(t, w.inUse(), "a joiner waits")
+		require.Zero(t, w.inUse(), "hosts wait after their start")
 		w.converge()
 		require.Equal(t, slots, w.inUse())
 		gone := w.processes[0]
@@ -236,20 +238,20 @@
 			require.Len(t, w.announcements, 1)
 			w.step(w.processes[1], share.AnnouncementReceived{Announcement: w.announcements[0]})
 			w.step(w.processes[2], share.AnnouncementReceived{Announcement: w.announcements[0]})
-			require.Equal(t, slots, w.inUse(), "what was given is used at once")
+			require.Equal(t, slots, w.inUse(), "released slots are used at once")
 			w.step(w.processes[1], share.AnnouncementReceived{Announcement: stale})
-			require.Equal(t, slots, w.inUse(), "a late word of the stopped host changes nothing")
+			require.Equal(t, slots, w.inUse(), "a delayed announcement of the stopped host changes nothing")
 		}
 		gone.dead, w.listed[gone.name] = true, false
 		if !planned {
 			w.advance(time.Second)
-			require.Less(t, w.inUse(), slots, "what it sent may still run")
+			require.Less(t, w.inUse(), slots, "requests of the dead host may still run")
 		}
 		w.converge()
 		require.Equal(t, slots, w.inUse())
 		w.processes[1].dead, w.listed["h1"] = true, false
 		w.converge()
-		require.Equal(t, slots, w.inUse(), "the last host uses all")
+		require.Equal(t, slots, w.inUse(), "the last host uses all slots")
 		w.startProcess(0)
 		w.converge()
 		require.Equal(t, slots, w.inUse())
@@ -257,9 +259,9 @@
 	}
 }
 
-// A host returns while its heir still has requests in the slots that it took,
-// or while such an heir has just died and come back itself. The owner must
-// wait for those requests, or the backend server gets a ninth one.
+// A host returns while the host that took its slots still has requests in them, or after that host
+// has just died and returned itself. The owner must wait for those requests, or the backend server
+// gets a ninth one.
 func TestReturningOwnerWaitsForRequestsInItsSlots(t *testing.T) {
 	for _, otherDies := range []bool{false, true} {
 		w := newSimulation(t, 2)
@@ -272,7 +274,7 @@
 			w.advance(longest / 3)
 		}
 		w.advance(longest / 3)
-		require.Equal(t, slots, w.inUse(), "the heir has taken the slots")
+		require.Equal(t, slots, w.inUse(), "the other host has taken the slots")
 		w.startProcess(0)
 		for range 3 {
 			w.advance(longest * 3 / 10)
