--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -86,17 +86,17 @@
 	for _, s := range f.Final {
 		c.final[State(s)] = true
 	}
-	return c, c.check()
+	return c, c.validate()
 }
 
-func (c *Chart) check() error {
+func (c *Chart) validate() error {
 	seen := map[State]bool{c.start: true}
-	todo := []State{c.start}
-	for len(todo) > 0 {
-		s := todo[0]
-		todo = todo[1:]
-		moves, known := c.states[s]
-		if !known && !c.final[s] {
+	pending := []State{c.start}
+	for len(pending) > 0 {
+		s := pending[0]
+		pending = pending[1:]
+		moves, described := c.states[s]
+		if !described && !c.final[s] {
 			return &FileError{c.Name, fmt.Sprintf("state %q is not described", s)}
 		}
 		if c.final[s] && len(moves) > 0 {
@@ -105,7 +105,7 @@
 		for _, to := range moves {
 			if !seen[to] {
 				seen[to] = true
-				todo = append(todo, to)
+				pending = append(pending, to)
 			}
 		}
 	}
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -21,20 +21,20 @@
 	ReservedForUrgent
 )
 
-// limit tells whether the work waits for a limit of the table, which no room
+// isLimit tells whether the work waits for a isLimit of the table, which no room
 // that is kept for it can help.
-func (b BlockReason) limit() bool { return b == RowTaskLimit || b == RowSizeLimit || b == TeamQuota }
+func (b BlockReason) isLimit() bool { return b == RowTaskLimit || b == RowSizeLimit || b == TeamQuota }
 
 // entry is one job's tasks that wait for room.
 type entry struct {
 	Request
-	seq    int64
-	shape  *shape
-	live   int
-	marked []*worker
+	seq      int64
+	shape    *shape
+	pending  int
+	reserved []*worker
 }
 
-func (e *entry) waiting() bool { return e.live > 0 }
+func (e *entry) waiting() bool { return e.pending > 0 }
 
 // shape is waiting work of one row that fits or does not fit alike, so that it
 // is tried and blocked as one. The work behind it is not held up.
@@ -43,9 +43,9 @@
 	size    cell.Size
 	time    time.Duration
 	blocked BlockReason
-	// looked is the step in which the shape was last tried again.
-	looked  int64
-	entries []*entry
+	// lastRetry is the step in which the shape was last tried again.
+	lastRetry int64
+	entries   []*entry
 }
 
 // head is the oldest entry that still waits.
@@ -116,7 +116,7 @@
 	for _, task := range w.Tasks {
 		if _, ok := q.tasks[task]; !ok {
 			q.tasks[task] = e
-			e.live++
+			e.pending++
 		}
 	}
 	l := q.lane(w)
@@ -144,7 +144,7 @@
 		return false
 	}
 	delete(q.tasks, task)
-	e.live--
+	e.pending--
 	return true
 }
 
@@ -167,7 +167,7 @@
 	}
 }
 
-func (q *queue) ready(s *shape) {
+func (q *queue) markReady(s *shape) {
 	if s.blocked != Ready {
 		s.blocked = Ready
 		s.lane.ready = append(s.lane.ready, s)
@@ -181,11 +181,11 @@
 		for _, l := range lanes {
 			l.shapes = slices.DeleteFunc(l.shapes, func(s *shape) bool {
 				if s.head() == nil {
-					q.forget(s)
+					q.deleteShape(s)
 					return true
 				}
 				if s.blocked != Ready && passed(s) {
-					q.ready(s)
+					q.markReady(s)
 				}
 				return false
 			})
@@ -193,16 +193,16 @@
 	}
 }
 
-// deserts orders lanes of one class by what their team and row have already.
-type deserts func(*lane) (team, row float64)
+// usageFunc orders lanes of one class by what their team and row have already.
+type usageFunc func(*lane) (team, row float64)
 
 // next returns the ready entry that goes first: by class, then by what the
 // lane deserves, then by age.
-func (q *queue) next(of deserts) *entry { return q.goesFirst(of, q.first) }
+func (q *queue) next(of usageFunc) *entry { return q.firstInOrder(of, q.firstReady) }
 
-// passing returns the blocked entry that goes first of those that pass.
-func (q *queue) passing(of deserts, passed func(*shape) bool) *entry {
-	return q.goesFirst(of, func(l *lane) *entry {
+// nextBlocked returns the blocked entry that goes first of those that pass.
+func (q *queue) nextBlocked(of usageFunc, passed func(*shape) bool) *entry {
+	return q.firstInOrder(of, func(l *lane) *entry {
 		var first *entry
 		for _, s := range l.shapes {
 			if s.blocked == Ready || !passed(s) {
@@ -216,7 +216,7 @@
 	})
 }
 
-func (q *queue) goesFirst(of deserts, in func(*lane) *entry) *entry {
+func (q *queue) firstInOrder(of usageFunc, in func(*lane) *entry) *entry {
 	for _, lanes := range q.order {
 		var first *entry
 		var firstTeam, firstRow float64
@@ -237,7 +237,7 @@
 	return nil
 }
 
-func (q *queue) first(l *lane) *entry {
+func (q *queue) firstReady(l *lane) *entry {
 	var first *entry
 	l.ready = slices.DeleteFunc(l.ready, func(s *shape) bool {
 		e := s.head()
@@ -245,23 +245,23 @@
 			first = e
 		}
 		if e == nil {
-			q.forget(s)
+			q.deleteShape(s)
 		}
 		return e == nil
 	})
 	return first
 }
 
-func (q *queue) forget(s *shape) {
+func (q *queue) deleteShape(s *shape) {
 	key := shapeKey{laneKey: laneKey{class: s.lane.class, row: s.lane.row, team: s.lane.team}, size: s.size, time: s.time}
 	if q.shapes[key] == s {
 		delete(q.shapes, key)
 	}
 }
 
-// ruled applies what the table says now to work that waits already. Without it
+// applyRule applies what the table says now to work that waits already. Without it
 // an accepted edit would be in force for new jobs only.
-func (q *queue) ruled(ev RuleChanged) {
+func (q *queue) applyRule(ev RuleChanged) {
 	for key, l := range q.lanes {
 		if key.row != ev.Row {
 			continue
@@ -271,8 +271,8 @@
 			for _, e := range s.entries {
 				e.Rule = ev.Rule
 			}
-			if s.blocked.limit() {
-				q.ready(s)
+			if s.blocked.isLimit() {
+				q.markReady(s)
 			}
 		}
 	}
