--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -9,26 +9,27 @@
 	"pollencroft/internal/chart"
 )
 
-// A task is tried on a worker of its own after some lives of workers ended under it, and given up
-// after some more.
+// A task runs on a worker without other tasks after exclusiveAfterCrashes crashes of its workers,
+// and is given up after maxCrashes.
 const (
-	livesApart = 2
-	livesMost  = 3
+	exclusiveAfterCrashes = 2
+	maxCrashes            = 3
 )
 
-// sparedMost is how many losses of whole racks are not counted for a task. It may be one of those
-// that crash all workers of a rack together.
-const sparedMost = 3
+// maxExcusedCrashes is how many losses of whole racks are not counted against a task. The limit is
+// there since the task itself may be what crashes all workers of a rack together.
+const maxExcusedCrashes = 3
 
-// proven is how long a task has to run for the end of its worker's life not to count. Without it
-// every task that lasts would be given up in the end, since workers also crash by themselves.
-const proven = time.Hour
+// provenAfter is how long a task has to run so that the end of its worker's incarnation does not
+// count as a crash. Without this limit every long-running task would eventually be given up, since
+// workers also crash for other reasons.
+const provenAfter = time.Hour
 
 func (t *task) proven(now time.Time) bool {
-	return t.state != "unsure" && t.state != "starting" && now.Sub(t.since) >= proven
+	return t.state != "unsure" && t.state != "starting" && now.Sub(t.onWorkerSince) >= provenAfter
 }
 
-// CrashedError tells that a task was given up because workers crashed under it.
+// CrashedError reports that a task was given up because workers crashed while it ran.
 type CrashedError struct {
 	Task    string
 	Crashes int64
@@ -38,54 +39,55 @@
 	return fmt.Sprintf("task %s was given up: %d workers crashed while it ran", e.Task, e.Crashes)
 }
 
-// life is a worker's life, told by a list that was asked for at sent.
-type life struct {
+// incarnation is a worker's incarnation as reported by a list that was requested at sent.
+type incarnation struct {
 	name string
 	sent time.Time
 }
 
-// place is where a task was, and what was counted of it.
+// place is where a task was, with its crash counts.
 type place struct {
-	task, worker, life string
-	lives, noted       int64
-	spared             int
+	task, worker, incarnation string
+	crashes, storedCrashes    int64
+	excusedCrashes            int
 }
 
-// formerMost bounds of how many tasks that were given up the place is remembered.
-const formerMost = 20_000
+// maxDroppedPlaces bounds the number of dropped tasks whose place is remembered.
+const maxDroppedPlaces = 20_000
 
-func (j *Jobs) remember(now time.Time, t *task) {
-	if t.life != "" && !t.proven(now) && !taskLife.Final(t.state) && len(j.former) < formerMost {
-		j.former[t.id] = place{worker: t.worker, life: t.life, lives: t.lives, noted: t.noted, spared: t.spared}
+func (j *Jobs) rememberPlace(now time.Time, t *task) {
+	if t.incarnation != "" && !t.proven(now) && !taskChart.Final(t.state) && len(j.droppedPlaces) < maxDroppedPlaces {
+		j.droppedPlaces[t.id] = place{worker: t.worker, incarnation: t.incarnation, crashes: t.crashes, storedCrashes: t.storedCrashes, excusedCrashes: t.excusedCrashes}
 	}
 }
 
-// recall brings back what was known of an inherited task when this host gave it up.
-func (j *Jobs) recall(t *task) {
-	if f, ok := j.former[t.id]; ok {
-		delete(j.former, t.id)
-		t.former, t.lives, t.noted, t.spared = &f, f.lives, f.noted, f.spared
+// recallPlace restores what this host knew of an inherited task when it dropped the task's job.
+func (j *Jobs) recallPlace(t *task) {
+	if f, ok := j.droppedPlaces[t.id]; ok {
+		delete(j.droppedPlaces, t.id)
+		t.lastPlace, t.crashes, t.storedCrashes, t.excusedCrashes = &f, f.crashes, f.storedCrashes, f.excusedCrashes
 		j.recalled[f.worker] = append(j.recalled[f.worker], t)
 	}
 }
 
 func (j *job) reason() string {
-	if j.crashed == nil {
+	if j.crashErr == nil {
 		return ""
 	}
-	return j.crashed.Error()
+	return j.crashErr.Error()
 }
 
-func (t *task) apart() bool { return t.lives >= livesApart }
+func (t *task) needsExclusiveWorker() bool { return t.crashes >= exclusiveAfterCrashes }
 
-// NeedsExclusiveWorker tells whether a task is tried on a worker of its own.
+// NeedsExclusiveWorker reports whether a task must run on a worker without other tasks.
 func (j *Jobs) NeedsExclusiveWorker(id string) bool {
 	t, ok := j.tasks[id]
-	return ok && t.apart()
+	return ok && t.needsExclusiveWorker()
 }
 
-// backAt takes out the recalled tasks that were on a worker of which a list came.
-func (j *Jobs) backAt(ev WorkerList) []*task {
+// takeRecalled removes and returns the recalled tasks that were on the worker and whose jobs the
+// list covers.
+func (j *Jobs) takeRecalled(ev WorkerList) []*task {
 	var back, rest []*task
 	for _, t := range j.recalled[ev.Worker] {
 		if ev.Jobs == nil || slices.Contains(ev.Jobs, t.job.spec.ID) {
@@ -101,73 +103,75 @@
 	return back
 }
 
-// judge notes under which tasks a worker's former life ended. What ended it is not known: of
-// several tasks only those are blamed under which the most lives ended before.
-func (j *Jobs) judge(ev WorkerList, listed map[string]bool) []Action {
-	if ev.Incarnation == "" || ev.Sent.Before(j.lives[ev.Worker].sent) {
+// attributeCrashes determines which tasks were on a worker when its previous incarnation ended. The
+// cause of the end is unknown, so of several tasks only those with the most crashes before are
+// suspected.
+func (j *Jobs) attributeCrashes(ev WorkerList, listed map[string]bool) []Action {
+	if ev.Incarnation == "" || ev.Sent.Before(j.incarnations[ev.Worker].sent) {
 		return nil
 	}
-	j.lives[ev.Worker] = life{name: ev.Incarnation, sent: ev.Sent}
-	under, late := j.under(ev, listed), j.late(ev)
+	j.incarnations[ev.Worker] = incarnation{name: ev.Incarnation, sent: ev.Sent}
+	lost, late := j.lostInCrash(ev, listed), j.crashedWhileSilent(ev)
 	most := int64(0)
-	for _, t := range slices.Concat(under, late) {
-		most = max(most, t.lives)
+	for _, t := range slices.Concat(lost, late) {
+		most = max(most, t.crashes)
 	}
-	for _, t := range under {
-		t.blamed = t.lives == most && !t.spare(ev)
+	for _, t := range lost {
+		t.suspected = t.crashes == most && !t.excuse(ev)
 	}
 	var acts []Action
 	for _, t := range late {
-		if t.lives == most && !t.spare(ev) {
-			acts = append(acts, j.countLate(t, ev.Worker)...)
+		if t.crashes == most && !t.excuse(ev) {
+			acts = append(acts, j.countLateCrash(t, ev.Worker)...)
 		}
 	}
 	return acts
 }
 
-// goneFrom notes that a task was on a worker that is silent for longer than any lease. Entries of
-// tasks that have ended are dropped: their workers may never come back.
-func (j *Jobs) goneFrom(t *task, worker string) {
-	for name, all := range j.away {
-		j.away[name] = slices.DeleteFunc(all, func(p place) bool {
+// recordSilent remembers that a task was on a worker that has been silent for longer than any
+// lease. Entries of ended tasks are removed, since their workers may never come back.
+func (j *Jobs) recordSilent(t *task, worker string) {
+	for name, all := range j.silentPlaces {
+		j.silentPlaces[name] = slices.DeleteFunc(all, func(p place) bool {
 			other, ok := j.tasks[p.task]
-			return !ok || taskLife.Final(other.state)
+			return !ok || taskChart.Final(other.state)
 		})
-		if len(j.away[name]) == 0 {
-			delete(j.away, name)
+		if len(j.silentPlaces[name]) == 0 {
+			delete(j.silentPlaces, name)
 		}
 	}
-	j.away[worker] = append(j.away[worker], place{task: t.id, life: t.life})
+	j.silentPlaces[worker] = append(j.silentPlaces[worker], place{task: t.id, incarnation: t.incarnation})
 }
 
-func (t *task) spare(ev WorkerList) bool {
-	if !ev.RackLost || t.spared >= sparedMost {
+func (t *task) excuse(ev WorkerList) bool {
+	if !ev.RackLost || t.excusedCrashes >= maxExcusedCrashes {
 		return false
 	}
-	t.spared++
+	t.excusedCrashes++
 	return true
 }
 
-// late are the tasks that were on a worker when it fell silent, if it has another life since.
-func (j *Jobs) late(ev WorkerList) []*task {
+// crashedWhileSilent returns the unfinished tasks that were on a worker when it fell silent, if the
+// worker has a different incarnation now.
+func (j *Jobs) crashedWhileSilent(ev WorkerList) []*task {
 	if ev.Jobs != nil {
 		return nil
 	}
 	var late []*task
-	for _, p := range j.away[ev.Worker] {
-		if t, ok := j.tasks[p.task]; ok && p.life != ev.Incarnation && !taskLife.Final(t.state) {
+	for _, p := range j.silentPlaces[ev.Worker] {
+		if t, ok := j.tasks[p.task]; ok && p.incarnation != ev.Incarnation && !taskChart.Final(t.state) {
 			late = append(late, t)
 		}
 	}
-	delete(j.away, ev.Worker)
+	delete(j.silentPlaces, ev.Worker)
 	return late
 }
 
-// countLate counts a life for a task that was tried elsewhere meanwhile. If it waits for room, it
-// waits for its count to be stored first.
-func (j *Jobs) countLate(t *task, worker string) []Action {
-	crashed := t.count(worker)
-	if t.job.census {
+// countLateCrash counts a crash for a task that has been queued or started elsewhere meanwhile. If
+// the task waits for capacity, its request is withdrawn until the count is stored.
+func (j *Jobs) countLateCrash(t *task, worker string) []Action {
+	crashed := t.countCrash(worker)
+	if t.job.awaitsInventory {
 		return []Action{crashed}
 	}
 	var acts []Action
@@ -176,79 +180,80 @@
 			acts = append(acts, Free{Task: o.id})
 		}
 	}
-	return append(append(acts, j.giveUpOver(t.job)...), crashed)
+	return append(append(acts, j.giveUpAfterCrashes(t.job)...), crashed)
 }
 
-// under are the tasks that were on a worker in an earlier life than the one that its list is from.
-func (j *Jobs) under(ev WorkerList, listed map[string]bool) []*task {
-	var under []*task
-	for _, id := range slices.Sorted(maps.Keys(j.on[ev.Worker])) {
+// lostInCrash returns the tasks that were on a worker in an earlier incarnation than the one that
+// sent the list.
+func (j *Jobs) lostInCrash(ev WorkerList, listed map[string]bool) []*task {
+	var lost []*task
+	for _, id := range slices.Sorted(maps.Keys(j.byWorker[ev.Worker])) {
 		t := j.tasks[id]
-		if !t.since.Before(ev.Sent) || ev.Jobs != nil && !slices.Contains(ev.Jobs, t.job.spec.ID) {
+		if !t.onWorkerSince.Before(ev.Sent) || ev.Jobs != nil && !slices.Contains(ev.Jobs, t.job.spec.ID) {
 			continue
 		}
-		if t.life != "" && t.life != ev.Incarnation && !listed[id] && !taskLife.Final(t.state) {
-			under = append(under, t)
+		if t.incarnation != "" && t.incarnation != ev.Incarnation && !listed[id] && !taskChart.Final(t.state) {
+			lost = append(lost, t)
 		}
-		t.life = ev.Incarnation
+		t.incarnation = ev.Incarnation
 	}
-	for _, t := range j.backAt(ev) {
-		if t.worker == "" && t.job.census && !listed[t.id] && t.former.life != ev.Incarnation {
-			under = append(under, t)
+	for _, t := range j.takeRecalled(ev) {
+		if t.worker == "" && t.job.awaitsInventory && !listed[t.id] && t.lastPlace.incarnation != ev.Incarnation {
+			lost = append(lost, t)
 		}
 	}
-	return under
+	return lost
 }
 
-func (t *task) count(worker string) StoreCrashCount {
-	t.lives++
-	return StoreCrashCount{Job: t.job.spec.ID, Task: t.id, Worker: worker, Crashes: t.lives}
+func (t *task) countCrash(worker string) StoreCrashCount {
+	t.crashes++
+	return StoreCrashCount{Job: t.job.spec.ID, Task: t.id, Worker: worker, Crashes: t.crashes}
 }
 
-// crashed counts a life that ended under a task, which certainly runs no more.
-func (j *Jobs) crashed(now time.Time, t *task) []Action {
+// handleCrash counts a worker's crash for a task that certainly runs no longer.
+func (j *Jobs) handleCrash(now time.Time, t *task) []Action {
 	why := chart.Event("gone")
 	if t.state == "running" {
 		why = "retry"
 	}
 	if t.proven(now) {
-		return j.again(t.id, why)
+		return j.queueAgain(t.id, why)
 	}
-	crashed := t.count(t.worker)
-	acts := j.again(t.id, why)
-	if !t.job.census {
-		acts = append(acts, j.giveUpOver(t.job)...)
+	crashed := t.countCrash(t.worker)
+	acts := j.queueAgain(t.id, why)
+	if !t.job.awaitsInventory {
+		acts = append(acts, j.giveUpAfterCrashes(t.job)...)
 	}
-	// The room has to be free before the task is wanted again.
+	// The capacity must be freed before it is requested again.
 	return append(acts, crashed)
 }
 
-// giveUpOver fails what waits of a job under one of whose tasks too many lives ended: a part of it
-// can never be had. What runs may end.
-func (j *Jobs) giveUpOver(jb *job) []Action {
-	over := func(t *task) bool { return t.lives >= livesMost && !taskLife.Final(t.state) }
+// giveUpAfterCrashes fails the waiting tasks of a job if one of its tasks has reached maxCrashes,
+// since the job can't be completed then. Running tasks may end.
+func (j *Jobs) giveUpAfterCrashes(jb *job) []Action {
+	over := func(t *task) bool { return t.crashes >= maxCrashes && !taskChart.Final(t.state) }
 	i := slices.IndexFunc(jb.tasks, over)
-	if jb.crashed != nil || i < 0 {
+	if jb.crashErr != nil || i < 0 {
 		return nil
 	}
-	jb.crashed = &CrashedError{Task: jb.tasks[i].id, Crashes: jb.tasks[i].lives}
+	jb.crashErr = &CrashedError{Task: jb.tasks[i].id, Crashes: jb.tasks[i].crashes}
 	var acts []Action
 	for _, t := range jb.tasks {
 		if t.state == "waiting" && t.move("fail") {
 			acts = append(acts, Free{Task: t.id})
 		}
 	}
-	return append(acts, j.settle(jb)...)
+	return append(acts, j.endIfDone(jb)...)
 }
 
-// notedLives asks for room for a task that waited for its count to be stored.
-func (j *Jobs) notedLives(ev CrashCountStored) []Action {
+// crashCountStored requests capacity for a task that waited for its crash count to be stored.
+func (j *Jobs) crashCountStored(ev CrashCountStored) []Action {
 	t, ok := j.tasks[ev.Task]
-	if !ok || t.noted >= t.lives || ev.Crashes < t.lives {
+	if !ok || t.storedCrashes >= t.crashes || ev.Crashes < t.crashes {
 		return nil
 	}
-	t.noted = ev.Crashes
-	if t.state != "waiting" || t.job.census {
+	t.storedCrashes = ev.Crashes
+	if t.state != "waiting" || t.job.awaitsInventory {
 		return nil
 	}
 	return j.requeue(t)
--- a/internal/lead/history_test.go
+++ b/internal/lead/history_test.go
@@ -21,41 +21,43 @@
 	"pollencroft/internal/standin"
 )
 
-// Fates of an exchange with a worker.
+// Outcomes of an exchange with a worker.
 const (
 	answered = iota
-	// answerLost is carried out without an answer, late is carried out some time later.
-	answerLost
+	// replyLost means that the request is carried out but its reply is lost; late means that it is
+	// carried out some time later.
+	replyLost
 	late
 )
 
-// history is two hosts and their workers, with what callers and the network do drawn at random.
+// history is two hosts and their workers, driven by randomly drawn events: actions of callers,
+// faults of the network, of workers and of hosts.
 type history struct {
 	*pair
 	draw *rapid.T
-	// fate is that of the exchange that runs now.
-	fate int
-	// overdue are requests that their sender has given up.
-	overdue  []*http.Request
-	open     map[string]job.Spec
-	handing  map[string][]*outgoing
-	messages []message
-	paused   map[string]bool
-	jobs     int
-	// crashes tells that workers crash, too.
+	// outcome is the outcome of the exchange that is running.
+	outcome int
+	// delayed holds requests that their sender has given up on and that may still arrive.
+	delayed     []*http.Request
+	open        map[string]job.Spec
+	handingOver map[string][]*outgoing
+	messages    []message
+	paused      map[string]bool
+	jobs        int
+	// crashes enables crashes of workers.
 	crashes bool
-	// has is what each worker has, which may be more than what is listed.
-	has map[string]cell.Size
+	// actualSizes holds the actual sizes of the workers, which may be larger than the listed ones.
+	actualSizes map[string]cell.Size
 }
 
-// unruly gives each exchange its fate.
-type unruly struct {
+// faultyTransport applies the drawn outcome to each exchange.
+type faultyTransport struct {
 	history *history
-	path    path
+	next    transport
 }
 
-func (u unruly) RoundTrip(req *http.Request) (*http.Response, error) {
-	switch u.history.fate {
+func (u faultyTransport) RoundTrip(req *http.Request) (*http.Response, error) {
+	switch u.history.outcome {
 	case late:
 		body, err := io.ReadAll(req.Body)
 		if err != nil {
@@ -63,19 +65,19 @@
 		}
 		held := req.Clone(u.history.Context())
 		held.Body = io.NopCloser(bytes.NewReader(body))
-		u.history.overdue = append(u.history.overdue, held)
-		return nil, cutError{}
-	case answerLost:
-		if _, err := u.path.RoundTrip(req); err != nil {
+		u.history.delayed = append(u.history.delayed, held)
+		return nil, unreachableError{}
+	case replyLost:
+		if _, err := u.next.RoundTrip(req); err != nil {
 			return nil, err
 		}
-		return nil, cutError{}
+		return nil, unreachableError{}
 	default:
-		return u.path.RoundTrip(req)
+		return u.next.RoundTrip(req)
 	}
 }
 
-// drawLog logs with the steps of a history.
+// drawLog writes the log among the drawn steps of a history.
 type drawLog struct{ draw *rapid.T }
 
 func (l drawLog) Write(b []byte) (int, error) {
@@ -84,20 +86,20 @@
 }
 
 func newHistory(t *testing.T, draw *rapid.T) *history {
-	h := &history{draw: draw, open: map[string]job.Spec{}, handing: map[string][]*outgoing{}, paused: map[string]bool{}, has: map[string]cell.Size{}}
-	h.pair = newPairOn(t, rapid.IntRange(1, 3).Draw(draw, "workers"), drawLog{draw}, func(p *pair, name string) http.RoundTripper {
-		return unruly{history: h, path: path{p, name}}
+	h := &history{draw: draw, open: map[string]job.Spec{}, handingOver: map[string][]*outgoing{}, paused: map[string]bool{}, actualSizes: map[string]cell.Size{}}
+	h.pair = newPairWithTransport(t, rapid.IntRange(1, 3).Draw(draw, "workers"), drawLog{draw}, func(p *pair, name string) http.RoundTripper {
+		return faultyTransport{history: h, next: transport{p, name}}
 	})
 	for _, m := range h.machines {
-		h.has[m.Name] = m.Size
+		h.actualSizes[m.Name] = m.Size
 	}
-	h.knows("a", true)
-	h.knows("b", true)
+	h.setDomain("a", true)
+	h.setDomain("b", true)
 	return h
 }
 
-// knows tells a host which workers there are, and whether it takes the other host for alive.
-func (h *history) knows(name string, alive bool) {
+// setDomain tells a host which workers there are, and whether the other host is alive.
+func (h *history) setDomain(name string, alive bool) {
 	var workers, peers []string
 	for _, m := range h.machines {
 		workers = append(workers, m.Name)
@@ -114,8 +116,8 @@
 
 func other(name string) string { return map[string]string{"a": "b", "b": "a"}[name] }
 
-// awake is a host that is not paused; empty if the drawn one is.
-func (h *history) awake() string {
+// activeHost draws a host. It returns an empty string if that host is paused.
+func (h *history) activeHost() string {
 	name := h.host("host")
 	if h.paused[name] {
 		return ""
@@ -123,7 +125,7 @@
 	return name
 }
 
-// action is something that may happen next, more often with a larger weight.
+// action is an event that may happen next. Its probability is proportional to its weight.
 type action struct {
 	name   string
 	weight int
@@ -132,27 +134,27 @@
 
 func (h *history) actions() []action {
 	all := []action{
-		{"time", 3, h.time},
-		{"exchange", 6, func() { h.exchange(answered) }},
-		{"lost", 1, func() { h.exchange(answerLost) }},
-		{"late", 1, func() { h.exchange(late) }},
-		{"arrive", 1, h.arrive},
-		{"settle", 2, h.settle},
+		{"time", 3, h.advance},
+		{"exchange", 6, func() { h.runExchange(answered) }},
+		{"lost", 1, func() { h.runExchange(replyLost) }},
+		{"late", 1, func() { h.runExchange(late) }},
+		{"arrive", 1, h.deliverDelayed},
+		{"settle", 2, h.advanceWithoutFaults},
 		{"submit", 3, h.submitOne},
 		{"cancel", 1, h.cancel},
 		{"fail", 2, h.fail},
-		{"divide", 2, h.divide},
+		{"divide", 2, h.assignWorkers},
 		{"flap", 1, h.flap},
 		{"pause", 1, func() { h.paused[h.host("host")] = true }},
 		{"resume", 2, h.resume},
 		{"resize", 2, h.resize},
-		{"hand", 2, h.hand},
-		{"push", 4, h.push},
-		{"receive", 2, h.receive},
-		{"abandon", 2, h.abandon},
+		{"hand", 2, h.beginHandover},
+		{"push", 4, h.sendHandover},
+		{"receive", 2, h.deliverHandover},
+		{"abandon", 2, h.abandonHandover},
 		{"inherit", 3, h.inherit},
-		{"census", 4, h.census},
-		{"suspect", 1, h.suspect},
+		{"census", 4, h.requestInventory},
+		{"suspect", 1, h.changeSuspicion},
 	}
 	if h.crashes {
 		all = append(all, action{"crash", 1, h.crash})
@@ -160,7 +162,7 @@
 	return all
 }
 
-// next draws what happens next.
+// next draws the next event.
 func (h *history) next() func() {
 	var all []string
 	do := map[string]func(){}
@@ -171,7 +173,7 @@
 	return do[rapid.SampledFrom(all).Draw(h.draw, "next")]
 }
 
-func (h *history) time() {
+func (h *history) advance() {
 	h.now = h.now.Add(time.Duration(rapid.IntRange(1, 15).Draw(h.draw, "tenths")) * 100 * time.Millisecond)
 	for _, name := range []string{"a", "b"} {
 		if !h.paused[name] {
@@ -181,46 +183,46 @@
 	}
 }
 
-// exchange runs one of a host's exchanges, in any order.
-func (h *history) exchange(fate int) {
-	name := h.awake()
+// runExchange runs one of the queued exchanges of a host; any of them may come first.
+func (h *history) runExchange(fate int) {
+	name := h.activeHost()
 	if name == "" || len(h.queues[name]) == 0 {
 		return
 	}
 	i := rapid.IntRange(0, len(h.queues[name])-1).Draw(h.draw, "which")
 	f := h.queues[name][i]
 	h.queues[name] = slices.Delete(h.queues[name], i, i+1)
-	h.fate = fate
+	h.outcome = fate
 	f()
-	h.fate = answered
+	h.outcome = answered
 }
 
-func (h *history) arrive() {
-	if len(h.overdue) == 0 {
+func (h *history) deliverDelayed() {
+	if len(h.delayed) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(h.overdue)-1).Draw(h.draw, "which")
-	req := h.overdue[i]
-	h.overdue = slices.Delete(h.overdue, i, i+1)
+	i := rapid.IntRange(0, len(h.delayed)-1).Draw(h.draw, "which")
+	req := h.delayed[i]
+	h.delayed = slices.Delete(h.delayed, i, i+1)
 	h.workers[req.URL.Host].Handler().ServeHTTP(httptest.NewRecorder(), req)
 }
 
-// settle is a while in which nothing goes wrong.
-func (h *history) settle() {
+// advanceWithoutFaults advances the clock by a number of ticks in which all exchanges succeed.
+func (h *history) advanceWithoutFaults() {
 	for range rapid.IntRange(1, 20).Draw(h.draw, "ticks") {
 		h.now = h.now.Add(100 * time.Millisecond)
 		for _, name := range []string{"a", "b"} {
 			if !h.paused[name] {
 				h.hosts[name].Tick()
 				h.hosts[name].LogRead(h.now)
-				h.drain(name)
+				h.runQueued(name)
 			}
 		}
 	}
 }
 
 func (h *history) submitOne() {
-	name := h.awake()
+	name := h.activeHost()
 	if name == "" {
 		return
 	}
@@ -239,7 +241,7 @@
 }
 
 func (h *history) cancel() {
-	name := h.awake()
+	name := h.activeHost()
 	open := slices.Sorted(maps.Keys(h.open))
 	if name == "" || len(open) == 0 {
 		return
@@ -247,21 +249,21 @@
 	_, _ = h.hosts[name].Cancel(rapid.SampledFrom(open).Draw(h.draw, "job"))
 }
 
-// fail has a worker fail every start from now on, or no more.
+// fail makes a worker fail every start from now on, or ends that.
 func (h *history) fail() {
 	m := rapid.SampledFrom(h.machines).Draw(h.draw, "worker")
 	h.workers[m.Name].SetFaults(standin.WorkerFaults{FailAll: rapid.Bool().Draw(h.draw, "fails")})
 }
 
-// crash ends a worker's process; it is back at once and remembers nothing.
+// crash ends the process of a worker, which restarts at once without any memory of its tasks.
 func (h *history) crash() {
 	m := rapid.SampledFrom(h.machines).Draw(h.draw, "worker")
 	h.workers[m.Name].Crash()
 }
 
-// flap has a host give up all its workers and want them back at once.
+// flap makes a host give up all its workers and lead them again at once.
 func (h *history) flap() {
-	name := h.awake()
+	name := h.activeHost()
 	if name == "" {
 		return
 	}
@@ -271,8 +273,8 @@
 	h.hosts[name].SetLedMachines(led)
 }
 
-// divide gives each worker to one host, now and then to both or to none.
-func (h *history) divide() {
+// assignWorkers assigns each worker to one host, sometimes to both or to none.
+func (h *history) assignWorkers() {
 	led := map[string][]lead.Machine{}
 	for _, m := range h.machines {
 		for _, name := range rapid.SampledFrom([]string{"a", "b", "a", "b", "a", "b", "ab", ""}).Draw(h.draw, "leads") {
@@ -286,23 +288,23 @@
 	}
 }
 
-// outgoing is a job that is handed over.
+// outgoing is a job that is being handed over.
 type outgoing struct {
 	carry job.Snapshot
 	epoch int64
-	// unsure tells that it was sent and has no answer.
+	// unsure is set once it was sent and its answer is missing.
 	unsure bool
 }
 
-// message is a hand-over that was sent and has not arrived.
+// message is a handover that was sent and has not arrived.
 type message struct {
 	from, token string
 	jobs        []job.Snapshot
 }
 
-// hand takes jobs off their lead, to be sent to the other host.
-func (h *history) hand() {
-	name := h.awake()
+// beginHandover makes a host stop leading its jobs, in order to send them to the other host.
+func (h *history) beginHandover() {
+	name := h.activeHost()
 	if name == "" {
 		return
 	}
@@ -312,66 +314,67 @@
 	}
 	jobs, epoch := h.hosts[name].HandOver(ids)
 	for _, c := range jobs {
-		h.handing[name] = append(h.handing[name], &outgoing{carry: c, epoch: epoch})
+		h.handingOver[name] = append(h.handingOver[name], &outgoing{carry: c, epoch: epoch})
 	}
 }
 
-// push sends what a host hands over. Its answer may be lost, or it may itself be late.
-func (h *history) push() {
-	name := h.awake()
+// sendHandover sends the jobs that a host hands over. The message may be late, or its answer lost.
+func (h *history) sendHandover() {
+	name := h.activeHost()
 	if name == "" || h.paused[other(name)] {
 		return
 	}
-	h.handing[name] = slices.DeleteFunc(h.handing[name], func(p *outgoing) bool { return p.epoch != h.hosts[name].Epoch() })
+	h.handingOver[name] = slices.DeleteFunc(h.handingOver[name], func(p *outgoing) bool { return p.epoch != h.hosts[name].Epoch() })
 	token, err := h.hosts[other(name)].ExpectHandover(name)
-	if err != nil || len(h.handing[name]) == 0 {
-		h.giveUp(name)
+	if err != nil || len(h.handingOver[name]) == 0 {
+		h.takeBackUnsent(name)
 		return
 	}
 	l := message{from: name, token: token}
-	for _, p := range h.handing[name] {
+	for _, p := range h.handingOver[name] {
 		l.jobs = append(l.jobs, p.carry)
 	}
 	switch rapid.IntRange(answered, late).Draw(h.draw, "fate") {
 	case answered:
-		h.answer(name, h.hosts[other(name)].Adopt(l.from, l.token, l.jobs))
-	case answerLost:
+		h.handleAnswer(name, h.hosts[other(name)].Adopt(l.from, l.token, l.jobs))
+	case replyLost:
 		_ = h.hosts[other(name)].Adopt(l.from, l.token, l.jobs)
-		h.doubt(name)
+		h.markUnsure(name)
 	case late:
 		h.messages = append(h.messages, l)
-		h.doubt(name)
+		h.markUnsure(name)
 	}
 }
 
-func (h *history) answer(name string, err error) {
+func (h *history) handleAnswer(name string, err error) {
 	switch {
 	case err == nil:
-		h.handing[name] = nil
+		h.handingOver[name] = nil
 	case errors.As(err, new(*lead.StaleHandoverError)):
 	default:
-		h.giveUp(name)
+		h.takeBackUnsent(name)
 	}
 }
 
-func (h *history) doubt(name string) {
-	for _, p := range h.handing[name] {
+func (h *history) markUnsure(name string) {
+	for _, p := range h.handingOver[name] {
 		p.unsure = true
 	}
 }
 
-// giveUp takes back what the other host has certainly not got; the rest needs a census.
-func (h *history) giveUp(name string) {
-	for _, p := range h.handing[name] {
+// takeBackUnsent takes back the jobs that the other host has certainly not received. The others
+// need an inventory.
+func (h *history) takeBackUnsent(name string) {
+	for _, p := range h.handingOver[name] {
 		if !p.unsure {
 			_ = h.hosts[name].TakeBack([]job.Snapshot{p.carry}, p.epoch)
 		}
 	}
-	h.handing[name] = nil
+	h.handingOver[name] = nil
 }
 
-// receive has a late hand-over arrive.
-func (h *history) receive() {
+// deliverHandover delivers a late handover.
+func (h *history) deliverHandover() {
 	if len(h.messages) == 0 {
 		return
 	}
@@ -383,42 +386,42 @@
 	}
 }
 
-// abandon has a host take the other for gone while it hands jobs over.
-func (h *history) abandon() {
-	if name := h.awake(); name != "" {
-		h.giveUp(name)
+// abandonHandover makes a host consider the other one dead while it hands jobs over.
+func (h *history) abandonHandover() {
+	if name := h.activeHost(); name != "" {
+		h.takeBackUnsent(name)
 	}
 }
 
-// inherit has a host take the other's jobs over, as one that takes the other for gone would.
+// inherit makes a host inherit the other host's jobs, as if it considered the other host dead.
 func (h *history) inherit() {
-	name := h.awake()
+	name := h.activeHost()
 	if name == "" {
 		return
 	}
-	h.hosts[name].Inherit(slices.DeleteFunc(slices.Collect(maps.Values(h.open)), func(s job.Spec) bool { return h.hands(name, s.ID) }))
+	h.hosts[name].Inherit(slices.DeleteFunc(slices.Collect(maps.Values(h.open)), func(s job.Spec) bool { return h.isHandingOver(name, s.ID) }))
 }
 
-// suspect has a host take the other for gone, or for alive again.
-func (h *history) suspect() {
-	if name := h.awake(); name != "" {
-		h.knows(name, rapid.Bool().Draw(h.draw, "alive"))
+// changeSuspicion makes a host consider the other one dead, or alive again.
+func (h *history) changeSuspicion() {
+	if name := h.activeHost(); name != "" {
+		h.setDomain(name, rapid.Bool().Draw(h.draw, "alive"))
 	}
 }
 
-func (h *history) hands(name, id string) bool {
-	return slices.ContainsFunc(h.handing[name], func(p *outgoing) bool { return p.carry.Spec.ID == id })
+func (h *history) isHandingOver(name, id string) bool {
+	return slices.ContainsFunc(h.handingOver[name], func(p *outgoing) bool { return p.carry.Spec.ID == id })
 }
 
-func (h *history) census() {
-	name := h.awake()
+func (h *history) requestInventory() {
+	name := h.activeHost()
 	if name == "" || h.paused[other(name)] {
 		return
 	}
 	q := h.hosts[name].InventoryRequest()
 	c := h.hosts[other(name)].Inventory(name, q)
 	for _, id := range q.Jobs {
-		if h.hands(other(name), id) {
+		if h.isHandingOver(other(name), id) {
 			c.Leads = append(c.Leads, id)
 		}
 	}
@@ -427,20 +430,22 @@
 
 func TestMain(m *testing.M) { randtest.Main(m, 1500, 30) }
 
-// Guards against tasks that run twice and workers that are overfull, over histories in which
-// answers are lost, starts are late, workers fail, shrink and grow, hosts pause and hand over or inherit jobs.
-func TestNoHistoryRunsATaskTwice(t *testing.T) { playHistories(t, false) }
+// Guards against tasks that run twice and workers that are overfilled, over random histories in
+// which answers are lost, starts are late, workers fail, shrink and grow, and hosts pause and hand
+// over or inherit jobs.
+func TestNoHistoryRunsATaskTwice(t *testing.T) { runHistories(t, false) }
 
-// Guards against a start that arrives at a crashed worker's next life after another host took it.
-func TestNoHistoryWithCrashesRunsATaskTwice(t *testing.T) { playHistories(t, true) }
+// Guards against a start that arrives at the next incarnation of a crashed worker after another
+// host acquired its lease.
+func TestNoHistoryWithCrashesRunsATaskTwice(t *testing.T) { runHistories(t, true) }
 
-func playHistories(t *testing.T, crashes bool) {
+func runHistories(t *testing.T, crashes bool) {
 	rapid.Check(t, func(draw *rapid.T) {
 		h := newHistory(t, draw)
 		h.crashes = crashes
 		for range rapid.IntRange(1, 300).Draw(draw, "steps") {
 			h.next()()
-			h.shrink()
+			h.applyListedSizes()
 			require.Empty(draw, h.over.Doubled())
 			for _, m := range h.machines {
 				require.Zero(draw, h.workers[m.Name].Record().Overfilled, m.Name)
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -54,18 +54,18 @@
 func (l *Leader) Inherit(specs []job.Spec) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	fresh := false
+	added := false
 	for _, s := range specs {
 		if l.leaving || l.hasJob(s.ID) {
 			continue
 		}
-		fresh = true
+		added = true
 		l.Count("lead.inherited")
 		l.addNote(s.ID, "inherited, waits for the census")
 		l.stepJobs(job.Inherit{Spec: s})
 		l.stepTakeover(takeover.FoundJob{Job: s.ID})
 	}
-	if fresh {
+	if added {
 		l.replayReadings()
 	}
 }
@@ -253,8 +253,8 @@
 			l.freeCapacity(id, name)
 		}
 	}
-	for id, lo := range l.untracked {
-		if lo.worker == name && (running[id] || r.Sent.After(lo.since) && r.Clock.After(lo.deadline)) {
+	for id, run := range l.untracked {
+		if run.worker == name && (running[id] || r.Sent.After(run.since) && r.Clock.After(run.deadline)) {
 			delete(l.untracked, id)
 			if !running[id] {
 				l.freeCapacity(id, name)
--- a/internal/lead/census.go
+++ b/internal/lead/inventory.go
@@ -78,8 +78,8 @@
 		l.stepLeases(lease.Poll{Worker: name, After: rereadDelay})
 		return false
 	}
-	for _, lo := range l.untracked {
-		if lo.worker == name {
+	for _, run := range l.untracked {
+		if run.worker == name {
 			return false
 		}
 	}
@@ -132,8 +132,8 @@
 func (l *Leader) HandleInventory(host string, q InventoryRequest, c InventoryReply) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for name, life := range c.Incarnations {
-		l.stepLeases(lease.IncarnationConfirmed{Worker: name, Life: life})
+	for name, incarnation := range c.Incarnations {
+		l.stepLeases(lease.IncarnationConfirmed{Worker: name, Life: incarnation})
 	}
 	ev := takeover.PeerAnswer{Host: host, Asked: q.Asked, Leads: c.Leads, Waits: c.Waits}
 	held := l.Leases.Held()
--- a/internal/lead/rack.go
+++ b/internal/lead/rack.go
@@ -46,15 +46,15 @@
 		l.rereadUndecided(name)
 		return w.rackLost, false
 	}
-	mates := l.rackPeers(name)
-	alive, silent := l.rackSigns(mates, w.since)
+	others := l.rackPeers(name)
+	alive, silent := l.rackSigns(others, w.since)
 	switch {
-	case alive || len(mates) == 0:
+	case alive || len(others) == 0:
 		w.undecided = false
 		return false, false
 	case silent && now.Sub(w.since) < rackDecisionTimeout:
-		for _, mate := range mates {
-			l.stepLeases(lease.Poll{Worker: mate, After: rereadDelay})
+		for _, other := range others {
+			l.stepLeases(lease.Poll{Worker: other, After: rereadDelay})
 		}
 		l.stepLeases(lease.Poll{Worker: name, After: rackPollInterval})
 		return false, true
@@ -68,25 +68,25 @@
 // recently.
 func (l *Leader) rackPeers(name string) []string {
 	held := l.Leases.Held()
-	var mates []string
+	var others []string
 	for _, other := range slices.Sorted(maps.Keys(l.machines)) {
 		if other == name || l.machines[other].Rack != l.machines[name].Rack {
 			continue
 		}
 		lost, ok := l.lastHeld[other]
 		if slices.Contains(held, other) || ok && l.Clock().Sub(lost) < rackRestartSpread {
-			mates = append(mates, other)
+			others = append(others, other)
 		}
 	}
-	return mates
+	return others
 }
 
 // rackSigns reports whether at least one of the workers has continued its incarnation after since,
 // and whether at least one has not been heard from.
-func (l *Leader) rackSigns(mates []string, since time.Time) (alive, silent bool) {
-	for _, mate := range mates {
-		r, held := l.Leases.LastReading(mate)
-		w := l.incarnations[mate]
+func (l *Leader) rackSigns(workers []string, since time.Time) (alive, silent bool) {
+	for _, other := range workers {
+		r, held := l.Leases.LastReading(other)
+		w := l.incarnations[other]
 		switch {
 		case w != nil && !w.since.IsZero() && since.Sub(w.since) < rackRestartSpread:
 		case held && r.Sent.After(since) && (w == nil || w.name == r.Incarnation):
@@ -100,9 +100,9 @@
 
 // rereadUndecided reads the workers of a rack again for which it is not decided yet whether the
 // rack was lost.
-func (l *Leader) rereadUndecided(mate string) {
+func (l *Leader) rereadUndecided(worker string) {
 	for _, name := range slices.Sorted(maps.Keys(l.incarnations)) {
-		if l.incarnations[name].undecided && l.machines[name].Rack == l.machines[mate].Rack {
+		if l.incarnations[name].undecided && l.machines[name].Rack == l.machines[worker].Rack {
 			l.stepLeases(lease.Poll{Worker: name, After: rereadDelay})
 		}
 	}
--- a/internal/lead/size_test.go
+++ b/internal/lead/size_test.go
@@ -12,8 +12,8 @@
 	"pollencroft/internal/lead"
 )
 
-// Guards against tasks placed by the size that a worker had when it was taken.
-func TestALedWorkerThatShrinksGetsNoMoreThanItHolds(t *testing.T) {
+// Guards against tasks placed by the size that a worker had when its lease was acquired.
+func TestShrunkWorkerGetsNoMoreThanItsNewSize(t *testing.T) {
 	f := newFleet(t, 1, nil)
 	w := f.workers[0]
 	resize := func(cores int64) {
@@ -36,15 +36,16 @@
 	require.Contains(t, f.notes("b"), "w0")
 }
 
-// The host list names sizes that cannot be. They are no room, and other workers are used as ever.
-func TestASizeThatCannotBeIsNoRoom(t *testing.T) {
+// The host list contains invalid sizes. Such workers get no work, and other workers are used as
+// usual.
+func TestInvalidWorkerSizeGivesNoCapacity(t *testing.T) {
 	for _, size := range []cell.Size{
 		{CPU: -4000, Mem: 4 << 30}, {CPU: 4000, Mem: -1}, {CPU: 4000, Mem: 4 << 30, Accel: -1}, {CPU: math.MaxInt64, Mem: 4 << 30},
 		{CPU: 4000, Mem: math.MaxInt64}, {},
 	} {
 		f := newFleet(t, 2, nil)
 		f.SetLedMachines([]lead.Machine{
-			{Name: "w0", Rack: "r", Address: f.addresses[0], Size: size}, {Name: "w1", Rack: "r", Address: f.addresses[1], Size: whole},
+			{Name: "w0", Rack: "r", Address: f.addresses[0], Size: size}, {Name: "w1", Rack: "r", Address: f.addresses[1], Size: fleetWorkerSize},
 		})
 		f.submit("a", "", cell.Bulk, 500, 3, time.Hour)
 		f.until(func() bool { return len(f.workers[1].Record().Started) == 3 })
@@ -52,42 +53,42 @@
 	}
 }
 
-// resume ends a host's pause. It reads the list of workers before anything else.
+// resume ends the pause of a host, which reads the list of workers before anything else.
 func (h *history) resume() {
 	name := h.host("host")
 	h.paused[name] = false
 	h.hosts[name].UpdateMachines(h.machines)
 }
 
-// resize gives a worker another size, which the hosts that are not paused are told of.
+// resize changes the listed size of a worker and updates the hosts that are not paused.
 func (h *history) resize() {
 	i := rapid.IntRange(0, len(h.machines)-1).Draw(h.draw, "worker")
 	part := rapid.SampledFrom([]float64{0, 0.5, 1, 1.5}).Draw(h.draw, "part")
 	m := &h.machines[i]
-	m.Size = room.Times(part)
+	m.Size = pairWorkerSize.Times(part)
 	for _, name := range []string{"a", "b"} {
 		if !h.paused[name] {
 			h.hosts[name].UpdateMachines(h.machines)
 		}
 	}
-	if h.has[m.Name].Fits(m.Size) {
-		h.become(*m)
+	if h.actualSizes[m.Name].Fits(m.Size) {
+		h.applySize(*m)
 	}
 }
 
-// become gives a worker the size that is listed.
-func (h *history) become(m lead.Machine) {
-	h.has[m.Name] = m.Size
+// applySize gives a worker its listed size.
+func (h *history) applySize(m lead.Machine) {
+	h.actualSizes[m.Name] = m.Size
 	h.workers[m.Name].Resize(m.Size)
 }
 
-// shrink makes workers as small as they are listed, once nothing that was sent before can arrive
-// any more.
-func (h *history) shrink() {
-	if h.paused["a"] || h.paused["b"] || len(h.queues["a"])+len(h.queues["b"])+len(h.overdue) > 0 {
+// applyListedSizes shrinks workers to their listed sizes once no request sent earlier can still
+// arrive.
+func (h *history) applyListedSizes() {
+	if h.paused["a"] || h.paused["b"] || len(h.queues["a"])+len(h.queues["b"])+len(h.delayed) > 0 {
 		return
 	}
 	for _, m := range h.machines {
-		h.become(m)
+		h.applySize(m)
 	}
 }
--- a/internal/lease/life.go
+++ b/internal/lease/life.go
@@ -6,78 +6,78 @@
 )
 
 const (
-	// meetEvery is how often a worker that is not wanted here is asked for its life.
-	meetEvery = time.Minute
-	// meetAgain is how long after a question for it without an answer.
-	meetAgain = time.Second
+	// incarnationQueryInterval is how often a worker that is not wanted here is asked for its life.
+	incarnationQueryInterval = time.Minute
+	// incarnationRetryInterval is how long after a question for it without an answer.
+	incarnationRetryInterval = time.Second
 )
 
-// tellLife notes the life that a worker answered in.
+// noteIncarnation notes the life that a worker answered in.
 //
 // A worker that crashed has forgotten who held it, so it may be taken at once while starts of its
 // former holder are under way. Until these are dead nothing is known of the worker. A host that
 // held it until now has no other's starts to wait for.
-func (l *Leases) tellLife(now time.Time, w *worker, life string) {
-	if life == "" || life == w.life {
+func (l *Leases) noteIncarnation(now time.Time, w *worker, life string) {
+	if life == "" || life == w.incarnation {
 		return
 	}
-	held := w.up && w.state == "held" && w.until.After(now)
-	w.life = life
+	held := w.led && w.state == "held" && w.validUntil.After(now)
+	w.incarnation = life
 	if !held {
-		left := l.limits.start()
-		w.former = now.Add(left + left/drift)
+		left := l.limits.startWindow()
+		w.staleStartsUntil = now.Add(left + left/driftDivisor)
 	}
 }
 
-// wait has the worker read again when the starts to its former lives are dead.
-func (w *worker) wait(name string) []Action {
-	at := w.former.Add(time.Millisecond)
-	if at.Before(w.next) {
-		w.next = at
+// awaitStaleStarts has the worker read again when the starts to its former lives are dead.
+func (w *worker) awaitStaleStarts(name string) []Action {
+	at := w.staleStartsUntil.Add(time.Millisecond)
+	if at.Before(w.nextExchange) {
+		w.nextExchange = at
 	}
-	if w.waits == w.life {
+	if w.awaitedIncarnation == w.incarnation {
 		return nil
 	}
-	w.waits = w.life
-	return []Action{AwaitStarts{Worker: name, Life: w.life, Until: at}}
+	w.awaitedIncarnation = w.incarnation
+	return []Action{AwaitStarts{Worker: name, Life: w.incarnation, Until: at}}
 }
 
-func (l *Leases) know(now time.Time, names []string) {
+func (l *Leases) setDomainWorkers(now time.Time, names []string) {
 	for _, name := range names {
-		if w := l.add(name); !w.known {
-			w.known, w.meet = true, now
+		if w := l.add(name); !w.inDomain {
+			w.inDomain, w.nextIncarnationQuery = true, now
 		}
 	}
 	for name, w := range l.workers {
-		w.known = slices.Contains(names, name)
+		w.inDomain = slices.Contains(names, name)
 	}
 }
 
-func (l *Leases) met(now time.Time, ev IncarnationLearned) {
+func (l *Leases) incarnationLearned(now time.Time, ev IncarnationLearned) {
 	if w, ok := l.workers[ev.Worker]; ok && ev.Life != "" {
-		w.meet = now.Add(meetEvery)
-		l.tellLife(now, w, ev.Life)
+		w.nextIncarnationQuery = now.Add(incarnationQueryInterval)
+		l.noteIncarnation(now, w, ev.Life)
 	}
 }
 
-// vouched takes a peer's word that it waited for the starts of a worker's former lives.
-func (l *Leases) vouched(now time.Time, ev IncarnationConfirmed) {
+// incarnationConfirmed takes a peer's word that it waited for the starts of a worker's former lives.
+func (l *Leases) incarnationConfirmed(now time.Time, ev IncarnationConfirmed) {
 	w, ok := l.workers[ev.Worker]
-	if !ok || ev.Life == "" || w.life != "" && w.life != ev.Life {
+	if !ok || ev.Life == "" || w.incarnation != "" && w.incarnation != ev.Life {
 		return
 	}
-	if w.former.After(now) {
-		w.next = now
+	if w.staleStartsUntil.After(now) {
+		w.nextExchange = now
 	}
-	w.life, w.former = ev.Life, time.Time{}
+	w.incarnation, w.staleStartsUntil = ev.Life, time.Time{}
 }
 
 // ConfirmedIncarnations holds by worker the life in which no start to an earlier one is under way any more.
 func (l *Leases) ConfirmedIncarnations(now time.Time) map[string]string {
 	all := map[string]string{}
 	for name, w := range l.workers {
-		if w.life != "" && !w.former.After(now) {
-			all[name] = w.life
+		if w.incarnation != "" && !w.staleStartsUntil.After(now) {
+			all[name] = w.incarnation
 		}
 	}
 	return all
@@ -86,7 +86,7 @@
 // HasUnconfirmed tells whether starts to an earlier life of a wanted worker may be under way.
 func (l *Leases) HasUnconfirmed(now time.Time) bool {
 	for _, w := range l.workers {
-		if w.want && w.former.After(now) {
+		if w.wanted && w.staleStartsUntil.After(now) {
 			return true
 		}
 	}
--- a/internal/lease/limits.go
+++ b/internal/lease/limits.go
@@ -20,31 +20,33 @@
 // DefaultLimits keep the renewals of 46 led workers under 3 KB/s.
 var DefaultLimits = Limits{TTL: 3 * time.Second, TaskTTL: 45 * time.Second, RetryInterval: 250 * time.Millisecond, RenewalBytes: 360, BytesPerSecond: 3000}
 
-// tries is how many renewals are sent before an anchor lapses.
-const tries = 5
+// halfIntervalsPerTTL is how many renewals are sent before an anchor lapses.
+const halfIntervalsPerTTL = 5
 
-// outlast is how many anchor leases the lease of a running task outlasts.
-const outlast = 3
+// taskTTLFactor is how many anchor leases the lease of a running task outlasts.
+const taskTTLFactor = 3
 
-// every is how often each of n held workers is renewed: as often as the
+// renewInterval is how often each of n held workers is renewed: as often as the
 // budget allows, but no more often than the shortest TTL asks for. A host that
 // leads very many workers goes over its budget: with a longer anchor lease its
 // tasks would end before a successor could take their worker, and a start
 // would run for longer than a census waits for a silent worker.
-func (l Limits) every(n int) time.Duration {
-	least := l.TTL * 2 / tries
+func (l Limits) renewInterval(n int) time.Duration {
+	least := l.TTL * 2 / halfIntervalsPerTTL
 	if l.BytesPerSecond <= 0 {
 		return least
 	}
-	return min(l.most(), max(least, time.Duration(int64(n)*l.RenewalBytes)*time.Second/time.Duration(l.BytesPerSecond)))
+	return min(l.maxRenewInterval(), max(least, time.Duration(int64(n)*l.RenewalBytes)*time.Second/time.Duration(l.BytesPerSecond)))
 }
 
-func (l Limits) most() time.Duration { return max(l.TTL*2/tries, l.TaskTTL*2/tries/outlast) }
+func (l Limits) maxRenewInterval() time.Duration {
+	return max(l.TTL*2/halfIntervalsPerTTL, l.TaskTTL*2/halfIntervalsPerTTL/taskTTLFactor)
+}
 
-// start is how long after an answer of a worker a start may be carried out there, whoever holds the
+// startWindow is how long after an answer of a worker a startWindow may be carried out there, whoever holds the
 // worker and for how long. A host that meets the worker in a new life waits for as long. The rarest
 // renewals leave time for one that is late.
-func (l Limits) start() time.Duration { return l.most() + l.TTL }
+func (l Limits) startWindow() time.Duration { return l.maxRenewInterval() + l.TTL }
 
 // ttl lets two renewals fail before an anchor lapses.
-func (l Limits) ttl(n int) time.Duration { return max(l.TTL, l.every(n)*tries/2) }
+func (l Limits) ttl(n int) time.Duration { return max(l.TTL, l.renewInterval(n)*halfIntervalsPerTTL/2) }
--- a/internal/place/declared.go
+++ b/internal/place/declared.go
@@ -6,20 +6,20 @@
 	"pollencroft/internal/cell"
 )
 
-// giveUpCorrections sizes waiting work as it was declared where its corrected size finds no
+// revertCorrections sizes waiting work as it was declared where its corrected size finds no
 // room: beside what lasts it never will, since workers have gone or were taken since it was
 // corrected, or it is what has waited for the longest time over its class's.
-func (p *Placer) giveUpCorrections() {
+func (p *Placer) revertCorrections() {
 	for _, lanes := range p.queue.order {
 		for _, l := range lanes {
 			for _, s := range slices.Clone(l.shapes) {
-				p.giveUpCorrection(s)
+				p.revertCorrection(s)
 			}
 		}
 	}
 }
 
-func (p *Placer) giveUpCorrection(s *shape) {
+func (p *Placer) revertCorrection(s *shape) {
 	if s.blocked != NoCapacity && s.blocked != GangTooLarge {
 		return
 	}
@@ -27,48 +27,48 @@
 		if !e.waiting() || e.Declared == (cell.Size{}) || e.Declared == e.Size || !e.Declared.Fits(e.Size) {
 			continue
 		}
-		if e == p.old || !p.couldRun(e, e.Size) && p.couldRun(e, e.Declared) {
-			p.resize(e)
+		if e == p.overdue || !p.fitsBesideLongTasks(e, e.Size) && p.fitsBesideLongTasks(e, e.Declared) {
+			p.revertToDeclared(e)
 		}
 	}
 }
 
-// couldRun tells whether an entry's tasks of that size would have room beside the tasks that run
+// fitsBesideLongTasks tells whether an entry's tasks of that size would have room beside the tasks that run
 // for longer than its class may wait.
-func (p *Placer) couldRun(e *entry, size cell.Size) bool {
+func (p *Placer) fitsBesideLongTasks(e *entry, size cell.Size) bool {
 	need := int64(1)
 	if e.Gang {
-		need = int64(e.live)
+		need = int64(e.pending)
 	}
 	for _, w := range p.workers {
-		if w.open() {
-			need -= copies(p.besideLasting(w, e.Class), size)
+		if w.acceptsTasks() {
+			need -= countFitting(p.freeBesideLongTasks(w, e.Class), size)
 		}
 	}
 	return need <= 0
 }
 
-func (p *Placer) besideLasting(w *worker, class cell.Class) cell.Size {
+func (p *Placer) freeBesideLongTasks(w *worker, class cell.Class) cell.Size {
 	free := w.size
 	for _, r := range w.tasks {
-		if !r.ends.IsZero() && r.ends.Sub(p.now) > p.limits.OverdueAfter[class] {
+		if !r.plannedEnd.IsZero() && r.plannedEnd.Sub(p.now) > p.limits.OverdueAfter[class] {
 			free = free.Sub(r.size)
 		}
 	}
 	return free
 }
 
-// resize queues an entry anew with its declared size.
-func (p *Placer) resize(e *entry) {
+// revertToDeclared queues an entry anew with its declared size.
+func (p *Placer) revertToDeclared(e *entry) {
 	w := e.Request
 	w.Size, w.Declared = e.Declared, cell.Size{}
 	w.Tasks = slices.DeleteFunc(slices.Clone(e.Tasks), func(task string) bool { return p.queue.tasks[task] != e })
 	for _, task := range w.Tasks {
 		p.queue.drop(task)
 	}
-	p.unmark(e)
+	p.cancelReservations(e)
 	p.queue.add(p.now, w)
-	if e == p.old {
-		p.old = p.queue.tasks[w.Tasks[0]]
+	if e == p.overdue {
+		p.overdue = p.queue.tasks[w.Tasks[0]]
 	}
 }
--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -8,56 +8,56 @@
 	"pollencroft/internal/cell"
 )
 
-// mark keeps the room of a worker for one entry. Other work may use it only
+// reservation keeps the room of a worker for one entry. Other work may use it only
 // when it is expected to end before From.
-type mark struct {
-	entry *entry
-	from  time.Time
-	// until ends a mark whose room never came free, as when the worker that
+type reservation struct {
+	entry       *entry
+	availableAt time.Time
+	// expires ends a mark whose room never came free, as when the worker that
 	// was asked to stop a task is silent.
-	until time.Time
+	expires time.Time
 }
 
-// markFor is how long a mark holds before it is set anew.
-const markFor = 5 * time.Second
+// reservationTTL is how long a mark holds before it is set anew.
+const reservationTTL = 5 * time.Second
 
-func (p *Placer) markedFor(w *worker, e *entry) bool {
-	if w.mark == nil || w.mark.entry == e {
+func (p *Placer) reservationAllows(w *worker, e *entry) bool {
+	if w.reservation == nil || w.reservation.entry == e {
 		return true
 	}
-	if e.Class == cell.Urgent && p.urgent.size.Share(p.whole) < p.limits.UrgentCap {
+	if e.Class == cell.Urgent && p.urgentUsage.size.Share(p.total) < p.limits.UrgentCap {
 		return true
 	}
-	return e.RunTime > 0 && !p.now.Add(e.RunTime).After(w.mark.from)
+	return e.RunTime > 0 && !p.now.Add(e.RunTime).After(w.reservation.availableAt)
 }
 
-func (p *Placer) keep(e *entry, w *worker, from time.Time) {
-	if w.mark != nil && w.mark.entry != e {
+func (p *Placer) reserve(e *entry, w *worker, from time.Time) {
+	if w.reservation != nil && w.reservation.entry != e {
 		return
 	}
-	if w.mark == nil {
-		e.marked = append(e.marked, w)
+	if w.reservation == nil {
+		e.reserved = append(e.reserved, w)
 	}
-	w.mark = &mark{entry: e, from: from, until: p.now.Add(markFor)}
+	w.reservation = &reservation{entry: e, availableAt: from, expires: p.now.Add(reservationTTL)}
 }
 
-func (p *Placer) unmark(e *entry) {
-	marked := e.marked
-	e.marked = nil
-	for _, w := range marked {
-		w.mark = nil
+func (p *Placer) cancelReservations(e *entry) {
+	reserved := e.reserved
+	e.reserved = nil
+	for _, w := range reserved {
+		w.reservation = nil
 	}
-	for _, w := range marked {
+	for _, w := range reserved {
 		if p.workers[w.name] == w {
-			p.wakeFor(w)
+			p.noteGrown(w)
 		}
 	}
 }
 
-func (p *Placer) expireMarks() {
+func (p *Placer) expireReservations() {
 	for _, w := range p.inNameOrder() {
-		if m := w.mark; m != nil && (!m.entry.waiting() || !m.until.After(p.now)) {
-			p.unmark(m.entry)
+		if m := w.reservation; m != nil && (!m.entry.waiting() || !m.expires.After(p.now)) {
+			p.cancelReservations(m.entry)
 		}
 	}
 }
@@ -65,69 +65,69 @@
 // tryGang gives all waiting tasks of a gang room, or none. Half a gang would
 // hold room while it waits for the rest, and two halves for ever.
 func (p *Placer) tryGang(e *entry) {
-	if p.holds(e) < int64(e.live) {
+	if p.countFittingTasks(e) < int64(e.pending) {
 		p.queue.block(e.shape, GangTooLarge)
 		return
 	}
 	var chosen []*worker
-	var rooms []*room
+	var allocations []*allocation
 	for i, task := range e.Tasks {
 		if p.queue.tasks[task] != e {
 			continue
 		}
-		w := p.best(e)
+		w := p.bestWorker(e)
 		if w == nil {
 			break
 		}
 		// The room is taken under a name of its own until all are found.
-		r := &room{task: e.Tasks[i], row: e.Row, team: e.Team, class: e.Class, size: e.Size}
-		p.take(r, w)
-		chosen, rooms = append(chosen, w), append(rooms, r)
+		r := &allocation{task: e.Tasks[i], row: e.Row, team: e.Team, class: e.Class, size: e.Size}
+		p.allocate(r, w)
+		chosen, allocations = append(chosen, w), append(allocations, r)
 	}
-	for _, r := range rooms {
+	for _, r := range allocations {
 		p.release(r.task)
 	}
-	if len(chosen) < e.live {
+	if len(chosen) < e.pending {
 		p.queue.block(e.shape, GangTooLarge)
 		return
 	}
 	for _, w := range chosen {
-		p.put(e, w)
+		p.assign(e, w)
 	}
 }
 
-// holds is how many of the entry's tasks the free room could take now.
-func (p *Placer) holds(e *entry) int64 {
+// countFittingTasks is how many of the entry's tasks the free room could take now.
+func (p *Placer) countFittingTasks(e *entry) int64 {
 	var n int64
-	back := len(e.Avoid) > 0 && !p.elsewhere(e)
+	back := len(e.Avoid) > 0 && !p.fitsWithoutAvoided(e)
 	for _, w := range p.workers {
-		if w.open() && (p.usable(w, e) || back && p.mayReturn(w, e) && p.markedFor(w, e)) {
-			n += copies(w.free, e.Size)
+		if w.acceptsTasks() && (p.usable(w, e) || back && p.mayRetryOn(w, e) && p.reservationAllows(w, e)) {
+			n += countFitting(w.free, e.Size)
 		}
-		if n >= int64(e.live) {
+		if n >= int64(e.pending) {
 			break
 		}
 	}
 	return n
 }
 
-// lookForOverdue finds the job that is the longest over its class's time and
+// updateOverdue finds the job that is the longest over its class's time and
 // keeps room for it: one at a time, so that two all-at-once jobs cannot hold
 // each other's room.
-func (p *Placer) lookForOverdue() {
-	if p.old != nil && p.old.waiting() && p.old.shape.blocked.limit() {
-		p.unmark(p.old)
-		p.old = nil
+func (p *Placer) updateOverdue() {
+	if p.overdue != nil && p.overdue.waiting() && p.overdue.shape.blocked.isLimit() {
+		p.cancelReservations(p.overdue)
+		p.overdue = nil
 	}
-	if p.old == nil || !p.old.waiting() {
-		p.old = p.oldest()
+	if p.overdue == nil || !p.overdue.waiting() {
+		p.overdue = p.mostOverdue()
 	}
-	if p.old != nil {
-		p.earmark(p.old)
+	if p.overdue != nil {
+		p.reserveEarliest(p.overdue)
 	}
 }
 
-func (p *Placer) oldest() *entry {
+func (p *Placer) mostOverdue() *entry {
 	var oldest *entry
 	var most time.Duration
 	for _, lanes := range p.queue.order {
@@ -135,7 +135,7 @@
 			for _, s := range l.shapes {
 				e := s.head()
 				limit := p.limits.OverdueAfter[l.class]
-				if e == nil || limit == 0 || s.blocked.limit() {
+				if e == nil || limit == 0 || s.blocked.isLimit() {
 					continue
 				}
 				if over := p.now.Sub(e.Since) - limit; over > most {
@@ -152,18 +152,18 @@
 	at     time.Time
 }
 
-// earmark keeps the workers that are expected to have room first.
-func (p *Placer) earmark(e *entry) {
-	if len(e.marked) > 0 {
+// reserveEarliest keeps the workers that are expected to have room first.
+func (p *Placer) reserveEarliest(e *entry) {
+	if len(e.reserved) > 0 {
 		return
 	}
 	need := 1
 	if e.Gang {
-		need = e.live
+		need = e.pending
 	}
 	var all []opening
 	for _, w := range p.inNameOrder() {
-		if w.open() && e.Size.Fits(w.size) {
+		if w.acceptsTasks() && e.Size.Fits(w.size) {
 			all = append(all, p.openings(w, e.Size)...)
 		}
 	}
@@ -173,21 +173,21 @@
 	slices.SortStableFunc(all, func(a, b opening) int { return cmp.Compare(a.at.UnixNano(), b.at.UnixNano()) })
 	from := all[need-1].at
 	for _, o := range all[:need] {
-		p.keep(e, o.worker, from)
+		p.reserve(e, o.worker, from)
 	}
 }
 
 // openings are the times at which w is expected to have room for one more
 // task of that size, and one more again.
 func (p *Placer) openings(w *worker, size cell.Size) []opening {
-	var rooms []*room
+	var timed []*allocation
 	for _, r := range w.tasks {
-		if !r.ends.IsZero() {
-			rooms = append(rooms, r)
+		if !r.plannedEnd.IsZero() {
+			timed = append(timed, r)
 		}
 	}
-	slices.SortFunc(rooms, func(a, b *room) int {
-		return cmp.Or(cmp.Compare(p.ends(a).UnixNano(), p.ends(b).UnixNano()), cmp.Compare(a.task, b.task))
+	slices.SortFunc(timed, func(a, b *allocation) int {
+		return cmp.Or(cmp.Compare(p.expectedEnd(a).UnixNano(), p.expectedEnd(b).UnixNano()), cmp.Compare(a.task, b.task))
 	})
 	free, at := w.free, p.now
 	var all []opening
@@ -196,19 +196,19 @@
 			free = free.Sub(size)
 			all = append(all, opening{worker: w, at: at})
 		}
-		if i == len(rooms) {
+		if i == len(timed) {
 			return all
 		}
-		free = free.Add(rooms[i].size)
-		at = p.ends(rooms[i])
+		free = free.Add(timed[i].size)
+		at = p.expectedEnd(timed[i])
 	}
 }
 
-// ends is when a task is expected to end. One that runs longer than expected
+// expectedEnd is when a task is expected to end. One that runs longer than expected
 // is taken to run another quarter of its time so far.
-func (p *Placer) ends(r *room) time.Time {
-	if r.ends.After(p.now) {
-		return r.ends
+func (p *Placer) expectedEnd(r *allocation) time.Time {
+	if r.plannedEnd.After(p.now) {
+		return r.plannedEnd
 	}
-	return p.now.Add(p.now.Sub(r.began) / 4)
+	return p.now.Add(p.now.Sub(r.started) / 4)
 }
--- a/internal/place/index.go
+++ b/internal/place/index.go
@@ -18,7 +18,7 @@
 )
 
 type position struct {
-	in              bool
+	indexed         bool
 	accel, cpu, mem int
 	slot            int
 }
@@ -28,25 +28,25 @@
 	cells [levels][levels][]*worker
 }
 
-// sorting says by what an index sorts workers.
-type sorting int
+// indexKey says by what an index sorts workers.
+type indexKey int
 
 const (
 	// byFree is what a worker has free.
-	byFree sorting = iota
-	// byReach is what it would have free without its bulk tasks.
-	byReach
-	sortings
+	byFree indexKey = iota
+	// byFreeAfterPreemption is what it would have free without its bulk tasks.
+	byFreeAfterPreemption
+	indexCount
 )
 
 type index struct {
-	by    sorting
-	most  cell.Size
-	grids [accelLevels]*grid
+	key     indexKey
+	largest cell.Size
+	grids   [accelLevels]*grid
 }
 
-func (x *index) has(w *worker) cell.Size {
-	if x.by == byReach {
+func (x *index) capacity(w *worker) cell.Size {
+	if x.key == byFreeAfterPreemption {
 		return w.free.Add(w.bulk)
 	}
 	return w.free
@@ -68,8 +68,8 @@
 
 func accelLevel(v int64) int { return min(bits.Len64(uint64(max(v, 0))), accelLevels-1) }
 
-// some returns up to n usable workers, about the fullest first.
-func (x *index) some(n int, size cell.Size, usable func(*worker) bool) []*worker {
+// candidates returns up to n usable workers, about the fullest first.
+func (x *index) candidates(n int, size cell.Size, usable func(*worker) bool) []*worker {
 	var found []*worker
 	x.best(size, func(w *worker) bool {
 		if len(found) == n || !usable(w) {
@@ -81,40 +81,40 @@
 	return found
 }
 
-// grows tells whether a worker of that size is larger than the scale.
-func (x *index) grows(size cell.Size) bool {
-	if size.Fits(x.most) {
+// growScale tells whether a worker of that size is larger than the scale.
+func (x *index) growScale(size cell.Size) bool {
+	if size.Fits(x.largest) {
 		return false
 	}
-	x.most = cell.Size{CPU: max(x.most.CPU, size.CPU), Mem: max(x.most.Mem, size.Mem), Accel: max(x.most.Accel, size.Accel)}
+	x.largest = cell.Size{CPU: max(x.largest.CPU, size.CPU), Mem: max(x.largest.Mem, size.Mem), Accel: max(x.largest.Accel, size.Accel)}
 	return true
 }
 
 func (x *index) rebuild(all []*worker) {
 	x.grids = [accelLevels]*grid{}
 	for _, w := range all {
-		w.at[x.by] = position{}
-		x.put(w)
+		w.positions[x.key] = position{}
+		x.insert(w)
 	}
 }
 
-func (x *index) place(w *worker) position {
-	has := x.has(w)
-	return position{in: true, accel: accelLevel(has.Accel), cpu: level(has.CPU, x.most.CPU), mem: level(has.Mem, x.most.Mem)}
+func (x *index) positionOf(w *worker) position {
+	has := x.capacity(w)
+	return position{indexed: true, accel: accelLevel(has.Accel), cpu: level(has.CPU, x.largest.CPU), mem: level(has.Mem, x.largest.Mem)}
 }
 
-// put sorts a worker in by what it has free now, or out when it is not open.
-func (x *index) put(w *worker) {
-	if !w.open() {
-		x.drop(w)
+// insert sorts a worker in by what it has free now, or out when it is not open.
+func (x *index) insert(w *worker) {
+	if !w.acceptsTasks() {
+		x.remove(w)
 		return
 	}
-	to := x.place(w)
-	to.slot = w.at[x.by].slot
-	if w.at[x.by] == to {
+	to := x.positionOf(w)
+	to.slot = w.positions[x.key].slot
+	if w.positions[x.key] == to {
 		return
 	}
-	x.drop(w)
+	x.remove(w)
 	g := x.grids[to.accel]
 	if g == nil {
 		g = &grid{}
@@ -123,31 +123,31 @@
 	to.slot = len(g.cells[to.cpu][to.mem])
 	g.cells[to.cpu][to.mem] = append(g.cells[to.cpu][to.mem], w)
 	g.bits[to.cpu] |= 1 << to.mem
-	w.at[x.by] = to
+	w.positions[x.key] = to
 }
 
-func (x *index) drop(w *worker) {
-	at := w.at[x.by]
-	w.at[x.by] = position{}
-	if !at.in {
+func (x *index) remove(w *worker) {
+	at := w.positions[x.key]
+	w.positions[x.key] = position{}
+	if !at.indexed {
 		return
 	}
 	g := x.grids[at.accel]
 	in := g.cells[at.cpu][at.mem]
 	last := len(in) - 1
 	in[at.slot] = in[last]
-	in[at.slot].at[x.by].slot = at.slot
+	in[at.slot].positions[x.key].slot = at.slot
 	in[last] = nil
 	g.cells[at.cpu][at.mem] = in[:last]
 	if last == 0 {
 		g.bits[at.cpu] &^= 1 << at.mem
 	}
-	w.at[x.by] = position{}
+	w.positions[x.key] = position{}
 }
 
 // best returns the usable worker that is about the fullest after taking size.
 func (x *index) best(size cell.Size, usable func(*worker) bool) *worker {
-	cpu, mem := level(size.CPU, x.most.CPU), level(size.Mem, x.most.Mem)
+	cpu, mem := level(size.CPU, x.largest.CPU), level(size.Mem, x.largest.Mem)
 	for a := accelLevel(size.Accel); a < accelLevels; a++ {
 		if x.grids[a] == nil {
 			continue
@@ -183,9 +183,9 @@
 	return nil
 }
 
-// enough fitting workers of one cell are compared; they differ by less than
+// maxCompared fitting workers of one cell are compared; they differ by less than
 // one step of the scale.
-const enough = 8
+const maxCompared = 8
 
 type search struct {
 	index  *index
@@ -198,14 +198,14 @@
 	var least float64
 	found := 0
 	for _, w := range in {
-		has := s.index.has(w)
+		has := s.index.capacity(w)
 		if !s.size.Fits(has) || !s.usable(w) {
 			continue
 		}
 		if left := has.Sub(s.size).Share(w.size); best == nil || left < least {
 			best, least = w, left
 		}
-		if found++; found == enough {
+		if found++; found == maxCompared {
 			break
 		}
 	}
--- a/internal/place/limits.go
+++ b/internal/place/limits.go
@@ -6,49 +6,49 @@
 	"pollencroft/internal/cell"
 )
 
-// allowed returns what forbids one more of the entry's tasks, or Ready.
-func (p *Placer) allowed(e *entry) BlockReason {
+// checkLimits returns what forbids one more of the entry's tasks, or Ready.
+func (p *Placer) checkLimits(e *entry) BlockReason {
 	n := int64(1)
 	if e.Gang {
-		n = int64(e.live)
+		n = int64(e.pending)
 	}
-	size := times(e.Size, n)
-	row, team := p.rows[e.Row], p.teams[e.Team]
+	size := multiply(e.Size, n)
+	row, team := p.rowUsage[e.Row], p.teamUsage[e.Team]
 	switch {
 	case e.MaxTasks != 0 && row.tasks+n > e.MaxTasks:
 		return RowTaskLimit
-	case overSize(row.size.Add(size), e.Limit) != "":
+	case exceededPart(row.size.Add(size), e.Limit) != "":
 		return RowSizeLimit
-	case e.QuotaTasks != 0 && team.tasks+n > e.QuotaTasks, overSize(team.size.Add(size), e.Quota) != "":
+	case e.QuotaTasks != 0 && team.tasks+n > e.QuotaTasks, exceededPart(team.size.Add(size), e.Quota) != "":
 		return TeamQuota
-	case e.Class == cell.Bulk && !p.beyondReserve(size), p.crowdsOut(e, size):
+	case e.Class == cell.Bulk && !p.keepsUrgentReserve(size), p.delaysOverdueBulk(e, size):
 		return ReservedForUrgent
 	default:
 		return Ready
 	}
 }
 
-// beyondReserve tells whether the urgent reserve stays whole when bulk work
+// keepsUrgentReserve tells whether the urgent reserve stays whole when bulk work
 // takes that much. Without it a night's bulk work would take the last room,
 // and an urgent task would have to wait for a stop.
-func (p *Placer) beyondReserve(size cell.Size) bool {
-	return p.free.Sub(size).Least(p.whole) >= p.limits.UrgentReserve
+func (p *Placer) keepsUrgentReserve(size cell.Size) bool {
+	return p.free.Sub(size).Least(p.total) >= p.limits.UrgentReserve
 }
 
-// crowdsOut tells whether normal work would take what an overdue bulk job waits
+// delaysOverdueBulk tells whether normal work would take what an overdue bulk job waits
 // for. The bulk job alone has to leave the reserve whole, so other work that
 // takes each piece as it comes free would lock it out for ever.
-func (p *Placer) crowdsOut(e *entry, size cell.Size) bool {
-	old := p.old
+func (p *Placer) delaysOverdueBulk(e *entry, size cell.Size) bool {
+	old := p.overdue
 	if old == nil || old == e || e.Class == cell.Urgent || old.Class != cell.Bulk || !old.waiting() {
 		return false
 	}
-	return !p.beyondReserve(size.Add(old.Size))
+	return !p.keepsUrgentReserve(size.Add(old.Size))
 }
 
-// overSize names the first part of size that is over its limit. A part of
+// exceededPart names the first part of size that is over its limit. A part of
 // zero is open, a negative one allows nothing.
-func overSize(size, limit cell.Size) string {
+func exceededPart(size, limit cell.Size) string {
 	switch {
 	case limit.CPU != 0 && size.CPU > limit.CPU:
 		return "cpu"
@@ -61,17 +61,17 @@
 	}
 }
 
-// times is size n times over; parts that overflow stay at the largest number,
+// multiply is size n multiply over; parts that overflow stay at the largest number,
 // which fits nowhere.
-func times(size cell.Size, n int64) cell.Size {
-	return cell.Size{CPU: timesPart(size.CPU, n), Mem: timesPart(size.Mem, n), Accel: timesPart(size.Accel, n)}
+func multiply(size cell.Size, n int64) cell.Size {
+	return cell.Size{CPU: multiplyPart(size.CPU, n), Mem: multiplyPart(size.Mem, n), Accel: multiplyPart(size.Accel, n)}
 }
 
-const most = int64(1)<<62 - 1
+const maxPart = int64(1)<<62 - 1
 
-func timesPart(v, n int64) int64 {
-	if v > 0 && n > most/v {
-		return most
+func multiplyPart(v, n int64) int64 {
+	if v > 0 && n > maxPart/v {
+		return maxPart
 	}
 	return v * n
 }
@@ -102,19 +102,19 @@
 			return &InfeasibleError{Limit: l.name, Needed: n, Available: max(l.has, 0)}
 		}
 	}
-	together := times(w.Size, n)
+	total := multiply(w.Size, n)
 	for _, l := range []struct {
 		name string
 		size cell.Size
 	}{{"the row's room", w.Limit}, {"the team's quota", w.Quota}} {
-		if part := overSize(together, l.size); part != "" {
-			return never(l.name, part, together, l.size)
+		if part := exceededPart(total, l.size); part != "" {
+			return infeasible(l.name, part, total, l.size)
 		}
 	}
-	return p.neverFits(w, n)
+	return p.checkWorkers(w, n)
 }
 
-func (p *Placer) neverFits(w Request, n int64) error {
+func (p *Placer) checkWorkers(w Request, n int64) error {
 	if len(p.workers) == 0 {
 		return nil
 	}
@@ -122,12 +122,12 @@
 	for _, k := range p.workers {
 		if w.Size.Fits(k.size) {
 			fits = true
-			holds += copies(k.size, w.Size)
+			holds += countFitting(k.size, w.Size)
 		}
 	}
 	if !fits {
-		part := nearest(w.Size, p.index.most)
-		return never("the largest worker", part, w.Size, p.index.most)
+		part := lackingPart(w.Size, p.index.largest)
+		return infeasible("the largest worker", part, w.Size, p.index.largest)
 	}
 	if w.Gang && holds < n {
 		return &InfeasibleError{Limit: "tasks that all workers hold at once", Needed: n, Available: holds}
@@ -135,10 +135,10 @@
 	return nil
 }
 
-// nearest is the first part that the largest worker lacks, or "all parts at
+// lackingPart is the first part that the largest worker lacks, or "all parts at
 // once" when no worker has them together.
-func nearest(size, largest cell.Size) string {
-	if part := overSize(size, cell.Size{CPU: max(largest.CPU, 1), Mem: max(largest.Mem, 1)}); part != "" {
+func lackingPart(size, largest cell.Size) string {
+	if part := exceededPart(size, cell.Size{CPU: max(largest.CPU, 1), Mem: max(largest.Mem, 1)}); part != "" {
 		return part
 	}
 	if size.Accel > largest.Accel {
@@ -147,16 +147,16 @@
 	return "cpu with mem and accel"
 }
 
-func never(limit, part string, needed, has cell.Size) error {
+func infeasible(limit, part string, needed, has cell.Size) error {
 	parts := map[string][2]int64{"cpu": {needed.CPU, has.CPU}, "mem": {needed.Mem, has.Mem}, "accel": {needed.Accel, has.Accel}}
 	v := parts[part]
 	return &InfeasibleError{Limit: part + " of " + limit, Needed: v[0], Available: v[1]}
 }
 
-// copies is how many tasks of that size go into room.
-func copies(room, size cell.Size) int64 {
-	n := most
-	for _, part := range [][2]int64{{room.CPU, size.CPU}, {room.Mem, size.Mem}, {room.Accel, size.Accel}} {
+// countFitting is how many tasks of that size go into room.
+func countFitting(capacity, size cell.Size) int64 {
+	n := maxPart
+	for _, part := range [][2]int64{{capacity.CPU, size.CPU}, {capacity.Mem, size.Mem}, {capacity.Accel, size.Accel}} {
 		if part[1] > 0 {
 			n = min(n, max(part[0], 0)/part[1])
 		}
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -39,128 +39,128 @@
 
 // Placer is the placement core of one host.
 type Placer struct {
-	limits  Limits
-	now     time.Time
-	workers map[string]*worker
-	index   index
-	reach   index
-	whole   cell.Size
-	free    cell.Size
-	taken   map[string]*room
-	rows    map[string]share
-	teams   map[string]share
-	urgent  share
-	queue   queue
-	old     *entry
-	looked  time.Time
-	results results
-	// grown are workers that got room in this step, which has the number step.
-	grown []*worker
-	step  int64
-	acts  []Action
+	limits       Limits
+	now          time.Time
+	workers      map[string]*worker
+	index        index
+	preemptIndex index
+	total        cell.Size
+	free         cell.Size
+	allocations  map[string]*allocation
+	rowUsage     map[string]usage
+	teamUsage    map[string]usage
+	urgentUsage  usage
+	queue        queue
+	overdue      *entry
+	lastTick     time.Time
+	results      results
+	// grownWorkers are workers that got room in this step, which has the number step.
+	grownWorkers []*worker
+	step         int64
+	actions      []Action
 }
 
 // New returns a core without workers.
 func New(limits Limits) *Placer {
 	return &Placer{
-		limits: limits, workers: map[string]*worker{}, taken: map[string]*room{}, rows: map[string]share{},
-		index: index{by: byFree}, reach: index{by: byReach}, teams: map[string]share{}, queue: newQueue(), results: newResults(),
+		limits: limits, workers: map[string]*worker{}, allocations: map[string]*allocation{}, rowUsage: map[string]usage{},
+		index: index{key: byFree}, preemptIndex: index{key: byFreeAfterPreemption}, teamUsage: map[string]usage{}, queue: newQueue(), results: newResults(),
 	}
 }
 
 // Step takes one event and returns the placements that it makes possible.
 func (p *Placer) Step(now time.Time, ev Event) []Action {
 	p.now = now
-	p.acts = nil
+	p.actions = nil
 	p.step++
 	switch ev := ev.(type) {
 	case Up:
-		p.up(ev)
+		p.addWorker(ev)
 	case WorkerResized:
-		p.sized(ev)
+		p.resizeWorker(ev)
 	case Down:
-		p.down(ev.Worker)
+		p.removeWorker(ev.Worker)
 	case Request:
 		p.queue.add(now, ev)
 	case Freed:
 		if p.queue.drop(ev.Task) {
 			return nil
 		}
-		p.freed(ev.Task)
+		p.freeTask(ev.Task)
 	case TaskResized:
-		p.resized(ev)
+		p.resizeTask(ev)
 	case Result:
-		p.result(ev)
+		p.recordResult(ev)
 	case RuleChanged:
-		p.queue.ruled(ev)
+		p.queue.applyRule(ev)
 	case Tick:
 		p.tick()
 	}
-	p.fill()
-	return p.acts
+	p.placeWaiting()
+	return p.actions
 }
 
-func (p *Placer) do(a Action) { p.acts = append(p.acts, a) }
+func (p *Placer) emit(a Action) { p.actions = append(p.actions, a) }
 
-// tickEvery bounds how often the passing of time alone is looked at.
-const tickEvery = time.Second
+// tickInterval bounds how often the passing of time alone is looked at.
+const tickInterval = time.Second
 
 func (p *Placer) tick() {
-	if p.now.Sub(p.looked) < tickEvery {
+	if p.now.Sub(p.lastTick) < tickInterval {
 		return
 	}
-	p.looked = p.now
-	p.expireMarks()
-	p.lookForOverdue()
-	p.giveUpCorrections()
-	p.trials()
-	p.wakeReturning()
+	p.lastTick = p.now
+	p.expireReservations()
+	p.updateOverdue()
+	p.revertCorrections()
+	p.reviewQuarantined()
+	p.wakeAfterAvoid()
 }
 
-func (p *Placer) up(ev Up) {
-	p.down(ev.Worker)
-	w := &worker{name: ev.Worker, rack: ev.Rack, size: ev.Size, free: ev.Size, tasks: map[string]*room{}}
+func (p *Placer) addWorker(ev Up) {
+	p.removeWorker(ev.Worker)
+	w := &worker{name: ev.Worker, rack: ev.Rack, size: ev.Size, free: ev.Size, tasks: map[string]*allocation{}}
 	p.workers[ev.Worker] = w
-	p.whole = p.whole.Add(w.size)
+	p.total = p.total.Add(w.size)
 	p.free = p.free.Add(w.free)
 	p.rescale(w)
 	for _, u := range ev.Used {
-		r := &room{task: u.Task, row: u.Row, team: u.Team, class: u.Class, size: u.Size, began: p.now}
+		r := &allocation{task: u.Task, row: u.Row, team: u.Team, class: u.Class, size: u.Size, started: p.now}
 		if u.Remaining > 0 {
-			r.ends = p.now.Add(u.Remaining)
+			r.plannedEnd = p.now.Add(u.Remaining)
 		}
-		p.take(r, w)
+		p.allocate(r, w)
 	}
-	p.sort(w)
-	p.wakeFor(w)
+	p.reindex(w)
+	p.noteGrown(w)
 }
 
 // rescale makes the indexes hold a worker of that size.
 func (p *Placer) rescale(w *worker) {
-	if p.index.grows(w.size) {
+	if p.index.growScale(w.size) {
 		p.index.rebuild(p.inNameOrder())
-		p.reach.grows(w.size)
-		p.reach.rebuild(p.inNameOrder())
+		p.preemptIndex.growScale(w.size)
+		p.preemptIndex.rebuild(p.inNameOrder())
 	}
 }
 
-// sized books another size of a worker. What runs there goes on; its free room is negative while
+// resizeWorker books another size of a worker. What runs there goes on; its free room is negative while
 // that takes more than it has. Room that is kept there for an entry which does not fit any more
 // is given up.
-func (p *Placer) sized(ev WorkerResized) {
+func (p *Placer) resizeWorker(ev WorkerResized) {
 	w, ok := p.workers[ev.Worker]
 	if !ok || w.size == ev.Size {
 		return
 	}
 	more := ev.Size.Sub(w.size)
 	w.size, w.free = ev.Size, w.free.Add(more)
-	p.whole, p.free = p.whole.Add(more), p.free.Add(more)
+	p.total, p.free = p.total.Add(more), p.free.Add(more)
 	p.rescale(w)
-	p.sort(w)
-	if w.mark != nil && !w.mark.entry.Size.Fits(w.size) {
-		p.unmark(w.mark.entry)
+	p.reindex(w)
+	if w.reservation != nil && !w.reservation.entry.Size.Fits(w.size) {
+		p.cancelReservations(w.reservation.entry)
 	}
-	p.wakeFor(w)
+	p.noteGrown(w)
 }
 
 func (p *Placer) inNameOrder() []*worker {
@@ -171,7 +171,7 @@
 	return all
 }
 
-func (p *Placer) down(name string) {
+func (p *Placer) removeWorker(name string) {
 	w, ok := p.workers[name]
 	if !ok {
 		return
@@ -179,21 +179,21 @@
 	for _, task := range slices.Sorted(maps.Keys(w.tasks)) {
 		p.release(task)
 	}
-	p.index.drop(w)
-	p.reach.drop(w)
-	p.whole = p.whole.Sub(w.size)
+	p.index.remove(w)
+	p.preemptIndex.remove(w)
+	p.total = p.total.Sub(w.size)
 	p.free = p.free.Sub(w.free)
 	delete(p.workers, name)
 	p.queue.wake(func(s *shape) bool { return s.blocked == GangTooLarge })
 }
 
-func (p *Placer) freed(task string) {
-	r, ok := p.taken[task]
+func (p *Placer) freeTask(task string) {
+	r, ok := p.allocations[task]
 	if !ok {
 		return
 	}
 	p.release(task)
-	p.wakeFor(r.worker)
+	p.noteGrown(r.worker)
 	p.queue.wake(func(s *shape) bool {
 		switch s.blocked {
 		case RowTaskLimit, RowSizeLimit:
@@ -206,52 +206,52 @@
 	})
 }
 
-// fill places waiting tasks, one at a time and the most deserving first, until
+// placeWaiting places waiting tasks, one at a time and the most deserving first, until
 // everything that waits is known to be blocked.
-func (p *Placer) fill() {
+func (p *Placer) placeWaiting() {
 	for {
 		if e := p.next(); e != nil {
-			p.try(e)
+			p.tryEntry(e)
 			continue
 		}
-		e := p.refill()
+		e := p.nextRetry()
 		if e == nil {
 			p.sweep()
 			return
 		}
-		p.try(e)
+		p.tryEntry(e)
 		if e.shape.blocked == Ready {
 			// The others have their turn before this one's next task.
-			e.shape.looked = 0
+			e.shape.lastRetry = 0
 			p.queue.block(e.shape, NoCapacity)
 		}
 	}
 }
 
-// sweepEvery is how many steps pass between two sweeps of empty shapes.
-const sweepEvery = 64
+// sweepInterval is how many steps pass between two sweeps of empty shapes.
+const sweepInterval = 64
 
 func (p *Placer) sweep() {
-	if p.step%sweepEvery == 0 {
+	if p.step%sweepInterval == 0 {
 		p.queue.wake(func(*shape) bool { return false })
 	}
 }
 
 func (p *Placer) next() *entry {
-	if p.old != nil && p.old.waiting() && p.old.shape.blocked == Ready {
-		return p.old
+	if p.overdue != nil && p.overdue.waiting() && p.overdue.shape.blocked == Ready {
+		return p.overdue
 	}
-	return p.queue.next(p.deserves)
+	return p.queue.next(p.fairShare)
 }
 
-// deserves orders lanes of one class: the team that has the least of the cell
+// fairShare orders lanes of one class: the team that has the least of the cell
 // goes first, within it the row that has the least for its weight.
-func (p *Placer) deserves(l *lane) (float64, float64) {
-	return p.teams[l.team].size.Share(p.whole), p.rows[l.row].size.Share(p.whole) / float64(max(l.weight, 1))
+func (p *Placer) fairShare(l *lane) (float64, float64) {
+	return p.teamUsage[l.team].size.Share(p.total), p.rowUsage[l.row].size.Share(p.total) / float64(max(l.weight, 1))
 }
 
-func (p *Placer) try(e *entry) {
-	if why := p.allowed(e); why != Ready {
+func (p *Placer) tryEntry(e *entry) {
+	if why := p.checkLimits(e); why != Ready {
 		p.queue.block(e.shape, why)
 		return
 	}
@@ -259,52 +259,52 @@
 		p.tryGang(e)
 		return
 	}
-	w := p.best(e)
+	w := p.bestWorker(e)
 	if w == nil {
 		p.queue.block(e.shape, NoCapacity)
-		p.makeRoom(e)
+		p.preemptFor(e)
 		return
 	}
-	p.put(e, w)
+	p.assign(e, w)
 }
 
-func (p *Placer) put(e *entry, w *worker) {
+func (p *Placer) assign(e *entry, w *worker) {
 	task := p.queue.pop(e)
-	r := &room{task: task, row: e.Row, team: e.Team, class: e.Class, size: e.Size, began: p.now}
+	r := &allocation{task: task, row: e.Row, team: e.Team, class: e.Class, size: e.Size, started: p.now}
 	if e.RunTime > 0 {
-		r.ends = p.now.Add(e.RunTime)
+		r.plannedEnd = p.now.Add(e.RunTime)
 	}
-	p.take(r, w)
-	p.tried(w)
-	p.do(Assign{Task: task, Worker: w.name})
+	p.allocate(r, w)
+	p.closeTrial(w)
+	p.emit(Assign{Task: task, Worker: w.name})
 	if !e.waiting() {
-		p.unmark(e)
+		p.cancelReservations(e)
 	}
 }
 
-// best is the fullest worker that has room for one of the entry's tasks.
-func (p *Placer) best(e *entry) *worker {
+// bestWorker is the fullest worker that has room for one of the entry's tasks.
+func (p *Placer) bestWorker(e *entry) *worker {
 	usable := func(w *worker) bool { return p.usable(w, e) }
 	if e.Spread {
-		return p.spread(e, usable)
+		return p.bestSpread(e, usable)
 	}
 	if w := p.index.best(e.Size, usable); w != nil {
 		return w
 	}
-	if len(e.Avoid) == 0 || p.elsewhere(e) {
+	if len(e.Avoid) == 0 || p.fitsWithoutAvoided(e) {
 		return nil
 	}
-	return p.index.best(e.Size, func(w *worker) bool { return p.mayReturn(w, e) && p.markedFor(w, e) })
+	return p.index.best(e.Size, func(w *worker) bool { return p.mayRetryOn(w, e) && p.reservationAllows(w, e) })
 }
 
-// mayReturn tells whether the entry's tasks may be put on a worker that they have failed on. Tried
+// mayRetryOn tells whether the entry's tasks may be put on a worker that they have failed on. Tried
 // there again at once, they would spend all their tries on a worker that fails everything.
-func (p *Placer) mayReturn(w *worker, e *entry) bool {
-	return !slices.Contains(e.Avoid, w.name) || !p.now.Before(e.AvoidUntil) || w.good.After(e.LastFailed)
+func (p *Placer) mayRetryOn(w *worker, e *entry) bool {
+	return !slices.Contains(e.Avoid, w.name) || !p.now.Before(e.AvoidUntil) || w.lastSuccess.After(e.LastFailure)
 }
 
-// wakeReturning has work tried that may go back now to the workers that it has failed on.
-func (p *Placer) wakeReturning() {
+// wakeAfterAvoid has work tried that may go back now to the workers that it has failed on.
+func (p *Placer) wakeAfterAvoid() {
 	p.queue.wake(func(s *shape) bool {
 		e := s.head()
 		if e.AvoidUntil.IsZero() || p.now.Before(e.AvoidUntil) {
@@ -315,30 +315,30 @@
 	})
 }
 
-// elsewhere tells whether workers that the entry's tasks have not failed on
+// fitsWithoutAvoided tells whether workers that the entry's tasks have not failed on
 // could hold one, or all of a gang, once they have room. A task that did not wait
 // for them would spend all its tries on the same bad worker, which always has room,
 // and its job would end as failed because of one machine. A gang that waited for
 // too few of them would wait for ever.
-func (p *Placer) elsewhere(e *entry) bool {
+func (p *Placer) fitsWithoutAvoided(e *entry) bool {
 	need := int64(1)
 	if e.Gang {
-		need = int64(e.live)
+		need = int64(e.pending)
 	}
 	for _, w := range p.workers {
-		if w.open() && e.Size.Fits(w.size) && !slices.Contains(e.Avoid, w.name) {
-			need -= copies(w.size, e.Size)
+		if w.acceptsTasks() && e.Size.Fits(w.size) && !slices.Contains(e.Avoid, w.name) {
+			need -= countFitting(w.size, e.Size)
 		}
 	}
 	return need <= 0
 }
 
 func (p *Placer) usable(w *worker, e *entry) bool {
-	return !slices.Contains(e.Avoid, w.name) && p.markedFor(w, e)
+	return !slices.Contains(e.Avoid, w.name) && p.reservationAllows(w, e)
 }
 
-// spread prefers the racks that run the fewest tasks of the row.
-func (p *Placer) spread(e *entry, usable func(*worker) bool) *worker {
+// bestSpread prefers the racks that run the fewest tasks of the row.
+func (p *Placer) bestSpread(e *entry, usable func(*worker) bool) *worker {
 	count := map[string]int{}
 	for _, w := range p.workers {
 		count[w.rack] += w.rows[e.Row]
@@ -346,10 +346,10 @@
 	var best *worker
 	var least float64
 	for _, w := range p.workers {
-		if !w.open() || !e.Size.Fits(w.free) || !usable(w) {
+		if !w.acceptsTasks() || !e.Size.Fits(w.free) || !usable(w) {
 			continue
 		}
-		left := float64(count[w.rack]) + w.left(e.Size)/2
+		left := float64(count[w.rack]) + w.freeShareAfter(e.Size)/2
 		if best == nil || left < least || left == least && w.name < best.name {
 			best, least = w, left
 		}
@@ -360,7 +360,7 @@
 // Largest returns the largest worker that is up in each part; false when no
 // worker is up.
 func (p *Placer) Largest() (cell.Size, bool) {
-	return p.index.most, len(p.workers) > 0
+	return p.index.largest, len(p.workers) > 0
 }
 
 // Waiting returns how many tasks wait for room.
@@ -379,7 +379,7 @@
 
 // AllocatedSize returns the room that a task takes; false if it takes none.
 func (p *Placer) AllocatedSize(task string) (cell.Size, bool) {
-	r, ok := p.taken[task]
+	r, ok := p.allocations[task]
 	if !ok {
 		return cell.Size{}, false
 	}
@@ -388,7 +388,7 @@
 
 // IsAssigned tells whether a task has its room on that worker.
 func (p *Placer) IsAssigned(task, worker string) bool {
-	r, ok := p.taken[task]
+	r, ok := p.allocations[task]
 	return ok && r.worker.name == worker
 }
 
@@ -396,7 +396,7 @@
 func (p *Placer) QuarantinedWorkers() []string {
 	var all []string
 	for _, w := range p.inNameOrder() {
-		if w.health.aside {
+		if w.health.quarantined {
 			all = append(all, w.name)
 		}
 	}
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -14,72 +14,72 @@
 	free       cell.Size
 	// bulk is what tasks take that urgent work may have stopped.
 	bulk cell.Size
-	// seen is what its tasks were last seen to use.
-	seen   cell.Size
-	tasks  map[string]*room
-	rows   map[string]int
-	at     [sortings]position
-	mark   *mark
-	health health
-	// good is when a task last ended well there.
-	good time.Time
+	// usage is what its tasks were last usage to use.
+	usage       cell.Size
+	tasks       map[string]*allocation
+	rows        map[string]int
+	positions   [indexCount]position
+	reservation *reservation
+	health      health
+	// lastSuccess is when a task last ended well there.
+	lastSuccess time.Time
 }
 
-// left is the largest share that stays free when size is taken.
-func (w *worker) left(size cell.Size) float64 { return w.free.Sub(size).Share(w.size) }
+// freeShareAfter is the largest share that stays free when size is taken.
+func (w *worker) freeShareAfter(size cell.Size) float64 { return w.free.Sub(size).Share(w.size) }
 
-// open tells whether the worker may get a task at all.
-func (w *worker) open() bool { return !w.health.aside || w.health.trial }
+// acceptsTasks tells whether the worker may get a task at all.
+func (w *worker) acceptsTasks() bool { return !w.health.quarantined || w.health.trialOpen }
 
-// room is what one running task takes.
-type room struct {
+// allocation is what one running task takes.
+type allocation struct {
 	task, row, team string
 	class           cell.Class
 	worker          *worker
 	size            cell.Size
-	// seen is what the task was last seen to use.
-	seen        cell.Size
-	began, ends time.Time
-	leaving     bool
-	throttled   bool
+	// usage is what the task was last usage to use.
+	usage               cell.Size
+	started, plannedEnd time.Time
+	preempting          bool
+	throttled           bool
 }
 
-// share is what the tasks of a row, team or class take in all.
-type share struct {
+// usage is what the tasks of a row, team or class take in all.
+type usage struct {
 	size  cell.Size
 	tasks int64
 }
 
-func (s share) add(size cell.Size, n int64) share {
-	return share{size: s.size.Add(size), tasks: s.tasks + n}
+func (s usage) add(size cell.Size, n int64) usage {
+	return usage{size: s.size.Add(size), tasks: s.tasks + n}
 }
 
-func (p *Placer) take(r *room, w *worker) {
+func (p *Placer) allocate(r *allocation, w *worker) {
 	p.release(r.task)
 	r.worker = w
-	p.taken[r.task] = r
+	p.allocations[r.task] = r
 	w.tasks[r.task] = r
 	if w.rows == nil {
 		w.rows = map[string]int{}
 	}
 	w.rows[r.row]++
-	p.count(r, r.size, 1)
+	p.account(r, r.size, 1)
 }
 
 func (p *Placer) release(task string) {
-	r, ok := p.taken[task]
+	r, ok := p.allocations[task]
 	if !ok {
 		return
 	}
-	delete(p.taken, task)
+	delete(p.allocations, task)
 	delete(r.worker.tasks, task)
 	r.worker.rows[r.row]--
-	r.worker.seen = r.worker.seen.Sub(r.seen)
-	p.count(r, r.size, -1)
+	r.worker.usage = r.worker.usage.Sub(r.usage)
+	p.account(r, r.size, -1)
 }
 
-// count books a room in (n = 1) or out (n = -1) of all sums.
-func (p *Placer) count(r *room, size cell.Size, n int64) {
+// account books a room in (n = 1) or out (n = -1) of all sums.
+func (p *Placer) account(r *allocation, size cell.Size, n int64) {
 	w := r.worker
 	if n < 0 {
 		size = cell.Size{}.Sub(size)
@@ -89,69 +89,69 @@
 	if r.class == cell.Bulk {
 		w.bulk = w.bulk.Add(size)
 	}
-	p.rows[r.row] = p.rows[r.row].add(size, n)
-	p.teams[r.team] = p.teams[r.team].add(size, n)
+	p.rowUsage[r.row] = p.rowUsage[r.row].add(size, n)
+	p.teamUsage[r.team] = p.teamUsage[r.team].add(size, n)
 	if r.class == cell.Urgent {
-		p.urgent = p.urgent.add(size, n)
+		p.urgentUsage = p.urgentUsage.add(size, n)
 	}
-	p.sort(w)
+	p.reindex(w)
 }
 
-// sort brings a worker to its place in both indexes.
-func (p *Placer) sort(w *worker) {
-	p.index.put(w)
-	p.reach.put(w)
+// reindex brings a worker to its place in both indexes.
+func (p *Placer) reindex(w *worker) {
+	p.index.insert(w)
+	p.preemptIndex.insert(w)
 }
 
-// resized books what a task is seen to use. A worker that comes out overfull
+// resizeTask books what a task is seen to use. A worker that comes out overfull
 // is relieved at once.
-func (p *Placer) resized(ev TaskResized) {
-	r, ok := p.taken[ev.Task]
+func (p *Placer) resizeTask(ev TaskResized) {
+	r, ok := p.allocations[ev.Task]
 	if !ok {
 		return
 	}
-	r.worker.seen = r.worker.seen.Add(ev.Use).Sub(r.seen)
-	r.seen = ev.Use
-	p.relieve(r.worker)
+	r.worker.usage = r.worker.usage.Add(ev.Use).Sub(r.usage)
+	r.usage = ev.Use
+	p.relieveOverload(r.worker)
 	if r.size == ev.Size {
 		return
 	}
-	p.count(r, r.size, -1)
+	p.account(r, r.size, -1)
 	r.size = ev.Size
-	p.count(r, r.size, 1)
-	p.wakeFor(r.worker)
+	p.account(r, r.size, 1)
+	p.noteGrown(r.worker)
 }
 
-// wakeFor notes that w has room that it had not when waiting work was tried.
-func (p *Placer) wakeFor(w *worker) {
-	if w.open() && !slices.Contains(p.grown, w) {
-		p.grown = append(p.grown, w)
+// noteGrown notes that w has room that it had not when waiting work was tried.
+func (p *Placer) noteGrown(w *worker) {
+	if w.acceptsTasks() && !slices.Contains(p.grownWorkers, w) {
+		p.grownWorkers = append(p.grownWorkers, w)
 	}
 }
 
-// refill returns the blocked entry that goes first of those that fit a worker
+// nextRetry returns the blocked entry that goes first of those that fit a worker
 // which has got room, nil when there is none. All other blocked work was found
 // to fit nowhere and nothing has changed for it, so it is not tried again.
-func (p *Placer) refill() *entry {
-	for len(p.grown) > 0 {
-		w := p.grown[0]
-		e := p.queue.passing(p.deserves, func(s *shape) bool { return s.looked != p.step && p.passes(s, w) })
+func (p *Placer) nextRetry() *entry {
+	for len(p.grownWorkers) > 0 {
+		w := p.grownWorkers[0]
+		e := p.queue.nextBlocked(p.fairShare, func(s *shape) bool { return s.lastRetry != p.step && p.mayFit(s, w) })
 		if e != nil {
-			e.shape.looked = p.step
-			p.queue.ready(e.shape)
+			e.shape.lastRetry = p.step
+			p.queue.markReady(e.shape)
 			return e
 		}
-		p.grown = p.grown[1:]
+		p.grownWorkers = p.grownWorkers[1:]
 	}
 	return nil
 }
 
-func (p *Placer) passes(s *shape, w *worker) bool {
+func (p *Placer) mayFit(s *shape, w *worker) bool {
 	switch s.blocked {
 	case NoCapacity, GangTooLarge:
 		return s.size.Fits(w.free)
 	case ReservedForUrgent:
-		return p.beyondReserve(s.size)
+		return p.keepsUrgentReserve(s.size)
 	default:
 		return false
 	}
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -1,7 +1,7 @@
-// Package takeover decides when the jobs of a former lead may go on. It starts
-// nothing of them before a census of the failure domain: every worker that the
-// former lead could have held is held and read by this host, answered for by
-// its live holder, or silent for longer than the longest lease.
+// Package takeover decides when the jobs of a former leader may resume. None of their tasks is
+// started before an inventory of the failure domain is complete: every worker that the former
+// leader could have held is held and read by this host, reported by the live host that holds it, or
+// has been silent for longer than the longest lease.
 package takeover
 
 import (
@@ -10,49 +10,50 @@
 	"time"
 )
 
-// Limits set the times of a census.
+// Limits are the times of an inventory.
 type Limits struct {
-	// LongestLease is the longest lease of a task: a worker that was silent for so
-	// long runs nothing that a former lead started.
+	// LongestLease is the longest lease of a task: a worker that was silent for that long runs
+	// nothing that a former leader started.
 	LongestLease time.Duration
-	// AskInterval is how often the peers are asked while anything waits.
+	// AskInterval is how often the peers are asked while an inventory is incomplete or a worker is
+	// watched.
 	AskInterval time.Duration
 }
 
 type worker struct {
 	held bool
-	// sign is when the worker last gave a sign of life, or was first known.
-	sign time.Time
-	// answered is when the question was sent that its live holder answered.
-	answered time.Time
+	// lastContact is when the worker was last heard of, or when it was first known.
+	lastContact time.Time
+	// reportedAt is when the request was sent to which the live host that holds the worker
+	// answered.
+	reportedAt time.Time
 }
 
-// Takeover is the takeover core of one host.
+// Takeover is the takeover state machine of one host.
 type Takeover struct {
 	limits  Limits
 	self    string
 	workers map[string]*worker
-	// peers holds when each live peer was last asked with success.
+	// peers holds when the last request that each live peer answered was sent.
 	peers map[string]time.Time
-	// jobs holds since when each found job waits. Only what was learnt later
-	// counts for it.
+	// jobs holds since when each found job waits. Only what was learned later counts for it.
 	jobs map[string]time.Time
-	// keys are the same for what is counted.
-	keys  map[string]time.Time
-	watch map[string]time.Time
-	log   time.Time
-	asked time.Time
+	// keys holds the same for the keys.
+	keys      map[string]time.Time
+	watched   map[string]time.Time
+	logRead   time.Time
+	lastAsked time.Time
 }
 
-// New returns the core of the host that is called self. It knows no worker.
+// New returns the state machine of the host with the name self. It knows no worker.
 func New(self string, limits Limits) *Takeover {
 	return &Takeover{
 		limits: limits, self: self, workers: map[string]*worker{}, peers: map[string]time.Time{},
-		jobs: map[string]time.Time{}, keys: map[string]time.Time{}, watch: map[string]time.Time{},
+		jobs: map[string]time.Time{}, keys: map[string]time.Time{}, watched: map[string]time.Time{},
 	}
 }
 
-// Step takes one event and returns which jobs may go on and what to ask.
+// Step applies one event and returns the jobs and keys that may proceed and the requests to send.
 func (t *Takeover) Step(now time.Time, ev Event) []Action {
 	switch ev := ev.(type) {
 	case SetWorkers:
@@ -60,28 +61,28 @@
 	case SetPeers:
 		t.setPeers(now, ev.Names)
 	case FoundJob, GoneJob, AddKey, RemoveKey:
-		t.wait(now, ev)
+		t.updateWaiting(now, ev)
 	case WatchWorkers:
 		t.setWatch(now, ev.Workers)
 	case WorkerHeld:
-		t.sign(now, ev.Worker, true)
+		t.recordContact(now, ev.Worker, true)
 	case WorkerLost:
-		t.down(now, ev.Worker)
+		t.workerLost(now, ev.Worker)
 	case WorkerContact:
-		t.sign(now, ev.Worker, false)
+		t.recordContact(now, ev.Worker, false)
 	case LogRead:
-		t.log = later(t.log, ev.Asked)
+		t.logRead = later(t.logRead, ev.Asked)
 	case PeerAnswer:
 		t.answer(now, ev)
 	case PeerAsked:
 		t.yield(now, ev.Host, ev.Jobs)
 	case Tick:
 	}
-	return append(t.complete(now), t.due(now)...)
+	return append(t.releaseComplete(now), t.due(now)...)
 }
 
-// wait begins or ends what waits for a census.
-func (t *Takeover) wait(now time.Time, ev Event) {
+// updateWaiting adds or removes a job or a key that waits for an inventory.
+func (t *Takeover) updateWaiting(now time.Time, ev Event) {
 	switch ev := ev.(type) {
 	case FoundJob:
 		if _, ok := t.jobs[ev.Job]; !ok {
@@ -106,7 +107,7 @@
 func (t *Takeover) setWorkers(now time.Time, names []string) {
 	for _, name := range names {
 		if t.workers[name] == nil {
-			t.workers[name] = &worker{sign: now}
+			t.workers[name] = &worker{lastContact: now}
 		}
 	}
 	for name := range t.workers {
@@ -116,13 +117,14 @@
 	}
 }
 
-// setPeers restarts every census when a host joins or goes. A host that went
-// silent may have held workers and led jobs since it was last asked.
+// setPeers replaces the live peers and restarts every inventory when a host is gone, since that
+// host may have held workers and led jobs after it was last asked. A host that joins counts as not
+// yet asked.
 func (t *Takeover) setPeers(now time.Time, names []string) {
 	for name := range t.peers {
 		if !slices.Contains(names, name) {
 			delete(t.peers, name)
-			t.restart(now)
+			t.restartAll(now)
 		}
 	}
 	for _, name := range names {
@@ -132,7 +134,7 @@
 	}
 }
 
-func (t *Takeover) restart(now time.Time) {
+func (t *Takeover) restartAll(now time.Time) {
 	for id := range t.jobs {
 		t.jobs[id] = now
 	}
@@ -143,31 +145,31 @@
 
 func (t *Takeover) setWatch(now time.Time, names []string) {
 	for _, name := range names {
-		if _, ok := t.watch[name]; !ok {
-			t.watch[name] = now
+		if _, ok := t.watched[name]; !ok {
+			t.watched[name] = now
 		}
 	}
-	for name := range t.watch {
+	for name := range t.watched {
 		if !slices.Contains(names, name) {
-			delete(t.watch, name)
+			delete(t.watched, name)
 		}
 	}
 }
 
-func (t *Takeover) sign(now time.Time, name string, held bool) {
+func (t *Takeover) recordContact(now time.Time, name string, held bool) {
 	if w, ok := t.workers[name]; ok {
-		w.sign = now
+		w.lastContact = now
 		w.held = w.held || held
 	}
 }
 
-// down restarts every census. A host that was paused for so long that it lost
-// a worker must not go on with answers from before the pause: another host may
-// have completed its own census and started the job since then.
-func (t *Takeover) down(now time.Time, name string) {
+// workerLost restarts every inventory. A host that was paused for so long that it lost a worker
+// must not go on with answers from before the pause: another host may have completed its own
+// inventory and started the job since then.
+func (t *Takeover) workerLost(now time.Time, name string) {
 	if w, ok := t.workers[name]; ok && w.held {
-		w.held, w.sign = false, now
-		t.restart(now)
+		w.held, w.lastContact = false, now
+		t.restartAll(now)
 	}
 }
 
@@ -178,26 +180,26 @@
 	t.peers[ev.Host] = later(t.peers[ev.Host], ev.Asked)
 	for _, name := range ev.Workers {
 		if w, ok := t.workers[name]; ok {
-			w.answered = later(w.answered, ev.Asked)
-			w.sign = now
+			w.reportedAt = later(w.reportedAt, ev.Asked)
+			w.lastContact = now
 		}
 	}
-	t.again(now, ev.Leads)
+	t.restartJobs(now, ev.Leads)
 	t.yield(now, ev.Host, ev.Waits)
 }
 
-// yield leaves jobs to a peer that waits for them too and comes first by name.
-// Two hosts that disagree about who lives may both inherit a job; if both
-// completed their census, its tasks would run twice. The host that yields needs
-// another answer of that peer, which leads the job by then or has given it up.
+// yield leaves jobs to a peer that is taking them over too and whose name sorts first. Two hosts
+// that disagree about which hosts are live may both inherit a job; if both completed their
+// inventory, its tasks would run twice. The host that yields needs another answer of that peer,
+// which by then leads the job or has given it up.
 func (t *Takeover) yield(now time.Time, host string, ids []string) {
 	if host < t.self {
-		t.again(now, ids)
+		t.restartJobs(now, ids)
 	}
 }
 
-// again restarts the census of some jobs.
-func (t *Takeover) again(now time.Time, ids []string) {
+// restartJobs restarts the inventory of some jobs.
+func (t *Takeover) restartJobs(now time.Time, ids []string) {
 	for _, id := range ids {
 		if _, ok := t.jobs[id]; ok {
 			t.jobs[id] = now
@@ -205,12 +207,11 @@
 	}
 }
 
-// complete releases the jobs whose census is complete. Without any worker this
-// host has nothing that would show it that it was taken for dead, so it
-// releases nothing then.
-func (t *Takeover) complete(now time.Time) []Action {
+// releaseComplete releases the jobs and keys whose inventory is complete. A host that holds no
+// worker releases nothing, because it has no way to notice that others have declared it dead.
+func (t *Takeover) releaseComplete(now time.Time) []Action {
 	var acts []Action
-	if !t.holds() {
+	if !t.holdsAnyWorker() {
 		return nil
 	}
 	for _, id := range slices.Sorted(maps.Keys(t.jobs)) {
@@ -220,7 +221,7 @@
 		}
 	}
 	for _, key := range slices.Sorted(maps.Keys(t.keys)) {
-		if t.unread(now, t.keys[key]) == "" {
+		if t.missingSince(now, t.keys[key]) == "" {
 			delete(t.keys, key)
 			acts = append(acts, ReleaseKey{Key: key})
 		}
@@ -228,7 +229,7 @@
 	return acts
 }
 
-func (t *Takeover) holds() bool {
+func (t *Takeover) holdsAnyWorker() bool {
 	for _, w := range t.workers {
 		if w.held {
 			return true
@@ -237,18 +238,19 @@
 	return false
 }
 
-// Missing names what the census of a job still waits for: the log, a peer or a
-// worker; empty if nothing.
+// Missing returns what the inventory of a job still waits for: the log, or the name of a peer or
+// worker. It returns an empty string if nothing is missing.
 func (t *Takeover) Missing(now time.Time, id string) string {
 	since := t.jobs[id]
-	if !t.log.After(since) {
+	if !t.logRead.After(since) {
 		return "log"
 	}
-	return t.unread(now, since)
+	return t.missingSince(now, since)
 }
 
-// unread names a peer or worker that was not heard of since then; empty if none.
-func (t *Takeover) unread(now, since time.Time) string {
+// missingSince returns a peer or worker whose state after since is still unknown; empty if there is
+// none.
+func (t *Takeover) missingSince(now, since time.Time) string {
 	for _, name := range slices.Sorted(maps.Keys(t.peers)) {
 		if !t.peers[name].After(since) {
 			return name
@@ -256,44 +258,44 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(t.workers)) {
 		w := t.workers[name]
-		if !w.held && !w.answered.After(since) && now.Sub(later(w.sign, since)) <= t.limits.LongestLease {
+		if !w.held && !w.reportedAt.After(since) && now.Sub(later(w.lastContact, since)) <= t.limits.LongestLease {
 			return name
 		}
 	}
 	return ""
 }
 
-// Waiting lists the found jobs that wait for their census.
+// Waiting lists the found jobs whose inventory is incomplete.
 func (t *Takeover) Waiting() []string { return slices.Sorted(maps.Keys(t.jobs)) }
 
-// LeasesExpired tells whether a worker gave no sign, to this host or to a peer that answered, for longer
-// than any lease.
+// LeasesExpired reports whether a worker was silent for longer than any lease, both to this host
+// and to the peers that answered.
 func (t *Takeover) LeasesExpired(now time.Time, name string) bool {
 	w, ok := t.workers[name]
-	return ok && !w.held && now.Sub(w.sign) > t.limits.LongestLease
+	return ok && !w.held && now.Sub(w.lastContact) > t.limits.LongestLease
 }
 
 func (t *Takeover) due(now time.Time) []Action {
 	var acts []Action
-	for _, name := range slices.Sorted(maps.Keys(t.watch)) {
-		if t.dead(now, name) {
-			t.watch[name] = now
+	for _, name := range slices.Sorted(maps.Keys(t.watched)) {
+		if t.isSilent(now, name) {
+			t.watched[name] = now
 			acts = append(acts, WorkerSilent{Worker: name})
 		}
 	}
-	if len(t.jobs)+len(t.keys)+len(t.watch) > 0 && now.Sub(t.asked) >= t.limits.AskInterval {
-		t.asked = now
+	if len(t.jobs)+len(t.keys)+len(t.watched) > 0 && now.Sub(t.lastAsked) >= t.limits.AskInterval {
+		t.lastAsked = now
 		acts = append(acts, AskPeers{})
 	}
 	return acts
 }
 
-// dead tells whether a watched worker gave no sign for longer than any lease,
-// to this host or to any live peer that was asked since.
-func (t *Takeover) dead(now time.Time, name string) bool {
-	since := t.watch[name]
+// isSilent reports whether a watched worker was silent for longer than any lease, both to this host
+// and to the live peers that were asked since.
+func (t *Takeover) isSilent(now time.Time, name string) bool {
+	since := t.watched[name]
 	if w, ok := t.workers[name]; ok {
-		since = later(since, w.sign)
+		since = later(since, w.lastContact)
 	}
 	return now.Sub(since) > t.limits.LongestLease
 }
