--- a/internal/entry/states.go
+++ b/internal/entry/states.go
@@ -72,11 +72,11 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.keep(id, state)
+	s.addLocked(id, state)
 }
 
-// keep is learn; mu is held.
-func (s *stateCache) keep(id string, state flow.State) {
+// addLocked is learn; mu is held.
+func (s *stateCache) addLocked(id string, state flow.State) {
 	if _, ok := s.ended[id]; !ok && len(s.ended) < maxFinalStates {
 		s.ended[id] = cachedState{state, s.h.now()}
 	}
@@ -98,7 +98,7 @@
 	defer s.mu.Unlock()
 	for state, ids := range r.Ended {
 		for _, id := range ids {
-			s.keep(id, flow.State(state))
+			s.addLocked(id, flow.State(state))
 		}
 	}
 	switch {
