--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -84,7 +84,7 @@
 		select {
 		case a := <-q.answers:
 			if a.err == nil {
-				q.h.states.learn(q.id, a.state)
+				q.h.states.add(q.id, a.state)
 				return a
 			}
 			q.noteFailure(a)
--- a/internal/entry/states.go
+++ b/internal/entry/states.go
@@ -65,8 +65,8 @@
 
 func newStates(h *Host) *stateCache { return &stateCache{h: h, ended: map[string]cachedState{}} }
 
-// learn keeps a final state.
-func (s *stateCache) learn(id string, state flow.State) {
+// add keeps a final state.
+func (s *stateCache) add(id string, state flow.State) {
 	if !state.Final() {
 		return
 	}
@@ -258,7 +258,7 @@
 			newest[rec.Key] = flow.Newer(newest[rec.Key], rec.Value)
 		}
 		if state, _, ok := flow.RecordState(rec.Value); ok {
-			s.learn(rec.Key, state)
+			s.add(rec.Key, state)
 		}
 	})
 	return newest, err
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -90,7 +90,7 @@
 			t.open++
 			continue
 		}
-		h.states.learn(j.Spec.ID, j.State)
+		h.states.add(j.Spec.ID, j.State)
 		t.endings.add(j.Spec.ID, j.State, began)
 	}
 	t.ctx, t.cancel = context.WithCancel(h.ctx)
@@ -279,7 +279,7 @@
 // ended takes note of a final state, for this host and for those that ask.
 func (t *term) ended(a sched.JobEnded) {
 	t.h.log.Info("sched: ended.", "id", a.ID, "term", t.number, "detail", a.State)
-	t.h.states.learn(a.ID, a.State)
+	t.h.states.add(a.ID, a.State)
 	now := t.h.now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
