--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -347,7 +347,7 @@
 // Told is up to where the host was told final states, after an answer to its sync.
 func (h *Host) Told(r peer.SyncReply) (term int64, next int) {
 	h.states.follow(r)
-	return h.states.followed()
+	return h.states.syncPosition()
 }
 
 // HoldCore keeps the lead's core busy until the returned function is called.
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -245,7 +245,7 @@
 }
 
 func (h *Host) syncMessage() peer.Sync {
-	term, next := h.states.followed()
+	term, next := h.states.syncPosition()
 	return peer.Sync{From: h.cfg.Name, Addr: h.cfg.Listen.Peer, Power: h.cfg.Power, Began: h.startedAt, Term: term, Endings: next}
 }
 
--- a/internal/entry/states.go
+++ b/internal/entry/states.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// followed is up to where the lead told final states.
-func (s *stateCache) followed() (term int64, next int) {
+// syncPosition is up to where the lead told final states.
+func (s *stateCache) syncPosition() (term int64, next int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.term, s.position
