--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -295,7 +295,7 @@
 		var got result
 		got.err = h.peers.Ask(ctx, name, h.syncMessage(), &got.reply)
 		if got.err == nil {
-			h.states.follow(got.reply)
+			h.states.addFromLeader(got.reply)
 			h.noteLeaderReply(name, got.reply, h.now().Sub(sent) > patience)
 		}
 		answered <- got
--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -346,7 +346,7 @@
 
 // Told is up to where the host was told final states, after an answer to its sync.
 func (h *Host) Told(r peer.SyncReply) (term int64, next int) {
-	h.states.follow(r)
+	h.states.addFromLeader(r)
 	return h.states.syncPosition()
 }
 
--- a/internal/entry/states.go
+++ b/internal/entry/states.go
@@ -89,8 +89,8 @@
 	return s.term, s.position
 }
 
-// follow keeps the final states that a lead tells.
-func (s *stateCache) follow(r peer.SyncReply) {
+// addFromLeader keeps the final states that a lead tells.
+func (s *stateCache) addFromLeader(r peer.SyncReply) {
 	if !r.Lead {
 		return
 	}
