--- a/internal/entry/states.go
+++ b/internal/entry/states.go
@@ -191,8 +191,8 @@
 	}
 }
 
-// missing lists the jobs of a read whose end is not known yet, in order.
-func (s *stateCache) missing(r *stateRead) []string {
+// withoutFinalState lists the jobs of a read whose end is not known yet, in order.
+func (s *stateCache) withoutFinalState(r *stateRead) []string {
 	for id := range r.ids {
 		if state, ok := s.final(id); ok {
 			r.found[id] = state
@@ -204,7 +204,7 @@
 // readAll looks for jobs first where their progress lies, and for those without any where
 // they were accepted. In this order a job that is forgotten meanwhile is found in neither.
 func (s *stateCache) readAll(ctx context.Context, r *stateRead) error {
-	ids := s.missing(r)
+	ids := s.withoutFinalState(r)
 	if len(ids) == 0 {
 		return nil
 	}
