--- a/internal/entry/states.go
+++ b/internal/entry/states.go
@@ -217,7 +217,7 @@
 		case ok && !readable:
 			s.h.log.Error("state: record cannot be read.", "id", id)
 			r.unreadable[id] = true
-		case state.Final(), ok && err == nil && !s.forgettable(began):
+		case state.Final(), ok && err == nil && !s.mayBeForgotten(began):
 			r.found[id] = state
 		default:
 			unproved = append(unproved, id)
@@ -240,9 +240,9 @@
 	return err
 }
 
-// forgettable tells whether a job that was accepted then may have ended and been forgotten.
+// mayBeForgotten tells whether a job that was accepted then may have ended and been forgotten.
 // One partition may keep an older record of it for a while.
-func (s *stateCache) forgettable(began time.Time) bool {
+func (s *stateCache) mayBeForgotten(began time.Time) bool {
 	return s.h.now().Sub(began) > time.Duration(s.h.cfg.Times.Keep)
 }
 
