--- a/internal/entry/states.go
+++ b/internal/entry/states.go
@@ -311,7 +311,7 @@
 		if id <= last {
 			continue
 		}
-		a, err := s.h.store.Do(ctx, store.Call{Op: store.Newest, Topic: topic, Part: part, After: before(id)})
+		a, err := s.h.store.Do(ctx, store.Call{Op: store.Newest, Topic: topic, Part: part, After: keyBefore(id)})
 		if err != nil {
 			return err
 		}
@@ -324,5 +324,5 @@
 	return nil
 }
 
-// before is a key that sorts before that of a job and after all jobs before it.
-func before(id string) string { return id[:len(id)-1] + string(id[len(id)-1]-1) + "~" }
+// keyBefore is a key that sorts keyBefore that of a job and after all jobs keyBefore it.
+func keyBefore(id string) string { return id[:len(id)-1] + string(id[len(id)-1]-1) + "~" }
