--- a/internal/entry/group.go
+++ b/internal/entry/group.go
@@ -93,7 +93,7 @@
 func (h *Host) isCandidate() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.ownTerm != nil || h.cfg.Power*stronger > h.strongPower || h.now().Sub(h.lastSync) > strongPowerValidity
+	return h.ownTerm != nil || h.cfg.Power*strongerFactor > h.strongPower || h.now().Sub(h.lastSync) > strongPowerValidity
 }
 
 // minStrongPower is the power of the weakest of the enoughHosts strongest hosts;
--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// stronger is by how much more power another host has when the lead leaves it
+	// strongerFactor is by how much more power another host has when the lead leaves it
 	// to that one. A change of the lead costs a tenth of a second, a lead that is
 	// short of power every start.
-	stronger = 1.5
+	strongerFactor = 1.5
 	// cedeAfter is how old a term is when that is looked at: the hosts are known.
 	cedeAfter = 2500 * time.Millisecond
 	// delegateEvery is how often a host asks another one to lead in its place.
@@ -167,7 +167,7 @@
 	all := h.successors()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return slices.DeleteFunc(all, func(n string) bool { return h.peersSeen[n].power < h.cfg.Power*stronger })
+	return slices.DeleteFunc(all, func(n string) bool { return h.peersSeen[n].power < h.cfg.Power*strongerFactor })
 }
 
 // delegate asks a host with much more power to lead; false if there is none, or
