--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -16,8 +16,8 @@
 	// to that one. A change of the lead costs a tenth of a second, a lead that is
 	// short of power every start.
 	strongerFactor = 1.5
-	// cedeAfter is how old a term is when that is looked at: the hosts are known.
-	cedeAfter = 2500 * time.Millisecond
+	// cedeMinTermAge is how old a term is when that is looked at: the hosts are known.
+	cedeMinTermAge = 2500 * time.Millisecond
 	// delegateEvery is how often a host asks another one to lead in its place.
 	delegateEvery = 15 * time.Second
 )
@@ -149,7 +149,7 @@
 	h.mu.Lock()
 	t := h.ownTerm
 	h.mu.Unlock()
-	if t == nil || h.now().Sub(t.began) < cedeAfter {
+	if t == nil || h.now().Sub(t.began) < cedeMinTermAge {
 		return
 	}
 	ctx, cancel := context.WithTimeout(h.ctx, time.Second)
