--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -18,8 +18,8 @@
 	strongerFactor = 1.5
 	// cedeMinTermAge is how old a term is when that is looked at: the hosts are known.
 	cedeMinTermAge = 2500 * time.Millisecond
-	// delegateEvery is how often a host asks another one to lead in its place.
-	delegateEvery = 15 * time.Second
+	// delegateInterval is how often a host asks another one to lead in its place.
+	delegateInterval = 15 * time.Second
 )
 
 // succeed takes over from a lead that leaves, or lets its successor do so.
@@ -176,7 +176,7 @@
 func (h *Host) delegate() bool {
 	h.readHosts()
 	h.mu.Lock()
-	lately := h.now().Sub(h.lastDelegation) < delegateEvery
+	lately := h.now().Sub(h.lastDelegation) < delegateInterval
 	term := h.term
 	h.mu.Unlock()
 	if lately {
