--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -56,7 +56,7 @@
 	case peer.StoreCall:
 		return encodeStoreReply(h.store.Direct(ctx, m.Call)), nil
 	case peer.Succeed:
-		h.succeed(m)
+		h.handleSucceed(m)
 		return nil, nil
 	default:
 		return nil, &UnknownMessageError{}
--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -22,8 +22,8 @@
 	delegateInterval = 15 * time.Second
 )
 
-// succeed takes over from a lead that leaves, or lets its successor do so.
-func (h *Host) succeed(m peer.Succeed) {
+// handleSucceed takes over from a lead that leaves, or lets its successor do so.
+func (h *Host) handleSucceed(m peer.Succeed) {
 	if m.Successor != h.cfg.Name {
 		h.followLeader(m.Successor, m.Term)
 		return
