--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -232,7 +232,7 @@
 	h.leaving = true
 	t := h.ownTerm
 	h.mu.Unlock()
-	h.leave(t)
+	h.stepDown(t)
 	grace := time.Duration(h.cfg.Times.Grace)
 	sleep(h.ctx, min(drainWait, max(grace-shutdownTimeout-time.Second, 0)))
 	ctx, cancel := context.WithTimeout(h.ctx, shutdownTimeout)
--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -38,10 +38,10 @@
 	h.wg.Go(func() { h.claim("the lead leaves") })
 }
 
-// leave gives up the host's place among the others and has one lead. All are
+// stepDown gives up the host's place among the others and has one lead. All are
 // told which: the group may name another one, and two that claim at a slow store
 // cost each other seconds.
-func (h *Host) leave(t *term) {
+func (h *Host) stepDown(t *term) {
 	ctx, cancel := context.WithTimeout(h.ctx, time.Second)
 	defer cancel()
 	if t != nil {
