--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -48,15 +48,15 @@
 		// It leads on while a successor is looked for.
 		successor := h.able(ctx, h.successors())
 		t.end("planned stop")
-		h.tellSuccessor(ctx, successor, t.succeed())
+		h.announceSuccessor(ctx, successor, t.succeed())
 	}
 	h.leaveGroup(candidateGroup)
 }
 
-// tellSuccessor tells all hosts, the successor first, who is to lead now. The others
+// announceSuccessor tells all hosts, the successor first, who is to lead now. The others
 // are told at once: one in a failure domain that is cut off would use up the time of
 // all.
-func (h *Host) tellSuccessor(ctx context.Context, successor string, succeed peer.Succeed) {
+func (h *Host) announceSuccessor(ctx context.Context, successor string, succeed peer.Succeed) {
 	succeed.Successor = successor
 	h.mu.Lock()
 	h.successor = successor
@@ -159,7 +159,7 @@
 		return
 	}
 	t.end("a stronger host leads")
-	h.tellSuccessor(ctx, best, t.succeed())
+	h.announceSuccessor(ctx, best, t.succeed())
 }
 
 // strongerHosts lists the hosts that should lead in place of this one.
@@ -192,7 +192,7 @@
 	h.lastDelegation = h.now()
 	h.mu.Unlock()
 	h.log.Info("lead: left to a stronger host.", "host", best)
-	h.tellSuccessor(ctx, best, peer.Succeed{Term: term})
+	h.announceSuccessor(ctx, best, peer.Succeed{Term: term})
 	h.followLeader(best, term)
 	return true
 }
