--- a/internal/entry/heir.go
+++ b/internal/entry/heir.go
@@ -65,7 +65,7 @@
 		h.wg.Go(func() {
 			ctx, cancel := context.WithTimeout(h.ctx, askTimeout)
 			defer cancel()
-			h.tellOne(ctx, p, succeed)
+			h.sendSucceed(ctx, p, succeed)
 		})
 	}
 	h.claim("the lead's process is gone")
--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -62,18 +62,18 @@
 	h.successor = successor
 	h.mu.Unlock()
 	if successor != "" {
-		h.tellOne(ctx, successor, succeed)
+		h.sendSucceed(ctx, successor, succeed)
 	}
 	var wg sync.WaitGroup
 	for _, p := range h.otherHosts() {
 		if p != successor {
-			wg.Go(func() { h.tellOne(ctx, p, succeed) })
+			wg.Go(func() { h.sendSucceed(ctx, p, succeed) })
 		}
 	}
 	wg.Wait()
 }
 
-func (h *Host) tellOne(ctx context.Context, p string, succeed peer.Succeed) {
+func (h *Host) sendSucceed(ctx context.Context, p string, succeed peer.Succeed) {
 	if err := h.peers.Tell(ctx, p, succeed); err != nil {
 		h.log.Warn("entry: peer was not told of the successor.", "peer", p, "err", err)
 	}
