--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// successorWait bounds the question whether a host can lead.
-const successorWait = 150 * time.Millisecond
+// successorTimeout bounds the question whether a host can lead.
+const successorTimeout = 150 * time.Millisecond
 
 // able is the first of the hosts that answers, is served by the store and does not
 // leave; empty if there is none.
@@ -105,7 +105,7 @@
 }
 
 func firstOfSome(ctx context.Context, hosts []string, ask func(ctx context.Context, name string) bool) string {
-	ctx, cancel := context.WithTimeout(ctx, successorWait)
+	ctx, cancel := context.WithTimeout(ctx, successorTimeout)
 	defer cancel()
 	said := make([]chan bool, len(hosts))
 	for i, p := range hosts {
