--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -46,7 +46,7 @@
 	defer cancel()
 	if t != nil {
 		// It leads on while a successor is looked for.
-		successor := h.able(ctx, h.successors())
+		successor := h.firstAvailable(ctx, h.successors())
 		t.end("planned stop")
 		h.announceSuccessor(ctx, successor, t.succeed())
 	}
@@ -82,9 +82,9 @@
 // successorTimeout bounds the question whether a host can lead.
 const successorTimeout = 150 * time.Millisecond
 
-// able is the first of the hosts that answers, is served by the store and does not
+// firstAvailable is the first of the hosts that answers, is served by the store and does not
 // leave; empty if there is none.
-func (h *Host) able(ctx context.Context, hosts []string) string {
+func (h *Host) firstAvailable(ctx context.Context, hosts []string) string {
 	return firstOf(ctx, hosts, func(ctx context.Context, p string) bool {
 		var r peer.SyncReply
 		err := h.peers.Ask(ctx, p, h.syncMessage(), &r)
@@ -154,7 +154,7 @@
 	}
 	ctx, cancel := context.WithTimeout(h.ctx, time.Second)
 	defer cancel()
-	best := h.able(ctx, h.strongerHosts())
+	best := h.firstAvailable(ctx, h.strongerHosts())
 	if best == "" {
 		return
 	}
@@ -184,7 +184,7 @@
 	}
 	ctx, cancel := context.WithTimeout(h.ctx, askTimeout)
 	defer cancel()
-	best := h.able(ctx, h.strongerHosts())
+	best := h.firstAvailable(ctx, h.strongerHosts())
 	if best == "" {
 		return false
 	}
