--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -97,14 +97,14 @@
 // would use up the time that a lead has to leave.
 func firstOf(ctx context.Context, hosts []string, ask func(ctx context.Context, name string) bool) string {
 	for some := range slices.Chunk(hosts, maxConcurrentAsks) {
-		if p := firstOfSome(ctx, some, ask); p != "" {
+		if p := firstAcceptingOf(ctx, some, ask); p != "" {
 			return p
 		}
 	}
 	return ""
 }
 
-func firstOfSome(ctx context.Context, hosts []string, ask func(ctx context.Context, name string) bool) string {
+func firstAcceptingOf(ctx context.Context, hosts []string, ask func(ctx context.Context, name string) bool) string {
 	ctx, cancel := context.WithTimeout(ctx, successorTimeout)
 	defer cancel()
 	said := make([]chan bool, len(hosts))
