--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -237,7 +237,7 @@
 
 // FirstOf is the first host that says yes.
 func FirstOf(ctx context.Context, hosts []string, ask func(ctx context.Context, name string) bool) string {
-	return firstOf(ctx, hosts, ask)
+	return firstAccepting(ctx, hosts, ask)
 }
 
 // Apart picks hosts that lie far from each other.
--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -85,17 +85,17 @@
 // firstAvailable is the first of the hosts that answers, is served by the store and does not
 // leave; empty if there is none.
 func (h *Host) firstAvailable(ctx context.Context, hosts []string) string {
-	return firstOf(ctx, hosts, func(ctx context.Context, p string) bool {
+	return firstAccepting(ctx, hosts, func(ctx context.Context, p string) bool {
 		var r peer.SyncReply
 		err := h.peers.Ask(ctx, p, h.syncMessage(), &r)
 		return err == nil && r.Served && !r.Leaving
 	})
 }
 
-// firstOf is the first of the hosts that says yes, mostAsked of them asked at a time: the
+// firstAccepting is the first of the hosts that says yes, mostAsked of them asked at a time: the
 // best may lie together in a failure domain that is cut off, and one after the other they
 // would use up the time that a lead has to leave.
-func firstOf(ctx context.Context, hosts []string, ask func(ctx context.Context, name string) bool) string {
+func firstAccepting(ctx context.Context, hosts []string, ask func(ctx context.Context, name string) bool) string {
 	for some := range slices.Chunk(hosts, maxConcurrentAsks) {
 		if p := firstAcceptingOf(ctx, some, ask); p != "" {
 			return p
