--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -174,7 +174,7 @@
 		switch {
 		case leading:
 			h.setHosts(h.recentHosts())
-			h.cede()
+			h.cedeToStronger()
 		case lead != "" && !alone:
 			h.syncWithLeader(lead)
 		default:
--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -144,8 +144,8 @@
 	})
 }
 
-// cede leaves the lead to a host with much more power, if there is one.
-func (h *Host) cede() {
+// cedeToStronger leaves the lead to a host with much more power, if there is one.
+func (h *Host) cedeToStronger() {
 	h.mu.Lock()
 	t := h.ownTerm
 	h.mu.Unlock()
