--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -94,7 +94,7 @@
 	if newer, _ := h.currentLeader(); h.isLeaderOrClaiming(newer) || newer != "" && h.isLeaderAlive(before) {
 		return
 	}
-	if !h.delegate() {
+	if !h.delegateToStronger() {
 		h.claim("the group names this host")
 	}
 }
--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -170,10 +170,10 @@
 	return slices.DeleteFunc(all, func(n string) bool { return h.peersSeen[n].power < h.cfg.Power*strongerFactor })
 }
 
-// delegate asks a host with much more power to lead; false if there is none, or
+// delegateToStronger asks a host with much more power to lead; false if there is none, or
 // if one was asked lately: it may be gone and still be listed, and nothing would
 // be led for as long as it is asked again.
-func (h *Host) delegate() bool {
+func (h *Host) delegateToStronger() bool {
 	h.readHosts()
 	h.mu.Lock()
 	lately := h.now().Sub(h.lastDelegation) < delegateInterval
