--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -40,7 +40,7 @@
 		t := h.ownTerm
 		h.mu.Unlock()
 		if t != nil {
-			t.take(m.Part, m.First, m.Records)
+			t.acceptRecords(m.Part, m.First, m.Records)
 		}
 		return peer.HandReply{Taken: t != nil}, nil
 	case peer.AskState:
--- a/internal/entry/inbox.go
+++ b/internal/entry/inbox.go
@@ -174,7 +174,7 @@
 	lead, t := h.leader, h.ownTerm
 	h.mu.Unlock()
 	if t != nil {
-		t.take(part, first, records)
+		t.acceptRecords(part, first, records)
 		return true
 	}
 	if lead == "" || lead == h.cfg.Name {
--- a/internal/entry/take.go
+++ b/internal/entry/take.go
@@ -13,10 +13,10 @@
 	"pollencroft/internal/store"
 )
 
-// take takes what callers asked for, as it is stored from offset first on. What
+// acceptRecords takes what callers asked for, as it is stored from offset first on. What
 // was taken before is known to the core by its id; what lies between is read by
 // poll.
-func (t *term) take(part int, first int64, records []store.Record) {
+func (t *term) acceptRecords(part int, first int64, records []store.Record) {
 	t.mu.Lock()
 	if part < len(t.next) && first <= t.next[part] {
 		t.next[part] = max(t.next[part], first+int64(len(records)))
@@ -97,7 +97,7 @@
 		return err
 	}
 	if len(a.Records) > 0 {
-		t.take(part, from, a.Records)
+		t.acceptRecords(part, from, a.Records)
 	}
 	return nil
 }
@@ -108,7 +108,7 @@
 	if err != nil {
 		return err
 	}
-	t.take(part, from, all)
+	t.acceptRecords(part, from, all)
 	t.mu.Lock()
 	t.next[part] = max(t.next[part], from)
 	t.mu.Unlock()
