--- a/internal/entry/take.go
+++ b/internal/entry/take.go
@@ -26,7 +26,7 @@
 	}
 	t.mu.Unlock()
 	for _, r := range records {
-		t.takeOne(r)
+		t.acceptRecord(r)
 	}
 }
 
@@ -43,7 +43,7 @@
 	t.where[id][part] = true
 }
 
-func (t *term) takeOne(r store.Record) {
+func (t *term) acceptRecord(r store.Record) {
 	if id, ok := strings.CutSuffix(r.Key, cancelMark); ok {
 		if len(r.Value) > 0 {
 			t.step(sched.Cancel{ID: id})
