--- a/internal/entry/take.go
+++ b/internal/entry/take.go
@@ -22,7 +22,7 @@
 		t.next[part] = max(t.next[part], first+int64(len(records)))
 	}
 	for _, r := range records {
-		t.stored(part, r)
+		t.notePart(part, r)
 	}
 	t.mu.Unlock()
 	for _, r := range records {
@@ -30,9 +30,9 @@
 	}
 }
 
-// stored notes where a record lies, so that it can be dropped one day; mu is
+// notePart notes where a record lies, so that it can be dropped one day; mu is
 // held, or nobody else knows t yet.
-func (t *term) stored(part int, r store.Record) {
+func (t *term) notePart(part int, r store.Record) {
 	if len(r.Value) == 0 {
 		return
 	}
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -96,7 +96,7 @@
 	t.ctx, t.cancel = context.WithCancel(h.ctx)
 	for part, all := range asks {
 		for _, a := range all {
-			t.stored(part, a)
+			t.notePart(part, a)
 		}
 	}
 	h.mu.Lock()
