--- a/internal/entry/take.go
+++ b/internal/entry/take.go
@@ -64,9 +64,9 @@
 	t.step(sched.Submit{Spec: spec})
 }
 
-// poll reads what no host told of, all partitions every pollAll, and the first time
+// pollPeriodically reads what no host told of, all partitions every pollAll, and the first time
 // soon: hosts went on storing while this one took over.
-func (t *term) poll() {
+func (t *term) pollPeriodically() {
 	for pause := pollFirst; sleep(t.ctx, pause); pause = pollAll {
 		began := t.h.now()
 		g, ctx := errgroup.WithContext(t.ctx)
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -116,7 +116,7 @@
 	}
 	h.wg.Go(t.formerLead)
 	h.wg.Go(t.followWorkers)
-	h.wg.Go(t.poll)
+	h.wg.Go(t.pollPeriodically)
 	h.wg.Go(t.ticks)
 	h.wg.Go(t.reportLoad)
 	return t
