--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -68,7 +68,7 @@
 	h.observe("lead.takeover", h.now().Sub(began))
 	h.log.Info(
 		"lead: term begins.", "term", t.number, "why", why, "jobs", t.jobs, "open", t.open,
-		"fencing", t.readAt.Sub(began), "reading", t.began.Sub(t.readAt), "restoring", h.now().Sub(t.began),
+		"fencing", t.readAt.Sub(began), "reading", t.beganAt.Sub(t.readAt), "restoring", h.now().Sub(t.beganAt),
 	)
 	h.announce(t)
 }
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -279,7 +279,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	all := map[string]netip.AddrPort{}
-	fresh := h.ownTerm != nil && h.now().Sub(h.ownTerm.began) < hostExpiry
+	fresh := h.ownTerm != nil && h.now().Sub(h.ownTerm.beganAt) < hostExpiry
 	for n, s := range h.peersSeen {
 		if h.now().Sub(s.at) < hostExpiry {
 			all[n] = s.addr
--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -149,7 +149,7 @@
 	h.mu.Lock()
 	t := h.ownTerm
 	h.mu.Unlock()
-	if t == nil || h.now().Sub(t.began) < cedeMinTermAge {
+	if t == nil || h.now().Sub(t.beganAt) < cedeMinTermAge {
 		return
 	}
 	ctx, cancel := context.WithTimeout(h.ctx, time.Second)
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -20,9 +20,9 @@
 type term struct {
 	h      *Host
 	number int64
-	// readAt is when the reading of what the former lead left began, began when it
+	// readAt is when the reading of what the former lead left beganAt, beganAt when it
 	// was over.
-	readAt, began time.Time
+	readAt, beganAt time.Time
 	// jobs is how many were taken over, open how many of them go on.
 	jobs, open int
 	ctx        context.Context
@@ -78,7 +78,7 @@
 	limits.Disabled = h.cfg.Off
 	limits.Retention = time.Duration(h.cfg.Times.Keep) * 5 / 4
 	t := &term{
-		h: h, number: number, readAt: read, began: began, polled: read, jobs: len(r.jobs) + len(r.notStarted), open: len(r.notStarted),
+		h: h, number: number, readAt: read, beganAt: began, polled: read, jobs: len(r.jobs) + len(r.notStarted), open: len(r.notStarted),
 		kick: make(chan struct{}, 1), next: next, where: map[string]map[int]bool{}, listed: map[string]sched.Worker{}, unread: map[string]bool{},
 		core: sched.New(limits, number, r.jobs), journal: newJournal(h.store, h.log, &h.wg, number, h.stateParts()), orders: newOrders(),
 	}
