--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -29,11 +29,11 @@
 	cancel     context.CancelFunc
 	kick       chan struct{}
 
-	mu      sync.Mutex
-	core    *sched.Sched
-	over    bool
-	journal *journal
-	orders  *responseTimes
+	mu            sync.Mutex
+	core          *sched.Sched
+	over          bool
+	journal       *journal
+	responseTimes *responseTimes
 	// next is by partition the first offset of jobsTopic that was not taken.
 	next []int64
 	// polled is when the last look through all partitions began.
@@ -80,7 +80,7 @@
 	t := &term{
 		h: h, number: number, readAt: read, beganAt: began, polled: read, jobs: len(r.jobs) + len(r.notStarted), open: len(r.notStarted),
 		kick: make(chan struct{}, 1), next: next, where: map[string]map[int]bool{}, listed: map[string]sched.Worker{}, unread: map[string]bool{},
-		core: sched.New(limits, number, r.jobs), journal: newJournal(h.store, h.log, &h.wg, number, h.stateParts()), orders: newOrders(),
+		core: sched.New(limits, number, r.jobs), journal: newJournal(h.store, h.log, &h.wg, number, h.stateParts()), responseTimes: newOrders(),
 	}
 	for _, id := range r.unreadable {
 		t.unread[id] = true
@@ -243,7 +243,7 @@
 
 // order sends an order to a worker.
 func (t *term) order(life string, send func(ctx context.Context) sched.Outcome) sched.Outcome {
-	return callWorker(t.orders, t.h.now, life, 0, func() sched.Outcome {
+	return callWorker(t.responseTimes, t.h.now, life, 0, func() sched.Outcome {
 		ctx, cancel := context.WithTimeout(t.ctx, maxOrderTimeout)
 		defer cancel()
 		return send(ctx)
@@ -252,7 +252,7 @@
 
 func (t *term) hold(a sched.Hold) {
 	sent := t.h.now()
-	got := callWorker(t.orders, t.h.now, a.To.Incarnation, a.Wait, func() sched.HoldReply {
+	got := callWorker(t.responseTimes, t.h.now, a.To.Incarnation, a.Wait, func() sched.HoldReply {
 		ctx, cancel := context.WithTimeout(t.ctx, a.Wait+maxOrderTimeout)
 		defer cancel()
 		return t.h.workers.Hold(ctx, a)
