--- a/internal/entry/take.go
+++ b/internal/entry/take.go
@@ -18,8 +18,8 @@
 // poll.
 func (t *term) acceptRecords(part int, first int64, records []store.Record) {
 	t.mu.Lock()
-	if part < len(t.next) && first <= t.next[part] {
-		t.next[part] = max(t.next[part], first+int64(len(records)))
+	if part < len(t.nextOffset) && first <= t.nextOffset[part] {
+		t.nextOffset[part] = max(t.nextOffset[part], first+int64(len(records)))
 	}
 	for _, r := range records {
 		t.notePart(part, r)
@@ -71,7 +71,7 @@
 		began := t.h.now()
 		g, ctx := errgroup.WithContext(t.ctx)
 		g.SetLimit(pollAtOnce)
-		for part := range t.next {
+		for part := range t.nextOffset {
 			g.Go(func() error { return t.pollPart(ctx, part) })
 		}
 		if err := g.Wait(); err != nil {
@@ -86,7 +86,7 @@
 
 func (t *term) pollPart(ctx context.Context, part int) error {
 	t.mu.Lock()
-	from := t.next[part]
+	from := t.nextOffset[part]
 	t.mu.Unlock()
 	a, err := t.h.store.Do(ctx, store.Call{Op: store.Read, Topic: jobsTopic, Part: part, From: from})
 	var trimmed *store.TrimmedError
@@ -110,7 +110,7 @@
 	}
 	t.acceptRecords(part, from, all)
 	t.mu.Lock()
-	t.next[part] = max(t.next[part], from)
+	t.nextOffset[part] = max(t.nextOffset[part], from)
 	t.mu.Unlock()
 	return nil
 }
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -34,8 +34,8 @@
 	over          bool
 	journal       *journal
 	responseTimes *responseTimes
-	// next is by partition the first offset of jobsTopic that was not taken.
-	next []int64
+	// nextOffset is by partition the first offset of jobsTopic that was not taken.
+	nextOffset []int64
 	// polled is when the last look through all partitions began.
 	polled time.Time
 	// where tells in which partitions a job was asked for.
@@ -79,7 +79,7 @@
 	limits.Retention = time.Duration(h.cfg.Times.Keep) * 5 / 4
 	t := &term{
 		h: h, number: number, readAt: read, beganAt: began, polled: read, jobs: len(r.jobs) + len(r.notStarted), open: len(r.notStarted),
-		kick: make(chan struct{}, 1), next: next, where: map[string]map[int]bool{}, listed: map[string]sched.Worker{}, unread: map[string]bool{},
+		kick: make(chan struct{}, 1), nextOffset: next, where: map[string]map[int]bool{}, listed: map[string]sched.Worker{}, unread: map[string]bool{},
 		core: sched.New(limits, number, r.jobs), journal: newJournal(h.store, h.log, &h.wg, number, h.stateParts()), responseTimes: newOrders(),
 	}
 	for _, id := range r.unreadable {
