--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -321,7 +321,7 @@
 	t := h.ownTerm
 	h.mu.Unlock()
 	t.mu.Lock()
-	t.polled = h.now().Add(-knowAge)
+	t.lastPoll = h.now().Add(-knowAge)
 	told, read := make(chan peer.StateReply, 1), make(chan struct{})
 	go func() { told <- h.localState(id) }()
 	go func() {
@@ -331,7 +331,7 @@
 		}
 		defer t.mu.Unlock()
 		t.core.Step(h.now(), sched.Submit{Spec: flow.Spec{ID: id, Steps: []flow.Step{{Tasks: 1}}}})
-		t.polled = h.now()
+		t.lastPoll = h.now()
 	}()
 	time.Sleep(time.Millisecond)
 	t.mu.Unlock()
--- a/internal/entry/take.go
+++ b/internal/entry/take.go
@@ -79,7 +79,7 @@
 			continue
 		}
 		t.mu.Lock()
-		t.polled = began
+		t.lastPoll = began
 		t.mu.Unlock()
 	}
 }
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -36,8 +36,8 @@
 	responseTimes *responseTimes
 	// nextOffset is by partition the first offset of jobsTopic that was not taken.
 	nextOffset []int64
-	// polled is when the last look through all partitions began.
-	polled time.Time
+	// lastPoll is when the last look through all partitions began.
+	lastPoll time.Time
 	// where tells in which partitions a job was asked for.
 	where map[string]map[int]bool
 	// listed are the workers by life, as the store has them.
@@ -78,7 +78,7 @@
 	limits.Disabled = h.cfg.Off
 	limits.Retention = time.Duration(h.cfg.Times.Keep) * 5 / 4
 	t := &term{
-		h: h, number: number, readAt: read, beganAt: began, polled: read, jobs: len(r.jobs) + len(r.notStarted), open: len(r.notStarted),
+		h: h, number: number, readAt: read, beganAt: began, lastPoll: read, jobs: len(r.jobs) + len(r.notStarted), open: len(r.notStarted),
 		kick: make(chan struct{}, 1), nextOffset: next, where: map[string]map[int]bool{}, listed: map[string]sched.Worker{}, unread: map[string]bool{},
 		core: sched.New(limits, number, r.jobs), journal: newJournal(h.store, h.log, &h.wg, number, h.stateParts()), responseTimes: newOrders(),
 	}
@@ -363,7 +363,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	state, known = t.core.State(id)
-	return state, known, known || !t.unread[id] && t.h.now().Sub(t.polled) < knowAge
+	return state, known, known || !t.unread[id] && t.h.now().Sub(t.lastPoll) < knowAge
 }
 
 func (t *term) pending() map[string]int {
