--- a/internal/entry/take.go
+++ b/internal/entry/take.go
@@ -37,10 +37,10 @@
 		return
 	}
 	id, _ := strings.CutSuffix(r.Key, cancelMark)
-	if t.where[id] == nil {
-		t.where[id] = map[int]bool{}
+	if t.jobParts[id] == nil {
+		t.jobParts[id] = map[int]bool{}
 	}
-	t.where[id][part] = true
+	t.jobParts[id][part] = true
 }
 
 func (t *term) acceptRecord(r store.Record) {
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -38,8 +38,8 @@
 	nextOffset []int64
 	// lastPoll is when the last look through all partitions began.
 	lastPoll time.Time
-	// where tells in which partitions a job was asked for.
-	where map[string]map[int]bool
+	// jobParts tells in which partitions a job was asked for.
+	jobParts map[string]map[int]bool
 	// listed are the workers by life, as the store has them.
 	listed map[string]sched.Worker
 	// endings are the final states of its jobs.
@@ -79,7 +79,7 @@
 	limits.Retention = time.Duration(h.cfg.Times.Keep) * 5 / 4
 	t := &term{
 		h: h, number: number, readAt: read, beganAt: began, lastPoll: read, jobs: len(r.jobs) + len(r.notStarted), open: len(r.notStarted),
-		kick: make(chan struct{}, 1), nextOffset: next, where: map[string]map[int]bool{}, listed: map[string]sched.Worker{}, unread: map[string]bool{},
+		kick: make(chan struct{}, 1), nextOffset: next, jobParts: map[string]map[int]bool{}, listed: map[string]sched.Worker{}, unread: map[string]bool{},
 		core: sched.New(limits, number, r.jobs), journal: newJournal(h.store, h.log, &h.wg, number, h.stateParts()), responseTimes: newOrders(),
 	}
 	for _, id := range r.unreadable {
@@ -316,8 +316,8 @@
 // that nothing was done of, and run it again.
 func (t *term) forget(id string) {
 	t.mu.Lock()
-	parts := t.where[id]
-	delete(t.where, id)
+	parts := t.jobParts[id]
+	delete(t.jobParts, id)
 	t.mu.Unlock()
 	for part := range parts {
 		c := store.Call{Op: store.Append, Topic: jobsTopic, Part: part, Keyed: true, Records: []store.Record{{Key: id}, {Key: id + cancelMark}}}
