--- a/internal/entry/servers.go
+++ b/internal/entry/servers.go
@@ -20,7 +20,7 @@
 			sleep(t.ctx, followRetry)
 			continue
 		}
-		clear(t.listed)
+		clear(t.workers)
 		t.applyWorkers(all)
 		t.followWorkersFrom(from)
 	}
@@ -48,25 +48,25 @@
 func (t *term) applyWorkers(all []store.Record) {
 	for _, r := range all {
 		if len(r.Value) == 0 {
-			delete(t.listed, r.Key)
+			delete(t.workers, r.Key)
 			continue
 		}
 		w, err := platform.ParseWorker(r.Key, r.Value)
 		if err != nil {
 			t.h.log.Info("servers: entry passed over.", "id", r.Key, "offset", r.Offset, "err", err)
 			if !w.Addr.IsValid() {
-				w = t.listed[r.Key]
+				w = t.workers[r.Key]
 				w.Size = cell.Size{}
 			}
 		}
 		if w.Addr.IsValid() {
 			w.Version = r.Offset
-			t.listed[r.Key] = w
+			t.workers[r.Key] = w
 		}
 	}
 	ev := sched.Workers{}
-	for _, id := range slices.Sorted(maps.Keys(t.listed)) {
-		ev.All = append(ev.All, t.listed[id])
+	for _, id := range slices.Sorted(maps.Keys(t.workers)) {
+		ev.All = append(ev.All, t.workers[id])
 	}
 	t.step(ev)
 }
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -40,8 +40,8 @@
 	lastPoll time.Time
 	// jobParts tells in which partitions a job was asked for.
 	jobParts map[string]map[int]bool
-	// listed are the workers by life, as the store has them.
-	listed map[string]sched.Worker
+	// workers are the workers by life, as the store has them.
+	workers map[string]sched.Worker
 	// endings are the final states of its jobs.
 	endings finalStates
 	// unread are stored jobs that it cannot read: it does not know them, and they are there.
@@ -79,7 +79,7 @@
 	limits.Retention = time.Duration(h.cfg.Times.Keep) * 5 / 4
 	t := &term{
 		h: h, number: number, readAt: read, beganAt: began, lastPoll: read, jobs: len(r.jobs) + len(r.notStarted), open: len(r.notStarted),
-		kick: make(chan struct{}, 1), nextOffset: next, jobParts: map[string]map[int]bool{}, listed: map[string]sched.Worker{}, unread: map[string]bool{},
+		kick: make(chan struct{}, 1), nextOffset: next, jobParts: map[string]map[int]bool{}, workers: map[string]sched.Worker{}, unread: map[string]bool{},
 		core: sched.New(limits, number, r.jobs), journal: newJournal(h.store, h.log, &h.wg, number, h.stateParts()), responseTimes: newOrders(),
 	}
 	for _, id := range r.unreadable {
