--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -42,8 +42,8 @@
 	jobParts map[string]map[int]bool
 	// workers are the workers by life, as the store has them.
 	workers map[string]sched.Worker
-	// endings are the final states of its jobs.
-	endings finalStates
+	// finalStates are the final states of its jobs.
+	finalStates finalStates
 	// unread are stored jobs that it cannot read: it does not know them, and they are there.
 	unread map[string]bool
 	// late is the most by which a step came after it was due, since that was told last.
@@ -91,7 +91,7 @@
 			continue
 		}
 		h.states.add(j.Spec.ID, j.State)
-		t.endings.add(j.Spec.ID, j.State, began)
+		t.finalStates.add(j.Spec.ID, j.State, began)
 	}
 	t.ctx, t.cancel = context.WithCancel(h.ctx)
 	for part, all := range asks {
@@ -283,15 +283,15 @@
 	now := t.h.now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.endings.add(a.ID, a.State, now)
-	t.endings.drop(now.Add(-time.Duration(t.h.cfg.Times.Keep)))
+	t.finalStates.add(a.ID, a.State, now)
+	t.finalStates.drop(now.Add(-time.Duration(t.h.cfg.Times.Keep)))
 }
 
 // endingsFrom returns final states from a number on, and the number to go on with.
 func (t *term) endingsFrom(n int) (map[flow.State][]string, int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.endings.from(n)
+	return t.finalStates.from(n)
 }
 
 // append stores changes under the term's fence.
