--- a/internal/entry/take.go
+++ b/internal/entry/take.go
@@ -57,7 +57,7 @@
 	if err := json.Unmarshal(r.Value, &spec); err != nil {
 		t.h.log.Error("lead: job cannot be read.", "id", r.Key, "err", err)
 		t.mu.Lock()
-		t.unread[r.Key] = true
+		t.unreadable[r.Key] = true
 		t.mu.Unlock()
 		return
 	}
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -44,8 +44,8 @@
 	workers map[string]sched.Worker
 	// finalStates are the final states of its jobs.
 	finalStates finalStates
-	// unread are stored jobs that it cannot read: it does not know them, and they are there.
-	unread map[string]bool
+	// unreadable are stored jobs that it cannot read: it does not know them, and they are there.
+	unreadable map[string]bool
 	// late is the most by which a step came after it was due, since that was told last.
 	late time.Duration
 }
@@ -79,11 +79,11 @@
 	limits.Retention = time.Duration(h.cfg.Times.Keep) * 5 / 4
 	t := &term{
 		h: h, number: number, readAt: read, beganAt: began, lastPoll: read, jobs: len(r.jobs) + len(r.notStarted), open: len(r.notStarted),
-		kick: make(chan struct{}, 1), nextOffset: next, jobParts: map[string]map[int]bool{}, workers: map[string]sched.Worker{}, unread: map[string]bool{},
+		kick: make(chan struct{}, 1), nextOffset: next, jobParts: map[string]map[int]bool{}, workers: map[string]sched.Worker{}, unreadable: map[string]bool{},
 		core: sched.New(limits, number, r.jobs), journal: newJournal(h.store, h.log, &h.wg, number, h.stateParts()), responseTimes: newOrders(),
 	}
 	for _, id := range r.unreadable {
-		t.unread[id] = true
+		t.unreadable[id] = true
 	}
 	for _, j := range r.jobs {
 		if !j.State.Final() {
@@ -363,7 +363,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	state, known = t.core.State(id)
-	return state, known, known || !t.unread[id] && t.h.now().Sub(t.lastPoll) < knowAge
+	return state, known, known || !t.unreadable[id] && t.h.now().Sub(t.lastPoll) < knowAge
 }
 
 func (t *term) pending() map[string]int {
