--- a/internal/entry/load.go
+++ b/internal/entry/load.go
@@ -26,8 +26,8 @@
 		more = sleep(t.ctx, loadInterval)
 		is, now, used := t.h.loadCounts(), t.h.now(), processorTime()
 		t.mu.Lock()
-		late := t.late
-		t.late = 0
+		late := t.maxTickDelay
+		t.maxTickDelay = 0
 		t.mu.Unlock()
 		attrs := []any{"term", t.number, "for", now.Sub(at), "processor", used - cpu, "late", late, "peak-mib", peakMemory()}
 		for _, name := range slices.Sorted(maps.Keys(is)) {
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -46,8 +46,8 @@
 	finalStates finalStates
 	// unreadable are stored jobs that it cannot read: it does not know them, and they are there.
 	unreadable map[string]bool
-	// late is the most by which a step came after it was due, since that was told last.
-	late time.Duration
+	// maxTickDelay is the most by which a step came after it was due, since that was told last.
+	maxTickDelay time.Duration
 }
 
 const (
@@ -346,7 +346,7 @@
 			continue
 		case <-timer.C:
 			t.mu.Lock()
-			t.late = max(t.late, t.h.now().Sub(set)-pause)
+			t.maxTickDelay = max(t.maxTickDelay, t.h.now().Sub(set)-pause)
 			t.mu.Unlock()
 		}
 		if t.h.now().Sub(t.h.store.Good()) > sched.StoreTimeout {
