--- a/internal/entry/states.go
+++ b/internal/entry/states.go
@@ -286,7 +286,7 @@
 func (s *stateCache) scan(ctx context.Context, topic string, parts []int, ids []string, visit func(rec store.Record, asked bool)) error {
 	var mu sync.Mutex
 	var g errgroup.Group
-	g.SetLimit(pollAtOnce)
+	g.SetLimit(maxConcurrentPolls)
 	for _, part := range parts {
 		g.Go(func() error {
 			return s.scanPart(ctx, topic, part, ids, func(all []store.Record) {
--- a/internal/entry/take.go
+++ b/internal/entry/take.go
@@ -70,7 +70,7 @@
 	for pause := pollFirst; sleep(t.ctx, pause); pause = pollInterval {
 		began := t.h.now()
 		g, ctx := errgroup.WithContext(t.ctx)
-		g.SetLimit(pollAtOnce)
+		g.SetLimit(maxConcurrentPolls)
 		for part := range t.nextOffset {
 			g.Go(func() error { return t.pollPart(ctx, part) })
 		}
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -54,8 +54,8 @@
 	// pollInterval is how often the lead looks through all partitions, pollAtOnce of
 	// them at a time, for jobs that no host told it of: a host that stored one may
 	// have died before it could.
-	pollInterval = 1800 * time.Millisecond
-	pollAtOnce   = 4
+	pollInterval       = 1800 * time.Millisecond
+	maxConcurrentPolls = 4
 	// pollFirst is when a new lead looks first: once its own placing is done.
 	pollFirst = 300 * time.Millisecond
 	// knowAge is how old such a look may be for a job that it did not find to be
