--- a/internal/entry/take.go
+++ b/internal/entry/take.go
@@ -67,7 +67,7 @@
 // pollPeriodically reads what no host told of, all partitions every pollAll, and the first time
 // soon: hosts went on storing while this one took over.
 func (t *term) pollPeriodically() {
-	for pause := pollFirst; sleep(t.ctx, pause); pause = pollInterval {
+	for pause := firstPollDelay; sleep(t.ctx, pause); pause = pollInterval {
 		began := t.h.now()
 		g, ctx := errgroup.WithContext(t.ctx)
 		g.SetLimit(maxConcurrentPolls)
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -56,8 +56,8 @@
 	// have died before it could.
 	pollInterval       = 1800 * time.Millisecond
 	maxConcurrentPolls = 4
-	// pollFirst is when a new lead looks first: once its own placing is done.
-	pollFirst = 300 * time.Millisecond
+	// firstPollDelay is when a new lead looks first: once its own placing is done.
+	firstPollDelay = 300 * time.Millisecond
 	// knowAge is how old such a look may be for a job that it did not find to be
 	// told as not there: a job has to be known three seconds after its acceptance.
 	knowAge = 2900 * time.Millisecond
