--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -321,7 +321,7 @@
 	t := h.ownTerm
 	h.mu.Unlock()
 	t.mu.Lock()
-	t.lastPoll = h.now().Add(-knowAge)
+	t.lastPoll = h.now().Add(-maxPollAge)
 	told, read := make(chan peer.StateReply, 1), make(chan struct{})
 	go func() { told <- h.localState(id) }()
 	go func() {
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -58,9 +58,9 @@
 	maxConcurrentPolls = 4
 	// firstPollDelay is when a new lead looks first: once its own placing is done.
 	firstPollDelay = 300 * time.Millisecond
-	// knowAge is how old such a look may be for a job that it did not find to be
+	// maxPollAge is how old such a look may be for a job that it did not find to be
 	// told as not there: a job has to be known three seconds after its acceptance.
-	knowAge = 2900 * time.Millisecond
+	maxPollAge = 2900 * time.Millisecond
 	// serversEvery is how often the workers' entries are read: a leaving worker
 	// must get no work after two seconds.
 	serversEvery = 400 * time.Millisecond
@@ -363,7 +363,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	state, known = t.core.State(id)
-	return state, known, known || !t.unreadable[id] && t.h.now().Sub(t.lastPoll) < knowAge
+	return state, known, known || !t.unreadable[id] && t.h.now().Sub(t.lastPoll) < maxPollAge
 }
 
 func (t *term) pending() map[string]int {
