--- a/internal/entry/servers.go
+++ b/internal/entry/servers.go
@@ -27,7 +27,7 @@
 }
 
 func (t *term) followWorkersFrom(from int64) {
-	for sleep(t.ctx, serversEvery) {
+	for sleep(t.ctx, workersInterval) {
 		a, err := t.h.store.Do(t.ctx, store.Call{Op: store.Read, Topic: platform.ServersTopic, From: from})
 		var trimmed *store.TrimmedError
 		switch {
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -61,9 +61,9 @@
 	// maxPollAge is how old such a look may be for a job that it did not find to be
 	// told as not there: a job has to be known three seconds after its acceptance.
 	maxPollAge = 2900 * time.Millisecond
-	// serversEvery is how often the workers' entries are read: a leaving worker
+	// workersInterval is how often the workers' entries are read: a leaving worker
 	// must get no work after two seconds.
-	serversEvery = 400 * time.Millisecond
+	workersInterval = 400 * time.Millisecond
 	// appendAgain is the pause before an append is repeated.
 	appendAgain = 100 * time.Millisecond
 )
