--- a/internal/entry/journal.go
+++ b/internal/entry/journal.go
@@ -167,7 +167,7 @@
 			return err
 		}
 		unsure = true
-		if !sleep(ctx, appendAgain) {
+		if !sleep(ctx, appendRetry) {
 			return err
 		}
 	}
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -64,8 +64,8 @@
 	// workersInterval is how often the workers' entries are read: a leaving worker
 	// must get no work after two seconds.
 	workersInterval = 400 * time.Millisecond
-	// appendAgain is the pause before an append is repeated.
-	appendAgain = 100 * time.Millisecond
+	// appendRetry is the pause before an append is repeated.
+	appendRetry = 100 * time.Millisecond
 )
 
 // newTerm starts a term from what the store held when it was read.
