--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -114,7 +114,7 @@
 	for _, id := range r.cancels {
 		t.step(sched.Cancel{ID: id})
 	}
-	h.wg.Go(t.formerLead)
+	h.wg.Go(t.awaitPreviousLeader)
 	h.wg.Go(t.followWorkers)
 	h.wg.Go(t.pollPeriodically)
 	h.wg.Go(t.ticks)
@@ -122,9 +122,9 @@
 	return t
 }
 
-// formerLead waits until the former lead is certain to hold nothing: it says
+// awaitPreviousLeader waits until the former lead is certain to hold nothing: it says
 // that it does not lead, or it was this very host.
-func (t *term) formerLead() {
+func (t *term) awaitPreviousLeader() {
 	t.h.mu.Lock()
 	former := t.h.previousLeader
 	over := sched.PredecessorStopped{Since: t.h.handoverBoundsAt, LeaseBounds: t.h.handoverBounds}
