--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -48,7 +48,7 @@
 		// It leads on while a successor is looked for.
 		successor := h.firstAvailable(ctx, h.successors())
 		t.end("planned stop")
-		h.announceSuccessor(ctx, successor, t.succeed())
+		h.announceSuccessor(ctx, successor, t.successionMessage())
 	}
 	h.leaveGroup(candidateGroup)
 }
@@ -159,7 +159,7 @@
 		return
 	}
 	t.end("a stronger host leads")
-	h.announceSuccessor(ctx, best, t.succeed())
+	h.announceSuccessor(ctx, best, t.successionMessage())
 }
 
 // strongerHosts lists the hosts that should lead in place of this one.
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -146,8 +146,8 @@
 	t.step(over)
 }
 
-// succeed is what a lead that leaves tells its successor.
-func (t *term) succeed() peer.Succeed {
+// successionMessage is what a lead that leaves tells its successor.
+func (t *term) successionMessage() peer.Succeed {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m := peer.Succeed{Term: t.number, Bounds: map[string]cell.Duration{}}
