--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -192,7 +192,7 @@
 	}
 	t.mu.Unlock()
 	for _, a := range acts {
-		t.carry(a)
+		t.execute(a)
 	}
 	select {
 	case t.kick <- struct{}{}:
@@ -200,7 +200,7 @@
 	}
 }
 
-func (t *term) carry(a sched.Action) {
+func (t *term) execute(a sched.Action) {
 	switch a := a.(type) {
 	case sched.Append:
 		t.h.wg.Go(func() { t.append(a) })
