--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -208,13 +208,13 @@
 		t.h.wg.Go(func() { t.hold(a) })
 	case sched.Start:
 		t.h.wg.Go(func() {
-			got := t.order(a.To.Incarnation, func(ctx context.Context) sched.Outcome { return t.h.workers.Start(ctx, a) })
+			got := t.sendOrder(a.To.Incarnation, func(ctx context.Context) sched.Outcome { return t.h.workers.Start(ctx, a) })
 			t.h.incCounter("start." + got.String())
 			t.step(sched.StartReply{Task: a.Task, Run: a.Run, Worker: a.To.Incarnation, Outcome: got})
 		})
 	case sched.Stop:
 		t.h.wg.Go(func() {
-			got := t.order(a.To.Incarnation, func(ctx context.Context) sched.Outcome { return t.h.workers.Stop(ctx, a) })
+			got := t.sendOrder(a.To.Incarnation, func(ctx context.Context) sched.Outcome { return t.h.workers.Stop(ctx, a) })
 			t.h.incCounter("stop." + got.String())
 			t.step(sched.StopReply{Task: a.Task, Run: a.Run, Worker: a.To.Incarnation, Outcome: got})
 		})
@@ -241,8 +241,8 @@
 	}
 }
 
-// order sends an order to a worker.
-func (t *term) order(life string, send func(ctx context.Context) sched.Outcome) sched.Outcome {
+// sendOrder sends an sendOrder to a worker.
+func (t *term) sendOrder(life string, send func(ctx context.Context) sched.Outcome) sched.Outcome {
 	return callWorker(t.responseTimes, t.h.now, life, 0, func() sched.Outcome {
 		ctx, cancel := context.WithTimeout(t.ctx, maxOrderTimeout)
 		defer cancel()
