--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -205,7 +205,7 @@
 	case sched.Append:
 		t.h.wg.Go(func() { t.append(a) })
 	case sched.Hold:
-		t.h.wg.Go(func() { t.hold(a) })
+		t.h.wg.Go(func() { t.sendHold(a) })
 	case sched.Start:
 		t.h.wg.Go(func() {
 			got := t.sendOrder(a.To.Incarnation, func(ctx context.Context) sched.Outcome { return t.h.workers.Start(ctx, a) })
@@ -250,7 +250,7 @@
 	}, func(o sched.Outcome) bool { return o != sched.Unanswered }, sched.Unanswered)
 }
 
-func (t *term) hold(a sched.Hold) {
+func (t *term) sendHold(a sched.Hold) {
 	sent := t.h.now()
 	got := callWorker(t.responseTimes, t.h.now, a.To.Incarnation, a.Wait, func() sched.HoldReply {
 		ctx, cancel := context.WithTimeout(t.ctx, a.Wait+maxOrderTimeout)
