--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -258,12 +258,12 @@
 		return t.h.workers.Hold(ctx, a)
 	}, func(r sched.HoldReply) bool { return r.Outcome != sched.Unanswered }, sched.HoldReply{Worker: a.To.Incarnation, Outcome: sched.Unanswered, Probe: a.Probe, AckedEnd: a.AckedEnd})
 	got.Sent, got.Received = sent, t.h.now()
-	t.h.incCounter(heldAs(got))
+	t.h.incCounter(holdCounter(got))
 	t.step(got)
 }
 
-// heldAs names the counter of a hold by what came of it.
-func heldAs(r sched.HoldReply) string {
+// holdCounter names the counter of a hold by what came of it.
+func holdCounter(r sched.HoldReply) string {
 	switch {
 	case r.Outcome != sched.Accepted:
 		return "hold." + r.Outcome.String()
