--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -235,7 +235,7 @@
 	case sched.JobStarted:
 		t.h.observe(fmt.Sprintf("job.start.rank%d", a.Rank), a.After)
 	case sched.JobEnded:
-		t.ended(a)
+		t.noteEnded(a)
 	case sched.Note:
 		t.h.log.Info("sched: "+a.What+".", "id", a.ID, "worker", a.Worker, "run", a.Run, "term", t.number, "detail", a.Detail)
 	}
@@ -276,8 +276,8 @@
 	}
 }
 
-// ended takes note of a final state, for this host and for those that ask.
-func (t *term) ended(a sched.JobEnded) {
+// noteEnded takes note of a final state, for this host and for those that ask.
+func (t *term) noteEnded(a sched.JobEnded) {
 	t.h.log.Info("sched: ended.", "id", a.ID, "term", t.number, "detail", a.State)
 	t.h.states.add(a.ID, a.State)
 	now := t.h.now()
