--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -129,7 +129,7 @@
 	if m.Term != t.number {
 		m.Endings = 0
 	}
-	byState, next := t.endingsFrom(m.Endings)
+	byState, next := t.finalStatesFrom(m.Endings)
 	ended := make(map[string][]string, len(byState))
 	for state, ids := range byState {
 		ended[string(state)] = ids
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -287,8 +287,8 @@
 	t.finalStates.drop(now.Add(-time.Duration(t.h.cfg.Times.Keep)))
 }
 
-// endingsFrom returns final states from a number on, and the number to go on with.
-func (t *term) endingsFrom(n int) (map[flow.State][]string, int) {
+// finalStatesFrom returns final states from a number on, and the number to go on with.
+func (t *term) finalStatesFrom(n int) (map[flow.State][]string, int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.finalStates.from(n)
