--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -117,7 +117,7 @@
 	h.wg.Go(t.awaitPreviousLeader)
 	h.wg.Go(t.followWorkers)
 	h.wg.Go(t.pollPeriodically)
-	h.wg.Go(t.ticks)
+	h.wg.Go(t.tickPeriodically)
 	h.wg.Go(t.reportLoad)
 	return t
 }
@@ -329,9 +329,9 @@
 	t.journal.drop(t.ctx, id)
 }
 
-// ticks steps the core when it is due, and gives up a term that the store does
+// tickPeriodically steps the core when it is due, and gives up a term that the store does
 // not serve: a successor may have begun by then, which counts on it.
-func (t *term) ticks() {
+func (t *term) tickPeriodically() {
 	for t.ctx.Err() == nil {
 		t.mu.Lock()
 		due := t.core.Due()
