--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -1,6 +1,5 @@
-// Package chart reads life cycles from TOML files and interprets them, so
-// that the states a request, task, job, worker lease or entry host may pass
-// through are data that a reader and a test can walk.
+// Package chart loads state machines from TOML files and runs them. The states of a request, task,
+// job, worker lease or entry host are thus data that people can read and tests can check.
 package chart
 
 import (
@@ -21,7 +20,7 @@
 // Event is the name of an event in a chart file.
 type Event string
 
-// Chart is one life cycle.
+// Chart is the state machine of one kind of object.
 type Chart struct {
 	Name   string
 	start  State
@@ -35,7 +34,7 @@
 	States map[string]map[string]string `toml:"states"`
 }
 
-// TransitionError tells that an event is not allowed in a state.
+// TransitionError reports that an event is not allowed in a state.
 type TransitionError struct {
 	Chart string
 	From  State
@@ -43,15 +42,15 @@
 }
 
 func (e *TransitionError) Error() string {
-	return fmt.Sprintf("%s: no way out of %q by %q", e.Chart, e.From, e.Event)
+	return fmt.Sprintf("%s: state %q has no transition for event %q", e.Chart, e.From, e.Event)
 }
 
-// FileError tells what is wrong with a chart file.
+// FileError reports what is wrong with a chart file.
 type FileError struct{ Name, Reason string }
 
 func (e *FileError) Error() string { return fmt.Sprintf("chart %s: %s", e.Name, e.Reason) }
 
-// Load reads the embedded chart of that name, without the file ending.
+// Load reads the embedded chart with that name, which is the file name without its extension.
 func Load(name string) (*Chart, error) {
 	b, err := files.ReadFile(name + ".toml")
 	if err != nil {
@@ -60,7 +59,7 @@
 	return Parse(name, b)
 }
 
-// MustLoad is Load for charts that are compiled in; it panics on a bad file.
+// MustLoad is like Load but panics if the file is invalid. It is for charts that are compiled in.
 func MustLoad(name string) *Chart {
 	c, err := Load(name)
 	if err != nil {
@@ -69,8 +68,8 @@
 	return c
 }
 
-// Parse reads a chart and checks that every state can be reached, every
-// target exists and no final state has a way out.
+// Parse reads a chart and checks that every state is reachable, every target exists and no final
+// state has outgoing transitions.
 func Parse(name string, b []byte) (*Chart, error) {
 	var f chartFile
 	if err := toml.Unmarshal(b, &f); err != nil {
@@ -97,10 +96,10 @@
 		pending = pending[1:]
 		moves, described := c.states[s]
 		if !described && !c.final[s] {
-			return &FileError{c.Name, fmt.Sprintf("state %q is not described", s)}
+			return &FileError{c.Name, fmt.Sprintf("state %q is not defined", s)}
 		}
 		if c.final[s] && len(moves) > 0 {
-			return &FileError{c.Name, fmt.Sprintf("final state %q has a way out", s)}
+			return &FileError{c.Name, fmt.Sprintf("final state %q has outgoing transitions", s)}
 		}
 		for _, to := range moves {
 			if !seen[to] {
@@ -111,24 +110,24 @@
 	}
 	for s := range c.states {
 		if !seen[s] {
-			return &FileError{c.Name, fmt.Sprintf("state %q cannot be reached", s)}
+			return &FileError{c.Name, fmt.Sprintf("state %q is unreachable", s)}
 		}
 	}
 	for s := range c.final {
 		if !seen[s] {
-			return &FileError{c.Name, fmt.Sprintf("final state %q cannot be reached", s)}
+			return &FileError{c.Name, fmt.Sprintf("final state %q is unreachable", s)}
 		}
 	}
 	return nil
 }
 
-// Start returns the first state.
+// Start returns the initial state.
 func (c *Chart) Start() State { return c.start }
 
-// Final tells whether a life ends in s.
+// Final reports whether s is a final state.
 func (c *Chart) Final(s State) bool { return c.final[s] }
 
-// Next returns the state after ev, or a MoveError and the state unchanged.
+// Next returns the state after ev, or a TransitionError and the unchanged state.
 func (c *Chart) Next(s State, ev Event) (State, error) {
 	to, ok := c.states[s][ev]
 	if !ok {
@@ -137,7 +136,7 @@
 	return to, nil
 }
 
-// States lists every state in order of name.
+// States lists all states, sorted by name.
 func (c *Chart) States() []State {
 	all := make([]State, 0, len(c.states)+len(c.final))
 	for s := range c.states {
--- a/internal/lease/fault_test.go
+++ b/internal/lease/fault_test.go
@@ -26,9 +26,9 @@
 
 func running(id string) lease.Task { return lease.Task{ID: id, State: "running"} }
 
-// Two renewals cross on the network, and the answer to the older one arrives
-// last. Taken for the newer, it would hide a task that was started in between,
-// and the task would be started a second time elsewhere.
+// Two renewals overtake each other on the network, and the answer to the older one arrives last. If
+// it were used as the newer one, it would hide a task that was started in between, and the task
+// would be started a second time elsewhere.
 func TestOlderAnswerDoesNotReplaceANewer(t *testing.T) {
 	l := lease.New(limits)
 	holdWorker(t, l)
@@ -42,8 +42,8 @@
 	require.Empty(t, actionsOf[lease.Down](l.Step(newer, lease.Refused{Worker: "w1", Sent: older})))
 }
 
-// The answer to a renewal is lost. The host does not know whether its lease
-// was lengthened, so it counts on the old one only, and tries again in time.
+// The answer to a renewal is lost. The host does not know whether its lease was extended, so it
+// relies only on the old one and retries in time.
 func TestLostRenewalIsTriedAgainBeforeTheLeaseLapses(t *testing.T) {
 	l := lease.New(limits)
 	holdWorker(t, l)
@@ -59,8 +59,8 @@
 	require.False(t, ok)
 }
 
-// The host's clock runs 1 % too slow and the worker's 1 % too fast. The host
-// must stop starting tasks before the worker gives the anchor to another host.
+// The host's clock runs 1 % too slow and the worker's 1 % too fast. The host must stop starting
+// tasks before the worker gives the anchor to another host.
 func TestDriftingClocksDoNotStretchALease(t *testing.T) {
 	l := lease.New(limits)
 	holdWorker(t, l)
@@ -69,9 +69,9 @@
 	require.False(t, ok)
 }
 
-// A host loses a rack while a start to one of its workers is on its way. If it
-// gave the worker back at once, the next holder would read an empty list, fill
-// the worker, and the start would arrive on top.
+// A host has to give up a rack while a start to one of its workers is in flight. If it released the
+// worker at once, the next holder would read an empty task list and fill the worker, and the start
+// would arrive in addition.
 func TestAnchorIsNotGivenBackUnderAStart(t *testing.T) {
 	l := lease.New(limits)
 	holdWorker(t, l)
@@ -80,13 +80,13 @@
 	require.Len(t, actionsOf[lease.Down](acts), 1)
 	require.Empty(t, actionsOf[lease.Release](acts))
 	_, ok := l.Deadline(start, "w1")
-	require.False(t, ok, "a worker that is given up gets no new start")
+	require.False(t, ok, "a worker that is no longer wanted gets no new start")
 	sure := l.Step(start.Add(time.Second), lease.StartAnswered{Worker: "w1", Task: "t", OutcomeKnown: true})
 	require.Equal(t, []lease.Release{{Worker: "w1", Lease: ""}}, actionsOf[lease.Release](sure))
 }
 
-// Guards against an overfull worker: a task is started again on the worker while the answer to
-// its former start is still to come; that answer must not free the anchor under the second start.
+// Guards against an overfilled worker: a task is started again on the worker while the answer to
+// its first start is outstanding. That answer must not release the anchor during the second start.
 func TestAnchorIsNotGivenBackUnderASecondStartOfATask(t *testing.T) {
 	l := lease.New(limits)
 	holdWorker(t, l)
@@ -97,8 +97,8 @@
 	require.Len(t, actionsOf[lease.Release](l.Step(start, lease.StartAnswered{Worker: "w1", Task: "t", OutcomeKnown: true})), 1)
 }
 
-// The answer to that start is lost: nobody knows whether it will still land.
-// The anchor is left to lapse, since the start is dead by then.
+// The answer to a start is lost, so it is unknown whether the start will still arrive. The anchor
+// is left to lapse, since the start can no longer be carried out after that.
 func TestAnchorLapsesUnderAnUnsureStart(t *testing.T) {
 	l := lease.New(limits)
 	holdWorker(t, l)
@@ -108,9 +108,9 @@
 	require.Empty(t, actionsOf[lease.Release](l.Step(start.Add(4*time.Second), lease.Tick{})))
 }
 
-// A task ends long before the next renewal is due. Its room must not stay
-// empty until then; a task that runs longer than declared is looked for less
-// and less often, so that wrong times cost no flood of questions.
+// A task ends long before the next renewal is due. Its capacity must not stay unused until then. A
+// task that runs longer than declared is polled less and less often, so that wrong run times do not
+// cause a flood of requests.
 func TestWorkerIsReadWhenATaskShouldHaveEnded(t *testing.T) {
 	slow := limits
 	slow.TTL = 30 * time.Second
@@ -134,8 +134,8 @@
 	require.Less(t, len(at), 8, at)
 }
 
-// One host leads many workers. The leases grow so that the renewals keep to
-// their budget, and never fall below three seconds.
+// One host leads many workers. The leases get longer so that the renewals stay within their budget,
+// and they never get shorter than three seconds.
 func TestLeasesFollowTheByteBudget(t *testing.T) {
 	l := lease.New(lease.DefaultLimits)
 	l.Step(start, lease.Wanted{Workers: []string{"w1"}})
@@ -147,16 +147,16 @@
 	l.Step(start, lease.Wanted{Workers: names})
 	bytes := 46 * float64(lease.DefaultLimits.RenewalBytes) / (l.TTL().Seconds() * 2 / 5)
 	require.LessOrEqual(t, bytes, float64(lease.DefaultLimits.BytesPerSecond)*1.01)
-	require.Greater(t, lease.DefaultLimits.TaskTTL, 2*l.TTL(), "tasks outlive their lead")
+	require.Greater(t, lease.DefaultLimits.TaskTTL, 2*l.TTL(), "tasks survive the failure of their leader")
 	for len(names) < 5000 {
 		names = append(names, strconv.Itoa(len(names)))
 	}
 	l.Step(start, lease.Wanted{Workers: names})
-	require.LessOrEqual(t, l.TTL(), lease.DefaultLimits.TaskTTL/3, "no start outlasts a census")
+	require.LessOrEqual(t, l.TTL(), lease.DefaultLimits.TaskTTL/3, "no start lasts longer than an inventory waits for a silent worker")
 }
 
-// Guards against an overfull worker: a host gives a rack up and gets it back while a start is
-// under way, and the list that it read before does not show the task.
+// Guards against an overfilled worker: a host gives up a rack and gets it back while a start is in
+// flight, and the task list that it read before does not contain the task.
 func TestWorkerIsLedAgainOnlyWithAListOfAllItsStarts(t *testing.T) {
 	l := lease.New(limits)
 	holdWorker(t, l)
@@ -165,8 +165,8 @@
 	at := start.Add(100 * time.Millisecond)
 	acts := l.Step(at, lease.Wanted{Workers: []string{"w1"}})
 	require.Empty(t, actionsOf[lease.Up](acts))
-	require.Len(t, actionsOf[lease.Renew](acts), 1, "its list is read at once")
-	require.Empty(t, actionsOf[lease.Up](l.Step(at, lease.Renewed{Worker: "w1", Reading: newReading(at)})), "the start may still land")
+	require.Len(t, actionsOf[lease.Renew](acts), 1, "its task list is read at once")
+	require.Empty(t, actionsOf[lease.Up](l.Step(at, lease.Renewed{Worker: "w1", Reading: newReading(at)})), "the start may still arrive")
 	_, ok := l.Deadline(at, "w1")
 	require.False(t, ok)
 	at = at.Add(100 * time.Millisecond)
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,6 +1,6 @@
-// Package lease decides which workers this host may start tasks on. The right
-// to a worker is a lease on its anchor, which the worker itself keeps; this
-// core only knows how long it surely still has it.
+// Package lease decides on which workers this host may start tasks. The right to a worker is a
+// lease on its anchor, which the worker itself stores. This core only tracks until when the host
+// certainly still holds it.
 package lease
 
 import (
@@ -11,8 +11,8 @@
 	"pollencroft/internal/chart"
 )
 
-// driftDivisor is the part of a lease that this host leaves unused, so that a clock
-// that runs 1 % too slow cannot make it believe in a lease that has lapsed.
+// driftDivisor is the inverse of the fraction of a lease that this host leaves unused, so that it
+// does not rely on a lapsed lease if its clock runs 1 % too slow.
 const driftDivisor = 50
 
 var leaseChart = chart.MustLoad("lease")
@@ -20,43 +20,46 @@
 type worker struct {
 	state  chart.State
 	wanted bool
-	// led tells that this host was told that it leads the worker.
+	// led is set between Up and Down: this host was notified that it leads the worker.
 	led          bool
 	validUntil   time.Time
 	nextExchange time.Time
-	// reading is the last answer, with all tasks that the worker lists.
+	// reading is the last answer of the worker. tasks are all tasks that it lists, also those that
+	// did not change in the last answer.
 	reading Reading
 	tasks   map[string]Task
-	// inFlight counts by task the starts without an answer. risk is when the last start whose
-	// answer was lost is surely dead.
+	// inFlight counts, by task, the starts that have no answer yet. After lostStartsUntil, no start
+	// whose answer was lost can be carried out any more.
 	inFlight        map[string]int
 	lostStartsUntil time.Time
 	lapsesBy        time.Time
-	// lastStartAnswer is when the last start was answered: an older list may not show its task.
+	// lastStartAnswer is when the last start was answered. A task list that was requested earlier
+	// may not show its task.
 	lastStartAnswer time.Time
-	// expectedEnds are the times at which started tasks are expected to end.
+	// expectedEnds are the times, by task, at which started tasks are expected to end.
 	expectedEnds map[string]time.Time
-	// incarnation is the worker's incarnation as it was last told. former is when the starts that other hosts
-	// sent to an earlier one are surely dead.
+	// incarnation is the last known incarnation of the worker. After staleStartsUntil, no start
+	// that other hosts sent to an earlier incarnation can be carried out any more.
 	incarnation      string
 	staleStartsUntil time.Time
-	// awaitedIncarnation is the life for which it was told that the worker is waited for.
+	// awaitedIncarnation is the incarnation for which AwaitStarts was issued.
 	awaitedIncarnation string
-	// inDomain tells that the worker is one of the failure domain, meet is when to ask for its life.
+	// inDomain is set if the worker belongs to the failure domain. nextIncarnationQuery is when to
+	// ask for its incarnation.
 	inDomain             bool
 	nextIncarnationQuery time.Time
 }
 
-// Leases is the lease core of one host.
+// Leases is the lease core of one host. It does no I/O.
 type Leases struct {
 	limits  Limits
 	workers map[string]*worker
 }
 
-// New returns a core that holds nothing.
+// New returns a core that holds no lease.
 func New(limits Limits) *Leases { return &Leases{limits: limits, workers: map[string]*worker{}} }
 
-// Step takes one event and returns what to ask of workers and what changed.
+// Step applies one event and returns what to ask of workers and what changed.
 func (l *Leases) Step(now time.Time, ev Event) []Action {
 	var acts []Action
 	switch ev := ev.(type) {
@@ -124,8 +127,9 @@
 	return []Action{Down{Worker: name}}
 }
 
-// publish tells what a wanted worker runs. A worker that this host led before is led again only
-// with a list that shows all of its former starts: one that lands later would overfill it.
+// publish reports what a wanted worker runs. A worker that this host led before is led again only
+// with a task list that includes all earlier starts, since a start that arrives later would
+// overfill the worker.
 func (l *Leases) publish(now time.Time, name string, w *worker) []Action {
 	switch {
 	case !w.wanted:
@@ -149,8 +153,8 @@
 	return err == nil
 }
 
-// applyReading takes over an answer. The lease is counted from when the question was
-// sent: the worker may have begun to count as early as that.
+// applyReading records an answer. The lease is counted from when the request was sent, because the
+// worker may have started to count as early as that.
 func (w *worker) applyReading(now time.Time, r Reading) {
 	w.validUntil = r.Sent.Add(r.Remaining - r.Remaining/driftDivisor)
 	w.lapsesBy = now.Add(r.Remaining)
@@ -166,8 +170,8 @@
 	w.reading = r
 }
 
-// fullReading is the last answer with every task that the worker lists, also those
-// that did not change.
+// fullReading returns the last answer with every task that the worker lists, including those that
+// did not change.
 func (w *worker) fullReading() Reading {
 	r := w.reading
 	r.Tasks = nil
@@ -186,8 +190,8 @@
 	ev.Full = true
 	w.applyReading(now, ev.Reading)
 	if !w.validUntil.After(now) {
-		// The grant arrived after it had lapsed: a paused host would start
-		// tasks on a worker that another host leads by now.
+		// The grant arrived after it had lapsed. If a paused host used it, it would start tasks on
+		// a worker that another host leads by now.
 		w.transition("lapse")
 		return nil
 	}
@@ -197,12 +201,11 @@
 	return l.publish(now, ev.Worker, w)
 }
 
-// renewed drops an answer to a question that was sent before the one whose
-// answer is known already. It tells an older state; taken for the newer one,
-// it would hide a task that was started in between.
+// renewed ignores an answer to a request that was sent before the one whose answer is already
+// known. It contains an older state, which would hide a task that was started in between.
 //
-// An answer from another life tells what changed since a mark of the former one, which says
-// nothing of what runs. The worker is taken anew, with its whole list.
+// An answer from another incarnation lists the changes since a cursor of the previous incarnation,
+// which says nothing about what runs now. The worker is acquired again, with its full list.
 func (l *Leases) renewed(now time.Time, ev Renewed) []Action {
 	w, ok := l.workers[ev.Worker]
 	if !ok || w.state != "held" || !ev.Sent.After(w.reading.Sent) {
@@ -277,9 +280,9 @@
 	}
 }
 
-// scheduleEndPolls reads the worker again soon after a task is expected to end, so that
-// its room is not left empty until the next renewal. A task that takes longer
-// than declared is looked for less and less often.
+// scheduleEndPolls reads the worker again soon after a task is expected to end, so that its
+// capacity does not stay unused until the next renewal. A task that runs longer than declared is
+// polled less and less often.
 func (w *worker) scheduleEndPolls(now time.Time, least time.Duration) {
 	for id, ends := range w.expectedEnds {
 		if t, listed := w.tasks[id]; listed && t.State != "running" {
@@ -295,7 +298,7 @@
 	}
 }
 
-// endPollDelay is how long after its expected end a task is looked for.
+// endPollDelay is how long after the expected end of a task the worker is polled.
 const endPollDelay = 20 * time.Millisecond
 
 func (l *Leases) poll(now time.Time, ev Poll) {
@@ -338,9 +341,9 @@
 	return nil
 }
 
-// release returns an anchor once no start is under way. A start that arrived at
-// the worker after its next holder had read the list would fill it beyond its
-// size, so with one of them unsure the anchor is left to lapse.
+// release returns an anchor once no start is in flight. A start that reached the worker after its
+// next holder had read the task list would fill the worker beyond its size. If the outcome of a
+// start is unknown, the anchor is therefore left to lapse.
 func (l *Leases) release(now time.Time, name string, w *worker) []Action {
 	if len(w.inFlight) > 0 || w.lostStartsUntil.After(now) {
 		return nil
@@ -361,8 +364,8 @@
 
 func (l *Leases) renewInterval() time.Duration { return l.limits.renewInterval(l.wantedCount()) }
 
-// Deadline returns the latest time, in the worker's own clock, at which a
-// start that is sent now may still begin; false if the worker is not held.
+// Deadline returns the latest time, by the worker's own clock, at which a start that is sent now
+// may still begin. It returns false if this host does not lead the worker.
 func (l *Leases) Deadline(now time.Time, name string) (time.Time, bool) {
 	w, ok := l.workers[name]
 	if !ok || !w.led || w.state != "held" || !l.startsAllowedUntil(w).After(now) {
@@ -372,14 +375,14 @@
 	return w.reading.Clock.Add(left - left/driftDivisor), true
 }
 
-// startsAllowedUntil is until when starts may be sent after the last answer.
+// startsAllowedUntil returns until when starts may be sent after the last answer.
 func (l *Leases) startsAllowedUntil(w *worker) time.Time {
 	left := l.limits.startWindow()
 	return slices.MinFunc([]time.Time{w.validUntil, w.reading.Sent.Add(left - left/driftDivisor)}, time.Time.Compare)
 }
 
-// DeadlineWith is the Deadline of a start that may begin only as long as another worker is held
-// too: both have to be, and it ends with the lease of either.
+// DeadlineWith returns the Deadline of a start that requires another worker to be held too. Both
+// must be held, and the deadline is not later than the end of either lease.
 func (l *Leases) DeadlineWith(now time.Time, name, other string) (time.Time, bool) {
 	deadline, ok := l.Deadline(now, name)
 	if name == other || !ok {
@@ -397,14 +400,13 @@
 	return deadline, true
 }
 
-// TTL is how long the lease of a task runs from its start; renewals lengthen
-// it to the long one.
+// TTL returns how long the lease of a task runs from its start. Renewals extend it to TaskTTL.
 func (l *Leases) TTL() time.Duration { return l.limits.ttl(l.wantedCount()) }
 
-// TaskTTL is how long any task may go on without its holder.
+// TaskTTL returns the longest time that a task may go on running without its holder.
 func (l *Leases) TaskTTL() time.Duration { return l.limits.TaskTTL }
 
-// Held lists the workers that this host leads, in order of name.
+// Held lists the workers that this host leads, sorted by name.
 func (l *Leases) Held() []string {
 	var held []string
 	for _, name := range slices.Sorted(maps.Keys(l.workers)) {
@@ -415,8 +417,8 @@
 	return held
 }
 
-// LastReading returns the last answer of a held worker with all its tasks; false if
-// the worker is not held.
+// LastReading returns the last answer of a held worker with all its tasks. It returns false if the
+// worker is not held.
 func (l *Leases) LastReading(name string) (Reading, bool) {
 	w, ok := l.workers[name]
 	if !ok || w.state != "held" {
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -21,9 +21,9 @@
 	require.IsType(t, lease.Up{}, acts[0])
 }
 
-// A host is paused for longer than its lease and then goes on. It must see
-// that the lease has lapsed before it starts anything, else a task could run
-// beside the one that its successor started.
+// A host is paused for longer than its lease and then continues. It must notice that the lease has
+// lapsed before it starts anything, otherwise a task could run twice, once started by the next
+// holder.
 func TestPausedHolderStartsNothing(t *testing.T) {
 	l := lease.New(limits)
 	holdWorker(t, l)
@@ -35,8 +35,8 @@
 	require.Contains(t, acts, lease.Down{Worker: "w1"})
 }
 
-// The worker's clock is hours off. The deadline of a start is told in the
-// worker's own clock, so the start is neither refused nor late.
+// The worker's clock is hours off. The deadline of a start is given by the worker's own clock, so
+// the start is neither refused nor late.
 func TestDeadlineIsInTheWorkersClock(t *testing.T) {
 	l := lease.New(limits)
 	l.Step(start, lease.Wanted{Workers: []string{"w1"}})
@@ -47,8 +47,8 @@
 	require.True(t, d.After(theirs) && d.Before(theirs.Add(3*time.Second)))
 }
 
-// A grant is delivered after its lease has run out. Taking it would let two
-// hosts start tasks on one worker.
+// A grant is delivered after its lease has lapsed. Accepting it would let two hosts start tasks on
+// one worker.
 func TestLateGrantIsNotTaken(t *testing.T) {
 	l := lease.New(limits)
 	l.Step(start, lease.Wanted{Workers: []string{"w1"}})
--- a/internal/lease/life.go
+++ b/internal/lease/life.go
@@ -6,17 +6,19 @@
 )
 
 const (
-	// incarnationQueryInterval is how often a worker that is not wanted here is asked for its life.
+	// incarnationQueryInterval is how often a worker that is not wanted here is asked for its
+	// incarnation.
 	incarnationQueryInterval = time.Minute
-	// incarnationRetryInterval is how long after a question for it without an answer.
+	// incarnationRetryInterval is the wait after a query without an answer.
 	incarnationRetryInterval = time.Second
 )
 
-// noteIncarnation notes the life that a worker answered in.
+// noteIncarnation records the incarnation in which a worker answered.
 //
-// A worker that crashed has forgotten who held it, so it may be taken at once while starts of its
-// former holder are under way. Until these are dead nothing is known of the worker. A host that
-// held it until now has no other's starts to wait for.
+// A worker that crashed has forgotten who held it, so it can be acquired at once while starts of
+// its previous holder are in flight. Until these can no longer be carried out, it is unknown what
+// the worker runs. A host that held the worker until now does not have to wait, because no other
+// host can have sent starts.
 func (l *Leases) noteIncarnation(now time.Time, w *worker, life string) {
 	if life == "" || life == w.incarnation {
 		return
@@ -29,7 +31,8 @@
 	}
 }
 
-// awaitStaleStarts has the worker read again when the starts to its former lives are dead.
+// awaitStaleStarts schedules the next reading for when starts to previous incarnations can no
+// longer be carried out.
 func (w *worker) awaitStaleStarts(name string) []Action {
 	at := w.staleStartsUntil.Add(time.Millisecond)
 	if at.Before(w.nextExchange) {
@@ -60,7 +63,8 @@
 	}
 }
 
-// incarnationConfirmed takes a peer's word that it waited for the starts of a worker's former lives.
+// incarnationConfirmed applies a peer's confirmation that starts to previous incarnations of a
+// worker can no longer be carried out.
 func (l *Leases) incarnationConfirmed(now time.Time, ev IncarnationConfirmed) {
 	w, ok := l.workers[ev.Worker]
 	if !ok || ev.Life == "" || w.incarnation != "" && w.incarnation != ev.Life {
@@ -72,7 +76,8 @@
 	w.incarnation, w.staleStartsUntil = ev.Life, time.Time{}
 }
 
-// ConfirmedIncarnations holds by worker the life in which no start to an earlier one is under way any more.
+// ConfirmedIncarnations returns, by worker, the incarnations for which no start to an earlier
+// incarnation can still be carried out.
 func (l *Leases) ConfirmedIncarnations(now time.Time) map[string]string {
 	all := map[string]string{}
 	for name, w := range l.workers {
@@ -83,7 +88,8 @@
 	return all
 }
 
-// HasUnconfirmed tells whether starts to an earlier life of a wanted worker may be under way.
+// HasUnconfirmed reports whether starts to an earlier incarnation of a wanted worker may still be
+// in flight.
 func (l *Leases) HasUnconfirmed(now time.Time) bool {
 	for _, w := range l.workers {
 		if w.wanted && w.staleStartsUntil.After(now) {
--- a/internal/lease/life_test.go
+++ b/internal/lease/life_test.go
@@ -14,7 +14,7 @@
 	return lease.Reading{Sent: sent, Clock: sent, Remaining: left, Lease: "7", Incarnation: life}
 }
 
-// holdIncarnation has a worker led in a life that was met a while ago.
+// holdIncarnation makes l lead a worker in an incarnation that has been known for a minute.
 func holdIncarnation(t *testing.T, l *lease.Leases, life string, left time.Duration) {
 	t.Helper()
 	l.Step(start.Add(-time.Minute), lease.DomainWorkers{Workers: []string{"w1"}})
@@ -24,13 +24,13 @@
 	require.Len(t, actionsOf[lease.Up](acts), 1)
 }
 
-// grant takes a worker in a life at a time and tells whether it is led then.
+// grant acquires a worker in that incarnation and reports whether it is led then.
 func grant(l *lease.Leases, at time.Time, life string) bool {
 	l.Step(at, lease.Wanted{Workers: []string{"w1"}})
 	return len(actionsOf[lease.Up](l.Step(at, lease.Granted{Worker: "w1", Reading: readingIn(at, life, 3*time.Second)}))) == 1
 }
 
-// Guards against starts on a worker under which those of a former holder may still arrive.
+// Guards against starts on a worker where starts of a previous holder may still arrive.
 func TestWorkerInAnUnknownLifeIsWaitedFor(t *testing.T) {
 	l := lease.New(limits)
 	require.False(t, grant(l, start, "1"))
@@ -45,7 +45,8 @@
 	require.Equal(t, map[string]string{"w1": "1"}, l.ConfirmedIncarnations(start.Add(5*time.Second)))
 }
 
-// Guards against a worker that is idle after each crash: its holder has no other's starts to fear.
+// Guards against a worker that is idle after each crash: its holder does not have to wait, because
+// no other host can have sent starts.
 func TestCrashUnderItsHolderIsNotWaitedFor(t *testing.T) {
 	l := lease.New(limits)
 	holdIncarnation(t, l, "1", 3*time.Second)
@@ -55,7 +56,7 @@
 	require.True(t, grant(l, at.Add(limits.RetryInterval), "2"))
 }
 
-// Guards against an empty worker that is taken for known: its former holder had lost it before the crash.
+// Guards against relying on an empty worker whose previous holder lost the lease before the crash.
 func TestCrashAfterItsHolderLostItIsWaitedFor(t *testing.T) {
 	l := lease.New(limits)
 	holdIncarnation(t, l, "1", 3*time.Second)
@@ -72,7 +73,7 @@
 	require.True(t, grant(l, start, "1"))
 }
 
-// Guards against a peer's word about a life that has ended since.
+// Guards against a peer's confirmation of an incarnation that has ended since.
 func TestWordAboutAFormerLifeDoesNotCount(t *testing.T) {
 	l := lease.New(limits)
 	l.Step(start, lease.DomainWorkers{Workers: []string{"w1"}})
@@ -82,8 +83,8 @@
 	require.True(t, l.HasUnconfirmed(start))
 }
 
-// Guards against a start that is sent on an old answer: another host that meets the worker in its
-// next life waits for no longer than a start may take.
+// Guards against a start that is based on an old answer: another host that finds the worker in its
+// next incarnation waits no longer than a start may take.
 func TestStartsAreNotSentOnAnOldAnswer(t *testing.T) {
 	l := lease.New(limits)
 	holdIncarnation(t, l, "1", 15*time.Second)
@@ -99,8 +100,9 @@
 	require.Len(t, actionsOf[lease.Up](acts), 1)
 }
 
-// Guards against a renewal that is read as changes of the former life, since the next one was told by
-// an answer that was asked for before the worker was taken.
+// Guards against a renewal whose answer is interpreted as changes of the previous incarnation. The
+// new incarnation was learned from the answer to a query that was sent before the worker was
+// acquired.
 func TestLifeThatIsToldBesideARenewalEndsTheLease(t *testing.T) {
 	l := lease.New(limits)
 	holdIncarnation(t, l, "1", 3*time.Second)
@@ -111,7 +113,8 @@
 	require.Len(t, actionsOf[lease.Acquire](acts), 1)
 }
 
-// Guards against workers of other hosts whose lives nobody here knows when their holder is lost.
+// Guards against workers of other hosts whose incarnations nobody here knows when their holder is
+// lost.
 func TestWorkersOfOtherHostsAreMet(t *testing.T) {
 	l := lease.New(limits)
 	ask := func(after time.Duration) int {
@@ -119,13 +122,14 @@
 	}
 	require.Len(t, actionsOf[lease.AskIncarnation](l.Step(start, lease.DomainWorkers{Workers: []string{"w1", "w2"}})), 2)
 	l.Step(start, lease.IncarnationLearned{Worker: "w1", Life: "1"})
-	require.Equal(t, 1, ask(time.Second), "the other did not answer")
+	require.Equal(t, 1, ask(time.Second), "the other worker did not answer")
 	require.Equal(t, 1, ask(2*time.Second))
 	require.True(t, grant(l, start.Add(10*time.Second), "1"))
 }
 
-// Guards against a lead of very many workers that loses and takes each of them again and again: it
-// renews them so rarely that an answer is too old for a start before the next one comes.
+// Guards against a leader of very many workers that repeatedly loses and acquires each of them,
+// because it renews them so rarely that an answer is too old for a start before the next one
+// arrives.
 func TestALeadOfManyWorkersKeepsThem(t *testing.T) {
 	l := lease.New(lease.DefaultLimits)
 	var names []string
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -6,33 +6,33 @@
 	"pollencroft/internal/cell"
 )
 
-// Event is what the lease core is told.
+// Event is an input of the lease core.
 type Event interface{ event() }
 
 // Wanted replaces the set of workers that this host should try to hold.
 type Wanted struct{ Workers []string }
 
-// Reading is what one answered exchange with a worker says. Sent is when the
-// question left, by this host's clock; Clock is the worker's own clock at the
-// answer; Left is how long the anchor still runs from then.
+// Reading is the content of one answer of a worker. Sent is when the request was sent, by this
+// host's clock. Clock is the worker's own clock at the answer. Remaining is how long the anchor's
+// lease runs from then.
 type Reading struct {
 	Sent      time.Time
 	Clock     time.Time
 	Remaining time.Duration
-	// Lease names the anchor's lease.
+	// Lease identifies the anchor's lease.
 	Lease string
-	// Incarnation names the worker's life, from its start to its end; empty: not told.
+	// Incarnation identifies the worker process from its start to its end. It is empty if unknown.
 	Incarnation string
-	// Cursor is where the worker's list of changes stood.
+	// Cursor is the position in the worker's list of changes.
 	Cursor int64
-	// Tasks are all tasks if Whole is set, else those that changed since the
-	// mark that was sent; Gone are those that the worker has forgotten.
+	// Tasks contains all tasks if Full is set, otherwise those that changed since the cursor in the
+	// request. Removed lists the tasks that the worker has forgotten.
 	Tasks   []Task
 	Removed []string
 	Full    bool
 }
 
-// Task is one task as a worker lists it. Lease names its start.
+// Task is a task as its worker lists it. Lease identifies its start.
 type Task struct {
 	ID    string
 	Lease string
@@ -43,62 +43,62 @@
 	Use   cell.Size
 }
 
-// Granted tells that a worker gave its anchor to this host.
+// Granted reports that a worker gave its anchor to this host.
 type Granted struct {
 	Worker string
 	Reading
 }
 
-// Renewed tells that a worker lengthened this host's leases.
+// Renewed reports that a worker extended this host's leases.
 type Renewed struct {
 	Worker string
 	Reading
 }
 
-// Refused tells that another host holds a worker's anchor for Left more.
+// Refused reports that another host holds a worker's anchor for the time Remaining.
 type Refused struct {
 	Worker    string
 	Holder    string
 	Remaining time.Duration
 	Sent      time.Time
-	// Incarnation names the worker's life; empty: not told.
+	// Incarnation identifies the worker process. It is empty if unknown.
 	Incarnation string
 }
 
-// Unanswered tells that an exchange with a worker had no answer.
+// Unanswered reports that a request to a worker got no answer.
 type Unanswered struct{ Worker string }
 
-// StartSent tells that a start is under way to a worker.
+// StartSent reports that a start is in flight to a worker.
 type StartSent struct{ Worker, Task string }
 
-// StartAnswered tells that a start's answer came, or with Sure unset, that it is
-// lost. Run is how long the task is expected to run; zero if it was not started.
+// StartAnswered reports that a start was answered or, if OutcomeKnown is not set, that its answer
+// was lost. RunTime is how long the task is expected to run, or zero if it was not started.
 type StartAnswered struct {
 	Worker, Task string
 	OutcomeKnown bool
 	RunTime      time.Duration
 }
 
-// Poll asks to read a worker again after so long.
+// Poll asks to read a worker again after that time.
 type Poll struct {
 	Worker string
 	After  time.Duration
 }
 
-// DomainWorkers replaces the workers of the failure domain, wanted or not.
+// DomainWorkers replaces the set of all workers of the failure domain, wanted or not.
 type DomainWorkers struct{ Workers []string }
 
-// IncarnationLearned tells in which life a worker answered that is not wanted.
+// IncarnationLearned reports the incarnation in which a worker answered AskIncarnation.
 type IncarnationLearned struct{ Worker, Life string }
 
-// IncarnationConfirmed tells that no start to a former life of a worker was under way any more when a peer saw
-// it in this one.
+// IncarnationConfirmed reports that no start to an earlier incarnation of a worker was in flight
+// any more when a peer saw it in this one.
 type IncarnationConfirmed struct{ Worker, Life string }
 
 // ReleaseAll gives all anchors back, for a planned stop.
 type ReleaseAll struct{}
 
-// Tick lets time pass.
+// Tick reports that time has passed.
 type Tick struct{}
 
 func (Wanted) event()               {}
@@ -115,7 +115,7 @@
 func (ReleaseAll) event()           {}
 func (Tick) event()                 {}
 
-// Action is what the lease core asks its edge to do.
+// Action is an output of the lease core, for the caller of Step to carry out.
 type Action interface{ action() }
 
 // Acquire asks a worker for its anchor.
@@ -124,8 +124,8 @@
 	TTL    time.Duration
 }
 
-// Renew lengthens the anchor by TTL and all tasks on a worker by Long, in one
-// message. The answer tells what changed since the mark Since.
+// Renew extends the leases of the anchor by TTL and of all tasks on the worker by TaskTTL, in one
+// message. The answer contains the changes since the cursor Since.
 type Renew struct {
 	Worker  string
 	TTL     time.Duration
@@ -133,33 +133,33 @@
 	Since   int64
 }
 
-// Release returns a worker's anchor. A give that arrives late, after the anchor
-// was taken anew, names another lease and changes nothing.
+// Release returns a worker's anchor. A release that arrives late, after the anchor was acquired
+// again, names another lease and has no effect.
 type Release struct{ Worker, Lease string }
 
-// AskIncarnation asks a worker for its life.
+// AskIncarnation asks a worker for its incarnation.
 type AskIncarnation struct{ Worker string }
 
-// AwaitStarts tells that a worker is held and not led before Until: starts of other hosts to its former
-// life may arrive.
+// AwaitStarts reports that a worker is held but not led before Until, because starts of other hosts
+// to an earlier incarnation may still arrive.
 type AwaitStarts struct {
 	Worker, Life string
 	Until        time.Time
 }
 
-// Up tells that this host now leads a worker, which runs these tasks.
+// Up reports that this host now leads a worker, and which tasks it runs.
 type Up struct {
 	Worker string
 	Reading
 }
 
-// Updated tells what a led worker runs now.
+// Updated reports what a led worker runs now.
 type Updated struct {
 	Worker string
 	Reading
 }
 
-// Down tells that this host leads a worker no longer.
+// Down reports that this host does not lead a worker any more.
 type Down struct{ Worker string }
 
 func (Acquire) action()        {}
--- a/internal/place/declared.go
+++ b/internal/place/declared.go
@@ -6,9 +6,10 @@
 	"pollencroft/internal/cell"
 )
 
-// revertCorrections sizes waiting work as it was declared where its corrected size finds no
-// room: beside what lasts it never will, since workers have gone or were taken since it was
-// corrected, or it is what has waited for the longest time over its class's.
+// revertCorrections gives waiting entries their declared size back if their corrected size cannot
+// be placed. That is the case if the corrected size does not fit beside the long-running tasks
+// while the declared one does, because workers have gone or are in use since the correction, or if
+// the entry is the overdue one.
 func (p *Placer) revertCorrections() {
 	for _, lanes := range p.queue.order {
 		for _, l := range lanes {
@@ -33,8 +34,8 @@
 	}
 }
 
-// fitsBesideLongTasks tells whether an entry's tasks of that size would have room beside the tasks that run
-// for longer than its class may wait.
+// fitsBesideLongTasks reports whether the entry's tasks of that size would fit beside the tasks
+// that run for longer than the entry's class may wait.
 func (p *Placer) fitsBesideLongTasks(e *entry, size cell.Size) bool {
 	need := int64(1)
 	if e.Gang {
@@ -58,7 +59,7 @@
 	return free
 }
 
-// revertToDeclared queues an entry anew with its declared size.
+// revertToDeclared queues an entry again with its declared size.
 func (p *Placer) revertToDeclared(e *entry) {
 	w := e.Request
 	w.Size, w.Declared = e.Declared, cell.Size{}
--- a/internal/place/explain.go
+++ b/internal/place/explain.go
@@ -12,10 +12,11 @@
 	ReservedForUrgent: "what is free is kept back for urgent work",
 }
 
-// String tells operators what the work waits for.
+// String describes the reason for operators.
 func (b BlockReason) String() string { return blockNames[b] }
 
-// ExplainWait tells why a job's waiting tasks wait; false when none waits here.
+// ExplainWait explains why the tasks of the job that task belongs to wait. It returns false if the
+// task is not waiting here.
 func (p *Placer) ExplainWait(task string) (string, bool) {
 	e, ok := p.queue.tasks[task]
 	if !ok {
@@ -31,7 +32,7 @@
 	return text, true
 }
 
-// TasksOn lists the tasks that take room on a worker.
+// TasksOn lists the tasks that have an allocation on a worker.
 func (p *Placer) TasksOn(worker string) []Used {
 	w, ok := p.workers[worker]
 	if !ok {
--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -8,17 +8,17 @@
 	"pollencroft/internal/cell"
 )
 
-// reservation keeps the room of a worker for one entry. Other work may use it only
-// when it is expected to end before From.
+// reservation keeps the capacity of a worker for one entry. Other tasks may use the worker only if
+// they are expected to end by availableAt.
 type reservation struct {
 	entry       *entry
 	availableAt time.Time
-	// expires ends a mark whose room never came free, as when the worker that
-	// was asked to stop a task is silent.
+	// expires ends a reservation whose capacity was never freed, for example because the worker
+	// that should stop a task does not respond.
 	expires time.Time
 }
 
-// reservationTTL is how long a mark holds before it is set anew.
+// reservationTTL is how long a reservation lasts before it is made again.
 const reservationTTL = 5 * time.Second
 
 func (p *Placer) reservationAllows(w *worker, e *entry) bool {
@@ -62,8 +62,8 @@
 	}
 }
 
-// tryGang gives all waiting tasks of a gang room, or none. Half a gang would
-// hold room while it waits for the rest, and two halves for ever.
+// tryGang places either all waiting tasks of a gang or none. A partly placed gang would hold
+// capacity while it waits for the rest, and two of them could block each other forever.
 func (p *Placer) tryGang(e *entry) {
 	if p.countFittingTasks(e) < int64(e.pending) {
 		p.queue.block(e.shape, GangTooLarge)
@@ -79,7 +79,7 @@
 		if w == nil {
 			break
 		}
-		// The room is taken under a name of its own until all are found.
+		// Allocate provisionally, so that the next search sees the reduced capacity.
 		r := &allocation{task: e.Tasks[i], row: e.Row, team: e.Team, class: e.Class, size: e.Size}
 		p.allocate(r, w)
 		chosen, allocations = append(chosen, w), append(allocations, r)
@@ -96,7 +96,8 @@
 	}
 }
 
-// countFittingTasks is how many of the entry's tasks the free room could take now.
+// countFittingTasks returns how many of the entry's tasks fit into the free capacity now. It stops
+// counting once all of them fit.
 func (p *Placer) countFittingTasks(e *entry) int64 {
 	var n int64
 	back := len(e.Avoid) > 0 && !p.fitsWithoutAvoided(e)
@@ -111,9 +112,9 @@
 	return n
 }
 
-// updateOverdue finds the job that is the longest over its class's time and
-// keeps room for it: one at a time, so that two all-at-once jobs cannot hold
-// each other's room.
+// updateOverdue selects the job that exceeds the waiting time of its class the most and reserves
+// capacity for it. There is only one such job at a time, so that two gangs cannot hold capacity
+// that the other needs.
 func (p *Placer) updateOverdue() {
 	if p.overdue != nil && p.overdue.waiting() && p.overdue.shape.blocked.isLimit() {
 		p.cancelReservations(p.overdue)
@@ -152,7 +153,7 @@
 	at     time.Time
 }
 
-// reserveEarliest keeps the workers that are expected to have room first.
+// reserveEarliest reserves the workers that are expected to have enough free capacity first.
 func (p *Placer) reserveEarliest(e *entry) {
 	if len(e.reserved) > 0 {
 		return
@@ -177,8 +178,8 @@
 	}
 }
 
-// openings are the times at which w is expected to have room for one more
-// task of that size, and one more again.
+// openings returns the times at which w is expected to have free capacity for one more task of that
+// size, in order. A time appears once for each task that fits.
 func (p *Placer) openings(w *worker, size cell.Size) []opening {
 	var timed []*allocation
 	for _, r := range w.tasks {
@@ -204,8 +205,8 @@
 	}
 }
 
-// expectedEnd is when a task is expected to end. One that runs longer than expected
-// is taken to run another quarter of its time so far.
+// expectedEnd returns when a task is expected to end. A task that exceeds its declared run time is
+// assumed to run for another quarter of the time that it has run so far.
 func (p *Placer) expectedEnd(r *allocation) time.Time {
 	if r.plannedEnd.After(p.now) {
 		return r.plannedEnd
--- a/internal/place/health.go
+++ b/internal/place/health.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// health is what is known of how a worker does its work.
+// health records the recent task results of a worker and its quarantine state.
 type health struct {
 	recent      []outcome
 	quarantined bool
-	// trialOpen lets one task through while the worker is set aside.
+	// trialOpen allows one task on the worker while it is quarantined.
 	trialOpen     bool
 	nextTrial     time.Time
 	trialInterval time.Duration
@@ -18,24 +18,23 @@
 	failed bool
 }
 
-// Judging a worker by its own failures alone would condemn workers for a row's
-// bug. Each failure therefore counts by how rarely the row fails elsewhere.
+// Judging a worker only by its own failures would quarantine workers for a bug of a row. Therefore
+// each failure counts more the less often the row fails on other workers.
 const (
 	maxRecent = 16
-	// quarantineThreshold is how many failures more than the rows explain set a worker
-	// aside.
+	// quarantineThreshold is the number of failures beyond what the failure rates of the rows
+	// explain at which a worker is quarantined.
 	quarantineThreshold = 2.5
-	// trialsToRestore bring a worker back.
+	// trialsToRestore is how many successful trials end the quarantine.
 	trialsToRestore  = 2
 	maxTrialInterval = 10 * time.Minute
-	// priorFailed of priorRan runs are thought to have failed before a row
-	// has been seen.
+	// priorFailed of priorRan runs are assumed to have failed before there is any result of a row.
 	priorFailed, priorRan = 0.2, 2
 )
 
 type tally struct{ ran, failed float64 }
 
-// results counts how rows do, in all and by worker. Old results fade.
+// results counts runs and failures by row. Old results lose weight exponentially.
 type results struct {
 	rows map[string]tally
 }
@@ -54,7 +53,7 @@
 	r.rows[row] = t
 }
 
-// failureRateElsewhere is how often the row fails on other workers than this one.
+// failureRateElsewhere returns how often the row fails on workers other than this one.
 func (r *results) failureRateElsewhere(row string, here []outcome) float64 {
 	t := r.rows[row]
 	for _, o := range here {
@@ -95,7 +94,8 @@
 	}
 }
 
-// unexplainedFailures is how many of the worker's failures the rows do not explain.
+// unexplainedFailures returns how many failures of the worker exceed the number that the failure
+// rates of its rows predict.
 func (p *Placer) unexplainedFailures(w *worker) float64 {
 	var sum float64
 	for _, o := range w.health.recent {
@@ -107,7 +107,8 @@
 	return sum
 }
 
-// mayQuarantine keeps a wrong verdict from emptying the domain.
+// mayQuarantine reports whether one more worker may be quarantined. The limit keeps wrong decisions
+// from taking all workers of the failure domain out of use.
 func (p *Placer) mayQuarantine() bool {
 	quarantined := 1
 	for _, w := range p.workers {
@@ -144,9 +145,9 @@
 	p.noteGrown(w)
 }
 
-// closeTrial closes a worker set aside again once it has got its trial. A task that lasts
-// says nothing of it for hours, and whoever cannot do without the worker would wait as
-// long: the next trial is after twice the wait, whatever this one says until then.
+// closeTrial closes a quarantined worker again once it got a task as its trial. A long task gives
+// no result for hours, and a job that cannot do without the worker would wait as long. Therefore
+// the next trial comes after twice the interval, even if this one has not ended by then.
 func (p *Placer) closeTrial(w *worker) {
 	if h := &w.health; h.quarantined {
 		h.trialOpen = false
@@ -155,8 +156,8 @@
 	}
 }
 
-// reviewQuarantined opens the workers set aside whose time has come, and pardons those
-// whose failures turn out to be their rows' own.
+// reviewQuarantined opens trials that are due, and restores workers whose failures turn out to be
+// explained by their rows.
 func (p *Placer) reviewQuarantined() {
 	for _, w := range p.inNameOrder() {
 		h := &w.health
--- a/internal/place/health_test.go
+++ b/internal/place/health_test.go
@@ -17,7 +17,7 @@
 	return place.TaskResized{Task: task, Size: use, Use: use}
 }
 
-// reportResults tells how tasks of a row ended, one on each of the workers.
+// reportResults reports one result of a task of the row for each worker.
 func reportResults(p *place.Placer, at time.Time, row string, failed bool, workers ...string) []place.Action {
 	var acts []place.Action
 	for _, w := range workers {
@@ -34,9 +34,9 @@
 	return all
 }
 
-// A worker fails all that others run. It gets no more work but a trial now and
-// then, and comes back when trials succeed; without that it would take task
-// after task of a queue, since it always has room.
+// A worker fails every task that succeeds on other workers. It gets only an occasional trial and is
+// restored when trials succeed. Otherwise it would get task after task from the queue, because it
+// always has free capacity.
 func TestWorkerThatFailsEverythingIsSetAside(t *testing.T) {
 	p := fleet(place.DefaultLimits, 8)
 	at := now
@@ -61,8 +61,8 @@
 	require.Contains(t, reportResults(p, at, "r", false, "w00"), place.Restored{Worker: "w00"})
 }
 
-// A row's own bug fails its tasks on every worker. Condemning the workers for
-// it would take room from all other rows.
+// A bug of a row makes its tasks fail on every worker. Quarantining the workers for it would take
+// capacity from all other rows.
 func TestRowsOwnBugCondemnsNoWorker(t *testing.T) {
 	p := fleet(place.DefaultLimits, 8)
 	var acts []place.Action
@@ -73,8 +73,8 @@
 	require.Empty(t, actionsOf[place.Quarantined](acts))
 }
 
-// A new row with a bug fails on one worker before any other has run it. When
-// it fails elsewhere too, the worker is pardoned.
+// A new row with a bug fails on one worker before any other worker has run it. When it fails on
+// other workers too, the first worker is restored.
 func TestWorkerIsPardonedWhenTheRowFailsElsewhere(t *testing.T) {
 	p := fleet(place.DefaultLimits, 8)
 	require.Len(t, actionsOf[place.Quarantined](reportResults(p, now, "new", true, "w00", "w00", "w00", "w00")), 1)
@@ -84,9 +84,9 @@
 	require.Contains(t, p.Step(now.Add(2*time.Second), place.Tick{}), place.Restored{Worker: "w00"})
 }
 
-// A rack's switch flaps and all its workers fail what they start, then others
-// follow. Never more than the set share is set aside: a wrong verdict must not
-// empty the domain.
+// The switch of a rack is unstable and all its workers fail what they start, then others follow. No
+// more than the configured share is quarantined, since wrong decisions must not take all workers of
+// the failure domain out of use.
 func TestNeverMoreThanAShareIsSetAside(t *testing.T) {
 	p := fleet(place.DefaultLimits, 8)
 	for range 20 {
@@ -100,9 +100,9 @@
 	require.Equal(t, []string{"w00", "w01"}, p.QuarantinedWorkers())
 }
 
-// A task uses more than it asked for and its worker is overfull. Processors
-// are held back first; memory cannot be, so the least urgent task that costs
-// least is checkpointed and stopped.
+// A task uses more than it asked for and overloads its worker. Processors are throttled first.
+// Memory cannot be throttled, so the cheapest task of the least urgent class is checkpointed and
+// stopped.
 func TestGrowthIsThrottledBeforeItIsStopped(t *testing.T) {
 	p := fleet(place.Limits{}, 1)
 	p.Step(now, place.Request{Job: "u", Row: "u", Class: cell.Urgent, Size: cores(2), Tasks: tasks("u", 1)})
@@ -115,21 +115,21 @@
 	stops := actionsOf[place.Preempt](acts)
 	require.Len(t, stops, 1)
 	require.Equal(t, "b.0", stops[0].Task)
-	require.Empty(t, actionsOf[place.Preempt](p.Step(now, resizedTo("u.0", cell.Size{CPU: 3000, Mem: 3*gib + 1}))), "once is enough")
+	require.Empty(t, actionsOf[place.Preempt](p.Step(now, resizedTo("u.0", cell.Size{CPU: 3000, Mem: 3*gib + 1}))), "the task is preempted only once")
 }
 
-// An operator raises a limit while jobs wait for it. The accepted edit must be
-// in force for them too, not only for jobs that come later.
+// An operator raises a limit while jobs wait for it. The edit must apply to them too and not only
+// to later jobs.
 func TestEditOfALimitIsInForceForWaitingWork(t *testing.T) {
 	p := fleet(place.Limits{}, 1)
 	p.Step(now, place.Request{Job: "j", Row: "r", Size: cores(1), Tasks: tasks("j", 4), Rule: place.Rule{MaxTasks: 1}})
 	require.Equal(t, []string{"r"}, p.Rows())
 	require.Len(t, assignments(p.Step(now, place.RuleChanged{Row: "r", Rule: place.Rule{MaxTasks: 3}})), 2)
-	require.Empty(t, assignments(p.Step(now, place.RuleChanged{Row: "r", Rule: place.Rule{MaxTasks: -1}})), "none allowed")
+	require.Empty(t, assignments(p.Step(now, place.RuleChanged{Row: "r", Rule: place.Rule{MaxTasks: -1}})), "a negative limit allows no task")
 }
 
-// Ten thousand jobs are cancelled at once. Each costs the same however long
-// the queue is, and what is left is placed as before.
+// Ten thousand jobs are cancelled at once. The cost of each cancellation does not depend on the
+// length of the queue, and the remaining job is placed as before.
 func TestWaveOfCancellationsLeavesTheRest(t *testing.T) {
 	p := fleet(place.Limits{}, 1)
 	p.Step(now, place.Request{Job: "x", Row: "r", Size: cores(4), Tasks: tasks("x", 1)})
@@ -144,10 +144,10 @@
 	require.Equal(t, map[string]string{"j9999.0": "w00"}, assignments(p.Step(now, place.Freed{Task: "x.0"})))
 }
 
-// A task has failed on a worker that fails everything and so always has room,
-// while the only other worker is full. It must wait for that one: a batch used
-// to end as failed because its tries all went to the same bad machine. When
-// there is no other worker at all it is tried again where it is.
+// A task has failed on a worker that fails everything and therefore always has free capacity, while
+// the only other worker is full. The task must wait for the other worker: batches used to fail
+// because all attempts went to the same bad machine. If there is no other worker, the task is
+// retried on the same one.
 func TestRetryWaitsForAWorkerThatItHasNotFailedOn(t *testing.T) {
 	whole := cell.Size{CPU: 4000, Mem: 1 << 30}
 	retry := place.Request{Job: "j", Row: "r", Size: whole, Tasks: []string{"a"}, Avoid: []string{"bad"}}
@@ -162,9 +162,9 @@
 	require.Equal(t, []place.Action{place.Assign{Task: "a", Worker: "bad"}}, p.Step(now, retry))
 }
 
-// Tasks of a gang have failed on one worker, and all the others together are too small for the
-// gang. Without the one it would wait for ever beside room that it has, with its caller told that
-// it runs; the worker may have been mended since.
+// Tasks of a gang have failed on one worker, and all other workers together are too small for the
+// gang. Without that worker the gang would wait forever although there is capacity for it, while
+// its caller is told that it runs. The worker may have been repaired since.
 func TestGangGoesBackToAWorkerThatItCannotDoWithout(t *testing.T) {
 	for name, tc := range map[string]struct {
 		workers int
@@ -180,7 +180,7 @@
 	}
 }
 
-// The one worker that a gang cannot do without is set aside for its failures. The gang is its trial.
+// A worker that a gang cannot do without is quarantined for its failures. The gang is its trial.
 func TestGangIsTheTrialOfAWorkerThatItCannotDoWithout(t *testing.T) {
 	l := place.DefaultLimits
 	l.MaxQuarantined = 0.5
@@ -194,8 +194,9 @@
 	require.Len(t, assignments(p.Step(now.Add(l.TrialInterval+time.Second), place.Tick{})), 6)
 }
 
-// A worker was mended, and its trial is a task that lasts for hours. Nothing tells that the trial
-// went well, and the worker is let alone for ten minutes; whoever needs its room waits beside it.
+// A worker was repaired, and its trial is a task that runs for hours. Nothing reports that the
+// trial succeeds, so the worker would stay unused for ten minutes while a job that needs its
+// capacity waits.
 func TestATrialThatLastsDoesNotKeepAWorkerAside(t *testing.T) {
 	l := place.DefaultLimits
 	l.MaxQuarantined = 0.5
--- a/internal/place/index.go
+++ b/internal/place/index.go
@@ -6,11 +6,10 @@
 	"pollencroft/internal/cell"
 )
 
-// The index sorts workers into cells by how much processor and memory they
-// have free, on a scale of 64 steps that grow by about a fifth, and into one
-// grid for each order of free accelerators. A look-up walks from the cell that
-// a task just fits into outwards, so its cost follows the number of steps and
-// not the number of workers.
+// The index sorts workers into cells by their free processors and memory, each on a logarithmic
+// scale of 64 levels that grow by about a fifth. There is one grid for each power of two of free
+// accelerators. A search starts at the cell that the task just fits into and moves outwards, so its
+// cost depends on the number of levels and not on the number of workers.
 const (
 	levels      = 64
 	accelLevels = 5
@@ -28,13 +27,14 @@
 	cells [levels][levels][]*worker
 }
 
-// indexKey says by what an index sorts workers.
+// indexKey selects the capacity by which an index sorts workers.
 type indexKey int
 
 const (
-	// byFree is what a worker has free.
+	// byFree sorts by the free capacity of a worker.
 	byFree indexKey = iota
-	// byFreeAfterPreemption is what it would have free without its bulk tasks.
+	// byFreeAfterPreemption sorts by the capacity that would be free without the worker's bulk
+	// tasks.
 	byFreeAfterPreemption
 	indexCount
 )
@@ -52,7 +52,7 @@
 	return w.free
 }
 
-// level is the step of v on the scale that ends at most.
+// level returns the level of v on the scale that ends at most.
 func level(v, most int64) int {
 	if v <= 0 || most <= 0 {
 		return 0
@@ -68,7 +68,7 @@
 
 func accelLevel(v int64) int { return min(bits.Len64(uint64(max(v, 0))), accelLevels-1) }
 
-// candidates returns up to n usable workers, about the fullest first.
+// candidates returns up to n usable workers, approximately the fullest first.
 func (x *index) candidates(n int, size cell.Size, usable func(*worker) bool) []*worker {
 	var found []*worker
 	x.best(size, func(w *worker) bool {
@@ -81,7 +81,8 @@
 	return found
 }
 
-// growScale tells whether a worker of that size is larger than the scale.
+// growScale extends the scale to include a worker of that size and reports whether that was
+// necessary.
 func (x *index) growScale(size cell.Size) bool {
 	if size.Fits(x.largest) {
 		return false
@@ -103,7 +104,7 @@
 	return position{indexed: true, accel: accelLevel(has.Accel), cpu: level(has.CPU, x.largest.CPU), mem: level(has.Mem, x.largest.Mem)}
 }
 
-// insert sorts a worker in by what it has free now, or out when it is not open.
+// insert puts a worker into the cell of its capacity, or removes it if it accepts no tasks.
 func (x *index) insert(w *worker) {
 	if !w.acceptsTasks() {
 		x.remove(w)
@@ -145,7 +146,7 @@
 	w.positions[x.key] = position{}
 }
 
-// best returns the usable worker that is about the fullest after taking size.
+// best returns the usable worker that would be approximately the fullest after allocating size.
 func (x *index) best(size cell.Size, usable func(*worker) bool) *worker {
 	cpu, mem := level(size.CPU, x.largest.CPU), level(size.Mem, x.largest.Mem)
 	for a := accelLevel(size.Accel); a < accelLevels; a++ {
@@ -159,7 +160,7 @@
 	return nil
 }
 
-// best looks at the cells in order of their distance from the task's own.
+// best visits the cells in order of their distance from the cell of the task's own size.
 func (g *grid) best(s search, cpu, mem int) *worker {
 	for d := 0; cpu+d < levels || mem+d < levels; d++ {
 		if c := cpu + d; c < levels {
@@ -183,8 +184,8 @@
 	return nil
 }
 
-// maxCompared fitting workers of one cell are compared; they differ by less than
-// one step of the scale.
+// maxCompared is how many fitting workers of one cell are compared. Their capacities differ by less
+// than one level of the scale.
 const maxCompared = 8
 
 type search struct {
--- a/internal/place/limits.go
+++ b/internal/place/limits.go
@@ -6,7 +6,8 @@
 	"pollencroft/internal/cell"
 )
 
-// checkLimits returns what forbids one more of the entry's tasks, or Ready.
+// checkLimits returns the limit that forbids one more of the entry's tasks (all of them for a
+// gang), or Ready.
 func (p *Placer) checkLimits(e *entry) BlockReason {
 	n := int64(1)
 	if e.Gang {
@@ -28,16 +29,16 @@
 	}
 }
 
-// keepsUrgentReserve tells whether the urgent reserve stays whole when bulk work
-// takes that much. Without it a night's bulk work would take the last room,
-// and an urgent task would have to wait for a stop.
+// keepsUrgentReserve reports whether the urgent reserve stays free if bulk tasks get that much
+// more. Without the reserve, the bulk tasks of a night would use the last free capacity, and an
+// urgent task would have to wait for a preemption.
 func (p *Placer) keepsUrgentReserve(size cell.Size) bool {
 	return p.free.Sub(size).Least(p.total) >= p.limits.UrgentReserve
 }
 
-// delaysOverdueBulk tells whether normal work would take what an overdue bulk job waits
-// for. The bulk job alone has to leave the reserve whole, so other work that
-// takes each piece as it comes free would lock it out for ever.
+// delaysOverdueBulk reports whether an entry would use capacity that an overdue bulk job waits for.
+// Only bulk jobs have to leave the urgent reserve free, so other jobs that use all capacity as it
+// is freed would block the bulk job forever.
 func (p *Placer) delaysOverdueBulk(e *entry, size cell.Size) bool {
 	old := p.overdue
 	if old == nil || old == e || e.Class == cell.Urgent || old.Class != cell.Bulk || !old.waiting() {
@@ -46,8 +47,8 @@
 	return !p.keepsUrgentReserve(size.Add(old.Size))
 }
 
-// exceededPart names the first part of size that is over its limit. A part of
-// zero is open, a negative one allows nothing.
+// exceededPart names the first resource of size that exceeds its limit, or returns "". A limit of
+// zero means unlimited, a negative one allows nothing.
 func exceededPart(size, limit cell.Size) string {
 	switch {
 	case limit.CPU != 0 && size.CPU > limit.CPU:
@@ -61,8 +62,7 @@
 	}
 }
 
-// multiply is size n multiply over; parts that overflow stay at the largest number,
-// which fits nowhere.
+// multiply returns n times size. Resources that overflow are set to maxPart, which fits nowhere.
 func multiply(size cell.Size, n int64) cell.Size {
 	return cell.Size{CPU: multiplyPart(size.CPU, n), Mem: multiplyPart(size.Mem, n), Accel: multiplyPart(size.Accel, n)}
 }
@@ -76,8 +76,8 @@
 	return v * n
 }
 
-// InfeasibleError tells that a job can never run and names the nearest limit, what
-// is needed of it and what there is.
+// InfeasibleError reports that a job can never run. It names the most relevant limit, how much of
+// it the job needs and how much there is.
 type InfeasibleError struct {
 	Limit             string
 	Needed, Available int64
@@ -87,8 +87,9 @@
 	return fmt.Sprintf("can never run: needs %d of %s, there is %d", e.Needed, e.Limit, e.Available)
 }
 
-// CheckFeasible returns a NeverError for a job that no end of other work could ever
-// make room for, nil for one that can run or of which nothing is known yet.
+// CheckFeasible returns an InfeasibleError for a job that could not run even if all other tasks
+// ended, and nil for a job that can run or about which nothing is known yet because no worker is
+// up.
 func (p *Placer) CheckFeasible(w Request) error {
 	n := int64(len(w.Tasks))
 	if !w.Gang {
@@ -135,8 +136,8 @@
 	return nil
 }
 
-// lackingPart is the first part that the largest worker lacks, or "all parts at
-// once" when no worker has them together.
+// lackingPart names the first resource of which even the largest worker has too little. If each
+// resource alone is available, no single worker has all of them together.
 func lackingPart(size, largest cell.Size) string {
 	if part := exceededPart(size, cell.Size{CPU: max(largest.CPU, 1), Mem: max(largest.Mem, 1)}); part != "" {
 		return part
@@ -153,7 +154,7 @@
 	return &InfeasibleError{Limit: part + " of " + limit, Needed: v[0], Available: v[1]}
 }
 
-// countFitting is how many tasks of that size go into room.
+// countFitting returns how many tasks of that size fit into capacity.
 func countFitting(capacity, size cell.Size) int64 {
 	n := maxPart
 	for _, part := range [][2]int64{{capacity.CPU, size.CPU}, {capacity.Mem, size.Mem}, {capacity.Accel, size.Accel}} {
--- a/internal/place/messages.go
+++ b/internal/place/messages.go
@@ -6,10 +6,10 @@
 	"pollencroft/internal/cell"
 )
 
-// Event is what the placement core is told.
+// Event is an input of the placement core.
 type Event interface{ event() }
 
-// Up tells that a worker may be used. Used are the tasks that it runs already.
+// Up reports that a worker may get tasks. Used lists the tasks that it already runs.
 type Up struct {
 	Worker string
 	Rack   string
@@ -17,90 +17,91 @@
 	Used   []Used
 }
 
-// Used is room that a running task takes.
+// Used is the allocation of a running task.
 type Used struct {
 	Task  string
 	Row   string
 	Team  string
 	Class cell.Class
 	Size  cell.Size
-	// Remaining is how long the task is expected to run yet; zero is not known.
+	// Remaining is how long the task is expected to go on running. Zero means unknown.
 	Remaining time.Duration
 }
 
-// WorkerResized tells that a worker that is up has another size than it had.
+// WorkerResized reports a new size of a worker that is up.
 type WorkerResized struct {
 	Worker string
 	Size   cell.Size
 }
 
-// Down tells that a worker may not be used now.
+// Down reports that a worker may not get tasks any more.
 type Down struct{ Worker string }
 
-// Request asks for room for the tasks of one job. With Gang set all of them get
-// room at once or none does.
+// Request asks to place the tasks of one job. If Gang is set, either all of them are placed at once
+// or none.
 type Request struct {
 	Job   string
 	Row   string
 	Team  string
 	Class cell.Class
 	Size  cell.Size
-	// Declared is what the caller asked for, if Size was corrected. It is used instead when Size
-	// finds no room; zero: there is none.
+	// Declared is the size that the caller asked for, if Size was corrected. It is used if Size
+	// cannot be placed. Zero means that there was no correction.
 	Declared cell.Size
 	Tasks    []string
 	Gang     bool
-	// Spread puts the row's tasks on as many racks as there are, so that a
-	// rack that fails does not take a whole service along.
+	// Spread distributes the row's tasks over as many racks as possible, so that a failing rack
+	// does not take a whole service down.
 	Spread bool
-	// RunTime is how long one task is expected to run; zero is not known.
+	// RunTime is how long one task is expected to run. Zero means unknown.
 	RunTime time.Duration
-	// Since is when the job was accepted; zero means now.
+	// Since is when the job was accepted. Zero means now.
 	Since time.Time
-	// Avoid are workers that these tasks have failed on, the last time at Failed. They go back to one
-	// of them, if they cannot do without, at Back, or sooner if it has run another task well since.
+	// Avoid lists the workers where these tasks have failed, the last time at LastFailed. If the
+	// other workers are not enough, the tasks may run there again after AvoidUntil, or earlier if
+	// another task has succeeded on the worker since LastFailed.
 	Avoid                   []string
 	LastFailure, AvoidUntil time.Time
 	Rule
 }
 
-// Rule is what the table says of a row now.
+// Rule holds the current limits of a row and its team from the table.
 type Rule struct {
-	// Weight is the row's weight in its class.
+	// Weight is the row's weight within its class.
 	Weight int64
-	// Limit is the room that the row may take in all. A part of zero is open,
-	// a negative one allows nothing.
+	// Limit is the total size that the row may use. For each resource, zero means unlimited and a
+	// negative value allows nothing.
 	Limit cell.Size
-	// MaxTasks is how many of the row's tasks may run, zero and negative alike.
+	// MaxTasks is how many of the row's tasks may run at a time. Zero and negative values mean the
+	// same as in Limit.
 	MaxTasks int64
-	// Quota and QuotaTasks are the same for all rows of the team.
+	// Quota and QuotaTasks limit the whole team. They are the same for all its rows.
 	Quota      cell.Size
 	QuotaTasks int64
 }
 
-// RuleChanged tells that the table says something else of a row now.
+// RuleChanged reports a changed rule of a row.
 type RuleChanged struct {
 	Row string
 	Rule
 }
 
-// Freed tells that a task takes room no longer or wants none any more.
+// Freed reports that a task has ended or does not wait any more.
 type Freed struct{ Task string }
 
-// TaskResized tells that a running task takes another room than was thought, and
-// what it was seen to use.
+// TaskResized reports a new size of a running task, and its measured usage.
 type TaskResized struct {
 	Task      string
 	Size, Use cell.Size
 }
 
-// Result tells how a task came to its end on a worker.
+// Result reports how a task ended on a worker.
 type Result struct {
 	Worker, Row string
 	Failed      bool
 }
 
-// Tick lets time pass.
+// Tick reports that time has passed.
 type Tick struct{}
 
 func (Up) event()            {}
@@ -113,26 +114,26 @@
 func (RuleChanged) event()   {}
 func (Tick) event()          {}
 
-// Action is what the placement core asks its edge to do.
+// Action is an output of the placement core, for the caller of Step to carry out.
 type Action interface{ action() }
 
-// Assign gives a task room on a worker. The room is taken until Freed.
+// Assign places a task on a worker. The allocation lasts until Freed.
 type Assign struct{ Task, Worker string }
 
-// Preempt asks that a task is checkpointed, stopped and queued again. Its
-// room stays taken until Freed.
+// Preempt asks to checkpoint a task, stop it and queue it again. Its allocation lasts until Freed.
 type Preempt struct{ Task, Worker, Reason string }
 
-// Throttle asks that a task is held to Share of the processors it asked for.
+// Throttle asks to limit a task to Share of the processors that it asked for.
 type Throttle struct {
 	Task, Worker string
 	Share        float64
 }
 
-// Quarantined tells that a worker fails what others run and gets only trials now.
+// Quarantined reports that a worker fails tasks which succeed elsewhere and gets only trials from
+// now on.
 type Quarantined struct{ Worker string }
 
-// Restored tells that a worker set aside gets work as before.
+// Restored reports that a quarantined worker gets tasks as before.
 type Restored struct{ Worker string }
 
 func (Assign) action()      {}
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -1,7 +1,7 @@
-// Package place decides which worker gets which task. Urgent work goes first
-// and keeps a reserve; within a class teams and rows share by weight; a task
-// goes to the fullest worker that still has room for it. Waiting work is tried
-// again only when something changed that it waits for.
+// Package place decides which worker runs which task. Urgent tasks go first and have a reserve of
+// free capacity. Within a class, teams and rows share the capacity by weight. Each task goes to the
+// fullest worker that still has capacity for it. A blocked task is tried again only when something
+// changed that it waits for.
 package place
 
 import (
@@ -12,23 +12,23 @@
 	"pollencroft/internal/cell"
 )
 
-// Limits set the policy that is not in the table.
+// Limits holds the placement policy that is not part of the table.
 type Limits struct {
-	// UrgentReserve is the share of all room that bulk tasks may not take.
+	// UrgentReserve is the share of the total capacity that bulk tasks may not use.
 	UrgentReserve float64
-	// OverdueAfter is how long the oldest job of each class may wait before room
-	// is kept for it. Zero means never.
+	// OverdueAfter is how long the oldest job of each class may wait before capacity is reserved
+	// for it. Zero means never.
 	OverdueAfter map[cell.Class]time.Duration
-	// UrgentCap is the share of all room up to which urgent tasks may take
-	// room that is kept for an overdue job.
+	// UrgentCap limits when urgent tasks may use capacity that is reserved for an overdue job: only
+	// while they use less than this share of the total capacity.
 	UrgentCap float64
-	// MaxQuarantined is the largest share of the workers that may be set aside.
+	// MaxQuarantined is the largest share of the workers that may be quarantined at a time.
 	MaxQuarantined float64
-	// TrialInterval is how long a worker set aside waits for its next trial.
+	// TrialInterval is how long a quarantined worker waits for its first trial.
 	TrialInterval time.Duration
 }
 
-// DefaultLimits suit both users.
+// DefaultLimits is suitable for both users.
 var DefaultLimits = Limits{
 	UrgentReserve:  0.1,
 	OverdueAfter:   map[cell.Class]time.Duration{cell.Urgent: 2 * time.Second, cell.Normal: time.Minute, cell.Bulk: 10 * time.Minute},
@@ -37,7 +37,7 @@
 	TrialInterval:  10 * time.Second,
 }
 
-// Placer is the placement core of one host.
+// Placer is the placement core of one host. It does no I/O.
 type Placer struct {
 	limits       Limits
 	now          time.Time
@@ -54,13 +54,14 @@
 	overdue      *entry
 	lastTick     time.Time
 	results      results
-	// grownWorkers are workers that got room in this step, which has the number step.
+	// grownWorkers gained free capacity since blocked tasks were last tried. step counts the calls
+	// of Step.
 	grownWorkers []*worker
 	step         int64
 	actions      []Action
 }
 
-// New returns a core without workers.
+// New returns a Placer without workers.
 func New(limits Limits) *Placer {
 	return &Placer{
 		limits: limits, workers: map[string]*worker{}, allocations: map[string]*allocation{}, rowUsage: map[string]usage{},
@@ -68,7 +69,7 @@
 	}
 }
 
-// Step takes one event and returns the placements that it makes possible.
+// Step applies one event and returns the actions that follow from it.
 func (p *Placer) Step(now time.Time, ev Event) []Action {
 	p.now = now
 	p.actions = nil
@@ -102,7 +103,7 @@
 
 func (p *Placer) emit(a Action) { p.actions = append(p.actions, a) }
 
-// tickInterval bounds how often the passing of time alone is looked at.
+// tickInterval is the minimum time between two runs of the time-dependent checks.
 const tickInterval = time.Second
 
 func (p *Placer) tick() {
@@ -135,7 +136,7 @@
 	p.noteGrown(w)
 }
 
-// rescale makes the indexes hold a worker of that size.
+// rescale rebuilds both indexes if a worker of that size exceeds their scale.
 func (p *Placer) rescale(w *worker) {
 	if p.index.growScale(w.size) {
 		p.index.rebuild(p.inNameOrder())
@@ -144,9 +145,9 @@
 	}
 }
 
-// resizeWorker books another size of a worker. What runs there goes on; its free room is negative while
-// that takes more than it has. Room that is kept there for an entry which does not fit any more
-// is given up.
+// resizeWorker records a new size of a worker. Its running tasks go on, and its free capacity is
+// negative while they use more than the new size. A reservation for an entry that no longer fits
+// the worker is cancelled.
 func (p *Placer) resizeWorker(ev WorkerResized) {
 	w, ok := p.workers[ev.Worker]
 	if !ok || w.size == ev.Size {
@@ -206,8 +207,8 @@
 	})
 }
 
-// placeWaiting places waiting tasks, one at a time and the most deserving first, until
-// everything that waits is known to be blocked.
+// placeWaiting places waiting tasks one at a time, in order of priority, until every remaining task
+// is known to be blocked.
 func (p *Placer) placeWaiting() {
 	for {
 		if e := p.next(); e != nil {
@@ -221,14 +222,14 @@
 		}
 		p.tryEntry(e)
 		if e.shape.blocked == Ready {
-			// The others have their turn before this one's next task.
+			// Give the other shapes a turn before the next task of this one.
 			e.shape.lastRetry = 0
 			p.queue.block(e.shape, NoCapacity)
 		}
 	}
 }
 
-// sweepInterval is how many steps pass between two sweeps of empty shapes.
+// sweepInterval is the number of steps between two removals of empty shapes.
 const sweepInterval = 64
 
 func (p *Placer) sweep() {
@@ -244,8 +245,8 @@
 	return p.queue.next(p.fairShare)
 }
 
-// fairShare orders lanes of one class: the team that has the least of the cell
-// goes first, within it the row that has the least for its weight.
+// fairShare returns the sort keys of lanes of one class: the team that uses the smallest share of
+// the total capacity goes first, and within a team the row that uses the least for its weight.
 func (p *Placer) fairShare(l *lane) (float64, float64) {
 	return p.teamUsage[l.team].size.Share(p.total), p.rowUsage[l.row].size.Share(p.total) / float64(max(l.weight, 1))
 }
@@ -282,7 +283,7 @@
 	}
 }
 
-// bestWorker is the fullest worker that has room for one of the entry's tasks.
+// bestWorker returns the fullest worker that has capacity for one of the entry's tasks.
 func (p *Placer) bestWorker(e *entry) *worker {
 	usable := func(w *worker) bool { return p.usable(w, e) }
 	if e.Spread {
@@ -297,13 +298,14 @@
 	return p.index.best(e.Size, func(w *worker) bool { return p.mayRetryOn(w, e) && p.reservationAllows(w, e) })
 }
 
-// mayRetryOn tells whether the entry's tasks may be put on a worker that they have failed on. Tried
-// there again at once, they would spend all their tries on a worker that fails everything.
+// mayRetryOn reports whether the entry's tasks may run on a worker where they have failed before.
+// If they were retried there at once, a worker that fails everything would use up all their
+// attempts.
 func (p *Placer) mayRetryOn(w *worker, e *entry) bool {
 	return !slices.Contains(e.Avoid, w.name) || !p.now.Before(e.AvoidUntil) || w.lastSuccess.After(e.LastFailure)
 }
 
-// wakeAfterAvoid has work tried that may go back now to the workers that it has failed on.
+// wakeAfterAvoid retries entries that may now run again on the workers where they have failed.
 func (p *Placer) wakeAfterAvoid() {
 	p.queue.wake(func(s *shape) bool {
 		e := s.head()
@@ -315,11 +317,10 @@
 	})
 }
 
-// fitsWithoutAvoided tells whether workers that the entry's tasks have not failed on
-// could hold one, or all of a gang, once they have room. A task that did not wait
-// for them would spend all its tries on the same bad worker, which always has room,
-// and its job would end as failed because of one machine. A gang that waited for
-// too few of them would wait for ever.
+// fitsWithoutAvoided reports whether the workers where the entry's tasks have not failed could hold
+// one task, or the whole gang, once they have free capacity. A task that did not wait for them
+// would use up all its attempts on the same bad worker, which always has free capacity, and its job
+// would fail because of one machine. A gang that waited for too few of them would wait forever.
 func (p *Placer) fitsWithoutAvoided(e *entry) bool {
 	need := int64(1)
 	if e.Gang {
@@ -357,16 +358,16 @@
 	return best
 }
 
-// Largest returns the largest worker that is up in each part; false when no
-// worker is up.
+// Largest returns, for each resource separately, the size of the largest worker that has been up.
+// It returns false if no worker is up.
 func (p *Placer) Largest() (cell.Size, bool) {
 	return p.index.largest, len(p.workers) > 0
 }
 
-// Waiting returns how many tasks wait for room.
+// Waiting returns the number of waiting tasks.
 func (p *Placer) Waiting() int { return len(p.queue.tasks) }
 
-// Rows lists the rows of which work waits, in order of name.
+// Rows lists the rows with waiting tasks, sorted by name.
 func (p *Placer) Rows() []string {
 	names := map[string]bool{}
 	for key, l := range p.queue.lanes {
@@ -377,7 +378,8 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// AllocatedSize returns the room that a task takes; false if it takes none.
+// AllocatedSize returns the capacity that is allocated to a task. It returns false if there is
+// none.
 func (p *Placer) AllocatedSize(task string) (cell.Size, bool) {
 	r, ok := p.allocations[task]
 	if !ok {
@@ -386,13 +388,13 @@
 	return r.size, true
 }
 
-// IsAssigned tells whether a task has its room on that worker.
+// IsAssigned reports whether a task has its allocation on that worker.
 func (p *Placer) IsAssigned(task, worker string) bool {
 	r, ok := p.allocations[task]
 	return ok && r.worker.name == worker
 }
 
-// QuarantinedWorkers lists the workers set aside, in order of name.
+// QuarantinedWorkers lists the quarantined workers, sorted by name.
 func (p *Placer) QuarantinedWorkers() []string {
 	var all []string
 	for _, w := range p.inNameOrder() {
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -16,8 +16,8 @@
 	return p.Step(now, place.Up{Worker: name, Rack: "r1", Size: cell.Size{CPU: 4000, Mem: 4 << 30}})
 }
 
-// A job's tasks must all start together. With room for three of four none may
-// start, else two such jobs could hold each other's room for ever.
+// A gang must be placed as a whole or not at all. Otherwise two such jobs could hold capacity that
+// the other needs forever.
 func TestGangGetsAllOrNothing(t *testing.T) {
 	p := place.New(place.Limits{})
 	addWorker(p, "w1")
@@ -26,8 +26,8 @@
 	require.Len(t, addWorker(p, "w2"), 3)
 }
 
-// A night's bulk work fills the hall. The last part of the room stays free, so
-// that an urgent task starts at once.
+// Bulk tasks fill the workers overnight. The last part of the capacity stays free, so that an
+// urgent task starts at once.
 func TestBulkLeavesTheReserve(t *testing.T) {
 	p := place.New(place.Limits{UrgentReserve: 0.25})
 	addWorker(p, "w1")
@@ -45,7 +45,7 @@
 	require.Equal(t, []place.Action{place.Assign{Task: "a", Worker: "w2"}}, acts)
 }
 
-// Guards against room kept idle on a worker that has become too small for it.
+// Guards against capacity that stays reserved on a worker which has become too small for the entry.
 func TestRoomKeptOnAWorkerThatShrankIsGivenUp(t *testing.T) {
 	p := fleet(place.Limits{OverdueAfter: map[cell.Class]time.Duration{cell.Normal: time.Minute}}, 2)
 	p.Step(now, place.Request{Job: "x", Row: "r", Class: cell.Normal, Size: cores(2), Tasks: tasks("x", 2), RunTime: time.Hour, Spread: true})
@@ -56,7 +56,7 @@
 	require.Len(t, assignments(p.Step(at, place.WorkerResized{Worker: "w00", Size: cores(3)})), 1)
 }
 
-// Guards against free room that is wrong after a worker shrank below what runs there.
+// Guards against wrong free capacity after a worker shrank below what runs there.
 func TestSizesThatComeAndGo(t *testing.T) {
 	p := fleet(place.Limits{}, 1)
 	require.Empty(t, assignments(p.Step(now, place.Request{Job: "wide", Row: "r", Size: cores(6), Tasks: tasks("wide", 1)})))
@@ -70,7 +70,7 @@
 	require.Empty(t, assignments(p.Step(now, place.WorkerResized{Worker: "gone", Size: cores(8)})))
 }
 
-// Bulk leaves a part of all room free, and that part follows the workers' sizes.
+// Bulk tasks leave a share of the total capacity free, and that share follows the workers' sizes.
 func TestTheReserveFollowsSizes(t *testing.T) {
 	p := fleet(place.Limits{UrgentReserve: 0.25}, 1)
 	require.Len(t, assignments(p.Step(now, place.Request{Job: "bulk", Row: "s", Class: cell.Bulk, Size: cores(1), Tasks: tasks("bulk", 9)})), 3)
@@ -79,7 +79,7 @@
 	require.Empty(t, assignments(p.Step(now, place.Freed{Task: "bulk.0"})))
 }
 
-// A small worker grows to the size of a full one. A task that only it has room for goes there.
+// A small worker grows to the size of a full one. A task that fits only there is placed there.
 func TestAWorkerIsFoundByItsNewSize(t *testing.T) {
 	p := fleet(place.Limits{}, 1)
 	p.Step(now, place.Up{Worker: "small", Rack: "r0", Size: cores(1)})
--- a/internal/place/policy_test.go
+++ b/internal/place/policy_test.go
@@ -29,7 +29,7 @@
 	return all
 }
 
-// fleet returns a core with n workers of four cores, two to a rack.
+// fleet returns a Placer with n workers of four cores, two per rack.
 func fleet(l place.Limits, n int) *place.Placer {
 	p := place.New(l)
 	for i := range n {
@@ -58,8 +58,8 @@
 	return all
 }
 
-// A job too big for what is free stands first in its row's queue. The small
-// jobs behind it, and of other rows, still get the room that it cannot use.
+// A job that is too big for the free capacity is first in its row's queue. The small jobs behind it
+// and those of other rows still get the capacity that it cannot use.
 func TestBlockedBigJobHoldsUpNobody(t *testing.T) {
 	p := fleet(place.Limits{}, 1)
 	p.Step(now, place.Request{Job: "x", Row: "r", Size: cores(2), Tasks: tasks("x", 1)})
@@ -68,9 +68,9 @@
 	require.Len(t, p.Step(now, place.Request{Job: "other", Row: "s", Size: cores(1), Tasks: tasks("other", 1)}), 1)
 }
 
-// Small jobs keep coming and would for ever take each piece of room as it
-// comes free. Once the big job is overdue room is kept for it, so it waits no
-// longer than its class's time and the longest task that runs then.
+// Small jobs keep arriving and would use all capacity as it is freed. Once the big job is overdue,
+// capacity is reserved for it, so it waits no longer than its class allows plus the longest task
+// that runs at that time.
 func TestNoClassStarves(t *testing.T) {
 	for _, class := range cell.Classes {
 		limits := place.Limits{OverdueAfter: map[cell.Class]time.Duration{class: time.Minute}}
@@ -114,9 +114,9 @@
 	}
 }
 
-// Normal work keeps taking what is free down to the last part, so the reserve
-// is never whole and a bulk job would wait for ever behind it. Once it is
-// overdue the normal work has to leave room for it and for the reserve.
+// Normal jobs use the free capacity to the last, so the urgent reserve is never free and a bulk job
+// would wait forever. Once the bulk job is overdue, normal jobs have to leave capacity for it and
+// for the reserve.
 func TestOverdueBulkIsNotLockedOutByTheReserve(t *testing.T) {
 	limits := place.Limits{UrgentReserve: 0.25, OverdueAfter: map[cell.Class]time.Duration{cell.Bulk: time.Minute}}
 	p := fleet(limits, 8)
@@ -145,8 +145,8 @@
 	require.LessOrEqual(t, waited, time.Minute+30*time.Second)
 }
 
-// A job waits for its row's limit for hours. It must not take the place of the
-// one overdue job that room is kept for: all other old jobs would starve.
+// A job waits for hours because of its row's limit. It must not be selected as the one overdue job
+// that capacity is reserved for, because then all other old jobs would starve.
 func TestJobAtItsLimitIsNotTheOverdueOne(t *testing.T) {
 	limits := place.Limits{OverdueAfter: map[cell.Class]time.Duration{cell.Normal: time.Minute}}
 	p := fleet(limits, 1)
@@ -158,15 +158,15 @@
 	for i := range 3 {
 		got := assignments(p.Step(now.Add(2*time.Minute), place.Freed{Task: fmt.Sprintf("s.%d", i)}))
 		if i < 2 {
-			require.Empty(t, got, "room is kept")
+			require.Empty(t, got, "capacity is reserved")
 			continue
 		}
 		require.Contains(t, got, "big.0")
 	}
 }
 
-// Two all-at-once jobs each need most of the workers. If each held a part they
-// would wait for each other for ever; the older one goes, then the other.
+// Two gangs each need most of the workers. If each held a part, they would wait for each other
+// forever. The older one is placed first, then the other.
 func TestTwoGangsDoNotLockEachOther(t *testing.T) {
 	p := fleet(place.Limits{OverdueAfter: map[cell.Class]time.Duration{cell.Normal: time.Second}}, 2)
 	p.Step(now, place.Request{Job: "x", Row: "r", Class: cell.Normal, Size: cores(2), Tasks: tasks("x", 2), RunTime: time.Minute})
@@ -176,7 +176,7 @@
 	at := now.Add(2 * time.Second)
 	p.Step(at, place.Tick{})
 	long := place.Request{Job: "long", Row: "r", Class: cell.Normal, Size: cores(1), Tasks: tasks("long", 1), RunTime: time.Hour}
-	require.Empty(t, p.Step(at, long), "room kept for the oldest gang")
+	require.Empty(t, p.Step(at, long), "capacity is reserved for the oldest gang")
 	short := place.Request{Job: "short", Row: "r", Class: cell.Normal, Size: cores(1), Tasks: tasks("short", 1), RunTime: time.Second}
 	require.Len(t, p.Step(at, short), 1, "short work backfills")
 	p.Step(at, place.Freed{Task: "short.0"})
@@ -192,9 +192,9 @@
 	require.Contains(t, second, "b.2")
 }
 
-// Bulk work fills all workers when an urgent job comes. The bulk task that ran
-// for the shortest time is checkpointed and stopped, and what it frees goes to
-// the urgent job and not to the next bulk task.
+// Bulk tasks fill all workers when an urgent job arrives. The bulk task that ran for the shortest
+// time is checkpointed and stopped, and the freed capacity goes to the urgent job and not to the
+// next bulk task.
 func TestUrgentPreemptsTheCheapestBulk(t *testing.T) {
 	p := fleet(place.Limits{UrgentCap: 0.8}, 1)
 	p.Step(now, place.Request{Job: "old", Row: "b", Class: cell.Bulk, Size: cores(2), Tasks: tasks("old", 1)})
@@ -208,8 +208,8 @@
 	require.Equal(t, map[string]string{"u.0": "w00"}, assignments(p.Step(at, place.Freed{Task: "old.0"})))
 }
 
-// One team submits a hundred jobs, then another submits one. The second team
-// must not wait for the hundred.
+// One team submits a hundred jobs, then another team submits one. The second team must not wait for
+// all the hundred.
 func TestTeamsAndRowsShareByWeight(t *testing.T) {
 	p := fleet(place.Limits{}, 2)
 	for i := range 100 {
@@ -230,8 +230,8 @@
 	require.Equal(t, 1, got['l'])
 }
 
-// A rack or its switch fails and takes all its workers along. A service whose
-// tasks sit on several racks goes on.
+// A rack or its switch fails with all its workers. A service whose tasks run on several racks goes
+// on.
 func TestServiceIsSpreadOverRacks(t *testing.T) {
 	p := fleet(place.Limits{}, 6)
 	on := assignments(p.Step(now, place.Request{Job: "s", Row: "watch", Size: cores(1), Tasks: tasks("s", 3), Spread: true}))
@@ -264,8 +264,8 @@
 	}
 }
 
-// A job that can never run would wait for ever. It is refused at once and its
-// caller is told the limit that stands in its way.
+// A job that can never run would wait forever. It is refused at once, and its caller is told which
+// limit it exceeds.
 func TestImpossibleJobIsRefusedWithTheNearestLimit(t *testing.T) {
 	p := fleet(place.Limits{}, 2)
 	huge := int64(1) << 62
@@ -289,8 +289,8 @@
 	require.NoError(t, p.CheckFeasible(place.Request{Size: cores(4), Tasks: tasks("j", 8)}))
 }
 
-// Jobs come, end, grow and are cancelled in any order, and workers come and
-// go. A worker given more than it holds would slow every task on it.
+// Jobs arrive and end and workers change their size in any order. A worker that gets more than it
+// can hold would slow down every task on it.
 func TestNoWorkerIsEverOverfilled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := fleet(place.DefaultLimits, 4)
@@ -299,7 +299,8 @@
 			size cell.Size
 		}
 		rooms, sizes := map[string]taken{}, map[string]cell.Size{}
-		// has is what each worker has now, over those that shrank below what runs there.
+		// has is the current size of each worker. over marks the workers that shrank below what
+		// runs there.
 		has, over := map[string]cell.Size{}, map[string]bool{}
 		for i := range 4 {
 			has[fmt.Sprintf("w%02d", i)] = cores(4)
--- a/internal/place/preempt.go
+++ b/internal/place/preempt.go
@@ -8,13 +8,13 @@
 	"pollencroft/internal/cell"
 )
 
-// maxCandidates is how many workers are weighed for one preemption; the index
-// brings those first that would be left the fullest.
+// maxCandidates is how many workers are compared for one preemption. The index returns first the
+// workers that would be left the fullest.
 const maxCandidates = 16
 
-// preemptFor stops the cheapest bulk work for an urgent job that found no room.
-// One worker's worth is asked for at a time; the worker is kept for the job
-// meanwhile, else the next bulk task would take what was freed.
+// preemptFor preempts the cheapest bulk tasks for an urgent job that does not fit anywhere. It
+// frees one worker at a time and reserves that worker for the job, because otherwise the next bulk
+// task would use the freed capacity.
 func (p *Placer) preemptFor(e *entry) {
 	if e.Class != cell.Urgent || len(e.reserved) > 0 {
 		return
@@ -38,8 +38,9 @@
 	}
 }
 
-// victims are the bulk tasks of a worker that cost least to stop: those that
-// ran for the shortest time by what they take.
+// victims returns the bulk tasks of a worker that are cheapest to stop so that size fits, and their
+// total cost. A task is cheap if it ran for a short time and uses little capacity. The last result
+// reports whether size then fits.
 func (p *Placer) victims(w *worker, size cell.Size) ([]*allocation, float64, bool) {
 	free := w.free
 	var bulk []*allocation
@@ -65,14 +66,15 @@
 	return bulk, cost, size.Fits(free)
 }
 
-// preemptionCost is the work that a stop may lose, in shares of a worker times seconds.
+// preemptionCost is the work that preempting a task may lose, in shares of a worker times seconds.
 func (p *Placer) preemptionCost(r *allocation) float64 {
 	return (1 + p.now.Sub(r.started).Seconds()) * r.size.Share(r.worker.size)
 }
 
-// relieveOverload brings a worker back to what it holds when tasks are seen to use more
-// than it has. What they may use at most is no reason to stop any of them. Processor time can be held back, so the task that took most over
-// is throttled first; memory cannot, so a task is checkpointed and stopped.
+// relieveOverload reduces the load of a worker whose tasks use more than its size. Only the
+// measured usage counts, not the maximum that the tasks may use. Processor time can be limited, so
+// tasks are throttled first. Memory cannot be limited, so for it a task is checkpointed and
+// stopped.
 func (p *Placer) relieveOverload(w *worker) {
 	free := w.size.Sub(w.usage)
 	if free.CPU < 0 {
@@ -108,7 +110,7 @@
 	}
 }
 
-// cheapestVictim is the least urgent task that costs least to stop.
+// cheapestVictim returns the task that is cheapest to stop among those of the least urgent class.
 func (p *Placer) cheapestVictim(w *worker) *allocation {
 	var best *allocation
 	for _, r := range w.tasks {
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -7,10 +7,10 @@
 	"pollencroft/internal/cell"
 )
 
-// BlockReason is what waiting work waits for.
+// BlockReason says why waiting tasks cannot be placed.
 type BlockReason int
 
-// What work may wait for. Ready work has not been tried since a change.
+// Block reasons. Ready tasks have not been tried since the last change that concerns them.
 const (
 	Ready BlockReason = iota
 	NoCapacity
@@ -21,11 +21,11 @@
 	ReservedForUrgent
 )
 
-// isLimit tells whether the work waits for a isLimit of the table, which no room
-// that is kept for it can help.
+// isLimit reports whether the reason is a limit set in the table. Reserving capacity does not help
+// against those.
 func (b BlockReason) isLimit() bool { return b == RowTaskLimit || b == RowSizeLimit || b == TeamQuota }
 
-// entry is one job's tasks that wait for room.
+// entry is one placement request with the tasks of a job that still wait.
 type entry struct {
 	Request
 	seq      int64
@@ -36,19 +36,19 @@
 
 func (e *entry) waiting() bool { return e.pending > 0 }
 
-// shape is waiting work of one row that fits or does not fit alike, so that it
-// is tried and blocked as one. The work behind it is not held up.
+// shape groups waiting entries of one row that have the same size and run time. They are tried and
+// blocked together, and a blocked shape does not hold up the shapes behind it.
 type shape struct {
 	lane    *lane
 	size    cell.Size
 	time    time.Duration
 	blocked BlockReason
-	// lastRetry is the step in which the shape was last tried again.
+	// lastRetry is the step in which the shape was last retried.
 	lastRetry int64
 	entries   []*entry
 }
 
-// head is the oldest entry that still waits.
+// head returns the oldest entry that still has waiting tasks.
 func (s *shape) head() *entry {
 	for len(s.entries) > 0 && !s.entries[0].waiting() {
 		s.entries = s.entries[1:]
@@ -59,13 +59,13 @@
 	return s.entries[0]
 }
 
-// lane is one row's waiting work in one class.
+// lane holds the waiting entries of one row in one class.
 type lane struct {
 	class     cell.Class
 	row, team string
 	weight    int64
 	shapes    []*shape
-	// ready are the shapes that have not been tried since a change.
+	// ready lists the shapes that have not been tried since the last change that concerns them.
 	ready []*shape
 }
 
@@ -80,7 +80,7 @@
 	time time.Duration
 }
 
-// queue holds all waiting work by class, row and shape.
+// queue holds all waiting entries by class, row and shape.
 type queue struct {
 	seq    int64
 	lanes  map[laneKey]*lane
@@ -121,7 +121,7 @@
 	}
 	l := q.lane(w)
 	key := shapeKey{laneKey: laneKey{class: w.Class, row: w.Row, team: w.Team}, size: w.Size, time: w.RunTime}
-	// Work that cannot be tried together with other work gets its own shape.
+	// Entries that cannot be tried together with others get a shape of their own.
 	own := w.Gang || w.Spread || len(w.Avoid) > 0
 	s, ok := q.shapes[key]
 	if own || !ok {
@@ -136,8 +136,8 @@
 	s.entries = append(s.entries, e)
 }
 
-// drop forgets a waiting task; false if it does not wait. It costs the same
-// however long the queue is, so a wave of cancellations is one pass over it.
+// drop removes a waiting task. It returns false if the task is not waiting. The cost does not
+// depend on the length of the queue, so cancelling many jobs takes linear time.
 func (q *queue) drop(task string) bool {
 	e, ok := q.tasks[task]
 	if !ok {
@@ -148,7 +148,7 @@
 	return true
 }
 
-// pop takes the next task of an entry out of the queue.
+// pop removes and returns the next waiting task of an entry.
 func (q *queue) pop(e *entry) string {
 	for {
 		task := e.Tasks[0]
@@ -174,8 +174,7 @@
 	}
 }
 
-// wake makes blocked work ready for which the reason has passed, and sweeps
-// out the shapes that have become empty.
+// wake makes those blocked shapes ready for which passed returns true, and removes empty shapes.
 func (q *queue) wake(passed func(*shape) bool) {
 	for _, lanes := range q.order {
 		for _, l := range lanes {
@@ -193,14 +192,14 @@
 	}
 }
 
-// usageFunc orders lanes of one class by what their team and row have already.
+// usageFunc returns what a lane's team and row already use. Lanes of one class are sorted by it.
 type usageFunc func(*lane) (team, row float64)
 
-// next returns the ready entry that goes first: by class, then by what the
-// lane deserves, then by age.
+// next returns the first ready entry: by class, then by the usage of the lane, then by age.
 func (q *queue) next(of usageFunc) *entry { return q.firstInOrder(of, q.firstReady) }
 
-// nextBlocked returns the blocked entry that goes first of those that pass.
+// nextBlocked returns, in the order of next, the first entry of the blocked shapes for which passed
+// returns true.
 func (q *queue) nextBlocked(of usageFunc, passed func(*shape) bool) *entry {
 	return q.firstInOrder(of, func(l *lane) *entry {
 		var first *entry
@@ -259,8 +258,8 @@
 	}
 }
 
-// applyRule applies what the table says now to work that waits already. Without it
-// an accepted edit would be in force for new jobs only.
+// applyRule applies a changed rule to the entries that already wait. Without this, an accepted edit
+// of the table would apply only to new jobs.
 func (q *queue) applyRule(ev RuleChanged) {
 	for key, l := range q.lanes {
 		if key.row != ev.Row {
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -7,44 +7,45 @@
 	"pollencroft/internal/cell"
 )
 
-// worker is one worker that may be used, and what is taken of it.
+// worker is a worker that may get tasks, with its allocations.
 type worker struct {
 	name, rack string
 	size       cell.Size
 	free       cell.Size
-	// bulk is what tasks take that urgent work may have stopped.
+	// bulk is the capacity allocated to bulk tasks, which urgent tasks may preempt.
 	bulk cell.Size
-	// usage is what its tasks were last usage to use.
+	// usage is the measured usage of its tasks.
 	usage       cell.Size
 	tasks       map[string]*allocation
 	rows        map[string]int
 	positions   [indexCount]position
 	reservation *reservation
 	health      health
-	// lastSuccess is when a task last ended well there.
+	// lastSuccess is when a task last succeeded on the worker.
 	lastSuccess time.Time
 }
 
-// freeShareAfter is the largest share that stays free when size is taken.
+// freeShareAfter returns the largest share of any resource that remains free after size is
+// allocated.
 func (w *worker) freeShareAfter(size cell.Size) float64 { return w.free.Sub(size).Share(w.size) }
 
-// acceptsTasks tells whether the worker may get a task at all.
+// acceptsTasks reports whether the worker may get tasks: it is not quarantined, or a trial is due.
 func (w *worker) acceptsTasks() bool { return !w.health.quarantined || w.health.trialOpen }
 
-// allocation is what one running task takes.
+// allocation is the capacity that one running task holds on a worker.
 type allocation struct {
 	task, row, team string
 	class           cell.Class
 	worker          *worker
 	size            cell.Size
-	// usage is what the task was last usage to use.
+	// usage is the last measured usage of the task.
 	usage               cell.Size
 	started, plannedEnd time.Time
 	preempting          bool
 	throttled           bool
 }
 
-// usage is what the tasks of a row, team or class take in all.
+// usage is the total allocation of a row, team or class.
 type usage struct {
 	size  cell.Size
 	tasks int64
@@ -78,7 +79,7 @@
 	p.account(r, r.size, -1)
 }
 
-// account books a room in (n = 1) or out (n = -1) of all sums.
+// account adds an allocation to all totals (n = 1) or subtracts it from them (n = -1).
 func (p *Placer) account(r *allocation, size cell.Size, n int64) {
 	w := r.worker
 	if n < 0 {
@@ -97,14 +98,14 @@
 	p.reindex(w)
 }
 
-// reindex brings a worker to its place in both indexes.
+// reindex updates the position of a worker in both indexes.
 func (p *Placer) reindex(w *worker) {
 	p.index.insert(w)
 	p.preemptIndex.insert(w)
 }
 
-// resizeTask books what a task is seen to use. A worker that comes out overfull
-// is relieved at once.
+// resizeTask records the measured usage and the new size of a task. If the usage then exceeds the
+// worker's size, the overload is relieved at once.
 func (p *Placer) resizeTask(ev TaskResized) {
 	r, ok := p.allocations[ev.Task]
 	if !ok {
@@ -122,16 +123,17 @@
 	p.noteGrown(r.worker)
 }
 
-// noteGrown notes that w has room that it had not when waiting work was tried.
+// noteGrown records that w has free capacity that it did not have when waiting entries were last
+// tried.
 func (p *Placer) noteGrown(w *worker) {
 	if w.acceptsTasks() && !slices.Contains(p.grownWorkers, w) {
 		p.grownWorkers = append(p.grownWorkers, w)
 	}
 }
 
-// nextRetry returns the blocked entry that goes first of those that fit a worker
-// which has got room, nil when there is none. All other blocked work was found
-// to fit nowhere and nothing has changed for it, so it is not tried again.
+// nextRetry returns the first blocked entry that may fit a worker which gained free capacity, or
+// nil if there is none. All other blocked entries were found to fit nowhere and nothing has changed
+// for them, so they are not retried.
 func (p *Placer) nextRetry() *entry {
 	for len(p.grownWorkers) > 0 {
 		w := p.grownWorkers[0]
