--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -324,7 +324,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.stepLeases(lease.IncarnationLearned{Worker: a.Worker, Life: name})
+	l.stepLeases(lease.IncarnationLearned{Worker: a.Worker, Incarnation: name})
 }
 
 func (l *Leader) releaseLease(ctx context.Context, a lease.Release) {
--- a/internal/lease/life.go
+++ b/internal/lease/life.go
@@ -57,9 +57,9 @@
 }
 
 func (l *Leases) incarnationLearned(now time.Time, ev IncarnationLearned) {
-	if w, ok := l.workers[ev.Worker]; ok && ev.Life != "" {
+	if w, ok := l.workers[ev.Worker]; ok && ev.Incarnation != "" {
 		w.nextIncarnationQuery = now.Add(incarnationQueryInterval)
-		l.noteIncarnation(now, w, ev.Life)
+		l.noteIncarnation(now, w, ev.Incarnation)
 	}
 }
 
--- a/internal/lease/life_test.go
+++ b/internal/lease/life_test.go
@@ -18,7 +18,7 @@
 func holdIncarnation(t *testing.T, l *lease.Leases, life string, left time.Duration) {
 	t.Helper()
 	l.Step(start.Add(-time.Minute), lease.DomainWorkers{Workers: []string{"w1"}})
-	l.Step(start.Add(-time.Minute), lease.IncarnationLearned{Worker: "w1", Life: life})
+	l.Step(start.Add(-time.Minute), lease.IncarnationLearned{Worker: "w1", Incarnation: life})
 	l.Step(start, lease.Wanted{Workers: []string{"w1"}})
 	acts := l.Step(start, lease.Granted{Worker: "w1", Reading: readingIn(start, life, left)})
 	require.Len(t, actionsOf[lease.Up](acts), 1)
@@ -107,7 +107,7 @@
 	l := lease.New(limits)
 	holdIncarnation(t, l, "1", 3*time.Second)
 	at := start.Add(time.Second)
-	l.Step(at, lease.IncarnationLearned{Worker: "w1", Life: "2"})
+	l.Step(at, lease.IncarnationLearned{Worker: "w1", Incarnation: "2"})
 	acts := l.Step(at, lease.Renewed{Worker: "w1", Reading: readingIn(at, "2", 3*time.Second)})
 	require.Len(t, actionsOf[lease.Down](acts), 1)
 	require.Len(t, actionsOf[lease.Acquire](acts), 1)
@@ -121,7 +121,7 @@
 		return len(actionsOf[lease.AskIncarnation](l.Step(start.Add(after), lease.Tick{})))
 	}
 	require.Len(t, actionsOf[lease.AskIncarnation](l.Step(start, lease.DomainWorkers{Workers: []string{"w1", "w2"}})), 2)
-	l.Step(start, lease.IncarnationLearned{Worker: "w1", Life: "1"})
+	l.Step(start, lease.IncarnationLearned{Worker: "w1", Incarnation: "1"})
 	require.Equal(t, 1, ask(time.Second), "the other worker did not answer")
 	require.Equal(t, 1, ask(2*time.Second))
 	require.True(t, grant(l, start.Add(10*time.Second), "1"))
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -89,7 +89,7 @@
 type DomainWorkers struct{ Workers []string }
 
 // IncarnationLearned reports the incarnation in which a worker answered AskIncarnation.
-type IncarnationLearned struct{ Worker, Life string }
+type IncarnationLearned struct{ Worker, Incarnation string }
 
 // IncarnationConfirmed reports that no start to an earlier incarnation of a worker was in flight
 // any more when a peer saw it in this one.
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -84,7 +84,7 @@
 	l.Step(b.now, lease.DomainWorkers{Workers: []string{"w"}})
 	life, err := a.Life(ctx, b.addr)
 	require.NoError(t, err)
-	l.Step(b.now, lease.IncarnationLearned{Worker: "w", Life: life})
+	l.Step(b.now, lease.IncarnationLearned{Worker: "w", Incarnation: life})
 	b.now = b.now.Add(time.Minute)
 	l.Step(b.now, lease.Wanted{Workers: []string{"w"}})
 	r, err := a.Take(ctx, b.addr, 3*time.Second)
