--- a/internal/lead/census.go
+++ b/internal/lead/census.go
@@ -133,7 +133,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for name, incarnation := range c.Incarnations {
-		l.stepLeases(lease.IncarnationConfirmed{Worker: name, Life: incarnation})
+		l.stepLeases(lease.IncarnationConfirmed{Worker: name, Incarnation: incarnation})
 	}
 	ev := takeover.PeerAnswer{Host: host, Asked: q.Asked, Leads: c.Leads, Waits: c.Waits}
 	held := l.Leases.Held()
--- a/internal/lease/life.go
+++ b/internal/lease/life.go
@@ -67,13 +67,13 @@
 // worker can no longer be carried out.
 func (l *Leases) incarnationConfirmed(now time.Time, ev IncarnationConfirmed) {
 	w, ok := l.workers[ev.Worker]
-	if !ok || ev.Life == "" || w.incarnation != "" && w.incarnation != ev.Life {
+	if !ok || ev.Incarnation == "" || w.incarnation != "" && w.incarnation != ev.Incarnation {
 		return
 	}
 	if w.staleStartsUntil.After(now) {
 		w.nextExchange = now
 	}
-	w.incarnation, w.staleStartsUntil = ev.Life, time.Time{}
+	w.incarnation, w.staleStartsUntil = ev.Incarnation, time.Time{}
 }
 
 // ConfirmedIncarnations returns, by worker, the incarnations for which no start to an earlier
--- a/internal/lease/life_test.go
+++ b/internal/lease/life_test.go
@@ -67,9 +67,9 @@
 // Guards against workers that are idle after each change of their holder.
 func TestLifeThatAPeerVouchesForIsNotWaitedFor(t *testing.T) {
 	l := lease.New(limits)
-	l.Step(start, lease.IncarnationConfirmed{Worker: "w1", Life: "1"})
+	l.Step(start, lease.IncarnationConfirmed{Worker: "w1", Incarnation: "1"})
 	l.Step(start, lease.DomainWorkers{Workers: []string{"w1"}})
-	l.Step(start, lease.IncarnationConfirmed{Worker: "w1", Life: "1"})
+	l.Step(start, lease.IncarnationConfirmed{Worker: "w1", Incarnation: "1"})
 	require.True(t, grant(l, start, "1"))
 }
 
@@ -77,9 +77,9 @@
 func TestWordAboutAFormerLifeDoesNotCount(t *testing.T) {
 	l := lease.New(limits)
 	l.Step(start, lease.DomainWorkers{Workers: []string{"w1"}})
-	l.Step(start, lease.IncarnationConfirmed{Worker: "w1", Life: "1"})
+	l.Step(start, lease.IncarnationConfirmed{Worker: "w1", Incarnation: "1"})
 	require.False(t, grant(l, start, "2"))
-	l.Step(start, lease.IncarnationConfirmed{Worker: "w1", Life: "1"})
+	l.Step(start, lease.IncarnationConfirmed{Worker: "w1", Incarnation: "1"})
 	require.True(t, l.HasUnconfirmed(start))
 }
 
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -93,7 +93,7 @@
 
 // IncarnationConfirmed reports that no start to an earlier incarnation of a worker was in flight
 // any more when a peer saw it in this one.
-type IncarnationConfirmed struct{ Worker, Life string }
+type IncarnationConfirmed struct{ Worker, Incarnation string }
 
 // ReleaseAll gives all anchors back, for a planned stop.
 type ReleaseAll struct{}
