--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -230,7 +230,7 @@
 		case lease.AskIncarnation:
 			l.spawn(func(ctx context.Context) { l.askIncarnation(ctx, a) })
 		case lease.AwaitStarts:
-			l.Log.Info("lead: worker has a new incarnation; waiting for starts to the previous one to expire.", "worker", a.Worker, "life", a.Life, "until", a.Until)
+			l.Log.Info("lead: worker has a new incarnation; waiting for starts to the previous one to expire.", "worker", a.Worker, "life", a.Incarnation, "until", a.Until)
 		case lease.Up:
 			l.workerUp(a)
 		case lease.Updated:
--- a/internal/lease/life.go
+++ b/internal/lease/life.go
@@ -42,7 +42,7 @@
 		return nil
 	}
 	w.awaitedIncarnation = w.incarnation
-	return []Action{AwaitStarts{Worker: name, Life: w.incarnation, Until: at}}
+	return []Action{AwaitStarts{Worker: name, Incarnation: w.incarnation, Until: at}}
 }
 
 func (l *Leases) setDomainWorkers(now time.Time, names []string) {
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -143,8 +143,8 @@
 // AwaitStarts reports that a worker is held but not led before Until, because starts of other hosts
 // to an earlier incarnation may still arrive.
 type AwaitStarts struct {
-	Worker, Life string
-	Until        time.Time
+	Worker, Incarnation string
+	Until               time.Time
 }
 
 // Up reports that this host now leads a worker, and which tasks it runs.
