--- a/internal/lease/life.go
+++ b/internal/lease/life.go
@@ -19,12 +19,12 @@
 // its previous holder are in flight. Until these can no longer be carried out, it is unknown what
 // the worker runs. A host that held the worker until now does not have to wait, because no other
 // host can have sent starts.
-func (l *Leases) noteIncarnation(now time.Time, w *worker, life string) {
-	if life == "" || life == w.incarnation {
+func (l *Leases) noteIncarnation(now time.Time, w *worker, incarnation string) {
+	if incarnation == "" || incarnation == w.incarnation {
 		return
 	}
 	held := w.led && w.state == "held" && w.validUntil.After(now)
-	w.incarnation = life
+	w.incarnation = incarnation
 	if !held {
 		left := l.limits.startWindow()
 		w.staleStartsUntil = now.Add(left + left/driftDivisor)
