--- a/internal/lease/life_test.go
+++ b/internal/lease/life_test.go
@@ -10,8 +10,8 @@
 	"pollencroft/internal/lease"
 )
 
-func readingIn(sent time.Time, life string, left time.Duration) lease.Reading {
-	return lease.Reading{Sent: sent, Clock: sent, Remaining: left, Lease: "7", Incarnation: life}
+func readingIn(sent time.Time, incarnation string, left time.Duration) lease.Reading {
+	return lease.Reading{Sent: sent, Clock: sent, Remaining: left, Lease: "7", Incarnation: incarnation}
 }
 
 // holdIncarnation makes l lead a worker in an incarnation that has been known for a minute.
