--- a/internal/lease/life_test.go
+++ b/internal/lease/life_test.go
@@ -15,12 +15,12 @@
 }
 
 // holdIncarnation makes l lead a worker in an incarnation that has been known for a minute.
-func holdIncarnation(t *testing.T, l *lease.Leases, life string, left time.Duration) {
+func holdIncarnation(t *testing.T, l *lease.Leases, incarnation string, left time.Duration) {
 	t.Helper()
 	l.Step(start.Add(-time.Minute), lease.DomainWorkers{Workers: []string{"w1"}})
-	l.Step(start.Add(-time.Minute), lease.IncarnationLearned{Worker: "w1", Incarnation: life})
+	l.Step(start.Add(-time.Minute), lease.IncarnationLearned{Worker: "w1", Incarnation: incarnation})
 	l.Step(start, lease.Wanted{Workers: []string{"w1"}})
-	acts := l.Step(start, lease.Granted{Worker: "w1", Reading: readingIn(start, life, left)})
+	acts := l.Step(start, lease.Granted{Worker: "w1", Reading: readingIn(start, incarnation, left)})
 	require.Len(t, actionsOf[lease.Up](acts), 1)
 }
 
