--- a/internal/lease/life_test.go
+++ b/internal/lease/life_test.go
@@ -25,9 +25,9 @@
 }
 
 // grant acquires a worker in that incarnation and reports whether it is led then.
-func grant(l *lease.Leases, at time.Time, life string) bool {
+func grant(l *lease.Leases, at time.Time, incarnation string) bool {
 	l.Step(at, lease.Wanted{Workers: []string{"w1"}})
-	return len(actionsOf[lease.Up](l.Step(at, lease.Granted{Worker: "w1", Reading: readingIn(at, life, 3*time.Second)}))) == 1
+	return len(actionsOf[lease.Up](l.Step(at, lease.Granted{Worker: "w1", Reading: readingIn(at, incarnation, 3*time.Second)}))) == 1
 }
 
 // Guards against starts on a worker where starts of a previous holder may still arrive.
