--- a/internal/place/policy_test.go
+++ b/internal/place/policy_test.go
@@ -294,11 +294,11 @@
 func TestNoWorkerIsEverOverfilled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := fleet(place.DefaultLimits, 4)
-		type taken struct {
+		type placement struct {
 			on   string
 			size cell.Size
 		}
-		rooms, sizes := map[string]taken{}, map[string]cell.Size{}
+		rooms, sizes := map[string]placement{}, map[string]cell.Size{}
 		// has is the current size of each worker. over marks the workers that shrank below what
 		// runs there.
 		has, over := map[string]cell.Size{}, map[string]bool{}
@@ -334,7 +334,7 @@
 			}
 			for name, on := range assignments(p.Step(at, ev)) {
 				require.NotContains(t, rooms, name, "placed twice")
-				rooms[name] = taken{on: on, size: sizes[name]}
+				rooms[name] = placement{on: on, size: sizes[name]}
 				over[on] = false
 			}
 			used := map[string]cell.Size{}
