--- a/internal/place/policy_test.go
+++ b/internal/place/policy_test.go
@@ -298,7 +298,7 @@
 			on   string
 			size cell.Size
 		}
-		rooms, sizes := map[string]placement{}, map[string]cell.Size{}
+		placements, sizes := map[string]placement{}, map[string]cell.Size{}
 		// has is the current size of each worker. over marks the workers that shrank below what
 		// runs there.
 		has, over := map[string]cell.Size{}, map[string]bool{}
@@ -322,10 +322,10 @@
 				}
 				ev = w
 			case 2:
-				if all := slices.Sorted(maps.Keys(rooms)); len(all) > 0 {
+				if all := slices.Sorted(maps.Keys(placements)); len(all) > 0 {
 					name := rapid.SampledFrom(all).Draw(t, "ended")
 					ev = place.Freed{Task: name}
-					delete(rooms, name)
+					delete(placements, name)
 				}
 			case 4:
 				name := rapid.SampledFrom(slices.Sorted(maps.Keys(has))).Draw(t, "worker")
@@ -333,12 +333,12 @@
 				ev, over[name] = place.WorkerResized{Worker: name, Size: has[name]}, true
 			}
 			for name, on := range assignments(p.Step(at, ev)) {
-				require.NotContains(t, rooms, name, "placed twice")
-				rooms[name] = placement{on: on, size: sizes[name]}
+				require.NotContains(t, placements, name, "placed twice")
+				placements[name] = placement{on: on, size: sizes[name]}
 				over[on] = false
 			}
 			used := map[string]cell.Size{}
-			for _, r := range rooms {
+			for _, r := range placements {
 				used[r.on] = used[r.on].Add(r.size)
 			}
 			for on, u := range used {
