--- a/internal/place/health_test.go
+++ b/internal/place/health_test.go
@@ -149,11 +149,11 @@
 // because all attempts went to the same bad machine. If there is no other worker, the task is
 // retried on the same one.
 func TestRetryWaitsForAWorkerThatItHasNotFailedOn(t *testing.T) {
-	whole := cell.Size{CPU: 4000, Mem: 1 << 30}
-	retry := place.Request{Job: "j", Row: "r", Size: whole, Tasks: []string{"a"}, Avoid: []string{"bad"}}
+	size := cell.Size{CPU: 4000, Mem: 1 << 30}
+	retry := place.Request{Job: "j", Row: "r", Size: size, Tasks: []string{"a"}, Avoid: []string{"bad"}}
 	p := place.New(place.Limits{})
 	addWorker(p, "bad")
-	p.Step(now, place.Up{Worker: "good", Rack: "r1", Size: whole, Used: []place.Used{{Task: "x", Row: "r", Size: whole}}})
+	p.Step(now, place.Up{Worker: "good", Rack: "r1", Size: size, Used: []place.Used{{Task: "x", Row: "r", Size: size}}})
 	require.Empty(t, p.Step(now, retry))
 	require.Equal(t, []place.Action{place.Assign{Task: "a", Worker: "good"}}, p.Step(now, place.Freed{Task: "x"}))
 
