--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -127,16 +127,16 @@
 func (h *Host) Unsure(id string) bool { return h.localState(id).Unsure }
 
 // Orders knows how fast workers answer.
-type Orders struct{ *orders }
+type Orders struct{ *responseTimes }
 
 // NewOrders returns one that knows nothing.
 func NewOrders() Orders { return Orders{newOrders()} }
 
 // Patience is how long to wait for a worker's answer.
-func (o Orders) Patience(life string, now time.Time) time.Duration { return o.patience(life, now) }
+func (o Orders) Patience(life string, now time.Time) time.Duration { return o.timeout(life, now) }
 
 // Took notes an answer.
-func (o Orders) Took(life string, d time.Duration, now time.Time) { o.took(life, d, now) }
+func (o Orders) Took(life string, d time.Duration, now time.Time) { o.record(life, d, now) }
 
 // Follow has the host take another one for the lead.
 func (h *Host) Follow(name string) {
--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -11,50 +11,50 @@
 )
 
 const (
-	// storeAfter is how long the lead may take before the store is read beside. A host that is
+	// storeReadDelay is how long the lead may take before the store is read beside. A host that is
 	// short of processor hears its answer late, and pages of states would make it later.
-	storeAfter = time.Second
-	// leadLook is how often a question looks whether another host leads by now, and whether
+	storeReadDelay = time.Second
+	// recheckInterval is how often a question looks whether another host leads by now, and whether
 	// this one has learned the job's end.
-	leadLook = 200 * time.Millisecond
-	// mostLeads is how many leads one question is put to.
-	mostLeads = 4
+	recheckInterval = 200 * time.Millisecond
+	// maxLeadersAsked is how many leads one question is put to.
+	maxLeadersAsked = 4
 )
 
-// UntoldError tells why nobody told a job's state.
-type UntoldError struct {
+// StateUnavailableError tells why nobody told a job's state.
+type StateUnavailableError struct {
 	ID string
-	// Lead is why the lead did not, Store why it cannot be read from the store.
-	Lead, Store error
+	// LeaderErr is why the lead did not, StoreErr why it cannot be read from the store.
+	LeaderErr, StoreErr error
 }
 
-func (e *UntoldError) Error() string {
-	return "no lead answers: " + e.Lead.Error() + "; not read from the store: " + e.Store.Error()
+func (e *StateUnavailableError) Error() string {
+	return "no lead answers: " + e.LeaderErr.Error() + "; not read from the store: " + e.StoreErr.Error()
 }
 
 // Unwrap returns both failures.
-func (e *UntoldError) Unwrap() []error { return []error{e.Lead, e.Store} }
+func (e *StateUnavailableError) Unwrap() []error { return []error{e.LeaderErr, e.StoreErr} }
 
-// question is one question for a job's state. It is put to the lead, to the next one if the
+// stateQuery is one stateQuery for a job's state. It is put to the lead, to the next one if the
 // lead changes, and to the store if there is no answer soon. The first answer counts: the
 // store holds what any lead tells.
-type question struct {
+type stateQuery struct {
 	h       *Host
 	ctx     context.Context
 	id      string
-	answers chan told
-	// lead and term are those that were asked last, leads how many were.
-	lead  string
-	term  int64
-	leads int
-	// open is how many leads have not answered, reading tells that the store is being read.
-	open    int
-	reading bool
-	// leadErr and storeErr are why there was no answer.
-	leadErr, storeErr error
-}
-
-type told struct {
+	answers chan stateAnswer
+	// leader and term are those that were asked last, leads how many were.
+	leader string
+	term   int64
+	asked  int
+	// unanswered is how many leads have not answered, reading tells that the store is being read.
+	unanswered   int
+	readingStore bool
+	// leaderErr and storeErr are why there was no answer.
+	leaderErr, storeErr error
+}
+
+type stateAnswer struct {
 	state flow.State
 	known bool
 	err   error
@@ -69,111 +69,111 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	q := &question{h: h, ctx: ctx, id: id, answers: make(chan told, mostLeads+1), leadErr: &LateError{Host: h.cfg.Name}}
+	q := &stateQuery{h: h, ctx: ctx, id: id, answers: make(chan stateAnswer, maxLeadersAsked+1), leaderErr: &LateError{Host: h.cfg.Name}}
 	a := q.run()
 	return a.state, a.known, a.err
 }
 
-func (q *question) run() told {
-	q.askLead()
-	patience := time.NewTimer(q.patience())
+func (q *stateQuery) run() stateAnswer {
+	q.askLeader()
+	patience := time.NewTimer(q.leaderPatience())
 	defer patience.Stop()
-	look := time.NewTicker(leadLook)
+	look := time.NewTicker(recheckInterval)
 	defer look.Stop()
-	for !q.vain() {
+	for !q.isExhausted() {
 		select {
 		case a := <-q.answers:
 			if a.err == nil {
 				q.h.states.learn(q.id, a.state)
 				return a
 			}
-			q.failed(a)
+			q.noteFailure(a)
 		case <-patience.C:
 			q.readStore()
 		case <-look.C:
 			if state, ok := q.h.states.final(q.id); ok {
-				return told{state: state, known: true}
+				return stateAnswer{state: state, known: true}
 			}
-			q.askNewLead()
+			q.askNewLeader()
 		case <-q.ctx.Done():
 			if q.storeErr == nil {
 				q.storeErr = errors.Wrap(q.ctx.Err(), "wait for the store")
 			}
-			return q.untold()
+			return q.unavailable()
 		}
 	}
-	return q.untold()
+	return q.unavailable()
 }
 
-// patience is how long the lead is waited for alone: half of the caller's time at most.
-func (q *question) patience() time.Duration {
+// leaderPatience is how long the lead is waited for alone: half of the caller's time at most.
+func (q *stateQuery) leaderPatience() time.Duration {
 	if at, ok := q.ctx.Deadline(); ok {
-		return min(storeAfter, time.Until(at)/2)
+		return min(storeReadDelay, time.Until(at)/2)
 	}
-	return storeAfter
+	return storeReadDelay
 }
 
-// vain tells whether no more answer is to be expected: a host that the store does not answer
+// isExhausted tells whether no more answer is to be expected: a host that the store does not answer
 // while its lead is late is cut off.
-func (q *question) vain() bool {
-	return q.storeErr != nil && (q.open == 0 || !q.h.store.Fresh(storeFreshness))
+func (q *stateQuery) isExhausted() bool {
+	return q.storeErr != nil && (q.unanswered == 0 || !q.h.store.Fresh(storeFreshness))
 }
 
-func (q *question) untold() told {
-	return told{err: &UntoldError{ID: q.id, Lead: q.leadErr, Store: q.storeErr}}
+func (q *stateQuery) unavailable() stateAnswer {
+	return stateAnswer{err: &StateUnavailableError{ID: q.id, LeaderErr: q.leaderErr, StoreErr: q.storeErr}}
 }
 
-// failed takes note of a way that told nothing.
-func (q *question) failed(a told) {
+// noteFailure takes note of a way that told nothing.
+func (q *stateQuery) noteFailure(a stateAnswer) {
 	if a.stored {
 		q.storeErr = a.err
 		return
 	}
-	q.open--
-	q.leadErr = a.err
-	if q.open == 0 {
+	q.unanswered--
+	q.leaderErr = a.err
+	if q.unanswered == 0 {
 		q.readStore()
 	}
 }
 
-// askNewLead puts the question to whoever leads now, if that is not who was asked last. A host
+// askNewLeader puts the question to whoever leads now, if that is not who was asked last. A host
 // that has claimed is followed before its term is known.
-func (q *question) askNewLead() {
+func (q *stateQuery) askNewLeader() {
 	lead, _ := q.h.currentLeader()
-	if lead != q.lead || q.h.currentTerm() != q.term {
-		q.askLead()
+	if lead != q.leader || q.h.currentTerm() != q.term {
+		q.askLeader()
 	}
 }
 
-// askLead puts the question to whoever leads now.
-func (q *question) askLead() {
-	if q.leads == mostLeads {
+// askLeader puts the question to whoever leads now.
+func (q *stateQuery) askLeader() {
+	if q.asked == maxLeadersAsked {
 		return
 	}
-	q.leads++
-	q.open++
-	q.lead, _ = q.h.currentLeader()
+	q.asked++
+	q.unanswered++
+	q.leader, _ = q.h.currentLeader()
 	q.term = q.h.currentTerm()
 	go func() {
 		state, known, err := q.h.askState(q.ctx, q.id)
-		q.answers <- told{state: state, known: known, err: err}
+		q.answers <- stateAnswer{state: state, known: known, err: err}
 	}()
 }
 
-func (q *question) readStore() {
-	if q.reading {
+func (q *stateQuery) readStore() {
+	if q.readingStore {
 		return
 	}
-	q.reading = true
+	q.readingStore = true
 	go func() {
 		state, known, err := q.h.states.read(q.ctx, q.id)
-		q.answers <- told{state: state, known: known, err: err, stored: true}
+		q.answers <- stateAnswer{state: state, known: known, err: err, stored: true}
 	}()
 }
 
-// toldBefore is what this host was told of a job, if it has ended, or what the lead tells
+// finalOrLeaderState is what this host was told of a job, if it has ended, or what the lead tells
 // within the time of a question to a host.
-func (h *Host) toldBefore(ctx context.Context, id string) (flow.State, bool, error) {
+func (h *Host) finalOrLeaderState(ctx context.Context, id string) (flow.State, bool, error) {
 	if state, ok := h.states.final(id); ok {
 		return state, true, nil
 	}
@@ -192,13 +192,13 @@
 	var err error
 	switch {
 	case leading:
-		r, err = h.ownState(ctx, id)
+		r, err = h.localStateInTime(ctx, id)
 	case lead == "" || lead == h.cfg.Name:
 		err = &NoLeaderError{}
 	default:
 		err = h.peers.Ask(ctx, lead, peer.AskState{ID: id}, &r)
 	}
-	state, known, err := known(id, r, err)
+	state, known, err := parseStateReply(id, r, err)
 	if err != nil {
 		h.incCounter("state.untold")
 		h.log.Info("state: the lead did not tell.", "id", id, "lead", lead, "term", term, "waited", h.now().Sub(began), "err", err)
@@ -206,8 +206,8 @@
 	return state, known, err
 }
 
-// known reads a lead's answer.
-func known(id string, r peer.StateReply, err error) (flow.State, bool, error) {
+// parseStateReply reads a lead's answer.
+func parseStateReply(id string, r peer.StateReply, err error) (flow.State, bool, error) {
 	switch {
 	case err != nil:
 		return "", false, err
@@ -220,8 +220,8 @@
 	}
 }
 
-// ownState tells a state as the lead, if its core lets go of it in time.
-func (h *Host) ownState(ctx context.Context, id string) (peer.StateReply, error) {
+// localStateInTime tells a state as the lead, if its core lets go of it in time.
+func (h *Host) localStateInTime(ctx context.Context, id string) (peer.StateReply, error) {
 	began := h.now()
 	told := make(chan peer.StateReply, 1)
 	go func() { told <- h.localState(id) }()
--- a/internal/entry/servers.go
+++ b/internal/entry/servers.go
@@ -12,8 +12,8 @@
 	"pollencroft/platform"
 )
 
-// servers follows the workers' entries.
-func (t *term) servers() {
+// followWorkers follows the workers' entries.
+func (t *term) followWorkers() {
 	for t.ctx.Err() == nil {
 		all, from, err := store.Table(t.ctx, t.h.store, platform.ServersTopic, 0)
 		if err != nil {
@@ -21,12 +21,12 @@
 			continue
 		}
 		clear(t.listed)
-		t.entries(all)
-		t.serversFrom(from)
+		t.applyWorkers(all)
+		t.followWorkersFrom(from)
 	}
 }
 
-func (t *term) serversFrom(from int64) {
+func (t *term) followWorkersFrom(from int64) {
 	for sleep(t.ctx, serversEvery) {
 		a, err := t.h.store.Do(t.ctx, store.Call{Op: store.Read, Topic: platform.ServersTopic, From: from})
 		var trimmed *store.TrimmedError
@@ -38,14 +38,14 @@
 		}
 		from += int64(len(a.Records))
 		if len(a.Records) > 0 {
-			t.entries(a.Records)
+			t.applyWorkers(a.Records)
 		}
 	}
 }
 
-// entries applies changed entries. One that cannot be read names no worker; if it was good
+// applyWorkers applies changed applyWorkers. One that cannot be read names no worker; if it was good
 // before, the worker has no room until it is good again, and what it runs goes on.
-func (t *term) entries(all []store.Record) {
+func (t *term) applyWorkers(all []store.Record) {
 	for _, r := range all {
 		if len(r.Value) == 0 {
 			delete(t.listed, r.Key)
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -33,7 +33,7 @@
 	core    *sched.Sched
 	over    bool
 	journal *journal
-	orders  *orders
+	orders  *responseTimes
 	// next is by partition the first offset of jobsTopic that was not taken.
 	next []int64
 	// polled is when the last look through all partitions began.
@@ -115,7 +115,7 @@
 		t.step(sched.Cancel{ID: id})
 	}
 	h.wg.Go(t.formerLead)
-	h.wg.Go(t.servers)
+	h.wg.Go(t.followWorkers)
 	h.wg.Go(t.poll)
 	h.wg.Go(t.ticks)
 	h.wg.Go(t.reportLoad)
@@ -220,7 +220,7 @@
 		})
 	case sched.Pace:
 		t.h.wg.Go(func() {
-			ctx, cancel := context.WithTimeout(t.ctx, orderWait)
+			ctx, cancel := context.WithTimeout(t.ctx, maxOrderTimeout)
 			defer cancel()
 			t.h.incCounter("pace." + t.h.workers.Pace(ctx, a).String())
 		})
@@ -243,8 +243,8 @@
 
 // order sends an order to a worker.
 func (t *term) order(life string, send func(ctx context.Context) sched.Outcome) sched.Outcome {
-	return inTime(t.orders, t.h.now, life, 0, func() sched.Outcome {
-		ctx, cancel := context.WithTimeout(t.ctx, orderWait)
+	return callWorker(t.orders, t.h.now, life, 0, func() sched.Outcome {
+		ctx, cancel := context.WithTimeout(t.ctx, maxOrderTimeout)
 		defer cancel()
 		return send(ctx)
 	}, func(o sched.Outcome) bool { return o != sched.Unanswered }, sched.Unanswered)
@@ -252,8 +252,8 @@
 
 func (t *term) hold(a sched.Hold) {
 	sent := t.h.now()
-	got := inTime(t.orders, t.h.now, a.To.Incarnation, a.Wait, func() sched.HoldReply {
-		ctx, cancel := context.WithTimeout(t.ctx, a.Wait+orderWait)
+	got := callWorker(t.orders, t.h.now, a.To.Incarnation, a.Wait, func() sched.HoldReply {
+		ctx, cancel := context.WithTimeout(t.ctx, a.Wait+maxOrderTimeout)
 		defer cancel()
 		return t.h.workers.Hold(ctx, a)
 	}, func(r sched.HoldReply) bool { return r.Outcome != sched.Unanswered }, sched.HoldReply{Worker: a.To.Incarnation, Outcome: sched.Unanswered, Probe: a.Probe, AckedEnd: a.AckedEnd})
@@ -301,7 +301,7 @@
 		records[i] = store.Record{Key: ch.Key, Value: ch.Value}
 	}
 	began := t.h.now()
-	err := t.journal.append(t.ctx, a.Number, records, t.h.spreadPatience())
+	err := t.journal.append(t.ctx, a.Number, records, t.h.appendTimeout())
 	t.h.observe("lead.append", t.h.now().Sub(began))
 	switch {
 	case err == nil:
