--- a/internal/chart/chart_test.go
+++ b/internal/chart/chart_test.go
@@ -8,7 +8,7 @@
 	"pollencroft/internal/chart"
 )
 
-func TestEveryChartIsSound(t *testing.T) {
+func TestEmbeddedChartsAreValid(t *testing.T) {
 	for _, name := range []string{"task", "job", "request", "host", "lease", "run"} {
 		c, err := chart.Load(name)
 		require.NoError(t, err)
@@ -16,7 +16,7 @@
 	}
 }
 
-func TestParseRefusesBrokenCharts(t *testing.T) {
+func TestParseRejectsInvalidCharts(t *testing.T) {
 	broken := map[string]string{
 		"unreachable": "start='a'\nfinal=['b']\n[states.a]\ngo='b'\n[states.c]\ngo='b'",
 		"undescribed": "start='a'\nfinal=['b']\n[states.a]\ngo='c'\nend='b'",
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestNextRefusesUnknownEvents(t *testing.T) {
+func TestNextRejectsUnknownEvents(t *testing.T) {
 	c := chart.MustLoad("request")
 	s, err := c.Next("queued", "send")
 	require.NoError(t, err)
--- a/internal/lease/fault_test.go
+++ b/internal/lease/fault_test.go
@@ -72,7 +72,7 @@
 // A host has to give up a rack while a start to one of its workers is in flight. If it released the
 // worker at once, the next holder would read an empty task list and fill the worker, and the start
 // would arrive in addition.
-func TestAnchorIsNotGivenBackUnderAStart(t *testing.T) {
+func TestAnchorIsNotReleasedDuringAStart(t *testing.T) {
 	l := lease.New(limits)
 	holdWorker(t, l)
 	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
@@ -87,7 +87,7 @@
 
 // Guards against an overfilled worker: a task is started again on the worker while the answer to
 // its first start is outstanding. That answer must not release the anchor during the second start.
-func TestAnchorIsNotGivenBackUnderASecondStartOfATask(t *testing.T) {
+func TestAnchorIsNotReleasedDuringASecondStart(t *testing.T) {
 	l := lease.New(limits)
 	holdWorker(t, l)
 	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
@@ -99,7 +99,7 @@
 
 // The answer to a start is lost, so it is unknown whether the start will still arrive. The anchor
 // is left to lapse, since the start can no longer be carried out after that.
-func TestAnchorLapsesUnderAnUnsureStart(t *testing.T) {
+func TestAnchorLapsesAfterAStartOfUnknownOutcome(t *testing.T) {
 	l := lease.New(limits)
 	holdWorker(t, l)
 	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
@@ -111,7 +111,7 @@
 // A task ends long before the next renewal is due. Its capacity must not stay unused until then. A
 // task that runs longer than declared is polled less and less often, so that wrong run times do not
 // cause a flood of requests.
-func TestWorkerIsReadWhenATaskShouldHaveEnded(t *testing.T) {
+func TestWorkerIsPolledWhenATaskShouldHaveEnded(t *testing.T) {
 	slow := limits
 	slow.TTL = 30 * time.Second
 	l := lease.New(slow)
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -49,7 +49,7 @@
 
 // A grant is delivered after its lease has lapsed. Accepting it would let two hosts start tasks on
 // one worker.
-func TestLateGrantIsNotTaken(t *testing.T) {
+func TestLateGrantIsIgnored(t *testing.T) {
 	l := lease.New(limits)
 	l.Step(start, lease.Wanted{Workers: []string{"w1"}})
 	acts := l.Step(start.Add(5*time.Second), lease.Granted{Worker: "w1", Reading: lease.Reading{Sent: start, Clock: start, Remaining: 3 * time.Second}})
--- a/internal/lease/life_test.go
+++ b/internal/lease/life_test.go
@@ -31,7 +31,7 @@
 }
 
 // Guards against starts on a worker where starts of a previous holder may still arrive.
-func TestWorkerInAnUnknownLifeIsWaitedFor(t *testing.T) {
+func TestUnknownIncarnationIsAwaited(t *testing.T) {
 	l := lease.New(limits)
 	require.False(t, grant(l, start, "1"))
 	require.True(t, l.HasUnconfirmed(start))
@@ -47,7 +47,7 @@
 
 // Guards against a worker that is idle after each crash: its holder does not have to wait, because
 // no other host can have sent starts.
-func TestCrashUnderItsHolderIsNotWaitedFor(t *testing.T) {
+func TestCrashWhileHeldIsNotAwaited(t *testing.T) {
 	l := lease.New(limits)
 	holdIncarnation(t, l, "1", 3*time.Second)
 	at := start.Add(time.Second)
@@ -57,7 +57,7 @@
 }
 
 // Guards against relying on an empty worker whose previous holder lost the lease before the crash.
-func TestCrashAfterItsHolderLostItIsWaitedFor(t *testing.T) {
+func TestCrashAfterTheLeaseLapsedIsAwaited(t *testing.T) {
 	l := lease.New(limits)
 	holdIncarnation(t, l, "1", 3*time.Second)
 	require.Len(t, actionsOf[lease.Down](l.Step(start.Add(4*time.Second), lease.Tick{})), 1)
@@ -65,7 +65,7 @@
 }
 
 // Guards against workers that are idle after each change of their holder.
-func TestLifeThatAPeerVouchesForIsNotWaitedFor(t *testing.T) {
+func TestIncarnationConfirmedByAPeerIsNotAwaited(t *testing.T) {
 	l := lease.New(limits)
 	l.Step(start, lease.IncarnationConfirmed{Worker: "w1", Incarnation: "1"})
 	l.Step(start, lease.DomainWorkers{Workers: []string{"w1"}})
@@ -74,7 +74,7 @@
 }
 
 // Guards against a peer's confirmation of an incarnation that has ended since.
-func TestWordAboutAFormerLifeDoesNotCount(t *testing.T) {
+func TestConfirmationOfAnEarlierIncarnationIsIgnored(t *testing.T) {
 	l := lease.New(limits)
 	l.Step(start, lease.DomainWorkers{Workers: []string{"w1"}})
 	l.Step(start, lease.IncarnationConfirmed{Worker: "w1", Incarnation: "1"})
@@ -103,7 +103,7 @@
 // Guards against a renewal whose answer is interpreted as changes of the previous incarnation. The
 // new incarnation was learned from the answer to a query that was sent before the worker was
 // acquired.
-func TestLifeThatIsToldBesideARenewalEndsTheLease(t *testing.T) {
+func TestIncarnationLearnedBesideARenewalEndsTheLease(t *testing.T) {
 	l := lease.New(limits)
 	holdIncarnation(t, l, "1", 3*time.Second)
 	at := start.Add(time.Second)
@@ -115,7 +115,7 @@
 
 // Guards against workers of other hosts whose incarnations nobody here knows when their holder is
 // lost.
-func TestWorkersOfOtherHostsAreMet(t *testing.T) {
+func TestIncarnationsOfOtherHostsWorkersAreQueried(t *testing.T) {
 	l := lease.New(limits)
 	ask := func(after time.Duration) int {
 		return len(actionsOf[lease.AskIncarnation](l.Step(start.Add(after), lease.Tick{})))
@@ -130,7 +130,7 @@
 // Guards against a leader of very many workers that repeatedly loses and acquires each of them,
 // because it renews them so rarely that an answer is too old for a start before the next one
 // arrives.
-func TestALeadOfManyWorkersKeepsThem(t *testing.T) {
+func TestLeaderOfManyWorkersKeepsThem(t *testing.T) {
 	l := lease.New(lease.DefaultLimits)
 	var names []string
 	for i := range 400 {
--- a/internal/place/declared_test.go
+++ b/internal/place/declared_test.go
@@ -18,7 +18,7 @@
 
 // Guards against a gang that waits forever: its size was corrected while its leader had more
 // workers, and the remaining ones hold it only with its declared size.
-func TestCorrectedSizeIsGivenUpWhenWorkersGo(t *testing.T) {
+func TestCorrectedSizeIsRevertedWhenWorkersGo(t *testing.T) {
 	p := fleet(place.DefaultLimits, 3)
 	p.Step(now, place.Request{Job: "x", Row: "other", Class: cell.Normal, Size: cores(3), Tasks: tasks("x", 2), RunTime: time.Second})
 	require.Empty(t, assignments(p.Step(now, correctedGang())))
@@ -31,7 +31,7 @@
 
 // Guards against a gang that waits forever: long-running tasks use so much that the workers hold it
 // only with its declared size.
-func TestCorrectedSizeIsGivenUpBesideTasksThatLast(t *testing.T) {
+func TestCorrectedSizeIsRevertedBesideLongTasks(t *testing.T) {
 	p := fleet(place.DefaultLimits, 2)
 	p.Step(now, place.Request{Job: "x", Row: "watch", Class: cell.Normal, Size: cores(1), Tasks: tasks("x", 1), RunTime: time.Hour})
 	require.Empty(t, assignments(p.Step(now, correctedGang())))
@@ -39,7 +39,7 @@
 }
 
 // Guards against a gang that waits forever: it is unknown how long the other tasks run.
-func TestCorrectedSizeIsGivenUpByTheOverdueJob(t *testing.T) {
+func TestCorrectedSizeIsRevertedForTheOverdueJob(t *testing.T) {
 	p := place.New(place.DefaultLimits)
 	p.Step(now, place.Up{Worker: "w00", Rack: "r0", Size: cores(4), Used: []place.Used{{Task: "x.0", Row: "watch", Size: cores(1)}}})
 	p.Step(now, place.Up{Worker: "w01", Rack: "r0", Size: cores(4)})
--- a/internal/place/health_test.go
+++ b/internal/place/health_test.go
@@ -37,7 +37,7 @@
 // A worker fails every task that succeeds on other workers. It gets only an occasional trial and is
 // restored when trials succeed. Otherwise it would get task after task from the queue, because it
 // always has free capacity.
-func TestWorkerThatFailsEverythingIsSetAside(t *testing.T) {
+func TestWorkerThatFailsEverythingIsQuarantined(t *testing.T) {
 	p := fleet(place.DefaultLimits, 8)
 	at := now
 	for range 3 {
@@ -63,7 +63,7 @@
 
 // A bug of a row makes its tasks fail on every worker. Quarantining the workers for it would take
 // capacity from all other rows.
-func TestRowsOwnBugCondemnsNoWorker(t *testing.T) {
+func TestRowBugQuarantinesNoWorker(t *testing.T) {
 	p := fleet(place.DefaultLimits, 8)
 	var acts []place.Action
 	for range 5 {
@@ -75,7 +75,7 @@
 
 // A new row with a bug fails on one worker before any other worker has run it. When it fails on
 // other workers too, the first worker is restored.
-func TestWorkerIsPardonedWhenTheRowFailsElsewhere(t *testing.T) {
+func TestWorkerIsRestoredWhenTheRowFailsElsewhere(t *testing.T) {
 	p := fleet(place.DefaultLimits, 8)
 	require.Len(t, actionsOf[place.Quarantined](reportResults(p, now, "new", true, "w00", "w00", "w00", "w00")), 1)
 	for range 4 {
@@ -87,7 +87,7 @@
 // The switch of a rack is unstable and all its workers fail what they start, then others follow. No
 // more than the configured share is quarantined, since wrong decisions must not take all workers of
 // the failure domain out of use.
-func TestNeverMoreThanAShareIsSetAside(t *testing.T) {
+func TestQuarantineIsLimitedToAShare(t *testing.T) {
 	p := fleet(place.DefaultLimits, 8)
 	for range 20 {
 		reportResults(p, now, "r", false, workerNames(5, 8)...)
@@ -103,7 +103,7 @@
 // A task uses more than it asked for and overloads its worker. Processors are throttled first.
 // Memory cannot be throttled, so the cheapest task of the least urgent class is checkpointed and
 // stopped.
-func TestGrowthIsThrottledBeforeItIsStopped(t *testing.T) {
+func TestOverloadIsThrottledBeforePreemption(t *testing.T) {
 	p := fleet(place.Limits{}, 1)
 	p.Step(now, place.Request{Job: "u", Row: "u", Class: cell.Urgent, Size: cores(2), Tasks: tasks("u", 1)})
 	p.Step(now, place.Request{Job: "b", Row: "b", Class: cell.Bulk, Size: cores(2), Tasks: tasks("b", 1)})
@@ -120,7 +120,7 @@
 
 // An operator raises a limit while jobs wait for it. The edit must apply to them too and not only
 // to later jobs.
-func TestEditOfALimitIsInForceForWaitingWork(t *testing.T) {
+func TestLimitEditAppliesToWaitingJobs(t *testing.T) {
 	p := fleet(place.Limits{}, 1)
 	p.Step(now, place.Request{Job: "j", Row: "r", Size: cores(1), Tasks: tasks("j", 4), Rule: place.Rule{MaxTasks: 1}})
 	require.Equal(t, []string{"r"}, p.Rows())
@@ -130,7 +130,7 @@
 
 // Ten thousand jobs are cancelled at once. The cost of each cancellation does not depend on the
 // length of the queue, and the remaining job is placed as before.
-func TestWaveOfCancellationsLeavesTheRest(t *testing.T) {
+func TestMassCancellationKeepsRemainingJobs(t *testing.T) {
 	p := fleet(place.Limits{}, 1)
 	p.Step(now, place.Request{Job: "x", Row: "r", Size: cores(4), Tasks: tasks("x", 1)})
 	for i := range 10_000 {
@@ -165,7 +165,7 @@
 // Tasks of a gang have failed on one worker, and all other workers together are too small for the
 // gang. Without that worker the gang would wait forever although there is capacity for it, while
 // its caller is told that it runs. The worker may have been repaired since.
-func TestGangGoesBackToAWorkerThatItCannotDoWithout(t *testing.T) {
+func TestGangRetriesOnAnIndispensableWorker(t *testing.T) {
 	for name, tc := range map[string]struct {
 		workers int
 		back    bool
@@ -181,7 +181,7 @@
 }
 
 // A worker that a gang cannot do without is quarantined for its failures. The gang is its trial.
-func TestGangIsTheTrialOfAWorkerThatItCannotDoWithout(t *testing.T) {
+func TestGangIsTheTrialOfAnIndispensableWorker(t *testing.T) {
 	l := place.DefaultLimits
 	l.MaxQuarantined = 0.5
 	p := fleet(l, 2)
@@ -197,7 +197,7 @@
 // A worker was repaired, and its trial is a task that runs for hours. Nothing reports that the
 // trial succeeds, so the worker would stay unused for ten minutes while a job that needs its
 // capacity waits.
-func TestATrialThatLastsDoesNotKeepAWorkerAside(t *testing.T) {
+func TestLongTrialDoesNotExtendQuarantine(t *testing.T) {
 	l := place.DefaultLimits
 	l.MaxQuarantined = 0.5
 	p := fleet(l, 2)
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -28,7 +28,7 @@
 
 // Bulk tasks fill the workers overnight. The last part of the capacity stays free, so that an
 // urgent task starts at once.
-func TestBulkLeavesTheReserve(t *testing.T) {
+func TestBulkLeavesTheUrgentReserve(t *testing.T) {
 	p := place.New(place.Limits{UrgentReserve: 0.25})
 	addWorker(p, "w1")
 	bulk := place.Request{Job: "j", Row: "badges", Class: cell.Bulk, Size: cell.Size{CPU: 1000, Mem: 1 << 20}, Tasks: []string{"a", "b", "c", "d"}}
@@ -37,7 +37,7 @@
 	require.Equal(t, []place.Action{place.Assign{Task: "u", Worker: "w1"}}, p.Step(now, urgent))
 }
 
-func TestTasksGoWhereTheyFillBest(t *testing.T) {
+func TestTaskGoesToTheFullestWorker(t *testing.T) {
 	p := place.New(place.Limits{})
 	addWorker(p, "w1")
 	p.Step(now, place.Up{Worker: "w2", Rack: "r1", Size: cell.Size{CPU: 4000, Mem: 4 << 30}, Used: []place.Used{{Task: "x", Row: "r", Size: cell.Size{CPU: 3000, Mem: 1 << 30}}}})
@@ -46,7 +46,7 @@
 }
 
 // Guards against capacity that stays reserved on a worker which has become too small for the entry.
-func TestRoomKeptOnAWorkerThatShrankIsGivenUp(t *testing.T) {
+func TestReservationOnAShrunkWorkerIsCancelled(t *testing.T) {
 	p := fleet(place.Limits{OverdueAfter: map[cell.Class]time.Duration{cell.Normal: time.Minute}}, 2)
 	p.Step(now, place.Request{Job: "x", Row: "r", Class: cell.Normal, Size: cores(2), Tasks: tasks("x", 2), RunTime: time.Hour, Spread: true})
 	require.Empty(t, assignments(p.Step(now, place.Request{Job: "big", Row: "s", Class: cell.Normal, Size: cores(4), Tasks: tasks("big", 2), Gang: true})))
@@ -57,7 +57,7 @@
 }
 
 // Guards against wrong free capacity after a worker shrank below what runs there.
-func TestSizesThatComeAndGo(t *testing.T) {
+func TestFreeCapacityFollowsWorkerSizes(t *testing.T) {
 	p := fleet(place.Limits{}, 1)
 	require.Empty(t, assignments(p.Step(now, place.Request{Job: "wide", Row: "r", Size: cores(6), Tasks: tasks("wide", 1)})))
 	require.Len(t, assignments(p.Step(now, place.WorkerResized{Worker: "w00", Size: cores(9)})), 1)
@@ -71,7 +71,7 @@
 }
 
 // Bulk tasks leave a share of the total capacity free, and that share follows the workers' sizes.
-func TestTheReserveFollowsSizes(t *testing.T) {
+func TestUrgentReserveFollowsWorkerSizes(t *testing.T) {
 	p := fleet(place.Limits{UrgentReserve: 0.25}, 1)
 	require.Len(t, assignments(p.Step(now, place.Request{Job: "bulk", Row: "s", Class: cell.Bulk, Size: cores(1), Tasks: tasks("bulk", 9)})), 3)
 	require.Len(t, assignments(p.Step(now, place.WorkerResized{Worker: "w00", Size: cores(8)})), 3)
--- a/internal/place/policy_test.go
+++ b/internal/place/policy_test.go
@@ -60,7 +60,7 @@
 
 // A job that is too big for the free capacity is first in its row's queue. The small jobs behind it
 // and those of other rows still get the capacity that it cannot use.
-func TestBlockedBigJobHoldsUpNobody(t *testing.T) {
+func TestBlockedBigJobDelaysNoOther(t *testing.T) {
 	p := fleet(place.Limits{}, 1)
 	p.Step(now, place.Request{Job: "x", Row: "r", Size: cores(2), Tasks: tasks("x", 1)})
 	require.Empty(t, p.Step(now, place.Request{Job: "big", Row: "r", Size: cores(4), Tasks: tasks("big", 1)}))
@@ -167,7 +167,7 @@
 
 // Two gangs each need most of the workers. If each held a part, they would wait for each other
 // forever. The older one is placed first, then the other.
-func TestTwoGangsDoNotLockEachOther(t *testing.T) {
+func TestTwoGangsDoNotDeadlock(t *testing.T) {
 	p := fleet(place.Limits{OverdueAfter: map[cell.Class]time.Duration{cell.Normal: time.Second}}, 2)
 	p.Step(now, place.Request{Job: "x", Row: "r", Class: cell.Normal, Size: cores(2), Tasks: tasks("x", 2), RunTime: time.Minute})
 	for _, job := range []string{"a", "b"} {
@@ -242,7 +242,7 @@
 	require.Len(t, racks, 3)
 }
 
-func TestLimitsHoldAndAreNamed(t *testing.T) {
+func TestLimitsApplyAndAreExplained(t *testing.T) {
 	size := cores(1)
 	for _, c := range []struct {
 		want place.Request
