--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -44,14 +44,14 @@
 	return leading
 }
 
-// Sighting is what is known of another host's strength.
-type Sighting struct {
+// HostInfo is what is known of another host's strength.
+type HostInfo struct {
 	Power float64
 	Began time.Time
 }
 
 // ByPower orders hosts as successors.
-func ByPower(seen map[string]Sighting) []string {
+func ByPower(seen map[string]HostInfo) []string {
 	all := map[string]hostInfo{}
 	for n, s := range seen {
 		all[n] = hostInfo{power: s.Power, began: s.Began}
--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -28,7 +28,7 @@
 // The pattern is that of a rolling restart of a grown site.
 func TestTheStrongestAndYoungestHostIsTheSuccessor(t *testing.T) {
 	at := time.Unix(1000, 0)
-	seen := map[string]entry.Sighting{
+	seen := map[string]entry.HostInfo{
 		"weak":      {Power: 0.192, Began: at.Add(time.Hour)},
 		"old":       {Power: 0.8, Began: at},
 		"restarted": {Power: 0.8, Began: at.Add(time.Minute)},
