--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -59,8 +59,8 @@
 	return byPower(all)
 }
 
-// Heard is how many other hosts were heard of lately.
-func (h *Host) Heard() int { return len(h.successors()) }
+// RecentHostCount is how many other hosts were heard of lately.
+func (h *Host) RecentHostCount() int { return len(h.successors()) }
 
 // Know names the address of a peer.
 func (h *Host) Know(name, addr string) { h.peers.Set(name, netip.MustParseAddrPort(addr)) }
--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -47,7 +47,7 @@
 	c.start("z", power(0.2))
 	c.settled()
 	lead := c.hosts["h0"]
-	require.Eventually(t, func() bool { return lead.Leading() && lead.Heard() == 3 }, settleTime, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return lead.Leading() && lead.RecentHostCount() == 3 }, settleTime, 20*time.Millisecond)
 	lead.Stop()
 	lead.Kill()
 	delete(c.hosts, "h0")
@@ -155,9 +155,9 @@
 	h, err := entry.New(cfg, slog.New(slog.DiscardHandler), time.Now)
 	require.NoError(t, err)
 	t.Cleanup(h.Kill)
-	require.Zero(t, lead.Heard())
+	require.Zero(t, lead.RecentHostCount())
 	h.LearnLead(lead.cfg.Name, lead.cfg.Listen.Peer, 7)
-	require.Eventually(t, func() bool { return lead.Heard() == 1 }, settleTime, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return lead.RecentHostCount() == 1 }, settleTime, 5*time.Millisecond)
 }
 
 // The announcement of a new lead is not stored at first. The other hosts go on asking
