--- a/internal/entry/doubt_test.go
+++ b/internal/entry/doubt_test.go
@@ -81,7 +81,7 @@
 	former, next := silentHost(t), silentHost(t)
 	log.Put(stateTopic, claimKey, claimOf("c1", former))
 	f.LearnLead("c1", former, 1)
-	f.Know("c2", next.String())
+	f.SetPeerAddr("c2", next.String())
 	f.Follow("c2")
 	timer := time.AfterFunc(400*time.Millisecond, func() { log.Put(stateTopic, "0001", []byte("{}")) })
 	defer timer.Stop()
--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -62,8 +62,8 @@
 // RecentHostCount is how many other hosts were heard of lately.
 func (h *Host) RecentHostCount() int { return len(h.successors()) }
 
-// Know names the address of a peer.
-func (h *Host) Know(name, addr string) { h.peers.Set(name, netip.MustParseAddrPort(addr)) }
+// SetPeerAddr names the address of a peer.
+func (h *Host) SetPeerAddr(name, addr string) { h.peers.Set(name, netip.MustParseAddrPort(addr)) }
 
 // Waits asks a host whether it leads, in vain, and tells whether its answer was
 // waited for.
--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -150,7 +150,7 @@
 	silent, next := c.lead(""), c.lead("running")
 	c.log.BreakReads("state", users.Silent)
 	h.LearnLead("silent", silent, 1<<40)
-	h.Know("next", next.String())
+	h.SetPeerAddr("next", next.String())
 	told := make(chan string, 1)
 	go func() { told <- c.told(h, 0) }()
 	time.Sleep(100 * time.Millisecond)
--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -75,7 +75,7 @@
 		silent.Serve(ctx, ln)
 	}()
 	h := c.leader()
-	h.Know("dead", ln.Addr().String())
+	h.SetPeerAddr("dead", ln.Addr().String())
 	require.True(t, h.Waits("dead"))
 	require.False(t, h.Waits("dead"))
 	require.False(t, h.Waits("dead"))
@@ -247,7 +247,7 @@
 	require.NoError(t, err)
 	c := newCell(t, 1, 1, 50*time.Millisecond)
 	h := c.leader()
-	h.Know("dying", ln.Addr().String())
+	h.SetPeerAddr("dying", ln.Addr().String())
 	taken := make(chan struct{})
 	go func() {
 		conn, err := ln.Accept()
