--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -65,9 +65,9 @@
 // SetPeerAddr names the address of a peer.
 func (h *Host) SetPeerAddr(name, addr string) { h.peers.Set(name, netip.MustParseAddrPort(addr)) }
 
-// Waits asks a host whether it leads, in vain, and tells whether its answer was
+// WaitsForReply asks a host whether it leads, in vain, and tells whether its answer was
 // waited for.
-func (h *Host) Waits(name string) bool {
+func (h *Host) WaitsForReply(name string) bool {
 	_, err := h.askWhetherLeads(name)
 	return !errors.As(err, new(*NoLeaderError))
 }
--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -76,9 +76,9 @@
 	}()
 	h := c.leader()
 	h.SetPeerAddr("dead", ln.Addr().String())
-	require.True(t, h.Waits("dead"))
-	require.False(t, h.Waits("dead"))
-	require.False(t, h.Waits("dead"))
+	require.True(t, h.WaitsForReply("dead"))
+	require.False(t, h.WaitsForReply("dead"))
+	require.False(t, h.WaitsForReply("dead"))
 	cancel()
 	<-served
 }
