--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -72,8 +72,8 @@
 	return !errors.As(err, new(*NoLeaderError))
 }
 
-// StandsReady tells whether the host may be named to lead.
-func (h *Host) StandsReady() bool { return h.isCandidate() }
+// IsCandidate tells whether the host may be named to lead.
+func (h *Host) IsCandidate() bool { return h.isCandidate() }
 
 // Journal is the writer of progress.
 type Journal struct{ *journal }
--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -90,11 +90,11 @@
 func TestAWeakHostStandsReadyOnlyWithoutStrongOnes(t *testing.T) {
 	c := newCell(t, 3, 2, 50*time.Millisecond)
 	weak := c.start("weak", func(cfg *entry.Settings) { cfg.Power = 0.2 })
-	require.Eventually(t, func() bool { return !weak.StandsReady() }, settleTime, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return !weak.IsCandidate() }, settleTime, 20*time.Millisecond)
 	require.Eventually(t, func() bool { return !slices.Contains(c.members(), "weak") }, settleTime, 20*time.Millisecond)
 	c.settled()
 	for _, h := range []string{"h0", "h1", "h2"} {
-		require.True(t, c.hosts[h].StandsReady())
+		require.True(t, c.hosts[h].IsCandidate())
 		c.hosts[h].Kill()
 		delete(c.hosts, h)
 	}
