--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -114,8 +114,8 @@
 // JobsPart is the partition to which the host appends jobs first.
 func (h *Host) JobsPart() int { return h.inbox.parts[0] }
 
-// Knows tells whether the host leads and knows the job.
-func (h *Host) Knows(id string) bool { return h.localState(id).Known }
+// KnowsJob tells whether the host leads and knows the job.
+func (h *Host) KnowsJob(id string) bool { return h.localState(id).Known }
 
 // BeginTerm begins a term with nothing, as if the reading of what the store holds
 // had begun at some time.
--- a/internal/entry/journal_test.go
+++ b/internal/entry/journal_test.go
@@ -208,7 +208,7 @@
 	for p := range 16 {
 		c.log.BreakPart("jobs", p, users.Busy)
 	}
-	require.Eventually(t, func() bool { return !h.Knows(id(0)) }, settleTime, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return !h.KnowsJob(id(0)) }, settleTime, 20*time.Millisecond)
 	for p := range 16 {
 		c.log.BreakPart("jobs", p, users.None)
 	}
--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -137,9 +137,9 @@
 		}
 	}
 	require.Equal(t, http.StatusOK, c.submit(f, 0).code)
-	require.Never(t, func() bool { return lead.Knows(id(0)) }, 300*time.Millisecond, 20*time.Millisecond)
+	require.Never(t, func() bool { return lead.KnowsJob(id(0)) }, 300*time.Millisecond, 20*time.Millisecond)
 	f.Follow(lead.cfg.Name)
-	require.Eventually(t, func() bool { return lead.Knows(id(0)) }, settleTime, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return lead.KnowsJob(id(0)) }, settleTime, 20*time.Millisecond)
 	c.log.BreakReads("jobs", users.None)
 	c.finished(f, 1)
 }
