--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -123,8 +123,8 @@
 	h.newTerm(number, nil, nil, make([]int64, h.cfg.Parts), read)
 }
 
-// Unsure tells whether the lead leaves open whether there is a job.
-func (h *Host) Unsure(id string) bool { return h.localState(id).Unsure }
+// IsUncertain tells whether the lead leaves open whether there is a job.
+func (h *Host) IsUncertain(id string) bool { return h.localState(id).Unsure }
 
 // Orders knows how fast workers answer.
 type Orders struct{ *responseTimes }
--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -111,9 +111,9 @@
 func TestALeadKnowsOnlyWhatWasStoredBeforeItRead(t *testing.T) {
 	c := newCell(t, 1, 1, 50*time.Millisecond)
 	h := c.leader()
-	require.False(t, h.Unsure(id(0)), "it has just read")
+	require.False(t, h.IsUncertain(id(0)), "it has just read")
 	h.BeginTerm(1<<40, time.Now().Add(-3*time.Second))
-	require.True(t, h.Unsure(id(0)))
+	require.True(t, h.IsUncertain(id(0)))
 	c.log.BreakReads("jobs", users.Busy)
 	code, _ := c.get(h.cfg.Listen.Caller, prefix+id(0))
 	require.Equal(t, http.StatusServiceUnavailable, code)
