--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -126,17 +126,19 @@
 // IsUncertain tells whether the lead leaves open whether there is a job.
 func (h *Host) IsUncertain(id string) bool { return h.localState(id).Unsure }
 
-// Orders knows how fast workers answer.
-type Orders struct{ *responseTimes }
+// ResponseTimes knows how fast workers answer.
+type ResponseTimes struct{ *responseTimes }
 
 // NewOrders returns one that knows nothing.
-func NewOrders() Orders { return Orders{newOrders()} }
+func NewOrders() ResponseTimes { return ResponseTimes{newOrders()} }
 
 // Patience is how long to wait for a worker's answer.
-func (o Orders) Patience(life string, now time.Time) time.Duration { return o.timeout(life, now) }
+func (o ResponseTimes) Patience(life string, now time.Time) time.Duration {
+	return o.timeout(life, now)
+}
 
 // Took notes an answer.
-func (o Orders) Took(life string, d time.Duration, now time.Time) { o.record(life, d, now) }
+func (o ResponseTimes) Took(life string, d time.Duration, now time.Time) { o.record(life, d, now) }
 
 // Follow has the host take another one for the lead.
 func (h *Host) Follow(name string) {
