--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -129,8 +129,8 @@
 // ResponseTimes knows how fast workers answer.
 type ResponseTimes struct{ *responseTimes }
 
-// NewOrders returns one that knows nothing.
-func NewOrders() ResponseTimes { return ResponseTimes{newOrders()} }
+// NewResponseTimes returns one that knows nothing.
+func NewResponseTimes() ResponseTimes { return ResponseTimes{newOrders()} }
 
 // Patience is how long to wait for a worker's answer.
 func (o ResponseTimes) Patience(life string, now time.Time) time.Duration {
--- a/internal/entry/orders_test.go
+++ b/internal/entry/orders_test.go
@@ -15,7 +15,7 @@
 // longer, and it must not take that for lost answers.
 func TestPatienceFollowsTheAnswers(t *testing.T) {
 	now := time.Unix(1000, 0)
-	o := entry.NewOrders()
+	o := entry.NewResponseTimes()
 	require.Equal(t, 120*time.Millisecond, o.Patience("w", now))
 	o.Took("v", 2*time.Millisecond, now)
 	require.Equal(t, 120*time.Millisecond, o.Patience("w", now))
@@ -31,7 +31,7 @@
 // would be stopped just as they begin.
 func TestASlowWorkerIsGivenMoreTime(t *testing.T) {
 	now := time.Unix(1000, 0)
-	o := entry.NewOrders()
+	o := entry.NewResponseTimes()
 	o.Took("slow", 300*time.Millisecond, now)
 	require.Equal(t, 500*time.Millisecond, o.Patience("slow", now.Add(time.Minute)))
 	require.Equal(t, 120*time.Millisecond, o.Patience("other", now))
