--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -132,8 +132,8 @@
 // NewResponseTimes returns one that knows nothing.
 func NewResponseTimes() ResponseTimes { return ResponseTimes{newOrders()} }
 
-// Patience is how long to wait for a worker's answer.
-func (o ResponseTimes) Patience(life string, now time.Time) time.Duration {
+// Timeout is how long to wait for a worker's answer.
+func (o ResponseTimes) Timeout(life string, now time.Time) time.Duration {
 	return o.timeout(life, now)
 }
 
--- a/internal/entry/orders_test.go
+++ b/internal/entry/orders_test.go
@@ -16,15 +16,15 @@
 func TestPatienceFollowsTheAnswers(t *testing.T) {
 	now := time.Unix(1000, 0)
 	o := entry.NewResponseTimes()
-	require.Equal(t, 120*time.Millisecond, o.Patience("w", now))
+	require.Equal(t, 120*time.Millisecond, o.Timeout("w", now))
 	o.Took("v", 2*time.Millisecond, now)
-	require.Equal(t, 120*time.Millisecond, o.Patience("w", now))
+	require.Equal(t, 120*time.Millisecond, o.Timeout("w", now))
 	o.Took("v", 80*time.Millisecond, now)
-	require.Equal(t, 320*time.Millisecond, o.Patience("w", now))
+	require.Equal(t, 320*time.Millisecond, o.Timeout("w", now))
 	now = now.Add(1100 * time.Millisecond)
-	require.Equal(t, 320*time.Millisecond, o.Patience("w", now), "it was slow a second ago")
+	require.Equal(t, 320*time.Millisecond, o.Timeout("w", now), "it was slow a second ago")
 	now = now.Add(1100 * time.Millisecond)
-	require.Equal(t, 120*time.Millisecond, o.Patience("w", now))
+	require.Equal(t, 120*time.Millisecond, o.Timeout("w", now))
 }
 
 // A worker that is slow itself is given more time, and no other is: orders to it
@@ -33,6 +33,6 @@
 	now := time.Unix(1000, 0)
 	o := entry.NewResponseTimes()
 	o.Took("slow", 300*time.Millisecond, now)
-	require.Equal(t, 500*time.Millisecond, o.Patience("slow", now.Add(time.Minute)))
-	require.Equal(t, 120*time.Millisecond, o.Patience("other", now))
+	require.Equal(t, 500*time.Millisecond, o.Timeout("slow", now.Add(time.Minute)))
+	require.Equal(t, 120*time.Millisecond, o.Timeout("other", now))
 }
