--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -137,8 +137,8 @@
 	return o.timeout(life, now)
 }
 
-// Took notes an answer.
-func (o ResponseTimes) Took(life string, d time.Duration, now time.Time) { o.record(life, d, now) }
+// Record notes an answer.
+func (o ResponseTimes) Record(life string, d time.Duration, now time.Time) { o.record(life, d, now) }
 
 // Follow has the host take another one for the lead.
 func (h *Host) Follow(name string) {
--- a/internal/entry/orders_test.go
+++ b/internal/entry/orders_test.go
@@ -17,9 +17,9 @@
 	now := time.Unix(1000, 0)
 	o := entry.NewResponseTimes()
 	require.Equal(t, 120*time.Millisecond, o.Timeout("w", now))
-	o.Took("v", 2*time.Millisecond, now)
+	o.Record("v", 2*time.Millisecond, now)
 	require.Equal(t, 120*time.Millisecond, o.Timeout("w", now))
-	o.Took("v", 80*time.Millisecond, now)
+	o.Record("v", 80*time.Millisecond, now)
 	require.Equal(t, 320*time.Millisecond, o.Timeout("w", now))
 	now = now.Add(1100 * time.Millisecond)
 	require.Equal(t, 320*time.Millisecond, o.Timeout("w", now), "it was slow a second ago")
@@ -32,7 +32,7 @@
 func TestASlowWorkerIsGivenMoreTime(t *testing.T) {
 	now := time.Unix(1000, 0)
 	o := entry.NewResponseTimes()
-	o.Took("slow", 300*time.Millisecond, now)
+	o.Record("slow", 300*time.Millisecond, now)
 	require.Equal(t, 500*time.Millisecond, o.Timeout("slow", now.Add(time.Minute)))
 	require.Equal(t, 120*time.Millisecond, o.Timeout("other", now))
 }
