--- a/internal/entry/doubt_test.go
+++ b/internal/entry/doubt_test.go
@@ -82,7 +82,7 @@
 	log.Put(stateTopic, claimKey, claimOf("c1", former))
 	f.LearnLead("c1", former, 1)
 	f.SetPeerAddr("c2", next.String())
-	f.Follow("c2")
+	f.SetLeaderName("c2")
 	timer := time.AfterFunc(400*time.Millisecond, func() { log.Put(stateTopic, "0001", []byte("{}")) })
 	defer timer.Stop()
 	require.False(t, f.Doubt())
--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -140,8 +140,8 @@
 // Record notes an answer.
 func (o ResponseTimes) Record(life string, d time.Duration, now time.Time) { o.record(life, d, now) }
 
-// Follow has the host take another one for the lead.
-func (h *Host) Follow(name string) {
+// SetLeaderName has the host take another one for the lead.
+func (h *Host) SetLeaderName(name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.leader = name
--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -154,7 +154,7 @@
 	told := make(chan string, 1)
 	go func() { told <- c.told(h, 0) }()
 	time.Sleep(100 * time.Millisecond)
-	h.Follow("next")
+	h.SetLeaderName("next")
 	require.Equal(t, runs, <-told)
 }
 
--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -133,12 +133,12 @@
 	c.log.BreakReads("jobs", users.Busy)
 	for name := range c.hosts {
 		if name != lead.cfg.Name && name != f.cfg.Name {
-			f.Follow(name)
+			f.SetLeaderName(name)
 		}
 	}
 	require.Equal(t, http.StatusOK, c.submit(f, 0).code)
 	require.Never(t, func() bool { return lead.KnowsJob(id(0)) }, 300*time.Millisecond, 20*time.Millisecond)
-	f.Follow(lead.cfg.Name)
+	f.SetLeaderName(lead.cfg.Name)
 	require.Eventually(t, func() bool { return lead.KnowsJob(id(0)) }, settleTime, 20*time.Millisecond)
 	c.log.BreakReads("jobs", users.None)
 	c.finished(f, 1)
