--- a/internal/entry/doubt_test.go
+++ b/internal/entry/doubt_test.go
@@ -39,7 +39,7 @@
 	defer f.Stop()
 	c1 := silentHost(t)
 	log.Put(stateTopic, claimKey, claimOf("c1", c1))
-	f.LearnLead("c1", c1, 1)
+	f.LearnLeader("c1", c1, 1)
 	// After the first look at what the lead stores; the answer of a young lead is waited for longer.
 	timer := time.AfterFunc(400*time.Millisecond, func() { meanwhile(log) })
 	defer timer.Stop()
@@ -80,7 +80,7 @@
 	defer f.Stop()
 	former, next := silentHost(t), silentHost(t)
 	log.Put(stateTopic, claimKey, claimOf("c1", former))
-	f.LearnLead("c1", former, 1)
+	f.LearnLeader("c1", former, 1)
 	f.SetPeerAddr("c2", next.String())
 	f.SetLeaderName("c2")
 	timer := time.AfterFunc(400*time.Millisecond, func() { log.Put(stateTopic, "0001", []byte("{}")) })
--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -147,8 +147,8 @@
 	h.leader = name
 }
 
-// LearnLead tells the host who leads, as the store's record does.
-func (h *Host) LearnLead(name string, addr netip.AddrPort, term int64) {
+// LearnLeader tells the host who leads, as the store's record does.
+func (h *Host) LearnLeader(name string, addr netip.AddrPort, term int64) {
 	h.setLeader(leaderRecord{Name: name, Addr: addr, Term: term})
 }
 
--- a/internal/entry/states_test.go
+++ b/internal/entry/states_test.go
@@ -148,7 +148,7 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = ln.Close() })
 	f := c.follower()
-	f.LearnLead("other", netip.MustParseAddrPort(ln.Addr().String()), 1<<40)
+	f.LearnLeader("other", netip.MustParseAddrPort(ln.Addr().String()), 1<<40)
 	require.Equal(t, map[string]int{completed: 20}, c.toldBy(f, 20))
 }
 
--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -289,7 +289,7 @@
 	f := entry.NewFollower(t, slog.New(slog.DiscardHandler), "b1", nil, "", log.For("b1"), nil)
 	defer f.Stop()
 	for term := range int64(4) {
-		f.LearnLead(fmt.Sprintf("c%d", term), netip.MustParseAddrPort("127.0.0.1:1"), term+1)
+		f.LearnLeader(fmt.Sprintf("c%d", term), netip.MustParseAddrPort("127.0.0.1:1"), term+1)
 	}
 	began := time.Now()
 	require.False(t, f.Doubt())
--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -156,7 +156,7 @@
 	require.NoError(t, err)
 	t.Cleanup(h.Kill)
 	require.Zero(t, lead.RecentHostCount())
-	h.LearnLead(lead.cfg.Name, lead.cfg.Listen.Peer, 7)
+	h.LearnLeader(lead.cfg.Name, lead.cfg.Listen.Peer, 7)
 	require.Eventually(t, func() bool { return lead.RecentHostCount() == 1 }, settleTime, 5*time.Millisecond)
 }
 
@@ -310,7 +310,7 @@
 	})
 	wg.Go(func() {
 		for term := range int64(300) {
-			f.LearnLead(fmt.Sprintf("c%d", term), addr, term+1)
+			f.LearnLeader(fmt.Sprintf("c%d", term), addr, term+1)
 		}
 	})
 	wg.Wait()
