--- a/internal/entry/doubt_test.go
+++ b/internal/entry/doubt_test.go
@@ -44,7 +44,7 @@
 	timer := time.AfterFunc(400*time.Millisecond, func() { meanwhile(log) })
 	defer timer.Stop()
 	works = f.Doubt()
-	return works, f.LeadName()
+	return works, f.LeaderName()
 }
 
 // Guards against another host's claim being taken for work of a lead that stands still.
--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -152,8 +152,8 @@
 	h.setLeader(leaderRecord{Name: name, Addr: addr, Term: term})
 }
 
-// LeadName is the host that this one takes for the lead.
-func (h *Host) LeadName() string {
+// LeaderName is the host that this one takes for the lead.
+func (h *Host) LeaderName() string {
 	name, _ := h.currentLeader()
 	return name
 }
--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -195,7 +195,7 @@
 	h.Kill()
 	c.log.Put("state", "!", fmt.Appendf(nil, "other %s life 1 nonce", ln.Addr()))
 	h = c.start(h.cfg.Name)
-	require.Eventually(t, func() bool { return h.LeadName() == "other" }, settleTime, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return h.LeaderName() == "other" }, settleTime, 20*time.Millisecond)
 	cancel()
 	<-served
 }
