--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -158,8 +158,8 @@
 	return name
 }
 
-// Hear has the host hear of another one.
-func (h *Host) Hear(name string, addr netip.AddrPort) {
+// NoteHost has the host hear of another one.
+func (h *Host) NoteHost(name string, addr netip.AddrPort) {
 	h.noteHost(peer.Sync{From: name, Addr: addr, Power: 1, Began: h.now()})
 }
 
--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -208,7 +208,7 @@
 	c := newCell(t, 1, 1, 50*time.Millisecond)
 	lead := c.leader()
 	require.False(t, lead.Uses("new"))
-	lead.Hear("new", freePort(t))
+	lead.NoteHost("new", freePort(t))
 	require.True(t, lead.Uses("new"))
 }
 
