--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -163,8 +163,8 @@
 	h.noteHost(peer.Sync{From: name, Addr: addr, Power: 1, Began: h.now()})
 }
 
-// Uses tells whether the host, as the lead, has another one ask the policy service.
-func (h *Host) Uses(name string) bool {
+// UsesForPolicy tells whether the host, as the lead, has another one ask the policy service.
+func (h *Host) UsesForPolicy(name string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_, ok := h.hosts[name]
--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -207,9 +207,9 @@
 func TestALeadUsesAHostOnceItHearsOfIt(t *testing.T) {
 	c := newCell(t, 1, 1, 50*time.Millisecond)
 	lead := c.leader()
-	require.False(t, lead.Uses("new"))
+	require.False(t, lead.UsesForPolicy("new"))
 	lead.NoteHost("new", freePort(t))
-	require.True(t, lead.Uses("new"))
+	require.True(t, lead.UsesForPolicy("new"))
 }
 
 // The lead's process is killed. Its connections are closed and new ones refused, so that
