--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -171,8 +171,8 @@
 	return h.ownTerm != nil && ok
 }
 
-// Heir is the host that the lead wants to lead if it dies, as this one knows it.
-func (h *Host) Heir() string {
+// Standby is the host that the lead wants to lead if it dies, as this one knows it.
+func (h *Host) Standby() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.standby
--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -222,7 +222,7 @@
 	require.Eventually(t, func() bool {
 		heirs := 0
 		for _, h := range c.hosts {
-			if h.Heir() != "" {
+			if h.Standby() != "" {
 				heirs++
 			}
 		}
