--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -86,16 +86,16 @@
 		cancel()
 		wg.Wait()
 	})
-	return &Journal{newJournal(until{log, ctx}, slog.New(slog.DiscardHandler), wg, term, parts)}
+	return &Journal{newJournal(boundedLog{log, ctx}, slog.New(slog.DiscardHandler), wg, term, parts)}
 }
 
-// until ends calls with the test.
-type until struct {
+// boundedLog ends calls with the test.
+type boundedLog struct {
 	log store.Log
 	ctx context.Context
 }
 
-func (u until) Do(ctx context.Context, c store.Call) (store.Answer, error) {
+func (u boundedLog) Do(ctx context.Context, c store.Call) (store.Answer, error) {
 	// A call that has no answer is given up, as a host does.
 	ctx, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
 	defer cancel()
