--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -237,8 +237,8 @@
 // Peers lists the peers that the host would ask.
 func (f *Follower) Peers() []string { return relay{f.Host}.Peers() }
 
-// FirstOf is the first host that says yes.
-func FirstOf(ctx context.Context, hosts []string, ask func(ctx context.Context, name string) bool) string {
+// FirstAccepting is the first host that says yes.
+func FirstAccepting(ctx context.Context, hosts []string, ask func(ctx context.Context, name string) bool) string {
 	return firstAccepting(ctx, hosts, ask)
 }
 
--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -270,7 +270,7 @@
 		defer cancel()
 		asked := 0
 		hosts := []string{"a1", "a2", "a3", "a4", "a5", "a6", "a7", "a8", "b1", "b2"}
-		got := entry.FirstOf(ctx, hosts, func(ctx context.Context, name string) bool {
+		got := entry.FirstAccepting(ctx, hosts, func(ctx context.Context, name string) bool {
 			if name[0] == 'a' {
 				<-ctx.Done()
 				return false
