--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -242,8 +242,8 @@
 	return firstAccepting(ctx, hosts, ask)
 }
 
-// Apart picks hosts that lie far from each other.
-func Apart(all []string, n int) []string { return spacedSample(all, n) }
+// SpacedSample picks hosts that lie far from each other.
+func SpacedSample(all []string, n int) []string { return spacedSample(all, n) }
 
 // LoseLead has the host, as its heir, notice that a lead's connection has ended.
 func (h *Host) LoseLead(name string) {
--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -286,9 +286,9 @@
 // A lead's process comes back beside its heir, and asks other hosts whom they follow. The three
 // next to it in the list are cut off with their failure domain; it would claim beside the heir.
 func TestHostsThatAreAskedLieApart(t *testing.T) {
-	require.Equal(t, []string{"a1", "b1", "c1"}, entry.Apart([]string{"a1", "a2", "b1", "b2", "c1", "c2"}, 3))
-	require.Equal(t, []string{"a1", "a2"}, entry.Apart([]string{"a1", "a2"}, 3))
-	require.Empty(t, entry.Apart(nil, 3))
+	require.Equal(t, []string{"a1", "b1", "c1"}, entry.SpacedSample([]string{"a1", "a2", "b1", "b2", "c1", "c2"}, 3))
+	require.Equal(t, []string{"a1", "a2"}, entry.SpacedSample([]string{"a1", "a2"}, 3))
+	require.Empty(t, entry.SpacedSample(nil, 3))
 }
 
 // A host starts, and reads from the store which hosts there are and who leads at the same time.
