--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -245,8 +245,8 @@
 // SpacedSample picks hosts that lie far from each other.
 func SpacedSample(all []string, n int) []string { return spacedSample(all, n) }
 
-// LoseLead has the host, as its heir, notice that a lead's connection has ended.
-func (h *Host) LoseLead(name string) {
+// LoseLeader has the host, as its heir, notice that a lead's connection has ended.
+func (h *Host) LoseLeader(name string) {
 	h.mu.Lock()
 	h.leader, h.standby = name, h.cfg.Name
 	h.mu.Unlock()
--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -323,7 +323,7 @@
 	for n := range 50 {
 		f := entry.NewFollower(t, slog.New(slog.DiscardHandler), fmt.Sprint("b", n), nil, "a", log.For("b"), nil)
 		var wg sync.WaitGroup
-		wg.Go(func() { f.LoseLead("a") })
+		wg.Go(func() { f.LoseLeader("a") })
 		wg.Go(f.Kill)
 		wg.Wait()
 	}
