--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -253,8 +253,8 @@
 	h.onPeerLost(name)
 }
 
-// IsGone tells whether the host takes another one's process for gone.
-func (h *Host) IsGone(name string) bool { return h.isProcessGone(name) }
+// IsProcessGone tells whether the host takes another one's process for gone.
+func (h *Host) IsProcessGone(name string) bool { return h.isProcessGone(name) }
 
 // NewNetless returns a host that reaches its peers by dial and the store by log, and is
 // reached through ln. What it is asked passes before first.
--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -257,7 +257,7 @@
 		_ = ln.Close()
 		close(taken)
 	}()
-	require.True(t, h.IsGone("dying"))
+	require.True(t, h.IsProcessGone("dying"))
 	<-taken
 }
 
