--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -256,9 +256,9 @@
 // IsProcessGone tells whether the host takes another one's process for gone.
 func (h *Host) IsProcessGone(name string) bool { return h.isProcessGone(name) }
 
-// NewNetless returns a host that reaches its peers by dial and the store by log, and is
+// NewWithTransport returns a host that reaches its peers by dial and the store by log, and is
 // reached through ln. What it is asked passes before first.
-func NewNetless(cfg Settings, log *slog.Logger, direct store.Log, dial func(ctx context.Context, addr netip.AddrPort) (net.Conn, error), ln net.Listener, before func(ctx context.Context)) (*Host, error) {
+func NewWithTransport(cfg Settings, log *slog.Logger, direct store.Log, dial func(ctx context.Context, addr netip.AddrPort) (net.Conn, error), ln net.Listener, before func(ctx context.Context)) (*Host, error) {
 	h, err := New(cfg, log, time.Now)
 	if err != nil {
 		return nil, err
--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -176,7 +176,7 @@
 	p := c.net.Listen(addr)
 	cfg := entry.Settings{Name: fmt.Sprintf("h%02d", i), Parts: 16, Power: 1}
 	cfg.Listen.Peer = addr
-	h, err := entry.NewNetless(cfg, slog.New(slog.NewTextHandler(&c.lines, nil)).With("host", cfg.Name), c.log.For(cfg.Name), c.net.Dial, p, b.answer)
+	h, err := entry.NewWithTransport(cfg, slog.New(slog.NewTextHandler(&c.lines, nil)).With("host", cfg.Name), c.log.For(cfg.Name), c.net.Dial, p, b.answer)
 	require.NoError(t, err)
 	b.Host = h
 	c.hosts = append(c.hosts, b)
