--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -276,9 +276,9 @@
 	return h, nil
 }
 
-// Work has a lead store something, as it does for each job that goes on; false if the
+// StoreProgress has a lead store something, as it does for each job that goes on; false if the
 // host does not lead.
-func (h *Host) Work(id string) bool {
+func (h *Host) StoreProgress(id string) bool {
 	h.mu.Lock()
 	t := h.ownTerm
 	h.mu.Unlock()
--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -114,7 +114,7 @@
 }
 
 func (b *busyHost) piece(n int) {
-	if b.cpu.do(b.cell.ctx, time.Duration(b.cell.load*float64(pieceEvery))) && b.Work(fmt.Sprintf("%s-%d", b.Name(), n)) {
+	if b.cpu.do(b.cell.ctx, time.Duration(b.cell.load*float64(pieceEvery))) && b.StoreProgress(fmt.Sprintf("%s-%d", b.Name(), n)) {
 		b.cell.mu.Lock()
 		b.cell.work++
 		b.cell.mu.Unlock()
@@ -127,7 +127,7 @@
 	for n := range int(d / piece) {
 		go func() {
 			if b.cpu.do(b.cell.ctx, piece) {
-				b.Work(fmt.Sprintf("%s-late-%d-%d", b.Name(), time.Now().UnixNano(), n))
+				b.StoreProgress(fmt.Sprintf("%s-late-%d-%d", b.Name(), time.Now().UnixNano(), n))
 			}
 		}()
 	}
