--- a/internal/entry/doubt_test.go
+++ b/internal/entry/doubt_test.go
@@ -43,7 +43,7 @@
 	// After the first look at what the lead stores; the answer of a young lead is waited for longer.
 	timer := time.AfterFunc(400*time.Millisecond, func() { meanwhile(log) })
 	defer timer.Stop()
-	works = f.Doubt()
+	works = f.LeaderAlive()
 	return works, f.LeaderName()
 }
 
@@ -85,5 +85,5 @@
 	f.SetLeaderName("c2")
 	timer := time.AfterFunc(400*time.Millisecond, func() { log.Put(stateTopic, "0001", []byte("{}")) })
 	defer timer.Stop()
-	require.False(t, f.Doubt())
+	require.False(t, f.LeaderAlive())
 }
--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -296,8 +296,8 @@
 // SetHosts replaces the hosts that the host knows.
 func (h *Host) SetHosts(all map[string]netip.AddrPort) { h.setHosts(all) }
 
-// Doubt asks the lead whether it leads, and tells whether it does or works nevertheless.
-func (h *Host) Doubt() bool {
+// LeaderAlive asks the lead whether it leads, and tells whether it does or works nevertheless.
+func (h *Host) LeaderAlive() bool {
 	name, _ := h.currentLeader()
 	leads, before := h.checkLeader(name)
 	return leads || h.isLeaderAlive(before)
--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -292,7 +292,7 @@
 		f.LearnLeader(fmt.Sprintf("c%d", term), netip.MustParseAddrPort("127.0.0.1:1"), term+1)
 	}
 	began := time.Now()
-	require.False(t, f.Doubt())
+	require.False(t, f.LeaderAlive())
 	require.Less(t, time.Since(began), 2*time.Second, "three are what a silent one would get")
 }
 
