--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -303,8 +303,8 @@
 	return leads || h.isLeaderAlive(before)
 }
 
-// KnowsEnds tells whether the host was told that all these jobs have ended.
-func (h *Host) KnowsEnds(ids ...string) bool {
+// KnowsFinalStates tells whether the host was told that all these jobs have ended.
+func (h *Host) KnowsFinalStates(ids ...string) bool {
 	for _, id := range ids {
 		if _, ok := h.states.final(id); !ok {
 			return false
--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -194,7 +194,7 @@
 	c.leaderless()
 	h := c.follower()
 	require.Equal(t, completed, c.told(h, 0))
-	require.True(t, h.KnowsEnds(id(1)))
+	require.True(t, h.KnowsFinalStates(id(1)))
 }
 
 // Guards against a caller who is kept waiting at a host that is cut off from lead and store.
--- a/internal/entry/states_test.go
+++ b/internal/entry/states_test.go
@@ -102,7 +102,7 @@
 		ids[n] = id(n)
 	}
 	for name, h := range c.hosts {
-		require.Eventually(t, func() bool { return h.KnowsEnds(ids...) }, settleTime, 20*time.Millisecond, name)
+		require.Eventually(t, func() bool { return h.KnowsFinalStates(ids...) }, settleTime, 20*time.Millisecond, name)
 	}
 	lead := c.leader()
 	c.log.Break("", users.Silent)
