--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -316,9 +316,9 @@
 // State is what the host tells another one of a job.
 func (h *Host) State(id string) peer.StateReply { return h.localState(id) }
 
-// Meanwhile has another host ask the lead for a job that it does not know, and the lead read
+// StateDuringPoll has another host ask the lead for a job that it does not know, and the lead read
 // the store and find the job as soon as its core is free. It returns the answer.
-func (h *Host) Meanwhile(id string) peer.StateReply {
+func (h *Host) StateDuringPoll(id string) peer.StateReply {
 	h.mu.Lock()
 	t := h.ownTerm
 	h.mu.Unlock()
--- a/internal/entry/states_test.go
+++ b/internal/entry/states_test.go
@@ -177,7 +177,7 @@
 	c.log.BreakReads("jobs", users.Busy)
 	h.BeginTerm(1<<40, time.Now().Add(-3*time.Second))
 	for n := range 300 {
-		r := h.Meanwhile(id(n))
+		r := h.StateDuringPoll(id(n))
 		require.True(t, r.Known || r.Unsure, n)
 	}
 }
