--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -341,8 +341,8 @@
 	return <-told
 }
 
-// SyncWith is what the host answers to another one that was told final states of a term.
-func (h *Host) SyncWith(term int64, told int) peer.SyncReply {
+// SyncReply is what the host answers to another one that was told final states of a term.
+func (h *Host) SyncReply(term int64, told int) peer.SyncReply {
 	return h.syncReply(peer.Sync{Term: term, Endings: told})
 }
 
