--- a/internal/entry/endings_test.go
+++ b/internal/entry/endings_test.go
@@ -94,7 +94,7 @@
 		{peer.SyncReply{Lead: true, Term: term, Endings: 1400}, term + 1, 3},
 		{peer.SyncReply{Term: term + 2, Endings: 9}, term + 1, 3},
 	} {
-		number, next := h.Told(c.told)
+		number, next := h.SyncPositionAfter(c.told)
 		require.Equal(t, c.term, number)
 		require.Equal(t, c.next, next)
 	}
--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -346,8 +346,8 @@
 	return h.syncReply(peer.Sync{Term: term, Endings: told})
 }
 
-// Told is up to where the host was told final states, after an answer to its sync.
-func (h *Host) Told(r peer.SyncReply) (term int64, next int) {
+// SyncPositionAfter is up to where the host was told final states, after an answer to its sync.
+func (h *Host) SyncPositionAfter(r peer.SyncReply) (term int64, next int) {
 	h.states.addFromLeader(r)
 	return h.states.syncPosition()
 }
--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -223,6 +223,6 @@
 	told := make(chan string, 1)
 	go func() { told <- c.told(h, 0) }()
 	time.Sleep(100 * time.Millisecond)
-	h.Told(peer.SyncReply{Lead: true, Term: 1 << 40, Ended: map[string][]string{"completed": {id(0)}}})
+	h.SyncPositionAfter(peer.SyncReply{Lead: true, Term: 1 << 40, Ended: map[string][]string{"completed": {id(0)}}})
 	require.Equal(t, completed, <-told)
 }
