--- a/internal/entry/endings_test.go
+++ b/internal/entry/endings_test.go
@@ -49,7 +49,7 @@
 	lead := c.leader()
 	c.submitMany(lead, 0, 1)
 	c.finished(lead, 1)
-	release := lead.HoldCore()
+	release := lead.BlockCore()
 	defer release()
 	told := make(chan peer.StateReply, 1)
 	go func() { told <- lead.State(id(0)) }()
--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -352,8 +352,8 @@
 	return h.states.syncPosition()
 }
 
-// HoldCore keeps the lead's core busy until the returned function is called.
-func (h *Host) HoldCore() func() {
+// BlockCore keeps the lead's core busy until the returned function is called.
+func (h *Host) BlockCore() func() {
 	h.mu.Lock()
 	t := h.ownTerm
 	h.mu.Unlock()
--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -178,7 +178,7 @@
 	c.submitMany(c.follower(), 0, 4)
 	lead := c.leader()
 	require.Eventually(t, func() bool { return c.toldBy(lead, 4)[runs] == 4 }, settleTime, 20*time.Millisecond)
-	release := lead.HoldCore()
+	release := lead.BlockCore()
 	defer release()
 	for name, h := range c.hosts {
 		require.Equal(t, map[string]int{runs: 4}, c.toldBy(h, 4), name)
--- a/internal/entry/states_test.go
+++ b/internal/entry/states_test.go
@@ -132,7 +132,7 @@
 	c.submitMany(c.follower(), 0, 20)
 	c.finished(c.leader(), 20)
 	lead := c.leader()
-	release := lead.HoldCore()
+	release := lead.BlockCore()
 	defer release()
 	for name, h := range c.hosts {
 		require.Equal(t, map[string]int{completed: 20}, c.toldBy(h, 20), name)
