--- a/internal/entry/endings_test.go
+++ b/internal/entry/endings_test.go
@@ -14,7 +14,7 @@
 
 // Guards against final states that a host misses or that a lead keeps for good.
 func TestFinalStatesAreToldInOrderAndDropped(t *testing.T) {
-	var e entry.Endings
+	var e entry.FinalStates
 	at := time.Unix(1000, 0)
 	const jobs = 1200
 	for n := range jobs {
--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -361,14 +361,14 @@
 	return t.mu.Unlock
 }
 
-// Endings are the final states of a term.
-type Endings struct{ finalStates }
+// FinalStates are the final states of a term.
+type FinalStates struct{ finalStates }
 
 // Add adds one.
-func (e *Endings) Add(id string, state flow.State, now time.Time) { e.add(id, state, now) }
+func (e *FinalStates) Add(id string, state flow.State, now time.Time) { e.add(id, state, now) }
 
 // From returns jobs by state from a number on.
-func (e *Endings) From(n int) (map[flow.State][]string, int) { return e.from(n) }
+func (e *FinalStates) From(n int) (map[flow.State][]string, int) { return e.from(n) }
 
 // Drop forgets old ones.
-func (e *Endings) Drop(before time.Time) { e.drop(before) }
+func (e *FinalStates) Drop(before time.Time) { e.drop(before) }
