--- a/internal/entry/cell_test.go
+++ b/internal/entry/cell_test.go
@@ -21,9 +21,9 @@
 	"pollencroft/internal/store"
 )
 
-// settleTime bounds what a test waits for. It decides no verdict on a machine
+// waitTimeout bounds what a test waits for. It decides no verdict on a machine
 // that works at all: what is waited for takes a second or two.
-const settleTime = time.Minute
+const waitTimeout = time.Minute
 
 const (
 	callerHost = "jobs.example"
@@ -145,7 +145,7 @@
 			}
 		}
 		return leads == 1
-	}, settleTime, 20*time.Millisecond)
+	}, waitTimeout, 20*time.Millisecond)
 }
 
 func (c *cell) leader() *running {
@@ -208,7 +208,7 @@
 		require.Eventually(c.t, func() bool {
 			_, body := c.get(h.cfg.Listen.Caller, prefix+id(n))
 			return body == `{"state":"completed"}`
-		}, settleTime, 20*time.Millisecond, "job %d", n)
+		}, waitTimeout, 20*time.Millisecond, "job %d", n)
 	}
 }
 
--- a/internal/entry/endings_test.go
+++ b/internal/entry/endings_test.go
@@ -56,7 +56,7 @@
 	select {
 	case r := <-told:
 		require.Equal(t, peer.StateReply{Lead: true, Known: true, State: "completed"}, r)
-	case <-time.After(settleTime):
+	case <-time.After(waitTimeout):
 		require.Fail(t, "the core is waited for")
 	}
 }
@@ -68,12 +68,12 @@
 	former := c.leader()
 	c.submitMany(former, 0, jobs)
 	c.finished(former, jobs)
-	require.Eventually(t, func() bool { return len(former.SyncReply(0, 0).Ended["completed"]) == jobs }, settleTime, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return len(former.SyncReply(0, 0).Ended["completed"]) == jobs }, waitTimeout, 10*time.Millisecond)
 	old := former.SyncReply(0, 0)
 	require.Empty(t, former.SyncReply(old.Term, old.Endings).Ended)
 	former.Kill()
 	delete(c.hosts, former.cfg.Name)
-	require.Eventually(t, func() bool { return c.leader() != nil }, settleTime, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return c.leader() != nil }, waitTimeout, 10*time.Millisecond)
 	r := c.leader().SyncReply(old.Term, old.Endings)
 	require.Greater(t, r.Term, old.Term)
 	require.Len(t, r.Ended["completed"], jobs)
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -171,7 +171,7 @@
 	require.Eventually(t, func() bool {
 		code, _ := c.get(h.cfg.Listen.Ready, "/pollencroft/ready")
 		return code == http.StatusServiceUnavailable
-	}, settleTime, 20*time.Millisecond, "a host that can accept nothing is not ready")
+	}, waitTimeout, 20*time.Millisecond, "a host that can accept nothing is not ready")
 	c.log.Break("", users.None)
 	c.settled()
 	code, _ := c.get(h.cfg.Listen.Caller, prefix+id(0))
@@ -215,7 +215,7 @@
 		`{"service":"pass","address":"127.0.0.1:1","state":"ready"}`} {
 		c.log.Put("servers", fmt.Sprintf("bad%d", i), []byte(text))
 	}
-	require.Eventually(t, func() bool { return strings.Count(c.lines.String(), "entry passed over") == 7 }, settleTime, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Count(c.lines.String(), "entry passed over") == 7 }, waitTimeout, 20*time.Millisecond)
 	require.Equal(t, http.StatusOK, c.submit(c.leader(), 0).code)
 	c.finished(c.leader(), 1)
 }
@@ -229,9 +229,9 @@
 		c.log.Put("servers", w.ID, w.Entry("pass", "zone0"))
 	}
 	require.Equal(t, http.StatusOK, c.submit(h, 0).code)
-	require.Eventually(t, func() bool { return w.Running() == 4 }, settleTime, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return w.Running() == 4 }, waitTimeout, 10*time.Millisecond)
 	resize(2 * users.TaskCPU)
-	require.Eventually(t, func() bool { return strings.Contains(c.lines.String(), "worker resized") }, settleTime, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Contains(c.lines.String(), "worker resized") }, waitTimeout, 10*time.Millisecond)
 	for n := range 3 {
 		require.Equal(t, http.StatusOK, c.submit(h, 1+n).code)
 	}
@@ -254,12 +254,12 @@
 			c := newCell(t, 1, 1, 2*time.Second)
 			w, h := c.workers[0], c.leader()
 			require.Equal(t, http.StatusOK, c.submit(h, 0).code)
-			require.Eventually(t, func() bool { return w.Running() == 4 }, settleTime, 10*time.Millisecond)
+			require.Eventually(t, func() bool { return w.Running() == 4 }, waitTimeout, 10*time.Millisecond)
 			if strings.Contains(text, "%q") {
 				text = fmt.Sprintf(text, w.Address())
 			}
 			c.log.Put("servers", w.ID, []byte(text))
-			require.Eventually(t, func() bool { return strings.Contains(c.lines.String(), "entry passed over") }, settleTime, 10*time.Millisecond)
+			require.Eventually(t, func() bool { return strings.Contains(c.lines.String(), "entry passed over") }, waitTimeout, 10*time.Millisecond)
 			require.Equal(t, http.StatusOK, c.submit(h, 1).code)
 			require.Never(t, func() bool { return w.Running() > 4 }, time.Second, 10*time.Millisecond)
 			c.log.Put("servers", w.ID, w.Entry("pass", "zone0"))
@@ -282,7 +282,7 @@
 		require.Eventually(t, func() bool {
 			code, _ := c.get(h.cfg.Listen.Caller, "/print/")
 			return code == http.StatusOK
-		}, settleTime, 10*time.Millisecond)
+		}, waitTimeout, 10*time.Millisecond)
 	}
 	c.log.Put("op", "config", fmt.Appendf(nil, tableText, 4, ""))
 	c.log.Put("op", "config", []byte("{"))
@@ -300,15 +300,15 @@
 	h, f := c.leader(), c.follower()
 	require.Equal(t, http.StatusOK, c.submit(h, 0).code)
 	running := func() int { return c.workers[0].Running() + c.workers[1].Running() }
-	require.Eventually(t, func() bool { return running() == 4 }, settleTime, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return running() == 4 }, waitTimeout, 5*time.Millisecond)
 	require.Equal(t, http.StatusOK, c.call(h.cfg.Listen.Caller, http.MethodDelete, prefix+id(0), "").code)
-	require.Eventually(t, func() bool { return running() == 0 }, settleTime, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return running() == 0 }, waitTimeout, 5*time.Millisecond)
 	h.Kill()
 	delete(c.hosts, h.cfg.Name)
 	require.Eventually(t, func() bool {
 		_, body := c.get(f.cfg.Listen.Caller, prefix+id(0))
 		return body == `{"state":"cancelled"}`
-	}, settleTime, 20*time.Millisecond)
+	}, waitTimeout, 20*time.Millisecond)
 	require.Zero(t, running())
 }
 
@@ -317,7 +317,7 @@
 func TestTheStrongestHostLeads(t *testing.T) {
 	c := newCell(t, 2, 2, 50*time.Millisecond)
 	strong := c.start("strong", func(cfg *entry.Settings) { cfg.Power = 4 })
-	require.Eventually(t, strong.Leading, settleTime, 20*time.Millisecond)
+	require.Eventually(t, strong.Leading, waitTimeout, 20*time.Millisecond)
 	c.settled()
 	require.Equal(t, http.StatusOK, c.submit(c.follower(), 0).code)
 	c.finished(c.follower(), 1)
@@ -346,7 +346,7 @@
 	require.Never(t, h.Leading, 2*time.Second, 50*time.Millisecond)
 	cancel()
 	<-served
-	require.Eventually(t, h.Leading, settleTime, 20*time.Millisecond)
+	require.Eventually(t, h.Leading, waitTimeout, 20*time.Millisecond)
 }
 
 // The group lists a host with much more power that cannot be reached. The others
@@ -366,7 +366,7 @@
 	dead, f := c.leader(), c.follower()
 	dead.Kill()
 	delete(c.hosts, dead.cfg.Name)
-	require.Eventually(t, f.Leading, settleTime, 20*time.Millisecond)
+	require.Eventually(t, f.Leading, waitTimeout, 20*time.Millisecond)
 	cancel()
 	<-joined
 }
@@ -379,7 +379,7 @@
 	require.Eventually(t, func() bool {
 		_, body := c.get(lead.cfg.Listen.Caller, prefix+id(0))
 		return body == `{"state":"running"}`
-	}, settleTime, 10*time.Millisecond)
+	}, waitTimeout, 10*time.Millisecond)
 	c.log.Break("", users.Silent)
 	lead.Kill()
 	delete(c.hosts, lead.cfg.Name)
--- a/internal/entry/journal_test.go
+++ b/internal/entry/journal_test.go
@@ -189,7 +189,7 @@
 		require.Eventually(t, func() bool {
 			_, body := c.get(h.cfg.Listen.Caller, prefix+id(int(fault)))
 			return body == `{"state":"completed"}`
-		}, settleTime, 20*time.Millisecond)
+		}, waitTimeout, 20*time.Millisecond)
 	}
 	require.Empty(t, c.oracle.Wrongs())
 }
@@ -208,7 +208,7 @@
 	for p := range 16 {
 		c.log.BreakPart("jobs", p, users.Busy)
 	}
-	require.Eventually(t, func() bool { return !h.KnowsJob(id(0)) }, settleTime, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return !h.KnowsJob(id(0)) }, waitTimeout, 20*time.Millisecond)
 	for p := range 16 {
 		c.log.BreakPart("jobs", p, users.None)
 	}
@@ -217,7 +217,7 @@
 		require.Eventually(t, func() bool {
 			_, body := c.get(h.cfg.Listen.Caller, prefix+id(n))
 			return body == `{"state":"completed"}`
-		}, settleTime, 20*time.Millisecond)
+		}, waitTimeout, 20*time.Millisecond)
 	}
 	// The next append carries drops, if there are any.
 	completed(1)
--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -167,7 +167,7 @@
 	former := c.leader()
 	former.Kill()
 	delete(c.hosts, former.cfg.Name)
-	require.Eventually(t, func() bool { return c.leader() != nil }, settleTime, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return c.leader() != nil }, waitTimeout, 10*time.Millisecond)
 	require.Equal(t, untold, c.told(c.leader(), 0))
 	require.Equal(t, `200 {"state":"queued"}`, c.told(c.leader(), 1))
 }
@@ -177,7 +177,7 @@
 	c := newCell(t, 3, 4, time.Minute)
 	c.submitMany(c.follower(), 0, 4)
 	lead := c.leader()
-	require.Eventually(t, func() bool { return c.toldBy(lead, 4)[runs] == 4 }, settleTime, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return c.toldBy(lead, 4)[runs] == 4 }, waitTimeout, 20*time.Millisecond)
 	release := lead.BlockCore()
 	defer release()
 	for name, h := range c.hosts {
@@ -207,7 +207,7 @@
 	require.NoError(t, err)
 	req.Host = callerHost
 	req.Header.Set("X-Deadline-Ms", "600000")
-	caller := http.Client{Timeout: settleTime}
+	caller := http.Client{Timeout: waitTimeout}
 	a, err := caller.Do(req)
 	require.NoError(t, err)
 	require.NoError(t, a.Body.Close())
--- a/internal/entry/states_test.go
+++ b/internal/entry/states_test.go
@@ -85,7 +85,7 @@
 		c.log.Put("state", id(n), fmt.Appendf(nil, `{"s":"completed","b":%d,"e":%d}`, now, now))
 	}
 	h := c.follower()
-	c.deadline = settleTime
+	c.deadline = waitTimeout
 	before := c.log.Calls(store.Newest)
 	require.Equal(t, map[string]int{completed: jobs}, c.toldBy(h, jobs))
 	require.Less(t, c.log.Calls(store.Newest)-before, jobs/10)
@@ -102,7 +102,7 @@
 		ids[n] = id(n)
 	}
 	for name, h := range c.hosts {
-		require.Eventually(t, func() bool { return h.KnowsFinalStates(ids...) }, settleTime, 20*time.Millisecond, name)
+		require.Eventually(t, func() bool { return h.KnowsFinalStates(ids...) }, waitTimeout, 20*time.Millisecond, name)
 	}
 	lead := c.leader()
 	c.log.Break("", users.Silent)
@@ -192,10 +192,10 @@
 	c.log.Slow(slow)
 	reads := c.log.Calls(store.Newest)
 	lead.Kill()
-	require.Eventually(t, func() bool { return c.log.Calls(store.Newest) >= reads+1+3+16 }, settleTime, time.Millisecond, "the jobs are read")
+	require.Eventually(t, func() bool { return c.log.Calls(store.Newest) >= reads+1+3+16 }, waitTimeout, time.Millisecond, "the jobs are read")
 	c.log.BreakReads("jobs", users.Busy)
 	stored := time.Now()
-	require.Eventually(t, func() bool { return c.follower() == nil }, settleTime, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return c.follower() == nil }, waitTimeout, 10*time.Millisecond)
 	h := c.leader()
 	time.Sleep(time.Until(stored.Add(3100 * time.Millisecond)))
 	told := h.State(id(1))
--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -47,11 +47,11 @@
 	c.start("z", power(0.2))
 	c.settled()
 	lead := c.hosts["h0"]
-	require.Eventually(t, func() bool { return lead.Leading() && lead.RecentHostCount() == 3 }, settleTime, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return lead.Leading() && lead.RecentHostCount() == 3 }, waitTimeout, 20*time.Millisecond)
 	lead.Stop()
 	lead.Kill()
 	delete(c.hosts, "h0")
-	require.Eventually(t, strong.Leading, settleTime, 20*time.Millisecond)
+	require.Eventually(t, strong.Leading, waitTimeout, 20*time.Millisecond)
 	for _, name := range []string{"a", "z"} {
 		require.NotContains(t, c.lines.String(), "term begins.\" host="+name)
 	}
@@ -90,15 +90,15 @@
 func TestAWeakHostStandsReadyOnlyWithoutStrongOnes(t *testing.T) {
 	c := newCell(t, 3, 2, 50*time.Millisecond)
 	weak := c.start("weak", func(cfg *entry.Settings) { cfg.Power = 0.2 })
-	require.Eventually(t, func() bool { return !weak.IsCandidate() }, settleTime, 20*time.Millisecond)
-	require.Eventually(t, func() bool { return !slices.Contains(c.members(), "weak") }, settleTime, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return !weak.IsCandidate() }, waitTimeout, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return !slices.Contains(c.members(), "weak") }, waitTimeout, 20*time.Millisecond)
 	c.settled()
 	for _, h := range []string{"h0", "h1", "h2"} {
 		require.True(t, c.hosts[h].IsCandidate())
 		c.hosts[h].Kill()
 		delete(c.hosts, h)
 	}
-	require.Eventually(t, weak.Leading, settleTime, 20*time.Millisecond)
+	require.Eventually(t, weak.Leading, waitTimeout, 20*time.Millisecond)
 	require.Equal(t, http.StatusOK, c.submit(weak, 0).code)
 	c.finished(weak, 1)
 	require.Empty(t, c.oracle.Wrongs())
@@ -139,7 +139,7 @@
 	require.Equal(t, http.StatusOK, c.submit(f, 0).code)
 	require.Never(t, func() bool { return lead.KnowsJob(id(0)) }, 300*time.Millisecond, 20*time.Millisecond)
 	f.SetLeaderName(lead.cfg.Name)
-	require.Eventually(t, func() bool { return lead.KnowsJob(id(0)) }, settleTime, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return lead.KnowsJob(id(0)) }, waitTimeout, 20*time.Millisecond)
 	c.log.BreakReads("jobs", users.None)
 	c.finished(f, 1)
 }
@@ -157,7 +157,7 @@
 	t.Cleanup(h.Kill)
 	require.Zero(t, lead.RecentHostCount())
 	h.LearnLeader(lead.cfg.Name, lead.cfg.Listen.Peer, 7)
-	require.Eventually(t, func() bool { return lead.RecentHostCount() == 1 }, settleTime, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return lead.RecentHostCount() == 1 }, waitTimeout, 5*time.Millisecond)
 }
 
 // The announcement of a new lead is not stored at first. The other hosts go on asking
@@ -169,7 +169,7 @@
 	dead := c.leader()
 	dead.Kill()
 	delete(c.hosts, dead.cfg.Name)
-	require.Eventually(t, func() bool { return c.leader() != nil }, settleTime, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return c.leader() != nil }, waitTimeout, 20*time.Millisecond)
 	c.log.BreakPart("lead", 0, users.None)
 	f := c.follower()
 	require.Equal(t, http.StatusOK, c.submit(f, 0).code)
@@ -195,7 +195,7 @@
 	h.Kill()
 	c.log.Put("state", "!", fmt.Appendf(nil, "other %s life 1 nonce", ln.Addr()))
 	h = c.start(h.cfg.Name)
-	require.Eventually(t, func() bool { return h.LeaderName() == "other" }, settleTime, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return h.LeaderName() == "other" }, waitTimeout, 20*time.Millisecond)
 	cancel()
 	<-served
 }
@@ -227,12 +227,12 @@
 			}
 		}
 		return heirs == 2
-	}, settleTime, 20*time.Millisecond)
+	}, waitTimeout, 20*time.Millisecond)
 	lead.Kill()
 	delete(c.hosts, lead.cfg.Name)
-	require.Eventually(t, func() bool { return c.leader() != nil }, settleTime, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return c.leader() != nil }, waitTimeout, 5*time.Millisecond)
 	// It leads a moment before its line is written.
-	require.Eventually(t, func() bool { return strings.Count(c.lines.String(), "term begins") == 2 }, settleTime, time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Count(c.lines.String(), "term begins") == 2 }, waitTimeout, time.Millisecond)
 	require.Contains(t, c.lines.String(), `why="the lead's process is gone"`)
 	require.Equal(t, http.StatusOK, c.submit(c.leader(), 0).code)
 	c.finished(c.leader(), 1)
