--- a/internal/entry/cell_test.go
+++ b/internal/entry/cell_test.go
@@ -33,8 +33,8 @@
 const tableText = `{"version":%d,"routes":[{"name":"scan","host":"jobs.example","pathPrefix":"/scan/","service":"pass","priority":0,
 "maxAttempts":3,"stretch":1.5,"targetLatencyMs":250}%s],"services":[{"name":"pass"}],"limits":{"maxBodyBytes":20000}}`
 
-// cell is a few entry hosts, workers and the store on the loopback interface.
-type cell struct {
+// cluster is a few entry hosts, workers and the store on the loopback interface.
+type cluster struct {
 	t       *testing.T
 	log     *users.Log
 	oracle  *users.Oracle
@@ -69,8 +69,8 @@
 	return l.buf.String()
 }
 
-func newCell(t *testing.T, hosts, workers int, work time.Duration) *cell {
-	c := &cell{t: t, log: users.NewLog(16, time.Now), oracle: users.NewOracle(), hosts: map[string]*running{}, lines: &lines{}}
+func newCell(t *testing.T, hosts, workers int, work time.Duration) *cluster {
+	c := &cluster{t: t, log: users.NewLog(16, time.Now), oracle: users.NewOracle(), hosts: map[string]*running{}, lines: &lines{}}
 	for i := range workers {
 		w := users.NewWorker(fmt.Sprintf("w%d", i), work, c.oracle)
 		t.Cleanup(w.Close)
@@ -102,7 +102,7 @@
 }
 
 // start starts a host, or a new life of it at the same addresses.
-func (c *cell) start(name string, change ...func(*entry.Settings)) *running {
+func (c *cluster) start(name string, change ...func(*entry.Settings)) *running {
 	r, ok := c.hosts[name]
 	if !ok {
 		r = &running{store: httptest.NewServer(c.log.Handler(func(*http.Request) string { return name }))}
@@ -132,7 +132,7 @@
 }
 
 // settled waits until one host leads and all are ready.
-func (c *cell) settled() {
+func (c *cluster) settled() {
 	c.t.Helper()
 	require.Eventually(c.t, func() bool {
 		leads := 0
@@ -148,7 +148,7 @@
 	}, waitTimeout, 20*time.Millisecond)
 }
 
-func (c *cell) leader() *running {
+func (c *cluster) leader() *running {
 	for _, h := range c.hosts {
 		if h.Leading() {
 			return h
@@ -157,7 +157,7 @@
 	return nil
 }
 
-func (c *cell) follower() *running {
+func (c *cluster) follower() *running {
 	for _, h := range c.hosts {
 		if !h.Leading() {
 			return h
@@ -172,7 +172,7 @@
 	header http.Header
 }
 
-func (c *cell) call(addr netip.AddrPort, method, path, body string) answer {
+func (c *cluster) call(addr netip.AddrPort, method, path, body string) answer {
 	req, err := http.NewRequestWithContext(c.t.Context(), method, "http://"+addr.String()+path, strings.NewReader(body))
 	require.NoError(c.t, err)
 	req.Host = callerHost
@@ -188,7 +188,7 @@
 	return answer{code: resp.StatusCode, body: string(b), header: resp.Header}
 }
 
-func (c *cell) get(addr netip.AddrPort, path string) (int, string) {
+func (c *cluster) get(addr netip.AddrPort, path string) (int, string) {
 	a := c.call(addr, http.MethodGet, path, "")
 	return a.code, a.body
 }
@@ -197,12 +197,12 @@
 
 const twoSteps = `{"spec":"text","steps":[{"count":4,"cpu":500,"memMb":256,"estimateMs":200},{"count":3,"cpu":500,"memMb":256,"estimateMs":200,"after":[0]}]}`
 
-func (c *cell) submit(h *running, n int) answer {
+func (c *cluster) submit(h *running, n int) answer {
 	return c.call(h.cfg.Listen.Caller, http.MethodPost, prefix+id(n), twoSteps)
 }
 
 // finished waits until all jobs are shown as completed at that host.
-func (c *cell) finished(h *running, jobs int) {
+func (c *cluster) finished(h *running, jobs int) {
 	c.t.Helper()
 	for n := range jobs {
 		require.Eventually(c.t, func() bool {
@@ -213,7 +213,7 @@
 }
 
 // members lists the hosts that stand ready to lead.
-func (c *cell) members() []string {
+func (c *cluster) members() []string {
 	a, err := c.log.For("").Do(c.t.Context(), store.Call{Op: store.Owners, Group: "hosts"})
 	require.NoError(c.t, err)
 	var all []string
--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -17,7 +17,7 @@
 )
 
 // record puts a job's progress into a partition.
-func (c *cell) record(part, n, version int, state string, began time.Time) {
+func (c *cluster) record(part, n, version int, state string, began time.Time) {
 	c.t.Helper()
 	v := fmt.Appendf(nil, `{"t":1,"a":%d,"s":%q,"b":%d}`, version, state, began.UnixMilli())
 	_, err := c.log.For("").Do(c.t.Context(), store.Call{
@@ -27,7 +27,7 @@
 }
 
 // told is what a host answers to the question for a job.
-func (c *cell) told(h *running, n int) string {
+func (c *cluster) told(h *running, n int) string {
 	code, body := c.get(h.cfg.Listen.Caller, prefix+id(n))
 	if code != http.StatusOK {
 		return fmt.Sprint(code)
@@ -106,7 +106,7 @@
 }
 
 // lead is a host that leads a term and tells one state, or none.
-func (c *cell) lead(state string) netip.AddrPort {
+func (c *cluster) lead(state string) netip.AddrPort {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(c.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/entry/states_test.go
+++ b/internal/entry/states_test.go
@@ -18,7 +18,7 @@
 const oneTask = `{"spec":"text","steps":[{"count":1,"cpu":500,"memMb":256,"estimateMs":200}]}`
 
 // submitMany hands in jobs of one task each.
-func (c *cell) submitMany(h *running, first, n int) {
+func (c *cluster) submitMany(h *running, first, n int) {
 	c.t.Helper()
 	var wg sync.WaitGroup
 	for i := range n {
@@ -33,7 +33,7 @@
 }
 
 // toldBy asks a host for all jobs at once and counts its answers.
-func (c *cell) toldBy(h *running, jobs int) map[string]int {
+func (c *cluster) toldBy(h *running, jobs int) map[string]int {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	told := map[string]int{}
@@ -51,7 +51,7 @@
 
 // leaderless kills the lead of a cell in which no other host can take over: the store
 // refuses all claims and serves everything else.
-func (c *cell) leaderless() {
+func (c *cluster) leaderless() {
 	c.log.BreakAppends("state", users.Busy)
 	lead := c.leader()
 	lead.Kill()
