--- a/internal/entry/cell_test.go
+++ b/internal/entry/cell_test.go
@@ -37,7 +37,7 @@
 type cluster struct {
 	t       *testing.T
 	log     *users.Log
-	oracle  *users.Oracle
+	checker *users.Oracle
 	workers []*users.Worker
 	hosts   map[string]*running
 	lines   *lines
@@ -70,9 +70,9 @@
 }
 
 func newCell(t *testing.T, hosts, workers int, work time.Duration) *cluster {
-	c := &cluster{t: t, log: users.NewLog(16, time.Now), oracle: users.NewOracle(), hosts: map[string]*running{}, lines: &lines{}}
+	c := &cluster{t: t, log: users.NewLog(16, time.Now), checker: users.NewOracle(), hosts: map[string]*running{}, lines: &lines{}}
 	for i := range workers {
-		w := users.NewWorker(fmt.Sprintf("w%d", i), work, c.oracle)
+		w := users.NewWorker(fmt.Sprintf("w%d", i), work, c.checker)
 		t.Cleanup(w.Close)
 		c.workers = append(c.workers, w)
 		c.log.Put("servers", w.ID, w.Entry("pass", fmt.Sprintf("zone%d", i%3)))
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -22,8 +22,8 @@
 	f := c.follower()
 	require.Equal(t, http.StatusOK, c.submit(f, 0).code)
 	c.finished(c.leader(), 1)
-	require.Len(t, c.oracle.Runs(), 7)
-	require.Empty(t, c.oracle.Wrongs())
+	require.Len(t, c.checker.Runs(), 7)
+	require.Empty(t, c.checker.Wrongs())
 	code, body := c.get(f.cfg.Listen.Caller, prefix)
 	require.Equal(t, http.StatusOK, code)
 	require.Equal(t, `{"pending":0}`, body)
@@ -92,7 +92,7 @@
 	dead.Kill()
 	delete(c.hosts, dead.cfg.Name)
 	c.finished(f, 6)
-	require.Empty(t, c.oracle.Wrongs())
+	require.Empty(t, c.checker.Wrongs())
 }
 
 // All hosts die at once, right after jobs were acknowledged. Nothing of them is
@@ -111,8 +111,8 @@
 	}
 	c.settled()
 	c.finished(c.follower(), 6)
-	require.Empty(t, c.oracle.Wrongs())
-	for task, n := range c.oracle.Runs() {
+	require.Empty(t, c.checker.Wrongs())
+	for task, n := range c.checker.Runs() {
 		require.Equal(t, 1, n, task)
 	}
 }
@@ -140,7 +140,7 @@
 	delete(c.hosts, old.cfg.Name)
 	old.Kill()
 	c.finished(f, jobs)
-	require.Empty(t, c.oracle.Wrongs())
+	require.Empty(t, c.checker.Wrongs())
 }
 
 // The store turns one host away and serves the others. Its callers are served
@@ -154,7 +154,7 @@
 		c.log.Break(f.cfg.Name, users.None)
 	}
 	c.finished(f, 3)
-	require.Empty(t, c.oracle.Wrongs())
+	require.Empty(t, c.checker.Wrongs())
 }
 
 // The store refuses everybody. Callers hear so at once, with the time to come
@@ -201,7 +201,7 @@
 		}
 		require.Equal(t, http.StatusOK, c.submit(c.leader(), 0).code)
 		c.finished(c.leader(), 1)
-		require.Empty(t, c.oracle.Wrongs())
+		require.Empty(t, c.checker.Wrongs())
 	}
 }
 
@@ -238,10 +238,10 @@
 	c.finished(h, 2)
 	resize(64 * users.TaskCPU)
 	c.finished(h, 4)
-	for task, n := range c.oracle.Runs() {
+	for task, n := range c.checker.Runs() {
 		require.Equal(t, 1, n, task)
 	}
-	require.Empty(t, c.oracle.Wrongs())
+	require.Empty(t, c.checker.Wrongs())
 }
 
 // Guards against new starts, and lost runs, on a worker whose entry cannot be read any more.
@@ -264,10 +264,10 @@
 			require.Never(t, func() bool { return w.Running() > 4 }, time.Second, 10*time.Millisecond)
 			c.log.Put("servers", w.ID, w.Entry("pass", "zone0"))
 			c.finished(h, 2)
-			for task, n := range c.oracle.Runs() {
+			for task, n := range c.checker.Runs() {
 				require.Equal(t, 1, n, task)
 			}
-			require.Empty(t, c.oracle.Wrongs())
+			require.Empty(t, c.checker.Wrongs())
 		})
 	}
 }
@@ -321,7 +321,7 @@
 	c.settled()
 	require.Equal(t, http.StatusOK, c.submit(c.follower(), 0).code)
 	c.finished(c.follower(), 1)
-	require.Empty(t, c.oracle.Wrongs())
+	require.Empty(t, c.checker.Wrongs())
 }
 
 // A host claims the lead and takes seconds to read what it takes over. The group
--- a/internal/entry/journal_test.go
+++ b/internal/entry/journal_test.go
@@ -166,8 +166,8 @@
 	}
 	c.settled()
 	c.finished(c.follower(), jobs)
-	require.Empty(t, c.oracle.Wrongs())
-	for task, n := range c.oracle.Runs() {
+	require.Empty(t, c.checker.Wrongs())
+	for task, n := range c.checker.Runs() {
 		require.Equal(t, 1, n, task)
 	}
 }
@@ -191,7 +191,7 @@
 			return body == `{"state":"completed"}`
 		}, waitTimeout, 20*time.Millisecond)
 	}
-	require.Empty(t, c.oracle.Wrongs())
+	require.Empty(t, c.checker.Wrongs())
 }
 
 // An ended job is forgotten while the store does not take the drop of its spec. If
@@ -225,7 +225,7 @@
 	h = c.start("short")
 	c.settled()
 	completed(2)
-	for task, n := range c.oracle.Runs() {
+	for task, n := range c.checker.Runs() {
 		require.Equal(t, 1, n, task)
 	}
 }
--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -101,7 +101,7 @@
 	require.Eventually(t, weak.Leading, waitTimeout, 20*time.Millisecond)
 	require.Equal(t, http.StatusOK, c.submit(weak, 0).code)
 	c.finished(weak, 1)
-	require.Empty(t, c.oracle.Wrongs())
+	require.Empty(t, c.checker.Wrongs())
 }
 
 // A new lead reads for seconds at a slow store, and a job is accepted meanwhile in a
@@ -236,7 +236,7 @@
 	require.Contains(t, c.lines.String(), `why="the lead's process is gone"`)
 	require.Equal(t, http.StatusOK, c.submit(c.leader(), 0).code)
 	c.finished(c.leader(), 1)
-	require.Empty(t, c.oracle.Wrongs())
+	require.Empty(t, c.checker.Wrongs())
 }
 
 // The lead's process dies. Its connections are closed before its port is, and the heir asks in
