--- a/internal/entry/cell_test.go
+++ b/internal/entry/cell_test.go
@@ -40,7 +40,7 @@
 	checker *users.Oracle
 	workers []*users.Worker
 	hosts   map[string]*running
-	lines   *lines
+	logs    *lines
 	// deadline is how long callers wait; zero is what is usual.
 	deadline time.Duration
 }
@@ -70,7 +70,7 @@
 }
 
 func newCell(t *testing.T, hosts, workers int, work time.Duration) *cluster {
-	c := &cluster{t: t, log: users.NewLog(16, time.Now), checker: users.NewOracle(), hosts: map[string]*running{}, lines: &lines{}}
+	c := &cluster{t: t, log: users.NewLog(16, time.Now), checker: users.NewOracle(), hosts: map[string]*running{}, logs: &lines{}}
 	for i := range workers {
 		w := users.NewWorker(fmt.Sprintf("w%d", i), work, c.checker)
 		t.Cleanup(w.Close)
@@ -89,7 +89,7 @@
 			h.store.Close()
 		}
 		if t.Failed() {
-			t.Log(c.lines.String())
+			t.Log(c.logs.String())
 		}
 	})
 	return c
@@ -117,7 +117,7 @@
 		}
 		c.hosts[name] = r
 	}
-	log := slog.New(slog.NewTextHandler(c.lines, nil)).With("host", name)
+	log := slog.New(slog.NewTextHandler(c.logs, nil)).With("host", name)
 	h, err := entry.New(r.cfg, log, time.Now)
 	require.NoError(c.t, err)
 	require.NoError(c.t, h.Start())
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -215,7 +215,7 @@
 		`{"service":"pass","address":"127.0.0.1:1","state":"ready"}`} {
 		c.log.Put("servers", fmt.Sprintf("bad%d", i), []byte(text))
 	}
-	require.Eventually(t, func() bool { return strings.Count(c.lines.String(), "entry passed over") == 7 }, waitTimeout, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Count(c.logs.String(), "entry passed over") == 7 }, waitTimeout, 20*time.Millisecond)
 	require.Equal(t, http.StatusOK, c.submit(c.leader(), 0).code)
 	c.finished(c.leader(), 1)
 }
@@ -231,7 +231,7 @@
 	require.Equal(t, http.StatusOK, c.submit(h, 0).code)
 	require.Eventually(t, func() bool { return w.Running() == 4 }, waitTimeout, 10*time.Millisecond)
 	resize(2 * users.TaskCPU)
-	require.Eventually(t, func() bool { return strings.Contains(c.lines.String(), "worker resized") }, waitTimeout, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Contains(c.logs.String(), "worker resized") }, waitTimeout, 10*time.Millisecond)
 	for n := range 3 {
 		require.Equal(t, http.StatusOK, c.submit(h, 1+n).code)
 	}
@@ -259,7 +259,7 @@
 				text = fmt.Sprintf(text, w.Address())
 			}
 			c.log.Put("servers", w.ID, []byte(text))
-			require.Eventually(t, func() bool { return strings.Contains(c.lines.String(), "entry passed over") }, waitTimeout, 10*time.Millisecond)
+			require.Eventually(t, func() bool { return strings.Contains(c.logs.String(), "entry passed over") }, waitTimeout, 10*time.Millisecond)
 			require.Equal(t, http.StatusOK, c.submit(h, 1).code)
 			require.Never(t, func() bool { return w.Running() > 4 }, time.Second, 10*time.Millisecond)
 			c.log.Put("servers", w.ID, w.Entry("pass", "zone0"))
--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -53,7 +53,7 @@
 	delete(c.hosts, "h0")
 	require.Eventually(t, strong.Leading, waitTimeout, 20*time.Millisecond)
 	for _, name := range []string{"a", "z"} {
-		require.NotContains(t, c.lines.String(), "term begins.\" host="+name)
+		require.NotContains(t, c.logs.String(), "term begins.\" host="+name)
 	}
 }
 
@@ -232,8 +232,8 @@
 	delete(c.hosts, lead.cfg.Name)
 	require.Eventually(t, func() bool { return c.leader() != nil }, waitTimeout, 5*time.Millisecond)
 	// It leads a moment before its line is written.
-	require.Eventually(t, func() bool { return strings.Count(c.lines.String(), "term begins") == 2 }, waitTimeout, time.Millisecond)
-	require.Contains(t, c.lines.String(), `why="the lead's process is gone"`)
+	require.Eventually(t, func() bool { return strings.Count(c.logs.String(), "term begins") == 2 }, waitTimeout, time.Millisecond)
+	require.Contains(t, c.logs.String(), `why="the lead's process is gone"`)
 	require.Equal(t, http.StatusOK, c.submit(c.leader(), 0).code)
 	c.finished(c.leader(), 1)
 	require.Empty(t, c.checker.Wrongs())
