--- a/internal/entry/cell_test.go
+++ b/internal/entry/cell_test.go
@@ -39,13 +39,13 @@
 	log     *users.Log
 	checker *users.Oracle
 	workers []*users.Worker
-	hosts   map[string]*running
+	hosts   map[string]*testHost
 	logs    *lines
 	// deadline is how long callers wait; zero is what is usual.
 	deadline time.Duration
 }
 
-type running struct {
+type testHost struct {
 	*entry.Host
 	cfg   entry.Settings
 	store *httptest.Server
@@ -70,7 +70,7 @@
 }
 
 func newCell(t *testing.T, hosts, workers int, work time.Duration) *cluster {
-	c := &cluster{t: t, log: users.NewLog(16, time.Now), checker: users.NewOracle(), hosts: map[string]*running{}, logs: &lines{}}
+	c := &cluster{t: t, log: users.NewLog(16, time.Now), checker: users.NewOracle(), hosts: map[string]*testHost{}, logs: &lines{}}
 	for i := range workers {
 		w := users.NewWorker(fmt.Sprintf("w%d", i), work, c.checker)
 		t.Cleanup(w.Close)
@@ -102,10 +102,10 @@
 }
 
 // start starts a host, or a new life of it at the same addresses.
-func (c *cluster) start(name string, change ...func(*entry.Settings)) *running {
+func (c *cluster) start(name string, change ...func(*entry.Settings)) *testHost {
 	r, ok := c.hosts[name]
 	if !ok {
-		r = &running{store: httptest.NewServer(c.log.Handler(func(*http.Request) string { return name }))}
+		r = &testHost{store: httptest.NewServer(c.log.Handler(func(*http.Request) string { return name }))}
 		r.cfg = entry.Settings{Name: name, Domain: "zone0", Store: addrOf(c.t, r.store), Parts: 16}
 		r.cfg.Listen.Caller, r.cfg.Listen.Ready, r.cfg.Listen.Peer = freePort(c.t), freePort(c.t), freePort(c.t)
 		r.cfg.Listen.Metrics = freePort(c.t)
@@ -148,7 +148,7 @@
 	}, waitTimeout, 20*time.Millisecond)
 }
 
-func (c *cluster) leader() *running {
+func (c *cluster) leader() *testHost {
 	for _, h := range c.hosts {
 		if h.Leading() {
 			return h
@@ -157,7 +157,7 @@
 	return nil
 }
 
-func (c *cluster) follower() *running {
+func (c *cluster) follower() *testHost {
 	for _, h := range c.hosts {
 		if !h.Leading() {
 			return h
@@ -197,12 +197,12 @@
 
 const twoSteps = `{"spec":"text","steps":[{"count":4,"cpu":500,"memMb":256,"estimateMs":200},{"count":3,"cpu":500,"memMb":256,"estimateMs":200,"after":[0]}]}`
 
-func (c *cluster) submit(h *running, n int) answer {
+func (c *cluster) submit(h *testHost, n int) answer {
 	return c.call(h.cfg.Listen.Caller, http.MethodPost, prefix+id(n), twoSteps)
 }
 
 // finished waits until all jobs are shown as completed at that host.
-func (c *cluster) finished(h *running, jobs int) {
+func (c *cluster) finished(h *testHost, jobs int) {
 	c.t.Helper()
 	for n := range jobs {
 		require.Eventually(c.t, func() bool {
--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -27,7 +27,7 @@
 }
 
 // told is what a host answers to the question for a job.
-func (c *cluster) told(h *running, n int) string {
+func (c *cluster) told(h *testHost, n int) string {
 	code, body := c.get(h.cfg.Listen.Caller, prefix+id(n))
 	if code != http.StatusOK {
 		return fmt.Sprint(code)
--- a/internal/entry/states_test.go
+++ b/internal/entry/states_test.go
@@ -18,7 +18,7 @@
 const oneTask = `{"spec":"text","steps":[{"count":1,"cpu":500,"memMb":256,"estimateMs":200}]}`
 
 // submitMany hands in jobs of one task each.
-func (c *cluster) submitMany(h *running, first, n int) {
+func (c *cluster) submitMany(h *testHost, first, n int) {
 	c.t.Helper()
 	var wg sync.WaitGroup
 	for i := range n {
@@ -33,7 +33,7 @@
 }
 
 // toldBy asks a host for all jobs at once and counts its answers.
-func (c *cluster) toldBy(h *running, jobs int) map[string]int {
+func (c *cluster) toldBy(h *testHost, jobs int) map[string]int {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	told := map[string]int{}
