--- a/internal/entry/cell_test.go
+++ b/internal/entry/cell_test.go
@@ -40,7 +40,7 @@
 	checker *users.Oracle
 	workers []*users.Worker
 	hosts   map[string]*testHost
-	logs    *lines
+	logs    *logBuffer
 	// deadline is how long callers wait; zero is what is usual.
 	deadline time.Duration
 }
@@ -51,26 +51,26 @@
 	store *httptest.Server
 }
 
-// lines keeps what the hosts log.
-type lines struct {
+// logBuffer keeps what the hosts log.
+type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.Write(b)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.String()
 }
 
 func newCell(t *testing.T, hosts, workers int, work time.Duration) *cluster {
-	c := &cluster{t: t, log: users.NewLog(16, time.Now), checker: users.NewOracle(), hosts: map[string]*testHost{}, logs: &lines{}}
+	c := &cluster{t: t, log: users.NewLog(16, time.Now), checker: users.NewOracle(), hosts: map[string]*testHost{}, logs: &logBuffer{}}
 	for i := range workers {
 		w := users.NewWorker(fmt.Sprintf("w%d", i), work, c.checker)
 		t.Cleanup(w.Close)
--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -54,7 +54,7 @@
 type busyCell struct {
 	ctx   context.Context
 	log   *users.Log
-	lines lines
+	lines logBuffer
 	// played is what was logged until the end of the play.
 	played string
 	net    standin.Pipes
--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -71,7 +71,7 @@
 	cutDomain byte
 	// changed is when the table changes, from version 1 to 2.
 	changed time.Duration
-	lines   lines
+	lines   logBuffer
 }
 
 func (w *cellOfThree) at() time.Duration { return time.Since(w.began) }
