--- a/internal/entry/cell_test.go
+++ b/internal/entry/cell_test.go
@@ -69,7 +69,7 @@
 	return l.buf.String()
 }
 
-func newCell(t *testing.T, hosts, workers int, work time.Duration) *cluster {
+func newCluster(t *testing.T, hosts, workers int, work time.Duration) *cluster {
 	c := &cluster{t: t, log: users.NewLog(16, time.Now), checker: users.NewOracle(), hosts: map[string]*testHost{}, logs: &logBuffer{}}
 	for i := range workers {
 		w := users.NewWorker(fmt.Sprintf("w%d", i), work, c.checker)
--- a/internal/entry/endings_test.go
+++ b/internal/entry/endings_test.go
@@ -45,7 +45,7 @@
 
 // Guards against a lead that keeps the states of ended jobs from other hosts while its core is busy.
 func TestABusyLeadTellsHostsOfEndedJobs(t *testing.T) {
-	c := newCell(t, 2, 2, 20*time.Millisecond)
+	c := newCluster(t, 2, 2, 20*time.Millisecond)
 	lead := c.leader()
 	c.submitMany(lead, 0, 1)
 	c.finished(lead, 1)
@@ -64,7 +64,7 @@
 // Guards against final states that a host is not told since another lead numbers them anew.
 func TestEachTermTellsItsEndsFromTheFirst(t *testing.T) {
 	const jobs = 5
-	c := newCell(t, 2, 2, 20*time.Millisecond)
+	c := newCluster(t, 2, 2, 20*time.Millisecond)
 	former := c.leader()
 	c.submitMany(former, 0, jobs)
 	c.finished(former, jobs)
@@ -81,7 +81,7 @@
 
 // Guards against a late answer of a former lead that sets back, or forward, what is asked of the next one.
 func TestAFormerLeadsNumberIsNotGoneOnWith(t *testing.T) {
-	h := newCell(t, 1, 1, 20*time.Millisecond).leader()
+	h := newCluster(t, 1, 1, 20*time.Millisecond).leader()
 	const term = 1 << 40
 	for _, c := range []struct {
 		told peer.SyncReply
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -18,7 +18,7 @@
 )
 
 func TestAJobGoesFromItsCallerToWorkersAndBack(t *testing.T) {
-	c := newCell(t, 3, 4, 50*time.Millisecond)
+	c := newCluster(t, 3, 4, 50*time.Millisecond)
 	f := c.follower()
 	require.Equal(t, http.StatusOK, c.submit(f, 0).code)
 	c.finished(c.leader(), 1)
@@ -32,7 +32,7 @@
 // Somebody asks why jobs were late. The lead's metrics tell how long they waited until
 // their first start, for what, and how long the store took.
 func TestTheLeadServesHistogramsOfWaits(t *testing.T) {
-	c := newCell(t, 1, 2, 50*time.Millisecond)
+	c := newCluster(t, 1, 2, 50*time.Millisecond)
 	lead := c.leader()
 	require.Equal(t, http.StatusOK, c.submit(lead, 0).code)
 	c.finished(lead, 1)
@@ -44,7 +44,7 @@
 }
 
 func TestWhatIsNotThereIsToldSo(t *testing.T) {
-	c := newCell(t, 2, 1, 50*time.Millisecond)
+	c := newCluster(t, 2, 1, 50*time.Millisecond)
 	for _, h := range c.hosts {
 		code, _ := c.get(h.cfg.Listen.Caller, "/nowhere/"+id(1))
 		require.Equal(t, http.StatusNotFound, code)
@@ -56,7 +56,7 @@
 
 // A body that is no job gets a 4xx that names the field, and nothing is stored.
 func TestABadBodyIsRefusedAndNeverStored(t *testing.T) {
-	c := newCell(t, 1, 1, 50*time.Millisecond)
+	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	h := c.leader()
 	bad := map[string]string{
 		`{"spec":5}`:                                   "spec",
@@ -82,7 +82,7 @@
 // The lead dies while tasks run. Another host leads within seconds, goes on with
 // what runs, and starts nothing twice.
 func TestAnotherHostLeadsAfterTheLeadDies(t *testing.T) {
-	c := newCell(t, 3, 4, 600*time.Millisecond)
+	c := newCluster(t, 3, 4, 600*time.Millisecond)
 	f := c.follower()
 	for n := range 6 {
 		require.Equal(t, http.StatusOK, c.submit(f, n).code)
@@ -99,7 +99,7 @@
 // left but what lies in the store, and every job that was told as accepted ends
 // as done.
 func TestAcceptedJobsOutliveAllHosts(t *testing.T) {
-	c := newCell(t, 3, 4, 300*time.Millisecond)
+	c := newCluster(t, 3, 4, 300*time.Millisecond)
 	for n := range 6 {
 		require.Equal(t, http.StatusOK, c.submit(c.follower(), n).code)
 	}
@@ -120,7 +120,7 @@
 // The lead is stopped as planned under load. Callers that keep sending to the
 // other hosts see no failure.
 func TestAPlannedStopOfTheLeadCutsNothing(t *testing.T) {
-	c := newCell(t, 3, 4, 200*time.Millisecond)
+	c := newCluster(t, 3, 4, 200*time.Millisecond)
 	old, f := c.leader(), c.follower()
 	done := make(chan struct{})
 	go func() {
@@ -146,7 +146,7 @@
 // The store turns one host away and serves the others. Its callers are served
 // all the same, through a peer.
 func TestAHostThatTheStoreTurnsAwayServesThroughAPeer(t *testing.T) {
-	c := newCell(t, 3, 3, 50*time.Millisecond)
+	c := newCluster(t, 3, 3, 50*time.Millisecond)
 	f := c.follower()
 	for i, fault := range []users.Fault{users.Busy, users.Silent, users.Lost} {
 		c.log.Break(f.cfg.Name, fault)
@@ -160,7 +160,7 @@
 // The store refuses everybody. Callers hear so at once, with the time to come
 // back, and not at their deadline; nothing of it runs later.
 func TestAStoreThatIsAwayIsToldAtOnce(t *testing.T) {
-	c := newCell(t, 2, 2, 50*time.Millisecond)
+	c := newCluster(t, 2, 2, 50*time.Millisecond)
 	h := c.follower()
 	c.log.Break("", users.Busy)
 	began := time.Now()
@@ -181,7 +181,7 @@
 // The store carries appends out and no answer comes. The job may run, so it must
 // not be told as refused.
 func TestAnAppendWithoutAnAnswerIsNeverARefusal(t *testing.T) {
-	c := newCell(t, 2, 2, 50*time.Millisecond)
+	c := newCluster(t, 2, 2, 50*time.Millisecond)
 	h := c.follower()
 	c.log.Break("", users.Lost)
 	a := c.submit(h, 0)
@@ -195,7 +195,7 @@
 // place at a time and ends as done.
 func TestOrdersWithoutAnAnswerRunNothingTwice(t *testing.T) {
 	for _, done := range []bool{true, false} {
-		c := newCell(t, 1, 3, 300*time.Millisecond)
+		c := newCluster(t, 1, 3, 300*time.Millisecond)
 		for _, w := range c.workers {
 			w.DropOrders(3, done)
 		}
@@ -209,7 +209,7 @@
 // another type, states and services that nobody names. They name no worker, and
 // the others are used.
 func TestAnEntryThatCannotBeReadNamesNoWorker(t *testing.T) {
-	c := newCell(t, 1, 1, 50*time.Millisecond)
+	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	for i, text := range []string{"\x00\xff", `{}`, `[]`, `{"service":5}`, `{"service":"pass","address":"nowhere","state":"ready"}`,
 		`{"service":"pass","address":"127.0.0.1:1","state":"asleep","capacity":{"cpu":1,"memMb":1}}`,
 		`{"service":"pass","address":"127.0.0.1:1","state":"ready"}`} {
@@ -222,7 +222,7 @@
 
 // Guards against starts over the size of a worker that has shrunk.
 func TestAWorkerThatShrinksIsNotOverfilled(t *testing.T) {
-	c := newCell(t, 1, 1, time.Second)
+	c := newCluster(t, 1, 1, time.Second)
 	w, h := c.workers[0], c.leader()
 	resize := func(cpu int64) {
 		w.Resize(cpu, 0)
@@ -251,7 +251,7 @@
 		"no state": `{"service":"pass","address":%q,"capacity":{"cpu":64000,"memMb":262144}}`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newCell(t, 1, 1, 2*time.Second)
+			c := newCluster(t, 1, 1, 2*time.Second)
 			w, h := c.workers[0], c.leader()
 			require.Equal(t, http.StatusOK, c.submit(h, 0).code)
 			require.Eventually(t, func() bool { return w.Running() == 4 }, waitTimeout, 10*time.Millisecond)
@@ -275,7 +275,7 @@
 // Operators publish a table that drops a queue and adds one, and an older record
 // is read again afterwards. Every host follows and none goes back.
 func TestTheTableIsFollowedAndNeverGoesBack(t *testing.T) {
-	c := newCell(t, 2, 1, 50*time.Millisecond)
+	c := newCluster(t, 2, 1, 50*time.Millisecond)
 	more := `,{"name":"print","host":"jobs.example","pathPrefix":"/print/","service":"pass"}`
 	c.log.Put("op", "config", fmt.Appendf(nil, tableText, 5, more))
 	for _, h := range c.hosts {
@@ -296,7 +296,7 @@
 // A job is cancelled while it runs: its tasks are stopped, and it stays so under
 // the next lead.
 func TestACancelledJobStaysCancelled(t *testing.T) {
-	c := newCell(t, 2, 2, 5*time.Second)
+	c := newCluster(t, 2, 2, 5*time.Second)
 	h, f := c.leader(), c.follower()
 	require.Equal(t, http.StatusOK, c.submit(h, 0).code)
 	running := func() int { return c.workers[0].Running() + c.workers[1].Running() }
@@ -315,7 +315,7 @@
 // Hosts differ in power. The lead's work is the most, so it goes to a host that
 // is much stronger; on a weak one every start would wait for its processor.
 func TestTheStrongestHostLeads(t *testing.T) {
-	c := newCell(t, 2, 2, 50*time.Millisecond)
+	c := newCluster(t, 2, 2, 50*time.Millisecond)
 	strong := c.start("strong", func(cfg *entry.Settings) { cfg.Power = 4 })
 	require.Eventually(t, strong.Leading, waitTimeout, 20*time.Millisecond)
 	c.settled()
@@ -328,7 +328,7 @@
 // names another host meanwhile. If that one claimed as well, they would fence each
 // other off by turns and nothing would be led; callers would wait for ever.
 func TestNobodyClaimsBesideAClaim(t *testing.T) {
-	c := newCell(t, 1, 1, 50*time.Millisecond)
+	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -352,7 +352,7 @@
 // The group lists a host with much more power that cannot be reached. The others
 // may ask it to lead once, and then one of them leads.
 func TestAStrongHostThatIsGoneIsNotAskedForEver(t *testing.T) {
-	c := newCell(t, 2, 1, 50*time.Millisecond)
+	c := newCluster(t, 2, 1, 50*time.Millisecond)
 	join := store.Call{Op: store.Join, Group: "hosts", Member: "ghost 127.0.0.1:1 life 100", Topics: []string{"lead"}, TTL: time.Second}
 	ctx, cancel := context.WithCancel(t.Context())
 	joined := make(chan struct{})
@@ -373,7 +373,7 @@
 
 // Guards against a host that tells an earlier state of a job than the lead told before.
 func TestAStateThatNobodyKnowsIsNotTold(t *testing.T) {
-	c := newCell(t, 2, 2, 700*time.Millisecond)
+	c := newCluster(t, 2, 2, 700*time.Millisecond)
 	lead, f := c.leader(), c.follower()
 	require.Equal(t, http.StatusOK, c.submit(f, 0).code)
 	require.Eventually(t, func() bool {
@@ -394,7 +394,7 @@
 
 // Guards against a host that forgets the end of a job that it has told.
 func TestAnEndThatWasToldIsToldAgain(t *testing.T) {
-	c := newCell(t, 2, 2, 50*time.Millisecond)
+	c := newCluster(t, 2, 2, 50*time.Millisecond)
 	lead, f := c.leader(), c.follower()
 	require.Equal(t, http.StatusOK, c.submit(f, 0).code)
 	c.finished(f, 1)
--- a/internal/entry/journal_test.go
+++ b/internal/entry/journal_test.go
@@ -147,7 +147,7 @@
 // that. The next lead reads records of several partitions; every job ends as done
 // and no task runs a second time.
 func TestJobsOutliveAStoreThatIsPartlyDown(t *testing.T) {
-	c := newCell(t, 3, 4, 150*time.Millisecond)
+	c := newCluster(t, 3, 4, 150*time.Millisecond)
 	jobs := 0
 	for _, down := range []int{0, 5, 10} {
 		c.log.BreakPart("state", down, users.Busy)
@@ -175,7 +175,7 @@
 // The partition to which a host appends jobs is down. The host appends to another
 // one; its callers would be refused otherwise while the host beside it accepts.
 func TestJobsAreAcceptedWhileAPartitionIsDown(t *testing.T) {
-	c := newCell(t, 2, 2, 50*time.Millisecond)
+	c := newCluster(t, 2, 2, 50*time.Millisecond)
 	h := c.follower()
 	for _, fault := range []users.Fault{users.Busy, users.Silent} {
 		own := h.JobsPart()
@@ -198,7 +198,7 @@
 // its progress were dropped all the same, the next lead would find a job that
 // nothing was done of, and its caller would see a pass spent twice.
 func TestAJobIsNotRunAgainAfterItIsForgotten(t *testing.T) {
-	c := newCell(t, 1, 2, 50*time.Millisecond)
+	c := newCluster(t, 1, 2, 50*time.Millisecond)
 	c.hosts["h0"].Kill()
 	delete(c.hosts, "h0")
 	h := c.start("short", func(cfg *entry.Settings) { cfg.Times.Keep = entry.Duration(800 * time.Millisecond) })
--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -43,7 +43,7 @@
 
 // Guards against an older record that is told while a newer one lies in another partition.
 func TestTheNewestOfAJobsRecordsIsTold(t *testing.T) {
-	c := newCell(t, 2, 1, 20*time.Millisecond)
+	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	now := time.Now()
 	for n := range 2 {
 		older, newer := n%2*5, (1-n%2)*5
@@ -67,7 +67,7 @@
 // Guards against jobs that are not found as they stand on different pages.
 func TestJobsOnManyPagesAreFound(t *testing.T) {
 	const jobs = 1200
-	c := newCell(t, 2, 1, 20*time.Millisecond)
+	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	now := time.Now()
 	for n := range jobs {
 		c.record(0, n, 1, "running", now)
@@ -84,7 +84,7 @@
 
 // Guards against a job that is told as missing since its record cannot be read.
 func TestAJobWhoseRecordCannotBeReadIsNotMissing(t *testing.T) {
-	c := newCell(t, 2, 1, 20*time.Millisecond)
+	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	c.leaderless()
 	c.log.Put("state", id(0), []byte("{"))
 	require.Equal(t, untold, c.told(c.follower(), 0))
@@ -92,7 +92,7 @@
 
 // Guards against a job that was forgotten and is told as running from what one partition still has of it.
 func TestAForgottenJobIsNotToldAsRunning(t *testing.T) {
-	c := newCell(t, 2, 1, 20*time.Millisecond)
+	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	long := time.Now().Add(-time.Hour)
 	c.record(0, 0, 1, "running", long)
 	c.record(0, 1, 1, "running", long)
@@ -131,7 +131,7 @@
 
 // Guards against a question that stays with a lead that was succeeded.
 func TestTheNextLeadIsAskedAsWell(t *testing.T) {
-	c := newCell(t, 2, 1, 20*time.Millisecond)
+	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	h := c.follower()
 	silent, next := c.lead(""), c.lead("running")
 	c.log.BreakReads("state", users.Silent)
@@ -145,7 +145,7 @@
 
 // Guards against a question that stays with a lead that another host has fenced off.
 func TestAHostThatHasClaimedIsAskedAsWell(t *testing.T) {
-	c := newCell(t, 2, 1, 20*time.Millisecond)
+	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	h := c.follower()
 	silent, next := c.lead(""), c.lead("running")
 	c.log.BreakReads("state", users.Silent)
@@ -160,7 +160,7 @@
 
 // Guards against a job that a lead tells as missing since it could not read what is stored of it.
 func TestALeadDoesNotTellAJobThatItCannotReadAsMissing(t *testing.T) {
-	c := newCell(t, 2, 1, 20*time.Millisecond)
+	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	c.log.Put("jobs", id(0), fmt.Appendf(nil, `{"id":%q,"queue":{"name":"scan","service":"pass"},"steps":[{"tasks":1}]}`, id(0)))
 	c.log.Put("state", id(0), []byte("{"))
 	c.log.Put("jobs", id(1), []byte("{"))
@@ -174,7 +174,7 @@
 
 // Guards against hosts that tell nothing of jobs that run while the lead is reached and does not answer.
 func TestRunningJobsAreToldWhileTheLeadDoesNotAnswer(t *testing.T) {
-	c := newCell(t, 3, 4, time.Minute)
+	c := newCluster(t, 3, 4, time.Minute)
 	c.submitMany(c.follower(), 0, 4)
 	lead := c.leader()
 	require.Eventually(t, func() bool { return c.toldBy(lead, 4)[runs] == 4 }, waitTimeout, 20*time.Millisecond)
@@ -187,7 +187,7 @@
 
 // Guards against pages that are read again for each ended job that stands on them.
 func TestEndsThatStandOnAPageAreKept(t *testing.T) {
-	c := newCell(t, 2, 1, 20*time.Millisecond)
+	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	for n := range 2 {
 		c.record(0, n, 1, "completed", time.Now())
 	}
@@ -199,7 +199,7 @@
 
 // Guards against a caller who is kept waiting at a host that is cut off from lead and store.
 func TestAHostThatIsCutOffRefusesBeforeTheDeadline(t *testing.T) {
-	c := newCell(t, 2, 1, 20*time.Millisecond)
+	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	h := c.follower()
 	h.LearnLeader("silent", c.lead(""), 1<<40)
 	c.log.Break("", users.Silent)
@@ -216,7 +216,7 @@
 
 // Guards against a question that stays open though the host has learned the job's end since.
 func TestAnEndThatIsLearnedMeanwhileIsTold(t *testing.T) {
-	c := newCell(t, 2, 1, 20*time.Millisecond)
+	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	h := c.follower()
 	c.log.BreakReads("state", users.Silent)
 	h.LearnLeader("silent", c.lead(""), 1<<40)
--- a/internal/entry/states_test.go
+++ b/internal/entry/states_test.go
@@ -63,7 +63,7 @@
 // Guards against ended jobs that no host tells of while none leads.
 func TestEndedJobsAreToldWhileNoHostLeads(t *testing.T) {
 	const jobs = 120
-	c := newCell(t, 3, 4, 20*time.Millisecond)
+	c := newCluster(t, 3, 4, 20*time.Millisecond)
 	c.submitMany(c.follower(), 0, jobs)
 	c.finished(c.leader(), jobs)
 	c.leaderless()
@@ -78,7 +78,7 @@
 // Guards against a host that falls behind when thousands of jobs are asked for at once.
 func TestThousandsOfQuestionsShareAFewReads(t *testing.T) {
 	const jobs = 3000
-	c := newCell(t, 2, 1, 20*time.Millisecond)
+	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	c.leaderless()
 	now := time.Now().UnixMilli()
 	for n := range jobs {
@@ -94,7 +94,7 @@
 // Guards against ended jobs that hosts behind a cut, without lead and store, do not tell.
 func TestEndedJobsAreToldBehindACut(t *testing.T) {
 	const jobs = 30
-	c := newCell(t, 3, 4, 20*time.Millisecond)
+	c := newCluster(t, 3, 4, 20*time.Millisecond)
 	c.submitMany(c.leader(), 0, jobs)
 	c.finished(c.leader(), jobs)
 	ids := make([]string, jobs)
@@ -115,7 +115,7 @@
 
 // Guards against a job that only the host that accepted it tells of while none leads.
 func TestAJobAcceptedWhileNoHostLeadsIsToldByAll(t *testing.T) {
-	c := newCell(t, 3, 1, 20*time.Millisecond)
+	c := newCluster(t, 3, 1, 20*time.Millisecond)
 	c.leaderless()
 	f := c.follower()
 	c.submitMany(f, 0, 1)
@@ -128,7 +128,7 @@
 
 // Guards against hosts that tell nothing of jobs while the lead is reached and does not answer.
 func TestStatesAreToldWhileTheLeadDoesNotAnswer(t *testing.T) {
-	c := newCell(t, 3, 4, 20*time.Millisecond)
+	c := newCluster(t, 3, 4, 20*time.Millisecond)
 	c.submitMany(c.follower(), 0, 20)
 	c.finished(c.leader(), 20)
 	lead := c.leader()
@@ -141,7 +141,7 @@
 
 // Guards against questions that hang on a connection which the lead's host does not read.
 func TestStatesAreToldWhileTheLeadReadsNothing(t *testing.T) {
-	c := newCell(t, 2, 4, 20*time.Millisecond)
+	c := newCluster(t, 2, 4, 20*time.Millisecond)
 	c.submitMany(c.leader(), 0, 20)
 	c.finished(c.leader(), 20)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -154,7 +154,7 @@
 
 // Guards against a state that is guessed from a store that tells only a part of it.
 func TestNoStateIsGuessedFromAPartOfTheStore(t *testing.T) {
-	c := newCell(t, 3, 1, time.Minute)
+	c := newCluster(t, 3, 1, time.Minute)
 	f := c.follower()
 	c.submitMany(f, 0, 2)
 	c.leaderless()
@@ -172,7 +172,7 @@
 
 // Guards against a job told as missing by a lead that reads it while it is asked.
 func TestALeadThatReadsMeanwhileTellsNoJobAsMissing(t *testing.T) {
-	c := newCell(t, 1, 1, time.Minute)
+	c := newCluster(t, 1, 1, time.Minute)
 	h := c.leader()
 	c.log.BreakReads("jobs", users.Busy)
 	h.BeginTerm(1<<40, time.Now().Add(-3*time.Second))
@@ -186,7 +186,7 @@
 // a slow store, and what the lead knows was taken to be as new as the end of its reading.
 func TestAJobStoredWhileALeadReadsIsNotToldAsGone(t *testing.T) {
 	const slow = 400 * time.Millisecond
-	c := newCell(t, 2, 1, 20*time.Millisecond)
+	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	lead := c.leader()
 	delete(c.hosts, lead.cfg.Name)
 	c.log.Slow(slow)
--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -40,7 +40,7 @@
 // The lead of a cell of unlike hosts is stopped. The strongest of the others leads
 // next, and no third one.
 func TestAStoppedLeadIsFollowedByTheStrongest(t *testing.T) {
-	c := newCell(t, 1, 2, 50*time.Millisecond)
+	c := newCluster(t, 1, 2, 50*time.Millisecond)
 	power := func(p float64) func(*entry.Settings) { return func(cfg *entry.Settings) { cfg.Power = p } }
 	c.start("a", power(0.2))
 	strong := c.start("b", power(1))
@@ -61,7 +61,7 @@
 // it three times on the way to the claim. It waits for an answer once; three waits
 // would leave every start at rest for half a second more.
 func TestASilentLeadIsWaitedForOnce(t *testing.T) {
-	c := newCell(t, 1, 1, 50*time.Millisecond)
+	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -88,7 +88,7 @@
 // nearly no job would be served in time. So it does not stand ready while enough
 // strong ones do, and does again when they are gone.
 func TestAWeakHostStandsReadyOnlyWithoutStrongOnes(t *testing.T) {
-	c := newCell(t, 3, 2, 50*time.Millisecond)
+	c := newCluster(t, 3, 2, 50*time.Millisecond)
 	weak := c.start("weak", func(cfg *entry.Settings) { cfg.Power = 0.2 })
 	require.Eventually(t, func() bool { return !weak.IsCandidate() }, waitTimeout, 20*time.Millisecond)
 	require.Eventually(t, func() bool { return !slices.Contains(c.members(), "weak") }, waitTimeout, 20*time.Millisecond)
@@ -109,7 +109,7 @@
 // knows is as old as the beginning of its reading. Callers were told that jobs they
 // had handed in never were.
 func TestALeadKnowsOnlyWhatWasStoredBeforeItRead(t *testing.T) {
-	c := newCell(t, 1, 1, 50*time.Millisecond)
+	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	h := c.leader()
 	require.False(t, h.IsUncertain(id(0)), "it has just read")
 	h.BeginTerm(1<<40, time.Now().Add(-3*time.Second))
@@ -128,7 +128,7 @@
 // next look through all partitions, nearly two seconds; here the new lead cannot
 // look at all. It is told by the host as soon as that one knows who leads.
 func TestAJobStoredWhileTheLeadChangesIsHandedToTheNextLead(t *testing.T) {
-	c := newCell(t, 3, 2, 50*time.Millisecond)
+	c := newCluster(t, 3, 2, 50*time.Millisecond)
 	lead, f := c.leader(), c.follower()
 	c.log.BreakReads("jobs", users.Busy)
 	for name := range c.hosts {
@@ -148,7 +148,7 @@
 // of all power it has heard of none. A host that learns who leads tells it so at
 // once; with its next regular question work would wait for up to a second.
 func TestAHostMakesItselfKnownToANewLead(t *testing.T) {
-	c := newCell(t, 1, 1, 50*time.Millisecond)
+	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	lead := c.leader()
 	cfg := lead.cfg
 	cfg.Name, cfg.Listen.Peer = "new", freePort(t)
@@ -164,7 +164,7 @@
 // the dead one, and none of them claims, since the new one says that it leads; their
 // callers would be told for ever that no host leads.
 func TestALeadIsAnnouncedUntilItIsStored(t *testing.T) {
-	c := newCell(t, 3, 2, 50*time.Millisecond)
+	c := newCluster(t, 3, 2, 50*time.Millisecond)
 	c.log.BreakPart("lead", 0, users.Busy)
 	dead := c.leader()
 	dead.Kill()
@@ -179,7 +179,7 @@
 // The group names a host while another one leads of which it has not heard. It leaves
 // the lead to that one and follows it from then on.
 func TestAHostFollowsTheLeadThatItFinds(t *testing.T) {
-	c := newCell(t, 1, 1, 50*time.Millisecond)
+	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -205,7 +205,7 @@
 // host at a time. A host that is heard of takes questions at once; with the lead's next
 // round, up to a second later, all would go through the lead alone.
 func TestALeadUsesAHostOnceItHearsOfIt(t *testing.T) {
-	c := newCell(t, 1, 1, 50*time.Millisecond)
+	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	lead := c.leader()
 	require.False(t, lead.UsesForPolicy("new"))
 	lead.NoteHost("new", freePort(t))
@@ -216,7 +216,7 @@
 // its heir knows at once and claims; with the group at the store alone nobody would lead
 // until the dead host's place has lapsed, a second, and on a slow store three.
 func TestTheHeirLeadsOnceTheLeadsProcessIsGone(t *testing.T) {
-	c := newCell(t, 3, 2, 50*time.Millisecond)
+	c := newCluster(t, 3, 2, 50*time.Millisecond)
 	c.settled()
 	lead := c.leader()
 	require.Eventually(t, func() bool {
@@ -245,7 +245,7 @@
 func TestAProcessThatIsStillClosingIsGone(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	c := newCell(t, 1, 1, 50*time.Millisecond)
+	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	h := c.leader()
 	h.SetPeerAddr("dying", ln.Addr().String())
 	taken := make(chan struct{})
