--- a/internal/entry/cell_test.go
+++ b/internal/entry/cell_test.go
@@ -81,7 +81,7 @@
 	for i := range hosts {
 		c.start(fmt.Sprintf("h%d", i))
 	}
-	c.settled()
+	c.waitReady()
 	t.Cleanup(func() {
 		for _, h := range c.hosts {
 			h.Kill()
@@ -131,8 +131,8 @@
 	return a
 }
 
-// settled waits until one host leads and all are ready.
-func (c *cluster) settled() {
+// waitReady waits until one host leads and all are ready.
+func (c *cluster) waitReady() {
 	c.t.Helper()
 	require.Eventually(c.t, func() bool {
 		leads := 0
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -109,7 +109,7 @@
 	for name := range c.hosts {
 		c.start(name)
 	}
-	c.settled()
+	c.waitReady()
 	c.finished(c.follower(), 6)
 	require.Empty(t, c.checker.Wrongs())
 	for task, n := range c.checker.Runs() {
@@ -173,7 +173,7 @@
 		return code == http.StatusServiceUnavailable
 	}, waitTimeout, 20*time.Millisecond, "a host that can accept nothing is not ready")
 	c.log.Break("", users.None)
-	c.settled()
+	c.waitReady()
 	code, _ := c.get(h.cfg.Listen.Caller, prefix+id(0))
 	require.Equal(t, http.StatusGone, code)
 }
@@ -187,7 +187,7 @@
 	a := c.submit(h, 0)
 	require.Equal(t, http.StatusGatewayTimeout, a.code)
 	c.log.Break("", users.None)
-	c.settled()
+	c.waitReady()
 	c.finished(h, 1)
 }
 
@@ -318,7 +318,7 @@
 	c := newCluster(t, 2, 2, 50*time.Millisecond)
 	strong := c.start("strong", func(cfg *entry.Settings) { cfg.Power = 4 })
 	require.Eventually(t, strong.Leading, waitTimeout, 20*time.Millisecond)
-	c.settled()
+	c.waitReady()
 	require.Equal(t, http.StatusOK, c.submit(c.follower(), 0).code)
 	c.finished(c.follower(), 1)
 	require.Empty(t, c.checker.Wrongs())
--- a/internal/entry/journal_test.go
+++ b/internal/entry/journal_test.go
@@ -164,7 +164,7 @@
 	for name := range c.hosts {
 		c.start(name)
 	}
-	c.settled()
+	c.waitReady()
 	c.finished(c.follower(), jobs)
 	require.Empty(t, c.checker.Wrongs())
 	for task, n := range c.checker.Runs() {
@@ -202,7 +202,7 @@
 	c.hosts["h0"].Kill()
 	delete(c.hosts, "h0")
 	h := c.start("short", func(cfg *entry.Settings) { cfg.Times.Keep = entry.Duration(800 * time.Millisecond) })
-	c.settled()
+	c.waitReady()
 	require.Equal(t, http.StatusOK, c.submit(h, 0).code)
 	c.finished(h, 1)
 	for p := range 16 {
@@ -223,7 +223,7 @@
 	completed(1)
 	h.Kill()
 	h = c.start("short")
-	c.settled()
+	c.waitReady()
 	completed(2)
 	for task, n := range c.checker.Runs() {
 		require.Equal(t, 1, n, task)
--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -45,7 +45,7 @@
 	c.start("a", power(0.2))
 	strong := c.start("b", power(1))
 	c.start("z", power(0.2))
-	c.settled()
+	c.waitReady()
 	lead := c.hosts["h0"]
 	require.Eventually(t, func() bool { return lead.Leading() && lead.RecentHostCount() == 3 }, waitTimeout, 20*time.Millisecond)
 	lead.Stop()
@@ -92,7 +92,7 @@
 	weak := c.start("weak", func(cfg *entry.Settings) { cfg.Power = 0.2 })
 	require.Eventually(t, func() bool { return !weak.IsCandidate() }, waitTimeout, 20*time.Millisecond)
 	require.Eventually(t, func() bool { return !slices.Contains(c.members(), "weak") }, waitTimeout, 20*time.Millisecond)
-	c.settled()
+	c.waitReady()
 	for _, h := range []string{"h0", "h1", "h2"} {
 		require.True(t, c.hosts[h].IsCandidate())
 		c.hosts[h].Kill()
@@ -217,7 +217,7 @@
 // until the dead host's place has lapsed, a second, and on a slow store three.
 func TestTheHeirLeadsOnceTheLeadsProcessIsGone(t *testing.T) {
 	c := newCluster(t, 3, 2, 50*time.Millisecond)
-	c.settled()
+	c.waitReady()
 	lead := c.leader()
 	require.Eventually(t, func() bool {
 		heirs := 0
