--- a/internal/entry/cell_test.go
+++ b/internal/entry/cell_test.go
@@ -201,8 +201,8 @@
 	return c.call(h.cfg.Listen.Caller, http.MethodPost, prefix+id(n), twoSteps)
 }
 
-// finished waits until all jobs are shown as completed at that host.
-func (c *cluster) finished(h *testHost, jobs int) {
+// waitCompleted waits until all jobs are shown as completed at that host.
+func (c *cluster) waitCompleted(h *testHost, jobs int) {
 	c.t.Helper()
 	for n := range jobs {
 		require.Eventually(c.t, func() bool {
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -21,7 +21,7 @@
 	c := newCluster(t, 3, 4, 50*time.Millisecond)
 	f := c.follower()
 	require.Equal(t, http.StatusOK, c.submit(f, 0).code)
-	c.finished(c.leader(), 1)
+	c.waitCompleted(c.leader(), 1)
 	require.Len(t, c.checker.Runs(), 7)
 	require.Empty(t, c.checker.Wrongs())
 	code, body := c.get(f.cfg.Listen.Caller, prefix)
@@ -35,7 +35,7 @@
 	c := newCluster(t, 1, 2, 50*time.Millisecond)
 	lead := c.leader()
 	require.Equal(t, http.StatusOK, c.submit(lead, 0).code)
-	c.finished(lead, 1)
+	c.waitCompleted(lead, 1)
 	code, body := c.get(lead.cfg.Listen.Metrics, "/metrics")
 	require.Equal(t, http.StatusOK, code)
 	for _, name := range []string{"caller.store", "lead.append", "job.start.rank0", "step.wait.rank0"} {
@@ -91,7 +91,7 @@
 	dead := c.leader()
 	dead.Kill()
 	delete(c.hosts, dead.cfg.Name)
-	c.finished(f, 6)
+	c.waitCompleted(f, 6)
 	require.Empty(t, c.checker.Wrongs())
 }
 
@@ -110,7 +110,7 @@
 		c.start(name)
 	}
 	c.waitReady()
-	c.finished(c.follower(), 6)
+	c.waitCompleted(c.follower(), 6)
 	require.Empty(t, c.checker.Wrongs())
 	for task, n := range c.checker.Runs() {
 		require.Equal(t, 1, n, task)
@@ -139,7 +139,7 @@
 	}
 	delete(c.hosts, old.cfg.Name)
 	old.Kill()
-	c.finished(f, jobs)
+	c.waitCompleted(f, jobs)
 	require.Empty(t, c.checker.Wrongs())
 }
 
@@ -153,7 +153,7 @@
 		require.Equal(t, http.StatusOK, c.submit(f, i).code, "fault %d", fault)
 		c.log.Break(f.cfg.Name, users.None)
 	}
-	c.finished(f, 3)
+	c.waitCompleted(f, 3)
 	require.Empty(t, c.checker.Wrongs())
 }
 
@@ -188,7 +188,7 @@
 	require.Equal(t, http.StatusGatewayTimeout, a.code)
 	c.log.Break("", users.None)
 	c.waitReady()
-	c.finished(h, 1)
+	c.waitCompleted(h, 1)
 }
 
 // Orders are left without an answer, carried out or not. Each task runs at one
@@ -200,7 +200,7 @@
 			w.DropOrders(3, done)
 		}
 		require.Equal(t, http.StatusOK, c.submit(c.leader(), 0).code)
-		c.finished(c.leader(), 1)
+		c.waitCompleted(c.leader(), 1)
 		require.Empty(t, c.checker.Wrongs())
 	}
 }
@@ -217,7 +217,7 @@
 	}
 	require.Eventually(t, func() bool { return strings.Count(c.logs.String(), "entry passed over") == 7 }, waitTimeout, 20*time.Millisecond)
 	require.Equal(t, http.StatusOK, c.submit(c.leader(), 0).code)
-	c.finished(c.leader(), 1)
+	c.waitCompleted(c.leader(), 1)
 }
 
 // Guards against starts over the size of a worker that has shrunk.
@@ -235,9 +235,9 @@
 	for n := range 3 {
 		require.Equal(t, http.StatusOK, c.submit(h, 1+n).code)
 	}
-	c.finished(h, 2)
+	c.waitCompleted(h, 2)
 	resize(64 * users.TaskCPU)
-	c.finished(h, 4)
+	c.waitCompleted(h, 4)
 	for task, n := range c.checker.Runs() {
 		require.Equal(t, 1, n, task)
 	}
@@ -263,7 +263,7 @@
 			require.Equal(t, http.StatusOK, c.submit(h, 1).code)
 			require.Never(t, func() bool { return w.Running() > 4 }, time.Second, 10*time.Millisecond)
 			c.log.Put("servers", w.ID, w.Entry("pass", "zone0"))
-			c.finished(h, 2)
+			c.waitCompleted(h, 2)
 			for task, n := range c.checker.Runs() {
 				require.Equal(t, 1, n, task)
 			}
@@ -320,7 +320,7 @@
 	require.Eventually(t, strong.Leading, waitTimeout, 20*time.Millisecond)
 	c.waitReady()
 	require.Equal(t, http.StatusOK, c.submit(c.follower(), 0).code)
-	c.finished(c.follower(), 1)
+	c.waitCompleted(c.follower(), 1)
 	require.Empty(t, c.checker.Wrongs())
 }
 
@@ -389,7 +389,7 @@
 		require.NotEmpty(t, a.header.Get("Retry-After"))
 	}
 	c.log.Break("", users.None)
-	c.finished(f, 1)
+	c.waitCompleted(f, 1)
 }
 
 // Guards against a host that forgets the end of a job that it has told.
@@ -397,7 +397,7 @@
 	c := newCluster(t, 2, 2, 50*time.Millisecond)
 	lead, f := c.leader(), c.follower()
 	require.Equal(t, http.StatusOK, c.submit(f, 0).code)
-	c.finished(f, 1)
+	c.waitCompleted(f, 1)
 	c.log.Break("", users.Silent)
 	lead.Kill()
 	delete(c.hosts, lead.cfg.Name)
--- a/internal/entry/journal_test.go
+++ b/internal/entry/journal_test.go
@@ -155,7 +155,7 @@
 			require.Equal(t, http.StatusOK, c.submit(c.follower(), jobs).code)
 			jobs++
 		}
-		c.finished(c.follower(), jobs-1)
+		c.waitCompleted(c.follower(), jobs-1)
 		c.log.BreakPart("state", down, users.None)
 	}
 	for _, h := range c.hosts {
@@ -165,7 +165,7 @@
 		c.start(name)
 	}
 	c.waitReady()
-	c.finished(c.follower(), jobs)
+	c.waitCompleted(c.follower(), jobs)
 	require.Empty(t, c.checker.Wrongs())
 	for task, n := range c.checker.Runs() {
 		require.Equal(t, 1, n, task)
@@ -204,7 +204,7 @@
 	h := c.start("short", func(cfg *entry.Settings) { cfg.Times.Keep = entry.Duration(800 * time.Millisecond) })
 	c.waitReady()
 	require.Equal(t, http.StatusOK, c.submit(h, 0).code)
-	c.finished(h, 1)
+	c.waitCompleted(h, 1)
 	for p := range 16 {
 		c.log.BreakPart("jobs", p, users.Busy)
 	}
--- a/internal/entry/states_test.go
+++ b/internal/entry/states_test.go
@@ -65,7 +65,7 @@
 	const jobs = 120
 	c := newCluster(t, 3, 4, 20*time.Millisecond)
 	c.submitMany(c.follower(), 0, jobs)
-	c.finished(c.leader(), jobs)
+	c.waitCompleted(c.leader(), jobs)
 	c.leaderless()
 	before := c.log.Calls(store.Newest)
 	for _, h := range c.hosts {
@@ -96,7 +96,7 @@
 	const jobs = 30
 	c := newCluster(t, 3, 4, 20*time.Millisecond)
 	c.submitMany(c.leader(), 0, jobs)
-	c.finished(c.leader(), jobs)
+	c.waitCompleted(c.leader(), jobs)
 	ids := make([]string, jobs)
 	for n := range ids {
 		ids[n] = id(n)
@@ -130,7 +130,7 @@
 func TestStatesAreToldWhileTheLeadDoesNotAnswer(t *testing.T) {
 	c := newCluster(t, 3, 4, 20*time.Millisecond)
 	c.submitMany(c.follower(), 0, 20)
-	c.finished(c.leader(), 20)
+	c.waitCompleted(c.leader(), 20)
 	lead := c.leader()
 	release := lead.BlockCore()
 	defer release()
@@ -143,7 +143,7 @@
 func TestStatesAreToldWhileTheLeadReadsNothing(t *testing.T) {
 	c := newCluster(t, 2, 4, 20*time.Millisecond)
 	c.submitMany(c.leader(), 0, 20)
-	c.finished(c.leader(), 20)
+	c.waitCompleted(c.leader(), 20)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = ln.Close() })
--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -100,7 +100,7 @@
 	}
 	require.Eventually(t, weak.Leading, waitTimeout, 20*time.Millisecond)
 	require.Equal(t, http.StatusOK, c.submit(weak, 0).code)
-	c.finished(weak, 1)
+	c.waitCompleted(weak, 1)
 	require.Empty(t, c.checker.Wrongs())
 }
 
@@ -141,7 +141,7 @@
 	f.SetLeaderName(lead.cfg.Name)
 	require.Eventually(t, func() bool { return lead.KnowsJob(id(0)) }, waitTimeout, 20*time.Millisecond)
 	c.log.BreakReads("jobs", users.None)
-	c.finished(f, 1)
+	c.waitCompleted(f, 1)
 }
 
 // The lead asks the policy service through the hosts that it heard of. After a loss
@@ -173,7 +173,7 @@
 	c.log.BreakPart("lead", 0, users.None)
 	f := c.follower()
 	require.Equal(t, http.StatusOK, c.submit(f, 0).code)
-	c.finished(f, 1)
+	c.waitCompleted(f, 1)
 }
 
 // The group names a host while another one leads of which it has not heard. It leaves
@@ -235,7 +235,7 @@
 	require.Eventually(t, func() bool { return strings.Count(c.logs.String(), "term begins") == 2 }, waitTimeout, time.Millisecond)
 	require.Contains(t, c.logs.String(), `why="the lead's process is gone"`)
 	require.Equal(t, http.StatusOK, c.submit(c.leader(), 0).code)
-	c.finished(c.leader(), 1)
+	c.waitCompleted(c.leader(), 1)
 	require.Empty(t, c.checker.Wrongs())
 }
 
