--- a/internal/entry/cell_test.go
+++ b/internal/entry/cell_test.go
@@ -212,8 +212,8 @@
 	}
 }
 
-// members lists the hosts that stand ready to lead.
-func (c *cluster) members() []string {
+// candidates lists the hosts that stand ready to lead.
+func (c *cluster) candidates() []string {
 	a, err := c.log.For("").Do(c.t.Context(), store.Call{Op: store.Owners, Group: "hosts"})
 	require.NoError(c.t, err)
 	var all []string
--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -91,7 +91,7 @@
 	c := newCluster(t, 3, 2, 50*time.Millisecond)
 	weak := c.start("weak", func(cfg *entry.Settings) { cfg.Power = 0.2 })
 	require.Eventually(t, func() bool { return !weak.IsCandidate() }, waitTimeout, 20*time.Millisecond)
-	require.Eventually(t, func() bool { return !slices.Contains(c.members(), "weak") }, waitTimeout, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return !slices.Contains(c.candidates(), "weak") }, waitTimeout, 20*time.Millisecond)
 	c.waitReady()
 	for _, h := range []string{"h0", "h1", "h2"} {
 		require.True(t, c.hosts[h].IsCandidate())
