--- a/internal/entry/cell_test.go
+++ b/internal/entry/cell_test.go
@@ -166,13 +166,13 @@
 	return nil
 }
 
-type answer struct {
+type response struct {
 	code   int
 	body   string
 	header http.Header
 }
 
-func (c *cluster) call(addr netip.AddrPort, method, path, body string) answer {
+func (c *cluster) call(addr netip.AddrPort, method, path, body string) response {
 	req, err := http.NewRequestWithContext(c.t.Context(), method, "http://"+addr.String()+path, strings.NewReader(body))
 	require.NoError(c.t, err)
 	req.Host = callerHost
@@ -181,11 +181,11 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return answer{}
+		return response{}
 	}
 	defer resp.Body.Close()
 	b, _ := io.ReadAll(resp.Body)
-	return answer{code: resp.StatusCode, body: string(b), header: resp.Header}
+	return response{code: resp.StatusCode, body: string(b), header: resp.Header}
 }
 
 func (c *cluster) get(addr netip.AddrPort, path string) (int, string) {
@@ -197,7 +197,7 @@
 
 const twoSteps = `{"spec":"text","steps":[{"count":4,"cpu":500,"memMb":256,"estimateMs":200},{"count":3,"cpu":500,"memMb":256,"estimateMs":200,"after":[0]}]}`
 
-func (c *cluster) submit(h *testHost, n int) answer {
+func (c *cluster) submit(h *testHost, n int) response {
 	return c.call(h.cfg.Listen.Caller, http.MethodPost, prefix+id(n), twoSteps)
 }
 
