--- a/internal/entry/cell_test.go
+++ b/internal/entry/cell_test.go
@@ -193,12 +193,12 @@
 	return a.code, a.body
 }
 
-func id(n int) string { return fmt.Sprintf("%016x", n) }
+func jobID(n int) string { return fmt.Sprintf("%016x", n) }
 
 const twoSteps = `{"spec":"text","steps":[{"count":4,"cpu":500,"memMb":256,"estimateMs":200},{"count":3,"cpu":500,"memMb":256,"estimateMs":200,"after":[0]}]}`
 
 func (c *cluster) submit(h *testHost, n int) response {
-	return c.call(h.cfg.Listen.Caller, http.MethodPost, prefix+id(n), twoSteps)
+	return c.call(h.cfg.Listen.Caller, http.MethodPost, prefix+jobID(n), twoSteps)
 }
 
 // waitCompleted waits until all jobs are shown as completed at that host.
@@ -206,7 +206,7 @@
 	c.t.Helper()
 	for n := range jobs {
 		require.Eventually(c.t, func() bool {
-			_, body := c.get(h.cfg.Listen.Caller, prefix+id(n))
+			_, body := c.get(h.cfg.Listen.Caller, prefix+jobID(n))
 			return body == `{"state":"completed"}`
 		}, waitTimeout, 20*time.Millisecond, "job %d", n)
 	}
--- a/internal/entry/endings_test.go
+++ b/internal/entry/endings_test.go
@@ -52,7 +52,7 @@
 	release := lead.BlockCore()
 	defer release()
 	told := make(chan peer.StateReply, 1)
-	go func() { told <- lead.State(id(0)) }()
+	go func() { told <- lead.State(jobID(0)) }()
 	select {
 	case r := <-told:
 		require.Equal(t, peer.StateReply{Lead: true, Known: true, State: "completed"}, r)
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -46,11 +46,11 @@
 func TestWhatIsNotThereIsToldSo(t *testing.T) {
 	c := newCluster(t, 2, 1, 50*time.Millisecond)
 	for _, h := range c.hosts {
-		code, _ := c.get(h.cfg.Listen.Caller, "/nowhere/"+id(1))
+		code, _ := c.get(h.cfg.Listen.Caller, "/nowhere/"+jobID(1))
 		require.Equal(t, http.StatusNotFound, code)
-		code, _ = c.get(h.cfg.Listen.Caller, prefix+id(1))
+		code, _ = c.get(h.cfg.Listen.Caller, prefix+jobID(1))
 		require.Equal(t, http.StatusGone, code)
-		require.Equal(t, http.StatusGone, c.call(h.cfg.Listen.Caller, http.MethodDelete, prefix+id(1), "").code)
+		require.Equal(t, http.StatusGone, c.call(h.cfg.Listen.Caller, http.MethodDelete, prefix+jobID(1), "").code)
 	}
 }
 
@@ -70,12 +70,12 @@
 		`{"spec":"` + strings.Repeat("x", 5000) + `"}`: "spec",
 	}
 	for body, field := range bad {
-		a := c.call(h.cfg.Listen.Caller, http.MethodPost, prefix+id(9), body)
+		a := c.call(h.cfg.Listen.Caller, http.MethodPost, prefix+jobID(9), body)
 		require.GreaterOrEqual(t, a.code, 400, body)
 		require.Less(t, a.code, 500, body)
 		require.Contains(t, a.body, field)
 	}
-	code, _ := c.get(h.cfg.Listen.Caller, prefix+id(9))
+	code, _ := c.get(h.cfg.Listen.Caller, prefix+jobID(9))
 	require.Equal(t, http.StatusGone, code)
 }
 
@@ -174,7 +174,7 @@
 	}, waitTimeout, 20*time.Millisecond, "a host that can accept nothing is not ready")
 	c.log.Break("", users.None)
 	c.waitReady()
-	code, _ := c.get(h.cfg.Listen.Caller, prefix+id(0))
+	code, _ := c.get(h.cfg.Listen.Caller, prefix+jobID(0))
 	require.Equal(t, http.StatusGone, code)
 }
 
@@ -301,12 +301,12 @@
 	require.Equal(t, http.StatusOK, c.submit(h, 0).code)
 	running := func() int { return c.workers[0].Running() + c.workers[1].Running() }
 	require.Eventually(t, func() bool { return running() == 4 }, waitTimeout, 5*time.Millisecond)
-	require.Equal(t, http.StatusOK, c.call(h.cfg.Listen.Caller, http.MethodDelete, prefix+id(0), "").code)
+	require.Equal(t, http.StatusOK, c.call(h.cfg.Listen.Caller, http.MethodDelete, prefix+jobID(0), "").code)
 	require.Eventually(t, func() bool { return running() == 0 }, waitTimeout, 5*time.Millisecond)
 	h.Kill()
 	delete(c.hosts, h.cfg.Name)
 	require.Eventually(t, func() bool {
-		_, body := c.get(f.cfg.Listen.Caller, prefix+id(0))
+		_, body := c.get(f.cfg.Listen.Caller, prefix+jobID(0))
 		return body == `{"state":"cancelled"}`
 	}, waitTimeout, 20*time.Millisecond)
 	require.Zero(t, running())
@@ -377,14 +377,14 @@
 	lead, f := c.leader(), c.follower()
 	require.Equal(t, http.StatusOK, c.submit(f, 0).code)
 	require.Eventually(t, func() bool {
-		_, body := c.get(lead.cfg.Listen.Caller, prefix+id(0))
+		_, body := c.get(lead.cfg.Listen.Caller, prefix+jobID(0))
 		return body == `{"state":"running"}`
 	}, waitTimeout, 10*time.Millisecond)
 	c.log.Break("", users.Silent)
 	lead.Kill()
 	delete(c.hosts, lead.cfg.Name)
 	for range 10 {
-		a := c.call(f.cfg.Listen.Caller, http.MethodGet, prefix+id(0), "")
+		a := c.call(f.cfg.Listen.Caller, http.MethodGet, prefix+jobID(0), "")
 		require.Equal(t, http.StatusServiceUnavailable, a.code, a.body)
 		require.NotEmpty(t, a.header.Get("Retry-After"))
 	}
--- a/internal/entry/journal_test.go
+++ b/internal/entry/journal_test.go
@@ -187,7 +187,7 @@
 	}
 	for _, fault := range []users.Fault{users.Busy, users.Silent} {
 		require.Eventually(t, func() bool {
-			_, body := c.get(h.cfg.Listen.Caller, prefix+id(int(fault)))
+			_, body := c.get(h.cfg.Listen.Caller, prefix+jobID(int(fault)))
 			return body == `{"state":"completed"}`
 		}, waitTimeout, 20*time.Millisecond)
 	}
@@ -208,14 +208,14 @@
 	for p := range 16 {
 		c.log.BreakPart("jobs", p, users.Busy)
 	}
-	require.Eventually(t, func() bool { return !h.KnowsJob(id(0)) }, waitTimeout, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return !h.KnowsJob(jobID(0)) }, waitTimeout, 20*time.Millisecond)
 	for p := range 16 {
 		c.log.BreakPart("jobs", p, users.None)
 	}
 	completed := func(n int) {
 		require.Equal(t, http.StatusOK, c.submit(h, n).code)
 		require.Eventually(t, func() bool {
-			_, body := c.get(h.cfg.Listen.Caller, prefix+id(n))
+			_, body := c.get(h.cfg.Listen.Caller, prefix+jobID(n))
 			return body == `{"state":"completed"}`
 		}, waitTimeout, 20*time.Millisecond)
 	}
--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -21,14 +21,14 @@
 	c.t.Helper()
 	v := fmt.Appendf(nil, `{"t":1,"a":%d,"s":%q,"b":%d}`, version, state, began.UnixMilli())
 	_, err := c.log.For("").Do(c.t.Context(), store.Call{
-		Op: store.Append, Topic: "state", Part: part, Keyed: true, Records: []store.Record{{Key: id(n), Value: v}},
+		Op: store.Append, Topic: "state", Part: part, Keyed: true, Records: []store.Record{{Key: jobID(n), Value: v}},
 	})
 	require.NoError(c.t, err)
 }
 
 // told is what a host answers to the question for a job.
 func (c *cluster) told(h *testHost, n int) string {
-	code, body := c.get(h.cfg.Listen.Caller, prefix+id(n))
+	code, body := c.get(h.cfg.Listen.Caller, prefix+jobID(n))
 	if code != http.StatusOK {
 		return fmt.Sprint(code)
 	}
@@ -86,7 +86,7 @@
 func TestAJobWhoseRecordCannotBeReadIsNotMissing(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	c.leaderless()
-	c.log.Put("state", id(0), []byte("{"))
+	c.log.Put("state", jobID(0), []byte("{"))
 	require.Equal(t, untold, c.told(c.follower(), 0))
 }
 
@@ -96,8 +96,8 @@
 	long := time.Now().Add(-time.Hour)
 	c.record(0, 0, 1, "running", long)
 	c.record(0, 1, 1, "running", long)
-	c.log.Put("jobs", id(1), []byte("{}"))
-	c.log.Put("jobs", id(2)+"!", []byte("1"))
+	c.log.Put("jobs", jobID(1), []byte("{}"))
+	c.log.Put("jobs", jobID(2)+"!", []byte("1"))
 	c.leaderless()
 	h := c.follower()
 	require.Equal(t, missing, c.told(h, 0))
@@ -161,9 +161,9 @@
 // Guards against a job that a lead tells as missing since it could not read what is stored of it.
 func TestALeadDoesNotTellAJobThatItCannotReadAsMissing(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
-	c.log.Put("jobs", id(0), fmt.Appendf(nil, `{"id":%q,"queue":{"name":"scan","service":"pass"},"steps":[{"tasks":1}]}`, id(0)))
-	c.log.Put("state", id(0), []byte("{"))
-	c.log.Put("jobs", id(1), []byte("{"))
+	c.log.Put("jobs", jobID(0), fmt.Appendf(nil, `{"id":%q,"queue":{"name":"scan","service":"pass"},"steps":[{"tasks":1}]}`, jobID(0)))
+	c.log.Put("state", jobID(0), []byte("{"))
+	c.log.Put("jobs", jobID(1), []byte("{"))
 	former := c.leader()
 	former.Kill()
 	delete(c.hosts, former.cfg.Name)
@@ -194,7 +194,7 @@
 	c.leaderless()
 	h := c.follower()
 	require.Equal(t, completed, c.told(h, 0))
-	require.True(t, h.KnowsFinalStates(id(1)))
+	require.True(t, h.KnowsFinalStates(jobID(1)))
 }
 
 // Guards against a caller who is kept waiting at a host that is cut off from lead and store.
@@ -203,7 +203,7 @@
 	h := c.follower()
 	h.LearnLeader("silent", c.lead(""), 1<<40)
 	c.log.Break("", users.Silent)
-	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+h.cfg.Listen.Caller.String()+prefix+id(0), http.NoBody)
+	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+h.cfg.Listen.Caller.String()+prefix+jobID(0), http.NoBody)
 	require.NoError(t, err)
 	req.Host = callerHost
 	req.Header.Set("X-Deadline-Ms", "600000")
@@ -223,6 +223,6 @@
 	told := make(chan string, 1)
 	go func() { told <- c.told(h, 0) }()
 	time.Sleep(100 * time.Millisecond)
-	h.SyncPositionAfter(peer.SyncReply{Lead: true, Term: 1 << 40, Ended: map[string][]string{"completed": {id(0)}}})
+	h.SyncPositionAfter(peer.SyncReply{Lead: true, Term: 1 << 40, Ended: map[string][]string{"completed": {jobID(0)}}})
 	require.Equal(t, completed, <-told)
 }
--- a/internal/entry/states_test.go
+++ b/internal/entry/states_test.go
@@ -23,7 +23,7 @@
 	var wg sync.WaitGroup
 	for i := range n {
 		wg.Go(func() {
-			a := c.call(h.cfg.Listen.Caller, http.MethodPost, prefix+id(first+i), oneTask)
+			a := c.call(h.cfg.Listen.Caller, http.MethodPost, prefix+jobID(first+i), oneTask)
 			if a.code != http.StatusOK {
 				c.t.Errorf("job %d: %d %s", first+i, a.code, a.body)
 			}
@@ -39,7 +39,7 @@
 	told := map[string]int{}
 	for n := range jobs {
 		wg.Go(func() {
-			code, body := c.get(h.cfg.Listen.Caller, prefix+id(n))
+			code, body := c.get(h.cfg.Listen.Caller, prefix+jobID(n))
 			mu.Lock()
 			defer mu.Unlock()
 			told[fmt.Sprint(code, " ", body)]++
@@ -82,7 +82,7 @@
 	c.leaderless()
 	now := time.Now().UnixMilli()
 	for n := range jobs {
-		c.log.Put("state", id(n), fmt.Appendf(nil, `{"s":"completed","b":%d,"e":%d}`, now, now))
+		c.log.Put("state", jobID(n), fmt.Appendf(nil, `{"s":"completed","b":%d,"e":%d}`, now, now))
 	}
 	h := c.follower()
 	c.deadline = waitTimeout
@@ -99,7 +99,7 @@
 	c.waitCompleted(c.leader(), jobs)
 	ids := make([]string, jobs)
 	for n := range ids {
-		ids[n] = id(n)
+		ids[n] = jobID(n)
 	}
 	for name, h := range c.hosts {
 		require.Eventually(t, func() bool { return h.KnowsFinalStates(ids...) }, waitTimeout, 20*time.Millisecond, name)
@@ -121,7 +121,7 @@
 	c.submitMany(f, 0, 1)
 	for _, h := range c.hosts {
 		require.Equal(t, map[string]int{`200 {"state":"queued"}`: 1}, c.toldBy(h, 1), h.cfg.Name)
-		code, _ := c.get(h.cfg.Listen.Caller, prefix+id(7))
+		code, _ := c.get(h.cfg.Listen.Caller, prefix+jobID(7))
 		require.Equal(t, http.StatusGone, code, "a job that nobody handed in")
 	}
 }
@@ -164,7 +164,7 @@
 		}
 	}
 	for _, h := range c.hosts {
-		a := c.call(h.cfg.Listen.Caller, http.MethodGet, prefix+id(9), "")
+		a := c.call(h.cfg.Listen.Caller, http.MethodGet, prefix+jobID(9), "")
 		require.Equal(t, http.StatusServiceUnavailable, a.code, a.body)
 		require.Equal(t, "1", a.header.Get("Retry-After"))
 	}
@@ -177,7 +177,7 @@
 	c.log.BreakReads("jobs", users.Busy)
 	h.BeginTerm(1<<40, time.Now().Add(-3*time.Second))
 	for n := range 300 {
-		r := h.StateDuringPoll(id(n))
+		r := h.StateDuringPoll(jobID(n))
 		require.True(t, r.Known || r.Unsure, n)
 	}
 }
@@ -198,7 +198,7 @@
 	require.Eventually(t, func() bool { return c.follower() == nil }, waitTimeout, 10*time.Millisecond)
 	h := c.leader()
 	time.Sleep(time.Until(stored.Add(3100 * time.Millisecond)))
-	told := h.State(id(1))
+	told := h.State(jobID(1))
 	require.True(t, told.Lead)
 	require.True(t, told.Unsure, "the job was stored three seconds ago and is not read yet")
 }
--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -111,15 +111,15 @@
 func TestALeadKnowsOnlyWhatWasStoredBeforeItRead(t *testing.T) {
 	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	h := c.leader()
-	require.False(t, h.IsUncertain(id(0)), "it has just read")
+	require.False(t, h.IsUncertain(jobID(0)), "it has just read")
 	h.BeginTerm(1<<40, time.Now().Add(-3*time.Second))
-	require.True(t, h.IsUncertain(id(0)))
+	require.True(t, h.IsUncertain(jobID(0)))
 	c.log.BreakReads("jobs", users.Busy)
-	code, _ := c.get(h.cfg.Listen.Caller, prefix+id(0))
+	code, _ := c.get(h.cfg.Listen.Caller, prefix+jobID(0))
 	require.Equal(t, http.StatusServiceUnavailable, code)
 	c.log.BreakReads("jobs", users.None)
-	c.log.Put("jobs", id(0), fmt.Appendf(nil, `{"id":%q,"queue":{"name":"scan","service":"pass"},"steps":[{"tasks":1}]}`, id(0)))
-	code, body := c.get(h.cfg.Listen.Caller, prefix+id(0))
+	c.log.Put("jobs", jobID(0), fmt.Appendf(nil, `{"id":%q,"queue":{"name":"scan","service":"pass"},"steps":[{"tasks":1}]}`, jobID(0)))
+	code, body := c.get(h.cfg.Listen.Caller, prefix+jobID(0))
 	require.Equal(t, http.StatusOK, code, body)
 }
 
@@ -137,9 +137,9 @@
 		}
 	}
 	require.Equal(t, http.StatusOK, c.submit(f, 0).code)
-	require.Never(t, func() bool { return lead.KnowsJob(id(0)) }, 300*time.Millisecond, 20*time.Millisecond)
+	require.Never(t, func() bool { return lead.KnowsJob(jobID(0)) }, 300*time.Millisecond, 20*time.Millisecond)
 	f.SetLeaderName(lead.cfg.Name)
-	require.Eventually(t, func() bool { return lead.KnowsJob(id(0)) }, waitTimeout, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return lead.KnowsJob(jobID(0)) }, waitTimeout, 20*time.Millisecond)
 	c.log.BreakReads("jobs", users.None)
 	c.waitCompleted(f, 1)
 }
