--- a/internal/entry/journal_test.go
+++ b/internal/entry/journal_test.go
@@ -38,8 +38,8 @@
 	require.NoError(t, err)
 }
 
-// newest lists the records of a partition without its claim.
-func newest(t *testing.T, log *users.Log, part int) map[string]string {
+// newestRecords lists the records of a partition without its claim.
+func newestRecords(t *testing.T, log *users.Log, part int) map[string]string {
 	all, _, err := store.Table(t.Context(), log.For(""), "state", part)
 	require.NoError(t, err)
 	got := map[string]string{}
@@ -67,18 +67,18 @@
 	for _, fault := range []users.Fault{users.Busy, users.Silent, users.Lost} {
 		log, b := newJournal(t, 7)
 		require.NoError(t, b.Append(t.Context(), next(), record("a", "1"), patience))
-		require.Equal(t, map[string]string{"a": "1"}, newest(t, log, 0))
+		require.Equal(t, map[string]string{"a": "1"}, newestRecords(t, log, 0))
 		log.BreakPart("state", 0, fault)
 		log.BreakPart("state", 5, fault)
 		require.NoError(t, b.Append(t.Context(), next(), record("a", "2"), patience))
-		require.Equal(t, map[string]string{"a": "2"}, newest(t, log, 10))
+		require.Equal(t, map[string]string{"a": "2"}, newestRecords(t, log, 10))
 		log.BreakPart("state", 0, users.None)
 		log.BreakPart("state", 5, users.None)
 		// What had no answer is repeated until it has one; later numbers follow.
 		for range 40 {
 			require.NoError(t, b.Append(t.Context(), next(), record("a", "3"), patience))
 		}
-		require.Equal(t, map[string]string{"a": "3"}, newest(t, log, 10))
+		require.Equal(t, map[string]string{"a": "3"}, newestRecords(t, log, 10))
 	}
 }
 
@@ -95,7 +95,7 @@
 		require.ErrorAs(t, err, new(*store.FencedError))
 		log.BreakPart("state", down, users.None)
 		for _, p := range []int{0, 5, 10} {
-			require.Empty(t, newest(t, log, p))
+			require.Empty(t, newestRecords(t, log, p))
 		}
 	}
 }
@@ -119,7 +119,7 @@
 	log.BreakPart("state", 5, users.None)
 	<-done
 	require.True(t, stored.Load())
-	require.Equal(t, map[string]string{"a": "1"}, newest(t, log, 5))
+	require.Equal(t, map[string]string{"a": "1"}, newestRecords(t, log, 5))
 }
 
 // An ended job is forgotten in every partition that may hold its record. Left in
@@ -139,7 +139,7 @@
 	require.NoError(t, b.Append(t.Context(), next(), record("b", "2"), patience))
 	for _, p := range []int{0, 5, 10} {
 		log.BreakPart("state", p, users.None)
-		require.NotContains(t, newest(t, log, p), "a")
+		require.NotContains(t, newestRecords(t, log, p), "a")
 	}
 }
 
@@ -277,7 +277,7 @@
 		for _, key := range keys {
 			var best []byte
 			for _, p := range []int{0, 5, 10} {
-				if v, ok := newest(t, log, p)[key]; ok {
+				if v, ok := newestRecords(t, log, p)[key]; ok {
 					best = flow.Newer(best, []byte(v))
 				}
 			}
