--- a/internal/entry/journal_test.go
+++ b/internal/entry/journal_test.go
@@ -51,10 +51,10 @@
 	return got
 }
 
-// numbers counts appends.
-var numbers atomic.Int64
+// lastNumber counts appends.
+var lastNumber atomic.Int64
 
-func nextNumber() int64 { return numbers.Add(1) }
+func nextNumber() int64 { return lastNumber.Add(1) }
 
 func record(key, value string) []store.Record {
 	return []store.Record{{Key: key, Value: []byte(value)}}
