--- a/internal/entry/journal_test.go
+++ b/internal/entry/journal_test.go
@@ -56,7 +56,7 @@
 
 func nextNumber() int64 { return lastNumber.Add(1) }
 
-func record(key, value string) []store.Record {
+func oneRecord(key, value string) []store.Record {
 	return []store.Record{{Key: key, Value: []byte(value)}}
 }
 
@@ -66,17 +66,17 @@
 func TestAPartitionThatIsDownStopsNothing(t *testing.T) {
 	for _, fault := range []users.Fault{users.Busy, users.Silent, users.Lost} {
 		log, b := newJournal(t, 7)
-		require.NoError(t, b.Append(t.Context(), nextNumber(), record("a", "1"), patience))
+		require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("a", "1"), patience))
 		require.Equal(t, map[string]string{"a": "1"}, newestRecords(t, log, 0))
 		log.BreakPart("state", 0, fault)
 		log.BreakPart("state", 5, fault)
-		require.NoError(t, b.Append(t.Context(), nextNumber(), record("a", "2"), patience))
+		require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("a", "2"), patience))
 		require.Equal(t, map[string]string{"a": "2"}, newestRecords(t, log, 10))
 		log.BreakPart("state", 0, users.None)
 		log.BreakPart("state", 5, users.None)
 		// What had no answer is repeated until it has one; later numbers follow.
 		for range 40 {
-			require.NoError(t, b.Append(t.Context(), nextNumber(), record("a", "3"), patience))
+			require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("a", "3"), patience))
 		}
 		require.Equal(t, map[string]string{"a": "3"}, newestRecords(t, log, 10))
 	}
@@ -91,7 +91,7 @@
 			claim(t, log, p, 8)
 		}
 		log.BreakPart("state", down, users.Busy)
-		err := b.Append(t.Context(), nextNumber(), record("a", "1"), patience)
+		err := b.Append(t.Context(), nextNumber(), oneRecord("a", "1"), patience)
 		require.ErrorAs(t, err, new(*store.FencedError))
 		log.BreakPart("state", down, users.None)
 		for _, p := range []int{0, 5, 10} {
@@ -110,7 +110,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if b.Append(context.WithoutCancel(t.Context()), nextNumber(), record("a", "1"), patience) == nil {
+		if b.Append(context.WithoutCancel(t.Context()), nextNumber(), oneRecord("a", "1"), patience) == nil {
 			stored.Store(true)
 		}
 	}()
@@ -126,17 +126,17 @@
 // one, it would be read as the newest once the others are gone.
 func TestAForgottenJobIsDroppedEverywhere(t *testing.T) {
 	log, b := newJournal(t, 7)
-	require.NoError(t, b.Append(t.Context(), nextNumber(), record("a", "1"), patience))
+	require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("a", "1"), patience))
 	log.BreakPart("state", 0, users.Busy)
-	require.NoError(t, b.Append(t.Context(), nextNumber(), record("a", "2"), patience))
+	require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("a", "2"), patience))
 	b.Drop(t.Context(), "a")
 	log.BreakPart("state", 0, users.None)
 	log.BreakPart("state", 5, users.Busy)
-	require.NoError(t, b.Append(t.Context(), nextNumber(), record("b", "1"), patience))
+	require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("b", "1"), patience))
 	log.BreakPart("state", 5, users.None)
 	log.BreakPart("state", 0, users.Busy)
 	log.BreakPart("state", 10, users.Busy)
-	require.NoError(t, b.Append(t.Context(), nextNumber(), record("b", "2"), patience))
+	require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("b", "2"), patience))
 	for _, p := range []int{0, 5, 10} {
 		log.BreakPart("state", p, users.None)
 		require.NotContains(t, newestRecords(t, log, p), "a")
@@ -261,7 +261,7 @@
 			turns <- struct{}{}
 			wg.Go(func() {
 				defer func() { <-turns }()
-				if b.Append(t.Context(), n, record(key, fmt.Sprintf(`{"t":7,"a":%d}`, n)), 5*time.Millisecond) != nil {
+				if b.Append(t.Context(), n, oneRecord(key, fmt.Sprintf(`{"t":7,"a":%d}`, n)), 5*time.Millisecond) != nil {
 					return
 				}
 				mu.Lock()
@@ -300,7 +300,7 @@
 		wg.Go(func() {
 			for range 300 {
 				var one sync.WaitGroup
-				one.Go(func() { _ = b.Append(t.Context(), nextNumber(), record("a", "1"), patience) })
+				one.Go(func() { _ = b.Append(t.Context(), nextNumber(), oneRecord("a", "1"), patience) })
 				one.Wait()
 			}
 		})
