--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -16,8 +16,8 @@
 	"pollencroft/internal/store"
 )
 
-// record puts a job's progress into a partition.
-func (c *cluster) record(part, n, version int, state string, began time.Time) {
+// putRecord puts a job's progress into a partition.
+func (c *cluster) putRecord(part, n, version int, state string, began time.Time) {
 	c.t.Helper()
 	v := fmt.Appendf(nil, `{"t":1,"a":%d,"s":%q,"b":%d}`, version, state, began.UnixMilli())
 	_, err := c.log.For("").Do(c.t.Context(), store.Call{
@@ -47,11 +47,11 @@
 	now := time.Now()
 	for n := range 2 {
 		older, newer := n%2*5, (1-n%2)*5
-		c.record(older, n, 1, "queued", now)
-		c.record(newer, n, 2, "running", now)
+		c.putRecord(older, n, 1, "queued", now)
+		c.putRecord(newer, n, 2, "running", now)
 	}
-	c.record(0, 2, 2, "completed", now)
-	c.record(5, 2, 1, "running", now)
+	c.putRecord(0, 2, 2, "completed", now)
+	c.putRecord(5, 2, 1, "running", now)
 	c.leaderless()
 	h := c.follower()
 	for n := range 2 {
@@ -70,7 +70,7 @@
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	now := time.Now()
 	for n := range jobs {
-		c.record(0, n, 1, "running", now)
+		c.putRecord(0, n, 1, "running", now)
 	}
 	c.leaderless()
 	h := c.follower()
@@ -94,8 +94,8 @@
 func TestAForgottenJobIsNotToldAsRunning(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	long := time.Now().Add(-time.Hour)
-	c.record(0, 0, 1, "running", long)
-	c.record(0, 1, 1, "running", long)
+	c.putRecord(0, 0, 1, "running", long)
+	c.putRecord(0, 1, 1, "running", long)
 	c.log.Put("jobs", jobID(1), []byte("{}"))
 	c.log.Put("jobs", jobID(2)+"!", []byte("1"))
 	c.leaderless()
@@ -189,7 +189,7 @@
 func TestEndsThatStandOnAPageAreKept(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	for n := range 2 {
-		c.record(0, n, 1, "completed", time.Now())
+		c.putRecord(0, n, 1, "completed", time.Now())
 	}
 	c.leaderless()
 	h := c.follower()
