--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -26,8 +26,8 @@
 	require.NoError(c.t, err)
 }
 
-// told is what a host answers to the question for a job.
-func (c *cluster) told(h *testHost, n int) string {
+// stateAt is what a host answers to the question for a job.
+func (c *cluster) stateAt(h *testHost, n int) string {
 	code, body := c.get(h.cfg.Listen.Caller, prefix+jobID(n))
 	if code != http.StatusOK {
 		return fmt.Sprint(code)
@@ -55,13 +55,13 @@
 	c.leaderless()
 	h := c.follower()
 	for n := range 2 {
-		require.Equal(t, runs, c.told(h, n), n)
+		require.Equal(t, runs, c.stateAt(h, n), n)
 	}
 	c.log.BreakPart("state", 5, users.Busy)
 	for n := range 2 {
-		require.Equal(t, untold, c.told(h, n), "a partition that is down may hold a newer one")
+		require.Equal(t, untold, c.stateAt(h, n), "a partition that is down may hold a newer one")
 	}
-	require.Equal(t, completed, c.told(h, 2), "nothing is newer than the end")
+	require.Equal(t, completed, c.stateAt(h, 2), "nothing is newer than the end")
 }
 
 // Guards against jobs that are not found as they stand on different pages.
@@ -76,7 +76,7 @@
 	h := c.follower()
 	asked := map[string]int{}
 	for n := 0; n < jobs; n += 400 {
-		asked[c.told(h, n)]++
+		asked[c.stateAt(h, n)]++
 	}
 	require.Equal(t, map[string]int{runs: 3}, asked)
 	require.Equal(t, map[string]int{runs: jobs}, c.toldBy(h, jobs))
@@ -87,7 +87,7 @@
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	c.leaderless()
 	c.log.Put("state", jobID(0), []byte("{"))
-	require.Equal(t, untold, c.told(c.follower(), 0))
+	require.Equal(t, untold, c.stateAt(c.follower(), 0))
 }
 
 // Guards against a job that was forgotten and is told as running from what one partition still has of it.
@@ -100,9 +100,9 @@
 	c.log.Put("jobs", jobID(2)+"!", []byte("1"))
 	c.leaderless()
 	h := c.follower()
-	require.Equal(t, missing, c.told(h, 0))
-	require.Equal(t, runs, c.told(h, 1), "it was accepted and not forgotten")
-	require.Equal(t, missing, c.told(h, 2), "it was cancelled and never accepted")
+	require.Equal(t, missing, c.stateAt(h, 0))
+	require.Equal(t, runs, c.stateAt(h, 1), "it was accepted and not forgotten")
+	require.Equal(t, missing, c.stateAt(h, 2), "it was cancelled and never accepted")
 }
 
 // lead is a host that leads a term and tells one state, or none.
@@ -137,7 +137,7 @@
 	c.log.BreakReads("state", users.Silent)
 	h.LearnLeader("silent", silent, 1<<40)
 	told := make(chan string, 1)
-	go func() { told <- c.told(h, 0) }()
+	go func() { told <- c.stateAt(h, 0) }()
 	time.Sleep(100 * time.Millisecond)
 	h.LearnLeader("next", next, 1<<40+1)
 	require.Equal(t, runs, <-told)
@@ -152,7 +152,7 @@
 	h.LearnLeader("silent", silent, 1<<40)
 	h.SetPeerAddr("next", next.String())
 	told := make(chan string, 1)
-	go func() { told <- c.told(h, 0) }()
+	go func() { told <- c.stateAt(h, 0) }()
 	time.Sleep(100 * time.Millisecond)
 	h.SetLeaderName("next")
 	require.Equal(t, runs, <-told)
@@ -168,8 +168,8 @@
 	former.Kill()
 	delete(c.hosts, former.cfg.Name)
 	require.Eventually(t, func() bool { return c.leader() != nil }, waitTimeout, 10*time.Millisecond)
-	require.Equal(t, untold, c.told(c.leader(), 0))
-	require.Equal(t, `200 {"state":"queued"}`, c.told(c.leader(), 1))
+	require.Equal(t, untold, c.stateAt(c.leader(), 0))
+	require.Equal(t, `200 {"state":"queued"}`, c.stateAt(c.leader(), 1))
 }
 
 // Guards against hosts that tell nothing of jobs that run while the lead is reached and does not answer.
@@ -193,7 +193,7 @@
 	}
 	c.leaderless()
 	h := c.follower()
-	require.Equal(t, completed, c.told(h, 0))
+	require.Equal(t, completed, c.stateAt(h, 0))
 	require.True(t, h.KnowsFinalStates(jobID(1)))
 }
 
@@ -221,7 +221,7 @@
 	c.log.BreakReads("state", users.Silent)
 	h.LearnLeader("silent", c.lead(""), 1<<40)
 	told := make(chan string, 1)
-	go func() { told <- c.told(h, 0) }()
+	go func() { told <- c.stateAt(h, 0) }()
 	time.Sleep(100 * time.Millisecond)
 	h.SyncPositionAfter(peer.SyncReply{Lead: true, Term: 1 << 40, Ended: map[string][]string{"completed": {jobID(0)}}})
 	require.Equal(t, completed, <-told)
