--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -36,9 +36,9 @@
 }
 
 const (
-	runs    = `200 {"state":"running"}`
-	missing = "410"
-	untold  = "503"
+	runningReply = `200 {"state":"running"}`
+	missing      = "410"
+	untold       = "503"
 )
 
 // Guards against an older record that is told while a newer one lies in another partition.
@@ -55,7 +55,7 @@
 	c.leaderless()
 	h := c.follower()
 	for n := range 2 {
-		require.Equal(t, runs, c.stateAt(h, n), n)
+		require.Equal(t, runningReply, c.stateAt(h, n), n)
 	}
 	c.log.BreakPart("state", 5, users.Busy)
 	for n := range 2 {
@@ -78,8 +78,8 @@
 	for n := 0; n < jobs; n += 400 {
 		asked[c.stateAt(h, n)]++
 	}
-	require.Equal(t, map[string]int{runs: 3}, asked)
-	require.Equal(t, map[string]int{runs: jobs}, c.toldBy(h, jobs))
+	require.Equal(t, map[string]int{runningReply: 3}, asked)
+	require.Equal(t, map[string]int{runningReply: jobs}, c.toldBy(h, jobs))
 }
 
 // Guards against a job that is told as missing since its record cannot be read.
@@ -101,7 +101,7 @@
 	c.leaderless()
 	h := c.follower()
 	require.Equal(t, missing, c.stateAt(h, 0))
-	require.Equal(t, runs, c.stateAt(h, 1), "it was accepted and not forgotten")
+	require.Equal(t, runningReply, c.stateAt(h, 1), "it was accepted and not forgotten")
 	require.Equal(t, missing, c.stateAt(h, 2), "it was cancelled and never accepted")
 }
 
@@ -140,7 +140,7 @@
 	go func() { told <- c.stateAt(h, 0) }()
 	time.Sleep(100 * time.Millisecond)
 	h.LearnLeader("next", next, 1<<40+1)
-	require.Equal(t, runs, <-told)
+	require.Equal(t, runningReply, <-told)
 }
 
 // Guards against a question that stays with a lead that another host has fenced off.
@@ -155,7 +155,7 @@
 	go func() { told <- c.stateAt(h, 0) }()
 	time.Sleep(100 * time.Millisecond)
 	h.SetLeaderName("next")
-	require.Equal(t, runs, <-told)
+	require.Equal(t, runningReply, <-told)
 }
 
 // Guards against a job that a lead tells as missing since it could not read what is stored of it.
@@ -177,11 +177,11 @@
 	c := newCluster(t, 3, 4, time.Minute)
 	c.submitMany(c.follower(), 0, 4)
 	lead := c.leader()
-	require.Eventually(t, func() bool { return c.toldBy(lead, 4)[runs] == 4 }, waitTimeout, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return c.toldBy(lead, 4)[runningReply] == 4 }, waitTimeout, 20*time.Millisecond)
 	release := lead.BlockCore()
 	defer release()
 	for name, h := range c.hosts {
-		require.Equal(t, map[string]int{runs: 4}, c.toldBy(h, 4), name)
+		require.Equal(t, map[string]int{runningReply: 4}, c.toldBy(h, 4), name)
 	}
 }
 
