--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -37,7 +37,7 @@
 
 const (
 	runningReply = `200 {"state":"running"}`
-	missing      = "410"
+	missingReply = "410"
 	untold       = "503"
 )
 
@@ -100,9 +100,9 @@
 	c.log.Put("jobs", jobID(2)+"!", []byte("1"))
 	c.leaderless()
 	h := c.follower()
-	require.Equal(t, missing, c.stateAt(h, 0))
+	require.Equal(t, missingReply, c.stateAt(h, 0))
 	require.Equal(t, runningReply, c.stateAt(h, 1), "it was accepted and not forgotten")
-	require.Equal(t, missing, c.stateAt(h, 2), "it was cancelled and never accepted")
+	require.Equal(t, missingReply, c.stateAt(h, 2), "it was cancelled and never accepted")
 }
 
 // lead is a host that leads a term and tells one state, or none.
