--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -36,9 +36,9 @@
 }
 
 const (
-	runningReply = `200 {"state":"running"}`
-	missingReply = "410"
-	untold       = "503"
+	runningReply     = `200 {"state":"running"}`
+	missingReply     = "410"
+	unavailableReply = "503"
 )
 
 // Guards against an older record that is told while a newer one lies in another partition.
@@ -59,7 +59,7 @@
 	}
 	c.log.BreakPart("state", 5, users.Busy)
 	for n := range 2 {
-		require.Equal(t, untold, c.stateAt(h, n), "a partition that is down may hold a newer one")
+		require.Equal(t, unavailableReply, c.stateAt(h, n), "a partition that is down may hold a newer one")
 	}
 	require.Equal(t, completed, c.stateAt(h, 2), "nothing is newer than the end")
 }
@@ -87,7 +87,7 @@
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	c.leaderless()
 	c.log.Put("state", jobID(0), []byte("{"))
-	require.Equal(t, untold, c.stateAt(c.follower(), 0))
+	require.Equal(t, unavailableReply, c.stateAt(c.follower(), 0))
 }
 
 // Guards against a job that was forgotten and is told as running from what one partition still has of it.
@@ -168,7 +168,7 @@
 	former.Kill()
 	delete(c.hosts, former.cfg.Name)
 	require.Eventually(t, func() bool { return c.leader() != nil }, waitTimeout, 10*time.Millisecond)
-	require.Equal(t, untold, c.stateAt(c.leader(), 0))
+	require.Equal(t, unavailableReply, c.stateAt(c.leader(), 0))
 	require.Equal(t, `200 {"state":"queued"}`, c.stateAt(c.leader(), 1))
 }
 
