--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -105,8 +105,8 @@
 	require.Equal(t, missingReply, c.stateAt(h, 2), "it was cancelled and never accepted")
 }
 
-// lead is a host that leads a term and tells one state, or none.
-func (c *cluster) lead(state string) netip.AddrPort {
+// fakeLeader is a host that leads a term and tells one state, or none.
+func (c *cluster) fakeLeader(state string) netip.AddrPort {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(c.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -133,7 +133,7 @@
 func TestTheNextLeadIsAskedAsWell(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	h := c.follower()
-	silent, next := c.lead(""), c.lead("running")
+	silent, next := c.fakeLeader(""), c.fakeLeader("running")
 	c.log.BreakReads("state", users.Silent)
 	h.LearnLeader("silent", silent, 1<<40)
 	told := make(chan string, 1)
@@ -147,7 +147,7 @@
 func TestAHostThatHasClaimedIsAskedAsWell(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	h := c.follower()
-	silent, next := c.lead(""), c.lead("running")
+	silent, next := c.fakeLeader(""), c.fakeLeader("running")
 	c.log.BreakReads("state", users.Silent)
 	h.LearnLeader("silent", silent, 1<<40)
 	h.SetPeerAddr("next", next.String())
@@ -201,7 +201,7 @@
 func TestAHostThatIsCutOffRefusesBeforeTheDeadline(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	h := c.follower()
-	h.LearnLeader("silent", c.lead(""), 1<<40)
+	h.LearnLeader("silent", c.fakeLeader(""), 1<<40)
 	c.log.Break("", users.Silent)
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+h.cfg.Listen.Caller.String()+prefix+jobID(0), http.NoBody)
 	require.NoError(t, err)
@@ -219,7 +219,7 @@
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	h := c.follower()
 	c.log.BreakReads("state", users.Silent)
-	h.LearnLeader("silent", c.lead(""), 1<<40)
+	h.LearnLeader("silent", c.fakeLeader(""), 1<<40)
 	told := make(chan string, 1)
 	go func() { told <- c.stateAt(h, 0) }()
 	time.Sleep(100 * time.Millisecond)
