--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -79,7 +79,7 @@
 		asked[c.stateAt(h, n)]++
 	}
 	require.Equal(t, map[string]int{runningReply: 3}, asked)
-	require.Equal(t, map[string]int{runningReply: jobs}, c.toldBy(h, jobs))
+	require.Equal(t, map[string]int{runningReply: jobs}, c.statesAt(h, jobs))
 }
 
 // Guards against a job that is told as missing since its record cannot be read.
@@ -177,11 +177,11 @@
 	c := newCluster(t, 3, 4, time.Minute)
 	c.submitMany(c.follower(), 0, 4)
 	lead := c.leader()
-	require.Eventually(t, func() bool { return c.toldBy(lead, 4)[runningReply] == 4 }, waitTimeout, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return c.statesAt(lead, 4)[runningReply] == 4 }, waitTimeout, 20*time.Millisecond)
 	release := lead.BlockCore()
 	defer release()
 	for name, h := range c.hosts {
-		require.Equal(t, map[string]int{runningReply: 4}, c.toldBy(h, 4), name)
+		require.Equal(t, map[string]int{runningReply: 4}, c.statesAt(h, 4), name)
 	}
 }
 
--- a/internal/entry/states_test.go
+++ b/internal/entry/states_test.go
@@ -32,8 +32,8 @@
 	wg.Wait()
 }
 
-// toldBy asks a host for all jobs at once and counts its answers.
-func (c *cluster) toldBy(h *testHost, jobs int) map[string]int {
+// statesAt asks a host for all jobs at once and counts its answers.
+func (c *cluster) statesAt(h *testHost, jobs int) map[string]int {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	told := map[string]int{}
@@ -69,7 +69,7 @@
 	c.leaderless()
 	before := c.log.Calls(store.Newest)
 	for _, h := range c.hosts {
-		require.Equal(t, map[string]int{completed: jobs}, c.toldBy(h, jobs), h.cfg.Name)
+		require.Equal(t, map[string]int{completed: jobs}, c.statesAt(h, jobs), h.cfg.Name)
 	}
 	pages := c.log.Calls(store.Newest) - before
 	require.Less(t, pages, jobs, "questions share what is read from the store")
@@ -87,7 +87,7 @@
 	h := c.follower()
 	c.deadline = waitTimeout
 	before := c.log.Calls(store.Newest)
-	require.Equal(t, map[string]int{completed: jobs}, c.toldBy(h, jobs))
+	require.Equal(t, map[string]int{completed: jobs}, c.statesAt(h, jobs))
 	require.Less(t, c.log.Calls(store.Newest)-before, jobs/10)
 }
 
@@ -109,7 +109,7 @@
 	lead.Kill()
 	delete(c.hosts, lead.cfg.Name)
 	for _, h := range c.hosts {
-		require.Equal(t, map[string]int{completed: jobs}, c.toldBy(h, jobs), h.cfg.Name)
+		require.Equal(t, map[string]int{completed: jobs}, c.statesAt(h, jobs), h.cfg.Name)
 	}
 }
 
@@ -120,7 +120,7 @@
 	f := c.follower()
 	c.submitMany(f, 0, 1)
 	for _, h := range c.hosts {
-		require.Equal(t, map[string]int{`200 {"state":"queued"}`: 1}, c.toldBy(h, 1), h.cfg.Name)
+		require.Equal(t, map[string]int{`200 {"state":"queued"}`: 1}, c.statesAt(h, 1), h.cfg.Name)
 		code, _ := c.get(h.cfg.Listen.Caller, prefix+jobID(7))
 		require.Equal(t, http.StatusGone, code, "a job that nobody handed in")
 	}
@@ -135,7 +135,7 @@
 	release := lead.BlockCore()
 	defer release()
 	for name, h := range c.hosts {
-		require.Equal(t, map[string]int{completed: 20}, c.toldBy(h, 20), name)
+		require.Equal(t, map[string]int{completed: 20}, c.statesAt(h, 20), name)
 	}
 }
 
@@ -149,7 +149,7 @@
 	t.Cleanup(func() { _ = ln.Close() })
 	f := c.follower()
 	f.LearnLeader("other", netip.MustParseAddrPort(ln.Addr().String()), 1<<40)
-	require.Equal(t, map[string]int{completed: 20}, c.toldBy(f, 20))
+	require.Equal(t, map[string]int{completed: 20}, c.statesAt(f, 20))
 }
 
 // Guards against a state that is guessed from a store that tells only a part of it.
