--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -52,7 +52,7 @@
 	}
 	c.putRecord(0, 2, 2, "completed", now)
 	c.putRecord(5, 2, 1, "running", now)
-	c.leaderless()
+	c.withoutLeader()
 	h := c.follower()
 	for n := range 2 {
 		require.Equal(t, runningReply, c.stateAt(h, n), n)
@@ -72,7 +72,7 @@
 	for n := range jobs {
 		c.putRecord(0, n, 1, "running", now)
 	}
-	c.leaderless()
+	c.withoutLeader()
 	h := c.follower()
 	asked := map[string]int{}
 	for n := 0; n < jobs; n += 400 {
@@ -85,7 +85,7 @@
 // Guards against a job that is told as missing since its record cannot be read.
 func TestAJobWhoseRecordCannotBeReadIsNotMissing(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
-	c.leaderless()
+	c.withoutLeader()
 	c.log.Put("state", jobID(0), []byte("{"))
 	require.Equal(t, unavailableReply, c.stateAt(c.follower(), 0))
 }
@@ -98,7 +98,7 @@
 	c.putRecord(0, 1, 1, "running", long)
 	c.log.Put("jobs", jobID(1), []byte("{}"))
 	c.log.Put("jobs", jobID(2)+"!", []byte("1"))
-	c.leaderless()
+	c.withoutLeader()
 	h := c.follower()
 	require.Equal(t, missingReply, c.stateAt(h, 0))
 	require.Equal(t, runningReply, c.stateAt(h, 1), "it was accepted and not forgotten")
@@ -191,7 +191,7 @@
 	for n := range 2 {
 		c.putRecord(0, n, 1, "completed", time.Now())
 	}
-	c.leaderless()
+	c.withoutLeader()
 	h := c.follower()
 	require.Equal(t, completed, c.stateAt(h, 0))
 	require.True(t, h.KnowsFinalStates(jobID(1)))
--- a/internal/entry/states_test.go
+++ b/internal/entry/states_test.go
@@ -49,9 +49,9 @@
 	return told
 }
 
-// leaderless kills the lead of a cell in which no other host can take over: the store
+// withoutLeader kills the lead of a cell in which no other host can take over: the store
 // refuses all claims and serves everything else.
-func (c *cluster) leaderless() {
+func (c *cluster) withoutLeader() {
 	c.log.BreakAppends("state", users.Busy)
 	lead := c.leader()
 	lead.Kill()
@@ -66,7 +66,7 @@
 	c := newCluster(t, 3, 4, 20*time.Millisecond)
 	c.submitMany(c.follower(), 0, jobs)
 	c.waitCompleted(c.leader(), jobs)
-	c.leaderless()
+	c.withoutLeader()
 	before := c.log.Calls(store.Newest)
 	for _, h := range c.hosts {
 		require.Equal(t, map[string]int{completed: jobs}, c.statesAt(h, jobs), h.cfg.Name)
@@ -79,7 +79,7 @@
 func TestThousandsOfQuestionsShareAFewReads(t *testing.T) {
 	const jobs = 3000
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
-	c.leaderless()
+	c.withoutLeader()
 	now := time.Now().UnixMilli()
 	for n := range jobs {
 		c.log.Put("state", jobID(n), fmt.Appendf(nil, `{"s":"completed","b":%d,"e":%d}`, now, now))
@@ -116,7 +116,7 @@
 // Guards against a job that only the host that accepted it tells of while none leads.
 func TestAJobAcceptedWhileNoHostLeadsIsToldByAll(t *testing.T) {
 	c := newCluster(t, 3, 1, 20*time.Millisecond)
-	c.leaderless()
+	c.withoutLeader()
 	f := c.follower()
 	c.submitMany(f, 0, 1)
 	for _, h := range c.hosts {
@@ -157,7 +157,7 @@
 	c := newCluster(t, 3, 1, time.Minute)
 	f := c.follower()
 	c.submitMany(f, 0, 2)
-	c.leaderless()
+	c.withoutLeader()
 	for part := range 16 {
 		if part != 0 {
 			c.log.BreakPart("state", part, users.Busy)
