--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -402,6 +402,6 @@
 	lead.Kill()
 	delete(c.hosts, lead.cfg.Name)
 	for range 10 {
-		require.Equal(t, map[string]int{completed: 1}, c.statesAt(f, 1))
+		require.Equal(t, map[string]int{completedReply: 1}, c.statesAt(f, 1))
 	}
 }
--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -61,7 +61,7 @@
 	for n := range 2 {
 		require.Equal(t, unavailableReply, c.stateAt(h, n), "a partition that is down may hold a newer one")
 	}
-	require.Equal(t, completed, c.stateAt(h, 2), "nothing is newer than the end")
+	require.Equal(t, completedReply, c.stateAt(h, 2), "nothing is newer than the end")
 }
 
 // Guards against jobs that are not found as they stand on different pages.
@@ -193,7 +193,7 @@
 	}
 	c.withoutLeader()
 	h := c.follower()
-	require.Equal(t, completed, c.stateAt(h, 0))
+	require.Equal(t, completedReply, c.stateAt(h, 0))
 	require.True(t, h.KnowsFinalStates(jobID(1)))
 }
 
@@ -224,5 +224,5 @@
 	go func() { told <- c.stateAt(h, 0) }()
 	time.Sleep(100 * time.Millisecond)
 	h.SyncPositionAfter(peer.SyncReply{Lead: true, Term: 1 << 40, Ended: map[string][]string{"completed": {jobID(0)}}})
-	require.Equal(t, completed, <-told)
+	require.Equal(t, completedReply, <-told)
 }
--- a/internal/entry/states_test.go
+++ b/internal/entry/states_test.go
@@ -58,7 +58,7 @@
 	delete(c.hosts, lead.cfg.Name)
 }
 
-const completed = `200 {"state":"completed"}`
+const completedReply = `200 {"state":"completed"}`
 
 // Guards against ended jobs that no host tells of while none leads.
 func TestEndedJobsAreToldWhileNoHostLeads(t *testing.T) {
@@ -69,7 +69,7 @@
 	c.withoutLeader()
 	before := c.log.Calls(store.Newest)
 	for _, h := range c.hosts {
-		require.Equal(t, map[string]int{completed: jobs}, c.statesAt(h, jobs), h.cfg.Name)
+		require.Equal(t, map[string]int{completedReply: jobs}, c.statesAt(h, jobs), h.cfg.Name)
 	}
 	pages := c.log.Calls(store.Newest) - before
 	require.Less(t, pages, jobs, "questions share what is read from the store")
@@ -87,7 +87,7 @@
 	h := c.follower()
 	c.deadline = waitTimeout
 	before := c.log.Calls(store.Newest)
-	require.Equal(t, map[string]int{completed: jobs}, c.statesAt(h, jobs))
+	require.Equal(t, map[string]int{completedReply: jobs}, c.statesAt(h, jobs))
 	require.Less(t, c.log.Calls(store.Newest)-before, jobs/10)
 }
 
@@ -109,7 +109,7 @@
 	lead.Kill()
 	delete(c.hosts, lead.cfg.Name)
 	for _, h := range c.hosts {
-		require.Equal(t, map[string]int{completed: jobs}, c.statesAt(h, jobs), h.cfg.Name)
+		require.Equal(t, map[string]int{completedReply: jobs}, c.statesAt(h, jobs), h.cfg.Name)
 	}
 }
 
@@ -135,7 +135,7 @@
 	release := lead.BlockCore()
 	defer release()
 	for name, h := range c.hosts {
-		require.Equal(t, map[string]int{completed: 20}, c.statesAt(h, 20), name)
+		require.Equal(t, map[string]int{completedReply: 20}, c.statesAt(h, 20), name)
 	}
 }
 
@@ -149,7 +149,7 @@
 	t.Cleanup(func() { _ = ln.Close() })
 	f := c.follower()
 	f.LearnLeader("other", netip.MustParseAddrPort(ln.Addr().String()), 1<<40)
-	require.Equal(t, map[string]int{completed: 20}, c.statesAt(f, 20))
+	require.Equal(t, map[string]int{completedReply: 20}, c.statesAt(f, 20))
 }
 
 // Guards against a state that is guessed from a store that tells only a part of it.
