--- a/internal/entry/doubt_test.go
+++ b/internal/entry/doubt_test.go
@@ -31,9 +31,9 @@
 	return []byte(name + " " + addr.String() + " 1 1 1")
 }
 
-// doubted has a host doubt the lead c1, which claimed and stands still since; meanwhile something
+// checkStalledLeader has a host doubt the lead c1, which claimed and stands still since; meanwhile something
 // is stored.
-func doubted(t *testing.T, meanwhile func(log *users.Log)) (works bool, lead string) {
+func checkStalledLeader(t *testing.T, meanwhile func(log *users.Log)) (works bool, lead string) {
 	log := users.NewLog(1, time.Now)
 	f := entry.NewFollower(t, slog.New(slog.DiscardHandler), "b1", nil, "", log.For("b1"), nil)
 	defer f.Stop()
@@ -49,7 +49,7 @@
 
 // Guards against another host's claim being taken for work of a lead that stands still.
 func TestAClaimOfAnotherHostIsNoWorkOfTheLead(t *testing.T) {
-	_, lead := doubted(t, func(log *users.Log) {
+	_, lead := checkStalledLeader(t, func(log *users.Log) {
 		log.Put(stateTopic, claimKey, claimOf("c2", silentHost(t)))
 	})
 	require.Equal(t, "c2", lead)
@@ -57,7 +57,7 @@
 
 // Guards against a host's own failed claim being taken for work of the lead.
 func TestAHostsOwnClaimIsNoWorkOfTheLead(t *testing.T) {
-	works, lead := doubted(t, func(log *users.Log) {
+	works, lead := checkStalledLeader(t, func(log *users.Log) {
 		log.Put(stateTopic, claimKey, claimOf("b1", netip.MustParseAddrPort("127.0.0.1:1")))
 	})
 	require.False(t, works)
@@ -66,7 +66,7 @@
 
 // The lead has claimed and is too slow to answer. What it stores shows that it works.
 func TestWhatTheLeadStoresShowsThatItWorks(t *testing.T) {
-	works, lead := doubted(t, func(log *users.Log) {
+	works, lead := checkStalledLeader(t, func(log *users.Log) {
 		log.Put(stateTopic, "0001", []byte("{}"))
 	})
 	require.True(t, works)
