--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -50,8 +50,8 @@
 	return sleep(ctx, cost)
 }
 
-// busyCell is a cell whose lead is short of processor.
-type busyCell struct {
+// busyCluster is a cell whose lead is short of processor.
+type busyCluster struct {
 	ctx   context.Context
 	log   *users.Log
 	lines logBuffer
@@ -69,7 +69,7 @@
 
 type busyHost struct {
 	*entry.Host
-	cell *busyCell
+	cell *busyCluster
 	cpu  processor
 	mu   sync.Mutex
 	// deaf hosts answer nobody, dead ones do nothing at all.
@@ -134,7 +134,7 @@
 }
 
 // playBusy runs a cell of twelve hosts for a time; what is to happen then does at its moments.
-func playBusy(t *testing.T, c *busyCell, seed uint64, d time.Duration, then map[time.Duration]func(c *busyCell)) *busyCell {
+func playBusy(t *testing.T, c *busyCluster, seed uint64, d time.Duration, then map[time.Duration]func(c *busyCluster)) *busyCluster {
 	// The library's clock for all meters has to run outside: it never rests.
 	metrics.NewMeter().Stop()
 	synctest.Test(t, func(t *testing.T) {
@@ -170,7 +170,7 @@
 	return c
 }
 
-func (c *busyCell) add(t *testing.T, i int) {
+func (c *busyCluster) add(t *testing.T, i int) {
 	b := &busyHost{cell: c, cpu: newProcessor()}
 	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 1)
 	p := c.net.Listen(addr)
@@ -184,7 +184,7 @@
 }
 
 // leader is the host that leads, nil without one that works.
-func (c *busyCell) leader() *busyHost {
+func (c *busyCluster) leader() *busyHost {
 	for _, h := range c.hosts {
 		if deaf, dead := h.is(); h.Leading() && !deaf && !dead {
 			return h
@@ -195,9 +195,9 @@
 
 // terms counts those of the play. At its end hosts are killed one after the other, and the
 // lead's heir may claim before it is.
-func (c *busyCell) terms() int { return strings.Count(c.played, "lead: term begins.") }
+func (c *busyCluster) terms() int { return strings.Count(c.played, "lead: term begins.") }
 
-func (c *busyCell) done() int {
+func (c *busyCluster) done() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.work
@@ -212,10 +212,10 @@
 	for _, load := range []float64{0.3, 0.6, 0.8, 0.9} {
 		t.Run(fmt.Sprintf("load %d percent", int(100*load)), func(t *testing.T) {
 			var before, after int
-			c := playBusy(t, &busyCell{load: load}, 1, 60*time.Second, map[time.Duration]func(*busyCell){
-				10 * time.Second: func(c *busyCell) { c.leader().behind(1200 * time.Millisecond) },
-				50 * time.Second: func(c *busyCell) { before = c.done() },
-				59 * time.Second: func(c *busyCell) { after = c.done() },
+			c := playBusy(t, &busyCluster{load: load}, 1, 60*time.Second, map[time.Duration]func(*busyCluster){
+				10 * time.Second: func(c *busyCluster) { c.leader().behind(1200 * time.Millisecond) },
+				50 * time.Second: func(c *busyCluster) { before = c.done() },
+				59 * time.Second: func(c *busyCluster) { after = c.done() },
 			})
 			require.LessOrEqual(t, c.terms(), 2, c.lines.String())
 			require.Greater(t, after-before, 8*int(time.Second/pieceEvery), "what comes in nine seconds is done")
@@ -229,15 +229,15 @@
 // from the third on the lead stays.
 func TestALeadThatStallsIsNotFencedOffAgainAndAgain(t *testing.T) {
 	for seed := range uint64(4) {
-		stalls := map[time.Duration]func(*busyCell){}
+		stalls := map[time.Duration]func(*busyCluster){}
 		for at := 4 * time.Second; at < time.Minute; at += 2300 * time.Millisecond {
-			stalls[at] = func(c *busyCell) {
+			stalls[at] = func(c *busyCluster) {
 				if h := c.leader(); h != nil {
 					go h.cpu.do(c.ctx, 800*time.Millisecond)
 				}
 			}
 		}
-		c := playBusy(t, &busyCell{load: 0.5}, seed, time.Minute, stalls)
+		c := playBusy(t, &busyCluster{load: 0.5}, seed, time.Minute, stalls)
 		require.LessOrEqual(t, c.terms(), 3, c.lines.String())
 	}
 }
@@ -246,7 +246,7 @@
 // long tasks, or the policy service is waited for. It answers every question, half a second late.
 // Whoever the group names has its late answer at hand when it is about to claim.
 func TestALeadThatAnswersLateIsNotFencedOff(t *testing.T) {
-	c := playBusy(t, &busyCell{late: 500 * time.Millisecond}, 1, 30*time.Second, nil)
+	c := playBusy(t, &busyCluster{late: 500 * time.Millisecond}, 1, 30*time.Second, nil)
 	require.Equal(t, 1, c.terms(), c.lines.String())
 }
 
@@ -265,9 +265,9 @@
 			for seed := range uint64(5) {
 				const harmed = 10 * time.Second
 				var next *busyHost
-				playBusy(t, &busyCell{load: 0.5}, seed, harmed+tc.bound+time.Second, map[time.Duration]func(*busyCell){
-					harmed:            func(c *busyCell) { tc.harm(c.leader()) },
-					harmed + tc.bound: func(c *busyCell) { next = c.leader() },
+				playBusy(t, &busyCluster{load: 0.5}, seed, harmed+tc.bound+time.Second, map[time.Duration]func(*busyCluster){
+					harmed:            func(c *busyCluster) { tc.harm(c.leader()) },
+					harmed + tc.bound: func(c *busyCluster) { next = c.leader() },
 				})
 				require.NotNil(t, next, "seed %d", seed)
 			}
@@ -300,9 +300,9 @@
 // cannot vouch for anything. When the store is back and it is busy with what has gathered, its
 // answers are late; it was taken for unheard since before, and succeeded for nothing.
 func TestALeadThatTheStoreDidNotServeWasHeard(t *testing.T) {
-	c := playBusy(t, &busyCell{load: 0.5}, 1, 30*time.Second, map[time.Duration]func(*busyCell){
-		10 * time.Second: func(c *busyCell) { c.log.Break("", users.Silent) },
-		16 * time.Second: func(c *busyCell) {
+	c := playBusy(t, &busyCluster{load: 0.5}, 1, 30*time.Second, map[time.Duration]func(*busyCluster){
+		10 * time.Second: func(c *busyCluster) { c.log.Break("", users.Silent) },
+		16 * time.Second: func(c *busyCluster) {
 			c.log.Break("", users.None)
 			c.leader().behind(1500 * time.Millisecond)
 		},
--- a/internal/entry/turns_test.go
+++ b/internal/entry/turns_test.go
@@ -18,9 +18,9 @@
 	)
 	for seed := range uint64(4) {
 		without := make(chan time.Duration, turns)
-		steps := map[time.Duration]func(*busyCell){}
+		steps := map[time.Duration]func(*busyCluster){}
 		for n := range turns {
-			steps[time.Duration(n+2)*every] = func(c *busyCell) {
+			steps[time.Duration(n+2)*every] = func(c *busyCluster) {
 				lead := c.leader()
 				lead.set(false, true)
 				go func() {
@@ -34,7 +34,7 @@
 				}()
 			}
 		}
-		playBusy(t, &busyCell{load: 0.5}, seed, (turns+2)*every, steps)
+		playBusy(t, &busyCluster{load: 0.5}, seed, (turns+2)*every, steps)
 		require.Len(t, without, turns)
 		var all []time.Duration
 		for range turns {
