--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -69,9 +69,9 @@
 
 type busyHost struct {
 	*entry.Host
-	cell *busyCluster
-	cpu  processor
-	mu   sync.Mutex
+	cluster *busyCluster
+	cpu     processor
+	mu      sync.Mutex
 	// deaf hosts answer nobody, dead ones do nothing at all.
 	deaf, dead bool
 }
@@ -89,7 +89,7 @@
 		return
 	}
 	if b.Leading() {
-		sleep(ctx, b.cell.late)
+		sleep(ctx, b.cluster.late)
 	}
 	b.cpu.do(ctx, answerCost)
 }
@@ -98,15 +98,15 @@
 // processor in a queue, in which questions wait as well.
 func (b *busyHost) lead() {
 	led := false
-	for n := 0; sleep(b.cell.ctx, pieceEvery); n++ {
+	for n := 0; sleep(b.cluster.ctx, pieceEvery); n++ {
 		if _, dead := b.is(); dead {
 			continue
 		}
 		leads := b.Leading()
-		if leads && !led && b.cell.load > 0 {
+		if leads && !led && b.cluster.load > 0 {
 			b.behind(catchUp)
 		}
-		if led = leads; !leads || b.cell.load == 0 {
+		if led = leads; !leads || b.cluster.load == 0 {
 			continue
 		}
 		go b.piece(n)
@@ -114,10 +114,10 @@
 }
 
 func (b *busyHost) piece(n int) {
-	if b.cpu.do(b.cell.ctx, time.Duration(b.cell.load*float64(pieceEvery))) && b.StoreProgress(fmt.Sprintf("%s-%d", b.Name(), n)) {
-		b.cell.mu.Lock()
-		b.cell.work++
-		b.cell.mu.Unlock()
+	if b.cpu.do(b.cluster.ctx, time.Duration(b.cluster.load*float64(pieceEvery))) && b.StoreProgress(fmt.Sprintf("%s-%d", b.Name(), n)) {
+		b.cluster.mu.Lock()
+		b.cluster.work++
+		b.cluster.mu.Unlock()
 	}
 }
 
@@ -126,7 +126,7 @@
 	const piece = 10 * time.Millisecond
 	for n := range int(d / piece) {
 		go func() {
-			if b.cpu.do(b.cell.ctx, piece) {
+			if b.cpu.do(b.cluster.ctx, piece) {
 				b.StoreProgress(fmt.Sprintf("%s-late-%d-%d", b.Name(), time.Now().UnixNano(), n))
 			}
 		}()
@@ -171,7 +171,7 @@
 }
 
 func (c *busyCluster) add(t *testing.T, i int) {
-	b := &busyHost{cell: c, cpu: newProcessor()}
+	b := &busyHost{cluster: c, cpu: newProcessor()}
 	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 1)
 	p := c.net.Listen(addr)
 	cfg := entry.Settings{Name: fmt.Sprintf("h%02d", i), Parts: 16, Power: 1}
