--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -52,9 +52,9 @@
 
 // busyCluster is a cell whose lead is short of processor.
 type busyCluster struct {
-	ctx   context.Context
-	log   *users.Log
-	lines logBuffer
+	ctx  context.Context
+	log  *users.Log
+	logs logBuffer
 	// played is what was logged until the end of the play.
 	played string
 	net    standin.Pipes
@@ -160,7 +160,7 @@
 				}
 			}
 		}
-		c.played = c.lines.String()
+		c.played = c.logs.String()
 		cancel()
 		for _, h := range c.hosts {
 			h.Kill()
@@ -176,7 +176,7 @@
 	p := c.net.Listen(addr)
 	cfg := entry.Settings{Name: fmt.Sprintf("h%02d", i), Parts: 16, Power: 1}
 	cfg.Listen.Peer = addr
-	h, err := entry.NewWithTransport(cfg, slog.New(slog.NewTextHandler(&c.lines, nil)).With("host", cfg.Name), c.log.For(cfg.Name), c.net.Dial, p, b.answer)
+	h, err := entry.NewWithTransport(cfg, slog.New(slog.NewTextHandler(&c.logs, nil)).With("host", cfg.Name), c.log.For(cfg.Name), c.net.Dial, p, b.answer)
 	require.NoError(t, err)
 	b.Host = h
 	c.hosts = append(c.hosts, b)
@@ -217,7 +217,7 @@
 				50 * time.Second: func(c *busyCluster) { before = c.done() },
 				59 * time.Second: func(c *busyCluster) { after = c.done() },
 			})
-			require.LessOrEqual(t, c.terms(), 2, c.lines.String())
+			require.LessOrEqual(t, c.terms(), 2, c.logs.String())
 			require.Greater(t, after-before, 8*int(time.Second/pieceEvery), "what comes in nine seconds is done")
 		})
 	}
@@ -238,7 +238,7 @@
 			}
 		}
 		c := playBusy(t, &busyCluster{load: 0.5}, seed, time.Minute, stalls)
-		require.LessOrEqual(t, c.terms(), 3, c.lines.String())
+		require.LessOrEqual(t, c.terms(), 3, c.logs.String())
 	}
 }
 
@@ -247,7 +247,7 @@
 // Whoever the group names has its late answer at hand when it is about to claim.
 func TestALeadThatAnswersLateIsNotFencedOff(t *testing.T) {
 	c := playBusy(t, &busyCluster{late: 500 * time.Millisecond}, 1, 30*time.Second, nil)
-	require.Equal(t, 1, c.terms(), c.lines.String())
+	require.Equal(t, 1, c.terms(), c.logs.String())
 }
 
 // A lead really is gone: its process stands still, or no host hears of it any more while the
@@ -307,5 +307,5 @@
 			c.leader().behind(1500 * time.Millisecond)
 		},
 	})
-	require.Equal(t, 1, c.terms(), c.lines.String())
+	require.Equal(t, 1, c.terms(), c.logs.String())
 }
