--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -55,10 +55,10 @@
 	ctx  context.Context
 	log  *users.Log
 	logs logBuffer
-	// played is what was logged until the end of the play.
-	played string
-	net    standin.Pipes
-	hosts  []*busyHost
+	// logText is what was logged until the end of the play.
+	logText string
+	net     standin.Pipes
+	hosts   []*busyHost
 	// load is the share of its processor that the lead's own work takes, late how much
 	// later than that it answers.
 	load float64
@@ -160,7 +160,7 @@
 				}
 			}
 		}
-		c.played = c.logs.String()
+		c.logText = c.logs.String()
 		cancel()
 		for _, h := range c.hosts {
 			h.Kill()
@@ -195,7 +195,7 @@
 
 // terms counts those of the play. At its end hosts are killed one after the other, and the
 // lead's heir may claim before it is.
-func (c *busyCluster) terms() int { return strings.Count(c.played, "lead: term begins.") }
+func (c *busyCluster) terms() int { return strings.Count(c.logText, "lead: term begins.") }
 
 func (c *busyCluster) done() int {
 	c.mu.Lock()
