--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -61,10 +61,10 @@
 	hosts   []*busyHost
 	// load is the share of its processor that the lead's own work takes, late how much
 	// later than that it answers.
-	load float64
-	late time.Duration
-	mu   sync.Mutex
-	work int
+	load     float64
+	late     time.Duration
+	mu       sync.Mutex
+	workDone int
 }
 
 type busyHost struct {
@@ -116,7 +116,7 @@
 func (b *busyHost) piece(n int) {
 	if b.cpu.do(b.cluster.ctx, time.Duration(b.cluster.load*float64(pieceEvery))) && b.StoreProgress(fmt.Sprintf("%s-%d", b.Name(), n)) {
 		b.cluster.mu.Lock()
-		b.cluster.work++
+		b.cluster.workDone++
 		b.cluster.mu.Unlock()
 	}
 }
@@ -200,7 +200,7 @@
 func (c *busyCluster) done() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.work
+	return c.workDone
 }
 
 // A lead is short of processor, a burst has it a second behind, and the group of the hosts is
