--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -72,14 +72,14 @@
 	cluster *busyCluster
 	cpu     processor
 	mu      sync.Mutex
-	// silent hosts answer nobody, dead ones do nothing at all.
-	silent, dead bool
+	// silent hosts answer nobody, frozen ones do nothing at all.
+	silent, frozen bool
 }
 
 func (b *busyHost) is() (deaf, dead bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.silent, b.dead
+	return b.silent, b.frozen
 }
 
 // answer is what a question costs before it is answered.
@@ -278,7 +278,7 @@
 func (b *busyHost) set(deaf, dead bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.silent, b.dead = deaf, dead
+	b.silent, b.frozen = deaf, dead
 }
 
 // The lead changed three times in a row, and its process really is gone this time: nothing
