--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -76,7 +76,7 @@
 	silent, frozen bool
 }
 
-func (b *busyHost) is() (deaf, dead bool) {
+func (b *busyHost) faults() (deaf, dead bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.silent, b.frozen
@@ -84,7 +84,7 @@
 
 // answer is what a question costs before it is answered.
 func (b *busyHost) answer(ctx context.Context) {
-	if deaf, dead := b.is(); deaf || dead {
+	if deaf, dead := b.faults(); deaf || dead {
 		<-ctx.Done()
 		return
 	}
@@ -99,7 +99,7 @@
 func (b *busyHost) lead() {
 	led := false
 	for n := 0; sleep(b.cluster.ctx, pieceEvery); n++ {
-		if _, dead := b.is(); dead {
+		if _, dead := b.faults(); dead {
 			continue
 		}
 		leads := b.Leading()
@@ -186,7 +186,7 @@
 // leader is the host that leads, nil without one that works.
 func (c *busyCluster) leader() *busyHost {
 	for _, h := range c.hosts {
-		if deaf, dead := h.is(); h.Leading() && !deaf && !dead {
+		if deaf, dead := h.faults(); h.Leading() && !deaf && !dead {
 			return h
 		}
 	}
