--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -82,8 +82,8 @@
 	return b.silent, b.frozen
 }
 
-// answer is what a question costs before it is answered.
-func (b *busyHost) answer(ctx context.Context) {
+// delayReply is what a question costs before it is answered.
+func (b *busyHost) delayReply(ctx context.Context) {
 	if deaf, dead := b.faults(); deaf || dead {
 		<-ctx.Done()
 		return
@@ -176,7 +176,7 @@
 	p := c.net.Listen(addr)
 	cfg := entry.Settings{Name: fmt.Sprintf("h%02d", i), Parts: 16, Power: 1}
 	cfg.Listen.Peer = addr
-	h, err := entry.NewWithTransport(cfg, slog.New(slog.NewTextHandler(&c.logs, nil)).With("host", cfg.Name), c.log.For(cfg.Name), c.net.Dial, p, b.answer)
+	h, err := entry.NewWithTransport(cfg, slog.New(slog.NewTextHandler(&c.logs, nil)).With("host", cfg.Name), c.log.For(cfg.Name), c.net.Dial, p, b.delayReply)
 	require.NoError(t, err)
 	b.Host = h
 	c.hosts = append(c.hosts, b)
