--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -94,9 +94,9 @@
 	b.cpu.do(ctx, answerCost)
 }
 
-// lead is the work of a host while it leads. Pieces come at their pace and wait for the
+// doLeaderWork is the work of a host while it leads. Pieces come at their pace and wait for the
 // processor in a queue, in which questions wait as well.
-func (b *busyHost) lead() {
+func (b *busyHost) doLeaderWork() {
 	led := false
 	for n := 0; sleep(b.cluster.ctx, pieceEvery); n++ {
 		if _, dead := b.faults(); dead {
@@ -180,7 +180,7 @@
 	require.NoError(t, err)
 	b.Host = h
 	c.hosts = append(c.hosts, b)
-	go b.lead()
+	go b.doLeaderWork()
 }
 
 // leader is the host that leads, nil without one that works.
