--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -109,11 +109,11 @@
 		if led = leads; !leads || b.cluster.load == 0 {
 			continue
 		}
-		go b.piece(n)
+		go b.doPiece(n)
 	}
 }
 
-func (b *busyHost) piece(n int) {
+func (b *busyHost) doPiece(n int) {
 	if b.cpu.do(b.cluster.ctx, time.Duration(b.cluster.load*float64(pieceEvery))) && b.StoreProgress(fmt.Sprintf("%s-%d", b.Name(), n)) {
 		b.cluster.mu.Lock()
 		b.cluster.workDone++
