--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -104,7 +104,7 @@
 		}
 		leads := b.Leading()
 		if leads && !led && b.cluster.load > 0 {
-			b.behind(catchUp)
+			b.addBacklog(catchUp)
 		}
 		if led = leads; !leads || b.cluster.load == 0 {
 			continue
@@ -121,8 +121,8 @@
 	}
 }
 
-// behind gives the host work at once, in pieces that end in an append each.
-func (b *busyHost) behind(d time.Duration) {
+// addBacklog gives the host work at once, in pieces that end in an append each.
+func (b *busyHost) addBacklog(d time.Duration) {
 	const piece = 10 * time.Millisecond
 	for n := range int(d / piece) {
 		go func() {
@@ -213,7 +213,7 @@
 		t.Run(fmt.Sprintf("load %d percent", int(100*load)), func(t *testing.T) {
 			var before, after int
 			c := playBusy(t, &busyCluster{load: load}, 1, 60*time.Second, map[time.Duration]func(*busyCluster){
-				10 * time.Second: func(c *busyCluster) { c.leader().behind(1200 * time.Millisecond) },
+				10 * time.Second: func(c *busyCluster) { c.leader().addBacklog(1200 * time.Millisecond) },
 				50 * time.Second: func(c *busyCluster) { before = c.done() },
 				59 * time.Second: func(c *busyCluster) { after = c.done() },
 			})
@@ -304,7 +304,7 @@
 		10 * time.Second: func(c *busyCluster) { c.log.Break("", users.Silent) },
 		16 * time.Second: func(c *busyCluster) {
 			c.log.Break("", users.None)
-			c.leader().behind(1500 * time.Millisecond)
+			c.leader().addBacklog(1500 * time.Millisecond)
 		},
 	})
 	require.Equal(t, 1, c.terms(), c.logs.String())
