--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// playBusy runs a cell of twelve hosts for a time; what is to happen then does at its moments.
-func playBusy(t *testing.T, c *busyCluster, seed uint64, d time.Duration, then map[time.Duration]func(c *busyCluster)) *busyCluster {
+// runBusyCluster runs a cell of twelve hosts for a time; what is to happen then does at its moments.
+func runBusyCluster(t *testing.T, c *busyCluster, seed uint64, d time.Duration, then map[time.Duration]func(c *busyCluster)) *busyCluster {
 	// The library's clock for all meters has to run outside: it never rests.
 	metrics.NewMeter().Stop()
 	synctest.Test(t, func(t *testing.T) {
@@ -212,7 +212,7 @@
 	for _, load := range []float64{0.3, 0.6, 0.8, 0.9} {
 		t.Run(fmt.Sprintf("load %d percent", int(100*load)), func(t *testing.T) {
 			var before, after int
-			c := playBusy(t, &busyCluster{load: load}, 1, 60*time.Second, map[time.Duration]func(*busyCluster){
+			c := runBusyCluster(t, &busyCluster{load: load}, 1, 60*time.Second, map[time.Duration]func(*busyCluster){
 				10 * time.Second: func(c *busyCluster) { c.leader().addBacklog(1200 * time.Millisecond) },
 				50 * time.Second: func(c *busyCluster) { before = c.done() },
 				59 * time.Second: func(c *busyCluster) { after = c.done() },
@@ -237,7 +237,7 @@
 				}
 			}
 		}
-		c := playBusy(t, &busyCluster{load: 0.5}, seed, time.Minute, stalls)
+		c := runBusyCluster(t, &busyCluster{load: 0.5}, seed, time.Minute, stalls)
 		require.LessOrEqual(t, c.terms(), 3, c.logs.String())
 	}
 }
@@ -246,7 +246,7 @@
 // long tasks, or the policy service is waited for. It answers every question, half a second late.
 // Whoever the group names has its late answer at hand when it is about to claim.
 func TestALeadThatAnswersLateIsNotFencedOff(t *testing.T) {
-	c := playBusy(t, &busyCluster{late: 500 * time.Millisecond}, 1, 30*time.Second, nil)
+	c := runBusyCluster(t, &busyCluster{late: 500 * time.Millisecond}, 1, 30*time.Second, nil)
 	require.Equal(t, 1, c.terms(), c.logs.String())
 }
 
@@ -265,7 +265,7 @@
 			for seed := range uint64(5) {
 				const harmed = 10 * time.Second
 				var next *busyHost
-				playBusy(t, &busyCluster{load: 0.5}, seed, harmed+tc.bound+time.Second, map[time.Duration]func(*busyCluster){
+				runBusyCluster(t, &busyCluster{load: 0.5}, seed, harmed+tc.bound+time.Second, map[time.Duration]func(*busyCluster){
 					harmed:            func(c *busyCluster) { tc.harm(c.leader()) },
 					harmed + tc.bound: func(c *busyCluster) { next = c.leader() },
 				})
@@ -300,7 +300,7 @@
 // cannot vouch for anything. When the store is back and it is busy with what has gathered, its
 // answers are late; it was taken for unheard since before, and succeeded for nothing.
 func TestALeadThatTheStoreDidNotServeWasHeard(t *testing.T) {
-	c := playBusy(t, &busyCluster{load: 0.5}, 1, 30*time.Second, map[time.Duration]func(*busyCluster){
+	c := runBusyCluster(t, &busyCluster{load: 0.5}, 1, 30*time.Second, map[time.Duration]func(*busyCluster){
 		10 * time.Second: func(c *busyCluster) { c.log.Break("", users.Silent) },
 		16 * time.Second: func(c *busyCluster) {
 			c.log.Break("", users.None)
--- a/internal/entry/turns_test.go
+++ b/internal/entry/turns_test.go
@@ -34,7 +34,7 @@
 				}()
 			}
 		}
-		playBusy(t, &busyCluster{load: 0.5}, seed, (turns+2)*every, steps)
+		runBusyCluster(t, &busyCluster{load: 0.5}, seed, (turns+2)*every, steps)
 		require.Len(t, without, turns)
 		var all []time.Duration
 		for range turns {
