--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -197,7 +197,7 @@
 // lead's heir may claim before it is.
 func (c *busyCluster) terms() int { return strings.Count(c.logText, "lead: term begins.") }
 
-func (c *busyCluster) done() int {
+func (c *busyCluster) workCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.workDone
@@ -214,8 +214,8 @@
 			var before, after int
 			c := runBusyCluster(t, &busyCluster{load: load}, 1, 60*time.Second, map[time.Duration]func(*busyCluster){
 				10 * time.Second: func(c *busyCluster) { c.leader().addBacklog(1200 * time.Millisecond) },
-				50 * time.Second: func(c *busyCluster) { before = c.done() },
-				59 * time.Second: func(c *busyCluster) { after = c.done() },
+				50 * time.Second: func(c *busyCluster) { before = c.workCount() },
+				59 * time.Second: func(c *busyCluster) { after = c.workCount() },
 			})
 			require.LessOrEqual(t, c.terms(), 2, c.logs.String())
 			require.Greater(t, after-before, 8*int(time.Second/pieceEvery), "what comes in nine seconds is done")
