--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -193,9 +193,9 @@
 	return nil
 }
 
-// terms counts those of the play. At its end hosts are killed one after the other, and the
+// termCount counts those of the play. At its end hosts are killed one after the other, and the
 // lead's heir may claim before it is.
-func (c *busyCluster) terms() int { return strings.Count(c.logText, "lead: term begins.") }
+func (c *busyCluster) termCount() int { return strings.Count(c.logText, "lead: term begins.") }
 
 func (c *busyCluster) workCount() int {
 	c.mu.Lock()
@@ -217,7 +217,7 @@
 				50 * time.Second: func(c *busyCluster) { before = c.workCount() },
 				59 * time.Second: func(c *busyCluster) { after = c.workCount() },
 			})
-			require.LessOrEqual(t, c.terms(), 2, c.logs.String())
+			require.LessOrEqual(t, c.termCount(), 2, c.logs.String())
 			require.Greater(t, after-before, 8*int(time.Second/pieceEvery), "what comes in nine seconds is done")
 		})
 	}
@@ -238,7 +238,7 @@
 			}
 		}
 		c := runBusyCluster(t, &busyCluster{load: 0.5}, seed, time.Minute, stalls)
-		require.LessOrEqual(t, c.terms(), 3, c.logs.String())
+		require.LessOrEqual(t, c.termCount(), 3, c.logs.String())
 	}
 }
 
@@ -247,7 +247,7 @@
 // Whoever the group names has its late answer at hand when it is about to claim.
 func TestALeadThatAnswersLateIsNotFencedOff(t *testing.T) {
 	c := runBusyCluster(t, &busyCluster{late: 500 * time.Millisecond}, 1, 30*time.Second, nil)
-	require.Equal(t, 1, c.terms(), c.logs.String())
+	require.Equal(t, 1, c.termCount(), c.logs.String())
 }
 
 // A lead really is gone: its process stands still, or no host hears of it any more while the
@@ -307,5 +307,5 @@
 			c.leader().addBacklog(1500 * time.Millisecond)
 		},
 	})
-	require.Equal(t, 1, c.terms(), c.logs.String())
+	require.Equal(t, 1, c.termCount(), c.logs.String())
 }
