--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -258,8 +258,8 @@
 		harm  func(b *busyHost)
 		bound time.Duration
 	}{
-		"it stands still": {func(b *busyHost) { b.set(false, true) }, 3 * time.Second},
-		"it is unheard":   {func(b *busyHost) { b.set(true, false) }, 6 * time.Second},
+		"it stands still": {func(b *busyHost) { b.setFaults(false, true) }, 3 * time.Second},
+		"it is unheard":   {func(b *busyHost) { b.setFaults(true, false) }, 6 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(5) {
@@ -275,7 +275,7 @@
 	}
 }
 
-func (b *busyHost) set(deaf, dead bool) {
+func (b *busyHost) setFaults(deaf, dead bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.silent, b.frozen = deaf, dead
--- a/internal/entry/turns_test.go
+++ b/internal/entry/turns_test.go
@@ -22,7 +22,7 @@
 		for n := range turns {
 			steps[time.Duration(n+2)*every] = func(c *busyCluster) {
 				lead := c.leader()
-				lead.set(false, true)
+				lead.setFaults(false, true)
 				go func() {
 					began := time.Now()
 					for c.leader() == nil && time.Since(began) < still {
@@ -30,7 +30,7 @@
 					}
 					without <- time.Since(began)
 					sleep(c.ctx, still-time.Since(began))
-					lead.set(false, false)
+					lead.setFaults(false, false)
 				}()
 			}
 		}
