--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -30,9 +30,9 @@
 // of the lead's own work, which ends in an append, an answer to a peer, and what a new lead has
 // to catch up with.
 const (
-	pieceEvery = 20 * time.Millisecond
-	answerCost = 500 * time.Microsecond
-	catchUp    = 900 * time.Millisecond
+	pieceEvery  = 20 * time.Millisecond
+	answerCost  = 500 * time.Microsecond
+	catchUpCost = 900 * time.Millisecond
 )
 
 // processor does one thing after the other.
@@ -104,7 +104,7 @@
 		}
 		leads := b.Leading()
 		if leads && !led && b.cluster.load > 0 {
-			b.addBacklog(catchUp)
+			b.addBacklog(catchUpCost)
 		}
 		if led = leads; !leads || b.cluster.load == 0 {
 			continue
