--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// inForce is the promise: how long after its confirmation a table is in force.
-	inForce = 2 * time.Second
+	// tableDeadline is the promise: how long after its confirmation a table is in force.
+	tableDeadline = 2 * time.Second
 	// inTouch is how long after the last trouble of the store or of its own connections
 	// a host has to keep promises again.
 	inTouch = 3 * time.Second
@@ -188,7 +188,7 @@
 
 // bound is when the changed table has to be in force.
 func (w *cellOfThree) bound() time.Duration {
-	b := w.changed + inForce
+	b := w.changed + tableDeadline
 	for _, tr := range w.troubles {
 		if tr.own {
 			// It lasts; peers are served.
