--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -21,9 +21,9 @@
 const (
 	// tableDeadline is the promise: how long after its confirmation a table is in force.
 	tableDeadline = 2 * time.Second
-	// inTouch is how long after the last trouble of the store or of its own connections
+	// recoveryTime is how long after the last trouble of the store or of its own connections
 	// a host has to keep promises again.
-	inTouch = 3 * time.Second
+	recoveryTime = 3 * time.Second
 	// usualAnswer is how long the store takes, hop how long a peer does besides.
 	usualAnswer = 4 * time.Millisecond
 	hop         = 2 * time.Millisecond
@@ -192,10 +192,10 @@
 	for _, tr := range w.troubles {
 		if tr.own {
 			// It lasts; peers are served.
-			b = max(b, tr.from+inTouch)
+			b = max(b, tr.from+recoveryTime)
 			continue
 		}
-		b = max(b, tr.to+inTouch)
+		b = max(b, tr.to+recoveryTime)
 	}
 	return b
 }
