--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -24,9 +24,9 @@
 	// recoveryTime is how long after the last trouble of the store or of its own connections
 	// a host has to keep promises again.
 	recoveryTime = 3 * time.Second
-	// usualAnswer is how long the store takes, hop how long a peer does besides.
-	usualAnswer = 4 * time.Millisecond
-	hop         = 2 * time.Millisecond
+	// storeLatency is how long the store takes, hop how long a peer does besides.
+	storeLatency = 4 * time.Millisecond
+	hop          = 2 * time.Millisecond
 )
 
 // trouble is what is wrong with the store from some moment to another.
@@ -125,7 +125,7 @@
 
 // serve is what the store does with a call, of the host itself or a peer's.
 func (w *cellOfThree) serve(ctx context.Context, c store.Call, own bool) (store.Answer, error) {
-	took := usualAnswer
+	took := storeLatency
 	for _, tr := range w.troubles {
 		if !tr.now(w.at(), c, own) {
 			continue
@@ -137,7 +137,7 @@
 		case refusing:
 			return store.Answer{}, &store.RefusedError{Op: c.Op, Reason: "busy"}
 		case slowly:
-			took = 100 * usualAnswer
+			took = 100 * storeLatency
 		}
 	}
 	if !sleep(ctx, took) {
