--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -26,7 +26,7 @@
 	recoveryTime = 3 * time.Second
 	// storeLatency is how long the store takes, hop how long a peer does besides.
 	storeLatency = 4 * time.Millisecond
-	hop          = 2 * time.Millisecond
+	peerLatency  = 2 * time.Millisecond
 )
 
 // trouble is what is wrong with the store from some moment to another.
@@ -107,7 +107,7 @@
 
 // through is a peer's way.
 func (w *cellOfThree) through(ctx context.Context, peer string, c store.Call) (store.Answer, error) {
-	if !sleep(ctx, hop) || peer[0] == w.cutDomain && w.at() > w.cut {
+	if !sleep(ctx, peerLatency) || peer[0] == w.cutDomain && w.at() > w.cut {
 		<-ctx.Done()
 		return store.Answer{}, &store.UnansweredError{Op: c.Op, Cause: ctx.Err()}
 	}
