--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -29,8 +29,8 @@
 	peerLatency  = 2 * time.Millisecond
 )
 
-// trouble is what is wrong with the store from some moment to another.
-type trouble struct {
+// outage is what is wrong with the store from some moment to another.
+type outage struct {
 	from, to time.Duration
 	kind     kind
 	// table, if set, leaves all partitions alone but the table's, own all hosts but this one.
@@ -52,12 +52,12 @@
 	return [...]string{"silent", "refusing", "slow", "connections lost"}[k]
 }
 
-func (tr trouble) String() string {
+func (tr outage) String() string {
 	return fmt.Sprintf("%v from %v to %v, only the table %v", tr.kind, tr.from, tr.to, tr.table)
 }
 
 // now tells whether it concerns a call at some moment.
-func (tr trouble) now(at time.Duration, c store.Call, own bool) bool {
+func (tr outage) now(at time.Duration, c store.Call, own bool) bool {
 	return at >= tr.from && at < tr.to && (!tr.table || c.Topic == platform.TableTopic) && (!tr.own || own)
 }
 
@@ -65,7 +65,7 @@
 // first of which is cut off from some moment on.
 type cellOfThree struct {
 	began    time.Time
-	troubles []trouble
+	troubles []outage
 	// cut is when the hosts whose names begin with cutDomain stop answering.
 	cut       time.Duration
 	cutDomain byte
@@ -235,21 +235,21 @@
 // each other, those that failed last.
 func TestATableIsInForceInTime(t *testing.T) {
 	const back = 10 * time.Second
-	for name, troubles := range map[string]func(away time.Duration) []trouble{
-		"the store was silent": func(away time.Duration) []trouble {
-			return []trouble{{from: back - away, to: back, kind: silent}}
+	for name, troubles := range map[string]func(away time.Duration) []outage{
+		"the store was silent": func(away time.Duration) []outage {
+			return []outage{{from: back - away, to: back, kind: silent}}
 		},
-		"the tables partition was silent": func(away time.Duration) []trouble {
-			return []trouble{{from: back - away, to: back, kind: silent, table: true}}
+		"the tables partition was silent": func(away time.Duration) []outage {
+			return []outage{{from: back - away, to: back, kind: silent, table: true}}
 		},
-		"the store was slow and then silent": func(away time.Duration) []trouble {
-			return []trouble{{from: time.Second, to: back - away, kind: slowly}, {from: back - away, to: back, kind: silent}}
+		"the store was slow and then silent": func(away time.Duration) []outage {
+			return []outage{{from: time.Second, to: back - away, kind: slowly}, {from: back - away, to: back, kind: silent}}
 		},
-		"the store was slow and then refused": func(away time.Duration) []trouble {
-			return []trouble{{from: time.Second, to: back - away, kind: slowly}, {from: back - away, to: back, kind: refusing}}
+		"the store was slow and then refused": func(away time.Duration) []outage {
+			return []outage{{from: time.Second, to: back - away, kind: slowly}, {from: back - away, to: back, kind: refusing}}
 		},
-		"a connection went silent": func(time.Duration) []trouble {
-			return []trouble{{from: back, to: back, kind: lost}}
+		"a connection went silent": func(time.Duration) []outage {
+			return []outage{{from: back, to: back, kind: lost}}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -270,7 +270,7 @@
 func TestATableIsInForceInTimeThroughPeers(t *testing.T) {
 	for _, k := range []kind{silent, refusing} {
 		for after := time.Duration(0); after < 3*time.Second; after += 90 * time.Millisecond {
-			w := cellOfThree{cut: 3 * time.Second, cutDomain: 'a', changed: 10*time.Second + after, troubles: []trouble{{from: 4 * time.Second, to: time.Minute, kind: k, own: true}}}
+			w := cellOfThree{cut: 3 * time.Second, cutDomain: 'a', changed: 10*time.Second + after, troubles: []outage{{from: 4 * time.Second, to: time.Minute, kind: k, own: true}}}
 			require.True(t, w.play(t, "b1", "a1"), "%v, changed at %v", k, w.changed)
 		}
 	}
@@ -284,7 +284,7 @@
 		within := func(d time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(d))) }
 		w := cellOfThree{cut: within(10 * time.Second), cutDomain: "ac"[rng.IntN(2)]}
 		for range 1 + rng.IntN(3) {
-			tr := trouble{from: 2*time.Second + within(6*time.Second), kind: kind(rng.IntN(int(kinds))), table: rng.IntN(2) == 0}
+			tr := outage{from: 2*time.Second + within(6*time.Second), kind: kind(rng.IntN(int(kinds))), table: rng.IntN(2) == 0}
 			tr.to = tr.from
 			if tr.kind != lost {
 				tr.to += within(5 * time.Second)
@@ -301,7 +301,7 @@
 // The store is silent for seconds. On call one sees that queues are missing on some hosts,
 // and has to tell a host that cannot read the table from one that read it and put it aside.
 func TestLinesTellOfATableThatCannotBeRead(t *testing.T) {
-	w := cellOfThree{cutDomain: 'a', changed: 12 * time.Second, troubles: []trouble{{from: 3 * time.Second, to: 10 * time.Second, kind: silent}}}
+	w := cellOfThree{cutDomain: 'a', changed: 12 * time.Second, troubles: []outage{{from: 3 * time.Second, to: 10 * time.Second, kind: silent}}}
 	require.True(t, w.play(t, "b1", "a1"))
 	text := w.lines.String()
 	for _, line := range []string{
