--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -33,8 +33,8 @@
 type outage struct {
 	from, to time.Duration
 	kind     kind
-	// table, if set, leaves all partitions alone but the table's, own all hosts but this one.
-	table, own bool
+	// tableOnly, if set, leaves all partitions alone but the tableOnly's, own all hosts but this one.
+	tableOnly, own bool
 }
 
 type kind int
@@ -53,12 +53,12 @@
 }
 
 func (tr outage) String() string {
-	return fmt.Sprintf("%v from %v to %v, only the table %v", tr.kind, tr.from, tr.to, tr.table)
+	return fmt.Sprintf("%v from %v to %v, only the table %v", tr.kind, tr.from, tr.to, tr.tableOnly)
 }
 
 // now tells whether it concerns a call at some moment.
 func (tr outage) now(at time.Duration, c store.Call, own bool) bool {
-	return at >= tr.from && at < tr.to && (!tr.table || c.Topic == platform.TableTopic) && (!tr.own || own)
+	return at >= tr.from && at < tr.to && (!tr.tableOnly || c.Topic == platform.TableTopic) && (!tr.own || own)
 }
 
 // cellOfThree is one host's view of a store and of peers in three failure domains, the
@@ -240,7 +240,7 @@
 			return []outage{{from: back - away, to: back, kind: silent}}
 		},
 		"the tables partition was silent": func(away time.Duration) []outage {
-			return []outage{{from: back - away, to: back, kind: silent, table: true}}
+			return []outage{{from: back - away, to: back, kind: silent, tableOnly: true}}
 		},
 		"the store was slow and then silent": func(away time.Duration) []outage {
 			return []outage{{from: time.Second, to: back - away, kind: slowly}, {from: back - away, to: back, kind: silent}}
@@ -284,7 +284,7 @@
 		within := func(d time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(d))) }
 		w := cellOfThree{cut: within(10 * time.Second), cutDomain: "ac"[rng.IntN(2)]}
 		for range 1 + rng.IntN(3) {
-			tr := outage{from: 2*time.Second + within(6*time.Second), kind: kind(rng.IntN(int(kinds))), table: rng.IntN(2) == 0}
+			tr := outage{from: 2*time.Second + within(6*time.Second), kind: kind(rng.IntN(int(kinds))), tableOnly: rng.IntN(2) == 0}
 			tr.to = tr.from
 			if tr.kind != lost {
 				tr.to += within(5 * time.Second)
