--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -33,8 +33,8 @@
 type outage struct {
 	from, to time.Duration
 	kind     kind
-	// tableOnly, if set, leaves all partitions alone but the tableOnly's, own all hosts but this one.
-	tableOnly, own bool
+	// tableOnly, if set, leaves all partitions alone but the tableOnly's, ownOnly all hosts but this one.
+	tableOnly, ownOnly bool
 }
 
 type kind int
@@ -58,7 +58,7 @@
 
 // now tells whether it concerns a call at some moment.
 func (tr outage) now(at time.Duration, c store.Call, own bool) bool {
-	return at >= tr.from && at < tr.to && (!tr.tableOnly || c.Topic == platform.TableTopic) && (!tr.own || own)
+	return at >= tr.from && at < tr.to && (!tr.tableOnly || c.Topic == platform.TableTopic) && (!tr.ownOnly || own)
 }
 
 // cellOfThree is one host's view of a store and of peers in three failure domains, the
@@ -190,7 +190,7 @@
 func (w *cellOfThree) bound() time.Duration {
 	b := w.changed + tableDeadline
 	for _, tr := range w.troubles {
-		if tr.own {
+		if tr.ownOnly {
 			// It lasts; peers are served.
 			b = max(b, tr.from+recoveryTime)
 			continue
@@ -270,7 +270,7 @@
 func TestATableIsInForceInTimeThroughPeers(t *testing.T) {
 	for _, k := range []kind{silent, refusing} {
 		for after := time.Duration(0); after < 3*time.Second; after += 90 * time.Millisecond {
-			w := cellOfThree{cut: 3 * time.Second, cutDomain: 'a', changed: 10*time.Second + after, troubles: []outage{{from: 4 * time.Second, to: time.Minute, kind: k, own: true}}}
+			w := cellOfThree{cut: 3 * time.Second, cutDomain: 'a', changed: 10*time.Second + after, troubles: []outage{{from: 4 * time.Second, to: time.Minute, kind: k, ownOnly: true}}}
 			require.True(t, w.play(t, "b1", "a1"), "%v, changed at %v", k, w.changed)
 		}
 	}
