--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -32,15 +32,15 @@
 // outage is what is wrong with the store from some moment to another.
 type outage struct {
 	from, to time.Duration
-	kind     kind
+	kind     outageKind
 	// tableOnly, if set, leaves all partitions alone but the tableOnly's, ownOnly all hosts but this one.
 	tableOnly, ownOnly bool
 }
 
-type kind int
+type outageKind int
 
 const (
-	silent kind = iota
+	silent outageKind = iota
 	refusing
 	slowly
 	// lost is one moment: the host's open connections never answer any more.
@@ -48,7 +48,7 @@
 	kinds
 )
 
-func (k kind) String() string {
+func (k outageKind) String() string {
 	return [...]string{"silent", "refusing", "slow", "connections lost"}[k]
 }
 
@@ -268,7 +268,7 @@
 // a failure domain is cut off, and in it the lead. A queue that is added meanwhile is served
 // by all hosts but this one, where callers are told that there is none.
 func TestATableIsInForceInTimeThroughPeers(t *testing.T) {
-	for _, k := range []kind{silent, refusing} {
+	for _, k := range []outageKind{silent, refusing} {
 		for after := time.Duration(0); after < 3*time.Second; after += 90 * time.Millisecond {
 			w := cellOfThree{cut: 3 * time.Second, cutDomain: 'a', changed: 10*time.Second + after, troubles: []outage{{from: 4 * time.Second, to: time.Minute, kind: k, ownOnly: true}}}
 			require.True(t, w.play(t, "b1", "a1"), "%v, changed at %v", k, w.changed)
@@ -284,7 +284,7 @@
 		within := func(d time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(d))) }
 		w := cellOfThree{cut: within(10 * time.Second), cutDomain: "ac"[rng.IntN(2)]}
 		for range 1 + rng.IntN(3) {
-			tr := outage{from: 2*time.Second + within(6*time.Second), kind: kind(rng.IntN(int(kinds))), tableOnly: rng.IntN(2) == 0}
+			tr := outage{from: 2*time.Second + within(6*time.Second), kind: outageKind(rng.IntN(int(kinds))), tableOnly: rng.IntN(2) == 0}
 			tr.to = tr.from
 			if tr.kind != lost {
 				tr.to += within(5 * time.Second)
