--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -45,7 +45,7 @@
 	slowly
 	// lost is one moment: the host's open connections never answer any more.
 	lost
-	kinds
+	outageKinds
 )
 
 func (k outageKind) String() string {
@@ -284,7 +284,7 @@
 		within := func(d time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(d))) }
 		w := cellOfThree{cut: within(10 * time.Second), cutDomain: "ac"[rng.IntN(2)]}
 		for range 1 + rng.IntN(3) {
-			tr := outage{from: 2*time.Second + within(6*time.Second), kind: outageKind(rng.IntN(int(kinds))), tableOnly: rng.IntN(2) == 0}
+			tr := outage{from: 2*time.Second + within(6*time.Second), kind: outageKind(rng.IntN(int(outageKinds))), tableOnly: rng.IntN(2) == 0}
 			tr.to = tr.from
 			if tr.kind != lost {
 				tr.to += within(5 * time.Second)
