--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -56,8 +56,8 @@
 	return fmt.Sprintf("%v from %v to %v, only the table %v", tr.kind, tr.from, tr.to, tr.tableOnly)
 }
 
-// now tells whether it concerns a call at some moment.
-func (tr outage) now(at time.Duration, c store.Call, own bool) bool {
+// affects tells whether it concerns a call at some moment.
+func (tr outage) affects(at time.Duration, c store.Call, own bool) bool {
 	return at >= tr.from && at < tr.to && (!tr.tableOnly || c.Topic == platform.TableTopic) && (!tr.ownOnly || own)
 }
 
@@ -127,7 +127,7 @@
 func (w *cellOfThree) serve(ctx context.Context, c store.Call, own bool) (store.Answer, error) {
 	took := storeLatency
 	for _, tr := range w.troubles {
-		if !tr.now(w.at(), c, own) {
+		if !tr.affects(w.at(), c, own) {
 			continue
 		}
 		switch tr.kind {
@@ -175,7 +175,7 @@
 // isSilent tells whether an answer does not get through now.
 func (w *cellOfThree) isSilent(c store.Call, own bool) bool {
 	for _, tr := range w.troubles {
-		if tr.kind == silent && tr.now(w.at(), c, own) {
+		if tr.kind == silent && tr.affects(w.at(), c, own) {
 			return true
 		}
 	}
