--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -61,9 +61,9 @@
 	return at >= tr.from && at < tr.to && (!tr.tableOnly || c.Topic == platform.TableTopic) && (!tr.ownOnly || own)
 }
 
-// cellOfThree is one host's view of a store and of peers in three failure domains, the
+// fakeStore is one host's view of a store and of peers in three failure domains, the
 // first of which is cut off from some moment on.
-type cellOfThree struct {
+type fakeStore struct {
 	began    time.Time
 	troubles []outage
 	// cut is when the hosts whose names begin with cutDomain stop answering.
@@ -74,10 +74,10 @@
 	lines   logBuffer
 }
 
-func (w *cellOfThree) at() time.Duration { return time.Since(w.began) }
+func (w *fakeStore) at() time.Duration { return time.Since(w.began) }
 
 // Do is the host's direct way.
-func (w *cellOfThree) Do(ctx context.Context, c store.Call) (store.Answer, error) {
+func (w *fakeStore) Do(ctx context.Context, c store.Call) (store.Answer, error) {
 	sent := w.at()
 	answered := make(chan struct{})
 	var a store.Answer
@@ -106,7 +106,7 @@
 }
 
 // through is a peer's way.
-func (w *cellOfThree) through(ctx context.Context, peer string, c store.Call) (store.Answer, error) {
+func (w *fakeStore) through(ctx context.Context, peer string, c store.Call) (store.Answer, error) {
 	if !sleep(ctx, peerLatency) || peer[0] == w.cutDomain && w.at() > w.cut {
 		<-ctx.Done()
 		return store.Answer{}, &store.UnansweredError{Op: c.Op, Cause: ctx.Err()}
@@ -124,7 +124,7 @@
 }
 
 // serve is what the store does with a call, of the host itself or a peer's.
-func (w *cellOfThree) serve(ctx context.Context, c store.Call, own bool) (store.Answer, error) {
+func (w *fakeStore) serve(ctx context.Context, c store.Call, own bool) (store.Answer, error) {
 	took := storeLatency
 	for _, tr := range w.troubles {
 		if !tr.affects(w.at(), c, own) {
@@ -165,7 +165,7 @@
 }
 
 // waitFor waits as long as a read may for what it does not have yet; false if it is given up.
-func (w *cellOfThree) waitFor(ctx context.Context, c store.Call) bool {
+func (w *fakeStore) waitFor(ctx context.Context, c store.Call) bool {
 	if c.Wait == 0 || c.From == 0 || w.at() >= w.changed {
 		return true
 	}
@@ -173,7 +173,7 @@
 }
 
 // isSilent tells whether an answer does not get through now.
-func (w *cellOfThree) isSilent(c store.Call, own bool) bool {
+func (w *fakeStore) isSilent(c store.Call, own bool) bool {
 	for _, tr := range w.troubles {
 		if tr.kind == silent && tr.affects(w.at(), c, own) {
 			return true
@@ -182,12 +182,12 @@
 	return false
 }
 
-func (w *cellOfThree) record(version int64) store.Record {
+func (w *fakeStore) record(version int64) store.Record {
 	return store.Record{Offset: version - 1, Key: platform.TableKey, Value: fmt.Appendf(nil, tableText, version, "")}
 }
 
 // bound is when the changed table has to be in force.
-func (w *cellOfThree) bound() time.Duration {
+func (w *fakeStore) bound() time.Duration {
 	b := w.changed + tableDeadline
 	for _, tr := range w.troubles {
 		if tr.ownOnly {
@@ -201,7 +201,7 @@
 }
 
 // play tells whether the changed table is in force in time at a host of the second domain.
-func (w *cellOfThree) play(t *testing.T, name, lead string) (ok bool) {
+func (w *fakeStore) play(t *testing.T, name, lead string) (ok bool) {
 	synctest.Test(t, func(t *testing.T) {
 		w.began = time.Now()
 		var others []string
@@ -256,7 +256,7 @@
 			// The read may have been sent at any moment before.
 			for away := 2 * time.Second; away < 6*time.Second; away += 130 * time.Millisecond {
 				for after := time.Duration(0); after <= 600*time.Millisecond; after += 200 * time.Millisecond {
-					w := cellOfThree{cut: 5 * time.Second, cutDomain: 'a', changed: back + after, troubles: troubles(away)}
+					w := fakeStore{cut: 5 * time.Second, cutDomain: 'a', changed: back + after, troubles: troubles(away)}
 					require.True(t, w.play(t, "b1", "a1"), "away for %v, changed %v after", away, after)
 				}
 			}
@@ -270,7 +270,7 @@
 func TestATableIsInForceInTimeThroughPeers(t *testing.T) {
 	for _, k := range []outageKind{silent, refusing} {
 		for after := time.Duration(0); after < 3*time.Second; after += 90 * time.Millisecond {
-			w := cellOfThree{cut: 3 * time.Second, cutDomain: 'a', changed: 10*time.Second + after, troubles: []outage{{from: 4 * time.Second, to: time.Minute, kind: k, ownOnly: true}}}
+			w := fakeStore{cut: 3 * time.Second, cutDomain: 'a', changed: 10*time.Second + after, troubles: []outage{{from: 4 * time.Second, to: time.Minute, kind: k, ownOnly: true}}}
 			require.True(t, w.play(t, "b1", "a1"), "%v, changed at %v", k, w.changed)
 		}
 	}
@@ -282,7 +282,7 @@
 	for seed := range uint64(1000) {
 		rng := rand.New(rand.NewPCG(seed, 0))
 		within := func(d time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(d))) }
-		w := cellOfThree{cut: within(10 * time.Second), cutDomain: "ac"[rng.IntN(2)]}
+		w := fakeStore{cut: within(10 * time.Second), cutDomain: "ac"[rng.IntN(2)]}
 		for range 1 + rng.IntN(3) {
 			tr := outage{from: 2*time.Second + within(6*time.Second), kind: outageKind(rng.IntN(int(outageKinds))), tableOnly: rng.IntN(2) == 0}
 			tr.to = tr.from
@@ -301,7 +301,7 @@
 // The store is silent for seconds. On call one sees that queues are missing on some hosts,
 // and has to tell a host that cannot read the table from one that read it and put it aside.
 func TestLinesTellOfATableThatCannotBeRead(t *testing.T) {
-	w := cellOfThree{cutDomain: 'a', changed: 12 * time.Second, troubles: []outage{{from: 3 * time.Second, to: 10 * time.Second, kind: silent}}}
+	w := fakeStore{cutDomain: 'a', changed: 12 * time.Second, troubles: []outage{{from: 3 * time.Second, to: 10 * time.Second, kind: silent}}}
 	require.True(t, w.play(t, "b1", "a1"))
 	text := w.lines.String()
 	for _, line := range []string{
