--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -64,8 +64,8 @@
 // fakeStore is one host's view of a store and of peers in three failure domains, the
 // first of which is cut off from some moment on.
 type fakeStore struct {
-	began    time.Time
-	troubles []outage
+	began   time.Time
+	outages []outage
 	// cut is when the hosts whose names begin with cutDomain stop answering.
 	cut       time.Duration
 	cutDomain byte
@@ -86,7 +86,7 @@
 		defer close(answered)
 		a, err = w.serve(ctx, c, true)
 	}()
-	for _, tr := range w.troubles {
+	for _, tr := range w.outages {
 		if tr.kind != lost || tr.from < sent {
 			continue
 		}
@@ -126,7 +126,7 @@
 // serve is what the store does with a call, of the host itself or a peer's.
 func (w *fakeStore) serve(ctx context.Context, c store.Call, own bool) (store.Answer, error) {
 	took := storeLatency
-	for _, tr := range w.troubles {
+	for _, tr := range w.outages {
 		if !tr.affects(w.at(), c, own) {
 			continue
 		}
@@ -174,7 +174,7 @@
 
 // isSilent tells whether an answer does not get through now.
 func (w *fakeStore) isSilent(c store.Call, own bool) bool {
-	for _, tr := range w.troubles {
+	for _, tr := range w.outages {
 		if tr.kind == silent && tr.affects(w.at(), c, own) {
 			return true
 		}
@@ -189,7 +189,7 @@
 // bound is when the changed table has to be in force.
 func (w *fakeStore) bound() time.Duration {
 	b := w.changed + tableDeadline
-	for _, tr := range w.troubles {
+	for _, tr := range w.outages {
 		if tr.ownOnly {
 			// It lasts; peers are served.
 			b = max(b, tr.from+recoveryTime)
@@ -256,7 +256,7 @@
 			// The read may have been sent at any moment before.
 			for away := 2 * time.Second; away < 6*time.Second; away += 130 * time.Millisecond {
 				for after := time.Duration(0); after <= 600*time.Millisecond; after += 200 * time.Millisecond {
-					w := fakeStore{cut: 5 * time.Second, cutDomain: 'a', changed: back + after, troubles: troubles(away)}
+					w := fakeStore{cut: 5 * time.Second, cutDomain: 'a', changed: back + after, outages: troubles(away)}
 					require.True(t, w.play(t, "b1", "a1"), "away for %v, changed %v after", away, after)
 				}
 			}
@@ -270,7 +270,7 @@
 func TestATableIsInForceInTimeThroughPeers(t *testing.T) {
 	for _, k := range []outageKind{silent, refusing} {
 		for after := time.Duration(0); after < 3*time.Second; after += 90 * time.Millisecond {
-			w := fakeStore{cut: 3 * time.Second, cutDomain: 'a', changed: 10*time.Second + after, troubles: []outage{{from: 4 * time.Second, to: time.Minute, kind: k, ownOnly: true}}}
+			w := fakeStore{cut: 3 * time.Second, cutDomain: 'a', changed: 10*time.Second + after, outages: []outage{{from: 4 * time.Second, to: time.Minute, kind: k, ownOnly: true}}}
 			require.True(t, w.play(t, "b1", "a1"), "%v, changed at %v", k, w.changed)
 		}
 	}
@@ -289,19 +289,19 @@
 			if tr.kind != lost {
 				tr.to += within(5 * time.Second)
 			}
-			w.troubles = append(w.troubles, tr)
+			w.outages = append(w.outages, tr)
 		}
 		w.changed = 4*time.Second + within(10*time.Second)
 		lead := []string{"a1", "b2", "c1"}[rng.IntN(3)]
 		require.True(t, w.play(t, "b1", lead), "seed %d: %v, domain %c cut at %v, change at %v, lead %s",
-			seed, w.troubles, w.cutDomain, w.cut, w.changed, lead)
+			seed, w.outages, w.cutDomain, w.cut, w.changed, lead)
 	}
 }
 
 // The store is silent for seconds. On call one sees that queues are missing on some hosts,
 // and has to tell a host that cannot read the table from one that read it and put it aside.
 func TestLinesTellOfATableThatCannotBeRead(t *testing.T) {
-	w := fakeStore{cutDomain: 'a', changed: 12 * time.Second, troubles: []outage{{from: 3 * time.Second, to: 10 * time.Second, kind: silent}}}
+	w := fakeStore{cutDomain: 'a', changed: 12 * time.Second, outages: []outage{{from: 3 * time.Second, to: 10 * time.Second, kind: silent}}}
 	require.True(t, w.play(t, "b1", "a1"))
 	text := w.lines.String()
 	for _, line := range []string{
