--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -66,8 +66,8 @@
 type fakeStore struct {
 	began   time.Time
 	outages []outage
-	// cut is when the hosts whose names begin with cutDomain stop answering.
-	cut       time.Duration
+	// cutAt is when the hosts whose names begin with cutDomain stop answering.
+	cutAt     time.Duration
 	cutDomain byte
 	// changed is when the table changes, from version 1 to 2.
 	changed time.Duration
@@ -107,7 +107,7 @@
 
 // through is a peer's way.
 func (w *fakeStore) through(ctx context.Context, peer string, c store.Call) (store.Answer, error) {
-	if !sleep(ctx, peerLatency) || peer[0] == w.cutDomain && w.at() > w.cut {
+	if !sleep(ctx, peerLatency) || peer[0] == w.cutDomain && w.at() > w.cutAt {
 		<-ctx.Done()
 		return store.Answer{}, &store.UnansweredError{Op: c.Op, Cause: ctx.Err()}
 	}
@@ -256,7 +256,7 @@
 			// The read may have been sent at any moment before.
 			for away := 2 * time.Second; away < 6*time.Second; away += 130 * time.Millisecond {
 				for after := time.Duration(0); after <= 600*time.Millisecond; after += 200 * time.Millisecond {
-					w := fakeStore{cut: 5 * time.Second, cutDomain: 'a', changed: back + after, outages: troubles(away)}
+					w := fakeStore{cutAt: 5 * time.Second, cutDomain: 'a', changed: back + after, outages: troubles(away)}
 					require.True(t, w.play(t, "b1", "a1"), "away for %v, changed %v after", away, after)
 				}
 			}
@@ -270,7 +270,7 @@
 func TestATableIsInForceInTimeThroughPeers(t *testing.T) {
 	for _, k := range []outageKind{silent, refusing} {
 		for after := time.Duration(0); after < 3*time.Second; after += 90 * time.Millisecond {
-			w := fakeStore{cut: 3 * time.Second, cutDomain: 'a', changed: 10*time.Second + after, outages: []outage{{from: 4 * time.Second, to: time.Minute, kind: k, ownOnly: true}}}
+			w := fakeStore{cutAt: 3 * time.Second, cutDomain: 'a', changed: 10*time.Second + after, outages: []outage{{from: 4 * time.Second, to: time.Minute, kind: k, ownOnly: true}}}
 			require.True(t, w.play(t, "b1", "a1"), "%v, changed at %v", k, w.changed)
 		}
 	}
@@ -282,7 +282,7 @@
 	for seed := range uint64(1000) {
 		rng := rand.New(rand.NewPCG(seed, 0))
 		within := func(d time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(d))) }
-		w := fakeStore{cut: within(10 * time.Second), cutDomain: "ac"[rng.IntN(2)]}
+		w := fakeStore{cutAt: within(10 * time.Second), cutDomain: "ac"[rng.IntN(2)]}
 		for range 1 + rng.IntN(3) {
 			tr := outage{from: 2*time.Second + within(6*time.Second), kind: outageKind(rng.IntN(int(outageKinds))), tableOnly: rng.IntN(2) == 0}
 			tr.to = tr.from
@@ -294,7 +294,7 @@
 		w.changed = 4*time.Second + within(10*time.Second)
 		lead := []string{"a1", "b2", "c1"}[rng.IntN(3)]
 		require.True(t, w.play(t, "b1", lead), "seed %d: %v, domain %c cut at %v, change at %v, lead %s",
-			seed, w.outages, w.cutDomain, w.cut, w.changed, lead)
+			seed, w.outages, w.cutDomain, w.cutAt, w.changed, lead)
 	}
 }
 
