--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -69,9 +69,9 @@
 	// cutAt is when the hosts whose names begin with cutDomain stop answering.
 	cutAt     time.Duration
 	cutDomain byte
-	// changed is when the table changes, from version 1 to 2.
-	changed time.Duration
-	lines   logBuffer
+	// changedAt is when the table changes, from version 1 to 2.
+	changedAt time.Duration
+	lines     logBuffer
 }
 
 func (w *fakeStore) at() time.Duration { return time.Since(w.began) }
@@ -151,7 +151,7 @@
 		return store.Answer{}, nil
 	}
 	end := int64(1)
-	if w.at() >= w.changed {
+	if w.at() >= w.changedAt {
 		end = 2
 	}
 	if c.Op == store.Newest {
@@ -166,10 +166,10 @@
 
 // waitFor waits as long as a read may for what it does not have yet; false if it is given up.
 func (w *fakeStore) waitFor(ctx context.Context, c store.Call) bool {
-	if c.Wait == 0 || c.From == 0 || w.at() >= w.changed {
+	if c.Wait == 0 || c.From == 0 || w.at() >= w.changedAt {
 		return true
 	}
-	return sleep(ctx, min(c.Wait, w.changed-w.at()))
+	return sleep(ctx, min(c.Wait, w.changedAt-w.at()))
 }
 
 // isSilent tells whether an answer does not get through now.
@@ -188,7 +188,7 @@
 
 // bound is when the changed table has to be in force.
 func (w *fakeStore) bound() time.Duration {
-	b := w.changed + tableDeadline
+	b := w.changedAt + tableDeadline
 	for _, tr := range w.outages {
 		if tr.ownOnly {
 			// It lasts; peers are served.
@@ -256,7 +256,7 @@
 			// The read may have been sent at any moment before.
 			for away := 2 * time.Second; away < 6*time.Second; away += 130 * time.Millisecond {
 				for after := time.Duration(0); after <= 600*time.Millisecond; after += 200 * time.Millisecond {
-					w := fakeStore{cutAt: 5 * time.Second, cutDomain: 'a', changed: back + after, outages: troubles(away)}
+					w := fakeStore{cutAt: 5 * time.Second, cutDomain: 'a', changedAt: back + after, outages: troubles(away)}
 					require.True(t, w.play(t, "b1", "a1"), "away for %v, changed %v after", away, after)
 				}
 			}
@@ -270,8 +270,8 @@
 func TestATableIsInForceInTimeThroughPeers(t *testing.T) {
 	for _, k := range []outageKind{silent, refusing} {
 		for after := time.Duration(0); after < 3*time.Second; after += 90 * time.Millisecond {
-			w := fakeStore{cutAt: 3 * time.Second, cutDomain: 'a', changed: 10*time.Second + after, outages: []outage{{from: 4 * time.Second, to: time.Minute, kind: k, ownOnly: true}}}
-			require.True(t, w.play(t, "b1", "a1"), "%v, changed at %v", k, w.changed)
+			w := fakeStore{cutAt: 3 * time.Second, cutDomain: 'a', changedAt: 10*time.Second + after, outages: []outage{{from: 4 * time.Second, to: time.Minute, kind: k, ownOnly: true}}}
+			require.True(t, w.play(t, "b1", "a1"), "%v, changed at %v", k, w.changedAt)
 		}
 	}
 }
@@ -291,17 +291,17 @@
 			}
 			w.outages = append(w.outages, tr)
 		}
-		w.changed = 4*time.Second + within(10*time.Second)
+		w.changedAt = 4*time.Second + within(10*time.Second)
 		lead := []string{"a1", "b2", "c1"}[rng.IntN(3)]
 		require.True(t, w.play(t, "b1", lead), "seed %d: %v, domain %c cut at %v, change at %v, lead %s",
-			seed, w.outages, w.cutDomain, w.cutAt, w.changed, lead)
+			seed, w.outages, w.cutDomain, w.cutAt, w.changedAt, lead)
 	}
 }
 
 // The store is silent for seconds. On call one sees that queues are missing on some hosts,
 // and has to tell a host that cannot read the table from one that read it and put it aside.
 func TestLinesTellOfATableThatCannotBeRead(t *testing.T) {
-	w := fakeStore{cutDomain: 'a', changed: 12 * time.Second, outages: []outage{{from: 3 * time.Second, to: 10 * time.Second, kind: silent}}}
+	w := fakeStore{cutDomain: 'a', changedAt: 12 * time.Second, outages: []outage{{from: 3 * time.Second, to: 10 * time.Second, kind: silent}}}
 	require.True(t, w.play(t, "b1", "a1"))
 	text := w.lines.String()
 	for _, line := range []string{
