--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -71,7 +71,7 @@
 	cutDomain byte
 	// changedAt is when the table changes, from version 1 to 2.
 	changedAt time.Duration
-	lines     logBuffer
+	logs      logBuffer
 }
 
 func (w *fakeStore) at() time.Duration { return time.Since(w.began) }
@@ -210,7 +210,7 @@
 				others = append(others, n)
 			}
 		}
-		f := entry.NewFollower(t, slog.New(slog.NewTextHandler(&w.lines, nil)), name, others, lead, w, w.through)
+		f := entry.NewFollower(t, slog.New(slog.NewTextHandler(&w.logs, nil)), name, others, lead, w, w.through)
 		f.Run()
 		time.Sleep(w.bound())
 		synctest.Wait()
@@ -303,7 +303,7 @@
 func TestLinesTellOfATableThatCannotBeRead(t *testing.T) {
 	w := fakeStore{cutDomain: 'a', changedAt: 12 * time.Second, outages: []outage{{from: 3 * time.Second, to: 10 * time.Second, kind: silent}}}
 	require.True(t, w.play(t, "b1", "a1"))
-	text := w.lines.String()
+	text := w.logs.String()
 	for _, line := range []string{
 		`msg="store: does not serve this host." what=op`,
 		`msg="follow: cannot be read." topic=op from=1`,
