--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -74,11 +74,11 @@
 	logs      logBuffer
 }
 
-func (w *fakeStore) at() time.Duration { return time.Since(w.began) }
+func (w *fakeStore) elapsed() time.Duration { return time.Since(w.began) }
 
 // Do is the host's direct way.
 func (w *fakeStore) Do(ctx context.Context, c store.Call) (store.Answer, error) {
-	sent := w.at()
+	sent := w.elapsed()
 	answered := make(chan struct{})
 	var a store.Answer
 	var err error
@@ -107,7 +107,7 @@
 
 // through is a peer's way.
 func (w *fakeStore) through(ctx context.Context, peer string, c store.Call) (store.Answer, error) {
-	if !sleep(ctx, peerLatency) || peer[0] == w.cutDomain && w.at() > w.cutAt {
+	if !sleep(ctx, peerLatency) || peer[0] == w.cutDomain && w.elapsed() > w.cutAt {
 		<-ctx.Done()
 		return store.Answer{}, &store.UnansweredError{Op: c.Op, Cause: ctx.Err()}
 	}
@@ -127,7 +127,7 @@
 func (w *fakeStore) serve(ctx context.Context, c store.Call, own bool) (store.Answer, error) {
 	took := storeLatency
 	for _, tr := range w.outages {
-		if !tr.affects(w.at(), c, own) {
+		if !tr.affects(w.elapsed(), c, own) {
 			continue
 		}
 		switch tr.kind {
@@ -151,7 +151,7 @@
 		return store.Answer{}, nil
 	}
 	end := int64(1)
-	if w.at() >= w.changedAt {
+	if w.elapsed() >= w.changedAt {
 		end = 2
 	}
 	if c.Op == store.Newest {
@@ -166,16 +166,16 @@
 
 // waitFor waits as long as a read may for what it does not have yet; false if it is given up.
 func (w *fakeStore) waitFor(ctx context.Context, c store.Call) bool {
-	if c.Wait == 0 || c.From == 0 || w.at() >= w.changedAt {
+	if c.Wait == 0 || c.From == 0 || w.elapsed() >= w.changedAt {
 		return true
 	}
-	return sleep(ctx, min(c.Wait, w.changedAt-w.at()))
+	return sleep(ctx, min(c.Wait, w.changedAt-w.elapsed()))
 }
 
 // isSilent tells whether an answer does not get through now.
 func (w *fakeStore) isSilent(c store.Call, own bool) bool {
 	for _, tr := range w.outages {
-		if tr.kind == silent && tr.affects(w.at(), c, own) {
+		if tr.kind == silent && tr.affects(w.elapsed(), c, own) {
 			return true
 		}
 	}
