--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -105,8 +105,8 @@
 	return a, err
 }
 
-// through is a peer's way.
-func (w *fakeStore) through(ctx context.Context, peer string, c store.Call) (store.Answer, error) {
+// viaPeer is a peer's way.
+func (w *fakeStore) viaPeer(ctx context.Context, peer string, c store.Call) (store.Answer, error) {
 	if !sleep(ctx, peerLatency) || peer[0] == w.cutDomain && w.elapsed() > w.cutAt {
 		<-ctx.Done()
 		return store.Answer{}, &store.UnansweredError{Op: c.Op, Cause: ctx.Err()}
@@ -210,7 +210,7 @@
 				others = append(others, n)
 			}
 		}
-		f := entry.NewFollower(t, slog.New(slog.NewTextHandler(&w.logs, nil)), name, others, lead, w, w.through)
+		f := entry.NewFollower(t, slog.New(slog.NewTextHandler(&w.logs, nil)), name, others, lead, w, w.viaPeer)
 		f.Run()
 		time.Sleep(w.bound())
 		synctest.Wait()
