--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -143,7 +143,7 @@
 	if !sleep(ctx, took) {
 		return store.Answer{}, &store.UnansweredError{Op: c.Op, Cause: ctx.Err()}
 	}
-	if c.Topic == platform.TableTopic && !w.waitFor(ctx, c) || w.isSilent(c, own) {
+	if c.Topic == platform.TableTopic && !w.waitForRecords(ctx, c) || w.isSilent(c, own) {
 		<-ctx.Done()
 		return store.Answer{}, &store.UnansweredError{Op: c.Op, Cause: ctx.Err()}
 	}
@@ -164,8 +164,8 @@
 	return a, nil
 }
 
-// waitFor waits as long as a read may for what it does not have yet; false if it is given up.
-func (w *fakeStore) waitFor(ctx context.Context, c store.Call) bool {
+// waitForRecords waits as long as a read may for what it does not have yet; false if it is given up.
+func (w *fakeStore) waitForRecords(ctx context.Context, c store.Call) bool {
 	if c.Wait == 0 || c.From == 0 || w.elapsed() >= w.changedAt {
 		return true
 	}
