--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -186,8 +186,8 @@
 	return store.Record{Offset: version - 1, Key: platform.TableKey, Value: fmt.Appendf(nil, tableText, version, "")}
 }
 
-// bound is when the changed table has to be in force.
-func (w *fakeStore) bound() time.Duration {
+// deadline is when the changed table has to be in force.
+func (w *fakeStore) deadline() time.Duration {
 	b := w.changedAt + tableDeadline
 	for _, tr := range w.outages {
 		if tr.ownOnly {
@@ -212,7 +212,7 @@
 		}
 		f := entry.NewFollower(t, slog.New(slog.NewTextHandler(&w.logs, nil)), name, others, lead, w, w.viaPeer)
 		f.Run()
-		time.Sleep(w.bound())
+		time.Sleep(w.deadline())
 		synctest.Wait()
 		ok = f.Version() == 2
 		f.Stop()
