--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -200,8 +200,8 @@
 	return b
 }
 
-// play tells whether the changed table is in force in time at a host of the second domain.
-func (w *fakeStore) play(t *testing.T, name, lead string) (ok bool) {
+// tableArrives tells whether the changed table is in force in time at a host of the second domain.
+func (w *fakeStore) tableArrives(t *testing.T, name, lead string) (ok bool) {
 	synctest.Test(t, func(t *testing.T) {
 		w.began = time.Now()
 		var others []string
@@ -257,7 +257,7 @@
 			for away := 2 * time.Second; away < 6*time.Second; away += 130 * time.Millisecond {
 				for after := time.Duration(0); after <= 600*time.Millisecond; after += 200 * time.Millisecond {
 					w := fakeStore{cutAt: 5 * time.Second, cutDomain: 'a', changedAt: back + after, outages: troubles(away)}
-					require.True(t, w.play(t, "b1", "a1"), "away for %v, changed %v after", away, after)
+					require.True(t, w.tableArrives(t, "b1", "a1"), "away for %v, changed %v after", away, after)
 				}
 			}
 		})
@@ -271,7 +271,7 @@
 	for _, k := range []outageKind{silent, refusing} {
 		for after := time.Duration(0); after < 3*time.Second; after += 90 * time.Millisecond {
 			w := fakeStore{cutAt: 3 * time.Second, cutDomain: 'a', changedAt: 10*time.Second + after, outages: []outage{{from: 4 * time.Second, to: time.Minute, kind: k, ownOnly: true}}}
-			require.True(t, w.play(t, "b1", "a1"), "%v, changed at %v", k, w.changedAt)
+			require.True(t, w.tableArrives(t, "b1", "a1"), "%v, changed at %v", k, w.changedAt)
 		}
 	}
 }
@@ -293,7 +293,7 @@
 		}
 		w.changedAt = 4*time.Second + within(10*time.Second)
 		lead := []string{"a1", "b2", "c1"}[rng.IntN(3)]
-		require.True(t, w.play(t, "b1", lead), "seed %d: %v, domain %c cut at %v, change at %v, lead %s",
+		require.True(t, w.tableArrives(t, "b1", lead), "seed %d: %v, domain %c cut at %v, change at %v, lead %s",
 			seed, w.outages, w.cutDomain, w.cutAt, w.changedAt, lead)
 	}
 }
@@ -302,7 +302,7 @@
 // and has to tell a host that cannot read the table from one that read it and put it aside.
 func TestLinesTellOfATableThatCannotBeRead(t *testing.T) {
 	w := fakeStore{cutDomain: 'a', changedAt: 12 * time.Second, outages: []outage{{from: 3 * time.Second, to: 10 * time.Second, kind: silent}}}
-	require.True(t, w.play(t, "b1", "a1"))
+	require.True(t, w.tableArrives(t, "b1", "a1"))
 	text := w.logs.String()
 	for _, line := range []string{
 		`msg="store: does not serve this host." what=op`,
