--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -164,7 +164,7 @@
 
 // dropJob stops leading a job. It remembers the job's starts that may still arrive; their capacity
 // stays taken until the worker shows that they did not.
-func (l *Leader) dropJob(id string, recall bool) {
+func (l *Leader) dropJob(id string, rememberPlaces bool) {
 	now := l.Clock()
 	if c, ok := l.Jobs.Snapshot(id); ok {
 		for i, t := range c.Tasks {
@@ -178,7 +178,7 @@
 			}
 		}
 	}
-	l.stepJobs(job.Drop{ID: id, RememberPlaces: recall})
+	l.stepJobs(job.Drop{ID: id, RememberPlaces: rememberPlaces})
 }
 
 // dropAllJobs drops all jobs when the last worker is lost. Another host may have considered this
