--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -40,7 +40,7 @@
 		t := h.ownTerm
 		h.mu.Unlock()
 		if t != nil {
-			t.take(m.Part, m.First, m.Records)
+			t.acceptRecords(m.Part, m.First, m.Records)
 		}
 		return peer.HandReply{Taken: t != nil}, nil
 	case peer.AskState:
@@ -56,7 +56,7 @@
 	case peer.StoreCall:
 		return encodeStoreReply(h.store.Direct(ctx, m.Call)), nil
 	case peer.Succeed:
-		h.succeed(m)
+		h.handleSucceed(m)
 		return nil, nil
 	default:
 		return nil, &UnknownMessageError{}
@@ -129,7 +129,7 @@
 	if m.Term != t.number {
 		m.Endings = 0
 	}
-	byState, next := t.endingsFrom(m.Endings)
+	byState, next := t.finalStatesFrom(m.Endings)
 	ended := make(map[string][]string, len(byState))
 	for state, ids := range byState {
 		ended[string(state)] = ids
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -94,7 +94,7 @@
 	if newer, _ := h.currentLeader(); h.isLeaderOrClaiming(newer) || newer != "" && h.isLeaderAlive(before) {
 		return
 	}
-	if !h.delegate() {
+	if !h.delegateToStronger() {
 		h.claim("the group names this host")
 	}
 }
@@ -174,13 +174,13 @@
 		switch {
 		case leading:
 			h.setHosts(h.recentHosts())
-			h.cede()
+			h.cedeToStronger()
 		case lead != "" && !alone:
 			h.syncWithLeader(lead)
 		default:
 			h.readHosts()
 		}
-		h.dropRecent()
+		h.dropAccepted()
 		h.states.drop()
 		if h.isLeaderless() {
 			h.wg.Go(h.considerClaim)
@@ -245,7 +245,7 @@
 }
 
 func (h *Host) syncMessage() peer.Sync {
-	term, next := h.states.followed()
+	term, next := h.states.syncPosition()
 	return peer.Sync{From: h.cfg.Name, Addr: h.cfg.Listen.Peer, Power: h.cfg.Power, Began: h.startedAt, Term: term, Endings: next}
 }
 
@@ -279,7 +279,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	all := map[string]netip.AddrPort{}
-	fresh := h.ownTerm != nil && h.now().Sub(h.ownTerm.began) < hostExpiry
+	fresh := h.ownTerm != nil && h.now().Sub(h.ownTerm.beganAt) < hostExpiry
 	for n, s := range h.peersSeen {
 		if h.now().Sub(s.at) < hostExpiry {
 			all[n] = s.addr
@@ -296,14 +296,14 @@
 	return all
 }
 
-// keepRecent is longer than a job may take to be known to the lead.
-const keepRecent = 10 * time.Second
+// acceptedExpiry is longer than a job may take to be known to the lead.
+const acceptedExpiry = 10 * time.Second
 
-func (h *Host) dropRecent() {
+func (h *Host) dropAccepted() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for id, at := range h.accepted {
-		if h.now().Sub(at) > keepRecent {
+		if h.now().Sub(at) > acceptedExpiry {
 			delete(h.accepted, id)
 		}
 	}
--- a/internal/entry/servers.go
+++ b/internal/entry/servers.go
@@ -12,22 +12,22 @@
 	"pollencroft/platform"
 )
 
-// servers follows the workers' entries.
-func (t *term) servers() {
+// followWorkers follows the workers' entries.
+func (t *term) followWorkers() {
 	for t.ctx.Err() == nil {
 		all, from, err := store.Table(t.ctx, t.h.store, platform.ServersTopic, 0)
 		if err != nil {
 			sleep(t.ctx, followRetry)
 			continue
 		}
-		clear(t.listed)
-		t.entries(all)
-		t.serversFrom(from)
+		clear(t.workers)
+		t.applyWorkers(all)
+		t.followWorkersFrom(from)
 	}
 }
 
-func (t *term) serversFrom(from int64) {
-	for sleep(t.ctx, serversEvery) {
+func (t *term) followWorkersFrom(from int64) {
+	for sleep(t.ctx, workersInterval) {
 		a, err := t.h.store.Do(t.ctx, store.Call{Op: store.Read, Topic: platform.ServersTopic, From: from})
 		var trimmed *store.TrimmedError
 		switch {
@@ -38,35 +38,35 @@
 		}
 		from += int64(len(a.Records))
 		if len(a.Records) > 0 {
-			t.entries(a.Records)
+			t.applyWorkers(a.Records)
 		}
 	}
 }
 
-// entries applies changed entries. One that cannot be read names no worker; if it was good
+// applyWorkers applies changed applyWorkers. One that cannot be read names no worker; if it was good
 // before, the worker has no room until it is good again, and what it runs goes on.
-func (t *term) entries(all []store.Record) {
+func (t *term) applyWorkers(all []store.Record) {
 	for _, r := range all {
 		if len(r.Value) == 0 {
-			delete(t.listed, r.Key)
+			delete(t.workers, r.Key)
 			continue
 		}
 		w, err := platform.ParseWorker(r.Key, r.Value)
 		if err != nil {
 			t.h.log.Info("servers: entry passed over.", "id", r.Key, "offset", r.Offset, "err", err)
 			if !w.Addr.IsValid() {
-				w = t.listed[r.Key]
+				w = t.workers[r.Key]
 				w.Size = cell.Size{}
 			}
 		}
 		if w.Addr.IsValid() {
 			w.Version = r.Offset
-			t.listed[r.Key] = w
+			t.workers[r.Key] = w
 		}
 	}
 	ev := sched.Workers{}
-	for _, id := range slices.Sorted(maps.Keys(t.listed)) {
-		ev.All = append(ev.All, t.listed[id])
+	for _, id := range slices.Sorted(maps.Keys(t.workers)) {
+		ev.All = append(ev.All, t.workers[id])
 	}
 	t.step(ev)
 }
--- a/internal/entry/spread.go
+++ b/internal/entry/spread.go
@@ -13,11 +13,11 @@
 	// The store may be down for a part of its partitions, some two in five; of three
 	// that lie apart one is then up in nineteen cases of twenty.
 	spreadParts = 3
-	// spreadAfter is how long an append goes without an answer before it is made at
+	// spreadTimeout is how long an append goes without an answer before it is made at
 	// the next partition too, and spreadSlower how many usual answers that is at
 	// least: a store that is slow everywhere would only be made slower.
-	spreadAfter  = 200 * time.Millisecond
-	spreadSlower = 3
+	spreadTimeout       = 200 * time.Millisecond
+	spreadTimeoutFactor = 3
 )
 
 // partsFrom lists the partitions that a writer may use, far apart, its first one
@@ -31,9 +31,9 @@
 	return all
 }
 
-// spreadPatience is how long to wait for one partition before the next is tried.
-func (h *Host) spreadPatience() time.Duration {
-	return max(spreadAfter, spreadSlower*h.store.Usual())
+// appendTimeout is how long to wait for one partition before the next is tried.
+func (h *Host) appendTimeout() time.Duration {
+	return max(spreadTimeout, spreadTimeoutFactor*h.store.Usual())
 }
 
 // spread makes the same append at one partition after the other until one has it:
@@ -50,11 +50,11 @@
 		err error
 	}
 	results := make(chan result, n)
-	next, flying := 0, 0
+	next, inFlight := 0, 0
 	begin := func() {
 		i := next
 		next++
-		flying++
+		inFlight++
 		wg.Go(func() {
 			got, err := try(i)
 			results <- result{i, got, err}
@@ -78,7 +78,7 @@
 			begin()
 			continue
 		case r = <-results:
-			flying--
+			inFlight--
 		}
 		if timer != nil {
 			timer.Stop()
@@ -90,7 +90,7 @@
 		switch {
 		case next < n:
 			begin()
-		case flying == 0:
+		case inFlight == 0:
 			return 0, next, none, failed
 		}
 	}
--- a/internal/entry/states.go
+++ b/internal/entry/states.go
@@ -15,38 +15,38 @@
 )
 
 const (
-	// readStatesEvery is the least time between two reads of all states: while no host leads,
+	// statesReadInterval is the least time between two reads of all states: while no host leads,
 	// every host reads them, and the next lead has to.
-	readStatesEvery = 500 * time.Millisecond
-	// readAcceptedEvery is the same for where jobs are accepted: specs are ten times as large.
-	readAcceptedEvery = time.Second
-	// statesTries is how often the states are read for one question.
-	statesTries = 2
-	// mostEnded bounds how many final states a host keeps.
-	mostEnded = 50_000
+	statesReadInterval = 500 * time.Millisecond
+	// acceptedReadInterval is the same for where jobs are accepted: specs are ten times as large.
+	acceptedReadInterval = time.Second
+	// maxStateReads is how often the states are read for one question.
+	maxStateReads = 2
+	// maxFinalStates bounds how many final states a host keeps.
+	maxFinalStates = 50_000
 )
 
-// states knows final states, which never change, and reads the others from the store for
+// stateCache knows final stateCache, which never change, and reads the others from the store for
 // callers whom no lead tells them. All questions that come while a read is under way share
 // the next one.
-type states struct {
+type stateCache struct {
 	h *Host
 
 	mu sync.Mutex
 	// ended are final states by job, and when each was learned.
-	ended map[string]endedState
+	ended map[string]cachedState
 	// term and told are up to which final state of which term the lead told.
-	term int64
-	told int
+	term     int64
+	position int
 	// next is the read that questions join, nil without any; reading tells that one is
 	// under way or about to be.
 	next    *stateRead
 	reading bool
-	// accepted is when it was last looked where jobs are accepted.
-	accepted time.Time
+	// lastAcceptedRead is when it was last looked where jobs are lastAcceptedRead.
+	lastAcceptedRead time.Time
 }
 
-type endedState struct {
+type cachedState struct {
 	state flow.State
 	at    time.Time
 }
@@ -63,34 +63,34 @@
 	err error
 }
 
-func newStates(h *Host) *states { return &states{h: h, ended: map[string]endedState{}} }
+func newStates(h *Host) *stateCache { return &stateCache{h: h, ended: map[string]cachedState{}} }
 
-// learn keeps a final state.
-func (s *states) learn(id string, state flow.State) {
+// add keeps a final state.
+func (s *stateCache) add(id string, state flow.State) {
 	if !state.Final() {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.keep(id, state)
+	s.addLocked(id, state)
 }
 
-// keep is learn; mu is held.
-func (s *states) keep(id string, state flow.State) {
-	if _, ok := s.ended[id]; !ok && len(s.ended) < mostEnded {
-		s.ended[id] = endedState{state, s.h.now()}
+// addLocked is learn; mu is held.
+func (s *stateCache) addLocked(id string, state flow.State) {
+	if _, ok := s.ended[id]; !ok && len(s.ended) < maxFinalStates {
+		s.ended[id] = cachedState{state, s.h.now()}
 	}
 }
 
-// followed is up to where the lead told final states.
-func (s *states) followed() (term int64, next int) {
+// syncPosition is up to where the lead told final states.
+func (s *stateCache) syncPosition() (term int64, next int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.term, s.told
+	return s.term, s.position
 }
 
-// follow keeps the final states that a lead tells.
-func (s *states) follow(r peer.SyncReply) {
+// addFromLeader keeps the final states that a lead tells.
+func (s *stateCache) addFromLeader(r peer.SyncReply) {
 	if !r.Lead {
 		return
 	}
@@ -98,19 +98,19 @@
 	defer s.mu.Unlock()
 	for state, ids := range r.Ended {
 		for _, id := range ids {
-			s.keep(id, flow.State(state))
+			s.addLocked(id, flow.State(state))
 		}
 	}
 	switch {
 	case r.Term > s.term:
-		s.term, s.told = r.Term, r.Endings
+		s.term, s.position = r.Term, r.Endings
 	case r.Term == s.term:
-		s.told = max(s.told, r.Endings)
+		s.position = max(s.position, r.Endings)
 	}
 }
 
 // final returns the state of a job that is known to have ended.
-func (s *states) final(id string) (flow.State, bool) {
+func (s *stateCache) final(id string) (flow.State, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e, ok := s.ended[id]
@@ -118,16 +118,16 @@
 }
 
 // drop forgets states that were kept for as long as they have to be told.
-func (s *states) drop() {
+func (s *stateCache) drop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	maps.DeleteFunc(s.ended, func(_ string, e endedState) bool { return s.h.now().Sub(e.at) > time.Duration(s.h.cfg.Times.Keep) })
+	maps.DeleteFunc(s.ended, func(_ string, e cachedState) bool { return s.h.now().Sub(e.at) > time.Duration(s.h.cfg.Times.Keep) })
 }
 
 // read returns a job's state as the store has it after the call; false if there is no such
 // job. While a part of the store cannot be read, it returns only what the rest cannot change.
 // A read that fails is made once more as long as the store answers this host.
-func (s *states) read(ctx context.Context, id string) (flow.State, bool, error) {
+func (s *stateCache) read(ctx context.Context, id string) (flow.State, bool, error) {
 	for try := 1; ; try++ {
 		if !s.h.store.Fresh(storeFreshness) {
 			return "", false, &store.RefusedError{Op: store.Newest, Reason: "the store has not answered for a while"}
@@ -144,7 +144,7 @@
 			return state, true, nil
 		case r.unreadable[id]:
 			return "", false, &UnreadableStateError{ID: id}
-		case try == statesTries || !store.Away(r.err):
+		case try == maxStateReads || !store.Away(r.err):
 			return "", false, r.err
 		}
 	}
@@ -156,7 +156,7 @@
 func (e *UnreadableStateError) Error() string { return "record of job " + e.ID + " cannot be read" }
 
 // join adds a job to the next read.
-func (s *states) join(id string) *stateRead {
+func (s *stateCache) join(id string) *stateRead {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.next == nil {
@@ -171,7 +171,7 @@
 }
 
 // run makes one read after the other while there are questions.
-func (s *states) run() {
+func (s *stateCache) run() {
 	for {
 		s.mu.Lock()
 		r := s.next
@@ -187,12 +187,12 @@
 		s.h.incCounter("state.read")
 		s.h.observe("state.read.took", s.h.now().Sub(began))
 		s.h.log.Info("state: read from the store.", "asked", len(r.ids), "found", len(r.found), "took", s.h.now().Sub(began), "err", r.err)
-		sleep(s.h.ctx, readStatesEvery-s.h.now().Sub(began))
+		sleep(s.h.ctx, statesReadInterval-s.h.now().Sub(began))
 	}
 }
 
-// missing lists the jobs of a read whose end is not known yet, in order.
-func (s *states) missing(r *stateRead) []string {
+// withoutFinalState lists the jobs of a read whose end is not known yet, in order.
+func (s *stateCache) withoutFinalState(r *stateRead) []string {
 	for id := range r.ids {
 		if state, ok := s.final(id); ok {
 			r.found[id] = state
@@ -203,8 +203,8 @@
 
 // readAll looks for jobs first where their progress lies, and for those without any where
 // they were accepted. In this order a job that is forgotten meanwhile is found in neither.
-func (s *states) readAll(ctx context.Context, r *stateRead) error {
-	ids := s.missing(r)
+func (s *stateCache) readAll(ctx context.Context, r *stateRead) error {
+	ids := s.withoutFinalState(r)
 	if len(ids) == 0 {
 		return nil
 	}
@@ -217,7 +217,7 @@
 		case ok && !readable:
 			s.h.log.Error("state: record cannot be read.", "id", id)
 			r.unreadable[id] = true
-		case state.Final(), ok && err == nil && !s.forgettable(began):
+		case state.Final(), ok && err == nil && !s.mayBeForgotten(began):
 			r.found[id] = state
 		default:
 			unproved = append(unproved, id)
@@ -226,10 +226,10 @@
 	if len(unproved) == 0 || err != nil {
 		return err
 	}
-	if !sleep(ctx, readAcceptedEvery-s.h.now().Sub(s.accepted)) {
+	if !sleep(ctx, acceptedReadInterval-s.h.now().Sub(s.lastAcceptedRead)) {
 		return &store.UnansweredError{Op: store.Newest, Cause: ctx.Err()}
 	}
-	s.accepted = s.h.now()
+	s.lastAcceptedRead = s.h.now()
 	accepted, err := s.readAccepted(ctx, unproved)
 	for id := range accepted {
 		r.found[id] = flow.Queued
@@ -240,15 +240,15 @@
 	return err
 }
 
-// forgettable tells whether a job that was accepted then may have ended and been forgotten.
+// mayBeForgotten tells whether a job that was accepted then may have ended and been forgotten.
 // One partition may keep an older record of it for a while.
-func (s *states) forgettable(began time.Time) bool {
+func (s *stateCache) mayBeForgotten(began time.Time) bool {
 	return s.h.now().Sub(began) > time.Duration(s.h.cfg.Times.Keep)
 }
 
 // readProgress reads the newest record of each job that is asked for, and keeps all final
 // states that it meets.
-func (s *states) readProgress(ctx context.Context, ids []string) (map[string][]byte, error) {
+func (s *stateCache) readProgress(ctx context.Context, ids []string) (map[string][]byte, error) {
 	newest := map[string][]byte{}
 	err := s.scan(ctx, stateTopic, s.h.stateParts(), ids, func(rec store.Record, asked bool) {
 		if rec.Key == claimKey {
@@ -258,14 +258,14 @@
 			newest[rec.Key] = flow.Newer(newest[rec.Key], rec.Value)
 		}
 		if state, _, ok := flow.RecordState(rec.Value); ok {
-			s.learn(rec.Key, state)
+			s.add(rec.Key, state)
 		}
 	})
 	return newest, err
 }
 
 // readAccepted returns which jobs lie where hosts accepted them.
-func (s *states) readAccepted(ctx context.Context, ids []string) (map[string]bool, error) {
+func (s *stateCache) readAccepted(ctx context.Context, ids []string) (map[string]bool, error) {
 	parts := make([]int, s.h.cfg.Parts)
 	for i := range parts {
 		parts[i] = i
@@ -283,10 +283,10 @@
 // whether its job is asked for. Partitions that can be read are read whatever becomes of the
 // others; the error is that of the first that cannot. A whole topic takes a host with a small
 // share of a processor and a slow link seconds.
-func (s *states) scan(ctx context.Context, topic string, parts []int, ids []string, visit func(rec store.Record, asked bool)) error {
+func (s *stateCache) scan(ctx context.Context, topic string, parts []int, ids []string, visit func(rec store.Record, asked bool)) error {
 	var mu sync.Mutex
 	var g errgroup.Group
-	g.SetLimit(pollAtOnce)
+	g.SetLimit(maxConcurrentPolls)
 	for _, part := range parts {
 		g.Go(func() error {
 			return s.scanPart(ctx, topic, part, ids, func(all []store.Record) {
@@ -305,13 +305,13 @@
 }
 
 // scanPart reads the pages of one partition; ids are sorted.
-func (s *states) scanPart(ctx context.Context, topic string, part int, ids []string, visit func([]store.Record)) error {
+func (s *stateCache) scanPart(ctx context.Context, topic string, part int, ids []string, visit func([]store.Record)) error {
 	last := ""
 	for _, id := range ids {
 		if id <= last {
 			continue
 		}
-		a, err := s.h.store.Do(ctx, store.Call{Op: store.Newest, Topic: topic, Part: part, After: before(id)})
+		a, err := s.h.store.Do(ctx, store.Call{Op: store.Newest, Topic: topic, Part: part, After: keyBefore(id)})
 		if err != nil {
 			return err
 		}
@@ -324,5 +324,5 @@
 	return nil
 }
 
-// before is a key that sorts before that of a job and after all jobs before it.
-func before(id string) string { return id[:len(id)-1] + string(id[len(id)-1]-1) + "~" }
+// keyBefore is a key that sorts keyBefore that of a job and after all jobs keyBefore it.
+func keyBefore(id string) string { return id[:len(id)-1] + string(id[len(id)-1]-1) + "~" }
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -20,52 +20,52 @@
 type term struct {
 	h      *Host
 	number int64
-	// read is when the reading of what the former lead left began, began when it
+	// readAt is when the reading of what the former lead left beganAt, beganAt when it
 	// was over.
-	read, began time.Time
+	readAt, beganAt time.Time
 	// jobs is how many were taken over, open how many of them go on.
 	jobs, open int
 	ctx        context.Context
 	cancel     context.CancelFunc
 	kick       chan struct{}
 
-	mu      sync.Mutex
-	core    *sched.Sched
-	over    bool
-	journal *journal
-	orders  *orders
-	// next is by partition the first offset of jobsTopic that was not taken.
-	next []int64
-	// polled is when the last look through all partitions began.
-	polled time.Time
-	// where tells in which partitions a job was asked for.
-	where map[string]map[int]bool
-	// listed are the workers by life, as the store has them.
-	listed map[string]sched.Worker
-	// endings are the final states of its jobs.
-	endings finalStates
-	// unread are stored jobs that it cannot read: it does not know them, and they are there.
-	unread map[string]bool
-	// late is the most by which a step came after it was due, since that was told last.
-	late time.Duration
+	mu            sync.Mutex
+	core          *sched.Sched
+	over          bool
+	journal       *journal
+	responseTimes *responseTimes
+	// nextOffset is by partition the first offset of jobsTopic that was not taken.
+	nextOffset []int64
+	// lastPoll is when the last look through all partitions began.
+	lastPoll time.Time
+	// jobParts tells in which partitions a job was asked for.
+	jobParts map[string]map[int]bool
+	// workers are the workers by life, as the store has them.
+	workers map[string]sched.Worker
+	// finalStates are the final states of its jobs.
+	finalStates finalStates
+	// unreadable are stored jobs that it cannot read: it does not know them, and they are there.
+	unreadable map[string]bool
+	// maxTickDelay is the most by which a step came after it was due, since that was told last.
+	maxTickDelay time.Duration
 }
 
 const (
-	// pollAll is how often the lead looks through all partitions, pollAtOnce of
+	// pollInterval is how often the lead looks through all partitions, pollAtOnce of
 	// them at a time, for jobs that no host told it of: a host that stored one may
 	// have died before it could.
-	pollAll    = 1800 * time.Millisecond
-	pollAtOnce = 4
-	// pollFirst is when a new lead looks first: once its own placing is done.
-	pollFirst = 300 * time.Millisecond
-	// knowAge is how old such a look may be for a job that it did not find to be
+	pollInterval       = 1800 * time.Millisecond
+	maxConcurrentPolls = 4
+	// firstPollDelay is when a new lead looks first: once its own placing is done.
+	firstPollDelay = 300 * time.Millisecond
+	// maxPollAge is how old such a look may be for a job that it did not find to be
 	// told as not there: a job has to be known three seconds after its acceptance.
-	knowAge = 2900 * time.Millisecond
-	// serversEvery is how often the workers' entries are read: a leaving worker
+	maxPollAge = 2900 * time.Millisecond
+	// workersInterval is how often the workers' entries are read: a leaving worker
 	// must get no work after two seconds.
-	serversEvery = 400 * time.Millisecond
-	// appendAgain is the pause before an append is repeated.
-	appendAgain = 100 * time.Millisecond
+	workersInterval = 400 * time.Millisecond
+	// appendRetry is the pause before an append is repeated.
+	appendRetry = 100 * time.Millisecond
 )
 
 // newTerm starts a term from what the store held when it was read.
@@ -78,25 +78,25 @@
 	limits.Disabled = h.cfg.Off
 	limits.Retention = time.Duration(h.cfg.Times.Keep) * 5 / 4
 	t := &term{
-		h: h, number: number, read: read, began: began, polled: read, jobs: len(r.jobs) + len(r.notStarted), open: len(r.notStarted),
-		kick: make(chan struct{}, 1), next: next, where: map[string]map[int]bool{}, listed: map[string]sched.Worker{}, unread: map[string]bool{},
-		core: sched.New(limits, number, r.jobs), journal: newJournal(h.store, h.log, &h.wg, number, h.stateParts()), orders: newOrders(),
+		h: h, number: number, readAt: read, beganAt: began, lastPoll: read, jobs: len(r.jobs) + len(r.notStarted), open: len(r.notStarted),
+		kick: make(chan struct{}, 1), nextOffset: next, jobParts: map[string]map[int]bool{}, workers: map[string]sched.Worker{}, unreadable: map[string]bool{},
+		core: sched.New(limits, number, r.jobs), journal: newJournal(h.store, h.log, &h.wg, number, h.stateParts()), responseTimes: newOrders(),
 	}
 	for _, id := range r.unreadable {
-		t.unread[id] = true
+		t.unreadable[id] = true
 	}
 	for _, j := range r.jobs {
 		if !j.State.Final() {
 			t.open++
 			continue
 		}
-		h.states.learn(j.Spec.ID, j.State)
-		t.endings.add(j.Spec.ID, j.State, began)
+		h.states.add(j.Spec.ID, j.State)
+		t.finalStates.add(j.Spec.ID, j.State, began)
 	}
 	t.ctx, t.cancel = context.WithCancel(h.ctx)
 	for part, all := range asks {
 		for _, a := range all {
-			t.stored(part, a)
+			t.notePart(part, a)
 		}
 	}
 	h.mu.Lock()
@@ -114,17 +114,17 @@
 	for _, id := range r.cancels {
 		t.step(sched.Cancel{ID: id})
 	}
-	h.wg.Go(t.formerLead)
-	h.wg.Go(t.servers)
-	h.wg.Go(t.poll)
-	h.wg.Go(t.ticks)
+	h.wg.Go(t.awaitPreviousLeader)
+	h.wg.Go(t.followWorkers)
+	h.wg.Go(t.pollPeriodically)
+	h.wg.Go(t.tickPeriodically)
 	h.wg.Go(t.reportLoad)
 	return t
 }
 
-// formerLead waits until the former lead is certain to hold nothing: it says
+// awaitPreviousLeader waits until the former lead is certain to hold nothing: it says
 // that it does not lead, or it was this very host.
-func (t *term) formerLead() {
+func (t *term) awaitPreviousLeader() {
 	t.h.mu.Lock()
 	former := t.h.previousLeader
 	over := sched.PredecessorStopped{Since: t.h.handoverBoundsAt, LeaseBounds: t.h.handoverBounds}
@@ -146,8 +146,8 @@
 	t.step(over)
 }
 
-// succeed is what a lead that leaves tells its successor.
-func (t *term) succeed() peer.Succeed {
+// successionMessage is what a lead that leaves tells its successor.
+func (t *term) successionMessage() peer.Succeed {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m := peer.Succeed{Term: t.number, Bounds: map[string]cell.Duration{}}
@@ -192,7 +192,7 @@
 	}
 	t.mu.Unlock()
 	for _, a := range acts {
-		t.carry(a)
+		t.execute(a)
 	}
 	select {
 	case t.kick <- struct{}{}:
@@ -200,27 +200,27 @@
 	}
 }
 
-func (t *term) carry(a sched.Action) {
+func (t *term) execute(a sched.Action) {
 	switch a := a.(type) {
 	case sched.Append:
 		t.h.wg.Go(func() { t.append(a) })
 	case sched.Hold:
-		t.h.wg.Go(func() { t.hold(a) })
+		t.h.wg.Go(func() { t.sendHold(a) })
 	case sched.Start:
 		t.h.wg.Go(func() {
-			got := t.order(a.To.Incarnation, func(ctx context.Context) sched.Outcome { return t.h.workers.Start(ctx, a) })
+			got := t.sendOrder(a.To.Incarnation, func(ctx context.Context) sched.Outcome { return t.h.workers.Start(ctx, a) })
 			t.h.incCounter("start." + got.String())
 			t.step(sched.StartReply{Task: a.Task, Run: a.Run, Worker: a.To.Incarnation, Outcome: got})
 		})
 	case sched.Stop:
 		t.h.wg.Go(func() {
-			got := t.order(a.To.Incarnation, func(ctx context.Context) sched.Outcome { return t.h.workers.Stop(ctx, a) })
+			got := t.sendOrder(a.To.Incarnation, func(ctx context.Context) sched.Outcome { return t.h.workers.Stop(ctx, a) })
 			t.h.incCounter("stop." + got.String())
 			t.step(sched.StopReply{Task: a.Task, Run: a.Run, Worker: a.To.Incarnation, Outcome: got})
 		})
 	case sched.Pace:
 		t.h.wg.Go(func() {
-			ctx, cancel := context.WithTimeout(t.ctx, orderWait)
+			ctx, cancel := context.WithTimeout(t.ctx, maxOrderTimeout)
 			defer cancel()
 			t.h.incCounter("pace." + t.h.workers.Pace(ctx, a).String())
 		})
@@ -235,35 +235,35 @@
 	case sched.JobStarted:
 		t.h.observe(fmt.Sprintf("job.start.rank%d", a.Rank), a.After)
 	case sched.JobEnded:
-		t.ended(a)
+		t.noteEnded(a)
 	case sched.Note:
 		t.h.log.Info("sched: "+a.What+".", "id", a.ID, "worker", a.Worker, "run", a.Run, "term", t.number, "detail", a.Detail)
 	}
 }
 
-// order sends an order to a worker.
-func (t *term) order(life string, send func(ctx context.Context) sched.Outcome) sched.Outcome {
-	return inTime(t.orders, t.h.now, life, 0, func() sched.Outcome {
-		ctx, cancel := context.WithTimeout(t.ctx, orderWait)
+// sendOrder sends an sendOrder to a worker.
+func (t *term) sendOrder(life string, send func(ctx context.Context) sched.Outcome) sched.Outcome {
+	return callWorker(t.responseTimes, t.h.now, life, 0, func() sched.Outcome {
+		ctx, cancel := context.WithTimeout(t.ctx, maxOrderTimeout)
 		defer cancel()
 		return send(ctx)
 	}, func(o sched.Outcome) bool { return o != sched.Unanswered }, sched.Unanswered)
 }
 
-func (t *term) hold(a sched.Hold) {
+func (t *term) sendHold(a sched.Hold) {
 	sent := t.h.now()
-	got := inTime(t.orders, t.h.now, a.To.Incarnation, a.Wait, func() sched.HoldReply {
-		ctx, cancel := context.WithTimeout(t.ctx, a.Wait+orderWait)
+	got := callWorker(t.responseTimes, t.h.now, a.To.Incarnation, a.Wait, func() sched.HoldReply {
+		ctx, cancel := context.WithTimeout(t.ctx, a.Wait+maxOrderTimeout)
 		defer cancel()
 		return t.h.workers.Hold(ctx, a)
 	}, func(r sched.HoldReply) bool { return r.Outcome != sched.Unanswered }, sched.HoldReply{Worker: a.To.Incarnation, Outcome: sched.Unanswered, Probe: a.Probe, AckedEnd: a.AckedEnd})
 	got.Sent, got.Received = sent, t.h.now()
-	t.h.incCounter(heldAs(got))
+	t.h.incCounter(holdCounter(got))
 	t.step(got)
 }
 
-// heldAs names the counter of a hold by what came of it.
-func heldAs(r sched.HoldReply) string {
+// holdCounter names the counter of a hold by what came of it.
+func holdCounter(r sched.HoldReply) string {
 	switch {
 	case r.Outcome != sched.Accepted:
 		return "hold." + r.Outcome.String()
@@ -276,22 +276,22 @@
 	}
 }
 
-// ended takes note of a final state, for this host and for those that ask.
-func (t *term) ended(a sched.JobEnded) {
+// noteEnded takes note of a final state, for this host and for those that ask.
+func (t *term) noteEnded(a sched.JobEnded) {
 	t.h.log.Info("sched: ended.", "id", a.ID, "term", t.number, "detail", a.State)
-	t.h.states.learn(a.ID, a.State)
+	t.h.states.add(a.ID, a.State)
 	now := t.h.now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.endings.add(a.ID, a.State, now)
-	t.endings.drop(now.Add(-time.Duration(t.h.cfg.Times.Keep)))
+	t.finalStates.add(a.ID, a.State, now)
+	t.finalStates.drop(now.Add(-time.Duration(t.h.cfg.Times.Keep)))
 }
 
-// endingsFrom returns final states from a number on, and the number to go on with.
-func (t *term) endingsFrom(n int) (map[flow.State][]string, int) {
+// finalStatesFrom returns final states from a number on, and the number to go on with.
+func (t *term) finalStatesFrom(n int) (map[flow.State][]string, int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.endings.from(n)
+	return t.finalStates.from(n)
 }
 
 // append stores changes under the term's fence.
@@ -301,7 +301,7 @@
 		records[i] = store.Record{Key: ch.Key, Value: ch.Value}
 	}
 	began := t.h.now()
-	err := t.journal.append(t.ctx, a.Number, records, t.h.spreadPatience())
+	err := t.journal.append(t.ctx, a.Number, records, t.h.appendTimeout())
 	t.h.observe("lead.append", t.h.now().Sub(began))
 	switch {
 	case err == nil:
@@ -316,8 +316,8 @@
 // that nothing was done of, and run it again.
 func (t *term) forget(id string) {
 	t.mu.Lock()
-	parts := t.where[id]
-	delete(t.where, id)
+	parts := t.jobParts[id]
+	delete(t.jobParts, id)
 	t.mu.Unlock()
 	for part := range parts {
 		c := store.Call{Op: store.Append, Topic: jobsTopic, Part: part, Keyed: true, Records: []store.Record{{Key: id}, {Key: id + cancelMark}}}
@@ -329,9 +329,9 @@
 	t.journal.drop(t.ctx, id)
 }
 
-// ticks steps the core when it is due, and gives up a term that the store does
+// tickPeriodically steps the core when it is due, and gives up a term that the store does
 // not serve: a successor may have begun by then, which counts on it.
-func (t *term) ticks() {
+func (t *term) tickPeriodically() {
 	for t.ctx.Err() == nil {
 		t.mu.Lock()
 		due := t.core.Due()
@@ -346,7 +346,7 @@
 			continue
 		case <-timer.C:
 			t.mu.Lock()
-			t.late = max(t.late, t.h.now().Sub(set)-pause)
+			t.maxTickDelay = max(t.maxTickDelay, t.h.now().Sub(set)-pause)
 			t.mu.Unlock()
 		}
 		if t.h.now().Sub(t.h.store.Good()) > sched.StoreTimeout {
@@ -363,7 +363,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	state, known = t.core.State(id)
-	return state, known, known || !t.unread[id] && t.h.now().Sub(t.polled) < knowAge
+	return state, known, known || !t.unreadable[id] && t.h.now().Sub(t.lastPoll) < maxPollAge
 }
 
 func (t *term) pending() map[string]int {
