--- a/internal/member/messages.go
+++ b/internal/member/messages.go
@@ -50,7 +50,7 @@
 	Incarnation int64         `json:"inc"`
 	Seq         int64         `json:"seq"`
 	Next        int64         `json:"next"`
-	Mark        uint32        `json:"mark"`
+	Digest      uint32        `json:"mark"`
 	Free        int           `json:"free"`
 	Queued      int           `json:"queued,omitempty"`
 	Leaving     bool          `json:"leaving,omitempty"`
