--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -243,7 +243,7 @@
 		b, heard := beats[p.Name]
 		since := h.began
 		if heard {
-			since = b.At
+			since = b.ReceivedAt
 		}
 		if now.Sub(since) < settleSilent {
 			lowest = min(lowest, b.Next)
--- a/internal/host/routes.go
+++ b/internal/host/routes.go
@@ -131,7 +131,7 @@
 	s := operator.TableStatus{Unknown: len(h.table.Unknown())}
 	s.Hosts = append(s.Hosts, operator.HostTable{Host: h.cfg.Name, Domain: h.cfg.Domain, Next: h.table.Wants(), Mark: uint32(h.table.Mark()), Heard: h.clock()})
 	for _, b := range h.members.Beats() {
-		s.Hosts = append(s.Hosts, operator.HostTable{Host: b.Name, Domain: b.Domain, Next: b.Next, Mark: b.Digest, Heard: b.At})
+		s.Hosts = append(s.Hosts, operator.HostTable{Host: b.Name, Domain: b.Domain, Next: b.Next, Mark: b.Digest, Heard: b.ReceivedAt})
 	}
 	return s
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -66,7 +66,7 @@
 	if !m.ticked.IsZero() && gap > pauseAfter {
 		m.resumed++
 		for name, p := range m.peers {
-			p.At = p.At.Add(gap)
+			p.ReceivedAt = p.ReceivedAt.Add(gap)
 			m.peers[name] = p
 		}
 	}
@@ -85,7 +85,7 @@
 	if !ok || old.Incarnation != b.Incarnation {
 		p.first = now
 	}
-	p.At = now
+	p.ReceivedAt = now
 	m.peers[b.Name] = p
 }
 
@@ -116,7 +116,7 @@
 	m.oneWay = 0
 	for name, p := range m.peers {
 		switch {
-		case now.Sub(p.At) > p.silentAfter() || p.Leaving || p.failed || m.leaves(p):
+		case now.Sub(p.ReceivedAt) > p.silentAfter() || p.Leaving || p.failed || m.leaves(p):
 		case !p.Ack:
 			m.oneWay++
 		default:
@@ -147,7 +147,7 @@
 // heartbeats are lost on a link that works the other way.
 func (m *Members) Hears(now time.Time, name string) bool {
 	p, ok := m.peers[name]
-	return ok && now.Sub(p.At) <= p.silentAfter()
+	return ok && now.Sub(p.ReceivedAt) <= p.silentAfter()
 }
 
 // OneWay returns how many peers are heard and do not hear this host.
--- a/internal/member/messages.go
+++ b/internal/member/messages.go
@@ -56,5 +56,5 @@
 	Leaving     bool          `json:"leaving,omitempty"`
 	Ack         bool          `json:"ack,omitempty"`
 	Period      cell.Duration `json:"period"`
-	At          time.Time     `json:"-"`
+	ReceivedAt  time.Time     `json:"-"`
 }
--- a/internal/relay/home.go
+++ b/internal/relay/home.go
@@ -82,7 +82,7 @@
 	_, beats := x.Members()
 	signs := map[string]ledger.Sign{x.Name: {Inc: x.Inc, At: x.Clock()}}
 	for _, b := range beats {
-		signs[b.Name] = ledger.Sign{Inc: b.Incarnation, At: b.At}
+		signs[b.Name] = ledger.Sign{Inc: b.Incarnation, At: b.ReceivedAt}
 	}
 	x.stepHome(ledger.Hosts{Signs: signs})
 	x.stepHome(ledger.Tick{})
@@ -108,7 +108,7 @@
 	live := map[string]bool{x.Name: true}
 	now := x.Clock()
 	for _, b := range beats {
-		live[b.Name] = !b.Leaving && now.Sub(b.At) <= member.SilentAfter
+		live[b.Name] = !b.Leaving && now.Sub(b.ReceivedAt) <= member.SilentAfter
 	}
 	return func(name string) bool { return live[name] }
 }
--- a/internal/relay/keyed_test.go
+++ b/internal/relay/keyed_test.go
@@ -59,7 +59,7 @@
 	beats := append([]member.Beat(nil), n.beats...)
 	for i := range beats {
 		names = append(names, beats[i].Name)
-		beats[i].At = n.clock()
+		beats[i].ReceivedAt = n.clock()
 	}
 	return names, beats
 }
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -29,8 +29,8 @@
 		if b.Domain != x.Domain {
 			continue
 		}
-		fresh = fresh || x.lent[b.Name] != b.At
-		x.lent[b.Name] = b.At
+		fresh = fresh || x.lent[b.Name] != b.ReceivedAt
+		x.lent[b.Name] = b.ReceivedAt
 		if x.lends(now, b) {
 			all = append(all, queue.Peer{Name: b.Name, Free: b.Free})
 		}
@@ -43,7 +43,7 @@
 // lends tells whether a peer's word counts: it is recent, and newer than the
 // last request that got no answer there.
 func (x *Relay) lends(now time.Time, b member.Beat) bool {
-	return !b.Leaving && b.At.After(x.silent[b.Name]) && now.Sub(b.At) <= member.SilentAfter
+	return !b.Leaving && b.ReceivedAt.After(x.silent[b.Name]) && now.Sub(b.ReceivedAt) <= member.SilentAfter
 }
 
 // viaPeer runs a request on a peer's slot. It tells whether the peer gave it
