--- a/internal/host/beat.go
+++ b/internal/host/beat.go
@@ -66,7 +66,7 @@
 	h.beats++
 	b := member.Beat{
 		Name: h.cfg.Name, Incarnation: h.incarnation, Seq: h.beats, Next: h.table.Wants(), Digest: uint32(h.table.Mark()),
-		Free: free, Queued: waiting, Leaving: !h.Ready(), Ack: h.members.Hears(now, name), Period: cell.Duration{Duration: period},
+		FreeSlots: free, Queued: waiting, Leaving: !h.Ready(), Ack: h.members.Hears(now, name), Period: cell.Duration{Duration: period},
 	}
 	h.mu.Unlock()
 	ctx, cancel := context.WithTimeout(h.ctx, beatWait)
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -30,9 +30,9 @@
 // It must not replace what is known of the successor.
 func TestOldIncarnationIsPassedOver(t *testing.T) {
 	m := member.New(member.Beat{Name: "a", Domain: "d"})
-	m.Step(now, member.Heard{Beat: member.Beat{Name: "b", Incarnation: 2, Free: 5}})
-	m.Step(now, member.Heard{Beat: member.Beat{Name: "b", Incarnation: 1, Free: 0}})
-	require.Equal(t, 5, m.Beats()[0].Free)
+	m.Step(now, member.Heard{Beat: member.Beat{Name: "b", Incarnation: 2, FreeSlots: 5}})
+	m.Step(now, member.Heard{Beat: member.Beat{Name: "b", Incarnation: 1, FreeSlots: 0}})
+	require.Equal(t, 5, m.Beats()[0].FreeSlots)
 }
 
 // Guards against two hosts that lead one rack: a heartbeat from before the peer heard this host
--- a/internal/member/messages.go
+++ b/internal/member/messages.go
@@ -51,7 +51,7 @@
 	Seq         int64         `json:"seq"`
 	Next        int64         `json:"next"`
 	Digest      uint32        `json:"mark"`
-	Free        int           `json:"free"`
+	FreeSlots   int           `json:"free"`
 	Queued      int           `json:"queued,omitempty"`
 	Leaving     bool          `json:"leaving,omitempty"`
 	Ack         bool          `json:"ack,omitempty"`
--- a/internal/relay/keyed_test.go
+++ b/internal/relay/keyed_test.go
@@ -173,7 +173,7 @@
 
 // free makes the first node take the second for one with free slots.
 func free(all []*node) {
-	all[0].setBeats(member.Beat{Name: "nord-1", Domain: "nord", Free: 8})
+	all[0].setBeats(member.Beat{Name: "nord-1", Domain: "nord", FreeSlots: 8})
 	all[0].Tick()
 }
 
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -32,7 +32,7 @@
 		fresh = fresh || x.lent[b.Name] != b.ReceivedAt
 		x.lent[b.Name] = b.ReceivedAt
 		if x.lends(now, b) {
-			all = append(all, queue.Peer{Name: b.Name, Free: b.Free})
+			all = append(all, queue.Peer{Name: b.Name, Free: b.FreeSlots})
 		}
 	}
 	if fresh || len(live) <= 1 {
