--- a/internal/host/beat.go
+++ b/internal/host/beat.go
@@ -84,7 +84,7 @@
 		if p.Name == b.Name {
 			b.Domain = p.Domain
 			h.compare(b)
-			h.member(member.Heard{Beat: b})
+			h.member(member.HeartbeatReceived{Beat: b})
 			h.greet(b)
 			return nil, nil
 		}
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -47,7 +47,7 @@
 func (m *Members) Step(now time.Time, ev Event) []Action {
 	m.resume(now)
 	switch ev := ev.(type) {
-	case Heard:
+	case HeartbeatReceived:
 		m.hear(now, ev.Beat)
 	case Failed:
 		m.fail(ev.Name)
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -16,7 +16,7 @@
 // new work that they send there is lost time.
 func TestSilentPeerIsGone(t *testing.T) {
 	m := member.New(member.Beat{Name: "a", Domain: "d"})
-	acts := m.Step(now, member.Heard{Beat: member.Beat{Name: "b", Domain: "d", Ack: true}})
+	acts := m.Step(now, member.HeartbeatReceived{Beat: member.Beat{Name: "b", Domain: "d", Ack: true}})
 	require.Equal(t, []member.Action{member.Changed{Live: []string{"a", "b"}}}, acts)
 	require.Equal(t, []string{"a", "b"}, m.LiveIn("d"))
 	// Ticks far apart would look like a pause of this host itself.
@@ -30,8 +30,8 @@
 // It must not replace what is known of the successor.
 func TestOldIncarnationIsPassedOver(t *testing.T) {
 	m := member.New(member.Beat{Name: "a", Domain: "d"})
-	m.Step(now, member.Heard{Beat: member.Beat{Name: "b", Incarnation: 2, FreeSlots: 5}})
-	m.Step(now, member.Heard{Beat: member.Beat{Name: "b", Incarnation: 1, FreeSlots: 0}})
+	m.Step(now, member.HeartbeatReceived{Beat: member.Beat{Name: "b", Incarnation: 2, FreeSlots: 5}})
+	m.Step(now, member.HeartbeatReceived{Beat: member.Beat{Name: "b", Incarnation: 1, FreeSlots: 0}})
 	require.Equal(t, 5, m.Beats()[0].FreeSlots)
 }
 
@@ -39,10 +39,10 @@
 // overtakes the next one, and this host takes the peer for gone.
 func TestOvertakenHeartbeatIsPassedOver(t *testing.T) {
 	m := member.New(member.Beat{Name: "a"})
-	m.Step(now, member.Heard{Beat: member.Beat{Name: "b", Seq: 2, Ack: true}})
-	require.Empty(t, m.Step(now, member.Heard{Beat: member.Beat{Name: "b", Seq: 1}}))
+	m.Step(now, member.HeartbeatReceived{Beat: member.Beat{Name: "b", Seq: 2, Ack: true}})
+	require.Empty(t, m.Step(now, member.HeartbeatReceived{Beat: member.Beat{Name: "b", Seq: 1}}))
 	require.Equal(t, []string{"a", "b"}, m.Live())
-	require.NotEmpty(t, m.Step(now, member.Heard{Beat: member.Beat{Name: "b", Seq: 3}}))
+	require.NotEmpty(t, m.Step(now, member.HeartbeatReceived{Beat: member.Beat{Name: "b", Seq: 3}}))
 }
 
 func TestRankNamesTwoDifferentHosts(t *testing.T) {
@@ -62,12 +62,12 @@
 // peer's heartbeats say that it hears nothing, so both take the link for dead.
 func TestOneWayLinkIsDeadForBoth(t *testing.T) {
 	m := member.New(member.Beat{Name: "a"})
-	m.Step(now, member.Heard{Beat: member.Beat{Name: "b"}})
+	m.Step(now, member.HeartbeatReceived{Beat: member.Beat{Name: "b"}})
 	require.Equal(t, []string{"a"}, m.Live())
 	require.Equal(t, 1, m.OneWay())
 	require.True(t, m.Hears(now, "b"))
 	require.False(t, m.Hears(now.Add(time.Minute), "b"))
-	m.Step(now, member.Heard{Beat: member.Beat{Name: "b", Ack: true}})
+	m.Step(now, member.HeartbeatReceived{Beat: member.Beat{Name: "b", Ack: true}})
 	require.Equal(t, []string{"a", "b"}, m.Live())
 }
 
@@ -75,7 +75,7 @@
 // that is read yet; it must not take over everything that they lead.
 func TestOwnPauseIsNotThePeersSilence(t *testing.T) {
 	m := member.New(member.Beat{Name: "a"})
-	m.Step(now, member.Heard{Beat: member.Beat{Name: "b", Ack: true}})
+	m.Step(now, member.HeartbeatReceived{Beat: member.Beat{Name: "b", Ack: true}})
 	require.Empty(t, m.Step(now.Add(time.Minute), member.Tick{}))
 	require.Equal(t, 1, m.Resumed())
 	later := now.Add(time.Minute)
@@ -89,7 +89,7 @@
 // silent for long enough.
 func TestFailedSendTakesAPeerForGoneUntilItIsHeard(t *testing.T) {
 	m := member.New(member.Beat{Name: "a"})
-	beat := member.Heard{Beat: member.Beat{Name: "b", Ack: true}}
+	beat := member.HeartbeatReceived{Beat: member.Beat{Name: "b", Ack: true}}
 	m.Step(now, beat)
 	require.NotEmpty(t, m.Step(now, member.Failed{Name: "b"}))
 	require.Equal(t, []string{"a"}, m.Live())
@@ -101,10 +101,10 @@
 // under the same name. What the peers hear of the new one counts.
 func TestLaggingListDoesNotHideASuccessor(t *testing.T) {
 	m := member.New(member.Beat{Name: "a"})
-	m.Step(now, member.Heard{Beat: member.Beat{Name: "b", Incarnation: 1, Ack: true}})
+	m.Step(now, member.HeartbeatReceived{Beat: member.Beat{Name: "b", Incarnation: 1, Ack: true}})
 	m.Step(now.Add(time.Second), member.Listed{Leaving: []string{"b"}})
 	require.Equal(t, []string{"a"}, m.Live())
-	m.Step(now.Add(1500*time.Millisecond), member.Heard{Beat: member.Beat{Name: "b", Incarnation: 2, Ack: true}})
+	m.Step(now.Add(1500*time.Millisecond), member.HeartbeatReceived{Beat: member.Beat{Name: "b", Incarnation: 2, Ack: true}})
 	require.Equal(t, []string{"a", "b"}, m.Live())
 	m.Step(now.Add(1500*time.Millisecond), member.Listed{})
 	require.Equal(t, []string{"a", "b"}, m.Live())
@@ -115,7 +115,7 @@
 func TestSlowBeaterIsGivenThreeOfItsPeriods(t *testing.T) {
 	m := member.New(member.Beat{Name: "a"})
 	far := member.Far(45)
-	m.Step(now, member.Heard{Beat: member.Beat{Name: "b", Ack: true, Period: cell.Duration{Duration: far}}})
+	m.Step(now, member.HeartbeatReceived{Beat: member.Beat{Name: "b", Ack: true, Period: cell.Duration{Duration: far}}})
 	for at := time.Duration(0); at <= 4*far; at += 500 * time.Millisecond {
 		m.Step(now.Add(at), member.Tick{})
 		require.Equal(t, at <= 3*far, len(m.Live()) == 2, at)
--- a/internal/member/messages.go
+++ b/internal/member/messages.go
@@ -9,8 +9,8 @@
 // Event is what the membership core is told.
 type Event interface{ event() }
 
-// Heard is a heartbeat that arrived from a peer.
-type Heard struct{ Beat Beat }
+// HeartbeatReceived is a heartbeat that arrived from a peer.
+type HeartbeatReceived struct{ Beat Beat }
 
 // Tick lets time pass.
 type Tick struct{}
@@ -25,11 +25,11 @@
 // Left tells that a peer said farewell in a planned stop.
 type Left struct{ Name string }
 
-func (Heard) event()  {}
-func (Tick) event()   {}
-func (Left) event()   {}
-func (Failed) event() {}
-func (Listed) event() {}
+func (HeartbeatReceived) event() {}
+func (Tick) event()              {}
+func (Left) event()              {}
+func (Failed) event()            {}
+func (Listed) event()            {}
 
 // Action is what the membership core asks its edge to do.
 type Action interface{ action() }
