--- a/internal/host/beat.go
+++ b/internal/host/beat.go
@@ -73,7 +73,7 @@
 	defer cancel()
 	err := h.peers.Tell(ctx, name, peer.Beat{Beat: b})
 	if errors.As(err, new(*peer.UnreachedError)) {
-		h.member(member.Failed{Name: name})
+		h.member(member.SendFailed{Name: name})
 	}
 }
 
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -49,7 +49,7 @@
 	switch ev := ev.(type) {
 	case HeartbeatReceived:
 		m.hear(now, ev.Beat)
-	case Failed:
+	case SendFailed:
 		m.fail(ev.Name)
 	case Left:
 		delete(m.peers, ev.Name)
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -91,7 +91,7 @@
 	m := member.New(member.Beat{Name: "a"})
 	beat := member.HeartbeatReceived{Beat: member.Beat{Name: "b", Ack: true}}
 	m.Step(now, beat)
-	require.NotEmpty(t, m.Step(now, member.Failed{Name: "b"}))
+	require.NotEmpty(t, m.Step(now, member.SendFailed{Name: "b"}))
 	require.Equal(t, []string{"a"}, m.Live())
 	m.Step(now, beat)
 	require.Equal(t, []string{"a", "b"}, m.Live())
--- a/internal/member/messages.go
+++ b/internal/member/messages.go
@@ -15,9 +15,9 @@
 // Tick lets time pass.
 type Tick struct{}
 
-// Failed tells that a message to a peer could not be sent: its process is gone
+// SendFailed tells that a message to a peer could not be sent: its process is gone
 // or the way to it. The next heartbeat from it says otherwise.
-type Failed struct{ Name string }
+type SendFailed struct{ Name string }
 
 // Listed tells which hosts the platform's list shows as leaving.
 type Listed struct{ Leaving []string }
@@ -28,7 +28,7 @@
 func (HeartbeatReceived) event() {}
 func (Tick) event()              {}
 func (Left) event()              {}
-func (Failed) event()            {}
+func (SendFailed) event()        {}
 func (Listed) event()            {}
 
 // Action is what the membership core asks its edge to do.
