--- a/internal/host/list.go
+++ b/internal/host/list.go
@@ -74,7 +74,7 @@
 			leaving = append(leaving, m.Name)
 		}
 	}
-	h.member(member.Listed{Leaving: leaving})
+	h.member(member.LeavingListed{Leaving: leaving})
 	h.listedShares()
 	h.share()
 	if h.readsList() {
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -53,7 +53,7 @@
 		m.fail(ev.Name)
 	case Left:
 		delete(m.peers, ev.Name)
-	case Listed:
+	case LeavingListed:
 		m.list(now, ev.Leaving)
 	case Tick:
 	}
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -102,11 +102,11 @@
 func TestLaggingListDoesNotHideASuccessor(t *testing.T) {
 	m := member.New(member.Beat{Name: "a"})
 	m.Step(now, member.HeartbeatReceived{Beat: member.Beat{Name: "b", Incarnation: 1, Ack: true}})
-	m.Step(now.Add(time.Second), member.Listed{Leaving: []string{"b"}})
+	m.Step(now.Add(time.Second), member.LeavingListed{Leaving: []string{"b"}})
 	require.Equal(t, []string{"a"}, m.Live())
 	m.Step(now.Add(1500*time.Millisecond), member.HeartbeatReceived{Beat: member.Beat{Name: "b", Incarnation: 2, Ack: true}})
 	require.Equal(t, []string{"a", "b"}, m.Live())
-	m.Step(now.Add(1500*time.Millisecond), member.Listed{})
+	m.Step(now.Add(1500*time.Millisecond), member.LeavingListed{})
 	require.Equal(t, []string{"a", "b"}, m.Live())
 }
 
--- a/internal/member/messages.go
+++ b/internal/member/messages.go
@@ -19,8 +19,8 @@
 // or the way to it. The next heartbeat from it says otherwise.
 type SendFailed struct{ Name string }
 
-// Listed tells which hosts the platform's list shows as leaving.
-type Listed struct{ Leaving []string }
+// LeavingListed tells which hosts the platform's list shows as leaving.
+type LeavingListed struct{ Leaving []string }
 
 // Left tells that a peer said farewell in a planned stop.
 type Left struct{ Name string }
@@ -29,7 +29,7 @@
 func (Tick) event()              {}
 func (Left) event()              {}
 func (SendFailed) event()        {}
-func (Listed) event()            {}
+func (LeavingListed) event()     {}
 
 // Action is what the membership core asks its edge to do.
 type Action interface{ action() }
