--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -376,7 +376,7 @@
 		h.member(member.HeartbeatReceived{Beat: m.Beat})
 		return nil, nil
 	case peer.Leave:
-		h.member(member.Left{Name: m.Name})
+		h.member(member.LeaveReceived{Name: m.Name})
 		return nil, nil
 	case peer.Slots:
 		h.shareStep(share.AnnouncementReceived{Announcement: m.Announcement})
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -51,7 +51,7 @@
 		m.hear(now, ev.Beat)
 	case SendFailed:
 		m.fail(ev.Name)
-	case Left:
+	case LeaveReceived:
 		delete(m.peers, ev.Name)
 	case LeavingListed:
 		m.list(now, ev.Leaving)
--- a/internal/member/messages.go
+++ b/internal/member/messages.go
@@ -22,12 +22,12 @@
 // LeavingListed tells which hosts the platform's list shows as leaving.
 type LeavingListed struct{ Leaving []string }
 
-// Left tells that a peer said farewell in a planned stop.
-type Left struct{ Name string }
+// LeaveReceived tells that a peer said farewell in a planned stop.
+type LeaveReceived struct{ Name string }
 
 func (HeartbeatReceived) event() {}
 func (Tick) event()              {}
-func (Left) event()              {}
+func (LeaveReceived) event()     {}
 func (SendFailed) event()        {}
 func (LeavingListed) event()     {}
 
