--- a/internal/host/cell.go
+++ b/internal/host/cell.go
@@ -17,7 +17,7 @@
 	h.mu.Unlock()
 	for _, a := range acts {
 		switch a := a.(type) {
-		case member.Changed:
+		case member.LiveChanged:
 			h.log.Info("member: live hosts changed.", "live", a.Live)
 			h.share()
 		}
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -128,7 +128,7 @@
 		return nil
 	}
 	m.live = live
-	return []Action{Changed{Live: slices.Clone(live)}}
+	return []Action{LiveChanged{Live: slices.Clone(live)}}
 }
 
 // leaves tells whether the platform shows the host as leaving and this
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -17,13 +17,13 @@
 func TestSilentPeerIsGone(t *testing.T) {
 	m := member.New(member.Beat{Name: "a", Domain: "d"})
 	acts := m.Step(now, member.HeartbeatReceived{Beat: member.Beat{Name: "b", Domain: "d", Ack: true}})
-	require.Equal(t, []member.Action{member.Changed{Live: []string{"a", "b"}}}, acts)
+	require.Equal(t, []member.Action{member.LiveChanged{Live: []string{"a", "b"}}}, acts)
 	require.Equal(t, []string{"a", "b"}, m.LiveIn("d"))
 	// Ticks far apart would look like a pause of this host itself.
 	require.Empty(t, m.Step(now.Add(member.SilentAfter/2), member.Tick{}))
 	require.Empty(t, m.Step(now.Add(member.SilentAfter), member.Tick{}))
 	acts = m.Step(now.Add(member.SilentAfter+1), member.Tick{})
-	require.Equal(t, []member.Action{member.Changed{Live: []string{"a"}}}, acts)
+	require.Equal(t, []member.Action{member.LiveChanged{Live: []string{"a"}}}, acts)
 }
 
 // A host was replaced, and a heartbeat that its predecessor sent arrives late.
--- a/internal/member/messages.go
+++ b/internal/member/messages.go
@@ -34,10 +34,10 @@
 // Action is what the membership core asks its edge to do.
 type Action interface{ action() }
 
-// Changed tells that the set of live hosts is another one now.
-type Changed struct{ Live []string }
+// LiveChanged tells that the set of live hosts is another one now.
+type LiveChanged struct{ Live []string }
 
-func (Changed) action() {}
+func (LiveChanged) action() {}
 
 // Beat is one heartbeat: who sends it, since when it runs, what load it
 // carries, which table offset it waits for and the mark of its table there. Ack
