--- a/internal/host/beat.go
+++ b/internal/host/beat.go
@@ -64,14 +64,14 @@
 	now := h.clock()
 	h.mu.Lock()
 	h.beats++
-	b := member.Beat{
+	b := member.Heartbeat{
 		Name: h.cfg.Name, Incarnation: h.incarnation, Seq: h.beats, Next: h.table.Wants(), Digest: uint32(h.table.Mark()),
 		FreeSlots: free, Queued: waiting, Leaving: !h.Ready(), Ack: h.members.Hears(now, name), Period: cell.Duration{Duration: period},
 	}
 	h.mu.Unlock()
 	ctx, cancel := context.WithTimeout(h.ctx, beatWait)
 	defer cancel()
-	err := h.peers.Tell(ctx, name, peer.Beat{Beat: b})
+	err := h.peers.Tell(ctx, name, peer.Beat{Heartbeat: b})
 	if errors.As(err, new(*peer.UnreachedError)) {
 		h.member(member.SendFailed{Name: name})
 	}
@@ -79,7 +79,7 @@
 
 // heard takes a peer's heartbeat. Hosts that the settings do not name are not
 // known and not counted.
-func (h *Host) heard(b member.Beat) (any, error) {
+func (h *Host) heard(b member.Heartbeat) (any, error) {
 	for _, p := range h.cfg.Peers {
 		if p.Name == b.Name {
 			b.Domain = p.Domain
@@ -96,7 +96,7 @@
 // greet answers a peer that does not hear this host yet at once. Two hosts that
 // have just started would otherwise need two periods to know each other, and
 // hand each other's jobs over only then.
-func (h *Host) greet(b member.Beat) {
+func (h *Host) greet(b member.Heartbeat) {
 	if b.Ack || h.ctx.Err() != nil {
 		return
 	}
--- a/internal/host/cell.go
+++ b/internal/host/cell.go
@@ -24,7 +24,7 @@
 	}
 }
 
-func (h *Host) domainMembers() ([]string, []member.Beat) {
+func (h *Host) domainMembers() ([]string, []member.Heartbeat) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.members.LiveIn(h.cfg.Domain), h.members.Beats()
--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -35,7 +35,7 @@
 	}
 	switch m := m.(type) {
 	case peer.Beat:
-		return h.heard(m.Beat)
+		return h.heard(m.Heartbeat)
 	case peer.Listed:
 		metrics.GetOrRegisterCounter("list.told", h.metrics).Inc(1)
 		h.refreshSoon()
@@ -98,7 +98,7 @@
 // compare tells when a peer has folded other records up to the same offset.
 // That cannot come about unless the log showed two hosts unlike records;
 // nobody else would notice that they work by different limits.
-func (h *Host) compare(b member.Beat) {
+func (h *Host) compare(b member.Heartbeat) {
 	h.mu.Lock()
 	differs := b.Next == h.table.Wants() && b.Digest != uint32(h.table.Mark())
 	h.mu.Unlock()
@@ -186,18 +186,18 @@
 func (h *Host) nextAhead(from int64, asked map[string]bool) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	all := slices.DeleteFunc(h.members.Beats(), func(b member.Beat) bool { return b.Next <= from || asked[b.Name] })
+	all := slices.DeleteFunc(h.members.Beats(), func(b member.Heartbeat) bool { return b.Next <= from || asked[b.Name] })
 	if len(all) == 0 {
 		return ""
 	}
 	live := h.members.Live()
-	silent := func(b member.Beat) int {
+	silent := func(b member.Heartbeat) int {
 		if slices.Contains(live, b.Name) {
 			return 0
 		}
 		return 1
 	}
-	return slices.MinFunc(all, func(a, b member.Beat) int {
+	return slices.MinFunc(all, func(a, b member.Heartbeat) int {
 		return cmp.Or(cmp.Compare(silent(a), silent(b)), cmp.Compare(b.Next, a.Next))
 	}).Name
 }
@@ -232,7 +232,7 @@
 func (h *Host) readByDomain() int64 {
 	now := h.clock()
 	lowest := h.table.Wants()
-	beats := map[string]member.Beat{}
+	beats := map[string]member.Heartbeat{}
 	for _, b := range h.members.Beats() {
 		beats[b.Name] = b
 	}
--- a/internal/host/export_test.go
+++ b/internal/host/export_test.go
@@ -26,14 +26,14 @@
 }
 
 // Beat is what the host tells its peers of itself.
-func (h *Host) Beat() member.Beat {
+func (h *Host) Beat() member.Heartbeat {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return member.Beat{Name: h.cfg.Name, Incarnation: h.incarnation, Next: h.table.Wants(), Digest: uint32(h.table.Mark()), Ack: true}
+	return member.Heartbeat{Name: h.cfg.Name, Incarnation: h.incarnation, Next: h.table.Wants(), Digest: uint32(h.table.Mark()), Ack: true}
 }
 
 // Hear takes a peer's heartbeat.
-func (h *Host) Hear(b member.Beat) { _, _ = h.heard(b) }
+func (h *Host) Hear(b member.Heartbeat) { _, _ = h.heard(b) }
 
 // KeepJobs has a host that is not started write jobs to the log, which rt reaches.
 func (h *Host) KeepJobs(rt http.RoundTripper) {
--- a/internal/host/follow_test.go
+++ b/internal/host/follow_test.go
@@ -170,7 +170,7 @@
 func (c *readers) tellLast() {
 	for _, h := range c.hosts {
 		for _, name := range c.cut {
-			h.Hear(member.Beat{Name: name, Next: 10, Ack: true})
+			h.Hear(member.Heartbeat{Name: name, Next: 10, Ack: true})
 		}
 	}
 }
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -111,7 +111,7 @@
 		trail: trail.New(trailNotes), table: table.New(), grown: make(chan struct{}), jobs: newKeeper(), relist: make(chan struct{}, 1), work: newGate(), budget: &budget{most: orDefault(cfg.Limits.Memory, settings.DefaultMemory)},
 		ctx: ctx, cancel: cancel, drained: make(chan struct{}),
 		shares:  newShares(cfg, now),
-		members: member.New(member.Beat{Name: cfg.Name, Domain: cfg.Domain, Incarnation: now.UnixMilli()}),
+		members: member.New(member.Heartbeat{Name: cfg.Name, Domain: cfg.Domain, Incarnation: now.UnixMilli()}),
 	}
 	h.life.Store(life.Start())
 	h.peers.Through(h.dialPeer)
--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -373,7 +373,7 @@
 func (h *Host) answer(ctx context.Context, m peer.Message) (any, error) {
 	switch m := m.(type) {
 	case peer.Beat:
-		h.member(member.HeartbeatReceived{Beat: m.Beat})
+		h.member(member.HeartbeatReceived{Beat: m.Heartbeat})
 		return nil, nil
 	case peer.Leave:
 		h.member(member.LeaveReceived{Name: m.Name})
--- a/internal/host/keys_test.go
+++ b/internal/host/keys_test.go
@@ -83,7 +83,7 @@
 	liar.Through(func(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
 		return (&tls.Dialer{Config: host}).DialContext(ctx, "tcp", addr.String())
 	})
-	lie := peer.Beat{Beat: member.Beat{Name: "nord-1", Incarnation: 1 << 60, Leaving: true}}
+	lie := peer.Beat{Heartbeat: member.Heartbeat{Name: "nord-1", Incarnation: 1 << 60, Leaving: true}}
 	require.ErrorAs(t, liar.Ask(ctx, "nord-0", lie, nil), new(*peer.RefusedError))
 	require.ErrorAs(t, liar.Ask(ctx, "nord-0", peer.Leave{Name: "nord-1"}, nil), new(*peer.RefusedError))
 	require.ErrorAs(t, liar.Ask(ctx, "nord-0", peer.Slots{Announcement: share.Announcement{Name: "nord-1", Released: true}}, nil), new(*peer.RefusedError))
--- a/internal/host/routes.go
+++ b/internal/host/routes.go
@@ -105,7 +105,7 @@
 	Self  string                   `json:"self"`
 	Live  []string                 `json:"live"`
 	Next  int64                    `json:"next"`
-	Seen  []member.Beat            `json:"seen"`
+	Seen  []member.Heartbeat       `json:"seen"`
 }
 
 func (h *Host) hostsView() hostView {
--- a/internal/measure/retry.go
+++ b/internal/measure/retry.go
@@ -40,7 +40,7 @@
 		Minions: minion.New(&http.Transport{}, 1<<20), Peers: peer.NewClients(nil),
 		Row:     func(string) (table.Row, int64) { return row, 1 },
 		Part:    func(_ string, limit int64) int64 { return limit },
-		Members: func() ([]string, []member.Beat) { return []string{"h1"}, nil },
+		Members: func() ([]string, []member.Heartbeat) { return []string{"h1"}, nil },
 		Clock:   time.Now, Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
 	})
 	var servers []relay.Server
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -20,7 +20,7 @@
 const pauseAfter = time.Second
 
 type peerState struct {
-	Beat
+	Heartbeat
 	// first is when this incarnation was first heard.
 	first time.Time
 	// failed tells that a message could not be sent since the last heartbeat.
@@ -29,7 +29,7 @@
 
 // Members is the membership core of one host.
 type Members struct {
-	self    Beat
+	self    Heartbeat
 	peers   map[string]peerState
 	listed  map[string]time.Time
 	live    []string
@@ -39,7 +39,7 @@
 }
 
 // New returns the core of the host that self describes.
-func New(self Beat) *Members {
+func New(self Heartbeat) *Members {
 	return &Members{self: self, peers: map[string]peerState{}, listed: map[string]time.Time{}, live: []string{self.Name}}
 }
 
@@ -76,12 +76,12 @@
 // hear keeps the newest incarnation: a message that a dead predecessor left in
 // the network would otherwise bring the predecessor back to life. An older heartbeat of the
 // same incarnation may tell that it did not hear this host yet.
-func (m *Members) hear(now time.Time, b Beat) {
+func (m *Members) hear(now time.Time, b Heartbeat) {
 	old, ok := m.peers[b.Name]
 	if ok && (old.Incarnation > b.Incarnation || old.Incarnation == b.Incarnation && old.Seq > b.Seq) {
 		return
 	}
-	p := peerState{Beat: b, first: old.first}
+	p := peerState{Heartbeat: b, first: old.first}
 	if !ok || old.Incarnation != b.Incarnation {
 		p.first = now
 	}
@@ -178,10 +178,10 @@
 }
 
 // Beats lists the last heartbeat of each known peer in order of name.
-func (m *Members) Beats() []Beat {
-	all := make([]Beat, 0, len(m.peers))
+func (m *Members) Beats() []Heartbeat {
+	all := make([]Heartbeat, 0, len(m.peers))
 	for _, name := range slices.Sorted(maps.Keys(m.peers)) {
-		all = append(all, m.peers[name].Beat)
+		all = append(all, m.peers[name].Heartbeat)
 	}
 	return all
 }
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -15,8 +15,8 @@
 // A host goes silent. Its peers must take over what it did; until they notice,
 // new work that they send there is lost time.
 func TestSilentPeerIsGone(t *testing.T) {
-	m := member.New(member.Beat{Name: "a", Domain: "d"})
-	acts := m.Step(now, member.HeartbeatReceived{Beat: member.Beat{Name: "b", Domain: "d", Ack: true}})
+	m := member.New(member.Heartbeat{Name: "a", Domain: "d"})
+	acts := m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Domain: "d", Ack: true}})
 	require.Equal(t, []member.Action{member.LiveChanged{Live: []string{"a", "b"}}}, acts)
 	require.Equal(t, []string{"a", "b"}, m.LiveIn("d"))
 	// Ticks far apart would look like a pause of this host itself.
@@ -29,20 +29,20 @@
 // A host was replaced, and a heartbeat that its predecessor sent arrives late.
 // It must not replace what is known of the successor.
 func TestOldIncarnationIsPassedOver(t *testing.T) {
-	m := member.New(member.Beat{Name: "a", Domain: "d"})
-	m.Step(now, member.HeartbeatReceived{Beat: member.Beat{Name: "b", Incarnation: 2, FreeSlots: 5}})
-	m.Step(now, member.HeartbeatReceived{Beat: member.Beat{Name: "b", Incarnation: 1, FreeSlots: 0}})
+	m := member.New(member.Heartbeat{Name: "a", Domain: "d"})
+	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Incarnation: 2, FreeSlots: 5}})
+	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Incarnation: 1, FreeSlots: 0}})
 	require.Equal(t, 5, m.Beats()[0].FreeSlots)
 }
 
 // Guards against two hosts that lead one rack: a heartbeat from before the peer heard this host
 // overtakes the next one, and this host takes the peer for gone.
 func TestOvertakenHeartbeatIsPassedOver(t *testing.T) {
-	m := member.New(member.Beat{Name: "a"})
-	m.Step(now, member.HeartbeatReceived{Beat: member.Beat{Name: "b", Seq: 2, Ack: true}})
-	require.Empty(t, m.Step(now, member.HeartbeatReceived{Beat: member.Beat{Name: "b", Seq: 1}}))
+	m := member.New(member.Heartbeat{Name: "a"})
+	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Seq: 2, Ack: true}})
+	require.Empty(t, m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Seq: 1}}))
 	require.Equal(t, []string{"a", "b"}, m.Live())
-	require.NotEmpty(t, m.Step(now, member.HeartbeatReceived{Beat: member.Beat{Name: "b", Seq: 3}}))
+	require.NotEmpty(t, m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Seq: 3}}))
 }
 
 func TestRankNamesTwoDifferentHosts(t *testing.T) {
@@ -61,21 +61,21 @@
 // would go on with its own view, and work sent to the peer would be lost. The
 // peer's heartbeats say that it hears nothing, so both take the link for dead.
 func TestOneWayLinkIsDeadForBoth(t *testing.T) {
-	m := member.New(member.Beat{Name: "a"})
-	m.Step(now, member.HeartbeatReceived{Beat: member.Beat{Name: "b"}})
+	m := member.New(member.Heartbeat{Name: "a"})
+	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b"}})
 	require.Equal(t, []string{"a"}, m.Live())
 	require.Equal(t, 1, m.OneWay())
 	require.True(t, m.Hears(now, "b"))
 	require.False(t, m.Hears(now.Add(time.Minute), "b"))
-	m.Step(now, member.HeartbeatReceived{Beat: member.Beat{Name: "b", Ack: true}})
+	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Ack: true}})
 	require.Equal(t, []string{"a", "b"}, m.Live())
 }
 
 // This host is paused for a minute. Its peers beat all the time, but nothing of
 // that is read yet; it must not take over everything that they lead.
 func TestOwnPauseIsNotThePeersSilence(t *testing.T) {
-	m := member.New(member.Beat{Name: "a"})
-	m.Step(now, member.HeartbeatReceived{Beat: member.Beat{Name: "b", Ack: true}})
+	m := member.New(member.Heartbeat{Name: "a"})
+	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Ack: true}})
 	require.Empty(t, m.Step(now.Add(time.Minute), member.Tick{}))
 	require.Equal(t, 1, m.Resumed())
 	later := now.Add(time.Minute)
@@ -88,8 +88,8 @@
 // A peer's process dies: sending to it fails at once, long before it has been
 // silent for long enough.
 func TestFailedSendTakesAPeerForGoneUntilItIsHeard(t *testing.T) {
-	m := member.New(member.Beat{Name: "a"})
-	beat := member.HeartbeatReceived{Beat: member.Beat{Name: "b", Ack: true}}
+	m := member.New(member.Heartbeat{Name: "a"})
+	beat := member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Ack: true}}
 	m.Step(now, beat)
 	require.NotEmpty(t, m.Step(now, member.SendFailed{Name: "b"}))
 	require.Equal(t, []string{"a"}, m.Live())
@@ -100,11 +100,11 @@
 // The platform's list still shows a host as leaving that was replaced long ago
 // under the same name. What the peers hear of the new one counts.
 func TestLaggingListDoesNotHideASuccessor(t *testing.T) {
-	m := member.New(member.Beat{Name: "a"})
-	m.Step(now, member.HeartbeatReceived{Beat: member.Beat{Name: "b", Incarnation: 1, Ack: true}})
+	m := member.New(member.Heartbeat{Name: "a"})
+	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Incarnation: 1, Ack: true}})
 	m.Step(now.Add(time.Second), member.LeavingListed{Leaving: []string{"b"}})
 	require.Equal(t, []string{"a"}, m.Live())
-	m.Step(now.Add(1500*time.Millisecond), member.HeartbeatReceived{Beat: member.Beat{Name: "b", Incarnation: 2, Ack: true}})
+	m.Step(now.Add(1500*time.Millisecond), member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Incarnation: 2, Ack: true}})
 	require.Equal(t, []string{"a", "b"}, m.Live())
 	m.Step(now.Add(1500*time.Millisecond), member.LeavingListed{})
 	require.Equal(t, []string{"a", "b"}, m.Live())
@@ -113,9 +113,9 @@
 // A host of a large cell beats slowly to those far away. They must not take it
 // for dead between two heartbeats.
 func TestSlowBeaterIsGivenThreeOfItsPeriods(t *testing.T) {
-	m := member.New(member.Beat{Name: "a"})
+	m := member.New(member.Heartbeat{Name: "a"})
 	far := member.Far(45)
-	m.Step(now, member.HeartbeatReceived{Beat: member.Beat{Name: "b", Ack: true, Period: cell.Duration{Duration: far}}})
+	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Ack: true, Period: cell.Duration{Duration: far}}})
 	for at := time.Duration(0); at <= 4*far; at += 500 * time.Millisecond {
 		m.Step(now.Add(at), member.Tick{})
 		require.Equal(t, at <= 3*far, len(m.Live()) == 2, at)
--- a/internal/member/messages.go
+++ b/internal/member/messages.go
@@ -10,7 +10,7 @@
 type Event interface{ event() }
 
 // HeartbeatReceived is a heartbeat that arrived from a peer.
-type HeartbeatReceived struct{ Beat Beat }
+type HeartbeatReceived struct{ Beat Heartbeat }
 
 // Tick lets time pass.
 type Tick struct{}
@@ -39,12 +39,12 @@
 
 func (LiveChanged) action() {}
 
-// Beat is one heartbeat: who sends it, since when it runs, what load it
+// Heartbeat is one heartbeat: who sends it, since when it runs, what load it
 // carries, which table offset it waits for and the mark of its table there. Ack
 // tells the receiver that its own heartbeats arrive at the sender. Seq numbers an
 // incarnation's heartbeats, which may overtake each other. Domain does not travel:
 // each host knows its peers' from its settings.
-type Beat struct {
+type Heartbeat struct {
 	Name        string        `json:"name"`
 	Domain      string        `json:"-"`
 	Incarnation int64         `json:"inc"`
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -19,7 +19,7 @@
 type Message interface{ method() string }
 
 // Beat is a heartbeat; it has no answer.
-type Beat struct{ member.Beat }
+type Beat struct{ member.Heartbeat }
 
 // Relay asks to run a request on the peer's writers; the answer is a call.Reply.
 // Left is how long the caller still waits: the deadline itself would be wrong
--- a/internal/relay/keyed_test.go
+++ b/internal/relay/keyed_test.go
@@ -36,7 +36,7 @@
 type node struct {
 	*relay.Relay
 	ahead time.Duration
-	beats []member.Beat
+	beats []member.Heartbeat
 	mu    sync.Mutex
 	// kill closes the connections on which peers ask this node.
 	kill context.CancelFunc
@@ -46,17 +46,17 @@
 
 func (n *node) clock() time.Time { return time.Now().Add(n.ahead) }
 
-func (n *node) setBeats(all ...member.Beat) {
+func (n *node) setBeats(all ...member.Heartbeat) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.beats = all
 }
 
-func (n *node) members() ([]string, []member.Beat) {
+func (n *node) members() ([]string, []member.Heartbeat) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var names []string
-	beats := append([]member.Beat(nil), n.beats...)
+	beats := append([]member.Heartbeat(nil), n.beats...)
 	for i := range beats {
 		names = append(names, beats[i].Name)
 		beats[i].ReceivedAt = n.clock()
@@ -122,7 +122,7 @@
 		for _, other := range names {
 			if other != name {
 				others = append(others, ledger.Host{Name: other, Domain: "nord"})
-				n.beats = append(n.beats, member.Beat{Name: other, Domain: "nord", Incarnation: 1})
+				n.beats = append(n.beats, member.Heartbeat{Name: other, Domain: "nord", Incarnation: 1})
 			}
 		}
 		n.Relay = relay.New(relay.Deps{
@@ -173,7 +173,7 @@
 
 // free makes the first node take the second for one with free slots.
 func free(all []*node) {
-	all[0].setBeats(member.Beat{Name: "nord-1", Domain: "nord", FreeSlots: 8})
+	all[0].setBeats(member.Heartbeat{Name: "nord-1", Domain: "nord", FreeSlots: 8})
 	all[0].Tick()
 }
 
@@ -238,7 +238,7 @@
 	repeat, _ := all[2].start(key, 2)
 	all[1].kill()
 	for _, n := range []*node{all[0], all[2]} {
-		n.setBeats(member.Beat{Name: "nord-1", Domain: "nord", Incarnation: 2})
+		n.setBeats(member.Heartbeat{Name: "nord-1", Domain: "nord", Incarnation: 2})
 	}
 	for done := false; !done; {
 		select {
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -42,7 +42,7 @@
 
 // lends tells whether a peer's word counts: it is recent, and newer than the
 // last request that got no answer there.
-func (x *Relay) lends(now time.Time, b member.Beat) bool {
+func (x *Relay) lends(now time.Time, b member.Heartbeat) bool {
 	return !b.Leaving && b.ReceivedAt.After(x.silent[b.Name]) && now.Sub(b.ReceivedAt) <= member.SilentAfter
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -42,7 +42,7 @@
 	// Part returns this host's part of a limit that holds in the whole cell.
 	Part func(row string, limit int64) int64
 	// Members returns the live hosts of this domain and their heartbeats.
-	Members func() ([]string, []member.Beat)
+	Members func() ([]string, []member.Heartbeat)
 	Clock   func() time.Time
 	// Pause is how long this host may stand still and still use its slots;
 	// zero means for ever.
