--- a/internal/measure/takeover.go
+++ b/internal/measure/takeover.go
@@ -241,7 +241,7 @@
 		if since > giveUp {
 			break
 		}
-		if !suspected && since > member.SilentAfter {
+		if !suspected && since > member.SilenceTimeout {
 			suspected = true
 			r.live = slices.DeleteFunc(r.live, func(n string) bool { return n == dead.name })
 			r.rank()
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// SilentAfter is how long a peer may be silent before it counts as gone. Peers
+// SilenceTimeout is how long a peer may be silent before it counts as gone. Peers
 // that beat slowly may be silent for silentBeats of their own periods.
-const SilentAfter = 1500 * time.Millisecond
+const SilenceTimeout = 1500 * time.Millisecond
 
 const silentBeats = 3
 
@@ -139,7 +139,7 @@
 }
 
 func (p peerState) silentAfter() time.Duration {
-	return max(SilentAfter, silentBeats*p.Period.Duration)
+	return max(SilenceTimeout, silentBeats*p.Period.Duration)
 }
 
 // Hears tells whether a peer's heartbeats arrive here. It goes into each
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -20,9 +20,9 @@
 	require.Equal(t, []member.Action{member.LiveChanged{Live: []string{"a", "b"}}}, acts)
 	require.Equal(t, []string{"a", "b"}, m.LiveIn("d"))
 	// Ticks far apart would look like a pause of this host itself.
-	require.Empty(t, m.Step(now.Add(member.SilentAfter/2), member.Tick{}))
-	require.Empty(t, m.Step(now.Add(member.SilentAfter), member.Tick{}))
-	acts = m.Step(now.Add(member.SilentAfter+1), member.Tick{})
+	require.Empty(t, m.Step(now.Add(member.SilenceTimeout/2), member.Tick{}))
+	require.Empty(t, m.Step(now.Add(member.SilenceTimeout), member.Tick{}))
+	acts = m.Step(now.Add(member.SilenceTimeout+1), member.Tick{})
 	require.Equal(t, []member.Action{member.LiveChanged{Live: []string{"a"}}}, acts)
 }
 
--- a/internal/relay/home.go
+++ b/internal/relay/home.go
@@ -108,7 +108,7 @@
 	live := map[string]bool{x.Name: true}
 	now := x.Clock()
 	for _, b := range beats {
-		live[b.Name] = !b.Leaving && now.Sub(b.ReceivedAt) <= member.SilentAfter
+		live[b.Name] = !b.Leaving && now.Sub(b.ReceivedAt) <= member.SilenceTimeout
 	}
 	return func(name string) bool { return live[name] }
 }
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -43,7 +43,7 @@
 // lends tells whether a peer's word counts: it is recent, and newer than the
 // last request that got no answer there.
 func (x *Relay) lends(now time.Time, b member.Heartbeat) bool {
-	return !b.Leaving && b.ReceivedAt.After(x.silent[b.Name]) && now.Sub(b.ReceivedAt) <= member.SilentAfter
+	return !b.Leaving && b.ReceivedAt.After(x.silent[b.Name]) && now.Sub(b.ReceivedAt) <= member.SilenceTimeout
 }
 
 // viaPeer runs a request on a peer's slot. It tells whether the peer gave it
