--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -12,7 +12,7 @@
 // that beat slowly may be silent for silentBeats of their own periods.
 const SilenceTimeout = 1500 * time.Millisecond
 
-const silentBeats = 3
+const silentPeriods = 3
 
 // pauseAfter is how long this host's own ticks may be apart. After a longer
 // pause the heartbeats of that time wait unread in the sockets: judged by its
@@ -139,7 +139,7 @@
 }
 
 func (p peerState) silentAfter() time.Duration {
-	return max(SilenceTimeout, silentBeats*p.Period.Duration)
+	return max(SilenceTimeout, silentPeriods*p.Period.Duration)
 }
 
 // Hears tells whether a peer's heartbeats arrive here. It goes into each
