--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -14,10 +14,10 @@
 
 const silentPeriods = 3
 
-// pauseAfter is how long this host's own ticks may be apart. After a longer
+// pauseThreshold is how long this host's own ticks may be apart. After a longer
 // pause the heartbeats of that time wait unread in the sockets: judged by its
 // clock alone, this host would take all peers for dead and their work with it.
-const pauseAfter = time.Second
+const pauseThreshold = time.Second
 
 type peerState struct {
 	Heartbeat
@@ -63,7 +63,7 @@
 // resume gives the peers back the time in which this host itself was paused.
 func (m *Members) resume(now time.Time) {
 	gap := now.Sub(m.ticked)
-	if !m.ticked.IsZero() && gap > pauseAfter {
+	if !m.ticked.IsZero() && gap > pauseThreshold {
 		m.resumed++
 		for name, p := range m.peers {
 			p.ReceivedAt = p.ReceivedAt.Add(gap)
