--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -21,8 +21,8 @@
 
 type peerState struct {
 	Heartbeat
-	// first is when this incarnation was first heard.
-	first time.Time
+	// firstHeard is when this incarnation was firstHeard heard.
+	firstHeard time.Time
 	// failed tells that a message could not be sent since the last heartbeat.
 	failed bool
 }
@@ -81,9 +81,9 @@
 	if ok && (old.Incarnation > b.Incarnation || old.Incarnation == b.Incarnation && old.Seq > b.Seq) {
 		return
 	}
-	p := peerState{Heartbeat: b, first: old.first}
+	p := peerState{Heartbeat: b, firstHeard: old.firstHeard}
 	if !ok || old.Incarnation != b.Incarnation {
-		p.first = now
+		p.firstHeard = now
 	}
 	p.ReceivedAt = now
 	m.peers[b.Name] = p
@@ -135,7 +135,7 @@
 // incarnation was there before it did.
 func (m *Members) leaves(p peerState) bool {
 	since, ok := m.listed[p.Name]
-	return ok && !p.first.After(since)
+	return ok && !p.firstHeard.After(since)
 }
 
 func (p peerState) silentAfter() time.Duration {
