--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -23,8 +23,8 @@
 	Heartbeat
 	// firstHeard is when this incarnation was firstHeard heard.
 	firstHeard time.Time
-	// failed tells that a message could not be sent since the last heartbeat.
-	failed bool
+	// sendFailed tells that a message could not be sent since the last heartbeat.
+	sendFailed bool
 }
 
 // Members is the membership core of one host.
@@ -91,7 +91,7 @@
 
 func (m *Members) fail(name string) {
 	if p, ok := m.peers[name]; ok {
-		p.failed = true
+		p.sendFailed = true
 		m.peers[name] = p
 	}
 }
@@ -116,7 +116,7 @@
 	m.oneWay = 0
 	for name, p := range m.peers {
 		switch {
-		case now.Sub(p.ReceivedAt) > p.silentAfter() || p.Leaving || p.failed || m.leaves(p):
+		case now.Sub(p.ReceivedAt) > p.silentAfter() || p.Leaving || p.sendFailed || m.leaves(p):
 		case !p.Ack:
 			m.oneWay++
 		default:
