--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -29,18 +29,18 @@
 
 // Members is the membership core of one host.
 type Members struct {
-	self    Heartbeat
-	peers   map[string]peerState
-	listed  map[string]time.Time
-	live    []string
-	ticked  time.Time
-	oneWay  int
-	resumed int
+	self         Heartbeat
+	peers        map[string]peerState
+	leavingSince map[string]time.Time
+	live         []string
+	ticked       time.Time
+	oneWay       int
+	resumed      int
 }
 
 // New returns the core of the host that self describes.
 func New(self Heartbeat) *Members {
-	return &Members{self: self, peers: map[string]peerState{}, listed: map[string]time.Time{}, live: []string{self.Name}}
+	return &Members{self: self, peers: map[string]peerState{}, leavingSince: map[string]time.Time{}, live: []string{self.Name}}
 }
 
 // Step takes one event and returns a Changed if the live set changed.
@@ -99,14 +99,14 @@
 // list notes since when the platform shows hosts as leaving. Its list lags: a
 // host that came back under the same name is known by a newer incarnation.
 func (m *Members) list(now time.Time, leaving []string) {
-	for name := range m.listed {
+	for name := range m.leavingSince {
 		if !slices.Contains(leaving, name) {
-			delete(m.listed, name)
+			delete(m.leavingSince, name)
 		}
 	}
 	for _, name := range leaving {
-		if _, ok := m.listed[name]; !ok {
-			m.listed[name] = now
+		if _, ok := m.leavingSince[name]; !ok {
+			m.leavingSince[name] = now
 		}
 	}
 }
@@ -134,7 +134,7 @@
 // leaves tells whether the platform shows the host as leaving and this
 // incarnation was there before it did.
 func (m *Members) leaves(p peerState) bool {
-	since, ok := m.listed[p.Name]
+	since, ok := m.leavingSince[p.Name]
 	return ok && !p.firstHeard.After(since)
 }
 
