--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -33,7 +33,7 @@
 	peers        map[string]peerState
 	leavingSince map[string]time.Time
 	live         []string
-	ticked       time.Time
+	lastStep     time.Time
 	oneWay       int
 	resumed      int
 }
@@ -62,15 +62,15 @@
 
 // resume gives the peers back the time in which this host itself was paused.
 func (m *Members) resume(now time.Time) {
-	gap := now.Sub(m.ticked)
-	if !m.ticked.IsZero() && gap > pauseThreshold {
+	gap := now.Sub(m.lastStep)
+	if !m.lastStep.IsZero() && gap > pauseThreshold {
 		m.resumed++
 		for name, p := range m.peers {
 			p.ReceivedAt = p.ReceivedAt.Add(gap)
 			m.peers[name] = p
 		}
 	}
-	m.ticked = now
+	m.lastStep = now
 }
 
 // hear keeps the newest incarnation: a message that a dead predecessor left in
