--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -34,7 +34,7 @@
 	leavingSince map[string]time.Time
 	live         []string
 	lastStep     time.Time
-	oneWay       int
+	oneWayCount  int
 	resumed      int
 }
 
@@ -113,12 +113,12 @@
 
 func (m *Members) refresh(now time.Time) []Action {
 	live := []string{m.self.Name}
-	m.oneWay = 0
+	m.oneWayCount = 0
 	for name, p := range m.peers {
 		switch {
 		case now.Sub(p.ReceivedAt) > p.silentAfter() || p.Leaving || p.sendFailed || m.leaves(p):
 		case !p.Ack:
-			m.oneWay++
+			m.oneWayCount++
 		default:
 			live = append(live, name)
 		}
@@ -151,7 +151,7 @@
 }
 
 // OneWay returns how many peers are heard and do not hear this host.
-func (m *Members) OneWay() int { return m.oneWay }
+func (m *Members) OneWay() int { return m.oneWayCount }
 
 // Resumed returns how often this host found that it had been paused.
 func (m *Members) Resumed() int { return m.resumed }
