--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -35,7 +35,7 @@
 	live         []string
 	lastStep     time.Time
 	oneWayCount  int
-	resumed      int
+	pauseCount   int
 }
 
 // New returns the core of the host that self describes.
@@ -64,7 +64,7 @@
 func (m *Members) resume(now time.Time) {
 	gap := now.Sub(m.lastStep)
 	if !m.lastStep.IsZero() && gap > pauseThreshold {
-		m.resumed++
+		m.pauseCount++
 		for name, p := range m.peers {
 			p.ReceivedAt = p.ReceivedAt.Add(gap)
 			m.peers[name] = p
@@ -154,7 +154,7 @@
 func (m *Members) OneWay() int { return m.oneWayCount }
 
 // Resumed returns how often this host found that it had been paused.
-func (m *Members) Resumed() int { return m.resumed }
+func (m *Members) Resumed() int { return m.pauseCount }
 
 // Live lists the names of live hosts in order, this one included.
 func (m *Members) Live() []string { return slices.Clone(m.live) }
