--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -45,7 +45,7 @@
 
 // Step takes one event and returns a Changed if the live set changed.
 func (m *Members) Step(now time.Time, ev Event) []Action {
-	m.resume(now)
+	m.compensatePause(now)
 	switch ev := ev.(type) {
 	case HeartbeatReceived:
 		m.hear(now, ev.Beat)
@@ -60,8 +60,8 @@
 	return m.refresh(now)
 }
 
-// resume gives the peers back the time in which this host itself was paused.
-func (m *Members) resume(now time.Time) {
+// compensatePause gives the peers back the time in which this host itself was paused.
+func (m *Members) compensatePause(now time.Time) {
 	gap := now.Sub(m.lastStep)
 	if !m.lastStep.IsZero() && gap > pauseThreshold {
 		m.pauseCount++
