--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -48,7 +48,7 @@
 	m.compensatePause(now)
 	switch ev := ev.(type) {
 	case HeartbeatReceived:
-		m.hear(now, ev.Beat)
+		m.recordHeartbeat(now, ev.Beat)
 	case SendFailed:
 		m.fail(ev.Name)
 	case LeaveReceived:
@@ -73,10 +73,10 @@
 	m.lastStep = now
 }
 
-// hear keeps the newest incarnation: a message that a dead predecessor left in
+// recordHeartbeat keeps the newest incarnation: a message that a dead predecessor left in
 // the network would otherwise bring the predecessor back to life. An older heartbeat of the
-// same incarnation may tell that it did not hear this host yet.
-func (m *Members) hear(now time.Time, b Heartbeat) {
+// same incarnation may tell that it did not recordHeartbeat this host yet.
+func (m *Members) recordHeartbeat(now time.Time, b Heartbeat) {
 	old, ok := m.peers[b.Name]
 	if ok && (old.Incarnation > b.Incarnation || old.Incarnation == b.Incarnation && old.Seq > b.Seq) {
 		return
