--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -50,7 +50,7 @@
 	case HeartbeatReceived:
 		m.recordHeartbeat(now, ev.Beat)
 	case SendFailed:
-		m.fail(ev.Name)
+		m.recordSendFailure(ev.Name)
 	case LeaveReceived:
 		delete(m.peers, ev.Name)
 	case LeavingListed:
@@ -89,7 +89,7 @@
 	m.peers[b.Name] = p
 }
 
-func (m *Members) fail(name string) {
+func (m *Members) recordSendFailure(name string) {
 	if p, ok := m.peers[name]; ok {
 		p.sendFailed = true
 		m.peers[name] = p
