--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -54,7 +54,7 @@
 	case LeaveReceived:
 		delete(m.peers, ev.Name)
 	case LeavingListed:
-		m.list(now, ev.Leaving)
+		m.recordLeaving(now, ev.Leaving)
 	case Tick:
 	}
 	return m.refresh(now)
@@ -96,9 +96,9 @@
 	}
 }
 
-// list notes since when the platform shows hosts as leaving. Its list lags: a
+// recordLeaving notes since when the platform shows hosts as leaving. Its recordLeaving lags: a
 // host that came back under the same name is known by a newer incarnation.
-func (m *Members) list(now time.Time, leaving []string) {
+func (m *Members) recordLeaving(now time.Time, leaving []string) {
 	for name := range m.leavingSince {
 		if !slices.Contains(leaving, name) {
 			delete(m.leavingSince, name)
