--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -57,7 +57,7 @@
 		m.recordLeaving(now, ev.Leaving)
 	case Tick:
 	}
-	return m.refresh(now)
+	return m.updateLive(now)
 }
 
 // compensatePause gives the peers back the time in which this host itself was paused.
@@ -111,7 +111,7 @@
 	}
 }
 
-func (m *Members) refresh(now time.Time) []Action {
+func (m *Members) updateLive(now time.Time) []Action {
 	live := []string{m.self.Name}
 	m.oneWayCount = 0
 	for name, p := range m.peers {
