--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -116,7 +116,7 @@
 	m.oneWayCount = 0
 	for name, p := range m.peers {
 		switch {
-		case now.Sub(p.ReceivedAt) > p.silentAfter() || p.Leaving || p.sendFailed || m.leaves(p):
+		case now.Sub(p.ReceivedAt) > p.silentAfter() || p.Leaving || p.sendFailed || m.isListedLeaving(p):
 		case !p.Ack:
 			m.oneWayCount++
 		default:
@@ -131,9 +131,9 @@
 	return []Action{LiveChanged{Live: slices.Clone(live)}}
 }
 
-// leaves tells whether the platform shows the host as leaving and this
+// isListedLeaving tells whether the platform shows the host as leaving and this
 // incarnation was there before it did.
-func (m *Members) leaves(p peerState) bool {
+func (m *Members) isListedLeaving(p peerState) bool {
 	since, ok := m.leavingSince[p.Name]
 	return ok && !p.firstHeard.After(since)
 }
