--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -116,7 +116,7 @@
 	m.oneWayCount = 0
 	for name, p := range m.peers {
 		switch {
-		case now.Sub(p.ReceivedAt) > p.silentAfter() || p.Leaving || p.sendFailed || m.isListedLeaving(p):
+		case now.Sub(p.ReceivedAt) > p.silenceTimeout() || p.Leaving || p.sendFailed || m.isListedLeaving(p):
 		case !p.Ack:
 			m.oneWayCount++
 		default:
@@ -138,7 +138,7 @@
 	return ok && !p.firstHeard.After(since)
 }
 
-func (p peerState) silentAfter() time.Duration {
+func (p peerState) silenceTimeout() time.Duration {
 	return max(SilenceTimeout, silentPeriods*p.Period.Duration)
 }
 
@@ -147,7 +147,7 @@
 // heartbeats are lost on a link that works the other way.
 func (m *Members) Hears(now time.Time, name string) bool {
 	p, ok := m.peers[name]
-	return ok && now.Sub(p.ReceivedAt) <= p.silentAfter()
+	return ok && now.Sub(p.ReceivedAt) <= p.silenceTimeout()
 }
 
 // OneWay returns how many peers are heard and do not hear this host.
