--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -142,10 +142,10 @@
 	return max(SilenceTimeout, silentPeriods*p.Period.Duration)
 }
 
-// Hears tells whether a peer's heartbeats arrive here. It goes into each
+// HearsFrom tells whether a peer's heartbeats arrive here. It goes into each
 // heartbeat to that peer: only the peer's answer can tell a host that its own
 // heartbeats are lost on a link that works the other way.
-func (m *Members) Hears(now time.Time, name string) bool {
+func (m *Members) HearsFrom(now time.Time, name string) bool {
 	p, ok := m.peers[name]
 	return ok && now.Sub(p.ReceivedAt) <= p.silenceTimeout()
 }
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -65,8 +65,8 @@
 	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b"}})
 	require.Equal(t, []string{"a"}, m.Live())
 	require.Equal(t, 1, m.OneWay())
-	require.True(t, m.Hears(now, "b"))
-	require.False(t, m.Hears(now.Add(time.Minute), "b"))
+	require.True(t, m.HearsFrom(now, "b"))
+	require.False(t, m.HearsFrom(now.Add(time.Minute), "b"))
 	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Ack: true}})
 	require.Equal(t, []string{"a", "b"}, m.Live())
 }
