--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -150,8 +150,8 @@
 	return ok && now.Sub(p.ReceivedAt) <= p.silenceTimeout()
 }
 
-// OneWay returns how many peers are heard and do not hear this host.
-func (m *Members) OneWay() int { return m.oneWayCount }
+// OneWayCount returns how many peers are heard and do not hear this host.
+func (m *Members) OneWayCount() int { return m.oneWayCount }
 
 // Resumed returns how often this host found that it had been paused.
 func (m *Members) Resumed() int { return m.pauseCount }
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -64,7 +64,7 @@
 	m := member.New(member.Heartbeat{Name: "a"})
 	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b"}})
 	require.Equal(t, []string{"a"}, m.Live())
-	require.Equal(t, 1, m.OneWay())
+	require.Equal(t, 1, m.OneWayCount())
 	require.True(t, m.HearsFrom(now, "b"))
 	require.False(t, m.HearsFrom(now.Add(time.Minute), "b"))
 	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Ack: true}})
