--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -153,8 +153,8 @@
 // OneWayCount returns how many peers are heard and do not hear this host.
 func (m *Members) OneWayCount() int { return m.oneWayCount }
 
-// Resumed returns how often this host found that it had been paused.
-func (m *Members) Resumed() int { return m.pauseCount }
+// PauseCount returns how often this host found that it had been paused.
+func (m *Members) PauseCount() int { return m.pauseCount }
 
 // Live lists the names of live hosts in order, this one included.
 func (m *Members) Live() []string { return slices.Clone(m.live) }
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -77,7 +77,7 @@
 	m := member.New(member.Heartbeat{Name: "a"})
 	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Ack: true}})
 	require.Empty(t, m.Step(now.Add(time.Minute), member.Tick{}))
-	require.Equal(t, 1, m.Resumed())
+	require.Equal(t, 1, m.PauseCount())
 	later := now.Add(time.Minute)
 	for i := range 20 {
 		m.Step(later.Add(time.Duration(i)*100*time.Millisecond), member.Tick{})
