--- a/internal/host/cell.go
+++ b/internal/host/cell.go
@@ -27,7 +27,7 @@
 func (h *Host) domainMembers() ([]string, []member.Heartbeat) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.members.LiveIn(h.cfg.Domain), h.members.Beats()
+	return h.members.LiveIn(h.cfg.Domain), h.members.Heartbeats()
 }
 
 // share works out which slots and which workers are this host's.
--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -186,7 +186,7 @@
 func (h *Host) nextAhead(from int64, asked map[string]bool) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	all := slices.DeleteFunc(h.members.Beats(), func(b member.Heartbeat) bool { return b.Next <= from || asked[b.Name] })
+	all := slices.DeleteFunc(h.members.Heartbeats(), func(b member.Heartbeat) bool { return b.Next <= from || asked[b.Name] })
 	if len(all) == 0 {
 		return ""
 	}
@@ -233,7 +233,7 @@
 	now := h.clock()
 	lowest := h.table.Wants()
 	beats := map[string]member.Heartbeat{}
-	for _, b := range h.members.Beats() {
+	for _, b := range h.members.Heartbeats() {
 		beats[b.Name] = b
 	}
 	for _, p := range h.cfg.Peers {
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -177,8 +177,8 @@
 	return m.peers[name].Domain
 }
 
-// Beats lists the last heartbeat of each known peer in order of name.
-func (m *Members) Beats() []Heartbeat {
+// Heartbeats lists the last heartbeat of each known peer in order of name.
+func (m *Members) Heartbeats() []Heartbeat {
 	all := make([]Heartbeat, 0, len(m.peers))
 	for _, name := range slices.Sorted(maps.Keys(m.peers)) {
 		all = append(all, m.peers[name].Heartbeat)
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -32,7 +32,7 @@
 	m := member.New(member.Heartbeat{Name: "a", Domain: "d"})
 	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Incarnation: 2, FreeSlots: 5}})
 	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Incarnation: 1, FreeSlots: 0}})
-	require.Equal(t, 5, m.Beats()[0].FreeSlots)
+	require.Equal(t, 5, m.Heartbeats()[0].FreeSlots)
 }
 
 // Guards against two hosts that lead one rack: a heartbeat from before the peer heard this host
