--- a/internal/member/period.go
+++ b/internal/member/period.go
@@ -5,15 +5,15 @@
 // Periods of heartbeats. In the own failure domain hosts stand in for each
 // other within a second or two; across domains a late hint only costs a try.
 const (
-	nearMinPeriod = 400 * time.Millisecond
-	nearEach      = 200 * time.Millisecond
-	farLeast      = time.Second
-	farEach       = 500 * time.Millisecond
+	nearMinPeriod     = 400 * time.Millisecond
+	nearPeriodPerPeer = 200 * time.Millisecond
+	farLeast          = time.Second
+	farEach           = 500 * time.Millisecond
 )
 
 // Near returns how often a host beats to each of n peers in its own domain. The
 // period grows with n, so that a host sends at most five of them a second.
-func Near(n int) time.Duration { return max(nearMinPeriod, time.Duration(n)*nearEach) }
+func Near(n int) time.Duration { return max(nearMinPeriod, time.Duration(n)*nearPeriodPerPeer) }
 
 // Far returns how often a host beats to each of n peers in other domains, at
 // most two of them a second.
