--- a/internal/member/period.go
+++ b/internal/member/period.go
@@ -7,7 +7,7 @@
 const (
 	nearMinPeriod     = 400 * time.Millisecond
 	nearPeriodPerPeer = 200 * time.Millisecond
-	farLeast          = time.Second
+	farMinPeriod      = time.Second
 	farEach           = 500 * time.Millisecond
 )
 
@@ -17,4 +17,4 @@
 
 // Far returns how often a host beats to each of n peers in other domains, at
 // most two of them a second.
-func Far(n int) time.Duration { return max(farLeast, time.Duration(n)*farEach) }
+func Far(n int) time.Duration { return max(farMinPeriod, time.Duration(n)*farEach) }
