--- a/internal/member/period.go
+++ b/internal/member/period.go
@@ -8,7 +8,7 @@
 	nearMinPeriod     = 400 * time.Millisecond
 	nearPeriodPerPeer = 200 * time.Millisecond
 	farMinPeriod      = time.Second
-	farEach           = 500 * time.Millisecond
+	farPeriodPerPeer  = 500 * time.Millisecond
 )
 
 // Near returns how often a host beats to each of n peers in its own domain. The
@@ -17,4 +17,4 @@
 
 // Far returns how often a host beats to each of n peers in other domains, at
 // most two of them a second.
-func Far(n int) time.Duration { return max(farMinPeriod, time.Duration(n)*farEach) }
+func Far(n int) time.Duration { return max(farMinPeriod, time.Duration(n)*farPeriodPerPeer) }
