--- a/internal/host/beat.go
+++ b/internal/host/beat.go
@@ -22,9 +22,9 @@
 func (h *Host) beatAll() {
 	near, far := h.peersByDomain()
 	for _, name := range near {
-		h.wg.Go(func() { h.beat(name, member.Near(len(near))) })
+		h.wg.Go(func() { h.beat(name, member.NearPeriod(len(near))) })
 	}
-	h.beatTo(near, member.Near(len(near)))
+	h.beatTo(near, member.NearPeriod(len(near)))
 	h.beatTo(far, member.Far(len(far)))
 }
 
@@ -103,7 +103,7 @@
 	near, far := h.peersByDomain()
 	period := member.Far(len(far))
 	if slices.Contains(near, b.Name) {
-		period = member.Near(len(near))
+		period = member.NearPeriod(len(near))
 	}
 	h.wg.Go(func() { h.beat(b.Name, period) })
 }
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -124,7 +124,7 @@
 
 func TestPeriodsBoundTheMessages(t *testing.T) {
 	for n := 1; n <= 300; n++ {
-		near, far := float64(n)/member.Near(n).Seconds(), float64(n)/member.Far(n).Seconds()
+		near, far := float64(n)/member.NearPeriod(n).Seconds(), float64(n)/member.Far(n).Seconds()
 		require.LessOrEqual(t, near, 5.001, n)
 		require.LessOrEqual(t, far, 2.001, n)
 	}
--- a/internal/member/period.go
+++ b/internal/member/period.go
@@ -11,9 +11,9 @@
 	farPeriodPerPeer  = 500 * time.Millisecond
 )
 
-// Near returns how often a host beats to each of n peers in its own domain. The
+// NearPeriod returns how often a host beats to each of n peers in its own domain. The
 // period grows with n, so that a host sends at most five of them a second.
-func Near(n int) time.Duration { return max(nearMinPeriod, time.Duration(n)*nearPeriodPerPeer) }
+func NearPeriod(n int) time.Duration { return max(nearMinPeriod, time.Duration(n)*nearPeriodPerPeer) }
 
 // Far returns how often a host beats to each of n peers in other domains, at
 // most two of them a second.
