--- a/internal/host/beat.go
+++ b/internal/host/beat.go
@@ -25,7 +25,7 @@
 		h.wg.Go(func() { h.beat(name, member.NearPeriod(len(near))) })
 	}
 	h.beatTo(near, member.NearPeriod(len(near)))
-	h.beatTo(far, member.Far(len(far)))
+	h.beatTo(far, member.FarPeriod(len(far)))
 }
 
 func (h *Host) peersByDomain() (near, far []string) {
@@ -101,7 +101,7 @@
 		return
 	}
 	near, far := h.peersByDomain()
-	period := member.Far(len(far))
+	period := member.FarPeriod(len(far))
 	if slices.Contains(near, b.Name) {
 		period = member.NearPeriod(len(near))
 	}
--- a/internal/measure/control.go
+++ b/internal/measure/control.go
@@ -116,7 +116,7 @@
 
 // Warm waits until every host has beaten to every other. Before that, links
 // that are not open yet make a large cell look cheap.
-func (f *Fleet) Warm() { time.Sleep(member.Far(len(f.Hosts)) + time.Second) }
+func (f *Fleet) Warm() { time.Sleep(member.FarPeriod(len(f.Hosts)) + time.Second) }
 
 // Idle measures a fleet that has nothing to do but to control its workers. The
 // processor time is the whole process's, stand-ins among it.
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -114,7 +114,7 @@
 // for dead between two heartbeats.
 func TestSlowBeaterIsGivenThreeOfItsPeriods(t *testing.T) {
 	m := member.New(member.Heartbeat{Name: "a"})
-	far := member.Far(45)
+	far := member.FarPeriod(45)
 	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Ack: true, Period: cell.Duration{Duration: far}}})
 	for at := time.Duration(0); at <= 4*far; at += 500 * time.Millisecond {
 		m.Step(now.Add(at), member.Tick{})
@@ -124,7 +124,7 @@
 
 func TestPeriodsBoundTheMessages(t *testing.T) {
 	for n := 1; n <= 300; n++ {
-		near, far := float64(n)/member.NearPeriod(n).Seconds(), float64(n)/member.Far(n).Seconds()
+		near, far := float64(n)/member.NearPeriod(n).Seconds(), float64(n)/member.FarPeriod(n).Seconds()
 		require.LessOrEqual(t, near, 5.001, n)
 		require.LessOrEqual(t, far, 2.001, n)
 	}
--- a/internal/member/period.go
+++ b/internal/member/period.go
@@ -15,6 +15,6 @@
 // period grows with n, so that a host sends at most five of them a second.
 func NearPeriod(n int) time.Duration { return max(nearMinPeriod, time.Duration(n)*nearPeriodPerPeer) }
 
-// Far returns how often a host beats to each of n peers in other domains, at
+// FarPeriod returns how often a host beats to each of n peers in other domains, at
 // most two of them a second.
-func Far(n int) time.Duration { return max(farMinPeriod, time.Duration(n)*farPeriodPerPeer) }
+func FarPeriod(n int) time.Duration { return max(farMinPeriod, time.Duration(n)*farPeriodPerPeer) }
