--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -32,7 +32,7 @@
 		first, _ := member.Rank(home.Rack, live)
 		return first
 	}
-	return member.Share(racks, live)[home.Rack]
+	return member.AssignEvenly(racks, live)[home.Rack]
 }
 
 func without(names []string, name string) []string {
--- a/internal/measure/takeover.go
+++ b/internal/measure/takeover.go
@@ -133,7 +133,7 @@
 		racks = append(racks, fmt.Sprintf("r%d", i))
 	}
 	if !r.OneLead {
-		return member.Share(racks, r.live)
+		return member.AssignEvenly(racks, r.live)
 	}
 	all := map[string]string{}
 	for _, rack := range racks {
--- a/internal/member/share.go
+++ b/internal/member/share.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// Share gives each key to one of names, by rendezvous hashing with an even
+// AssignEvenly gives each key to one of names, by rendezvous hashing with an even
 // load: no name gets more than its part, rounded up. Plain hashing of a few
 // racks may give all of them to one host, whose death would then stop every
 // start in its failure domain until the leases lapse.
-func Share(keys, names []string) map[string]string {
+func AssignEvenly(keys, names []string) map[string]string {
 	if len(names) == 0 {
 		return map[string]string{}
 	}
--- a/internal/member/share_test.go
+++ b/internal/member/share_test.go
@@ -13,9 +13,9 @@
 func TestFewRacksAreNotAllLedByOneHost(t *testing.T) {
 	names := []string{"x", "y", "z"}
 	for _, racks := range [][]string{{"a", "b"}, {"c", "d"}, {"e", "f"}, {"g", "h"}} {
-		shared := member.Share(racks, names)
+		shared := member.AssignEvenly(racks, names)
 		require.NotEqual(t, shared[racks[0]], shared[racks[1]])
 	}
-	require.Equal(t, map[string]string{"a": "x", "b": "x"}, member.Share([]string{"a", "b"}, []string{"x"}))
-	require.Empty(t, member.Share([]string{"a"}, nil))
+	require.Equal(t, map[string]string{"a": "x", "b": "x"}, member.AssignEvenly([]string{"a", "b"}, []string{"x"}))
+	require.Empty(t, member.AssignEvenly([]string{"a"}, nil))
 }
