--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -128,8 +128,8 @@
 // waited adds to the histograms of what steps wait for, by the rank of their queue: queues
 // come and go with the table, and ranks are few.
 func (h *Host) waited(w sched.StepWaited) {
-	h.observe(fmt.Sprintf("step.wait.rank%d", w.Rank), w.By.Total())
-	for r, d := range w.By {
+	h.observe(fmt.Sprintf("step.wait.rank%d", w.Rank), w.Times.Total())
+	for r, d := range w.Times {
 		if d > 0 {
 			h.observe(fmt.Sprintf("step.wait.rank%d.%s", w.Rank, sched.WaitReason(r)), d)
 		}
--- a/internal/sched/gpu_test.go
+++ b/internal/sched/gpu_test.go
@@ -205,8 +205,8 @@
 	b.play(time.Second)
 	require.Len(t, b.waited, 1)
 	question := b.queues[0].Advice.Cost(1)
-	require.InDelta(t, question.Seconds(), b.waited[0].By[sched.WaitForPolicy].Seconds(), 0.05)
-	require.Zero(t, b.waited[0].By[sched.WaitForCapacity])
+	require.InDelta(t, question.Seconds(), b.waited[0].Times[sched.WaitForPolicy].Seconds(), 0.05)
+	require.Zero(t, b.waited[0].Times[sched.WaitForCapacity])
 
 	b.submit("second", "render", wide())
 	b.play(6 * time.Second)
@@ -216,8 +216,8 @@
 	b.play(4 * time.Second)
 	require.Len(t, b.waited, 2)
 	// The rest of eight seconds, of which the questions for tickets take a part.
-	require.InDelta(t, 7.55, b.waited[1].By.Total().Seconds(), 0.1)
-	require.Greater(t, b.waited[1].By[sched.WaitForCapacity], b.waited[1].By[sched.WaitForPolicy])
+	require.InDelta(t, 7.55, b.waited[1].Times.Total().Seconds(), 0.1)
+	require.Greater(t, b.waited[1].Times[sched.WaitForCapacity], b.waited[1].Times[sched.WaitForPolicy])
 	require.Equal(t, 1, b.waited[1].Rank)
 	require.Len(t, b.begun, 2)
 	require.InDelta(t, 7.6, b.begun[1].After.Seconds(), 0.1)
--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -256,8 +256,8 @@
 // StepWaited tells how long a step waited, and for what, until all its tasks had room. Rank is
 // its queue's.
 type StepWaited struct {
-	Rank int
-	By   WaitTimes
+	Rank  int
+	Times WaitTimes
 }
 
 // JobStarted tells how long after its acceptance a job's first task began.
--- a/internal/sched/waits.go
+++ b/internal/sched/waits.go
@@ -77,7 +77,7 @@
 		w.at, w.why = s.now, s.waitsFor(r)
 		if !slices.ContainsFunc(r.stage.Tasks, func(t *flow.Task) bool { return t.State == flow.Waiting }) {
 			delete(s.waits, r.stage)
-			s.do(StepWaited{Rank: r.queue.Rank, By: w.by})
+			s.do(StepWaited{Rank: r.queue.Rank, Times: w.by})
 			continue
 		}
 		if total := w.by.Total(); total >= w.long {
