--- a/internal/sched/chance.go
+++ b/internal/sched/chance.go
@@ -42,7 +42,7 @@
 // With those first that can still be in time, only as many are late as there is too much
 // work for. Jobs that last have no end to be late for.
 func (s *Sched) chance(j *flow.Job, r *flow.Round, st *flow.Stage, q flow.Queue) chance {
-	if !s.on(OnTimeFirst) || st.Spec.Lasts {
+	if !s.enabled(OnTimeFirst) || st.Spec.Lasts {
 		return inTime
 	}
 	objective := j.Objective(q)
--- a/internal/sched/hosts.go
+++ b/internal/sched/hosts.go
@@ -81,7 +81,7 @@
 // asks about.
 func (s *Sched) kept() int {
 	most := int(math.Ceil(urgentHosts * float64(len(s.hosts))))
-	if !s.on(AdaptUrgentHosts) {
+	if !s.enabled(AdaptUrgentHosts) {
 		return most
 	}
 	return min(1+int(math.Ceil(urgentSpare*s.urgent.now(s.now))), most)
--- a/internal/sched/mechanism.go
+++ b/internal/sched/mechanism.go
@@ -29,5 +29,5 @@
 	return []Mechanism{AdaptUrgentHosts, QueryMoreWorkers, PrefetchTickets, ReserveForWide, PreemptBulk, OnTimeFirst, LimitPassTime}
 }
 
-// on tells whether a mechanism is in use.
-func (s *Sched) on(m Mechanism) bool { return !slices.Contains(s.limits.Disabled, m) }
+// enabled tells whether a mechanism is in use.
+func (s *Sched) enabled(m Mechanism) bool { return !slices.Contains(s.limits.Disabled, m) }
--- a/internal/sched/naming.go
+++ b/internal/sched/naming.go
@@ -109,7 +109,7 @@
 // mostMore is how many workers a question may name without taking much longer.
 func (s *Sched) mostMore(a *flow.Advice) int {
 	switch {
-	case !s.on(QueryMoreWorkers):
+	case !s.enabled(QueryMoreWorkers):
 		return 0
 	case a.Each <= 0:
 		return mostNamed
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -281,7 +281,7 @@
 
 // placeable is when the next pass may be made.
 func (s *Sched) placeable() time.Time {
-	if !s.on(LimitPassTime) {
+	if !s.enabled(LimitPassTime) {
 		return s.placed.Add(s.limits.BatchInterval)
 	}
 	return s.placed.Add(max(s.limits.BatchInterval, time.Duration(float64(s.took)/passShare)))
