--- a/internal/sched/lapse.go
+++ b/internal/sched/lapse.go
@@ -19,7 +19,7 @@
 	if w.fenced {
 		return w.lapsed()
 	}
-	at := s.began.Add(StoreTimeout + longest(s.limits.Lease))
+	at := s.termStart.Add(StoreTimeout + longest(s.limits.Lease))
 	if !s.former.IsZero() {
 		at = s.former.Add(longest(s.limits.Lease))
 	}
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -15,10 +15,10 @@
 
 // Sched is the scheduler of one term. It is not safe for concurrent use.
 type Sched struct {
-	limits Limits
-	term   int64
-	now    time.Time
-	began  time.Time
+	limits    Limits
+	term      int64
+	now       time.Time
+	termStart time.Time
 	// former is when the former lead was certain to hold nothing any more.
 	former  time.Time
 	acts    []Action
@@ -131,8 +131,8 @@
 // Step takes one event and returns what to do.
 func (s *Sched) Step(now time.Time, ev Event) []Action {
 	s.now, s.acts = now, nil
-	if s.began.IsZero() {
-		s.began = now
+	if s.termStart.IsZero() {
+		s.termStart = now
 	}
 	s.take(ev)
 	if _, idle := ev.(Tick); !idle {
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -229,7 +229,7 @@
 	}
 	since := w.unlisted
 	if since.IsZero() && len(w.lost) > 0 {
-		since = s.began
+		since = s.termStart
 	}
 	return s.now.Sub(since) > retired
 }
