--- a/internal/sched/lapse.go
+++ b/internal/sched/lapse.go
@@ -20,8 +20,8 @@
 		return w.lapsed()
 	}
 	at := s.termStart.Add(StoreTimeout + longest(s.limits.Lease))
-	if !s.former.IsZero() {
-		at = s.former.Add(longest(s.limits.Lease))
+	if !s.predecessorGone.IsZero() {
+		at = s.predecessorGone.Add(longest(s.limits.Lease))
 	}
 	if !w.until.IsZero() && w.until.Before(at) {
 		return w.until
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -19,14 +19,14 @@
 	term      int64
 	now       time.Time
 	termStart time.Time
-	// former is when the former lead was certain to hold nothing any more.
-	former  time.Time
-	acts    []Action
-	queues  map[string]flow.Queue
-	jobs    map[string]*flow.Job
-	open    map[string]*flow.Job
-	number  int64
-	workers map[string]*worker
+	// predecessorGone is when the predecessorGone lead was certain to hold nothing any more.
+	predecessorGone time.Time
+	acts            []Action
+	queues          map[string]flow.Queue
+	jobs            map[string]*flow.Job
+	open            map[string]*flow.Job
+	number          int64
+	workers         map[string]*worker
 	// sorted are the workers in order of life, as long as none comes or goes.
 	sorted []*worker
 	hosts  map[string]*host
@@ -173,7 +173,7 @@
 
 // formerOver takes what the former lead said when it left.
 func (s *Sched) formerOver(ev PredecessorStopped) {
-	s.former = s.now
+	s.predecessorGone = s.now
 	for life, left := range ev.LeaseBounds {
 		if w, ok := s.workers[life]; ok {
 			w.until = ev.Since.Add(left)
