--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -21,7 +21,7 @@
 	termStart time.Time
 	// predecessorGone is when the predecessorGone lead was certain to hold nothing any more.
 	predecessorGone time.Time
-	acts            []Action
+	actions         []Action
 	queues          map[string]flow.Queue
 	jobs            map[string]*flow.Job
 	open            map[string]*flow.Job
@@ -130,7 +130,7 @@
 
 // Step takes one event and returns what to do.
 func (s *Sched) Step(now time.Time, ev Event) []Action {
-	s.now, s.acts = now, nil
+	s.now, s.actions = now, nil
 	if s.termStart.IsZero() {
 		s.termStart = now
 	}
@@ -139,7 +139,7 @@
 		s.stirred = true
 	}
 	s.flush()
-	return s.acts
+	return s.actions
 }
 
 func (s *Sched) take(ev Event) {
@@ -181,7 +181,7 @@
 	}
 }
 
-func (s *Sched) do(a Action) { s.acts = append(s.acts, a) }
+func (s *Sched) do(a Action) { s.actions = append(s.actions, a) }
 
 func (s *Sched) note(t *flow.Task, what, detail string) {
 	s.do(Note{ID: t.Name.String(), What: what, Worker: t.Worker, Run: t.Run, Detail: detail})
