--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -8,7 +8,7 @@
 	}
 	s.number++
 	j := flow.New(spec, s.number, s.now)
-	s.jobs[spec.ID], s.open[spec.ID] = j, j
+	s.jobs[spec.ID], s.openJobs[spec.ID] = j, j
 	j.Begin(s.now)
 	s.touch(j)
 	s.do(Note{ID: spec.ID, What: "queued", Detail: spec.Queue.Name})
@@ -77,7 +77,7 @@
 		}
 	}
 	clear(j.Rounds)
-	delete(s.open, j.Spec.ID)
+	delete(s.openJobs, j.Spec.ID)
 	s.touch(j)
 }
 
--- a/internal/sched/order.go
+++ b/internal/sched/order.go
@@ -49,7 +49,7 @@
 
 // opened lists the jobs that are not over by the order of their acceptance.
 func (s *Sched) opened() []*flow.Job {
-	all := slices.AppendSeq(make([]*flow.Job, 0, len(s.open)), maps.Values(s.open))
+	all := slices.AppendSeq(make([]*flow.Job, 0, len(s.openJobs)), maps.Values(s.openJobs))
 	slices.SortFunc(all, func(a, b *flow.Job) int { return cmp.Compare(a.Number, b.Number) })
 	return all
 }
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -27,7 +27,7 @@
 // waiting lists the steps that may run, the most urgent first.
 func (s *Sched) waiting(pools map[string]*pool) []ready {
 	var all []ready
-	for _, j := range s.open {
+	for _, j := range s.openJobs {
 		if j.State.Final() {
 			continue
 		}
@@ -120,7 +120,7 @@
 // place gives room to what waits, in order, and asks the policy service about
 // steps that could start.
 func (s *Sched) place() {
-	if len(s.open) == 0 {
+	if len(s.openJobs) == 0 {
 		return
 	}
 	pools := s.pools()
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -24,7 +24,7 @@
 	actions         []Action
 	queues          map[string]flow.Queue
 	jobs            map[string]*flow.Job
-	open            map[string]*flow.Job
+	openJobs        map[string]*flow.Job
 	number          int64
 	workers         map[string]*worker
 	// sorted are the workers in order of life, as long as none comes or goes.
@@ -91,7 +91,7 @@
 // New returns the scheduler of a term that begins with these jobs.
 func New(limits Limits, term int64, jobs []*flow.Job) *Sched {
 	s := &Sched{
-		limits: limits, term: term, queues: map[string]flow.Queue{}, jobs: map[string]*flow.Job{}, open: map[string]*flow.Job{},
+		limits: limits, term: term, queues: map[string]flow.Queue{}, jobs: map[string]*flow.Job{}, openJobs: map[string]*flow.Job{},
 		workers: map[string]*worker{}, hosts: map[string]*host{}, advice: map[*flow.Stage]*advice{}, rates: map[string]float64{},
 		stops: map[runKey]*stop{}, suspects: map[*flow.Task]bool{}, yields: map[*flow.Stage][]yield{}, waits: map[*flow.Stage]*wait{}, cancels: map[string]time.Time{}, dirty: map[string]*flow.Job{}, next: newBatch(),
 	}
@@ -99,7 +99,7 @@
 		s.jobs[j.Spec.ID] = j
 		s.number = max(s.number, j.Number)
 		if !j.State.Final() || len(j.Rounds) > 0 {
-			s.open[j.Spec.ID] = j
+			s.openJobs[j.Spec.ID] = j
 			s.adopt(j)
 		}
 	}
@@ -215,7 +215,7 @@
 	}
 	s.swept = s.now
 	// Time alone may have made a place: a rest is over, a ticket has run out.
-	s.stirred = len(s.open) > 0
+	s.stirred = len(s.openJobs) > 0
 	s.begin()
 	s.watchWorkers()
 	s.watchSuspects()
@@ -392,7 +392,7 @@
 		j := s.jobs[id]
 		if j.State.Final() && j.Shown.Final() && s.now.Sub(j.Ended) > s.limits.Retention {
 			delete(s.jobs, id)
-			delete(s.open, id)
+			delete(s.openJobs, id)
 			s.do(Forget{ID: id})
 		}
 	}
@@ -407,7 +407,7 @@
 		return s.placeable()
 	case s.storable():
 		return s.flushable()
-	case len(s.open) > 0:
+	case len(s.openJobs) > 0:
 		return s.swept.Add(tickEvery)
 	default:
 		return s.swept.Add(idleEvery)
@@ -426,7 +426,7 @@
 // Pending counts by queue the jobs of which no task has started.
 func (s *Sched) Pending() map[string]int {
 	n := map[string]int{}
-	for _, j := range s.open {
+	for _, j := range s.openJobs {
 		if j.State == flow.Queued {
 			n[j.Spec.Queue.Name]++
 		}
