--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -6,8 +6,8 @@
 	if _, ok := s.jobs[spec.ID]; ok {
 		return
 	}
-	s.number++
-	j := flow.New(spec, s.number, s.now)
+	s.lastNumber++
+	j := flow.New(spec, s.lastNumber, s.now)
 	s.jobs[spec.ID], s.openJobs[spec.ID] = j, j
 	j.Begin(s.now)
 	s.touch(j)
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -25,7 +25,7 @@
 	queues          map[string]flow.Queue
 	jobs            map[string]*flow.Job
 	openJobs        map[string]*flow.Job
-	number          int64
+	lastNumber      int64
 	workers         map[string]*worker
 	// sorted are the workers in order of life, as long as none comes or goes.
 	sorted []*worker
@@ -97,7 +97,7 @@
 	}
 	for _, j := range jobs {
 		s.jobs[j.Spec.ID] = j
-		s.number = max(s.number, j.Number)
+		s.lastNumber = max(s.lastNumber, j.Number)
 		if !j.State.Final() || len(j.Rounds) > 0 {
 			s.openJobs[j.Spec.ID] = j
 			s.adopt(j)
