--- a/internal/sched/order.go
+++ b/internal/sched/order.go
@@ -14,18 +14,18 @@
 // lives lists the workers in order of life. The list is kept until a worker comes or goes:
 // each pass walks it several times.
 func (s *Sched) lives() []*worker {
-	if len(s.sorted) == len(s.workers) {
-		return s.sorted
+	if len(s.sortedCache) == len(s.workers) {
+		return s.sortedCache
 	}
-	s.sorted = make([]*worker, 0, len(s.workers))
+	s.sortedCache = make([]*worker, 0, len(s.workers))
 	for _, life := range slices.Sorted(maps.Keys(s.workers)) {
-		s.sorted = append(s.sorted, s.workers[life])
+		s.sortedCache = append(s.sortedCache, s.workers[life])
 	}
-	return s.sorted
+	return s.sortedCache
 }
 
 // forgetOrder is called when the set of workers has changed.
-func (s *Sched) forgetOrder() { s.sorted = nil }
+func (s *Sched) forgetOrder() { s.sortedCache = nil }
 
 // inOrder lists the worker's tasks by name.
 func (w *worker) inOrder() []*flow.Task {
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -27,11 +27,11 @@
 	openJobs        map[string]*flow.Job
 	lastNumber      int64
 	workers         map[string]*worker
-	// sorted are the workers in order of life, as long as none comes or goes.
-	sorted []*worker
-	hosts  map[string]*host
-	advice map[*flow.Stage]*advice
-	rates  map[string]float64
+	// sortedCache are the workers in order of life, as long as none comes or goes.
+	sortedCache []*worker
+	hosts       map[string]*host
+	advice      map[*flow.Stage]*advice
+	rates       map[string]float64
 	// urgent is what the questions of the most urgent queues take of the hosts.
 	urgent usage
 	stops  map[runKey]*stop
