--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -196,7 +196,7 @@
 
 // rate is the measured share of workers that may run a step of a queue.
 func (s *Sched) rate(q flow.Queue) float64 {
-	if rate, ok := s.rates[q.Name]; ok {
+	if rate, ok := s.allowRates[q.Name]; ok {
 		return rate
 	}
 	return firstRate
@@ -246,11 +246,11 @@
 		}
 	}
 	if fresh > 0 {
-		rate, ok := s.rates[a.queue]
+		rate, ok := s.allowRates[a.queue]
 		if !ok {
 			rate = firstRate
 		}
-		s.rates[a.queue] = max(rate+rateWeight*(float64(good)/float64(fresh)-rate), 0.05)
+		s.allowRates[a.queue] = max(rate+rateWeight*(float64(good)/float64(fresh)-rate), 0.05)
 	}
 	s.do(Note{ID: ev.Step, What: "advice", Detail: ev.Host})
 }
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -31,7 +31,7 @@
 	sortedCache []*worker
 	hosts       map[string]*host
 	advice      map[*flow.Stage]*advice
-	rates       map[string]float64
+	allowRates  map[string]float64
 	// urgent is what the questions of the most urgent queues take of the hosts.
 	urgent usage
 	stops  map[runKey]*stop
@@ -92,7 +92,7 @@
 func New(limits Limits, term int64, jobs []*flow.Job) *Sched {
 	s := &Sched{
 		limits: limits, term: term, queues: map[string]flow.Queue{}, jobs: map[string]*flow.Job{}, openJobs: map[string]*flow.Job{},
-		workers: map[string]*worker{}, hosts: map[string]*host{}, advice: map[*flow.Stage]*advice{}, rates: map[string]float64{},
+		workers: map[string]*worker{}, hosts: map[string]*host{}, advice: map[*flow.Stage]*advice{}, allowRates: map[string]float64{},
 		stops: map[runKey]*stop{}, suspects: map[*flow.Task]bool{}, yields: map[*flow.Stage][]yield{}, waits: map[*flow.Stage]*wait{}, cancels: map[string]time.Time{}, dirty: map[string]*flow.Job{}, next: newBatch(),
 	}
 	for _, j := range jobs {
