--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -165,7 +165,7 @@
 	h.busy = h.busy.Add(cost)
 	h.long = s.long(r.queue)
 	if !h.long {
-		s.urgent.add(cost, s.now)
+		s.urgentUsage.add(cost, s.now)
 	}
 	a.asked, a.host, a.named, a.gives = s.now, name, named, h.busy.Add(overdue)
 	a.valid, a.queue = r.queue.Advice.Valid, r.queue.Name
--- a/internal/sched/hosts.go
+++ b/internal/sched/hosts.go
@@ -84,7 +84,7 @@
 	if !s.enabled(AdaptUrgentHosts) {
 		return most
 	}
-	return min(1+int(math.Ceil(urgentSpare*s.urgent.now(s.now))), most)
+	return min(1+int(math.Ceil(urgentSpare*s.urgentUsage.now(s.now))), most)
 }
 
 // long tells whether a queue is not among the most urgent ones.
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -32,9 +32,9 @@
 	hosts       map[string]*host
 	advice      map[*flow.Stage]*advice
 	allowRates  map[string]float64
-	// urgent is what the questions of the most urgent queues take of the hosts.
-	urgent usage
-	stops  map[runKey]*stop
+	// urgentUsage is what the questions of the most urgentUsage queues take of the hosts.
+	urgentUsage usage
+	stops       map[runKey]*stop
 	// suspects are tasks under which lives of workers ended, or may have.
 	suspects map[*flow.Task]bool
 	// falls are workers that stopped answering lately.
