--- a/internal/sched/rack.go
+++ b/internal/sched/rack.go
@@ -29,7 +29,7 @@
 // fell notes that a worker stopped answering or has ended, and asks the idle workers of its
 // rack if a task under which a life had ended before was there.
 func (s *Sched) fell(w *worker) {
-	if w.Rack == "" || slices.ContainsFunc(s.falls, func(f fall) bool { return f.life == w.Incarnation }) {
+	if w.Rack == "" || slices.ContainsFunc(s.outages, func(f fall) bool { return f.life == w.Incarnation }) {
 		return
 	}
 	f := fall{at: s.now, life: w.Incarnation, rack: w.Rack, steps: map[*flow.Stage]bool{}}
@@ -38,7 +38,7 @@
 		f.steps[t.Step] = true
 		suspect = suspect || t.Doubt() > 0
 	}
-	s.falls = append(s.falls, f)
+	s.outages = append(s.outages, f)
 	if !suspect {
 		return
 	}
@@ -51,21 +51,21 @@
 
 // rose forgets that a worker stopped answering.
 func (s *Sched) rose(w *worker) {
-	s.falls = slices.DeleteFunc(s.falls, func(f fall) bool { return f.life == w.Incarnation })
+	s.outages = slices.DeleteFunc(s.outages, func(f fall) bool { return f.life == w.Incarnation })
 }
 
 // rackFell tells whether all workers of a rack ended together for a cause that was not a
 // task of this step. Bad tasks that start together end several lives at once as well, so
 // there must be an idle worker among them.
 func (s *Sched) rackFell(w *worker, t *flow.Task) bool {
-	i := slices.IndexFunc(s.falls, func(f fall) bool { return f.life == w.Incarnation })
+	i := slices.IndexFunc(s.outages, func(f fall) bool { return f.life == w.Incarnation })
 	if i < 0 {
 		return false
 	}
-	at := s.falls[i].at
+	at := s.outages[i].at
 	idle, everywhere := false, true
 	down := map[string]bool{w.Incarnation: true}
-	for _, f := range s.falls {
+	for _, f := range s.outages {
 		if f.life == w.Incarnation || f.rack != w.Rack || f.at.Sub(at).Abs() > togetherWithin {
 			continue
 		}
@@ -88,5 +88,5 @@
 
 // watchFalls forgets falls that can be one with no other any more.
 func (s *Sched) watchFalls() {
-	s.falls = slices.DeleteFunc(s.falls, func(f fall) bool { return s.now.Sub(f.at) > retired })
+	s.outages = slices.DeleteFunc(s.outages, func(f fall) bool { return s.now.Sub(f.at) > retired })
 }
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -37,8 +37,8 @@
 	stops       map[runKey]*stop
 	// suspects are tasks under which lives of workers ended, or may have.
 	suspects map[*flow.Task]bool
-	// falls are workers that stopped answering lately.
-	falls []fall
+	// outages are workers that stopped answering lately.
+	outages []fall
 	// waits are steps that wait.
 	waits map[*flow.Stage]*wait
 	// yields are rooms that others were stopped for.
