--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -72,7 +72,7 @@
 	for _, r := range j.Rounds {
 		for _, st := range r.Stages {
 			delete(s.advice, st)
-			delete(s.yields, st)
+			delete(s.preemptions, st)
 			delete(s.waits, st)
 		}
 	}
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -41,8 +41,8 @@
 	outages []fall
 	// waits are steps that wait.
 	waits map[*flow.Stage]*wait
-	// yields are rooms that others were stopped for.
-	yields map[*flow.Stage][]yield
+	// preemptions are rooms that others were stopped for.
+	preemptions map[*flow.Stage][]yield
 	// cancels are when jobs that are not known yet were cancelled.
 	cancels map[string]time.Time
 	// dirty are jobs whose progress is not in an append yet.
@@ -93,7 +93,7 @@
 	s := &Sched{
 		limits: limits, term: term, queues: map[string]flow.Queue{}, jobs: map[string]*flow.Job{}, openJobs: map[string]*flow.Job{},
 		workers: map[string]*worker{}, hosts: map[string]*host{}, advice: map[*flow.Stage]*advice{}, allowRates: map[string]float64{},
-		stops: map[runKey]*stop{}, suspects: map[*flow.Task]bool{}, yields: map[*flow.Stage][]yield{}, waits: map[*flow.Stage]*wait{}, cancels: map[string]time.Time{}, dirty: map[string]*flow.Job{}, next: newBatch(),
+		stops: map[runKey]*stop{}, suspects: map[*flow.Task]bool{}, preemptions: map[*flow.Stage][]yield{}, waits: map[*flow.Stage]*wait{}, cancels: map[string]time.Time{}, dirty: map[string]*flow.Job{}, next: newBatch(),
 	}
 	for _, j := range jobs {
 		s.jobs[j.Spec.ID] = j
--- a/internal/sched/yield.go
+++ b/internal/sched/yield.go
@@ -35,11 +35,11 @@
 		return
 	}
 	room := r.stage.Spec.Room()
-	s.yields[r.stage] = slices.DeleteFunc(s.yields[r.stage], func(y yield) bool {
+	s.preemptions[r.stage] = slices.DeleteFunc(s.preemptions[r.stage], func(y yield) bool {
 		w, ok := s.workers[y.worker]
 		return !ok || !room.Fits(w.Size) || !s.now.Before(y.until)
 	})
-	for _, y := range s.yields[r.stage] {
+	for _, y := range s.preemptions[r.stage] {
 		w := s.workers[y.worker]
 		w.reserved = w.reserved.Add(room)
 		n--
@@ -54,7 +54,7 @@
 			s.stop(t, "gives way to "+r.stage.Tasks[0].Name.StepName())
 		}
 		w.reserved = w.reserved.Add(room)
-		s.yields[r.stage] = append(s.yields[r.stage], yield{w.Incarnation, s.now.Add(yieldFor)})
+		s.preemptions[r.stage] = append(s.preemptions[r.stage], yield{w.Incarnation, s.now.Add(yieldFor)})
 	}
 }
 
