--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -12,8 +12,8 @@
 	j.Begin(s.now)
 	s.touch(j)
 	s.do(Note{ID: spec.ID, What: "queued", Detail: spec.Queue.Name})
-	if _, ok := s.cancels[spec.ID]; ok {
-		delete(s.cancels, spec.ID)
+	if _, ok := s.earlyCancels[spec.ID]; ok {
+		delete(s.earlyCancels, spec.ID)
 		s.cancel(spec.ID)
 	}
 }
@@ -25,7 +25,7 @@
 	j, ok := s.jobs[id]
 	switch {
 	case !ok:
-		s.cancels[id] = s.now
+		s.earlyCancels[id] = s.now
 		s.do(Note{ID: id, What: "cancelled before it is known"})
 		return
 	case j.State.Final():
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -43,8 +43,8 @@
 	waits map[*flow.Stage]*wait
 	// preemptions are rooms that others were stopped for.
 	preemptions map[*flow.Stage][]yield
-	// cancels are when jobs that are not known yet were cancelled.
-	cancels map[string]time.Time
+	// earlyCancels are when jobs that are not known yet were cancelled.
+	earlyCancels map[string]time.Time
 	// dirty are jobs whose progress is not in an append yet.
 	dirty map[string]*flow.Job
 	// early are runs that may start before they are stored.
@@ -93,7 +93,7 @@
 	s := &Sched{
 		limits: limits, term: term, queues: map[string]flow.Queue{}, jobs: map[string]*flow.Job{}, openJobs: map[string]*flow.Job{},
 		workers: map[string]*worker{}, hosts: map[string]*host{}, advice: map[*flow.Stage]*advice{}, allowRates: map[string]float64{},
-		stops: map[runKey]*stop{}, suspects: map[*flow.Task]bool{}, preemptions: map[*flow.Stage][]yield{}, waits: map[*flow.Stage]*wait{}, cancels: map[string]time.Time{}, dirty: map[string]*flow.Job{}, next: newBatch(),
+		stops: map[runKey]*stop{}, suspects: map[*flow.Task]bool{}, preemptions: map[*flow.Stage][]yield{}, waits: map[*flow.Stage]*wait{}, earlyCancels: map[string]time.Time{}, dirty: map[string]*flow.Job{}, next: newBatch(),
 	}
 	for _, j := range jobs {
 		s.jobs[j.Spec.ID] = j
@@ -387,7 +387,7 @@
 // accepted and only then their progress: a spec without progress is a new job to
 // the next lead, which would run it again.
 func (s *Sched) forget() {
-	maps.DeleteFunc(s.cancels, func(_ string, at time.Time) bool { return s.now.Sub(at) > s.limits.Retention })
+	maps.DeleteFunc(s.earlyCancels, func(_ string, at time.Time) bool { return s.now.Sub(at) > s.limits.Retention })
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		j := s.jobs[id]
 		if j.State.Final() && j.Shown.Final() && s.now.Sub(j.Ended) > s.limits.Retention {
