--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -47,8 +47,8 @@
 	earlyCancels map[string]time.Time
 	// dirty are jobs whose progress is not in an append yet.
 	dirty map[string]*flow.Job
-	// early are runs that may start before they are stored.
-	early []runKey
+	// unstoredStarts are runs that may start before they are stored.
+	unstoredStarts []runKey
 	// appends counts what was stored.
 	appends int64
 	// next is what the next append will make certain, flights what those under way
@@ -334,8 +334,8 @@
 
 // sendEarly starts what need not wait for the store.
 func (s *Sched) sendEarly() {
-	keys := s.early
-	s.early = nil
+	keys := s.unstoredStarts
+	s.unstoredStarts = nil
 	for _, k := range keys {
 		s.send(k)
 	}
--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -24,7 +24,7 @@
 		s.markSuspect(t)
 	}
 	if t.Spec().Copies && t.Doubt() == 0 {
-		s.early = append(s.early, runKey{t.Name, run})
+		s.unstoredStarts = append(s.unstoredStarts, runKey{t.Name, run})
 		return
 	}
 	s.next.sends = append(s.next.sends, runKey{t.Name, run})
