--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -49,8 +49,8 @@
 	dirty map[string]*flow.Job
 	// unstoredStarts are runs that may start before they are stored.
 	unstoredStarts []runKey
-	// appends counts what was stored.
-	appends int64
+	// appendCount counts what was stored.
+	appendCount int64
 	// next is what the next append will make certain, flights what those under way
 	// will, in their order.
 	next    *batch
@@ -249,9 +249,9 @@
 	if !s.storable() || s.now.Before(s.appendable()) {
 		return
 	}
-	s.appends++
+	s.appendCount++
 	b := s.next
-	b.number = s.appends
+	b.number = s.appendCount
 	s.next = newBatch()
 	s.flights = append(s.flights, b)
 	s.last = s.now
