--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -51,10 +51,10 @@
 	unstoredStarts []runKey
 	// appendCount counts what was stored.
 	appendCount int64
-	// next is what the next append will make certain, flights what those under way
+	// nextBatch is what the nextBatch append will make certain, flights what those under way
 	// will, in their order.
-	next    *batch
-	flights []*batch
+	nextBatch *batch
+	flights   []*batch
 	// unaskable tells for the most urgent queues and for the others that no host can
 	// take a question in this pass.
 	unaskable [2]bool
@@ -93,7 +93,7 @@
 	s := &Sched{
 		limits: limits, term: term, queues: map[string]flow.Queue{}, jobs: map[string]*flow.Job{}, openJobs: map[string]*flow.Job{},
 		workers: map[string]*worker{}, hosts: map[string]*host{}, advice: map[*flow.Stage]*advice{}, allowRates: map[string]float64{},
-		stops: map[runKey]*stop{}, suspects: map[*flow.Task]bool{}, preemptions: map[*flow.Stage][]yield{}, waits: map[*flow.Stage]*wait{}, earlyCancels: map[string]time.Time{}, dirty: map[string]*flow.Job{}, next: newBatch(),
+		stops: map[runKey]*stop{}, suspects: map[*flow.Task]bool{}, preemptions: map[*flow.Stage][]yield{}, waits: map[*flow.Stage]*wait{}, earlyCancels: map[string]time.Time{}, dirty: map[string]*flow.Job{}, nextBatch: newBatch(),
 	}
 	for _, j := range jobs {
 		s.jobs[j.Spec.ID] = j
@@ -250,9 +250,9 @@
 		return
 	}
 	s.appendCount++
-	b := s.next
+	b := s.nextBatch
 	b.number = s.appendCount
-	s.next = newBatch()
+	s.nextBatch = newBatch()
 	s.flights = append(s.flights, b)
 	s.last = s.now
 	version := flow.Version{Term: s.term, Append: b.number}
@@ -299,7 +299,7 @@
 
 // storable tells whether there is anything to store and a partition to store it in.
 func (s *Sched) storable() bool {
-	return len(s.flights) < mostFlights && (len(s.dirty) > 0 || len(s.next.seen) > 0)
+	return len(s.flights) < mostFlights && (len(s.dirty) > 0 || len(s.nextBatch.seen) > 0)
 }
 
 // appendable is when the next append may be made. While one has no answer for long,
