--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -54,7 +54,7 @@
 	// nextBatch is what the nextBatch append will make certain, flights what those under way
 	// will, in their order.
 	nextBatch *batch
-	flights   []*batch
+	inFlight  []*batch
 	// unaskable tells for the most urgent queues and for the others that no host can
 	// take a question in this pass.
 	unaskable [2]bool
@@ -253,7 +253,7 @@
 	b := s.nextBatch
 	b.number = s.appendCount
 	s.nextBatch = newBatch()
-	s.flights = append(s.flights, b)
+	s.inFlight = append(s.inFlight, b)
 	s.last = s.now
 	version := flow.Version{Term: s.term, Append: b.number}
 	var changes []Change
@@ -299,14 +299,14 @@
 
 // storable tells whether there is anything to store and a partition to store it in.
 func (s *Sched) storable() bool {
-	return len(s.flights) < mostFlights && (len(s.dirty) > 0 || len(s.nextBatch.seen) > 0)
+	return len(s.inFlight) < mostFlights && (len(s.dirty) > 0 || len(s.nextBatch.seen) > 0)
 }
 
 // appendable is when the next append may be made. While one has no answer for long,
 // the store is slow: what comes up meanwhile is stored beside it, and does not wait
 // for the rest of its time as well. There are only so many partitions to store in.
 func (s *Sched) appendable() time.Time {
-	switch n := len(s.flights); {
+	switch n := len(s.inFlight); {
 	case n == 0:
 		return s.last.Add(s.limits.BatchInterval)
 	case n < mostFlights:
@@ -343,11 +343,11 @@
 
 // appended carries out what waited for an append.
 func (s *Sched) appended(number int64) {
-	i := slices.IndexFunc(s.flights, func(b *batch) bool { return b.number == number })
+	i := slices.IndexFunc(s.inFlight, func(b *batch) bool { return b.number == number })
 	if i < 0 {
 		return
 	}
-	b := s.flights[i]
+	b := s.inFlight[i]
 	b.stored = true
 	for _, j := range slices.SortedFunc(maps.Keys(b.shown), func(x, y *flow.Job) int { return cmp.Compare(x.Spec.ID, y.Spec.ID) }) {
 		s.show(j, b)
@@ -355,9 +355,9 @@
 	for _, k := range b.sends {
 		s.send(k)
 	}
-	for len(s.flights) > 0 && s.flights[0].stored {
-		b := s.flights[0]
-		s.flights = s.flights[1:]
+	for len(s.inFlight) > 0 && s.inFlight[0].stored {
+		b := s.inFlight[0]
+		s.inFlight = s.inFlight[1:]
 		s.notedBy(b)
 	}
 }
