--- a/internal/sched/hosts.go
+++ b/internal/sched/hosts.go
@@ -104,11 +104,11 @@
 	if s.long(q) {
 		kind = 1
 	}
-	if s.unaskable[kind] {
+	if s.noFreeHost[kind] {
 		return ""
 	}
 	name := s.askable(q, 0)
-	s.unaskable[kind] = name == ""
+	s.noFreeHost[kind] = name == ""
 	return name
 }
 
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -128,7 +128,7 @@
 	if len(steps) == 0 {
 		return
 	}
-	s.unaskable = [2]bool{}
+	s.noFreeHost = [2]bool{}
 	top := steps[0].queue.Rank
 	for _, q := range s.queues {
 		top = min(top, q.Rank)
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -55,9 +55,9 @@
 	// will, in their order.
 	nextBatch *batch
 	inFlight  []*batch
-	// unaskable tells for the most urgent queues and for the others that no host can
+	// noFreeHost tells for the most urgent queues and for the others that no host can
 	// take a question in this pass.
-	unaskable [2]bool
+	noFreeHost [2]bool
 	// stirred tells that something changed since the last placement.
 	stirred bool
 	// placed is when work was placed last, last when something was stored.
--- a/internal/sched/waits.go
+++ b/internal/sched/waits.go
@@ -99,7 +99,7 @@
 		return WaitForCapacity
 	case ok && !a.asked.IsZero():
 		return WaitForPolicy
-	case s.unaskable[kind]:
+	case s.noFreeHost[kind]:
 		return WaitForHost
 	default:
 		return WaitForCapacity
