--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -58,8 +58,8 @@
 	// noFreeHost tells for the most urgent queues and for the others that no host can
 	// take a question in this pass.
 	noFreeHost [2]bool
-	// stirred tells that something changed since the last placement.
-	stirred bool
+	// changed tells that something changed since the last placement.
+	changed bool
 	// placed is when work was placed last, last when something was stored.
 	placed time.Time
 	last   time.Time
@@ -136,7 +136,7 @@
 	}
 	s.take(ev)
 	if _, idle := ev.(Tick); !idle {
-		s.stirred = true
+		s.changed = true
 	}
 	s.flush()
 	return s.actions
@@ -215,7 +215,7 @@
 	}
 	s.swept = s.now
 	// Time alone may have made a place: a rest is over, a ticket has run out.
-	s.stirred = len(s.openJobs) > 0
+	s.changed = len(s.openJobs) > 0
 	s.begin()
 	s.watchWorkers()
 	s.watchSuspects()
@@ -241,8 +241,8 @@
 	if s.now.Sub(s.placed) < s.limits.BatchInterval {
 		return
 	}
-	if s.stirred && !s.now.Before(s.placeable()) {
-		s.stirred, s.placed = false, s.now
+	if s.changed && !s.now.Before(s.placeable()) {
+		s.changed, s.placed = false, s.now
 		s.place()
 		s.sendEarly()
 	}
@@ -401,9 +401,9 @@
 // Due is when the core wants to be stepped again at the latest.
 func (s *Sched) Due() time.Time {
 	switch {
-	case s.stirred && s.storable():
+	case s.changed && s.storable():
 		return earlier(s.placeable(), s.flushable())
-	case s.stirred:
+	case s.changed:
 		return s.placeable()
 	case s.storable():
 		return s.flushable()
