--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -60,10 +60,10 @@
 	noFreeHost [2]bool
 	// changed tells that something changed since the last placement.
 	changed bool
-	// placed is when work was placed last, last when something was stored.
-	placed time.Time
-	last   time.Time
-	swept  time.Time
+	// lastPass is when work was lastPass last, last when something was stored.
+	lastPass time.Time
+	last     time.Time
+	swept    time.Time
 	// took is how long the last pass took the lead.
 	took time.Duration
 }
@@ -238,11 +238,11 @@
 
 // flush places what waits and stores what changed, one append at a time.
 func (s *Sched) flush() {
-	if s.now.Sub(s.placed) < s.limits.BatchInterval {
+	if s.now.Sub(s.lastPass) < s.limits.BatchInterval {
 		return
 	}
 	if s.changed && !s.now.Before(s.placeable()) {
-		s.changed, s.placed = false, s.now
+		s.changed, s.lastPass = false, s.now
 		s.place()
 		s.sendEarly()
 	}
@@ -282,13 +282,13 @@
 // placeable is when the next pass may be made.
 func (s *Sched) placeable() time.Time {
 	if !s.enabled(LimitPassTime) {
-		return s.placed.Add(s.limits.BatchInterval)
+		return s.lastPass.Add(s.limits.BatchInterval)
 	}
-	return s.placed.Add(max(s.limits.BatchInterval, time.Duration(float64(s.took)/passShare)))
+	return s.lastPass.Add(max(s.limits.BatchInterval, time.Duration(float64(s.took)/passShare)))
 }
 
 // LastPass is when the last pass was made.
-func (s *Sched) LastPass() time.Time { return s.placed }
+func (s *Sched) LastPass() time.Time { return s.lastPass }
 
 // RecordPassDuration tells how long the step with the last pass took. The core has no clock of its own: the
 // same work takes a host that is short of processor several times as long. One that was
@@ -318,7 +318,7 @@
 
 // flushable is when what changed is stored: with a pass, or between two that are far apart.
 func (s *Sched) flushable() time.Time {
-	at := s.placed.Add(s.limits.BatchInterval)
+	at := s.lastPass.Add(s.limits.BatchInterval)
 	if next := s.appendable(); next.After(at) {
 		return next
 	}
