--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -61,9 +61,9 @@
 	// changed tells that something changed since the last placement.
 	changed bool
 	// lastPass is when work was lastPass last, last when something was stored.
-	lastPass time.Time
-	last     time.Time
-	swept    time.Time
+	lastPass   time.Time
+	lastAppend time.Time
+	swept      time.Time
 	// took is how long the last pass took the lead.
 	took time.Duration
 }
@@ -254,7 +254,7 @@
 	b.number = s.appendCount
 	s.nextBatch = newBatch()
 	s.inFlight = append(s.inFlight, b)
-	s.last = s.now
+	s.lastAppend = s.now
 	version := flow.Version{Term: s.term, Append: b.number}
 	var changes []Change
 	for _, id := range slices.Sorted(maps.Keys(s.dirty)) {
@@ -308,9 +308,9 @@
 func (s *Sched) appendable() time.Time {
 	switch n := len(s.inFlight); {
 	case n == 0:
-		return s.last.Add(s.limits.BatchInterval)
+		return s.lastAppend.Add(s.limits.BatchInterval)
 	case n < mostFlights:
-		return s.last.Add(max(s.limits.BatchInterval, overlapAfter))
+		return s.lastAppend.Add(max(s.limits.BatchInterval, overlapAfter))
 	default:
 		return s.now.Add(s.limits.BatchInterval)
 	}
