--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -63,7 +63,7 @@
 	// lastPass is when work was lastPass last, last when something was stored.
 	lastPass   time.Time
 	lastAppend time.Time
-	swept      time.Time
+	lastSweep  time.Time
 	// took is how long the last pass took the lead.
 	took time.Duration
 }
@@ -210,10 +210,10 @@
 )
 
 func (s *Sched) tick() {
-	if s.now.Sub(s.swept) < tickEvery {
+	if s.now.Sub(s.lastSweep) < tickEvery {
 		return
 	}
-	s.swept = s.now
+	s.lastSweep = s.now
 	// Time alone may have made a place: a rest is over, a ticket has run out.
 	s.changed = len(s.openJobs) > 0
 	s.begin()
@@ -408,9 +408,9 @@
 	case s.storable():
 		return s.flushable()
 	case len(s.openJobs) > 0:
-		return s.swept.Add(tickEvery)
+		return s.lastSweep.Add(tickEvery)
 	default:
-		return s.swept.Add(idleEvery)
+		return s.lastSweep.Add(idleEvery)
 	}
 }
 
