--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -64,8 +64,8 @@
 	lastPass   time.Time
 	lastAppend time.Time
 	lastSweep  time.Time
-	// took is how long the last pass took the lead.
-	took time.Duration
+	// passDuration is how long the last pass passDuration the lead.
+	passDuration time.Duration
 }
 
 // batch is what may happen once an append is stored: runs may start and states be
@@ -284,7 +284,7 @@
 	if !s.enabled(LimitPassTime) {
 		return s.lastPass.Add(s.limits.BatchInterval)
 	}
-	return s.lastPass.Add(max(s.limits.BatchInterval, time.Duration(float64(s.took)/passShare)))
+	return s.lastPass.Add(max(s.limits.BatchInterval, time.Duration(float64(s.passDuration)/passShare)))
 }
 
 // LastPass is when the last pass was made.
@@ -294,7 +294,7 @@
 // same work takes a host that is short of processor several times as long. One that was
 // suspended in a pass for seconds says nothing of the next ones.
 func (s *Sched) RecordPassDuration(d time.Duration) {
-	s.took = min(d, time.Duration(passShare*float64(mostPause)))
+	s.passDuration = min(d, time.Duration(passShare*float64(mostPause)))
 }
 
 // storable tells whether there is anything to store and a partition to store it in.
