--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -75,7 +75,7 @@
 type batch struct {
 	number int64
 	stored bool
-	sends  []runKey
+	starts []runKey
 	shown  map[*flow.Job]flow.State
 	seen   map[*worker]int64
 }
@@ -352,7 +352,7 @@
 	for _, j := range slices.SortedFunc(maps.Keys(b.shown), func(x, y *flow.Job) int { return cmp.Compare(x.Spec.ID, y.Spec.ID) }) {
 		s.show(j, b)
 	}
-	for _, k := range b.sends {
+	for _, k := range b.starts {
 		s.send(k)
 	}
 	for len(s.inFlight) > 0 && s.inFlight[0].stored {
--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -27,7 +27,7 @@
 		s.unstoredStarts = append(s.unstoredStarts, runKey{t.Name, run})
 		return
 	}
-	s.nextBatch.sends = append(s.nextBatch.sends, runKey{t.Name, run})
+	s.nextBatch.starts = append(s.nextBatch.starts, runKey{t.Name, run})
 }
 
 // send starts a run that is stored by now.
