--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -76,11 +76,11 @@
 	number int64
 	stored bool
 	starts []runKey
-	shown  map[*flow.Job]flow.State
+	states map[*flow.Job]flow.State
 	seen   map[*worker]int64
 }
 
-func newBatch() *batch { return &batch{shown: map[*flow.Job]flow.State{}, seen: map[*worker]int64{}} }
+func newBatch() *batch { return &batch{states: map[*flow.Job]flow.State{}, seen: map[*worker]int64{}} }
 
 // runKey names one run of a task.
 type runKey struct {
@@ -260,7 +260,7 @@
 	for _, id := range slices.Sorted(maps.Keys(s.dirty)) {
 		j := s.dirty[id]
 		changes = append(changes, Change{Key: id, Value: j.Record(version)})
-		b.shown[j] = j.State
+		b.states[j] = j.State
 	}
 	clear(s.dirty)
 	if len(changes) == 0 {
@@ -349,7 +349,7 @@
 	}
 	b := s.inFlight[i]
 	b.stored = true
-	for _, j := range slices.SortedFunc(maps.Keys(b.shown), func(x, y *flow.Job) int { return cmp.Compare(x.Spec.ID, y.Spec.ID) }) {
+	for _, j := range slices.SortedFunc(maps.Keys(b.states), func(x, y *flow.Job) int { return cmp.Compare(x.Spec.ID, y.Spec.ID) }) {
 		s.show(j, b)
 	}
 	for _, k := range b.starts {
@@ -367,7 +367,7 @@
 	if b.number < j.Recorded {
 		return
 	}
-	j.Shown, j.Recorded = b.shown[j], b.number
+	j.Shown, j.Recorded = b.states[j], b.number
 	if j.Shown.Final() {
 		s.do(JobEnded{ID: j.Spec.ID, State: j.Shown})
 	}
