--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -128,7 +128,7 @@
 		}
 	}
 	if w.seen > w.noted {
-		s.nextBatch.seen[w] = w.seen
+		s.nextBatch.ackedEnds[w] = w.seen
 	}
 	listed := make(map[flow.Name]int, len(ev.Running))
 	for _, l := range ev.Running {
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -73,14 +73,16 @@
 // forget ends only when all appends before are stored too, which hold the jobs of
 // earlier ends.
 type batch struct {
-	number int64
-	stored bool
-	starts []runKey
-	states map[*flow.Job]flow.State
-	seen   map[*worker]int64
+	number    int64
+	stored    bool
+	starts    []runKey
+	states    map[*flow.Job]flow.State
+	ackedEnds map[*worker]int64
 }
 
-func newBatch() *batch { return &batch{states: map[*flow.Job]flow.State{}, seen: map[*worker]int64{}} }
+func newBatch() *batch {
+	return &batch{states: map[*flow.Job]flow.State{}, ackedEnds: map[*worker]int64{}}
+}
 
 // runKey names one run of a task.
 type runKey struct {
@@ -299,7 +301,7 @@
 
 // storable tells whether there is anything to store and a partition to store it in.
 func (s *Sched) storable() bool {
-	return len(s.inFlight) < mostFlights && (len(s.dirty) > 0 || len(s.nextBatch.seen) > 0)
+	return len(s.inFlight) < mostFlights && (len(s.dirty) > 0 || len(s.nextBatch.ackedEnds) > 0)
 }
 
 // appendable is when the next append may be made. While one has no answer for long,
@@ -376,7 +378,7 @@
 // notedBy lets workers forget the ends whose jobs are stored.
 func (s *Sched) notedBy(b *batch) {
 	for _, w := range s.lives() {
-		if n, ok := b.seen[w]; ok {
+		if n, ok := b.ackedEnds[w]; ok {
 			w.noted = max(w.noted, n)
 			s.keepHolding(w)
 		}
