--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -102,15 +102,15 @@
 		s.lastNumber = max(s.lastNumber, j.Number)
 		if !j.State.Final() || len(j.Rounds) > 0 {
 			s.openJobs[j.Spec.ID] = j
-			s.adopt(j)
+			s.adoptJob(j)
 		}
 	}
 	return s
 }
 
-// adopt books what a former lead's records say may run at workers. Nothing of
+// adoptJob books what a former lead's records say may run at workers. Nothing of
 // it starts again before its worker was read under this term.
-func (s *Sched) adopt(j *flow.Job) {
+func (s *Sched) adoptJob(j *flow.Job) {
 	j.Tasks(func(t *flow.Task) {
 		s.adoptLost(t)
 		if t.State == flow.Inherited {
