--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -124,7 +124,7 @@
 		s.suspects[t] = true
 	}
 	for _, life := range t.Lost {
-		s.known(life).lost[t.Name] = lostRun{task: t, run: t.Run}
+		s.incarnation(life).lost[t.Name] = lostRun{task: t, run: t.Run}
 	}
 }
 
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -114,13 +114,13 @@
 	j.Tasks(func(t *flow.Task) {
 		s.adoptLost(t)
 		if t.State == flow.Inherited {
-			s.known(t.Worker).put(t)
+			s.incarnation(t.Worker).put(t)
 		}
 	})
 }
 
-// known returns a life that a former lead's records name.
-func (s *Sched) known(life string) *worker {
+// incarnation returns a life that a former lead's records name.
+func (s *Sched) incarnation(life string) *worker {
 	w, ok := s.workers[life]
 	if !ok {
 		w = newWorker(Worker{Address: Address{Incarnation: life}})
