--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -136,7 +136,7 @@
 	if s.termStart.IsZero() {
 		s.termStart = now
 	}
-	s.take(ev)
+	s.handle(ev)
 	if _, idle := ev.(Tick); !idle {
 		s.changed = true
 	}
@@ -144,7 +144,7 @@
 	return s.actions
 }
 
-func (s *Sched) take(ev Event) {
+func (s *Sched) handle(ev Event) {
 	switch ev := ev.(type) {
 	case Queues:
 		s.setQueues(ev)
