--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -167,14 +167,14 @@
 	case PolicyReply:
 		s.advised(ev)
 	case PredecessorStopped:
-		s.formerOver(ev)
+		s.predecessorStopped(ev)
 	case Tick:
 		s.tick()
 	}
 }
 
-// formerOver takes what the former lead said when it left.
-func (s *Sched) formerOver(ev PredecessorStopped) {
+// predecessorStopped takes what the former lead said when it left.
+func (s *Sched) predecessorStopped(ev PredecessorStopped) {
 	s.predecessorGone = s.now
 	for life, left := range ev.LeaseBounds {
 		if w, ok := s.workers[life]; ok {
