--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -169,7 +169,7 @@
 	}
 	a.asked, a.host, a.named, a.gives = s.now, name, named, h.busy.Add(overdue)
 	a.valid, a.queue = r.queue.Advice.Valid, r.queue.Name
-	s.do(QueryPolicy{Host: name, Step: r.stage.Tasks[0].Name.StepName(), Workers: named, Timeout: a.gives.Sub(s.now)})
+	s.emit(QueryPolicy{Host: name, Step: r.stage.Tasks[0].Name.StepName(), Workers: named, Timeout: a.gives.Sub(s.now)})
 }
 
 // book sets aside the room that the answer of a step's question is likely to take, so that
@@ -222,7 +222,7 @@
 func (s *Sched) answer(a *advice, ev PolicyReply) {
 	a.asked = time.Time{}
 	if ev.Failed {
-		s.do(Note{ID: ev.Step, What: "advice failed", Detail: ev.Host})
+		s.emit(Note{ID: ev.Step, What: "advice failed", Detail: ev.Host})
 		return
 	}
 	fresh, good := 0, 0
@@ -252,7 +252,7 @@
 		}
 		s.allowRates[a.queue] = max(rate+rateWeight*(float64(good)/float64(fresh)-rate), 0.05)
 	}
-	s.do(Note{ID: ev.Step, What: "advice", Detail: ev.Host})
+	s.emit(Note{ID: ev.Step, What: "advice", Detail: ev.Host})
 }
 
 // asked lists the steps of which a question is under way, in order.
@@ -276,7 +276,7 @@
 			if h, ok := s.hosts[a.host]; ok {
 				h.failed(s.now)
 			}
-			s.do(Note{ID: st.Tasks[0].Name.StepName(), What: "advice took too long", Detail: a.host})
+			s.emit(Note{ID: st.Tasks[0].Name.StepName(), What: "advice took too long", Detail: a.host})
 		}
 	}
 }
--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -119,7 +119,7 @@
 // is stopped.
 func (s *Sched) doneCopy(t *flow.Task) {
 	if w, ok := s.workers[t.Worker]; ok && t.Out() && t.State != flow.Assigned {
-		s.do(Stop{To: w.Address, Term: s.term, Task: t.Name, Run: t.Run})
+		s.emit(Stop{To: w.Address, Term: s.term, Task: t.Name, Run: t.Run})
 		w.loosen(runKey{t.Name, t.Run}, t.Spec().Room(), s.lateStart())
 	}
 	s.done(t)
--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -55,18 +55,18 @@
 	}
 	s.suspects[t] = true
 	s.touch(j)
-	s.do(Note{ID: t.Name.String(), What: "worker crashed under it", Worker: w.Incarnation, Run: t.Run, Detail: strconv.Itoa(len(t.Crashed))})
+	s.emit(Note{ID: t.Name.String(), What: "worker crashed under it", Worker: w.Incarnation, Run: t.Run, Detail: strconv.Itoa(len(t.Crashed))})
 	if len(t.Crashed) < mostCrashes {
 		return
 	}
-	s.do(Note{ID: j.Spec.ID, What: "given up", Detail: t.Name.String() + " crashed " + strings.Join(t.Crashed, ", ")})
+	s.emit(Note{ID: j.Spec.ID, What: "given up", Detail: t.Name.String() + " crashed " + strings.Join(t.Crashed, ", ")})
 	s.end(j, flow.Failed)
 }
 
 // acquit takes back that a task may have ended a worker's life.
 func (s *Sched) acquit(t *flow.Task, w *worker) {
 	if t.Acquit(w.Incarnation) {
-		s.do(Note{ID: t.Name.String(), What: "crash ruled out", Worker: w.Incarnation, Run: t.Run})
+		s.emit(Note{ID: t.Name.String(), What: "crash ruled out", Worker: w.Incarnation, Run: t.Run})
 		s.touch(t.Job)
 	}
 }
--- a/internal/sched/ends.go
+++ b/internal/sched/ends.go
@@ -40,8 +40,8 @@
 	} else {
 		w.loosenWhole(k, until)
 	}
-	s.do(Note{ID: l.Task.String(), What: "stray run", Worker: w.Incarnation, Run: l.Run})
-	s.do(Stop{To: w.Address, Term: s.term, Task: l.Task, Run: l.Run})
+	s.emit(Note{ID: l.Task.String(), What: "stray run", Worker: w.Incarnation, Run: l.Run})
+	s.emit(Stop{To: w.Address, Term: s.term, Task: l.Task, Run: l.Run})
 }
 
 // absent judges a task that the worker does not list. Only a list that was
--- a/internal/sched/health.go
+++ b/internal/sched/health.go
@@ -55,6 +55,6 @@
 // blame counts a run that failed or stood still against its worker.
 func (s *Sched) blame(w *worker, t *flow.Task) {
 	if w.health.bad(t.Job.Spec.ID, s.now) {
-		s.do(Note{ID: w.Incarnation, What: "worker is set aside", Worker: w.Incarnation, Detail: w.health.rest.String()})
+		s.emit(Note{ID: w.Incarnation, What: "worker is set aside", Worker: w.Incarnation, Detail: w.health.rest.String()})
 	}
 }
--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -26,7 +26,7 @@
 		w.promise(h.Deadline)
 		h.Wait = s.holdWait(w)
 	}
-	s.do(h)
+	s.emit(h)
 }
 
 // idle tells whether there is nothing to hold, to read or to forget on a worker.
@@ -59,7 +59,7 @@
 		return
 	}
 	w.looking = true
-	s.do(Hold{To: w.Address, Term: s.term, AckedEnd: w.noted, Probe: true})
+	s.emit(Hold{To: w.Address, Term: s.term, AckedEnd: w.noted, Probe: true})
 }
 
 func (s *Sched) held(ev HoldReply) {
@@ -83,7 +83,7 @@
 		s.died(w.Incarnation)
 		return
 	case Fenced:
-		s.do(StepDown{Worker: w.Incarnation})
+		s.emit(StepDown{Worker: w.Incarnation})
 		return
 	default:
 		if w.doubt.IsZero() {
@@ -91,7 +91,7 @@
 			// ends at the worker are not known before.
 			w.doubt = s.now
 			s.fell(w)
-			s.do(Note{ID: w.Incarnation, What: "worker does not answer", Worker: w.Incarnation, Detail: ev.Outcome.String()})
+			s.emit(Note{ID: w.Incarnation, What: "worker does not answer", Worker: w.Incarnation, Detail: ev.Outcome.String()})
 			break
 		}
 		w.again = s.now.Add(retryAfter)
@@ -108,7 +108,7 @@
 	if !w.doubt.IsZero() {
 		w.back = s.now
 		s.rose(w)
-		s.do(Note{ID: w.Incarnation, What: "worker answers again", Worker: w.Incarnation})
+		s.emit(Note{ID: w.Incarnation, What: "worker answers again", Worker: w.Incarnation})
 	}
 	w.doubt = time.Time{}
 	if ev.Received.After(w.read) {
--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -11,7 +11,7 @@
 	s.jobs[spec.ID], s.openJobs[spec.ID] = j, j
 	j.Begin(s.now)
 	s.touch(j)
-	s.do(Note{ID: spec.ID, What: "queued", Detail: spec.Queue.Name})
+	s.emit(Note{ID: spec.ID, What: "queued", Detail: spec.Queue.Name})
 	if _, ok := s.earlyCancels[spec.ID]; ok {
 		delete(s.earlyCancels, spec.ID)
 		s.cancel(spec.ID)
@@ -26,12 +26,12 @@
 	switch {
 	case !ok:
 		s.earlyCancels[id] = s.now
-		s.do(Note{ID: id, What: "cancelled before it is known"})
+		s.emit(Note{ID: id, What: "cancelled before it is known"})
 		return
 	case j.State.Final():
 		return
 	}
-	s.do(Note{ID: id, What: "cancelled by its caller"})
+	s.emit(Note{ID: id, What: "cancelled by its caller"})
 	s.end(j, flow.Cancelled)
 }
 
@@ -144,6 +144,6 @@
 	if j.State.Final() || t.Spec().Lasts || t.Fails < s.queue(j).Attempts {
 		return
 	}
-	s.do(Note{ID: j.Spec.ID, What: "failed for good", Detail: t.Name.String()})
+	s.emit(Note{ID: j.Spec.ID, What: "failed for good", Detail: t.Name.String()})
 	s.end(j, flow.Failed)
 }
--- a/internal/sched/list.go
+++ b/internal/sched/list.go
@@ -21,7 +21,7 @@
 			w.came = s.now
 			s.workers[l.Incarnation] = w
 			s.forgetOrder()
-			s.do(Note{ID: l.Incarnation, What: "worker listed", Worker: l.Incarnation, Detail: l.Domain})
+			s.emit(Note{ID: l.Incarnation, What: "worker listed", Worker: l.Incarnation, Detail: l.Domain})
 		}
 		s.relist(w, l)
 		w.listed, w.unlisted = true, time.Time{}
@@ -34,7 +34,7 @@
 		life := w.Incarnation
 		if !listed[life] && w.listed {
 			w.listed, w.unlisted = false, s.now
-			s.do(Note{ID: life, What: "worker not listed", Worker: life})
+			s.emit(Note{ID: life, What: "worker not listed", Worker: life})
 			s.look(w)
 		}
 	}
@@ -61,7 +61,7 @@
 		return
 	}
 	a, b := w.Size, l.Size
-	s.do(Note{ID: w.Incarnation, What: "worker resized", Worker: w.Incarnation, Detail: fmt.Sprintf(
+	s.emit(Note{ID: w.Incarnation, What: "worker resized", Worker: w.Incarnation, Detail: fmt.Sprintf(
 		"cpu %d to %d, mem %d to %d, accel %d to %d, entry %d; before: entry %d, %s",
 		a.CPU, b.CPU, a.Mem, b.Mem, a.Accel, b.Accel, l.Version, w.Version, s.now.Sub(since),
 	)})
@@ -91,5 +91,5 @@
 func (s *Sched) drain(w *worker, left time.Duration) {
 	w.draining = true
 	w.leaves = s.now.Add(left)
-	s.do(Note{ID: w.Incarnation, What: "worker leaves", Worker: w.Incarnation, Detail: left.String()})
+	s.emit(Note{ID: w.Incarnation, What: "worker leaves", Worker: w.Incarnation, Detail: left.String()})
 }
--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -64,7 +64,7 @@
 	for _, t := range w.inOrder() {
 		if t.Spec().Fills && t.State == flow.Running && (t.Pace != level || worst >= stopAt) {
 			t.Pace = level
-			s.do(Pace{To: w.Address, Term: s.term, Task: t.Name, Run: t.Run, Percent: level})
+			s.emit(Pace{To: w.Address, Term: s.term, Task: t.Name, Run: t.Run, Percent: level})
 		}
 	}
 }
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -183,10 +183,10 @@
 	}
 }
 
-func (s *Sched) do(a Action) { s.actions = append(s.actions, a) }
+func (s *Sched) emit(a Action) { s.actions = append(s.actions, a) }
 
 func (s *Sched) note(t *flow.Task, what, detail string) {
-	s.do(Note{ID: t.Name.String(), What: what, Worker: t.Worker, Run: t.Run, Detail: detail})
+	s.emit(Note{ID: t.Name.String(), What: what, Worker: t.Worker, Run: t.Run, Detail: detail})
 }
 
 func (s *Sched) setQueues(ev Queues) {
@@ -269,7 +269,7 @@
 		s.appended(b.number)
 		return
 	}
-	s.do(Append{Number: b.number, Changes: changes})
+	s.emit(Append{Number: b.number, Changes: changes})
 }
 
 const (
@@ -371,7 +371,7 @@
 	}
 	j.Shown, j.Recorded = b.states[j], b.number
 	if j.Shown.Final() {
-		s.do(JobEnded{ID: j.Spec.ID, State: j.Shown})
+		s.emit(JobEnded{ID: j.Spec.ID, State: j.Shown})
 	}
 }
 
@@ -395,7 +395,7 @@
 		if j.State.Final() && j.Shown.Final() && s.now.Sub(j.Ended) > s.limits.Retention {
 			delete(s.jobs, id)
 			delete(s.openJobs, id)
-			s.do(Forget{ID: id})
+			s.emit(Forget{ID: id})
 		}
 	}
 }
--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -49,7 +49,7 @@
 	t.Move(flow.Send, s.now)
 	deadline := w.clockAt(s.now).Add(startLease)
 	w.promise(deadline)
-	s.do(Start{
+	s.emit(Start{
 		To: w.Address, Term: s.term, Task: t.Name, Run: t.Run, Text: t.Job.Spec.Text, Saved: t.Saved, Ticket: ticket, Deadline: deadline,
 	})
 	s.keepHolding(w)
@@ -93,7 +93,7 @@
 		s.keepHolding(w)
 		return
 	case Fenced:
-		s.do(StepDown{Worker: ev.Worker})
+		s.emit(StepDown{Worker: ev.Worker})
 		return
 	case Unanswered:
 		// It may begin now or seconds later. Only a stop makes sure that it
--- a/internal/sched/stop.go
+++ b/internal/sched/stop.go
@@ -38,7 +38,7 @@
 		return
 	}
 	st.flying = true
-	s.do(Stop{To: w.Address, Term: s.term, Task: k.task, Run: k.run})
+	s.emit(Stop{To: w.Address, Term: s.term, Task: k.task, Run: k.run})
 }
 
 func (s *Sched) retryStops() {
@@ -66,7 +66,7 @@
 	case OtherIncarnation:
 		s.died(ev.Worker)
 	case Fenced:
-		s.do(StepDown{Worker: ev.Worker})
+		s.emit(StepDown{Worker: ev.Worker})
 	default:
 		st.again = s.now.Add(retryAfter)
 	}
--- a/internal/sched/waits.go
+++ b/internal/sched/waits.go
@@ -77,12 +77,12 @@
 		w.at, w.why = s.now, s.waitsFor(r)
 		if !slices.ContainsFunc(r.stage.Tasks, func(t *flow.Task) bool { return t.State == flow.Waiting }) {
 			delete(s.waits, r.stage)
-			s.do(StepWaited{Rank: r.queue.Rank, Times: w.by})
+			s.emit(StepWaited{Rank: r.queue.Rank, Times: w.by})
 			continue
 		}
 		if total := w.by.Total(); total >= w.long {
 			w.long = 2 * total
-			s.do(Note{ID: r.stage.Tasks[0].Name.StepName(), What: "step waits", Detail: w.by.String()})
+			s.emit(Note{ID: r.stage.Tasks[0].Name.StepName(), What: "step waits", Detail: w.by.String()})
 		}
 	}
 }
@@ -108,5 +108,5 @@
 
 // begun tells how long a job waited from its acceptance to its first start.
 func (s *Sched) begun(j *flow.Job) {
-	s.do(JobStarted{Rank: s.queue(j).Rank, After: s.now.Sub(j.Began)})
+	s.emit(JobStarted{Rank: s.queue(j).Rank, After: s.now.Sub(j.Began)})
 }
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -171,7 +171,7 @@
 	}
 	w.dead, w.judged = true, s.now.Add(rackWait)
 	s.fell(w)
-	s.do(Note{ID: life, What: "worker has begun another life", Worker: life, Detail: w.runs()})
+	s.emit(Note{ID: life, What: "worker has begun another life", Worker: life, Detail: w.runs()})
 	for _, t := range w.inOrder() {
 		// The answer to a start that is under way tells whether the life ended before it.
 		if t.State != flow.Starting {
@@ -200,7 +200,7 @@
 			s.copySilent(w)
 		}
 		if !w.dead && s.vacant(w) {
-			s.do(Note{ID: life, What: "leases have lapsed", Worker: life})
+			s.emit(Note{ID: life, What: "leases have lapsed", Worker: life})
 			s.abandon(w)
 		}
 		if w.dead && !s.now.Before(w.judged) {
@@ -212,7 +212,7 @@
 		}
 		switch {
 		case s.retirable(w):
-			s.do(Note{ID: life, What: "worker forgotten", Worker: life, Detail: w.fate()})
+			s.emit(Note{ID: life, What: "worker forgotten", Worker: life, Detail: w.fate()})
 			s.retire(w)
 			delete(s.workers, life)
 			s.forgetOrder()
