--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -96,7 +96,7 @@
 	if t.State == flow.Waiting || !t.Out() {
 		return
 	}
-	s.note(t, "gone", why)
+	s.noteTask(t, "gone", why)
 	s.leave(t)
 	s.touch(t.Job)
 	if t.Job.State.Final() {
@@ -112,7 +112,7 @@
 
 // done takes a task's end as done.
 func (s *Sched) done(t *flow.Task) {
-	s.note(t, "done", "")
+	s.noteTask(t, "done", "")
 	s.leave(t)
 	if !t.Move(flow.Finish, s.now) {
 		return
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -185,7 +185,7 @@
 
 func (s *Sched) emit(a Action) { s.actions = append(s.actions, a) }
 
-func (s *Sched) note(t *flow.Task, what, detail string) {
+func (s *Sched) noteTask(t *flow.Task, what, detail string) {
 	s.emit(Note{ID: t.Name.String(), What: what, Worker: t.Worker, Run: t.Run, Detail: detail})
 }
 
--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -77,7 +77,7 @@
 	if t == nil || w == nil || t.Worker != ev.Worker {
 		return
 	}
-	s.note(t, "start "+ev.Outcome.String(), "")
+	s.noteTask(t, "start "+ev.Outcome.String(), "")
 	if w.dead && ev.Outcome != Fenced {
 		s.startedAtDead(t, w, ev.Outcome)
 		return
--- a/internal/sched/stop.go
+++ b/internal/sched/stop.go
@@ -24,7 +24,7 @@
 	if !t.Move(flow.Stop, s.now) {
 		return
 	}
-	s.note(t, "stop", why)
+	s.noteTask(t, "stop", why)
 	k := runKey{t.Name, t.Run}
 	st := &stop{task: t, worker: t.Worker}
 	s.stops[k] = st
