--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -218,7 +218,7 @@
 	s.lastSweep = s.now
 	// Time alone may have made a place: a rest is over, a ticket has run out.
 	s.changed = len(s.openJobs) > 0
-	s.begin()
+	s.beginRounds()
 	s.watchWorkers()
 	s.watchSuspects()
 	s.watchFalls()
@@ -227,8 +227,8 @@
 	s.forget()
 }
 
-// begin opens the rounds that are due.
-func (s *Sched) begin() {
+// beginRounds opens the rounds that are due.
+func (s *Sched) beginRounds() {
 	for _, j := range s.opened() {
 		if len(j.Begin(s.now)) > 0 {
 			s.touch(j)
