--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -79,7 +79,7 @@
 	t.Move(flow.Send, s.now)
 	w.put(t)
 	s.confirm(t)
-	s.touch(j)
+	s.markDirty(j)
 	return true
 }
 
--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -37,7 +37,7 @@
 	}
 	w.lost[t.Name] = lostRun{t, t.Run, s.now}
 	s.suspects[t] = true
-	s.touch(t.Job)
+	s.markDirty(t.Job)
 }
 
 // crashed counts a life that ended while a run of the task was, or may have been, at it,
@@ -54,7 +54,7 @@
 		return
 	}
 	s.suspects[t] = true
-	s.touch(j)
+	s.markDirty(j)
 	s.emit(Note{ID: t.Name.String(), What: "worker crashed under it", Worker: w.Incarnation, Run: t.Run, Detail: strconv.Itoa(len(t.Crashed))})
 	if len(t.Crashed) < mostCrashes {
 		return
@@ -67,7 +67,7 @@
 func (s *Sched) acquit(t *flow.Task, w *worker) {
 	if t.Acquit(w.Incarnation) {
 		s.emit(Note{ID: t.Name.String(), What: "crash ruled out", Worker: w.Incarnation, Run: t.Run})
-		s.touch(t.Job)
+		s.markDirty(t.Job)
 	}
 }
 
@@ -143,7 +143,7 @@
 	if t.Spec().Lasts && t.State == flow.Running && s.suspects[t] && s.now.Sub(t.Since) >= provenAfter {
 		t.Clear()
 		delete(s.suspects, t)
-		s.touch(t.Job)
+		s.markDirty(t.Job)
 	}
 }
 
--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -10,7 +10,7 @@
 	j := flow.New(spec, s.lastNumber, s.now)
 	s.jobs[spec.ID], s.openJobs[spec.ID] = j, j
 	j.Begin(s.now)
-	s.touch(j)
+	s.markDirty(j)
 	s.emit(Note{ID: spec.ID, What: "queued", Detail: spec.Queue.Name})
 	if _, ok := s.earlyCancels[spec.ID]; ok {
 		delete(s.earlyCancels, spec.ID)
@@ -38,7 +38,7 @@
 // end brings a job to a final state and stops what is left of it.
 func (s *Sched) end(j *flow.Job, state flow.State) {
 	j.End(state, s.now)
-	s.touch(j)
+	s.markDirty(j)
 	j.Tasks(func(t *flow.Task) {
 		switch t.State {
 		case flow.Waiting, flow.Assigned:
@@ -78,7 +78,7 @@
 	}
 	clear(j.Rounds)
 	delete(s.openJobs, j.Spec.ID)
-	s.touch(j)
+	s.markDirty(j)
 }
 
 // leave takes a task off its worker.
@@ -98,7 +98,7 @@
 	}
 	s.noteTask(t, "gone", why)
 	s.leave(t)
-	s.touch(t.Job)
+	s.markDirty(t.Job)
 	if t.Job.State.Final() {
 		t.Move(flow.Drop, s.now)
 		s.settle(t.Job)
@@ -118,7 +118,7 @@
 		return
 	}
 	t.Step.Done++
-	s.touch(t.Job)
+	s.markDirty(t.Job)
 	if t.Job.State.Final() {
 		s.settle(t.Job)
 		return
@@ -140,7 +140,7 @@
 func (s *Sched) tried(t *flow.Task) {
 	t.Fails++
 	j := t.Job
-	s.touch(j)
+	s.markDirty(j)
 	if j.State.Final() || t.Spec().Lasts || t.Fails < s.queue(j).Attempts {
 		return
 	}
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -231,12 +231,12 @@
 func (s *Sched) beginRounds() {
 	for _, j := range s.opened() {
 		if len(j.Begin(s.now)) > 0 {
-			s.touch(j)
+			s.markDirty(j)
 		}
 	}
 }
 
-func (s *Sched) touch(j *flow.Job) { s.dirty[j.Spec.ID] = j }
+func (s *Sched) markDirty(j *flow.Job) { s.dirty[j.Spec.ID] = j }
 
 // flush places what waits and stores what changed, one append at a time.
 func (s *Sched) flush() {
--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -19,7 +19,7 @@
 		t.Job.Domain = w.Domain
 	}
 	w.put(t)
-	s.touch(t.Job)
+	s.markDirty(t.Job)
 	if t.Doubt() > 0 {
 		s.markSuspect(t)
 	}
@@ -121,6 +121,6 @@
 	if t.Job.State == flow.Queued {
 		t.Job.State = flow.Active
 		s.begun(t.Job)
-		s.touch(t.Job)
+		s.markDirty(t.Job)
 	}
 }
