--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -243,7 +243,7 @@
 	if s.now.Sub(s.lastPass) < s.limits.BatchInterval {
 		return
 	}
-	if s.changed && !s.now.Before(s.placeable()) {
+	if s.changed && !s.now.Before(s.nextPassAt()) {
 		s.changed, s.lastPass = false, s.now
 		s.place()
 		s.sendEarly()
@@ -281,8 +281,8 @@
 	mostPause = 250 * time.Millisecond
 )
 
-// placeable is when the next pass may be made.
-func (s *Sched) placeable() time.Time {
+// nextPassAt is when the next pass may be made.
+func (s *Sched) nextPassAt() time.Time {
 	if !s.enabled(LimitPassTime) {
 		return s.lastPass.Add(s.limits.BatchInterval)
 	}
@@ -404,9 +404,9 @@
 func (s *Sched) Due() time.Time {
 	switch {
 	case s.changed && s.storable():
-		return earlier(s.placeable(), s.flushable())
+		return earlier(s.nextPassAt(), s.flushable())
 	case s.changed:
-		return s.placeable()
+		return s.nextPassAt()
 	case s.storable():
 		return s.flushable()
 	case len(s.openJobs) > 0:
