--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -248,7 +248,7 @@
 		s.place()
 		s.sendEarly()
 	}
-	if !s.storable() || s.now.Before(s.appendable()) {
+	if !s.canAppend() || s.now.Before(s.appendable()) {
 		return
 	}
 	s.appendCount++
@@ -299,8 +299,8 @@
 	s.passDuration = min(d, time.Duration(passShare*float64(mostPause)))
 }
 
-// storable tells whether there is anything to store and a partition to store it in.
-func (s *Sched) storable() bool {
+// canAppend tells whether there is anything to store and a partition to store it in.
+func (s *Sched) canAppend() bool {
 	return len(s.inFlight) < mostFlights && (len(s.dirty) > 0 || len(s.nextBatch.ackedEnds) > 0)
 }
 
@@ -403,11 +403,11 @@
 // Due is when the core wants to be stepped again at the latest.
 func (s *Sched) Due() time.Time {
 	switch {
-	case s.changed && s.storable():
+	case s.changed && s.canAppend():
 		return earlier(s.nextPassAt(), s.flushable())
 	case s.changed:
 		return s.nextPassAt()
-	case s.storable():
+	case s.canAppend():
 		return s.flushable()
 	case len(s.openJobs) > 0:
 		return s.lastSweep.Add(tickEvery)
