--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -248,7 +248,7 @@
 		s.place()
 		s.sendEarly()
 	}
-	if !s.canAppend() || s.now.Before(s.appendable()) {
+	if !s.canAppend() || s.now.Before(s.nextAppendAt()) {
 		return
 	}
 	s.appendCount++
@@ -304,10 +304,10 @@
 	return len(s.inFlight) < mostFlights && (len(s.dirty) > 0 || len(s.nextBatch.ackedEnds) > 0)
 }
 
-// appendable is when the next append may be made. While one has no answer for long,
+// nextAppendAt is when the next append may be made. While one has no answer for long,
 // the store is slow: what comes up meanwhile is stored beside it, and does not wait
 // for the rest of its time as well. There are only so many partitions to store in.
-func (s *Sched) appendable() time.Time {
+func (s *Sched) nextAppendAt() time.Time {
 	switch n := len(s.inFlight); {
 	case n == 0:
 		return s.lastAppend.Add(s.limits.BatchInterval)
@@ -321,7 +321,7 @@
 // flushable is when what changed is stored: with a pass, or between two that are far apart.
 func (s *Sched) flushable() time.Time {
 	at := s.lastPass.Add(s.limits.BatchInterval)
-	if next := s.appendable(); next.After(at) {
+	if next := s.nextAppendAt(); next.After(at) {
 		return next
 	}
 	return at
