--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -318,8 +318,8 @@
 	}
 }
 
-// flushable is when what changed is stored: with a pass, or between two that are far apart.
-func (s *Sched) flushable() time.Time {
+// nextFlushAt is when what changed is stored: with a pass, or between two that are far apart.
+func (s *Sched) nextFlushAt() time.Time {
 	at := s.lastPass.Add(s.limits.BatchInterval)
 	if next := s.nextAppendAt(); next.After(at) {
 		return next
@@ -404,11 +404,11 @@
 func (s *Sched) Due() time.Time {
 	switch {
 	case s.changed && s.canAppend():
-		return earlier(s.nextPassAt(), s.flushable())
+		return earlier(s.nextPassAt(), s.nextFlushAt())
 	case s.changed:
 		return s.nextPassAt()
 	case s.canAppend():
-		return s.flushable()
+		return s.nextFlushAt()
 	case len(s.openJobs) > 0:
 		return s.lastSweep.Add(tickEvery)
 	default:
