--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -246,7 +246,7 @@
 	if s.changed && !s.now.Before(s.nextPassAt()) {
 		s.changed, s.lastPass = false, s.now
 		s.place()
-		s.sendEarly()
+		s.sendUnstored()
 	}
 	if !s.canAppend() || s.now.Before(s.nextAppendAt()) {
 		return
@@ -334,8 +334,8 @@
 	return a
 }
 
-// sendEarly starts what need not wait for the store.
-func (s *Sched) sendEarly() {
+// sendUnstored starts what need not wait for the store.
+func (s *Sched) sendUnstored() {
 	keys := s.unstoredStarts
 	s.unstoredStarts = nil
 	for _, k := range keys {
