--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -352,7 +352,7 @@
 	b := s.inFlight[i]
 	b.stored = true
 	for _, j := range slices.SortedFunc(maps.Keys(b.states), func(x, y *flow.Job) int { return cmp.Compare(x.Spec.ID, y.Spec.ID) }) {
-		s.show(j, b)
+		s.publishState(j, b)
 	}
 	for _, k := range b.starts {
 		s.send(k)
@@ -364,8 +364,8 @@
 	}
 }
 
-// show tells a job's state from a record, unless a later record told it.
-func (s *Sched) show(j *flow.Job, b *batch) {
+// publishState tells a job's state from a record, unless a later record told it.
+func (s *Sched) publishState(j *flow.Job, b *batch) {
 	if b.number < j.Recorded {
 		return
 	}
