--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -360,7 +360,7 @@
 	for len(s.inFlight) > 0 && s.inFlight[0].stored {
 		b := s.inFlight[0]
 		s.inFlight = s.inFlight[1:]
-		s.notedBy(b)
+		s.ackEnds(b)
 	}
 }
 
@@ -375,8 +375,8 @@
 	}
 }
 
-// notedBy lets workers forget the ends whose jobs are stored.
-func (s *Sched) notedBy(b *batch) {
+// ackEnds lets workers forget the ends whose jobs are stored.
+func (s *Sched) ackEnds(b *batch) {
 	for _, w := range s.lives() {
 		if n, ok := b.ackedEnds[w]; ok {
 			w.noted = max(w.noted, n)
