--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -224,7 +224,7 @@
 	s.watchFalls()
 	s.retryStops()
 	s.watchAdvice()
-	s.forget()
+	s.forgetEndedJobs()
 }
 
 // beginRounds opens the rounds that are due.
@@ -385,10 +385,10 @@
 	}
 }
 
-// forget drops jobs whose end was told for long enough, first where they were
+// forgetEndedJobs drops jobs whose end was told for long enough, first where they were
 // accepted and only then their progress: a spec without progress is a new job to
 // the next lead, which would run it again.
-func (s *Sched) forget() {
+func (s *Sched) forgetEndedJobs() {
 	maps.DeleteFunc(s.earlyCancels, func(_ string, at time.Time) bool { return s.now.Sub(at) > s.limits.Retention })
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		j := s.jobs[id]
