--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -273,10 +273,10 @@
 }
 
 const (
-	// passShare is how much of the lead's time passes over what waits may take. Without a bound
+	// maxPassShare is how much of the lead's time passes over what waits may take. Without a bound
 	// a backlog holds itself up: passes take longer the more waits, and the processor that
 	// they take is missing for starts and answers, so that still more waits.
-	passShare = 0.25
+	maxPassShare = 0.25
 	// mostPause is the most that a pass is put off for that.
 	mostPause = 250 * time.Millisecond
 )
@@ -286,7 +286,7 @@
 	if !s.enabled(LimitPassTime) {
 		return s.lastPass.Add(s.limits.BatchInterval)
 	}
-	return s.lastPass.Add(max(s.limits.BatchInterval, time.Duration(float64(s.passDuration)/passShare)))
+	return s.lastPass.Add(max(s.limits.BatchInterval, time.Duration(float64(s.passDuration)/maxPassShare)))
 }
 
 // LastPass is when the last pass was made.
@@ -296,7 +296,7 @@
 // same work takes a host that is short of processor several times as long. One that was
 // suspended in a pass for seconds says nothing of the next ones.
 func (s *Sched) RecordPassDuration(d time.Duration) {
-	s.passDuration = min(d, time.Duration(passShare*float64(mostPause)))
+	s.passDuration = min(d, time.Duration(maxPassShare*float64(mostPause)))
 }
 
 // canAppend tells whether there is anything to store and a partition to store it in.
