--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -277,8 +277,8 @@
 	// a backlog holds itself up: passes take longer the more waits, and the processor that
 	// they take is missing for starts and answers, so that still more waits.
 	maxPassShare = 0.25
-	// mostPause is the most that a pass is put off for that.
-	mostPause = 250 * time.Millisecond
+	// maxPassDelay is the most that a pass is put off for that.
+	maxPassDelay = 250 * time.Millisecond
 )
 
 // nextPassAt is when the next pass may be made.
@@ -296,7 +296,7 @@
 // same work takes a host that is short of processor several times as long. One that was
 // suspended in a pass for seconds says nothing of the next ones.
 func (s *Sched) RecordPassDuration(d time.Duration) {
-	s.passDuration = min(d, time.Duration(maxPassShare*float64(mostPause)))
+	s.passDuration = min(d, time.Duration(maxPassShare*float64(maxPassDelay)))
 }
 
 // canAppend tells whether there is anything to store and a partition to store it in.
