--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -204,15 +204,15 @@
 	return j.Spec.Queue
 }
 
-// tickEvery is how often slow matters are looked at.
+// sweepInterval is how often slow matters are looked at.
 const (
-	tickEvery = 100 * time.Millisecond
+	sweepInterval = 100 * time.Millisecond
 	// idleEvery is the same while there is no job.
 	idleEvery = 500 * time.Millisecond
 )
 
 func (s *Sched) tick() {
-	if s.now.Sub(s.lastSweep) < tickEvery {
+	if s.now.Sub(s.lastSweep) < sweepInterval {
 		return
 	}
 	s.lastSweep = s.now
@@ -410,7 +410,7 @@
 	case s.canAppend():
 		return s.nextFlushAt()
 	case len(s.openJobs) > 0:
-		return s.lastSweep.Add(tickEvery)
+		return s.lastSweep.Add(sweepInterval)
 	default:
 		return s.lastSweep.Add(idleEvery)
 	}
