--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -207,8 +207,8 @@
 // sweepInterval is how often slow matters are looked at.
 const (
 	sweepInterval = 100 * time.Millisecond
-	// idleEvery is the same while there is no job.
-	idleEvery = 500 * time.Millisecond
+	// idleSweepInterval is the same while there is no job.
+	idleSweepInterval = 500 * time.Millisecond
 )
 
 func (s *Sched) tick() {
@@ -412,7 +412,7 @@
 	case len(s.openJobs) > 0:
 		return s.lastSweep.Add(sweepInterval)
 	default:
-		return s.lastSweep.Add(idleEvery)
+		return s.lastSweep.Add(idleSweepInterval)
 	}
 }
 
