--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -77,7 +77,7 @@
 	t.Worker, t.Run = w.Incarnation, l.Run
 	t.Move(flow.Assign, s.now)
 	t.Move(flow.Send, s.now)
-	w.put(t)
+	w.add(t)
 	s.confirm(t)
 	s.markDirty(j)
 	return true
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -114,7 +114,7 @@
 	j.Tasks(func(t *flow.Task) {
 		s.adoptLost(t)
 		if t.State == flow.Inherited {
-			s.incarnation(t.Worker).put(t)
+			s.incarnation(t.Worker).add(t)
 		}
 	})
 }
--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -18,7 +18,7 @@
 	if t.Job.Domain == "" {
 		t.Job.Domain = w.Domain
 	}
-	w.put(t)
+	w.add(t)
 	s.markDirty(t.Job)
 	if t.Doubt() > 0 {
 		s.markSuspect(t)
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -73,7 +73,7 @@
 	return &worker{Worker: w, tasks: map[flow.Name]*flow.Task{}, pace: newPacing(), speed: 1, loose: map[runKey]looseRun{}, lost: map[flow.Name]lostRun{}}
 }
 
-func (w *worker) put(t *flow.Task) {
+func (w *worker) add(t *flow.Task) {
 	if _, ok := w.tasks[t.Name]; ok {
 		return
 	}
