--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -84,7 +84,7 @@
 // leave takes a task off its worker.
 func (s *Sched) leave(t *flow.Task) {
 	if w, ok := s.workers[t.Worker]; ok {
-		w.drop(t)
+		w.remove(t)
 	}
 	delete(s.stops, runKey{t.Name, t.Run})
 	t.Worker = ""
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -84,7 +84,7 @@
 	}
 }
 
-func (w *worker) drop(t *flow.Task) {
+func (w *worker) remove(t *flow.Task) {
 	if _, ok := w.tasks[t.Name]; !ok {
 		return
 	}
