--- a/internal/sched/gang.go
+++ b/internal/sched/gang.go
@@ -67,7 +67,7 @@
 	for _, w := range workers {
 		if _, ok := s.ticket(r.tasks[0], w); ok && s.fits(r, r.tasks[0], w) {
 			able = append(able, w)
-			room[w] = w.open()
+			room[w] = w.available()
 		}
 	}
 	slices.SortStableFunc(able, func(a, b *worker) int { return int(room[b].CPU - room[a].CPU) })
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -212,7 +212,7 @@
 
 // fits tells whether a worker has room for a task and may run it, tickets aside.
 func (s *Sched) fits(r ready, t *flow.Task, w *worker) bool {
-	return r.stage.Spec.Room().Fits(w.open()) && s.suits(r, t, w)
+	return r.stage.Spec.Room().Fits(w.available()) && s.suits(r, t, w)
 }
 
 // suits tells whether a worker may run a task once it has room, tickets aside.
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -107,8 +107,8 @@
 	return free
 }
 
-// open is what is free and not held for a wide task.
-func (w *worker) open() cell.Size { return w.free().Sub(w.reserved) }
+// available is what is free and not held for a wide task.
+func (w *worker) available() cell.Size { return w.free().Sub(w.reserved) }
 
 // silent tells whether the worker leaves calls without an answer.
 func (w *worker) silent(now time.Time) bool {
--- a/internal/sched/yield.go
+++ b/internal/sched/yield.go
@@ -81,7 +81,7 @@
 // victims are the tasks to stop on a worker, those first that began last and have the
 // least to restore; false if that makes no room.
 func (s *Sched) victims(r ready, w *worker) ([]*flow.Task, bool) {
-	room, open := r.stage.Spec.Room(), w.open()
+	room, open := r.stage.Spec.Room(), w.available()
 	if !room.Fits(w.Size.Sub(w.reserved)) {
 		return nil, false
 	}
