--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -23,7 +23,7 @@
 		// A worker that does not answer is only asked: a hold that is carried out
 		// unanswered would lengthen leases, and a dead worker's never ran out.
 		h.Deadline = w.clockAt(s.now).Add(s.limits.Lease)
-		w.promise(h.Deadline)
+		w.extendDeadline(h.Deadline)
 		h.Wait = s.holdWait(w)
 	}
 	s.emit(h)
@@ -118,7 +118,7 @@
 	first := !w.fenced
 	w.fenced = true
 	if first {
-		w.promise(ev.Clock.Add(s.limits.Lease))
+		w.extendDeadline(ev.Clock.Add(s.limits.Lease))
 	}
 	w.told = max(w.told, ev.AckedEnd)
 	for _, e := range ev.Ended {
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -131,7 +131,7 @@
 // clockAt is the worker's time now, or later than that if its clock is slow.
 func (w *worker) clockAt(now time.Time) time.Time { return w.clock.Add(now.Sub(w.read)) }
 
-func (w *worker) promise(deadline time.Time) {
+func (w *worker) extendDeadline(deadline time.Time) {
 	if deadline.After(w.deadline) {
 		w.deadline = deadline
 	}
