--- a/internal/sched/lapse.go
+++ b/internal/sched/lapse.go
@@ -17,7 +17,7 @@
 // held last cannot last longer than one lease.
 func (s *Sched) bound(w *worker) time.Time {
 	if w.fenced {
-		return w.lapsed()
+		return w.leaseEnd()
 	}
 	at := s.termStart.Add(StoreTimeout + longest(s.limits.Lease))
 	if !s.predecessorGone.IsZero() {
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -137,9 +137,9 @@
 	}
 }
 
-// lapsed is when, by this host's clock, no lease on the worker can last any
+// leaseEnd is when, by this host's clock, no lease on the worker can last any
 // more. Its clock may be slow, so a lease takes longer than it says.
-func (w *worker) lapsed() time.Time {
+func (w *worker) leaseEnd() time.Time {
 	if !w.deadline.After(w.clock) {
 		return w.read
 	}
