--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -80,7 +80,7 @@
 	case Accepted:
 		s.read(w, ev)
 	case OtherIncarnation:
-		s.died(w.Incarnation)
+		s.incarnationEnded(w.Incarnation)
 		return
 	case Fenced:
 		s.emit(StepDown{Worker: w.Incarnation})
--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -86,7 +86,7 @@
 	case OtherIncarnation:
 		// The life had ended before the start came.
 		s.gone(t, "worker died")
-		s.died(ev.Worker)
+		s.incarnationEnded(ev.Worker)
 		return
 	case Accepted:
 		s.confirm(t)
--- a/internal/sched/stop.go
+++ b/internal/sched/stop.go
@@ -64,7 +64,7 @@
 			s.look(w)
 		}
 	case OtherIncarnation:
-		s.died(ev.Worker)
+		s.incarnationEnded(ev.Worker)
 	case Fenced:
 		s.emit(StepDown{Worker: ev.Worker})
 	default:
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -163,8 +163,8 @@
 	}
 }
 
-// died gives up a life that has ended: nothing runs there.
-func (s *Sched) died(life string) {
+// incarnationEnded gives up a life that has ended: nothing runs there.
+func (s *Sched) incarnationEnded(life string) {
 	w, ok := s.workers[life]
 	if !ok || w.dead {
 		return
