--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -181,8 +181,8 @@
 	}
 }
 
-// abandon puts back all tasks of a silent worker on which nothing can run any more.
-func (s *Sched) abandon(w *worker) {
+// loseTasks puts back all tasks of a silent worker on which nothing can run any more.
+func (s *Sched) loseTasks(w *worker) {
 	for _, t := range w.inOrder() {
 		s.lose(t, w)
 		s.gone(t, "lapsed at a silent worker")
@@ -201,7 +201,7 @@
 		}
 		if !w.dead && s.vacant(w) {
 			s.emit(Note{ID: life, What: "leases have lapsed", Worker: life})
-			s.abandon(w)
+			s.loseTasks(w)
 		}
 		if w.dead && !s.now.Before(w.judged) {
 			s.judgeLost(w)
