--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -219,7 +219,7 @@
 	// Time alone may have made a place: a rest is over, a ticket has run out.
 	s.changed = len(s.openJobs) > 0
 	s.beginRounds()
-	s.watchWorkers()
+	s.checkWorkers()
 	s.watchSuspects()
 	s.watchFalls()
 	s.retryStops()
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -189,8 +189,8 @@
 	}
 }
 
-// watchWorkers notices leases that have surely lapsed and goes on asking.
-func (s *Sched) watchWorkers() {
+// checkWorkers notices leases that have surely lapsed and goes on asking.
+func (s *Sched) checkWorkers() {
 	for _, w := range s.lives() {
 		life := w.Incarnation
 		if w.draining && !w.dead {
