--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -211,7 +211,7 @@
 			continue
 		}
 		switch {
-		case s.retirable(w):
+		case s.canForget(w):
 			s.emit(Note{ID: life, What: "worker forgotten", Worker: life, Detail: w.fate()})
 			s.retire(w)
 			delete(s.workers, life)
@@ -222,8 +222,8 @@
 	}
 }
 
-// retirable tells whether a worker that is not listed may be forgotten.
-func (s *Sched) retirable(w *worker) bool {
+// canForget tells whether a worker that is not listed may be forgotten.
+func (s *Sched) canForget(w *worker) bool {
 	if w.dead {
 		return len(w.lost) == 0
 	}
