--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -234,8 +234,8 @@
 	return s.now.Sub(since) > retired
 }
 
-// mostTold is how many runs one line names.
-const mostTold = 12
+// maxLoggedRuns is how many runs one line names.
+const maxLoggedRuns = 12
 
 // runs names what may run on the worker, for the log.
 func (w *worker) runs() string {
@@ -248,8 +248,8 @@
 	for _, k := range slices.Compact(keys) {
 		all = append(all, k.task.String()+" run "+strconv.Itoa(k.run))
 	}
-	if more := len(all) - mostTold; more > 0 {
-		all = append(all[:mostTold], strconv.Itoa(more)+" more")
+	if more := len(all) - maxLoggedRuns; more > 0 {
+		all = append(all[:maxLoggedRuns], strconv.Itoa(more)+" more")
 	}
 	return strings.Join(all, ", ")
 }
