--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -171,7 +171,7 @@
 	}
 	w.dead, w.judged = true, s.now.Add(rackWait)
 	s.fell(w)
-	s.emit(Note{ID: life, What: "worker has begun another life", Worker: life, Detail: w.runs()})
+	s.emit(Note{ID: life, What: "worker has begun another life", Worker: life, Detail: w.describeRuns()})
 	for _, t := range w.inOrder() {
 		// The answer to a start that is under way tells whether the life ended before it.
 		if t.State != flow.Starting {
@@ -237,8 +237,8 @@
 // maxLoggedRuns is how many runs one line names.
 const maxLoggedRuns = 12
 
-// runs names what may run on the worker, for the log.
-func (w *worker) runs() string {
+// describeRuns names what may run on the worker, for the log.
+func (w *worker) describeRuns() string {
 	keys := ordered(w.loose)
 	for _, t := range w.inOrder() {
 		keys = append(keys, runKey{t.Name, t.Run})
