--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -212,7 +212,7 @@
 		}
 		switch {
 		case s.canForget(w):
-			s.emit(Note{ID: life, What: "worker forgotten", Worker: life, Detail: w.fate()})
+			s.emit(Note{ID: life, What: "worker forgotten", Worker: life, Detail: w.describeEnd()})
 			s.retire(w)
 			delete(s.workers, life)
 			s.forgetOrder()
@@ -254,8 +254,8 @@
 	return strings.Join(all, ", ")
 }
 
-// fate is what is known of how a life ended, for the log.
-func (w *worker) fate() string {
+// describeEnd is what is known of how a life ended, for the log.
+func (w *worker) describeEnd() string {
 	switch {
 	case w.dead:
 		return "another life began"
