--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// lostRuns takes the runs that were lost on a worker before a time.
-func (w *worker) lostRuns(before time.Time) []*flow.Task {
+// takeLostRuns takes the runs that were lost on a worker before a time.
+func (w *worker) takeLostRuns(before time.Time) []*flow.Task {
 	var all []*flow.Task
 	for _, n := range slices.SortedFunc(maps.Keys(w.lost), compareNames) {
 		if l := w.lost[n]; l.at.Before(before) {
@@ -86,14 +86,14 @@
 // livesOn acquits the runs that were lost on a worker that has answered a question sent
 // later.
 func (s *Sched) livesOn(w *worker, sent time.Time) {
-	for _, t := range w.lostRuns(sent) {
+	for _, t := range w.takeLostRuns(sent) {
 		s.acquit(t, w)
 	}
 }
 
 // judgeLost counts a life that has ended against all runs that were lost at it.
 func (s *Sched) judgeLost(w *worker) {
-	for _, t := range w.lostRuns(s.now.Add(time.Nanosecond)) {
+	for _, t := range w.takeLostRuns(s.now.Add(time.Nanosecond)) {
 		s.crashed(t, w)
 	}
 }
