--- a/internal/sched/list.go
+++ b/internal/sched/list.go
@@ -90,6 +90,6 @@
 // drain notes that a worker leaves: nothing more starts there.
 func (s *Sched) drain(w *worker, left time.Duration) {
 	w.draining = true
-	w.leaves = s.now.Add(left)
+	w.leavesAt = s.now.Add(left)
 	s.emit(Note{ID: w.Incarnation, What: "worker leaves", Worker: w.Incarnation, Detail: left.String()})
 }
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -17,7 +17,7 @@
 	// until when it surely stays.
 	listed   bool
 	draining bool
-	leaves   time.Time
+	leavesAt time.Time
 	// sized is when its size was first listed.
 	sized time.Time
 	tasks map[flow.Name]*flow.Task
@@ -157,7 +157,7 @@
 		switch {
 		case st.Lasts:
 			s.stop(t, "worker leaves")
-		case st.Saves && s.now.Add(s.limits.StopGrace).After(w.leaves):
+		case st.Saves && s.now.Add(s.limits.StopGrace).After(w.leavesAt):
 			s.stop(t, "worker leaves")
 		}
 	}
