--- a/internal/sched/list.go
+++ b/internal/sched/list.go
@@ -44,7 +44,7 @@
 // not sent yet have to suit what it is now.
 func (s *Sched) relist(w *worker, l Worker) {
 	same := w.Size == l.Size && w.Service == l.Service && slices.Equal(w.Labels, l.Labels)
-	if w.sized.IsZero() || w.Size != l.Size {
+	if w.sizedAt.IsZero() || w.Size != l.Size {
 		s.resized(w, l)
 	}
 	w.Worker = l
@@ -55,8 +55,8 @@
 
 // resized tells of another size, and which one was believed before, for how long.
 func (s *Sched) resized(w *worker, l Worker) {
-	since := w.sized
-	w.sized = s.now
+	since := w.sizedAt
+	w.sizedAt = s.now
 	if since.IsZero() {
 		return
 	}
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -18,9 +18,9 @@
 	listed   bool
 	draining bool
 	leavesAt time.Time
-	// sized is when its size was first listed.
-	sized time.Time
-	tasks map[flow.Name]*flow.Task
+	// sizedAt is when its size was first listed.
+	sizedAt time.Time
+	tasks   map[flow.Name]*flow.Task
 	// used is the room that tasks take, filled the processors of filling ones.
 	used   cell.Size
 	filled int64
