--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -42,7 +42,7 @@
 		return 0
 	case len(w.tasks) == 0 && w.firstLoose().After(s.now):
 		return min(s.limits.HoldWait, max(w.firstLoose().Sub(s.now), s.limits.BatchInterval))
-	case w.filled > 0 && w.serves():
+	case w.fillCPU > 0 && w.serves():
 		return stepEvery / 2
 	default:
 		return s.limits.HoldWait
--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -45,7 +45,7 @@
 
 // repace follows the tails that a worker lists.
 func (s *Sched) repace(w *worker, running []RunStatus) {
-	if w.filled == 0 {
+	if w.fillCPU == 0 {
 		return
 	}
 	worst := w.worstTail(running)
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -225,7 +225,7 @@
 		return false
 	case t.Avoid == w.Incarnation && s.now.Sub(t.Since) < avoidFor:
 		return false
-	case st.Fills && w.filled+st.Size.CPU > max(w.free().CPU, 0):
+	case st.Fills && w.fillCPU+st.Size.CPU > max(w.free().CPU, 0):
 		return false
 	case st.Apart > 0 && w.count(r.stage) >= st.Apart, !s.mayMeet(t, w):
 		return false
@@ -272,12 +272,12 @@
 	if st.Near != "" && w.Rack != st.Near {
 		c += farCost
 	}
-	if st.Fills && w.serves() || st.Target > 0 && w.filled > 0 {
+	if st.Fills && w.serves() || st.Target > 0 && w.fillCPU > 0 {
 		c += serveCost
 	}
 	if st.Fills {
 		// Filling tasks go where most is left.
-		c -= 2 * float64(w.free().CPU-w.filled) / float64(w.Size.CPU)
+		c -= 2 * float64(w.free().CPU-w.fillCPU) / float64(w.Size.CPU)
 	}
 	if r.job.Domain != "" && w.Domain != r.job.Domain {
 		c += domainCost
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -22,8 +22,8 @@
 	sizedAt time.Time
 	tasks   map[flow.Name]*flow.Task
 	// used is the room that tasks take, filled the processors of filling ones.
-	used   cell.Size
-	filled int64
+	used    cell.Size
+	fillCPU int64
 	// booked is the room that questions under way of steps before are likely to
 	// take, in this pass.
 	booked cell.Size
@@ -80,7 +80,7 @@
 	w.tasks[t.Name] = t
 	w.used = w.used.Add(t.Spec().Room())
 	if t.Spec().Fills {
-		w.filled += t.Spec().Size.CPU
+		w.fillCPU += t.Spec().Size.CPU
 	}
 }
 
@@ -91,7 +91,7 @@
 	delete(w.tasks, t.Name)
 	w.used = w.used.Sub(t.Spec().Room())
 	if t.Spec().Fills {
-		w.filled -= t.Spec().Size.CPU
+		w.fillCPU -= t.Spec().Size.CPU
 	}
 }
 
