--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -187,7 +187,7 @@
 			part = 1
 		}
 		likely := min(part*float64(r.hold(w)), want)
-		w.booked = w.booked.Add(room.Times(likely))
+		w.earmarked = w.earmarked.Add(room.Times(likely))
 		if want -= likely; want <= 0 {
 			return
 		}
--- a/internal/sched/naming.go
+++ b/internal/sched/naming.go
@@ -69,7 +69,7 @@
 func (s *Sched) nameNow(r ready, a *advice, p *pool) (all []candidate, most int) {
 	room, some := r.stage.Spec.Room(), false
 	for _, w := range p.workers {
-		if !room.Fits(w.available().Sub(w.booked)) {
+		if !room.Fits(w.available().Sub(w.earmarked)) {
 			continue
 		}
 		some = true
@@ -97,7 +97,7 @@
 	room := r.stage.Spec.Room()
 	for _, w := range p.workers {
 		_, known := a.good[w.Incarnation]
-		if known || a.bad[w.Incarnation] || !room.Fits(w.Size) || room.Fits(w.available().Sub(w.booked)) || !s.suits(r, r.tasks[0], w) {
+		if known || a.bad[w.Incarnation] || !room.Fits(w.Size) || room.Fits(w.available().Sub(w.earmarked)) || !s.suits(r, r.tasks[0], w) {
 			continue
 		}
 		all = append(all, candidate{life: w.Incarnation, cost: s.cost(r, w)})
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -110,7 +110,7 @@
 		p.whole += w.Size.CPU
 		p.size, p.used = p.size.Add(w.Size), p.used.Add(w.used)
 		p.left += max(w.free().CPU, 0)
-		w.booked, w.reserved = cell.Size{}, cell.Size{}
+		w.earmarked, w.reserved = cell.Size{}, cell.Size{}
 		w.suspects, w.trial = 0, nil
 	}
 	s.markSuspects()
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -24,9 +24,9 @@
 	// used is the room that tasks take, filled the processors of filling ones.
 	used    cell.Size
 	fillCPU int64
-	// booked is the room that questions under way of steps before are likely to
+	// earmarked is the room that questions under way of steps before are likely to
 	// take, in this pass.
-	booked cell.Size
+	earmarked cell.Size
 	// reserved is the room that is held free for wide tasks of steps before, in this pass.
 	reserved cell.Size
 	// loose are runs that are not followed any more and may still be there; they
