--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -18,7 +18,7 @@
 
 // loosen goes on booking the room of a run that is not followed any more.
 func (w *worker) loosen(k runKey, room cell.Size, until time.Time) {
-	l, ok := w.loose[k]
+	l, ok := w.untracked[k]
 	if !ok {
 		l.room = room
 		w.used = w.used.Add(room)
@@ -26,15 +26,15 @@
 	if until.After(l.until) {
 		l.until = until
 	}
-	w.loose[k] = l
+	w.untracked[k] = l
 }
 
 // loosenWhole is the same for a run whose room is not known.
 func (w *worker) loosenWhole(k runKey, until time.Time) {
 	w.loosen(k, cell.Size{}, until)
-	l := w.loose[k]
+	l := w.untracked[k]
 	l.whole = true
-	w.loose[k] = l
+	w.untracked[k] = l
 }
 
 // lateStart is until when a run whose start was sent may begin.
@@ -43,7 +43,7 @@
 // firstLoose is when the first of the loose runs can begin no more.
 func (w *worker) firstLoose() time.Time {
 	var first time.Time
-	for _, l := range w.loose {
+	for _, l := range w.untracked {
 		if first.IsZero() || l.until.Before(first) {
 			first = l.until
 		}
@@ -54,12 +54,12 @@
 // settleLoose frees the room of loose runs that are listed no longer and can
 // begin no longer.
 func (w *worker) settleLoose(listed map[flow.Name]int, now time.Time) {
-	for k, l := range w.loose {
+	for k, l := range w.untracked {
 		if listed[k.task] == k.run || now.Before(l.until) {
 			continue
 		}
 		w.used = w.used.Sub(l.room)
-		delete(w.loose, k)
+		delete(w.untracked, k)
 	}
 }
 
--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -31,14 +31,14 @@
 
 // idle tells whether there is nothing to hold, to read or to forget on a worker.
 func (w *worker) idle() bool {
-	return w.fenced && len(w.tasks) == 0 && len(w.loose) == 0 && len(w.lost) == 0 && w.told >= w.noted && w.doubt.IsZero()
+	return w.fenced && len(w.tasks) == 0 && len(w.untracked) == 0 && len(w.lost) == 0 && w.told >= w.noted && w.doubt.IsZero()
 }
 
 // holdWait is how long a hold may wait for an end. Of runs that are not followed any more none
 // may be there, and nothing end; the room of the first of them is given back when its time is over.
 func (s *Sched) holdWait(w *worker) time.Duration {
 	switch {
-	case len(w.tasks) == 0 && len(w.loose) == 0:
+	case len(w.tasks) == 0 && len(w.untracked) == 0:
 		return 0
 	case len(w.tasks) == 0 && w.firstLoose().After(s.now):
 		return min(s.limits.HoldWait, max(w.firstLoose().Sub(s.now), s.limits.BatchInterval))
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -29,9 +29,9 @@
 	earmarked cell.Size
 	// reserved is the room that is held free for wide tasks of steps before, in this pass.
 	reserved cell.Size
-	// loose are runs that are not followed any more and may still be there; they
+	// untracked are runs that are not followed any more and may still be there; they
 	// take room until the worker certainly does not have them.
-	loose map[runKey]looseRun
+	untracked map[runKey]looseRun
 	// lost are runs that were lost here in silence.
 	lost map[flow.Name]lostRun
 	// suspects is how many tasks under which lives ended are here, trial the step of one
@@ -70,7 +70,7 @@
 }
 
 func newWorker(w Worker) *worker {
-	return &worker{Worker: w, tasks: map[flow.Name]*flow.Task{}, pace: newPacing(), speed: 1, loose: map[runKey]looseRun{}, lost: map[flow.Name]lostRun{}}
+	return &worker{Worker: w, tasks: map[flow.Name]*flow.Task{}, pace: newPacing(), speed: 1, untracked: map[runKey]looseRun{}, lost: map[flow.Name]lostRun{}}
 }
 
 func (w *worker) add(t *flow.Task) {
@@ -99,7 +99,7 @@
 // than what runs there.
 func (w *worker) free() cell.Size {
 	free := w.Size.Sub(w.used)
-	for _, l := range w.loose {
+	for _, l := range w.untracked {
 		if l.whole {
 			return cell.Size{CPU: min(free.CPU, 0), Mem: min(free.Mem, 0), Accel: min(free.Accel, 0)}
 		}
@@ -239,7 +239,7 @@
 
 // describeRuns names what may run on the worker, for the log.
 func (w *worker) describeRuns() string {
-	keys := ordered(w.loose)
+	keys := ordered(w.untracked)
 	for _, t := range w.inOrder() {
 		keys = append(keys, runKey{t.Name, t.Run})
 	}
