--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -35,7 +35,7 @@
 	if t.State == flow.Assigned || w.draining || t.Job.State.Final() || !t.Lose(w.Incarnation) {
 		return
 	}
-	w.lost[t.Name] = lostRun{t, t.Run, s.now}
+	w.lostRuns[t.Name] = lostRun{t, t.Run, s.now}
 	s.suspects[t] = true
 	s.markDirty(t.Job)
 }
@@ -74,10 +74,10 @@
 // takeLostRuns takes the runs that were lost on a worker before a time.
 func (w *worker) takeLostRuns(before time.Time) []*flow.Task {
 	var all []*flow.Task
-	for _, n := range slices.SortedFunc(maps.Keys(w.lost), compareNames) {
-		if l := w.lost[n]; l.at.Before(before) {
+	for _, n := range slices.SortedFunc(maps.Keys(w.lostRuns), compareNames) {
+		if l := w.lostRuns[n]; l.at.Before(before) {
 			all = append(all, l.task)
-			delete(w.lost, n)
+			delete(w.lostRuns, n)
 		}
 	}
 	return all
@@ -112,8 +112,8 @@
 	if ev.Outcome == Accepted || ev.Outcome == Unanswered {
 		return
 	}
-	if l, ok := w.lost[ev.Task]; ok && l.run == ev.Run {
-		delete(w.lost, ev.Task)
+	if l, ok := w.lostRuns[ev.Task]; ok && l.run == ev.Run {
+		delete(w.lostRuns, ev.Task)
 		s.acquit(l.task, w)
 	}
 }
@@ -124,7 +124,7 @@
 		s.suspects[t] = true
 	}
 	for _, life := range t.Lost {
-		s.incarnation(life).lost[t.Name] = lostRun{task: t, run: t.Run}
+		s.incarnation(life).lostRuns[t.Name] = lostRun{task: t, run: t.Run}
 	}
 }
 
@@ -152,7 +152,7 @@
 	over := func(t *flow.Task) bool { return t.State == flow.Done || t.Job.State.Final() && !t.Out() }
 	maps.DeleteFunc(s.suspects, func(t *flow.Task, _ bool) bool { return over(t) || t.Doubt() == 0 })
 	for _, w := range s.workers {
-		maps.DeleteFunc(w.lost, func(_ flow.Name, l lostRun) bool {
+		maps.DeleteFunc(w.lostRuns, func(_ flow.Name, l lostRun) bool {
 			return over(l.task) || !slices.Contains(l.task.Lost, w.Incarnation)
 		})
 	}
--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -31,7 +31,7 @@
 
 // idle tells whether there is nothing to hold, to read or to forget on a worker.
 func (w *worker) idle() bool {
-	return w.fenced && len(w.tasks) == 0 && len(w.untracked) == 0 && len(w.lost) == 0 && w.told >= w.noted && w.doubt.IsZero()
+	return w.fenced && len(w.tasks) == 0 && len(w.untracked) == 0 && len(w.lostRuns) == 0 && w.told >= w.noted && w.doubt.IsZero()
 }
 
 // holdWait is how long a hold may wait for an end. Of runs that are not followed any more none
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -32,8 +32,8 @@
 	// untracked are runs that are not followed any more and may still be there; they
 	// take room until the worker certainly does not have them.
 	untracked map[runKey]looseRun
-	// lost are runs that were lost here in silence.
-	lost map[flow.Name]lostRun
+	// lostRuns are runs that were lostRuns here in silence.
+	lostRuns map[flow.Name]lostRun
 	// suspects is how many tasks under which lives ended are here, trial the step of one
 	// that is to run alone, in this pass.
 	suspects int
@@ -70,7 +70,7 @@
 }
 
 func newWorker(w Worker) *worker {
-	return &worker{Worker: w, tasks: map[flow.Name]*flow.Task{}, pace: newPacing(), speed: 1, untracked: map[runKey]looseRun{}, lost: map[flow.Name]lostRun{}}
+	return &worker{Worker: w, tasks: map[flow.Name]*flow.Task{}, pace: newPacing(), speed: 1, untracked: map[runKey]looseRun{}, lostRuns: map[flow.Name]lostRun{}}
 }
 
 func (w *worker) add(t *flow.Task) {
@@ -216,7 +216,7 @@
 			s.retire(w)
 			delete(s.workers, life)
 			s.forgetOrder()
-		case len(w.lost) > 0:
+		case len(w.lostRuns) > 0:
 			s.keepHolding(w)
 		}
 	}
@@ -225,10 +225,10 @@
 // canForget tells whether a worker that is not listed may be forgotten.
 func (s *Sched) canForget(w *worker) bool {
 	if w.dead {
-		return len(w.lost) == 0
+		return len(w.lostRuns) == 0
 	}
 	since := w.unlisted
-	if since.IsZero() && len(w.lost) > 0 {
+	if since.IsZero() && len(w.lostRuns) > 0 {
 		since = s.termStart
 	}
 	return s.now.Sub(since) > retired
