--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -111,7 +111,7 @@
 		p.size, p.used = p.size.Add(w.Size), p.used.Add(w.used)
 		p.left += max(w.free().CPU, 0)
 		w.earmarked, w.reserved = cell.Size{}, cell.Size{}
-		w.suspects, w.trial = 0, nil
+		w.crashSuspects, w.trial = 0, nil
 	}
 	s.markSuspects()
 	return all
@@ -200,7 +200,7 @@
 			continue
 		}
 		c := s.cost(r, w)
-		if w.suspects > 0 && t.Doubt() > 0 {
+		if w.crashSuspects > 0 && t.Doubt() > 0 {
 			c += suspectsCost
 		}
 		if best == nil || c < least {
--- a/internal/sched/trial.go
+++ b/internal/sched/trial.go
@@ -41,7 +41,7 @@
 	if !ok || !t.Out() || t.Doubt() == 0 {
 		return
 	}
-	w.suspects++
+	w.crashSuspects++
 	if t.Doubt() >= aloneFrom && w.trial == nil {
 		w.trial = t.Step
 	}
@@ -60,7 +60,7 @@
 	case len(w.untracked) == 0 && len(w.tasks) == w.count(t.Step) && (t.Spec().Gang || len(w.tasks) == 0):
 		return true
 	default:
-		return w.suspects == 0 && s.now.Sub(t.Since) > trialWait
+		return w.crashSuspects == 0 && s.now.Sub(t.Since) > trialWait
 	}
 }
 
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -34,10 +34,10 @@
 	untracked map[runKey]looseRun
 	// lostRuns are runs that were lostRuns here in silence.
 	lostRuns map[flow.Name]lostRun
-	// suspects is how many tasks under which lives ended are here, trial the step of one
+	// crashSuspects is how many tasks under which lives ended are here, trial the step of one
 	// that is to run alone, in this pass.
-	suspects int
-	trial    *flow.Stage
+	crashSuspects int
+	trial         *flow.Stage
 	// seen is the last end that was read, noted the last that is stored, told
 	// the last that the worker knows to be stored.
 	seen, noted, told int64
