--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -111,7 +111,7 @@
 		p.size, p.used = p.size.Add(w.Size), p.used.Add(w.used)
 		p.left += max(w.free().CPU, 0)
 		w.earmarked, w.reserved = cell.Size{}, cell.Size{}
-		w.crashSuspects, w.trial = 0, nil
+		w.crashSuspects, w.trialStep = 0, nil
 	}
 	s.markSuspects()
 	return all
--- a/internal/sched/trial.go
+++ b/internal/sched/trial.go
@@ -42,14 +42,14 @@
 		return
 	}
 	w.crashSuspects++
-	if t.Doubt() >= aloneFrom && w.trial == nil {
-		w.trial = t.Step
+	if t.Doubt() >= aloneFrom && w.trialStep == nil {
+		w.trialStep = t.Step
 	}
 }
 
 // mayMeet tells whether a task may be on a worker beside what is there.
 func (s *Sched) mayMeet(t *flow.Task, w *worker) bool {
-	if w.trial != nil && (!t.Spec().Gang || w.trial != t.Step) {
+	if w.trialStep != nil && (!t.Spec().Gang || w.trialStep != t.Step) {
 		return false
 	}
 	switch {
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -37,7 +37,7 @@
 	// crashSuspects is how many tasks under which lives ended are here, trial the step of one
 	// that is to run alone, in this pass.
 	crashSuspects int
-	trial         *flow.Stage
+	trialStep     *flow.Stage
 	// seen is the last end that was read, noted the last that is stored, told
 	// the last that the worker knows to be stored.
 	seen, noted, told int64
