--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -12,7 +12,7 @@
 	if w.holding || w.dead || !w.Addr.IsValid() || s.now.Before(w.again) || w.idle() {
 		return
 	}
-	if w.fenced && w.seen > w.noted && s.now.Sub(w.asked) < unnotedEvery {
+	if w.fenced && w.lastEndRead > w.noted && s.now.Sub(w.asked) < unnotedEvery {
 		// Ends that are not noted make every hold answer at once. The append that
 		// is under way lets the worker be asked again.
 		return
@@ -122,13 +122,13 @@
 	}
 	w.told = max(w.told, ev.AckedEnd)
 	for _, e := range ev.Ended {
-		if e.Number > w.seen {
-			w.seen = e.Number
+		if e.Number > w.lastEndRead {
+			w.lastEndRead = e.Number
 			s.ended(w, e, ev.Clock)
 		}
 	}
-	if w.seen > w.noted {
-		s.nextBatch.ackedEnds[w] = w.seen
+	if w.lastEndRead > w.noted {
+		s.nextBatch.ackedEnds[w] = w.lastEndRead
 	}
 	listed := make(map[flow.Name]int, len(ev.Running))
 	for _, l := range ev.Running {
