--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -12,13 +12,13 @@
 	if w.holding || w.dead || !w.Addr.IsValid() || s.now.Before(w.again) || w.idle() {
 		return
 	}
-	if w.fenced && w.lastEndRead > w.noted && s.now.Sub(w.asked) < unnotedEvery {
+	if w.fenced && w.lastEndRead > w.lastEndStored && s.now.Sub(w.asked) < unnotedEvery {
 		// Ends that are not noted make every hold answer at once. The append that
 		// is under way lets the worker be asked again.
 		return
 	}
 	w.holding, w.asked = true, s.now
-	h := Hold{To: w.Address, Term: s.term, AckedEnd: w.noted}
+	h := Hold{To: w.Address, Term: s.term, AckedEnd: w.lastEndStored}
 	if w.fenced && w.doubt.IsZero() {
 		// A worker that does not answer is only asked: a hold that is carried out
 		// unanswered would lengthen leases, and a dead worker's never ran out.
@@ -31,7 +31,7 @@
 
 // idle tells whether there is nothing to hold, to read or to forget on a worker.
 func (w *worker) idle() bool {
-	return w.fenced && len(w.tasks) == 0 && len(w.untracked) == 0 && len(w.lostRuns) == 0 && w.told >= w.noted && w.doubt.IsZero()
+	return w.fenced && len(w.tasks) == 0 && len(w.untracked) == 0 && len(w.lostRuns) == 0 && w.told >= w.lastEndStored && w.doubt.IsZero()
 }
 
 // holdWait is how long a hold may wait for an end. Of runs that are not followed any more none
@@ -59,7 +59,7 @@
 		return
 	}
 	w.looking = true
-	s.emit(Hold{To: w.Address, Term: s.term, AckedEnd: w.noted, Probe: true})
+	s.emit(Hold{To: w.Address, Term: s.term, AckedEnd: w.lastEndStored, Probe: true})
 }
 
 func (s *Sched) held(ev HoldReply) {
@@ -127,7 +127,7 @@
 			s.ended(w, e, ev.Clock)
 		}
 	}
-	if w.lastEndRead > w.noted {
+	if w.lastEndRead > w.lastEndStored {
 		s.nextBatch.ackedEnds[w] = w.lastEndRead
 	}
 	listed := make(map[flow.Name]int, len(ev.Running))
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -379,7 +379,7 @@
 func (s *Sched) ackEnds(b *batch) {
 	for _, w := range s.lives() {
 		if n, ok := b.ackedEnds[w]; ok {
-			w.noted = max(w.noted, n)
+			w.lastEndStored = max(w.lastEndStored, n)
 			s.keepHolding(w)
 		}
 	}
