--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -31,7 +31,7 @@
 
 // idle tells whether there is nothing to hold, to read or to forget on a worker.
 func (w *worker) idle() bool {
-	return w.fenced && len(w.tasks) == 0 && len(w.untracked) == 0 && len(w.lostRuns) == 0 && w.told >= w.lastEndStored && w.doubt.IsZero()
+	return w.fenced && len(w.tasks) == 0 && len(w.untracked) == 0 && len(w.lostRuns) == 0 && w.lastEndAcked >= w.lastEndStored && w.doubt.IsZero()
 }
 
 // holdWait is how long a hold may wait for an end. Of runs that are not followed any more none
@@ -120,7 +120,7 @@
 	if first {
 		w.extendDeadline(ev.Clock.Add(s.limits.Lease))
 	}
-	w.told = max(w.told, ev.AckedEnd)
+	w.lastEndAcked = max(w.lastEndAcked, ev.AckedEnd)
 	for _, e := range ev.Ended {
 		if e.Number > w.lastEndRead {
 			w.lastEndRead = e.Number
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -38,9 +38,9 @@
 	// that is to run alone, in this pass.
 	crashSuspects int
 	trialStep     *flow.Stage
-	// lastEndRead is the last end that was read, lastEndStored the last that is stored, told
+	// lastEndRead is the last end that was read, lastEndStored the last that is stored, lastEndAcked
 	// the last that the worker knows to be stored.
-	lastEndRead, lastEndStored, told int64
+	lastEndRead, lastEndStored, lastEndAcked int64
 	// clock is the worker's time as of read; no lease is longer than deadline.
 	clock, read time.Time
 	deadline    time.Time
