--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -111,8 +111,8 @@
 		s.emit(Note{ID: w.Incarnation, What: "worker answers again", Worker: w.Incarnation})
 	}
 	w.doubt = time.Time{}
-	if ev.Received.After(w.read) {
-		w.clock, w.read = ev.Clock, ev.Received
+	if ev.Received.After(w.readAt) {
+		w.clock, w.readAt = ev.Clock, ev.Received
 	}
 	s.livesOn(w, ev.Sent)
 	first := !w.fenced
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -41,9 +41,9 @@
 	// lastEndRead is the last end that was read, lastEndStored the last that is stored, lastEndAcked
 	// the last that the worker knows to be stored.
 	lastEndRead, lastEndStored, lastEndAcked int64
-	// clock is the worker's time as of read; no lease is longer than deadline.
-	clock, read time.Time
-	deadline    time.Time
+	// clock is the worker's time as of readAt; no lease is longer than deadline.
+	clock, readAt time.Time
+	deadline      time.Time
 	// fenced tells that it was read under this term: nothing that a former lead
 	// sent can begin there any more.
 	fenced bool
@@ -124,12 +124,12 @@
 	if w.back.After(since) {
 		since = w.back
 	}
-	listed := w.listed || now.Sub(since) < lapsedFor && w.read.After(w.unlisted)
+	listed := w.listed || now.Sub(since) < lapsedFor && w.readAt.After(w.unlisted)
 	return listed && w.fenced && !w.dead && !w.draining && w.doubt.IsZero() && w.Size != (cell.Size{})
 }
 
 // clockAt is the worker's time now, or later than that if its clock is slow.
-func (w *worker) clockAt(now time.Time) time.Time { return w.clock.Add(now.Sub(w.read)) }
+func (w *worker) clockAt(now time.Time) time.Time { return w.clock.Add(now.Sub(w.readAt)) }
 
 func (w *worker) extendDeadline(deadline time.Time) {
 	if deadline.After(w.deadline) {
@@ -141,9 +141,9 @@
 // more. Its clock may be slow, so a lease takes longer than it says.
 func (w *worker) leaseEnd() time.Time {
 	if !w.deadline.After(w.clock) {
-		return w.read
+		return w.readAt
 	}
-	return w.read.Add(time.Duration(float64(w.deadline.Sub(w.clock)) / (1 - drift)))
+	return w.readAt.Add(time.Duration(float64(w.deadline.Sub(w.clock)) / (1 - drift)))
 }
 
 // evacuate stops tasks on workers that leave: lasting ones at once, others
