--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -43,7 +43,7 @@
 	lastEndRead, lastEndStored, lastEndAcked int64
 	// clock is the worker's time as of readAt; no lease is longer than deadline.
 	clock, readAt time.Time
-	deadline      time.Time
+	leaseDeadline time.Time
 	// fenced tells that it was read under this term: nothing that a former lead
 	// sent can begin there any more.
 	fenced bool
@@ -132,18 +132,18 @@
 func (w *worker) clockAt(now time.Time) time.Time { return w.clock.Add(now.Sub(w.readAt)) }
 
 func (w *worker) extendDeadline(deadline time.Time) {
-	if deadline.After(w.deadline) {
-		w.deadline = deadline
+	if deadline.After(w.leaseDeadline) {
+		w.leaseDeadline = deadline
 	}
 }
 
 // leaseEnd is when, by this host's clock, no lease on the worker can last any
 // more. Its clock may be slow, so a lease takes longer than it says.
 func (w *worker) leaseEnd() time.Time {
-	if !w.deadline.After(w.clock) {
+	if !w.leaseDeadline.After(w.clock) {
 		return w.readAt
 	}
-	return w.readAt.Add(time.Duration(float64(w.deadline.Sub(w.clock)) / (1 - drift)))
+	return w.readAt.Add(time.Duration(float64(w.leaseDeadline.Sub(w.clock)) / (1 - drift)))
 }
 
 // evacuate stops tasks on workers that leave: lasting ones at once, others
