--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -51,14 +51,14 @@
 
 // look reads the worker's list beside the hold that may be waiting there.
 func (s *Sched) look(w *worker) {
-	if w.looking {
+	if w.probing {
 		w.lookAgain = true
 		return
 	}
 	if w.dead || !w.Addr.IsValid() {
 		return
 	}
-	w.looking = true
+	w.probing = true
 	s.emit(Hold{To: w.Address, Term: s.term, AckedEnd: w.lastEndStored, Probe: true})
 }
 
@@ -68,7 +68,7 @@
 		return
 	}
 	if ev.Probe {
-		w.looking = false
+		w.probing = false
 		if w.lookAgain {
 			w.lookAgain = false
 			defer s.look(w)
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -47,9 +47,9 @@
 	// fenced tells that it was read under this term: nothing that a former lead
 	// sent can begin there any more.
 	fenced bool
-	// holding and looking tell of questions under way; asked when the last one
+	// holding and probing tell of questions under way; asked when the last one
 	// was sent, again when the next may be, doubt since when none has an answer.
-	holding, looking bool
+	holding, probing bool
 	lookAgain        bool
 	again, asked     time.Time
 	doubt            time.Time
