--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -52,7 +52,7 @@
 // look reads the worker's list beside the hold that may be waiting there.
 func (s *Sched) look(w *worker) {
 	if w.probing {
-		w.lookAgain = true
+		w.probeAgain = true
 		return
 	}
 	if w.dead || !w.Addr.IsValid() {
@@ -69,8 +69,8 @@
 	}
 	if ev.Probe {
 		w.probing = false
-		if w.lookAgain {
-			w.lookAgain = false
+		if w.probeAgain {
+			w.probeAgain = false
 			defer s.look(w)
 		}
 	} else {
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -50,7 +50,7 @@
 	// holding and probing tell of questions under way; asked when the last one
 	// was sent, again when the next may be, doubt since when none has an answer.
 	holding, probing bool
-	lookAgain        bool
+	probeAgain       bool
 	again, asked     time.Time
 	doubt            time.Time
 	// back is when it answered again after that.
