--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -9,7 +9,7 @@
 // keepHolding keeps one hold under way on a worker that has anything to hold,
 // to read or to forget.
 func (s *Sched) keepHolding(w *worker) {
-	if w.holding || w.dead || !w.Addr.IsValid() || s.now.Before(w.again) || w.idle() {
+	if w.holding || w.dead || !w.Addr.IsValid() || s.now.Before(w.nextHold) || w.idle() {
 		return
 	}
 	if w.fenced && w.lastEndRead > w.lastEndStored && s.now.Sub(w.asked) < unnotedEvery {
@@ -94,9 +94,9 @@
 			s.emit(Note{ID: w.Incarnation, What: "worker does not answer", Worker: w.Incarnation, Detail: ev.Outcome.String()})
 			break
 		}
-		w.again = s.now.Add(retryAfter)
+		w.nextHold = s.now.Add(retryAfter)
 		if !w.listed && len(w.tasks) == 0 {
-			w.again = s.now.Add(unlistedEvery)
+			w.nextHold = s.now.Add(unlistedEvery)
 		}
 		return
 	}
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -51,7 +51,7 @@
 	// was sent, again when the next may be, doubt since when none has an answer.
 	holding, probing bool
 	probeAgain       bool
-	again, asked     time.Time
+	nextHold, asked  time.Time
 	doubt            time.Time
 	// back is when it answered again after that.
 	back time.Time
