--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -12,12 +12,12 @@
 	if w.holding || w.dead || !w.Addr.IsValid() || s.now.Before(w.nextHold) || w.idle() {
 		return
 	}
-	if w.fenced && w.lastEndRead > w.lastEndStored && s.now.Sub(w.asked) < unnotedEvery {
+	if w.fenced && w.lastEndRead > w.lastEndStored && s.now.Sub(w.lastHold) < unnotedEvery {
 		// Ends that are not noted make every hold answer at once. The append that
 		// is under way lets the worker be asked again.
 		return
 	}
-	w.holding, w.asked = true, s.now
+	w.holding, w.lastHold = true, s.now
 	h := Hold{To: w.Address, Term: s.term, AckedEnd: w.lastEndStored}
 	if w.fenced && w.doubt.IsZero() {
 		// A worker that does not answer is only asked: a hold that is carried out
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -49,10 +49,10 @@
 	fenced bool
 	// holding and probing tell of questions under way; asked when the last one
 	// was sent, again when the next may be, doubt since when none has an answer.
-	holding, probing bool
-	probeAgain       bool
-	nextHold, asked  time.Time
-	doubt            time.Time
+	holding, probing   bool
+	probeAgain         bool
+	nextHold, lastHold time.Time
+	doubt              time.Time
 	// back is when it answered again after that.
 	back time.Time
 	dead bool
