--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -131,7 +131,7 @@
 // retire judges what was lost on a worker that is remembered no longer: one that has
 // neither an entry nor an answer for so long has ended.
 func (s *Sched) retire(w *worker) {
-	if w.fenced && w.doubt.IsZero() && !w.dead {
+	if w.fenced && w.unansweredSince.IsZero() && !w.dead {
 		s.livesOn(w, s.now.Add(time.Nanosecond))
 		return
 	}
--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -19,7 +19,7 @@
 	}
 	w.holding, w.lastHold = true, s.now
 	h := Hold{To: w.Address, Term: s.term, AckedEnd: w.lastEndStored}
-	if w.fenced && w.doubt.IsZero() {
+	if w.fenced && w.unansweredSince.IsZero() {
 		// A worker that does not answer is only asked: a hold that is carried out
 		// unanswered would lengthen leases, and a dead worker's never ran out.
 		h.Deadline = w.clockAt(s.now).Add(s.limits.Lease)
@@ -31,7 +31,7 @@
 
 // idle tells whether there is nothing to hold, to read or to forget on a worker.
 func (w *worker) idle() bool {
-	return w.fenced && len(w.tasks) == 0 && len(w.untracked) == 0 && len(w.lostRuns) == 0 && w.lastEndAcked >= w.lastEndStored && w.doubt.IsZero()
+	return w.fenced && len(w.tasks) == 0 && len(w.untracked) == 0 && len(w.lostRuns) == 0 && w.lastEndAcked >= w.lastEndStored && w.unansweredSince.IsZero()
 }
 
 // holdWait is how long a hold may wait for an end. Of runs that are not followed any more none
@@ -86,10 +86,10 @@
 		s.emit(StepDown{Worker: w.Incarnation})
 		return
 	default:
-		if w.doubt.IsZero() {
+		if w.unansweredSince.IsZero() {
 			// One answer may be lost; the next question tells, and it is asked at once:
 			// ends at the worker are not known before.
-			w.doubt = s.now
+			w.unansweredSince = s.now
 			s.fell(w)
 			s.emit(Note{ID: w.Incarnation, What: "worker does not answer", Worker: w.Incarnation, Detail: ev.Outcome.String()})
 			break
@@ -105,12 +105,12 @@
 
 // read takes over a worker's lists.
 func (s *Sched) read(w *worker, ev HoldReply) {
-	if !w.doubt.IsZero() {
+	if !w.unansweredSince.IsZero() {
 		w.back = s.now
 		s.rose(w)
 		s.emit(Note{ID: w.Incarnation, What: "worker answers again", Worker: w.Incarnation})
 	}
-	w.doubt = time.Time{}
+	w.unansweredSince = time.Time{}
 	if ev.Received.After(w.readAt) {
 		w.clock, w.readAt = ev.Clock, ev.Received
 	}
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -52,7 +52,7 @@
 	holding, probing   bool
 	probeAgain         bool
 	nextHold, lastHold time.Time
-	doubt              time.Time
+	unansweredSince    time.Time
 	// back is when it answered again after that.
 	back time.Time
 	dead bool
@@ -112,7 +112,7 @@
 
 // silent tells whether the worker leaves calls without an answer.
 func (w *worker) silent(now time.Time) bool {
-	return !w.doubt.IsZero() && now.Sub(w.doubt) > silentAfter
+	return !w.unansweredSince.IsZero() && now.Sub(w.unansweredSince) > silentAfter
 }
 
 // usable tells whether the worker may get work at all. Entries lapse while the platform's
@@ -125,7 +125,7 @@
 		since = w.back
 	}
 	listed := w.listed || now.Sub(since) < lapsedFor && w.readAt.After(w.unlisted)
-	return listed && w.fenced && !w.dead && !w.draining && w.doubt.IsZero() && w.Size != (cell.Size{})
+	return listed && w.fenced && !w.dead && !w.draining && w.unansweredSince.IsZero() && w.Size != (cell.Size{})
 }
 
 // clockAt is the worker's time now, or later than that if its clock is slow.
@@ -261,7 +261,7 @@
 		return "another life began"
 	case w.draining:
 		return "left"
-	case !w.doubt.IsZero() || !w.fenced:
+	case !w.unansweredSince.IsZero() || !w.fenced:
 		return "does not answer"
 	default:
 		return "not listed"
