--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -106,7 +106,7 @@
 // read takes over a worker's lists.
 func (s *Sched) read(w *worker, ev HoldReply) {
 	if !w.unansweredSince.IsZero() {
-		w.back = s.now
+		w.backSince = s.now
 		s.rose(w)
 		s.emit(Note{ID: w.Incarnation, What: "worker answers again", Worker: w.Incarnation})
 	}
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -53,9 +53,9 @@
 	probeAgain         bool
 	nextHold, lastHold time.Time
 	unansweredSince    time.Time
-	// back is when it answered again after that.
-	back time.Time
-	dead bool
+	// backSince is when it answered again after that.
+	backSince time.Time
+	dead      bool
 	// judged is when what was at a life that ended is judged, came when it was known first.
 	judged, came time.Time
 	unlisted     time.Time
@@ -121,8 +121,8 @@
 // stand idle in the moment when everybody has waited for the store.
 func (w *worker) usable(now time.Time) bool {
 	since := w.unlisted
-	if w.back.After(since) {
-		since = w.back
+	if w.backSince.After(since) {
+		since = w.backSince
 	}
 	listed := w.listed || now.Sub(since) < lapsedFor && w.readAt.After(w.unlisted)
 	return listed && w.fenced && !w.dead && !w.draining && w.unansweredSince.IsZero() && w.Size != (cell.Size{})
