--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -56,9 +56,9 @@
 	// backSince is when it answered again after that.
 	backSince time.Time
 	dead      bool
-	// judged is when what was at a life that ended is judged, came when it was known first.
-	judged, came time.Time
-	unlisted     time.Time
+	// judgeAt is when what was at a life that ended is judgeAt, came when it was known first.
+	judgeAt, came time.Time
+	unlisted      time.Time
 	// full is until when it gets no work because it refused some.
 	full time.Time
 	// until is when the former lead's leases have lapsed, if that one told.
@@ -169,7 +169,7 @@
 	if !ok || w.dead {
 		return
 	}
-	w.dead, w.judged = true, s.now.Add(rackWait)
+	w.dead, w.judgeAt = true, s.now.Add(rackWait)
 	s.fell(w)
 	s.emit(Note{ID: life, What: "worker has begun another life", Worker: life, Detail: w.describeRuns()})
 	for _, t := range w.inOrder() {
@@ -203,7 +203,7 @@
 			s.emit(Note{ID: life, What: "leases have lapsed", Worker: life})
 			s.loseTasks(w)
 		}
-		if w.dead && !s.now.Before(w.judged) {
+		if w.dead && !s.now.Before(w.judgeAt) {
 			s.judgeLost(w)
 		}
 		if w.listed || len(w.tasks) > 0 {
