--- a/internal/sched/list.go
+++ b/internal/sched/list.go
@@ -18,7 +18,7 @@
 		w, ok := s.workers[l.Incarnation]
 		if !ok {
 			w = newWorker(l)
-			w.came = s.now
+			w.firstSeen = s.now
 			s.workers[l.Incarnation] = w
 			s.forgetOrder()
 			s.emit(Note{ID: l.Incarnation, What: "worker listed", Worker: l.Incarnation, Detail: l.Domain})
--- a/internal/sched/rack.go
+++ b/internal/sched/rack.go
@@ -79,7 +79,7 @@
 // anyUp tells whether any worker of a rack that was known by then is not down.
 func (s *Sched) anyUp(rack string, by time.Time, down map[string]bool) bool {
 	for _, w := range s.workers {
-		if w.Rack == rack && !w.dead && !down[w.Incarnation] && w.came.Before(by) {
+		if w.Rack == rack && !w.dead && !down[w.Incarnation] && w.firstSeen.Before(by) {
 			return true
 		}
 	}
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -56,9 +56,9 @@
 	// backSince is when it answered again after that.
 	backSince time.Time
 	dead      bool
-	// judgeAt is when what was at a life that ended is judgeAt, came when it was known first.
-	judgeAt, came time.Time
-	unlisted      time.Time
+	// judgeAt is when what was at a life that ended is judgeAt, firstSeen when it was known first.
+	judgeAt, firstSeen time.Time
+	unlisted           time.Time
 	// full is until when it gets no work because it refused some.
 	full time.Time
 	// until is when the former lead's leases have lapsed, if that one told.
