--- a/internal/sched/list.go
+++ b/internal/sched/list.go
@@ -24,7 +24,7 @@
 			s.emit(Note{ID: l.Incarnation, What: "worker listed", Worker: l.Incarnation, Detail: l.Domain})
 		}
 		s.relist(w, l)
-		w.listed, w.unlisted = true, time.Time{}
+		w.listed, w.unlistedSince = true, time.Time{}
 		if l.Draining && !w.draining {
 			s.drain(w, l.Remaining)
 		}
@@ -33,7 +33,7 @@
 	for _, w := range s.lives() {
 		life := w.Incarnation
 		if !listed[life] && w.listed {
-			w.listed, w.unlisted = false, s.now
+			w.listed, w.unlistedSince = false, s.now
 			s.emit(Note{ID: life, What: "worker not listed", Worker: life})
 			s.look(w)
 		}
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -58,7 +58,7 @@
 	dead      bool
 	// judgeAt is when what was at a life that ended is judgeAt, firstSeen when it was known first.
 	judgeAt, firstSeen time.Time
-	unlisted           time.Time
+	unlistedSince      time.Time
 	// full is until when it gets no work because it refused some.
 	full time.Time
 	// until is when the former lead's leases have lapsed, if that one told.
@@ -120,11 +120,11 @@
 // it is not listed has not left. Without work until it is listed again, all workers would
 // stand idle in the moment when everybody has waited for the store.
 func (w *worker) usable(now time.Time) bool {
-	since := w.unlisted
+	since := w.unlistedSince
 	if w.backSince.After(since) {
 		since = w.backSince
 	}
-	listed := w.listed || now.Sub(since) < lapsedFor && w.readAt.After(w.unlisted)
+	listed := w.listed || now.Sub(since) < lapsedFor && w.readAt.After(w.unlistedSince)
 	return listed && w.fenced && !w.dead && !w.draining && w.unansweredSince.IsZero() && w.Size != (cell.Size{})
 }
 
@@ -227,7 +227,7 @@
 	if w.dead {
 		return len(w.lostRuns) == 0
 	}
-	since := w.unlisted
+	since := w.unlistedSince
 	if since.IsZero() && len(w.lostRuns) > 0 {
 		since = s.termStart
 	}
