--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -103,9 +103,9 @@
 	case BadTicket:
 		s.dropTicket(t, w)
 	case NoCapacity:
-		w.full = s.now.Add(retryAfter)
+		w.refusedUntil = s.now.Add(retryAfter)
 	default:
-		w.full = s.now.Add(retryAfter)
+		w.refusedUntil = s.now.Add(retryAfter)
 	}
 	if t.State == flow.Stopping {
 		return
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -59,8 +59,8 @@
 	// judgeAt is when what was at a life that ended is judgeAt, firstSeen when it was known first.
 	judgeAt, firstSeen time.Time
 	unlistedSince      time.Time
-	// full is until when it gets no work because it refused some.
-	full time.Time
+	// refusedUntil is until when it gets no work because it refused some.
+	refusedUntil time.Time
 	// until is when the former lead's leases have lapsed, if that one told.
 	until  time.Time
 	health health
