--- a/internal/sched/lapse.go
+++ b/internal/sched/lapse.go
@@ -23,8 +23,8 @@
 	if !s.predecessorGone.IsZero() {
 		at = s.predecessorGone.Add(longest(s.limits.Lease))
 	}
-	if !w.until.IsZero() && w.until.Before(at) {
-		return w.until
+	if !w.predecessorLeaseEnd.IsZero() && w.predecessorLeaseEnd.Before(at) {
+		return w.predecessorLeaseEnd
 	}
 	return at
 }
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -178,7 +178,7 @@
 	s.predecessorGone = s.now
 	for life, left := range ev.LeaseBounds {
 		if w, ok := s.workers[life]; ok {
-			w.until = ev.Since.Add(left)
+			w.predecessorLeaseEnd = ev.Since.Add(left)
 		}
 	}
 }
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -61,9 +61,9 @@
 	unlistedSince      time.Time
 	// refusedUntil is until when it gets no work because it refused some.
 	refusedUntil time.Time
-	// until is when the former lead's leases have lapsed, if that one told.
-	until  time.Time
-	health health
+	// predecessorLeaseEnd is when the former lead's leases have lapsed, if that one told.
+	predecessorLeaseEnd time.Time
+	health              health
 	// speed is how fast its runs go, relative to their estimates.
 	speed float64
 	pace  pacing
