--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -10,8 +10,8 @@
 // looseRun is the room of a run that is not followed, which may begin as late
 // as until.
 type looseRun struct {
-	room  cell.Size
-	until time.Time
+	room        cell.Size
+	latestStart time.Time
 	// whole tells that the room is not known: the worker may be full.
 	whole bool
 }
@@ -23,8 +23,8 @@
 		l.room = room
 		w.used = w.used.Add(room)
 	}
-	if until.After(l.until) {
-		l.until = until
+	if until.After(l.latestStart) {
+		l.latestStart = until
 	}
 	w.untracked[k] = l
 }
@@ -44,8 +44,8 @@
 func (w *worker) firstLoose() time.Time {
 	var first time.Time
 	for _, l := range w.untracked {
-		if first.IsZero() || l.until.Before(first) {
-			first = l.until
+		if first.IsZero() || l.latestStart.Before(first) {
+			first = l.latestStart
 		}
 	}
 	return first
@@ -55,7 +55,7 @@
 // begin no longer.
 func (w *worker) settleLoose(listed map[flow.Name]int, now time.Time) {
 	for k, l := range w.untracked {
-		if listed[k.task] == k.run || now.Before(l.until) {
+		if listed[k.task] == k.run || now.Before(l.latestStart) {
 			continue
 		}
 		w.used = w.used.Sub(l.room)
