--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -12,8 +12,8 @@
 type looseRun struct {
 	room        cell.Size
 	latestStart time.Time
-	// whole tells that the room is not known: the worker may be full.
-	whole bool
+	// sizeUnknown tells that the room is not known: the worker may be full.
+	sizeUnknown bool
 }
 
 // loosen goes on booking the room of a run that is not followed any more.
@@ -33,7 +33,7 @@
 func (w *worker) loosenWhole(k runKey, until time.Time) {
 	w.loosen(k, cell.Size{}, until)
 	l := w.untracked[k]
-	l.whole = true
+	l.sizeUnknown = true
 	w.untracked[k] = l
 }
 
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -100,7 +100,7 @@
 func (w *worker) free() cell.Size {
 	free := w.Size.Sub(w.used)
 	for _, l := range w.untracked {
-		if l.whole {
+		if l.sizeUnknown {
 			return cell.Size{CPU: min(free.CPU, 0), Mem: min(free.Mem, 0), Accel: min(free.Accel, 0)}
 		}
 	}
