--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -7,9 +7,9 @@
 	"pollencroft/internal/flow"
 )
 
-// looseRun is the room of a run that is not followed, which may begin as late
+// untrackedRun is the room of a run that is not followed, which may begin as late
 // as until.
-type looseRun struct {
+type untrackedRun struct {
 	room        cell.Size
 	latestStart time.Time
 	// sizeUnknown tells that the room is not known: the worker may be full.
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -31,7 +31,7 @@
 	reserved cell.Size
 	// untracked are runs that are not followed any more and may still be there; they
 	// take room until the worker certainly does not have them.
-	untracked map[runKey]looseRun
+	untracked map[runKey]untrackedRun
 	// lostRuns are runs that were lostRuns here in silence.
 	lostRuns map[flow.Name]lostRun
 	// crashSuspects is how many tasks under which lives ended are here, trial the step of one
@@ -70,7 +70,7 @@
 }
 
 func newWorker(w Worker) *worker {
-	return &worker{Worker: w, tasks: map[flow.Name]*flow.Task{}, pace: newPacing(), speed: 1, untracked: map[runKey]looseRun{}, lostRuns: map[flow.Name]lostRun{}}
+	return &worker{Worker: w, tasks: map[flow.Name]*flow.Task{}, pace: newPacing(), speed: 1, untracked: map[runKey]untrackedRun{}, lostRuns: map[flow.Name]lostRun{}}
 }
 
 func (w *worker) add(t *flow.Task) {
