--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -16,8 +16,8 @@
 	sizeUnknown bool
 }
 
-// loosen goes on booking the room of a run that is not followed any more.
-func (w *worker) loosen(k runKey, room cell.Size, until time.Time) {
+// untrack goes on booking the room of a run that is not followed any more.
+func (w *worker) untrack(k runKey, room cell.Size, until time.Time) {
 	l, ok := w.untracked[k]
 	if !ok {
 		l.room = room
@@ -31,7 +31,7 @@
 
 // loosenWhole is the same for a run whose room is not known.
 func (w *worker) loosenWhole(k runKey, until time.Time) {
-	w.loosen(k, cell.Size{}, until)
+	w.untrack(k, cell.Size{}, until)
 	l := w.untracked[k]
 	l.sizeUnknown = true
 	w.untracked[k] = l
@@ -120,7 +120,7 @@
 func (s *Sched) doneCopy(t *flow.Task) {
 	if w, ok := s.workers[t.Worker]; ok && t.Out() && t.State != flow.Assigned {
 		s.emit(Stop{To: w.Address, Term: s.term, Task: t.Name, Run: t.Run})
-		w.loosen(runKey{t.Name, t.Run}, t.Spec().Room(), s.lateStart())
+		w.untrack(runKey{t.Name, t.Run}, t.Spec().Room(), s.lateStart())
 	}
 	s.done(t)
 }
@@ -129,7 +129,7 @@
 func (s *Sched) copySilent(w *worker) {
 	for _, t := range w.inOrder() {
 		if t.Spec().Copies && !t.Spec().Gang && (t.State == flow.Running || t.State == flow.Starting) {
-			w.loosen(runKey{t.Name, t.Run}, t.Spec().Room(), s.lateStart())
+			w.untrack(runKey{t.Name, t.Run}, t.Spec().Room(), s.lateStart())
 			s.lose(t, w)
 			s.gone(t, "worker is silent, a copy may run")
 		}
--- a/internal/sched/ends.go
+++ b/internal/sched/ends.go
@@ -36,7 +36,7 @@
 	// A run that is listed has begun. Lists from before that may still be on their way.
 	until := s.now.Add(onItsWay)
 	if j, ok := s.jobs[l.Task.Job]; ok && l.Task.Step < len(j.Spec.Steps) {
-		w.loosen(k, j.Spec.Steps[l.Task.Step].Room(), until)
+		w.untrack(k, j.Spec.Steps[l.Task.Step].Room(), until)
 	} else {
 		w.loosenWhole(k, until)
 	}
