--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -29,8 +29,8 @@
 	w.untracked[k] = l
 }
 
-// loosenWhole is the same for a run whose room is not known.
-func (w *worker) loosenWhole(k runKey, until time.Time) {
+// untrackUnknownSize is the same for a run whose room is not known.
+func (w *worker) untrackUnknownSize(k runKey, until time.Time) {
 	w.untrack(k, cell.Size{}, until)
 	l := w.untracked[k]
 	l.sizeUnknown = true
--- a/internal/sched/ends.go
+++ b/internal/sched/ends.go
@@ -38,7 +38,7 @@
 	if j, ok := s.jobs[l.Task.Job]; ok && l.Task.Step < len(j.Spec.Steps) {
 		w.untrack(k, j.Spec.Steps[l.Task.Step].Room(), until)
 	} else {
-		w.loosenWhole(k, until)
+		w.untrackUnknownSize(k, until)
 	}
 	s.emit(Note{ID: l.Task.String(), What: "stray run", Worker: w.Incarnation, Run: l.Run})
 	s.emit(Stop{To: w.Address, Term: s.term, Task: l.Task, Run: l.Run})
