--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -37,8 +37,8 @@
 	w.untracked[k] = l
 }
 
-// lateStart is until when a run whose start was sent may begin.
-func (s *Sched) lateStart() time.Time { return s.now.Add(startLease + onItsWay) }
+// latestStart is until when a run whose start was sent may begin.
+func (s *Sched) latestStart() time.Time { return s.now.Add(startLease + onItsWay) }
 
 // firstLoose is when the first of the loose runs can begin no more.
 func (w *worker) firstLoose() time.Time {
@@ -120,7 +120,7 @@
 func (s *Sched) doneCopy(t *flow.Task) {
 	if w, ok := s.workers[t.Worker]; ok && t.Out() && t.State != flow.Assigned {
 		s.emit(Stop{To: w.Address, Term: s.term, Task: t.Name, Run: t.Run})
-		w.untrack(runKey{t.Name, t.Run}, t.Spec().Room(), s.lateStart())
+		w.untrack(runKey{t.Name, t.Run}, t.Spec().Room(), s.latestStart())
 	}
 	s.done(t)
 }
@@ -129,7 +129,7 @@
 func (s *Sched) copySilent(w *worker) {
 	for _, t := range w.inOrder() {
 		if t.Spec().Copies && !t.Spec().Gang && (t.State == flow.Running || t.State == flow.Starting) {
-			w.untrack(runKey{t.Name, t.Run}, t.Spec().Room(), s.lateStart())
+			w.untrack(runKey{t.Name, t.Run}, t.Spec().Room(), s.latestStart())
 			s.lose(t, w)
 			s.gone(t, "worker is silent, a copy may run")
 		}
