--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -40,8 +40,8 @@
 // latestStart is until when a run whose start was sent may begin.
 func (s *Sched) latestStart() time.Time { return s.now.Add(startLease + onItsWay) }
 
-// firstLoose is when the first of the loose runs can begin no more.
-func (w *worker) firstLoose() time.Time {
+// firstUntrackedEnd is when the first of the loose runs can begin no more.
+func (w *worker) firstUntrackedEnd() time.Time {
 	var first time.Time
 	for _, l := range w.untracked {
 		if first.IsZero() || l.latestStart.Before(first) {
--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -40,8 +40,8 @@
 	switch {
 	case len(w.tasks) == 0 && len(w.untracked) == 0:
 		return 0
-	case len(w.tasks) == 0 && w.firstLoose().After(s.now):
-		return min(s.limits.HoldWait, max(w.firstLoose().Sub(s.now), s.limits.BatchInterval))
+	case len(w.tasks) == 0 && w.firstUntrackedEnd().After(s.now):
+		return min(s.limits.HoldWait, max(w.firstUntrackedEnd().Sub(s.now), s.limits.BatchInterval))
 	case w.fillCPU > 0 && w.serves():
 		return stepEvery / 2
 	default:
