--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -51,9 +51,9 @@
 	return first
 }
 
-// settleLoose frees the room of loose runs that are listed no longer and can
+// releaseUntracked frees the room of loose runs that are listed no longer and can
 // begin no longer.
-func (w *worker) settleLoose(listed map[flow.Name]int, now time.Time) {
+func (w *worker) releaseUntracked(listed map[flow.Name]int, now time.Time) {
 	for k, l := range w.untracked {
 		if listed[k.task] == k.run || now.Before(l.latestStart) {
 			continue
--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -141,6 +141,6 @@
 		}
 	}
 	s.judgePace(w, ev.Clock)
-	w.settleLoose(listed, s.now)
+	w.releaseUntracked(listed, s.now)
 	s.repace(w, ev.Running)
 }
