--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -83,8 +83,8 @@
 	return true
 }
 
-// endedCopy takes the end of a copy that is not the one that is followed.
-func (s *Sched) endedCopy(w *worker, e RunEnd) {
+// copyEnded takes the end of a copy that is not the one that is followed.
+func (s *Sched) copyEnded(w *worker, e RunEnd) {
 	j, ok := s.jobs[e.Task.Job]
 	if !ok || j.State.Final() {
 		return
--- a/internal/sched/ends.go
+++ b/internal/sched/ends.go
@@ -70,7 +70,7 @@
 func (s *Sched) ended(w *worker, e RunEnd, clock time.Time) {
 	t := s.task(runKey{e.Task, e.Run})
 	if t == nil || t.Worker != w.Incarnation || !t.Out() {
-		s.endedCopy(w, e)
+		s.copyEnded(w, e)
 		return
 	}
 	if e.Saved != "" {
