--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -97,14 +97,14 @@
 	case EndDone:
 		s.doneCopy(t)
 	case EndFailed:
-		s.failedCopy(w, t, e)
+		s.copyFailed(w, t, e)
 	}
 }
 
-// failedCopy counts a run that failed and that no record names: a former lead started it
+// copyFailed counts a run that failed and that no record names: a former lead started it
 // and could not store that any more. Left out, its task would be tried more often than
 // its caller allows. A run that is not newer than what the record says was counted with it.
-func (s *Sched) failedCopy(w *worker, t *flow.Task, e RunEnd) {
+func (s *Sched) copyFailed(w *worker, t *flow.Task, e RunEnd) {
 	beside := t.Out() && t.Worker != w.Incarnation && e.Run == t.Run
 	if e.Run <= t.Run && !beside {
 		return
