--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -95,7 +95,7 @@
 	}
 	switch e.How {
 	case EndDone:
-		s.doneCopy(t)
+		s.copyDone(t)
 	case EndFailed:
 		s.copyFailed(w, t, e)
 	}
@@ -115,9 +115,9 @@
 	s.tried(t)
 }
 
-// doneCopy ends a task of which a copy is done: the first one counts, and the other one
+// copyDone ends a task of which a copy is done: the first one counts, and the other one
 // is stopped.
-func (s *Sched) doneCopy(t *flow.Task) {
+func (s *Sched) copyDone(t *flow.Task) {
 	if w, ok := s.workers[t.Worker]; ok && t.Out() && t.State != flow.Assigned {
 		s.emit(Stop{To: w.Address, Term: s.term, Task: t.Name, Run: t.Run})
 		w.untrack(runKey{t.Name, t.Run}, t.Spec().Room(), s.latestStart())
