--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -125,8 +125,8 @@
 	s.done(t)
 }
 
-// copySilent begins copies of what may run on a worker that does not answer.
-func (s *Sched) copySilent(w *worker) {
+// copySilentTasks begins copies of what may run on a worker that does not answer.
+func (s *Sched) copySilentTasks(w *worker) {
 	for _, t := range w.inOrder() {
 		if t.Spec().Copies && !t.Spec().Gang && (t.State == flow.Running || t.State == flow.Starting) {
 			w.untrack(runKey{t.Name, t.Run}, t.Spec().Room(), s.latestStart())
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -197,7 +197,7 @@
 			s.evacuate(w)
 		}
 		if !w.dead && w.silent(s.now) {
-			s.copySilent(w)
+			s.copySilentTasks(w)
 		}
 		if !w.dead && s.vacant(w) {
 			s.emit(Note{ID: life, What: "leases have lapsed", Worker: life})
