--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// mostCrashes is how many lives of workers may end under a task before its job is
+	// maxCrashes is how many lives of workers may end under a task before its job is
 	// given up.
-	mostCrashes = 3
+	maxCrashes = 3
 	// provenAfter is how long a lasting task must run before lives that ended under
 	// earlier runs no longer count: over months every host of it is replaced.
 	provenAfter = 10 * time.Second
@@ -56,7 +56,7 @@
 	s.suspects[t] = true
 	s.markDirty(j)
 	s.emit(Note{ID: t.Name.String(), What: "worker crashed under it", Worker: w.Incarnation, Run: t.Run, Detail: strconv.Itoa(len(t.Crashed))})
-	if len(t.Crashed) < mostCrashes {
+	if len(t.Crashed) < maxCrashes {
 		return
 	}
 	s.emit(Note{ID: j.Spec.ID, What: "given up", Detail: t.Name.String() + " crashed " + strings.Join(t.Crashed, ", ")})
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -66,7 +66,7 @@
 	var tasks, alone []*flow.Task
 	for _, t := range st.Tasks {
 		switch {
-		case t.State != flow.Waiting || t.Doubt() >= mostCrashes:
+		case t.State != flow.Waiting || t.Doubt() >= maxCrashes:
 		case t.Doubt() >= aloneFrom:
 			alone = append(alone, t)
 		default:
