--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -17,9 +17,9 @@
 	// provenAfter is how long a lasting task must run before lives that ended under
 	// earlier runs no longer count: over months every host of it is replaced.
 	provenAfter = 10 * time.Second
-	// unlistedEvery is how often a life is asked that is not listed and on which runs were
+	// unlistedHoldInterval is how often a life is asked that is not listed and on which runs were
 	// lost.
-	unlistedEvery = time.Second
+	unlistedHoldInterval = time.Second
 )
 
 // lostRun is a run that was lost at a worker that answers no more. Whether it ended the
--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -96,7 +96,7 @@
 		}
 		w.nextHold = s.now.Add(retryAfter)
 		if !w.listed && len(w.tasks) == 0 {
-			w.nextHold = s.now.Add(unlistedEvery)
+			w.nextHold = s.now.Add(unlistedHoldInterval)
 		}
 		return
 	}
