--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -130,7 +130,7 @@
 	for _, t := range w.inOrder() {
 		if t.Spec().Copies && !t.Spec().Gang && (t.State == flow.Running || t.State == flow.Starting) {
 			w.untrack(runKey{t.Name, t.Run}, t.Spec().Room(), s.latestStart())
-			s.lose(t, w)
+			s.markLost(t, w)
 			s.gone(t, "worker is silent, a copy may run")
 		}
 	}
--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -30,8 +30,8 @@
 	at   time.Time
 }
 
-// lose notes that a run may have ended the life of a worker that answers no more.
-func (s *Sched) lose(t *flow.Task, w *worker) {
+// markLost notes that a run may have ended the life of a worker that answers no more.
+func (s *Sched) markLost(t *flow.Task, w *worker) {
 	if t.State == flow.Assigned || w.draining || t.Job.State.Final() || !t.Lose(w.Incarnation) {
 		return
 	}
@@ -101,7 +101,7 @@
 // startedAtDead takes the answer to a start at a life that has ended since.
 func (s *Sched) startedAtDead(t *flow.Task, w *worker, o Outcome) {
 	if o == Accepted || o == Unanswered {
-		s.lose(t, w)
+		s.markLost(t, w)
 	}
 	s.gone(t, "worker died")
 }
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -175,7 +175,7 @@
 	for _, t := range w.inOrder() {
 		// The answer to a start that is under way tells whether the life ended before it.
 		if t.State != flow.Starting {
-			s.lose(t, w)
+			s.markLost(t, w)
 			s.gone(t, "worker died")
 		}
 	}
@@ -184,7 +184,7 @@
 // loseTasks puts back all tasks of a silent worker on which nothing can run any more.
 func (s *Sched) loseTasks(w *worker) {
 	for _, t := range w.inOrder() {
-		s.lose(t, w)
+		s.markLost(t, w)
 		s.gone(t, "lapsed at a silent worker")
 	}
 }
