--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -40,9 +40,9 @@
 	s.markDirty(t.Job)
 }
 
-// crashed counts a life that ended while a run of the task was, or may have been, at it,
+// countCrash counts a life that ended while a run of the task was, or may have been, at it,
 // and gives the job up after too many.
-func (s *Sched) crashed(t *flow.Task, w *worker) {
+func (s *Sched) countCrash(t *flow.Task, w *worker) {
 	j := t.Job
 	switch {
 	case j.State.Final() || t.State == flow.Done:
@@ -94,7 +94,7 @@
 // judgeLost counts a life that has ended against all runs that were lost at it.
 func (s *Sched) judgeLost(w *worker) {
 	for _, t := range w.takeLostRuns(s.now.Add(time.Nanosecond)) {
-		s.crashed(t, w)
+		s.countCrash(t, w)
 	}
 }
 
