--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -48,7 +48,7 @@
 	case j.State.Final() || t.State == flow.Done:
 		return
 	case w.draining, t.Doubt() > 1 && s.rackFell(w, t):
-		s.acquit(t, w)
+		s.clearSuspicion(t, w)
 		return
 	case !t.Crash(w.Incarnation):
 		return
@@ -63,8 +63,8 @@
 	s.end(j, flow.Failed)
 }
 
-// acquit takes back that a task may have ended a worker's life.
-func (s *Sched) acquit(t *flow.Task, w *worker) {
+// clearSuspicion takes back that a task may have ended a worker's life.
+func (s *Sched) clearSuspicion(t *flow.Task, w *worker) {
 	if t.Acquit(w.Incarnation) {
 		s.emit(Note{ID: t.Name.String(), What: "crash ruled out", Worker: w.Incarnation, Run: t.Run})
 		s.markDirty(t.Job)
@@ -87,7 +87,7 @@
 // later.
 func (s *Sched) livesOn(w *worker, sent time.Time) {
 	for _, t := range w.takeLostRuns(sent) {
-		s.acquit(t, w)
+		s.clearSuspicion(t, w)
 	}
 }
 
@@ -114,7 +114,7 @@
 	}
 	if l, ok := w.lostRuns[ev.Task]; ok && l.run == ev.Run {
 		delete(w.lostRuns, ev.Task)
-		s.acquit(l.task, w)
+		s.clearSuspicion(l.task, w)
 	}
 }
 
