--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -83,9 +83,9 @@
 	return all
 }
 
-// livesOn acquits the runs that were lost on a worker that has answered a question sent
+// clearLostRuns acquits the runs that were lost on a worker that has answered a question sent
 // later.
-func (s *Sched) livesOn(w *worker, sent time.Time) {
+func (s *Sched) clearLostRuns(w *worker, sent time.Time) {
 	for _, t := range w.takeLostRuns(sent) {
 		s.clearSuspicion(t, w)
 	}
@@ -132,7 +132,7 @@
 // neither an entry nor an answer for so long has ended.
 func (s *Sched) retire(w *worker) {
 	if w.fenced && w.unansweredSince.IsZero() && !w.dead {
-		s.livesOn(w, s.now.Add(time.Nanosecond))
+		s.clearLostRuns(w, s.now.Add(time.Nanosecond))
 		return
 	}
 	s.judgeLost(w)
--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -114,7 +114,7 @@
 	if ev.Received.After(w.readAt) {
 		w.clock, w.readAt = ev.Clock, ev.Received
 	}
-	s.livesOn(w, ev.Sent)
+	s.clearLostRuns(w, ev.Sent)
 	first := !w.fenced
 	w.fenced = true
 	if first {
