--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// judgeLost counts a life that has ended against all runs that were lost at it.
-func (s *Sched) judgeLost(w *worker) {
+// countLostRuns counts a life that has ended against all runs that were lost at it.
+func (s *Sched) countLostRuns(w *worker) {
 	for _, t := range w.takeLostRuns(s.now.Add(time.Nanosecond)) {
 		s.countCrash(t, w)
 	}
@@ -135,7 +135,7 @@
 		s.clearLostRuns(w, s.now.Add(time.Nanosecond))
 		return
 	}
-	s.judgeLost(w)
+	s.countLostRuns(w)
 }
 
 // prove forgets the lives that ended under a lasting task that has worked for long.
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -204,7 +204,7 @@
 			s.loseTasks(w)
 		}
 		if w.dead && !s.now.Before(w.judgeAt) {
-			s.judgeLost(w)
+			s.countLostRuns(w)
 		}
 		if w.listed || len(w.tasks) > 0 {
 			s.keepHolding(w)
