--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// startedAtDead takes the answer to a start at a life that has ended since.
-func (s *Sched) startedAtDead(t *flow.Task, w *worker, o Outcome) {
+// startReplyFromEnded takes the answer to a start at a life that has ended since.
+func (s *Sched) startReplyFromEnded(t *flow.Task, w *worker, o Outcome) {
 	if o == Accepted || o == Unanswered {
 		s.markLost(t, w)
 	}
--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -79,7 +79,7 @@
 	}
 	s.noteTask(t, "start "+ev.Outcome.String(), "")
 	if w.dead && ev.Outcome != Fenced {
-		s.startedAtDead(t, w, ev.Outcome)
+		s.startReplyFromEnded(t, w, ev.Outcome)
 		return
 	}
 	switch ev.Outcome {
