--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -106,9 +106,9 @@
 	s.gone(t, "worker died")
 }
 
-// notBegun acquits a run that was lost on a silent worker before it was known that its
+// startNeverRan acquits a run that was lost on a silent worker before it was known that its
 // start was never carried out.
-func (s *Sched) notBegun(w *worker, ev StartReply) {
+func (s *Sched) startNeverRan(w *worker, ev StartReply) {
 	if ev.Outcome == Accepted || ev.Outcome == Unanswered {
 		return
 	}
--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -72,7 +72,7 @@
 	t := s.task(runKey{ev.Task, ev.Run})
 	w := s.workers[ev.Worker]
 	if w != nil {
-		s.notBegun(w, ev)
+		s.startNeverRan(w, ev)
 	}
 	if t == nil || w == nil || t.Worker != ev.Worker {
 		return
