--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -128,9 +128,9 @@
 	}
 }
 
-// retire judges what was lost on a worker that is remembered no longer: one that has
+// resolveForgotten judges what was lost on a worker that is remembered no longer: one that has
 // neither an entry nor an answer for so long has ended.
-func (s *Sched) retire(w *worker) {
+func (s *Sched) resolveForgotten(w *worker) {
 	if w.fenced && w.unansweredSince.IsZero() && !w.dead {
 		s.clearLostRuns(w, s.now.Add(time.Nanosecond))
 		return
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -213,7 +213,7 @@
 		switch {
 		case s.canForget(w):
 			s.emit(Note{ID: life, What: "worker forgotten", Worker: life, Detail: w.describeEnd()})
-			s.retire(w)
+			s.resolveForgotten(w)
 			delete(s.workers, life)
 			s.forgetOrder()
 		case len(w.lostRuns) > 0:
