--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -138,8 +138,8 @@
 	s.countLostRuns(w)
 }
 
-// prove forgets the lives that ended under a lasting task that has worked for long.
-func (s *Sched) prove(t *flow.Task) {
+// clearProven forgets the lives that ended under a lasting task that has worked for long.
+func (s *Sched) clearProven(t *flow.Task) {
 	if t.Spec().Lasts && t.State == flow.Running && s.suspects[t] && s.now.Sub(t.Since) >= provenAfter {
 		t.Clear()
 		delete(s.suspects, t)
--- a/internal/sched/ends.go
+++ b/internal/sched/ends.go
@@ -25,7 +25,7 @@
 		s.stop(t, "job is over")
 		return
 	}
-	s.prove(t)
+	s.clearProven(t)
 	s.progress(w, t, l, clock)
 }
 
