--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -147,8 +147,8 @@
 	}
 }
 
-// watchSuspects forgets tasks that are over or under which no life may have ended.
-func (s *Sched) watchSuspects() {
+// pruneSuspects forgets tasks that are over or under which no life may have ended.
+func (s *Sched) pruneSuspects() {
 	over := func(t *flow.Task) bool { return t.State == flow.Done || t.Job.State.Final() && !t.Out() }
 	maps.DeleteFunc(s.suspects, func(t *flow.Task, _ bool) bool { return over(t) || t.Doubt() == 0 })
 	for _, w := range s.workers {
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -220,7 +220,7 @@
 	s.changed = len(s.openJobs) > 0
 	s.beginRounds()
 	s.checkWorkers()
-	s.watchSuspects()
+	s.pruneSuspects()
 	s.watchFalls()
 	s.retryStops()
 	s.watchAdvice()
