--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// adoptLost takes over the lives that ended, or may have, under a task.
-func (s *Sched) adoptLost(t *flow.Task) {
+// adoptLostRuns takes over the lives that ended, or may have, under a task.
+func (s *Sched) adoptLostRuns(t *flow.Task) {
 	if t.Doubt() > 0 {
 		s.suspects[t] = true
 	}
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -112,7 +112,7 @@
 // it starts again before its worker was read under this term.
 func (s *Sched) adoptJob(j *flow.Job) {
 	j.Tasks(func(t *flow.Task) {
-		s.adoptLost(t)
+		s.adoptLostRuns(t)
 		if t.State == flow.Inherited {
 			s.incarnation(t.Worker).add(t)
 		}
