--- a/internal/sched/ends.go
+++ b/internal/sched/ends.go
@@ -6,8 +6,8 @@
 	"pollencroft/internal/flow"
 )
 
-// listed takes note of a run that is at the worker.
-func (s *Sched) listed(w *worker, l RunStatus, clock time.Time) {
+// runListed takes note of a run that is at the worker.
+func (s *Sched) runListed(w *worker, l RunStatus, clock time.Time) {
 	t := s.task(runKey{l.Task, l.Run})
 	if t == nil || t.Worker != w.Incarnation {
 		if !s.adoptCopy(w, l) {
--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -133,7 +133,7 @@
 	listed := make(map[flow.Name]int, len(ev.Running))
 	for _, l := range ev.Running {
 		listed[l.Task] = l.Run
-		s.listed(w, l, ev.Clock)
+		s.runListed(w, l, ev.Clock)
 	}
 	for _, t := range w.inOrder() {
 		if listed[t.Name] != t.Run {
