--- a/internal/sched/ends.go
+++ b/internal/sched/ends.go
@@ -11,7 +11,7 @@
 	t := s.task(runKey{l.Task, l.Run})
 	if t == nil || t.Worker != w.Incarnation {
 		if !s.adoptCopy(w, l) {
-			s.stray(w, l)
+			s.stopUntracked(w, l)
 		}
 		return
 	}
@@ -29,9 +29,9 @@
 	s.progress(w, t, l, clock)
 }
 
-// stray stops a run that no record names. It can only be one that was given up
+// stopUntracked stops a run that no record names. It can only be one that was given up
 // for lapsed by a clock that was wrong; it must not work on unseen.
-func (s *Sched) stray(w *worker, l RunStatus) {
+func (s *Sched) stopUntracked(w *worker, l RunStatus) {
 	k := runKey{l.Task, l.Run}
 	// A run that is listed has begun. Lists from before that may still be on their way.
 	until := s.now.Add(onItsWay)
