--- a/internal/sched/ends.go
+++ b/internal/sched/ends.go
@@ -44,10 +44,10 @@
 	s.emit(Stop{To: w.Address, Term: s.term, Task: l.Task, Run: l.Run})
 }
 
-// absent judges a task that the worker does not list. Only a list that was
+// runMissing judges a task that the worker does not list. Only a list that was
 // asked for after the run was certain to be there, or certain never to begin,
 // tells anything.
-func (s *Sched) absent(t *flow.Task, sent time.Time) {
+func (s *Sched) runMissing(t *flow.Task, sent time.Time) {
 	switch t.State {
 	case flow.Inherited:
 		// Read under this term, so nothing older can begin there any more.
--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -137,7 +137,7 @@
 	}
 	for _, t := range w.inOrder() {
 		if listed[t.Name] != t.Run {
-			s.absent(t, ev.Sent)
+			s.runMissing(t, ev.Sent)
 		}
 	}
 	s.judgePace(w, ev.Clock)
