--- a/internal/sched/ends.go
+++ b/internal/sched/ends.go
@@ -64,10 +64,10 @@
 	}
 }
 
-// ended takes note of a run's end. An end as done counts whatever became of the
+// runEnded takes note of a run's end. An end as done counts whatever became of the
 // leases since: taking it for lapsed and running the task again would run it
 // twice if it had not.
-func (s *Sched) ended(w *worker, e RunEnd, clock time.Time) {
+func (s *Sched) runEnded(w *worker, e RunEnd, clock time.Time) {
 	t := s.task(runKey{e.Task, e.Run})
 	if t == nil || t.Worker != w.Incarnation || !t.Out() {
 		s.copyEnded(w, e)
--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -124,7 +124,7 @@
 	for _, e := range ev.Ended {
 		if e.Number > w.lastEndRead {
 			w.lastEndRead = e.Number
-			s.ended(w, e, ev.Clock)
+			s.runEnded(w, e, ev.Clock)
 		}
 	}
 	if w.lastEndRead > w.lastEndStored {
