--- a/internal/sched/ends.go
+++ b/internal/sched/ends.go
@@ -80,7 +80,7 @@
 	case e.How == EndDone:
 		w.health.good()
 		w.measure(t, clock)
-		s.finish(t)
+		s.finishTask(t)
 	case e.How == EndFailed && t.State != flow.Stopping:
 		s.blame(w, t)
 		s.failed(t)
@@ -91,8 +91,8 @@
 	}
 }
 
-// finish ends a task, and its gang with it: they end as done together.
-func (s *Sched) finish(t *flow.Task) {
+// finishTask ends a task, and its gang with it: they end as done together.
+func (s *Sched) finishTask(t *flow.Task) {
 	if !t.Spec().Gang {
 		s.done(t)
 		return
