--- a/internal/sched/gang.go
+++ b/internal/sched/gang.go
@@ -8,9 +8,9 @@
 	"pollencroft/internal/flow"
 )
 
-// fillGang places all tasks of a step or none. A gang of which a part started
+// placeGang places all tasks of a step or none. A gang of which a part started
 // would wait for the rest with its room taken, and end alone.
-func (s *Sched) fillGang(r ready, p *pool, keep int64) {
+func (s *Sched) placeGang(r ready, p *pool, keep int64) {
 	tasks := r.stage.Tasks
 	if len(r.tasks) < len(tasks) {
 		// Members of the last run are still on their way out.
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -155,7 +155,7 @@
 // fill places what it can of one step.
 func (s *Sched) fill(r ready, p *pool, keep int64) {
 	if r.stage.Spec.Gang {
-		s.fillGang(r, p, keep)
+		s.placeGang(r, p, keep)
 		return
 	}
 	need := r.stage.Spec.Room().CPU
