--- a/internal/sched/gang.go
+++ b/internal/sched/gang.go
@@ -22,7 +22,7 @@
 	}
 	var put []*worker
 	if s.ticketed(r) {
-		put = s.gangRoom(r, s.allowed(r, p))
+		put = s.findGangWorkers(r, s.allowed(r, p))
 	}
 	if put == nil {
 		if r.queue.Advice != nil {
@@ -43,8 +43,8 @@
 	p.left -= need
 }
 
-// gangRoom finds a worker for each member; nil if there is not room for all.
-func (s *Sched) gangRoom(r ready, workers []*worker) []*worker {
+// findGangWorkers finds a worker for each member; nil if there is not room for all.
+func (s *Sched) findGangWorkers(r ready, workers []*worker) []*worker {
 	if r.stage.Spec.SameRack {
 		racks := map[string][]*worker{}
 		for _, w := range workers {
