--- a/internal/sched/gang.go
+++ b/internal/sched/gang.go
@@ -51,15 +51,15 @@
 			racks[w.Rack] = append(racks[w.Rack], w)
 		}
 		for _, name := range slices.Sorted(maps.Keys(racks)) {
-			if put := s.gangOn(r, racks[name]); put != nil {
+			if put := s.fitGang(r, racks[name]); put != nil {
 				return put
 			}
 		}
 	}
-	return s.gangOn(r, workers)
+	return s.fitGang(r, workers)
 }
 
-func (s *Sched) gangOn(r ready, workers []*worker) []*worker {
+func (s *Sched) fitGang(r ready, workers []*worker) []*worker {
 	st := r.stage.Spec
 	room := make(map[*worker]cell.Size, len(workers))
 	count := map[*worker]int{}
