--- a/internal/sched/health.go
+++ b/internal/sched/health.go
@@ -9,11 +9,11 @@
 // Bounds of the judgement of workers. A worker that fails all that it starts
 // always has room, and would swallow the queue and use up every task's tries.
 const (
-	// doubtful is how many failures of different jobs without one good end
+	// maxFailures is how many failures of different jobs without one good end
 	// between them make a worker suspect: at the highest share of failures that
 	// the users' queues have by themselves, 0.1, three in a row come by chance
 	// once in a thousand.
-	doubtful = 3
+	maxFailures = 3
 	// firstRest and longestRest bound how long a suspect gets no work before its
 	// next trial; each failed trial doubles it.
 	firstRest   = 3 * time.Second
@@ -44,7 +44,7 @@
 		h.fails++
 	}
 	h.lastJob = job
-	if h.fails < doubtful {
+	if h.fails < maxFailures {
 		return false
 	}
 	h.rest = min(max(2*h.rest, firstRest), longestRest)
