--- a/internal/sched/health.go
+++ b/internal/sched/health.go
@@ -14,10 +14,10 @@
 	// the users' queues have by themselves, 0.1, three in a row come by chance
 	// once in a thousand.
 	maxFailures = 3
-	// firstRest and longestRest bound how long a suspect gets no work before its
+	// minQuarantine and longestRest bound how long a suspect gets no work before its
 	// next trial; each failed trial doubles it.
-	firstRest   = 3 * time.Second
-	longestRest = 12 * time.Second
+	minQuarantine = 3 * time.Second
+	longestRest   = 12 * time.Second
 )
 
 // health is what the ends of its tasks say of a worker.
@@ -47,7 +47,7 @@
 	if h.fails < maxFailures {
 		return false
 	}
-	h.rest = min(max(2*h.rest, firstRest), longestRest)
+	h.rest = min(max(2*h.rest, minQuarantine), longestRest)
 	h.until = now.Add(h.rest)
 	return true
 }
