--- a/internal/sched/health.go
+++ b/internal/sched/health.go
@@ -17,7 +17,7 @@
 	// minQuarantine and longestRest bound how long a suspect gets no work before its
 	// next trial; each failed trial doubles it.
 	minQuarantine = 3 * time.Second
-	longestRest   = 12 * time.Second
+	maxQuarantine = 12 * time.Second
 )
 
 // health is what the ends of its tasks say of a worker.
@@ -47,7 +47,7 @@
 	if h.fails < maxFailures {
 		return false
 	}
-	h.rest = min(max(2*h.rest, minQuarantine), longestRest)
+	h.rest = min(max(2*h.rest, minQuarantine), maxQuarantine)
 	h.until = now.Add(h.rest)
 	return true
 }
