--- a/internal/sched/health.go
+++ b/internal/sched/health.go
@@ -22,10 +22,10 @@
 
 // health is what the ends of its tasks say of a worker.
 type health struct {
-	fails   int
-	lastJob string
-	rest    time.Duration
-	until   time.Time
+	fails      int
+	lastJob    string
+	quarantine time.Duration
+	until      time.Time
 }
 
 func (h *health) good() { *h = health{} }
@@ -33,7 +33,7 @@
 // open tells whether the worker may get work; a suspect that has rested gets
 // one task at a time.
 func (h *health) open(now time.Time, running int) bool {
-	if h.rest == 0 {
+	if h.quarantine == 0 {
 		return true
 	}
 	return !now.Before(h.until) && running == 0
@@ -47,14 +47,14 @@
 	if h.fails < maxFailures {
 		return false
 	}
-	h.rest = min(max(2*h.rest, minQuarantine), maxQuarantine)
-	h.until = now.Add(h.rest)
+	h.quarantine = min(max(2*h.quarantine, minQuarantine), maxQuarantine)
+	h.until = now.Add(h.quarantine)
 	return true
 }
 
 // blame counts a run that failed or stood still against its worker.
 func (s *Sched) blame(w *worker, t *flow.Task) {
 	if w.health.bad(t.Job.Spec.ID, s.now) {
-		s.emit(Note{ID: w.Incarnation, What: "worker is set aside", Worker: w.Incarnation, Detail: w.health.rest.String()})
+		s.emit(Note{ID: w.Incarnation, What: "worker is set aside", Worker: w.Incarnation, Detail: w.health.quarantine.String()})
 	}
 }
