--- a/internal/sched/health.go
+++ b/internal/sched/health.go
@@ -22,10 +22,10 @@
 
 // health is what the ends of its tasks say of a worker.
 type health struct {
-	fails      int
-	lastJob    string
-	quarantine time.Duration
-	until      time.Time
+	fails            int
+	lastJob          string
+	quarantine       time.Duration
+	quarantinedUntil time.Time
 }
 
 func (h *health) good() { *h = health{} }
@@ -36,7 +36,7 @@
 	if h.quarantine == 0 {
 		return true
 	}
-	return !now.Before(h.until) && running == 0
+	return !now.Before(h.quarantinedUntil) && running == 0
 }
 
 func (h *health) bad(job string, now time.Time) bool {
@@ -48,7 +48,7 @@
 		return false
 	}
 	h.quarantine = min(max(2*h.quarantine, minQuarantine), maxQuarantine)
-	h.until = now.Add(h.quarantine)
+	h.quarantinedUntil = now.Add(h.quarantine)
 	return true
 }
 
