--- a/internal/sched/ends.go
+++ b/internal/sched/ends.go
@@ -78,7 +78,7 @@
 	}
 	switch {
 	case e.How == EndDone:
-		w.health.good()
+		w.health.reset()
 		w.measure(t, clock)
 		s.finishTask(t)
 	case e.How == EndFailed && t.State != flow.Stopping:
--- a/internal/sched/health.go
+++ b/internal/sched/health.go
@@ -28,7 +28,7 @@
 	quarantinedUntil time.Time
 }
 
-func (h *health) good() { *h = health{} }
+func (h *health) reset() { *h = health{} }
 
 // open tells whether the worker may get work; a suspect that has rested gets
 // one task at a time.
