--- a/internal/sched/health.go
+++ b/internal/sched/health.go
@@ -39,7 +39,7 @@
 	return !now.Before(h.quarantinedUntil) && running == 0
 }
 
-func (h *health) bad(job string, now time.Time) bool {
+func (h *health) fail(job string, now time.Time) bool {
 	if h.lastJob != job {
 		h.fails++
 	}
@@ -54,7 +54,7 @@
 
 // blame counts a run that failed or stood still against its worker.
 func (s *Sched) blame(w *worker, t *flow.Task) {
-	if w.health.bad(t.Job.Spec.ID, s.now) {
+	if w.health.fail(t.Job.Spec.ID, s.now) {
 		s.emit(Note{ID: w.Incarnation, What: "worker is set aside", Worker: w.Incarnation, Detail: w.health.quarantine.String()})
 	}
 }
