--- a/internal/sched/health.go
+++ b/internal/sched/health.go
@@ -30,9 +30,9 @@
 
 func (h *health) reset() { *h = health{} }
 
-// open tells whether the worker may get work; a suspect that has rested gets
+// accepts tells whether the worker may get work; a suspect that has rested gets
 // one task at a time.
-func (h *health) open(now time.Time, running int) bool {
+func (h *health) accepts(now time.Time, running int) bool {
 	if h.quarantine == 0 {
 		return true
 	}
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -219,7 +219,7 @@
 func (s *Sched) suits(r ready, t *flow.Task, w *worker) bool {
 	st := r.stage.Spec
 	switch {
-	case s.now.Before(w.refusedUntil) || !w.health.open(s.now, len(w.tasks)):
+	case s.now.Before(w.refusedUntil) || !w.health.accepts(s.now, len(w.tasks)):
 		return false
 	case st.Label != "" && !slices.Contains(w.Labels, st.Label):
 		return false
