--- a/internal/sched/ends.go
+++ b/internal/sched/ends.go
@@ -82,7 +82,7 @@
 		w.measure(t, clock)
 		s.finishTask(t)
 	case e.How == EndFailed && t.State != flow.Stopping:
-		s.blame(w, t)
+		s.recordRunFailure(w, t)
 		s.failed(t)
 	case e.How == EndFailed:
 		s.failed(t)
--- a/internal/sched/health.go
+++ b/internal/sched/health.go
@@ -52,8 +52,8 @@
 	return true
 }
 
-// blame counts a run that failed or stood still against its worker.
-func (s *Sched) blame(w *worker, t *flow.Task) {
+// recordRunFailure counts a run that failed or stood still against its worker.
+func (s *Sched) recordRunFailure(w *worker, t *flow.Task) {
 	if w.health.fail(t.Job.Spec.ID, s.now) {
 		s.emit(Note{ID: w.Incarnation, What: "worker is set aside", Worker: w.Incarnation, Detail: w.health.quarantine.String()})
 	}
--- a/internal/sched/slow.go
+++ b/internal/sched/slow.go
@@ -60,7 +60,7 @@
 	}
 	still := max(stillLeast, time.Duration(stillShare*float64(st.Time)))
 	if clock.Sub(t.Moved) > still {
-		s.blame(w, t)
+		s.recordRunFailure(w, t)
 		t.Avoid = w.Incarnation
 		s.stop(t, "stands still at "+strconv.Itoa(l.Percent)+" percent")
 	}
