--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -6,9 +6,9 @@
 	"pollencroft/internal/flow"
 )
 
-// keepHolding keeps one hold under way on a worker that has anything to hold,
+// ensureHold keeps one hold under way on a worker that has anything to hold,
 // to read or to forget.
-func (s *Sched) keepHolding(w *worker) {
+func (s *Sched) ensureHold(w *worker) {
 	if w.holding || w.dead || !w.Addr.IsValid() || s.now.Before(w.nextHold) || w.idle() {
 		return
 	}
@@ -100,7 +100,7 @@
 		}
 		return
 	}
-	s.keepHolding(w)
+	s.ensureHold(w)
 }
 
 // read takes over a worker's lists.
--- a/internal/sched/list.go
+++ b/internal/sched/list.go
@@ -28,7 +28,7 @@
 		if l.Draining && !w.draining {
 			s.drain(w, l.Remaining)
 		}
-		s.keepHolding(w)
+		s.ensureHold(w)
 	}
 	for _, w := range s.lives() {
 		life := w.Incarnation
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -380,7 +380,7 @@
 	for _, w := range s.lives() {
 		if n, ok := b.ackedEnds[w]; ok {
 			w.lastEndStored = max(w.lastEndStored, n)
-			s.keepHolding(w)
+			s.ensureHold(w)
 		}
 	}
 }
--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -52,7 +52,7 @@
 	s.emit(Start{
 		To: w.Address, Term: s.term, Task: t.Name, Run: t.Run, Text: t.Job.Spec.Text, Saved: t.Saved, Ticket: ticket, Deadline: deadline,
 	})
-	s.keepHolding(w)
+	s.ensureHold(w)
 }
 
 // task returns the task of a run that is its newest; nil if it is not.
@@ -90,7 +90,7 @@
 		return
 	case Accepted:
 		s.confirm(t)
-		s.keepHolding(w)
+		s.ensureHold(w)
 		return
 	case Fenced:
 		s.emit(StepDown{Worker: ev.Worker})
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -207,7 +207,7 @@
 			s.countLostRuns(w)
 		}
 		if w.listed || len(w.tasks) > 0 {
-			s.keepHolding(w)
+			s.ensureHold(w)
 			continue
 		}
 		switch {
@@ -217,7 +217,7 @@
 			delete(s.workers, life)
 			s.forgetOrder()
 		case len(w.lostRuns) > 0:
-			s.keepHolding(w)
+			s.ensureHold(w)
 		}
 	}
 }
