--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// look reads the worker's list beside the hold that may be waiting there.
-func (s *Sched) look(w *worker) {
+// probe reads the worker's list beside the hold that may be waiting there.
+func (s *Sched) probe(w *worker) {
 	if w.probing {
 		w.probeAgain = true
 		return
@@ -71,7 +71,7 @@
 		w.probing = false
 		if w.probeAgain {
 			w.probeAgain = false
-			defer s.look(w)
+			defer s.probe(w)
 		}
 	} else {
 		w.holding = false
--- a/internal/sched/list.go
+++ b/internal/sched/list.go
@@ -35,7 +35,7 @@
 		if !listed[life] && w.listed {
 			w.listed, w.unlistedSince = false, s.now
 			s.emit(Note{ID: life, What: "worker not listed", Worker: life})
-			s.look(w)
+			s.probe(w)
 		}
 	}
 }
--- a/internal/sched/rack.go
+++ b/internal/sched/rack.go
@@ -44,7 +44,7 @@
 	}
 	for _, o := range s.lives() {
 		if o != w && o.Rack == w.Rack && o.idle() {
-			s.look(o)
+			s.probe(o)
 		}
 	}
 }
--- a/internal/sched/stop.go
+++ b/internal/sched/stop.go
@@ -61,7 +61,7 @@
 	case Accepted:
 		st.sure = s.now
 		if w, ok := s.workers[ev.Worker]; ok {
-			s.look(w)
+			s.probe(w)
 		}
 	case OtherIncarnation:
 		s.incarnationEnded(ev.Worker)
