--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -62,7 +62,7 @@
 	s.emit(Hold{To: w.Address, Term: s.term, AckedEnd: w.lastEndStored, Probe: true})
 }
 
-func (s *Sched) held(ev HoldReply) {
+func (s *Sched) holdReplied(ev HoldReply) {
 	w, ok := s.workers[ev.Worker]
 	if !ok || w.dead {
 		return
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -159,7 +159,7 @@
 	case Appended:
 		s.appended(ev.Number)
 	case HoldReply:
-		s.held(ev)
+		s.holdReplied(ev)
 	case StartReply:
 		s.started(ev)
 	case StopReply:
