--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -78,7 +78,7 @@
 	}
 	switch ev.Outcome {
 	case Accepted:
-		s.read(w, ev)
+		s.applyHoldReply(w, ev)
 	case OtherIncarnation:
 		s.incarnationEnded(w.Incarnation)
 		return
@@ -103,8 +103,8 @@
 	s.ensureHold(w)
 }
 
-// read takes over a worker's lists.
-func (s *Sched) read(w *worker, ev HoldReply) {
+// applyHoldReply takes over a worker's lists.
+func (s *Sched) applyHoldReply(w *worker, ev HoldReply) {
 	if !w.unansweredSince.IsZero() {
 		w.backSince = s.now
 		s.rose(w)
