--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -159,15 +159,15 @@
 func (s *Sched) ask(r ready, a *advice, name string, named []string) {
 	cost := r.queue.Advice.Cost(len(named))
 	h := s.hosts[name]
-	if h.busy.Before(s.now) {
-		h.busy = s.now
+	if h.busyUntil.Before(s.now) {
+		h.busyUntil = s.now
 	}
-	h.busy = h.busy.Add(cost)
+	h.busyUntil = h.busyUntil.Add(cost)
 	h.long = s.long(r.queue)
 	if !h.long {
 		s.urgentUsage.add(cost, s.now)
 	}
-	a.asked, a.host, a.named, a.gives = s.now, name, named, h.busy.Add(overdue)
+	a.asked, a.host, a.named, a.gives = s.now, name, named, h.busyUntil.Add(overdue)
 	a.valid, a.queue = r.queue.Advice.Valid, r.queue.Name
 	s.emit(QueryPolicy{Host: name, Step: r.stage.Tasks[0].Name.StepName(), Workers: named, Timeout: a.gives.Sub(s.now)})
 }
--- a/internal/sched/hosts.go
+++ b/internal/sched/hosts.go
@@ -11,10 +11,10 @@
 // host is an entry host that can ask the policy service, which takes one
 // question of each host at a time.
 type host struct {
-	// busy is until when the questions that it was given take; long tells of one
+	// busyUntil is until when the questions that it was given take; long tells of one
 	// for a queue that is not the most urgent.
-	busy time.Time
-	long bool
+	busyUntil time.Time
+	long      bool
 	// bad is until when it is not asked because a question failed there, and rest
 	// how long that was.
 	bad  time.Time
@@ -24,7 +24,7 @@
 func (h *host) failed(now time.Time) {
 	h.rest = min(max(2*h.rest, restAfter), mostRest)
 	h.bad = now.Add(h.rest)
-	h.busy = now
+	h.busyUntil = now
 }
 
 const (
@@ -121,13 +121,13 @@
 	busy := 0
 	best := ""
 	for n, h := range s.hosts {
-		if h.long && h.busy.After(s.now) {
+		if h.long && h.busyUntil.After(s.now) {
 			busy++
 		}
-		if s.now.Before(h.bad) || long && h.busy.After(s.now) || h.busy.Sub(s.now) > mostAhead {
+		if s.now.Before(h.bad) || long && h.busyUntil.After(s.now) || h.busyUntil.Sub(s.now) > mostAhead {
 			continue
 		}
-		if best == "" || h.busy.Before(s.hosts[best].busy) || h.busy.Equal(s.hosts[best].busy) && n < best {
+		if best == "" || h.busyUntil.Before(s.hosts[best].busyUntil) || h.busyUntil.Equal(s.hosts[best].busyUntil) && n < best {
 			best = n
 		}
 	}
