--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -163,8 +163,8 @@
 		h.busyUntil = s.now
 	}
 	h.busyUntil = h.busyUntil.Add(cost)
-	h.long = s.long(r.queue)
-	if !h.long {
+	h.longQuery = s.long(r.queue)
+	if !h.longQuery {
 		s.urgentUsage.add(cost, s.now)
 	}
 	a.asked, a.host, a.named, a.gives = s.now, name, named, h.busyUntil.Add(overdue)
--- a/internal/sched/hosts.go
+++ b/internal/sched/hosts.go
@@ -14,7 +14,7 @@
 	// busyUntil is until when the questions that it was given take; long tells of one
 	// for a queue that is not the most urgent.
 	busyUntil time.Time
-	long      bool
+	longQuery bool
 	// bad is until when it is not asked because a question failed there, and rest
 	// how long that was.
 	bad  time.Time
@@ -121,7 +121,7 @@
 	busy := 0
 	best := ""
 	for n, h := range s.hosts {
-		if h.long && h.busyUntil.After(s.now) {
+		if h.longQuery && h.busyUntil.After(s.now) {
 			busy++
 		}
 		if s.now.Before(h.bad) || long && h.busyUntil.After(s.now) || h.busyUntil.Sub(s.now) > mostAhead {
