--- a/internal/sched/hosts.go
+++ b/internal/sched/hosts.go
@@ -15,15 +15,15 @@
 	// for a queue that is not the most urgent.
 	busyUntil time.Time
 	longQuery bool
-	// bad is until when it is not asked because a question failed there, and rest
+	// avoidUntil is until when it is not asked because a question failed there, and rest
 	// how long that was.
-	bad  time.Time
-	rest time.Duration
+	avoidUntil time.Time
+	rest       time.Duration
 }
 
 func (h *host) failed(now time.Time) {
 	h.rest = min(max(2*h.rest, restAfter), mostRest)
-	h.bad = now.Add(h.rest)
+	h.avoidUntil = now.Add(h.rest)
 	h.busyUntil = now
 }
 
@@ -124,7 +124,7 @@
 		if h.longQuery && h.busyUntil.After(s.now) {
 			busy++
 		}
-		if s.now.Before(h.bad) || long && h.busyUntil.After(s.now) || h.busyUntil.Sub(s.now) > mostAhead {
+		if s.now.Before(h.avoidUntil) || long && h.busyUntil.After(s.now) || h.busyUntil.Sub(s.now) > mostAhead {
 			continue
 		}
 		if best == "" || h.busyUntil.Before(s.hosts[best].busyUntil) || h.busyUntil.Equal(s.hosts[best].busyUntil) && n < best {
