--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -214,7 +214,7 @@
 		if ev.Failed {
 			h.failed(s.now)
 		} else {
-			h.rest = 0
+			h.backoff = 0
 		}
 	}
 }
--- a/internal/sched/hosts.go
+++ b/internal/sched/hosts.go
@@ -18,12 +18,12 @@
 	// avoidUntil is until when it is not asked because a question failed there, and rest
 	// how long that was.
 	avoidUntil time.Time
-	rest       time.Duration
+	backoff    time.Duration
 }
 
 func (h *host) failed(now time.Time) {
-	h.rest = min(max(2*h.rest, restAfter), mostRest)
-	h.avoidUntil = now.Add(h.rest)
+	h.backoff = min(max(2*h.backoff, restAfter), mostRest)
+	h.avoidUntil = now.Add(h.backoff)
 	h.busyUntil = now
 }
 
