--- a/internal/sched/hosts.go
+++ b/internal/sched/hosts.go
@@ -62,17 +62,17 @@
 
 // usage is how many hosts questions keep busy, averaged over a time that fades.
 type usage struct {
-	load float64
-	at   time.Time
+	load    float64
+	updated time.Time
 }
 
 func (u *usage) add(cost time.Duration, now time.Time) {
 	u.load = u.now(now) + cost.Seconds()/urgentFor.Seconds()
-	u.at = now
+	u.updated = now
 }
 
 func (u *usage) now(now time.Time) float64 {
-	return u.load * math.Exp(-now.Sub(u.at).Seconds()/urgentFor.Seconds())
+	return u.load * math.Exp(-now.Sub(u.updated).Seconds()/urgentFor.Seconds())
 }
 
 // kept is how many hosts are kept free of long questions, as many as the urgent ones of
