--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -212,7 +212,7 @@
 	}
 	if h, ok := s.hosts[ev.Host]; ok {
 		if ev.Failed {
-			h.failed(s.now)
+			h.queryFailed(s.now)
 		} else {
 			h.backoff = 0
 		}
@@ -274,7 +274,7 @@
 		if s.now.After(a.gives) {
 			a.asked = time.Time{}
 			if h, ok := s.hosts[a.host]; ok {
-				h.failed(s.now)
+				h.queryFailed(s.now)
 			}
 			s.emit(Note{ID: st.Tasks[0].Name.StepName(), What: "advice took too long", Detail: a.host})
 		}
--- a/internal/sched/hosts.go
+++ b/internal/sched/hosts.go
@@ -21,7 +21,7 @@
 	backoff    time.Duration
 }
 
-func (h *host) failed(now time.Time) {
+func (h *host) queryFailed(now time.Time) {
 	h.backoff = min(max(2*h.backoff, restAfter), mostRest)
 	h.avoidUntil = now.Add(h.backoff)
 	h.busyUntil = now
