--- a/internal/sched/hosts.go
+++ b/internal/sched/hosts.go
@@ -67,11 +67,11 @@
 }
 
 func (u *usage) add(cost time.Duration, now time.Time) {
-	u.load = u.now(now) + cost.Seconds()/urgentFor.Seconds()
+	u.load = u.current(now) + cost.Seconds()/urgentFor.Seconds()
 	u.updated = now
 }
 
-func (u *usage) now(now time.Time) float64 {
+func (u *usage) current(now time.Time) float64 {
 	return u.load * math.Exp(-now.Sub(u.updated).Seconds()/urgentFor.Seconds())
 }
 
@@ -84,7 +84,7 @@
 	if !s.enabled(AdaptUrgentHosts) {
 		return most
 	}
-	return min(1+int(math.Ceil(urgentSpare*s.urgentUsage.now(s.now))), most)
+	return min(1+int(math.Ceil(urgentSpare*s.urgentUsage.current(s.now))), most)
 }
 
 // long tells whether a queue is not among the most urgent ones.
