--- a/internal/sched/hosts.go
+++ b/internal/sched/hosts.go
@@ -28,8 +28,8 @@
 }
 
 const (
-	// urgentHosts is the largest share of the hosts that is kept free of long questions.
-	urgentHosts = 0.4
+	// maxUrgentShare is the largest share of the hosts that is kept free of long questions.
+	maxUrgentShare = 0.4
 	// urgentSpare is how many hosts are kept free for each that urgent questions keep
 	// busy, besides one: of questions that come at random and take one host's time, one
 	// in eleven finds all three hosts busy.
@@ -80,7 +80,7 @@
 // all of it; but each host that is kept free for nothing leaves workers idle that nobody
 // asks about.
 func (s *Sched) kept() int {
-	most := int(math.Ceil(urgentHosts * float64(len(s.hosts))))
+	most := int(math.Ceil(maxUrgentShare * float64(len(s.hosts))))
 	if !s.enabled(AdaptUrgentHosts) {
 		return most
 	}
