--- a/internal/sched/hosts.go
+++ b/internal/sched/hosts.go
@@ -30,10 +30,10 @@
 const (
 	// maxUrgentShare is the largest share of the hosts that is kept free of long questions.
 	maxUrgentShare = 0.4
-	// urgentSpare is how many hosts are kept free for each that urgent questions keep
+	// urgentHostFactor is how many hosts are kept free for each that urgent questions keep
 	// busy, besides one: of questions that come at random and take one host's time, one
 	// in eleven finds all three hosts busy.
-	urgentSpare = 2
+	urgentHostFactor = 2
 	// urgentFor is over how long the time of urgent questions is averaged: longer than
 	// one burst lets pass between two, shorter than a burst.
 	urgentFor = 2 * time.Second
@@ -84,7 +84,7 @@
 	if !s.enabled(AdaptUrgentHosts) {
 		return most
 	}
-	return min(1+int(math.Ceil(urgentSpare*s.urgentUsage.current(s.now))), most)
+	return min(1+int(math.Ceil(urgentHostFactor*s.urgentUsage.current(s.now))), most)
 }
 
 // long tells whether a queue is not among the most urgent ones.
