--- a/internal/sched/hosts.go
+++ b/internal/sched/hosts.go
@@ -34,9 +34,9 @@
 	// busy, besides one: of questions that come at random and take one host's time, one
 	// in eleven finds all three hosts busy.
 	urgentHostFactor = 2
-	// urgentFor is over how long the time of urgent questions is averaged: longer than
+	// urgentWindow is over how long the time of urgent questions is averaged: longer than
 	// one burst lets pass between two, shorter than a burst.
-	urgentFor = 2 * time.Second
+	urgentWindow = 2 * time.Second
 	// mostAhead is how much work a host may have ahead of a question: what comes later
 	// waits for whichever host is free first. The service turns away the 33rd question
 	// of a host, and 32 urgent ones take a second.
@@ -67,12 +67,12 @@
 }
 
 func (u *usage) add(cost time.Duration, now time.Time) {
-	u.load = u.current(now) + cost.Seconds()/urgentFor.Seconds()
+	u.load = u.current(now) + cost.Seconds()/urgentWindow.Seconds()
 	u.updated = now
 }
 
 func (u *usage) current(now time.Time) float64 {
-	return u.load * math.Exp(-now.Sub(u.updated).Seconds()/urgentFor.Seconds())
+	return u.load * math.Exp(-now.Sub(u.updated).Seconds()/urgentWindow.Seconds())
 }
 
 // kept is how many hosts are kept free of long questions, as many as the urgent ones of
