--- a/internal/sched/hosts.go
+++ b/internal/sched/hosts.go
@@ -37,10 +37,10 @@
 	// urgentWindow is over how long the time of urgent questions is averaged: longer than
 	// one burst lets pass between two, shorter than a burst.
 	urgentWindow = 2 * time.Second
-	// mostAhead is how much work a host may have ahead of a question: what comes later
+	// maxHostBacklog is how much work a host may have ahead of a question: what comes later
 	// waits for whichever host is free first. The service turns away the 33rd question
 	// of a host, and 32 urgent ones take a second.
-	mostAhead = 250 * time.Millisecond
+	maxHostBacklog = 250 * time.Millisecond
 	// restAfter is how long a host whose question failed gets none; it doubles up
 	// to mostRest while they go on failing.
 	restAfter = time.Second
@@ -124,7 +124,7 @@
 		if h.longQuery && h.busyUntil.After(s.now) {
 			busy++
 		}
-		if s.now.Before(h.avoidUntil) || long && h.busyUntil.After(s.now) || h.busyUntil.Sub(s.now) > mostAhead {
+		if s.now.Before(h.avoidUntil) || long && h.busyUntil.After(s.now) || h.busyUntil.Sub(s.now) > maxHostBacklog {
 			continue
 		}
 		if best == "" || h.busyUntil.Before(s.hosts[best].busyUntil) || h.busyUntil.Equal(s.hosts[best].busyUntil) && n < best {
