--- a/internal/sched/hosts.go
+++ b/internal/sched/hosts.go
@@ -22,7 +22,7 @@
 }
 
 func (h *host) queryFailed(now time.Time) {
-	h.backoff = min(max(2*h.backoff, restAfter), mostRest)
+	h.backoff = min(max(2*h.backoff, minBackoff), mostRest)
 	h.avoidUntil = now.Add(h.backoff)
 	h.busyUntil = now
 }
@@ -41,10 +41,10 @@
 	// waits for whichever host is free first. The service turns away the 33rd question
 	// of a host, and 32 urgent ones take a second.
 	maxHostBacklog = 250 * time.Millisecond
-	// restAfter is how long a host whose question failed gets none; it doubles up
+	// minBackoff is how long a host whose question failed gets none; it doubles up
 	// to mostRest while they go on failing.
-	restAfter = time.Second
-	mostRest  = 4 * time.Second
+	minBackoff = time.Second
+	mostRest   = 4 * time.Second
 )
 
 func (s *Sched) setHosts(ev Hosts) {
