--- a/internal/sched/hosts.go
+++ b/internal/sched/hosts.go
@@ -22,7 +22,7 @@
 }
 
 func (h *host) queryFailed(now time.Time) {
-	h.backoff = min(max(2*h.backoff, minBackoff), mostRest)
+	h.backoff = min(max(2*h.backoff, minBackoff), maxBackoff)
 	h.avoidUntil = now.Add(h.backoff)
 	h.busyUntil = now
 }
@@ -44,7 +44,7 @@
 	// minBackoff is how long a host whose question failed gets none; it doubles up
 	// to mostRest while they go on failing.
 	minBackoff = time.Second
-	mostRest   = 4 * time.Second
+	maxBackoff = 4 * time.Second
 )
 
 func (s *Sched) setHosts(ev Hosts) {
