--- a/internal/sched/hosts.go
+++ b/internal/sched/hosts.go
@@ -75,11 +75,11 @@
 	return u.load * math.Exp(-now.Sub(u.updated).Seconds()/urgentWindow.Seconds())
 }
 
-// kept is how many hosts are kept free of long questions, as many as the urgent ones of
+// reservedHosts is how many hosts are reservedHosts free of long questions, as many as the urgent ones of
 // late need. An urgent question takes a tenth of a long one's time and would wait for
-// all of it; but each host that is kept free for nothing leaves workers idle that nobody
+// all of it; but each host that is reservedHosts free for nothing leaves workers idle that nobody
 // asks about.
-func (s *Sched) kept() int {
+func (s *Sched) reservedHosts() int {
 	most := int(math.Ceil(maxUrgentShare * float64(len(s.hosts))))
 	if !s.enabled(AdaptUrgentHosts) {
 		return most
@@ -131,7 +131,7 @@
 			best = n
 		}
 	}
-	most := max(len(s.hosts)-s.kept(), 1)
+	most := max(len(s.hosts)-s.reservedHosts(), 1)
 	if long && busy+leave >= most {
 		return ""
 	}
