--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -136,7 +136,7 @@
 	}
 	named := s.worthNaming(r, a, p, n)
 	if len(named) == 0 {
-		if s.long(r.queue) {
+		if s.isLong(r.queue) {
 			a.again = s.now.Add(lookAgain)
 		}
 		return
@@ -163,7 +163,7 @@
 		h.busyUntil = s.now
 	}
 	h.busyUntil = h.busyUntil.Add(cost)
-	h.longQuery = s.long(r.queue)
+	h.longQuery = s.isLong(r.queue)
 	if !h.longQuery {
 		s.urgentUsage.add(cost, s.now)
 	}
--- a/internal/sched/ahead.go
+++ b/internal/sched/ahead.go
@@ -14,7 +14,7 @@
 // GPUs of which a third is idle. With a ticket in hand a task starts in the pass that
 // sees the room.
 func (s *Sched) askAhead(r ready, p *pool) {
-	if !s.enabled(PrefetchTickets) || r.queue.Advice == nil || !s.long(r.queue) {
+	if !s.enabled(PrefetchTickets) || r.queue.Advice == nil || !s.isLong(r.queue) {
 		return
 	}
 	tasks := waitingOf(r.stage)
--- a/internal/sched/hosts.go
+++ b/internal/sched/hosts.go
@@ -87,8 +87,8 @@
 	return min(1+int(math.Ceil(urgentHostFactor*s.urgentUsage.current(s.now))), most)
 }
 
-// long tells whether a queue is not among the most urgent ones.
-func (s *Sched) long(q flow.Queue) bool {
+// isLong tells whether a queue is not among the most urgent ones.
+func (s *Sched) isLong(q flow.Queue) bool {
 	for _, other := range s.queues {
 		if other.Rank < q.Rank {
 			return true
@@ -101,7 +101,7 @@
 // until a pass has found no host: a backlog of a thousand steps asks once.
 func (s *Sched) askableNow(q flow.Queue) string {
 	kind := 0
-	if s.long(q) {
+	if s.isLong(q) {
 		kind = 1
 	}
 	if s.noFreeHost[kind] {
@@ -117,7 +117,7 @@
 // wait behind them at every host.
 // Of the hosts that long questions may take so many are left.
 func (s *Sched) askable(q flow.Queue, leave int) string {
-	long := s.long(q)
+	long := s.isLong(q)
 	busy := 0
 	best := ""
 	for n, h := range s.hosts {
--- a/internal/sched/waits.go
+++ b/internal/sched/waits.go
@@ -90,7 +90,7 @@
 // waitsFor is what a step waits for in this pass.
 func (s *Sched) waitsFor(r ready) WaitReason {
 	kind := 0
-	if s.long(r.queue) {
+	if s.isLong(r.queue) {
 		kind = 1
 	}
 	a, ok := s.advice[r.stage]
