--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -130,7 +130,7 @@
 	if s.now.Before(a.again) || p.lacks(r.stage.Spec.Room()) {
 		return
 	}
-	name := s.askableNow(r.queue)
+	name := s.pickHostOnce(r.queue)
 	if name == "" {
 		return
 	}
--- a/internal/sched/hosts.go
+++ b/internal/sched/hosts.go
@@ -97,9 +97,9 @@
 	return false
 }
 
-// askableNow is askable, which gives the same answer to all queues of a kind
+// pickHostOnce is askable, which gives the same answer to all queues of a kind
 // until a pass has found no host: a backlog of a thousand steps asks once.
-func (s *Sched) askableNow(q flow.Queue) string {
+func (s *Sched) pickHostOnce(q flow.Queue) string {
 	kind := 0
 	if s.isLong(q) {
 		kind = 1
