--- a/internal/sched/ahead.go
+++ b/internal/sched/ahead.go
@@ -26,7 +26,7 @@
 	if !a.asked.IsZero() {
 		return
 	}
-	name := s.askable(r.queue, 1)
+	name := s.pickHost(r.queue, 1)
 	if name == "" {
 		return
 	}
--- a/internal/sched/hosts.go
+++ b/internal/sched/hosts.go
@@ -107,16 +107,16 @@
 	if s.noFreeHost[kind] {
 		return ""
 	}
-	name := s.askable(q, 0)
+	name := s.pickHost(q, 0)
 	s.noFreeHost[kind] = name == ""
 	return name
 }
 
-// askable chooses the host for a question; none if all would keep it waiting.
+// pickHost chooses the host for a question; none if all would keep it waiting.
 // Long questions go to idle hosts only, and never to all: an urgent one would
 // wait behind them at every host.
 // Of the hosts that long questions may take so many are left.
-func (s *Sched) askable(q flow.Queue, leave int) string {
+func (s *Sched) pickHost(q flow.Queue, leave int) string {
 	long := s.isLong(q)
 	busy := 0
 	best := ""
