--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -60,7 +60,7 @@
 		return
 	}
 	s.emit(Note{ID: j.Spec.ID, What: "given up", Detail: t.Name.String() + " crashed " + strings.Join(t.Crashed, ", ")})
-	s.end(j, flow.Failed)
+	s.endJob(j, flow.Failed)
 }
 
 // clearSuspicion takes back that a task may have ended a worker's life.
--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -32,11 +32,11 @@
 		return
 	}
 	s.emit(Note{ID: id, What: "cancelled by its caller"})
-	s.end(j, flow.Cancelled)
+	s.endJob(j, flow.Cancelled)
 }
 
-// end brings a job to a final state and stops what is left of it.
-func (s *Sched) end(j *flow.Job, state flow.State) {
+// endJob brings a job to a final state and stops what is left of it.
+func (s *Sched) endJob(j *flow.Job, state flow.State) {
 	j.End(state, s.now)
 	s.markDirty(j)
 	j.Tasks(func(t *flow.Task) {
@@ -145,5 +145,5 @@
 		return
 	}
 	s.emit(Note{ID: j.Spec.ID, What: "failed for good", Detail: t.Name.String()})
-	s.end(j, flow.Failed)
+	s.endJob(j, flow.Failed)
 }
