--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -48,11 +48,11 @@
 			s.stop(t, "job is "+string(state))
 		}
 	})
-	s.settle(j)
+	s.closeIfOver(j)
 }
 
-// settle closes what is over of a job.
-func (s *Sched) settle(j *flow.Job) {
+// closeIfOver closes what is over of a job.
+func (s *Sched) closeIfOver(j *flow.Job) {
 	if j.State.Final() {
 		out := false
 		j.Tasks(func(t *flow.Task) { out = out || t.Out() })
@@ -101,7 +101,7 @@
 	s.markDirty(t.Job)
 	if t.Job.State.Final() {
 		t.Move(flow.Drop, s.now)
-		s.settle(t.Job)
+		s.closeIfOver(t.Job)
 		return
 	}
 	t.Move(flow.Gone, s.now)
@@ -120,13 +120,13 @@
 	t.Step.Done++
 	s.markDirty(t.Job)
 	if t.Job.State.Final() {
-		s.settle(t.Job)
+		s.closeIfOver(t.Job)
 		return
 	}
 	if t.Step.Over() {
 		delete(s.advice, t.Step)
 	}
-	s.settle(t.Job)
+	s.closeIfOver(t.Job)
 }
 
 // failed counts a failed run and gives the job up after too many.
