--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -57,18 +57,18 @@
 		out := false
 		j.Tasks(func(t *flow.Task) { out = out || t.Out() })
 		if !out {
-			s.close(j)
+			s.closeJob(j)
 		}
 		return
 	}
 	j.Settle(s.now)
 	if j.State.Final() {
-		s.close(j)
+		s.closeJob(j)
 	}
 }
 
-// close lets go of the tasks of a job that is over.
-func (s *Sched) close(j *flow.Job) {
+// closeJob lets go of the tasks of a job that is over.
+func (s *Sched) closeJob(j *flow.Job) {
 	for _, r := range j.Rounds {
 		for _, st := range r.Stages {
 			delete(s.advice, st)
