--- a/internal/sched/gang.go
+++ b/internal/sched/gang.go
@@ -93,7 +93,7 @@
 	for _, m := range gone.Step.Tasks {
 		switch m.State {
 		case flow.Assigned:
-			s.leave(m)
+			s.releaseTask(m)
 			m.Move(flow.Gone, s.now)
 		case flow.Starting, flow.Running, flow.Inherited:
 			s.stop(m, "its gang is broken")
--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -42,7 +42,7 @@
 	j.Tasks(func(t *flow.Task) {
 		switch t.State {
 		case flow.Waiting, flow.Assigned:
-			s.leave(t)
+			s.releaseTask(t)
 			t.Move(flow.Drop, s.now)
 		case flow.Starting, flow.Running, flow.Inherited:
 			s.stop(t, "job is "+string(state))
@@ -81,8 +81,8 @@
 	s.markDirty(j)
 }
 
-// leave takes a task off its worker.
-func (s *Sched) leave(t *flow.Task) {
+// releaseTask takes a task off its worker.
+func (s *Sched) releaseTask(t *flow.Task) {
 	if w, ok := s.workers[t.Worker]; ok {
 		w.remove(t)
 	}
@@ -97,7 +97,7 @@
 		return
 	}
 	s.noteTask(t, "gone", why)
-	s.leave(t)
+	s.releaseTask(t)
 	s.markDirty(t.Job)
 	if t.Job.State.Final() {
 		t.Move(flow.Drop, s.now)
@@ -113,7 +113,7 @@
 // done takes a task's end as done.
 func (s *Sched) done(t *flow.Task) {
 	s.noteTask(t, "done", "")
-	s.leave(t)
+	s.releaseTask(t)
 	if !t.Move(flow.Finish, s.now) {
 		return
 	}
