--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -131,7 +131,7 @@
 		if t.Spec().Copies && !t.Spec().Gang && (t.State == flow.Running || t.State == flow.Starting) {
 			w.untrack(runKey{t.Name, t.Run}, t.Spec().Room(), s.latestStart())
 			s.markLost(t, w)
-			s.gone(t, "worker is silent, a copy may run")
+			s.requeueTask(t, "worker is silent, a copy may run")
 		}
 	}
 }
--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -103,7 +103,7 @@
 	if o == Accepted || o == Unanswered {
 		s.markLost(t, w)
 	}
-	s.gone(t, "worker died")
+	s.requeueTask(t, "worker died")
 }
 
 // startNeverRan acquits a run that was lost on a silent worker before it was known that its
--- a/internal/sched/ends.go
+++ b/internal/sched/ends.go
@@ -51,15 +51,15 @@
 	switch t.State {
 	case flow.Inherited:
 		// Read under this term, so nothing older can begin there any more.
-		s.gone(t, "not at its worker")
+		s.requeueTask(t, "not at its worker")
 	case flow.Running:
 		if sent.After(t.Since) {
-			s.gone(t, "no longer at its worker")
+			s.requeueTask(t, "no longer at its worker")
 		}
 	case flow.Stopping:
 		st, ok := s.stops[runKey{t.Name, t.Run}]
 		if ok && !st.sure.IsZero() && !sent.Before(st.sure) {
-			s.gone(t, "stopped")
+			s.requeueTask(t, "stopped")
 		}
 	}
 }
@@ -87,7 +87,7 @@
 	case e.How == EndFailed:
 		s.failed(t)
 	default:
-		s.gone(t, "ended as "+e.How.String())
+		s.requeueTask(t, "ended as "+e.How.String())
 	}
 }
 
--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -90,9 +90,9 @@
 	t.Worker = ""
 }
 
-// gone puts back a task whose run certainly is not at its worker any more and
+// requeueTask puts back a task whose run certainly is not at its worker any more and
 // did not end as done.
-func (s *Sched) gone(t *flow.Task, why string) {
+func (s *Sched) requeueTask(t *flow.Task, why string) {
 	if t.State == flow.Waiting || !t.Out() {
 		return
 	}
@@ -132,7 +132,7 @@
 // failed counts a failed run and gives the job up after too many.
 func (s *Sched) failed(t *flow.Task) {
 	t.Avoid = t.Worker
-	s.gone(t, "failed")
+	s.requeueTask(t, "failed")
 	s.tried(t)
 }
 
--- a/internal/sched/list.go
+++ b/internal/sched/list.go
@@ -80,9 +80,9 @@
 		case t.State != flow.Assigned:
 			// It left with another member of its gang.
 		case w.Service != s.queue(t.Job).Service || label != "" && !slices.Contains(w.Labels, label):
-			s.gone(t, "worker changed before the start")
+			s.requeueTask(t, "worker changed before the start")
 		case !w.used.Fits(w.Size):
-			s.gone(t, "worker shrank before the start")
+			s.requeueTask(t, "worker shrank before the start")
 		}
 	}
 }
--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -38,12 +38,12 @@
 	}
 	w, ok := s.workers[t.Worker]
 	if !ok || !w.usable(s.now) {
-		s.gone(t, "worker left before the start")
+		s.requeueTask(t, "worker left before the start")
 		return
 	}
 	ticket, ok := s.ticket(t, w)
 	if !ok {
-		s.gone(t, "ticket ran out before the start")
+		s.requeueTask(t, "ticket ran out before the start")
 		return
 	}
 	t.Move(flow.Send, s.now)
@@ -85,7 +85,7 @@
 	switch ev.Outcome {
 	case OtherIncarnation:
 		// The life had ended before the start came.
-		s.gone(t, "worker died")
+		s.requeueTask(t, "worker died")
 		s.incarnationEnded(ev.Worker)
 		return
 	case Accepted:
@@ -110,7 +110,7 @@
 	if t.State == flow.Stopping {
 		return
 	}
-	s.gone(t, "start "+ev.Outcome.String())
+	s.requeueTask(t, "start "+ev.Outcome.String())
 }
 
 // confirm takes a run as begun.
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -176,7 +176,7 @@
 		// The answer to a start that is under way tells whether the life ended before it.
 		if t.State != flow.Starting {
 			s.markLost(t, w)
-			s.gone(t, "worker died")
+			s.requeueTask(t, "worker died")
 		}
 	}
 }
@@ -185,7 +185,7 @@
 func (s *Sched) loseTasks(w *worker) {
 	for _, t := range w.inOrder() {
 		s.markLost(t, w)
-		s.gone(t, "lapsed at a silent worker")
+		s.requeueTask(t, "lapsed at a silent worker")
 	}
 }
 
