--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -122,7 +122,7 @@
 		s.emit(Stop{To: w.Address, Term: s.term, Task: t.Name, Run: t.Run})
 		w.untrack(runKey{t.Name, t.Run}, t.Spec().Room(), s.latestStart())
 	}
-	s.done(t)
+	s.taskDone(t)
 }
 
 // copySilentTasks begins copies of what may run on a worker that does not answer.
--- a/internal/sched/ends.go
+++ b/internal/sched/ends.go
@@ -94,13 +94,13 @@
 // finishTask ends a task, and its gang with it: they end as done together.
 func (s *Sched) finishTask(t *flow.Task) {
 	if !t.Spec().Gang {
-		s.done(t)
+		s.taskDone(t)
 		return
 	}
 	run := t.Run
 	for _, m := range t.Step.Tasks {
 		if m.Run == run && m.State != flow.Done {
-			s.done(m)
+			s.taskDone(m)
 		}
 	}
 }
--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// done takes a task's end as done.
-func (s *Sched) done(t *flow.Task) {
+// taskDone takes a task's end as taskDone.
+func (s *Sched) taskDone(t *flow.Task) {
 	s.noteTask(t, "done", "")
 	s.releaseTask(t)
 	if !t.Move(flow.Finish, s.now) {
