--- a/internal/sched/ends.go
+++ b/internal/sched/ends.go
@@ -83,9 +83,9 @@
 		s.finishTask(t)
 	case e.How == EndFailed && t.State != flow.Stopping:
 		s.recordRunFailure(w, t)
-		s.failed(t)
+		s.taskFailed(t)
 	case e.How == EndFailed:
-		s.failed(t)
+		s.taskFailed(t)
 	default:
 		s.requeueTask(t, "ended as "+e.How.String())
 	}
--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -129,8 +129,8 @@
 	s.closeIfOver(t.Job)
 }
 
-// failed counts a failed run and gives the job up after too many.
-func (s *Sched) failed(t *flow.Task) {
+// taskFailed counts a taskFailed run and gives the job up after too many.
+func (s *Sched) taskFailed(t *flow.Task) {
 	t.Avoid = t.Worker
 	s.requeueTask(t, "failed")
 	s.tried(t)
