--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -112,7 +112,7 @@
 	if !t.Out() {
 		t.Run = e.Run
 	}
-	s.tried(t)
+	s.countFailure(t)
 }
 
 // copyDone ends a task of which a copy is done: the first one counts, and the other one
--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -133,11 +133,11 @@
 func (s *Sched) taskFailed(t *flow.Task) {
 	t.Avoid = t.Worker
 	s.requeueTask(t, "failed")
-	s.tried(t)
+	s.countFailure(t)
 }
 
-// tried counts a failure of a task.
-func (s *Sched) tried(t *flow.Task) {
+// countFailure counts a failure of a task.
+func (s *Sched) countFailure(t *flow.Task) {
 	t.Fails++
 	j := t.Job
 	s.markDirty(j)
