--- a/internal/sched/lapse.go
+++ b/internal/sched/lapse.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// vacant tells whether the leases of all that may run on a silent worker have
+// leasesLapsed tells whether the leases of all that may run on a silent worker have
 // surely lapsed.
-func (s *Sched) vacant(w *worker) bool {
+func (s *Sched) leasesLapsed(w *worker) bool {
 	if len(w.tasks) == 0 || w.fenced && !w.silent(s.now) {
 		return false
 	}
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -199,7 +199,7 @@
 		if !w.dead && w.silent(s.now) {
 			s.copySilentTasks(w)
 		}
-		if !w.dead && s.vacant(w) {
+		if !w.dead && s.leasesLapsed(w) {
 			s.emit(Note{ID: life, What: "leases have lapsed", Worker: life})
 			s.loseTasks(w)
 		}
