--- a/internal/sched/lapse.go
+++ b/internal/sched/lapse.go
@@ -8,14 +8,14 @@
 	if len(w.tasks) == 0 || w.fenced && !w.silent(s.now) {
 		return false
 	}
-	return s.now.After(s.bound(w))
+	return s.now.After(s.leaseBound(w))
 }
 
-// bound is when the leases on a worker that answers no more have surely lapsed.
+// leaseBound is when the leases on a worker that answers no more have surely lapsed.
 // Of a worker that was never read under this term nobody knows how long the
 // former lead's leases are: that lead gives up its term in time, and what it
 // held last cannot last longer than one lease.
-func (s *Sched) bound(w *worker) time.Time {
+func (s *Sched) leaseBound(w *worker) time.Time {
 	if w.fenced {
 		return w.leaseEnd()
 	}
@@ -35,7 +35,7 @@
 	all := map[string]time.Duration{}
 	for life, w := range s.workers {
 		if len(w.tasks) > 0 && (!w.fenced || w.silent(now)) {
-			all[life] = max(s.bound(w).Sub(now), 0)
+			all[life] = max(s.leaseBound(w).Sub(now), 0)
 		}
 	}
 	return all
