--- a/internal/sched/lapse.go
+++ b/internal/sched/lapse.go
@@ -19,9 +19,9 @@
 	if w.fenced {
 		return w.leaseEnd()
 	}
-	at := s.termStart.Add(StoreTimeout + longest(s.limits.Lease))
+	at := s.termStart.Add(StoreTimeout + maxLeaseDuration(s.limits.Lease))
 	if !s.predecessorGone.IsZero() {
-		at = s.predecessorGone.Add(longest(s.limits.Lease))
+		at = s.predecessorGone.Add(maxLeaseDuration(s.limits.Lease))
 	}
 	if !w.predecessorLeaseEnd.IsZero() && w.predecessorLeaseEnd.Before(at) {
 		return w.predecessorLeaseEnd
@@ -41,8 +41,8 @@
 	return all
 }
 
-// longest is how long a lease may last from when it was asked for, on a slow
+// maxLeaseDuration is how long a lease may last from when it was asked for, on a slow
 // clock and with what was on its way.
-func longest(lease time.Duration) time.Duration {
+func maxLeaseDuration(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease)/(1-drift)) + onItsWay
 }
