--- a/internal/sched/limits.go
+++ b/internal/sched/limits.go
@@ -34,9 +34,9 @@
 }
 
 const (
-	// drift is by how much a worker's clock may run slow, as the platform bounds
+	// maxClockDrift is by how much a worker's clock may run slow, as the platform bounds
 	// it: a lease lasts longer by this much.
-	drift = 0.02
+	maxClockDrift = 0.02
 	// startLease is how long a start may be on its way: a delayed one is dead on
 	// arrival soon, and a hold renews what began.
 	startLease = 4 * time.Second
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -143,7 +143,7 @@
 	if !w.leaseDeadline.After(w.clock) {
 		return w.readAt
 	}
-	return w.readAt.Add(time.Duration(float64(w.leaseDeadline.Sub(w.clock)) / (1 - drift)))
+	return w.readAt.Add(time.Duration(float64(w.leaseDeadline.Sub(w.clock)) / (1 - maxClockDrift)))
 }
 
 // evacuate stops tasks on workers that leave: lasting ones at once, others
