--- a/internal/sched/limits.go
+++ b/internal/sched/limits.go
@@ -37,9 +37,9 @@
 	// maxClockDrift is by how much a worker's clock may run slow, as the platform bounds
 	// it: a lease lasts longer by this much.
 	maxClockDrift = 0.02
-	// startLease is how long a start may be on its way: a delayed one is dead on
+	// startTimeout is how long a start may be on its way: a delayed one is dead on
 	// arrival soon, and a hold renews what began.
-	startLease = 4 * time.Second
+	startTimeout = 4 * time.Second
 	// silentAfter is how long a worker may leave calls without an answer before it
 	// gets no more work: two tries.
 	silentAfter = 700 * time.Millisecond
--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -47,7 +47,7 @@
 		return
 	}
 	t.Move(flow.Send, s.now)
-	deadline := w.clockAt(s.now).Add(startLease)
+	deadline := w.clockAt(s.now).Add(startTimeout)
 	w.extendDeadline(deadline)
 	s.emit(Start{
 		To: w.Address, Term: s.term, Task: t.Name, Run: t.Run, Text: t.Job.Spec.Text, Saved: t.Saved, Ticket: ticket, Deadline: deadline,
