--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -94,7 +94,7 @@
 			s.emit(Note{ID: w.Incarnation, What: "worker does not answer", Worker: w.Incarnation, Detail: ev.Outcome.String()})
 			break
 		}
-		w.nextHold = s.now.Add(retryAfter)
+		w.nextHold = s.now.Add(retryDelay)
 		if !w.listed && len(w.tasks) == 0 {
 			w.nextHold = s.now.Add(unlistedHoldInterval)
 		}
--- a/internal/sched/limits.go
+++ b/internal/sched/limits.go
@@ -43,8 +43,8 @@
 	// silentAfter is how long a worker may leave calls without an answer before it
 	// gets no more work: two tries.
 	silentAfter = 700 * time.Millisecond
-	// retryAfter is the pause after an order without an answer.
-	retryAfter = 250 * time.Millisecond
+	// retryDelay is the pause after an order without an answer.
+	retryDelay = 250 * time.Millisecond
 	// retired is how long a worker that is listed no longer is remembered after
 	// its leases have surely lapsed.
 	retired = 30 * time.Second
--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -103,9 +103,9 @@
 	case BadTicket:
 		s.dropTicket(t, w)
 	case NoCapacity:
-		w.refusedUntil = s.now.Add(retryAfter)
+		w.refusedUntil = s.now.Add(retryDelay)
 	default:
-		w.refusedUntil = s.now.Add(retryAfter)
+		w.refusedUntil = s.now.Add(retryDelay)
 	}
 	if t.State == flow.Stopping {
 		return
--- a/internal/sched/stop.go
+++ b/internal/sched/stop.go
@@ -34,7 +34,7 @@
 func (s *Sched) sendStop(k runKey, st *stop) {
 	w, ok := s.workers[st.worker]
 	if !ok || !w.Addr.IsValid() || w.dead {
-		st.again = s.now.Add(retryAfter)
+		st.again = s.now.Add(retryDelay)
 		return
 	}
 	st.flying = true
@@ -68,6 +68,6 @@
 	case Fenced:
 		s.emit(StepDown{Worker: ev.Worker})
 	default:
-		st.again = s.now.Add(retryAfter)
+		st.again = s.now.Add(retryDelay)
 	}
 }
