--- a/internal/sched/limits.go
+++ b/internal/sched/limits.go
@@ -45,9 +45,9 @@
 	silentAfter = 700 * time.Millisecond
 	// retryDelay is the pause after an order without an answer.
 	retryDelay = 250 * time.Millisecond
-	// retired is how long a worker that is listed no longer is remembered after
+	// forgetWorkerAfter is how long a worker that is listed no longer is remembered after
 	// its leases have surely lapsed.
-	retired = 30 * time.Second
+	forgetWorkerAfter = 30 * time.Second
 	// lapsedFor is how long a worker that answers may go without an entry: the platform
 	// says that entries which lapsed with its store are back within two seconds.
 	lapsedFor = 2 * time.Second
--- a/internal/sched/rack.go
+++ b/internal/sched/rack.go
@@ -88,5 +88,5 @@
 
 // watchFalls forgets falls that can be one with no other any more.
 func (s *Sched) watchFalls() {
-	s.outages = slices.DeleteFunc(s.outages, func(f fall) bool { return s.now.Sub(f.at) > retired })
+	s.outages = slices.DeleteFunc(s.outages, func(f fall) bool { return s.now.Sub(f.at) > forgetWorkerAfter })
 }
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -231,7 +231,7 @@
 	if since.IsZero() && len(w.lostRuns) > 0 {
 		since = s.termStart
 	}
-	return s.now.Sub(since) > retired
+	return s.now.Sub(since) > forgetWorkerAfter
 }
 
 // maxLoggedRuns is how many runs one line names.
