--- a/internal/sched/limits.go
+++ b/internal/sched/limits.go
@@ -48,9 +48,9 @@
 	// forgetWorkerAfter is how long a worker that is listed no longer is remembered after
 	// its leases have surely lapsed.
 	forgetWorkerAfter = 30 * time.Second
-	// lapsedFor is how long a worker that answers may go without an entry: the platform
+	// unlistedGrace is how long a worker that answers may go without an entry: the platform
 	// says that entries which lapsed with its store are back within two seconds.
-	lapsedFor = 2 * time.Second
+	unlistedGrace = 2 * time.Second
 	// unnotedEvery is how often a worker is held while its ends cannot be stored:
 	// often enough for its leases.
 	unnotedEvery = 600 * time.Millisecond
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -124,7 +124,7 @@
 	if w.backSince.After(since) {
 		since = w.backSince
 	}
-	listed := w.listed || now.Sub(since) < lapsedFor && w.readAt.After(w.unlistedSince)
+	listed := w.listed || now.Sub(since) < unlistedGrace && w.readAt.After(w.unlistedSince)
 	return listed && w.fenced && !w.dead && !w.draining && w.unansweredSince.IsZero() && w.Size != (cell.Size{})
 }
 
