--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -12,7 +12,7 @@
 	if w.holding || w.dead || !w.Addr.IsValid() || s.now.Before(w.nextHold) || w.idle() {
 		return
 	}
-	if w.fenced && w.lastEndRead > w.lastEndStored && s.now.Sub(w.lastHold) < unnotedEvery {
+	if w.fenced && w.lastEndRead > w.lastEndStored && s.now.Sub(w.lastHold) < unstoredHoldInterval {
 		// Ends that are not noted make every hold answer at once. The append that
 		// is under way lets the worker be asked again.
 		return
--- a/internal/sched/limits.go
+++ b/internal/sched/limits.go
@@ -51,9 +51,9 @@
 	// unlistedGrace is how long a worker that answers may go without an entry: the platform
 	// says that entries which lapsed with its store are back within two seconds.
 	unlistedGrace = 2 * time.Second
-	// unnotedEvery is how often a worker is held while its ends cannot be stored:
+	// unstoredHoldInterval is how often a worker is held while its ends cannot be stored:
 	// often enough for its leases.
-	unnotedEvery = 600 * time.Millisecond
+	unstoredHoldInterval = 600 * time.Millisecond
 	// mostFlights is how many appends may be under way, one for each partition that
 	// the edge stores in, and overlapAfter how long one is waited for alone: five
 	// times what the store takes.
