--- a/internal/sched/limits.go
+++ b/internal/sched/limits.go
@@ -54,11 +54,11 @@
 	// unstoredHoldInterval is how often a worker is held while its ends cannot be stored:
 	// often enough for its leases.
 	unstoredHoldInterval = 600 * time.Millisecond
-	// mostFlights is how many appends may be under way, one for each partition that
+	// maxAppendsInFlight is how many appends may be under way, one for each partition that
 	// the edge stores in, and overlapAfter how long one is waited for alone: five
 	// times what the store takes.
-	mostFlights  = 3
-	overlapAfter = 40 * time.Millisecond
+	maxAppendsInFlight = 3
+	overlapAfter       = 40 * time.Millisecond
 	// StoreTimeout is how long a lead goes on holding workers after the store answered
 	// it last. By then a successor may have begun.
 	StoreTimeout = 8 * time.Second
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -301,7 +301,7 @@
 
 // canAppend tells whether there is anything to store and a partition to store it in.
 func (s *Sched) canAppend() bool {
-	return len(s.inFlight) < mostFlights && (len(s.dirty) > 0 || len(s.nextBatch.ackedEnds) > 0)
+	return len(s.inFlight) < maxAppendsInFlight && (len(s.dirty) > 0 || len(s.nextBatch.ackedEnds) > 0)
 }
 
 // nextAppendAt is when the next append may be made. While one has no answer for long,
@@ -311,7 +311,7 @@
 	switch n := len(s.inFlight); {
 	case n == 0:
 		return s.lastAppend.Add(s.limits.BatchInterval)
-	case n < mostFlights:
+	case n < maxAppendsInFlight:
 		return s.lastAppend.Add(max(s.limits.BatchInterval, overlapAfter))
 	default:
 		return s.now.Add(s.limits.BatchInterval)
