--- a/internal/sched/limits.go
+++ b/internal/sched/limits.go
@@ -58,7 +58,7 @@
 	// the edge stores in, and overlapAfter how long one is waited for alone: five
 	// times what the store takes.
 	maxAppendsInFlight = 3
-	overlapAfter       = 40 * time.Millisecond
+	appendOverlapDelay = 40 * time.Millisecond
 	// StoreTimeout is how long a lead goes on holding workers after the store answered
 	// it last. By then a successor may have begun.
 	StoreTimeout = 8 * time.Second
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -312,7 +312,7 @@
 	case n == 0:
 		return s.lastAppend.Add(s.limits.BatchInterval)
 	case n < maxAppendsInFlight:
-		return s.lastAppend.Add(max(s.limits.BatchInterval, overlapAfter))
+		return s.lastAppend.Add(max(s.limits.BatchInterval, appendOverlapDelay))
 	default:
 		return s.now.Add(s.limits.BatchInterval)
 	}
