--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -38,7 +38,7 @@
 }
 
 // latestStart is until when a run whose start was sent may begin.
-func (s *Sched) latestStart() time.Time { return s.now.Add(startTimeout + onItsWay) }
+func (s *Sched) latestStart() time.Time { return s.now.Add(startTimeout + maxTransit) }
 
 // firstUntrackedEnd is when the first of the loose runs can begin no more.
 func (w *worker) firstUntrackedEnd() time.Time {
--- a/internal/sched/ends.go
+++ b/internal/sched/ends.go
@@ -34,7 +34,7 @@
 func (s *Sched) stopUntracked(w *worker, l RunStatus) {
 	k := runKey{l.Task, l.Run}
 	// A run that is listed has begun. Lists from before that may still be on their way.
-	until := s.now.Add(onItsWay)
+	until := s.now.Add(maxTransit)
 	if j, ok := s.jobs[l.Task.Job]; ok && l.Task.Step < len(j.Spec.Steps) {
 		w.untrack(k, j.Spec.Steps[l.Task.Step].Room(), until)
 	} else {
--- a/internal/sched/lapse.go
+++ b/internal/sched/lapse.go
@@ -44,5 +44,5 @@
 // maxLeaseDuration is how long a lease may last from when it was asked for, on a slow
 // clock and with what was on its way.
 func maxLeaseDuration(lease time.Duration) time.Duration {
-	return time.Duration(float64(lease)/(1-maxClockDrift)) + onItsWay
+	return time.Duration(float64(lease)/(1-maxClockDrift)) + maxTransit
 }
--- a/internal/sched/limits.go
+++ b/internal/sched/limits.go
@@ -62,7 +62,7 @@
 	// StoreTimeout is how long a lead goes on holding workers after the store answered
 	// it last. By then a successor may have begun.
 	StoreTimeout = 8 * time.Second
-	// onItsWay bounds how long a hold that was sent takes to be carried out or
+	// maxTransit bounds how long a hold that was sent takes to be carried out or
 	// dropped, besides those that the platform delays.
-	onItsWay = 500 * time.Millisecond
+	maxTransit = 500 * time.Millisecond
 )
