--- a/internal/sched/list.go
+++ b/internal/sched/list.go
@@ -23,7 +23,7 @@
 			s.forgetOrder()
 			s.emit(Note{ID: l.Incarnation, What: "worker listed", Worker: l.Incarnation, Detail: l.Domain})
 		}
-		s.relist(w, l)
+		s.updateWorker(w, l)
 		w.listed, w.unlistedSince = true, time.Time{}
 		if l.Draining && !w.draining {
 			s.drain(w, l.Remaining)
@@ -40,9 +40,9 @@
 	}
 }
 
-// relist believes what a worker says of itself now. What it runs goes on; starts that are
+// updateWorker believes what a worker says of itself now. What it runs goes on; starts that are
 // not sent yet have to suit what it is now.
-func (s *Sched) relist(w *worker, l Worker) {
+func (s *Sched) updateWorker(w *worker, l Worker) {
 	same := w.Size == l.Size && w.Service == l.Service && slices.Equal(w.Labels, l.Labels)
 	if w.sizedAt.IsZero() || w.Size != l.Size {
 		s.resized(w, l)
