--- a/internal/sched/list.go
+++ b/internal/sched/list.go
@@ -45,7 +45,7 @@
 func (s *Sched) updateWorker(w *worker, l Worker) {
 	same := w.Size == l.Size && w.Service == l.Service && slices.Equal(w.Labels, l.Labels)
 	if w.sizedAt.IsZero() || w.Size != l.Size {
-		s.resized(w, l)
+		s.noteResize(w, l)
 	}
 	w.Worker = l
 	if !same {
@@ -53,8 +53,8 @@
 	}
 }
 
-// resized tells of another size, and which one was believed before, for how long.
-func (s *Sched) resized(w *worker, l Worker) {
+// noteResize tells of another size, and which one was believed before, for how long.
+func (s *Sched) noteResize(w *worker, l Worker) {
 	since := w.sizedAt
 	w.sizedAt = s.now
 	if since.IsZero() {
