--- a/internal/sched/list.go
+++ b/internal/sched/list.go
@@ -26,7 +26,7 @@
 		s.updateWorker(w, l)
 		w.listed, w.unlistedSince = true, time.Time{}
 		if l.Draining && !w.draining {
-			s.drain(w, l.Remaining)
+			s.startDraining(w, l.Remaining)
 		}
 		s.ensureHold(w)
 	}
@@ -87,8 +87,8 @@
 	}
 }
 
-// drain notes that a worker leaves: nothing more starts there.
-func (s *Sched) drain(w *worker, left time.Duration) {
+// startDraining notes that a worker leaves: nothing more starts there.
+func (s *Sched) startDraining(w *worker, left time.Duration) {
 	w.draining = true
 	w.leavesAt = s.now.Add(left)
 	s.emit(Note{ID: w.Incarnation, What: "worker leaves", Worker: w.Incarnation, Detail: left.String()})
