--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -134,7 +134,7 @@
 	if name == "" {
 		return
 	}
-	named := s.worthNaming(r, a, p, n)
+	named := s.workersToQuery(r, a, p, n)
 	if len(named) == 0 {
 		if s.isLong(r.queue) {
 			a.again = s.now.Add(lookAgain)
--- a/internal/sched/naming.go
+++ b/internal/sched/naming.go
@@ -27,10 +27,10 @@
 	}
 }
 
-// worthNaming lists workers that have room for n tasks of the step and may be allowed, the
+// workersToQuery lists workers that have room for n tasks of the step and may be allowed, the
 // best first, and as many as the tasks need; then others of which an answer tells more
 // than it costs. It lists none if nothing could start whatever the answer is.
-func (s *Sched) worthNaming(r ready, a *advice, p *pool, n int) []string {
+func (s *Sched) workersToQuery(r ready, a *advice, p *pool, n int) []string {
 	all, most := s.nameNow(r, a, p)
 	if len(all) == 0 || r.stage.Spec.Gang && most < n {
 		return nil
