--- a/internal/sched/naming.go
+++ b/internal/sched/naming.go
@@ -31,7 +31,7 @@
 // best first, and as many as the tasks need; then others of which an answer tells more
 // than it costs. It lists none if nothing could start whatever the answer is.
 func (s *Sched) workersToQuery(r ready, a *advice, p *pool, n int) []string {
-	all, most := s.nameNow(r, a, p)
+	all, most := s.candidatesWithCapacity(r, a, p)
 	if len(all) == 0 || r.stage.Spec.Gang && most < n {
 		return nil
 	}
@@ -62,11 +62,11 @@
 	return named
 }
 
-// nameNow lists the workers of a pool that have room for the step and of which a question would
+// candidatesWithCapacity lists the workers of a pool that have room for the step and of which a question would
 // tell something; most is how many tasks could start if all were allowed. In a full cell there
 // is none in most passes, for hundreds of steps: room is looked at first, and what an order
 // among them costs is left for those that have it.
-func (s *Sched) nameNow(r ready, a *advice, p *pool) (all []candidate, most int) {
+func (s *Sched) candidatesWithCapacity(r ready, a *advice, p *pool) (all []candidate, most int) {
 	room, some := r.stage.Spec.Room(), false
 	for _, w := range p.workers {
 		if !room.Fits(w.available().Sub(w.earmarked)) {
