--- a/internal/sched/naming.go
+++ b/internal/sched/naming.go
@@ -53,7 +53,7 @@
 	if enough(named) {
 		return named
 	}
-	for _, c := range s.nameLater(r, a, p) {
+	for _, c := range s.otherCandidates(r, a, p) {
 		if enough(named) {
 			break
 		}
@@ -91,8 +91,8 @@
 	return all, most
 }
 
-// nameLater lists the workers without room for the step now that nobody asked about yet.
-func (s *Sched) nameLater(r ready, a *advice, p *pool) []candidate {
+// otherCandidates lists the workers without room for the step now that nobody asked about yet.
+func (s *Sched) otherCandidates(r ready, a *advice, p *pool) []candidate {
 	var all []candidate
 	room := r.stage.Spec.Room()
 	for _, w := range p.workers {
