--- a/internal/sched/ahead.go
+++ b/internal/sched/ahead.go
@@ -65,7 +65,7 @@
 	}
 	slices.SortStableFunc(all, candidate.compare)
 	var named []string
-	for _, c := range all[:min(len(all), max(s.mostMore(r.queue.Advice), 1), mostNamed)] {
+	for _, c := range all[:min(len(all), max(s.extraQueryWorkers(r.queue.Advice), 1), mostNamed)] {
 		named = append(named, c.life)
 	}
 	return named
--- a/internal/sched/naming.go
+++ b/internal/sched/naming.go
@@ -35,7 +35,7 @@
 	if len(all) == 0 || r.stage.Spec.Gang && most < n {
 		return nil
 	}
-	rate, more := s.rate(r.queue), s.mostMore(r.queue.Advice)
+	rate, more := s.rate(r.queue), s.extraQueryWorkers(r.queue.Advice)
 	want := float64(n) * spare
 	enough := func(named []string) bool { return want <= 0 && len(named) >= more || len(named) == mostNamed }
 	var named []string
@@ -106,8 +106,8 @@
 	return all
 }
 
-// mostMore is how many workers a question may name without taking much longer.
-func (s *Sched) mostMore(a *flow.Advice) int {
+// extraQueryWorkers is how many workers a question may name without taking much longer.
+func (s *Sched) extraQueryWorkers(a *flow.Advice) int {
 	switch {
 	case !s.enabled(QueryMoreWorkers):
 		return 0
