--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -186,7 +186,7 @@
 		if _, known := a.good[life]; known {
 			part = 1
 		}
-		likely := min(part*float64(r.hold(w)), want)
+		likely := min(part*float64(r.taskCapacity(w)), want)
 		w.earmarked = w.earmarked.Add(room.Times(likely))
 		if want -= likely; want <= 0 {
 			return
--- a/internal/sched/naming.go
+++ b/internal/sched/naming.go
@@ -76,7 +76,7 @@
 		if a.bad[w.Incarnation] || !s.suits(r, r.tasks[0], w) {
 			continue
 		}
-		hold := r.hold(w)
+		hold := r.taskCapacity(w)
 		most += hold
 		got, known := a.good[w.Incarnation]
 		if !known || !s.now.Before(got.until) {
@@ -117,8 +117,8 @@
 	return int(moreCost * float64(a.Base) / float64(a.Each))
 }
 
-// hold is how many of the step's tasks a worker has room for.
-func (r ready) hold(w *worker) int {
+// taskCapacity is how many of the step's tasks a worker has room for.
+func (r ready) taskCapacity(w *worker) int {
 	st := r.stage.Spec
 	n := min(int64(len(r.tasks)), st.Room().Into(w.free()))
 	if st.Apart > 0 {
