--- a/internal/sched/list.go
+++ b/internal/sched/list.go
@@ -30,7 +30,7 @@
 		}
 		s.ensureHold(w)
 	}
-	for _, w := range s.lives() {
+	for _, w := range s.sortedWorkers() {
 		life := w.Incarnation
 		if !listed[life] && w.listed {
 			w.listed, w.unlistedSince = false, s.now
--- a/internal/sched/order.go
+++ b/internal/sched/order.go
@@ -11,9 +11,9 @@
 // The core decides the same whenever it is told the same: what it walks in a
 // map's order would differ from run to run, and with it every seed of a test.
 
-// lives lists the workers in order of life. The list is kept until a worker comes or goes:
+// sortedWorkers lists the workers in order of life. The list is kept until a worker comes or goes:
 // each pass walks it several times.
-func (s *Sched) lives() []*worker {
+func (s *Sched) sortedWorkers() []*worker {
 	if len(s.sortedCache) == len(s.workers) {
 		return s.sortedCache
 	}
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -97,7 +97,7 @@
 
 func (s *Sched) pools() map[string]*pool {
 	all := map[string]*pool{}
-	for _, w := range s.lives() {
+	for _, w := range s.sortedWorkers() {
 		if !w.usable(s.now) {
 			continue
 		}
--- a/internal/sched/rack.go
+++ b/internal/sched/rack.go
@@ -42,7 +42,7 @@
 	if !suspect {
 		return
 	}
-	for _, o := range s.lives() {
+	for _, o := range s.sortedWorkers() {
 		if o != w && o.Rack == w.Rack && o.idle() {
 			s.probe(o)
 		}
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -377,7 +377,7 @@
 
 // ackEnds lets workers forget the ends whose jobs are stored.
 func (s *Sched) ackEnds(b *batch) {
-	for _, w := range s.lives() {
+	for _, w := range s.sortedWorkers() {
 		if n, ok := b.ackedEnds[w]; ok {
 			w.lastEndStored = max(w.lastEndStored, n)
 			s.ensureHold(w)
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -191,7 +191,7 @@
 
 // checkWorkers notices leases that have surely lapsed and goes on asking.
 func (s *Sched) checkWorkers() {
-	for _, w := range s.lives() {
+	for _, w := range s.sortedWorkers() {
 		life := w.Incarnation
 		if w.draining && !w.dead {
 			s.evacuate(w)
