--- a/internal/sched/list.go
+++ b/internal/sched/list.go
@@ -20,7 +20,7 @@
 			w = newWorker(l)
 			w.firstSeen = s.now
 			s.workers[l.Incarnation] = w
-			s.forgetOrder()
+			s.workersChanged()
 			s.emit(Note{ID: l.Incarnation, What: "worker listed", Worker: l.Incarnation, Detail: l.Domain})
 		}
 		s.updateWorker(w, l)
--- a/internal/sched/order.go
+++ b/internal/sched/order.go
@@ -24,8 +24,8 @@
 	return s.sortedCache
 }
 
-// forgetOrder is called when the set of workers has changed.
-func (s *Sched) forgetOrder() { s.sortedCache = nil }
+// workersChanged is called when the set of workers has changed.
+func (s *Sched) workersChanged() { s.sortedCache = nil }
 
 // inOrder lists the worker's tasks by name.
 func (w *worker) inOrder() []*flow.Task {
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -125,7 +125,7 @@
 	if !ok {
 		w = newWorker(Worker{Address: Address{Incarnation: life}})
 		s.workers[life] = w
-		s.forgetOrder()
+		s.workersChanged()
 	}
 	return w
 }
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -215,7 +215,7 @@
 			s.emit(Note{ID: life, What: "worker forgotten", Worker: life, Detail: w.describeEnd()})
 			s.resolveForgotten(w)
 			delete(s.workers, life)
-			s.forgetOrder()
+			s.workersChanged()
 		case len(w.lostRuns) > 0:
 			s.ensureHold(w)
 		}
