--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -127,7 +127,7 @@
 
 // copySilentTasks begins copies of what may run on a worker that does not answer.
 func (s *Sched) copySilentTasks(w *worker) {
-	for _, t := range w.inOrder() {
+	for _, t := range w.sortedTasks() {
 		if t.Spec().Copies && !t.Spec().Gang && (t.State == flow.Running || t.State == flow.Starting) {
 			w.untrack(runKey{t.Name, t.Run}, t.Spec().Room(), s.latestStart())
 			s.markLost(t, w)
--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -135,7 +135,7 @@
 		listed[l.Task] = l.Run
 		s.runListed(w, l, ev.Clock)
 	}
-	for _, t := range w.inOrder() {
+	for _, t := range w.sortedTasks() {
 		if listed[t.Name] != t.Run {
 			s.runMissing(t, ev.Sent)
 		}
--- a/internal/sched/list.go
+++ b/internal/sched/list.go
@@ -70,7 +70,7 @@
 // recallStarts puts back starts that are not sent yet and that their worker does not suit any more,
 // the least urgent first.
 func (s *Sched) recallStarts(w *worker) {
-	all := slices.DeleteFunc(w.inOrder(), func(t *flow.Task) bool { return t.State != flow.Assigned })
+	all := slices.DeleteFunc(w.sortedTasks(), func(t *flow.Task) bool { return t.State != flow.Assigned })
 	slices.SortStableFunc(all, func(a, b *flow.Task) int {
 		return cmp.Or(s.queue(b.Job).Rank-s.queue(a.Job).Rank, cmp.Compare(b.Job.Number, a.Job.Number))
 	})
--- a/internal/sched/order.go
+++ b/internal/sched/order.go
@@ -27,8 +27,8 @@
 // workersChanged is called when the set of workers has changed.
 func (s *Sched) workersChanged() { s.sortedCache = nil }
 
-// inOrder lists the worker's tasks by name.
-func (w *worker) inOrder() []*flow.Task {
+// sortedTasks lists the worker's tasks by name.
+func (w *worker) sortedTasks() []*flow.Task {
 	all := slices.AppendSeq(make([]*flow.Task, 0, len(w.tasks)), maps.Values(w.tasks))
 	slices.SortFunc(all, func(a, b *flow.Task) int { return compareNames(a.Name, b.Name) })
 	return all
--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -61,7 +61,7 @@
 	if level != w.pace.level {
 		w.pace.level, w.pace.moved = level, s.now
 	}
-	for _, t := range w.inOrder() {
+	for _, t := range w.sortedTasks() {
 		if t.Spec().Fills && t.State == flow.Running && (t.Pace != level || worst >= stopAt) {
 			t.Pace = level
 			s.emit(Pace{To: w.Address, Term: s.term, Task: t.Name, Run: t.Run, Percent: level})
--- a/internal/sched/reserve.go
+++ b/internal/sched/reserve.go
@@ -65,7 +65,7 @@
 		size cell.Size
 	}
 	var ends []end
-	for _, t := range w.inOrder() {
+	for _, t := range w.sortedTasks() {
 		if !t.Spec().Lasts {
 			ends = append(ends, end{t.Since.Add(t.Spec().Time), t.Spec().Room()})
 		}
--- a/internal/sched/slow.go
+++ b/internal/sched/slow.go
@@ -74,7 +74,7 @@
 	var slow []*flow.Task
 	jobs := map[string]bool{}
 	judged, worst := 0, 1.0
-	for _, t := range w.inOrder() {
+	for _, t := range w.sortedTasks() {
 		rate, ok := paceOf(t, clock)
 		if !ok {
 			continue
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -149,7 +149,7 @@
 // evacuate stops tasks on workers that leave: lasting ones at once, others
 // when they would not end before the worker goes.
 func (s *Sched) evacuate(w *worker) {
-	for _, t := range w.inOrder() {
+	for _, t := range w.sortedTasks() {
 		if t.State != flow.Running {
 			continue
 		}
@@ -172,7 +172,7 @@
 	w.dead, w.judgeAt = true, s.now.Add(rackWait)
 	s.fell(w)
 	s.emit(Note{ID: life, What: "worker has begun another life", Worker: life, Detail: w.describeRuns()})
-	for _, t := range w.inOrder() {
+	for _, t := range w.sortedTasks() {
 		// The answer to a start that is under way tells whether the life ended before it.
 		if t.State != flow.Starting {
 			s.markLost(t, w)
@@ -183,7 +183,7 @@
 
 // loseTasks puts back all tasks of a silent worker on which nothing can run any more.
 func (s *Sched) loseTasks(w *worker) {
-	for _, t := range w.inOrder() {
+	for _, t := range w.sortedTasks() {
 		s.markLost(t, w)
 		s.requeueTask(t, "lapsed at a silent worker")
 	}
@@ -240,7 +240,7 @@
 // describeRuns names what may run on the worker, for the log.
 func (w *worker) describeRuns() string {
 	keys := ordered(w.untracked)
-	for _, t := range w.inOrder() {
+	for _, t := range w.sortedTasks() {
 		keys = append(keys, runKey{t.Name, t.Run})
 	}
 	slices.SortFunc(keys, compareRuns)
--- a/internal/sched/yield.go
+++ b/internal/sched/yield.go
@@ -86,7 +86,7 @@
 		return nil, false
 	}
 	var all []*flow.Task
-	for _, t := range w.inOrder() {
+	for _, t := range w.sortedTasks() {
 		if s.mayYield(t, r) {
 			all = append(all, t)
 		}
