--- a/internal/sched/order.go
+++ b/internal/sched/order.go
@@ -47,8 +47,8 @@
 	return slices.SortedFunc(maps.Keys(m), compareRuns)
 }
 
-// opened lists the jobs that are not over by the order of their acceptance.
-func (s *Sched) opened() []*flow.Job {
+// sortedOpenJobs lists the jobs that are not over by the order of their acceptance.
+func (s *Sched) sortedOpenJobs() []*flow.Job {
 	all := slices.AppendSeq(make([]*flow.Job, 0, len(s.openJobs)), maps.Values(s.openJobs))
 	slices.SortFunc(all, func(a, b *flow.Job) int { return cmp.Compare(a.Number, b.Number) })
 	return all
