--- a/internal/sched/order.go
+++ b/internal/sched/order.go
@@ -42,8 +42,8 @@
 	return cmp.Or(compareNames(a.task, b.task), a.run-b.run)
 }
 
-// ordered lists the keys of a map of runs.
-func ordered[V any](m map[runKey]V) []runKey {
+// sortedRuns lists the keys of a map of runs.
+func sortedRuns[V any](m map[runKey]V) []runKey {
 	return slices.SortedFunc(maps.Keys(m), compareRuns)
 }
 
--- a/internal/sched/stop.go
+++ b/internal/sched/stop.go
@@ -42,7 +42,7 @@
 }
 
 func (s *Sched) retryStops() {
-	for _, k := range ordered(s.stops) {
+	for _, k := range sortedRuns(s.stops) {
 		st := s.stops[k]
 		if !st.flying && st.sure.IsZero() && !s.now.Before(st.again) {
 			s.sendStop(k, st)
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -239,7 +239,7 @@
 
 // describeRuns names what may run on the worker, for the log.
 func (w *worker) describeRuns() string {
-	keys := ordered(w.untracked)
+	keys := sortedRuns(w.untracked)
 	for _, t := range w.sortedTasks() {
 		keys = append(keys, runKey{t.Name, t.Run})
 	}
