--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -11,10 +11,10 @@
 // times near its bound; holding the filling tasks back brings it down within
 // the platform's pacing delay, long before the bound is broken for good.
 const (
-	// near is the share of the target from which filling tasks are held back,
+	// slowFrom is the share of the target from which filling tasks are held back,
 	// stopAt that from which they stand still.
-	near   = 0.7
-	stopAt = 0.85
+	slowFrom = 0.7
+	stopAt   = 0.85
 	// calm is the share below which they may go faster again, by stepUp percent
 	// each stepEvery.
 	calm      = 0.55
@@ -53,7 +53,7 @@
 	switch {
 	case worst >= stopAt:
 		level = 0
-	case worst >= near:
+	case worst >= slowFrom:
 		level = min(level, level/2)
 	case worst < calm && s.now.Sub(w.pace.moved) >= stepEvery:
 		level = min(level+stepUp, 100)
