--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -13,8 +13,8 @@
 const (
 	// slowFrom is the share of the target from which filling tasks are held back,
 	// stopAt that from which they stand still.
-	slowFrom = 0.7
-	stopAt   = 0.85
+	slowFrom  = 0.7
+	pauseFrom = 0.85
 	// calm is the share below which they may go faster again, by stepUp percent
 	// each stepEvery.
 	calm      = 0.55
@@ -51,7 +51,7 @@
 	worst := w.worstTail(running)
 	level := w.pace.level
 	switch {
-	case worst >= stopAt:
+	case worst >= pauseFrom:
 		level = 0
 	case worst >= slowFrom:
 		level = min(level, level/2)
@@ -62,7 +62,7 @@
 		w.pace.level, w.pace.moved = level, s.now
 	}
 	for _, t := range w.sortedTasks() {
-		if t.Spec().Fills && t.State == flow.Running && (t.Pace != level || worst >= stopAt) {
+		if t.Spec().Fills && t.State == flow.Running && (t.Pace != level || worst >= pauseFrom) {
 			t.Pace = level
 			s.emit(Pace{To: w.Address, Term: s.term, Task: t.Name, Run: t.Run, Percent: level})
 		}
