--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -15,11 +15,11 @@
 	// stopAt that from which they stand still.
 	slowFrom  = 0.7
 	pauseFrom = 0.85
-	// calm is the share below which they may go faster again, by stepUp percent
+	// speedUpBelow is the share below which they may go faster again, by stepUp percent
 	// each stepEvery.
-	calm      = 0.55
-	stepUp    = 20
-	stepEvery = time.Second
+	speedUpBelow = 0.55
+	stepUp       = 20
+	stepEvery    = time.Second
 )
 
 // pacing is how much filling tasks on a worker may work, in percent.
@@ -55,7 +55,7 @@
 		level = 0
 	case worst >= slowFrom:
 		level = min(level, level/2)
-	case worst < calm && s.now.Sub(w.pace.moved) >= stepEvery:
+	case worst < speedUpBelow && s.now.Sub(w.pace.moved) >= stepEvery:
 		level = min(level+stepUp, 100)
 	}
 	if level != w.pace.level {
