--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -18,7 +18,7 @@
 	// speedUpBelow is the share below which they may go faster again, by stepUp percent
 	// each stepEvery.
 	speedUpBelow = 0.55
-	stepUp       = 20
+	speedUpStep  = 20
 	stepEvery    = time.Second
 )
 
@@ -56,7 +56,7 @@
 	case worst >= slowFrom:
 		level = min(level, level/2)
 	case worst < speedUpBelow && s.now.Sub(w.pace.moved) >= stepEvery:
-		level = min(level+stepUp, 100)
+		level = min(level+speedUpStep, 100)
 	}
 	if level != w.pace.level {
 		w.pace.level, w.pace.moved = level, s.now
