--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -43,7 +43,7 @@
 	case len(w.tasks) == 0 && w.firstUntrackedEnd().After(s.now):
 		return min(s.limits.HoldWait, max(w.firstUntrackedEnd().Sub(s.now), s.limits.BatchInterval))
 	case w.fillCPU > 0 && w.serves():
-		return stepEvery / 2
+		return speedUpInterval / 2
 	default:
 		return s.limits.HoldWait
 	}
--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -17,9 +17,9 @@
 	pauseFrom = 0.85
 	// speedUpBelow is the share below which they may go faster again, by stepUp percent
 	// each stepEvery.
-	speedUpBelow = 0.55
-	speedUpStep  = 20
-	stepEvery    = time.Second
+	speedUpBelow    = 0.55
+	speedUpStep     = 20
+	speedUpInterval = time.Second
 )
 
 // pacing is how much filling tasks on a worker may work, in percent.
@@ -55,7 +55,7 @@
 		level = 0
 	case worst >= slowFrom:
 		level = min(level, level/2)
-	case worst < speedUpBelow && s.now.Sub(w.pace.moved) >= stepEvery:
+	case worst < speedUpBelow && s.now.Sub(w.pace.moved) >= speedUpInterval:
 		level = min(level+speedUpStep, 100)
 	}
 	if level != w.pace.level {
