--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -24,8 +24,8 @@
 
 // pacing is how much filling tasks on a worker may work, in percent.
 type pacing struct {
-	level int
-	moved time.Time
+	level   int
+	changed time.Time
 }
 
 func newPacing() pacing { return pacing{level: 100} }
@@ -55,11 +55,11 @@
 		level = 0
 	case worst >= slowFrom:
 		level = min(level, level/2)
-	case worst < speedUpBelow && s.now.Sub(w.pace.moved) >= speedUpInterval:
+	case worst < speedUpBelow && s.now.Sub(w.pace.changed) >= speedUpInterval:
 		level = min(level+speedUpStep, 100)
 	}
 	if level != w.pace.level {
-		w.pace.level, w.pace.moved = level, s.now
+		w.pace.level, w.pace.changed = level, s.now
 	}
 	for _, t := range w.sortedTasks() {
 		if t.Spec().Fills && t.State == flow.Running && (t.Pace != level || worst >= pauseFrom) {
