--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -30,8 +30,8 @@
 
 func newPacing() pacing { return pacing{level: 100} }
 
-// worstTail is the highest tail of a task that serves, as a share of its target.
-func (w *worker) worstTail(running []RunStatus) float64 {
+// worstLatency is the highest tail of a task that serves, as a share of its target.
+func (w *worker) worstLatency(running []RunStatus) float64 {
 	worst := 0.0
 	for _, l := range running {
 		t := w.tasks[l.Task]
@@ -48,7 +48,7 @@
 	if w.fillCPU == 0 {
 		return
 	}
-	worst := w.worstTail(running)
+	worst := w.worstLatency(running)
 	level := w.pace.level
 	switch {
 	case worst >= pauseFrom:
