--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -142,5 +142,5 @@
 	}
 	s.judgePace(w, ev.Clock)
 	w.releaseUntracked(listed, s.now)
-	s.repace(w, ev.Running)
+	s.adjustPace(w, ev.Running)
 }
--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -43,8 +43,8 @@
 	return worst
 }
 
-// repace follows the tails that a worker lists.
-func (s *Sched) repace(w *worker, running []RunStatus) {
+// adjustPace follows the tails that a worker lists.
+func (s *Sched) adjustPace(w *worker, running []RunStatus) {
 	if w.fillCPU == 0 {
 		return
 	}
