--- a/internal/sched/chance.go
+++ b/internal/sched/chance.go
@@ -36,12 +36,12 @@
 	starvedShare = 0.125
 )
 
-// chance judges a step by what is left of its job. After an outage, or with more work
+// deadlineClassOf judges a step by what is left of its job. After an outage, or with more work
 // than workers for a while, everybody is late if the oldest goes first: one waits for
 // the other, each ends just too late, and so it goes on for as long as there is a queue.
 // With those first that can still be in time, only as many are late as there is too much
 // work for. Jobs that last have no end to be late for.
-func (s *Sched) chance(j *flow.Job, r *flow.Round, st *flow.Stage, q flow.Queue) chance {
+func (s *Sched) deadlineClassOf(j *flow.Job, r *flow.Round, st *flow.Stage, q flow.Queue) chance {
 	if !s.enabled(OnTimeFirst) || st.Spec.Lasts {
 		return inTime
 	}
@@ -108,7 +108,7 @@
 		for _, t := range w.tasks {
 			q := s.queue(t.Job)
 			r, ok := t.Job.Rounds[t.Name.Round]
-			if ok && s.chance(t.Job, r, t.Step, q) == starved {
+			if ok && s.deadlineClassOf(t.Job, r, t.Step, q) == starved {
 				taken[q.Service] = taken[q.Service].Add(t.Spec().Room())
 			}
 		}
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -38,7 +38,7 @@
 					continue
 				}
 				if tasks := waitingOf(st); len(tasks) > 0 {
-					all = append(all, ready{stage: st, job: j, round: r, queue: q, tasks: tasks, chance: s.chance(j, r, st, q)})
+					all = append(all, ready{stage: st, job: j, round: r, queue: q, tasks: tasks, chance: s.deadlineClassOf(j, r, st, q)})
 				}
 			}
 		}
