--- a/internal/sched/chance.go
+++ b/internal/sched/chance.go
@@ -9,12 +9,12 @@
 	"pollencroft/internal/flow"
 )
 
-// chance tells which steps of equal rank go first.
-type chance int
+// deadlineClass tells which steps of equal rank go first.
+type deadlineClass int
 
 const (
 	// inTime is work that can still end when its caller was promised, if it begins now.
-	inTime chance = iota
+	inTime deadlineClass = iota
 	// late is work that ends too late whatever is done, but not by much.
 	late
 	// hopeless is work whose caller has most likely made do without it.
@@ -41,7 +41,7 @@
 // the other, each ends just too late, and so it goes on for as long as there is a queue.
 // With those first that can still be in time, only as many are late as there is too much
 // work for. Jobs that last have no end to be late for.
-func (s *Sched) deadlineClassOf(j *flow.Job, r *flow.Round, st *flow.Stage, q flow.Queue) chance {
+func (s *Sched) deadlineClassOf(j *flow.Job, r *flow.Round, st *flow.Stage, q flow.Queue) deadlineClass {
 	if !s.enabled(OnTimeFirst) || st.Spec.Lasts {
 		return inTime
 	}
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -21,7 +21,7 @@
 	queue flow.Queue
 	tasks []*flow.Task
 	// chance is the step's chance to be in time.
-	chance chance
+	chance deadlineClass
 }
 
 // waiting lists the steps that may run, the most urgent first.
