--- a/internal/sched/chance.go
+++ b/internal/sched/chance.go
@@ -13,8 +13,8 @@
 type deadlineClass int
 
 const (
-	// inTime is work that can still end when its caller was promised, if it begins now.
-	inTime deadlineClass = iota
+	// onTime is work that can still end when its caller was promised, if it begins now.
+	onTime deadlineClass = iota
 	// late is work that ends too late whatever is done, but not by much.
 	late
 	// hopeless is work whose caller has most likely made do without it.
@@ -43,14 +43,14 @@
 // work for. Jobs that last have no end to be late for.
 func (s *Sched) deadlineClassOf(j *flow.Job, r *flow.Round, st *flow.Stage, q flow.Queue) deadlineClass {
 	if !s.enabled(OnTimeFirst) || st.Spec.Lasts {
-		return inTime
+		return onTime
 	}
 	objective := j.Objective(q)
 	waited := s.waited(j, r)
 	ends := waited + j.Left(st)
 	switch {
 	case objective <= 0, ends <= objective:
-		return inTime
+		return onTime
 	case waited > starvedAfter*objective:
 		return starved
 	case ends <= lateBy*objective:
@@ -93,7 +93,7 @@
 		need := r.stage.Spec.Room().Times(float64(len(r.tasks)))
 		if sum := taken[name].Add(need); taken[name] == (cell.Size{}) || sum.Share(p.size) <= starvedShare {
 			taken[name] = sum
-			r.chance = inTime
+			r.chance = onTime
 			continue
 		}
 		// Smaller ones would pass it by for ever.
