--- a/internal/sched/chance.go
+++ b/internal/sched/chance.go
@@ -68,11 +68,11 @@
 	return s.now.Sub(r.Due)
 }
 
-// rescue lets the oldest of the starved steps go before others, as far as the starved
+// promoteStarved lets the oldest of the starved steps go before others, as far as the starved
 // ones that run leave of their share. Without it late work would wait for as long as
 // newer work comes; without the share all that was late together would be first together
 // and everybody else late again.
-func (s *Sched) rescue(steps []ready, pools map[string]*pool) {
+func (s *Sched) promoteStarved(steps []ready, pools map[string]*pool) {
 	var waiting []*ready
 	for i := range steps {
 		if steps[i].chance == starved {
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -43,7 +43,7 @@
 			}
 		}
 	}
-	s.rescue(all, pools)
+	s.promoteStarved(all, pools)
 	slices.SortFunc(all, func(a, b ready) int {
 		switch {
 		case a.queue.Rank != b.queue.Rank:
