--- a/internal/sched/chance.go
+++ b/internal/sched/chance.go
@@ -25,9 +25,9 @@
 )
 
 const (
-	// lateBy is by how many times its objective a job may end late before it counts as
+	// lateFactor is by how many times its objective a job may end late before it counts as
 	// hopeless.
-	lateBy = 3
+	lateFactor = 3
 	// starvedAfter is after how many times its objective a job counts as starved, and
 	// starvedShare the part of a service's workers that starved jobs may take before
 	// others: one eighth is what a cell should have to spare at the load that it is
@@ -53,7 +53,7 @@
 		return onTime
 	case waited > starvedAfter*objective:
 		return starved
-	case ends <= lateBy*objective:
+	case ends <= lateFactor*objective:
 		return late
 	default:
 		return hopeless
