--- a/internal/sched/chance.go
+++ b/internal/sched/chance.go
@@ -28,12 +28,12 @@
 	// lateFactor is by how many times its objective a job may end late before it counts as
 	// hopeless.
 	lateFactor = 3
-	// starvedAfter is after how many times its objective a job counts as starved, and
+	// starvedFactor is after how many times its objective a job counts as starved, and
 	// starvedShare the part of a service's workers that starved jobs may take before
 	// others: one eighth is what a cell should have to spare at the load that it is
 	// meant for, and newer work that is in time stays so.
-	starvedAfter = 8
-	starvedShare = 0.125
+	starvedFactor = 8
+	starvedShare  = 0.125
 )
 
 // deadlineClassOf judges a step by what is left of its job. After an outage, or with more work
@@ -51,7 +51,7 @@
 	switch {
 	case objective <= 0, ends <= objective:
 		return onTime
-	case waited > starvedAfter*objective:
+	case waited > starvedFactor*objective:
 		return starved
 	case ends <= lateFactor*objective:
 		return late
