--- a/internal/sched/chance.go
+++ b/internal/sched/chance.go
@@ -46,7 +46,7 @@
 		return onTime
 	}
 	objective := j.Objective(q)
-	waited := s.waited(j, r)
+	waited := s.waitedSince(j, r)
 	ends := waited + j.Left(st)
 	switch {
 	case objective <= 0, ends <= objective:
@@ -60,8 +60,8 @@
 	}
 }
 
-// waited is how long ago a job was accepted, or its round was due.
-func (s *Sched) waited(j *flow.Job, r *flow.Round) time.Duration {
+// waitedSince is how long ago a job was accepted, or its round was due.
+func (s *Sched) waitedSince(j *flow.Job, r *flow.Round) time.Duration {
 	if r.Due.IsZero() {
 		return s.now.Sub(j.Began)
 	}
--- a/internal/sched/yield.go
+++ b/internal/sched/yield.go
@@ -113,5 +113,5 @@
 	if !ok {
 		return false
 	}
-	return s.waited(t.Job, round)+yieldCost+t.Job.Left(t.Step) <= t.Job.Objective(q)
+	return s.waitedSince(t.Job, round)+yieldCost+t.Job.Left(t.Step) <= t.Job.Objective(q)
 }
