--- a/internal/sched/chance.go
+++ b/internal/sched/chance.go
@@ -82,7 +82,7 @@
 	if len(waiting) == 0 {
 		return
 	}
-	taken, full := s.takenByStarved(), map[string]bool{}
+	taken, full := s.starvedUsage(), map[string]bool{}
 	slices.SortFunc(waiting, func(a, b *ready) int { return cmp.Compare(a.job.Number, b.job.Number) })
 	for _, r := range waiting {
 		name := r.queue.Service
@@ -101,8 +101,8 @@
 	}
 }
 
-// takenByStarved is by service the room that starved jobs take now.
-func (s *Sched) takenByStarved() map[string]cell.Size {
+// starvedUsage is by service the room that starved jobs take now.
+func (s *Sched) starvedUsage() map[string]cell.Size {
 	taken := map[string]cell.Size{}
 	for _, w := range s.workers {
 		for _, t := range w.tasks {
