--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -8,10 +8,10 @@
 	"pollencroft/internal/flow"
 )
 
-// reserve is the share of a service's processors that only the most urgent
+// urgentReserve is the share of a service's processors that only the most urgent
 // queue may take: its tasks last about a second, so that what is kept free turns
 // over many times while a bulk task runs.
-const reserve = 0.06
+const urgentReserve = 0.06
 
 // ready is one step with tasks that wait.
 type ready struct {
@@ -140,7 +140,7 @@
 		}
 		keep := int64(0)
 		if r.queue.Rank > top {
-			keep = int64(reserve * float64(p.whole))
+			keep = int64(urgentReserve * float64(p.whole))
 		}
 		s.fill(r, p, keep)
 	}
