--- a/internal/sched/chance.go
+++ b/internal/sched/chance.go
@@ -75,7 +75,7 @@
 func (s *Sched) promoteStarved(steps []ready, pools map[string]*pool) {
 	var waiting []*ready
 	for i := range steps {
-		if steps[i].chance == starved {
+		if steps[i].class == starved {
 			waiting = append(waiting, &steps[i])
 		}
 	}
@@ -93,7 +93,7 @@
 		need := r.stage.Spec.Room().Times(float64(len(r.tasks)))
 		if sum := taken[name].Add(need); taken[name] == (cell.Size{}) || sum.Share(p.size) <= starvedShare {
 			taken[name] = sum
-			r.chance = onTime
+			r.class = onTime
 			continue
 		}
 		// Smaller ones would pass it by for ever.
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -20,8 +20,8 @@
 	round *flow.Round
 	queue flow.Queue
 	tasks []*flow.Task
-	// chance is the step's chance to be in time.
-	chance deadlineClass
+	// class is the step's class to be in time.
+	class deadlineClass
 }
 
 // waiting lists the steps that may run, the most urgent first.
@@ -38,7 +38,7 @@
 					continue
 				}
 				if tasks := waitingOf(st); len(tasks) > 0 {
-					all = append(all, ready{stage: st, job: j, round: r, queue: q, tasks: tasks, chance: s.deadlineClassOf(j, r, st, q)})
+					all = append(all, ready{stage: st, job: j, round: r, queue: q, tasks: tasks, class: s.deadlineClassOf(j, r, st, q)})
 				}
 			}
 		}
@@ -48,8 +48,8 @@
 		switch {
 		case a.queue.Rank != b.queue.Rank:
 			return a.queue.Rank - b.queue.Rank
-		case a.chance != b.chance:
-			return int(a.chance - b.chance)
+		case a.class != b.class:
+			return int(a.class - b.class)
 		case a.job.Number != b.job.Number:
 			return int(a.job.Number - b.job.Number)
 		case a.round.Index != b.round.Index:
--- a/internal/sched/yield.go
+++ b/internal/sched/yield.go
@@ -31,7 +31,7 @@
 // task leaves another takes. One notices wide ones that wait for half a minute beside
 // bulk that has time to spare.
 func (s *Sched) giveWay(r ready, p *pool, n int) {
-	if !s.enabled(PreemptBulk) || r.chance != onTime || r.stage.Spec.Gang {
+	if !s.enabled(PreemptBulk) || r.class != onTime || r.stage.Spec.Gang {
 		return
 	}
 	room := r.stage.Spec.Room()
