--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -76,7 +76,7 @@
 
 // ticketed tells whether there is any worker with a ticket for the step, or none
 // is needed.
-func (s *Sched) ticketed(r ready) bool {
+func (s *Sched) ticketed(r readyStep) bool {
 	if r.queue.Advice == nil {
 		return true
 	}
@@ -94,7 +94,7 @@
 
 // allowed lists the workers of a pool that may run a step, as far as that is known: a step
 // of which the policy service was asked has a dozen, of hundreds.
-func (s *Sched) allowed(r ready, p *pool) []*worker {
+func (s *Sched) allowed(r readyStep, p *pool) []*worker {
 	if r.queue.Advice == nil {
 		return p.workers
 	}
@@ -121,7 +121,7 @@
 }
 
 // consider asks the policy service about a step of which n tasks wait.
-func (s *Sched) consider(r ready, p *pool, n int) {
+func (s *Sched) consider(r readyStep, p *pool, n int) {
 	a := s.adviceOn(r.stage)
 	if !a.asked.IsZero() {
 		s.book(r, a)
@@ -156,7 +156,7 @@
 }
 
 // ask has a host ask the policy service.
-func (s *Sched) ask(r ready, a *advice, name string, named []string) {
+func (s *Sched) ask(r readyStep, a *advice, name string, named []string) {
 	cost := r.queue.Advice.Cost(len(named))
 	h := s.hosts[name]
 	if h.busyUntil.Before(s.now) {
@@ -174,7 +174,7 @@
 
 // book sets aside the room that the answer of a step's question is likely to take, so that
 // nobody asks for a later step about the same hole.
-func (s *Sched) book(r ready, a *advice) {
+func (s *Sched) book(r readyStep, a *advice) {
 	room := r.stage.Spec.Room()
 	want := float64(len(r.tasks))
 	for _, life := range a.named {
--- a/internal/sched/ahead.go
+++ b/internal/sched/ahead.go
@@ -13,7 +13,7 @@
 // stays empty for as long, and so it does each time; one notices work that waits beside
 // GPUs of which a third is idle. With a ticket in hand a task starts in the pass that
 // sees the room.
-func (s *Sched) askAhead(r ready, p *pool) {
+func (s *Sched) askAhead(r readyStep, p *pool) {
 	if !s.enabled(PrefetchTickets) || r.queue.Advice == nil || !s.isLong(r.queue) {
 		return
 	}
@@ -38,7 +38,7 @@
 
 // worthHaving lists the workers of which a step lacks a ticket that holds for a while,
 // those that it was allowed before and then those that nobody asked about.
-func (s *Sched) worthHaving(r ready, a *advice, p *pool) []string {
+func (s *Sched) worthHaving(r readyStep, a *advice, p *pool) []string {
 	cost := r.queue.Advice.Cost(1)
 	var all []candidate
 	var most int64
--- a/internal/sched/chance.go
+++ b/internal/sched/chance.go
@@ -72,8 +72,8 @@
 // ones that run leave of their share. Without it late work would wait for as long as
 // newer work comes; without the share all that was late together would be first together
 // and everybody else late again.
-func (s *Sched) promoteStarved(steps []ready, pools map[string]*pool) {
-	var waiting []*ready
+func (s *Sched) promoteStarved(steps []readyStep, pools map[string]*pool) {
+	var waiting []*readyStep
 	for i := range steps {
 		if steps[i].class == starved {
 			waiting = append(waiting, &steps[i])
@@ -83,7 +83,7 @@
 		return
 	}
 	taken, full := s.starvedUsage(), map[string]bool{}
-	slices.SortFunc(waiting, func(a, b *ready) int { return cmp.Compare(a.job.Number, b.job.Number) })
+	slices.SortFunc(waiting, func(a, b *readyStep) int { return cmp.Compare(a.job.Number, b.job.Number) })
 	for _, r := range waiting {
 		name := r.queue.Service
 		p, ok := pools[name]
--- a/internal/sched/gang.go
+++ b/internal/sched/gang.go
@@ -10,7 +10,7 @@
 
 // placeGang places all tasks of a step or none. A gang of which a part started
 // would wait for the rest with its room taken, and end alone.
-func (s *Sched) placeGang(r ready, p *pool, keep int64) {
+func (s *Sched) placeGang(r readyStep, p *pool, keep int64) {
 	tasks := r.stage.Tasks
 	if len(r.tasks) < len(tasks) {
 		// Members of the last run are still on their way out.
@@ -44,7 +44,7 @@
 }
 
 // findGangWorkers finds a worker for each member; nil if there is not room for all.
-func (s *Sched) findGangWorkers(r ready, workers []*worker) []*worker {
+func (s *Sched) findGangWorkers(r readyStep, workers []*worker) []*worker {
 	if r.stage.Spec.SameRack {
 		racks := map[string][]*worker{}
 		for _, w := range workers {
@@ -59,7 +59,7 @@
 	return s.fitGang(r, workers)
 }
 
-func (s *Sched) fitGang(r ready, workers []*worker) []*worker {
+func (s *Sched) fitGang(r readyStep, workers []*worker) []*worker {
 	st := r.stage.Spec
 	room := make(map[*worker]cell.Size, len(workers))
 	count := map[*worker]int{}
--- a/internal/sched/naming.go
+++ b/internal/sched/naming.go
@@ -30,7 +30,7 @@
 // workersToQuery lists workers that have room for n tasks of the step and may be allowed, the
 // best first, and as many as the tasks need; then others of which an answer tells more
 // than it costs. It lists none if nothing could start whatever the answer is.
-func (s *Sched) workersToQuery(r ready, a *advice, p *pool, n int) []string {
+func (s *Sched) workersToQuery(r readyStep, a *advice, p *pool, n int) []string {
 	all, most := s.candidatesWithCapacity(r, a, p)
 	if len(all) == 0 || r.stage.Spec.Gang && most < n {
 		return nil
@@ -66,7 +66,7 @@
 // tell something; most is how many tasks could start if all were allowed. In a full cell there
 // is none in most passes, for hundreds of steps: room is looked at first, and what an order
 // among them costs is left for those that have it.
-func (s *Sched) candidatesWithCapacity(r ready, a *advice, p *pool) (all []candidate, most int) {
+func (s *Sched) candidatesWithCapacity(r readyStep, a *advice, p *pool) (all []candidate, most int) {
 	room, some := r.stage.Spec.Room(), false
 	for _, w := range p.workers {
 		if !room.Fits(w.available().Sub(w.earmarked)) {
@@ -92,7 +92,7 @@
 }
 
 // otherCandidates lists the workers without room for the step now that nobody asked about yet.
-func (s *Sched) otherCandidates(r ready, a *advice, p *pool) []candidate {
+func (s *Sched) otherCandidates(r readyStep, a *advice, p *pool) []candidate {
 	var all []candidate
 	room := r.stage.Spec.Room()
 	for _, w := range p.workers {
@@ -118,7 +118,7 @@
 }
 
 // taskCapacity is how many of the step's tasks a worker has room for.
-func (r ready) taskCapacity(w *worker) int {
+func (r readyStep) taskCapacity(w *worker) int {
 	st := r.stage.Spec
 	n := min(int64(len(r.tasks)), st.Room().Into(w.free()))
 	if st.Apart > 0 {
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -13,8 +13,8 @@
 // over many times while a bulk task runs.
 const urgentReserve = 0.06
 
-// ready is one step with tasks that wait.
-type ready struct {
+// readyStep is one step with tasks that wait.
+type readyStep struct {
 	stage *flow.Stage
 	job   *flow.Job
 	round *flow.Round
@@ -25,8 +25,8 @@
 }
 
 // waiting lists the steps that may run, the most urgent first.
-func (s *Sched) waiting(pools map[string]*pool) []ready {
-	var all []ready
+func (s *Sched) waiting(pools map[string]*pool) []readyStep {
+	var all []readyStep
 	for _, j := range s.openJobs {
 		if j.State.Final() {
 			continue
@@ -38,13 +38,13 @@
 					continue
 				}
 				if tasks := waitingOf(st); len(tasks) > 0 {
-					all = append(all, ready{stage: st, job: j, round: r, queue: q, tasks: tasks, class: s.deadlineClassOf(j, r, st, q)})
+					all = append(all, readyStep{stage: st, job: j, round: r, queue: q, tasks: tasks, class: s.deadlineClassOf(j, r, st, q)})
 				}
 			}
 		}
 	}
 	s.promoteStarved(all, pools)
-	slices.SortFunc(all, func(a, b ready) int {
+	slices.SortFunc(all, func(a, b readyStep) int {
 		switch {
 		case a.queue.Rank != b.queue.Rank:
 			return a.queue.Rank - b.queue.Rank
@@ -153,7 +153,7 @@
 }
 
 // fill places what it can of one step.
-func (s *Sched) fill(r ready, p *pool, keep int64) {
+func (s *Sched) fill(r readyStep, p *pool, keep int64) {
 	if r.stage.Spec.Gang {
 		s.placeGang(r, p, keep)
 		return
@@ -189,7 +189,7 @@
 }
 
 // best is the worker that a task fits best; nil if none may have it.
-func (s *Sched) best(r ready, t *flow.Task, workers []*worker) *worker {
+func (s *Sched) best(r readyStep, t *flow.Task, workers []*worker) *worker {
 	var best *worker
 	var least float64
 	for _, w := range workers {
@@ -211,12 +211,12 @@
 }
 
 // fits tells whether a worker has room for a task and may run it, tickets aside.
-func (s *Sched) fits(r ready, t *flow.Task, w *worker) bool {
+func (s *Sched) fits(r readyStep, t *flow.Task, w *worker) bool {
 	return r.stage.Spec.Room().Fits(w.available()) && s.suits(r, t, w)
 }
 
 // suits tells whether a worker may run a task once it has room, tickets aside.
-func (s *Sched) suits(r ready, t *flow.Task, w *worker) bool {
+func (s *Sched) suits(r readyStep, t *flow.Task, w *worker) bool {
 	st := r.stage.Spec
 	switch {
 	case s.now.Before(w.refusedUntil) || !w.health.accepts(s.now, len(w.tasks)):
@@ -265,7 +265,7 @@
 )
 
 // cost is lower for workers that a task leaves fuller: large holes stay whole.
-func (s *Sched) cost(r ready, w *worker) float64 {
+func (s *Sched) cost(r readyStep, w *worker) float64 {
 	st := r.stage.Spec
 	left := w.free().Sub(st.Room())
 	c := left.Share(cell.Size{CPU: w.Size.CPU, Mem: w.Size.Mem, Accel: max(w.Size.Accel, 1)})
--- a/internal/sched/waits.go
+++ b/internal/sched/waits.go
@@ -66,7 +66,7 @@
 // account adds what has passed since the last pass to what each step waits for now, and
 // tells of those that have room for all their tasks. One cannot see from starts alone why a
 // job is late: for room, for the policy service, or for a host that could ask it.
-func (s *Sched) account(steps []ready) {
+func (s *Sched) account(steps []readyStep) {
 	for _, r := range steps {
 		w, ok := s.waits[r.stage]
 		if !ok {
@@ -88,7 +88,7 @@
 }
 
 // waitsFor is what a step waits for in this pass.
-func (s *Sched) waitsFor(r ready) WaitReason {
+func (s *Sched) waitsFor(r readyStep) WaitReason {
 	kind := 0
 	if s.isLong(r.queue) {
 		kind = 1
--- a/internal/sched/yield.go
+++ b/internal/sched/yield.go
@@ -30,7 +30,7 @@
 // in time and have tickets. Room for a wide task hardly comes by itself: what one small
 // task leaves another takes. One notices wide ones that wait for half a minute beside
 // bulk that has time to spare.
-func (s *Sched) giveWay(r ready, p *pool, n int) {
+func (s *Sched) giveWay(r readyStep, p *pool, n int) {
 	if !s.enabled(PreemptBulk) || r.class != onTime || r.stage.Spec.Gang {
 		return
 	}
@@ -60,7 +60,7 @@
 
 // cheapest finds the worker on which the fewest tasks have to be stopped for one of the
 // step; nil if there is none.
-func (s *Sched) cheapest(r ready, p *pool) (*worker, []*flow.Task) {
+func (s *Sched) cheapest(r readyStep, p *pool) (*worker, []*flow.Task) {
 	var best *worker
 	var least []*flow.Task
 	for _, w := range s.allowed(r, p) {
@@ -80,7 +80,7 @@
 
 // victims are the tasks to stop on a worker, those first that began last and have the
 // least to restore; false if that makes no room.
-func (s *Sched) victims(r ready, w *worker) ([]*flow.Task, bool) {
+func (s *Sched) victims(r readyStep, w *worker) ([]*flow.Task, bool) {
 	room, open := r.stage.Spec.Room(), w.available()
 	if !room.Fits(w.Size.Sub(w.reserved)) {
 		return nil, false
@@ -103,7 +103,7 @@
 
 // mayYield tells whether a task may be stopped for a step: it is less urgent, saves its
 // progress and its job has the time.
-func (s *Sched) mayYield(t *flow.Task, r ready) bool {
+func (s *Sched) mayYield(t *flow.Task, r readyStep) bool {
 	st := t.Spec()
 	q := s.queue(t.Job)
 	if t.State != flow.Running || !st.Saves || st.Gang || st.Lasts || st.Fills || q.Rank <= r.queue.Rank || t.Yields >= mostYields {
