--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -79,8 +79,8 @@
 // pool is the room of one service in one pass.
 type pool struct {
 	workers []*worker
-	// whole are the processors of all, left those that are free now.
-	whole, left int64
+	// totalCPU are the processors of all, left those that are free now.
+	totalCPU, left int64
 	// size is what all workers have in every resource, ahead what the steps wait for
 	// that have tickets, or will, before there is room.
 	size, ahead cell.Size
@@ -107,7 +107,7 @@
 			all[w.Service] = p
 		}
 		p.workers = append(p.workers, w)
-		p.whole += w.Size.CPU
+		p.totalCPU += w.Size.CPU
 		p.size, p.used = p.size.Add(w.Size), p.used.Add(w.used)
 		p.left += max(w.free().CPU, 0)
 		w.earmarked, w.reserved = cell.Size{}, cell.Size{}
@@ -140,7 +140,7 @@
 		}
 		keep := int64(0)
 		if r.queue.Rank > top {
-			keep = int64(urgentReserve * float64(p.whole))
+			keep = int64(urgentReserve * float64(p.totalCPU))
 		}
 		s.fill(r, p, keep)
 	}
