--- a/internal/sched/gang.go
+++ b/internal/sched/gang.go
@@ -17,7 +17,7 @@
 		return
 	}
 	need := r.stage.Spec.Room().CPU * int64(len(tasks))
-	if keep > 0 && need > p.left-keep {
+	if keep > 0 && need > p.freeCPU-keep {
 		return
 	}
 	var put []*worker
@@ -40,7 +40,7 @@
 		t.Saved = saved
 		s.assign(t, put[i], run+1)
 	}
-	p.left -= need
+	p.freeCPU -= need
 }
 
 // findGangWorkers finds a worker for each member; nil if there is not room for all.
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -79,8 +79,8 @@
 // pool is the room of one service in one pass.
 type pool struct {
 	workers []*worker
-	// totalCPU are the processors of all, left those that are free now.
-	totalCPU, left int64
+	// totalCPU are the processors of all, freeCPU those that are free now.
+	totalCPU, freeCPU int64
 	// size is what all workers have in every resource, ahead what the steps wait for
 	// that have tickets, or will, before there is room.
 	size, ahead cell.Size
@@ -109,7 +109,7 @@
 		p.workers = append(p.workers, w)
 		p.totalCPU += w.Size.CPU
 		p.size, p.used = p.size.Add(w.Size), p.used.Add(w.used)
-		p.left += max(w.free().CPU, 0)
+		p.freeCPU += max(w.free().CPU, 0)
 		w.earmarked, w.reserved = cell.Size{}, cell.Size{}
 		w.crashSuspects, w.trialStep = 0, nil
 	}
@@ -165,7 +165,7 @@
 	}
 	// Without a ticket no worker may have it: a backlog of such steps is passed over
 	// without looking at a single worker.
-	for len(left) > 0 && (keep == 0 || p.left >= keep+need) {
+	for len(left) > 0 && (keep == 0 || p.freeCPU >= keep+need) {
 		w := s.best(r, left[0], allowed)
 		if w == nil && left[0].Doubt() >= aloneFrom {
 			alone, left = append(alone, left[0]), left[1:]
@@ -175,11 +175,11 @@
 			break
 		}
 		s.assign(left[0], w, left[0].Run+1)
-		p.left -= need
+		p.freeCPU -= need
 		left = left[1:]
 	}
 	left = append(left, alone...)
-	if len(left) > 0 && r.queue.Advice != nil && p.left-keep >= need {
+	if len(left) > 0 && r.queue.Advice != nil && p.freeCPU-keep >= need {
 		s.consider(r, p, len(left))
 	}
 	if len(left) > 0 {
