--- a/internal/sched/ahead.go
+++ b/internal/sched/ahead.go
@@ -18,7 +18,7 @@
 		return
 	}
 	tasks := waitingOf(r.stage)
-	if len(tasks) == 0 || p.ahead.Share(p.size) > aheadShare {
+	if len(tasks) == 0 || p.ahead.Share(p.total) > aheadShare {
 		return
 	}
 	p.ahead = p.ahead.Add(r.stage.Spec.Room().Times(float64(len(tasks))))
--- a/internal/sched/chance.go
+++ b/internal/sched/chance.go
@@ -91,7 +91,7 @@
 			continue
 		}
 		need := r.stage.Spec.Room().Times(float64(len(r.tasks)))
-		if sum := taken[name].Add(need); taken[name] == (cell.Size{}) || sum.Share(p.size) <= starvedShare {
+		if sum := taken[name].Add(need); taken[name] == (cell.Size{}) || sum.Share(p.total) <= starvedShare {
 			taken[name] = sum
 			r.class = onTime
 			continue
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -81,9 +81,9 @@
 	workers []*worker
 	// totalCPU are the processors of all, freeCPU those that are free now.
 	totalCPU, freeCPU int64
-	// size is what all workers have in every resource, ahead what the steps wait for
+	// total is what all workers have in every resource, ahead what the steps wait for
 	// that have tickets, or will, before there is room.
-	size, ahead cell.Size
+	total, ahead cell.Size
 	// used is what tasks take, reserved what is held free for wide ones.
 	used, reserved cell.Size
 	// none are rooms that no worker has any more in this pass.
@@ -108,7 +108,7 @@
 		}
 		p.workers = append(p.workers, w)
 		p.totalCPU += w.Size.CPU
-		p.size, p.used = p.size.Add(w.Size), p.used.Add(w.used)
+		p.total, p.used = p.total.Add(w.Size), p.used.Add(w.used)
 		p.freeCPU += max(w.free().CPU, 0)
 		w.earmarked, w.reserved = cell.Size{}, cell.Size{}
 		w.crashSuspects, w.trialStep = 0, nil
--- a/internal/sched/reserve.go
+++ b/internal/sched/reserve.go
@@ -27,7 +27,7 @@
 // that wants half of one or all would hardly see it, however urgent it is.
 func (s *Sched) reserve(r readyStep, p *pool, n int) {
 	room := r.stage.Spec.Room()
-	if !s.enabled(ReserveForWide) || p.used.Share(p.size) < reserveFrom || p.reserved.Share(p.size) > reservedShare {
+	if !s.enabled(ReserveForWide) || p.used.Share(p.total) < reserveFrom || p.reserved.Share(p.total) > reservedShare {
 		return
 	}
 	type option struct {
