--- a/internal/sched/ahead.go
+++ b/internal/sched/ahead.go
@@ -18,10 +18,10 @@
 		return
 	}
 	tasks := waitingOf(r.stage)
-	if len(tasks) == 0 || p.ahead.Share(p.total) > aheadShare {
+	if len(tasks) == 0 || p.prefetched.Share(p.total) > aheadShare {
 		return
 	}
-	p.ahead = p.ahead.Add(r.stage.Spec.Room().Times(float64(len(tasks))))
+	p.prefetched = p.prefetched.Add(r.stage.Spec.Room().Times(float64(len(tasks))))
 	a := s.adviceOn(r.stage)
 	if !a.asked.IsZero() {
 		return
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -81,9 +81,9 @@
 	workers []*worker
 	// totalCPU are the processors of all, freeCPU those that are free now.
 	totalCPU, freeCPU int64
-	// total is what all workers have in every resource, ahead what the steps wait for
+	// total is what all workers have in every resource, prefetched what the steps wait for
 	// that have tickets, or will, before there is room.
-	total, ahead cell.Size
+	total, prefetched cell.Size
 	// used is what tasks take, reserved what is held free for wide ones.
 	used, reserved cell.Size
 	// none are rooms that no worker has any more in this pass.
