--- a/internal/sched/naming.go
+++ b/internal/sched/naming.go
@@ -85,7 +85,7 @@
 		}
 	}
 	if !some {
-		p.none = append(p.none, room)
+		p.unfit = append(p.unfit, room)
 	}
 	slices.SortStableFunc(all, candidate.compare)
 	return all, most
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -86,13 +86,13 @@
 	total, prefetched cell.Size
 	// used is what tasks take, reserved what is held free for wide ones.
 	used, reserved cell.Size
-	// none are rooms that no worker has any more in this pass.
-	none []cell.Size
+	// unfit are rooms that no worker has any more in this pass.
+	unfit []cell.Size
 }
 
 // lacks tells whether it was seen in this pass that no worker has so much room.
 func (p *pool) lacks(room cell.Size) bool {
-	return slices.ContainsFunc(p.none, func(n cell.Size) bool { return n.Fits(room) })
+	return slices.ContainsFunc(p.unfit, func(n cell.Size) bool { return n.Fits(room) })
 }
 
 func (s *Sched) pools() map[string]*pool {
