--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -24,8 +24,8 @@
 	class deadlineClass
 }
 
-// waiting lists the steps that may run, the most urgent first.
-func (s *Sched) waiting(pools map[string]*pool) []readyStep {
+// waitingSteps lists the steps that may run, the most urgent first.
+func (s *Sched) waitingSteps(pools map[string]*pool) []readyStep {
 	var all []readyStep
 	for _, j := range s.openJobs {
 		if j.State.Final() {
@@ -124,7 +124,7 @@
 		return
 	}
 	pools := s.pools()
-	steps := s.waiting(pools)
+	steps := s.waitingSteps(pools)
 	if len(steps) == 0 {
 		return
 	}
