--- a/internal/sched/ahead.go
+++ b/internal/sched/ahead.go
@@ -17,7 +17,7 @@
 	if !s.enabled(PrefetchTickets) || r.queue.Advice == nil || !s.isLong(r.queue) {
 		return
 	}
-	tasks := waitingOf(r.stage)
+	tasks := startableTasks(r.stage)
 	if len(tasks) == 0 || p.prefetched.Share(p.total) > aheadShare {
 		return
 	}
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -37,7 +37,7 @@
 				if st.Over() || !r.Ready(st) {
 					continue
 				}
-				if tasks := waitingOf(st); len(tasks) > 0 {
+				if tasks := startableTasks(st); len(tasks) > 0 {
 					all = append(all, readyStep{stage: st, job: j, round: r, queue: q, tasks: tasks, class: s.deadlineClassOf(j, r, st, q)})
 				}
 			}
@@ -61,8 +61,8 @@
 	return all
 }
 
-// waitingOf lists the tasks of a step that may start, those that have to run alone last.
-func waitingOf(st *flow.Stage) []*flow.Task {
+// startableTasks lists the tasks of a step that may start, those that have to run alone last.
+func startableTasks(st *flow.Stage) []*flow.Task {
 	var tasks, alone []*flow.Task
 	for _, t := range st.Tasks {
 		switch {
