--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -127,7 +127,7 @@
 		s.book(r, a)
 		return
 	}
-	if s.now.Before(a.again) || p.lacks(r.stage.Spec.Room()) {
+	if s.now.Before(a.again) || p.knownFull(r.stage.Spec.Room()) {
 		return
 	}
 	name := s.pickHostOnce(r.queue)
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -90,8 +90,8 @@
 	unfit []cell.Size
 }
 
-// lacks tells whether it was seen in this pass that no worker has so much room.
-func (p *pool) lacks(room cell.Size) bool {
+// knownFull tells whether it was seen in this pass that no worker has so much room.
+func (p *pool) knownFull(room cell.Size) bool {
 	return slices.ContainsFunc(p.unfit, func(n cell.Size) bool { return n.Fits(room) })
 }
 
