--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -117,9 +117,9 @@
 	return all
 }
 
-// place gives room to what waits, in order, and asks the policy service about
+// placeSteps gives room to what waits, in order, and asks the policy service about
 // steps that could start.
-func (s *Sched) place() {
+func (s *Sched) placeSteps() {
 	if len(s.openJobs) == 0 {
 		return
 	}
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -245,7 +245,7 @@
 	}
 	if s.changed && !s.now.Before(s.nextPassAt()) {
 		s.changed, s.lastPass = false, s.now
-		s.place()
+		s.placeSteps()
 		s.sendUnstored()
 	}
 	if !s.canAppend() || s.now.Before(s.nextAppendAt()) {
