--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -142,7 +142,7 @@
 		if r.queue.Rank > top {
 			keep = int64(urgentReserve * float64(p.totalCPU))
 		}
-		s.fill(r, p, keep)
+		s.placeStep(r, p, keep)
 	}
 	for _, r := range steps {
 		if p, ok := pools[r.queue.Service]; ok {
@@ -152,8 +152,8 @@
 	s.account(steps)
 }
 
-// fill places what it can of one step.
-func (s *Sched) fill(r readyStep, p *pool, keep int64) {
+// placeStep places what it can of one step.
+func (s *Sched) placeStep(r readyStep, p *pool, keep int64) {
 	if r.stage.Spec.Gang {
 		s.placeGang(r, p, keep)
 		return
