--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -166,7 +166,7 @@
 	// Without a ticket no worker may have it: a backlog of such steps is passed over
 	// without looking at a single worker.
 	for len(left) > 0 && (keep == 0 || p.freeCPU >= keep+need) {
-		w := s.best(r, left[0], allowed)
+		w := s.bestWorker(r, left[0], allowed)
 		if w == nil && left[0].Doubt() >= aloneFrom {
 			alone, left = append(alone, left[0]), left[1:]
 			continue
@@ -188,8 +188,8 @@
 	}
 }
 
-// best is the worker that a task fits best; nil if none may have it.
-func (s *Sched) best(r readyStep, t *flow.Task, workers []*worker) *worker {
+// bestWorker is the worker that a task fits bestWorker; nil if none may have it.
+func (s *Sched) bestWorker(r readyStep, t *flow.Task, workers []*worker) *worker {
 	var best *worker
 	var least float64
 	for _, w := range workers {
