--- a/internal/sched/naming.go
+++ b/internal/sched/naming.go
@@ -122,7 +122,7 @@
 	st := r.stage.Spec
 	n := min(int64(len(r.tasks)), st.Room().Into(w.free()))
 	if st.Apart > 0 {
-		n = min(n, int64(st.Apart-w.count(r.stage)))
+		n = min(n, int64(st.Apart-w.tasksOf(r.stage)))
 	}
 	return int(max(n, 1))
 }
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -227,7 +227,7 @@
 		return false
 	case st.Fills && w.fillCPU+st.Size.CPU > max(w.free().CPU, 0):
 		return false
-	case st.Apart > 0 && w.count(r.stage) >= st.Apart, !s.mayMeet(t, w):
+	case st.Apart > 0 && w.tasksOf(r.stage) >= st.Apart, !s.mayMeet(t, w):
 		return false
 	}
 	return true
@@ -236,8 +236,8 @@
 // avoidFor is how long a task stays away from a worker that it failed on.
 const avoidFor = 5 * time.Second
 
-// count is how many tasks of a step may be on the worker.
-func (w *worker) count(st *flow.Stage) int {
+// tasksOf is how many tasks of a step may be on the worker.
+func (w *worker) tasksOf(st *flow.Stage) int {
 	n := 0
 	for _, t := range w.tasks {
 		if t.Step == st {
