--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -282,7 +282,7 @@
 	if r.job.Domain != "" && w.Domain != r.job.Domain {
 		c += domainCost
 	}
-	if !st.Lasts && w.hosts(r.job) {
+	if !st.Lasts && w.runsTaskOf(r.job) {
 		c -= togetherCost
 	}
 	if w.speed < slowPace {
@@ -291,8 +291,8 @@
 	return c + suspectCost*float64(w.health.fails)
 }
 
-// hosts tells whether a task of the job is on the worker.
-func (w *worker) hosts(j *flow.Job) bool {
+// runsTaskOf tells whether a task of the job is on the worker.
+func (w *worker) runsTaskOf(j *flow.Job) bool {
 	for _, t := range w.tasks {
 		if t.Job == j {
 			return true
