--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -272,7 +272,7 @@
 	if st.Near != "" && w.Rack != st.Near {
 		c += farCost
 	}
-	if st.Fills && w.serves() || st.Target > 0 && w.fillCPU > 0 {
+	if st.Fills && w.runsServing() || st.Target > 0 && w.fillCPU > 0 {
 		c += serveCost
 	}
 	if st.Fills {
@@ -301,8 +301,8 @@
 	return false
 }
 
-// serves tells whether a task with a bound on its response times is there.
-func (w *worker) serves() bool {
+// runsServing tells whether a task with a bound on its response times is there.
+func (w *worker) runsServing() bool {
 	for _, t := range w.tasks {
 		if t.Spec().Target > 0 {
 			return true
