--- a/internal/sched/rack.go
+++ b/internal/sched/rack.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// togetherWithin is how far apart the workers of a rack may be seen to end for one
+	// sameOutageWithin is how far apart the workers of a rack may be seen to end for one
 	// cause: an idle one is only asked once another has stopped answering.
-	togetherWithin = 3 * time.Second
+	sameOutageWithin = 3 * time.Second
 	// rackWait is how long the end of a life is not judged, so that the workers of its
 	// rack can be asked.
 	rackWait = time.Second
@@ -66,7 +66,7 @@
 	idle, everywhere := false, true
 	down := map[string]bool{w.Incarnation: true}
 	for _, f := range s.outages {
-		if f.life == w.Incarnation || f.rack != w.Rack || f.at.Sub(at).Abs() > togetherWithin {
+		if f.life == w.Incarnation || f.rack != w.Rack || f.at.Sub(at).Abs() > sameOutageWithin {
 			continue
 		}
 		down[f.life] = true
