--- a/internal/sched/rack.go
+++ b/internal/sched/rack.go
@@ -11,9 +11,9 @@
 	// sameOutageWithin is how far apart the workers of a rack may be seen to end for one
 	// cause: an idle one is only asked once another has stopped answering.
 	sameOutageWithin = 3 * time.Second
-	// rackWait is how long the end of a life is not judged, so that the workers of its
+	// crashJudgeDelay is how long the end of a life is not judged, so that the workers of its
 	// rack can be asked.
-	rackWait = time.Second
+	crashJudgeDelay = time.Second
 	// fewestOthers is how many other workers a rack must have had.
 	fewestOthers = 2
 )
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -169,7 +169,7 @@
 	if !ok || w.dead {
 		return
 	}
-	w.dead, w.judgeAt = true, s.now.Add(rackWait)
+	w.dead, w.judgeAt = true, s.now.Add(crashJudgeDelay)
 	s.fell(w)
 	s.emit(Note{ID: life, What: "worker has begun another life", Worker: life, Detail: w.describeRuns()})
 	for _, t := range w.sortedTasks() {
