--- a/internal/sched/rack.go
+++ b/internal/sched/rack.go
@@ -14,8 +14,8 @@
 	// crashJudgeDelay is how long the end of a life is not judged, so that the workers of its
 	// rack can be asked.
 	crashJudgeDelay = time.Second
-	// fewestOthers is how many other workers a rack must have had.
-	fewestOthers = 2
+	// minOtherWorkers is how many other workers a rack must have had.
+	minOtherWorkers = 2
 )
 
 // fall is a worker that stopped answering, or whose life ended.
@@ -73,7 +73,7 @@
 		idle = idle || len(f.steps) == 0
 		everywhere = everywhere && f.steps[t.Step]
 	}
-	return len(down) > fewestOthers && idle && !everywhere && !s.anyUp(w.Rack, at, down)
+	return len(down) > minOtherWorkers && idle && !everywhere && !s.anyUp(w.Rack, at, down)
 }
 
 // anyUp tells whether any worker of a rack that was known by then is not down.
