--- a/internal/sched/rack.go
+++ b/internal/sched/rack.go
@@ -20,8 +20,8 @@
 
 // fall is a worker that stopped answering, or whose life ended.
 type fall struct {
-	at         time.Time
-	life, rack string
+	at                time.Time
+	incarnation, rack string
 	// steps are those of which tasks were there.
 	steps map[*flow.Stage]bool
 }
@@ -29,10 +29,10 @@
 // fell notes that a worker stopped answering or has ended, and asks the idle workers of its
 // rack if a task under which a life had ended before was there.
 func (s *Sched) fell(w *worker) {
-	if w.Rack == "" || slices.ContainsFunc(s.outages, func(f fall) bool { return f.life == w.Incarnation }) {
+	if w.Rack == "" || slices.ContainsFunc(s.outages, func(f fall) bool { return f.incarnation == w.Incarnation }) {
 		return
 	}
-	f := fall{at: s.now, life: w.Incarnation, rack: w.Rack, steps: map[*flow.Stage]bool{}}
+	f := fall{at: s.now, incarnation: w.Incarnation, rack: w.Rack, steps: map[*flow.Stage]bool{}}
 	suspect := false
 	for _, t := range w.tasks {
 		f.steps[t.Step] = true
@@ -51,14 +51,14 @@
 
 // rose forgets that a worker stopped answering.
 func (s *Sched) rose(w *worker) {
-	s.outages = slices.DeleteFunc(s.outages, func(f fall) bool { return f.life == w.Incarnation })
+	s.outages = slices.DeleteFunc(s.outages, func(f fall) bool { return f.incarnation == w.Incarnation })
 }
 
 // rackFell tells whether all workers of a rack ended together for a cause that was not a
 // task of this step. Bad tasks that start together end several lives at once as well, so
 // there must be an idle worker among them.
 func (s *Sched) rackFell(w *worker, t *flow.Task) bool {
-	i := slices.IndexFunc(s.outages, func(f fall) bool { return f.life == w.Incarnation })
+	i := slices.IndexFunc(s.outages, func(f fall) bool { return f.incarnation == w.Incarnation })
 	if i < 0 {
 		return false
 	}
@@ -66,10 +66,10 @@
 	idle, everywhere := false, true
 	down := map[string]bool{w.Incarnation: true}
 	for _, f := range s.outages {
-		if f.life == w.Incarnation || f.rack != w.Rack || f.at.Sub(at).Abs() > sameOutageWithin {
+		if f.incarnation == w.Incarnation || f.rack != w.Rack || f.at.Sub(at).Abs() > sameOutageWithin {
 			continue
 		}
-		down[f.life] = true
+		down[f.incarnation] = true
 		idle = idle || len(f.steps) == 0
 		everywhere = everywhere && f.steps[t.Step]
 	}
