--- a/internal/sched/rack.go
+++ b/internal/sched/rack.go
@@ -18,8 +18,8 @@
 	minOtherWorkers = 2
 )
 
-// fall is a worker that stopped answering, or whose life ended.
-type fall struct {
+// outage is a worker that stopped answering, or whose life ended.
+type outage struct {
 	at                time.Time
 	incarnation, rack string
 	// steps are those of which tasks were there.
@@ -29,10 +29,10 @@
 // fell notes that a worker stopped answering or has ended, and asks the idle workers of its
 // rack if a task under which a life had ended before was there.
 func (s *Sched) fell(w *worker) {
-	if w.Rack == "" || slices.ContainsFunc(s.outages, func(f fall) bool { return f.incarnation == w.Incarnation }) {
+	if w.Rack == "" || slices.ContainsFunc(s.outages, func(f outage) bool { return f.incarnation == w.Incarnation }) {
 		return
 	}
-	f := fall{at: s.now, incarnation: w.Incarnation, rack: w.Rack, steps: map[*flow.Stage]bool{}}
+	f := outage{at: s.now, incarnation: w.Incarnation, rack: w.Rack, steps: map[*flow.Stage]bool{}}
 	suspect := false
 	for _, t := range w.tasks {
 		f.steps[t.Step] = true
@@ -51,14 +51,14 @@
 
 // rose forgets that a worker stopped answering.
 func (s *Sched) rose(w *worker) {
-	s.outages = slices.DeleteFunc(s.outages, func(f fall) bool { return f.incarnation == w.Incarnation })
+	s.outages = slices.DeleteFunc(s.outages, func(f outage) bool { return f.incarnation == w.Incarnation })
 }
 
 // rackFell tells whether all workers of a rack ended together for a cause that was not a
 // task of this step. Bad tasks that start together end several lives at once as well, so
 // there must be an idle worker among them.
 func (s *Sched) rackFell(w *worker, t *flow.Task) bool {
-	i := slices.IndexFunc(s.outages, func(f fall) bool { return f.incarnation == w.Incarnation })
+	i := slices.IndexFunc(s.outages, func(f outage) bool { return f.incarnation == w.Incarnation })
 	if i < 0 {
 		return false
 	}
@@ -88,5 +88,5 @@
 
 // watchFalls forgets falls that can be one with no other any more.
 func (s *Sched) watchFalls() {
-	s.outages = slices.DeleteFunc(s.outages, func(f fall) bool { return s.now.Sub(f.at) > forgetWorkerAfter })
+	s.outages = slices.DeleteFunc(s.outages, func(f outage) bool { return s.now.Sub(f.at) > forgetWorkerAfter })
 }
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -38,7 +38,7 @@
 	// suspects are tasks under which lives of workers ended, or may have.
 	suspects map[*flow.Task]bool
 	// outages are workers that stopped answering lately.
-	outages []fall
+	outages []outage
 	// waits are steps that wait.
 	waits map[*flow.Stage]*wait
 	// preemptions are rooms that others were stopped for.
