--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -90,7 +90,7 @@
 			// One answer may be lost; the next question tells, and it is asked at once:
 			// ends at the worker are not known before.
 			w.unansweredSince = s.now
-			s.fell(w)
+			s.recordOutage(w)
 			s.emit(Note{ID: w.Incarnation, What: "worker does not answer", Worker: w.Incarnation, Detail: ev.Outcome.String()})
 			break
 		}
--- a/internal/sched/rack.go
+++ b/internal/sched/rack.go
@@ -26,9 +26,9 @@
 	steps map[*flow.Stage]bool
 }
 
-// fell notes that a worker stopped answering or has ended, and asks the idle workers of its
+// recordOutage notes that a worker stopped answering or has ended, and asks the idle workers of its
 // rack if a task under which a life had ended before was there.
-func (s *Sched) fell(w *worker) {
+func (s *Sched) recordOutage(w *worker) {
 	if w.Rack == "" || slices.ContainsFunc(s.outages, func(f outage) bool { return f.incarnation == w.Incarnation }) {
 		return
 	}
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -170,7 +170,7 @@
 		return
 	}
 	w.dead, w.judgeAt = true, s.now.Add(crashJudgeDelay)
-	s.fell(w)
+	s.recordOutage(w)
 	s.emit(Note{ID: life, What: "worker has begun another life", Worker: life, Detail: w.describeRuns()})
 	for _, t := range w.sortedTasks() {
 		// The answer to a start that is under way tells whether the life ended before it.
