--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -107,7 +107,7 @@
 func (s *Sched) applyHoldReply(w *worker, ev HoldReply) {
 	if !w.unansweredSince.IsZero() {
 		w.backSince = s.now
-		s.rose(w)
+		s.clearOutage(w)
 		s.emit(Note{ID: w.Incarnation, What: "worker answers again", Worker: w.Incarnation})
 	}
 	w.unansweredSince = time.Time{}
--- a/internal/sched/rack.go
+++ b/internal/sched/rack.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// rose forgets that a worker stopped answering.
-func (s *Sched) rose(w *worker) {
+// clearOutage forgets that a worker stopped answering.
+func (s *Sched) clearOutage(w *worker) {
 	s.outages = slices.DeleteFunc(s.outages, func(f outage) bool { return f.incarnation == w.Incarnation })
 }
 
