--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -47,7 +47,7 @@
 	switch {
 	case j.State.Final() || t.State == flow.Done:
 		return
-	case w.draining, t.Doubt() > 1 && s.rackFell(w, t):
+	case w.draining, t.Doubt() > 1 && s.isRackOutage(w, t):
 		s.clearSuspicion(t, w)
 		return
 	case !t.Crash(w.Incarnation):
--- a/internal/sched/rack.go
+++ b/internal/sched/rack.go
@@ -54,10 +54,10 @@
 	s.outages = slices.DeleteFunc(s.outages, func(f outage) bool { return f.incarnation == w.Incarnation })
 }
 
-// rackFell tells whether all workers of a rack ended together for a cause that was not a
+// isRackOutage tells whether all workers of a rack ended together for a cause that was not a
 // task of this step. Bad tasks that start together end several lives at once as well, so
 // there must be an idle worker among them.
-func (s *Sched) rackFell(w *worker, t *flow.Task) bool {
+func (s *Sched) isRackOutage(w *worker, t *flow.Task) bool {
 	i := slices.IndexFunc(s.outages, func(f outage) bool { return f.incarnation == w.Incarnation })
 	if i < 0 {
 		return false
