--- a/internal/sched/rack.go
+++ b/internal/sched/rack.go
@@ -86,7 +86,7 @@
 	return false
 }
 
-// watchFalls forgets falls that can be one with no other any more.
-func (s *Sched) watchFalls() {
+// pruneOutages forgets falls that can be one with no other any more.
+func (s *Sched) pruneOutages() {
 	s.outages = slices.DeleteFunc(s.outages, func(f outage) bool { return s.now.Sub(f.at) > forgetWorkerAfter })
 }
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -221,7 +221,7 @@
 	s.beginRounds()
 	s.checkWorkers()
 	s.pruneSuspects()
-	s.watchFalls()
+	s.pruneOutages()
 	s.retryStops()
 	s.watchAdvice()
 	s.forgetEndedJobs()
