--- a/internal/sched/reserve.go
+++ b/internal/sched/reserve.go
@@ -11,10 +11,10 @@
 	// wideShare is the part of a worker from which a task counts as wide: two of them
 	// cannot be beside each other, so the room for one hardly comes by itself.
 	wideShare = 0.5
-	// reservedShare is how much of a service's workers may be held free for wide tasks
+	// maxReservedShare is how much of a service's workers may be held free for wide tasks
 	// that wait: the first of them wait for what ends soon, and what is held for later
 	// ones would stand idle for longer than a task takes.
-	reservedShare = 0.25
+	maxReservedShare = 0.25
 	// reserveFrom is the part of a service's workers that has to be in use for room to be
 	// held. Below it the platform promises that no job waits for three seconds beside
 	// room that it could use; a wide task that few workers are allowed for would hold
@@ -27,7 +27,7 @@
 // that wants half of one or all would hardly see it, however urgent it is.
 func (s *Sched) reserve(r readyStep, p *pool, n int) {
 	room := r.stage.Spec.Room()
-	if !s.enabled(ReserveForWide) || p.used.Share(p.total) < reserveFrom || p.reserved.Share(p.total) > reservedShare {
+	if !s.enabled(ReserveForWide) || p.used.Share(p.total) < reserveFrom || p.reserved.Share(p.total) > maxReservedShare {
 		return
 	}
 	type option struct {
