--- a/internal/sched/reserve.go
+++ b/internal/sched/reserve.go
@@ -15,11 +15,11 @@
 	// that wait: the first of them wait for what ends soon, and what is held for later
 	// ones would stand idle for longer than a task takes.
 	maxReservedShare = 0.25
-	// reserveFrom is the part of a service's workers that has to be in use for room to be
+	// reserveMinUse is the part of a service's workers that has to be in use for room to be
 	// held. Below it the platform promises that no job waits for three seconds beside
 	// room that it could use; a wide task that few workers are allowed for would hold
 	// theirs for longer, and with it whoever else is allowed only there.
-	reserveFrom = 0.5
+	reserveMinUse = 0.5
 )
 
 // reserve holds room for n wide tasks that could not start, on the workers that will have
@@ -27,7 +27,7 @@
 // that wants half of one or all would hardly see it, however urgent it is.
 func (s *Sched) reserve(r readyStep, p *pool, n int) {
 	room := r.stage.Spec.Room()
-	if !s.enabled(ReserveForWide) || p.used.Share(p.total) < reserveFrom || p.reserved.Share(p.total) > maxReservedShare {
+	if !s.enabled(ReserveForWide) || p.used.Share(p.total) < reserveMinUse || p.reserved.Share(p.total) > maxReservedShare {
 		return
 	}
 	type option struct {
