--- a/internal/sched/gang.go
+++ b/internal/sched/gang.go
@@ -28,7 +28,7 @@
 		if r.queue.Advice != nil {
 			s.consider(r, p, len(tasks))
 		}
-		s.reserve(r, p, len(tasks))
+		s.reserveCapacity(r, p, len(tasks))
 		return
 	}
 	run, saved := 0, ""
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -184,7 +184,7 @@
 	}
 	if len(left) > 0 {
 		s.giveWay(r, p, len(left))
-		s.reserve(r, p, len(left))
+		s.reserveCapacity(r, p, len(left))
 	}
 }
 
--- a/internal/sched/reserve.go
+++ b/internal/sched/reserve.go
@@ -22,10 +22,10 @@
 	reserveMinUse = 0.5
 )
 
-// reserve holds room for n wide tasks that could not start, on the workers that will have
+// reserveCapacity holds room for n wide tasks that could not start, on the workers that will have
 // it first. Tasks of one processor or GPU find room on any worker all the time; a task
 // that wants half of one or all would hardly see it, however urgent it is.
-func (s *Sched) reserve(r readyStep, p *pool, n int) {
+func (s *Sched) reserveCapacity(r readyStep, p *pool, n int) {
 	room := r.stage.Spec.Room()
 	if !s.enabled(ReserveForWide) || p.used.Share(p.total) < reserveMinUse || p.reserved.Share(p.total) > maxReservedShare {
 		return
