--- a/internal/sched/reserve.go
+++ b/internal/sched/reserve.go
@@ -39,7 +39,7 @@
 		if room.Share(w.Size) < wideShare || !s.suits(r, r.tasks[0], w) {
 			continue
 		}
-		if at, ok := s.freeAt(w, room.Add(w.reserved)); ok {
+		if at, ok := s.fitsAt(w, room.Add(w.reserved)); ok {
 			all = append(all, option{w, at})
 		}
 	}
@@ -53,9 +53,9 @@
 	}
 }
 
-// freeAt is when a worker will have so much room if nothing else is begun there; false if
+// fitsAt is when a worker will have so much room if nothing else is begun there; false if
 // it never will.
-func (s *Sched) freeAt(w *worker, room cell.Size) (time.Time, bool) {
+func (s *Sched) fitsAt(w *worker, room cell.Size) (time.Time, bool) {
 	free := w.free()
 	if room.Fits(free) {
 		return s.now, true
