--- a/internal/sched/slow.go
+++ b/internal/sched/slow.go
@@ -14,10 +14,10 @@
 // elsewhere. All times are the worker's own: a lead that was paused would
 // otherwise take every run for one that stands still.
 const (
-	// stillLeast and stillShare bound how long a run's progress may stay at the
+	// stallMin and stillShare bound how long a run's progress may stay at the
 	// same percent: a hundredth of a task moves it, and an estimate may be five
 	// times too low.
-	stillLeast = 700 * time.Millisecond
+	stallMin   = 700 * time.Millisecond
 	stillShare = 0.08
 	// slowRate is the progress, relative to the estimate, below which a run is
 	// too slow: estimates are off by up to 0.9, kinds of workers by 0.3.
@@ -58,7 +58,7 @@
 	if t.State != flow.Running || st.Fills || l.Percent >= 100 || w.draining {
 		return
 	}
-	still := max(stillLeast, time.Duration(stillShare*float64(st.Time)))
+	still := max(stallMin, time.Duration(stillShare*float64(st.Time)))
 	if clock.Sub(t.Moved) > still {
 		s.recordRunFailure(w, t)
 		t.Avoid = w.Incarnation
