--- a/internal/sched/slow.go
+++ b/internal/sched/slow.go
@@ -18,7 +18,7 @@
 	// same percent: a hundredth of a task moves it, and an estimate may be five
 	// times too low.
 	stallMin   = 700 * time.Millisecond
-	stillShare = 0.08
+	stallShare = 0.08
 	// slowRate is the progress, relative to the estimate, below which a run is
 	// too slow: estimates are off by up to 0.9, kinds of workers by 0.3.
 	slowRate = 0.35
@@ -58,7 +58,7 @@
 	if t.State != flow.Running || st.Fills || l.Percent >= 100 || w.draining {
 		return
 	}
-	still := max(stallMin, time.Duration(stillShare*float64(st.Time)))
+	still := max(stallMin, time.Duration(stallShare*float64(st.Time)))
 	if clock.Sub(t.Moved) > still {
 		s.recordRunFailure(w, t)
 		t.Avoid = w.Incarnation
