--- a/internal/sched/slow.go
+++ b/internal/sched/slow.go
@@ -25,7 +25,7 @@
 	// slowAfter is the share of its estimate, and slowLeast the time, for which a
 	// run is watched before it is judged.
 	slowAfter = 0.5
-	slowLeast = 600 * time.Millisecond
+	slowMin   = 600 * time.Millisecond
 	// leastSlow is how many runs, of two jobs or more, and mostlySlow the share of
 	// those judged, that have to crawl before it is their worker that is slow.
 	leastSlow  = 3
@@ -108,7 +108,7 @@
 	if t.State != flow.Running || t.Seen.IsZero() || st.Lasts || st.Gang || st.Fills || st.Time <= 0 || t.Percent >= 100 {
 		return 0, false
 	}
-	if took < max(slowLeast, time.Duration(slowAfter*float64(st.Time))) {
+	if took < max(slowMin, time.Duration(slowAfter*float64(st.Time))) {
 		return 0, false
 	}
 	return float64(t.Percent) / 100 * float64(st.Time) / float64(took), true
@@ -118,7 +118,7 @@
 func (w *worker) measure(t *flow.Task, clock time.Time) {
 	st := t.Spec()
 	took := clock.Sub(t.Seen)
-	if t.Seen.IsZero() || st.Gang || st.Fills || st.Time <= 0 || took < slowLeast {
+	if t.Seen.IsZero() || st.Gang || st.Fills || st.Time <= 0 || took < slowMin {
 		return
 	}
 	rate := min(float64(st.Time)/float64(took), 1)
