--- a/internal/sched/slow.go
+++ b/internal/sched/slow.go
@@ -22,10 +22,10 @@
 	// slowRate is the progress, relative to the estimate, below which a run is
 	// too slow: estimates are off by up to 0.9, kinds of workers by 0.3.
 	slowRate = 0.35
-	// slowAfter is the share of its estimate, and slowLeast the time, for which a
+	// slowMinShare is the share of its estimate, and slowLeast the time, for which a
 	// run is watched before it is judged.
-	slowAfter = 0.5
-	slowMin   = 600 * time.Millisecond
+	slowMinShare = 0.5
+	slowMin      = 600 * time.Millisecond
 	// leastSlow is how many runs, of two jobs or more, and mostlySlow the share of
 	// those judged, that have to crawl before it is their worker that is slow.
 	leastSlow  = 3
@@ -108,7 +108,7 @@
 	if t.State != flow.Running || t.Seen.IsZero() || st.Lasts || st.Gang || st.Fills || st.Time <= 0 || t.Percent >= 100 {
 		return 0, false
 	}
-	if took < max(slowMin, time.Duration(slowAfter*float64(st.Time))) {
+	if took < max(slowMin, time.Duration(slowMinShare*float64(st.Time))) {
 		return 0, false
 	}
 	return float64(t.Percent) / 100 * float64(st.Time) / float64(took), true
