--- a/internal/sched/slow.go
+++ b/internal/sched/slow.go
@@ -28,8 +28,8 @@
 	slowMin      = 600 * time.Millisecond
 	// minSlowRuns is how many runs, of two jobs or more, and mostlySlow the share of
 	// those judged, that have to crawl before it is their worker that is slow.
-	minSlowRuns = 3
-	mostlySlow  = 0.75
+	minSlowRuns  = 3
+	minSlowShare = 0.75
 	// mostRestarts is how often a task is begun again because it was slow: with a
 	// wrong estimate it would be slow everywhere.
 	mostRestarts = 1
@@ -86,7 +86,7 @@
 			worst = min(worst, rate)
 		}
 	}
-	if len(slow) < minSlowRuns || len(jobs) < 2 || float64(len(slow)) < mostlySlow*float64(judged) {
+	if len(slow) < minSlowRuns || len(jobs) < 2 || float64(len(slow)) < minSlowShare*float64(judged) {
 		return
 	}
 	w.speed = min(w.speed, worst)
