--- a/internal/sched/slow.go
+++ b/internal/sched/slow.go
@@ -30,9 +30,9 @@
 	// those judged, that have to crawl before it is their worker that is slow.
 	minSlowRuns  = 3
 	minSlowShare = 0.75
-	// mostRestarts is how often a task is begun again because it was slow: with a
+	// maxRestarts is how often a task is begun again because it was slow: with a
 	// wrong estimate it would be slow everywhere.
-	mostRestarts = 1
+	maxRestarts = 1
 	// paceWeight is the weight of a new measurement of a worker's pace, and
 	// slowPace the pace below which others are preferred by slowCost.
 	paceWeight = 0.3
@@ -91,7 +91,7 @@
 	}
 	w.speed = min(w.speed, worst)
 	for _, t := range slow {
-		if t.Restarts >= mostRestarts {
+		if t.Restarts >= maxRestarts {
 			continue
 		}
 		t.Restarts++
