--- a/internal/sched/slow.go
+++ b/internal/sched/slow.go
@@ -33,11 +33,11 @@
 	// maxRestarts is how often a task is begun again because it was slow: with a
 	// wrong estimate it would be slow everywhere.
 	maxRestarts = 1
-	// paceWeight is the weight of a new measurement of a worker's pace, and
+	// speedWeight is the weight of a new measurement of a worker's pace, and
 	// slowPace the pace below which others are preferred by slowCost.
-	paceWeight = 0.3
-	slowPace   = 0.6
-	slowCost   = 3
+	speedWeight = 0.3
+	slowPace    = 0.6
+	slowCost    = 3
 )
 
 // progress judges a run by how far its worker says it got.
@@ -122,5 +122,5 @@
 		return
 	}
 	rate := min(float64(st.Time)/float64(took), 1)
-	w.speed += paceWeight * (rate - w.speed)
+	w.speed += speedWeight * (rate - w.speed)
 }
