--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -285,7 +285,7 @@
 	if !st.Lasts && w.runsTaskOf(r.job) {
 		c -= togetherCost
 	}
-	if w.speed < slowPace {
+	if w.speed < slowSpeed {
 		c += slowCost * (1 - w.speed)
 	}
 	return c + suspectCost*float64(w.health.fails)
--- a/internal/sched/slow.go
+++ b/internal/sched/slow.go
@@ -36,7 +36,7 @@
 	// speedWeight is the weight of a new measurement of a worker's pace, and
 	// slowPace the pace below which others are preferred by slowCost.
 	speedWeight = 0.3
-	slowPace    = 0.6
+	slowSpeed   = 0.6
 	slowCost    = 3
 )
 
