--- a/internal/sched/ends.go
+++ b/internal/sched/ends.go
@@ -26,7 +26,7 @@
 		return
 	}
 	s.clearProven(t)
-	s.progress(w, t, l, clock)
+	s.checkProgress(w, t, l, clock)
 }
 
 // stopUntracked stops a run that no record names. It can only be one that was given up
--- a/internal/sched/slow.go
+++ b/internal/sched/slow.go
@@ -40,8 +40,8 @@
 	slowCost    = 3
 )
 
-// progress judges a run by how far its worker says it got.
-func (s *Sched) progress(w *worker, t *flow.Task, l RunStatus, clock time.Time) {
+// checkProgress judges a run by how far its worker says it got.
+func (s *Sched) checkProgress(w *worker, t *flow.Task, l RunStatus, clock time.Time) {
 	if t.Seen.IsZero() {
 		t.Seen, t.Moved, t.Percent = clock, clock, l.Percent
 		return
