--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -140,7 +140,7 @@
 			s.runMissing(t, ev.Sent)
 		}
 	}
-	s.judgePace(w, ev.Clock)
+	s.checkSpeed(w, ev.Clock)
 	w.releaseUntracked(listed, s.now)
 	s.adjustPace(w, ev.Running)
 }
--- a/internal/sched/slow.go
+++ b/internal/sched/slow.go
@@ -66,11 +66,11 @@
 	}
 }
 
-// judgePace gives up runs that would take much longer than beginning again
+// checkSpeed gives up runs that would take much longer than beginning again
 // elsewhere, if nearly all that runs on the worker crawls, of several jobs: a
 // run that is slow alone has more work than its estimate says, and would be
 // slow everywhere.
-func (s *Sched) judgePace(w *worker, clock time.Time) {
+func (s *Sched) checkSpeed(w *worker, clock time.Time) {
 	var slow []*flow.Task
 	jobs := map[string]bool{}
 	judged, worst := 0, 1.0
