--- a/internal/sched/slow.go
+++ b/internal/sched/slow.go
@@ -75,7 +75,7 @@
 	jobs := map[string]bool{}
 	judged, worst := 0, 1.0
 	for _, t := range w.sortedTasks() {
-		rate, ok := paceOf(t, clock)
+		rate, ok := speedOf(t, clock)
 		if !ok {
 			continue
 		}
@@ -100,9 +100,9 @@
 	}
 }
 
-// paceOf is how fast a run goes, relative to its estimate; false if it cannot be
+// speedOf is how fast a run goes, relative to its estimate; false if it cannot be
 // judged yet.
-func paceOf(t *flow.Task, clock time.Time) (float64, bool) {
+func speedOf(t *flow.Task, clock time.Time) (float64, bool) {
 	st := t.Spec()
 	took := clock.Sub(t.Seen)
 	if t.State != flow.Running || t.Seen.IsZero() || st.Lasts || st.Gang || st.Fills || st.Time <= 0 || t.Percent >= 100 {
