--- a/internal/sched/slow.go
+++ b/internal/sched/slow.go
@@ -114,8 +114,8 @@
 	return float64(t.Percent) / 100 * float64(st.Time) / float64(took), true
 }
 
-// measure takes the pace of a run that ended as done.
-func (w *worker) measure(t *flow.Task, clock time.Time) {
+// measureSpeed takes the pace of a run that ended as done.
+func (w *worker) measureSpeed(t *flow.Task, clock time.Time) {
 	st := t.Spec()
 	took := clock.Sub(t.Seen)
 	if t.Seen.IsZero() || st.Gang || st.Fills || st.Time <= 0 || took < slowMin {
