--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -339,7 +339,7 @@
 	keys := s.unstoredStarts
 	s.unstoredStarts = nil
 	for _, k := range keys {
-		s.send(k)
+		s.sendStart(k)
 	}
 }
 
@@ -355,7 +355,7 @@
 		s.publishState(j, b)
 	}
 	for _, k := range b.starts {
-		s.send(k)
+		s.sendStart(k)
 	}
 	for len(s.inFlight) > 0 && s.inFlight[0].stored {
 		b := s.inFlight[0]
--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -30,8 +30,8 @@
 	s.nextBatch.starts = append(s.nextBatch.starts, runKey{t.Name, run})
 }
 
-// send starts a run that is stored by now.
-func (s *Sched) send(k runKey) {
+// sendStart starts a run that is stored by now.
+func (s *Sched) sendStart(k runKey) {
 	t := s.task(k)
 	if t == nil || t.State != flow.Assigned {
 		return
