--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -161,7 +161,7 @@
 	case HoldReply:
 		s.holdReplied(ev)
 	case StartReply:
-		s.started(ev)
+		s.startReplied(ev)
 	case StopReply:
 		s.stopped(ev)
 	case PolicyReply:
--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -68,7 +68,7 @@
 	return t
 }
 
-func (s *Sched) started(ev StartReply) {
+func (s *Sched) startReplied(ev StartReply) {
 	t := s.task(runKey{ev.Task, ev.Run})
 	w := s.workers[ev.Worker]
 	if w != nil {
