--- a/internal/sched/ends.go
+++ b/internal/sched/ends.go
@@ -58,7 +58,7 @@
 		}
 	case flow.Stopping:
 		st, ok := s.stops[runKey{t.Name, t.Run}]
-		if ok && !st.sure.IsZero() && !sent.Before(st.sure) {
+		if ok && !st.answeredAt.IsZero() && !sent.Before(st.answeredAt) {
 			s.requeueTask(t, "stopped")
 		}
 	}
--- a/internal/sched/stop.go
+++ b/internal/sched/stop.go
@@ -12,8 +12,8 @@
 type stop struct {
 	task   *flow.Task
 	worker string
-	// sure is when the worker's answer came; zero while there is none.
-	sure time.Time
+	// answeredAt is when the worker's answer came; zero while there is none.
+	answeredAt time.Time
 	// again is when the stop is sent once more; flying while it has no answer.
 	again  time.Time
 	flying bool
@@ -44,7 +44,7 @@
 func (s *Sched) retryStops() {
 	for _, k := range sortedRuns(s.stops) {
 		st := s.stops[k]
-		if !st.flying && st.sure.IsZero() && !s.now.Before(st.again) {
+		if !st.flying && st.answeredAt.IsZero() && !s.now.Before(st.again) {
 			s.sendStop(k, st)
 		}
 	}
@@ -59,7 +59,7 @@
 	st.flying = false
 	switch ev.Outcome {
 	case Accepted:
-		st.sure = s.now
+		st.answeredAt = s.now
 		if w, ok := s.workers[ev.Worker]; ok {
 			s.probe(w)
 		}
