--- a/internal/sched/stop.go
+++ b/internal/sched/stop.go
@@ -14,9 +14,9 @@
 	worker string
 	// answeredAt is when the worker's answer came; zero while there is none.
 	answeredAt time.Time
-	// again is when the stop is sent once more; flying while it has no answer.
-	again  time.Time
-	flying bool
+	// retryAt is when the stop is sent once more; flying while it has no answer.
+	retryAt time.Time
+	flying  bool
 }
 
 // stop asks for the end of a task's run.
@@ -34,7 +34,7 @@
 func (s *Sched) sendStop(k runKey, st *stop) {
 	w, ok := s.workers[st.worker]
 	if !ok || !w.Addr.IsValid() || w.dead {
-		st.again = s.now.Add(retryDelay)
+		st.retryAt = s.now.Add(retryDelay)
 		return
 	}
 	st.flying = true
@@ -44,7 +44,7 @@
 func (s *Sched) retryStops() {
 	for _, k := range sortedRuns(s.stops) {
 		st := s.stops[k]
-		if !st.flying && st.answeredAt.IsZero() && !s.now.Before(st.again) {
+		if !st.flying && st.answeredAt.IsZero() && !s.now.Before(st.retryAt) {
 			s.sendStop(k, st)
 		}
 	}
@@ -68,6 +68,6 @@
 	case Fenced:
 		s.emit(StepDown{Worker: ev.Worker})
 	default:
-		st.again = s.now.Add(retryDelay)
+		st.retryAt = s.now.Add(retryDelay)
 	}
 }
