--- a/internal/sched/stop.go
+++ b/internal/sched/stop.go
@@ -15,8 +15,8 @@
 	// answeredAt is when the worker's answer came; zero while there is none.
 	answeredAt time.Time
 	// retryAt is when the stop is sent once more; flying while it has no answer.
-	retryAt time.Time
-	flying  bool
+	retryAt  time.Time
+	inFlight bool
 }
 
 // stop asks for the end of a task's run.
@@ -37,14 +37,14 @@
 		st.retryAt = s.now.Add(retryDelay)
 		return
 	}
-	st.flying = true
+	st.inFlight = true
 	s.emit(Stop{To: w.Address, Term: s.term, Task: k.task, Run: k.run})
 }
 
 func (s *Sched) retryStops() {
 	for _, k := range sortedRuns(s.stops) {
 		st := s.stops[k]
-		if !st.flying && st.answeredAt.IsZero() && !s.now.Before(st.retryAt) {
+		if !st.inFlight && st.answeredAt.IsZero() && !s.now.Before(st.retryAt) {
 			s.sendStop(k, st)
 		}
 	}
@@ -56,7 +56,7 @@
 	if !ok || st.worker != ev.Worker {
 		return
 	}
-	st.flying = false
+	st.inFlight = false
 	switch ev.Outcome {
 	case Accepted:
 		st.answeredAt = s.now
