--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -163,7 +163,7 @@
 	case StartReply:
 		s.startReplied(ev)
 	case StopReply:
-		s.stopped(ev)
+		s.stopReplied(ev)
 	case PolicyReply:
 		s.advised(ev)
 	case PredecessorStopped:
--- a/internal/sched/stop.go
+++ b/internal/sched/stop.go
@@ -50,7 +50,7 @@
 	}
 }
 
-func (s *Sched) stopped(ev StopReply) {
+func (s *Sched) stopReplied(ev StopReply) {
 	k := runKey{ev.Task, ev.Run}
 	st, ok := s.stops[k]
 	if !ok || st.worker != ev.Worker {
