--- a/internal/sched/ends.go
+++ b/internal/sched/ends.go
@@ -22,7 +22,7 @@
 		t.Saved = l.Saved
 	}
 	if t.State == flow.Running && t.Job.State.Final() {
-		s.stop(t, "job is over")
+		s.stopRun(t, "job is over")
 		return
 	}
 	s.clearProven(t)
--- a/internal/sched/gang.go
+++ b/internal/sched/gang.go
@@ -96,7 +96,7 @@
 			s.releaseTask(m)
 			m.Move(flow.Gone, s.now)
 		case flow.Starting, flow.Running, flow.Inherited:
-			s.stop(m, "its gang is broken")
+			s.stopRun(m, "its gang is broken")
 		}
 	}
 }
--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -45,7 +45,7 @@
 			s.releaseTask(t)
 			t.Move(flow.Drop, s.now)
 		case flow.Starting, flow.Running, flow.Inherited:
-			s.stop(t, "job is "+string(state))
+			s.stopRun(t, "job is "+string(state))
 		}
 	})
 	s.closeIfOver(j)
--- a/internal/sched/slow.go
+++ b/internal/sched/slow.go
@@ -62,7 +62,7 @@
 	if clock.Sub(t.Moved) > still {
 		s.recordRunFailure(w, t)
 		t.Avoid = w.Incarnation
-		s.stop(t, "stands still at "+strconv.Itoa(l.Percent)+" percent")
+		s.stopRun(t, "stands still at "+strconv.Itoa(l.Percent)+" percent")
 	}
 }
 
@@ -96,7 +96,7 @@
 		}
 		t.Restarts++
 		t.Avoid = w.Incarnation
-		s.stop(t, "is too slow")
+		s.stopRun(t, "is too slow")
 	}
 }
 
--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -98,7 +98,7 @@
 	case Unanswered:
 		// It may begin now or seconds later. Only a stop makes sure that it
 		// does not, and the worker's list tells whether it did.
-		s.stop(t, "start without an answer")
+		s.stopRun(t, "start without an answer")
 		return
 	case BadTicket:
 		s.dropTicket(t, w)
--- a/internal/sched/stop.go
+++ b/internal/sched/stop.go
@@ -19,8 +19,8 @@
 	inFlight bool
 }
 
-// stop asks for the end of a task's run.
-func (s *Sched) stop(t *flow.Task, why string) {
+// stopRun asks for the end of a task's run.
+func (s *Sched) stopRun(t *flow.Task, why string) {
 	if !t.Move(flow.Stop, s.now) {
 		return
 	}
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -156,9 +156,9 @@
 		st := t.Spec()
 		switch {
 		case st.Lasts:
-			s.stop(t, "worker leaves")
+			s.stopRun(t, "worker leaves")
 		case st.Saves && s.now.Add(s.limits.StopGrace).After(w.leavesAt):
-			s.stop(t, "worker leaves")
+			s.stopRun(t, "worker leaves")
 		}
 	}
 }
--- a/internal/sched/yield.go
+++ b/internal/sched/yield.go
@@ -51,7 +51,7 @@
 		}
 		for _, t := range victims {
 			t.Yields++
-			s.stop(t, "gives way to "+r.stage.Tasks[0].Name.StepName())
+			s.stopRun(t, "gives way to "+r.stage.Tasks[0].Name.StepName())
 		}
 		w.reserved = w.reserved.Add(room)
 		s.preemptions[r.stage] = append(s.preemptions[r.stage], yield{w.Incarnation, s.now.Add(yieldFor)})
