--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -34,7 +34,7 @@
 	allowRates  map[string]float64
 	// urgentUsage is what the questions of the most urgentUsage queues take of the hosts.
 	urgentUsage usage
-	stops       map[runKey]*stop
+	stops       map[runKey]*pendingStop
 	// suspects are tasks under which lives of workers ended, or may have.
 	suspects map[*flow.Task]bool
 	// outages are workers that stopped answering lately.
@@ -95,7 +95,7 @@
 	s := &Sched{
 		limits: limits, term: term, queues: map[string]flow.Queue{}, jobs: map[string]*flow.Job{}, openJobs: map[string]*flow.Job{},
 		workers: map[string]*worker{}, hosts: map[string]*host{}, advice: map[*flow.Stage]*advice{}, allowRates: map[string]float64{},
-		stops: map[runKey]*stop{}, suspects: map[*flow.Task]bool{}, preemptions: map[*flow.Stage][]yield{}, waits: map[*flow.Stage]*wait{}, earlyCancels: map[string]time.Time{}, dirty: map[string]*flow.Job{}, nextBatch: newBatch(),
+		stops: map[runKey]*pendingStop{}, suspects: map[*flow.Task]bool{}, preemptions: map[*flow.Stage][]yield{}, waits: map[*flow.Stage]*wait{}, earlyCancels: map[string]time.Time{}, dirty: map[string]*flow.Job{}, nextBatch: newBatch(),
 	}
 	for _, j := range jobs {
 		s.jobs[j.Spec.ID] = j
--- a/internal/sched/stop.go
+++ b/internal/sched/stop.go
@@ -6,10 +6,10 @@
 	"pollencroft/internal/flow"
 )
 
-// stop is a run that must end. A worker that has answered a stop never begins
+// pendingStop is a run that must end. A worker that has answered a pendingStop never begins
 // that run any more, so the task is free once a list that was asked for after
 // the answer does not have it.
-type stop struct {
+type pendingStop struct {
 	task   *flow.Task
 	worker string
 	// answeredAt is when the worker's answer came; zero while there is none.
@@ -26,12 +26,12 @@
 	}
 	s.noteTask(t, "stop", why)
 	k := runKey{t.Name, t.Run}
-	st := &stop{task: t, worker: t.Worker}
+	st := &pendingStop{task: t, worker: t.Worker}
 	s.stops[k] = st
 	s.sendStop(k, st)
 }
 
-func (s *Sched) sendStop(k runKey, st *stop) {
+func (s *Sched) sendStop(k runKey, st *pendingStop) {
 	w, ok := s.workers[st.worker]
 	if !ok || !w.Addr.IsValid() || w.dead {
 		st.retryAt = s.now.Add(retryDelay)
