--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -67,7 +67,7 @@
 	for _, t := range st.Tasks {
 		switch {
 		case t.State != flow.Waiting || t.Doubt() >= maxCrashes:
-		case t.Doubt() >= aloneFrom:
+		case t.Doubt() >= aloneAfter:
 			alone = append(alone, t)
 		default:
 			tasks = append(tasks, t)
@@ -167,7 +167,7 @@
 	// without looking at a single worker.
 	for len(left) > 0 && (keep == 0 || p.freeCPU >= keep+need) {
 		w := s.bestWorker(r, left[0], allowed)
-		if w == nil && left[0].Doubt() >= aloneFrom {
+		if w == nil && left[0].Doubt() >= aloneAfter {
 			alone, left = append(alone, left[0]), left[1:]
 			continue
 		}
--- a/internal/sched/trial.go
+++ b/internal/sched/trial.go
@@ -12,8 +12,8 @@
 // which a second life has ended runs alone on a worker: it takes no others down with it,
 // and no other one adds to its count.
 const (
-	// aloneFrom is how many lives must have ended under a task for it to run alone.
-	aloneFrom = 2
+	// aloneAfter is how many lives must have ended under a task for it to run alone.
+	aloneAfter = 2
 	// trialWait is how long a task waits for a worker that is empty.
 	trialWait = 3 * time.Second
 	// trialFor is how long a task that runs alone keeps others of its step from doing so:
@@ -42,7 +42,7 @@
 		return
 	}
 	w.crashSuspects++
-	if t.Doubt() >= aloneFrom && w.trialStep == nil {
+	if t.Doubt() >= aloneAfter && w.trialStep == nil {
 		w.trialStep = t.Step
 	}
 }
@@ -53,7 +53,7 @@
 		return false
 	}
 	switch {
-	case t.Doubt() < aloneFrom:
+	case t.Doubt() < aloneAfter:
 		return true
 	case s.trialBeside(t):
 		return false
@@ -67,7 +67,7 @@
 // trialBeside tells whether another task of the step has just begun to run alone.
 func (s *Sched) trialBeside(t *flow.Task) bool {
 	for u := range s.suspects {
-		if u == t || u.Step != t.Step || t.Spec().Gang || !u.Out() || u.Doubt() < aloneFrom {
+		if u == t || u.Step != t.Step || t.Spec().Gang || !u.Out() || u.Doubt() < aloneAfter {
 			continue
 		}
 		if u.State != flow.Running || s.now.Sub(u.Since) < trialFor {
