--- a/internal/sched/trial.go
+++ b/internal/sched/trial.go
@@ -16,9 +16,9 @@
 	aloneAfter = 2
 	// trialWait is how long a task waits for a worker that is empty.
 	trialWait = 3 * time.Second
-	// trialFor is how long a task that runs alone keeps others of its step from doing so:
+	// trialDuration is how long a task that runs alone keeps others of its step from doing so:
 	// tasks of a step are alike.
-	trialFor = 2 * time.Second
+	trialDuration = 2 * time.Second
 	// suspectsCost keeps tasks under which a life has ended apart.
 	suspectsCost = 1
 )
@@ -70,7 +70,7 @@
 		if u == t || u.Step != t.Step || t.Spec().Gang || !u.Out() || u.Doubt() < aloneAfter {
 			continue
 		}
-		if u.State != flow.Running || s.now.Sub(u.Since) < trialFor {
+		if u.State != flow.Running || s.now.Sub(u.Since) < trialDuration {
 			return true
 		}
 	}
