--- a/internal/sched/trial.go
+++ b/internal/sched/trial.go
@@ -14,8 +14,8 @@
 const (
 	// aloneAfter is how many lives must have ended under a task for it to run alone.
 	aloneAfter = 2
-	// trialWait is how long a task waits for a worker that is empty.
-	trialWait = 3 * time.Second
+	// maxTrialWait is how long a task waits for a worker that is empty.
+	maxTrialWait = 3 * time.Second
 	// trialDuration is how long a task that runs alone keeps others of its step from doing so:
 	// tasks of a step are alike.
 	trialDuration = 2 * time.Second
@@ -60,7 +60,7 @@
 	case len(w.untracked) == 0 && len(w.tasks) == w.tasksOf(t.Step) && (t.Spec().Gang || len(w.tasks) == 0):
 		return true
 	default:
-		return w.crashSuspects == 0 && s.now.Sub(t.Since) > trialWait
+		return w.crashSuspects == 0 && s.now.Sub(t.Since) > maxTrialWait
 	}
 }
 
