--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -201,7 +201,7 @@
 		}
 		c := s.cost(r, w)
 		if w.crashSuspects > 0 && t.Doubt() > 0 {
-			c += suspectsCost
+			c += crashSuspectCost
 		}
 		if best == nil || c < least {
 			best, least = w, c
--- a/internal/sched/trial.go
+++ b/internal/sched/trial.go
@@ -19,8 +19,8 @@
 	// trialDuration is how long a task that runs alone keeps others of its step from doing so:
 	// tasks of a step are alike.
 	trialDuration = 2 * time.Second
-	// suspectsCost keeps tasks under which a life has ended apart.
-	suspectsCost = 1
+	// crashSuspectCost keeps tasks under which a life has ended apart.
+	crashSuspectCost = 1
 )
 
 // markSuspects notes on the workers which have tasks under which lives ended.
