--- a/internal/sched/trial.go
+++ b/internal/sched/trial.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// mayMeet tells whether a task may be on a worker beside what is there.
-func (s *Sched) mayMeet(t *flow.Task, w *worker) bool {
+// mayShare tells whether a task may be on a worker beside what is there.
+func (s *Sched) mayShare(t *flow.Task, w *worker) bool {
 	if w.trialStep != nil && (!t.Spec().Gang || w.trialStep != t.Step) {
 		return false
 	}
