--- a/internal/sched/trial.go
+++ b/internal/sched/trial.go
@@ -55,7 +55,7 @@
 	switch {
 	case t.Doubt() < aloneAfter:
 		return true
-	case s.trialBeside(t):
+	case s.trialUnderway(t):
 		return false
 	case len(w.untracked) == 0 && len(w.tasks) == w.tasksOf(t.Step) && (t.Spec().Gang || len(w.tasks) == 0):
 		return true
@@ -64,8 +64,8 @@
 	}
 }
 
-// trialBeside tells whether another task of the step has just begun to run alone.
-func (s *Sched) trialBeside(t *flow.Task) bool {
+// trialUnderway tells whether another task of the step has just begun to run alone.
+func (s *Sched) trialUnderway(t *flow.Task) bool {
 	for u := range s.suspects {
 		if u == t || u.Step != t.Step || t.Spec().Gang || !u.Out() || u.Doubt() < aloneAfter {
 			continue
