--- a/internal/sched/trial.go
+++ b/internal/sched/trial.go
@@ -25,7 +25,7 @@
 
 // markSuspects notes on the workers which have tasks under which lives ended.
 func (s *Sched) markSuspects() {
-	for _, t := range s.inDoubt() {
+	for _, t := range s.sortedSuspects() {
 		if !t.Spec().Gang {
 			s.markSuspect(t)
 			continue
@@ -77,7 +77,7 @@
 	return false
 }
 
-// inDoubt lists the tasks under which lives ended by name.
-func (s *Sched) inDoubt() []*flow.Task {
+// sortedSuspects lists the tasks under which lives ended by name.
+func (s *Sched) sortedSuspects() []*flow.Task {
 	return slices.SortedFunc(maps.Keys(s.suspects), func(a, b *flow.Task) int { return compareNames(a.Name, b.Name) })
 }
