--- a/internal/sched/waits.go
+++ b/internal/sched/waits.go
@@ -12,23 +12,23 @@
 // WaitReason is what a step with tasks that could run waits for.
 type WaitReason int
 
-// The reasons.
+// The waitReasonCount.
 const (
 	// WaitForHost is a host that can ask the policy service, ForAdvice its answer, ForRoom a
 	// worker that the step may use and that has room.
 	WaitForHost WaitReason = iota
 	WaitForPolicy
 	WaitForCapacity
-	reasons
+	waitReasonCount
 )
 
-var reasonNames = [reasons]string{"host", "advice", "room"}
+var reasonNames = [waitReasonCount]string{"host", "advice", "room"}
 
 // String returns the reason for logs and metrics.
 func (r WaitReason) String() string { return reasonNames[r] }
 
 // WaitTimes are times by reason.
-type WaitTimes [reasons]time.Duration
+type WaitTimes [waitReasonCount]time.Duration
 
 // Total is the sum over all reasons.
 func (w WaitTimes) Total() time.Duration {
