--- a/internal/sched/waits.go
+++ b/internal/sched/waits.go
@@ -50,9 +50,9 @@
 	return strings.Join(all, ", ")
 }
 
-// firstLong is the wait from which a step is told of, and from there each time that it has
+// firstWaitNote is the wait from which a step is told of, and from there each time that it has
 // doubled: longer than anything urgent may take, and rare enough in a full cell.
-const firstLong = 4 * time.Second
+const firstWaitNote = 4 * time.Second
 
 // wait is a step that waits, since at for a reason; it is told of once it has waited until
 // long.
@@ -70,7 +70,7 @@
 	for _, r := range steps {
 		w, ok := s.waits[r.stage]
 		if !ok {
-			w = &wait{at: s.now, long: firstLong}
+			w = &wait{at: s.now, long: firstWaitNote}
 			s.waits[r.stage] = w
 		}
 		w.by[w.why] += s.now.Sub(w.at)
