--- a/internal/sched/waits.go
+++ b/internal/sched/waits.go
@@ -57,10 +57,10 @@
 // wait is a step that waits, since at for a reason; it is told of once it has waited until
 // long.
 type wait struct {
-	by   WaitTimes
-	at   time.Time
-	why  WaitReason
-	long time.Duration
+	times WaitTimes
+	at    time.Time
+	why   WaitReason
+	long  time.Duration
 }
 
 // account adds what has passed since the last pass to what each step waits for now, and
@@ -73,16 +73,16 @@
 			w = &wait{at: s.now, long: firstWaitNote}
 			s.waits[r.stage] = w
 		}
-		w.by[w.why] += s.now.Sub(w.at)
+		w.times[w.why] += s.now.Sub(w.at)
 		w.at, w.why = s.now, s.waitsFor(r)
 		if !slices.ContainsFunc(r.stage.Tasks, func(t *flow.Task) bool { return t.State == flow.Waiting }) {
 			delete(s.waits, r.stage)
-			s.emit(StepWaited{Rank: r.queue.Rank, Times: w.by})
+			s.emit(StepWaited{Rank: r.queue.Rank, Times: w.times})
 			continue
 		}
-		if total := w.by.Total(); total >= w.long {
+		if total := w.times.Total(); total >= w.long {
 			w.long = 2 * total
-			s.emit(Note{ID: r.stage.Tasks[0].Name.StepName(), What: "step waits", Detail: w.by.String()})
+			s.emit(Note{ID: r.stage.Tasks[0].Name.StepName(), What: "step waits", Detail: w.times.String()})
 		}
 	}
 }
