--- a/internal/sched/waits.go
+++ b/internal/sched/waits.go
@@ -57,10 +57,10 @@
 // wait is a step that waits, since at for a reason; it is told of once it has waited until
 // long.
 type wait struct {
-	times WaitTimes
-	at    time.Time
-	why   WaitReason
-	long  time.Duration
+	times          WaitTimes
+	accountedUntil time.Time
+	why            WaitReason
+	long           time.Duration
 }
 
 // account adds what has passed since the last pass to what each step waits for now, and
@@ -70,11 +70,11 @@
 	for _, r := range steps {
 		w, ok := s.waits[r.stage]
 		if !ok {
-			w = &wait{at: s.now, long: firstWaitNote}
+			w = &wait{accountedUntil: s.now, long: firstWaitNote}
 			s.waits[r.stage] = w
 		}
-		w.times[w.why] += s.now.Sub(w.at)
-		w.at, w.why = s.now, s.waitsFor(r)
+		w.times[w.why] += s.now.Sub(w.accountedUntil)
+		w.accountedUntil, w.why = s.now, s.waitsFor(r)
 		if !slices.ContainsFunc(r.stage.Tasks, func(t *flow.Task) bool { return t.State == flow.Waiting }) {
 			delete(s.waits, r.stage)
 			s.emit(StepWaited{Rank: r.queue.Rank, Times: w.times})
