--- a/internal/sched/waits.go
+++ b/internal/sched/waits.go
@@ -59,7 +59,7 @@
 type wait struct {
 	times          WaitTimes
 	accountedUntil time.Time
-	why            WaitReason
+	reason         WaitReason
 	long           time.Duration
 }
 
@@ -73,8 +73,8 @@
 			w = &wait{accountedUntil: s.now, long: firstWaitNote}
 			s.waits[r.stage] = w
 		}
-		w.times[w.why] += s.now.Sub(w.accountedUntil)
-		w.accountedUntil, w.why = s.now, s.waitsFor(r)
+		w.times[w.reason] += s.now.Sub(w.accountedUntil)
+		w.accountedUntil, w.reason = s.now, s.waitsFor(r)
 		if !slices.ContainsFunc(r.stage.Tasks, func(t *flow.Task) bool { return t.State == flow.Waiting }) {
 			delete(s.waits, r.stage)
 			s.emit(StepWaited{Rank: r.queue.Rank, Times: w.times})
