--- a/internal/sched/waits.go
+++ b/internal/sched/waits.go
@@ -60,7 +60,7 @@
 	times          WaitTimes
 	accountedUntil time.Time
 	reason         WaitReason
-	long           time.Duration
+	nextNote       time.Duration
 }
 
 // account adds what has passed since the last pass to what each step waits for now, and
@@ -70,7 +70,7 @@
 	for _, r := range steps {
 		w, ok := s.waits[r.stage]
 		if !ok {
-			w = &wait{accountedUntil: s.now, long: firstWaitNote}
+			w = &wait{accountedUntil: s.now, nextNote: firstWaitNote}
 			s.waits[r.stage] = w
 		}
 		w.times[w.reason] += s.now.Sub(w.accountedUntil)
@@ -80,8 +80,8 @@
 			s.emit(StepWaited{Rank: r.queue.Rank, Times: w.times})
 			continue
 		}
-		if total := w.times.Total(); total >= w.long {
-			w.long = 2 * total
+		if total := w.times.Total(); total >= w.nextNote {
+			w.nextNote = 2 * total
 			s.emit(Note{ID: r.stage.Tasks[0].Name.StepName(), What: "step waits", Detail: w.times.String()})
 		}
 	}
