--- a/internal/sched/waits.go
+++ b/internal/sched/waits.go
@@ -54,9 +54,9 @@
 // doubled: longer than anything urgent may take, and rare enough in a full cell.
 const firstWaitNote = 4 * time.Second
 
-// wait is a step that waits, since at for a reason; it is told of once it has waited until
+// stepWait is a step that waits, since at for a reason; it is told of once it has waited until
 // long.
-type wait struct {
+type stepWait struct {
 	times          WaitTimes
 	accountedUntil time.Time
 	reason         WaitReason
@@ -70,7 +70,7 @@
 	for _, r := range steps {
 		w, ok := s.waits[r.stage]
 		if !ok {
-			w = &wait{accountedUntil: s.now, nextNote: firstWaitNote}
+			w = &stepWait{accountedUntil: s.now, nextNote: firstWaitNote}
 			s.waits[r.stage] = w
 		}
 		w.times[w.reason] += s.now.Sub(w.accountedUntil)
