--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -149,7 +149,7 @@
 			s.askAhead(r, p)
 		}
 	}
-	s.account(steps)
+	s.accountWaits(steps)
 }
 
 // placeStep places what it can of one step.
--- a/internal/sched/waits.go
+++ b/internal/sched/waits.go
@@ -63,10 +63,10 @@
 	nextNote       time.Duration
 }
 
-// account adds what has passed since the last pass to what each step waits for now, and
+// accountWaits adds what has passed since the last pass to what each step waits for now, and
 // tells of those that have room for all their tasks. One cannot see from starts alone why a
 // job is late: for room, for the policy service, or for a host that could ask it.
-func (s *Sched) account(steps []readyStep) {
+func (s *Sched) accountWaits(steps []readyStep) {
 	for _, r := range steps {
 		w, ok := s.waits[r.stage]
 		if !ok {
