--- a/internal/sched/waits.go
+++ b/internal/sched/waits.go
@@ -74,7 +74,7 @@
 			s.waits[r.stage] = w
 		}
 		w.times[w.reason] += s.now.Sub(w.accountedUntil)
-		w.accountedUntil, w.reason = s.now, s.waitsFor(r)
+		w.accountedUntil, w.reason = s.now, s.waitReason(r)
 		if !slices.ContainsFunc(r.stage.Tasks, func(t *flow.Task) bool { return t.State == flow.Waiting }) {
 			delete(s.waits, r.stage)
 			s.emit(StepWaited{Rank: r.queue.Rank, Times: w.times})
@@ -87,8 +87,8 @@
 	}
 }
 
-// waitsFor is what a step waits for in this pass.
-func (s *Sched) waitsFor(r readyStep) WaitReason {
+// waitReason is what a step waits for in this pass.
+func (s *Sched) waitReason(r readyStep) WaitReason {
 	kind := 0
 	if s.isLong(r.queue) {
 		kind = 1
