--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -120,7 +120,7 @@
 	}
 	if t.Job.State == flow.Queued {
 		t.Job.State = flow.Active
-		s.begun(t.Job)
+		s.jobStarted(t.Job)
 		s.markDirty(t.Job)
 	}
 }
--- a/internal/sched/waits.go
+++ b/internal/sched/waits.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// begun tells how long a job waited from its acceptance to its first start.
-func (s *Sched) begun(j *flow.Job) {
+// jobStarted tells how long a job waited from its acceptance to its first start.
+func (s *Sched) jobStarted(j *flow.Job) {
 	s.emit(JobStarted{Rank: s.queue(j).Rank, After: s.now.Sub(j.Began)})
 }
