--- a/internal/sched/yield.go
+++ b/internal/sched/yield.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// yieldFor is how long room that others were stopped for is kept for the step that
+	// preemptedHold is how long room that others were stopped for is kept for the step that
 	// it is for: a stop takes as long as the platform allows it, up to a second, and
 	// the list that shows its end a little more.
-	yieldFor = 2 * time.Second
+	preemptedHold = 2 * time.Second
 	// mostYields is how often a task is stopped for others; each time costs it a
 	// question, a restore and the way back into the queue.
 	mostYields = 2
@@ -54,7 +54,7 @@
 			s.stopRun(t, "gives way to "+r.stage.Tasks[0].Name.StepName())
 		}
 		w.reserved = w.reserved.Add(room)
-		s.preemptions[r.stage] = append(s.preemptions[r.stage], yield{w.Incarnation, s.now.Add(yieldFor)})
+		s.preemptions[r.stage] = append(s.preemptions[r.stage], yield{w.Incarnation, s.now.Add(preemptedHold)})
 	}
 }
 
