--- a/internal/sched/yield.go
+++ b/internal/sched/yield.go
@@ -12,9 +12,9 @@
 	// it is for: a stop takes as long as the platform allows it, up to a second, and
 	// the list that shows its end a little more.
 	preemptedHold = 2 * time.Second
-	// mostYields is how often a task is stopped for others; each time costs it a
+	// maxPreemptions is how often a task is stopped for others; each time costs it a
 	// question, a restore and the way back into the queue.
-	mostYields = 2
+	maxPreemptions = 2
 	// yieldCost is about what being stopped takes a task: the stop, a question, the
 	// wait for another place and the restore.
 	yieldCost = 3 * time.Second
@@ -106,7 +106,7 @@
 func (s *Sched) mayYield(t *flow.Task, r readyStep) bool {
 	st := t.Spec()
 	q := s.queue(t.Job)
-	if t.State != flow.Running || !st.Saves || st.Gang || st.Lasts || st.Fills || q.Rank <= r.queue.Rank || t.Yields >= mostYields {
+	if t.State != flow.Running || !st.Saves || st.Gang || st.Lasts || st.Fills || q.Rank <= r.queue.Rank || t.Yields >= maxPreemptions {
 		return false
 	}
 	round, ok := t.Job.Rounds[t.Name.Round]
