--- a/internal/sched/yield.go
+++ b/internal/sched/yield.go
@@ -15,9 +15,9 @@
 	// maxPreemptions is how often a task is stopped for others; each time costs it a
 	// question, a restore and the way back into the queue.
 	maxPreemptions = 2
-	// yieldCost is about what being stopped takes a task: the stop, a question, the
+	// preemptionCost is about what being stopped takes a task: the stop, a question, the
 	// wait for another place and the restore.
-	yieldCost = 3 * time.Second
+	preemptionCost = 3 * time.Second
 )
 
 // yield is room on a worker that others were stopped for.
@@ -113,5 +113,5 @@
 	if !ok {
 		return false
 	}
-	return s.waitedSince(t.Job, round)+yieldCost+t.Job.Left(t.Step) <= t.Job.Objective(q)
+	return s.waitedSince(t.Job, round)+preemptionCost+t.Job.Left(t.Step) <= t.Job.Objective(q)
 }
