--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -42,7 +42,7 @@
 	// waits are steps that wait.
 	waits map[*flow.Stage]*stepWait
 	// preemptions are rooms that others were stopped for.
-	preemptions map[*flow.Stage][]yield
+	preemptions map[*flow.Stage][]preemption
 	// earlyCancels are when jobs that are not known yet were cancelled.
 	earlyCancels map[string]time.Time
 	// dirty are jobs whose progress is not in an append yet.
@@ -95,7 +95,7 @@
 	s := &Sched{
 		limits: limits, term: term, queues: map[string]flow.Queue{}, jobs: map[string]*flow.Job{}, openJobs: map[string]*flow.Job{},
 		workers: map[string]*worker{}, hosts: map[string]*host{}, advice: map[*flow.Stage]*advice{}, allowRates: map[string]float64{},
-		stops: map[runKey]*pendingStop{}, suspects: map[*flow.Task]bool{}, preemptions: map[*flow.Stage][]yield{}, waits: map[*flow.Stage]*stepWait{}, earlyCancels: map[string]time.Time{}, dirty: map[string]*flow.Job{}, nextBatch: newBatch(),
+		stops: map[runKey]*pendingStop{}, suspects: map[*flow.Task]bool{}, preemptions: map[*flow.Stage][]preemption{}, waits: map[*flow.Stage]*stepWait{}, earlyCancels: map[string]time.Time{}, dirty: map[string]*flow.Job{}, nextBatch: newBatch(),
 	}
 	for _, j := range jobs {
 		s.jobs[j.Spec.ID] = j
--- a/internal/sched/yield.go
+++ b/internal/sched/yield.go
@@ -20,8 +20,8 @@
 	preemptionCost = 3 * time.Second
 )
 
-// yield is room on a worker that others were stopped for.
-type yield struct {
+// preemption is room on a worker that others were stopped for.
+type preemption struct {
 	worker string
 	until  time.Time
 }
@@ -35,7 +35,7 @@
 		return
 	}
 	room := r.stage.Spec.Room()
-	s.preemptions[r.stage] = slices.DeleteFunc(s.preemptions[r.stage], func(y yield) bool {
+	s.preemptions[r.stage] = slices.DeleteFunc(s.preemptions[r.stage], func(y preemption) bool {
 		w, ok := s.workers[y.worker]
 		return !ok || !room.Fits(w.Size) || !s.now.Before(y.until)
 	})
@@ -54,7 +54,7 @@
 			s.stopRun(t, "gives way to "+r.stage.Tasks[0].Name.StepName())
 		}
 		w.reserved = w.reserved.Add(room)
-		s.preemptions[r.stage] = append(s.preemptions[r.stage], yield{w.Incarnation, s.now.Add(preemptedHold)})
+		s.preemptions[r.stage] = append(s.preemptions[r.stage], preemption{w.Incarnation, s.now.Add(preemptedHold)})
 	}
 }
 
