--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -183,7 +183,7 @@
 		s.consider(r, p, len(left))
 	}
 	if len(left) > 0 {
-		s.giveWay(r, p, len(left))
+		s.preempt(r, p, len(left))
 		s.reserveCapacity(r, p, len(left))
 	}
 }
--- a/internal/sched/yield.go
+++ b/internal/sched/yield.go
@@ -26,11 +26,11 @@
 	until  time.Time
 }
 
-// giveWay stops less urgent tasks that save their progress for n tasks that can still be
+// preempt stops less urgent tasks that save their progress for n tasks that can still be
 // in time and have tickets. Room for a wide task hardly comes by itself: what one small
 // task leaves another takes. One notices wide ones that wait for half a minute beside
 // bulk that has time to spare.
-func (s *Sched) giveWay(r readyStep, p *pool, n int) {
+func (s *Sched) preempt(r readyStep, p *pool, n int) {
 	if !s.enabled(PreemptBulk) || r.class != onTime || r.stage.Spec.Gang {
 		return
 	}
