--- a/internal/sched/yield.go
+++ b/internal/sched/yield.go
@@ -45,7 +45,7 @@
 		n--
 	}
 	for ; n > 0; n-- {
-		w, victims := s.cheapest(r, p)
+		w, victims := s.cheapestPreemption(r, p)
 		if w == nil {
 			return
 		}
@@ -58,9 +58,9 @@
 	}
 }
 
-// cheapest finds the worker on which the fewest tasks have to be stopped for one of the
+// cheapestPreemption finds the worker on which the fewest tasks have to be stopped for one of the
 // step; nil if there is none.
-func (s *Sched) cheapest(r readyStep, p *pool) (*worker, []*flow.Task) {
+func (s *Sched) cheapestPreemption(r readyStep, p *pool) (*worker, []*flow.Task) {
 	var best *worker
 	var least []*flow.Task
 	for _, w := range s.allowed(r, p) {
