--- a/internal/sched/yield.go
+++ b/internal/sched/yield.go
@@ -87,7 +87,7 @@
 	}
 	var all []*flow.Task
 	for _, t := range w.sortedTasks() {
-		if s.mayYield(t, r) {
+		if s.preemptible(t, r) {
 			all = append(all, t)
 		}
 	}
@@ -101,9 +101,9 @@
 	return all, room.Fits(open)
 }
 
-// mayYield tells whether a task may be stopped for a step: it is less urgent, saves its
+// preemptible tells whether a task may be stopped for a step: it is less urgent, saves its
 // progress and its job has the time.
-func (s *Sched) mayYield(t *flow.Task, r readyStep) bool {
+func (s *Sched) preemptible(t *flow.Task, r readyStep) bool {
 	st := t.Spec()
 	q := s.queue(t.Job)
 	if t.State != flow.Running || !st.Saves || st.Gang || st.Lasts || st.Fills || q.Rank <= r.queue.Rank || t.Yields >= maxPreemptions {
