--- a/internal/sched/ahead.go
+++ b/internal/sched/ahead.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// aheadShare is how much of a service's workers the steps may want in all whose tickets
+// prefetchShare is how much of a service's workers the steps may want in all whose tickets
 // are got before there is room for them. Within the time that a ticket holds, two
 // seconds, about half of the room of tasks of four seconds is given back.
-const aheadShare = 0.5
+const prefetchShare = 0.5
 
 // askAhead asks about a step of a full service, with hosts that nothing else needs now.
 //
@@ -18,7 +18,7 @@
 		return
 	}
 	tasks := startableTasks(r.stage)
-	if len(tasks) == 0 || p.prefetched.Share(p.total) > aheadShare {
+	if len(tasks) == 0 || p.prefetched.Share(p.total) > prefetchShare {
 		return
 	}
 	p.prefetched = p.prefetched.Add(r.stage.Spec.Room().Times(float64(len(tasks))))
