--- a/internal/sched/ahead.go
+++ b/internal/sched/ahead.go
@@ -7,13 +7,13 @@
 // seconds, about half of the room of tasks of four seconds is given back.
 const prefetchShare = 0.5
 
-// askAhead asks about a step of a full service, with hosts that nothing else needs now.
+// prefetchTickets asks about a step of a full service, with hosts that nothing else needs now.
 //
 // A question takes up to half a second. Asked only once a worker has room, that room
 // stays empty for as long, and so it does each time; one notices work that waits beside
 // GPUs of which a third is idle. With a ticket in hand a task starts in the pass that
 // sees the room.
-func (s *Sched) askAhead(r readyStep, p *pool) {
+func (s *Sched) prefetchTickets(r readyStep, p *pool) {
 	if !s.enabled(PrefetchTickets) || r.queue.Advice == nil || !s.isLong(r.queue) {
 		return
 	}
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -146,7 +146,7 @@
 	}
 	for _, r := range steps {
 		if p, ok := pools[r.queue.Service]; ok {
-			s.askAhead(r, p)
+			s.prefetchTickets(r, p)
 		}
 	}
 	s.accountWaits(steps)
