--- a/internal/sched/ahead.go
+++ b/internal/sched/ahead.go
@@ -31,14 +31,14 @@
 		return
 	}
 	r.tasks = tasks
-	if named := s.worthHaving(r, a, p); len(named) > 0 {
+	if named := s.prefetchCandidates(r, a, p); len(named) > 0 {
 		s.ask(r, a, name, named)
 	}
 }
 
-// worthHaving lists the workers of which a step lacks a ticket that holds for a while,
+// prefetchCandidates lists the workers of which a step lacks a ticket that holds for a while,
 // those that it was allowed before and then those that nobody asked about.
-func (s *Sched) worthHaving(r readyStep, a *advice, p *pool) []string {
+func (s *Sched) prefetchCandidates(r readyStep, a *advice, p *pool) []string {
 	cost := r.queue.Advice.Cost(1)
 	var all []candidate
 	var most int64
