--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -9,10 +9,10 @@
 
 // advice is what the policy service said of one step.
 type advice struct {
-	// good holds the ticket of each worker that may run the step; a ticket that
+	// tickets holds the ticket of each worker that may run the step; a ticket that
 	// ran out still tells that the worker may. bad are those that may not, ever.
-	good map[string]ticket
-	bad  map[string]bool
+	tickets map[string]ticket
+	bad     map[string]bool
 	// order lists the lives in good, sorted.
 	order []string
 	// asked is when the question under way was sent, to host, about named.
@@ -67,7 +67,7 @@
 	if !ok {
 		return "", false
 	}
-	got, ok := a.good[w.Incarnation]
+	got, ok := a.tickets[w.Incarnation]
 	if !ok || !s.now.Before(got.until) {
 		return "", false
 	}
@@ -84,7 +84,7 @@
 	if !ok {
 		return false
 	}
-	for _, got := range a.good {
+	for _, got := range a.tickets {
 		if s.now.Before(got.until) {
 			return true
 		}
@@ -113,9 +113,9 @@
 
 func (s *Sched) dropTicket(t *flow.Task, w *worker) {
 	if a, ok := s.advice[t.Step]; ok {
-		if got, ok := a.good[w.Incarnation]; ok {
+		if got, ok := a.tickets[w.Incarnation]; ok {
 			got.until = time.Time{}
-			a.good[w.Incarnation] = got
+			a.tickets[w.Incarnation] = got
 		}
 	}
 }
@@ -149,7 +149,7 @@
 func (s *Sched) adviceOn(st *flow.Stage) *advice {
 	a, ok := s.advice[st]
 	if !ok {
-		a = &advice{good: map[string]ticket{}, bad: map[string]bool{}}
+		a = &advice{tickets: map[string]ticket{}, bad: map[string]bool{}}
 		s.advice[st] = a
 	}
 	return a
@@ -183,7 +183,7 @@
 			continue
 		}
 		part := s.rate(r.queue)
-		if _, known := a.good[life]; known {
+		if _, known := a.tickets[life]; known {
 			part = 1
 		}
 		likely := min(part*float64(r.taskCapacity(w)), want)
@@ -228,13 +228,13 @@
 	fresh, good := 0, 0
 	for _, life := range a.named {
 		text, ok := ev.Tickets[life]
-		_, known := a.good[life]
+		_, known := a.tickets[life]
 		if !known {
 			fresh++
 		}
 		switch {
 		case ok:
-			a.good[life] = ticket{text: text, until: s.now.Add(a.valid - margin)}
+			a.tickets[life] = ticket{text: text, until: s.now.Add(a.valid - margin)}
 			if i, found := slices.BinarySearch(a.order, life); !found {
 				a.order = slices.Insert(a.order, i, life)
 			}
--- a/internal/sched/ahead.go
+++ b/internal/sched/ahead.go
@@ -43,7 +43,7 @@
 	var all []candidate
 	var most int64
 	for _, w := range p.workers {
-		got, known := a.good[w.Incarnation]
+		got, known := a.tickets[w.Incarnation]
 		if !a.bad[w.Incarnation] && r.stage.Spec.Room().Fits(w.Size) {
 			most += r.stage.Spec.Room().Into(w.Size)
 		}
--- a/internal/sched/naming.go
+++ b/internal/sched/naming.go
@@ -78,7 +78,7 @@
 		}
 		hold := r.taskCapacity(w)
 		most += hold
-		got, known := a.good[w.Incarnation]
+		got, known := a.tickets[w.Incarnation]
 		if !known || !s.now.Before(got.until) {
 			// One with a ticket was passed over for another reason.
 			all = append(all, candidate{life: w.Incarnation, tasks: hold, known: known, cost: s.cost(r, w)})
@@ -96,7 +96,7 @@
 	var all []candidate
 	room := r.stage.Spec.Room()
 	for _, w := range p.workers {
-		_, known := a.good[w.Incarnation]
+		_, known := a.tickets[w.Incarnation]
 		if known || a.bad[w.Incarnation] || !room.Fits(w.Size) || room.Fits(w.available().Sub(w.earmarked)) || !s.suits(r, r.tasks[0], w) {
 			continue
 		}
