--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -12,7 +12,7 @@
 	// tickets holds the ticket of each worker that may run the step; a ticket that
 	// ran out still tells that the worker may. bad are those that may not, ever.
 	tickets map[string]ticket
-	bad     map[string]bool
+	denied  map[string]bool
 	// order lists the lives in good, sorted.
 	order []string
 	// asked is when the question under way was sent, to host, about named.
@@ -149,7 +149,7 @@
 func (s *Sched) adviceOn(st *flow.Stage) *advice {
 	a, ok := s.advice[st]
 	if !ok {
-		a = &advice{tickets: map[string]ticket{}, bad: map[string]bool{}}
+		a = &advice{tickets: map[string]ticket{}, denied: map[string]bool{}}
 		s.advice[st] = a
 	}
 	return a
@@ -242,7 +242,7 @@
 				good++
 			}
 		default:
-			a.bad[life] = true
+			a.denied[life] = true
 		}
 	}
 	if fresh > 0 {
--- a/internal/sched/ahead.go
+++ b/internal/sched/ahead.go
@@ -44,7 +44,7 @@
 	var most int64
 	for _, w := range p.workers {
 		got, known := a.tickets[w.Incarnation]
-		if !a.bad[w.Incarnation] && r.stage.Spec.Room().Fits(w.Size) {
+		if !a.denied[w.Incarnation] && r.stage.Spec.Room().Fits(w.Size) {
 			most += r.stage.Spec.Room().Into(w.Size)
 		}
 		if known && s.now.Add(cost).Before(got.until) {
@@ -54,7 +54,7 @@
 			}
 			continue
 		}
-		if a.bad[w.Incarnation] || !r.stage.Spec.Room().Fits(w.Size) || !s.suits(r, r.tasks[0], w) {
+		if a.denied[w.Incarnation] || !r.stage.Spec.Room().Fits(w.Size) || !s.suits(r, r.tasks[0], w) {
 			continue
 		}
 		all = append(all, candidate{life: w.Incarnation, known: known, cost: s.cost(r, w)})
--- a/internal/sched/naming.go
+++ b/internal/sched/naming.go
@@ -73,7 +73,7 @@
 			continue
 		}
 		some = true
-		if a.bad[w.Incarnation] || !s.suits(r, r.tasks[0], w) {
+		if a.denied[w.Incarnation] || !s.suits(r, r.tasks[0], w) {
 			continue
 		}
 		hold := r.taskCapacity(w)
@@ -97,7 +97,7 @@
 	room := r.stage.Spec.Room()
 	for _, w := range p.workers {
 		_, known := a.tickets[w.Incarnation]
-		if known || a.bad[w.Incarnation] || !room.Fits(w.Size) || room.Fits(w.available().Sub(w.earmarked)) || !s.suits(r, r.tasks[0], w) {
+		if known || a.denied[w.Incarnation] || !room.Fits(w.Size) || room.Fits(w.available().Sub(w.earmarked)) || !s.suits(r, r.tasks[0], w) {
 			continue
 		}
 		all = append(all, candidate{life: w.Incarnation, cost: s.cost(r, w)})
