--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -13,8 +13,8 @@
 	// ran out still tells that the worker may. bad are those that may not, ever.
 	tickets map[string]ticket
 	denied  map[string]bool
-	// order lists the lives in good, sorted.
-	order []string
+	// allowed lists the lives in good, sorted.
+	allowed []string
 	// asked is when the question under way was sent, to host, about named.
 	asked time.Time
 	host  string
@@ -102,8 +102,8 @@
 	if !ok {
 		return nil
 	}
-	all := make([]*worker, 0, len(a.order))
-	for _, life := range a.order {
+	all := make([]*worker, 0, len(a.allowed))
+	for _, life := range a.allowed {
 		if w, ok := s.workers[life]; ok && w.Service == r.queue.Service && w.usable(s.now) {
 			all = append(all, w)
 		}
@@ -235,8 +235,8 @@
 		switch {
 		case ok:
 			a.tickets[life] = ticket{text: text, until: s.now.Add(a.valid - margin)}
-			if i, found := slices.BinarySearch(a.order, life); !found {
-				a.order = slices.Insert(a.order, i, life)
+			if i, found := slices.BinarySearch(a.allowed, life); !found {
+				a.allowed = slices.Insert(a.allowed, i, life)
 			}
 			if !known {
 				good++
