--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -15,14 +15,14 @@
 	denied  map[string]bool
 	// allowed lists the lives in good, sorted.
 	allowed []string
-	// asked is when the question under way was sent, to host, about named.
-	asked time.Time
-	host  string
-	named []string
-	gives time.Time
-	again time.Time
-	valid time.Duration
-	queue string
+	// queriedAt is when the question under way was sent, to host, about named.
+	queriedAt time.Time
+	host      string
+	named     []string
+	gives     time.Time
+	again     time.Time
+	valid     time.Duration
+	queue     string
 }
 
 type ticket struct {
@@ -123,7 +123,7 @@
 // consider asks the policy service about a step of which n tasks wait.
 func (s *Sched) consider(r readyStep, p *pool, n int) {
 	a := s.adviceOn(r.stage)
-	if !a.asked.IsZero() {
+	if !a.queriedAt.IsZero() {
 		s.book(r, a)
 		return
 	}
@@ -167,7 +167,7 @@
 	if !h.longQuery {
 		s.urgentUsage.add(cost, s.now)
 	}
-	a.asked, a.host, a.named, a.gives = s.now, name, named, h.busyUntil.Add(overdue)
+	a.queriedAt, a.host, a.named, a.gives = s.now, name, named, h.busyUntil.Add(overdue)
 	a.valid, a.queue = r.queue.Advice.Valid, r.queue.Name
 	s.emit(QueryPolicy{Host: name, Step: r.stage.Tasks[0].Name.StepName(), Workers: named, Timeout: a.gives.Sub(s.now)})
 }
@@ -220,7 +220,7 @@
 }
 
 func (s *Sched) answer(a *advice, ev PolicyReply) {
-	a.asked = time.Time{}
+	a.queriedAt = time.Time{}
 	if ev.Failed {
 		s.emit(Note{ID: ev.Step, What: "advice failed", Detail: ev.Host})
 		return
@@ -259,7 +259,7 @@
 func (s *Sched) asked() []*flow.Stage {
 	var all []*flow.Stage
 	for st, a := range s.advice {
-		if !a.asked.IsZero() {
+		if !a.queriedAt.IsZero() {
 			all = append(all, st)
 		}
 	}
@@ -272,7 +272,7 @@
 	for _, st := range s.asked() {
 		a := s.advice[st]
 		if s.now.After(a.gives) {
-			a.asked = time.Time{}
+			a.queriedAt = time.Time{}
 			if h, ok := s.hosts[a.host]; ok {
 				h.queryFailed(s.now)
 			}
--- a/internal/sched/ahead.go
+++ b/internal/sched/ahead.go
@@ -23,7 +23,7 @@
 	}
 	p.prefetched = p.prefetched.Add(r.stage.Spec.Room().Times(float64(len(tasks))))
 	a := s.adviceOn(r.stage)
-	if !a.asked.IsZero() {
+	if !a.queriedAt.IsZero() {
 		return
 	}
 	name := s.pickHost(r.queue, 1)
--- a/internal/sched/waits.go
+++ b/internal/sched/waits.go
@@ -97,7 +97,7 @@
 	switch {
 	case r.queue.Advice == nil, s.ticketed(r):
 		return WaitForCapacity
-	case ok && !a.asked.IsZero():
+	case ok && !a.queriedAt.IsZero():
 		return WaitForPolicy
 	case s.noFreeHost[kind]:
 		return WaitForHost
