--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -18,7 +18,7 @@
 	// queriedAt is when the question under way was sent, to host, about named.
 	queriedAt time.Time
 	host      string
-	named     []string
+	queried   []string
 	gives     time.Time
 	again     time.Time
 	valid     time.Duration
@@ -167,7 +167,7 @@
 	if !h.longQuery {
 		s.urgentUsage.add(cost, s.now)
 	}
-	a.queriedAt, a.host, a.named, a.gives = s.now, name, named, h.busyUntil.Add(overdue)
+	a.queriedAt, a.host, a.queried, a.gives = s.now, name, named, h.busyUntil.Add(overdue)
 	a.valid, a.queue = r.queue.Advice.Valid, r.queue.Name
 	s.emit(QueryPolicy{Host: name, Step: r.stage.Tasks[0].Name.StepName(), Workers: named, Timeout: a.gives.Sub(s.now)})
 }
@@ -177,7 +177,7 @@
 func (s *Sched) book(r readyStep, a *advice) {
 	room := r.stage.Spec.Room()
 	want := float64(len(r.tasks))
-	for _, life := range a.named {
+	for _, life := range a.queried {
 		w, ok := s.workers[life]
 		if !ok || !room.Fits(w.free()) {
 			continue
@@ -226,7 +226,7 @@
 		return
 	}
 	fresh, good := 0, 0
-	for _, life := range a.named {
+	for _, life := range a.queried {
 		text, ok := ev.Tickets[life]
 		_, known := a.tickets[life]
 		if !known {
