--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -19,7 +19,7 @@
 	queriedAt time.Time
 	host      string
 	queried   []string
-	gives     time.Time
+	giveUpAt  time.Time
 	again     time.Time
 	valid     time.Duration
 	queue     string
@@ -167,9 +167,9 @@
 	if !h.longQuery {
 		s.urgentUsage.add(cost, s.now)
 	}
-	a.queriedAt, a.host, a.queried, a.gives = s.now, name, named, h.busyUntil.Add(overdue)
+	a.queriedAt, a.host, a.queried, a.giveUpAt = s.now, name, named, h.busyUntil.Add(overdue)
 	a.valid, a.queue = r.queue.Advice.Valid, r.queue.Name
-	s.emit(QueryPolicy{Host: name, Step: r.stage.Tasks[0].Name.StepName(), Workers: named, Timeout: a.gives.Sub(s.now)})
+	s.emit(QueryPolicy{Host: name, Step: r.stage.Tasks[0].Name.StepName(), Workers: named, Timeout: a.giveUpAt.Sub(s.now)})
 }
 
 // book sets aside the room that the answer of a step's question is likely to take, so that
@@ -271,7 +271,7 @@
 func (s *Sched) watchAdvice() {
 	for _, st := range s.asked() {
 		a := s.advice[st]
-		if s.now.After(a.gives) {
+		if s.now.After(a.giveUpAt) {
 			a.queriedAt = time.Time{}
 			if h, ok := s.hosts[a.host]; ok {
 				h.queryFailed(s.now)
