--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -20,7 +20,7 @@
 	host      string
 	queried   []string
 	giveUpAt  time.Time
-	again     time.Time
+	nextQuery time.Time
 	valid     time.Duration
 	queue     string
 }
@@ -127,7 +127,7 @@
 		s.book(r, a)
 		return
 	}
-	if s.now.Before(a.again) || p.knownFull(r.stage.Spec.Room()) {
+	if s.now.Before(a.nextQuery) || p.knownFull(r.stage.Spec.Room()) {
 		return
 	}
 	name := s.pickHostOnce(r.queue)
@@ -137,7 +137,7 @@
 	named := s.workersToQuery(r, a, p, n)
 	if len(named) == 0 {
 		if s.isLong(r.queue) {
-			a.again = s.now.Add(lookAgain)
+			a.nextQuery = s.now.Add(lookAgain)
 		}
 		return
 	}
