--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -31,9 +31,9 @@
 }
 
 const (
-	// margin is how long before a ticket runs out it is used no more: a start
+	// ticketMargin is how long before a ticket runs out it is used no more: a start
 	// has to be stored and sent in that time.
-	margin = 250 * time.Millisecond
+	ticketMargin = 250 * time.Millisecond
 	// overdue is how long after its expected time a question is given up: the
 	// service is punctual, and what is late is lost in a cut or at a busy host.
 	overdue = 500 * time.Millisecond
@@ -234,7 +234,7 @@
 		}
 		switch {
 		case ok:
-			a.tickets[life] = ticket{text: text, until: s.now.Add(a.valid - margin)}
+			a.tickets[life] = ticket{text: text, until: s.now.Add(a.valid - ticketMargin)}
 			if i, found := slices.BinarySearch(a.allowed, life); !found {
 				a.allowed = slices.Insert(a.allowed, i, life)
 			}
