--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -34,9 +34,9 @@
 	// ticketMargin is how long before a ticket runs out it is used no more: a start
 	// has to be stored and sent in that time.
 	ticketMargin = 250 * time.Millisecond
-	// overdue is how long after its expected time a question is given up: the
+	// queryGrace is how long after its expected time a question is given up: the
 	// service is punctual, and what is late is lost in a cut or at a busy host.
-	overdue = 500 * time.Millisecond
+	queryGrace = 500 * time.Millisecond
 	// lookAgain is the pause after no worker was found worth asking about for a step
 	// that is not of the most urgent kind: a backlog of thousands would be looked
 	// through, worker by worker, in every pass.
@@ -167,7 +167,7 @@
 	if !h.longQuery {
 		s.urgentUsage.add(cost, s.now)
 	}
-	a.queriedAt, a.host, a.queried, a.giveUpAt = s.now, name, named, h.busyUntil.Add(overdue)
+	a.queriedAt, a.host, a.queried, a.giveUpAt = s.now, name, named, h.busyUntil.Add(queryGrace)
 	a.valid, a.queue = r.queue.Advice.Valid, r.queue.Name
 	s.emit(QueryPolicy{Host: name, Step: r.stage.Tasks[0].Name.StepName(), Workers: named, Timeout: a.giveUpAt.Sub(s.now)})
 }
