--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -37,10 +37,10 @@
 	// queryGrace is how long after its expected time a question is given up: the
 	// service is punctual, and what is late is lost in a cut or at a busy host.
 	queryGrace = 500 * time.Millisecond
-	// lookAgain is the pause after no worker was found worth asking about for a step
+	// queryRetryDelay is the pause after no worker was found worth asking about for a step
 	// that is not of the most urgent kind: a backlog of thousands would be looked
 	// through, worker by worker, in every pass.
-	lookAgain = 100 * time.Millisecond
+	queryRetryDelay = 100 * time.Millisecond
 	// mostNamed is how many workers one question may name.
 	mostNamed = 100
 	// spare is by how much more workers are named than the tasks need by the
@@ -137,7 +137,7 @@
 	named := s.workersToQuery(r, a, p, n)
 	if len(named) == 0 {
 		if s.isLong(r.queue) {
-			a.nextQuery = s.now.Add(lookAgain)
+			a.nextQuery = s.now.Add(queryRetryDelay)
 		}
 		return
 	}
