--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -41,8 +41,8 @@
 	// that is not of the most urgent kind: a backlog of thousands would be looked
 	// through, worker by worker, in every pass.
 	queryRetryDelay = 100 * time.Millisecond
-	// mostNamed is how many workers one question may name.
-	mostNamed = 100
+	// maxQueryWorkers is how many workers one question may name.
+	maxQueryWorkers = 100
 	// spare is by how much more workers are named than the tasks need by the
 	// measured share of good ones.
 	spare = 1.3
--- a/internal/sched/ahead.go
+++ b/internal/sched/ahead.go
@@ -65,7 +65,7 @@
 	}
 	slices.SortStableFunc(all, candidate.compare)
 	var named []string
-	for _, c := range all[:min(len(all), max(s.extraQueryWorkers(r.queue.Advice), 1), mostNamed)] {
+	for _, c := range all[:min(len(all), max(s.extraQueryWorkers(r.queue.Advice), 1), maxQueryWorkers)] {
 		named = append(named, c.life)
 	}
 	return named
--- a/internal/sched/naming.go
+++ b/internal/sched/naming.go
@@ -37,7 +37,7 @@
 	}
 	rate, more := s.rate(r.queue), s.extraQueryWorkers(r.queue.Advice)
 	want := float64(n) * spare
-	enough := func(named []string) bool { return want <= 0 && len(named) >= more || len(named) == mostNamed }
+	enough := func(named []string) bool { return want <= 0 && len(named) >= more || len(named) == maxQueryWorkers }
 	var named []string
 	for _, c := range all {
 		if enough(named) {
@@ -112,7 +112,7 @@
 	case !s.enabled(QueryMoreWorkers):
 		return 0
 	case a.Each <= 0:
-		return mostNamed
+		return maxQueryWorkers
 	}
 	return int(moreCost * float64(a.Base) / float64(a.Each))
 }
