--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -43,9 +43,9 @@
 	queryRetryDelay = 100 * time.Millisecond
 	// maxQueryWorkers is how many workers one question may name.
 	maxQueryWorkers = 100
-	// spare is by how much more workers are named than the tasks need by the
+	// querySpare is by how much more workers are named than the tasks need by the
 	// measured share of good ones.
-	spare = 1.3
+	querySpare = 1.3
 	// moreCost is by what share a question may take longer to learn of more workers than
 	// the tasks need now: the answer is for good, and the next question names none in
 	// vain. It is nearly free where the service takes most of its time for a question
--- a/internal/sched/naming.go
+++ b/internal/sched/naming.go
@@ -36,7 +36,7 @@
 		return nil
 	}
 	rate, more := s.rate(r.queue), s.extraQueryWorkers(r.queue.Advice)
-	want := float64(n) * spare
+	want := float64(n) * querySpare
 	enough := func(named []string) bool { return want <= 0 && len(named) >= more || len(named) == maxQueryWorkers }
 	var named []string
 	for _, c := range all {
