--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -46,11 +46,11 @@
 	// querySpare is by how much more workers are named than the tasks need by the
 	// measured share of good ones.
 	querySpare = 1.3
-	// moreCost is by what share a question may take longer to learn of more workers than
+	// maxExtraCost is by what share a question may take longer to learn of more workers than
 	// the tasks need now: the answer is for good, and the next question names none in
 	// vain. It is nearly free where the service takes most of its time for a question
 	// whatever it names.
-	moreCost = 0.25
+	maxExtraCost = 0.25
 	// firstRate is the share of good workers before any was measured, and
 	// rateWeight the weight of a new measurement.
 	firstRate  = 0.5
--- a/internal/sched/naming.go
+++ b/internal/sched/naming.go
@@ -114,7 +114,7 @@
 	case a.Each <= 0:
 		return maxQueryWorkers
 	}
-	return int(moreCost * float64(a.Base) / float64(a.Each))
+	return int(maxExtraCost * float64(a.Base) / float64(a.Each))
 }
 
 // taskCapacity is how many of the step's tasks a worker has room for.
