--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -51,10 +51,10 @@
 	// vain. It is nearly free where the service takes most of its time for a question
 	// whatever it names.
 	maxExtraCost = 0.25
-	// firstRate is the share of good workers before any was measured, and
+	// initialAllowRate is the share of good workers before any was measured, and
 	// rateWeight the weight of a new measurement.
-	firstRate  = 0.5
-	rateWeight = 0.1
+	initialAllowRate = 0.5
+	rateWeight       = 0.1
 )
 
 // ticket returns the ticket with which a task may start on a worker; false if
@@ -199,7 +199,7 @@
 	if rate, ok := s.allowRates[q.Name]; ok {
 		return rate
 	}
-	return firstRate
+	return initialAllowRate
 }
 
 func (s *Sched) advised(ev PolicyReply) {
@@ -248,7 +248,7 @@
 	if fresh > 0 {
 		rate, ok := s.allowRates[a.queue]
 		if !ok {
-			rate = firstRate
+			rate = initialAllowRate
 		}
 		s.allowRates[a.queue] = max(rate+rateWeight*(float64(good)/float64(fresh)-rate), 0.05)
 	}
