--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -74,9 +74,9 @@
 	return got.text, true
 }
 
-// ticketed tells whether there is any worker with a ticket for the step, or none
+// hasTicket tells whether there is any worker with a ticket for the step, or none
 // is needed.
-func (s *Sched) ticketed(r readyStep) bool {
+func (s *Sched) hasTicket(r readyStep) bool {
 	if r.queue.Advice == nil {
 		return true
 	}
--- a/internal/sched/gang.go
+++ b/internal/sched/gang.go
@@ -21,7 +21,7 @@
 		return
 	}
 	var put []*worker
-	if s.ticketed(r) {
+	if s.hasTicket(r) {
 		put = s.findGangWorkers(r, s.allowed(r, p))
 	}
 	if put == nil {
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -160,7 +160,7 @@
 	}
 	need := r.stage.Spec.Room().CPU
 	left, alone, allowed := r.tasks, []*flow.Task(nil), []*worker(nil)
-	if s.ticketed(r) {
+	if s.hasTicket(r) {
 		allowed = s.allowed(r, p)
 	}
 	// Without a ticket no worker may have it: a backlog of such steps is passed over
--- a/internal/sched/waits.go
+++ b/internal/sched/waits.go
@@ -95,7 +95,7 @@
 	}
 	a, ok := s.advice[r.stage]
 	switch {
-	case r.queue.Advice == nil, s.ticketed(r):
+	case r.queue.Advice == nil, s.hasTicket(r):
 		return WaitForCapacity
 	case ok && !a.queriedAt.IsZero():
 		return WaitForPolicy
