--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -92,9 +92,9 @@
 	return false
 }
 
-// allowed lists the workers of a pool that may run a step, as far as that is known: a step
+// allowedWorkers lists the workers of a pool that may run a step, as far as that is known: a step
 // of which the policy service was asked has a dozen, of hundreds.
-func (s *Sched) allowed(r readyStep, p *pool) []*worker {
+func (s *Sched) allowedWorkers(r readyStep, p *pool) []*worker {
 	if r.queue.Advice == nil {
 		return p.workers
 	}
--- a/internal/sched/gang.go
+++ b/internal/sched/gang.go
@@ -22,7 +22,7 @@
 	}
 	var put []*worker
 	if s.hasTicket(r) {
-		put = s.findGangWorkers(r, s.allowed(r, p))
+		put = s.findGangWorkers(r, s.allowedWorkers(r, p))
 	}
 	if put == nil {
 		if r.queue.Advice != nil {
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -161,7 +161,7 @@
 	need := r.stage.Spec.Room().CPU
 	left, alone, allowed := r.tasks, []*flow.Task(nil), []*worker(nil)
 	if s.hasTicket(r) {
-		allowed = s.allowed(r, p)
+		allowed = s.allowedWorkers(r, p)
 	}
 	// Without a ticket no worker may have it: a backlog of such steps is passed over
 	// without looking at a single worker.
--- a/internal/sched/reserve.go
+++ b/internal/sched/reserve.go
@@ -35,7 +35,7 @@
 		at time.Time
 	}
 	var all []option
-	for _, w := range s.allowed(r, p) {
+	for _, w := range s.allowedWorkers(r, p) {
 		if room.Share(w.Size) < wideShare || !s.suits(r, r.tasks[0], w) {
 			continue
 		}
--- a/internal/sched/yield.go
+++ b/internal/sched/yield.go
@@ -63,7 +63,7 @@
 func (s *Sched) cheapestPreemption(r readyStep, p *pool) (*worker, []*flow.Task) {
 	var best *worker
 	var least []*flow.Task
-	for _, w := range s.allowed(r, p) {
+	for _, w := range s.allowedWorkers(r, p) {
 		if r.stage.Spec.Room().Share(w.Size) < wideShare {
 			continue
 		}
