--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -111,7 +111,7 @@
 	return all
 }
 
-func (s *Sched) dropTicket(t *flow.Task, w *worker) {
+func (s *Sched) expireTicket(t *flow.Task, w *worker) {
 	if a, ok := s.advice[t.Step]; ok {
 		if got, ok := a.tickets[w.Incarnation]; ok {
 			got.until = time.Time{}
--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -101,7 +101,7 @@
 		s.stopRun(t, "start without an answer")
 		return
 	case BadTicket:
-		s.dropTicket(t, w)
+		s.expireTicket(t, w)
 	case NoCapacity:
 		w.refusedUntil = s.now.Add(retryDelay)
 	default:
