--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// consider asks the policy service about a step of which n tasks wait.
-func (s *Sched) consider(r readyStep, p *pool, n int) {
+// maybeQuery asks the policy service about a step of which n tasks wait.
+func (s *Sched) maybeQuery(r readyStep, p *pool, n int) {
 	a := s.adviceOn(r.stage)
 	if !a.queriedAt.IsZero() {
 		s.book(r, a)
--- a/internal/sched/gang.go
+++ b/internal/sched/gang.go
@@ -26,7 +26,7 @@
 	}
 	if put == nil {
 		if r.queue.Advice != nil {
-			s.consider(r, p, len(tasks))
+			s.maybeQuery(r, p, len(tasks))
 		}
 		s.reserveCapacity(r, p, len(tasks))
 		return
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -180,7 +180,7 @@
 	}
 	left = append(left, alone...)
 	if len(left) > 0 && r.queue.Advice != nil && p.freeCPU-keep >= need {
-		s.consider(r, p, len(left))
+		s.maybeQuery(r, p, len(left))
 	}
 	if len(left) > 0 {
 		s.preempt(r, p, len(left))
