--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -122,7 +122,7 @@
 
 // maybeQuery asks the policy service about a step of which n tasks wait.
 func (s *Sched) maybeQuery(r readyStep, p *pool, n int) {
-	a := s.adviceOn(r.stage)
+	a := s.adviceFor(r.stage)
 	if !a.queriedAt.IsZero() {
 		s.book(r, a)
 		return
@@ -145,8 +145,8 @@
 	s.book(r, a)
 }
 
-// adviceOn is what is known of a step.
-func (s *Sched) adviceOn(st *flow.Stage) *advice {
+// adviceFor is what is known of a step.
+func (s *Sched) adviceFor(st *flow.Stage) *advice {
 	a, ok := s.advice[st]
 	if !ok {
 		a = &advice{tickets: map[string]ticket{}, denied: map[string]bool{}}
--- a/internal/sched/ahead.go
+++ b/internal/sched/ahead.go
@@ -22,7 +22,7 @@
 		return
 	}
 	p.prefetched = p.prefetched.Add(r.stage.Spec.Room().Times(float64(len(tasks))))
-	a := s.adviceOn(r.stage)
+	a := s.adviceFor(r.stage)
 	if !a.queriedAt.IsZero() {
 		return
 	}
