--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -141,7 +141,7 @@
 		}
 		return
 	}
-	s.ask(r, a, name, named)
+	s.queryPolicy(r, a, name, named)
 	s.book(r, a)
 }
 
@@ -155,8 +155,8 @@
 	return a
 }
 
-// ask has a host ask the policy service.
-func (s *Sched) ask(r readyStep, a *advice, name string, named []string) {
+// queryPolicy has a host queryPolicy the policy service.
+func (s *Sched) queryPolicy(r readyStep, a *advice, name string, named []string) {
 	cost := r.queue.Advice.Cost(len(named))
 	h := s.hosts[name]
 	if h.busyUntil.Before(s.now) {
--- a/internal/sched/ahead.go
+++ b/internal/sched/ahead.go
@@ -32,7 +32,7 @@
 	}
 	r.tasks = tasks
 	if named := s.prefetchCandidates(r, a, p); len(named) > 0 {
-		s.ask(r, a, name, named)
+		s.queryPolicy(r, a, name, named)
 	}
 }
 
