--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -124,7 +124,7 @@
 func (s *Sched) maybeQuery(r readyStep, p *pool, n int) {
 	a := s.adviceFor(r.stage)
 	if !a.queriedAt.IsZero() {
-		s.book(r, a)
+		s.earmark(r, a)
 		return
 	}
 	if s.now.Before(a.nextQuery) || p.knownFull(r.stage.Spec.Room()) {
@@ -142,7 +142,7 @@
 		return
 	}
 	s.queryPolicy(r, a, name, named)
-	s.book(r, a)
+	s.earmark(r, a)
 }
 
 // adviceFor is what is known of a step.
@@ -172,9 +172,9 @@
 	s.emit(QueryPolicy{Host: name, Step: r.stage.Tasks[0].Name.StepName(), Workers: named, Timeout: a.giveUpAt.Sub(s.now)})
 }
 
-// book sets aside the room that the answer of a step's question is likely to take, so that
+// earmark sets aside the room that the answer of a step's question is likely to take, so that
 // nobody asks for a later step about the same hole.
-func (s *Sched) book(r readyStep, a *advice) {
+func (s *Sched) earmark(r readyStep, a *advice) {
 	room := r.stage.Spec.Room()
 	want := float64(len(r.tasks))
 	for _, life := range a.queried {
