--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -182,7 +182,7 @@
 		if !ok || !room.Fits(w.free()) {
 			continue
 		}
-		part := s.rate(r.queue)
+		part := s.allowRate(r.queue)
 		if _, known := a.tickets[life]; known {
 			part = 1
 		}
@@ -194,8 +194,8 @@
 	}
 }
 
-// rate is the measured share of workers that may run a step of a queue.
-func (s *Sched) rate(q flow.Queue) float64 {
+// allowRate is the measured share of workers that may run a step of a queue.
+func (s *Sched) allowRate(q flow.Queue) float64 {
 	if rate, ok := s.allowRates[q.Name]; ok {
 		return rate
 	}
--- a/internal/sched/naming.go
+++ b/internal/sched/naming.go
@@ -35,7 +35,7 @@
 	if len(all) == 0 || r.stage.Spec.Gang && most < n {
 		return nil
 	}
-	rate, more := s.rate(r.queue), s.extraQueryWorkers(r.queue.Advice)
+	rate, more := s.allowRate(r.queue), s.extraQueryWorkers(r.queue.Advice)
 	want := float64(n) * querySpare
 	enough := func(named []string) bool { return want <= 0 && len(named) >= more || len(named) == maxQueryWorkers }
 	var named []string
