--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -202,7 +202,7 @@
 	return initialAllowRate
 }
 
-func (s *Sched) advised(ev PolicyReply) {
+func (s *Sched) policyReplied(ev PolicyReply) {
 	for _, st := range s.asked() {
 		a := s.advice[st]
 		if a.host != ev.Host || st.Tasks[0].Name.StepName() != ev.Step {
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -165,7 +165,7 @@
 	case StopReply:
 		s.stopReplied(ev)
 	case PolicyReply:
-		s.advised(ev)
+		s.policyReplied(ev)
 	case PredecessorStopped:
 		s.predecessorStopped(ev)
 	case Tick:
