--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -208,7 +208,7 @@
 		if a.host != ev.Host || st.Tasks[0].Name.StepName() != ev.Step {
 			continue
 		}
-		s.answer(a, ev)
+		s.recordReply(a, ev)
 	}
 	if h, ok := s.hosts[ev.Host]; ok {
 		if ev.Failed {
@@ -219,7 +219,7 @@
 	}
 }
 
-func (s *Sched) answer(a *advice, ev PolicyReply) {
+func (s *Sched) recordReply(a *advice, ev PolicyReply) {
 	a.queriedAt = time.Time{}
 	if ev.Failed {
 		s.emit(Note{ID: ev.Step, What: "advice failed", Detail: ev.Host})
