--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -203,7 +203,7 @@
 }
 
 func (s *Sched) policyReplied(ev PolicyReply) {
-	for _, st := range s.asked() {
+	for _, st := range s.stepsBeingQueried() {
 		a := s.advice[st]
 		if a.host != ev.Host || st.Tasks[0].Name.StepName() != ev.Step {
 			continue
@@ -255,8 +255,8 @@
 	s.emit(Note{ID: ev.Step, What: "advice", Detail: ev.Host})
 }
 
-// asked lists the steps of which a question is under way, in order.
-func (s *Sched) asked() []*flow.Stage {
+// stepsBeingQueried lists the steps of which a question is under way, in order.
+func (s *Sched) stepsBeingQueried() []*flow.Stage {
 	var all []*flow.Stage
 	for st, a := range s.advice {
 		if !a.queriedAt.IsZero() {
@@ -269,7 +269,7 @@
 
 // watchAdvice gives up questions that took too long.
 func (s *Sched) watchAdvice() {
-	for _, st := range s.asked() {
+	for _, st := range s.stepsBeingQueried() {
 		a := s.advice[st]
 		if s.now.After(a.giveUpAt) {
 			a.queriedAt = time.Time{}
