--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -267,8 +267,8 @@
 	return all
 }
 
-// watchAdvice gives up questions that took too long.
-func (s *Sched) watchAdvice() {
+// expireQueries gives up questions that took too long.
+func (s *Sched) expireQueries() {
 	for _, st := range s.stepsBeingQueried() {
 		a := s.advice[st]
 		if s.now.After(a.giveUpAt) {
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -223,7 +223,7 @@
 	s.pruneSuspects()
 	s.pruneOutages()
 	s.retryStops()
-	s.watchAdvice()
+	s.expireQueries()
 	s.forgetEndedJobs()
 }
 
