--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -7,15 +7,16 @@
 	"pollencroft/internal/flow"
 )
 
-// advice is what the policy service said of one step.
+// advice holds what the policy service has answered about one step.
 type advice struct {
-	// tickets holds the ticket of each worker that may run the step; a ticket that
-	// ran out still tells that the worker may. bad are those that may not, ever.
+	// tickets holds the ticket of each worker that may run the step. An expired ticket still shows
+	// that the worker may run it. denied holds the workers that may never run it.
 	tickets map[string]ticket
 	denied  map[string]bool
-	// allowed lists the lives in good, sorted.
+	// allowed lists the incarnations in tickets, sorted.
 	allowed []string
-	// queriedAt is when the question under way was sent, to host, about named.
+	// queriedAt is when the query in flight was sent to host; queried lists the workers that it
+	// names.
 	queriedAt time.Time
 	host      string
 	queried   []string
@@ -31,34 +32,34 @@
 }
 
 const (
-	// ticketMargin is how long before a ticket runs out it is used no more: a start
-	// has to be stored and sent in that time.
+	// ticketMargin is how long before its expiry a ticket is no longer used: the start has to be
+	// stored and sent within that time.
 	ticketMargin = 250 * time.Millisecond
-	// queryGrace is how long after its expected time a question is given up: the
-	// service is punctual, and what is late is lost in a cut or at a busy host.
+	// queryGrace is how long after its expected time a query is given up. The service is punctual:
+	// a late answer was lost in a network cut or at a busy host.
 	queryGrace = 500 * time.Millisecond
-	// queryRetryDelay is the pause after no worker was found worth asking about for a step
-	// that is not of the most urgent kind: a backlog of thousands would be looked
-	// through, worker by worker, in every pass.
+	// queryRetryDelay is the pause after no worker was found worth querying for a step that is not
+	// in the most urgent queues. Without it every pass would check every worker for each step of a
+	// backlog of thousands.
 	queryRetryDelay = 100 * time.Millisecond
-	// maxQueryWorkers is how many workers one question may name.
+	// maxQueryWorkers is how many workers one query may name.
 	maxQueryWorkers = 100
-	// querySpare is by how much more workers are named than the tasks need by the
-	// measured share of good ones.
+	// querySpare is the factor by which a query names more workers than the tasks need at the
+	// measured share of allowed workers.
 	querySpare = 1.3
-	// maxExtraCost is by what share a question may take longer to learn of more workers than
-	// the tasks need now: the answer is for good, and the next question names none in
-	// vain. It is nearly free where the service takes most of its time for a question
-	// whatever it names.
+	// maxExtraCost is the share by which a query may take longer in order to cover more workers
+	// than the tasks need now. The answers stay valid, and later queries don't have to ask again in
+	// vain. The extra workers cost almost nothing where the service takes most of its time for any
+	// query, regardless of the number of workers.
 	maxExtraCost = 0.25
-	// initialAllowRate is the share of good workers before any was measured, and
+	// initialAllowRate is the assumed share of allowed workers before any answer was measured, and
 	// rateWeight the weight of a new measurement.
 	initialAllowRate = 0.5
 	rateWeight       = 0.1
 )
 
-// ticket returns the ticket with which a task may start on a worker; false if
-// there is none that holds. Queues without advice need none.
+// ticket returns the ticket with which a task may start on a worker, or false if there is no valid
+// one. Queues without advice need no ticket.
 func (s *Sched) ticket(t *flow.Task, w *worker) (string, bool) {
 	if s.queue(t.Job).Advice == nil {
 		return "", true
@@ -74,8 +75,7 @@
 	return got.text, true
 }
 
-// hasTicket tells whether there is any worker with a ticket for the step, or none
-// is needed.
+// hasTicket reports whether any worker has a valid ticket for the step, or the step needs none.
 func (s *Sched) hasTicket(r readyStep) bool {
 	if r.queue.Advice == nil {
 		return true
@@ -92,8 +92,8 @@
 	return false
 }
 
-// allowedWorkers lists the workers of a pool that may run a step, as far as that is known: a step
-// of which the policy service was asked has a dozen, of hundreds.
+// allowedWorkers lists the workers of a pool that are known to be allowed to run a step. A step
+// that the policy service was asked about has about a dozen, out of hundreds.
 func (s *Sched) allowedWorkers(r readyStep, p *pool) []*worker {
 	if r.queue.Advice == nil {
 		return p.workers
@@ -120,7 +120,8 @@
 	}
 }
 
-// maybeQuery asks the policy service about a step of which n tasks wait.
+// maybeQuery queries the policy service about a step with n waiting tasks, if no query is in flight
+// and one is worthwhile.
 func (s *Sched) maybeQuery(r readyStep, p *pool, n int) {
 	a := s.adviceFor(r.stage)
 	if !a.queriedAt.IsZero() {
@@ -145,7 +146,7 @@
 	s.earmark(r, a)
 }
 
-// adviceFor is what is known of a step.
+// adviceFor returns the advice on a step and creates an empty one if there is none.
 func (s *Sched) adviceFor(st *flow.Stage) *advice {
 	a, ok := s.advice[st]
 	if !ok {
@@ -155,7 +156,7 @@
 	return a
 }
 
-// queryPolicy has a host queryPolicy the policy service.
+// queryPolicy makes a host query the policy service about a step.
 func (s *Sched) queryPolicy(r readyStep, a *advice, name string, named []string) {
 	cost := r.queue.Advice.Cost(len(named))
 	h := s.hosts[name]
@@ -172,8 +173,8 @@
 	s.emit(QueryPolicy{Host: name, Step: r.stage.Tasks[0].Name.StepName(), Workers: named, Timeout: a.giveUpAt.Sub(s.now)})
 }
 
-// earmark sets aside the room that the answer of a step's question is likely to take, so that
-// nobody asks for a later step about the same hole.
+// earmark sets aside the capacity that the step is likely to take once its query is answered, so
+// that no later step queries about the same free capacity.
 func (s *Sched) earmark(r readyStep, a *advice) {
 	room := r.stage.Spec.Room()
 	want := float64(len(r.tasks))
@@ -194,7 +195,7 @@
 	}
 }
 
-// allowRate is the measured share of workers that may run a step of a queue.
+// allowRate returns the measured share of workers that may run a step of a queue.
 func (s *Sched) allowRate(q flow.Queue) float64 {
 	if rate, ok := s.allowRates[q.Name]; ok {
 		return rate
@@ -255,7 +256,7 @@
 	s.emit(Note{ID: ev.Step, What: "advice", Detail: ev.Host})
 }
 
-// stepsBeingQueried lists the steps of which a question is under way, in order.
+// stepsBeingQueried lists the steps with a query in flight, in order.
 func (s *Sched) stepsBeingQueried() []*flow.Stage {
 	var all []*flow.Stage
 	for st, a := range s.advice {
@@ -267,7 +268,7 @@
 	return all
 }
 
-// expireQueries gives up questions that took too long.
+// expireQueries gives up queries that have taken too long.
 func (s *Sched) expireQueries() {
 	for _, st := range s.stepsBeingQueried() {
 		a := s.advice[st]
@@ -276,7 +277,7 @@
 			if h, ok := s.hosts[a.host]; ok {
 				h.queryFailed(s.now)
 			}
-			s.emit(Note{ID: st.Tasks[0].Name.StepName(), What: "advice took too long", Detail: a.host})
+			s.emit(Note{ID: st.Tasks[0].Name.StepName(), What: "advice timed out", Detail: a.host})
 		}
 	}
 }
--- a/internal/sched/ahead.go
+++ b/internal/sched/ahead.go
@@ -2,17 +2,18 @@
 
 import "slices"
 
-// prefetchShare is how much of a service's workers the steps may want in all whose tickets
-// are got before there is room for them. Within the time that a ticket holds, two
-// seconds, about half of the room of tasks of four seconds is given back.
+// prefetchShare is the largest share of a service's workers that steps may need in total when their
+// tickets are prefetched, that is, queried before there is capacity for them. A ticket is valid for
+// two seconds; within that time tasks of four seconds release about half of their capacity.
 const prefetchShare = 0.5
 
-// prefetchTickets asks about a step of a full service, with hosts that nothing else needs now.
+// prefetchTickets queries the policy service about a step of a full service, using hosts that
+// nothing else needs now.
 //
-// A question takes up to half a second. Asked only once a worker has room, that room
-// stays empty for as long, and so it does each time; one notices work that waits beside
-// GPUs of which a third is idle. With a ticket in hand a task starts in the pass that
-// sees the room.
+// A query takes up to half a second. If it were sent only once a worker has capacity, that capacity
+// would stay idle for the duration of the query each time; up to a third of the GPUs were idle
+// while work waited. With a ticket already there, a task starts in the first pass that sees the
+// free capacity.
 func (s *Sched) prefetchTickets(r readyStep, p *pool) {
 	if !s.enabled(PrefetchTickets) || r.queue.Advice == nil || !s.isLong(r.queue) {
 		return
@@ -36,8 +37,8 @@
 	}
 }
 
-// prefetchCandidates lists the workers of which a step lacks a ticket that holds for a while,
-// those that it was allowed before and then those that nobody asked about.
+// prefetchCandidates lists the workers for which a step lacks a ticket that stays valid for a
+// while: first those that were allowed before, then those not asked about yet.
 func (s *Sched) prefetchCandidates(r readyStep, a *advice, p *pool) []string {
 	cost := r.queue.Advice.Cost(1)
 	var all []candidate
@@ -49,7 +50,7 @@
 		}
 		if known && s.now.Add(cost).Before(got.until) {
 			if !r.stage.Spec.Gang {
-				// One that it may start on is enough for now.
+				// One worker that the step may start on is enough for now.
 				return nil
 			}
 			continue
@@ -60,7 +61,7 @@
 		all = append(all, candidate{life: w.Incarnation, known: known, cost: s.cost(r, w)})
 	}
 	if r.stage.Spec.Gang && most < int64(len(r.tasks)) {
-		// Nothing could start with all that may be allowed empty.
+		// Even if all workers that may be allowed were empty, the gang could not start.
 		return nil
 	}
 	slices.SortStableFunc(all, candidate.compare)
--- a/internal/sched/chance.go
+++ b/internal/sched/chance.go
@@ -9,38 +9,37 @@
 	"pollencroft/internal/flow"
 )
 
-// deadlineClass tells which steps of equal rank go first.
+// deadlineClass orders steps of equal rank by their chance to meet their deadline.
 type deadlineClass int
 
 const (
-	// onTime is work that can still end when its caller was promised, if it begins now.
+	// onTime is work that still meets its objective if it begins now.
 	onTime deadlineClass = iota
-	// late is work that ends too late whatever is done, but not by much.
+	// late is work that misses its objective in any case, but not by much.
 	late
-	// hopeless is work whose caller has most likely made do without it.
+	// hopeless is work so late that its caller has most likely stopped waiting for it.
 	hopeless
-	// starved is work that has waited for so long that a part of the workers is left
-	// to it.
+	// starved is work that has waited for so long that a share of the workers is reserved for it.
 	starved
 )
 
 const (
-	// lateFactor is by how many times its objective a job may end late before it counts as
+	// lateFactor is the multiple of its objective after which a job's expected end counts as
 	// hopeless.
 	lateFactor = 3
-	// starvedFactor is after how many times its objective a job counts as starved, and
-	// starvedShare the part of a service's workers that starved jobs may take before
-	// others: one eighth is what a cell should have to spare at the load that it is
-	// meant for, and newer work that is in time stays so.
+	// starvedFactor is the multiple of its objective after which a waiting job counts as starved,
+	// and starvedShare the share of a service's workers that starved jobs may take before others. A
+	// cell should have one eighth to spare at its design load, so newer work that is on time stays
+	// on time.
 	starvedFactor = 8
 	starvedShare  = 0.125
 )
 
-// deadlineClassOf judges a step by what is left of its job. After an outage, or with more work
-// than workers for a while, everybody is late if the oldest goes first: one waits for
-// the other, each ends just too late, and so it goes on for as long as there is a queue.
-// With those first that can still be in time, only as many are late as there is too much
-// work for. Jobs that last have no end to be late for.
+// deadlineClassOf classifies a step by the remaining work of its job. After an outage, or after a
+// period of overload, strictly oldest-first order makes every job late: each waits for the one
+// before and ends just too late, for as long as there is a queue. With the jobs first that can
+// still be on time, only as many are late as exceed the cell's capacity. Long-running jobs have no
+// deadline.
 func (s *Sched) deadlineClassOf(j *flow.Job, r *flow.Round, st *flow.Stage, q flow.Queue) deadlineClass {
 	if !s.enabled(OnTimeFirst) || st.Spec.Lasts {
 		return onTime
@@ -60,7 +59,7 @@
 	}
 }
 
-// waitedSince is how long ago a job was accepted, or its round was due.
+// waitedSince returns the time since the job was accepted, or since its round was due.
 func (s *Sched) waitedSince(j *flow.Job, r *flow.Round) time.Duration {
 	if r.Due.IsZero() {
 		return s.now.Sub(j.Began)
@@ -68,10 +67,10 @@
 	return s.now.Sub(r.Due)
 }
 
-// promoteStarved lets the oldest of the starved steps go before others, as far as the starved
-// ones that run leave of their share. Without it late work would wait for as long as
-// newer work comes; without the share all that was late together would be first together
-// and everybody else late again.
+// promoteStarved moves the oldest starved steps ahead of others, within the share that running
+// starved steps leave free. Without it late work would wait for as long as newer work arrives;
+// without the limit all jobs that became late together would be promoted together and make
+// everything else late again.
 func (s *Sched) promoteStarved(steps []readyStep, pools map[string]*pool) {
 	var waiting []*readyStep
 	for i := range steps {
@@ -96,12 +95,12 @@
 			r.class = onTime
 			continue
 		}
-		// Smaller ones would pass it by for ever.
+		// If smaller steps behind it were promoted, this step would wait forever.
 		full[name] = true
 	}
 }
 
-// starvedUsage is by service the room that starved jobs take now.
+// starvedUsage returns the capacity that starved jobs use now, by service.
 func (s *Sched) starvedUsage() map[string]cell.Size {
 	taken := map[string]cell.Size{}
 	for _, w := range s.workers {
--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -7,16 +7,16 @@
 	"pollencroft/internal/flow"
 )
 
-// untrackedRun is the room of a run that is not followed, which may begin as late
-// as until.
+// untrackedRun is a run that the scheduler no longer tracks but that may still be on its worker and
+// take capacity. It may begin as late as latestStart.
 type untrackedRun struct {
 	room        cell.Size
 	latestStart time.Time
-	// sizeUnknown tells that the room is not known: the worker may be full.
+	// sizeUnknown means that the run's size is not known: it may fill the whole worker.
 	sizeUnknown bool
 }
 
-// untrack goes on booking the room of a run that is not followed any more.
+// untrack keeps the capacity of a run booked that is no longer tracked.
 func (w *worker) untrack(k runKey, room cell.Size, until time.Time) {
 	l, ok := w.untracked[k]
 	if !ok {
@@ -29,7 +29,7 @@
 	w.untracked[k] = l
 }
 
-// untrackUnknownSize is the same for a run whose room is not known.
+// untrackUnknownSize is like untrack for a run of unknown size.
 func (w *worker) untrackUnknownSize(k runKey, until time.Time) {
 	w.untrack(k, cell.Size{}, until)
 	l := w.untracked[k]
@@ -37,10 +37,11 @@
 	w.untracked[k] = l
 }
 
-// latestStart is until when a run whose start was sent may begin.
+// latestStart returns the latest time at which a run whose start has been sent may begin.
 func (s *Sched) latestStart() time.Time { return s.now.Add(startTimeout + maxTransit) }
 
-// firstUntrackedEnd is when the first of the loose runs can begin no more.
+// firstUntrackedEnd returns the earliest time at which one of the untracked runs can no longer
+// begin.
 func (w *worker) firstUntrackedEnd() time.Time {
 	var first time.Time
 	for _, l := range w.untracked {
@@ -51,8 +52,8 @@
 	return first
 }
 
-// releaseUntracked frees the room of loose runs that are listed no longer and can
-// begin no longer.
+// releaseUntracked frees the capacity of untracked runs that the worker no longer lists and that
+// can no longer begin.
 func (w *worker) releaseUntracked(listed map[flow.Name]int, now time.Time) {
 	for k, l := range w.untracked {
 		if listed[k.task] == k.run || now.Before(l.latestStart) {
@@ -63,8 +64,7 @@
 	}
 }
 
-// adoptCopy takes over a copy that a former lead started and could not store
-// any more.
+// adoptCopy takes over a copy that a previous leader started but could not store.
 func (s *Sched) adoptCopy(w *worker, l RunStatus) bool {
 	j, ok := s.jobs[l.Task.Job]
 	if !ok || j.State.Final() {
@@ -83,7 +83,7 @@
 	return true
 }
 
-// copyEnded takes the end of a copy that is not the one that is followed.
+// copyEnded handles the end of a copy other than the tracked one.
 func (s *Sched) copyEnded(w *worker, e RunEnd) {
 	j, ok := s.jobs[e.Task.Job]
 	if !ok || j.State.Final() {
@@ -101,9 +101,9 @@
 	}
 }
 
-// copyFailed counts a run that failed and that no record names: a former lead started it
-// and could not store that any more. Left out, its task would be tried more often than
-// its caller allows. A run that is not newer than what the record says was counted with it.
+// copyFailed counts a failed run that no record names: a previous leader started it and could not
+// store that. If it were not counted, the task would be tried more often than its caller allows. A
+// run that is not newer than the recorded one has been counted already.
 func (s *Sched) copyFailed(w *worker, t *flow.Task, e RunEnd) {
 	beside := t.Out() && t.Worker != w.Incarnation && e.Run == t.Run
 	if e.Run <= t.Run && !beside {
@@ -115,8 +115,8 @@
 	s.countFailure(t)
 }
 
-// copyDone ends a task of which a copy is done: the first one counts, and the other one
-// is stopped.
+// copyDone ends a task when one of its copies is done. The first one counts; the other copy is
+// stopped.
 func (s *Sched) copyDone(t *flow.Task) {
 	if w, ok := s.workers[t.Worker]; ok && t.Out() && t.State != flow.Assigned {
 		s.emit(Stop{To: w.Address, Term: s.term, Task: t.Name, Run: t.Run})
@@ -125,7 +125,8 @@
 	s.taskDone(t)
 }
 
-// copySilentTasks begins copies of what may run on a worker that does not answer.
+// copySilentTasks requeues tasks of a silent worker that allow copies, so that they start
+// elsewhere.
 func (s *Sched) copySilentTasks(w *worker) {
 	for _, t := range w.sortedTasks() {
 		if t.Spec().Copies && !t.Spec().Gang && (t.State == flow.Running || t.State == flow.Starting) {
--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -11,26 +11,25 @@
 )
 
 const (
-	// maxCrashes is how many lives of workers may end under a task before its job is
-	// given up.
+	// maxCrashes is how many worker incarnations may end while running a task before its job fails.
 	maxCrashes = 3
-	// provenAfter is how long a lasting task must run before lives that ended under
-	// earlier runs no longer count: over months every host of it is replaced.
+	// provenAfter is how long a long-running task must run until crashes under its earlier runs no
+	// longer count: over months every one of its hosts is replaced.
 	provenAfter = 10 * time.Second
-	// unlistedHoldInterval is how often a life is asked that is not listed and on which runs were
-	// lost.
+	// unlistedHoldInterval is how often an incarnation is polled that is not listed and on which
+	// runs were lost.
 	unlistedHoldInterval = time.Second
 )
 
-// lostRun is a run that was lost at a worker that answers no more. Whether it ended the
-// worker's life is known once the worker answers, or another life does in its place.
+// lostRun is a run that was lost on a worker that stopped answering. Whether the incarnation ended
+// is known once it answers again, or another incarnation answers in its place.
 type lostRun struct {
 	task *flow.Task
 	run  int
 	at   time.Time
 }
 
-// markLost notes that a run may have ended the life of a worker that answers no more.
+// markLost records that a run may have crashed a worker that stopped answering.
 func (s *Sched) markLost(t *flow.Task, w *worker) {
 	if t.State == flow.Assigned || w.draining || t.Job.State.Final() || !t.Lose(w.Incarnation) {
 		return
@@ -40,8 +39,8 @@
 	s.markDirty(t.Job)
 }
 
-// countCrash counts a life that ended while a run of the task was, or may have been, at it,
-// and gives the job up after too many.
+// countCrash counts an incarnation that ended while a run of the task was, or may have been, on it.
+// After too many crashes the job fails.
 func (s *Sched) countCrash(t *flow.Task, w *worker) {
 	j := t.Job
 	switch {
@@ -63,7 +62,7 @@
 	s.endJob(j, flow.Failed)
 }
 
-// clearSuspicion takes back that a task may have ended a worker's life.
+// clearSuspicion withdraws the suspicion that a task crashed a worker.
 func (s *Sched) clearSuspicion(t *flow.Task, w *worker) {
 	if t.Acquit(w.Incarnation) {
 		s.emit(Note{ID: t.Name.String(), What: "crash ruled out", Worker: w.Incarnation, Run: t.Run})
@@ -71,7 +70,8 @@
 	}
 }
 
-// takeLostRuns takes the runs that were lost on a worker before a time.
+// takeLostRuns removes and returns the tasks of runs that were lost on the worker before the given
+// time.
 func (w *worker) takeLostRuns(before time.Time) []*flow.Task {
 	var all []*flow.Task
 	for _, n := range slices.SortedFunc(maps.Keys(w.lostRuns), compareNames) {
@@ -83,22 +83,21 @@
 	return all
 }
 
-// clearLostRuns acquits the runs that were lost on a worker that has answered a question sent
-// later.
+// clearLostRuns clears the runs lost on a worker that has answered a request sent after the loss.
 func (s *Sched) clearLostRuns(w *worker, sent time.Time) {
 	for _, t := range w.takeLostRuns(sent) {
 		s.clearSuspicion(t, w)
 	}
 }
 
-// countLostRuns counts a life that has ended against all runs that were lost at it.
+// countLostRuns counts an ended incarnation against all runs that were lost on it.
 func (s *Sched) countLostRuns(w *worker) {
 	for _, t := range w.takeLostRuns(s.now.Add(time.Nanosecond)) {
 		s.countCrash(t, w)
 	}
 }
 
-// startReplyFromEnded takes the answer to a start at a life that has ended since.
+// startReplyFromEnded handles the reply to a start on an incarnation that has ended since.
 func (s *Sched) startReplyFromEnded(t *flow.Task, w *worker, o Outcome) {
 	if o == Accepted || o == Unanswered {
 		s.markLost(t, w)
@@ -106,8 +105,8 @@
 	s.requeueTask(t, "worker died")
 }
 
-// startNeverRan acquits a run that was lost on a silent worker before it was known that its
-// start was never carried out.
+// startNeverRan clears a run that was lost on a silent worker if the reply shows that its start was
+// never carried out.
 func (s *Sched) startNeverRan(w *worker, ev StartReply) {
 	if ev.Outcome == Accepted || ev.Outcome == Unanswered {
 		return
@@ -118,7 +117,8 @@
 	}
 }
 
-// adoptLostRuns takes over the lives that ended, or may have, under a task.
+// adoptLostRuns takes over the incarnations on which a recorded task was lost, and marks it as a
+// suspect if any ended, or may have ended, under it.
 func (s *Sched) adoptLostRuns(t *flow.Task) {
 	if t.Doubt() > 0 {
 		s.suspects[t] = true
@@ -128,8 +128,8 @@
 	}
 }
 
-// resolveForgotten judges what was lost on a worker that is remembered no longer: one that has
-// neither an entry nor an answer for so long has ended.
+// resolveForgotten decides about the runs lost on a worker before it is forgotten. A worker that
+// has had neither an entry nor an answer for so long counts as ended.
 func (s *Sched) resolveForgotten(w *worker) {
 	if w.fenced && w.unansweredSince.IsZero() && !w.dead {
 		s.clearLostRuns(w, s.now.Add(time.Nanosecond))
@@ -138,7 +138,7 @@
 	s.countLostRuns(w)
 }
 
-// clearProven forgets the lives that ended under a lasting task that has worked for long.
+// clearProven clears the crash count of a long-running task that has run for long enough.
 func (s *Sched) clearProven(t *flow.Task) {
 	if t.Spec().Lasts && t.State == flow.Running && s.suspects[t] && s.now.Sub(t.Since) >= provenAfter {
 		t.Clear()
@@ -147,7 +147,7 @@
 	}
 }
 
-// pruneSuspects forgets tasks that are over or under which no life may have ended.
+// pruneSuspects removes tasks that are over or no longer suspected of a crash.
 func (s *Sched) pruneSuspects() {
 	over := func(t *flow.Task) bool { return t.State == flow.Done || t.Job.State.Final() && !t.Out() }
 	maps.DeleteFunc(s.suspects, func(t *flow.Task, _ bool) bool { return over(t) || t.Doubt() == 0 })
--- a/internal/sched/ends.go
+++ b/internal/sched/ends.go
@@ -6,7 +6,7 @@
 	"pollencroft/internal/flow"
 )
 
-// runListed takes note of a run that is at the worker.
+// runListed handles a run that the worker lists as running.
 func (s *Sched) runListed(w *worker, l RunStatus, clock time.Time) {
 	t := s.task(runKey{l.Task, l.Run})
 	if t == nil || t.Worker != w.Incarnation {
@@ -29,28 +29,27 @@
 	s.checkProgress(w, t, l, clock)
 }
 
-// stopUntracked stops a run that no record names. It can only be one that was given up
-// for lapsed by a clock that was wrong; it must not work on unseen.
+// stopUntracked stops a run that no record names. It can only be a run that was given up as lapsed
+// because of a wrong clock; it must not continue unnoticed.
 func (s *Sched) stopUntracked(w *worker, l RunStatus) {
 	k := runKey{l.Task, l.Run}
-	// A run that is listed has begun. Lists from before that may still be on their way.
+	// The run is listed, so it has begun. Older lists may still be in transit.
 	until := s.now.Add(maxTransit)
 	if j, ok := s.jobs[l.Task.Job]; ok && l.Task.Step < len(j.Spec.Steps) {
 		w.untrack(k, j.Spec.Steps[l.Task.Step].Room(), until)
 	} else {
 		w.untrackUnknownSize(k, until)
 	}
-	s.emit(Note{ID: l.Task.String(), What: "stray run", Worker: w.Incarnation, Run: l.Run})
+	s.emit(Note{ID: l.Task.String(), What: "untracked run", Worker: w.Incarnation, Run: l.Run})
 	s.emit(Stop{To: w.Address, Term: s.term, Task: l.Task, Run: l.Run})
 }
 
-// runMissing judges a task that the worker does not list. Only a list that was
-// asked for after the run was certain to be there, or certain never to begin,
-// tells anything.
+// runMissing handles a task that the worker does not list. A list counts only if it was requested
+// after the run was certain to be on the worker, or certain never to begin.
 func (s *Sched) runMissing(t *flow.Task, sent time.Time) {
 	switch t.State {
 	case flow.Inherited:
-		// Read under this term, so nothing older can begin there any more.
+		// The list was read under this term, so no older run can begin there any more.
 		s.requeueTask(t, "not at its worker")
 	case flow.Running:
 		if sent.After(t.Since) {
@@ -64,9 +63,8 @@
 	}
 }
 
-// runEnded takes note of a run's end. An end as done counts whatever became of the
-// leases since: taking it for lapsed and running the task again would run it
-// twice if it had not.
+// runEnded handles the end of a run. An end as done counts even if the run was taken for lapsed
+// meanwhile: if that was wrong, starting the task again would run it twice.
 func (s *Sched) runEnded(w *worker, e RunEnd, clock time.Time) {
 	t := s.task(runKey{e.Task, e.Run})
 	if t == nil || t.Worker != w.Incarnation || !t.Out() {
@@ -91,7 +89,7 @@
 	}
 }
 
-// finishTask ends a task, and its gang with it: they end as done together.
+// finishTask ends a task as done. The members of a gang end as done together.
 func (s *Sched) finishTask(t *flow.Task) {
 	if !t.Spec().Gang {
 		s.taskDone(t)
--- a/internal/sched/gang.go
+++ b/internal/sched/gang.go
@@ -8,12 +8,12 @@
 	"pollencroft/internal/flow"
 )
 
-// placeGang places all tasks of a step or none. A gang of which a part started
-// would wait for the rest with its room taken, and end alone.
+// placeGang places all tasks of a step or none. A partly started gang would hold its capacity while
+// it waits for the other members, and then end with EndAlone.
 func (s *Sched) placeGang(r readyStep, p *pool, keep int64) {
 	tasks := r.stage.Tasks
 	if len(r.tasks) < len(tasks) {
-		// Members of the last run are still on their way out.
+		// Members of the last run are still being stopped.
 		return
 	}
 	need := r.stage.Spec.Room().CPU * int64(len(tasks))
@@ -36,14 +36,15 @@
 		run, saved = max(run, t.Run), max(saved, t.Saved)
 	}
 	for i, t := range tasks {
-		// One member's checkpoint is every member's.
+		// The members share one checkpoint.
 		t.Saved = saved
 		s.assign(t, put[i], run+1)
 	}
 	p.freeCPU -= need
 }
 
-// findGangWorkers finds a worker for each member; nil if there is not room for all.
+// findGangWorkers finds a worker for each member, or returns nil if there isn't enough capacity for
+// all.
 func (s *Sched) findGangWorkers(r readyStep, workers []*worker) []*worker {
 	if r.stage.Spec.SameRack {
 		racks := map[string][]*worker{}
@@ -87,8 +88,8 @@
 	return put
 }
 
-// breakGang stops what is left of a gang's run after one member has ended. The
-// next run needs all members anew.
+// breakGang stops the remaining members of a gang's run after one has ended. All members have to be
+// placed again for the next run.
 func (s *Sched) breakGang(gone *flow.Task) {
 	for _, m := range gone.Step.Tasks {
 		switch m.State {
--- a/internal/sched/health.go
+++ b/internal/sched/health.go
@@ -6,21 +6,20 @@
 	"pollencroft/internal/flow"
 )
 
-// Bounds of the judgement of workers. A worker that fails all that it starts
-// always has room, and would swallow the queue and use up every task's tries.
+// Limits for quarantining workers. A worker that fails every run always has free capacity, so it
+// would attract the whole queue and use up every task's attempts.
 const (
-	// maxFailures is how many failures of different jobs without one good end
-	// between them make a worker suspect: at the highest share of failures that
-	// the users' queues have by themselves, 0.1, three in a row come by chance
-	// once in a thousand.
+	// maxFailures is how many failures of different jobs, without a successful run between them,
+	// make a worker suspect. At the highest failure share that the users' queues have by
+	// themselves, 0.1, three in a row happen by chance once in a thousand.
 	maxFailures = 3
-	// minQuarantine and longestRest bound how long a suspect gets no work before its
-	// next trial; each failed trial doubles it.
+	// minQuarantine and maxQuarantine bound how long a suspect worker gets no work before its next
+	// trial task; each failed trial doubles the time.
 	minQuarantine = 3 * time.Second
 	maxQuarantine = 12 * time.Second
 )
 
-// health is what the ends of its tasks say of a worker.
+// health tracks the recent failures of runs on a worker.
 type health struct {
 	fails            int
 	lastJob          string
@@ -30,8 +29,8 @@
 
 func (h *health) reset() { *h = health{} }
 
-// accepts tells whether the worker may get work; a suspect that has rested gets
-// one task at a time.
+// accepts reports whether the worker may get work. A suspect worker gets one task at a time after
+// its quarantine.
 func (h *health) accepts(now time.Time, running int) bool {
 	if h.quarantine == 0 {
 		return true
@@ -52,9 +51,9 @@
 	return true
 }
 
-// recordRunFailure counts a run that failed or stood still against its worker.
+// recordRunFailure counts a failed or stalled run against its worker.
 func (s *Sched) recordRunFailure(w *worker, t *flow.Task) {
 	if w.health.fail(t.Job.Spec.ID, s.now) {
-		s.emit(Note{ID: w.Incarnation, What: "worker is set aside", Worker: w.Incarnation, Detail: w.health.quarantine.String()})
+		s.emit(Note{ID: w.Incarnation, What: "worker quarantined", Worker: w.Incarnation, Detail: w.health.quarantine.String()})
 	}
 }
--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -6,22 +6,22 @@
 	"pollencroft/internal/flow"
 )
 
-// ensureHold keeps one hold under way on a worker that has anything to hold,
-// to read or to forget.
+// ensureHold keeps one hold in flight to each worker that has leases to renew, lists to read, or
+// ends to forget.
 func (s *Sched) ensureHold(w *worker) {
 	if w.holding || w.dead || !w.Addr.IsValid() || s.now.Before(w.nextHold) || w.idle() {
 		return
 	}
 	if w.fenced && w.lastEndRead > w.lastEndStored && s.now.Sub(w.lastHold) < unstoredHoldInterval {
-		// Ends that are not noted make every hold answer at once. The append that
-		// is under way lets the worker be asked again.
+		// While a worker has ends that are not stored, it answers every hold at once. It is asked
+		// again once the append in flight is stored.
 		return
 	}
 	w.holding, w.lastHold = true, s.now
 	h := Hold{To: w.Address, Term: s.term, AckedEnd: w.lastEndStored}
 	if w.fenced && w.unansweredSince.IsZero() {
-		// A worker that does not answer is only asked: a hold that is carried out
-		// unanswered would lengthen leases, and a dead worker's never ran out.
+		// An unanswered hold may still be carried out and extend the leases, so a silent worker is
+		// only polled without a deadline; otherwise the leases on a dead worker would never expire.
 		h.Deadline = w.clockAt(s.now).Add(s.limits.Lease)
 		w.extendDeadline(h.Deadline)
 		h.Wait = s.holdWait(w)
@@ -29,13 +29,14 @@
 	s.emit(h)
 }
 
-// idle tells whether there is nothing to hold, to read or to forget on a worker.
+// idle reports whether a worker has no leases to renew, nothing to read and no ends to forget.
 func (w *worker) idle() bool {
 	return w.fenced && len(w.tasks) == 0 && len(w.untracked) == 0 && len(w.lostRuns) == 0 && w.lastEndAcked >= w.lastEndStored && w.unansweredSince.IsZero()
 }
 
-// holdWait is how long a hold may wait for an end. Of runs that are not followed any more none
-// may be there, and nothing end; the room of the first of them is given back when its time is over.
+// holdWait returns how long a hold may wait on the worker for a run to end. If the worker has only
+// untracked runs, they may not exist and no end may come, so the hold returns when the first of
+// them can no longer begin and its capacity can be released.
 func (s *Sched) holdWait(w *worker) time.Duration {
 	switch {
 	case len(w.tasks) == 0 && len(w.untracked) == 0:
@@ -49,7 +50,7 @@
 	}
 }
 
-// probe reads the worker's list beside the hold that may be waiting there.
+// probe reads the worker's lists at once, without waiting for a hold that may be in flight.
 func (s *Sched) probe(w *worker) {
 	if w.probing {
 		w.probeAgain = true
@@ -87,8 +88,8 @@
 		return
 	default:
 		if w.unansweredSince.IsZero() {
-			// One answer may be lost; the next question tells, and it is asked at once:
-			// ends at the worker are not known before.
+			// A single reply may have been lost, so the worker is asked again at once: until it
+			// answers, ends of its runs are not known.
 			w.unansweredSince = s.now
 			s.recordOutage(w)
 			s.emit(Note{ID: w.Incarnation, What: "worker does not answer", Worker: w.Incarnation, Detail: ev.Outcome.String()})
@@ -103,7 +104,7 @@
 	s.ensureHold(w)
 }
 
-// applyHoldReply takes over a worker's lists.
+// applyHoldReply processes the lists in a worker's reply to a hold.
 func (s *Sched) applyHoldReply(w *worker, ev HoldReply) {
 	if !w.unansweredSince.IsZero() {
 		w.backSince = s.now
--- a/internal/sched/hosts.go
+++ b/internal/sched/hosts.go
@@ -8,15 +8,15 @@
 	"pollencroft/internal/flow"
 )
 
-// host is an entry host that can ask the policy service, which takes one
-// question of each host at a time.
+// host is an entry host that can query the policy service. The service takes one query of each host
+// at a time.
 type host struct {
-	// busyUntil is until when the questions that it was given take; long tells of one
-	// for a queue that is not the most urgent.
+	// busyUntil is when the queries given to the host are expected to be answered; longQuery means
+	// that one of them is for a queue that is not among the most urgent.
 	busyUntil time.Time
 	longQuery bool
-	// avoidUntil is until when it is not asked because a question failed there, and rest
-	// how long that was.
+	// avoidUntil is until when the host gets no queries because one failed there, and backoff the
+	// length of that pause.
 	avoidUntil time.Time
 	backoff    time.Duration
 }
@@ -28,21 +28,20 @@
 }
 
 const (
-	// maxUrgentShare is the largest share of the hosts that is kept free of long questions.
+	// maxUrgentShare is the largest share of the hosts that is kept free of long queries.
 	maxUrgentShare = 0.4
-	// urgentHostFactor is how many hosts are kept free for each that urgent questions keep
-	// busy, besides one: of questions that come at random and take one host's time, one
-	// in eleven finds all three hosts busy.
+	// urgentHostFactor is how many hosts are kept free for each host that urgent queries keep busy,
+	// in addition to one: with randomly arriving queries that take one host's time in total, one in
+	// eleven finds all three hosts busy.
 	urgentHostFactor = 2
-	// urgentWindow is over how long the time of urgent questions is averaged: longer than
-	// one burst lets pass between two, shorter than a burst.
+	// urgentWindow is the averaging time for the load of urgent queries: longer than the gaps
+	// between two queries of a burst, shorter than a burst.
 	urgentWindow = 2 * time.Second
-	// maxHostBacklog is how much work a host may have ahead of a question: what comes later
-	// waits for whichever host is free first. The service turns away the 33rd question
-	// of a host, and 32 urgent ones take a second.
+	// maxHostBacklog is how much query time a host may have queued; further queries wait until any
+	// host is free. The service rejects the 33rd query of a host, and 32 urgent ones take a second.
 	maxHostBacklog = 250 * time.Millisecond
-	// minBackoff is how long a host whose question failed gets none; it doubles up
-	// to mostRest while they go on failing.
+	// minBackoff is how long a host gets no queries after one failed there. It doubles up to
+	// maxBackoff while queries go on failing.
 	minBackoff = time.Second
 	maxBackoff = 4 * time.Second
 )
@@ -60,7 +59,7 @@
 	}
 }
 
-// usage is how many hosts questions keep busy, averaged over a time that fades.
+// usage is the number of hosts that queries keep busy, as an exponentially decaying average.
 type usage struct {
 	load    float64
 	updated time.Time
@@ -75,10 +74,9 @@
 	return u.load * math.Exp(-now.Sub(u.updated).Seconds()/urgentWindow.Seconds())
 }
 
-// reservedHosts is how many hosts are reservedHosts free of long questions, as many as the urgent ones of
-// late need. An urgent question takes a tenth of a long one's time and would wait for
-// all of it; but each host that is reservedHosts free for nothing leaves workers idle that nobody
-// asks about.
+// reservedHosts returns how many hosts are kept free of long queries, based on the recent load of
+// urgent ones. An urgent query takes a tenth of the time of a long one and would have to wait for
+// all of it. But each host that is reserved needlessly leaves workers idle that no step asks about.
 func (s *Sched) reservedHosts() int {
 	most := int(math.Ceil(maxUrgentShare * float64(len(s.hosts))))
 	if !s.enabled(AdaptUrgentHosts) {
@@ -87,7 +85,7 @@
 	return min(1+int(math.Ceil(urgentHostFactor*s.urgentUsage.current(s.now))), most)
 }
 
-// isLong tells whether a queue is not among the most urgent ones.
+// isLong reports whether a queue is not among the most urgent ones, whose queries are short.
 func (s *Sched) isLong(q flow.Queue) bool {
 	for _, other := range s.queues {
 		if other.Rank < q.Rank {
@@ -97,8 +95,8 @@
 	return false
 }
 
-// pickHostOnce is askable, which gives the same answer to all queues of a kind
-// until a pass has found no host: a backlog of a thousand steps asks once.
+// pickHostOnce is like pickHost, but remembers for the rest of the pass that no host is free for
+// urgent or for long queries, so that a backlog of a thousand steps checks once.
 func (s *Sched) pickHostOnce(q flow.Queue) string {
 	kind := 0
 	if s.isLong(q) {
@@ -112,10 +110,10 @@
 	return name
 }
 
-// pickHost chooses the host for a question; none if all would keep it waiting.
-// Long questions go to idle hosts only, and never to all: an urgent one would
-// wait behind them at every host.
-// Of the hosts that long questions may take so many are left.
+// pickHost chooses the host for a query, or returns "" if the query would have to wait at every
+// host. Long queries go to idle hosts only and never to all hosts, so that an urgent one doesn't
+// wait behind them everywhere. A long query must leave at least the given number of the hosts open
+// to long queries.
 func (s *Sched) pickHost(q flow.Queue, leave int) string {
 	long := s.isLong(q)
 	busy := 0
--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -18,9 +18,9 @@
 	}
 }
 
-// cancel stops a job. It may be heard of before the job itself, since the two may be
-// stored by different hosts; dropped then, the job would run although its caller was
-// told that it is cancelled.
+// cancel stops a job. The cancellation may arrive before the job itself, since different hosts may
+// have stored the two. If it were dropped then, the job would run although its caller was told that
+// it is cancelled.
 func (s *Sched) cancel(id string) {
 	j, ok := s.jobs[id]
 	switch {
@@ -35,7 +35,7 @@
 	s.endJob(j, flow.Cancelled)
 }
 
-// endJob brings a job to a final state and stops what is left of it.
+// endJob moves a job to a final state and stops its remaining tasks.
 func (s *Sched) endJob(j *flow.Job, state flow.State) {
 	j.End(state, s.now)
 	s.markDirty(j)
@@ -51,7 +51,8 @@
 	s.closeIfOver(j)
 }
 
-// closeIfOver closes what is over of a job.
+// closeIfOver closes a job once it has a final state and none of its tasks may still be on a
+// worker.
 func (s *Sched) closeIfOver(j *flow.Job) {
 	if j.State.Final() {
 		out := false
@@ -67,7 +68,7 @@
 	}
 }
 
-// closeJob lets go of the tasks of a job that is over.
+// closeJob drops the tasks of a job that is over.
 func (s *Sched) closeJob(j *flow.Job) {
 	for _, r := range j.Rounds {
 		for _, st := range r.Stages {
@@ -81,7 +82,7 @@
 	s.markDirty(j)
 }
 
-// releaseTask takes a task off its worker.
+// releaseTask removes a task from its worker.
 func (s *Sched) releaseTask(t *flow.Task) {
 	if w, ok := s.workers[t.Worker]; ok {
 		w.remove(t)
@@ -90,7 +91,7 @@
 	t.Worker = ""
 }
 
-// requeueTask puts back a task whose run certainly is not at its worker any more and
+// requeueTask puts a task back in the queue whose run is certainly not on its worker any more and
 // did not end as done.
 func (s *Sched) requeueTask(t *flow.Task, why string) {
 	if t.State == flow.Waiting || !t.Out() {
@@ -110,7 +111,7 @@
 	}
 }
 
-// taskDone takes a task's end as taskDone.
+// taskDone ends a task as done.
 func (s *Sched) taskDone(t *flow.Task) {
 	s.noteTask(t, "done", "")
 	s.releaseTask(t)
@@ -129,14 +130,14 @@
 	s.closeIfOver(t.Job)
 }
 
-// taskFailed counts a taskFailed run and gives the job up after too many.
+// taskFailed requeues a task after a failed run and counts the failure.
 func (s *Sched) taskFailed(t *flow.Task) {
 	t.Avoid = t.Worker
 	s.requeueTask(t, "failed")
 	s.countFailure(t)
 }
 
-// countFailure counts a failure of a task.
+// countFailure counts a failure of a task and fails the job after too many.
 func (s *Sched) countFailure(t *flow.Task) {
 	t.Fails++
 	j := t.Job
--- a/internal/sched/lapse.go
+++ b/internal/sched/lapse.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// leasesLapsed tells whether the leases of all that may run on a silent worker have
-// surely lapsed.
+// leasesLapsed reports whether the leases of all runs that may be on a silent worker have certainly
+// expired.
 func (s *Sched) leasesLapsed(w *worker) bool {
 	if len(w.tasks) == 0 || w.fenced && !w.silent(s.now) {
 		return false
@@ -11,10 +11,9 @@
 	return s.now.After(s.leaseBound(w))
 }
 
-// leaseBound is when the leases on a worker that answers no more have surely lapsed.
-// Of a worker that was never read under this term nobody knows how long the
-// former lead's leases are: that lead gives up its term in time, and what it
-// held last cannot last longer than one lease.
+// leaseBound returns when the leases on a silent worker have certainly expired. For a worker that
+// was never read under this term, the length of the previous leader's leases is unknown: that
+// leader gives up its term in time, and its last renewal lasts at most one lease.
 func (s *Sched) leaseBound(w *worker) time.Time {
 	if w.fenced {
 		return w.leaseEnd()
@@ -29,8 +28,8 @@
 	return at
 }
 
-// LeaseBounds returns how much longer anything may run on each worker that does not
-// answer. A successor would wait for a whole lease again.
+// LeaseBounds returns for each silent worker how much longer runs may go on there. Without it a
+// successor would have to wait for a whole lease again.
 func (s *Sched) LeaseBounds(now time.Time) map[string]time.Duration {
 	all := map[string]time.Duration{}
 	for life, w := range s.workers {
@@ -41,8 +40,8 @@
 	return all
 }
 
-// maxLeaseDuration is how long a lease may last from when it was asked for, on a slow
-// clock and with what was on its way.
+// maxLeaseDuration returns how long a lease may last from the time of the request, on a slow clock
+// and with the time that the request is in transit.
 func maxLeaseDuration(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease)/(1-maxClockDrift)) + maxTransit
 }
--- a/internal/sched/limits.go
+++ b/internal/sched/limits.go
@@ -2,29 +2,28 @@
 
 import "time"
 
-// Limits are the bounds that the platform sets and the policy that is not in
-// the table.
+// Limits holds the bounds that the platform sets, and the policy settings that are not in the
+// table.
 type Limits struct {
-	// Lease is how long runs go on without a word from the lead. The longer, the
-	// more work lives through a cut; the later a silent worker's work may begin
-	// elsewhere.
+	// Lease is how long runs continue without a renewal by the leader. A longer lease lets more
+	// work survive a network cut, but delays the restart of a silent worker's tasks elsewhere.
 	Lease time.Duration
 	// StopGrace is how long a run may take to stop.
 	StopGrace time.Duration
-	// Retention is how long an ended job's state is told.
+	// Retention is how long the state of an ended job can be queried.
 	Retention time.Duration
-	// BatchInterval is the least time between two appends: the store counts calls, and
-	// what is decided within this time is stored at once.
+	// BatchInterval is the minimum time between two appends. The store limits the number of calls,
+	// so decisions made within this time are stored together.
 	BatchInterval time.Duration
-	// HoldWait is how long a hold waits for an end: the least time between two looks
-	// at a worker on which nothing ends.
+	// HoldWait is how long a hold waits for a run to end, and so the minimum time between two polls
+	// of a worker on which nothing ends.
 	HoldWait time.Duration
-	// Disabled are the mechanisms that are not used; none by default.
+	// Disabled lists the mechanisms that are switched off; none by default.
 	Disabled []Mechanism
 }
 
-// DefaultLimits suit the platform's longest lease of 10 s and its waits of 2 s:
-// a run lives through a cut of 5.5 s, the usual one, and one hold's wait.
+// DefaultLimits suit the platform's longest lease of 10 s and its longest hold wait of 2 s: a run
+// survives a network cut of 5.5 s, the usual length, plus the wait of one hold.
 var DefaultLimits = Limits{
 	Lease:         8 * time.Second,
 	StopGrace:     time.Second,
@@ -34,35 +33,35 @@
 }
 
 const (
-	// maxClockDrift is by how much a worker's clock may run slow, as the platform bounds
-	// it: a lease lasts longer by this much.
+	// maxClockDrift is the share by which a worker's clock may run slow, as the platform
+	// guarantees; a lease lasts longer by this share.
 	maxClockDrift = 0.02
-	// startTimeout is how long a start may be on its way: a delayed one is dead on
-	// arrival soon, and a hold renews what began.
+	// startTimeout is how long a start may be in transit: a delayed start expires soon, and holds
+	// renew the lease of a run that has begun.
 	startTimeout = 4 * time.Second
-	// silentAfter is how long a worker may leave calls without an answer before it
-	// gets no more work: two tries.
+	// silentAfter is how long a worker may leave calls unanswered before it counts as silent and
+	// gets no more work: two attempts.
 	silentAfter = 700 * time.Millisecond
-	// retryDelay is the pause after an order without an answer.
+	// retryDelay is the pause after a request to a worker that had no answer.
 	retryDelay = 250 * time.Millisecond
-	// forgetWorkerAfter is how long a worker that is listed no longer is remembered after
-	// its leases have surely lapsed.
+	// forgetWorkerAfter is how long a worker that is no longer listed is remembered after its
+	// leases have certainly expired.
 	forgetWorkerAfter = 30 * time.Second
-	// unlistedGrace is how long a worker that answers may go without an entry: the platform
-	// says that entries which lapsed with its store are back within two seconds.
+	// unlistedGrace is how long a worker that answers stays usable without an entry. The platform
+	// guarantees that entries which expired during a store outage are back within two seconds.
 	unlistedGrace = 2 * time.Second
-	// unstoredHoldInterval is how often a worker is held while its ends cannot be stored:
-	// often enough for its leases.
+	// unstoredHoldInterval is the time between holds of a worker while its ends cannot be stored:
+	// short enough to renew its leases.
 	unstoredHoldInterval = 600 * time.Millisecond
-	// maxAppendsInFlight is how many appends may be under way, one for each partition that
-	// the edge stores in, and overlapAfter how long one is waited for alone: five
-	// times what the store takes.
+	// maxAppendsInFlight is the number of concurrent appends, one for each partition that the
+	// caller stores in. appendOverlapDelay is how long the scheduler waits for an append before it
+	// sends the next one beside it: five times what the store usually takes.
 	maxAppendsInFlight = 3
 	appendOverlapDelay = 40 * time.Millisecond
-	// StoreTimeout is how long a lead goes on holding workers after the store answered
-	// it last. By then a successor may have begun.
+	// StoreTimeout is how long a leader keeps renewing leases after the last answer of the store.
+	// After that a successor may have begun.
 	StoreTimeout = 8 * time.Second
-	// maxTransit bounds how long a hold that was sent takes to be carried out or
-	// dropped, besides those that the platform delays.
+	// maxTransit bounds the time from sending a hold until it is carried out or dropped, apart from
+	// requests that the platform delays.
 	maxTransit = 500 * time.Millisecond
 )
--- a/internal/sched/list.go
+++ b/internal/sched/list.go
@@ -9,8 +9,8 @@
 	"pollencroft/internal/flow"
 )
 
-// setWorkers takes the platform's list. A worker that is not listed gets no work;
-// what it runs goes on as long as it answers.
+// setWorkers applies the platform's list of workers. A worker that is not listed gets no new work;
+// its runs continue as long as it answers.
 func (s *Sched) setWorkers(ev Workers) {
 	listed := make(map[string]bool, len(ev.All))
 	for _, l := range ev.All {
@@ -40,8 +40,8 @@
 	}
 }
 
-// updateWorker believes what a worker says of itself now. What it runs goes on; starts that are
-// not sent yet have to suit what it is now.
+// updateWorker applies a worker's current entry. Its runs continue; starts that are not sent yet
+// must fit the new entry.
 func (s *Sched) updateWorker(w *worker, l Worker) {
 	same := w.Size == l.Size && w.Service == l.Service && slices.Equal(w.Labels, l.Labels)
 	if w.sizedAt.IsZero() || w.Size != l.Size {
@@ -53,7 +53,7 @@
 	}
 }
 
-// noteResize tells of another size, and which one was believed before, for how long.
+// noteResize notes a change of a worker's size, with the previous size and how long that was valid.
 func (s *Sched) noteResize(w *worker, l Worker) {
 	since := w.sizedAt
 	w.sizedAt = s.now
@@ -67,8 +67,7 @@
 	)})
 }
 
-// recallStarts puts back starts that are not sent yet and that their worker does not suit any more,
-// the least urgent first.
+// recallStarts requeues unsent starts that their worker no longer suits, the least urgent first.
 func (s *Sched) recallStarts(w *worker) {
 	all := slices.DeleteFunc(w.sortedTasks(), func(t *flow.Task) bool { return t.State != flow.Assigned })
 	slices.SortStableFunc(all, func(a, b *flow.Task) int {
@@ -78,7 +77,7 @@
 		label := t.Spec().Label
 		switch {
 		case t.State != flow.Assigned:
-			// It left with another member of its gang.
+			// It was already requeued with another member of its gang.
 		case w.Service != s.queue(t.Job).Service || label != "" && !slices.Contains(w.Labels, label):
 			s.requeueTask(t, "worker changed before the start")
 		case !w.used.Fits(w.Size):
@@ -87,7 +86,7 @@
 	}
 }
 
-// startDraining notes that a worker leaves: nothing more starts there.
+// startDraining marks a worker as draining: nothing more starts there.
 func (s *Sched) startDraining(w *worker, left time.Duration) {
 	w.draining = true
 	w.leavesAt = s.now.Add(left)
--- a/internal/sched/mechanism.go
+++ b/internal/sched/mechanism.go
@@ -2,32 +2,32 @@
 
 import "slices"
 
-// Mechanism is a part of the policy that can be switched off, so that its worth can be
-// measured, and so that an operator can do without one that misbehaves.
+// Mechanism is a part of the scheduling policy that can be switched off, to measure its effect or
+// because it misbehaves.
 type Mechanism string
 
-// The mechanisms.
 const (
-	// AdaptUrgentHosts keeps hosts free of long questions by what urgent ones take.
+	// AdaptUrgentHosts adapts the number of hosts that are kept free of long queries to the load of
+	// urgent ones.
 	AdaptUrgentHosts Mechanism = "keep-few-hosts"
-	// QueryMoreWorkers learns of more workers with a question than the tasks need now.
+	// QueryMoreWorkers names more workers in a query than the tasks need now.
 	QueryMoreWorkers Mechanism = "name-more"
 	// PrefetchTickets gets tickets while workers are still full.
 	PrefetchTickets Mechanism = "ask-ahead"
-	// ReserveForWide holds room for tasks that need half a worker or more.
+	// ReserveForWide reserves capacity for tasks that need half a worker or more.
 	ReserveForWide Mechanism = "reserve-for-wide"
-	// PreemptBulk stops bulk that saves its progress for more urgent work.
+	// PreemptBulk stops bulk tasks that save their progress in favour of more urgent work.
 	PreemptBulk Mechanism = "give-way"
-	// OnTimeFirst has work go first that can still be in time.
+	// OnTimeFirst places work first that can still be on time.
 	OnTimeFirst Mechanism = "in-time-first"
-	// LimitPassTime bounds what passes take of the lead's time.
+	// LimitPassTime limits the share of the leader's time that passes take.
 	LimitPassTime Mechanism = "pace-passes"
 )
 
-// Mechanisms lists all of them.
+// Mechanisms lists all mechanisms.
 func Mechanisms() []Mechanism {
 	return []Mechanism{AdaptUrgentHosts, QueryMoreWorkers, PrefetchTickets, ReserveForWide, PreemptBulk, OnTimeFirst, LimitPassTime}
 }
 
-// enabled tells whether a mechanism is in use.
+// enabled reports whether a mechanism is in use.
 func (s *Sched) enabled(m Mechanism) bool { return !slices.Contains(s.limits.Disabled, m) }
--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -8,44 +8,44 @@
 	"pollencroft/internal/flow"
 )
 
-// Address is where one life of a worker is reached. A worker that crashed comes
-// back as another life, which runs nothing.
+// Address identifies one incarnation of a worker and where it is reached. A worker that crashed
+// comes back as a new incarnation, which runs nothing.
 type Address struct {
 	Incarnation string
 	Addr        netip.AddrPort
 }
 
-// Worker is one worker as the platform lists it.
+// Worker is a worker as the platform lists it.
 type Worker struct {
 	Address
 	Service, Domain, Rack string
 	Labels                []string
 	Size                  cell.Size
-	// Version is that of the entry.
+	// Version is the version of the worker's entry.
 	Version  int64
 	Draining bool
-	// Remaining is the least time that a draining worker still has.
+	// Remaining is the minimum time that a draining worker still has.
 	Remaining time.Duration
 }
 
-// Outcome is what became of an order to a worker.
+// Outcome is the result of a request to a worker.
 type Outcome int
 
-// The outcomes. After all but Unanswered it is certain what the worker did.
+// The outcomes. After all of them except Unanswered it is certain what the worker did.
 const (
-	// Accepted means that the order was carried out, now or before.
+	// Accepted means that the request was carried out, now or earlier.
 	Accepted Outcome = iota
 	// Rejected means that nothing was done.
 	Rejected
-	// NoCapacity means that the worker was fuller than the lead believed.
+	// NoCapacity means that the worker had less free capacity than the leader assumed.
 	NoCapacity
-	// BadTicket means that the policy service's ticket does not hold.
+	// BadTicket means that the policy service's ticket is not valid.
 	BadTicket
-	// Fenced means that a lead of a later term gives orders there.
+	// Fenced means that the worker has accepted requests from a leader of a later term.
 	Fenced
-	// OtherIncarnation means that the worker has begun a new life.
+	// OtherIncarnation means that a new incarnation of the worker answered.
 	OtherIncarnation
-	// Unanswered means that the order may be carried out, also later.
+	// Unanswered means that the request may have been carried out, or may still be.
 	Unanswered
 )
 
@@ -54,11 +54,11 @@
 // String returns the outcome for logs.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Ending is how a run came to its end.
+// Ending is how a run ended.
 type Ending int
 
-// The endings. EndBroken is a gang's member whose other member ended, EndAlone
-// one that waited too long for the others.
+// The endings. EndBroken is a gang member stopped because another member ended, EndAlone one that
+// waited too long for the others.
 const (
 	EndUnknown Ending = iota
 	EndDone
@@ -74,7 +74,7 @@
 // String returns the ending for logs.
 func (e Ending) String() string { return endingNames[e] }
 
-// Event is what the scheduler core is told.
+// Event is an input of the scheduler core.
 type Event interface{ event() }
 
 // Queues replaces the table's queues.
@@ -86,26 +86,25 @@
 // Workers replaces the list of workers.
 type Workers struct{ All []Worker }
 
-// Hosts replaces the entry hosts that can ask the policy service.
+// Hosts replaces the entry hosts that can query the policy service.
 type Hosts struct{ Names []string }
 
-// Submit takes a job that is stored.
+// Submit adds a job that is already stored.
 type Submit struct{ Spec flow.Spec }
 
-// Cancel stops a job; that it was asked for is stored.
+// Cancel stops a job; the request to do so is already stored.
 type Cancel struct{ ID string }
 
-// Appended tells that the Append of that number is stored. They may come in any
-// order.
+// Appended reports that the Append with that number is stored. Appends may be stored in any order.
 type Appended struct{ Number int64 }
 
-// HoldReply is a worker's answer to a Hold. Sent and Received are by this host's
-// clock, Clock by the worker's.
+// HoldReply is a worker's answer to a Hold. Sent and Received are by this host's clock, Clock by
+// the worker's.
 type HoldReply struct {
 	Worker  string
 	Outcome Outcome
 	Probe   bool
-	// AckedEnd is the last end that the question had the worker forget.
+	// AckedEnd is the last end that the request acknowledged, so that the worker could forget it.
 	AckedEnd       int64
 	Sent, Received time.Time
 	Clock          time.Time
@@ -113,8 +112,8 @@
 	Ended          []RunEnd
 }
 
-// RunStatus is one run that a worker lists. Figure is the tail of the response
-// times in milliseconds of a task that serves, else the processors in use.
+// RunStatus is one run that a worker lists. For a task that serves requests, Metric is the tail of
+// its response times in milliseconds, otherwise the number of processors in use.
 type RunStatus struct {
 	Task    flow.Name
 	Run     int
@@ -123,7 +122,7 @@
 	Metric  int64
 }
 
-// RunEnd is one run that ended at a worker. Number rises in each life.
+// RunEnd is one run that ended on a worker. Number increases within each incarnation.
 type RunEnd struct {
 	Number int64
 	Task   flow.Name
@@ -132,7 +131,7 @@
 	Saved  string
 }
 
-// StartReply tells what became of a Start.
+// StartReply is the result of a Start.
 type StartReply struct {
 	Task    flow.Name
 	Run     int
@@ -140,7 +139,7 @@
 	Outcome Outcome
 }
 
-// StopReply tells what became of a Stop.
+// StopReply is the result of a Stop.
 type StopReply struct {
 	Task    flow.Name
 	Run     int
@@ -148,22 +147,22 @@
 	Outcome Outcome
 }
 
-// PolicyReply is the policy service's answer: a ticket for each named worker that
-// may run the step. Failed tells that there was none.
+// PolicyReply is the policy service's answer: a ticket for each queried worker that may run the
+// step. Failed means that there was no answer.
 type PolicyReply struct {
 	Step, Host string
 	Tickets    map[string]string
 	Failed     bool
 }
 
-// PredecessorStopped tells that the former lead holds no worker any more. Bounds are
-// what it said of workers that do not answer, as of Since.
+// PredecessorStopped reports that the previous leader no longer renews any leases. LeaseBounds is
+// what it reported about silent workers, as of Since.
 type PredecessorStopped struct {
 	Since       time.Time
 	LeaseBounds map[string]time.Duration
 }
 
-// Tick lets time pass.
+// Tick only lets time pass.
 type Tick struct{}
 
 func (Queues) event()             {}
@@ -179,7 +178,7 @@
 func (PredecessorStopped) event() {}
 func (Tick) event()               {}
 
-// Action is what the scheduler core asks its edge to do.
+// Action is something that the scheduler core asks its caller to do.
 type Action interface{ action() }
 
 // Change is the new progress of a job.
@@ -188,17 +187,17 @@
 	Value []byte
 }
 
-// Append stores changes under this term; Appended answers it. There are never more
-// than mostFlights under way, and they may be stored in any order: of two records of
-// a job the one with the later version counts.
+// Append stores changes under this term and is answered by Appended. At most maxAppendsInFlight are
+// in flight, and they may be stored in any order: of two records of the same job the one with the
+// later version counts.
 type Append struct {
 	Number  int64
 	Changes []Change
 }
 
-// Hold renews the leases on a worker until Deadline in its own clock, lets it
-// forget ends up to Seen, and reads what it lists. Look asks beside another
-// hold that waits.
+// Hold renews the leases on a worker until Deadline by the worker's clock, acknowledges ends up to
+// AckedEnd so that the worker can forget them, and reads the worker's lists. A Probe is answered at
+// once, even while another hold is waiting.
 type Hold struct {
 	To       Address
 	Term     int64
@@ -208,8 +207,7 @@
 	Probe    bool
 }
 
-// Start asks a worker to start a run. It is dead on arrival after Deadline in
-// the worker's clock.
+// Start asks a worker to start a run. The worker ignores it after Deadline, by the worker's clock.
 type Start struct {
 	To       Address
 	Term     int64
@@ -221,7 +219,7 @@
 	Deadline time.Time
 }
 
-// Stop asks a worker to stop a run, or never to begin it.
+// Stop asks a worker to stop a run, or never to begin it if it has not begun.
 type Stop struct {
 	To   Address
 	Term int64
@@ -230,7 +228,7 @@
 	Why  string
 }
 
-// Pace bounds the processor time of a filling run.
+// Pace limits the processor time of a filling run.
 type Pace struct {
 	To      Address
 	Term    int64
@@ -239,40 +237,40 @@
 	Percent int
 }
 
-// QueryPolicy has a host ask the policy service about a step.
+// QueryPolicy makes a host query the policy service about a step.
 type QueryPolicy struct {
 	Host, Step string
 	Workers    []string
-	// Timeout is when the answer is no longer of use.
+	// Timeout is the time after which the answer is of no use.
 	Timeout time.Duration
 }
 
-// Forget drops a job that ended long ago: its spec and then its progress.
+// Forget deletes a job that ended long ago: first its spec, then its progress.
 type Forget struct{ ID string }
 
-// StepDown tells that a lead of a later term was seen: this one has ended.
+// StepDown reports that a leader of a later term was seen, so this term has ended.
 type StepDown struct{ Worker string }
 
-// StepWaited tells how long a step waited, and for what, until all its tasks had room. Rank is
-// its queue's.
+// StepWaited reports how long a step waited, and for what, until all its tasks were placed. Rank is
+// the rank of its queue.
 type StepWaited struct {
 	Rank  int
 	Times WaitTimes
 }
 
-// JobStarted tells how long after its acceptance a job's first task began.
+// JobStarted reports how long after its acceptance a job's first task began.
 type JobStarted struct {
 	Rank  int
 	After time.Duration
 }
 
-// JobEnded tells that a job's final state is stored. It never changes.
+// JobEnded reports that a job's final state is stored. It never changes afterwards.
 type JobEnded struct {
 	ID    string
 	State flow.State
 }
 
-// Note tells of a decision, for the log.
+// Note describes a decision, for the log.
 type Note struct {
 	ID, What string
 	Worker   string
--- a/internal/sched/naming.go
+++ b/internal/sched/naming.go
@@ -7,10 +7,10 @@
 	"pollencroft/internal/flow"
 )
 
-// candidate is a worker that may be named in a question.
+// candidate is a worker that may be named in a query.
 type candidate struct {
 	life string
-	// tasks is how many it has room for, known that it was allowed before.
+	// tasks is how many tasks the worker has capacity for; known means that it was allowed before.
 	tasks int
 	known bool
 	cost  float64
@@ -27,9 +27,10 @@
 	}
 }
 
-// workersToQuery lists workers that have room for n tasks of the step and may be allowed, the
-// best first, and as many as the tasks need; then others of which an answer tells more
-// than it costs. It lists none if nothing could start whatever the answer is.
+// workersToQuery lists the workers to name in a query for a step with n waiting tasks. First come
+// workers with free capacity that may be allowed, the best first, as many as the tasks need; then
+// others, as long as they add little to the cost of the query. The list is empty if nothing could
+// start whatever the answer is.
 func (s *Sched) workersToQuery(r readyStep, a *advice, p *pool, n int) []string {
 	all, most := s.candidatesWithCapacity(r, a, p)
 	if len(all) == 0 || r.stage.Spec.Gang && most < n {
@@ -62,10 +63,10 @@
 	return named
 }
 
-// candidatesWithCapacity lists the workers of a pool that have room for the step and of which a question would
-// tell something; most is how many tasks could start if all were allowed. In a full cell there
-// is none in most passes, for hundreds of steps: room is looked at first, and what an order
-// among them costs is left for those that have it.
+// candidatesWithCapacity lists the workers of a pool that have capacity for the step and whose
+// answer isn't known. most is how many tasks could start if all of them were allowed. In a full
+// cell most passes find none, for hundreds of steps, so the capacity is checked first and the more
+// expensive ordering is done only for workers that have it.
 func (s *Sched) candidatesWithCapacity(r readyStep, a *advice, p *pool) (all []candidate, most int) {
 	room, some := r.stage.Spec.Room(), false
 	for _, w := range p.workers {
@@ -80,7 +81,7 @@
 		most += hold
 		got, known := a.tickets[w.Incarnation]
 		if !known || !s.now.Before(got.until) {
-			// One with a ticket was passed over for another reason.
+			// A worker with a valid ticket was not chosen for another reason.
 			all = append(all, candidate{life: w.Incarnation, tasks: hold, known: known, cost: s.cost(r, w)})
 		}
 	}
@@ -91,7 +92,8 @@
 	return all, most
 }
 
-// otherCandidates lists the workers without room for the step now that nobody asked about yet.
+// otherCandidates lists the workers that have no capacity for the step now and have not been asked
+// about yet.
 func (s *Sched) otherCandidates(r readyStep, a *advice, p *pool) []candidate {
 	var all []candidate
 	room := r.stage.Spec.Room()
@@ -106,7 +108,7 @@
 	return all
 }
 
-// extraQueryWorkers is how many workers a question may name without taking much longer.
+// extraQueryWorkers returns how many workers a query may name without taking much longer.
 func (s *Sched) extraQueryWorkers(a *flow.Advice) int {
 	switch {
 	case !s.enabled(QueryMoreWorkers):
@@ -117,7 +119,7 @@
 	return int(maxExtraCost * float64(a.Base) / float64(a.Each))
 }
 
-// taskCapacity is how many of the step's tasks a worker has room for.
+// taskCapacity returns how many of the step's tasks a worker has capacity for.
 func (r readyStep) taskCapacity(w *worker) int {
 	st := r.stage.Spec
 	n := min(int64(len(r.tasks)), st.Room().Into(w.free()))
--- a/internal/sched/order.go
+++ b/internal/sched/order.go
@@ -8,11 +8,11 @@
 	"pollencroft/internal/flow"
 )
 
-// The core decides the same whenever it is told the same: what it walks in a
-// map's order would differ from run to run, and with it every seed of a test.
+// The core is deterministic: the same events give the same decisions. Iterating in map order would
+// make each run, and each seed of a test, behave differently.
 
-// sortedWorkers lists the workers in order of life. The list is kept until a worker comes or goes:
-// each pass walks it several times.
+// sortedWorkers lists the workers sorted by incarnation. The list is cached until a worker is added
+// or removed, because each pass iterates over it several times.
 func (s *Sched) sortedWorkers() []*worker {
 	if len(s.sortedCache) == len(s.workers) {
 		return s.sortedCache
@@ -24,10 +24,10 @@
 	return s.sortedCache
 }
 
-// workersChanged is called when the set of workers has changed.
+// workersChanged invalidates the sorted list after a worker was added or removed.
 func (s *Sched) workersChanged() { s.sortedCache = nil }
 
-// sortedTasks lists the worker's tasks by name.
+// sortedTasks lists the worker's tasks, sorted by name.
 func (w *worker) sortedTasks() []*flow.Task {
 	all := slices.AppendSeq(make([]*flow.Task, 0, len(w.tasks)), maps.Values(w.tasks))
 	slices.SortFunc(all, func(a, b *flow.Task) int { return compareNames(a.Name, b.Name) })
@@ -42,12 +42,12 @@
 	return cmp.Or(compareNames(a.task, b.task), a.run-b.run)
 }
 
-// sortedRuns lists the keys of a map of runs.
+// sortedRuns returns the sorted keys of a map of runs.
 func sortedRuns[V any](m map[runKey]V) []runKey {
 	return slices.SortedFunc(maps.Keys(m), compareRuns)
 }
 
-// sortedOpenJobs lists the jobs that are not over by the order of their acceptance.
+// sortedOpenJobs lists the jobs that are not over, in order of their acceptance.
 func (s *Sched) sortedOpenJobs() []*flow.Job {
 	all := slices.AppendSeq(make([]*flow.Job, 0, len(s.openJobs)), maps.Values(s.openJobs))
 	slices.SortFunc(all, func(a, b *flow.Job) int { return cmp.Compare(a.Number, b.Number) })
--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -6,23 +6,23 @@
 	"pollencroft/internal/flow"
 )
 
-// Filling tasks disturb tasks that serve beside them, by amounts that nobody
-// declares and that change within seconds. One notices the tail of the response
-// times near its bound; holding the filling tasks back brings it down within
-// the platform's pacing delay, long before the bound is broken for good.
+// Filling tasks disturb the tasks that serve requests on the same worker, by amounts that nobody
+// declares and that change within seconds. The sign of it is a tail of the response times that
+// nears its target. Slowing the filling tasks brings it down within the platform's pacing delay,
+// long before the target is missed for good.
 const (
-	// slowFrom is the share of the target from which filling tasks are held back,
-	// stopAt that from which they stand still.
+	// slowFrom is the share of the target from which filling tasks are slowed, pauseFrom the share
+	// from which they are paused.
 	slowFrom  = 0.7
 	pauseFrom = 0.85
-	// speedUpBelow is the share below which they may go faster again, by stepUp percent
-	// each stepEvery.
+	// speedUpBelow is the share below which they may go faster again, by speedUpStep percent every
+	// speedUpInterval.
 	speedUpBelow    = 0.55
 	speedUpStep     = 20
 	speedUpInterval = time.Second
 )
 
-// pacing is how much filling tasks on a worker may work, in percent.
+// pacing is the share of the processor time that filling tasks on a worker may use, in percent.
 type pacing struct {
 	level   int
 	changed time.Time
@@ -30,7 +30,8 @@
 
 func newPacing() pacing { return pacing{level: 100} }
 
-// worstLatency is the highest tail of a task that serves, as a share of its target.
+// worstLatency returns the highest response-time tail of the serving tasks, as a share of the
+// target.
 func (w *worker) worstLatency(running []RunStatus) float64 {
 	worst := 0.0
 	for _, l := range running {
@@ -43,7 +44,7 @@
 	return worst
 }
 
-// adjustPace follows the tails that a worker lists.
+// adjustPace adjusts the pace of filling tasks to the response times that a worker lists.
 func (s *Sched) adjustPace(w *worker, running []RunStatus) {
 	if w.fillCPU == 0 {
 		return
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -8,19 +8,19 @@
 	"pollencroft/internal/flow"
 )
 
-// urgentReserve is the share of a service's processors that only the most urgent
-// queue may take: its tasks last about a second, so that what is kept free turns
-// over many times while a bulk task runs.
+// urgentReserve is the share of a service's processors that only the most urgent queue may use. Its
+// tasks last about a second, so the reserved capacity is reused many times while one bulk task
+// runs.
 const urgentReserve = 0.06
 
-// readyStep is one step with tasks that wait.
+// readyStep is a step that may run and has waiting tasks.
 type readyStep struct {
 	stage *flow.Stage
 	job   *flow.Job
 	round *flow.Round
 	queue flow.Queue
 	tasks []*flow.Task
-	// class is the step's class to be in time.
+	// class is the deadline class of the step.
 	class deadlineClass
 }
 
@@ -61,7 +61,7 @@
 	return all
 }
 
-// startableTasks lists the tasks of a step that may start, those that have to run alone last.
+// startableTasks lists the tasks of a step that may start; tasks that have to run alone come last.
 func startableTasks(st *flow.Stage) []*flow.Task {
 	var tasks, alone []*flow.Task
 	for _, t := range st.Tasks {
@@ -76,21 +76,21 @@
 	return append(tasks, alone...)
 }
 
-// pool is the room of one service in one pass.
+// pool is the capacity of one service during one pass.
 type pool struct {
 	workers []*worker
-	// totalCPU are the processors of all, freeCPU those that are free now.
+	// totalCPU is the processor capacity of all workers, freeCPU the part that is free now.
 	totalCPU, freeCPU int64
-	// total is what all workers have in every resource, prefetched what the steps wait for
-	// that have tickets, or will, before there is room.
+	// total is the capacity of all workers in every resource. prefetched is the capacity needed by
+	// steps that have tickets, or will have them, before there is free capacity.
 	total, prefetched cell.Size
-	// used is what tasks take, reserved what is held free for wide ones.
+	// used is the capacity that tasks use, reserved the capacity that is held free for wide tasks.
 	used, reserved cell.Size
-	// unfit are rooms that no worker has any more in this pass.
+	// unfit lists sizes for which no worker has capacity any more in this pass.
 	unfit []cell.Size
 }
 
-// knownFull tells whether it was seen in this pass that no worker has so much room.
+// knownFull reports whether this pass has already found that no worker has that much free capacity.
 func (p *pool) knownFull(room cell.Size) bool {
 	return slices.ContainsFunc(p.unfit, func(n cell.Size) bool { return n.Fits(room) })
 }
@@ -117,8 +117,8 @@
 	return all
 }
 
-// placeSteps gives room to what waits, in order, and asks the policy service about
-// steps that could start.
+// placeSteps assigns waiting tasks to workers, in order of urgency, and queries the policy service
+// about steps that could start.
 func (s *Sched) placeSteps() {
 	if len(s.openJobs) == 0 {
 		return
@@ -152,7 +152,7 @@
 	s.accountWaits(steps)
 }
 
-// placeStep places what it can of one step.
+// placeStep places as many tasks of a step as possible.
 func (s *Sched) placeStep(r readyStep, p *pool, keep int64) {
 	if r.stage.Spec.Gang {
 		s.placeGang(r, p, keep)
@@ -163,8 +163,8 @@
 	if s.hasTicket(r) {
 		allowed = s.allowedWorkers(r, p)
 	}
-	// Without a ticket no worker may have it: a backlog of such steps is passed over
-	// without looking at a single worker.
+	// Without a ticket no worker may run the step: a backlog of such steps is skipped without
+	// checking a single worker.
 	for len(left) > 0 && (keep == 0 || p.freeCPU >= keep+need) {
 		w := s.bestWorker(r, left[0], allowed)
 		if w == nil && left[0].Doubt() >= aloneAfter {
@@ -188,7 +188,7 @@
 	}
 }
 
-// bestWorker is the worker that a task fits bestWorker; nil if none may have it.
+// bestWorker returns the worker that suits a task best, or nil if none may run it.
 func (s *Sched) bestWorker(r readyStep, t *flow.Task, workers []*worker) *worker {
 	var best *worker
 	var least float64
@@ -210,12 +210,12 @@
 	return best
 }
 
-// fits tells whether a worker has room for a task and may run it, tickets aside.
+// fits reports whether a worker has capacity for a task and may run it, apart from tickets.
 func (s *Sched) fits(r readyStep, t *flow.Task, w *worker) bool {
 	return r.stage.Spec.Room().Fits(w.available()) && s.suits(r, t, w)
 }
 
-// suits tells whether a worker may run a task once it has room, tickets aside.
+// suits reports whether a worker may run a task once it has capacity, apart from tickets.
 func (s *Sched) suits(r readyStep, t *flow.Task, w *worker) bool {
 	st := r.stage.Spec
 	switch {
@@ -233,10 +233,10 @@
 	return true
 }
 
-// avoidFor is how long a task stays away from a worker that it failed on.
+// avoidFor is how long a task avoids a worker that it failed on.
 const avoidFor = 5 * time.Second
 
-// tasksOf is how many tasks of a step may be on the worker.
+// tasksOf returns how many tasks of a step may be on the worker.
 func (w *worker) tasksOf(st *flow.Stage) int {
 	n := 0
 	for _, t := range w.tasks {
@@ -247,24 +247,23 @@
 	return n
 }
 
-// Weights of the choice between workers that a task fits on, in shares of a
-// worker's size.
+// Weights for choosing between workers that suit a task, in shares of a worker's size.
 const (
-	// farCost makes a task wait for no rack but go to the data's rack when it can.
+	// farCost makes a task prefer the rack of its data without waiting for it.
 	farCost = 2
-	// serveCost keeps filling tasks and tasks that serve apart while there is
-	// other room.
+	// serveCost keeps filling tasks and serving tasks apart while there is other capacity.
 	serveCost = 1
-	// domainCost keeps a job in one failure domain, and togetherCost on few
-	// workers: a job is late when its last task is. With 6 tasks over 3 failure
-	// domains, the cut of one hits 9 jobs in 10; kept in one, 1 in 3.
+	// domainCost keeps a job in one failure domain, and togetherCost keeps it on few workers: a job
+	// is late if its last task is late. With 6 tasks spread over 3 failure domains, a network cut
+	// of one domain affects 9 jobs in 10; with each job in a single domain, 1 in 3.
 	domainCost   = 0.6
 	togetherCost = 0.3
-	// suspectCost prefers workers that did not fail anything lately.
+	// suspectCost prefers workers without recent failures.
 	suspectCost = 0.5
 )
 
-// cost is lower for workers that a task leaves fuller: large holes stay whole.
+// cost returns the placement cost of a task on a worker. It is lower for workers that the task
+// leaves fuller, so that large free capacities stay whole.
 func (s *Sched) cost(r readyStep, w *worker) float64 {
 	st := r.stage.Spec
 	left := w.free().Sub(st.Room())
@@ -276,7 +275,7 @@
 		c += serveCost
 	}
 	if st.Fills {
-		// Filling tasks go where most is left.
+		// Filling tasks go to the workers with the most free processor time.
 		c -= 2 * float64(w.free().CPU-w.fillCPU) / float64(w.Size.CPU)
 	}
 	if r.job.Domain != "" && w.Domain != r.job.Domain {
@@ -291,7 +290,7 @@
 	return c + suspectCost*float64(w.health.fails)
 }
 
-// runsTaskOf tells whether a task of the job is on the worker.
+// runsTaskOf reports whether a task of the job is on the worker.
 func (w *worker) runsTaskOf(j *flow.Job) bool {
 	for _, t := range w.tasks {
 		if t.Job == j {
@@ -301,7 +300,7 @@
 	return false
 }
 
-// runsServing tells whether a task with a bound on its response times is there.
+// runsServing reports whether the worker has a task with a response-time target.
 func (w *worker) runsServing() bool {
 	for _, t := range w.tasks {
 		if t.Spec().Target > 0 {
--- a/internal/sched/rack.go
+++ b/internal/sched/rack.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	// sameOutageWithin is how far apart the workers of a rack may be seen to end for one
-	// cause: an idle one is only asked once another has stopped answering.
+	// sameOutageWithin is the time within which the workers of a rack must be found down to count
+	// as one outage: an idle worker is probed only after another has stopped answering.
 	sameOutageWithin = 3 * time.Second
-	// crashJudgeDelay is how long the end of a life is not judged, so that the workers of its
-	// rack can be asked.
+	// crashJudgeDelay is how long the scheduler waits before it judges the end of an incarnation,
+	// so that the other workers of its rack can be probed.
 	crashJudgeDelay = time.Second
-	// minOtherWorkers is how many other workers a rack must have had.
+	// minOtherWorkers is how many other workers of the rack must be down.
 	minOtherWorkers = 2
 )
 
-// outage is a worker that stopped answering, or whose life ended.
+// outage is a worker that stopped answering, or whose incarnation ended.
 type outage struct {
 	at                time.Time
 	incarnation, rack string
-	// steps are those of which tasks were there.
+	// steps are the steps that had tasks on the worker.
 	steps map[*flow.Stage]bool
 }
 
-// recordOutage notes that a worker stopped answering or has ended, and asks the idle workers of its
-// rack if a task under which a life had ended before was there.
+// recordOutage records that a worker stopped answering or that its incarnation ended. If it had a
+// task under which an incarnation may have ended before, the idle workers of its rack are probed.
 func (s *Sched) recordOutage(w *worker) {
 	if w.Rack == "" || slices.ContainsFunc(s.outages, func(f outage) bool { return f.incarnation == w.Incarnation }) {
 		return
@@ -49,14 +49,14 @@
 	}
 }
 
-// clearOutage forgets that a worker stopped answering.
+// clearOutage removes the outage of a worker that answers again.
 func (s *Sched) clearOutage(w *worker) {
 	s.outages = slices.DeleteFunc(s.outages, func(f outage) bool { return f.incarnation == w.Incarnation })
 }
 
-// isRackOutage tells whether all workers of a rack ended together for a cause that was not a
-// task of this step. Bad tasks that start together end several lives at once as well, so
-// there must be an idle worker among them.
+// isRackOutage reports whether all workers of a rack went down together for a cause other than a
+// task of this step. Crashing tasks that start together also end several incarnations at once, so
+// at least one idle worker must be among them.
 func (s *Sched) isRackOutage(w *worker, t *flow.Task) bool {
 	i := slices.IndexFunc(s.outages, func(f outage) bool { return f.incarnation == w.Incarnation })
 	if i < 0 {
@@ -76,7 +76,7 @@
 	return len(down) > minOtherWorkers && idle && !everywhere && !s.anyUp(w.Rack, at, down)
 }
 
-// anyUp tells whether any worker of a rack that was known by then is not down.
+// anyUp reports whether any worker of a rack that was known before the given time is not down.
 func (s *Sched) anyUp(rack string, by time.Time, down map[string]bool) bool {
 	for _, w := range s.workers {
 		if w.Rack == rack && !w.dead && !down[w.Incarnation] && w.firstSeen.Before(by) {
@@ -86,7 +86,7 @@
 	return false
 }
 
-// pruneOutages forgets falls that can be one with no other any more.
+// pruneOutages drops outages that are too old to be part of a rack outage.
 func (s *Sched) pruneOutages() {
 	s.outages = slices.DeleteFunc(s.outages, func(f outage) bool { return s.now.Sub(f.at) > forgetWorkerAfter })
 }
--- a/internal/sched/reserve.go
+++ b/internal/sched/reserve.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// wideShare is the part of a worker from which a task counts as wide: two of them
-	// cannot be beside each other, so the room for one hardly comes by itself.
+	// wideShare is the share of a worker from which a task counts as wide: two such tasks rarely
+	// fit on the same worker, so enough free capacity for one hardly ever appears by itself.
 	wideShare = 0.5
-	// maxReservedShare is how much of a service's workers may be held free for wide tasks
-	// that wait: the first of them wait for what ends soon, and what is held for later
+	// maxReservedShare is the largest share of a service's workers that may be held free for
+	// waiting wide tasks. The first of them wait for tasks that end soon; capacity held for later
 	// ones would stand idle for longer than a task takes.
 	maxReservedShare = 0.25
-	// reserveMinUse is the part of a service's workers that has to be in use for room to be
-	// held. Below it the platform promises that no job waits for three seconds beside
-	// room that it could use; a wide task that few workers are allowed for would hold
-	// theirs for longer, and with it whoever else is allowed only there.
+	// reserveMinUse is the share of a service's workers that has to be in use before capacity is
+	// reserved. Below it the platform guarantees that no job waits for three seconds beside
+	// capacity that it could use. A wide task that is allowed on few workers would reserve those
+	// for longer, and delay every other task that is allowed only there.
 	reserveMinUse = 0.5
 )
 
-// reserveCapacity holds room for n wide tasks that could not start, on the workers that will have
-// it first. Tasks of one processor or GPU find room on any worker all the time; a task
-// that wants half of one or all would hardly see it, however urgent it is.
+// reserveCapacity reserves capacity for n wide tasks that could not start, on the workers that will
+// have it first. Tasks of one processor or GPU find capacity on any worker all the time; a task
+// that needs half of a worker or more would hardly ever find it, however urgent it is.
 func (s *Sched) reserveCapacity(r readyStep, p *pool, n int) {
 	room := r.stage.Spec.Room()
 	if !s.enabled(ReserveForWide) || p.used.Share(p.total) < reserveMinUse || p.reserved.Share(p.total) > maxReservedShare {
@@ -53,8 +53,8 @@
 	}
 }
 
-// fitsAt is when a worker will have so much room if nothing else is begun there; false if
-// it never will.
+// fitsAt returns when a worker will have that much free capacity if nothing else is started there,
+// or false if it never will.
 func (s *Sched) fitsAt(w *worker, room cell.Size) (time.Time, bool) {
 	free := w.free()
 	if room.Fits(free) {
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -1,7 +1,6 @@
-// Package sched is the core of the lead: it decides which task runs on which
-// worker, and when. What it decides is stored before it is carried out, so that
-// the next lead knows of every run that may be at a worker, and nothing runs
-// twice.
+// Package sched is the scheduler core of the leader: it decides which task runs on which worker,
+// and when. Its decisions are stored before they are carried out, so that the next leader knows of
+// every run that may be on a worker, and nothing runs twice.
 package sched
 
 import (
@@ -19,7 +18,7 @@
 	term      int64
 	now       time.Time
 	termStart time.Time
-	// predecessorGone is when the predecessorGone lead was certain to hold nothing any more.
+	// predecessorGone is when the previous leader had certainly stopped renewing leases.
 	predecessorGone time.Time
 	actions         []Action
 	queues          map[string]flow.Queue
@@ -27,51 +26,51 @@
 	openJobs        map[string]*flow.Job
 	lastNumber      int64
 	workers         map[string]*worker
-	// sortedCache are the workers in order of life, as long as none comes or goes.
+	// sortedCache holds the workers sorted by incarnation; it is valid until one is added or
+	// removed.
 	sortedCache []*worker
 	hosts       map[string]*host
 	advice      map[*flow.Stage]*advice
 	allowRates  map[string]float64
-	// urgentUsage is what the questions of the most urgentUsage queues take of the hosts.
+	// urgentUsage is how many hosts the queries of the most urgent queues keep busy.
 	urgentUsage usage
 	stops       map[runKey]*pendingStop
-	// suspects are tasks under which lives of workers ended, or may have.
+	// suspects are tasks that crashed a worker, or may have.
 	suspects map[*flow.Task]bool
-	// outages are workers that stopped answering lately.
+	// outages are workers that stopped answering recently.
 	outages []outage
-	// waits are steps that wait.
+	// waits are the waiting steps.
 	waits map[*flow.Stage]*stepWait
-	// preemptions are rooms that others were stopped for.
+	// preemptions is the capacity that other tasks were stopped for, by the step that it is for.
 	preemptions map[*flow.Stage][]preemption
-	// earlyCancels are when jobs that are not known yet were cancelled.
+	// earlyCancels is when jobs that are not known yet were cancelled.
 	earlyCancels map[string]time.Time
-	// dirty are jobs whose progress is not in an append yet.
+	// dirty are jobs whose changes are not in an append yet.
 	dirty map[string]*flow.Job
 	// unstoredStarts are runs that may start before they are stored.
 	unstoredStarts []runKey
-	// appendCount counts what was stored.
+	// appendCount is the number of appends so far.
 	appendCount int64
-	// nextBatch is what the nextBatch append will make certain, flights what those under way
-	// will, in their order.
+	// nextBatch is what the next append will complete, inFlight what the appends in flight will, in
+	// their order.
 	nextBatch *batch
 	inFlight  []*batch
-	// noFreeHost tells for the most urgent queues and for the others that no host can
-	// take a question in this pass.
+	// noFreeHost means for the most urgent queues and for the others that no host can take a query
+	// in this pass.
 	noFreeHost [2]bool
-	// changed tells that something changed since the last placement.
+	// changed means that something has changed since the last placement pass.
 	changed bool
-	// lastPass is when work was lastPass last, last when something was stored.
+	// lastPass is the time of the last placement pass, lastAppend that of the last append.
 	lastPass   time.Time
 	lastAppend time.Time
 	lastSweep  time.Time
-	// passDuration is how long the last pass passDuration the lead.
+	// passDuration is how long the last pass took.
 	passDuration time.Duration
 }
 
-// batch is what may happen once an append is stored: runs may start and states be
-// told at once, since each record holds all that is known of its job. Workers may
-// forget ends only when all appends before are stored too, which hold the jobs of
-// earlier ends.
+// batch is what may happen once an append is stored. Runs may start and states may be published at
+// once, since each record holds everything about its job. Workers may forget ends only when all
+// earlier appends are stored too, since those hold the jobs of earlier ends.
 type batch struct {
 	number    int64
 	stored    bool
@@ -84,13 +83,13 @@
 	return &batch{states: map[*flow.Job]flow.State{}, ackedEnds: map[*worker]int64{}}
 }
 
-// runKey names one run of a task.
+// runKey identifies one run of a task.
 type runKey struct {
 	task flow.Name
 	run  int
 }
 
-// New returns the scheduler of a term that begins with these jobs.
+// New returns the scheduler of a term that begins with the given jobs.
 func New(limits Limits, term int64, jobs []*flow.Job) *Sched {
 	s := &Sched{
 		limits: limits, term: term, queues: map[string]flow.Queue{}, jobs: map[string]*flow.Job{}, openJobs: map[string]*flow.Job{},
@@ -108,8 +107,8 @@
 	return s
 }
 
-// adoptJob books what a former lead's records say may run at workers. Nothing of
-// it starts again before its worker was read under this term.
+// adoptJob books the runs that may be on workers according to a previous leader's records. Such a
+// task starts again only after its worker was read under this term.
 func (s *Sched) adoptJob(j *flow.Job) {
 	j.Tasks(func(t *flow.Task) {
 		s.adoptLostRuns(t)
@@ -119,7 +118,7 @@
 	})
 }
 
-// incarnation returns a life that a former lead's records name.
+// incarnation returns a worker incarnation that a previous leader's records name.
 func (s *Sched) incarnation(life string) *worker {
 	w, ok := s.workers[life]
 	if !ok {
@@ -130,7 +129,7 @@
 	return w
 }
 
-// Step takes one event and returns what to do.
+// Step processes one event and returns the actions to carry out.
 func (s *Sched) Step(now time.Time, ev Event) []Action {
 	s.now, s.actions = now, nil
 	if s.termStart.IsZero() {
@@ -173,7 +172,7 @@
 	}
 }
 
-// predecessorStopped takes what the former lead said when it left.
+// predecessorStopped applies what the previous leader reported when it left.
 func (s *Sched) predecessorStopped(ev PredecessorStopped) {
 	s.predecessorGone = s.now
 	for life, left := range ev.LeaseBounds {
@@ -195,8 +194,8 @@
 	}
 }
 
-// queue is the table's word on a job's queue, or what it was when the job was
-// accepted if the row is gone.
+// queue returns a job's queue as the table has it now, or as it was when the job was accepted if
+// its row is gone.
 func (s *Sched) queue(j *flow.Job) flow.Queue {
 	if q, ok := s.queues[j.Spec.Queue.Name]; ok {
 		return q
@@ -204,10 +203,10 @@
 	return j.Spec.Queue
 }
 
-// sweepInterval is how often slow matters are looked at.
+// sweepInterval is the time between the periodic checks.
 const (
 	sweepInterval = 100 * time.Millisecond
-	// idleSweepInterval is the same while there is no job.
+	// idleSweepInterval is the same while there is no open job.
 	idleSweepInterval = 500 * time.Millisecond
 )
 
@@ -216,7 +215,7 @@
 		return
 	}
 	s.lastSweep = s.now
-	// Time alone may have made a place: a rest is over, a ticket has run out.
+	// Time alone may allow a placement: a quarantine has ended or a ticket has expired.
 	s.changed = len(s.openJobs) > 0
 	s.beginRounds()
 	s.checkWorkers()
@@ -238,7 +237,7 @@
 
 func (s *Sched) markDirty(j *flow.Job) { s.dirty[j.Spec.ID] = j }
 
-// flush places what waits and stores what changed, one append at a time.
+// flush runs a placement pass if one is due, and appends the changes if an append may be sent.
 func (s *Sched) flush() {
 	if s.now.Sub(s.lastPass) < s.limits.BatchInterval {
 		return
@@ -273,15 +272,16 @@
 }
 
 const (
-	// maxPassShare is how much of the lead's time passes over what waits may take. Without a bound
-	// a backlog holds itself up: passes take longer the more waits, and the processor that
-	// they take is missing for starts and answers, so that still more waits.
+	// maxPassShare is the share of the leader's time that placement passes may take. Without a
+	// limit a backlog would sustain itself: passes take longer with more waiting work, and the
+	// processor time that they use is then missing for starts and replies, so that even more work
+	// waits.
 	maxPassShare = 0.25
-	// maxPassDelay is the most that a pass is put off for that.
+	// maxPassDelay is the longest time that a pass is delayed for this reason.
 	maxPassDelay = 250 * time.Millisecond
 )
 
-// nextPassAt is when the next pass may be made.
+// nextPassAt returns when the next pass may be made.
 func (s *Sched) nextPassAt() time.Time {
 	if !s.enabled(LimitPassTime) {
 		return s.lastPass.Add(s.limits.BatchInterval)
@@ -289,24 +289,25 @@
 	return s.lastPass.Add(max(s.limits.BatchInterval, time.Duration(float64(s.passDuration)/maxPassShare)))
 }
 
-// LastPass is when the last pass was made.
+// LastPass returns the time of the last placement pass.
 func (s *Sched) LastPass() time.Time { return s.lastPass }
 
-// RecordPassDuration tells how long the step with the last pass took. The core has no clock of its own: the
-// same work takes a host that is short of processor several times as long. One that was
-// suspended in a pass for seconds says nothing of the next ones.
+// RecordPassDuration reports how long the step with the last pass took. The core has no clock of
+// its own, and the same work takes several times as long on a host that is short of processor time.
+// The duration is capped, because a leader that was suspended for seconds during a pass says
+// nothing about later passes.
 func (s *Sched) RecordPassDuration(d time.Duration) {
 	s.passDuration = min(d, time.Duration(maxPassShare*float64(maxPassDelay)))
 }
 
-// canAppend tells whether there is anything to store and a partition to store it in.
+// canAppend reports whether there is anything to store and a partition to store it in.
 func (s *Sched) canAppend() bool {
 	return len(s.inFlight) < maxAppendsInFlight && (len(s.dirty) > 0 || len(s.nextBatch.ackedEnds) > 0)
 }
 
-// nextAppendAt is when the next append may be made. While one has no answer for long,
-// the store is slow: what comes up meanwhile is stored beside it, and does not wait
-// for the rest of its time as well. There are only so many partitions to store in.
+// nextAppendAt returns when the next append may be sent. If an append has no answer for long, the
+// store is slow; new changes are then stored beside it instead of waiting for the rest of its time
+// as well. The number of partitions to store in limits the number of appends.
 func (s *Sched) nextAppendAt() time.Time {
 	switch n := len(s.inFlight); {
 	case n == 0:
@@ -318,7 +319,8 @@
 	}
 }
 
-// nextFlushAt is when what changed is stored: with a pass, or between two that are far apart.
+// nextFlushAt returns when the changes are stored: with a pass, or between two passes that are far
+// apart.
 func (s *Sched) nextFlushAt() time.Time {
 	at := s.lastPass.Add(s.limits.BatchInterval)
 	if next := s.nextAppendAt(); next.After(at) {
@@ -334,7 +336,7 @@
 	return a
 }
 
-// sendUnstored starts what need not wait for the store.
+// sendUnstored starts runs that don't have to wait for the store.
 func (s *Sched) sendUnstored() {
 	keys := s.unstoredStarts
 	s.unstoredStarts = nil
@@ -364,7 +366,8 @@
 	}
 }
 
-// publishState tells a job's state from a record, unless a later record told it.
+// publishState publishes a job's state from a stored record, unless a later record has been
+// published already.
 func (s *Sched) publishState(j *flow.Job, b *batch) {
 	if b.number < j.Recorded {
 		return
@@ -375,7 +378,7 @@
 	}
 }
 
-// ackEnds lets workers forget the ends whose jobs are stored.
+// ackEnds lets workers forget the ends that are stored with their jobs.
 func (s *Sched) ackEnds(b *batch) {
 	for _, w := range s.sortedWorkers() {
 		if n, ok := b.ackedEnds[w]; ok {
@@ -385,9 +388,9 @@
 	}
 }
 
-// forgetEndedJobs drops jobs whose end was told for long enough, first where they were
-// accepted and only then their progress: a spec without progress is a new job to
-// the next lead, which would run it again.
+// forgetEndedJobs deletes jobs whose final state has been available for long enough. The spec is
+// deleted first and the progress after it: a spec without progress looks like a new job to the next
+// leader, which would run it again.
 func (s *Sched) forgetEndedJobs() {
 	maps.DeleteFunc(s.earlyCancels, func(_ string, at time.Time) bool { return s.now.Sub(at) > s.limits.Retention })
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
@@ -400,7 +403,7 @@
 	}
 }
 
-// Due is when the core wants to be stepped again at the latest.
+// Due returns the latest time at which the core has to be stepped again.
 func (s *Sched) Due() time.Time {
 	switch {
 	case s.changed && s.canAppend():
@@ -416,7 +419,7 @@
 	}
 }
 
-// State is what a caller is told of a job; false if it is not known.
+// State returns the published state of a job, or false if the job is not known.
 func (s *Sched) State(id string) (flow.State, bool) {
 	j, ok := s.jobs[id]
 	if !ok {
@@ -425,7 +428,7 @@
 	return j.Shown, true
 }
 
-// Pending counts by queue the jobs of which no task has started.
+// Pending counts the jobs of which no task has started, by queue.
 func (s *Sched) Pending() map[string]int {
 	n := map[string]int{}
 	for _, j := range s.openJobs {
--- a/internal/sched/slow.go
+++ b/internal/sched/slow.go
@@ -7,40 +7,38 @@
 	"pollencroft/internal/flow"
 )
 
-// A worker may let everything that it was given stand still, or work several
-// times slower, and still answer every question. One notices jobs that wait for
-// their last task. The worker itself lists how far each run got, so a run that
-// does not move, or moves far too slowly, is seen within a second and goes on
-// elsewhere. All times are the worker's own: a lead that was paused would
-// otherwise take every run for one that stands still.
+// A worker may stall all its runs, or run them several times slower, and still answer every
+// request. The visible effect is jobs that wait for their last task. The worker lists the progress
+// of each run, so a run that does not progress, or progresses far too slowly, is found within a
+// second and restarted elsewhere. All times are the worker's own: a leader that was paused would
+// otherwise take every run for stalled.
 const (
-	// stallMin and stillShare bound how long a run's progress may stay at the
-	// same percent: a hundredth of a task moves it, and an estimate may be five
-	// times too low.
+	// stallMin and stallShare determine how long a run's progress may stay at the same percentage:
+	// it changes with each hundredth of a task, and an estimate may be five times too low.
 	stallMin   = 700 * time.Millisecond
 	stallShare = 0.08
-	// slowRate is the progress, relative to the estimate, below which a run is
-	// too slow: estimates are off by up to 0.9, kinds of workers by 0.3.
+	// slowRate is the progress relative to the estimate below which a run is too slow: estimates
+	// are off by up to 0.9, and kinds of workers differ by up to 0.3.
 	slowRate = 0.35
-	// slowMinShare is the share of its estimate, and slowLeast the time, for which a
-	// run is watched before it is judged.
+	// A run is watched for slowMinShare of its estimate, and at least for slowMin, before it is
+	// judged.
 	slowMinShare = 0.5
 	slowMin      = 600 * time.Millisecond
-	// minSlowRuns is how many runs, of two jobs or more, and mostlySlow the share of
-	// those judged, that have to crawl before it is their worker that is slow.
+	// A worker counts as slow if at least minSlowRuns of its runs, of two or more jobs, and at
+	// least minSlowShare of the judged runs are too slow.
 	minSlowRuns  = 3
 	minSlowShare = 0.75
-	// maxRestarts is how often a task is begun again because it was slow: with a
-	// wrong estimate it would be slow everywhere.
+	// maxRestarts is how often a task is restarted because it was slow: with a wrong estimate it
+	// would be slow everywhere.
 	maxRestarts = 1
-	// speedWeight is the weight of a new measurement of a worker's pace, and
-	// slowPace the pace below which others are preferred by slowCost.
+	// speedWeight is the weight of a new measurement of a worker's speed. Below slowSpeed other
+	// workers are preferred, by slowCost.
 	speedWeight = 0.3
 	slowSpeed   = 0.6
 	slowCost    = 3
 )
 
-// checkProgress judges a run by how far its worker says it got.
+// checkProgress stops a run whose progress has stalled.
 func (s *Sched) checkProgress(w *worker, t *flow.Task, l RunStatus, clock time.Time) {
 	if t.Seen.IsZero() {
 		t.Seen, t.Moved, t.Percent = clock, clock, l.Percent
@@ -51,7 +49,7 @@
 	}
 	st := t.Spec()
 	if st.Gang && l.Percent == 0 {
-		// It waits for the other members.
+		// The gang member is waiting for the others.
 		t.Seen, t.Moved = clock, clock
 		return
 	}
@@ -66,10 +64,9 @@
 	}
 }
 
-// checkSpeed gives up runs that would take much longer than beginning again
-// elsewhere, if nearly all that runs on the worker crawls, of several jobs: a
-// run that is slow alone has more work than its estimate says, and would be
-// slow everywhere.
+// checkSpeed restarts slow runs elsewhere if nearly all runs on the worker, of several jobs, are
+// too slow. A run that is slow by itself has more work than its estimate says, and would be slow
+// everywhere.
 func (s *Sched) checkSpeed(w *worker, clock time.Time) {
 	var slow []*flow.Task
 	jobs := map[string]bool{}
@@ -100,7 +97,7 @@
 	}
 }
 
-// speedOf is how fast a run goes, relative to its estimate; false if it cannot be
+// speedOf returns how fast a run progresses relative to its estimate, or false if it cannot be
 // judged yet.
 func speedOf(t *flow.Task, clock time.Time) (float64, bool) {
 	st := t.Spec()
@@ -114,7 +111,7 @@
 	return float64(t.Percent) / 100 * float64(st.Time) / float64(took), true
 }
 
-// measureSpeed takes the pace of a run that ended as done.
+// measureSpeed updates the worker's speed from a run that ended as done.
 func (w *worker) measureSpeed(t *flow.Task, clock time.Time) {
 	st := t.Spec()
 	took := clock.Sub(t.Seen)
--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -6,11 +6,11 @@
 	"pollencroft/internal/flow"
 )
 
-// assign gives a task room on a worker and has its run stored. A task of which
-// copies may run beside each other does not wait for that: what a successor does
-// not know of does no harm, and the start saves an append's time, which is long
-// when the store is slow and endless while it is away. One that may crash its worker
-// waits: each lead would start it anew.
+// assign places a task on a worker and stores the run before it is started. A task that allows
+// copies does not wait for that: a run that a successor does not know of does no harm, and starting
+// at once saves the time of an append, which is long while the store is slow and endless while it
+// is down. A task that may crash its worker always waits; otherwise each new leader would start it
+// again.
 func (s *Sched) assign(t *flow.Task, w *worker, run int) {
 	t.Worker, t.Run = w.Incarnation, run
 	t.Move(flow.Assign, s.now)
@@ -30,7 +30,7 @@
 	s.nextBatch.starts = append(s.nextBatch.starts, runKey{t.Name, run})
 }
 
-// sendStart starts a run that is stored by now.
+// sendStart sends the start of an assigned run.
 func (s *Sched) sendStart(k runKey) {
 	t := s.task(k)
 	if t == nil || t.State != flow.Assigned {
@@ -55,7 +55,7 @@
 	s.ensureHold(w)
 }
 
-// task returns the task of a run that is its newest; nil if it is not.
+// task returns the task of a run, or nil if that is not the task's newest run.
 func (s *Sched) task(k runKey) *flow.Task {
 	j, ok := s.jobs[k.task.Job]
 	if !ok {
@@ -84,7 +84,7 @@
 	}
 	switch ev.Outcome {
 	case OtherIncarnation:
-		// The life had ended before the start came.
+		// The incarnation had ended before the start arrived.
 		s.requeueTask(t, "worker died")
 		s.incarnationEnded(ev.Worker)
 		return
@@ -96,8 +96,8 @@
 		s.emit(StepDown{Worker: ev.Worker})
 		return
 	case Unanswered:
-		// It may begin now or seconds later. Only a stop makes sure that it
-		// does not, and the worker's list tells whether it did.
+		// The run may begin now or seconds later. Only a stop ensures that it does not, and the
+		// worker's list shows whether it did.
 		s.stopRun(t, "start without an answer")
 		return
 	case BadTicket:
@@ -113,7 +113,7 @@
 	s.requeueTask(t, "start "+ev.Outcome.String())
 }
 
-// confirm takes a run as begun.
+// confirm marks a run as begun.
 func (s *Sched) confirm(t *flow.Task) {
 	if !t.Move(flow.Confirm, s.now) {
 		return
--- a/internal/sched/stop.go
+++ b/internal/sched/stop.go
@@ -6,20 +6,19 @@
 	"pollencroft/internal/flow"
 )
 
-// pendingStop is a run that must end. A worker that has answered a pendingStop never begins
-// that run any more, so the task is free once a list that was asked for after
-// the answer does not have it.
+// pendingStop is a run that must end. A worker that has answered a stop never begins that run any
+// more, so the task is free once a list that was requested after the answer does not contain it.
 type pendingStop struct {
 	task   *flow.Task
 	worker string
-	// answeredAt is when the worker's answer came; zero while there is none.
+	// answeredAt is when the worker answered; zero before.
 	answeredAt time.Time
-	// retryAt is when the stop is sent once more; flying while it has no answer.
+	// retryAt is when the stop is sent again; inFlight means that it has no answer yet.
 	retryAt  time.Time
 	inFlight bool
 }
 
-// stopRun asks for the end of a task's run.
+// stopRun asks the worker to stop a task's run.
 func (s *Sched) stopRun(t *flow.Task, why string) {
 	if !t.Move(flow.Stop, s.now) {
 		return
--- a/internal/sched/trial.go
+++ b/internal/sched/trial.go
@@ -8,22 +8,22 @@
 	"pollencroft/internal/flow"
 )
 
-// A life may end under many tasks at once, and one of them is the cause. A task under
-// which a second life has ended runs alone on a worker: it takes no others down with it,
-// and no other one adds to its count.
+// An incarnation may end while it runs many tasks, and one of them is the cause. A task under which
+// a second incarnation has ended runs alone on a worker, so that it crashes no other tasks and no
+// other task adds to its count.
 const (
-	// aloneAfter is how many lives must have ended under a task for it to run alone.
+	// aloneAfter is how many incarnations must have ended under a task for it to run alone.
 	aloneAfter = 2
-	// maxTrialWait is how long a task waits for a worker that is empty.
+	// maxTrialWait is how long such a task waits for an empty worker.
 	maxTrialWait = 3 * time.Second
 	// trialDuration is how long a task that runs alone keeps others of its step from doing so:
 	// tasks of a step are alike.
 	trialDuration = 2 * time.Second
-	// crashSuspectCost keeps tasks under which a life has ended apart.
+	// crashSuspectCost keeps crash suspects on different workers.
 	crashSuspectCost = 1
 )
 
-// markSuspects notes on the workers which have tasks under which lives ended.
+// markSuspects marks the workers that have crash suspects.
 func (s *Sched) markSuspects() {
 	for _, t := range s.sortedSuspects() {
 		if !t.Spec().Gang {
@@ -47,7 +47,7 @@
 	}
 }
 
-// mayShare tells whether a task may be on a worker beside what is there.
+// mayShare reports whether a task may run beside the other tasks of a worker.
 func (s *Sched) mayShare(t *flow.Task, w *worker) bool {
 	if w.trialStep != nil && (!t.Spec().Gang || w.trialStep != t.Step) {
 		return false
@@ -64,7 +64,7 @@
 	}
 }
 
-// trialUnderway tells whether another task of the step has just begun to run alone.
+// trialUnderway reports whether another task of the step has only just begun to run alone.
 func (s *Sched) trialUnderway(t *flow.Task) bool {
 	for u := range s.suspects {
 		if u == t || u.Step != t.Step || t.Spec().Gang || !u.Out() || u.Doubt() < aloneAfter {
@@ -77,7 +77,7 @@
 	return false
 }
 
-// sortedSuspects lists the tasks under which lives ended by name.
+// sortedSuspects lists the crash suspects, sorted by name.
 func (s *Sched) sortedSuspects() []*flow.Task {
 	return slices.SortedFunc(maps.Keys(s.suspects), func(a, b *flow.Task) int { return compareNames(a.Name, b.Name) })
 }
--- a/internal/sched/waits.go
+++ b/internal/sched/waits.go
@@ -9,13 +9,14 @@
 	"pollencroft/internal/flow"
 )
 
-// WaitReason is what a step with tasks that could run waits for.
+// WaitReason is what a step with startable tasks waits for.
 type WaitReason int
 
 // The waitReasonCount.
 const (
-	// WaitForHost is a host that can ask the policy service, ForAdvice its answer, ForRoom a
-	// worker that the step may use and that has room.
+	// WaitForHost is waiting for a host that can query the policy service, WaitForPolicy for the
+	// answer of the service, WaitForCapacity for a worker that the step may use and that has free
+	// capacity.
 	WaitForHost WaitReason = iota
 	WaitForPolicy
 	WaitForCapacity
@@ -27,7 +28,7 @@
 // String returns the reason for logs and metrics.
 func (r WaitReason) String() string { return reasonNames[r] }
 
-// WaitTimes are times by reason.
+// WaitTimes holds waiting times by reason.
 type WaitTimes [waitReasonCount]time.Duration
 
 // Total is the sum over all reasons.
@@ -50,12 +51,12 @@
 	return strings.Join(all, ", ")
 }
 
-// firstWaitNote is the wait from which a step is told of, and from there each time that it has
-// doubled: longer than anything urgent may take, and rare enough in a full cell.
+// firstWaitNote is the waiting time after which a step is logged for the first time, and again each
+// time the wait has doubled: longer than anything urgent may take, and rare enough in a full cell.
 const firstWaitNote = 4 * time.Second
 
-// stepWait is a step that waits, since at for a reason; it is told of once it has waited until
-// long.
+// stepWait is a waiting step, with its waiting times up to accountedUntil and the reason for which
+// it waits since then. It is logged once its total waiting time reaches nextNote.
 type stepWait struct {
 	times          WaitTimes
 	accountedUntil time.Time
@@ -63,9 +64,9 @@
 	nextNote       time.Duration
 }
 
-// accountWaits adds what has passed since the last pass to what each step waits for now, and
-// tells of those that have room for all their tasks. One cannot see from starts alone why a
-// job is late: for room, for the policy service, or for a host that could ask it.
+// accountWaits adds the time since the last pass to each step's current wait reason, and reports
+// steps whose tasks have all been placed. Start times alone don't show why a job is late: it may
+// have waited for capacity, for the policy service, or for a host to query it.
 func (s *Sched) accountWaits(steps []readyStep) {
 	for _, r := range steps {
 		w, ok := s.waits[r.stage]
@@ -87,7 +88,7 @@
 	}
 }
 
-// waitReason is what a step waits for in this pass.
+// waitReason returns what a step waits for in this pass.
 func (s *Sched) waitReason(r readyStep) WaitReason {
 	kind := 0
 	if s.isLong(r.queue) {
@@ -106,7 +107,7 @@
 	}
 }
 
-// jobStarted tells how long a job waited from its acceptance to its first start.
+// jobStarted reports how long a job waited from its acceptance to its first start.
 func (s *Sched) jobStarted(j *flow.Job) {
 	s.emit(JobStarted{Rank: s.queue(j).Rank, After: s.now.Sub(j.Began)})
 }
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -10,61 +10,64 @@
 	"pollencroft/internal/flow"
 )
 
-// worker is one life of a worker, as this lead knows it.
+// worker is one incarnation of a worker, as this leader knows it.
 type worker struct {
 	Worker
-	// listed tells that the platform lists it now, draining that it leaves, and
-	// until when it surely stays.
+	// listed means that the platform lists it now, draining that it is leaving; it certainly stays
+	// until leavesAt.
 	listed   bool
 	draining bool
 	leavesAt time.Time
-	// sizedAt is when its size was first listed.
+	// sizedAt is when its current size was first listed.
 	sizedAt time.Time
 	tasks   map[flow.Name]*flow.Task
-	// used is the room that tasks take, filled the processors of filling ones.
+	// used is the capacity that tasks use, fillCPU the processors of filling tasks.
 	used    cell.Size
 	fillCPU int64
-	// earmarked is the room that questions under way of steps before are likely to
-	// take, in this pass.
+	// earmarked is the capacity that earlier steps with queries in flight are likely to use, in
+	// this pass.
 	earmarked cell.Size
-	// reserved is the room that is held free for wide tasks of steps before, in this pass.
+	// reserved is the capacity that is held free for wide tasks of earlier steps, in this pass.
 	reserved cell.Size
-	// untracked are runs that are not followed any more and may still be there; they
-	// take room until the worker certainly does not have them.
+	// untracked holds runs that are no longer tracked and may still be on the worker; they use
+	// capacity until they certainly are not there any more.
 	untracked map[runKey]untrackedRun
-	// lostRuns are runs that were lostRuns here in silence.
+	// lostRuns holds runs that were lost when the worker stopped answering.
 	lostRuns map[flow.Name]lostRun
-	// crashSuspects is how many tasks under which lives ended are here, trial the step of one
-	// that is to run alone, in this pass.
+	// crashSuspects is how many crash suspects are on the worker, trialStep the step of one that
+	// has to run alone, in this pass.
 	crashSuspects int
 	trialStep     *flow.Stage
-	// lastEndRead is the last end that was read, lastEndStored the last that is stored, lastEndAcked
-	// the last that the worker knows to be stored.
+	// lastEndRead is the last end that was read, lastEndStored the last one that is stored, and
+	// lastEndAcked the last one that the worker knows to be stored.
 	lastEndRead, lastEndStored, lastEndAcked int64
-	// clock is the worker's time as of readAt; no lease is longer than deadline.
+	// clock is the worker's time as of readAt. No lease lasts beyond leaseDeadline.
 	clock, readAt time.Time
 	leaseDeadline time.Time
-	// fenced tells that it was read under this term: nothing that a former lead
-	// sent can begin there any more.
+	// fenced means that the worker was read under this term: nothing that a previous leader sent
+	// can begin there any more.
 	fenced bool
-	// holding and probing tell of questions under way; asked when the last one
-	// was sent, again when the next may be, doubt since when none has an answer.
+	// holding and probing mean that a hold or a probe is in flight. lastHold is when the last hold
+	// was sent, nextHold when the next one may be sent, and unansweredSince is set while holds have
+	// no answer.
 	holding, probing   bool
 	probeAgain         bool
 	nextHold, lastHold time.Time
 	unansweredSince    time.Time
-	// backSince is when it answered again after that.
+	// backSince is when the worker last answered again after being silent.
 	backSince time.Time
 	dead      bool
-	// judgeAt is when what was at a life that ended is judgeAt, firstSeen when it was known first.
+	// judgeAt is when the runs on an ended incarnation are judged, firstSeen when the worker became
+	// known.
 	judgeAt, firstSeen time.Time
 	unlistedSince      time.Time
-	// refusedUntil is until when it gets no work because it refused some.
+	// refusedUntil is until when the worker gets no work because it rejected some.
 	refusedUntil time.Time
-	// predecessorLeaseEnd is when the former lead's leases have lapsed, if that one told.
+	// predecessorLeaseEnd is when the previous leader's leases have expired, if that leader
+	// reported it.
 	predecessorLeaseEnd time.Time
 	health              health
-	// speed is how fast its runs go, relative to their estimates.
+	// speed is how fast its runs progress, relative to their estimates.
 	speed float64
 	pace  pacing
 }
@@ -95,8 +98,8 @@
 	}
 }
 
-// free is the room that nothing takes; parts of it are negative while a worker is smaller
-// than what runs there.
+// free is the unused capacity. Parts of it are negative while a worker is smaller than what runs
+// there.
 func (w *worker) free() cell.Size {
 	free := w.Size.Sub(w.used)
 	for _, l := range w.untracked {
@@ -107,18 +110,18 @@
 	return free
 }
 
-// available is what is free and not held for a wide task.
+// available returns the capacity that is free and not reserved for a wide task.
 func (w *worker) available() cell.Size { return w.free().Sub(w.reserved) }
 
-// silent tells whether the worker leaves calls without an answer.
+// silent reports whether the worker has left calls unanswered for longer than silentAfter.
 func (w *worker) silent(now time.Time) bool {
 	return !w.unansweredSince.IsZero() && now.Sub(w.unansweredSince) > silentAfter
 }
 
-// usable tells whether the worker may get work at all. Entries lapse while the platform's
-// store is away, and are back up to two seconds after it; a worker that answers although
-// it is not listed has not left. Without work until it is listed again, all workers would
-// stand idle in the moment when everybody has waited for the store.
+// usable reports whether the worker may get work at all. Entries expire during an outage of the
+// platform's store, and are back up to two seconds after it; a worker that answers although it is
+// not listed has not left. If unlisted workers got no work, all of them would stand idle just when
+// everybody has waited for the store.
 func (w *worker) usable(now time.Time) bool {
 	since := w.unlistedSince
 	if w.backSince.After(since) {
@@ -128,7 +131,7 @@
 	return listed && w.fenced && !w.dead && !w.draining && w.unansweredSince.IsZero() && w.Size != (cell.Size{})
 }
 
-// clockAt is the worker's time now, or later than that if its clock is slow.
+// clockAt returns the worker's time now; if its clock is slow, the result is later than that.
 func (w *worker) clockAt(now time.Time) time.Time { return w.clock.Add(now.Sub(w.readAt)) }
 
 func (w *worker) extendDeadline(deadline time.Time) {
@@ -137,8 +140,8 @@
 	}
 }
 
-// leaseEnd is when, by this host's clock, no lease on the worker can last any
-// more. Its clock may be slow, so a lease takes longer than it says.
+// leaseEnd returns when all leases on the worker have expired, by this host's clock. The worker's
+// clock may be slow, so a lease takes longer than its nominal time.
 func (w *worker) leaseEnd() time.Time {
 	if !w.leaseDeadline.After(w.clock) {
 		return w.readAt
@@ -146,8 +149,8 @@
 	return w.readAt.Add(time.Duration(float64(w.leaseDeadline.Sub(w.clock)) / (1 - maxClockDrift)))
 }
 
-// evacuate stops tasks on workers that leave: lasting ones at once, others
-// when they would not end before the worker goes.
+// evacuate stops tasks on a draining worker: long-running ones at once, and others that save their
+// progress just before the worker leaves.
 func (s *Sched) evacuate(w *worker) {
 	for _, t := range w.sortedTasks() {
 		if t.State != flow.Running {
@@ -163,7 +166,7 @@
 	}
 }
 
-// incarnationEnded gives up a life that has ended: nothing runs there.
+// incarnationEnded handles the end of an incarnation: nothing runs there any more.
 func (s *Sched) incarnationEnded(life string) {
 	w, ok := s.workers[life]
 	if !ok || w.dead {
@@ -171,9 +174,9 @@
 	}
 	w.dead, w.judgeAt = true, s.now.Add(crashJudgeDelay)
 	s.recordOutage(w)
-	s.emit(Note{ID: life, What: "worker has begun another life", Worker: life, Detail: w.describeRuns()})
+	s.emit(Note{ID: life, What: "worker has begun another incarnation", Worker: life, Detail: w.describeRuns()})
 	for _, t := range w.sortedTasks() {
-		// The answer to a start that is under way tells whether the life ended before it.
+		// The reply to a start in flight shows whether the incarnation ended before it.
 		if t.State != flow.Starting {
 			s.markLost(t, w)
 			s.requeueTask(t, "worker died")
@@ -181,7 +184,7 @@
 	}
 }
 
-// loseTasks puts back all tasks of a silent worker on which nothing can run any more.
+// loseTasks requeues all tasks of a silent worker on which nothing can run any more.
 func (s *Sched) loseTasks(w *worker) {
 	for _, t := range w.sortedTasks() {
 		s.markLost(t, w)
@@ -189,7 +192,7 @@
 	}
 }
 
-// checkWorkers notices leases that have surely lapsed and goes on asking.
+// checkWorkers handles leases that have certainly expired, and keeps polling workers.
 func (s *Sched) checkWorkers() {
 	for _, w := range s.sortedWorkers() {
 		life := w.Incarnation
@@ -222,7 +225,7 @@
 	}
 }
 
-// canForget tells whether a worker that is not listed may be forgotten.
+// canForget reports whether a worker that is not listed may be forgotten.
 func (s *Sched) canForget(w *worker) bool {
 	if w.dead {
 		return len(w.lostRuns) == 0
@@ -234,10 +237,10 @@
 	return s.now.Sub(since) > forgetWorkerAfter
 }
 
-// maxLoggedRuns is how many runs one line names.
+// maxLoggedRuns is how many runs one log line names.
 const maxLoggedRuns = 12
 
-// describeRuns names what may run on the worker, for the log.
+// describeRuns lists the runs that may be on the worker, for the log.
 func (w *worker) describeRuns() string {
 	keys := sortedRuns(w.untracked)
 	for _, t := range w.sortedTasks() {
@@ -254,7 +257,7 @@
 	return strings.Join(all, ", ")
 }
 
-// describeEnd is what is known of how a life ended, for the log.
+// describeEnd returns what is known about how an incarnation ended, for the log.
 func (w *worker) describeEnd() string {
 	switch {
 	case w.dead:
--- a/internal/sched/yield.go
+++ b/internal/sched/yield.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	// preemptedHold is how long room that others were stopped for is kept for the step that
-	// it is for: a stop takes as long as the platform allows it, up to a second, and
-	// the list that shows its end a little more.
+	// preemptedHold is how long preempted capacity is kept for the step that it is for: a stop
+	// takes up to a second, as the platform allows, and the list that shows the end of the run a
+	// little more.
 	preemptedHold = 2 * time.Second
-	// maxPreemptions is how often a task is stopped for others; each time costs it a
-	// question, a restore and the way back into the queue.
+	// maxPreemptions is how often a task may be preempted. Each time costs it a query, a restore
+	// and the wait in the queue.
 	maxPreemptions = 2
-	// preemptionCost is about what being stopped takes a task: the stop, a question, the
-	// wait for another place and the restore.
+	// preemptionCost is roughly the time that a preemption costs a task: the stop, a query, the
+	// wait for another worker and the restore.
 	preemptionCost = 3 * time.Second
 )
 
-// preemption is room on a worker that others were stopped for.
+// preemption is capacity on a worker that others were stopped for.
 type preemption struct {
 	worker string
 	until  time.Time
 }
 
-// preempt stops less urgent tasks that save their progress for n tasks that can still be
-// in time and have tickets. Room for a wide task hardly comes by itself: what one small
-// task leaves another takes. One notices wide ones that wait for half a minute beside
-// bulk that has time to spare.
+// preempt stops less urgent tasks that save their progress in favour of n tasks that can still be
+// on time and have tickets. Capacity for a wide task hardly ever appears by itself: what one small
+// task leaves another takes, and wide tasks waited for half a minute beside bulk that had time to
+// spare.
 func (s *Sched) preempt(r readyStep, p *pool, n int) {
 	if !s.enabled(PreemptBulk) || r.class != onTime || r.stage.Spec.Gang {
 		return
@@ -58,8 +58,8 @@
 	}
 }
 
-// cheapestPreemption finds the worker on which the fewest tasks have to be stopped for one of the
-// step; nil if there is none.
+// cheapestPreemption finds the worker on which the fewest tasks have to be stopped for one task of
+// the step, or nil if there is none.
 func (s *Sched) cheapestPreemption(r readyStep, p *pool) (*worker, []*flow.Task) {
 	var best *worker
 	var least []*flow.Task
@@ -78,8 +78,8 @@
 	return best, least
 }
 
-// victims are the tasks to stop on a worker, those first that began last and have the
-// least to restore; false if that makes no room.
+// victims returns the tasks to stop on a worker, or false if stopping them doesn't free enough
+// capacity. Tasks that began last come first, since they have the least to restore.
 func (s *Sched) victims(r readyStep, w *worker) ([]*flow.Task, bool) {
 	room, open := r.stage.Spec.Room(), w.available()
 	if !room.Fits(w.Size.Sub(w.reserved)) {
@@ -101,8 +101,8 @@
 	return all, room.Fits(open)
 }
 
-// preemptible tells whether a task may be stopped for a step: it is less urgent, saves its
-// progress and its job has the time.
+// preemptible reports whether a task may be stopped in favour of a step: it is less urgent, saves
+// its progress, and its job has the time.
 func (s *Sched) preemptible(t *flow.Task, r readyStep) bool {
 	st := t.Spec()
 	q := s.queue(t.Job)
