--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -103,8 +103,8 @@
 		return nil
 	}
 	all := make([]*worker, 0, len(a.allowed))
-	for _, life := range a.allowed {
-		if w, ok := s.workers[life]; ok && w.Service == r.queue.Service && w.usable(s.now) {
+	for _, incarnation := range a.allowed {
+		if w, ok := s.workers[incarnation]; ok && w.Service == r.queue.Service && w.usable(s.now) {
 			all = append(all, w)
 		}
 	}
@@ -178,13 +178,13 @@
 func (s *Sched) earmark(r readyStep, a *advice) {
 	room := r.stage.Spec.Room()
 	want := float64(len(r.tasks))
-	for _, life := range a.queried {
-		w, ok := s.workers[life]
+	for _, incarnation := range a.queried {
+		w, ok := s.workers[incarnation]
 		if !ok || !room.Fits(w.free()) {
 			continue
 		}
 		part := s.allowRate(r.queue)
-		if _, known := a.tickets[life]; known {
+		if _, known := a.tickets[incarnation]; known {
 			part = 1
 		}
 		likely := min(part*float64(r.taskCapacity(w)), want)
@@ -227,23 +227,23 @@
 		return
 	}
 	fresh, good := 0, 0
-	for _, life := range a.queried {
-		text, ok := ev.Tickets[life]
-		_, known := a.tickets[life]
+	for _, incarnation := range a.queried {
+		text, ok := ev.Tickets[incarnation]
+		_, known := a.tickets[incarnation]
 		if !known {
 			fresh++
 		}
 		switch {
 		case ok:
-			a.tickets[life] = ticket{text: text, until: s.now.Add(a.valid - ticketMargin)}
-			if i, found := slices.BinarySearch(a.allowed, life); !found {
-				a.allowed = slices.Insert(a.allowed, i, life)
+			a.tickets[incarnation] = ticket{text: text, until: s.now.Add(a.valid - ticketMargin)}
+			if i, found := slices.BinarySearch(a.allowed, incarnation); !found {
+				a.allowed = slices.Insert(a.allowed, i, incarnation)
 			}
 			if !known {
 				good++
 			}
 		default:
-			a.denied[life] = true
+			a.denied[incarnation] = true
 		}
 	}
 	if fresh > 0 {
--- a/internal/sched/ahead.go
+++ b/internal/sched/ahead.go
@@ -58,7 +58,7 @@
 		if a.denied[w.Incarnation] || !r.stage.Spec.Room().Fits(w.Size) || !s.suits(r, r.tasks[0], w) {
 			continue
 		}
-		all = append(all, candidate{life: w.Incarnation, known: known, cost: s.cost(r, w)})
+		all = append(all, candidate{incarnation: w.Incarnation, known: known, cost: s.cost(r, w)})
 	}
 	if r.stage.Spec.Gang && most < int64(len(r.tasks)) {
 		// Even if all workers that may be allowed were empty, the gang could not start.
@@ -67,7 +67,7 @@
 	slices.SortStableFunc(all, candidate.compare)
 	var named []string
 	for _, c := range all[:min(len(all), max(s.extraQueryWorkers(r.queue.Advice), 1), maxQueryWorkers)] {
-		named = append(named, c.life)
+		named = append(named, c.incarnation)
 	}
 	return named
 }
--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -123,8 +123,8 @@
 	if t.Doubt() > 0 {
 		s.suspects[t] = true
 	}
-	for _, life := range t.Lost {
-		s.incarnation(life).lostRuns[t.Name] = lostRun{task: t, run: t.Run}
+	for _, incarnation := range t.Lost {
+		s.incarnation(incarnation).lostRuns[t.Name] = lostRun{task: t, run: t.Run}
 	}
 }
 
--- a/internal/sched/lapse.go
+++ b/internal/sched/lapse.go
@@ -32,9 +32,9 @@
 // successor would have to wait for a whole lease again.
 func (s *Sched) LeaseBounds(now time.Time) map[string]time.Duration {
 	all := map[string]time.Duration{}
-	for life, w := range s.workers {
+	for incarnation, w := range s.workers {
 		if len(w.tasks) > 0 && (!w.fenced || w.silent(now)) {
-			all[life] = max(s.leaseBound(w).Sub(now), 0)
+			all[incarnation] = max(s.leaseBound(w).Sub(now), 0)
 		}
 	}
 	return all
--- a/internal/sched/list.go
+++ b/internal/sched/list.go
@@ -31,10 +31,10 @@
 		s.ensureHold(w)
 	}
 	for _, w := range s.sortedWorkers() {
-		life := w.Incarnation
-		if !listed[life] && w.listed {
+		incarnation := w.Incarnation
+		if !listed[incarnation] && w.listed {
 			w.listed, w.unlistedSince = false, s.now
-			s.emit(Note{ID: life, What: "worker not listed", Worker: life})
+			s.emit(Note{ID: incarnation, What: "worker not listed", Worker: incarnation})
 			s.probe(w)
 		}
 	}
--- a/internal/sched/naming.go
+++ b/internal/sched/naming.go
@@ -9,7 +9,7 @@
 
 // candidate is a worker that may be named in a query.
 type candidate struct {
-	life string
+	incarnation string
 	// tasks is how many tasks the worker has capacity for; known means that it was allowed before.
 	tasks int
 	known bool
@@ -44,7 +44,7 @@
 		if enough(named) {
 			return named
 		}
-		named = append(named, c.life)
+		named = append(named, c.incarnation)
 		part := rate
 		if c.known {
 			part = 1
@@ -58,7 +58,7 @@
 		if enough(named) {
 			break
 		}
-		named = append(named, c.life)
+		named = append(named, c.incarnation)
 	}
 	return named
 }
@@ -82,7 +82,7 @@
 		got, known := a.tickets[w.Incarnation]
 		if !known || !s.now.Before(got.until) {
 			// A worker with a valid ticket was not chosen for another reason.
-			all = append(all, candidate{life: w.Incarnation, tasks: hold, known: known, cost: s.cost(r, w)})
+			all = append(all, candidate{incarnation: w.Incarnation, tasks: hold, known: known, cost: s.cost(r, w)})
 		}
 	}
 	if !some {
@@ -102,7 +102,7 @@
 		if known || a.denied[w.Incarnation] || !room.Fits(w.Size) || room.Fits(w.available().Sub(w.earmarked)) || !s.suits(r, r.tasks[0], w) {
 			continue
 		}
-		all = append(all, candidate{life: w.Incarnation, cost: s.cost(r, w)})
+		all = append(all, candidate{incarnation: w.Incarnation, cost: s.cost(r, w)})
 	}
 	slices.SortStableFunc(all, candidate.compare)
 	return all
--- a/internal/sched/order.go
+++ b/internal/sched/order.go
@@ -18,8 +18,8 @@
 		return s.sortedCache
 	}
 	s.sortedCache = make([]*worker, 0, len(s.workers))
-	for _, life := range slices.Sorted(maps.Keys(s.workers)) {
-		s.sortedCache = append(s.sortedCache, s.workers[life])
+	for _, incarnation := range slices.Sorted(maps.Keys(s.workers)) {
+		s.sortedCache = append(s.sortedCache, s.workers[incarnation])
 	}
 	return s.sortedCache
 }
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -119,11 +119,11 @@
 }
 
 // incarnation returns a worker incarnation that a previous leader's records name.
-func (s *Sched) incarnation(life string) *worker {
-	w, ok := s.workers[life]
+func (s *Sched) incarnation(incarnation string) *worker {
+	w, ok := s.workers[incarnation]
 	if !ok {
-		w = newWorker(Worker{Address: Address{Incarnation: life}})
-		s.workers[life] = w
+		w = newWorker(Worker{Address: Address{Incarnation: incarnation}})
+		s.workers[incarnation] = w
 		s.workersChanged()
 	}
 	return w
@@ -175,8 +175,8 @@
 // predecessorStopped applies what the previous leader reported when it left.
 func (s *Sched) predecessorStopped(ev PredecessorStopped) {
 	s.predecessorGone = s.now
-	for life, left := range ev.LeaseBounds {
-		if w, ok := s.workers[life]; ok {
+	for incarnation, left := range ev.LeaseBounds {
+		if w, ok := s.workers[incarnation]; ok {
 			w.predecessorLeaseEnd = ev.Since.Add(left)
 		}
 	}
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -167,14 +167,14 @@
 }
 
 // incarnationEnded handles the end of an incarnation: nothing runs there any more.
-func (s *Sched) incarnationEnded(life string) {
-	w, ok := s.workers[life]
+func (s *Sched) incarnationEnded(incarnation string) {
+	w, ok := s.workers[incarnation]
 	if !ok || w.dead {
 		return
 	}
 	w.dead, w.judgeAt = true, s.now.Add(crashJudgeDelay)
 	s.recordOutage(w)
-	s.emit(Note{ID: life, What: "worker has begun another incarnation", Worker: life, Detail: w.describeRuns()})
+	s.emit(Note{ID: incarnation, What: "worker has begun another incarnation", Worker: incarnation, Detail: w.describeRuns()})
 	for _, t := range w.sortedTasks() {
 		// The reply to a start in flight shows whether the incarnation ended before it.
 		if t.State != flow.Starting {
@@ -195,7 +195,7 @@
 // checkWorkers handles leases that have certainly expired, and keeps polling workers.
 func (s *Sched) checkWorkers() {
 	for _, w := range s.sortedWorkers() {
-		life := w.Incarnation
+		incarnation := w.Incarnation
 		if w.draining && !w.dead {
 			s.evacuate(w)
 		}
@@ -203,7 +203,7 @@
 			s.copySilentTasks(w)
 		}
 		if !w.dead && s.leasesLapsed(w) {
-			s.emit(Note{ID: life, What: "leases have lapsed", Worker: life})
+			s.emit(Note{ID: incarnation, What: "leases have lapsed", Worker: incarnation})
 			s.loseTasks(w)
 		}
 		if w.dead && !s.now.Before(w.judgeAt) {
@@ -215,9 +215,9 @@
 		}
 		switch {
 		case s.canForget(w):
-			s.emit(Note{ID: life, What: "worker forgotten", Worker: life, Detail: w.describeEnd()})
+			s.emit(Note{ID: incarnation, What: "worker forgotten", Worker: incarnation, Detail: w.describeEnd()})
 			s.resolveForgotten(w)
-			delete(s.workers, life)
+			delete(s.workers, incarnation)
 			s.workersChanged()
 		case len(w.lostRuns) > 0:
 			s.ensureHold(w)
