--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -124,7 +124,7 @@
 		s.suspects[t] = true
 	}
 	for _, incarnation := range t.Lost {
-		s.incarnation(incarnation).lostRuns[t.Name] = lostRun{task: t, run: t.Run}
+		s.ensureWorker(incarnation).lostRuns[t.Name] = lostRun{task: t, run: t.Run}
 	}
 }
 
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -113,13 +113,13 @@
 	j.Tasks(func(t *flow.Task) {
 		s.adoptLostRuns(t)
 		if t.State == flow.Inherited {
-			s.incarnation(t.Worker).add(t)
+			s.ensureWorker(t.Worker).add(t)
 		}
 	})
 }
 
-// incarnation returns a worker incarnation that a previous leader's records name.
-func (s *Sched) incarnation(incarnation string) *worker {
+// ensureWorker returns a worker ensureWorker that a previous leader's records name.
+func (s *Sched) ensureWorker(incarnation string) *worker {
 	w, ok := s.workers[incarnation]
 	if !ok {
 		w = newWorker(Worker{Address: Address{Incarnation: incarnation}})
