--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -22,7 +22,7 @@
 // Kill ends the host at once, as a signal that cannot be caught does.
 func (h *Host) Kill() {
 	h.mu.Lock()
-	t := h.leading
+	t := h.ownTerm
 	h.leaving = true
 	h.mu.Unlock()
 	h.cancel()
@@ -40,7 +40,7 @@
 
 // Leading tells whether the host leads.
 func (h *Host) Leading() bool {
-	_, leading := h.leadNow()
+	_, leading := h.currentLeader()
 	return leading
 }
 
@@ -52,9 +52,9 @@
 
 // ByPower orders hosts as successors.
 func ByPower(seen map[string]Sighting) []string {
-	all := map[string]sighting{}
+	all := map[string]hostInfo{}
 	for n, s := range seen {
-		all[n] = sighting{power: s.Power, began: s.Began}
+		all[n] = hostInfo{power: s.Power, began: s.Began}
 	}
 	return byPower(all)
 }
@@ -68,12 +68,12 @@
 // Waits asks a host whether it leads, in vain, and tells whether its answer was
 // waited for.
 func (h *Host) Waits(name string) bool {
-	_, err := h.askLead(name)
-	return !errors.As(err, new(*NoLeadError))
+	_, err := h.askWhetherLeads(name)
+	return !errors.As(err, new(*NoLeaderError))
 }
 
 // StandsReady tells whether the host may be named to lead.
-func (h *Host) StandsReady() bool { return h.candidate() }
+func (h *Host) StandsReady() bool { return h.isCandidate() }
 
 // Journal is the writer of progress.
 type Journal struct{ *journal }
@@ -127,38 +127,38 @@
 func (h *Host) Unsure(id string) bool { return h.localState(id).Unsure }
 
 // Orders knows how fast workers answer.
-type Orders struct{ *orders }
+type Orders struct{ *responseTimes }
 
 // NewOrders returns one that knows nothing.
 func NewOrders() Orders { return Orders{newOrders()} }
 
 // Patience is how long to wait for a worker's answer.
-func (o Orders) Patience(life string, now time.Time) time.Duration { return o.patience(life, now) }
+func (o Orders) Patience(life string, now time.Time) time.Duration { return o.timeout(life, now) }
 
 // Took notes an answer.
-func (o Orders) Took(life string, d time.Duration, now time.Time) { o.took(life, d, now) }
+func (o Orders) Took(life string, d time.Duration, now time.Time) { o.record(life, d, now) }
 
 // Follow has the host take another one for the lead.
 func (h *Host) Follow(name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.lead = name
+	h.leader = name
 }
 
 // LearnLead tells the host who leads, as the store's record does.
 func (h *Host) LearnLead(name string, addr netip.AddrPort, term int64) {
-	h.setLead(leadRecord{Name: name, Addr: addr, Term: term})
+	h.setLeader(leaderRecord{Name: name, Addr: addr, Term: term})
 }
 
 // LeadName is the host that this one takes for the lead.
 func (h *Host) LeadName() string {
-	name, _ := h.leadNow()
+	name, _ := h.currentLeader()
 	return name
 }
 
 // Hear has the host hear of another one.
 func (h *Host) Hear(name string, addr netip.AddrPort) {
-	h.heard(peer.Sync{From: name, Addr: addr, Power: 1, Began: h.now()})
+	h.noteHost(peer.Sync{From: name, Addr: addr, Power: 1, Began: h.now()})
 }
 
 // Uses tells whether the host, as the lead, has another one ask the policy service.
@@ -166,14 +166,14 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_, ok := h.hosts[name]
-	return h.leading != nil && ok
+	return h.ownTerm != nil && ok
 }
 
 // Heir is the host that the lead wants to lead if it dies, as this one knows it.
 func (h *Host) Heir() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.heir
+	return h.standby
 }
 
 // Follower is a host without a network that follows the operators' table and keeps its
@@ -188,8 +188,8 @@
 	for _, n := range others {
 		h.hosts[n] = netip.AddrPort{}
 	}
-	h.lead = lead
-	h.store = store.NewRouted(direct, &throughPeers{h, through}, time.Now, h.storeLost)
+	h.leader = lead
+	h.store = store.NewRouted(direct, &throughPeers{h, through}, time.Now, h.storeChanged)
 	return &Follower{h}
 }
 
@@ -207,11 +207,11 @@
 
 // Run follows until the host is stopped.
 func (f *Follower) Run() {
-	f.wg.Go(func() { f.follow(platform.TableTopic, f.readTable) })
+	f.wg.Go(func() { f.follow(platform.TableTopic, f.applyTable) })
 	f.wg.Go(func() {
 		for f.ctx.Err() == nil {
-			_, _ = f.join(observers, 0)
-			wait(f.ctx, joinEvery)
+			_, _ = f.join(observerGroup, 0)
+			sleep(f.ctx, joinInterval)
 		}
 	})
 }
@@ -237,22 +237,22 @@
 
 // FirstOf is the first host that says yes.
 func FirstOf(ctx context.Context, hosts []string, ask func(ctx context.Context, name string) bool) string {
-	return firstOf(ctx, hosts, ask)
+	return firstAccepting(ctx, hosts, ask)
 }
 
 // Apart picks hosts that lie far from each other.
-func Apart(all []string, n int) []string { return apart(all, n) }
+func Apart(all []string, n int) []string { return spacedSample(all, n) }
 
 // LoseLead has the host, as its heir, notice that a lead's connection has ended.
 func (h *Host) LoseLead(name string) {
 	h.mu.Lock()
-	h.lead, h.heir = name, h.cfg.Name
+	h.leader, h.standby = name, h.cfg.Name
 	h.mu.Unlock()
-	h.peerLost(name)
+	h.onPeerLost(name)
 }
 
 // IsGone tells whether the host takes another one's process for gone.
-func (h *Host) IsGone(name string) bool { return h.isGone(name) }
+func (h *Host) IsGone(name string) bool { return h.isProcessGone(name) }
 
 // NewNetless returns a host that reaches its peers by dial and the store by log, and is
 // reached through ln. What it is asked passes before first.
@@ -261,16 +261,16 @@
 	if err != nil {
 		return nil, err
 	}
-	h.store = store.NewRouted(direct, relay{h}, time.Now, h.storeLost)
+	h.store = store.NewRouted(direct, relay{h}, time.Now, h.storeChanged)
 	h.peers.Through(dial)
 	srv := peer.NewServer(func(ctx context.Context, m peer.Message) (any, error) {
 		before(ctx)
-		return h.answer(ctx, m)
+		return h.handleMessage(ctx, m)
 	})
 	h.wg.Go(func() { srv.Serve(h.ctx, ln) })
-	h.wg.Go(func() { h.follow(leadTopic, h.readLead) })
-	h.wg.Go(h.member)
-	h.wg.Go(h.sync)
+	h.wg.Go(func() { h.follow(leaderTopic, h.applyLeader) })
+	h.wg.Go(h.maintainMembership)
+	h.wg.Go(h.syncPeriodically)
 	return h, nil
 }
 
@@ -278,7 +278,7 @@
 // host does not lead.
 func (h *Host) Work(id string) bool {
 	h.mu.Lock()
-	t := h.leading
+	t := h.ownTerm
 	h.mu.Unlock()
 	if t == nil {
 		return false
@@ -296,9 +296,9 @@
 
 // Doubt asks the lead whether it leads, and tells whether it does or works nevertheless.
 func (h *Host) Doubt() bool {
-	name, _ := h.leadNow()
-	leads, before := h.leadsOrEnds(name)
-	return leads || h.works(before)
+	name, _ := h.currentLeader()
+	leads, before := h.checkLeader(name)
+	return leads || h.isLeaderAlive(before)
 }
 
 // KnowsEnds tells whether the host was told that all these jobs have ended.
@@ -318,10 +318,10 @@
 // the store and find the job as soon as its core is free. It returns the answer.
 func (h *Host) Meanwhile(id string) peer.StateReply {
 	h.mu.Lock()
-	t := h.leading
+	t := h.ownTerm
 	h.mu.Unlock()
 	t.mu.Lock()
-	t.polled = h.now().Add(-knowAge)
+	t.lastPoll = h.now().Add(-maxPollAge)
 	told, read := make(chan peer.StateReply, 1), make(chan struct{})
 	go func() { told <- h.localState(id) }()
 	go func() {
@@ -331,7 +331,7 @@
 		}
 		defer t.mu.Unlock()
 		t.core.Step(h.now(), sched.Submit{Spec: flow.Spec{ID: id, Steps: []flow.Step{{Tasks: 1}}}})
-		t.polled = h.now()
+		t.lastPoll = h.now()
 	}()
 	time.Sleep(time.Millisecond)
 	t.mu.Unlock()
@@ -346,21 +346,21 @@
 
 // Told is up to where the host was told final states, after an answer to its sync.
 func (h *Host) Told(r peer.SyncReply) (term int64, next int) {
-	h.states.follow(r)
-	return h.states.followed()
+	h.states.addFromLeader(r)
+	return h.states.syncPosition()
 }
 
 // HoldCore keeps the lead's core busy until the returned function is called.
 func (h *Host) HoldCore() func() {
 	h.mu.Lock()
-	t := h.leading
+	t := h.ownTerm
 	h.mu.Unlock()
 	t.mu.Lock()
 	return t.mu.Unlock
 }
 
 // Endings are the final states of a term.
-type Endings struct{ endings }
+type Endings struct{ finalStates }
 
 // Add adds one.
 func (e *Endings) Add(id string, state flow.State, now time.Time) { e.add(id, state, now) }
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	// followWait is how long a read waits for records. It bounds how long a
+	// followReadWait is how long a read waits for records. It bounds how long a
 	// connection that has gone silent delays a new table: the table has to be in
 	// force within two seconds.
-	followWait = 1300 * time.Millisecond
+	followReadWait = 1300 * time.Millisecond
 	// followRetry is the pause after a read that failed, followPause the least time
 	// between two that brought nothing.
-	followRetry = 200 * time.Millisecond
-	followPause = 400 * time.Millisecond
+	followRetry       = 200 * time.Millisecond
+	followMinInterval = 400 * time.Millisecond
 )
 
 // follow hands all records of a topic to read, the newest of each key first.
 func (h *Host) follow(topic string, read func([]store.Record)) {
 	for h.ctx.Err() == nil {
 		all, from, err := store.Table(h.ctx, h.store, topic, 0)
-		h.noteRead(topic, from, err)
+		h.trackReadFailure(topic, from, err)
 		if err != nil {
-			wait(h.ctx, followRetry)
+			sleep(h.ctx, followRetry)
 			continue
 		}
 		read(all)
@@ -38,16 +38,16 @@
 	}
 }
 
-// noteRead tells when a topic cannot be read any more and when it is read again: what the
+// trackReadFailure tells when a topic cannot be read any more and when it is read again: what the
 // host believes of it may be old by as much.
-func (h *Host) noteRead(topic string, from int64, err error) {
+func (h *Host) trackReadFailure(topic string, from int64, err error) {
 	h.mu.Lock()
-	since, lost := h.unread[topic]
+	since, lost := h.failedSince[topic]
 	switch {
 	case err == nil:
-		delete(h.unread, topic)
+		delete(h.failedSince, topic)
 	case !lost:
-		h.unread[topic] = h.now()
+		h.failedSince[topic] = h.now()
 	}
 	h.mu.Unlock()
 	switch {
@@ -55,7 +55,7 @@
 	case err == nil && lost:
 		h.log.Info("follow: read again.", "topic", topic, "from", from, "after", h.now().Sub(since))
 	case err != nil:
-		h.count("follow.failed." + topic)
+		h.incCounter("follow.failed." + topic)
 		if !lost {
 			h.log.Warn("follow: cannot be read.", "topic", topic, "from", from, "err", err)
 		}
@@ -66,15 +66,15 @@
 func (h *Host) followFrom(topic string, from int64, read func([]store.Record)) {
 	for h.ctx.Err() == nil {
 		began := h.now()
-		a, err := h.store.Do(h.ctx, store.Call{Op: store.Read, Topic: topic, From: from, Wait: followWait})
+		a, err := h.store.Do(h.ctx, store.Call{Op: store.Read, Topic: topic, From: from, Wait: followReadWait})
 		var trimmed *store.TrimmedError
 		if errors.As(err, &trimmed) {
 			h.log.Info("follow: history is gone.", "topic", topic, "from", from, "first", trimmed.First)
 			return
 		}
-		h.noteRead(topic, from, err)
+		h.trackReadFailure(topic, from, err)
 		if err != nil {
-			wait(h.ctx, followRetry)
+			sleep(h.ctx, followRetry)
 			continue
 		}
 		if len(a.Records) > 0 {
@@ -83,14 +83,14 @@
 		from += int64(len(a.Records))
 		if len(a.Records) == 0 {
 			// While the direct way is silent, reads do not wait for records.
-			wait(h.ctx, followPause-h.now().Sub(began))
+			sleep(h.ctx, followMinInterval-h.now().Sub(began))
 		}
 	}
 }
 
-// readTable takes the newest table. A version below the one in force is a
+// applyTable takes the newest table. A version below the one in force is a
 // record that was read twice, and is passed over: the table never goes back.
-func (h *Host) readTable(all []store.Record) {
+func (h *Host) applyTable(all []store.Record) {
 	for _, r := range all {
 		if r.Key != platform.TableKey || len(r.Value) == 0 {
 			continue
@@ -115,7 +115,7 @@
 		return
 	}
 	h.table = t
-	lead := h.leading
+	lead := h.ownTerm
 	h.mu.Unlock()
 	metrics.GetOrRegisterGauge("table.version", h.metrics).Update(t.Version)
 	h.log.Info("table: in force.", "version", t.Version, "queues", len(t.Routes))
@@ -132,44 +132,44 @@
 	return ev
 }
 
-// leadRecord tells who leads.
-type leadRecord struct {
+// leaderRecord tells who leads.
+type leaderRecord struct {
 	Name string         `json:"name"`
 	Addr netip.AddrPort `json:"addr"`
 	Term int64          `json:"term"`
 }
 
 const (
-	// leadTopic tells all hosts who leads, under leadKey.
-	leadTopic = "lead"
-	leadKey   = "0"
+	// leaderTopic tells all hosts who leads, under leadKey.
+	leaderTopic = "lead"
+	leaderKey   = "0"
 )
 
-func (h *Host) readLead(all []store.Record) {
+func (h *Host) applyLeader(all []store.Record) {
 	for _, r := range all {
-		var l leadRecord
-		if r.Key != leadKey || json.Unmarshal(r.Value, &l) != nil {
+		var l leaderRecord
+		if r.Key != leaderKey || json.Unmarshal(r.Value, &l) != nil {
 			continue
 		}
-		h.setLead(l)
+		h.setLeader(l)
 	}
 }
 
-func (h *Host) setLead(l leadRecord) {
+func (h *Host) setLeader(l leaderRecord) {
 	h.mu.Lock()
 	if l.Term <= h.term {
 		h.mu.Unlock()
 		return
 	}
-	if l.Name != h.cfg.Name || h.leading == nil {
-		h.former = l.Name
+	if l.Name != h.cfg.Name || h.ownTerm == nil {
+		h.previousLeader = l.Name
 	}
-	h.changeLead(l.Name)
+	h.switchLeader(l.Name)
 	h.term = l.Term
 	if _, ok := h.hosts[l.Name]; !ok && l.Addr.IsValid() {
 		h.hosts[l.Name] = l.Addr
 	}
-	t := h.leading
+	t := h.ownTerm
 	h.mu.Unlock()
 	if l.Name != h.cfg.Name && l.Addr.IsValid() {
 		h.peers.Set(l.Name, l.Addr)
@@ -178,41 +178,41 @@
 	if l.Name != h.cfg.Name {
 		// It asks the policy service only through hosts that it heard of. After a loss
 		// of all power it has heard of none, and work would wait for the next sync.
-		h.wg.Go(func() { h.syncWith(l.Name) })
+		h.wg.Go(func() { h.syncWithLeader(l.Name) })
 	}
 	if t != nil && t.number < l.Term {
 		t.end("a later term began")
 	}
 }
 
-// changeLead has the host follow another lead; mu is held.
-func (h *Host) changeLead(name string) {
-	if h.lead != "" && h.lead != name {
+// switchLeader has the host follow another lead; mu is held.
+func (h *Host) switchLeader(name string) {
+	if h.leader != "" && h.leader != name {
 		// Nobody had told of it: whoever claimed believed the lead to be gone.
-		at, former := h.now(), h.lead
-		h.changes = append(h.lately(), at)
+		at, former := h.now(), h.leader
+		h.leaderChanges = append(h.recentLeaderChanges(), at)
 		if former != h.cfg.Name {
-			h.wg.Go(func() { h.reviewChange(at, former) })
+			h.wg.Go(func() { h.verifyLeaderChange(at, former) })
 		}
 	}
-	h.lead, h.heir = name, ""
-	h.leadSince, h.leadAsked, h.leadLate = h.now(), time.Time{}, time.Time{}
+	h.leader, h.standby = name, ""
+	h.leaderSince, h.unansweredSince, h.lastLateReply = h.now(), time.Time{}, time.Time{}
 }
 
-// announceAgain is the pause before an announcement without an answer is repeated.
-const announceAgain = 300 * time.Millisecond
+// announceRetry is the pause before an announcement without an answer is repeated.
+const announceRetry = 300 * time.Millisecond
 
 // announce tells all hosts that this one leads, and goes on until it is stored: a
 // host that never hears of it asks the former lead for ever.
 func (h *Host) announce(t *term) {
-	l := leadRecord{Name: h.cfg.Name, Addr: h.cfg.Listen.Peer, Term: t.number}
-	h.setLead(l)
+	l := leaderRecord{Name: h.cfg.Name, Addr: h.cfg.Listen.Peer, Term: t.number}
+	h.setLeader(l)
 	b, err := json.Marshal(l)
 	if err != nil {
 		h.log.Error("lead: cannot be announced.", "err", err)
 		return
 	}
-	c := store.Call{Op: store.Append, Topic: leadTopic, Keyed: true, Records: []store.Record{{Key: leadKey, Value: b}}}
+	c := store.Call{Op: store.Append, Topic: leaderTopic, Keyed: true, Records: []store.Record{{Key: leaderKey, Value: b}}}
 	h.wg.Go(func() {
 		for {
 			_, err := h.store.Do(t.ctx, c)
@@ -220,7 +220,7 @@
 				return
 			}
 			h.log.Warn("lead: announcement has no answer.", "term", t.number, "err", err)
-			if !wait(t.ctx, announceAgain) {
+			if !sleep(t.ctx, announceRetry) {
 				return
 			}
 		}
--- a/internal/entry/inbox.go
+++ b/internal/entry/inbox.go
@@ -25,43 +25,43 @@
 	h *Host
 	// parts are where it may append, its own partition first.
 	parts []int
-	asks  chan ask
+	queue chan appendRequest
 }
 
-type ask struct {
+type appendRequest struct {
 	ctx    context.Context
 	record store.Record
 	done   chan error
 }
 
 const (
-	// mostAsks is how many may wait for the next append; more are turned away.
-	mostAsks = 512
-	// mostBytes keeps one append below the store's bound on a call.
-	mostBytes = 1 << 20
-	// staleAfter is how long ago the store may have answered when a job is sent to
+	// maxQueuedRequests is how many may wait for the next append; more are turned away.
+	maxQueuedRequests = 512
+	// maxAppendBytes keeps one append below the store's bound on a call.
+	maxAppendBytes = 1 << 20
+	// storeFreshness is how long ago the store may have answered when a job is sent to
 	// it: two of the host's own calls have failed by then.
-	staleAfter = 900 * time.Millisecond
-	// againAfter is the pause before an append without an answer is repeated.
-	againAfter = 60 * time.Millisecond
+	storeFreshness = 900 * time.Millisecond
+	// unansweredRetry is the pause before an append without an answer is repeated.
+	unansweredRetry = 60 * time.Millisecond
 )
 
 func newInbox(h *Host) *inbox {
 	own := int(xxhash.Sum64String(h.cfg.Name) % uint64(h.cfg.Parts))
-	return &inbox{h: h, parts: partsFrom(own, h.cfg.Parts), asks: make(chan ask, mostAsks)}
+	return &inbox{h: h, parts: partsFrom(own, h.cfg.Parts), queue: make(chan appendRequest, maxQueuedRequests)}
 }
 
-// put stores a record. After a store.RefusedError it is certain that it is not
+// append stores a record. After a store.RefusedError it is certain that it is not
 // stored and never will be; after another error nobody knows.
-func (b *inbox) put(ctx context.Context, r store.Record) error {
-	if !b.h.store.Fresh(staleAfter) {
+func (b *inbox) append(ctx context.Context, r store.Record) error {
+	if !b.h.store.Fresh(storeFreshness) {
 		// What is sent into a cut has no answer, and its caller could only be told
 		// that nobody knows. What is not sent is certainly not stored.
 		return &store.RefusedError{Op: store.Append, Reason: "the store has not answered for a while"}
 	}
-	a := ask{ctx: ctx, record: r, done: make(chan error, 1)}
+	a := appendRequest{ctx: ctx, record: r, done: make(chan error, 1)}
 	select {
-	case b.asks <- a:
+	case b.queue <- a:
 	default:
 		return &store.RefusedError{Op: store.Append, Reason: "too many wait"}
 	}
@@ -78,18 +78,18 @@
 		select {
 		case <-b.h.ctx.Done():
 			return
-		case a := <-b.asks:
-			b.store(b.gather(a))
+		case a := <-b.queue:
+			b.appendBatch(b.batch(a))
 		}
 	}
 }
 
-func (b *inbox) gather(first ask) []ask {
-	all := []ask{first}
+func (b *inbox) batch(first appendRequest) []appendRequest {
+	all := []appendRequest{first}
 	size := len(first.record.Value)
-	for size < mostBytes {
+	for size < maxAppendBytes {
 		select {
-		case a := <-b.asks:
+		case a := <-b.queue:
 			all = append(all, a)
 			size += len(a.record.Value)
 		default:
@@ -99,10 +99,10 @@
 	return all
 }
 
-// store appends until there is an answer or nobody waits any more, at another
+// appendBatch appends until there is an answer or nobody waits any more, at another
 // partition if the host's own one is down. An append that is repeated says the same
 // under the same keys.
-func (b *inbox) store(all []ask) {
+func (b *inbox) appendBatch(all []appendRequest) {
 	records := make([]store.Record, len(all))
 	for i, a := range all {
 		records[i] = a.record
@@ -110,11 +110,11 @@
 	parts := slices.Clone(b.parts)
 	unsure := false
 	for {
-		first, _, got, err := spread(b.h.ctx, &b.h.wg, len(parts), b.h.spreadPatience(), func(i int) (store.Answer, error) {
+		first, _, got, err := spread(b.h.ctx, &b.h.wg, len(parts), b.h.appendTimeout(), func(i int) (store.Answer, error) {
 			return b.h.store.Do(b.h.ctx, store.Call{Op: store.Append, Topic: jobsTopic, Part: parts[i], Keyed: true, Records: records})
 		})
 		if err == nil {
-			b.h.hand(parts[first], got.Offset, records)
+			b.h.notifyLeader(parts[first], got.Offset, records)
 			b.parts[0], b.parts[first] = b.parts[first], b.parts[0]
 			finish(all, nil)
 			return
@@ -124,21 +124,21 @@
 			return
 		}
 		unsure = true
-		if b.h.ctx.Err() != nil || !waited(all) {
+		if b.h.ctx.Err() != nil || !anyWaiting(all) {
 			finish(all, &store.UnansweredError{Op: store.Append, Cause: err})
 			return
 		}
-		wait(b.h.ctx, againAfter)
+		sleep(b.h.ctx, unansweredRetry)
 	}
 }
 
-func finish(all []ask, err error) {
+func finish(all []appendRequest, err error) {
 	for _, a := range all {
 		a.done <- err
 	}
 }
 
-func waited(all []ask) bool {
+func anyWaiting(all []appendRequest) bool {
 	for _, a := range all {
 		if a.ctx.Err() == nil {
 			return true
@@ -148,19 +148,19 @@
 }
 
 const (
-	// handTries is how often a lead is told of what is stored, handAgain the pause
+	// notifyTries is how often a lead is told of what is stored, handAgain the pause
 	// between: until another one has taken over and looks for itself.
-	handTries = 12
-	handAgain = 150 * time.Millisecond
+	notifyTries    = 12
+	notifyInterval = 150 * time.Millisecond
 )
 
-// hand tells the lead what is stored, so that it need not look. Whoever leads next
+// notifyLeader tells the lead what is stored, so that it need not look. Whoever leads next
 // is told if it is not the lead any more: a job that is stored while the lead
 // changes would wait for the new one's next look through all partitions.
-func (h *Host) hand(part int, first int64, records []store.Record) {
+func (h *Host) notifyLeader(part int, first int64, records []store.Record) {
 	h.wg.Go(func() {
-		for range handTries {
-			if h.handOver(part, first, records) || !wait(h.ctx, handAgain) {
+		for range notifyTries {
+			if h.notifyCurrentLeader(part, first, records) || !sleep(h.ctx, notifyInterval) {
 				return
 			}
 		}
@@ -168,19 +168,19 @@
 	})
 }
 
-// handOver tells whoever leads now; false if that host did not take it as the lead.
-func (h *Host) handOver(part int, first int64, records []store.Record) bool {
+// notifyCurrentLeader tells whoever leads now; false if that host did not take it as the lead.
+func (h *Host) notifyCurrentLeader(part int, first int64, records []store.Record) bool {
 	h.mu.Lock()
-	lead, t := h.lead, h.leading
+	lead, t := h.leader, h.ownTerm
 	h.mu.Unlock()
 	if t != nil {
-		t.take(part, first, records)
+		t.acceptRecords(part, first, records)
 		return true
 	}
 	if lead == "" || lead == h.cfg.Name {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(h.ctx, askWait)
+	ctx, cancel := context.WithTimeout(h.ctx, askTimeout)
 	defer cancel()
 	var r peer.HandReply
 	err := h.peers.Ask(ctx, lead, peer.Hand{Part: part, First: first, Records: records}, &r)
--- a/internal/entry/journal.go
+++ b/internal/entry/journal.go
@@ -19,13 +19,13 @@
 // version, and the newest counts. A candidate fences all partitions before it reads
 // any, so nothing can be stored behind its back.
 type journal struct {
-	log   store.Log
-	lines *slog.Logger
-	wg    *sync.WaitGroup
-	term  int64
-	// width is how many partitions there are, readable without mu: the order of writers
+	log    store.Log
+	logger *slog.Logger
+	wg     *sync.WaitGroup
+	term   int64
+	// parts is how many partitions there are, readable without mu: the order of writers
 	// changes while appends are under way.
-	width int
+	parts int
 
 	mu sync.Mutex
 	// writers are the partitions, the one that was served last first.
@@ -47,14 +47,14 @@
 }
 
 const (
-	// mostDrops is how many drops wait for a partition that is not written to.
-	mostDrops = 256
-	// busyWait is the pause while no partition can be appended to.
-	busyWait = 50 * time.Millisecond
+	// maxPendingDrops is how many drops wait for a partition that is not written to.
+	maxPendingDrops = 256
+	// busyPause is the pause while no partition can be appended to.
+	busyPause = 50 * time.Millisecond
 )
 
 func newJournal(log store.Log, lines *slog.Logger, wg *sync.WaitGroup, term int64, parts []int) *journal {
-	j := &journal{log: log, lines: lines, wg: wg, term: term, width: len(parts)}
+	j := &journal{log: log, logger: lines, wg: wg, term: term, parts: len(parts)}
 	for _, p := range parts {
 		// The claim was the first append.
 		j.writers = append(j.writers, &partWriter{part: p, seq: 1, stored: map[string]int64{}})
@@ -71,18 +71,18 @@
 		w   *partWriter
 		err error
 	}
-	results := make(chan result, j.width)
-	flying, failed := 0, map[*partWriter]bool{}
+	results := make(chan result, j.parts)
+	inFlight, failed := 0, map[*partWriter]bool{}
 	for {
-		w := j.take(failed)
+		w := j.reserve(failed)
 		pause := patience
 		switch {
 		case w != nil:
-			flying++
+			inFlight++
 			j.wg.Go(func() { results <- result{w, j.write(ctx, w, number, records)} })
-		case flying == 0:
+		case inFlight == 0:
 			clear(failed)
-			pause = busyWait
+			pause = busyPause
 		}
 		timer := time.NewTimer(pause)
 		select {
@@ -93,7 +93,7 @@
 			continue
 		case r := <-results:
 			timer.Stop()
-			flying--
+			inFlight--
 			switch {
 			case r.err == nil:
 				j.prefer(r.w, failed)
@@ -106,9 +106,9 @@
 	}
 }
 
-// take reserves the first partition without an append under way; nil if there is
+// reserve reserves the first partition without an append under way; nil if there is
 // none but those that failed.
-func (j *journal) take(failed map[*partWriter]bool) *partWriter {
+func (j *journal) reserve(failed map[*partWriter]bool) *partWriter {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, w := range j.writers {
@@ -133,7 +133,7 @@
 	if !failed[j.writers[0]] {
 		return
 	}
-	j.lines.Info("lead: progress goes to another partition.", "part", w.part, "before", j.writers[0].part, "term", j.term)
+	j.logger.Info("lead: progress goes to another partition.", "part", w.part, "before", j.writers[0].part, "term", j.term)
 	i := slices.Index(j.writers, w)
 	j.writers = slices.Insert(slices.Delete(j.writers, i, i+1), 0, w)
 }
@@ -141,7 +141,7 @@
 // write appends to one partition and repeats what has no answer under the same
 // number, which the store carries out once. The partition is free again after that.
 func (j *journal) write(ctx context.Context, w *partWriter, number int64, records []store.Record) error {
-	c := store.Call{Op: store.Append, Topic: stateTopic, Part: w.part, Keyed: true, Epoch: j.term, Seq: w.seq, Records: w.missing(number, records)}
+	c := store.Call{Op: store.Append, Topic: stateTopic, Part: w.part, Keyed: true, Epoch: j.term, Seq: w.seq, Records: w.notYetWritten(number, records)}
 	drops := j.takeDrops(w)
 	for _, id := range drops {
 		c.Records = append(c.Records, store.Record{Key: id})
@@ -155,29 +155,29 @@
 		_, err := j.log.Do(ctx, c)
 		switch {
 		case err == nil:
-			w.wrote(number, c.Records)
+			w.recordWritten(number, c.Records)
 			j.release(w)
 			return nil
 		case store.NotDone(err) && !unsure:
-			j.putDrops(w, drops)
+			j.returnDrops(w, drops)
 			j.release(w)
 			return err
 		case !store.Away(err):
-			j.lines.Warn("lead: partition takes nothing of this term any more.", "part", w.part, "term", j.term, "err", err)
+			j.logger.Warn("lead: partition takes nothing of this term any more.", "part", w.part, "term", j.term, "err", err)
 			return err
 		}
 		unsure = true
-		if !wait(ctx, appendAgain) {
+		if !sleep(ctx, appendRetry) {
 			return err
 		}
 	}
 }
 
-// missing leaves out the records of which the partition holds a newer one. It keeps
+// notYetWritten leaves out the records of which the partition holds a newer one. It keeps
 // what was written last, not what has the newest version, and an append that was
 // tried elsewhere in vain may come here after a later one. A successor would take a
 // job that is told as completed for one that runs, and run it again.
-func (w *partWriter) missing(number int64, records []store.Record) []store.Record {
+func (w *partWriter) notYetWritten(number int64, records []store.Record) []store.Record {
 	var all []store.Record
 	for _, r := range records {
 		if w.stored[r.Key] < number {
@@ -187,8 +187,8 @@
 	return all
 }
 
-// wrote notes what the append of that number left in the partition.
-func (w *partWriter) wrote(number int64, records []store.Record) {
+// recordWritten notes what the append of that number left in the partition.
+func (w *partWriter) recordWritten(number int64, records []store.Record) {
 	w.seq++
 	for _, r := range records {
 		if len(r.Value) == 0 {
@@ -207,7 +207,7 @@
 	return drops
 }
 
-func (j *journal) putDrops(w *partWriter, drops []string) {
+func (j *journal) returnDrops(w *partWriter, drops []string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	w.drops = append(drops, w.drops...)
@@ -219,7 +219,7 @@
 	var full []*partWriter
 	for _, w := range j.writers {
 		w.drops = append(w.drops, id)
-		if len(w.drops) > mostDrops && !w.busy {
+		if len(w.drops) > maxPendingDrops && !w.busy {
 			w.busy = true
 			full = append(full, w)
 		}
@@ -229,7 +229,7 @@
 		j.wg.Go(func() {
 			if err := j.write(ctx, w, 0, nil); err != nil {
 				// They stay for the next append there.
-				j.lines.Warn("lead: ended jobs are not dropped.", "part", w.part, "err", err)
+				j.logger.Warn("lead: ended jobs are not dropped.", "part", w.part, "err", err)
 			}
 		})
 	}
--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -233,7 +233,7 @@
 	}
 	h.mu.Unlock()
 	if rec.State != "" {
-		h.lead.Kept(rec.ID)
+		h.lead.AckEnd(rec.ID)
 	}
 	h.noted(rec)
 }
@@ -303,7 +303,7 @@
 
 // jobsWait makes the log answer at once while a census waits for it.
 func (h *Host) jobsWait() time.Duration {
-	if len(h.lead.Waiting()) > 0 {
+	if len(h.lead.AwaitingInventory()) > 0 {
 		return readPause
 	}
 	return readWait
@@ -338,7 +338,7 @@
 		return
 	}
 	for _, s := range old {
-		if h.lead.Knows(s.ID) {
+		if h.lead.HasJob(s.ID) {
 			h.owe(joblog.Record{ID: s.ID, Spec: &s, Lives: h.lives(s.ID)})
 		}
 	}
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -23,20 +23,20 @@
 	return s.State
 }
 
-// A worker's answer to a start is lost. The task may run there, so it must not
-// be started elsewhere until the start can no longer be carried out.
+// A worker's answer to a start is lost. The task may run there, so it must not be started elsewhere
+// until the start can no longer be carried out.
 func TestUnsureStartWaitsForItsDeadline(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
-	start := startOf(t, j, "d.r.j.0", "w1")
+	start := placeOn(t, j, "d.r.j.0", "w1")
 	require.Empty(t, j.Step(now, job.Unsure{Task: "d.r.j.0", Attempt: start.Attempt, Deadline: now.Add(time.Second)}))
 	require.Empty(t, j.Step(now, job.WorkerList{Worker: "w1", Clock: now}))
 	acts := j.Step(now, job.WorkerList{Worker: "w1", Clock: now.Add(2 * time.Second)})
 	require.IsType(t, job.RequestPlacement{}, acts[1])
 }
 
-// A print batch is cancelled before any start was sent. The desk is told that
-// it did not run, and that must stay true.
+// A print batch is cancelled before any start was sent. The caller is told that it did not run, and
+// that must remain true.
 func TestCancelBeforeStartDidNotRun(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(2)})
@@ -48,14 +48,13 @@
 	require.Equal(t, []job.Action{job.Free{Task: "d.r.j.0"}}, j.Step(now, job.Placed{Task: "d.r.j.0", Worker: "w1"}))
 }
 
-// A row's own bug fails every task. The job must come to an end instead of
-// being tried for ever.
+// A bug in a row's program fails every task. The job must end instead of being retried forever.
 func TestFailingTaskStopsAfterItsTries(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
 	for range 2 {
-		confirm(j, "d.r.j.0", "w1")
-		j.Step(now, seen("w1", now.Add(time.Second), listed("d.r.j.0", "failed")))
+		startOn(j, "d.r.j.0", "w1")
+		j.Step(now, listOf("w1", now.Add(time.Second), listed("d.r.j.0", "failed")))
 	}
 	require.Equal(t, "failed", state(t, j))
 }
--- a/internal/lead/crash.go
+++ b/internal/lead/crash.go
@@ -6,38 +6,39 @@
 	"pollencroft/internal/place"
 )
 
-// crashed has the lives stored that ended under a task, before it is started again.
-func (l *Lead) crashed(a job.StoreCrashCount) {
+// handleCrash has the crash count of a task stored before the task is started again.
+func (l *Leader) handleCrash(a job.StoreCrashCount) {
 	l.Count("lead.crashed")
-	l.Log.Warn("lead: worker crashed while a task ran there.", "task", a.Task, "worker", a.Worker, "lives", a.Crashes)
-	l.note(a.Job, a.Worker+" crashed while "+a.Task+" ran there")
+	l.Log.Warn("lead: worker crashed while running a task.", "task", a.Task, "worker", a.Worker, "lives", a.Crashes)
+	l.addNote(a.Job, a.Worker+" crashed while "+a.Task+" ran there")
 	spec, ok := l.Jobs.Spec(a.Task)
 	switch {
 	case !ok:
-	case l.Crashed == nil:
-		l.job(job.CrashCountStored{Task: a.Task, Crashes: a.Crashes})
+	case l.StoreCrashes == nil:
+		l.stepJobs(job.CrashCountStored{Task: a.Task, Crashes: a.Crashes})
 	default:
-		l.Crashed(spec, a.Task, a.Crashes)
+		l.StoreCrashes(spec, a.Task, a.Crashes)
 	}
 }
 
-// Noted tells that the lives that ended under a task are stored.
-func (l *Lead) Noted(task string, lives int64) {
+// AckCrashes reports that the crash count of a task is stored.
+func (l *Leader) AckCrashes(task string, crashes int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.job(job.CrashCountStored{Task: task, Crashes: lives})
+	l.stepJobs(job.CrashCountStored{Task: task, Crashes: crashes})
 }
 
-func (l *Lead) livesOf(id string) map[string]int64 {
-	if l.Lives == nil {
+func (l *Leader) crashCounts(id string) map[string]int64 {
+	if l.CrashCounts == nil {
 		return nil
 	}
-	return l.Lives(id)
+	return l.CrashCounts(id)
 }
 
-// apart is the room of a task that is tried on a worker of its own: all of the smallest worker
-// that has enough. Where the table's limits never allow that it stays as it was.
-func (l *Lead) apart(w place.Want) cell.Size {
+// exclusiveSize returns the size of a task that must run alone on its worker: the full size of the
+// smallest held worker that fits it. If the limits of the table never allow that size, the task
+// keeps its own.
+func (l *Leader) exclusiveSize(w place.Request) cell.Size {
 	alone := w
 	alone.Size = cell.Size{}
 	for _, name := range l.Leases.Held() {
@@ -46,7 +47,7 @@
 			alone.Size = size
 		}
 	}
-	if (alone.Size == cell.Size{}) || l.Placer.Never(alone) != nil {
+	if (alone.Size == cell.Size{}) || l.Placer.CheckFeasible(alone) != nil {
 		return w.Size
 	}
 	return alone.Size
--- a/internal/lead/handover.go
+++ b/internal/lead/handover.go
@@ -6,95 +6,95 @@
 	"pollencroft/internal/takeover"
 )
 
-// expected is a hand-over that a peer was promised to be heard for. Epoch is the one in which
-// it was.
-type expected struct {
+// expectedHandover is a handover that a peer may send. It is valid only in the epoch in which its
+// token was issued.
+type expectedHandover struct {
 	token string
 	epoch int64
 }
 
-// StaleError tells that a hand-over was sent before something after which it counts no more: a
-// census, the loss of all workers, or a newer token.
-type StaleError struct{ From string }
+// StaleHandoverError reports that a handover was sent before an event that makes it invalid: an
+// inventory, the loss of all workers, or a newer token.
+type StaleHandoverError struct{ From string }
 
-func (e *StaleError) Error() string { return "hand-over from " + e.From + " is out of date" }
+func (e *StaleHandoverError) Error() string { return "hand-over from " + e.From + " is out of date" }
 
-// Expect returns the token with which a peer may hand jobs over next. A message may lie in a
-// paused host's sockets for any time; without a token the state that it carries would be taken
-// for that of now.
-func (l *Lead) Expect(from string) (string, error) {
+// ExpectHandover returns the token that a peer must send with its next handover. A message may stay
+// in the socket buffers of a paused host for any time; the token keeps such an outdated state from
+// being accepted as current.
+func (l *Leader) ExpectHandover(from string) (string, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	epoch := l.epochNow()
+	epoch := l.currentEpoch()
 	switch {
 	case l.leaving:
 		return "", &LeavingError{}
 	case epoch == 0:
 		return "", &NoWorkerError{}
 	}
-	e := expected{token: cell.NewID(), epoch: epoch}
-	l.expected[from] = e
+	e := expectedHandover{token: cell.NewID(), epoch: epoch}
+	l.expectedHandovers[from] = e
 	return e.token, nil
 }
 
-// Adopt goes on with jobs that their live lead handed over. It refuses them
-// while this host holds no worker: it could not know then whether it was taken
-// for dead.
-func (l *Lead) Adopt(from, token string, jobs []job.Snapshot) error {
+// Adopt continues jobs that their leader, which is alive, handed over. It refuses them while this
+// host holds no worker, because then it cannot tell whether its peers considered it dead.
+func (l *Leader) Adopt(from, token string, jobs []job.Snapshot) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.leaving {
 		return &LeavingError{}
 	}
-	epoch := l.epochNow()
+	epoch := l.currentEpoch()
 	if epoch == 0 {
 		return &NoWorkerError{}
 	}
-	if l.expected[from] != (expected{token: token, epoch: epoch}) {
-		return &StaleError{From: from}
+	if l.expectedHandovers[from] != (expectedHandover{token: token, epoch: epoch}) {
+		return &StaleHandoverError{From: from}
 	}
-	delete(l.expected, from)
+	delete(l.expectedHandovers, from)
 	l.adopt(jobs, "handed over by its former lead")
 	return nil
 }
 
-// TakeBack leads jobs again that were handed over in that epoch and whose next lead refused them.
-func (l *Lead) TakeBack(jobs []job.Snapshot, epoch int64) error {
+// TakeBack leads jobs again that were handed over in that epoch and that the receiving host
+// refused.
+func (l *Leader) TakeBack(jobs []job.Snapshot, epoch int64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.leaving {
 		return &LeavingError{}
 	}
-	if l.epochNow() != epoch {
+	if l.currentEpoch() != epoch {
 		return &NoWorkerError{}
 	}
 	l.adopt(jobs, "taken back")
 	return nil
 }
 
-func (l *Lead) adopt(jobs []job.Snapshot, how string) {
+func (l *Leader) adopt(jobs []job.Snapshot, how string) {
 	for _, c := range jobs {
-		l.takeover(takeover.Gone{Job: c.Spec.ID})
+		l.stepTakeover(takeover.GoneJob{Job: c.Spec.ID})
 		l.Count("lead.adopted")
-		l.note(c.Spec.ID, how)
-		l.job(job.Adopt{Snapshot: c})
+		l.addNote(c.Spec.ID, how)
+		l.stepJobs(job.Adopt{Snapshot: c})
 	}
-	l.readAll()
+	l.replayReadings()
 }
 
-// HandOver stops leading jobs and returns all that is known of them, for the
-// next lead, and the epoch in which that is true. Jobs that wait for a census
-// are left out: nothing is known of them.
-func (l *Lead) HandOver(ids []string) ([]job.Snapshot, int64) {
+// HandOver stops leading jobs. It returns their full state for the next leader, and the epoch in
+// which that state is valid. It skips jobs that wait for an inventory, because their state is
+// unknown.
+func (l *Leader) HandOver(ids []string) ([]job.Snapshot, int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var all []job.Snapshot
-	epoch := l.epochNow()
+	epoch := l.currentEpoch()
 	for _, id := range ids {
 		if c, ok := l.Jobs.Snapshot(id); ok {
 			l.Count("lead.handed")
-			l.note(id, "handed over")
-			l.drop(id, false)
+			l.addNote(id, "handed over")
+			l.dropJob(id, false)
 			c.HandoverID = cell.NewID()
 			all = append(all, c)
 		}
--- a/internal/lead/inherit.go
+++ b/internal/lead/inherit.go
@@ -11,279 +11,279 @@
 	"pollencroft/internal/takeover"
 )
 
-// NoWorkerError tells that this host holds no worker, or lost all of them
-// meanwhile, so that it may decide nothing about a job.
+// NoWorkerError reports that this host holds no worker, or lost all of them in the meantime, and
+// therefore must not decide anything about a job.
 type NoWorkerError struct{}
 
 func (e *NoWorkerError) Error() string { return "no worker is held here" }
 
-// LeavingError tells that this host hands its jobs over and takes none.
+// LeavingError reports that this host is handing over its jobs and accepts none.
 type LeavingError struct{}
 
 func (e *LeavingError) Error() string { return "host is leaving" }
 
-// Epoch numbers the time since this host last held no worker at all. While it
-// stays the same no other host can have completed a census without asking this
-// one, so what this host knows of its jobs is true. Zero: it holds none.
-func (l *Lead) Epoch() int64 {
+// Epoch returns a number that grows each time this host loses its last worker, or zero while it
+// holds none. As long as the number stays the same, no other host can have completed an inventory
+// without asking this one, so what this host knows of its jobs is valid.
+func (l *Leader) Epoch() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.epochNow()
+	return l.currentEpoch()
 }
 
-// epochNow notices leases that lapsed during a pause before it answers.
-func (l *Lead) epochNow() int64 {
-	l.lease(lease.Tick{})
+// currentEpoch first handles leases that expired during a pause.
+func (l *Leader) currentEpoch() int64 {
+	l.stepLeases(lease.Tick{})
 	if len(l.Leases.Held()) == 0 {
 		return 0
 	}
 	return l.epoch
 }
 
-// SetDomain tells the workers of the failure domain and its live peers.
-func (l *Lead) SetDomain(workers, peers []string) {
+// SetDomain sets the workers of the failure domain and its live peers.
+func (l *Leader) SetDomain(workers, peers []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lease(lease.Known{Workers: workers})
-	l.takeover(takeover.Workers{Names: workers})
-	l.takeover(takeover.Peers{Names: peers})
+	l.stepLeases(lease.DomainWorkers{Workers: workers})
+	l.stepTakeover(takeover.SetWorkers{Names: workers})
+	l.stepTakeover(takeover.SetPeers{Names: peers})
 }
 
-// Inherit takes over jobs whose lead is gone. They go on as far as their tasks
-// are found, and start nothing new before their census is complete.
-func (l *Lead) Inherit(specs []job.Spec) {
+// Inherit takes over jobs whose leader is gone. Tasks that are found running continue, but nothing
+// new is started before the inventory for the job is complete.
+func (l *Leader) Inherit(specs []job.Spec) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	fresh := false
+	added := false
 	for _, s := range specs {
-		if l.leaving || l.knows(s.ID) {
+		if l.leaving || l.hasJob(s.ID) {
 			continue
 		}
-		fresh = true
+		added = true
 		l.Count("lead.inherited")
-		l.note(s.ID, "inherited, waits for the census")
-		l.job(job.Inherit{Spec: s})
-		l.takeover(takeover.Found{Job: s.ID})
+		l.addNote(s.ID, "inherited, waits for the census")
+		l.stepJobs(job.Inherit{Spec: s})
+		l.stepTakeover(takeover.FoundJob{Job: s.ID})
 	}
-	if fresh {
-		l.readAll()
+	if added {
+		l.replayReadings()
 	}
 }
 
-// readAll shows the job core the lists of all held workers again: tasks of a
-// job that is new here may be among them.
-func (l *Lead) readAll() {
+// replayReadings passes the last lists of all held workers to the job state machine again, because
+// they may contain tasks of a job that was just added.
+func (l *Leader) replayReadings() {
 	for _, name := range l.Leases.Held() {
-		if r, ok := l.Leases.Last(name); ok {
-			l.seen(name, r)
+		if r, ok := l.Leases.LastReading(name); ok {
+			l.handleReading(name, r)
 		}
 	}
 }
 
-func (l *Lead) knows(id string) bool {
+func (l *Leader) hasJob(id string) bool {
 	_, err := l.Jobs.Status(id)
 	return err == nil
 }
 
-// Knows tells whether a job is led here, waits here for its census or ended here.
-func (l *Lead) Knows(id string) bool {
+// HasJob reports whether a job is led here, waits here for its inventory, or ended here.
+func (l *Leader) HasJob(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.knows(id)
+	return l.hasJob(id)
 }
 
-// Ended tells how a job ended that was led here; false if it did not.
-func (l *Lead) Ended(id string) (string, bool) {
+// EndState returns how a job that was led here ended. It returns false if the job has not ended
+// here.
+func (l *Leader) EndState(id string) (string, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.Jobs.Ended(id)
 }
 
-// Forfeit forgets an inherited job that another host leads or that has ended.
-func (l *Lead) Forfeit(id string) {
+// ForgetInherited drops an inherited job that another host leads or that has ended.
+func (l *Leader) ForgetInherited(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.Jobs.AwaitsInventory(id) {
 		return
 	}
-	l.takeover(takeover.Gone{Job: id})
-	l.drop(id, false)
+	l.stepTakeover(takeover.GoneJob{Job: id})
+	l.dropJob(id, false)
 }
 
-// Waiting lists the inherited jobs that wait for their census.
-func (l *Lead) Waiting() []string {
+// AwaitingInventory lists the inherited jobs that wait for their inventory.
+func (l *Leader) AwaitingInventory() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.Takeover.Waiting()
 }
 
-// LogRead tells that the log of jobs was read to its end by a question that
-// was sent at asked.
-func (l *Lead) LogRead(asked time.Time) {
+// LogRead reports that the job log was read to its end by a request sent at asked.
+func (l *Leader) LogRead(asked time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.takeover(takeover.Log{Asked: asked})
+	l.stepTakeover(takeover.LogRead{Asked: asked})
 }
 
-func (l *Lead) ended(a job.Ended) {
-	l.takeover(takeover.Gone{Job: a.ID})
-	if l.End == nil {
+func (l *Leader) handleEnd(a job.Ended) {
+	l.stepTakeover(takeover.GoneJob{Job: a.ID})
+	if l.StoreEnd == nil {
 		return
 	}
 	s, err := l.Jobs.Status(a.ID)
 	if err == nil {
-		l.End(a, s.Ran)
+		l.StoreEnd(a, s.Ran)
 	}
 }
 
-// Kept tells that a job's end is in the log, so that its tasks may be forgotten.
-func (l *Lead) Kept(id string) {
+// AckEnd reports that the end of a job is in the log, so that its tasks may be forgotten.
+func (l *Leader) AckEnd(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.job(job.EndStored{ID: id})
+	l.stepJobs(job.EndStored{ID: id})
 }
 
-// Leave makes this host take no job any more, before it hands over what it has.
-func (l *Lead) Leave() {
+// Leave makes this host refuse new jobs. It is called before its jobs are handed over.
+func (l *Leader) Leave() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.leaving = true
 }
 
-// Open lists the jobs that are led here and have not ended, without those that
-// wait for their census.
-func (l *Lead) Open() []job.Spec {
+// OpenJobs lists the jobs that are led here and have not ended, except those that wait for their
+// inventory.
+func (l *Leader) OpenJobs() []job.Spec {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.DeleteFunc(l.Jobs.Open(), func(s job.Spec) bool { return l.Jobs.AwaitsInventory(s.ID) })
 }
 
-// lookAgain is how long after a job was given up its workers are read. A list that was asked for
-// at the same time may not show what was started last.
-const lookAgain = time.Millisecond
+// rereadDelay is the delay between dropping a job and reading its workers again. A list requested
+// at the same instant might not show the most recent start.
+const rereadDelay = time.Millisecond
 
-// drop keeps in mind the starts of a dropped job that may still land: their
-// room stays taken until the worker shows that they did not.
-func (l *Lead) drop(id string, recall bool) {
+// dropJob stops leading a job. It remembers the job's starts that may still arrive; their capacity
+// stays taken until the worker shows that they did not.
+func (l *Leader) dropJob(id string, rememberPlaces bool) {
 	now := l.Clock()
 	if c, ok := l.Jobs.Snapshot(id); ok {
 		for i, t := range c.Tasks {
 			if t.Worker == "" {
 				continue
 			}
-			l.left[t.Worker] = now
-			l.lease(lease.Look{Worker: t.Worker, After: lookAgain})
+			l.lastDropped[t.Worker] = now
+			l.stepLeases(lease.Poll{Worker: t.Worker, After: rereadDelay})
 			if t.State == "unsure" || t.State == "stopping" || t.State == "pausing" {
-				l.loose[job.TaskID(id, i)] = loose{worker: t.Worker, deadline: t.Deadline, since: now}
+				l.untracked[job.TaskID(id, i)] = untrackedRun{worker: t.Worker, deadline: t.Deadline, since: now}
 			}
 		}
 	}
-	l.job(job.Drop{ID: id, RememberPlaces: recall})
+	l.stepJobs(job.Drop{ID: id, RememberPlaces: rememberPlaces})
 }
 
-// demote gives up all jobs when the last worker is lost. Another host may have
-// taken this one for dead and completed a census, so every job needs one of
-// its own again.
-func (l *Lead) demote() {
+// dropAllJobs drops all jobs when the last worker is lost. Another host may have considered this
+// one dead and completed an inventory, so each job needs a new inventory before this host may lead
+// it again.
+func (l *Leader) dropAllJobs() {
 	l.epoch++
 	for _, s := range l.Jobs.Open() {
 		l.Count("lead.forfeited")
-		l.note(s.ID, "its lead held no worker any more")
-		l.takeover(takeover.Gone{Job: s.ID})
-		l.drop(s.ID, true)
+		l.addNote(s.ID, "its lead held no worker any more")
+		l.stepTakeover(takeover.GoneJob{Job: s.ID})
+		l.dropJob(s.ID, true)
 	}
 }
 
-func (l *Lead) takeover(ev takeover.Event) {
+func (l *Leader) stepTakeover(ev takeover.Event) {
 	for _, a := range l.Takeover.Step(l.Clock(), ev) {
 		switch a := a.(type) {
-		case takeover.Ask:
-			if l.Ask != nil {
-				l.Ask()
+		case takeover.AskPeers:
+			if l.RequestInventory != nil {
+				l.RequestInventory()
 			}
-		case takeover.Release:
+		case takeover.ReleaseJob:
 			l.Count("lead.released")
-			l.note(a.Job, "census complete")
-			l.job(job.Release{ID: a.Job, Crashes: l.livesOf(a.Job)})
-		case takeover.Counted:
-			l.counted(a.Key)
-		case takeover.Silent:
+			l.addNote(a.Job, "census complete")
+			l.stepJobs(job.Release{ID: a.Job, Crashes: l.crashCounts(a.Job)})
+		case takeover.ReleaseKey:
+			l.finishCounting(a.Key)
+		case takeover.WorkerSilent:
 			l.Log.Warn("lead: worker is silent for longer than any lease.", "worker", a.Worker)
 			l.Count("lead.silent")
-			delete(l.elsewhere, a.Worker)
-			l.job(job.WorkerList{Worker: a.Worker, LeasesExpired: true})
+			delete(l.countedElsewhere, a.Worker)
+			l.stepJobs(job.WorkerList{Worker: a.Worker, LeasesExpired: true})
 		}
 	}
 }
 
-// watch tells which workers have tasks of own jobs, or tasks that are counted here, but are not
-// held here.
-func (l *Lead) watch() {
+// watchUnheld reports to the takeover state machine which workers have tasks of jobs led here, or
+// counted tasks, but are not held here.
+func (l *Leader) watchUnheld() {
 	held := l.Leases.Held()
 	names := l.Jobs.Workers()
-	for name := range l.elsewhere {
+	for name := range l.countedElsewhere {
 		if !slices.Contains(names, name) {
 			names = append(names, name)
 		}
 	}
 	names = slices.DeleteFunc(names, func(n string) bool { return slices.Contains(held, n) })
-	l.takeover(takeover.Watch{Workers: names})
+	l.stepTakeover(takeover.WatchWorkers{Workers: names})
 }
 
-// clean frees the room of tasks that another host's job, or nobody's, took on
-// a held worker, and lets the worker forget those whose job has ended.
-func (l *Lead) clean(name string, r lease.Reading) {
+// reconcile frees the capacity of tasks on a held worker that are no longer running and that the
+// job state machine does not track, and lets the worker forget those whose jobs have ended.
+func (l *Leader) reconcile(name string, r lease.Reading) {
 	running := map[string]bool{}
 	for _, t := range r.Tasks {
 		if t.State == "running" {
 			running[t.ID] = true
-			l.rooms[t.ID] = name
+			l.taskWorkers[t.ID] = name
 			continue
 		}
 		if l.Jobs.HasTask(t.ID) {
 			continue
 		}
-		if l.Done != nil && l.Done(t.Job) {
+		if l.EndLogged != nil && l.EndLogged(t.Job) {
 			l.forgetStart(name, t.Lease)
 		}
-		l.free(t.ID, name)
+		l.freeCapacity(t.ID, name)
 	}
-	for _, id := range slices.Sorted(maps.Keys(l.rooms)) {
-		if l.rooms[id] == name && !running[id] {
-			l.free(id, name)
+	for _, id := range slices.Sorted(maps.Keys(l.taskWorkers)) {
+		if l.taskWorkers[id] == name && !running[id] {
+			l.freeCapacity(id, name)
 		}
 	}
-	for id, lo := range l.loose {
-		if lo.worker == name && (running[id] || r.Sent.After(lo.since) && r.Clock.After(lo.deadline)) {
-			delete(l.loose, id)
+	for id, run := range l.untracked {
+		if run.worker == name && (running[id] || r.Sent.After(run.since) && r.Clock.After(run.deadline)) {
+			delete(l.untracked, id)
 			if !running[id] {
-				l.free(id, name)
+				l.freeCapacity(id, name)
 			}
 		}
 	}
 }
 
-// free gives the room of a task back unless the job core knows the task and
-// does it itself, or the task runs on another worker by now.
-func (l *Lead) free(id, name string) {
-	if at, ok := l.rooms[id]; ok && at != name {
+// freeCapacity releases the capacity of a task, unless the task now runs on another worker or the
+// job state machine tracks it and releases the capacity itself.
+func (l *Leader) freeCapacity(id, name string) {
+	if at, ok := l.taskWorkers[id]; ok && at != name {
 		return
 	}
-	delete(l.rooms, id)
+	delete(l.taskWorkers, id)
 	if !l.Jobs.HasTask(id) {
-		l.place(place.Freed{Task: id})
+		l.stepPlacement(place.Freed{Task: id})
 	}
 }
 
-func (l *Lead) forgetStart(name, start string) {
-	if start != "" && !slices.Contains(l.forget[name], start) {
-		l.forget[name] = append(l.forget[name], start)
+func (l *Leader) forgetStart(name, start string) {
+	if start != "" && !slices.Contains(l.toForget[name], start) {
+		l.toForget[name] = append(l.toForget[name], start)
 	}
 }
 
-// Leads tells whether a job is led here and waits for no census.
-func (l *Lead) Leads(id string) bool {
+// Leads reports whether a job is led here and does not wait for an inventory.
+func (l *Leader) Leads(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.knows(id) && !l.Jobs.AwaitsInventory(id)
+	return l.hasJob(id) && !l.Jobs.AwaitsInventory(id)
 }
--- a/internal/lead/lead_test.go
+++ b/internal/lead/lead_test.go
@@ -22,10 +22,9 @@
 	"pollencroft/internal/worker"
 )
 
-// A host is paused for longer than its leases and loses all its workers in
-// one step. What the first one's loss makes room for must not be started on
-// the next, which is lost as well; the host used to die of endless recursion
-// instead, and its callers saw their connections reset.
+// A host is paused for longer than its leases and loses all its workers in one step. Capacity that
+// the first lost worker frees must not lead to a start on the next worker, which is lost as well.
+// That caused endless recursion, which crashed the host and reset the connections of its callers.
 func TestAllWorkersLostAtOnce(t *testing.T) {
 	var passed atomic.Int64
 	clock := func() time.Time { return time.Now().Add(time.Duration(passed.Load())) }
@@ -39,12 +38,12 @@
 	row := table.Row{Limits: table.Limits{Tasks: 1}}
 	l := lead.New(t.Context(), lead.Deps{
 		Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: job.New(),
-		Takeover: takeover.New("h", takeover.Limits{Longest: time.Minute, Every: time.Second}), Workers: worker.New("h", 1, nil, clock),
-		Ask: func() {}, Done: func(string) bool { return false }, End: func(job.Ended, bool) {},
-		Row:   func(string) (table.Row, int64) { return row, 1 },
-		Trail: trail.New(10), Clock: clock, Log: slog.New(slog.DiscardHandler),
+		Takeover: takeover.New("h", takeover.Limits{LongestLease: time.Minute, AskInterval: time.Second}), Workers: worker.New("h", 1, nil, clock),
+		RequestInventory: func() {}, EndLogged: func(string) bool { return false }, StoreEnd: func(job.Ended, bool) {},
+		Row:     func(string) (table.Row, int64) { return row, 1 },
+		History: trail.New(10), Clock: clock, Log: slog.New(slog.DiscardHandler),
 	})
-	l.SetMachines(machines)
+	l.SetLedMachines(machines)
 	require.Eventually(t, func() bool { l.Tick(); return len(l.Held()) == 2 }, 30*time.Second, 5*time.Millisecond)
 	spec := func(id string) job.Spec {
 		return job.Spec{ID: "d.r." + id, Tasks: 1, Size: size, Time: cell.Duration{Duration: 2 * time.Hour}, Tries: 1}
--- a/internal/lead/place_test.go
+++ b/internal/lead/place_test.go
@@ -23,43 +23,43 @@
 	"pollencroft/internal/worker"
 )
 
-// fleet is a lead of stand-in workers.
+// fleet is a Leader with simulated workers that it reaches over HTTP.
 type fleet struct {
-	*lead.Lead
+	*lead.Leader
 	t       *testing.T
 	over    *standin.Oversight
 	workers []*standin.Worker
-	// addresses are where the workers are reached, in the same order.
+	// addresses are the addresses of the workers, in the same order.
 	addresses []netip.AddrPort
 }
 
-var whole = cell.Size{CPU: 4000, Mem: 4 << 30}
+var fleetWorkerSize = cell.Size{CPU: 4000, Mem: 4 << 30}
 
 func newFleet(t *testing.T, n int, rows map[string]table.Row) *fleet {
 	f := &fleet{t: t, over: standin.NewOversight()}
 	var machines []lead.Machine
 	for i := range n {
-		w := standin.NewWorker(whole, f.over, time.Now)
+		w := standin.NewWorker(fleetWorkerSize, f.over, time.Now)
 		srv := httptest.NewServer(w.Handler())
 		t.Cleanup(srv.Close)
 		f.workers = append(f.workers, w)
 		addr := netip.MustParseAddrPort(srv.Listener.Addr().String())
 		f.addresses = append(f.addresses, addr)
-		machines = append(machines, lead.Machine{Name: fmt.Sprintf("w%d", i), Rack: "r", Address: addr, Size: whole})
+		machines = append(machines, lead.Machine{Name: fmt.Sprintf("w%d", i), Rack: "r", Address: addr, Size: fleetWorkerSize})
 	}
-	f.Lead = lead.New(t.Context(), lead.Deps{
+	f.Leader = lead.New(t.Context(), lead.Deps{
 		Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: job.New(),
-		Takeover: takeover.New("h", takeover.Limits{Longest: time.Minute, Every: time.Second}), Workers: worker.New("h", 1, nil, time.Now),
-		Ask: func() {}, Done: func(string) bool { return false }, End: func(job.Ended, bool) {},
-		Row:   func(name string) (table.Row, int64) { return rows[name], 1 },
-		Trail: trail.New(1000), Clock: time.Now, Log: slog.New(slog.DiscardHandler),
+		Takeover: takeover.New("h", takeover.Limits{LongestLease: time.Minute, AskInterval: time.Second}), Workers: worker.New("h", 1, nil, time.Now),
+		RequestInventory: func() {}, EndLogged: func(string) bool { return false }, StoreEnd: func(job.Ended, bool) {},
+		Row:     func(name string) (table.Row, int64) { return rows[name], 1 },
+		History: trail.New(1000), Clock: time.Now, Log: slog.New(slog.DiscardHandler),
 	})
-	f.SetMachines(machines)
+	f.SetLedMachines(machines)
 	f.until(func() bool { return len(f.Held()) == n })
 	return f
 }
 
-// until lets time pass until the condition holds.
+// until ticks the Leader until the condition holds.
 func (f *fleet) until(holds func() bool) {
 	f.t.Helper()
 	require.Eventually(f.t, func() bool { f.Tick(); return holds() }, 30*time.Second, 5*time.Millisecond)
@@ -74,7 +74,7 @@
 	require.NoError(f.t, err)
 }
 
-func (f *fleet) is(id, state string) func() bool {
+func (f *fleet) hasState(id, state string) func() bool {
 	return func() bool { s, err := f.Status("d.r." + id); return err == nil && s.State == state }
 }
 
@@ -86,8 +86,9 @@
 	return strings.Join(all, "\n")
 }
 
-// honest checks what the workers themselves saw.
-func (f *fleet) honest() {
+// requireConsistent checks the workers' own records: no task ran twice at once and no worker was
+// overfilled.
+func (f *fleet) requireConsistent() {
 	f.t.Helper()
 	require.Empty(f.t, f.over.Doubled())
 	for _, w := range f.workers {
@@ -95,44 +96,44 @@
 	}
 }
 
-// A night's bulk work holds all room when a gate needs an urgent job. A bulk
-// task is checkpointed and stopped, the urgent one runs in its place, and the
-// bulk task runs again afterwards; both trails say so.
-func TestUrgentJobStopsBulkOverTheWire(t *testing.T) {
+// Bulk work takes all capacity when an urgent job arrives. One bulk task is checkpointed and
+// stopped, the urgent job runs in its place, and the bulk task runs again afterwards. The history
+// of the bulk job shows the reason.
+func TestUrgentJobPreemptsBulkTask(t *testing.T) {
 	f := newFleet(t, 1, map[string]table.Row{"gate": {Class: "urgent"}, "badges": {Class: "bulk"}})
 	f.submit("bulk", "badges", cell.Bulk, 900, 2, time.Hour)
 	f.until(func() bool { s, _ := f.Status("d.r.bulk"); return s.Tasks["running"] == 2 })
 	f.submit("gate", "gate", cell.Urgent, 1000, 1, 300*time.Millisecond)
-	f.until(f.is("gate", "ended"))
+	f.until(f.hasState("gate", "ended"))
 	require.Contains(t, f.notes("bulk"), "urgent job d.r.gate found no room")
 	f.until(func() bool { s, _ := f.Status("d.r.bulk"); return s.Tasks["running"] == 2 })
-	f.honest()
+	f.requireConsistent()
 }
 
-// One worker fails everything at once and so always has room. It is set aside
-// after a few tasks instead of swallowing the queue, and the jobs end.
-func TestBlackHoleDoesNotSwallowTheQueue(t *testing.T) {
+// One worker fails every task at once and therefore always has free capacity. It must be
+// quarantined after a few tasks instead of failing the whole queue, and all jobs must end.
+func TestWorkerThatFailsEverythingIsQuarantined(t *testing.T) {
 	f := newFleet(t, 5, map[string]table.Row{"menu": {Class: "normal"}})
 	f.workers[0].SetFaults(standin.WorkerFaults{FailAll: true})
 	for i := range 200 {
 		f.submit(fmt.Sprint(i), "menu", cell.Normal, 1000, 1, 50*time.Millisecond)
 	}
 	for i := range 200 {
-		f.until(f.is(fmt.Sprint(i), "ended"))
+		f.until(f.hasState(fmt.Sprint(i), "ended"))
 	}
 	require.LessOrEqual(t, len(f.workers[0].Record().Started), 12)
-	f.honest()
+	f.requireConsistent()
 }
 
-// A job waits and its owner asks why. The nearest limit is named; one that can
-// never run is refused at once.
+// Explain names the limit that a waiting job has reached. A job that can never run is refused at
+// once.
 func TestExplainNamesWhatAJobWaitsFor(t *testing.T) {
 	f := newFleet(t, 1, map[string]table.Row{"menu": {Class: "normal", Limits: table.Limits{Tasks: 1}}})
 	f.submit("a", "menu", cell.Normal, 500, 1, time.Hour)
 	f.submit("b", "menu", cell.Normal, 500, 1, time.Hour)
 	require.Contains(t, f.notes("b"), "its row runs as many tasks as its limit allows")
 	_, err := f.Check(job.Spec{ID: "d.r.c", Row: "menu", Tasks: 1, Size: cell.Size{CPU: 5000, Mem: 1}})
-	var never *lead.NeverError
+	var never *lead.UnschedulableError
 	require.ErrorAs(t, err, &never)
 	require.Contains(t, never.Reason, "cpu of the largest worker")
 }
--- a/internal/lead/rack.go
+++ b/internal/lead/rack.go
@@ -9,83 +9,87 @@
 )
 
 const (
-	// rackWait is how long the list of a worker in a new life waits for a sign of its rack.
-	rackWait = 2 * time.Second
-	// rackApart is how far apart the workers of a rack come back that was lost as a whole.
-	rackApart = 30 * time.Second
-	// rackLook is how often the worker is read meanwhile.
-	rackLook = 250 * time.Millisecond
+	// rackDecisionTimeout is how long the list of a restarted worker is held back while it is
+	// unclear whether the other workers of its rack still run.
+	rackDecisionTimeout = 2 * time.Second
+	// rackRestartSpread is the longest time between the restarts of workers whose rack failed as a
+	// whole.
+	rackRestartSpread = 30 * time.Second
+	// rackPollInterval is how often a worker is read during that wait.
+	rackPollInterval = 250 * time.Millisecond
 )
 
-// life is one life of a worker. Since is when it was first seen; zero: it is the first one that
-// this host saw. Open tells that its list waits for a sign of the rack, lost that there was none.
-type life struct {
-	name       string
-	since      time.Time
-	open, lost bool
+// incarnation is one incarnation of a worker. since is when it was first seen, or zero if it is the
+// first one that this host saw. undecided means that it is not known yet whether the whole rack was
+// lost; rackLost means that it was.
+type incarnation struct {
+	name                string
+	since               time.Time
+	undecided, rackLost bool
 }
 
-// rackLost tells whether a worker began a new life together with all of its rack, which is no
-// fault of the tasks that ran there. With wait set that is not known yet.
-func (l *Lead) rackLost(name string, r lease.Reading) (lost, wait bool) {
+// wholeRackLost reports whether a worker restarted together with its whole rack, so that the
+// restart does not count against the tasks that ran there. If wait is true, that is not known yet.
+func (l *Leader) wholeRackLost(name string, r lease.Reading) (lost, wait bool) {
 	now := l.Clock()
-	w := l.lives[name]
+	w := l.incarnations[name]
 	switch {
-	case r.Life == "":
+	case r.Incarnation == "":
 		return false, false
 	case w == nil:
-		w = &life{name: r.Life}
-		l.lives[name] = w
-	case w.name != r.Life:
-		*w = life{name: r.Life, since: now, open: true}
+		w = &incarnation{name: r.Incarnation}
+		l.incarnations[name] = w
+	case w.name != r.Incarnation:
+		*w = incarnation{name: r.Incarnation, since: now, undecided: true}
 	}
-	if !w.open {
-		l.lookAtOpen(name)
-		return w.lost, false
+	if !w.undecided {
+		l.rereadUndecided(name)
+		return w.rackLost, false
 	}
-	mates := l.mates(name)
-	alive, silent := l.signs(mates, w.since)
+	others := l.rackPeers(name)
+	alive, silent := l.rackSigns(others, w.since)
 	switch {
-	case alive || len(mates) == 0:
-		w.open = false
+	case alive || len(others) == 0:
+		w.undecided = false
 		return false, false
-	case silent && now.Sub(w.since) < rackWait:
-		for _, mate := range mates {
-			l.lease(lease.Look{Worker: mate, After: lookAgain})
+	case silent && now.Sub(w.since) < rackDecisionTimeout:
+		for _, other := range others {
+			l.stepLeases(lease.Poll{Worker: other, After: rereadDelay})
 		}
-		l.lease(lease.Look{Worker: name, After: rackLook})
+		l.stepLeases(lease.Poll{Worker: name, After: rackPollInterval})
 		return false, true
 	}
-	w.open, w.lost = false, true
-	l.Log.Warn("lead: whole rack was lost.", "rack", l.machines[name].Rack, "worker", name)
+	w.undecided, w.rackLost = false, true
+	l.Log.Warn("lead: all workers of a rack restarted together.", "rack", l.machines[name].Rack, "worker", name)
 	return true, false
 }
 
-// mates are the workers of a worker's rack that are held here or were a short while ago.
-func (l *Lead) mates(name string) []string {
+// rackPeers lists the other workers of a worker's rack that are held here or were held until
+// recently.
+func (l *Leader) rackPeers(name string) []string {
 	held := l.Leases.Held()
-	var mates []string
+	var others []string
 	for _, other := range slices.Sorted(maps.Keys(l.machines)) {
 		if other == name || l.machines[other].Rack != l.machines[name].Rack {
 			continue
 		}
-		lost, ok := l.held[other]
-		if slices.Contains(held, other) || ok && l.Clock().Sub(lost) < rackApart {
-			mates = append(mates, other)
+		lost, ok := l.lastHeld[other]
+		if slices.Contains(held, other) || ok && l.Clock().Sub(lost) < rackRestartSpread {
+			others = append(others, other)
 		}
 	}
-	return mates
+	return others
 }
 
-// signs tells whether some worker has gone on with its life since then, and whether some has given
-// no sign.
-func (l *Lead) signs(mates []string, since time.Time) (alive, silent bool) {
-	for _, mate := range mates {
-		r, held := l.Leases.Last(mate)
-		w := l.lives[mate]
+// rackSigns reports whether at least one of the workers has continued its incarnation after since,
+// and whether at least one has not been heard from.
+func (l *Leader) rackSigns(workers []string, since time.Time) (alive, silent bool) {
+	for _, other := range workers {
+		r, held := l.Leases.LastReading(other)
+		w := l.incarnations[other]
 		switch {
-		case w != nil && !w.since.IsZero() && since.Sub(w.since) < rackApart:
-		case held && r.Sent.After(since) && (w == nil || w.name == r.Life):
+		case w != nil && !w.since.IsZero() && since.Sub(w.since) < rackRestartSpread:
+		case held && r.Sent.After(since) && (w == nil || w.name == r.Incarnation):
 			alive = true
 		default:
 			silent = true
@@ -94,11 +98,12 @@
 	return alive, silent
 }
 
-// lookAtOpen reads the workers again whose lists wait for a sign of the rack.
-func (l *Lead) lookAtOpen(mate string) {
-	for _, name := range slices.Sorted(maps.Keys(l.lives)) {
-		if l.lives[name].open && l.machines[name].Rack == l.machines[mate].Rack {
-			l.lease(lease.Look{Worker: name, After: lookAgain})
+// rereadUndecided reads the workers of a rack again for which it is not decided yet whether the
+// rack was lost.
+func (l *Leader) rereadUndecided(worker string) {
+	for _, name := range slices.Sorted(maps.Keys(l.incarnations)) {
+		if l.incarnations[name].undecided && l.machines[name].Rack == l.machines[worker].Rack {
+			l.stepLeases(lease.Poll{Worker: name, After: rereadDelay})
 		}
 	}
 }
--- a/internal/lease/fault_test.go
+++ b/internal/lease/fault_test.go
@@ -10,11 +10,11 @@
 	"pollencroft/internal/lease"
 )
 
-func reading(sent time.Time, tasks ...lease.Task) lease.Reading {
-	return lease.Reading{Sent: sent, Clock: sent, Left: 3 * time.Second, Lease: "7", Mark: int64(len(tasks)), Tasks: tasks}
+func newReading(sent time.Time, tasks ...lease.Task) lease.Reading {
+	return lease.Reading{Sent: sent, Clock: sent, Remaining: 3 * time.Second, Lease: "7", Cursor: int64(len(tasks)), Tasks: tasks}
 }
 
-func kinds[T lease.Action](acts []lease.Action) []T {
+func actionsOf[T lease.Action](acts []lease.Action) []T {
 	var found []T
 	for _, a := range acts {
 		if a, ok := a.(T); ok {
@@ -26,32 +26,32 @@
 
 func running(id string) lease.Task { return lease.Task{ID: id, State: "running"} }
 
-// Two renewals cross on the network, and the answer to the older one arrives
-// last. Taken for the newer, it would hide a task that was started in between,
-// and the task would be started a second time elsewhere.
+// Two renewals overtake each other on the network, and the answer to the older one arrives last. If
+// it were used as the newer one, it would hide a task that was started in between, and the task
+// would be started a second time elsewhere.
 func TestOlderAnswerDoesNotReplaceANewer(t *testing.T) {
 	l := lease.New(limits)
-	hold(t, l)
+	holdWorker(t, l)
 	newer, older := start.Add(1500*time.Millisecond), start.Add(time.Second)
-	acts := l.Step(newer, lease.Renewed{Worker: "w1", Reading: reading(newer, running("t"))})
-	require.Len(t, kinds[lease.Seen](acts)[0].Tasks, 1)
-	acts = l.Step(newer, lease.Renewed{Worker: "w1", Reading: reading(older)})
-	require.Empty(t, kinds[lease.Seen](acts))
-	r, _ := l.Last("w1")
+	acts := l.Step(newer, lease.Renewed{Worker: "w1", Reading: newReading(newer, running("t"))})
+	require.Len(t, actionsOf[lease.Updated](acts)[0].Tasks, 1)
+	acts = l.Step(newer, lease.Renewed{Worker: "w1", Reading: newReading(older)})
+	require.Empty(t, actionsOf[lease.Updated](acts))
+	r, _ := l.LastReading("w1")
 	require.Len(t, r.Tasks, 1)
-	require.Empty(t, kinds[lease.Down](l.Step(newer, lease.Refused{Worker: "w1", Sent: older})))
+	require.Empty(t, actionsOf[lease.Down](l.Step(newer, lease.Refused{Worker: "w1", Sent: older})))
 }
 
-// The answer to a renewal is lost. The host does not know whether its lease
-// was lengthened, so it counts on the old one only, and tries again in time.
+// The answer to a renewal is lost. The host does not know whether its lease was extended, so it
+// relies only on the old one and retries in time.
 func TestLostRenewalIsTriedAgainBeforeTheLeaseLapses(t *testing.T) {
 	l := lease.New(limits)
-	hold(t, l)
+	holdWorker(t, l)
 	sent := 0
 	for now := start; now.Before(start.Add(2900 * time.Millisecond)); now = now.Add(50 * time.Millisecond) {
-		for range kinds[lease.Renew](l.Step(now, lease.Tick{})) {
+		for range actionsOf[lease.Renew](l.Step(now, lease.Tick{})) {
 			sent++
-			l.Step(now, lease.Lost{Worker: "w1"})
+			l.Step(now, lease.Unanswered{Worker: "w1"})
 		}
 	}
 	require.GreaterOrEqual(t, sent, 3)
@@ -59,74 +59,74 @@
 	require.False(t, ok)
 }
 
-// The host's clock runs 1 % too slow and the worker's 1 % too fast. The host
-// must stop starting tasks before the worker gives the anchor to another host.
+// The host's clock runs 1 % too slow and the worker's 1 % too fast. The host must stop starting
+// tasks before the worker gives the anchor to another host.
 func TestDriftingClocksDoNotStretchALease(t *testing.T) {
 	l := lease.New(limits)
-	hold(t, l)
+	holdWorker(t, l)
 	lapsed := 3 * time.Second * 99 / 101
 	_, ok := l.Deadline(start.Add(lapsed), "w1")
 	require.False(t, ok)
 }
 
-// A host loses a rack while a start to one of its workers is on its way. If it
-// gave the worker back at once, the next holder would read an empty list, fill
-// the worker, and the start would arrive on top.
-func TestAnchorIsNotGivenBackUnderAStart(t *testing.T) {
+// A host has to give up a rack while a start to one of its workers is in flight. If it released the
+// worker at once, the next holder would read an empty task list and fill the worker, and the start
+// would arrive in addition.
+func TestAnchorIsNotReleasedDuringAStart(t *testing.T) {
 	l := lease.New(limits)
-	hold(t, l)
-	l.Step(start, lease.Sent{Worker: "w1", Task: "t"})
-	acts := l.Step(start, lease.Lead{})
-	require.Len(t, kinds[lease.Down](acts), 1)
-	require.Empty(t, kinds[lease.Give](acts))
+	holdWorker(t, l)
+	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
+	acts := l.Step(start, lease.Wanted{})
+	require.Len(t, actionsOf[lease.Down](acts), 1)
+	require.Empty(t, actionsOf[lease.Release](acts))
 	_, ok := l.Deadline(start, "w1")
-	require.False(t, ok, "a worker that is given up gets no new start")
-	sure := l.Step(start.Add(time.Second), lease.Answered{Worker: "w1", Task: "t", Sure: true})
-	require.Equal(t, []lease.Give{{Worker: "w1", Lease: ""}}, kinds[lease.Give](sure))
+	require.False(t, ok, "a worker that is no longer wanted gets no new start")
+	sure := l.Step(start.Add(time.Second), lease.StartAnswered{Worker: "w1", Task: "t", OutcomeKnown: true})
+	require.Equal(t, []lease.Release{{Worker: "w1", Lease: ""}}, actionsOf[lease.Release](sure))
 }
 
-// Guards against an overfull worker: a task is started again on the worker while the answer to
-// its former start is still to come; that answer must not free the anchor under the second start.
-func TestAnchorIsNotGivenBackUnderASecondStartOfATask(t *testing.T) {
+// Guards against an overfilled worker: a task is started again on the worker while the answer to
+// its first start is outstanding. That answer must not release the anchor during the second start.
+func TestAnchorIsNotReleasedDuringASecondStart(t *testing.T) {
 	l := lease.New(limits)
-	hold(t, l)
-	l.Step(start, lease.Sent{Worker: "w1", Task: "t"})
-	l.Step(start, lease.Sent{Worker: "w1", Task: "t"})
-	require.Empty(t, kinds[lease.Give](l.Step(start, lease.Lead{})))
-	require.Empty(t, kinds[lease.Give](l.Step(start, lease.Answered{Worker: "w1", Task: "t", Sure: true})))
-	require.Len(t, kinds[lease.Give](l.Step(start, lease.Answered{Worker: "w1", Task: "t", Sure: true})), 1)
+	holdWorker(t, l)
+	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
+	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
+	require.Empty(t, actionsOf[lease.Release](l.Step(start, lease.Wanted{})))
+	require.Empty(t, actionsOf[lease.Release](l.Step(start, lease.StartAnswered{Worker: "w1", Task: "t", OutcomeKnown: true})))
+	require.Len(t, actionsOf[lease.Release](l.Step(start, lease.StartAnswered{Worker: "w1", Task: "t", OutcomeKnown: true})), 1)
 }
 
-// The answer to that start is lost: nobody knows whether it will still land.
-// The anchor is left to lapse, since the start is dead by then.
-func TestAnchorLapsesUnderAnUnsureStart(t *testing.T) {
+// The answer to a start is lost, so it is unknown whether the start will still arrive. The anchor
+// is left to lapse, since the start can no longer be carried out after that.
+func TestAnchorLapsesAfterAStartOfUnknownOutcome(t *testing.T) {
 	l := lease.New(limits)
-	hold(t, l)
-	l.Step(start, lease.Sent{Worker: "w1", Task: "t"})
-	l.Step(start, lease.Lead{})
-	require.Empty(t, kinds[lease.Give](l.Step(start.Add(time.Second), lease.Answered{Worker: "w1", Task: "t"})))
-	require.Empty(t, kinds[lease.Give](l.Step(start.Add(4*time.Second), lease.Tick{})))
+	holdWorker(t, l)
+	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
+	l.Step(start, lease.Wanted{})
+	require.Empty(t, actionsOf[lease.Release](l.Step(start.Add(time.Second), lease.StartAnswered{Worker: "w1", Task: "t"})))
+	require.Empty(t, actionsOf[lease.Release](l.Step(start.Add(4*time.Second), lease.Tick{})))
 }
 
-// A task ends long before the next renewal is due. Its room must not stay
-// empty until then; a task that runs longer than declared is looked for less
-// and less often, so that wrong times cost no flood of questions.
-func TestWorkerIsReadWhenATaskShouldHaveEnded(t *testing.T) {
+// A task ends long before the next renewal is due. Its capacity must not stay unused until then. A
+// task that runs longer than declared is polled less and less often, so that wrong run times do not
+// cause a flood of requests.
+func TestWorkerIsPolledWhenATaskShouldHaveEnded(t *testing.T) {
 	slow := limits
 	slow.TTL = 30 * time.Second
 	l := lease.New(slow)
-	l.Step(start, lease.Lead{Workers: []string{"w1"}})
-	r := reading(start)
-	r.Left = 30 * time.Second
+	l.Step(start, lease.Wanted{Workers: []string{"w1"}})
+	r := newReading(start)
+	r.Remaining = 30 * time.Second
 	l.Step(start, lease.Granted{Worker: "w1", Reading: r})
-	l.Step(start, lease.Sent{Worker: "w1", Task: "t"})
-	l.Step(start, lease.Answered{Worker: "w1", Task: "t", Sure: true, Run: time.Second})
+	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
+	l.Step(start, lease.StartAnswered{Worker: "w1", Task: "t", OutcomeKnown: true, RunTime: time.Second})
 	var at []time.Duration
 	for now := start; now.Before(start.Add(11 * time.Second)); now = now.Add(10 * time.Millisecond) {
-		if len(kinds[lease.Renew](l.Step(now, lease.Tick{}))) > 0 {
+		if len(actionsOf[lease.Renew](l.Step(now, lease.Tick{}))) > 0 {
 			at = append(at, now.Sub(start))
-			r := reading(now, running("t"))
-			r.Left = 30 * time.Second
+			r := newReading(now, running("t"))
+			r.Remaining = 30 * time.Second
 			l.Step(now, lease.Renewed{Worker: "w1", Reading: r})
 		}
 	}
@@ -134,45 +134,45 @@
 	require.Less(t, len(at), 8, at)
 }
 
-// One host leads many workers. The leases grow so that the renewals keep to
-// their budget, and never fall below three seconds.
+// One host leads many workers. The leases get longer so that the renewals stay within their budget,
+// and they never get shorter than three seconds.
 func TestLeasesFollowTheByteBudget(t *testing.T) {
 	l := lease.New(lease.DefaultLimits)
-	l.Step(start, lease.Lead{Workers: []string{"w1"}})
+	l.Step(start, lease.Wanted{Workers: []string{"w1"}})
 	require.Equal(t, 3*time.Second, l.TTL())
 	names := make([]string, 46)
 	for i := range names {
 		names[i] = string(rune('A' + i))
 	}
-	l.Step(start, lease.Lead{Workers: names})
-	bytes := 46 * float64(lease.DefaultLimits.Cost) / (l.TTL().Seconds() * 2 / 5)
-	require.LessOrEqual(t, bytes, float64(lease.DefaultLimits.Budget)*1.01)
-	require.Greater(t, lease.DefaultLimits.Long, 2*l.TTL(), "tasks outlive their lead")
+	l.Step(start, lease.Wanted{Workers: names})
+	bytes := 46 * float64(lease.DefaultLimits.RenewalBytes) / (l.TTL().Seconds() * 2 / 5)
+	require.LessOrEqual(t, bytes, float64(lease.DefaultLimits.BytesPerSecond)*1.01)
+	require.Greater(t, lease.DefaultLimits.TaskTTL, 2*l.TTL(), "tasks survive the failure of their leader")
 	for len(names) < 5000 {
 		names = append(names, strconv.Itoa(len(names)))
 	}
-	l.Step(start, lease.Lead{Workers: names})
-	require.LessOrEqual(t, l.TTL(), lease.DefaultLimits.Long/3, "no start outlasts a census")
+	l.Step(start, lease.Wanted{Workers: names})
+	require.LessOrEqual(t, l.TTL(), lease.DefaultLimits.TaskTTL/3, "no start lasts longer than an inventory waits for a silent worker")
 }
 
-// Guards against an overfull worker: a host gives a rack up and gets it back while a start is
-// under way, and the list that it read before does not show the task.
+// Guards against an overfilled worker: a host gives up a rack and gets it back while a start is in
+// flight, and the task list that it read before does not contain the task.
 func TestWorkerIsLedAgainOnlyWithAListOfAllItsStarts(t *testing.T) {
 	l := lease.New(limits)
-	hold(t, l)
-	l.Step(start, lease.Sent{Worker: "w1", Task: "t"})
-	require.Len(t, kinds[lease.Down](l.Step(start, lease.Lead{})), 1)
+	holdWorker(t, l)
+	l.Step(start, lease.StartSent{Worker: "w1", Task: "t"})
+	require.Len(t, actionsOf[lease.Down](l.Step(start, lease.Wanted{})), 1)
 	at := start.Add(100 * time.Millisecond)
-	acts := l.Step(at, lease.Lead{Workers: []string{"w1"}})
-	require.Empty(t, kinds[lease.Up](acts))
-	require.Len(t, kinds[lease.Renew](acts), 1, "its list is read at once")
-	require.Empty(t, kinds[lease.Up](l.Step(at, lease.Renewed{Worker: "w1", Reading: reading(at)})), "the start may still land")
+	acts := l.Step(at, lease.Wanted{Workers: []string{"w1"}})
+	require.Empty(t, actionsOf[lease.Up](acts))
+	require.Len(t, actionsOf[lease.Renew](acts), 1, "its task list is read at once")
+	require.Empty(t, actionsOf[lease.Up](l.Step(at, lease.Renewed{Worker: "w1", Reading: newReading(at)})), "the start may still arrive")
 	_, ok := l.Deadline(at, "w1")
 	require.False(t, ok)
 	at = at.Add(100 * time.Millisecond)
-	require.Len(t, kinds[lease.Renew](l.Step(at, lease.Answered{Worker: "w1", Task: "t", Sure: true})), 1)
+	require.Len(t, actionsOf[lease.Renew](l.Step(at, lease.StartAnswered{Worker: "w1", Task: "t", OutcomeKnown: true})), 1)
 	later := at.Add(100 * time.Millisecond)
-	up := kinds[lease.Up](l.Step(later, lease.Renewed{Worker: "w1", Reading: reading(later, running("t"))}))
+	up := actionsOf[lease.Up](l.Step(later, lease.Renewed{Worker: "w1", Reading: newReading(later, running("t"))}))
 	require.Len(t, up, 1)
 	require.Len(t, up[0].Tasks, 1)
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,6 +1,6 @@
-// Package lease decides which workers this host may start tasks on. The right
-// to a worker is a lease on its anchor, which the worker itself keeps; this
-// core only knows how long it surely still has it.
+// Package lease decides on which workers this host may start tasks. The right to a worker is a
+// lease on its anchor, which the worker itself stores. This core only tracks until when the host
+// certainly still holds it.
 package lease
 
 import (
@@ -11,99 +11,102 @@
 	"pollencroft/internal/chart"
 )
 
-// drift is the part of a lease that this host leaves unused, so that a clock
-// that runs 1 % too slow cannot make it believe in a lease that has lapsed.
-const drift = 50
+// driftDivisor is the inverse of the fraction of a lease that this host leaves unused, so that it
+// does not rely on a lapsed lease if its clock runs 1 % too slow.
+const driftDivisor = 50
 
-var life = chart.MustLoad("lease")
+var leaseChart = chart.MustLoad("lease")
 
 type worker struct {
-	state chart.State
-	want  bool
-	// up tells that this host was told that it leads the worker.
-	up    bool
-	until time.Time
-	next  time.Time
-	// reading is the last answer, with all tasks that the worker lists.
+	state  chart.State
+	wanted bool
+	// led is set between Up and Down: this host was notified that it leads the worker.
+	led          bool
+	validUntil   time.Time
+	nextExchange time.Time
+	// reading is the last answer of the worker. tasks are all tasks that it lists, also those that
+	// did not change in the last answer.
 	reading Reading
 	tasks   map[string]Task
-	// flying counts by task the starts without an answer. risk is when the last start whose
-	// answer was lost is surely dead.
-	flying map[string]int
-	risk   time.Time
-	over   time.Time
-	// started is when the last start was answered: an older list may not show its task.
-	started time.Time
-	// looks are the times at which started tasks are expected to end.
-	looks map[string]time.Time
-	// life is the worker's life as it was last told. former is when the starts that other hosts
-	// sent to an earlier one are surely dead.
-	life   string
-	former time.Time
-	// waits is the life for which it was told that the worker is waited for.
-	waits string
-	// known tells that the worker is one of the failure domain, meet is when to ask for its life.
-	known bool
-	meet  time.Time
+	// inFlight counts, by task, the starts that have no answer yet. After lostStartsUntil, no start
+	// whose answer was lost can be carried out any more.
+	inFlight        map[string]int
+	lostStartsUntil time.Time
+	lapsesBy        time.Time
+	// lastStartAnswer is when the last start was answered. A task list that was requested earlier
+	// may not show its task.
+	lastStartAnswer time.Time
+	// expectedEnds are the times, by task, at which started tasks are expected to end.
+	expectedEnds map[string]time.Time
+	// incarnation is the last known incarnation of the worker. After staleStartsUntil, no start
+	// that other hosts sent to an earlier incarnation can be carried out any more.
+	incarnation      string
+	staleStartsUntil time.Time
+	// awaitedIncarnation is the incarnation for which AwaitStarts was issued.
+	awaitedIncarnation string
+	// inDomain is set if the worker belongs to the failure domain. nextIncarnationQuery is when to
+	// ask for its incarnation.
+	inDomain             bool
+	nextIncarnationQuery time.Time
 }
 
-// Leases is the lease core of one host.
+// Leases is the lease core of one host. It does no I/O.
 type Leases struct {
 	limits  Limits
 	workers map[string]*worker
 }
 
-// New returns a core that holds nothing.
+// New returns a core that holds no lease.
 func New(limits Limits) *Leases { return &Leases{limits: limits, workers: map[string]*worker{}} }
 
-// Step takes one event and returns what to ask of workers and what changed.
+// Step applies one event and returns what to ask of workers and what changed.
 func (l *Leases) Step(now time.Time, ev Event) []Action {
 	var acts []Action
 	switch ev := ev.(type) {
-	case Lead:
-		acts = l.lead(now, ev.Workers)
+	case Wanted:
+		acts = l.setWanted(now, ev.Workers)
 	case Granted:
 		acts = l.granted(now, ev)
 	case Renewed:
 		acts = l.renewed(now, ev)
 	case Refused:
 		acts = l.refused(now, ev)
-	case Lost:
-		l.lost(now, ev.Worker)
-	case Known:
-		l.know(now, ev.Workers)
-	case Met:
-		l.met(now, ev)
-	case Vouched:
-		l.vouched(now, ev)
-	case Sent:
-		l.sent(ev)
-	case Answered:
-		l.answered(now, ev)
-	case Look:
-		l.look(now, ev)
-	case Release:
-		acts = l.lead(now, nil)
+	case Unanswered:
+		l.unanswered(now, ev.Worker)
+	case DomainWorkers:
+		l.setDomainWorkers(now, ev.Workers)
+	case IncarnationLearned:
+		l.incarnationLearned(now, ev)
+	case IncarnationConfirmed:
+		l.incarnationConfirmed(now, ev)
+	case StartSent:
+		l.startSent(ev)
+	case StartAnswered:
+		l.startAnswered(now, ev)
+	case Poll:
+		l.poll(now, ev)
+	case ReleaseAll:
+		acts = l.setWanted(now, nil)
 	case Tick:
 	}
-	return append(acts, l.due(now)...)
+	return append(acts, l.dueActions(now)...)
 }
 
-func (l *Leases) lead(now time.Time, names []string) []Action {
+func (l *Leases) setWanted(now time.Time, names []string) []Action {
 	for _, name := range names {
 		l.add(name)
 	}
 	var acts []Action
 	for _, name := range slices.Sorted(maps.Keys(l.workers)) {
 		w := l.workers[name]
-		had := w.want
-		w.want = slices.Contains(names, name)
+		had := w.wanted
+		w.wanted = slices.Contains(names, name)
 		switch {
 		case w.state != "held":
-		case had && !w.want:
-			acts = append(acts, w.down(name)...)
-		case !had && w.want:
-			w.next = now
+		case had && !w.wanted:
+			acts = append(acts, w.markDown(name)...)
+		case !had && w.wanted:
+			w.nextExchange = now
 		}
 	}
 	return acts
@@ -111,64 +114,65 @@
 
 func (l *Leases) add(name string) *worker {
 	if _, ok := l.workers[name]; !ok {
-		l.workers[name] = &worker{state: life.Start(), flying: map[string]int{}}
+		l.workers[name] = &worker{state: leaseChart.Start(), inFlight: map[string]int{}}
 	}
 	return l.workers[name]
 }
 
-func (w *worker) down(name string) []Action {
-	if !w.up {
+func (w *worker) markDown(name string) []Action {
+	if !w.led {
 		return nil
 	}
-	w.up = false
+	w.led = false
 	return []Action{Down{Worker: name}}
 }
 
-// show tells what a wanted worker runs. A worker that this host led before is led again only
-// with a list that shows all of its former starts: one that lands later would overfill it.
-func (l *Leases) show(now time.Time, name string, w *worker) []Action {
+// publish reports what a wanted worker runs. A worker that this host led before is led again only
+// with a task list that includes all earlier starts, since a start that arrives later would
+// overfill the worker.
+func (l *Leases) publish(now time.Time, name string, w *worker) []Action {
 	switch {
-	case !w.want:
+	case !w.wanted:
 		return nil
-	case w.up:
-		return []Action{Seen{Worker: name, Reading: w.whole()}}
-	case len(w.flying) > 0 || w.risk.After(now) || !w.reading.Sent.After(w.started):
-		w.next = now.Add(l.limits.Retry)
+	case w.led:
+		return []Action{Updated{Worker: name, Reading: w.fullReading()}}
+	case len(w.inFlight) > 0 || w.lostStartsUntil.After(now) || !w.reading.Sent.After(w.lastStartAnswer):
+		w.nextExchange = now.Add(l.limits.RetryInterval)
 		return nil
-	case !w.reading.Sent.After(w.former):
-		return w.wait(name)
+	case !w.reading.Sent.After(w.staleStartsUntil):
+		return w.awaitStaleStarts(name)
 	default:
-		w.up = true
-		return []Action{Up{Worker: name, Reading: w.whole()}}
+		w.led = true
+		return []Action{Up{Worker: name, Reading: w.fullReading()}}
 	}
 }
 
-func (w *worker) move(ev chart.Event) bool {
-	next, err := life.Next(w.state, ev)
+func (w *worker) transition(ev chart.Event) bool {
+	next, err := leaseChart.Next(w.state, ev)
 	w.state = next
 	return err == nil
 }
 
-// read takes over an answer. The lease is counted from when the question was
-// sent: the worker may have begun to count as early as that.
-func (w *worker) read(now time.Time, r Reading) {
-	w.until = r.Sent.Add(r.Left - r.Left/drift)
-	w.over = now.Add(r.Left)
-	if r.Whole {
+// applyReading records an answer. The lease is counted from when the request was sent, because the
+// worker may have started to count as early as that.
+func (w *worker) applyReading(now time.Time, r Reading) {
+	w.validUntil = r.Sent.Add(r.Remaining - r.Remaining/driftDivisor)
+	w.lapsesBy = now.Add(r.Remaining)
+	if r.Full {
 		w.tasks = map[string]Task{}
 	}
 	for _, t := range r.Tasks {
 		w.tasks[t.ID] = t
 	}
-	for _, id := range r.Gone {
+	for _, id := range r.Removed {
 		delete(w.tasks, id)
 	}
 	w.reading = r
 }
 
-// whole is the last answer with every task that the worker lists, also those
-// that did not change.
-func (w *worker) whole() Reading {
+// fullReading returns the last answer with every task that the worker lists, including those that
+// did not change.
+func (w *worker) fullReading() Reading {
 	r := w.reading
 	r.Tasks = nil
 	for _, id := range slices.Sorted(maps.Keys(w.tasks)) {
@@ -179,45 +183,44 @@
 
 func (l *Leases) granted(now time.Time, ev Granted) []Action {
 	w, ok := l.workers[ev.Worker]
-	if !ok || !w.move("granted") {
+	if !ok || !w.transition("granted") {
 		return nil
 	}
-	l.tellLife(now, w, ev.Life)
-	ev.Whole = true
-	w.read(now, ev.Reading)
-	if !w.until.After(now) {
-		// The grant arrived after it had lapsed: a paused host would start
-		// tasks on a worker that another host leads by now.
-		w.move("lapse")
+	l.noteIncarnation(now, w, ev.Incarnation)
+	ev.Full = true
+	w.applyReading(now, ev.Reading)
+	if !w.validUntil.After(now) {
+		// The grant arrived after it had lapsed. If a paused host used it, it would start tasks on
+		// a worker that another host leads by now.
+		w.transition("lapse")
 		return nil
 	}
-	w.move("read")
-	w.looks = map[string]time.Time{}
-	w.next = now.Add(l.every())
-	return l.show(now, ev.Worker, w)
+	w.transition("read")
+	w.expectedEnds = map[string]time.Time{}
+	w.nextExchange = now.Add(l.renewInterval())
+	return l.publish(now, ev.Worker, w)
 }
 
-// renewed drops an answer to a question that was sent before the one whose
-// answer is known already. It tells an older state; taken for the newer one,
-// it would hide a task that was started in between.
+// renewed ignores an answer to a request that was sent before the one whose answer is already
+// known. It contains an older state, which would hide a task that was started in between.
 //
-// An answer from another life tells what changed since a mark of the former one, which says
-// nothing of what runs. The worker is taken anew, with its whole list.
+// An answer from another incarnation lists the changes since a cursor of the previous incarnation,
+// which says nothing about what runs now. The worker is acquired again, with its full list.
 func (l *Leases) renewed(now time.Time, ev Renewed) []Action {
 	w, ok := l.workers[ev.Worker]
 	if !ok || w.state != "held" || !ev.Sent.After(w.reading.Sent) {
 		return nil
 	}
-	if ev.Life != w.reading.Life {
-		l.tellLife(now, w, ev.Life)
-		w.move("lapse")
-		w.next = now
-		return w.down(ev.Worker)
+	if ev.Incarnation != w.reading.Incarnation {
+		l.noteIncarnation(now, w, ev.Incarnation)
+		w.transition("lapse")
+		w.nextExchange = now
+		return w.markDown(ev.Worker)
 	}
-	w.read(now, ev.Reading)
-	w.next = now.Add(l.every())
-	w.watch(now, l.limits.Retry)
-	return l.show(now, ev.Worker, w)
+	w.applyReading(now, ev.Reading)
+	w.nextExchange = now.Add(l.renewInterval())
+	w.scheduleEndPolls(now, l.limits.RetryInterval)
+	return l.publish(now, ev.Worker, w)
 }
 
 func (l *Leases) refused(now time.Time, ev Refused) []Action {
@@ -225,161 +228,161 @@
 	if !ok {
 		return nil
 	}
-	w.next = now.Add(max(l.limits.Retry, ev.Left))
+	w.nextExchange = now.Add(max(l.limits.RetryInterval, ev.Remaining))
 	if w.state == "held" {
 		if !ev.Sent.After(w.reading.Sent) {
 			return nil
 		}
-		l.tellLife(now, w, ev.Life)
-		w.move("lapse")
-		return w.down(ev.Worker)
+		l.noteIncarnation(now, w, ev.Incarnation)
+		w.transition("lapse")
+		return w.markDown(ev.Worker)
 	}
-	l.tellLife(now, w, ev.Life)
-	w.move("refused")
+	l.noteIncarnation(now, w, ev.Incarnation)
+	w.transition("refused")
 	return nil
 }
 
-func (l *Leases) lost(now time.Time, name string) {
+func (l *Leases) unanswered(now time.Time, name string) {
 	w, ok := l.workers[name]
 	if !ok {
 		return
 	}
-	w.next = now.Add(l.limits.Retry)
+	w.nextExchange = now.Add(l.limits.RetryInterval)
 	if w.state == "taking" {
-		w.move("lost")
+		w.transition("lost")
 	}
 }
 
-func (l *Leases) sent(ev Sent) {
+func (l *Leases) startSent(ev StartSent) {
 	if w, ok := l.workers[ev.Worker]; ok {
-		w.flying[ev.Task]++
+		w.inFlight[ev.Task]++
 	}
 }
 
-func (l *Leases) answered(now time.Time, ev Answered) {
+func (l *Leases) startAnswered(now time.Time, ev StartAnswered) {
 	w, ok := l.workers[ev.Worker]
 	if !ok {
 		return
 	}
-	if w.flying[ev.Task]--; w.flying[ev.Task] <= 0 {
-		delete(w.flying, ev.Task)
+	if w.inFlight[ev.Task]--; w.inFlight[ev.Task] <= 0 {
+		delete(w.inFlight, ev.Task)
 	}
-	w.started = now
-	if !w.up {
-		w.next = now
+	w.lastStartAnswer = now
+	if !w.led {
+		w.nextExchange = now
 	}
-	if !ev.Sure && w.over.After(w.risk) {
-		w.risk = w.over
+	if !ev.OutcomeKnown && w.lapsesBy.After(w.lostStartsUntil) {
+		w.lostStartsUntil = w.lapsesBy
 	}
-	if ev.Sure && ev.Run > 0 && w.looks != nil {
-		w.looks[ev.Task] = now.Add(ev.Run)
-		w.watch(now, l.limits.Retry)
+	if ev.OutcomeKnown && ev.RunTime > 0 && w.expectedEnds != nil {
+		w.expectedEnds[ev.Task] = now.Add(ev.RunTime)
+		w.scheduleEndPolls(now, l.limits.RetryInterval)
 	}
 }
 
-// watch reads the worker again soon after a task is expected to end, so that
-// its room is not left empty until the next renewal. A task that takes longer
-// than declared is looked for less and less often.
-func (w *worker) watch(now time.Time, least time.Duration) {
-	for id, ends := range w.looks {
+// scheduleEndPolls reads the worker again soon after a task is expected to end, so that its
+// capacity does not stay unused until the next renewal. A task that runs longer than declared is
+// polled less and less often.
+func (w *worker) scheduleEndPolls(now time.Time, least time.Duration) {
+	for id, ends := range w.expectedEnds {
 		if t, listed := w.tasks[id]; listed && t.State != "running" {
-			delete(w.looks, id)
+			delete(w.expectedEnds, id)
 			continue
 		}
 		if !ends.After(now) {
 			ends = now.Add(max(least, now.Sub(ends)))
 		}
-		if at := ends.Add(look); at.Before(w.next) {
-			w.next = at
+		if at := ends.Add(endPollDelay); at.Before(w.nextExchange) {
+			w.nextExchange = at
 		}
 	}
 }
 
-// look is how long after its expected end a task is looked for.
-const look = 20 * time.Millisecond
+// endPollDelay is how long after the expected end of a task the worker is polled.
+const endPollDelay = 20 * time.Millisecond
 
-func (l *Leases) look(now time.Time, ev Look) {
-	if w, ok := l.workers[ev.Worker]; ok && now.Add(ev.After).Before(w.next) {
-		w.next = now.Add(ev.After)
+func (l *Leases) poll(now time.Time, ev Poll) {
+	if w, ok := l.workers[ev.Worker]; ok && now.Add(ev.After).Before(w.nextExchange) {
+		w.nextExchange = now.Add(ev.After)
 	}
 }
 
-func (l *Leases) due(now time.Time) []Action {
+func (l *Leases) dueActions(now time.Time) []Action {
 	var acts []Action
 	for _, name := range slices.Sorted(maps.Keys(l.workers)) {
-		acts = append(acts, l.dueAt(now, name, l.workers[name])...)
+		acts = append(acts, l.dueWorker(now, name, l.workers[name])...)
 	}
 	return acts
 }
 
-func (l *Leases) dueAt(now time.Time, name string, w *worker) []Action {
+func (l *Leases) dueWorker(now time.Time, name string, w *worker) []Action {
 	switch {
-	case w.state == "held" && !w.until.After(now):
-		w.move("lapse")
-		w.next = now
-		return w.down(name)
-	case w.state == "held" && !w.want:
-		return l.give(now, name, w)
-	case w.up && !l.fresh(w).After(now):
-		return w.down(name)
-	case !w.want && w.known && !w.meet.After(now):
-		w.meet = now.Add(meetAgain)
-		return []Action{Meet{Worker: name}}
-	case !w.want || w.next.After(now):
+	case w.state == "held" && !w.validUntil.After(now):
+		w.transition("lapse")
+		w.nextExchange = now
+		return w.markDown(name)
+	case w.state == "held" && !w.wanted:
+		return l.release(now, name, w)
+	case w.led && !l.startsAllowedUntil(w).After(now):
+		return w.markDown(name)
+	case !w.wanted && w.inDomain && !w.nextIncarnationQuery.After(now):
+		w.nextIncarnationQuery = now.Add(incarnationRetryInterval)
+		return []Action{AskIncarnation{Worker: name}}
+	case !w.wanted || w.nextExchange.After(now):
 		return nil
 	case w.state == "free":
-		w.move("take")
-		w.next = now.Add(l.limits.TTL)
-		return []Action{Take{Worker: name, TTL: l.limits.ttl(l.wanted())}}
+		w.transition("take")
+		w.nextExchange = now.Add(l.limits.TTL)
+		return []Action{Acquire{Worker: name, TTL: l.limits.ttl(l.wantedCount())}}
 	case w.state == "held":
-		w.next = now.Add(l.limits.Retry)
-		return []Action{Renew{Worker: name, TTL: l.limits.ttl(l.wanted()), Long: l.limits.Long, Since: w.reading.Mark}}
+		w.nextExchange = now.Add(l.limits.RetryInterval)
+		return []Action{Renew{Worker: name, TTL: l.limits.ttl(l.wantedCount()), TaskTTL: l.limits.TaskTTL, Since: w.reading.Cursor}}
 	}
 	return nil
 }
 
-// give returns an anchor once no start is under way. A start that arrived at
-// the worker after its next holder had read the list would fill it beyond its
-// size, so with one of them unsure the anchor is left to lapse.
-func (l *Leases) give(now time.Time, name string, w *worker) []Action {
-	if len(w.flying) > 0 || w.risk.After(now) {
+// release returns an anchor once no start is in flight. A start that reached the worker after its
+// next holder had read the task list would fill the worker beyond its size. If the outcome of a
+// start is unknown, the anchor is therefore left to lapse.
+func (l *Leases) release(now time.Time, name string, w *worker) []Action {
+	if len(w.inFlight) > 0 || w.lostStartsUntil.After(now) {
 		return nil
 	}
-	w.move("give")
-	return []Action{Give{Worker: name, Lease: w.reading.Lease}}
+	w.transition("give")
+	return []Action{Release{Worker: name, Lease: w.reading.Lease}}
 }
 
-func (l *Leases) wanted() int {
+func (l *Leases) wantedCount() int {
 	n := 0
 	for _, w := range l.workers {
-		if w.want {
+		if w.wanted {
 			n++
 		}
 	}
 	return n
 }
 
-func (l *Leases) every() time.Duration { return l.limits.every(l.wanted()) }
+func (l *Leases) renewInterval() time.Duration { return l.limits.renewInterval(l.wantedCount()) }
 
-// Deadline returns the latest time, in the worker's own clock, at which a
-// start that is sent now may still begin; false if the worker is not held.
+// Deadline returns the latest time, by the worker's own clock, at which a start that is sent now
+// may still begin. It returns false if this host does not lead the worker.
 func (l *Leases) Deadline(now time.Time, name string) (time.Time, bool) {
 	w, ok := l.workers[name]
-	if !ok || !w.up || w.state != "held" || !l.fresh(w).After(now) {
+	if !ok || !w.led || w.state != "held" || !l.startsAllowedUntil(w).After(now) {
 		return time.Time{}, false
 	}
-	left := min(w.reading.Left, l.limits.start())
-	return w.reading.Clock.Add(left - left/drift), true
+	left := min(w.reading.Remaining, l.limits.startWindow())
+	return w.reading.Clock.Add(left - left/driftDivisor), true
 }
 
-// fresh is until when starts may be sent after the last answer.
-func (l *Leases) fresh(w *worker) time.Time {
-	left := l.limits.start()
-	return slices.MinFunc([]time.Time{w.until, w.reading.Sent.Add(left - left/drift)}, time.Time.Compare)
+// startsAllowedUntil returns until when starts may be sent after the last answer.
+func (l *Leases) startsAllowedUntil(w *worker) time.Time {
+	left := l.limits.startWindow()
+	return slices.MinFunc([]time.Time{w.validUntil, w.reading.Sent.Add(left - left/driftDivisor)}, time.Time.Compare)
 }
 
-// DeadlineWith is the Deadline of a start that may begin only as long as another worker is held
-// too: both have to be, and it ends with the lease of either.
+// DeadlineWith returns the Deadline of a start that requires another worker to be held too. Both
+// must be held, and the deadline is not later than the end of either lease.
 func (l *Leases) DeadlineWith(now time.Time, name, other string) (time.Time, bool) {
 	deadline, ok := l.Deadline(now, name)
 	if name == other || !ok {
@@ -389,38 +392,37 @@
 		return time.Time{}, false
 	}
 	w := l.workers[name]
-	passed := now.Sub(w.over.Add(-w.reading.Left))
-	clock := w.reading.Clock.Add(passed - passed/drift)
-	if end := clock.Add(l.workers[other].until.Sub(now)); end.Before(deadline) {
+	passed := now.Sub(w.lapsesBy.Add(-w.reading.Remaining))
+	clock := w.reading.Clock.Add(passed - passed/driftDivisor)
+	if end := clock.Add(l.workers[other].validUntil.Sub(now)); end.Before(deadline) {
 		deadline = end
 	}
 	return deadline, true
 }
 
-// TTL is how long the lease of a task runs from its start; renewals lengthen
-// it to the long one.
-func (l *Leases) TTL() time.Duration { return l.limits.ttl(l.wanted()) }
+// TTL returns how long the lease of a task runs from its start. Renewals extend it to TaskTTL.
+func (l *Leases) TTL() time.Duration { return l.limits.ttl(l.wantedCount()) }
 
-// Longest is how long any task may go on without its holder.
-func (l *Leases) Longest() time.Duration { return l.limits.Long }
+// TaskTTL returns the longest time that a task may go on running without its holder.
+func (l *Leases) TaskTTL() time.Duration { return l.limits.TaskTTL }
 
-// Held lists the workers that this host leads, in order of name.
+// Held lists the workers that this host leads, sorted by name.
 func (l *Leases) Held() []string {
 	var held []string
 	for _, name := range slices.Sorted(maps.Keys(l.workers)) {
-		if w := l.workers[name]; w.state == "held" && w.up {
+		if w := l.workers[name]; w.state == "held" && w.led {
 			held = append(held, name)
 		}
 	}
 	return held
 }
 
-// Last returns the last answer of a held worker with all its tasks; false if
-// the worker is not held.
-func (l *Leases) Last(name string) (Reading, bool) {
+// LastReading returns the last answer of a held worker with all its tasks. It returns false if the
+// worker is not held.
+func (l *Leases) LastReading(name string) (Reading, bool) {
 	w, ok := l.workers[name]
 	if !ok || w.state != "held" {
 		return Reading{}, false
 	}
-	return w.whole(), true
+	return w.fullReading(), true
 }
--- a/internal/measure/jobs.go
+++ b/internal/measure/jobs.go
@@ -201,12 +201,12 @@
 
 func (r *jobRun) want(t *jobTask) {
 	row := r.Rows[t.row]
-	w := place.Want{
-		Job: t.id, Row: fmt.Sprint(t.row), Class: row.Class, Size: t.declared, Time: row.Time, Tasks: []string{t.id},
+	w := place.Request{
+		Job: t.id, Row: fmt.Sprint(t.row), Class: row.Class, Size: t.declared, RunTime: row.Time, Tasks: []string{t.id},
 		Since: t.came, Avoid: t.avoid, Rule: place.Rule{Weight: 1},
 	}
 	if r.est != nil {
-		w.Size, w.Time = r.est.Size(w.Row, w.Size), r.est.Time(w.Row, w.Time)
+		w.Size, w.RunTime = r.est.Size(w.Row, w.Size), r.est.Time(w.Row, w.RunTime)
 	}
 	r.waiting[t.id] = true
 	r.step(w)
@@ -215,7 +215,7 @@
 func (r *jobRun) step(ev place.Event) {
 	for _, a := range r.core.Step(r.now, ev) {
 		switch a := a.(type) {
-		case place.Put:
+		case place.Assign:
 			r.begin(r.tasks[a.Task], a.Worker)
 		case place.Preempt:
 			t := r.tasks[a.Task]
@@ -339,7 +339,7 @@
 				continue
 			}
 			if room, ok := r.est.Seen(id, fmt.Sprint(t.row), t.declared, t.uses(r.now.Add(-reportLag))); ok {
-				r.step(place.Resized{Task: id, Size: room, Use: t.uses(r.now.Add(-reportLag))})
+				r.step(place.TaskResized{Task: id, Size: room, Use: t.uses(r.now.Add(-reportLag))})
 			}
 		}
 	}
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -126,11 +126,11 @@
 
 func (w *World) newHost(name string, inc int) *host {
 	h := &host{
-		name: name, inc: inc, leases: lease.New(lease.Limits{TTL: ttl, Long: long, Retry: step / 2}), jobs: job.New(),
-		over: takeover.New(name, takeover.Limits{Longest: never, Every: never}),
+		name: name, inc: inc, leases: lease.New(lease.Limits{TTL: ttl, TaskTTL: long, RetryInterval: step / 2}), jobs: job.New(),
+		over: takeover.New(name, takeover.Limits{LongestLease: never, AskInterval: never}),
 		room: map[string]map[string]bool{}, spec: map[string]job.Spec{},
 	}
-	w.overtake(h, takeover.Workers{Names: w.names()})
+	w.overtake(h, takeover.SetWorkers{Names: w.names()})
 	return h
 }
 
@@ -146,7 +146,7 @@
 	return job.Spec{ID: id, Tasks: 1, Size: cell.Size{CPU: 1, Mem: 1}, Tries: 9}
 }
 
-func (w *World) lead(h *host) { w.lease(h, lease.Lead{Workers: w.names()}) }
+func (w *World) lead(h *host) { w.lease(h, lease.Wanted{Workers: w.names()}) }
 
 func (w *World) submit(h *host, id string) { w.job(h, job.Submit{Spec: specOf(id)}) }
 
@@ -154,7 +154,7 @@
 func (w *World) inherit(h *host) {
 	w.lead(h)
 	w.job(h, job.Inherit{Spec: specOf(old)})
-	w.overtake(h, takeover.Found{Job: old})
+	w.overtake(h, takeover.FoundJob{Job: old})
 	if w.rules.NoCensus {
 		w.job(h, job.Release{ID: old})
 	}
@@ -176,21 +176,21 @@
 func (w *World) lease(h *host, ev lease.Event) {
 	for _, a := range h.leases.Step(w.now, ev) {
 		switch a := a.(type) {
-		case lease.Take:
+		case lease.Acquire:
 			w.send(h, message{kind: "take", worker: a.Worker, ttl: a.TTL})
 		case lease.Renew:
-			w.send(h, message{kind: "renew", worker: a.Worker, ttl: a.TTL, long: a.Long})
-		case lease.Give:
+			w.send(h, message{kind: "renew", worker: a.Worker, ttl: a.TTL, long: a.TaskTTL})
+		case lease.Release:
 			w.send(h, message{kind: "give", worker: a.Worker, lease: a.Lease})
 		case lease.Up:
 			h.room[a.Worker] = map[string]bool{}
 			w.seen(h, a.Worker, a.Reading)
-			w.overtake(h, takeover.Held{Worker: a.Worker})
-		case lease.Seen:
+			w.overtake(h, takeover.WorkerHeld{Worker: a.Worker})
+		case lease.Updated:
 			w.seen(h, a.Worker, a.Reading)
 		case lease.Down:
 			delete(h.room, a.Worker)
-			w.overtake(h, takeover.Down{Worker: a.Worker})
+			w.overtake(h, takeover.WorkerLost{Worker: a.Worker})
 			w.demote(h)
 		}
 	}
@@ -203,7 +203,7 @@
 		return
 	}
 	for _, s := range h.jobs.Open() {
-		w.overtake(h, takeover.Gone{Job: s.ID})
+		w.overtake(h, takeover.GoneJob{Job: s.ID})
 		w.job(h, job.Drop{ID: s.ID})
 	}
 }
@@ -226,7 +226,7 @@
 
 func (w *World) overtake(h *host, ev takeover.Event) {
 	for _, a := range h.over.Step(w.now, ev) {
-		if a, ok := a.(takeover.Release); ok {
+		if a, ok := a.(takeover.ReleaseJob); ok {
 			w.job(h, job.Release{ID: a.Job})
 		}
 	}
@@ -257,7 +257,7 @@
 		return
 	}
 	w.job(h, job.StartSent{Task: a.Task, Deadline: deadline})
-	w.lease(h, lease.Sent{Worker: a.Worker, Task: a.Task})
+	w.lease(h, lease.StartSent{Worker: a.Worker, Task: a.Task})
 	if w.rules.NoDeadline {
 		deadline = time.Time{}
 	}
--- /dev/null
+++ b/internal/place/correction.go
@@ -0,0 +1,75 @@
+package place
+
+import (
+	"slices"
+
+	"pollencroft/internal/cell"
+)
+
+// revertCorrections gives waiting entries their declared size back if their corrected size cannot
+// be placed. That is the case if the corrected size does not fit beside the long-running tasks
+// while the declared one does, because workers have gone or are in use since the correction, or if
+// the entry is the overdue one.
+func (p *Placer) revertCorrections() {
+	for _, lanes := range p.queue.order {
+		for _, l := range lanes {
+			for _, s := range slices.Clone(l.shapes) {
+				p.revertCorrection(s)
+			}
+		}
+	}
+}
+
+func (p *Placer) revertCorrection(s *shape) {
+	if s.blocked != NoCapacity && s.blocked != GangTooLarge {
+		return
+	}
+	for _, e := range slices.Clone(s.entries) {
+		if !e.waiting() || e.Declared == (cell.Size{}) || e.Declared == e.Size || !e.Declared.Fits(e.Size) {
+			continue
+		}
+		if e == p.overdue || !p.fitsBesideLongTasks(e, e.Size) && p.fitsBesideLongTasks(e, e.Declared) {
+			p.revertToDeclared(e)
+		}
+	}
+}
+
+// fitsBesideLongTasks reports whether the entry's tasks of that size would fit beside the tasks
+// that run for longer than the entry's class may wait.
+func (p *Placer) fitsBesideLongTasks(e *entry, size cell.Size) bool {
+	need := int64(1)
+	if e.Gang {
+		need = int64(e.pending)
+	}
+	for _, w := range p.workers {
+		if w.acceptsTasks() {
+			need -= countFitting(p.freeBesideLongTasks(w, e.Class), size)
+		}
+	}
+	return need <= 0
+}
+
+func (p *Placer) freeBesideLongTasks(w *worker, class cell.Class) cell.Size {
+	free := w.size
+	for _, r := range w.tasks {
+		if !r.plannedEnd.IsZero() && r.plannedEnd.Sub(p.now) > p.limits.OverdueAfter[class] {
+			free = free.Sub(r.size)
+		}
+	}
+	return free
+}
+
+// revertToDeclared queues an entry again with its declared size.
+func (p *Placer) revertToDeclared(e *entry) {
+	w := e.Request
+	w.Size, w.Declared = e.Declared, cell.Size{}
+	w.Tasks = slices.DeleteFunc(slices.Clone(e.Tasks), func(task string) bool { return p.queue.tasks[task] != e })
+	for _, task := range w.Tasks {
+		p.queue.drop(task)
+	}
+	p.cancelReservations(e)
+	p.queue.add(p.now, w)
+	if e == p.overdue {
+		p.overdue = p.queue.tasks[w.Tasks[0]]
+	}
+}
--- a/internal/place/health_test.go
+++ b/internal/place/health_test.go
@@ -13,12 +13,12 @@
 	"pollencroft/internal/place"
 )
 
-func resized(task string, use cell.Size) place.Resized {
-	return place.Resized{Task: task, Size: use, Use: use}
+func resizedTo(task string, use cell.Size) place.TaskResized {
+	return place.TaskResized{Task: task, Size: use, Use: use}
 }
 
-// results tells how tasks of a row ended, one on each of the workers.
-func results(p *place.Placer, at time.Time, row string, failed bool, workers ...string) []place.Action {
+// reportResults reports one result of a task of the row for each worker.
+func reportResults(p *place.Placer, at time.Time, row string, failed bool, workers ...string) []place.Action {
 	var acts []place.Action
 	for _, w := range workers {
 		acts = append(acts, p.Step(at, place.Result{Worker: w, Row: row, Failed: failed})...)
@@ -26,7 +26,7 @@
 	return acts
 }
 
-func names(from, to int) []string {
+func workerNames(from, to int) []string {
 	var all []string
 	for i := from; i < to; i++ {
 		all = append(all, fmt.Sprintf("w%02d", i))
@@ -34,183 +34,184 @@
 	return all
 }
 
-// A worker fails all that others run. It gets no more work but a trial now and
-// then, and comes back when trials succeed; without that it would take task
-// after task of a queue, since it always has room.
-func TestWorkerThatFailsEverythingIsSetAside(t *testing.T) {
+// A worker fails every task that succeeds on other workers. It gets only an occasional trial and is
+// restored when trials succeed. Otherwise it would get task after task from the queue, because it
+// always has free capacity.
+func TestWorkerThatFailsEverythingIsQuarantined(t *testing.T) {
 	p := fleet(place.DefaultLimits, 8)
 	at := now
 	for range 3 {
-		results(p, at, "r", false, names(1, 8)...)
+		reportResults(p, at, "r", false, workerNames(1, 8)...)
 	}
-	acts := results(p, at, "r", true, "w00", "w00", "w00")
-	require.Equal(t, []place.Action{place.Aside{Worker: "w00"}}, acts)
-	on := puts(p.Step(at, place.Want{Job: "j", Row: "r", Size: cores(4), Tasks: tasks("j", 8)}))
+	acts := reportResults(p, at, "r", true, "w00", "w00", "w00")
+	require.Equal(t, []place.Action{place.Quarantined{Worker: "w00"}}, acts)
+	on := assignments(p.Step(at, place.Request{Job: "j", Row: "r", Size: cores(4), Tasks: tasks("j", 8)}))
 	require.Len(t, on, 7)
-	at = at.Add(place.DefaultLimits.Trial + time.Second)
-	trial := puts(p.Step(at, place.Tick{}))
+	at = at.Add(place.DefaultLimits.TrialInterval + time.Second)
+	trial := assignments(p.Step(at, place.Tick{}))
 	require.Equal(t, map[string]string{"j.7": "w00"}, trial)
-	p.Step(at, place.Want{Job: "k", Row: "r", Size: cores(1), Tasks: tasks("k", 1)})
-	require.Empty(t, puts(p.Step(at, place.Freed{Task: "j.7"})), "one trial at a time")
-	results(p, at, "r", true, "w00")
-	at = at.Add(place.DefaultLimits.Trial + time.Second)
-	require.Empty(t, puts(p.Step(at, place.Tick{})), "a failed trial doubles the wait")
-	at = at.Add(place.DefaultLimits.Trial)
-	require.Equal(t, map[string]string{"k.0": "w00"}, puts(p.Step(at, place.Tick{})))
-	results(p, at, "r", false, "w00")
-	require.Contains(t, results(p, at, "r", false, "w00"), place.Restored{Worker: "w00"})
+	p.Step(at, place.Request{Job: "k", Row: "r", Size: cores(1), Tasks: tasks("k", 1)})
+	require.Empty(t, assignments(p.Step(at, place.Freed{Task: "j.7"})), "one trial at a time")
+	reportResults(p, at, "r", true, "w00")
+	at = at.Add(place.DefaultLimits.TrialInterval + time.Second)
+	require.Empty(t, assignments(p.Step(at, place.Tick{})), "a failed trial doubles the wait")
+	at = at.Add(place.DefaultLimits.TrialInterval)
+	require.Equal(t, map[string]string{"k.0": "w00"}, assignments(p.Step(at, place.Tick{})))
+	reportResults(p, at, "r", false, "w00")
+	require.Contains(t, reportResults(p, at, "r", false, "w00"), place.Restored{Worker: "w00"})
 }
 
-// A row's own bug fails its tasks on every worker. Condemning the workers for
-// it would take room from all other rows.
-func TestRowsOwnBugCondemnsNoWorker(t *testing.T) {
+// A bug of a row makes its tasks fail on every worker. Quarantining the workers for it would take
+// capacity from all other rows.
+func TestRowBugQuarantinesNoWorker(t *testing.T) {
 	p := fleet(place.DefaultLimits, 8)
 	var acts []place.Action
 	for range 5 {
-		acts = append(acts, results(p, now, "good", false, names(0, 8)...)...)
-		acts = append(acts, results(p, now, "bug", true, names(0, 8)...)...)
+		acts = append(acts, reportResults(p, now, "good", false, workerNames(0, 8)...)...)
+		acts = append(acts, reportResults(p, now, "bug", true, workerNames(0, 8)...)...)
 	}
-	require.Empty(t, only[place.Aside](acts))
+	require.Empty(t, actionsOf[place.Quarantined](acts))
 }
 
-// A new row with a bug fails on one worker before any other has run it. When
-// it fails elsewhere too, the worker is pardoned.
-func TestWorkerIsPardonedWhenTheRowFailsElsewhere(t *testing.T) {
+// A new row with a bug fails on one worker before any other worker has run it. When it fails on
+// other workers too, the first worker is restored.
+func TestWorkerIsRestoredWhenTheRowFailsElsewhere(t *testing.T) {
 	p := fleet(place.DefaultLimits, 8)
-	require.Len(t, only[place.Aside](results(p, now, "new", true, "w00", "w00", "w00", "w00")), 1)
+	require.Len(t, actionsOf[place.Quarantined](reportResults(p, now, "new", true, "w00", "w00", "w00", "w00")), 1)
 	for range 4 {
-		results(p, now, "new", true, names(1, 8)...)
+		reportResults(p, now, "new", true, workerNames(1, 8)...)
 	}
 	require.Contains(t, p.Step(now.Add(2*time.Second), place.Tick{}), place.Restored{Worker: "w00"})
 }
 
-// A rack's switch flaps and all its workers fail what they start, then others
-// follow. Never more than the set share is set aside: a wrong verdict must not
-// empty the domain.
-func TestNeverMoreThanAShareIsSetAside(t *testing.T) {
+// The switch of a rack is unstable and all its workers fail what they start, then others follow. No
+// more than the configured share is quarantined, since wrong decisions must not take all workers of
+// the failure domain out of use.
+func TestQuarantineIsLimitedToAShare(t *testing.T) {
 	p := fleet(place.DefaultLimits, 8)
 	for range 20 {
-		results(p, now, "r", false, names(5, 8)...)
+		reportResults(p, now, "r", false, workerNames(5, 8)...)
 	}
 	var acts []place.Action
 	for range 5 {
-		acts = append(acts, results(p, now, "r", true, names(0, 5)...)...)
+		acts = append(acts, reportResults(p, now, "r", true, workerNames(0, 5)...)...)
 	}
-	require.Len(t, only[place.Aside](acts), 2)
-	require.Equal(t, []string{"w00", "w01"}, p.Asides())
+	require.Len(t, actionsOf[place.Quarantined](acts), 2)
+	require.Equal(t, []string{"w00", "w01"}, p.QuarantinedWorkers())
 }
 
-// A task uses more than it asked for and its worker is overfull. Processors
-// are held back first; memory cannot be, so the least urgent task that costs
-// least is checkpointed and stopped.
-func TestGrowthIsThrottledBeforeItIsStopped(t *testing.T) {
+// A task uses more than it asked for and overloads its worker. Processors are throttled first.
+// Memory cannot be throttled, so the cheapest task of the least urgent class is checkpointed and
+// stopped.
+func TestOverloadIsThrottledBeforePreemption(t *testing.T) {
 	p := fleet(place.Limits{}, 1)
-	p.Step(now, place.Want{Job: "u", Row: "u", Class: cell.Urgent, Size: cores(2), Tasks: tasks("u", 1)})
-	p.Step(now, place.Want{Job: "b", Row: "b", Class: cell.Bulk, Size: cores(2), Tasks: tasks("b", 1)})
-	require.Empty(t, p.Step(now, resized("u.0", cores(2))))
-	acts := p.Step(now, resized("b.0", cell.Size{CPU: 3000, Mem: 2 * gib}))
-	require.Empty(t, only[place.Preempt](acts))
-	require.Equal(t, []place.Throttle{{Task: "b.0", Worker: "w00", Share: 2.0 / 3}}, only[place.Throttle](acts))
-	acts = p.Step(now, resized("u.0", cores(3)))
-	stops := only[place.Preempt](acts)
+	p.Step(now, place.Request{Job: "u", Row: "u", Class: cell.Urgent, Size: cores(2), Tasks: tasks("u", 1)})
+	p.Step(now, place.Request{Job: "b", Row: "b", Class: cell.Bulk, Size: cores(2), Tasks: tasks("b", 1)})
+	require.Empty(t, p.Step(now, resizedTo("u.0", cores(2))))
+	acts := p.Step(now, resizedTo("b.0", cell.Size{CPU: 3000, Mem: 2 * gib}))
+	require.Empty(t, actionsOf[place.Preempt](acts))
+	require.Equal(t, []place.Throttle{{Task: "b.0", Worker: "w00", Share: 2.0 / 3}}, actionsOf[place.Throttle](acts))
+	acts = p.Step(now, resizedTo("u.0", cores(3)))
+	stops := actionsOf[place.Preempt](acts)
 	require.Len(t, stops, 1)
 	require.Equal(t, "b.0", stops[0].Task)
-	require.Empty(t, only[place.Preempt](p.Step(now, resized("u.0", cell.Size{CPU: 3000, Mem: 3*gib + 1}))), "once is enough")
+	require.Empty(t, actionsOf[place.Preempt](p.Step(now, resizedTo("u.0", cell.Size{CPU: 3000, Mem: 3*gib + 1}))), "the task is preempted only once")
 }
 
-// An operator raises a limit while jobs wait for it. The accepted edit must be
-// in force for them too, not only for jobs that come later.
-func TestEditOfALimitIsInForceForWaitingWork(t *testing.T) {
+// An operator raises a limit while jobs wait for it. The edit must apply to them too and not only
+// to later jobs.
+func TestLimitEditAppliesToWaitingJobs(t *testing.T) {
 	p := fleet(place.Limits{}, 1)
-	p.Step(now, place.Want{Job: "j", Row: "r", Size: cores(1), Tasks: tasks("j", 4), Rule: place.Rule{MaxTasks: 1}})
+	p.Step(now, place.Request{Job: "j", Row: "r", Size: cores(1), Tasks: tasks("j", 4), Rule: place.Rule{MaxTasks: 1}})
 	require.Equal(t, []string{"r"}, p.Rows())
-	require.Len(t, puts(p.Step(now, place.Ruled{Row: "r", Rule: place.Rule{MaxTasks: 3}})), 2)
-	require.Empty(t, puts(p.Step(now, place.Ruled{Row: "r", Rule: place.Rule{MaxTasks: -1}})), "none allowed")
+	require.Len(t, assignments(p.Step(now, place.RuleChanged{Row: "r", Rule: place.Rule{MaxTasks: 3}})), 2)
+	require.Empty(t, assignments(p.Step(now, place.RuleChanged{Row: "r", Rule: place.Rule{MaxTasks: -1}})), "a negative limit allows no task")
 }
 
-// Ten thousand jobs are cancelled at once. Each costs the same however long
-// the queue is, and what is left is placed as before.
-func TestWaveOfCancellationsLeavesTheRest(t *testing.T) {
+// Ten thousand jobs are cancelled at once. The cost of each cancellation does not depend on the
+// length of the queue, and the remaining job is placed as before.
+func TestMassCancellationKeepsRemainingJobs(t *testing.T) {
 	p := fleet(place.Limits{}, 1)
-	p.Step(now, place.Want{Job: "x", Row: "r", Size: cores(4), Tasks: tasks("x", 1)})
+	p.Step(now, place.Request{Job: "x", Row: "r", Size: cores(4), Tasks: tasks("x", 1)})
 	for i := range 10_000 {
 		job := fmt.Sprintf("j%d", i)
-		p.Step(now, place.Want{Job: job, Row: "r", Size: cores(int64(1 + i%4)), Tasks: tasks(job, 1)})
+		p.Step(now, place.Request{Job: job, Row: "r", Size: cores(int64(1 + i%4)), Tasks: tasks(job, 1)})
 	}
 	for i := range 9_999 {
 		require.Empty(t, p.Step(now, place.Freed{Task: fmt.Sprintf("j%d.0", i)}))
 	}
 	require.Equal(t, 1, p.Waiting())
-	require.Equal(t, map[string]string{"j9999.0": "w00"}, puts(p.Step(now, place.Freed{Task: "x.0"})))
+	require.Equal(t, map[string]string{"j9999.0": "w00"}, assignments(p.Step(now, place.Freed{Task: "x.0"})))
 }
 
-// A task has failed on a worker that fails everything and so always has room,
-// while the only other worker is full. It must wait for that one: a batch used
-// to end as failed because its tries all went to the same bad machine. When
-// there is no other worker at all it is tried again where it is.
+// A task has failed on a worker that fails everything and therefore always has free capacity, while
+// the only other worker is full. The task must wait for the other worker: batches used to fail
+// because all attempts went to the same bad machine. If there is no other worker, the task is
+// retried on the same one.
 func TestRetryWaitsForAWorkerThatItHasNotFailedOn(t *testing.T) {
-	whole := cell.Size{CPU: 4000, Mem: 1 << 30}
-	retry := place.Want{Job: "j", Row: "r", Size: whole, Tasks: []string{"a"}, Avoid: []string{"bad"}}
+	size := cell.Size{CPU: 4000, Mem: 1 << 30}
+	retry := place.Request{Job: "j", Row: "r", Size: size, Tasks: []string{"a"}, Avoid: []string{"bad"}}
 	p := place.New(place.Limits{})
-	up(p, "bad")
-	p.Step(now, place.Up{Worker: "good", Rack: "r1", Size: whole, Used: []place.Used{{Task: "x", Row: "r", Size: whole}}})
+	addWorker(p, "bad")
+	p.Step(now, place.Up{Worker: "good", Rack: "r1", Size: size, Used: []place.Used{{Task: "x", Row: "r", Size: size}}})
 	require.Empty(t, p.Step(now, retry))
-	require.Equal(t, []place.Action{place.Put{Task: "a", Worker: "good"}}, p.Step(now, place.Freed{Task: "x"}))
+	require.Equal(t, []place.Action{place.Assign{Task: "a", Worker: "good"}}, p.Step(now, place.Freed{Task: "x"}))
 
 	p = place.New(place.Limits{})
-	up(p, "bad")
-	require.Equal(t, []place.Action{place.Put{Task: "a", Worker: "bad"}}, p.Step(now, retry))
+	addWorker(p, "bad")
+	require.Equal(t, []place.Action{place.Assign{Task: "a", Worker: "bad"}}, p.Step(now, retry))
 }
 
-// Tasks of a gang have failed on one worker, and all the others together are too small for the
-// gang. Without the one it would wait for ever beside room that it has, with its caller told that
-// it runs; the worker may have been mended since.
-func TestGangGoesBackToAWorkerThatItCannotDoWithout(t *testing.T) {
+// Tasks of a gang have failed on one worker, and all other workers together are too small for the
+// gang. Without that worker the gang would wait forever although there is capacity for it, while
+// its caller is told that it runs. The worker may have been repaired since.
+func TestGangRetriesOnAnIndispensableWorker(t *testing.T) {
 	for name, tc := range map[string]struct {
 		workers int
 		back    bool
 	}{"too few without it": {2, true}, "enough without it": {3, false}} {
 		t.Run(name, func(t *testing.T) {
 			p := fleet(place.DefaultLimits, tc.workers)
-			gang := place.Want{Job: "g", Row: "r", Size: cores(1), Tasks: tasks("g", 6), Gang: true, Avoid: []string{"w00"}}
-			on := puts(p.Step(now, gang))
+			gang := place.Request{Job: "g", Row: "r", Size: cores(1), Tasks: tasks("g", 6), Gang: true, Avoid: []string{"w00"}}
+			on := assignments(p.Step(now, gang))
 			require.Len(t, on, 6)
 			require.Equal(t, tc.back, slices.Contains(slices.Collect(maps.Values(on)), "w00"))
 		})
 	}
 }
 
-// The one worker that a gang cannot do without is set aside for its failures. The gang is its trial.
-func TestGangIsTheTrialOfAWorkerThatItCannotDoWithout(t *testing.T) {
+// A worker that a gang cannot do without is quarantined for its failures. The gang is its trial.
+func TestGangIsTheTrialOfAnIndispensableWorker(t *testing.T) {
 	l := place.DefaultLimits
-	l.Aside = 0.5
+	l.MaxQuarantined = 0.5
 	p := fleet(l, 2)
 	for range 3 {
-		results(p, now, "r", false, "w01")
+		reportResults(p, now, "r", false, "w01")
 	}
-	require.Contains(t, results(p, now, "r", true, "w00", "w00", "w00"), place.Aside{Worker: "w00"})
-	gang := place.Want{Job: "g", Row: "r", Size: cores(1), Tasks: tasks("g", 6), Gang: true, Avoid: []string{"w00"}}
-	require.Empty(t, puts(p.Step(now, gang)))
-	require.Len(t, puts(p.Step(now.Add(l.Trial+time.Second), place.Tick{})), 6)
+	require.Contains(t, reportResults(p, now, "r", true, "w00", "w00", "w00"), place.Quarantined{Worker: "w00"})
+	gang := place.Request{Job: "g", Row: "r", Size: cores(1), Tasks: tasks("g", 6), Gang: true, Avoid: []string{"w00"}}
+	require.Empty(t, assignments(p.Step(now, gang)))
+	require.Len(t, assignments(p.Step(now.Add(l.TrialInterval+time.Second), place.Tick{})), 6)
 }
 
-// A worker was mended, and its trial is a task that lasts for hours. Nothing tells that the trial
-// went well, and the worker is let alone for ten minutes; whoever needs its room waits beside it.
-func TestATrialThatLastsDoesNotKeepAWorkerAside(t *testing.T) {
+// A worker was repaired, and its trial is a task that runs for hours. Nothing reports that the
+// trial succeeds, so the worker would stay unused for ten minutes while a job that needs its
+// capacity waits.
+func TestLongTrialDoesNotExtendQuarantine(t *testing.T) {
 	l := place.DefaultLimits
-	l.Aside = 0.5
+	l.MaxQuarantined = 0.5
 	p := fleet(l, 2)
 	for range 3 {
-		results(p, now, "r", false, "w01")
+		reportResults(p, now, "r", false, "w01")
 	}
-	require.Contains(t, results(p, now, "r", true, "w00", "w00", "w00"), place.Aside{Worker: "w00"})
-	p.Step(now, place.Want{Job: "x", Row: "r", Size: cores(4), Tasks: tasks("x", 1)})
-	p.Step(now, place.Want{Job: "watch", Row: "r", Size: cores(1), Tasks: tasks("watch", 1)})
-	at := now.Add(l.Trial + time.Second)
-	require.Equal(t, map[string]string{"watch.0": "w00"}, puts(p.Step(at, place.Tick{})))
+	require.Contains(t, reportResults(p, now, "r", true, "w00", "w00", "w00"), place.Quarantined{Worker: "w00"})
+	p.Step(now, place.Request{Job: "x", Row: "r", Size: cores(4), Tasks: tasks("x", 1)})
+	p.Step(now, place.Request{Job: "watch", Row: "r", Size: cores(1), Tasks: tasks("watch", 1)})
+	at := now.Add(l.TrialInterval + time.Second)
+	require.Equal(t, map[string]string{"watch.0": "w00"}, assignments(p.Step(at, place.Tick{})))
 	p.Step(at, place.Freed{Task: "x.0"})
-	gang := place.Want{Job: "g", Row: "r", Size: cores(1), Tasks: tasks("g", 6), Gang: true, Avoid: []string{"w00"}}
-	require.Empty(t, puts(p.Step(at, gang)))
-	require.Empty(t, puts(p.Step(at.Add(l.Trial-time.Second), place.Tick{})), "one trial at a time")
-	require.Len(t, puts(p.Step(at.Add(2*l.Trial+time.Second), place.Tick{})), 6)
+	gang := place.Request{Job: "g", Row: "r", Size: cores(1), Tasks: tasks("g", 6), Gang: true, Avoid: []string{"w00"}}
+	require.Empty(t, assignments(p.Step(at, gang)))
+	require.Empty(t, assignments(p.Step(at.Add(l.TrialInterval-time.Second), place.Tick{})), "one trial at a time")
+	require.Len(t, assignments(p.Step(at.Add(2*l.TrialInterval+time.Second), place.Tick{})), 6)
 }
--- a/internal/place/index.go
+++ b/internal/place/index.go
@@ -6,11 +6,10 @@
 	"pollencroft/internal/cell"
 )
 
-// The index sorts workers into cells by how much processor and memory they
-// have free, on a scale of 64 steps that grow by about a fifth, and into one
-// grid for each order of free accelerators. A look-up walks from the cell that
-// a task just fits into outwards, so its cost follows the number of steps and
-// not the number of workers.
+// The index sorts workers into cells by their free processors and memory, each on a logarithmic
+// scale of 64 levels that grow by about a fifth. There is one grid for each power of two of free
+// accelerators. A search starts at the cell that the task just fits into and moves outwards, so its
+// cost depends on the number of levels and not on the number of workers.
 const (
 	levels      = 64
 	accelLevels = 5
@@ -18,7 +17,7 @@
 )
 
 type position struct {
-	in              bool
+	indexed         bool
 	accel, cpu, mem int
 	slot            int
 }
@@ -28,31 +27,32 @@
 	cells [levels][levels][]*worker
 }
 
-// sorting says by what an index sorts workers.
-type sorting int
+// indexKey selects the capacity by which an index sorts workers.
+type indexKey int
 
 const (
-	// byFree is what a worker has free.
-	byFree sorting = iota
-	// byReach is what it would have free without its bulk tasks.
-	byReach
-	sortings
+	// byFree sorts by the free capacity of a worker.
+	byFree indexKey = iota
+	// byFreeAfterPreemption sorts by the capacity that would be free without the worker's bulk
+	// tasks.
+	byFreeAfterPreemption
+	indexCount
 )
 
 type index struct {
-	by    sorting
-	most  cell.Size
-	grids [accelLevels]*grid
+	key     indexKey
+	largest cell.Size
+	grids   [accelLevels]*grid
 }
 
-func (x *index) has(w *worker) cell.Size {
-	if x.by == byReach {
+func (x *index) capacity(w *worker) cell.Size {
+	if x.key == byFreeAfterPreemption {
 		return w.free.Add(w.bulk)
 	}
 	return w.free
 }
 
-// level is the step of v on the scale that ends at most.
+// level returns the level of v on the scale that ends at most.
 func level(v, most int64) int {
 	if v <= 0 || most <= 0 {
 		return 0
@@ -68,8 +68,8 @@
 
 func accelLevel(v int64) int { return min(bits.Len64(uint64(max(v, 0))), accelLevels-1) }
 
-// some returns up to n usable workers, about the fullest first.
-func (x *index) some(n int, size cell.Size, usable func(*worker) bool) []*worker {
+// candidates returns up to n usable workers, approximately the fullest first.
+func (x *index) candidates(n int, size cell.Size, usable func(*worker) bool) []*worker {
 	var found []*worker
 	x.best(size, func(w *worker) bool {
 		if len(found) == n || !usable(w) {
@@ -81,40 +81,41 @@
 	return found
 }
 
-// grows tells whether a worker of that size is larger than the scale.
-func (x *index) grows(size cell.Size) bool {
-	if size.Fits(x.most) {
+// growScale extends the scale to include a worker of that size and reports whether that was
+// necessary.
+func (x *index) growScale(size cell.Size) bool {
+	if size.Fits(x.largest) {
 		return false
 	}
-	x.most = cell.Size{CPU: max(x.most.CPU, size.CPU), Mem: max(x.most.Mem, size.Mem), Accel: max(x.most.Accel, size.Accel)}
+	x.largest = cell.Size{CPU: max(x.largest.CPU, size.CPU), Mem: max(x.largest.Mem, size.Mem), Accel: max(x.largest.Accel, size.Accel)}
 	return true
 }
 
 func (x *index) rebuild(all []*worker) {
 	x.grids = [accelLevels]*grid{}
 	for _, w := range all {
-		w.at[x.by] = position{}
-		x.put(w)
+		w.positions[x.key] = position{}
+		x.insert(w)
 	}
 }
 
-func (x *index) place(w *worker) position {
-	has := x.has(w)
-	return position{in: true, accel: accelLevel(has.Accel), cpu: level(has.CPU, x.most.CPU), mem: level(has.Mem, x.most.Mem)}
+func (x *index) positionOf(w *worker) position {
+	has := x.capacity(w)
+	return position{indexed: true, accel: accelLevel(has.Accel), cpu: level(has.CPU, x.largest.CPU), mem: level(has.Mem, x.largest.Mem)}
 }
 
-// put sorts a worker in by what it has free now, or out when it is not open.
-func (x *index) put(w *worker) {
-	if !w.open() {
-		x.drop(w)
+// insert puts a worker into the cell of its capacity, or removes it if it accepts no tasks.
+func (x *index) insert(w *worker) {
+	if !w.acceptsTasks() {
+		x.remove(w)
 		return
 	}
-	to := x.place(w)
-	to.slot = w.at[x.by].slot
-	if w.at[x.by] == to {
+	to := x.positionOf(w)
+	to.slot = w.positions[x.key].slot
+	if w.positions[x.key] == to {
 		return
 	}
-	x.drop(w)
+	x.remove(w)
 	g := x.grids[to.accel]
 	if g == nil {
 		g = &grid{}
@@ -123,31 +124,31 @@
 	to.slot = len(g.cells[to.cpu][to.mem])
 	g.cells[to.cpu][to.mem] = append(g.cells[to.cpu][to.mem], w)
 	g.bits[to.cpu] |= 1 << to.mem
-	w.at[x.by] = to
+	w.positions[x.key] = to
 }
 
-func (x *index) drop(w *worker) {
-	at := w.at[x.by]
-	w.at[x.by] = position{}
-	if !at.in {
+func (x *index) remove(w *worker) {
+	at := w.positions[x.key]
+	w.positions[x.key] = position{}
+	if !at.indexed {
 		return
 	}
 	g := x.grids[at.accel]
 	in := g.cells[at.cpu][at.mem]
 	last := len(in) - 1
 	in[at.slot] = in[last]
-	in[at.slot].at[x.by].slot = at.slot
+	in[at.slot].positions[x.key].slot = at.slot
 	in[last] = nil
 	g.cells[at.cpu][at.mem] = in[:last]
 	if last == 0 {
 		g.bits[at.cpu] &^= 1 << at.mem
 	}
-	w.at[x.by] = position{}
+	w.positions[x.key] = position{}
 }
 
-// best returns the usable worker that is about the fullest after taking size.
+// best returns the usable worker that would be approximately the fullest after allocating size.
 func (x *index) best(size cell.Size, usable func(*worker) bool) *worker {
-	cpu, mem := level(size.CPU, x.most.CPU), level(size.Mem, x.most.Mem)
+	cpu, mem := level(size.CPU, x.largest.CPU), level(size.Mem, x.largest.Mem)
 	for a := accelLevel(size.Accel); a < accelLevels; a++ {
 		if x.grids[a] == nil {
 			continue
@@ -159,7 +160,7 @@
 	return nil
 }
 
-// best looks at the cells in order of their distance from the task's own.
+// best visits the cells in order of their distance from the cell of the task's own size.
 func (g *grid) best(s search, cpu, mem int) *worker {
 	for d := 0; cpu+d < levels || mem+d < levels; d++ {
 		if c := cpu + d; c < levels {
@@ -183,9 +184,9 @@
 	return nil
 }
 
-// enough fitting workers of one cell are compared; they differ by less than
-// one step of the scale.
-const enough = 8
+// maxCompared is how many fitting workers of one cell are compared. Their capacities differ by less
+// than one level of the scale.
+const maxCompared = 8
 
 type search struct {
 	index  *index
@@ -198,14 +199,14 @@
 	var least float64
 	found := 0
 	for _, w := range in {
-		has := s.index.has(w)
+		has := s.index.capacity(w)
 		if !s.size.Fits(has) || !s.usable(w) {
 			continue
 		}
 		if left := has.Sub(s.size).Share(w.size); best == nil || left < least {
 			best, least = w, left
 		}
-		if found++; found == enough {
+		if found++; found == maxCompared {
 			break
 		}
 	}
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -1,7 +1,7 @@
-// Package place decides which worker gets which task. Urgent work goes first
-// and keeps a reserve; within a class teams and rows share by weight; a task
-// goes to the fullest worker that still has room for it. Waiting work is tried
-// again only when something changed that it waits for.
+// Package place decides which worker runs which task. Urgent tasks go first and have a reserve of
+// free capacity. Within a class, teams and rows share the capacity by weight. Each task goes to the
+// fullest worker that still has capacity for it. A blocked task is tried again only when something
+// changed that it waits for.
 package place
 
 import (
@@ -12,155 +12,156 @@
 	"pollencroft/internal/cell"
 )
 
-// Limits set the policy that is not in the table.
+// Limits holds the placement policy that is not part of the table.
 type Limits struct {
-	// Reserve is the share of all room that bulk tasks may not take.
-	Reserve float64
-	// Overdue is how long the oldest job of each class may wait before room
-	// is kept for it. Zero means never.
-	Overdue map[cell.Class]time.Duration
-	// UrgentCap is the share of all room up to which urgent tasks may take
-	// room that is kept for an overdue job.
+	// UrgentReserve is the share of the total capacity that bulk tasks may not use.
+	UrgentReserve float64
+	// OverdueAfter is how long the oldest job of each class may wait before capacity is reserved
+	// for it. Zero means never.
+	OverdueAfter map[cell.Class]time.Duration
+	// UrgentCap limits when urgent tasks may use capacity that is reserved for an overdue job: only
+	// while they use less than this share of the total capacity.
 	UrgentCap float64
-	// Aside is the largest share of the workers that may be set aside.
-	Aside float64
-	// Trial is how long a worker set aside waits for its next trial.
-	Trial time.Duration
+	// MaxQuarantined is the largest share of the workers that may be quarantined at a time.
+	MaxQuarantined float64
+	// TrialInterval is how long a quarantined worker waits for its first trial.
+	TrialInterval time.Duration
 }
 
-// DefaultLimits suit both users.
+// DefaultLimits is suitable for both users.
 var DefaultLimits = Limits{
-	Reserve:   0.1,
-	Overdue:   map[cell.Class]time.Duration{cell.Urgent: 2 * time.Second, cell.Normal: time.Minute, cell.Bulk: 10 * time.Minute},
-	UrgentCap: 0.8,
-	Aside:     0.25,
-	Trial:     10 * time.Second,
+	UrgentReserve:  0.1,
+	OverdueAfter:   map[cell.Class]time.Duration{cell.Urgent: 2 * time.Second, cell.Normal: time.Minute, cell.Bulk: 10 * time.Minute},
+	UrgentCap:      0.8,
+	MaxQuarantined: 0.25,
+	TrialInterval:  10 * time.Second,
 }
 
-// Placer is the placement core of one host.
+// Placer is the placement core of one host. It does no I/O.
 type Placer struct {
-	limits  Limits
-	now     time.Time
-	workers map[string]*worker
-	index   index
-	reach   index
-	whole   cell.Size
-	free    cell.Size
-	taken   map[string]*room
-	rows    map[string]share
-	teams   map[string]share
-	urgent  share
-	queue   queue
-	old     *entry
-	looked  time.Time
-	results results
-	// grown are workers that got room in this step, which has the number step.
-	grown []*worker
-	step  int64
-	acts  []Action
+	limits       Limits
+	now          time.Time
+	workers      map[string]*worker
+	index        index
+	preemptIndex index
+	total        cell.Size
+	free         cell.Size
+	allocations  map[string]*allocation
+	rowUsage     map[string]usage
+	teamUsage    map[string]usage
+	urgentUsage  usage
+	queue        queue
+	overdue      *entry
+	lastTick     time.Time
+	results      results
+	// grownWorkers gained free capacity since blocked tasks were last tried. step counts the calls
+	// of Step.
+	grownWorkers []*worker
+	step         int64
+	actions      []Action
 }
 
-// New returns a core without workers.
+// New returns a Placer without workers.
 func New(limits Limits) *Placer {
 	return &Placer{
-		limits: limits, workers: map[string]*worker{}, taken: map[string]*room{}, rows: map[string]share{},
-		index: index{by: byFree}, reach: index{by: byReach}, teams: map[string]share{}, queue: newQueue(), results: newResults(),
+		limits: limits, workers: map[string]*worker{}, allocations: map[string]*allocation{}, rowUsage: map[string]usage{},
+		index: index{key: byFree}, preemptIndex: index{key: byFreeAfterPreemption}, teamUsage: map[string]usage{}, queue: newQueue(), results: newResults(),
 	}
 }
 
-// Step takes one event and returns the placements that it makes possible.
+// Step applies one event and returns the actions that follow from it.
 func (p *Placer) Step(now time.Time, ev Event) []Action {
 	p.now = now
-	p.acts = nil
+	p.actions = nil
 	p.step++
 	switch ev := ev.(type) {
 	case Up:
-		p.up(ev)
-	case Sized:
-		p.sized(ev)
+		p.addWorker(ev)
+	case WorkerResized:
+		p.resizeWorker(ev)
 	case Down:
-		p.down(ev.Worker)
-	case Want:
+		p.removeWorker(ev.Worker)
+	case Request:
 		p.queue.add(now, ev)
 	case Freed:
 		if p.queue.drop(ev.Task) {
 			return nil
 		}
-		p.freed(ev.Task)
-	case Resized:
-		p.resized(ev)
+		p.freeTask(ev.Task)
+	case TaskResized:
+		p.resizeTask(ev)
 	case Result:
-		p.result(ev)
-	case Ruled:
-		p.queue.ruled(ev)
+		p.recordResult(ev)
+	case RuleChanged:
+		p.queue.applyRule(ev)
 	case Tick:
 		p.tick()
 	}
-	p.fill()
-	return p.acts
+	p.placeWaiting()
+	return p.actions
 }
 
-func (p *Placer) do(a Action) { p.acts = append(p.acts, a) }
+func (p *Placer) emit(a Action) { p.actions = append(p.actions, a) }
 
-// tickEvery bounds how often the passing of time alone is looked at.
-const tickEvery = time.Second
+// tickInterval is the minimum time between two runs of the time-dependent checks.
+const tickInterval = time.Second
 
 func (p *Placer) tick() {
-	if p.now.Sub(p.looked) < tickEvery {
+	if p.now.Sub(p.lastTick) < tickInterval {
 		return
 	}
-	p.looked = p.now
-	p.expireMarks()
-	p.lookForOverdue()
-	p.giveUpCorrections()
-	p.trials()
-	p.wakeReturning()
+	p.lastTick = p.now
+	p.expireReservations()
+	p.updateOverdue()
+	p.revertCorrections()
+	p.reviewQuarantined()
+	p.wakeAfterAvoid()
 }
 
-func (p *Placer) up(ev Up) {
-	p.down(ev.Worker)
-	w := &worker{name: ev.Worker, rack: ev.Rack, size: ev.Size, free: ev.Size, tasks: map[string]*room{}}
+func (p *Placer) addWorker(ev Up) {
+	p.removeWorker(ev.Worker)
+	w := &worker{name: ev.Worker, rack: ev.Rack, size: ev.Size, free: ev.Size, tasks: map[string]*allocation{}}
 	p.workers[ev.Worker] = w
-	p.whole = p.whole.Add(w.size)
+	p.total = p.total.Add(w.size)
 	p.free = p.free.Add(w.free)
 	p.rescale(w)
 	for _, u := range ev.Used {
-		r := &room{task: u.Task, row: u.Row, team: u.Team, class: u.Class, size: u.Size, began: p.now}
-		if u.Left > 0 {
-			r.ends = p.now.Add(u.Left)
+		r := &allocation{task: u.Task, row: u.Row, team: u.Team, class: u.Class, size: u.Size, started: p.now}
+		if u.Remaining > 0 {
+			r.plannedEnd = p.now.Add(u.Remaining)
 		}
-		p.take(r, w)
+		p.allocate(r, w)
 	}
-	p.sort(w)
-	p.wakeFor(w)
+	p.reindex(w)
+	p.noteGrown(w)
 }
 
-// rescale makes the indexes hold a worker of that size.
+// rescale rebuilds both indexes if a worker of that size exceeds their scale.
 func (p *Placer) rescale(w *worker) {
-	if p.index.grows(w.size) {
+	if p.index.growScale(w.size) {
 		p.index.rebuild(p.inNameOrder())
-		p.reach.grows(w.size)
-		p.reach.rebuild(p.inNameOrder())
+		p.preemptIndex.growScale(w.size)
+		p.preemptIndex.rebuild(p.inNameOrder())
 	}
 }
 
-// sized books another size of a worker. What runs there goes on; its free room is negative while
-// that takes more than it has. Room that is kept there for an entry which does not fit any more
-// is given up.
-func (p *Placer) sized(ev Sized) {
+// resizeWorker records a new size of a worker. Its running tasks go on, and its free capacity is
+// negative while they use more than the new size. A reservation for an entry that no longer fits
+// the worker is cancelled.
+func (p *Placer) resizeWorker(ev WorkerResized) {
 	w, ok := p.workers[ev.Worker]
 	if !ok || w.size == ev.Size {
 		return
 	}
 	more := ev.Size.Sub(w.size)
 	w.size, w.free = ev.Size, w.free.Add(more)
-	p.whole, p.free = p.whole.Add(more), p.free.Add(more)
+	p.total, p.free = p.total.Add(more), p.free.Add(more)
 	p.rescale(w)
-	p.sort(w)
-	if w.mark != nil && !w.mark.entry.Size.Fits(w.size) {
-		p.unmark(w.mark.entry)
+	p.reindex(w)
+	if w.reservation != nil && !w.reservation.entry.Size.Fits(w.size) {
+		p.cancelReservations(w.reservation.entry)
 	}
-	p.wakeFor(w)
+	p.noteGrown(w)
 }
 
 func (p *Placer) inNameOrder() []*worker {
@@ -171,7 +172,7 @@
 	return all
 }
 
-func (p *Placer) down(name string) {
+func (p *Placer) removeWorker(name string) {
 	w, ok := p.workers[name]
 	if !ok {
 		return
@@ -179,26 +180,26 @@
 	for _, task := range slices.Sorted(maps.Keys(w.tasks)) {
 		p.release(task)
 	}
-	p.index.drop(w)
-	p.reach.drop(w)
-	p.whole = p.whole.Sub(w.size)
+	p.index.remove(w)
+	p.preemptIndex.remove(w)
+	p.total = p.total.Sub(w.size)
 	p.free = p.free.Sub(w.free)
 	delete(p.workers, name)
-	p.queue.wake(func(s *shape) bool { return s.blocked == TooFew })
+	p.queue.wake(func(s *shape) bool { return s.blocked == GangTooLarge })
 }
 
-func (p *Placer) freed(task string) {
-	r, ok := p.taken[task]
+func (p *Placer) freeTask(task string) {
+	r, ok := p.allocations[task]
 	if !ok {
 		return
 	}
 	p.release(task)
-	p.wakeFor(r.worker)
+	p.noteGrown(r.worker)
 	p.queue.wake(func(s *shape) bool {
 		switch s.blocked {
-		case RowTasks, RowRoom:
+		case RowTaskLimit, RowSizeLimit:
 			return s.lane.row == r.row
-		case TeamRoom:
+		case TeamQuota:
 			return s.lane.team == r.team
 		default:
 			return false
@@ -206,52 +207,52 @@
 	})
 }
 
-// fill places waiting tasks, one at a time and the most deserving first, until
-// everything that waits is known to be blocked.
-func (p *Placer) fill() {
+// placeWaiting places waiting tasks one at a time, in order of priority, until every remaining task
+// is known to be blocked.
+func (p *Placer) placeWaiting() {
 	for {
 		if e := p.next(); e != nil {
-			p.try(e)
+			p.tryEntry(e)
 			continue
 		}
-		e := p.refill()
+		e := p.nextRetry()
 		if e == nil {
 			p.sweep()
 			return
 		}
-		p.try(e)
+		p.tryEntry(e)
 		if e.shape.blocked == Ready {
-			// The others have their turn before this one's next task.
-			e.shape.looked = 0
-			p.queue.block(e.shape, NoRoom)
+			// Give the other shapes a turn before the next task of this one.
+			e.shape.lastRetry = 0
+			p.queue.block(e.shape, NoCapacity)
 		}
 	}
 }
 
-// sweepEvery is how many steps pass between two sweeps of empty shapes.
-const sweepEvery = 64
+// sweepInterval is the number of steps between two removals of empty shapes.
+const sweepInterval = 64
 
 func (p *Placer) sweep() {
-	if p.step%sweepEvery == 0 {
+	if p.step%sweepInterval == 0 {
 		p.queue.wake(func(*shape) bool { return false })
 	}
 }
 
 func (p *Placer) next() *entry {
-	if p.old != nil && p.old.waiting() && p.old.shape.blocked == Ready {
-		return p.old
+	if p.overdue != nil && p.overdue.waiting() && p.overdue.shape.blocked == Ready {
+		return p.overdue
 	}
-	return p.queue.next(p.deserves)
+	return p.queue.next(p.fairShare)
 }
 
-// deserves orders lanes of one class: the team that has the least of the cell
-// goes first, within it the row that has the least for its weight.
-func (p *Placer) deserves(l *lane) (float64, float64) {
-	return p.teams[l.team].size.Share(p.whole), p.rows[l.row].size.Share(p.whole) / float64(max(l.weight, 1))
+// fairShare returns the sort keys of lanes of one class: the team that uses the smallest share of
+// the total capacity goes first, and within a team the row that uses the least for its weight.
+func (p *Placer) fairShare(l *lane) (float64, float64) {
+	return p.teamUsage[l.team].size.Share(p.total), p.rowUsage[l.row].size.Share(p.total) / float64(max(l.weight, 1))
 }
 
-func (p *Placer) try(e *entry) {
-	if why := p.allowed(e); why != Ready {
+func (p *Placer) tryEntry(e *entry) {
+	if why := p.checkLimits(e); why != Ready {
 		p.queue.block(e.shape, why)
 		return
 	}
@@ -259,86 +260,86 @@
 		p.tryGang(e)
 		return
 	}
-	w := p.best(e)
+	w := p.bestWorker(e)
 	if w == nil {
-		p.queue.block(e.shape, NoRoom)
-		p.makeRoom(e)
+		p.queue.block(e.shape, NoCapacity)
+		p.preemptFor(e)
 		return
 	}
-	p.put(e, w)
+	p.assign(e, w)
 }
 
-func (p *Placer) put(e *entry, w *worker) {
+func (p *Placer) assign(e *entry, w *worker) {
 	task := p.queue.pop(e)
-	r := &room{task: task, row: e.Row, team: e.Team, class: e.Class, size: e.Size, began: p.now}
-	if e.Time > 0 {
-		r.ends = p.now.Add(e.Time)
+	r := &allocation{task: task, row: e.Row, team: e.Team, class: e.Class, size: e.Size, started: p.now}
+	if e.RunTime > 0 {
+		r.plannedEnd = p.now.Add(e.RunTime)
 	}
-	p.take(r, w)
-	p.tried(w)
-	p.do(Put{Task: task, Worker: w.name})
+	p.allocate(r, w)
+	p.closeTrial(w)
+	p.emit(Assign{Task: task, Worker: w.name})
 	if !e.waiting() {
-		p.unmark(e)
+		p.cancelReservations(e)
 	}
 }
 
-// best is the fullest worker that has room for one of the entry's tasks.
-func (p *Placer) best(e *entry) *worker {
+// bestWorker returns the fullest worker that has capacity for one of the entry's tasks.
+func (p *Placer) bestWorker(e *entry) *worker {
 	usable := func(w *worker) bool { return p.usable(w, e) }
 	if e.Spread {
-		return p.spread(e, usable)
+		return p.bestSpread(e, usable)
 	}
 	if w := p.index.best(e.Size, usable); w != nil {
 		return w
 	}
-	if len(e.Avoid) == 0 || p.elsewhere(e) {
+	if len(e.Avoid) == 0 || p.fitsWithoutAvoided(e) {
 		return nil
 	}
-	return p.index.best(e.Size, func(w *worker) bool { return p.mayReturn(w, e) && p.markedFor(w, e) })
+	return p.index.best(e.Size, func(w *worker) bool { return p.mayRetryOn(w, e) && p.reservationAllows(w, e) })
 }
 
-// mayReturn tells whether the entry's tasks may be put on a worker that they have failed on. Tried
-// there again at once, they would spend all their tries on a worker that fails everything.
-func (p *Placer) mayReturn(w *worker, e *entry) bool {
-	return !slices.Contains(e.Avoid, w.name) || !p.now.Before(e.Back) || w.good.After(e.Failed)
+// mayRetryOn reports whether the entry's tasks may run on a worker where they have failed before.
+// If they were retried there at once, a worker that fails everything would use up all their
+// attempts.
+func (p *Placer) mayRetryOn(w *worker, e *entry) bool {
+	return !slices.Contains(e.Avoid, w.name) || !p.now.Before(e.AvoidUntil) || w.lastSuccess.After(e.LastFailure)
 }
 
-// wakeReturning has work tried that may go back now to the workers that it has failed on.
-func (p *Placer) wakeReturning() {
+// wakeAfterAvoid retries entries that may now run again on the workers where they have failed.
+func (p *Placer) wakeAfterAvoid() {
 	p.queue.wake(func(s *shape) bool {
 		e := s.head()
-		if e.Back.IsZero() || p.now.Before(e.Back) {
+		if e.AvoidUntil.IsZero() || p.now.Before(e.AvoidUntil) {
 			return false
 		}
-		e.Back = time.Time{}
+		e.AvoidUntil = time.Time{}
 		return true
 	})
 }
 
-// elsewhere tells whether workers that the entry's tasks have not failed on
-// could hold one, or all of a gang, once they have room. A task that did not wait
-// for them would spend all its tries on the same bad worker, which always has room,
-// and its job would end as failed because of one machine. A gang that waited for
-// too few of them would wait for ever.
-func (p *Placer) elsewhere(e *entry) bool {
+// fitsWithoutAvoided reports whether the workers where the entry's tasks have not failed could hold
+// one task, or the whole gang, once they have free capacity. A task that did not wait for them
+// would use up all its attempts on the same bad worker, which always has free capacity, and its job
+// would fail because of one machine. A gang that waited for too few of them would wait forever.
+func (p *Placer) fitsWithoutAvoided(e *entry) bool {
 	need := int64(1)
 	if e.Gang {
-		need = int64(e.live)
+		need = int64(e.pending)
 	}
 	for _, w := range p.workers {
-		if w.open() && e.Size.Fits(w.size) && !slices.Contains(e.Avoid, w.name) {
-			need -= copies(w.size, e.Size)
+		if w.acceptsTasks() && e.Size.Fits(w.size) && !slices.Contains(e.Avoid, w.name) {
+			need -= countFitting(w.size, e.Size)
 		}
 	}
 	return need <= 0
 }
 
 func (p *Placer) usable(w *worker, e *entry) bool {
-	return !slices.Contains(e.Avoid, w.name) && p.markedFor(w, e)
+	return !slices.Contains(e.Avoid, w.name) && p.reservationAllows(w, e)
 }
 
-// spread prefers the racks that run the fewest tasks of the row.
-func (p *Placer) spread(e *entry, usable func(*worker) bool) *worker {
+// bestSpread prefers the racks that run the fewest tasks of the row.
+func (p *Placer) bestSpread(e *entry, usable func(*worker) bool) *worker {
 	count := map[string]int{}
 	for _, w := range p.workers {
 		count[w.rack] += w.rows[e.Row]
@@ -346,10 +347,10 @@
 	var best *worker
 	var least float64
 	for _, w := range p.workers {
-		if !w.open() || !e.Size.Fits(w.free) || !usable(w) {
+		if !w.acceptsTasks() || !e.Size.Fits(w.free) || !usable(w) {
 			continue
 		}
-		left := float64(count[w.rack]) + w.left(e.Size)/2
+		left := float64(count[w.rack]) + w.freeShareAfter(e.Size)/2
 		if best == nil || left < least || left == least && w.name < best.name {
 			best, least = w, left
 		}
@@ -357,16 +358,16 @@
 	return best
 }
 
-// Largest returns the largest worker that is up in each part; false when no
-// worker is up.
+// Largest returns, for each resource separately, the size of the largest worker that has been up.
+// It returns false if no worker is up.
 func (p *Placer) Largest() (cell.Size, bool) {
-	return p.index.most, len(p.workers) > 0
+	return p.index.largest, len(p.workers) > 0
 }
 
-// Waiting returns how many tasks wait for room.
+// Waiting returns the number of waiting tasks.
 func (p *Placer) Waiting() int { return len(p.queue.tasks) }
 
-// Rows lists the rows of which work waits, in order of name.
+// Rows lists the rows with waiting tasks, sorted by name.
 func (p *Placer) Rows() []string {
 	names := map[string]bool{}
 	for key, l := range p.queue.lanes {
@@ -377,26 +378,27 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// Room returns the room that a task takes; false if it takes none.
-func (p *Placer) Room(task string) (cell.Size, bool) {
-	r, ok := p.taken[task]
+// AllocatedSize returns the capacity that is allocated to a task. It returns false if there is
+// none.
+func (p *Placer) AllocatedSize(task string) (cell.Size, bool) {
+	r, ok := p.allocations[task]
 	if !ok {
 		return cell.Size{}, false
 	}
 	return r.size, true
 }
 
-// Holds tells whether a task has its room on that worker.
-func (p *Placer) Holds(task, worker string) bool {
-	r, ok := p.taken[task]
+// IsAssigned reports whether a task has its allocation on that worker.
+func (p *Placer) IsAssigned(task, worker string) bool {
+	r, ok := p.allocations[task]
 	return ok && r.worker.name == worker
 }
 
-// Asides lists the workers set aside, in order of name.
-func (p *Placer) Asides() []string {
+// QuarantinedWorkers lists the quarantined workers, sorted by name.
+func (p *Placer) QuarantinedWorkers() []string {
 	var all []string
 	for _, w := range p.inNameOrder() {
-		if w.health.aside {
+		if w.health.quarantined {
 			all = append(all, w.name)
 		}
 	}
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -7,48 +7,48 @@
 	"pollencroft/internal/cell"
 )
 
-// Block is what waiting work waits for.
-type Block int
+// BlockReason says why waiting tasks cannot be placed.
+type BlockReason int
 
-// What work may wait for. Ready work has not been tried since a change.
+// Block reasons. Ready tasks have not been tried since the last change that concerns them.
 const (
-	Ready Block = iota
-	NoRoom
-	TooFew
-	RowTasks
-	RowRoom
-	TeamRoom
-	Reserved
+	Ready BlockReason = iota
+	NoCapacity
+	GangTooLarge
+	RowTaskLimit
+	RowSizeLimit
+	TeamQuota
+	ReservedForUrgent
 )
 
-// limit tells whether the work waits for a limit of the table, which no room
-// that is kept for it can help.
-func (b Block) limit() bool { return b == RowTasks || b == RowRoom || b == TeamRoom }
+// isLimit reports whether the reason is a limit set in the table. Reserving capacity does not help
+// against those.
+func (b BlockReason) isLimit() bool { return b == RowTaskLimit || b == RowSizeLimit || b == TeamQuota }
 
-// entry is one job's tasks that wait for room.
+// entry is one placement request with the tasks of a job that still wait.
 type entry struct {
-	Want
-	seq    int64
-	shape  *shape
-	live   int
-	marked []*worker
+	Request
+	seq      int64
+	shape    *shape
+	pending  int
+	reserved []*worker
 }
 
-func (e *entry) waiting() bool { return e.live > 0 }
+func (e *entry) waiting() bool { return e.pending > 0 }
 
-// shape is waiting work of one row that fits or does not fit alike, so that it
-// is tried and blocked as one. The work behind it is not held up.
+// shape groups waiting entries of one row that have the same size and run time. They are tried and
+// blocked together, and a blocked shape does not hold up the shapes behind it.
 type shape struct {
 	lane    *lane
 	size    cell.Size
 	time    time.Duration
-	blocked Block
-	// looked is the step in which the shape was last tried again.
-	looked  int64
-	entries []*entry
+	blocked BlockReason
+	// lastRetry is the step in which the shape was last retried.
+	lastRetry int64
+	entries   []*entry
 }
 
-// head is the oldest entry that still waits.
+// head returns the oldest entry that still has waiting tasks.
 func (s *shape) head() *entry {
 	for len(s.entries) > 0 && !s.entries[0].waiting() {
 		s.entries = s.entries[1:]
@@ -59,13 +59,13 @@
 	return s.entries[0]
 }
 
-// lane is one row's waiting work in one class.
+// lane holds the waiting entries of one row in one class.
 type lane struct {
 	class     cell.Class
 	row, team string
 	weight    int64
 	shapes    []*shape
-	// ready are the shapes that have not been tried since a change.
+	// ready lists the shapes that have not been tried since the last change that concerns them.
 	ready []*shape
 }
 
@@ -80,7 +80,7 @@
 	time time.Duration
 }
 
-// queue holds all waiting work by class, row and shape.
+// queue holds all waiting entries by class, row and shape.
 type queue struct {
 	seq    int64
 	lanes  map[laneKey]*lane
@@ -95,7 +95,7 @@
 	}
 }
 
-func (q *queue) lane(w Want) *lane {
+func (q *queue) lane(w Request) *lane {
 	key := laneKey{class: w.Class, row: w.Row, team: w.Team}
 	l, ok := q.lanes[key]
 	if !ok {
@@ -107,25 +107,25 @@
 	return l
 }
 
-func (q *queue) add(now time.Time, w Want) {
+func (q *queue) add(now time.Time, w Request) {
 	q.seq++
 	if w.Since.IsZero() {
 		w.Since = now
 	}
-	e := &entry{Want: w, seq: q.seq}
+	e := &entry{Request: w, seq: q.seq}
 	for _, task := range w.Tasks {
 		if _, ok := q.tasks[task]; !ok {
 			q.tasks[task] = e
-			e.live++
+			e.pending++
 		}
 	}
 	l := q.lane(w)
-	key := shapeKey{laneKey: laneKey{class: w.Class, row: w.Row, team: w.Team}, size: w.Size, time: w.Time}
-	// Work that cannot be tried together with other work gets its own shape.
+	key := shapeKey{laneKey: laneKey{class: w.Class, row: w.Row, team: w.Team}, size: w.Size, time: w.RunTime}
+	// Entries that cannot be tried together with others get a shape of their own.
 	own := w.Gang || w.Spread || len(w.Avoid) > 0
 	s, ok := q.shapes[key]
 	if own || !ok {
-		s = &shape{lane: l, size: w.Size, time: w.Time}
+		s = &shape{lane: l, size: w.Size, time: w.RunTime}
 		l.shapes = append(l.shapes, s)
 		l.ready = append(l.ready, s)
 	}
@@ -136,19 +136,19 @@
 	s.entries = append(s.entries, e)
 }
 
-// drop forgets a waiting task; false if it does not wait. It costs the same
-// however long the queue is, so a wave of cancellations is one pass over it.
+// drop removes a waiting task. It returns false if the task is not waiting. The cost does not
+// depend on the length of the queue, so cancelling many jobs takes linear time.
 func (q *queue) drop(task string) bool {
 	e, ok := q.tasks[task]
 	if !ok {
 		return false
 	}
 	delete(q.tasks, task)
-	e.live--
+	e.pending--
 	return true
 }
 
-// pop takes the next task of an entry out of the queue.
+// pop removes and returns the next waiting task of an entry.
 func (q *queue) pop(e *entry) string {
 	for {
 		task := e.Tasks[0]
@@ -160,32 +160,31 @@
 	}
 }
 
-func (q *queue) block(s *shape, why Block) {
+func (q *queue) block(s *shape, why BlockReason) {
 	s.blocked = why
 	if i := slices.Index(s.lane.ready, s); i >= 0 {
 		s.lane.ready = slices.Delete(s.lane.ready, i, i+1)
 	}
 }
 
-func (q *queue) ready(s *shape) {
+func (q *queue) markReady(s *shape) {
 	if s.blocked != Ready {
 		s.blocked = Ready
 		s.lane.ready = append(s.lane.ready, s)
 	}
 }
 
-// wake makes blocked work ready for which the reason has passed, and sweeps
-// out the shapes that have become empty.
+// wake makes those blocked shapes ready for which passed returns true, and removes empty shapes.
 func (q *queue) wake(passed func(*shape) bool) {
 	for _, lanes := range q.order {
 		for _, l := range lanes {
 			l.shapes = slices.DeleteFunc(l.shapes, func(s *shape) bool {
 				if s.head() == nil {
-					q.forget(s)
+					q.deleteShape(s)
 					return true
 				}
 				if s.blocked != Ready && passed(s) {
-					q.ready(s)
+					q.markReady(s)
 				}
 				return false
 			})
@@ -193,16 +192,16 @@
 	}
 }
 
-// deserts orders lanes of one class by what their team and row have already.
-type deserts func(*lane) (team, row float64)
+// usageFunc returns what a lane's team and row already use. Lanes of one class are sorted by it.
+type usageFunc func(*lane) (team, row float64)
 
-// next returns the ready entry that goes first: by class, then by what the
-// lane deserves, then by age.
-func (q *queue) next(of deserts) *entry { return q.goesFirst(of, q.first) }
+// next returns the first ready entry: by class, then by the usage of the lane, then by age.
+func (q *queue) next(of usageFunc) *entry { return q.firstInOrder(of, q.firstReady) }
 
-// passing returns the blocked entry that goes first of those that pass.
-func (q *queue) passing(of deserts, passed func(*shape) bool) *entry {
-	return q.goesFirst(of, func(l *lane) *entry {
+// nextBlocked returns, in the order of next, the first entry of the blocked shapes for which passed
+// returns true.
+func (q *queue) nextBlocked(of usageFunc, passed func(*shape) bool) *entry {
+	return q.firstInOrder(of, func(l *lane) *entry {
 		var first *entry
 		for _, s := range l.shapes {
 			if s.blocked == Ready || !passed(s) {
@@ -216,7 +215,7 @@
 	})
 }
 
-func (q *queue) goesFirst(of deserts, in func(*lane) *entry) *entry {
+func (q *queue) firstInOrder(of usageFunc, in func(*lane) *entry) *entry {
 	for _, lanes := range q.order {
 		var first *entry
 		var firstTeam, firstRow float64
@@ -237,7 +236,7 @@
 	return nil
 }
 
-func (q *queue) first(l *lane) *entry {
+func (q *queue) firstReady(l *lane) *entry {
 	var first *entry
 	l.ready = slices.DeleteFunc(l.ready, func(s *shape) bool {
 		e := s.head()
@@ -245,23 +244,23 @@
 			first = e
 		}
 		if e == nil {
-			q.forget(s)
+			q.deleteShape(s)
 		}
 		return e == nil
 	})
 	return first
 }
 
-func (q *queue) forget(s *shape) {
+func (q *queue) deleteShape(s *shape) {
 	key := shapeKey{laneKey: laneKey{class: s.lane.class, row: s.lane.row, team: s.lane.team}, size: s.size, time: s.time}
 	if q.shapes[key] == s {
 		delete(q.shapes, key)
 	}
 }
 
-// ruled applies what the table says now to work that waits already. Without it
-// an accepted edit would be in force for new jobs only.
-func (q *queue) ruled(ev Ruled) {
+// applyRule applies a changed rule to the entries that already wait. Without this, an accepted edit
+// of the table would apply only to new jobs.
+func (q *queue) applyRule(ev RuleChanged) {
 	for key, l := range q.lanes {
 		if key.row != ev.Row {
 			continue
@@ -271,8 +270,8 @@
 			for _, e := range s.entries {
 				e.Rule = ev.Rule
 			}
-			if s.blocked.limit() {
-				q.ready(s)
+			if s.blocked.isLimit() {
+				q.markReady(s)
 			}
 		}
 	}
