--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -111,16 +111,16 @@
 		return nil
 	}
 	j.incarnations[ev.Worker] = incarnation{name: ev.Incarnation, sent: ev.Sent}
-	lost, late := j.lostInCrash(ev, listed), j.crashedWhileSilent(ev)
+	lost, crashedSilently := j.lostInCrash(ev, listed), j.crashedWhileSilent(ev)
 	most := int64(0)
-	for _, t := range slices.Concat(lost, late) {
+	for _, t := range slices.Concat(lost, crashedSilently) {
 		most = max(most, t.crashes)
 	}
 	for _, t := range lost {
 		t.suspected = t.crashes == most && !t.excuse(ev)
 	}
 	var acts []Action
-	for _, t := range late {
+	for _, t := range crashedSilently {
 		if t.crashes == most && !t.excuse(ev) {
 			acts = append(acts, j.countLateCrash(t, ev.Worker)...)
 		}
