--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -157,14 +157,14 @@
 	if ev.Jobs != nil {
 		return nil
 	}
-	var late []*task
+	var crashed []*task
 	for _, p := range j.silentPlaces[ev.Worker] {
 		if t, ok := j.tasks[p.task]; ok && p.incarnation != ev.Incarnation && !taskChart.Final(t.state) {
-			late = append(late, t)
+			crashed = append(crashed, t)
 		}
 	}
 	delete(j.silentPlaces, ev.Worker)
-	return late
+	return crashed
 }
 
 // countLateCrash counts a crash for a task that has been queued or started elsewhere meanwhile. If
