--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -231,8 +231,8 @@
 // giveUpAfterCrashes fails the waiting tasks of a job if one of its tasks has reached maxCrashes,
 // since the job can't be completed then. Running tasks may end.
 func (j *Jobs) giveUpAfterCrashes(jb *job) []Action {
-	over := func(t *task) bool { return t.crashes >= maxCrashes && !taskChart.Final(t.state) }
-	i := slices.IndexFunc(jb.tasks, over)
+	reachedMax := func(t *task) bool { return t.crashes >= maxCrashes && !taskChart.Final(t.state) }
+	i := slices.IndexFunc(jb.tasks, reachedMax)
 	if jb.crashErr != nil || i < 0 {
 		return nil
 	}
