--- a/internal/job/retry.go
+++ b/internal/job/retry.go
@@ -127,7 +127,7 @@
 	}
 	acts := []Action{free}
 	want := RequestPlacement{Spec: t.job.spec, Since: t.job.acceptedAt}
-	whole := true
+	ready := true
 	for _, o := range t.job.tasks {
 		switch {
 		case taskChart.Final(o.state):
@@ -138,13 +138,13 @@
 			want.LastFailure = slices.MaxFunc([]time.Time{want.LastFailure, o.lastFailure}, time.Time.Compare)
 			want.AvoidUntil = slices.MaxFunc([]time.Time{want.AvoidUntil, o.avoidUntil}, time.Time.Compare)
 			want.Exclusive = want.Exclusive || o.needsExclusiveWorker()
-			whole = whole && o.crashes == o.storedCrashes
+			ready = ready && o.crashes == o.storedCrashes
 		default:
-			whole = false
+			ready = false
 			acts = append(acts, j.pause(o.id)...)
 		}
 	}
-	if whole {
+	if ready {
 		acts = append(acts, want)
 	}
 	return acts
