--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -10,9 +10,9 @@
 )
 
 // listInIncarnation returns a worker's list in one of its incarnations.
-func listInIncarnation(worker, life string, sent time.Time, tasks ...job.ListedTask) job.WorkerList {
+func listInIncarnation(worker, incarnation string, sent time.Time, tasks ...job.ListedTask) job.WorkerList {
 	ev := listOf(worker, sent, tasks...)
-	ev.Incarnation = life
+	ev.Incarnation = incarnation
 	return ev
 }
 
