--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -157,7 +157,7 @@
 
 // Guards against a crash count that starts from zero with each new leader.
 func TestCrashCountSurvivesLeaderChange(t *testing.T) {
-	for how, next := range map[string]func(j *job.Jobs, lives int64) *job.Jobs{
+	for how, next := range map[string]func(j *job.Jobs, crashes int64) *job.Jobs{
 		"handed over": func(j *job.Jobs, _ int64) *job.Jobs { return handOver(t, j) },
 		"inherited": func(_ *job.Jobs, lives int64) *job.Jobs {
 			j := job.New()
