--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -159,10 +159,10 @@
 func TestCrashCountSurvivesLeaderChange(t *testing.T) {
 	for how, next := range map[string]func(j *job.Jobs, crashes int64) *job.Jobs{
 		"handed over": func(j *job.Jobs, _ int64) *job.Jobs { return handOver(t, j) },
-		"inherited": func(_ *job.Jobs, lives int64) *job.Jobs {
+		"inherited": func(_ *job.Jobs, crashes int64) *job.Jobs {
 			j := job.New()
 			j.Step(now, job.Inherit{Spec: spec(1)})
-			j.Step(now, job.Release{ID: "d.r.j", Crashes: map[string]int64{"d.r.j.0": lives}})
+			j.Step(now, job.Release{ID: "d.r.j", Crashes: map[string]int64{"d.r.j.0": crashes}})
 			return j
 		},
 	} {
