--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -199,7 +199,7 @@
 
 // Guards against capacity that is freed after a gang's tasks were started on it: the count of a
 // crash may be stored at once, and the gang placed before the remaining actions are carried out.
-func TestCrashIsTheLastThatIsToldOfANewLead(t *testing.T) {
+func TestCrashCountIsTheLastActionOfANewLeader(t *testing.T) {
 	gang := spec(2)
 	gang.Gang = true
 	last := func(acts []job.Action) {
