--- a/internal/job/inherit_test.go
+++ b/internal/job/inherit_test.go
@@ -137,7 +137,7 @@
 
 // Guards against a task that runs twice: a handover whose answer was lost arrives again after its
 // receiver has started the job's tasks and handed the job on.
-func TestHandOverThatComesAgainIsPassedOver(t *testing.T) {
+func TestRepeatedHandoverIsIgnored(t *testing.T) {
 	j := job.New()
 	first := job.Snapshot{HandoverID: "h1", Spec: spec(1), State: "waiting", Tasks: []job.TaskSnapshot{{State: "waiting"}}}
 	require.Len(t, actionsOf[job.RequestPlacement](j.Step(now, job.Adopt{Snapshot: first})), 1)
