--- a/internal/job/stale_answer_test.go
+++ b/internal/job/stale_answer_test.go
@@ -27,7 +27,7 @@
 
 // Guards against a task that runs twice: the confirmation of a try that was stopped meanwhile is
 // taken for that of the next try, whose start is still in flight.
-func TestLateConfirmationOfAFormerTryChangesNothing(t *testing.T) {
+func TestLateConfirmationOfAPreviousTryChangesNothing(t *testing.T) {
 	j := job.New()
 	j.Step(now, job.Submit{Spec: spec(1)})
 	first := placeOn(t, j, "d.r.j.0", "w1")
