--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -279,7 +279,7 @@
 
 func jobReply(s job.Status, err error) peer.JobReply {
 	var unknown *job.UnknownError
-	var never *lead.UnschedulableError
+	var never *lead.InfeasibleError
 	switch {
 	case err == nil:
 		return peer.JobReply{Status: s}
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -155,11 +155,11 @@
 	l.wg.Wait()
 }
 
-// UnschedulableError reports that a job can never run here. Reason names the limit that the job
+// InfeasibleError reports that a job can never run here. Reason names the limit that the job
 // exceeds.
-type UnschedulableError struct{ Reason string }
+type InfeasibleError struct{ Reason string }
 
-func (e *UnschedulableError) Error() string { return "job can never run: " + e.Reason }
+func (e *InfeasibleError) Error() string { return "job can never run: " + e.Reason }
 
 // Check reports whether this host may accept a job. It returns an UnschedulableError if the job can
 // never run here, and a NoWorkerError or LeavingError if another host should be asked. The returned
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -179,7 +179,7 @@
 	var never *place.InfeasibleError
 	if errors.As(l.Placer.CheckFeasible(w), &never) {
 		l.Count("lead.never")
-		return &UnschedulableError{Reason: never.Error()}
+		return &InfeasibleError{Reason: never.Error()}
 	}
 	return nil
 }
--- a/internal/lead/place_test.go
+++ b/internal/lead/place_test.go
@@ -133,7 +133,7 @@
 	f.submit("b", "menu", cell.Normal, 500, 1, time.Hour)
 	require.Contains(t, f.notes("b"), "its row runs as many tasks as its limit allows")
 	_, err := f.Check(job.Spec{ID: "d.r.c", Row: "menu", Tasks: 1, Size: cell.Size{CPU: 5000, Mem: 1}})
-	var never *lead.UnschedulableError
+	var never *lead.InfeasibleError
 	require.ErrorAs(t, err, &never)
 	require.Contains(t, never.Reason, "cpu of the largest worker")
 }
