--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -174,7 +174,7 @@
 	case epoch == 0:
 		return 0, &NoWorkerError{}
 	}
-	return epoch, l.checkSchedulable(spec)
+	return epoch, l.checkFeasible(spec)
 }
 
 // Submit accepts a job that was checked in that epoch and has been stored since. It returns a
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -174,7 +174,7 @@
 	}
 }
 
-func (l *Leader) checkSchedulable(spec job.Spec) error {
+func (l *Leader) checkFeasible(spec job.Spec) error {
 	w := l.declaredWant(spec, make([]string, spec.Tasks))
 	var never *place.InfeasibleError
 	if errors.As(l.Placer.CheckFeasible(w), &never) {
