--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -222,7 +222,7 @@
 	for _, a := range l.Leases.Step(l.Clock(), ev) {
 		switch a := a.(type) {
 		case lease.Acquire:
-			l.spawn(func(ctx context.Context) { l.takeLease(ctx, a) })
+			l.spawn(func(ctx context.Context) { l.acquireLease(ctx, a) })
 		case lease.Renew:
 			l.spawn(func(ctx context.Context) { l.renewLease(ctx, a) })
 		case lease.Release:
@@ -281,7 +281,7 @@
 	return l.machines[name].Address
 }
 
-func (l *Leader) takeLease(ctx context.Context, a lease.Acquire) {
+func (l *Leader) acquireLease(ctx context.Context, a lease.Acquire) {
 	r, err := l.Workers.Take(ctx, l.address(a.Worker), a.TTL)
 	l.reportLease(a.Worker, err, lease.Granted{Worker: a.Worker, Reading: r})
 }
