--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -161,7 +161,7 @@
 
 func (e *InfeasibleError) Error() string { return "job can never run: " + e.Reason }
 
-// Check reports whether this host may accept a job. It returns an UnschedulableError if the job can
+// Check reports whether this host may accept a job. It returns an InfeasibleError if the job can
 // never run here, and a NoWorkerError or LeavingError if another host should be asked. The returned
 // epoch must be passed to Submit.
 func (l *Leader) Check(spec job.Spec) (int64, error) {
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -16,8 +16,8 @@
 	"pollencroft/internal/trail"
 )
 
-// stepPlacement passes an event to the placer and carries out its actions. A Put is skipped if it
-// is no longer valid, because an earlier action may have changed the free capacity.
+// stepPlacement passes an event to the placer and carries out its actions. An Assign is skipped if
+// it is no longer valid, because an earlier action may have changed the free capacity.
 func (l *Leader) stepPlacement(ev place.Event) {
 	for _, a := range l.Placer.Step(l.Clock(), ev) {
 		switch a := a.(type) {
