--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -32,7 +32,8 @@
 	// whose answer was lost can be carried out any more.
 	inFlight        map[string]int
 	lostStartsUntil time.Time
-	lapsesBy        time.Time
+	// lapsesBy is the latest time at which the lease can lapse at the worker.
+	lapsesBy time.Time
 	// lastStartAnswer is when the last start was answered. A task list that was requested earlier
 	// may not show its task.
 	lastStartAnswer time.Time
@@ -202,7 +203,7 @@
 }
 
 // renewed ignores an answer to a request that was sent before the one whose answer is already
-// known. It contains an older state, which would hide a task that was started in between.
+// known. Such an answer contains an older state and would hide a task that was started in between.
 //
 // An answer from another incarnation lists the changes since a cursor of the previous incarnation,
 // which says nothing about what runs now. The worker is acquired again, with its full list.
--- a/internal/place/messages.go
+++ b/internal/place/messages.go
@@ -57,9 +57,9 @@
 	RunTime time.Duration
 	// Since is when the job was accepted. Zero means now.
 	Since time.Time
-	// Avoid lists the workers where these tasks have failed, the last time at LastFailed. If the
+	// Avoid lists the workers where these tasks have failed, the last time at LastFailure. If the
 	// other workers are not enough, the tasks may run there again after AvoidUntil, or earlier if
-	// another task has succeeded on the worker since LastFailed.
+	// another task has succeeded on the worker since LastFailure.
 	Avoid                   []string
 	LastFailure, AvoidUntil time.Time
 	Rule
