--- a/internal/entry/states.go
+++ b/internal/entry/states.go
@@ -65,32 +65,32 @@
 
 func newStates(h *Host) *stateCache { return &stateCache{h: h, ended: map[string]cachedState{}} }
 
-// learn keeps a final state.
-func (s *stateCache) learn(id string, state flow.State) {
+// add keeps a final state.
+func (s *stateCache) add(id string, state flow.State) {
 	if !state.Final() {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.keep(id, state)
+	s.addLocked(id, state)
 }
 
-// keep is learn; mu is held.
-func (s *stateCache) keep(id string, state flow.State) {
+// addLocked is learn; mu is held.
+func (s *stateCache) addLocked(id string, state flow.State) {
 	if _, ok := s.ended[id]; !ok && len(s.ended) < maxFinalStates {
 		s.ended[id] = cachedState{state, s.h.now()}
 	}
 }
 
-// followed is up to where the lead told final states.
-func (s *stateCache) followed() (term int64, next int) {
+// syncPosition is up to where the lead told final states.
+func (s *stateCache) syncPosition() (term int64, next int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.term, s.position
 }
 
-// follow keeps the final states that a lead tells.
-func (s *stateCache) follow(r peer.SyncReply) {
+// addFromLeader keeps the final states that a lead tells.
+func (s *stateCache) addFromLeader(r peer.SyncReply) {
 	if !r.Lead {
 		return
 	}
@@ -98,7 +98,7 @@
 	defer s.mu.Unlock()
 	for state, ids := range r.Ended {
 		for _, id := range ids {
-			s.keep(id, flow.State(state))
+			s.addLocked(id, flow.State(state))
 		}
 	}
 	switch {
@@ -191,8 +191,8 @@
 	}
 }
 
-// missing lists the jobs of a read whose end is not known yet, in order.
-func (s *stateCache) missing(r *stateRead) []string {
+// withoutFinalState lists the jobs of a read whose end is not known yet, in order.
+func (s *stateCache) withoutFinalState(r *stateRead) []string {
 	for id := range r.ids {
 		if state, ok := s.final(id); ok {
 			r.found[id] = state
@@ -204,7 +204,7 @@
 // readAll looks for jobs first where their progress lies, and for those without any where
 // they were accepted. In this order a job that is forgotten meanwhile is found in neither.
 func (s *stateCache) readAll(ctx context.Context, r *stateRead) error {
-	ids := s.missing(r)
+	ids := s.withoutFinalState(r)
 	if len(ids) == 0 {
 		return nil
 	}
@@ -217,7 +217,7 @@
 		case ok && !readable:
 			s.h.log.Error("state: record cannot be read.", "id", id)
 			r.unreadable[id] = true
-		case state.Final(), ok && err == nil && !s.forgettable(began):
+		case state.Final(), ok && err == nil && !s.mayBeForgotten(began):
 			r.found[id] = state
 		default:
 			unproved = append(unproved, id)
@@ -240,9 +240,9 @@
 	return err
 }
 
-// forgettable tells whether a job that was accepted then may have ended and been forgotten.
+// mayBeForgotten tells whether a job that was accepted then may have ended and been forgotten.
 // One partition may keep an older record of it for a while.
-func (s *stateCache) forgettable(began time.Time) bool {
+func (s *stateCache) mayBeForgotten(began time.Time) bool {
 	return s.h.now().Sub(began) > time.Duration(s.h.cfg.Times.Keep)
 }
 
@@ -258,7 +258,7 @@
 			newest[rec.Key] = flow.Newer(newest[rec.Key], rec.Value)
 		}
 		if state, _, ok := flow.RecordState(rec.Value); ok {
-			s.learn(rec.Key, state)
+			s.add(rec.Key, state)
 		}
 	})
 	return newest, err
@@ -286,7 +286,7 @@
 func (s *stateCache) scan(ctx context.Context, topic string, parts []int, ids []string, visit func(rec store.Record, asked bool)) error {
 	var mu sync.Mutex
 	var g errgroup.Group
-	g.SetLimit(pollAtOnce)
+	g.SetLimit(maxConcurrentPolls)
 	for _, part := range parts {
 		g.Go(func() error {
 			return s.scanPart(ctx, topic, part, ids, func(all []store.Record) {
@@ -311,7 +311,7 @@
 		if id <= last {
 			continue
 		}
-		a, err := s.h.store.Do(ctx, store.Call{Op: store.Newest, Topic: topic, Part: part, After: before(id)})
+		a, err := s.h.store.Do(ctx, store.Call{Op: store.Newest, Topic: topic, Part: part, After: keyBefore(id)})
 		if err != nil {
 			return err
 		}
@@ -324,5 +324,5 @@
 	return nil
 }
 
-// before is a key that sorts before that of a job and after all jobs before it.
-func before(id string) string { return id[:len(id)-1] + string(id[len(id)-1]-1) + "~" }
+// keyBefore is a key that sorts keyBefore that of a job and after all jobs keyBefore it.
+func keyBefore(id string) string { return id[:len(id)-1] + string(id[len(id)-1]-1) + "~" }
