--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -127,16 +127,16 @@
 func (h *Host) Unsure(id string) bool { return h.localState(id).Unsure }
 
 // Orders knows how fast workers answer.
-type Orders struct{ *orders }
+type Orders struct{ *responseTimes }
 
 // NewOrders returns one that knows nothing.
 func NewOrders() Orders { return Orders{newOrders()} }
 
 // Patience is how long to wait for a worker's answer.
-func (o Orders) Patience(life string, now time.Time) time.Duration { return o.patience(life, now) }
+func (o Orders) Patience(life string, now time.Time) time.Duration { return o.timeout(life, now) }
 
 // Took notes an answer.
-func (o Orders) Took(life string, d time.Duration, now time.Time) { o.took(life, d, now) }
+func (o Orders) Took(life string, d time.Duration, now time.Time) { o.record(life, d, now) }
 
 // Follow has the host take another one for the lead.
 func (h *Host) Follow(name string) {
@@ -237,7 +237,7 @@
 
 // FirstOf is the first host that says yes.
 func FirstOf(ctx context.Context, hosts []string, ask func(ctx context.Context, name string) bool) string {
-	return firstOf(ctx, hosts, ask)
+	return firstAccepting(ctx, hosts, ask)
 }
 
 // Apart picks hosts that lie far from each other.
@@ -321,7 +321,7 @@
 	t := h.ownTerm
 	h.mu.Unlock()
 	t.mu.Lock()
-	t.polled = h.now().Add(-knowAge)
+	t.lastPoll = h.now().Add(-maxPollAge)
 	told, read := make(chan peer.StateReply, 1), make(chan struct{})
 	go func() { told <- h.localState(id) }()
 	go func() {
@@ -331,7 +331,7 @@
 		}
 		defer t.mu.Unlock()
 		t.core.Step(h.now(), sched.Submit{Spec: flow.Spec{ID: id, Steps: []flow.Step{{Tasks: 1}}}})
-		t.polled = h.now()
+		t.lastPoll = h.now()
 	}()
 	time.Sleep(time.Millisecond)
 	t.mu.Unlock()
@@ -346,8 +346,8 @@
 
 // Told is up to where the host was told final states, after an answer to its sync.
 func (h *Host) Told(r peer.SyncReply) (term int64, next int) {
-	h.states.follow(r)
-	return h.states.followed()
+	h.states.addFromLeader(r)
+	return h.states.syncPosition()
 }
 
 // HoldCore keeps the lead's core busy until the returned function is called.
--- a/internal/entry/take.go
+++ b/internal/entry/take.go
@@ -13,37 +13,37 @@
 	"pollencroft/internal/store"
 )
 
-// take takes what callers asked for, as it is stored from offset first on. What
+// acceptRecords takes what callers asked for, as it is stored from offset first on. What
 // was taken before is known to the core by its id; what lies between is read by
 // poll.
-func (t *term) take(part int, first int64, records []store.Record) {
+func (t *term) acceptRecords(part int, first int64, records []store.Record) {
 	t.mu.Lock()
-	if part < len(t.next) && first <= t.next[part] {
-		t.next[part] = max(t.next[part], first+int64(len(records)))
+	if part < len(t.nextOffset) && first <= t.nextOffset[part] {
+		t.nextOffset[part] = max(t.nextOffset[part], first+int64(len(records)))
 	}
 	for _, r := range records {
-		t.stored(part, r)
+		t.notePart(part, r)
 	}
 	t.mu.Unlock()
 	for _, r := range records {
-		t.takeOne(r)
+		t.acceptRecord(r)
 	}
 }
 
-// stored notes where a record lies, so that it can be dropped one day; mu is
+// notePart notes where a record lies, so that it can be dropped one day; mu is
 // held, or nobody else knows t yet.
-func (t *term) stored(part int, r store.Record) {
+func (t *term) notePart(part int, r store.Record) {
 	if len(r.Value) == 0 {
 		return
 	}
 	id, _ := strings.CutSuffix(r.Key, cancelMark)
-	if t.where[id] == nil {
-		t.where[id] = map[int]bool{}
+	if t.jobParts[id] == nil {
+		t.jobParts[id] = map[int]bool{}
 	}
-	t.where[id][part] = true
+	t.jobParts[id][part] = true
 }
 
-func (t *term) takeOne(r store.Record) {
+func (t *term) acceptRecord(r store.Record) {
 	if id, ok := strings.CutSuffix(r.Key, cancelMark); ok {
 		if len(r.Value) > 0 {
 			t.step(sched.Cancel{ID: id})
@@ -57,21 +57,21 @@
 	if err := json.Unmarshal(r.Value, &spec); err != nil {
 		t.h.log.Error("lead: job cannot be read.", "id", r.Key, "err", err)
 		t.mu.Lock()
-		t.unread[r.Key] = true
+		t.unreadable[r.Key] = true
 		t.mu.Unlock()
 		return
 	}
 	t.step(sched.Submit{Spec: spec})
 }
 
-// poll reads what no host told of, all partitions every pollAll, and the first time
+// pollPeriodically reads what no host told of, all partitions every pollAll, and the first time
 // soon: hosts went on storing while this one took over.
-func (t *term) poll() {
-	for pause := pollFirst; sleep(t.ctx, pause); pause = pollAll {
+func (t *term) pollPeriodically() {
+	for pause := firstPollDelay; sleep(t.ctx, pause); pause = pollInterval {
 		began := t.h.now()
 		g, ctx := errgroup.WithContext(t.ctx)
-		g.SetLimit(pollAtOnce)
-		for part := range t.next {
+		g.SetLimit(maxConcurrentPolls)
+		for part := range t.nextOffset {
 			g.Go(func() error { return t.pollPart(ctx, part) })
 		}
 		if err := g.Wait(); err != nil {
@@ -79,14 +79,14 @@
 			continue
 		}
 		t.mu.Lock()
-		t.polled = began
+		t.lastPoll = began
 		t.mu.Unlock()
 	}
 }
 
 func (t *term) pollPart(ctx context.Context, part int) error {
 	t.mu.Lock()
-	from := t.next[part]
+	from := t.nextOffset[part]
 	t.mu.Unlock()
 	a, err := t.h.store.Do(ctx, store.Call{Op: store.Read, Topic: jobsTopic, Part: part, From: from})
 	var trimmed *store.TrimmedError
@@ -97,7 +97,7 @@
 		return err
 	}
 	if len(a.Records) > 0 {
-		t.take(part, from, a.Records)
+		t.acceptRecords(part, from, a.Records)
 	}
 	return nil
 }
@@ -108,9 +108,9 @@
 	if err != nil {
 		return err
 	}
-	t.take(part, from, all)
+	t.acceptRecords(part, from, all)
 	t.mu.Lock()
-	t.next[part] = max(t.next[part], from)
+	t.nextOffset[part] = max(t.nextOffset[part], from)
 	t.mu.Unlock()
 	return nil
 }
--- a/internal/lease/life_test.go
+++ b/internal/lease/incarnation_test.go
@@ -10,28 +10,28 @@
 	"pollencroft/internal/lease"
 )
 
-func readingIn(sent time.Time, life string, left time.Duration) lease.Reading {
-	return lease.Reading{Sent: sent, Clock: sent, Remaining: left, Lease: "7", Incarnation: life}
+func readingIn(sent time.Time, incarnation string, left time.Duration) lease.Reading {
+	return lease.Reading{Sent: sent, Clock: sent, Remaining: left, Lease: "7", Incarnation: incarnation}
 }
 
-// holdIncarnation has a worker led in a life that was met a while ago.
-func holdIncarnation(t *testing.T, l *lease.Leases, life string, left time.Duration) {
+// holdIncarnation makes l lead a worker in an incarnation that has been known for a minute.
+func holdIncarnation(t *testing.T, l *lease.Leases, incarnation string, left time.Duration) {
 	t.Helper()
 	l.Step(start.Add(-time.Minute), lease.DomainWorkers{Workers: []string{"w1"}})
-	l.Step(start.Add(-time.Minute), lease.IncarnationLearned{Worker: "w1", Life: life})
+	l.Step(start.Add(-time.Minute), lease.IncarnationLearned{Worker: "w1", Incarnation: incarnation})
 	l.Step(start, lease.Wanted{Workers: []string{"w1"}})
-	acts := l.Step(start, lease.Granted{Worker: "w1", Reading: readingIn(start, life, left)})
+	acts := l.Step(start, lease.Granted{Worker: "w1", Reading: readingIn(start, incarnation, left)})
 	require.Len(t, actionsOf[lease.Up](acts), 1)
 }
 
-// grant takes a worker in a life at a time and tells whether it is led then.
-func grant(l *lease.Leases, at time.Time, life string) bool {
+// grant acquires a worker in that incarnation and reports whether it is led then.
+func grant(l *lease.Leases, at time.Time, incarnation string) bool {
 	l.Step(at, lease.Wanted{Workers: []string{"w1"}})
-	return len(actionsOf[lease.Up](l.Step(at, lease.Granted{Worker: "w1", Reading: readingIn(at, life, 3*time.Second)}))) == 1
+	return len(actionsOf[lease.Up](l.Step(at, lease.Granted{Worker: "w1", Reading: readingIn(at, incarnation, 3*time.Second)}))) == 1
 }
 
-// Guards against starts on a worker under which those of a former holder may still arrive.
-func TestWorkerInAnUnknownLifeIsWaitedFor(t *testing.T) {
+// Guards against starts on a worker where starts of a previous holder may still arrive.
+func TestUnknownIncarnationIsAwaited(t *testing.T) {
 	l := lease.New(limits)
 	require.False(t, grant(l, start, "1"))
 	require.True(t, l.HasUnconfirmed(start))
@@ -45,8 +45,9 @@
 	require.Equal(t, map[string]string{"w1": "1"}, l.ConfirmedIncarnations(start.Add(5*time.Second)))
 }
 
-// Guards against a worker that is idle after each crash: its holder has no other's starts to fear.
-func TestCrashUnderItsHolderIsNotWaitedFor(t *testing.T) {
+// Guards against a worker that is idle after each crash: its holder does not have to wait, because
+// no other host can have sent starts.
+func TestCrashWhileHeldIsNotAwaited(t *testing.T) {
 	l := lease.New(limits)
 	holdIncarnation(t, l, "1", 3*time.Second)
 	at := start.Add(time.Second)
@@ -55,8 +56,8 @@
 	require.True(t, grant(l, at.Add(limits.RetryInterval), "2"))
 }
 
-// Guards against an empty worker that is taken for known: its former holder had lost it before the crash.
-func TestCrashAfterItsHolderLostItIsWaitedFor(t *testing.T) {
+// Guards against relying on an empty worker whose previous holder lost the lease before the crash.
+func TestCrashAfterTheLeaseLapsedIsAwaited(t *testing.T) {
 	l := lease.New(limits)
 	holdIncarnation(t, l, "1", 3*time.Second)
 	require.Len(t, actionsOf[lease.Down](l.Step(start.Add(4*time.Second), lease.Tick{})), 1)
@@ -64,26 +65,26 @@
 }
 
 // Guards against workers that are idle after each change of their holder.
-func TestLifeThatAPeerVouchesForIsNotWaitedFor(t *testing.T) {
+func TestIncarnationConfirmedByAPeerIsNotAwaited(t *testing.T) {
 	l := lease.New(limits)
-	l.Step(start, lease.IncarnationConfirmed{Worker: "w1", Life: "1"})
+	l.Step(start, lease.IncarnationConfirmed{Worker: "w1", Incarnation: "1"})
 	l.Step(start, lease.DomainWorkers{Workers: []string{"w1"}})
-	l.Step(start, lease.IncarnationConfirmed{Worker: "w1", Life: "1"})
+	l.Step(start, lease.IncarnationConfirmed{Worker: "w1", Incarnation: "1"})
 	require.True(t, grant(l, start, "1"))
 }
 
-// Guards against a peer's word about a life that has ended since.
-func TestWordAboutAFormerLifeDoesNotCount(t *testing.T) {
+// Guards against a peer's confirmation of an incarnation that has ended since.
+func TestConfirmationOfAnEarlierIncarnationIsIgnored(t *testing.T) {
 	l := lease.New(limits)
 	l.Step(start, lease.DomainWorkers{Workers: []string{"w1"}})
-	l.Step(start, lease.IncarnationConfirmed{Worker: "w1", Life: "1"})
+	l.Step(start, lease.IncarnationConfirmed{Worker: "w1", Incarnation: "1"})
 	require.False(t, grant(l, start, "2"))
-	l.Step(start, lease.IncarnationConfirmed{Worker: "w1", Life: "1"})
+	l.Step(start, lease.IncarnationConfirmed{Worker: "w1", Incarnation: "1"})
 	require.True(t, l.HasUnconfirmed(start))
 }
 
-// Guards against a start that is sent on an old answer: another host that meets the worker in its
-// next life waits for no longer than a start may take.
+// Guards against a start that is based on an old answer: another host that finds the worker in its
+// next incarnation waits no longer than a start may take.
 func TestStartsAreNotSentOnAnOldAnswer(t *testing.T) {
 	l := lease.New(limits)
 	holdIncarnation(t, l, "1", 15*time.Second)
@@ -99,34 +100,37 @@
 	require.Len(t, actionsOf[lease.Up](acts), 1)
 }
 
-// Guards against a renewal that is read as changes of the former life, since the next one was told by
-// an answer that was asked for before the worker was taken.
-func TestLifeThatIsToldBesideARenewalEndsTheLease(t *testing.T) {
+// Guards against a renewal whose answer is interpreted as changes of the previous incarnation. The
+// new incarnation was learned from the answer to a query that was sent before the worker was
+// acquired.
+func TestIncarnationLearnedBesideARenewalEndsTheLease(t *testing.T) {
 	l := lease.New(limits)
 	holdIncarnation(t, l, "1", 3*time.Second)
 	at := start.Add(time.Second)
-	l.Step(at, lease.IncarnationLearned{Worker: "w1", Life: "2"})
+	l.Step(at, lease.IncarnationLearned{Worker: "w1", Incarnation: "2"})
 	acts := l.Step(at, lease.Renewed{Worker: "w1", Reading: readingIn(at, "2", 3*time.Second)})
 	require.Len(t, actionsOf[lease.Down](acts), 1)
 	require.Len(t, actionsOf[lease.Acquire](acts), 1)
 }
 
-// Guards against workers of other hosts whose lives nobody here knows when their holder is lost.
-func TestWorkersOfOtherHostsAreMet(t *testing.T) {
+// Guards against workers of other hosts whose incarnations nobody here knows when their holder is
+// lost.
+func TestIncarnationsOfOtherHostsWorkersAreQueried(t *testing.T) {
 	l := lease.New(limits)
 	ask := func(after time.Duration) int {
 		return len(actionsOf[lease.AskIncarnation](l.Step(start.Add(after), lease.Tick{})))
 	}
 	require.Len(t, actionsOf[lease.AskIncarnation](l.Step(start, lease.DomainWorkers{Workers: []string{"w1", "w2"}})), 2)
-	l.Step(start, lease.IncarnationLearned{Worker: "w1", Life: "1"})
-	require.Equal(t, 1, ask(time.Second), "the other did not answer")
+	l.Step(start, lease.IncarnationLearned{Worker: "w1", Incarnation: "1"})
+	require.Equal(t, 1, ask(time.Second), "the other worker did not answer")
 	require.Equal(t, 1, ask(2*time.Second))
 	require.True(t, grant(l, start.Add(10*time.Second), "1"))
 }
 
-// Guards against a lead of very many workers that loses and takes each of them again and again: it
-// renews them so rarely that an answer is too old for a start before the next one comes.
-func TestALeadOfManyWorkersKeepsThem(t *testing.T) {
+// Guards against a leader of very many workers that repeatedly loses and acquires each of them,
+// because it renews them so rarely that an answer is too old for a start before the next one
+// arrives.
+func TestLeaderOfManyWorkersKeepsThem(t *testing.T) {
 	l := lease.New(lease.DefaultLimits)
 	var names []string
 	for i := range 400 {
