--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -10,9 +10,9 @@
 )
 
 // listInIncarnation returns a worker's list in one of its incarnations.
-func listInIncarnation(worker, life string, sent time.Time, tasks ...job.ListedTask) job.WorkerList {
+func listInIncarnation(worker, incarnation string, sent time.Time, tasks ...job.ListedTask) job.WorkerList {
 	ev := listOf(worker, sent, tasks...)
-	ev.Incarnation = life
+	ev.Incarnation = incarnation
 	return ev
 }
 
@@ -157,12 +157,12 @@
 
 // Guards against a crash count that starts from zero with each new leader.
 func TestCrashCountSurvivesLeaderChange(t *testing.T) {
-	for how, next := range map[string]func(j *job.Jobs, lives int64) *job.Jobs{
+	for how, next := range map[string]func(j *job.Jobs, crashes int64) *job.Jobs{
 		"handed over": func(j *job.Jobs, _ int64) *job.Jobs { return handOver(t, j) },
-		"inherited": func(_ *job.Jobs, lives int64) *job.Jobs {
+		"inherited": func(_ *job.Jobs, crashes int64) *job.Jobs {
 			j := job.New()
 			j.Step(now, job.Inherit{Spec: spec(1)})
-			j.Step(now, job.Release{ID: "d.r.j", Crashes: map[string]int64{"d.r.j.0": lives}})
+			j.Step(now, job.Release{ID: "d.r.j", Crashes: map[string]int64{"d.r.j.0": crashes}})
 			return j
 		},
 	} {
@@ -199,7 +199,7 @@
 
 // Guards against capacity that is freed after a gang's tasks were started on it: the count of a
 // crash may be stored at once, and the gang placed before the remaining actions are carried out.
-func TestCrashIsTheLastThatIsToldOfANewLead(t *testing.T) {
+func TestCrashCountIsTheLastActionOfANewLeader(t *testing.T) {
 	gang := spec(2)
 	gang.Gang = true
 	last := func(acts []job.Action) {
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -155,13 +155,13 @@
 	l.wg.Wait()
 }
 
-// UnschedulableError reports that a job can never run here. Reason names the limit that the job
+// InfeasibleError reports that a job can never run here. Reason names the limit that the job
 // exceeds.
-type UnschedulableError struct{ Reason string }
+type InfeasibleError struct{ Reason string }
 
-func (e *UnschedulableError) Error() string { return "job can never run: " + e.Reason }
+func (e *InfeasibleError) Error() string { return "job can never run: " + e.Reason }
 
-// Check reports whether this host may accept a job. It returns an UnschedulableError if the job can
+// Check reports whether this host may accept a job. It returns an InfeasibleError if the job can
 // never run here, and a NoWorkerError or LeavingError if another host should be asked. The returned
 // epoch must be passed to Submit.
 func (l *Leader) Check(spec job.Spec) (int64, error) {
@@ -174,7 +174,7 @@
 	case epoch == 0:
 		return 0, &NoWorkerError{}
 	}
-	return epoch, l.checkSchedulable(spec)
+	return epoch, l.checkFeasible(spec)
 }
 
 // Submit accepts a job that was checked in that epoch and has been stored since. It returns a
@@ -222,7 +222,7 @@
 	for _, a := range l.Leases.Step(l.Clock(), ev) {
 		switch a := a.(type) {
 		case lease.Acquire:
-			l.spawn(func(ctx context.Context) { l.takeLease(ctx, a) })
+			l.spawn(func(ctx context.Context) { l.acquireLease(ctx, a) })
 		case lease.Renew:
 			l.spawn(func(ctx context.Context) { l.renewLease(ctx, a) })
 		case lease.Release:
@@ -281,7 +281,7 @@
 	return l.machines[name].Address
 }
 
-func (l *Leader) takeLease(ctx context.Context, a lease.Acquire) {
+func (l *Leader) acquireLease(ctx context.Context, a lease.Acquire) {
 	r, err := l.Workers.Take(ctx, l.address(a.Worker), a.TTL)
 	l.reportLease(a.Worker, err, lease.Granted{Worker: a.Worker, Reading: r})
 }
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -16,8 +16,8 @@
 	"pollencroft/internal/trail"
 )
 
-// stepPlacement passes an event to the placer and carries out its actions. A Put is skipped if it
-// is no longer valid, because an earlier action may have changed the free capacity.
+// stepPlacement passes an event to the placer and carries out its actions. An Assign is skipped if
+// it is no longer valid, because an earlier action may have changed the free capacity.
 func (l *Leader) stepPlacement(ev place.Event) {
 	for _, a := range l.Placer.Step(l.Clock(), ev) {
 		switch a := a.(type) {
@@ -174,12 +174,12 @@
 	}
 }
 
-func (l *Leader) checkSchedulable(spec job.Spec) error {
+func (l *Leader) checkFeasible(spec job.Spec) error {
 	w := l.declaredWant(spec, make([]string, spec.Tasks))
 	var never *place.InfeasibleError
 	if errors.As(l.Placer.CheckFeasible(w), &never) {
 		l.Count("lead.never")
-		return &UnschedulableError{Reason: never.Error()}
+		return &InfeasibleError{Reason: never.Error()}
 	}
 	return nil
 }
--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -6,141 +6,142 @@
 	"pollencroft/internal/flow"
 )
 
-// keepHolding keeps one hold under way on a worker that has anything to hold,
-// to read or to forget.
-func (s *Sched) keepHolding(w *worker) {
-	if w.holding || w.dead || !w.Addr.IsValid() || s.now.Before(w.again) || w.idle() {
+// ensureHold keeps one hold in flight to each worker that has leases to renew, lists to read, or
+// ends to forget.
+func (s *Sched) ensureHold(w *worker) {
+	if w.holding || w.dead || !w.Addr.IsValid() || s.now.Before(w.nextHold) || w.idle() {
 		return
 	}
-	if w.fenced && w.seen > w.noted && s.now.Sub(w.asked) < unnotedEvery {
-		// Ends that are not noted make every hold answer at once. The append that
-		// is under way lets the worker be asked again.
+	if w.fenced && w.lastEndRead > w.lastEndStored && s.now.Sub(w.lastHold) < unstoredHoldInterval {
+		// While a worker has ends that are not stored, it answers every hold at once. It is asked
+		// again once the append in flight is stored.
 		return
 	}
-	w.holding, w.asked = true, s.now
-	h := Hold{To: w.Address, Term: s.term, AckedEnd: w.noted}
-	if w.fenced && w.doubt.IsZero() {
-		// A worker that does not answer is only asked: a hold that is carried out
-		// unanswered would lengthen leases, and a dead worker's never ran out.
+	w.holding, w.lastHold = true, s.now
+	h := Hold{To: w.Address, Term: s.term, AckedEnd: w.lastEndStored}
+	if w.fenced && w.unansweredSince.IsZero() {
+		// An unanswered hold may still be carried out and extend the leases, so a silent worker is
+		// only polled without a deadline; otherwise the leases on a dead worker would never expire.
 		h.Deadline = w.clockAt(s.now).Add(s.limits.Lease)
-		w.promise(h.Deadline)
+		w.extendDeadline(h.Deadline)
 		h.Wait = s.holdWait(w)
 	}
-	s.do(h)
+	s.emit(h)
 }
 
-// idle tells whether there is nothing to hold, to read or to forget on a worker.
+// idle reports whether a worker has no leases to renew, nothing to read and no ends to forget.
 func (w *worker) idle() bool {
-	return w.fenced && len(w.tasks) == 0 && len(w.loose) == 0 && len(w.lost) == 0 && w.told >= w.noted && w.doubt.IsZero()
+	return w.fenced && len(w.tasks) == 0 && len(w.untracked) == 0 && len(w.lostRuns) == 0 && w.lastEndAcked >= w.lastEndStored && w.unansweredSince.IsZero()
 }
 
-// holdWait is how long a hold may wait for an end. Of runs that are not followed any more none
-// may be there, and nothing end; the room of the first of them is given back when its time is over.
+// holdWait returns how long a hold may wait on the worker for a run to end. If the worker has only
+// untracked runs, they may not exist and no end may come, so the hold returns when the first of
+// them can no longer begin and its capacity can be released.
 func (s *Sched) holdWait(w *worker) time.Duration {
 	switch {
-	case len(w.tasks) == 0 && len(w.loose) == 0:
+	case len(w.tasks) == 0 && len(w.untracked) == 0:
 		return 0
-	case len(w.tasks) == 0 && w.firstLoose().After(s.now):
-		return min(s.limits.HoldWait, max(w.firstLoose().Sub(s.now), s.limits.BatchInterval))
-	case w.filled > 0 && w.serves():
-		return stepEvery / 2
+	case len(w.tasks) == 0 && w.firstUntrackedEnd().After(s.now):
+		return min(s.limits.HoldWait, max(w.firstUntrackedEnd().Sub(s.now), s.limits.BatchInterval))
+	case w.fillCPU > 0 && w.runsServing():
+		return speedUpInterval / 2
 	default:
 		return s.limits.HoldWait
 	}
 }
 
-// look reads the worker's list beside the hold that may be waiting there.
-func (s *Sched) look(w *worker) {
-	if w.looking {
-		w.lookAgain = true
+// probe reads the worker's lists at once, without waiting for a hold that may be in flight.
+func (s *Sched) probe(w *worker) {
+	if w.probing {
+		w.probeAgain = true
 		return
 	}
 	if w.dead || !w.Addr.IsValid() {
 		return
 	}
-	w.looking = true
-	s.do(Hold{To: w.Address, Term: s.term, AckedEnd: w.noted, Probe: true})
+	w.probing = true
+	s.emit(Hold{To: w.Address, Term: s.term, AckedEnd: w.lastEndStored, Probe: true})
 }
 
-func (s *Sched) held(ev HoldReply) {
+func (s *Sched) holdReplied(ev HoldReply) {
 	w, ok := s.workers[ev.Worker]
 	if !ok || w.dead {
 		return
 	}
 	if ev.Probe {
-		w.looking = false
-		if w.lookAgain {
-			w.lookAgain = false
-			defer s.look(w)
+		w.probing = false
+		if w.probeAgain {
+			w.probeAgain = false
+			defer s.probe(w)
 		}
 	} else {
 		w.holding = false
 	}
 	switch ev.Outcome {
 	case Accepted:
-		s.read(w, ev)
+		s.applyHoldReply(w, ev)
 	case OtherIncarnation:
-		s.died(w.Incarnation)
+		s.incarnationEnded(w.Incarnation)
 		return
 	case Fenced:
-		s.do(StepDown{Worker: w.Incarnation})
+		s.emit(StepDown{Worker: w.Incarnation})
 		return
 	default:
-		if w.doubt.IsZero() {
-			// One answer may be lost; the next question tells, and it is asked at once:
-			// ends at the worker are not known before.
-			w.doubt = s.now
-			s.fell(w)
-			s.do(Note{ID: w.Incarnation, What: "worker does not answer", Worker: w.Incarnation, Detail: ev.Outcome.String()})
+		if w.unansweredSince.IsZero() {
+			// A single reply may have been lost, so the worker is asked again at once: until it
+			// answers, ends of its runs are not known.
+			w.unansweredSince = s.now
+			s.recordOutage(w)
+			s.emit(Note{ID: w.Incarnation, What: "worker does not answer", Worker: w.Incarnation, Detail: ev.Outcome.String()})
 			break
 		}
-		w.again = s.now.Add(retryAfter)
+		w.nextHold = s.now.Add(retryDelay)
 		if !w.listed && len(w.tasks) == 0 {
-			w.again = s.now.Add(unlistedEvery)
+			w.nextHold = s.now.Add(unlistedHoldInterval)
 		}
 		return
 	}
-	s.keepHolding(w)
+	s.ensureHold(w)
 }
 
-// read takes over a worker's lists.
-func (s *Sched) read(w *worker, ev HoldReply) {
-	if !w.doubt.IsZero() {
-		w.back = s.now
-		s.rose(w)
-		s.do(Note{ID: w.Incarnation, What: "worker answers again", Worker: w.Incarnation})
-	}
-	w.doubt = time.Time{}
-	if ev.Received.After(w.read) {
-		w.clock, w.read = ev.Clock, ev.Received
-	}
-	s.livesOn(w, ev.Sent)
+// applyHoldReply processes the lists in a worker's reply to a hold.
+func (s *Sched) applyHoldReply(w *worker, ev HoldReply) {
+	if !w.unansweredSince.IsZero() {
+		w.backSince = s.now
+		s.clearOutage(w)
+		s.emit(Note{ID: w.Incarnation, What: "worker answers again", Worker: w.Incarnation})
+	}
+	w.unansweredSince = time.Time{}
+	if ev.Received.After(w.readAt) {
+		w.clock, w.readAt = ev.Clock, ev.Received
+	}
+	s.clearLostRuns(w, ev.Sent)
 	first := !w.fenced
 	w.fenced = true
 	if first {
-		w.promise(ev.Clock.Add(s.limits.Lease))
+		w.extendDeadline(ev.Clock.Add(s.limits.Lease))
 	}
-	w.told = max(w.told, ev.AckedEnd)
+	w.lastEndAcked = max(w.lastEndAcked, ev.AckedEnd)
 	for _, e := range ev.Ended {
-		if e.Number > w.seen {
-			w.seen = e.Number
-			s.ended(w, e, ev.Clock)
+		if e.Number > w.lastEndRead {
+			w.lastEndRead = e.Number
+			s.runEnded(w, e, ev.Clock)
 		}
 	}
-	if w.seen > w.noted {
-		s.next.seen[w] = w.seen
+	if w.lastEndRead > w.lastEndStored {
+		s.nextBatch.ackedEnds[w] = w.lastEndRead
 	}
 	listed := make(map[flow.Name]int, len(ev.Running))
 	for _, l := range ev.Running {
 		listed[l.Task] = l.Run
-		s.listed(w, l, ev.Clock)
+		s.runListed(w, l, ev.Clock)
 	}
-	for _, t := range w.inOrder() {
+	for _, t := range w.sortedTasks() {
 		if listed[t.Name] != t.Run {
-			s.absent(t, ev.Sent)
+			s.runMissing(t, ev.Sent)
 		}
 	}
-	s.judgePace(w, ev.Clock)
-	w.settleLoose(listed, s.now)
-	s.repace(w, ev.Running)
+	s.checkSpeed(w, ev.Clock)
+	w.releaseUntracked(listed, s.now)
+	s.adjustPace(w, ev.Running)
 }
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -8,26 +8,26 @@
 	"pollencroft/internal/flow"
 )
 
-// reserve is the share of a service's processors that only the most urgent
-// queue may take: its tasks last about a second, so that what is kept free turns
-// over many times while a bulk task runs.
-const reserve = 0.06
+// urgentReserve is the share of a service's processors that only the most urgent queue may use. Its
+// tasks last about a second, so the reserved capacity is reused many times while one bulk task
+// runs.
+const urgentReserve = 0.06
 
-// ready is one step with tasks that wait.
-type ready struct {
+// readyStep is a step that may run and has waiting tasks.
+type readyStep struct {
 	stage *flow.Stage
 	job   *flow.Job
 	round *flow.Round
 	queue flow.Queue
 	tasks []*flow.Task
-	// chance is the step's chance to be in time.
-	chance chance
+	// class is the deadline class of the step.
+	class deadlineClass
 }
 
-// waiting lists the steps that may run, the most urgent first.
-func (s *Sched) waiting(pools map[string]*pool) []ready {
-	var all []ready
-	for _, j := range s.open {
+// waitingSteps lists the steps that may run, the most urgent first.
+func (s *Sched) waitingSteps(pools map[string]*pool) []readyStep {
+	var all []readyStep
+	for _, j := range s.openJobs {
 		if j.State.Final() {
 			continue
 		}
@@ -37,19 +37,19 @@
 				if st.Over() || !r.Ready(st) {
 					continue
 				}
-				if tasks := waitingOf(st); len(tasks) > 0 {
-					all = append(all, ready{stage: st, job: j, round: r, queue: q, tasks: tasks, chance: s.chance(j, r, st, q)})
+				if tasks := startableTasks(st); len(tasks) > 0 {
+					all = append(all, readyStep{stage: st, job: j, round: r, queue: q, tasks: tasks, class: s.deadlineClassOf(j, r, st, q)})
 				}
 			}
 		}
 	}
-	s.rescue(all, pools)
-	slices.SortFunc(all, func(a, b ready) int {
+	s.promoteStarved(all, pools)
+	slices.SortFunc(all, func(a, b readyStep) int {
 		switch {
 		case a.queue.Rank != b.queue.Rank:
 			return a.queue.Rank - b.queue.Rank
-		case a.chance != b.chance:
-			return int(a.chance - b.chance)
+		case a.class != b.class:
+			return int(a.class - b.class)
 		case a.job.Number != b.job.Number:
 			return int(a.job.Number - b.job.Number)
 		case a.round.Index != b.round.Index:
@@ -61,13 +61,13 @@
 	return all
 }
 
-// waitingOf lists the tasks of a step that may start, those that have to run alone last.
-func waitingOf(st *flow.Stage) []*flow.Task {
+// startableTasks lists the tasks of a step that may start; tasks that have to run alone come last.
+func startableTasks(st *flow.Stage) []*flow.Task {
 	var tasks, alone []*flow.Task
 	for _, t := range st.Tasks {
 		switch {
-		case t.State != flow.Waiting || t.Doubt() >= mostCrashes:
-		case t.Doubt() >= aloneFrom:
+		case t.State != flow.Waiting || t.Doubt() >= maxCrashes:
+		case t.Doubt() >= aloneAfter:
 			alone = append(alone, t)
 		default:
 			tasks = append(tasks, t)
@@ -76,28 +76,28 @@
 	return append(tasks, alone...)
 }
 
-// pool is the room of one service in one pass.
+// pool is the capacity of one service during one pass.
 type pool struct {
 	workers []*worker
-	// whole are the processors of all, left those that are free now.
-	whole, left int64
-	// size is what all workers have in every resource, ahead what the steps wait for
-	// that have tickets, or will, before there is room.
-	size, ahead cell.Size
-	// used is what tasks take, reserved what is held free for wide ones.
+	// totalCPU is the processor capacity of all workers, freeCPU the part that is free now.
+	totalCPU, freeCPU int64
+	// total is the capacity of all workers in every resource. prefetched is the capacity needed by
+	// steps that have tickets, or will have them, before there is free capacity.
+	total, prefetched cell.Size
+	// used is the capacity that tasks use, reserved the capacity that is held free for wide tasks.
 	used, reserved cell.Size
-	// none are rooms that no worker has any more in this pass.
-	none []cell.Size
+	// unfit lists sizes for which no worker has capacity any more in this pass.
+	unfit []cell.Size
 }
 
-// lacks tells whether it was seen in this pass that no worker has so much room.
-func (p *pool) lacks(room cell.Size) bool {
-	return slices.ContainsFunc(p.none, func(n cell.Size) bool { return n.Fits(room) })
+// knownFull reports whether this pass has already found that no worker has that much free capacity.
+func (p *pool) knownFull(room cell.Size) bool {
+	return slices.ContainsFunc(p.unfit, func(n cell.Size) bool { return n.Fits(room) })
 }
 
 func (s *Sched) pools() map[string]*pool {
 	all := map[string]*pool{}
-	for _, w := range s.lives() {
+	for _, w := range s.sortedWorkers() {
 		if !w.usable(s.now) {
 			continue
 		}
@@ -107,28 +107,28 @@
 			all[w.Service] = p
 		}
 		p.workers = append(p.workers, w)
-		p.whole += w.Size.CPU
-		p.size, p.used = p.size.Add(w.Size), p.used.Add(w.used)
-		p.left += max(w.free().CPU, 0)
-		w.booked, w.reserved = cell.Size{}, cell.Size{}
-		w.suspects, w.trial = 0, nil
+		p.totalCPU += w.Size.CPU
+		p.total, p.used = p.total.Add(w.Size), p.used.Add(w.used)
+		p.freeCPU += max(w.free().CPU, 0)
+		w.earmarked, w.reserved = cell.Size{}, cell.Size{}
+		w.crashSuspects, w.trialStep = 0, nil
 	}
 	s.markSuspects()
 	return all
 }
 
-// place gives room to what waits, in order, and asks the policy service about
-// steps that could start.
-func (s *Sched) place() {
-	if len(s.open) == 0 {
+// placeSteps assigns waiting tasks to workers, in order of urgency, and queries the policy service
+// about steps that could start.
+func (s *Sched) placeSteps() {
+	if len(s.openJobs) == 0 {
 		return
 	}
 	pools := s.pools()
-	steps := s.waiting(pools)
+	steps := s.waitingSteps(pools)
 	if len(steps) == 0 {
 		return
 	}
-	s.unaskable = [2]bool{}
+	s.noFreeHost = [2]bool{}
 	top := steps[0].queue.Rank
 	for _, q := range s.queues {
 		top = min(top, q.Rank)
@@ -140,34 +140,34 @@
 		}
 		keep := int64(0)
 		if r.queue.Rank > top {
-			keep = int64(reserve * float64(p.whole))
+			keep = int64(urgentReserve * float64(p.totalCPU))
 		}
-		s.fill(r, p, keep)
+		s.placeStep(r, p, keep)
 	}
 	for _, r := range steps {
 		if p, ok := pools[r.queue.Service]; ok {
-			s.askAhead(r, p)
+			s.prefetchTickets(r, p)
 		}
 	}
-	s.account(steps)
+	s.accountWaits(steps)
 }
 
-// fill places what it can of one step.
-func (s *Sched) fill(r ready, p *pool, keep int64) {
+// placeStep places as many tasks of a step as possible.
+func (s *Sched) placeStep(r readyStep, p *pool, keep int64) {
 	if r.stage.Spec.Gang {
-		s.fillGang(r, p, keep)
+		s.placeGang(r, p, keep)
 		return
 	}
 	need := r.stage.Spec.Room().CPU
 	left, alone, allowed := r.tasks, []*flow.Task(nil), []*worker(nil)
-	if s.ticketed(r) {
-		allowed = s.allowed(r, p)
+	if s.hasTicket(r) {
+		allowed = s.allowedWorkers(r, p)
 	}
-	// Without a ticket no worker may have it: a backlog of such steps is passed over
-	// without looking at a single worker.
-	for len(left) > 0 && (keep == 0 || p.left >= keep+need) {
-		w := s.best(r, left[0], allowed)
-		if w == nil && left[0].Doubt() >= aloneFrom {
+	// Without a ticket no worker may run the step: a backlog of such steps is skipped without
+	// checking a single worker.
+	for len(left) > 0 && (keep == 0 || p.freeCPU >= keep+need) {
+		w := s.bestWorker(r, left[0], allowed)
+		if w == nil && left[0].Doubt() >= aloneAfter {
 			alone, left = append(alone, left[0]), left[1:]
 			continue
 		}
@@ -175,21 +175,21 @@
 			break
 		}
 		s.assign(left[0], w, left[0].Run+1)
-		p.left -= need
+		p.freeCPU -= need
 		left = left[1:]
 	}
 	left = append(left, alone...)
-	if len(left) > 0 && r.queue.Advice != nil && p.left-keep >= need {
-		s.consider(r, p, len(left))
+	if len(left) > 0 && r.queue.Advice != nil && p.freeCPU-keep >= need {
+		s.maybeQuery(r, p, len(left))
 	}
 	if len(left) > 0 {
-		s.giveWay(r, p, len(left))
-		s.reserve(r, p, len(left))
+		s.preempt(r, p, len(left))
+		s.reserveCapacity(r, p, len(left))
 	}
 }
 
-// best is the worker that a task fits best; nil if none may have it.
-func (s *Sched) best(r ready, t *flow.Task, workers []*worker) *worker {
+// bestWorker returns the worker that suits a task best, or nil if none may run it.
+func (s *Sched) bestWorker(r readyStep, t *flow.Task, workers []*worker) *worker {
 	var best *worker
 	var least float64
 	for _, w := range workers {
@@ -200,8 +200,8 @@
 			continue
 		}
 		c := s.cost(r, w)
-		if w.suspects > 0 && t.Doubt() > 0 {
-			c += suspectsCost
+		if w.crashSuspects > 0 && t.Doubt() > 0 {
+			c += crashSuspectCost
 		}
 		if best == nil || c < least {
 			best, least = w, c
@@ -210,34 +210,34 @@
 	return best
 }
 
-// fits tells whether a worker has room for a task and may run it, tickets aside.
-func (s *Sched) fits(r ready, t *flow.Task, w *worker) bool {
-	return r.stage.Spec.Room().Fits(w.open()) && s.suits(r, t, w)
+// fits reports whether a worker has capacity for a task and may run it, apart from tickets.
+func (s *Sched) fits(r readyStep, t *flow.Task, w *worker) bool {
+	return r.stage.Spec.Room().Fits(w.available()) && s.suits(r, t, w)
 }
 
-// suits tells whether a worker may run a task once it has room, tickets aside.
-func (s *Sched) suits(r ready, t *flow.Task, w *worker) bool {
+// suits reports whether a worker may run a task once it has capacity, apart from tickets.
+func (s *Sched) suits(r readyStep, t *flow.Task, w *worker) bool {
 	st := r.stage.Spec
 	switch {
-	case s.now.Before(w.full) || !w.health.open(s.now, len(w.tasks)):
+	case s.now.Before(w.refusedUntil) || !w.health.accepts(s.now, len(w.tasks)):
 		return false
 	case st.Label != "" && !slices.Contains(w.Labels, st.Label):
 		return false
 	case t.Avoid == w.Incarnation && s.now.Sub(t.Since) < avoidFor:
 		return false
-	case st.Fills && w.filled+st.Size.CPU > max(w.free().CPU, 0):
+	case st.Fills && w.fillCPU+st.Size.CPU > max(w.free().CPU, 0):
 		return false
-	case st.Apart > 0 && w.count(r.stage) >= st.Apart, !s.mayMeet(t, w):
+	case st.Apart > 0 && w.tasksOf(r.stage) >= st.Apart, !s.mayShare(t, w):
 		return false
 	}
 	return true
 }
 
-// avoidFor is how long a task stays away from a worker that it failed on.
+// avoidFor is how long a task avoids a worker that it failed on.
 const avoidFor = 5 * time.Second
 
-// count is how many tasks of a step may be on the worker.
-func (w *worker) count(st *flow.Stage) int {
+// tasksOf returns how many tasks of a step may be on the worker.
+func (w *worker) tasksOf(st *flow.Stage) int {
 	n := 0
 	for _, t := range w.tasks {
 		if t.Step == st {
@@ -247,52 +247,51 @@
 	return n
 }
 
-// Weights of the choice between workers that a task fits on, in shares of a
-// worker's size.
+// Weights for choosing between workers that suit a task, in shares of a worker's size.
 const (
-	// farCost makes a task wait for no rack but go to the data's rack when it can.
+	// farCost makes a task prefer the rack of its data without waiting for it.
 	farCost = 2
-	// serveCost keeps filling tasks and tasks that serve apart while there is
-	// other room.
+	// serveCost keeps filling tasks and serving tasks apart while there is other capacity.
 	serveCost = 1
-	// domainCost keeps a job in one failure domain, and togetherCost on few
-	// workers: a job is late when its last task is. With 6 tasks over 3 failure
-	// domains, the cut of one hits 9 jobs in 10; kept in one, 1 in 3.
+	// domainCost keeps a job in one failure domain, and togetherCost keeps it on few workers: a job
+	// is late if its last task is late. With 6 tasks spread over 3 failure domains, a network cut
+	// of one domain affects 9 jobs in 10; with each job in a single domain, 1 in 3.
 	domainCost   = 0.6
 	togetherCost = 0.3
-	// suspectCost prefers workers that did not fail anything lately.
+	// suspectCost prefers workers without recent failures.
 	suspectCost = 0.5
 )
 
-// cost is lower for workers that a task leaves fuller: large holes stay whole.
-func (s *Sched) cost(r ready, w *worker) float64 {
+// cost returns the placement cost of a task on a worker. It is lower for workers that the task
+// leaves fuller, so that large free capacities stay whole.
+func (s *Sched) cost(r readyStep, w *worker) float64 {
 	st := r.stage.Spec
 	left := w.free().Sub(st.Room())
 	c := left.Share(cell.Size{CPU: w.Size.CPU, Mem: w.Size.Mem, Accel: max(w.Size.Accel, 1)})
 	if st.Near != "" && w.Rack != st.Near {
 		c += farCost
 	}
-	if st.Fills && w.serves() || st.Target > 0 && w.filled > 0 {
+	if st.Fills && w.runsServing() || st.Target > 0 && w.fillCPU > 0 {
 		c += serveCost
 	}
 	if st.Fills {
-		// Filling tasks go where most is left.
-		c -= 2 * float64(w.free().CPU-w.filled) / float64(w.Size.CPU)
+		// Filling tasks go to the workers with the most free processor time.
+		c -= 2 * float64(w.free().CPU-w.fillCPU) / float64(w.Size.CPU)
 	}
 	if r.job.Domain != "" && w.Domain != r.job.Domain {
 		c += domainCost
 	}
-	if !st.Lasts && w.hosts(r.job) {
+	if !st.Lasts && w.runsTaskOf(r.job) {
 		c -= togetherCost
 	}
-	if w.speed < slowPace {
+	if w.speed < slowSpeed {
 		c += slowCost * (1 - w.speed)
 	}
 	return c + suspectCost*float64(w.health.fails)
 }
 
-// hosts tells whether a task of the job is on the worker.
-func (w *worker) hosts(j *flow.Job) bool {
+// runsTaskOf reports whether a task of the job is on the worker.
+func (w *worker) runsTaskOf(j *flow.Job) bool {
 	for _, t := range w.tasks {
 		if t.Job == j {
 			return true
@@ -301,8 +300,8 @@
 	return false
 }
 
-// serves tells whether a task with a bound on its response times is there.
-func (w *worker) serves() bool {
+// runsServing reports whether the worker has a task with a response-time target.
+func (w *worker) runsServing() bool {
 	for _, t := range w.tasks {
 		if t.Spec().Target > 0 {
 			return true
--- a/internal/sched/reserve.go
+++ b/internal/sched/reserve.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	// wideShare is the part of a worker from which a task counts as wide: two of them
-	// cannot be beside each other, so the room for one hardly comes by itself.
+	// wideShare is the share of a worker from which a task counts as wide: two such tasks rarely
+	// fit on the same worker, so enough free capacity for one hardly ever appears by itself.
 	wideShare = 0.5
-	// reservedShare is how much of a service's workers may be held free for wide tasks
-	// that wait: the first of them wait for what ends soon, and what is held for later
+	// maxReservedShare is the largest share of a service's workers that may be held free for
+	// waiting wide tasks. The first of them wait for tasks that end soon; capacity held for later
 	// ones would stand idle for longer than a task takes.
-	reservedShare = 0.25
-	// reserveFrom is the part of a service's workers that has to be in use for room to be
-	// held. Below it the platform promises that no job waits for three seconds beside
-	// room that it could use; a wide task that few workers are allowed for would hold
-	// theirs for longer, and with it whoever else is allowed only there.
-	reserveFrom = 0.5
+	maxReservedShare = 0.25
+	// reserveMinUse is the share of a service's workers that has to be in use before capacity is
+	// reserved. Below it the platform guarantees that no job waits for three seconds beside
+	// capacity that it could use. A wide task that is allowed on few workers would reserve those
+	// for longer, and delay every other task that is allowed only there.
+	reserveMinUse = 0.5
 )
 
-// reserve holds room for n wide tasks that could not start, on the workers that will have
-// it first. Tasks of one processor or GPU find room on any worker all the time; a task
-// that wants half of one or all would hardly see it, however urgent it is.
-func (s *Sched) reserve(r ready, p *pool, n int) {
+// reserveCapacity reserves capacity for n wide tasks that could not start, on the workers that will
+// have it first. Tasks of one processor or GPU find capacity on any worker all the time; a task
+// that needs half of a worker or more would hardly ever find it, however urgent it is.
+func (s *Sched) reserveCapacity(r readyStep, p *pool, n int) {
 	room := r.stage.Spec.Room()
-	if !s.on(ReserveForWide) || p.used.Share(p.size) < reserveFrom || p.reserved.Share(p.size) > reservedShare {
+	if !s.enabled(ReserveForWide) || p.used.Share(p.total) < reserveMinUse || p.reserved.Share(p.total) > maxReservedShare {
 		return
 	}
 	type option struct {
@@ -35,11 +35,11 @@
 		at time.Time
 	}
 	var all []option
-	for _, w := range s.allowed(r, p) {
+	for _, w := range s.allowedWorkers(r, p) {
 		if room.Share(w.Size) < wideShare || !s.suits(r, r.tasks[0], w) {
 			continue
 		}
-		if at, ok := s.freeAt(w, room.Add(w.reserved)); ok {
+		if at, ok := s.fitsAt(w, room.Add(w.reserved)); ok {
 			all = append(all, option{w, at})
 		}
 	}
@@ -53,9 +53,9 @@
 	}
 }
 
-// freeAt is when a worker will have so much room if nothing else is begun there; false if
-// it never will.
-func (s *Sched) freeAt(w *worker, room cell.Size) (time.Time, bool) {
+// fitsAt returns when a worker will have that much free capacity if nothing else is started there,
+// or false if it never will.
+func (s *Sched) fitsAt(w *worker, room cell.Size) (time.Time, bool) {
 	free := w.free()
 	if room.Fits(free) {
 		return s.now, true
@@ -65,7 +65,7 @@
 		size cell.Size
 	}
 	var ends []end
-	for _, t := range w.inOrder() {
+	for _, t := range w.sortedTasks() {
 		if !t.Spec().Lasts {
 			ends = append(ends, end{t.Since.Add(t.Spec().Time), t.Spec().Room()})
 		}
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -1,7 +1,6 @@
-// Package sched is the core of the lead: it decides which task runs on which
-// worker, and when. What it decides is stored before it is carried out, so that
-// the next lead knows of every run that may be at a worker, and nothing runs
-// twice.
+// Package sched is the scheduler core of the leader: it decides which task runs on which worker,
+// and when. Its decisions are stored before they are carried out, so that the next leader knows of
+// every run that may be on a worker, and nothing runs twice.
 package sched
 
 import (
@@ -15,134 +14,136 @@
 
 // Sched is the scheduler of one term. It is not safe for concurrent use.
 type Sched struct {
-	limits Limits
-	term   int64
-	now    time.Time
-	began  time.Time
-	// former is when the former lead was certain to hold nothing any more.
-	former  time.Time
-	acts    []Action
-	queues  map[string]flow.Queue
-	jobs    map[string]*flow.Job
-	open    map[string]*flow.Job
-	number  int64
-	workers map[string]*worker
-	// sorted are the workers in order of life, as long as none comes or goes.
-	sorted []*worker
-	hosts  map[string]*host
-	advice map[*flow.Stage]*advice
-	rates  map[string]float64
-	// urgent is what the questions of the most urgent queues take of the hosts.
-	urgent usage
-	stops  map[runKey]*stop
-	// suspects are tasks under which lives of workers ended, or may have.
+	limits    Limits
+	term      int64
+	now       time.Time
+	termStart time.Time
+	// predecessorGone is when the previous leader had certainly stopped renewing leases.
+	predecessorGone time.Time
+	actions         []Action
+	queues          map[string]flow.Queue
+	jobs            map[string]*flow.Job
+	openJobs        map[string]*flow.Job
+	lastNumber      int64
+	workers         map[string]*worker
+	// sortedCache holds the workers sorted by incarnation; it is valid until one is added or
+	// removed.
+	sortedCache []*worker
+	hosts       map[string]*host
+	advice      map[*flow.Stage]*advice
+	allowRates  map[string]float64
+	// urgentUsage is how many hosts the queries of the most urgent queues keep busy.
+	urgentUsage usage
+	stops       map[runKey]*pendingStop
+	// suspects are tasks that crashed a worker, or may have.
 	suspects map[*flow.Task]bool
-	// falls are workers that stopped answering lately.
-	falls []fall
-	// waits are steps that wait.
-	waits map[*flow.Stage]*wait
-	// yields are rooms that others were stopped for.
-	yields map[*flow.Stage][]yield
-	// cancels are when jobs that are not known yet were cancelled.
-	cancels map[string]time.Time
-	// dirty are jobs whose progress is not in an append yet.
+	// outages are workers that stopped answering recently.
+	outages []outage
+	// waits are the waiting steps.
+	waits map[*flow.Stage]*stepWait
+	// preemptions is the capacity that other tasks were stopped for, by the step that it is for.
+	preemptions map[*flow.Stage][]preemption
+	// earlyCancels is when jobs that are not known yet were cancelled.
+	earlyCancels map[string]time.Time
+	// dirty are jobs whose changes are not in an append yet.
 	dirty map[string]*flow.Job
-	// early are runs that may start before they are stored.
-	early []runKey
-	// appends counts what was stored.
-	appends int64
-	// next is what the next append will make certain, flights what those under way
-	// will, in their order.
-	next    *batch
-	flights []*batch
-	// unaskable tells for the most urgent queues and for the others that no host can
-	// take a question in this pass.
-	unaskable [2]bool
-	// stirred tells that something changed since the last placement.
-	stirred bool
-	// placed is when work was placed last, last when something was stored.
-	placed time.Time
-	last   time.Time
-	swept  time.Time
-	// took is how long the last pass took the lead.
-	took time.Duration
+	// unstoredStarts are runs that may start before they are stored.
+	unstoredStarts []runKey
+	// appendCount is the number of appends so far.
+	appendCount int64
+	// nextBatch is what the next append will complete, inFlight what the appends in flight will, in
+	// their order.
+	nextBatch *batch
+	inFlight  []*batch
+	// noFreeHost means for the most urgent queues and for the others that no host can take a query
+	// in this pass.
+	noFreeHost [2]bool
+	// changed means that something has changed since the last placement pass.
+	changed bool
+	// lastPass is the time of the last placement pass, lastAppend that of the last append.
+	lastPass   time.Time
+	lastAppend time.Time
+	lastSweep  time.Time
+	// passDuration is how long the last pass took.
+	passDuration time.Duration
 }
 
-// batch is what may happen once an append is stored: runs may start and states be
-// told at once, since each record holds all that is known of its job. Workers may
-// forget ends only when all appends before are stored too, which hold the jobs of
-// earlier ends.
+// batch is what may happen once an append is stored. Runs may start and states may be published at
+// once, since each record holds everything about its job. Workers may forget ends only when all
+// earlier appends are stored too, since those hold the jobs of earlier ends.
 type batch struct {
-	number int64
-	stored bool
-	sends  []runKey
-	shown  map[*flow.Job]flow.State
-	seen   map[*worker]int64
+	number    int64
+	stored    bool
+	starts    []runKey
+	states    map[*flow.Job]flow.State
+	ackedEnds map[*worker]int64
 }
 
-func newBatch() *batch { return &batch{shown: map[*flow.Job]flow.State{}, seen: map[*worker]int64{}} }
+func newBatch() *batch {
+	return &batch{states: map[*flow.Job]flow.State{}, ackedEnds: map[*worker]int64{}}
+}
 
-// runKey names one run of a task.
+// runKey identifies one run of a task.
 type runKey struct {
 	task flow.Name
 	run  int
 }
 
-// New returns the scheduler of a term that begins with these jobs.
+// New returns the scheduler of a term that begins with the given jobs.
 func New(limits Limits, term int64, jobs []*flow.Job) *Sched {
 	s := &Sched{
-		limits: limits, term: term, queues: map[string]flow.Queue{}, jobs: map[string]*flow.Job{}, open: map[string]*flow.Job{},
-		workers: map[string]*worker{}, hosts: map[string]*host{}, advice: map[*flow.Stage]*advice{}, rates: map[string]float64{},
-		stops: map[runKey]*stop{}, suspects: map[*flow.Task]bool{}, yields: map[*flow.Stage][]yield{}, waits: map[*flow.Stage]*wait{}, cancels: map[string]time.Time{}, dirty: map[string]*flow.Job{}, next: newBatch(),
+		limits: limits, term: term, queues: map[string]flow.Queue{}, jobs: map[string]*flow.Job{}, openJobs: map[string]*flow.Job{},
+		workers: map[string]*worker{}, hosts: map[string]*host{}, advice: map[*flow.Stage]*advice{}, allowRates: map[string]float64{},
+		stops: map[runKey]*pendingStop{}, suspects: map[*flow.Task]bool{}, preemptions: map[*flow.Stage][]preemption{}, waits: map[*flow.Stage]*stepWait{}, earlyCancels: map[string]time.Time{}, dirty: map[string]*flow.Job{}, nextBatch: newBatch(),
 	}
 	for _, j := range jobs {
 		s.jobs[j.Spec.ID] = j
-		s.number = max(s.number, j.Number)
+		s.lastNumber = max(s.lastNumber, j.Number)
 		if !j.State.Final() || len(j.Rounds) > 0 {
-			s.open[j.Spec.ID] = j
-			s.adopt(j)
+			s.openJobs[j.Spec.ID] = j
+			s.adoptJob(j)
 		}
 	}
 	return s
 }
 
-// adopt books what a former lead's records say may run at workers. Nothing of
-// it starts again before its worker was read under this term.
-func (s *Sched) adopt(j *flow.Job) {
+// adoptJob books the runs that may be on workers according to a previous leader's records. Such a
+// task starts again only after its worker was read under this term.
+func (s *Sched) adoptJob(j *flow.Job) {
 	j.Tasks(func(t *flow.Task) {
-		s.adoptLost(t)
+		s.adoptLostRuns(t)
 		if t.State == flow.Inherited {
-			s.known(t.Worker).put(t)
+			s.ensureWorker(t.Worker).add(t)
 		}
 	})
 }
 
-// known returns a life that a former lead's records name.
-func (s *Sched) known(life string) *worker {
-	w, ok := s.workers[life]
+// ensureWorker returns a worker ensureWorker that a previous leader's records name.
+func (s *Sched) ensureWorker(incarnation string) *worker {
+	w, ok := s.workers[incarnation]
 	if !ok {
-		w = newWorker(Worker{Address: Address{Incarnation: life}})
-		s.workers[life] = w
-		s.forgetOrder()
+		w = newWorker(Worker{Address: Address{Incarnation: incarnation}})
+		s.workers[incarnation] = w
+		s.workersChanged()
 	}
 	return w
 }
 
-// Step takes one event and returns what to do.
+// Step processes one event and returns the actions to carry out.
 func (s *Sched) Step(now time.Time, ev Event) []Action {
-	s.now, s.acts = now, nil
-	if s.began.IsZero() {
-		s.began = now
+	s.now, s.actions = now, nil
+	if s.termStart.IsZero() {
+		s.termStart = now
 	}
-	s.take(ev)
+	s.handle(ev)
 	if _, idle := ev.(Tick); !idle {
-		s.stirred = true
+		s.changed = true
 	}
 	s.flush()
-	return s.acts
+	return s.actions
 }
 
-func (s *Sched) take(ev Event) {
+func (s *Sched) handle(ev Event) {
 	switch ev := ev.(type) {
 	case Queues:
 		s.setQueues(ev)
@@ -157,34 +158,34 @@
 	case Appended:
 		s.appended(ev.Number)
 	case HoldReply:
-		s.held(ev)
+		s.holdReplied(ev)
 	case StartReply:
-		s.started(ev)
+		s.startReplied(ev)
 	case StopReply:
-		s.stopped(ev)
+		s.stopReplied(ev)
 	case PolicyReply:
-		s.advised(ev)
+		s.policyReplied(ev)
 	case PredecessorStopped:
-		s.formerOver(ev)
+		s.predecessorStopped(ev)
 	case Tick:
 		s.tick()
 	}
 }
 
-// formerOver takes what the former lead said when it left.
-func (s *Sched) formerOver(ev PredecessorStopped) {
-	s.former = s.now
-	for life, left := range ev.LeaseBounds {
-		if w, ok := s.workers[life]; ok {
-			w.until = ev.Since.Add(left)
+// predecessorStopped applies what the previous leader reported when it left.
+func (s *Sched) predecessorStopped(ev PredecessorStopped) {
+	s.predecessorGone = s.now
+	for incarnation, left := range ev.LeaseBounds {
+		if w, ok := s.workers[incarnation]; ok {
+			w.predecessorLeaseEnd = ev.Since.Add(left)
 		}
 	}
 }
 
-func (s *Sched) do(a Action) { s.acts = append(s.acts, a) }
+func (s *Sched) emit(a Action) { s.actions = append(s.actions, a) }
 
-func (s *Sched) note(t *flow.Task, what, detail string) {
-	s.do(Note{ID: t.Name.String(), What: what, Worker: t.Worker, Run: t.Run, Detail: detail})
+func (s *Sched) noteTask(t *flow.Task, what, detail string) {
+	s.emit(Note{ID: t.Name.String(), What: what, Worker: t.Worker, Run: t.Run, Detail: detail})
 }
 
 func (s *Sched) setQueues(ev Queues) {
@@ -193,8 +194,8 @@
 	}
 }
 
-// queue is the table's word on a job's queue, or what it was when the job was
-// accepted if the row is gone.
+// queue returns a job's queue as the table has it now, or as it was when the job was accepted if
+// its row is gone.
 func (s *Sched) queue(j *flow.Job) flow.Queue {
 	if q, ok := s.queues[j.Spec.Queue.Name]; ok {
 		return q
@@ -202,124 +203,127 @@
 	return j.Spec.Queue
 }
 
-// tickEvery is how often slow matters are looked at.
+// sweepInterval is the time between the periodic checks.
 const (
-	tickEvery = 100 * time.Millisecond
-	// idleEvery is the same while there is no job.
-	idleEvery = 500 * time.Millisecond
+	sweepInterval = 100 * time.Millisecond
+	// idleSweepInterval is the same while there is no open job.
+	idleSweepInterval = 500 * time.Millisecond
 )
 
 func (s *Sched) tick() {
-	if s.now.Sub(s.swept) < tickEvery {
+	if s.now.Sub(s.lastSweep) < sweepInterval {
 		return
 	}
-	s.swept = s.now
-	// Time alone may have made a place: a rest is over, a ticket has run out.
-	s.stirred = len(s.open) > 0
-	s.begin()
-	s.watchWorkers()
-	s.watchSuspects()
-	s.watchFalls()
+	s.lastSweep = s.now
+	// Time alone may allow a placement: a quarantine has ended or a ticket has expired.
+	s.changed = len(s.openJobs) > 0
+	s.beginRounds()
+	s.checkWorkers()
+	s.pruneSuspects()
+	s.pruneOutages()
 	s.retryStops()
-	s.watchAdvice()
-	s.forget()
+	s.expireQueries()
+	s.forgetEndedJobs()
 }
 
-// begin opens the rounds that are due.
-func (s *Sched) begin() {
-	for _, j := range s.opened() {
+// beginRounds opens the rounds that are due.
+func (s *Sched) beginRounds() {
+	for _, j := range s.sortedOpenJobs() {
 		if len(j.Begin(s.now)) > 0 {
-			s.touch(j)
+			s.markDirty(j)
 		}
 	}
 }
 
-func (s *Sched) touch(j *flow.Job) { s.dirty[j.Spec.ID] = j }
+func (s *Sched) markDirty(j *flow.Job) { s.dirty[j.Spec.ID] = j }
 
-// flush places what waits and stores what changed, one append at a time.
+// flush runs a placement pass if one is due, and appends the changes if an append may be sent.
 func (s *Sched) flush() {
-	if s.now.Sub(s.placed) < s.limits.BatchInterval {
+	if s.now.Sub(s.lastPass) < s.limits.BatchInterval {
 		return
 	}
-	if s.stirred && !s.now.Before(s.placeable()) {
-		s.stirred, s.placed = false, s.now
-		s.place()
-		s.sendEarly()
+	if s.changed && !s.now.Before(s.nextPassAt()) {
+		s.changed, s.lastPass = false, s.now
+		s.placeSteps()
+		s.sendUnstored()
 	}
-	if !s.storable() || s.now.Before(s.appendable()) {
+	if !s.canAppend() || s.now.Before(s.nextAppendAt()) {
 		return
 	}
-	s.appends++
-	b := s.next
-	b.number = s.appends
-	s.next = newBatch()
-	s.flights = append(s.flights, b)
-	s.last = s.now
+	s.appendCount++
+	b := s.nextBatch
+	b.number = s.appendCount
+	s.nextBatch = newBatch()
+	s.inFlight = append(s.inFlight, b)
+	s.lastAppend = s.now
 	version := flow.Version{Term: s.term, Append: b.number}
 	var changes []Change
 	for _, id := range slices.Sorted(maps.Keys(s.dirty)) {
 		j := s.dirty[id]
 		changes = append(changes, Change{Key: id, Value: j.Record(version)})
-		b.shown[j] = j.State
+		b.states[j] = j.State
 	}
 	clear(s.dirty)
 	if len(changes) == 0 {
 		s.appended(b.number)
 		return
 	}
-	s.do(Append{Number: b.number, Changes: changes})
+	s.emit(Append{Number: b.number, Changes: changes})
 }
 
 const (
-	// passShare is how much of the lead's time passes over what waits may take. Without a bound
-	// a backlog holds itself up: passes take longer the more waits, and the processor that
-	// they take is missing for starts and answers, so that still more waits.
-	passShare = 0.25
-	// mostPause is the most that a pass is put off for that.
-	mostPause = 250 * time.Millisecond
+	// maxPassShare is the share of the leader's time that placement passes may take. Without a
+	// limit a backlog would sustain itself: passes take longer with more waiting work, and the
+	// processor time that they use is then missing for starts and replies, so that even more work
+	// waits.
+	maxPassShare = 0.25
+	// maxPassDelay is the longest time that a pass is delayed for this reason.
+	maxPassDelay = 250 * time.Millisecond
 )
 
-// placeable is when the next pass may be made.
-func (s *Sched) placeable() time.Time {
-	if !s.on(LimitPassTime) {
-		return s.placed.Add(s.limits.BatchInterval)
+// nextPassAt returns when the next pass may be made.
+func (s *Sched) nextPassAt() time.Time {
+	if !s.enabled(LimitPassTime) {
+		return s.lastPass.Add(s.limits.BatchInterval)
 	}
-	return s.placed.Add(max(s.limits.BatchInterval, time.Duration(float64(s.took)/passShare)))
+	return s.lastPass.Add(max(s.limits.BatchInterval, time.Duration(float64(s.passDuration)/maxPassShare)))
 }
 
-// LastPass is when the last pass was made.
-func (s *Sched) LastPass() time.Time { return s.placed }
+// LastPass returns the time of the last placement pass.
+func (s *Sched) LastPass() time.Time { return s.lastPass }
 
-// RecordPassDuration tells how long the step with the last pass took. The core has no clock of its own: the
-// same work takes a host that is short of processor several times as long. One that was
-// suspended in a pass for seconds says nothing of the next ones.
+// RecordPassDuration reports how long the step with the last pass took. The core has no clock of
+// its own, and the same work takes several times as long on a host that is short of processor time.
+// The duration is capped, because a leader that was suspended for seconds during a pass says
+// nothing about later passes.
 func (s *Sched) RecordPassDuration(d time.Duration) {
-	s.took = min(d, time.Duration(passShare*float64(mostPause)))
+	s.passDuration = min(d, time.Duration(maxPassShare*float64(maxPassDelay)))
 }
 
-// storable tells whether there is anything to store and a partition to store it in.
-func (s *Sched) storable() bool {
-	return len(s.flights) < mostFlights && (len(s.dirty) > 0 || len(s.next.seen) > 0)
+// canAppend reports whether there is anything to store and a partition to store it in.
+func (s *Sched) canAppend() bool {
+	return len(s.inFlight) < maxAppendsInFlight && (len(s.dirty) > 0 || len(s.nextBatch.ackedEnds) > 0)
 }
 
-// appendable is when the next append may be made. While one has no answer for long,
-// the store is slow: what comes up meanwhile is stored beside it, and does not wait
-// for the rest of its time as well. There are only so many partitions to store in.
-func (s *Sched) appendable() time.Time {
-	switch n := len(s.flights); {
+// nextAppendAt returns when the next append may be sent. If an append has no answer for long, the
+// store is slow; new changes are then stored beside it instead of waiting for the rest of its time
+// as well. The number of partitions to store in limits the number of appends.
+func (s *Sched) nextAppendAt() time.Time {
+	switch n := len(s.inFlight); {
 	case n == 0:
-		return s.last.Add(s.limits.BatchInterval)
-	case n < mostFlights:
-		return s.last.Add(max(s.limits.BatchInterval, overlapAfter))
+		return s.lastAppend.Add(s.limits.BatchInterval)
+	case n < maxAppendsInFlight:
+		return s.lastAppend.Add(max(s.limits.BatchInterval, appendOverlapDelay))
 	default:
 		return s.now.Add(s.limits.BatchInterval)
 	}
 }
 
-// flushable is when what changed is stored: with a pass, or between two that are far apart.
-func (s *Sched) flushable() time.Time {
-	at := s.placed.Add(s.limits.BatchInterval)
-	if next := s.appendable(); next.After(at) {
+// nextFlushAt returns when the changes are stored: with a pass, or between two passes that are far
+// apart.
+func (s *Sched) nextFlushAt() time.Time {
+	at := s.lastPass.Add(s.limits.BatchInterval)
+	if next := s.nextAppendAt(); next.After(at) {
 		return next
 	}
 	return at
@@ -332,89 +336,90 @@
 	return a
 }
 
-// sendEarly starts what need not wait for the store.
-func (s *Sched) sendEarly() {
-	keys := s.early
-	s.early = nil
+// sendUnstored starts runs that don't have to wait for the store.
+func (s *Sched) sendUnstored() {
+	keys := s.unstoredStarts
+	s.unstoredStarts = nil
 	for _, k := range keys {
-		s.send(k)
+		s.sendStart(k)
 	}
 }
 
 // appended carries out what waited for an append.
 func (s *Sched) appended(number int64) {
-	i := slices.IndexFunc(s.flights, func(b *batch) bool { return b.number == number })
+	i := slices.IndexFunc(s.inFlight, func(b *batch) bool { return b.number == number })
 	if i < 0 {
 		return
 	}
-	b := s.flights[i]
+	b := s.inFlight[i]
 	b.stored = true
-	for _, j := range slices.SortedFunc(maps.Keys(b.shown), func(x, y *flow.Job) int { return cmp.Compare(x.Spec.ID, y.Spec.ID) }) {
-		s.show(j, b)
+	for _, j := range slices.SortedFunc(maps.Keys(b.states), func(x, y *flow.Job) int { return cmp.Compare(x.Spec.ID, y.Spec.ID) }) {
+		s.publishState(j, b)
 	}
-	for _, k := range b.sends {
-		s.send(k)
+	for _, k := range b.starts {
+		s.sendStart(k)
 	}
-	for len(s.flights) > 0 && s.flights[0].stored {
-		b := s.flights[0]
-		s.flights = s.flights[1:]
-		s.notedBy(b)
+	for len(s.inFlight) > 0 && s.inFlight[0].stored {
+		b := s.inFlight[0]
+		s.inFlight = s.inFlight[1:]
+		s.ackEnds(b)
 	}
 }
 
-// show tells a job's state from a record, unless a later record told it.
-func (s *Sched) show(j *flow.Job, b *batch) {
+// publishState publishes a job's state from a stored record, unless a later record has been
+// published already.
+func (s *Sched) publishState(j *flow.Job, b *batch) {
 	if b.number < j.Recorded {
 		return
 	}
-	j.Shown, j.Recorded = b.shown[j], b.number
+	j.Shown, j.Recorded = b.states[j], b.number
 	if j.Shown.Final() {
-		s.do(JobEnded{ID: j.Spec.ID, State: j.Shown})
+		s.emit(JobEnded{ID: j.Spec.ID, State: j.Shown})
 	}
 }
 
-// notedBy lets workers forget the ends whose jobs are stored.
-func (s *Sched) notedBy(b *batch) {
-	for _, w := range s.lives() {
-		if n, ok := b.seen[w]; ok {
-			w.noted = max(w.noted, n)
-			s.keepHolding(w)
+// ackEnds lets workers forget the ends that are stored with their jobs.
+func (s *Sched) ackEnds(b *batch) {
+	for _, w := range s.sortedWorkers() {
+		if n, ok := b.ackedEnds[w]; ok {
+			w.lastEndStored = max(w.lastEndStored, n)
+			s.ensureHold(w)
 		}
 	}
 }
 
-// forget drops jobs whose end was told for long enough, first where they were
-// accepted and only then their progress: a spec without progress is a new job to
-// the next lead, which would run it again.
-func (s *Sched) forget() {
-	maps.DeleteFunc(s.cancels, func(_ string, at time.Time) bool { return s.now.Sub(at) > s.limits.Retention })
+// forgetEndedJobs deletes jobs whose final state has been available for long enough. The spec is
+// deleted first and the progress after it: a spec without progress looks like a new job to the next
+// leader, which would run it again.
+func (s *Sched) forgetEndedJobs() {
+	maps.DeleteFunc(s.earlyCancels, func(_ string, at time.Time) bool { return s.now.Sub(at) > s.limits.Retention })
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		j := s.jobs[id]
 		if j.State.Final() && j.Shown.Final() && s.now.Sub(j.Ended) > s.limits.Retention {
 			delete(s.jobs, id)
-			delete(s.open, id)
-			s.do(Forget{ID: id})
+			delete(s.openJobs, id)
+			s.emit(Forget{ID: id})
 		}
 	}
 }
 
-// Due is when the core wants to be stepped again at the latest.
+// Due returns the latest time at which the core has to be stepped again.
 func (s *Sched) Due() time.Time {
 	switch {
-	case s.stirred && s.storable():
-		return earlier(s.placeable(), s.flushable())
-	case s.stirred:
-		return s.placeable()
-	case s.storable():
-		return s.flushable()
-	case len(s.open) > 0:
-		return s.swept.Add(tickEvery)
+	case s.changed && s.canAppend():
+		return earlier(s.nextPassAt(), s.nextFlushAt())
+	case s.changed:
+		return s.nextPassAt()
+	case s.canAppend():
+		return s.nextFlushAt()
+	case len(s.openJobs) > 0:
+		return s.lastSweep.Add(sweepInterval)
 	default:
-		return s.swept.Add(idleEvery)
+		return s.lastSweep.Add(idleSweepInterval)
 	}
 }
 
-// State is what a caller is told of a job; false if it is not known.
+// State returns the published state of a job, or false if the job is not known.
 func (s *Sched) State(id string) (flow.State, bool) {
 	j, ok := s.jobs[id]
 	if !ok {
@@ -423,10 +428,10 @@
 	return j.Shown, true
 }
 
-// Pending counts by queue the jobs of which no task has started.
+// Pending counts the jobs of which no task has started, by queue.
 func (s *Sched) Pending() map[string]int {
 	n := map[string]int{}
-	for _, j := range s.open {
+	for _, j := range s.openJobs {
 		if j.State == flow.Queued {
 			n[j.Spec.Queue.Name]++
 		}
--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -6,11 +6,11 @@
 	"pollencroft/internal/flow"
 )
 
-// assign gives a task room on a worker and has its run stored. A task of which
-// copies may run beside each other does not wait for that: what a successor does
-// not know of does no harm, and the start saves an append's time, which is long
-// when the store is slow and endless while it is away. One that may crash its worker
-// waits: each lead would start it anew.
+// assign places a task on a worker and stores the run before it is started. A task that allows
+// copies does not wait for that: a run that a successor does not know of does no harm, and starting
+// at once saves the time of an append, which is long while the store is slow and endless while it
+// is down. A task that may crash its worker always waits; otherwise each new leader would start it
+// again.
 func (s *Sched) assign(t *flow.Task, w *worker, run int) {
 	t.Worker, t.Run = w.Incarnation, run
 	t.Move(flow.Assign, s.now)
@@ -18,44 +18,44 @@
 	if t.Job.Domain == "" {
 		t.Job.Domain = w.Domain
 	}
-	w.put(t)
-	s.touch(t.Job)
+	w.add(t)
+	s.markDirty(t.Job)
 	if t.Doubt() > 0 {
 		s.markSuspect(t)
 	}
 	if t.Spec().Copies && t.Doubt() == 0 {
-		s.early = append(s.early, runKey{t.Name, run})
+		s.unstoredStarts = append(s.unstoredStarts, runKey{t.Name, run})
 		return
 	}
-	s.next.sends = append(s.next.sends, runKey{t.Name, run})
+	s.nextBatch.starts = append(s.nextBatch.starts, runKey{t.Name, run})
 }
 
-// send starts a run that is stored by now.
-func (s *Sched) send(k runKey) {
+// sendStart sends the start of an assigned run.
+func (s *Sched) sendStart(k runKey) {
 	t := s.task(k)
 	if t == nil || t.State != flow.Assigned {
 		return
 	}
 	w, ok := s.workers[t.Worker]
 	if !ok || !w.usable(s.now) {
-		s.gone(t, "worker left before the start")
+		s.requeueTask(t, "worker left before the start")
 		return
 	}
 	ticket, ok := s.ticket(t, w)
 	if !ok {
-		s.gone(t, "ticket ran out before the start")
+		s.requeueTask(t, "ticket ran out before the start")
 		return
 	}
 	t.Move(flow.Send, s.now)
-	deadline := w.clockAt(s.now).Add(startLease)
-	w.promise(deadline)
-	s.do(Start{
+	deadline := w.clockAt(s.now).Add(startTimeout)
+	w.extendDeadline(deadline)
+	s.emit(Start{
 		To: w.Address, Term: s.term, Task: t.Name, Run: t.Run, Text: t.Job.Spec.Text, Saved: t.Saved, Ticket: ticket, Deadline: deadline,
 	})
-	s.keepHolding(w)
+	s.ensureHold(w)
 }
 
-// task returns the task of a run that is its newest; nil if it is not.
+// task returns the task of a run, or nil if that is not the task's newest run.
 func (s *Sched) task(k runKey) *flow.Task {
 	j, ok := s.jobs[k.task.Job]
 	if !ok {
@@ -68,59 +68,59 @@
 	return t
 }
 
-func (s *Sched) started(ev StartReply) {
+func (s *Sched) startReplied(ev StartReply) {
 	t := s.task(runKey{ev.Task, ev.Run})
 	w := s.workers[ev.Worker]
 	if w != nil {
-		s.notBegun(w, ev)
+		s.startNeverRan(w, ev)
 	}
 	if t == nil || w == nil || t.Worker != ev.Worker {
 		return
 	}
-	s.note(t, "start "+ev.Outcome.String(), "")
+	s.noteTask(t, "start "+ev.Outcome.String(), "")
 	if w.dead && ev.Outcome != Fenced {
-		s.startedAtDead(t, w, ev.Outcome)
+		s.startReplyFromEnded(t, w, ev.Outcome)
 		return
 	}
 	switch ev.Outcome {
 	case OtherIncarnation:
-		// The life had ended before the start came.
-		s.gone(t, "worker died")
-		s.died(ev.Worker)
+		// The incarnation had ended before the start arrived.
+		s.requeueTask(t, "worker died")
+		s.incarnationEnded(ev.Worker)
 		return
 	case Accepted:
 		s.confirm(t)
-		s.keepHolding(w)
+		s.ensureHold(w)
 		return
 	case Fenced:
-		s.do(StepDown{Worker: ev.Worker})
+		s.emit(StepDown{Worker: ev.Worker})
 		return
 	case Unanswered:
-		// It may begin now or seconds later. Only a stop makes sure that it
-		// does not, and the worker's list tells whether it did.
-		s.stop(t, "start without an answer")
+		// The run may begin now or seconds later. Only a stop ensures that it does not, and the
+		// worker's list shows whether it did.
+		s.stopRun(t, "start without an answer")
 		return
 	case BadTicket:
-		s.dropTicket(t, w)
+		s.expireTicket(t, w)
 	case NoCapacity:
-		w.full = s.now.Add(retryAfter)
+		w.refusedUntil = s.now.Add(retryDelay)
 	default:
-		w.full = s.now.Add(retryAfter)
+		w.refusedUntil = s.now.Add(retryDelay)
 	}
 	if t.State == flow.Stopping {
 		return
 	}
-	s.gone(t, "start "+ev.Outcome.String())
+	s.requeueTask(t, "start "+ev.Outcome.String())
 }
 
-// confirm takes a run as begun.
+// confirm marks a run as begun.
 func (s *Sched) confirm(t *flow.Task) {
 	if !t.Move(flow.Confirm, s.now) {
 		return
 	}
 	if t.Job.State == flow.Queued {
 		t.Job.State = flow.Active
-		s.begun(t.Job)
-		s.touch(t.Job)
+		s.jobStarted(t.Job)
+		s.markDirty(t.Job)
 	}
 }
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -10,237 +10,240 @@
 	"pollencroft/internal/flow"
 )
 
-// worker is one life of a worker, as this lead knows it.
+// worker is one incarnation of a worker, as this leader knows it.
 type worker struct {
 	Worker
-	// listed tells that the platform lists it now, draining that it leaves, and
-	// until when it surely stays.
+	// listed means that the platform lists it now, draining that it is leaving; it certainly stays
+	// until leavesAt.
 	listed   bool
 	draining bool
-	leaves   time.Time
-	// sized is when its size was first listed.
-	sized time.Time
-	tasks map[flow.Name]*flow.Task
-	// used is the room that tasks take, filled the processors of filling ones.
-	used   cell.Size
-	filled int64
-	// booked is the room that questions under way of steps before are likely to
-	// take, in this pass.
-	booked cell.Size
-	// reserved is the room that is held free for wide tasks of steps before, in this pass.
+	leavesAt time.Time
+	// sizedAt is when its current size was first listed.
+	sizedAt time.Time
+	tasks   map[flow.Name]*flow.Task
+	// used is the capacity that tasks use, fillCPU the processors of filling tasks.
+	used    cell.Size
+	fillCPU int64
+	// earmarked is the capacity that earlier steps with queries in flight are likely to use, in
+	// this pass.
+	earmarked cell.Size
+	// reserved is the capacity that is held free for wide tasks of earlier steps, in this pass.
 	reserved cell.Size
-	// loose are runs that are not followed any more and may still be there; they
-	// take room until the worker certainly does not have them.
-	loose map[runKey]looseRun
-	// lost are runs that were lost here in silence.
-	lost map[flow.Name]lostRun
-	// suspects is how many tasks under which lives ended are here, trial the step of one
-	// that is to run alone, in this pass.
-	suspects int
-	trial    *flow.Stage
-	// seen is the last end that was read, noted the last that is stored, told
-	// the last that the worker knows to be stored.
-	seen, noted, told int64
-	// clock is the worker's time as of read; no lease is longer than deadline.
-	clock, read time.Time
-	deadline    time.Time
-	// fenced tells that it was read under this term: nothing that a former lead
-	// sent can begin there any more.
+	// untracked holds runs that are no longer tracked and may still be on the worker; they use
+	// capacity until they certainly are not there any more.
+	untracked map[runKey]untrackedRun
+	// lostRuns holds runs that were lost when the worker stopped answering.
+	lostRuns map[flow.Name]lostRun
+	// crashSuspects is how many crash suspects are on the worker, trialStep the step of one that
+	// has to run alone, in this pass.
+	crashSuspects int
+	trialStep     *flow.Stage
+	// lastEndRead is the last end that was read, lastEndStored the last one that is stored, and
+	// lastEndAcked the last one that the worker knows to be stored.
+	lastEndRead, lastEndStored, lastEndAcked int64
+	// clock is the worker's time as of readAt. No lease lasts beyond leaseDeadline.
+	clock, readAt time.Time
+	leaseDeadline time.Time
+	// fenced means that the worker was read under this term: nothing that a previous leader sent
+	// can begin there any more.
 	fenced bool
-	// holding and looking tell of questions under way; asked when the last one
-	// was sent, again when the next may be, doubt since when none has an answer.
-	holding, looking bool
-	lookAgain        bool
-	again, asked     time.Time
-	doubt            time.Time
-	// back is when it answered again after that.
-	back time.Time
-	dead bool
-	// judged is when what was at a life that ended is judged, came when it was known first.
-	judged, came time.Time
-	unlisted     time.Time
-	// full is until when it gets no work because it refused some.
-	full time.Time
-	// until is when the former lead's leases have lapsed, if that one told.
-	until  time.Time
-	health health
-	// speed is how fast its runs go, relative to their estimates.
+	// holding and probing mean that a hold or a probe is in flight. lastHold is when the last hold
+	// was sent, nextHold when the next one may be sent, and unansweredSince is set while holds have
+	// no answer.
+	holding, probing   bool
+	probeAgain         bool
+	nextHold, lastHold time.Time
+	unansweredSince    time.Time
+	// backSince is when the worker last answered again after being silent.
+	backSince time.Time
+	dead      bool
+	// judgeAt is when the runs on an ended incarnation are judged, firstSeen when the worker became
+	// known.
+	judgeAt, firstSeen time.Time
+	unlistedSince      time.Time
+	// refusedUntil is until when the worker gets no work because it rejected some.
+	refusedUntil time.Time
+	// predecessorLeaseEnd is when the previous leader's leases have expired, if that leader
+	// reported it.
+	predecessorLeaseEnd time.Time
+	health              health
+	// speed is how fast its runs progress, relative to their estimates.
 	speed float64
 	pace  pacing
 }
 
 func newWorker(w Worker) *worker {
-	return &worker{Worker: w, tasks: map[flow.Name]*flow.Task{}, pace: newPacing(), speed: 1, loose: map[runKey]looseRun{}, lost: map[flow.Name]lostRun{}}
+	return &worker{Worker: w, tasks: map[flow.Name]*flow.Task{}, pace: newPacing(), speed: 1, untracked: map[runKey]untrackedRun{}, lostRuns: map[flow.Name]lostRun{}}
 }
 
-func (w *worker) put(t *flow.Task) {
+func (w *worker) add(t *flow.Task) {
 	if _, ok := w.tasks[t.Name]; ok {
 		return
 	}
 	w.tasks[t.Name] = t
 	w.used = w.used.Add(t.Spec().Room())
 	if t.Spec().Fills {
-		w.filled += t.Spec().Size.CPU
+		w.fillCPU += t.Spec().Size.CPU
 	}
 }
 
-func (w *worker) drop(t *flow.Task) {
+func (w *worker) remove(t *flow.Task) {
 	if _, ok := w.tasks[t.Name]; !ok {
 		return
 	}
 	delete(w.tasks, t.Name)
 	w.used = w.used.Sub(t.Spec().Room())
 	if t.Spec().Fills {
-		w.filled -= t.Spec().Size.CPU
+		w.fillCPU -= t.Spec().Size.CPU
 	}
 }
 
-// free is the room that nothing takes; parts of it are negative while a worker is smaller
-// than what runs there.
+// free is the unused capacity. Parts of it are negative while a worker is smaller than what runs
+// there.
 func (w *worker) free() cell.Size {
 	free := w.Size.Sub(w.used)
-	for _, l := range w.loose {
-		if l.whole {
+	for _, l := range w.untracked {
+		if l.sizeUnknown {
 			return cell.Size{CPU: min(free.CPU, 0), Mem: min(free.Mem, 0), Accel: min(free.Accel, 0)}
 		}
 	}
 	return free
 }
 
-// open is what is free and not held for a wide task.
-func (w *worker) open() cell.Size { return w.free().Sub(w.reserved) }
+// available returns the capacity that is free and not reserved for a wide task.
+func (w *worker) available() cell.Size { return w.free().Sub(w.reserved) }
 
-// silent tells whether the worker leaves calls without an answer.
+// silent reports whether the worker has left calls unanswered for longer than silentAfter.
 func (w *worker) silent(now time.Time) bool {
-	return !w.doubt.IsZero() && now.Sub(w.doubt) > silentAfter
+	return !w.unansweredSince.IsZero() && now.Sub(w.unansweredSince) > silentAfter
 }
 
-// usable tells whether the worker may get work at all. Entries lapse while the platform's
-// store is away, and are back up to two seconds after it; a worker that answers although
-// it is not listed has not left. Without work until it is listed again, all workers would
-// stand idle in the moment when everybody has waited for the store.
+// usable reports whether the worker may get work at all. Entries expire during an outage of the
+// platform's store, and are back up to two seconds after it; a worker that answers although it is
+// not listed has not left. If unlisted workers got no work, all of them would stand idle just when
+// everybody has waited for the store.
 func (w *worker) usable(now time.Time) bool {
-	since := w.unlisted
-	if w.back.After(since) {
-		since = w.back
+	since := w.unlistedSince
+	if w.backSince.After(since) {
+		since = w.backSince
 	}
-	listed := w.listed || now.Sub(since) < lapsedFor && w.read.After(w.unlisted)
-	return listed && w.fenced && !w.dead && !w.draining && w.doubt.IsZero() && w.Size != (cell.Size{})
+	listed := w.listed || now.Sub(since) < unlistedGrace && w.readAt.After(w.unlistedSince)
+	return listed && w.fenced && !w.dead && !w.draining && w.unansweredSince.IsZero() && w.Size != (cell.Size{})
 }
 
-// clockAt is the worker's time now, or later than that if its clock is slow.
-func (w *worker) clockAt(now time.Time) time.Time { return w.clock.Add(now.Sub(w.read)) }
+// clockAt returns the worker's time now; if its clock is slow, the result is later than that.
+func (w *worker) clockAt(now time.Time) time.Time { return w.clock.Add(now.Sub(w.readAt)) }
 
-func (w *worker) promise(deadline time.Time) {
-	if deadline.After(w.deadline) {
-		w.deadline = deadline
+func (w *worker) extendDeadline(deadline time.Time) {
+	if deadline.After(w.leaseDeadline) {
+		w.leaseDeadline = deadline
 	}
 }
 
-// lapsed is when, by this host's clock, no lease on the worker can last any
-// more. Its clock may be slow, so a lease takes longer than it says.
-func (w *worker) lapsed() time.Time {
-	if !w.deadline.After(w.clock) {
-		return w.read
+// leaseEnd returns when all leases on the worker have expired, by this host's clock. The worker's
+// clock may be slow, so a lease takes longer than its nominal time.
+func (w *worker) leaseEnd() time.Time {
+	if !w.leaseDeadline.After(w.clock) {
+		return w.readAt
 	}
-	return w.read.Add(time.Duration(float64(w.deadline.Sub(w.clock)) / (1 - drift)))
+	return w.readAt.Add(time.Duration(float64(w.leaseDeadline.Sub(w.clock)) / (1 - maxClockDrift)))
 }
 
-// evacuate stops tasks on workers that leave: lasting ones at once, others
-// when they would not end before the worker goes.
+// evacuate stops tasks on a draining worker: long-running ones at once, and others that save their
+// progress just before the worker leaves.
 func (s *Sched) evacuate(w *worker) {
-	for _, t := range w.inOrder() {
+	for _, t := range w.sortedTasks() {
 		if t.State != flow.Running {
 			continue
 		}
 		st := t.Spec()
 		switch {
 		case st.Lasts:
-			s.stop(t, "worker leaves")
-		case st.Saves && s.now.Add(s.limits.StopGrace).After(w.leaves):
-			s.stop(t, "worker leaves")
+			s.stopRun(t, "worker leaves")
+		case st.Saves && s.now.Add(s.limits.StopGrace).After(w.leavesAt):
+			s.stopRun(t, "worker leaves")
 		}
 	}
 }
 
-// died gives up a life that has ended: nothing runs there.
-func (s *Sched) died(life string) {
-	w, ok := s.workers[life]
+// incarnationEnded handles the end of an incarnation: nothing runs there any more.
+func (s *Sched) incarnationEnded(incarnation string) {
+	w, ok := s.workers[incarnation]
 	if !ok || w.dead {
 		return
 	}
-	w.dead, w.judged = true, s.now.Add(rackWait)
-	s.fell(w)
-	s.do(Note{ID: life, What: "worker has begun another life", Worker: life, Detail: w.runs()})
-	for _, t := range w.inOrder() {
-		// The answer to a start that is under way tells whether the life ended before it.
+	w.dead, w.judgeAt = true, s.now.Add(crashJudgeDelay)
+	s.recordOutage(w)
+	s.emit(Note{ID: incarnation, What: "worker has begun another incarnation", Worker: incarnation, Detail: w.describeRuns()})
+	for _, t := range w.sortedTasks() {
+		// The reply to a start in flight shows whether the incarnation ended before it.
 		if t.State != flow.Starting {
-			s.lose(t, w)
-			s.gone(t, "worker died")
+			s.markLost(t, w)
+			s.requeueTask(t, "worker died")
 		}
 	}
 }
 
-// abandon puts back all tasks of a silent worker on which nothing can run any more.
-func (s *Sched) abandon(w *worker) {
-	for _, t := range w.inOrder() {
-		s.lose(t, w)
-		s.gone(t, "lapsed at a silent worker")
+// loseTasks requeues all tasks of a silent worker on which nothing can run any more.
+func (s *Sched) loseTasks(w *worker) {
+	for _, t := range w.sortedTasks() {
+		s.markLost(t, w)
+		s.requeueTask(t, "lapsed at a silent worker")
 	}
 }
 
-// watchWorkers notices leases that have surely lapsed and goes on asking.
-func (s *Sched) watchWorkers() {
-	for _, w := range s.lives() {
-		life := w.Incarnation
+// checkWorkers handles leases that have certainly expired, and keeps polling workers.
+func (s *Sched) checkWorkers() {
+	for _, w := range s.sortedWorkers() {
+		incarnation := w.Incarnation
 		if w.draining && !w.dead {
 			s.evacuate(w)
 		}
 		if !w.dead && w.silent(s.now) {
-			s.copySilent(w)
+			s.copySilentTasks(w)
 		}
-		if !w.dead && s.vacant(w) {
-			s.do(Note{ID: life, What: "leases have lapsed", Worker: life})
-			s.abandon(w)
+		if !w.dead && s.leasesLapsed(w) {
+			s.emit(Note{ID: incarnation, What: "leases have lapsed", Worker: incarnation})
+			s.loseTasks(w)
 		}
-		if w.dead && !s.now.Before(w.judged) {
-			s.judgeLost(w)
+		if w.dead && !s.now.Before(w.judgeAt) {
+			s.countLostRuns(w)
 		}
 		if w.listed || len(w.tasks) > 0 {
-			s.keepHolding(w)
+			s.ensureHold(w)
 			continue
 		}
 		switch {
-		case s.retirable(w):
-			s.do(Note{ID: life, What: "worker forgotten", Worker: life, Detail: w.fate()})
-			s.retire(w)
-			delete(s.workers, life)
-			s.forgetOrder()
-		case len(w.lost) > 0:
-			s.keepHolding(w)
+		case s.canForget(w):
+			s.emit(Note{ID: incarnation, What: "worker forgotten", Worker: incarnation, Detail: w.describeEnd()})
+			s.resolveForgotten(w)
+			delete(s.workers, incarnation)
+			s.workersChanged()
+		case len(w.lostRuns) > 0:
+			s.ensureHold(w)
 		}
 	}
 }
 
-// retirable tells whether a worker that is not listed may be forgotten.
-func (s *Sched) retirable(w *worker) bool {
+// canForget reports whether a worker that is not listed may be forgotten.
+func (s *Sched) canForget(w *worker) bool {
 	if w.dead {
-		return len(w.lost) == 0
+		return len(w.lostRuns) == 0
 	}
-	since := w.unlisted
-	if since.IsZero() && len(w.lost) > 0 {
-		since = s.began
+	since := w.unlistedSince
+	if since.IsZero() && len(w.lostRuns) > 0 {
+		since = s.termStart
 	}
-	return s.now.Sub(since) > retired
+	return s.now.Sub(since) > forgetWorkerAfter
 }
 
-// mostTold is how many runs one line names.
-const mostTold = 12
+// maxLoggedRuns is how many runs one log line names.
+const maxLoggedRuns = 12
 
-// runs names what may run on the worker, for the log.
-func (w *worker) runs() string {
-	keys := ordered(w.loose)
-	for _, t := range w.inOrder() {
+// describeRuns lists the runs that may be on the worker, for the log.
+func (w *worker) describeRuns() string {
+	keys := sortedRuns(w.untracked)
+	for _, t := range w.sortedTasks() {
 		keys = append(keys, runKey{t.Name, t.Run})
 	}
 	slices.SortFunc(keys, compareRuns)
@@ -248,20 +251,20 @@
 	for _, k := range slices.Compact(keys) {
 		all = append(all, k.task.String()+" run "+strconv.Itoa(k.run))
 	}
-	if more := len(all) - mostTold; more > 0 {
-		all = append(all[:mostTold], strconv.Itoa(more)+" more")
+	if more := len(all) - maxLoggedRuns; more > 0 {
+		all = append(all[:maxLoggedRuns], strconv.Itoa(more)+" more")
 	}
 	return strings.Join(all, ", ")
 }
 
-// fate is what is known of how a life ended, for the log.
-func (w *worker) fate() string {
+// describeEnd returns what is known about how an incarnation ended, for the log.
+func (w *worker) describeEnd() string {
 	switch {
 	case w.dead:
 		return "another life began"
 	case w.draining:
 		return "left"
-	case !w.doubt.IsZero() || !w.fenced:
+	case !w.unansweredSince.IsZero() || !w.fenced:
 		return "does not answer"
 	default:
 		return "not listed"
--- a/internal/sched/yield.go
+++ b/internal/sched/yield.go
@@ -8,62 +8,62 @@
 )
 
 const (
-	// yieldFor is how long room that others were stopped for is kept for the step that
-	// it is for: a stop takes as long as the platform allows it, up to a second, and
-	// the list that shows its end a little more.
-	yieldFor = 2 * time.Second
-	// mostYields is how often a task is stopped for others; each time costs it a
-	// question, a restore and the way back into the queue.
-	mostYields = 2
-	// yieldCost is about what being stopped takes a task: the stop, a question, the
-	// wait for another place and the restore.
-	yieldCost = 3 * time.Second
+	// preemptedHold is how long preempted capacity is kept for the step that it is for: a stop
+	// takes up to a second, as the platform allows, and the list that shows the end of the run a
+	// little more.
+	preemptedHold = 2 * time.Second
+	// maxPreemptions is how often a task may be preempted. Each time costs it a query, a restore
+	// and the wait in the queue.
+	maxPreemptions = 2
+	// preemptionCost is roughly the time that a preemption costs a task: the stop, a query, the
+	// wait for another worker and the restore.
+	preemptionCost = 3 * time.Second
 )
 
-// yield is room on a worker that others were stopped for.
-type yield struct {
+// preemption is capacity on a worker that others were stopped for.
+type preemption struct {
 	worker string
 	until  time.Time
 }
 
-// giveWay stops less urgent tasks that save their progress for n tasks that can still be
-// in time and have tickets. Room for a wide task hardly comes by itself: what one small
-// task leaves another takes. One notices wide ones that wait for half a minute beside
-// bulk that has time to spare.
-func (s *Sched) giveWay(r ready, p *pool, n int) {
-	if !s.on(PreemptBulk) || r.chance != inTime || r.stage.Spec.Gang {
+// preempt stops less urgent tasks that save their progress in favour of n tasks that can still be
+// on time and have tickets. Capacity for a wide task hardly ever appears by itself: what one small
+// task leaves another takes, and wide tasks waited for half a minute beside bulk that had time to
+// spare.
+func (s *Sched) preempt(r readyStep, p *pool, n int) {
+	if !s.enabled(PreemptBulk) || r.class != onTime || r.stage.Spec.Gang {
 		return
 	}
 	room := r.stage.Spec.Room()
-	s.yields[r.stage] = slices.DeleteFunc(s.yields[r.stage], func(y yield) bool {
+	s.preemptions[r.stage] = slices.DeleteFunc(s.preemptions[r.stage], func(y preemption) bool {
 		w, ok := s.workers[y.worker]
 		return !ok || !room.Fits(w.Size) || !s.now.Before(y.until)
 	})
-	for _, y := range s.yields[r.stage] {
+	for _, y := range s.preemptions[r.stage] {
 		w := s.workers[y.worker]
 		w.reserved = w.reserved.Add(room)
 		n--
 	}
 	for ; n > 0; n-- {
-		w, victims := s.cheapest(r, p)
+		w, victims := s.cheapestPreemption(r, p)
 		if w == nil {
 			return
 		}
 		for _, t := range victims {
 			t.Yields++
-			s.stop(t, "gives way to "+r.stage.Tasks[0].Name.StepName())
+			s.stopRun(t, "gives way to "+r.stage.Tasks[0].Name.StepName())
 		}
 		w.reserved = w.reserved.Add(room)
-		s.yields[r.stage] = append(s.yields[r.stage], yield{w.Incarnation, s.now.Add(yieldFor)})
+		s.preemptions[r.stage] = append(s.preemptions[r.stage], preemption{w.Incarnation, s.now.Add(preemptedHold)})
 	}
 }
 
-// cheapest finds the worker on which the fewest tasks have to be stopped for one of the
-// step; nil if there is none.
-func (s *Sched) cheapest(r ready, p *pool) (*worker, []*flow.Task) {
+// cheapestPreemption finds the worker on which the fewest tasks have to be stopped for one task of
+// the step, or nil if there is none.
+func (s *Sched) cheapestPreemption(r readyStep, p *pool) (*worker, []*flow.Task) {
 	var best *worker
 	var least []*flow.Task
-	for _, w := range s.allowed(r, p) {
+	for _, w := range s.allowedWorkers(r, p) {
 		if r.stage.Spec.Room().Share(w.Size) < wideShare {
 			continue
 		}
@@ -78,16 +78,16 @@
 	return best, least
 }
 
-// victims are the tasks to stop on a worker, those first that began last and have the
-// least to restore; false if that makes no room.
-func (s *Sched) victims(r ready, w *worker) ([]*flow.Task, bool) {
-	room, open := r.stage.Spec.Room(), w.open()
+// victims returns the tasks to stop on a worker, or false if stopping them doesn't free enough
+// capacity. Tasks that began last come first, since they have the least to restore.
+func (s *Sched) victims(r readyStep, w *worker) ([]*flow.Task, bool) {
+	room, open := r.stage.Spec.Room(), w.available()
 	if !room.Fits(w.Size.Sub(w.reserved)) {
 		return nil, false
 	}
 	var all []*flow.Task
-	for _, t := range w.inOrder() {
-		if s.mayYield(t, r) {
+	for _, t := range w.sortedTasks() {
+		if s.preemptible(t, r) {
 			all = append(all, t)
 		}
 	}
@@ -101,17 +101,17 @@
 	return all, room.Fits(open)
 }
 
-// mayYield tells whether a task may be stopped for a step: it is less urgent, saves its
-// progress and its job has the time.
-func (s *Sched) mayYield(t *flow.Task, r ready) bool {
+// preemptible reports whether a task may be stopped in favour of a step: it is less urgent, saves
+// its progress, and its job has the time.
+func (s *Sched) preemptible(t *flow.Task, r readyStep) bool {
 	st := t.Spec()
 	q := s.queue(t.Job)
-	if t.State != flow.Running || !st.Saves || st.Gang || st.Lasts || st.Fills || q.Rank <= r.queue.Rank || t.Yields >= mostYields {
+	if t.State != flow.Running || !st.Saves || st.Gang || st.Lasts || st.Fills || q.Rank <= r.queue.Rank || t.Yields >= maxPreemptions {
 		return false
 	}
 	round, ok := t.Job.Rounds[t.Name.Round]
 	if !ok {
 		return false
 	}
-	return s.waited(t.Job, round)+yieldCost+t.Job.Left(t.Step) <= t.Job.Objective(q)
+	return s.waitedSince(t.Job, round)+preemptionCost+t.Job.Left(t.Step) <= t.Job.Objective(q)
 }
