--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -279,7 +279,7 @@
 
 func jobReply(s job.Status, err error) peer.JobReply {
 	var unknown *job.UnknownError
-	var never *lead.UnschedulableError
+	var never *lead.InfeasibleError
 	switch {
 	case err == nil:
 		return peer.JobReply{Status: s}
@@ -373,10 +373,10 @@
 func (h *Host) answer(ctx context.Context, m peer.Message) (any, error) {
 	switch m := m.(type) {
 	case peer.Beat:
-		h.member(member.Heard{Beat: m.Beat})
+		h.member(member.HeartbeatReceived{Beat: m.Heartbeat})
 		return nil, nil
 	case peer.Leave:
-		h.member(member.Left{Name: m.Name})
+		h.member(member.LeaveReceived{Name: m.Name})
 		return nil, nil
 	case peer.Slots:
 		h.shareStep(share.AnnouncementReceived{Announcement: m.Announcement})
--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -111,16 +111,16 @@
 		return nil
 	}
 	j.incarnations[ev.Worker] = incarnation{name: ev.Incarnation, sent: ev.Sent}
-	lost, late := j.lostInCrash(ev, listed), j.crashedWhileSilent(ev)
+	lost, crashedSilently := j.lostInCrash(ev, listed), j.crashedWhileSilent(ev)
 	most := int64(0)
-	for _, t := range slices.Concat(lost, late) {
+	for _, t := range slices.Concat(lost, crashedSilently) {
 		most = max(most, t.crashes)
 	}
 	for _, t := range lost {
 		t.suspected = t.crashes == most && !t.excuse(ev)
 	}
 	var acts []Action
-	for _, t := range late {
+	for _, t := range crashedSilently {
 		if t.crashes == most && !t.excuse(ev) {
 			acts = append(acts, j.countLateCrash(t, ev.Worker)...)
 		}
@@ -157,14 +157,14 @@
 	if ev.Jobs != nil {
 		return nil
 	}
-	var late []*task
+	var crashed []*task
 	for _, p := range j.silentPlaces[ev.Worker] {
 		if t, ok := j.tasks[p.task]; ok && p.incarnation != ev.Incarnation && !taskChart.Final(t.state) {
-			late = append(late, t)
+			crashed = append(crashed, t)
 		}
 	}
 	delete(j.silentPlaces, ev.Worker)
-	return late
+	return crashed
 }
 
 // countLateCrash counts a crash for a task that has been queued or started elsewhere meanwhile. If
@@ -231,8 +231,8 @@
 // giveUpAfterCrashes fails the waiting tasks of a job if one of its tasks has reached maxCrashes,
 // since the job can't be completed then. Running tasks may end.
 func (j *Jobs) giveUpAfterCrashes(jb *job) []Action {
-	over := func(t *task) bool { return t.crashes >= maxCrashes && !taskChart.Final(t.state) }
-	i := slices.IndexFunc(jb.tasks, over)
+	reachedMax := func(t *task) bool { return t.crashes >= maxCrashes && !taskChart.Final(t.state) }
+	i := slices.IndexFunc(jb.tasks, reachedMax)
 	if jb.crashErr != nil || i < 0 {
 		return nil
 	}
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -8,117 +8,117 @@
 	"time"
 )
 
-// SilentAfter is how long a peer may be silent before it counts as gone. Peers
+// SilenceTimeout is how long a peer may be silent before it counts as gone. Peers
 // that beat slowly may be silent for silentBeats of their own periods.
-const SilentAfter = 1500 * time.Millisecond
+const SilenceTimeout = 1500 * time.Millisecond
 
-const silentBeats = 3
+const silentPeriods = 3
 
-// pauseAfter is how long this host's own ticks may be apart. After a longer
+// pauseThreshold is how long this host's own ticks may be apart. After a longer
 // pause the heartbeats of that time wait unread in the sockets: judged by its
 // clock alone, this host would take all peers for dead and their work with it.
-const pauseAfter = time.Second
+const pauseThreshold = time.Second
 
 type peerState struct {
-	Beat
-	// first is when this incarnation was first heard.
-	first time.Time
-	// failed tells that a message could not be sent since the last heartbeat.
-	failed bool
+	Heartbeat
+	// firstHeard is when this incarnation was firstHeard heard.
+	firstHeard time.Time
+	// sendFailed tells that a message could not be sent since the last heartbeat.
+	sendFailed bool
 }
 
 // Members is the membership core of one host.
 type Members struct {
-	self    Beat
-	peers   map[string]peerState
-	listed  map[string]time.Time
-	live    []string
-	ticked  time.Time
-	oneWay  int
-	resumed int
+	self         Heartbeat
+	peers        map[string]peerState
+	leavingSince map[string]time.Time
+	live         []string
+	lastStep     time.Time
+	oneWayCount  int
+	pauseCount   int
 }
 
 // New returns the core of the host that self describes.
-func New(self Beat) *Members {
-	return &Members{self: self, peers: map[string]peerState{}, listed: map[string]time.Time{}, live: []string{self.Name}}
+func New(self Heartbeat) *Members {
+	return &Members{self: self, peers: map[string]peerState{}, leavingSince: map[string]time.Time{}, live: []string{self.Name}}
 }
 
 // Step takes one event and returns a Changed if the live set changed.
 func (m *Members) Step(now time.Time, ev Event) []Action {
-	m.resume(now)
+	m.compensatePause(now)
 	switch ev := ev.(type) {
-	case Heard:
-		m.hear(now, ev.Beat)
-	case Failed:
-		m.fail(ev.Name)
-	case Left:
+	case HeartbeatReceived:
+		m.recordHeartbeat(now, ev.Beat)
+	case SendFailed:
+		m.recordSendFailure(ev.Name)
+	case LeaveReceived:
 		delete(m.peers, ev.Name)
-	case Listed:
-		m.list(now, ev.Leaving)
+	case LeavingListed:
+		m.recordLeaving(now, ev.Leaving)
 	case Tick:
 	}
-	return m.refresh(now)
+	return m.updateLive(now)
 }
 
-// resume gives the peers back the time in which this host itself was paused.
-func (m *Members) resume(now time.Time) {
-	gap := now.Sub(m.ticked)
-	if !m.ticked.IsZero() && gap > pauseAfter {
-		m.resumed++
+// compensatePause gives the peers back the time in which this host itself was paused.
+func (m *Members) compensatePause(now time.Time) {
+	gap := now.Sub(m.lastStep)
+	if !m.lastStep.IsZero() && gap > pauseThreshold {
+		m.pauseCount++
 		for name, p := range m.peers {
-			p.At = p.At.Add(gap)
+			p.ReceivedAt = p.ReceivedAt.Add(gap)
 			m.peers[name] = p
 		}
 	}
-	m.ticked = now
+	m.lastStep = now
 }
 
-// hear keeps the newest incarnation: a message that a dead predecessor left in
+// recordHeartbeat keeps the newest incarnation: a message that a dead predecessor left in
 // the network would otherwise bring the predecessor back to life. An older heartbeat of the
-// same incarnation may tell that it did not hear this host yet.
-func (m *Members) hear(now time.Time, b Beat) {
+// same incarnation may tell that it did not recordHeartbeat this host yet.
+func (m *Members) recordHeartbeat(now time.Time, b Heartbeat) {
 	old, ok := m.peers[b.Name]
 	if ok && (old.Incarnation > b.Incarnation || old.Incarnation == b.Incarnation && old.Seq > b.Seq) {
 		return
 	}
-	p := peerState{Beat: b, first: old.first}
+	p := peerState{Heartbeat: b, firstHeard: old.firstHeard}
 	if !ok || old.Incarnation != b.Incarnation {
-		p.first = now
+		p.firstHeard = now
 	}
-	p.At = now
+	p.ReceivedAt = now
 	m.peers[b.Name] = p
 }
 
-func (m *Members) fail(name string) {
+func (m *Members) recordSendFailure(name string) {
 	if p, ok := m.peers[name]; ok {
-		p.failed = true
+		p.sendFailed = true
 		m.peers[name] = p
 	}
 }
 
-// list notes since when the platform shows hosts as leaving. Its list lags: a
+// recordLeaving notes since when the platform shows hosts as leaving. Its recordLeaving lags: a
 // host that came back under the same name is known by a newer incarnation.
-func (m *Members) list(now time.Time, leaving []string) {
-	for name := range m.listed {
+func (m *Members) recordLeaving(now time.Time, leaving []string) {
+	for name := range m.leavingSince {
 		if !slices.Contains(leaving, name) {
-			delete(m.listed, name)
+			delete(m.leavingSince, name)
 		}
 	}
 	for _, name := range leaving {
-		if _, ok := m.listed[name]; !ok {
-			m.listed[name] = now
+		if _, ok := m.leavingSince[name]; !ok {
+			m.leavingSince[name] = now
 		}
 	}
 }
 
-func (m *Members) refresh(now time.Time) []Action {
+func (m *Members) updateLive(now time.Time) []Action {
 	live := []string{m.self.Name}
-	m.oneWay = 0
+	m.oneWayCount = 0
 	for name, p := range m.peers {
 		switch {
-		case now.Sub(p.At) > p.silentAfter() || p.Leaving || p.failed || m.leaves(p):
+		case now.Sub(p.ReceivedAt) > p.silenceTimeout() || p.Leaving || p.sendFailed || m.isListedLeaving(p):
 		case !p.Ack:
-			m.oneWay++
+			m.oneWayCount++
 		default:
 			live = append(live, name)
 		}
@@ -128,33 +128,33 @@
 		return nil
 	}
 	m.live = live
-	return []Action{Changed{Live: slices.Clone(live)}}
+	return []Action{LiveChanged{Live: slices.Clone(live)}}
 }
 
-// leaves tells whether the platform shows the host as leaving and this
+// isListedLeaving tells whether the platform shows the host as leaving and this
 // incarnation was there before it did.
-func (m *Members) leaves(p peerState) bool {
-	since, ok := m.listed[p.Name]
-	return ok && !p.first.After(since)
+func (m *Members) isListedLeaving(p peerState) bool {
+	since, ok := m.leavingSince[p.Name]
+	return ok && !p.firstHeard.After(since)
 }
 
-func (p peerState) silentAfter() time.Duration {
-	return max(SilentAfter, silentBeats*p.Period.Duration)
+func (p peerState) silenceTimeout() time.Duration {
+	return max(SilenceTimeout, silentPeriods*p.Period.Duration)
 }
 
-// Hears tells whether a peer's heartbeats arrive here. It goes into each
+// HearsFrom tells whether a peer's heartbeats arrive here. It goes into each
 // heartbeat to that peer: only the peer's answer can tell a host that its own
 // heartbeats are lost on a link that works the other way.
-func (m *Members) Hears(now time.Time, name string) bool {
+func (m *Members) HearsFrom(now time.Time, name string) bool {
 	p, ok := m.peers[name]
-	return ok && now.Sub(p.At) <= p.silentAfter()
+	return ok && now.Sub(p.ReceivedAt) <= p.silenceTimeout()
 }
 
-// OneWay returns how many peers are heard and do not hear this host.
-func (m *Members) OneWay() int { return m.oneWay }
+// OneWayCount returns how many peers are heard and do not hear this host.
+func (m *Members) OneWayCount() int { return m.oneWayCount }
 
-// Resumed returns how often this host found that it had been paused.
-func (m *Members) Resumed() int { return m.resumed }
+// PauseCount returns how often this host found that it had been paused.
+func (m *Members) PauseCount() int { return m.pauseCount }
 
 // Live lists the names of live hosts in order, this one included.
 func (m *Members) Live() []string { return slices.Clone(m.live) }
@@ -177,11 +177,11 @@
 	return m.peers[name].Domain
 }
 
-// Beats lists the last heartbeat of each known peer in order of name.
-func (m *Members) Beats() []Beat {
-	all := make([]Beat, 0, len(m.peers))
+// Heartbeats lists the last heartbeat of each known peer in order of name.
+func (m *Members) Heartbeats() []Heartbeat {
+	all := make([]Heartbeat, 0, len(m.peers))
 	for _, name := range slices.Sorted(maps.Keys(m.peers)) {
-		all = append(all, m.peers[name].Beat)
+		all = append(all, m.peers[name].Heartbeat)
 	}
 	return all
 }
--- a/internal/member/messages.go
+++ b/internal/member/messages.go
@@ -9,52 +9,52 @@
 // Event is what the membership core is told.
 type Event interface{ event() }
 
-// Heard is a heartbeat that arrived from a peer.
-type Heard struct{ Beat Beat }
+// HeartbeatReceived is a heartbeat that arrived from a peer.
+type HeartbeatReceived struct{ Beat Heartbeat }
 
 // Tick lets time pass.
 type Tick struct{}
 
-// Failed tells that a message to a peer could not be sent: its process is gone
+// SendFailed tells that a message to a peer could not be sent: its process is gone
 // or the way to it. The next heartbeat from it says otherwise.
-type Failed struct{ Name string }
+type SendFailed struct{ Name string }
 
-// Listed tells which hosts the platform's list shows as leaving.
-type Listed struct{ Leaving []string }
+// LeavingListed tells which hosts the platform's list shows as leaving.
+type LeavingListed struct{ Leaving []string }
 
-// Left tells that a peer said farewell in a planned stop.
-type Left struct{ Name string }
+// LeaveReceived tells that a peer said farewell in a planned stop.
+type LeaveReceived struct{ Name string }
 
-func (Heard) event()  {}
-func (Tick) event()   {}
-func (Left) event()   {}
-func (Failed) event() {}
-func (Listed) event() {}
+func (HeartbeatReceived) event() {}
+func (Tick) event()              {}
+func (LeaveReceived) event()     {}
+func (SendFailed) event()        {}
+func (LeavingListed) event()     {}
 
 // Action is what the membership core asks its edge to do.
 type Action interface{ action() }
 
-// Changed tells that the set of live hosts is another one now.
-type Changed struct{ Live []string }
+// LiveChanged tells that the set of live hosts is another one now.
+type LiveChanged struct{ Live []string }
 
-func (Changed) action() {}
+func (LiveChanged) action() {}
 
-// Beat is one heartbeat: who sends it, since when it runs, what load it
+// Heartbeat is one heartbeat: who sends it, since when it runs, what load it
 // carries, which table offset it waits for and the mark of its table there. Ack
 // tells the receiver that its own heartbeats arrive at the sender. Seq numbers an
 // incarnation's heartbeats, which may overtake each other. Domain does not travel:
 // each host knows its peers' from its settings.
-type Beat struct {
+type Heartbeat struct {
 	Name        string        `json:"name"`
 	Domain      string        `json:"-"`
 	Incarnation int64         `json:"inc"`
 	Seq         int64         `json:"seq"`
 	Next        int64         `json:"next"`
-	Mark        uint32        `json:"mark"`
-	Free        int           `json:"free"`
+	Digest      uint32        `json:"mark"`
+	FreeSlots   int           `json:"free"`
 	Queued      int           `json:"queued,omitempty"`
 	Leaving     bool          `json:"leaving,omitempty"`
 	Ack         bool          `json:"ack,omitempty"`
 	Period      cell.Duration `json:"period"`
-	At          time.Time     `json:"-"`
+	ReceivedAt  time.Time     `json:"-"`
 }
--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -7,22 +7,23 @@
 	"pollencroft/internal/flow"
 )
 
-// advice is what the policy service said of one step.
+// advice holds what the policy service has answered about one step.
 type advice struct {
-	// good holds the ticket of each worker that may run the step; a ticket that
-	// ran out still tells that the worker may. bad are those that may not, ever.
-	good map[string]ticket
-	bad  map[string]bool
-	// order lists the lives in good, sorted.
-	order []string
-	// asked is when the question under way was sent, to host, about named.
-	asked time.Time
-	host  string
-	named []string
-	gives time.Time
-	again time.Time
-	valid time.Duration
-	queue string
+	// tickets holds the ticket of each worker that may run the step. An expired ticket still shows
+	// that the worker may run it. denied holds the workers that may never run it.
+	tickets map[string]ticket
+	denied  map[string]bool
+	// allowed lists the incarnations in tickets, sorted.
+	allowed []string
+	// queriedAt is when the query in flight was sent to host; queried lists the workers that it
+	// names.
+	queriedAt time.Time
+	host      string
+	queried   []string
+	giveUpAt  time.Time
+	nextQuery time.Time
+	valid     time.Duration
+	queue     string
 }
 
 type ticket struct {
@@ -31,34 +32,34 @@
 }
 
 const (
-	// margin is how long before a ticket runs out it is used no more: a start
-	// has to be stored and sent in that time.
-	margin = 250 * time.Millisecond
-	// overdue is how long after its expected time a question is given up: the
-	// service is punctual, and what is late is lost in a cut or at a busy host.
-	overdue = 500 * time.Millisecond
-	// lookAgain is the pause after no worker was found worth asking about for a step
-	// that is not of the most urgent kind: a backlog of thousands would be looked
-	// through, worker by worker, in every pass.
-	lookAgain = 100 * time.Millisecond
-	// mostNamed is how many workers one question may name.
-	mostNamed = 100
-	// spare is by how much more workers are named than the tasks need by the
-	// measured share of good ones.
-	spare = 1.3
-	// moreCost is by what share a question may take longer to learn of more workers than
-	// the tasks need now: the answer is for good, and the next question names none in
-	// vain. It is nearly free where the service takes most of its time for a question
-	// whatever it names.
-	moreCost = 0.25
-	// firstRate is the share of good workers before any was measured, and
+	// ticketMargin is how long before its expiry a ticket is no longer used: the start has to be
+	// stored and sent within that time.
+	ticketMargin = 250 * time.Millisecond
+	// queryGrace is how long after its expected time a query is given up. The service is punctual:
+	// a late answer was lost in a network cut or at a busy host.
+	queryGrace = 500 * time.Millisecond
+	// queryRetryDelay is the pause after no worker was found worth querying for a step that is not
+	// in the most urgent queues. Without it every pass would check every worker for each step of a
+	// backlog of thousands.
+	queryRetryDelay = 100 * time.Millisecond
+	// maxQueryWorkers is how many workers one query may name.
+	maxQueryWorkers = 100
+	// querySpare is the factor by which a query names more workers than the tasks need at the
+	// measured share of allowed workers.
+	querySpare = 1.3
+	// maxExtraCost is the share by which a query may take longer in order to cover more workers
+	// than the tasks need now. The answers stay valid, and later queries don't have to ask again in
+	// vain. The extra workers cost almost nothing where the service takes most of its time for any
+	// query, regardless of the number of workers.
+	maxExtraCost = 0.25
+	// initialAllowRate is the assumed share of allowed workers before any answer was measured, and
 	// rateWeight the weight of a new measurement.
-	firstRate  = 0.5
-	rateWeight = 0.1
+	initialAllowRate = 0.5
+	rateWeight       = 0.1
 )
 
-// ticket returns the ticket with which a task may start on a worker; false if
-// there is none that holds. Queues without advice need none.
+// ticket returns the ticket with which a task may start on a worker, or false if there is no valid
+// one. Queues without advice need no ticket.
 func (s *Sched) ticket(t *flow.Task, w *worker) (string, bool) {
 	if s.queue(t.Job).Advice == nil {
 		return "", true
@@ -67,16 +68,15 @@
 	if !ok {
 		return "", false
 	}
-	got, ok := a.good[w.Incarnation]
+	got, ok := a.tickets[w.Incarnation]
 	if !ok || !s.now.Before(got.until) {
 		return "", false
 	}
 	return got.text, true
 }
 
-// ticketed tells whether there is any worker with a ticket for the step, or none
-// is needed.
-func (s *Sched) ticketed(r ready) bool {
+// hasTicket reports whether any worker has a valid ticket for the step, or the step needs none.
+func (s *Sched) hasTicket(r readyStep) bool {
 	if r.queue.Advice == nil {
 		return true
 	}
@@ -84,7 +84,7 @@
 	if !ok {
 		return false
 	}
-	for _, got := range a.good {
+	for _, got := range a.tickets {
 		if s.now.Before(got.until) {
 			return true
 		}
@@ -92,9 +92,9 @@
 	return false
 }
 
-// allowed lists the workers of a pool that may run a step, as far as that is known: a step
-// of which the policy service was asked has a dozen, of hundreds.
-func (s *Sched) allowed(r ready, p *pool) []*worker {
+// allowedWorkers lists the workers of a pool that are known to be allowed to run a step. A step
+// that the policy service was asked about has about a dozen, out of hundreds.
+func (s *Sched) allowedWorkers(r readyStep, p *pool) []*worker {
 	if r.queue.Advice == nil {
 		return p.workers
 	}
@@ -102,164 +102,165 @@
 	if !ok {
 		return nil
 	}
-	all := make([]*worker, 0, len(a.order))
-	for _, life := range a.order {
-		if w, ok := s.workers[life]; ok && w.Service == r.queue.Service && w.usable(s.now) {
+	all := make([]*worker, 0, len(a.allowed))
+	for _, incarnation := range a.allowed {
+		if w, ok := s.workers[incarnation]; ok && w.Service == r.queue.Service && w.usable(s.now) {
 			all = append(all, w)
 		}
 	}
 	return all
 }
 
-func (s *Sched) dropTicket(t *flow.Task, w *worker) {
+func (s *Sched) expireTicket(t *flow.Task, w *worker) {
 	if a, ok := s.advice[t.Step]; ok {
-		if got, ok := a.good[w.Incarnation]; ok {
+		if got, ok := a.tickets[w.Incarnation]; ok {
 			got.until = time.Time{}
-			a.good[w.Incarnation] = got
+			a.tickets[w.Incarnation] = got
 		}
 	}
 }
 
-// consider asks the policy service about a step of which n tasks wait.
-func (s *Sched) consider(r ready, p *pool, n int) {
-	a := s.adviceOn(r.stage)
-	if !a.asked.IsZero() {
-		s.book(r, a)
+// maybeQuery queries the policy service about a step with n waiting tasks, if no query is in flight
+// and one is worthwhile.
+func (s *Sched) maybeQuery(r readyStep, p *pool, n int) {
+	a := s.adviceFor(r.stage)
+	if !a.queriedAt.IsZero() {
+		s.earmark(r, a)
 		return
 	}
-	if s.now.Before(a.again) || p.lacks(r.stage.Spec.Room()) {
+	if s.now.Before(a.nextQuery) || p.knownFull(r.stage.Spec.Room()) {
 		return
 	}
-	name := s.askableNow(r.queue)
+	name := s.pickHostOnce(r.queue)
 	if name == "" {
 		return
 	}
-	named := s.worthNaming(r, a, p, n)
+	named := s.workersToQuery(r, a, p, n)
 	if len(named) == 0 {
-		if s.long(r.queue) {
-			a.again = s.now.Add(lookAgain)
+		if s.isLong(r.queue) {
+			a.nextQuery = s.now.Add(queryRetryDelay)
 		}
 		return
 	}
-	s.ask(r, a, name, named)
-	s.book(r, a)
+	s.queryPolicy(r, a, name, named)
+	s.earmark(r, a)
 }
 
-// adviceOn is what is known of a step.
-func (s *Sched) adviceOn(st *flow.Stage) *advice {
+// adviceFor returns the advice on a step and creates an empty one if there is none.
+func (s *Sched) adviceFor(st *flow.Stage) *advice {
 	a, ok := s.advice[st]
 	if !ok {
-		a = &advice{good: map[string]ticket{}, bad: map[string]bool{}}
+		a = &advice{tickets: map[string]ticket{}, denied: map[string]bool{}}
 		s.advice[st] = a
 	}
 	return a
 }
 
-// ask has a host ask the policy service.
-func (s *Sched) ask(r ready, a *advice, name string, named []string) {
+// queryPolicy makes a host query the policy service about a step.
+func (s *Sched) queryPolicy(r readyStep, a *advice, name string, named []string) {
 	cost := r.queue.Advice.Cost(len(named))
 	h := s.hosts[name]
-	if h.busy.Before(s.now) {
-		h.busy = s.now
+	if h.busyUntil.Before(s.now) {
+		h.busyUntil = s.now
 	}
-	h.busy = h.busy.Add(cost)
-	h.long = s.long(r.queue)
-	if !h.long {
-		s.urgent.add(cost, s.now)
+	h.busyUntil = h.busyUntil.Add(cost)
+	h.longQuery = s.isLong(r.queue)
+	if !h.longQuery {
+		s.urgentUsage.add(cost, s.now)
 	}
-	a.asked, a.host, a.named, a.gives = s.now, name, named, h.busy.Add(overdue)
+	a.queriedAt, a.host, a.queried, a.giveUpAt = s.now, name, named, h.busyUntil.Add(queryGrace)
 	a.valid, a.queue = r.queue.Advice.Valid, r.queue.Name
-	s.do(QueryPolicy{Host: name, Step: r.stage.Tasks[0].Name.StepName(), Workers: named, Timeout: a.gives.Sub(s.now)})
+	s.emit(QueryPolicy{Host: name, Step: r.stage.Tasks[0].Name.StepName(), Workers: named, Timeout: a.giveUpAt.Sub(s.now)})
 }
 
-// book sets aside the room that the answer of a step's question is likely to take, so that
-// nobody asks for a later step about the same hole.
-func (s *Sched) book(r ready, a *advice) {
+// earmark sets aside the capacity that the step is likely to take once its query is answered, so
+// that no later step queries about the same free capacity.
+func (s *Sched) earmark(r readyStep, a *advice) {
 	room := r.stage.Spec.Room()
 	want := float64(len(r.tasks))
-	for _, life := range a.named {
-		w, ok := s.workers[life]
+	for _, incarnation := range a.queried {
+		w, ok := s.workers[incarnation]
 		if !ok || !room.Fits(w.free()) {
 			continue
 		}
-		part := s.rate(r.queue)
-		if _, known := a.good[life]; known {
+		part := s.allowRate(r.queue)
+		if _, known := a.tickets[incarnation]; known {
 			part = 1
 		}
-		likely := min(part*float64(r.hold(w)), want)
-		w.booked = w.booked.Add(room.Times(likely))
+		likely := min(part*float64(r.taskCapacity(w)), want)
+		w.earmarked = w.earmarked.Add(room.Times(likely))
 		if want -= likely; want <= 0 {
 			return
 		}
 	}
 }
 
-// rate is the measured share of workers that may run a step of a queue.
-func (s *Sched) rate(q flow.Queue) float64 {
-	if rate, ok := s.rates[q.Name]; ok {
+// allowRate returns the measured share of workers that may run a step of a queue.
+func (s *Sched) allowRate(q flow.Queue) float64 {
+	if rate, ok := s.allowRates[q.Name]; ok {
 		return rate
 	}
-	return firstRate
+	return initialAllowRate
 }
 
-func (s *Sched) advised(ev PolicyReply) {
-	for _, st := range s.asked() {
+func (s *Sched) policyReplied(ev PolicyReply) {
+	for _, st := range s.stepsBeingQueried() {
 		a := s.advice[st]
 		if a.host != ev.Host || st.Tasks[0].Name.StepName() != ev.Step {
 			continue
 		}
-		s.answer(a, ev)
+		s.recordReply(a, ev)
 	}
 	if h, ok := s.hosts[ev.Host]; ok {
 		if ev.Failed {
-			h.failed(s.now)
+			h.queryFailed(s.now)
 		} else {
-			h.rest = 0
+			h.backoff = 0
 		}
 	}
 }
 
-func (s *Sched) answer(a *advice, ev PolicyReply) {
-	a.asked = time.Time{}
+func (s *Sched) recordReply(a *advice, ev PolicyReply) {
+	a.queriedAt = time.Time{}
 	if ev.Failed {
-		s.do(Note{ID: ev.Step, What: "advice failed", Detail: ev.Host})
+		s.emit(Note{ID: ev.Step, What: "advice failed", Detail: ev.Host})
 		return
 	}
 	fresh, good := 0, 0
-	for _, life := range a.named {
-		text, ok := ev.Tickets[life]
-		_, known := a.good[life]
+	for _, incarnation := range a.queried {
+		text, ok := ev.Tickets[incarnation]
+		_, known := a.tickets[incarnation]
 		if !known {
 			fresh++
 		}
 		switch {
 		case ok:
-			a.good[life] = ticket{text: text, until: s.now.Add(a.valid - margin)}
-			if i, found := slices.BinarySearch(a.order, life); !found {
-				a.order = slices.Insert(a.order, i, life)
+			a.tickets[incarnation] = ticket{text: text, until: s.now.Add(a.valid - ticketMargin)}
+			if i, found := slices.BinarySearch(a.allowed, incarnation); !found {
+				a.allowed = slices.Insert(a.allowed, i, incarnation)
 			}
 			if !known {
 				good++
 			}
 		default:
-			a.bad[life] = true
+			a.denied[incarnation] = true
 		}
 	}
 	if fresh > 0 {
-		rate, ok := s.rates[a.queue]
+		rate, ok := s.allowRates[a.queue]
 		if !ok {
-			rate = firstRate
+			rate = initialAllowRate
 		}
-		s.rates[a.queue] = max(rate+rateWeight*(float64(good)/float64(fresh)-rate), 0.05)
+		s.allowRates[a.queue] = max(rate+rateWeight*(float64(good)/float64(fresh)-rate), 0.05)
 	}
-	s.do(Note{ID: ev.Step, What: "advice", Detail: ev.Host})
+	s.emit(Note{ID: ev.Step, What: "advice", Detail: ev.Host})
 }
 
-// asked lists the steps of which a question is under way, in order.
-func (s *Sched) asked() []*flow.Stage {
+// stepsBeingQueried lists the steps with a query in flight, in order.
+func (s *Sched) stepsBeingQueried() []*flow.Stage {
 	var all []*flow.Stage
 	for st, a := range s.advice {
-		if !a.asked.IsZero() {
+		if !a.queriedAt.IsZero() {
 			all = append(all, st)
 		}
 	}
@@ -267,16 +268,16 @@
 	return all
 }
 
-// watchAdvice gives up questions that took too long.
-func (s *Sched) watchAdvice() {
-	for _, st := range s.asked() {
+// expireQueries gives up queries that have taken too long.
+func (s *Sched) expireQueries() {
+	for _, st := range s.stepsBeingQueried() {
 		a := s.advice[st]
-		if s.now.After(a.gives) {
-			a.asked = time.Time{}
+		if s.now.After(a.giveUpAt) {
+			a.queriedAt = time.Time{}
 			if h, ok := s.hosts[a.host]; ok {
-				h.failed(s.now)
+				h.queryFailed(s.now)
 			}
-			s.do(Note{ID: st.Tasks[0].Name.StepName(), What: "advice took too long", Detail: a.host})
+			s.emit(Note{ID: st.Tasks[0].Name.StepName(), What: "advice timed out", Detail: a.host})
 		}
 	}
 }
--- a/internal/sched/ahead.go
+++ b/internal/sched/ahead.go
@@ -2,71 +2,72 @@
 
 import "slices"
 
-// aheadShare is how much of a service's workers the steps may want in all whose tickets
-// are got before there is room for them. Within the time that a ticket holds, two
-// seconds, about half of the room of tasks of four seconds is given back.
-const aheadShare = 0.5
+// prefetchShare is the largest share of a service's workers that steps may need in total when their
+// tickets are prefetched, that is, queried before there is capacity for them. A ticket is valid for
+// two seconds; within that time tasks of four seconds release about half of their capacity.
+const prefetchShare = 0.5
 
-// askAhead asks about a step of a full service, with hosts that nothing else needs now.
+// prefetchTickets queries the policy service about a step of a full service, using hosts that
+// nothing else needs now.
 //
-// A question takes up to half a second. Asked only once a worker has room, that room
-// stays empty for as long, and so it does each time; one notices work that waits beside
-// GPUs of which a third is idle. With a ticket in hand a task starts in the pass that
-// sees the room.
-func (s *Sched) askAhead(r ready, p *pool) {
-	if !s.on(PrefetchTickets) || r.queue.Advice == nil || !s.long(r.queue) {
+// A query takes up to half a second. If it were sent only once a worker has capacity, that capacity
+// would stay idle for the duration of the query each time; up to a third of the GPUs were idle
+// while work waited. With a ticket already there, a task starts in the first pass that sees the
+// free capacity.
+func (s *Sched) prefetchTickets(r readyStep, p *pool) {
+	if !s.enabled(PrefetchTickets) || r.queue.Advice == nil || !s.isLong(r.queue) {
 		return
 	}
-	tasks := waitingOf(r.stage)
-	if len(tasks) == 0 || p.ahead.Share(p.size) > aheadShare {
+	tasks := startableTasks(r.stage)
+	if len(tasks) == 0 || p.prefetched.Share(p.total) > prefetchShare {
 		return
 	}
-	p.ahead = p.ahead.Add(r.stage.Spec.Room().Times(float64(len(tasks))))
-	a := s.adviceOn(r.stage)
-	if !a.asked.IsZero() {
+	p.prefetched = p.prefetched.Add(r.stage.Spec.Room().Times(float64(len(tasks))))
+	a := s.adviceFor(r.stage)
+	if !a.queriedAt.IsZero() {
 		return
 	}
-	name := s.askable(r.queue, 1)
+	name := s.pickHost(r.queue, 1)
 	if name == "" {
 		return
 	}
 	r.tasks = tasks
-	if named := s.worthHaving(r, a, p); len(named) > 0 {
-		s.ask(r, a, name, named)
+	if named := s.prefetchCandidates(r, a, p); len(named) > 0 {
+		s.queryPolicy(r, a, name, named)
 	}
 }
 
-// worthHaving lists the workers of which a step lacks a ticket that holds for a while,
-// those that it was allowed before and then those that nobody asked about.
-func (s *Sched) worthHaving(r ready, a *advice, p *pool) []string {
+// prefetchCandidates lists the workers for which a step lacks a ticket that stays valid for a
+// while: first those that were allowed before, then those not asked about yet.
+func (s *Sched) prefetchCandidates(r readyStep, a *advice, p *pool) []string {
 	cost := r.queue.Advice.Cost(1)
 	var all []candidate
 	var most int64
 	for _, w := range p.workers {
-		got, known := a.good[w.Incarnation]
-		if !a.bad[w.Incarnation] && r.stage.Spec.Room().Fits(w.Size) {
+		got, known := a.tickets[w.Incarnation]
+		if !a.denied[w.Incarnation] && r.stage.Spec.Room().Fits(w.Size) {
 			most += r.stage.Spec.Room().Into(w.Size)
 		}
 		if known && s.now.Add(cost).Before(got.until) {
 			if !r.stage.Spec.Gang {
-				// One that it may start on is enough for now.
+				// One worker that the step may start on is enough for now.
 				return nil
 			}
 			continue
 		}
-		if a.bad[w.Incarnation] || !r.stage.Spec.Room().Fits(w.Size) || !s.suits(r, r.tasks[0], w) {
+		if a.denied[w.Incarnation] || !r.stage.Spec.Room().Fits(w.Size) || !s.suits(r, r.tasks[0], w) {
 			continue
 		}
-		all = append(all, candidate{life: w.Incarnation, known: known, cost: s.cost(r, w)})
+		all = append(all, candidate{incarnation: w.Incarnation, known: known, cost: s.cost(r, w)})
 	}
 	if r.stage.Spec.Gang && most < int64(len(r.tasks)) {
-		// Nothing could start with all that may be allowed empty.
+		// Even if all workers that may be allowed were empty, the gang could not start.
 		return nil
 	}
 	slices.SortStableFunc(all, candidate.compare)
 	var named []string
-	for _, c := range all[:min(len(all), max(s.mostMore(r.queue.Advice), 1), mostNamed)] {
-		named = append(named, c.life)
+	for _, c := range all[:min(len(all), max(s.extraQueryWorkers(r.queue.Advice), 1), maxQueryWorkers)] {
+		named = append(named, c.incarnation)
 	}
 	return named
 }
--- a/internal/sched/chance.go
+++ b/internal/sched/chance.go
@@ -9,81 +9,80 @@
 	"pollencroft/internal/flow"
 )
 
-// chance tells which steps of equal rank go first.
-type chance int
+// deadlineClass orders steps of equal rank by their chance to meet their deadline.
+type deadlineClass int
 
 const (
-	// inTime is work that can still end when its caller was promised, if it begins now.
-	inTime chance = iota
-	// late is work that ends too late whatever is done, but not by much.
+	// onTime is work that still meets its objective if it begins now.
+	onTime deadlineClass = iota
+	// late is work that misses its objective in any case, but not by much.
 	late
-	// hopeless is work whose caller has most likely made do without it.
+	// hopeless is work so late that its caller has most likely stopped waiting for it.
 	hopeless
-	// starved is work that has waited for so long that a part of the workers is left
-	// to it.
+	// starved is work that has waited for so long that a share of the workers is reserved for it.
 	starved
 )
 
 const (
-	// lateBy is by how many times its objective a job may end late before it counts as
+	// lateFactor is the multiple of its objective after which a job's expected end counts as
 	// hopeless.
-	lateBy = 3
-	// starvedAfter is after how many times its objective a job counts as starved, and
-	// starvedShare the part of a service's workers that starved jobs may take before
-	// others: one eighth is what a cell should have to spare at the load that it is
-	// meant for, and newer work that is in time stays so.
-	starvedAfter = 8
-	starvedShare = 0.125
+	lateFactor = 3
+	// starvedFactor is the multiple of its objective after which a waiting job counts as starved,
+	// and starvedShare the share of a service's workers that starved jobs may take before others. A
+	// cell should have one eighth to spare at its design load, so newer work that is on time stays
+	// on time.
+	starvedFactor = 8
+	starvedShare  = 0.125
 )
 
-// chance judges a step by what is left of its job. After an outage, or with more work
-// than workers for a while, everybody is late if the oldest goes first: one waits for
-// the other, each ends just too late, and so it goes on for as long as there is a queue.
-// With those first that can still be in time, only as many are late as there is too much
-// work for. Jobs that last have no end to be late for.
-func (s *Sched) chance(j *flow.Job, r *flow.Round, st *flow.Stage, q flow.Queue) chance {
-	if !s.on(OnTimeFirst) || st.Spec.Lasts {
-		return inTime
+// deadlineClassOf classifies a step by the remaining work of its job. After an outage, or after a
+// period of overload, strictly oldest-first order makes every job late: each waits for the one
+// before and ends just too late, for as long as there is a queue. With the jobs first that can
+// still be on time, only as many are late as exceed the cell's capacity. Long-running jobs have no
+// deadline.
+func (s *Sched) deadlineClassOf(j *flow.Job, r *flow.Round, st *flow.Stage, q flow.Queue) deadlineClass {
+	if !s.enabled(OnTimeFirst) || st.Spec.Lasts {
+		return onTime
 	}
 	objective := j.Objective(q)
-	waited := s.waited(j, r)
+	waited := s.waitedSince(j, r)
 	ends := waited + j.Left(st)
 	switch {
 	case objective <= 0, ends <= objective:
-		return inTime
-	case waited > starvedAfter*objective:
+		return onTime
+	case waited > starvedFactor*objective:
 		return starved
-	case ends <= lateBy*objective:
+	case ends <= lateFactor*objective:
 		return late
 	default:
 		return hopeless
 	}
 }
 
-// waited is how long ago a job was accepted, or its round was due.
-func (s *Sched) waited(j *flow.Job, r *flow.Round) time.Duration {
+// waitedSince returns the time since the job was accepted, or since its round was due.
+func (s *Sched) waitedSince(j *flow.Job, r *flow.Round) time.Duration {
 	if r.Due.IsZero() {
 		return s.now.Sub(j.Began)
 	}
 	return s.now.Sub(r.Due)
 }
 
-// rescue lets the oldest of the starved steps go before others, as far as the starved
-// ones that run leave of their share. Without it late work would wait for as long as
-// newer work comes; without the share all that was late together would be first together
-// and everybody else late again.
-func (s *Sched) rescue(steps []ready, pools map[string]*pool) {
-	var waiting []*ready
+// promoteStarved moves the oldest starved steps ahead of others, within the share that running
+// starved steps leave free. Without it late work would wait for as long as newer work arrives;
+// without the limit all jobs that became late together would be promoted together and make
+// everything else late again.
+func (s *Sched) promoteStarved(steps []readyStep, pools map[string]*pool) {
+	var waiting []*readyStep
 	for i := range steps {
-		if steps[i].chance == starved {
+		if steps[i].class == starved {
 			waiting = append(waiting, &steps[i])
 		}
 	}
 	if len(waiting) == 0 {
 		return
 	}
-	taken, full := s.takenByStarved(), map[string]bool{}
-	slices.SortFunc(waiting, func(a, b *ready) int { return cmp.Compare(a.job.Number, b.job.Number) })
+	taken, full := s.starvedUsage(), map[string]bool{}
+	slices.SortFunc(waiting, func(a, b *readyStep) int { return cmp.Compare(a.job.Number, b.job.Number) })
 	for _, r := range waiting {
 		name := r.queue.Service
 		p, ok := pools[name]
@@ -91,24 +90,24 @@
 			continue
 		}
 		need := r.stage.Spec.Room().Times(float64(len(r.tasks)))
-		if sum := taken[name].Add(need); taken[name] == (cell.Size{}) || sum.Share(p.size) <= starvedShare {
+		if sum := taken[name].Add(need); taken[name] == (cell.Size{}) || sum.Share(p.total) <= starvedShare {
 			taken[name] = sum
-			r.chance = inTime
+			r.class = onTime
 			continue
 		}
-		// Smaller ones would pass it by for ever.
+		// If smaller steps behind it were promoted, this step would wait forever.
 		full[name] = true
 	}
 }
 
-// takenByStarved is by service the room that starved jobs take now.
-func (s *Sched) takenByStarved() map[string]cell.Size {
+// starvedUsage returns the capacity that starved jobs use now, by service.
+func (s *Sched) starvedUsage() map[string]cell.Size {
 	taken := map[string]cell.Size{}
 	for _, w := range s.workers {
 		for _, t := range w.tasks {
 			q := s.queue(t.Job)
 			r, ok := t.Job.Rounds[t.Name.Round]
-			if ok && s.chance(t.Job, r, t.Step, q) == starved {
+			if ok && s.deadlineClassOf(t.Job, r, t.Step, q) == starved {
 				taken[q.Service] = taken[q.Service].Add(t.Spec().Room())
 			}
 		}
--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -7,64 +7,64 @@
 	"pollencroft/internal/flow"
 )
 
-// looseRun is the room of a run that is not followed, which may begin as late
-// as until.
-type looseRun struct {
-	room  cell.Size
-	until time.Time
-	// whole tells that the room is not known: the worker may be full.
-	whole bool
+// untrackedRun is a run that the scheduler no longer tracks but that may still be on its worker and
+// take capacity. It may begin as late as latestStart.
+type untrackedRun struct {
+	room        cell.Size
+	latestStart time.Time
+	// sizeUnknown means that the run's size is not known: it may fill the whole worker.
+	sizeUnknown bool
 }
 
-// loosen goes on booking the room of a run that is not followed any more.
-func (w *worker) loosen(k runKey, room cell.Size, until time.Time) {
-	l, ok := w.loose[k]
+// untrack keeps the capacity of a run booked that is no longer tracked.
+func (w *worker) untrack(k runKey, room cell.Size, until time.Time) {
+	l, ok := w.untracked[k]
 	if !ok {
 		l.room = room
 		w.used = w.used.Add(room)
 	}
-	if until.After(l.until) {
-		l.until = until
+	if until.After(l.latestStart) {
+		l.latestStart = until
 	}
-	w.loose[k] = l
+	w.untracked[k] = l
 }
 
-// loosenWhole is the same for a run whose room is not known.
-func (w *worker) loosenWhole(k runKey, until time.Time) {
-	w.loosen(k, cell.Size{}, until)
-	l := w.loose[k]
-	l.whole = true
-	w.loose[k] = l
+// untrackUnknownSize is like untrack for a run of unknown size.
+func (w *worker) untrackUnknownSize(k runKey, until time.Time) {
+	w.untrack(k, cell.Size{}, until)
+	l := w.untracked[k]
+	l.sizeUnknown = true
+	w.untracked[k] = l
 }
 
-// lateStart is until when a run whose start was sent may begin.
-func (s *Sched) lateStart() time.Time { return s.now.Add(startLease + onItsWay) }
+// latestStart returns the latest time at which a run whose start has been sent may begin.
+func (s *Sched) latestStart() time.Time { return s.now.Add(startTimeout + maxTransit) }
 
-// firstLoose is when the first of the loose runs can begin no more.
-func (w *worker) firstLoose() time.Time {
+// firstUntrackedEnd returns the earliest time at which one of the untracked runs can no longer
+// begin.
+func (w *worker) firstUntrackedEnd() time.Time {
 	var first time.Time
-	for _, l := range w.loose {
-		if first.IsZero() || l.until.Before(first) {
-			first = l.until
+	for _, l := range w.untracked {
+		if first.IsZero() || l.latestStart.Before(first) {
+			first = l.latestStart
 		}
 	}
 	return first
 }
 
-// settleLoose frees the room of loose runs that are listed no longer and can
-// begin no longer.
-func (w *worker) settleLoose(listed map[flow.Name]int, now time.Time) {
-	for k, l := range w.loose {
-		if listed[k.task] == k.run || now.Before(l.until) {
+// releaseUntracked frees the capacity of untracked runs that the worker no longer lists and that
+// can no longer begin.
+func (w *worker) releaseUntracked(listed map[flow.Name]int, now time.Time) {
+	for k, l := range w.untracked {
+		if listed[k.task] == k.run || now.Before(l.latestStart) {
 			continue
 		}
 		w.used = w.used.Sub(l.room)
-		delete(w.loose, k)
+		delete(w.untracked, k)
 	}
 }
 
-// adoptCopy takes over a copy that a former lead started and could not store
-// any more.
+// adoptCopy takes over a copy that a previous leader started but could not store.
 func (s *Sched) adoptCopy(w *worker, l RunStatus) bool {
 	j, ok := s.jobs[l.Task.Job]
 	if !ok || j.State.Final() {
@@ -77,14 +77,14 @@
 	t.Worker, t.Run = w.Incarnation, l.Run
 	t.Move(flow.Assign, s.now)
 	t.Move(flow.Send, s.now)
-	w.put(t)
+	w.add(t)
 	s.confirm(t)
-	s.touch(j)
+	s.markDirty(j)
 	return true
 }
 
-// endedCopy takes the end of a copy that is not the one that is followed.
-func (s *Sched) endedCopy(w *worker, e RunEnd) {
+// copyEnded handles the end of a copy other than the tracked one.
+func (s *Sched) copyEnded(w *worker, e RunEnd) {
 	j, ok := s.jobs[e.Task.Job]
 	if !ok || j.State.Final() {
 		return
@@ -95,16 +95,16 @@
 	}
 	switch e.How {
 	case EndDone:
-		s.doneCopy(t)
+		s.copyDone(t)
 	case EndFailed:
-		s.failedCopy(w, t, e)
+		s.copyFailed(w, t, e)
 	}
 }
 
-// failedCopy counts a run that failed and that no record names: a former lead started it
-// and could not store that any more. Left out, its task would be tried more often than
-// its caller allows. A run that is not newer than what the record says was counted with it.
-func (s *Sched) failedCopy(w *worker, t *flow.Task, e RunEnd) {
+// copyFailed counts a failed run that no record names: a previous leader started it and could not
+// store that. If it were not counted, the task would be tried more often than its caller allows. A
+// run that is not newer than the recorded one has been counted already.
+func (s *Sched) copyFailed(w *worker, t *flow.Task, e RunEnd) {
 	beside := t.Out() && t.Worker != w.Incarnation && e.Run == t.Run
 	if e.Run <= t.Run && !beside {
 		return
@@ -112,26 +112,27 @@
 	if !t.Out() {
 		t.Run = e.Run
 	}
-	s.tried(t)
+	s.countFailure(t)
 }
 
-// doneCopy ends a task of which a copy is done: the first one counts, and the other one
-// is stopped.
-func (s *Sched) doneCopy(t *flow.Task) {
+// copyDone ends a task when one of its copies is done. The first one counts; the other copy is
+// stopped.
+func (s *Sched) copyDone(t *flow.Task) {
 	if w, ok := s.workers[t.Worker]; ok && t.Out() && t.State != flow.Assigned {
-		s.do(Stop{To: w.Address, Term: s.term, Task: t.Name, Run: t.Run})
-		w.loosen(runKey{t.Name, t.Run}, t.Spec().Room(), s.lateStart())
+		s.emit(Stop{To: w.Address, Term: s.term, Task: t.Name, Run: t.Run})
+		w.untrack(runKey{t.Name, t.Run}, t.Spec().Room(), s.latestStart())
 	}
-	s.done(t)
+	s.taskDone(t)
 }
 
-// copySilent begins copies of what may run on a worker that does not answer.
-func (s *Sched) copySilent(w *worker) {
-	for _, t := range w.inOrder() {
+// copySilentTasks requeues tasks of a silent worker that allow copies, so that they start
+// elsewhere.
+func (s *Sched) copySilentTasks(w *worker) {
+	for _, t := range w.sortedTasks() {
 		if t.Spec().Copies && !t.Spec().Gang && (t.State == flow.Running || t.State == flow.Starting) {
-			w.loosen(runKey{t.Name, t.Run}, t.Spec().Room(), s.lateStart())
-			s.lose(t, w)
-			s.gone(t, "worker is silent, a copy may run")
+			w.untrack(runKey{t.Name, t.Run}, t.Spec().Room(), s.latestStart())
+			s.markLost(t, w)
+			s.requeueTask(t, "worker is silent, a copy may run")
 		}
 	}
 }
--- a/internal/sched/ends.go
+++ b/internal/sched/ends.go
@@ -6,12 +6,12 @@
 	"pollencroft/internal/flow"
 )
 
-// listed takes note of a run that is at the worker.
-func (s *Sched) listed(w *worker, l RunStatus, clock time.Time) {
+// runListed handles a run that the worker lists as running.
+func (s *Sched) runListed(w *worker, l RunStatus, clock time.Time) {
 	t := s.task(runKey{l.Task, l.Run})
 	if t == nil || t.Worker != w.Incarnation {
 		if !s.adoptCopy(w, l) {
-			s.stray(w, l)
+			s.stopUntracked(w, l)
 		}
 		return
 	}
@@ -22,55 +22,53 @@
 		t.Saved = l.Saved
 	}
 	if t.State == flow.Running && t.Job.State.Final() {
-		s.stop(t, "job is over")
+		s.stopRun(t, "job is over")
 		return
 	}
-	s.prove(t)
-	s.progress(w, t, l, clock)
+	s.clearProven(t)
+	s.checkProgress(w, t, l, clock)
 }
 
-// stray stops a run that no record names. It can only be one that was given up
-// for lapsed by a clock that was wrong; it must not work on unseen.
-func (s *Sched) stray(w *worker, l RunStatus) {
+// stopUntracked stops a run that no record names. It can only be a run that was given up as lapsed
+// because of a wrong clock; it must not continue unnoticed.
+func (s *Sched) stopUntracked(w *worker, l RunStatus) {
 	k := runKey{l.Task, l.Run}
-	// A run that is listed has begun. Lists from before that may still be on their way.
-	until := s.now.Add(onItsWay)
+	// The run is listed, so it has begun. Older lists may still be in transit.
+	until := s.now.Add(maxTransit)
 	if j, ok := s.jobs[l.Task.Job]; ok && l.Task.Step < len(j.Spec.Steps) {
-		w.loosen(k, j.Spec.Steps[l.Task.Step].Room(), until)
+		w.untrack(k, j.Spec.Steps[l.Task.Step].Room(), until)
 	} else {
-		w.loosenWhole(k, until)
+		w.untrackUnknownSize(k, until)
 	}
-	s.do(Note{ID: l.Task.String(), What: "stray run", Worker: w.Incarnation, Run: l.Run})
-	s.do(Stop{To: w.Address, Term: s.term, Task: l.Task, Run: l.Run})
+	s.emit(Note{ID: l.Task.String(), What: "untracked run", Worker: w.Incarnation, Run: l.Run})
+	s.emit(Stop{To: w.Address, Term: s.term, Task: l.Task, Run: l.Run})
 }
 
-// absent judges a task that the worker does not list. Only a list that was
-// asked for after the run was certain to be there, or certain never to begin,
-// tells anything.
-func (s *Sched) absent(t *flow.Task, sent time.Time) {
+// runMissing handles a task that the worker does not list. A list counts only if it was requested
+// after the run was certain to be on the worker, or certain never to begin.
+func (s *Sched) runMissing(t *flow.Task, sent time.Time) {
 	switch t.State {
 	case flow.Inherited:
-		// Read under this term, so nothing older can begin there any more.
-		s.gone(t, "not at its worker")
+		// The list was read under this term, so no older run can begin there any more.
+		s.requeueTask(t, "not at its worker")
 	case flow.Running:
 		if sent.After(t.Since) {
-			s.gone(t, "no longer at its worker")
+			s.requeueTask(t, "no longer at its worker")
 		}
 	case flow.Stopping:
 		st, ok := s.stops[runKey{t.Name, t.Run}]
-		if ok && !st.sure.IsZero() && !sent.Before(st.sure) {
-			s.gone(t, "stopped")
+		if ok && !st.answeredAt.IsZero() && !sent.Before(st.answeredAt) {
+			s.requeueTask(t, "stopped")
 		}
 	}
 }
 
-// ended takes note of a run's end. An end as done counts whatever became of the
-// leases since: taking it for lapsed and running the task again would run it
-// twice if it had not.
-func (s *Sched) ended(w *worker, e RunEnd, clock time.Time) {
+// runEnded handles the end of a run. An end as done counts even if the run was taken for lapsed
+// meanwhile: if that was wrong, starting the task again would run it twice.
+func (s *Sched) runEnded(w *worker, e RunEnd, clock time.Time) {
 	t := s.task(runKey{e.Task, e.Run})
 	if t == nil || t.Worker != w.Incarnation || !t.Out() {
-		s.endedCopy(w, e)
+		s.copyEnded(w, e)
 		return
 	}
 	if e.Saved != "" {
@@ -78,29 +76,29 @@
 	}
 	switch {
 	case e.How == EndDone:
-		w.health.good()
-		w.measure(t, clock)
-		s.finish(t)
+		w.health.reset()
+		w.measureSpeed(t, clock)
+		s.finishTask(t)
 	case e.How == EndFailed && t.State != flow.Stopping:
-		s.blame(w, t)
-		s.failed(t)
+		s.recordRunFailure(w, t)
+		s.taskFailed(t)
 	case e.How == EndFailed:
-		s.failed(t)
+		s.taskFailed(t)
 	default:
-		s.gone(t, "ended as "+e.How.String())
+		s.requeueTask(t, "ended as "+e.How.String())
 	}
 }
 
-// finish ends a task, and its gang with it: they end as done together.
-func (s *Sched) finish(t *flow.Task) {
+// finishTask ends a task as done. The members of a gang end as done together.
+func (s *Sched) finishTask(t *flow.Task) {
 	if !t.Spec().Gang {
-		s.done(t)
+		s.taskDone(t)
 		return
 	}
 	run := t.Run
 	for _, m := range t.Step.Tasks {
 		if m.Run == run && m.State != flow.Done {
-			s.done(m)
+			s.taskDone(m)
 		}
 	}
 }
--- a/internal/sched/gang.go
+++ b/internal/sched/gang.go
@@ -8,27 +8,27 @@
 	"pollencroft/internal/flow"
 )
 
-// fillGang places all tasks of a step or none. A gang of which a part started
-// would wait for the rest with its room taken, and end alone.
-func (s *Sched) fillGang(r ready, p *pool, keep int64) {
+// placeGang places all tasks of a step or none. A partly started gang would hold its capacity while
+// it waits for the other members, and then end with EndAlone.
+func (s *Sched) placeGang(r readyStep, p *pool, keep int64) {
 	tasks := r.stage.Tasks
 	if len(r.tasks) < len(tasks) {
-		// Members of the last run are still on their way out.
+		// Members of the last run are still being stopped.
 		return
 	}
 	need := r.stage.Spec.Room().CPU * int64(len(tasks))
-	if keep > 0 && need > p.left-keep {
+	if keep > 0 && need > p.freeCPU-keep {
 		return
 	}
 	var put []*worker
-	if s.ticketed(r) {
-		put = s.gangRoom(r, s.allowed(r, p))
+	if s.hasTicket(r) {
+		put = s.findGangWorkers(r, s.allowedWorkers(r, p))
 	}
 	if put == nil {
 		if r.queue.Advice != nil {
-			s.consider(r, p, len(tasks))
+			s.maybeQuery(r, p, len(tasks))
 		}
-		s.reserve(r, p, len(tasks))
+		s.reserveCapacity(r, p, len(tasks))
 		return
 	}
 	run, saved := 0, ""
@@ -36,30 +36,31 @@
 		run, saved = max(run, t.Run), max(saved, t.Saved)
 	}
 	for i, t := range tasks {
-		// One member's checkpoint is every member's.
+		// The members share one checkpoint.
 		t.Saved = saved
 		s.assign(t, put[i], run+1)
 	}
-	p.left -= need
+	p.freeCPU -= need
 }
 
-// gangRoom finds a worker for each member; nil if there is not room for all.
-func (s *Sched) gangRoom(r ready, workers []*worker) []*worker {
+// findGangWorkers finds a worker for each member, or returns nil if there isn't enough capacity for
+// all.
+func (s *Sched) findGangWorkers(r readyStep, workers []*worker) []*worker {
 	if r.stage.Spec.SameRack {
 		racks := map[string][]*worker{}
 		for _, w := range workers {
 			racks[w.Rack] = append(racks[w.Rack], w)
 		}
 		for _, name := range slices.Sorted(maps.Keys(racks)) {
-			if put := s.gangOn(r, racks[name]); put != nil {
+			if put := s.fitGang(r, racks[name]); put != nil {
 				return put
 			}
 		}
 	}
-	return s.gangOn(r, workers)
+	return s.fitGang(r, workers)
 }
 
-func (s *Sched) gangOn(r ready, workers []*worker) []*worker {
+func (s *Sched) fitGang(r readyStep, workers []*worker) []*worker {
 	st := r.stage.Spec
 	room := make(map[*worker]cell.Size, len(workers))
 	count := map[*worker]int{}
@@ -67,14 +68,14 @@
 	for _, w := range workers {
 		if _, ok := s.ticket(r.tasks[0], w); ok && s.fits(r, r.tasks[0], w) {
 			able = append(able, w)
-			room[w] = w.open()
+			room[w] = w.available()
 		}
 	}
 	slices.SortStableFunc(able, func(a, b *worker) int { return int(room[b].CPU - room[a].CPU) })
 	put := make([]*worker, 0, len(r.stage.Tasks))
 	for range r.stage.Tasks {
 		i := slices.IndexFunc(able, func(w *worker) bool {
-			return st.Room().Fits(room[w]) && (st.Apart == 0 || w.count(r.stage)+count[w] < st.Apart)
+			return st.Room().Fits(room[w]) && (st.Apart == 0 || w.tasksOf(r.stage)+count[w] < st.Apart)
 		})
 		if i < 0 {
 			return nil
@@ -87,16 +88,16 @@
 	return put
 }
 
-// breakGang stops what is left of a gang's run after one member has ended. The
-// next run needs all members anew.
+// breakGang stops the remaining members of a gang's run after one has ended. All members have to be
+// placed again for the next run.
 func (s *Sched) breakGang(gone *flow.Task) {
 	for _, m := range gone.Step.Tasks {
 		switch m.State {
 		case flow.Assigned:
-			s.leave(m)
+			s.releaseTask(m)
 			m.Move(flow.Gone, s.now)
 		case flow.Starting, flow.Running, flow.Inherited:
-			s.stop(m, "its gang is broken")
+			s.stopRun(m, "its gang is broken")
 		}
 	}
 }
--- a/internal/sched/hosts.go
+++ b/internal/sched/hosts.go
@@ -8,43 +8,42 @@
 	"pollencroft/internal/flow"
 )
 
-// host is an entry host that can ask the policy service, which takes one
-// question of each host at a time.
+// host is an entry host that can query the policy service. The service takes one query of each host
+// at a time.
 type host struct {
-	// busy is until when the questions that it was given take; long tells of one
-	// for a queue that is not the most urgent.
-	busy time.Time
-	long bool
-	// bad is until when it is not asked because a question failed there, and rest
-	// how long that was.
-	bad  time.Time
-	rest time.Duration
+	// busyUntil is when the queries given to the host are expected to be answered; longQuery means
+	// that one of them is for a queue that is not among the most urgent.
+	busyUntil time.Time
+	longQuery bool
+	// avoidUntil is until when the host gets no queries because one failed there, and backoff the
+	// length of that pause.
+	avoidUntil time.Time
+	backoff    time.Duration
 }
 
-func (h *host) failed(now time.Time) {
-	h.rest = min(max(2*h.rest, restAfter), mostRest)
-	h.bad = now.Add(h.rest)
-	h.busy = now
+func (h *host) queryFailed(now time.Time) {
+	h.backoff = min(max(2*h.backoff, minBackoff), maxBackoff)
+	h.avoidUntil = now.Add(h.backoff)
+	h.busyUntil = now
 }
 
 const (
-	// urgentHosts is the largest share of the hosts that is kept free of long questions.
-	urgentHosts = 0.4
-	// urgentSpare is how many hosts are kept free for each that urgent questions keep
-	// busy, besides one: of questions that come at random and take one host's time, one
-	// in eleven finds all three hosts busy.
-	urgentSpare = 2
-	// urgentFor is over how long the time of urgent questions is averaged: longer than
-	// one burst lets pass between two, shorter than a burst.
-	urgentFor = 2 * time.Second
-	// mostAhead is how much work a host may have ahead of a question: what comes later
-	// waits for whichever host is free first. The service turns away the 33rd question
-	// of a host, and 32 urgent ones take a second.
-	mostAhead = 250 * time.Millisecond
-	// restAfter is how long a host whose question failed gets none; it doubles up
-	// to mostRest while they go on failing.
-	restAfter = time.Second
-	mostRest  = 4 * time.Second
+	// maxUrgentShare is the largest share of the hosts that is kept free of long queries.
+	maxUrgentShare = 0.4
+	// urgentHostFactor is how many hosts are kept free for each host that urgent queries keep busy,
+	// in addition to one: with randomly arriving queries that take one host's time in total, one in
+	// eleven finds all three hosts busy.
+	urgentHostFactor = 2
+	// urgentWindow is the averaging time for the load of urgent queries: longer than the gaps
+	// between two queries of a burst, shorter than a burst.
+	urgentWindow = 2 * time.Second
+	// maxHostBacklog is how much query time a host may have queued; further queries wait until any
+	// host is free. The service rejects the 33rd query of a host, and 32 urgent ones take a second.
+	maxHostBacklog = 250 * time.Millisecond
+	// minBackoff is how long a host gets no queries after one failed there. It doubles up to
+	// maxBackoff while queries go on failing.
+	minBackoff = time.Second
+	maxBackoff = 4 * time.Second
 )
 
 func (s *Sched) setHosts(ev Hosts) {
@@ -60,35 +59,34 @@
 	}
 }
 
-// usage is how many hosts questions keep busy, averaged over a time that fades.
+// usage is the number of hosts that queries keep busy, as an exponentially decaying average.
 type usage struct {
-	load float64
-	at   time.Time
+	load    float64
+	updated time.Time
 }
 
 func (u *usage) add(cost time.Duration, now time.Time) {
-	u.load = u.now(now) + cost.Seconds()/urgentFor.Seconds()
-	u.at = now
+	u.load = u.current(now) + cost.Seconds()/urgentWindow.Seconds()
+	u.updated = now
 }
 
-func (u *usage) now(now time.Time) float64 {
-	return u.load * math.Exp(-now.Sub(u.at).Seconds()/urgentFor.Seconds())
+func (u *usage) current(now time.Time) float64 {
+	return u.load * math.Exp(-now.Sub(u.updated).Seconds()/urgentWindow.Seconds())
 }
 
-// kept is how many hosts are kept free of long questions, as many as the urgent ones of
-// late need. An urgent question takes a tenth of a long one's time and would wait for
-// all of it; but each host that is kept free for nothing leaves workers idle that nobody
-// asks about.
-func (s *Sched) kept() int {
-	most := int(math.Ceil(urgentHosts * float64(len(s.hosts))))
-	if !s.on(AdaptUrgentHosts) {
+// reservedHosts returns how many hosts are kept free of long queries, based on the recent load of
+// urgent ones. An urgent query takes a tenth of the time of a long one and would have to wait for
+// all of it. But each host that is reserved needlessly leaves workers idle that no step asks about.
+func (s *Sched) reservedHosts() int {
+	most := int(math.Ceil(maxUrgentShare * float64(len(s.hosts))))
+	if !s.enabled(AdaptUrgentHosts) {
 		return most
 	}
-	return min(1+int(math.Ceil(urgentSpare*s.urgent.now(s.now))), most)
+	return min(1+int(math.Ceil(urgentHostFactor*s.urgentUsage.current(s.now))), most)
 }
 
-// long tells whether a queue is not among the most urgent ones.
-func (s *Sched) long(q flow.Queue) bool {
+// isLong reports whether a queue is not among the most urgent ones, whose queries are short.
+func (s *Sched) isLong(q flow.Queue) bool {
 	for _, other := range s.queues {
 		if other.Rank < q.Rank {
 			return true
@@ -97,41 +95,41 @@
 	return false
 }
 
-// askableNow is askable, which gives the same answer to all queues of a kind
-// until a pass has found no host: a backlog of a thousand steps asks once.
-func (s *Sched) askableNow(q flow.Queue) string {
+// pickHostOnce is like pickHost, but remembers for the rest of the pass that no host is free for
+// urgent or for long queries, so that a backlog of a thousand steps checks once.
+func (s *Sched) pickHostOnce(q flow.Queue) string {
 	kind := 0
-	if s.long(q) {
+	if s.isLong(q) {
 		kind = 1
 	}
-	if s.unaskable[kind] {
+	if s.noFreeHost[kind] {
 		return ""
 	}
-	name := s.askable(q, 0)
-	s.unaskable[kind] = name == ""
+	name := s.pickHost(q, 0)
+	s.noFreeHost[kind] = name == ""
 	return name
 }
 
-// askable chooses the host for a question; none if all would keep it waiting.
-// Long questions go to idle hosts only, and never to all: an urgent one would
-// wait behind them at every host.
-// Of the hosts that long questions may take so many are left.
-func (s *Sched) askable(q flow.Queue, leave int) string {
-	long := s.long(q)
+// pickHost chooses the host for a query, or returns "" if the query would have to wait at every
+// host. Long queries go to idle hosts only and never to all hosts, so that an urgent one doesn't
+// wait behind them everywhere. A long query must leave at least the given number of the hosts open
+// to long queries.
+func (s *Sched) pickHost(q flow.Queue, leave int) string {
+	long := s.isLong(q)
 	busy := 0
 	best := ""
 	for n, h := range s.hosts {
-		if h.long && h.busy.After(s.now) {
+		if h.longQuery && h.busyUntil.After(s.now) {
 			busy++
 		}
-		if s.now.Before(h.bad) || long && h.busy.After(s.now) || h.busy.Sub(s.now) > mostAhead {
+		if s.now.Before(h.avoidUntil) || long && h.busyUntil.After(s.now) || h.busyUntil.Sub(s.now) > maxHostBacklog {
 			continue
 		}
-		if best == "" || h.busy.Before(s.hosts[best].busy) || h.busy.Equal(s.hosts[best].busy) && n < best {
+		if best == "" || h.busyUntil.Before(s.hosts[best].busyUntil) || h.busyUntil.Equal(s.hosts[best].busyUntil) && n < best {
 			best = n
 		}
 	}
-	most := max(len(s.hosts)-s.kept(), 1)
+	most := max(len(s.hosts)-s.reservedHosts(), 1)
 	if long && busy+leave >= most {
 		return ""
 	}
--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -6,102 +6,103 @@
 	if _, ok := s.jobs[spec.ID]; ok {
 		return
 	}
-	s.number++
-	j := flow.New(spec, s.number, s.now)
-	s.jobs[spec.ID], s.open[spec.ID] = j, j
+	s.lastNumber++
+	j := flow.New(spec, s.lastNumber, s.now)
+	s.jobs[spec.ID], s.openJobs[spec.ID] = j, j
 	j.Begin(s.now)
-	s.touch(j)
-	s.do(Note{ID: spec.ID, What: "queued", Detail: spec.Queue.Name})
-	if _, ok := s.cancels[spec.ID]; ok {
-		delete(s.cancels, spec.ID)
+	s.markDirty(j)
+	s.emit(Note{ID: spec.ID, What: "queued", Detail: spec.Queue.Name})
+	if _, ok := s.earlyCancels[spec.ID]; ok {
+		delete(s.earlyCancels, spec.ID)
 		s.cancel(spec.ID)
 	}
 }
 
-// cancel stops a job. It may be heard of before the job itself, since the two may be
-// stored by different hosts; dropped then, the job would run although its caller was
-// told that it is cancelled.
+// cancel stops a job. The cancellation may arrive before the job itself, since different hosts may
+// have stored the two. If it were dropped then, the job would run although its caller was told that
+// it is cancelled.
 func (s *Sched) cancel(id string) {
 	j, ok := s.jobs[id]
 	switch {
 	case !ok:
-		s.cancels[id] = s.now
-		s.do(Note{ID: id, What: "cancelled before it is known"})
+		s.earlyCancels[id] = s.now
+		s.emit(Note{ID: id, What: "cancelled before it is known"})
 		return
 	case j.State.Final():
 		return
 	}
-	s.do(Note{ID: id, What: "cancelled by its caller"})
-	s.end(j, flow.Cancelled)
+	s.emit(Note{ID: id, What: "cancelled by its caller"})
+	s.endJob(j, flow.Cancelled)
 }
 
-// end brings a job to a final state and stops what is left of it.
-func (s *Sched) end(j *flow.Job, state flow.State) {
+// endJob moves a job to a final state and stops its remaining tasks.
+func (s *Sched) endJob(j *flow.Job, state flow.State) {
 	j.End(state, s.now)
-	s.touch(j)
+	s.markDirty(j)
 	j.Tasks(func(t *flow.Task) {
 		switch t.State {
 		case flow.Waiting, flow.Assigned:
-			s.leave(t)
+			s.releaseTask(t)
 			t.Move(flow.Drop, s.now)
 		case flow.Starting, flow.Running, flow.Inherited:
-			s.stop(t, "job is "+string(state))
+			s.stopRun(t, "job is "+string(state))
 		}
 	})
-	s.settle(j)
+	s.closeIfOver(j)
 }
 
-// settle closes what is over of a job.
-func (s *Sched) settle(j *flow.Job) {
+// closeIfOver closes a job once it has a final state and none of its tasks may still be on a
+// worker.
+func (s *Sched) closeIfOver(j *flow.Job) {
 	if j.State.Final() {
 		out := false
 		j.Tasks(func(t *flow.Task) { out = out || t.Out() })
 		if !out {
-			s.close(j)
+			s.closeJob(j)
 		}
 		return
 	}
 	j.Settle(s.now)
 	if j.State.Final() {
-		s.close(j)
+		s.closeJob(j)
 	}
 }
 
-// close lets go of the tasks of a job that is over.
-func (s *Sched) close(j *flow.Job) {
+// closeJob drops the tasks of a job that is over.
+func (s *Sched) closeJob(j *flow.Job) {
 	for _, r := range j.Rounds {
 		for _, st := range r.Stages {
 			delete(s.advice, st)
-			delete(s.yields, st)
+			delete(s.preemptions, st)
 			delete(s.waits, st)
 		}
 	}
 	clear(j.Rounds)
-	delete(s.open, j.Spec.ID)
-	s.touch(j)
+	delete(s.openJobs, j.Spec.ID)
+	s.markDirty(j)
 }
 
-// leave takes a task off its worker.
-func (s *Sched) leave(t *flow.Task) {
+// releaseTask removes a task from its worker.
+func (s *Sched) releaseTask(t *flow.Task) {
 	if w, ok := s.workers[t.Worker]; ok {
-		w.drop(t)
+		w.remove(t)
 	}
 	delete(s.stops, runKey{t.Name, t.Run})
 	t.Worker = ""
 }
 
-// gone puts back a task whose run certainly is not at its worker any more and
+// requeueTask puts a task back in the queue whose run is certainly not on its worker any more and
 // did not end as done.
-func (s *Sched) gone(t *flow.Task, why string) {
+func (s *Sched) requeueTask(t *flow.Task, why string) {
 	if t.State == flow.Waiting || !t.Out() {
 		return
 	}
-	s.note(t, "gone", why)
-	s.leave(t)
-	s.touch(t.Job)
+	s.noteTask(t, "gone", why)
+	s.releaseTask(t)
+	s.markDirty(t.Job)
 	if t.Job.State.Final() {
 		t.Move(flow.Drop, s.now)
-		s.settle(t.Job)
+		s.closeIfOver(t.Job)
 		return
 	}
 	t.Move(flow.Gone, s.now)
@@ -110,40 +111,40 @@
 	}
 }
 
-// done takes a task's end as done.
-func (s *Sched) done(t *flow.Task) {
-	s.note(t, "done", "")
-	s.leave(t)
+// taskDone ends a task as done.
+func (s *Sched) taskDone(t *flow.Task) {
+	s.noteTask(t, "done", "")
+	s.releaseTask(t)
 	if !t.Move(flow.Finish, s.now) {
 		return
 	}
 	t.Step.Done++
-	s.touch(t.Job)
+	s.markDirty(t.Job)
 	if t.Job.State.Final() {
-		s.settle(t.Job)
+		s.closeIfOver(t.Job)
 		return
 	}
 	if t.Step.Over() {
 		delete(s.advice, t.Step)
 	}
-	s.settle(t.Job)
+	s.closeIfOver(t.Job)
 }
 
-// failed counts a failed run and gives the job up after too many.
-func (s *Sched) failed(t *flow.Task) {
+// taskFailed requeues a task after a failed run and counts the failure.
+func (s *Sched) taskFailed(t *flow.Task) {
 	t.Avoid = t.Worker
-	s.gone(t, "failed")
-	s.tried(t)
+	s.requeueTask(t, "failed")
+	s.countFailure(t)
 }
 
-// tried counts a failure of a task.
-func (s *Sched) tried(t *flow.Task) {
+// countFailure counts a failure of a task and fails the job after too many.
+func (s *Sched) countFailure(t *flow.Task) {
 	t.Fails++
 	j := t.Job
-	s.touch(j)
+	s.markDirty(j)
 	if j.State.Final() || t.Spec().Lasts || t.Fails < s.queue(j).Attempts {
 		return
 	}
-	s.do(Note{ID: j.Spec.ID, What: "failed for good", Detail: t.Name.String()})
-	s.end(j, flow.Failed)
+	s.emit(Note{ID: j.Spec.ID, What: "failed for good", Detail: t.Name.String()})
+	s.endJob(j, flow.Failed)
 }
--- a/internal/sched/list.go
+++ b/internal/sched/list.go
@@ -9,8 +9,8 @@
 	"pollencroft/internal/flow"
 )
 
-// setWorkers takes the platform's list. A worker that is not listed gets no work;
-// what it runs goes on as long as it answers.
+// setWorkers applies the platform's list of workers. A worker that is not listed gets no new work;
+// its runs continue as long as it answers.
 func (s *Sched) setWorkers(ev Workers) {
 	listed := make(map[string]bool, len(ev.All))
 	for _, l := range ev.All {
@@ -18,59 +18,58 @@
 		w, ok := s.workers[l.Incarnation]
 		if !ok {
 			w = newWorker(l)
-			w.came = s.now
+			w.firstSeen = s.now
 			s.workers[l.Incarnation] = w
-			s.forgetOrder()
-			s.do(Note{ID: l.Incarnation, What: "worker listed", Worker: l.Incarnation, Detail: l.Domain})
+			s.workersChanged()
+			s.emit(Note{ID: l.Incarnation, What: "worker listed", Worker: l.Incarnation, Detail: l.Domain})
 		}
-		s.relist(w, l)
-		w.listed, w.unlisted = true, time.Time{}
+		s.updateWorker(w, l)
+		w.listed, w.unlistedSince = true, time.Time{}
 		if l.Draining && !w.draining {
-			s.drain(w, l.Remaining)
+			s.startDraining(w, l.Remaining)
 		}
-		s.keepHolding(w)
+		s.ensureHold(w)
 	}
-	for _, w := range s.lives() {
-		life := w.Incarnation
-		if !listed[life] && w.listed {
-			w.listed, w.unlisted = false, s.now
-			s.do(Note{ID: life, What: "worker not listed", Worker: life})
-			s.look(w)
+	for _, w := range s.sortedWorkers() {
+		incarnation := w.Incarnation
+		if !listed[incarnation] && w.listed {
+			w.listed, w.unlistedSince = false, s.now
+			s.emit(Note{ID: incarnation, What: "worker not listed", Worker: incarnation})
+			s.probe(w)
 		}
 	}
 }
 
-// relist believes what a worker says of itself now. What it runs goes on; starts that are
-// not sent yet have to suit what it is now.
-func (s *Sched) relist(w *worker, l Worker) {
+// updateWorker applies a worker's current entry. Its runs continue; starts that are not sent yet
+// must fit the new entry.
+func (s *Sched) updateWorker(w *worker, l Worker) {
 	same := w.Size == l.Size && w.Service == l.Service && slices.Equal(w.Labels, l.Labels)
-	if w.sized.IsZero() || w.Size != l.Size {
-		s.resized(w, l)
+	if w.sizedAt.IsZero() || w.Size != l.Size {
+		s.noteResize(w, l)
 	}
 	w.Worker = l
 	if !same {
-		s.recall(w)
+		s.recallStarts(w)
 	}
 }
 
-// resized tells of another size, and which one was believed before, for how long.
-func (s *Sched) resized(w *worker, l Worker) {
-	since := w.sized
-	w.sized = s.now
+// noteResize notes a change of a worker's size, with the previous size and how long that was valid.
+func (s *Sched) noteResize(w *worker, l Worker) {
+	since := w.sizedAt
+	w.sizedAt = s.now
 	if since.IsZero() {
 		return
 	}
 	a, b := w.Size, l.Size
-	s.do(Note{ID: w.Incarnation, What: "worker resized", Worker: w.Incarnation, Detail: fmt.Sprintf(
+	s.emit(Note{ID: w.Incarnation, What: "worker resized", Worker: w.Incarnation, Detail: fmt.Sprintf(
 		"cpu %d to %d, mem %d to %d, accel %d to %d, entry %d; before: entry %d, %s",
 		a.CPU, b.CPU, a.Mem, b.Mem, a.Accel, b.Accel, l.Version, w.Version, s.now.Sub(since),
 	)})
 }
 
-// recall puts back starts that are not sent yet and that their worker does not suit any more,
-// the least urgent first.
-func (s *Sched) recall(w *worker) {
-	all := slices.DeleteFunc(w.inOrder(), func(t *flow.Task) bool { return t.State != flow.Assigned })
+// recallStarts requeues unsent starts that their worker no longer suits, the least urgent first.
+func (s *Sched) recallStarts(w *worker) {
+	all := slices.DeleteFunc(w.sortedTasks(), func(t *flow.Task) bool { return t.State != flow.Assigned })
 	slices.SortStableFunc(all, func(a, b *flow.Task) int {
 		return cmp.Or(s.queue(b.Job).Rank-s.queue(a.Job).Rank, cmp.Compare(b.Job.Number, a.Job.Number))
 	})
@@ -78,18 +77,18 @@
 		label := t.Spec().Label
 		switch {
 		case t.State != flow.Assigned:
-			// It left with another member of its gang.
+			// It was already requeued with another member of its gang.
 		case w.Service != s.queue(t.Job).Service || label != "" && !slices.Contains(w.Labels, label):
-			s.gone(t, "worker changed before the start")
+			s.requeueTask(t, "worker changed before the start")
 		case !w.used.Fits(w.Size):
-			s.gone(t, "worker shrank before the start")
+			s.requeueTask(t, "worker shrank before the start")
 		}
 	}
 }
 
-// drain notes that a worker leaves: nothing more starts there.
-func (s *Sched) drain(w *worker, left time.Duration) {
+// startDraining marks a worker as draining: nothing more starts there.
+func (s *Sched) startDraining(w *worker, left time.Duration) {
 	w.draining = true
-	w.leaves = s.now.Add(left)
-	s.do(Note{ID: w.Incarnation, What: "worker leaves", Worker: w.Incarnation, Detail: left.String()})
+	w.leavesAt = s.now.Add(left)
+	s.emit(Note{ID: w.Incarnation, What: "worker leaves", Worker: w.Incarnation, Detail: left.String()})
 }
--- a/internal/sched/naming.go
+++ b/internal/sched/naming.go
@@ -7,10 +7,10 @@
 	"pollencroft/internal/flow"
 )
 
-// candidate is a worker that may be named in a question.
+// candidate is a worker that may be named in a query.
 type candidate struct {
-	life string
-	// tasks is how many it has room for, known that it was allowed before.
+	incarnation string
+	// tasks is how many tasks the worker has capacity for; known means that it was allowed before.
 	tasks int
 	known bool
 	cost  float64
@@ -27,23 +27,24 @@
 	}
 }
 
-// worthNaming lists workers that have room for n tasks of the step and may be allowed, the
-// best first, and as many as the tasks need; then others of which an answer tells more
-// than it costs. It lists none if nothing could start whatever the answer is.
-func (s *Sched) worthNaming(r ready, a *advice, p *pool, n int) []string {
-	all, most := s.nameNow(r, a, p)
+// workersToQuery lists the workers to name in a query for a step with n waiting tasks. First come
+// workers with free capacity that may be allowed, the best first, as many as the tasks need; then
+// others, as long as they add little to the cost of the query. The list is empty if nothing could
+// start whatever the answer is.
+func (s *Sched) workersToQuery(r readyStep, a *advice, p *pool, n int) []string {
+	all, most := s.candidatesWithCapacity(r, a, p)
 	if len(all) == 0 || r.stage.Spec.Gang && most < n {
 		return nil
 	}
-	rate, more := s.rate(r.queue), s.mostMore(r.queue.Advice)
-	want := float64(n) * spare
-	enough := func(named []string) bool { return want <= 0 && len(named) >= more || len(named) == mostNamed }
+	rate, more := s.allowRate(r.queue), s.extraQueryWorkers(r.queue.Advice)
+	want := float64(n) * querySpare
+	enough := func(named []string) bool { return want <= 0 && len(named) >= more || len(named) == maxQueryWorkers }
 	var named []string
 	for _, c := range all {
 		if enough(named) {
 			return named
 		}
-		named = append(named, c.life)
+		named = append(named, c.incarnation)
 		part := rate
 		if c.known {
 			part = 1
@@ -53,76 +54,77 @@
 	if enough(named) {
 		return named
 	}
-	for _, c := range s.nameLater(r, a, p) {
+	for _, c := range s.otherCandidates(r, a, p) {
 		if enough(named) {
 			break
 		}
-		named = append(named, c.life)
+		named = append(named, c.incarnation)
 	}
 	return named
 }
 
-// nameNow lists the workers of a pool that have room for the step and of which a question would
-// tell something; most is how many tasks could start if all were allowed. In a full cell there
-// is none in most passes, for hundreds of steps: room is looked at first, and what an order
-// among them costs is left for those that have it.
-func (s *Sched) nameNow(r ready, a *advice, p *pool) (all []candidate, most int) {
+// candidatesWithCapacity lists the workers of a pool that have capacity for the step and whose
+// answer isn't known. most is how many tasks could start if all of them were allowed. In a full
+// cell most passes find none, for hundreds of steps, so the capacity is checked first and the more
+// expensive ordering is done only for workers that have it.
+func (s *Sched) candidatesWithCapacity(r readyStep, a *advice, p *pool) (all []candidate, most int) {
 	room, some := r.stage.Spec.Room(), false
 	for _, w := range p.workers {
-		if !room.Fits(w.open().Sub(w.booked)) {
+		if !room.Fits(w.available().Sub(w.earmarked)) {
 			continue
 		}
 		some = true
-		if a.bad[w.Incarnation] || !s.suits(r, r.tasks[0], w) {
+		if a.denied[w.Incarnation] || !s.suits(r, r.tasks[0], w) {
 			continue
 		}
-		hold := r.hold(w)
+		hold := r.taskCapacity(w)
 		most += hold
-		got, known := a.good[w.Incarnation]
+		got, known := a.tickets[w.Incarnation]
 		if !known || !s.now.Before(got.until) {
-			// One with a ticket was passed over for another reason.
-			all = append(all, candidate{life: w.Incarnation, tasks: hold, known: known, cost: s.cost(r, w)})
+			// A worker with a valid ticket was not chosen for another reason.
+			all = append(all, candidate{incarnation: w.Incarnation, tasks: hold, known: known, cost: s.cost(r, w)})
 		}
 	}
 	if !some {
-		p.none = append(p.none, room)
+		p.unfit = append(p.unfit, room)
 	}
 	slices.SortStableFunc(all, candidate.compare)
 	return all, most
 }
 
-// nameLater lists the workers without room for the step now that nobody asked about yet.
-func (s *Sched) nameLater(r ready, a *advice, p *pool) []candidate {
+// otherCandidates lists the workers that have no capacity for the step now and have not been asked
+// about yet.
+func (s *Sched) otherCandidates(r readyStep, a *advice, p *pool) []candidate {
 	var all []candidate
 	room := r.stage.Spec.Room()
 	for _, w := range p.workers {
-		_, known := a.good[w.Incarnation]
-		if known || a.bad[w.Incarnation] || !room.Fits(w.Size) || room.Fits(w.open().Sub(w.booked)) || !s.suits(r, r.tasks[0], w) {
+		_, known := a.tickets[w.Incarnation]
+		if known || a.denied[w.Incarnation] || !room.Fits(w.Size) || room.Fits(w.available().Sub(w.earmarked)) || !s.suits(r, r.tasks[0], w) {
 			continue
 		}
-		all = append(all, candidate{life: w.Incarnation, cost: s.cost(r, w)})
+		all = append(all, candidate{incarnation: w.Incarnation, cost: s.cost(r, w)})
 	}
 	slices.SortStableFunc(all, candidate.compare)
 	return all
 }
 
-// mostMore is how many workers a question may name without taking much longer.
-func (s *Sched) mostMore(a *flow.Advice) int {
+// extraQueryWorkers returns how many workers a query may name without taking much longer.
+func (s *Sched) extraQueryWorkers(a *flow.Advice) int {
 	switch {
-	case !s.on(QueryMoreWorkers):
+	case !s.enabled(QueryMoreWorkers):
 		return 0
 	case a.Each <= 0:
-		return mostNamed
+		return maxQueryWorkers
 	}
-	return int(moreCost * float64(a.Base) / float64(a.Each))
+	return int(maxExtraCost * float64(a.Base) / float64(a.Each))
 }
 
-// hold is how many of the step's tasks a worker has room for.
-func (r ready) hold(w *worker) int {
+// taskCapacity returns how many of the step's tasks a worker has capacity for.
+func (r readyStep) taskCapacity(w *worker) int {
 	st := r.stage.Spec
 	n := min(int64(len(r.tasks)), st.Room().Into(w.free()))
 	if st.Apart > 0 {
-		n = min(n, int64(st.Apart-w.count(r.stage)))
+		n = min(n, int64(st.Apart-w.tasksOf(r.stage)))
 	}
 	return int(max(n, 1))
 }
--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -6,32 +6,33 @@
 	"pollencroft/internal/flow"
 )
 
-// Filling tasks disturb tasks that serve beside them, by amounts that nobody
-// declares and that change within seconds. One notices the tail of the response
-// times near its bound; holding the filling tasks back brings it down within
-// the platform's pacing delay, long before the bound is broken for good.
+// Filling tasks disturb the tasks that serve requests on the same worker, by amounts that nobody
+// declares and that change within seconds. The sign of it is a tail of the response times that
+// nears its target. Slowing the filling tasks brings it down within the platform's pacing delay,
+// long before the target is missed for good.
 const (
-	// near is the share of the target from which filling tasks are held back,
-	// stopAt that from which they stand still.
-	near   = 0.7
-	stopAt = 0.85
-	// calm is the share below which they may go faster again, by stepUp percent
-	// each stepEvery.
-	calm      = 0.55
-	stepUp    = 20
-	stepEvery = time.Second
+	// slowFrom is the share of the target from which filling tasks are slowed, pauseFrom the share
+	// from which they are paused.
+	slowFrom  = 0.7
+	pauseFrom = 0.85
+	// speedUpBelow is the share below which they may go faster again, by speedUpStep percent every
+	// speedUpInterval.
+	speedUpBelow    = 0.55
+	speedUpStep     = 20
+	speedUpInterval = time.Second
 )
 
-// pacing is how much filling tasks on a worker may work, in percent.
+// pacing is the share of the processor time that filling tasks on a worker may use, in percent.
 type pacing struct {
-	level int
-	moved time.Time
+	level   int
+	changed time.Time
 }
 
 func newPacing() pacing { return pacing{level: 100} }
 
-// worstTail is the highest tail of a task that serves, as a share of its target.
-func (w *worker) worstTail(running []RunStatus) float64 {
+// worstLatency returns the highest response-time tail of the serving tasks, as a share of the
+// target.
+func (w *worker) worstLatency(running []RunStatus) float64 {
 	worst := 0.0
 	for _, l := range running {
 		t := w.tasks[l.Task]
@@ -43,28 +44,28 @@
 	return worst
 }
 
-// repace follows the tails that a worker lists.
-func (s *Sched) repace(w *worker, running []RunStatus) {
-	if w.filled == 0 {
+// adjustPace adjusts the pace of filling tasks to the response times that a worker lists.
+func (s *Sched) adjustPace(w *worker, running []RunStatus) {
+	if w.fillCPU == 0 {
 		return
 	}
-	worst := w.worstTail(running)
+	worst := w.worstLatency(running)
 	level := w.pace.level
 	switch {
-	case worst >= stopAt:
+	case worst >= pauseFrom:
 		level = 0
-	case worst >= near:
+	case worst >= slowFrom:
 		level = min(level, level/2)
-	case worst < calm && s.now.Sub(w.pace.moved) >= stepEvery:
-		level = min(level+stepUp, 100)
+	case worst < speedUpBelow && s.now.Sub(w.pace.changed) >= speedUpInterval:
+		level = min(level+speedUpStep, 100)
 	}
 	if level != w.pace.level {
-		w.pace.level, w.pace.moved = level, s.now
+		w.pace.level, w.pace.changed = level, s.now
 	}
-	for _, t := range w.inOrder() {
-		if t.Spec().Fills && t.State == flow.Running && (t.Pace != level || worst >= stopAt) {
+	for _, t := range w.sortedTasks() {
+		if t.Spec().Fills && t.State == flow.Running && (t.Pace != level || worst >= pauseFrom) {
 			t.Pace = level
-			s.do(Pace{To: w.Address, Term: s.term, Task: t.Name, Run: t.Run, Percent: level})
+			s.emit(Pace{To: w.Address, Term: s.term, Task: t.Name, Run: t.Run, Percent: level})
 		}
 	}
 }
--- a/internal/sched/rack.go
+++ b/internal/sched/rack.go
@@ -8,85 +8,85 @@
 )
 
 const (
-	// togetherWithin is how far apart the workers of a rack may be seen to end for one
-	// cause: an idle one is only asked once another has stopped answering.
-	togetherWithin = 3 * time.Second
-	// rackWait is how long the end of a life is not judged, so that the workers of its
-	// rack can be asked.
-	rackWait = time.Second
-	// fewestOthers is how many other workers a rack must have had.
-	fewestOthers = 2
+	// sameOutageWithin is the time within which the workers of a rack must be found down to count
+	// as one outage: an idle worker is probed only after another has stopped answering.
+	sameOutageWithin = 3 * time.Second
+	// crashJudgeDelay is how long the scheduler waits before it judges the end of an incarnation,
+	// so that the other workers of its rack can be probed.
+	crashJudgeDelay = time.Second
+	// minOtherWorkers is how many other workers of the rack must be down.
+	minOtherWorkers = 2
 )
 
-// fall is a worker that stopped answering, or whose life ended.
-type fall struct {
-	at         time.Time
-	life, rack string
-	// steps are those of which tasks were there.
+// outage is a worker that stopped answering, or whose incarnation ended.
+type outage struct {
+	at                time.Time
+	incarnation, rack string
+	// steps are the steps that had tasks on the worker.
 	steps map[*flow.Stage]bool
 }
 
-// fell notes that a worker stopped answering or has ended, and asks the idle workers of its
-// rack if a task under which a life had ended before was there.
-func (s *Sched) fell(w *worker) {
-	if w.Rack == "" || slices.ContainsFunc(s.falls, func(f fall) bool { return f.life == w.Incarnation }) {
+// recordOutage records that a worker stopped answering or that its incarnation ended. If it had a
+// task under which an incarnation may have ended before, the idle workers of its rack are probed.
+func (s *Sched) recordOutage(w *worker) {
+	if w.Rack == "" || slices.ContainsFunc(s.outages, func(f outage) bool { return f.incarnation == w.Incarnation }) {
 		return
 	}
-	f := fall{at: s.now, life: w.Incarnation, rack: w.Rack, steps: map[*flow.Stage]bool{}}
+	f := outage{at: s.now, incarnation: w.Incarnation, rack: w.Rack, steps: map[*flow.Stage]bool{}}
 	suspect := false
 	for _, t := range w.tasks {
 		f.steps[t.Step] = true
 		suspect = suspect || t.Doubt() > 0
 	}
-	s.falls = append(s.falls, f)
+	s.outages = append(s.outages, f)
 	if !suspect {
 		return
 	}
-	for _, o := range s.lives() {
+	for _, o := range s.sortedWorkers() {
 		if o != w && o.Rack == w.Rack && o.idle() {
-			s.look(o)
+			s.probe(o)
 		}
 	}
 }
 
-// rose forgets that a worker stopped answering.
-func (s *Sched) rose(w *worker) {
-	s.falls = slices.DeleteFunc(s.falls, func(f fall) bool { return f.life == w.Incarnation })
+// clearOutage removes the outage of a worker that answers again.
+func (s *Sched) clearOutage(w *worker) {
+	s.outages = slices.DeleteFunc(s.outages, func(f outage) bool { return f.incarnation == w.Incarnation })
 }
 
-// rackFell tells whether all workers of a rack ended together for a cause that was not a
-// task of this step. Bad tasks that start together end several lives at once as well, so
-// there must be an idle worker among them.
-func (s *Sched) rackFell(w *worker, t *flow.Task) bool {
-	i := slices.IndexFunc(s.falls, func(f fall) bool { return f.life == w.Incarnation })
+// isRackOutage reports whether all workers of a rack went down together for a cause other than a
+// task of this step. Crashing tasks that start together also end several incarnations at once, so
+// at least one idle worker must be among them.
+func (s *Sched) isRackOutage(w *worker, t *flow.Task) bool {
+	i := slices.IndexFunc(s.outages, func(f outage) bool { return f.incarnation == w.Incarnation })
 	if i < 0 {
 		return false
 	}
-	at := s.falls[i].at
+	at := s.outages[i].at
 	idle, everywhere := false, true
 	down := map[string]bool{w.Incarnation: true}
-	for _, f := range s.falls {
-		if f.life == w.Incarnation || f.rack != w.Rack || f.at.Sub(at).Abs() > togetherWithin {
+	for _, f := range s.outages {
+		if f.incarnation == w.Incarnation || f.rack != w.Rack || f.at.Sub(at).Abs() > sameOutageWithin {
 			continue
 		}
-		down[f.life] = true
+		down[f.incarnation] = true
 		idle = idle || len(f.steps) == 0
 		everywhere = everywhere && f.steps[t.Step]
 	}
-	return len(down) > fewestOthers && idle && !everywhere && !s.anyUp(w.Rack, at, down)
+	return len(down) > minOtherWorkers && idle && !everywhere && !s.anyUp(w.Rack, at, down)
 }
 
-// anyUp tells whether any worker of a rack that was known by then is not down.
+// anyUp reports whether any worker of a rack that was known before the given time is not down.
 func (s *Sched) anyUp(rack string, by time.Time, down map[string]bool) bool {
 	for _, w := range s.workers {
-		if w.Rack == rack && !w.dead && !down[w.Incarnation] && w.came.Before(by) {
+		if w.Rack == rack && !w.dead && !down[w.Incarnation] && w.firstSeen.Before(by) {
 			return true
 		}
 	}
 	return false
 }
 
-// watchFalls forgets falls that can be one with no other any more.
-func (s *Sched) watchFalls() {
-	s.falls = slices.DeleteFunc(s.falls, func(f fall) bool { return s.now.Sub(f.at) > retired })
+// pruneOutages drops outages that are too old to be part of a rack outage.
+func (s *Sched) pruneOutages() {
+	s.outages = slices.DeleteFunc(s.outages, func(f outage) bool { return s.now.Sub(f.at) > forgetWorkerAfter })
 }
--- a/internal/sched/stop.go
+++ b/internal/sched/stop.go
@@ -6,68 +6,67 @@
 	"pollencroft/internal/flow"
 )
 
-// stop is a run that must end. A worker that has answered a stop never begins
-// that run any more, so the task is free once a list that was asked for after
-// the answer does not have it.
-type stop struct {
+// pendingStop is a run that must end. A worker that has answered a stop never begins that run any
+// more, so the task is free once a list that was requested after the answer does not contain it.
+type pendingStop struct {
 	task   *flow.Task
 	worker string
-	// sure is when the worker's answer came; zero while there is none.
-	sure time.Time
-	// again is when the stop is sent once more; flying while it has no answer.
-	again  time.Time
-	flying bool
+	// answeredAt is when the worker answered; zero before.
+	answeredAt time.Time
+	// retryAt is when the stop is sent again; inFlight means that it has no answer yet.
+	retryAt  time.Time
+	inFlight bool
 }
 
-// stop asks for the end of a task's run.
-func (s *Sched) stop(t *flow.Task, why string) {
+// stopRun asks the worker to stop a task's run.
+func (s *Sched) stopRun(t *flow.Task, why string) {
 	if !t.Move(flow.Stop, s.now) {
 		return
 	}
-	s.note(t, "stop", why)
+	s.noteTask(t, "stop", why)
 	k := runKey{t.Name, t.Run}
-	st := &stop{task: t, worker: t.Worker}
+	st := &pendingStop{task: t, worker: t.Worker}
 	s.stops[k] = st
 	s.sendStop(k, st)
 }
 
-func (s *Sched) sendStop(k runKey, st *stop) {
+func (s *Sched) sendStop(k runKey, st *pendingStop) {
 	w, ok := s.workers[st.worker]
 	if !ok || !w.Addr.IsValid() || w.dead {
-		st.again = s.now.Add(retryAfter)
+		st.retryAt = s.now.Add(retryDelay)
 		return
 	}
-	st.flying = true
-	s.do(Stop{To: w.Address, Term: s.term, Task: k.task, Run: k.run})
+	st.inFlight = true
+	s.emit(Stop{To: w.Address, Term: s.term, Task: k.task, Run: k.run})
 }
 
 func (s *Sched) retryStops() {
-	for _, k := range ordered(s.stops) {
+	for _, k := range sortedRuns(s.stops) {
 		st := s.stops[k]
-		if !st.flying && st.sure.IsZero() && !s.now.Before(st.again) {
+		if !st.inFlight && st.answeredAt.IsZero() && !s.now.Before(st.retryAt) {
 			s.sendStop(k, st)
 		}
 	}
 }
 
-func (s *Sched) stopped(ev StopReply) {
+func (s *Sched) stopReplied(ev StopReply) {
 	k := runKey{ev.Task, ev.Run}
 	st, ok := s.stops[k]
 	if !ok || st.worker != ev.Worker {
 		return
 	}
-	st.flying = false
+	st.inFlight = false
 	switch ev.Outcome {
 	case Accepted:
-		st.sure = s.now
+		st.answeredAt = s.now
 		if w, ok := s.workers[ev.Worker]; ok {
-			s.look(w)
+			s.probe(w)
 		}
 	case OtherIncarnation:
-		s.died(ev.Worker)
+		s.incarnationEnded(ev.Worker)
 	case Fenced:
-		s.do(StepDown{Worker: ev.Worker})
+		s.emit(StepDown{Worker: ev.Worker})
 	default:
-		st.again = s.now.Add(retryAfter)
+		st.retryAt = s.now.Add(retryDelay)
 	}
 }
--- a/internal/sched/trial.go
+++ b/internal/sched/trial.go
@@ -8,24 +8,24 @@
 	"pollencroft/internal/flow"
 )
 
-// A life may end under many tasks at once, and one of them is the cause. A task under
-// which a second life has ended runs alone on a worker: it takes no others down with it,
-// and no other one adds to its count.
+// An incarnation may end while it runs many tasks, and one of them is the cause. A task under which
+// a second incarnation has ended runs alone on a worker, so that it crashes no other tasks and no
+// other task adds to its count.
 const (
-	// aloneFrom is how many lives must have ended under a task for it to run alone.
-	aloneFrom = 2
-	// trialWait is how long a task waits for a worker that is empty.
-	trialWait = 3 * time.Second
-	// trialFor is how long a task that runs alone keeps others of its step from doing so:
+	// aloneAfter is how many incarnations must have ended under a task for it to run alone.
+	aloneAfter = 2
+	// maxTrialWait is how long such a task waits for an empty worker.
+	maxTrialWait = 3 * time.Second
+	// trialDuration is how long a task that runs alone keeps others of its step from doing so:
 	// tasks of a step are alike.
-	trialFor = 2 * time.Second
-	// suspectsCost keeps tasks under which a life has ended apart.
-	suspectsCost = 1
+	trialDuration = 2 * time.Second
+	// crashSuspectCost keeps crash suspects on different workers.
+	crashSuspectCost = 1
 )
 
-// markSuspects notes on the workers which have tasks under which lives ended.
+// markSuspects marks the workers that have crash suspects.
 func (s *Sched) markSuspects() {
-	for _, t := range s.inDoubt() {
+	for _, t := range s.sortedSuspects() {
 		if !t.Spec().Gang {
 			s.markSuspect(t)
 			continue
@@ -41,43 +41,43 @@
 	if !ok || !t.Out() || t.Doubt() == 0 {
 		return
 	}
-	w.suspects++
-	if t.Doubt() >= aloneFrom && w.trial == nil {
-		w.trial = t.Step
+	w.crashSuspects++
+	if t.Doubt() >= aloneAfter && w.trialStep == nil {
+		w.trialStep = t.Step
 	}
 }
 
-// mayMeet tells whether a task may be on a worker beside what is there.
-func (s *Sched) mayMeet(t *flow.Task, w *worker) bool {
-	if w.trial != nil && (!t.Spec().Gang || w.trial != t.Step) {
+// mayShare reports whether a task may run beside the other tasks of a worker.
+func (s *Sched) mayShare(t *flow.Task, w *worker) bool {
+	if w.trialStep != nil && (!t.Spec().Gang || w.trialStep != t.Step) {
 		return false
 	}
 	switch {
-	case t.Doubt() < aloneFrom:
+	case t.Doubt() < aloneAfter:
 		return true
-	case s.trialBeside(t):
+	case s.trialUnderway(t):
 		return false
-	case len(w.loose) == 0 && len(w.tasks) == w.count(t.Step) && (t.Spec().Gang || len(w.tasks) == 0):
+	case len(w.untracked) == 0 && len(w.tasks) == w.tasksOf(t.Step) && (t.Spec().Gang || len(w.tasks) == 0):
 		return true
 	default:
-		return w.suspects == 0 && s.now.Sub(t.Since) > trialWait
+		return w.crashSuspects == 0 && s.now.Sub(t.Since) > maxTrialWait
 	}
 }
 
-// trialBeside tells whether another task of the step has just begun to run alone.
-func (s *Sched) trialBeside(t *flow.Task) bool {
+// trialUnderway reports whether another task of the step has only just begun to run alone.
+func (s *Sched) trialUnderway(t *flow.Task) bool {
 	for u := range s.suspects {
-		if u == t || u.Step != t.Step || t.Spec().Gang || !u.Out() || u.Doubt() < aloneFrom {
+		if u == t || u.Step != t.Step || t.Spec().Gang || !u.Out() || u.Doubt() < aloneAfter {
 			continue
 		}
-		if u.State != flow.Running || s.now.Sub(u.Since) < trialFor {
+		if u.State != flow.Running || s.now.Sub(u.Since) < trialDuration {
 			return true
 		}
 	}
 	return false
 }
 
-// inDoubt lists the tasks under which lives ended by name.
-func (s *Sched) inDoubt() []*flow.Task {
+// sortedSuspects lists the crash suspects, sorted by name.
+func (s *Sched) sortedSuspects() []*flow.Task {
 	return slices.SortedFunc(maps.Keys(s.suspects), func(a, b *flow.Task) int { return compareNames(a.Name, b.Name) })
 }
--- a/internal/sched/waits.go
+++ b/internal/sched/waits.go
@@ -9,26 +9,27 @@
 	"pollencroft/internal/flow"
 )
 
-// WaitReason is what a step with tasks that could run waits for.
+// WaitReason is what a step with startable tasks waits for.
 type WaitReason int
 
-// The reasons.
+// The waitReasonCount.
 const (
-	// WaitForHost is a host that can ask the policy service, ForAdvice its answer, ForRoom a
-	// worker that the step may use and that has room.
+	// WaitForHost is waiting for a host that can query the policy service, WaitForPolicy for the
+	// answer of the service, WaitForCapacity for a worker that the step may use and that has free
+	// capacity.
 	WaitForHost WaitReason = iota
 	WaitForPolicy
 	WaitForCapacity
-	reasons
+	waitReasonCount
 )
 
-var reasonNames = [reasons]string{"host", "advice", "room"}
+var reasonNames = [waitReasonCount]string{"host", "advice", "room"}
 
 // String returns the reason for logs and metrics.
 func (r WaitReason) String() string { return reasonNames[r] }
 
-// WaitTimes are times by reason.
-type WaitTimes [reasons]time.Duration
+// WaitTimes holds waiting times by reason.
+type WaitTimes [waitReasonCount]time.Duration
 
 // Total is the sum over all reasons.
 func (w WaitTimes) Total() time.Duration {
@@ -50,63 +51,63 @@
 	return strings.Join(all, ", ")
 }
 
-// firstLong is the wait from which a step is told of, and from there each time that it has
-// doubled: longer than anything urgent may take, and rare enough in a full cell.
-const firstLong = 4 * time.Second
+// firstWaitNote is the waiting time after which a step is logged for the first time, and again each
+// time the wait has doubled: longer than anything urgent may take, and rare enough in a full cell.
+const firstWaitNote = 4 * time.Second
 
-// wait is a step that waits, since at for a reason; it is told of once it has waited until
-// long.
-type wait struct {
-	by   WaitTimes
-	at   time.Time
-	why  WaitReason
-	long time.Duration
+// stepWait is a waiting step, with its waiting times up to accountedUntil and the reason for which
+// it waits since then. It is logged once its total waiting time reaches nextNote.
+type stepWait struct {
+	times          WaitTimes
+	accountedUntil time.Time
+	reason         WaitReason
+	nextNote       time.Duration
 }
 
-// account adds what has passed since the last pass to what each step waits for now, and
-// tells of those that have room for all their tasks. One cannot see from starts alone why a
-// job is late: for room, for the policy service, or for a host that could ask it.
-func (s *Sched) account(steps []ready) {
+// accountWaits adds the time since the last pass to each step's current wait reason, and reports
+// steps whose tasks have all been placed. Start times alone don't show why a job is late: it may
+// have waited for capacity, for the policy service, or for a host to query it.
+func (s *Sched) accountWaits(steps []readyStep) {
 	for _, r := range steps {
 		w, ok := s.waits[r.stage]
 		if !ok {
-			w = &wait{at: s.now, long: firstLong}
+			w = &stepWait{accountedUntil: s.now, nextNote: firstWaitNote}
 			s.waits[r.stage] = w
 		}
-		w.by[w.why] += s.now.Sub(w.at)
-		w.at, w.why = s.now, s.waitsFor(r)
+		w.times[w.reason] += s.now.Sub(w.accountedUntil)
+		w.accountedUntil, w.reason = s.now, s.waitReason(r)
 		if !slices.ContainsFunc(r.stage.Tasks, func(t *flow.Task) bool { return t.State == flow.Waiting }) {
 			delete(s.waits, r.stage)
-			s.do(StepWaited{Rank: r.queue.Rank, By: w.by})
+			s.emit(StepWaited{Rank: r.queue.Rank, Times: w.times})
 			continue
 		}
-		if total := w.by.Total(); total >= w.long {
-			w.long = 2 * total
-			s.do(Note{ID: r.stage.Tasks[0].Name.StepName(), What: "step waits", Detail: w.by.String()})
+		if total := w.times.Total(); total >= w.nextNote {
+			w.nextNote = 2 * total
+			s.emit(Note{ID: r.stage.Tasks[0].Name.StepName(), What: "step waits", Detail: w.times.String()})
 		}
 	}
 }
 
-// waitsFor is what a step waits for in this pass.
-func (s *Sched) waitsFor(r ready) WaitReason {
+// waitReason returns what a step waits for in this pass.
+func (s *Sched) waitReason(r readyStep) WaitReason {
 	kind := 0
-	if s.long(r.queue) {
+	if s.isLong(r.queue) {
 		kind = 1
 	}
 	a, ok := s.advice[r.stage]
 	switch {
-	case r.queue.Advice == nil, s.ticketed(r):
+	case r.queue.Advice == nil, s.hasTicket(r):
 		return WaitForCapacity
-	case ok && !a.asked.IsZero():
+	case ok && !a.queriedAt.IsZero():
 		return WaitForPolicy
-	case s.unaskable[kind]:
+	case s.noFreeHost[kind]:
 		return WaitForHost
 	default:
 		return WaitForCapacity
 	}
 }
 
-// begun tells how long a job waited from its acceptance to its first start.
-func (s *Sched) begun(j *flow.Job) {
-	s.do(JobStarted{Rank: s.queue(j).Rank, After: s.now.Sub(j.Began)})
+// jobStarted reports how long a job waited from its acceptance to its first start.
+func (s *Sched) jobStarted(j *flow.Job) {
+	s.emit(JobStarted{Rank: s.queue(j).Rank, After: s.now.Sub(j.Began)})
 }
