--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -26,7 +26,7 @@
 // by as much as the clocks of the two hosts differ.
 type Relay struct {
 	Request call.Request
-	Left    cell.Duration
+	Left    cell.Duration `json:"Left"`
 }
 
 // Ping asks for nothing but an answer: a sign that the connection works.
@@ -39,7 +39,7 @@
 // most Left; the answer is a ledger.Verdict.
 type AwaitKey struct {
 	Key  string
-	Left cell.Duration
+	Left cell.Duration `json:"Left"`
 }
 
 // CloseKeys tells a home how keyed requests ended.
@@ -197,7 +197,9 @@
 }
 
 // HandReply tells whether the host leads and took the records.
-type HandReply struct{ Taken bool }
+type HandReply struct {
+	Taken bool `json:"Taken"`
+}
 
 // AskState asks the lead for a job's state; the answer is a StateReply.
 type AskState struct{ ID string }
@@ -238,11 +240,11 @@
 	Successor string
 	// Heir is the host that is to lead if this one dies, Follows the one that it takes
 	// for the lead.
-	Heir    string
+	Heir    string `json:"Heir"`
 	Follows string
 	// Enough is a power that enough hosts have: much weaker ones need not stand
 	// ready to lead.
-	Enough  float64
+	Enough  float64 `json:"Enough"`
 	Term    int64
 	Pending map[string]int
 	Hosts   map[string]string
@@ -259,7 +261,9 @@
 }
 
 // AdviseReply holds a ticket for each worker that may run the step.
-type AdviseReply struct{ Good map[string]string }
+type AdviseReply struct {
+	Good map[string]string `json:"Good"`
+}
 
 // StoreCall asks a host to make a call to the store that does not serve the
 // sender; the answer is a StoreReply.
