--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -307,7 +307,7 @@
 	for {
 		began, revival := r.now(), r.revival()
 		call := c
-		call.Anew = r.isSilent(c)
+		call.NewConn = r.isSilent(c)
 		attempt, cancel := context.WithCancel(ctx)
 		done := make(chan result, 1)
 		go func() {
--- a/internal/store/routed_test.go
+++ b/internal/store/routed_test.go
@@ -409,7 +409,7 @@
 }
 
 func (n *noting) Do(_ context.Context, c store.Call) (store.Answer, error) {
-	n.anew = append(n.anew, c.Anew)
+	n.anew = append(n.anew, c.NewConn)
 	return store.Answer{}, n.err
 }
 
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -55,9 +55,9 @@
 	Topics     []string      `json:"topics,omitempty"`
 	TTL        time.Duration `json:"ttl,omitempty"`
 	Generation int64         `json:"generation,omitempty"`
-	// Anew asks for a connection that is not open yet: those that are may have gone
+	// NewConn asks for a connection that is not open yet: those that are may have gone
 	// silent.
-	Anew bool `json:"-"`
+	NewConn bool `json:"-"`
 }
 
 // Record is one record of a log. A keyed record without a value drops its key.
