--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -173,7 +173,7 @@
 	for i, p := range parts {
 		g.Go(func() error {
 			var err error
-			states[i], _, err = store.Table(ctx, h.store, stateTopic, p)
+			states[i], _, err = store.ReadLatest(ctx, h.store, stateTopic, p)
 			return err
 		})
 	}
@@ -194,7 +194,7 @@
 	for i := range parts {
 		g.Go(func() error {
 			var err error
-			parts[i], next[i], err = store.Table(ctx, h.store, jobsTopic, i)
+			parts[i], next[i], err = store.ReadLatest(ctx, h.store, jobsTopic, i)
 			return err
 		})
 	}
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -27,7 +27,7 @@
 // follow hands all records of a topic to read, the newest of each key first.
 func (h *Host) follow(topic string, read func([]store.Record)) {
 	for h.ctx.Err() == nil {
-		all, from, err := store.Table(h.ctx, h.store, topic, 0)
+		all, from, err := store.ReadLatest(h.ctx, h.store, topic, 0)
 		h.trackReadFailure(topic, from, err)
 		if err != nil {
 			sleep(h.ctx, followRetry)
--- a/internal/entry/journal_test.go
+++ b/internal/entry/journal_test.go
@@ -40,7 +40,7 @@
 
 // newestRecords lists the records of a partition without its claim.
 func newestRecords(t *testing.T, log *users.Log, part int) map[string]string {
-	all, _, err := store.Table(t.Context(), log.For(""), "state", part)
+	all, _, err := store.ReadLatest(t.Context(), log.For(""), "state", part)
 	require.NoError(t, err)
 	got := map[string]string{}
 	for _, r := range all {
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -47,7 +47,7 @@
 		defer close(listed)
 		h.readHosts()
 	})
-	all, _, err := store.Table(h.ctx, h.store, leaderTopic, 0)
+	all, _, err := store.ReadLatest(h.ctx, h.store, leaderTopic, 0)
 	if err != nil {
 		return
 	}
@@ -88,7 +88,7 @@
 	if lead != "" && !sleep(h.ctx, claimGrace-h.now().Sub(began)) {
 		return
 	}
-	if all, _, err := store.Table(h.ctx, h.store, leaderTopic, 0); err == nil {
+	if all, _, err := store.ReadLatest(h.ctx, h.store, leaderTopic, 0); err == nil {
 		h.applyLeader(all)
 	}
 	if newer, _ := h.currentLeader(); h.isLeaderOrClaiming(newer) || newer != "" && h.isLeaderAlive(before) {
--- a/internal/entry/servers.go
+++ b/internal/entry/servers.go
@@ -15,7 +15,7 @@
 // followWorkers follows the workers' entries.
 func (t *term) followWorkers() {
 	for t.ctx.Err() == nil {
-		all, from, err := store.Table(t.ctx, t.h.store, platform.ServersTopic, 0)
+		all, from, err := store.ReadLatest(t.ctx, t.h.store, platform.ServersTopic, 0)
 		if err != nil {
 			sleep(t.ctx, followRetry)
 			continue
--- a/internal/entry/take.go
+++ b/internal/entry/take.go
@@ -104,7 +104,7 @@
 
 // reread takes all jobs of a partition again after old records were deleted.
 func (t *term) reread(ctx context.Context, part int) error {
-	all, from, err := store.Table(ctx, t.h.store, jobsTopic, part)
+	all, from, err := store.ReadLatest(ctx, t.h.store, jobsTopic, part)
 	if err != nil {
 		return err
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -148,10 +148,10 @@
 
 func (e *BadError) Error() string { return fmt.Sprintf("bad %s: %s", e.Op, e.Reason) }
 
-// Table reads the newest record of each key and where to follow from. The
+// ReadLatest reads the newest record of each key and where to follow from. The
 // pages are not a snapshot: a reader follows from the first page's end, where
 // records may come again.
-func Table(ctx context.Context, l Log, topic string, part int) ([]Record, int64, error) {
+func ReadLatest(ctx context.Context, l Log, topic string, part int) ([]Record, int64, error) {
 	var all []Record
 	from := int64(-1)
 	after := ""
