--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -178,7 +178,7 @@
 	r.Reason = err.Error()
 	var unsure *store.UnansweredError
 	var fenced *store.FencedError
-	var moved *store.MovedError
+	var moved *store.EndMismatchError
 	var trimmed *store.TrimmedError
 	switch {
 	case store.NotDone(err):
@@ -206,7 +206,7 @@
 	case failFenced:
 		return &store.FencedError{Epoch: r.Number}
 	case failMoved:
-		return &store.MovedError{End: r.Number}
+		return &store.EndMismatchError{End: r.Number}
 	case failTrimmed:
 		return &store.TrimmedError{First: r.Number}
 	case failOther:
--- a/internal/standin/users/log.go
+++ b/internal/standin/users/log.go
@@ -248,7 +248,7 @@
 		}
 	}
 	if c.At != nil && *c.At != int64(len(p.records)) {
-		return store.Answer{}, &store.MovedError{End: int64(len(p.records))}
+		return store.Answer{}, &store.EndMismatchError{End: int64(len(p.records))}
 	}
 	a := p.add(c.Records)
 	if c.Epoch > 0 {
--- a/internal/standin/users/store.go
+++ b/internal/standin/users/store.go
@@ -58,7 +58,7 @@
 
 func refuse(w http.ResponseWriter, err error) {
 	var fenced *store.FencedError
-	var moved *store.MovedError
+	var moved *store.EndMismatchError
 	var bad *store.BadError
 	switch {
 	case store.NotDone(err):
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -130,10 +130,10 @@
 
 func (e *FencedError) Error() string { return fmt.Sprintf("epoch %d is fenced off", e.Epoch) }
 
-// MovedError tells that the partition did not end where the call said.
-type MovedError struct{ End int64 }
+// EndMismatchError tells that the partition did not end where the call said.
+type EndMismatchError struct{ End int64 }
 
-func (e *MovedError) Error() string { return fmt.Sprintf("log ends at %d", e.End) }
+func (e *EndMismatchError) Error() string { return fmt.Sprintf("log ends at %d", e.End) }
 
 // TrimmedError tells that the records asked for are gone.
 type TrimmedError struct{ First int64 }
