--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -210,9 +210,9 @@
 	case failTrimmed:
 		return &store.TrimmedError{First: r.Number}
 	case failOther:
-		return &store.BadError{Op: c.Op, Reason: r.Reason}
+		return &store.InvalidError{Op: c.Op, Reason: r.Reason}
 	default:
-		return &store.UnansweredError{Op: c.Op, Cause: &store.BadError{Op: c.Op, Reason: r.Reason}}
+		return &store.UnansweredError{Op: c.Op, Cause: &store.InvalidError{Op: c.Op, Reason: r.Reason}}
 	}
 }
 
--- a/internal/standin/users/log.go
+++ b/internal/standin/users/log.go
@@ -199,7 +199,7 @@
 	case store.Owners:
 		return l.owners(c), nil
 	default:
-		return store.Answer{}, &store.BadError{Op: c.Op, Reason: "unknown"}
+		return store.Answer{}, &store.InvalidError{Op: c.Op, Reason: "unknown"}
 	}
 }
 
@@ -244,7 +244,7 @@
 			return a, nil
 		}
 		if c.Seq != p.seq+1 {
-			return store.Answer{}, &store.BadError{Op: c.Op, Reason: "seq"}
+			return store.Answer{}, &store.InvalidError{Op: c.Op, Reason: "seq"}
 		}
 	}
 	if c.At != nil && *c.At != int64(len(p.records)) {
--- a/internal/standin/users/store.go
+++ b/internal/standin/users/store.go
@@ -59,7 +59,7 @@
 func refuse(w http.ResponseWriter, err error) {
 	var fenced *store.FencedError
 	var moved *store.EndMismatchError
-	var bad *store.BadError
+	var bad *store.InvalidError
 	switch {
 	case store.NotDone(err):
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -85,7 +85,7 @@
 	topic := q.Get("topic")
 	part, err := strconv.Atoi(q.Get("part"))
 	if err != nil || len(topic) <= len(keyed) || topic[:len(keyed)] != keyed {
-		return store.Call{}, &store.BadError{Reason: "topic " + topic}
+		return store.Call{}, &store.InvalidError{Reason: "topic " + topic}
 	}
 	return store.Call{Topic: topic[len(keyed):], Part: part, Keyed: true}, nil
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -140,13 +140,13 @@
 
 func (e *TrimmedError) Error() string { return fmt.Sprintf("log begins at %d", e.First) }
 
-// BadError tells that the call or its answer makes no sense to the other side.
-type BadError struct {
+// InvalidError tells that the call or its answer makes no sense to the other side.
+type InvalidError struct {
 	Op     Op
 	Reason string
 }
 
-func (e *BadError) Error() string { return fmt.Sprintf("bad %s: %s", e.Op, e.Reason) }
+func (e *InvalidError) Error() string { return fmt.Sprintf("bad %s: %s", e.Op, e.Reason) }
 
 // ReadLatest reads the newest record of each key and where to follow from. The
 // pages are not a snapshot: a reader follows from the first page's end, where
