--- a/internal/entry/journal.go
+++ b/internal/entry/journal.go
@@ -98,7 +98,7 @@
 			case r.err == nil:
 				j.prefer(r.w, failed)
 				return nil
-			case !store.Away(r.err):
+			case !store.IsUnavailable(r.err):
 				return r.err
 			}
 			failed[r.w] = true
@@ -162,7 +162,7 @@
 			j.returnDrops(w, drops)
 			j.release(w)
 			return err
-		case !store.Away(err):
+		case !store.IsUnavailable(err):
 			j.logger.Warn("lead: partition takes nothing of this term any more.", "part", w.part, "term", j.term, "err", err)
 			return err
 		}
--- a/internal/entry/spread.go
+++ b/internal/entry/spread.go
@@ -83,7 +83,7 @@
 		if timer != nil {
 			timer.Stop()
 		}
-		if !store.Away(r.err) {
+		if !store.IsUnavailable(r.err) {
 			return r.i, next, r.got, r.err
 		}
 		failed = store.Worse(failed, r.err)
--- a/internal/entry/states.go
+++ b/internal/entry/states.go
@@ -144,7 +144,7 @@
 			return state, true, nil
 		case r.unreadable[id]:
 			return "", false, &UnreadableStateError{ID: id}
-		case try == maxStateReads || !store.Away(r.err):
+		case try == maxStateReads || !store.IsUnavailable(r.err):
 			return "", false, r.err
 		}
 	}
--- a/internal/store/race.go
+++ b/internal/store/race.go
@@ -67,7 +67,7 @@
 		select {
 		case got := <-w.results:
 			w.open--
-			if !Away(got.err) {
+			if !IsUnavailable(got.err) {
 				return got.answer, got.err
 			}
 			w.failed = Worse(w.failed, got.err)
--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -170,7 +170,7 @@
 	ctx, cancel := context.WithTimeout(ctx, c.Wait+r.overdue())
 	defer cancel()
 	a, err := r.try(ctx, c)
-	return result{a, err}, !Away(err) || ctx.Err() == nil
+	return result{a, err}, !IsUnavailable(err) || ctx.Err() == nil
 }
 
 // Worse joins the failures of two tries: only if both refused was nothing done.
@@ -178,7 +178,7 @@
 	switch {
 	case b == nil:
 		return nil
-	case a == nil || NotDone(a) && NotDone(b) || !Away(b):
+	case a == nil || NotDone(a) && NotDone(b) || !IsUnavailable(b):
 		return b
 	case NotDone(b):
 		return a
@@ -205,7 +205,7 @@
 func (r *Routed) remember(p string, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !Away(err) {
+	if !IsUnavailable(err) {
 		r.served = p
 		delete(r.away, p)
 		return
@@ -221,7 +221,7 @@
 	defer cancel()
 	a, err := r.relay.Do(ctx, p, c)
 	r.remember(p, err)
-	if !Away(err) {
+	if !IsUnavailable(err) {
 		r.mu.Lock()
 		r.good = r.now()
 		r.mu.Unlock()
@@ -348,12 +348,12 @@
 	now := r.now()
 	r.mu.Lock()
 	t := r.target(c)
-	if Away(err) && t.good.After(began) {
+	if IsUnavailable(err) && t.good.After(began) {
 		r.mu.Unlock()
 		return
 	}
 	was := t.suspect
-	r.failed = Away(err)
+	r.failed = IsUnavailable(err)
 	switch {
 	case !r.failed:
 		if now.Sub(r.directly) > max(cutAfter, slower*r.answers) {
@@ -378,8 +378,8 @@
 	}
 }
 
-// Away tells whether the store did not serve this host at all.
-func Away(err error) bool {
+// IsUnavailable tells whether the store did not serve this host at all.
+func IsUnavailable(err error) bool {
 	var unanswered *UnansweredError
 	return NotDone(err) || errors.As(err, &unanswered)
 }
