--- a/internal/entry/spread.go
+++ b/internal/entry/spread.go
@@ -86,7 +86,7 @@
 		if !store.IsUnavailable(r.err) {
 			return r.i, next, r.got, r.err
 		}
-		failed = store.Worse(failed, r.err)
+		failed = store.CombineErrors(failed, r.err)
 		switch {
 		case next < n:
 			begin()
--- a/internal/store/race.go
+++ b/internal/store/race.go
@@ -70,7 +70,7 @@
 			if !IsUnavailable(got.err) {
 				return got.answer, got.err
 			}
-			w.failed = Worse(w.failed, got.err)
+			w.failed = CombineErrors(w.failed, got.err)
 			w.peer(ctx)
 			next.Reset(w.r.beside(w.call))
 		case <-next.C:
--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -173,8 +173,8 @@
 	return result{a, err}, !IsUnavailable(err) || ctx.Err() == nil
 }
 
-// Worse joins the failures of two tries: only if both refused was nothing done.
-func Worse(a, b error) error {
+// CombineErrors joins the failures of two tries: only if both refused was nothing done.
+func CombineErrors(a, b error) error {
 	switch {
 	case b == nil:
 		return nil
