--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -349,7 +349,7 @@
 			t.maxTickDelay = max(t.maxTickDelay, t.h.now().Sub(set)-pause)
 			t.mu.Unlock()
 		}
-		if t.h.now().Sub(t.h.store.Good()) > sched.StoreTimeout {
+		if t.h.now().Sub(t.h.store.LastAnswer()) > sched.StoreTimeout {
 			t.end("the store does not answer")
 			return
 		}
--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -116,8 +116,8 @@
 	return t
 }
 
-// Good is when the store answered this host last, on whichever way.
-func (r *Routed) Good() time.Time {
+// LastAnswer is when the store answered this host last, on whichever way.
+func (r *Routed) LastAnswer() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.good
--- a/internal/store/routed_test.go
+++ b/internal/store/routed_test.go
@@ -89,7 +89,7 @@
 	_, err := r.Do(background, appendCall)
 	require.ErrorAs(t, err, new(*store.FencedError))
 	require.Zero(t, p["a"].calls)
-	require.False(t, r.Good().IsZero())
+	require.False(t, r.LastAnswer().IsZero())
 }
 
 // A read that waits for records is only made again: it holds up nobody.
