--- a/internal/entry/group.go
+++ b/internal/entry/group.go
@@ -143,7 +143,7 @@
 
 // join takes or keeps the host's place in a group.
 func (h *Host) join(name string, generation int64) (store.Answer, error) {
-	ctx, cancel := context.WithTimeout(h.ctx, max(joinTimeout, joinTimeoutFactor*h.store.Usual()))
+	ctx, cancel := context.WithTimeout(h.ctx, max(joinTimeout, joinTimeoutFactor*h.store.RecentLatency()))
 	defer cancel()
 	return h.store.Do(ctx, store.Call{
 		Op: store.Join, Group: name, Member: h.memberName(), Topics: []string{leaderTopic}, TTL: joinTTL, Generation: generation,
--- a/internal/entry/spread.go
+++ b/internal/entry/spread.go
@@ -33,7 +33,7 @@
 
 // appendTimeout is how long to wait for one partition before the next is tried.
 func (h *Host) appendTimeout() time.Duration {
-	return max(spreadTimeout, spreadTimeoutFactor*h.store.Usual())
+	return max(spreadTimeout, spreadTimeoutFactor*h.store.RecentLatency())
 }
 
 // spread makes the same append at one partition after the other until one has it:
--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -123,8 +123,8 @@
 	return r.good
 }
 
-// Usual is about how long the store's answers took lately, the longest counting most.
-func (r *Routed) Usual() time.Duration {
+// RecentLatency is about how long the store's answers took lately, the longest counting most.
+func (r *Routed) RecentLatency() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.answers
