--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -121,7 +121,7 @@
 	}
 	claiming, leaving, successor, enough, follows := h.claiming, h.leaving, h.successor, h.minStrongPower(), h.leader
 	h.mu.Unlock()
-	served := h.store.Fresh(leaderFreshness)
+	served := h.store.AnsweredWithin(leaderFreshness)
 	if t == nil || !served {
 		return peer.SyncReply{Leading: t != nil, Claiming: claiming, Leaving: leaving, Served: served, Successor: successor, Follows: follows}
 	}
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -244,7 +244,7 @@
 func (h *Host) ready() bool {
 	h.mu.Lock()
 	table, leaving, lead, was := h.table != nil, h.leaving, h.leader, h.wasReady
-	served := h.store.Fresh(readyFreshness)
+	served := h.store.AnsweredWithin(readyFreshness)
 	is := table && !leaving && lead != "" && served
 	h.wasReady = is
 	h.mu.Unlock()
--- a/internal/entry/inbox.go
+++ b/internal/entry/inbox.go
@@ -54,7 +54,7 @@
 // append stores a record. After a store.RefusedError it is certain that it is not
 // stored and never will be; after another error nobody knows.
 func (b *inbox) append(ctx context.Context, r store.Record) error {
-	if !b.h.store.Fresh(storeFreshness) {
+	if !b.h.store.AnsweredWithin(storeFreshness) {
 		// What is sent into a cut has no answer, and its caller could only be told
 		// that nobody knows. What is not sent is certainly not stored.
 		return &store.RefusedError{Op: store.Append, Reason: "the store has not answered for a while"}
--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -116,7 +116,7 @@
 // isExhausted tells whether no more answer is to be expected: a host that the store does not answer
 // while its lead is late is cut off.
 func (q *stateQuery) isExhausted() bool {
-	return q.storeErr != nil && (q.unanswered == 0 || !q.h.store.Fresh(storeFreshness))
+	return q.storeErr != nil && (q.unanswered == 0 || !q.h.store.AnsweredWithin(storeFreshness))
 }
 
 func (q *stateQuery) unavailable() stateAnswer {
--- a/internal/entry/states.go
+++ b/internal/entry/states.go
@@ -129,7 +129,7 @@
 // A read that fails is made once more as long as the store answers this host.
 func (s *stateCache) read(ctx context.Context, id string) (flow.State, bool, error) {
 	for try := 1; ; try++ {
-		if !s.h.store.Fresh(storeFreshness) {
+		if !s.h.store.AnsweredWithin(storeFreshness) {
 			return "", false, &store.RefusedError{Op: store.Newest, Reason: "the store has not answered for a while"}
 		}
 		r := s.join(id)
--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -130,9 +130,9 @@
 	return r.answers
 }
 
-// Fresh tells whether the store answered this host within d, or within what its
+// AnsweredWithin tells whether the store answered this host within d, or within what its
 // answers take of late if that is longer.
-func (r *Routed) Fresh(d time.Duration) bool {
+func (r *Routed) AnsweredWithin(d time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.now().Sub(r.good) < max(d, slower*r.answers+d/2)
