--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -63,7 +63,7 @@
 		return m.Name
 	case peer.Slots:
 		return m.Name
-	case peer.Census:
+	case peer.Inventory:
 		return m.From
 	case peer.Expect:
 		return m.From
--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -394,7 +394,7 @@
 	case peer.Keep:
 		h.owe(m.Record)
 		return struct{}{}, nil
-	case peer.Census:
+	case peer.Inventory:
 		return h.census(m), nil
 	case peer.Expect:
 		token, err := h.lead.ExpectHandover(m.From)
--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -125,7 +125,7 @@
 	ctx, cancel := context.WithTimeout(h.ctx, censusWait)
 	defer cancel()
 	var reply peer.CensusReply
-	m := peer.Census{From: h.cfg.Name, Jobs: q.Jobs, Waits: q.Waits, Keys: q.Keys}
+	m := peer.Inventory{From: h.cfg.Name, Jobs: q.Jobs, Waits: q.Waits, Keys: q.Keys}
 	if err := h.peers.Ask(ctx, name, m, &reply); err != nil {
 		return
 	}
@@ -147,7 +147,7 @@
 // census answers a peer's question. Jobs that this host is about to lead, or
 // that are on their way to another lead, count as led. They are looked up first: a
 // job that is accepted meanwhile is led when the lead is asked.
-func (h *Host) census(m peer.Census) peer.CensusReply {
+func (h *Host) census(m peer.Inventory) peer.CensusReply {
 	h.jobs.transfer.RLock()
 	defer h.jobs.transfer.RUnlock()
 	busy := h.busyOf(m.Jobs)
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -61,9 +61,9 @@
 // Keep asks a peer to remember a record of a job that the log could not take.
 type Keep struct{ Record joblog.Record }
 
-// Census asks what the peer holds and which of these jobs it leads. Waits are
+// Inventory asks what the peer holds and which of these jobs it leads. Waits are
 // those that From wants to inherit. The answer is a CensusReply.
-type Census struct {
+type Inventory struct {
 	From  string
 	Jobs  []string
 	Waits []string
@@ -132,7 +132,7 @@
 func (Records) method() string   { return "records" }
 func (Listed) method() string    { return "listed" }
 func (Leave) method() string     { return "leave" }
-func (Census) method() string    { return "census" }
+func (Inventory) method() string { return "census" }
 func (Expect) method() string    { return "expect" }
 func (Handover) method() string  { return "handover" }
 
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -38,7 +38,7 @@
 	AskTrail{},
 	Keep{},
 	Leave{},
-	Census{},
+	Inventory{},
 	Expect{},
 	Handover{},
 	Ping{},
