--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -124,7 +124,7 @@
 func (h *Host) askOne(name string, q lead.InventoryRequest) {
 	ctx, cancel := context.WithTimeout(h.ctx, censusWait)
 	defer cancel()
-	var reply peer.CensusReply
+	var reply peer.InventoryReply
 	m := peer.Inventory{From: h.cfg.Name, Jobs: q.Jobs, Waits: q.Waits, Keys: q.Keys}
 	if err := h.peers.Ask(ctx, name, m, &reply); err != nil {
 		return
@@ -147,12 +147,12 @@
 // census answers a peer's question. Jobs that this host is about to lead, or
 // that are on their way to another lead, count as led. They are looked up first: a
 // job that is accepted meanwhile is led when the lead is asked.
-func (h *Host) census(m peer.Inventory) peer.CensusReply {
+func (h *Host) census(m peer.Inventory) peer.InventoryReply {
 	h.jobs.transfer.RLock()
 	defer h.jobs.transfer.RUnlock()
 	busy := h.busyOf(m.Jobs)
 	c := h.lead.Inventory(m.From, lead.InventoryRequest{Jobs: m.Jobs, Waits: m.Waits, Keys: m.Keys})
-	reply := peer.CensusReply{Leads: append(busy, c.Leads...), Waits: c.Waits, Lives: c.Incarnations}
+	reply := peer.InventoryReply{Leads: append(busy, c.Leads...), Waits: c.Waits, Lives: c.Incarnations}
 	for _, v := range c.Workers {
 		w := peer.CensusWorker{Name: v.Worker, Clock: v.Clock, Age: cell.Duration{Duration: v.Age}, Life: v.Incarnation, Tasks: v.Tasks}
 		for _, t := range v.Counted {
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -155,9 +155,9 @@
 	Size cell.Size `json:"size"`
 }
 
-// CensusReply is what a peer holds, which of the asked jobs it leads, and what
+// InventoryReply is what a peer holds, which of the asked jobs it leads, and what
 // it remembers because the log could not take it.
-type CensusReply struct {
+type InventoryReply struct {
 	Workers []CensusWorker  `json:"workers,omitempty"`
 	Leads   []string        `json:"leads,omitempty"`
 	Waits   []string        `json:"waits,omitempty"`
