--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -154,7 +154,7 @@
 	c := h.lead.Inventory(m.From, lead.InventoryRequest{Jobs: m.Jobs, Waits: m.Waits, Keys: m.Keys})
 	reply := peer.InventoryReply{Leads: append(busy, c.Leads...), Waits: c.Waits, Lives: c.Incarnations}
 	for _, v := range c.Workers {
-		w := peer.CensusWorker{Name: v.Worker, Clock: v.Clock, Age: cell.Duration{Duration: v.Age}, Life: v.Incarnation, Tasks: v.Tasks}
+		w := peer.InventoryWorker{Name: v.Worker, Clock: v.Clock, Age: cell.Duration{Duration: v.Age}, Life: v.Incarnation, Tasks: v.Tasks}
 		for _, t := range v.Counted {
 			w.Counted = append(w.Counted, peer.CountedTask(t))
 		}
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -136,9 +136,9 @@
 func (Expect) method() string    { return "expect" }
 func (Handover) method() string  { return "handover" }
 
-// CensusWorker is one worker that a peer holds, with the tasks of the asked
+// InventoryWorker is one worker that a peer holds, with the tasks of the asked
 // jobs there. Age is how long ago the peer asked the worker.
-type CensusWorker struct {
+type InventoryWorker struct {
 	Name  string        `json:"name"`
 	Clock time.Time     `json:"clock"`
 	Age   cell.Duration `json:"age"`
@@ -158,10 +158,10 @@
 // InventoryReply is what a peer holds, which of the asked jobs it leads, and what
 // it remembers because the log could not take it.
 type InventoryReply struct {
-	Workers []CensusWorker  `json:"workers,omitempty"`
-	Leads   []string        `json:"leads,omitempty"`
-	Waits   []string        `json:"waits,omitempty"`
-	Records []joblog.Record `json:"records,omitempty"`
+	Workers []InventoryWorker `json:"workers,omitempty"`
+	Leads   []string          `json:"leads,omitempty"`
+	Waits   []string          `json:"waits,omitempty"`
+	Records []joblog.Record   `json:"records,omitempty"`
 	// Lives holds by worker the life in which no start to an earlier one is under way any more.
 	Lives map[string]string `json:"lives,omitempty"`
 }
