--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -134,7 +134,7 @@
 	}
 	c := lead.InventoryReply{Leads: reply.Leads, Waits: reply.Waits, Incarnations: reply.Lives}
 	for _, w := range reply.Workers {
-		v := lead.WorkerState{Worker: w.Name, Clock: w.Clock, Age: w.Age.Duration, Incarnation: w.Life, Tasks: w.Tasks}
+		v := lead.WorkerState{Worker: w.Name, Clock: w.Clock, Age: w.Age.Duration, Incarnation: w.Incarnation, Tasks: w.Tasks}
 		for _, t := range w.Counted {
 			v.Counted = append(v.Counted, lead.CountedTask(t))
 		}
@@ -154,7 +154,7 @@
 	c := h.lead.Inventory(m.From, lead.InventoryRequest{Jobs: m.Jobs, Waits: m.Waits, Keys: m.Keys})
 	reply := peer.InventoryReply{Leads: append(busy, c.Leads...), Waits: c.Waits, Lives: c.Incarnations}
 	for _, v := range c.Workers {
-		w := peer.InventoryWorker{Name: v.Worker, Clock: v.Clock, Age: cell.Duration{Duration: v.Age}, Life: v.Incarnation, Tasks: v.Tasks}
+		w := peer.InventoryWorker{Name: v.Worker, Clock: v.Clock, Age: cell.Duration{Duration: v.Age}, Incarnation: v.Incarnation, Tasks: v.Tasks}
 		for _, t := range v.Counted {
 			w.Counted = append(w.Counted, peer.CountedTask(t))
 		}
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -142,9 +142,9 @@
 	Name  string        `json:"name"`
 	Clock time.Time     `json:"clock"`
 	Age   cell.Duration `json:"age"`
-	// Life names the worker's life.
-	Life  string           `json:"life,omitempty"`
-	Tasks []job.ListedTask `json:"tasks,omitempty"`
+	// Incarnation names the worker's life.
+	Incarnation string           `json:"life,omitempty"`
+	Tasks       []job.ListedTask `json:"tasks,omitempty"`
 	// Counted are the running tasks of the asked keys.
 	Counted []CountedTask `json:"counted,omitempty"`
 }
