--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -132,7 +132,7 @@
 	for _, rec := range reply.Records {
 		h.remember(rec)
 	}
-	c := lead.InventoryReply{Leads: reply.Leads, Waits: reply.Waits, Incarnations: reply.Lives}
+	c := lead.InventoryReply{Leads: reply.Leads, Waits: reply.Waits, Incarnations: reply.Incarnations}
 	for _, w := range reply.Workers {
 		v := lead.WorkerState{Worker: w.Name, Clock: w.Clock, Age: w.Age.Duration, Incarnation: w.Incarnation, Tasks: w.Tasks}
 		for _, t := range w.Counted {
@@ -152,7 +152,7 @@
 	defer h.jobs.transfer.RUnlock()
 	busy := h.busyOf(m.Jobs)
 	c := h.lead.Inventory(m.From, lead.InventoryRequest{Jobs: m.Jobs, Waits: m.Waits, Keys: m.Keys})
-	reply := peer.InventoryReply{Leads: append(busy, c.Leads...), Waits: c.Waits, Lives: c.Incarnations}
+	reply := peer.InventoryReply{Leads: append(busy, c.Leads...), Waits: c.Waits, Incarnations: c.Incarnations}
 	for _, v := range c.Workers {
 		w := peer.InventoryWorker{Name: v.Worker, Clock: v.Clock, Age: cell.Duration{Duration: v.Age}, Incarnation: v.Incarnation, Tasks: v.Tasks}
 		for _, t := range v.Counted {
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -162,8 +162,8 @@
 	Leads   []string          `json:"leads,omitempty"`
 	Waits   []string          `json:"waits,omitempty"`
 	Records []joblog.Record   `json:"records,omitempty"`
-	// Lives holds by worker the life in which no start to an earlier one is under way any more.
-	Lives map[string]string `json:"lives,omitempty"`
+	// Incarnations holds by worker the life in which no start to an earlier one is under way any more.
+	Incarnations map[string]string `json:"lives,omitempty"`
 }
 
 // JobReply is what a lead says of a job.
