--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -391,7 +391,7 @@
 	case peer.CloseKeys:
 		h.relay.CloseKeys(m.All)
 		return struct{}{}, nil
-	case peer.Keep:
+	case peer.KeepRecord:
 		h.owe(m.Record)
 		return struct{}{}, nil
 	case peer.Inventory:
--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -160,7 +160,7 @@
 func (h *Host) tellPeer(ctx context.Context, rec joblog.Record) (told bool, silent *peer.SilentError) {
 	for _, name := range h.domainPeers() {
 		pctx, cancel := context.WithTimeout(ctx, keepWait)
-		err := h.peers.Ask(pctx, name, peer.Keep{Record: rec}, nil)
+		err := h.peers.Ask(pctx, name, peer.KeepRecord{Record: rec}, nil)
 		cancel()
 		if err == nil {
 			return true, nil
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -58,8 +58,8 @@
 // CancelJob asks the lead to cancel a job; the answer is a JobReply.
 type CancelJob struct{ ID string }
 
-// Keep asks a peer to remember a record of a job that the log could not take.
-type Keep struct{ Record joblog.Record }
+// KeepRecord asks a peer to remember a record of a job that the log could not take.
+type KeepRecord struct{ Record joblog.Record }
 
 // Inventory asks what the peer holds and which of these jobs it leads. Waits are
 // those that From wants to inherit. The answer is a CensusReply.
@@ -117,24 +117,24 @@
 // Kind names a message's kind.
 func Kind(m Message) string { return m.method() }
 
-func (Beat) method() string      { return "beat" }
-func (Relay) method() string     { return "relay" }
-func (Ping) method() string      { return "ping" }
-func (OpenKey) method() string   { return "open" }
-func (AwaitKey) method() string  { return "await" }
-func (CloseKeys) method() string { return "close" }
-func (Submit) method() string    { return "submit" }
-func (AskJob) method() string    { return "job" }
-func (AskTrail) method() string  { return "trail" }
-func (CancelJob) method() string { return "cancel" }
-func (Keep) method() string      { return "keep" }
-func (Slots) method() string     { return "writers" }
-func (Records) method() string   { return "records" }
-func (Listed) method() string    { return "listed" }
-func (Leave) method() string     { return "leave" }
-func (Inventory) method() string { return "census" }
-func (Expect) method() string    { return "expect" }
-func (Handover) method() string  { return "handover" }
+func (Beat) method() string       { return "beat" }
+func (Relay) method() string      { return "relay" }
+func (Ping) method() string       { return "ping" }
+func (OpenKey) method() string    { return "open" }
+func (AwaitKey) method() string   { return "await" }
+func (CloseKeys) method() string  { return "close" }
+func (Submit) method() string     { return "submit" }
+func (AskJob) method() string     { return "job" }
+func (AskTrail) method() string   { return "trail" }
+func (CancelJob) method() string  { return "cancel" }
+func (KeepRecord) method() string { return "keep" }
+func (Slots) method() string      { return "writers" }
+func (Records) method() string    { return "records" }
+func (Listed) method() string     { return "listed" }
+func (Leave) method() string      { return "leave" }
+func (Inventory) method() string  { return "census" }
+func (Expect) method() string     { return "expect" }
+func (Handover) method() string   { return "handover" }
 
 // InventoryWorker is one worker that a peer holds, with the tasks of the asked
 // jobs there. Age is how long ago the peer asked the worker.
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -36,7 +36,7 @@
 	AskJob{},
 	CancelJob{},
 	AskTrail{},
-	Keep{},
+	KeepRecord{},
 	Leave{},
 	Inventory{},
 	Expect{},
