--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -65,7 +65,7 @@
 		return m.Name
 	case peer.Inventory:
 		return m.From
-	case peer.Expect:
+	case peer.AskToken:
 		return m.From
 	case peer.Handover:
 		return m.From
--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -141,7 +141,7 @@
 	ctx, cancel := context.WithTimeout(h.ctx, handWait)
 	defer cancel()
 	var expected peer.Expected
-	if err := h.peers.Ask(ctx, name, peer.Expect{From: h.cfg.Name}, &expected); err != nil {
+	if err := h.peers.Ask(ctx, name, peer.AskToken{From: h.cfg.Name}, &expected); err != nil {
 		return err
 	}
 	m := peer.Handover{From: h.cfg.Name, Token: expected.Token}
--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -396,7 +396,7 @@
 		return struct{}{}, nil
 	case peer.Inventory:
 		return h.census(m), nil
-	case peer.Expect:
+	case peer.AskToken:
 		token, err := h.lead.ExpectHandover(m.From)
 		return peer.Expected{Token: token}, err
 	case peer.Handover:
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -71,8 +71,8 @@
 	Keys []string `json:",omitempty"`
 }
 
-// Expect asks for the token with which From may hand jobs over; the answer is Expected.
-type Expect struct{ From string }
+// AskToken asks for the token with which From may hand jobs over; the answer is Expected.
+type AskToken struct{ From string }
 
 // Expected is the token for one Handover.
 type Expected struct{ Token string }
@@ -133,7 +133,7 @@
 func (Listed) method() string     { return "listed" }
 func (Leave) method() string      { return "leave" }
 func (Inventory) method() string  { return "census" }
-func (Expect) method() string     { return "expect" }
+func (AskToken) method() string   { return "expect" }
 func (Handover) method() string   { return "handover" }
 
 // InventoryWorker is one worker that a peer holds, with the tasks of the asked
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -39,7 +39,7 @@
 	KeepRecord{},
 	Leave{},
 	Inventory{},
-	Expect{},
+	AskToken{},
 	Handover{},
 	Ping{},
 	AwaitKey{},
