--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -140,7 +140,7 @@
 func (h *Host) push(name string, all []*handed) error {
 	ctx, cancel := context.WithTimeout(h.ctx, handWait)
 	defer cancel()
-	var expected peer.Expected
+	var expected peer.TokenReply
 	if err := h.peers.Ask(ctx, name, peer.AskToken{From: h.cfg.Name}, &expected); err != nil {
 		return err
 	}
--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -398,7 +398,7 @@
 		return h.census(m), nil
 	case peer.AskToken:
 		token, err := h.lead.ExpectHandover(m.From)
-		return peer.Expected{Token: token}, err
+		return peer.TokenReply{Token: token}, err
 	case peer.Handover:
 		return h.adopt(m)
 	case peer.Submit, peer.AskJob, peer.AskTrail, peer.CancelJob:
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -74,8 +74,8 @@
 // AskToken asks for the token with which From may hand jobs over; the answer is Expected.
 type AskToken struct{ From string }
 
-// Expected is the token for one Handover.
-type Expected struct{ Token string }
+// TokenReply is the token for one Handover.
+type TokenReply struct{ Token string }
 
 // Handover gives jobs to their next lead. The answer confirms that they are led.
 // Notes are what was decided about them, so that they can still be explained.
