--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -35,7 +35,7 @@
 func (h *Host) handleMessage(ctx context.Context, m peer.Message) (any, error) {
 	h.incCounter("peer." + peer.Kind(m))
 	switch m := m.(type) {
-	case peer.Hand:
+	case peer.ForwardRecords:
 		h.mu.Lock()
 		t := h.ownTerm
 		h.mu.Unlock()
--- a/internal/entry/inbox.go
+++ b/internal/entry/inbox.go
@@ -183,6 +183,6 @@
 	ctx, cancel := context.WithTimeout(h.ctx, askTimeout)
 	defer cancel()
 	var r peer.HandReply
-	err := h.peers.Ask(ctx, lead, peer.Hand{Part: part, First: first, Records: records}, &r)
+	err := h.peers.Ask(ctx, lead, peer.ForwardRecords{Part: part, First: first, Records: records}, &r)
 	return err == nil && r.Taken
 }
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -188,9 +188,9 @@
 	return JobReply{Status: job.Status{ID: id}, Code: code, Outcome: cell.Unknown, Reason: reason}
 }
 
-// Hand tells the lead of jobs and cancellations that are stored in partition
+// ForwardRecords tells the lead of jobs and cancellations that are stored in partition
 // Part from offset First on; the answer is a HandReply.
-type Hand struct {
+type ForwardRecords struct {
 	Part    int
 	First   int64
 	Records []store.Record
@@ -287,9 +287,9 @@
 	Bounds    map[string]cell.Duration
 }
 
-func (Hand) method() string      { return "hand" }
-func (AskState) method() string  { return "state" }
-func (Sync) method() string      { return "sync" }
-func (Advise) method() string    { return "advise" }
-func (StoreCall) method() string { return "store" }
-func (Succeed) method() string   { return "succeed" }
+func (ForwardRecords) method() string { return "hand" }
+func (AskState) method() string       { return "state" }
+func (Sync) method() string           { return "sync" }
+func (Advise) method() string         { return "advise" }
+func (StoreCall) method() string      { return "store" }
+func (Succeed) method() string        { return "succeed" }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -46,7 +46,7 @@
 	Slots{},
 	Records{},
 	Listed{},
-	Hand{},
+	ForwardRecords{},
 	AskState{},
 	Sync{},
 	Advise{},
