--- a/internal/entry/inbox.go
+++ b/internal/entry/inbox.go
@@ -182,7 +182,7 @@
 	}
 	ctx, cancel := context.WithTimeout(h.ctx, askTimeout)
 	defer cancel()
-	var r peer.HandReply
+	var r peer.ForwardReply
 	err := h.peers.Ask(ctx, lead, peer.ForwardRecords{Part: part, First: first, Records: records}, &r)
 	return err == nil && r.Taken
 }
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -196,8 +196,8 @@
 	Records []store.Record
 }
 
-// HandReply tells whether the host leads and took the records.
-type HandReply struct {
+// ForwardReply tells whether the host leads and took the records.
+type ForwardReply struct {
 	Taken bool `json:"Taken"`
 }
 
