--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -42,7 +42,7 @@
 		if t != nil {
 			t.acceptRecords(m.Part, m.First, m.Records)
 		}
-		return peer.ForwardReply{Taken: t != nil}, nil
+		return peer.ForwardReply{Accepted: t != nil}, nil
 	case peer.AskState:
 		return h.localState(m.ID), nil
 	case peer.Sync:
--- a/internal/entry/inbox.go
+++ b/internal/entry/inbox.go
@@ -184,5 +184,5 @@
 	defer cancel()
 	var r peer.ForwardReply
 	err := h.peers.Ask(ctx, lead, peer.ForwardRecords{Part: part, First: first, Records: records}, &r)
-	return err == nil && r.Taken
+	return err == nil && r.Accepted
 }
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -198,7 +198,7 @@
 
 // ForwardReply tells whether the host leads and took the records.
 type ForwardReply struct {
-	Taken bool `json:"Taken"`
+	Accepted bool `json:"Taken"`
 }
 
 // AskState asks the lead for a job's state; the answer is a StateReply.
