--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -378,7 +378,7 @@
 	case peer.Leave:
 		h.member(member.LeaveReceived{Name: m.Name})
 		return nil, nil
-	case peer.Slots:
+	case peer.WriterShares:
 		h.shareStep(share.AnnouncementReceived{Announcement: m.Announcement})
 		h.relay.Told(m.Leaving)
 		return nil, nil
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -90,8 +90,8 @@
 // of it was taken.
 type HandoverReply struct{ Stale bool }
 
-// Slots tells what a host says of the shares of writers; it has no answer.
-type Slots struct {
+// WriterShares tells what a host says of the shares of writers; it has no answer.
+type WriterShares struct {
 	share.Announcement
 	// Leaving names backend servers that told the sender that they leave.
 	Leaving []string `json:"leaving,omitempty"`
@@ -117,24 +117,24 @@
 // Kind names a message's kind.
 func Kind(m Message) string { return m.method() }
 
-func (Beat) method() string       { return "beat" }
-func (Relay) method() string      { return "relay" }
-func (Ping) method() string       { return "ping" }
-func (OpenKey) method() string    { return "open" }
-func (AwaitKey) method() string   { return "await" }
-func (CloseKeys) method() string  { return "close" }
-func (Submit) method() string     { return "submit" }
-func (AskJob) method() string     { return "job" }
-func (AskTrail) method() string   { return "trail" }
-func (CancelJob) method() string  { return "cancel" }
-func (KeepRecord) method() string { return "keep" }
-func (Slots) method() string      { return "writers" }
-func (Records) method() string    { return "records" }
-func (Listed) method() string     { return "listed" }
-func (Leave) method() string      { return "leave" }
-func (Inventory) method() string  { return "census" }
-func (AskToken) method() string   { return "expect" }
-func (Handover) method() string   { return "handover" }
+func (Beat) method() string         { return "beat" }
+func (Relay) method() string        { return "relay" }
+func (Ping) method() string         { return "ping" }
+func (OpenKey) method() string      { return "open" }
+func (AwaitKey) method() string     { return "await" }
+func (CloseKeys) method() string    { return "close" }
+func (Submit) method() string       { return "submit" }
+func (AskJob) method() string       { return "job" }
+func (AskTrail) method() string     { return "trail" }
+func (CancelJob) method() string    { return "cancel" }
+func (KeepRecord) method() string   { return "keep" }
+func (WriterShares) method() string { return "writers" }
+func (Records) method() string      { return "records" }
+func (Listed) method() string       { return "listed" }
+func (Leave) method() string        { return "leave" }
+func (Inventory) method() string    { return "census" }
+func (AskToken) method() string     { return "expect" }
+func (Handover) method() string     { return "handover" }
 
 // InventoryWorker is one worker that a peer holds, with the tasks of the asked
 // jobs there. Age is how long ago the peer asked the worker.
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -43,7 +43,7 @@
 	Handover{},
 	Ping{},
 	AwaitKey{},
-	Slots{},
+	WriterShares{},
 	Records{},
 	Listed{},
 	ForwardRecords{},
