--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -47,7 +47,7 @@
 		return nil, &peer.RefusedError{Name: h.cfg.Name, Reason: "host has stopped taking work"}
 	}
 	defer h.work.leave()
-	if m, ok := m.(peer.Records); ok {
+	if m, ok := m.(peer.AskTable); ok {
 		return h.records(m.From)
 	}
 	return h.answer(ctx, m)
@@ -159,7 +159,7 @@
 // askCopy asks one peer; nothing comes of one that is not further on or does not answer.
 func (h *Host) askCopy(ctx context.Context, name string, from int64) peer.RecordsReply {
 	var r peer.RecordsReply
-	if err := h.peers.Ask(ctx, name, peer.Records{From: from}, &r); err != nil && ctx.Err() == nil {
+	if err := h.peers.Ask(ctx, name, peer.AskTable{From: from}, &r); err != nil && ctx.Err() == nil {
 		h.log.Warn("table: peer's copy cannot be had.", "peer", name, "err", err)
 	}
 	return r
--- a/internal/peer/bound_test.go
+++ b/internal/peer/bound_test.go
@@ -51,7 +51,7 @@
 	require.Equal(t, int64(1), broken.Load())
 	c := NewClients(map[string]netip.AddrPort{"a": netip.MustParseAddrPort(ln.Addr().String())})
 	defer c.Close()
-	require.NoError(t, c.Ask(ctx, "a", Records{}, nil))
+	require.NoError(t, c.Ask(ctx, "a", AskTable{}, nil))
 }
 
 // A peer begins a message and sends on forever, a byte a second. Whoever waits
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -97,9 +97,9 @@
 	Leaving []string `json:"leaving,omitempty"`
 }
 
-// Records asks for the peer's table; the answer is a RecordsReply. From is the
+// AskTable asks for the peer's table; the answer is a RecordsReply. From is the
 // offset that the asker waits for.
-type Records struct {
+type AskTable struct {
 	From int64 `json:"from"`
 }
 
@@ -129,7 +129,7 @@
 func (CancelJob) method() string    { return "cancel" }
 func (KeepRecord) method() string   { return "keep" }
 func (WriterShares) method() string { return "writers" }
-func (Records) method() string      { return "records" }
+func (AskTable) method() string     { return "records" }
 func (Listed) method() string       { return "listed" }
 func (Leave) method() string        { return "leave" }
 func (Inventory) method() string    { return "census" }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -44,7 +44,7 @@
 	Ping{},
 	AwaitKey{},
 	WriterShares{},
-	Records{},
+	AskTable{},
 	Listed{},
 	ForwardRecords{},
 	AskState{},
