--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -85,14 +85,14 @@
 	return true
 }
 
-func (h *Host) records(from int64) (peer.RecordsReply, error) {
+func (h *Host) records(from int64) (peer.TableReply, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.table.Wants() <= from {
-		return peer.RecordsReply{}, nil
+		return peer.TableReply{}, nil
 	}
 	parts, err := h.table.Snapshot(h.clock())
-	return peer.RecordsReply{Parts: parts}, err
+	return peer.TableReply{Parts: parts}, err
 }
 
 // compare tells when a peer has folded other records up to the same offset.
@@ -127,7 +127,7 @@
 	ctx, cancel := context.WithTimeout(h.ctx, copyWait)
 	defer cancel()
 	from := h.wants()
-	replies := make(chan peer.RecordsReply)
+	replies := make(chan peer.TableReply)
 	open, asked := 0, map[string]bool{}
 	for {
 		if name := h.nextAhead(from, asked); name != "" {
@@ -157,8 +157,8 @@
 }
 
 // askCopy asks one peer; nothing comes of one that is not further on or does not answer.
-func (h *Host) askCopy(ctx context.Context, name string, from int64) peer.RecordsReply {
-	var r peer.RecordsReply
+func (h *Host) askCopy(ctx context.Context, name string, from int64) peer.TableReply {
+	var r peer.TableReply
 	if err := h.peers.Ask(ctx, name, peer.AskTable{From: from}, &r); err != nil && ctx.Err() == nil {
 		h.log.Warn("table: peer's copy cannot be had.", "peer", name, "err", err)
 	}
@@ -166,7 +166,7 @@
 }
 
 // takeCopy tells whether a peer's table was further on.
-func (h *Host) takeCopy(r peer.RecordsReply, from int64) bool {
+func (h *Host) takeCopy(r peer.TableReply, from int64) bool {
 	if len(r.Parts) == 0 {
 		return false
 	}
--- a/internal/peer/bound_test.go
+++ b/internal/peer/bound_test.go
@@ -22,7 +22,7 @@
 // memory is taken; other peers are answered all the time.
 func TestOversizedAndBrokenMessagesCloseTheConnection(t *testing.T) {
 	var size, broken atomic.Int64
-	s := NewServer(func(context.Context, Message) (any, error) { return RecordsReply{}, nil })
+	s := NewServer(func(context.Context, Message) (any, error) { return TableReply{}, nil })
 	s.Count(func(reason string) {
 		if reason == "size" {
 			size.Add(1)
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -103,8 +103,8 @@
 	From int64 `json:"from"`
 }
 
-// RecordsReply is a table as snapshot records; none when it is no further on.
-type RecordsReply struct {
+// TableReply is a table as snapshot records; none when it is no further on.
+type TableReply struct {
 	Parts [][]byte `json:"parts,omitempty"`
 }
 
