--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -36,7 +36,7 @@
 	switch m := m.(type) {
 	case peer.Beat:
 		return h.heard(m.Heartbeat)
-	case peer.Listed:
+	case peer.HostListChanged:
 		metrics.GetOrRegisterCounter("list.told", h.metrics).Inc(1)
 		h.refreshSoon()
 		return nil, nil
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -108,8 +108,8 @@
 	Parts [][]byte `json:"parts,omitempty"`
 }
 
-// Listed tells that the platform's host list has changed; it has no answer.
-type Listed struct{}
+// HostListChanged tells that the platform's host list has changed; it has no answer.
+type HostListChanged struct{}
 
 // Leave tells that a host begins a planned stop.
 type Leave struct{ Name string }
@@ -117,24 +117,24 @@
 // Kind names a message's kind.
 func Kind(m Message) string { return m.method() }
 
-func (Beat) method() string         { return "beat" }
-func (Relay) method() string        { return "relay" }
-func (Ping) method() string         { return "ping" }
-func (OpenKey) method() string      { return "open" }
-func (AwaitKey) method() string     { return "await" }
-func (CloseKeys) method() string    { return "close" }
-func (Submit) method() string       { return "submit" }
-func (AskJob) method() string       { return "job" }
-func (AskTrail) method() string     { return "trail" }
-func (CancelJob) method() string    { return "cancel" }
-func (KeepRecord) method() string   { return "keep" }
-func (WriterShares) method() string { return "writers" }
-func (AskTable) method() string     { return "records" }
-func (Listed) method() string       { return "listed" }
-func (Leave) method() string        { return "leave" }
-func (Inventory) method() string    { return "census" }
-func (AskToken) method() string     { return "expect" }
-func (Handover) method() string     { return "handover" }
+func (Beat) method() string            { return "beat" }
+func (Relay) method() string           { return "relay" }
+func (Ping) method() string            { return "ping" }
+func (OpenKey) method() string         { return "open" }
+func (AwaitKey) method() string        { return "await" }
+func (CloseKeys) method() string       { return "close" }
+func (Submit) method() string          { return "submit" }
+func (AskJob) method() string          { return "job" }
+func (AskTrail) method() string        { return "trail" }
+func (CancelJob) method() string       { return "cancel" }
+func (KeepRecord) method() string      { return "keep" }
+func (WriterShares) method() string    { return "writers" }
+func (AskTable) method() string        { return "records" }
+func (HostListChanged) method() string { return "listed" }
+func (Leave) method() string           { return "leave" }
+func (Inventory) method() string       { return "census" }
+func (AskToken) method() string        { return "expect" }
+func (Handover) method() string        { return "handover" }
 
 // InventoryWorker is one worker that a peer holds, with the tasks of the asked
 // jobs there. Age is how long ago the peer asked the worker.
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -45,7 +45,7 @@
 	AwaitKey{},
 	WriterShares{},
 	AskTable{},
-	Listed{},
+	HostListChanged{},
 	ForwardRecords{},
 	AskState{},
 	Sync{},
