--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -55,7 +55,7 @@
 		return peer.AdviseReply{Good: good}, err
 	case peer.StoreCall:
 		return encodeStoreReply(h.store.Direct(ctx, m.Call)), nil
-	case peer.Succeed:
+	case peer.AnnounceSuccessor:
 		h.handleSucceed(m)
 		return nil, nil
 	default:
--- a/internal/entry/heir.go
+++ b/internal/entry/heir.go
@@ -57,7 +57,7 @@
 	term := h.currentTerm()
 	h.log.Info("lead: its process is gone.", "host", lead, "term", term)
 	// Others would claim beside this one, above all the dead one's next life.
-	succeed := peer.Succeed{Term: term, Successor: h.cfg.Name}
+	succeed := peer.AnnounceSuccessor{Term: term, Successor: h.cfg.Name}
 	for _, p := range h.otherHosts() {
 		if p == lead {
 			continue
--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -23,7 +23,7 @@
 )
 
 // handleSucceed takes over from a lead that leaves, or lets its successor do so.
-func (h *Host) handleSucceed(m peer.Succeed) {
+func (h *Host) handleSucceed(m peer.AnnounceSuccessor) {
 	if m.Successor != h.cfg.Name {
 		h.followLeader(m.Successor, m.Term)
 		return
@@ -56,7 +56,7 @@
 // announceSuccessor tells all hosts, the successor first, who is to lead now. The others
 // are told at once: one in a failure domain that is cut off would use up the time of
 // all.
-func (h *Host) announceSuccessor(ctx context.Context, successor string, succeed peer.Succeed) {
+func (h *Host) announceSuccessor(ctx context.Context, successor string, succeed peer.AnnounceSuccessor) {
 	succeed.Successor = successor
 	h.mu.Lock()
 	h.successor = successor
@@ -73,7 +73,7 @@
 	wg.Wait()
 }
 
-func (h *Host) sendSucceed(ctx context.Context, p string, succeed peer.Succeed) {
+func (h *Host) sendSucceed(ctx context.Context, p string, succeed peer.AnnounceSuccessor) {
 	if err := h.peers.Tell(ctx, p, succeed); err != nil {
 		h.log.Warn("entry: peer was not told of the successor.", "peer", p, "err", err)
 	}
@@ -192,7 +192,7 @@
 	h.lastDelegation = h.now()
 	h.mu.Unlock()
 	h.log.Info("lead: left to a stronger host.", "host", best)
-	h.announceSuccessor(ctx, best, peer.Succeed{Term: term})
+	h.announceSuccessor(ctx, best, peer.AnnounceSuccessor{Term: term})
 	h.followLeader(best, term)
 	return true
 }
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -147,10 +147,10 @@
 }
 
 // successionMessage is what a lead that leaves tells its successor.
-func (t *term) successionMessage() peer.Succeed {
+func (t *term) successionMessage() peer.AnnounceSuccessor {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	m := peer.Succeed{Term: t.number, Bounds: map[string]cell.Duration{}}
+	m := peer.AnnounceSuccessor{Term: t.number, Bounds: map[string]cell.Duration{}}
 	for life, left := range t.core.LeaseBounds(t.h.now()) {
 		m.Bounds[life] = cell.Duration{Duration: left}
 	}
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -278,18 +278,18 @@
 	Number int64 `json:",omitempty"`
 }
 
-// Succeed tells all hosts that the sender leaves and that Successor is to take over;
+// AnnounceSuccessor tells all hosts that the sender leaves and that Successor is to take over;
 // it has no answer. Bounds tell of each worker that does not answer how much longer
 // anything may run there.
-type Succeed struct {
+type AnnounceSuccessor struct {
 	Term      int64
 	Successor string
 	Bounds    map[string]cell.Duration
 }
 
-func (ForwardRecords) method() string { return "hand" }
-func (AskState) method() string       { return "state" }
-func (Sync) method() string           { return "sync" }
-func (Advise) method() string         { return "advise" }
-func (StoreCall) method() string      { return "store" }
-func (Succeed) method() string        { return "succeed" }
+func (ForwardRecords) method() string    { return "hand" }
+func (AskState) method() string          { return "state" }
+func (Sync) method() string              { return "sync" }
+func (Advise) method() string            { return "advise" }
+func (StoreCall) method() string         { return "store" }
+func (AnnounceSuccessor) method() string { return "succeed" }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -51,7 +51,7 @@
 	Sync{},
 	Advise{},
 	StoreCall{},
-	Succeed{},
+	AnnounceSuccessor{},
 }
 
 var types = func() map[string]reflect.Type {
