--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -135,7 +135,7 @@
 		ended[string(state)] = ids
 	}
 	return peer.SyncReply{
-		Ended: ended, Endings: next, Leading: true, Lead: true, Leaving: leaving, Served: true, Heir: h.chooseStandby(), Follows: follows,
+		Ended: ended, Endings: next, Leading: true, Lead: true, Leaving: leaving, Served: true, Standby: h.chooseStandby(), Follows: follows,
 		Enough: enough, Term: t.number, Pending: pending, Hosts: hosts,
 	}
 }
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -238,9 +238,9 @@
 	Served   bool
 	// Successor is the host that was asked to lead when this one left.
 	Successor string
-	// Heir is the host that is to lead if this one dies, Follows the one that it takes
+	// Standby is the host that is to lead if this one dies, Follows the one that it takes
 	// for the lead.
-	Heir    string `json:"Heir"`
+	Standby string `json:"Heir"`
 	Follows string
 	// Enough is a power that enough hosts have: much weaker ones need not stand
 	// ready to lead.
