--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -136,7 +136,7 @@
 	}
 	return peer.SyncReply{
 		Ended: ended, Endings: next, Leading: true, Lead: true, Leaving: leaving, Served: true, Standby: h.chooseStandby(), Follows: follows,
-		Enough: enough, Term: t.number, Pending: pending, Hosts: hosts,
+		EnoughPower: enough, Term: t.number, Pending: pending, Hosts: hosts,
 	}
 }
 
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -216,7 +216,7 @@
 	}
 	h.mu.Lock()
 	h.pending, h.pendingAt = r.Pending, h.now()
-	h.lastSync, h.strongPower, h.standby = h.now(), r.Enough, r.Standby
+	h.lastSync, h.strongPower, h.standby = h.now(), r.EnoughPower, r.Standby
 	h.mu.Unlock()
 	all := make(map[string]netip.AddrPort, len(r.Hosts))
 	for n, a := range r.Hosts {
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -242,12 +242,12 @@
 	// for the lead.
 	Standby string `json:"Heir"`
 	Follows string
-	// Enough is a power that enough hosts have: much weaker ones need not stand
+	// EnoughPower is a power that enough hosts have: much weaker ones need not stand
 	// ready to lead.
-	Enough  float64 `json:"Enough"`
-	Term    int64
-	Pending map[string]int
-	Hosts   map[string]string
+	EnoughPower float64 `json:"Enough"`
+	Term        int64
+	Pending     map[string]int
+	Hosts       map[string]string
 	// Ended are jobs by final state, Endings the number to go on with.
 	Ended   map[string][]string `json:",omitempty"`
 	Endings int                 `json:",omitempty"`
