--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -52,7 +52,7 @@
 		ctx, cancel := context.WithTimeout(ctx, m.Within.Duration)
 		defer cancel()
 		good, err := h.askPolicy(ctx, m.Step, m.Workers)
-		return peer.AdviseReply{Good: good}, err
+		return peer.AdviseReply{Tickets: good}, err
 	case peer.StoreCall:
 		return encodeStoreReply(h.store.Direct(ctx, m.Call)), nil
 	case peer.AnnounceSuccessor:
@@ -233,7 +233,7 @@
 	m := peer.Advise{Step: a.Step, Workers: a.Workers}
 	m.Within.Duration = a.Timeout
 	err := h.peers.Ask(ctx, a.Host, m, &r)
-	return h.policyResult(a, r.Good, err)
+	return h.policyResult(a, r.Tickets, err)
 }
 
 func (h *Host) policyResult(a sched.QueryPolicy, good map[string]string, err error) sched.PolicyReply {
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -262,7 +262,7 @@
 
 // AdviseReply holds a ticket for each worker that may run the step.
 type AdviseReply struct {
-	Good map[string]string `json:"Good"`
+	Tickets map[string]string `json:"Good"`
 }
 
 // StoreCall asks a host to make a call to the store that does not serve the
