--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -25,8 +25,8 @@
 // Left is how long the caller still waits: the deadline itself would be wrong
 // by as much as the clocks of the two hosts differ.
 type Relay struct {
-	Request call.Request
-	Left    cell.Duration `json:"Left"`
+	Request   call.Request
+	Remaining cell.Duration `json:"Left"`
 }
 
 // Ping asks for nothing but an answer: a sign that the connection works.
--- a/internal/relay/lent.go
+++ b/internal/relay/lent.go
@@ -16,14 +16,14 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), left+openWait)
 	defer cancel()
 	var reply call.Reply
-	err := x.Peers.Ask(ctx, name, peer.Relay{Request: req, Left: cell.Duration{Duration: left}}, &reply)
+	err := x.Peers.Ask(ctx, name, peer.Relay{Request: req, Remaining: cell.Duration{Duration: left}}, &reply)
 	return reply, err
 }
 
 // RunFor runs a request for a peer's caller on a slot that is free now.
 func (x *Relay) RunFor(ctx context.Context, m peer.Relay) call.Reply {
 	req := m.Request
-	req.Deadline = x.Clock().Add(m.Left.Duration)
+	req.Deadline = x.Clock().Add(m.Remaining.Duration)
 	ctx, end := spans.Hop(spans.Join(ctx, req.Trace), "host", req.ID)
 	defer end()
 	return x.Lent(ctx, req)
