--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -38,8 +38,8 @@
 // AwaitKey asks a key's home to say when its running try has ended, for at
 // most Left; the answer is a ledger.Verdict.
 type AwaitKey struct {
-	Key  string
-	Left cell.Duration `json:"Left"`
+	Key       string
+	Remaining cell.Duration `json:"Left"`
 }
 
 // CloseKeys tells a home how keyed requests ended.
--- a/internal/relay/home.go
+++ b/internal/relay/home.go
@@ -52,7 +52,7 @@
 	}
 	x.home.waiting[id] = c
 	x.home.mu.Unlock()
-	x.stepHome(ledger.Await{Key: m.Key, ID: id, Until: x.Clock().Add(m.Left.Duration)})
+	x.stepHome(ledger.Await{Key: m.Key, ID: id, Until: x.Clock().Add(m.Remaining.Duration)})
 	select {
 	case v := <-c:
 		return v
--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -78,7 +78,7 @@
 }
 
 func (x *Relay) await(ctx context.Context, a ledger.Wait, deadline time.Time) ledger.RunEvent {
-	m := peer.AwaitKey{Key: a.Key, Left: cell.Duration{Duration: deadline.Sub(x.Clock())}}
+	m := peer.AwaitKey{Key: a.Key, Remaining: cell.Duration{Duration: deadline.Sub(x.Clock())}}
 	if a.Home == x.Name {
 		return heard(ctx, a.Home, x.AwaitKey(ctx, m), nil)
 	}
