--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -150,7 +150,7 @@
 func (r relay) Do(ctx context.Context, name string, c store.Call) (store.Answer, error) {
 	var got peer.StoreReply
 	err := r.h.peers.Ask(ctx, name, peer.StoreCall{Call: c}, &got)
-	var unreached *peer.UnreachedError
+	var unreached *peer.UnreachableError
 	switch {
 	case errors.As(err, &unreached):
 		return store.Answer{}, &store.RefusedError{Op: c.Op, Reason: err.Error()}
--- a/internal/host/beat.go
+++ b/internal/host/beat.go
@@ -72,7 +72,7 @@
 	ctx, cancel := context.WithTimeout(h.ctx, beatWait)
 	defer cancel()
 	err := h.peers.Tell(ctx, name, peer.Beat{Heartbeat: b})
-	if errors.As(err, new(*peer.UnreachedError)) {
+	if errors.As(err, new(*peer.UnreachableError)) {
 		h.member(member.SendFailed{Name: name})
 	}
 }
--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -120,7 +120,7 @@
 func (h *Host) sendTo(name string, all []*handed) {
 	err := h.push(name, all)
 	var refused *peer.RefusedError
-	var unreached *peer.UnreachedError
+	var unreached *peer.UnreachableError
 	no := errors.As(err, &refused) || errors.As(err, &unreached)
 	switch {
 	case err == nil:
--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -196,7 +196,7 @@
 	defer cancel()
 	var reply peer.JobReply
 	err := h.peers.Ask(ctx, name, m, &reply)
-	var unreached *peer.UnreachedError
+	var unreached *peer.UnreachableError
 	switch {
 	case err == nil:
 		return reply
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -62,18 +62,18 @@
 	return m
 }()
 
-// UnreachedError means that a peer could not be asked: the question was not sent.
-type UnreachedError struct {
+// UnreachableError means that a peer could not be asked: the question was not sent.
+type UnreachableError struct {
 	Name  string
 	Cause error
 }
 
-func (e *UnreachedError) Error() string {
+func (e *UnreachableError) Error() string {
 	return fmt.Sprintf("peer %s not reached: %s", e.Name, e.Cause)
 }
 
 // Unwrap returns the transport's error.
-func (e *UnreachedError) Unwrap() error { return e.Cause }
+func (e *UnreachableError) Unwrap() error { return e.Cause }
 
 // SilentError means that a question was sent and has no answer.
 type SilentError struct {
@@ -266,7 +266,7 @@
 func (c *Clients) Ask(ctx context.Context, name string, m Message, into any) error {
 	conn, err := c.conn(ctx, name)
 	if err != nil {
-		return &UnreachedError{Name: name, Cause: err}
+		return &UnreachableError{Name: name, Cause: err}
 	}
 	err = conn.call(ctx, m, into)
 	var refused *jsonrpc2.Error
@@ -284,7 +284,7 @@
 func (c *Clients) Tell(ctx context.Context, name string, m Message) error {
 	conn, err := c.conn(ctx, name)
 	if err != nil {
-		return &UnreachedError{Name: name, Cause: err}
+		return &UnreachableError{Name: name, Cause: err}
 	}
 	if err := conn.rpc.Notify(ctx, m.method(), m); err != nil {
 		return &SilentError{Name: name, Cause: err}
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -54,7 +54,7 @@
 	req.Trace = spans.Parent(ctx)
 	metrics.GetOrRegisterCounter("relay.lent", x.Metrics).Inc(1)
 	reply, err := x.askRun(ctx, a.Peer, req)
-	var unreachedPeer *peer.UnreachedError
+	var unreachedPeer *peer.UnreachableError
 	switch {
 	case err == nil && reply.Outcome == cell.Refused && reply.Reason == string(queue.Busy):
 		return try{}, true
