--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -151,7 +151,7 @@
 	m.Notes = h.notesOf(m.Jobs)
 	var reply peer.HandoverReply
 	err := h.peers.Ask(ctx, name, m, &reply)
-	if errors.As(err, new(*peer.SilentError)) {
+	if errors.As(err, new(*peer.NoAnswerError)) {
 		for _, one := range all {
 			one.unsure = true
 		}
--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -157,7 +157,7 @@
 
 // tellPeer asks live peers of the domain in turn to remember a record. If none said that it
 // does, silent is of one that may all the same: its answer did not come.
-func (h *Host) tellPeer(ctx context.Context, rec joblog.Record) (told bool, silent *peer.SilentError) {
+func (h *Host) tellPeer(ctx context.Context, rec joblog.Record) (told bool, silent *peer.NoAnswerError) {
 	for _, name := range h.domainPeers() {
 		pctx, cancel := context.WithTimeout(ctx, keepWait)
 		err := h.peers.Ask(pctx, name, peer.KeepRecord{Record: rec}, nil)
--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -92,7 +92,7 @@
 				cut(p.conns[0])
 				began := time.Now()
 				_, err = p.relay("b")
-				var silent *SilentError
+				var silent *NoAnswerError
 				require.ErrorAs(t, err, &silent, "whether it ran is unknown")
 				require.LessOrEqual(t, time.Since(began), silentBound)
 				require.EqualValues(t, 1, p.Silent())
@@ -183,7 +183,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
 		err := p.Ask(ctx, "peer", Relay{Request: call.Request{ID: "late"}}, nil)
-		var silent *SilentError
+		var silent *NoAnswerError
 		require.ErrorAs(t, err, &silent)
 		for i := range 20 {
 			id := string(rune('a' + i))
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -75,18 +75,18 @@
 // Unwrap returns the transport's error.
 func (e *UnreachableError) Unwrap() error { return e.Cause }
 
-// SilentError means that a question was sent and has no answer.
-type SilentError struct {
+// NoAnswerError means that a question was sent and has no answer.
+type NoAnswerError struct {
 	Name  string
 	Cause error
 }
 
-func (e *SilentError) Error() string {
+func (e *NoAnswerError) Error() string {
 	return fmt.Sprintf("peer %s did not answer: %s", e.Name, e.Cause)
 }
 
 // Unwrap returns the transport's error.
-func (e *SilentError) Unwrap() error { return e.Cause }
+func (e *NoAnswerError) Unwrap() error { return e.Cause }
 
 // RefusedError means that a peer answered with an error.
 type RefusedError struct{ Name, Reason string }
@@ -276,7 +276,7 @@
 	case errors.As(err, &refused):
 		return &RefusedError{Name: name, Reason: refused.Message}
 	default:
-		return &SilentError{Name: name, Cause: err}
+		return &NoAnswerError{Name: name, Cause: err}
 	}
 }
 
@@ -287,7 +287,7 @@
 		return &UnreachableError{Name: name, Cause: err}
 	}
 	if err := conn.rpc.Notify(ctx, m.method(), m); err != nil {
-		return &SilentError{Name: name, Cause: err}
+		return &NoAnswerError{Name: name, Cause: err}
 	}
 	return nil
 }
--- a/internal/relay/ends.go
+++ b/internal/relay/ends.go
@@ -89,7 +89,7 @@
 }
 
 func (x *Relay) tellBatch(home string, batch []ledger.Close) {
-	var silent *peer.SilentError
+	var silent *peer.NoAnswerError
 	wait := closeWait
 	for _, ev := range batch {
 		wait += time.Duration(len(ev.Answer.Body)) * time.Second / closeRate
