--- a/internal/host/keep_test.go
+++ b/internal/host/keep_test.go
@@ -34,7 +34,7 @@
 func TestAJobThatAPeerMayRememberIsNotToldAsNotRun(t *testing.T) {
 	addr := func(i int) netip.AddrPort { return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 1) }
 	for name, tc := range map[string]struct {
-		answer    peer.Answerer
+		answer    peer.Handler
 		notStored bool
 	}{
 		"its answer is lost": {func(ctx context.Context, _ peer.Message) (any, error) { <-ctx.Done(); return nil, ctx.Err() }, false},
--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -44,7 +44,7 @@
 	conns []*dumb
 }
 
-func newPair(t *testing.T, answer Answerer) *pair {
+func newPair(t *testing.T, answer Handler) *pair {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &pair{Clients: NewClients(map[string]netip.AddrPort{"peer": {}})}
 	s := NewServer(answer)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -22,9 +22,9 @@
 	"pollencroft/internal/dial"
 )
 
-// Answerer answers a message from a peer. The value is sent back as JSON; an
+// Handler answers a message from a peer. The value is sent back as JSON; an
 // error reaches the peer as a RefusedError.
-type Answerer func(ctx context.Context, m Message) (any, error)
+type Handler func(ctx context.Context, m Message) (any, error)
 
 // messages lists one of each message that may arrive.
 var messages = []Message{
@@ -95,13 +95,13 @@
 
 // Server takes messages from peers until its context ends.
 type Server struct {
-	answer Answerer
+	answer Handler
 	count  func(reason string)
 	wg     sync.WaitGroup
 }
 
 // NewServer returns a server that answers with a.
-func NewServer(a Answerer) *Server { return &Server{answer: a, count: func(string) {}} }
+func NewServer(a Handler) *Server { return &Server{answer: a, count: func(string) {}} }
 
 // Count has every message that is turned away counted with its reason.
 func (s *Server) Count(f func(reason string)) { s.count = f }
