--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -174,7 +174,7 @@
 	h.serve(h.bounded(ls.Caller), h.callerRoutes())
 	h.serve(h.operatorListener(h.bounded(ls.Operator)), h.operatorRoutes())
 	srv := peer.NewServer(h.respond)
-	srv.Count(h.countKeys)
+	srv.OnRejected(h.countKeys)
 	h.wg.Go(func() { srv.Serve(h.ctx, h.peerListener(ls.Peer)) })
 	h.wg.Go(h.followTable)
 	h.wg.Go(h.followList)
--- a/internal/peer/bound_test.go
+++ b/internal/peer/bound_test.go
@@ -23,7 +23,7 @@
 func TestOversizedAndBrokenMessagesCloseTheConnection(t *testing.T) {
 	var size, broken atomic.Int64
 	s := NewServer(func(context.Context, Message) (any, error) { return TableReply{}, nil })
-	s.Count(func(reason string) {
+	s.OnRejected(func(reason string) {
 		if reason == "size" {
 			size.Add(1)
 		} else {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -103,8 +103,8 @@
 // NewServer returns a server that answers with a.
 func NewServer(a Handler) *Server { return &Server{answer: a, count: func(string) {}} }
 
-// Count has every message that is turned away counted with its reason.
-func (s *Server) Count(f func(reason string)) { s.count = f }
+// OnRejected has every message that is turned away counted with its reason.
+func (s *Server) OnRejected(f func(reason string)) { s.count = f }
 
 // Serve accepts connections on ln until ctx ends, then closes them all.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) {
