--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -107,7 +107,7 @@
 		}
 		h.policy = platform.NewPolicy(c, addr)
 	}
-	h.peers.Lost(h.onPeerLost)
+	h.peers.OnDisconnect(h.onPeerLost)
 	h.lastSync = now()
 	h.ctx, h.cancel = context.WithCancel(context.Background())
 	h.store = store.NewRouted(platform.NewStore(platform.New(), cfg.Store), relay{h}, now, h.storeChanged)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -185,9 +185,9 @@
 	return &Clients{addrs: addrs, conns: map[lane]*link{}, dial: dialTCP, lost: func(string) {}}
 }
 
-// Lost sets what is told when a connection to a peer has ended, for whatever reason. It
+// OnDisconnect sets what is told when a connection to a peer has ended, for whatever reason. It
 // must be called before the first message.
-func (c *Clients) Lost(f func(name string)) { c.lost = f }
+func (c *Clients) OnDisconnect(f func(name string)) { c.lost = f }
 
 // Reach is what a new connection to a peer meets.
 type Reach int
