--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -124,7 +124,7 @@
 	case name == lead || name == h.cfg.Name:
 		return name
 	}
-	h.peers.Set(name, seen.addr)
+	h.peers.SetAddr(name, seen.addr)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -140,7 +140,7 @@
 	if !ok || name == h.cfg.Name {
 		return name, false
 	}
-	h.peers.Set(name, seen.addr)
+	h.peers.SetAddr(name, seen.addr)
 	r, err := h.askWhetherLeads(name)
 	if err == nil && r.Lead {
 		// Its announcement may be lost. Everybody would leave the lead to it, and
--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -63,7 +63,7 @@
 func (h *Host) RecentHostCount() int { return len(h.successors()) }
 
 // SetPeerAddr names the address of a peer.
-func (h *Host) SetPeerAddr(name, addr string) { h.peers.Set(name, netip.MustParseAddrPort(addr)) }
+func (h *Host) SetPeerAddr(name, addr string) { h.peers.SetAddr(name, netip.MustParseAddrPort(addr)) }
 
 // WaitsForReply asks a host whether it leads, in vain, and tells whether its answer was
 // waited for.
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -172,7 +172,7 @@
 	t := h.ownTerm
 	h.mu.Unlock()
 	if l.Name != h.cfg.Name && l.Addr.IsValid() {
-		h.peers.Set(l.Name, l.Addr)
+		h.peers.SetAddr(l.Name, l.Addr)
 	}
 	h.log.Info("lead: another term.", "host", l.Name, "term", l.Term)
 	if l.Name != h.cfg.Name {
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -295,7 +295,7 @@
 	h.mu.Unlock()
 	for n, a := range all {
 		if n != h.cfg.Name {
-			h.peers.Set(n, a)
+			h.peers.SetAddr(n, a)
 		}
 	}
 	if t != nil {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -217,9 +217,9 @@
 	}
 }
 
-// Set says where a peer is reached from now on. A host that comes back at
+// SetAddr says where a peer is reached from now on. A host that comes back at
 // another address keeps its name.
-func (c *Clients) Set(name string, addr netip.AddrPort) {
+func (c *Clients) SetAddr(name string, addr netip.AddrPort) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.addrs[name] == addr {
