--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -264,7 +264,7 @@
 		return nil, err
 	}
 	h.store = store.NewRouted(direct, relay{h}, time.Now, h.storeChanged)
-	h.peers.Through(dial)
+	h.peers.SetDialer(dial)
 	srv := peer.NewServer(func(ctx context.Context, m peer.Message) (any, error) {
 		before(ctx)
 		return h.handleMessage(ctx, m)
--- a/internal/host/export_test.go
+++ b/internal/host/export_test.go
@@ -21,7 +21,7 @@
 
 // Meet has a host answer its peers on ln and reach them through dial.
 func (h *Host) Meet(ln net.Listener, dial func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)) {
-	h.peers.Through(dial)
+	h.peers.SetDialer(dial)
 	h.wg.Go(func() { peer.NewServer(h.respond).Serve(h.ctx, ln) })
 }
 
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -114,7 +114,7 @@
 		members: member.New(member.Heartbeat{Name: cfg.Name, Domain: cfg.Domain, Incarnation: now.UnixMilli()}),
 	}
 	h.life.Store(life.Start())
-	h.peers.Through(h.dialPeer)
+	h.peers.SetDialer(h.dialPeer)
 	h.peers.Probe(h.probe)
 	h.relay = relay.New(relay.Deps{
 		Name: cfg.Name, Domain: cfg.Domain, Queue: queue.New(queue.Limits{Length: int(cfg.Limits.Queue), Reserve: queue.DefaultLimits.Reserve}),
--- a/internal/host/keys_test.go
+++ b/internal/host/keys_test.go
@@ -80,7 +80,7 @@
 
 	liar := peer.NewClients(map[string]netip.AddrPort{"nord-0": at(c.sockets[0].Peer)})
 	defer liar.Close()
-	liar.Through(func(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
+	liar.SetDialer(func(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
 		return (&tls.Dialer{Config: host}).DialContext(ctx, "tcp", addr.String())
 	})
 	lie := peer.Beat{Heartbeat: member.Heartbeat{Name: "nord-1", Incarnation: 1 << 60, Leaving: true}}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -234,9 +234,9 @@
 	}
 }
 
-// Through sets how connections are made. It must be called before the first
+// SetDialer sets how connections are made. It must be called before the first
 // message.
-func (c *Clients) Through(d func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)) {
+func (c *Clients) SetDialer(d func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)) {
 	c.dial = d
 }
 
