--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -240,10 +240,10 @@
 	c.dial = d
 }
 
-// Probe sets how long a connection to a peer may be without any answer before
+// SetIdleTime sets how long a connection to a peer may be without any answer before
 // it is asked for a sign of life. It must be called before the first message.
 // In a large cell a probe a second to everybody costs more than all heartbeats.
-func (c *Clients) Probe(idle func(name string) time.Duration) { c.idle = idle }
+func (c *Clients) SetIdleTime(idle func(name string) time.Duration) { c.idle = idle }
 
 func (c *Clients) idleFor(at lane) time.Duration {
 	switch {
