--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -74,7 +74,7 @@
 }
 
 func (h *Host) sendSucceed(ctx context.Context, p string, succeed peer.AnnounceSuccessor) {
-	if err := h.peers.Tell(ctx, p, succeed); err != nil {
+	if err := h.peers.Notify(ctx, p, succeed); err != nil {
 		h.log.Warn("entry: peer was not told of the successor.", "peer", p, "err", err)
 	}
 }
--- a/internal/host/beat.go
+++ b/internal/host/beat.go
@@ -71,7 +71,7 @@
 	h.mu.Unlock()
 	ctx, cancel := context.WithTimeout(h.ctx, beatWait)
 	defer cancel()
-	err := h.peers.Tell(ctx, name, peer.Beat{Heartbeat: b})
+	err := h.peers.Notify(ctx, name, peer.Beat{Heartbeat: b})
 	if errors.As(err, new(*peer.UnreachableError)) {
 		h.member(member.SendFailed{Name: name})
 	}
@@ -116,7 +116,7 @@
 		all.Go(func() {
 			ctx, cancel := context.WithTimeout(h.ctx, beatWait)
 			defer cancel()
-			_ = h.peers.Tell(ctx, p.Name, peer.Leave{Name: h.cfg.Name})
+			_ = h.peers.Notify(ctx, p.Name, peer.Leave{Name: h.cfg.Name})
 		})
 	}
 	all.Wait()
--- a/internal/host/list.go
+++ b/internal/host/list.go
@@ -97,7 +97,7 @@
 		h.wg.Go(func() {
 			ctx, cancel := context.WithTimeout(h.ctx, beatWait)
 			defer cancel()
-			_ = h.peers.Tell(ctx, name, peer.HostListChanged{})
+			_ = h.peers.Notify(ctx, name, peer.HostListChanged{})
 		})
 	}
 }
--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -116,12 +116,12 @@
 			}
 			return nil, nil
 		})
-		require.NoError(t, p.Tell(context.Background(), "peer", Leave{}))
+		require.NoError(t, p.Notify(context.Background(), "peer", Leave{}))
 		synctest.Wait()
 		require.Equal(t, 1, heard)
 		p.conns[0].out.Store(true)
 		time.Sleep(idleAfter + pingWait + 2*lookEvery)
-		require.NoError(t, p.Tell(context.Background(), "peer", Leave{}))
+		require.NoError(t, p.Notify(context.Background(), "peer", Leave{}))
 		synctest.Wait()
 		require.Equal(t, 2, heard)
 		require.Len(t, p.conns, 2)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -280,8 +280,8 @@
 	}
 }
 
-// Tell sends a message that has no answer.
-func (c *Clients) Tell(ctx context.Context, name string, m Message) error {
+// Notify sends a message that has no answer.
+func (c *Clients) Notify(ctx context.Context, name string, m Message) error {
 	conn, err := c.conn(ctx, name)
 	if err != nil {
 		return &UnreachableError{Name: name, Cause: err}
