--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -142,7 +142,7 @@
 func (h *Host) tryConnect(name string) peer.Reach {
 	ctx, cancel := context.WithTimeout(h.ctx, goneTimeout)
 	defer cancel()
-	return h.peers.Reach(ctx, name)
+	return h.peers.CheckReach(ctx, name)
 }
 
 // repliedLate tells whether the lead has answered late just now.
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -200,8 +200,8 @@
 	NoAnswer
 )
 
-// Reach tries a new connection to a peer.
-func (c *Clients) Reach(ctx context.Context, name string) Reach {
+// CheckReach tries a new connection to a peer.
+func (c *Clients) CheckReach(ctx context.Context, name string) Reach {
 	c.mu.Lock()
 	addr := c.addrs[name]
 	c.mu.Unlock()
