--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -139,7 +139,7 @@
 }
 
 // tryConnect tries a new connection to a host.
-func (h *Host) tryConnect(name string) peer.Reach {
+func (h *Host) tryConnect(name string) peer.Reachability {
 	ctx, cancel := context.WithTimeout(h.ctx, goneTimeout)
 	defer cancel()
 	return h.peers.CheckReach(ctx, name)
@@ -161,7 +161,7 @@
 // progressTimeout is how long the lead may store nothing. It grows with each change of late that
 // nobody had told of and that may have been a mistake: that it was is the likelier, and costs the
 // more, the more there were. A host that takes no connection is off or cut off, and not slow.
-func (h *Host) progressTimeout(reach peer.Reach) time.Duration {
+func (h *Host) progressTimeout(reach peer.Reachability) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	patience := claimGrace
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -189,19 +189,19 @@
 // must be called before the first message.
 func (c *Clients) OnDisconnect(f func(name string)) { c.lost = f }
 
-// Reach is what a new connection to a peer meets.
-type Reach int
+// Reachability is what a new connection to a peer meets.
+type Reachability int
 
 // Open tells that something listens, Refused that the host is there and nothing listens, NoAnswer
 // that nothing came back in time: the host is off or cut off.
 const (
-	Open Reach = iota
+	Open Reachability = iota
 	Refused
 	NoAnswer
 )
 
 // CheckReach tries a new connection to a peer.
-func (c *Clients) CheckReach(ctx context.Context, name string) Reach {
+func (c *Clients) CheckReach(ctx context.Context, name string) Reachability {
 	c.mu.Lock()
 	addr := c.addrs[name]
 	c.mu.Unlock()
