--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -192,10 +192,10 @@
 // Reachability is what a new connection to a peer meets.
 type Reachability int
 
-// Open tells that something listens, Refused that the host is there and nothing listens, NoAnswer
+// Listening tells that something listens, Refused that the host is there and nothing listens, NoAnswer
 // that nothing came back in time: the host is off or cut off.
 const (
-	Open Reachability = iota
+	Listening Reachability = iota
 	Refused
 	NoAnswer
 )
@@ -209,7 +209,7 @@
 	switch {
 	case err == nil:
 		_ = raw.Close()
-		return Open
+		return Listening
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return Refused
 	default:
