--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -68,7 +68,7 @@
 		return false
 	}
 	reach := h.tryConnect(lead)
-	if reach == peer.Refused {
+	if reach == peer.ConnRefused {
 		return false
 	}
 	if h.repliedLate(lead) {
--- a/internal/entry/heir.go
+++ b/internal/entry/heir.go
@@ -41,7 +41,7 @@
 func (h *Host) isProcessGone(lead string) bool {
 	ctx, cancel := context.WithTimeout(h.ctx, goneTimeout)
 	defer cancel()
-	for h.peers.CheckReach(ctx, lead) != peer.Refused {
+	for h.peers.CheckReach(ctx, lead) != peer.ConnRefused {
 		if !sleep(ctx, goneRetry) {
 			return false
 		}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -192,11 +192,11 @@
 // Reachability is what a new connection to a peer meets.
 type Reachability int
 
-// Listening tells that something listens, Refused that the host is there and nothing listens, NoAnswer
+// Listening tells that something listens, ConnRefused that the host is there and nothing listens, NoAnswer
 // that nothing came back in time: the host is off or cut off.
 const (
 	Listening Reachability = iota
-	Refused
+	ConnRefused
 	NoAnswer
 )
 
@@ -211,7 +211,7 @@
 		_ = raw.Close()
 		return Listening
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return Refused
+		return ConnRefused
 	default:
 		return NoAnswer
 	}
