--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -62,7 +62,7 @@
 	switch {
 	case id == "" && r.Method == http.MethodGet:
 		h.servePending(ctx, w, q)
-	case !platform.JobID(id):
+	case !platform.IsJobID(id):
 		h.refuse(w, http.StatusNotFound, id, "no job's id")
 	case r.Method == http.MethodPost:
 		h.submit(ctx, w, r, q, id)
