--- a/internal/host/crash.go
+++ b/internal/host/crash.go
@@ -8,13 +8,13 @@
 // crashed has the lives that ended under a task stored, in the log or while that is away by a
 // peer. The lead does not start the task again before.
 func (h *Host) crashed(spec job.Spec, task string, lives int64) {
-	rec := joblog.Record{ID: spec.ID, Spec: &spec, Lives: map[string]int64{task: lives}}
+	rec := joblog.Record{ID: spec.ID, Spec: &spec, Crashes: map[string]int64{task: lives}}
 	h.store(rec, func() { h.noted(rec) })
 }
 
 // noted tells the lead which lives are stored.
 func (h *Host) noted(rec joblog.Record) {
-	for task, lives := range rec.Lives {
+	for task, lives := range rec.Crashes {
 		h.lead.AckCrashes(task, lives)
 	}
 }
--- a/internal/joblog/joblog.go
+++ b/internal/joblog/joblog.go
@@ -25,8 +25,8 @@
 	Ran bool `json:"ran,omitempty"`
 	// Reason tells why an ended job was given up.
 	Reason string `json:"reason,omitempty"`
-	// Lives are how many lives of workers ended under a task, by its id.
-	Lives map[string]int64 `json:"lives,omitempty"`
+	// Crashes are how many lives of workers ended under a task, by its id.
+	Crashes map[string]int64 `json:"lives,omitempty"`
 }
 
 // Merged is a record that says all that r and an older one of the same job say. An end is final.
@@ -37,7 +37,7 @@
 	if r.State == "" {
 		r.State, r.Ran, r.Reason = older.State, older.Ran, older.Reason
 	}
-	r.Lives = most(older.Lives, r.Lives)
+	r.Crashes = most(older.Crashes, r.Crashes)
 	return r
 }
 
@@ -52,8 +52,8 @@
 	case r.Spec == nil && other.Spec != nil:
 		return false
 	}
-	for task, lives := range other.Lives {
-		if r.Lives[task] < lives {
+	for task, lives := range other.Crashes {
+		if r.Crashes[task] < lives {
 			return false
 		}
 	}
@@ -138,7 +138,7 @@
 	if r.Spec != nil {
 		e.spec = *r.Spec
 	}
-	e.lives = most(e.lives, r.Lives)
+	e.lives = most(e.lives, r.Crashes)
 	if offset > 0 {
 		e.offset = offset
 	}
--- a/internal/joblog/joblog_test.go
+++ b/internal/joblog/joblog_test.go
@@ -49,7 +49,7 @@
 func TestCrashesAreKeptBesideOtherRecords(t *testing.T) {
 	l := joblog.New()
 	crashed := func(lives int64) joblog.Record {
-		return joblog.Record{ID: "d.r.1", Lives: map[string]int64{"d.r.1.0": lives}}
+		return joblog.Record{ID: "d.r.1", Crashes: map[string]int64{"d.r.1.0": lives}}
 	}
 	l.Fold(1, body(t, crashed(2)))
 	l.Fold(2, body(t, accepted("d.r.1")))
