--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -193,7 +193,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.jobs.log.Remember(rec)
-	h.jobs.owed[rec.ID] = rec.Merged(h.jobs.owed[rec.ID])
+	h.jobs.owed[rec.ID] = rec.Merge(h.jobs.owed[rec.ID])
 }
 
 // payOwed writes what the log could not take. Records that were written
--- a/internal/joblog/joblog.go
+++ b/internal/joblog/joblog.go
@@ -29,8 +29,8 @@
 	Crashes map[string]int64 `json:"lives,omitempty"`
 }
 
-// Merged is a record that says all that r and an older one of the same job say. An end is final.
-func (r Record) Merged(older Record) Record {
+// Merge is a record that says all that r and an older one of the same job say. An end is final.
+func (r Record) Merge(older Record) Record {
 	if r.Spec == nil {
 		r.Spec = older.Spec
 	}
--- a/internal/joblog/joblog_test.go
+++ b/internal/joblog/joblog_test.go
@@ -55,12 +55,12 @@
 	l.Fold(2, body(t, accepted("d.r.1")))
 	l.Fold(3, body(t, crashed(1)))
 	require.Equal(t, map[string]int64{"d.r.1.0": 2}, l.Lives("d.r.1"))
-	owed := accepted("d.r.1").Merged(crashed(2))
+	owed := accepted("d.r.1").Merge(crashed(2))
 	require.False(t, accepted("d.r.1").Covers(owed))
 	require.False(t, crashed(2).Covers(owed))
-	require.False(t, accepted("d.r.1").Merged(crashed(1)).Covers(owed))
+	require.False(t, accepted("d.r.1").Merge(crashed(1)).Covers(owed))
 	require.True(t, owed.Covers(owed))
 	end := joblog.Record{ID: "d.r.1", State: "failed", Reason: "crashed"}
-	require.Equal(t, "failed", crashed(3).Merged(end).State)
-	require.True(t, end.Covers(end.Merged(owed)))
+	require.Equal(t, "failed", crashed(3).Merge(end).State)
+	require.True(t, end.Covers(end.Merge(owed)))
 }
