--- a/internal/host/crash.go
+++ b/internal/host/crash.go
@@ -23,5 +23,5 @@
 func (h *Host) lives(id string) map[string]int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.jobs.log.Lives(id)
+	return h.jobs.log.Crashes(id)
 }
--- a/internal/joblog/joblog.go
+++ b/internal/joblog/joblog.go
@@ -193,8 +193,8 @@
 	return Record{ID: id, State: e.state, Ran: e.ran, Reason: e.reason}, true
 }
 
-// Lives are how many lives of workers ended under the tasks of a job.
-func (l *Log) Lives(id string) map[string]int64 {
+// Crashes are how many lives of workers ended under the tasks of a job.
+func (l *Log) Crashes(id string) map[string]int64 {
 	e, ok := l.jobs[id]
 	if !ok {
 		return nil
--- a/internal/joblog/joblog_test.go
+++ b/internal/joblog/joblog_test.go
@@ -54,7 +54,7 @@
 	l.Fold(1, body(t, crashed(2)))
 	l.Fold(2, body(t, accepted("d.r.1")))
 	l.Fold(3, body(t, crashed(1)))
-	require.Equal(t, map[string]int64{"d.r.1.0": 2}, l.Lives("d.r.1"))
+	require.Equal(t, map[string]int64{"d.r.1.0": 2}, l.Crashes("d.r.1"))
 	owed := accepted("d.r.1").Merge(crashed(2))
 	require.False(t, accepted("d.r.1").Covers(owed))
 	require.False(t, crashed(2).Covers(owed))
