--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -49,7 +49,7 @@
 // those that it only waits for and should not lead, and writes what is owed.
 func (h *Host) takeOver() {
 	h.mu.Lock()
-	open := h.jobs.log.Open()
+	open := h.jobs.log.OpenJobs()
 	h.mu.Unlock()
 	h.jobs.transfer.RLock()
 	defer h.jobs.transfer.RUnlock()
--- a/internal/joblog/joblog.go
+++ b/internal/joblog/joblog.go
@@ -158,8 +158,8 @@
 	}
 }
 
-// Open lists the jobs that were accepted and have not ended, by id.
-func (l *Log) Open() []job.Spec {
+// OpenJobs lists the jobs that were accepted and have not ended, by id.
+func (l *Log) OpenJobs() []job.Spec {
 	var open []job.Spec
 	for _, id := range slices.Sorted(maps.Keys(l.jobs)) {
 		if e := l.jobs[id]; e.state == "" && e.spec.ID != "" {
@@ -172,7 +172,7 @@
 // Old lists the open jobs whose record lies before an offset, to be written
 // again before the log trims it.
 func (l *Log) Old(before int64) []job.Spec {
-	return slices.DeleteFunc(l.Open(), func(s job.Spec) bool { return l.jobs[s.ID].offset >= before })
+	return slices.DeleteFunc(l.OpenJobs(), func(s job.Spec) bool { return l.jobs[s.ID].offset >= before })
 }
 
 // Spec returns a job's accepted form; false if it is not known.
--- a/internal/joblog/joblog_test.go
+++ b/internal/joblog/joblog_test.go
@@ -26,7 +26,7 @@
 	l.Fold(2, body(t, joblog.Record{ID: "d.r.1", State: "cancelled"}))
 	l.Fold(3, body(t, accepted("d.r.1")))
 	l.Remember(joblog.Record{ID: "d.r.1", State: "ended", Ran: true})
-	require.Equal(t, []job.Spec{{ID: "d.r.2"}}, l.Open())
+	require.Equal(t, []job.Spec{{ID: "d.r.2"}}, l.OpenJobs())
 	end, ok := l.End("d.r.1")
 	require.True(t, ok)
 	require.Equal(t, "cancelled", end.State)
@@ -40,7 +40,7 @@
 	l.Fold(2, body(t, accepted("d.r.1")))
 	l.Fold(1, body(t, joblog.Record{ID: "d.r.1", State: "ended"}))
 	require.Equal(t, int64(3), l.Next())
-	require.Len(t, l.Open(), 1)
+	require.Len(t, l.OpenJobs(), 1)
 	require.Empty(t, l.Old(2))
 	require.Len(t, l.Old(3), 1)
 }
