--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -328,7 +328,7 @@
 	h.mu.Lock()
 	h.jobs.tidy()
 	whole := h.jobs.log.Next() >= page.Next
-	old := h.jobs.log.Old(page.Oldest + (page.Next-page.Oldest)/renewPart)
+	old := h.jobs.log.OpenBefore(page.Oldest + (page.Next-page.Oldest)/renewPart)
 	h.mu.Unlock()
 	h.takeOver()
 	if whole {
--- a/internal/joblog/joblog.go
+++ b/internal/joblog/joblog.go
@@ -169,9 +169,9 @@
 	return open
 }
 
-// Old lists the open jobs whose record lies before an offset, to be written
+// OpenBefore lists the open jobs whose record lies before an offset, to be written
 // again before the log trims it.
-func (l *Log) Old(before int64) []job.Spec {
+func (l *Log) OpenBefore(before int64) []job.Spec {
 	return slices.DeleteFunc(l.OpenJobs(), func(s job.Spec) bool { return l.jobs[s.ID].offset >= before })
 }
 
--- a/internal/joblog/joblog_test.go
+++ b/internal/joblog/joblog_test.go
@@ -41,8 +41,8 @@
 	l.Fold(1, body(t, joblog.Record{ID: "d.r.1", State: "ended"}))
 	require.Equal(t, int64(3), l.Next())
 	require.Len(t, l.OpenJobs(), 1)
-	require.Empty(t, l.Old(2))
-	require.Len(t, l.Old(3), 1)
+	require.Empty(t, l.OpenBefore(2))
+	require.Len(t, l.OpenBefore(3), 1)
 }
 
 // Guards against a count of crashes that is lost with a later record.
