--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -289,7 +289,7 @@
 		switch {
 		case errors.As(err, &trimmed):
 			h.mu.Lock()
-			h.jobs.log.Skip(trimmed.Oldest)
+			h.jobs.log.SkipTo(trimmed.Oldest)
 			h.mu.Unlock()
 			continue
 		case err != nil:
--- a/internal/joblog/joblog.go
+++ b/internal/joblog/joblog.go
@@ -104,8 +104,8 @@
 // Next is the offset to read from.
 func (l *Log) Next() int64 { return l.next }
 
-// Skip goes on at a later offset, when records before it were trimmed.
-func (l *Log) Skip(to int64) { l.next = max(l.next, to) }
+// SkipTo goes on at a later offset, when records before it were trimmed.
+func (l *Log) SkipTo(to int64) { l.next = max(l.next, to) }
 
 // Fold takes one record of the stream and returns what it says. A body that cannot be
 // read is passed over by every host alike.
