--- a/internal/flow/spec.go
+++ b/internal/flow/spec.go
@@ -61,8 +61,8 @@
 	Time time.Duration `json:"time,omitempty"`
 	// After are the steps that must be done first.
 	After []int `json:"after,omitempty"`
-	// Saves tells that tasks checkpoint their progress.
-	Saves bool `json:"saves,omitempty"`
+	// Checkpoints tells that tasks checkpoint their progress.
+	Checkpoints bool `json:"saves,omitempty"`
 	// Gang tells that all tasks run together or not at all.
 	Gang     bool `json:"gang,omitempty"`
 	SameRack bool `json:"samerack,omitempty"`
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -366,5 +366,5 @@
 }
 
 func bulk(tasks int) flow.Step {
-	return flow.Step{Tasks: tasks, Size: cell.Size{CPU: 11_000, Mem: 32 << 30}, Time: 6 * time.Second, Saves: true}
+	return flow.Step{Tasks: tasks, Size: cell.Size{CPU: 11_000, Mem: 32 << 30}, Time: 6 * time.Second, Checkpoints: true}
 }
--- a/internal/sched/gpu_test.go
+++ b/internal/sched/gpu_test.go
@@ -42,11 +42,11 @@
 }
 
 func render(members int, gpus int64) flow.Step {
-	return flow.Step{Tasks: members, Size: cell.Size{CPU: 62_000, Mem: 180 << 30, Accel: gpus}, Time: 3600 * time.Millisecond, Gang: true, Saves: true}
+	return flow.Step{Tasks: members, Size: cell.Size{CPU: 62_000, Mem: 180 << 30, Accel: gpus}, Time: 3600 * time.Millisecond, Gang: true, Checkpoints: true}
 }
 
 func size(tasks int) flow.Step {
-	return flow.Step{Tasks: tasks, Size: cell.Size{CPU: 11_000, Mem: 33 << 30, Accel: 1}, Time: 3800 * time.Millisecond, Saves: true}
+	return flow.Step{Tasks: tasks, Size: cell.Size{CPU: 11_000, Mem: 33 << 30, Accel: 1}, Time: 3800 * time.Millisecond, Checkpoints: true}
 }
 
 // Gangs wait for whole workers that the policy service allows them, and there are more
@@ -177,7 +177,7 @@
 // caller was promised, since what is given back on its worker is held for it.
 func TestRoomIsHeldForAWideTask(t *testing.T) {
 	single := size(1)
-	single.Saves = false
+	single.Checkpoints = false
 	// 2.2 times its work and a second.
 	require.Less(t, flood(t, single), 8900*time.Millisecond)
 }
@@ -200,7 +200,7 @@
 func TestAStepTellsWhatItWaitsFor(t *testing.T) {
 	b := gpuBench(t, 1)
 	long := wide()
-	long.Time, long.Saves = 8*time.Second, false
+	long.Time, long.Checkpoints = 8*time.Second, false
 	b.submit("first", "render", long)
 	b.play(time.Second)
 	require.Len(t, b.waited, 1)
--- a/internal/sched/grown_test.go
+++ b/internal/sched/grown_test.go
@@ -43,7 +43,7 @@
 		{
 			flow.Queue{Name: "review", Service: "desk", Rank: 2, Attempts: 3, Stretch: 4, Slack: 3 * time.Second, Advice: advice(170*time.Millisecond, 2400*us)},
 			2.3, 0.45, func(r *rand.Rand) flow.Step {
-				return flow.Step{Tasks: 1 + r.IntN(36), Size: cell.Size{CPU: 18_000, Mem: 38 << 30}, Time: around(r, 5600*time.Millisecond), Saves: r.IntN(5) > 0}
+				return flow.Step{Tasks: 1 + r.IntN(36), Size: cell.Size{CPU: 18_000, Mem: 38 << 30}, Time: around(r, 5600*time.Millisecond), Checkpoints: r.IntN(5) > 0}
 			},
 		},
 		{
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -288,7 +288,7 @@
 	b.submit("first", "scan", filler)
 	b.play(200 * time.Millisecond)
 	gang := bulk(8)
-	gang.Gang, gang.Saves = true, false
+	gang.Gang, gang.Checkpoints = true, false
 	b.submit("gang", "print", gang)
 	b.play(2 * time.Second)
 	require.Equal(t, 1, total(b.starts), "there is room for five members only")
@@ -347,7 +347,7 @@
 	b := newBench(t, 1)
 	for _, id := range []string{"a", "b"} {
 		gang := bulk(5)
-		gang.Gang, gang.Saves, gang.Time = true, false, time.Second
+		gang.Gang, gang.Checkpoints, gang.Time = true, false, time.Second
 		b.submit(id, "print", gang)
 	}
 	b.play(3 * time.Second)
--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -97,7 +97,7 @@
 	b.play(100 * time.Millisecond)
 	b.storeTime = func() time.Duration { return 300 * time.Millisecond }
 	gang := bulk(8)
-	gang.Gang, gang.Saves = true, false
+	gang.Gang, gang.Checkpoints = true, false
 	b.submit("gang", "print", gang)
 	b.play(100 * time.Millisecond)
 	b.workers["w00"].resize(small)
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -160,7 +160,7 @@
 		switch {
 		case st.Lasts:
 			s.stopRun(t, "worker leaves")
-		case st.Saves && s.now.Add(s.limits.StopGrace).After(w.leavesAt):
+		case st.Checkpoints && s.now.Add(s.limits.StopGrace).After(w.leavesAt):
 			s.stopRun(t, "worker leaves")
 		}
 	}
