--- a/internal/flow/spec.go
+++ b/internal/flow/spec.go
@@ -68,8 +68,8 @@
 	SameRack bool `json:"samerack,omitempty"`
 	// Copies tells that copies of a task may run beside each other.
 	Copies bool `json:"copies,omitempty"`
-	// Lasts tells that the tasks run until the job is cancelled.
-	Lasts bool `json:"lasts,omitempty"`
+	// LongRunning tells that the tasks run until the job is cancelled.
+	LongRunning bool `json:"lasts,omitempty"`
 	// Label is one that the worker must have; Near the rack of the data.
 	Label string `json:"label,omitempty"`
 	Near  string `json:"near,omitempty"`
--- a/internal/sched/chance.go
+++ b/internal/sched/chance.go
@@ -41,7 +41,7 @@
 // still be on time, only as many are late as exceed the cell's capacity. Long-running jobs have no
 // deadline.
 func (s *Sched) deadlineClassOf(j *flow.Job, r *flow.Round, st *flow.Stage, q flow.Queue) deadlineClass {
-	if !s.enabled(OnTimeFirst) || st.Spec.Lasts {
+	if !s.enabled(OnTimeFirst) || st.Spec.LongRunning {
 		return onTime
 	}
 	objective := j.Objective(q)
--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -140,7 +140,7 @@
 
 // clearProven clears the crash count of a long-running task that has run for long enough.
 func (s *Sched) clearProven(t *flow.Task) {
-	if t.Spec().Lasts && t.State == flow.Running && s.suspects[t] && s.now.Sub(t.Since) >= provenAfter {
+	if t.Spec().LongRunning && t.State == flow.Running && s.suspects[t] && s.now.Sub(t.Since) >= provenAfter {
 		t.Clear()
 		delete(s.suspects, t)
 		s.markDirty(t.Job)
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -108,7 +108,7 @@
 		}},
 		{"lasting", func() flow.Step {
 			st := scan(1)
-			st.Lasts = true
+			st.LongRunning = true
 			return st
 		}},
 	}
@@ -233,7 +233,7 @@
 func TestALastingTaskThatWorksIsNotGivenUp(t *testing.T) {
 	b := newBench(t, 4)
 	st := scan(1)
-	st.Lasts = true
+	st.LongRunning = true
 	b.submit("watch", "scan", st)
 	for range 6 {
 		b.play(20 * time.Second)
--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -142,7 +142,7 @@
 	t.Fails++
 	j := t.Job
 	s.markDirty(j)
-	if j.State.Final() || t.Spec().Lasts || t.Fails < s.queue(j).Attempts {
+	if j.State.Final() || t.Spec().LongRunning || t.Fails < s.queue(j).Attempts {
 		return
 	}
 	s.emit(Note{ID: j.Spec.ID, What: "failed for good", Detail: t.Name.String()})
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -281,7 +281,7 @@
 	if r.job.Domain != "" && w.Domain != r.job.Domain {
 		c += domainCost
 	}
-	if !st.Lasts && w.runsTaskOf(r.job) {
+	if !st.LongRunning && w.runsTaskOf(r.job) {
 		c -= togetherCost
 	}
 	if w.speed < slowSpeed {
--- a/internal/sched/reserve.go
+++ b/internal/sched/reserve.go
@@ -66,7 +66,7 @@
 	}
 	var ends []end
 	for _, t := range w.sortedTasks() {
-		if !t.Spec().Lasts {
+		if !t.Spec().LongRunning {
 			ends = append(ends, end{t.Since.Add(t.Spec().Time), t.Spec().Room()})
 		}
 	}
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -267,7 +267,7 @@
 func TestAWorkerThatLeavesIsEmptied(t *testing.T) {
 	b := newBench(t, 2)
 	lasts := scan(8)
-	lasts.Lasts = true
+	lasts.LongRunning = true
 	b.submit("watch", "scan", lasts)
 	b.play(time.Second)
 	leaving := b.workers["w00"]
--- a/internal/sched/slow.go
+++ b/internal/sched/slow.go
@@ -102,7 +102,7 @@
 func speedOf(t *flow.Task, clock time.Time) (float64, bool) {
 	st := t.Spec()
 	took := clock.Sub(t.Seen)
-	if t.State != flow.Running || t.Seen.IsZero() || st.Lasts || st.Gang || st.Fills || st.Time <= 0 || t.Percent >= 100 {
+	if t.State != flow.Running || t.Seen.IsZero() || st.LongRunning || st.Gang || st.Fills || st.Time <= 0 || t.Percent >= 100 {
 		return 0, false
 	}
 	if took < max(slowMin, time.Duration(slowMinShare*float64(st.Time))) {
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -158,7 +158,7 @@
 		}
 		st := t.Spec()
 		switch {
-		case st.Lasts:
+		case st.LongRunning:
 			s.stopRun(t, "worker leaves")
 		case st.Checkpoints && s.now.Add(s.limits.StopGrace).After(w.leavesAt):
 			s.stopRun(t, "worker leaves")
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -162,7 +162,7 @@
 	if w.b.bad != nil && w.b.bad(a.Task) {
 		w.b.after(crashAfter, func() { w.crash(a.Task, r) })
 	}
-	if !st.Lasts && !w.still {
+	if !st.LongRunning && !w.still {
 		w.b.after(r.ends.Sub(w.b.now), func() { w.finish(a.Task, r) })
 	}
 	return sched.Accepted
@@ -355,7 +355,7 @@
 	for _, n := range slices.SortedFunc(maps.Keys(w.runs), func(x, y flow.Name) int { return strings.Compare(x.String(), y.String()) }) {
 		r := w.runs[n]
 		l := sched.RunStatus{Task: n, Run: r.run, Percent: 100}
-		if !r.step.Lasts && r.step.Time > 0 && !w.still {
+		if !r.step.LongRunning && r.step.Time > 0 && !w.still {
 			l.Percent = int(100 * w.b.now.Sub(r.began) / r.ends.Sub(r.began))
 		}
 		if w.still {
