--- a/internal/flow/spec.go
+++ b/internal/flow/spec.go
@@ -78,15 +78,15 @@
 	Image string `json:"image,omitempty"`
 	// Target bounds the tail of the response times of a lasting task.
 	Target time.Duration `json:"target,omitempty"`
-	// Fills tells that the tasks take only processor time that others leave.
-	Fills bool `json:"fills,omitempty"`
+	// BestEffort tells that the tasks take only processor time that others leave.
+	BestEffort bool `json:"fills,omitempty"`
 	// MayMiss is how many lasting tasks the system may stop at a time.
 	MayMiss int `json:"maymiss,omitempty"`
 }
 
 // Room is what one task takes of a worker's size.
 func (s Step) Room() cell.Size {
-	if s.Fills {
+	if s.BestEffort {
 		return cell.Size{Mem: s.Size.Mem, Accel: s.Size.Accel}
 	}
 	return s.Size
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -74,7 +74,7 @@
 func TestFillingTasksAreHeldBackBesideATaskThatServes(t *testing.T) {
 	b := newBench(t, 1)
 	serve := flow.Step{Tasks: 1, Size: cell.Size{CPU: 20_000, Mem: 8 << 30}, LongRunning: true, Target: 100 * time.Millisecond}
-	fill := flow.Step{Tasks: 2, Size: cell.Size{CPU: 10_000, Mem: 8 << 30}, Time: time.Minute, Fills: true}
+	fill := flow.Step{Tasks: 2, Size: cell.Size{CPU: 10_000, Mem: 8 << 30}, Time: time.Minute, BestEffort: true}
 	b.submit("serve", "scan", serve)
 	b.submit("fill", "print", fill)
 	b.play(time.Second)
--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -63,7 +63,7 @@
 		w.pace.level, w.pace.changed = level, s.now
 	}
 	for _, t := range w.sortedTasks() {
-		if t.Spec().Fills && t.State == flow.Running && (t.Pace != level || worst >= pauseFrom) {
+		if t.Spec().BestEffort && t.State == flow.Running && (t.Pace != level || worst >= pauseFrom) {
 			t.Pace = level
 			s.emit(Pace{To: w.Address, Term: s.term, Task: t.Name, Run: t.Run, Percent: level})
 		}
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -225,7 +225,7 @@
 		return false
 	case t.Avoid == w.Incarnation && s.now.Sub(t.Since) < avoidFor:
 		return false
-	case st.Fills && w.fillCPU+st.Size.CPU > max(w.free().CPU, 0):
+	case st.BestEffort && w.fillCPU+st.Size.CPU > max(w.free().CPU, 0):
 		return false
 	case st.Apart > 0 && w.tasksOf(r.stage) >= st.Apart, !s.mayShare(t, w):
 		return false
@@ -271,10 +271,10 @@
 	if st.Near != "" && w.Rack != st.Near {
 		c += farCost
 	}
-	if st.Fills && w.runsServing() || st.Target > 0 && w.fillCPU > 0 {
+	if st.BestEffort && w.runsServing() || st.Target > 0 && w.fillCPU > 0 {
 		c += serveCost
 	}
-	if st.Fills {
+	if st.BestEffort {
 		// Filling tasks go to the workers with the most free processor time.
 		c -= 2 * float64(w.free().CPU-w.fillCPU) / float64(w.Size.CPU)
 	}
--- a/internal/sched/slow.go
+++ b/internal/sched/slow.go
@@ -53,7 +53,7 @@
 		t.Seen, t.Moved = clock, clock
 		return
 	}
-	if t.State != flow.Running || st.Fills || l.Percent >= 100 || w.draining {
+	if t.State != flow.Running || st.BestEffort || l.Percent >= 100 || w.draining {
 		return
 	}
 	still := max(stallMin, time.Duration(stallShare*float64(st.Time)))
@@ -102,7 +102,7 @@
 func speedOf(t *flow.Task, clock time.Time) (float64, bool) {
 	st := t.Spec()
 	took := clock.Sub(t.Seen)
-	if t.State != flow.Running || t.Seen.IsZero() || st.LongRunning || st.Gang || st.Fills || st.Time <= 0 || t.Percent >= 100 {
+	if t.State != flow.Running || t.Seen.IsZero() || st.LongRunning || st.Gang || st.BestEffort || st.Time <= 0 || t.Percent >= 100 {
 		return 0, false
 	}
 	if took < max(slowMin, time.Duration(slowMinShare*float64(st.Time))) {
@@ -115,7 +115,7 @@
 func (w *worker) measureSpeed(t *flow.Task, clock time.Time) {
 	st := t.Spec()
 	took := clock.Sub(t.Seen)
-	if t.Seen.IsZero() || st.Gang || st.Fills || st.Time <= 0 || took < slowMin {
+	if t.Seen.IsZero() || st.Gang || st.BestEffort || st.Time <= 0 || took < slowMin {
 		return
 	}
 	rate := min(float64(st.Time)/float64(took), 1)
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -82,7 +82,7 @@
 	}
 	w.tasks[t.Name] = t
 	w.used = w.used.Add(t.Spec().Room())
-	if t.Spec().Fills {
+	if t.Spec().BestEffort {
 		w.fillCPU += t.Spec().Size.CPU
 	}
 }
@@ -93,7 +93,7 @@
 	}
 	delete(w.tasks, t.Name)
 	w.used = w.used.Sub(t.Spec().Room())
-	if t.Spec().Fills {
+	if t.Spec().BestEffort {
 		w.fillCPU -= t.Spec().Size.CPU
 	}
 }
--- a/internal/sched/yield.go
+++ b/internal/sched/yield.go
@@ -106,7 +106,7 @@
 func (s *Sched) preemptible(t *flow.Task, r readyStep) bool {
 	st := t.Spec()
 	q := s.queue(t.Job)
-	if t.State != flow.Running || !st.Checkpoints || st.Gang || st.LongRunning || st.Fills || q.Rank <= r.queue.Rank || t.Yields >= maxPreemptions {
+	if t.State != flow.Running || !st.Checkpoints || st.Gang || st.LongRunning || st.BestEffort || q.Rank <= r.queue.Rank || t.Yields >= maxPreemptions {
 		return false
 	}
 	round, ok := t.Job.Rounds[t.Name.Round]
