--- a/internal/sched/gang.go
+++ b/internal/sched/gang.go
@@ -75,7 +75,7 @@
 	put := make([]*worker, 0, len(r.stage.Tasks))
 	for range r.stage.Tasks {
 		i := slices.IndexFunc(able, func(w *worker) bool {
-			return st.Room().Fits(room[w]) && (st.Apart == 0 || w.tasksOf(r.stage)+count[w] < st.Apart)
+			return st.Room().Fits(room[w]) && (st.MaxPerWorker == 0 || w.tasksOf(r.stage)+count[w] < st.MaxPerWorker)
 		})
 		if i < 0 {
 			return nil
--- a/internal/sched/naming.go
+++ b/internal/sched/naming.go
@@ -123,8 +123,8 @@
 func (r readyStep) taskCapacity(w *worker) int {
 	st := r.stage.Spec
 	n := min(int64(len(r.tasks)), st.Room().Into(w.free()))
-	if st.Apart > 0 {
-		n = min(n, int64(st.Apart-w.tasksOf(r.stage)))
+	if st.MaxPerWorker > 0 {
+		n = min(n, int64(st.MaxPerWorker-w.tasksOf(r.stage)))
 	}
 	return int(max(n, 1))
 }
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -227,7 +227,7 @@
 		return false
 	case st.BestEffort && w.fillCPU+st.Size.CPU > max(w.free().CPU, 0):
 		return false
-	case st.Apart > 0 && w.tasksOf(r.stage) >= st.Apart, !s.mayShare(t, w):
+	case st.MaxPerWorker > 0 && w.tasksOf(r.stage) >= st.MaxPerWorker, !s.mayShare(t, w):
 		return false
 	}
 	return true
