--- a/internal/flow/spec.go
+++ b/internal/flow/spec.go
@@ -71,8 +71,8 @@
 	// LongRunning tells that the tasks run until the job is cancelled.
 	LongRunning bool `json:"lasts,omitempty"`
 	// Label is one that the worker must have; Near the rack of the data.
-	Label string `json:"label,omitempty"`
-	Near  string `json:"near,omitempty"`
+	Label    string `json:"label,omitempty"`
+	NearRack string `json:"near,omitempty"`
 	// MaxPerWorker is the most tasks of the step on one worker; zero is no limit.
 	MaxPerWorker int    `json:"apart,omitempty"`
 	Image        string `json:"image,omitempty"`
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -268,7 +268,7 @@
 	st := r.stage.Spec
 	left := w.free().Sub(st.Room())
 	c := left.Share(cell.Size{CPU: w.Size.CPU, Mem: w.Size.Mem, Accel: max(w.Size.Accel, 1)})
-	if st.Near != "" && w.Rack != st.Near {
+	if st.NearRack != "" && w.Rack != st.NearRack {
 		c += farCost
 	}
 	if st.BestEffort && w.runsServing() || st.Target > 0 && w.fillCPU > 0 {
