--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -127,7 +127,7 @@
 	b, ok := end(flow.Step{Tasks: 1}, done)
 	require.True(t, ok)
 	require.Less(t, len(b), 100, string(b))
-	_, ok = end(flow.Step{Tasks: 1, Copies: true}, done)
+	_, ok = end(flow.Step{Tasks: 1, AllowCopies: true}, done)
 	require.False(t, ok, "a copy of it may still run")
 	_, ok = end(flow.Step{Tasks: 1}, func(j *flow.Job, _ *flow.Task) { j.State, j.Ended = flow.Cancelled, now })
 	require.False(t, ok, "its run has to be stopped")
--- a/internal/flow/record.go
+++ b/internal/flow/record.go
@@ -85,7 +85,7 @@
 	rec := record{Version: v, State: j.State, Began: j.Began.UnixMilli(), Number: j.Number, Next: j.Next}
 	if j.State.Final() {
 		rec.Ended = j.Ended.UnixMilli()
-		rec.Strays = slices.ContainsFunc(j.Spec.Steps, func(s Step) bool { return s.Copies })
+		rec.Strays = slices.ContainsFunc(j.Spec.Steps, func(s Step) bool { return s.AllowCopies })
 	}
 	for _, n := range slices.Sorted(maps.Keys(j.Rounds)) {
 		rr := roundRecord{Index: n}
--- a/internal/flow/spec.go
+++ b/internal/flow/spec.go
@@ -66,8 +66,8 @@
 	// Gang tells that all tasks run together or not at all.
 	Gang     bool `json:"gang,omitempty"`
 	SameRack bool `json:"samerack,omitempty"`
-	// Copies tells that copies of a task may run beside each other.
-	Copies bool `json:"copies,omitempty"`
+	// AllowCopies tells that copies of a task may run beside each other.
+	AllowCopies bool `json:"copies,omitempty"`
 	// LongRunning tells that the tasks run until the job is cancelled.
 	LongRunning bool `json:"lasts,omitempty"`
 	// Label is one that the worker must have; Near the rack of the data.
--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -71,7 +71,7 @@
 		return false
 	}
 	t := j.Task(l.Task)
-	if t == nil || !t.Spec().Copies || t.State != flow.Waiting || l.Run < t.Run {
+	if t == nil || !t.Spec().AllowCopies || t.State != flow.Waiting || l.Run < t.Run {
 		return false
 	}
 	t.Worker, t.Run = w.Incarnation, l.Run
@@ -90,7 +90,7 @@
 		return
 	}
 	t := j.Task(e.Task)
-	if t == nil || !t.Spec().Copies || t.State == flow.Done {
+	if t == nil || !t.Spec().AllowCopies || t.State == flow.Done {
 		return
 	}
 	switch e.How {
@@ -129,7 +129,7 @@
 // elsewhere.
 func (s *Sched) copySilentTasks(w *worker) {
 	for _, t := range w.sortedTasks() {
-		if t.Spec().Copies && !t.Spec().Gang && (t.State == flow.Running || t.State == flow.Starting) {
+		if t.Spec().AllowCopies && !t.Spec().Gang && (t.State == flow.Running || t.State == flow.Starting) {
 			w.untrack(runKey{t.Name, t.Run}, t.Spec().Room(), s.latestStart())
 			s.markLost(t, w)
 			s.requeueTask(t, "worker is silent, a copy may run")
--- a/internal/sched/crash_cells_test.go
+++ b/internal/sched/crash_cells_test.go
@@ -22,7 +22,7 @@
 			b.away = time.Duration(r.IntN(3000)) * time.Millisecond
 			b.play(time.Duration(r.IntN(1000)) * time.Millisecond)
 			bad := scan(3)
-			bad.Copies = b.copies
+			bad.AllowCopies = b.copies
 			at := []int{r.IntN(20), r.IntN(20)}
 			for i := range 20 {
 				for k := range at {
@@ -31,7 +31,7 @@
 					}
 				}
 				st := scan(6)
-				st.Copies = b.copies && i%2 == 0
+				st.AllowCopies = b.copies && i%2 == 0
 				st.Time = around(r, 2*time.Second)
 				b.submit(fmt.Sprintf("good%02d", i), "scan", st, scan(2))
 				b.play(time.Duration(r.IntN(300)) * time.Millisecond)
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -103,7 +103,7 @@
 		}},
 		{"copies", func() flow.Step {
 			st := scan(1)
-			st.Copies = true
+			st.AllowCopies = true
 			return st
 		}},
 		{"lasting", func() flow.Step {
@@ -115,7 +115,7 @@
 	for _, k := range kinds {
 		t.Run(k.name, func(t *testing.T) {
 			b := newBench(t, 8)
-			b.copies = k.step().Copies
+			b.copies = k.step().AllowCopies
 			b.badJobs("bad")
 			b.play(100 * time.Millisecond)
 			b.submit("bad", "scan", k.step())
@@ -148,7 +148,7 @@
 				b.copies = copies
 				b.badJobs("bad")
 				st := scan(1)
-				st.Copies = copies
+				st.AllowCopies = copies
 				b.play(100 * time.Millisecond)
 				b.submit("bad", "scan", st)
 				ended := 0
@@ -177,12 +177,12 @@
 			b.badJobs("bad0", "bad1")
 			b.play(100 * time.Millisecond)
 			bad := scan(3)
-			bad.Copies = copies
+			bad.AllowCopies = copies
 			b.submit("bad0", "scan", bad)
 			b.submit("bad1", "scan", bad)
 			for i := range 20 {
 				st := scan(6)
-				st.Copies = copies && i%2 == 0
+				st.AllowCopies = copies && i%2 == 0
 				b.submit(fmt.Sprintf("good%02d", i), "scan", st, scan(2))
 				b.play(150 * time.Millisecond)
 			}
@@ -205,7 +205,7 @@
 	b.badJobs("bad")
 	b.play(100 * time.Millisecond)
 	st := scan(1)
-	st.Copies = true
+	st.AllowCopies = true
 	b.storeAway = true
 	b.submit("bad", "scan", st)
 	b.play(20 * time.Second)
@@ -254,7 +254,7 @@
 			b := newBench(t, 12)
 			b.copies = copies
 			st := scan(1)
-			st.Copies, st.Time = copies, 200*time.Second
+			st.AllowCopies, st.Time = copies, 200*time.Second
 			b.submit("long", "scan", st)
 			for i := range 8 {
 				b.play(2 * time.Second)
@@ -320,7 +320,7 @@
 	b.copies, b.away = true, 3*time.Second
 	b.badJobs("bad")
 	st := scan(1)
-	st.Copies = true
+	st.AllowCopies = true
 	b.play(100 * time.Millisecond)
 	b.submit("bad", "scan", st)
 	b.play(15 * time.Second)
--- a/internal/sched/grown_test.go
+++ b/internal/sched/grown_test.go
@@ -37,7 +37,7 @@
 		{
 			flow.Queue{Name: "summary", Service: "desk", Attempts: 3, Stretch: 1.5, Slack: 250 * time.Millisecond, Advice: advice(12*time.Millisecond, 180*us)},
 			55, 0.7, func(r *rand.Rand) flow.Step {
-				return flow.Step{Tasks: 1 + r.IntN(20), Size: cell.Size{CPU: 11_000, Mem: 12 << 30}, Time: around(r, 560*time.Millisecond), Copies: r.IntN(3) == 0}
+				return flow.Step{Tasks: 1 + r.IntN(20), Size: cell.Size{CPU: 11_000, Mem: 12 << 30}, Time: around(r, 560*time.Millisecond), AllowCopies: r.IntN(3) == 0}
 			},
 		},
 		{
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -107,12 +107,12 @@
 	b.copies = true
 	b.play(100 * time.Millisecond)
 	step := scan(8)
-	step.Copies = true
+	step.AllowCopies = true
 	b.submit("a", "scan", step)
 	b.play(50 * time.Millisecond)
 	b.storeAway = true
 	next := scan(8)
-	next.Copies = true
+	next.AllowCopies = true
 	b.submit("b", "scan", next)
 	b.play(200 * time.Millisecond)
 	started := 0
@@ -141,7 +141,7 @@
 	b.copies = true
 	b.play(100 * time.Millisecond)
 	step := scan(tasks)
-	step.Copies, step.Time = true, work
+	step.AllowCopies, step.Time = true, work
 	b.submit("a", "scan", step)
 	b.play(300 * time.Millisecond)
 	cut := slices.MaxFunc(b.inOrder(), func(x, y *fakeWorker) int { return len(x.runs) - len(y.runs) })
@@ -229,7 +229,7 @@
 	b.play(100 * time.Millisecond)
 	b.storeAway = true
 	step := scan(8)
-	step.Copies, step.Time = true, 3*time.Second
+	step.AllowCopies, step.Time = true, 3*time.Second
 	b.submit("a", "scan", step)
 	b.play(200 * time.Millisecond)
 	require.Equal(t, 8, total(b.starts))
@@ -422,7 +422,7 @@
 	b.play(100 * time.Millisecond)
 	b.storeAway = true
 	step := scan(1)
-	step.Copies = true
+	step.AllowCopies = true
 	b.submit("a", "scan", step)
 	b.play(4 * time.Second)
 	require.Equal(t, 3, total(b.starts))
--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -23,7 +23,7 @@
 	if t.Doubt() > 0 {
 		s.markSuspect(t)
 	}
-	if t.Spec().Copies && t.Doubt() == 0 {
+	if t.Spec().AllowCopies && t.Doubt() == 0 {
 		s.unstoredStarts = append(s.unstoredStarts, runKey{t.Name, run})
 		return
 	}
