--- a/internal/flow/spec.go
+++ b/internal/flow/spec.go
@@ -80,8 +80,8 @@
 	Target time.Duration `json:"target,omitempty"`
 	// BestEffort tells that the tasks take only processor time that others leave.
 	BestEffort bool `json:"fills,omitempty"`
-	// MayMiss is how many lasting tasks the system may stop at a time.
-	MayMiss int `json:"maymiss,omitempty"`
+	// MaxUnavailable is how many lasting tasks the system may stop at a time.
+	MaxUnavailable int `json:"maymiss,omitempty"`
 }
 
 // Room is what one task takes of a worker's size.
@@ -140,7 +140,7 @@
 	if s.Size.CPU < 0 || s.Size.Mem < 0 || s.Size.Accel < 0 {
 		return bad("size", min(s.Size.CPU, s.Size.Mem, s.Size.Accel), "0 or more")
 	}
-	if s.Time < 0 || s.Target < 0 || s.MaxPerWorker < 0 || s.MayMiss < 0 {
+	if s.Time < 0 || s.Target < 0 || s.MaxPerWorker < 0 || s.MaxUnavailable < 0 {
 		return bad("limits", -1, "0 or more")
 	}
 	for _, a := range s.After {
