--- a/internal/flow/spec.go
+++ b/internal/flow/spec.go
@@ -76,8 +76,8 @@
 	// MaxPerWorker is the most tasks of the step on one worker; zero is no limit.
 	MaxPerWorker int    `json:"apart,omitempty"`
 	Image        string `json:"image,omitempty"`
-	// Target bounds the tail of the response times of a lasting task.
-	Target time.Duration `json:"target,omitempty"`
+	// LatencyTarget bounds the tail of the response times of a lasting task.
+	LatencyTarget time.Duration `json:"target,omitempty"`
 	// BestEffort tells that the tasks take only processor time that others leave.
 	BestEffort bool `json:"fills,omitempty"`
 	// MaxUnavailable is how many lasting tasks the system may stop at a time.
@@ -140,7 +140,7 @@
 	if s.Size.CPU < 0 || s.Size.Mem < 0 || s.Size.Accel < 0 {
 		return bad("size", min(s.Size.CPU, s.Size.Mem, s.Size.Accel), "0 or more")
 	}
-	if s.Time < 0 || s.Target < 0 || s.MaxPerWorker < 0 || s.MaxUnavailable < 0 {
+	if s.Time < 0 || s.LatencyTarget < 0 || s.MaxPerWorker < 0 || s.MaxUnavailable < 0 {
 		return bad("limits", -1, "0 or more")
 	}
 	for _, a := range s.After {
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -73,7 +73,7 @@
 // nears its bound they are held back, and let go again once it is calm.
 func TestFillingTasksAreHeldBackBesideATaskThatServes(t *testing.T) {
 	b := newBench(t, 1)
-	serve := flow.Step{Tasks: 1, Size: cell.Size{CPU: 20_000, Mem: 8 << 30}, LongRunning: true, Target: 100 * time.Millisecond}
+	serve := flow.Step{Tasks: 1, Size: cell.Size{CPU: 20_000, Mem: 8 << 30}, LongRunning: true, LatencyTarget: 100 * time.Millisecond}
 	fill := flow.Step{Tasks: 2, Size: cell.Size{CPU: 10_000, Mem: 8 << 30}, Time: time.Minute, BestEffort: true}
 	b.submit("serve", "scan", serve)
 	b.submit("fill", "print", fill)
@@ -83,7 +83,7 @@
 		ev := sched.HoldReply{Worker: "w00", Probe: true, Sent: b.now, Received: b.now, Clock: b.now}
 		for n, r := range b.workers["w00"].runs {
 			l := sched.RunStatus{Task: n, Run: r.run, Percent: 100}
-			if r.step.Target > 0 {
+			if r.step.LatencyTarget > 0 {
 				l.Metric = ms
 			}
 			ev.Running = append(ev.Running, l)
--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -36,10 +36,10 @@
 	worst := 0.0
 	for _, l := range running {
 		t := w.tasks[l.Task]
-		if t == nil || t.Run != l.Run || t.Spec().Target == 0 {
+		if t == nil || t.Run != l.Run || t.Spec().LatencyTarget == 0 {
 			continue
 		}
-		worst = max(worst, float64(l.Metric)/float64(t.Spec().Target.Milliseconds()))
+		worst = max(worst, float64(l.Metric)/float64(t.Spec().LatencyTarget.Milliseconds()))
 	}
 	return worst
 }
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -271,7 +271,7 @@
 	if st.NearRack != "" && w.Rack != st.NearRack {
 		c += farCost
 	}
-	if st.BestEffort && w.runsServing() || st.Target > 0 && w.fillCPU > 0 {
+	if st.BestEffort && w.runsServing() || st.LatencyTarget > 0 && w.fillCPU > 0 {
 		c += serveCost
 	}
 	if st.BestEffort {
@@ -303,7 +303,7 @@
 // runsServing reports whether the worker has a task with a response-time target.
 func (w *worker) runsServing() bool {
 	for _, t := range w.tasks {
-		if t.Spec().Target > 0 {
+		if t.Spec().LatencyTarget > 0 {
 			return true
 		}
 	}
