--- a/internal/flow/spec.go
+++ b/internal/flow/spec.go
@@ -84,8 +84,8 @@
 	MaxUnavailable int `json:"maymiss,omitempty"`
 }
 
-// Room is what one task takes of a worker's size.
-func (s Step) Room() cell.Size {
+// Demand is what one task takes of a worker's size.
+func (s Step) Demand() cell.Size {
 	if s.BestEffort {
 		return cell.Size{Mem: s.Size.Mem, Accel: s.Size.Accel}
 	}
--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -128,7 +128,7 @@
 		s.earmark(r, a)
 		return
 	}
-	if s.now.Before(a.nextQuery) || p.knownFull(r.stage.Spec.Room()) {
+	if s.now.Before(a.nextQuery) || p.knownFull(r.stage.Spec.Demand()) {
 		return
 	}
 	name := s.pickHostOnce(r.queue)
@@ -176,7 +176,7 @@
 // earmark sets aside the capacity that the step is likely to take once its query is answered, so
 // that no later step queries about the same free capacity.
 func (s *Sched) earmark(r readyStep, a *advice) {
-	room := r.stage.Spec.Room()
+	room := r.stage.Spec.Demand()
 	want := float64(len(r.tasks))
 	for _, incarnation := range a.queried {
 		w, ok := s.workers[incarnation]
--- a/internal/sched/ahead.go
+++ b/internal/sched/ahead.go
@@ -22,7 +22,7 @@
 	if len(tasks) == 0 || p.prefetched.Share(p.total) > prefetchShare {
 		return
 	}
-	p.prefetched = p.prefetched.Add(r.stage.Spec.Room().Times(float64(len(tasks))))
+	p.prefetched = p.prefetched.Add(r.stage.Spec.Demand().Times(float64(len(tasks))))
 	a := s.adviceFor(r.stage)
 	if !a.queriedAt.IsZero() {
 		return
@@ -45,8 +45,8 @@
 	var most int64
 	for _, w := range p.workers {
 		got, known := a.tickets[w.Incarnation]
-		if !a.denied[w.Incarnation] && r.stage.Spec.Room().Fits(w.Size) {
-			most += r.stage.Spec.Room().Into(w.Size)
+		if !a.denied[w.Incarnation] && r.stage.Spec.Demand().Fits(w.Size) {
+			most += r.stage.Spec.Demand().Into(w.Size)
 		}
 		if known && s.now.Add(cost).Before(got.until) {
 			if !r.stage.Spec.Gang {
@@ -55,7 +55,7 @@
 			}
 			continue
 		}
-		if a.denied[w.Incarnation] || !r.stage.Spec.Room().Fits(w.Size) || !s.suits(r, r.tasks[0], w) {
+		if a.denied[w.Incarnation] || !r.stage.Spec.Demand().Fits(w.Size) || !s.suits(r, r.tasks[0], w) {
 			continue
 		}
 		all = append(all, candidate{incarnation: w.Incarnation, known: known, cost: s.cost(r, w)})
--- a/internal/sched/chance.go
+++ b/internal/sched/chance.go
@@ -89,7 +89,7 @@
 		if !ok || full[name] {
 			continue
 		}
-		need := r.stage.Spec.Room().Times(float64(len(r.tasks)))
+		need := r.stage.Spec.Demand().Times(float64(len(r.tasks)))
 		if sum := taken[name].Add(need); taken[name] == (cell.Size{}) || sum.Share(p.total) <= starvedShare {
 			taken[name] = sum
 			r.class = onTime
@@ -108,7 +108,7 @@
 			q := s.queue(t.Job)
 			r, ok := t.Job.Rounds[t.Name.Round]
 			if ok && s.deadlineClassOf(t.Job, r, t.Step, q) == starved {
-				taken[q.Service] = taken[q.Service].Add(t.Spec().Room())
+				taken[q.Service] = taken[q.Service].Add(t.Spec().Demand())
 			}
 		}
 	}
--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -120,7 +120,7 @@
 func (s *Sched) copyDone(t *flow.Task) {
 	if w, ok := s.workers[t.Worker]; ok && t.Out() && t.State != flow.Assigned {
 		s.emit(Stop{To: w.Address, Term: s.term, Task: t.Name, Run: t.Run})
-		w.untrack(runKey{t.Name, t.Run}, t.Spec().Room(), s.latestStart())
+		w.untrack(runKey{t.Name, t.Run}, t.Spec().Demand(), s.latestStart())
 	}
 	s.taskDone(t)
 }
@@ -130,7 +130,7 @@
 func (s *Sched) copySilentTasks(w *worker) {
 	for _, t := range w.sortedTasks() {
 		if t.Spec().AllowCopies && !t.Spec().Gang && (t.State == flow.Running || t.State == flow.Starting) {
-			w.untrack(runKey{t.Name, t.Run}, t.Spec().Room(), s.latestStart())
+			w.untrack(runKey{t.Name, t.Run}, t.Spec().Demand(), s.latestStart())
 			s.markLost(t, w)
 			s.requeueTask(t, "worker is silent, a copy may run")
 		}
--- a/internal/sched/ends.go
+++ b/internal/sched/ends.go
@@ -36,7 +36,7 @@
 	// The run is listed, so it has begun. Older lists may still be in transit.
 	until := s.now.Add(maxTransit)
 	if j, ok := s.jobs[l.Task.Job]; ok && l.Task.Step < len(j.Spec.Steps) {
-		w.untrack(k, j.Spec.Steps[l.Task.Step].Room(), until)
+		w.untrack(k, j.Spec.Steps[l.Task.Step].Demand(), until)
 	} else {
 		w.untrackUnknownSize(k, until)
 	}
--- a/internal/sched/gang.go
+++ b/internal/sched/gang.go
@@ -16,7 +16,7 @@
 		// Members of the last run are still being stopped.
 		return
 	}
-	need := r.stage.Spec.Room().CPU * int64(len(tasks))
+	need := r.stage.Spec.Demand().CPU * int64(len(tasks))
 	if keep > 0 && need > p.freeCPU-keep {
 		return
 	}
@@ -75,13 +75,13 @@
 	put := make([]*worker, 0, len(r.stage.Tasks))
 	for range r.stage.Tasks {
 		i := slices.IndexFunc(able, func(w *worker) bool {
-			return st.Room().Fits(room[w]) && (st.MaxPerWorker == 0 || w.tasksOf(r.stage)+count[w] < st.MaxPerWorker)
+			return st.Demand().Fits(room[w]) && (st.MaxPerWorker == 0 || w.tasksOf(r.stage)+count[w] < st.MaxPerWorker)
 		})
 		if i < 0 {
 			return nil
 		}
 		w := able[i]
-		room[w] = room[w].Sub(st.Room())
+		room[w] = room[w].Sub(st.Demand())
 		count[w]++
 		put = append(put, w)
 	}
--- a/internal/sched/naming.go
+++ b/internal/sched/naming.go
@@ -68,7 +68,7 @@
 // cell most passes find none, for hundreds of steps, so the capacity is checked first and the more
 // expensive ordering is done only for workers that have it.
 func (s *Sched) candidatesWithCapacity(r readyStep, a *advice, p *pool) (all []candidate, most int) {
-	room, some := r.stage.Spec.Room(), false
+	room, some := r.stage.Spec.Demand(), false
 	for _, w := range p.workers {
 		if !room.Fits(w.available().Sub(w.earmarked)) {
 			continue
@@ -96,7 +96,7 @@
 // about yet.
 func (s *Sched) otherCandidates(r readyStep, a *advice, p *pool) []candidate {
 	var all []candidate
-	room := r.stage.Spec.Room()
+	room := r.stage.Spec.Demand()
 	for _, w := range p.workers {
 		_, known := a.tickets[w.Incarnation]
 		if known || a.denied[w.Incarnation] || !room.Fits(w.Size) || room.Fits(w.available().Sub(w.earmarked)) || !s.suits(r, r.tasks[0], w) {
@@ -122,7 +122,7 @@
 // taskCapacity returns how many of the step's tasks a worker has capacity for.
 func (r readyStep) taskCapacity(w *worker) int {
 	st := r.stage.Spec
-	n := min(int64(len(r.tasks)), st.Room().Into(w.free()))
+	n := min(int64(len(r.tasks)), st.Demand().Into(w.free()))
 	if st.MaxPerWorker > 0 {
 		n = min(n, int64(st.MaxPerWorker-w.tasksOf(r.stage)))
 	}
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -158,7 +158,7 @@
 		s.placeGang(r, p, keep)
 		return
 	}
-	need := r.stage.Spec.Room().CPU
+	need := r.stage.Spec.Demand().CPU
 	left, alone, allowed := r.tasks, []*flow.Task(nil), []*worker(nil)
 	if s.hasTicket(r) {
 		allowed = s.allowedWorkers(r, p)
@@ -212,7 +212,7 @@
 
 // fits reports whether a worker has capacity for a task and may run it, apart from tickets.
 func (s *Sched) fits(r readyStep, t *flow.Task, w *worker) bool {
-	return r.stage.Spec.Room().Fits(w.available()) && s.suits(r, t, w)
+	return r.stage.Spec.Demand().Fits(w.available()) && s.suits(r, t, w)
 }
 
 // suits reports whether a worker may run a task once it has capacity, apart from tickets.
@@ -266,7 +266,7 @@
 // leaves fuller, so that large free capacities stay whole.
 func (s *Sched) cost(r readyStep, w *worker) float64 {
 	st := r.stage.Spec
-	left := w.free().Sub(st.Room())
+	left := w.free().Sub(st.Demand())
 	c := left.Share(cell.Size{CPU: w.Size.CPU, Mem: w.Size.Mem, Accel: max(w.Size.Accel, 1)})
 	if st.NearRack != "" && w.Rack != st.NearRack {
 		c += farCost
--- a/internal/sched/reserve.go
+++ b/internal/sched/reserve.go
@@ -26,7 +26,7 @@
 // have it first. Tasks of one processor or GPU find capacity on any worker all the time; a task
 // that needs half of a worker or more would hardly ever find it, however urgent it is.
 func (s *Sched) reserveCapacity(r readyStep, p *pool, n int) {
-	room := r.stage.Spec.Room()
+	room := r.stage.Spec.Demand()
 	if !s.enabled(ReserveForWide) || p.used.Share(p.total) < reserveMinUse || p.reserved.Share(p.total) > maxReservedShare {
 		return
 	}
@@ -67,7 +67,7 @@
 	var ends []end
 	for _, t := range w.sortedTasks() {
 		if !t.Spec().LongRunning {
-			ends = append(ends, end{t.Since.Add(t.Spec().Time), t.Spec().Room()})
+			ends = append(ends, end{t.Since.Add(t.Spec().Time), t.Spec().Demand()})
 		}
 	}
 	slices.SortStableFunc(ends, func(a, b end) int { return a.at.Compare(b.at) })
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -81,7 +81,7 @@
 		return
 	}
 	w.tasks[t.Name] = t
-	w.used = w.used.Add(t.Spec().Room())
+	w.used = w.used.Add(t.Spec().Demand())
 	if t.Spec().BestEffort {
 		w.fillCPU += t.Spec().Size.CPU
 	}
@@ -92,7 +92,7 @@
 		return
 	}
 	delete(w.tasks, t.Name)
-	w.used = w.used.Sub(t.Spec().Room())
+	w.used = w.used.Sub(t.Spec().Demand())
 	if t.Spec().BestEffort {
 		w.fillCPU -= t.Spec().Size.CPU
 	}
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -88,7 +88,7 @@
 func (w *fakeWorker) used() cell.Size {
 	var sum cell.Size
 	for _, r := range w.runs {
-		sum = sum.Add(r.step.Room())
+		sum = sum.Add(r.step.Demand())
 	}
 	return sum
 }
--- a/internal/sched/yield.go
+++ b/internal/sched/yield.go
@@ -34,7 +34,7 @@
 	if !s.enabled(PreemptBulk) || r.class != onTime || r.stage.Spec.Gang {
 		return
 	}
-	room := r.stage.Spec.Room()
+	room := r.stage.Spec.Demand()
 	s.preemptions[r.stage] = slices.DeleteFunc(s.preemptions[r.stage], func(y preemption) bool {
 		w, ok := s.workers[y.worker]
 		return !ok || !room.Fits(w.Size) || !s.now.Before(y.until)
@@ -64,7 +64,7 @@
 	var best *worker
 	var least []*flow.Task
 	for _, w := range s.allowedWorkers(r, p) {
-		if r.stage.Spec.Room().Share(w.Size) < wideShare {
+		if r.stage.Spec.Demand().Share(w.Size) < wideShare {
 			continue
 		}
 		if _, ok := s.ticket(r.tasks[0], w); !ok || !s.suits(r, r.tasks[0], w) {
@@ -81,7 +81,7 @@
 // victims returns the tasks to stop on a worker, or false if stopping them doesn't free enough
 // capacity. Tasks that began last come first, since they have the least to restore.
 func (s *Sched) victims(r readyStep, w *worker) ([]*flow.Task, bool) {
-	room, open := r.stage.Spec.Room(), w.available()
+	room, open := r.stage.Spec.Demand(), w.available()
 	if !room.Fits(w.Size.Sub(w.reserved)) {
 		return nil, false
 	}
@@ -96,7 +96,7 @@
 		if room.Fits(open) {
 			return all[:i], true
 		}
-		open = open.Add(t.Spec().Room())
+		open = open.Add(t.Spec().Demand())
 	}
 	return all, room.Fits(open)
 }
