--- a/internal/entry/doubt_test.go
+++ b/internal/entry/doubt_test.go
@@ -31,25 +31,25 @@
 	return []byte(name + " " + addr.String() + " 1 1 1")
 }
 
-// doubted has a host doubt the lead c1, which claimed and stands still since; meanwhile something
+// checkStalledLeader has a host doubt the lead c1, which claimed and stands still since; meanwhile something
 // is stored.
-func doubted(t *testing.T, meanwhile func(log *users.Log)) (works bool, lead string) {
+func checkStalledLeader(t *testing.T, meanwhile func(log *users.Log)) (works bool, lead string) {
 	log := users.NewLog(1, time.Now)
 	f := entry.NewFollower(t, slog.New(slog.DiscardHandler), "b1", nil, "", log.For("b1"), nil)
 	defer f.Stop()
 	c1 := silentHost(t)
 	log.Put(stateTopic, claimKey, claimOf("c1", c1))
-	f.LearnLead("c1", c1, 1)
+	f.LearnLeader("c1", c1, 1)
 	// After the first look at what the lead stores; the answer of a young lead is waited for longer.
 	timer := time.AfterFunc(400*time.Millisecond, func() { meanwhile(log) })
 	defer timer.Stop()
-	works = f.Doubt()
-	return works, f.LeadName()
+	works = f.LeaderAlive()
+	return works, f.LeaderName()
 }
 
 // Guards against another host's claim being taken for work of a lead that stands still.
 func TestAClaimOfAnotherHostIsNoWorkOfTheLead(t *testing.T) {
-	_, lead := doubted(t, func(log *users.Log) {
+	_, lead := checkStalledLeader(t, func(log *users.Log) {
 		log.Put(stateTopic, claimKey, claimOf("c2", silentHost(t)))
 	})
 	require.Equal(t, "c2", lead)
@@ -57,7 +57,7 @@
 
 // Guards against a host's own failed claim being taken for work of the lead.
 func TestAHostsOwnClaimIsNoWorkOfTheLead(t *testing.T) {
-	works, lead := doubted(t, func(log *users.Log) {
+	works, lead := checkStalledLeader(t, func(log *users.Log) {
 		log.Put(stateTopic, claimKey, claimOf("b1", netip.MustParseAddrPort("127.0.0.1:1")))
 	})
 	require.False(t, works)
@@ -66,7 +66,7 @@
 
 // The lead has claimed and is too slow to answer. What it stores shows that it works.
 func TestWhatTheLeadStoresShowsThatItWorks(t *testing.T) {
-	works, lead := doubted(t, func(log *users.Log) {
+	works, lead := checkStalledLeader(t, func(log *users.Log) {
 		log.Put(stateTopic, "0001", []byte("{}"))
 	})
 	require.True(t, works)
@@ -80,10 +80,10 @@
 	defer f.Stop()
 	former, next := silentHost(t), silentHost(t)
 	log.Put(stateTopic, claimKey, claimOf("c1", former))
-	f.LearnLead("c1", former, 1)
-	f.Know("c2", next.String())
-	f.Follow("c2")
+	f.LearnLeader("c1", former, 1)
+	f.SetPeerAddr("c2", next.String())
+	f.SetLeaderName("c2")
 	timer := time.AfterFunc(400*time.Millisecond, func() { log.Put(stateTopic, "0001", []byte("{}")) })
 	defer timer.Stop()
-	require.False(t, f.Doubt())
+	require.False(t, f.LeaderAlive())
 }
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -18,12 +18,12 @@
 )
 
 func TestAJobGoesFromItsCallerToWorkersAndBack(t *testing.T) {
-	c := newCell(t, 3, 4, 50*time.Millisecond)
+	c := newCluster(t, 3, 4, 50*time.Millisecond)
 	f := c.follower()
 	require.Equal(t, http.StatusOK, c.submit(f, 0).code)
-	c.finished(c.leader(), 1)
-	require.Len(t, c.oracle.Runs(), 7)
-	require.Empty(t, c.oracle.Wrongs())
+	c.waitCompleted(c.leader(), 1)
+	require.Len(t, c.checker.Runs(), 7)
+	require.Empty(t, c.checker.Wrongs())
 	code, body := c.get(f.cfg.Listen.Caller, prefix)
 	require.Equal(t, http.StatusOK, code)
 	require.Equal(t, `{"pending":0}`, body)
@@ -32,10 +32,10 @@
 // Somebody asks why jobs were late. The lead's metrics tell how long they waited until
 // their first start, for what, and how long the store took.
 func TestTheLeadServesHistogramsOfWaits(t *testing.T) {
-	c := newCell(t, 1, 2, 50*time.Millisecond)
+	c := newCluster(t, 1, 2, 50*time.Millisecond)
 	lead := c.leader()
 	require.Equal(t, http.StatusOK, c.submit(lead, 0).code)
-	c.finished(lead, 1)
+	c.waitCompleted(lead, 1)
 	code, body := c.get(lead.cfg.Listen.Metrics, "/metrics")
 	require.Equal(t, http.StatusOK, code)
 	for _, name := range []string{"caller.store", "lead.append", "job.start.rank0", "step.wait.rank0"} {
@@ -44,19 +44,19 @@
 }
 
 func TestWhatIsNotThereIsToldSo(t *testing.T) {
-	c := newCell(t, 2, 1, 50*time.Millisecond)
+	c := newCluster(t, 2, 1, 50*time.Millisecond)
 	for _, h := range c.hosts {
-		code, _ := c.get(h.cfg.Listen.Caller, "/nowhere/"+id(1))
+		code, _ := c.get(h.cfg.Listen.Caller, "/nowhere/"+jobID(1))
 		require.Equal(t, http.StatusNotFound, code)
-		code, _ = c.get(h.cfg.Listen.Caller, prefix+id(1))
+		code, _ = c.get(h.cfg.Listen.Caller, prefix+jobID(1))
 		require.Equal(t, http.StatusGone, code)
-		require.Equal(t, http.StatusGone, c.call(h.cfg.Listen.Caller, http.MethodDelete, prefix+id(1), "").code)
+		require.Equal(t, http.StatusGone, c.call(h.cfg.Listen.Caller, http.MethodDelete, prefix+jobID(1), "").code)
 	}
 }
 
 // A body that is no job gets a 4xx that names the field, and nothing is stored.
 func TestABadBodyIsRefusedAndNeverStored(t *testing.T) {
-	c := newCell(t, 1, 1, 50*time.Millisecond)
+	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	h := c.leader()
 	bad := map[string]string{
 		`{"spec":5}`:                                   "spec",
@@ -70,19 +70,19 @@
 		`{"spec":"` + strings.Repeat("x", 5000) + `"}`: "spec",
 	}
 	for body, field := range bad {
-		a := c.call(h.cfg.Listen.Caller, http.MethodPost, prefix+id(9), body)
+		a := c.call(h.cfg.Listen.Caller, http.MethodPost, prefix+jobID(9), body)
 		require.GreaterOrEqual(t, a.code, 400, body)
 		require.Less(t, a.code, 500, body)
 		require.Contains(t, a.body, field)
 	}
-	code, _ := c.get(h.cfg.Listen.Caller, prefix+id(9))
+	code, _ := c.get(h.cfg.Listen.Caller, prefix+jobID(9))
 	require.Equal(t, http.StatusGone, code)
 }
 
 // The lead dies while tasks run. Another host leads within seconds, goes on with
 // what runs, and starts nothing twice.
 func TestAnotherHostLeadsAfterTheLeadDies(t *testing.T) {
-	c := newCell(t, 3, 4, 600*time.Millisecond)
+	c := newCluster(t, 3, 4, 600*time.Millisecond)
 	f := c.follower()
 	for n := range 6 {
 		require.Equal(t, http.StatusOK, c.submit(f, n).code)
@@ -91,15 +91,15 @@
 	dead := c.leader()
 	dead.Kill()
 	delete(c.hosts, dead.cfg.Name)
-	c.finished(f, 6)
-	require.Empty(t, c.oracle.Wrongs())
+	c.waitCompleted(f, 6)
+	require.Empty(t, c.checker.Wrongs())
 }
 
 // All hosts die at once, right after jobs were acknowledged. Nothing of them is
 // left but what lies in the store, and every job that was told as accepted ends
 // as done.
 func TestAcceptedJobsOutliveAllHosts(t *testing.T) {
-	c := newCell(t, 3, 4, 300*time.Millisecond)
+	c := newCluster(t, 3, 4, 300*time.Millisecond)
 	for n := range 6 {
 		require.Equal(t, http.StatusOK, c.submit(c.follower(), n).code)
 	}
@@ -109,10 +109,10 @@
 	for name := range c.hosts {
 		c.start(name)
 	}
-	c.settled()
-	c.finished(c.follower(), 6)
-	require.Empty(t, c.oracle.Wrongs())
-	for task, n := range c.oracle.Runs() {
+	c.waitReady()
+	c.waitCompleted(c.follower(), 6)
+	require.Empty(t, c.checker.Wrongs())
+	for task, n := range c.checker.Runs() {
 		require.Equal(t, 1, n, task)
 	}
 }
@@ -120,7 +120,7 @@
 // The lead is stopped as planned under load. Callers that keep sending to the
 // other hosts see no failure.
 func TestAPlannedStopOfTheLeadCutsNothing(t *testing.T) {
-	c := newCell(t, 3, 4, 200*time.Millisecond)
+	c := newCluster(t, 3, 4, 200*time.Millisecond)
 	old, f := c.leader(), c.follower()
 	done := make(chan struct{})
 	go func() {
@@ -139,28 +139,28 @@
 	}
 	delete(c.hosts, old.cfg.Name)
 	old.Kill()
-	c.finished(f, jobs)
-	require.Empty(t, c.oracle.Wrongs())
+	c.waitCompleted(f, jobs)
+	require.Empty(t, c.checker.Wrongs())
 }
 
 // The store turns one host away and serves the others. Its callers are served
 // all the same, through a peer.
 func TestAHostThatTheStoreTurnsAwayServesThroughAPeer(t *testing.T) {
-	c := newCell(t, 3, 3, 50*time.Millisecond)
+	c := newCluster(t, 3, 3, 50*time.Millisecond)
 	f := c.follower()
 	for i, fault := range []users.Fault{users.Busy, users.Silent, users.Lost} {
 		c.log.Break(f.cfg.Name, fault)
 		require.Equal(t, http.StatusOK, c.submit(f, i).code, "fault %d", fault)
 		c.log.Break(f.cfg.Name, users.None)
 	}
-	c.finished(f, 3)
-	require.Empty(t, c.oracle.Wrongs())
+	c.waitCompleted(f, 3)
+	require.Empty(t, c.checker.Wrongs())
 }
 
 // The store refuses everybody. Callers hear so at once, with the time to come
 // back, and not at their deadline; nothing of it runs later.
 func TestAStoreThatIsAwayIsToldAtOnce(t *testing.T) {
-	c := newCell(t, 2, 2, 50*time.Millisecond)
+	c := newCluster(t, 2, 2, 50*time.Millisecond)
 	h := c.follower()
 	c.log.Break("", users.Busy)
 	began := time.Now()
@@ -171,37 +171,37 @@
 	require.Eventually(t, func() bool {
 		code, _ := c.get(h.cfg.Listen.Ready, "/pollencroft/ready")
 		return code == http.StatusServiceUnavailable
-	}, settleTime, 20*time.Millisecond, "a host that can accept nothing is not ready")
+	}, waitTimeout, 20*time.Millisecond, "a host that can accept nothing is not ready")
 	c.log.Break("", users.None)
-	c.settled()
-	code, _ := c.get(h.cfg.Listen.Caller, prefix+id(0))
+	c.waitReady()
+	code, _ := c.get(h.cfg.Listen.Caller, prefix+jobID(0))
 	require.Equal(t, http.StatusGone, code)
 }
 
 // The store carries appends out and no answer comes. The job may run, so it must
 // not be told as refused.
 func TestAnAppendWithoutAnAnswerIsNeverARefusal(t *testing.T) {
-	c := newCell(t, 2, 2, 50*time.Millisecond)
+	c := newCluster(t, 2, 2, 50*time.Millisecond)
 	h := c.follower()
 	c.log.Break("", users.Lost)
 	a := c.submit(h, 0)
 	require.Equal(t, http.StatusGatewayTimeout, a.code)
 	c.log.Break("", users.None)
-	c.settled()
-	c.finished(h, 1)
+	c.waitReady()
+	c.waitCompleted(h, 1)
 }
 
 // Orders are left without an answer, carried out or not. Each task runs at one
 // place at a time and ends as done.
 func TestOrdersWithoutAnAnswerRunNothingTwice(t *testing.T) {
 	for _, done := range []bool{true, false} {
-		c := newCell(t, 1, 3, 300*time.Millisecond)
+		c := newCluster(t, 1, 3, 300*time.Millisecond)
 		for _, w := range c.workers {
 			w.DropOrders(3, done)
 		}
 		require.Equal(t, http.StatusOK, c.submit(c.leader(), 0).code)
-		c.finished(c.leader(), 1)
-		require.Empty(t, c.oracle.Wrongs())
+		c.waitCompleted(c.leader(), 1)
+		require.Empty(t, c.checker.Wrongs())
 	}
 }
 
@@ -209,39 +209,39 @@
 // another type, states and services that nobody names. They name no worker, and
 // the others are used.
 func TestAnEntryThatCannotBeReadNamesNoWorker(t *testing.T) {
-	c := newCell(t, 1, 1, 50*time.Millisecond)
+	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	for i, text := range []string{"\x00\xff", `{}`, `[]`, `{"service":5}`, `{"service":"pass","address":"nowhere","state":"ready"}`,
 		`{"service":"pass","address":"127.0.0.1:1","state":"asleep","capacity":{"cpu":1,"memMb":1}}`,
 		`{"service":"pass","address":"127.0.0.1:1","state":"ready"}`} {
 		c.log.Put("servers", fmt.Sprintf("bad%d", i), []byte(text))
 	}
-	require.Eventually(t, func() bool { return strings.Count(c.lines.String(), "entry passed over") == 7 }, settleTime, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Count(c.logs.String(), "entry passed over") == 7 }, waitTimeout, 20*time.Millisecond)
 	require.Equal(t, http.StatusOK, c.submit(c.leader(), 0).code)
-	c.finished(c.leader(), 1)
+	c.waitCompleted(c.leader(), 1)
 }
 
 // Guards against starts over the size of a worker that has shrunk.
 func TestAWorkerThatShrinksIsNotOverfilled(t *testing.T) {
-	c := newCell(t, 1, 1, time.Second)
+	c := newCluster(t, 1, 1, time.Second)
 	w, h := c.workers[0], c.leader()
 	resize := func(cpu int64) {
 		w.Resize(cpu, 0)
 		c.log.Put("servers", w.ID, w.Entry("pass", "zone0"))
 	}
 	require.Equal(t, http.StatusOK, c.submit(h, 0).code)
-	require.Eventually(t, func() bool { return w.Running() == 4 }, settleTime, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return w.Running() == 4 }, waitTimeout, 10*time.Millisecond)
 	resize(2 * users.TaskCPU)
-	require.Eventually(t, func() bool { return strings.Contains(c.lines.String(), "worker resized") }, settleTime, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Contains(c.logs.String(), "worker resized") }, waitTimeout, 10*time.Millisecond)
 	for n := range 3 {
 		require.Equal(t, http.StatusOK, c.submit(h, 1+n).code)
 	}
-	c.finished(h, 2)
+	c.waitCompleted(h, 2)
 	resize(64 * users.TaskCPU)
-	c.finished(h, 4)
-	for task, n := range c.oracle.Runs() {
+	c.waitCompleted(h, 4)
+	for task, n := range c.checker.Runs() {
 		require.Equal(t, 1, n, task)
 	}
-	require.Empty(t, c.oracle.Wrongs())
+	require.Empty(t, c.checker.Wrongs())
 }
 
 // Guards against new starts, and lost runs, on a worker whose entry cannot be read any more.
@@ -251,23 +251,23 @@
 		"no state": `{"service":"pass","address":%q,"capacity":{"cpu":64000,"memMb":262144}}`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newCell(t, 1, 1, 2*time.Second)
+			c := newCluster(t, 1, 1, 2*time.Second)
 			w, h := c.workers[0], c.leader()
 			require.Equal(t, http.StatusOK, c.submit(h, 0).code)
-			require.Eventually(t, func() bool { return w.Running() == 4 }, settleTime, 10*time.Millisecond)
+			require.Eventually(t, func() bool { return w.Running() == 4 }, waitTimeout, 10*time.Millisecond)
 			if strings.Contains(text, "%q") {
 				text = fmt.Sprintf(text, w.Address())
 			}
 			c.log.Put("servers", w.ID, []byte(text))
-			require.Eventually(t, func() bool { return strings.Contains(c.lines.String(), "entry passed over") }, settleTime, 10*time.Millisecond)
+			require.Eventually(t, func() bool { return strings.Contains(c.logs.String(), "entry passed over") }, waitTimeout, 10*time.Millisecond)
 			require.Equal(t, http.StatusOK, c.submit(h, 1).code)
 			require.Never(t, func() bool { return w.Running() > 4 }, time.Second, 10*time.Millisecond)
 			c.log.Put("servers", w.ID, w.Entry("pass", "zone0"))
-			c.finished(h, 2)
-			for task, n := range c.oracle.Runs() {
+			c.waitCompleted(h, 2)
+			for task, n := range c.checker.Runs() {
 				require.Equal(t, 1, n, task)
 			}
-			require.Empty(t, c.oracle.Wrongs())
+			require.Empty(t, c.checker.Wrongs())
 		})
 	}
 }
@@ -275,14 +275,14 @@
 // Operators publish a table that drops a queue and adds one, and an older record
 // is read again afterwards. Every host follows and none goes back.
 func TestTheTableIsFollowedAndNeverGoesBack(t *testing.T) {
-	c := newCell(t, 2, 1, 50*time.Millisecond)
+	c := newCluster(t, 2, 1, 50*time.Millisecond)
 	more := `,{"name":"print","host":"jobs.example","pathPrefix":"/print/","service":"pass"}`
 	c.log.Put("op", "config", fmt.Appendf(nil, tableText, 5, more))
 	for _, h := range c.hosts {
 		require.Eventually(t, func() bool {
 			code, _ := c.get(h.cfg.Listen.Caller, "/print/")
 			return code == http.StatusOK
-		}, settleTime, 10*time.Millisecond)
+		}, waitTimeout, 10*time.Millisecond)
 	}
 	c.log.Put("op", "config", fmt.Appendf(nil, tableText, 4, ""))
 	c.log.Put("op", "config", []byte("{"))
@@ -296,39 +296,39 @@
 // A job is cancelled while it runs: its tasks are stopped, and it stays so under
 // the next lead.
 func TestACancelledJobStaysCancelled(t *testing.T) {
-	c := newCell(t, 2, 2, 5*time.Second)
+	c := newCluster(t, 2, 2, 5*time.Second)
 	h, f := c.leader(), c.follower()
 	require.Equal(t, http.StatusOK, c.submit(h, 0).code)
 	running := func() int { return c.workers[0].Running() + c.workers[1].Running() }
-	require.Eventually(t, func() bool { return running() == 4 }, settleTime, 5*time.Millisecond)
-	require.Equal(t, http.StatusOK, c.call(h.cfg.Listen.Caller, http.MethodDelete, prefix+id(0), "").code)
-	require.Eventually(t, func() bool { return running() == 0 }, settleTime, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return running() == 4 }, waitTimeout, 5*time.Millisecond)
+	require.Equal(t, http.StatusOK, c.call(h.cfg.Listen.Caller, http.MethodDelete, prefix+jobID(0), "").code)
+	require.Eventually(t, func() bool { return running() == 0 }, waitTimeout, 5*time.Millisecond)
 	h.Kill()
 	delete(c.hosts, h.cfg.Name)
 	require.Eventually(t, func() bool {
-		_, body := c.get(f.cfg.Listen.Caller, prefix+id(0))
+		_, body := c.get(f.cfg.Listen.Caller, prefix+jobID(0))
 		return body == `{"state":"cancelled"}`
-	}, settleTime, 20*time.Millisecond)
+	}, waitTimeout, 20*time.Millisecond)
 	require.Zero(t, running())
 }
 
 // Hosts differ in power. The lead's work is the most, so it goes to a host that
 // is much stronger; on a weak one every start would wait for its processor.
 func TestTheStrongestHostLeads(t *testing.T) {
-	c := newCell(t, 2, 2, 50*time.Millisecond)
+	c := newCluster(t, 2, 2, 50*time.Millisecond)
 	strong := c.start("strong", func(cfg *entry.Settings) { cfg.Power = 4 })
-	require.Eventually(t, strong.Leading, settleTime, 20*time.Millisecond)
-	c.settled()
+	require.Eventually(t, strong.Leading, waitTimeout, 20*time.Millisecond)
+	c.waitReady()
 	require.Equal(t, http.StatusOK, c.submit(c.follower(), 0).code)
-	c.finished(c.follower(), 1)
-	require.Empty(t, c.oracle.Wrongs())
+	c.waitCompleted(c.follower(), 1)
+	require.Empty(t, c.checker.Wrongs())
 }
 
 // A host claims the lead and takes seconds to read what it takes over. The group
 // names another host meanwhile. If that one claimed as well, they would fence each
 // other off by turns and nothing would be led; callers would wait for ever.
 func TestNobodyClaimsBesideAClaim(t *testing.T) {
-	c := newCell(t, 1, 1, 50*time.Millisecond)
+	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -346,13 +346,13 @@
 	require.Never(t, h.Leading, 2*time.Second, 50*time.Millisecond)
 	cancel()
 	<-served
-	require.Eventually(t, h.Leading, settleTime, 20*time.Millisecond)
+	require.Eventually(t, h.Leading, waitTimeout, 20*time.Millisecond)
 }
 
 // The group lists a host with much more power that cannot be reached. The others
 // may ask it to lead once, and then one of them leads.
 func TestAStrongHostThatIsGoneIsNotAskedForEver(t *testing.T) {
-	c := newCell(t, 2, 1, 50*time.Millisecond)
+	c := newCluster(t, 2, 1, 50*time.Millisecond)
 	join := store.Call{Op: store.Join, Group: "hosts", Member: "ghost 127.0.0.1:1 life 100", Topics: []string{"lead"}, TTL: time.Second}
 	ctx, cancel := context.WithCancel(t.Context())
 	joined := make(chan struct{})
@@ -366,42 +366,42 @@
 	dead, f := c.leader(), c.follower()
 	dead.Kill()
 	delete(c.hosts, dead.cfg.Name)
-	require.Eventually(t, f.Leading, settleTime, 20*time.Millisecond)
+	require.Eventually(t, f.Leading, waitTimeout, 20*time.Millisecond)
 	cancel()
 	<-joined
 }
 
 // Guards against a host that tells an earlier state of a job than the lead told before.
 func TestAStateThatNobodyKnowsIsNotTold(t *testing.T) {
-	c := newCell(t, 2, 2, 700*time.Millisecond)
+	c := newCluster(t, 2, 2, 700*time.Millisecond)
 	lead, f := c.leader(), c.follower()
 	require.Equal(t, http.StatusOK, c.submit(f, 0).code)
 	require.Eventually(t, func() bool {
-		_, body := c.get(lead.cfg.Listen.Caller, prefix+id(0))
+		_, body := c.get(lead.cfg.Listen.Caller, prefix+jobID(0))
 		return body == `{"state":"running"}`
-	}, settleTime, 10*time.Millisecond)
+	}, waitTimeout, 10*time.Millisecond)
 	c.log.Break("", users.Silent)
 	lead.Kill()
 	delete(c.hosts, lead.cfg.Name)
 	for range 10 {
-		a := c.call(f.cfg.Listen.Caller, http.MethodGet, prefix+id(0), "")
+		a := c.call(f.cfg.Listen.Caller, http.MethodGet, prefix+jobID(0), "")
 		require.Equal(t, http.StatusServiceUnavailable, a.code, a.body)
 		require.NotEmpty(t, a.header.Get("Retry-After"))
 	}
 	c.log.Break("", users.None)
-	c.finished(f, 1)
+	c.waitCompleted(f, 1)
 }
 
 // Guards against a host that forgets the end of a job that it has told.
 func TestAnEndThatWasToldIsToldAgain(t *testing.T) {
-	c := newCell(t, 2, 2, 50*time.Millisecond)
+	c := newCluster(t, 2, 2, 50*time.Millisecond)
 	lead, f := c.leader(), c.follower()
 	require.Equal(t, http.StatusOK, c.submit(f, 0).code)
-	c.finished(f, 1)
+	c.waitCompleted(f, 1)
 	c.log.Break("", users.Silent)
 	lead.Kill()
 	delete(c.hosts, lead.cfg.Name)
 	for range 10 {
-		require.Equal(t, map[string]int{completed: 1}, c.toldBy(f, 1))
+		require.Equal(t, map[string]int{completedReply: 1}, c.statesAt(f, 1))
 	}
 }
--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -44,14 +44,14 @@
 	return leading
 }
 
-// Sighting is what is known of another host's strength.
-type Sighting struct {
+// HostInfo is what is known of another host's strength.
+type HostInfo struct {
 	Power float64
 	Began time.Time
 }
 
 // ByPower orders hosts as successors.
-func ByPower(seen map[string]Sighting) []string {
+func ByPower(seen map[string]HostInfo) []string {
 	all := map[string]hostInfo{}
 	for n, s := range seen {
 		all[n] = hostInfo{power: s.Power, began: s.Began}
@@ -59,21 +59,21 @@
 	return byPower(all)
 }
 
-// Heard is how many other hosts were heard of lately.
-func (h *Host) Heard() int { return len(h.successors()) }
+// RecentHostCount is how many other hosts were heard of lately.
+func (h *Host) RecentHostCount() int { return len(h.successors()) }
 
-// Know names the address of a peer.
-func (h *Host) Know(name, addr string) { h.peers.Set(name, netip.MustParseAddrPort(addr)) }
+// SetPeerAddr names the address of a peer.
+func (h *Host) SetPeerAddr(name, addr string) { h.peers.Set(name, netip.MustParseAddrPort(addr)) }
 
-// Waits asks a host whether it leads, in vain, and tells whether its answer was
+// WaitsForReply asks a host whether it leads, in vain, and tells whether its answer was
 // waited for.
-func (h *Host) Waits(name string) bool {
+func (h *Host) WaitsForReply(name string) bool {
 	_, err := h.askWhetherLeads(name)
 	return !errors.As(err, new(*NoLeaderError))
 }
 
-// StandsReady tells whether the host may be named to lead.
-func (h *Host) StandsReady() bool { return h.isCandidate() }
+// IsCandidate tells whether the host may be named to lead.
+func (h *Host) IsCandidate() bool { return h.isCandidate() }
 
 // Journal is the writer of progress.
 type Journal struct{ *journal }
@@ -86,16 +86,16 @@
 		cancel()
 		wg.Wait()
 	})
-	return &Journal{newJournal(until{log, ctx}, slog.New(slog.DiscardHandler), wg, term, parts)}
+	return &Journal{newJournal(boundedLog{log, ctx}, slog.New(slog.DiscardHandler), wg, term, parts)}
 }
 
-// until ends calls with the test.
-type until struct {
+// boundedLog ends calls with the test.
+type boundedLog struct {
 	log store.Log
 	ctx context.Context
 }
 
-func (u until) Do(ctx context.Context, c store.Call) (store.Answer, error) {
+func (u boundedLog) Do(ctx context.Context, c store.Call) (store.Answer, error) {
 	// A call that has no answer is given up, as a host does.
 	ctx, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
 	defer cancel()
@@ -114,8 +114,8 @@
 // JobsPart is the partition to which the host appends jobs first.
 func (h *Host) JobsPart() int { return h.inbox.parts[0] }
 
-// Knows tells whether the host leads and knows the job.
-func (h *Host) Knows(id string) bool { return h.localState(id).Known }
+// KnowsJob tells whether the host leads and knows the job.
+func (h *Host) KnowsJob(id string) bool { return h.localState(id).Known }
 
 // BeginTerm begins a term with nothing, as if the reading of what the store holds
 // had begun at some time.
@@ -123,54 +123,56 @@
 	h.newTerm(number, nil, nil, make([]int64, h.cfg.Parts), read)
 }
 
-// Unsure tells whether the lead leaves open whether there is a job.
-func (h *Host) Unsure(id string) bool { return h.localState(id).Unsure }
+// IsUncertain tells whether the lead leaves open whether there is a job.
+func (h *Host) IsUncertain(id string) bool { return h.localState(id).Unsure }
 
-// Orders knows how fast workers answer.
-type Orders struct{ *responseTimes }
+// ResponseTimes knows how fast workers answer.
+type ResponseTimes struct{ *responseTimes }
 
-// NewOrders returns one that knows nothing.
-func NewOrders() Orders { return Orders{newOrders()} }
+// NewResponseTimes returns one that knows nothing.
+func NewResponseTimes() ResponseTimes { return ResponseTimes{newOrders()} }
 
-// Patience is how long to wait for a worker's answer.
-func (o Orders) Patience(life string, now time.Time) time.Duration { return o.timeout(life, now) }
+// Timeout is how long to wait for a worker's answer.
+func (o ResponseTimes) Timeout(life string, now time.Time) time.Duration {
+	return o.timeout(life, now)
+}
 
-// Took notes an answer.
-func (o Orders) Took(life string, d time.Duration, now time.Time) { o.record(life, d, now) }
+// Record notes an answer.
+func (o ResponseTimes) Record(life string, d time.Duration, now time.Time) { o.record(life, d, now) }
 
-// Follow has the host take another one for the lead.
-func (h *Host) Follow(name string) {
+// SetLeaderName has the host take another one for the lead.
+func (h *Host) SetLeaderName(name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.leader = name
 }
 
-// LearnLead tells the host who leads, as the store's record does.
-func (h *Host) LearnLead(name string, addr netip.AddrPort, term int64) {
+// LearnLeader tells the host who leads, as the store's record does.
+func (h *Host) LearnLeader(name string, addr netip.AddrPort, term int64) {
 	h.setLeader(leaderRecord{Name: name, Addr: addr, Term: term})
 }
 
-// LeadName is the host that this one takes for the lead.
-func (h *Host) LeadName() string {
+// LeaderName is the host that this one takes for the lead.
+func (h *Host) LeaderName() string {
 	name, _ := h.currentLeader()
 	return name
 }
 
-// Hear has the host hear of another one.
-func (h *Host) Hear(name string, addr netip.AddrPort) {
+// NoteHost has the host hear of another one.
+func (h *Host) NoteHost(name string, addr netip.AddrPort) {
 	h.noteHost(peer.Sync{From: name, Addr: addr, Power: 1, Began: h.now()})
 }
 
-// Uses tells whether the host, as the lead, has another one ask the policy service.
-func (h *Host) Uses(name string) bool {
+// UsesForPolicy tells whether the host, as the lead, has another one ask the policy service.
+func (h *Host) UsesForPolicy(name string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_, ok := h.hosts[name]
 	return h.ownTerm != nil && ok
 }
 
-// Heir is the host that the lead wants to lead if it dies, as this one knows it.
-func (h *Host) Heir() string {
+// Standby is the host that the lead wants to lead if it dies, as this one knows it.
+func (h *Host) Standby() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.standby
@@ -235,28 +237,28 @@
 // Peers lists the peers that the host would ask.
 func (f *Follower) Peers() []string { return relay{f.Host}.Peers() }
 
-// FirstOf is the first host that says yes.
-func FirstOf(ctx context.Context, hosts []string, ask func(ctx context.Context, name string) bool) string {
+// FirstAccepting is the first host that says yes.
+func FirstAccepting(ctx context.Context, hosts []string, ask func(ctx context.Context, name string) bool) string {
 	return firstAccepting(ctx, hosts, ask)
 }
 
-// Apart picks hosts that lie far from each other.
-func Apart(all []string, n int) []string { return spacedSample(all, n) }
+// SpacedSample picks hosts that lie far from each other.
+func SpacedSample(all []string, n int) []string { return spacedSample(all, n) }
 
-// LoseLead has the host, as its heir, notice that a lead's connection has ended.
-func (h *Host) LoseLead(name string) {
+// LoseLeader has the host, as its heir, notice that a lead's connection has ended.
+func (h *Host) LoseLeader(name string) {
 	h.mu.Lock()
 	h.leader, h.standby = name, h.cfg.Name
 	h.mu.Unlock()
 	h.onPeerLost(name)
 }
 
-// IsGone tells whether the host takes another one's process for gone.
-func (h *Host) IsGone(name string) bool { return h.isProcessGone(name) }
+// IsProcessGone tells whether the host takes another one's process for gone.
+func (h *Host) IsProcessGone(name string) bool { return h.isProcessGone(name) }
 
-// NewNetless returns a host that reaches its peers by dial and the store by log, and is
+// NewWithTransport returns a host that reaches its peers by dial and the store by log, and is
 // reached through ln. What it is asked passes before first.
-func NewNetless(cfg Settings, log *slog.Logger, direct store.Log, dial func(ctx context.Context, addr netip.AddrPort) (net.Conn, error), ln net.Listener, before func(ctx context.Context)) (*Host, error) {
+func NewWithTransport(cfg Settings, log *slog.Logger, direct store.Log, dial func(ctx context.Context, addr netip.AddrPort) (net.Conn, error), ln net.Listener, before func(ctx context.Context)) (*Host, error) {
 	h, err := New(cfg, log, time.Now)
 	if err != nil {
 		return nil, err
@@ -274,9 +276,9 @@
 	return h, nil
 }
 
-// Work has a lead store something, as it does for each job that goes on; false if the
+// StoreProgress has a lead store something, as it does for each job that goes on; false if the
 // host does not lead.
-func (h *Host) Work(id string) bool {
+func (h *Host) StoreProgress(id string) bool {
 	h.mu.Lock()
 	t := h.ownTerm
 	h.mu.Unlock()
@@ -294,15 +296,15 @@
 // SetHosts replaces the hosts that the host knows.
 func (h *Host) SetHosts(all map[string]netip.AddrPort) { h.setHosts(all) }
 
-// Doubt asks the lead whether it leads, and tells whether it does or works nevertheless.
-func (h *Host) Doubt() bool {
+// LeaderAlive asks the lead whether it leads, and tells whether it does or works nevertheless.
+func (h *Host) LeaderAlive() bool {
 	name, _ := h.currentLeader()
 	leads, before := h.checkLeader(name)
 	return leads || h.isLeaderAlive(before)
 }
 
-// KnowsEnds tells whether the host was told that all these jobs have ended.
-func (h *Host) KnowsEnds(ids ...string) bool {
+// KnowsFinalStates tells whether the host was told that all these jobs have ended.
+func (h *Host) KnowsFinalStates(ids ...string) bool {
 	for _, id := range ids {
 		if _, ok := h.states.final(id); !ok {
 			return false
@@ -314,9 +316,9 @@
 // State is what the host tells another one of a job.
 func (h *Host) State(id string) peer.StateReply { return h.localState(id) }
 
-// Meanwhile has another host ask the lead for a job that it does not know, and the lead read
+// StateDuringPoll has another host ask the lead for a job that it does not know, and the lead read
 // the store and find the job as soon as its core is free. It returns the answer.
-func (h *Host) Meanwhile(id string) peer.StateReply {
+func (h *Host) StateDuringPoll(id string) peer.StateReply {
 	h.mu.Lock()
 	t := h.ownTerm
 	h.mu.Unlock()
@@ -339,19 +341,19 @@
 	return <-told
 }
 
-// SyncWith is what the host answers to another one that was told final states of a term.
-func (h *Host) SyncWith(term int64, told int) peer.SyncReply {
+// SyncReply is what the host answers to another one that was told final states of a term.
+func (h *Host) SyncReply(term int64, told int) peer.SyncReply {
 	return h.syncReply(peer.Sync{Term: term, Endings: told})
 }
 
-// Told is up to where the host was told final states, after an answer to its sync.
-func (h *Host) Told(r peer.SyncReply) (term int64, next int) {
+// SyncPositionAfter is up to where the host was told final states, after an answer to its sync.
+func (h *Host) SyncPositionAfter(r peer.SyncReply) (term int64, next int) {
 	h.states.addFromLeader(r)
 	return h.states.syncPosition()
 }
 
-// HoldCore keeps the lead's core busy until the returned function is called.
-func (h *Host) HoldCore() func() {
+// BlockCore keeps the lead's core busy until the returned function is called.
+func (h *Host) BlockCore() func() {
 	h.mu.Lock()
 	t := h.ownTerm
 	h.mu.Unlock()
@@ -359,14 +361,14 @@
 	return t.mu.Unlock
 }
 
-// Endings are the final states of a term.
-type Endings struct{ finalStates }
+// FinalStates are the final states of a term.
+type FinalStates struct{ finalStates }
 
 // Add adds one.
-func (e *Endings) Add(id string, state flow.State, now time.Time) { e.add(id, state, now) }
+func (e *FinalStates) Add(id string, state flow.State, now time.Time) { e.add(id, state, now) }
 
 // From returns jobs by state from a number on.
-func (e *Endings) From(n int) (map[flow.State][]string, int) { return e.from(n) }
+func (e *FinalStates) From(n int) (map[flow.State][]string, int) { return e.from(n) }
 
 // Drop forgets old ones.
-func (e *Endings) Drop(before time.Time) { e.drop(before) }
+func (e *FinalStates) Drop(before time.Time) { e.drop(before) }
--- a/internal/entry/journal_test.go
+++ b/internal/entry/journal_test.go
@@ -38,8 +38,8 @@
 	require.NoError(t, err)
 }
 
-// newest lists the records of a partition without its claim.
-func newest(t *testing.T, log *users.Log, part int) map[string]string {
+// newestRecords lists the records of a partition without its claim.
+func newestRecords(t *testing.T, log *users.Log, part int) map[string]string {
 	all, _, err := store.Table(t.Context(), log.For(""), "state", part)
 	require.NoError(t, err)
 	got := map[string]string{}
@@ -51,12 +51,12 @@
 	return got
 }
 
-// numbers counts appends.
-var numbers atomic.Int64
+// lastNumber counts appends.
+var lastNumber atomic.Int64
 
-func next() int64 { return numbers.Add(1) }
+func nextNumber() int64 { return lastNumber.Add(1) }
 
-func record(key, value string) []store.Record {
+func oneRecord(key, value string) []store.Record {
 	return []store.Record{{Key: key, Value: []byte(value)}}
 }
 
@@ -66,19 +66,19 @@
 func TestAPartitionThatIsDownStopsNothing(t *testing.T) {
 	for _, fault := range []users.Fault{users.Busy, users.Silent, users.Lost} {
 		log, b := newJournal(t, 7)
-		require.NoError(t, b.Append(t.Context(), next(), record("a", "1"), patience))
-		require.Equal(t, map[string]string{"a": "1"}, newest(t, log, 0))
+		require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("a", "1"), patience))
+		require.Equal(t, map[string]string{"a": "1"}, newestRecords(t, log, 0))
 		log.BreakPart("state", 0, fault)
 		log.BreakPart("state", 5, fault)
-		require.NoError(t, b.Append(t.Context(), next(), record("a", "2"), patience))
-		require.Equal(t, map[string]string{"a": "2"}, newest(t, log, 10))
+		require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("a", "2"), patience))
+		require.Equal(t, map[string]string{"a": "2"}, newestRecords(t, log, 10))
 		log.BreakPart("state", 0, users.None)
 		log.BreakPart("state", 5, users.None)
 		// What had no answer is repeated until it has one; later numbers follow.
 		for range 40 {
-			require.NoError(t, b.Append(t.Context(), next(), record("a", "3"), patience))
+			require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("a", "3"), patience))
 		}
-		require.Equal(t, map[string]string{"a": "3"}, newest(t, log, 10))
+		require.Equal(t, map[string]string{"a": "3"}, newestRecords(t, log, 10))
 	}
 }
 
@@ -91,11 +91,11 @@
 			claim(t, log, p, 8)
 		}
 		log.BreakPart("state", down, users.Busy)
-		err := b.Append(t.Context(), next(), record("a", "1"), patience)
+		err := b.Append(t.Context(), nextNumber(), oneRecord("a", "1"), patience)
 		require.ErrorAs(t, err, new(*store.FencedError))
 		log.BreakPart("state", down, users.None)
 		for _, p := range []int{0, 5, 10} {
-			require.Empty(t, newest(t, log, p))
+			require.Empty(t, newestRecords(t, log, p))
 		}
 	}
 }
@@ -110,7 +110,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if b.Append(context.WithoutCancel(t.Context()), next(), record("a", "1"), patience) == nil {
+		if b.Append(context.WithoutCancel(t.Context()), nextNumber(), oneRecord("a", "1"), patience) == nil {
 			stored.Store(true)
 		}
 	}()
@@ -119,27 +119,27 @@
 	log.BreakPart("state", 5, users.None)
 	<-done
 	require.True(t, stored.Load())
-	require.Equal(t, map[string]string{"a": "1"}, newest(t, log, 5))
+	require.Equal(t, map[string]string{"a": "1"}, newestRecords(t, log, 5))
 }
 
 // An ended job is forgotten in every partition that may hold its record. Left in
 // one, it would be read as the newest once the others are gone.
 func TestAForgottenJobIsDroppedEverywhere(t *testing.T) {
 	log, b := newJournal(t, 7)
-	require.NoError(t, b.Append(t.Context(), next(), record("a", "1"), patience))
+	require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("a", "1"), patience))
 	log.BreakPart("state", 0, users.Busy)
-	require.NoError(t, b.Append(t.Context(), next(), record("a", "2"), patience))
+	require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("a", "2"), patience))
 	b.Drop(t.Context(), "a")
 	log.BreakPart("state", 0, users.None)
 	log.BreakPart("state", 5, users.Busy)
-	require.NoError(t, b.Append(t.Context(), next(), record("b", "1"), patience))
+	require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("b", "1"), patience))
 	log.BreakPart("state", 5, users.None)
 	log.BreakPart("state", 0, users.Busy)
 	log.BreakPart("state", 10, users.Busy)
-	require.NoError(t, b.Append(t.Context(), next(), record("b", "2"), patience))
+	require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("b", "2"), patience))
 	for _, p := range []int{0, 5, 10} {
 		log.BreakPart("state", p, users.None)
-		require.NotContains(t, newest(t, log, p), "a")
+		require.NotContains(t, newestRecords(t, log, p), "a")
 	}
 }
 
@@ -147,7 +147,7 @@
 // that. The next lead reads records of several partitions; every job ends as done
 // and no task runs a second time.
 func TestJobsOutliveAStoreThatIsPartlyDown(t *testing.T) {
-	c := newCell(t, 3, 4, 150*time.Millisecond)
+	c := newCluster(t, 3, 4, 150*time.Millisecond)
 	jobs := 0
 	for _, down := range []int{0, 5, 10} {
 		c.log.BreakPart("state", down, users.Busy)
@@ -155,7 +155,7 @@
 			require.Equal(t, http.StatusOK, c.submit(c.follower(), jobs).code)
 			jobs++
 		}
-		c.finished(c.follower(), jobs-1)
+		c.waitCompleted(c.follower(), jobs-1)
 		c.log.BreakPart("state", down, users.None)
 	}
 	for _, h := range c.hosts {
@@ -164,10 +164,10 @@
 	for name := range c.hosts {
 		c.start(name)
 	}
-	c.settled()
-	c.finished(c.follower(), jobs)
-	require.Empty(t, c.oracle.Wrongs())
-	for task, n := range c.oracle.Runs() {
+	c.waitReady()
+	c.waitCompleted(c.follower(), jobs)
+	require.Empty(t, c.checker.Wrongs())
+	for task, n := range c.checker.Runs() {
 		require.Equal(t, 1, n, task)
 	}
 }
@@ -175,7 +175,7 @@
 // The partition to which a host appends jobs is down. The host appends to another
 // one; its callers would be refused otherwise while the host beside it accepts.
 func TestJobsAreAcceptedWhileAPartitionIsDown(t *testing.T) {
-	c := newCell(t, 2, 2, 50*time.Millisecond)
+	c := newCluster(t, 2, 2, 50*time.Millisecond)
 	h := c.follower()
 	for _, fault := range []users.Fault{users.Busy, users.Silent} {
 		own := h.JobsPart()
@@ -187,45 +187,45 @@
 	}
 	for _, fault := range []users.Fault{users.Busy, users.Silent} {
 		require.Eventually(t, func() bool {
-			_, body := c.get(h.cfg.Listen.Caller, prefix+id(int(fault)))
+			_, body := c.get(h.cfg.Listen.Caller, prefix+jobID(int(fault)))
 			return body == `{"state":"completed"}`
-		}, settleTime, 20*time.Millisecond)
+		}, waitTimeout, 20*time.Millisecond)
 	}
-	require.Empty(t, c.oracle.Wrongs())
+	require.Empty(t, c.checker.Wrongs())
 }
 
 // An ended job is forgotten while the store does not take the drop of its spec. If
 // its progress were dropped all the same, the next lead would find a job that
 // nothing was done of, and its caller would see a pass spent twice.
 func TestAJobIsNotRunAgainAfterItIsForgotten(t *testing.T) {
-	c := newCell(t, 1, 2, 50*time.Millisecond)
+	c := newCluster(t, 1, 2, 50*time.Millisecond)
 	c.hosts["h0"].Kill()
 	delete(c.hosts, "h0")
 	h := c.start("short", func(cfg *entry.Settings) { cfg.Times.Keep = entry.Duration(800 * time.Millisecond) })
-	c.settled()
+	c.waitReady()
 	require.Equal(t, http.StatusOK, c.submit(h, 0).code)
-	c.finished(h, 1)
+	c.waitCompleted(h, 1)
 	for p := range 16 {
 		c.log.BreakPart("jobs", p, users.Busy)
 	}
-	require.Eventually(t, func() bool { return !h.Knows(id(0)) }, settleTime, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return !h.KnowsJob(jobID(0)) }, waitTimeout, 20*time.Millisecond)
 	for p := range 16 {
 		c.log.BreakPart("jobs", p, users.None)
 	}
 	completed := func(n int) {
 		require.Equal(t, http.StatusOK, c.submit(h, n).code)
 		require.Eventually(t, func() bool {
-			_, body := c.get(h.cfg.Listen.Caller, prefix+id(n))
+			_, body := c.get(h.cfg.Listen.Caller, prefix+jobID(n))
 			return body == `{"state":"completed"}`
-		}, settleTime, 20*time.Millisecond)
+		}, waitTimeout, 20*time.Millisecond)
 	}
 	// The next append carries drops, if there are any.
 	completed(1)
 	h.Kill()
 	h = c.start("short")
-	c.settled()
+	c.waitReady()
 	completed(2)
-	for task, n := range c.oracle.Runs() {
+	for task, n := range c.checker.Runs() {
 		require.Equal(t, 1, n, task)
 	}
 }
@@ -261,7 +261,7 @@
 			turns <- struct{}{}
 			wg.Go(func() {
 				defer func() { <-turns }()
-				if b.Append(t.Context(), n, record(key, fmt.Sprintf(`{"t":7,"a":%d}`, n)), 5*time.Millisecond) != nil {
+				if b.Append(t.Context(), n, oneRecord(key, fmt.Sprintf(`{"t":7,"a":%d}`, n)), 5*time.Millisecond) != nil {
 					return
 				}
 				mu.Lock()
@@ -277,7 +277,7 @@
 		for _, key := range keys {
 			var best []byte
 			for _, p := range []int{0, 5, 10} {
-				if v, ok := newest(t, log, p)[key]; ok {
+				if v, ok := newestRecords(t, log, p)[key]; ok {
 					best = flow.Newer(best, []byte(v))
 				}
 			}
@@ -300,7 +300,7 @@
 		wg.Go(func() {
 			for range 300 {
 				var one sync.WaitGroup
-				one.Go(func() { _ = b.Append(t.Context(), next(), record("a", "1"), patience) })
+				one.Go(func() { _ = b.Append(t.Context(), nextNumber(), oneRecord("a", "1"), patience) })
 				one.Wait()
 			}
 		})
--- a/internal/entry/states_test.go
+++ b/internal/entry/states_test.go
@@ -18,12 +18,12 @@
 const oneTask = `{"spec":"text","steps":[{"count":1,"cpu":500,"memMb":256,"estimateMs":200}]}`
 
 // submitMany hands in jobs of one task each.
-func (c *cell) submitMany(h *running, first, n int) {
+func (c *cluster) submitMany(h *testHost, first, n int) {
 	c.t.Helper()
 	var wg sync.WaitGroup
 	for i := range n {
 		wg.Go(func() {
-			a := c.call(h.cfg.Listen.Caller, http.MethodPost, prefix+id(first+i), oneTask)
+			a := c.call(h.cfg.Listen.Caller, http.MethodPost, prefix+jobID(first+i), oneTask)
 			if a.code != http.StatusOK {
 				c.t.Errorf("job %d: %d %s", first+i, a.code, a.body)
 			}
@@ -32,14 +32,14 @@
 	wg.Wait()
 }
 
-// toldBy asks a host for all jobs at once and counts its answers.
-func (c *cell) toldBy(h *running, jobs int) map[string]int {
+// statesAt asks a host for all jobs at once and counts its answers.
+func (c *cluster) statesAt(h *testHost, jobs int) map[string]int {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	told := map[string]int{}
 	for n := range jobs {
 		wg.Go(func() {
-			code, body := c.get(h.cfg.Listen.Caller, prefix+id(n))
+			code, body := c.get(h.cfg.Listen.Caller, prefix+jobID(n))
 			mu.Lock()
 			defer mu.Unlock()
 			told[fmt.Sprint(code, " ", body)]++
@@ -49,27 +49,27 @@
 	return told
 }
 
-// leaderless kills the lead of a cell in which no other host can take over: the store
+// withoutLeader kills the lead of a cell in which no other host can take over: the store
 // refuses all claims and serves everything else.
-func (c *cell) leaderless() {
+func (c *cluster) withoutLeader() {
 	c.log.BreakAppends("state", users.Busy)
 	lead := c.leader()
 	lead.Kill()
 	delete(c.hosts, lead.cfg.Name)
 }
 
-const completed = `200 {"state":"completed"}`
+const completedReply = `200 {"state":"completed"}`
 
 // Guards against ended jobs that no host tells of while none leads.
 func TestEndedJobsAreToldWhileNoHostLeads(t *testing.T) {
 	const jobs = 120
-	c := newCell(t, 3, 4, 20*time.Millisecond)
+	c := newCluster(t, 3, 4, 20*time.Millisecond)
 	c.submitMany(c.follower(), 0, jobs)
-	c.finished(c.leader(), jobs)
-	c.leaderless()
+	c.waitCompleted(c.leader(), jobs)
+	c.withoutLeader()
 	before := c.log.Calls(store.Newest)
 	for _, h := range c.hosts {
-		require.Equal(t, map[string]int{completed: jobs}, c.toldBy(h, jobs), h.cfg.Name)
+		require.Equal(t, map[string]int{completedReply: jobs}, c.statesAt(h, jobs), h.cfg.Name)
 	}
 	pages := c.log.Calls(store.Newest) - before
 	require.Less(t, pages, jobs, "questions share what is read from the store")
@@ -78,93 +78,93 @@
 // Guards against a host that falls behind when thousands of jobs are asked for at once.
 func TestThousandsOfQuestionsShareAFewReads(t *testing.T) {
 	const jobs = 3000
-	c := newCell(t, 2, 1, 20*time.Millisecond)
-	c.leaderless()
+	c := newCluster(t, 2, 1, 20*time.Millisecond)
+	c.withoutLeader()
 	now := time.Now().UnixMilli()
 	for n := range jobs {
-		c.log.Put("state", id(n), fmt.Appendf(nil, `{"s":"completed","b":%d,"e":%d}`, now, now))
+		c.log.Put("state", jobID(n), fmt.Appendf(nil, `{"s":"completed","b":%d,"e":%d}`, now, now))
 	}
 	h := c.follower()
-	c.deadline = settleTime
+	c.deadline = waitTimeout
 	before := c.log.Calls(store.Newest)
-	require.Equal(t, map[string]int{completed: jobs}, c.toldBy(h, jobs))
+	require.Equal(t, map[string]int{completedReply: jobs}, c.statesAt(h, jobs))
 	require.Less(t, c.log.Calls(store.Newest)-before, jobs/10)
 }
 
 // Guards against ended jobs that hosts behind a cut, without lead and store, do not tell.
 func TestEndedJobsAreToldBehindACut(t *testing.T) {
 	const jobs = 30
-	c := newCell(t, 3, 4, 20*time.Millisecond)
+	c := newCluster(t, 3, 4, 20*time.Millisecond)
 	c.submitMany(c.leader(), 0, jobs)
-	c.finished(c.leader(), jobs)
+	c.waitCompleted(c.leader(), jobs)
 	ids := make([]string, jobs)
 	for n := range ids {
-		ids[n] = id(n)
+		ids[n] = jobID(n)
 	}
 	for name, h := range c.hosts {
-		require.Eventually(t, func() bool { return h.KnowsEnds(ids...) }, settleTime, 20*time.Millisecond, name)
+		require.Eventually(t, func() bool { return h.KnowsFinalStates(ids...) }, waitTimeout, 20*time.Millisecond, name)
 	}
 	lead := c.leader()
 	c.log.Break("", users.Silent)
 	lead.Kill()
 	delete(c.hosts, lead.cfg.Name)
 	for _, h := range c.hosts {
-		require.Equal(t, map[string]int{completed: jobs}, c.toldBy(h, jobs), h.cfg.Name)
+		require.Equal(t, map[string]int{completedReply: jobs}, c.statesAt(h, jobs), h.cfg.Name)
 	}
 }
 
 // Guards against a job that only the host that accepted it tells of while none leads.
 func TestAJobAcceptedWhileNoHostLeadsIsToldByAll(t *testing.T) {
-	c := newCell(t, 3, 1, 20*time.Millisecond)
-	c.leaderless()
+	c := newCluster(t, 3, 1, 20*time.Millisecond)
+	c.withoutLeader()
 	f := c.follower()
 	c.submitMany(f, 0, 1)
 	for _, h := range c.hosts {
-		require.Equal(t, map[string]int{`200 {"state":"queued"}`: 1}, c.toldBy(h, 1), h.cfg.Name)
-		code, _ := c.get(h.cfg.Listen.Caller, prefix+id(7))
+		require.Equal(t, map[string]int{`200 {"state":"queued"}`: 1}, c.statesAt(h, 1), h.cfg.Name)
+		code, _ := c.get(h.cfg.Listen.Caller, prefix+jobID(7))
 		require.Equal(t, http.StatusGone, code, "a job that nobody handed in")
 	}
 }
 
 // Guards against hosts that tell nothing of jobs while the lead is reached and does not answer.
 func TestStatesAreToldWhileTheLeadDoesNotAnswer(t *testing.T) {
-	c := newCell(t, 3, 4, 20*time.Millisecond)
+	c := newCluster(t, 3, 4, 20*time.Millisecond)
 	c.submitMany(c.follower(), 0, 20)
-	c.finished(c.leader(), 20)
+	c.waitCompleted(c.leader(), 20)
 	lead := c.leader()
-	release := lead.HoldCore()
+	release := lead.BlockCore()
 	defer release()
 	for name, h := range c.hosts {
-		require.Equal(t, map[string]int{completed: 20}, c.toldBy(h, 20), name)
+		require.Equal(t, map[string]int{completedReply: 20}, c.statesAt(h, 20), name)
 	}
 }
 
 // Guards against questions that hang on a connection which the lead's host does not read.
 func TestStatesAreToldWhileTheLeadReadsNothing(t *testing.T) {
-	c := newCell(t, 2, 4, 20*time.Millisecond)
+	c := newCluster(t, 2, 4, 20*time.Millisecond)
 	c.submitMany(c.leader(), 0, 20)
-	c.finished(c.leader(), 20)
+	c.waitCompleted(c.leader(), 20)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = ln.Close() })
 	f := c.follower()
-	f.LearnLead("other", netip.MustParseAddrPort(ln.Addr().String()), 1<<40)
-	require.Equal(t, map[string]int{completed: 20}, c.toldBy(f, 20))
+	f.LearnLeader("other", netip.MustParseAddrPort(ln.Addr().String()), 1<<40)
+	require.Equal(t, map[string]int{completedReply: 20}, c.statesAt(f, 20))
 }
 
 // Guards against a state that is guessed from a store that tells only a part of it.
 func TestNoStateIsGuessedFromAPartOfTheStore(t *testing.T) {
-	c := newCell(t, 3, 1, time.Minute)
+	c := newCluster(t, 3, 1, time.Minute)
 	f := c.follower()
 	c.submitMany(f, 0, 2)
-	c.leaderless()
+	c.withoutLeader()
 	for part := range 16 {
 		if part != 0 {
 			c.log.BreakPart("state", part, users.Busy)
 		}
 	}
 	for _, h := range c.hosts {
-		a := c.call(h.cfg.Listen.Caller, http.MethodGet, prefix+id(9), "")
+		a := c.call(h.cfg.Listen.Caller, http.MethodGet, prefix+jobID(9), "")
 		require.Equal(t, http.StatusServiceUnavailable, a.code, a.body)
 		require.Equal(t, "1", a.header.Get("Retry-After"))
 	}
@@ -172,12 +172,12 @@
 
 // Guards against a job told as missing by a lead that reads it while it is asked.
 func TestALeadThatReadsMeanwhileTellsNoJobAsMissing(t *testing.T) {
-	c := newCell(t, 1, 1, time.Minute)
+	c := newCluster(t, 1, 1, time.Minute)
 	h := c.leader()
 	c.log.BreakReads("jobs", users.Busy)
 	h.BeginTerm(1<<40, time.Now().Add(-3*time.Second))
 	for n := range 300 {
-		r := h.Meanwhile(id(n))
+		r := h.StateDuringPoll(jobID(n))
 		require.True(t, r.Known || r.Unsure, n)
 	}
 }
@@ -186,19 +186,19 @@
 // a slow store, and what the lead knows was taken to be as new as the end of its reading.
 func TestAJobStoredWhileALeadReadsIsNotToldAsGone(t *testing.T) {
 	const slow = 400 * time.Millisecond
-	c := newCell(t, 2, 1, 20*time.Millisecond)
+	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	lead := c.leader()
 	delete(c.hosts, lead.cfg.Name)
 	c.log.Slow(slow)
 	reads := c.log.Calls(store.Newest)
 	lead.Kill()
-	require.Eventually(t, func() bool { return c.log.Calls(store.Newest) >= reads+1+3+16 }, settleTime, time.Millisecond, "the jobs are read")
+	require.Eventually(t, func() bool { return c.log.Calls(store.Newest) >= reads+1+3+16 }, waitTimeout, time.Millisecond, "the jobs are read")
 	c.log.BreakReads("jobs", users.Busy)
 	stored := time.Now()
-	require.Eventually(t, func() bool { return c.follower() == nil }, settleTime, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return c.follower() == nil }, waitTimeout, 10*time.Millisecond)
 	h := c.leader()
 	time.Sleep(time.Until(stored.Add(3100 * time.Millisecond)))
-	told := h.State(id(1))
+	told := h.State(jobID(1))
 	require.True(t, told.Lead)
 	require.True(t, told.Unsure, "the job was stored three seconds ago and is not read yet")
 }
--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -30,9 +30,9 @@
 // of the lead's own work, which ends in an append, an answer to a peer, and what a new lead has
 // to catch up with.
 const (
-	pieceEvery = 20 * time.Millisecond
-	answerCost = 500 * time.Microsecond
-	catchUp    = 900 * time.Millisecond
+	pieceEvery  = 20 * time.Millisecond
+	answerCost  = 500 * time.Microsecond
+	catchUpCost = 900 * time.Millisecond
 )
 
 // processor does one thing after the other.
@@ -50,91 +50,91 @@
 	return sleep(ctx, cost)
 }
 
-// busyCell is a cell whose lead is short of processor.
-type busyCell struct {
-	ctx   context.Context
-	log   *users.Log
-	lines lines
-	// played is what was logged until the end of the play.
-	played string
-	net    standin.Pipes
-	hosts  []*busyHost
+// busyCluster is a cell whose lead is short of processor.
+type busyCluster struct {
+	ctx  context.Context
+	log  *users.Log
+	logs logBuffer
+	// logText is what was logged until the end of the play.
+	logText string
+	net     standin.Pipes
+	hosts   []*busyHost
 	// load is the share of its processor that the lead's own work takes, late how much
 	// later than that it answers.
-	load float64
-	late time.Duration
-	mu   sync.Mutex
-	work int
+	load     float64
+	late     time.Duration
+	mu       sync.Mutex
+	workDone int
 }
 
 type busyHost struct {
 	*entry.Host
-	cell *busyCell
-	cpu  processor
-	mu   sync.Mutex
-	// deaf hosts answer nobody, dead ones do nothing at all.
-	deaf, dead bool
+	cluster *busyCluster
+	cpu     processor
+	mu      sync.Mutex
+	// silent hosts answer nobody, frozen ones do nothing at all.
+	silent, frozen bool
 }
 
-func (b *busyHost) is() (deaf, dead bool) {
+func (b *busyHost) faults() (deaf, dead bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.deaf, b.dead
+	return b.silent, b.frozen
 }
 
-// answer is what a question costs before it is answered.
-func (b *busyHost) answer(ctx context.Context) {
-	if deaf, dead := b.is(); deaf || dead {
+// delayReply is what a question costs before it is answered.
+func (b *busyHost) delayReply(ctx context.Context) {
+	if deaf, dead := b.faults(); deaf || dead {
 		<-ctx.Done()
 		return
 	}
 	if b.Leading() {
-		sleep(ctx, b.cell.late)
+		sleep(ctx, b.cluster.late)
 	}
 	b.cpu.do(ctx, answerCost)
 }
 
-// lead is the work of a host while it leads. Pieces come at their pace and wait for the
+// doLeaderWork is the work of a host while it leads. Pieces come at their pace and wait for the
 // processor in a queue, in which questions wait as well.
-func (b *busyHost) lead() {
+func (b *busyHost) doLeaderWork() {
 	led := false
-	for n := 0; sleep(b.cell.ctx, pieceEvery); n++ {
-		if _, dead := b.is(); dead {
+	for n := 0; sleep(b.cluster.ctx, pieceEvery); n++ {
+		if _, dead := b.faults(); dead {
 			continue
 		}
 		leads := b.Leading()
-		if leads && !led && b.cell.load > 0 {
-			b.behind(catchUp)
+		if leads && !led && b.cluster.load > 0 {
+			b.addBacklog(catchUpCost)
 		}
-		if led = leads; !leads || b.cell.load == 0 {
+		if led = leads; !leads || b.cluster.load == 0 {
 			continue
 		}
-		go b.piece(n)
+		go b.doPiece(n)
 	}
 }
 
-func (b *busyHost) piece(n int) {
-	if b.cpu.do(b.cell.ctx, time.Duration(b.cell.load*float64(pieceEvery))) && b.Work(fmt.Sprintf("%s-%d", b.Name(), n)) {
-		b.cell.mu.Lock()
-		b.cell.work++
-		b.cell.mu.Unlock()
+func (b *busyHost) doPiece(n int) {
+	if b.cpu.do(b.cluster.ctx, time.Duration(b.cluster.load*float64(pieceEvery))) && b.StoreProgress(fmt.Sprintf("%s-%d", b.Name(), n)) {
+		b.cluster.mu.Lock()
+		b.cluster.workDone++
+		b.cluster.mu.Unlock()
 	}
 }
 
-// behind gives the host work at once, in pieces that end in an append each.
-func (b *busyHost) behind(d time.Duration) {
+// addBacklog gives the host work at once, in pieces that end in an append each.
+func (b *busyHost) addBacklog(d time.Duration) {
 	const piece = 10 * time.Millisecond
 	for n := range int(d / piece) {
 		go func() {
-			if b.cpu.do(b.cell.ctx, piece) {
-				b.Work(fmt.Sprintf("%s-late-%d-%d", b.Name(), time.Now().UnixNano(), n))
+			if b.cpu.do(b.cluster.ctx, piece) {
+				b.StoreProgress(fmt.Sprintf("%s-late-%d-%d", b.Name(), time.Now().UnixNano(), n))
 			}
 		}()
 	}
 }
 
-// playBusy runs a cell of twelve hosts for a time; what is to happen then does at its moments.
-func playBusy(t *testing.T, c *busyCell, seed uint64, d time.Duration, then map[time.Duration]func(c *busyCell)) *busyCell {
+// runBusyCluster runs a cell of twelve hosts for a time; what is to happen then does at its moments.
+func runBusyCluster(t *testing.T, c *busyCluster, seed uint64, d time.Duration, then map[time.Duration]func(c *busyCluster)) *busyCluster {
 	// The library's clock for all meters has to run outside: it never rests.
 	metrics.NewMeter().Stop()
 	synctest.Test(t, func(t *testing.T) {
@@ -160,7 +160,7 @@
 				}
 			}
 		}
-		c.played = c.lines.String()
+		c.logText = c.logs.String()
 		cancel()
 		for _, h := range c.hosts {
 			h.Kill()
@@ -170,37 +170,37 @@
 	return c
 }
 
-func (c *busyCell) add(t *testing.T, i int) {
-	b := &busyHost{cell: c, cpu: newProcessor()}
+func (c *busyCluster) add(t *testing.T, i int) {
+	b := &busyHost{cluster: c, cpu: newProcessor()}
 	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 1)
 	p := c.net.Listen(addr)
 	cfg := entry.Settings{Name: fmt.Sprintf("h%02d", i), Parts: 16, Power: 1}
 	cfg.Listen.Peer = addr
-	h, err := entry.NewNetless(cfg, slog.New(slog.NewTextHandler(&c.lines, nil)).With("host", cfg.Name), c.log.For(cfg.Name), c.net.Dial, p, b.answer)
+	h, err := entry.NewWithTransport(cfg, slog.New(slog.NewTextHandler(&c.logs, nil)).With("host", cfg.Name), c.log.For(cfg.Name), c.net.Dial, p, b.delayReply)
 	require.NoError(t, err)
 	b.Host = h
 	c.hosts = append(c.hosts, b)
-	go b.lead()
+	go b.doLeaderWork()
 }
 
 // leader is the host that leads, nil without one that works.
-func (c *busyCell) leader() *busyHost {
+func (c *busyCluster) leader() *busyHost {
 	for _, h := range c.hosts {
-		if deaf, dead := h.is(); h.Leading() && !deaf && !dead {
+		if deaf, dead := h.faults(); h.Leading() && !deaf && !dead {
 			return h
 		}
 	}
 	return nil
 }
 
-// terms counts those of the play. At its end hosts are killed one after the other, and the
+// termCount counts those of the play. At its end hosts are killed one after the other, and the
 // lead's heir may claim before it is.
-func (c *busyCell) terms() int { return strings.Count(c.played, "lead: term begins.") }
+func (c *busyCluster) termCount() int { return strings.Count(c.logText, "lead: term begins.") }
 
-func (c *busyCell) done() int {
+func (c *busyCluster) workCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.work
+	return c.workDone
 }
 
 // A lead is short of processor, a burst has it a second behind, and the group of the hosts is
@@ -212,12 +212,12 @@
 	for _, load := range []float64{0.3, 0.6, 0.8, 0.9} {
 		t.Run(fmt.Sprintf("load %d percent", int(100*load)), func(t *testing.T) {
 			var before, after int
-			c := playBusy(t, &busyCell{load: load}, 1, 60*time.Second, map[time.Duration]func(*busyCell){
-				10 * time.Second: func(c *busyCell) { c.leader().behind(1200 * time.Millisecond) },
-				50 * time.Second: func(c *busyCell) { before = c.done() },
-				59 * time.Second: func(c *busyCell) { after = c.done() },
+			c := runBusyCluster(t, &busyCluster{load: load}, 1, 60*time.Second, map[time.Duration]func(*busyCluster){
+				10 * time.Second: func(c *busyCluster) { c.leader().addBacklog(1200 * time.Millisecond) },
+				50 * time.Second: func(c *busyCluster) { before = c.workCount() },
+				59 * time.Second: func(c *busyCluster) { after = c.workCount() },
 			})
-			require.LessOrEqual(t, c.terms(), 2, c.lines.String())
+			require.LessOrEqual(t, c.termCount(), 2, c.logs.String())
 			require.Greater(t, after-before, 8*int(time.Second/pieceEvery), "what comes in nine seconds is done")
 		})
 	}
@@ -229,16 +229,16 @@
 // from the third on the lead stays.
 func TestALeadThatStallsIsNotFencedOffAgainAndAgain(t *testing.T) {
 	for seed := range uint64(4) {
-		stalls := map[time.Duration]func(*busyCell){}
+		stalls := map[time.Duration]func(*busyCluster){}
 		for at := 4 * time.Second; at < time.Minute; at += 2300 * time.Millisecond {
-			stalls[at] = func(c *busyCell) {
+			stalls[at] = func(c *busyCluster) {
 				if h := c.leader(); h != nil {
 					go h.cpu.do(c.ctx, 800*time.Millisecond)
 				}
 			}
 		}
-		c := playBusy(t, &busyCell{load: 0.5}, seed, time.Minute, stalls)
-		require.LessOrEqual(t, c.terms(), 3, c.lines.String())
+		c := runBusyCluster(t, &busyCluster{load: 0.5}, seed, time.Minute, stalls)
+		require.LessOrEqual(t, c.termCount(), 3, c.logs.String())
 	}
 }
 
@@ -246,8 +246,8 @@
 // long tasks, or the policy service is waited for. It answers every question, half a second late.
 // Whoever the group names has its late answer at hand when it is about to claim.
 func TestALeadThatAnswersLateIsNotFencedOff(t *testing.T) {
-	c := playBusy(t, &busyCell{late: 500 * time.Millisecond}, 1, 30*time.Second, nil)
-	require.Equal(t, 1, c.terms(), c.lines.String())
+	c := runBusyCluster(t, &busyCluster{late: 500 * time.Millisecond}, 1, 30*time.Second, nil)
+	require.Equal(t, 1, c.termCount(), c.logs.String())
 }
 
 // A lead really is gone: its process stands still, or no host hears of it any more while the
@@ -258,16 +258,16 @@
 		harm  func(b *busyHost)
 		bound time.Duration
 	}{
-		"it stands still": {func(b *busyHost) { b.set(false, true) }, 3 * time.Second},
-		"it is unheard":   {func(b *busyHost) { b.set(true, false) }, 6 * time.Second},
+		"it stands still": {func(b *busyHost) { b.setFaults(false, true) }, 3 * time.Second},
+		"it is unheard":   {func(b *busyHost) { b.setFaults(true, false) }, 6 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(5) {
 				const harmed = 10 * time.Second
 				var next *busyHost
-				playBusy(t, &busyCell{load: 0.5}, seed, harmed+tc.bound+time.Second, map[time.Duration]func(*busyCell){
-					harmed:            func(c *busyCell) { tc.harm(c.leader()) },
-					harmed + tc.bound: func(c *busyCell) { next = c.leader() },
+				runBusyCluster(t, &busyCluster{load: 0.5}, seed, harmed+tc.bound+time.Second, map[time.Duration]func(*busyCluster){
+					harmed:            func(c *busyCluster) { tc.harm(c.leader()) },
+					harmed + tc.bound: func(c *busyCluster) { next = c.leader() },
 				})
 				require.NotNil(t, next, "seed %d", seed)
 			}
@@ -275,10 +275,10 @@
 	}
 }
 
-func (b *busyHost) set(deaf, dead bool) {
+func (b *busyHost) setFaults(deaf, dead bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.deaf, b.dead = deaf, dead
+	b.silent, b.frozen = deaf, dead
 }
 
 // The lead changed three times in a row, and its process really is gone this time: nothing
@@ -289,10 +289,10 @@
 	f := entry.NewFollower(t, slog.New(slog.DiscardHandler), "b1", nil, "", log.For("b1"), nil)
 	defer f.Stop()
 	for term := range int64(4) {
-		f.LearnLead(fmt.Sprintf("c%d", term), netip.MustParseAddrPort("127.0.0.1:1"), term+1)
+		f.LearnLeader(fmt.Sprintf("c%d", term), netip.MustParseAddrPort("127.0.0.1:1"), term+1)
 	}
 	began := time.Now()
-	require.False(t, f.Doubt())
+	require.False(t, f.LeaderAlive())
 	require.Less(t, time.Since(began), 2*time.Second, "three are what a silent one would get")
 }
 
@@ -300,12 +300,12 @@
 // cannot vouch for anything. When the store is back and it is busy with what has gathered, its
 // answers are late; it was taken for unheard since before, and succeeded for nothing.
 func TestALeadThatTheStoreDidNotServeWasHeard(t *testing.T) {
-	c := playBusy(t, &busyCell{load: 0.5}, 1, 30*time.Second, map[time.Duration]func(*busyCell){
-		10 * time.Second: func(c *busyCell) { c.log.Break("", users.Silent) },
-		16 * time.Second: func(c *busyCell) {
+	c := runBusyCluster(t, &busyCluster{load: 0.5}, 1, 30*time.Second, map[time.Duration]func(*busyCluster){
+		10 * time.Second: func(c *busyCluster) { c.log.Break("", users.Silent) },
+		16 * time.Second: func(c *busyCluster) {
 			c.log.Break("", users.None)
-			c.leader().behind(1500 * time.Millisecond)
+			c.leader().addBacklog(1500 * time.Millisecond)
 		},
 	})
-	require.Equal(t, 1, c.terms(), c.lines.String())
+	require.Equal(t, 1, c.termCount(), c.logs.String())
 }
--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -28,7 +28,7 @@
 // The pattern is that of a rolling restart of a grown site.
 func TestTheStrongestAndYoungestHostIsTheSuccessor(t *testing.T) {
 	at := time.Unix(1000, 0)
-	seen := map[string]entry.Sighting{
+	seen := map[string]entry.HostInfo{
 		"weak":      {Power: 0.192, Began: at.Add(time.Hour)},
 		"old":       {Power: 0.8, Began: at},
 		"restarted": {Power: 0.8, Began: at.Add(time.Minute)},
@@ -40,20 +40,20 @@
 // The lead of a cell of unlike hosts is stopped. The strongest of the others leads
 // next, and no third one.
 func TestAStoppedLeadIsFollowedByTheStrongest(t *testing.T) {
-	c := newCell(t, 1, 2, 50*time.Millisecond)
+	c := newCluster(t, 1, 2, 50*time.Millisecond)
 	power := func(p float64) func(*entry.Settings) { return func(cfg *entry.Settings) { cfg.Power = p } }
 	c.start("a", power(0.2))
 	strong := c.start("b", power(1))
 	c.start("z", power(0.2))
-	c.settled()
+	c.waitReady()
 	lead := c.hosts["h0"]
-	require.Eventually(t, func() bool { return lead.Leading() && lead.Heard() == 3 }, settleTime, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return lead.Leading() && lead.RecentHostCount() == 3 }, waitTimeout, 20*time.Millisecond)
 	lead.Stop()
 	lead.Kill()
 	delete(c.hosts, "h0")
-	require.Eventually(t, strong.Leading, settleTime, 20*time.Millisecond)
+	require.Eventually(t, strong.Leading, waitTimeout, 20*time.Millisecond)
 	for _, name := range []string{"a", "z"} {
-		require.NotContains(t, c.lines.String(), "term begins.\" host="+name)
+		require.NotContains(t, c.logs.String(), "term begins.\" host="+name)
 	}
 }
 
@@ -61,7 +61,7 @@
 // it three times on the way to the claim. It waits for an answer once; three waits
 // would leave every start at rest for half a second more.
 func TestASilentLeadIsWaitedForOnce(t *testing.T) {
-	c := newCell(t, 1, 1, 50*time.Millisecond)
+	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -75,10 +75,10 @@
 		silent.Serve(ctx, ln)
 	}()
 	h := c.leader()
-	h.Know("dead", ln.Addr().String())
-	require.True(t, h.Waits("dead"))
-	require.False(t, h.Waits("dead"))
-	require.False(t, h.Waits("dead"))
+	h.SetPeerAddr("dead", ln.Addr().String())
+	require.True(t, h.WaitsForReply("dead"))
+	require.False(t, h.WaitsForReply("dead"))
+	require.False(t, h.WaitsForReply("dead"))
 	cancel()
 	<-served
 }
@@ -88,20 +88,20 @@
 // nearly no job would be served in time. So it does not stand ready while enough
 // strong ones do, and does again when they are gone.
 func TestAWeakHostStandsReadyOnlyWithoutStrongOnes(t *testing.T) {
-	c := newCell(t, 3, 2, 50*time.Millisecond)
+	c := newCluster(t, 3, 2, 50*time.Millisecond)
 	weak := c.start("weak", func(cfg *entry.Settings) { cfg.Power = 0.2 })
-	require.Eventually(t, func() bool { return !weak.StandsReady() }, settleTime, 20*time.Millisecond)
-	require.Eventually(t, func() bool { return !slices.Contains(c.members(), "weak") }, settleTime, 20*time.Millisecond)
-	c.settled()
+	require.Eventually(t, func() bool { return !weak.IsCandidate() }, waitTimeout, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return !slices.Contains(c.candidates(), "weak") }, waitTimeout, 20*time.Millisecond)
+	c.waitReady()
 	for _, h := range []string{"h0", "h1", "h2"} {
-		require.True(t, c.hosts[h].StandsReady())
+		require.True(t, c.hosts[h].IsCandidate())
 		c.hosts[h].Kill()
 		delete(c.hosts, h)
 	}
-	require.Eventually(t, weak.Leading, settleTime, 20*time.Millisecond)
+	require.Eventually(t, weak.Leading, waitTimeout, 20*time.Millisecond)
 	require.Equal(t, http.StatusOK, c.submit(weak, 0).code)
-	c.finished(weak, 1)
-	require.Empty(t, c.oracle.Wrongs())
+	c.waitCompleted(weak, 1)
+	require.Empty(t, c.checker.Wrongs())
 }
 
 // A new lead reads for seconds at a slow store, and a job is accepted meanwhile in a
@@ -109,17 +109,17 @@
 // knows is as old as the beginning of its reading. Callers were told that jobs they
 // had handed in never were.
 func TestALeadKnowsOnlyWhatWasStoredBeforeItRead(t *testing.T) {
-	c := newCell(t, 1, 1, 50*time.Millisecond)
+	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	h := c.leader()
-	require.False(t, h.Unsure(id(0)), "it has just read")
+	require.False(t, h.IsUncertain(jobID(0)), "it has just read")
 	h.BeginTerm(1<<40, time.Now().Add(-3*time.Second))
-	require.True(t, h.Unsure(id(0)))
+	require.True(t, h.IsUncertain(jobID(0)))
 	c.log.BreakReads("jobs", users.Busy)
-	code, _ := c.get(h.cfg.Listen.Caller, prefix+id(0))
+	code, _ := c.get(h.cfg.Listen.Caller, prefix+jobID(0))
 	require.Equal(t, http.StatusServiceUnavailable, code)
 	c.log.BreakReads("jobs", users.None)
-	c.log.Put("jobs", id(0), fmt.Appendf(nil, `{"id":%q,"queue":{"name":"scan","service":"pass"},"steps":[{"tasks":1}]}`, id(0)))
-	code, body := c.get(h.cfg.Listen.Caller, prefix+id(0))
+	c.log.Put("jobs", jobID(0), fmt.Appendf(nil, `{"id":%q,"queue":{"name":"scan","service":"pass"},"steps":[{"tasks":1}]}`, jobID(0)))
+	code, body := c.get(h.cfg.Listen.Caller, prefix+jobID(0))
 	require.Equal(t, http.StatusOK, code, body)
 }
 
@@ -128,58 +128,58 @@
 // next look through all partitions, nearly two seconds; here the new lead cannot
 // look at all. It is told by the host as soon as that one knows who leads.
 func TestAJobStoredWhileTheLeadChangesIsHandedToTheNextLead(t *testing.T) {
-	c := newCell(t, 3, 2, 50*time.Millisecond)
+	c := newCluster(t, 3, 2, 50*time.Millisecond)
 	lead, f := c.leader(), c.follower()
 	c.log.BreakReads("jobs", users.Busy)
 	for name := range c.hosts {
 		if name != lead.cfg.Name && name != f.cfg.Name {
-			f.Follow(name)
+			f.SetLeaderName(name)
 		}
 	}
 	require.Equal(t, http.StatusOK, c.submit(f, 0).code)
-	require.Never(t, func() bool { return lead.Knows(id(0)) }, 300*time.Millisecond, 20*time.Millisecond)
-	f.Follow(lead.cfg.Name)
-	require.Eventually(t, func() bool { return lead.Knows(id(0)) }, settleTime, 20*time.Millisecond)
+	require.Never(t, func() bool { return lead.KnowsJob(jobID(0)) }, 300*time.Millisecond, 20*time.Millisecond)
+	f.SetLeaderName(lead.cfg.Name)
+	require.Eventually(t, func() bool { return lead.KnowsJob(jobID(0)) }, waitTimeout, 20*time.Millisecond)
 	c.log.BreakReads("jobs", users.None)
-	c.finished(f, 1)
+	c.waitCompleted(f, 1)
 }
 
 // The lead asks the policy service through the hosts that it heard of. After a loss
 // of all power it has heard of none. A host that learns who leads tells it so at
 // once; with its next regular question work would wait for up to a second.
 func TestAHostMakesItselfKnownToANewLead(t *testing.T) {
-	c := newCell(t, 1, 1, 50*time.Millisecond)
+	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	lead := c.leader()
 	cfg := lead.cfg
 	cfg.Name, cfg.Listen.Peer = "new", freePort(t)
 	h, err := entry.New(cfg, slog.New(slog.DiscardHandler), time.Now)
 	require.NoError(t, err)
 	t.Cleanup(h.Kill)
-	require.Zero(t, lead.Heard())
-	h.LearnLead(lead.cfg.Name, lead.cfg.Listen.Peer, 7)
-	require.Eventually(t, func() bool { return lead.Heard() == 1 }, settleTime, 5*time.Millisecond)
+	require.Zero(t, lead.RecentHostCount())
+	h.LearnLeader(lead.cfg.Name, lead.cfg.Listen.Peer, 7)
+	require.Eventually(t, func() bool { return lead.RecentHostCount() == 1 }, waitTimeout, 5*time.Millisecond)
 }
 
 // The announcement of a new lead is not stored at first. The other hosts go on asking
 // the dead one, and none of them claims, since the new one says that it leads; their
 // callers would be told for ever that no host leads.
 func TestALeadIsAnnouncedUntilItIsStored(t *testing.T) {
-	c := newCell(t, 3, 2, 50*time.Millisecond)
+	c := newCluster(t, 3, 2, 50*time.Millisecond)
 	c.log.BreakPart("lead", 0, users.Busy)
 	dead := c.leader()
 	dead.Kill()
 	delete(c.hosts, dead.cfg.Name)
-	require.Eventually(t, func() bool { return c.leader() != nil }, settleTime, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return c.leader() != nil }, waitTimeout, 20*time.Millisecond)
 	c.log.BreakPart("lead", 0, users.None)
 	f := c.follower()
 	require.Equal(t, http.StatusOK, c.submit(f, 0).code)
-	c.finished(f, 1)
+	c.waitCompleted(f, 1)
 }
 
 // The group names a host while another one leads of which it has not heard. It leaves
 // the lead to that one and follows it from then on.
 func TestAHostFollowsTheLeadThatItFinds(t *testing.T) {
-	c := newCell(t, 1, 1, 50*time.Millisecond)
+	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -195,7 +195,7 @@
 	h.Kill()
 	c.log.Put("state", "!", fmt.Appendf(nil, "other %s life 1 nonce", ln.Addr()))
 	h = c.start(h.cfg.Name)
-	require.Eventually(t, func() bool { return h.LeadName() == "other" }, settleTime, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return h.LeaderName() == "other" }, waitTimeout, 20*time.Millisecond)
 	cancel()
 	<-served
 }
@@ -205,38 +205,38 @@
 // host at a time. A host that is heard of takes questions at once; with the lead's next
 // round, up to a second later, all would go through the lead alone.
 func TestALeadUsesAHostOnceItHearsOfIt(t *testing.T) {
-	c := newCell(t, 1, 1, 50*time.Millisecond)
+	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	lead := c.leader()
-	require.False(t, lead.Uses("new"))
-	lead.Hear("new", freePort(t))
-	require.True(t, lead.Uses("new"))
+	require.False(t, lead.UsesForPolicy("new"))
+	lead.NoteHost("new", freePort(t))
+	require.True(t, lead.UsesForPolicy("new"))
 }
 
 // The lead's process is killed. Its connections are closed and new ones refused, so that
 // its heir knows at once and claims; with the group at the store alone nobody would lead
 // until the dead host's place has lapsed, a second, and on a slow store three.
 func TestTheHeirLeadsOnceTheLeadsProcessIsGone(t *testing.T) {
-	c := newCell(t, 3, 2, 50*time.Millisecond)
-	c.settled()
+	c := newCluster(t, 3, 2, 50*time.Millisecond)
+	c.waitReady()
 	lead := c.leader()
 	require.Eventually(t, func() bool {
 		heirs := 0
 		for _, h := range c.hosts {
-			if h.Heir() != "" {
+			if h.Standby() != "" {
 				heirs++
 			}
 		}
 		return heirs == 2
-	}, settleTime, 20*time.Millisecond)
+	}, waitTimeout, 20*time.Millisecond)
 	lead.Kill()
 	delete(c.hosts, lead.cfg.Name)
-	require.Eventually(t, func() bool { return c.leader() != nil }, settleTime, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return c.leader() != nil }, waitTimeout, 5*time.Millisecond)
 	// It leads a moment before its line is written.
-	require.Eventually(t, func() bool { return strings.Count(c.lines.String(), "term begins") == 2 }, settleTime, time.Millisecond)
-	require.Contains(t, c.lines.String(), `why="the lead's process is gone"`)
+	require.Eventually(t, func() bool { return strings.Count(c.logs.String(), "term begins") == 2 }, waitTimeout, time.Millisecond)
+	require.Contains(t, c.logs.String(), `why="the lead's process is gone"`)
 	require.Equal(t, http.StatusOK, c.submit(c.leader(), 0).code)
-	c.finished(c.leader(), 1)
-	require.Empty(t, c.oracle.Wrongs())
+	c.waitCompleted(c.leader(), 1)
+	require.Empty(t, c.checker.Wrongs())
 }
 
 // The lead's process dies. Its connections are closed before its port is, and the heir asks in
@@ -245,9 +245,9 @@
 func TestAProcessThatIsStillClosingIsGone(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	c := newCell(t, 1, 1, 50*time.Millisecond)
+	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	h := c.leader()
-	h.Know("dying", ln.Addr().String())
+	h.SetPeerAddr("dying", ln.Addr().String())
 	taken := make(chan struct{})
 	go func() {
 		conn, err := ln.Accept()
@@ -257,7 +257,7 @@
 		_ = ln.Close()
 		close(taken)
 	}()
-	require.True(t, h.IsGone("dying"))
+	require.True(t, h.IsProcessGone("dying"))
 	<-taken
 }
 
@@ -270,7 +270,7 @@
 		defer cancel()
 		asked := 0
 		hosts := []string{"a1", "a2", "a3", "a4", "a5", "a6", "a7", "a8", "b1", "b2"}
-		got := entry.FirstOf(ctx, hosts, func(ctx context.Context, name string) bool {
+		got := entry.FirstAccepting(ctx, hosts, func(ctx context.Context, name string) bool {
 			if name[0] == 'a' {
 				<-ctx.Done()
 				return false
@@ -286,9 +286,9 @@
 // A lead's process comes back beside its heir, and asks other hosts whom they follow. The three
 // next to it in the list are cut off with their failure domain; it would claim beside the heir.
 func TestHostsThatAreAskedLieApart(t *testing.T) {
-	require.Equal(t, []string{"a1", "b1", "c1"}, entry.Apart([]string{"a1", "a2", "b1", "b2", "c1", "c2"}, 3))
-	require.Equal(t, []string{"a1", "a2"}, entry.Apart([]string{"a1", "a2"}, 3))
-	require.Empty(t, entry.Apart(nil, 3))
+	require.Equal(t, []string{"a1", "b1", "c1"}, entry.SpacedSample([]string{"a1", "a2", "b1", "b2", "c1", "c2"}, 3))
+	require.Equal(t, []string{"a1", "a2"}, entry.SpacedSample([]string{"a1", "a2"}, 3))
+	require.Empty(t, entry.SpacedSample(nil, 3))
 }
 
 // A host starts, and reads from the store which hosts there are and who leads at the same time.
@@ -310,7 +310,7 @@
 	})
 	wg.Go(func() {
 		for term := range int64(300) {
-			f.LearnLead(fmt.Sprintf("c%d", term), addr, term+1)
+			f.LearnLeader(fmt.Sprintf("c%d", term), addr, term+1)
 		}
 	})
 	wg.Wait()
@@ -323,7 +323,7 @@
 	for n := range 50 {
 		f := entry.NewFollower(t, slog.New(slog.DiscardHandler), fmt.Sprint("b", n), nil, "a", log.For("b"), nil)
 		var wg sync.WaitGroup
-		wg.Go(func() { f.LoseLead("a") })
+		wg.Go(func() { f.LoseLeader("a") })
 		wg.Go(f.Kill)
 		wg.Wait()
 	}
--- a/internal/entry/turns_test.go
+++ b/internal/entry/turns_test.go
@@ -18,11 +18,11 @@
 	)
 	for seed := range uint64(4) {
 		without := make(chan time.Duration, turns)
-		steps := map[time.Duration]func(*busyCell){}
+		steps := map[time.Duration]func(*busyCluster){}
 		for n := range turns {
-			steps[time.Duration(n+2)*every] = func(c *busyCell) {
+			steps[time.Duration(n+2)*every] = func(c *busyCluster) {
 				lead := c.leader()
-				lead.set(false, true)
+				lead.setFaults(false, true)
 				go func() {
 					began := time.Now()
 					for c.leader() == nil && time.Since(began) < still {
@@ -30,11 +30,11 @@
 					}
 					without <- time.Since(began)
 					sleep(c.ctx, still-time.Since(began))
-					lead.set(false, false)
+					lead.setFaults(false, false)
 				}()
 			}
 		}
-		playBusy(t, &busyCell{load: 0.5}, seed, (turns+2)*every, steps)
+		runBusyCluster(t, &busyCluster{load: 0.5}, seed, (turns+2)*every, steps)
 		require.Len(t, without, turns)
 		var all []time.Duration
 		for range turns {
