--- a/internal/flow/objective.go
+++ b/internal/flow/objective.go
@@ -9,7 +9,7 @@
 func (s Spec) chains() []time.Duration {
 	after := make([]time.Duration, len(s.Steps))
 	for i := len(s.Steps) - 1; i >= 0; i-- {
-		after[i] += s.Steps[i].Time
+		after[i] += s.Steps[i].EstimatedTime
 		for _, before := range s.Steps[i].After {
 			after[before] = max(after[before], after[i])
 		}
--- a/internal/flow/objective_test.go
+++ b/internal/flow/objective_test.go
@@ -11,7 +11,7 @@
 // as long as the longer way through them, and may take 1.5 times that and a second.
 func ExampleJob_Objective() {
 	q := flow.Queue{Stretch: 1.5, Slack: time.Second}
-	s := flow.Spec{Queue: q, Steps: []flow.Step{{Time: 2 * time.Second}, {Time: 5 * time.Second}, {Time: time.Second, After: []int{0, 1}}}}
+	s := flow.Spec{Queue: q, Steps: []flow.Step{{EstimatedTime: 2 * time.Second}, {EstimatedTime: 5 * time.Second}, {EstimatedTime: time.Second, After: []int{0, 1}}}}
 	j := flow.New(s, 1, time.Time{})
 	j.Begin(time.Time{})
 	fmt.Println(j.Objective(q))
--- a/internal/flow/spec.go
+++ b/internal/flow/spec.go
@@ -57,8 +57,8 @@
 type Step struct {
 	Tasks int       `json:"tasks"`
 	Size  cell.Size `json:"size"`
-	// Time is the caller's rough estimate of one task.
-	Time time.Duration `json:"time,omitempty"`
+	// EstimatedTime is the caller's rough estimate of one task.
+	EstimatedTime time.Duration `json:"time,omitempty"`
 	// After are the steps that must be done first.
 	After []int `json:"after,omitempty"`
 	// Checkpoints tells that tasks checkpoint their progress.
@@ -140,7 +140,7 @@
 	if s.Size.CPU < 0 || s.Size.Mem < 0 || s.Size.Accel < 0 {
 		return bad("size", min(s.Size.CPU, s.Size.Mem, s.Size.Accel), "0 or more")
 	}
-	if s.Time < 0 || s.LatencyTarget < 0 || s.MaxPerWorker < 0 || s.MaxUnavailable < 0 {
+	if s.EstimatedTime < 0 || s.LatencyTarget < 0 || s.MaxPerWorker < 0 || s.MaxUnavailable < 0 {
 		return bad("limits", -1, "0 or more")
 	}
 	for _, a := range s.After {
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -362,9 +362,9 @@
 
 // scan is a short step of the urgent kind, bulk one of the long kind.
 func scan(tasks int) flow.Step {
-	return flow.Step{Tasks: tasks, Size: cell.Size{CPU: 5_000, Mem: 16 << 30}, Time: time.Second}
+	return flow.Step{Tasks: tasks, Size: cell.Size{CPU: 5_000, Mem: 16 << 30}, EstimatedTime: time.Second}
 }
 
 func bulk(tasks int) flow.Step {
-	return flow.Step{Tasks: tasks, Size: cell.Size{CPU: 11_000, Mem: 32 << 30}, Time: 6 * time.Second, Checkpoints: true}
+	return flow.Step{Tasks: tasks, Size: cell.Size{CPU: 11_000, Mem: 32 << 30}, EstimatedTime: 6 * time.Second, Checkpoints: true}
 }
--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -59,7 +59,7 @@
 func (d *drawn) drawStep(r *rand.Rand) flow.Step {
 	parts := int64(1) << r.IntN(4)
 	st := flow.Step{
-		Tasks: 1 + r.IntN(8), Size: cell.Size{CPU: d.size.CPU / parts, Mem: 8 << 30}, Time: around(r, 2*time.Second),
+		Tasks: 1 + r.IntN(8), Size: cell.Size{CPU: d.size.CPU / parts, Mem: 8 << 30}, EstimatedTime: around(r, 2*time.Second),
 		Checkpoints: r.IntN(2) == 0,
 	}
 	if d.size.Accel > 0 && r.IntN(2) == 0 {
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -254,7 +254,7 @@
 			b := newBench(t, 12)
 			b.copies = copies
 			st := scan(1)
-			st.AllowCopies, st.Time = copies, 200*time.Second
+			st.AllowCopies, st.EstimatedTime = copies, 200*time.Second
 			b.submit("long", "scan", st)
 			for i := range 8 {
 				b.play(2 * time.Second)
@@ -292,7 +292,7 @@
 func TestARackThatLosesItsPowerCountsAgainstNoTask(t *testing.T) {
 	b := newBench(t, 12)
 	st := bulk(4)
-	st.Time = 12 * time.Second
+	st.EstimatedTime = 12 * time.Second
 	b.submit("job", "print", st)
 	for i := range 5 {
 		b.play(4 * time.Second)
--- a/internal/sched/gpu_test.go
+++ b/internal/sched/gpu_test.go
@@ -42,11 +42,11 @@
 }
 
 func render(members int, gpus int64) flow.Step {
-	return flow.Step{Tasks: members, Size: cell.Size{CPU: 62_000, Mem: 180 << 30, Accel: gpus}, Time: 3600 * time.Millisecond, Gang: true, Checkpoints: true}
+	return flow.Step{Tasks: members, Size: cell.Size{CPU: 62_000, Mem: 180 << 30, Accel: gpus}, EstimatedTime: 3600 * time.Millisecond, Gang: true, Checkpoints: true}
 }
 
 func size(tasks int) flow.Step {
-	return flow.Step{Tasks: tasks, Size: cell.Size{CPU: 11_000, Mem: 33 << 30, Accel: 1}, Time: 3800 * time.Millisecond, Checkpoints: true}
+	return flow.Step{Tasks: tasks, Size: cell.Size{CPU: 11_000, Mem: 33 << 30, Accel: 1}, EstimatedTime: 3800 * time.Millisecond, Checkpoints: true}
 }
 
 // Gangs wait for whole workers that the policy service allows them, and there are more
@@ -98,7 +98,7 @@
 		b.submit(fmt.Sprintf("gang%d", i), "render", render(1, 8))
 	}
 	question := b.queues[0].Advice.Cost(1)
-	b.play(gangs*render(1, 8).Time + 2*question)
+	b.play(gangs*render(1, 8).EstimatedTime + 2*question)
 	for i := range gangs {
 		require.Equal(t, flow.Completed, b.state(fmt.Sprintf("gang%d", i)))
 	}
@@ -186,7 +186,7 @@
 // is more urgent and does not wait for them: it begins after its question and the stops.
 func TestBulkGivesWayToMoreUrgentTasks(t *testing.T) {
 	question, stop := 560*time.Millisecond, time.Second
-	require.Less(t, flood(t, size(1)), question+stop+wide().Time)
+	require.Less(t, flood(t, size(1)), question+stop+wide().EstimatedTime)
 }
 
 func jobOf(step string) string {
@@ -200,7 +200,7 @@
 func TestAStepTellsWhatItWaitsFor(t *testing.T) {
 	b := gpuBench(t, 1)
 	long := wide()
-	long.Time, long.Checkpoints = 8*time.Second, false
+	long.EstimatedTime, long.Checkpoints = 8*time.Second, false
 	b.submit("first", "render", long)
 	b.play(time.Second)
 	require.Len(t, b.waited, 1)
--- a/internal/sched/late_test.go
+++ b/internal/sched/late_test.go
@@ -28,7 +28,7 @@
 	for i := range atOnce {
 		submit(fmt.Sprintf("a%04d", i))
 	}
-	every := time.Duration(float64(scan(6).Time) * 6 / (workers * perWorker) / share)
+	every := time.Duration(float64(scan(6).EstimatedTime) * 6 / (workers * perWorker) / share)
 	for i := range int(d / every) {
 		submit(fmt.Sprintf("b%04d", i))
 		b.play(every)
@@ -82,7 +82,7 @@
 	objective := 2 * time.Second
 	first, _ := crowd(t, 96, 1.02, 140*time.Second)
 	// The work of all, an eighth of the workers, and what the last tasks of each leave idle.
-	work := 96 * 6 * scan(1).Time
+	work := 96 * 6 * scan(1).EstimatedTime
 	bound := 8*objective + 8*work/(4*12)*5/4
 	require.Equal(t, len(first), within(first, bound))
 }
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -74,7 +74,7 @@
 func TestFillingTasksAreHeldBackBesideATaskThatServes(t *testing.T) {
 	b := newBench(t, 1)
 	serve := flow.Step{Tasks: 1, Size: cell.Size{CPU: 20_000, Mem: 8 << 30}, LongRunning: true, LatencyTarget: 100 * time.Millisecond}
-	fill := flow.Step{Tasks: 2, Size: cell.Size{CPU: 10_000, Mem: 8 << 30}, Time: time.Minute, BestEffort: true}
+	fill := flow.Step{Tasks: 2, Size: cell.Size{CPU: 10_000, Mem: 8 << 30}, EstimatedTime: time.Minute, BestEffort: true}
 	b.submit("serve", "scan", serve)
 	b.submit("fill", "print", fill)
 	b.play(time.Second)
@@ -141,7 +141,7 @@
 	b.copies = true
 	b.play(100 * time.Millisecond)
 	step := scan(tasks)
-	step.AllowCopies, step.Time = true, work
+	step.AllowCopies, step.EstimatedTime = true, work
 	b.submit("a", "scan", step)
 	b.play(300 * time.Millisecond)
 	cut := slices.MaxFunc(b.inOrder(), func(x, y *fakeWorker) int { return len(x.runs) - len(y.runs) })
@@ -229,7 +229,7 @@
 	b.play(100 * time.Millisecond)
 	b.storeAway = true
 	step := scan(8)
-	step.AllowCopies, step.Time = true, 3*time.Second
+	step.AllowCopies, step.EstimatedTime = true, 3*time.Second
 	b.submit("a", "scan", step)
 	b.play(200 * time.Millisecond)
 	require.Equal(t, 8, total(b.starts))
--- a/internal/sched/reserve.go
+++ b/internal/sched/reserve.go
@@ -67,7 +67,7 @@
 	var ends []end
 	for _, t := range w.sortedTasks() {
 		if !t.Spec().LongRunning {
-			ends = append(ends, end{t.Since.Add(t.Spec().Time), t.Spec().Demand()})
+			ends = append(ends, end{t.Since.Add(t.Spec().EstimatedTime), t.Spec().Demand()})
 		}
 	}
 	slices.SortStableFunc(ends, func(a, b end) int { return a.at.Compare(b.at) })
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -284,7 +284,7 @@
 func TestAGangStartsWholeOrNotAtAll(t *testing.T) {
 	b := newBench(t, 2)
 	filler := scan(1)
-	filler.Size.CPU, filler.Time = 60_000, 3*time.Second
+	filler.Size.CPU, filler.EstimatedTime = 60_000, 3*time.Second
 	b.submit("first", "scan", filler)
 	b.play(200 * time.Millisecond)
 	gang := bulk(8)
@@ -347,7 +347,7 @@
 	b := newBench(t, 1)
 	for _, id := range []string{"a", "b"} {
 		gang := bulk(5)
-		gang.Gang, gang.Checkpoints, gang.Time = true, false, time.Second
+		gang.Gang, gang.Checkpoints, gang.EstimatedTime = true, false, time.Second
 		b.submit(id, "print", gang)
 	}
 	b.play(3 * time.Second)
--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -167,7 +167,7 @@
 func TestAWorkerWithoutRoomKeepsWhatRuns(t *testing.T) {
 	b := newBench(t, 1)
 	long := bulk(2)
-	long.Time = 20 * time.Second
+	long.EstimatedTime = 20 * time.Second
 	b.submit("a", "print", long)
 	b.play(time.Second)
 	b.resizeAll(cell.Size{})
@@ -187,7 +187,7 @@
 func TestNothingStartsOnAWorkerWithoutRoom(t *testing.T) {
 	b := newBench(t, 1)
 	b.resizeAll(cell.Size{})
-	b.submit("a", "scan", flow.Step{Tasks: 1, Time: time.Second})
+	b.submit("a", "scan", flow.Step{Tasks: 1, EstimatedTime: time.Second})
 	b.play(2 * time.Second)
 	require.Zero(t, total(b.starts))
 	b.resizeAll(large)
@@ -252,7 +252,7 @@
 	b.submit("bulk", "print", bulk(10))
 	b.play(time.Second)
 	wide := scan(1)
-	wide.Size.CPU, wide.Time = 40_000, 3*time.Second
+	wide.Size.CPU, wide.EstimatedTime = 40_000, 3*time.Second
 	b.submit("wide", "scan", wide)
 	b.play(40 * time.Millisecond)
 	b.workers["w00"].resize(cell.Size{CPU: 39_000, Mem: 256 << 30})
--- a/internal/sched/slow.go
+++ b/internal/sched/slow.go
@@ -56,7 +56,7 @@
 	if t.State != flow.Running || st.BestEffort || l.Percent >= 100 || w.draining {
 		return
 	}
-	still := max(stallMin, time.Duration(stallShare*float64(st.Time)))
+	still := max(stallMin, time.Duration(stallShare*float64(st.EstimatedTime)))
 	if clock.Sub(t.Moved) > still {
 		s.recordRunFailure(w, t)
 		t.Avoid = w.Incarnation
@@ -102,22 +102,22 @@
 func speedOf(t *flow.Task, clock time.Time) (float64, bool) {
 	st := t.Spec()
 	took := clock.Sub(t.Seen)
-	if t.State != flow.Running || t.Seen.IsZero() || st.LongRunning || st.Gang || st.BestEffort || st.Time <= 0 || t.Percent >= 100 {
+	if t.State != flow.Running || t.Seen.IsZero() || st.LongRunning || st.Gang || st.BestEffort || st.EstimatedTime <= 0 || t.Percent >= 100 {
 		return 0, false
 	}
-	if took < max(slowMin, time.Duration(slowMinShare*float64(st.Time))) {
+	if took < max(slowMin, time.Duration(slowMinShare*float64(st.EstimatedTime))) {
 		return 0, false
 	}
-	return float64(t.Percent) / 100 * float64(st.Time) / float64(took), true
+	return float64(t.Percent) / 100 * float64(st.EstimatedTime) / float64(took), true
 }
 
 // measureSpeed updates the worker's speed from a run that ended as done.
 func (w *worker) measureSpeed(t *flow.Task, clock time.Time) {
 	st := t.Spec()
 	took := clock.Sub(t.Seen)
-	if t.Seen.IsZero() || st.Gang || st.BestEffort || st.Time <= 0 || took < slowMin {
+	if t.Seen.IsZero() || st.Gang || st.BestEffort || st.EstimatedTime <= 0 || took < slowMin {
 		return
 	}
-	rate := min(float64(st.Time)/float64(took), 1)
+	rate := min(float64(st.EstimatedTime)/float64(took), 1)
 	w.speed += speedWeight * (rate - w.speed)
 }
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -150,7 +150,7 @@
 		w.b.late[a.Task]++
 	}
 	st := w.spec(a.Task)
-	r := &fakeRun{run: a.Run, began: w.b.now, ends: w.b.now.Add(time.Duration(float64(st.Time) * w.slow)), step: st}
+	r := &fakeRun{run: a.Run, began: w.b.now, ends: w.b.now.Add(time.Duration(float64(st.EstimatedTime) * w.slow)), step: st}
 	w.runs[a.Task] = r
 	if a.Deadline.After(w.deadline) {
 		w.deadline = a.Deadline
@@ -355,7 +355,7 @@
 	for _, n := range slices.SortedFunc(maps.Keys(w.runs), func(x, y flow.Name) int { return strings.Compare(x.String(), y.String()) }) {
 		r := w.runs[n]
 		l := sched.RunStatus{Task: n, Run: r.run, Percent: 100}
-		if !r.step.LongRunning && r.step.Time > 0 && !w.still {
+		if !r.step.LongRunning && r.step.EstimatedTime > 0 && !w.still {
 			l.Percent = int(100 * w.b.now.Sub(r.began) / r.ends.Sub(r.began))
 		}
 		if w.still {
