--- a/internal/flow/spec.go
+++ b/internal/flow/spec.go
@@ -44,14 +44,14 @@
 type Advice struct {
 	// Base and Each are how long the service takes for a question and for each
 	// worker that it names.
-	Base time.Duration `json:"base"`
-	Each time.Duration `json:"each"`
+	Base      time.Duration `json:"base"`
+	PerWorker time.Duration `json:"each"`
 	// Valid is how long a ticket holds.
 	Valid time.Duration `json:"valid"`
 }
 
 // Cost is how long a question about n workers takes.
-func (a Advice) Cost(n int) time.Duration { return a.Base + time.Duration(n)*a.Each }
+func (a Advice) Cost(n int) time.Duration { return a.Base + time.Duration(n)*a.PerWorker }
 
 // Step is a set of like tasks.
 type Step struct {
--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -40,7 +40,7 @@
 	for i := range 2 + r.IntN(3) {
 		q := flow.Queue{Name: fmt.Sprintf("q%d", i), Service: "pass", Rank: i, Attempts: 20, Stretch: 1.5 + 3*r.Float64(), Slack: around(r, time.Second)}
 		if r.IntN(4) > 0 {
-			q.Advice = &flow.Advice{Base: around(r, time.Duration(1+i)*100*time.Millisecond), Each: around(r, 3*time.Millisecond), Valid: 2 * time.Second}
+			q.Advice = &flow.Advice{Base: around(r, time.Duration(1+i)*100*time.Millisecond), PerWorker: around(r, 3*time.Millisecond), Valid: 2 * time.Second}
 		}
 		d.queues = append(d.queues, q)
 	}
--- a/internal/sched/gpu_test.go
+++ b/internal/sched/gpu_test.go
@@ -27,11 +27,11 @@
 	b.queues = []flow.Queue{
 		{
 			Name: "render", Service: "pass", Rank: 1, Attempts: 3, Stretch: 2.2, Slack: time.Second,
-			Advice: &flow.Advice{Base: 490 * time.Millisecond, Each: 7 * time.Millisecond, Valid: 2 * time.Second},
+			Advice: &flow.Advice{Base: 490 * time.Millisecond, PerWorker: 7 * time.Millisecond, Valid: 2 * time.Second},
 		},
 		{
 			Name: "size", Service: "pass", Rank: 2, Attempts: 3, Stretch: 4, Slack: 3 * time.Second,
-			Advice: &flow.Advice{Base: 140 * time.Millisecond, Each: 2 * time.Millisecond, Valid: 2 * time.Second},
+			Advice: &flow.Advice{Base: 140 * time.Millisecond, PerWorker: 2 * time.Millisecond, Valid: 2 * time.Second},
 		},
 	}
 	b.step(sched.Queues{Version: 2, All: b.queues})
@@ -120,7 +120,7 @@
 	b = gpuBench(t, 13)
 	b.queues = append(b.queues, flow.Queue{
 		Name: "scan", Service: "pass", Attempts: 3, Stretch: 1.5, Slack: 250 * time.Millisecond,
-		Advice: &flow.Advice{Base: 12 * time.Millisecond, Each: 180 * time.Microsecond, Valid: 2 * time.Second},
+		Advice: &flow.Advice{Base: 12 * time.Millisecond, PerWorker: 180 * time.Microsecond, Valid: 2 * time.Second},
 	})
 	b.step(sched.Queues{Version: 3, All: b.queues})
 	b.step(sched.Hosts{Names: []string{"h1", "h2", "h3", "h4", "h5", "h6", "h7", "h8", "h9"}})
--- a/internal/sched/grown_test.go
+++ b/internal/sched/grown_test.go
@@ -30,7 +30,7 @@
 // allowed workers.
 func firm() []kind {
 	advice := func(base, each time.Duration) *flow.Advice {
-		return &flow.Advice{Base: base, Each: each, Valid: 2 * time.Second}
+		return &flow.Advice{Base: base, PerWorker: each, Valid: 2 * time.Second}
 	}
 	const us = time.Microsecond
 	return []kind{
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -42,7 +42,7 @@
 // time for a step.
 func TestAdviceIsAskedBeforeAStart(t *testing.T) {
 	b := newBench(t, 12)
-	b.queues[0].Advice = &flow.Advice{Base: 24 * time.Millisecond, Each: 340 * time.Microsecond, Valid: 2500 * time.Millisecond}
+	b.queues[0].Advice = &flow.Advice{Base: 24 * time.Millisecond, PerWorker: 340 * time.Microsecond, Valid: 2500 * time.Millisecond}
 	b.step(sched.Queues{Version: 2, All: b.queues})
 	b.policy = func(_, worker string) bool { return worker >= "w06" }
 	b.submit("a", "scan", scan(6))
@@ -295,7 +295,7 @@
 // 700,000 looks a pass it would.
 func BenchmarkPassOverABacklog(b *testing.B) {
 	c := newBench(&testing.T{}, 350)
-	c.queues[1].Advice = &flow.Advice{Base: 370 * time.Millisecond, Each: 5 * time.Millisecond, Valid: 2500 * time.Millisecond}
+	c.queues[1].Advice = &flow.Advice{Base: 370 * time.Millisecond, PerWorker: 5 * time.Millisecond, Valid: 2500 * time.Millisecond}
 	c.step(sched.Queues{Version: 2, All: c.queues})
 	c.policy = func(string, string) bool { return false }
 	for i := range 2000 {
@@ -364,7 +364,7 @@
 // when other hosts are heard of.
 func TestQuestionsWaitForAHostThatIsFree(t *testing.T) {
 	b := newBench(t, 24)
-	b.queues[0].Advice = &flow.Advice{Base: 30 * time.Millisecond, Each: 300 * time.Microsecond, Valid: 2500 * time.Millisecond}
+	b.queues[0].Advice = &flow.Advice{Base: 30 * time.Millisecond, PerWorker: 300 * time.Microsecond, Valid: 2500 * time.Millisecond}
 	b.step(sched.Queues{Version: 2, All: b.queues})
 	b.step(sched.Hosts{Names: []string{"h1"}})
 	for i := range 40 {
--- a/internal/sched/naming.go
+++ b/internal/sched/naming.go
@@ -113,10 +113,10 @@
 	switch {
 	case !s.enabled(QueryMoreWorkers):
 		return 0
-	case a.Each <= 0:
+	case a.PerWorker <= 0:
 		return maxQueryWorkers
 	}
-	return int(maxExtraCost * float64(a.Base) / float64(a.Each))
+	return int(maxExtraCost * float64(a.Base) / float64(a.PerWorker))
 }
 
 // taskCapacity returns how many of the step's tasks a worker has capacity for.
