--- a/internal/flow/crash.go
+++ b/internal/flow/crash.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Lose notes that a run of the task was lost at a life of a worker that answers no more;
+// MarkLost notes that a run of the task was lost at a life of a worker that answers no more;
 // false if that is known.
-func (t *Task) Lose(life string) bool {
+func (t *Task) MarkLost(life string) bool {
 	if slices.Contains(t.Crashed, life) || slices.Contains(t.Lost, life) {
 		return false
 	}
--- a/internal/flow/crash_test.go
+++ b/internal/flow/crash_test.go
@@ -19,13 +19,13 @@
 	first.Run, second.Run = 3, 3
 	before := j.Record(flow.Version{Term: 1})
 
-	require.True(t, first.Lose("w1"))
-	require.False(t, first.Lose("w1"))
+	require.True(t, first.MarkLost("w1"))
+	require.False(t, first.MarkLost("w1"))
 	require.True(t, first.Crash("w1"))
 	require.False(t, first.Crash("w1"))
-	require.False(t, first.Lose("w1"))
-	require.True(t, first.Lose("w2"))
-	require.True(t, second.Lose("w3"))
+	require.False(t, first.MarkLost("w1"))
+	require.True(t, first.MarkLost("w2"))
+	require.True(t, second.MarkLost("w3"))
 	require.Equal(t, 2, second.Doubt(), "a gang has the doubt of its worst member")
 
 	got, err := flow.Restore(spec, j.Record(flow.Version{Term: 1}), now)
--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -31,7 +31,7 @@
 
 // markLost records that a run may have crashed a worker that stopped answering.
 func (s *Sched) markLost(t *flow.Task, w *worker) {
-	if t.State == flow.Assigned || w.draining || t.Job.State.Final() || !t.Lose(w.Incarnation) {
+	if t.State == flow.Assigned || w.draining || t.Job.State.Final() || !t.MarkLost(w.Incarnation) {
 		return
 	}
 	w.lostRuns[t.Name] = lostRun{t, t.Run, s.now}
