--- a/internal/flow/crash.go
+++ b/internal/flow/crash.go
@@ -13,9 +13,9 @@
 	return true
 }
 
-// Crash notes that a life ended while a run of the task was, or may have been, at it;
+// MarkCrashed notes that a life ended while a run of the task was, or may have been, at it;
 // false if that is known.
-func (t *Task) Crash(life string) bool {
+func (t *Task) MarkCrashed(life string) bool {
 	t.Acquit(life)
 	if slices.Contains(t.Crashed, life) {
 		return false
--- a/internal/flow/crash_test.go
+++ b/internal/flow/crash_test.go
@@ -21,8 +21,8 @@
 
 	require.True(t, first.MarkLost("w1"))
 	require.False(t, first.MarkLost("w1"))
-	require.True(t, first.Crash("w1"))
-	require.False(t, first.Crash("w1"))
+	require.True(t, first.MarkCrashed("w1"))
+	require.False(t, first.MarkCrashed("w1"))
 	require.False(t, first.MarkLost("w1"))
 	require.True(t, first.MarkLost("w2"))
 	require.True(t, second.MarkLost("w3"))
--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -49,7 +49,7 @@
 	case w.draining, t.Doubt() > 1 && s.isRackOutage(w, t):
 		s.clearSuspicion(t, w)
 		return
-	case !t.Crash(w.Incarnation):
+	case !t.MarkCrashed(w.Incarnation):
 		return
 	}
 	s.suspects[t] = true
