--- a/internal/flow/crash.go
+++ b/internal/flow/crash.go
@@ -16,7 +16,7 @@
 // MarkCrashed notes that a life ended while a run of the task was, or may have been, at it;
 // false if that is known.
 func (t *Task) MarkCrashed(life string) bool {
-	t.Acquit(life)
+	t.UnmarkLost(life)
 	if slices.Contains(t.Crashed, life) {
 		return false
 	}
@@ -25,9 +25,9 @@
 	return true
 }
 
-// Acquit notes that a life on which a run was lost goes on, or ended for another cause;
+// UnmarkLost notes that a life on which a run was lost goes on, or ended for another cause;
 // false if no run was lost there.
-func (t *Task) Acquit(life string) bool {
+func (t *Task) UnmarkLost(life string) bool {
 	i := slices.Index(t.Lost, life)
 	if i < 0 {
 		return false
--- a/internal/flow/crash_test.go
+++ b/internal/flow/crash_test.go
@@ -34,8 +34,8 @@
 	require.Equal(t, []string{"w1"}, task.Crashed)
 	require.Equal(t, []string{"w2"}, task.Lost)
 	require.Equal(t, 2, got.Task(second.Name).Doubt())
-	require.True(t, task.Acquit("w2"))
-	require.False(t, task.Acquit("w2"))
+	require.True(t, task.UnmarkLost("w2"))
+	require.False(t, task.UnmarkLost("w2"))
 	require.Equal(t, 1, task.Doubt())
 
 	old, err := flow.Restore(spec, before, now)
--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -64,7 +64,7 @@
 
 // clearSuspicion withdraws the suspicion that a task crashed a worker.
 func (s *Sched) clearSuspicion(t *flow.Task, w *worker) {
-	if t.Acquit(w.Incarnation) {
+	if t.UnmarkLost(w.Incarnation) {
 		s.emit(Note{ID: t.Name.String(), What: "crash ruled out", Worker: w.Incarnation, Run: t.Run})
 		s.markDirty(t.Job)
 	}
