--- a/internal/flow/crash.go
+++ b/internal/flow/crash.go
@@ -37,8 +37,8 @@
 	return true
 }
 
-// Clear forgets all lives that ended under the task.
-func (t *Task) Clear() {
+// ClearCrashes forgets all lives that ended under the task.
+func (t *Task) ClearCrashes() {
 	t.Crashed, t.Lost = nil, nil
 	t.Step.weigh()
 }
--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -141,7 +141,7 @@
 // clearProven clears the crash count of a long-running task that has run for long enough.
 func (s *Sched) clearProven(t *flow.Task) {
 	if t.Spec().LongRunning && t.State == flow.Running && s.suspects[t] && s.now.Sub(t.Since) >= provenAfter {
-		t.Clear()
+		t.ClearCrashes()
 		delete(s.suspects, t)
 		s.markDirty(t.Job)
 	}
