--- a/internal/flow/crash.go
+++ b/internal/flow/crash.go
@@ -43,9 +43,9 @@
 	t.Step.weigh()
 }
 
-// Doubt is how many lives ended, or may have, under the task; of a gang, whose members run
+// CrashSuspicions is how many lives ended, or may have, under the task; of a gang, whose members run
 // together, under the member that has the most.
-func (t *Task) Doubt() int {
+func (t *Task) CrashSuspicions() int {
 	if t.Step.Spec.Gang {
 		return t.Step.doubt
 	}
--- a/internal/flow/crash_test.go
+++ b/internal/flow/crash_test.go
@@ -26,19 +26,19 @@
 	require.False(t, first.MarkLost("w1"))
 	require.True(t, first.MarkLost("w2"))
 	require.True(t, second.MarkLost("w3"))
-	require.Equal(t, 2, second.Doubt(), "a gang has the doubt of its worst member")
+	require.Equal(t, 2, second.CrashSuspicions(), "a gang has the doubt of its worst member")
 
 	got, err := flow.Restore(spec, j.Record(flow.Version{Term: 1}), now)
 	require.NoError(t, err)
 	task := got.Task(first.Name)
 	require.Equal(t, []string{"w1"}, task.Crashed)
 	require.Equal(t, []string{"w2"}, task.Lost)
-	require.Equal(t, 2, got.Task(second.Name).Doubt())
+	require.Equal(t, 2, got.Task(second.Name).CrashSuspicions())
 	require.True(t, task.UnmarkLost("w2"))
 	require.False(t, task.UnmarkLost("w2"))
-	require.Equal(t, 1, task.Doubt())
+	require.Equal(t, 1, task.CrashSuspicions())
 
 	old, err := flow.Restore(spec, before, now)
 	require.NoError(t, err)
-	require.Zero(t, old.Task(first.Name).Doubt())
+	require.Zero(t, old.Task(first.Name).CrashSuspicions())
 }
--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -46,7 +46,7 @@
 	switch {
 	case j.State.Final() || t.State == flow.Done:
 		return
-	case w.draining, t.Doubt() > 1 && s.isRackOutage(w, t):
+	case w.draining, t.CrashSuspicions() > 1 && s.isRackOutage(w, t):
 		s.clearSuspicion(t, w)
 		return
 	case !t.MarkCrashed(w.Incarnation):
@@ -120,7 +120,7 @@
 // adoptLostRuns takes over the incarnations on which a recorded task was lost, and marks it as a
 // suspect if any ended, or may have ended, under it.
 func (s *Sched) adoptLostRuns(t *flow.Task) {
-	if t.Doubt() > 0 {
+	if t.CrashSuspicions() > 0 {
 		s.suspects[t] = true
 	}
 	for _, incarnation := range t.Lost {
@@ -150,7 +150,7 @@
 // pruneSuspects removes tasks that are over or no longer suspected of a crash.
 func (s *Sched) pruneSuspects() {
 	over := func(t *flow.Task) bool { return t.State == flow.Done || t.Job.State.Final() && !t.Out() }
-	maps.DeleteFunc(s.suspects, func(t *flow.Task, _ bool) bool { return over(t) || t.Doubt() == 0 })
+	maps.DeleteFunc(s.suspects, func(t *flow.Task, _ bool) bool { return over(t) || t.CrashSuspicions() == 0 })
 	for _, w := range s.workers {
 		maps.DeleteFunc(w.lostRuns, func(_ flow.Name, l lostRun) bool {
 			return over(l.task) || !slices.Contains(l.task.Lost, w.Incarnation)
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -66,8 +66,8 @@
 	var tasks, alone []*flow.Task
 	for _, t := range st.Tasks {
 		switch {
-		case t.State != flow.Waiting || t.Doubt() >= maxCrashes:
-		case t.Doubt() >= aloneAfter:
+		case t.State != flow.Waiting || t.CrashSuspicions() >= maxCrashes:
+		case t.CrashSuspicions() >= aloneAfter:
 			alone = append(alone, t)
 		default:
 			tasks = append(tasks, t)
@@ -167,7 +167,7 @@
 	// checking a single worker.
 	for len(left) > 0 && (keep == 0 || p.freeCPU >= keep+need) {
 		w := s.bestWorker(r, left[0], allowed)
-		if w == nil && left[0].Doubt() >= aloneAfter {
+		if w == nil && left[0].CrashSuspicions() >= aloneAfter {
 			alone, left = append(alone, left[0]), left[1:]
 			continue
 		}
@@ -200,7 +200,7 @@
 			continue
 		}
 		c := s.cost(r, w)
-		if w.crashSuspects > 0 && t.Doubt() > 0 {
+		if w.crashSuspects > 0 && t.CrashSuspicions() > 0 {
 			c += crashSuspectCost
 		}
 		if best == nil || c < least {
--- a/internal/sched/rack.go
+++ b/internal/sched/rack.go
@@ -36,7 +36,7 @@
 	suspect := false
 	for _, t := range w.tasks {
 		f.steps[t.Step] = true
-		suspect = suspect || t.Doubt() > 0
+		suspect = suspect || t.CrashSuspicions() > 0
 	}
 	s.outages = append(s.outages, f)
 	if !suspect {
--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -20,10 +20,10 @@
 	}
 	w.add(t)
 	s.markDirty(t.Job)
-	if t.Doubt() > 0 {
+	if t.CrashSuspicions() > 0 {
 		s.markSuspect(t)
 	}
-	if t.Spec().AllowCopies && t.Doubt() == 0 {
+	if t.Spec().AllowCopies && t.CrashSuspicions() == 0 {
 		s.unstoredStarts = append(s.unstoredStarts, runKey{t.Name, run})
 		return
 	}
--- a/internal/sched/trial.go
+++ b/internal/sched/trial.go
@@ -38,11 +38,11 @@
 
 func (s *Sched) markSuspect(t *flow.Task) {
 	w, ok := s.workers[t.Worker]
-	if !ok || !t.Out() || t.Doubt() == 0 {
+	if !ok || !t.Out() || t.CrashSuspicions() == 0 {
 		return
 	}
 	w.crashSuspects++
-	if t.Doubt() >= aloneAfter && w.trialStep == nil {
+	if t.CrashSuspicions() >= aloneAfter && w.trialStep == nil {
 		w.trialStep = t.Step
 	}
 }
@@ -53,7 +53,7 @@
 		return false
 	}
 	switch {
-	case t.Doubt() < aloneAfter:
+	case t.CrashSuspicions() < aloneAfter:
 		return true
 	case s.trialUnderway(t):
 		return false
@@ -67,7 +67,7 @@
 // trialUnderway reports whether another task of the step has only just begun to run alone.
 func (s *Sched) trialUnderway(t *flow.Task) bool {
 	for u := range s.suspects {
-		if u == t || u.Step != t.Step || t.Spec().Gang || !u.Out() || u.Doubt() < aloneAfter {
+		if u == t || u.Step != t.Step || t.Spec().Gang || !u.Out() || u.CrashSuspicions() < aloneAfter {
 			continue
 		}
 		if u.State != flow.Running || s.now.Sub(u.Since) < trialDuration {
