--- a/internal/flow/job.go
+++ b/internal/flow/job.go
@@ -90,8 +90,8 @@
 	return true
 }
 
-// Out tells whether a run of the task may be at a worker.
-func (t *Task) Out() bool {
+// MayBeRunning tells whether a run of the task may be at a worker.
+func (t *Task) MayBeRunning() bool {
 	switch t.State {
 	case Assigned, Starting, Running, Stopping, Inherited:
 		return true
--- a/internal/flow/record.go
+++ b/internal/flow/record.go
@@ -105,7 +105,7 @@
 
 // anyOut tells whether a run of the step may be at a worker.
 func (s *Stage) anyOut() bool {
-	return slices.ContainsFunc(s.Tasks, func(t *Task) bool { return t.Out() })
+	return slices.ContainsFunc(s.Tasks, func(t *Task) bool { return t.MayBeRunning() })
 }
 
 func (s *Stage) records() []taskRecord {
@@ -118,7 +118,7 @@
 		if t.State != Done {
 			tr.Saved, tr.Crashed, tr.Lost = t.Saved, t.Crashed, t.Lost
 		}
-		if t.Out() {
+		if t.MayBeRunning() {
 			tr.Worker = t.Worker
 		}
 		all = append(all, tr)
--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -105,11 +105,11 @@
 // store that. If it were not counted, the task would be tried more often than its caller allows. A
 // run that is not newer than the recorded one has been counted already.
 func (s *Sched) copyFailed(w *worker, t *flow.Task, e RunEnd) {
-	beside := t.Out() && t.Worker != w.Incarnation && e.Run == t.Run
+	beside := t.MayBeRunning() && t.Worker != w.Incarnation && e.Run == t.Run
 	if e.Run <= t.Run && !beside {
 		return
 	}
-	if !t.Out() {
+	if !t.MayBeRunning() {
 		t.Run = e.Run
 	}
 	s.countFailure(t)
@@ -118,7 +118,7 @@
 // copyDone ends a task when one of its copies is done. The first one counts; the other copy is
 // stopped.
 func (s *Sched) copyDone(t *flow.Task) {
-	if w, ok := s.workers[t.Worker]; ok && t.Out() && t.State != flow.Assigned {
+	if w, ok := s.workers[t.Worker]; ok && t.MayBeRunning() && t.State != flow.Assigned {
 		s.emit(Stop{To: w.Address, Term: s.term, Task: t.Name, Run: t.Run})
 		w.untrack(runKey{t.Name, t.Run}, t.Spec().Demand(), s.latestStart())
 	}
--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -149,7 +149,7 @@
 
 // pruneSuspects removes tasks that are over or no longer suspected of a crash.
 func (s *Sched) pruneSuspects() {
-	over := func(t *flow.Task) bool { return t.State == flow.Done || t.Job.State.Final() && !t.Out() }
+	over := func(t *flow.Task) bool { return t.State == flow.Done || t.Job.State.Final() && !t.MayBeRunning() }
 	maps.DeleteFunc(s.suspects, func(t *flow.Task, _ bool) bool { return over(t) || t.CrashSuspicions() == 0 })
 	for _, w := range s.workers {
 		maps.DeleteFunc(w.lostRuns, func(_ flow.Name, l lostRun) bool {
--- a/internal/sched/ends.go
+++ b/internal/sched/ends.go
@@ -67,7 +67,7 @@
 // meanwhile: if that was wrong, starting the task again would run it twice.
 func (s *Sched) runEnded(w *worker, e RunEnd, clock time.Time) {
 	t := s.task(runKey{e.Task, e.Run})
-	if t == nil || t.Worker != w.Incarnation || !t.Out() {
+	if t == nil || t.Worker != w.Incarnation || !t.MayBeRunning() {
 		s.copyEnded(w, e)
 		return
 	}
--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -56,7 +56,7 @@
 func (s *Sched) closeIfOver(j *flow.Job) {
 	if j.State.Final() {
 		out := false
-		j.Tasks(func(t *flow.Task) { out = out || t.Out() })
+		j.Tasks(func(t *flow.Task) { out = out || t.MayBeRunning() })
 		if !out {
 			s.closeJob(j)
 		}
@@ -94,7 +94,7 @@
 // requeueTask puts a task back in the queue whose run is certainly not on its worker any more and
 // did not end as done.
 func (s *Sched) requeueTask(t *flow.Task, why string) {
-	if t.State == flow.Waiting || !t.Out() {
+	if t.State == flow.Waiting || !t.MayBeRunning() {
 		return
 	}
 	s.noteTask(t, "gone", why)
--- a/internal/sched/trial.go
+++ b/internal/sched/trial.go
@@ -38,7 +38,7 @@
 
 func (s *Sched) markSuspect(t *flow.Task) {
 	w, ok := s.workers[t.Worker]
-	if !ok || !t.Out() || t.CrashSuspicions() == 0 {
+	if !ok || !t.MayBeRunning() || t.CrashSuspicions() == 0 {
 		return
 	}
 	w.crashSuspects++
@@ -67,7 +67,7 @@
 // trialUnderway reports whether another task of the step has only just begun to run alone.
 func (s *Sched) trialUnderway(t *flow.Task) bool {
 	for u := range s.suspects {
-		if u == t || u.Step != t.Step || t.Spec().Gang || !u.Out() || u.CrashSuspicions() < aloneAfter {
+		if u == t || u.Step != t.Step || t.Spec().Gang || !u.MayBeRunning() || u.CrashSuspicions() < aloneAfter {
 			continue
 		}
 		if u.State != flow.Running || s.now.Sub(u.Since) < trialDuration {
