--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -65,7 +65,7 @@
 				task.Run, task.Worker, task.Saved = 2, "w", "cp"
 				task.Move(flow.Assign, now)
 			case 2:
-				task.Run, task.Fails = 1, 1
+				task.Run, task.Failures = 1, 1
 				task.Move(flow.Finish, now)
 				task.Step.Done++
 			}
@@ -79,7 +79,7 @@
 		require.Equal(t, j.Number, got.Number)
 		j.Tasks(func(task *flow.Task) {
 			o := got.Task(task.Name)
-			require.Equal(t, []any{task.Run, task.Fails}, []any{o.Run, o.Fails})
+			require.Equal(t, []any{task.Run, task.Failures}, []any{o.Run, o.Failures})
 			switch task.State {
 			case flow.Assigned:
 				require.Equal(t, flow.Inherited, o.State)
--- a/internal/flow/job.go
+++ b/internal/flow/job.go
@@ -57,8 +57,8 @@
 	State  chart.State
 	Worker string
 	// Run numbers the task's starts, from 1.
-	Run   int
-	Fails int
+	Run      int
+	Failures int
 	// Crashed are the lives of workers that ended while a run of the task was, or may
 	// have been, at them; Lost those on which one was lost and whose fate is not known.
 	Crashed, Lost []string
--- a/internal/flow/record.go
+++ b/internal/flow/record.go
@@ -114,7 +114,7 @@
 		if t.Run == 0 && t.State != Done {
 			continue
 		}
-		tr := taskRecord{Index: i, Done: t.State == Done, Run: t.Run, Fails: t.Fails}
+		tr := taskRecord{Index: i, Done: t.State == Done, Run: t.Run, Fails: t.Failures}
 		if t.State != Done {
 			tr.Saved, tr.Crashed, tr.Lost = t.Saved, t.Crashed, t.Lost
 		}
@@ -185,7 +185,7 @@
 }
 
 func (t *Task) restore(tr taskRecord, now time.Time) {
-	t.Run, t.Fails, t.Saved = tr.Run, tr.Fails, tr.Saved
+	t.Run, t.Failures, t.Saved = tr.Run, tr.Fails, tr.Saved
 	t.Crashed, t.Lost = tr.Crashed, tr.Lost
 	t.Step.weigh()
 	switch {
--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -139,10 +139,10 @@
 
 // countFailure counts a failure of a task and fails the job after too many.
 func (s *Sched) countFailure(t *flow.Task) {
-	t.Fails++
+	t.Failures++
 	j := t.Job
 	s.markDirty(j)
-	if j.State.Final() || t.Spec().LongRunning || t.Fails < s.queue(j).Attempts {
+	if j.State.Final() || t.Spec().LongRunning || t.Failures < s.queue(j).Attempts {
 		return
 	}
 	s.emit(Note{ID: j.Spec.ID, What: "failed for good", Detail: t.Name.String()})
