--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -28,7 +28,7 @@
 	h.cancel()
 	if t != nil {
 		t.mu.Lock()
-		t.over = true
+		t.ended = true
 		t.mu.Unlock()
 	}
 	for _, s := range h.servers {
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -31,7 +31,7 @@
 
 	mu            sync.Mutex
 	core          *sched.Sched
-	over          bool
+	ended         bool
 	journal       *journal
 	responseTimes *responseTimes
 	// nextOffset is by partition the first offset of jobsTopic that was not taken.
@@ -160,8 +160,8 @@
 // end gives up the term; nothing more is ordered under it.
 func (t *term) end(why string) {
 	t.mu.Lock()
-	over := t.over
-	t.over = true
+	over := t.ended
+	t.ended = true
 	t.mu.Unlock()
 	if over {
 		return
@@ -181,7 +181,7 @@
 // step feeds the core and carries out what it says.
 func (t *term) step(ev sched.Event) {
 	t.mu.Lock()
-	if t.over {
+	if t.ended {
 		t.mu.Unlock()
 		return
 	}
