--- a/internal/entry/spread.go
+++ b/internal/entry/spread.go
@@ -43,7 +43,7 @@
 //
 // It is for appends that may lie in several partitions: their readers read all of
 // them and know the same record again.
-func spread[T any](ctx context.Context, wg *sync.WaitGroup, n int, patience time.Duration, try func(i int) (T, error)) (first, tried int, got T, err error) {
+func spread[T any](ctx context.Context, wg *sync.WaitGroup, n int, timeout time.Duration, try func(i int) (T, error)) (first, tried int, got T, err error) {
 	type result struct {
 		i   int
 		got T
@@ -67,7 +67,7 @@
 		var late <-chan time.Time
 		var timer *time.Timer
 		if next < n {
-			timer = time.NewTimer(patience)
+			timer = time.NewTimer(timeout)
 			late = timer.C
 		}
 		var r result
