--- a/internal/entry/journal.go
+++ b/internal/entry/journal.go
@@ -66,7 +66,7 @@
 // that has no append under way, the next one at once after a refusal, and after
 // patience while there is no answer. It returns an error only if the term cannot go
 // on, or ctx has ended.
-func (j *journal) append(ctx context.Context, number int64, records []store.Record, patience time.Duration) error {
+func (j *journal) append(ctx context.Context, number int64, records []store.Record, timeout time.Duration) error {
 	type result struct {
 		w   *partWriter
 		err error
@@ -75,7 +75,7 @@
 	inFlight, failed := 0, map[*partWriter]bool{}
 	for {
 		w := j.reserve(failed)
-		pause := patience
+		pause := timeout
 		switch {
 		case w != nil:
 			inFlight++
