--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -164,15 +164,15 @@
 func (h *Host) progressTimeout(reach peer.Reach) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	patience := claimGrace
+	timeout := claimGrace
 	if reach == peer.NoAnswer {
-		return patience
+		return timeout
 	}
 	h.leaderChanges = h.recentLeaderChanges()
 	for range h.leaderChanges {
-		patience = min(progressTimeoutFactor*patience, maxProgressTimeout)
+		timeout = min(progressTimeoutFactor*timeout, maxProgressTimeout)
 	}
-	return patience
+	return timeout
 }
 
 // verifyLeaderChange asks the former lead after a change that nobody had told of. If it stays silent,
