--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -80,7 +80,7 @@
 	}
 	was := <-before
 	pause := claimGrace - h.now().Sub(was.at)
-	for patience := h.progressTimeout(reach); sleep(h.ctx, pause); pause = claimGrace {
+	for timeout := h.progressTimeout(reach); sleep(h.ctx, pause); pause = claimGrace {
 		is := h.stateLogEnds()
 		if part := firstGrown(was, is); part >= 0 {
 			switch by := h.progressAuthor(lead, h.stateParts()[part]); by {
@@ -100,8 +100,8 @@
 		if h.repliedLate(lead) {
 			return true
 		}
-		if h.now().Sub(was.at) >= patience {
-			h.log.Warn("lead: stores nothing either.", "host", lead, "ends", is.offsets, "unheard", silence, "patience", patience)
+		if h.now().Sub(was.at) >= timeout {
+			h.log.Warn("lead: stores nothing either.", "host", lead, "ends", is.offsets, "unheard", silence, "patience", timeout)
 			return false
 		}
 	}
