--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -281,7 +281,7 @@
 
 // requestSync asks a host whether it leads, for patience; an answer that comes later than that
 // is only noted.
-func (h *Host) requestSync(name string, patience time.Duration) (peer.SyncReply, error) {
+func (h *Host) requestSync(name string, timeout time.Duration) (peer.SyncReply, error) {
 	type result struct {
 		reply peer.SyncReply
 		err   error
@@ -296,16 +296,16 @@
 		got.err = h.peers.Ask(ctx, name, h.syncMessage(), &got.reply)
 		if got.err == nil {
 			h.states.addFromLeader(got.reply)
-			h.noteLeaderReply(name, got.reply, h.now().Sub(sent) > patience)
+			h.noteLeaderReply(name, got.reply, h.now().Sub(sent) > timeout)
 		}
 		answered <- got
 	})
-	t := time.NewTimer(patience)
+	t := time.NewTimer(timeout)
 	defer t.Stop()
 	select {
 	case got := <-answered:
 		return got.reply, got.err
 	case <-t.C:
-		return peer.SyncReply{}, &LateError{Host: name, After: patience}
+		return peer.SyncReply{}, &LateError{Host: name, After: timeout}
 	}
 }
