--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -76,8 +76,8 @@
 
 func (q *stateQuery) run() stateAnswer {
 	q.askLeader()
-	patience := time.NewTimer(q.leaderPatience())
-	defer patience.Stop()
+	timer := time.NewTimer(q.leaderPatience())
+	defer timer.Stop()
 	look := time.NewTicker(recheckInterval)
 	defer look.Stop()
 	for !q.isExhausted() {
@@ -88,7 +88,7 @@
 				return a
 			}
 			q.noteFailure(a)
-		case <-patience.C:
+		case <-timer.C:
 			q.readStore()
 		case <-look.C:
 			if state, ok := q.h.states.final(q.id); ok {
