--- a/internal/entry/journal_test.go
+++ b/internal/entry/journal_test.go
@@ -19,8 +19,8 @@
 	"pollencroft/internal/store"
 )
 
-// patience of the tests' appends; a partition that works answers at once.
-const patience = 30 * time.Millisecond
+// appendTimeout of the tests' appends; a partition that works answers at once.
+const appendTimeout = 30 * time.Millisecond
 
 func newJournal(t *testing.T, term int64) (*users.Log, *entry.Journal) {
 	log := users.NewLog(16, time.Now)
@@ -66,17 +66,17 @@
 func TestAPartitionThatIsDownStopsNothing(t *testing.T) {
 	for _, fault := range []users.Fault{users.Busy, users.Silent, users.Lost} {
 		log, b := newJournal(t, 7)
-		require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("a", "1"), patience))
+		require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("a", "1"), appendTimeout))
 		require.Equal(t, map[string]string{"a": "1"}, newestRecords(t, log, 0))
 		log.BreakPart("state", 0, fault)
 		log.BreakPart("state", 5, fault)
-		require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("a", "2"), patience))
+		require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("a", "2"), appendTimeout))
 		require.Equal(t, map[string]string{"a": "2"}, newestRecords(t, log, 10))
 		log.BreakPart("state", 0, users.None)
 		log.BreakPart("state", 5, users.None)
 		// What had no answer is repeated until it has one; later numbers follow.
 		for range 40 {
-			require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("a", "3"), patience))
+			require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("a", "3"), appendTimeout))
 		}
 		require.Equal(t, map[string]string{"a": "3"}, newestRecords(t, log, 10))
 	}
@@ -91,7 +91,7 @@
 			claim(t, log, p, 8)
 		}
 		log.BreakPart("state", down, users.Busy)
-		err := b.Append(t.Context(), nextNumber(), oneRecord("a", "1"), patience)
+		err := b.Append(t.Context(), nextNumber(), oneRecord("a", "1"), appendTimeout)
 		require.ErrorAs(t, err, new(*store.FencedError))
 		log.BreakPart("state", down, users.None)
 		for _, p := range []int{0, 5, 10} {
@@ -110,11 +110,11 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if b.Append(context.WithoutCancel(t.Context()), nextNumber(), oneRecord("a", "1"), patience) == nil {
+		if b.Append(context.WithoutCancel(t.Context()), nextNumber(), oneRecord("a", "1"), appendTimeout) == nil {
 			stored.Store(true)
 		}
 	}()
-	time.Sleep(10 * patience)
+	time.Sleep(10 * appendTimeout)
 	require.False(t, stored.Load())
 	log.BreakPart("state", 5, users.None)
 	<-done
@@ -126,17 +126,17 @@
 // one, it would be read as the newest once the others are gone.
 func TestAForgottenJobIsDroppedEverywhere(t *testing.T) {
 	log, b := newJournal(t, 7)
-	require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("a", "1"), patience))
+	require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("a", "1"), appendTimeout))
 	log.BreakPart("state", 0, users.Busy)
-	require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("a", "2"), patience))
+	require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("a", "2"), appendTimeout))
 	b.Drop(t.Context(), "a")
 	log.BreakPart("state", 0, users.None)
 	log.BreakPart("state", 5, users.Busy)
-	require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("b", "1"), patience))
+	require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("b", "1"), appendTimeout))
 	log.BreakPart("state", 5, users.None)
 	log.BreakPart("state", 0, users.Busy)
 	log.BreakPart("state", 10, users.Busy)
-	require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("b", "2"), patience))
+	require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("b", "2"), appendTimeout))
 	for _, p := range []int{0, 5, 10} {
 		log.BreakPart("state", p, users.None)
 		require.NotContains(t, newestRecords(t, log, p), "a")
@@ -300,7 +300,7 @@
 		wg.Go(func() {
 			for range 300 {
 				var one sync.WaitGroup
-				one.Go(func() { _ = b.Append(t.Context(), nextNumber(), oneRecord("a", "1"), patience) })
+				one.Go(func() { _ = b.Append(t.Context(), nextNumber(), oneRecord("a", "1"), appendTimeout) })
 				one.Wait()
 			}
 		})
