--- a/internal/entry/group.go
+++ b/internal/entry/group.go
@@ -118,13 +118,13 @@
 	h.removePreviousIncarnations()
 	in, generation := "", int64(0)
 	for h.ctx.Err() == nil {
-		should := observerGroup
+		wanted := observerGroup
 		if h.isCandidate() {
-			should = candidateGroup
+			wanted = candidateGroup
 		}
-		if in != should {
+		if in != wanted {
 			h.leaveGroup(in)
-			in, generation = should, 0
+			in, generation = wanted, 0
 		}
 		a, err := h.join(in, generation)
 		if h.isLeaving() {
