--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -60,7 +60,7 @@
 	parts := int64(1) << r.IntN(4)
 	st := flow.Step{
 		Tasks: 1 + r.IntN(8), Size: cell.Size{CPU: d.size.CPU / parts, Mem: 8 << 30}, Time: around(r, 2*time.Second),
-		Saves: r.IntN(2) == 0,
+		Checkpoints: r.IntN(2) == 0,
 	}
 	if d.size.Accel > 0 && r.IntN(2) == 0 {
 		st.Size.Accel = max(d.size.Accel/parts, 1)
@@ -132,9 +132,9 @@
 		}
 		used, whole = used.Add(w.used()), whole.Add(w.info.Size)
 		free := w.info.Size.Sub(w.used())
-		need := step.Room().Times(2)
+		need := step.Demand().Times(2)
 		if step.Gang {
-			need = step.Room().Times(float64(step.Tasks))
+			need = step.Demand().Times(float64(step.Tasks))
 		}
 		advised := d.specs[id].Queue.Advice == nil || d.policy(id+".0.0", w.info.Incarnation)
 		room = room || advised && need.Fits(free)
--- a/internal/sched/grown_test.go
+++ b/internal/sched/grown_test.go
@@ -37,13 +37,13 @@
 		{
 			flow.Queue{Name: "summary", Service: "desk", Attempts: 3, Stretch: 1.5, Slack: 250 * time.Millisecond, Advice: advice(12*time.Millisecond, 180*us)},
 			55, 0.7, func(r *rand.Rand) flow.Step {
-				return flow.Step{Tasks: 1 + r.IntN(20), Size: cell.Size{CPU: 11_000, Mem: 12 << 30}, Time: around(r, 560*time.Millisecond), Copies: r.IntN(3) == 0}
+				return flow.Step{Tasks: 1 + r.IntN(20), Size: cell.Size{CPU: 11_000, Mem: 12 << 30}, Time: around(r, 560*time.Millisecond), AllowCopies: r.IntN(3) == 0}
 			},
 		},
 		{
 			flow.Queue{Name: "review", Service: "desk", Rank: 2, Attempts: 3, Stretch: 4, Slack: 3 * time.Second, Advice: advice(170*time.Millisecond, 2400*us)},
 			2.3, 0.45, func(r *rand.Rand) flow.Step {
-				return flow.Step{Tasks: 1 + r.IntN(36), Size: cell.Size{CPU: 18_000, Mem: 38 << 30}, Time: around(r, 5600*time.Millisecond), Saves: r.IntN(5) > 0}
+				return flow.Step{Tasks: 1 + r.IntN(36), Size: cell.Size{CPU: 18_000, Mem: 38 << 30}, Time: around(r, 5600*time.Millisecond), Checkpoints: r.IntN(5) > 0}
 			},
 		},
 		{
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -73,8 +73,8 @@
 // nears its bound they are held back, and let go again once it is calm.
 func TestFillingTasksAreHeldBackBesideATaskThatServes(t *testing.T) {
 	b := newBench(t, 1)
-	serve := flow.Step{Tasks: 1, Size: cell.Size{CPU: 20_000, Mem: 8 << 30}, Lasts: true, Target: 100 * time.Millisecond}
-	fill := flow.Step{Tasks: 2, Size: cell.Size{CPU: 10_000, Mem: 8 << 30}, Time: time.Minute, Fills: true}
+	serve := flow.Step{Tasks: 1, Size: cell.Size{CPU: 20_000, Mem: 8 << 30}, LongRunning: true, LatencyTarget: 100 * time.Millisecond}
+	fill := flow.Step{Tasks: 2, Size: cell.Size{CPU: 10_000, Mem: 8 << 30}, Time: time.Minute, BestEffort: true}
 	b.submit("serve", "scan", serve)
 	b.submit("fill", "print", fill)
 	b.play(time.Second)
@@ -83,7 +83,7 @@
 		ev := sched.HoldReply{Worker: "w00", Probe: true, Sent: b.now, Received: b.now, Clock: b.now}
 		for n, r := range b.workers["w00"].runs {
 			l := sched.RunStatus{Task: n, Run: r.run, Percent: 100}
-			if r.step.Target > 0 {
+			if r.step.LatencyTarget > 0 {
 				l.Metric = ms
 			}
 			ev.Running = append(ev.Running, l)
@@ -107,12 +107,12 @@
 	b.copies = true
 	b.play(100 * time.Millisecond)
 	step := scan(8)
-	step.Copies = true
+	step.AllowCopies = true
 	b.submit("a", "scan", step)
 	b.play(50 * time.Millisecond)
 	b.storeAway = true
 	next := scan(8)
-	next.Copies = true
+	next.AllowCopies = true
 	b.submit("b", "scan", next)
 	b.play(200 * time.Millisecond)
 	started := 0
@@ -141,7 +141,7 @@
 	b.copies = true
 	b.play(100 * time.Millisecond)
 	step := scan(tasks)
-	step.Copies, step.Time = true, work
+	step.AllowCopies, step.Time = true, work
 	b.submit("a", "scan", step)
 	b.play(300 * time.Millisecond)
 	cut := slices.MaxFunc(b.inOrder(), func(x, y *fakeWorker) int { return len(x.runs) - len(y.runs) })
@@ -229,7 +229,7 @@
 	b.play(100 * time.Millisecond)
 	b.storeAway = true
 	step := scan(8)
-	step.Copies, step.Time = true, 3*time.Second
+	step.AllowCopies, step.Time = true, 3*time.Second
 	b.submit("a", "scan", step)
 	b.play(200 * time.Millisecond)
 	require.Equal(t, 8, total(b.starts))
@@ -422,7 +422,7 @@
 	b.play(100 * time.Millisecond)
 	b.storeAway = true
 	step := scan(1)
-	step.Copies = true
+	step.AllowCopies = true
 	b.submit("a", "scan", step)
 	b.play(4 * time.Second)
 	require.Equal(t, 3, total(b.starts))
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -158,7 +158,7 @@
 		s.placeGang(r, p, keep)
 		return
 	}
-	need := r.stage.Spec.Room().CPU
+	need := r.stage.Spec.Demand().CPU
 	left, alone, allowed := r.tasks, []*flow.Task(nil), []*worker(nil)
 	if s.hasTicket(r) {
 		allowed = s.allowedWorkers(r, p)
@@ -212,7 +212,7 @@
 
 // fits reports whether a worker has capacity for a task and may run it, apart from tickets.
 func (s *Sched) fits(r readyStep, t *flow.Task, w *worker) bool {
-	return r.stage.Spec.Room().Fits(w.available()) && s.suits(r, t, w)
+	return r.stage.Spec.Demand().Fits(w.available()) && s.suits(r, t, w)
 }
 
 // suits reports whether a worker may run a task once it has capacity, apart from tickets.
@@ -225,9 +225,9 @@
 		return false
 	case t.Avoid == w.Incarnation && s.now.Sub(t.Since) < avoidFor:
 		return false
-	case st.Fills && w.fillCPU+st.Size.CPU > max(w.free().CPU, 0):
+	case st.BestEffort && w.fillCPU+st.Size.CPU > max(w.free().CPU, 0):
 		return false
-	case st.Apart > 0 && w.tasksOf(r.stage) >= st.Apart, !s.mayShare(t, w):
+	case st.MaxPerWorker > 0 && w.tasksOf(r.stage) >= st.MaxPerWorker, !s.mayShare(t, w):
 		return false
 	}
 	return true
@@ -266,22 +266,22 @@
 // leaves fuller, so that large free capacities stay whole.
 func (s *Sched) cost(r readyStep, w *worker) float64 {
 	st := r.stage.Spec
-	left := w.free().Sub(st.Room())
+	left := w.free().Sub(st.Demand())
 	c := left.Share(cell.Size{CPU: w.Size.CPU, Mem: w.Size.Mem, Accel: max(w.Size.Accel, 1)})
-	if st.Near != "" && w.Rack != st.Near {
+	if st.NearRack != "" && w.Rack != st.NearRack {
 		c += farCost
 	}
-	if st.Fills && w.runsServing() || st.Target > 0 && w.fillCPU > 0 {
+	if st.BestEffort && w.runsServing() || st.LatencyTarget > 0 && w.fillCPU > 0 {
 		c += serveCost
 	}
-	if st.Fills {
+	if st.BestEffort {
 		// Filling tasks go to the workers with the most free processor time.
 		c -= 2 * float64(w.free().CPU-w.fillCPU) / float64(w.Size.CPU)
 	}
 	if r.job.Domain != "" && w.Domain != r.job.Domain {
 		c += domainCost
 	}
-	if !st.Lasts && w.runsTaskOf(r.job) {
+	if !st.LongRunning && w.runsTaskOf(r.job) {
 		c -= togetherCost
 	}
 	if w.speed < slowSpeed {
@@ -303,7 +303,7 @@
 // runsServing reports whether the worker has a task with a response-time target.
 func (w *worker) runsServing() bool {
 	for _, t := range w.tasks {
-		if t.Spec().Target > 0 {
+		if t.Spec().LatencyTarget > 0 {
 			return true
 		}
 	}
