--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -80,7 +80,7 @@
 	}
 	was := <-before
 	pause := claimGrace - h.now().Sub(was.at)
-	for patience := h.progressTimeout(reach); sleep(h.ctx, pause); pause = claimGrace {
+	for timeout := h.progressTimeout(reach); sleep(h.ctx, pause); pause = claimGrace {
 		is := h.stateLogEnds()
 		if part := firstGrown(was, is); part >= 0 {
 			switch by := h.progressAuthor(lead, h.stateParts()[part]); by {
@@ -100,8 +100,8 @@
 		if h.repliedLate(lead) {
 			return true
 		}
-		if h.now().Sub(was.at) >= patience {
-			h.log.Warn("lead: stores nothing either.", "host", lead, "ends", is.offsets, "unheard", silence, "patience", patience)
+		if h.now().Sub(was.at) >= timeout {
+			h.log.Warn("lead: stores nothing either.", "host", lead, "ends", is.offsets, "unheard", silence, "patience", timeout)
 			return false
 		}
 	}
@@ -164,15 +164,15 @@
 func (h *Host) progressTimeout(reach peer.Reach) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	patience := claimGrace
+	timeout := claimGrace
 	if reach == peer.NoAnswer {
-		return patience
+		return timeout
 	}
 	h.leaderChanges = h.recentLeaderChanges()
 	for range h.leaderChanges {
-		patience = min(progressTimeoutFactor*patience, maxProgressTimeout)
+		timeout = min(progressTimeoutFactor*timeout, maxProgressTimeout)
 	}
-	return patience
+	return timeout
 }
 
 // verifyLeaderChange asks the former lead after a change that nobody had told of. If it stays silent,
@@ -281,7 +281,7 @@
 
 // requestSync asks a host whether it leads, for patience; an answer that comes later than that
 // is only noted.
-func (h *Host) requestSync(name string, patience time.Duration) (peer.SyncReply, error) {
+func (h *Host) requestSync(name string, timeout time.Duration) (peer.SyncReply, error) {
 	type result struct {
 		reply peer.SyncReply
 		err   error
@@ -296,16 +296,16 @@
 		got.err = h.peers.Ask(ctx, name, h.syncMessage(), &got.reply)
 		if got.err == nil {
 			h.states.addFromLeader(got.reply)
-			h.noteLeaderReply(name, got.reply, h.now().Sub(sent) > patience)
+			h.noteLeaderReply(name, got.reply, h.now().Sub(sent) > timeout)
 		}
 		answered <- got
 	})
-	t := time.NewTimer(patience)
+	t := time.NewTimer(timeout)
 	defer t.Stop()
 	select {
 	case got := <-answered:
 		return got.reply, got.err
 	case <-t.C:
-		return peer.SyncReply{}, &LateError{Host: name, After: patience}
+		return peer.SyncReply{}, &LateError{Host: name, After: timeout}
 	}
 }
