--- a/internal/flow/job.go
+++ b/internal/flow/job.go
@@ -76,8 +76,8 @@
 	Restarts int
 	// Yields counts runs that were stopped for more urgent work.
 	Yields int
-	// Pace is the share of the processor that a filling task may use now.
-	Pace int
+	// CPUPercent is the share of the processor that a filling task may use now.
+	CPUPercent int
 }
 
 // Move takes the task through one event; false if its state does not allow it.
@@ -200,7 +200,7 @@
 		stage := &Stage{Spec: st, Index: i}
 		for k := range st.Tasks {
 			stage.Tasks = append(stage.Tasks, &Task{
-				Name: Name{Job: j.Spec.ID, Round: n, Step: i, Index: k}, Job: j, Step: stage, State: life.Start(), Since: now, Pace: 100,
+				Name: Name{Job: j.Spec.ID, Round: n, Step: i, Index: k}, Job: j, Step: stage, State: life.Start(), Since: now, CPUPercent: 100,
 			})
 		}
 		r.Stages = append(r.Stages, stage)
--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -63,8 +63,8 @@
 		w.pace.level, w.pace.changed = level, s.now
 	}
 	for _, t := range w.sortedTasks() {
-		if t.Spec().BestEffort && t.State == flow.Running && (t.Pace != level || worst >= pauseFrom) {
-			t.Pace = level
+		if t.Spec().BestEffort && t.State == flow.Running && (t.CPUPercent != level || worst >= pauseFrom) {
+			t.CPUPercent = level
 			s.emit(Pace{To: w.Address, Term: s.term, Task: t.Name, Run: t.Run, Percent: level})
 		}
 	}
