--- a/internal/flow/job.go
+++ b/internal/flow/job.go
@@ -74,8 +74,8 @@
 	Seen, Moved time.Time
 	// Restarts counts runs that were given up because their worker was too slow.
 	Restarts int
-	// Yields counts runs that were stopped for more urgent work.
-	Yields int
+	// Preemptions counts runs that were stopped for more urgent work.
+	Preemptions int
 	// CPUPercent is the share of the processor that a filling task may use now.
 	CPUPercent int
 }
--- a/internal/sched/yield.go
+++ b/internal/sched/yield.go
@@ -50,7 +50,7 @@
 			return
 		}
 		for _, t := range victims {
-			t.Yields++
+			t.Preemptions++
 			s.stopRun(t, "gives way to "+r.stage.Tasks[0].Name.StepName())
 		}
 		w.reserved = w.reserved.Add(room)
@@ -106,7 +106,7 @@
 func (s *Sched) preemptible(t *flow.Task, r readyStep) bool {
 	st := t.Spec()
 	q := s.queue(t.Job)
-	if t.State != flow.Running || !st.Checkpoints || st.Gang || st.LongRunning || st.BestEffort || q.Rank <= r.queue.Rank || t.Yields >= maxPreemptions {
+	if t.State != flow.Running || !st.Checkpoints || st.Gang || st.LongRunning || st.BestEffort || q.Rank <= r.queue.Rank || t.Preemptions >= maxPreemptions {
 		return false
 	}
 	round, ok := t.Job.Rounds[t.Name.Round]
