--- a/internal/sched/slow.go
+++ b/internal/sched/slow.go
@@ -40,8 +40,8 @@
 
 // checkProgress stops a run whose progress has stalled.
 func (s *Sched) checkProgress(w *worker, t *flow.Task, l RunStatus, clock time.Time) {
-	if t.Seen.IsZero() {
-		t.Seen, t.Moved, t.Percent = clock, clock, l.Percent
+	if t.ProgressSeen.IsZero() {
+		t.ProgressSeen, t.Moved, t.Percent = clock, clock, l.Percent
 		return
 	}
 	if l.Percent != t.Percent {
@@ -50,7 +50,7 @@
 	st := t.Spec()
 	if st.Gang && l.Percent == 0 {
 		// The gang member is waiting for the others.
-		t.Seen, t.Moved = clock, clock
+		t.ProgressSeen, t.Moved = clock, clock
 		return
 	}
 	if t.State != flow.Running || st.BestEffort || l.Percent >= 100 || w.draining {
@@ -101,8 +101,8 @@
 // judged yet.
 func speedOf(t *flow.Task, clock time.Time) (float64, bool) {
 	st := t.Spec()
-	took := clock.Sub(t.Seen)
-	if t.State != flow.Running || t.Seen.IsZero() || st.LongRunning || st.Gang || st.BestEffort || st.EstimatedTime <= 0 || t.Percent >= 100 {
+	took := clock.Sub(t.ProgressSeen)
+	if t.State != flow.Running || t.ProgressSeen.IsZero() || st.LongRunning || st.Gang || st.BestEffort || st.EstimatedTime <= 0 || t.Percent >= 100 {
 		return 0, false
 	}
 	if took < max(slowMin, time.Duration(slowMinShare*float64(st.EstimatedTime))) {
@@ -114,8 +114,8 @@
 // measureSpeed updates the worker's speed from a run that ended as done.
 func (w *worker) measureSpeed(t *flow.Task, clock time.Time) {
 	st := t.Spec()
-	took := clock.Sub(t.Seen)
-	if t.Seen.IsZero() || st.Gang || st.BestEffort || st.EstimatedTime <= 0 || took < slowMin {
+	took := clock.Sub(t.ProgressSeen)
+	if t.ProgressSeen.IsZero() || st.Gang || st.BestEffort || st.EstimatedTime <= 0 || took < slowMin {
 		return
 	}
 	rate := min(float64(st.EstimatedTime)/float64(took), 1)
