--- a/internal/flow/job.go
+++ b/internal/flow/job.go
@@ -70,8 +70,8 @@
 	Avoid string
 	// Percent is the progress seen last; Seen and Moved are when it was seen first
 	// and when it changed, by the worker's clock.
-	Percent             int
-	ProgressSeen, Moved time.Time
+	Percent                       int
+	ProgressSeen, ProgressChanged time.Time
 	// Restarts counts runs that were given up because their worker was too slow.
 	Restarts int
 	// Preemptions counts runs that were stopped for more urgent work.
--- a/internal/sched/slow.go
+++ b/internal/sched/slow.go
@@ -41,23 +41,23 @@
 // checkProgress stops a run whose progress has stalled.
 func (s *Sched) checkProgress(w *worker, t *flow.Task, l RunStatus, clock time.Time) {
 	if t.ProgressSeen.IsZero() {
-		t.ProgressSeen, t.Moved, t.Percent = clock, clock, l.Percent
+		t.ProgressSeen, t.ProgressChanged, t.Percent = clock, clock, l.Percent
 		return
 	}
 	if l.Percent != t.Percent {
-		t.Percent, t.Moved = l.Percent, clock
+		t.Percent, t.ProgressChanged = l.Percent, clock
 	}
 	st := t.Spec()
 	if st.Gang && l.Percent == 0 {
 		// The gang member is waiting for the others.
-		t.ProgressSeen, t.Moved = clock, clock
+		t.ProgressSeen, t.ProgressChanged = clock, clock
 		return
 	}
 	if t.State != flow.Running || st.BestEffort || l.Percent >= 100 || w.draining {
 		return
 	}
 	still := max(stallMin, time.Duration(stallShare*float64(st.EstimatedTime)))
-	if clock.Sub(t.Moved) > still {
+	if clock.Sub(t.ProgressChanged) > still {
 		s.recordRunFailure(w, t)
 		t.Avoid = w.Incarnation
 		s.stopRun(t, "stands still at "+strconv.Itoa(l.Percent)+" percent")
--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -14,7 +14,7 @@
 func (s *Sched) assign(t *flow.Task, w *worker, run int) {
 	t.Worker, t.Run = w.Incarnation, run
 	t.Move(flow.Assign, s.now)
-	t.ProgressSeen, t.Moved, t.Percent, t.CPUPercent = time.Time{}, time.Time{}, 0, 100
+	t.ProgressSeen, t.ProgressChanged, t.Percent, t.CPUPercent = time.Time{}, time.Time{}, 0, 100
 	if t.Job.Domain == "" {
 		t.Job.Domain = w.Domain
 	}
