--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -62,7 +62,7 @@
 		j.Tasks(func(task *flow.Task) {
 			switch rapid.IntRange(0, 2).Draw(t, "state") {
 			case 1:
-				task.Run, task.Worker, task.Saved = 2, "w", "cp"
+				task.Run, task.Worker, task.Checkpoint = 2, "w", "cp"
 				task.Move(flow.Assign, now)
 			case 2:
 				task.Run, task.Failures = 1, 1
@@ -83,7 +83,7 @@
 			switch task.State {
 			case flow.Assigned:
 				require.Equal(t, flow.Inherited, o.State)
-				require.Equal(t, []string{"w", "cp"}, []string{o.Worker, o.Saved})
+				require.Equal(t, []string{"w", "cp"}, []string{o.Worker, o.Checkpoint})
 			default:
 				require.Equal(t, task.State, o.State)
 			}
--- a/internal/flow/job.go
+++ b/internal/flow/job.go
@@ -62,8 +62,8 @@
 	// Crashed are the lives of workers that ended while a run of the task was, or may
 	// have been, at them; Lost those on which one was lost and whose fate is not known.
 	Crashed, Lost []string
-	// Saved is the newest checkpoint; empty is none.
-	Saved string
+	// Checkpoint is the newest checkpoint; empty is none.
+	Checkpoint string
 	// Since is when the task came into its state.
 	Since time.Time
 	// Avoid is the worker that the task failed on last.
--- a/internal/flow/record.go
+++ b/internal/flow/record.go
@@ -116,7 +116,7 @@
 		}
 		tr := taskRecord{Index: i, Done: t.State == Done, Run: t.Run, Fails: t.Failures}
 		if t.State != Done {
-			tr.Saved, tr.Crashed, tr.Lost = t.Saved, t.Crashed, t.Lost
+			tr.Saved, tr.Crashed, tr.Lost = t.Checkpoint, t.Crashed, t.Lost
 		}
 		if t.MayBeRunning() {
 			tr.Worker = t.Worker
@@ -185,7 +185,7 @@
 }
 
 func (t *Task) restore(tr taskRecord, now time.Time) {
-	t.Run, t.Failures, t.Saved = tr.Run, tr.Fails, tr.Saved
+	t.Run, t.Failures, t.Checkpoint = tr.Run, tr.Fails, tr.Saved
 	t.Crashed, t.Lost = tr.Crashed, tr.Lost
 	t.Step.weigh()
 	switch {
--- a/internal/sched/ends.go
+++ b/internal/sched/ends.go
@@ -19,7 +19,7 @@
 		s.confirm(t)
 	}
 	if l.Saved != "" {
-		t.Saved = l.Saved
+		t.Checkpoint = l.Saved
 	}
 	if t.State == flow.Running && t.Job.State.Final() {
 		s.stopRun(t, "job is over")
@@ -72,7 +72,7 @@
 		return
 	}
 	if e.Saved != "" {
-		t.Saved = e.Saved
+		t.Checkpoint = e.Saved
 	}
 	switch {
 	case e.How == EndDone:
--- a/internal/sched/gang.go
+++ b/internal/sched/gang.go
@@ -33,11 +33,11 @@
 	}
 	run, saved := 0, ""
 	for _, t := range tasks {
-		run, saved = max(run, t.Run), max(saved, t.Saved)
+		run, saved = max(run, t.Run), max(saved, t.Checkpoint)
 	}
 	for i, t := range tasks {
 		// The members share one checkpoint.
-		t.Saved = saved
+		t.Checkpoint = saved
 		s.assign(t, put[i], run+1)
 	}
 	p.freeCPU -= need
