--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -39,7 +39,7 @@
 	require.Len(t, j.Begin(now.Add(2*time.Second)), 2)
 	finish := func(round int) {
 		task := j.Task(flow.Name{Job: "a", Round: round})
-		require.True(t, task.Move(flow.Finish, now))
+		require.True(t, task.Transition(flow.Finish, now))
 		task.Step.Done++
 		j.Settle(now)
 	}
@@ -63,10 +63,10 @@
 			switch rapid.IntRange(0, 2).Draw(t, "state") {
 			case 1:
 				task.Run, task.Worker, task.Checkpoint = 2, "w", "cp"
-				task.Move(flow.Assign, now)
+				task.Transition(flow.Assign, now)
 			case 2:
 				task.Run, task.Failures = 1, 1
-				task.Move(flow.Finish, now)
+				task.Transition(flow.Finish, now)
 				task.Step.Done++
 			}
 		})
@@ -106,8 +106,8 @@
 		j.Begin(now)
 		task := j.Task(flow.Name{Job: "a"})
 		task.Worker, task.Run = "w", 1
-		require.True(t, task.Move(flow.Assign, now))
-		require.True(t, task.Move(flow.Send, now))
+		require.True(t, task.Transition(flow.Assign, now))
+		require.True(t, task.Transition(flow.Send, now))
 		how(j, task)
 		b := j.Record(flow.Version{Term: 3, Append: 4})
 		got, ok := flow.RestoreEnded("a", b)
@@ -120,7 +120,7 @@
 		return b, ok
 	}
 	done := func(j *flow.Job, task *flow.Task) {
-		require.True(t, task.Move(flow.Finish, now))
+		require.True(t, task.Transition(flow.Finish, now))
 		task.Step.Done++
 		j.Settle(now)
 	}
--- a/internal/flow/job.go
+++ b/internal/flow/job.go
@@ -80,8 +80,8 @@
 	CPUPercent int
 }
 
-// Move takes the task through one event; false if its state does not allow it.
-func (t *Task) Move(ev chart.Event, now time.Time) bool {
+// Transition takes the task through one event; false if its state does not allow it.
+func (t *Task) Transition(ev chart.Event, now time.Time) bool {
 	next, err := life.Next(t.State, ev)
 	if err != nil {
 		return false
--- a/internal/flow/record.go
+++ b/internal/flow/record.go
@@ -194,6 +194,6 @@
 		t.Step.Done++
 	case tr.Worker != "":
 		t.Worker = tr.Worker
-		t.Move(adopt, now)
+		t.Transition(adopt, now)
 	}
 }
--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -75,8 +75,8 @@
 		return false
 	}
 	t.Worker, t.Run = w.Incarnation, l.Run
-	t.Move(flow.Assign, s.now)
-	t.Move(flow.Send, s.now)
+	t.Transition(flow.Assign, s.now)
+	t.Transition(flow.Send, s.now)
 	w.add(t)
 	s.confirm(t)
 	s.markDirty(j)
--- a/internal/sched/gang.go
+++ b/internal/sched/gang.go
@@ -95,7 +95,7 @@
 		switch m.State {
 		case flow.Assigned:
 			s.releaseTask(m)
-			m.Move(flow.Gone, s.now)
+			m.Transition(flow.Gone, s.now)
 		case flow.Starting, flow.Running, flow.Inherited:
 			s.stopRun(m, "its gang is broken")
 		}
--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -43,7 +43,7 @@
 		switch t.State {
 		case flow.Waiting, flow.Assigned:
 			s.releaseTask(t)
-			t.Move(flow.Drop, s.now)
+			t.Transition(flow.Drop, s.now)
 		case flow.Starting, flow.Running, flow.Inherited:
 			s.stopRun(t, "job is "+string(state))
 		}
@@ -101,11 +101,11 @@
 	s.releaseTask(t)
 	s.markDirty(t.Job)
 	if t.Job.State.Final() {
-		t.Move(flow.Drop, s.now)
+		t.Transition(flow.Drop, s.now)
 		s.closeIfOver(t.Job)
 		return
 	}
-	t.Move(flow.Gone, s.now)
+	t.Transition(flow.Gone, s.now)
 	if t.Spec().Gang {
 		s.breakGang(t)
 	}
@@ -115,7 +115,7 @@
 func (s *Sched) taskDone(t *flow.Task) {
 	s.noteTask(t, "done", "")
 	s.releaseTask(t)
-	if !t.Move(flow.Finish, s.now) {
+	if !t.Transition(flow.Finish, s.now) {
 		return
 	}
 	t.Step.Done++
--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -13,7 +13,7 @@
 // again.
 func (s *Sched) assign(t *flow.Task, w *worker, run int) {
 	t.Worker, t.Run = w.Incarnation, run
-	t.Move(flow.Assign, s.now)
+	t.Transition(flow.Assign, s.now)
 	t.ProgressSeen, t.ProgressChanged, t.Percent, t.CPUPercent = time.Time{}, time.Time{}, 0, 100
 	if t.Job.Domain == "" {
 		t.Job.Domain = w.Domain
@@ -46,7 +46,7 @@
 		s.requeueTask(t, "ticket ran out before the start")
 		return
 	}
-	t.Move(flow.Send, s.now)
+	t.Transition(flow.Send, s.now)
 	deadline := w.clockAt(s.now).Add(startTimeout)
 	w.extendDeadline(deadline)
 	s.emit(Start{
@@ -115,7 +115,7 @@
 
 // confirm marks a run as begun.
 func (s *Sched) confirm(t *flow.Task) {
-	if !t.Move(flow.Confirm, s.now) {
+	if !t.Transition(flow.Confirm, s.now) {
 		return
 	}
 	if t.Job.State == flow.Queued {
--- a/internal/sched/stop.go
+++ b/internal/sched/stop.go
@@ -20,7 +20,7 @@
 
 // stopRun asks the worker to stop a task's run.
 func (s *Sched) stopRun(t *flow.Task, why string) {
-	if !t.Move(flow.Stop, s.now) {
+	if !t.Transition(flow.Stop, s.now) {
 		return
 	}
 	s.noteTask(t, "stop", why)
