--- a/internal/flow/job.go
+++ b/internal/flow/job.go
@@ -114,8 +114,8 @@
 	doubt int
 }
 
-// Over tells whether all tasks have ended as done.
-func (s *Stage) Over() bool { return s.Done == len(s.Tasks) }
+// Finished tells whether all tasks have ended as done.
+func (s *Stage) Finished() bool { return s.Done == len(s.Tasks) }
 
 // Round is one run through all steps.
 type Round struct {
@@ -127,7 +127,7 @@
 // Over tells whether all steps are over.
 func (r *Round) Over() bool {
 	for _, s := range r.Stages {
-		if !s.Over() {
+		if !s.Finished() {
 			return false
 		}
 	}
@@ -137,7 +137,7 @@
 // Ready tells whether all steps before s are over.
 func (r *Round) Ready(s *Stage) bool {
 	for _, i := range s.Spec.After {
-		if !r.Stages[i].Over() {
+		if !r.Stages[i].Finished() {
 			return false
 		}
 	}
--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -124,7 +124,7 @@
 		s.closeIfOver(t.Job)
 		return
 	}
-	if t.Step.Over() {
+	if t.Step.Finished() {
 		delete(s.advice, t.Step)
 	}
 	s.closeIfOver(t.Job)
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -34,7 +34,7 @@
 		q := s.queue(j)
 		for _, r := range j.Rounds {
 			for _, st := range r.Stages {
-				if st.Over() || !r.Ready(st) {
+				if st.Finished() || !r.Ready(st) {
 					continue
 				}
 				if tasks := startableTasks(st); len(tasks) > 0 {
