--- a/internal/flow/job.go
+++ b/internal/flow/job.go
@@ -124,8 +124,8 @@
 	Stages []*Stage
 }
 
-// Over tells whether all steps are over.
-func (r *Round) Over() bool {
+// Finished tells whether all steps are over.
+func (r *Round) Finished() bool {
 	for _, s := range r.Stages {
 		if !s.Finished() {
 			return false
@@ -212,7 +212,7 @@
 // Settle closes rounds that are over and completes the job after its last one.
 func (j *Job) Settle(now time.Time) {
 	for n, r := range j.Rounds {
-		if r.Over() {
+		if r.Finished() {
 			delete(j.Rounds, n)
 		}
 	}
