--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -113,7 +113,7 @@
 		got, ok := flow.RestoreEnded("a", b)
 		if ok {
 			require.Equal(t, j.State, got.State)
-			require.Equal(t, j.State, got.Shown)
+			require.Equal(t, j.State, got.Published)
 			require.Equal(t, int64(7), got.Number)
 			require.Equal(t, j.Ended, got.Ended)
 		}
--- a/internal/flow/job.go
+++ b/internal/flow/job.go
@@ -148,11 +148,11 @@
 type Job struct {
 	Spec  Spec
 	State State
-	// Shown is the state that a caller is told: one that is recorded, by the append
+	// Published is the state that a caller is told: one that is recorded, by the append
 	// of that number.
-	Shown    State
-	Recorded int64
-	Began    time.Time
+	Published State
+	Recorded  int64
+	Began     time.Time
 	// Number orders jobs by acceptance.
 	Number int64
 	// Domain is the failure domain that the job's tasks are kept in while it has
@@ -170,7 +170,7 @@
 
 // New returns a job that was just accepted.
 func New(spec Spec, number int64, now time.Time) *Job {
-	return &Job{Spec: spec, State: Queued, Shown: Queued, Began: now, Number: number, Rounds: map[int]*Round{}}
+	return &Job{Spec: spec, State: Queued, Published: Queued, Began: now, Number: number, Rounds: map[int]*Round{}}
 }
 
 // rounds is how many rounds the job has in all.
--- a/internal/flow/record.go
+++ b/internal/flow/record.go
@@ -135,7 +135,7 @@
 		return nil, false
 	}
 	j := New(Spec{ID: id}, rec.Number, time.UnixMilli(rec.Began))
-	j.Next, j.State, j.Shown, j.Ended = rec.Next, rec.State, rec.State, time.UnixMilli(rec.Ended)
+	j.Next, j.State, j.Published, j.Ended = rec.Next, rec.State, rec.State, time.UnixMilli(rec.Ended)
 	return j, true
 }
 
@@ -164,7 +164,7 @@
 	for _, rr := range rec.Rounds {
 		j.open(rr.Index, now).restore(rr, now)
 	}
-	j.State, j.Shown = rec.State, rec.State
+	j.State, j.Published = rec.State, rec.State
 	if rec.State.Final() {
 		j.Ended = time.UnixMilli(rec.Ended)
 	}
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -372,9 +372,9 @@
 	if b.number < j.Recorded {
 		return
 	}
-	j.Shown, j.Recorded = b.states[j], b.number
-	if j.Shown.Final() {
-		s.emit(JobEnded{ID: j.Spec.ID, State: j.Shown})
+	j.Published, j.Recorded = b.states[j], b.number
+	if j.Published.Final() {
+		s.emit(JobEnded{ID: j.Spec.ID, State: j.Published})
 	}
 }
 
@@ -395,7 +395,7 @@
 	maps.DeleteFunc(s.earlyCancels, func(_ string, at time.Time) bool { return s.now.Sub(at) > s.limits.Retention })
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		j := s.jobs[id]
-		if j.State.Final() && j.Shown.Final() && s.now.Sub(j.Ended) > s.limits.Retention {
+		if j.State.Final() && j.Published.Final() && s.now.Sub(j.Ended) > s.limits.Retention {
 			delete(s.jobs, id)
 			delete(s.openJobs, id)
 			s.emit(Forget{ID: id})
@@ -425,7 +425,7 @@
 	if !ok {
 		return "", false
 	}
-	return j.Shown, true
+	return j.Published, true
 }
 
 // Pending counts the jobs of which no task has started, by queue.
