--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -58,24 +58,24 @@
 // long. before is where its partitions ended when the question was put.
 func (h *Host) isLeaderAlive(before <-chan logEnds) bool {
 	h.mu.Lock()
-	lead, mute, silence := h.leader, h.unresponsive == h.leader, time.Duration(0)
+	leader, unresponsive, silence := h.leader, h.unresponsive == h.leader, time.Duration(0)
 	if !h.unansweredSince.IsZero() {
 		silence = h.now().Sub(h.unansweredSince)
 	}
 	h.mu.Unlock()
-	if !mute {
+	if !unresponsive {
 		// It says that it does not lead.
 		return false
 	}
-	reach := h.tryConnect(lead)
+	reach := h.tryConnect(leader)
 	if reach == peer.Refused {
 		return false
 	}
-	if h.repliedLate(lead) {
+	if h.repliedLate(leader) {
 		return true
 	}
 	if silence > maxSilence {
-		h.log.Warn("lead: is not heard any more.", "host", lead, "for", silence)
+		h.log.Warn("lead: is not heard any more.", "host", leader, "for", silence)
 		return false
 	}
 	was := <-before
@@ -83,25 +83,25 @@
 	for timeout := h.progressTimeout(reach); sleep(h.ctx, pause); pause = claimGrace {
 		is := h.stateLogEnds()
 		if part := firstGrown(was, is); part >= 0 {
-			switch by := h.progressAuthor(lead, h.stateParts()[part]); by {
-			case lead:
+			switch by := h.progressAuthor(leader, h.stateParts()[part]); by {
+			case leader:
 				h.incCounter("lead.slow")
-				h.log.Info("lead: is slow, and works.", "host", lead, "part", h.stateParts()[part], "from", was.offsets[part], "to", is.offsets[part], "unheard", silence)
+				h.log.Info("lead: is slow, and works.", "host", leader, "part", h.stateParts()[part], "from", was.offsets[part], "to", is.offsets[part], "unheard", silence)
 				return true
 			case h.cfg.Name:
-				h.log.Info("lead: was fenced off by this host.", "host", lead, "unheard", silence)
+				h.log.Info("lead: was fenced off by this host.", "host", leader, "unheard", silence)
 				return false
 			case "":
 			default:
-				h.log.Info("lead: another host claimed.", "host", by, "instead", lead, "unheard", silence)
+				h.log.Info("lead: another host claimed.", "host", by, "instead", leader, "unheard", silence)
 				return true
 			}
 		}
-		if h.repliedLate(lead) {
+		if h.repliedLate(leader) {
 			return true
 		}
 		if h.now().Sub(was.at) >= timeout {
-			h.log.Warn("lead: stores nothing either.", "host", lead, "ends", is.offsets, "unheard", silence, "patience", timeout)
+			h.log.Warn("lead: stores nothing either.", "host", leader, "ends", is.offsets, "unheard", silence, "patience", timeout)
 			return false
 		}
 	}
@@ -111,24 +111,24 @@
 // progressAuthor tells whose work the growth of a partition of stateTopic is while lead is doubted; empty
 // if it is that of a lead that has left. A host that has claimed since is followed: its term
 // cannot be known yet, nor that it ever begins, but the one before is fenced off.
-func (h *Host) progressAuthor(lead string, part int) string {
+func (h *Host) progressAuthor(leader string, part int) string {
 	a, err := h.store.Do(h.ctx, store.Call{Op: store.Newest, Topic: stateTopic, Part: part})
 	if err != nil {
 		// Nobody could take over while that cannot be read.
-		return lead
+		return leader
 	}
 	name, seen, ok := newestClaim(a.Records)
 	switch {
 	case !ok:
-		return lead
-	case name == lead || name == h.cfg.Name:
+		return leader
+	case name == leader || name == h.cfg.Name:
 		return name
 	}
 	h.peers.Set(name, seen.addr)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
-	case h.leader != lead:
+	case h.leader != leader:
 		// It was announced meanwhile, or another one was.
 		return name
 	case name == h.previousLeader:
@@ -146,7 +146,7 @@
 }
 
 // repliedLate tells whether the lead has answered late just now.
-func (h *Host) repliedLate(lead string) bool {
+func (h *Host) repliedLate(leader string) bool {
 	h.mu.Lock()
 	late := h.now().Sub(h.lastLateReply)
 	h.mu.Unlock()
@@ -154,7 +154,7 @@
 		return false
 	}
 	h.incCounter("lead.slow")
-	h.log.Info("lead: is slow, and answers.", "host", lead, "ago", late)
+	h.log.Info("lead: is slow, and answers.", "host", leader, "ago", late)
 	return true
 }
 
@@ -177,11 +177,11 @@
 
 // verifyLeaderChange asks the former lead after a change that nobody had told of. If it stays silent,
 // the change was right and is no reason to be more patient.
-func (h *Host) verifyLeaderChange(at time.Time, former string) {
+func (h *Host) verifyLeaderChange(at time.Time, previous string) {
 	ctx, cancel := context.WithTimeout(h.ctx, returnWindow)
 	defer cancel()
 	for {
-		if err := h.peers.Ask(ctx, former, h.syncMessage(), new(peer.SyncReply)); err == nil {
+		if err := h.peers.Ask(ctx, previous, h.syncMessage(), new(peer.SyncReply)); err == nil {
 			return
 		}
 		if !sleep(ctx, returnPollInterval) {
@@ -194,7 +194,7 @@
 	h.mu.Lock()
 	h.leaderChanges = slices.DeleteFunc(h.leaderChanges, func(c time.Time) bool { return c.Equal(at) })
 	h.mu.Unlock()
-	h.log.Info("lead: change was right.", "host", former, "silent", h.now().Sub(at))
+	h.log.Info("lead: change was right.", "host", previous, "silent", h.now().Sub(at))
 }
 
 // recentLeaderChanges are the changes of the lead that count still; mu is held. The caller keeps them as h.changes.
@@ -234,7 +234,7 @@
 
 // checkLeader asks the lead whether it leads. While there is no answer, or if it is no, it also
 // looks at what the lead stores.
-func (h *Host) checkLeader(lead string) (leads bool, before <-chan logEnds) {
+func (h *Host) checkLeader(leader string) (leads bool, before <-chan logEnds) {
 	got, yes, no := make(chan logEnds, 1), make(chan struct{}), make(chan struct{})
 	h.wg.Go(func() {
 		t := time.NewTimer(storeCheckDelay)
@@ -248,7 +248,7 @@
 		}
 		got <- h.stateLogEnds()
 	})
-	if h.isLeaderOrClaiming(lead) {
+	if h.isLeaderOrClaiming(leader) {
 		close(yes)
 		return true, got
 	}
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -243,13 +243,13 @@
 // store can accept nothing, and callers do better at another one.
 func (h *Host) ready() bool {
 	h.mu.Lock()
-	table, leaving, lead, was := h.table != nil, h.leaving, h.leader, h.wasReady
+	table, leaving, leader, was := h.table != nil, h.leaving, h.leader, h.wasReady
 	served := h.store.Fresh(readyFreshness)
-	is := table && !leaving && lead != "" && served
+	is := table && !leaving && leader != "" && served
 	h.wasReady = is
 	h.mu.Unlock()
 	if is != was {
-		h.log.Info("entry: readiness changes.", "ready", is, "table", table, "leaving", leaving, "lead", lead, "store", served)
+		h.log.Info("entry: readiness changes.", "ready", is, "table", table, "leaving", leaving, "lead", leader, "store", served)
 	}
 	return is
 }
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -95,14 +95,14 @@
 	}
 	// What is stored from here on may be missing in what is read.
 	read := h.now()
-	states, asks, next, err := h.readAll(ctx)
+	states, requests, next, err := h.readAll(ctx)
 	if err != nil {
 		return nil, errors.Wrap(err, "read what the former lead left")
 	}
 	if !holdsNewestClaim(states[0], mine) {
 		return nil, &LostClaimError{Term: number}
 	}
-	return h.newTerm(number, slices.Concat(states...), asks, next, read), nil
+	return h.newTerm(number, slices.Concat(states...), requests, next, read), nil
 }
 
 // stateParts lists the partitions of stateTopic. The first decides who leads.
@@ -166,7 +166,7 @@
 
 // readAll reads progress and jobs at once, and where to go on in each partition
 // of the jobs.
-func (h *Host) readAll(ctx context.Context) (states, asks [][]store.Record, next []int64, err error) {
+func (h *Host) readAll(ctx context.Context) (states, requests [][]store.Record, next []int64, err error) {
 	parts := h.stateParts()
 	states = make([][]store.Record, len(parts))
 	g, ctx := errgroup.WithContext(ctx)
@@ -179,11 +179,11 @@
 	}
 	g.Go(func() error {
 		var err error
-		asks, next, err = h.readJobs(ctx)
+		requests, next, err = h.readJobs(ctx)
 		return err
 	})
 	err = g.Wait()
-	return states, asks, next, err
+	return states, requests, next, err
 }
 
 // readJobs reads all partitions of jobsTopic at once, and where to go on.
@@ -213,7 +213,7 @@
 
 // restore puts specs and progress together. A record that cannot be read is
 // told and left: its job cannot be guessed.
-func (h *Host) restore(states []store.Record, asks [][]store.Record) restored {
+func (h *Host) restore(states []store.Record, requests [][]store.Record) restored {
 	var r restored
 	progress := map[string][]byte{}
 	// A job that was handed in at several hosts lies in several partitions.
@@ -223,7 +223,7 @@
 			progress[s.Key] = flow.Newer(progress[s.Key], s.Value)
 		}
 	}
-	for _, a := range slices.Concat(asks...) {
+	for _, a := range slices.Concat(requests...) {
 		if len(a.Value) == 0 {
 			continue
 		}
--- a/internal/entry/doubt_test.go
+++ b/internal/entry/doubt_test.go
@@ -33,7 +33,7 @@
 
 // checkStalledLeader has a host doubt the lead c1, which claimed and stands still since; meanwhile something
 // is stored.
-func checkStalledLeader(t *testing.T, meanwhile func(log *users.Log)) (works bool, lead string) {
+func checkStalledLeader(t *testing.T, meanwhile func(log *users.Log)) (works bool, leader string) {
 	log := users.NewLog(1, time.Now)
 	f := entry.NewFollower(t, slog.New(slog.DiscardHandler), "b1", nil, "", log.For("b1"), nil)
 	defer f.Stop()
@@ -49,28 +49,28 @@
 
 // Guards against another host's claim being taken for work of a lead that stands still.
 func TestAClaimOfAnotherHostIsNoWorkOfTheLead(t *testing.T) {
-	_, lead := checkStalledLeader(t, func(log *users.Log) {
+	_, leader := checkStalledLeader(t, func(log *users.Log) {
 		log.Put(stateTopic, claimKey, claimOf("c2", silentHost(t)))
 	})
-	require.Equal(t, "c2", lead)
+	require.Equal(t, "c2", leader)
 }
 
 // Guards against a host's own failed claim being taken for work of the lead.
 func TestAHostsOwnClaimIsNoWorkOfTheLead(t *testing.T) {
-	works, lead := checkStalledLeader(t, func(log *users.Log) {
+	works, leader := checkStalledLeader(t, func(log *users.Log) {
 		log.Put(stateTopic, claimKey, claimOf("b1", netip.MustParseAddrPort("127.0.0.1:1")))
 	})
 	require.False(t, works)
-	require.Equal(t, "c1", lead)
+	require.Equal(t, "c1", leader)
 }
 
 // The lead has claimed and is too slow to answer. What it stores shows that it works.
 func TestWhatTheLeadStoresShowsThatItWorks(t *testing.T) {
-	works, lead := checkStalledLeader(t, func(log *users.Log) {
+	works, leader := checkStalledLeader(t, func(log *users.Log) {
 		log.Put(stateTopic, "0001", []byte("{}"))
 	})
 	require.True(t, works)
-	require.Equal(t, "c1", lead)
+	require.Equal(t, "c1", leader)
 }
 
 // Guards against the last append of a lead that left being taken for work of its successor.
@@ -78,9 +78,9 @@
 	log := users.NewLog(1, time.Now)
 	f := entry.NewFollower(t, slog.New(slog.DiscardHandler), "b1", nil, "", log.For("b1"), nil)
 	defer f.Stop()
-	former, next := silentHost(t), silentHost(t)
-	log.Put(stateTopic, claimKey, claimOf("c1", former))
-	f.LearnLeader("c1", former, 1)
+	previous, next := silentHost(t), silentHost(t)
+	log.Put(stateTopic, claimKey, claimOf("c1", previous))
+	f.LearnLeader("c1", previous, 1)
 	f.SetPeerAddr("c2", next.String())
 	f.SetLeaderName("c2")
 	timer := time.AfterFunc(400*time.Millisecond, func() { log.Put(stateTopic, "0001", []byte("{}")) })
--- a/internal/entry/endings_test.go
+++ b/internal/entry/endings_test.go
@@ -20,18 +20,18 @@
 	for n := range jobs {
 		e.Add(fmt.Sprint(n), flow.Completed, at.Add(time.Duration(n)*time.Second))
 	}
-	told := map[string]int{}
+	reported := map[string]int{}
 	next := 0
 	for range 10 {
 		var by map[flow.State][]string
 		by, next = e.From(next)
 		for _, id := range by[flow.Completed] {
-			told[id]++
+			reported[id]++
 		}
 	}
-	require.Len(t, told, jobs)
+	require.Len(t, reported, jobs)
 	require.Equal(t, jobs, next)
-	for id, n := range told {
+	for id, n := range reported {
 		require.Equal(t, 1, n, id)
 	}
 	e.Drop(at.Add(1000 * time.Second))
@@ -46,15 +46,15 @@
 // Guards against a lead that keeps the states of ended jobs from other hosts while its core is busy.
 func TestABusyLeadTellsHostsOfEndedJobs(t *testing.T) {
 	c := newCluster(t, 2, 2, 20*time.Millisecond)
-	lead := c.leader()
-	c.submitMany(lead, 0, 1)
-	c.waitCompleted(lead, 1)
-	release := lead.BlockCore()
+	leader := c.leader()
+	c.submitMany(leader, 0, 1)
+	c.waitCompleted(leader, 1)
+	release := leader.BlockCore()
 	defer release()
-	told := make(chan peer.StateReply, 1)
-	go func() { told <- lead.State(jobID(0)) }()
+	reported := make(chan peer.StateReply, 1)
+	go func() { reported <- leader.State(jobID(0)) }()
 	select {
-	case r := <-told:
+	case r := <-reported:
 		require.Equal(t, peer.StateReply{Lead: true, Known: true, State: "completed"}, r)
 	case <-time.After(waitTimeout):
 		require.Fail(t, "the core is waited for")
@@ -65,14 +65,14 @@
 func TestEachTermTellsItsEndsFromTheFirst(t *testing.T) {
 	const jobs = 5
 	c := newCluster(t, 2, 2, 20*time.Millisecond)
-	former := c.leader()
-	c.submitMany(former, 0, jobs)
-	c.waitCompleted(former, jobs)
-	require.Eventually(t, func() bool { return len(former.SyncReply(0, 0).Ended["completed"]) == jobs }, waitTimeout, 10*time.Millisecond)
-	old := former.SyncReply(0, 0)
-	require.Empty(t, former.SyncReply(old.Term, old.Endings).Ended)
-	former.Kill()
-	delete(c.hosts, former.cfg.Name)
+	previous := c.leader()
+	c.submitMany(previous, 0, jobs)
+	c.waitCompleted(previous, jobs)
+	require.Eventually(t, func() bool { return len(previous.SyncReply(0, 0).Ended["completed"]) == jobs }, waitTimeout, 10*time.Millisecond)
+	old := previous.SyncReply(0, 0)
+	require.Empty(t, previous.SyncReply(old.Term, old.Endings).Ended)
+	previous.Kill()
+	delete(c.hosts, previous.cfg.Name)
 	require.Eventually(t, func() bool { return c.leader() != nil }, waitTimeout, 10*time.Millisecond)
 	r := c.leader().SyncReply(old.Term, old.Endings)
 	require.Greater(t, r.Term, old.Term)
@@ -84,9 +84,9 @@
 	h := newCluster(t, 1, 1, 20*time.Millisecond).leader()
 	const term = 1 << 40
 	for _, c := range []struct {
-		told peer.SyncReply
-		term int64
-		next int
+		reported peer.SyncReply
+		term     int64
+		next     int
 	}{
 		{peer.SyncReply{Lead: true, Term: term, Endings: 900}, term, 900},
 		{peer.SyncReply{Lead: true, Term: term, Endings: 400}, term, 900},
@@ -94,7 +94,7 @@
 		{peer.SyncReply{Lead: true, Term: term, Endings: 1400}, term + 1, 3},
 		{peer.SyncReply{Term: term + 2, Endings: 9}, term + 1, 3},
 	} {
-		number, next := h.SyncPositionAfter(c.told)
+		number, next := h.SyncPositionAfter(c.reported)
 		require.Equal(t, c.term, number)
 		require.Equal(t, c.next, next)
 	}
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -33,10 +33,10 @@
 // their first start, for what, and how long the store took.
 func TestTheLeadServesHistogramsOfWaits(t *testing.T) {
 	c := newCluster(t, 1, 2, 50*time.Millisecond)
-	lead := c.leader()
-	require.Equal(t, http.StatusOK, c.submit(lead, 0).code)
-	c.waitCompleted(lead, 1)
-	code, body := c.get(lead.cfg.Listen.Metrics, "/metrics")
+	leader := c.leader()
+	require.Equal(t, http.StatusOK, c.submit(leader, 0).code)
+	c.waitCompleted(leader, 1)
+	code, body := c.get(leader.cfg.Listen.Metrics, "/metrics")
 	require.Equal(t, http.StatusOK, code)
 	for _, name := range []string{"caller.store", "lead.append", "job.start.rank0", "step.wait.rank0"} {
 		require.Contains(t, body, "timer "+name+"\n")
@@ -374,15 +374,15 @@
 // Guards against a host that tells an earlier state of a job than the lead told before.
 func TestAStateThatNobodyKnowsIsNotTold(t *testing.T) {
 	c := newCluster(t, 2, 2, 700*time.Millisecond)
-	lead, f := c.leader(), c.follower()
+	leader, f := c.leader(), c.follower()
 	require.Equal(t, http.StatusOK, c.submit(f, 0).code)
 	require.Eventually(t, func() bool {
-		_, body := c.get(lead.cfg.Listen.Caller, prefix+jobID(0))
+		_, body := c.get(leader.cfg.Listen.Caller, prefix+jobID(0))
 		return body == `{"state":"running"}`
 	}, waitTimeout, 10*time.Millisecond)
 	c.log.Break("", users.Silent)
-	lead.Kill()
-	delete(c.hosts, lead.cfg.Name)
+	leader.Kill()
+	delete(c.hosts, leader.cfg.Name)
 	for range 10 {
 		a := c.call(f.cfg.Listen.Caller, http.MethodGet, prefix+jobID(0), "")
 		require.Equal(t, http.StatusServiceUnavailable, a.code, a.body)
@@ -395,12 +395,12 @@
 // Guards against a host that forgets the end of a job that it has told.
 func TestAnEndThatWasToldIsToldAgain(t *testing.T) {
 	c := newCluster(t, 2, 2, 50*time.Millisecond)
-	lead, f := c.leader(), c.follower()
+	leader, f := c.leader(), c.follower()
 	require.Equal(t, http.StatusOK, c.submit(f, 0).code)
 	c.waitCompleted(f, 1)
 	c.log.Break("", users.Silent)
-	lead.Kill()
-	delete(c.hosts, lead.cfg.Name)
+	leader.Kill()
+	delete(c.hosts, leader.cfg.Name)
 	for range 10 {
 		require.Equal(t, map[string]int{completedReply: 1}, c.statesAt(f, 1))
 	}
--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -133,12 +133,14 @@
 func NewResponseTimes() ResponseTimes { return ResponseTimes{newOrders()} }
 
 // Timeout is how long to wait for a worker's answer.
-func (o ResponseTimes) Timeout(life string, now time.Time) time.Duration {
-	return o.timeout(life, now)
+func (o ResponseTimes) Timeout(incarnation string, now time.Time) time.Duration {
+	return o.timeout(incarnation, now)
 }
 
 // Record notes an answer.
-func (o ResponseTimes) Record(life string, d time.Duration, now time.Time) { o.record(life, d, now) }
+func (o ResponseTimes) Record(incarnation string, d time.Duration, now time.Time) {
+	o.record(incarnation, d, now)
+}
 
 // SetLeaderName has the host take another one for the lead.
 func (h *Host) SetLeaderName(name string) {
@@ -184,13 +186,13 @@
 
 // NewFollower returns a host that knows the others, takes lead for the lead, has direct as
 // its own way to the store, and through for the way through a peer.
-func NewFollower(t *testing.T, log *slog.Logger, name string, others []string, lead string, direct store.Log, through func(ctx context.Context, peer string, c store.Call) (store.Answer, error)) *Follower {
+func NewFollower(t *testing.T, log *slog.Logger, name string, others []string, leader string, direct store.Log, through func(ctx context.Context, peer string, c store.Call) (store.Answer, error)) *Follower {
 	h, err := New(Settings{Name: name, Parts: 1}, log, time.Now)
 	require.NoError(t, err)
 	for _, n := range others {
 		h.hosts[n] = netip.AddrPort{}
 	}
-	h.leader = lead
+	h.leader = leader
 	h.store = store.NewRouted(direct, &throughPeers{h, through}, time.Now, h.storeChanged)
 	return &Follower{h}
 }
@@ -324,8 +326,8 @@
 	h.mu.Unlock()
 	t.mu.Lock()
 	t.lastPoll = h.now().Add(-maxPollAge)
-	told, read := make(chan peer.StateReply, 1), make(chan struct{})
-	go func() { told <- h.localState(id) }()
+	reported, read := make(chan peer.StateReply, 1), make(chan struct{})
+	go func() { reported <- h.localState(id) }()
 	go func() {
 		defer close(read)
 		for !t.mu.TryLock() {
@@ -338,12 +340,12 @@
 	time.Sleep(time.Millisecond)
 	t.mu.Unlock()
 	<-read
-	return <-told
+	return <-reported
 }
 
 // SyncReply is what the host answers to another one that was told final states of a term.
-func (h *Host) SyncReply(term int64, told int) peer.SyncReply {
-	return h.syncReply(peer.Sync{Term: term, Endings: told})
+func (h *Host) SyncReply(term int64, reported int) peer.SyncReply {
+	return h.syncReply(peer.Sync{Term: term, Endings: reported})
 }
 
 // SyncPositionAfter is up to where the host was told final states, after an answer to its sync.
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -115,12 +115,12 @@
 		return
 	}
 	h.table = t
-	lead := h.ownTerm
+	ownTerm := h.ownTerm
 	h.mu.Unlock()
 	metrics.GetOrRegisterGauge("table.version", h.metrics).Update(t.Version)
 	h.log.Info("table: in force.", "version", t.Version, "queues", len(t.Routes))
-	if lead != nil {
-		lead.step(queuesOf(t))
+	if ownTerm != nil {
+		ownTerm.step(queuesOf(t))
 	}
 }
 
@@ -189,10 +189,10 @@
 func (h *Host) switchLeader(name string) {
 	if h.leader != "" && h.leader != name {
 		// Nobody had told of it: whoever claimed believed the lead to be gone.
-		at, former := h.now(), h.leader
+		at, previous := h.now(), h.leader
 		h.leaderChanges = append(h.recentLeaderChanges(), at)
-		if former != h.cfg.Name {
-			h.wg.Go(func() { h.verifyLeaderChange(at, former) })
+		if previous != h.cfg.Name {
+			h.wg.Go(func() { h.verifyLeaderChange(at, previous) })
 		}
 	}
 	h.leader, h.standby = name, ""
--- a/internal/entry/heir.go
+++ b/internal/entry/heir.go
@@ -38,10 +38,10 @@
 // isProcessGone tells whether a host's process is gone. A process that dies closes its connections
 // and its port one by one. Asked once, the port may still be open, the heir would take the lead
 // for alive, and nothing would be started until the group notices.
-func (h *Host) isProcessGone(lead string) bool {
+func (h *Host) isProcessGone(leader string) bool {
 	ctx, cancel := context.WithTimeout(h.ctx, goneTimeout)
 	defer cancel()
-	for h.peers.Reach(ctx, lead) != peer.Refused {
+	for h.peers.Reach(ctx, leader) != peer.Refused {
 		if !sleep(ctx, goneRetry) {
 			return false
 		}
@@ -50,16 +50,16 @@
 }
 
 // takeOver claims if the lead's process is gone.
-func (h *Host) takeOver(lead string) {
-	if !h.isProcessGone(lead) {
+func (h *Host) takeOver(leader string) {
+	if !h.isProcessGone(leader) {
 		return
 	}
 	term := h.currentTerm()
-	h.log.Info("lead: its process is gone.", "host", lead, "term", term)
+	h.log.Info("lead: its process is gone.", "host", leader, "term", term)
 	// Others would claim beside this one, above all the dead one's next life.
 	succeed := peer.Succeed{Term: term, Successor: h.cfg.Name}
 	for _, p := range h.otherHosts() {
-		if p == lead {
+		if p == leader {
 			continue
 		}
 		h.wg.Go(func() {
--- a/internal/entry/inbox.go
+++ b/internal/entry/inbox.go
@@ -171,18 +171,18 @@
 // notifyCurrentLeader tells whoever leads now; false if that host did not take it as the lead.
 func (h *Host) notifyCurrentLeader(part int, first int64, records []store.Record) bool {
 	h.mu.Lock()
-	lead, t := h.leader, h.ownTerm
+	leader, t := h.leader, h.ownTerm
 	h.mu.Unlock()
 	if t != nil {
 		t.acceptRecords(part, first, records)
 		return true
 	}
-	if lead == "" || lead == h.cfg.Name {
+	if leader == "" || leader == h.cfg.Name {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(h.ctx, askTimeout)
 	defer cancel()
 	var r peer.HandReply
-	err := h.peers.Ask(ctx, lead, peer.Hand{Part: part, First: first, Records: records}, &r)
+	err := h.peers.Ask(ctx, leader, peer.Hand{Part: part, First: first, Records: records}, &r)
 	return err == nil && r.Taken
 }
--- a/internal/entry/journal_test.go
+++ b/internal/entry/journal_test.go
@@ -242,7 +242,7 @@
 		log, b := newJournal(t, 7)
 		keys := []string{"a", "b", "c"}
 		var mu sync.Mutex
-		told := map[string]int64{}
+		reported := map[string]int64{}
 		var wg sync.WaitGroup
 		turns := make(chan struct{}, 3)
 		for n := int64(1); n <= 120; n++ {
@@ -266,7 +266,7 @@
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				told[key] = max(told[key], n)
+				reported[key] = max(reported[key], n)
 			})
 			time.Sleep(time.Duration(r.IntN(4)) * time.Millisecond)
 		}
@@ -283,7 +283,7 @@
 			}
 			var v flow.Version
 			require.NoError(t, json.Unmarshal(best, &v))
-			require.GreaterOrEqual(t, v.Append, told[key], "seed %d, job %s", seed, key)
+			require.GreaterOrEqual(t, v.Append, reported[key], "seed %d, job %s", seed, key)
 		}
 	}
 }
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -55,9 +55,9 @@
 	switch name, _ := h.currentLeader(); name {
 	case h.cfg.Name:
 		<-listed
-		if heir := h.leaderOfOthers(); heir != "" {
-			h.log.Info("lead: another host leads in place of this one's former life.", "host", heir)
-			h.followLeader(heir, h.currentTerm())
+		if standby := h.leaderOfOthers(); standby != "" {
+			h.log.Info("lead: another host leads in place of this one's former life.", "host", standby)
+			h.followLeader(standby, h.currentTerm())
 			return
 		}
 		h.claim("a former life of this host led")
@@ -74,18 +74,18 @@
 		return
 	}
 	defer h.electionMu.Unlock()
-	lead, leading := h.currentLeader()
+	leader, leading := h.currentLeader()
 	if leading {
 		return
 	}
 	began := h.now()
-	leads, before := h.checkLeader(lead)
+	leads, before := h.checkLeader(leader)
 	if leads {
 		return
 	}
 	// Another host may lead since, or be about to: a lead that leaves asks one to
 	// succeed it, and the group names another.
-	if lead != "" && !sleep(h.ctx, claimGrace-h.now().Sub(began)) {
+	if leader != "" && !sleep(h.ctx, claimGrace-h.now().Sub(began)) {
 		return
 	}
 	if all, _, err := store.Table(h.ctx, h.store, leaderTopic, 0); err == nil {
@@ -100,11 +100,11 @@
 }
 
 // followLeader takes a host for the lead until another term is announced.
-func (h *Host) followLeader(lead string, term int64) {
+func (h *Host) followLeader(leader string, term int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if term >= h.term {
-		h.leader, h.leaderSince = lead, h.now()
+		h.leader, h.leaderSince = leader, h.now()
 	}
 }
 
@@ -169,14 +169,14 @@
 func (h *Host) syncPeriodically() {
 	for sleep(h.ctx, syncInterval) {
 		h.mu.Lock()
-		lead, leading, alone := h.leader, h.ownTerm != nil, len(h.hosts) < 2
+		leader, leading, alone := h.leader, h.ownTerm != nil, len(h.hosts) < 2
 		h.mu.Unlock()
 		switch {
 		case leading:
 			h.setHosts(h.recentHosts())
 			h.cedeToStronger()
-		case lead != "" && !alone:
-			h.syncWithLeader(lead)
+		case leader != "" && !alone:
+			h.syncWithLeader(leader)
 		default:
 			h.readHosts()
 		}
@@ -207,10 +207,10 @@
 	return h.now().Sub(h.lastSync) > leaderlessTimeout+time.Duration(rank)*leaderlessStep
 }
 
-func (h *Host) syncWithLeader(lead string) {
-	r, err := h.requestSync(lead, askTimeout)
+func (h *Host) syncWithLeader(leader string) {
+	r, err := h.requestSync(leader, askTimeout)
 	if err != nil || !r.Lead {
-		h.log.Warn("lead: does not answer.", "host", lead, "err", err)
+		h.log.Warn("lead: does not answer.", "host", leader, "err", err)
 		h.readHosts()
 		return
 	}
@@ -230,7 +230,7 @@
 // refreshPending asks the lead, or takes what this host knows as the lead.
 func (h *Host) refreshPending(ctx context.Context) {
 	h.mu.Lock()
-	t, lead := h.ownTerm, h.leader
+	t, leader := h.ownTerm, h.leader
 	h.mu.Unlock()
 	if t != nil {
 		n := t.pending()
@@ -239,8 +239,8 @@
 		h.mu.Unlock()
 		return
 	}
-	if lead != "" && lead != h.cfg.Name && ctx.Err() == nil {
-		h.syncWithLeader(lead)
+	if leader != "" && leader != h.cfg.Name && ctx.Err() == nil {
+		h.syncWithLeader(leader)
 	}
 }
 
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -34,21 +34,21 @@
 func newOrders() *responseTimes { return &responseTimes{slowWorkers: map[string]time.Duration{}} }
 
 // timeout is how long to wait for a worker's answer.
-func (o *responseTimes) timeout(life string, now time.Time) time.Duration {
+func (o *responseTimes) timeout(incarnation string, now time.Time) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.rotate(now)
-	usual := max(o.slowest[0], o.slowest[1], o.slowWorkers[life])
+	usual := max(o.slowest[0], o.slowest[1], o.slowWorkers[incarnation])
 	return min(max(orderTimeoutFactor*usual, minOrderTimeout), maxOrderTimeout)
 }
 
 // record notes an answer that came after d.
-func (o *responseTimes) record(life string, d time.Duration, now time.Time) {
+func (o *responseTimes) record(incarnation string, d time.Duration, now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.rotate(now)
 	if d > minOrderTimeout {
-		o.slowWorkers[life] = max(o.slowWorkers[life], d)
+		o.slowWorkers[incarnation] = max(o.slowWorkers[incarnation], d)
 		return
 	}
 	o.slowest[0] = max(o.slowest[0], d)
@@ -64,17 +64,17 @@
 
 // callWorker makes an order and waits for its answer for extra and the usual time. An
 // answer that comes later only tells how slow the worker is.
-func callWorker[T any](o *responseTimes, now func() time.Time, life string, extra time.Duration, order func() T, answered func(T) bool, lost T) T {
+func callWorker[T any](o *responseTimes, now func() time.Time, incarnation string, extra time.Duration, order func() T, answered func(T) bool, lost T) T {
 	sent := now()
 	got := make(chan T, 1)
 	go func() {
 		r := order()
 		if d := now().Sub(sent) - extra; answered(r) && d > 0 {
-			o.record(life, d, now())
+			o.record(incarnation, d, now())
 		}
 		got <- r
 	}()
-	t := time.NewTimer(extra + o.timeout(life, sent))
+	t := time.NewTimer(extra + o.timeout(incarnation, sent))
 	defer t.Stop()
 	select {
 	case r := <-got:
--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -139,8 +139,8 @@
 // askNewLeader puts the question to whoever leads now, if that is not who was asked last. A host
 // that has claimed is followed before its term is known.
 func (q *stateQuery) askNewLeader() {
-	lead, _ := q.h.currentLeader()
-	if lead != q.leader || q.h.currentTerm() != q.term {
+	leader, _ := q.h.currentLeader()
+	if leader != q.leader || q.h.currentTerm() != q.term {
 		q.askLeader()
 	}
 }
@@ -185,7 +185,7 @@
 // askState asks the lead for a job's state.
 func (h *Host) askState(ctx context.Context, id string) (flow.State, bool, error) {
 	h.mu.Lock()
-	lead, term, leading := h.leader, h.term, h.ownTerm != nil
+	leader, term, leading := h.leader, h.term, h.ownTerm != nil
 	h.mu.Unlock()
 	began := h.now()
 	var r peer.StateReply
@@ -193,15 +193,15 @@
 	switch {
 	case leading:
 		r, err = h.localStateInTime(ctx, id)
-	case lead == "" || lead == h.cfg.Name:
+	case leader == "" || leader == h.cfg.Name:
 		err = &NoLeaderError{}
 	default:
-		err = h.peers.Ask(ctx, lead, peer.AskState{ID: id}, &r)
+		err = h.peers.Ask(ctx, leader, peer.AskState{ID: id}, &r)
 	}
 	state, known, err := parseStateReply(id, r, err)
 	if err != nil {
 		h.incCounter("state.untold")
-		h.log.Info("state: the lead did not tell.", "id", id, "lead", lead, "term", term, "waited", h.now().Sub(began), "err", err)
+		h.log.Info("state: the lead did not tell.", "id", id, "lead", leader, "term", term, "waited", h.now().Sub(began), "err", err)
 	}
 	return state, known, err
 }
@@ -223,10 +223,10 @@
 // localStateInTime tells a state as the lead, if its core lets go of it in time.
 func (h *Host) localStateInTime(ctx context.Context, id string) (peer.StateReply, error) {
 	began := h.now()
-	told := make(chan peer.StateReply, 1)
-	go func() { told <- h.localState(id) }()
+	reported := make(chan peer.StateReply, 1)
+	go func() { reported <- h.localState(id) }()
 	select {
-	case r := <-told:
+	case r := <-reported:
 		return r, nil
 	case <-ctx.Done():
 		return peer.StateReply{}, &LateError{Host: h.cfg.Name, After: h.now().Sub(began)}
--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -136,11 +136,11 @@
 	silent, next := c.fakeLeader(""), c.fakeLeader("running")
 	c.log.BreakReads("state", users.Silent)
 	h.LearnLeader("silent", silent, 1<<40)
-	told := make(chan string, 1)
-	go func() { told <- c.stateAt(h, 0) }()
+	reported := make(chan string, 1)
+	go func() { reported <- c.stateAt(h, 0) }()
 	time.Sleep(100 * time.Millisecond)
 	h.LearnLeader("next", next, 1<<40+1)
-	require.Equal(t, runningReply, <-told)
+	require.Equal(t, runningReply, <-reported)
 }
 
 // Guards against a question that stays with a lead that another host has fenced off.
@@ -151,11 +151,11 @@
 	c.log.BreakReads("state", users.Silent)
 	h.LearnLeader("silent", silent, 1<<40)
 	h.SetPeerAddr("next", next.String())
-	told := make(chan string, 1)
-	go func() { told <- c.stateAt(h, 0) }()
+	reported := make(chan string, 1)
+	go func() { reported <- c.stateAt(h, 0) }()
 	time.Sleep(100 * time.Millisecond)
 	h.SetLeaderName("next")
-	require.Equal(t, runningReply, <-told)
+	require.Equal(t, runningReply, <-reported)
 }
 
 // Guards against a job that a lead tells as missing since it could not read what is stored of it.
@@ -164,9 +164,9 @@
 	c.log.Put("jobs", jobID(0), fmt.Appendf(nil, `{"id":%q,"queue":{"name":"scan","service":"pass"},"steps":[{"tasks":1}]}`, jobID(0)))
 	c.log.Put("state", jobID(0), []byte("{"))
 	c.log.Put("jobs", jobID(1), []byte("{"))
-	former := c.leader()
-	former.Kill()
-	delete(c.hosts, former.cfg.Name)
+	previous := c.leader()
+	previous.Kill()
+	delete(c.hosts, previous.cfg.Name)
 	require.Eventually(t, func() bool { return c.leader() != nil }, waitTimeout, 10*time.Millisecond)
 	require.Equal(t, unavailableReply, c.stateAt(c.leader(), 0))
 	require.Equal(t, `200 {"state":"queued"}`, c.stateAt(c.leader(), 1))
@@ -176,9 +176,9 @@
 func TestRunningJobsAreToldWhileTheLeadDoesNotAnswer(t *testing.T) {
 	c := newCluster(t, 3, 4, time.Minute)
 	c.submitMany(c.follower(), 0, 4)
-	lead := c.leader()
-	require.Eventually(t, func() bool { return c.statesAt(lead, 4)[runningReply] == 4 }, waitTimeout, 20*time.Millisecond)
-	release := lead.BlockCore()
+	leader := c.leader()
+	require.Eventually(t, func() bool { return c.statesAt(leader, 4)[runningReply] == 4 }, waitTimeout, 20*time.Millisecond)
+	release := leader.BlockCore()
 	defer release()
 	for name, h := range c.hosts {
 		require.Equal(t, map[string]int{runningReply: 4}, c.statesAt(h, 4), name)
@@ -220,9 +220,9 @@
 	h := c.follower()
 	c.log.BreakReads("state", users.Silent)
 	h.LearnLeader("silent", c.fakeLeader(""), 1<<40)
-	told := make(chan string, 1)
-	go func() { told <- c.stateAt(h, 0) }()
+	reported := make(chan string, 1)
+	go func() { reported <- c.stateAt(h, 0) }()
 	time.Sleep(100 * time.Millisecond)
 	h.SyncPositionAfter(peer.SyncReply{Lead: true, Term: 1 << 40, Ended: map[string][]string{"completed": {jobID(0)}}})
-	require.Equal(t, completedReply, <-told)
+	require.Equal(t, completedReply, <-reported)
 }
--- a/internal/entry/states_test.go
+++ b/internal/entry/states_test.go
@@ -36,26 +36,26 @@
 func (c *cluster) statesAt(h *testHost, jobs int) map[string]int {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	told := map[string]int{}
+	reported := map[string]int{}
 	for n := range jobs {
 		wg.Go(func() {
 			code, body := c.get(h.cfg.Listen.Caller, prefix+jobID(n))
 			mu.Lock()
 			defer mu.Unlock()
-			told[fmt.Sprint(code, " ", body)]++
+			reported[fmt.Sprint(code, " ", body)]++
 		})
 	}
 	wg.Wait()
-	return told
+	return reported
 }
 
 // withoutLeader kills the lead of a cell in which no other host can take over: the store
 // refuses all claims and serves everything else.
 func (c *cluster) withoutLeader() {
 	c.log.BreakAppends("state", users.Busy)
-	lead := c.leader()
-	lead.Kill()
-	delete(c.hosts, lead.cfg.Name)
+	leader := c.leader()
+	leader.Kill()
+	delete(c.hosts, leader.cfg.Name)
 }
 
 const completedReply = `200 {"state":"completed"}`
@@ -104,10 +104,10 @@
 	for name, h := range c.hosts {
 		require.Eventually(t, func() bool { return h.KnowsFinalStates(ids...) }, waitTimeout, 20*time.Millisecond, name)
 	}
-	lead := c.leader()
+	leader := c.leader()
 	c.log.Break("", users.Silent)
-	lead.Kill()
-	delete(c.hosts, lead.cfg.Name)
+	leader.Kill()
+	delete(c.hosts, leader.cfg.Name)
 	for _, h := range c.hosts {
 		require.Equal(t, map[string]int{completedReply: jobs}, c.statesAt(h, jobs), h.cfg.Name)
 	}
@@ -131,8 +131,8 @@
 	c := newCluster(t, 3, 4, 20*time.Millisecond)
 	c.submitMany(c.follower(), 0, 20)
 	c.waitCompleted(c.leader(), 20)
-	lead := c.leader()
-	release := lead.BlockCore()
+	leader := c.leader()
+	release := leader.BlockCore()
 	defer release()
 	for name, h := range c.hosts {
 		require.Equal(t, map[string]int{completedReply: 20}, c.statesAt(h, 20), name)
@@ -187,18 +187,18 @@
 func TestAJobStoredWhileALeadReadsIsNotToldAsGone(t *testing.T) {
 	const slow = 400 * time.Millisecond
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
-	lead := c.leader()
-	delete(c.hosts, lead.cfg.Name)
+	leader := c.leader()
+	delete(c.hosts, leader.cfg.Name)
 	c.log.Slow(slow)
 	reads := c.log.Calls(store.Newest)
-	lead.Kill()
+	leader.Kill()
 	require.Eventually(t, func() bool { return c.log.Calls(store.Newest) >= reads+1+3+16 }, waitTimeout, time.Millisecond, "the jobs are read")
 	c.log.BreakReads("jobs", users.Busy)
 	stored := time.Now()
 	require.Eventually(t, func() bool { return c.follower() == nil }, waitTimeout, 10*time.Millisecond)
 	h := c.leader()
 	time.Sleep(time.Until(stored.Add(3100 * time.Millisecond)))
-	told := h.State(jobID(1))
-	require.True(t, told.Lead)
-	require.True(t, told.Unsure, "the job was stored three seconds ago and is not read yet")
+	reported := h.State(jobID(1))
+	require.True(t, reported.Lead)
+	require.True(t, reported.Unsure, "the job was stored three seconds ago and is not read yet")
 }
--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -76,7 +76,7 @@
 	silent, frozen bool
 }
 
-func (b *busyHost) faults() (deaf, dead bool) {
+func (b *busyHost) faults() (silent, frozen bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.silent, b.frozen
@@ -84,7 +84,7 @@
 
 // delayReply is what a question costs before it is answered.
 func (b *busyHost) delayReply(ctx context.Context) {
-	if deaf, dead := b.faults(); deaf || dead {
+	if silent, frozen := b.faults(); silent || frozen {
 		<-ctx.Done()
 		return
 	}
@@ -99,7 +99,7 @@
 func (b *busyHost) doLeaderWork() {
 	led := false
 	for n := 0; sleep(b.cluster.ctx, pieceEvery); n++ {
-		if _, dead := b.faults(); dead {
+		if _, frozen := b.faults(); frozen {
 			continue
 		}
 		leads := b.Leading()
@@ -186,7 +186,7 @@
 // leader is the host that leads, nil without one that works.
 func (c *busyCluster) leader() *busyHost {
 	for _, h := range c.hosts {
-		if deaf, dead := h.faults(); h.Leading() && !deaf && !dead {
+		if silent, frozen := h.faults(); h.Leading() && !silent && !frozen {
 			return h
 		}
 	}
@@ -275,10 +275,10 @@
 	}
 }
 
-func (b *busyHost) setFaults(deaf, dead bool) {
+func (b *busyHost) setFaults(silent, frozen bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.silent, b.frozen = deaf, dead
+	b.silent, b.frozen = silent, frozen
 }
 
 // The lead changed three times in a row, and its process really is gone this time: nothing
--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -29,8 +29,8 @@
 		return
 	}
 	bounds := make(map[string]time.Duration, len(m.Bounds))
-	for life, d := range m.Bounds {
-		bounds[life] = d.Duration
+	for incarnation, d := range m.Bounds {
+		bounds[incarnation] = d.Duration
 	}
 	h.mu.Lock()
 	h.handoverBounds, h.handoverBoundsAt = bounds, h.now()
--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -46,10 +46,10 @@
 	strong := c.start("b", power(1))
 	c.start("z", power(0.2))
 	c.waitReady()
-	lead := c.hosts["h0"]
-	require.Eventually(t, func() bool { return lead.Leading() && lead.RecentHostCount() == 3 }, waitTimeout, 20*time.Millisecond)
-	lead.Stop()
-	lead.Kill()
+	leader := c.hosts["h0"]
+	require.Eventually(t, func() bool { return leader.Leading() && leader.RecentHostCount() == 3 }, waitTimeout, 20*time.Millisecond)
+	leader.Stop()
+	leader.Kill()
 	delete(c.hosts, "h0")
 	require.Eventually(t, strong.Leading, waitTimeout, 20*time.Millisecond)
 	for _, name := range []string{"a", "z"} {
@@ -129,17 +129,17 @@
 // look at all. It is told by the host as soon as that one knows who leads.
 func TestAJobStoredWhileTheLeadChangesIsHandedToTheNextLead(t *testing.T) {
 	c := newCluster(t, 3, 2, 50*time.Millisecond)
-	lead, f := c.leader(), c.follower()
+	leader, f := c.leader(), c.follower()
 	c.log.BreakReads("jobs", users.Busy)
 	for name := range c.hosts {
-		if name != lead.cfg.Name && name != f.cfg.Name {
+		if name != leader.cfg.Name && name != f.cfg.Name {
 			f.SetLeaderName(name)
 		}
 	}
 	require.Equal(t, http.StatusOK, c.submit(f, 0).code)
-	require.Never(t, func() bool { return lead.KnowsJob(jobID(0)) }, 300*time.Millisecond, 20*time.Millisecond)
-	f.SetLeaderName(lead.cfg.Name)
-	require.Eventually(t, func() bool { return lead.KnowsJob(jobID(0)) }, waitTimeout, 20*time.Millisecond)
+	require.Never(t, func() bool { return leader.KnowsJob(jobID(0)) }, 300*time.Millisecond, 20*time.Millisecond)
+	f.SetLeaderName(leader.cfg.Name)
+	require.Eventually(t, func() bool { return leader.KnowsJob(jobID(0)) }, waitTimeout, 20*time.Millisecond)
 	c.log.BreakReads("jobs", users.None)
 	c.waitCompleted(f, 1)
 }
@@ -149,15 +149,15 @@
 // once; with its next regular question work would wait for up to a second.
 func TestAHostMakesItselfKnownToANewLead(t *testing.T) {
 	c := newCluster(t, 1, 1, 50*time.Millisecond)
-	lead := c.leader()
-	cfg := lead.cfg
+	leader := c.leader()
+	cfg := leader.cfg
 	cfg.Name, cfg.Listen.Peer = "new", freePort(t)
 	h, err := entry.New(cfg, slog.New(slog.DiscardHandler), time.Now)
 	require.NoError(t, err)
 	t.Cleanup(h.Kill)
-	require.Zero(t, lead.RecentHostCount())
-	h.LearnLeader(lead.cfg.Name, lead.cfg.Listen.Peer, 7)
-	require.Eventually(t, func() bool { return lead.RecentHostCount() == 1 }, waitTimeout, 5*time.Millisecond)
+	require.Zero(t, leader.RecentHostCount())
+	h.LearnLeader(leader.cfg.Name, leader.cfg.Listen.Peer, 7)
+	require.Eventually(t, func() bool { return leader.RecentHostCount() == 1 }, waitTimeout, 5*time.Millisecond)
 }
 
 // The announcement of a new lead is not stored at first. The other hosts go on asking
@@ -206,10 +206,10 @@
 // round, up to a second later, all would go through the lead alone.
 func TestALeadUsesAHostOnceItHearsOfIt(t *testing.T) {
 	c := newCluster(t, 1, 1, 50*time.Millisecond)
-	lead := c.leader()
-	require.False(t, lead.UsesForPolicy("new"))
-	lead.NoteHost("new", freePort(t))
-	require.True(t, lead.UsesForPolicy("new"))
+	leader := c.leader()
+	require.False(t, leader.UsesForPolicy("new"))
+	leader.NoteHost("new", freePort(t))
+	require.True(t, leader.UsesForPolicy("new"))
 }
 
 // The lead's process is killed. Its connections are closed and new ones refused, so that
@@ -218,7 +218,7 @@
 func TestTheHeirLeadsOnceTheLeadsProcessIsGone(t *testing.T) {
 	c := newCluster(t, 3, 2, 50*time.Millisecond)
 	c.waitReady()
-	lead := c.leader()
+	leader := c.leader()
 	require.Eventually(t, func() bool {
 		heirs := 0
 		for _, h := range c.hosts {
@@ -228,8 +228,8 @@
 		}
 		return heirs == 2
 	}, waitTimeout, 20*time.Millisecond)
-	lead.Kill()
-	delete(c.hosts, lead.cfg.Name)
+	leader.Kill()
+	delete(c.hosts, leader.cfg.Name)
 	require.Eventually(t, func() bool { return c.leader() != nil }, waitTimeout, 5*time.Millisecond)
 	// It leads a moment before its line is written.
 	require.Eventually(t, func() bool { return strings.Count(c.logs.String(), "term begins") == 2 }, waitTimeout, time.Millisecond)
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -69,9 +69,9 @@
 )
 
 // newTerm starts a term from what the store held when it was read.
-func (h *Host) newTerm(number int64, states []store.Record, asks [][]store.Record, next []int64, read time.Time) *term {
+func (h *Host) newTerm(number int64, states []store.Record, requests [][]store.Record, next []int64, read time.Time) *term {
 	began := h.now()
-	r := h.restore(states, asks)
+	r := h.restore(states, requests)
 	limits := sched.DefaultLimits
 	limits.Lease = min(limits.Lease, time.Duration(h.cfg.Times.Lease)*95/100)
 	limits.StopGrace = time.Duration(h.cfg.Times.Stop)
@@ -94,7 +94,7 @@
 		t.finalStates.add(j.Spec.ID, j.State, began)
 	}
 	t.ctx, t.cancel = context.WithCancel(h.ctx)
-	for part, all := range asks {
+	for part, all := range requests {
 		for _, a := range all {
 			t.notePart(part, a)
 		}
@@ -126,15 +126,15 @@
 // that it does not lead, or it was this very host.
 func (t *term) awaitPreviousLeader() {
 	t.h.mu.Lock()
-	former := t.h.previousLeader
+	previous := t.h.previousLeader
 	over := sched.PredecessorStopped{Since: t.h.handoverBoundsAt, LeaseBounds: t.h.handoverBounds}
 	t.h.handoverBounds = nil
 	t.h.mu.Unlock()
 	// A lead that asked to be succeeded has ended its term before.
-	for over.LeaseBounds == nil && former != "" && former != t.h.cfg.Name {
+	for over.LeaseBounds == nil && previous != "" && previous != t.h.cfg.Name {
 		ctx, cancel := context.WithTimeout(t.ctx, askTimeout)
 		var r peer.SyncReply
-		err := t.h.peers.Ask(ctx, former, t.h.syncMessage(), &r)
+		err := t.h.peers.Ask(ctx, previous, t.h.syncMessage(), &r)
 		cancel()
 		if err == nil && !r.Leading {
 			break
@@ -151,8 +151,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m := peer.Succeed{Term: t.number, Bounds: map[string]cell.Duration{}}
-	for life, left := range t.core.LeaseBounds(t.h.now()) {
-		m.Bounds[life] = cell.Duration{Duration: left}
+	for incarnation, left := range t.core.LeaseBounds(t.h.now()) {
+		m.Bounds[incarnation] = cell.Duration{Duration: left}
 	}
 	return m
 }
@@ -242,8 +242,8 @@
 }
 
 // sendOrder sends an sendOrder to a worker.
-func (t *term) sendOrder(life string, send func(ctx context.Context) sched.Outcome) sched.Outcome {
-	return callWorker(t.responseTimes, t.h.now, life, 0, func() sched.Outcome {
+func (t *term) sendOrder(incarnation string, send func(ctx context.Context) sched.Outcome) sched.Outcome {
+	return callWorker(t.responseTimes, t.h.now, incarnation, 0, func() sched.Outcome {
 		ctx, cancel := context.WithTimeout(t.ctx, maxOrderTimeout)
 		defer cancel()
 		return send(ctx)
--- a/internal/entry/turns_test.go
+++ b/internal/entry/turns_test.go
@@ -21,8 +21,8 @@
 		steps := map[time.Duration]func(*busyCluster){}
 		for n := range turns {
 			steps[time.Duration(n+2)*every] = func(c *busyCluster) {
-				lead := c.leader()
-				lead.setFaults(false, true)
+				leader := c.leader()
+				leader.setFaults(false, true)
 				go func() {
 					began := time.Now()
 					for c.leader() == nil && time.Since(began) < still {
@@ -30,7 +30,7 @@
 					}
 					without <- time.Since(began)
 					sleep(c.ctx, still-time.Since(began))
-					lead.setFaults(false, false)
+					leader.setFaults(false, false)
 				}()
 			}
 		}
--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -201,7 +201,7 @@
 }
 
 // tableArrives tells whether the changed table is in force in time at a host of the second domain.
-func (w *fakeStore) tableArrives(t *testing.T, name, lead string) (ok bool) {
+func (w *fakeStore) tableArrives(t *testing.T, name, leader string) (ok bool) {
 	synctest.Test(t, func(t *testing.T) {
 		w.began = time.Now()
 		var others []string
@@ -210,7 +210,7 @@
 				others = append(others, n)
 			}
 		}
-		f := entry.NewFollower(t, slog.New(slog.NewTextHandler(&w.logs, nil)), name, others, lead, w, w.viaPeer)
+		f := entry.NewFollower(t, slog.New(slog.NewTextHandler(&w.logs, nil)), name, others, leader, w, w.viaPeer)
 		f.Run()
 		time.Sleep(w.deadline())
 		synctest.Wait()
@@ -292,9 +292,9 @@
 			w.outages = append(w.outages, tr)
 		}
 		w.changedAt = 4*time.Second + within(10*time.Second)
-		lead := []string{"a1", "b2", "c1"}[rng.IntN(3)]
-		require.True(t, w.tableArrives(t, "b1", lead), "seed %d: %v, domain %c cut at %v, change at %v, lead %s",
-			seed, w.outages, w.cutDomain, w.cutAt, w.changedAt, lead)
+		leader := []string{"a1", "b2", "c1"}[rng.IntN(3)]
+		require.True(t, w.tableArrives(t, "b1", leader), "seed %d: %v, domain %c cut at %v, change at %v, lead %s",
+			seed, w.outages, w.cutDomain, w.cutAt, w.changedAt, leader)
 	}
 }
 
