--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -11,51 +11,55 @@
 	"pollencroft/internal/store"
 )
 
-// A lead that is short of processor answers late. Taken for dead it is fenced off, and the
-// next one has to catch up with all that was open, answers later still, and is fenced off in
-// turn: one would see a term begin every few seconds, and hardly a start between. So a late
-// answer says that the lead is slow. That it is gone is believed of a lead that stores nothing
-// either, or that this host has not heard for unheard.
+// A leader that is short of CPU time answers late. If the other hosts took it for dead, they
+// would fence it off, and the next leader would have to catch up with all open work, answer even
+// later and be fenced off in turn: a term would begin every few seconds, and hardly any task
+// would start in between. A late reply therefore means that the leader is slow. The leader counts
+// as dead only if it also stores nothing, or if this host has not heard from it for maxSilence.
 
-// maxSilence is how long a lead that goes on storing may leave a host's questions unanswered. Slow
-// ones fell behind by a second or two; one that only the store can reach has to be succeeded
-// well within what callers allow for a recovery.
+// maxSilence is how long a leader that continues to store progress may leave a host's requests
+// unanswered. Slow leaders fell behind by a second or two. A leader that only the store can reach
+// has to be replaced well within the time that callers allow for a recovery.
 const maxSilence = 4 * time.Second
 
-// storeCheckDelay is how long the lead may take to answer before a look is taken at what it stores:
-// longer than a calm one takes, and so early that the look costs no time.
+// storeCheckDelay is how long the leader may take to answer before this host reads how far the
+// leader's log has grown. It is longer than an idle leader takes to answer, and short enough that
+// the read costs no extra time.
 const storeCheckDelay = 50 * time.Millisecond
 
-// lateReplyValidity is for how long a late answer shows that the lead is alive: a lead that is always late
-// is asked, left alone for muteFor and asked again within that.
+// lateReplyValidity is how long a late reply proves that the leader is alive. A leader that
+// always answers late is asked, left alone for unresponsivePeriod, and asked again within this
+// time.
 const lateReplyValidity = 1500 * time.Millisecond
 
 const (
-	// leaderChangeWindow is for how long a change of the lead makes hosts more patient with the next
-	// one: several times what it takes to catch up after it.
+	// leaderChangeWindow is how long a leader change makes hosts wait longer before the next one.
+	// It is several times what a new leader needs to catch up.
 	leaderChangeWindow = time.Minute
-	// progressTimeoutFactor is by how much, mostPatience the bound: less than unheard, after which no
-	// sign of life counts.
+	// progressTimeoutFactor is the factor by which each recent leader change extends the progress
+	// timeout, maxProgressTimeout the upper limit. The limit is below maxSilence, after which no
+	// evidence of progress counts.
 	progressTimeoutFactor = 4
 	maxProgressTimeout    = 3 * time.Second
-	// returnWindow is how soon after a change the former lead answers if it was only slow.
+	// returnWindow is how soon after a change the previous leader answers if it was only slow.
 	returnWindow = 1500 * time.Millisecond
-	// returnPollInterval is the pause before it is asked again.
+	// returnPollInterval is the pause before the previous leader is asked again.
 	returnPollInterval = 300 * time.Millisecond
 )
 
 // maxKey sorts after every key of stateTopic.
 const maxKey = "~"
 
-// logEnds are where the partitions of stateTopic ended at some moment.
+// logEnds holds the end offsets of the partitions of stateTopic at a point in time.
 type logEnds struct {
 	at      time.Time
 	offsets []int64
 }
 
-// isLeaderAlive tells whether the lead, which did not answer in time, is slow and not gone: it answered
-// late just now, or it stores something while this host watches, and has not been unheard for too
-// long. before is where its partitions ended when the question was put.
+// isLeaderAlive reports whether the leader, which did not answer in time, is slow rather than
+// dead. It is alive if it answered late a moment ago, or if it stores something while this host
+// watches and has not been silent for more than maxSilence. The channel before returns the end
+// offsets of its partitions when it was asked.
 func (h *Host) isLeaderAlive(before <-chan logEnds) bool {
 	h.mu.Lock()
 	leader, unresponsive, silence := h.leader, h.unresponsive == h.leader, time.Duration(0)
@@ -64,7 +68,7 @@
 	}
 	h.mu.Unlock()
 	if !unresponsive {
-		// It says that it does not lead.
+		// The leader answered that it does not lead.
 		return false
 	}
 	reach := h.tryConnect(leader)
@@ -75,7 +79,7 @@
 		return true
 	}
 	if silence > maxSilence {
-		h.log.Warn("lead: is not heard any more.", "host", leader, "for", silence)
+		h.log.Warn("lead: silent for too long.", "host", leader, "for", silence)
 		return false
 	}
 	was := <-before
@@ -86,10 +90,10 @@
 			switch by := h.progressAuthor(leader, h.stateParts()[part]); by {
 			case leader:
 				h.incCounter("lead.slow")
-				h.log.Info("lead: is slow, and works.", "host", leader, "part", h.stateParts()[part], "from", was.offsets[part], "to", is.offsets[part], "unheard", silence)
+				h.log.Info("lead: slow, still stores progress.", "host", leader, "part", h.stateParts()[part], "from", was.offsets[part], "to", is.offsets[part], "unheard", silence)
 				return true
 			case h.cfg.Name:
-				h.log.Info("lead: was fenced off by this host.", "host", leader, "unheard", silence)
+				h.log.Info("lead: fenced off by this host.", "host", leader, "unheard", silence)
 				return false
 			case "":
 			default:
@@ -101,20 +105,21 @@
 			return true
 		}
 		if h.now().Sub(was.at) >= timeout {
-			h.log.Warn("lead: stores nothing either.", "host", leader, "ends", is.offsets, "unheard", silence, "patience", timeout)
+			h.log.Warn("lead: does not answer and stores no progress.", "host", leader, "ends", is.offsets, "unheard", silence, "patience", timeout)
 			return false
 		}
 	}
 	return false
 }
 
-// progressAuthor tells whose work the growth of a partition of stateTopic is while lead is doubted; empty
-// if it is that of a lead that has left. A host that has claimed since is followed: its term
-// cannot be known yet, nor that it ever begins, but the one before is fenced off.
+// progressAuthor returns the host whose append made a partition of stateTopic grow while lead is
+// under suspicion. It returns "" if that was a leader that has stepped down. If another host has
+// claimed the lead since, this host follows it: its term is not known yet and may never begin,
+// but the previous leader is fenced off.
 func (h *Host) progressAuthor(leader string, part int) string {
 	a, err := h.store.Do(h.ctx, store.Call{Op: store.Newest, Topic: stateTopic, Part: part})
 	if err != nil {
-		// Nobody could take over while that cannot be read.
+		// While the partition cannot be read, no host could take over.
 		return leader
 	}
 	name, seen, ok := newestClaim(a.Records)
@@ -129,7 +134,7 @@
 	defer h.mu.Unlock()
 	switch {
 	case h.leader != leader:
-		// It was announced meanwhile, or another one was.
+		// The claimant, or yet another host, was announced as leader in the meantime.
 		return name
 	case name == h.previousLeader:
 		return ""
@@ -138,14 +143,14 @@
 	return name
 }
 
-// tryConnect tries a new connection to a host.
+// tryConnect opens a new connection to a host and reports the result.
 func (h *Host) tryConnect(name string) peer.Reach {
 	ctx, cancel := context.WithTimeout(h.ctx, goneTimeout)
 	defer cancel()
 	return h.peers.Reach(ctx, name)
 }
 
-// repliedLate tells whether the lead has answered late just now.
+// repliedLate reports whether a late reply of the leader arrived within lateReplyValidity.
 func (h *Host) repliedLate(leader string) bool {
 	h.mu.Lock()
 	late := h.now().Sub(h.lastLateReply)
@@ -154,13 +159,14 @@
 		return false
 	}
 	h.incCounter("lead.slow")
-	h.log.Info("lead: is slow, and answers.", "host", leader, "ago", late)
+	h.log.Info("lead: slow, answered late.", "host", leader, "ago", late)
 	return true
 }
 
-// progressTimeout is how long the lead may store nothing. It grows with each change of late that
-// nobody had told of and that may have been a mistake: that it was is the likelier, and costs the
-// more, the more there were. A host that takes no connection is off or cut off, and not slow.
+// progressTimeout returns how long the leader may store nothing before it counts as dead. The
+// timeout grows with each recent leader change that was not announced and that may have been a
+// mistake: the more changes there were, the likelier is a mistake and the more it costs. A host
+// that accepts no connection is down or cut off rather than slow, so its timeout does not grow.
 func (h *Host) progressTimeout(reach peer.Reach) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -175,8 +181,8 @@
 	return timeout
 }
 
-// verifyLeaderChange asks the former lead after a change that nobody had told of. If it stays silent,
-// the change was right and is no reason to be more patient.
+// verifyLeaderChange asks the previous leader after an unannounced change whether it is alive. If
+// it does not answer, the change was right and does not extend the progress timeout.
 func (h *Host) verifyLeaderChange(at time.Time, previous string) {
 	ctx, cancel := context.WithTimeout(h.ctx, returnWindow)
 	defer cancel()
@@ -194,15 +200,16 @@
 	h.mu.Lock()
 	h.leaderChanges = slices.DeleteFunc(h.leaderChanges, func(c time.Time) bool { return c.Equal(at) })
 	h.mu.Unlock()
-	h.log.Info("lead: change was right.", "host", previous, "silent", h.now().Sub(at))
+	h.log.Info("lead: change confirmed, previous leader does not answer.", "host", previous, "silent", h.now().Sub(at))
 }
 
-// recentLeaderChanges are the changes of the lead that count still; mu is held. The caller keeps them as h.changes.
+// recentLeaderChanges returns the leader changes that still count. The caller stores the result
+// in h.leaderChanges. mu is held.
 func (h *Host) recentLeaderChanges() []time.Time {
 	return slices.DeleteFunc(h.leaderChanges, func(at time.Time) bool { return h.now().Sub(at) > leaderChangeWindow })
 }
 
-// firstGrown is the first of the partitions that have firstGrown, -1 if none has.
+// firstGrown returns the index of the first partition that has grown, or -1.
 func firstGrown(was, is logEnds) int {
 	for i := range min(len(was.offsets), len(is.offsets)) {
 		if is.offsets[i] > was.offsets[i] {
@@ -212,8 +219,8 @@
 	return -1
 }
 
-// stateLogEnds returns where the partitions of stateTopic end; nothing if one cannot be read,
-// as then nobody can take over anyway.
+// stateLogEnds returns the end offsets of the partitions of stateTopic. It returns no offsets if
+// one of them cannot be read, because no host could take over then anyway.
 func (h *Host) stateLogEnds() logEnds {
 	parts := h.stateParts()
 	e := logEnds{at: h.now(), offsets: make([]int64, len(parts))}
@@ -226,14 +233,14 @@
 		})
 	}
 	if err := g.Wait(); err != nil {
-		h.log.Warn("lead: what it stores cannot be seen.", "err", err)
+		h.log.Warn("lead: end of its log cannot be read.", "err", err)
 		return logEnds{at: e.at}
 	}
 	return e
 }
 
-// checkLeader asks the lead whether it leads. While there is no answer, or if it is no, it also
-// looks at what the lead stores.
+// checkLeader asks the leader whether it leads. If the answer is late or negative, it also reads
+// how far the leader's log has grown, and returns the result in before.
 func (h *Host) checkLeader(leader string) (leads bool, before <-chan logEnds) {
 	got, yes, no := make(chan logEnds, 1), make(chan struct{}), make(chan struct{})
 	h.wg.Go(func() {
@@ -256,12 +263,12 @@
 	return false, got
 }
 
-// noteLeaderReply notes an answer of the lead, also a late one.
+// noteLeaderReply records a reply of the leader, also a late one.
 func (h *Host) noteLeaderReply(name string, r peer.SyncReply, late bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if name != h.leader || !r.Lead && !r.Leading {
-		// One that the store does not serve leads on, and is heard.
+		// A leader that the store does not serve still leads, and its replies count.
 		return
 	}
 	h.unansweredSince = time.Time{}
@@ -270,7 +277,7 @@
 	}
 }
 
-// noteLeaderRequest notes a question to the lead.
+// noteLeaderRequest records that a request was sent to the leader.
 func (h *Host) noteLeaderRequest(name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -279,8 +286,8 @@
 	}
 }
 
-// requestSync asks a host whether it leads, for patience; an answer that comes later than that
-// is only noted.
+// requestSync asks a host whether it leads and waits for at most timeout. A reply that arrives
+// later is only recorded.
 func (h *Host) requestSync(name string, timeout time.Duration) (peer.SyncReply, error) {
 	type result struct {
 		reply peer.SyncReply
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -11,17 +11,17 @@
 	"pollencroft/internal/store"
 )
 
-// UnknownMessageError tells that this kind of host does not take a message.
+// UnknownMessageError is returned for messages that this kind of host does not accept.
 type UnknownMessageError struct{}
 
 func (*UnknownMessageError) Error() string { return "message is not for this host" }
 
-// NoLeaderError tells that no host is known to lead.
+// NoLeaderError is returned if no leader is known.
 type NoLeaderError struct{}
 
 func (*NoLeaderError) Error() string { return "no host leads" }
 
-// LateError tells that a host did not answer in time; it may yet.
+// LateError is returned if a host did not answer in time. It may still answer.
 type LateError struct {
 	Host  string
 	After time.Duration
@@ -31,7 +31,7 @@
 	return "host " + e.Host + " has not answered within " + e.After.String()
 }
 
-// handleMessage answers a peer.
+// handleMessage handles a message from a peer and returns the reply.
 func (h *Host) handleMessage(ctx context.Context, m peer.Message) (any, error) {
 	h.incCounter("peer." + peer.Kind(m))
 	switch m := m.(type) {
@@ -63,7 +63,7 @@
 	}
 }
 
-// NoPolicyError tells that the settings name no policy service.
+// NoPolicyError is returned if the settings name no policy service.
 type NoPolicyError struct{}
 
 func (*NoPolicyError) Error() string { return "settings name no policy service" }
@@ -75,11 +75,11 @@
 	return h.policy.Ask(ctx, step, workers)
 }
 
-// slowStateReply is how long a lead may take for a state before that is told.
+// slowStateReply is the time after which a state reply of the leader is logged as slow.
 const slowStateReply = 100 * time.Millisecond
 
-// localState tells a state as the lead. It waits while the core takes a step, unless the job
-// has ended.
+// localState returns a job's state as the leader knows it. It blocks while the scheduler core
+// executes a step, unless the job is known to have ended.
 func (h *Host) localState(id string) peer.StateReply {
 	h.mu.Lock()
 	t := h.ownTerm
@@ -94,24 +94,25 @@
 	state, known, sure := t.state(id)
 	if took := h.now().Sub(began); took > slowStateReply {
 		h.incCounter("state.late")
-		h.log.Info("state: told late.", "id", id, "term", t.number, "waited", took)
+		h.log.Info("state: slow reply.", "id", id, "term", t.number, "waited", took)
 	}
 	return peer.StateReply{Lead: true, Known: known, Unsure: !sure, State: string(state)}
 }
 
-// UncertainError tells that the lead does not know a job and has not read lately
-// what was stored.
+// UncertainError is returned if the leader does not know a job and has not recently read what was
+// stored.
 type UncertainError struct{ ID string }
 
 func (e *UncertainError) Error() string {
 	return "lead has not read yet whether there is a job " + e.ID
 }
 
-// leaderFreshness is how long ago the store may have answered a lead that others leave
-// alone: about as long as the group takes to name another one.
+// leaderFreshness is how long ago the store may have answered a leader that other hosts leave
+// alone. It is about the time that the candidate group takes to name another host.
 const leaderFreshness = 2 * time.Second
 
-// syncReply leaves out what only a lead that the store serves can vouch for.
+// syncReply builds the reply to a sync request. It omits what only a leader that the store serves
+// can guarantee.
 func (h *Host) syncReply(m peer.Sync) peer.SyncReply {
 	h.mu.Lock()
 	t := h.ownTerm
@@ -140,13 +141,13 @@
 	}
 }
 
-// relay has peers make calls to the store.
+// relay makes calls to the store through peers.
 type relay struct{ h *Host }
 
 // Peers lists the peers to ask.
 func (r relay) Peers() []string { return r.h.otherHosts() }
 
-// Do has a peer make the call.
+// Do makes the call through a peer.
 func (r relay) Do(ctx context.Context, name string, c store.Call) (store.Answer, error) {
 	var got peer.StoreReply
 	err := r.h.peers.Ask(ctx, name, peer.StoreCall{Call: c}, &got)
@@ -160,7 +161,7 @@
 	return got.Answer, decodeStoreError(c, got)
 }
 
-// Names of the store's failures between hosts.
+// Names of the store's failures in messages between hosts.
 const (
 	failRefused = "refused"
 	failUnsure  = "unanswered"
@@ -216,10 +217,10 @@
 	}
 }
 
-// maxAdviceTimeout bounds a question to the policy service that a peer asks.
+// maxAdviceTimeout limits a request to the policy service, whether this host or a peer makes it.
 const maxAdviceTimeout = 10 * time.Second
 
-// askPolicyVia has a host, perhaps this one, askPolicyVia the policy service.
+// askPolicyVia has a host, possibly this one, ask the policy service.
 func (h *Host) askPolicyVia(ctx context.Context, a sched.QueryPolicy) sched.PolicyReply {
 	ctx, cancel := context.WithTimeout(ctx, min(a.Timeout, maxAdviceTimeout))
 	defer cancel()
@@ -239,7 +240,7 @@
 func (h *Host) policyResult(a sched.QueryPolicy, good map[string]string, err error) sched.PolicyReply {
 	if err != nil {
 		h.incCounter("advice.failed")
-		h.log.Warn("advice: no answer.", "step", a.Step, "host", a.Host, "err", err)
+		h.log.Warn("advice: policy service did not answer.", "step", a.Step, "host", a.Host, "err", err)
 	}
 	return sched.PolicyReply{Step: a.Step, Host: a.Host, Tickets: good, Failed: err != nil}
 }
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -17,17 +17,16 @@
 )
 
 const (
-	// deadlineHeader says how long the caller waits, in milliseconds.
+	// deadlineHeader is the request header that says how long the caller waits, in milliseconds.
 	deadlineHeader = "X-Deadline-Ms"
-	// defaultDeadline is for callers that do not say it.
+	// defaultDeadline applies to callers that send no deadline.
 	defaultDeadline = 3 * time.Second
-	// replyMargin is left for the answer's way back.
+	// replyMargin is the part of the deadline that is reserved for sending the reply.
 	replyMargin = 150 * time.Millisecond
-	// defaultMaxBody bounds a body until the table says how much it may have.
+	// defaultMaxBody limits the request body until the table sets a limit.
 	defaultMaxBody = 256 << 10
-	// retryAfterSeconds is when a caller that was turned away may come back, in seconds: a
-	// store that is away stays so for seconds, and a second is the least that the
-	// header can say.
+	// retryAfterSeconds is when a refused caller may retry. A store outage lasts for seconds, and
+	// one second is the shortest time that the header can express.
 	retryAfterSeconds = "1"
 )
 
@@ -56,7 +55,7 @@
 	defer func() {
 		if r.Context().Err() != nil {
 			h.incCounter("caller.left")
-			h.log.Info("caller: left before its answer.", "id", id, "method", r.Method, "after", h.now().Sub(began), "deadline", deadline(r))
+			h.log.Info("caller: disconnected before the reply.", "id", id, "method", r.Method, "after", h.now().Sub(began), "deadline", deadline(r))
 		}
 	}()
 	switch {
@@ -75,12 +74,12 @@
 	}
 }
 
-// maxPendingAge is how old the count of a queue's jobs may be.
+// maxPendingAge is how old a reported number of pending jobs may be.
 const maxPendingAge = 1800 * time.Millisecond
 
-// servePending answers with how many jobs of a queue wait. A count that is too
-// old is asked for anew, and not told: its reader would believe that work has
-// begun that still waits.
+// servePending answers with the number of waiting jobs of a queue. A number that is too old is
+// refreshed and never reported: its reader would believe that work has begun that is still
+// waiting.
 func (h *Host) servePending(ctx context.Context, w http.ResponseWriter, q flow.Queue) {
 	if n, ok := h.cachedPending(q); ok {
 		reply(w, http.StatusOK, platform.PendingBody(n))
@@ -112,11 +111,11 @@
 	w.Header()["Content-Type"] = []string{"application/json"}
 	w.Header()["Content-Length"] = []string{strconv.Itoa(len(body))}
 	w.WriteHeader(code)
-	// A caller that is gone needs no answer.
+	// If the caller has gone, the error does not matter.
 	_, _ = w.Write(body)
 }
 
-// refuse answers with the reason and, where coming back helps, when.
+// refuse answers with the reason and, if a retry makes sense, with Retry-After.
 func (h *Host) refuse(w http.ResponseWriter, code int, id, reason string) {
 	h.incCounter("caller.refused." + strconv.Itoa(code))
 	h.log.Info("caller: refused.", "id", id, "code", code, "reason", reason)
@@ -130,7 +129,7 @@
 	reply(w, code, b)
 }
 
-// submit stores a job. Only a store that certainly did nothing makes it refused.
+// submit stores a job. It reports a refusal only if the store certainly did nothing.
 func (h *Host) submit(ctx context.Context, w http.ResponseWriter, r *http.Request, q flow.Queue, id string) {
 	most := h.maxBody()
 	body, err := io.ReadAll(io.LimitReader(r.Body, most+1))
@@ -183,7 +182,7 @@
 	h.mu.Unlock()
 }
 
-// acceptedRecently tells whether this host accepted the job lately.
+// acceptedRecently reports whether this host accepted the job recently.
 func (h *Host) acceptedRecently(id string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -195,11 +194,11 @@
 	began := h.now()
 	state, known, err := h.stateOf(ctx, id)
 	if err == nil && known {
-		h.log.Info("caller: told.", "id", id, "state", state, "term", h.currentTerm(), "took", h.now().Sub(began))
+		h.log.Info("caller: state reported.", "id", id, "state", state, "term", h.currentTerm(), "took", h.now().Sub(began))
 	}
 	switch {
 	case err == nil && !known && h.acceptedRecently(id):
-		// The lead has not heard of it yet, so nothing of it has begun.
+		// The leader does not know the job yet, so none of its tasks has started.
 		reply(w, http.StatusOK, platform.StateBody(flow.Queued))
 	case err != nil:
 		h.refuse(w, http.StatusServiceUnavailable, id, err.Error())
@@ -210,8 +209,9 @@
 	}
 }
 
-// cancelJob stores that a job is to stop. While no lead answers it is stored
-// without asking whether there is such a job: one that is not is never started.
+// cancelJob stores the cancellation of a job. While no leader answers, the cancellation is stored
+// without a check whether the job exists: cancelling an unknown job only means that it never
+// starts.
 func (h *Host) cancelJob(ctx context.Context, w http.ResponseWriter, id string) {
 	state, known, err := h.finalOrLeaderState(ctx, id)
 	if err == nil && !known && !h.acceptedRecently(id) {
@@ -234,13 +234,13 @@
 	}
 }
 
-// readyFreshness is how long ago the store may have answered a host that is ready.
-// It is asked at least every joinEvery; the balancer needs two more seconds
-// until callers of a failure domain that is cut off are served elsewhere.
+// readyFreshness is how long ago the store may have answered a host that is ready. The store is
+// called at least every joinInterval. The load balancer needs two more seconds until the callers
+// of a failure domain that is cut off are served elsewhere.
 const readyFreshness = time.Second
 
-// ready tells whether callers are served here: a host without a way to the
-// store can accept nothing, and callers do better at another one.
+// ready reports whether this host serves callers. A host without a route to the store cannot
+// accept jobs, so its callers are better served by another host.
 func (h *Host) ready() bool {
 	h.mu.Lock()
 	table, leaving, leader, was := h.table != nil, h.leaving, h.leader, h.wasReady
--- a/internal/entry/cell_test.go
+++ b/internal/entry/cell_test.go
@@ -21,8 +21,8 @@
 	"pollencroft/internal/store"
 )
 
-// waitTimeout bounds what a test waits for. It decides no verdict on a machine
-// that works at all: what is waited for takes a second or two.
+// waitTimeout limits how long a test waits. It decides no result on a machine that works at all,
+// because what the tests wait for takes a second or two.
 const waitTimeout = time.Minute
 
 const (
@@ -41,7 +41,7 @@
 	workers []*users.Worker
 	hosts   map[string]*testHost
 	logs    *logBuffer
-	// deadline is how long callers wait; zero is what is usual.
+	// deadline is the deadline that callers send; if it is zero, they send none.
 	deadline time.Duration
 }
 
@@ -51,7 +51,7 @@
 	store *httptest.Server
 }
 
-// logBuffer keeps what the hosts log.
+// logBuffer collects the log lines of the hosts.
 type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -101,7 +101,7 @@
 	return addr
 }
 
-// start starts a host, or a new life of it at the same addresses.
+// start starts a host, or a new incarnation of it at the same addresses.
 func (c *cluster) start(name string, change ...func(*entry.Settings)) *testHost {
 	r, ok := c.hosts[name]
 	if !ok {
@@ -131,7 +131,7 @@
 	return a
 }
 
-// waitReady waits until one host leads and all are ready.
+// waitReady waits until one host leads and all hosts are ready.
 func (c *cluster) waitReady() {
 	c.t.Helper()
 	require.Eventually(c.t, func() bool {
@@ -201,7 +201,7 @@
 	return c.call(h.cfg.Listen.Caller, http.MethodPost, prefix+jobID(n), twoSteps)
 }
 
-// waitCompleted waits until all jobs are shown as completed at that host.
+// waitCompleted waits until all jobs are shown as completed at a host.
 func (c *cluster) waitCompleted(h *testHost, jobs int) {
 	c.t.Helper()
 	for n := range jobs {
@@ -212,7 +212,7 @@
 	}
 }
 
-// candidates lists the hosts that stand ready to lead.
+// candidates lists the hosts in the candidate group.
 func (c *cluster) candidates() []string {
 	a, err := c.log.For("").Do(c.t.Context(), store.Call{Op: store.Owners, Group: "hosts"})
 	require.NoError(c.t, err)
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -15,19 +15,19 @@
 	"pollencroft/internal/store"
 )
 
-// stateTopic holds the progress of jobs under their ids, written by the lead
-// alone, and claimKey, under which a term begins. It sorts before all ids, so
-// that the first page tells of the newest claim.
+// stateTopic holds the progress of jobs under their ids and is written only by the leader.
+// claimKey is the key of the record that begins a term. It sorts before all ids, so that the
+// first page contains the newest claim.
 const (
 	stateTopic = "state"
 	claimKey   = "!"
 )
 
-// claimTimeout bounds one try to lead: five calls at a store that answers as late as
-// it may without counting as away.
+// claimTimeout limits one attempt to begin a term. It allows for five calls to a store that
+// answers as late as it may without counting as unavailable.
 const claimTimeout = 8 * time.Second
 
-// LostClaimError tells that another host began the same term.
+// LostClaimError is returned if another host began the same term.
 type LostClaimError struct{ Term int64 }
 
 func (e *LostClaimError) Error() string {
@@ -73,13 +73,13 @@
 	h.announce(t)
 }
 
-// beginTerm fences off all former leads and reads what they left.
+// beginTerm fences off all previous leaders and reads the state that they left.
 //
-// The term is the epoch of the appends to stateTopic. It is one more than the
-// log's end, which only rises, so it is above all former ones; two hosts that
-// saw the same end would share it, and each reads back whose claim was stored.
-// A slow store takes a third of a second for a call, and nothing is led
-// meanwhile: there are three calls one after the other, and no more.
+// The term is the epoch of the appends to stateTopic. It is one more than the end offset of the
+// log, which only rises, so it is greater than all previous terms. Two hosts that saw the same
+// end offset would use the same term, so each reads back whose claim was stored. A slow store
+// takes a third of a second for a call, and nothing is scheduled in the meantime. Therefore only
+// three calls are made one after the other.
 func (h *Host) beginTerm(ctx context.Context) (*term, error) {
 	a, err := h.store.Do(ctx, store.Call{Op: store.Newest, Topic: stateTopic})
 	if err != nil {
@@ -93,7 +93,7 @@
 	if err := h.fence(ctx, number, mine); err != nil {
 		return nil, errors.Wrap(err, "begin a term")
 	}
-	// What is stored from here on may be missing in what is read.
+	// Records that are stored from here on may be missing in what is read.
 	read := h.now()
 	states, requests, next, err := h.readAll(ctx)
 	if err != nil {
@@ -105,14 +105,14 @@
 	return h.newTerm(number, slices.Concat(states...), requests, next, read), nil
 }
 
-// stateParts lists the partitions of stateTopic. The first decides who leads.
+// stateParts lists the partitions of stateTopic. The first one decides who leads.
 func (h *Host) stateParts() []int { return partsFrom(0, h.cfg.Parts) }
 
-// fence stores the claim in all partitions of stateTopic. Read before it is fenced,
-// a partition might lack what a former lead stores there after that, and a run would
-// begin a second time. Two hosts that claim at once may fence different partitions
-// first; the first partition tells which of them leads, and the other one's fence
-// there ends no term that is later.
+// fence stores the claim in all partitions of stateTopic. If a partition were read before it is
+// fenced, the previous leader could still store progress there afterwards, and a task would be
+// started a second time. Two hosts that claim at the same time may fence different partitions
+// first. The first partition decides which of them leads, and the other one's fence there does
+// not end a later term.
 func (h *Host) fence(ctx context.Context, number int64, mine string) error {
 	g, ctx := errgroup.WithContext(ctx)
 	for _, part := range h.stateParts() {
@@ -126,15 +126,15 @@
 	return g.Wait()
 }
 
-// LeaderExistsError tells that another host leads or is about to.
+// LeaderExistsError is returned if another host leads or is about to.
 type LeaderExistsError struct{ Host string }
 
 func (e *LeaderExistsError) Error() string { return "host " + e.Host + " leads or is about to" }
 
-// claimant returns the host of the newest claim, and whether it leads or is
-// about to. A claim takes a weak host a second to read what it takes over, and
-// the group may name another host in that time; two that claim by turns fence
-// each other off for ever, and nothing is led.
+// claimant returns the host of the newest claim, and whether it leads or is about to. A weak host
+// takes a second to read the state that it takes over, and the candidate group may name another
+// host in that time. Two hosts that claim in turn would fence each other off forever, and nothing
+// would be scheduled.
 func (h *Host) claimant(records []store.Record) (string, bool) {
 	name, seen, ok := newestClaim(records)
 	if !ok || name == h.cfg.Name {
@@ -143,14 +143,15 @@
 	h.peers.Set(name, seen.addr)
 	r, err := h.askWhetherLeads(name)
 	if err == nil && r.Lead {
-		// Its announcement may be lost. Everybody would leave the lead to it, and
-		// nobody would know it; callers would be told for ever that no host leads.
+		// The announcement of that leader may be lost. All hosts would then leave the lead to it
+		// without knowing it, and callers would be told forever that no host leads.
 		h.setLeader(leaderRecord{Name: name, Addr: seen.addr, Term: r.Term})
 	}
 	return name, err == nil && (r.Lead || r.Claiming)
 }
 
-// newestClaim returns the host of the claim among the records of a partition; false if there is none.
+// newestClaim returns the host of the claim among the records of a partition. It returns false if
+// there is no claim.
 func newestClaim(records []store.Record) (string, hostInfo, bool) {
 	i := slices.IndexFunc(records, func(r store.Record) bool { return r.Key == claimKey })
 	if i < 0 {
@@ -159,13 +160,13 @@
 	return parseMember(string(records[i].Value))
 }
 
-// holdsNewestClaim tells whether the newest claim is the host's own.
+// holdsNewestClaim reports whether the newest claim is this host's own.
 func holdsNewestClaim(states []store.Record, mine string) bool {
 	return slices.ContainsFunc(states, func(r store.Record) bool { return r.Key == claimKey && string(r.Value) == mine })
 }
 
-// readAll reads progress and jobs at once, and where to go on in each partition
-// of the jobs.
+// readAll reads the progress and the jobs concurrently. It also returns the next offset to read
+// in each partition of jobsTopic.
 func (h *Host) readAll(ctx context.Context) (states, requests [][]store.Record, next []int64, err error) {
 	parts := h.stateParts()
 	states = make([][]store.Record, len(parts))
@@ -186,7 +187,8 @@
 	return states, requests, next, err
 }
 
-// readJobs reads all partitions of jobsTopic at once, and where to go on.
+// readJobs reads all partitions of jobsTopic concurrently, and returns the next offset to read in
+// each.
 func (h *Host) readJobs(ctx context.Context) ([][]store.Record, []int64, error) {
 	parts := make([][]store.Record, h.cfg.Parts)
 	next := make([]int64, h.cfg.Parts)
@@ -202,21 +204,21 @@
 	return parts, next, err
 }
 
-// restored is what the store says of all jobs.
+// restored is what the store contains about all jobs.
 type restored struct {
 	jobs       []*flow.Job
 	notStarted []flow.Spec
 	cancels    []string
-	// unreadable are those that cannot be read.
+	// unreadable are the ids of jobs whose records cannot be decoded.
 	unreadable []string
 }
 
-// restore puts specs and progress together. A record that cannot be read is
-// told and left: its job cannot be guessed.
+// restore combines job specs and progress. A record that cannot be decoded is logged and skipped,
+// because its content cannot be guessed.
 func (h *Host) restore(states []store.Record, requests [][]store.Record) restored {
 	var r restored
 	progress := map[string][]byte{}
-	// A job that was handed in at several hosts lies in several partitions.
+	// A job that was submitted to several hosts is stored in several partitions.
 	had := map[string]bool{}
 	for _, s := range states {
 		if s.Key != claimKey && len(s.Value) > 0 {
@@ -242,7 +244,7 @@
 		}
 		var spec flow.Spec
 		if err := json.Unmarshal(a.Value, &spec); err != nil {
-			h.log.Error("lead: job cannot be read.", "id", a.Key, "offset", a.Offset, "err", err)
+			h.log.Error("lead: job cannot be decoded.", "id", a.Key, "offset", a.Offset, "err", err)
 			r.unreadable = append(r.unreadable, a.Key)
 			continue
 		}
@@ -253,7 +255,7 @@
 		}
 		j, err := flow.Restore(spec, b, h.now())
 		if err != nil {
-			h.log.Error("lead: progress cannot be read.", "id", a.Key, "err", err)
+			h.log.Error("lead: progress cannot be decoded.", "id", a.Key, "err", err)
 			r.unreadable = append(r.unreadable, a.Key)
 			continue
 		}
--- a/internal/entry/doubt_test.go
+++ b/internal/entry/doubt_test.go
@@ -18,7 +18,7 @@
 	claimKey   = "!"
 )
 
-// silentHost is the address of a host that takes connections and answers nothing.
+// silentHost returns the address of a host that accepts connections and never answers.
 func silentHost(t *testing.T) netip.AddrPort {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -26,13 +26,14 @@
 	return netip.MustParseAddrPort(ln.Addr().String())
 }
 
-// claimOf is the value of a host's claim.
+// claimOf returns the value of a host's claim.
 func claimOf(name string, addr netip.AddrPort) []byte {
 	return []byte(name + " " + addr.String() + " 1 1 1")
 }
 
-// checkStalledLeader has a host doubt the lead c1, which claimed and stands still since; meanwhile something
-// is stored.
+// checkStalledLeader makes a host check its leader c1, which has claimed and has been stalled
+// since. The function meanwhile stores something during the check. It returns whether the host
+// considers the leader alive, and which leader it follows afterwards.
 func checkStalledLeader(t *testing.T, meanwhile func(log *users.Log)) (works bool, leader string) {
 	log := users.NewLog(1, time.Now)
 	f := entry.NewFollower(t, slog.New(slog.DiscardHandler), "b1", nil, "", log.For("b1"), nil)
@@ -40,14 +41,15 @@
 	c1 := silentHost(t)
 	log.Put(stateTopic, claimKey, claimOf("c1", c1))
 	f.LearnLeader("c1", c1, 1)
-	// After the first look at what the lead stores; the answer of a young lead is waited for longer.
+	// This is after the first read of what the leader has stored. The host waits longer than
+	// usual for the answer of a new leader.
 	timer := time.AfterFunc(400*time.Millisecond, func() { meanwhile(log) })
 	defer timer.Stop()
 	works = f.LeaderAlive()
 	return works, f.LeaderName()
 }
 
-// Guards against another host's claim being taken for work of a lead that stands still.
+// Guards against another host's claim being taken for progress of a stalled leader.
 func TestAClaimOfAnotherHostIsNoWorkOfTheLead(t *testing.T) {
 	_, leader := checkStalledLeader(t, func(log *users.Log) {
 		log.Put(stateTopic, claimKey, claimOf("c2", silentHost(t)))
@@ -55,7 +57,7 @@
 	require.Equal(t, "c2", leader)
 }
 
-// Guards against a host's own failed claim being taken for work of the lead.
+// Guards against a host's own failed claim being taken for progress of the leader.
 func TestAHostsOwnClaimIsNoWorkOfTheLead(t *testing.T) {
 	works, leader := checkStalledLeader(t, func(log *users.Log) {
 		log.Put(stateTopic, claimKey, claimOf("b1", netip.MustParseAddrPort("127.0.0.1:1")))
@@ -64,7 +66,7 @@
 	require.Equal(t, "c1", leader)
 }
 
-// The lead has claimed and is too slow to answer. What it stores shows that it works.
+// The leader has claimed and is too slow to answer. What it stores shows that it is alive.
 func TestWhatTheLeadStoresShowsThatItWorks(t *testing.T) {
 	works, leader := checkStalledLeader(t, func(log *users.Log) {
 		log.Put(stateTopic, "0001", []byte("{}"))
@@ -73,7 +75,8 @@
 	require.Equal(t, "c1", leader)
 }
 
-// Guards against the last append of a lead that left being taken for work of its successor.
+// Guards against the last append of a leader that stepped down being taken for progress of its
+// successor.
 func TestWhatTheFormerLeadStoredIsNoWorkOfItsSuccessor(t *testing.T) {
 	log := users.NewLog(1, time.Now)
 	f := entry.NewFollower(t, slog.New(slog.DiscardHandler), "b1", nil, "", log.For("b1"), nil)
--- a/internal/entry/endings.go
+++ b/internal/entry/endings.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// maxFinalStatesPerReply is how many final states one answer carries.
+	// maxFinalStatesPerReply limits the final states in one sync reply.
 	maxFinalStatesPerReply = 500
 )
 
-// finalStates are the final states of a term in the order in which they were stored. Hosts take
-// them with each sync: they go on telling them when they reach neither the lead nor the store.
-// It is not safe for concurrent use.
+// finalStates lists the final states of a term's jobs in the order in which they were stored.
+// Hosts fetch them with each sync, so that they can still report them when they reach neither the
+// leader nor the store. It is not safe for concurrent use.
 type finalStates struct {
-	// first is the number of the oldest that is kept.
+	// first is the sequence number of the oldest state that is kept.
 	first int
 	all   []finalState
 }
@@ -31,7 +31,8 @@
 	e.all = append(e.all, finalState{id, state, now})
 }
 
-// drop forgets those that were kept since before then, many at a time: the rest is moved.
+// drop removes the states that were added before a time. It waits until there are many, because
+// the rest has to be moved.
 func (e *finalStates) drop(before time.Time) {
 	n := slices.IndexFunc(e.all, func(x finalState) bool { return !x.at.Before(before) })
 	if n < 0 {
@@ -44,7 +45,7 @@
 	e.all = slices.Delete(e.all, 0, n)
 }
 
-// from returns jobs by state from a number on, and the number to go on with.
+// from returns job ids by state, starting at sequence number n, and the number to continue with.
 func (e *finalStates) from(n int) (map[flow.State][]string, int) {
 	n = min(max(n, e.first), e.first+len(e.all))
 	some := e.all[n-e.first:]
--- a/internal/entry/endings_test.go
+++ b/internal/entry/endings_test.go
@@ -12,7 +12,8 @@
 	"pollencroft/internal/peer"
 )
 
-// Guards against final states that a host misses or that a lead keeps for good.
+// Guards against final states that a host misses, and against final states that a leader never
+// removes.
 func TestFinalStatesAreToldInOrderAndDropped(t *testing.T) {
 	var e entry.FinalStates
 	at := time.Unix(1000, 0)
@@ -43,7 +44,8 @@
 	require.Equal(t, jobs, next)
 }
 
-// Guards against a lead that keeps the states of ended jobs from other hosts while its core is busy.
+// Guards against a leader that does not report the final states of jobs to other hosts while its
+// scheduler core is busy.
 func TestABusyLeadTellsHostsOfEndedJobs(t *testing.T) {
 	c := newCluster(t, 2, 2, 20*time.Millisecond)
 	leader := c.leader()
@@ -57,11 +59,12 @@
 	case r := <-reported:
 		require.Equal(t, peer.StateReply{Lead: true, Known: true, State: "completed"}, r)
 	case <-time.After(waitTimeout):
-		require.Fail(t, "the core is waited for")
+		require.Fail(t, "the reply waits for the scheduler core")
 	}
 }
 
-// Guards against final states that a host is not told since another lead numbers them anew.
+// Guards against final states that a host does not receive because another leader numbers them
+// from the beginning.
 func TestEachTermTellsItsEndsFromTheFirst(t *testing.T) {
 	const jobs = 5
 	c := newCluster(t, 2, 2, 20*time.Millisecond)
@@ -79,7 +82,8 @@
 	require.Len(t, r.Ended["completed"], jobs)
 }
 
-// Guards against a late answer of a former lead that sets back, or forward, what is asked of the next one.
+// Guards against a late reply of a previous leader that moves the position in the current
+// leader's list of final states backward or forward.
 func TestAFormerLeadsNumberIsNotGoneOnWith(t *testing.T) {
 	h := newCluster(t, 1, 1, 20*time.Millisecond).leader()
 	const term = 1 << 40
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -29,8 +29,8 @@
 	require.Equal(t, `{"pending":0}`, body)
 }
 
-// Somebody asks why jobs were late. The lead's metrics tell how long they waited until
-// their first start, for what, and how long the store took.
+// The leader's metrics show how long jobs waited until their first start, for what reasons, and
+// how long the store took. They serve to find out why jobs were late.
 func TestTheLeadServesHistogramsOfWaits(t *testing.T) {
 	c := newCluster(t, 1, 2, 50*time.Millisecond)
 	leader := c.leader()
@@ -54,7 +54,7 @@
 	}
 }
 
-// A body that is no job gets a 4xx that names the field, and nothing is stored.
+// A body that is not a valid job gets a 4xx reply that names the field, and nothing is stored.
 func TestABadBodyIsRefusedAndNeverStored(t *testing.T) {
 	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	h := c.leader()
@@ -79,8 +79,8 @@
 	require.Equal(t, http.StatusGone, code)
 }
 
-// The lead dies while tasks run. Another host leads within seconds, goes on with
-// what runs, and starts nothing twice.
+// The leader dies while tasks run. Another host takes over within seconds, continues with the
+// running tasks, and starts nothing twice.
 func TestAnotherHostLeadsAfterTheLeadDies(t *testing.T) {
 	c := newCluster(t, 3, 4, 600*time.Millisecond)
 	f := c.follower()
@@ -95,9 +95,8 @@
 	require.Empty(t, c.checker.Wrongs())
 }
 
-// All hosts die at once, right after jobs were acknowledged. Nothing of them is
-// left but what lies in the store, and every job that was told as accepted ends
-// as done.
+// All hosts die at once, right after jobs were acknowledged, so that only the records in the
+// store remain. Every job that was reported as accepted completes.
 func TestAcceptedJobsOutliveAllHosts(t *testing.T) {
 	c := newCluster(t, 3, 4, 300*time.Millisecond)
 	for n := range 6 {
@@ -117,8 +116,8 @@
 	}
 }
 
-// The lead is stopped as planned under load. Callers that keep sending to the
-// other hosts see no failure.
+// The leader is stopped as planned under load. Callers that keep sending to the other hosts see
+// no failure.
 func TestAPlannedStopOfTheLeadCutsNothing(t *testing.T) {
 	c := newCluster(t, 3, 4, 200*time.Millisecond)
 	old, f := c.leader(), c.follower()
@@ -143,8 +142,8 @@
 	require.Empty(t, c.checker.Wrongs())
 }
 
-// The store turns one host away and serves the others. Its callers are served
-// all the same, through a peer.
+// The store refuses one host and serves the others. Callers of that host are still served,
+// through a peer.
 func TestAHostThatTheStoreTurnsAwayServesThroughAPeer(t *testing.T) {
 	c := newCluster(t, 3, 3, 50*time.Millisecond)
 	f := c.follower()
@@ -157,8 +156,8 @@
 	require.Empty(t, c.checker.Wrongs())
 }
 
-// The store refuses everybody. Callers hear so at once, with the time to come
-// back, and not at their deadline; nothing of it runs later.
+// The store refuses all hosts. Callers are told so at once and not at their deadline, with a time
+// for a retry. The refused job does not run later.
 func TestAStoreThatIsAwayIsToldAtOnce(t *testing.T) {
 	c := newCluster(t, 2, 2, 50*time.Millisecond)
 	h := c.follower()
@@ -171,15 +170,15 @@
 	require.Eventually(t, func() bool {
 		code, _ := c.get(h.cfg.Listen.Ready, "/pollencroft/ready")
 		return code == http.StatusServiceUnavailable
-	}, waitTimeout, 20*time.Millisecond, "a host that can accept nothing is not ready")
+	}, waitTimeout, 20*time.Millisecond, "a host that cannot accept jobs is not ready")
 	c.log.Break("", users.None)
 	c.waitReady()
 	code, _ := c.get(h.cfg.Listen.Caller, prefix+jobID(0))
 	require.Equal(t, http.StatusGone, code)
 }
 
-// The store carries appends out and no answer comes. The job may run, so it must
-// not be told as refused.
+// The store executes appends, but no answer arrives. The job may run, so it must not be reported
+// as refused.
 func TestAnAppendWithoutAnAnswerIsNeverARefusal(t *testing.T) {
 	c := newCluster(t, 2, 2, 50*time.Millisecond)
 	h := c.follower()
@@ -191,8 +190,8 @@
 	c.waitCompleted(h, 1)
 }
 
-// Orders are left without an answer, carried out or not. Each task runs at one
-// place at a time and ends as done.
+// Orders to workers get no answer, whether they were executed or not. Each task runs in one place
+// at a time and completes.
 func TestOrdersWithoutAnAnswerRunNothingTwice(t *testing.T) {
 	for _, done := range []bool{true, false} {
 		c := newCluster(t, 1, 3, 300*time.Millisecond)
@@ -205,9 +204,8 @@
 	}
 }
 
-// Entries come from other writers too: bytes that cannot be read, fields of
-// another type, states and services that nobody names. They name no worker, and
-// the others are used.
+// Other writers store worker entries too: undecodable bytes, fields of a wrong type, unknown
+// states and services. Such entries are ignored, and the valid ones are used.
 func TestAnEntryThatCannotBeReadNamesNoWorker(t *testing.T) {
 	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	for i, text := range []string{"\x00\xff", `{}`, `[]`, `{"service":5}`, `{"service":"pass","address":"nowhere","state":"ready"}`,
@@ -220,7 +218,7 @@
 	c.waitCompleted(c.leader(), 1)
 }
 
-// Guards against starts over the size of a worker that has shrunk.
+// Guards against tasks that are started beyond the capacity of a worker that has shrunk.
 func TestAWorkerThatShrinksIsNotOverfilled(t *testing.T) {
 	c := newCluster(t, 1, 1, time.Second)
 	w, h := c.workers[0], c.leader()
@@ -244,7 +242,7 @@
 	require.Empty(t, c.checker.Wrongs())
 }
 
-// Guards against new starts, and lost runs, on a worker whose entry cannot be read any more.
+// Guards against new starts, and lost runs, on a worker whose entry can no longer be decoded.
 func TestAWorkerWhoseEntryTurnsBadKeepsWhatItRuns(t *testing.T) {
 	for name, text := range map[string]string{
 		"unreadable": "\x00\xff", "no capacity": `{"service":"pass","address":%q,"state":"ready"}`,
@@ -272,8 +270,8 @@
 	}
 }
 
-// Operators publish a table that drops a queue and adds one, and an older record
-// is read again afterwards. Every host follows and none goes back.
+// Operators publish a table that adds a queue, and afterwards an older record and a damaged one
+// are stored. Every host follows the newest table and none goes back.
 func TestTheTableIsFollowedAndNeverGoesBack(t *testing.T) {
 	c := newCluster(t, 2, 1, 50*time.Millisecond)
 	more := `,{"name":"print","host":"jobs.example","pathPrefix":"/print/","service":"pass"}`
@@ -293,8 +291,8 @@
 	}
 }
 
-// A job is cancelled while it runs: its tasks are stopped, and it stays so under
-// the next lead.
+// A job is cancelled while it runs. Its tasks are stopped, and it stays cancelled under the next
+// leader.
 func TestACancelledJobStaysCancelled(t *testing.T) {
 	c := newCluster(t, 2, 2, 5*time.Second)
 	h, f := c.leader(), c.follower()
@@ -312,8 +310,8 @@
 	require.Zero(t, running())
 }
 
-// Hosts differ in power. The lead's work is the most, so it goes to a host that
-// is much stronger; on a weak one every start would wait for its processor.
+// Hosts differ in power. The leader has the most work, so the lead goes to a host that is much
+// stronger; on a weak host every start would wait for CPU time.
 func TestTheStrongestHostLeads(t *testing.T) {
 	c := newCluster(t, 2, 2, 50*time.Millisecond)
 	strong := c.start("strong", func(cfg *entry.Settings) { cfg.Power = 4 })
@@ -324,9 +322,9 @@
 	require.Empty(t, c.checker.Wrongs())
 }
 
-// A host claims the lead and takes seconds to read what it takes over. The group
-// names another host meanwhile. If that one claimed as well, they would fence each
-// other off by turns and nothing would be led; callers would wait for ever.
+// A host claims the lead and takes seconds to read the state that it takes over, and the
+// candidate group names another host in the meantime. If that host claimed as well, the two would
+// fence each other off in turn, nothing would be scheduled, and callers would wait forever.
 func TestNobodyClaimsBesideAClaim(t *testing.T) {
 	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -349,8 +347,8 @@
 	require.Eventually(t, h.Leading, waitTimeout, 20*time.Millisecond)
 }
 
-// The group lists a host with much more power that cannot be reached. The others
-// may ask it to lead once, and then one of them leads.
+// The candidate group lists a host with much more power that cannot be reached. The others may
+// ask it to lead once, and then one of them leads.
 func TestAStrongHostThatIsGoneIsNotAskedForEver(t *testing.T) {
 	c := newCluster(t, 2, 1, 50*time.Millisecond)
 	join := store.Call{Op: store.Join, Group: "hosts", Member: "ghost 127.0.0.1:1 life 100", Topics: []string{"lead"}, TTL: time.Second}
@@ -371,7 +369,7 @@
 	<-joined
 }
 
-// Guards against a host that tells an earlier state of a job than the lead told before.
+// Guards against a host that reports an earlier state of a job than the leader reported before.
 func TestAStateThatNobodyKnowsIsNotTold(t *testing.T) {
 	c := newCluster(t, 2, 2, 700*time.Millisecond)
 	leader, f := c.leader(), c.follower()
@@ -392,7 +390,7 @@
 	c.waitCompleted(f, 1)
 }
 
-// Guards against a host that forgets the end of a job that it has told.
+// Guards against a host that forgets a final state that it has already reported.
 func TestAnEndThatWasToldIsToldAgain(t *testing.T) {
 	c := newCluster(t, 2, 2, 50*time.Millisecond)
 	leader, f := c.leader(), c.follower()
--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -19,7 +19,7 @@
 	"pollencroft/platform"
 )
 
-// Kill ends the host at once, as a signal that cannot be caught does.
+// Kill ends the host at once, like a signal that cannot be caught.
 func (h *Host) Kill() {
 	h.mu.Lock()
 	t := h.ownTerm
@@ -38,7 +38,7 @@
 	h.wg.Wait()
 }
 
-// Leading tells whether the host leads.
+// Leading reports whether the host leads.
 func (h *Host) Leading() bool {
 	_, leading := h.currentLeader()
 	return leading
@@ -50,7 +50,7 @@
 	Began time.Time
 }
 
-// ByPower orders hosts as successors.
+// ByPower orders hosts by how suitable they are as successors.
 func ByPower(seen map[string]HostInfo) []string {
 	all := map[string]hostInfo{}
 	for n, s := range seen {
@@ -59,26 +59,26 @@
 	return byPower(all)
 }
 
-// RecentHostCount is how many other hosts were heard of lately.
+// RecentHostCount returns how many other hosts were heard from recently.
 func (h *Host) RecentHostCount() int { return len(h.successors()) }
 
-// SetPeerAddr names the address of a peer.
+// SetPeerAddr sets the address of a peer.
 func (h *Host) SetPeerAddr(name, addr string) { h.peers.Set(name, netip.MustParseAddrPort(addr)) }
 
-// WaitsForReply asks a host whether it leads, in vain, and tells whether its answer was
-// waited for.
+// WaitsForReply asks a host that does not answer whether it leads, and reports whether the host
+// waited for a reply.
 func (h *Host) WaitsForReply(name string) bool {
 	_, err := h.askWhetherLeads(name)
 	return !errors.As(err, new(*NoLeaderError))
 }
 
-// IsCandidate tells whether the host may be named to lead.
+// IsCandidate reports whether the host is a candidate for the lead.
 func (h *Host) IsCandidate() bool { return h.isCandidate() }
 
-// Journal is the writer of progress.
+// Journal exposes the writer of job progress.
 type Journal struct{ *journal }
 
-// NewJournal returns a writer whose term has claimed the partitions.
+// NewJournal returns a journal whose term has claimed the partitions.
 func NewJournal(t *testing.T, log store.Log, term int64, parts []int) *Journal {
 	wg := &sync.WaitGroup{}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -89,14 +89,14 @@
 	return &Journal{newJournal(boundedLog{log, ctx}, slog.New(slog.DiscardHandler), wg, term, parts)}
 }
 
-// boundedLog ends calls with the test.
+// boundedLog ends calls at the end of the test.
 type boundedLog struct {
 	log store.Log
 	ctx context.Context
 }
 
 func (u boundedLog) Do(ctx context.Context, c store.Call) (store.Answer, error) {
-	// A call that has no answer is given up, as a host does.
+	// A call without an answer is given up, as a host does.
 	ctx, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
 	defer cancel()
 	defer context.AfterFunc(u.ctx, cancel)()
@@ -108,64 +108,65 @@
 	return b.append(ctx, number, records, patience)
 }
 
-// Drop forgets a job.
+// Drop deletes a job's progress.
 func (b *Journal) Drop(ctx context.Context, id string) { b.drop(ctx, id) }
 
-// JobsPart is the partition to which the host appends jobs first.
+// JobsPart returns the partition to which the host appends jobs first.
 func (h *Host) JobsPart() int { return h.inbox.parts[0] }
 
-// KnowsJob tells whether the host leads and knows the job.
+// KnowsJob reports whether the host leads and knows the job.
 func (h *Host) KnowsJob(id string) bool { return h.localState(id).Known }
 
-// BeginTerm begins a term with nothing, as if the reading of what the store holds
-// had begun at some time.
+// BeginTerm begins a term without any jobs, as if the reading of the store had started at the
+// given time.
 func (h *Host) BeginTerm(number int64, read time.Time) {
 	h.newTerm(number, nil, nil, make([]int64, h.cfg.Parts), read)
 }
 
-// IsUncertain tells whether the lead leaves open whether there is a job.
+// IsUncertain reports whether the leader cannot tell whether the job exists.
 func (h *Host) IsUncertain(id string) bool { return h.localState(id).Unsure }
 
-// ResponseTimes knows how fast workers answer.
+// ResponseTimes exposes the recorded response times of workers.
 type ResponseTimes struct{ *responseTimes }
 
-// NewResponseTimes returns one that knows nothing.
+// NewResponseTimes returns an empty record of response times.
 func NewResponseTimes() ResponseTimes { return ResponseTimes{newOrders()} }
 
-// Timeout is how long to wait for a worker's answer.
+// Timeout returns how long to wait for a worker's answer.
 func (o ResponseTimes) Timeout(incarnation string, now time.Time) time.Duration {
 	return o.timeout(incarnation, now)
 }
 
-// Record notes an answer.
+// Record records an answer.
 func (o ResponseTimes) Record(incarnation string, d time.Duration, now time.Time) {
 	o.record(incarnation, d, now)
 }
 
-// SetLeaderName has the host take another one for the lead.
+// SetLeaderName makes the host follow another one as leader.
 func (h *Host) SetLeaderName(name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.leader = name
 }
 
-// LearnLeader tells the host who leads, as the store's record does.
+// LearnLeader passes a leader announcement to the host, like the record in the store.
 func (h *Host) LearnLeader(name string, addr netip.AddrPort, term int64) {
 	h.setLeader(leaderRecord{Name: name, Addr: addr, Term: term})
 }
 
-// LeaderName is the host that this one takes for the lead.
+// LeaderName returns the host that this one follows.
 func (h *Host) LeaderName() string {
 	name, _ := h.currentLeader()
 	return name
 }
 
-// NoteHost has the host hear of another one.
+// NoteHost makes the host hear from another one.
 func (h *Host) NoteHost(name string, addr netip.AddrPort) {
 	h.noteHost(peer.Sync{From: name, Addr: addr, Power: 1, Began: h.now()})
 }
 
-// UsesForPolicy tells whether the host, as the lead, has another one ask the policy service.
+// UsesForPolicy reports whether the host leads and may have the named host ask the policy
+// service.
 func (h *Host) UsesForPolicy(name string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -173,19 +174,20 @@
 	return h.ownTerm != nil && ok
 }
 
-// Standby is the host that the lead wants to lead if it dies, as this one knows it.
+// Standby returns the host that is to take over if the leader's process dies, as known to this
+// host.
 func (h *Host) Standby() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.standby
 }
 
-// Follower is a host without a network that follows the operators' table and keeps its
-// place in a group.
+// Follower is a host without a network that follows the operators' table and stays a member of a
+// group.
 type Follower struct{ *Host }
 
-// NewFollower returns a host that knows the others, takes lead for the lead, has direct as
-// its own way to the store, and through for the way through a peer.
+// NewFollower returns a host that knows the other hosts and follows lead as leader. Its direct
+// route to the store is direct, and through is its route through a peer.
 func NewFollower(t *testing.T, log *slog.Logger, name string, others []string, leader string, direct store.Log, through func(ctx context.Context, peer string, c store.Call) (store.Answer, error)) *Follower {
 	h, err := New(Settings{Name: name, Parts: 1}, log, time.Now)
 	require.NoError(t, err)
@@ -197,7 +199,7 @@
 	return &Follower{h}
 }
 
-// throughPeers asks the peers that a host would ask, another way than it would.
+// throughPeers calls the peers that a host would call, but by another route.
 type throughPeers struct {
 	h       *Host
 	through func(ctx context.Context, peer string, c store.Call) (store.Answer, error)
@@ -209,7 +211,7 @@
 	return p.through(ctx, peer, c)
 }
 
-// Run follows until the host is stopped.
+// Run follows the table until the host is stopped.
 func (f *Follower) Run() {
 	f.wg.Go(func() { f.follow(platform.TableTopic, f.applyTable) })
 	f.wg.Go(func() {
@@ -226,7 +228,7 @@
 	f.wg.Wait()
 }
 
-// Version is the version of the table in force, 0 without one.
+// Version returns the version of the table in force, or 0 if there is none.
 func (f *Follower) Version() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -239,15 +241,16 @@
 // Peers lists the peers that the host would ask.
 func (f *Follower) Peers() []string { return relay{f.Host}.Peers() }
 
-// FirstAccepting is the first host that says yes.
+// FirstAccepting returns the first host for which ask returns true.
 func FirstAccepting(ctx context.Context, hosts []string, ask func(ctx context.Context, name string) bool) string {
 	return firstAccepting(ctx, hosts, ask)
 }
 
-// SpacedSample picks hosts that lie far from each other.
+// SpacedSample picks hosts at equal distances in the list.
 func SpacedSample(all []string, n int) []string { return spacedSample(all, n) }
 
-// LoseLeader has the host, as its heir, notice that a lead's connection has ended.
+// LoseLeader makes the host the standby of a leader and then reports the loss of its connection
+// to that leader.
 func (h *Host) LoseLeader(name string) {
 	h.mu.Lock()
 	h.leader, h.standby = name, h.cfg.Name
@@ -255,11 +258,12 @@
 	h.onPeerLost(name)
 }
 
-// IsProcessGone tells whether the host takes another one's process for gone.
+// IsProcessGone reports whether the host considers another host's process ended.
 func (h *Host) IsProcessGone(name string) bool { return h.isProcessGone(name) }
 
-// NewWithTransport returns a host that reaches its peers by dial and the store by log, and is
-// reached through ln. What it is asked passes before first.
+// NewWithTransport returns a host that connects to its peers with dial, uses direct as its route
+// to the store, and accepts connections from ln. before is called before each incoming message is
+// handled.
 func NewWithTransport(cfg Settings, log *slog.Logger, direct store.Log, dial func(ctx context.Context, addr netip.AddrPort) (net.Conn, error), ln net.Listener, before func(ctx context.Context)) (*Host, error) {
 	h, err := New(cfg, log, time.Now)
 	if err != nil {
@@ -278,8 +282,8 @@
 	return h, nil
 }
 
-// StoreProgress has a lead store something, as it does for each job that goes on; false if the
-// host does not lead.
+// StoreProgress makes a leader store something, as it does for each job in progress. It returns
+// false if the host does not lead.
 func (h *Host) StoreProgress(id string) bool {
 	h.mu.Lock()
 	t := h.ownTerm
@@ -292,20 +296,21 @@
 	return true
 }
 
-// Name is the host's name.
+// Name returns the host's name.
 func (h *Host) Name() string { return h.cfg.Name }
 
 // SetHosts replaces the hosts that the host knows.
 func (h *Host) SetHosts(all map[string]netip.AddrPort) { h.setHosts(all) }
 
-// LeaderAlive asks the lead whether it leads, and tells whether it does or works nevertheless.
+// LeaderAlive asks the leader whether it leads, and reports whether it does or is alive
+// nevertheless.
 func (h *Host) LeaderAlive() bool {
 	name, _ := h.currentLeader()
 	leads, before := h.checkLeader(name)
 	return leads || h.isLeaderAlive(before)
 }
 
-// KnowsFinalStates tells whether the host was told that all these jobs have ended.
+// KnowsFinalStates reports whether the host has learned the final states of all these jobs.
 func (h *Host) KnowsFinalStates(ids ...string) bool {
 	for _, id := range ids {
 		if _, ok := h.states.final(id); !ok {
@@ -315,11 +320,11 @@
 	return true
 }
 
-// State is what the host tells another one of a job.
+// State returns the host's reply to another host's question for a job's state.
 func (h *Host) State(id string) peer.StateReply { return h.localState(id) }
 
-// StateDuringPoll has another host ask the lead for a job that it does not know, and the lead read
-// the store and find the job as soon as its core is free. It returns the answer.
+// StateDuringPoll has another host ask the leader for a job that it does not know. As soon as the
+// scheduler core is free, the leader polls the store and finds the job. It returns the reply.
 func (h *Host) StateDuringPoll(id string) peer.StateReply {
 	h.mu.Lock()
 	t := h.ownTerm
@@ -343,18 +348,19 @@
 	return <-reported
 }
 
-// SyncReply is what the host answers to another one that was told final states of a term.
+// SyncReply returns the host's reply to another host that has received the final states of a term
+// up to a sequence number.
 func (h *Host) SyncReply(term int64, reported int) peer.SyncReply {
 	return h.syncReply(peer.Sync{Term: term, Endings: reported})
 }
 
-// SyncPositionAfter is up to where the host was told final states, after an answer to its sync.
+// SyncPositionAfter returns up to where the host has received final states after a sync reply.
 func (h *Host) SyncPositionAfter(r peer.SyncReply) (term int64, next int) {
 	h.states.addFromLeader(r)
 	return h.states.syncPosition()
 }
 
-// BlockCore keeps the lead's core busy until the returned function is called.
+// BlockCore keeps the leader's scheduler core busy until the returned function is called.
 func (h *Host) BlockCore() func() {
 	h.mu.Lock()
 	t := h.ownTerm
@@ -363,14 +369,14 @@
 	return t.mu.Unlock
 }
 
-// FinalStates are the final states of a term.
+// FinalStates exposes the final states of a term.
 type FinalStates struct{ finalStates }
 
-// Add adds one.
+// Add adds a final state.
 func (e *FinalStates) Add(id string, state flow.State, now time.Time) { e.add(id, state, now) }
 
-// From returns jobs by state from a number on.
+// From returns jobs by state, starting at a sequence number.
 func (e *FinalStates) From(n int) (map[flow.State][]string, int) { return e.from(n) }
 
-// Drop forgets old ones.
+// Drop removes old final states.
 func (e *FinalStates) Drop(before time.Time) { e.drop(before) }
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// followReadWait is how long a read waits for records. It bounds how long a
-	// connection that has gone silent delays a new table: the table has to be in
-	// force within two seconds.
+	// followReadWait is how long a read waits for records. It limits how long a connection that
+	// no longer answers delays a new table, which has to be in force within two seconds.
 	followReadWait = 1300 * time.Millisecond
-	// followRetry is the pause after a read that failed, followPause the least time
-	// between two that brought nothing.
+	// followRetry is the pause after a failed read, followMinInterval the minimum time between
+	// two reads that returned no records.
 	followRetry       = 200 * time.Millisecond
 	followMinInterval = 400 * time.Millisecond
 )
 
-// follow hands all records of a topic to read, the newest of each key first.
+// follow passes all records of a topic to read: first the newest record of each key, then new
+// records as they arrive.
 func (h *Host) follow(topic string, read func([]store.Record)) {
 	for h.ctx.Err() == nil {
 		all, from, err := store.Table(h.ctx, h.store, topic, 0)
@@ -38,8 +38,8 @@
 	}
 }
 
-// trackReadFailure tells when a topic cannot be read any more and when it is read again: what the
-// host believes of it may be old by as much.
+// trackReadFailure logs when a topic can no longer be read and when it can be read again. What
+// the host knows of the topic may be out of date by that time.
 func (h *Host) trackReadFailure(topic string, from int64, err error) {
 	h.mu.Lock()
 	since, lost := h.failedSince[topic]
@@ -62,14 +62,15 @@
 	}
 }
 
-// followFrom returns when records were deleted and the topic has to be read anew.
+// followFrom reads a topic from an offset on. It returns if records were deleted, so that the
+// topic has to be read from the beginning.
 func (h *Host) followFrom(topic string, from int64, read func([]store.Record)) {
 	for h.ctx.Err() == nil {
 		began := h.now()
 		a, err := h.store.Do(h.ctx, store.Call{Op: store.Read, Topic: topic, From: from, Wait: followReadWait})
 		var trimmed *store.TrimmedError
 		if errors.As(err, &trimmed) {
-			h.log.Info("follow: history is gone.", "topic", topic, "from", from, "first", trimmed.First)
+			h.log.Info("follow: records were deleted, reading the topic again.", "topic", topic, "from", from, "first", trimmed.First)
 			return
 		}
 		h.trackReadFailure(topic, from, err)
@@ -82,14 +83,14 @@
 		}
 		from += int64(len(a.Records))
 		if len(a.Records) == 0 {
-			// While the direct way is silent, reads do not wait for records.
+			// While the direct route is silent, reads do not wait for records.
 			sleep(h.ctx, followMinInterval-h.now().Sub(began))
 		}
 	}
 }
 
-// applyTable takes the newest table. A version below the one in force is a
-// record that was read twice, and is passed over: the table never goes back.
+// applyTable adopts the newest table. A table with a lower version than the one in force is a
+// record that was read twice. It is ignored, so that the table never goes back.
 func (h *Host) applyTable(all []store.Record) {
 	for _, r := range all {
 		if r.Key != platform.TableKey || len(r.Value) == 0 {
@@ -97,7 +98,7 @@
 		}
 		t, err := platform.ParseTable(r.Value)
 		if err != nil {
-			h.log.Error("table: record cannot be read.", "offset", r.Offset, "err", err)
+			h.log.Error("table: record cannot be decoded.", "offset", r.Offset, "err", err)
 			continue
 		}
 		h.setTable(&t)
@@ -110,7 +111,7 @@
 	if old != nil && t.Version <= old.Version {
 		h.mu.Unlock()
 		if t.Version < old.Version {
-			h.log.Info("table: an older one is passed over.", "version", t.Version, "have", old.Version)
+			h.log.Info("table: older version ignored.", "version", t.Version, "have", old.Version)
 		}
 		return
 	}
@@ -132,7 +133,7 @@
 	return ev
 }
 
-// leaderRecord tells who leads.
+// leaderRecord announces the leader of a term.
 type leaderRecord struct {
 	Name string         `json:"name"`
 	Addr netip.AddrPort `json:"addr"`
@@ -140,7 +141,7 @@
 }
 
 const (
-	// leaderTopic tells all hosts who leads, under leadKey.
+	// leaderTopic announces the leader to all hosts, in the record with the key leaderKey.
 	leaderTopic = "lead"
 	leaderKey   = "0"
 )
@@ -174,10 +175,10 @@
 	if l.Name != h.cfg.Name && l.Addr.IsValid() {
 		h.peers.Set(l.Name, l.Addr)
 	}
-	h.log.Info("lead: another term.", "host", l.Name, "term", l.Term)
+	h.log.Info("lead: new term announced.", "host", l.Name, "term", l.Term)
 	if l.Name != h.cfg.Name {
-		// It asks the policy service only through hosts that it heard of. After a loss
-		// of all power it has heard of none, and work would wait for the next sync.
+		// The leader asks the policy service only through hosts that have contacted it. After a
+		// power failure of all hosts none has, and work would wait for the next periodic sync.
 		h.wg.Go(func() { h.syncWithLeader(l.Name) })
 	}
 	if t != nil && t.number < l.Term {
@@ -185,10 +186,10 @@
 	}
 }
 
-// switchLeader has the host follow another lead; mu is held.
+// switchLeader makes the host follow another leader. mu is held.
 func (h *Host) switchLeader(name string) {
 	if h.leader != "" && h.leader != name {
-		// Nobody had told of it: whoever claimed believed the lead to be gone.
+		// The change was not announced: the host that claimed believed that the leader was dead.
 		at, previous := h.now(), h.leader
 		h.leaderChanges = append(h.recentLeaderChanges(), at)
 		if previous != h.cfg.Name {
@@ -199,11 +200,11 @@
 	h.leaderSince, h.unansweredSince, h.lastLateReply = h.now(), time.Time{}, time.Time{}
 }
 
-// announceRetry is the pause before an announcement without an answer is repeated.
+// announceRetry is the pause before an announcement without a reply is repeated.
 const announceRetry = 300 * time.Millisecond
 
-// announce tells all hosts that this one leads, and goes on until it is stored: a
-// host that never hears of it asks the former lead for ever.
+// announce tells all hosts that this one leads. It is repeated until it is stored, because a host
+// that never receives it would ask the previous leader forever.
 func (h *Host) announce(t *term) {
 	l := leaderRecord{Name: h.cfg.Name, Addr: h.cfg.Listen.Peer, Term: t.number}
 	h.setLeader(l)
@@ -219,7 +220,7 @@
 			if err == nil || t.ctx.Err() != nil {
 				return
 			}
-			h.log.Warn("lead: announcement has no answer.", "term", t.number, "err", err)
+			h.log.Warn("lead: announcement not confirmed.", "term", t.number, "err", err)
 			if !sleep(t.ctx, announceRetry) {
 				return
 			}
--- a/internal/entry/group.go
+++ b/internal/entry/group.go
@@ -13,42 +13,43 @@
 )
 
 const (
-	// candidateGroup is the candidateGroup of the hosts that stand ready to lead. Whoever holds the
-	// first partition of leadTopic should: it says who tries, never who may. Other
-	// hosts are in observers, which says nothing; being in one of the two shows a
-	// host that the store serves it.
+	// candidateGroup is the group of the hosts that are candidates for the lead. The holder of
+	// the first partition of leaderTopic is the host that should try to lead; the group does not
+	// decide who may lead. The other hosts are in observerGroup, which has no further meaning.
+	// Membership in one of the two groups shows a host that the store serves it.
 	candidateGroup = "hosts"
 	observerGroup  = "others"
-	// joinInterval and joinTTL keep a host in its group: a host that is gone is
-	// noticed within joinTTL and a joinInterval, for a tenth of a call each.
+	// joinInterval and joinTTL keep a host in its group. A dead host is noticed within joinTTL
+	// plus joinInterval, where each join counts as a tenth of a call.
 	joinInterval = 200 * time.Millisecond
 	joinTTL      = time.Second
-	// joinTimeout bounds a join, at a store that answers as usual: a hundred times what it
-	// takes. It is the call that finds out when a silent store is back: what was sent into
-	// the silence is never answered, and for as long as it is waited for callers are
-	// refused although the store serves again. joinSlower is by how many usual answers it
-	// waits at a slow store.
+	// joinTimeout limits a join call while the store answers as usual; it is a hundred times what
+	// such a call takes. The join call is the one that finds out that a silent store answers
+	// again. Calls that were sent during the silence are never answered, and for as long as the
+	// host waits for them it refuses callers although the store serves again. While the store is
+	// slow, the timeout is joinTimeoutFactor times its usual response time.
 	joinTimeout       = 400 * time.Millisecond
 	joinTimeoutFactor = 3
-	// minStrongHosts is how many hosts have to be much stronger than one that does not
-	// stand ready to lead: of three, two may be lost.
+	// minStrongHosts is how many hosts have to be much stronger than a host before that host
+	// stops being a candidate. Of three, two may be lost.
 	minStrongHosts = 3
-	// strongPowerValidity is how long the lead's word on them holds: three of its answers.
-	// Without a lead for so long every host stands ready.
+	// strongPowerValidity is how long the leader's report of strongPower is valid: three of its
+	// replies. After that time without a leader every host is a candidate.
 	strongPowerValidity = 3500 * time.Millisecond
 )
 
-// incarnationBase is the base of the number that names a life of a host, the nanosecond
-// in which it began.
+// incarnationBase is the number base in which an incarnation is written. An incarnation is
+// identified by the nanosecond in which it started.
 const incarnationBase = 36
 
-// memberName is how the group knows this life of the host: name, address, life,
-// power.
+// memberName is the name of this incarnation of the host in its group: name, address, incarnation
+// and power.
 func (h *Host) memberName() string {
 	return h.cfg.Name + " " + h.cfg.Listen.Peer.String() + " " + h.incarnation() + " " + strconv.FormatFloat(h.cfg.Power, 'g', -1, 64)
 }
 
-// parseMember reads a member's name; false if it is none of ours.
+// parseMember parses a member's name. It returns false if the name does not have the format of
+// memberName.
 func parseMember(s string) (string, hostInfo, bool) {
 	fields := strings.Fields(s)
 	if len(fields) < 4 {
@@ -66,9 +67,9 @@
 	return fields[0], hostInfo{addr: addr, power: power, began: time.Unix(0, began)}, err == nil
 }
 
-// removePreviousIncarnations takes former lives of this host out of the group. They are over,
-// and the group would keep their places for joinTTL: after a loss of all power
-// nobody would lead for that long.
+// removePreviousIncarnations removes previous incarnations of this host from the candidate group.
+// They have ended, but the group would keep their membership for joinTTL, and after a power
+// failure of all hosts no host would lead for that long.
 func (h *Host) removePreviousIncarnations() {
 	a, err := h.store.Do(h.ctx, store.Call{Op: store.Owners, Group: candidateGroup})
 	if err != nil {
@@ -82,22 +83,22 @@
 		}
 		left[s.Member] = true
 		if _, err := h.store.Do(h.ctx, store.Call{Op: store.Leave, Group: candidateGroup, Member: s.Member}); err != nil {
-			h.log.Warn("entry: former life stays in the group.", "member", s.Member, "err", err)
+			h.log.Warn("entry: previous incarnation cannot be removed from the group.", "member", s.Member, "err", err)
 		}
 	}
 }
 
-// isCandidate tells whether the host should stand ready to lead. Where hosts differ,
-// a weak one that the group names leads so slowly that it cannot even be asked to
-// leave the lead to another; nearly no job would be served in time.
+// isCandidate reports whether the host should be a candidate for the lead. If hosts differ in
+// power, a weak host would lead so slowly that it could not even be asked to hand over the lead,
+// and nearly no job would be finished in time.
 func (h *Host) isCandidate() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.ownTerm != nil || h.cfg.Power*strongerFactor > h.strongPower || h.now().Sub(h.lastSync) > strongPowerValidity
 }
 
-// minStrongPower is the power of the weakest of the enoughHosts strongest hosts;
-// zero if there are fewer. mu is held.
+// minStrongPower returns the power of the weakest among the minStrongHosts strongest hosts, or
+// zero if there are fewer hosts. mu is held.
 func (h *Host) minStrongPower() float64 {
 	powers := []float64{h.cfg.Power}
 	for _, s := range h.peersSeen {
@@ -112,7 +113,7 @@
 	return powers[len(powers)-minStrongHosts]
 }
 
-// maintainMembership keeps the host in its group for as long as it lives.
+// maintainMembership keeps the host in its group until the host stops.
 func (h *Host) maintainMembership() {
 	h.resumeTerm()
 	h.removePreviousIncarnations()
@@ -133,7 +134,8 @@
 		if err == nil {
 			generation = a.Generation
 			if in == candidateGroup && slices.ContainsFunc(a.Shares, func(s store.Share) bool { return s.Part == 0 }) {
-				// It may wait for an answer; the host must not lapse meanwhile.
+				// considerClaim may wait for a reply; the membership must not expire in the
+				// meantime.
 				h.wg.Go(h.considerClaim)
 			}
 		}
@@ -141,7 +143,7 @@
 	}
 }
 
-// join takes or keeps the host's place in a group.
+// join joins a group or renews the host's membership.
 func (h *Host) join(name string, generation int64) (store.Answer, error) {
 	ctx, cancel := context.WithTimeout(h.ctx, max(joinTimeout, joinTimeoutFactor*h.store.Usual()))
 	defer cancel()
@@ -150,7 +152,8 @@
 	})
 }
 
-// leaveGroup gives up the host's place; what it held is dealt to others at once.
+// leaveGroup ends the host's membership. The store assigns its partitions to other members at
+// once.
 func (h *Host) leaveGroup(name string) {
 	if name == "" {
 		return
@@ -168,7 +171,7 @@
 	return h.leaving
 }
 
-// readHosts reads from the store which hosts there are.
+// readHosts reads the current hosts from the store.
 func (h *Host) readHosts() {
 	a, err := h.store.Do(h.ctx, store.Call{Op: store.Owners, Group: candidateGroup})
 	if err != nil {
--- a/internal/entry/heir.go
+++ b/internal/entry/heir.go
@@ -8,25 +8,28 @@
 	"pollencroft/internal/peer"
 )
 
-// A lead whose process dies says nothing more, and the group at the store notices it only
-// when the lead's place has lapsed. But the connections of a dead process are closed by
-// its host, and new ones are refused: whoever was connected knows within a millisecond
-// that it gives no orders any more. So a lead tells all hosts who is to lead after it, its
-// heir, and that one claims at once. It says who tries; the store still says who may.
+// A leader whose process dies sends nothing more, and the candidate group at the store notices it
+// only when the leader's membership has expired. But the operating system closes the connections
+// of a dead process and refuses new ones, so every connected host knows within a millisecond that
+// the leader sends no more orders. The leader therefore tells all hosts which of them is its
+// standby, and the standby claims the lead at once. This only decides who tries to lead; the
+// store still decides who may.
 
 const (
-	// goneTimeout bounds the question whether a process is gone, goneAgain is the pause before
-	// it is asked again. A refusal takes one way to the host and back.
+	// goneTimeout limits the check whether a process has ended, goneRetry is the pause before it
+	// is repeated. A refused connection takes one round trip.
 	goneTimeout = 100 * time.Millisecond
 	goneRetry   = 15 * time.Millisecond
-	// followsTimeout bounds the question whom other hosts follow, a few ways to a host and
-	// back: after a loss of all power nobody answers it, and nothing is led meanwhile.
+	// followsTimeout limits the question which leader other hosts follow, and allows for a few
+	// round trips. After a power failure of all hosts nobody answers it, and nothing is scheduled
+	// in the meantime.
 	followsTimeout = 50 * time.Millisecond
-	// maxConcurrentAsks is how many hosts are asked at once.
+	// maxConcurrentAsks is how many hosts are asked at the same time.
 	maxConcurrentAsks = 3
 )
 
-// onPeerLost is called when a connection to a host has ended. A host that leaves begins nothing.
+// onPeerLost is called when a connection to a host has ended. A host that is stopping does not
+// start a claim.
 func (h *Host) onPeerLost(name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -35,9 +38,10 @@
 	}
 }
 
-// isProcessGone tells whether a host's process is gone. A process that dies closes its connections
-// and its port one by one. Asked once, the port may still be open, the heir would take the lead
-// for alive, and nothing would be started until the group notices.
+// isProcessGone reports whether a host's process has ended. A process that dies closes its
+// connections and its listener one by one. If the standby checked only once, the listener could
+// still be open, the standby would take the leader for alive, and nothing would be started until
+// the candidate group notices.
 func (h *Host) isProcessGone(leader string) bool {
 	ctx, cancel := context.WithTimeout(h.ctx, goneTimeout)
 	defer cancel()
@@ -49,14 +53,14 @@
 	return true
 }
 
-// takeOver claims if the lead's process is gone.
+// takeOver claims the lead if the leader's process has ended.
 func (h *Host) takeOver(leader string) {
 	if !h.isProcessGone(leader) {
 		return
 	}
 	term := h.currentTerm()
-	h.log.Info("lead: its process is gone.", "host", leader, "term", term)
-	// Others would claim beside this one, above all the dead one's next life.
+	h.log.Info("lead: the leader's process has ended.", "host", leader, "term", term)
+	// Other hosts would claim at the same time, especially the next incarnation of the dead host.
 	succeed := peer.Succeed{Term: term, Successor: h.cfg.Name}
 	for _, p := range h.otherHosts() {
 		if p == leader {
@@ -71,8 +75,8 @@
 	h.claim("the lead's process is gone")
 }
 
-// chooseStandby is whom the lead wants to lead after it: the strongest host, of equals the one
-// that began last.
+// chooseStandby returns the host that is to take over if this leader dies: the strongest host,
+// and among equally strong ones the one that started last.
 func (h *Host) chooseStandby() string {
 	if all := h.successors(); len(all) > 0 {
 		return all[0]
@@ -80,9 +84,10 @@
 	return ""
 }
 
-// leaderOfOthers is the host that others follow instead of this one, if that one leads or is
-// about to; empty if there is none. A lead that comes back at once would otherwise claim
-// beside its heir, and at a slow store two claims cost each other seconds.
+// leaderOfOthers returns the host that other hosts follow instead of this one, if that host leads
+// or is about to. It returns "" if there is none. Without this check a leader that restarts at
+// once would claim at the same time as its standby, and at a slow store two concurrent claims
+// cost each other seconds.
 func (h *Host) leaderOfOthers() string {
 	ctx, cancel := context.WithTimeout(h.ctx, followsTimeout)
 	defer cancel()
@@ -106,8 +111,8 @@
 	return ""
 }
 
-// spacedSample picks n hosts that lie far from each other in the list: those of a failure domain
-// often stand together in it, and may all be cut off.
+// spacedSample picks n hosts at equal distances in the list. Hosts of one failure domain are
+// often next to each other in the list, and all of them may be cut off.
 func spacedSample(all []string, n int) []string {
 	n = min(n, len(all))
 	some := make([]string, n)
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -1,6 +1,6 @@
-// Package entry is one entry host on the users' platform: it takes jobs from
-// callers, stores them, and with luck leads the workers. Every host is the same
-// and keeps nothing; what must last lies in the platform's store.
+// Package entry implements an entry host on the users' platform. An entry host accepts jobs from
+// callers and stores them, and one of the entry hosts leads the workers. All entry hosts are
+// alike and keep nothing on disk; everything that must persist is in the platform's store.
 package entry
 
 import (
@@ -25,12 +25,12 @@
 	"pollencroft/platform"
 )
 
-// Host is one entry host.
+// Host is an entry host.
 type Host struct {
 	cfg Settings
 	log *slog.Logger
 	now func() time.Time
-	// startedAt is when this life of the host did; it names the life.
+	// startedAt is when this process started. It identifies the incarnation of the host.
 	startedAt time.Time
 	store     *store.Routed
 	workers   *platform.Workers
@@ -46,52 +46,56 @@
 
 	mu    sync.Mutex
 	table *platform.Table
-	// hosts are the entry hosts by name; lead is the one that leads, in term.
+	// hosts holds the addresses of the entry hosts by name. leader is the current leader, and
+	// term is its term.
 	hosts  map[string]netip.AddrPort
 	leader string
 	term   int64
-	// previousLeader is the host that led before, as far as is known. bounds are what it
-	// told at its stop, at boundsAt.
+	// previousLeader is the last known leader before the current one. handoverBounds are the
+	// lease bounds that it sent when it stepped down, received at handoverBoundsAt.
 	previousLeader   string
 	handoverBounds   map[string]time.Duration
 	handoverBoundsAt time.Time
-	// pending is how many jobs of each queue wait, as the lead said last.
+	// pending is the number of waiting jobs by queue, as last reported by the leader.
 	pending   map[string]int
 	pendingAt time.Time
-	// ownTerm is the term that this host leads; nil when it does not.
+	// ownTerm is the term in which this host leads; nil if it does not lead.
 	ownTerm *term
-	// leaderSince is when this host heard of the lead first, unansweredSince when it asked that one
-	// first since the last answer, lastLateReply when an answer came too late, lastSync when one
-	// came in time, lastDelegation when this host asked another one to lead.
+	// leaderSince is when this host learned of the leader. unansweredSince is when it sent the
+	// leader the first request since the leader's last reply. lastLateReply is when a reply
+	// arrived after its timeout, lastSync when one arrived in time. lastDelegation is when this
+	// host last asked another one to lead.
 	leaderSince, unansweredSince, lastLateReply, lastSync, lastDelegation time.Time
-	// leaderChanges are when the lead changed of late and nobody had told that it would, without
-	// those that turned out right.
+	// leaderChanges are the times of recent leader changes that were not announced beforehand,
+	// except those that proved to be right.
 	leaderChanges []time.Time
-	// strongPower is the power of which, as the lead says, there are strongPower hosts to lead.
+	// strongPower is the power that minStrongHosts hosts reach, as reported by the leader; see
+	// minStrongPower.
 	strongPower float64
-	// unresponsive is the host that left the last question about who leads without an answer,
-	// at muteAt.
+	// unresponsive is the host that did not answer the last question whether it leads, asked at
+	// unresponsiveAt.
 	unresponsive   string
 	unresponsiveAt time.Time
-	// electionMu is held while the host asks whether it should lead, claimMu while it
-	// tries to; claiming tells of the latter.
+	// electionMu is held while the host checks whether it should lead, claimMu while it tries to
+	// begin a term. claiming reports the latter to other hosts.
 	electionMu, claimMu sync.Mutex
 	claiming, leaving   bool
 	// successor is the host that this one asked to lead in its place.
 	successor string
-	// standby is the host that the lead wants to lead if it dies.
+	// standby is the host that is to take over if the leader's process dies, as designated by the
+	// leader.
 	standby string
-	// accepted are the jobs that this host accepted lately, seen the hosts that asked
-	// it.
+	// accepted holds the jobs that this host accepted recently. peersSeen holds the hosts that
+	// sent requests to this one.
 	accepted  map[string]time.Time
 	peersSeen map[string]hostInfo
-	// wasReady is what the balancer was told last.
+	// wasReady is the last readiness reported to the load balancer.
 	wasReady bool
-	// failedSince are the topics whose last read failed, and since when.
+	// failedSince holds the topics whose last read failed, with the time of the first failure.
 	failedSince map[string]time.Time
 }
 
-// New returns a host that is not started.
+// New returns a host that has not been started.
 func New(cfg Settings, log *slog.Logger, now func() time.Time) (*Host, error) {
 	c := platform.New()
 	h := &Host{
@@ -122,13 +126,13 @@
 
 func (h *Host) incCounter(name string) { metrics.GetOrRegisterCounter(name, h.metrics).Inc(1) }
 
-// observe adds to a histogram.
+// observe adds a duration to a histogram.
 func (h *Host) observe(name string, d time.Duration) {
 	metrics.GetOrRegisterTimer(name, h.metrics).Update(d)
 }
 
-// observeWait adds to the histograms of what steps wait for, by the rank of their queue: queues
-// come and go with the table, and ranks are few.
+// observeWait updates the histograms of the reasons for which steps wait. They are kept by the
+// rank of the queue, because queues come and go with the table and there are only a few ranks.
 func (h *Host) observeWait(w sched.StepWaited) {
 	h.observe(fmt.Sprintf("step.wait.rank%d", w.Rank), w.Times.Total())
 	for r, d := range w.Times {
@@ -141,16 +145,16 @@
 func (h *Host) storeChanged(c store.Call, ok bool, err error) {
 	what := slog.String("what", c.Topic+c.Group)
 	if ok {
-		h.log.Info("store: answers this host again.", what, "part", c.Part)
+		h.log.Info("store: serves this host again.", what, "part", c.Part)
 		return
 	}
 	h.incCounter("store.lost")
 	h.log.Warn("store: does not serve this host.", what, "part", c.Part, "err", err)
 }
 
-// Start listens and begins to follow the platform.
+// Start opens the listeners and starts to follow the platform's topics.
 func (h *Host) Start() error {
-	h.log.Info("entry: start.", "host", h.cfg.Name, "life", h.incarnation(), "domain", h.cfg.Domain)
+	h.log.Info("entry: starting.", "host", h.cfg.Name, "life", h.incarnation(), "domain", h.cfg.Domain)
 	var lc net.ListenConfig
 	open := func(addr netip.AddrPort) (net.Listener, error) {
 		ln, err := lc.Listen(h.ctx, "tcp", addr.String())
@@ -197,15 +201,15 @@
 	return nil
 }
 
-// Bounds of a caller's connection.
+// Timeouts of callers' connections.
 const (
-	// headerTimeout is as long as the table's limits allow a head to take.
+	// headerTimeout is the time that the table's limits allow for reading a request header.
 	headerTimeout = 3 * time.Second
 	// idleTimeout is longer than callers keep connections open between requests.
 	idleTimeout = 30 * time.Second
 )
 
-// Reload takes note of changed settings. Addresses hold until the next start.
+// Reload logs that the settings changed. Changed addresses take effect at the next start.
 func (h *Host) Reload(cfg Settings, err error) {
 	if err != nil {
 		h.log.Error("entry: changed settings cannot be used.", "err", err)
@@ -215,17 +219,17 @@
 }
 
 const (
-	// drainWait is how long a stopping host goes on serving after it has turned
-	// not ready: two looks of the balancer, a second apart, and what was on its
-	// way then.
+	// drainWait is how long a stopping host continues to serve after it has reported itself not
+	// ready. It covers two checks of the load balancer, a second apart, and the requests that
+	// were under way then.
 	drainWait = 2500 * time.Millisecond
-	// shutdownTimeout is how long requests under way have after that; a stop in all has
-	// to fit the platform's grace.
+	// shutdownTimeout is how long requests in progress have after that. The whole stop has to fit
+	// into the platform's grace period.
 	shutdownTimeout = 1500 * time.Millisecond
 )
 
-// Stop ends the host in good order: another one leads, callers go elsewhere,
-// what is under way is answered.
+// Stop shuts the host down gracefully: another host takes over the lead, callers are directed to
+// other hosts, and requests in progress are answered.
 func (h *Host) Stop() {
 	h.log.Info("entry: planned stop.", "host", h.cfg.Name, "peak-mib", peakMemory())
 	h.mu.Lock()
@@ -247,7 +251,7 @@
 	h.log.Info("entry: stopped.", "host", h.cfg.Name)
 }
 
-// sleep sleeps; false when ctx has ended.
+// sleep waits for d. It returns false if ctx has ended.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -262,9 +266,9 @@
 	}
 }
 
-// otherHosts lists the other hosts' names, the lead first: it is the one that the store most
-// likely serves. The rest follow in order of name from this host's on, so that hosts that
-// the store turns away do not all ask the same ones.
+// otherHosts lists the names of the other hosts. The leader comes first because it is the host
+// that the store most likely serves. The others follow in name order, starting after this host,
+// so that hosts that the store does not serve do not all ask the same peers.
 func (h *Host) otherHosts() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -285,11 +289,12 @@
 	return all
 }
 
-// setHosts replaces the entry hosts.
+// setHosts replaces the set of entry hosts.
 func (h *Host) setHosts(all map[string]netip.AddrPort) {
 	all[h.cfg.Name] = h.cfg.Listen.Peer
 	h.mu.Lock()
-	// It is added to when another lead is learned, while this one is walked below.
+	// Cloned because setLeader adds to h.hosts, while the loop below ranges over all without the
+	// lock.
 	h.hosts = maps.Clone(all)
 	t := h.ownTerm
 	h.mu.Unlock()
--- a/internal/entry/inbox.go
+++ b/internal/entry/inbox.go
@@ -11,19 +11,20 @@
 	"pollencroft/internal/store"
 )
 
-// jobsTopic holds what callers asked for: specs of jobs under their ids, and
-// cancellations under the id with cancelMark. Each host appends to a partition
-// of its own as far as there are enough: a partition takes one append at a time,
-// and when the store is slow the hosts would wait for each other.
+// jobsTopic holds the requests of callers: job specs under their ids, and cancellations under the
+// id with the suffix cancelMark. Each host appends to a partition of its own as long as there are
+// enough partitions. A partition handles one append at a time, so hosts that share one would wait
+// for each other when the store is slow.
 const (
 	jobsTopic  = "jobs"
 	cancelMark = "!"
 )
 
-// inbox stores what callers hand in, many in one append while one is under way.
+// inbox stores the requests of callers. Requests that arrive while an append is in progress are
+// stored together in the next one.
 type inbox struct {
 	h *Host
-	// parts are where it may append, its own partition first.
+	// parts are the partitions that it may append to, its own one first.
 	parts []int
 	queue chan appendRequest
 }
@@ -35,12 +36,13 @@
 }
 
 const (
-	// maxQueuedRequests is how many may wait for the next append; more are turned away.
+	// maxQueuedRequests limits the requests that wait for the next append; further requests are
+	// refused.
 	maxQueuedRequests = 512
-	// maxAppendBytes keeps one append below the store's bound on a call.
+	// maxAppendBytes keeps an append below the store's size limit for a call.
 	maxAppendBytes = 1 << 20
-	// storeFreshness is how long ago the store may have answered when a job is sent to
-	// it: two of the host's own calls have failed by then.
+	// storeFreshness is how recently the store must have answered for a job to be sent to it. Two
+	// of the host's own calls have failed after that time.
 	storeFreshness = 900 * time.Millisecond
 	// unansweredRetry is the pause before an append without an answer is repeated.
 	unansweredRetry = 60 * time.Millisecond
@@ -51,12 +53,13 @@
 	return &inbox{h: h, parts: partsFrom(own, h.cfg.Parts), queue: make(chan appendRequest, maxQueuedRequests)}
 }
 
-// append stores a record. After a store.RefusedError it is certain that it is not
-// stored and never will be; after another error nobody knows.
+// append stores a record. If it returns a store.RefusedError, the record is certainly not stored
+// and never will be. After any other error it is unknown whether the record is stored.
 func (b *inbox) append(ctx context.Context, r store.Record) error {
 	if !b.h.store.Fresh(storeFreshness) {
-		// What is sent into a cut has no answer, and its caller could only be told
-		// that nobody knows. What is not sent is certainly not stored.
+		// A request that is sent while the store is unreachable gets no answer, and its caller
+		// could only be told that the outcome is unknown. A request that is not sent is certainly
+		// not stored.
 		return &store.RefusedError{Op: store.Append, Reason: "the store has not answered for a while"}
 	}
 	a := appendRequest{ctx: ctx, record: r, done: make(chan error, 1)}
@@ -99,9 +102,9 @@
 	return all
 }
 
-// appendBatch appends until there is an answer or nobody waits any more, at another
-// partition if the host's own one is down. An append that is repeated says the same
-// under the same keys.
+// appendBatch appends until the store answers or no request waits any more. If the host's own
+// partition is down, it uses another one. A repeated append has the same records under the same
+// keys.
 func (b *inbox) appendBatch(all []appendRequest) {
 	records := make([]store.Record, len(all))
 	for i, a := range all {
@@ -148,15 +151,16 @@
 }
 
 const (
-	// notifyTries is how often a lead is told of what is stored, handAgain the pause
-	// between: until another one has taken over and looks for itself.
+	// notifyTries is how often a leader is notified of stored records, notifyInterval the pause
+	// between the tries. Together they last until another host has taken over and reads the
+	// records itself.
 	notifyTries    = 12
 	notifyInterval = 150 * time.Millisecond
 )
 
-// notifyLeader tells the lead what is stored, so that it need not look. Whoever leads next
-// is told if it is not the lead any more: a job that is stored while the lead
-// changes would wait for the new one's next look through all partitions.
+// notifyLeader notifies the leader of stored records, so that it does not have to poll for them.
+// If that host no longer leads, the next leader is notified. Without that, a job that is stored
+// while the leader changes would wait for the new leader's next poll of all partitions.
 func (h *Host) notifyLeader(part int, first int64, records []store.Record) {
 	h.wg.Go(func() {
 		for range notifyTries {
@@ -164,11 +168,12 @@
 				return
 			}
 		}
-		h.log.Warn("inbox: no lead was told.", "part", part, "first", first, "records", len(records))
+		h.log.Warn("inbox: no leader could be notified.", "part", part, "first", first, "records", len(records))
 	})
 }
 
-// notifyCurrentLeader tells whoever leads now; false if that host did not take it as the lead.
+// notifyCurrentLeader notifies the current leader. It returns false if that host did not accept
+// the records as the leader.
 func (h *Host) notifyCurrentLeader(part int, first int64, records []store.Record) bool {
 	h.mu.Lock()
 	leader, t := h.leader, h.ownTerm
--- a/internal/entry/journal.go
+++ b/internal/entry/journal.go
@@ -10,44 +10,46 @@
 	"pollencroft/internal/store"
 )
 
-// journal writes the progress of jobs to the store under a term's fence.
+// journal writes the progress of jobs to the store, protected by a term's fence.
 //
-// The store may be down for some partitions and serve the others. With the progress
-// in one partition, nothing would start or be shown as completed for as long as that
-// one is down, and every caller would see his job late. So a partition that does not
-// answer is left for the next one. A record may then lie in several; it carries a
-// version, and the newest counts. A candidate fences all partitions before it reads
-// any, so nothing can be stored behind its back.
+// The store may be down for some partitions and serve the others. If the progress were in a
+// single partition, nothing would start or be shown as completed while that partition is down,
+// and every job would be late for its caller. Therefore a partition that does not answer is
+// replaced by the next one. A record may then be stored in several partitions. It carries a
+// version, and the newest version counts. A candidate fences all partitions before it reads any,
+// so nothing can be stored after they have been read.
 type journal struct {
 	log    store.Log
 	logger *slog.Logger
 	wg     *sync.WaitGroup
 	term   int64
-	// parts is how many partitions there are, readable without mu: the order of writers
-	// changes while appends are under way.
+	// parts is the number of partitions. It is readable without mu, because the order of writers
+	// changes while appends are in progress.
 	parts int
 
 	mu sync.Mutex
-	// writers are the partitions, the one that was served last first.
+	// writers are the partitions, the most recently served one first.
 	writers []*partWriter
 }
 
-// partWriter is one partition as this term writes to it.
+// partWriter is a partition as this term writes to it.
 type partWriter struct {
 	part int
-	// seq numbers the term's next append there; busy tells that one has no answer
-	// yet. It has to be repeated until it has: the store takes no number before the
-	// one that it follows.
+	// seq is the sequence number of the term's next append to the partition. busy reports that an
+	// append has no answer yet. It has to be repeated until it has one, because the store accepts
+	// the sequence numbers only in order.
 	seq  int64
 	busy bool
-	// stored is by job the number of the newest append there that holds its record.
+	// stored is, by job, the number of the newest append in the partition that contains the job's
+	// record.
 	stored map[string]int64
-	// drops are jobs whose record goes with the next append.
+	// drops are the jobs whose record is deleted with the next append.
 	drops []string
 }
 
 const (
-	// maxPendingDrops is how many drops wait for a partition that is not written to.
+	// maxPendingDrops limits the deletions that wait for a partition that is not being written
+	// to.
 	maxPendingDrops = 256
 	// busyPause is the pause while no partition can be appended to.
 	busyPause = 50 * time.Millisecond
@@ -62,10 +64,10 @@
 	return j
 }
 
-// append stores the records of the append of that number in one partition: the first
-// that has no append under way, the next one at once after a refusal, and after
-// patience while there is no answer. It returns an error only if the term cannot go
-// on, or ctx has ended.
+// append stores the records of the append with that number in one partition. It uses the first
+// partition that has no append in progress. It moves on to the next one at once after a refusal,
+// and after timeout while there is no answer. It returns an error only if the term cannot
+// continue or ctx has ended.
 func (j *journal) append(ctx context.Context, number int64, records []store.Record, timeout time.Duration) error {
 	type result struct {
 		w   *partWriter
@@ -106,8 +108,8 @@
 	}
 }
 
-// reserve reserves the first partition without an append under way; nil if there is
-// none but those that failed.
+// reserve reserves the first partition without an append in progress, except those that failed.
+// It returns nil if there is none.
 func (j *journal) reserve(failed map[*partWriter]bool) *partWriter {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -126,20 +128,20 @@
 	w.busy = false
 }
 
-// prefer puts the partitions that refused behind the one that did not.
+// prefer moves w, which did not refuse, to the front if the first partition has failed.
 func (j *journal) prefer(w *partWriter, failed map[*partWriter]bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if !failed[j.writers[0]] {
 		return
 	}
-	j.logger.Info("lead: progress goes to another partition.", "part", w.part, "before", j.writers[0].part, "term", j.term)
+	j.logger.Info("lead: progress is written to another partition.", "part", w.part, "before", j.writers[0].part, "term", j.term)
 	i := slices.Index(j.writers, w)
 	j.writers = slices.Insert(slices.Delete(j.writers, i, i+1), 0, w)
 }
 
-// write appends to one partition and repeats what has no answer under the same
-// number, which the store carries out once. The partition is free again after that.
+// write appends to one partition. An append without an answer is repeated under the same sequence
+// number, so that the store executes it only once. The partition is released after that.
 func (j *journal) write(ctx context.Context, w *partWriter, number int64, records []store.Record) error {
 	c := store.Call{Op: store.Append, Topic: stateTopic, Part: w.part, Keyed: true, Epoch: j.term, Seq: w.seq, Records: w.notYetWritten(number, records)}
 	drops := j.takeDrops(w)
@@ -163,7 +165,7 @@
 			j.release(w)
 			return err
 		case !store.Away(err):
-			j.logger.Warn("lead: partition takes nothing of this term any more.", "part", w.part, "term", j.term, "err", err)
+			j.logger.Warn("lead: partition no longer accepts appends of this term.", "part", w.part, "term", j.term, "err", err)
 			return err
 		}
 		unsure = true
@@ -173,10 +175,10 @@
 	}
 }
 
-// notYetWritten leaves out the records of which the partition holds a newer one. It keeps
-// what was written last, not what has the newest version, and an append that was
-// tried elsewhere in vain may come here after a later one. A successor would take a
-// job that is told as completed for one that runs, and run it again.
+// notYetWritten omits the records of which the partition holds a newer one. The partition keeps
+// the record that was written last, not the one with the newest version, and an append that
+// failed at another partition may arrive here after a later one. A successor would then take a
+// job that was reported as completed for one that is running, and run it again.
 func (w *partWriter) notYetWritten(number int64, records []store.Record) []store.Record {
 	var all []store.Record
 	for _, r := range records {
@@ -187,7 +189,7 @@
 	return all
 }
 
-// recordWritten notes what the append of that number left in the partition.
+// recordWritten records what the append with that number stored in the partition.
 func (w *partWriter) recordWritten(number int64, records []store.Record) {
 	w.seq++
 	for _, r := range records {
@@ -213,7 +215,7 @@
 	w.drops = append(drops, w.drops...)
 }
 
-// drop forgets a job's progress in all partitions, with what is appended there next.
+// drop deletes a job's progress in all partitions, with the next append to each of them.
 func (j *journal) drop(ctx context.Context, id string) {
 	j.mu.Lock()
 	var full []*partWriter
@@ -228,8 +230,8 @@
 	for _, w := range full {
 		j.wg.Go(func() {
 			if err := j.write(ctx, w, 0, nil); err != nil {
-				// They stay for the next append there.
-				j.logger.Warn("lead: ended jobs are not dropped.", "part", w.part, "err", err)
+				// The deletions remain queued for the next append to the partition.
+				j.logger.Warn("lead: ended jobs cannot be deleted from a partition.", "part", w.part, "err", err)
 			}
 		})
 	}
--- a/internal/entry/journal_test.go
+++ b/internal/entry/journal_test.go
@@ -19,7 +19,7 @@
 	"pollencroft/internal/store"
 )
 
-// appendTimeout of the tests' appends; a partition that works answers at once.
+// appendTimeout is the timeout of the tests' appends. A partition that works answers at once.
 const appendTimeout = 30 * time.Millisecond
 
 func newJournal(t *testing.T, term int64) (*users.Log, *entry.Journal) {
@@ -38,7 +38,7 @@
 	require.NoError(t, err)
 }
 
-// newestRecords lists the records of a partition without its claim.
+// newestRecords returns the records of a partition without its claim.
 func newestRecords(t *testing.T, log *users.Log, part int) map[string]string {
 	all, _, err := store.Table(t.Context(), log.For(""), "state", part)
 	require.NoError(t, err)
@@ -51,7 +51,7 @@
 	return got
 }
 
-// lastNumber counts appends.
+// lastNumber is the number of the last append.
 var lastNumber atomic.Int64
 
 func nextNumber() int64 { return lastNumber.Add(1) }
@@ -60,9 +60,9 @@
 	return []store.Record{{Key: key, Value: []byte(value)}}
 }
 
-// The store is down for some partitions, in each way that it can be. What the lead
-// stores goes to another one, at once after a refusal; with one partition for all,
-// nothing would start until it is back, and every job would be late.
+// The store is down for some partitions, in each of the possible ways. The leader's progress is
+// stored in another partition, after a refusal at once. With a single partition, nothing would
+// start until it is back, and every job would be late.
 func TestAPartitionThatIsDownStopsNothing(t *testing.T) {
 	for _, fault := range []users.Fault{users.Busy, users.Silent, users.Lost} {
 		log, b := newJournal(t, 7)
@@ -74,7 +74,8 @@
 		require.Equal(t, map[string]string{"a": "2"}, newestRecords(t, log, 10))
 		log.BreakPart("state", 0, users.None)
 		log.BreakPart("state", 5, users.None)
-		// What had no answer is repeated until it has one; later numbers follow.
+		// An append without an answer is repeated until it has one; appends with higher numbers
+		// follow.
 		for range 40 {
 			require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("a", "3"), appendTimeout))
 		}
@@ -82,8 +83,8 @@
 	}
 }
 
-// Another lead has claimed. Whichever partition the former one turns to, it may
-// store nothing any more; its successor has read them all by then.
+// Another leader has claimed. The previous one can store nothing any more, whichever partition it
+// uses; its successor has read all partitions by then.
 func TestASuccessorFencesEveryPartition(t *testing.T) {
 	for _, down := range []int{0, 5} {
 		log, b := newJournal(t, 7)
@@ -100,7 +101,7 @@
 	}
 }
 
-// While every partition is away the append waits and is not lost.
+// While every partition is unavailable, the append waits and is not lost.
 func TestAnAppendWaitsForAnyPartition(t *testing.T) {
 	log, b := newJournal(t, 7)
 	for _, p := range []int{0, 5, 10} {
@@ -122,8 +123,8 @@
 	require.Equal(t, map[string]string{"a": "1"}, newestRecords(t, log, 5))
 }
 
-// An ended job is forgotten in every partition that may hold its record. Left in
-// one, it would be read as the newest once the others are gone.
+// A deleted job is removed from every partition that may contain its record. A record that
+// remained in one partition would be taken for the newest once the others are gone.
 func TestAForgottenJobIsDroppedEverywhere(t *testing.T) {
 	log, b := newJournal(t, 7)
 	require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("a", "1"), appendTimeout))
@@ -143,9 +144,9 @@
 	}
 }
 
-// The partitions go down one after the other under load, and all hosts die after
-// that. The next lead reads records of several partitions; every job ends as done
-// and no task runs a second time.
+// The partitions go down one after the other under load, and after that all hosts die. The next
+// leader reads records from several partitions. Every job completes, and no task runs a second
+// time.
 func TestJobsOutliveAStoreThatIsPartlyDown(t *testing.T) {
 	c := newCluster(t, 3, 4, 150*time.Millisecond)
 	jobs := 0
@@ -172,8 +173,8 @@
 	}
 }
 
-// The partition to which a host appends jobs is down. The host appends to another
-// one; its callers would be refused otherwise while the host beside it accepts.
+// The partition to which a host appends jobs is down. The host appends to another one; otherwise
+// its callers would be refused while other hosts accept jobs.
 func TestJobsAreAcceptedWhileAPartitionIsDown(t *testing.T) {
 	c := newCluster(t, 2, 2, 50*time.Millisecond)
 	h := c.follower()
@@ -194,9 +195,9 @@
 	require.Empty(t, c.checker.Wrongs())
 }
 
-// An ended job is forgotten while the store does not take the drop of its spec. If
-// its progress were dropped all the same, the next lead would find a job that
-// nothing was done of, and its caller would see a pass spent twice.
+// An ended job is deleted while the store does not accept the deletion of its spec. If its
+// progress were deleted nevertheless, the next leader would find a job without progress and run
+// it again, and its caller would see the same work done twice.
 func TestAJobIsNotRunAgainAfterItIsForgotten(t *testing.T) {
 	c := newCluster(t, 1, 2, 50*time.Millisecond)
 	c.hosts["h0"].Kill()
@@ -219,7 +220,7 @@
 			return body == `{"state":"completed"}`
 		}, waitTimeout, 20*time.Millisecond)
 	}
-	// The next append carries drops, if there are any.
+	// The next append carries the pending deletions, if there are any.
 	completed(1)
 	h.Kill()
 	h = c.start("short")
@@ -230,12 +231,11 @@
 	}
 }
 
-// Appends are under way beside each other while partitions refuse, fall silent and
-// lose answers at random, so an append may be tried at one partition in vain and come
-// to another after a later one. A partition keeps what was written last. Whatever
-// happens, the newest record that is found for a job is at least as new as the last
-// one whose append was told as stored; an older one would run a job again that was
-// told as completed.
+// Several appends are in progress while partitions refuse, do not answer and lose answers at
+// random, so an append may fail at one partition and arrive at another after a later one. A
+// partition keeps the record that was written last. Whatever happens, the newest record found for
+// a job is at least as new as the last one whose append was reported as stored. An older record
+// would make a job run again that was reported as completed.
 func TestTheNewestRecordIsNeverWrittenOver(t *testing.T) {
 	for seed := range uint64(8) {
 		r := rand.New(rand.NewPCG(seed, 0))
@@ -288,10 +288,10 @@
 	}
 }
 
-// Appends are under way beside each other while one partition after the other refuses, so
-// the order in which partitions are tried changes under them all the time. Whoever looked at
-// that order without its lock is told by the race detector: the number of partitions was read
-// so, at the start of each append.
+// Several appends are in progress while one partition after the other refuses, so the order in
+// which partitions are tried changes all the time. The race detector reports any access to that
+// order without its lock: the number of partitions used to be read that way at the start of each
+// append.
 func TestAppendsBesideEachOtherWhilePartitionsTakeTurns(t *testing.T) {
 	log, b := newJournal(t, 7)
 	parts := []int{0, 5, 10}
--- a/internal/entry/load.go
+++ b/internal/entry/load.go
@@ -11,15 +11,16 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// loadInterval is how often a lead tells what it is busy with.
+// loadInterval is how often a leader logs its workload.
 const loadInterval = 5 * time.Second
 
-// loadCounterPrefixes are the counters of what a lead's processor goes to, as prefixes of their names.
+// loadCounterPrefixes are the name prefixes of the counters that show what a leader spends CPU
+// time on.
 var loadCounterPrefixes = []string{"start.", "stop.", "pace.", "hold.", "peer."}
 
-// reportLoad tells every loadEvery, and at the end of the term, what the lead did and what processor
-// time the process took. A lead that is short of processor answers late, is taken for gone and
-// fenced off; from these lines one sees which work it was short for.
+// reportLoad logs, every loadInterval and at the end of the term, what the leader did and how
+// much CPU time the process used. A leader that is short of CPU time answers late, is taken for
+// dead and is fenced off; these lines show which work used the CPU time.
 func (t *term) reportLoad() {
 	was, at, cpu := t.h.loadCounts(), t.h.now(), processorTime()
 	for more := true; more; {
@@ -40,7 +41,7 @@
 	}
 }
 
-// loadCounts are the counters of loadParts now.
+// loadCounts returns the current values of the counters in loadCounterPrefixes.
 func (h *Host) loadCounts() map[string]int64 {
 	all := map[string]int64{}
 	h.metrics.Each(func(name string, m any) {
@@ -52,16 +53,16 @@
 	return all
 }
 
-// processorTime is what this process has used so far.
+// processorTime returns the CPU time that this process has used so far.
 func processorTime() time.Duration {
 	u := usage()
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// peakMemory is the most memory that this process has had, in MiB.
+// peakMemory returns the peak memory use of this process, in MiB.
 func peakMemory() int64 { return usage().Maxrss >> 10 }
 
-// usage is what the system tells of this process; zero if it does not.
+// usage returns the resource usage of this process; zero if the system does not report it.
 func usage() syscall.Rusage {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -10,37 +10,38 @@
 )
 
 const (
-	// claimGrace is how long a host that should lead waits for another one's claim:
-	// twice what a claim takes.
+	// claimGrace is how long a host that should lead waits for another host's claim: twice the
+	// duration of a claim.
 	claimGrace = 150 * time.Millisecond
-	// syncInterval is how often a host asks the lead; what it tells callers may be
+	// syncInterval is how often a host syncs with the leader. What it reports to callers may be
 	// two seconds old.
 	syncInterval = time.Second
-	// askTimeout bounds a question to a peer: ten times what a busy one takes.
+	// askTimeout limits a request to a peer: ten times what a busy peer takes.
 	askTimeout = 400 * time.Millisecond
-	// leaderTimeout is how long a lead may take to say that it leads: a hundred times what
-	// an idle one takes, twice what one takes whose processor's share is used up for a
-	// period. The group names another host only if it heard nothing for joinTTL.
+	// leaderTimeout is how long a leader may take to answer that it leads. It is a hundred times
+	// what an idle leader takes, and twice what one takes whose CPU quota is used up for a
+	// period. The candidate group names another host only if it heard nothing for joinTTL.
 	leaderTimeout = 250 * time.Millisecond
-	// unresponsivePeriod is for how long a host that left that question without an answer is not
-	// asked again: about what a claim takes, after which another one is asked.
+	// unresponsivePeriod is how long a host that did not answer that question is not asked again.
+	// It is about the duration of a claim, after which another host is asked.
 	unresponsivePeriod = 700 * time.Millisecond
-	// newTermPeriod is for how long a new lead is busy with what it took over, and
-	// youngWait how long its answer may take then. Taken for dead it would be fenced
+	// newTermPeriod is how long a new leader is busy with what it took over, newLeaderTimeout how
+	// long it may take to answer during that time. If it were taken for dead, it would be fenced
 	// off, and so would the next one.
 	newTermPeriod    = 3 * time.Second
 	newLeaderTimeout = time.Second
-	// leaderlessTimeout is how long a host is without a lead before it tries whoever the
-	// group names: twice what a change of the lead takes. orphanStep parts the
-	// hosts by what a claim takes.
+	// leaderlessTimeout is how long a host is without a leader before it tries to lead itself,
+	// whichever host the candidate group names. It is twice the duration of a leader change.
+	// leaderlessStep separates the attempts of the hosts by the duration of a claim.
 	leaderlessTimeout = 5 * time.Second
 	leaderlessStep    = time.Second
-	// hostExpiry is how long a host that the lead hears nothing of counts as there:
-	// three of its questions.
+	// hostExpiry is how long a host that the leader does not hear from counts as present: three
+	// sync intervals.
 	hostExpiry = 3500 * time.Millisecond
 )
 
-// resumeTerm takes up the term of this host's own former life, unless its heir has done so.
+// resumeTerm claims the lead if a previous incarnation of this host led, unless its standby has
+// taken over.
 func (h *Host) resumeTerm() {
 	listed := make(chan struct{})
 	h.wg.Go(func() {
@@ -56,7 +57,7 @@
 	case h.cfg.Name:
 		<-listed
 		if standby := h.leaderOfOthers(); standby != "" {
-			h.log.Info("lead: another host leads in place of this one's former life.", "host", standby)
+			h.log.Info("lead: another host took over from the previous incarnation of this host.", "host", standby)
 			h.followLeader(standby, h.currentTerm())
 			return
 		}
@@ -67,8 +68,8 @@
 	}
 }
 
-// considerClaim is called while the group says that this host leads. A lead that works
-// is left alone: the group deals its partitions anew without a reason at times.
+// considerClaim is called while the candidate group names this host as leader. It leaves a
+// working leader alone, because the group sometimes reassigns its partitions without a reason.
 func (h *Host) considerClaim() {
 	if !h.electionMu.TryLock() {
 		return
@@ -83,8 +84,8 @@
 	if leads {
 		return
 	}
-	// Another host may lead since, or be about to: a lead that leaves asks one to
-	// succeed it, and the group names another.
+	// Another host may lead by now or be about to: a leader that is stopping asks one host to
+	// succeed it, and the candidate group may name a different one.
 	if leader != "" && !sleep(h.ctx, claimGrace-h.now().Sub(began)) {
 		return
 	}
@@ -99,7 +100,7 @@
 	}
 }
 
-// followLeader takes a host for the lead until another term is announced.
+// followLeader makes the host follow a leader until another term is announced.
 func (h *Host) followLeader(leader string, term int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -120,8 +121,8 @@
 	return h.term
 }
 
-// isLeaderOrClaiming asks a host whether it isLeaderOrClaiming and is served by the store, or is about to;
-// of one that left, whether its successor does.
+// isLeaderOrClaiming asks a host whether it leads and is served by the store, or is about to. If
+// the host has stepped down, its successor is asked instead.
 func (h *Host) isLeaderOrClaiming(name string) bool {
 	r, err := h.askWhetherLeads(name)
 	if err == nil && r.Successor != "" {
@@ -130,9 +131,9 @@
 	return err == nil && (r.Lead || r.Claiming)
 }
 
-// askWhetherLeads asks a host whether it leads. One that left the question without an answer
-// just now is not asked again: on the way to a claim it would be waited for three
-// times, with all starts at rest.
+// askWhetherLeads asks a host whether it leads. A host that recently left the question unanswered
+// is not asked again. On the way to a claim this host would otherwise wait for it three times,
+// and no task would start in the meantime.
 func (h *Host) askWhetherLeads(name string) (peer.SyncReply, error) {
 	if name == "" || name == h.cfg.Name || h.isUnresponsive(name) {
 		return peer.SyncReply{}, &NoLeaderError{}
@@ -155,7 +156,7 @@
 	return h.unresponsive == name && h.now().Sub(h.unresponsiveAt) < unresponsivePeriod
 }
 
-// leaderReplyTimeout is how long the lead may take to answer.
+// leaderReplyTimeout is how long the leader may take to answer.
 func (h *Host) leaderReplyTimeout() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -165,7 +166,8 @@
 	return leaderTimeout
 }
 
-// syncPeriodically keeps what callers are told, and the list of hosts, as the lead has them.
+// syncPeriodically keeps the data reported to callers, and the list of hosts, in line with the
+// leader's.
 func (h *Host) syncPeriodically() {
 	for sleep(h.ctx, syncInterval) {
 		h.mu.Lock()
@@ -188,9 +190,10 @@
 	}
 }
 
-// isLeaderless tells whether no lead has worked for so long that this host should
-// try, whoever the group names: that one may be unable to. One notices hosts that
-// wait for a lead that never comes. The hosts try one after the other.
+// isLeaderless reports whether there has been no working leader for so long that this host should
+// try to lead, whichever host the candidate group names: that host may be unable to lead. Without
+// this check the hosts would wait for a leader that never comes. The hosts try one after the
+// other.
 func (h *Host) isLeaderless() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -227,7 +230,8 @@
 	h.setHosts(all)
 }
 
-// refreshPending asks the lead, or takes what this host knows as the lead.
+// refreshPending requests the pending jobs from the leader, or reads them directly if this host
+// leads.
 func (h *Host) refreshPending(ctx context.Context) {
 	h.mu.Lock()
 	t, leader := h.ownTerm, h.leader
@@ -249,7 +253,8 @@
 	return peer.Sync{From: h.cfg.Name, Addr: h.cfg.Listen.Peer, Power: h.cfg.Power, Began: h.startedAt, Term: term, Endings: next}
 }
 
-// hostInfo is a host that was heard of at some time; began is when its life did.
+// hostInfo describes a host that contacted this one. began is when its incarnation started, at
+// when it was last heard from.
 type hostInfo struct {
 	addr  netip.AddrPort
 	power float64
@@ -257,9 +262,9 @@
 	at    time.Time
 }
 
-// noteHost takes note of a host. A lead that did not know it has work for it at once: after
-// a loss of all power it knows no host but itself, and the questions of all who waited
-// would go through that one until its next round.
+// noteHost records that a host was heard from. A leader uses a host that it did not know at once.
+// After a power failure of all hosts the leader knows only itself, and until its next periodic
+// sync all requests to the policy service would go through it alone.
 func (h *Host) noteHost(m peer.Sync) {
 	if !m.Addr.IsValid() {
 		return
@@ -274,7 +279,7 @@
 	}
 }
 
-// recentHosts lists the hosts that asked this one lately.
+// recentHosts lists the hosts that contacted this one recently.
 func (h *Host) recentHosts() map[string]netip.AddrPort {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -286,7 +291,7 @@
 		}
 	}
 	if fresh {
-		// Not all have asked the new lead yet.
+		// Not all hosts have contacted the new leader yet.
 		for n, a := range h.hosts {
 			if _, ok := all[n]; !ok {
 				all[n] = a
@@ -296,7 +301,7 @@
 	return all
 }
 
-// acceptedExpiry is longer than a job may take to be known to the lead.
+// acceptedExpiry is longer than a job takes to become known to the leader.
 const acceptedExpiry = 10 * time.Second
 
 func (h *Host) dropAccepted() {
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -6,34 +6,35 @@
 )
 
 const (
-	// maxOrderTimeout bounds an order to a worker.
+	// maxOrderTimeout limits an order to a worker.
 	maxOrderTimeout = 500 * time.Millisecond
-	// minOrderTimeout is how long an order goes without an answer at least before it
-	// counts as unanswered. Answers take a millisecond or two; a lead that its
-	// processor's share holds up for a period of 100 ms must not doubt its workers.
+	// minOrderTimeout is the minimum time after which an order counts as unanswered. Answers take
+	// a millisecond or two. A leader that is held up for a period of 100 ms because its CPU quota
+	// is used up must not suspect its workers.
 	minOrderTimeout = 120 * time.Millisecond
-	// orderTimeoutFactor is how many times the slowest answer of late an order may take.
+	// orderTimeoutFactor is the timeout of an order as a multiple of the slowest recent answer.
 	orderTimeoutFactor = 4
-	// responseTimeWindow is how long an answer counts as late, twice at most.
+	// responseTimeWindow is how long an answer counts as recent, at most twice that.
 	responseTimeWindow = time.Second
 )
 
-// responseTimes knows how fast workers answered lately. An order whose answer is lost is
-// found out by waiting; with the longest wait for each, one order in twenty lost
-// made two jobs in three late by half a second. A worker that is slow itself gets
-// more time: what it begins would be stopped for nothing.
+// responseTimes records how fast the workers answered recently. A lost answer is detected only by
+// a timeout. With the longest timeout for each order, one lost order in twenty delayed two jobs
+// in three by half a second. A worker that is slow itself gets a longer timeout; otherwise the
+// runs that it starts would be stopped for nothing.
 type responseTimes struct {
 	mu          sync.Mutex
 	windowStart time.Time
-	// slowest is the slowest answer of all workers in this span and the one before.
+	// slowest is the slowest answer of all workers in the current window and in the previous one.
 	slowest [2]time.Duration
-	// slowWorkers are the slowest answers of those that exceeded their time, by life.
+	// slowWorkers holds the slowest answer of each worker that exceeded minOrderTimeout, by
+	// incarnation.
 	slowWorkers map[string]time.Duration
 }
 
 func newOrders() *responseTimes { return &responseTimes{slowWorkers: map[string]time.Duration{}} }
 
-// timeout is how long to wait for a worker's answer.
+// timeout returns how long to wait for a worker's answer.
 func (o *responseTimes) timeout(incarnation string, now time.Time) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -42,7 +43,7 @@
 	return min(max(orderTimeoutFactor*usual, minOrderTimeout), maxOrderTimeout)
 }
 
-// record notes an answer that came after d.
+// record records an answer that arrived after d.
 func (o *responseTimes) record(incarnation string, d time.Duration, now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -62,8 +63,8 @@
 	o.slowest = [2]time.Duration{0, o.slowest[0]}
 }
 
-// callWorker makes an order and waits for its answer for extra and the usual time. An
-// answer that comes later only tells how slow the worker is.
+// callWorker sends an order and waits for its answer, for extra plus the worker's timeout. An
+// answer that arrives later is used only to record the worker's response time.
 func callWorker[T any](o *responseTimes, now func() time.Time, incarnation string, extra time.Duration, order func() T, answered func(T) bool, lost T) T {
 	sent := now()
 	got := make(chan T, 1)
@@ -83,7 +84,7 @@
 	}
 	select {
 	case r := <-got:
-		// The host was held up itself; both were due.
+		// This host was held up itself: the answer and the timeout were both due.
 		return r
 	default:
 		return lost
--- a/internal/entry/orders_test.go
+++ b/internal/entry/orders_test.go
@@ -9,10 +9,10 @@
 	"pollencroft/internal/entry"
 )
 
-// Workers answer in a millisecond or two, and one answer in twenty is lost. Each
-// loss is found out in a quarter of the longest wait; a job of 16 tasks would be
-// late for it otherwise. When the lead's own processor is short, all answers take
-// longer, and it must not take that for lost answers.
+// Workers answer in a millisecond or two, and one answer in twenty is lost. A lost answer is
+// detected after a quarter of the longest timeout; otherwise a job with 16 tasks would be late.
+// When the leader itself is short of CPU time, all answers take longer, and the leader must not
+// take that for lost answers.
 func TestPatienceFollowsTheAnswers(t *testing.T) {
 	now := time.Unix(1000, 0)
 	o := entry.NewResponseTimes()
@@ -22,13 +22,13 @@
 	o.Record("v", 80*time.Millisecond, now)
 	require.Equal(t, 320*time.Millisecond, o.Timeout("w", now))
 	now = now.Add(1100 * time.Millisecond)
-	require.Equal(t, 320*time.Millisecond, o.Timeout("w", now), "it was slow a second ago")
+	require.Equal(t, 320*time.Millisecond, o.Timeout("w", now), "a slow answer counts for up to two seconds")
 	now = now.Add(1100 * time.Millisecond)
 	require.Equal(t, 120*time.Millisecond, o.Timeout("w", now))
 }
 
-// A worker that is slow itself is given more time, and no other is: orders to it
-// would be stopped just as they begin.
+// A worker that is slow itself gets a longer timeout, and no other worker does. Otherwise the
+// runs that it starts would be stopped just as they begin.
 func TestASlowWorkerIsGivenMoreTime(t *testing.T) {
 	now := time.Unix(1000, 0)
 	o := entry.NewResponseTimes()
--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -11,20 +11,21 @@
 )
 
 const (
-	// storeReadDelay is how long the lead may take before the store is read beside. A host that is
-	// short of processor hears its answer late, and pages of states would make it later.
+	// storeReadDelay is how long the leader may take before the store is read as well. A host
+	// that is short of CPU time processes the leader's answer late, and reading pages of states
+	// would delay it further.
 	storeReadDelay = time.Second
-	// recheckInterval is how often a question looks whether another host leads by now, and whether
-	// this one has learned the job's end.
+	// recheckInterval is how often a query checks whether another host leads by now, and whether
+	// this host has learned the job's final state.
 	recheckInterval = 200 * time.Millisecond
-	// maxLeadersAsked is how many leads one question is put to.
+	// maxLeadersAsked limits the leaders that one query is sent to.
 	maxLeadersAsked = 4
 )
 
-// StateUnavailableError tells why nobody told a job's state.
+// StateUnavailableError is returned if a job's state could not be determined.
 type StateUnavailableError struct {
 	ID string
-	// LeaderErr is why the lead did not, StoreErr why it cannot be read from the store.
+	// LeaderErr is why the leader did not report it, StoreErr why it was not read from the store.
 	LeaderErr, StoreErr error
 }
 
@@ -32,22 +33,23 @@
 	return "no lead answers: " + e.LeaderErr.Error() + "; not read from the store: " + e.StoreErr.Error()
 }
 
-// Unwrap returns both failures.
+// Unwrap returns both errors.
 func (e *StateUnavailableError) Unwrap() []error { return []error{e.LeaderErr, e.StoreErr} }
 
-// stateQuery is one stateQuery for a job's state. It is put to the lead, to the next one if the
-// lead changes, and to the store if there is no answer soon. The first answer counts: the
-// store holds what any lead tells.
+// stateQuery is a query for a job's state. It is sent to the leader, to the next leader if the
+// leader changes, and to the store if there is no answer soon. The first answer counts, because
+// the store contains everything that a leader reports.
 type stateQuery struct {
 	h       *Host
 	ctx     context.Context
 	id      string
 	answers chan stateAnswer
-	// leader and term are those that were asked last, leads how many were.
+	// leader and term are those that were asked last. asked is the number of leaders asked.
 	leader string
 	term   int64
 	asked  int
-	// unanswered is how many leads have not answered, reading tells that the store is being read.
+	// unanswered is the number of leaders that have not answered. readingStore reports whether
+	// the store is being read.
 	unanswered   int
 	readingStore bool
 	// leaderErr and storeErr are why there was no answer.
@@ -58,11 +60,11 @@
 	state flow.State
 	known bool
 	err   error
-	// stored tells that it was read from the store.
+	// stored reports whether the answer was read from the store.
 	stored bool
 }
 
-// stateOf returns a job's state, false if there is no such job.
+// stateOf returns a job's state, or false if there is no such job.
 func (h *Host) stateOf(ctx context.Context, id string) (flow.State, bool, error) {
 	if state, ok := h.states.final(id); ok {
 		return state, true, nil
@@ -105,7 +107,8 @@
 	return q.unavailable()
 }
 
-// leaderPatience is how long the lead is waited for alone: half of the caller's time at most.
+// leaderPatience is how long the query waits for the leader alone: at most half of the caller's
+// time.
 func (q *stateQuery) leaderPatience() time.Duration {
 	if at, ok := q.ctx.Deadline(); ok {
 		return min(storeReadDelay, time.Until(at)/2)
@@ -113,8 +116,8 @@
 	return storeReadDelay
 }
 
-// isExhausted tells whether no more answer is to be expected: a host that the store does not answer
-// while its lead is late is cut off.
+// isExhausted reports whether no further answer is to be expected. A host that gets no answer
+// from the store while the leader is late is cut off.
 func (q *stateQuery) isExhausted() bool {
 	return q.storeErr != nil && (q.unanswered == 0 || !q.h.store.Fresh(storeFreshness))
 }
@@ -123,7 +126,7 @@
 	return stateAnswer{err: &StateUnavailableError{ID: q.id, LeaderErr: q.leaderErr, StoreErr: q.storeErr}}
 }
 
-// noteFailure takes note of a way that told nothing.
+// noteFailure records an answer without a state.
 func (q *stateQuery) noteFailure(a stateAnswer) {
 	if a.stored {
 		q.storeErr = a.err
@@ -136,8 +139,8 @@
 	}
 }
 
-// askNewLeader puts the question to whoever leads now, if that is not who was asked last. A host
-// that has claimed is followed before its term is known.
+// askNewLeader asks the current leader if it is not the one that was asked last. A host that has
+// claimed is followed before its term is known.
 func (q *stateQuery) askNewLeader() {
 	leader, _ := q.h.currentLeader()
 	if leader != q.leader || q.h.currentTerm() != q.term {
@@ -145,7 +148,7 @@
 	}
 }
 
-// askLeader puts the question to whoever leads now.
+// askLeader asks the current leader.
 func (q *stateQuery) askLeader() {
 	if q.asked == maxLeadersAsked {
 		return
@@ -171,8 +174,8 @@
 	}()
 }
 
-// finalOrLeaderState is what this host was told of a job, if it has ended, or what the lead tells
-// within the time of a question to a host.
+// finalOrLeaderState returns a job's final state if this host knows it. Otherwise it returns the
+// state that the leader reports within askTimeout.
 func (h *Host) finalOrLeaderState(ctx context.Context, id string) (flow.State, bool, error) {
 	if state, ok := h.states.final(id); ok {
 		return state, true, nil
@@ -182,7 +185,7 @@
 	return h.askState(ctx, id)
 }
 
-// askState asks the lead for a job's state.
+// askState asks the leader for a job's state.
 func (h *Host) askState(ctx context.Context, id string) (flow.State, bool, error) {
 	h.mu.Lock()
 	leader, term, leading := h.leader, h.term, h.ownTerm != nil
@@ -201,12 +204,12 @@
 	state, known, err := parseStateReply(id, r, err)
 	if err != nil {
 		h.incCounter("state.untold")
-		h.log.Info("state: the lead did not tell.", "id", id, "lead", leader, "term", term, "waited", h.now().Sub(began), "err", err)
+		h.log.Info("state: no answer from the leader.", "id", id, "lead", leader, "term", term, "waited", h.now().Sub(began), "err", err)
 	}
 	return state, known, err
 }
 
-// parseStateReply reads a lead's answer.
+// parseStateReply interprets a leader's answer.
 func parseStateReply(id string, r peer.StateReply, err error) (flow.State, bool, error) {
 	switch {
 	case err != nil:
@@ -220,7 +223,7 @@
 	}
 }
 
-// localStateInTime tells a state as the lead, if its core lets go of it in time.
+// localStateInTime returns localState, unless the scheduler core is busy until ctx ends.
 func (h *Host) localStateInTime(ctx context.Context, id string) (peer.StateReply, error) {
 	began := h.now()
 	reported := make(chan peer.StateReply, 1)
--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -16,7 +16,7 @@
 	"pollencroft/internal/store"
 )
 
-// putRecord puts a job's progress into a partition.
+// putRecord stores a job's progress in a partition.
 func (c *cluster) putRecord(part, n, version int, state string, began time.Time) {
 	c.t.Helper()
 	v := fmt.Appendf(nil, `{"t":1,"a":%d,"s":%q,"b":%d}`, version, state, began.UnixMilli())
@@ -26,7 +26,7 @@
 	require.NoError(c.t, err)
 }
 
-// stateAt is what a host answers to the question for a job.
+// stateAt returns a host's reply to a request for a job's state.
 func (c *cluster) stateAt(h *testHost, n int) string {
 	code, body := c.get(h.cfg.Listen.Caller, prefix+jobID(n))
 	if code != http.StatusOK {
@@ -41,7 +41,7 @@
 	unavailableReply = "503"
 )
 
-// Guards against an older record that is told while a newer one lies in another partition.
+// Guards against an older record that is reported while a newer one is in another partition.
 func TestTheNewestOfAJobsRecordsIsTold(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	now := time.Now()
@@ -59,12 +59,12 @@
 	}
 	c.log.BreakPart("state", 5, users.Busy)
 	for n := range 2 {
-		require.Equal(t, unavailableReply, c.stateAt(h, n), "a partition that is down may hold a newer one")
+		require.Equal(t, unavailableReply, c.stateAt(h, n), "the partition that is down may contain a newer record")
 	}
-	require.Equal(t, completedReply, c.stateAt(h, 2), "nothing is newer than the end")
+	require.Equal(t, completedReply, c.stateAt(h, 2), "no record is newer than a final state")
 }
 
-// Guards against jobs that are not found as they stand on different pages.
+// Guards against jobs that are not found because they are on different pages.
 func TestJobsOnManyPagesAreFound(t *testing.T) {
 	const jobs = 1200
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
@@ -82,7 +82,7 @@
 	require.Equal(t, map[string]int{runningReply: jobs}, c.statesAt(h, jobs))
 }
 
-// Guards against a job that is told as missing since its record cannot be read.
+// Guards against a job that is reported as missing because its record cannot be decoded.
 func TestAJobWhoseRecordCannotBeReadIsNotMissing(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	c.withoutLeader()
@@ -90,7 +90,8 @@
 	require.Equal(t, unavailableReply, c.stateAt(c.follower(), 0))
 }
 
-// Guards against a job that was forgotten and is told as running from what one partition still has of it.
+// Guards against a deleted job that is reported as running because one partition still contains a
+// record of it.
 func TestAForgottenJobIsNotToldAsRunning(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	long := time.Now().Add(-time.Hour)
@@ -101,11 +102,12 @@
 	c.withoutLeader()
 	h := c.follower()
 	require.Equal(t, missingReply, c.stateAt(h, 0))
-	require.Equal(t, runningReply, c.stateAt(h, 1), "it was accepted and not forgotten")
-	require.Equal(t, missingReply, c.stateAt(h, 2), "it was cancelled and never accepted")
+	require.Equal(t, runningReply, c.stateAt(h, 1), "the job was accepted and not deleted")
+	require.Equal(t, missingReply, c.stateAt(h, 2), "the job was cancelled and never accepted")
 }
 
-// fakeLeader is a host that leads a term and tells one state, or none.
+// fakeLeader starts a host that claims to lead. It reports the given state for every job, or
+// never answers if state is empty.
 func (c *cluster) fakeLeader(state string) netip.AddrPort {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(c.t, err)
@@ -129,7 +131,7 @@
 	return netip.MustParseAddrPort(ln.Addr().String())
 }
 
-// Guards against a question that stays with a lead that was succeeded.
+// Guards against a state query that waits only for a leader that has been succeeded.
 func TestTheNextLeadIsAskedAsWell(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	h := c.follower()
@@ -143,7 +145,7 @@
 	require.Equal(t, runningReply, <-reported)
 }
 
-// Guards against a question that stays with a lead that another host has fenced off.
+// Guards against a state query that waits only for a leader that another host has fenced off.
 func TestAHostThatHasClaimedIsAskedAsWell(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	h := c.follower()
@@ -158,7 +160,8 @@
 	require.Equal(t, runningReply, <-reported)
 }
 
-// Guards against a job that a lead tells as missing since it could not read what is stored of it.
+// Guards against a leader that reports a job as missing because it could not decode the stored
+// records.
 func TestALeadDoesNotTellAJobThatItCannotReadAsMissing(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	c.log.Put("jobs", jobID(0), fmt.Appendf(nil, `{"id":%q,"queue":{"name":"scan","service":"pass"},"steps":[{"tasks":1}]}`, jobID(0)))
@@ -172,7 +175,8 @@
 	require.Equal(t, `200 {"state":"queued"}`, c.stateAt(c.leader(), 1))
 }
 
-// Guards against hosts that tell nothing of jobs that run while the lead is reached and does not answer.
+// Guards against hosts that cannot report running jobs while the leader is reachable and does not
+// answer.
 func TestRunningJobsAreToldWhileTheLeadDoesNotAnswer(t *testing.T) {
 	c := newCluster(t, 3, 4, time.Minute)
 	c.submitMany(c.follower(), 0, 4)
@@ -185,7 +189,7 @@
 	}
 }
 
-// Guards against pages that are read again for each ended job that stands on them.
+// Guards against pages that are read again for each ended job on them.
 func TestEndsThatStandOnAPageAreKept(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	for n := range 2 {
@@ -197,7 +201,8 @@
 	require.True(t, h.KnowsFinalStates(jobID(1)))
 }
 
-// Guards against a caller who is kept waiting at a host that is cut off from lead and store.
+// Guards against a caller that is kept waiting by a host that reaches neither the leader nor the
+// store.
 func TestAHostThatIsCutOffRefusesBeforeTheDeadline(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	h := c.follower()
@@ -214,7 +219,8 @@
 	require.Equal(t, http.StatusServiceUnavailable, a.StatusCode)
 }
 
-// Guards against a question that stays open though the host has learned the job's end since.
+// Guards against a state query that keeps waiting although the host has learned the job's final
+// state since.
 func TestAnEndThatIsLearnedMeanwhileIsTold(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	h := c.follower()
--- a/internal/entry/servers.go
+++ b/internal/entry/servers.go
@@ -12,7 +12,7 @@
 	"pollencroft/platform"
 )
 
-// followWorkers follows the workers' entries.
+// followWorkers follows the worker entries in the store.
 func (t *term) followWorkers() {
 	for t.ctx.Err() == nil {
 		all, from, err := store.Table(t.ctx, t.h.store, platform.ServersTopic, 0)
@@ -43,8 +43,9 @@
 	}
 }
 
-// applyWorkers applies changed applyWorkers. One that cannot be read names no worker; if it was good
-// before, the worker has no room until it is good again, and what it runs goes on.
+// applyWorkers applies changed worker entries. An entry that cannot be decoded is ignored. If an
+// earlier entry of the worker was valid, the worker has no capacity until its entry is valid
+// again, and what it runs continues.
 func (t *term) applyWorkers(all []store.Record) {
 	for _, r := range all {
 		if len(r.Value) == 0 {
--- a/internal/entry/settings.go
+++ b/internal/entry/settings.go
@@ -13,55 +13,55 @@
 	"pollencroft/internal/sched"
 )
 
-// Settings are those of one entry host on the users' platform. Unknown keys are
-// passed over: the platform adds to what it tells.
+// Settings are the settings of an entry host on the users' platform. Unknown keys are ignored,
+// because the platform may add keys.
 type Settings struct {
 	Name   string `toml:"name"`
 	Domain string `toml:"domain"`
-	// Listen are the addresses that the host serves.
+	// Listen holds the addresses on which the host listens.
 	Listen struct {
 		Caller  netip.AddrPort `toml:"caller"`
 		Ready   netip.AddrPort `toml:"ready"`
 		Peer    netip.AddrPort `toml:"peer"`
 		Metrics netip.AddrPort `toml:"metrics"`
 	} `toml:"listen"`
-	// Store is the platform's store, Policy the service that decides which
-	// workers may run a step; it may be missing.
+	// Store is the address of the platform's store. Policy is the address of the service that
+	// decides which workers may run a step; it may be empty.
 	Store  netip.AddrPort `toml:"store"`
 	Policy string         `toml:"policy"`
-	// Parts is how many partitions a topic of the store has.
+	// Parts is the number of partitions of a topic in the store.
 	Parts int `toml:"parts"`
-	// Power is how many cores the host has; the strongest host leads.
+	// Power is the number of cores of the host. The strongest host leads.
 	Power float64 `toml:"power"`
-	// Memory is the most that the process may use, in MiB.
+	// Memory is the maximum memory use of the process, in MiB.
 	Memory int64 `toml:"memory"`
-	// Times bound what is done; each is a duration such as "900ms".
+	// Times holds time limits. Each is a duration such as "900ms".
 	Times struct {
-		// Lease is the longest lease that workers give.
+		// Lease is the longest lease that workers grant.
 		Lease Duration `toml:"lease"`
 		// Stop is how long a run may take to stop.
 		Stop Duration `toml:"stop"`
 		// Grace is how long a planned stop of this host may take.
 		Grace Duration `toml:"grace"`
-		// Keep is how long the state of an ended job is told.
+		// Keep is how long the state of an ended job is reported.
 		Keep Duration `toml:"keep"`
 	} `toml:"times"`
 	Log string `toml:"log"`
-	// Off names mechanisms of the scheduler that are not used.
+	// Off lists mechanisms of the scheduler that are switched off.
 	Off []sched.Mechanism `toml:"off"`
 }
 
-// Duration is a time in a settings file.
+// Duration is a duration in a settings file.
 type Duration time.Duration
 
-// UnmarshalText reads a duration such as 1.5s.
+// UnmarshalText parses a duration such as 1.5s.
 func (d *Duration) UnmarshalText(b []byte) error {
 	v, err := time.ParseDuration(string(b))
 	*d = Duration(v)
 	return errors.Wrap(err, "read duration")
 }
 
-// FieldError names a key that is missing or out of bounds.
+// FieldError is returned for a key that is missing or invalid.
 type FieldError struct{ Path, Key, Reason string }
 
 func (e *FieldError) Error() string {
--- a/internal/entry/settings_test.go
+++ b/internal/entry/settings_test.go
@@ -43,8 +43,8 @@
 	require.Equal(t, uint16(3), cfg.Listen.Peer.Port())
 }
 
-// A key that is needed is missing or makes no sense. The start stops there and
-// names it, instead of a host that takes callers and can serve none.
+// A required key is missing or has an invalid value. Loading the settings fails with an error
+// that names the key, so that no host starts that accepts callers and can serve none.
 func TestAMissingOrWrongSettingIsNamed(t *testing.T) {
 	for key, line := range map[string]string{
 		"name": `name = "nord-1"`, "domain": `domain = "nord"`, "store": `store = "10.0.0.1:80"`, "parts": `parts = 16`,
--- a/internal/entry/spread.go
+++ b/internal/entry/spread.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// spreadParts is over how many partitions a writer may spread what it appends.
-	// The store may be down for a part of its partitions, some two in five; of three
-	// that lie apart one is then up in nineteen cases of twenty.
+	// spreadParts is the number of partitions over which a writer may spread its appends. The
+	// store may be down for some of its partitions, for instance two in five. Of three partitions
+	// that are far apart, at least one is then up in nineteen cases of twenty.
 	spreadParts = 3
-	// spreadTimeout is how long an append goes without an answer before it is made at
-	// the next partition too, and spreadSlower how many usual answers that is at
-	// least: a store that is slow everywhere would only be made slower.
+	// spreadTimeout is how long an append may go without an answer before it is also sent to the
+	// next partition. spreadTimeoutFactor is the minimum of that time, as a multiple of the
+	// store's usual response time: a store that is slow everywhere would only become slower.
 	spreadTimeout       = 200 * time.Millisecond
 	spreadTimeoutFactor = 3
 )
 
-// partsFrom lists the partitions that a writer may use, far apart, its first one
-// first.
+// partsFrom lists the partitions that a writer may use. They are far apart, and the writer's
+// first partition comes first.
 func partsFrom(first, parts int) []int {
 	n := min(spreadParts, parts)
 	all := make([]int, n)
@@ -31,18 +31,18 @@
 	return all
 }
 
-// appendTimeout is how long to wait for one partition before the next is tried.
+// appendTimeout returns how long to wait for one partition before the next one is tried.
 func (h *Host) appendTimeout() time.Duration {
 	return max(spreadTimeout, spreadTimeoutFactor*h.store.Usual())
 }
 
-// spread makes the same append at one partition after the other until one has it:
-// the next one at once after a refusal, and after patience while there is no
-// answer. It returns which one has it first. A refusal is returned only if all
-// refused; what is neither a refusal nor a missing answer ends it.
+// spread makes the same append at one partition after the other until one succeeds. It moves on
+// to the next partition at once after a refusal, and after timeout while there is no answer. It
+// returns the index of the first partition that stored it. It returns a refusal only if all
+// partitions refused. Any error other than a refusal or a missing answer ends the attempts.
 //
-// It is for appends that may lie in several partitions: their readers read all of
-// them and know the same record again.
+// It is meant for appends that may be stored in several partitions, whose readers read all
+// partitions and recognise duplicates.
 func spread[T any](ctx context.Context, wg *sync.WaitGroup, n int, timeout time.Duration, try func(i int) (T, error)) (first, tried int, got T, err error) {
 	type result struct {
 		i   int
--- a/internal/entry/states.go
+++ b/internal/entry/states.go
@@ -15,34 +15,36 @@
 )
 
 const (
-	// statesReadInterval is the least time between two reads of all states: while no host leads,
-	// every host reads them, and the next lead has to.
+	// statesReadInterval is the minimum time between two reads of the job states. While no host
+	// leads, every host reads them, and the next leader has to read them as well.
 	statesReadInterval = 500 * time.Millisecond
-	// acceptedReadInterval is the same for where jobs are accepted: specs are ten times as large.
+	// acceptedReadInterval is the same for reads of jobsTopic. Job specs are ten times as large
+	// as states.
 	acceptedReadInterval = time.Second
-	// maxStateReads is how often the states are read for one question.
+	// maxStateReads is how often the states are read for one query.
 	maxStateReads = 2
-	// maxFinalStates bounds how many final states a host keeps.
+	// maxFinalStates limits the final states that a host keeps.
 	maxFinalStates = 50_000
 )
 
-// stateCache knows final stateCache, which never change, and reads the others from the store for
-// callers whom no lead tells them. All questions that come while a read is under way share
-// the next one.
+// stateCache keeps final states, which never change, and reads other states from the store for
+// callers when no leader reports them. All queries that arrive while a read is in progress share
+// the next read.
 type stateCache struct {
 	h *Host
 
 	mu sync.Mutex
-	// ended are final states by job, and when each was learned.
+	// ended holds the final states by job, and when each was learned.
 	ended map[string]cachedState
-	// term and told are up to which final state of which term the lead told.
+	// term and position are how far the host has received the leader's list of final states: the
+	// term and the sequence number to continue with.
 	term     int64
 	position int
-	// next is the read that questions join, nil without any; reading tells that one is
-	// under way or about to be.
+	// next is the read that new queries join; nil if there is none. reading reports whether a
+	// read is in progress or about to start.
 	next    *stateRead
 	reading bool
-	// lastAcceptedRead is when it was last looked where jobs are lastAcceptedRead.
+	// lastAcceptedRead is when jobsTopic was last read.
 	lastAcceptedRead time.Time
 }
 
@@ -51,21 +53,21 @@
 	at    time.Time
 }
 
-// stateRead is one read of the states of some jobs. What it found is there once done is closed.
+// stateRead is a read of the states of several jobs. Its results are valid once done is closed.
 type stateRead struct {
 	ids  map[string]bool
 	done chan struct{}
-	// found are their states, unreadable those whose record cannot be read; any other job is
-	// not there.
+	// found holds the states of the jobs that were found, unreadable the jobs whose record cannot
+	// be decoded. Any other job does not exist, unless err is set.
 	found      map[string]flow.State
 	unreadable map[string]bool
-	// err is why jobs that were not found are not known not to be there.
+	// err is why jobs that were not found may exist nevertheless.
 	err error
 }
 
 func newStates(h *Host) *stateCache { return &stateCache{h: h, ended: map[string]cachedState{}} }
 
-// add keeps a final state.
+// add stores a final state.
 func (s *stateCache) add(id string, state flow.State) {
 	if !state.Final() {
 		return
@@ -75,21 +77,21 @@
 	s.addLocked(id, state)
 }
 
-// addLocked is learn; mu is held.
+// addLocked is like add, but mu is held.
 func (s *stateCache) addLocked(id string, state flow.State) {
 	if _, ok := s.ended[id]; !ok && len(s.ended) < maxFinalStates {
 		s.ended[id] = cachedState{state, s.h.now()}
 	}
 }
 
-// syncPosition is up to where the lead told final states.
+// syncPosition returns how far the host has received the leader's list of final states.
 func (s *stateCache) syncPosition() (term int64, next int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.term, s.position
 }
 
-// addFromLeader keeps the final states that a lead tells.
+// addFromLeader stores the final states in a leader's sync reply.
 func (s *stateCache) addFromLeader(r peer.SyncReply) {
 	if !r.Lead {
 		return
@@ -117,16 +119,16 @@
 	return e.state, ok
 }
 
-// drop forgets states that were kept for as long as they have to be told.
+// drop removes final states after the time for which they have to be reported.
 func (s *stateCache) drop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	maps.DeleteFunc(s.ended, func(_ string, e cachedState) bool { return s.h.now().Sub(e.at) > time.Duration(s.h.cfg.Times.Keep) })
 }
 
-// read returns a job's state as the store has it after the call; false if there is no such
-// job. While a part of the store cannot be read, it returns only what the rest cannot change.
-// A read that fails is made once more as long as the store answers this host.
+// read returns a job's state as the store contains it after the call, or false if there is no
+// such job. While a part of the store cannot be read, it returns only states that the missing
+// part cannot change. A failed read is repeated once as long as the store answers this host.
 func (s *stateCache) read(ctx context.Context, id string) (flow.State, bool, error) {
 	for try := 1; ; try++ {
 		if !s.h.store.Fresh(storeFreshness) {
@@ -150,7 +152,7 @@
 	}
 }
 
-// UnreadableStateError tells that the store's record of a job cannot be read.
+// UnreadableStateError is returned if the store's record of a job cannot be decoded.
 type UnreadableStateError struct{ ID string }
 
 func (e *UnreadableStateError) Error() string { return "record of job " + e.ID + " cannot be read" }
@@ -170,7 +172,7 @@
 	return s.next
 }
 
-// run makes one read after the other while there are questions.
+// run makes one read after the other until there are no more queries.
 func (s *stateCache) run() {
 	for {
 		s.mu.Lock()
@@ -191,7 +193,7 @@
 	}
 }
 
-// withoutFinalState lists the jobs of a read whose end is not known yet, in order.
+// withoutFinalState lists, in order, the jobs of a read whose final state is not known yet.
 func (s *stateCache) withoutFinalState(r *stateRead) []string {
 	for id := range r.ids {
 		if state, ok := s.final(id); ok {
@@ -201,8 +203,8 @@
 	return slices.DeleteFunc(slices.Sorted(maps.Keys(r.ids)), func(id string) bool { return r.found[id] != "" })
 }
 
-// readAll looks for jobs first where their progress lies, and for those without any where
-// they were accepted. In this order a job that is forgotten meanwhile is found in neither.
+// readAll looks for the jobs first in stateTopic, and for those that have no progress there in
+// jobsTopic. In this order a job that is deleted in the meantime is found in neither.
 func (s *stateCache) readAll(ctx context.Context, r *stateRead) error {
 	ids := s.withoutFinalState(r)
 	if len(ids) == 0 {
@@ -215,7 +217,7 @@
 		state, began, readable := flow.RecordState(b)
 		switch {
 		case ok && !readable:
-			s.h.log.Error("state: record cannot be read.", "id", id)
+			s.h.log.Error("state: record cannot be decoded.", "id", id)
 			r.unreadable[id] = true
 		case state.Final(), ok && err == nil && !s.mayBeForgotten(began):
 			r.found[id] = state
@@ -240,14 +242,14 @@
 	return err
 }
 
-// mayBeForgotten tells whether a job that was accepted then may have ended and been forgotten.
-// One partition may keep an older record of it for a while.
+// mayBeForgotten reports whether a job that was accepted at that time may have ended and been
+// deleted. One partition may keep an older record of it for a while.
 func (s *stateCache) mayBeForgotten(began time.Time) bool {
 	return s.h.now().Sub(began) > time.Duration(s.h.cfg.Times.Keep)
 }
 
-// readProgress reads the newest record of each job that is asked for, and keeps all final
-// states that it meets.
+// readProgress reads the newest record of each requested job, and stores all final states that it
+// comes across.
 func (s *stateCache) readProgress(ctx context.Context, ids []string) (map[string][]byte, error) {
 	newest := map[string][]byte{}
 	err := s.scan(ctx, stateTopic, s.h.stateParts(), ids, func(rec store.Record, asked bool) {
@@ -264,7 +266,7 @@
 	return newest, err
 }
 
-// readAccepted returns which jobs lie where hosts accepted them.
+// readAccepted returns which of the jobs are in jobsTopic.
 func (s *stateCache) readAccepted(ctx context.Context, ids []string) (map[string]bool, error) {
 	parts := make([]int, s.h.cfg.Parts)
 	for i := range parts {
@@ -279,10 +281,10 @@
 	return accepted, err
 }
 
-// scan reads the pages of a topic on which jobs would stand, and hands on each record with
-// whether its job is asked for. Partitions that can be read are read whatever becomes of the
-// others; the error is that of the first that cannot. A whole topic takes a host with a small
-// share of a processor and a slow link seconds.
+// scan reads the pages of a topic on which the jobs would be. It calls visit for each record,
+// with whether its job was requested. If some partitions cannot be read, the others are read
+// nevertheless, and the error of the first failure is returned. Only these pages are read because
+// reading a whole topic takes seconds on a host with a small share of a CPU and a slow link.
 func (s *stateCache) scan(ctx context.Context, topic string, parts []int, ids []string, visit func(rec store.Record, asked bool)) error {
 	var mu sync.Mutex
 	var g errgroup.Group
@@ -304,7 +306,7 @@
 	return g.Wait()
 }
 
-// scanPart reads the pages of one partition; ids are sorted.
+// scanPart reads the pages of one partition. ids are sorted.
 func (s *stateCache) scanPart(ctx context.Context, topic string, part int, ids []string, visit func([]store.Record)) error {
 	last := ""
 	for _, id := range ids {
@@ -324,5 +326,5 @@
 	return nil
 }
 
-// keyBefore is a key that sorts keyBefore that of a job and after all jobs keyBefore it.
+// keyBefore returns a key that sorts before the key of a job and after all jobs before it.
 func keyBefore(id string) string { return id[:len(id)-1] + string(id[len(id)-1]-1) + "~" }
--- a/internal/entry/states_test.go
+++ b/internal/entry/states_test.go
@@ -17,7 +17,7 @@
 
 const oneTask = `{"spec":"text","steps":[{"count":1,"cpu":500,"memMb":256,"estimateMs":200}]}`
 
-// submitMany hands in jobs of one task each.
+// submitMany submits jobs with one task each.
 func (c *cluster) submitMany(h *testHost, first, n int) {
 	c.t.Helper()
 	var wg sync.WaitGroup
@@ -32,7 +32,7 @@
 	wg.Wait()
 }
 
-// statesAt asks a host for all jobs at once and counts its answers.
+// statesAt asks a host for all jobs at once and counts its replies.
 func (c *cluster) statesAt(h *testHost, jobs int) map[string]int {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -49,7 +49,7 @@
 	return reported
 }
 
-// withoutLeader kills the lead of a cell in which no other host can take over: the store
+// withoutLeader kills the leader of a cluster in which no other host can take over: the store
 // refuses all claims and serves everything else.
 func (c *cluster) withoutLeader() {
 	c.log.BreakAppends("state", users.Busy)
@@ -60,7 +60,7 @@
 
 const completedReply = `200 {"state":"completed"}`
 
-// Guards against ended jobs that no host tells of while none leads.
+// Guards against ended jobs that no host reports while there is no leader.
 func TestEndedJobsAreToldWhileNoHostLeads(t *testing.T) {
 	const jobs = 120
 	c := newCluster(t, 3, 4, 20*time.Millisecond)
@@ -72,10 +72,10 @@
 		require.Equal(t, map[string]int{completedReply: jobs}, c.statesAt(h, jobs), h.cfg.Name)
 	}
 	pages := c.log.Calls(store.Newest) - before
-	require.Less(t, pages, jobs, "questions share what is read from the store")
+	require.Less(t, pages, jobs, "queries share the reads of the store")
 }
 
-// Guards against a host that falls behind when thousands of jobs are asked for at once.
+// Guards against a host that falls behind when thousands of jobs are queried at once.
 func TestThousandsOfQuestionsShareAFewReads(t *testing.T) {
 	const jobs = 3000
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
@@ -91,7 +91,8 @@
 	require.Less(t, c.log.Calls(store.Newest)-before, jobs/10)
 }
 
-// Guards against ended jobs that hosts behind a cut, without lead and store, do not tell.
+// Guards against ended jobs that hosts do not report while they reach neither the leader nor the
+// store.
 func TestEndedJobsAreToldBehindACut(t *testing.T) {
 	const jobs = 30
 	c := newCluster(t, 3, 4, 20*time.Millisecond)
@@ -113,7 +114,7 @@
 	}
 }
 
-// Guards against a job that only the host that accepted it tells of while none leads.
+// Guards against a job that only the host that accepted it reports while there is no leader.
 func TestAJobAcceptedWhileNoHostLeadsIsToldByAll(t *testing.T) {
 	c := newCluster(t, 3, 1, 20*time.Millisecond)
 	c.withoutLeader()
@@ -122,11 +123,12 @@
 	for _, h := range c.hosts {
 		require.Equal(t, map[string]int{`200 {"state":"queued"}`: 1}, c.statesAt(h, 1), h.cfg.Name)
 		code, _ := c.get(h.cfg.Listen.Caller, prefix+jobID(7))
-		require.Equal(t, http.StatusGone, code, "a job that nobody handed in")
+		require.Equal(t, http.StatusGone, code, "a job that was never submitted")
 	}
 }
 
-// Guards against hosts that tell nothing of jobs while the lead is reached and does not answer.
+// Guards against hosts that report no job states while the leader is reachable and does not
+// answer.
 func TestStatesAreToldWhileTheLeadDoesNotAnswer(t *testing.T) {
 	c := newCluster(t, 3, 4, 20*time.Millisecond)
 	c.submitMany(c.follower(), 0, 20)
@@ -139,7 +141,7 @@
 	}
 }
 
-// Guards against questions that hang on a connection which the lead's host does not read.
+// Guards against queries that hang on a connection that the leader's host does not read from.
 func TestStatesAreToldWhileTheLeadReadsNothing(t *testing.T) {
 	c := newCluster(t, 2, 4, 20*time.Millisecond)
 	c.submitMany(c.leader(), 0, 20)
@@ -152,7 +154,7 @@
 	require.Equal(t, map[string]int{completedReply: 20}, c.statesAt(f, 20))
 }
 
-// Guards against a state that is guessed from a store that tells only a part of it.
+// Guards against a state that is guessed from an incomplete read of the store.
 func TestNoStateIsGuessedFromAPartOfTheStore(t *testing.T) {
 	c := newCluster(t, 3, 1, time.Minute)
 	f := c.follower()
@@ -170,7 +172,7 @@
 	}
 }
 
-// Guards against a job told as missing by a lead that reads it while it is asked.
+// Guards against a job that is reported as missing by a leader that reads it while it is asked.
 func TestALeadThatReadsMeanwhileTellsNoJobAsMissing(t *testing.T) {
 	c := newCluster(t, 1, 1, time.Minute)
 	h := c.leader()
@@ -182,8 +184,9 @@
 	}
 }
 
-// Guards against an accepted job that a new lead tells as gone: it was stored while the lead read from
-// a slow store, and what the lead knows was taken to be as new as the end of its reading.
+// Guards against an accepted job that a new leader reports as gone. The job was stored while the
+// leader read from a slow store, and the leader's knowledge was taken to be as new as the end of
+// that read.
 func TestAJobStoredWhileALeadReadsIsNotToldAsGone(t *testing.T) {
 	const slow = 400 * time.Millisecond
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
@@ -192,7 +195,7 @@
 	c.log.Slow(slow)
 	reads := c.log.Calls(store.Newest)
 	leader.Kill()
-	require.Eventually(t, func() bool { return c.log.Calls(store.Newest) >= reads+1+3+16 }, waitTimeout, time.Millisecond, "the jobs are read")
+	require.Eventually(t, func() bool { return c.log.Calls(store.Newest) >= reads+1+3+16 }, waitTimeout, time.Millisecond, "the new leader has read the jobs")
 	c.log.BreakReads("jobs", users.Busy)
 	stored := time.Now()
 	require.Eventually(t, func() bool { return c.follower() == nil }, waitTimeout, 10*time.Millisecond)
@@ -200,5 +203,5 @@
 	time.Sleep(time.Until(stored.Add(3100 * time.Millisecond)))
 	reported := h.State(jobID(1))
 	require.True(t, reported.Lead)
-	require.True(t, reported.Unsure, "the job was stored three seconds ago and is not read yet")
+	require.True(t, reported.Unsure, "the job was stored three seconds ago and has not been read yet")
 }
--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -1,8 +1,8 @@
 //go:build !race
 
-// The runtime of the race detector fails now and then with so many timers in virtual time: a
-// failed check of its own, or a fault in a timer's channel. What is run here is run with it,
-// in real time, by the tests of whole cells.
+// The runtime of the race detector sometimes fails with so many timers in virtual time: one of
+// its own checks fails, or there is a fault in a timer's channel. The code that these tests run
+// is also run with the race detector, in real time, by the tests of whole clusters.
 
 package entry_test
 
@@ -26,16 +26,16 @@
 	"pollencroft/internal/standin/users"
 )
 
-// Costs of a host's processor in the cells below, as a lead of 350 workers has them: a piece
-// of the lead's own work, which ends in an append, an answer to a peer, and what a new lead has
-// to catch up with.
+// CPU costs of a host in the clusters below, like those of a leader with 350 workers: a unit of
+// the leader's own work, which ends in an append, a reply to a peer, and the backlog of a new
+// leader.
 const (
 	pieceEvery  = 20 * time.Millisecond
 	answerCost  = 500 * time.Microsecond
 	catchUpCost = 900 * time.Millisecond
 )
 
-// processor does one thing after the other.
+// processor executes one task after the other.
 type processor struct{ turn chan struct{} }
 
 func newProcessor() processor { return processor{make(chan struct{}, 1)} }
@@ -50,17 +50,17 @@
 	return sleep(ctx, cost)
 }
 
-// busyCluster is a cell whose lead is short of processor.
+// busyCluster is a cluster whose leader is short of CPU time.
 type busyCluster struct {
 	ctx  context.Context
 	log  *users.Log
 	logs logBuffer
-	// logText is what was logged until the end of the play.
+	// logText is what was logged until the end of the run.
 	logText string
 	net     standin.Pipes
 	hosts   []*busyHost
-	// load is the share of its processor that the lead's own work takes, late how much
-	// later than that it answers.
+	// load is the share of its CPU that the leader's own work takes. late is how much later than
+	// that it answers.
 	load     float64
 	late     time.Duration
 	mu       sync.Mutex
@@ -72,7 +72,7 @@
 	cluster *busyCluster
 	cpu     processor
 	mu      sync.Mutex
-	// silent hosts answer nobody, frozen ones do nothing at all.
+	// A silent host answers nobody, a frozen one does nothing at all.
 	silent, frozen bool
 }
 
@@ -82,7 +82,7 @@
 	return b.silent, b.frozen
 }
 
-// delayReply is what a question costs before it is answered.
+// delayReply spends the time that a request costs before it is answered.
 func (b *busyHost) delayReply(ctx context.Context) {
 	if silent, frozen := b.faults(); silent || frozen {
 		<-ctx.Done()
@@ -94,8 +94,8 @@
 	b.cpu.do(ctx, answerCost)
 }
 
-// doLeaderWork is the work of a host while it leads. Pieces come at their pace and wait for the
-// processor in a queue, in which questions wait as well.
+// doLeaderWork does the work of a host while it leads. The units arrive at their rate and wait
+// for the processor in the same queue as requests.
 func (b *busyHost) doLeaderWork() {
 	led := false
 	for n := 0; sleep(b.cluster.ctx, pieceEvery); n++ {
@@ -121,7 +121,7 @@
 	}
 }
 
-// addBacklog gives the host work at once, in pieces that end in an append each.
+// addBacklog gives the host work at once, in units that end in an append each.
 func (b *busyHost) addBacklog(d time.Duration) {
 	const piece = 10 * time.Millisecond
 	for n := range int(d / piece) {
@@ -133,9 +133,11 @@
 	}
 }
 
-// runBusyCluster runs a cell of twelve hosts for a time; what is to happen then does at its moments.
+// runBusyCluster runs a cluster of twelve hosts for d. It calls each function in then at its
+// time.
 func runBusyCluster(t *testing.T, c *busyCluster, seed uint64, d time.Duration, then map[time.Duration]func(c *busyCluster)) *busyCluster {
-	// The library's clock for all meters has to run outside: it never rests.
+	// The metrics library's ticker for all meters has to start outside of the virtual time,
+	// because it never stops.
 	metrics.NewMeter().Stop()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -183,7 +185,7 @@
 	go b.doLeaderWork()
 }
 
-// leader is the host that leads, nil without one that works.
+// leader returns the host that leads, or nil if there is none that works.
 func (c *busyCluster) leader() *busyHost {
 	for _, h := range c.hosts {
 		if silent, frozen := h.faults(); h.Leading() && !silent && !frozen {
@@ -193,8 +195,9 @@
 	return nil
 }
 
-// termCount counts those of the play. At its end hosts are killed one after the other, and the
-// lead's heir may claim before it is.
+// termCount returns how many terms began during the run. The log is cut at the end of the run,
+// because after that hosts are killed one after the other, and the leader's standby may claim
+// before it is killed.
 func (c *busyCluster) termCount() int { return strings.Count(c.logText, "lead: term begins.") }
 
 func (c *busyCluster) workCount() int {
@@ -203,11 +206,12 @@
 	return c.workDone
 }
 
-// A lead is short of processor, a burst has it a second behind, and the group of the hosts is
-// dealt anew all the time, as it is while hosts are stopped in turn. Whoever it names asks the
-// lead whether it leads. Taken for dead for one late answer, the lead is fenced off; the next one
-// has to catch up with all that was open, is later still, and is fenced off in turn. Nobody
-// leads for long, and for minutes nothing that callers hand in is begun.
+// A leader is short of CPU time, a burst of work puts it a second behind, and the candidate group
+// is reassigned all the time, as it is while hosts are restarted one after the other. The host
+// that the group names asks the leader whether it leads. A leader that was taken for dead because
+// of one late answer would be fenced off; the next one would have to catch up with all open work,
+// be even later, and be fenced off in turn. No host would lead for long, and no submitted job
+// would start for minutes.
 func TestALeadShortOfProcessorIsNotFencedOff(t *testing.T) {
 	for _, load := range []float64{0.3, 0.6, 0.8, 0.9} {
 		t.Run(fmt.Sprintf("load %d percent", int(100*load)), func(t *testing.T) {
@@ -218,15 +222,15 @@
 				59 * time.Second: func(c *busyCluster) { after = c.workCount() },
 			})
 			require.LessOrEqual(t, c.termCount(), 2, c.logs.String())
-			require.Greater(t, after-before, 8*int(time.Second/pieceEvery), "what comes in nine seconds is done")
+			require.Greater(t, after-before, 8*int(time.Second/pieceEvery), "the leader keeps up with the work that arrives in nine seconds")
 		})
 	}
 }
 
-// A lead of a large cell is so short of processor that it does nothing at all for most of a second
-// every few seconds, neither answers nor stores. Fenced off for it, the next one does the same, with
-// more that is open. One such change may be a mistake; each makes the hosts more patient, and
-// from the third on the lead stays.
+// A leader of a large cluster is so short of CPU time that it neither answers nor stores anything
+// for most of a second every few seconds. If it were fenced off, the next one would do the same
+// with even more open work. One such change may be a mistake, but each makes the hosts wait
+// longer, and from the third one on the leader stays.
 func TestALeadThatStallsIsNotFencedOffAgainAndAgain(t *testing.T) {
 	for seed := range uint64(4) {
 		stalls := map[time.Duration]func(*busyCluster){}
@@ -242,17 +246,18 @@
 	}
 }
 
-// A lead is short of processor and has nothing to store just then: all its workers are busy with
-// long tasks, or the policy service is waited for. It answers every question, half a second late.
-// Whoever the group names has its late answer at hand when it is about to claim.
+// A leader is short of CPU time and has nothing to store at the moment: all its workers are busy
+// with long tasks, or it waits for the policy service. It answers every request, half a second
+// late. The host that the candidate group names has received the late answer when it is about to
+// claim.
 func TestALeadThatAnswersLateIsNotFencedOff(t *testing.T) {
 	c := runBusyCluster(t, &busyCluster{late: 500 * time.Millisecond}, 1, 30*time.Second, nil)
 	require.Equal(t, 1, c.termCount(), c.logs.String())
 }
 
-// A lead really is gone: its process stands still, or no host hears of it any more while the
-// store still does. Callers wait until another one leads; that one is patient for a lead that
-// is only slow, but not for long.
+// A leader really is dead: its process is frozen, or no host receives anything from it any more
+// while the store still does. Callers wait until another host leads. That host waits for a leader
+// that is only slow, but not for long.
 func TestALeadThatIsGoneIsSucceeded(t *testing.T) {
 	for name, tc := range map[string]struct {
 		harm  func(b *busyHost)
@@ -281,8 +286,8 @@
 	b.silent, b.frozen = silent, frozen
 }
 
-// The lead changed three times in a row, and its process really is gone this time: nothing
-// listens at its host. Hosts that have grown patient would leave callers without a lead for
+// The leader changed three times in a row, and this time its process really has ended: nothing
+// listens at its address. Hosts whose timeout has grown would leave callers without a leader for
 // three seconds.
 func TestAProcessThatIsGoneIsNotWaitedFor(t *testing.T) {
 	log := users.NewLog(1, time.Now)
@@ -293,12 +298,13 @@
 	}
 	began := time.Now()
 	require.False(t, f.LeaderAlive())
-	require.Less(t, time.Since(began), 2*time.Second, "three are what a silent one would get")
+	require.Less(t, time.Since(began), 2*time.Second, "a silent leader would get three seconds")
 }
 
-// The store is away for all for six seconds. The lead answers all the while, and says that it
-// cannot vouch for anything. When the store is back and it is busy with what has gathered, its
-// answers are late; it was taken for unheard since before, and succeeded for nothing.
+// The store is unavailable to all hosts for six seconds. The leader answers all the time, but
+// reports that the store does not serve it. When the store is back and the leader is busy with
+// the backlog, its answers are late. The leader used to be considered silent since before the
+// outage, and was replaced without need.
 func TestALeadThatTheStoreDidNotServeWasHeard(t *testing.T) {
 	c := runBusyCluster(t, &busyCluster{load: 0.5}, 1, 30*time.Second, map[time.Duration]func(*busyCluster){
 		10 * time.Second: func(c *busyCluster) { c.log.Break("", users.Silent) },
--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -12,17 +12,19 @@
 )
 
 const (
-	// strongerFactor is by how much more power another host has when the lead leaves it
-	// to that one. A change of the lead costs a tenth of a second, a lead that is
-	// short of power every start.
+	// strongerFactor is how many times as powerful another host has to be for the leader to hand
+	// over the lead to it. A leader change costs a tenth of a second, a leader that is short of
+	// CPU time delays every start.
 	strongerFactor = 1.5
-	// cedeMinTermAge is how old a term is when that is looked at: the hosts are known.
+	// cedeMinTermAge is the age of a term at which the leader looks for a stronger host. The
+	// hosts are known by then.
 	cedeMinTermAge = 2500 * time.Millisecond
-	// delegateInterval is how often a host asks another one to lead in its place.
+	// delegateInterval is the minimum time between two requests of a host to another one to lead
+	// in its place.
 	delegateInterval = 15 * time.Second
 )
 
-// handleSucceed takes over from a lead that leaves, or lets its successor do so.
+// handleSucceed takes over from a leader that steps down, or follows the named successor.
 func (h *Host) handleSucceed(m peer.Succeed) {
 	if m.Successor != h.cfg.Name {
 		h.followLeader(m.Successor, m.Term)
@@ -38,14 +40,14 @@
 	h.wg.Go(func() { h.claim("the lead leaves") })
 }
 
-// stepDown gives up the host's place among the others and has one lead. All are
-// told which: the group may name another one, and two that claim at a slow store
-// cost each other seconds.
+// stepDown ends the host's membership in the candidate group and hands the lead over to another
+// host. All hosts are told which one, because the candidate group may name a different host, and
+// two hosts that claim concurrently at a slow store cost each other seconds.
 func (h *Host) stepDown(t *term) {
 	ctx, cancel := context.WithTimeout(h.ctx, time.Second)
 	defer cancel()
 	if t != nil {
-		// It leads on while a successor is looked for.
+		// This host continues to lead while it looks for a successor.
 		successor := h.firstAvailable(ctx, h.successors())
 		t.end("planned stop")
 		h.announceSuccessor(ctx, successor, t.successionMessage())
@@ -53,9 +55,9 @@
 	h.leaveGroup(candidateGroup)
 }
 
-// announceSuccessor tells all hosts, the successor first, who is to lead now. The others
-// are told at once: one in a failure domain that is cut off would use up the time of
-// all.
+// announceSuccessor tells all hosts, the successor first, which host is to lead next. The other
+// hosts are told concurrently; otherwise one in a failure domain that is cut off would use up the
+// time for all.
 func (h *Host) announceSuccessor(ctx context.Context, successor string, succeed peer.Succeed) {
 	succeed.Successor = successor
 	h.mu.Lock()
@@ -75,15 +77,15 @@
 
 func (h *Host) sendSucceed(ctx context.Context, p string, succeed peer.Succeed) {
 	if err := h.peers.Tell(ctx, p, succeed); err != nil {
-		h.log.Warn("entry: peer was not told of the successor.", "peer", p, "err", err)
+		h.log.Warn("entry: peer could not be told the successor.", "peer", p, "err", err)
 	}
 }
 
-// successorTimeout bounds the question whether a host can lead.
+// successorTimeout limits the question whether a host can lead.
 const successorTimeout = 150 * time.Millisecond
 
-// firstAvailable is the first of the hosts that answers, is served by the store and does not
-// leave; empty if there is none.
+// firstAvailable returns the first of the hosts that answers, is served by the store and is not
+// stopping. It returns "" if there is none.
 func (h *Host) firstAvailable(ctx context.Context, hosts []string) string {
 	return firstAccepting(ctx, hosts, func(ctx context.Context, p string) bool {
 		var r peer.SyncReply
@@ -92,9 +94,9 @@
 	})
 }
 
-// firstAccepting is the first of the hosts that says yes, mostAsked of them asked at a time: the
-// best may lie together in a failure domain that is cut off, and one after the other they
-// would use up the time that a lead has to leave.
+// firstAccepting returns the first of the hosts for which ask returns true. It asks
+// maxConcurrentAsks hosts at a time: the best hosts may be in one failure domain that is cut off,
+// and asking them one after the other would use up the time that a leader has to step down.
 func firstAccepting(ctx context.Context, hosts []string, ask func(ctx context.Context, name string) bool) string {
 	for some := range slices.Chunk(hosts, maxConcurrentAsks) {
 		if p := firstAcceptingOf(ctx, some, ask); p != "" {
@@ -120,7 +122,7 @@
 	return ""
 }
 
-// successors lists the other hosts that were heard of lately, the best successor first.
+// successors lists the other hosts that were heard from recently, the best successor first.
 func (h *Host) successors() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -133,18 +135,18 @@
 	return byPower(lately)
 }
 
-// byPower orders hosts by how well they would lead. The strongest go first: a weak
-// host with a narrow link takes a second or two to read what it takes over, with
-// all starts at rest, and leaves the lead to a stronger one soon after. Among
-// equals the one that began last: when hosts are stopped in turn, it has been
-// already.
+// byPower orders hosts by how suitable they are to lead. The strongest come first: a weak host
+// with a narrow link takes a second or two to read the state that it takes over, no task starts
+// in that time, and it hands over the lead to a stronger host soon after. Among equally strong
+// hosts the one that started last comes first: when hosts are restarted one after the other, it
+// has already been restarted.
 func byPower(seen map[string]hostInfo) []string {
 	return slices.SortedFunc(maps.Keys(seen), func(a, b string) int {
 		return cmp.Or(cmp.Compare(seen[b].power, seen[a].power), seen[b].began.Compare(seen[a].began), cmp.Compare(a, b))
 	})
 }
 
-// cedeToStronger leaves the lead to a host with much more power, if there is one.
+// cedeToStronger hands the lead over to a host with much more power, if there is one.
 func (h *Host) cedeToStronger() {
 	h.mu.Lock()
 	t := h.ownTerm
@@ -170,9 +172,9 @@
 	return slices.DeleteFunc(all, func(n string) bool { return h.peersSeen[n].power < h.cfg.Power*strongerFactor })
 }
 
-// delegateToStronger asks a host with much more power to lead; false if there is none, or
-// if one was asked lately: it may be gone and still be listed, and nothing would
-// be led for as long as it is asked again.
+// delegateToStronger asks a host with much more power to lead. It returns false if there is none
+// or if one was asked recently. That host may be gone and still be listed, and nothing would be
+// scheduled for as long as it is asked again.
 func (h *Host) delegateToStronger() bool {
 	h.readHosts()
 	h.mu.Lock()
@@ -191,7 +193,7 @@
 	h.mu.Lock()
 	h.lastDelegation = h.now()
 	h.mu.Unlock()
-	h.log.Info("lead: left to a stronger host.", "host", best)
+	h.log.Info("lead: stronger host asked to lead.", "host", best)
 	h.announceSuccessor(ctx, best, peer.Succeed{Term: term})
 	h.followLeader(best, term)
 	return true
