--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -21,11 +21,11 @@
 	"pollencroft/internal/standin/users"
 )
 
-// Of 44 hosts 6 are strong, and hosts are stopped in turn, the lead first. If a weak
-// one took over, with a tenth of the link, every start would rest for as long as it
-// reads, and again when it leaves the lead to a strong one; if one took over that
-// is stopped next, again. Callers would see their jobs late three times in a row.
-// The pattern is that of a rolling restart of a grown site.
+// Of 44 hosts 6 are strong, and hosts are restarted one after the other, the leader first. If a
+// weak host took over, with a tenth of the bandwidth, no task would start while it reads its
+// state, and again when it hands over the lead to a strong one. The same would happen if a host
+// took over that is restarted next. Callers would see their jobs late three times in a row. The
+// pattern is that of a rolling restart of a site that has grown.
 func TestTheStrongestAndYoungestHostIsTheSuccessor(t *testing.T) {
 	at := time.Unix(1000, 0)
 	seen := map[string]entry.HostInfo{
@@ -37,8 +37,8 @@
 	require.Equal(t, []string{"restarted", "also old", "old", "weak"}, entry.ByPower(seen))
 }
 
-// The lead of a cell of unlike hosts is stopped. The strongest of the others leads
-// next, and no third one.
+// The leader of a cluster of unequal hosts is stopped. The strongest of the others leads next,
+// and no third host does.
 func TestAStoppedLeadIsFollowedByTheStrongest(t *testing.T) {
 	c := newCluster(t, 1, 2, 50*time.Millisecond)
 	power := func(p float64) func(*entry.Settings) { return func(cfg *entry.Settings) { cfg.Power = p } }
@@ -57,9 +57,9 @@
 	}
 }
 
-// The lead's failure domain is cut off: it answers nothing. Whoever is to lead asks
-// it three times on the way to the claim. It waits for an answer once; three waits
-// would leave every start at rest for half a second more.
+// The leader's failure domain is cut off, and the leader answers nothing. The host that is to
+// lead asks it three times on the way to the claim, but waits for an answer only once. Three
+// waits would delay every start by half a second more.
 func TestASilentLeadIsWaitedForOnce(t *testing.T) {
 	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -83,10 +83,10 @@
 	<-served
 }
 
-// Some hosts are much weaker than others. One of them that led would be so short of
-// its processor that it could not even be asked to leave the lead to another, and
-// nearly no job would be served in time. So it does not stand ready while enough
-// strong ones do, and does again when they are gone.
+// Some hosts are much weaker than others. If one of them led, it would be so short of CPU time
+// that it could not even be asked to hand over the lead, and nearly no job would be finished in
+// time. So a weak host is no candidate while there are enough strong ones, and becomes one when
+// they are gone.
 func TestAWeakHostStandsReadyOnlyWithoutStrongOnes(t *testing.T) {
 	c := newCluster(t, 3, 2, 50*time.Millisecond)
 	weak := c.start("weak", func(cfg *entry.Settings) { cfg.Power = 0.2 })
@@ -104,14 +104,14 @@
 	require.Empty(t, c.checker.Wrongs())
 }
 
-// A new lead reads for seconds at a slow store, and a job is accepted meanwhile in a
-// partition that it has read. It must not tell that there is no such job: what it
-// knows is as old as the beginning of its reading. Callers were told that jobs they
-// had handed in never were.
+// A new leader reads for seconds from a slow store, and in the meantime a job is accepted in a
+// partition that it has already read. It must not report that this job does not exist, because
+// what it knows is as old as the beginning of its read. Callers used to be told that jobs that
+// they had submitted did not exist.
 func TestALeadKnowsOnlyWhatWasStoredBeforeItRead(t *testing.T) {
 	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	h := c.leader()
-	require.False(t, h.IsUncertain(jobID(0)), "it has just read")
+	require.False(t, h.IsUncertain(jobID(0)), "the leader has just read the jobs")
 	h.BeginTerm(1<<40, time.Now().Add(-3*time.Second))
 	require.True(t, h.IsUncertain(jobID(0)))
 	c.log.BreakReads("jobs", users.Busy)
@@ -123,10 +123,10 @@
 	require.Equal(t, http.StatusOK, code, body)
 }
 
-// The lead changes while a host stores a job. What the host tells the old lead is
-// lost, and the new one has read the partition before. The job would wait for its
-// next look through all partitions, nearly two seconds; here the new lead cannot
-// look at all. It is told by the host as soon as that one knows who leads.
+// The leader changes while a host stores a job. The host's notification to the old leader is
+// lost, and the new leader has already read the partition. The job would wait for the new
+// leader's next poll of all partitions, nearly two seconds; in this test the new leader cannot
+// poll at all. The host notifies the new leader as soon as it knows which host leads.
 func TestAJobStoredWhileTheLeadChangesIsHandedToTheNextLead(t *testing.T) {
 	c := newCluster(t, 3, 2, 50*time.Millisecond)
 	leader, f := c.leader(), c.follower()
@@ -144,9 +144,9 @@
 	c.waitCompleted(f, 1)
 }
 
-// The lead asks the policy service through the hosts that it heard of. After a loss
-// of all power it has heard of none. A host that learns who leads tells it so at
-// once; with its next regular question work would wait for up to a second.
+// The leader asks the policy service through the hosts that have contacted it. After a power
+// failure of all hosts none has. A host that learns of a leader contacts it at once; if it waited
+// for its next periodic sync, work would wait for up to a second.
 func TestAHostMakesItselfKnownToANewLead(t *testing.T) {
 	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	leader := c.leader()
@@ -160,9 +160,9 @@
 	require.Eventually(t, func() bool { return leader.RecentHostCount() == 1 }, waitTimeout, 5*time.Millisecond)
 }
 
-// The announcement of a new lead is not stored at first. The other hosts go on asking
-// the dead one, and none of them claims, since the new one says that it leads; their
-// callers would be told for ever that no host leads.
+// The announcement of a new leader is not stored at first. The other hosts continue to ask the
+// dead leader, and none of them claims, because the new one answers that it leads. If the
+// announcement were not repeated, their callers would be told forever that no host leads.
 func TestALeadIsAnnouncedUntilItIsStored(t *testing.T) {
 	c := newCluster(t, 3, 2, 50*time.Millisecond)
 	c.log.BreakPart("lead", 0, users.Busy)
@@ -176,8 +176,8 @@
 	c.waitCompleted(f, 1)
 }
 
-// The group names a host while another one leads of which it has not heard. It leaves
-// the lead to that one and follows it from then on.
+// The candidate group names a host while another host leads that it does not know of. It leaves
+// the lead to that host and follows it from then on.
 func TestAHostFollowsTheLeadThatItFinds(t *testing.T) {
 	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -200,10 +200,10 @@
 	<-served
 }
 
-// After a loss of all power the lead hears of the other hosts one after the other, and
-// everybody's work waits for answers of the policy service, which takes one question of a
-// host at a time. A host that is heard of takes questions at once; with the lead's next
-// round, up to a second later, all would go through the lead alone.
+// After a power failure of all hosts the leader hears from the other hosts one after the other,
+// and all work waits for answers of the policy service, which takes one request of a host at a
+// time. The leader uses a host as soon as it hears from it. If it did so only at its next
+// periodic sync, up to a second later, all requests would go through the leader alone until then.
 func TestALeadUsesAHostOnceItHearsOfIt(t *testing.T) {
 	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	leader := c.leader()
@@ -212,9 +212,10 @@
 	require.True(t, leader.UsesForPolicy("new"))
 }
 
-// The lead's process is killed. Its connections are closed and new ones refused, so that
-// its heir knows at once and claims; with the group at the store alone nobody would lead
-// until the dead host's place has lapsed, a second, and on a slow store three.
+// The leader's process is killed. Its connections are closed and new ones are refused, so its
+// standby knows at once and claims. With the candidate group at the store alone, no host would
+// lead until the dead host's membership has expired, which takes a second, and three on a slow
+// store.
 func TestTheHeirLeadsOnceTheLeadsProcessIsGone(t *testing.T) {
 	c := newCluster(t, 3, 2, 50*time.Millisecond)
 	c.waitReady()
@@ -239,9 +240,9 @@
 	require.Empty(t, c.checker.Wrongs())
 }
 
-// The lead's process dies. Its connections are closed before its port is, and the heir asks in
-// between: a connection is still taken. Asked once, it would take the lead for alive, and
-// callers would wait a second more for the next one.
+// The leader's process dies. Its connections are closed before its listener is, and the standby
+// checks in between: a new connection is still accepted. If it checked only once, it would take
+// the leader for alive, and callers would wait a second more for the next leader.
 func TestAProcessThatIsStillClosingIsGone(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -261,9 +262,10 @@
 	<-taken
 }
 
-// A lead is stopped as planned just after a failure domain was cut off, and the eight hosts that
-// would succeed it best are in there. Asked one after the other they would use up its time to
-// leave; it would name nobody, and nothing would be started until the group notices.
+// A leader is stopped as planned just after a failure domain was cut off that contains the eight
+// best successors. If they were asked one after the other, they would use up the time that the
+// leader has to step down; it would name no successor, and nothing would be started until the
+// candidate group notices.
 func TestSilentHostsDoNotKeepALeadFromNamingItsSuccessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -279,21 +281,22 @@
 			return ctx.Err() == nil
 		})
 		require.Equal(t, "b1", got)
-		require.Equal(t, 1, asked, "b2 is not needed")
+		require.Equal(t, 1, asked, "b2 need not be asked")
 	})
 }
 
-// A lead's process comes back beside its heir, and asks other hosts whom they follow. The three
-// next to it in the list are cut off with their failure domain; it would claim beside the heir.
+// A leader's process restarts while its standby takes over, and asks other hosts which leader
+// they follow. The three hosts next to it in the list are cut off with their failure domain. If
+// it asked only those, it would claim at the same time as the standby.
 func TestHostsThatAreAskedLieApart(t *testing.T) {
 	require.Equal(t, []string{"a1", "b1", "c1"}, entry.SpacedSample([]string{"a1", "a2", "b1", "b2", "c1", "c2"}, 3))
 	require.Equal(t, []string{"a1", "a2"}, entry.SpacedSample([]string{"a1", "a2"}, 3))
 	require.Empty(t, entry.SpacedSample(nil, 3))
 }
 
-// A host starts, and reads from the store which hosts there are and who leads at the same time.
-// The list was walked without its lock while the lead was added to it, which ends the process;
-// callers would lose their connections there just when all hosts start again.
+// A host starts, and reads from the store at the same time which hosts there are and which host
+// leads. The list used to be iterated without its lock while the leader was added to it, which
+// crashes the process; callers would lose their connections to it just when all hosts restart.
 func TestHostsAreListedWhileTheLeadIsLearned(t *testing.T) {
 	log := users.NewLog(1, time.Now)
 	f := entry.NewFollower(t, slog.New(slog.DiscardHandler), "b1", nil, "", log.For("b1"), nil)
@@ -317,7 +320,7 @@
 	f.Stop()
 }
 
-// Guards against work that a host begins after its end has been waited for.
+// Guards against work that a host starts after its shutdown has been waited for.
 func TestALeadThatIsLostWhileItsHeirEndsIsNotSucceeded(t *testing.T) {
 	log := users.NewLog(1, time.Now)
 	for n := range 50 {
--- a/internal/entry/take.go
+++ b/internal/entry/take.go
@@ -13,9 +13,9 @@
 	"pollencroft/internal/store"
 )
 
-// acceptRecords takes what callers asked for, as it is stored from offset first on. What
-// was taken before is known to the core by its id; what lies between is read by
-// poll.
+// acceptRecords accepts the requests of callers that are stored in a partition from offset first
+// on. The scheduler core recognises jobs that were accepted before by their ids. Records in
+// between are read by pollPeriodically.
 func (t *term) acceptRecords(part int, first int64, records []store.Record) {
 	t.mu.Lock()
 	if part < len(t.nextOffset) && first <= t.nextOffset[part] {
@@ -30,8 +30,8 @@
 	}
 }
 
-// notePart notes where a record lies, so that it can be dropped one day; mu is
-// held, or nobody else knows t yet.
+// notePart records in which partition a record is stored, so that it can be deleted later. mu is
+// held, or t is not shared yet.
 func (t *term) notePart(part int, r store.Record) {
 	if len(r.Value) == 0 {
 		return
@@ -55,7 +55,7 @@
 	}
 	var spec flow.Spec
 	if err := json.Unmarshal(r.Value, &spec); err != nil {
-		t.h.log.Error("lead: job cannot be read.", "id", r.Key, "err", err)
+		t.h.log.Error("lead: job cannot be decoded.", "id", r.Key, "err", err)
 		t.mu.Lock()
 		t.unreadable[r.Key] = true
 		t.mu.Unlock()
@@ -64,8 +64,9 @@
 	t.step(sched.Submit{Spec: spec})
 }
 
-// pollPeriodically reads what no host told of, all partitions every pollAll, and the first time
-// soon: hosts went on storing while this one took over.
+// pollPeriodically reads the records that no host has notified the leader of, from all
+// partitions, every pollInterval. The first poll comes soon, because hosts continued to store
+// jobs while this one took over.
 func (t *term) pollPeriodically() {
 	for pause := firstPollDelay; sleep(t.ctx, pause); pause = pollInterval {
 		began := t.h.now()
@@ -75,7 +76,7 @@
 			g.Go(func() error { return t.pollPart(ctx, part) })
 		}
 		if err := g.Wait(); err != nil {
-			t.h.log.Warn("lead: jobs cannot be read.", "err", err)
+			t.h.log.Warn("lead: jobs cannot be read from the store.", "err", err)
 			continue
 		}
 		t.mu.Lock()
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// reread takes all jobs of a partition again after old records were deleted.
+// reread reads all jobs of a partition again after old records were deleted.
 func (t *term) reread(ctx context.Context, part int) error {
 	all, from, err := store.Table(ctx, t.h.store, jobsTopic, part)
 	if err != nil {
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -15,15 +15,16 @@
 	"pollencroft/internal/store"
 )
 
-// term is the time for which this host leads. It carries the scheduler core's
-// actions to the store and the workers, and their answers back.
+// term is the period in which this host leads. It executes the scheduler core's actions on the
+// store and the workers, and feeds their answers back to the core.
 type term struct {
 	h      *Host
 	number int64
-	// readAt is when the reading of what the former lead left beganAt, beganAt when it
-	// was over.
+	// readAt is when the reading of the previous leader's state started, beganAt when it was
+	// finished.
 	readAt, beganAt time.Time
-	// jobs is how many were taken over, open how many of them go on.
+	// jobs is the number of jobs that were taken over, open the number of those that have not
+	// ended.
 	jobs, open int
 	ctx        context.Context
 	cancel     context.CancelFunc
@@ -34,41 +35,42 @@
 	ended         bool
 	journal       *journal
 	responseTimes *responseTimes
-	// nextOffset is by partition the first offset of jobsTopic that was not taken.
+	// nextOffset is, by partition, the first offset of jobsTopic that has not been read.
 	nextOffset []int64
-	// lastPoll is when the last look through all partitions began.
+	// lastPoll is when the last successful poll of all partitions started.
 	lastPoll time.Time
-	// jobParts tells in which partitions a job was asked for.
+	// jobParts holds, by job, the partitions that contain the job's requests.
 	jobParts map[string]map[int]bool
-	// workers are the workers by life, as the store has them.
+	// workers are the workers in the store's list, by incarnation.
 	workers map[string]sched.Worker
-	// finalStates are the final states of its jobs.
+	// finalStates are the final states of the term's jobs.
 	finalStates finalStates
-	// unreadable are stored jobs that it cannot read: it does not know them, and they are there.
+	// unreadable are stored jobs that cannot be decoded. The scheduler core does not know them,
+	// but they exist.
 	unreadable map[string]bool
-	// maxTickDelay is the most by which a step came after it was due, since that was told last.
+	// maxTickDelay is the longest delay of a tick since it was last logged.
 	maxTickDelay time.Duration
 }
 
 const (
-	// pollInterval is how often the lead looks through all partitions, pollAtOnce of
-	// them at a time, for jobs that no host told it of: a host that stored one may
-	// have died before it could.
+	// pollInterval is how often the leader polls all partitions, maxConcurrentPolls at a time,
+	// for jobs of which it was not notified. A host that stored a job may have died before it
+	// could notify the leader.
 	pollInterval       = 1800 * time.Millisecond
 	maxConcurrentPolls = 4
-	// firstPollDelay is when a new lead looks first: once its own placing is done.
+	// firstPollDelay is when a new leader polls first: after its own first placement.
 	firstPollDelay = 300 * time.Millisecond
-	// maxPollAge is how old such a look may be for a job that it did not find to be
-	// told as not there: a job has to be known three seconds after its acceptance.
+	// maxPollAge is how old the last poll may be for a job that it did not find to be reported as
+	// missing. A job has to be known three seconds after its acceptance.
 	maxPollAge = 2900 * time.Millisecond
-	// workersInterval is how often the workers' entries are read: a leaving worker
-	// must get no work after two seconds.
+	// workersInterval is how often the worker entries are read. A worker that is being drained
+	// must not get new work after two seconds.
 	workersInterval = 400 * time.Millisecond
 	// appendRetry is the pause before an append is repeated.
 	appendRetry = 100 * time.Millisecond
 )
 
-// newTerm starts a term from what the store held when it was read.
+// newTerm starts a term with the state that the store contained when it was read.
 func (h *Host) newTerm(number int64, states []store.Record, requests [][]store.Record, next []int64, read time.Time) *term {
 	began := h.now()
 	r := h.restore(states, requests)
@@ -122,15 +124,15 @@
 	return t
 }
 
-// awaitPreviousLeader waits until the former lead is certain to hold nothing: it says
-// that it does not lead, or it was this very host.
+// awaitPreviousLeader waits until the previous leader certainly holds no leases: it has answered
+// that it does not lead, or it was this host.
 func (t *term) awaitPreviousLeader() {
 	t.h.mu.Lock()
 	previous := t.h.previousLeader
 	over := sched.PredecessorStopped{Since: t.h.handoverBoundsAt, LeaseBounds: t.h.handoverBounds}
 	t.h.handoverBounds = nil
 	t.h.mu.Unlock()
-	// A lead that asked to be succeeded has ended its term before.
+	// A leader that asked this host to succeed it has ended its term before that.
 	for over.LeaseBounds == nil && previous != "" && previous != t.h.cfg.Name {
 		ctx, cancel := context.WithTimeout(t.ctx, askTimeout)
 		var r peer.SyncReply
@@ -146,7 +148,7 @@
 	t.step(over)
 }
 
-// successionMessage is what a lead that leaves tells its successor.
+// successionMessage is the message that a leader that steps down sends to its successor.
 func (t *term) successionMessage() peer.Succeed {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -157,7 +159,7 @@
 	return m
 }
 
-// end gives up the term; nothing more is ordered under it.
+// end ends the term. No more orders are sent in it.
 func (t *term) end(why string) {
 	t.mu.Lock()
 	over := t.ended
@@ -178,7 +180,7 @@
 	t.h.log.Info("lead: term ends.", "term", t.number, "why", why)
 }
 
-// step feeds the core and carries out what it says.
+// step passes an event to the scheduler core and executes the actions that the core returns.
 func (t *term) step(ev sched.Event) {
 	t.mu.Lock()
 	if t.ended {
@@ -241,7 +243,7 @@
 	}
 }
 
-// sendOrder sends an sendOrder to a worker.
+// sendOrder sends an order to a worker.
 func (t *term) sendOrder(incarnation string, send func(ctx context.Context) sched.Outcome) sched.Outcome {
 	return callWorker(t.responseTimes, t.h.now, incarnation, 0, func() sched.Outcome {
 		ctx, cancel := context.WithTimeout(t.ctx, maxOrderTimeout)
@@ -262,7 +264,7 @@
 	t.step(got)
 }
 
-// holdCounter names the counter of a hold by what came of it.
+// holdCounter returns the name of the counter for the result of a hold.
 func holdCounter(r sched.HoldReply) string {
 	switch {
 	case r.Outcome != sched.Accepted:
@@ -276,7 +278,7 @@
 	}
 }
 
-// noteEnded takes note of a final state, for this host and for those that ask.
+// noteEnded records a final state, for this host and for those that sync with it.
 func (t *term) noteEnded(a sched.JobEnded) {
 	t.h.log.Info("sched: ended.", "id", a.ID, "term", t.number, "detail", a.State)
 	t.h.states.add(a.ID, a.State)
@@ -287,7 +289,8 @@
 	t.finalStates.drop(now.Add(-time.Duration(t.h.cfg.Times.Keep)))
 }
 
-// finalStatesFrom returns final states from a number on, and the number to go on with.
+// finalStatesFrom returns final states starting at sequence number n, and the number to continue
+// with.
 func (t *term) finalStatesFrom(n int) (map[flow.State][]string, int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -311,9 +314,9 @@
 	}
 }
 
-// forget drops an ended job from the store: its spec, and only once that is gone its
-// progress. The other way round, a lead that takes over in between would find a job
-// that nothing was done of, and run it again.
+// forget deletes an ended job from the store: first its spec, and after that its progress. In the
+// opposite order, a leader that takes over in between would find a job without progress and run
+// it again.
 func (t *term) forget(id string) {
 	t.mu.Lock()
 	parts := t.jobParts[id]
@@ -322,15 +325,15 @@
 	for part := range parts {
 		c := store.Call{Op: store.Append, Topic: jobsTopic, Part: part, Keyed: true, Records: []store.Record{{Key: id}, {Key: id + cancelMark}}}
 		if _, err := t.h.store.Do(t.ctx, c); err != nil {
-			t.h.log.Warn("lead: ended job is not dropped.", "id", id, "part", part, "err", err)
+			t.h.log.Warn("lead: ended job cannot be deleted.", "id", id, "part", part, "err", err)
 			return
 		}
 	}
 	t.journal.drop(t.ctx, id)
 }
 
-// tickPeriodically steps the core when it is due, and gives up a term that the store does
-// not serve: a successor may have begun by then, which counts on it.
+// tickPeriodically steps the core when it is due. It ends the term if the store does not serve
+// this host, because a successor may have started by then and relies on that.
 func (t *term) tickPeriodically() {
 	for t.ctx.Err() == nil {
 		t.mu.Lock()
@@ -357,8 +360,9 @@
 	}
 }
 
-// state looks for a job. It is sure that there is none only if the term has read, within
-// knowAge, all that was stored: told so otherwise, a caller would lose a job that was accepted.
+// state returns a job's state. It is sure that a job does not exist only if the term has read,
+// within maxPollAge, everything that was stored. Otherwise a caller could be told that an
+// accepted job does not exist.
 func (t *term) state(id string) (state flow.State, known, sure bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/entry/turns_test.go
+++ b/internal/entry/turns_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against hosts that grow patient after changes of the lead that were right.
+// Guards against hosts whose timeout grows after leader changes that were right.
 func TestLeadsThatStandStillInTurnAreSucceededInTime(t *testing.T) {
 	const (
 		still = 3 * time.Second
--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -19,21 +19,22 @@
 )
 
 const (
-	// tableDeadline is the promise: how long after its confirmation a table is in force.
+	// tableDeadline is the guaranteed time from the confirmation of a table until it is in force.
 	tableDeadline = 2 * time.Second
-	// recoveryTime is how long after the last trouble of the store or of its own connections
-	// a host has to keep promises again.
+	// recoveryTime is how long after the end of the last outage of the store or of its own
+	// connections a host has to meet its guarantees again.
 	recoveryTime = 3 * time.Second
-	// storeLatency is how long the store takes, hop how long a peer does besides.
+	// storeLatency is the store's usual response time, peerLatency the additional time of a call
+	// through a peer.
 	storeLatency = 4 * time.Millisecond
 	peerLatency  = 2 * time.Millisecond
 )
 
-// outage is what is wrong with the store from some moment to another.
+// outage is a fault of the store during a period of time.
 type outage struct {
 	from, to time.Duration
 	kind     outageKind
-	// tableOnly, if set, leaves all partitions alone but the tableOnly's, ownOnly all hosts but this one.
+	// tableOnly limits the outage to the partition of the table, ownOnly to this host.
 	tableOnly, ownOnly bool
 }
 
@@ -43,7 +44,7 @@
 	silent outageKind = iota
 	refusing
 	slowly
-	// lost is one moment: the host's open connections never answer any more.
+	// lost is a single event: calls on the host's open connections are never answered.
 	lost
 	outageKinds
 )
@@ -56,27 +57,27 @@
 	return fmt.Sprintf("%v from %v to %v, only the table %v", tr.kind, tr.from, tr.to, tr.tableOnly)
 }
 
-// affects tells whether it concerns a call at some moment.
+// affects reports whether the outage affects a call at a given time.
 func (tr outage) affects(at time.Duration, c store.Call, own bool) bool {
 	return at >= tr.from && at < tr.to && (!tr.tableOnly || c.Topic == platform.TableTopic) && (!tr.ownOnly || own)
 }
 
-// fakeStore is one host's view of a store and of peers in three failure domains, the
-// first of which is cut off from some moment on.
+// fakeStore is one host's view of the store and of peers in three failure domains, one of which
+// is cut off from some time on.
 type fakeStore struct {
 	began   time.Time
 	outages []outage
 	// cutAt is when the hosts whose names begin with cutDomain stop answering.
 	cutAt     time.Duration
 	cutDomain byte
-	// changedAt is when the table changes, from version 1 to 2.
+	// changedAt is when the table changes from version 1 to 2.
 	changedAt time.Duration
 	logs      logBuffer
 }
 
 func (w *fakeStore) elapsed() time.Duration { return time.Since(w.began) }
 
-// Do is the host's direct way.
+// Do is the host's direct route to the store.
 func (w *fakeStore) Do(ctx context.Context, c store.Call) (store.Answer, error) {
 	sent := w.elapsed()
 	answered := make(chan struct{})
@@ -95,7 +96,7 @@
 			return a, err
 		case <-ctx.Done():
 		case <-time.After(tr.from - sent):
-			// Nothing of what is open then is answered.
+			// No call that is in progress at that time is answered.
 		}
 		<-ctx.Done()
 		<-answered
@@ -105,7 +106,7 @@
 	return a, err
 }
 
-// viaPeer is a peer's way.
+// viaPeer is the route through a peer.
 func (w *fakeStore) viaPeer(ctx context.Context, peer string, c store.Call) (store.Answer, error) {
 	if !sleep(ctx, peerLatency) || peer[0] == w.cutDomain && w.elapsed() > w.cutAt {
 		<-ctx.Done()
@@ -123,7 +124,7 @@
 	}
 }
 
-// serve is what the store does with a call, of the host itself or a peer's.
+// serve executes a call like the store does, for the host itself or for a peer.
 func (w *fakeStore) serve(ctx context.Context, c store.Call, own bool) (store.Answer, error) {
 	took := storeLatency
 	for _, tr := range w.outages {
@@ -164,7 +165,8 @@
 	return a, nil
 }
 
-// waitForRecords waits as long as a read may for what it does not have yet; false if it is given up.
+// waitForRecords waits as long as a read may wait for new records. It returns false if the read
+// is cancelled.
 func (w *fakeStore) waitForRecords(ctx context.Context, c store.Call) bool {
 	if c.Wait == 0 || c.From == 0 || w.elapsed() >= w.changedAt {
 		return true
@@ -172,7 +174,7 @@
 	return sleep(ctx, min(c.Wait, w.changedAt-w.elapsed()))
 }
 
-// isSilent tells whether an answer does not get through now.
+// isSilent reports whether an answer is lost now.
 func (w *fakeStore) isSilent(c store.Call, own bool) bool {
 	for _, tr := range w.outages {
 		if tr.kind == silent && tr.affects(w.elapsed(), c, own) {
@@ -186,12 +188,12 @@
 	return store.Record{Offset: version - 1, Key: platform.TableKey, Value: fmt.Appendf(nil, tableText, version, "")}
 }
 
-// deadline is when the changed table has to be in force.
+// deadline returns when the changed table has to be in force.
 func (w *fakeStore) deadline() time.Duration {
 	b := w.changedAt + tableDeadline
 	for _, tr := range w.outages {
 		if tr.ownOnly {
-			// It lasts; peers are served.
+			// The outage lasts, but peers are served.
 			b = max(b, tr.from+recoveryTime)
 			continue
 		}
@@ -200,7 +202,8 @@
 	return b
 }
 
-// tableArrives tells whether the changed table is in force in time at a host of the second domain.
+// tableArrives reports whether the changed table is in force in time at a host of the second
+// domain.
 func (w *fakeStore) tableArrives(t *testing.T, name, leader string) (ok bool) {
 	synctest.Test(t, func(t *testing.T) {
 		w.began = time.Now()
@@ -216,23 +219,23 @@
 		synctest.Wait()
 		ok = f.Version() == 2
 		f.Stop()
-		// What was left behind ends on its own.
+		// The goroutines that are still running end on their own.
 		time.Sleep(5 * time.Minute)
 	})
 	return ok
 }
 
-// Operators confirm a change; for seconds callers at some hosts are still refused for want of a
-// queue that the change has added. The store was silent, for all hosts or for the partition of
-// the operators' table, or a host's open connections went silent, and a read that waits for a
-// new table was sent just before that ended; a failure domain is cut off meanwhile, and in it
-// the lead and the first hosts by name.
+// Operators confirm a change, and for seconds some hosts still refuse callers because they lack a
+// queue that the change has added. The store was silent, for all hosts or only for the partition
+// of the operators' table, or a host's open connections went silent, and a read that waits for a
+// new table was sent just before that ended. In the meantime a failure domain is cut off that
+// contains the leader and the first hosts by name.
 //
-// The read was waited for to the end of its time, 4.1 s. After 1.3 s it was also made through
-// peers: three, one after the other, the lead and the first by name, all of them cut off. Drawn
-// cells proved it: each that failed had its lead and its first three names in the domain that
-// was cut, and none fails since reads are made again on a new connection and peers beside
-// each other, those that failed last.
+// The read was waited for until its timeout, 4.1 s. After 1.3 s it was also made through peers:
+// three, one after the other, the leader and the first by name, all of them cut off. Random
+// clusters proved it: in each one that failed, the leader and the first three names were in the
+// domain that was cut off. None fails since reads are repeated on a new connection, and peers are
+// asked concurrently, those that failed last.
 func TestATableIsInForceInTime(t *testing.T) {
 	const back = 10 * time.Second
 	for name, troubles := range map[string]func(away time.Duration) []outage{
@@ -253,7 +256,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			// The read may have been sent at any moment before.
+			// The read may have been sent at any time before.
 			for away := 2 * time.Second; away < 6*time.Second; away += 130 * time.Millisecond {
 				for after := time.Duration(0); after <= 600*time.Millisecond; after += 200 * time.Millisecond {
 					w := fakeStore{cutAt: 5 * time.Second, cutDomain: 'a', changedAt: back + after, outages: troubles(away)}
@@ -264,9 +267,9 @@
 	}
 }
 
-// The store turns one host away, or is silent for it, for minutes, and serves the others;
-// a failure domain is cut off, and in it the lead. A queue that is added meanwhile is served
-// by all hosts but this one, where callers are told that there is none.
+// The store refuses one host, or does not answer it, for minutes, and serves the others; a
+// failure domain that contains the leader is cut off. A queue that is added in the meantime would
+// be served by all hosts but this one, whose callers would be told that it does not exist.
 func TestATableIsInForceInTimeThroughPeers(t *testing.T) {
 	for _, k := range []outageKind{silent, refusing} {
 		for after := time.Duration(0); after < 3*time.Second; after += 90 * time.Millisecond {
@@ -276,8 +279,8 @@
 	}
 }
 
-// Troubles of the store, a cut and a change come at drawn moments. Whatever they are, a host
-// that is not cut off itself has the change in force in time.
+// Outages of the store, a cut and a change of the table happen at random times. Whatever they
+// are, a host that is not cut off itself has the change in force in time.
 func TestATableIsInForceInTimeWhateverWasSilent(t *testing.T) {
 	for seed := range uint64(1000) {
 		rng := rand.New(rand.NewPCG(seed, 0))
@@ -298,8 +301,9 @@
 	}
 }
 
-// The store is silent for seconds. On call one sees that queues are missing on some hosts,
-// and has to tell a host that cannot read the table from one that read it and put it aside.
+// The store does not answer for seconds. An operator on call sees that queues are missing on some
+// hosts, and has to distinguish a host that cannot read the table from one that read and ignored
+// it.
 func TestLinesTellOfATableThatCannotBeRead(t *testing.T) {
 	w := fakeStore{cutDomain: 'a', changedAt: 12 * time.Second, outages: []outage{{from: 3 * time.Second, to: 10 * time.Second, kind: silent}}}
 	require.True(t, w.tableArrives(t, "b1", "a1"))
@@ -314,8 +318,8 @@
 	}
 }
 
-// The store turns the hosts of one failure domain away. All would ask the same peers, the
-// first by name, and these would make the calls of all.
+// The store refuses the hosts of one failure domain. If all of them asked the same peers, the
+// first by name, these would have to make the calls of all.
 func TestHostsAskUnlikePeers(t *testing.T) {
 	all := []string{"a1", "a2", "b1", "b2", "c1"}
 	for name, want := range map[string][]string{
