--- a/internal/flow/job.go
+++ b/internal/flow/job.go
@@ -57,8 +57,8 @@
 	State  chart.State
 	Worker string
 	// Run numbers the task's starts, from 1.
-	Run   int
-	Fails int
+	Run      int
+	Failures int
 	// Crashed are the lives of workers that ended while a run of the task was, or may
 	// have been, at them; Lost those on which one was lost and whose fate is not known.
 	Crashed, Lost []string
@@ -90,8 +90,8 @@
 	return true
 }
 
-// Out tells whether a run of the task may be at a worker.
-func (t *Task) Out() bool {
+// MayBeRunning tells whether a run of the task may be at a worker.
+func (t *Task) MayBeRunning() bool {
 	switch t.State {
 	case Assigned, Starting, Running, Stopping, Inherited:
 		return true
--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -31,7 +31,7 @@
 
 // markLost records that a run may have crashed a worker that stopped answering.
 func (s *Sched) markLost(t *flow.Task, w *worker) {
-	if t.State == flow.Assigned || w.draining || t.Job.State.Final() || !t.Lose(w.Incarnation) {
+	if t.State == flow.Assigned || w.draining || t.Job.State.Final() || !t.MarkLost(w.Incarnation) {
 		return
 	}
 	w.lostRuns[t.Name] = lostRun{t, t.Run, s.now}
@@ -46,10 +46,10 @@
 	switch {
 	case j.State.Final() || t.State == flow.Done:
 		return
-	case w.draining, t.Doubt() > 1 && s.isRackOutage(w, t):
+	case w.draining, t.CrashSuspicions() > 1 && s.isRackOutage(w, t):
 		s.clearSuspicion(t, w)
 		return
-	case !t.Crash(w.Incarnation):
+	case !t.MarkCrashed(w.Incarnation):
 		return
 	}
 	s.suspects[t] = true
@@ -64,7 +64,7 @@
 
 // clearSuspicion withdraws the suspicion that a task crashed a worker.
 func (s *Sched) clearSuspicion(t *flow.Task, w *worker) {
-	if t.Acquit(w.Incarnation) {
+	if t.UnmarkLost(w.Incarnation) {
 		s.emit(Note{ID: t.Name.String(), What: "crash ruled out", Worker: w.Incarnation, Run: t.Run})
 		s.markDirty(t.Job)
 	}
@@ -120,7 +120,7 @@
 // adoptLostRuns takes over the incarnations on which a recorded task was lost, and marks it as a
 // suspect if any ended, or may have ended, under it.
 func (s *Sched) adoptLostRuns(t *flow.Task) {
-	if t.Doubt() > 0 {
+	if t.CrashSuspicions() > 0 {
 		s.suspects[t] = true
 	}
 	for _, incarnation := range t.Lost {
@@ -141,7 +141,7 @@
 // clearProven clears the crash count of a long-running task that has run for long enough.
 func (s *Sched) clearProven(t *flow.Task) {
 	if t.Spec().LongRunning && t.State == flow.Running && s.suspects[t] && s.now.Sub(t.Since) >= provenAfter {
-		t.Clear()
+		t.ClearCrashes()
 		delete(s.suspects, t)
 		s.markDirty(t.Job)
 	}
@@ -149,8 +149,8 @@
 
 // pruneSuspects removes tasks that are over or no longer suspected of a crash.
 func (s *Sched) pruneSuspects() {
-	over := func(t *flow.Task) bool { return t.State == flow.Done || t.Job.State.Final() && !t.Out() }
-	maps.DeleteFunc(s.suspects, func(t *flow.Task, _ bool) bool { return over(t) || t.Doubt() == 0 })
+	over := func(t *flow.Task) bool { return t.State == flow.Done || t.Job.State.Final() && !t.MayBeRunning() }
+	maps.DeleteFunc(s.suspects, func(t *flow.Task, _ bool) bool { return over(t) || t.CrashSuspicions() == 0 })
 	for _, w := range s.workers {
 		maps.DeleteFunc(w.lostRuns, func(_ flow.Name, l lostRun) bool {
 			return over(l.task) || !slices.Contains(l.task.Lost, w.Incarnation)
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -42,7 +42,7 @@
 // time for a step.
 func TestAdviceIsAskedBeforeAStart(t *testing.T) {
 	b := newBench(t, 12)
-	b.queues[0].Advice = &flow.Advice{Base: 24 * time.Millisecond, Each: 340 * time.Microsecond, Valid: 2500 * time.Millisecond}
+	b.queues[0].Advice = &flow.Advice{Base: 24 * time.Millisecond, PerWorker: 340 * time.Microsecond, Valid: 2500 * time.Millisecond}
 	b.step(sched.Queues{Version: 2, All: b.queues})
 	b.policy = func(_, worker string) bool { return worker >= "w06" }
 	b.submit("a", "scan", scan(6))
@@ -74,7 +74,7 @@
 func TestFillingTasksAreHeldBackBesideATaskThatServes(t *testing.T) {
 	b := newBench(t, 1)
 	serve := flow.Step{Tasks: 1, Size: cell.Size{CPU: 20_000, Mem: 8 << 30}, LongRunning: true, LatencyTarget: 100 * time.Millisecond}
-	fill := flow.Step{Tasks: 2, Size: cell.Size{CPU: 10_000, Mem: 8 << 30}, Time: time.Minute, BestEffort: true}
+	fill := flow.Step{Tasks: 2, Size: cell.Size{CPU: 10_000, Mem: 8 << 30}, EstimatedTime: time.Minute, BestEffort: true}
 	b.submit("serve", "scan", serve)
 	b.submit("fill", "print", fill)
 	b.play(time.Second)
@@ -141,7 +141,7 @@
 	b.copies = true
 	b.play(100 * time.Millisecond)
 	step := scan(tasks)
-	step.AllowCopies, step.Time = true, work
+	step.AllowCopies, step.EstimatedTime = true, work
 	b.submit("a", "scan", step)
 	b.play(300 * time.Millisecond)
 	cut := slices.MaxFunc(b.inOrder(), func(x, y *fakeWorker) int { return len(x.runs) - len(y.runs) })
@@ -229,7 +229,7 @@
 	b.play(100 * time.Millisecond)
 	b.storeAway = true
 	step := scan(8)
-	step.AllowCopies, step.Time = true, 3*time.Second
+	step.AllowCopies, step.EstimatedTime = true, 3*time.Second
 	b.submit("a", "scan", step)
 	b.play(200 * time.Millisecond)
 	require.Equal(t, 8, total(b.starts))
@@ -295,7 +295,7 @@
 // 700,000 looks a pass it would.
 func BenchmarkPassOverABacklog(b *testing.B) {
 	c := newBench(&testing.T{}, 350)
-	c.queues[1].Advice = &flow.Advice{Base: 370 * time.Millisecond, Each: 5 * time.Millisecond, Valid: 2500 * time.Millisecond}
+	c.queues[1].Advice = &flow.Advice{Base: 370 * time.Millisecond, PerWorker: 5 * time.Millisecond, Valid: 2500 * time.Millisecond}
 	c.step(sched.Queues{Version: 2, All: c.queues})
 	c.policy = func(string, string) bool { return false }
 	for i := range 2000 {
@@ -364,7 +364,7 @@
 // when other hosts are heard of.
 func TestQuestionsWaitForAHostThatIsFree(t *testing.T) {
 	b := newBench(t, 24)
-	b.queues[0].Advice = &flow.Advice{Base: 30 * time.Millisecond, Each: 300 * time.Microsecond, Valid: 2500 * time.Millisecond}
+	b.queues[0].Advice = &flow.Advice{Base: 30 * time.Millisecond, PerWorker: 300 * time.Microsecond, Valid: 2500 * time.Millisecond}
 	b.step(sched.Queues{Version: 2, All: b.queues})
 	b.step(sched.Hosts{Names: []string{"h1"}})
 	for i := range 40 {
