--- a/internal/entry/turns_test.go
+++ b/internal/entry/turns_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against hosts that grow patient after changes of the lead that were right.
+// Guards against hosts whose timeout grows after leader changes that were right.
 func TestLeadsThatStandStillInTurnAreSucceededInTime(t *testing.T) {
 	const (
 		still = 3 * time.Second
@@ -21,8 +21,8 @@
 		steps := map[time.Duration]func(*busyCluster){}
 		for n := range turns {
 			steps[time.Duration(n+2)*every] = func(c *busyCluster) {
-				lead := c.leader()
-				lead.setFaults(false, true)
+				leader := c.leader()
+				leader.setFaults(false, true)
 				go func() {
 					began := time.Now()
 					for c.leader() == nil && time.Since(began) < still {
@@ -30,7 +30,7 @@
 					}
 					without <- time.Since(began)
 					sleep(c.ctx, still-time.Since(began))
-					lead.setFaults(false, false)
+					leader.setFaults(false, false)
 				}()
 			}
 		}
