--- a/internal/flow/job.go
+++ b/internal/flow/job.go
@@ -150,9 +150,9 @@
 	State State
 	// Published is the state that a caller is told: one that is recorded, by the append
 	// of that number.
-	Published State
-	Recorded  int64
-	Began     time.Time
+	Published       State
+	PublishedAppend int64
+	Began           time.Time
 	// Number orders jobs by acceptance.
 	Number int64
 	// Domain is the failure domain that the job's tasks are kept in while it has
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -369,10 +369,10 @@
 // publishState publishes a job's state from a stored record, unless a later record has been
 // published already.
 func (s *Sched) publishState(j *flow.Job, b *batch) {
-	if b.number < j.Recorded {
+	if b.number < j.PublishedAppend {
 		return
 	}
-	j.Published, j.Recorded = b.states[j], b.number
+	j.Published, j.PublishedAppend = b.states[j], b.number
 	if j.Published.Final() {
 		s.emit(JobEnded{ID: j.Spec.ID, State: j.Published})
 	}
