--- a/internal/flow/job.go
+++ b/internal/flow/job.go
@@ -152,7 +152,7 @@
 	// of that number.
 	Published       State
 	PublishedAppend int64
-	Began           time.Time
+	Accepted        time.Time
 	// Number orders jobs by acceptance.
 	Number int64
 	// Domain is the failure domain that the job's tasks are kept in while it has
@@ -170,7 +170,7 @@
 
 // New returns a job that was just accepted.
 func New(spec Spec, number int64, now time.Time) *Job {
-	return &Job{Spec: spec, State: Queued, Published: Queued, Began: now, Number: number, Rounds: map[int]*Round{}}
+	return &Job{Spec: spec, State: Queued, Published: Queued, Accepted: now, Number: number, Rounds: map[int]*Round{}}
 }
 
 // rounds is how many rounds the job has in all.
--- a/internal/flow/record.go
+++ b/internal/flow/record.go
@@ -82,7 +82,7 @@
 
 // Record encodes the job's progress.
 func (j *Job) Record(v Version) []byte {
-	rec := record{Version: v, State: j.State, Began: j.Began.UnixMilli(), Number: j.Number, Next: j.Next}
+	rec := record{Version: v, State: j.State, Began: j.Accepted.UnixMilli(), Number: j.Number, Next: j.Next}
 	if j.State.Final() {
 		rec.Ended = j.Ended.UnixMilli()
 		rec.Strays = slices.ContainsFunc(j.Spec.Steps, func(s Step) bool { return s.AllowCopies })
--- a/internal/sched/chance.go
+++ b/internal/sched/chance.go
@@ -62,7 +62,7 @@
 // waitedSince returns the time since the job was accepted, or since its round was due.
 func (s *Sched) waitedSince(j *flow.Job, r *flow.Round) time.Duration {
 	if r.Due.IsZero() {
-		return s.now.Sub(j.Began)
+		return s.now.Sub(j.Accepted)
 	}
 	return s.now.Sub(r.Due)
 }
--- a/internal/sched/waits.go
+++ b/internal/sched/waits.go
@@ -109,5 +109,5 @@
 
 // jobStarted reports how long a job waited from its acceptance to its first start.
 func (s *Sched) jobStarted(j *flow.Job) {
-	s.emit(JobStarted{Rank: s.queue(j).Rank, After: s.now.Sub(j.Began)})
+	s.emit(JobStarted{Rank: s.queue(j).Rank, After: s.now.Sub(j.Accepted)})
 }
