--- a/internal/flow/job.go
+++ b/internal/flow/job.go
@@ -160,8 +160,8 @@
 	Domain string
 	// Rounds are those begun and not over.
 	Rounds map[int]*Round
-	// Next is the first round that has not begun.
-	Next int
+	// NextRound is the first round that has not begun.
+	NextRound int
 	// Ended is when a final state was reached.
 	Ended time.Time
 	// chains is by step how long the way from its begin to the job's end takes.
@@ -187,9 +187,9 @@
 // Begin opens all rounds that are due and returns them.
 func (j *Job) Begin(now time.Time) []*Round {
 	var begun []*Round
-	for !j.State.Final() && j.Next < j.rounds() && !j.Due(j.Next).After(now) {
-		begun = append(begun, j.open(j.Next, now))
-		j.Next++
+	for !j.State.Final() && j.NextRound < j.rounds() && !j.Due(j.NextRound).After(now) {
+		begun = append(begun, j.open(j.NextRound, now))
+		j.NextRound++
 	}
 	return begun
 }
@@ -216,7 +216,7 @@
 			delete(j.Rounds, n)
 		}
 	}
-	if !j.State.Final() && len(j.Rounds) == 0 && j.Next >= j.rounds() {
+	if !j.State.Final() && len(j.Rounds) == 0 && j.NextRound >= j.rounds() {
 		j.End(Completed, now)
 	}
 }
--- a/internal/flow/record.go
+++ b/internal/flow/record.go
@@ -82,7 +82,7 @@
 
 // Record encodes the job's progress.
 func (j *Job) Record(v Version) []byte {
-	rec := record{Version: v, State: j.State, Began: j.Accepted.UnixMilli(), Number: j.Number, Next: j.Next}
+	rec := record{Version: v, State: j.State, Began: j.Accepted.UnixMilli(), Number: j.Number, Next: j.NextRound}
 	if j.State.Final() {
 		rec.Ended = j.Ended.UnixMilli()
 		rec.Strays = slices.ContainsFunc(j.Spec.Steps, func(s Step) bool { return s.AllowCopies })
@@ -135,7 +135,7 @@
 		return nil, false
 	}
 	j := New(Spec{ID: id}, rec.Number, time.UnixMilli(rec.Began))
-	j.Next, j.State, j.Published, j.Ended = rec.Next, rec.State, rec.State, time.UnixMilli(rec.Ended)
+	j.NextRound, j.State, j.Published, j.Ended = rec.Next, rec.State, rec.State, time.UnixMilli(rec.Ended)
 	return j, true
 }
 
@@ -160,7 +160,7 @@
 		return nil, &RecordError{Key: spec.ID, Cause: errors.Wrap(err, "decode")}
 	}
 	j := New(spec, rec.Number, time.UnixMilli(rec.Began))
-	j.Next = rec.Next
+	j.NextRound = rec.Next
 	for _, rr := range rec.Rounds {
 		j.open(rr.Index, now).restore(rr, now)
 	}
