--- a/internal/flow/crash_test.go
+++ b/internal/flow/crash_test.go
@@ -14,7 +14,7 @@
 	now := time.UnixMilli(1_000_000)
 	spec := flow.Spec{ID: "a", Steps: []flow.Step{{Tasks: 2, Gang: true}}}
 	j := flow.New(spec, 7, now)
-	j.Begin(now)
+	j.BeginRounds(now)
 	first, second := j.Task(flow.Name{Job: "a"}), j.Task(flow.Name{Job: "a", Index: 1})
 	first.Run, second.Run = 3, 3
 	before := j.Record(flow.Version{Term: 1})
--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -35,8 +35,8 @@
 	now := time.Unix(100, 0)
 	spec := flow.Spec{ID: "a", Steps: []flow.Step{{Tasks: 1}}, Repeat: flow.Repeat{Count: 3, First: now.Add(time.Second), Every: time.Second}}
 	j := flow.New(spec, 1, now)
-	require.Empty(t, j.Begin(now.Add(999*time.Millisecond)))
-	require.Len(t, j.Begin(now.Add(2*time.Second)), 2)
+	require.Empty(t, j.BeginRounds(now.Add(999*time.Millisecond)))
+	require.Len(t, j.BeginRounds(now.Add(2*time.Second)), 2)
 	finish := func(round int) {
 		task := j.Task(flow.Name{Job: "a", Round: round})
 		require.True(t, task.Transition(flow.Finish, now))
@@ -46,7 +46,7 @@
 	finish(0)
 	finish(1)
 	require.False(t, j.State.Final())
-	require.Len(t, j.Begin(now.Add(3*time.Second)), 1)
+	require.Len(t, j.BeginRounds(now.Add(3*time.Second)), 1)
 	finish(2)
 	require.Equal(t, flow.Completed, j.State)
 }
@@ -58,7 +58,7 @@
 		now := time.UnixMilli(1_000_000)
 		spec := flow.Spec{ID: "a", Steps: []flow.Step{{Tasks: 3}, {Tasks: 2, After: []int{0}}}}
 		j := flow.New(spec, 7, now)
-		j.Begin(now)
+		j.BeginRounds(now)
 		j.Tasks(func(task *flow.Task) {
 			switch rapid.IntRange(0, 2).Draw(t, "state") {
 			case 1:
@@ -103,7 +103,7 @@
 	now := time.UnixMilli(1_000_000)
 	end := func(step flow.Step, how func(j *flow.Job, t *flow.Task)) ([]byte, bool) {
 		j := flow.New(flow.Spec{ID: "a", Steps: []flow.Step{step}}, 7, now)
-		j.Begin(now)
+		j.BeginRounds(now)
 		task := j.Task(flow.Name{Job: "a"})
 		task.Worker, task.Run = "w", 1
 		require.True(t, task.Transition(flow.Assign, now))
--- a/internal/flow/job.go
+++ b/internal/flow/job.go
@@ -184,8 +184,8 @@
 	return j.Spec.Repeat.First.Add(time.Duration(n) * j.Spec.Repeat.Every)
 }
 
-// Begin opens all rounds that are due and returns them.
-func (j *Job) Begin(now time.Time) []*Round {
+// BeginRounds opens all rounds that are due and returns them.
+func (j *Job) BeginRounds(now time.Time) []*Round {
 	var begun []*Round
 	for !j.State.Final() && j.NextRound < j.rounds() && !j.Due(j.NextRound).After(now) {
 		begun = append(begun, j.open(j.NextRound, now))
--- a/internal/flow/objective_test.go
+++ b/internal/flow/objective_test.go
@@ -13,7 +13,7 @@
 	q := flow.Queue{Stretch: 1.5, Slack: time.Second}
 	s := flow.Spec{Queue: q, Steps: []flow.Step{{EstimatedTime: 2 * time.Second}, {EstimatedTime: 5 * time.Second}, {EstimatedTime: time.Second, After: []int{0, 1}}}}
 	j := flow.New(s, 1, time.Time{})
-	j.Begin(time.Time{})
+	j.BeginRounds(time.Time{})
 	fmt.Println(j.Objective(q))
 	for _, st := range j.Rounds[0].Stages {
 		fmt.Println(j.Left(st))
--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -9,7 +9,7 @@
 	s.lastNumber++
 	j := flow.New(spec, s.lastNumber, s.now)
 	s.jobs[spec.ID], s.openJobs[spec.ID] = j, j
-	j.Begin(s.now)
+	j.BeginRounds(s.now)
 	s.markDirty(j)
 	s.emit(Note{ID: spec.ID, What: "queued", Detail: spec.Queue.Name})
 	if _, ok := s.earlyCancels[spec.ID]; ok {
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -229,7 +229,7 @@
 // beginRounds opens the rounds that are due.
 func (s *Sched) beginRounds() {
 	for _, j := range s.sortedOpenJobs() {
-		if len(j.Begin(s.now)) > 0 {
+		if len(j.BeginRounds(s.now)) > 0 {
 			s.markDirty(j)
 		}
 	}
