--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -41,7 +41,7 @@
 		task := j.Task(flow.Name{Job: "a", Round: round})
 		require.True(t, task.Transition(flow.Finish, now))
 		task.Step.Done++
-		j.Settle(now)
+		j.CloseRounds(now)
 	}
 	finish(0)
 	finish(1)
@@ -122,7 +122,7 @@
 	done := func(j *flow.Job, task *flow.Task) {
 		require.True(t, task.Transition(flow.Finish, now))
 		task.Step.Done++
-		j.Settle(now)
+		j.CloseRounds(now)
 	}
 	b, ok := end(flow.Step{Tasks: 1}, done)
 	require.True(t, ok)
--- a/internal/flow/job.go
+++ b/internal/flow/job.go
@@ -209,8 +209,8 @@
 	return r
 }
 
-// Settle closes rounds that are over and completes the job after its last one.
-func (j *Job) Settle(now time.Time) {
+// CloseRounds closes rounds that are over and completes the job after its last one.
+func (j *Job) CloseRounds(now time.Time) {
 	for n, r := range j.Rounds {
 		if r.Finished() {
 			delete(j.Rounds, n)
--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -62,7 +62,7 @@
 		}
 		return
 	}
-	j.Settle(s.now)
+	j.CloseRounds(s.now)
 	if j.State.Final() {
 		s.closeJob(j)
 	}
