--- a/internal/flow/objective.go
+++ b/internal/flow/objective.go
@@ -17,8 +17,8 @@
 	return after
 }
 
-// Left is how long the job takes from the begin of a step on, as estimated.
-func (j *Job) Left(st *Stage) time.Duration {
+// RemainingTime is how long the job takes from the begin of a step on, as estimated.
+func (j *Job) RemainingTime(st *Stage) time.Duration {
 	return j.left()[st.Index]
 }
 
--- a/internal/flow/objective_test.go
+++ b/internal/flow/objective_test.go
@@ -16,7 +16,7 @@
 	j.BeginRounds(time.Time{})
 	fmt.Println(j.Objective(q))
 	for _, st := range j.Rounds[0].Stages {
-		fmt.Println(j.Left(st))
+		fmt.Println(j.RemainingTime(st))
 	}
 	// Output:
 	// 10s
--- a/internal/sched/chance.go
+++ b/internal/sched/chance.go
@@ -46,7 +46,7 @@
 	}
 	objective := j.Objective(q)
 	waited := s.waitedSince(j, r)
-	ends := waited + j.Left(st)
+	ends := waited + j.RemainingTime(st)
 	switch {
 	case objective <= 0, ends <= objective:
 		return onTime
