--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -222,7 +222,7 @@
 	had := map[string]bool{}
 	for _, s := range states {
 		if s.Key != claimKey && len(s.Value) > 0 {
-			progress[s.Key] = flow.Newer(progress[s.Key], s.Value)
+			progress[s.Key] = flow.NewerRecord(progress[s.Key], s.Value)
 		}
 	}
 	for _, a := range slices.Concat(requests...) {
--- a/internal/entry/journal_test.go
+++ b/internal/entry/journal_test.go
@@ -278,7 +278,7 @@
 			var best []byte
 			for _, p := range []int{0, 5, 10} {
 				if v, ok := newestRecords(t, log, p)[key]; ok {
-					best = flow.Newer(best, []byte(v))
+					best = flow.NewerRecord(best, []byte(v))
 				}
 			}
 			var v flow.Version
--- a/internal/entry/states.go
+++ b/internal/entry/states.go
@@ -257,7 +257,7 @@
 			return
 		}
 		if asked {
-			newest[rec.Key] = flow.Newer(newest[rec.Key], rec.Value)
+			newest[rec.Key] = flow.NewerRecord(newest[rec.Key], rec.Value)
 		}
 		if state, _, ok := flow.RecordState(rec.Value); ok {
 			s.add(rec.Key, state)
--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -141,7 +141,7 @@
 	j := flow.New(flow.Spec{ID: "a", Steps: []flow.Step{{Tasks: 1}}}, 7, time.UnixMilli(1))
 	at := func(term, n int64) []byte { return j.Record(flow.Version{Term: term, Append: n}) }
 	for _, pair := range [][2][]byte{{at(3, 9), at(4, 1)}, {at(4, 1), at(4, 2)}, {[]byte("{"), at(0, 0)}, {at(9, 9), at(10, 0)}} {
-		require.Equal(t, pair[1], flow.Newer(pair[0], pair[1]))
-		require.Equal(t, pair[1], flow.Newer(pair[1], pair[0]))
+		require.Equal(t, pair[1], flow.NewerRecord(pair[0], pair[1]))
+		require.Equal(t, pair[1], flow.NewerRecord(pair[1], pair[0]))
 	}
 }
--- a/internal/flow/record.go
+++ b/internal/flow/record.go
@@ -38,9 +38,9 @@
 	Append int64 `json:"a,omitempty"`
 }
 
-// Newer returns the record that was written later; one that cannot be read counts
+// NewerRecord returns the record that was written later; one that cannot be read counts
 // as the older one, and none as still older.
-func Newer(a, b []byte) []byte {
+func NewerRecord(a, b []byte) []byte {
 	var va, vb Version
 	switch {
 	case a == nil:
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -270,7 +270,7 @@
 		return
 	}
 	for _, c := range a.Changes {
-		b.stored[c.Key] = flow.Newer(b.stored[c.Key], c.Value)
+		b.stored[c.Key] = flow.NewerRecord(b.stored[c.Key], c.Value)
 	}
 	b.after(3*time.Millisecond, func() { b.tell(term, sched.Appended{Number: a.Number}) })
 }
