--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -19,8 +19,8 @@
 	rebornAfter = 1500 * time.Millisecond
 	// unlistedAfter is when a life that ended is listed no longer.
 	unlistedAfter = 1200 * time.Millisecond
-	// lateStarts is how often a task may start after the third life ended under it.
-	lateStarts = 2
+	// maxLateStarts is how often a task may start after the third life ended under it.
+	maxLateStarts = 2
 )
 
 // crash ends the worker's life if that run is still there.
@@ -71,7 +71,7 @@
 func (b *cellBench) requireFewLate() {
 	b.t.Helper()
 	for n, late := range b.late {
-		require.LessOrEqual(b.t, late, lateStarts, "%s after three crashes", n)
+		require.LessOrEqual(b.t, late, maxLateStarts, "%s after three crashes", n)
 	}
 }
 
