--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -29,7 +29,7 @@
 	term    int64
 	workers map[string]*fakeWorker
 	events  agenda
-	order   int
+	seq     int
 	// stored is what the store holds: the progress of jobs.
 	stored map[string][]byte
 	specs  map[string]flow.Spec
@@ -136,8 +136,8 @@
 }
 
 func (b *cellBench) after(d time.Duration, f func()) {
-	b.order++
-	heap.Push(&b.events, timed{at: b.now.Add(d), order: b.order, run: f})
+	b.seq++
+	heap.Push(&b.events, timed{at: b.now.Add(d), order: b.seq, run: f})
 }
 
 func (t timed) compare(o timed) int { return cmp.Or(t.at.Compare(o.at), t.order-o.order) }
@@ -225,7 +225,7 @@
 		b.holds++
 		b.after(hop, func() { b.workers[a.To.Incarnation].hold(term, a, b.now.Add(-hop)) })
 	case sched.Start:
-		sent := b.order
+		sent := b.seq
 		b.after(hop, func() { b.workers[a.To.Incarnation].start(term, a, sent) })
 	case sched.Stop:
 		b.after(hop, func() { b.workers[a.To.Incarnation].stop(term, a) })
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -51,7 +51,7 @@
 
 // become gives the worker another size, which is listed with whatever is listed next.
 func (w *fakeWorker) become(size cell.Size) {
-	w.sizes = append(w.sizes, formerSize{w.info.Size, w.b.order})
+	w.sizes = append(w.sizes, formerSize{w.info.Size, w.b.seq})
 	w.info.Size = size
 }
 
