--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -33,9 +33,9 @@
 	// stored is what the store holds: the progress of jobs.
 	stored map[string][]byte
 	specs  map[string]flow.Spec
-	// cancels are what the store holds of cancellations, cancelled when each came.
-	cancels   []string
-	cancelled map[string]time.Time
+	// storedCancels are what the store holds of cancellations, cancelled when each came.
+	storedCancels []string
+	cancelled     map[string]time.Time
 	// storeAway keeps appends without an answer; policy says which workers may
 	// run a step, nil all.
 	storeAway bool
@@ -328,7 +328,7 @@
 	for _, s := range fresh {
 		b.step(sched.Submit{Spec: s})
 	}
-	for _, id := range b.cancels {
+	for _, id := range b.storedCancels {
 		b.step(sched.Cancel{ID: id})
 	}
 	b.list()
@@ -336,7 +336,7 @@
 
 // cancel stores that a job is to stop and tells the lead.
 func (b *cellBench) cancel(id string) {
-	b.cancels = append(b.cancels, id)
+	b.storedCancels = append(b.storedCancels, id)
 	b.cancelled[id] = b.now
 	b.step(sched.Cancel{ID: id})
 }
