--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -35,7 +35,7 @@
 	specs  map[string]flow.Spec
 	// storedCancels are what the store holds of cancellations, cancelled when each came.
 	storedCancels []string
-	cancelled     map[string]time.Time
+	cancelledAt   map[string]time.Time
 	// storeAway keeps appends without an answer; policy says which workers may
 	// run a step, nil all.
 	storeAway bool
@@ -89,7 +89,7 @@
 func newBench(t *testing.T, workers int) *cellBench {
 	b := &cellBench{
 		t: t, now: time.Unix(1_000_000, 0), term: 1, workers: map[string]*fakeWorker{}, stored: map[string][]byte{},
-		specs: map[string]flow.Spec{}, done: map[flow.Name]bool{}, cancelled: map[string]time.Time{}, starts: map[flow.Name]int{},
+		specs: map[string]flow.Spec{}, done: map[flow.Name]bool{}, cancelledAt: map[string]time.Time{}, starts: map[flow.Name]int{},
 		crashed: map[flow.Name]int{}, late: map[flow.Name]int{},
 		queues: []flow.Queue{{Name: "scan", Service: "pass", Rank: 0, Attempts: 3}, {Name: "print", Service: "pass", Rank: 2, Attempts: 4}},
 	}
@@ -337,7 +337,7 @@
 // cancel stores that a job is to stop and tells the lead.
 func (b *cellBench) cancel(id string) {
 	b.storedCancels = append(b.storedCancels, id)
-	b.cancelled[id] = b.now
+	b.cancelledAt[id] = b.now
 	b.step(sched.Cancel{ID: id})
 }
 
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -173,7 +173,7 @@
 	if b.copies {
 		return
 	}
-	if at, ok := b.cancelled[a.Task.Job]; ok && b.now.Sub(at) > 2*hop+w.lateStart {
+	if at, ok := b.cancelledAt[a.Task.Job]; ok && b.now.Sub(at) > 2*hop+w.lateStart {
 		b.wrong("%s starts %s after its job was cancelled", a.Task, b.now.Sub(at))
 	}
 	if b.done[a.Task] {
