--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -36,9 +36,9 @@
 	// storedCancels are what the store holds of cancellations, cancelled when each came.
 	storedCancels []string
 	cancelledAt   map[string]time.Time
-	// storeAway keeps appends without an answer; policy says which workers may
+	// storeDown keeps appends without an answer; policy says which workers may
 	// run a step, nil all.
-	storeAway bool
+	storeDown bool
 	// storeTime is how long the store takes for an append; nil is 3 ms.
 	storeTime func() time.Duration
 	// copies tells that runs of one task may be beside each other.
@@ -265,7 +265,7 @@
 	if term != b.term {
 		return
 	}
-	if b.storeAway {
+	if b.storeDown {
 		b.after(100*time.Millisecond, func() { b.store(term, a) })
 		return
 	}
--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -179,7 +179,7 @@
 			d.takeover()
 			d.step(sched.PredecessorStopped{Since: d.now})
 		case n < 15:
-			d.storeAway = !d.storeAway
+			d.storeDown = !d.storeDown
 		case n < 18:
 			spare = d.disturb(r, spare)
 		case n < 19:
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -206,11 +206,11 @@
 	b.play(100 * time.Millisecond)
 	st := scan(1)
 	st.Copies = true
-	b.storeAway = true
+	b.storeDown = true
 	b.submit("bad", "scan", st)
 	b.play(20 * time.Second)
 	require.Equal(t, 1, total(b.starts))
-	b.storeAway = false
+	b.storeDown = false
 	b.storeTime = func() time.Duration { return 600 * time.Millisecond }
 	b.play(100 * time.Second)
 	b.requireGivenUp("bad")
--- a/internal/sched/history_test.go
+++ b/internal/sched/history_test.go
@@ -87,7 +87,7 @@
 				b.step(sched.PredecessorStopped{Since: b.now})
 			}
 		case n < 13:
-			b.storeAway = !b.storeAway
+			b.storeDown = !b.storeDown
 			// A slow store takes its appends in any order.
 			b.storeTime = nil
 			if r.IntN(2) == 0 {
@@ -192,7 +192,7 @@
 
 // calm ends all faults that can end.
 func (b *cellBench) calm() {
-	b.storeAway, b.storeTime = false, nil
+	b.storeDown, b.storeTime = false, nil
 	for _, w := range b.inOrder() {
 		w.become(w.full())
 		w.silent, w.fails, w.still, w.slow, w.lateStart = false, false, false, 1, 0
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -110,7 +110,7 @@
 	step.Copies = true
 	b.submit("a", "scan", step)
 	b.play(50 * time.Millisecond)
-	b.storeAway = true
+	b.storeDown = true
 	next := scan(8)
 	next.Copies = true
 	b.submit("b", "scan", next)
@@ -128,7 +128,7 @@
 			break
 		}
 	}
-	b.storeAway = false
+	b.storeDown = false
 	b.play(4 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.Equal(t, flow.Completed, b.state("b"))
@@ -227,13 +227,13 @@
 	b := newBench(t, 4)
 	b.copies = true
 	b.play(100 * time.Millisecond)
-	b.storeAway = true
+	b.storeDown = true
 	step := scan(8)
 	step.Copies, step.Time = true, 3*time.Second
 	b.submit("a", "scan", step)
 	b.play(200 * time.Millisecond)
 	require.Equal(t, 8, total(b.starts))
-	b.storeAway = false
+	b.storeDown = false
 	b.takeover()
 	b.play(4 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
@@ -420,13 +420,13 @@
 		w.fails = true
 	}
 	b.play(100 * time.Millisecond)
-	b.storeAway = true
+	b.storeDown = true
 	step := scan(1)
 	step.Copies = true
 	b.submit("a", "scan", step)
 	b.play(4 * time.Second)
 	require.Equal(t, 3, total(b.starts))
-	b.storeAway = false
+	b.storeDown = false
 	b.takeover()
 	// It may start one more before it has read all workers.
 	b.play(200 * time.Millisecond)
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -43,17 +43,17 @@
 func TestNothingStartsBeforeItsRunIsStored(t *testing.T) {
 	b := newBench(t, 3)
 	b.play(100 * time.Millisecond)
-	b.storeAway = true
+	b.storeDown = true
 	b.submit("a", "scan", scan(2))
 	b.play(2 * time.Second)
 	require.Empty(t, b.starts)
-	b.storeAway = false
+	b.storeDown = false
 	b.play(500 * time.Millisecond)
 	require.Len(t, b.starts, 2)
-	b.storeAway = true
+	b.storeDown = true
 	b.play(2 * time.Second)
 	require.NotEqual(t, flow.Completed, b.state("a"))
-	b.storeAway = false
+	b.storeDown = false
 	b.play(time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
 }
--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -78,12 +78,12 @@
 func TestStartsThatWaitForAStoreThatIsAwayFitTheNewSize(t *testing.T) {
 	b := newBench(t, 3)
 	b.play(100 * time.Millisecond)
-	b.storeAway = true
+	b.storeDown = true
 	b.submit("a", "print", bulk(9))
 	b.play(10 * time.Second)
 	b.resizeAll(small)
 	b.play(time.Second)
-	b.storeAway = false
+	b.storeDown = false
 	b.play(time.Second)
 	require.Equal(t, 3, total(b.starts))
 	b.play(25 * time.Second)
