--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -43,7 +43,7 @@
 	storeTime func() time.Duration
 	// copies tells that runs of one task may be beside each other.
 	copies bool
-	policy func(step, worker string) bool
+	allows func(step, worker string) bool
 	// policyTime is how long the policy service takes for a question; nil is 30 ms.
 	policyTime func(sched.QueryPolicy) time.Duration
 	asks       []sched.QueryPolicy
@@ -278,7 +278,7 @@
 func (b *cellBench) advise(term int64, a sched.QueryPolicy) {
 	good := map[string]string{}
 	for _, w := range a.Workers {
-		if b.policy == nil || b.policy(a.Step, w) {
+		if b.allows == nil || b.allows(a.Step, w) {
 			good[w] = "ticket"
 		}
 	}
--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -46,7 +46,7 @@
 	}
 	d.step(sched.Queues{Version: 2, All: d.queues})
 	share := uint64(200 + r.IntN(600))
-	d.policy = func(step, worker string) bool {
+	d.allows = func(step, worker string) bool {
 		return d.sure[worker] || worker[0] == 'x' || xxhash.Sum64String(step+worker)%1000 < share
 	}
 	d.policyTime = func(a sched.QueryPolicy) time.Duration {
@@ -136,7 +136,7 @@
 		if step.Gang {
 			need = step.Room().Times(float64(step.Tasks))
 		}
-		advised := d.specs[id].Queue.Advice == nil || d.policy(id+".0.0", w.info.Incarnation)
+		advised := d.specs[id].Queue.Advice == nil || d.allows(id+".0.0", w.info.Incarnation)
 		room = room || advised && need.Fits(free)
 	}
 	return room && used.Share(whole) < 0.5
--- a/internal/sched/gpu_test.go
+++ b/internal/sched/gpu_test.go
@@ -57,7 +57,7 @@
 func TestStepsThatCannotStartDoNotHideOthers(t *testing.T) {
 	b := gpuBench(t, 8)
 	gangs := map[string]bool{}
-	b.policy = func(step, worker string) bool {
+	b.allows = func(step, worker string) bool {
 		if gangs[step] {
 			return worker == "w00"
 		}
@@ -80,7 +80,7 @@
 // for each step tells all there is to know.
 func TestAQuestionLearnsOfAllWorkersWhileThatIsCheap(t *testing.T) {
 	b := gpuBench(t, 8)
-	b.policy = func(_, worker string) bool { return worker == "w00" }
+	b.allows = func(_, worker string) bool { return worker == "w00" }
 	for i := range 6 {
 		b.submit(fmt.Sprintf("gang%02d", i), "render", render(2, 8))
 	}
@@ -153,7 +153,7 @@
 // that comes then. It returns how long that one took.
 func flood(t *testing.T, single flow.Step) time.Duration {
 	b := gpuBench(t, 2)
-	b.policy = func(step, worker string) bool { return step != "wide.0.0" || worker == "w00" }
+	b.allows = func(step, worker string) bool { return step != "wide.0.0" || worker == "w00" }
 	n := 0
 	more := func() {
 		b.submit(fmt.Sprintf("size%03d", n), "size", single)
--- a/internal/sched/grown_test.go
+++ b/internal/sched/grown_test.go
@@ -88,7 +88,7 @@
 		hosts = append(hosts, fmt.Sprintf("h%02d", i))
 	}
 	b.step(sched.Hosts{Names: hosts})
-	b.policy = func(step, worker string) bool {
+	b.allows = func(step, worker string) bool {
 		share := good[b.specs[jobOf(step)].Queue.Name]
 		return float64(xxhash.Sum64String(step+worker)%1000) < 1000*share
 	}
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -44,7 +44,7 @@
 	b := newBench(t, 12)
 	b.queues[0].Advice = &flow.Advice{Base: 24 * time.Millisecond, Each: 340 * time.Microsecond, Valid: 2500 * time.Millisecond}
 	b.step(sched.Queues{Version: 2, All: b.queues})
-	b.policy = func(_, worker string) bool { return worker >= "w06" }
+	b.allows = func(_, worker string) bool { return worker >= "w06" }
 	b.submit("a", "scan", scan(6))
 	b.play(3 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
@@ -297,7 +297,7 @@
 	c := newBench(&testing.T{}, 350)
 	c.queues[1].Advice = &flow.Advice{Base: 370 * time.Millisecond, Each: 5 * time.Millisecond, Valid: 2500 * time.Millisecond}
 	c.step(sched.Queues{Version: 2, All: c.queues})
-	c.policy = func(string, string) bool { return false }
+	c.allows = func(string, string) bool { return false }
 	for i := range 2000 {
 		c.submit(fmt.Sprintf("b%04d", i), "print", bulk(8))
 	}
