--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -44,11 +44,11 @@
 	// copies tells that runs of one task may be beside each other.
 	copies bool
 	allows func(step, worker string) bool
-	// policyTime is how long the policy service takes for a question; nil is 30 ms.
-	policyTime func(sched.QueryPolicy) time.Duration
-	asks       []sched.QueryPolicy
-	paces      []sched.Pace
-	deposed    bool
+	// queryTime is how long the policy service takes for a question; nil is 30 ms.
+	queryTime func(sched.QueryPolicy) time.Duration
+	asks      []sched.QueryPolicy
+	paces     []sched.Pace
+	deposed   bool
 	// waited, begun and long are what the core told of waits.
 	waited []sched.StepWaited
 	begun  []sched.JobStarted
@@ -234,8 +234,8 @@
 	case sched.QueryPolicy:
 		b.asks = append(b.asks, a)
 		took := 30 * time.Millisecond
-		if b.policyTime != nil {
-			took = b.policyTime(a)
+		if b.queryTime != nil {
+			took = b.queryTime(a)
 		}
 		b.after(took, func() { b.advise(term, a) })
 	case sched.StepDown:
--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -49,7 +49,7 @@
 	d.allows = func(step, worker string) bool {
 		return d.sure[worker] || worker[0] == 'x' || xxhash.Sum64String(step+worker)%1000 < share
 	}
-	d.policyTime = func(a sched.QueryPolicy) time.Duration {
+	d.queryTime = func(a sched.QueryPolicy) time.Duration {
 		return d.specs[jobOf(a.Step)].Queue.Advice.Cost(len(a.Workers))
 	}
 	return d
--- a/internal/sched/gpu_test.go
+++ b/internal/sched/gpu_test.go
@@ -35,7 +35,7 @@
 		},
 	}
 	b.step(sched.Queues{Version: 2, All: b.queues})
-	b.policyTime = func(a sched.QueryPolicy) time.Duration {
+	b.queryTime = func(a sched.QueryPolicy) time.Duration {
 		return b.specs[jobOf(a.Step)].Queue.Advice.Cost(len(a.Workers))
 	}
 	return b
--- a/internal/sched/grown_test.go
+++ b/internal/sched/grown_test.go
@@ -92,7 +92,7 @@
 		share := good[b.specs[jobOf(step)].Queue.Name]
 		return float64(xxhash.Sum64String(step+worker)%1000) < 1000*share
 	}
-	b.policyTime = func(a sched.QueryPolicy) time.Duration {
+	b.queryTime = func(a sched.QueryPolicy) time.Duration {
 		return b.specs[jobOf(a.Step)].Queue.Advice.Cost(len(a.Workers))
 	}
 	return b
