--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -46,7 +46,7 @@
 	allows func(step, worker string) bool
 	// queryTime is how long the policy service takes for a question; nil is 30 ms.
 	queryTime func(sched.QueryPolicy) time.Duration
-	asks      []sched.QueryPolicy
+	queries   []sched.QueryPolicy
 	paces     []sched.Pace
 	deposed   bool
 	// waited, begun and long are what the core told of waits.
@@ -232,7 +232,7 @@
 	case sched.Pace:
 		b.paces = append(b.paces, a)
 	case sched.QueryPolicy:
-		b.asks = append(b.asks, a)
+		b.queries = append(b.queries, a)
 		took := 30 * time.Millisecond
 		if b.queryTime != nil {
 			took = b.queryTime(a)
--- a/internal/sched/gpu_test.go
+++ b/internal/sched/gpu_test.go
@@ -85,7 +85,7 @@
 		b.submit(fmt.Sprintf("gang%02d", i), "render", render(2, 8))
 	}
 	b.play(10 * time.Second)
-	require.Len(t, b.asks, 6)
+	require.Len(t, b.queries, 6)
 }
 
 // Gangs that take a whole worker each wait for the only one, and the policy service takes
@@ -115,7 +115,7 @@
 		b.submit(fmt.Sprintf("gang%02d", i), "render", render(1, 4))
 	}
 	b.play(100 * time.Millisecond)
-	require.Len(t, b.asks, 8)
+	require.Len(t, b.queries, 8)
 
 	b = gpuBench(t, 13)
 	b.queues = append(b.queues, flow.Queue{
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -48,7 +48,7 @@
 	b.submit("a", "scan", scan(6))
 	b.play(3 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
-	require.LessOrEqual(t, len(b.asks), 3)
+	require.LessOrEqual(t, len(b.queries), 3)
 	for _, n := range []string{"w00", "w01", "w02", "w03", "w04", "w05"} {
 		require.Zero(t, b.workers[n].number, n)
 	}
@@ -252,7 +252,7 @@
 		}
 		b.workers["w05"].silent = true
 		b.play(3 * time.Second)
-		return fmt.Sprint(b.starts, b.core.Pending(), len(b.asks))
+		return fmt.Sprint(b.starts, b.core.Pending(), len(b.queries))
 	}
 	require.Equal(t, play(), play())
 }
@@ -371,16 +371,16 @@
 		b.submit(fmt.Sprintf("scan%02d", i), "scan", scan(1))
 	}
 	b.play(25 * time.Millisecond)
-	require.NotEmpty(t, b.asks)
-	require.Less(t, len(b.asks), 32)
-	alone := len(b.asks)
+	require.NotEmpty(t, b.queries)
+	require.Less(t, len(b.queries), 32)
+	alone := len(b.queries)
 	names := []string{"h1"}
 	for i := range 9 {
 		names = append(names, fmt.Sprintf("x%d", i))
 	}
 	b.step(sched.Hosts{Names: names})
 	b.play(25 * time.Millisecond)
-	require.Equal(t, 40, len(b.asks), "%d were asked by one host", alone)
+	require.Equal(t, 40, len(b.queries), "%d were asked by one host", alone)
 	b.play(3 * time.Second)
 	for i := range 40 {
 		require.Equal(t, flow.Completed, b.state(fmt.Sprintf("scan%02d", i)))
