--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -49,10 +49,10 @@
 	queries   []sched.QueryPolicy
 	paces     []sched.Pace
 	deposed   bool
-	// waited, begun and long are what the core told of waits.
-	waited []sched.StepWaited
-	begun  []sched.JobStarted
-	long   []sched.Note
+	// stepWaits, begun and long are what the core told of waits.
+	stepWaits []sched.StepWaited
+	begun     []sched.JobStarted
+	long      []sched.Note
 	// resized are what the core told of changes of size.
 	resized []sched.Note
 	// holds counts the questions for a worker's lists.
@@ -241,7 +241,7 @@
 	case sched.StepDown:
 		b.deposed = true
 	case sched.StepWaited:
-		b.waited = append(b.waited, a)
+		b.stepWaits = append(b.stepWaits, a)
 	case sched.JobStarted:
 		b.begun = append(b.begun, a)
 	case sched.Note:
--- a/internal/sched/gpu_test.go
+++ b/internal/sched/gpu_test.go
@@ -203,10 +203,10 @@
 	long.Time, long.Saves = 8*time.Second, false
 	b.submit("first", "render", long)
 	b.play(time.Second)
-	require.Len(t, b.waited, 1)
+	require.Len(t, b.stepWaits, 1)
 	question := b.queues[0].Advice.Cost(1)
-	require.InDelta(t, question.Seconds(), b.waited[0].Times[sched.WaitForPolicy].Seconds(), 0.05)
-	require.Zero(t, b.waited[0].Times[sched.WaitForCapacity])
+	require.InDelta(t, question.Seconds(), b.stepWaits[0].Times[sched.WaitForPolicy].Seconds(), 0.05)
+	require.Zero(t, b.stepWaits[0].Times[sched.WaitForCapacity])
 
 	b.submit("second", "render", wide())
 	b.play(6 * time.Second)
@@ -214,11 +214,11 @@
 	require.Equal(t, "second.0.0", b.long[0].ID)
 	require.Contains(t, b.long[0].Detail, "room 3")
 	b.play(4 * time.Second)
-	require.Len(t, b.waited, 2)
+	require.Len(t, b.stepWaits, 2)
 	// The rest of eight seconds, of which the questions for tickets take a part.
-	require.InDelta(t, 7.55, b.waited[1].Times.Total().Seconds(), 0.1)
-	require.Greater(t, b.waited[1].Times[sched.WaitForCapacity], b.waited[1].Times[sched.WaitForPolicy])
-	require.Equal(t, 1, b.waited[1].Rank)
+	require.InDelta(t, 7.55, b.stepWaits[1].Times.Total().Seconds(), 0.1)
+	require.Greater(t, b.stepWaits[1].Times[sched.WaitForCapacity], b.stepWaits[1].Times[sched.WaitForPolicy])
+	require.Equal(t, 1, b.stepWaits[1].Rank)
 	require.Len(t, b.begun, 2)
 	require.InDelta(t, 7.6, b.begun[1].After.Seconds(), 0.1)
 }
