--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -51,7 +51,7 @@
 	deposed   bool
 	// stepWaits, begun and long are what the core told of waits.
 	stepWaits []sched.StepWaited
-	begun     []sched.JobStarted
+	jobStarts []sched.JobStarted
 	long      []sched.Note
 	// resized are what the core told of changes of size.
 	resized []sched.Note
@@ -243,7 +243,7 @@
 	case sched.StepWaited:
 		b.stepWaits = append(b.stepWaits, a)
 	case sched.JobStarted:
-		b.begun = append(b.begun, a)
+		b.jobStarts = append(b.jobStarts, a)
 	case sched.Note:
 		b.keep(a)
 	}
--- a/internal/sched/gpu_test.go
+++ b/internal/sched/gpu_test.go
@@ -219,6 +219,6 @@
 	require.InDelta(t, 7.55, b.stepWaits[1].Times.Total().Seconds(), 0.1)
 	require.Greater(t, b.stepWaits[1].Times[sched.WaitForCapacity], b.stepWaits[1].Times[sched.WaitForPolicy])
 	require.Equal(t, 1, b.stepWaits[1].Rank)
-	require.Len(t, b.begun, 2)
-	require.InDelta(t, 7.6, b.begun[1].After.Seconds(), 0.1)
+	require.Len(t, b.jobStarts, 2)
+	require.InDelta(t, 7.6, b.jobStarts[1].After.Seconds(), 0.1)
 }
