--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -52,7 +52,7 @@
 	// stepWaits, begun and long are what the core told of waits.
 	stepWaits []sched.StepWaited
 	jobStarts []sched.JobStarted
-	long      []sched.Note
+	longWaits []sched.Note
 	// resized are what the core told of changes of size.
 	resized []sched.Note
 	// holds counts the questions for a worker's lists.
@@ -255,7 +255,7 @@
 	case "worker resized":
 		b.resized = append(b.resized, a)
 	case "step waits":
-		b.long = append(b.long, a)
+		b.longWaits = append(b.longWaits, a)
 	case "given up":
 		b.notes = append(b.notes, a)
 	}
--- a/internal/sched/gpu_test.go
+++ b/internal/sched/gpu_test.go
@@ -210,9 +210,9 @@
 
 	b.submit("second", "render", wide())
 	b.play(6 * time.Second)
-	require.Len(t, b.long, 1)
-	require.Equal(t, "second.0.0", b.long[0].ID)
-	require.Contains(t, b.long[0].Detail, "room 3")
+	require.Len(t, b.longWaits, 1)
+	require.Equal(t, "second.0.0", b.longWaits[0].ID)
+	require.Contains(t, b.longWaits[0].Detail, "room 3")
 	b.play(4 * time.Second)
 	require.Len(t, b.stepWaits, 2)
 	// The rest of eight seconds, of which the questions for tickets take a part.
