--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -53,8 +53,8 @@
 	stepWaits []sched.StepWaited
 	jobStarts []sched.JobStarted
 	longWaits []sched.Note
-	// resized are what the core told of changes of size.
-	resized []sched.Note
+	// resizeNotes are what the core told of changes of size.
+	resizeNotes []sched.Note
 	// holds counts the questions for a worker's lists.
 	holds int
 	// passes counts passes, passTook is how long one takes the lead.
@@ -253,7 +253,7 @@
 func (b *cellBench) keep(a sched.Note) {
 	switch a.What {
 	case "worker resized":
-		b.resized = append(b.resized, a)
+		b.resizeNotes = append(b.resizeNotes, a)
 	case "step waits":
 		b.longWaits = append(b.longWaits, a)
 	case "given up":
--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -278,5 +278,5 @@
 	require.Equal(t, []sched.Note{{
 		ID: "w00", What: "worker resized", Worker: "w00",
 		Detail: "cpu 64000 to 20000, mem 274877906944 to 85899345920, accel 0 to 0, entry 17; before: entry 5, 1.5s",
-	}}, b.resized)
+	}}, b.resizeNotes)
 }
