--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -60,10 +60,10 @@
 	// passes counts passes, passTook is how long one takes the lead.
 	passes   int
 	passTook time.Duration
-	// inCore is the real time that was spent in the core.
-	inCore time.Duration
-	queues []flow.Queue
-	wrongs []string
+	// coreTime is the real time that was spent in the core.
+	coreTime time.Duration
+	queues   []flow.Queue
+	wrongs   []string
 	// done are tasks that ended as done and were noted.
 	done map[flow.Name]bool
 	// starts counts by task.
@@ -196,7 +196,7 @@
 	began := time.Now()
 	placed := b.core.LastPass()
 	acts := b.core.Step(b.now, ev)
-	b.inCore += time.Since(began)
+	b.coreTime += time.Since(began)
 	if b.core.LastPass() != placed {
 		b.passes++
 		b.core.RecordPassDuration(b.passTook)
--- a/internal/sched/grown_test.go
+++ b/internal/sched/grown_test.go
@@ -124,11 +124,11 @@
 			c := newFirm(&testing.T{}, kinds)
 			r := rand.New(rand.NewPCG(1, 2))
 			c.come(r, kinds, 10*time.Second)
-			c.inCore = 0
+			c.coreTime = 0
 			for b.Loop() {
 				c.come(r, kinds, time.Second)
 			}
-			b.ReportMetric(float64(c.inCore.Microseconds())/1000/float64(b.N), "core-ms")
+			b.ReportMetric(float64(c.coreTime.Microseconds())/1000/float64(b.N), "core-ms")
 		})
 	}
 }
@@ -141,9 +141,9 @@
 	n := 0
 	for b.Loop() {
 		c, r, kinds := firmWithACrowd(&testing.T{})
-		c.inCore = 0
+		c.coreTime = 0
 		c.come(r, kinds, 2*time.Second)
-		spent += c.inCore
+		spent += c.coreTime
 		n += 2
 	}
 	b.ReportMetric(float64(spent.Microseconds())/1000/float64(n), "core-ms")
