--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -61,9 +61,9 @@
 	passes   int
 	passTook time.Duration
 	// coreTime is the real time that was spent in the core.
-	coreTime time.Duration
-	queues   []flow.Queue
-	wrongs   []string
+	coreTime   time.Duration
+	queues     []flow.Queue
+	violations []string
 	// done are tasks that ended as done and were noted.
 	done map[flow.Name]bool
 	// starts counts by task.
@@ -342,7 +342,7 @@
 }
 
 func (b *cellBench) wrong(format string, args ...any) {
-	b.wrongs = append(b.wrongs, fmt.Sprintf(format, args...))
+	b.violations = append(b.violations, fmt.Sprintf(format, args...))
 }
 
 func (b *cellBench) state(id string) flow.State {
--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -191,7 +191,7 @@
 	d.calm()
 	d.play(settleTime)
 	d.watch(3 * time.Minute)
-	require.Empty(t, d.wrongs)
+	require.Empty(t, d.violations)
 	for _, id := range d.jobs {
 		require.True(t, d.ended(id), "job %s goes on", id)
 	}
--- a/internal/sched/crash_cells_test.go
+++ b/internal/sched/crash_cells_test.go
@@ -44,7 +44,7 @@
 				require.Equal(t, flow.Completed, b.state(id), id)
 			}
 			require.LessOrEqual(t, b.lives, 18)
-			require.Empty(t, b.wrongs)
+			require.Empty(t, b.violations)
 		})
 	}
 }
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -121,7 +121,7 @@
 			b.submit("bad", "scan", k.step())
 			b.play(100 * time.Second)
 			b.requireGivenUp("bad")
-			require.Empty(t, b.wrongs)
+			require.Empty(t, b.violations)
 			require.LessOrEqual(t, b.lives, 9)
 			require.Len(t, b.notes, 1)
 			require.Contains(t, b.notes[0].Detail, "bad.0.0.")
@@ -162,7 +162,7 @@
 				}
 				b.requireGivenUp("bad")
 				require.LessOrEqual(t, b.lives, 5)
-				require.Empty(t, b.wrongs)
+				require.Empty(t, b.violations)
 			})
 		}
 	}
@@ -193,7 +193,7 @@
 				require.Equal(t, flow.Completed, b.state(fmt.Sprintf("good%02d", i)), "good%02d", i)
 			}
 			require.LessOrEqual(t, b.lives, 18)
-			require.Empty(t, b.wrongs)
+			require.Empty(t, b.violations)
 		})
 	}
 }
@@ -311,7 +311,7 @@
 	b.play(60 * time.Second)
 	require.Equal(t, flow.Completed, b.state("job"))
 	require.Empty(t, b.notes)
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
 
 // Guards against copies that wait for a verdict on a life that nobody asks any more.
--- a/internal/sched/gpu_test.go
+++ b/internal/sched/gpu_test.go
@@ -71,7 +71,7 @@
 	b.submit("size", "size", size(8))
 	b.play(18 * time.Second) // what a caller of size is promised
 	require.Equal(t, flow.Completed, b.state("size"))
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
 
 // A question about a gang takes the policy service half a second whatever it names. Asked
@@ -168,7 +168,7 @@
 	for b.state("wide") != flow.Completed && b.now.Sub(began) < time.Minute {
 		more()
 	}
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 	return b.now.Sub(began)
 }
 
--- a/internal/sched/history_test.go
+++ b/internal/sched/history_test.go
@@ -110,7 +110,7 @@
 		b.play(40 * time.Second)
 	}
 	b.requireFewLate()
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 	for id := range jobs {
 		state := b.state(id)
 		require.True(t, state.Final(), "job %s is %s", id, state)
--- a/internal/sched/late_test.go
+++ b/internal/sched/late_test.go
@@ -49,7 +49,7 @@
 			later = append(later, d)
 		}
 	}
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 	return first, later
 }
 
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -35,7 +35,7 @@
 		}
 	}
 	require.Zero(t, late)
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
 
 // A queue with advice: no start without a ticket, and at most one question at a
@@ -163,7 +163,7 @@
 	require.Greater(t, total(b.starts), 12+24, "copies began elsewhere")
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.Equal(t, flow.Completed, b.state("b"))
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
 
 // Hundreds of steps wait, and the lead's processor is so scarce that one pass over them takes
@@ -269,7 +269,7 @@
 	for i := range 6 {
 		require.Equal(t, flow.Completed, b.state(fmt.Sprintf("s%d", i)))
 	}
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
 
 // One task has five times the work that its estimate says. Begun again elsewhere
@@ -355,7 +355,7 @@
 	}
 	require.Len(t, took, 20)
 	require.Less(t, sum/20, 3150*time.Millisecond)
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
 
 // After a loss of all power the lead has heard of one host, itself, and forty urgent
@@ -407,7 +407,7 @@
 	b.list()
 	b.play(2 * time.Second)
 	require.Equal(t, flow.Completed, b.state("b"))
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
 
 // Copies start before they are stored. The store is away, a task fails as often as its
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -20,7 +20,7 @@
 	require.Empty(t, b.core.Pending())
 	b.play(time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 	require.Len(t, b.starts, 9)
 }
 
@@ -73,7 +73,7 @@
 	}
 	b.play(5 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
 
 // A worker goes for good without a word. Its task begins elsewhere once no
@@ -95,7 +95,7 @@
 	require.Equal(t, before+held, total(b.starts))
 	b.play(20 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
 
 func total(starts map[flow.Name]int) int {
@@ -118,7 +118,7 @@
 	b.play(5 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.Equal(t, 8, total(b.starts))
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
 
 // All power goes while tasks run. The next lead finds each run that the records
@@ -133,7 +133,7 @@
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.Equal(t, flow.Completed, b.state("b"))
 	require.Equal(t, 18, total(b.starts))
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
 
 // The lead ends between storing a run and sending it. The worker was read by
@@ -147,7 +147,7 @@
 		b.takeover()
 		b.play(4 * time.Second)
 		require.Equal(t, flow.Completed, b.state("a"), "cut after %d ms", cut)
-		require.Empty(t, b.wrongs, "cut after %d ms", cut)
+		require.Empty(t, b.violations, "cut after %d ms", cut)
 	}
 }
 
@@ -220,7 +220,7 @@
 	for i := range 12 {
 		require.Equal(t, flow.Completed, b.state(fmt.Sprintf("job%d", i)))
 	}
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
 
 // A job that fails everywhere ends as failed after as many tries as its queue
@@ -244,7 +244,7 @@
 	b.submit("a", "scan", scan(20))
 	b.play(5 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
 
 // A cancelled job's runs are stopped at once, those that had no answer too, and
@@ -277,7 +277,7 @@
 	b.play(time.Second)
 	require.Empty(t, leaving.runs)
 	require.Len(t, b.workers["w01"].runs, 8)
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
 
 // All members of a gang start together or none does, under one run's number.
@@ -294,7 +294,7 @@
 	require.Equal(t, 1, total(b.starts), "there is room for five members only")
 	b.play(9 * time.Second)
 	require.Equal(t, flow.Completed, b.state("gang"))
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
 
 // A lead that a worker knows to be replaced is over.
@@ -324,7 +324,7 @@
 	b.submit("b", "scan", scan(3))
 	b.play(12 * time.Second)
 	require.Equal(t, flow.Completed, b.state("b"))
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
 
 // A job is accepted at one host and cancelled at another, while the lead changes. The
@@ -339,7 +339,7 @@
 	b.play(3 * time.Second)
 	require.Equal(t, flow.Cancelled, b.state("a"))
 	require.Empty(t, b.starts)
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
 
 // Guards against room of ended members of a gang that stays booked for seconds.
@@ -353,5 +353,5 @@
 	b.play(3 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.Equal(t, flow.Completed, b.state("b"))
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -35,7 +35,7 @@
 	require.Equal(t, 3, total(b.starts))
 	b.play(25 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
 
 // A worker shrinks below what runs there. That is neither stopped nor added to.
@@ -52,7 +52,7 @@
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.Equal(t, flow.Completed, b.state("b"))
 	require.Equal(t, 14, total(b.starts), "nothing was started again")
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
 
 // Guards against starts sent to a worker that shrank while their append was under way.
@@ -71,7 +71,7 @@
 	b.play(20 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.Equal(t, 5, total(b.starts))
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
 
 // The same while the store is away for longer than a lease.
@@ -88,7 +88,7 @@
 	require.Equal(t, 3, total(b.starts))
 	b.play(25 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
 
 // Guards against a gang of which a part starts since one worker shrank.
@@ -104,7 +104,7 @@
 	b.play(12 * time.Second)
 	require.Equal(t, flow.Completed, b.state("gang"))
 	require.Equal(t, 8, total(b.starts))
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
 
 // A worker has its old size again. Work that waits uses it in the next pass.
@@ -118,7 +118,7 @@
 	b.resizeAll(large)
 	b.play(50 * time.Millisecond)
 	require.Equal(t, 5, total(b.starts))
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
 
 // Sizes come and go twice a second. No run is given up for it.
@@ -142,7 +142,7 @@
 	b.play(15 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.Equal(t, 12+30, total(b.starts))
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
 
 // Guards against a new lead that overfills workers which have shrunk.
@@ -160,7 +160,7 @@
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.Equal(t, flow.Completed, b.state("b"))
 	require.Equal(t, 16, total(b.starts))
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
 
 // Guards against starts, or lapsed runs, on a worker that is listed without room.
@@ -180,7 +180,7 @@
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.Equal(t, flow.Completed, b.state("b"))
 	require.Equal(t, 4, total(b.starts))
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
 
 // A task that takes no room does not start on a worker that is listed without any.
@@ -212,7 +212,7 @@
 	w.resize(large)
 	b.play(12 * time.Second)
 	require.Equal(t, flow.Completed, b.state("b"))
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
 
 // Guards against starts by a service or a label that a worker has no longer.
@@ -241,7 +241,7 @@
 	b.play(4 * time.Second)
 	require.Equal(t, flow.Completed, b.state("b"))
 	require.Zero(t, b.workers["w00"].number)
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
 
 // Guards against room that is held for a wide task on a worker too small for it now.
@@ -262,7 +262,7 @@
 	b.play(25 * time.Second)
 	require.Equal(t, flow.Completed, b.state("wide"))
 	require.Equal(t, flow.Completed, b.state("bulk"))
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
 
 // Guards against a change of size without a line of the size that was believed before.
