--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -70,10 +70,10 @@
 	starts map[flow.Name]int
 	// bad tells which tasks crash the workers that start them, crashed counts by task the
 	// lives that ended so, late the starts after the third, and lives all that ended.
-	bad     func(flow.Name) bool
-	crashed map[flow.Name]int
-	late    map[flow.Name]int
-	lives   int
+	bad        func(flow.Name) bool
+	crashed    map[flow.Name]int
+	lateStarts map[flow.Name]int
+	lives      int
 	// away is by how much longer than usual a next life takes.
 	away time.Duration
 	// notes are what was told of jobs that were given up.
@@ -90,7 +90,7 @@
 	b := &cellBench{
 		t: t, now: time.Unix(1_000_000, 0), term: 1, workers: map[string]*fakeWorker{}, stored: map[string][]byte{},
 		specs: map[string]flow.Spec{}, done: map[flow.Name]bool{}, cancelledAt: map[string]time.Time{}, starts: map[flow.Name]int{},
-		crashed: map[flow.Name]int{}, late: map[flow.Name]int{},
+		crashed: map[flow.Name]int{}, lateStarts: map[flow.Name]int{},
 		queues: []flow.Queue{{Name: "scan", Service: "pass", Rank: 0, Attempts: 3}, {Name: "print", Service: "pass", Rank: 2, Attempts: 4}},
 	}
 	limits := sched.DefaultLimits
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -70,7 +70,7 @@
 // requireFewLate checks how often tasks started after the third life ended under them.
 func (b *cellBench) requireFewLate() {
 	b.t.Helper()
-	for n, late := range b.late {
+	for n, late := range b.lateStarts {
 		require.LessOrEqual(b.t, late, maxLateStarts, "%s after three crashes", n)
 	}
 }
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -147,7 +147,7 @@
 	w.b.check(w, a)
 	w.b.starts[a.Task]++
 	if w.b.crashed[a.Task] >= 3 {
-		w.b.late[a.Task]++
+		w.b.lateStarts[a.Task]++
 	}
 	st := w.spec(a.Task)
 	r := &fakeRun{run: a.Run, began: w.b.now, ends: w.b.now.Add(time.Duration(float64(st.Time) * w.slow)), step: st}
