--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -70,10 +70,10 @@
 	starts map[flow.Name]int
 	// bad tells which tasks crash the workers that start them, crashed counts by task the
 	// lives that ended so, late the starts after the third, and lives all that ended.
-	bad        func(flow.Name) bool
-	crashed    map[flow.Name]int
-	lateStarts map[flow.Name]int
-	lives      int
+	bad               func(flow.Name) bool
+	crashed           map[flow.Name]int
+	lateStarts        map[flow.Name]int
+	endedIncarnations int
 	// away is by how much longer than usual a next life takes.
 	away time.Duration
 	// notes are what was told of jobs that were given up.
--- a/internal/sched/crash_cells_test.go
+++ b/internal/sched/crash_cells_test.go
@@ -43,7 +43,7 @@
 				id := fmt.Sprintf("good%02d", i)
 				require.Equal(t, flow.Completed, b.state(id), id)
 			}
-			require.LessOrEqual(t, b.lives, 18)
+			require.LessOrEqual(t, b.endedIncarnations, 18)
 			require.Empty(t, b.violations)
 		})
 	}
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -35,10 +35,10 @@
 // die ends the worker's life; the next one is listed later, at another address.
 func (w *fakeWorker) die() {
 	b := w.b
-	b.lives++
+	b.endedIncarnations++
 	w.dead = true
 	w.runs = map[flow.Name]*fakeRun{}
-	n := b.lives
+	n := b.endedIncarnations
 	b.after(unlistedAfter, b.list)
 	b.after(rebornAfter+b.away, func() {
 		w.reborn = true
@@ -122,7 +122,7 @@
 			b.play(100 * time.Second)
 			b.requireGivenUp("bad")
 			require.Empty(t, b.violations)
-			require.LessOrEqual(t, b.lives, 9)
+			require.LessOrEqual(t, b.endedIncarnations, 9)
 			require.Len(t, b.notes, 1)
 			require.Contains(t, b.notes[0].Detail, "bad.0.0.")
 		})
@@ -136,7 +136,7 @@
 	b.submitTimed("bad", flow.Repeat{Count: 30, First: b.now.Add(time.Second), Every: 3 * time.Second}, scan(1))
 	b.play(100 * time.Second)
 	b.requireGivenUp("bad")
-	require.LessOrEqual(t, b.lives, 9)
+	require.LessOrEqual(t, b.endedIncarnations, 9)
 }
 
 // Guards against each new lead starting a crashing task anew.
@@ -154,14 +154,14 @@
 				ended := 0
 				for range 3000 {
 					b.play(50 * time.Millisecond)
-					if b.lives > ended {
-						ended = b.lives
+					if b.endedIncarnations > ended {
+						ended = b.endedIncarnations
 						b.play(after)
 						b.takeover()
 					}
 				}
 				b.requireGivenUp("bad")
-				require.LessOrEqual(t, b.lives, 5)
+				require.LessOrEqual(t, b.endedIncarnations, 5)
 				require.Empty(t, b.violations)
 			})
 		}
@@ -192,7 +192,7 @@
 			for i := range 20 {
 				require.Equal(t, flow.Completed, b.state(fmt.Sprintf("good%02d", i)), "good%02d", i)
 			}
-			require.LessOrEqual(t, b.lives, 18)
+			require.LessOrEqual(t, b.endedIncarnations, 18)
 			require.Empty(t, b.violations)
 		})
 	}
@@ -325,7 +325,7 @@
 	b.submit("bad", "scan", st)
 	b.play(15 * time.Second)
 	b.requireGivenUp("bad")
-	require.Equal(t, 3, b.lives)
+	require.Equal(t, 3, b.endedIncarnations)
 }
 
 // Guards against a job given up for starts that found a life which had ended before.
