--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -74,8 +74,8 @@
 	crashed           map[flow.Name]int
 	lateStarts        map[flow.Name]int
 	endedIncarnations int
-	// away is by how much longer than usual a next life takes.
-	away time.Duration
+	// restartExtra is by how much longer than usual a next life takes.
+	restartExtra time.Duration
 	// notes are what was told of jobs that were given up.
 	notes []sched.Note
 }
--- a/internal/sched/crash_cells_test.go
+++ b/internal/sched/crash_cells_test.go
@@ -19,7 +19,7 @@
 			b := newBench(t, 6+r.IntN(8))
 			b.copies = r.IntN(2) == 0
 			b.badJobs("bad0", "bad1")
-			b.away = time.Duration(r.IntN(3000)) * time.Millisecond
+			b.restartExtra = time.Duration(r.IntN(3000)) * time.Millisecond
 			b.play(time.Duration(r.IntN(1000)) * time.Millisecond)
 			bad := scan(3)
 			bad.Copies = b.copies
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -40,7 +40,7 @@
 	w.runs = map[flow.Name]*fakeRun{}
 	n := b.endedIncarnations
 	b.after(unlistedAfter, b.list)
-	b.after(rebornAfter+b.away, func() {
+	b.after(rebornAfter+b.restartExtra, func() {
 		w.reborn = true
 		next := b.addWorker(fmt.Sprintf("z%03d", n), 100+n%100)
 		next.info.Size, next.info.Domain, next.info.Rack = w.info.Size, w.info.Domain, w.info.Rack
@@ -317,7 +317,7 @@
 // Guards against copies that wait for a verdict on a life that nobody asks any more.
 func TestALifeThatIsListedNoLongerIsAskedWhetherItEnded(t *testing.T) {
 	b := newBench(t, 8)
-	b.copies, b.away = true, 3*time.Second
+	b.copies, b.restartExtra = true, 3*time.Second
 	b.badJobs("bad")
 	st := scan(1)
 	st.Copies = true
