--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -76,8 +76,8 @@
 	endedIncarnations int
 	// restartExtra is by how much longer than usual a next life takes.
 	restartExtra time.Duration
-	// notes are what was told of jobs that were given up.
-	notes []sched.Note
+	// failedNotes are what was told of jobs that were given up.
+	failedNotes []sched.Note
 }
 
 type timed struct {
@@ -257,7 +257,7 @@
 	case "step waits":
 		b.longWaits = append(b.longWaits, a)
 	case "given up":
-		b.notes = append(b.notes, a)
+		b.failedNotes = append(b.failedNotes, a)
 	}
 }
 
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -123,8 +123,8 @@
 			b.requireGivenUp("bad")
 			require.Empty(t, b.violations)
 			require.LessOrEqual(t, b.endedIncarnations, 9)
-			require.Len(t, b.notes, 1)
-			require.Contains(t, b.notes[0].Detail, "bad.0.0.")
+			require.Len(t, b.failedNotes, 1)
+			require.Contains(t, b.failedNotes[0].Detail, "bad.0.0.")
 		})
 	}
 }
@@ -283,7 +283,7 @@
 			}
 			b.play(250 * time.Second)
 			require.Equal(t, flow.Completed, b.state("long"))
-			require.Empty(t, b.notes)
+			require.Empty(t, b.failedNotes)
 		})
 	}
 }
@@ -310,7 +310,7 @@
 	}
 	b.play(60 * time.Second)
 	require.Equal(t, flow.Completed, b.state("job"))
-	require.Empty(t, b.notes)
+	require.Empty(t, b.failedNotes)
 	require.Empty(t, b.violations)
 }
 
@@ -339,5 +339,5 @@
 	b.play(10 * time.Second)
 	require.Equal(t, flow.Completed, b.state("job"))
 	require.Equal(t, 1, total(b.starts))
-	require.Empty(t, b.notes)
+	require.Empty(t, b.failedNotes)
 }
