--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -68,9 +68,9 @@
 	done map[flow.Name]bool
 	// starts counts by task.
 	starts map[flow.Name]int
-	// bad tells which tasks crash the workers that start them, crashed counts by task the
+	// crashesWorker tells which tasks crash the workers that start them, crashed counts by task the
 	// lives that ended so, late the starts after the third, and lives all that ended.
-	bad               func(flow.Name) bool
+	crashesWorker     func(flow.Name) bool
 	crashed           map[flow.Name]int
 	lateStarts        map[flow.Name]int
 	endedIncarnations int
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -50,7 +50,7 @@
 
 // badJobs makes all tasks of these jobs crash their workers.
 func (b *cellBench) badJobs(ids ...string) {
-	b.bad = func(n flow.Name) bool {
+	b.crashesWorker = func(n flow.Name) bool {
 		for _, id := range ids {
 			if n.Job == id {
 				return true
--- a/internal/sched/history_test.go
+++ b/internal/sched/history_test.go
@@ -124,7 +124,7 @@
 	}
 	b.restartExtra = time.Duration(r.IntN(4000)) * time.Millisecond
 	share := 1 + r.Uint64N(8)
-	b.bad = func(n flow.Name) bool { return xxhash.Sum64String(n.Job+fmt.Sprint(seed))%10 < share }
+	b.crashesWorker = func(n flow.Name) bool { return xxhash.Sum64String(n.Job+fmt.Sprint(seed))%10 < share }
 }
 
 // crashAny ends the life of a worker at times.
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -159,7 +159,7 @@
 		w.b.wrong("%s is over its size: %+v of %+v", w.info.Incarnation, used, size)
 	}
 	w.lapseLater()
-	if w.b.bad != nil && w.b.bad(a.Task) {
+	if w.b.crashesWorker != nil && w.b.crashesWorker(a.Task) {
 		w.b.after(crashAfter, func() { w.crash(a.Task, r) })
 	}
 	if !st.Lasts && !w.still {
