--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -19,10 +19,10 @@
 	"pollencroft/internal/sched"
 )
 
-// cellBench plays a lead against workers that it holds in memory, on a clock
+// simCell plays a lead against workers that it holds in memory, on a clock
 // that the test moves. Workers start whatever they are told and record when
 // that is wrong.
-type cellBench struct {
+type simCell struct {
 	t       *testing.T
 	now     time.Time
 	core    *sched.Sched
@@ -86,8 +86,8 @@
 	run   func()
 }
 
-func newBench(t *testing.T, workers int) *cellBench {
-	b := &cellBench{
+func newBench(t *testing.T, workers int) *simCell {
+	b := &simCell{
 		t: t, now: time.Unix(1_000_000, 0), term: 1, workers: map[string]*fakeWorker{}, stored: map[string][]byte{},
 		specs: map[string]flow.Spec{}, done: map[flow.Name]bool{}, cancelledAt: map[string]time.Time{}, starts: map[flow.Name]int{},
 		crashed: map[flow.Name]int{}, lateStarts: map[flow.Name]int{},
@@ -105,7 +105,7 @@
 	return b
 }
 
-func (b *cellBench) addWorker(life string, i int) *fakeWorker {
+func (b *simCell) addWorker(life string, i int) *fakeWorker {
 	w := &fakeWorker{b: b, slow: 1, runs: map[flow.Name]*fakeRun{}, tombs: map[flow.Name]int{}, info: sched.Worker{
 		Address: sched.Address{Incarnation: life, Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 80)},
 		Service: "pass", Domain: fmt.Sprintf("d%d", i%3), Rack: fmt.Sprintf("r%d", i%3), Size: cell.Size{CPU: 64_000, Mem: 256 << 30},
@@ -125,7 +125,7 @@
 }
 
 // list tells the core all workers that live.
-func (b *cellBench) list() {
+func (b *simCell) list() {
 	var ev sched.Workers
 	for _, n := range slices.Sorted(maps.Keys(b.workers)) {
 		if w := b.workers[n]; !w.dead {
@@ -135,7 +135,7 @@
 	b.step(ev)
 }
 
-func (b *cellBench) after(d time.Duration, f func()) {
+func (b *simCell) after(d time.Duration, f func()) {
 	b.seq++
 	heap.Push(&b.events, timed{at: b.now.Add(d), order: b.seq, run: f})
 }
@@ -162,7 +162,7 @@
 const hop = 500 * time.Microsecond
 
 // play lets time pass.
-func (b *cellBench) play(d time.Duration) {
+func (b *simCell) play(d time.Duration) {
 	until := b.now.Add(d)
 	for {
 		next := b.core.Due()
@@ -191,7 +191,7 @@
 	b.now = until
 }
 
-func (b *cellBench) step(ev sched.Event) {
+func (b *simCell) step(ev sched.Event) {
 	term := b.term
 	began := time.Now()
 	placed := b.core.LastPass()
@@ -207,13 +207,13 @@
 }
 
 // tell feeds an answer to the core of the term that asked.
-func (b *cellBench) tell(term int64, ev sched.Event) {
+func (b *simCell) tell(term int64, ev sched.Event) {
 	if term == b.term {
 		b.step(ev)
 	}
 }
 
-func (b *cellBench) carry(term int64, a sched.Action) {
+func (b *simCell) carry(term int64, a sched.Action) {
 	switch a := a.(type) {
 	case sched.Append:
 		took := 3 * time.Millisecond
@@ -250,7 +250,7 @@
 }
 
 // keep keeps what the core told of some decisions.
-func (b *cellBench) keep(a sched.Note) {
+func (b *simCell) keep(a sched.Note) {
 	switch a.What {
 	case "worker resized":
 		b.resizeNotes = append(b.resizeNotes, a)
@@ -261,7 +261,7 @@
 	}
 }
 
-func (b *cellBench) store(term int64, a sched.Append) {
+func (b *simCell) store(term int64, a sched.Append) {
 	if term != b.term {
 		return
 	}
@@ -275,7 +275,7 @@
 	b.after(3*time.Millisecond, func() { b.tell(term, sched.Appended{Number: a.Number}) })
 }
 
-func (b *cellBench) advise(term int64, a sched.QueryPolicy) {
+func (b *simCell) advise(term int64, a sched.QueryPolicy) {
 	good := map[string]string{}
 	for _, w := range a.Workers {
 		if b.allows == nil || b.allows(a.Step, w) {
@@ -286,7 +286,7 @@
 }
 
 // submit hands in a job of like steps, each after the one before.
-func (b *cellBench) submit(id, queue string, steps ...flow.Step) {
+func (b *simCell) submit(id, queue string, steps ...flow.Step) {
 	spec := flow.Spec{ID: id, Steps: steps}
 	for _, q := range b.queues {
 		if q.Name == queue {
@@ -304,7 +304,7 @@
 }
 
 // takeover ends the lead without a word; another begins from what is stored.
-func (b *cellBench) takeover() {
+func (b *simCell) takeover() {
 	b.term++
 	var jobs []*flow.Job
 	var fresh []flow.Spec
@@ -335,24 +335,24 @@
 }
 
 // cancel stores that a job is to stop and tells the lead.
-func (b *cellBench) cancel(id string) {
+func (b *simCell) cancel(id string) {
 	b.storedCancels = append(b.storedCancels, id)
 	b.cancelledAt[id] = b.now
 	b.step(sched.Cancel{ID: id})
 }
 
-func (b *cellBench) wrong(format string, args ...any) {
+func (b *simCell) wrong(format string, args ...any) {
 	b.violations = append(b.violations, fmt.Sprintf(format, args...))
 }
 
-func (b *cellBench) state(id string) flow.State {
+func (b *simCell) state(id string) flow.State {
 	s, ok := b.core.State(id)
 	require.True(b.t, ok, "job %s is known", id)
 	return s
 }
 
 // inOrder lists the workers by name.
-func (b *cellBench) inOrder() []*fakeWorker {
+func (b *simCell) inOrder() []*fakeWorker {
 	var all []*fakeWorker
 	for _, n := range slices.Sorted(maps.Keys(b.workers)) {
 		all = append(all, b.workers[n])
--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -18,7 +18,7 @@
 // drawn is a cell that a seed draws: workers of one size with GPUs or none, queues with
 // and without a policy service, and what its jobs are like.
 type drawn struct {
-	*cellBench
+	*simCell
 	size cell.Size
 	// sure are workers that every step may run on, and those that came for others.
 	sure map[string]bool
@@ -28,7 +28,7 @@
 }
 
 func drawCell(t *testing.T, r *rand.Rand) *drawn {
-	d := &drawn{cellBench: newBench(t, 0), sure: map[string]bool{}, over: map[string]bool{}}
+	d := &drawn{simCell: newBench(t, 0), sure: map[string]bool{}, over: map[string]bool{}}
 	d.size = cell.Size{CPU: int64(1+r.IntN(4)) * 32_000, Mem: 512 << 30, Accel: int64(r.IntN(3)) * 4}
 	for i := range 4 + r.IntN(8) {
 		w := d.addWorker(fmt.Sprintf("w%02d", i), i)
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -49,7 +49,7 @@
 }
 
 // badJobs makes all tasks of these jobs crash their workers.
-func (b *cellBench) badJobs(ids ...string) {
+func (b *simCell) badJobs(ids ...string) {
 	b.crashesWorker = func(n flow.Name) bool {
 		for _, id := range ids {
 			if n.Job == id {
@@ -61,14 +61,14 @@
 }
 
 // requireGivenUp checks that a job ended as failed without many starts after the third crash.
-func (b *cellBench) requireGivenUp(id string) {
+func (b *simCell) requireGivenUp(id string) {
 	b.t.Helper()
 	require.Equal(b.t, flow.Failed, b.state(id))
 	b.requireFewLate()
 }
 
 // requireFewLate checks how often tasks started after the third life ended under them.
-func (b *cellBench) requireFewLate() {
+func (b *simCell) requireFewLate() {
 	b.t.Helper()
 	for n, late := range b.lateStarts {
 		require.LessOrEqual(b.t, late, maxLateStarts, "%s after three crashes", n)
@@ -76,7 +76,7 @@
 }
 
 // submitTimed hands in a job that is timed.
-func (b *cellBench) submitTimed(id string, repeat flow.Repeat, step flow.Step) {
+func (b *simCell) submitTimed(id string, repeat flow.Repeat, step flow.Step) {
 	spec := flow.Spec{ID: id, Queue: b.queues[0], Steps: []flow.Step{step}, Repeat: repeat}
 	require.NoError(b.t, spec.Check())
 	b.specs[id] = spec
--- a/internal/sched/gpu_test.go
+++ b/internal/sched/gpu_test.go
@@ -17,7 +17,7 @@
 // service has to allow: render, of gangs that want up to a whole worker for each member,
 // and size, of single GPUs, which is less urgent. Costs of questions and shares of allowed
 // workers are those of an inspection firm's sheet.
-func gpuBench(t *testing.T, workers int) *cellBench {
+func gpuBench(t *testing.T, workers int) *simCell {
 	b := newBench(t, 0)
 	for i := range workers {
 		w := b.addWorker(fmt.Sprintf("w%02d", i), i)
--- a/internal/sched/grown_test.go
+++ b/internal/sched/grown_test.go
@@ -66,7 +66,7 @@
 }
 
 // newFirm is the cell of such a firm.
-func newFirm(t *testing.T, kinds []kind) *cellBench {
+func newFirm(t *testing.T, kinds []kind) *simCell {
 	b := newBench(t, 0)
 	for i := range 350 {
 		w := b.addWorker(fmt.Sprintf("w%03d", i), i)
@@ -99,7 +99,7 @@
 }
 
 // come hands in what comes in d.
-func (b *cellBench) come(r *rand.Rand, kinds []kind, d time.Duration) {
+func (b *simCell) come(r *rand.Rand, kinds []kind, d time.Duration) {
 	const every = 10 * time.Millisecond
 	for range int(d / every) {
 		for _, k := range kinds {
@@ -150,7 +150,7 @@
 }
 
 // firmWithACrowd is a firm to which eight seconds' work has come in one.
-func firmWithACrowd(t *testing.T) (*cellBench, *rand.Rand, []kind) {
+func firmWithACrowd(t *testing.T) (*simCell, *rand.Rand, []kind) {
 	kinds := firm()
 	c := newFirm(t, kinds)
 	r := rand.New(rand.NewPCG(1, 2))
--- a/internal/sched/history_test.go
+++ b/internal/sched/history_test.go
@@ -118,7 +118,7 @@
 }
 
 // drawBad draws which jobs crash their workers and how long these stay away.
-func (b *cellBench) drawBad(r *rand.Rand, seed uint64) {
+func (b *simCell) drawBad(r *rand.Rand, seed uint64) {
 	if r == nil {
 		return
 	}
@@ -128,7 +128,7 @@
 }
 
 // crashAny ends the life of a worker at times.
-func (b *cellBench) crashAny(r *rand.Rand) {
+func (b *simCell) crashAny(r *rand.Rand) {
 	if r.IntN(12) > 0 {
 		return
 	}
@@ -138,7 +138,7 @@
 }
 
 // disturb does something to one worker; spare numbers workers that come anew.
-func (b *cellBench) disturb(r *rand.Rand, spare int) int {
+func (b *simCell) disturb(r *rand.Rand, spare int) int {
 	all := b.inOrder()
 	w := all[r.IntN(len(all))]
 	switch r.IntN(7) {
@@ -167,7 +167,7 @@
 
 // resizeSome gives a worker or two another size, down to none, or what they had at first; sizes
 // is nil for none.
-func (b *cellBench) resizeSome(sizes *rand.Rand) {
+func (b *simCell) resizeSome(sizes *rand.Rand) {
 	if sizes == nil {
 		return
 	}
@@ -191,7 +191,7 @@
 }
 
 // calm ends all faults that can end.
-func (b *cellBench) calm() {
+func (b *simCell) calm() {
 	b.storeDown, b.storeTime = false, nil
 	for _, w := range b.inOrder() {
 		w.become(w.full())
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -136,7 +136,7 @@
 
 // cellWithCopies is a cell in which the worker with the most tasks of a job, of which copies may
 // run beside each other, has been silent for a while.
-func cellWithCopies(t *testing.T, workers, tasks int, work, silent time.Duration) (*cellBench, *fakeWorker) {
+func cellWithCopies(t *testing.T, workers, tasks int, work, silent time.Duration) (*simCell, *fakeWorker) {
 	b := newBench(t, workers)
 	b.copies = true
 	b.play(100 * time.Millisecond)
--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -18,7 +18,7 @@
 )
 
 // resizeAll lists all workers with another size at once.
-func (b *cellBench) resizeAll(size cell.Size) {
+func (b *simCell) resizeAll(size cell.Size) {
 	for _, w := range b.inOrder() {
 		w.resize(size)
 	}
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -12,7 +12,7 @@
 )
 
 type fakeWorker struct {
-	b    *cellBench
+	b    *simCell
 	info sched.Worker
 	// silent workers answer nothing, deaf ones leave orders undone as well.
 	silent, dead bool
@@ -169,7 +169,7 @@
 }
 
 // check notes a start that must never happen.
-func (b *cellBench) check(w *fakeWorker, a sched.Start) {
+func (b *simCell) check(w *fakeWorker, a sched.Start) {
 	if b.copies {
 		return
 	}
@@ -202,7 +202,7 @@
 }
 
 // finishGang ends all members of a gang's run together, once the slowest is done.
-func (b *cellBench) finishGang(n flow.Name, r *fakeRun, how sched.Ending) {
+func (b *simCell) finishGang(n flow.Name, r *fakeRun, how sched.Ending) {
 	type member struct {
 		w *fakeWorker
 		n flow.Name
