--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -81,9 +81,9 @@
 }
 
 type timed struct {
-	at    time.Time
-	order int
-	run   func()
+	at  time.Time
+	seq int
+	run func()
 }
 
 func newBench(t *testing.T, workers int) *simCell {
@@ -137,10 +137,10 @@
 
 func (b *simCell) after(d time.Duration, f func()) {
 	b.seq++
-	heap.Push(&b.events, timed{at: b.now.Add(d), order: b.seq, run: f})
+	heap.Push(&b.events, timed{at: b.now.Add(d), seq: b.seq, run: f})
 }
 
-func (t timed) compare(o timed) int { return cmp.Or(t.at.Compare(o.at), t.order-o.order) }
+func (t timed) compare(o timed) int { return cmp.Or(t.at.Compare(o.at), t.seq-o.seq) }
 
 // agenda is what comes next, as a heap.
 type agenda []timed
