--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -80,7 +80,7 @@
 	failedNotes []sched.Note
 }
 
-type timed struct {
+type timedEvent struct {
 	at  time.Time
 	seq int
 	run func()
@@ -137,23 +137,23 @@
 
 func (b *simCell) after(d time.Duration, f func()) {
 	b.seq++
-	heap.Push(&b.events, timed{at: b.now.Add(d), seq: b.seq, run: f})
+	heap.Push(&b.events, timedEvent{at: b.now.Add(d), seq: b.seq, run: f})
 }
 
-func (t timed) compare(o timed) int { return cmp.Or(t.at.Compare(o.at), t.seq-o.seq) }
+func (t timedEvent) compare(o timedEvent) int { return cmp.Or(t.at.Compare(o.at), t.seq-o.seq) }
 
 // agenda is what comes next, as a heap.
-type agenda []timed
+type agenda []timedEvent
 
 func (a agenda) Len() int           { return len(a) }
 func (a agenda) Less(i, j int) bool { return a[i].compare(a[j]) < 0 }
 func (a agenda) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)        { *a = append(*a, x.(timed)) }
+func (a *agenda) Push(x any)        { *a = append(*a, x.(timedEvent)) }
 
 func (a *agenda) Pop() any {
 	last := len(*a) - 1
 	ev := (*a)[last]
-	(*a)[last] = timed{}
+	(*a)[last] = timedEvent{}
 	*a = (*a)[:last]
 	return ev
 }
