--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -28,7 +28,7 @@
 	core    *sched.Sched
 	term    int64
 	workers map[string]*fakeWorker
-	events  agenda
+	events  eventHeap
 	seq     int
 	// stored is what the store holds: the progress of jobs.
 	stored map[string][]byte
@@ -142,15 +142,15 @@
 
 func (t timedEvent) compare(o timedEvent) int { return cmp.Or(t.at.Compare(o.at), t.seq-o.seq) }
 
-// agenda is what comes next, as a heap.
-type agenda []timedEvent
+// eventHeap is what comes next, as a heap.
+type eventHeap []timedEvent
 
-func (a agenda) Len() int           { return len(a) }
-func (a agenda) Less(i, j int) bool { return a[i].compare(a[j]) < 0 }
-func (a agenda) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)        { *a = append(*a, x.(timedEvent)) }
+func (a eventHeap) Len() int           { return len(a) }
+func (a eventHeap) Less(i, j int) bool { return a[i].compare(a[j]) < 0 }
+func (a eventHeap) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *eventHeap) Push(x any)        { *a = append(*a, x.(timedEvent)) }
 
-func (a *agenda) Pop() any {
+func (a *eventHeap) Pop() any {
 	last := len(*a) - 1
 	ev := (*a)[last]
 	(*a)[last] = timedEvent{}
