--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -158,8 +158,8 @@
 	return ev
 }
 
-// hop is one way to a worker or to the store.
-const hop = 500 * time.Microsecond
+// networkDelay is one way to a worker or to the store.
+const networkDelay = 500 * time.Microsecond
 
 // play lets time pass.
 func (b *simCell) play(d time.Duration) {
@@ -223,12 +223,12 @@
 		b.after(took, func() { b.store(term, a) })
 	case sched.Hold:
 		b.holds++
-		b.after(hop, func() { b.workers[a.To.Incarnation].hold(term, a, b.now.Add(-hop)) })
+		b.after(networkDelay, func() { b.workers[a.To.Incarnation].hold(term, a, b.now.Add(-networkDelay)) })
 	case sched.Start:
 		sent := b.seq
-		b.after(hop, func() { b.workers[a.To.Incarnation].start(term, a, sent) })
+		b.after(networkDelay, func() { b.workers[a.To.Incarnation].start(term, a, sent) })
 	case sched.Stop:
-		b.after(hop, func() { b.workers[a.To.Incarnation].stop(term, a) })
+		b.after(networkDelay, func() { b.workers[a.To.Incarnation].stop(term, a) })
 	case sched.Pace:
 		b.paces = append(b.paces, a)
 	case sched.QueryPolicy:
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -99,7 +99,7 @@
 	if w.silent {
 		return
 	}
-	w.b.after(hop, func() { w.b.tell(term, ev) })
+	w.b.after(networkDelay, func() { w.b.tell(term, ev) })
 }
 
 // unanswered tells the sender after its own timeout that nothing came.
@@ -173,7 +173,7 @@
 	if b.copies {
 		return
 	}
-	if at, ok := b.cancelledAt[a.Task.Job]; ok && b.now.Sub(at) > 2*hop+w.lateStart {
+	if at, ok := b.cancelledAt[a.Task.Job]; ok && b.now.Sub(at) > 2*networkDelay+w.lateStart {
 		b.wrong("%s starts %s after its job was cancelled", a.Task, b.now.Sub(at))
 	}
 	if b.done[a.Task] {
@@ -314,7 +314,7 @@
 		if w.loseEnds > 0 && len(w.ends) > 0 {
 			w.loseEnds--
 			ev.Outcome = sched.Unanswered
-			w.b.after(max(sent.Add(a.Wait+patience).Sub(w.b.now), hop), func() { w.b.tell(term, ev) })
+			w.b.after(max(sent.Add(a.Wait+patience).Sub(w.b.now), networkDelay), func() { w.b.tell(term, ev) })
 			return
 		}
 		w.list(term, ev)
@@ -364,6 +364,6 @@
 		ev.Running = append(ev.Running, l)
 	}
 	ev.Ended = slices.Clone(w.ends)
-	ev.Received = w.b.now.Add(hop)
+	ev.Received = w.b.now.Add(networkDelay)
 	w.reply(term, ev)
 }
