--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -161,8 +161,8 @@
 // networkDelay is one way to a worker or to the store.
 const networkDelay = 500 * time.Microsecond
 
-// play lets time pass.
-func (b *simCell) play(d time.Duration) {
+// advance lets time pass.
+func (b *simCell) advance(d time.Duration) {
 	until := b.now.Add(d)
 	for {
 		next := b.core.Due()
--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -100,7 +100,7 @@
 	const every = 100 * time.Millisecond
 	since := map[string]time.Time{}
 	for range int(length / every) {
-		d.play(every)
+		d.advance(every)
 		for _, id := range d.jobs {
 			if d.ended(id) || !d.couldRun(id) {
 				delete(since, id)
@@ -185,11 +185,11 @@
 		case n < 19:
 			d.step(sched.Workers{})
 		}
-		d.play(time.Duration(r.IntN(500)) * time.Millisecond)
+		d.advance(time.Duration(r.IntN(500)) * time.Millisecond)
 		d.resizeSome(sizes)
 	}
 	d.calm()
-	d.play(settleTime)
+	d.advance(settleTime)
 	d.watch(3 * time.Minute)
 	require.Empty(t, d.violations)
 	for _, id := range d.jobs {
--- a/internal/sched/crash_cells_test.go
+++ b/internal/sched/crash_cells_test.go
@@ -20,7 +20,7 @@
 			b.copies = r.IntN(2) == 0
 			b.badJobs("bad0", "bad1")
 			b.restartExtra = time.Duration(r.IntN(3000)) * time.Millisecond
-			b.play(time.Duration(r.IntN(1000)) * time.Millisecond)
+			b.advance(time.Duration(r.IntN(1000)) * time.Millisecond)
 			bad := scan(3)
 			bad.Copies = b.copies
 			at := []int{r.IntN(20), r.IntN(20)}
@@ -34,9 +34,9 @@
 				st.Copies = b.copies && i%2 == 0
 				st.Time = around(r, 2*time.Second)
 				b.submit(fmt.Sprintf("good%02d", i), "scan", st, scan(2))
-				b.play(time.Duration(r.IntN(300)) * time.Millisecond)
+				b.advance(time.Duration(r.IntN(300)) * time.Millisecond)
 			}
-			b.play(60 * time.Second)
+			b.advance(60 * time.Second)
 			b.requireGivenUp("bad0")
 			b.requireGivenUp("bad1")
 			for i := range 20 {
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -117,9 +117,9 @@
 			b := newBench(t, 8)
 			b.copies = k.step().Copies
 			b.badJobs("bad")
-			b.play(100 * time.Millisecond)
+			b.advance(100 * time.Millisecond)
 			b.submit("bad", "scan", k.step())
-			b.play(100 * time.Second)
+			b.advance(100 * time.Second)
 			b.requireGivenUp("bad")
 			require.Empty(t, b.violations)
 			require.LessOrEqual(t, b.endedIncarnations, 9)
@@ -134,7 +134,7 @@
 	b := newBench(t, 8)
 	b.badJobs("bad")
 	b.submitTimed("bad", flow.Repeat{Count: 30, First: b.now.Add(time.Second), Every: 3 * time.Second}, scan(1))
-	b.play(100 * time.Second)
+	b.advance(100 * time.Second)
 	b.requireGivenUp("bad")
 	require.LessOrEqual(t, b.endedIncarnations, 9)
 }
@@ -149,14 +149,14 @@
 				b.badJobs("bad")
 				st := scan(1)
 				st.Copies = copies
-				b.play(100 * time.Millisecond)
+				b.advance(100 * time.Millisecond)
 				b.submit("bad", "scan", st)
 				ended := 0
 				for range 3000 {
-					b.play(50 * time.Millisecond)
+					b.advance(50 * time.Millisecond)
 					if b.endedIncarnations > ended {
 						ended = b.endedIncarnations
-						b.play(after)
+						b.advance(after)
 						b.takeover()
 					}
 				}
@@ -175,7 +175,7 @@
 			b := newBench(t, 8)
 			b.copies = copies
 			b.badJobs("bad0", "bad1")
-			b.play(100 * time.Millisecond)
+			b.advance(100 * time.Millisecond)
 			bad := scan(3)
 			bad.Copies = copies
 			b.submit("bad0", "scan", bad)
@@ -184,9 +184,9 @@
 				st := scan(6)
 				st.Copies = copies && i%2 == 0
 				b.submit(fmt.Sprintf("good%02d", i), "scan", st, scan(2))
-				b.play(150 * time.Millisecond)
+				b.advance(150 * time.Millisecond)
 			}
-			b.play(120 * time.Second)
+			b.advance(120 * time.Second)
 			b.requireGivenUp("bad0")
 			b.requireGivenUp("bad1")
 			for i := range 20 {
@@ -203,16 +203,16 @@
 	b := newBench(t, 8)
 	b.copies = true
 	b.badJobs("bad")
-	b.play(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	st := scan(1)
 	st.Copies = true
 	b.storeDown = true
 	b.submit("bad", "scan", st)
-	b.play(20 * time.Second)
+	b.advance(20 * time.Second)
 	require.Equal(t, 1, total(b.starts))
 	b.storeDown = false
 	b.storeTime = func() time.Duration { return 600 * time.Millisecond }
-	b.play(100 * time.Second)
+	b.advance(100 * time.Second)
 	b.requireGivenUp("bad")
 }
 
@@ -220,12 +220,12 @@
 func TestAStartWithoutAnAnswerCountsWhenItsWorkerCrashed(t *testing.T) {
 	b := newBench(t, 8)
 	b.badJobs("bad")
-	b.play(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	for _, w := range b.inOrder() {
 		w.lateStart = time.Millisecond
 	}
 	b.submit("bad", "scan", scan(1))
-	b.play(100 * time.Second)
+	b.advance(100 * time.Second)
 	b.requireGivenUp("bad")
 }
 
@@ -236,14 +236,14 @@
 	st.Lasts = true
 	b.submit("watch", "scan", st)
 	for range 6 {
-		b.play(20 * time.Second)
+		b.advance(20 * time.Second)
 		for _, w := range b.inOrder() {
 			if !w.dead && len(w.runs) > 0 {
 				w.die()
 			}
 		}
 	}
-	b.play(20 * time.Second)
+	b.advance(20 * time.Second)
 	require.Equal(t, flow.Active, b.state("watch"))
 }
 
@@ -257,7 +257,7 @@
 			st.Copies, st.Time = copies, 200*time.Second
 			b.submit("long", "scan", st)
 			for i := range 8 {
-				b.play(2 * time.Second)
+				b.advance(2 * time.Second)
 				for _, w := range b.inOrder() {
 					if len(w.runs) == 0 || w.silent || w.dead || w.info.Draining {
 						continue
@@ -265,23 +265,23 @@
 					if i%4 == 3 {
 						w.info.Draining, w.info.Remaining = true, time.Second
 						b.list()
-						b.play(time.Second)
+						b.advance(time.Second)
 						w.dead, w.reborn, w.runs = true, true, map[flow.Name]*fakeRun{}
 						b.addWorker(fmt.Sprintf("y%02d", i), 80+i)
 						b.list()
 						break
 					}
 					w.silent = true
-					b.play(12 * time.Second)
+					b.advance(12 * time.Second)
 					w.silent = false
-					b.play(time.Second)
+					b.advance(time.Second)
 					// The next run begins on another worker.
 					w.info.Draining, w.info.Remaining = true, time.Minute
 					b.list()
 					break
 				}
 			}
-			b.play(250 * time.Second)
+			b.advance(250 * time.Second)
 			require.Equal(t, flow.Completed, b.state("long"))
 			require.Empty(t, b.failedNotes)
 		})
@@ -295,7 +295,7 @@
 	st.Time = 12 * time.Second
 	b.submit("job", "print", st)
 	for i := range 5 {
-		b.play(4 * time.Second)
+		b.advance(4 * time.Second)
 		rack := fmt.Sprintf("r%d", i%3)
 		for _, w := range b.inOrder() {
 			if len(w.runs) > 0 && !w.dead {
@@ -308,7 +308,7 @@
 			}
 		}
 	}
-	b.play(60 * time.Second)
+	b.advance(60 * time.Second)
 	require.Equal(t, flow.Completed, b.state("job"))
 	require.Empty(t, b.failedNotes)
 	require.Empty(t, b.violations)
@@ -321,9 +321,9 @@
 	b.badJobs("bad")
 	st := scan(1)
 	st.Copies = true
-	b.play(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	b.submit("bad", "scan", st)
-	b.play(15 * time.Second)
+	b.advance(15 * time.Second)
 	b.requireGivenUp("bad")
 	require.Equal(t, 3, b.endedIncarnations)
 }
@@ -331,12 +331,12 @@
 // Guards against a job given up for starts that found a life which had ended before.
 func TestAStartThatFindsAnotherLifeCountsAgainstNoTask(t *testing.T) {
 	b := newBench(t, 6)
-	b.play(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	for _, w := range b.inOrder()[:5] {
 		w.dead, w.reborn = true, true
 	}
 	b.submit("job", "scan", scan(1))
-	b.play(10 * time.Second)
+	b.advance(10 * time.Second)
 	require.Equal(t, flow.Completed, b.state("job"))
 	require.Equal(t, 1, total(b.starts))
 	require.Empty(t, b.failedNotes)
--- a/internal/sched/gpu_test.go
+++ b/internal/sched/gpu_test.go
@@ -69,7 +69,7 @@
 		b.submit(id, "render", render(2, 8))
 	}
 	b.submit("size", "size", size(8))
-	b.play(18 * time.Second) // what a caller of size is promised
+	b.advance(18 * time.Second) // what a caller of size is promised
 	require.Equal(t, flow.Completed, b.state("size"))
 	require.Empty(t, b.violations)
 }
@@ -84,7 +84,7 @@
 	for i := range 6 {
 		b.submit(fmt.Sprintf("gang%02d", i), "render", render(2, 8))
 	}
-	b.play(10 * time.Second)
+	b.advance(10 * time.Second)
 	require.Len(t, b.queries, 6)
 }
 
@@ -98,7 +98,7 @@
 		b.submit(fmt.Sprintf("gang%d", i), "render", render(1, 8))
 	}
 	question := b.queues[0].Advice.Cost(1)
-	b.play(gangs*render(1, 8).Time + 2*question)
+	b.advance(gangs*render(1, 8).Time + 2*question)
 	for i := range gangs {
 		require.Equal(t, flow.Completed, b.state(fmt.Sprintf("gang%d", i)))
 	}
@@ -114,7 +114,7 @@
 	for i := range 12 {
 		b.submit(fmt.Sprintf("gang%02d", i), "render", render(1, 4))
 	}
-	b.play(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	require.Len(t, b.queries, 8)
 
 	b = gpuBench(t, 13)
@@ -132,10 +132,10 @@
 		id := fmt.Sprintf("scan%02d", i)
 		b.submit(id, "scan", scan(1))
 		began[id] = b.now
-		b.play(20 * time.Millisecond)
+		b.advance(20 * time.Millisecond)
 	}
 	// The question, the append, the work and its end.
-	b.play(1200 * time.Millisecond)
+	b.advance(1200 * time.Millisecond)
 	for id := range began {
 		require.Equal(t, flow.Completed, b.state(id), id)
 	}
@@ -158,7 +158,7 @@
 	more := func() {
 		b.submit(fmt.Sprintf("size%03d", n), "size", single)
 		n++
-		b.play(200 * time.Millisecond)
+		b.advance(200 * time.Millisecond)
 	}
 	for range 20 {
 		more()
@@ -202,18 +202,18 @@
 	long := wide()
 	long.Time, long.Saves = 8*time.Second, false
 	b.submit("first", "render", long)
-	b.play(time.Second)
+	b.advance(time.Second)
 	require.Len(t, b.stepWaits, 1)
 	question := b.queues[0].Advice.Cost(1)
 	require.InDelta(t, question.Seconds(), b.stepWaits[0].Times[sched.WaitForPolicy].Seconds(), 0.05)
 	require.Zero(t, b.stepWaits[0].Times[sched.WaitForCapacity])
 
 	b.submit("second", "render", wide())
-	b.play(6 * time.Second)
+	b.advance(6 * time.Second)
 	require.Len(t, b.longWaits, 1)
 	require.Equal(t, "second.0.0", b.longWaits[0].ID)
 	require.Contains(t, b.longWaits[0].Detail, "room 3")
-	b.play(4 * time.Second)
+	b.advance(4 * time.Second)
 	require.Len(t, b.stepWaits, 2)
 	// The rest of eight seconds, of which the questions for tickets take a part.
 	require.InDelta(t, 7.55, b.stepWaits[1].Times.Total().Seconds(), 0.1)
--- a/internal/sched/grown_test.go
+++ b/internal/sched/grown_test.go
@@ -107,7 +107,7 @@
 				b.submit(fmt.Sprintf("%s%06d", k.queue.Name, len(b.specs)), k.queue.Name, k.step(r))
 			}
 		}
-		b.play(every)
+		b.advance(every)
 	}
 }
 
--- a/internal/sched/history_test.go
+++ b/internal/sched/history_test.go
@@ -99,15 +99,15 @@
 		if crashes != nil {
 			b.crashAny(crashes)
 		}
-		b.play(time.Duration(r.IntN(700)) * time.Millisecond)
+		b.advance(time.Duration(r.IntN(700)) * time.Millisecond)
 		b.resizeSome(sizes)
 	}
 	b.calm()
-	b.play(90 * time.Second)
+	b.advance(90 * time.Second)
 	maps.DeleteFunc(jobs, func(id string, _ bool) bool { return b.state(id).Final() })
 	if crashes != nil {
 		// Of lives that ended under a former lead nobody knows the address.
-		b.play(40 * time.Second)
+		b.advance(40 * time.Second)
 	}
 	b.requireFewLate()
 	require.Empty(t, b.violations)
--- a/internal/sched/late_test.go
+++ b/internal/sched/late_test.go
@@ -31,7 +31,7 @@
 	every := time.Duration(float64(scan(6).Time) * 6 / (workers * perWorker) / share)
 	for i := range int(d / every) {
 		submit(fmt.Sprintf("b%04d", i))
-		b.play(every)
+		b.advance(every)
 		for id, at := range began {
 			if _, ok := took[id]; !ok && b.state(id) == flow.Completed {
 				took[id] = b.now.Sub(at)
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -22,12 +22,12 @@
 	for i := range 40 {
 		b.submit(fmt.Sprintf("bulk%02d", i), "print", bulk(8))
 	}
-	b.play(3 * time.Second)
+	b.advance(3 * time.Second)
 	for i := range 12 {
 		b.submit(fmt.Sprintf("scan%02d", i), "scan", scan(1), scan(1))
-		b.play(80 * time.Millisecond)
+		b.advance(80 * time.Millisecond)
 	}
-	b.play(2 * time.Second)
+	b.advance(2 * time.Second)
 	late := 0
 	for i := range 12 {
 		if b.state(fmt.Sprintf("scan%02d", i)) != flow.Completed {
@@ -46,7 +46,7 @@
 	b.step(sched.Queues{Version: 2, All: b.queues})
 	b.allows = func(_, worker string) bool { return worker >= "w06" }
 	b.submit("a", "scan", scan(6))
-	b.play(3 * time.Second)
+	b.advance(3 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.LessOrEqual(t, len(b.queries), 3)
 	for _, n := range []string{"w00", "w01", "w02", "w03", "w04", "w05"} {
@@ -59,7 +59,7 @@
 func TestAJobStaysInOneFailureDomain(t *testing.T) {
 	b := newBench(t, 9)
 	b.submit("a", "scan", scan(6), scan(6))
-	b.play(200 * time.Millisecond)
+	b.advance(200 * time.Millisecond)
 	domains := map[string]bool{}
 	for _, w := range b.inOrder() {
 		if len(w.runs) > 0 {
@@ -77,7 +77,7 @@
 	fill := flow.Step{Tasks: 2, Size: cell.Size{CPU: 10_000, Mem: 8 << 30}, Time: time.Minute, Fills: true}
 	b.submit("serve", "scan", serve)
 	b.submit("fill", "print", fill)
-	b.play(time.Second)
+	b.advance(time.Second)
 	require.Len(t, b.workers["w00"].runs, 3)
 	tail := func(ms int64) {
 		ev := sched.HoldReply{Worker: "w00", Probe: true, Sent: b.now, Received: b.now, Clock: b.now}
@@ -94,7 +94,7 @@
 	require.Len(t, b.paces, 2)
 	require.Zero(t, b.paces[0].Percent)
 	b.paces = nil
-	b.play(1200 * time.Millisecond)
+	b.advance(1200 * time.Millisecond)
 	tail(20)
 	require.NotEmpty(t, b.paces)
 	require.Positive(t, b.paces[0].Percent)
@@ -105,16 +105,16 @@
 func TestCopiesNeitherWaitForTheStoreNorForASilentWorker(t *testing.T) {
 	b := newBench(t, 4)
 	b.copies = true
-	b.play(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	step := scan(8)
 	step.Copies = true
 	b.submit("a", "scan", step)
-	b.play(50 * time.Millisecond)
+	b.advance(50 * time.Millisecond)
 	b.storeDown = true
 	next := scan(8)
 	next.Copies = true
 	b.submit("b", "scan", next)
-	b.play(200 * time.Millisecond)
+	b.advance(200 * time.Millisecond)
 	started := 0
 	for n := range b.starts {
 		if n.Job == "b" {
@@ -129,7 +129,7 @@
 		}
 	}
 	b.storeDown = false
-	b.play(4 * time.Second)
+	b.advance(4 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.Equal(t, flow.Completed, b.state("b"))
 }
@@ -139,15 +139,15 @@
 func cellWithCopies(t *testing.T, workers, tasks int, work, silent time.Duration) (*simCell, *fakeWorker) {
 	b := newBench(t, workers)
 	b.copies = true
-	b.play(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	step := scan(tasks)
 	step.Copies, step.Time = true, work
 	b.submit("a", "scan", step)
-	b.play(300 * time.Millisecond)
+	b.advance(300 * time.Millisecond)
 	cut := slices.MaxFunc(b.inOrder(), func(x, y *fakeWorker) int { return len(x.runs) - len(y.runs) })
 	require.NotEmpty(t, cut.runs)
 	cut.silent = true
-	b.play(silent)
+	b.advance(silent)
 	return b, cut
 }
 
@@ -159,7 +159,7 @@
 	require.Greater(t, len(cut.runs), 6)
 	b.submit("b", "scan", scan(24))
 	cut.silent = false
-	b.play(20 * time.Second)
+	b.advance(20 * time.Second)
 	require.Greater(t, total(b.starts), 12+24, "copies began elsewhere")
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.Equal(t, flow.Completed, b.state("b"))
@@ -175,16 +175,16 @@
 		b := newBench(t, 2)
 		b.submit("first", "scan", scan(1))
 		b.passTook = took
-		b.play(time.Second)
+		b.advance(time.Second)
 		b.passes = 0
 		for n := range 100 {
 			b.submit(fmt.Sprintf("a%03d", n), "scan", scan(4))
-			b.play(10 * time.Millisecond)
+			b.advance(10 * time.Millisecond)
 		}
 		require.LessOrEqual(t, time.Duration(b.passes)*took, time.Second/4+took, "a quarter of the second, and the pass that began last")
 		require.GreaterOrEqual(t, b.passes, 4, "in a second")
 		b.passTook = 0
-		b.play(2 * time.Second)
+		b.advance(2 * time.Second)
 		require.Greater(t, total(b.starts), 40, "work goes on")
 	}
 }
@@ -198,7 +198,7 @@
 	b.passes = 0
 	for n := range 100 {
 		b.submit(fmt.Sprintf("a%03d", n), "scan", scan(1))
-		b.play(10 * time.Millisecond)
+		b.advance(10 * time.Millisecond)
 	}
 	require.Greater(t, b.passes, 30, "of fifty in a second")
 }
@@ -211,12 +211,12 @@
 	b, cut := cellWithCopies(t, 4, 8, 3*time.Second, 1500*time.Millisecond)
 	cut.silent = false
 	for b.state("a") != flow.Completed {
-		b.play(10 * time.Millisecond)
+		b.advance(10 * time.Millisecond)
 	}
-	b.play(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	b.holds = 0
 	const watched = 3 * time.Second
-	b.play(watched)
+	b.advance(watched)
 	require.Positive(t, b.holds, "until its room is given back")
 	require.LessOrEqual(t, b.holds, 2+len(b.workers)*int(watched/sched.DefaultLimits.HoldWait))
 }
@@ -226,16 +226,16 @@
 func TestCopiesThatWereNotStoredAreFoundByTheNextLead(t *testing.T) {
 	b := newBench(t, 4)
 	b.copies = true
-	b.play(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	b.storeDown = true
 	step := scan(8)
 	step.Copies, step.Time = true, 3*time.Second
 	b.submit("a", "scan", step)
-	b.play(200 * time.Millisecond)
+	b.advance(200 * time.Millisecond)
 	require.Equal(t, 8, total(b.starts))
 	b.storeDown = false
 	b.takeover()
-	b.play(4 * time.Second)
+	b.advance(4 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.LessOrEqual(t, total(b.starts), 16)
 }
@@ -248,10 +248,10 @@
 		for i := range 20 {
 			b.submit(fmt.Sprintf("s%02d", i), "scan", scan(6), scan(3))
 			b.submit(fmt.Sprintf("b%02d", i), "print", bulk(5))
-			b.play(150 * time.Millisecond)
+			b.advance(150 * time.Millisecond)
 		}
 		b.workers["w05"].silent = true
-		b.play(3 * time.Second)
+		b.advance(3 * time.Second)
 		return fmt.Sprint(b.starts, b.core.Pending(), len(b.queries))
 	}
 	require.Equal(t, play(), play())
@@ -265,7 +265,7 @@
 	for i := range 6 {
 		b.submit(fmt.Sprintf("s%d", i), "scan", scan(4))
 	}
-	b.play(5 * time.Second)
+	b.advance(5 * time.Second)
 	for i := range 6 {
 		require.Equal(t, flow.Completed, b.state(fmt.Sprintf("s%d", i)))
 	}
@@ -278,13 +278,13 @@
 	b := newBench(t, 1)
 	for i := range 3 {
 		b.submit(fmt.Sprintf("s%d", i), "scan", scan(3))
-		b.play(400 * time.Millisecond)
+		b.advance(400 * time.Millisecond)
 	}
 	long := b.workers["w00"].runs[flow.Name{Job: "s2"}]
 	require.NotNil(t, long)
 	long.ends = long.began.Add(5 * time.Second)
 	b.after(4*time.Second, func() { b.workers["w00"].end(flow.Name{Job: "s2"}, long, sched.EndDone) })
-	b.play(8 * time.Second)
+	b.advance(8 * time.Second)
 	require.Equal(t, flow.Completed, b.state("s2"))
 	require.Equal(t, 1, b.starts[flow.Name{Job: "s2"}])
 }
@@ -301,7 +301,7 @@
 	for i := range 2000 {
 		c.submit(fmt.Sprintf("b%04d", i), "print", bulk(8))
 	}
-	c.play(time.Second)
+	c.advance(time.Second)
 	for b.Loop() {
 		c.now = c.now.Add(21 * time.Millisecond)
 		c.step(sched.Cancel{ID: "nobody"})
@@ -318,7 +318,7 @@
 	b.submit("a", "scan", scan(1))
 	began := b.now
 	for b.state("a") != flow.Completed && b.now.Sub(began) < 5*time.Second {
-		b.play(10 * time.Millisecond)
+		b.advance(10 * time.Millisecond)
 	}
 	require.Zero(t, b.workers["w00"].loseEnds)
 	// The work, the rest of a hold's wait, and the patience for its answer.
@@ -342,7 +342,7 @@
 			began[id] = b.now
 			b.submit(id, "scan", scan(1), scan(1))
 		}
-		b.play(20 * time.Millisecond)
+		b.advance(20 * time.Millisecond)
 		for id, at := range began {
 			if _, over := took[id]; !over && b.state(id) == flow.Completed {
 				took[id] = b.now.Sub(at)
@@ -370,7 +370,7 @@
 	for i := range 40 {
 		b.submit(fmt.Sprintf("scan%02d", i), "scan", scan(1))
 	}
-	b.play(25 * time.Millisecond)
+	b.advance(25 * time.Millisecond)
 	require.NotEmpty(t, b.queries)
 	require.Less(t, len(b.queries), 32)
 	alone := len(b.queries)
@@ -379,9 +379,9 @@
 		names = append(names, fmt.Sprintf("x%d", i))
 	}
 	b.step(sched.Hosts{Names: names})
-	b.play(25 * time.Millisecond)
+	b.advance(25 * time.Millisecond)
 	require.Equal(t, 40, len(b.queries), "%d were asked by one host", alone)
-	b.play(3 * time.Second)
+	b.advance(3 * time.Second)
 	for i := range 40 {
 		require.Equal(t, flow.Completed, b.state(fmt.Sprintf("scan%02d", i)))
 	}
@@ -392,20 +392,20 @@
 // moment. The workers answer all the while, and work starts on them at once.
 func TestWorkersThatAnswerAreUsedWhileTheirEntriesAreAway(t *testing.T) {
 	b := newBench(t, 6)
-	b.play(time.Second)
+	b.advance(time.Second)
 	b.step(sched.Workers{})
 	b.submit("a", "scan", scan(6))
-	b.play(200 * time.Millisecond)
+	b.advance(200 * time.Millisecond)
 	require.Equal(t, 6, total(b.starts))
-	b.play(2 * time.Second)
+	b.advance(2 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
 
 	// What is still missing after that has left.
 	b.submit("b", "scan", scan(6))
-	b.play(2 * time.Second)
+	b.advance(2 * time.Second)
 	require.Equal(t, 6, total(b.starts))
 	b.list()
-	b.play(2 * time.Second)
+	b.advance(2 * time.Second)
 	require.Equal(t, flow.Completed, b.state("b"))
 	require.Empty(t, b.violations)
 }
@@ -419,20 +419,20 @@
 	for _, w := range b.workers {
 		w.fails = true
 	}
-	b.play(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	b.storeDown = true
 	step := scan(1)
 	step.Copies = true
 	b.submit("a", "scan", step)
-	b.play(4 * time.Second)
+	b.advance(4 * time.Second)
 	require.Equal(t, 3, total(b.starts))
 	b.storeDown = false
 	b.takeover()
 	// It may start one more before it has read all workers.
-	b.play(200 * time.Millisecond)
+	b.advance(200 * time.Millisecond)
 	require.LessOrEqual(t, total(b.starts), 4)
 	known := total(b.starts)
-	b.play(4 * time.Second)
+	b.advance(4 * time.Second)
 	require.Equal(t, flow.Failed, b.state("a"))
 	require.Equal(t, known, total(b.starts))
 }
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -15,10 +15,10 @@
 	b := newBench(t, 6)
 	b.submit("a", "scan", scan(6), scan(3))
 	require.Equal(t, map[string]int{"scan": 1}, b.core.Pending())
-	b.play(1500 * time.Millisecond)
+	b.advance(1500 * time.Millisecond)
 	require.Equal(t, flow.Active, b.state("a"))
 	require.Empty(t, b.core.Pending())
-	b.play(time.Second)
+	b.advance(time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.Empty(t, b.violations)
 	require.Len(t, b.starts, 9)
@@ -29,9 +29,9 @@
 func TestAJobThatArrivesTwiceIsOneJob(t *testing.T) {
 	b := newBench(t, 3)
 	b.submit("a", "scan", scan(2))
-	b.play(3 * time.Second)
+	b.advance(3 * time.Second)
 	b.submit("a", "scan", scan(2))
-	b.play(3 * time.Second)
+	b.advance(3 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
 	for n, c := range b.starts {
 		require.Equal(t, 1, c, n.String())
@@ -42,19 +42,19 @@
 // would know of, and no job may be shown as completed before that is stored.
 func TestNothingStartsBeforeItsRunIsStored(t *testing.T) {
 	b := newBench(t, 3)
-	b.play(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	b.storeDown = true
 	b.submit("a", "scan", scan(2))
-	b.play(2 * time.Second)
+	b.advance(2 * time.Second)
 	require.Empty(t, b.starts)
 	b.storeDown = false
-	b.play(500 * time.Millisecond)
+	b.advance(500 * time.Millisecond)
 	require.Len(t, b.starts, 2)
 	b.storeDown = true
-	b.play(2 * time.Second)
+	b.advance(2 * time.Second)
 	require.NotEqual(t, flow.Completed, b.state("a"))
 	b.storeDown = false
-	b.play(time.Second)
+	b.advance(time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
 }
 
@@ -62,16 +62,16 @@
 // later. Started elsewhere meanwhile, the task would run twice.
 func TestAStartWithoutAnAnswerIsStoppedBeforeTheTaskStartsElsewhere(t *testing.T) {
 	b := newBench(t, 3)
-	b.play(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	for _, w := range b.inOrder() {
 		w.lateStart = 2 * time.Second
 	}
 	b.submit("a", "scan", scan(4))
-	b.play(300 * time.Millisecond)
+	b.advance(300 * time.Millisecond)
 	for _, w := range b.inOrder() {
 		w.lateStart = 0
 	}
-	b.play(5 * time.Second)
+	b.advance(5 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.Empty(t, b.violations)
 }
@@ -82,18 +82,18 @@
 func TestTasksOfAWorkerThatIsGoneStartElsewhereAfterTheLease(t *testing.T) {
 	b := newBench(t, 2)
 	b.submit("a", "print", bulk(8))
-	b.play(time.Second)
+	b.advance(time.Second)
 	gone := b.workers["w00"]
 	require.NotEmpty(t, gone.runs)
 	held := len(gone.runs)
 	gone.dead = true
 	b.list()
 	before := total(b.starts)
-	b.play(6 * time.Second)
+	b.advance(6 * time.Second)
 	require.Equal(t, before, total(b.starts), "nothing starts twice while a lease may last")
-	b.play(5 * time.Second)
+	b.advance(5 * time.Second)
 	require.Equal(t, before+held, total(b.starts))
-	b.play(20 * time.Second)
+	b.advance(20 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.Empty(t, b.violations)
 }
@@ -111,11 +111,11 @@
 func TestTasksOfAWorkerThatIsCutOffLiveThroughIt(t *testing.T) {
 	b := newBench(t, 2)
 	b.submit("a", "print", bulk(8))
-	b.play(time.Second)
+	b.advance(time.Second)
 	b.workers["w00"].silent = true
-	b.play(5500 * time.Millisecond)
+	b.advance(5500 * time.Millisecond)
 	b.workers["w00"].silent = false
-	b.play(5 * time.Second)
+	b.advance(5 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.Equal(t, 8, total(b.starts))
 	require.Empty(t, b.violations)
@@ -127,9 +127,9 @@
 	b := newBench(t, 3)
 	b.submit("a", "print", bulk(8))
 	b.submit("b", "scan", scan(5), scan(5))
-	b.play(600 * time.Millisecond)
+	b.advance(600 * time.Millisecond)
 	b.takeover()
-	b.play(10 * time.Second)
+	b.advance(10 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.Equal(t, flow.Completed, b.state("b"))
 	require.Equal(t, 18, total(b.starts))
@@ -141,11 +141,11 @@
 func TestARunThatWasStoredAndNeverSentStartsUnderTheNextLead(t *testing.T) {
 	for cut := range 40 {
 		b := newBench(t, 3)
-		b.play(100 * time.Millisecond)
+		b.advance(100 * time.Millisecond)
 		b.submit("a", "scan", scan(6))
-		b.play(time.Duration(cut) * time.Millisecond)
+		b.advance(time.Duration(cut) * time.Millisecond)
 		b.takeover()
-		b.play(4 * time.Second)
+		b.advance(4 * time.Second)
 		require.Equal(t, flow.Completed, b.state("a"), "cut after %d ms", cut)
 		require.Empty(t, b.violations, "cut after %d ms", cut)
 	}
@@ -157,16 +157,16 @@
 func TestInheritedRunsOfASilentWorkerWaitForTheFormerLeadAndALease(t *testing.T) {
 	b := newBench(t, 2)
 	b.submit("a", "print", bulk(8))
-	b.play(time.Second)
+	b.advance(time.Second)
 	w := b.workers["w00"]
 	held := len(w.runs)
 	require.NotZero(t, held)
 	w.dead = true
 	b.takeover()
 	before := total(b.starts)
-	b.play(15 * time.Second)
+	b.advance(15 * time.Second)
 	require.Equal(t, before, total(b.starts))
-	b.play(4 * time.Second)
+	b.advance(4 * time.Second)
 	require.Equal(t, before+held, total(b.starts))
 }
 
@@ -174,16 +174,16 @@
 func TestInheritedRunsWaitOneLeaseOnceTheFormerLeadIsOver(t *testing.T) {
 	b := newBench(t, 2)
 	b.submit("a", "print", bulk(8))
-	b.play(time.Second)
+	b.advance(time.Second)
 	w := b.workers["w00"]
 	held := len(w.runs)
 	w.dead = true
 	b.takeover()
 	b.step(sched.PredecessorStopped{})
 	before := total(b.starts)
-	b.play(8 * time.Second)
+	b.advance(8 * time.Second)
 	require.Equal(t, before, total(b.starts))
-	b.play(2 * time.Second)
+	b.advance(2 * time.Second)
 	require.Equal(t, before+held, total(b.starts))
 }
 
@@ -192,18 +192,18 @@
 func TestWhatALeadKnowsOfSilentWorkersGoesToItsSuccessor(t *testing.T) {
 	b := newBench(t, 2)
 	b.submit("a", "print", bulk(8))
-	b.play(time.Second)
+	b.advance(time.Second)
 	held := len(b.workers["w00"].runs)
 	b.workers["w00"].dead = true
 	before := total(b.starts)
 	for range 3 {
-		b.play(2500 * time.Millisecond)
+		b.advance(2500 * time.Millisecond)
 		bounds := b.core.LeaseBounds(b.now)
 		b.takeover()
 		b.step(sched.PredecessorStopped{Since: b.now, LeaseBounds: bounds})
 	}
 	require.Equal(t, before, total(b.starts))
-	b.play(2500 * time.Millisecond)
+	b.advance(2500 * time.Millisecond)
 	require.Equal(t, before+held, total(b.starts))
 }
 
@@ -214,9 +214,9 @@
 	b.workers["w00"].fails = true
 	for i := range 12 {
 		b.submit(fmt.Sprintf("job%d", i), "scan", scan(6))
-		b.play(300 * time.Millisecond)
+		b.advance(300 * time.Millisecond)
 	}
-	b.play(10 * time.Second)
+	b.advance(10 * time.Second)
 	for i := range 12 {
 		require.Equal(t, flow.Completed, b.state(fmt.Sprintf("job%d", i)))
 	}
@@ -231,7 +231,7 @@
 		w.fails = true
 	}
 	b.submit("bad", "scan", scan(1))
-	b.play(30 * time.Second)
+	b.advance(30 * time.Second)
 	require.Equal(t, flow.Failed, b.state("bad"))
 	require.Equal(t, 3, total(b.starts))
 }
@@ -242,7 +242,7 @@
 	b := newBench(t, 3)
 	b.workers["w00"].still = true
 	b.submit("a", "scan", scan(20))
-	b.play(5 * time.Second)
+	b.advance(5 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.Empty(t, b.violations)
 }
@@ -251,12 +251,12 @@
 // the worker never begins them any more.
 func TestACancelledJobRunsNowhere(t *testing.T) {
 	b := newBench(t, 3)
-	b.play(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	b.workers["w01"].lateStart = 2 * time.Second
 	b.submit("a", "print", bulk(12))
-	b.play(time.Second)
+	b.advance(time.Second)
 	b.cancel("a")
-	b.play(4 * time.Second)
+	b.advance(4 * time.Second)
 	require.Equal(t, flow.Cancelled, b.state("a"))
 	for _, w := range b.inOrder() {
 		require.Empty(t, w.runs)
@@ -269,12 +269,12 @@
 	lasts := scan(8)
 	lasts.Lasts = true
 	b.submit("watch", "scan", lasts)
-	b.play(time.Second)
+	b.advance(time.Second)
 	leaving := b.workers["w00"]
 	require.NotEmpty(t, leaving.runs)
 	leaving.info.Draining, leaving.info.Remaining = true, 4*time.Second
 	b.list()
-	b.play(time.Second)
+	b.advance(time.Second)
 	require.Empty(t, leaving.runs)
 	require.Len(t, b.workers["w01"].runs, 8)
 	require.Empty(t, b.violations)
@@ -286,13 +286,13 @@
 	filler := scan(1)
 	filler.Size.CPU, filler.Time = 60_000, 3*time.Second
 	b.submit("first", "scan", filler)
-	b.play(200 * time.Millisecond)
+	b.advance(200 * time.Millisecond)
 	gang := bulk(8)
 	gang.Gang, gang.Saves = true, false
 	b.submit("gang", "print", gang)
-	b.play(2 * time.Second)
+	b.advance(2 * time.Second)
 	require.Equal(t, 1, total(b.starts), "there is room for five members only")
-	b.play(9 * time.Second)
+	b.advance(9 * time.Second)
 	require.Equal(t, flow.Completed, b.state("gang"))
 	require.Empty(t, b.violations)
 }
@@ -301,9 +301,9 @@
 func TestALeadThatAWorkerKnowsToBeReplacedIsDeposed(t *testing.T) {
 	b := newBench(t, 1)
 	b.submit("a", "scan", scan(1))
-	b.play(500 * time.Millisecond)
+	b.advance(500 * time.Millisecond)
 	b.workers["w00"].fence = 9
-	b.play(2 * time.Second)
+	b.advance(2 * time.Second)
 	require.True(t, b.deposed)
 }
 
@@ -313,7 +313,7 @@
 func TestARunOfUnknownRoomTakesTheWholeWorker(t *testing.T) {
 	b := newBench(t, 1)
 	b.submit("a", "scan", scan(1))
-	b.play(3 * time.Second)
+	b.advance(3 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
 	w := b.workers["w00"]
 	large := scan(1)
@@ -322,7 +322,7 @@
 	w.deadline = b.now.Add(time.Minute)
 	b.takeover()
 	b.submit("b", "scan", scan(3))
-	b.play(12 * time.Second)
+	b.advance(12 * time.Second)
 	require.Equal(t, flow.Completed, b.state("b"))
 	require.Empty(t, b.violations)
 }
@@ -332,11 +332,11 @@
 // cancelled, so no task of it may start.
 func TestACancellationThatComesBeforeItsJobCounts(t *testing.T) {
 	b := newBench(t, 3)
-	b.play(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	b.cancel("a")
-	b.play(50 * time.Millisecond)
+	b.advance(50 * time.Millisecond)
 	b.submit("a", "scan", scan(2), scan(1))
-	b.play(3 * time.Second)
+	b.advance(3 * time.Second)
 	require.Equal(t, flow.Cancelled, b.state("a"))
 	require.Empty(t, b.starts)
 	require.Empty(t, b.violations)
@@ -350,7 +350,7 @@
 		gang.Gang, gang.Saves, gang.Time = true, false, time.Second
 		b.submit(id, "print", gang)
 	}
-	b.play(3 * time.Second)
+	b.advance(3 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.Equal(t, flow.Completed, b.state("b"))
 	require.Empty(t, b.violations)
--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -27,13 +27,13 @@
 // A worker that was listed smaller since gets no more than it has now.
 func TestAWorkerThatShrankGetsNoMoreThanItHolds(t *testing.T) {
 	b := newBench(t, 3)
-	b.play(time.Second)
+	b.advance(time.Second)
 	b.resizeAll(small)
-	b.play(3 * time.Second)
+	b.advance(3 * time.Second)
 	b.submit("a", "print", bulk(9))
-	b.play(time.Second)
+	b.advance(time.Second)
 	require.Equal(t, 3, total(b.starts))
-	b.play(25 * time.Second)
+	b.advance(25 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.Empty(t, b.violations)
 }
@@ -42,13 +42,13 @@
 func TestWhatRunsOnAWorkerThatShrankGoesOn(t *testing.T) {
 	b := newBench(t, 2)
 	b.submit("a", "print", bulk(10))
-	b.play(time.Second)
+	b.advance(time.Second)
 	require.Equal(t, 10, total(b.starts))
 	b.resizeAll(small)
 	b.submit("b", "scan", scan(4))
-	b.play(4 * time.Second)
+	b.advance(4 * time.Second)
 	require.Equal(t, 10, total(b.starts), "there is less than no room")
-	b.play(10 * time.Second)
+	b.advance(10 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.Equal(t, flow.Completed, b.state("b"))
 	require.Equal(t, 14, total(b.starts), "nothing was started again")
@@ -58,17 +58,17 @@
 // Guards against starts sent to a worker that shrank while their append was under way.
 func TestStartsThatAreNotSentFitTheNewSize(t *testing.T) {
 	b := newBench(t, 2)
-	b.play(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	b.storeTime = func() time.Duration { return 500 * time.Millisecond }
 	b.submit("a", "print", bulk(5))
-	b.play(200 * time.Millisecond)
+	b.advance(200 * time.Millisecond)
 	require.Zero(t, total(b.starts))
 	for _, w := range b.inOrder() {
 		w.resize(small)
 	}
-	b.play(2 * time.Second)
+	b.advance(2 * time.Second)
 	require.Equal(t, 2, total(b.starts))
-	b.play(20 * time.Second)
+	b.advance(20 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.Equal(t, 5, total(b.starts))
 	require.Empty(t, b.violations)
@@ -77,16 +77,16 @@
 // The same while the store is away for longer than a lease.
 func TestStartsThatWaitForAStoreThatIsAwayFitTheNewSize(t *testing.T) {
 	b := newBench(t, 3)
-	b.play(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	b.storeDown = true
 	b.submit("a", "print", bulk(9))
-	b.play(10 * time.Second)
+	b.advance(10 * time.Second)
 	b.resizeAll(small)
-	b.play(time.Second)
+	b.advance(time.Second)
 	b.storeDown = false
-	b.play(time.Second)
+	b.advance(time.Second)
 	require.Equal(t, 3, total(b.starts))
-	b.play(25 * time.Second)
+	b.advance(25 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.Empty(t, b.violations)
 }
@@ -94,14 +94,14 @@
 // Guards against a gang of which a part starts since one worker shrank.
 func TestAGangWhoseRoomShrankIsPlacedAgainWhole(t *testing.T) {
 	b := newBench(t, 3)
-	b.play(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	b.storeTime = func() time.Duration { return 300 * time.Millisecond }
 	gang := bulk(8)
 	gang.Gang, gang.Saves = true, false
 	b.submit("gang", "print", gang)
-	b.play(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	b.workers["w00"].resize(small)
-	b.play(12 * time.Second)
+	b.advance(12 * time.Second)
 	require.Equal(t, flow.Completed, b.state("gang"))
 	require.Equal(t, 8, total(b.starts))
 	require.Empty(t, b.violations)
@@ -110,13 +110,13 @@
 // A worker has its old size again. Work that waits uses it in the next pass.
 func TestRoomThatCameBackIsUsedAtOnce(t *testing.T) {
 	b := newBench(t, 1)
-	b.play(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	b.resizeAll(small)
 	b.submit("a", "print", bulk(5))
-	b.play(2 * time.Second)
+	b.advance(2 * time.Second)
 	require.Equal(t, 1, total(b.starts))
 	b.resizeAll(large)
-	b.play(50 * time.Millisecond)
+	b.advance(50 * time.Millisecond)
 	require.Equal(t, 5, total(b.starts))
 	require.Empty(t, b.violations)
 }
@@ -136,10 +136,10 @@
 		} else {
 			size = small
 		}
-		b.play(500 * time.Millisecond)
+		b.advance(500 * time.Millisecond)
 	}
 	b.resizeAll(large)
-	b.play(15 * time.Second)
+	b.advance(15 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.Equal(t, 12+30, total(b.starts))
 	require.Empty(t, b.violations)
@@ -149,14 +149,14 @@
 func TestALeadThatBeginsTakesTheSizesOfNow(t *testing.T) {
 	b := newBench(t, 2)
 	b.submit("a", "print", bulk(8))
-	b.play(time.Second)
+	b.advance(time.Second)
 	b.resizeAll(cell.Size{CPU: 40_000, Mem: 160 << 30})
 	b.submit("b", "scan", scan(8))
-	b.play(20 * time.Millisecond)
+	b.advance(20 * time.Millisecond)
 	b.takeover()
-	b.play(10 * time.Millisecond)
+	b.advance(10 * time.Millisecond)
 	b.resizeAll(small)
-	b.play(15 * time.Second)
+	b.advance(15 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.Equal(t, flow.Completed, b.state("b"))
 	require.Equal(t, 16, total(b.starts))
@@ -169,14 +169,14 @@
 	long := bulk(2)
 	long.Time = 20 * time.Second
 	b.submit("a", "print", long)
-	b.play(time.Second)
+	b.advance(time.Second)
 	b.resizeAll(cell.Size{})
 	b.submit("b", "scan", scan(2))
-	b.play(15 * time.Second)
+	b.advance(15 * time.Second)
 	require.Equal(t, 2, total(b.starts))
 	require.Len(t, b.workers["w00"].runs, 2)
 	b.resizeAll(large)
-	b.play(8 * time.Second)
+	b.advance(8 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.Equal(t, flow.Completed, b.state("b"))
 	require.Equal(t, 4, total(b.starts))
@@ -188,10 +188,10 @@
 	b := newBench(t, 1)
 	b.resizeAll(cell.Size{})
 	b.submit("a", "scan", flow.Step{Tasks: 1, Time: time.Second})
-	b.play(2 * time.Second)
+	b.advance(2 * time.Second)
 	require.Zero(t, total(b.starts))
 	b.resizeAll(large)
-	b.play(2 * time.Second)
+	b.advance(2 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
 }
 
@@ -199,7 +199,7 @@
 func TestARunOfUnknownRoomTakesWhatItsWorkerGrowsBy(t *testing.T) {
 	b := newBench(t, 1)
 	b.submit("a", "scan", scan(1))
-	b.play(3 * time.Second)
+	b.advance(3 * time.Second)
 	w := b.workers["w00"]
 	wide := scan(1)
 	wide.Size.CPU = 60_000
@@ -208,9 +208,9 @@
 	w.resize(small)
 	b.takeover()
 	b.submit("b", "scan", scan(3))
-	b.play(20 * time.Millisecond)
+	b.advance(20 * time.Millisecond)
 	w.resize(large)
-	b.play(12 * time.Second)
+	b.advance(12 * time.Second)
 	require.Equal(t, flow.Completed, b.state("b"))
 	require.Empty(t, b.violations)
 }
@@ -223,22 +223,22 @@
 		w.info.Labels = []string{"fast"}
 	}
 	b.list()
-	b.play(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	step := scan(12)
 	step.Label = "fast"
 	b.submit("a", "scan", step)
-	b.play(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	b.workers["w00"].info.Labels = nil
 	b.list()
-	b.play(3 * time.Second)
+	b.advance(3 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.Zero(t, b.workers["w00"].number)
 
 	b.submit("b", "scan", scan(12))
-	b.play(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	b.workers["w00"].info.Service = "other"
 	b.list()
-	b.play(4 * time.Second)
+	b.advance(4 * time.Second)
 	require.Equal(t, flow.Completed, b.state("b"))
 	require.Zero(t, b.workers["w00"].number)
 	require.Empty(t, b.violations)
@@ -250,16 +250,16 @@
 	b.queues[1].Stretch, b.queues[1].Slack = 10, time.Minute
 	b.step(sched.Queues{Version: 2, All: b.queues})
 	b.submit("bulk", "print", bulk(10))
-	b.play(time.Second)
+	b.advance(time.Second)
 	wide := scan(1)
 	wide.Size.CPU, wide.Time = 40_000, 3*time.Second
 	b.submit("wide", "scan", wide)
-	b.play(40 * time.Millisecond)
+	b.advance(40 * time.Millisecond)
 	b.workers["w00"].resize(cell.Size{CPU: 39_000, Mem: 256 << 30})
-	b.play(500 * time.Millisecond)
+	b.advance(500 * time.Millisecond)
 	require.Len(t, b.workers["w00"].runs, 3, "of bulk, which has what the wide task cannot take")
 	require.Equal(t, 1, b.starts[flow.Name{Job: "wide"}])
-	b.play(25 * time.Second)
+	b.advance(25 * time.Second)
 	require.Equal(t, flow.Completed, b.state("wide"))
 	require.Equal(t, flow.Completed, b.state("bulk"))
 	require.Empty(t, b.violations)
@@ -269,10 +269,10 @@
 func TestAChangeOfSizeIsTold(t *testing.T) {
 	b := newBench(t, 1)
 	w := b.workers["w00"]
-	b.play(500 * time.Millisecond)
+	b.advance(500 * time.Millisecond)
 	w.info.Version = 5
 	b.list()
-	b.play(time.Second)
+	b.advance(time.Second)
 	w.info.Version = 17
 	w.resize(small)
 	require.Equal(t, []sched.Note{{
