--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -206,8 +206,8 @@
 	}
 }
 
-// tell feeds an answer to the core of the term that asked.
-func (b *simCell) tell(term int64, ev sched.Event) {
+// deliver feeds an answer to the core of the term that asked.
+func (b *simCell) deliver(term int64, ev sched.Event) {
 	if term == b.term {
 		b.step(ev)
 	}
@@ -272,7 +272,7 @@
 	for _, c := range a.Changes {
 		b.stored[c.Key] = flow.Newer(b.stored[c.Key], c.Value)
 	}
-	b.after(3*time.Millisecond, func() { b.tell(term, sched.Appended{Number: a.Number}) })
+	b.after(3*time.Millisecond, func() { b.deliver(term, sched.Appended{Number: a.Number}) })
 }
 
 func (b *simCell) advise(term int64, a sched.QueryPolicy) {
@@ -282,7 +282,7 @@
 			good[w] = "ticket"
 		}
 	}
-	b.tell(term, sched.PolicyReply{Step: a.Step, Host: a.Host, Tickets: good})
+	b.deliver(term, sched.PolicyReply{Step: a.Step, Host: a.Host, Tickets: good})
 }
 
 // submit hands in a job of like steps, each after the one before.
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -99,12 +99,12 @@
 	if w.silent {
 		return
 	}
-	w.b.after(networkDelay, func() { w.b.tell(term, ev) })
+	w.b.after(networkDelay, func() { w.b.deliver(term, ev) })
 }
 
 // unanswered tells the sender after its own timeout that nothing came.
 func (w *fakeWorker) unanswered(term int64, ev sched.Event) {
-	w.b.after(500*time.Millisecond, func() { w.b.tell(term, ev) })
+	w.b.after(500*time.Millisecond, func() { w.b.deliver(term, ev) })
 }
 
 func (w *fakeWorker) start(term int64, a sched.Start, sent int) {
@@ -314,7 +314,7 @@
 		if w.loseEnds > 0 && len(w.ends) > 0 {
 			w.loseEnds--
 			ev.Outcome = sched.Unanswered
-			w.b.after(max(sent.Add(a.Wait+patience).Sub(w.b.now), networkDelay), func() { w.b.tell(term, ev) })
+			w.b.after(max(sent.Add(a.Wait+patience).Sub(w.b.now), networkDelay), func() { w.b.deliver(term, ev) })
 			return
 		}
 		w.list(term, ev)
