--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -202,7 +202,7 @@
 		b.core.RecordPassDuration(b.passTook)
 	}
 	for _, a := range acts {
-		b.carry(term, a)
+		b.execute(term, a)
 	}
 }
 
@@ -213,7 +213,7 @@
 	}
 }
 
-func (b *simCell) carry(term int64, a sched.Action) {
+func (b *simCell) execute(term int64, a sched.Action) {
 	switch a := a.(type) {
 	case sched.Append:
 		took := 3 * time.Millisecond
