--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -245,12 +245,12 @@
 	case sched.JobStarted:
 		b.jobStarts = append(b.jobStarts, a)
 	case sched.Note:
-		b.keep(a)
+		b.recordNote(a)
 	}
 }
 
-// keep keeps what the core told of some decisions.
-func (b *simCell) keep(a sched.Note) {
+// recordNote keeps what the core told of some decisions.
+func (b *simCell) recordNote(a sched.Note) {
 	switch a.What {
 	case "worker resized":
 		b.resizeNotes = append(b.resizeNotes, a)
