--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -341,7 +341,7 @@
 	b.step(sched.Cancel{ID: id})
 }
 
-func (b *simCell) wrong(format string, args ...any) {
+func (b *simCell) violation(format string, args ...any) {
 	b.violations = append(b.violations, fmt.Sprintf(format, args...))
 }
 
--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -110,7 +110,7 @@
 				since[id] = d.now
 			}
 			if d.now.Sub(since[id]) > idleFor {
-				d.wrong("%s has nothing running since %s, and could", id, since[id])
+				d.violation("%s has nothing running since %s, and could", id, since[id])
 				delete(since, id)
 			}
 		}
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -156,7 +156,7 @@
 		w.deadline = a.Deadline
 	}
 	if used, size := w.used(), w.sizeSince(sent); !used.Fits(size) {
-		w.b.wrong("%s is over its size: %+v of %+v", w.info.Incarnation, used, size)
+		w.b.violation("%s is over its size: %+v of %+v", w.info.Incarnation, used, size)
 	}
 	w.lapseLater()
 	if w.b.crashesWorker != nil && w.b.crashesWorker(a.Task) {
@@ -174,14 +174,14 @@
 		return
 	}
 	if at, ok := b.cancelledAt[a.Task.Job]; ok && b.now.Sub(at) > 2*networkDelay+w.lateStart {
-		b.wrong("%s starts %s after its job was cancelled", a.Task, b.now.Sub(at))
+		b.violation("%s starts %s after its job was cancelled", a.Task, b.now.Sub(at))
 	}
 	if b.done[a.Task] {
-		b.wrong("%s starts after it was noted as done", a.Task)
+		b.violation("%s starts after it was noted as done", a.Task)
 	}
 	for _, o := range b.workers {
 		if r, ok := o.runs[a.Task]; ok && !o.dead && o != w {
-			b.wrong("%s run %d on %s while run %d is on %s", a.Task, a.Run, w.info.Incarnation, r.run, o.info.Incarnation)
+			b.violation("%s run %d on %s while run %d is on %s", a.Task, a.Run, w.info.Incarnation, r.run, o.info.Incarnation)
 		}
 	}
 }
