--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -351,8 +351,8 @@
 	return s
 }
 
-// inOrder lists the workers by name.
-func (b *simCell) inOrder() []*fakeWorker {
+// sortedWorkers lists the workers by name.
+func (b *simCell) sortedWorkers() []*fakeWorker {
 	var all []*fakeWorker
 	for _, n := range slices.Sorted(maps.Keys(b.workers)) {
 		all = append(all, b.workers[n])
--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -121,7 +121,7 @@
 	step := d.specs[id].Steps[0]
 	var used, whole cell.Size
 	room := false
-	for _, w := range d.inOrder() {
+	for _, w := range d.sortedWorkers() {
 		if w.dead || w.info.Draining {
 			continue
 		}
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -221,7 +221,7 @@
 	b := newBench(t, 8)
 	b.badJobs("bad")
 	b.advance(100 * time.Millisecond)
-	for _, w := range b.inOrder() {
+	for _, w := range b.sortedWorkers() {
 		w.lateStart = time.Millisecond
 	}
 	b.submit("bad", "scan", scan(1))
@@ -237,7 +237,7 @@
 	b.submit("watch", "scan", st)
 	for range 6 {
 		b.advance(20 * time.Second)
-		for _, w := range b.inOrder() {
+		for _, w := range b.sortedWorkers() {
 			if !w.dead && len(w.runs) > 0 {
 				w.die()
 			}
@@ -258,7 +258,7 @@
 			b.submit("long", "scan", st)
 			for i := range 8 {
 				b.advance(2 * time.Second)
-				for _, w := range b.inOrder() {
+				for _, w := range b.sortedWorkers() {
 					if len(w.runs) == 0 || w.silent || w.dead || w.info.Draining {
 						continue
 					}
@@ -297,12 +297,12 @@
 	for i := range 5 {
 		b.advance(4 * time.Second)
 		rack := fmt.Sprintf("r%d", i%3)
-		for _, w := range b.inOrder() {
+		for _, w := range b.sortedWorkers() {
 			if len(w.runs) > 0 && !w.dead {
 				rack = w.info.Rack
 			}
 		}
-		for _, w := range b.inOrder() {
+		for _, w := range b.sortedWorkers() {
 			if w.info.Rack == rack && !w.dead {
 				w.die()
 			}
@@ -332,7 +332,7 @@
 func TestAStartThatFindsAnotherLifeCountsAgainstNoTask(t *testing.T) {
 	b := newBench(t, 6)
 	b.advance(100 * time.Millisecond)
-	for _, w := range b.inOrder()[:5] {
+	for _, w := range b.sortedWorkers()[:5] {
 		w.dead, w.reborn = true, true
 	}
 	b.submit("job", "scan", scan(1))
--- a/internal/sched/history_test.go
+++ b/internal/sched/history_test.go
@@ -132,14 +132,14 @@
 	if r.IntN(12) > 0 {
 		return
 	}
-	if w := b.inOrder()[r.IntN(len(b.workers))]; !w.dead {
+	if w := b.sortedWorkers()[r.IntN(len(b.workers))]; !w.dead {
 		w.die()
 	}
 }
 
 // disturb does something to one worker; spare numbers workers that come anew.
 func (b *simCell) disturb(r *rand.Rand, spare int) int {
-	all := b.inOrder()
+	all := b.sortedWorkers()
 	w := all[r.IntN(len(all))]
 	switch r.IntN(7) {
 	case 0:
@@ -171,7 +171,7 @@
 	if sizes == nil {
 		return
 	}
-	all := b.inOrder()
+	all := b.sortedWorkers()
 	for range sizes.IntN(3) {
 		w := all[sizes.IntN(len(all))]
 		size := w.full()
@@ -193,7 +193,7 @@
 // calm ends all faults that can end.
 func (b *simCell) calm() {
 	b.storeDown, b.storeTime = false, nil
-	for _, w := range b.inOrder() {
+	for _, w := range b.sortedWorkers() {
 		w.become(w.full())
 		w.silent, w.fails, w.still, w.slow, w.lateStart = false, false, false, 1, 0
 		for n, run := range w.runs {
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -61,7 +61,7 @@
 	b.submit("a", "scan", scan(6), scan(6))
 	b.advance(200 * time.Millisecond)
 	domains := map[string]bool{}
-	for _, w := range b.inOrder() {
+	for _, w := range b.sortedWorkers() {
 		if len(w.runs) > 0 {
 			domains[w.info.Domain] = true
 		}
@@ -122,7 +122,7 @@
 		}
 	}
 	require.Equal(t, 8, started)
-	for _, w := range b.inOrder() {
+	for _, w := range b.sortedWorkers() {
 		if len(w.runs) > 0 {
 			w.silent = true
 			break
@@ -144,7 +144,7 @@
 	step.Copies, step.Time = true, work
 	b.submit("a", "scan", step)
 	b.advance(300 * time.Millisecond)
-	cut := slices.MaxFunc(b.inOrder(), func(x, y *fakeWorker) int { return len(x.runs) - len(y.runs) })
+	cut := slices.MaxFunc(b.sortedWorkers(), func(x, y *fakeWorker) int { return len(x.runs) - len(y.runs) })
 	require.NotEmpty(t, cut.runs)
 	cut.silent = true
 	b.advance(silent)
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -63,12 +63,12 @@
 func TestAStartWithoutAnAnswerIsStoppedBeforeTheTaskStartsElsewhere(t *testing.T) {
 	b := newBench(t, 3)
 	b.advance(100 * time.Millisecond)
-	for _, w := range b.inOrder() {
+	for _, w := range b.sortedWorkers() {
 		w.lateStart = 2 * time.Second
 	}
 	b.submit("a", "scan", scan(4))
 	b.advance(300 * time.Millisecond)
-	for _, w := range b.inOrder() {
+	for _, w := range b.sortedWorkers() {
 		w.lateStart = 0
 	}
 	b.advance(5 * time.Second)
@@ -227,7 +227,7 @@
 // allows, and not one more.
 func TestAJobThatCanNeverBeDoneFailsAfterItsTries(t *testing.T) {
 	b := newBench(t, 6)
-	for _, w := range b.inOrder() {
+	for _, w := range b.sortedWorkers() {
 		w.fails = true
 	}
 	b.submit("bad", "scan", scan(1))
@@ -258,7 +258,7 @@
 	b.cancel("a")
 	b.advance(4 * time.Second)
 	require.Equal(t, flow.Cancelled, b.state("a"))
-	for _, w := range b.inOrder() {
+	for _, w := range b.sortedWorkers() {
 		require.Empty(t, w.runs)
 	}
 }
--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -19,7 +19,7 @@
 
 // resizeAll lists all workers with another size at once.
 func (b *simCell) resizeAll(size cell.Size) {
-	for _, w := range b.inOrder() {
+	for _, w := range b.sortedWorkers() {
 		w.resize(size)
 	}
 }
@@ -63,7 +63,7 @@
 	b.submit("a", "print", bulk(5))
 	b.advance(200 * time.Millisecond)
 	require.Zero(t, total(b.starts))
-	for _, w := range b.inOrder() {
+	for _, w := range b.sortedWorkers() {
 		w.resize(small)
 	}
 	b.advance(2 * time.Second)
@@ -219,7 +219,7 @@
 func TestAWorkerIsWhatItSaysNow(t *testing.T) {
 	b := newBench(t, 2)
 	b.storeTime = func() time.Duration { return 300 * time.Millisecond }
-	for _, w := range b.inOrder() {
+	for _, w := range b.sortedWorkers() {
 		w.info.Labels = []string{"fast"}
 	}
 	b.list()
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -209,7 +209,7 @@
 		r *fakeRun
 	}
 	var all []member
-	for _, w := range b.inOrder() {
+	for _, w := range b.sortedWorkers() {
 		for m, o := range w.runs {
 			if m.StepName() != n.StepName() || o.run != r.run || w.dead {
 				continue
