--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -94,7 +94,7 @@
 		queues: []flow.Queue{{Name: "scan", Service: "pass", Rank: 0, Attempts: 3}, {Name: "print", Service: "pass", Rank: 2, Attempts: 4}},
 	}
 	limits := sched.DefaultLimits
-	limits.Disabled = off()
+	limits.Disabled = disabledMechanisms()
 	b.core = sched.New(limits, b.term, nil)
 	for i := range workers {
 		b.addWorker(fmt.Sprintf("w%02d", i), i)
@@ -114,9 +114,9 @@
 	return w
 }
 
-// off reads from POLLENCROFT_OFF which mechanisms the tests do without: each of them has
+// disabledMechanisms reads from POLLENCROFT_OFF which mechanisms the tests do without: each of them has
 // a test that fails then.
-func off() []sched.Mechanism {
+func disabledMechanisms() []sched.Mechanism {
 	var all []sched.Mechanism
 	for name := range strings.FieldsSeq(os.Getenv("POLLENCROFT_OFF")) {
 		all = append(all, sched.Mechanism(name))
