--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -86,7 +86,7 @@
 	run func()
 }
 
-func newBench(t *testing.T, workers int) *simCell {
+func newSimCell(t *testing.T, workers int) *simCell {
 	b := &simCell{
 		t: t, now: time.Unix(1_000_000, 0), term: 1, workers: map[string]*fakeWorker{}, stored: map[string][]byte{},
 		specs: map[string]flow.Spec{}, done: map[flow.Name]bool{}, cancelledAt: map[string]time.Time{}, starts: map[flow.Name]int{},
--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -28,7 +28,7 @@
 }
 
 func drawCell(t *testing.T, r *rand.Rand) *drawn {
-	d := &drawn{simCell: newBench(t, 0), sure: map[string]bool{}, over: map[string]bool{}}
+	d := &drawn{simCell: newSimCell(t, 0), sure: map[string]bool{}, over: map[string]bool{}}
 	d.size = cell.Size{CPU: int64(1+r.IntN(4)) * 32_000, Mem: 512 << 30, Accel: int64(r.IntN(3)) * 4}
 	for i := range 4 + r.IntN(8) {
 		w := d.addWorker(fmt.Sprintf("w%02d", i), i)
--- a/internal/sched/crash_cells_test.go
+++ b/internal/sched/crash_cells_test.go
@@ -16,7 +16,7 @@
 	for seed := range uint64(25) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			r := rand.New(rand.NewPCG(seed, 7))
-			b := newBench(t, 6+r.IntN(8))
+			b := newSimCell(t, 6+r.IntN(8))
 			b.copies = r.IntN(2) == 0
 			b.badJobs("bad0", "bad1")
 			b.restartExtra = time.Duration(r.IntN(3000)) * time.Millisecond
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -114,7 +114,7 @@
 	}
 	for _, k := range kinds {
 		t.Run(k.name, func(t *testing.T) {
-			b := newBench(t, 8)
+			b := newSimCell(t, 8)
 			b.copies = k.step().Copies
 			b.badJobs("bad")
 			b.advance(100 * time.Millisecond)
@@ -131,7 +131,7 @@
 
 // One round after the other of a timed job crashes its workers.
 func TestATimedJobThatCrashesItsWorkersIsGivenUp(t *testing.T) {
-	b := newBench(t, 8)
+	b := newSimCell(t, 8)
 	b.badJobs("bad")
 	b.submitTimed("bad", flow.Repeat{Count: 30, First: b.now.Add(time.Second), Every: 3 * time.Second}, scan(1))
 	b.advance(100 * time.Second)
@@ -144,7 +144,7 @@
 	for _, copies := range []bool{false, true} {
 		for _, after := range []time.Duration{30 * time.Millisecond, 200 * time.Millisecond, time.Second, 2 * time.Second} {
 			t.Run(fmt.Sprintf("copies_%t_%s", copies, after), func(t *testing.T) {
-				b := newBench(t, 8)
+				b := newSimCell(t, 8)
 				b.copies = copies
 				b.badJobs("bad")
 				st := scan(1)
@@ -172,7 +172,7 @@
 func TestGoodJobsEndBesideTasksThatCrashWorkers(t *testing.T) {
 	for _, copies := range []bool{false, true} {
 		t.Run(fmt.Sprintf("copies_%t", copies), func(t *testing.T) {
-			b := newBench(t, 8)
+			b := newSimCell(t, 8)
 			b.copies = copies
 			b.badJobs("bad0", "bad1")
 			b.advance(100 * time.Millisecond)
@@ -200,7 +200,7 @@
 
 // Guards against starts of a crashing task that the next lead does not know of.
 func TestNoStartIsMadeBeforeACrashIsStored(t *testing.T) {
-	b := newBench(t, 8)
+	b := newSimCell(t, 8)
 	b.copies = true
 	b.badJobs("bad")
 	b.advance(100 * time.Millisecond)
@@ -218,7 +218,7 @@
 
 // The answer to a start is lost because the task ended the life of its worker at once.
 func TestAStartWithoutAnAnswerCountsWhenItsWorkerCrashed(t *testing.T) {
-	b := newBench(t, 8)
+	b := newSimCell(t, 8)
 	b.badJobs("bad")
 	b.advance(100 * time.Millisecond)
 	for _, w := range b.sortedWorkers() {
@@ -231,7 +231,7 @@
 
 // A lasting task runs for long between two crashes of its workers that it did not cause.
 func TestALastingTaskThatWorksIsNotGivenUp(t *testing.T) {
-	b := newBench(t, 4)
+	b := newSimCell(t, 4)
 	st := scan(1)
 	st.Lasts = true
 	b.submit("watch", "scan", st)
@@ -251,7 +251,7 @@
 func TestWorkersThatLiveOnCountAgainstNoTask(t *testing.T) {
 	for _, copies := range []bool{false, true} {
 		t.Run(fmt.Sprintf("copies_%t", copies), func(t *testing.T) {
-			b := newBench(t, 12)
+			b := newSimCell(t, 12)
 			b.copies = copies
 			st := scan(1)
 			st.Copies, st.Time = copies, 200*time.Second
@@ -290,7 +290,7 @@
 
 // Guards against a job given up because racks lose power under it.
 func TestARackThatLosesItsPowerCountsAgainstNoTask(t *testing.T) {
-	b := newBench(t, 12)
+	b := newSimCell(t, 12)
 	st := bulk(4)
 	st.Time = 12 * time.Second
 	b.submit("job", "print", st)
@@ -316,7 +316,7 @@
 
 // Guards against copies that wait for a verdict on a life that nobody asks any more.
 func TestALifeThatIsListedNoLongerIsAskedWhetherItEnded(t *testing.T) {
-	b := newBench(t, 8)
+	b := newSimCell(t, 8)
 	b.copies, b.restartExtra = true, 3*time.Second
 	b.badJobs("bad")
 	st := scan(1)
@@ -330,7 +330,7 @@
 
 // Guards against a job given up for starts that found a life which had ended before.
 func TestAStartThatFindsAnotherLifeCountsAgainstNoTask(t *testing.T) {
-	b := newBench(t, 6)
+	b := newSimCell(t, 6)
 	b.advance(100 * time.Millisecond)
 	for _, w := range b.sortedWorkers()[:5] {
 		w.dead, w.reborn = true, true
--- a/internal/sched/gpu_test.go
+++ b/internal/sched/gpu_test.go
@@ -18,7 +18,7 @@
 // and size, of single GPUs, which is less urgent. Costs of questions and shares of allowed
 // workers are those of an inspection firm's sheet.
 func gpuBench(t *testing.T, workers int) *simCell {
-	b := newBench(t, 0)
+	b := newSimCell(t, 0)
 	for i := range workers {
 		w := b.addWorker(fmt.Sprintf("w%02d", i), i)
 		w.info.Size = cell.Size{CPU: 128_000, Mem: 512 << 30, Accel: 8}
--- a/internal/sched/grown_test.go
+++ b/internal/sched/grown_test.go
@@ -67,7 +67,7 @@
 
 // newFirm is the cell of such a firm.
 func newFirm(t *testing.T, kinds []kind) *simCell {
-	b := newBench(t, 0)
+	b := newSimCell(t, 0)
 	for i := range 350 {
 		w := b.addWorker(fmt.Sprintf("w%03d", i), i)
 		w.info.Service, w.info.Size = "desk", cell.Size{CPU: 64_000, Mem: 256 << 30}
--- a/internal/sched/history_test.go
+++ b/internal/sched/history_test.go
@@ -58,7 +58,7 @@
 // of size, nil none.
 func playHistory(t *testing.T, seed uint64, crashes, sizes *rand.Rand) {
 	r := rand.New(rand.NewPCG(seed, 0))
-	b := newBench(t, 3+r.IntN(7))
+	b := newSimCell(t, 3+r.IntN(7))
 	b.drawBad(crashes, seed)
 	jobs := map[string]bool{}
 	spare := 50
--- a/internal/sched/late_test.go
+++ b/internal/sched/late_test.go
@@ -17,7 +17,7 @@
 // goes on at the end counts as long as it has.
 func crowd(t *testing.T, atOnce int, share float64, d time.Duration) (first, later []time.Duration) {
 	const workers, perWorker = 4, 12
-	b := newBench(t, workers)
+	b := newSimCell(t, workers)
 	b.queues[0].Stretch, b.queues[0].Slack = 1.5, 500*time.Millisecond
 	b.step(sched.Queues{Version: 2, All: b.queues})
 	began, took := map[string]time.Time{}, map[string]time.Duration{}
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -18,7 +18,7 @@
 // 12 scans a second of 6 tasks on 5 cores for a second beside bulk at more than
 // the rest of the cell; the grounds are the pass office's sheet.
 func TestUrgentWorkStartsAtOnceBesideAFloodOfBulk(t *testing.T) {
-	b := newBench(t, 24)
+	b := newSimCell(t, 24)
 	for i := range 40 {
 		b.submit(fmt.Sprintf("bulk%02d", i), "print", bulk(8))
 	}
@@ -41,7 +41,7 @@
 // A queue with advice: no start without a ticket, and at most one question at a
 // time for a step.
 func TestAdviceIsAskedBeforeAStart(t *testing.T) {
-	b := newBench(t, 12)
+	b := newSimCell(t, 12)
 	b.queues[0].Advice = &flow.Advice{Base: 24 * time.Millisecond, Each: 340 * time.Microsecond, Valid: 2500 * time.Millisecond}
 	b.step(sched.Queues{Version: 2, All: b.queues})
 	b.allows = func(_, worker string) bool { return worker >= "w06" }
@@ -57,7 +57,7 @@
 // A job of many short tasks in three failure domains stays in one: when another
 // is cut off, the job goes on.
 func TestAJobStaysInOneFailureDomain(t *testing.T) {
-	b := newBench(t, 9)
+	b := newSimCell(t, 9)
 	b.submit("a", "scan", scan(6), scan(6))
 	b.advance(200 * time.Millisecond)
 	domains := map[string]bool{}
@@ -72,7 +72,7 @@
 // Filling tasks take room only of memory; when a task that serves beside them
 // nears its bound they are held back, and let go again once it is calm.
 func TestFillingTasksAreHeldBackBesideATaskThatServes(t *testing.T) {
-	b := newBench(t, 1)
+	b := newSimCell(t, 1)
 	serve := flow.Step{Tasks: 1, Size: cell.Size{CPU: 20_000, Mem: 8 << 30}, Lasts: true, Target: 100 * time.Millisecond}
 	fill := flow.Step{Tasks: 2, Size: cell.Size{CPU: 10_000, Mem: 8 << 30}, Time: time.Minute, Fills: true}
 	b.submit("serve", "scan", serve)
@@ -103,7 +103,7 @@
 // The store is away and a worker falls silent. Tasks of which copies may run go
 // on starting; the first copy that is done counts and the job ends as done once.
 func TestCopiesNeitherWaitForTheStoreNorForASilentWorker(t *testing.T) {
-	b := newBench(t, 4)
+	b := newSimCell(t, 4)
 	b.copies = true
 	b.advance(100 * time.Millisecond)
 	step := scan(8)
@@ -137,7 +137,7 @@
 // cellWithCopies is a cell in which the worker with the most tasks of a job, of which copies may
 // run beside each other, has been silent for a while.
 func cellWithCopies(t *testing.T, workers, tasks int, work, silent time.Duration) (*simCell, *fakeWorker) {
-	b := newBench(t, workers)
+	b := newSimCell(t, workers)
 	b.copies = true
 	b.advance(100 * time.Millisecond)
 	step := scan(tasks)
@@ -172,7 +172,7 @@
 // does not find out of its backlog, and is fenced off for late answers.
 func TestPassesLeaveTheLeadTimeForTheRest(t *testing.T) {
 	for _, took := range []time.Duration{time.Millisecond, 10 * time.Millisecond, 40 * time.Millisecond} {
-		b := newBench(t, 2)
+		b := newSimCell(t, 2)
 		b.submit("first", "scan", scan(1))
 		b.passTook = took
 		b.advance(time.Second)
@@ -192,7 +192,7 @@
 // A lead is suspended for seconds in the middle of a pass. What waits when it goes on is placed as
 // soon as ever, not as if each pass took as long.
 func TestALeadThatWasSuspendedInAPassGoesOnAtItsPace(t *testing.T) {
-	b := newBench(t, 2)
+	b := newSimCell(t, 2)
 	b.submit("first", "scan", scan(1))
 	b.core.RecordPassDuration(5 * time.Second)
 	b.passes = 0
@@ -224,7 +224,7 @@
 // A lead ends with copies started that it could not store. Its successor finds
 // them at their workers and goes on with them.
 func TestCopiesThatWereNotStoredAreFoundByTheNextLead(t *testing.T) {
-	b := newBench(t, 4)
+	b := newSimCell(t, 4)
 	b.copies = true
 	b.advance(100 * time.Millisecond)
 	b.storeDown = true
@@ -243,7 +243,7 @@
 // The same events give the same decisions, to the order of each action.
 func TestTheCoreDecidesTheSameTwice(t *testing.T) {
 	play := func() string {
-		b := newBench(t, 9)
+		b := newSimCell(t, 9)
 		b.workers["w03"].fails = true
 		for i := range 20 {
 			b.submit(fmt.Sprintf("s%02d", i), "scan", scan(6), scan(3))
@@ -260,7 +260,7 @@
 // A worker works seven times slower while it answers every question. What it
 // runs of several jobs goes on elsewhere, and new work stays away from it.
 func TestRunsOnAWorkerThatCrawlsGoOnElsewhere(t *testing.T) {
-	b := newBench(t, 3)
+	b := newSimCell(t, 3)
 	b.workers["w01"].slow = 7
 	for i := range 6 {
 		b.submit(fmt.Sprintf("s%d", i), "scan", scan(4))
@@ -275,7 +275,7 @@
 // One task has five times the work that its estimate says. Begun again elsewhere
 // it would take as long once more.
 func TestALongTaskOnASoundWorkerIsLeftAlone(t *testing.T) {
-	b := newBench(t, 1)
+	b := newSimCell(t, 1)
 	for i := range 3 {
 		b.submit(fmt.Sprintf("s%d", i), "scan", scan(3))
 		b.advance(400 * time.Millisecond)
@@ -294,7 +294,7 @@
 // seconds. A pass over them must not look at every worker for every step; with
 // 700,000 looks a pass it would.
 func BenchmarkPassOverABacklog(b *testing.B) {
-	c := newBench(&testing.T{}, 350)
+	c := newSimCell(&testing.T{}, 350)
 	c.queues[1].Advice = &flow.Advice{Base: 370 * time.Millisecond, Each: 5 * time.Millisecond, Valid: 2500 * time.Millisecond}
 	c.step(sched.Queues{Version: 2, All: c.queues})
 	c.allows = func(string, string) bool { return false }
@@ -313,7 +313,7 @@
 // tasks in a job most callers would wait for that. So the worker is asked again at
 // once. The pattern is that of the users' days on which answers get lost.
 func TestALostAnswerIsAskedForAtOnce(t *testing.T) {
-	b := newBench(t, 1)
+	b := newSimCell(t, 1)
 	b.workers["w00"].loseEnds = 1
 	b.submit("a", "scan", scan(1))
 	began := b.now
@@ -333,7 +333,7 @@
 // 3.0, and more of them be late.
 func TestASlowStoreIsWaitedForOnceAStep(t *testing.T) {
 	const slow = 212 * time.Millisecond
-	b := newBench(t, 12)
+	b := newSimCell(t, 12)
 	b.storeTime = func() time.Duration { return slow }
 	began, took := map[string]time.Time{}, map[string]time.Duration{}
 	for i := range 300 {
@@ -363,7 +363,7 @@
 // fails gets none for a second. So questions wait at the lead, and go out at once
 // when other hosts are heard of.
 func TestQuestionsWaitForAHostThatIsFree(t *testing.T) {
-	b := newBench(t, 24)
+	b := newSimCell(t, 24)
 	b.queues[0].Advice = &flow.Advice{Base: 30 * time.Millisecond, Each: 300 * time.Microsecond, Valid: 2500 * time.Millisecond}
 	b.step(sched.Queues{Version: 2, All: b.queues})
 	b.step(sched.Hosts{Names: []string{"h1"}})
@@ -391,7 +391,7 @@
 // is empty, and full again within two seconds. All who waited for the store come in that
 // moment. The workers answer all the while, and work starts on them at once.
 func TestWorkersThatAnswerAreUsedWhileTheirEntriesAreAway(t *testing.T) {
-	b := newBench(t, 6)
+	b := newSimCell(t, 6)
 	b.advance(time.Second)
 	b.step(sched.Workers{})
 	b.submit("a", "scan", scan(6))
@@ -414,7 +414,7 @@
 // caller allows, and the lead goes without having stored any of that. Its successor finds
 // the ends at the workers and counts them; it would try three times more.
 func TestFailedCopiesThatWereNotStoredAreCounted(t *testing.T) {
-	b := newBench(t, 4)
+	b := newSimCell(t, 4)
 	b.copies = true
 	for _, w := range b.workers {
 		w.fails = true
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestJobOfStepsRunsInOrder(t *testing.T) {
-	b := newBench(t, 6)
+	b := newSimCell(t, 6)
 	b.submit("a", "scan", scan(6), scan(3))
 	require.Equal(t, map[string]int{"scan": 1}, b.core.Pending())
 	b.advance(1500 * time.Millisecond)
@@ -27,7 +27,7 @@
 // The same job arrives again at another host after its 2xx. A caller would see
 // a pass spent twice if it became a second job.
 func TestAJobThatArrivesTwiceIsOneJob(t *testing.T) {
-	b := newBench(t, 3)
+	b := newSimCell(t, 3)
 	b.submit("a", "scan", scan(2))
 	b.advance(3 * time.Second)
 	b.submit("a", "scan", scan(2))
@@ -41,7 +41,7 @@
 // The store does not answer for a while. Nothing may start that no successor
 // would know of, and no job may be shown as completed before that is stored.
 func TestNothingStartsBeforeItsRunIsStored(t *testing.T) {
-	b := newBench(t, 3)
+	b := newSimCell(t, 3)
 	b.advance(100 * time.Millisecond)
 	b.storeDown = true
 	b.submit("a", "scan", scan(2))
@@ -61,7 +61,7 @@
 // A worker leaves a start without an answer and carries it out two seconds
 // later. Started elsewhere meanwhile, the task would run twice.
 func TestAStartWithoutAnAnswerIsStoppedBeforeTheTaskStartsElsewhere(t *testing.T) {
-	b := newBench(t, 3)
+	b := newSimCell(t, 3)
 	b.advance(100 * time.Millisecond)
 	for _, w := range b.sortedWorkers() {
 		w.lateStart = 2 * time.Second
@@ -80,7 +80,7 @@
 // lease on it can last any more, and not before; a job that waited for ever
 // would be one that its caller was told is accepted.
 func TestTasksOfAWorkerThatIsGoneStartElsewhereAfterTheLease(t *testing.T) {
-	b := newBench(t, 2)
+	b := newSimCell(t, 2)
 	b.submit("a", "print", bulk(8))
 	b.advance(time.Second)
 	gone := b.workers["w00"]
@@ -109,7 +109,7 @@
 // A worker is cut off for 5.5 s and runs on. Its tasks live through it and are
 // not started anywhere else.
 func TestTasksOfAWorkerThatIsCutOffLiveThroughIt(t *testing.T) {
-	b := newBench(t, 2)
+	b := newSimCell(t, 2)
 	b.submit("a", "print", bulk(8))
 	b.advance(time.Second)
 	b.workers["w00"].silent = true
@@ -124,7 +124,7 @@
 // All power goes while tasks run. The next lead finds each run that the records
 // name at its worker, goes on with it, and starts nothing twice.
 func TestTheNextLeadGoesOnWithWhatRuns(t *testing.T) {
-	b := newBench(t, 3)
+	b := newSimCell(t, 3)
 	b.submit("a", "print", bulk(8))
 	b.submit("b", "scan", scan(5), scan(5))
 	b.advance(600 * time.Millisecond)
@@ -140,7 +140,7 @@
 // the next lead and does not have it, so it starts, once.
 func TestARunThatWasStoredAndNeverSentStartsUnderTheNextLead(t *testing.T) {
 	for cut := range 40 {
-		b := newBench(t, 3)
+		b := newSimCell(t, 3)
 		b.advance(100 * time.Millisecond)
 		b.submit("a", "scan", scan(6))
 		b.advance(time.Duration(cut) * time.Millisecond)
@@ -155,7 +155,7 @@
 // may go on holding it for a while: nothing of it starts before that and one
 // lease are over.
 func TestInheritedRunsOfASilentWorkerWaitForTheFormerLeadAndALease(t *testing.T) {
-	b := newBench(t, 2)
+	b := newSimCell(t, 2)
 	b.submit("a", "print", bulk(8))
 	b.advance(time.Second)
 	w := b.workers["w00"]
@@ -172,7 +172,7 @@
 
 // The same, but the former lead is known to be over: one lease is enough.
 func TestInheritedRunsWaitOneLeaseOnceTheFormerLeadIsOver(t *testing.T) {
-	b := newBench(t, 2)
+	b := newSimCell(t, 2)
 	b.submit("a", "print", bulk(8))
 	b.advance(time.Second)
 	w := b.workers["w00"]
@@ -190,7 +190,7 @@
 // A lead leaves while a worker is silent. Leads that leave one after the other
 // would each wait for a whole lease again, and the task would never start.
 func TestWhatALeadKnowsOfSilentWorkersGoesToItsSuccessor(t *testing.T) {
-	b := newBench(t, 2)
+	b := newSimCell(t, 2)
 	b.submit("a", "print", bulk(8))
 	b.advance(time.Second)
 	held := len(b.workers["w00"].runs)
@@ -210,7 +210,7 @@
 // A worker fails all that it starts, at once. It always has room; without a
 // judgement it would use up the tries of every job.
 func TestAWorkerThatFailsEverythingDoesNotFailJobs(t *testing.T) {
-	b := newBench(t, 6)
+	b := newSimCell(t, 6)
 	b.workers["w00"].fails = true
 	for i := range 12 {
 		b.submit(fmt.Sprintf("job%d", i), "scan", scan(6))
@@ -226,7 +226,7 @@
 // A job that fails everywhere ends as failed after as many tries as its queue
 // allows, and not one more.
 func TestAJobThatCanNeverBeDoneFailsAfterItsTries(t *testing.T) {
-	b := newBench(t, 6)
+	b := newSimCell(t, 6)
 	for _, w := range b.sortedWorkers() {
 		w.fails = true
 	}
@@ -239,7 +239,7 @@
 // All that one worker runs stands still while it answers every question. Its
 // tasks go on elsewhere within two seconds instead of when it recovers.
 func TestRunsThatStandStillGoOnElsewhere(t *testing.T) {
-	b := newBench(t, 3)
+	b := newSimCell(t, 3)
 	b.workers["w00"].still = true
 	b.submit("a", "scan", scan(20))
 	b.advance(5 * time.Second)
@@ -250,7 +250,7 @@
 // A cancelled job's runs are stopped at once, those that had no answer too, and
 // the worker never begins them any more.
 func TestACancelledJobRunsNowhere(t *testing.T) {
-	b := newBench(t, 3)
+	b := newSimCell(t, 3)
 	b.advance(100 * time.Millisecond)
 	b.workers["w01"].lateStart = 2 * time.Second
 	b.submit("a", "print", bulk(12))
@@ -265,7 +265,7 @@
 
 // A worker that leaves gets no start, and a lasting task is moved.
 func TestAWorkerThatLeavesIsEmptied(t *testing.T) {
-	b := newBench(t, 2)
+	b := newSimCell(t, 2)
 	lasts := scan(8)
 	lasts.Lasts = true
 	b.submit("watch", "scan", lasts)
@@ -282,7 +282,7 @@
 
 // All members of a gang start together or none does, under one run's number.
 func TestAGangStartsWholeOrNotAtAll(t *testing.T) {
-	b := newBench(t, 2)
+	b := newSimCell(t, 2)
 	filler := scan(1)
 	filler.Size.CPU, filler.Time = 60_000, 3*time.Second
 	b.submit("first", "scan", filler)
@@ -299,7 +299,7 @@
 
 // A lead that a worker knows to be replaced is over.
 func TestALeadThatAWorkerKnowsToBeReplacedIsDeposed(t *testing.T) {
-	b := newBench(t, 1)
+	b := newSimCell(t, 1)
 	b.submit("a", "scan", scan(1))
 	b.advance(500 * time.Millisecond)
 	b.workers["w00"].fence = 9
@@ -311,7 +311,7 @@
 // still lists a run of it. Nobody knows what room that run takes. Whatever else was
 // started beside it could overfill the worker, so nothing is until it is gone.
 func TestARunOfUnknownRoomTakesTheWholeWorker(t *testing.T) {
-	b := newBench(t, 1)
+	b := newSimCell(t, 1)
 	b.submit("a", "scan", scan(1))
 	b.advance(3 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
@@ -331,7 +331,7 @@
 // next lead hears of the cancellation first. Its caller was told that the job is
 // cancelled, so no task of it may start.
 func TestACancellationThatComesBeforeItsJobCounts(t *testing.T) {
-	b := newBench(t, 3)
+	b := newSimCell(t, 3)
 	b.advance(100 * time.Millisecond)
 	b.cancel("a")
 	b.advance(50 * time.Millisecond)
@@ -344,7 +344,7 @@
 
 // Guards against room of ended members of a gang that stays booked for seconds.
 func TestMembersOfAGangThatEndedTakeNoRoom(t *testing.T) {
-	b := newBench(t, 1)
+	b := newSimCell(t, 1)
 	for _, id := range []string{"a", "b"} {
 		gang := bulk(5)
 		gang.Gang, gang.Saves, gang.Time = true, false, time.Second
--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -26,7 +26,7 @@
 
 // A worker that was listed smaller since gets no more than it has now.
 func TestAWorkerThatShrankGetsNoMoreThanItHolds(t *testing.T) {
-	b := newBench(t, 3)
+	b := newSimCell(t, 3)
 	b.advance(time.Second)
 	b.resizeAll(small)
 	b.advance(3 * time.Second)
@@ -40,7 +40,7 @@
 
 // A worker shrinks below what runs there. That is neither stopped nor added to.
 func TestWhatRunsOnAWorkerThatShrankGoesOn(t *testing.T) {
-	b := newBench(t, 2)
+	b := newSimCell(t, 2)
 	b.submit("a", "print", bulk(10))
 	b.advance(time.Second)
 	require.Equal(t, 10, total(b.starts))
@@ -57,7 +57,7 @@
 
 // Guards against starts sent to a worker that shrank while their append was under way.
 func TestStartsThatAreNotSentFitTheNewSize(t *testing.T) {
-	b := newBench(t, 2)
+	b := newSimCell(t, 2)
 	b.advance(100 * time.Millisecond)
 	b.storeTime = func() time.Duration { return 500 * time.Millisecond }
 	b.submit("a", "print", bulk(5))
@@ -76,7 +76,7 @@
 
 // The same while the store is away for longer than a lease.
 func TestStartsThatWaitForAStoreThatIsAwayFitTheNewSize(t *testing.T) {
-	b := newBench(t, 3)
+	b := newSimCell(t, 3)
 	b.advance(100 * time.Millisecond)
 	b.storeDown = true
 	b.submit("a", "print", bulk(9))
@@ -93,7 +93,7 @@
 
 // Guards against a gang of which a part starts since one worker shrank.
 func TestAGangWhoseRoomShrankIsPlacedAgainWhole(t *testing.T) {
-	b := newBench(t, 3)
+	b := newSimCell(t, 3)
 	b.advance(100 * time.Millisecond)
 	b.storeTime = func() time.Duration { return 300 * time.Millisecond }
 	gang := bulk(8)
@@ -109,7 +109,7 @@
 
 // A worker has its old size again. Work that waits uses it in the next pass.
 func TestRoomThatCameBackIsUsedAtOnce(t *testing.T) {
-	b := newBench(t, 1)
+	b := newSimCell(t, 1)
 	b.advance(100 * time.Millisecond)
 	b.resizeAll(small)
 	b.submit("a", "print", bulk(5))
@@ -123,7 +123,7 @@
 
 // Sizes come and go twice a second. No run is given up for it.
 func TestRunsGoOnWhileSizesFlap(t *testing.T) {
-	b := newBench(t, 3)
+	b := newSimCell(t, 3)
 	b.submit("a", "print", bulk(12))
 	size := small
 	for i := range 40 {
@@ -147,7 +147,7 @@
 
 // Guards against a new lead that overfills workers which have shrunk.
 func TestALeadThatBeginsTakesTheSizesOfNow(t *testing.T) {
-	b := newBench(t, 2)
+	b := newSimCell(t, 2)
 	b.submit("a", "print", bulk(8))
 	b.advance(time.Second)
 	b.resizeAll(cell.Size{CPU: 40_000, Mem: 160 << 30})
@@ -165,7 +165,7 @@
 
 // Guards against starts, or lapsed runs, on a worker that is listed without room.
 func TestAWorkerWithoutRoomKeepsWhatRuns(t *testing.T) {
-	b := newBench(t, 1)
+	b := newSimCell(t, 1)
 	long := bulk(2)
 	long.Time = 20 * time.Second
 	b.submit("a", "print", long)
@@ -185,7 +185,7 @@
 
 // A task that takes no room does not start on a worker that is listed without any.
 func TestNothingStartsOnAWorkerWithoutRoom(t *testing.T) {
-	b := newBench(t, 1)
+	b := newSimCell(t, 1)
 	b.resizeAll(cell.Size{})
 	b.submit("a", "scan", flow.Step{Tasks: 1, Time: time.Second})
 	b.advance(2 * time.Second)
@@ -197,7 +197,7 @@
 
 // The room of a run is not known, and its worker grows. The run may take that room too.
 func TestARunOfUnknownRoomTakesWhatItsWorkerGrowsBy(t *testing.T) {
-	b := newBench(t, 1)
+	b := newSimCell(t, 1)
 	b.submit("a", "scan", scan(1))
 	b.advance(3 * time.Second)
 	w := b.workers["w00"]
@@ -217,7 +217,7 @@
 
 // Guards against starts by a service or a label that a worker has no longer.
 func TestAWorkerIsWhatItSaysNow(t *testing.T) {
-	b := newBench(t, 2)
+	b := newSimCell(t, 2)
 	b.storeTime = func() time.Duration { return 300 * time.Millisecond }
 	for _, w := range b.sortedWorkers() {
 		w.info.Labels = []string{"fast"}
@@ -246,7 +246,7 @@
 
 // Guards against room that is held for a wide task on a worker too small for it now.
 func TestRoomMadeOnAWorkerThatShrankIsGivenUp(t *testing.T) {
-	b := newBench(t, 2)
+	b := newSimCell(t, 2)
 	b.queues[1].Stretch, b.queues[1].Slack = 10, time.Minute
 	b.step(sched.Queues{Version: 2, All: b.queues})
 	b.submit("bulk", "print", bulk(10))
@@ -267,7 +267,7 @@
 
 // Guards against a change of size without a line of the size that was believed before.
 func TestAChangeOfSizeIsTold(t *testing.T) {
-	b := newBench(t, 1)
+	b := newSimCell(t, 1)
 	w := b.workers["w00"]
 	b.advance(500 * time.Millisecond)
 	w.info.Version = 5
