--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -237,7 +237,7 @@
 		if b.queryTime != nil {
 			took = b.queryTime(a)
 		}
-		b.after(took, func() { b.advise(term, a) })
+		b.after(took, func() { b.answerQuery(term, a) })
 	case sched.StepDown:
 		b.deposed = true
 	case sched.StepWaited:
@@ -275,7 +275,7 @@
 	b.after(3*time.Millisecond, func() { b.deliver(term, sched.Appended{Number: a.Number}) })
 }
 
-func (b *simCell) advise(term int64, a sched.QueryPolicy) {
+func (b *simCell) answerQuery(term int64, a sched.QueryPolicy) {
 	good := map[string]string{}
 	for _, w := range a.Workers {
 		if b.allows == nil || b.allows(a.Step, w) {
