--- a/internal/sched/history_test.go
+++ b/internal/sched/history_test.go
@@ -153,7 +153,7 @@
 	case 3:
 		w.still = !w.still
 	case 4:
-		w.slow = []float64{1, 6}[r.IntN(2)]
+		w.slowdown = []float64{1, 6}[r.IntN(2)]
 	case 5:
 		w.lateStart = time.Duration(r.IntN(2)) * time.Duration(r.IntN(6)) * time.Second
 	case 6:
@@ -195,7 +195,7 @@
 	b.storeDown, b.storeTime = false, nil
 	for _, w := range b.sortedWorkers() {
 		w.become(w.full())
-		w.silent, w.fails, w.still, w.slow, w.lateStart = false, false, false, 1, 0
+		w.silent, w.fails, w.still, w.slowdown, w.lateStart = false, false, false, 1, 0
 		for n, run := range w.runs {
 			if !w.dead {
 				b.after(10*time.Second, func() {
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -261,7 +261,7 @@
 // runs of several jobs goes on elsewhere, and new work stays away from it.
 func TestRunsOnAWorkerThatCrawlsGoOnElsewhere(t *testing.T) {
 	b := newSimCell(t, 3)
-	b.workers["w01"].slow = 7
+	b.workers["w01"].slowdown = 7
 	for i := range 6 {
 		b.submit(fmt.Sprintf("s%d", i), "scan", scan(4))
 	}
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -16,8 +16,8 @@
 	info sched.Worker
 	// silent workers answer nothing, deaf ones leave orders undone as well.
 	silent, dead bool
-	// slow stretches all work; still stops it; fails ends every run as failed.
-	slow      float64
+	// slowdown stretches all work; still stops it; fails ends every run as failed.
+	slowdown  float64
 	still     bool
 	fails     bool
 	lateStart time.Duration
@@ -150,7 +150,7 @@
 		w.b.lateStarts[a.Task]++
 	}
 	st := w.spec(a.Task)
-	r := &fakeRun{run: a.Run, began: w.b.now, ends: w.b.now.Add(time.Duration(float64(st.Time) * w.slow)), step: st}
+	r := &fakeRun{run: a.Run, began: w.b.now, ends: w.b.now.Add(time.Duration(float64(st.Time) * w.slowdown)), step: st}
 	w.runs[a.Task] = r
 	if a.Deadline.After(w.deadline) {
 		w.deadline = a.Deadline
