--- a/internal/sched/history_test.go
+++ b/internal/sched/history_test.go
@@ -151,7 +151,7 @@
 	case 2:
 		w.fails = !w.fails
 	case 3:
-		w.still = !w.still
+		w.stalled = !w.stalled
 	case 4:
 		w.slowdown = []float64{1, 6}[r.IntN(2)]
 	case 5:
@@ -195,7 +195,7 @@
 	b.storeDown, b.storeTime = false, nil
 	for _, w := range b.sortedWorkers() {
 		w.become(w.full())
-		w.silent, w.fails, w.still, w.slowdown, w.lateStart = false, false, false, 1, 0
+		w.silent, w.fails, w.stalled, w.slowdown, w.lateStart = false, false, false, 1, 0
 		for n, run := range w.runs {
 			if !w.dead {
 				b.after(10*time.Second, func() {
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -240,7 +240,7 @@
 // tasks go on elsewhere within two seconds instead of when it recovers.
 func TestRunsThatStandStillGoOnElsewhere(t *testing.T) {
 	b := newSimCell(t, 3)
-	b.workers["w00"].still = true
+	b.workers["w00"].stalled = true
 	b.submit("a", "scan", scan(20))
 	b.advance(5 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -18,7 +18,7 @@
 	silent, dead bool
 	// slowdown stretches all work; still stops it; fails ends every run as failed.
 	slowdown  float64
-	still     bool
+	stalled   bool
 	fails     bool
 	lateStart time.Duration
 	fence     int64
@@ -162,7 +162,7 @@
 	if w.b.crashesWorker != nil && w.b.crashesWorker(a.Task) {
 		w.b.after(crashAfter, func() { w.crash(a.Task, r) })
 	}
-	if !st.Lasts && !w.still {
+	if !st.Lasts && !w.stalled {
 		w.b.after(r.ends.Sub(w.b.now), func() { w.finish(a.Task, r) })
 	}
 	return sched.Accepted
@@ -187,7 +187,7 @@
 }
 
 func (w *fakeWorker) finish(n flow.Name, r *fakeRun) {
-	if w.runs[n] != r || w.still || w.dead || w.b.now.Before(r.ends) {
+	if w.runs[n] != r || w.stalled || w.dead || w.b.now.Before(r.ends) {
 		return
 	}
 	how := sched.EndDone
@@ -214,7 +214,7 @@
 			if m.StepName() != n.StepName() || o.run != r.run || w.dead {
 				continue
 			}
-			if o.ends.After(b.now) || w.still {
+			if o.ends.After(b.now) || w.stalled {
 				b.after(100*time.Millisecond, func() { w.finish(m, o) })
 				return
 			}
@@ -355,10 +355,10 @@
 	for _, n := range slices.SortedFunc(maps.Keys(w.runs), func(x, y flow.Name) int { return strings.Compare(x.String(), y.String()) }) {
 		r := w.runs[n]
 		l := sched.RunStatus{Task: n, Run: r.run, Percent: 100}
-		if !r.step.Lasts && r.step.Time > 0 && !w.still {
+		if !r.step.Lasts && r.step.Time > 0 && !w.stalled {
 			l.Percent = int(100 * w.b.now.Sub(r.began) / r.ends.Sub(r.began))
 		}
-		if w.still {
+		if w.stalled {
 			l.Percent = 7
 		}
 		ev.Running = append(ev.Running, l)
