--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -222,7 +222,7 @@
 	b.badJobs("bad")
 	b.advance(100 * time.Millisecond)
 	for _, w := range b.sortedWorkers() {
-		w.lateStart = time.Millisecond
+		w.startDelay = time.Millisecond
 	}
 	b.submit("bad", "scan", scan(1))
 	b.advance(100 * time.Second)
--- a/internal/sched/history_test.go
+++ b/internal/sched/history_test.go
@@ -155,7 +155,7 @@
 	case 4:
 		w.slowdown = []float64{1, 6}[r.IntN(2)]
 	case 5:
-		w.lateStart = time.Duration(r.IntN(2)) * time.Duration(r.IntN(6)) * time.Second
+		w.startDelay = time.Duration(r.IntN(2)) * time.Duration(r.IntN(6)) * time.Second
 	case 6:
 		w.info.Draining, w.info.Remaining = true, 3*time.Second
 		spare++
@@ -195,7 +195,7 @@
 	b.storeDown, b.storeTime = false, nil
 	for _, w := range b.sortedWorkers() {
 		w.become(w.full())
-		w.silent, w.fails, w.stalled, w.slowdown, w.lateStart = false, false, false, 1, 0
+		w.silent, w.fails, w.stalled, w.slowdown, w.startDelay = false, false, false, 1, 0
 		for n, run := range w.runs {
 			if !w.dead {
 				b.after(10*time.Second, func() {
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -64,12 +64,12 @@
 	b := newSimCell(t, 3)
 	b.advance(100 * time.Millisecond)
 	for _, w := range b.sortedWorkers() {
-		w.lateStart = 2 * time.Second
+		w.startDelay = 2 * time.Second
 	}
 	b.submit("a", "scan", scan(4))
 	b.advance(300 * time.Millisecond)
 	for _, w := range b.sortedWorkers() {
-		w.lateStart = 0
+		w.startDelay = 0
 	}
 	b.advance(5 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
@@ -252,7 +252,7 @@
 func TestACancelledJobRunsNowhere(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.advance(100 * time.Millisecond)
-	b.workers["w01"].lateStart = 2 * time.Second
+	b.workers["w01"].startDelay = 2 * time.Second
 	b.submit("a", "print", bulk(12))
 	b.advance(time.Second)
 	b.cancel("a")
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -17,18 +17,18 @@
 	// silent workers answer nothing, deaf ones leave orders undone as well.
 	silent, dead bool
 	// slowdown stretches all work; still stops it; fails ends every run as failed.
-	slowdown  float64
-	stalled   bool
-	fails     bool
-	lateStart time.Duration
-	fence     int64
-	deadline  time.Time
-	runs      map[flow.Name]*fakeRun
-	ends      []sched.RunEnd
-	number    int64
-	void      int64
-	tombs     map[flow.Name]int
-	waiting   []func()
+	slowdown   float64
+	stalled    bool
+	fails      bool
+	startDelay time.Duration
+	fence      int64
+	deadline   time.Time
+	runs       map[flow.Name]*fakeRun
+	ends       []sched.RunEnd
+	number     int64
+	void       int64
+	tombs      map[flow.Name]int
+	waiting    []func()
 	// reborn tells that another life has begun at its address.
 	reborn bool
 	// sizes are former sizes, each until when it was listed.
@@ -119,7 +119,7 @@
 		w.unanswered(term, sched.StartReply{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: sched.Unanswered})
 		return
 	}
-	if late := w.lateStart; late > 0 {
+	if late := w.startDelay; late > 0 {
 		w.unanswered(term, sched.StartReply{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: sched.Unanswered})
 		w.b.after(late, func() {
 			if !w.dead {
@@ -173,7 +173,7 @@
 	if b.copies {
 		return
 	}
-	if at, ok := b.cancelledAt[a.Task.Job]; ok && b.now.Sub(at) > 2*networkDelay+w.lateStart {
+	if at, ok := b.cancelledAt[a.Task.Job]; ok && b.now.Sub(at) > 2*networkDelay+w.startDelay {
 		b.violation("%s starts %s after its job was cancelled", a.Task, b.now.Sub(at))
 	}
 	if b.done[a.Task] {
