--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -50,7 +50,7 @@
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.LessOrEqual(t, len(b.queries), 3)
 	for _, n := range []string{"w00", "w01", "w02", "w03", "w04", "w05"} {
-		require.Zero(t, b.workers[n].number, n)
+		require.Zero(t, b.workers[n].lastEnd, n)
 	}
 }
 
--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -232,7 +232,7 @@
 	b.list()
 	b.advance(3 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
-	require.Zero(t, b.workers["w00"].number)
+	require.Zero(t, b.workers["w00"].lastEnd)
 
 	b.submit("b", "scan", scan(12))
 	b.advance(100 * time.Millisecond)
@@ -240,7 +240,7 @@
 	b.list()
 	b.advance(4 * time.Second)
 	require.Equal(t, flow.Completed, b.state("b"))
-	require.Zero(t, b.workers["w00"].number)
+	require.Zero(t, b.workers["w00"].lastEnd)
 	require.Empty(t, b.violations)
 }
 
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -25,7 +25,7 @@
 	deadline   time.Time
 	runs       map[flow.Name]*fakeRun
 	ends       []sched.RunEnd
-	number     int64
+	lastEnd    int64
 	void       int64
 	tombs      map[flow.Name]int
 	waiting    []func()
@@ -230,8 +230,8 @@
 func (w *fakeWorker) end(n flow.Name, r *fakeRun, how sched.Ending) {
 	delete(w.runs, n)
 	w.tombs[n] = max(w.tombs[n], r.run)
-	w.number++
-	w.ends = append(w.ends, sched.RunEnd{Number: w.number, Task: n, Run: r.run, How: how})
+	w.lastEnd++
+	w.ends = append(w.ends, sched.RunEnd{Number: w.lastEnd, Task: n, Run: r.run, How: how})
 	w.wake()
 }
 
@@ -251,7 +251,7 @@
 			return
 		}
 		// Ends that were not noted before a lapse never count as noted.
-		w.void = w.number
+		w.void = w.lastEnd
 		for _, n := range slices.SortedFunc(maps.Keys(w.runs), func(x, y flow.Name) int { return x.Index - y.Index }) {
 			w.end(n, w.runs[n], sched.EndLapsed)
 		}
