--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -26,7 +26,7 @@
 	runs       map[flow.Name]*fakeRun
 	ends       []sched.RunEnd
 	lastEnd    int64
-	void       int64
+	lapsedUpTo int64
 	tombs      map[flow.Name]int
 	waiting    []func()
 	// reborn tells that another life has begun at its address.
@@ -251,7 +251,7 @@
 			return
 		}
 		// Ends that were not noted before a lapse never count as noted.
-		w.void = w.lastEnd
+		w.lapsedUpTo = w.lastEnd
 		for _, n := range slices.SortedFunc(maps.Keys(w.runs), func(x, y flow.Name) int { return x.Index - y.Index }) {
 			w.end(n, w.runs[n], sched.EndLapsed)
 		}
@@ -291,7 +291,7 @@
 	}
 	w.fence = a.Term
 	for len(w.ends) > 0 && w.ends[0].Number <= a.AckedEnd {
-		if w.ends[0].How == sched.EndDone && w.ends[0].Number > w.void {
+		if w.ends[0].How == sched.EndDone && w.ends[0].Number > w.lapsedUpTo {
 			w.b.done[w.ends[0].Task] = true
 		}
 		w.ends = w.ends[1:]
