--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -27,7 +27,7 @@
 	ends       []sched.RunEnd
 	lastEnd    int64
 	lapsedUpTo int64
-	tombs      map[flow.Name]int
+	tombstones map[flow.Name]int
 	waiting    []func()
 	// reborn tells that another life has begun at its address.
 	reborn bool
@@ -137,7 +137,7 @@
 		return sched.Fenced
 	case w.b.now.After(a.Deadline):
 		return sched.Rejected
-	case w.tombs[a.Task] >= a.Run:
+	case w.tombstones[a.Task] >= a.Run:
 		return sched.Rejected
 	}
 	w.fence = a.Term
@@ -229,7 +229,7 @@
 
 func (w *fakeWorker) end(n flow.Name, r *fakeRun, how sched.Ending) {
 	delete(w.runs, n)
-	w.tombs[n] = max(w.tombs[n], r.run)
+	w.tombstones[n] = max(w.tombstones[n], r.run)
 	w.lastEnd++
 	w.ends = append(w.ends, sched.RunEnd{Number: w.lastEnd, Task: n, Run: r.run, How: how})
 	w.wake()
@@ -272,7 +272,7 @@
 		out = sched.Fenced
 	} else {
 		w.fence = a.Term
-		w.tombs[a.Task] = max(w.tombs[a.Task], a.Run)
+		w.tombstones[a.Task] = max(w.tombstones[a.Task], a.Run)
 		if r, ok := w.runs[a.Task]; ok && r.run == a.Run {
 			w.b.after(100*time.Millisecond, func() {
 				if w.runs[a.Task] == r {
