--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -17,18 +17,18 @@
 	// silent workers answer nothing, deaf ones leave orders undone as well.
 	silent, dead bool
 	// slowdown stretches all work; still stops it; fails ends every run as failed.
-	slowdown   float64
-	stalled    bool
-	fails      bool
-	startDelay time.Duration
-	fence      int64
-	deadline   time.Time
-	runs       map[flow.Name]*fakeRun
-	ends       []sched.RunEnd
-	lastEnd    int64
-	lapsedUpTo int64
-	tombstones map[flow.Name]int
-	waiting    []func()
+	slowdown     float64
+	stalled      bool
+	fails        bool
+	startDelay   time.Duration
+	fence        int64
+	deadline     time.Time
+	runs         map[flow.Name]*fakeRun
+	ends         []sched.RunEnd
+	lastEnd      int64
+	lapsedUpTo   int64
+	tombstones   map[flow.Name]int
+	waitingHolds []func()
 	// reborn tells that another life has begun at its address.
 	reborn bool
 	// sizes are former sizes, each until when it was listed.
@@ -236,8 +236,8 @@
 }
 
 func (w *fakeWorker) wake() {
-	all := w.waiting
-	w.waiting = nil
+	all := w.waitingHolds
+	w.waitingHolds = nil
 	for _, f := range all {
 		f()
 	}
@@ -323,7 +323,7 @@
 		answer()
 		return
 	}
-	w.waiting = append(w.waiting, answer)
+	w.waitingHolds = append(w.waitingHolds, answer)
 	w.b.after(a.Wait, answer)
 }
 
