--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -41,7 +41,7 @@
 	n := b.endedIncarnations
 	b.after(unlistedAfter, b.list)
 	b.after(rebornAfter+b.restartExtra, func() {
-		w.reborn = true
+		w.replaced = true
 		next := b.addWorker(fmt.Sprintf("z%03d", n), 100+n%100)
 		next.info.Size, next.info.Domain, next.info.Rack = w.info.Size, w.info.Domain, w.info.Rack
 		b.list()
@@ -266,7 +266,7 @@
 						w.info.Draining, w.info.Remaining = true, time.Second
 						b.list()
 						b.advance(time.Second)
-						w.dead, w.reborn, w.runs = true, true, map[flow.Name]*fakeRun{}
+						w.dead, w.replaced, w.runs = true, true, map[flow.Name]*fakeRun{}
 						b.addWorker(fmt.Sprintf("y%02d", i), 80+i)
 						b.list()
 						break
@@ -333,7 +333,7 @@
 	b := newSimCell(t, 6)
 	b.advance(100 * time.Millisecond)
 	for _, w := range b.sortedWorkers()[:5] {
-		w.dead, w.reborn = true, true
+		w.dead, w.replaced = true, true
 	}
 	b.submit("job", "scan", scan(1))
 	b.advance(10 * time.Second)
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -29,8 +29,8 @@
 	lapsedUpTo   int64
 	tombstones   map[flow.Name]int
 	waitingHolds []func()
-	// reborn tells that another life has begun at its address.
-	reborn bool
+	// replaced tells that another life has begun at its address.
+	replaced bool
 	// sizes are former sizes, each until when it was listed.
 	sizes []formerSize
 	// loseEnds is how many answers that tell of an end are lost.
@@ -111,7 +111,7 @@
 	answer := func(o sched.Outcome) {
 		w.reply(term, sched.StartReply{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: o})
 	}
-	if w.reborn && !w.silent {
+	if w.replaced && !w.silent {
 		answer(sched.OtherIncarnation)
 		return
 	}
@@ -259,7 +259,7 @@
 }
 
 func (w *fakeWorker) stop(term int64, a sched.Stop) {
-	if w.reborn && !w.silent {
+	if w.replaced && !w.silent {
 		w.reply(term, sched.StopReply{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: sched.OtherIncarnation})
 		return
 	}
@@ -330,11 +330,11 @@
 // denied tells whether a hold is not carried out, and answers it then.
 func (w *fakeWorker) denied(term int64, a sched.Hold, ev sched.HoldReply) bool {
 	switch {
-	case w.silent || w.dead && !w.reborn:
+	case w.silent || w.dead && !w.replaced:
 		ev.Outcome = sched.Unanswered
 		w.unanswered(term, ev)
 		return true
-	case w.reborn:
+	case w.replaced:
 		ev.Outcome = sched.OtherIncarnation
 	case a.Term < w.fence:
 		ev.Outcome = sched.Fenced
