--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -31,8 +31,8 @@
 	waitingHolds []func()
 	// replaced tells that another life has begun at its address.
 	replaced bool
-	// sizes are former sizes, each until when it was listed.
-	sizes []formerSize
+	// formerSizes are former formerSizes, each until when it was listed.
+	formerSizes []formerSize
 	// loseEnds is how many answers that tell of an end are lost.
 	loseEnds int
 }
@@ -51,14 +51,14 @@
 
 // become gives the worker another size, which is listed with whatever is listed next.
 func (w *fakeWorker) become(size cell.Size) {
-	w.sizes = append(w.sizes, formerSize{w.info.Size, w.b.seq})
+	w.formerSizes = append(w.formerSizes, formerSize{w.info.Size, w.b.seq})
 	w.info.Size = size
 }
 
 // full is the size that the worker had at first.
 func (w *fakeWorker) full() cell.Size {
-	if len(w.sizes) > 0 {
-		return w.sizes[0].size
+	if len(w.formerSizes) > 0 {
+		return w.formerSizes[0].size
 	}
 	return w.info.Size
 }
@@ -67,7 +67,7 @@
 // still fill a worker that has shrunk meanwhile.
 func (w *fakeWorker) sizeSince(sent int) cell.Size {
 	most := w.info.Size
-	for _, f := range w.sizes {
+	for _, f := range w.formerSizes {
 		if f.until > sent {
 			most = cell.Size{CPU: max(most.CPU, f.size.CPU), Mem: max(most.Mem, f.size.Mem), Accel: max(most.Accel, f.size.Accel)}
 		}
