--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -314,13 +314,13 @@
 // once. The pattern is that of the users' days on which answers get lost.
 func TestALostAnswerIsAskedForAtOnce(t *testing.T) {
 	b := newSimCell(t, 1)
-	b.workers["w00"].loseEnds = 1
+	b.workers["w00"].repliesToLose = 1
 	b.submit("a", "scan", scan(1))
 	began := b.now
 	for b.state("a") != flow.Completed && b.now.Sub(began) < 5*time.Second {
 		b.advance(10 * time.Millisecond)
 	}
-	require.Zero(t, b.workers["w00"].loseEnds)
+	require.Zero(t, b.workers["w00"].repliesToLose)
 	// The work, the rest of a hold's wait, and the patience for its answer.
 	t.Log(b.now.Sub(began))
 	require.Less(t, b.now.Sub(began), time.Second+sched.DefaultLimits.HoldWait+patience)
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -33,8 +33,8 @@
 	replaced bool
 	// formerSizes are former formerSizes, each until when it was listed.
 	formerSizes []formerSize
-	// loseEnds is how many answers that tell of an end are lost.
-	loseEnds int
+	// repliesToLose is how many answers that tell of an end are lost.
+	repliesToLose int
 }
 
 // formerSize is a size that a worker had until another one was listed, in the bench's order.
@@ -311,8 +311,8 @@
 			w.unanswered(term, ev)
 			return
 		}
-		if w.loseEnds > 0 && len(w.ends) > 0 {
-			w.loseEnds--
+		if w.repliesToLose > 0 && len(w.ends) > 0 {
+			w.repliesToLose--
 			ev.Outcome = sched.Unanswered
 			w.b.after(max(sent.Add(a.Wait+patience).Sub(w.b.now), networkDelay), func() { w.b.deliver(term, ev) })
 			return
