--- a/internal/sched/history_test.go
+++ b/internal/sched/history_test.go
@@ -194,7 +194,7 @@
 func (b *simCell) calm() {
 	b.storeDown, b.storeTime = false, nil
 	for _, w := range b.sortedWorkers() {
-		w.become(w.full())
+		w.setSize(w.full())
 		w.silent, w.fails, w.stalled, w.slowdown, w.startDelay = false, false, false, 1, 0
 		for n, run := range w.runs {
 			if !w.dead {
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -45,12 +45,12 @@
 
 // resize lists the worker with another size.
 func (w *fakeWorker) resize(size cell.Size) {
-	w.become(size)
+	w.setSize(size)
 	w.b.list()
 }
 
-// become gives the worker another size, which is listed with whatever is listed next.
-func (w *fakeWorker) become(size cell.Size) {
+// setSize gives the worker another size, which is listed with whatever is listed next.
+func (w *fakeWorker) setSize(size cell.Size) {
 	w.formerSizes = append(w.formerSizes, formerSize{w.info.Size, w.b.seq})
 	w.info.Size = size
 }
