--- a/internal/sched/history_test.go
+++ b/internal/sched/history_test.go
@@ -147,7 +147,7 @@
 	case 1:
 		w.dead = true
 		spare++
-		b.addWorker(fmt.Sprintf("x%02d", spare), spare).info.Size = w.full()
+		b.addWorker(fmt.Sprintf("x%02d", spare), spare).info.Size = w.originalSize()
 	case 2:
 		w.fails = !w.fails
 	case 3:
@@ -159,7 +159,7 @@
 	case 6:
 		w.info.Draining, w.info.Remaining = true, 3*time.Second
 		spare++
-		b.addWorker(fmt.Sprintf("x%02d", spare), spare).info.Size = w.full()
+		b.addWorker(fmt.Sprintf("x%02d", spare), spare).info.Size = w.originalSize()
 	}
 	b.list()
 	return spare
@@ -174,7 +174,7 @@
 	all := b.sortedWorkers()
 	for range sizes.IntN(3) {
 		w := all[sizes.IntN(len(all))]
-		size := w.full()
+		size := w.originalSize()
 		switch sizes.IntN(5) {
 		case 0:
 		case 1:
@@ -194,7 +194,7 @@
 func (b *simCell) calm() {
 	b.storeDown, b.storeTime = false, nil
 	for _, w := range b.sortedWorkers() {
-		w.setSize(w.full())
+		w.setSize(w.originalSize())
 		w.silent, w.fails, w.stalled, w.slowdown, w.startDelay = false, false, false, 1, 0
 		for n, run := range w.runs {
 			if !w.dead {
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -55,8 +55,8 @@
 	w.info.Size = size
 }
 
-// full is the size that the worker had at first.
-func (w *fakeWorker) full() cell.Size {
+// originalSize is the size that the worker had at first.
+func (w *fakeWorker) originalSize() cell.Size {
 	if len(w.formerSizes) > 0 {
 		return w.formerSizes[0].size
 	}
