--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -63,9 +63,9 @@
 	return w.info.Size
 }
 
-// sizeSince is the most that was listed of each part since then: what is on its way may
+// maxSizeSince is the most that was listed of each part since then: what is on its way may
 // still fill a worker that has shrunk meanwhile.
-func (w *fakeWorker) sizeSince(sent int) cell.Size {
+func (w *fakeWorker) maxSizeSince(sent int) cell.Size {
 	most := w.info.Size
 	for _, f := range w.formerSizes {
 		if f.until > sent {
@@ -155,7 +155,7 @@
 	if a.Deadline.After(w.deadline) {
 		w.deadline = a.Deadline
 	}
-	if used, size := w.used(), w.sizeSince(sent); !used.Fits(size) {
+	if used, size := w.used(), w.maxSizeSince(sent); !used.Fits(size) {
 		w.b.violation("%s is over its size: %+v of %+v", w.info.Incarnation, used, size)
 	}
 	w.lapseLater()
