--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -323,7 +323,7 @@
 	require.Zero(t, b.workers["w00"].repliesToLose)
 	// The work, the rest of a hold's wait, and the patience for its answer.
 	t.Log(b.now.Sub(began))
-	require.Less(t, b.now.Sub(began), time.Second+sched.DefaultLimits.HoldWait+patience)
+	require.Less(t, b.now.Sub(began), time.Second+sched.DefaultLimits.HoldWait+replyTimeout)
 }
 
 // The store takes 53 times as long for each append, as on the users' slow days, and
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -75,8 +75,8 @@
 	return most
 }
 
-// patience is how long the edge waits for an answer that should be there.
-const patience = 120 * time.Millisecond
+// replyTimeout is how long the edge waits for an answer that should be there.
+const replyTimeout = 120 * time.Millisecond
 
 type fakeRun struct {
 	run   int
@@ -314,7 +314,7 @@
 		if w.repliesToLose > 0 && len(w.ends) > 0 {
 			w.repliesToLose--
 			ev.Outcome = sched.Unanswered
-			w.b.after(max(sent.Add(a.Wait+patience).Sub(w.b.now), networkDelay), func() { w.b.deliver(term, ev) })
+			w.b.after(max(sent.Add(a.Wait+replyTimeout).Sub(w.b.now), networkDelay), func() { w.b.deliver(term, ev) })
 			return
 		}
 		w.list(term, ev)
