--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -144,7 +144,7 @@
 	if r, ok := w.runs[a.Task]; ok && r.run == a.Run {
 		return sched.Accepted
 	}
-	w.b.check(w, a)
+	w.b.checkStart(w, a)
 	w.b.starts[a.Task]++
 	if w.b.crashed[a.Task] >= 3 {
 		w.b.lateStarts[a.Task]++
@@ -168,8 +168,8 @@
 	return sched.Accepted
 }
 
-// check notes a start that must never happen.
-func (b *simCell) check(w *fakeWorker, a sched.Start) {
+// checkStart notes a start that must never happen.
+func (b *simCell) checkStart(w *fakeWorker, a sched.Start) {
 	if b.copies {
 		return
 	}
