--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -286,7 +286,7 @@
 
 func (w *fakeWorker) hold(term int64, a sched.Hold, sent time.Time) {
 	ev := sched.HoldReply{Worker: w.info.Incarnation, Probe: a.Probe, AckedEnd: a.AckedEnd, Sent: sent}
-	if w.denied(term, a, ev) {
+	if w.rejectHold(term, a, ev) {
 		return
 	}
 	w.fence = a.Term
@@ -327,8 +327,8 @@
 	w.b.after(a.Wait, answer)
 }
 
-// denied tells whether a hold is not carried out, and answers it then.
-func (w *fakeWorker) denied(term int64, a sched.Hold, ev sched.HoldReply) bool {
+// rejectHold tells whether a hold is not carried out, and answers it then.
+func (w *fakeWorker) rejectHold(term int64, a sched.Hold, ev sched.HoldReply) bool {
 	switch {
 	case w.silent || w.dead && !w.replaced:
 		ev.Outcome = sched.Unanswered
