--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -232,10 +232,10 @@
 	w.tombstones[n] = max(w.tombstones[n], r.run)
 	w.lastEnd++
 	w.ends = append(w.ends, sched.RunEnd{Number: w.lastEnd, Task: n, Run: r.run, How: how})
-	w.wake()
+	w.answerHolds()
 }
 
-func (w *fakeWorker) wake() {
+func (w *fakeWorker) answerHolds() {
 	all := w.waitingHolds
 	w.waitingHolds = nil
 	for _, f := range all {
