--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -20,20 +20,20 @@
 type drawn struct {
 	*simCell
 	size cell.Size
-	// sure are workers that every step may run on, and those that came for others.
-	sure map[string]bool
-	jobs []string
+	// allowedForAll are workers that every step may run on, and those that came for others.
+	allowedForAll map[string]bool
+	jobs          []string
 	// over are jobs that ended; the core forgets them after a while.
 	over map[string]bool
 }
 
 func drawCell(t *testing.T, r *rand.Rand) *drawn {
-	d := &drawn{simCell: newSimCell(t, 0), sure: map[string]bool{}, over: map[string]bool{}}
+	d := &drawn{simCell: newSimCell(t, 0), allowedForAll: map[string]bool{}, over: map[string]bool{}}
 	d.size = cell.Size{CPU: int64(1+r.IntN(4)) * 32_000, Mem: 512 << 30, Accel: int64(r.IntN(3)) * 4}
 	for i := range 4 + r.IntN(8) {
 		w := d.addWorker(fmt.Sprintf("w%02d", i), i)
 		w.info.Size = d.size
-		d.sure[w.info.Incarnation] = i < 3
+		d.allowedForAll[w.info.Incarnation] = i < 3
 	}
 	d.list()
 	d.queues = nil
@@ -47,7 +47,7 @@
 	d.step(sched.Queues{Version: 2, All: d.queues})
 	share := uint64(200 + r.IntN(600))
 	d.allows = func(step, worker string) bool {
-		return d.sure[worker] || worker[0] == 'x' || xxhash.Sum64String(step+worker)%1000 < share
+		return d.allowedForAll[worker] || worker[0] == 'x' || xxhash.Sum64String(step+worker)%1000 < share
 	}
 	d.queryTime = func(a sched.QueryPolicy) time.Duration {
 		return d.specs[jobOf(a.Step)].Queue.Advice.Cost(len(a.Workers))
