--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -23,12 +23,12 @@
 	// allowedForAll are workers that every step may run on, and those that came for others.
 	allowedForAll map[string]bool
 	jobs          []string
-	// over are jobs that ended; the core forgets them after a while.
-	over map[string]bool
+	// endedJobs are jobs that ended; the core forgets them after a while.
+	endedJobs map[string]bool
 }
 
 func drawCell(t *testing.T, r *rand.Rand) *drawn {
-	d := &drawn{simCell: newSimCell(t, 0), allowedForAll: map[string]bool{}, over: map[string]bool{}}
+	d := &drawn{simCell: newSimCell(t, 0), allowedForAll: map[string]bool{}, endedJobs: map[string]bool{}}
 	d.size = cell.Size{CPU: int64(1+r.IntN(4)) * 32_000, Mem: 512 << 30, Accel: int64(r.IntN(3)) * 4}
 	for i := range 4 + r.IntN(8) {
 		w := d.addWorker(fmt.Sprintf("w%02d", i), i)
@@ -88,10 +88,10 @@
 
 // ended tells whether a job has come to its end.
 func (d *drawn) ended(id string) bool {
-	if !d.over[id] && d.state(id).Final() {
-		d.over[id] = true
+	if !d.endedJobs[id] && d.state(id).Final() {
+		d.endedJobs[id] = true
 	}
-	return d.over[id]
+	return d.endedJobs[id]
 }
 
 // watch plays d and notes jobs with nothing running for idleFor while under half of the
