--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -15,9 +15,9 @@
 	"pollencroft/internal/sched"
 )
 
-// drawn is a cell that a seed draws: workers of one size with GPUs or none, queues with
+// randomCell is a cell that a seed draws: workers of one size with GPUs or none, queues with
 // and without a policy service, and what its jobs are like.
-type drawn struct {
+type randomCell struct {
 	*simCell
 	size cell.Size
 	// allowedForAll are workers that every step may run on, and those that came for others.
@@ -27,8 +27,8 @@
 	endedJobs map[string]bool
 }
 
-func drawCell(t *testing.T, r *rand.Rand) *drawn {
-	d := &drawn{simCell: newSimCell(t, 0), allowedForAll: map[string]bool{}, endedJobs: map[string]bool{}}
+func drawCell(t *testing.T, r *rand.Rand) *randomCell {
+	d := &randomCell{simCell: newSimCell(t, 0), allowedForAll: map[string]bool{}, endedJobs: map[string]bool{}}
 	d.size = cell.Size{CPU: int64(1+r.IntN(4)) * 32_000, Mem: 512 << 30, Accel: int64(r.IntN(3)) * 4}
 	for i := range 4 + r.IntN(8) {
 		w := d.addWorker(fmt.Sprintf("w%02d", i), i)
@@ -56,7 +56,7 @@
 }
 
 // drawStep draws a step that the three sure workers can hold.
-func (d *drawn) drawStep(r *rand.Rand) flow.Step {
+func (d *randomCell) drawStep(r *rand.Rand) flow.Step {
 	parts := int64(1) << r.IntN(4)
 	st := flow.Step{
 		Tasks: 1 + r.IntN(8), Size: cell.Size{CPU: d.size.CPU / parts, Mem: 8 << 30}, Time: around(r, 2*time.Second),
@@ -72,7 +72,7 @@
 }
 
 // submitDrawn hands in a job of one step.
-func (d *drawn) submitDrawn(r *rand.Rand) {
+func (d *randomCell) submitDrawn(r *rand.Rand) {
 	id := fmt.Sprintf("j%03d", len(d.jobs))
 	d.jobs = append(d.jobs, id)
 	d.submit(id, d.queues[r.IntN(len(d.queues))].Name, d.drawStep(r))
@@ -87,7 +87,7 @@
 )
 
 // ended tells whether a job has come to its end.
-func (d *drawn) ended(id string) bool {
+func (d *randomCell) ended(id string) bool {
 	if !d.endedJobs[id] && d.state(id).Final() {
 		d.endedJobs[id] = true
 	}
@@ -96,7 +96,7 @@
 
 // watch plays d and notes jobs with nothing running for idleFor while under half of the
 // cell is used and a worker that the step may use has room for it twice over.
-func (d *drawn) watch(length time.Duration) {
+func (d *randomCell) watch(length time.Duration) {
 	const every = 100 * time.Millisecond
 	since := map[string]time.Time{}
 	for range int(length / every) {
@@ -117,7 +117,7 @@
 	}
 }
 
-func (d *drawn) couldRun(id string) bool {
+func (d *randomCell) couldRun(id string) bool {
 	step := d.specs[id].Steps[0]
 	var used, whole cell.Size
 	room := false
