--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -27,7 +27,7 @@
 	endedJobs map[string]bool
 }
 
-func drawCell(t *testing.T, r *rand.Rand) *randomCell {
+func newRandomCell(t *testing.T, r *rand.Rand) *randomCell {
 	d := &randomCell{simCell: newSimCell(t, 0), allowedForAll: map[string]bool{}, endedJobs: map[string]bool{}}
 	d.size = cell.Size{CPU: int64(1+r.IntN(4)) * 32_000, Mem: 512 << 30, Accel: int64(r.IntN(3)) * 4}
 	for i := range 4 + r.IntN(8) {
@@ -165,7 +165,7 @@
 
 func playDrawn(t *testing.T, seed uint64, sizes *rand.Rand) {
 	r := rand.New(rand.NewPCG(seed, 1))
-	d := drawCell(t, r)
+	d := newRandomCell(t, r)
 	spare := 50
 	for range 60 + r.IntN(60) {
 		switch n := r.IntN(20); {
