--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -55,8 +55,8 @@
 	return d
 }
 
-// drawStep draws a step that the three sure workers can hold.
-func (d *randomCell) drawStep(r *rand.Rand) flow.Step {
+// randomStep draws a step that the three sure workers can hold.
+func (d *randomCell) randomStep(r *rand.Rand) flow.Step {
 	parts := int64(1) << r.IntN(4)
 	st := flow.Step{
 		Tasks: 1 + r.IntN(8), Size: cell.Size{CPU: d.size.CPU / parts, Mem: 8 << 30}, Time: around(r, 2*time.Second),
@@ -75,7 +75,7 @@
 func (d *randomCell) submitDrawn(r *rand.Rand) {
 	id := fmt.Sprintf("j%03d", len(d.jobs))
 	d.jobs = append(d.jobs, id)
-	d.submit(id, d.queues[r.IntN(len(d.queues))].Name, d.drawStep(r))
+	d.submit(id, d.queues[r.IntN(len(d.queues))].Name, d.randomStep(r))
 }
 
 // idleFor is how long a job that could run may have nothing running beside a cell that is
