--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -71,8 +71,8 @@
 	return st
 }
 
-// submitDrawn hands in a job of one step.
-func (d *randomCell) submitDrawn(r *rand.Rand) {
+// submitRandom hands in a job of one step.
+func (d *randomCell) submitRandom(r *rand.Rand) {
 	id := fmt.Sprintf("j%03d", len(d.jobs))
 	d.jobs = append(d.jobs, id)
 	d.submit(id, d.queues[r.IntN(len(d.queues))].Name, d.randomStep(r))
@@ -170,7 +170,7 @@
 	for range 60 + r.IntN(60) {
 		switch n := r.IntN(20); {
 		case n < 12:
-			d.submitDrawn(r)
+			d.submitRandom(r)
 		case n < 13:
 			if len(d.jobs) > 0 && !d.ended(d.jobs[0]) {
 				d.cancel(d.jobs[0])
