--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -78,11 +78,11 @@
 	d.submit(id, d.queues[r.IntN(len(d.queues))].Name, d.randomStep(r))
 }
 
-// idleFor is how long a job that could run may have nothing running beside a cell that is
+// maxIdle is how long a job that could run may have nothing running beside a cell that is
 // hardly used: the platform's rule. settleTime is how long after the last fault that
 // holds: a worker that failed everything has its longest rest by then.
 const (
-	idleFor    = 3 * time.Second
+	maxIdle    = 3 * time.Second
 	settleTime = 15 * time.Second
 )
 
@@ -109,7 +109,7 @@
 			if _, ok := since[id]; !ok {
 				since[id] = d.now
 			}
-			if d.now.Sub(since[id]) > idleFor {
+			if d.now.Sub(since[id]) > maxIdle {
 				d.violation("%s has nothing running since %s, and could", id, since[id])
 				delete(since, id)
 			}
