--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -79,11 +79,11 @@
 }
 
 // maxIdle is how long a job that could run may have nothing running beside a cell that is
-// hardly used: the platform's rule. settleTime is how long after the last fault that
+// hardly used: the platform's rule. recoveryTime is how long after the last fault that
 // holds: a worker that failed everything has its longest rest by then.
 const (
-	maxIdle    = 3 * time.Second
-	settleTime = 15 * time.Second
+	maxIdle      = 3 * time.Second
+	recoveryTime = 15 * time.Second
 )
 
 // ended tells whether a job has come to its end.
@@ -189,7 +189,7 @@
 		d.resizeSome(sizes)
 	}
 	d.calm()
-	d.advance(settleTime)
+	d.advance(recoveryTime)
 	d.watch(3 * time.Minute)
 	require.Empty(t, d.violations)
 	for _, id := range d.jobs {
