--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -94,9 +94,9 @@
 	return d.endedJobs[id]
 }
 
-// watch plays d and notes jobs with nothing running for idleFor while under half of the
+// checkNotIdle plays d and notes jobs with nothing running for idleFor while under half of the
 // cell is used and a worker that the step may use has room for it twice over.
-func (d *randomCell) watch(length time.Duration) {
+func (d *randomCell) checkNotIdle(length time.Duration) {
 	const every = 100 * time.Millisecond
 	since := map[string]time.Time{}
 	for range int(length / every) {
@@ -190,7 +190,7 @@
 	}
 	d.calm()
 	d.advance(recoveryTime)
-	d.watch(3 * time.Minute)
+	d.checkNotIdle(3 * time.Minute)
 	require.Empty(t, d.violations)
 	for _, id := range d.jobs {
 		require.True(t, d.ended(id), "job %s goes on", id)
