--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -142,10 +142,10 @@
 	return room && used.Share(whole) < 0.5
 }
 
-// cellsOnce are seeds of drawn cells that ever failed. 44, 393, 908: room was held for a wide
+// failedCellSeeds are seeds of drawn cells that ever failed. 44, 393, 908: room was held for a wide
 // task on the only workers that it and small ones were allowed on, beside idle others. 930,
 // 5941: the room of members of a gang that had ended was booked for seconds.
-var cellsOnce = []uint64{44, 393, 908, 930, 5941}
+var failedCellSeeds = []uint64{44, 393, 908, 930, 5941}
 
 // Cells of all kinds, drawn by the seed, with more work than they can do at times, bulk
 // that gives way, wide tasks, gangs and tickets, under faults that overlap. No task may run
@@ -153,7 +153,7 @@
 // no job that could run waits beside an idle cell, and every job comes to its end. Each seed is
 // played once more with workers that shrink and grow while they run.
 func TestDrawnCells(t *testing.T) {
-	seeds := slices.Clone(cellsOnce)
+	seeds := slices.Clone(failedCellSeeds)
 	for i := range *histories {
 		seeds = append(seeds, *firstSeed+uint64(i))
 	}
