--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -158,12 +158,12 @@
 		seeds = append(seeds, *firstSeed+uint64(i))
 	}
 	for _, seed := range seeds {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playDrawn(t, seed, nil) })
-		t.Run(fmt.Sprintf("%d_sizes", seed), func(t *testing.T) { playDrawn(t, seed, sizesOf(seed)) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runRandomCell(t, seed, nil) })
+		t.Run(fmt.Sprintf("%d_sizes", seed), func(t *testing.T) { runRandomCell(t, seed, sizesOf(seed)) })
 	}
 }
 
-func playDrawn(t *testing.T, seed uint64, sizes *rand.Rand) {
+func runRandomCell(t *testing.T, seed uint64, sizes *rand.Rand) {
 	r := rand.New(rand.NewPCG(seed, 1))
 	d := newRandomCell(t, r)
 	spare := 50
