--- a/internal/sched/history_test.go
+++ b/internal/sched/history_test.go
@@ -22,8 +22,8 @@
 	firstSeed = flag.Uint64("seed", 1, "seed of the first history")
 )
 
-// failedOnce are seeds that ever failed, each with its cause.
-var failedOnce = []uint64{}
+// failedSeeds are seeds that ever failed, each with its cause.
+var failedSeeds = []uint64{}
 
 // A lead, workers and the store go through random faults that overlap: leads end
 // between any two steps, workers fall silent, die, leave, fail, crawl and carry
@@ -32,7 +32,7 @@
 // every job comes to its end. Each seed is played once more with workers that shrink and
 // grow while they run.
 func TestRandomHistories(t *testing.T) {
-	seeds := failedOnce
+	seeds := failedSeeds
 	for i := range *histories {
 		seeds = append(seeds, *firstSeed+uint64(i))
 	}
