--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -159,7 +159,7 @@
 	}
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { runRandomCell(t, seed, nil) })
-		t.Run(fmt.Sprintf("%d_sizes", seed), func(t *testing.T) { runRandomCell(t, seed, sizesOf(seed)) })
+		t.Run(fmt.Sprintf("%d_sizes", seed), func(t *testing.T) { runRandomCell(t, seed, sizeRand(seed)) })
 	}
 }
 
--- a/internal/sched/history_test.go
+++ b/internal/sched/history_test.go
@@ -38,7 +38,7 @@
 	}
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { playHistory(t, seed, nil, nil) })
-		t.Run(fmt.Sprintf("%d_sizes", seed), func(t *testing.T) { playHistory(t, seed, nil, sizesOf(seed)) })
+		t.Run(fmt.Sprintf("%d_sizes", seed), func(t *testing.T) { playHistory(t, seed, nil, sizeRand(seed)) })
 	}
 }
 
@@ -50,9 +50,9 @@
 	}
 }
 
-// sizesOf draws the changes of size of a seed apart from its other faults, so that these stay
+// sizeRand draws the changes of size of a seed apart from its other faults, so that these stay
 // the same.
-func sizesOf(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 2)) }
+func sizeRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 2)) }
 
 // playHistory plays the history of a seed; crashes draws what crashes workers and sizes changes
 // of size, nil none.
