--- a/internal/sched/history_test.go
+++ b/internal/sched/history_test.go
@@ -37,8 +37,8 @@
 		seeds = append(seeds, *firstSeed+uint64(i))
 	}
 	for _, seed := range seeds {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playHistory(t, seed, nil, nil) })
-		t.Run(fmt.Sprintf("%d_sizes", seed), func(t *testing.T) { playHistory(t, seed, nil, sizeRand(seed)) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runHistory(t, seed, nil, nil) })
+		t.Run(fmt.Sprintf("%d_sizes", seed), func(t *testing.T) { runHistory(t, seed, nil, sizeRand(seed)) })
 	}
 }
 
@@ -46,7 +46,7 @@
 func TestRandomHistoriesWithCrashes(t *testing.T) {
 	for i := range *histories {
 		seed := *firstSeed + uint64(i)
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playHistory(t, seed, rand.New(rand.NewPCG(seed, 2)), nil) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runHistory(t, seed, rand.New(rand.NewPCG(seed, 2)), nil) })
 	}
 }
 
@@ -54,9 +54,9 @@
 // the same.
 func sizeRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 2)) }
 
-// playHistory plays the history of a seed; crashes draws what crashes workers and sizes changes
+// runHistory plays the history of a seed; crashes draws what crashes workers and sizes changes
 // of size, nil none.
-func playHistory(t *testing.T, seed uint64, crashes, sizes *rand.Rand) {
+func runHistory(t *testing.T, seed uint64, crashes, sizes *rand.Rand) {
 	r := rand.New(rand.NewPCG(seed, 0))
 	b := newSimCell(t, 3+r.IntN(7))
 	b.drawBad(crashes, seed)
