--- a/internal/sched/history_test.go
+++ b/internal/sched/history_test.go
@@ -59,7 +59,7 @@
 func runHistory(t *testing.T, seed uint64, crashes, sizes *rand.Rand) {
 	r := rand.New(rand.NewPCG(seed, 0))
 	b := newSimCell(t, 3+r.IntN(7))
-	b.drawBad(crashes, seed)
+	b.pickCrashingJobs(crashes, seed)
 	jobs := map[string]bool{}
 	spare := 50
 	for i := range 40 + r.IntN(40) {
@@ -117,8 +117,8 @@
 	}
 }
 
-// drawBad draws which jobs crash their workers and how long these stay away.
-func (b *simCell) drawBad(r *rand.Rand, seed uint64) {
+// pickCrashingJobs draws which jobs crash their workers and how long these stay away.
+func (b *simCell) pickCrashingJobs(r *rand.Rand, seed uint64) {
 	if r == nil {
 		return
 	}
