--- a/internal/sched/history_test.go
+++ b/internal/sched/history_test.go
@@ -97,7 +97,7 @@
 			spare = b.disturb(r, spare)
 		}
 		if crashes != nil {
-			b.crashAny(crashes)
+			b.maybeCrashWorker(crashes)
 		}
 		b.advance(time.Duration(r.IntN(700)) * time.Millisecond)
 		b.resizeSome(sizes)
@@ -127,8 +127,8 @@
 	b.crashesWorker = func(n flow.Name) bool { return xxhash.Sum64String(n.Job+fmt.Sprint(seed))%10 < share }
 }
 
-// crashAny ends the life of a worker at times.
-func (b *simCell) crashAny(r *rand.Rand) {
+// maybeCrashWorker ends the life of a worker at times.
+func (b *simCell) maybeCrashWorker(r *rand.Rand) {
 	if r.IntN(12) > 0 {
 		return
 	}
