--- a/internal/entry/cell_test.go
+++ b/internal/entry/cell_test.go
@@ -21,9 +21,9 @@
 	"pollencroft/internal/store"
 )
 
-// settleTime bounds what a test waits for. It decides no verdict on a machine
-// that works at all: what is waited for takes a second or two.
-const settleTime = time.Minute
+// waitTimeout limits how long a test waits. It decides no result on a machine that works at all,
+// because what the tests wait for takes a second or two.
+const waitTimeout = time.Minute
 
 const (
 	callerHost = "jobs.example"
@@ -33,46 +33,46 @@
 const tableText = `{"version":%d,"routes":[{"name":"scan","host":"jobs.example","pathPrefix":"/scan/","service":"pass","priority":0,
 "maxAttempts":3,"stretch":1.5,"targetLatencyMs":250}%s],"services":[{"name":"pass"}],"limits":{"maxBodyBytes":20000}}`
 
-// cell is a few entry hosts, workers and the store on the loopback interface.
-type cell struct {
+// cluster is a few entry hosts, workers and the store on the loopback interface.
+type cluster struct {
 	t       *testing.T
 	log     *users.Log
-	oracle  *users.Oracle
+	checker *users.Oracle
 	workers []*users.Worker
-	hosts   map[string]*running
-	lines   *lines
-	// deadline is how long callers wait; zero is what is usual.
+	hosts   map[string]*testHost
+	logs    *logBuffer
+	// deadline is the deadline that callers send; if it is zero, they send none.
 	deadline time.Duration
 }
 
-type running struct {
+type testHost struct {
 	*entry.Host
 	cfg   entry.Settings
 	store *httptest.Server
 }
 
-// lines keeps what the hosts log.
-type lines struct {
+// logBuffer collects the log lines of the hosts.
+type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.Write(b)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.String()
 }
 
-func newCell(t *testing.T, hosts, workers int, work time.Duration) *cell {
-	c := &cell{t: t, log: users.NewLog(16, time.Now), oracle: users.NewOracle(), hosts: map[string]*running{}, lines: &lines{}}
+func newCluster(t *testing.T, hosts, workers int, work time.Duration) *cluster {
+	c := &cluster{t: t, log: users.NewLog(16, time.Now), checker: users.NewOracle(), hosts: map[string]*testHost{}, logs: &logBuffer{}}
 	for i := range workers {
-		w := users.NewWorker(fmt.Sprintf("w%d", i), work, c.oracle)
+		w := users.NewWorker(fmt.Sprintf("w%d", i), work, c.checker)
 		t.Cleanup(w.Close)
 		c.workers = append(c.workers, w)
 		c.log.Put("servers", w.ID, w.Entry("pass", fmt.Sprintf("zone%d", i%3)))
@@ -81,7 +81,7 @@
 	for i := range hosts {
 		c.start(fmt.Sprintf("h%d", i))
 	}
-	c.settled()
+	c.waitReady()
 	t.Cleanup(func() {
 		for _, h := range c.hosts {
 			h.Kill()
@@ -89,7 +89,7 @@
 			h.store.Close()
 		}
 		if t.Failed() {
-			t.Log(c.lines.String())
+			t.Log(c.logs.String())
 		}
 	})
 	return c
@@ -101,11 +101,11 @@
 	return addr
 }
 
-// start starts a host, or a new life of it at the same addresses.
-func (c *cell) start(name string, change ...func(*entry.Settings)) *running {
+// start starts a host, or a new incarnation of it at the same addresses.
+func (c *cluster) start(name string, change ...func(*entry.Settings)) *testHost {
 	r, ok := c.hosts[name]
 	if !ok {
-		r = &running{store: httptest.NewServer(c.log.Handler(func(*http.Request) string { return name }))}
+		r = &testHost{store: httptest.NewServer(c.log.Handler(func(*http.Request) string { return name }))}
 		r.cfg = entry.Settings{Name: name, Domain: "zone0", Store: addrOf(c.t, r.store), Parts: 16}
 		r.cfg.Listen.Caller, r.cfg.Listen.Ready, r.cfg.Listen.Peer = freePort(c.t), freePort(c.t), freePort(c.t)
 		r.cfg.Listen.Metrics = freePort(c.t)
@@ -117,7 +117,7 @@
 		}
 		c.hosts[name] = r
 	}
-	log := slog.New(slog.NewTextHandler(c.lines, nil)).With("host", name)
+	log := slog.New(slog.NewTextHandler(c.logs, nil)).With("host", name)
 	h, err := entry.New(r.cfg, log, time.Now)
 	require.NoError(c.t, err)
 	require.NoError(c.t, h.Start())
@@ -131,8 +131,8 @@
 	return a
 }
 
-// settled waits until one host leads and all are ready.
-func (c *cell) settled() {
+// waitReady waits until one host leads and all hosts are ready.
+func (c *cluster) waitReady() {
 	c.t.Helper()
 	require.Eventually(c.t, func() bool {
 		leads := 0
@@ -145,10 +145,10 @@
 			}
 		}
 		return leads == 1
-	}, settleTime, 20*time.Millisecond)
+	}, waitTimeout, 20*time.Millisecond)
 }
 
-func (c *cell) leader() *running {
+func (c *cluster) leader() *testHost {
 	for _, h := range c.hosts {
 		if h.Leading() {
 			return h
@@ -157,7 +157,7 @@
 	return nil
 }
 
-func (c *cell) follower() *running {
+func (c *cluster) follower() *testHost {
 	for _, h := range c.hosts {
 		if !h.Leading() {
 			return h
@@ -166,13 +166,13 @@
 	return nil
 }
 
-type answer struct {
+type response struct {
 	code   int
 	body   string
 	header http.Header
 }
 
-func (c *cell) call(addr netip.AddrPort, method, path, body string) answer {
+func (c *cluster) call(addr netip.AddrPort, method, path, body string) response {
 	req, err := http.NewRequestWithContext(c.t.Context(), method, "http://"+addr.String()+path, strings.NewReader(body))
 	require.NoError(c.t, err)
 	req.Host = callerHost
@@ -181,39 +181,39 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return answer{}
+		return response{}
 	}
 	defer resp.Body.Close()
 	b, _ := io.ReadAll(resp.Body)
-	return answer{code: resp.StatusCode, body: string(b), header: resp.Header}
+	return response{code: resp.StatusCode, body: string(b), header: resp.Header}
 }
 
-func (c *cell) get(addr netip.AddrPort, path string) (int, string) {
+func (c *cluster) get(addr netip.AddrPort, path string) (int, string) {
 	a := c.call(addr, http.MethodGet, path, "")
 	return a.code, a.body
 }
 
-func id(n int) string { return fmt.Sprintf("%016x", n) }
+func jobID(n int) string { return fmt.Sprintf("%016x", n) }
 
 const twoSteps = `{"spec":"text","steps":[{"count":4,"cpu":500,"memMb":256,"estimateMs":200},{"count":3,"cpu":500,"memMb":256,"estimateMs":200,"after":[0]}]}`
 
-func (c *cell) submit(h *running, n int) answer {
-	return c.call(h.cfg.Listen.Caller, http.MethodPost, prefix+id(n), twoSteps)
+func (c *cluster) submit(h *testHost, n int) response {
+	return c.call(h.cfg.Listen.Caller, http.MethodPost, prefix+jobID(n), twoSteps)
 }
 
-// finished waits until all jobs are shown as completed at that host.
-func (c *cell) finished(h *running, jobs int) {
+// waitCompleted waits until all jobs are shown as completed at a host.
+func (c *cluster) waitCompleted(h *testHost, jobs int) {
 	c.t.Helper()
 	for n := range jobs {
 		require.Eventually(c.t, func() bool {
-			_, body := c.get(h.cfg.Listen.Caller, prefix+id(n))
+			_, body := c.get(h.cfg.Listen.Caller, prefix+jobID(n))
 			return body == `{"state":"completed"}`
-		}, settleTime, 20*time.Millisecond, "job %d", n)
+		}, waitTimeout, 20*time.Millisecond, "job %d", n)
 	}
 }
 
-// members lists the hosts that stand ready to lead.
-func (c *cell) members() []string {
+// candidates lists the hosts in the candidate group.
+func (c *cluster) candidates() []string {
 	a, err := c.log.For("").Do(c.t.Context(), store.Call{Op: store.Owners, Group: "hosts"})
 	require.NoError(c.t, err)
 	var all []string
--- a/internal/entry/doubt_test.go
+++ b/internal/entry/doubt_test.go
@@ -18,7 +18,7 @@
 	claimKey   = "!"
 )
 
-// silentHost is the address of a host that takes connections and answers nothing.
+// silentHost returns the address of a host that accepts connections and never answers.
 func silentHost(t *testing.T) netip.AddrPort {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -26,64 +26,67 @@
 	return netip.MustParseAddrPort(ln.Addr().String())
 }
 
-// claimOf is the value of a host's claim.
+// claimOf returns the value of a host's claim.
 func claimOf(name string, addr netip.AddrPort) []byte {
 	return []byte(name + " " + addr.String() + " 1 1 1")
 }
 
-// doubted has a host doubt the lead c1, which claimed and stands still since; meanwhile something
-// is stored.
-func doubted(t *testing.T, meanwhile func(log *users.Log)) (works bool, lead string) {
+// checkStalledLeader makes a host check its leader c1, which has claimed and has been stalled
+// since. The function meanwhile stores something during the check. It returns whether the host
+// considers the leader alive, and which leader it follows afterwards.
+func checkStalledLeader(t *testing.T, meanwhile func(log *users.Log)) (works bool, leader string) {
 	log := users.NewLog(1, time.Now)
 	f := entry.NewFollower(t, slog.New(slog.DiscardHandler), "b1", nil, "", log.For("b1"), nil)
 	defer f.Stop()
 	c1 := silentHost(t)
 	log.Put(stateTopic, claimKey, claimOf("c1", c1))
-	f.LearnLead("c1", c1, 1)
-	// After the first look at what the lead stores; the answer of a young lead is waited for longer.
+	f.LearnLeader("c1", c1, 1)
+	// This is after the first read of what the leader has stored. The host waits longer than
+	// usual for the answer of a new leader.
 	timer := time.AfterFunc(400*time.Millisecond, func() { meanwhile(log) })
 	defer timer.Stop()
-	works = f.Doubt()
-	return works, f.LeadName()
+	works = f.LeaderAlive()
+	return works, f.LeaderName()
 }
 
-// Guards against another host's claim being taken for work of a lead that stands still.
+// Guards against another host's claim being taken for progress of a stalled leader.
 func TestAClaimOfAnotherHostIsNoWorkOfTheLead(t *testing.T) {
-	_, lead := doubted(t, func(log *users.Log) {
+	_, leader := checkStalledLeader(t, func(log *users.Log) {
 		log.Put(stateTopic, claimKey, claimOf("c2", silentHost(t)))
 	})
-	require.Equal(t, "c2", lead)
+	require.Equal(t, "c2", leader)
 }
 
-// Guards against a host's own failed claim being taken for work of the lead.
+// Guards against a host's own failed claim being taken for progress of the leader.
 func TestAHostsOwnClaimIsNoWorkOfTheLead(t *testing.T) {
-	works, lead := doubted(t, func(log *users.Log) {
+	works, leader := checkStalledLeader(t, func(log *users.Log) {
 		log.Put(stateTopic, claimKey, claimOf("b1", netip.MustParseAddrPort("127.0.0.1:1")))
 	})
 	require.False(t, works)
-	require.Equal(t, "c1", lead)
+	require.Equal(t, "c1", leader)
 }
 
-// The lead has claimed and is too slow to answer. What it stores shows that it works.
+// The leader has claimed and is too slow to answer. What it stores shows that it is alive.
 func TestWhatTheLeadStoresShowsThatItWorks(t *testing.T) {
-	works, lead := doubted(t, func(log *users.Log) {
+	works, leader := checkStalledLeader(t, func(log *users.Log) {
 		log.Put(stateTopic, "0001", []byte("{}"))
 	})
 	require.True(t, works)
-	require.Equal(t, "c1", lead)
+	require.Equal(t, "c1", leader)
 }
 
-// Guards against the last append of a lead that left being taken for work of its successor.
+// Guards against the last append of a leader that stepped down being taken for progress of its
+// successor.
 func TestWhatTheFormerLeadStoredIsNoWorkOfItsSuccessor(t *testing.T) {
 	log := users.NewLog(1, time.Now)
 	f := entry.NewFollower(t, slog.New(slog.DiscardHandler), "b1", nil, "", log.For("b1"), nil)
 	defer f.Stop()
-	former, next := silentHost(t), silentHost(t)
-	log.Put(stateTopic, claimKey, claimOf("c1", former))
-	f.LearnLead("c1", former, 1)
-	f.Know("c2", next.String())
-	f.Follow("c2")
+	previous, next := silentHost(t), silentHost(t)
+	log.Put(stateTopic, claimKey, claimOf("c1", previous))
+	f.LearnLeader("c1", previous, 1)
+	f.SetPeerAddr("c2", next.String())
+	f.SetLeaderName("c2")
 	timer := time.AfterFunc(400*time.Millisecond, func() { log.Put(stateTopic, "0001", []byte("{}")) })
 	defer timer.Stop()
-	require.False(t, f.Doubt())
+	require.False(t, f.LeaderAlive())
 }
--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -65,7 +65,7 @@
 				task.Run, task.Worker, task.Saved = 2, "w", "cp"
 				task.Move(flow.Assign, now)
 			case 2:
-				task.Run, task.Fails = 1, 1
+				task.Run, task.Failures = 1, 1
 				task.Move(flow.Finish, now)
 				task.Step.Done++
 			}
@@ -79,7 +79,7 @@
 		require.Equal(t, j.Number, got.Number)
 		j.Tasks(func(task *flow.Task) {
 			o := got.Task(task.Name)
-			require.Equal(t, []any{task.Run, task.Fails}, []any{o.Run, o.Fails})
+			require.Equal(t, []any{task.Run, task.Failures}, []any{o.Run, o.Failures})
 			switch task.State {
 			case flow.Assigned:
 				require.Equal(t, flow.Inherited, o.State)
@@ -127,7 +127,7 @@
 	b, ok := end(flow.Step{Tasks: 1}, done)
 	require.True(t, ok)
 	require.Less(t, len(b), 100, string(b))
-	_, ok = end(flow.Step{Tasks: 1, Copies: true}, done)
+	_, ok = end(flow.Step{Tasks: 1, AllowCopies: true}, done)
 	require.False(t, ok, "a copy of it may still run")
 	_, ok = end(flow.Step{Tasks: 1}, func(j *flow.Job, _ *flow.Task) { j.State, j.Ended = flow.Cancelled, now })
 	require.False(t, ok, "its run has to be stopped")
--- a/internal/flow/record.go
+++ b/internal/flow/record.go
@@ -85,7 +85,7 @@
 	rec := record{Version: v, State: j.State, Began: j.Began.UnixMilli(), Number: j.Number, Next: j.Next}
 	if j.State.Final() {
 		rec.Ended = j.Ended.UnixMilli()
-		rec.Strays = slices.ContainsFunc(j.Spec.Steps, func(s Step) bool { return s.Copies })
+		rec.Strays = slices.ContainsFunc(j.Spec.Steps, func(s Step) bool { return s.AllowCopies })
 	}
 	for _, n := range slices.Sorted(maps.Keys(j.Rounds)) {
 		rr := roundRecord{Index: n}
@@ -105,7 +105,7 @@
 
 // anyOut tells whether a run of the step may be at a worker.
 func (s *Stage) anyOut() bool {
-	return slices.ContainsFunc(s.Tasks, func(t *Task) bool { return t.Out() })
+	return slices.ContainsFunc(s.Tasks, func(t *Task) bool { return t.MayBeRunning() })
 }
 
 func (s *Stage) records() []taskRecord {
@@ -114,11 +114,11 @@
 		if t.Run == 0 && t.State != Done {
 			continue
 		}
-		tr := taskRecord{Index: i, Done: t.State == Done, Run: t.Run, Fails: t.Fails}
+		tr := taskRecord{Index: i, Done: t.State == Done, Run: t.Run, Fails: t.Failures}
 		if t.State != Done {
 			tr.Saved, tr.Crashed, tr.Lost = t.Saved, t.Crashed, t.Lost
 		}
-		if t.Out() {
+		if t.MayBeRunning() {
 			tr.Worker = t.Worker
 		}
 		all = append(all, tr)
@@ -185,7 +185,7 @@
 }
 
 func (t *Task) restore(tr taskRecord, now time.Time) {
-	t.Run, t.Fails, t.Saved = tr.Run, tr.Fails, tr.Saved
+	t.Run, t.Failures, t.Saved = tr.Run, tr.Fails, tr.Saved
 	t.Crashed, t.Lost = tr.Crashed, tr.Lost
 	t.Step.weigh()
 	switch {
--- a/internal/flow/spec.go
+++ b/internal/flow/spec.go
@@ -44,49 +44,49 @@
 type Advice struct {
 	// Base and Each are how long the service takes for a question and for each
 	// worker that it names.
-	Base time.Duration `json:"base"`
-	Each time.Duration `json:"each"`
+	Base      time.Duration `json:"base"`
+	PerWorker time.Duration `json:"each"`
 	// Valid is how long a ticket holds.
 	Valid time.Duration `json:"valid"`
 }
 
 // Cost is how long a question about n workers takes.
-func (a Advice) Cost(n int) time.Duration { return a.Base + time.Duration(n)*a.Each }
+func (a Advice) Cost(n int) time.Duration { return a.Base + time.Duration(n)*a.PerWorker }
 
 // Step is a set of like tasks.
 type Step struct {
 	Tasks int       `json:"tasks"`
 	Size  cell.Size `json:"size"`
-	// Time is the caller's rough estimate of one task.
-	Time time.Duration `json:"time,omitempty"`
+	// EstimatedTime is the caller's rough estimate of one task.
+	EstimatedTime time.Duration `json:"time,omitempty"`
 	// After are the steps that must be done first.
 	After []int `json:"after,omitempty"`
-	// Saves tells that tasks checkpoint their progress.
-	Saves bool `json:"saves,omitempty"`
+	// Checkpoints tells that tasks checkpoint their progress.
+	Checkpoints bool `json:"saves,omitempty"`
 	// Gang tells that all tasks run together or not at all.
 	Gang     bool `json:"gang,omitempty"`
 	SameRack bool `json:"samerack,omitempty"`
-	// Copies tells that copies of a task may run beside each other.
-	Copies bool `json:"copies,omitempty"`
-	// Lasts tells that the tasks run until the job is cancelled.
-	Lasts bool `json:"lasts,omitempty"`
+	// AllowCopies tells that copies of a task may run beside each other.
+	AllowCopies bool `json:"copies,omitempty"`
+	// LongRunning tells that the tasks run until the job is cancelled.
+	LongRunning bool `json:"lasts,omitempty"`
 	// Label is one that the worker must have; Near the rack of the data.
-	Label string `json:"label,omitempty"`
-	Near  string `json:"near,omitempty"`
-	// Apart is the most tasks of the step on one worker; zero is no limit.
-	Apart int    `json:"apart,omitempty"`
-	Image string `json:"image,omitempty"`
-	// Target bounds the tail of the response times of a lasting task.
-	Target time.Duration `json:"target,omitempty"`
-	// Fills tells that the tasks take only processor time that others leave.
-	Fills bool `json:"fills,omitempty"`
-	// MayMiss is how many lasting tasks the system may stop at a time.
-	MayMiss int `json:"maymiss,omitempty"`
+	Label    string `json:"label,omitempty"`
+	NearRack string `json:"near,omitempty"`
+	// MaxPerWorker is the most tasks of the step on one worker; zero is no limit.
+	MaxPerWorker int    `json:"apart,omitempty"`
+	Image        string `json:"image,omitempty"`
+	// LatencyTarget bounds the tail of the response times of a lasting task.
+	LatencyTarget time.Duration `json:"target,omitempty"`
+	// BestEffort tells that the tasks take only processor time that others leave.
+	BestEffort bool `json:"fills,omitempty"`
+	// MaxUnavailable is how many lasting tasks the system may stop at a time.
+	MaxUnavailable int `json:"maymiss,omitempty"`
 }
 
-// Room is what one task takes of a worker's size.
-func (s Step) Room() cell.Size {
-	if s.Fills {
+// Demand is what one task takes of a worker's size.
+func (s Step) Demand() cell.Size {
+	if s.BestEffort {
 		return cell.Size{Mem: s.Size.Mem, Accel: s.Size.Accel}
 	}
 	return s.Size
@@ -140,7 +140,7 @@
 	if s.Size.CPU < 0 || s.Size.Mem < 0 || s.Size.Accel < 0 {
 		return bad("size", min(s.Size.CPU, s.Size.Mem, s.Size.Accel), "0 or more")
 	}
-	if s.Time < 0 || s.Target < 0 || s.Apart < 0 || s.MayMiss < 0 {
+	if s.EstimatedTime < 0 || s.LatencyTarget < 0 || s.MaxPerWorker < 0 || s.MaxUnavailable < 0 {
 		return bad("limits", -1, "0 or more")
 	}
 	for _, a := range s.After {
--- a/internal/host/beat.go
+++ b/internal/host/beat.go
@@ -22,10 +22,10 @@
 func (h *Host) beatAll() {
 	near, far := h.peersByDomain()
 	for _, name := range near {
-		h.wg.Go(func() { h.beat(name, member.Near(len(near))) })
+		h.wg.Go(func() { h.beat(name, member.NearPeriod(len(near))) })
 	}
-	h.beatTo(near, member.Near(len(near)))
-	h.beatTo(far, member.Far(len(far)))
+	h.beatTo(near, member.NearPeriod(len(near)))
+	h.beatTo(far, member.FarPeriod(len(far)))
 }
 
 func (h *Host) peersByDomain() (near, far []string) {
@@ -64,27 +64,27 @@
 	now := h.clock()
 	h.mu.Lock()
 	h.beats++
-	b := member.Beat{
-		Name: h.cfg.Name, Incarnation: h.incarnation, Seq: h.beats, Next: h.table.Wants(), Mark: uint32(h.table.Mark()),
-		Free: free, Queued: waiting, Leaving: !h.Ready(), Ack: h.members.Hears(now, name), Period: cell.Duration{Duration: period},
+	b := member.Heartbeat{
+		Name: h.cfg.Name, Incarnation: h.incarnation, Seq: h.beats, Next: h.table.Wants(), Digest: uint32(h.table.Mark()),
+		FreeSlots: free, Queued: waiting, Leaving: !h.Ready(), Ack: h.members.HearsFrom(now, name), Period: cell.Duration{Duration: period},
 	}
 	h.mu.Unlock()
 	ctx, cancel := context.WithTimeout(h.ctx, beatWait)
 	defer cancel()
-	err := h.peers.Tell(ctx, name, peer.Beat{Beat: b})
+	err := h.peers.Tell(ctx, name, peer.Beat{Heartbeat: b})
 	if errors.As(err, new(*peer.UnreachedError)) {
-		h.member(member.Failed{Name: name})
+		h.member(member.SendFailed{Name: name})
 	}
 }
 
 // heard takes a peer's heartbeat. Hosts that the settings do not name are not
 // known and not counted.
-func (h *Host) heard(b member.Beat) (any, error) {
+func (h *Host) heard(b member.Heartbeat) (any, error) {
 	for _, p := range h.cfg.Peers {
 		if p.Name == b.Name {
 			b.Domain = p.Domain
 			h.compare(b)
-			h.member(member.Heard{Beat: b})
+			h.member(member.HeartbeatReceived{Beat: b})
 			h.greet(b)
 			return nil, nil
 		}
@@ -96,14 +96,14 @@
 // greet answers a peer that does not hear this host yet at once. Two hosts that
 // have just started would otherwise need two periods to know each other, and
 // hand each other's jobs over only then.
-func (h *Host) greet(b member.Beat) {
+func (h *Host) greet(b member.Heartbeat) {
 	if b.Ack || h.ctx.Err() != nil {
 		return
 	}
 	near, far := h.peersByDomain()
-	period := member.Far(len(far))
+	period := member.FarPeriod(len(far))
 	if slices.Contains(near, b.Name) {
-		period = member.Near(len(near))
+		period = member.NearPeriod(len(near))
 	}
 	h.wg.Go(func() { h.beat(b.Name, period) })
 }
--- a/internal/measure/takeover.go
+++ b/internal/measure/takeover.go
@@ -133,7 +133,7 @@
 		racks = append(racks, fmt.Sprintf("r%d", i))
 	}
 	if !r.OneLead {
-		return member.Share(racks, r.live)
+		return member.AssignEvenly(racks, r.live)
 	}
 	all := map[string]string{}
 	for _, rack := range racks {
@@ -241,7 +241,7 @@
 		if since > giveUp {
 			break
 		}
-		if !suspected && since > member.SilentAfter {
+		if !suspected && since > member.SilenceTimeout {
 			suspected = true
 			r.live = slices.DeleteFunc(r.live, func(n string) bool { return n == dead.name })
 			r.rank()
--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -40,7 +40,7 @@
 	for i := range 2 + r.IntN(3) {
 		q := flow.Queue{Name: fmt.Sprintf("q%d", i), Service: "pass", Rank: i, Attempts: 20, Stretch: 1.5 + 3*r.Float64(), Slack: around(r, time.Second)}
 		if r.IntN(4) > 0 {
-			q.Advice = &flow.Advice{Base: around(r, time.Duration(1+i)*100*time.Millisecond), Each: around(r, 3*time.Millisecond), Valid: 2 * time.Second}
+			q.Advice = &flow.Advice{Base: around(r, time.Duration(1+i)*100*time.Millisecond), PerWorker: around(r, 3*time.Millisecond), Valid: 2 * time.Second}
 		}
 		d.queues = append(d.queues, q)
 	}
@@ -59,8 +59,8 @@
 func (d *randomCell) randomStep(r *rand.Rand) flow.Step {
 	parts := int64(1) << r.IntN(4)
 	st := flow.Step{
-		Tasks: 1 + r.IntN(8), Size: cell.Size{CPU: d.size.CPU / parts, Mem: 8 << 30}, Time: around(r, 2*time.Second),
-		Saves: r.IntN(2) == 0,
+		Tasks: 1 + r.IntN(8), Size: cell.Size{CPU: d.size.CPU / parts, Mem: 8 << 30}, EstimatedTime: around(r, 2*time.Second),
+		Checkpoints: r.IntN(2) == 0,
 	}
 	if d.size.Accel > 0 && r.IntN(2) == 0 {
 		st.Size.Accel = max(d.size.Accel/parts, 1)
@@ -132,9 +132,9 @@
 		}
 		used, whole = used.Add(w.used()), whole.Add(w.info.Size)
 		free := w.info.Size.Sub(w.used())
-		need := step.Room().Times(2)
+		need := step.Demand().Times(2)
 		if step.Gang {
-			need = step.Room().Times(float64(step.Tasks))
+			need = step.Demand().Times(float64(step.Tasks))
 		}
 		advised := d.specs[id].Queue.Advice == nil || d.allows(id+".0.0", w.info.Incarnation)
 		room = room || advised && need.Fits(free)
--- a/internal/sched/gpu_test.go
+++ b/internal/sched/gpu_test.go
@@ -27,11 +27,11 @@
 	b.queues = []flow.Queue{
 		{
 			Name: "render", Service: "pass", Rank: 1, Attempts: 3, Stretch: 2.2, Slack: time.Second,
-			Advice: &flow.Advice{Base: 490 * time.Millisecond, Each: 7 * time.Millisecond, Valid: 2 * time.Second},
+			Advice: &flow.Advice{Base: 490 * time.Millisecond, PerWorker: 7 * time.Millisecond, Valid: 2 * time.Second},
 		},
 		{
 			Name: "size", Service: "pass", Rank: 2, Attempts: 3, Stretch: 4, Slack: 3 * time.Second,
-			Advice: &flow.Advice{Base: 140 * time.Millisecond, Each: 2 * time.Millisecond, Valid: 2 * time.Second},
+			Advice: &flow.Advice{Base: 140 * time.Millisecond, PerWorker: 2 * time.Millisecond, Valid: 2 * time.Second},
 		},
 	}
 	b.step(sched.Queues{Version: 2, All: b.queues})
@@ -42,11 +42,11 @@
 }
 
 func render(members int, gpus int64) flow.Step {
-	return flow.Step{Tasks: members, Size: cell.Size{CPU: 62_000, Mem: 180 << 30, Accel: gpus}, Time: 3600 * time.Millisecond, Gang: true, Saves: true}
+	return flow.Step{Tasks: members, Size: cell.Size{CPU: 62_000, Mem: 180 << 30, Accel: gpus}, EstimatedTime: 3600 * time.Millisecond, Gang: true, Checkpoints: true}
 }
 
 func size(tasks int) flow.Step {
-	return flow.Step{Tasks: tasks, Size: cell.Size{CPU: 11_000, Mem: 33 << 30, Accel: 1}, Time: 3800 * time.Millisecond, Saves: true}
+	return flow.Step{Tasks: tasks, Size: cell.Size{CPU: 11_000, Mem: 33 << 30, Accel: 1}, EstimatedTime: 3800 * time.Millisecond, Checkpoints: true}
 }
 
 // Gangs wait for whole workers that the policy service allows them, and there are more
@@ -98,7 +98,7 @@
 		b.submit(fmt.Sprintf("gang%d", i), "render", render(1, 8))
 	}
 	question := b.queues[0].Advice.Cost(1)
-	b.advance(gangs*render(1, 8).Time + 2*question)
+	b.advance(gangs*render(1, 8).EstimatedTime + 2*question)
 	for i := range gangs {
 		require.Equal(t, flow.Completed, b.state(fmt.Sprintf("gang%d", i)))
 	}
@@ -120,7 +120,7 @@
 	b = gpuBench(t, 13)
 	b.queues = append(b.queues, flow.Queue{
 		Name: "scan", Service: "pass", Attempts: 3, Stretch: 1.5, Slack: 250 * time.Millisecond,
-		Advice: &flow.Advice{Base: 12 * time.Millisecond, Each: 180 * time.Microsecond, Valid: 2 * time.Second},
+		Advice: &flow.Advice{Base: 12 * time.Millisecond, PerWorker: 180 * time.Microsecond, Valid: 2 * time.Second},
 	})
 	b.step(sched.Queues{Version: 3, All: b.queues})
 	b.step(sched.Hosts{Names: []string{"h1", "h2", "h3", "h4", "h5", "h6", "h7", "h8", "h9"}})
@@ -177,7 +177,7 @@
 // caller was promised, since what is given back on its worker is held for it.
 func TestRoomIsHeldForAWideTask(t *testing.T) {
 	single := size(1)
-	single.Saves = false
+	single.Checkpoints = false
 	// 2.2 times its work and a second.
 	require.Less(t, flood(t, single), 8900*time.Millisecond)
 }
@@ -186,7 +186,7 @@
 // is more urgent and does not wait for them: it begins after its question and the stops.
 func TestBulkGivesWayToMoreUrgentTasks(t *testing.T) {
 	question, stop := 560*time.Millisecond, time.Second
-	require.Less(t, flood(t, size(1)), question+stop+wide().Time)
+	require.Less(t, flood(t, size(1)), question+stop+wide().EstimatedTime)
 }
 
 func jobOf(step string) string {
@@ -200,7 +200,7 @@
 func TestAStepTellsWhatItWaitsFor(t *testing.T) {
 	b := gpuBench(t, 1)
 	long := wide()
-	long.Time, long.Saves = 8*time.Second, false
+	long.EstimatedTime, long.Checkpoints = 8*time.Second, false
 	b.submit("first", "render", long)
 	b.advance(time.Second)
 	require.Len(t, b.stepWaits, 1)
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -42,7 +42,7 @@
 // time for a step.
 func TestAdviceIsAskedBeforeAStart(t *testing.T) {
 	b := newSimCell(t, 12)
-	b.queues[0].Advice = &flow.Advice{Base: 24 * time.Millisecond, Each: 340 * time.Microsecond, Valid: 2500 * time.Millisecond}
+	b.queues[0].Advice = &flow.Advice{Base: 24 * time.Millisecond, PerWorker: 340 * time.Microsecond, Valid: 2500 * time.Millisecond}
 	b.step(sched.Queues{Version: 2, All: b.queues})
 	b.allows = func(_, worker string) bool { return worker >= "w06" }
 	b.submit("a", "scan", scan(6))
@@ -73,8 +73,8 @@
 // nears its bound they are held back, and let go again once it is calm.
 func TestFillingTasksAreHeldBackBesideATaskThatServes(t *testing.T) {
 	b := newSimCell(t, 1)
-	serve := flow.Step{Tasks: 1, Size: cell.Size{CPU: 20_000, Mem: 8 << 30}, Lasts: true, Target: 100 * time.Millisecond}
-	fill := flow.Step{Tasks: 2, Size: cell.Size{CPU: 10_000, Mem: 8 << 30}, Time: time.Minute, Fills: true}
+	serve := flow.Step{Tasks: 1, Size: cell.Size{CPU: 20_000, Mem: 8 << 30}, LongRunning: true, LatencyTarget: 100 * time.Millisecond}
+	fill := flow.Step{Tasks: 2, Size: cell.Size{CPU: 10_000, Mem: 8 << 30}, EstimatedTime: time.Minute, BestEffort: true}
 	b.submit("serve", "scan", serve)
 	b.submit("fill", "print", fill)
 	b.advance(time.Second)
@@ -83,7 +83,7 @@
 		ev := sched.HoldReply{Worker: "w00", Probe: true, Sent: b.now, Received: b.now, Clock: b.now}
 		for n, r := range b.workers["w00"].runs {
 			l := sched.RunStatus{Task: n, Run: r.run, Percent: 100}
-			if r.step.Target > 0 {
+			if r.step.LatencyTarget > 0 {
 				l.Metric = ms
 			}
 			ev.Running = append(ev.Running, l)
@@ -107,12 +107,12 @@
 	b.copies = true
 	b.advance(100 * time.Millisecond)
 	step := scan(8)
-	step.Copies = true
+	step.AllowCopies = true
 	b.submit("a", "scan", step)
 	b.advance(50 * time.Millisecond)
 	b.storeDown = true
 	next := scan(8)
-	next.Copies = true
+	next.AllowCopies = true
 	b.submit("b", "scan", next)
 	b.advance(200 * time.Millisecond)
 	started := 0
@@ -141,7 +141,7 @@
 	b.copies = true
 	b.advance(100 * time.Millisecond)
 	step := scan(tasks)
-	step.Copies, step.Time = true, work
+	step.AllowCopies, step.EstimatedTime = true, work
 	b.submit("a", "scan", step)
 	b.advance(300 * time.Millisecond)
 	cut := slices.MaxFunc(b.sortedWorkers(), func(x, y *fakeWorker) int { return len(x.runs) - len(y.runs) })
@@ -229,7 +229,7 @@
 	b.advance(100 * time.Millisecond)
 	b.storeDown = true
 	step := scan(8)
-	step.Copies, step.Time = true, 3*time.Second
+	step.AllowCopies, step.EstimatedTime = true, 3*time.Second
 	b.submit("a", "scan", step)
 	b.advance(200 * time.Millisecond)
 	require.Equal(t, 8, total(b.starts))
@@ -295,7 +295,7 @@
 // 700,000 looks a pass it would.
 func BenchmarkPassOverABacklog(b *testing.B) {
 	c := newSimCell(&testing.T{}, 350)
-	c.queues[1].Advice = &flow.Advice{Base: 370 * time.Millisecond, Each: 5 * time.Millisecond, Valid: 2500 * time.Millisecond}
+	c.queues[1].Advice = &flow.Advice{Base: 370 * time.Millisecond, PerWorker: 5 * time.Millisecond, Valid: 2500 * time.Millisecond}
 	c.step(sched.Queues{Version: 2, All: c.queues})
 	c.allows = func(string, string) bool { return false }
 	for i := range 2000 {
@@ -364,7 +364,7 @@
 // when other hosts are heard of.
 func TestQuestionsWaitForAHostThatIsFree(t *testing.T) {
 	b := newSimCell(t, 24)
-	b.queues[0].Advice = &flow.Advice{Base: 30 * time.Millisecond, Each: 300 * time.Microsecond, Valid: 2500 * time.Millisecond}
+	b.queues[0].Advice = &flow.Advice{Base: 30 * time.Millisecond, PerWorker: 300 * time.Microsecond, Valid: 2500 * time.Millisecond}
 	b.step(sched.Queues{Version: 2, All: b.queues})
 	b.step(sched.Hosts{Names: []string{"h1"}})
 	for i := range 40 {
@@ -422,7 +422,7 @@
 	b.advance(100 * time.Millisecond)
 	b.storeDown = true
 	step := scan(1)
-	step.Copies = true
+	step.AllowCopies = true
 	b.submit("a", "scan", step)
 	b.advance(4 * time.Second)
 	require.Equal(t, 3, total(b.starts))
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -267,7 +267,7 @@
 func TestAWorkerThatLeavesIsEmptied(t *testing.T) {
 	b := newSimCell(t, 2)
 	lasts := scan(8)
-	lasts.Lasts = true
+	lasts.LongRunning = true
 	b.submit("watch", "scan", lasts)
 	b.advance(time.Second)
 	leaving := b.workers["w00"]
@@ -284,11 +284,11 @@
 func TestAGangStartsWholeOrNotAtAll(t *testing.T) {
 	b := newSimCell(t, 2)
 	filler := scan(1)
-	filler.Size.CPU, filler.Time = 60_000, 3*time.Second
+	filler.Size.CPU, filler.EstimatedTime = 60_000, 3*time.Second
 	b.submit("first", "scan", filler)
 	b.advance(200 * time.Millisecond)
 	gang := bulk(8)
-	gang.Gang, gang.Saves = true, false
+	gang.Gang, gang.Checkpoints = true, false
 	b.submit("gang", "print", gang)
 	b.advance(2 * time.Second)
 	require.Equal(t, 1, total(b.starts), "there is room for five members only")
@@ -347,7 +347,7 @@
 	b := newSimCell(t, 1)
 	for _, id := range []string{"a", "b"} {
 		gang := bulk(5)
-		gang.Gang, gang.Saves, gang.Time = true, false, time.Second
+		gang.Gang, gang.Checkpoints, gang.EstimatedTime = true, false, time.Second
 		b.submit(id, "print", gang)
 	}
 	b.advance(3 * time.Second)
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -81,8 +81,8 @@
 		return
 	}
 	w.tasks[t.Name] = t
-	w.used = w.used.Add(t.Spec().Room())
-	if t.Spec().Fills {
+	w.used = w.used.Add(t.Spec().Demand())
+	if t.Spec().BestEffort {
 		w.fillCPU += t.Spec().Size.CPU
 	}
 }
@@ -92,8 +92,8 @@
 		return
 	}
 	delete(w.tasks, t.Name)
-	w.used = w.used.Sub(t.Spec().Room())
-	if t.Spec().Fills {
+	w.used = w.used.Sub(t.Spec().Demand())
+	if t.Spec().BestEffort {
 		w.fillCPU -= t.Spec().Size.CPU
 	}
 }
@@ -158,9 +158,9 @@
 		}
 		st := t.Spec()
 		switch {
-		case st.Lasts:
+		case st.LongRunning:
 			s.stopRun(t, "worker leaves")
-		case st.Saves && s.now.Add(s.limits.StopGrace).After(w.leavesAt):
+		case st.Checkpoints && s.now.Add(s.limits.StopGrace).After(w.leavesAt):
 			s.stopRun(t, "worker leaves")
 		}
 	}
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -88,7 +88,7 @@
 func (w *fakeWorker) used() cell.Size {
 	var sum cell.Size
 	for _, r := range w.runs {
-		sum = sum.Add(r.step.Room())
+		sum = sum.Add(r.step.Demand())
 	}
 	return sum
 }
@@ -150,7 +150,7 @@
 		w.b.lateStarts[a.Task]++
 	}
 	st := w.spec(a.Task)
-	r := &fakeRun{run: a.Run, began: w.b.now, ends: w.b.now.Add(time.Duration(float64(st.Time) * w.slowdown)), step: st}
+	r := &fakeRun{run: a.Run, began: w.b.now, ends: w.b.now.Add(time.Duration(float64(st.EstimatedTime) * w.slowdown)), step: st}
 	w.runs[a.Task] = r
 	if a.Deadline.After(w.deadline) {
 		w.deadline = a.Deadline
@@ -162,7 +162,7 @@
 	if w.b.crashesWorker != nil && w.b.crashesWorker(a.Task) {
 		w.b.after(crashAfter, func() { w.crash(a.Task, r) })
 	}
-	if !st.Lasts && !w.stalled {
+	if !st.LongRunning && !w.stalled {
 		w.b.after(r.ends.Sub(w.b.now), func() { w.finish(a.Task, r) })
 	}
 	return sched.Accepted
@@ -355,7 +355,7 @@
 	for _, n := range slices.SortedFunc(maps.Keys(w.runs), func(x, y flow.Name) int { return strings.Compare(x.String(), y.String()) }) {
 		r := w.runs[n]
 		l := sched.RunStatus{Task: n, Run: r.run, Percent: 100}
-		if !r.step.Lasts && r.step.Time > 0 && !w.stalled {
+		if !r.step.LongRunning && r.step.EstimatedTime > 0 && !w.stalled {
 			l.Percent = int(100 * w.b.now.Sub(r.began) / r.ends.Sub(r.began))
 		}
 		if w.stalled {
