--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -39,7 +39,7 @@
 	require.Len(t, j.Begin(now.Add(2*time.Second)), 2)
 	finish := func(round int) {
 		task := j.Task(flow.Name{Job: "a", Round: round})
-		require.True(t, task.Move(flow.Finish, now))
+		require.True(t, task.Transition(flow.Finish, now))
 		task.Step.Done++
 		j.Settle(now)
 	}
@@ -62,11 +62,11 @@
 		j.Tasks(func(task *flow.Task) {
 			switch rapid.IntRange(0, 2).Draw(t, "state") {
 			case 1:
-				task.Run, task.Worker, task.Saved = 2, "w", "cp"
-				task.Move(flow.Assign, now)
+				task.Run, task.Worker, task.Checkpoint = 2, "w", "cp"
+				task.Transition(flow.Assign, now)
 			case 2:
 				task.Run, task.Failures = 1, 1
-				task.Move(flow.Finish, now)
+				task.Transition(flow.Finish, now)
 				task.Step.Done++
 			}
 		})
@@ -83,7 +83,7 @@
 			switch task.State {
 			case flow.Assigned:
 				require.Equal(t, flow.Inherited, o.State)
-				require.Equal(t, []string{"w", "cp"}, []string{o.Worker, o.Saved})
+				require.Equal(t, []string{"w", "cp"}, []string{o.Worker, o.Checkpoint})
 			default:
 				require.Equal(t, task.State, o.State)
 			}
@@ -106,21 +106,21 @@
 		j.Begin(now)
 		task := j.Task(flow.Name{Job: "a"})
 		task.Worker, task.Run = "w", 1
-		require.True(t, task.Move(flow.Assign, now))
-		require.True(t, task.Move(flow.Send, now))
+		require.True(t, task.Transition(flow.Assign, now))
+		require.True(t, task.Transition(flow.Send, now))
 		how(j, task)
 		b := j.Record(flow.Version{Term: 3, Append: 4})
 		got, ok := flow.RestoreEnded("a", b)
 		if ok {
 			require.Equal(t, j.State, got.State)
-			require.Equal(t, j.State, got.Shown)
+			require.Equal(t, j.State, got.Published)
 			require.Equal(t, int64(7), got.Number)
 			require.Equal(t, j.Ended, got.Ended)
 		}
 		return b, ok
 	}
 	done := func(j *flow.Job, task *flow.Task) {
-		require.True(t, task.Move(flow.Finish, now))
+		require.True(t, task.Transition(flow.Finish, now))
 		task.Step.Done++
 		j.Settle(now)
 	}
--- a/internal/flow/record.go
+++ b/internal/flow/record.go
@@ -116,7 +116,7 @@
 		}
 		tr := taskRecord{Index: i, Done: t.State == Done, Run: t.Run, Fails: t.Failures}
 		if t.State != Done {
-			tr.Saved, tr.Crashed, tr.Lost = t.Saved, t.Crashed, t.Lost
+			tr.Saved, tr.Crashed, tr.Lost = t.Checkpoint, t.Crashed, t.Lost
 		}
 		if t.MayBeRunning() {
 			tr.Worker = t.Worker
@@ -135,7 +135,7 @@
 		return nil, false
 	}
 	j := New(Spec{ID: id}, rec.Number, time.UnixMilli(rec.Began))
-	j.Next, j.State, j.Shown, j.Ended = rec.Next, rec.State, rec.State, time.UnixMilli(rec.Ended)
+	j.Next, j.State, j.Published, j.Ended = rec.Next, rec.State, rec.State, time.UnixMilli(rec.Ended)
 	return j, true
 }
 
@@ -164,7 +164,7 @@
 	for _, rr := range rec.Rounds {
 		j.open(rr.Index, now).restore(rr, now)
 	}
-	j.State, j.Shown = rec.State, rec.State
+	j.State, j.Published = rec.State, rec.State
 	if rec.State.Final() {
 		j.Ended = time.UnixMilli(rec.Ended)
 	}
@@ -185,7 +185,7 @@
 }
 
 func (t *Task) restore(tr taskRecord, now time.Time) {
-	t.Run, t.Failures, t.Saved = tr.Run, tr.Fails, tr.Saved
+	t.Run, t.Failures, t.Checkpoint = tr.Run, tr.Fails, tr.Saved
 	t.Crashed, t.Lost = tr.Crashed, tr.Lost
 	t.Step.weigh()
 	switch {
@@ -194,6 +194,6 @@
 		t.Step.Done++
 	case tr.Worker != "":
 		t.Worker = tr.Worker
-		t.Move(adopt, now)
+		t.Transition(adopt, now)
 	}
 }
