--- a/internal/sched/crash_cells_test.go
+++ b/internal/sched/crash_cells_test.go
@@ -16,11 +16,11 @@
 	for seed := range uint64(25) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			r := rand.New(rand.NewPCG(seed, 7))
-			b := newBench(t, 6+r.IntN(8))
+			b := newSimCell(t, 6+r.IntN(8))
 			b.copies = r.IntN(2) == 0
 			b.badJobs("bad0", "bad1")
-			b.away = time.Duration(r.IntN(3000)) * time.Millisecond
-			b.play(time.Duration(r.IntN(1000)) * time.Millisecond)
+			b.restartExtra = time.Duration(r.IntN(3000)) * time.Millisecond
+			b.advance(time.Duration(r.IntN(1000)) * time.Millisecond)
 			bad := scan(3)
 			bad.AllowCopies = b.copies
 			at := []int{r.IntN(20), r.IntN(20)}
@@ -34,17 +34,17 @@
 				st.AllowCopies = b.copies && i%2 == 0
 				st.EstimatedTime = around(r, 2*time.Second)
 				b.submit(fmt.Sprintf("good%02d", i), "scan", st, scan(2))
-				b.play(time.Duration(r.IntN(300)) * time.Millisecond)
+				b.advance(time.Duration(r.IntN(300)) * time.Millisecond)
 			}
-			b.play(60 * time.Second)
+			b.advance(60 * time.Second)
 			b.requireGivenUp("bad0")
 			b.requireGivenUp("bad1")
 			for i := range 20 {
 				id := fmt.Sprintf("good%02d", i)
 				require.Equal(t, flow.Completed, b.state(id), id)
 			}
-			require.LessOrEqual(t, b.lives, 18)
-			require.Empty(t, b.wrongs)
+			require.LessOrEqual(t, b.endedIncarnations, 18)
+			require.Empty(t, b.violations)
 		})
 	}
 }
--- a/internal/sched/grown_test.go
+++ b/internal/sched/grown_test.go
@@ -66,8 +66,8 @@
 }
 
 // newFirm is the cell of such a firm.
-func newFirm(t *testing.T, kinds []kind) *cellBench {
-	b := newBench(t, 0)
+func newFirm(t *testing.T, kinds []kind) *simCell {
+	b := newSimCell(t, 0)
 	for i := range 350 {
 		w := b.addWorker(fmt.Sprintf("w%03d", i), i)
 		w.info.Service, w.info.Size = "desk", cell.Size{CPU: 64_000, Mem: 256 << 30}
@@ -88,18 +88,18 @@
 		hosts = append(hosts, fmt.Sprintf("h%02d", i))
 	}
 	b.step(sched.Hosts{Names: hosts})
-	b.policy = func(step, worker string) bool {
+	b.allows = func(step, worker string) bool {
 		share := good[b.specs[jobOf(step)].Queue.Name]
 		return float64(xxhash.Sum64String(step+worker)%1000) < 1000*share
 	}
-	b.policyTime = func(a sched.QueryPolicy) time.Duration {
+	b.queryTime = func(a sched.QueryPolicy) time.Duration {
 		return b.specs[jobOf(a.Step)].Queue.Advice.Cost(len(a.Workers))
 	}
 	return b
 }
 
 // come hands in what comes in d.
-func (b *cellBench) come(r *rand.Rand, kinds []kind, d time.Duration) {
+func (b *simCell) come(r *rand.Rand, kinds []kind, d time.Duration) {
 	const every = 10 * time.Millisecond
 	for range int(d / every) {
 		for _, k := range kinds {
@@ -107,7 +107,7 @@
 				b.submit(fmt.Sprintf("%s%06d", k.queue.Name, len(b.specs)), k.queue.Name, k.step(r))
 			}
 		}
-		b.play(every)
+		b.advance(every)
 	}
 }
 
@@ -124,11 +124,11 @@
 			c := newFirm(&testing.T{}, kinds)
 			r := rand.New(rand.NewPCG(1, 2))
 			c.come(r, kinds, 10*time.Second)
-			c.inCore = 0
+			c.coreTime = 0
 			for b.Loop() {
 				c.come(r, kinds, time.Second)
 			}
-			b.ReportMetric(float64(c.inCore.Microseconds())/1000/float64(b.N), "core-ms")
+			b.ReportMetric(float64(c.coreTime.Microseconds())/1000/float64(b.N), "core-ms")
 		})
 	}
 }
@@ -141,16 +141,16 @@
 	n := 0
 	for b.Loop() {
 		c, r, kinds := firmWithACrowd(&testing.T{})
-		c.inCore = 0
+		c.coreTime = 0
 		c.come(r, kinds, 2*time.Second)
-		spent += c.inCore
+		spent += c.coreTime
 		n += 2
 	}
 	b.ReportMetric(float64(spent.Microseconds())/1000/float64(n), "core-ms")
 }
 
 // firmWithACrowd is a firm to which eight seconds' work has come in one.
-func firmWithACrowd(t *testing.T) (*cellBench, *rand.Rand, []kind) {
+func firmWithACrowd(t *testing.T) (*simCell, *rand.Rand, []kind) {
 	kinds := firm()
 	c := newFirm(t, kinds)
 	r := rand.New(rand.NewPCG(1, 2))
