--- a/internal/measure/hole.go
+++ b/internal/measure/hole.go
@@ -57,7 +57,7 @@
 func (h *hole) step(e event) {
 	switch {
 	case e.arrive != nil:
-		h.send(e.at, h.o.q.Step(e.at, queue.Ask{
+		h.send(e.at, h.o.q.Step(e.at, queue.Enqueue{
 			ID: e.arrive.id, Row: queue.Row{Name: "scan", Class: cell.Urgent, Weight: 1}, Deadline: e.at.Add(holePatience),
 		}))
 	case e.end != nil:
--- a/internal/measure/urgent.go
+++ b/internal/measure/urgent.go
@@ -128,7 +128,7 @@
 }
 
 func (o ours) arrive(now time.Time, a *arrival) []string {
-	return sends(o.q.Step(now, queue.Ask{
+	return sends(o.q.Step(now, queue.Enqueue{
 		ID: a.id, Row: queue.Row{Name: a.class.String(), Class: a.class, Weight: 1}, Deadline: now.Add(patience),
 	}))
 }
--- a/internal/queue/messages.go
+++ b/internal/queue/messages.go
@@ -24,8 +24,8 @@
 // None is the limit of a row that has no slot on this host.
 const None = -1
 
-// Ask is a request that wants a slot of a backend server.
-type Ask struct {
+// Enqueue is a request that wants a slot of a backend server.
+type Enqueue struct {
 	ID       string
 	Row      Row
 	Deadline time.Time
@@ -73,7 +73,7 @@
 // Tick lets time pass.
 type Tick struct{}
 
-func (Ask) event()        {}
+func (Enqueue) event()    {}
 func (Ended) event()      {}
 func (Bounced) event()    {}
 func (Hung) event()       {}
--- a/internal/queue/property_test.go
+++ b/internal/queue/property_test.go
@@ -25,7 +25,7 @@
 	busy     map[string]int
 	rowSlots map[string]int64
 	rowBusy  map[string]int64
-	waiting  map[string]queue.Ask
+	waiting  map[string]queue.Enqueue
 	sent     map[string]queue.Send
 	rows     map[string]string
 	lent     map[string]string
@@ -92,7 +92,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{
 			t: t, q: queue.New(queue.Limits{Length: 12, Reserve: 0.25}), now: start, slots: map[string]int{}, busy: map[string]int{},
-			rowSlots: map[string]int64{}, rowBusy: map[string]int64{}, waiting: map[string]queue.Ask{}, sent: map[string]queue.Send{},
+			rowSlots: map[string]int64{}, rowBusy: map[string]int64{}, waiting: map[string]queue.Enqueue{}, sent: map[string]queue.Send{},
 			rows: map[string]string{}, lent: map[string]string{},
 		}
 		name := func() string { return rapid.SampledFrom([]string{"scan", "menu", "badge"}).Draw(t, "row") }
@@ -102,7 +102,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"ask": func(t *rapid.T) {
 				m.n++
-				a := queue.Ask{
+				a := queue.Enqueue{
 					ID: fmt.Sprint("r", m.n), Row: row(name()), Lent: rapid.IntRange(0, 4).Draw(t, "lent") == 0,
 					Deadline: m.now.Add(time.Duration(rapid.IntRange(1, 50).Draw(t, "left")) * 100 * time.Millisecond),
 				}
@@ -120,7 +120,7 @@
 			"bounce": func(t *rapid.T) {
 				if id := pick(t, m.lent); id != "" {
 					delete(m.lent, id)
-					m.waiting[id] = queue.Ask{ID: id, Row: row(m.rows[id])}
+					m.waiting[id] = queue.Enqueue{ID: id, Row: row(m.rows[id])}
 					m.step(queue.Bounced{ID: id})
 				}
 			},
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -48,7 +48,7 @@
 func (q *Queue) Step(now time.Time, ev Event) []Action {
 	var acts []Action
 	switch ev := ev.(type) {
-	case Ask:
+	case Enqueue:
 		acts = q.ask(now, ev)
 	case Ended:
 		q.ended(ev)
@@ -68,13 +68,13 @@
 	q.need.pass(now)
 	acts = append(acts, q.expire(now)...)
 	acts = append(acts, q.dispatch(now)...)
-	if ask, ok := ev.(Ask); ok && ask.Lent && q.waiting[ask.ID] != nil {
+	if ask, ok := ev.(Enqueue); ok && ask.Lent && q.waiting[ask.ID] != nil {
 		acts = append(acts, q.drop(now, q.waiting[ask.ID], Busy))
 	}
 	return acts
 }
 
-func (q *Queue) ask(now time.Time, a Ask) []Action {
+func (q *Queue) ask(now time.Time, a Enqueue) []Action {
 	r := q.change(now, a.Row)
 	ahead := r.ahead(a.Deadline)
 	var acts []Action
@@ -91,7 +91,7 @@
 		}
 		acts = append(acts, q.drop(now, victim, Full))
 	}
-	q.add(now, &request{Ask: a, row: r})
+	q.add(now, &request{Enqueue: a, row: r})
 	return acts
 }
 
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -13,8 +13,8 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-func ask(id, row string, class cell.Class) queue.Ask {
-	return queue.Ask{ID: id, Row: queue.Row{Name: row, Class: class, Weight: 1}, Deadline: start.Add(time.Minute)}
+func ask(id, row string, class cell.Class) queue.Enqueue {
+	return queue.Enqueue{ID: id, Row: queue.Row{Name: row, Class: class, Weight: 1}, Deadline: start.Add(time.Minute)}
 }
 
 func minions(n, slots int) queue.Shares {
--- a/internal/queue/row.go
+++ b/internal/queue/row.go
@@ -11,7 +11,7 @@
 const bucketTime = 250 * time.Millisecond
 
 type request struct {
-	Ask
+	Enqueue
 	row *row
 	// minion or peer holds the request after it was sent.
 	minion, peer string
--- a/internal/relay/hedge.go
+++ b/internal/relay/hedge.go
@@ -24,7 +24,7 @@
 // gone silent, and its caller would wait until the deadline. The first try
 // keeps its slot and may still win, so that a server which is merely slow
 // loses nothing. The second comes out of the row's retry budget.
-func (x *Relay) hedged(ctx context.Context, ask queue.Ask, a queue.Send, req call.Request) try {
+func (x *Relay) hedged(ctx context.Context, ask queue.Enqueue, a queue.Send, req call.Request) try {
 	row, _ := x.Row(req.Row)
 	if !row.Idempotent {
 		return x.send(ctx, a, req)
@@ -53,7 +53,7 @@
 
 // second sends a request on a slot that is free now, or not at all: waiting in
 // the queue a second time would take the place of others.
-func (x *Relay) second(ctx context.Context, ask queue.Ask, a queue.Send, req call.Request) try {
+func (x *Relay) second(ctx context.Context, ask queue.Enqueue, a queue.Send, req call.Request) try {
 	req.ID += hedgeMark
 	ask.ID += hedgeMark
 	ask.Lent = true
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -43,7 +43,7 @@
 	row, _ := x.Row(req.Row)
 	x.Retries.Asked(req.Row)
 	var sent *call.Reply
-	ask := queue.Ask{ID: req.ID, Row: x.queueRow(row), Deadline: req.Deadline}
+	ask := queue.Enqueue{ID: req.ID, Row: x.queueRow(row), Deadline: req.Deadline}
 	for n := int64(1); ; n++ {
 		t := x.once(ctx, ask, req)
 		req.Lost = append(req.Lost, t.reply.Lost...)
@@ -85,11 +85,11 @@
 // Lent runs a peer's request on a slot that is free now, or refuses it as Busy.
 func (x *Relay) Lent(ctx context.Context, req call.Request) call.Reply {
 	row, _ := x.Row(req.Row)
-	return x.once(ctx, queue.Ask{ID: req.ID, Row: x.queueRow(row), Deadline: req.Deadline, Lent: true, Avoid: req.Lost}, req).reply
+	return x.once(ctx, queue.Enqueue{ID: req.ID, Row: x.queueRow(row), Deadline: req.Deadline, Lent: true, Avoid: req.Lost}, req).reply
 }
 
 // once waits for a slot and sends the request one time.
-func (x *Relay) once(ctx context.Context, ask queue.Ask, req call.Request) try {
+func (x *Relay) once(ctx context.Context, ask queue.Enqueue, req call.Request) try {
 	asked := x.Clock()
 	act := x.wait(ctx, ask.ID, ask)
 	x.waits[ask.Row.Class].Update(x.Clock().Sub(asked))
