--- a/internal/queue/dispatch.go
+++ b/internal/queue/dispatch.go
@@ -51,7 +51,7 @@
 }
 
 func (q *Queue) lender(r *row) *minion {
-	if r.waiting.first().Lent {
+	if r.waiting.first().FromPeer {
 		return nil
 	}
 	return q.peers.pick(func(name string) bool { return r.bounced[name] })
--- a/internal/queue/messages.go
+++ b/internal/queue/messages.go
@@ -29,8 +29,8 @@
 	ID       string
 	Row      Row
 	Deadline time.Time
-	// Lent asks for a free slot on behalf of a peer: now or not at all.
-	Lent bool
+	// FromPeer asks for a free slot on behalf of a peer: now or not at all.
+	FromPeer bool
 	// Avoid names backend servers that this request has failed on.
 	Avoid []string
 }
--- a/internal/queue/property_test.go
+++ b/internal/queue/property_test.go
@@ -44,7 +44,7 @@
 			}
 			m.sent[a.ID] = a
 		case queue.Lend:
-			require.False(m.t, m.waiting[a.ID].Lent, "a lent request is not lent again")
+			require.False(m.t, m.waiting[a.ID].FromPeer, "a lent request is not lent again")
 			m.decided(a.ID)
 			m.lent[a.ID] = a.Peer
 		case queue.Refuse:
@@ -103,7 +103,7 @@
 			"ask": func(t *rapid.T) {
 				m.n++
 				a := queue.Enqueue{
-					ID: fmt.Sprint("r", m.n), Row: row(name()), Lent: rapid.IntRange(0, 4).Draw(t, "lent") == 0,
+					ID: fmt.Sprint("r", m.n), Row: row(name()), FromPeer: rapid.IntRange(0, 4).Draw(t, "lent") == 0,
 					Deadline: m.now.Add(time.Duration(rapid.IntRange(1, 50).Draw(t, "left")) * 100 * time.Millisecond),
 				}
 				m.waiting[a.ID], m.rows[a.ID] = a, a.Row.Name
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -68,7 +68,7 @@
 	q.need.pass(now)
 	acts = append(acts, q.expire(now)...)
 	acts = append(acts, q.dispatch(now)...)
-	if ask, ok := ev.(Enqueue); ok && ask.Lent && q.waiting[ask.ID] != nil {
+	if ask, ok := ev.(Enqueue); ok && ask.FromPeer && q.waiting[ask.ID] != nil {
 		acts = append(acts, q.drop(now, q.waiting[ask.ID], Busy))
 	}
 	return acts
@@ -79,7 +79,7 @@
 	ahead := r.ahead(a.Deadline)
 	var acts []Action
 	switch {
-	case a.Lent:
+	case a.FromPeer:
 	case !a.Deadline.After(now), ahead > 0 && q.hopeless(now, r, ahead, a.Deadline):
 		return []Action{q.refuse(now, r, a.ID, TooLate)}
 	case a.Row.Queue > 0 && int64(len(r.waiting.items)) >= a.Row.Queue:
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -220,7 +220,7 @@
 	q.Step(start, queue.Peers{All: []queue.Peer{{Name: "h2", Free: 9}}})
 	for _, want := range []string{"x", string(queue.Busy)} {
 		a := ask("x"+want, "scan", cell.Urgent)
-		a.Lent = true
+		a.FromPeer = true
 		require.Equal(t, map[string]int{want: 1}, counts(q.Step(start, a)))
 	}
 	_, waiting := q.Load()
--- a/internal/relay/hedge.go
+++ b/internal/relay/hedge.go
@@ -56,7 +56,7 @@
 func (x *Relay) second(ctx context.Context, ask queue.Enqueue, a queue.Send, req call.Request) try {
 	req.ID += hedgeMark
 	ask.ID += hedgeMark
-	ask.Lent = true
+	ask.FromPeer = true
 	ask.Avoid = append([]string{a.Minion}, ask.Avoid...)
 	if next, ok := x.wait(ctx, ask.ID, ask).(queue.Send); ok && next.Minion != a.Minion {
 		return x.send(ctx, next, req)
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -85,7 +85,7 @@
 // Lent runs a peer's request on a slot that is free now, or refuses it as Busy.
 func (x *Relay) Lent(ctx context.Context, req call.Request) call.Reply {
 	row, _ := x.Row(req.Row)
-	return x.once(ctx, queue.Enqueue{ID: req.ID, Row: x.queueRow(row), Deadline: req.Deadline, Lent: true, Avoid: req.Lost}, req).reply
+	return x.once(ctx, queue.Enqueue{ID: req.ID, Row: x.queueRow(row), Deadline: req.Deadline, FromPeer: true, Avoid: req.Lost}, req).reply
 }
 
 // once waits for a slot and sends the request one time.
