--- a/internal/queue/messages.go
+++ b/internal/queue/messages.go
@@ -42,8 +42,8 @@
 	Failed bool
 }
 
-// Bounced tells that a peer had no slot for a request, which waits again.
-type Bounced struct{ ID string }
+// LendRejected tells that a peer had no slot for a request, which waits again.
+type LendRejected struct{ ID string }
 
 // Hung tells that a caller no longer waits for a request.
 type Hung struct{ ID string }
@@ -73,14 +73,14 @@
 // Tick lets time pass.
 type Tick struct{}
 
-func (Enqueue) event()    {}
-func (Ended) event()      {}
-func (Bounced) event()    {}
-func (Hung) event()       {}
-func (Shares) event()     {}
-func (Peers) event()      {}
-func (RowChanged) event() {}
-func (Tick) event()       {}
+func (Enqueue) event()      {}
+func (Ended) event()        {}
+func (LendRejected) event() {}
+func (Hung) event()         {}
+func (Shares) event()       {}
+func (Peers) event()        {}
+func (RowChanged) event()   {}
+func (Tick) event()         {}
 
 // Action is what the queue core asks its edge to do.
 type Action interface{ action() }
--- a/internal/queue/property_test.go
+++ b/internal/queue/property_test.go
@@ -121,7 +121,7 @@
 				if id := pick(t, m.lent); id != "" {
 					delete(m.lent, id)
 					m.waiting[id] = queue.Enqueue{ID: id, Row: row(m.rows[id])}
-					m.step(queue.Bounced{ID: id})
+					m.step(queue.LendRejected{ID: id})
 				}
 			},
 			"hang": func(t *rapid.T) {
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -52,7 +52,7 @@
 		acts = q.ask(now, ev)
 	case Ended:
 		q.ended(ev)
-	case Bounced:
+	case LendRejected:
 		q.bounced(now, ev.ID)
 	case Hung:
 		q.remove(q.waiting[ev.ID])
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -206,7 +206,7 @@
 	}
 	acts := q.Step(start, queue.Peers{All: []queue.Peer{{Name: "h2", Free: 1}, {Name: "h3"}}})
 	require.Equal(t, []queue.Action{queue.Lend{ID: "b", Peer: "h2"}}, acts)
-	require.Empty(t, q.Step(start, queue.Bounced{ID: "b"}), "h2 has no room until it says so again")
+	require.Empty(t, q.Step(start, queue.LendRejected{ID: "b"}), "h2 has no room until it says so again")
 	require.Equal(t, []queue.Action{queue.Send{ID: "b", Minion: "m0"}}, q.Step(start, queue.Ended{ID: "a"}))
 	acts = q.Step(start, queue.Peers{All: []queue.Peer{{Name: "h2", Free: 1}}})
 	require.Equal(t, []queue.Action{queue.Lend{ID: "c", Peer: "h2"}}, acts)
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -102,7 +102,7 @@
 			if !bounced {
 				return t
 			}
-			act = x.wait(ctx, ask.ID, queue.Bounced{ID: ask.ID})
+			act = x.wait(ctx, ask.ID, queue.LendRejected{ID: ask.ID})
 		case queue.Refuse:
 			metrics.GetOrRegisterCounter("queue.refused."+ask.Row.Class.String(), x.Metrics).Inc(1)
 			return try{reply: refusal(a)}
