--- a/internal/queue/messages.go
+++ b/internal/queue/messages.go
@@ -45,8 +45,8 @@
 // LendRejected tells that a peer had no slot for a request, which waits again.
 type LendRejected struct{ ID string }
 
-// Hung tells that a caller no longer waits for a request.
-type Hung struct{ ID string }
+// Cancelled tells that a caller no longer waits for a request.
+type Cancelled struct{ ID string }
 
 // Share is how many slots of one backend server this host may use.
 type Share struct {
@@ -76,7 +76,7 @@
 func (Enqueue) event()      {}
 func (Ended) event()        {}
 func (LendRejected) event() {}
-func (Hung) event()         {}
+func (Cancelled) event()    {}
 func (Shares) event()       {}
 func (Peers) event()        {}
 func (RowChanged) event()   {}
--- a/internal/queue/property_test.go
+++ b/internal/queue/property_test.go
@@ -127,7 +127,7 @@
 			"hang": func(t *rapid.T) {
 				if id := pick(t, m.waiting); id != "" {
 					delete(m.waiting, id)
-					m.step(queue.Hung{ID: id})
+					m.step(queue.Cancelled{ID: id})
 				}
 			},
 			"servers": func(t *rapid.T) {
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -54,7 +54,7 @@
 		q.ended(ev)
 	case LendRejected:
 		q.bounced(now, ev.ID)
-	case Hung:
+	case Cancelled:
 		q.remove(q.waiting[ev.ID])
 	case Shares:
 		q.local.replace(ev.All)
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -258,7 +258,7 @@
 func TestHungUpCallerFreesItsPlace(t *testing.T) {
 	q := queue.New(queue.Limits{Length: 1})
 	q.Step(start, ask("a", "scan", cell.Urgent))
-	q.Step(start, queue.Hung{ID: "a"})
+	q.Step(start, queue.Cancelled{ID: "a"})
 	require.Empty(t, q.Step(start, ask("b", "scan", cell.Urgent)))
 }
 
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -132,7 +132,7 @@
 		return a
 	default:
 		delete(x.waiting, id)
-		x.stepQueue(queue.Hung{ID: id})
+		x.stepQueue(queue.Cancelled{ID: id})
 		return nil
 	}
 }
