--- a/internal/measure/urgent.go
+++ b/internal/measure/urgent.go
@@ -121,7 +121,7 @@
 	o := ours{queue.New(queue.DefaultLimits)}
 	var all []queue.Share
 	for i := range loadMinions {
-		all = append(all, queue.Share{Minion: fmt.Sprintf("m%02d", i), Slots: loadSlots})
+		all = append(all, queue.Share{Backend: fmt.Sprintf("m%02d", i), Slots: loadSlots})
 	}
 	o.q.Step(now, queue.Shares{All: all})
 	return o
--- a/internal/queue/messages.go
+++ b/internal/queue/messages.go
@@ -50,8 +50,8 @@
 
 // Share is how many slots of one backend server this host may use.
 type Share struct {
-	Minion string
-	Slots  int
+	Backend string
+	Slots   int
 }
 
 // Shares replaces the backend servers and this host's shares of them.
--- a/internal/queue/property_test.go
+++ b/internal/queue/property_test.go
@@ -134,8 +134,8 @@
 				var s queue.Shares
 				clear(m.slots)
 				for i := range rapid.IntRange(0, 3).Draw(t, "minions") {
-					share := queue.Share{Minion: fmt.Sprint("m", i), Slots: rapid.IntRange(0, 4).Draw(t, "slots")}
-					m.slots[share.Minion] = share.Slots
+					share := queue.Share{Backend: fmt.Sprint("m", i), Slots: rapid.IntRange(0, 4).Draw(t, "slots")}
+					m.slots[share.Backend] = share.Slots
 					s.All = append(s.All, share)
 				}
 				m.step(s)
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -270,7 +270,7 @@
 		if m, ok := q.peers.all[p.Name]; ok {
 			busy = m.busy
 		}
-		shares = append(shares, Share{Minion: p.Name, Slots: p.Free + busy})
+		shares = append(shares, Share{Backend: p.Name, Slots: p.Free + busy})
 	}
 	q.peers.replace(shares)
 	for _, r := range q.rows {
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -20,7 +20,7 @@
 func minions(n, slots int) queue.Shares {
 	var s queue.Shares
 	for i := range n {
-		s.All = append(s.All, queue.Share{Minion: fmt.Sprint("m", i), Slots: slots})
+		s.All = append(s.All, queue.Share{Backend: fmt.Sprint("m", i), Slots: slots})
 	}
 	return s
 }
--- a/internal/queue/servers.go
+++ b/internal/queue/servers.go
@@ -55,9 +55,9 @@
 func (s *servers) replace(all []Share) {
 	fresh := map[string]int{}
 	for _, share := range all {
-		fresh[share.Minion] = share.Slots
-		if s.all[share.Minion] == nil {
-			s.all[share.Minion] = &minion{name: share.Minion}
+		fresh[share.Backend] = share.Slots
+		if s.all[share.Backend] == nil {
+			s.all[share.Backend] = &minion{name: share.Backend}
 		}
 	}
 	for name, m := range s.all {
