--- a/internal/measure/hole.go
+++ b/internal/measure/hole.go
@@ -98,9 +98,9 @@
 		if !ok {
 			continue
 		}
-		h.at[send.ID] = send.Minion
+		h.at[send.ID] = send.Backend
 		if h.out != nil {
-			h.out.Step(now, outlier.Sent{ID: send.ID, Minion: send.Minion, Row: "scan"})
+			h.out.Step(now, outlier.Sent{ID: send.ID, Minion: send.Backend, Row: "scan"})
 		}
 		took := h.byID[send.ID].took
 		if h.swallows(send.ID) {
--- a/internal/queue/dispatch.go
+++ b/internal/queue/dispatch.go
@@ -73,7 +73,7 @@
 		q.need.sent(now.Sub(req.since), r.took, q.mostReserve())
 	}
 	q.served(now, c, req)
-	return Send{ID: req.ID, Minion: m.name}
+	return Send{ID: req.ID, Backend: m.name}
 }
 
 // tooLate tells that a request would be sent in vain: its caller is gone
--- a/internal/queue/messages.go
+++ b/internal/queue/messages.go
@@ -86,7 +86,7 @@
 type Action interface{ action() }
 
 // Send tells to send a request to a backend server now.
-type Send struct{ ID, Minion string }
+type Send struct{ ID, Backend string }
 
 // Lend tells to hand a request to a peer, which sends it on a slot of its own.
 type Lend struct{ ID, Peer string }
--- a/internal/queue/property_test.go
+++ b/internal/queue/property_test.go
@@ -36,9 +36,9 @@
 		switch a := a.(type) {
 		case queue.Send:
 			m.decided(a.ID)
-			m.busy[a.Minion]++
+			m.busy[a.Backend]++
 			m.rowBusy[m.rows[a.ID]]++
-			require.LessOrEqual(m.t, m.busy[a.Minion], m.slots[a.Minion], "a minion gets no more than its share")
+			require.LessOrEqual(m.t, m.busy[a.Backend], m.slots[a.Backend], "a minion gets no more than its share")
 			if limit := m.rowSlots[m.rows[a.ID]]; limit != 0 {
 				require.LessOrEqual(m.t, m.rowBusy[m.rows[a.ID]], limit, "a row gets no more than its limit")
 			}
@@ -111,7 +111,7 @@
 			},
 			"end": func(t *rapid.T) {
 				if id := pick(t, m.sent); id != "" {
-					m.busy[m.sent[id].Minion]--
+					m.busy[m.sent[id].Backend]--
 					m.rowBusy[m.rows[id]]--
 					delete(m.sent, id)
 					m.step(queue.Ended{ID: id, Took: 30 * time.Millisecond})
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -51,7 +51,7 @@
 		sent += len(q.Step(start, ask(fmt.Sprint("b", i), "badges", cell.Bulk)))
 	}
 	require.Equal(t, 6, sent)
-	require.Equal(t, []queue.Action{queue.Send{ID: "s1", Minion: "m0"}}, q.Step(start, ask("s1", "scan", cell.Urgent)))
+	require.Equal(t, []queue.Action{queue.Send{ID: "s1", Backend: "m0"}}, q.Step(start, ask("s1", "scan", cell.Urgent)))
 }
 
 // No visitor has been scanned for a quarter of an hour. Slots that stay empty
@@ -207,7 +207,7 @@
 	acts := q.Step(start, queue.Peers{All: []queue.Peer{{Name: "h2", Free: 1}, {Name: "h3"}}})
 	require.Equal(t, []queue.Action{queue.Lend{ID: "b", Peer: "h2"}}, acts)
 	require.Empty(t, q.Step(start, queue.LendRejected{ID: "b"}), "h2 has no room until it says so again")
-	require.Equal(t, []queue.Action{queue.Send{ID: "b", Minion: "m0"}}, q.Step(start, queue.Ended{ID: "a"}))
+	require.Equal(t, []queue.Action{queue.Send{ID: "b", Backend: "m0"}}, q.Step(start, queue.Ended{ID: "a"}))
 	acts = q.Step(start, queue.Peers{All: []queue.Peer{{Name: "h2", Free: 1}}})
 	require.Equal(t, []queue.Action{queue.Lend{ID: "c", Peer: "h2"}}, acts)
 }
@@ -250,7 +250,7 @@
 	for i, want := range []string{"m1", "m1", "m0"} {
 		a := ask(fmt.Sprint("s", i), "scan", cell.Urgent)
 		a.Avoid = []string{"m0"}
-		require.Equal(t, []queue.Action{queue.Send{ID: a.ID, Minion: want}}, q.Step(start, a))
+		require.Equal(t, []queue.Action{queue.Send{ID: a.ID, Backend: want}}, q.Step(start, a))
 	}
 }
 
--- a/internal/relay/hedge.go
+++ b/internal/relay/hedge.go
@@ -57,8 +57,8 @@
 	req.ID += hedgeMark
 	ask.ID += hedgeMark
 	ask.FromPeer = true
-	ask.Avoid = append([]string{a.Minion}, ask.Avoid...)
-	if next, ok := x.wait(ctx, ask.ID, ask).(queue.Send); ok && next.Minion != a.Minion {
+	ask.Avoid = append([]string{a.Backend}, ask.Avoid...)
+	if next, ok := x.wait(ctx, ask.ID, ask).(queue.Send); ok && next.Backend != a.Backend {
 		return x.send(ctx, next, req)
 	} else if ok {
 		x.step(queue.Ended{ID: ask.ID, Failed: true})
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -158,14 +158,14 @@
 	defer end()
 	req.Trace = spans.Parent(ctx)
 	x.mu.Lock()
-	addr := x.servers[a.Minion].Address
-	x.watch(outlier.Sent{ID: req.ID, Minion: a.Minion, Row: req.Row})
+	addr := x.servers[a.Backend].Address
+	x.watch(outlier.Sent{ID: req.ID, Minion: a.Backend, Row: req.Row})
 	x.mu.Unlock()
 	answer, err := x.Minions.Do(ctx, addr, req)
 	t := judge(answer, err)
-	t.minion = a.Minion
+	t.minion = a.Backend
 	if broken(err) {
-		t.reply.Lost = []string{a.Minion}
+		t.reply.Lost = []string{a.Backend}
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
