--- a/internal/queue/messages.go
+++ b/internal/queue/messages.go
@@ -95,8 +95,8 @@
 type Refuse struct {
 	ID     string
 	Reason Reason
-	// Again is how long the caller should wait before the next try.
-	Again time.Duration
+	// RetryAfter is how long the caller should wait before the next try.
+	RetryAfter time.Duration
 }
 
 func (Send) action()   {}
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -79,7 +79,7 @@
 	refused, ok := acts[0].(queue.Refuse)
 	require.True(t, ok)
 	require.Equal(t, queue.TooLate, refused.Reason)
-	require.Positive(t, refused.Again)
+	require.Positive(t, refused.RetryAfter)
 }
 
 func TestRowsShareSlotsByWeight(t *testing.T) {
@@ -117,7 +117,7 @@
 		require.Equal(t, fmt.Sprint("b", 2-i), acts[0].(queue.Refuse).ID)
 	}
 	acts := q.Step(start, ask("s3", "scan", cell.Urgent))
-	require.Equal(t, queue.Refuse{ID: "s3", Reason: queue.Full, Again: acts[0].(queue.Refuse).Again}, acts[0])
+	require.Equal(t, queue.Refuse{ID: "s3", Reason: queue.Full, RetryAfter: acts[0].(queue.Refuse).RetryAfter}, acts[0])
 }
 
 // An operator takes slots from a row while its requests wait. The limit holds
@@ -158,7 +158,7 @@
 			case queue.Send:
 				p.ends[p.now.Add(took)] = append(p.ends[p.now.Add(took)], act.ID)
 			case queue.Refuse:
-				p.again = act.Again
+				p.again = act.RetryAfter
 			}
 		}
 		for what, k := range counts(acts) {
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -145,7 +145,7 @@
 	case queue.TooLate:
 		status = http.StatusGatewayTimeout
 	}
-	return call.Refuse(status, string(a.Reason), a.Again)
+	return call.Refuse(status, string(a.Reason), a.RetryAfter)
 }
 
 // send runs on when the caller hangs up: a request that was sent keeps its
