--- a/internal/queue/messages.go
+++ b/internal/queue/messages.go
@@ -21,8 +21,8 @@
 	Queue int64
 }
 
-// None is the limit of a row that has no slot on this host.
-const None = -1
+// NoSlots is the limit of a row that has no slot on this host.
+const NoSlots = -1
 
 // Enqueue is a request that wants a slot of a backend server.
 type Enqueue struct {
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -130,7 +130,7 @@
 	q.Step(start, queue.RowChanged{Row: queue.Row{Name: "a", Class: cell.Normal, Weight: 1, Slots: 3}})
 	require.Equal(t, map[string]int{"a": 3}, counts(q.Step(start, minions(1, 10))))
 	require.Equal(t, 2, counts(q.Step(start, queue.RowChanged{Row: queue.Row{Name: "a", Weight: 1, Slots: 5}}))["a"])
-	require.Empty(t, q.Step(start, queue.RowChanged{Row: queue.Row{Name: "a", Weight: 1, Slots: queue.None}}))
+	require.Empty(t, q.Step(start, queue.RowChanged{Row: queue.Row{Name: "a", Weight: 1, Slots: queue.NoSlots}}))
 	require.Equal(t, 5, counts(q.Step(start, queue.RowChanged{Row: queue.Row{Name: "a", Weight: 1}}))["a"])
 }
 
