--- a/internal/queue/messages.go
+++ b/internal/queue/messages.go
@@ -17,8 +17,8 @@
 	// Slots is how many requests of the row this host may have sent at once:
 	// its part of the row's limit. Zero means no limit, None not one.
 	Slots int64
-	// Queue is how many requests of the row may wait here; zero means no limit.
-	Queue int64
+	// MaxQueued is how many requests of the row may wait here; zero means no limit.
+	MaxQueued int64
 }
 
 // NoSlots is the limit of a row that has no slot on this host.
--- a/internal/queue/property_test.go
+++ b/internal/queue/property_test.go
@@ -97,7 +97,7 @@
 		}
 		name := func() string { return rapid.SampledFrom([]string{"scan", "menu", "badge"}).Draw(t, "row") }
 		row := func(name string) queue.Row {
-			return queue.Row{Name: name, Class: classes[name], Weight: 1, Slots: m.rowSlots[name], Queue: 8}
+			return queue.Row{Name: name, Class: classes[name], Weight: 1, Slots: m.rowSlots[name], MaxQueued: 8}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"ask": func(t *rapid.T) {
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -82,7 +82,7 @@
 	case a.FromPeer:
 	case !a.Deadline.After(now), ahead > 0 && q.hopeless(now, r, ahead, a.Deadline):
 		return []Action{q.refuse(now, r, a.ID, TooLate)}
-	case a.Row.Queue > 0 && int64(len(r.waiting.items)) >= a.Row.Queue:
+	case a.Row.MaxQueued > 0 && int64(len(r.waiting.items)) >= a.Row.MaxQueued:
 		return []Action{q.refuse(now, r, a.ID, Full)}
 	case len(q.waiting) >= q.limits.Length:
 		victim := q.victim(r)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -180,7 +180,7 @@
 func (x *Relay) queueRow(row table.Row) queue.Row {
 	return queue.Row{
 		Name: row.Name, Class: row.Urgency(), Weight: row.Weight,
-		Slots: x.part(row.Name, row.Limits.Slots, queue.NoSlots), Queue: x.part(row.Name, row.Limits.Queue, 1),
+		Slots: x.part(row.Name, row.Limits.Slots, queue.NoSlots), MaxQueued: x.part(row.Name, row.Limits.Queue, 1),
 	}
 }
 
