--- a/internal/queue/messages.go
+++ b/internal/queue/messages.go
@@ -108,9 +108,9 @@
 
 // The reasons for a refusal.
 const (
-	Full      Reason = "queue is full"
-	TooLate   Reason = "cannot be answered in time"
-	NoBackend Reason = "no backend server"
-	Busy      Reason = "no free slot to lend"
-	Gone      Reason = "caller hung up"
+	Full       Reason = "queue is full"
+	TooLate    Reason = "cannot be answered in time"
+	NoBackend  Reason = "no backend server"
+	Busy       Reason = "no free slot to lend"
+	CallerGone Reason = "caller hung up"
 )
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -107,7 +107,7 @@
 			metrics.GetOrRegisterCounter("queue.refused."+ask.Row.Class.String(), x.Metrics).Inc(1)
 			return try{reply: refusal(a)}
 		default:
-			return try{reply: call.Refuse(http.StatusServiceUnavailable, string(queue.Gone), time.Second)}
+			return try{reply: call.Refuse(http.StatusServiceUnavailable, string(queue.CallerGone), time.Second)}
 		}
 	}
 }
