--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -278,9 +278,9 @@
 	}
 }
 
-// Over tells whether a backend server has more requests than this host's
+// Overcommitted tells whether a backend server has more requests than this host's
 // present share of it.
-func (q *Queue) Over() bool {
+func (q *Queue) Overcommitted() bool {
 	for _, m := range q.local.all {
 		if m.busy > m.slots {
 			return true
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -236,10 +236,10 @@
 		q.Step(start, ask(fmt.Sprint("s", i), "scan", cell.Urgent))
 	}
 	q.Step(start, queue.Shares{})
-	require.True(t, q.Over())
+	require.True(t, q.Overcommitted())
 	require.Empty(t, q.Step(start, minions(1, 2)))
 	require.Len(t, q.Step(start, queue.Ended{ID: "s0"}), 1)
-	require.False(t, q.Over())
+	require.False(t, q.Overcommitted())
 }
 
 // A request failed on one minion and is tried again. It goes to another one
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -200,7 +200,7 @@
 func (x *Relay) Drained() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return !x.Queue.Over()
+	return !x.Queue.Overcommitted()
 }
 
 // Load returns this host's free slots and waiting requests.
