--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -292,8 +292,8 @@
 // Load returns how many slots are free and how many requests wait.
 func (q *Queue) Load() (free, waiting int) { return q.local.free, len(q.waiting) }
 
-// Rows lists the rows that have something waiting.
-func (q *Queue) Rows() []string {
+// WaitingRows lists the rows that have something waiting.
+func (q *Queue) WaitingRows() []string {
 	var names []string
 	for _, c := range q.classes {
 		for _, rows := range []*places[*row]{c.ready, c.blocked} {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -164,7 +164,7 @@
 // refreshRows puts edits of the table in force for requests that wait already.
 func (x *Relay) refreshRows() {
 	x.mu.Lock()
-	names := x.Queue.Rows()
+	names := x.Queue.WaitingRows()
 	x.mu.Unlock()
 	for _, name := range names {
 		row, version := x.Row(name)
