--- a/internal/outlier/messages.go
+++ b/internal/outlier/messages.go
@@ -27,8 +27,8 @@
 	Leaving
 )
 
-// Told is a peer's word that backend servers leave.
-type Told struct{ Leaving []string }
+// LeavingReported is a peer's word that backend servers leave.
+type LeavingReported struct{ Leaving []string }
 
 // Listed replaces the backend servers that are there by the host list.
 type Listed struct{ Minions []string }
@@ -36,11 +36,11 @@
 // Tick lets time pass.
 type Tick struct{}
 
-func (Sent) event()   {}
-func (Ended) event()  {}
-func (Told) event()   {}
-func (Listed) event() {}
-func (Tick) event()   {}
+func (Sent) event()            {}
+func (Ended) event()           {}
+func (LeavingReported) event() {}
+func (Listed) event()          {}
+func (Tick) event()            {}
 
 // Action is what the outlier core asks its edge to do.
 type Action interface{ action() }
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -91,7 +91,7 @@
 		o.flights[ev.ID] = &flight{minion: ev.Minion, row: ev.Row, since: now}
 	case Ended:
 		return o.ended(now, ev)
-	case Told:
+	case LeavingReported:
 		return o.told(now, ev.Leaving)
 	case Listed:
 		o.list(ev.Minions)
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -124,7 +124,7 @@
 	first.does["m0"] = first.end(outlier.Leaving)
 	first.run(work, 6)
 	require.Equal(t, []string{"m0"}, first.o.Word(first.now))
-	second.o.Step(start, outlier.Told{Leaving: first.o.Word(first.now)})
+	second.o.Step(start, outlier.LeavingReported{Leaving: first.o.Word(first.now)})
 	require.Zero(t, second.o.Most("m0", 8))
 	require.Empty(t, second.o.Word(start))
 	require.Empty(t, first.o.Word(start.Add(time.Minute)))
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -144,7 +144,7 @@
 func (x *Relay) Told(leaving []string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.watch(outlier.Told{Leaving: leaving})
+	x.watch(outlier.LeavingReported{Leaving: leaving})
 }
 
 // Tick lets time pass in the cores and puts changed rows in force.
