--- a/internal/measure/hole.go
+++ b/internal/measure/hole.go
@@ -87,7 +87,7 @@
 	var all []queue.Share
 	for i := range loadMinions {
 		name := fmt.Sprintf("m%02d", i)
-		all = append(all, queue.Share{Minion: name, Slots: h.out.Most(name, loadSlots)})
+		all = append(all, queue.Share{Backend: name, Slots: h.out.Most(name, loadSlots)})
 	}
 	h.send(now, h.o.q.Step(now, queue.Shares{All: all}))
 }
@@ -98,9 +98,9 @@
 		if !ok {
 			continue
 		}
-		h.at[send.ID] = send.Minion
+		h.at[send.ID] = send.Backend
 		if h.out != nil {
-			h.out.Step(now, outlier.Sent{ID: send.ID, Minion: send.Minion, Row: "scan"})
+			h.out.Step(now, outlier.Sent{ID: send.ID, Minion: send.Backend, Row: "scan"})
 		}
 		took := h.byID[send.ID].took
 		if h.swallows(send.ID) {
--- a/internal/queue/property_test.go
+++ b/internal/queue/property_test.go
@@ -36,9 +36,9 @@
 		switch a := a.(type) {
 		case queue.Send:
 			m.decided(a.ID)
-			m.busy[a.Minion]++
+			m.busy[a.Backend]++
 			m.rowBusy[m.rows[a.ID]]++
-			require.LessOrEqual(m.t, m.busy[a.Minion], m.slots[a.Minion], "a minion gets no more than its share")
+			require.LessOrEqual(m.t, m.busy[a.Backend], m.slots[a.Backend], "a minion gets no more than its share")
 			if limit := m.rowSlots[m.rows[a.ID]]; limit != 0 {
 				require.LessOrEqual(m.t, m.rowBusy[m.rows[a.ID]], limit, "a row gets no more than its limit")
 			}
@@ -97,7 +97,7 @@
 		}
 		name := func() string { return rapid.SampledFrom([]string{"scan", "menu", "badge"}).Draw(t, "row") }
 		row := func(name string) queue.Row {
-			return queue.Row{Name: name, Class: classes[name], Weight: 1, Slots: m.rowSlots[name], Queue: 8}
+			return queue.Row{Name: name, Class: classes[name], Weight: 1, Slots: m.rowSlots[name], MaxQueued: 8}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"ask": func(t *rapid.T) {
@@ -111,7 +111,7 @@
 			},
 			"end": func(t *rapid.T) {
 				if id := pick(t, m.sent); id != "" {
-					m.busy[m.sent[id].Minion]--
+					m.busy[m.sent[id].Backend]--
 					m.rowBusy[m.rows[id]]--
 					delete(m.sent, id)
 					m.step(queue.Ended{ID: id, Took: 30 * time.Millisecond})
@@ -121,21 +121,21 @@
 				if id := pick(t, m.lent); id != "" {
 					delete(m.lent, id)
 					m.waiting[id] = queue.Enqueue{ID: id, Row: row(m.rows[id])}
-					m.step(queue.Bounced{ID: id})
+					m.step(queue.LendRejected{ID: id})
 				}
 			},
 			"hang": func(t *rapid.T) {
 				if id := pick(t, m.waiting); id != "" {
 					delete(m.waiting, id)
-					m.step(queue.Hung{ID: id})
+					m.step(queue.Cancelled{ID: id})
 				}
 			},
 			"servers": func(t *rapid.T) {
 				var s queue.Shares
 				clear(m.slots)
 				for i := range rapid.IntRange(0, 3).Draw(t, "minions") {
-					share := queue.Share{Minion: fmt.Sprint("m", i), Slots: rapid.IntRange(0, 4).Draw(t, "slots")}
-					m.slots[share.Minion] = share.Slots
+					share := queue.Share{Backend: fmt.Sprint("m", i), Slots: rapid.IntRange(0, 4).Draw(t, "slots")}
+					m.slots[share.Backend] = share.Slots
 					s.All = append(s.All, share)
 				}
 				m.step(s)
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -102,12 +102,12 @@
 			if !bounced {
 				return t
 			}
-			act = x.wait(ctx, ask.ID, queue.Bounced{ID: ask.ID})
+			act = x.wait(ctx, ask.ID, queue.LendRejected{ID: ask.ID})
 		case queue.Refuse:
 			metrics.GetOrRegisterCounter("queue.refused."+ask.Row.Class.String(), x.Metrics).Inc(1)
 			return try{reply: refusal(a)}
 		default:
-			return try{reply: call.Refuse(http.StatusServiceUnavailable, string(queue.Gone), time.Second)}
+			return try{reply: call.Refuse(http.StatusServiceUnavailable, string(queue.CallerGone), time.Second)}
 		}
 	}
 }
@@ -132,7 +132,7 @@
 		return a
 	default:
 		delete(x.waiting, id)
-		x.stepQueue(queue.Hung{ID: id})
+		x.stepQueue(queue.Cancelled{ID: id})
 		return nil
 	}
 }
@@ -145,7 +145,7 @@
 	case queue.TooLate:
 		status = http.StatusGatewayTimeout
 	}
-	return call.Refuse(status, string(a.Reason), a.Again)
+	return call.Refuse(status, string(a.Reason), a.RetryAfter)
 }
 
 // send runs on when the caller hangs up: a request that was sent keeps its
@@ -158,14 +158,14 @@
 	defer end()
 	req.Trace = spans.Parent(ctx)
 	x.mu.Lock()
-	addr := x.servers[a.Minion].Address
-	x.watch(outlier.Sent{ID: req.ID, Minion: a.Minion, Row: req.Row})
+	addr := x.servers[a.Backend].Address
+	x.watch(outlier.Sent{ID: req.ID, Minion: a.Backend, Row: req.Row})
 	x.mu.Unlock()
 	answer, err := x.Minions.Do(ctx, addr, req)
 	t := judge(answer, err)
-	t.minion = a.Minion
+	t.minion = a.Backend
 	if broken(err) {
-		t.reply.Lost = []string{a.Minion}
+		t.reply.Lost = []string{a.Backend}
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
