--- a/internal/flow/crash.go
+++ b/internal/flow/crash.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Lose notes that a run of the task was lost at a life of a worker that answers no more;
+// MarkLost notes that a run of the task was lost at a life of a worker that answers no more;
 // false if that is known.
-func (t *Task) Lose(life string) bool {
+func (t *Task) MarkLost(life string) bool {
 	if slices.Contains(t.Crashed, life) || slices.Contains(t.Lost, life) {
 		return false
 	}
@@ -13,10 +13,10 @@
 	return true
 }
 
-// Crash notes that a life ended while a run of the task was, or may have been, at it;
+// MarkCrashed notes that a life ended while a run of the task was, or may have been, at it;
 // false if that is known.
-func (t *Task) Crash(life string) bool {
-	t.Acquit(life)
+func (t *Task) MarkCrashed(life string) bool {
+	t.UnmarkLost(life)
 	if slices.Contains(t.Crashed, life) {
 		return false
 	}
@@ -25,9 +25,9 @@
 	return true
 }
 
-// Acquit notes that a life on which a run was lost goes on, or ended for another cause;
+// UnmarkLost notes that a life on which a run was lost goes on, or ended for another cause;
 // false if no run was lost there.
-func (t *Task) Acquit(life string) bool {
+func (t *Task) UnmarkLost(life string) bool {
 	i := slices.Index(t.Lost, life)
 	if i < 0 {
 		return false
@@ -37,15 +37,15 @@
 	return true
 }
 
-// Clear forgets all lives that ended under the task.
-func (t *Task) Clear() {
+// ClearCrashes forgets all lives that ended under the task.
+func (t *Task) ClearCrashes() {
 	t.Crashed, t.Lost = nil, nil
 	t.Step.weigh()
 }
 
-// Doubt is how many lives ended, or may have, under the task; of a gang, whose members run
+// CrashSuspicions is how many lives ended, or may have, under the task; of a gang, whose members run
 // together, under the member that has the most.
-func (t *Task) Doubt() int {
+func (t *Task) CrashSuspicions() int {
 	if t.Step.Spec.Gang {
 		return t.Step.doubt
 	}
--- a/internal/flow/job.go
+++ b/internal/flow/job.go
@@ -57,31 +57,31 @@
 	State  chart.State
 	Worker string
 	// Run numbers the task's starts, from 1.
-	Run   int
-	Fails int
+	Run      int
+	Failures int
 	// Crashed are the lives of workers that ended while a run of the task was, or may
 	// have been, at them; Lost those on which one was lost and whose fate is not known.
 	Crashed, Lost []string
-	// Saved is the newest checkpoint; empty is none.
-	Saved string
+	// Checkpoint is the newest checkpoint; empty is none.
+	Checkpoint string
 	// Since is when the task came into its state.
 	Since time.Time
 	// Avoid is the worker that the task failed on last.
 	Avoid string
 	// Percent is the progress seen last; Seen and Moved are when it was seen first
 	// and when it changed, by the worker's clock.
-	Percent     int
-	Seen, Moved time.Time
+	Percent                       int
+	ProgressSeen, ProgressChanged time.Time
 	// Restarts counts runs that were given up because their worker was too slow.
 	Restarts int
-	// Yields counts runs that were stopped for more urgent work.
-	Yields int
-	// Pace is the share of the processor that a filling task may use now.
-	Pace int
+	// Preemptions counts runs that were stopped for more urgent work.
+	Preemptions int
+	// CPUPercent is the share of the processor that a filling task may use now.
+	CPUPercent int
 }
 
-// Move takes the task through one event; false if its state does not allow it.
-func (t *Task) Move(ev chart.Event, now time.Time) bool {
+// Transition takes the task through one event; false if its state does not allow it.
+func (t *Task) Transition(ev chart.Event, now time.Time) bool {
 	next, err := life.Next(t.State, ev)
 	if err != nil {
 		return false
@@ -90,8 +90,8 @@
 	return true
 }
 
-// Out tells whether a run of the task may be at a worker.
-func (t *Task) Out() bool {
+// MayBeRunning tells whether a run of the task may be at a worker.
+func (t *Task) MayBeRunning() bool {
 	switch t.State {
 	case Assigned, Starting, Running, Stopping, Inherited:
 		return true
@@ -114,8 +114,8 @@
 	doubt int
 }
 
-// Over tells whether all tasks have ended as done.
-func (s *Stage) Over() bool { return s.Done == len(s.Tasks) }
+// Finished tells whether all tasks have ended as done.
+func (s *Stage) Finished() bool { return s.Done == len(s.Tasks) }
 
 // Round is one run through all steps.
 type Round struct {
@@ -124,10 +124,10 @@
 	Stages []*Stage
 }
 
-// Over tells whether all steps are over.
-func (r *Round) Over() bool {
+// Finished tells whether all steps are over.
+func (r *Round) Finished() bool {
 	for _, s := range r.Stages {
-		if !s.Over() {
+		if !s.Finished() {
 			return false
 		}
 	}
@@ -137,7 +137,7 @@
 // Ready tells whether all steps before s are over.
 func (r *Round) Ready(s *Stage) bool {
 	for _, i := range s.Spec.After {
-		if !r.Stages[i].Over() {
+		if !r.Stages[i].Finished() {
 			return false
 		}
 	}
@@ -148,11 +148,11 @@
 type Job struct {
 	Spec  Spec
 	State State
-	// Shown is the state that a caller is told: one that is recorded, by the append
+	// Published is the state that a caller is told: one that is recorded, by the append
 	// of that number.
-	Shown    State
-	Recorded int64
-	Began    time.Time
+	Published       State
+	PublishedAppend int64
+	Accepted        time.Time
 	// Number orders jobs by acceptance.
 	Number int64
 	// Domain is the failure domain that the job's tasks are kept in while it has
@@ -160,8 +160,8 @@
 	Domain string
 	// Rounds are those begun and not over.
 	Rounds map[int]*Round
-	// Next is the first round that has not begun.
-	Next int
+	// NextRound is the first round that has not begun.
+	NextRound int
 	// Ended is when a final state was reached.
 	Ended time.Time
 	// chains is by step how long the way from its begin to the job's end takes.
@@ -170,7 +170,7 @@
 
 // New returns a job that was just accepted.
 func New(spec Spec, number int64, now time.Time) *Job {
-	return &Job{Spec: spec, State: Queued, Shown: Queued, Began: now, Number: number, Rounds: map[int]*Round{}}
+	return &Job{Spec: spec, State: Queued, Published: Queued, Accepted: now, Number: number, Rounds: map[int]*Round{}}
 }
 
 // rounds is how many rounds the job has in all.
@@ -184,12 +184,12 @@
 	return j.Spec.Repeat.First.Add(time.Duration(n) * j.Spec.Repeat.Every)
 }
 
-// Begin opens all rounds that are due and returns them.
-func (j *Job) Begin(now time.Time) []*Round {
+// BeginRounds opens all rounds that are due and returns them.
+func (j *Job) BeginRounds(now time.Time) []*Round {
 	var begun []*Round
-	for !j.State.Final() && j.Next < j.rounds() && !j.Due(j.Next).After(now) {
-		begun = append(begun, j.open(j.Next, now))
-		j.Next++
+	for !j.State.Final() && j.NextRound < j.rounds() && !j.Due(j.NextRound).After(now) {
+		begun = append(begun, j.open(j.NextRound, now))
+		j.NextRound++
 	}
 	return begun
 }
@@ -200,7 +200,7 @@
 		stage := &Stage{Spec: st, Index: i}
 		for k := range st.Tasks {
 			stage.Tasks = append(stage.Tasks, &Task{
-				Name: Name{Job: j.Spec.ID, Round: n, Step: i, Index: k}, Job: j, Step: stage, State: life.Start(), Since: now, Pace: 100,
+				Name: Name{Job: j.Spec.ID, Round: n, Step: i, Index: k}, Job: j, Step: stage, State: life.Start(), Since: now, CPUPercent: 100,
 			})
 		}
 		r.Stages = append(r.Stages, stage)
@@ -209,14 +209,14 @@
 	return r
 }
 
-// Settle closes rounds that are over and completes the job after its last one.
-func (j *Job) Settle(now time.Time) {
+// CloseRounds closes rounds that are over and completes the job after its last one.
+func (j *Job) CloseRounds(now time.Time) {
 	for n, r := range j.Rounds {
-		if r.Over() {
+		if r.Finished() {
 			delete(j.Rounds, n)
 		}
 	}
-	if !j.State.Final() && len(j.Rounds) == 0 && j.Next >= j.rounds() {
+	if !j.State.Final() && len(j.Rounds) == 0 && j.NextRound >= j.rounds() {
 		j.End(Completed, now)
 	}
 }
--- a/internal/sched/gang.go
+++ b/internal/sched/gang.go
@@ -16,7 +16,7 @@
 		// Members of the last run are still being stopped.
 		return
 	}
-	need := r.stage.Spec.Room().CPU * int64(len(tasks))
+	need := r.stage.Spec.Demand().CPU * int64(len(tasks))
 	if keep > 0 && need > p.freeCPU-keep {
 		return
 	}
@@ -33,11 +33,11 @@
 	}
 	run, saved := 0, ""
 	for _, t := range tasks {
-		run, saved = max(run, t.Run), max(saved, t.Saved)
+		run, saved = max(run, t.Run), max(saved, t.Checkpoint)
 	}
 	for i, t := range tasks {
 		// The members share one checkpoint.
-		t.Saved = saved
+		t.Checkpoint = saved
 		s.assign(t, put[i], run+1)
 	}
 	p.freeCPU -= need
@@ -75,13 +75,13 @@
 	put := make([]*worker, 0, len(r.stage.Tasks))
 	for range r.stage.Tasks {
 		i := slices.IndexFunc(able, func(w *worker) bool {
-			return st.Room().Fits(room[w]) && (st.Apart == 0 || w.tasksOf(r.stage)+count[w] < st.Apart)
+			return st.Demand().Fits(room[w]) && (st.MaxPerWorker == 0 || w.tasksOf(r.stage)+count[w] < st.MaxPerWorker)
 		})
 		if i < 0 {
 			return nil
 		}
 		w := able[i]
-		room[w] = room[w].Sub(st.Room())
+		room[w] = room[w].Sub(st.Demand())
 		count[w]++
 		put = append(put, w)
 	}
@@ -95,7 +95,7 @@
 		switch m.State {
 		case flow.Assigned:
 			s.releaseTask(m)
-			m.Move(flow.Gone, s.now)
+			m.Transition(flow.Gone, s.now)
 		case flow.Starting, flow.Running, flow.Inherited:
 			s.stopRun(m, "its gang is broken")
 		}
--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -13,17 +13,17 @@
 // again.
 func (s *Sched) assign(t *flow.Task, w *worker, run int) {
 	t.Worker, t.Run = w.Incarnation, run
-	t.Move(flow.Assign, s.now)
-	t.Seen, t.Moved, t.Percent, t.Pace = time.Time{}, time.Time{}, 0, 100
+	t.Transition(flow.Assign, s.now)
+	t.ProgressSeen, t.ProgressChanged, t.Percent, t.CPUPercent = time.Time{}, time.Time{}, 0, 100
 	if t.Job.Domain == "" {
 		t.Job.Domain = w.Domain
 	}
 	w.add(t)
 	s.markDirty(t.Job)
-	if t.Doubt() > 0 {
+	if t.CrashSuspicions() > 0 {
 		s.markSuspect(t)
 	}
-	if t.Spec().Copies && t.Doubt() == 0 {
+	if t.Spec().AllowCopies && t.CrashSuspicions() == 0 {
 		s.unstoredStarts = append(s.unstoredStarts, runKey{t.Name, run})
 		return
 	}
@@ -46,11 +46,11 @@
 		s.requeueTask(t, "ticket ran out before the start")
 		return
 	}
-	t.Move(flow.Send, s.now)
+	t.Transition(flow.Send, s.now)
 	deadline := w.clockAt(s.now).Add(startTimeout)
 	w.extendDeadline(deadline)
 	s.emit(Start{
-		To: w.Address, Term: s.term, Task: t.Name, Run: t.Run, Text: t.Job.Spec.Text, Saved: t.Saved, Ticket: ticket, Deadline: deadline,
+		To: w.Address, Term: s.term, Task: t.Name, Run: t.Run, Text: t.Job.Spec.Text, Saved: t.Checkpoint, Ticket: ticket, Deadline: deadline,
 	})
 	s.ensureHold(w)
 }
@@ -115,7 +115,7 @@
 
 // confirm marks a run as begun.
 func (s *Sched) confirm(t *flow.Task) {
-	if !t.Move(flow.Confirm, s.now) {
+	if !t.Transition(flow.Confirm, s.now) {
 		return
 	}
 	if t.Job.State == flow.Queued {
