--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -78,14 +78,14 @@
 	// as much as it has tries open.
 	running map[string]map[string]*entry
 	waiters map[string]waiter
-	signs   map[string]Sign
+	signs   map[string]Heartbeat
 }
 
 // New returns an empty ledger that remembers from since on.
 func New(limits Limits, since time.Time) *Ledger {
 	return &Ledger{
 		limits: limits, since: since, keys: map[string]*entry{}, opened: list.New(), answers: list.New(),
-		running: map[string]map[string]*entry{}, waiters: map[string]waiter{}, signs: map[string]Sign{},
+		running: map[string]map[string]*entry{}, waiters: map[string]waiter{}, signs: map[string]Heartbeat{},
 	}
 }
 
--- a/internal/ledger/messages.go
+++ b/internal/ledger/messages.go
@@ -47,14 +47,14 @@
 // Forget ends a wait whose waiter has gone.
 type Forget struct{ ID string }
 
-// Sign is the last sign of life of an entry host.
-type Sign struct {
+// Heartbeat is the last sign of life of an entry host.
+type Heartbeat struct {
 	Inc int64
 	At  time.Time
 }
 
 // Hosts tells the last sign of life of every other entry host.
-type Hosts struct{ Signs map[string]Sign }
+type Hosts struct{ Signs map[string]Heartbeat }
 
 // Tick lets time pass.
 type Tick struct{}
--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -93,10 +93,10 @@
 func (w *world) tick(d time.Duration) {
 	w.now = w.now.Add(d)
 	for name := range w.ledgers {
-		signs := map[string]ledger.Sign{}
+		signs := map[string]ledger.Heartbeat{}
 		for _, h := range w.hosts {
 			if w.reaches(h.Name, name) {
-				signs[h.Name] = ledger.Sign{Inc: w.inc[h.Name], At: w.clock(name)}
+				signs[h.Name] = ledger.Heartbeat{Inc: w.inc[h.Name], At: w.clock(name)}
 			}
 		}
 		if !w.still(name) {
