--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -102,7 +102,7 @@
 	case Forget:
 		l.drop(ev.ID)
 	case Hosts:
-		l.signs = ev.Signs
+		l.signs = ev.Heartbeats
 	case Tick:
 		return l.tick(now)
 	}
--- a/internal/ledger/messages.go
+++ b/internal/ledger/messages.go
@@ -54,7 +54,7 @@
 }
 
 // Hosts tells the last sign of life of every other entry host.
-type Hosts struct{ Signs map[string]Heartbeat }
+type Hosts struct{ Heartbeats map[string]Heartbeat }
 
 // Tick lets time pass.
 type Tick struct{}
