--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -101,7 +101,7 @@
 		return l.await(ev)
 	case Forget:
 		l.drop(ev.ID)
-	case Hosts:
+	case HostHeartbeats:
 		l.signs = ev.Heartbeats
 	case Tick:
 		return l.tick(now)
--- a/internal/ledger/messages.go
+++ b/internal/ledger/messages.go
@@ -53,18 +53,18 @@
 	At  time.Time
 }
 
-// Hosts tells the last sign of life of every other entry host.
-type Hosts struct{ Heartbeats map[string]Heartbeat }
+// HostHeartbeats tells the last sign of life of every other entry host.
+type HostHeartbeats struct{ Heartbeats map[string]Heartbeat }
 
 // Tick lets time pass.
 type Tick struct{}
 
-func (Open) event()   {}
-func (Close) event()  {}
-func (Await) event()  {}
-func (Forget) event() {}
-func (Hosts) event()  {}
-func (Tick) event()   {}
+func (Open) event()           {}
+func (Close) event()          {}
+func (Await) event()          {}
+func (Forget) event()         {}
+func (HostHeartbeats) event() {}
+func (Tick) event()           {}
 
 // Action is what the ledger asks its edge to do.
 type Action interface{ action() }
--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -100,7 +100,7 @@
 			}
 		}
 		if !w.still(name) {
-			w.tell(name, ledger.Hosts{Heartbeats: signs})
+			w.tell(name, ledger.HostHeartbeats{Heartbeats: signs})
 			w.tell(name, ledger.Tick{})
 		}
 	}
--- a/internal/relay/home.go
+++ b/internal/relay/home.go
@@ -84,7 +84,7 @@
 	for _, b := range beats {
 		signs[b.Name] = ledger.Heartbeat{Inc: b.Incarnation, At: b.At}
 	}
-	x.stepHome(ledger.Hosts{Heartbeats: signs})
+	x.stepHome(ledger.HostHeartbeats{Heartbeats: signs})
 	x.stepHome(ledger.Tick{})
 	x.gauge()
 }
