--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -99,7 +99,7 @@
 		return l.close(now, ev)
 	case Await:
 		return l.await(ev)
-	case Forget:
+	case CancelAwait:
 		l.drop(ev.ID)
 	case HostHeartbeats:
 		l.signs = ev.Heartbeats
--- a/internal/ledger/messages.go
+++ b/internal/ledger/messages.go
@@ -44,8 +44,8 @@
 	Until   time.Time
 }
 
-// Forget ends a wait whose waiter has gone.
-type Forget struct{ ID string }
+// CancelAwait ends a wait whose waiter has gone.
+type CancelAwait struct{ ID string }
 
 // Heartbeat is the last sign of life of an entry host.
 type Heartbeat struct {
@@ -62,7 +62,7 @@
 func (Open) event()           {}
 func (Close) event()          {}
 func (Await) event()          {}
-func (Forget) event()         {}
+func (CancelAwait) event()    {}
 func (HostHeartbeats) event() {}
 func (Tick) event()           {}
 
--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -222,7 +222,7 @@
 		return
 	}
 	acts := t.w.tell(home, ledger.Await{Key: t.key, ID: "w", Until: t.w.clock(home).Add(time.Minute)})
-	t.w.tell(home, ledger.Forget{ID: "w"})
+	t.w.tell(home, ledger.CancelAwait{ID: "w"})
 	if len(acts) > 0 {
 		t.waiting = nil
 		t.feed(ledger.Said{Home: home, Verdict: acts[0].(ledger.Woken).Verdict})
--- a/internal/relay/home.go
+++ b/internal/relay/home.go
@@ -58,7 +58,7 @@
 		return v
 	case <-ctx.Done():
 	}
-	x.stepHome(ledger.Forget{ID: id})
+	x.stepHome(ledger.CancelAwait{ID: id})
 	x.home.mu.Lock()
 	delete(x.home.waiting, id)
 	x.home.mu.Unlock()
