--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -122,8 +122,8 @@
 	}
 	e := l.add(now, ev.Key, ev.Digest)
 	e.try, e.host, e.inc = ev.Try, ev.Host, ev.Inc
-	if ev.Left.Duration > 0 {
-		e.until = now.Add(ev.Left.Duration + closeGrace)
+	if ev.Remaining.Duration > 0 {
+		e.until = now.Add(ev.Remaining.Duration + closeGrace)
 	}
 	l.run(e)
 	return Verdict{Key: ev.Key, State: Fresh}
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -91,7 +91,7 @@
 // ends, is given back or runs out of time, and no earlier.
 func TestRepeatWaitsForTheRunningTry(t *testing.T) {
 	later := start.Add(time.Hour)
-	ask := ledger.Open{Key: "k", Digest: 1, Attempt: 1, Try: "t", Left: cell.Duration{Duration: time.Second}}
+	ask := ledger.Open{Key: "k", Digest: 1, Attempt: 1, Try: "t", Remaining: cell.Duration{Duration: time.Second}}
 	wait := ledger.Await{Key: "k", ID: "w", Until: later.Add(time.Minute)}
 	ends := map[ledger.State]struct {
 		at time.Duration
--- a/internal/ledger/messages.go
+++ b/internal/ledger/messages.go
@@ -24,8 +24,8 @@
 	// of those homes' names, so that hosts with unlike settings notice it.
 	Domain string `json:"domain,omitempty"`
 	Group  uint64 `json:"group,omitempty"`
-	// Left is how long the try may still run.
-	Left cell.Duration `json:"left,omitzero"`
+	// Remaining is how long the try may still run.
+	Remaining cell.Duration `json:"left,omitzero"`
 }
 
 // Close keeps what became of a keyed request. Refused means that it provably
--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -143,7 +143,7 @@
 	w.tries++
 	open := ledger.Open{
 		Key: key, Digest: digest, Attempt: attempt, Try: host + strconv.Itoa(w.tries), Host: host, Inc: w.inc[host],
-		Left: cell.Duration{Duration: 10 * time.Second},
+		Remaining: cell.Duration{Duration: 10 * time.Second},
 	}
 	t := &try{w: w, host: host, inc: w.inc[host], key: key, run: ledger.NewRun(open, groups)}
 	t.do = t.run.Step(ledger.Begin{})
