--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -121,7 +121,7 @@
 		return Verdict{Key: ev.Key, State: Blind}
 	}
 	e := l.add(now, ev.Key, ev.Digest)
-	e.try, e.host, e.inc = ev.Try, ev.Host, ev.Inc
+	e.try, e.host, e.inc = ev.Try, ev.Host, ev.Incarnation
 	if ev.Remaining.Duration > 0 {
 		e.until = now.Add(ev.Remaining.Duration + closeGrace)
 	}
--- a/internal/ledger/messages.go
+++ b/internal/ledger/messages.go
@@ -18,8 +18,8 @@
 	// Try names this try of the key; no two tries share a name.
 	Try string `json:"try,omitempty"`
 	// Host and Inc name the entry host that asks and its incarnation.
-	Host string `json:"host,omitempty"`
-	Inc  int64  `json:"inc,omitempty"`
+	Host        string `json:"host,omitempty"`
+	Incarnation int64  `json:"inc,omitempty"`
 	// Domain is the failure domain whose homes are asked, and Group the digest
 	// of those homes' names, so that hosts with unlike settings notice it.
 	Domain string `json:"domain,omitempty"`
--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -142,7 +142,7 @@
 	}
 	w.tries++
 	open := ledger.Open{
-		Key: key, Digest: digest, Attempt: attempt, Try: host + strconv.Itoa(w.tries), Host: host, Inc: w.inc[host],
+		Key: key, Digest: digest, Attempt: attempt, Try: host + strconv.Itoa(w.tries), Host: host, Incarnation: w.inc[host],
 		Remaining: cell.Duration{Duration: 10 * time.Second},
 	}
 	t := &try{w: w, host: host, inc: w.inc[host], key: key, run: ledger.NewRun(open, groups)}
--- a/internal/measure/ledger.go
+++ b/internal/measure/ledger.go
@@ -30,7 +30,7 @@
 	l := ledger.New(limits, now.Add(-time.Hour))
 	for i := range n {
 		key := cell.NewID()
-		l.Step(now, ledger.Open{Key: key, Digest: 1, Attempt: 1, Try: strconv.Itoa(i), Host: "nord-0", Inc: 1})
+		l.Step(now, ledger.Open{Key: key, Digest: 1, Attempt: 1, Try: strconv.Itoa(i), Host: "nord-0", Incarnation: 1})
 		l.Step(now, ledger.Close{Key: key, Digest: 1, Try: strconv.Itoa(i), Answer: ledger.Answer{
 			Outcome: cell.Done, Status: 200, Body: make([]byte, keyBody),
 		}})
