--- a/internal/ledger/messages.go
+++ b/internal/ledger/messages.go
@@ -49,8 +49,8 @@
 
 // Heartbeat is the last sign of life of an entry host.
 type Heartbeat struct {
-	Inc int64
-	At  time.Time
+	Incarnation int64
+	At          time.Time
 }
 
 // HostHeartbeats tells the last sign of life of every other entry host.
--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -96,7 +96,7 @@
 		signs := map[string]ledger.Heartbeat{}
 		for _, h := range w.hosts {
 			if w.reaches(h.Name, name) {
-				signs[h.Name] = ledger.Heartbeat{Inc: w.inc[h.Name], At: w.clock(name)}
+				signs[h.Name] = ledger.Heartbeat{Incarnation: w.inc[h.Name], At: w.clock(name)}
 			}
 		}
 		if !w.still(name) {
--- a/internal/relay/home.go
+++ b/internal/relay/home.go
@@ -80,9 +80,9 @@
 // that a repeat does not wait for a host that is gone.
 func (x *Relay) tickHome() {
 	_, beats := x.Members()
-	signs := map[string]ledger.Heartbeat{x.Name: {Inc: x.Inc, At: x.Clock()}}
+	signs := map[string]ledger.Heartbeat{x.Name: {Incarnation: x.Inc, At: x.Clock()}}
 	for _, b := range beats {
-		signs[b.Name] = ledger.Heartbeat{Inc: b.Incarnation, At: b.At}
+		signs[b.Name] = ledger.Heartbeat{Incarnation: b.Incarnation, At: b.At}
 	}
 	x.stepHome(ledger.HostHeartbeats{Heartbeats: signs})
 	x.stepHome(ledger.Tick{})
