--- a/internal/ledger/messages.go
+++ b/internal/ledger/messages.go
@@ -115,9 +115,9 @@
 	Header  map[string]string `json:"header,omitempty"`
 	Body    []byte            `json:"body,omitempty"`
 	Reason  string            `json:"reason,omitempty"`
-	// Again is how long to wait before the next try.
-	Again cell.Duration `json:"again,omitzero"`
-	At    time.Time     `json:"-"`
+	// RetryAfter is how long to wait before the next try.
+	RetryAfter cell.Duration `json:"again,omitzero"`
+	At         time.Time     `json:"-"`
 }
 
 func (a Answer) size() int64 {
--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -52,11 +52,11 @@
 }
 
 func kept(r call.Reply) ledger.Answer {
-	return ledger.Answer{Outcome: r.Outcome, Status: r.Status, Header: r.Header, Body: r.Body, Reason: r.Reason, Again: r.Again}
+	return ledger.Answer{Outcome: r.Outcome, Status: r.Status, Header: r.Header, Body: r.Body, Reason: r.Reason, RetryAfter: r.Again}
 }
 
 func told(a ledger.Answer) call.Reply {
-	r := call.Reply{Outcome: a.Outcome, Status: a.Status, Header: a.Header, Body: a.Body, Reason: a.Reason, Again: a.Again}
+	r := call.Reply{Outcome: a.Outcome, Status: a.Status, Header: a.Header, Body: a.Body, Reason: a.Reason, Again: a.RetryAfter}
 	if r.Status == 0 {
 		r.Status = http.StatusServiceUnavailable
 	}
