--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -132,7 +132,7 @@
 func (e *entry) verdict(ev Open) Verdict {
 	switch {
 	case e.digest != ev.Digest:
-		return Verdict{Key: ev.Key, State: Other}
+		return Verdict{Key: ev.Key, State: Mismatch}
 	case ev.Try != "" && ev.Try == e.try && e.answer == nil:
 		// A home may belong to two groups of the same try.
 		return Verdict{Key: ev.Key, State: Fresh}
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -22,7 +22,7 @@
 	l := ledger.New(ledger.DefaultLimits, start)
 	require.Equal(t, ledger.Fresh, open(l, time.Minute, "k", 1).State)
 	require.Equal(t, ledger.Running, open(l, time.Minute, "k", 1).State)
-	require.Equal(t, ledger.Other, open(l, time.Minute, "k", 2).State)
+	require.Equal(t, ledger.Mismatch, open(l, time.Minute, "k", 2).State)
 	l.Step(start.Add(time.Minute), ledger.Close{Key: "k", Answer: ledger.Answer{Outcome: cell.Done, Status: 200}})
 	v := open(l, time.Minute, "k", 1)
 	require.Equal(t, ledger.Known, v.State)
--- a/internal/ledger/messages.go
+++ b/internal/ledger/messages.go
@@ -96,8 +96,8 @@
 	Running State = "running"
 	// Known means that the stored answer is the answer.
 	Known State = "known"
-	// Other means that the key was used with another request.
-	Other State = "other"
+	// Mismatch means that the key was used with another request.
+	Mismatch State = "other"
 	// Blind means that this home cannot vouch for the key.
 	Blind State = "blind"
 	// Lost means that a try was running on an entry host that is gone.
--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -159,7 +159,7 @@
 		return append(r.giveBack(), Wait{Home: ev.Home, Key: r.open.Key})
 	case Lost:
 		return r.stop(unsure(http.StatusServiceUnavailable, "an earlier try was running on a host that is gone"))
-	case Other:
+	case Mismatch:
 		return r.stop(refused(http.StatusUnprocessableEntity, "Idempotency-Key was used with another request"))
 	case Ahead:
 		return r.stop(refused(http.StatusBadRequest, "Idempotency-Key's time is ahead of the clock"))
