--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -118,7 +118,7 @@
 		return Verdict{Key: ev.Key, State: Ahead}
 	}
 	if !l.vouches(now, ev, made) {
-		return Verdict{Key: ev.Key, State: Blind}
+		return Verdict{Key: ev.Key, State: Unconfirmed}
 	}
 	e := l.add(now, ev.Key, ev.Digest)
 	e.try, e.host, e.inc = ev.Try, ev.Host, ev.Incarnation
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -33,7 +33,7 @@
 // key fresh that its predecessor may have seen, else a pass is spent twice.
 func TestHomeThatJustStartedIsBlind(t *testing.T) {
 	l := ledger.New(ledger.DefaultLimits, start)
-	require.Equal(t, ledger.Blind, open(l, time.Second, "k", 1).State)
+	require.Equal(t, ledger.Unconfirmed, open(l, time.Second, "k", 1).State)
 }
 
 func TestRefusedKeyIsFreshAgain(t *testing.T) {
@@ -54,14 +54,14 @@
 		require.Equal(t, ledger.Fresh, open(l, time.Hour+time.Duration(i)*time.Second, key, 1).State)
 	}
 	require.Equal(t, 2, l.Len())
-	require.Equal(t, ledger.Blind, open(l, time.Hour+4*time.Second, timedKey(start.Add(time.Hour), 0), 1).State)
-	require.Equal(t, ledger.Blind, open(l, time.Hour+4*time.Second, "untimed", 1).State)
+	require.Equal(t, ledger.Unconfirmed, open(l, time.Hour+4*time.Second, timedKey(start.Add(time.Hour), 0), 1).State)
+	require.Equal(t, ledger.Unconfirmed, open(l, time.Hour+4*time.Second, "untimed", 1).State)
 	require.Equal(t, ledger.Fresh, open(l, time.Hour+9*time.Second, timedKey(start.Add(time.Hour+9*time.Second), 9), 1).State)
 
 	l.Step(start.Add(3*time.Hour), ledger.Tick{})
 	require.Zero(t, l.Len())
 	again := ledger.Open{Key: timedKey(start.Add(time.Hour+9*time.Second), 9), Digest: 1, Attempt: 2}
-	require.Equal(t, ledger.Blind, l.Step(start.Add(3*time.Hour), again)[0].(ledger.Verdict).State)
+	require.Equal(t, ledger.Unconfirmed, l.Step(start.Add(3*time.Hour), again)[0].(ledger.Verdict).State)
 }
 
 // Large answers fill a home's memory. The oldest is dropped, but not the
@@ -84,7 +84,7 @@
 func TestKeyFromTheFutureIsRefused(t *testing.T) {
 	l := ledger.New(ledger.DefaultLimits, start)
 	require.Equal(t, ledger.Ahead, open(l, time.Hour, timedKey(start.Add(time.Hour+2*time.Second), 0), 1).State)
-	require.Equal(t, ledger.Blind, open(l, time.Second, timedKey(start.Add(2*time.Second), 0), 1).State, "within the skew of the start")
+	require.Equal(t, ledger.Unconfirmed, open(l, time.Second, timedKey(start.Add(2*time.Second), 0), 1).State, "within the skew of the start")
 }
 
 // A repeat waits for the running first try. It is told as soon as that try
--- a/internal/ledger/messages.go
+++ b/internal/ledger/messages.go
@@ -98,8 +98,8 @@
 	Known State = "known"
 	// Mismatch means that the key was used with another request.
 	Mismatch State = "other"
-	// Blind means that this home cannot vouch for the key.
-	Blind State = "blind"
+	// Unconfirmed means that this home cannot vouch for the key.
+	Unconfirmed State = "blind"
 	// Lost means that a try was running on an entry host that is gone.
 	Lost State = "lost"
 	// Free means that the try that was waited for gave the key back.
--- a/internal/relay/home.go
+++ b/internal/relay/home.go
@@ -22,7 +22,7 @@
 func (x *Relay) OpenKey(ev ledger.Open) ledger.Verdict {
 	if !x.Plan.Agrees(ev) {
 		x.Log.Warn("ledger: settings name other homes.", "host", ev.Host, "domain", ev.Domain)
-		return ledger.Verdict{Key: ev.Key, State: ledger.Blind}
+		return ledger.Verdict{Key: ev.Key, State: ledger.Unconfirmed}
 	}
 	x.home.mu.Lock()
 	defer x.home.mu.Unlock()
