--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -146,7 +146,7 @@
 func (e *entry) state() Verdict {
 	switch {
 	case e.answer != nil:
-		return Verdict{Key: e.key, State: Known, Answer: e.answer}
+		return Verdict{Key: e.key, State: Answered, Answer: e.answer}
 	case e.lost:
 		return Verdict{Key: e.key, State: Lost}
 	default:
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -25,7 +25,7 @@
 	require.Equal(t, ledger.Mismatch, open(l, time.Minute, "k", 2).State)
 	l.Step(start.Add(time.Minute), ledger.Close{Key: "k", Answer: ledger.Answer{Outcome: cell.Done, Status: 200}})
 	v := open(l, time.Minute, "k", 1)
-	require.Equal(t, ledger.Known, v.State)
+	require.Equal(t, ledger.Answered, v.State)
 	require.Equal(t, 200, v.Answer.Status)
 }
 
@@ -97,10 +97,10 @@
 		at time.Duration
 		ev ledger.Event
 	}{
-		ledger.Known:   {0, ledger.Close{Key: "k", Try: "t", Answer: ledger.Answer{Outcome: cell.Done}}},
-		ledger.Free:    {0, ledger.Close{Key: "k", Try: "t", Answer: ledger.Answer{Outcome: cell.Refused}}},
-		ledger.Lost:    {3 * time.Second, ledger.Tick{}},
-		ledger.Running: {0, ledger.Close{Key: "k", Try: "another", Answer: ledger.Answer{Outcome: cell.Refused}}},
+		ledger.Answered: {0, ledger.Close{Key: "k", Try: "t", Answer: ledger.Answer{Outcome: cell.Done}}},
+		ledger.Free:     {0, ledger.Close{Key: "k", Try: "t", Answer: ledger.Answer{Outcome: cell.Refused}}},
+		ledger.Lost:     {3 * time.Second, ledger.Tick{}},
+		ledger.Running:  {0, ledger.Close{Key: "k", Try: "another", Answer: ledger.Answer{Outcome: cell.Refused}}},
 	}
 	for state, end := range ends {
 		l := ledger.New(ledger.DefaultLimits, start)
--- a/internal/ledger/messages.go
+++ b/internal/ledger/messages.go
@@ -94,8 +94,8 @@
 	Fresh State = "fresh"
 	// Running means that another try of this key was sent and has no answer yet.
 	Running State = "running"
-	// Known means that the stored answer is the answer.
-	Known State = "known"
+	// Answered means that the stored answer is the answer.
+	Answered State = "known"
 	// Mismatch means that the key was used with another request.
 	Mismatch State = "other"
 	// Unconfirmed means that this home cannot vouch for the key.
--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -148,7 +148,7 @@
 	case Fresh:
 		r.fresh += r.groups[r.group].Homes[r.home-1].Weight
 		return r.next()
-	case Known:
+	case Answered:
 		return r.stop(*ev.Verdict.Answer)
 	case Free:
 		return r.again()
