--- a/internal/ledger/await.go
+++ b/internal/ledger/await.go
@@ -9,7 +9,7 @@
 func (l *Ledger) await(ev Await) []Action {
 	e, ok := l.keys[ev.Key]
 	if !ok {
-		return []Action{Woken{ID: ev.ID, Verdict: Verdict{Key: ev.Key, State: Free}}}
+		return []Action{Woken{ID: ev.ID, Verdict: Verdict{Key: ev.Key, State: Released}}}
 	}
 	if v := e.state(); v.State != Running {
 		return []Action{Woken{ID: ev.ID, Verdict: v}}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -217,7 +217,7 @@
 			return nil
 		}
 		// It provably did not run, so the next try is a fresh one.
-		woken := l.wake(e, Verdict{Key: e.key, State: Free})
+		woken := l.wake(e, Verdict{Key: e.key, State: Released})
 		l.remove(e)
 		return woken
 	}
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -98,7 +98,7 @@
 		ev ledger.Event
 	}{
 		ledger.Answered: {0, ledger.Close{Key: "k", Try: "t", Answer: ledger.Answer{Outcome: cell.Done}}},
-		ledger.Free:     {0, ledger.Close{Key: "k", Try: "t", Answer: ledger.Answer{Outcome: cell.Refused}}},
+		ledger.Released: {0, ledger.Close{Key: "k", Try: "t", Answer: ledger.Answer{Outcome: cell.Refused}}},
 		ledger.Lost:     {3 * time.Second, ledger.Tick{}},
 		ledger.Running:  {0, ledger.Close{Key: "k", Try: "another", Answer: ledger.Answer{Outcome: cell.Refused}}},
 	}
--- a/internal/ledger/messages.go
+++ b/internal/ledger/messages.go
@@ -102,8 +102,8 @@
 	Unconfirmed State = "blind"
 	// Lost means that a try was running on an entry host that is gone.
 	Lost State = "lost"
-	// Free means that the try that was waited for gave the key back.
-	Free State = "free"
+	// Released means that the try that was waited for gave the key back.
+	Released State = "free"
 	// Ahead means that the key's own time is in the future.
 	Ahead State = "ahead"
 )
--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -150,7 +150,7 @@
 		return r.next()
 	case Answered:
 		return r.stop(*ev.Verdict.Answer)
-	case Free:
+	case Released:
 		return r.again()
 	case Running:
 		if len(r.asked) == 0 {
