--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -115,7 +115,7 @@
 	}
 	made, timed := cell.KeyTime(ev.Key)
 	if timed && made.After(now.Add(l.limits.Skew)) {
-		return Verdict{Key: ev.Key, State: Ahead}
+		return Verdict{Key: ev.Key, State: FutureKey}
 	}
 	if !l.vouches(now, ev, made) {
 		return Verdict{Key: ev.Key, State: Unconfirmed}
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -83,7 +83,7 @@
 // started after their first try and so be taken as fresh twice.
 func TestKeyFromTheFutureIsRefused(t *testing.T) {
 	l := ledger.New(ledger.DefaultLimits, start)
-	require.Equal(t, ledger.Ahead, open(l, time.Hour, timedKey(start.Add(time.Hour+2*time.Second), 0), 1).State)
+	require.Equal(t, ledger.FutureKey, open(l, time.Hour, timedKey(start.Add(time.Hour+2*time.Second), 0), 1).State)
 	require.Equal(t, ledger.Unconfirmed, open(l, time.Second, timedKey(start.Add(2*time.Second), 0), 1).State, "within the skew of the start")
 }
 
--- a/internal/ledger/messages.go
+++ b/internal/ledger/messages.go
@@ -104,8 +104,8 @@
 	Lost State = "lost"
 	// Released means that the try that was waited for gave the key back.
 	Released State = "free"
-	// Ahead means that the key's own time is in the future.
-	Ahead State = "ahead"
+	// FutureKey means that the key's own time is in the future.
+	FutureKey State = "ahead"
 )
 
 // Answer is a whole answer as it is kept under its key.
--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -161,7 +161,7 @@
 		return r.stop(unsure(http.StatusServiceUnavailable, "an earlier try was running on a host that is gone"))
 	case Mismatch:
 		return r.stop(refused(http.StatusUnprocessableEntity, "Idempotency-Key was used with another request"))
-	case Ahead:
+	case FutureKey:
 		return r.stop(refused(http.StatusBadRequest, "Idempotency-Key's time is ahead of the clock"))
 	default:
 		return r.next()
