--- a/internal/ledger/await.go
+++ b/internal/ledger/await.go
@@ -50,7 +50,7 @@
 	}
 	for front := l.opened.Front(); front != nil; front = l.opened.Front() {
 		e := front.Value.(*entry)
-		if now.Sub(e.opened) <= l.limits.Keep {
+		if now.Sub(e.opened) <= l.limits.Retention {
 			break
 		}
 		woken = append(woken, l.wake(e, Verdict{Key: e.key, State: Lost})...)
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -14,8 +14,8 @@
 
 // Limits bound one home's memory of keys.
 type Limits struct {
-	// Keep is how long a key is remembered after its first try.
-	Keep time.Duration
+	// Retention is how long a key is remembered after its first try.
+	Retention time.Duration
 	// Repeat is how long after its first try a balancer may repeat a request.
 	Repeat time.Duration
 	// Skew is how far a key's own time may be ahead of a home's clock. Clocks
@@ -29,7 +29,7 @@
 
 // DefaultLimits suit a small entry host.
 var DefaultLimits = Limits{
-	Keep: 10 * time.Minute, Repeat: 30 * time.Second, Skew: time.Second, Entries: 100_000, Bytes: 32 << 20,
+	Retention: 10 * time.Minute, Repeat: 30 * time.Second, Skew: time.Second, Entries: 100_000, Bytes: 32 << 20,
 }
 
 // silentAfter is how long an entry host may give no sign of life before its
