--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -16,8 +16,8 @@
 type Limits struct {
 	// Retention is how long a key is remembered after its first try.
 	Retention time.Duration
-	// Repeat is how long after its first try a balancer may repeat a request.
-	Repeat time.Duration
+	// RepeatWindow is how long after its first try a balancer may repeat a request.
+	RepeatWindow time.Duration
 	// Skew is how far a key's own time may be ahead of a home's clock. Clocks
 	// of two homes may differ by as much again.
 	Skew time.Duration
@@ -29,7 +29,7 @@
 
 // DefaultLimits suit a small entry host.
 var DefaultLimits = Limits{
-	Retention: 10 * time.Minute, Repeat: 30 * time.Second, Skew: time.Second, Entries: 100_000, Bytes: 32 << 20,
+	Retention: 10 * time.Minute, RepeatWindow: 30 * time.Second, Skew: time.Second, Entries: 100_000, Bytes: 32 << 20,
 }
 
 // silentAfter is how long an entry host may give no sign of life before its
@@ -166,7 +166,7 @@
 	if made.After(l.since.Add(2 * l.limits.Skew)) {
 		return true
 	}
-	return ev.Attempt == 1 && now.Sub(l.since) > l.limits.Repeat
+	return ev.Attempt == 1 && now.Sub(l.since) > l.limits.RepeatWindow
 }
 
 func (l *Ledger) add(now time.Time, key string, digest uint64) *entry {
--- a/internal/ledger/random_test.go
+++ b/internal/ledger/random_test.go
@@ -65,7 +65,7 @@
 	host := h.hosts[h.draw(len(h.hosts))]
 	attempt := 2
 	began, tried := h.first[key]
-	if host.Domain == "nord" && (!tried || h.now.Sub(began) < ledger.DefaultLimits.Repeat) {
+	if host.Domain == "nord" && (!tried || h.now.Sub(began) < ledger.DefaultLimits.RepeatWindow) {
 		attempt = 1 + h.draw(2)
 	}
 	if !tried {
