--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -18,9 +18,9 @@
 	Retention time.Duration
 	// RepeatWindow is how long after its first try a balancer may repeat a request.
 	RepeatWindow time.Duration
-	// Skew is how far a key's own time may be ahead of a home's clock. Clocks
+	// MaxSkew is how far a key's own time may be ahead of a home's clock. Clocks
 	// of two homes may differ by as much again.
-	Skew time.Duration
+	MaxSkew time.Duration
 	// Entries is the largest number of keys.
 	Entries int
 	// Bytes is the largest sum of the stored answers' sizes.
@@ -29,7 +29,7 @@
 
 // DefaultLimits suit a small entry host.
 var DefaultLimits = Limits{
-	Retention: 10 * time.Minute, RepeatWindow: 30 * time.Second, Skew: time.Second, Entries: 100_000, Bytes: 32 << 20,
+	Retention: 10 * time.Minute, RepeatWindow: 30 * time.Second, MaxSkew: time.Second, Entries: 100_000, Bytes: 32 << 20,
 }
 
 // silentAfter is how long an entry host may give no sign of life before its
@@ -114,7 +114,7 @@
 		return e.verdict(ev)
 	}
 	made, timed := cell.KeyTime(ev.Key)
-	if timed && made.After(now.Add(l.limits.Skew)) {
+	if timed && made.After(now.Add(l.limits.MaxSkew)) {
 		return Verdict{Key: ev.Key, State: FutureKey}
 	}
 	if !l.vouches(now, ev, made) {
@@ -163,7 +163,7 @@
 // balancer's repeats of a first try are to be feared, and they come within the
 // repeat window.
 func (l *Ledger) vouches(now time.Time, ev Open, made time.Time) bool {
-	if made.After(l.since.Add(2 * l.limits.Skew)) {
+	if made.After(l.since.Add(2 * l.limits.MaxSkew)) {
 		return true
 	}
 	return ev.Attempt == 1 && now.Sub(l.since) > l.limits.RepeatWindow
