--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -21,15 +21,15 @@
 	// MaxSkew is how far a key's own time may be ahead of a home's clock. Clocks
 	// of two homes may differ by as much again.
 	MaxSkew time.Duration
-	// Entries is the largest number of keys.
-	Entries int
+	// MaxKeys is the largest number of keys.
+	MaxKeys int
 	// Bytes is the largest sum of the stored answers' sizes.
 	Bytes int64
 }
 
 // DefaultLimits suit a small entry host.
 var DefaultLimits = Limits{
-	Retention: 10 * time.Minute, RepeatWindow: 30 * time.Second, MaxSkew: time.Second, Entries: 100_000, Bytes: 32 << 20,
+	Retention: 10 * time.Minute, RepeatWindow: 30 * time.Second, MaxSkew: time.Second, MaxKeys: 100_000, Bytes: 32 << 20,
 }
 
 // silentAfter is how long an entry host may give no sign of life before its
@@ -170,7 +170,7 @@
 }
 
 func (l *Ledger) add(now time.Time, key string, digest uint64) *entry {
-	for l.opened.Len() >= max(1, l.limits.Entries) {
+	for l.opened.Len() >= max(1, l.limits.MaxKeys) {
 		l.evict()
 	}
 	e := &entry{key: key, digest: digest, opened: now}
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -47,7 +47,7 @@
 // then on the home must not take its repeat, or any key as old, as fresh.
 func TestForgottenKeyIsNeverFreshAgain(t *testing.T) {
 	limits := ledger.DefaultLimits
-	limits.Entries = 2
+	limits.MaxKeys = 2
 	l := ledger.New(limits, start)
 	for i := range byte(3) {
 		key := timedKey(start.Add(time.Hour), i)
