--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -23,13 +23,13 @@
 	MaxSkew time.Duration
 	// MaxKeys is the largest number of keys.
 	MaxKeys int
-	// Bytes is the largest sum of the stored answers' sizes.
-	Bytes int64
+	// MaxBytes is the largest sum of the stored answers' sizes.
+	MaxBytes int64
 }
 
 // DefaultLimits suit a small entry host.
 var DefaultLimits = Limits{
-	Retention: 10 * time.Minute, RepeatWindow: 30 * time.Second, MaxSkew: time.Second, MaxKeys: 100_000, Bytes: 32 << 20,
+	Retention: 10 * time.Minute, RepeatWindow: 30 * time.Second, MaxSkew: time.Second, MaxKeys: 100_000, MaxBytes: 32 << 20,
 }
 
 // silentAfter is how long an entry host may give no sign of life before its
@@ -239,7 +239,7 @@
 	e.answer = &a
 	e.stored = l.answers.PushBack(e)
 	l.bytes += a.size()
-	for l.bytes > l.limits.Bytes && l.answers.Len() > 0 {
+	for l.bytes > l.limits.MaxBytes && l.answers.Len() > 0 {
 		old := l.answers.Front().Value.(*entry)
 		l.discard(old)
 		old.answer = &Answer{Outcome: cell.Unknown, Reason: "the answer is no longer kept"}
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -68,7 +68,7 @@
 // knowledge that it was given: its repeat is told unknown, not run again.
 func TestDroppedAnswerIsUnknown(t *testing.T) {
 	limits := ledger.DefaultLimits
-	limits.Bytes = 15
+	limits.MaxBytes = 15
 	l := ledger.New(limits, start)
 	for _, key := range []string{"a", "b"} {
 		require.Equal(t, ledger.Fresh, open(l, time.Hour, key, 1).State)
--- a/internal/measure/ledger.go
+++ b/internal/measure/ledger.go
@@ -24,7 +24,7 @@
 // many bytes of memory a kept key takes.
 func Keys(n int) float64 {
 	limits := ledger.DefaultLimits
-	limits.MaxKeys, limits.Bytes = n, int64(n)*keyBody*2
+	limits.MaxKeys, limits.MaxBytes = n, int64(n)*keyBody*2
 	now := time.Unix(1_700_000_000, 0)
 	before := heapBytes()
 	l := ledger.New(limits, now.Add(-time.Hour))
