--- a/internal/ledger/plan.go
+++ b/internal/ledger/plan.go
@@ -33,8 +33,8 @@
 	Domain string
 	// Homes are in the order in which they are asked.
 	Homes []Home
-	// Need is the weight of the homes that must hold the key.
-	Need int
+	// RequiredWeight is the weight of the homes that must hold the key.
+	RequiredWeight int
 	// Digest is that of the homes' names.
 	Digest uint64
 }
@@ -95,7 +95,7 @@
 	if len(homes) == groupSize-1 {
 		homes = append(homes, weigh(top(key, p.elsewhere(domain), witnesses), witnessWeight)...)
 	}
-	g := Group{Domain: domain, Homes: homes, Need: sum(homes)/2 + 1, Digest: digest(homes)}
+	g := Group{Domain: domain, Homes: homes, RequiredWeight: sum(homes)/2 + 1, Digest: digest(homes)}
 	slices.SortStableFunc(homes, func(a, b Home) int {
 		return cmp.Or(rank(live(a.Name))-rank(live(b.Name)), b.Weight-a.Weight)
 	})
--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -116,7 +116,7 @@
 
 func (r *Run) next() []RunAction {
 	g := r.groups[r.group]
-	if r.fresh >= g.Need {
+	if r.fresh >= g.RequiredWeight {
 		r.group, r.home, r.fresh = r.group+1, 0, 0
 		if r.group == len(r.groups) {
 			r.sent = true
@@ -124,7 +124,7 @@
 		}
 		g = r.groups[r.group]
 	}
-	if r.fresh+sum(g.Homes[r.home:]) < g.Need {
+	if r.fresh+sum(g.Homes[r.home:]) < g.RequiredWeight {
 		return r.stop(unsure(http.StatusServiceUnavailable, "too few homes in "+g.Domain+" vouch for the key"))
 	}
 	home := g.Homes[r.home].Name
--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -47,7 +47,7 @@
 
 // brokenRules each leave out one rule that at most once rests on.
 var brokenRules = map[string]rule{
-	"one home is enough":    {group: func(g *ledger.Group) { g.Need = 1 }},
+	"one home is enough":    {group: func(g *ledger.Group) { g.RequiredWeight = 1 }},
 	"blind counts as fresh": {group: whole.group, older: time.Hour},
 }
 
@@ -134,9 +134,9 @@
 		if w.rule.byLive {
 			groups[i].Homes = slices.DeleteFunc(groups[i].Homes, func(h ledger.Home) bool { return !live(h.Name) })
 			groups[i].Homes = groups[i].Homes[:min(2, len(groups[i].Homes))]
-			groups[i].Need = 0
+			groups[i].RequiredWeight = 0
 			for _, home := range groups[i].Homes {
-				groups[i].Need += home.Weight
+				groups[i].RequiredWeight += home.Weight
 			}
 		}
 	}
