--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -127,8 +127,8 @@
 	renamed := ledger.NewPlan(cellHosts[0], append([]ledger.Host{{Name: "nord-9", Domain: "nord"}}, cellHosts[2:]...))
 	g := old.Groups("k", 1, live)[0]
 	ev := ledger.Open{Key: "k", Domain: g.Domain, Group: g.Digest}
-	require.True(t, ledger.NewPlan(cellHosts[3], append([]ledger.Host{cellHosts[4], cellHosts[5]}, cellHosts[:3]...)).Agrees(ev))
-	require.False(t, renamed.Agrees(ev))
+	require.True(t, ledger.NewPlan(cellHosts[3], append([]ledger.Host{cellHosts[4], cellHosts[5]}, cellHosts[:3]...)).MatchesGroup(ev))
+	require.False(t, renamed.MatchesGroup(ev))
 }
 
 // A head cook's term plan is large. Its repeat must not take the home that
--- a/internal/ledger/plan.go
+++ b/internal/ledger/plan.go
@@ -135,9 +135,9 @@
 	return all
 }
 
-// Agrees tells whether this host's settings name the same homes as those of
+// MatchesGroup tells whether this host's settings name the same homes as those of
 // the host that asks. Homes of unlike groups need not meet.
-func (p Plan) Agrees(ev Open) bool {
+func (p Plan) MatchesGroup(ev Open) bool {
 	return p.group(ev.Key, ev.Domain, func(string) bool { return true }).Digest == ev.Group
 }
 
--- a/internal/relay/home.go
+++ b/internal/relay/home.go
@@ -20,7 +20,7 @@
 
 // OpenKey answers for this host as a key's home.
 func (x *Relay) OpenKey(ev ledger.Open) ledger.Verdict {
-	if !x.Plan.Agrees(ev) {
+	if !x.Plan.MatchesGroup(ev) {
 		x.Log.Warn("ledger: settings name other homes.", "host", ev.Host, "domain", ev.Domain)
 		return ledger.Verdict{Key: ev.Key, State: ledger.Unconfirmed}
 	}
