--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -12,8 +12,8 @@
 // key back. Two tries that meet half-way could else go on so for ever.
 const maxRounds = 4
 
-// RunEvent is what one try of a keyed request is told.
-type RunEvent interface{ runEvent() }
+// TryEvent is what one try of a keyed request is told.
+type TryEvent interface{ runEvent() }
 
 // Begin starts the try.
 type Begin struct{}
@@ -91,7 +91,7 @@
 func NewRun(open Open, groups []Group) *Run { return &Run{open: open, groups: groups} }
 
 // Step takes one event. After a Tell nothing more happens.
-func (r *Run) Step(ev RunEvent) []RunAction {
+func (r *Run) Step(ev TryEvent) []RunAction {
 	if r.over {
 		return nil
 	}
--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -192,9 +192,9 @@
 	}
 }
 
-func (t *try) feed(ev ledger.RunEvent) { t.do = append(t.do, t.run.Step(ev)...) }
+func (t *try) feed(ev ledger.TryEvent) { t.do = append(t.do, t.run.Step(ev)...) }
 
-func (t *try) ask(a ledger.Ask) ledger.RunEvent {
+func (t *try) ask(a ledger.Ask) ledger.TryEvent {
 	if !t.w.reaches(t.host, a.Home) {
 		return ledger.Silent{Home: a.Home}
 	}
--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -25,7 +25,7 @@
 	look, cancel := context.WithTimeout(ctx, req.Deadline.Sub(x.Clock()))
 	defer cancel()
 	run := ledger.NewRun(x.newOpen(req), x.Plan.Groups(req.Key, req.Attempt, x.liveNow()))
-	var ev ledger.RunEvent = ledger.Begin{}
+	var ev ledger.TryEvent = ledger.Begin{}
 	for {
 		for _, a := range run.Step(ev) {
 			switch a := a.(type) {
@@ -66,7 +66,7 @@
 	return r
 }
 
-func (x *Relay) ask(ctx context.Context, a ledger.Ask) ledger.RunEvent {
+func (x *Relay) ask(ctx context.Context, a ledger.Ask) ledger.TryEvent {
 	if a.Home == x.Name {
 		return ledger.Said{Home: a.Home, Verdict: x.OpenKey(a.Open)}
 	}
@@ -77,7 +77,7 @@
 	return heard(ctx, a.Home, v, err)
 }
 
-func (x *Relay) await(ctx context.Context, a ledger.Wait, deadline time.Time) ledger.RunEvent {
+func (x *Relay) await(ctx context.Context, a ledger.Wait, deadline time.Time) ledger.TryEvent {
 	m := peer.AwaitKey{Key: a.Key, Left: cell.Duration{Duration: deadline.Sub(x.Clock())}}
 	if a.Home == x.Name {
 		return heard(ctx, a.Home, x.AwaitKey(ctx, m), nil)
@@ -87,7 +87,7 @@
 	return heard(ctx, a.Home, v, err)
 }
 
-func heard(ctx context.Context, home string, v ledger.Verdict, err error) ledger.RunEvent {
+func heard(ctx context.Context, home string, v ledger.Verdict, err error) ledger.TryEvent {
 	switch {
 	case err == nil:
 		return ledger.Said{Home: home, Verdict: v}
