--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -40,9 +40,9 @@
 func (Ended) runEvent()   {}
 func (GivenUp) runEvent() {}
 
-// RunAction is what a try asks its edge to do. Of Ask, Wait, Send and Tell
+// TryAction is what a try asks its edge to do. Of Ask, Wait, Send and Tell
 // each step returns exactly one, as the last.
-type RunAction interface{ runAction() }
+type TryAction interface{ runAction() }
 
 // Ask puts an Open to a home.
 type Ask struct {
@@ -91,7 +91,7 @@
 func NewRun(open Open, groups []Group) *Run { return &Run{open: open, groups: groups} }
 
 // Step takes one event. After a Tell nothing more happens.
-func (r *Run) Step(ev TryEvent) []RunAction {
+func (r *Run) Step(ev TryEvent) []TryAction {
 	if r.over {
 		return nil
 	}
@@ -114,13 +114,13 @@
 // a home holds for this one.
 func (r *Run) try() string { return r.open.Try + "/" + strconv.Itoa(r.round) }
 
-func (r *Run) next() []RunAction {
+func (r *Run) next() []TryAction {
 	g := r.groups[r.group]
 	if r.fresh >= g.RequiredWeight {
 		r.group, r.home, r.fresh = r.group+1, 0, 0
 		if r.group == len(r.groups) {
 			r.sent = true
-			return []RunAction{Send{}}
+			return []TryAction{Send{}}
 		}
 		g = r.groups[r.group]
 	}
@@ -132,10 +132,10 @@
 	r.asked = append(r.asked, home)
 	open := r.open
 	open.Try, open.Domain, open.Group = r.try(), g.Domain, g.Digest
-	return []RunAction{Ask{Home: home, Open: open}}
+	return []TryAction{Ask{Home: home, Open: open}}
 }
 
-func (r *Run) silent() []RunAction {
+func (r *Run) silent() []TryAction {
 	if len(r.asked) == 0 {
 		// The home that was waited for has gone; the others may know the end.
 		return r.again()
@@ -143,7 +143,7 @@
 	return r.next()
 }
 
-func (r *Run) said(ev Said) []RunAction {
+func (r *Run) said(ev Said) []TryAction {
 	switch ev.Verdict.State {
 	case Fresh:
 		r.fresh += r.groups[r.group].Homes[r.home-1].Weight
@@ -168,7 +168,7 @@
 	}
 }
 
-func (r *Run) again() []RunAction {
+func (r *Run) again() []TryAction {
 	back := r.giveBack()
 	r.round++
 	if r.round == maxRounds {
@@ -180,12 +180,12 @@
 
 // giveBack frees the key at the homes that may hold it for a try that was
 // never let go.
-func (r *Run) giveBack() []RunAction {
+func (r *Run) giveBack() []TryAction {
 	return r.keep(Answer{Outcome: cell.Refused})
 }
 
-func (r *Run) keep(a Answer) []RunAction {
-	var all []RunAction
+func (r *Run) keep(a Answer) []TryAction {
+	var all []TryAction
 	for _, home := range r.asked {
 		all = append(all, Keep{Home: home, Close: Close{Key: r.open.Key, Digest: r.open.Digest, Try: r.try(), Answer: a}})
 	}
@@ -194,7 +194,7 @@
 }
 
 // stop ends a try that was never let go.
-func (r *Run) stop(a Answer) []RunAction {
+func (r *Run) stop(a Answer) []TryAction {
 	if r.sent {
 		return nil
 	}
@@ -202,7 +202,7 @@
 	return append(r.giveBack(), Tell{Answer: a})
 }
 
-func (r *Run) ended(a Answer) []RunAction {
+func (r *Run) ended(a Answer) []TryAction {
 	if !r.sent {
 		return nil
 	}
--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -114,7 +114,7 @@
 	inc     int64
 	run     *ledger.Run
 	key     string
-	do      []ledger.RunAction
+	do      []ledger.TryAction
 	told    *ledger.Answer
 	ran     int
 	waiting *ledger.Wait
