--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -18,8 +18,8 @@
 // Begin starts the try.
 type Begin struct{}
 
-// Said is a home's answer to an Ask or a Wait.
-type Said struct {
+// HomeAnswered is a home's answer to an Ask or a Wait.
+type HomeAnswered struct {
 	Home    string
 	Verdict Verdict
 }
@@ -34,11 +34,11 @@
 // the request was let go.
 type GivenUp struct{}
 
-func (Begin) runEvent()   {}
-func (Said) runEvent()    {}
-func (Silent) runEvent()  {}
-func (Ended) runEvent()   {}
-func (GivenUp) runEvent() {}
+func (Begin) runEvent()        {}
+func (HomeAnswered) runEvent() {}
+func (Silent) runEvent()       {}
+func (Ended) runEvent()        {}
+func (GivenUp) runEvent()      {}
 
 // TryAction is what a try asks its edge to do. Of Ask, Wait, Send and Tell
 // each step returns exactly one, as the last.
@@ -98,7 +98,7 @@
 	switch ev := ev.(type) {
 	case Begin:
 		return r.next()
-	case Said:
+	case HomeAnswered:
 		return r.said(ev)
 	case Silent:
 		return r.silent()
@@ -143,7 +143,7 @@
 	return r.next()
 }
 
-func (r *Run) said(ev Said) []TryAction {
+func (r *Run) said(ev HomeAnswered) []TryAction {
 	switch ev.Verdict.State {
 	case Fresh:
 		r.fresh += r.groups[r.group].Homes[r.home-1].Weight
--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -207,7 +207,7 @@
 		return ledger.Silent{Home: a.Home}
 	}
 	v := t.w.tell(a.Home, a.Open)[0].(ledger.Verdict)
-	return ledger.Said{Home: a.Home, Verdict: v}
+	return ledger.HomeAnswered{Home: a.Home, Verdict: v}
 }
 
 // look asks the home of a waiting try whether the wait is over.
@@ -225,7 +225,7 @@
 	t.w.tell(home, ledger.CancelAwait{ID: "w"})
 	if len(acts) > 0 {
 		t.waiting = nil
-		t.feed(ledger.Said{Home: home, Verdict: acts[0].(ledger.Woken).Verdict})
+		t.feed(ledger.HomeAnswered{Home: home, Verdict: acts[0].(ledger.Woken).Verdict})
 	}
 }
 
--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -68,7 +68,7 @@
 
 func (x *Relay) ask(ctx context.Context, a ledger.Ask) ledger.TryEvent {
 	if a.Home == x.Name {
-		return ledger.Said{Home: a.Home, Verdict: x.OpenKey(a.Open)}
+		return ledger.HomeAnswered{Home: a.Home, Verdict: x.OpenKey(a.Open)}
 	}
 	short, cancel := context.WithTimeout(ctx, openWait)
 	defer cancel()
@@ -90,7 +90,7 @@
 func heard(ctx context.Context, home string, v ledger.Verdict, err error) ledger.TryEvent {
 	switch {
 	case err == nil:
-		return ledger.Said{Home: home, Verdict: v}
+		return ledger.HomeAnswered{Home: home, Verdict: v}
 	case ctx.Err() != nil:
 		return ledger.GivenUp{}
 	default:
