--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -24,8 +24,8 @@
 	Verdict Verdict
 }
 
-// Silent tells that a home gave no answer, whether or not it was asked.
-type Silent struct{ Home string }
+// HomeSilent tells that a home gave no answer, whether or not it was asked.
+type HomeSilent struct{ Home string }
 
 // Ended tells how the request ended after it was let go by a Send.
 type Ended struct{ Answer Answer }
@@ -36,7 +36,7 @@
 
 func (Begin) runEvent()        {}
 func (HomeAnswered) runEvent() {}
-func (Silent) runEvent()       {}
+func (HomeSilent) runEvent()   {}
 func (Ended) runEvent()        {}
 func (GivenUp) runEvent()      {}
 
@@ -100,7 +100,7 @@
 		return r.next()
 	case HomeAnswered:
 		return r.said(ev)
-	case Silent:
+	case HomeSilent:
 		return r.silent()
 	case Ended:
 		return r.ended(ev.Answer)
--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -196,15 +196,15 @@
 
 func (t *try) ask(a ledger.Ask) ledger.TryEvent {
 	if !t.w.reaches(t.host, a.Home) {
-		return ledger.Silent{Home: a.Home}
+		return ledger.HomeSilent{Home: a.Home}
 	}
 	switch t.w.lossy(12) {
 	case 1: // the answer is lost
 		t.w.tell(a.Home, a.Open)
-		return ledger.Silent{Home: a.Home}
+		return ledger.HomeSilent{Home: a.Home}
 	case 2: // the question arrives when nobody waits for its answer
 		t.w.late = append(t.w.late, func() { t.w.tell(a.Home, a.Open) })
-		return ledger.Silent{Home: a.Home}
+		return ledger.HomeSilent{Home: a.Home}
 	}
 	v := t.w.tell(a.Home, a.Open)[0].(ledger.Verdict)
 	return ledger.HomeAnswered{Home: a.Home, Verdict: v}
@@ -218,7 +218,7 @@
 	home := t.waiting.Home
 	if !t.w.reaches(t.host, home) {
 		t.waiting = nil
-		t.feed(ledger.Silent{Home: home})
+		t.feed(ledger.HomeSilent{Home: home})
 		return
 	}
 	acts := t.w.tell(home, ledger.Await{Key: t.key, ID: "w", Until: t.w.clock(home).Add(time.Minute)})
--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -94,6 +94,6 @@
 	case ctx.Err() != nil:
 		return ledger.GivenUp{}
 	default:
-		return ledger.Silent{Home: home}
+		return ledger.HomeSilent{Home: home}
 	}
 }
