--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -27,8 +27,8 @@
 // HomeSilent tells that a home gave no answer, whether or not it was asked.
 type HomeSilent struct{ Home string }
 
-// Ended tells how the request ended after it was let go by a Send.
-type Ended struct{ Answer Answer }
+// RequestEnded tells how the request ended after it was let go by a Send.
+type RequestEnded struct{ Answer Answer }
 
 // GivenUp tells that the caller has gone or the deadline has passed before
 // the request was let go.
@@ -37,7 +37,7 @@
 func (Begin) runEvent()        {}
 func (HomeAnswered) runEvent() {}
 func (HomeSilent) runEvent()   {}
-func (Ended) runEvent()        {}
+func (RequestEnded) runEvent() {}
 func (GivenUp) runEvent()      {}
 
 // TryAction is what a try asks its edge to do. Of Ask, Wait, Send and Tell
@@ -102,7 +102,7 @@
 		return r.said(ev)
 	case HomeSilent:
 		return r.silent()
-	case Ended:
+	case RequestEnded:
 		return r.ended(ev.Answer)
 	case GivenUp:
 		return r.stop(unsure(http.StatusGatewayTimeout, "time ran out while the key was looked up"))
--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -171,7 +171,7 @@
 	case ledger.Send:
 		t.w.ran[t.key]++
 		t.ran++
-		t.feed(ledger.Ended{Answer: ledger.Answer{Outcome: cell.Done, Status: 200, Body: []byte("whole")}})
+		t.feed(ledger.RequestEnded{Answer: ledger.Answer{Outcome: cell.Done, Status: 200, Body: []byte("whole")}})
 	case ledger.Tell:
 		t.told = &a.Answer
 	}
--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -36,7 +36,7 @@
 			case ledger.Wait:
 				ev = x.await(look, a, req.Deadline)
 			case ledger.Send:
-				ev = ledger.Ended{Answer: kept(x.route(ctx, req))}
+				ev = ledger.RequestEnded{Answer: kept(x.route(ctx, req))}
 			case ledger.Tell:
 				return told(a.Answer)
 			}
