--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -30,15 +30,15 @@
 // RequestEnded tells how the request ended after it was let go by a Send.
 type RequestEnded struct{ Answer Answer }
 
-// GivenUp tells that the caller has gone or the deadline has passed before
+// Canceled tells that the caller has gone or the deadline has passed before
 // the request was let go.
-type GivenUp struct{}
+type Canceled struct{}
 
 func (Begin) runEvent()        {}
 func (HomeAnswered) runEvent() {}
 func (HomeSilent) runEvent()   {}
 func (RequestEnded) runEvent() {}
-func (GivenUp) runEvent()      {}
+func (Canceled) runEvent()     {}
 
 // TryAction is what a try asks its edge to do. Of Ask, Wait, Send and Tell
 // each step returns exactly one, as the last.
@@ -104,7 +104,7 @@
 		return r.silent()
 	case RequestEnded:
 		return r.ended(ev.Answer)
-	case GivenUp:
+	case Canceled:
 		return r.stop(unsure(http.StatusGatewayTimeout, "time ran out while the key was looked up"))
 	}
 	return nil
--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -92,7 +92,7 @@
 	case err == nil:
 		return ledger.HomeAnswered{Home: home, Verdict: v}
 	case ctx.Err() != nil:
-		return ledger.GivenUp{}
+		return ledger.Canceled{}
 	default:
 		return ledger.HomeSilent{Home: home}
 	}
