--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -44,8 +44,8 @@
 // each step returns exactly one, as the last.
 type TryAction interface{ runAction() }
 
-// Ask puts an Open to a home.
-type Ask struct {
+// AskHome puts an Open to a home.
+type AskHome struct {
 	Home string
 	Open Open
 }
@@ -65,11 +65,11 @@
 	Close Close
 }
 
-func (Ask) runAction()  {}
-func (Wait) runAction() {}
-func (Send) runAction() {}
-func (Tell) runAction() {}
-func (Keep) runAction() {}
+func (AskHome) runAction() {}
+func (Wait) runAction()    {}
+func (Send) runAction()    {}
+func (Tell) runAction()    {}
+func (Keep) runAction()    {}
 
 // Run is the core of one try of a keyed request at its entry host: it lets
 // the request go only when enough homes of every group hold its key.
@@ -132,7 +132,7 @@
 	r.asked = append(r.asked, home)
 	open := r.open
 	open.Try, open.Domain, open.Group = r.try(), g.Domain, g.Digest
-	return []TryAction{Ask{Home: home, Open: open}}
+	return []TryAction{AskHome{Home: home, Open: open}}
 }
 
 func (r *Run) silent() []TryAction {
--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -163,7 +163,7 @@
 	switch a := a.(type) {
 	case ledger.Keep:
 		t.w.post(t.host, a.Home, a.Close)
-	case ledger.Ask:
+	case ledger.AskHome:
 		t.feed(t.ask(a))
 	case ledger.Wait:
 		t.waiting = &a
@@ -194,7 +194,7 @@
 
 func (t *try) feed(ev ledger.TryEvent) { t.do = append(t.do, t.run.Step(ev)...) }
 
-func (t *try) ask(a ledger.Ask) ledger.TryEvent {
+func (t *try) ask(a ledger.AskHome) ledger.TryEvent {
 	if !t.w.reaches(t.host, a.Home) {
 		return ledger.HomeSilent{Home: a.Home}
 	}
--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -31,7 +31,7 @@
 			switch a := a.(type) {
 			case ledger.Keep:
 				x.keepEnd(a)
-			case ledger.Ask:
+			case ledger.AskHome:
 				ev = x.ask(look, a)
 			case ledger.Wait:
 				ev = x.await(look, a, req.Deadline)
@@ -66,7 +66,7 @@
 	return r
 }
 
-func (x *Relay) ask(ctx context.Context, a ledger.Ask) ledger.TryEvent {
+func (x *Relay) ask(ctx context.Context, a ledger.AskHome) ledger.TryEvent {
 	if a.Home == x.Name {
 		return ledger.HomeAnswered{Home: a.Home, Verdict: x.OpenKey(a.Open)}
 	}
