--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -50,8 +50,8 @@
 	Open Open
 }
 
-// Wait asks a home to say when the running try has ended.
-type Wait struct{ Home, Key string }
+// AwaitHome asks a home to say when the running try has ended.
+type AwaitHome struct{ Home, Key string }
 
 // Send lets the request go on to a backend server, once.
 type Send struct{}
@@ -65,11 +65,11 @@
 	Close Close
 }
 
-func (AskHome) runAction() {}
-func (Wait) runAction()    {}
-func (Send) runAction()    {}
-func (Tell) runAction()    {}
-func (Keep) runAction()    {}
+func (AskHome) runAction()   {}
+func (AwaitHome) runAction() {}
+func (Send) runAction()      {}
+func (Tell) runAction()      {}
+func (Keep) runAction()      {}
 
 // Run is the core of one try of a keyed request at its entry host: it lets
 // the request go only when enough homes of every group hold its key.
@@ -156,7 +156,7 @@
 		if len(r.asked) == 0 {
 			return r.stop(unsure(http.StatusConflict, "an earlier try still runs"))
 		}
-		return append(r.giveBack(), Wait{Home: ev.Home, Key: r.open.Key})
+		return append(r.giveBack(), AwaitHome{Home: ev.Home, Key: r.open.Key})
 	case Lost:
 		return r.stop(unsure(http.StatusServiceUnavailable, "an earlier try was running on a host that is gone"))
 	case Mismatch:
--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -117,7 +117,7 @@
 	do      []ledger.TryAction
 	told    *ledger.Answer
 	ran     int
-	waiting *ledger.Wait
+	waiting *ledger.AwaitHome
 }
 
 func (w *world) try(host, key string, digest uint64, attempt int, live func(string) bool) *try {
@@ -165,7 +165,7 @@
 		t.w.post(t.host, a.Home, a.Close)
 	case ledger.AskHome:
 		t.feed(t.ask(a))
-	case ledger.Wait:
+	case ledger.AwaitHome:
 		t.waiting = &a
 		t.look()
 	case ledger.Send:
--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -33,7 +33,7 @@
 				x.keepEnd(a)
 			case ledger.AskHome:
 				ev = x.ask(look, a)
-			case ledger.Wait:
+			case ledger.AwaitHome:
 				ev = x.await(look, a, req.Deadline)
 			case ledger.Send:
 				ev = ledger.RequestEnded{Answer: kept(x.route(ctx, req))}
@@ -77,7 +77,7 @@
 	return heard(ctx, a.Home, v, err)
 }
 
-func (x *Relay) await(ctx context.Context, a ledger.Wait, deadline time.Time) ledger.TryEvent {
+func (x *Relay) await(ctx context.Context, a ledger.AwaitHome, deadline time.Time) ledger.TryEvent {
 	m := peer.AwaitKey{Key: a.Key, Left: cell.Duration{Duration: deadline.Sub(x.Clock())}}
 	if a.Home == x.Name {
 		return heard(ctx, a.Home, x.AwaitKey(ctx, m), nil)
