--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -56,8 +56,8 @@
 // Send lets the request go on to a backend server, once.
 type Send struct{}
 
-// Tell is the final answer to the caller.
-type Tell struct{ Answer Answer }
+// Reply is the final answer to the caller.
+type Reply struct{ Answer Answer }
 
 // Keep tells a home how the try ended; its answer is not awaited.
 type Keep struct {
@@ -68,7 +68,7 @@
 func (AskHome) runAction()   {}
 func (AwaitHome) runAction() {}
 func (Send) runAction()      {}
-func (Tell) runAction()      {}
+func (Reply) runAction()     {}
 func (Keep) runAction()      {}
 
 // Run is the core of one try of a keyed request at its entry host: it lets
@@ -199,7 +199,7 @@
 		return nil
 	}
 	r.over = true
-	return append(r.giveBack(), Tell{Answer: a})
+	return append(r.giveBack(), Reply{Answer: a})
 }
 
 func (r *Run) ended(a Answer) []TryAction {
@@ -208,7 +208,7 @@
 	}
 	r.over = true
 	r.asked = slices.Compact(slices.Sorted(slices.Values(r.asked)))
-	return append(r.keep(a), Tell{Answer: a})
+	return append(r.keep(a), Reply{Answer: a})
 }
 
 func unsure(status int, reason string) Answer {
--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -172,7 +172,7 @@
 		t.w.ran[t.key]++
 		t.ran++
 		t.feed(ledger.RequestEnded{Answer: ledger.Answer{Outcome: cell.Done, Status: 200, Body: []byte("whole")}})
-	case ledger.Tell:
+	case ledger.Reply:
 		t.told = &a.Answer
 	}
 	return true
--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -37,7 +37,7 @@
 				ev = x.await(look, a, req.Deadline)
 			case ledger.Send:
 				ev = ledger.RequestEnded{Answer: kept(x.route(ctx, req))}
-			case ledger.Tell:
+			case ledger.Reply:
 				return told(a.Answer)
 			}
 		}
