--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -59,8 +59,8 @@
 // Reply is the final answer to the caller.
 type Reply struct{ Answer Answer }
 
-// Keep tells a home how the try ended; its answer is not awaited.
-type Keep struct {
+// RecordEnd tells a home how the try ended; its answer is not awaited.
+type RecordEnd struct {
 	Home  string
 	Close Close
 }
@@ -69,7 +69,7 @@
 func (AwaitHome) runAction() {}
 func (Send) runAction()      {}
 func (Reply) runAction()     {}
-func (Keep) runAction()      {}
+func (RecordEnd) runAction() {}
 
 // Run is the core of one try of a keyed request at its entry host: it lets
 // the request go only when enough homes of every group hold its key.
@@ -187,7 +187,7 @@
 func (r *Run) keep(a Answer) []TryAction {
 	var all []TryAction
 	for _, home := range r.asked {
-		all = append(all, Keep{Home: home, Close: Close{Key: r.open.Key, Digest: r.open.Digest, Try: r.try(), Answer: a}})
+		all = append(all, RecordEnd{Home: home, Close: Close{Key: r.open.Key, Digest: r.open.Digest, Try: r.try(), Answer: a}})
 	}
 	r.asked = nil
 	return all
--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -161,7 +161,7 @@
 	a := t.do[0]
 	t.do = t.do[1:]
 	switch a := a.(type) {
-	case ledger.Keep:
+	case ledger.RecordEnd:
 		t.w.post(t.host, a.Home, a.Close)
 	case ledger.AskHome:
 		t.feed(t.ask(a))
--- a/internal/relay/ends.go
+++ b/internal/relay/ends.go
@@ -38,7 +38,7 @@
 
 // keepEnd tells a home how a try ended. The caller does not wait for it: a
 // home that has gone silent would hold back an answer that is there.
-func (x *Relay) keepEnd(a ledger.Keep) {
+func (x *Relay) keepEnd(a ledger.RecordEnd) {
 	if a.Home == x.Name {
 		x.CloseKey(a.Close)
 		return
--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -29,7 +29,7 @@
 	for {
 		for _, a := range run.Step(ev) {
 			switch a := a.(type) {
-			case ledger.Keep:
+			case ledger.RecordEnd:
 				x.keepEnd(a)
 			case ledger.AskHome:
 				ev = x.ask(look, a)
