--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -86,9 +86,9 @@
 	over  bool
 }
 
-// NewRun returns the core of one try. Open's fields Domain and Group are
+// NewTry returns the core of one try. Open's fields Domain and Group are
 // filled in from the groups.
-func NewRun(open Open, groups []Group) *Run { return &Run{open: open, groups: groups} }
+func NewTry(open Open, groups []Group) *Run { return &Run{open: open, groups: groups} }
 
 // Step takes one event. After a Tell nothing more happens.
 func (r *Run) Step(ev TryEvent) []TryAction {
--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -145,7 +145,7 @@
 		Key: key, Digest: digest, Attempt: attempt, Try: host + strconv.Itoa(w.tries), Host: host, Incarnation: w.inc[host],
 		Remaining: cell.Duration{Duration: 10 * time.Second},
 	}
-	t := &try{w: w, host: host, inc: w.inc[host], key: key, run: ledger.NewRun(open, groups)}
+	t := &try{w: w, host: host, inc: w.inc[host], key: key, run: ledger.NewTry(open, groups)}
 	t.do = t.run.Step(ledger.Begin{})
 	return t
 }
