--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -71,9 +71,9 @@
 func (Reply) runAction()     {}
 func (RecordEnd) runAction() {}
 
-// Run is the core of one try of a keyed request at its entry host: it lets
+// Try is the core of one try of a keyed request at its entry host: it lets
 // the request go only when enough homes of every group hold its key.
-type Run struct {
+type Try struct {
 	open   Open
 	groups []Group
 	round  int
@@ -88,10 +88,10 @@
 
 // NewTry returns the core of one try. Open's fields Domain and Group are
 // filled in from the groups.
-func NewTry(open Open, groups []Group) *Run { return &Run{open: open, groups: groups} }
+func NewTry(open Open, groups []Group) *Try { return &Try{open: open, groups: groups} }
 
 // Step takes one event. After a Tell nothing more happens.
-func (r *Run) Step(ev TryEvent) []TryAction {
+func (r *Try) Step(ev TryEvent) []TryAction {
 	if r.over {
 		return nil
 	}
@@ -112,9 +112,9 @@
 
 // try names the round: a late end of an earlier round must not take away what
 // a home holds for this one.
-func (r *Run) try() string { return r.open.Try + "/" + strconv.Itoa(r.round) }
+func (r *Try) try() string { return r.open.Try + "/" + strconv.Itoa(r.round) }
 
-func (r *Run) next() []TryAction {
+func (r *Try) next() []TryAction {
 	g := r.groups[r.group]
 	if r.fresh >= g.RequiredWeight {
 		r.group, r.home, r.fresh = r.group+1, 0, 0
@@ -135,7 +135,7 @@
 	return []TryAction{AskHome{Home: home, Open: open}}
 }
 
-func (r *Run) silent() []TryAction {
+func (r *Try) silent() []TryAction {
 	if len(r.asked) == 0 {
 		// The home that was waited for has gone; the others may know the end.
 		return r.again()
@@ -143,7 +143,7 @@
 	return r.next()
 }
 
-func (r *Run) said(ev HomeAnswered) []TryAction {
+func (r *Try) said(ev HomeAnswered) []TryAction {
 	switch ev.Verdict.State {
 	case Fresh:
 		r.fresh += r.groups[r.group].Homes[r.home-1].Weight
@@ -168,7 +168,7 @@
 	}
 }
 
-func (r *Run) again() []TryAction {
+func (r *Try) again() []TryAction {
 	back := r.giveBack()
 	r.round++
 	if r.round == maxRounds {
@@ -180,11 +180,11 @@
 
 // giveBack frees the key at the homes that may hold it for a try that was
 // never let go.
-func (r *Run) giveBack() []TryAction {
+func (r *Try) giveBack() []TryAction {
 	return r.keep(Answer{Outcome: cell.Refused})
 }
 
-func (r *Run) keep(a Answer) []TryAction {
+func (r *Try) keep(a Answer) []TryAction {
 	var all []TryAction
 	for _, home := range r.asked {
 		all = append(all, RecordEnd{Home: home, Close: Close{Key: r.open.Key, Digest: r.open.Digest, Try: r.try(), Answer: a}})
@@ -194,7 +194,7 @@
 }
 
 // stop ends a try that was never let go.
-func (r *Run) stop(a Answer) []TryAction {
+func (r *Try) stop(a Answer) []TryAction {
 	if r.sent {
 		return nil
 	}
@@ -202,7 +202,7 @@
 	return append(r.giveBack(), Reply{Answer: a})
 }
 
-func (r *Run) ended(a Answer) []TryAction {
+func (r *Try) ended(a Answer) []TryAction {
 	if !r.sent {
 		return nil
 	}
--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -112,7 +112,7 @@
 	w       *world
 	host    string
 	inc     int64
-	run     *ledger.Run
+	run     *ledger.Try
 	key     string
 	do      []ledger.TryAction
 	told    *ledger.Answer
