--- a/internal/measure/retry.go
+++ b/internal/measure/retry.go
@@ -38,10 +38,10 @@
 		Name: "h1", Domain: "nord", Queue: queue.New(queue.DefaultLimits), Outliers: outlier.New(outlier.DefaultLimits),
 		Retries: retry.New(limits), Ledger: ledger.New(ledger.DefaultLimits, time.Now()),
 		Minions: minion.New(&http.Transport{}, 1<<20), Peers: peer.NewClients(nil),
-		Row:     func(string) (table.Row, int64) { return row, 1 },
-		Part:    func(_ string, limit int64) int64 { return limit },
-		Members: func() ([]string, []member.Beat) { return []string{"h1"}, nil },
-		Clock:   time.Now, Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
+		Row:        func(string) (table.Row, int64) { return row, 1 },
+		LimitShare: func(_ string, limit int64) int64 { return limit },
+		Members:    func() ([]string, []member.Beat) { return []string{"h1"}, nil },
+		Clock:      time.Now, Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
 	})
 	var servers []relay.Server
 	var minions []*standin.Minion
--- a/internal/relay/keyed_test.go
+++ b/internal/relay/keyed_test.go
@@ -130,8 +130,8 @@
 			Ledger:   ledger.New(ledger.DefaultLimits, n.clock().Add(-time.Hour)),
 			Plan:     ledger.NewPlan(ledger.Host{Name: name, Domain: "nord"}, others),
 			Outliers: outlier.New(outlier.DefaultLimits), Retries: retry.New(retry.DefaultLimits), Metrics: metrics.NewRegistry(),
-			Part:  func(_ string, limit int64) int64 { return limit },
-			Peers: peers, Minions: minion.New(minion.NewTransport(dial.New().DialContext), 1<<20),
+			LimitShare: func(_ string, limit int64) int64 { return limit },
+			Peers:      peers, Minions: minion.New(minion.NewTransport(dial.New().DialContext), 1<<20),
 			Row:     func(string) (table.Row, int64) { return table.Row{Name: "scan", Weight: 1}, 1 },
 			Members: n.members, Clock: n.clock, Log: slog.New(slog.DiscardHandler),
 		})
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -39,8 +39,8 @@
 	Peers   *peer.Clients
 	// Row returns a row and its version, zero for none.
 	Row func(name string) (table.Row, int64)
-	// Part returns this host's part of a limit that holds in the whole cell.
-	Part func(row string, limit int64) int64
+	// LimitShare returns this host's part of a limit that holds in the whole cell.
+	LimitShare func(row string, limit int64) int64
 	// Members returns the live hosts of this domain and their heartbeats.
 	Members func() ([]string, []member.Beat)
 	Clock   func() time.Time
@@ -189,7 +189,7 @@
 	if limit == 0 {
 		return 0
 	}
-	if n := x.Part(row, limit); n > 0 {
+	if n := x.LimitShare(row, limit); n > 0 {
 		return n
 	}
 	return least
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -52,8 +52,8 @@
 			defer b.mu.Unlock()
 			return b.row, b.version
 		},
-		Part:    func(_ string, limit int64) int64 { return limit },
-		Members: func() ([]string, []member.Beat) { return []string{"h1"}, nil },
+		LimitShare: func(_ string, limit int64) int64 { return limit },
+		Members:    func() ([]string, []member.Beat) { return []string{"h1"}, nil },
 		Clock: func() time.Time {
 			b.mu.Lock()
 			defer b.mu.Unlock()
