--- a/internal/relay/home.go
+++ b/internal/relay/home.go
@@ -80,7 +80,7 @@
 // that a repeat does not wait for a host that is gone.
 func (x *Relay) tickHome() {
 	_, beats := x.Members()
-	signs := map[string]ledger.Heartbeat{x.Name: {Incarnation: x.Inc, At: x.Clock()}}
+	signs := map[string]ledger.Heartbeat{x.Name: {Incarnation: x.Incarnation, At: x.Clock()}}
 	for _, b := range beats {
 		signs[b.Name] = ledger.Heartbeat{Incarnation: b.Incarnation, At: b.At}
 	}
--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -46,7 +46,7 @@
 
 func (x *Relay) newOpen(req call.Request) ledger.Open {
 	return ledger.Open{
-		Key: req.Key, Digest: req.Digest(), Attempt: req.Attempt, Try: req.ID, Host: x.Name, Incarnation: x.Inc,
+		Key: req.Key, Digest: req.Digest(), Attempt: req.Attempt, Try: req.ID, Host: x.Name, Incarnation: x.Incarnation,
 		Remaining: cell.Duration{Duration: req.Deadline.Sub(x.Clock())},
 	}
 }
--- a/internal/relay/keyed_test.go
+++ b/internal/relay/keyed_test.go
@@ -126,7 +126,7 @@
 			}
 		}
 		n.Relay = relay.New(relay.Deps{
-			Name: name, Domain: "nord", Inc: 1, Queue: queue.New(queue.DefaultLimits),
+			Name: name, Domain: "nord", Incarnation: 1, Queue: queue.New(queue.DefaultLimits),
 			Ledger:   ledger.New(ledger.DefaultLimits, n.clock().Add(-time.Hour)),
 			Plan:     ledger.NewPlan(ledger.Host{Name: name, Domain: "nord"}, others),
 			Outliers: outlier.New(outlier.DefaultLimits), Retries: retry.New(retry.DefaultLimits), Metrics: metrics.NewRegistry(),
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -33,10 +33,10 @@
 	Retries      *retry.Budget
 	Ledger       *ledger.Ledger
 	// Plan names the homes of keys, Inc is this host's incarnation.
-	Plan    ledger.Plan
-	Inc     int64
-	Minions *minion.Client
-	Peers   *peer.Clients
+	Plan        ledger.Plan
+	Incarnation int64
+	Minions     *minion.Client
+	Peers       *peer.Clients
 	// Row returns a row and its version, zero for none.
 	Row func(name string) (table.Row, int64)
 	// LimitShare returns this host's part of a limit that holds in the whole cell.
