--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -44,11 +44,11 @@
 	// Members returns the live hosts of this domain and their heartbeats.
 	Members func() ([]string, []member.Beat)
 	Clock   func() time.Time
-	// Pause is how long this host may stand still and still use its slots;
+	// MaxPause is how long this host may stand still and still use its slots;
 	// zero means for ever.
-	Pause   time.Duration
-	Log     *slog.Logger
-	Metrics metrics.Registry
+	MaxPause time.Duration
+	Log      *slog.Logger
+	Metrics  metrics.Registry
 }
 
 // Relay is the requests' part of one entry host. It is safe for concurrent use.
@@ -237,7 +237,7 @@
 // time; SetServers gives back what is still this host's.
 func (x *Relay) resume(now time.Time) []queue.Action {
 	gap := now.Sub(x.last)
-	paused := !x.last.IsZero() && x.Pause > 0 && gap > x.Pause
+	paused := !x.last.IsZero() && x.MaxPause > 0 && gap > x.MaxPause
 	x.last = now
 	if !paused {
 		return nil
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -59,7 +59,7 @@
 			defer b.mu.Unlock()
 			return time.Now().Add(b.ahead)
 		},
-		Pause: time.Minute, Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
+		MaxPause: time.Minute, Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
 	})
 	for i := range minions {
 		m := standin.NewMinion(slots)
