--- a/internal/host/routes.go
+++ b/internal/host/routes.go
@@ -109,7 +109,7 @@
 }
 
 func (h *Host) hostsView() hostView {
-	aside := h.relay.Aside()
+	aside := h.relay.Quarantined()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	v := hostView{
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -133,8 +133,8 @@
 	return x.Outliers.Word(x.Clock())
 }
 
-// Aside lists the backend servers that are not trusted.
-func (x *Relay) Aside() map[string]outlier.State {
+// Quarantined lists the backend servers that are not trusted.
+func (x *Relay) Quarantined() map[string]outlier.State {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.Outliers.States()
