--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -380,7 +380,7 @@
 		return nil, nil
 	case peer.Slots:
 		h.shareStep(share.AnnouncementReceived{Announcement: m.Announcement})
-		h.relay.Told(m.Leaving)
+		h.relay.MarkLeaving(m.Leaving)
 		return nil, nil
 	case peer.Relay:
 		return h.relay.RunFor(ctx, m), nil
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -140,8 +140,8 @@
 	return x.Outliers.States()
 }
 
-// Told takes a peer's word that backend servers leave.
-func (x *Relay) Told(leaving []string) {
+// MarkLeaving takes a peer's word that backend servers leave.
+func (x *Relay) MarkLeaving(leaving []string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.watch(outlier.Told{Leaving: leaving})
