--- a/internal/relay/lent.go
+++ b/internal/relay/lent.go
@@ -26,5 +26,5 @@
 	req.Deadline = x.Clock().Add(m.Left.Duration)
 	ctx, end := spans.Hop(spans.Join(ctx, req.Trace), "host", req.ID)
 	defer end()
-	return x.Lent(ctx, req)
+	return x.RunOnFreeSlot(ctx, req)
 }
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -82,8 +82,8 @@
 	return false
 }
 
-// Lent runs a peer's request on a slot that is free now, or refuses it as Busy.
-func (x *Relay) Lent(ctx context.Context, req call.Request) call.Reply {
+// RunOnFreeSlot runs a peer's request on a slot that is free now, or refuses it as Busy.
+func (x *Relay) RunOnFreeSlot(ctx context.Context, req call.Request) call.Reply {
 	row, _ := x.Row(req.Row)
 	return x.once(ctx, queue.Ask{ID: req.ID, Row: x.queueRow(row), Deadline: req.Deadline, Lent: true, Avoid: req.Lost}, req).reply
 }
