--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -383,7 +383,7 @@
 		h.relay.MarkLeaving(m.Leaving)
 		return nil, nil
 	case peer.Relay:
-		return h.relay.RunFor(ctx, m), nil
+		return h.relay.RunForPeer(ctx, m), nil
 	case peer.AwaitKey:
 		return h.relay.AwaitKey(ctx, m), nil
 	case peer.OpenKey:
--- a/internal/relay/keyed_test.go
+++ b/internal/relay/keyed_test.go
@@ -67,7 +67,7 @@
 func (n *node) answer(ctx context.Context, m peer.Message) (any, error) {
 	switch m := m.(type) {
 	case peer.Relay:
-		return n.RunFor(ctx, m), nil
+		return n.RunForPeer(ctx, m), nil
 	case peer.OpenKey:
 		return n.OpenKey(m.Open), nil
 	case peer.AwaitKey:
--- a/internal/relay/lent.go
+++ b/internal/relay/lent.go
@@ -20,8 +20,8 @@
 	return reply, err
 }
 
-// RunFor runs a request for a peer's caller on a slot that is free now.
-func (x *Relay) RunFor(ctx context.Context, m peer.Relay) call.Reply {
+// RunForPeer runs a request for a peer's caller on a slot that is free now.
+func (x *Relay) RunForPeer(ctx context.Context, m peer.Relay) call.Reply {
 	req := m.Request
 	req.Deadline = x.Clock().Add(m.Left.Duration)
 	ctx, end := spans.Hop(spans.Join(ctx, req.Trace), "host", req.ID)
