--- a/internal/host/stop.go
+++ b/internal/host/stop.go
@@ -108,7 +108,7 @@
 		all.Go(func() error { return srv.stop(ctx) })
 	}
 	err := all.Wait()
-	h.relay.Settle()
+	h.relay.FlushKeyEnds()
 	err = errors.CombineErrors(err, h.work.close(ctx))
 	h.giveSlots(ctx)
 	h.lastHandOver(ctx)
--- a/internal/relay/ends.go
+++ b/internal/relay/ends.go
@@ -108,6 +108,6 @@
 	}
 }
 
-// Settle waits until the homes were told the ends of all requests. A planned
+// FlushKeyEnds waits until the homes were told the ends of all requests. A planned
 // stop calls it: homes that were not told would answer repeats with unknown.
-func (x *Relay) Settle() { x.ends.wg.Wait() }
+func (x *Relay) FlushKeyEnds() { x.ends.wg.Wait() }
--- a/internal/relay/keyed_test.go
+++ b/internal/relay/keyed_test.go
@@ -194,7 +194,7 @@
 			hangUp()
 			require.Equal(t, cell.Refused, (<-reply).Outcome)
 			eventually(t, waiting(all[0], 0))
-			all[0].Settle()
+			all[0].FlushKeyEnds()
 			eventually(t, waiting(all[1], 0))
 			all[1].SetServers(g.servers)
 			repeat, _ := all[1].start(key, 2)
@@ -264,7 +264,7 @@
 	key := cell.NewID()
 	first, _ := all[1].start(key, 1)
 	require.Equal(t, cell.Done, (<-first).Outcome, "the caller does not wait for the homes")
-	all[1].Settle()
+	all[1].FlushKeyEnds()
 	all[1].kill()
 	repeat, _ := all[2].start(key, 2)
 	require.Equal(t, cell.Done, (<-repeat).Outcome)
@@ -289,7 +289,7 @@
 		})
 		require.Equal(t, cell.Done, reply.Outcome, reply.Reason)
 		require.True(t, bytes.Equal(body, reply.Body))
-		all[0].Settle()
+		all[0].FlushKeyEnds()
 	}
 	require.Len(t, g.arrived, 1)
 }
