--- a/internal/host/transport.go
+++ b/internal/host/transport.go
@@ -121,7 +121,7 @@
 	if h.keys == nil {
 		return counted, nil
 	}
-	return h.keys.ToPeer(ctx, counted, h.certName(addr))
+	return h.keys.ConnectPeer(ctx, counted, h.certName(addr))
 }
 
 func (h *Host) certName(addr netip.AddrPort) string {
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -127,8 +127,8 @@
 	k.count("reread")
 }
 
-// ToPeer makes a connection to the host with that certificate name a TLS one.
-func (k *Keys) ToPeer(ctx context.Context, conn net.Conn, name string) (net.Conn, error) {
+// ConnectPeer makes a connection to the host with that certificate name a TLS one.
+func (k *Keys) ConnectPeer(ctx context.Context, conn net.Conn, name string) (net.Conn, error) {
 	cert, pool := k.current()
 	c := tls.Client(conn, &tls.Config{
 		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert}, RootCAs: pool, ServerName: name, Time: k.clock,
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -65,7 +65,7 @@
 	}
 	defer raw.Close()
 	_ = raw.SetDeadline(time.Now().Add(limit))
-	conn, err := k.ToPeer(context.Background(), raw, name)
+	conn, err := k.ConnectPeer(context.Background(), raw, name)
 	if err != nil {
 		return err
 	}
