--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -42,10 +42,10 @@
 
 func (e *NameError) Error() string { return "certificate names no known host" }
 
-// EmptyError tells that a file holds no certificate.
-type EmptyError struct{}
+// NoCertificateError tells that a file holds no certificate.
+type NoCertificateError struct{}
 
-func (e *EmptyError) Error() string { return "no certificate in it" }
+func (e *NoCertificateError) Error() string { return "no certificate in it" }
 
 // lookEvery bounds how often the files are looked at.
 const lookEvery = time.Second
@@ -87,7 +87,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(text) {
-		return &FileError{Path: k.files.CA, Cause: &EmptyError{}}
+		return &FileError{Path: k.files.CA, Cause: &NoCertificateError{}}
 	}
 	k.cert, k.pool = cert, pool
 	k.seen = k.changed()
