--- a/internal/host/transport.go
+++ b/internal/host/transport.go
@@ -91,7 +91,7 @@
 	if h.keys == nil {
 		return h.plain(ln)
 	}
-	return h.keys.FromPeers(ln)
+	return h.keys.PeerListener(ln)
 }
 
 // plain refuses to serve without TLS when the settings ask for it: whoever can
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -82,7 +82,7 @@
 	k, c := open(t, a, t.TempDir(), server, later, time.Now)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	in := k.FromPeers(ln)
+	in := k.PeerListener(ln)
 	defer in.Close()
 	names := make(chan string, 8)
 	go func() {
@@ -139,7 +139,7 @@
 	k, c := open(t, a, dir, server, now.Add(time.Hour), clock)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	in := k.FromPeers(ln)
+	in := k.PeerListener(ln)
 	defer in.Close()
 	go func() {
 		for {
--- a/internal/keys/listener.go
+++ b/internal/keys/listener.go
@@ -29,8 +29,8 @@
 	once  sync.Once
 }
 
-// FromPeers wraps a listener for peers.
-func (k *Keys) FromPeers(ln net.Listener) net.Listener {
+// PeerListener wraps a listener for peers.
+func (k *Keys) PeerListener(ln net.Listener) net.Listener {
 	l := &listener{Listener: ln, keys: k, ready: make(chan net.Conn), done: make(chan struct{})}
 	go l.accept()
 	return l
