--- a/internal/entry/journal_test.go
+++ b/internal/entry/journal_test.go
@@ -19,8 +19,8 @@
 	"pollencroft/internal/store"
 )
 
-// patience of the tests' appends; a partition that works answers at once.
-const patience = 30 * time.Millisecond
+// appendTimeout is the timeout of the tests' appends. A partition that works answers at once.
+const appendTimeout = 30 * time.Millisecond
 
 func newJournal(t *testing.T, term int64) (*users.Log, *entry.Journal) {
 	log := users.NewLog(16, time.Now)
@@ -38,8 +38,8 @@
 	require.NoError(t, err)
 }
 
-// newest lists the records of a partition without its claim.
-func newest(t *testing.T, log *users.Log, part int) map[string]string {
+// newestRecords returns the records of a partition without its claim.
+func newestRecords(t *testing.T, log *users.Log, part int) map[string]string {
 	all, _, err := store.Table(t.Context(), log.For(""), "state", part)
 	require.NoError(t, err)
 	got := map[string]string{}
@@ -51,39 +51,40 @@
 	return got
 }
 
-// numbers counts appends.
-var numbers atomic.Int64
+// lastNumber is the number of the last append.
+var lastNumber atomic.Int64
 
-func next() int64 { return numbers.Add(1) }
+func nextNumber() int64 { return lastNumber.Add(1) }
 
-func record(key, value string) []store.Record {
+func oneRecord(key, value string) []store.Record {
 	return []store.Record{{Key: key, Value: []byte(value)}}
 }
 
-// The store is down for some partitions, in each way that it can be. What the lead
-// stores goes to another one, at once after a refusal; with one partition for all,
-// nothing would start until it is back, and every job would be late.
+// The store is down for some partitions, in each of the possible ways. The leader's progress is
+// stored in another partition, after a refusal at once. With a single partition, nothing would
+// start until it is back, and every job would be late.
 func TestAPartitionThatIsDownStopsNothing(t *testing.T) {
 	for _, fault := range []users.Fault{users.Busy, users.Silent, users.Lost} {
 		log, b := newJournal(t, 7)
-		require.NoError(t, b.Append(t.Context(), next(), record("a", "1"), patience))
-		require.Equal(t, map[string]string{"a": "1"}, newest(t, log, 0))
+		require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("a", "1"), appendTimeout))
+		require.Equal(t, map[string]string{"a": "1"}, newestRecords(t, log, 0))
 		log.BreakPart("state", 0, fault)
 		log.BreakPart("state", 5, fault)
-		require.NoError(t, b.Append(t.Context(), next(), record("a", "2"), patience))
-		require.Equal(t, map[string]string{"a": "2"}, newest(t, log, 10))
+		require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("a", "2"), appendTimeout))
+		require.Equal(t, map[string]string{"a": "2"}, newestRecords(t, log, 10))
 		log.BreakPart("state", 0, users.None)
 		log.BreakPart("state", 5, users.None)
-		// What had no answer is repeated until it has one; later numbers follow.
+		// An append without an answer is repeated until it has one; appends with higher numbers
+		// follow.
 		for range 40 {
-			require.NoError(t, b.Append(t.Context(), next(), record("a", "3"), patience))
+			require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("a", "3"), appendTimeout))
 		}
-		require.Equal(t, map[string]string{"a": "3"}, newest(t, log, 10))
+		require.Equal(t, map[string]string{"a": "3"}, newestRecords(t, log, 10))
 	}
 }
 
-// Another lead has claimed. Whichever partition the former one turns to, it may
-// store nothing any more; its successor has read them all by then.
+// Another leader has claimed. The previous one can store nothing any more, whichever partition it
+// uses; its successor has read all partitions by then.
 func TestASuccessorFencesEveryPartition(t *testing.T) {
 	for _, down := range []int{0, 5} {
 		log, b := newJournal(t, 7)
@@ -91,16 +92,16 @@
 			claim(t, log, p, 8)
 		}
 		log.BreakPart("state", down, users.Busy)
-		err := b.Append(t.Context(), next(), record("a", "1"), patience)
+		err := b.Append(t.Context(), nextNumber(), oneRecord("a", "1"), appendTimeout)
 		require.ErrorAs(t, err, new(*store.FencedError))
 		log.BreakPart("state", down, users.None)
 		for _, p := range []int{0, 5, 10} {
-			require.Empty(t, newest(t, log, p))
+			require.Empty(t, newestRecords(t, log, p))
 		}
 	}
 }
 
-// While every partition is away the append waits and is not lost.
+// While every partition is unavailable, the append waits and is not lost.
 func TestAnAppendWaitsForAnyPartition(t *testing.T) {
 	log, b := newJournal(t, 7)
 	for _, p := range []int{0, 5, 10} {
@@ -110,44 +111,44 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if b.Append(context.WithoutCancel(t.Context()), next(), record("a", "1"), patience) == nil {
+		if b.Append(context.WithoutCancel(t.Context()), nextNumber(), oneRecord("a", "1"), appendTimeout) == nil {
 			stored.Store(true)
 		}
 	}()
-	time.Sleep(10 * patience)
+	time.Sleep(10 * appendTimeout)
 	require.False(t, stored.Load())
 	log.BreakPart("state", 5, users.None)
 	<-done
 	require.True(t, stored.Load())
-	require.Equal(t, map[string]string{"a": "1"}, newest(t, log, 5))
+	require.Equal(t, map[string]string{"a": "1"}, newestRecords(t, log, 5))
 }
 
-// An ended job is forgotten in every partition that may hold its record. Left in
-// one, it would be read as the newest once the others are gone.
+// A deleted job is removed from every partition that may contain its record. A record that
+// remained in one partition would be taken for the newest once the others are gone.
 func TestAForgottenJobIsDroppedEverywhere(t *testing.T) {
 	log, b := newJournal(t, 7)
-	require.NoError(t, b.Append(t.Context(), next(), record("a", "1"), patience))
+	require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("a", "1"), appendTimeout))
 	log.BreakPart("state", 0, users.Busy)
-	require.NoError(t, b.Append(t.Context(), next(), record("a", "2"), patience))
+	require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("a", "2"), appendTimeout))
 	b.Drop(t.Context(), "a")
 	log.BreakPart("state", 0, users.None)
 	log.BreakPart("state", 5, users.Busy)
-	require.NoError(t, b.Append(t.Context(), next(), record("b", "1"), patience))
+	require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("b", "1"), appendTimeout))
 	log.BreakPart("state", 5, users.None)
 	log.BreakPart("state", 0, users.Busy)
 	log.BreakPart("state", 10, users.Busy)
-	require.NoError(t, b.Append(t.Context(), next(), record("b", "2"), patience))
+	require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("b", "2"), appendTimeout))
 	for _, p := range []int{0, 5, 10} {
 		log.BreakPart("state", p, users.None)
-		require.NotContains(t, newest(t, log, p), "a")
+		require.NotContains(t, newestRecords(t, log, p), "a")
 	}
 }
 
-// The partitions go down one after the other under load, and all hosts die after
-// that. The next lead reads records of several partitions; every job ends as done
-// and no task runs a second time.
+// The partitions go down one after the other under load, and after that all hosts die. The next
+// leader reads records from several partitions. Every job completes, and no task runs a second
+// time.
 func TestJobsOutliveAStoreThatIsPartlyDown(t *testing.T) {
-	c := newCell(t, 3, 4, 150*time.Millisecond)
+	c := newCluster(t, 3, 4, 150*time.Millisecond)
 	jobs := 0
 	for _, down := range []int{0, 5, 10} {
 		c.log.BreakPart("state", down, users.Busy)
@@ -155,7 +156,7 @@
 			require.Equal(t, http.StatusOK, c.submit(c.follower(), jobs).code)
 			jobs++
 		}
-		c.finished(c.follower(), jobs-1)
+		c.waitCompleted(c.follower(), jobs-1)
 		c.log.BreakPart("state", down, users.None)
 	}
 	for _, h := range c.hosts {
@@ -164,18 +165,18 @@
 	for name := range c.hosts {
 		c.start(name)
 	}
-	c.settled()
-	c.finished(c.follower(), jobs)
-	require.Empty(t, c.oracle.Wrongs())
-	for task, n := range c.oracle.Runs() {
+	c.waitReady()
+	c.waitCompleted(c.follower(), jobs)
+	require.Empty(t, c.checker.Wrongs())
+	for task, n := range c.checker.Runs() {
 		require.Equal(t, 1, n, task)
 	}
 }
 
-// The partition to which a host appends jobs is down. The host appends to another
-// one; its callers would be refused otherwise while the host beside it accepts.
+// The partition to which a host appends jobs is down. The host appends to another one; otherwise
+// its callers would be refused while other hosts accept jobs.
 func TestJobsAreAcceptedWhileAPartitionIsDown(t *testing.T) {
-	c := newCell(t, 2, 2, 50*time.Millisecond)
+	c := newCluster(t, 2, 2, 50*time.Millisecond)
 	h := c.follower()
 	for _, fault := range []users.Fault{users.Busy, users.Silent} {
 		own := h.JobsPart()
@@ -187,62 +188,61 @@
 	}
 	for _, fault := range []users.Fault{users.Busy, users.Silent} {
 		require.Eventually(t, func() bool {
-			_, body := c.get(h.cfg.Listen.Caller, prefix+id(int(fault)))
+			_, body := c.get(h.cfg.Listen.Caller, prefix+jobID(int(fault)))
 			return body == `{"state":"completed"}`
-		}, settleTime, 20*time.Millisecond)
+		}, waitTimeout, 20*time.Millisecond)
 	}
-	require.Empty(t, c.oracle.Wrongs())
+	require.Empty(t, c.checker.Wrongs())
 }
 
-// An ended job is forgotten while the store does not take the drop of its spec. If
-// its progress were dropped all the same, the next lead would find a job that
-// nothing was done of, and its caller would see a pass spent twice.
+// An ended job is deleted while the store does not accept the deletion of its spec. If its
+// progress were deleted nevertheless, the next leader would find a job without progress and run
+// it again, and its caller would see the same work done twice.
 func TestAJobIsNotRunAgainAfterItIsForgotten(t *testing.T) {
-	c := newCell(t, 1, 2, 50*time.Millisecond)
+	c := newCluster(t, 1, 2, 50*time.Millisecond)
 	c.hosts["h0"].Kill()
 	delete(c.hosts, "h0")
 	h := c.start("short", func(cfg *entry.Settings) { cfg.Times.Keep = entry.Duration(800 * time.Millisecond) })
-	c.settled()
+	c.waitReady()
 	require.Equal(t, http.StatusOK, c.submit(h, 0).code)
-	c.finished(h, 1)
+	c.waitCompleted(h, 1)
 	for p := range 16 {
 		c.log.BreakPart("jobs", p, users.Busy)
 	}
-	require.Eventually(t, func() bool { return !h.Knows(id(0)) }, settleTime, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return !h.KnowsJob(jobID(0)) }, waitTimeout, 20*time.Millisecond)
 	for p := range 16 {
 		c.log.BreakPart("jobs", p, users.None)
 	}
 	completed := func(n int) {
 		require.Equal(t, http.StatusOK, c.submit(h, n).code)
 		require.Eventually(t, func() bool {
-			_, body := c.get(h.cfg.Listen.Caller, prefix+id(n))
+			_, body := c.get(h.cfg.Listen.Caller, prefix+jobID(n))
 			return body == `{"state":"completed"}`
-		}, settleTime, 20*time.Millisecond)
+		}, waitTimeout, 20*time.Millisecond)
 	}
-	// The next append carries drops, if there are any.
+	// The next append carries the pending deletions, if there are any.
 	completed(1)
 	h.Kill()
 	h = c.start("short")
-	c.settled()
+	c.waitReady()
 	completed(2)
-	for task, n := range c.oracle.Runs() {
+	for task, n := range c.checker.Runs() {
 		require.Equal(t, 1, n, task)
 	}
 }
 
-// Appends are under way beside each other while partitions refuse, fall silent and
-// lose answers at random, so an append may be tried at one partition in vain and come
-// to another after a later one. A partition keeps what was written last. Whatever
-// happens, the newest record that is found for a job is at least as new as the last
-// one whose append was told as stored; an older one would run a job again that was
-// told as completed.
+// Several appends are in progress while partitions refuse, do not answer and lose answers at
+// random, so an append may fail at one partition and arrive at another after a later one. A
+// partition keeps the record that was written last. Whatever happens, the newest record found for
+// a job is at least as new as the last one whose append was reported as stored. An older record
+// would make a job run again that was reported as completed.
 func TestTheNewestRecordIsNeverWrittenOver(t *testing.T) {
 	for seed := range uint64(8) {
 		r := rand.New(rand.NewPCG(seed, 0))
 		log, b := newJournal(t, 7)
 		keys := []string{"a", "b", "c"}
 		var mu sync.Mutex
-		told := map[string]int64{}
+		reported := map[string]int64{}
 		var wg sync.WaitGroup
 		turns := make(chan struct{}, 3)
 		for n := int64(1); n <= 120; n++ {
@@ -261,12 +261,12 @@
 			turns <- struct{}{}
 			wg.Go(func() {
 				defer func() { <-turns }()
-				if b.Append(t.Context(), n, record(key, fmt.Sprintf(`{"t":7,"a":%d}`, n)), 5*time.Millisecond) != nil {
+				if b.Append(t.Context(), n, oneRecord(key, fmt.Sprintf(`{"t":7,"a":%d}`, n)), 5*time.Millisecond) != nil {
 					return
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				told[key] = max(told[key], n)
+				reported[key] = max(reported[key], n)
 			})
 			time.Sleep(time.Duration(r.IntN(4)) * time.Millisecond)
 		}
@@ -277,21 +277,21 @@
 		for _, key := range keys {
 			var best []byte
 			for _, p := range []int{0, 5, 10} {
-				if v, ok := newest(t, log, p)[key]; ok {
-					best = flow.Newer(best, []byte(v))
+				if v, ok := newestRecords(t, log, p)[key]; ok {
+					best = flow.NewerRecord(best, []byte(v))
 				}
 			}
 			var v flow.Version
 			require.NoError(t, json.Unmarshal(best, &v))
-			require.GreaterOrEqual(t, v.Append, told[key], "seed %d, job %s", seed, key)
+			require.GreaterOrEqual(t, v.Append, reported[key], "seed %d, job %s", seed, key)
 		}
 	}
 }
 
-// Appends are under way beside each other while one partition after the other refuses, so
-// the order in which partitions are tried changes under them all the time. Whoever looked at
-// that order without its lock is told by the race detector: the number of partitions was read
-// so, at the start of each append.
+// Several appends are in progress while one partition after the other refuses, so the order in
+// which partitions are tried changes all the time. The race detector reports any access to that
+// order without its lock: the number of partitions used to be read that way at the start of each
+// append.
 func TestAppendsBesideEachOtherWhilePartitionsTakeTurns(t *testing.T) {
 	log, b := newJournal(t, 7)
 	parts := []int{0, 5, 10}
@@ -300,7 +300,7 @@
 		wg.Go(func() {
 			for range 300 {
 				var one sync.WaitGroup
-				one.Go(func() { _ = b.Append(t.Context(), next(), record("a", "1"), patience) })
+				one.Go(func() { _ = b.Append(t.Context(), nextNumber(), oneRecord("a", "1"), appendTimeout) })
 				one.Wait()
 			}
 		})
--- a/internal/entry/turns_test.go
+++ b/internal/entry/turns_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against hosts that grow patient after changes of the lead that were right.
+// Guards against hosts whose timeout grows after leader changes that were right.
 func TestLeadsThatStandStillInTurnAreSucceededInTime(t *testing.T) {
 	const (
 		still = 3 * time.Second
@@ -18,11 +18,11 @@
 	)
 	for seed := range uint64(4) {
 		without := make(chan time.Duration, turns)
-		steps := map[time.Duration]func(*busyCell){}
+		steps := map[time.Duration]func(*busyCluster){}
 		for n := range turns {
-			steps[time.Duration(n+2)*every] = func(c *busyCell) {
-				lead := c.leader()
-				lead.set(false, true)
+			steps[time.Duration(n+2)*every] = func(c *busyCluster) {
+				leader := c.leader()
+				leader.setFaults(false, true)
 				go func() {
 					began := time.Now()
 					for c.leader() == nil && time.Since(began) < still {
@@ -30,11 +30,11 @@
 					}
 					without <- time.Since(began)
 					sleep(c.ctx, still-time.Since(began))
-					lead.set(false, false)
+					leader.setFaults(false, false)
 				}()
 			}
 		}
-		playBusy(t, &busyCell{load: 0.5}, seed, (turns+2)*every, steps)
+		runBusyCluster(t, &busyCluster{load: 0.5}, seed, (turns+2)*every, steps)
 		require.Len(t, without, turns)
 		var all []time.Duration
 		for range turns {
--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -35,18 +35,18 @@
 	now := time.Unix(100, 0)
 	spec := flow.Spec{ID: "a", Steps: []flow.Step{{Tasks: 1}}, Repeat: flow.Repeat{Count: 3, First: now.Add(time.Second), Every: time.Second}}
 	j := flow.New(spec, 1, now)
-	require.Empty(t, j.Begin(now.Add(999*time.Millisecond)))
-	require.Len(t, j.Begin(now.Add(2*time.Second)), 2)
+	require.Empty(t, j.BeginRounds(now.Add(999*time.Millisecond)))
+	require.Len(t, j.BeginRounds(now.Add(2*time.Second)), 2)
 	finish := func(round int) {
 		task := j.Task(flow.Name{Job: "a", Round: round})
-		require.True(t, task.Move(flow.Finish, now))
+		require.True(t, task.Transition(flow.Finish, now))
 		task.Step.Done++
-		j.Settle(now)
+		j.CloseRounds(now)
 	}
 	finish(0)
 	finish(1)
 	require.False(t, j.State.Final())
-	require.Len(t, j.Begin(now.Add(3*time.Second)), 1)
+	require.Len(t, j.BeginRounds(now.Add(3*time.Second)), 1)
 	finish(2)
 	require.Equal(t, flow.Completed, j.State)
 }
@@ -58,15 +58,15 @@
 		now := time.UnixMilli(1_000_000)
 		spec := flow.Spec{ID: "a", Steps: []flow.Step{{Tasks: 3}, {Tasks: 2, After: []int{0}}}}
 		j := flow.New(spec, 7, now)
-		j.Begin(now)
+		j.BeginRounds(now)
 		j.Tasks(func(task *flow.Task) {
 			switch rapid.IntRange(0, 2).Draw(t, "state") {
 			case 1:
-				task.Run, task.Worker, task.Saved = 2, "w", "cp"
-				task.Move(flow.Assign, now)
+				task.Run, task.Worker, task.Checkpoint = 2, "w", "cp"
+				task.Transition(flow.Assign, now)
 			case 2:
-				task.Run, task.Fails = 1, 1
-				task.Move(flow.Finish, now)
+				task.Run, task.Failures = 1, 1
+				task.Transition(flow.Finish, now)
 				task.Step.Done++
 			}
 		})
@@ -79,11 +79,11 @@
 		require.Equal(t, j.Number, got.Number)
 		j.Tasks(func(task *flow.Task) {
 			o := got.Task(task.Name)
-			require.Equal(t, []any{task.Run, task.Fails}, []any{o.Run, o.Fails})
+			require.Equal(t, []any{task.Run, task.Failures}, []any{o.Run, o.Failures})
 			switch task.State {
 			case flow.Assigned:
 				require.Equal(t, flow.Inherited, o.State)
-				require.Equal(t, []string{"w", "cp"}, []string{o.Worker, o.Saved})
+				require.Equal(t, []string{"w", "cp"}, []string{o.Worker, o.Checkpoint})
 			default:
 				require.Equal(t, task.State, o.State)
 			}
@@ -103,31 +103,31 @@
 	now := time.UnixMilli(1_000_000)
 	end := func(step flow.Step, how func(j *flow.Job, t *flow.Task)) ([]byte, bool) {
 		j := flow.New(flow.Spec{ID: "a", Steps: []flow.Step{step}}, 7, now)
-		j.Begin(now)
+		j.BeginRounds(now)
 		task := j.Task(flow.Name{Job: "a"})
 		task.Worker, task.Run = "w", 1
-		require.True(t, task.Move(flow.Assign, now))
-		require.True(t, task.Move(flow.Send, now))
+		require.True(t, task.Transition(flow.Assign, now))
+		require.True(t, task.Transition(flow.Send, now))
 		how(j, task)
 		b := j.Record(flow.Version{Term: 3, Append: 4})
 		got, ok := flow.RestoreEnded("a", b)
 		if ok {
 			require.Equal(t, j.State, got.State)
-			require.Equal(t, j.State, got.Shown)
+			require.Equal(t, j.State, got.Published)
 			require.Equal(t, int64(7), got.Number)
 			require.Equal(t, j.Ended, got.Ended)
 		}
 		return b, ok
 	}
 	done := func(j *flow.Job, task *flow.Task) {
-		require.True(t, task.Move(flow.Finish, now))
+		require.True(t, task.Transition(flow.Finish, now))
 		task.Step.Done++
-		j.Settle(now)
+		j.CloseRounds(now)
 	}
 	b, ok := end(flow.Step{Tasks: 1}, done)
 	require.True(t, ok)
 	require.Less(t, len(b), 100, string(b))
-	_, ok = end(flow.Step{Tasks: 1, Copies: true}, done)
+	_, ok = end(flow.Step{Tasks: 1, AllowCopies: true}, done)
 	require.False(t, ok, "a copy of it may still run")
 	_, ok = end(flow.Step{Tasks: 1}, func(j *flow.Job, _ *flow.Task) { j.State, j.Ended = flow.Cancelled, now })
 	require.False(t, ok, "its run has to be stopped")
@@ -141,7 +141,7 @@
 	j := flow.New(flow.Spec{ID: "a", Steps: []flow.Step{{Tasks: 1}}}, 7, time.UnixMilli(1))
 	at := func(term, n int64) []byte { return j.Record(flow.Version{Term: term, Append: n}) }
 	for _, pair := range [][2][]byte{{at(3, 9), at(4, 1)}, {at(4, 1), at(4, 2)}, {[]byte("{"), at(0, 0)}, {at(9, 9), at(10, 0)}} {
-		require.Equal(t, pair[1], flow.Newer(pair[0], pair[1]))
-		require.Equal(t, pair[1], flow.Newer(pair[1], pair[0]))
+		require.Equal(t, pair[1], flow.NewerRecord(pair[0], pair[1]))
+		require.Equal(t, pair[1], flow.NewerRecord(pair[1], pair[0]))
 	}
 }
--- a/internal/flow/objective.go
+++ b/internal/flow/objective.go
@@ -9,7 +9,7 @@
 func (s Spec) chains() []time.Duration {
 	after := make([]time.Duration, len(s.Steps))
 	for i := len(s.Steps) - 1; i >= 0; i-- {
-		after[i] += s.Steps[i].Time
+		after[i] += s.Steps[i].EstimatedTime
 		for _, before := range s.Steps[i].After {
 			after[before] = max(after[before], after[i])
 		}
@@ -17,8 +17,8 @@
 	return after
 }
 
-// Left is how long the job takes from the begin of a step on, as estimated.
-func (j *Job) Left(st *Stage) time.Duration {
+// RemainingTime is how long the job takes from the begin of a step on, as estimated.
+func (j *Job) RemainingTime(st *Stage) time.Duration {
 	return j.left()[st.Index]
 }
 
--- a/internal/flow/record.go
+++ b/internal/flow/record.go
@@ -38,9 +38,9 @@
 	Append int64 `json:"a,omitempty"`
 }
 
-// Newer returns the record that was written later; one that cannot be read counts
+// NewerRecord returns the record that was written later; one that cannot be read counts
 // as the older one, and none as still older.
-func Newer(a, b []byte) []byte {
+func NewerRecord(a, b []byte) []byte {
 	var va, vb Version
 	switch {
 	case a == nil:
@@ -82,10 +82,10 @@
 
 // Record encodes the job's progress.
 func (j *Job) Record(v Version) []byte {
-	rec := record{Version: v, State: j.State, Began: j.Began.UnixMilli(), Number: j.Number, Next: j.Next}
+	rec := record{Version: v, State: j.State, Began: j.Accepted.UnixMilli(), Number: j.Number, Next: j.NextRound}
 	if j.State.Final() {
 		rec.Ended = j.Ended.UnixMilli()
-		rec.Strays = slices.ContainsFunc(j.Spec.Steps, func(s Step) bool { return s.Copies })
+		rec.Strays = slices.ContainsFunc(j.Spec.Steps, func(s Step) bool { return s.AllowCopies })
 	}
 	for _, n := range slices.Sorted(maps.Keys(j.Rounds)) {
 		rr := roundRecord{Index: n}
@@ -105,7 +105,7 @@
 
 // anyOut tells whether a run of the step may be at a worker.
 func (s *Stage) anyOut() bool {
-	return slices.ContainsFunc(s.Tasks, func(t *Task) bool { return t.Out() })
+	return slices.ContainsFunc(s.Tasks, func(t *Task) bool { return t.MayBeRunning() })
 }
 
 func (s *Stage) records() []taskRecord {
@@ -114,11 +114,11 @@
 		if t.Run == 0 && t.State != Done {
 			continue
 		}
-		tr := taskRecord{Index: i, Done: t.State == Done, Run: t.Run, Fails: t.Fails}
+		tr := taskRecord{Index: i, Done: t.State == Done, Run: t.Run, Fails: t.Failures}
 		if t.State != Done {
-			tr.Saved, tr.Crashed, tr.Lost = t.Saved, t.Crashed, t.Lost
+			tr.Saved, tr.Crashed, tr.Lost = t.Checkpoint, t.Crashed, t.Lost
 		}
-		if t.Out() {
+		if t.MayBeRunning() {
 			tr.Worker = t.Worker
 		}
 		all = append(all, tr)
@@ -135,7 +135,7 @@
 		return nil, false
 	}
 	j := New(Spec{ID: id}, rec.Number, time.UnixMilli(rec.Began))
-	j.Next, j.State, j.Shown, j.Ended = rec.Next, rec.State, rec.State, time.UnixMilli(rec.Ended)
+	j.NextRound, j.State, j.Published, j.Ended = rec.Next, rec.State, rec.State, time.UnixMilli(rec.Ended)
 	return j, true
 }
 
@@ -160,11 +160,11 @@
 		return nil, &RecordError{Key: spec.ID, Cause: errors.Wrap(err, "decode")}
 	}
 	j := New(spec, rec.Number, time.UnixMilli(rec.Began))
-	j.Next = rec.Next
+	j.NextRound = rec.Next
 	for _, rr := range rec.Rounds {
 		j.open(rr.Index, now).restore(rr, now)
 	}
-	j.State, j.Shown = rec.State, rec.State
+	j.State, j.Published = rec.State, rec.State
 	if rec.State.Final() {
 		j.Ended = time.UnixMilli(rec.Ended)
 	}
@@ -185,7 +185,7 @@
 }
 
 func (t *Task) restore(tr taskRecord, now time.Time) {
-	t.Run, t.Fails, t.Saved = tr.Run, tr.Fails, tr.Saved
+	t.Run, t.Failures, t.Checkpoint = tr.Run, tr.Fails, tr.Saved
 	t.Crashed, t.Lost = tr.Crashed, tr.Lost
 	t.Step.weigh()
 	switch {
@@ -194,6 +194,6 @@
 		t.Step.Done++
 	case tr.Worker != "":
 		t.Worker = tr.Worker
-		t.Move(adopt, now)
+		t.Transition(adopt, now)
 	}
 }
--- a/internal/host/cell.go
+++ b/internal/host/cell.go
@@ -17,17 +17,17 @@
 	h.mu.Unlock()
 	for _, a := range acts {
 		switch a := a.(type) {
-		case member.Changed:
+		case member.LiveChanged:
 			h.log.Info("member: live hosts changed.", "live", a.Live)
 			h.share()
 		}
 	}
 }
 
-func (h *Host) domainMembers() ([]string, []member.Beat) {
+func (h *Host) domainMembers() ([]string, []member.Heartbeat) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.members.LiveIn(h.cfg.Domain), h.members.Beats()
+	return h.members.LiveIn(h.cfg.Domain), h.members.Heartbeats()
 }
 
 // share works out which slots and which workers are this host's.
--- a/internal/sched/chance.go
+++ b/internal/sched/chance.go
@@ -41,12 +41,12 @@
 // still be on time, only as many are late as exceed the cell's capacity. Long-running jobs have no
 // deadline.
 func (s *Sched) deadlineClassOf(j *flow.Job, r *flow.Round, st *flow.Stage, q flow.Queue) deadlineClass {
-	if !s.enabled(OnTimeFirst) || st.Spec.Lasts {
+	if !s.enabled(OnTimeFirst) || st.Spec.LongRunning {
 		return onTime
 	}
 	objective := j.Objective(q)
 	waited := s.waitedSince(j, r)
-	ends := waited + j.Left(st)
+	ends := waited + j.RemainingTime(st)
 	switch {
 	case objective <= 0, ends <= objective:
 		return onTime
@@ -62,7 +62,7 @@
 // waitedSince returns the time since the job was accepted, or since its round was due.
 func (s *Sched) waitedSince(j *flow.Job, r *flow.Round) time.Duration {
 	if r.Due.IsZero() {
-		return s.now.Sub(j.Began)
+		return s.now.Sub(j.Accepted)
 	}
 	return s.now.Sub(r.Due)
 }
@@ -89,7 +89,7 @@
 		if !ok || full[name] {
 			continue
 		}
-		need := r.stage.Spec.Room().Times(float64(len(r.tasks)))
+		need := r.stage.Spec.Demand().Times(float64(len(r.tasks)))
 		if sum := taken[name].Add(need); taken[name] == (cell.Size{}) || sum.Share(p.total) <= starvedShare {
 			taken[name] = sum
 			r.class = onTime
@@ -108,7 +108,7 @@
 			q := s.queue(t.Job)
 			r, ok := t.Job.Rounds[t.Name.Round]
 			if ok && s.deadlineClassOf(t.Job, r, t.Step, q) == starved {
-				taken[q.Service] = taken[q.Service].Add(t.Spec().Room())
+				taken[q.Service] = taken[q.Service].Add(t.Spec().Demand())
 			}
 		}
 	}
--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -71,12 +71,12 @@
 		return false
 	}
 	t := j.Task(l.Task)
-	if t == nil || !t.Spec().Copies || t.State != flow.Waiting || l.Run < t.Run {
+	if t == nil || !t.Spec().AllowCopies || t.State != flow.Waiting || l.Run < t.Run {
 		return false
 	}
 	t.Worker, t.Run = w.Incarnation, l.Run
-	t.Move(flow.Assign, s.now)
-	t.Move(flow.Send, s.now)
+	t.Transition(flow.Assign, s.now)
+	t.Transition(flow.Send, s.now)
 	w.add(t)
 	s.confirm(t)
 	s.markDirty(j)
@@ -90,7 +90,7 @@
 		return
 	}
 	t := j.Task(e.Task)
-	if t == nil || !t.Spec().Copies || t.State == flow.Done {
+	if t == nil || !t.Spec().AllowCopies || t.State == flow.Done {
 		return
 	}
 	switch e.How {
@@ -105,11 +105,11 @@
 // store that. If it were not counted, the task would be tried more often than its caller allows. A
 // run that is not newer than the recorded one has been counted already.
 func (s *Sched) copyFailed(w *worker, t *flow.Task, e RunEnd) {
-	beside := t.Out() && t.Worker != w.Incarnation && e.Run == t.Run
+	beside := t.MayBeRunning() && t.Worker != w.Incarnation && e.Run == t.Run
 	if e.Run <= t.Run && !beside {
 		return
 	}
-	if !t.Out() {
+	if !t.MayBeRunning() {
 		t.Run = e.Run
 	}
 	s.countFailure(t)
@@ -118,9 +118,9 @@
 // copyDone ends a task when one of its copies is done. The first one counts; the other copy is
 // stopped.
 func (s *Sched) copyDone(t *flow.Task) {
-	if w, ok := s.workers[t.Worker]; ok && t.Out() && t.State != flow.Assigned {
+	if w, ok := s.workers[t.Worker]; ok && t.MayBeRunning() && t.State != flow.Assigned {
 		s.emit(Stop{To: w.Address, Term: s.term, Task: t.Name, Run: t.Run})
-		w.untrack(runKey{t.Name, t.Run}, t.Spec().Room(), s.latestStart())
+		w.untrack(runKey{t.Name, t.Run}, t.Spec().Demand(), s.latestStart())
 	}
 	s.taskDone(t)
 }
@@ -129,8 +129,8 @@
 // elsewhere.
 func (s *Sched) copySilentTasks(w *worker) {
 	for _, t := range w.sortedTasks() {
-		if t.Spec().Copies && !t.Spec().Gang && (t.State == flow.Running || t.State == flow.Starting) {
-			w.untrack(runKey{t.Name, t.Run}, t.Spec().Room(), s.latestStart())
+		if t.Spec().AllowCopies && !t.Spec().Gang && (t.State == flow.Running || t.State == flow.Starting) {
+			w.untrack(runKey{t.Name, t.Run}, t.Spec().Demand(), s.latestStart())
 			s.markLost(t, w)
 			s.requeueTask(t, "worker is silent, a copy may run")
 		}
--- a/internal/sched/gpu_test.go
+++ b/internal/sched/gpu_test.go
@@ -17,8 +17,8 @@
 // service has to allow: render, of gangs that want up to a whole worker for each member,
 // and size, of single GPUs, which is less urgent. Costs of questions and shares of allowed
 // workers are those of an inspection firm's sheet.
-func gpuBench(t *testing.T, workers int) *cellBench {
-	b := newBench(t, 0)
+func gpuBench(t *testing.T, workers int) *simCell {
+	b := newSimCell(t, 0)
 	for i := range workers {
 		w := b.addWorker(fmt.Sprintf("w%02d", i), i)
 		w.info.Size = cell.Size{CPU: 128_000, Mem: 512 << 30, Accel: 8}
@@ -27,26 +27,26 @@
 	b.queues = []flow.Queue{
 		{
 			Name: "render", Service: "pass", Rank: 1, Attempts: 3, Stretch: 2.2, Slack: time.Second,
-			Advice: &flow.Advice{Base: 490 * time.Millisecond, Each: 7 * time.Millisecond, Valid: 2 * time.Second},
+			Advice: &flow.Advice{Base: 490 * time.Millisecond, PerWorker: 7 * time.Millisecond, Valid: 2 * time.Second},
 		},
 		{
 			Name: "size", Service: "pass", Rank: 2, Attempts: 3, Stretch: 4, Slack: 3 * time.Second,
-			Advice: &flow.Advice{Base: 140 * time.Millisecond, Each: 2 * time.Millisecond, Valid: 2 * time.Second},
+			Advice: &flow.Advice{Base: 140 * time.Millisecond, PerWorker: 2 * time.Millisecond, Valid: 2 * time.Second},
 		},
 	}
 	b.step(sched.Queues{Version: 2, All: b.queues})
-	b.policyTime = func(a sched.QueryPolicy) time.Duration {
+	b.queryTime = func(a sched.QueryPolicy) time.Duration {
 		return b.specs[jobOf(a.Step)].Queue.Advice.Cost(len(a.Workers))
 	}
 	return b
 }
 
 func render(members int, gpus int64) flow.Step {
-	return flow.Step{Tasks: members, Size: cell.Size{CPU: 62_000, Mem: 180 << 30, Accel: gpus}, Time: 3600 * time.Millisecond, Gang: true, Saves: true}
+	return flow.Step{Tasks: members, Size: cell.Size{CPU: 62_000, Mem: 180 << 30, Accel: gpus}, EstimatedTime: 3600 * time.Millisecond, Gang: true, Checkpoints: true}
 }
 
 func size(tasks int) flow.Step {
-	return flow.Step{Tasks: tasks, Size: cell.Size{CPU: 11_000, Mem: 33 << 30, Accel: 1}, Time: 3800 * time.Millisecond, Saves: true}
+	return flow.Step{Tasks: tasks, Size: cell.Size{CPU: 11_000, Mem: 33 << 30, Accel: 1}, EstimatedTime: 3800 * time.Millisecond, Checkpoints: true}
 }
 
 // Gangs wait for whole workers that the policy service allows them, and there are more
@@ -57,7 +57,7 @@
 func TestStepsThatCannotStartDoNotHideOthers(t *testing.T) {
 	b := gpuBench(t, 8)
 	gangs := map[string]bool{}
-	b.policy = func(step, worker string) bool {
+	b.allows = func(step, worker string) bool {
 		if gangs[step] {
 			return worker == "w00"
 		}
@@ -69,9 +69,9 @@
 		b.submit(id, "render", render(2, 8))
 	}
 	b.submit("size", "size", size(8))
-	b.play(18 * time.Second) // what a caller of size is promised
+	b.advance(18 * time.Second) // what a caller of size is promised
 	require.Equal(t, flow.Completed, b.state("size"))
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
 
 // A question about a gang takes the policy service half a second whatever it names. Asked
@@ -80,12 +80,12 @@
 // for each step tells all there is to know.
 func TestAQuestionLearnsOfAllWorkersWhileThatIsCheap(t *testing.T) {
 	b := gpuBench(t, 8)
-	b.policy = func(_, worker string) bool { return worker == "w00" }
+	b.allows = func(_, worker string) bool { return worker == "w00" }
 	for i := range 6 {
 		b.submit(fmt.Sprintf("gang%02d", i), "render", render(2, 8))
 	}
-	b.play(10 * time.Second)
-	require.Len(t, b.asks, 6)
+	b.advance(10 * time.Second)
+	require.Len(t, b.queries, 6)
 }
 
 // Gangs that take a whole worker each wait for the only one, and the policy service takes
@@ -98,7 +98,7 @@
 		b.submit(fmt.Sprintf("gang%d", i), "render", render(1, 8))
 	}
 	question := b.queues[0].Advice.Cost(1)
-	b.play(gangs*render(1, 8).Time + 2*question)
+	b.advance(gangs*render(1, 8).EstimatedTime + 2*question)
 	for i := range gangs {
 		require.Equal(t, flow.Completed, b.state(fmt.Sprintf("gang%d", i)))
 	}
@@ -114,13 +114,13 @@
 	for i := range 12 {
 		b.submit(fmt.Sprintf("gang%02d", i), "render", render(1, 4))
 	}
-	b.play(100 * time.Millisecond)
-	require.Len(t, b.asks, 8)
+	b.advance(100 * time.Millisecond)
+	require.Len(t, b.queries, 8)
 
 	b = gpuBench(t, 13)
 	b.queues = append(b.queues, flow.Queue{
 		Name: "scan", Service: "pass", Attempts: 3, Stretch: 1.5, Slack: 250 * time.Millisecond,
-		Advice: &flow.Advice{Base: 12 * time.Millisecond, Each: 180 * time.Microsecond, Valid: 2 * time.Second},
+		Advice: &flow.Advice{Base: 12 * time.Millisecond, PerWorker: 180 * time.Microsecond, Valid: 2 * time.Second},
 	})
 	b.step(sched.Queues{Version: 3, All: b.queues})
 	b.step(sched.Hosts{Names: []string{"h1", "h2", "h3", "h4", "h5", "h6", "h7", "h8", "h9"}})
@@ -132,10 +132,10 @@
 		id := fmt.Sprintf("scan%02d", i)
 		b.submit(id, "scan", scan(1))
 		began[id] = b.now
-		b.play(20 * time.Millisecond)
+		b.advance(20 * time.Millisecond)
 	}
 	// The question, the append, the work and its end.
-	b.play(1200 * time.Millisecond)
+	b.advance(1200 * time.Millisecond)
 	for id := range began {
 		require.Equal(t, flow.Completed, b.state(id), id)
 	}
@@ -153,12 +153,12 @@
 // that comes then. It returns how long that one took.
 func flood(t *testing.T, single flow.Step) time.Duration {
 	b := gpuBench(t, 2)
-	b.policy = func(step, worker string) bool { return step != "wide.0.0" || worker == "w00" }
+	b.allows = func(step, worker string) bool { return step != "wide.0.0" || worker == "w00" }
 	n := 0
 	more := func() {
 		b.submit(fmt.Sprintf("size%03d", n), "size", single)
 		n++
-		b.play(200 * time.Millisecond)
+		b.advance(200 * time.Millisecond)
 	}
 	for range 20 {
 		more()
@@ -168,7 +168,7 @@
 	for b.state("wide") != flow.Completed && b.now.Sub(began) < time.Minute {
 		more()
 	}
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 	return b.now.Sub(began)
 }
 
@@ -177,7 +177,7 @@
 // caller was promised, since what is given back on its worker is held for it.
 func TestRoomIsHeldForAWideTask(t *testing.T) {
 	single := size(1)
-	single.Saves = false
+	single.Checkpoints = false
 	// 2.2 times its work and a second.
 	require.Less(t, flood(t, single), 8900*time.Millisecond)
 }
@@ -186,7 +186,7 @@
 // is more urgent and does not wait for them: it begins after its question and the stops.
 func TestBulkGivesWayToMoreUrgentTasks(t *testing.T) {
 	question, stop := 560*time.Millisecond, time.Second
-	require.Less(t, flood(t, size(1)), question+stop+wide().Time)
+	require.Less(t, flood(t, size(1)), question+stop+wide().EstimatedTime)
 }
 
 func jobOf(step string) string {
@@ -200,25 +200,25 @@
 func TestAStepTellsWhatItWaitsFor(t *testing.T) {
 	b := gpuBench(t, 1)
 	long := wide()
-	long.Time, long.Saves = 8*time.Second, false
+	long.EstimatedTime, long.Checkpoints = 8*time.Second, false
 	b.submit("first", "render", long)
-	b.play(time.Second)
-	require.Len(t, b.waited, 1)
+	b.advance(time.Second)
+	require.Len(t, b.stepWaits, 1)
 	question := b.queues[0].Advice.Cost(1)
-	require.InDelta(t, question.Seconds(), b.waited[0].Times[sched.WaitForPolicy].Seconds(), 0.05)
-	require.Zero(t, b.waited[0].Times[sched.WaitForCapacity])
+	require.InDelta(t, question.Seconds(), b.stepWaits[0].Times[sched.WaitForPolicy].Seconds(), 0.05)
+	require.Zero(t, b.stepWaits[0].Times[sched.WaitForCapacity])
 
 	b.submit("second", "render", wide())
-	b.play(6 * time.Second)
-	require.Len(t, b.long, 1)
-	require.Equal(t, "second.0.0", b.long[0].ID)
-	require.Contains(t, b.long[0].Detail, "room 3")
-	b.play(4 * time.Second)
-	require.Len(t, b.waited, 2)
+	b.advance(6 * time.Second)
+	require.Len(t, b.longWaits, 1)
+	require.Equal(t, "second.0.0", b.longWaits[0].ID)
+	require.Contains(t, b.longWaits[0].Detail, "room 3")
+	b.advance(4 * time.Second)
+	require.Len(t, b.stepWaits, 2)
 	// The rest of eight seconds, of which the questions for tickets take a part.
-	require.InDelta(t, 7.55, b.waited[1].Times.Total().Seconds(), 0.1)
-	require.Greater(t, b.waited[1].Times[sched.WaitForCapacity], b.waited[1].Times[sched.WaitForPolicy])
-	require.Equal(t, 1, b.waited[1].Rank)
-	require.Len(t, b.begun, 2)
-	require.InDelta(t, 7.6, b.begun[1].After.Seconds(), 0.1)
+	require.InDelta(t, 7.55, b.stepWaits[1].Times.Total().Seconds(), 0.1)
+	require.Greater(t, b.stepWaits[1].Times[sched.WaitForCapacity], b.stepWaits[1].Times[sched.WaitForPolicy])
+	require.Equal(t, 1, b.stepWaits[1].Rank)
+	require.Len(t, b.jobStarts, 2)
+	require.InDelta(t, 7.6, b.jobStarts[1].After.Seconds(), 0.1)
 }
--- a/internal/sched/grown_test.go
+++ b/internal/sched/grown_test.go
@@ -30,27 +30,27 @@
 // allowed workers.
 func firm() []kind {
 	advice := func(base, each time.Duration) *flow.Advice {
-		return &flow.Advice{Base: base, Each: each, Valid: 2 * time.Second}
+		return &flow.Advice{Base: base, PerWorker: each, Valid: 2 * time.Second}
 	}
 	const us = time.Microsecond
 	return []kind{
 		{
 			flow.Queue{Name: "summary", Service: "desk", Attempts: 3, Stretch: 1.5, Slack: 250 * time.Millisecond, Advice: advice(12*time.Millisecond, 180*us)},
 			55, 0.7, func(r *rand.Rand) flow.Step {
-				return flow.Step{Tasks: 1 + r.IntN(20), Size: cell.Size{CPU: 11_000, Mem: 12 << 30}, Time: around(r, 560*time.Millisecond), Copies: r.IntN(3) == 0}
+				return flow.Step{Tasks: 1 + r.IntN(20), Size: cell.Size{CPU: 11_000, Mem: 12 << 30}, EstimatedTime: around(r, 560*time.Millisecond), AllowCopies: r.IntN(3) == 0}
 			},
 		},
 		{
 			flow.Queue{Name: "review", Service: "desk", Rank: 2, Attempts: 3, Stretch: 4, Slack: 3 * time.Second, Advice: advice(170*time.Millisecond, 2400*us)},
 			2.3, 0.45, func(r *rand.Rand) flow.Step {
-				return flow.Step{Tasks: 1 + r.IntN(36), Size: cell.Size{CPU: 18_000, Mem: 38 << 30}, Time: around(r, 5600*time.Millisecond), Saves: r.IntN(5) > 0}
+				return flow.Step{Tasks: 1 + r.IntN(36), Size: cell.Size{CPU: 18_000, Mem: 38 << 30}, EstimatedTime: around(r, 5600*time.Millisecond), Checkpoints: r.IntN(5) > 0}
 			},
 		},
 		{
 			flow.Queue{Name: "render", Service: "lab", Rank: 1, Attempts: 3, Stretch: 2.2, Slack: time.Second, Advice: advice(490*time.Millisecond, 7*time.Millisecond)},
 			4.5, 0.3, func(r *rand.Rand) flow.Step {
 				st := render(1+r.IntN(9), int64(2)<<r.IntN(3))
-				st.Gang, st.Time = r.IntN(2) == 0, around(r, st.Time)
+				st.Gang, st.EstimatedTime = r.IntN(2) == 0, around(r, st.EstimatedTime)
 				return st
 			},
 		},
@@ -58,7 +58,7 @@
 			flow.Queue{Name: "size", Service: "lab", Rank: 2, Attempts: 3, Stretch: 4, Slack: 3 * time.Second, Advice: advice(140*time.Millisecond, 2*time.Millisecond)},
 			5, 0.45, func(r *rand.Rand) flow.Step {
 				st := size(1 + r.IntN(25))
-				st.Time = around(r, st.Time)
+				st.EstimatedTime = around(r, st.EstimatedTime)
 				return st
 			},
 		},
@@ -66,8 +66,8 @@
 }
 
 // newFirm is the cell of such a firm.
-func newFirm(t *testing.T, kinds []kind) *cellBench {
-	b := newBench(t, 0)
+func newFirm(t *testing.T, kinds []kind) *simCell {
+	b := newSimCell(t, 0)
 	for i := range 350 {
 		w := b.addWorker(fmt.Sprintf("w%03d", i), i)
 		w.info.Service, w.info.Size = "desk", cell.Size{CPU: 64_000, Mem: 256 << 30}
@@ -88,18 +88,18 @@
 		hosts = append(hosts, fmt.Sprintf("h%02d", i))
 	}
 	b.step(sched.Hosts{Names: hosts})
-	b.policy = func(step, worker string) bool {
+	b.allows = func(step, worker string) bool {
 		share := good[b.specs[jobOf(step)].Queue.Name]
 		return float64(xxhash.Sum64String(step+worker)%1000) < 1000*share
 	}
-	b.policyTime = func(a sched.QueryPolicy) time.Duration {
+	b.queryTime = func(a sched.QueryPolicy) time.Duration {
 		return b.specs[jobOf(a.Step)].Queue.Advice.Cost(len(a.Workers))
 	}
 	return b
 }
 
 // come hands in what comes in d.
-func (b *cellBench) come(r *rand.Rand, kinds []kind, d time.Duration) {
+func (b *simCell) come(r *rand.Rand, kinds []kind, d time.Duration) {
 	const every = 10 * time.Millisecond
 	for range int(d / every) {
 		for _, k := range kinds {
@@ -107,7 +107,7 @@
 				b.submit(fmt.Sprintf("%s%06d", k.queue.Name, len(b.specs)), k.queue.Name, k.step(r))
 			}
 		}
-		b.play(every)
+		b.advance(every)
 	}
 }
 
@@ -124,11 +124,11 @@
 			c := newFirm(&testing.T{}, kinds)
 			r := rand.New(rand.NewPCG(1, 2))
 			c.come(r, kinds, 10*time.Second)
-			c.inCore = 0
+			c.coreTime = 0
 			for b.Loop() {
 				c.come(r, kinds, time.Second)
 			}
-			b.ReportMetric(float64(c.inCore.Microseconds())/1000/float64(b.N), "core-ms")
+			b.ReportMetric(float64(c.coreTime.Microseconds())/1000/float64(b.N), "core-ms")
 		})
 	}
 }
@@ -141,16 +141,16 @@
 	n := 0
 	for b.Loop() {
 		c, r, kinds := firmWithACrowd(&testing.T{})
-		c.inCore = 0
+		c.coreTime = 0
 		c.come(r, kinds, 2*time.Second)
-		spent += c.inCore
+		spent += c.coreTime
 		n += 2
 	}
 	b.ReportMetric(float64(spent.Microseconds())/1000/float64(n), "core-ms")
 }
 
 // firmWithACrowd is a firm to which eight seconds' work has come in one.
-func firmWithACrowd(t *testing.T) (*cellBench, *rand.Rand, []kind) {
+func firmWithACrowd(t *testing.T) (*simCell, *rand.Rand, []kind) {
 	kinds := firm()
 	c := newFirm(t, kinds)
 	r := rand.New(rand.NewPCG(1, 2))
--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -9,7 +9,7 @@
 	s.lastNumber++
 	j := flow.New(spec, s.lastNumber, s.now)
 	s.jobs[spec.ID], s.openJobs[spec.ID] = j, j
-	j.Begin(s.now)
+	j.BeginRounds(s.now)
 	s.markDirty(j)
 	s.emit(Note{ID: spec.ID, What: "queued", Detail: spec.Queue.Name})
 	if _, ok := s.earlyCancels[spec.ID]; ok {
@@ -43,7 +43,7 @@
 		switch t.State {
 		case flow.Waiting, flow.Assigned:
 			s.releaseTask(t)
-			t.Move(flow.Drop, s.now)
+			t.Transition(flow.Drop, s.now)
 		case flow.Starting, flow.Running, flow.Inherited:
 			s.stopRun(t, "job is "+string(state))
 		}
@@ -56,13 +56,13 @@
 func (s *Sched) closeIfOver(j *flow.Job) {
 	if j.State.Final() {
 		out := false
-		j.Tasks(func(t *flow.Task) { out = out || t.Out() })
+		j.Tasks(func(t *flow.Task) { out = out || t.MayBeRunning() })
 		if !out {
 			s.closeJob(j)
 		}
 		return
 	}
-	j.Settle(s.now)
+	j.CloseRounds(s.now)
 	if j.State.Final() {
 		s.closeJob(j)
 	}
@@ -94,18 +94,18 @@
 // requeueTask puts a task back in the queue whose run is certainly not on its worker any more and
 // did not end as done.
 func (s *Sched) requeueTask(t *flow.Task, why string) {
-	if t.State == flow.Waiting || !t.Out() {
+	if t.State == flow.Waiting || !t.MayBeRunning() {
 		return
 	}
 	s.noteTask(t, "gone", why)
 	s.releaseTask(t)
 	s.markDirty(t.Job)
 	if t.Job.State.Final() {
-		t.Move(flow.Drop, s.now)
+		t.Transition(flow.Drop, s.now)
 		s.closeIfOver(t.Job)
 		return
 	}
-	t.Move(flow.Gone, s.now)
+	t.Transition(flow.Gone, s.now)
 	if t.Spec().Gang {
 		s.breakGang(t)
 	}
@@ -115,7 +115,7 @@
 func (s *Sched) taskDone(t *flow.Task) {
 	s.noteTask(t, "done", "")
 	s.releaseTask(t)
-	if !t.Move(flow.Finish, s.now) {
+	if !t.Transition(flow.Finish, s.now) {
 		return
 	}
 	t.Step.Done++
@@ -124,7 +124,7 @@
 		s.closeIfOver(t.Job)
 		return
 	}
-	if t.Step.Over() {
+	if t.Step.Finished() {
 		delete(s.advice, t.Step)
 	}
 	s.closeIfOver(t.Job)
@@ -139,10 +139,10 @@
 
 // countFailure counts a failure of a task and fails the job after too many.
 func (s *Sched) countFailure(t *flow.Task) {
-	t.Fails++
+	t.Failures++
 	j := t.Job
 	s.markDirty(j)
-	if j.State.Final() || t.Spec().Lasts || t.Fails < s.queue(j).Attempts {
+	if j.State.Final() || t.Spec().LongRunning || t.Failures < s.queue(j).Attempts {
 		return
 	}
 	s.emit(Note{ID: j.Spec.ID, What: "failed for good", Detail: t.Name.String()})
--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -36,10 +36,10 @@
 	worst := 0.0
 	for _, l := range running {
 		t := w.tasks[l.Task]
-		if t == nil || t.Run != l.Run || t.Spec().Target == 0 {
+		if t == nil || t.Run != l.Run || t.Spec().LatencyTarget == 0 {
 			continue
 		}
-		worst = max(worst, float64(l.Metric)/float64(t.Spec().Target.Milliseconds()))
+		worst = max(worst, float64(l.Metric)/float64(t.Spec().LatencyTarget.Milliseconds()))
 	}
 	return worst
 }
@@ -63,8 +63,8 @@
 		w.pace.level, w.pace.changed = level, s.now
 	}
 	for _, t := range w.sortedTasks() {
-		if t.Spec().Fills && t.State == flow.Running && (t.Pace != level || worst >= pauseFrom) {
-			t.Pace = level
+		if t.Spec().BestEffort && t.State == flow.Running && (t.CPUPercent != level || worst >= pauseFrom) {
+			t.CPUPercent = level
 			s.emit(Pace{To: w.Address, Term: s.term, Task: t.Name, Run: t.Run, Percent: level})
 		}
 	}
