--- a/internal/queue/property_test.go
+++ b/internal/queue/property_test.go
@@ -25,7 +25,7 @@
 	busy     map[string]int
 	rowSlots map[string]int64
 	rowBusy  map[string]int64
-	waiting  map[string]queue.Ask
+	waiting  map[string]queue.Enqueue
 	sent     map[string]queue.Send
 	rows     map[string]string
 	lent     map[string]string
@@ -36,15 +36,15 @@
 		switch a := a.(type) {
 		case queue.Send:
 			m.decided(a.ID)
-			m.busy[a.Minion]++
+			m.busy[a.Backend]++
 			m.rowBusy[m.rows[a.ID]]++
-			require.LessOrEqual(m.t, m.busy[a.Minion], m.slots[a.Minion], "a minion gets no more than its share")
+			require.LessOrEqual(m.t, m.busy[a.Backend], m.slots[a.Backend], "a minion gets no more than its share")
 			if limit := m.rowSlots[m.rows[a.ID]]; limit != 0 {
 				require.LessOrEqual(m.t, m.rowBusy[m.rows[a.ID]], limit, "a row gets no more than its limit")
 			}
 			m.sent[a.ID] = a
 		case queue.Lend:
-			require.False(m.t, m.waiting[a.ID].Lent, "a lent request is not lent again")
+			require.False(m.t, m.waiting[a.ID].FromPeer, "a lent request is not lent again")
 			m.decided(a.ID)
 			m.lent[a.ID] = a.Peer
 		case queue.Refuse:
@@ -92,18 +92,18 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{
 			t: t, q: queue.New(queue.Limits{Length: 12, Reserve: 0.25}), now: start, slots: map[string]int{}, busy: map[string]int{},
-			rowSlots: map[string]int64{}, rowBusy: map[string]int64{}, waiting: map[string]queue.Ask{}, sent: map[string]queue.Send{},
+			rowSlots: map[string]int64{}, rowBusy: map[string]int64{}, waiting: map[string]queue.Enqueue{}, sent: map[string]queue.Send{},
 			rows: map[string]string{}, lent: map[string]string{},
 		}
 		name := func() string { return rapid.SampledFrom([]string{"scan", "menu", "badge"}).Draw(t, "row") }
 		row := func(name string) queue.Row {
-			return queue.Row{Name: name, Class: classes[name], Weight: 1, Slots: m.rowSlots[name], Queue: 8}
+			return queue.Row{Name: name, Class: classes[name], Weight: 1, Slots: m.rowSlots[name], MaxQueued: 8}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"ask": func(t *rapid.T) {
 				m.n++
-				a := queue.Ask{
-					ID: fmt.Sprint("r", m.n), Row: row(name()), Lent: rapid.IntRange(0, 4).Draw(t, "lent") == 0,
+				a := queue.Enqueue{
+					ID: fmt.Sprint("r", m.n), Row: row(name()), FromPeer: rapid.IntRange(0, 4).Draw(t, "lent") == 0,
 					Deadline: m.now.Add(time.Duration(rapid.IntRange(1, 50).Draw(t, "left")) * 100 * time.Millisecond),
 				}
 				m.waiting[a.ID], m.rows[a.ID] = a, a.Row.Name
@@ -111,7 +111,7 @@
 			},
 			"end": func(t *rapid.T) {
 				if id := pick(t, m.sent); id != "" {
-					m.busy[m.sent[id].Minion]--
+					m.busy[m.sent[id].Backend]--
 					m.rowBusy[m.rows[id]]--
 					delete(m.sent, id)
 					m.step(queue.Ended{ID: id, Took: 30 * time.Millisecond})
@@ -120,22 +120,22 @@
 			"bounce": func(t *rapid.T) {
 				if id := pick(t, m.lent); id != "" {
 					delete(m.lent, id)
-					m.waiting[id] = queue.Ask{ID: id, Row: row(m.rows[id])}
-					m.step(queue.Bounced{ID: id})
+					m.waiting[id] = queue.Enqueue{ID: id, Row: row(m.rows[id])}
+					m.step(queue.LendRejected{ID: id})
 				}
 			},
 			"hang": func(t *rapid.T) {
 				if id := pick(t, m.waiting); id != "" {
 					delete(m.waiting, id)
-					m.step(queue.Hung{ID: id})
+					m.step(queue.Cancelled{ID: id})
 				}
 			},
 			"servers": func(t *rapid.T) {
 				var s queue.Shares
 				clear(m.slots)
 				for i := range rapid.IntRange(0, 3).Draw(t, "minions") {
-					share := queue.Share{Minion: fmt.Sprint("m", i), Slots: rapid.IntRange(0, 4).Draw(t, "slots")}
-					m.slots[share.Minion] = share.Slots
+					share := queue.Share{Backend: fmt.Sprint("m", i), Slots: rapid.IntRange(0, 4).Draw(t, "slots")}
+					m.slots[share.Backend] = share.Slots
 					s.All = append(s.All, share)
 				}
 				m.step(s)
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -48,13 +48,13 @@
 func (q *Queue) Step(now time.Time, ev Event) []Action {
 	var acts []Action
 	switch ev := ev.(type) {
-	case Ask:
+	case Enqueue:
 		acts = q.ask(now, ev)
 	case Ended:
 		q.ended(ev)
-	case Bounced:
+	case LendRejected:
 		q.bounced(now, ev.ID)
-	case Hung:
+	case Cancelled:
 		q.remove(q.waiting[ev.ID])
 	case Shares:
 		q.local.replace(ev.All)
@@ -68,21 +68,21 @@
 	q.need.pass(now)
 	acts = append(acts, q.expire(now)...)
 	acts = append(acts, q.dispatch(now)...)
-	if ask, ok := ev.(Ask); ok && ask.Lent && q.waiting[ask.ID] != nil {
+	if ask, ok := ev.(Enqueue); ok && ask.FromPeer && q.waiting[ask.ID] != nil {
 		acts = append(acts, q.drop(now, q.waiting[ask.ID], Busy))
 	}
 	return acts
 }
 
-func (q *Queue) ask(now time.Time, a Ask) []Action {
+func (q *Queue) ask(now time.Time, a Enqueue) []Action {
 	r := q.change(now, a.Row)
 	ahead := r.ahead(a.Deadline)
 	var acts []Action
 	switch {
-	case a.Lent:
+	case a.FromPeer:
 	case !a.Deadline.After(now), ahead > 0 && q.hopeless(now, r, ahead, a.Deadline):
 		return []Action{q.refuse(now, r, a.ID, TooLate)}
-	case a.Row.Queue > 0 && int64(len(r.waiting.items)) >= a.Row.Queue:
+	case a.Row.MaxQueued > 0 && int64(len(r.waiting.items)) >= a.Row.MaxQueued:
 		return []Action{q.refuse(now, r, a.ID, Full)}
 	case len(q.waiting) >= q.limits.Length:
 		victim := q.victim(r)
@@ -91,7 +91,7 @@
 		}
 		acts = append(acts, q.drop(now, victim, Full))
 	}
-	q.add(now, &request{Ask: a, row: r})
+	q.add(now, &request{Enqueue: a, row: r})
 	return acts
 }
 
@@ -178,7 +178,7 @@
 }
 
 func (q *Queue) refuse(now time.Time, r *row, id string, why Reason) Refuse {
-	return Refuse{ID: id, Reason: why, Again: q.again(now, r)}
+	return Refuse{ID: id, Reason: why, RetryAfter: q.again(now, r)}
 }
 
 func (q *Queue) drop(now time.Time, req *request, why Reason) Refuse {
@@ -270,7 +270,7 @@
 		if m, ok := q.peers.all[p.Name]; ok {
 			busy = m.busy
 		}
-		shares = append(shares, Share{Minion: p.Name, Slots: p.Free + busy})
+		shares = append(shares, Share{Backend: p.Name, Slots: p.Free + busy})
 	}
 	q.peers.replace(shares)
 	for _, r := range q.rows {
@@ -278,9 +278,9 @@
 	}
 }
 
-// Over tells whether a backend server has more requests than this host's
+// Overcommitted tells whether a backend server has more requests than this host's
 // present share of it.
-func (q *Queue) Over() bool {
+func (q *Queue) Overcommitted() bool {
 	for _, m := range q.local.all {
 		if m.busy > m.slots {
 			return true
@@ -292,8 +292,8 @@
 // Load returns how many slots are free and how many requests wait.
 func (q *Queue) Load() (free, waiting int) { return q.local.free, len(q.waiting) }
 
-// Rows lists the rows that have something waiting.
-func (q *Queue) Rows() []string {
+// WaitingRows lists the rows that have something waiting.
+func (q *Queue) WaitingRows() []string {
 	var names []string
 	for _, c := range q.classes {
 		for _, rows := range []*places[*row]{c.ready, c.blocked} {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -106,7 +106,7 @@
 func (x *Relay) shares() {
 	all := make([]queue.Share, 0, len(x.servers))
 	for _, s := range x.servers {
-		all = append(all, queue.Share{Minion: s.Name, Slots: x.Outliers.Most(s.Name, s.Slots)})
+		all = append(all, queue.Share{Backend: s.Name, Slots: x.Outliers.Most(s.Name, s.Slots)})
 	}
 	x.stepQueue(queue.Shares{All: all})
 }
@@ -144,7 +144,7 @@
 func (x *Relay) MarkLeaving(leaving []string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.watch(outlier.Told{Leaving: leaving})
+	x.watch(outlier.LeavingReported{Leaving: leaving})
 }
 
 // Tick lets time pass in the cores and puts changed rows in force.
@@ -164,7 +164,7 @@
 // refreshRows puts edits of the table in force for requests that wait already.
 func (x *Relay) refreshRows() {
 	x.mu.Lock()
-	names := x.Queue.Rows()
+	names := x.Queue.WaitingRows()
 	x.mu.Unlock()
 	for _, name := range names {
 		row, version := x.Row(name)
@@ -180,7 +180,7 @@
 func (x *Relay) queueRow(row table.Row) queue.Row {
 	return queue.Row{
 		Name: row.Name, Class: row.Urgency(), Weight: row.Weight,
-		Slots: x.part(row.Name, row.Limits.Slots, queue.None), Queue: x.part(row.Name, row.Limits.Queue, 1),
+		Slots: x.part(row.Name, row.Limits.Slots, queue.NoSlots), MaxQueued: x.part(row.Name, row.Limits.Queue, 1),
 	}
 }
 
@@ -200,7 +200,7 @@
 func (x *Relay) Drained() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return !x.Queue.Over()
+	return !x.Queue.Overcommitted()
 }
 
 // Load returns this host's free slots and waiting requests.
