--- a/internal/ledger/random_test.go
+++ b/internal/ledger/random_test.go
@@ -44,7 +44,7 @@
 func newHistory(draw func(int) int, rule rule) *history {
 	hosts := [][]ledger.Host{cellHosts, twoHosts}[draw(2)]
 	w := newWorld(hosts, rule)
-	w.limits.Entries = 2 + draw(3)
+	w.limits.MaxKeys = 2 + draw(3)
 	for _, h := range hosts {
 		w.skew[h.Name] = time.Duration(draw(1000)) * time.Millisecond
 		w.replace(h.Name)
@@ -65,7 +65,7 @@
 	host := h.hosts[h.draw(len(h.hosts))]
 	attempt := 2
 	began, tried := h.first[key]
-	if host.Domain == "nord" && (!tried || h.now.Sub(began) < ledger.DefaultLimits.Repeat) {
+	if host.Domain == "nord" && (!tried || h.now.Sub(began) < ledger.DefaultLimits.RepeatWindow) {
 		attempt = 1 + h.draw(2)
 	}
 	if !tried {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -33,22 +33,22 @@
 	Retries      *retry.Budget
 	Ledger       *ledger.Ledger
 	// Plan names the homes of keys, Inc is this host's incarnation.
-	Plan    ledger.Plan
-	Inc     int64
-	Minions *minion.Client
-	Peers   *peer.Clients
+	Plan        ledger.Plan
+	Incarnation int64
+	Minions     *minion.Client
+	Peers       *peer.Clients
 	// Row returns a row and its version, zero for none.
 	Row func(name string) (table.Row, int64)
-	// Part returns this host's part of a limit that holds in the whole cell.
-	Part func(row string, limit int64) int64
+	// LimitShare returns this host's part of a limit that holds in the whole cell.
+	LimitShare func(row string, limit int64) int64
 	// Members returns the live hosts of this domain and their heartbeats.
 	Members func() ([]string, []member.Heartbeat)
 	Clock   func() time.Time
-	// Pause is how long this host may stand still and still use its slots;
+	// MaxPause is how long this host may stand still and still use its slots;
 	// zero means for ever.
-	Pause   time.Duration
-	Log     *slog.Logger
-	Metrics metrics.Registry
+	MaxPause time.Duration
+	Log      *slog.Logger
+	Metrics  metrics.Registry
 }
 
 // Relay is the requests' part of one entry host. It is safe for concurrent use.
@@ -133,15 +133,15 @@
 	return x.Outliers.Word(x.Clock())
 }
 
-// Aside lists the backend servers that are not trusted.
-func (x *Relay) Aside() map[string]outlier.State {
+// Quarantined lists the backend servers that are not trusted.
+func (x *Relay) Quarantined() map[string]outlier.State {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.Outliers.States()
 }
 
-// Told takes a peer's word that backend servers leave.
-func (x *Relay) Told(leaving []string) {
+// MarkLeaving takes a peer's word that backend servers leave.
+func (x *Relay) MarkLeaving(leaving []string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.watch(outlier.LeavingReported{Leaving: leaving})
@@ -189,7 +189,7 @@
 	if limit == 0 {
 		return 0
 	}
-	if n := x.Part(row, limit); n > 0 {
+	if n := x.LimitShare(row, limit); n > 0 {
 		return n
 	}
 	return least
@@ -237,7 +237,7 @@
 // time; SetServers gives back what is still this host's.
 func (x *Relay) resume(now time.Time) []queue.Action {
 	gap := now.Sub(x.last)
-	paused := !x.last.IsZero() && x.Pause > 0 && gap > x.Pause
+	paused := !x.last.IsZero() && x.MaxPause > 0 && gap > x.MaxPause
 	x.last = now
 	if !paused {
 		return nil
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -52,14 +52,14 @@
 			defer b.mu.Unlock()
 			return b.row, b.version
 		},
-		Part:    func(_ string, limit int64) int64 { return limit },
-		Members: func() ([]string, []member.Heartbeat) { return []string{"h1"}, nil },
+		LimitShare: func(_ string, limit int64) int64 { return limit },
+		Members:    func() ([]string, []member.Heartbeat) { return []string{"h1"}, nil },
 		Clock: func() time.Time {
 			b.mu.Lock()
 			defer b.mu.Unlock()
 			return time.Now().Add(b.ahead)
 		},
-		Pause: time.Minute, Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
+		MaxPause: time.Minute, Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
 	})
 	for i := range minions {
 		m := standin.NewMinion(slots)
