--- a/internal/outlier/messages.go
+++ b/internal/outlier/messages.go
@@ -30,8 +30,8 @@
 // LeavingReported is a peer's word that backend servers leave.
 type LeavingReported struct{ Leaving []string }
 
-// Listed replaces the backend servers that are there by the host list.
-type Listed struct{ Minions []string }
+// ServersListed replaces the backend servers that are there by the host list.
+type ServersListed struct{ Minions []string }
 
 // Tick lets time pass.
 type Tick struct{}
@@ -39,7 +39,7 @@
 func (Sent) event()            {}
 func (Ended) event()           {}
 func (LeavingReported) event() {}
-func (Listed) event()          {}
+func (ServersListed) event()   {}
 func (Tick) event()            {}
 
 // Action is what the outlier core asks its edge to do.
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -93,7 +93,7 @@
 		return o.ended(now, ev)
 	case LeavingReported:
 		return o.told(now, ev.Leaving)
-	case Listed:
+	case ServersListed:
 		o.list(ev.Minions)
 	case Tick:
 		return o.tick(now)
