--- a/internal/measure/hole.go
+++ b/internal/measure/hole.go
@@ -100,7 +100,7 @@
 		}
 		h.at[send.ID] = send.Backend
 		if h.out != nil {
-			h.out.Step(now, outlier.Sent{ID: send.ID, Minion: send.Backend, Row: "scan"})
+			h.out.Step(now, outlier.Sent{ID: send.ID, Backend: send.Backend, Row: "scan"})
 		}
 		took := h.byID[send.ID].took
 		if h.swallows(send.ID) {
--- a/internal/outlier/messages.go
+++ b/internal/outlier/messages.go
@@ -4,7 +4,7 @@
 type Event interface{ event() }
 
 // Sent tells that a request was sent to a backend server.
-type Sent struct{ ID, Minion, Row string }
+type Sent struct{ ID, Backend, Row string }
 
 // Ended tells what became of a sent request.
 type Ended struct {
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -88,7 +88,7 @@
 func (o *Outliers) Step(now time.Time, ev Event) []Action {
 	switch ev := ev.(type) {
 	case Sent:
-		o.flights[ev.ID] = &flight{minion: ev.Minion, row: ev.Row, since: now}
+		o.flights[ev.ID] = &flight{minion: ev.Backend, row: ev.Row, since: now}
 	case Ended:
 		return o.ended(now, ev)
 	case LeavingReported:
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -51,7 +51,7 @@
 			b.held[name]++
 			b.got[name]++
 			id := fmt.Sprint(b.n)
-			b.o.Step(b.now, outlier.Sent{ID: id, Minion: name, Row: "scan"})
+			b.o.Step(b.now, outlier.Sent{ID: id, Backend: name, Row: "scan"})
 			ids = append(ids, [2]string{name, id})
 		}
 		b.now = b.now.Add(work)
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -159,7 +159,7 @@
 	req.Trace = spans.Parent(ctx)
 	x.mu.Lock()
 	addr := x.servers[a.Backend].Address
-	x.watch(outlier.Sent{ID: req.ID, Minion: a.Backend, Row: req.Row})
+	x.watch(outlier.Sent{ID: req.ID, Backend: a.Backend, Row: req.Row})
 	x.mu.Unlock()
 	answer, err := x.Minions.Do(ctx, addr, req)
 	t := judge(answer, err)
