--- a/internal/outlier/messages.go
+++ b/internal/outlier/messages.go
@@ -47,9 +47,9 @@
 
 // Changed tells that Most gives another number for a backend server now.
 type Changed struct {
-	Minion string
-	State  State
-	Reason string
+	Backend string
+	State   State
+	Reason  string
 }
 
 func (Changed) action() {}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -117,7 +117,7 @@
 	for _, a := range acts {
 		switch a := a.(type) {
 		case outlier.Changed:
-			x.Log.Info("relay: backend server changed.", "minion", a.Minion, "state", a.State, "reason", a.Reason)
+			x.Log.Info("relay: backend server changed.", "minion", a.Backend, "state", a.State, "reason", a.Reason)
 		}
 	}
 	if len(acts) > 0 {
