--- a/internal/measure/hole.go
+++ b/internal/measure/hole.go
@@ -37,7 +37,7 @@
 		for i := range loadMinions {
 			names = append(names, fmt.Sprintf("m%02d", i))
 		}
-		h.out.Step(start, outlier.ServersListed{Minions: names})
+		h.out.Step(start, outlier.ServersListed{Backends: names})
 	}
 	for i := range all {
 		h.byID[all[i].id] = &all[i]
--- a/internal/outlier/messages.go
+++ b/internal/outlier/messages.go
@@ -31,7 +31,7 @@
 type LeavingReported struct{ Leaving []string }
 
 // ServersListed replaces the backend servers that are there by the host list.
-type ServersListed struct{ Minions []string }
+type ServersListed struct{ Backends []string }
 
 // Tick lets time pass.
 type Tick struct{}
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -94,7 +94,7 @@
 	case LeavingReported:
 		return o.told(now, ev.Leaving)
 	case ServersListed:
-		o.list(ev.Minions)
+		o.list(ev.Backends)
 	case Tick:
 		return o.tick(now)
 	}
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -30,7 +30,7 @@
 	for i := range n {
 		names = append(names, fmt.Sprint("m", i))
 	}
-	b.o.Step(start, outlier.ServersListed{Minions: names})
+	b.o.Step(start, outlier.ServersListed{Backends: names})
 	return b
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -98,7 +98,7 @@
 	defer x.mu.Unlock()
 	x.last = x.Clock()
 	x.servers = servers
-	x.Outliers.Step(x.Clock(), outlier.ServersListed{Minions: names})
+	x.Outliers.Step(x.Clock(), outlier.ServersListed{Backends: names})
 	x.shares()
 }
 
