--- a/internal/measure/hole.go
+++ b/internal/measure/hole.go
@@ -69,7 +69,7 @@
 }
 
 func (h *hole) end(e event) {
-	result := outlier.Good
+	result := outlier.Succeeded
 	if h.swallows(e.end.id) {
 		h.lost++
 		result = outlier.Failed
--- a/internal/outlier/messages.go
+++ b/internal/outlier/messages.go
@@ -17,8 +17,8 @@
 
 // The ways in which a sent request ends.
 const (
-	// Good is a whole answer.
-	Good Result = iota
+	// Succeeded is a whole answer.
+	Succeeded Result = iota
 	// Failed is no whole answer, or one that tells of a fault of the server.
 	Failed
 	// Unreached is a server that takes no connections.
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -130,7 +130,7 @@
 		return o.gone(now, f.minion, o.limits.Away, "it leaves")
 	case Unreached:
 		return o.gone(now, f.minion, o.next(s), "it takes no connections")
-	case Good:
+	case Succeeded:
 		o.time(s, f, now.Sub(f.since))
 	}
 	if f.stuck && ev.Result == Failed {
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -58,7 +58,7 @@
 		for _, id := range ids {
 			does := b.does[id[0]]
 			if does == nil {
-				does = b.end(outlier.Good)
+				does = b.end(outlier.Succeeded)
 			}
 			does(id[1])
 			b.held[id[0]]--
@@ -81,7 +81,7 @@
 			return func(id string) {
 				now := b.now
 				b.now = now.Add(10 * work)
-				b.end(outlier.Good)(id)
+				b.end(outlier.Succeeded)(id)
 				b.now = now
 			}
 		},
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -207,6 +207,6 @@
 	case t.verdict == unsure, t.reply.Outcome == cell.Unknown:
 		return outlier.Failed
 	default:
-		return outlier.Good
+		return outlier.Succeeded
 	}
 }
