--- a/internal/outlier/messages.go
+++ b/internal/outlier/messages.go
@@ -21,8 +21,8 @@
 	Succeeded Result = iota
 	// Failed is no whole answer, or one that tells of a fault of the server.
 	Failed
-	// Unreached is a server that takes no connections.
-	Unreached
+	// Unreachable is a server that takes no connections.
+	Unreachable
 	// Leaving is a server's own word that it leaves.
 	Leaving
 )
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -128,7 +128,7 @@
 	case Leaving:
 		s.told = now
 		return o.gone(now, f.minion, o.limits.Away, "it leaves")
-	case Unreached:
+	case Unreachable:
 		return o.gone(now, f.minion, o.next(s), "it takes no connections")
 	case Succeeded:
 		o.time(s, f, now.Sub(f.since))
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -75,7 +75,7 @@
 	for name, does := range map[string]func(*bench) func(string){
 		"fails":     func(b *bench) func(string) { return b.end(outlier.Failed) },
 		"swallows":  func(b *bench) func(string) { return func(string) { b.held["m0"]++ } },
-		"unreached": func(b *bench) func(string) { return b.end(outlier.Unreached) },
+		"unreached": func(b *bench) func(string) { return b.end(outlier.Unreachable) },
 		"leaves":    func(b *bench) func(string) { return b.end(outlier.Leaving) },
 		"slow": func(b *bench) func(string) {
 			return func(id string) {
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -201,7 +201,7 @@
 func result(t try) outlier.Result {
 	switch {
 	case t.verdict == unreached:
-		return outlier.Unreached
+		return outlier.Unreachable
 	case t.verdict == notRun:
 		return outlier.Leaving
 	case t.verdict == unsure, t.reply.Outcome == cell.Unknown:
