--- a/internal/outlier/messages.go
+++ b/internal/outlier/messages.go
@@ -45,11 +45,11 @@
 // Action is what the outlier core asks its edge to do.
 type Action interface{ action() }
 
-// Changed tells that Most gives another number for a backend server now.
-type Changed struct {
+// StateChanged tells that Most gives another number for a backend server now.
+type StateChanged struct {
 	Backend string
 	State   State
 	Reason  string
 }
 
-func (Changed) action() {}
+func (StateChanged) action() {}
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -262,7 +262,7 @@
 	if from == to {
 		return nil
 	}
-	return []Action{Changed{Backend: name, State: to, Reason: why}}
+	return []Action{StateChanged{Backend: name, State: to, Reason: why}}
 }
 
 // checkTime is how often requests without answers are looked at.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -116,7 +116,7 @@
 	acts := x.Outliers.Step(x.Clock(), ev)
 	for _, a := range acts {
 		switch a := a.(type) {
-		case outlier.Changed:
+		case outlier.StateChanged:
 			x.Log.Info("relay: backend server changed.", "minion", a.Backend, "state", a.State, "reason", a.Reason)
 		}
 	}
