--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -39,8 +39,8 @@
 // The states of a server.
 const (
 	Trusted State = "trusted"
-	// Aside gets nothing until its rest is over.
-	Aside State = "aside"
+	// Quarantined gets nothing until its rest is over.
+	Quarantined State = "aside"
 	// Trial gets one request at a time until enough of them went well.
 	Trial State = "trial"
 	// Gone leaves or cannot be reached. It is known, not suspected.
@@ -174,7 +174,7 @@
 func (o *Outliers) trial(now time.Time, name string, failed bool) []Action {
 	s := o.servers[name]
 	if failed {
-		return o.set(name, Aside, now.Add(o.next(s)), "its trial failed")
+		return o.set(name, Quarantined, now.Add(o.next(s)), "its trial failed")
 	}
 	if s.good++; s.good < trials {
 		return nil
@@ -208,7 +208,7 @@
 	if !o.mayAside() {
 		return nil
 	}
-	return o.set(name, Aside, now.Add(o.next(s)), why)
+	return o.set(name, Quarantined, now.Add(o.next(s)), why)
 }
 
 // others are the medians of the servers that are trusted, but for one.
@@ -233,7 +233,7 @@
 func (o *Outliers) mayAside() bool {
 	n := 0
 	for _, s := range o.servers {
-		if s.state == Aside || s.state == Trial {
+		if s.state == Quarantined || s.state == Trial {
 			n++
 		}
 	}
@@ -288,7 +288,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(o.servers)) {
 		s := o.servers[name]
-		if (s.state == Aside || s.state == Gone) && !s.until.After(now) {
+		if (s.state == Quarantined || s.state == Gone) && !s.until.After(now) {
 			acts = append(acts, o.set(name, Trial, time.Time{}, "its rest is over")...)
 		}
 	}
