--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -43,8 +43,8 @@
 	Quarantined State = "aside"
 	// Trial gets one request at a time until enough of them went well.
 	Trial State = "trial"
-	// Gone leaves or cannot be reached. It is known, not suspected.
-	Gone State = "gone"
+	// Unavailable leaves or cannot be reached. It is known, not suspected.
+	Unavailable State = "gone"
 )
 
 // trials is how many requests must go well before a server is trusted again.
@@ -243,7 +243,7 @@
 func (o *Outliers) told(now time.Time, names []string) []Action {
 	var acts []Action
 	for _, name := range names {
-		if s, ok := o.servers[name]; ok && s.state != Gone {
+		if s, ok := o.servers[name]; ok && s.state != Unavailable {
 			acts = append(acts, o.gone(now, name, o.limits.Away, "a peer says that it leaves")...)
 		}
 	}
@@ -252,7 +252,7 @@
 
 func (o *Outliers) gone(now time.Time, name string, d time.Duration, why string) []Action {
 	o.servers[name].until = now.Add(d)
-	return o.set(name, Gone, now.Add(d), why)
+	return o.set(name, Unavailable, now.Add(d), why)
 }
 
 func (o *Outliers) set(name string, to State, until time.Time, why string) []Action {
@@ -288,7 +288,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(o.servers)) {
 		s := o.servers[name]
-		if (s.state == Quarantined || s.state == Gone) && !s.until.After(now) {
+		if (s.state == Quarantined || s.state == Unavailable) && !s.until.After(now) {
 			acts = append(acts, o.set(name, Trial, time.Time{}, "its rest is over")...)
 		}
 	}
