--- a/internal/measure/hole.go
+++ b/internal/measure/hole.go
@@ -16,7 +16,7 @@
 // hole plays urgent work on minions of which the first swallows everything.
 type hole struct {
 	o    ours
-	out  *outlier.Outliers
+	out  *outlier.Detector
 	line events
 	byID map[string]*arrival
 	at   map[string]string
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -69,8 +69,8 @@
 	stuck       bool
 }
 
-// Outliers is the core of one host.
-type Outliers struct {
+// Detector is the core of one host.
+type Detector struct {
 	limits  Limits
 	servers map[string]*server
 	flights map[string]*flight
@@ -80,12 +80,12 @@
 }
 
 // New returns a core that knows no servers.
-func New(limits Limits) *Outliers {
-	return &Outliers{limits: limits, servers: map[string]*server{}, flights: map[string]*flight{}, times: map[string]float64{}}
+func New(limits Limits) *Detector {
+	return &Detector{limits: limits, servers: map[string]*server{}, flights: map[string]*flight{}, times: map[string]float64{}}
 }
 
 // Step takes one event and returns which servers changed their state.
-func (o *Outliers) Step(now time.Time, ev Event) []Action {
+func (o *Detector) Step(now time.Time, ev Event) []Action {
 	switch ev := ev.(type) {
 	case Sent:
 		o.flights[ev.ID] = &flight{minion: ev.Backend, row: ev.Row, since: now}
@@ -101,7 +101,7 @@
 	return nil
 }
 
-func (o *Outliers) list(names []string) {
+func (o *Detector) list(names []string) {
 	for _, name := range names {
 		if o.servers[name] == nil {
 			o.servers[name] = &server{state: Trusted}
@@ -114,7 +114,7 @@
 	}
 }
 
-func (o *Outliers) ended(now time.Time, ev Ended) []Action {
+func (o *Detector) ended(now time.Time, ev Ended) []Action {
 	f, ok := o.flights[ev.ID]
 	if !ok {
 		return nil
@@ -140,7 +140,7 @@
 }
 
 // time compares a request's time with its row's on all servers.
-func (o *Outliers) time(s *server, f *flight, took time.Duration) {
+func (o *Detector) time(s *server, f *flight, took time.Duration) {
 	mean, ok := o.times[f.row]
 	if !ok {
 		mean = took.Seconds()
@@ -151,7 +151,7 @@
 	}
 }
 
-func (o *Outliers) result(now time.Time, name string, failed bool) []Action {
+func (o *Detector) result(now time.Time, name string, failed bool) []Action {
 	s := o.servers[name]
 	s.n++
 	x := 0.0
@@ -171,7 +171,7 @@
 	}
 }
 
-func (o *Outliers) trial(now time.Time, name string, failed bool) []Action {
+func (o *Detector) trial(now time.Time, name string, failed bool) []Action {
 	s := o.servers[name]
 	if failed {
 		return o.set(name, Quarantined, now.Add(o.next(s)), "its trial failed")
@@ -184,13 +184,13 @@
 }
 
 // next doubles a server's rest each time that it is set aside in a row.
-func (o *Outliers) next(s *server) time.Duration {
+func (o *Detector) next(s *server) time.Duration {
 	s.rest = min(max(2*s.rest, o.limits.Rest), o.limits.MostRest)
 	return s.rest
 }
 
 // judge compares a server with the others.
-func (o *Outliers) judge(now time.Time, name string) []Action {
+func (o *Detector) judge(now time.Time, name string) []Action {
 	s := o.servers[name]
 	if s.n < o.limits.Least {
 		return nil
@@ -212,7 +212,7 @@
 }
 
 // others are the medians of the servers that are trusted, but for one.
-func (o *Outliers) others(name string) (fails, slowness float64) {
+func (o *Detector) others(name string) (fails, slowness float64) {
 	var f, t []float64
 	for other, s := range o.servers {
 		if other != name && s.state == Trusted && s.n > 0 {
@@ -230,7 +230,7 @@
 	return all[len(all)/2]
 }
 
-func (o *Outliers) mayAside() bool {
+func (o *Detector) mayAside() bool {
 	n := 0
 	for _, s := range o.servers {
 		if s.state == Quarantined || s.state == Trial {
@@ -240,7 +240,7 @@
 	return n+1 <= int(o.limits.Share*float64(len(o.servers)))
 }
 
-func (o *Outliers) told(now time.Time, names []string) []Action {
+func (o *Detector) told(now time.Time, names []string) []Action {
 	var acts []Action
 	for _, name := range names {
 		if s, ok := o.servers[name]; ok && s.state != Unavailable {
@@ -250,12 +250,12 @@
 	return acts
 }
 
-func (o *Outliers) gone(now time.Time, name string, d time.Duration, why string) []Action {
+func (o *Detector) gone(now time.Time, name string, d time.Duration, why string) []Action {
 	o.servers[name].until = now.Add(d)
 	return o.set(name, Unavailable, now.Add(d), why)
 }
 
-func (o *Outliers) set(name string, to State, until time.Time, why string) []Action {
+func (o *Detector) set(name string, to State, until time.Time, why string) []Action {
 	s := o.servers[name]
 	from := s.state
 	s.state, s.until, s.good = to, until, 0
@@ -268,7 +268,7 @@
 // checkTime is how often requests without answers are looked at.
 const checkTime = 250 * time.Millisecond
 
-func (o *Outliers) tick(now time.Time) []Action {
+func (o *Detector) tick(now time.Time) []Action {
 	if now.Sub(o.check) < checkTime {
 		return nil
 	}
@@ -295,12 +295,12 @@
 	return acts
 }
 
-func (o *Outliers) stuckAfter(row string) time.Duration {
+func (o *Detector) stuckAfter(row string) time.Duration {
 	return max(o.limits.Stuck, time.Duration(10*o.times[row]*float64(time.Second)))
 }
 
 // Most is how many of slots a server may get now.
-func (o *Outliers) Most(minion string, slots int) int {
+func (o *Detector) Most(minion string, slots int) int {
 	s, ok := o.servers[minion]
 	switch {
 	case !ok || s.state == Trusted:
@@ -317,7 +317,7 @@
 const wordTime = 5 * time.Second
 
 // Word lists the servers that told this host itself that they leave.
-func (o *Outliers) Word(now time.Time) []string {
+func (o *Detector) Word(now time.Time) []string {
 	var all []string
 	for _, name := range slices.Sorted(maps.Keys(o.servers)) {
 		if s := o.servers[name]; !s.told.IsZero() && now.Sub(s.told) < wordTime {
@@ -328,7 +328,7 @@
 }
 
 // States lists the servers that are not trusted.
-func (o *Outliers) States() map[string]State {
+func (o *Detector) States() map[string]State {
 	all := map[string]State{}
 	for name, s := range o.servers {
 		if s.state != Trusted {
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -16,7 +16,7 @@
 
 // bench sends one request after another to each server that may get one.
 type bench struct {
-	o    *outlier.Outliers
+	o    *outlier.Detector
 	now  time.Time
 	n    int
 	got  map[string]int
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -29,7 +29,7 @@
 type Deps struct {
 	Name, Domain string
 	Queue        *queue.Queue
-	Outliers     *outlier.Outliers
+	Outliers     *outlier.Detector
 	Retries      *retry.Budget
 	Ledger       *ledger.Ledger
 	// Plan names the homes of keys, Inc is this host's incarnation.
