--- a/internal/measure/hole.go
+++ b/internal/measure/hole.go
@@ -87,7 +87,7 @@
 	var all []queue.Share
 	for i := range loadMinions {
 		name := fmt.Sprintf("m%02d", i)
-		all = append(all, queue.Share{Backend: name, Slots: h.out.Most(name, loadSlots)})
+		all = append(all, queue.Share{Backend: name, Slots: h.out.MaxSlots(name, loadSlots)})
 	}
 	h.send(now, h.o.q.Step(now, queue.Shares{All: all}))
 }
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -299,8 +299,8 @@
 	return max(o.limits.Stuck, time.Duration(10*o.times[row]*float64(time.Second)))
 }
 
-// Most is how many of slots a server may get now.
-func (o *Detector) Most(minion string, slots int) int {
+// MaxSlots is how many of slots a server may get now.
+func (o *Detector) MaxSlots(minion string, slots int) int {
 	s, ok := o.servers[minion]
 	switch {
 	case !ok || s.state == Trusted:
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -44,7 +44,7 @@
 		var ids [][2]string
 		for i := range servers {
 			name := fmt.Sprint("m", i)
-			if b.held[name] >= b.o.Most(name, 8) {
+			if b.held[name] >= b.o.MaxSlots(name, 8) {
 				continue
 			}
 			b.n++
@@ -91,14 +91,14 @@
 			b.run(time.Second, 6)
 			b.does["m0"] = does(b)
 			b.run(3*time.Second, 6)
-			require.Zero(t, b.o.Most("m0", 8))
+			require.Zero(t, b.o.MaxSlots("m0", 8))
 			b.run(10*time.Second, 6)
 			require.LessOrEqual(t, b.got["m0"], 10*b.got["m1"]/100, "a trickle of trials at most")
 			require.Greater(t, b.got["m1"], 900)
 			delete(b.does, "m0")
 			b.held["m0"] = 0
 			b.run(time.Minute, 6)
-			require.Equal(t, 8, b.o.Most("m0", 8))
+			require.Equal(t, 8, b.o.MaxSlots("m0", 8))
 		})
 	}
 }
@@ -125,9 +125,9 @@
 	first.run(work, 6)
 	require.Equal(t, []string{"m0"}, first.o.Word(first.now))
 	second.o.Step(start, outlier.LeavingReported{Leaving: first.o.Word(first.now)})
-	require.Zero(t, second.o.Most("m0", 8))
+	require.Zero(t, second.o.MaxSlots("m0", 8))
 	require.Empty(t, second.o.Word(start))
 	require.Empty(t, first.o.Word(start.Add(time.Minute)))
 	second.run(time.Minute, 6)
-	require.Equal(t, 8, second.o.Most("m0", 8))
+	require.Equal(t, 8, second.o.MaxSlots("m0", 8))
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -106,7 +106,7 @@
 func (x *Relay) shares() {
 	all := make([]queue.Share, 0, len(x.servers))
 	for _, s := range x.servers {
-		all = append(all, queue.Share{Backend: s.Name, Slots: x.Outliers.Most(s.Name, s.Slots)})
+		all = append(all, queue.Share{Backend: s.Name, Slots: x.Outliers.MaxSlots(s.Name, s.Slots)})
 	}
 	x.stepQueue(queue.Shares{All: all})
 }
