--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -316,8 +316,8 @@
 // before Away, so that two hosts cannot keep each other believing it for ever.
 const wordTime = 5 * time.Second
 
-// Word lists the servers that told this host itself that they leave.
-func (o *Detector) Word(now time.Time) []string {
+// LeavingServers lists the servers that told this host itself that they leave.
+func (o *Detector) LeavingServers(now time.Time) []string {
 	var all []string
 	for _, name := range slices.Sorted(maps.Keys(o.servers)) {
 		if s := o.servers[name]; !s.told.IsZero() && now.Sub(s.told) < wordTime {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -130,7 +130,7 @@
 func (x *Relay) Leaving() []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.Outliers.Word(x.Clock())
+	return x.Outliers.LeavingServers(x.Clock())
 }
 
 // Aside lists the backend servers that are not trusted.
