--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -14,22 +14,22 @@
 
 // Limits bound one home's memory of keys.
 type Limits struct {
-	// Keep is how long a key is remembered after its first try.
-	Keep time.Duration
-	// Repeat is how long after its first try a balancer may repeat a request.
-	Repeat time.Duration
-	// Skew is how far a key's own time may be ahead of a home's clock. Clocks
+	// Retention is how long a key is remembered after its first try.
+	Retention time.Duration
+	// RepeatWindow is how long after its first try a balancer may repeat a request.
+	RepeatWindow time.Duration
+	// MaxSkew is how far a key's own time may be ahead of a home's clock. Clocks
 	// of two homes may differ by as much again.
-	Skew time.Duration
-	// Entries is the largest number of keys.
-	Entries int
-	// Bytes is the largest sum of the stored answers' sizes.
-	Bytes int64
+	MaxSkew time.Duration
+	// MaxKeys is the largest number of keys.
+	MaxKeys int
+	// MaxBytes is the largest sum of the stored answers' sizes.
+	MaxBytes int64
 }
 
 // DefaultLimits suit a small entry host.
 var DefaultLimits = Limits{
-	Keep: 10 * time.Minute, Repeat: 30 * time.Second, Skew: time.Second, Entries: 100_000, Bytes: 32 << 20,
+	Retention: 10 * time.Minute, RepeatWindow: 30 * time.Second, MaxSkew: time.Second, MaxKeys: 100_000, MaxBytes: 32 << 20,
 }
 
 // silentAfter is how long an entry host may give no sign of life before its
@@ -78,14 +78,14 @@
 	// as much as it has tries open.
 	running map[string]map[string]*entry
 	waiters map[string]waiter
-	signs   map[string]Sign
+	signs   map[string]Heartbeat
 }
 
 // New returns an empty ledger that remembers from since on.
 func New(limits Limits, since time.Time) *Ledger {
 	return &Ledger{
 		limits: limits, since: since, keys: map[string]*entry{}, opened: list.New(), answers: list.New(),
-		running: map[string]map[string]*entry{}, waiters: map[string]waiter{}, signs: map[string]Sign{},
+		running: map[string]map[string]*entry{}, waiters: map[string]waiter{}, signs: map[string]Heartbeat{},
 	}
 }
 
@@ -99,10 +99,10 @@
 		return l.close(now, ev)
 	case Await:
 		return l.await(ev)
-	case Forget:
+	case CancelAwait:
 		l.drop(ev.ID)
-	case Hosts:
-		l.signs = ev.Signs
+	case HostHeartbeats:
+		l.signs = ev.Heartbeats
 	case Tick:
 		return l.tick(now)
 	}
@@ -114,16 +114,16 @@
 		return e.verdict(ev)
 	}
 	made, timed := cell.KeyTime(ev.Key)
-	if timed && made.After(now.Add(l.limits.Skew)) {
-		return Verdict{Key: ev.Key, State: Ahead}
+	if timed && made.After(now.Add(l.limits.MaxSkew)) {
+		return Verdict{Key: ev.Key, State: FutureKey}
 	}
 	if !l.vouches(now, ev, made) {
-		return Verdict{Key: ev.Key, State: Blind}
+		return Verdict{Key: ev.Key, State: Unconfirmed}
 	}
 	e := l.add(now, ev.Key, ev.Digest)
-	e.try, e.host, e.inc = ev.Try, ev.Host, ev.Inc
-	if ev.Left.Duration > 0 {
-		e.until = now.Add(ev.Left.Duration + closeGrace)
+	e.try, e.host, e.inc = ev.Try, ev.Host, ev.Incarnation
+	if ev.Remaining.Duration > 0 {
+		e.until = now.Add(ev.Remaining.Duration + closeGrace)
 	}
 	l.run(e)
 	return Verdict{Key: ev.Key, State: Fresh}
@@ -132,7 +132,7 @@
 func (e *entry) verdict(ev Open) Verdict {
 	switch {
 	case e.digest != ev.Digest:
-		return Verdict{Key: ev.Key, State: Other}
+		return Verdict{Key: ev.Key, State: Mismatch}
 	case ev.Try != "" && ev.Try == e.try && e.answer == nil:
 		// A home may belong to two groups of the same try.
 		return Verdict{Key: ev.Key, State: Fresh}
@@ -146,7 +146,7 @@
 func (e *entry) state() Verdict {
 	switch {
 	case e.answer != nil:
-		return Verdict{Key: e.key, State: Known, Answer: e.answer}
+		return Verdict{Key: e.key, State: Answered, Answer: e.answer}
 	case e.lost:
 		return Verdict{Key: e.key, State: Lost}
 	default:
@@ -163,14 +163,14 @@
 // balancer's repeats of a first try are to be feared, and they come within the
 // repeat window.
 func (l *Ledger) vouches(now time.Time, ev Open, made time.Time) bool {
-	if made.After(l.since.Add(2 * l.limits.Skew)) {
+	if made.After(l.since.Add(2 * l.limits.MaxSkew)) {
 		return true
 	}
-	return ev.Attempt == 1 && now.Sub(l.since) > l.limits.Repeat
+	return ev.Attempt == 1 && now.Sub(l.since) > l.limits.RepeatWindow
 }
 
 func (l *Ledger) add(now time.Time, key string, digest uint64) *entry {
-	for l.opened.Len() >= max(1, l.limits.Entries) {
+	for l.opened.Len() >= max(1, l.limits.MaxKeys) {
 		l.evict()
 	}
 	e := &entry{key: key, digest: digest, opened: now}
@@ -217,7 +217,7 @@
 			return nil
 		}
 		// It provably did not run, so the next try is a fresh one.
-		woken := l.wake(e, Verdict{Key: e.key, State: Free})
+		woken := l.wake(e, Verdict{Key: e.key, State: Released})
 		l.remove(e)
 		return woken
 	}
@@ -239,7 +239,7 @@
 	e.answer = &a
 	e.stored = l.answers.PushBack(e)
 	l.bytes += a.size()
-	for l.bytes > l.limits.Bytes && l.answers.Len() > 0 {
+	for l.bytes > l.limits.MaxBytes && l.answers.Len() > 0 {
 		old := l.answers.Front().Value.(*entry)
 		l.discard(old)
 		old.answer = &Answer{Outcome: cell.Unknown, Reason: "the answer is no longer kept"}
--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -12,68 +12,68 @@
 // key back. Two tries that meet half-way could else go on so for ever.
 const maxRounds = 4
 
-// RunEvent is what one try of a keyed request is told.
-type RunEvent interface{ runEvent() }
+// TryEvent is what one try of a keyed request is told.
+type TryEvent interface{ runEvent() }
 
 // Begin starts the try.
 type Begin struct{}
 
-// Said is a home's answer to an Ask or a Wait.
-type Said struct {
+// HomeAnswered is a home's answer to an Ask or a Wait.
+type HomeAnswered struct {
 	Home    string
 	Verdict Verdict
 }
 
-// Silent tells that a home gave no answer, whether or not it was asked.
-type Silent struct{ Home string }
+// HomeSilent tells that a home gave no answer, whether or not it was asked.
+type HomeSilent struct{ Home string }
 
-// Ended tells how the request ended after it was let go by a Send.
-type Ended struct{ Answer Answer }
+// RequestEnded tells how the request ended after it was let go by a Send.
+type RequestEnded struct{ Answer Answer }
 
-// GivenUp tells that the caller has gone or the deadline has passed before
+// Canceled tells that the caller has gone or the deadline has passed before
 // the request was let go.
-type GivenUp struct{}
+type Canceled struct{}
 
-func (Begin) runEvent()   {}
-func (Said) runEvent()    {}
-func (Silent) runEvent()  {}
-func (Ended) runEvent()   {}
-func (GivenUp) runEvent() {}
+func (Begin) runEvent()        {}
+func (HomeAnswered) runEvent() {}
+func (HomeSilent) runEvent()   {}
+func (RequestEnded) runEvent() {}
+func (Canceled) runEvent()     {}
 
-// RunAction is what a try asks its edge to do. Of Ask, Wait, Send and Tell
+// TryAction is what a try asks its edge to do. Of Ask, Wait, Send and Tell
 // each step returns exactly one, as the last.
-type RunAction interface{ runAction() }
+type TryAction interface{ runAction() }
 
-// Ask puts an Open to a home.
-type Ask struct {
+// AskHome puts an Open to a home.
+type AskHome struct {
 	Home string
 	Open Open
 }
 
-// Wait asks a home to say when the running try has ended.
-type Wait struct{ Home, Key string }
+// AwaitHome asks a home to say when the running try has ended.
+type AwaitHome struct{ Home, Key string }
 
 // Send lets the request go on to a backend server, once.
 type Send struct{}
 
-// Tell is the final answer to the caller.
-type Tell struct{ Answer Answer }
+// Reply is the final answer to the caller.
+type Reply struct{ Answer Answer }
 
-// Keep tells a home how the try ended; its answer is not awaited.
-type Keep struct {
+// RecordEnd tells a home how the try ended; its answer is not awaited.
+type RecordEnd struct {
 	Home  string
 	Close Close
 }
 
-func (Ask) runAction()  {}
-func (Wait) runAction() {}
-func (Send) runAction() {}
-func (Tell) runAction() {}
-func (Keep) runAction() {}
+func (AskHome) runAction()   {}
+func (AwaitHome) runAction() {}
+func (Send) runAction()      {}
+func (Reply) runAction()     {}
+func (RecordEnd) runAction() {}
 
-// Run is the core of one try of a keyed request at its entry host: it lets
+// Try is the core of one try of a keyed request at its entry host: it lets
 // the request go only when enough homes of every group hold its key.
-type Run struct {
+type Try struct {
 	open   Open
 	groups []Group
 	round  int
@@ -86,25 +86,25 @@
 	over  bool
 }
 
-// NewRun returns the core of one try. Open's fields Domain and Group are
+// NewTry returns the core of one try. Open's fields Domain and Group are
 // filled in from the groups.
-func NewRun(open Open, groups []Group) *Run { return &Run{open: open, groups: groups} }
+func NewTry(open Open, groups []Group) *Try { return &Try{open: open, groups: groups} }
 
 // Step takes one event. After a Tell nothing more happens.
-func (r *Run) Step(ev RunEvent) []RunAction {
+func (r *Try) Step(ev TryEvent) []TryAction {
 	if r.over {
 		return nil
 	}
 	switch ev := ev.(type) {
 	case Begin:
 		return r.next()
-	case Said:
+	case HomeAnswered:
 		return r.said(ev)
-	case Silent:
+	case HomeSilent:
 		return r.silent()
-	case Ended:
+	case RequestEnded:
 		return r.ended(ev.Answer)
-	case GivenUp:
+	case Canceled:
 		return r.stop(unsure(http.StatusGatewayTimeout, "time ran out while the key was looked up"))
 	}
 	return nil
@@ -112,19 +112,19 @@
 
 // try names the round: a late end of an earlier round must not take away what
 // a home holds for this one.
-func (r *Run) try() string { return r.open.Try + "/" + strconv.Itoa(r.round) }
+func (r *Try) try() string { return r.open.Try + "/" + strconv.Itoa(r.round) }
 
-func (r *Run) next() []RunAction {
+func (r *Try) next() []TryAction {
 	g := r.groups[r.group]
-	if r.fresh >= g.Need {
+	if r.fresh >= g.RequiredWeight {
 		r.group, r.home, r.fresh = r.group+1, 0, 0
 		if r.group == len(r.groups) {
 			r.sent = true
-			return []RunAction{Send{}}
+			return []TryAction{Send{}}
 		}
 		g = r.groups[r.group]
 	}
-	if r.fresh+sum(g.Homes[r.home:]) < g.Need {
+	if r.fresh+sum(g.Homes[r.home:]) < g.RequiredWeight {
 		return r.stop(unsure(http.StatusServiceUnavailable, "too few homes in "+g.Domain+" vouch for the key"))
 	}
 	home := g.Homes[r.home].Name
@@ -132,10 +132,10 @@
 	r.asked = append(r.asked, home)
 	open := r.open
 	open.Try, open.Domain, open.Group = r.try(), g.Domain, g.Digest
-	return []RunAction{Ask{Home: home, Open: open}}
+	return []TryAction{AskHome{Home: home, Open: open}}
 }
 
-func (r *Run) silent() []RunAction {
+func (r *Try) silent() []TryAction {
 	if len(r.asked) == 0 {
 		// The home that was waited for has gone; the others may know the end.
 		return r.again()
@@ -143,32 +143,32 @@
 	return r.next()
 }
 
-func (r *Run) said(ev Said) []RunAction {
+func (r *Try) said(ev HomeAnswered) []TryAction {
 	switch ev.Verdict.State {
 	case Fresh:
 		r.fresh += r.groups[r.group].Homes[r.home-1].Weight
 		return r.next()
-	case Known:
+	case Answered:
 		return r.stop(*ev.Verdict.Answer)
-	case Free:
+	case Released:
 		return r.again()
 	case Running:
 		if len(r.asked) == 0 {
 			return r.stop(unsure(http.StatusConflict, "an earlier try still runs"))
 		}
-		return append(r.giveBack(), Wait{Home: ev.Home, Key: r.open.Key})
+		return append(r.giveBack(), AwaitHome{Home: ev.Home, Key: r.open.Key})
 	case Lost:
 		return r.stop(unsure(http.StatusServiceUnavailable, "an earlier try was running on a host that is gone"))
-	case Other:
+	case Mismatch:
 		return r.stop(refused(http.StatusUnprocessableEntity, "Idempotency-Key was used with another request"))
-	case Ahead:
+	case FutureKey:
 		return r.stop(refused(http.StatusBadRequest, "Idempotency-Key's time is ahead of the clock"))
 	default:
 		return r.next()
 	}
 }
 
-func (r *Run) again() []RunAction {
+func (r *Try) again() []TryAction {
 	back := r.giveBack()
 	r.round++
 	if r.round == maxRounds {
@@ -180,35 +180,35 @@
 
 // giveBack frees the key at the homes that may hold it for a try that was
 // never let go.
-func (r *Run) giveBack() []RunAction {
+func (r *Try) giveBack() []TryAction {
 	return r.keep(Answer{Outcome: cell.Refused})
 }
 
-func (r *Run) keep(a Answer) []RunAction {
-	var all []RunAction
+func (r *Try) keep(a Answer) []TryAction {
+	var all []TryAction
 	for _, home := range r.asked {
-		all = append(all, Keep{Home: home, Close: Close{Key: r.open.Key, Digest: r.open.Digest, Try: r.try(), Answer: a}})
+		all = append(all, RecordEnd{Home: home, Close: Close{Key: r.open.Key, Digest: r.open.Digest, Try: r.try(), Answer: a}})
 	}
 	r.asked = nil
 	return all
 }
 
 // stop ends a try that was never let go.
-func (r *Run) stop(a Answer) []RunAction {
+func (r *Try) stop(a Answer) []TryAction {
 	if r.sent {
 		return nil
 	}
 	r.over = true
-	return append(r.giveBack(), Tell{Answer: a})
+	return append(r.giveBack(), Reply{Answer: a})
 }
 
-func (r *Run) ended(a Answer) []RunAction {
+func (r *Try) ended(a Answer) []TryAction {
 	if !r.sent {
 		return nil
 	}
 	r.over = true
 	r.asked = slices.Compact(slices.Sorted(slices.Values(r.asked)))
-	return append(r.keep(a), Tell{Answer: a})
+	return append(r.keep(a), Reply{Answer: a})
 }
 
 func unsure(status int, reason string) Answer {
--- a/internal/relay/ends.go
+++ b/internal/relay/ends.go
@@ -38,7 +38,7 @@
 
 // keepEnd tells a home how a try ended. The caller does not wait for it: a
 // home that has gone silent would hold back an answer that is there.
-func (x *Relay) keepEnd(a ledger.Keep) {
+func (x *Relay) keepEnd(a ledger.RecordEnd) {
 	if a.Home == x.Name {
 		x.CloseKey(a.Close)
 		return
@@ -108,6 +108,6 @@
 	}
 }
 
-// Settle waits until the homes were told the ends of all requests. A planned
+// FlushKeyEnds waits until the homes were told the ends of all requests. A planned
 // stop calls it: homes that were not told would answer repeats with unknown.
-func (x *Relay) Settle() { x.ends.wg.Wait() }
+func (x *Relay) FlushKeyEnds() { x.ends.wg.Wait() }
--- a/internal/relay/home.go
+++ b/internal/relay/home.go
@@ -20,9 +20,9 @@
 
 // OpenKey answers for this host as a key's home.
 func (x *Relay) OpenKey(ev ledger.Open) ledger.Verdict {
-	if !x.Plan.Agrees(ev) {
+	if !x.Plan.MatchesGroup(ev) {
 		x.Log.Warn("ledger: settings name other homes.", "host", ev.Host, "domain", ev.Domain)
-		return ledger.Verdict{Key: ev.Key, State: ledger.Blind}
+		return ledger.Verdict{Key: ev.Key, State: ledger.Unconfirmed}
 	}
 	x.home.mu.Lock()
 	defer x.home.mu.Unlock()
@@ -58,7 +58,7 @@
 		return v
 	case <-ctx.Done():
 	}
-	x.stepHome(ledger.Forget{ID: id})
+	x.stepHome(ledger.CancelAwait{ID: id})
 	x.home.mu.Lock()
 	delete(x.home.waiting, id)
 	x.home.mu.Unlock()
@@ -80,11 +80,11 @@
 // that a repeat does not wait for a host that is gone.
 func (x *Relay) tickHome() {
 	_, beats := x.Members()
-	signs := map[string]ledger.Sign{x.Name: {Inc: x.Inc, At: x.Clock()}}
+	signs := map[string]ledger.Heartbeat{x.Name: {Incarnation: x.Incarnation, At: x.Clock()}}
 	for _, b := range beats {
-		signs[b.Name] = ledger.Sign{Inc: b.Incarnation, At: b.ReceivedAt}
+		signs[b.Name] = ledger.Heartbeat{Incarnation: b.Incarnation, At: b.ReceivedAt}
 	}
-	x.stepHome(ledger.Hosts{Signs: signs})
+	x.stepHome(ledger.HostHeartbeats{Heartbeats: signs})
 	x.stepHome(ledger.Tick{})
 	x.gauge()
 }
