--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -29,7 +29,7 @@
 type Deps struct {
 	Name, Domain string
 	Queue        *queue.Queue
-	Outliers     *outlier.Outliers
+	Outliers     *outlier.Detector
 	Retries      *retry.Budget
 	Ledger       *ledger.Ledger
 	// Plan names the homes of keys, Inc is this host's incarnation.
@@ -98,7 +98,7 @@
 	defer x.mu.Unlock()
 	x.last = x.Clock()
 	x.servers = servers
-	x.Outliers.Step(x.Clock(), outlier.Listed{Minions: names})
+	x.Outliers.Step(x.Clock(), outlier.ServersListed{Backends: names})
 	x.shares()
 }
 
@@ -106,7 +106,7 @@
 func (x *Relay) shares() {
 	all := make([]queue.Share, 0, len(x.servers))
 	for _, s := range x.servers {
-		all = append(all, queue.Share{Backend: s.Name, Slots: x.Outliers.Most(s.Name, s.Slots)})
+		all = append(all, queue.Share{Backend: s.Name, Slots: x.Outliers.MaxSlots(s.Name, s.Slots)})
 	}
 	x.stepQueue(queue.Shares{All: all})
 }
@@ -116,8 +116,8 @@
 	acts := x.Outliers.Step(x.Clock(), ev)
 	for _, a := range acts {
 		switch a := a.(type) {
-		case outlier.Changed:
-			x.Log.Info("relay: backend server changed.", "minion", a.Minion, "state", a.State, "reason", a.Reason)
+		case outlier.StateChanged:
+			x.Log.Info("relay: backend server changed.", "minion", a.Backend, "state", a.State, "reason", a.Reason)
 		}
 	}
 	if len(acts) > 0 {
@@ -130,7 +130,7 @@
 func (x *Relay) Leaving() []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.Outliers.Word(x.Clock())
+	return x.Outliers.LeavingServers(x.Clock())
 }
 
 // Quarantined lists the backend servers that are not trusted.
