--- a/internal/host/cell.go
+++ b/internal/host/cell.go
@@ -82,6 +82,6 @@
 	return known[i : i+1]
 }
 
-func (h *Host) leads(m platform.Machine) bool {
+func (h *Host) leads(m platform.HostEntry) bool {
 	return h.Ready() && h.rackLead(cell.Home{Domain: m.Domain, Rack: m.Rack}) == h.cfg.Name
 }
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -75,7 +75,7 @@
 	toldAt      time.Time
 	// copying tells that peers are asked for their table.
 	copying atomic.Bool
-	list    []platform.Machine
+	list    []platform.HostEntry
 	shares  *share.Shares
 	// sharing is held from a decision on slots until the queue knows it. An
 	// older decision would else overtake a newer one and bring back slots
--- a/internal/host/share.go
+++ b/internal/host/share.go
@@ -31,7 +31,7 @@
 	return share.New(limits, cfg.Name, now.UnixMilli(), others, now)
 }
 
-func entryHosts(all []platform.Machine, domain string) []string {
+func entryHosts(all []platform.HostEntry, domain string) []string {
 	var names []string
 	for _, m := range all {
 		if m.Kind == cell.EntryHost && m.Domain == domain {
--- a/internal/host/share_test.go
+++ b/internal/host/share_test.go
@@ -67,9 +67,9 @@
 
 // list puts entry hosts on the platform's list beside the minions.
 func (d *domain) list(names ...string) {
-	all := append([]platform.Machine{}, d.cell.Machines...)
+	all := append([]platform.HostEntry{}, d.cell.Machines...)
 	for _, name := range names {
-		all = append(all, platform.Machine{Name: name, Kind: cell.EntryHost, Domain: "nord"})
+		all = append(all, platform.HostEntry{Name: name, Kind: cell.EntryHost, Domain: "nord"})
 	}
 	d.cell.Platform.SetHosts(all)
 }
--- a/internal/host/stop_test.go
+++ b/internal/host/stop_test.go
@@ -20,7 +20,7 @@
 // minion adds a backend server of the rig's failure domain.
 func (c *rig) minion(slots int) *standin.Minion {
 	m := standin.NewMinion(slots)
-	c.platform.SetHosts([]platform.Machine{{
+	c.platform.SetHosts([]platform.HostEntry{{
 		Name: "m", Kind: cell.MinionHost, Domain: "nord", Slots: slots, Conns: 64, Address: serveMinion(c.t, m),
 	}})
 	return m
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -25,8 +25,8 @@
 	Body   []byte `json:"body"`
 }
 
-// Machine is one line of the platform's host list, which lags.
-type Machine struct {
+// HostEntry is one line of the platform's host list, which lags.
+type HostEntry struct {
 	Name    string         `json:"name"`
 	Kind    cell.Kind      `json:"kind"`
 	Domain  string         `json:"domain"`
@@ -148,7 +148,7 @@
 // Hosts returns the host list as the platform sees it now, and its tag. Given
 // the tag of the last answer it returns nothing while the list is the same: the
 // whole list twice a second would cost more than all other control together.
-func (c *Client) Hosts(ctx context.Context, tag string) (all []Machine, now string, err error) {
+func (c *Client) Hosts(ctx context.Context, tag string) (all []HostEntry, now string, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+"/hosts", nil)
 	if err != nil {
 		return nil, "", errors.Wrap(err, "make read")
--- a/internal/standin/cell.go
+++ b/internal/standin/cell.go
@@ -47,7 +47,7 @@
 	Minions  map[string]*Minion
 	Workers  map[string]*Worker
 	Over     *Oversight
-	Machines []platform.Machine
+	Machines []platform.HostEntry
 
 	servers []*http.Server
 	wg      sync.WaitGroup
@@ -77,7 +77,7 @@
 		name := fmt.Sprintf("minion-%02d", i)
 		m := NewMinion(c.Users.Slots)
 		c.Minions[name] = m
-		if err := c.add(any, m.Handler(), platform.Machine{Name: name, Kind: cell.MinionHost, Domain: c.domain(i, c.Users.Minions), Slots: c.Users.Slots}); err != nil {
+		if err := c.add(any, m.Handler(), platform.HostEntry{Name: name, Kind: cell.MinionHost, Domain: c.domain(i, c.Users.Minions), Slots: c.Users.Slots}); err != nil {
 			return err
 		}
 	}
@@ -86,7 +86,7 @@
 		w := NewWorker(c.Users.Worker, c.Over, clock)
 		c.Workers[name] = w
 		rack := fmt.Sprintf("r%d", i*c.Users.Racks/c.Users.Workers)
-		if err := c.add(any, w.Handler(), platform.Machine{Name: name, Kind: cell.WorkerHost, Domain: c.domain(i, c.Users.Workers), Rack: rack, Size: c.Users.Worker}); err != nil {
+		if err := c.add(any, w.Handler(), platform.HostEntry{Name: name, Kind: cell.WorkerHost, Domain: c.domain(i, c.Users.Workers), Rack: rack, Size: c.Users.Worker}); err != nil {
 			return err
 		}
 	}
@@ -95,7 +95,7 @@
 
 func (c *Cell) domain(i, all int) string { return c.Users.Domains[i*len(c.Users.Domains)/all] }
 
-func (c *Cell) add(addr netip.AddrPort, h http.Handler, m platform.Machine) error {
+func (c *Cell) add(addr netip.AddrPort, h http.Handler, m platform.HostEntry) error {
 	at, err := c.serve(addr, h)
 	m.Address = at
 	c.Machines = append(c.Machines, m)
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -48,8 +48,8 @@
 type Platform struct {
 	mu      sync.Mutex
 	streams map[string]*stream
-	hosts   []platform.Machine
-	frozen  []platform.Machine
+	hosts   []platform.HostEntry
+	frozen  []platform.HostEntry
 	faults  PlatformFaults
 	appends int64
 }
@@ -58,7 +58,7 @@
 func NewPlatform() *Platform { return &Platform{streams: map[string]*stream{}} }
 
 // SetHosts replaces the host list.
-func (p *Platform) SetHosts(all []platform.Machine) {
+func (p *Platform) SetHosts(all []platform.HostEntry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.hosts = slices.Clone(all)
@@ -240,7 +240,7 @@
 }
 
 func (p *Platform) putHosts(w http.ResponseWriter, r *http.Request) {
-	var all []platform.Machine
+	var all []platform.HostEntry
 	if err := json.NewDecoder(r.Body).Decode(&all); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -62,7 +62,7 @@
 	cell     *standin.Cell
 	users    standin.Users
 	more     func(host string) string
-	machines []platform.Machine
+	machines []platform.HostEntry
 	machine  map[string]*toxiproxy.Proxy
 	nodes    []*node
 	tally    *audit.Tally
