--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -98,7 +98,7 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return 0, lostAppend(err)
+		return 0, appendError(err)
 	}
 	defer resp.Body.Close()
 	if refused(resp.StatusCode) {
@@ -111,9 +111,9 @@
 	return a.Offset, nil
 }
 
-// lostAppend tells an append that never left this host, because no connection
+// appendError tells an append that never left this host, because no connection
 // came about, from one that may have arrived.
-func lostAppend(err error) error {
+func appendError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return &NotWrittenError{Cause: err}
