--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -101,7 +101,7 @@
 		return 0, appendError(err)
 	}
 	defer resp.Body.Close()
-	if refused(resp.StatusCode) {
+	if isRefusal(resp.StatusCode) {
 		return 0, &NotWrittenError{Status: resp.StatusCode}
 	}
 	var a appendAnswer
@@ -121,9 +121,9 @@
 	return &UnsureError{Cause: err}
 }
 
-// refused tells whether a status proves that nothing was written. Other 5xx
+// isRefusal tells whether a status proves that nothing was written. Other 5xx
 // also come from something between that lost the log's answer.
-func refused(status int) bool {
+func isRefusal(status int) bool {
 	return status >= http.StatusBadRequest && status < http.StatusInternalServerError || status == http.StatusServiceUnavailable
 }
 
