--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -77,13 +77,8 @@
 	return heard(ctx, a.Home, v, err)
 }
 
-<<<<<<< HEAD
-func (x *Relay) await(ctx context.Context, a ledger.Wait, deadline time.Time) ledger.RunEvent {
-	m := peer.AwaitKey{Key: a.Key, Remaining: cell.Duration{Duration: deadline.Sub(x.Clock())}}
-=======
 func (x *Relay) await(ctx context.Context, a ledger.AwaitHome, deadline time.Time) ledger.TryEvent {
-	m := peer.AwaitKey{Key: a.Key, Left: cell.Duration{Duration: deadline.Sub(x.Clock())}}
->>>>>>> next
+	m := peer.AwaitKey{Key: a.Key, Remaining: cell.Duration{Duration: deadline.Sub(x.Clock())}}
 	if a.Home == x.Name {
 		return heard(ctx, a.Home, x.AwaitKey(ctx, m), nil)
 	}
