--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -327,8 +327,8 @@
 	return all
 }
 
-// States lists the servers that are not trusted.
-func (o *Detector) States() map[string]State {
+// UntrustedStates lists the servers that are not trusted.
+func (o *Detector) UntrustedStates() map[string]State {
 	all := map[string]State{}
 	for name, s := range o.servers {
 		if s.state != Trusted {
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -112,7 +112,7 @@
 			b.does[fmt.Sprint("m", i)] = b.end(outlier.Failed)
 		}
 		b.run(time.Minute, 6)
-		require.LessOrEqual(t, len(b.o.States()), most, "%d of 6 fail", bad)
+		require.LessOrEqual(t, len(b.o.UntrustedStates()), most, "%d of 6 fail", bad)
 	}
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -121,7 +121,7 @@
 		}
 	}
 	if len(acts) > 0 {
-		metrics.GetOrRegisterGauge("relay.aside", x.Metrics).Update(int64(len(x.Outliers.States())))
+		metrics.GetOrRegisterGauge("relay.aside", x.Metrics).Update(int64(len(x.Outliers.UntrustedStates())))
 		x.shares()
 	}
 }
@@ -137,7 +137,7 @@
 func (x *Relay) Quarantined() map[string]outlier.State {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.Outliers.States()
+	return x.Outliers.UntrustedStates()
 }
 
 // MarkLeaving takes a peer's word that backend servers leave.
