--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -117,10 +117,10 @@
 	return time.Duration(float64(declared) * r.time.at(timeQuantile))
 }
 
-// Seen takes a report of what a running task uses and returns the room that it
+// RecordUse takes a report of what a running task uses and returns the room that it
 // takes from now on: what its row's tasks need, never less than it was seen to
 // use itself. A report of nothing is one that lags.
-func (e *Estimates) Seen(id, name string, declared, use cell.Size) (cell.Size, bool) {
+func (e *Estimates) RecordUse(id, name string, declared, use cell.Size) (cell.Size, bool) {
 	if use.CPU <= 0 && use.Mem <= 0 {
 		return cell.Size{}, false
 	}
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -25,7 +25,7 @@
 	for i := range 20 {
 		id := fmt.Sprint(i)
 		for range 3 {
-			e.Seen(id, "r", declared, share(f))
+			e.RecordUse(id, "r", declared, share(f))
 		}
 		e.Drop(id)
 	}
@@ -50,11 +50,11 @@
 // at once, and the reports that lag must not take the room away.
 func TestRoomIsNeverBelowWhatIsSeen(t *testing.T) {
 	e := measured(0.5)
-	_, known := e.Seen("x", "r", declared, cell.Size{})
+	_, known := e.RecordUse("x", "r", declared, cell.Size{})
 	require.False(t, known, "a report that lags says nothing")
-	room, _ := e.Seen("x", "r", declared, share(2.5))
+	room, _ := e.RecordUse("x", "r", declared, share(2.5))
 	require.Equal(t, share(2.5).CPU, room.CPU)
-	room, _ = e.Seen("x", "r", declared, share(0.2))
+	room, _ = e.RecordUse("x", "r", declared, share(0.2))
 	require.Equal(t, share(2.5).Mem, room.Mem)
 	e.Drop("x")
 	require.GreaterOrEqual(t, e.Size("r", declared).CPU, share(2.5).CPU, "the row's estimate follows")
@@ -75,7 +75,7 @@
 	e := measured(3)
 	for i := range 1100 {
 		id := fmt.Sprintf("new%d", i)
-		e.Seen(id, "r", declared, share(0.5))
+		e.RecordUse(id, "r", declared, share(0.5))
 		e.Drop(id)
 	}
 	require.Less(t, e.Size("r", declared).CPU, int64(1000))
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -200,7 +200,7 @@
 		case l.Jobs.NeedsExclusiveWorker(t.ID):
 			continue
 		}
-		if room, ok := l.Estimates.Seen(t.ID, t.Row, spec.Size, t.Use); ok {
+		if room, ok := l.Estimates.RecordUse(t.ID, t.Row, spec.Size, t.Use); ok {
 			l.stepPlacement(place.TaskResized{Task: t.ID, Size: room, Use: t.Use})
 		}
 	}
--- a/internal/measure/jobs.go
+++ b/internal/measure/jobs.go
@@ -338,7 +338,7 @@
 			if t == nil {
 				continue
 			}
-			if room, ok := r.est.Seen(id, fmt.Sprint(t.row), t.declared, t.uses(r.now.Add(-reportLag))); ok {
+			if room, ok := r.est.RecordUse(id, fmt.Sprint(t.row), t.declared, t.uses(r.now.Add(-reportLag))); ok {
 				r.step(place.TaskResized{Task: id, Size: room, Use: t.uses(r.now.Add(-reportLag))})
 			}
 		}
