--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -172,7 +172,7 @@
 	delete(e.tasks, id)
 }
 
-// Ran takes how long a task of that row really ran.
-func (e *Estimates) Ran(name string, declared, ran time.Duration) {
+// RecordTime takes how long a task of that row really ran.
+func (e *Estimates) RecordTime(name string, declared, ran time.Duration) {
 	e.row(name).time.add(ran.Seconds(), declared.Seconds())
 }
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -64,7 +64,7 @@
 	e := estimate.New()
 	require.Equal(t, 2*time.Minute, e.Time("r", time.Minute))
 	for range 10 {
-		e.Ran("r", time.Minute, 5*time.Minute)
+		e.RecordTime("r", time.Minute, 5*time.Minute)
 	}
 	require.InDelta(t, 300, e.Time("r", time.Minute).Seconds(), 5)
 }
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -67,7 +67,7 @@
 func (l *Leader) handleResult(a job.Result) {
 	l.Estimates.Drop(a.Task)
 	if spec, ok := l.Jobs.Spec(a.Task); ok && !a.Failed {
-		l.Estimates.Ran(a.Row, spec.Time.Duration, a.Run)
+		l.Estimates.RecordTime(a.Row, spec.Time.Duration, a.Run)
 	}
 	if a.Failed {
 		l.Count("lead.failed")
--- a/internal/measure/jobs.go
+++ b/internal/measure/jobs.go
@@ -265,7 +265,7 @@
 	_ = r.done.Waits[row.Class].RecordValue(max(t.began.Sub(t.came).Milliseconds(), 1))
 	r.done.Ended++
 	if r.est != nil {
-		r.est.Ran(fmt.Sprint(t.row), row.Time, t.run)
+		r.est.RecordTime(fmt.Sprint(t.row), row.Time, t.run)
 	}
 	r.step(place.Result{Worker: worker, Row: fmt.Sprint(t.row)})
 	r.end(t)
