--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -159,9 +159,9 @@
 	t.sampled = t.peak
 }
 
-// Drop forgets a task that runs no longer. One that grew since it was counted
+// Forget forgets a task that runs no longer. One that grew since it was counted
 // is counted again, so that its row's estimate follows.
-func (e *Estimates) Drop(id string) {
+func (e *Estimates) Forget(id string) {
 	t, ok := e.tasks[id]
 	if !ok {
 		return
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -27,7 +27,7 @@
 		for range 3 {
 			e.RecordUse(id, "r", declared, share(f))
 		}
-		e.Drop(id)
+		e.Forget(id)
 	}
 	return e
 }
@@ -56,7 +56,7 @@
 	require.Equal(t, share(2.5).CPU, room.CPU)
 	room, _ = e.RecordUse("x", "r", declared, share(0.2))
 	require.Equal(t, share(2.5).Mem, room.Mem)
-	e.Drop("x")
+	e.Forget("x")
 	require.GreaterOrEqual(t, e.Size("r", declared).CPU, share(2.5).CPU, "the row's estimate follows")
 }
 
@@ -76,7 +76,7 @@
 	for i := range 1100 {
 		id := fmt.Sprintf("new%d", i)
 		e.RecordUse(id, "r", declared, share(0.5))
-		e.Drop(id)
+		e.Forget(id)
 	}
 	require.Less(t, e.Size("r", declared).CPU, int64(1000))
 }
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -250,7 +250,7 @@
 	for id, at := range l.taskWorkers {
 		if at == name {
 			delete(l.taskWorkers, id)
-			l.Estimates.Drop(id)
+			l.Estimates.Forget(id)
 		}
 	}
 	l.keepCounted(name)
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -65,7 +65,7 @@
 }
 
 func (l *Leader) handleResult(a job.Result) {
-	l.Estimates.Drop(a.Task)
+	l.Estimates.Forget(a.Task)
 	if spec, ok := l.Jobs.Spec(a.Task); ok && !a.Failed {
 		l.Estimates.RecordTime(a.Row, spec.Time.Duration, a.Run)
 	}
@@ -189,7 +189,7 @@
 func (l *Leader) recordUsage(tasks []lease.Task) {
 	for _, t := range tasks {
 		if t.State != "running" {
-			l.Estimates.Drop(t.ID)
+			l.Estimates.Forget(t.ID)
 			continue
 		}
 		spec, ok := l.Jobs.Spec(t.ID)
--- a/internal/measure/jobs.go
+++ b/internal/measure/jobs.go
@@ -255,7 +255,7 @@
 func (r *jobRun) end(t *jobTask) {
 	delete(r.running[t.worker], t.id)
 	if r.est != nil {
-		r.est.Drop(t.id)
+		r.est.Forget(t.id)
 	}
 	r.step(place.Freed{Task: t.id})
 }
