--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -41,7 +41,7 @@
 // another backend server where that is safe and within the row's budget.
 func (x *Relay) route(ctx context.Context, req call.Request) call.Reply {
 	row, _ := x.Row(req.Row)
-	x.Retries.Asked(req.Row)
+	x.Retries.RecordRequest(req.Row)
 	var sent *call.Reply
 	ask := queue.Enqueue{ID: req.ID, Row: x.queueRow(row), Deadline: req.Deadline}
 	for n := int64(1); ; n++ {
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -25,8 +25,8 @@
 // New returns a budget in which no row has spent anything.
 func New(limits Limits) *Budget { return &Budget{limits: limits, left: map[string]float64{}} }
 
-// Asked counts a first try of a row.
-func (b *Budget) Asked(row string) {
+// RecordRequest counts a first try of a row.
+func (b *Budget) RecordRequest(row string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.left[row] = min(b.row(row)+b.limits.Ratio, b.limits.Most)
