--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -74,9 +74,9 @@
 	case unreached:
 		return true
 	case notRun:
-		return x.Retries.Spend(row.Name)
+		return x.Retries.TrySpend(row.Name)
 	case unsure:
-		return row.Idempotent && x.Retries.Spend(row.Name)
+		return row.Idempotent && x.Retries.TrySpend(row.Name)
 	case final:
 	}
 	return false
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -32,8 +32,8 @@
 	b.left[row] = min(b.row(row)+b.limits.Ratio, b.limits.Most)
 }
 
-// Spend tells whether a row may retry once more, and counts the retry.
-func (b *Budget) Spend(row string) bool {
+// TrySpend tells whether a row may retry once more, and counts the retry.
+func (b *Budget) TrySpend(row string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	left := b.row(row)
