--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -8,12 +8,12 @@
 type Limits struct {
 	// Ratio is how many retries one first try pays for.
 	Ratio float64
-	// First is what a new row may spend, and Most what it may save up.
-	First, Most float64
+	// Initial is what a new row may spend, and Most what it may save up.
+	Initial, Most float64
 }
 
 // DefaultLimits keep the load below 1.1 times of what was asked.
-var DefaultLimits = Limits{Ratio: 0.09, First: 5, Most: 100}
+var DefaultLimits = Limits{Ratio: 0.09, Initial: 5, Most: 100}
 
 // Budget counts the retries of all rows. It is safe for concurrent use.
 type Budget struct {
@@ -48,5 +48,5 @@
 	if left, ok := b.left[row]; ok {
 		return left
 	}
-	return b.limits.First
+	return b.limits.Initial
 }
