--- a/internal/measure/retry.go
+++ b/internal/measure/retry.go
@@ -27,7 +27,7 @@
 )
 
 // NoBudget lets every request use all tries of its row: the baseline.
-var NoBudget = retry.Limits{Ratio: 1 << 10, Initial: 1 << 20, Most: 1 << 20}
+var NoBudget = retry.Limits{Ratio: 1 << 10, Initial: 1 << 20, Max: 1 << 20}
 
 // RetryLoad sends requests of an idempotent row through a relay to backend
 // servers that fail all of them, and returns how many of these the servers got
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -8,12 +8,12 @@
 type Limits struct {
 	// Ratio is how many retries one first try pays for.
 	Ratio float64
-	// Initial is what a new row may spend, and Most what it may save up.
-	Initial, Most float64
+	// Initial is what a new row may spend, and Max what it may save up.
+	Initial, Max float64
 }
 
 // DefaultLimits keep the load below 1.1 times of what was asked.
-var DefaultLimits = Limits{Ratio: 0.09, Initial: 5, Most: 100}
+var DefaultLimits = Limits{Ratio: 0.09, Initial: 5, Max: 100}
 
 // Budget counts the retries of all rows. It is safe for concurrent use.
 type Budget struct {
@@ -29,7 +29,7 @@
 func (b *Budget) RecordRequest(row string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.left[row] = min(b.row(row)+b.limits.Ratio, b.limits.Most)
+	b.left[row] = min(b.row(row)+b.limits.Ratio, b.limits.Max)
 }
 
 // TrySpend tells whether a row may retry once more, and counts the retry.
