--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -65,9 +65,9 @@
 }
 
 func (l *Leader) handleResult(a job.Result) {
-	l.Estimates.Drop(a.Task)
+	l.Estimates.Forget(a.Task)
 	if spec, ok := l.Jobs.Spec(a.Task); ok && !a.Failed {
-		l.Estimates.Ran(a.Row, spec.Time.Duration, a.Run)
+		l.Estimates.RecordTime(a.Row, spec.Time.Duration, a.Run)
 	}
 	if a.Failed {
 		l.Count("lead.failed")
@@ -189,7 +189,7 @@
 func (l *Leader) recordUsage(tasks []lease.Task) {
 	for _, t := range tasks {
 		if t.State != "running" {
-			l.Estimates.Drop(t.ID)
+			l.Estimates.Forget(t.ID)
 			continue
 		}
 		spec, ok := l.Jobs.Spec(t.ID)
@@ -200,7 +200,7 @@
 		case l.Jobs.NeedsExclusiveWorker(t.ID):
 			continue
 		}
-		if room, ok := l.Estimates.Seen(t.ID, t.Row, spec.Size, t.Use); ok {
+		if room, ok := l.Estimates.RecordUse(t.ID, t.Row, spec.Size, t.Use); ok {
 			l.stepPlacement(place.TaskResized{Task: t.ID, Size: room, Use: t.Use})
 		}
 	}
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -41,7 +41,7 @@
 // another backend server where that is safe and within the row's budget.
 func (x *Relay) route(ctx context.Context, req call.Request) call.Reply {
 	row, _ := x.Row(req.Row)
-	x.Retries.Asked(req.Row)
+	x.Retries.RecordRequest(req.Row)
 	var sent *call.Reply
 	ask := queue.Enqueue{ID: req.ID, Row: x.queueRow(row), Deadline: req.Deadline}
 	for n := int64(1); ; n++ {
@@ -74,9 +74,9 @@
 	case unreached:
 		return true
 	case notRun:
-		return x.Retries.Spend(row.Name)
+		return x.Retries.TrySpend(row.Name)
 	case unsure:
-		return row.Idempotent && x.Retries.Spend(row.Name)
+		return row.Idempotent && x.Retries.TrySpend(row.Name)
 	case final:
 	}
 	return false
