--- a/internal/store/race.go
+++ b/internal/store/race.go
@@ -53,7 +53,7 @@
 // run returns the first answer, or the failure of all ways. What has no answer when the
 // time is over may still be carried out.
 func (w *race) run(ctx context.Context) (Answer, error) {
-	first := w.r.patience(w.call)
+	first := w.r.directDelay(w.call)
 	if !w.direct(ctx) || w.r.isCut(w.call) {
 		w.peer(ctx)
 		first = w.r.beside(w.call)
--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -217,7 +217,7 @@
 }
 
 func (r *Routed) ask(ctx context.Context, p string, c Call) (Answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, 2*r.patience(c)+patience)
+	ctx, cancel := context.WithTimeout(ctx, 2*r.directDelay(c)+patience)
 	defer cancel()
 	a, err := r.relay.Do(ctx, p, c)
 	r.remember(p, err)
@@ -253,8 +253,8 @@
 	return r.target(c).suspect
 }
 
-// patience is how long to wait for the direct way before a peer is asked.
-func (r *Routed) patience(c Call) time.Duration {
+// directDelay is how long to wait for the direct way before a peer is asked.
+func (r *Routed) directDelay(c Call) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	wait := max(patience, slower*r.answers)
