--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -12,10 +12,10 @@
 
 // Ways to the store.
 const (
-	// patience is how long a call goes without an answer before it is made
+	// directTimeout is how long a call goes without an answer before it is made
 	// through a peer as well. The store answers in 4 ms; a busy host takes some
 	// tens more.
-	patience = 450 * time.Millisecond
+	directTimeout = 450 * time.Millisecond
 	// suspicion is the same while the direct way did not answer lately.
 	suspicion = 25 * time.Millisecond
 	// cutAfter is how long the direct way goes without any answer before calls are made
@@ -217,7 +217,7 @@
 }
 
 func (r *Routed) ask(ctx context.Context, p string, c Call) (Answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, 2*r.directDelay(c)+patience)
+	ctx, cancel := context.WithTimeout(ctx, 2*r.directDelay(c)+directTimeout)
 	defer cancel()
 	a, err := r.relay.Do(ctx, p, c)
 	r.remember(p, err)
@@ -257,7 +257,7 @@
 func (r *Routed) directDelay(c Call) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	wait := max(patience, slower*r.answers)
+	wait := max(directTimeout, slower*r.answers)
 	switch {
 	case r.cut(c):
 		return 0
@@ -274,7 +274,7 @@
 func (r *Routed) overdue() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return min(max(patience, slower*r.answers), longest)
+	return min(max(directTimeout, slower*r.answers), longest)
 }
 
 // beside is how long a peer is waited for before the next one is asked as well.
@@ -284,7 +284,7 @@
 	if c.Op.reads() {
 		return min(max(besideRead, slower*r.answers), longest)
 	}
-	return max(patience, slower*r.answers)
+	return max(directTimeout, slower*r.answers)
 }
 
 // doubt notes that the direct way has not answered for longer than usual.
