--- a/internal/store/race.go
+++ b/internal/store/race.go
@@ -80,7 +80,7 @@
 			w.peer(ctx)
 			next.Reset(w.r.beside(w.call))
 		case <-again.C:
-			if w.call.Op.reads() {
+			if w.call.Op.isRead() {
 				w.direct(ctx)
 			}
 			pause *= 2
--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -88,7 +88,7 @@
 type closing struct{ reads, others time.Time }
 
 func (c *closing) of(op Op) *time.Time {
-	if op.reads() {
+	if op.isRead() {
 		return &c.reads
 	}
 	return &c.others
@@ -264,7 +264,7 @@
 	case r.failed || r.target(c).suspect:
 		wait = max(suspicion, slower*r.answers)
 	}
-	if c.Op.reads() {
+	if c.Op.isRead() {
 		return min(wait, longest)
 	}
 	return wait
@@ -281,7 +281,7 @@
 func (r *Routed) beside(c Call) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if c.Op.reads() {
+	if c.Op.isRead() {
 		return min(max(besideRead, slower*r.answers), longest)
 	}
 	return max(directTimeout, slower*r.answers)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -24,8 +24,8 @@
 	Owners Op = "owners"
 )
 
-// reads tells whether a call changes nothing, so that it costs little to make it twice.
-func (o Op) reads() bool { return o == Read || o == Newest || o == Owners }
+// isRead tells whether a call changes nothing, so that it costs little to make it twice.
+func (o Op) isRead() bool { return o == Read || o == Newest || o == Owners }
 
 // Call is one call to the store. It is one type for all operations so that a
 // host can make a call for another one.
