--- a/internal/store/race.go
+++ b/internal/store/race.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// longest is the most that a read is waited for before it is made again on another
+	// maxReadWait is the most that a read is waited for before it is made again on another
 	// connection, however long answers took of late: the operators' table has to be in
 	// force within two seconds, and one second of that is spent waiting for it.
-	longest = 700 * time.Millisecond
+	maxReadWait = 700 * time.Millisecond
 	// besideRead is when the next peer is asked as well while one has not answered a read,
 	// ten times what a peer on a calm host takes. A write is left to one peer for patience:
 	// it costs the store a turn each time.
--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -265,7 +265,7 @@
 		wait = max(suspicion, slower*r.answers)
 	}
 	if c.Op.isRead() {
-		return min(wait, longest)
+		return min(wait, maxReadWait)
 	}
 	return wait
 }
@@ -274,7 +274,7 @@
 func (r *Routed) overdue() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return min(max(directTimeout, slower*r.answers), longest)
+	return min(max(directTimeout, slower*r.answers), maxReadWait)
 }
 
 // beside is how long a peer is waited for before the next one is asked as well.
@@ -282,7 +282,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if c.Op.isRead() {
-		return min(max(besideRead, slower*r.answers), longest)
+		return min(max(besideRead, slower*r.answers), maxReadWait)
 	}
 	return max(directTimeout, slower*r.answers)
 }
