--- a/internal/store/race.go
+++ b/internal/store/race.go
@@ -10,10 +10,10 @@
 	// connection, however long answers took of late: the operators' table has to be in
 	// force within two seconds, and one second of that is spent waiting for it.
 	maxReadWait = 700 * time.Millisecond
-	// besideRead is when the next peer is asked as well while one has not answered a read,
+	// readPeerDelay is when the next peer is asked as well while one has not answered a read,
 	// ten times what a peer on a calm host takes. A write is left to one peer for patience:
 	// it costs the store a turn each time.
-	besideRead = 150 * time.Millisecond
+	readPeerDelay = 150 * time.Millisecond
 	// mostPeers is how many peers are asked for one call. While the store is away for all,
 	// each call of each host would otherwise go to every other host.
 	mostPeers = 3
--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -282,7 +282,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if c.Op.isRead() {
-		return min(max(besideRead, slower*r.answers), maxReadWait)
+		return min(max(readPeerDelay, slower*r.answers), maxReadWait)
 	}
 	return max(directTimeout, slower*r.answers)
 }
