--- a/internal/store/race.go
+++ b/internal/store/race.go
@@ -14,9 +14,9 @@
 	// ten times what a peer on a calm host takes. A write is left to one peer for patience:
 	// it costs the store a turn each time.
 	readPeerDelay = 150 * time.Millisecond
-	// mostPeers is how many peers are asked for one call. While the store is away for all,
+	// maxPeers is how many peers are asked for one call. While the store is away for all,
 	// each call of each host would otherwise go to every other host.
-	mostPeers = 3
+	maxPeers = 3
 	// mostTries is how often one read is made on the direct way, with twice the pause each
 	// time: a lead that takes over reads pages that take their time on a busy host.
 	mostTries = 3
@@ -47,7 +47,7 @@
 }
 
 func newRace(r *Routed, c Call) *race {
-	return &race{r: r, call: c, results: make(chan result, mostTries+mostPeers), peers: r.peers()}
+	return &race{r: r, call: c, results: make(chan result, mostTries+maxPeers), peers: r.peers()}
 }
 
 // run returns the first answer, or the failure of all ways. What has no answer when the
--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -198,7 +198,7 @@
 	if i := slices.Index(all, r.served); i > 0 {
 		all = slices.Insert(slices.Delete(all, i, i+1), 0, r.served)
 	}
-	return all[:min(len(all), mostPeers)]
+	return all[:min(len(all), maxPeers)]
 }
 
 // remember notes whether a peer was served.
