--- a/internal/store/race.go
+++ b/internal/store/race.go
@@ -17,9 +17,9 @@
 	// maxPeers is how many peers are asked for one call. While the store is away for all,
 	// each call of each host would otherwise go to every other host.
 	maxPeers = 3
-	// mostTries is how often one read is made on the direct way, with twice the pause each
+	// maxTries is how often one read is made on the direct way, with twice the pause each
 	// time: a lead that takes over reads pages that take their time on a busy host.
-	mostTries = 3
+	maxTries = 3
 )
 
 // race makes one call on several ways: first the direct one, then through peers, each a
@@ -47,7 +47,7 @@
 }
 
 func newRace(r *Routed, c Call) *race {
-	return &race{r: r, call: c, results: make(chan result, mostTries+maxPeers), peers: r.peers()}
+	return &race{r: r, call: c, results: make(chan result, maxTries+maxPeers), peers: r.peers()}
 }
 
 // run returns the first answer, or the failure of all ways. What has no answer when the
@@ -97,7 +97,7 @@
 
 // direct tries the direct way; false if the store has just refused there.
 func (w *race) direct(ctx context.Context) bool {
-	if w.tries == mostTries || w.r.isClosed(w.call) {
+	if w.tries == maxTries || w.r.isClosed(w.call) {
 		return false
 	}
 	w.tries++
