--- a/internal/store/race.go
+++ b/internal/store/race.go
@@ -54,7 +54,7 @@
 // time is over may still be carried out.
 func (w *race) run(ctx context.Context) (Answer, error) {
 	first := w.r.directDelay(w.call)
-	if !w.direct(ctx) || w.r.isCut(w.call) {
+	if !w.tryDirect(ctx) || w.r.isCut(w.call) {
 		w.peer(ctx)
 		first = w.r.beside(w.call)
 	}
@@ -81,7 +81,7 @@
 			next.Reset(w.r.beside(w.call))
 		case <-again.C:
 			if w.call.Op.isRead() {
-				w.direct(ctx)
+				w.tryDirect(ctx)
 			}
 			pause *= 2
 			again.Reset(pause)
@@ -95,8 +95,8 @@
 	return Answer{}, w.failed
 }
 
-// direct tries the direct way; false if the store has just refused there.
-func (w *race) direct(ctx context.Context) bool {
+// tryDirect tries the tryDirect way; false if the store has just refused there.
+func (w *race) tryDirect(ctx context.Context) bool {
 	if w.tries == maxTries || w.r.isClosed(w.call) {
 		return false
 	}
