--- a/internal/store/race.go
+++ b/internal/store/race.go
@@ -55,7 +55,7 @@
 func (w *race) run(ctx context.Context) (Answer, error) {
 	first := w.r.directDelay(w.call)
 	if !w.tryDirect(ctx) || w.r.isCut(w.call) {
-		w.peer(ctx)
+		w.askNextPeer(ctx)
 		first = w.r.beside(w.call)
 	}
 	next := time.NewTimer(first)
@@ -71,13 +71,13 @@
 				return got.answer, got.err
 			}
 			w.failed = CombineErrors(w.failed, got.err)
-			w.peer(ctx)
+			w.askNextPeer(ctx)
 			next.Reset(w.r.beside(w.call))
 		case <-next.C:
 			if w.tries > 0 {
 				w.r.doubt(w.call)
 			}
-			w.peer(ctx)
+			w.askNextPeer(ctx)
 			next.Reset(w.r.beside(w.call))
 		case <-again.C:
 			if w.call.Op.isRead() {
@@ -113,8 +113,8 @@
 	return true
 }
 
-// peer asks the next peer, if there is one.
-func (w *race) peer(ctx context.Context) {
+// askNextPeer asks the next askNextPeer, if there is one.
+func (w *race) askNextPeer(ctx context.Context) {
 	if len(w.peers) == 0 {
 		return
 	}
