--- a/internal/store/race.go
+++ b/internal/store/race.go
@@ -33,8 +33,8 @@
 	r       *Routed
 	call    Call
 	results chan result
-	// open is how many tries have no outcome yet, tries how many were direct.
-	open, tries int
+	// pending is how many tries have no outcome yet, tries how many were direct.
+	pending, tries int
 	// peers are those not asked yet.
 	peers []string
 	// failed joins the failures so far.
@@ -63,10 +63,10 @@
 	pause := w.r.overdue()
 	again := time.NewTimer(pause)
 	defer again.Stop()
-	for w.open > 0 {
+	for w.pending > 0 {
 		select {
 		case got := <-w.results:
-			w.open--
+			w.pending--
 			if !IsUnavailable(got.err) {
 				return got.answer, got.err
 			}
@@ -101,7 +101,7 @@
 		return false
 	}
 	w.tries++
-	w.open++
+	w.pending++
 	go func() {
 		// It goes on when a peer was faster: how long it takes tells whether the
 		// way is silent or slow.
@@ -120,7 +120,7 @@
 	}
 	p := w.peers[0]
 	w.peers = w.peers[1:]
-	w.open++
+	w.pending++
 	go func() {
 		a, err := w.r.ask(ctx, p, w.call)
 		w.results <- result{a, err}
