--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -16,8 +16,8 @@
 	// through a peer as well. The store answers in 4 ms; a busy host takes some
 	// tens more.
 	directTimeout = 450 * time.Millisecond
-	// suspicion is the same while the direct way did not answer lately.
-	suspicion = 25 * time.Millisecond
+	// suspectTimeout is the same while the direct way did not answer lately.
+	suspectTimeout = 25 * time.Millisecond
 	// cutAfter is how long the direct way goes without any answer before calls are made
 	// through a peer at once, and only beside that on the direct way; an answer after that
 	// has all calls made again that are still under way. A host that is cut
@@ -262,7 +262,7 @@
 	case r.cut(c):
 		return 0
 	case r.failed || r.target(c).suspect:
-		wait = max(suspicion, slower*r.answers)
+		wait = max(suspectTimeout, slower*r.answers)
 	}
 	if c.Op.isRead() {
 		return min(wait, maxReadWait)
