--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -24,9 +24,9 @@
 	// off from the store stays so for seconds, and each call of a lead there, three for
 	// a step of a job, would wait for suspicion in vain.
 	cutAfter = time.Second
-	// slower is by how much patience exceeds the answers of late: a store that is
-	// slow is slow for peers too, and asking twice would make it slower.
-	slower = 2
+	// latencyFactor is by how much patience exceeds the answers of late: a store that is
+	// slow is slow for peers too, and asking twice would make it latencyFactor.
+	latencyFactor = 2
 	// avoid is how long the direct way to a partition is left alone after it refused.
 	avoid = 500 * time.Millisecond
 	// most bounds one call in all, besides the time it asks the store to wait.
@@ -135,7 +135,7 @@
 func (r *Routed) AnsweredWithin(d time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.now().Sub(r.good) < max(d, slower*r.answers+d/2)
+	return r.now().Sub(r.good) < max(d, latencyFactor*r.answers+d/2)
 }
 
 // Direct makes the call on the direct way only, for a peer. While this host is cut off it
@@ -238,7 +238,7 @@
 
 // cut is isCut; mu is held.
 func (r *Routed) cut(c Call) bool {
-	return r.failed && r.target(c).suspect && r.now().Sub(r.directly) > max(cutAfter, slower*r.answers)
+	return r.failed && r.target(c).suspect && r.now().Sub(r.directly) > max(cutAfter, latencyFactor*r.answers)
 }
 
 func (r *Routed) isClosed(c Call) bool {
@@ -257,12 +257,12 @@
 func (r *Routed) directDelay(c Call) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	wait := max(directTimeout, slower*r.answers)
+	wait := max(directTimeout, latencyFactor*r.answers)
 	switch {
 	case r.cut(c):
 		return 0
 	case r.failed || r.target(c).suspect:
-		wait = max(suspectTimeout, slower*r.answers)
+		wait = max(suspectTimeout, latencyFactor*r.answers)
 	}
 	if c.Op.isRead() {
 		return min(wait, maxReadWait)
@@ -274,7 +274,7 @@
 func (r *Routed) overdue() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return min(max(directTimeout, slower*r.answers), maxReadWait)
+	return min(max(directTimeout, latencyFactor*r.answers), maxReadWait)
 }
 
 // beside is how long a peer is waited for before the next one is asked as well.
@@ -282,9 +282,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if c.Op.isRead() {
-		return min(max(readPeerDelay, slower*r.answers), maxReadWait)
+		return min(max(readPeerDelay, latencyFactor*r.answers), maxReadWait)
 	}
-	return max(directTimeout, slower*r.answers)
+	return max(directTimeout, latencyFactor*r.answers)
 }
 
 // doubt notes that the direct way has not answered for longer than usual.
@@ -356,7 +356,7 @@
 	r.failed = IsUnavailable(err)
 	switch {
 	case !r.failed:
-		if now.Sub(r.directly) > max(cutAfter, slower*r.answers) {
+		if now.Sub(r.directly) > max(cutAfter, latencyFactor*r.answers) {
 			close(r.revived)
 			r.revived = make(chan struct{})
 		}
