--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -27,8 +27,8 @@
 	// latencyFactor is by how much patience exceeds the answers of late: a store that is
 	// slow is slow for peers too, and asking twice would make it latencyFactor.
 	latencyFactor = 2
-	// avoid is how long the direct way to a partition is left alone after it refused.
-	avoid = 500 * time.Millisecond
+	// refusedPause is how long the direct way to a partition is left alone after it refused.
+	refusedPause = 500 * time.Millisecond
 	// most bounds one call in all, besides the time it asks the store to wait.
 	most = 2800 * time.Millisecond
 	// fade is what is left of the longest answer's weight with each next one.
@@ -368,7 +368,7 @@
 	default:
 		t.suspect, t.silent = true, !NotDone(err)
 		if NotDone(err) {
-			*t.closed.of(c.Op) = now.Add(avoid)
+			*t.closed.of(c.Op) = now.Add(refusedPause)
 		}
 	}
 	is := t.suspect
