--- a/internal/store/race.go
+++ b/internal/store/race.go
@@ -105,7 +105,7 @@
 	go func() {
 		// It goes on when a peer was faster: how long it takes tells whether the
 		// way is silent or slow.
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), most)
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 		defer cancel()
 		a, err := w.r.try(ctx, w.call)
 		w.results <- result{a, err}
--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -29,8 +29,8 @@
 	latencyFactor = 2
 	// refusedPause is how long the direct way to a partition is left alone after it refused.
 	refusedPause = 500 * time.Millisecond
-	// most bounds one call in all, besides the time it asks the store to wait.
-	most = 2800 * time.Millisecond
+	// callTimeout bounds one call in all, besides the time it asks the store to wait.
+	callTimeout = 2800 * time.Millisecond
 	// fade is what is left of the longest answer's weight with each next one.
 	fade = 0.8
 )
@@ -145,7 +145,7 @@
 		return Answer{}, &RefusedError{Op: c.Op, Reason: "this host is turned away as well"}
 	}
 	// The peer has given up long before: its own calls end within the same time.
-	ctx, cancel := context.WithTimeout(ctx, most)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return r.try(ctx, c)
 }
@@ -153,7 +153,7 @@
 // Do makes the call. A read that waits for records does so on the direct way; if that has
 // no answer in time or had none before, the read is made on all ways and waits nowhere.
 func (r *Routed) Do(ctx context.Context, c Call) (Answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, most+c.Wait)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout+c.Wait)
 	defer cancel()
 	if c.Wait > 0 && !r.isSuspect(c) {
 		if got, ok := r.poll(ctx, c); ok {
