--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -31,8 +31,8 @@
 	refusedPause = 500 * time.Millisecond
 	// callTimeout bounds one call in all, besides the time it asks the store to wait.
 	callTimeout = 2800 * time.Millisecond
-	// fade is what is left of the longest answer's weight with each next one.
-	fade = 0.8
+	// latencyDecay is what is left of the longest answer's weight with each next one.
+	latencyDecay = 0.8
 )
 
 // Relay makes a call at a peer that may be served by the store.
@@ -363,7 +363,7 @@
 		*t = target{good: now}
 		r.good, r.directly = now, now
 		if c.Wait == 0 {
-			r.answers = max(time.Duration(fade*float64(r.answers)), now.Sub(began))
+			r.answers = max(time.Duration(latencyDecay*float64(r.answers)), now.Sub(began))
 		}
 	default:
 		t.suspect, t.silent = true, !NotDone(err)
