--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -54,9 +54,9 @@
 	direct Log
 	relay  Relay
 	now    func() time.Time
-	// lost is told when the direct way of a call fails and comes back.
-	lost func(c Call, ok bool, err error)
-	mu   sync.Mutex
+	// onChange is told when the direct way of a call fails and comes back.
+	onChange func(c Call, ok bool, err error)
+	mu       sync.Mutex
 	// targets are the partitions and groups by name. The store may serve some and
 	// not others: a refusal of one says nothing of the rest.
 	targets map[string]*target
@@ -97,7 +97,7 @@
 // NewRouted returns a log that knows both ways; lost may not wait.
 func NewRouted(direct Log, relay Relay, now func() time.Time, lost func(c Call, ok bool, err error)) *Routed {
 	return &Routed{
-		direct: direct, relay: relay, now: now, lost: lost,
+		direct: direct, relay: relay, now: now, onChange: lost,
 		targets: map[string]*target{}, revived: make(chan struct{}), away: map[string]time.Time{},
 	}
 }
@@ -295,7 +295,7 @@
 	r.target(c).silent = true
 	r.mu.Unlock()
 	if !was {
-		r.lost(c, false, &UnansweredError{Op: c.Op, Cause: context.DeadlineExceeded})
+		r.onChange(c, false, &UnansweredError{Op: c.Op, Cause: context.DeadlineExceeded})
 	}
 }
 
@@ -374,7 +374,7 @@
 	is := t.suspect
 	r.mu.Unlock()
 	if was != is {
-		r.lost(c, !is, err)
+		r.onChange(c, !is, err)
 	}
 }
 
