--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -62,8 +62,8 @@
 	targets map[string]*target
 	// failed tells that the last direct call failed, to whichever target.
 	failed bool
-	// answers is about how long answers took lately, the longest counting most.
-	answers time.Duration
+	// latency is about how long latency took lately, the longest counting most.
+	latency time.Duration
 	good    time.Time
 	// directly is when the direct way answered last.
 	directly time.Time
@@ -127,7 +127,7 @@
 func (r *Routed) RecentLatency() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.answers
+	return r.latency
 }
 
 // AnsweredWithin tells whether the store answered this host within d, or within what its
@@ -135,7 +135,7 @@
 func (r *Routed) AnsweredWithin(d time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.now().Sub(r.good) < max(d, latencyFactor*r.answers+d/2)
+	return r.now().Sub(r.good) < max(d, latencyFactor*r.latency+d/2)
 }
 
 // Direct makes the call on the direct way only, for a peer. While this host is cut off it
@@ -238,7 +238,7 @@
 
 // cut is isCut; mu is held.
 func (r *Routed) cut(c Call) bool {
-	return r.failed && r.target(c).suspect && r.now().Sub(r.directly) > max(cutAfter, latencyFactor*r.answers)
+	return r.failed && r.target(c).suspect && r.now().Sub(r.directly) > max(cutAfter, latencyFactor*r.latency)
 }
 
 func (r *Routed) isClosed(c Call) bool {
@@ -257,12 +257,12 @@
 func (r *Routed) directDelay(c Call) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	wait := max(directTimeout, latencyFactor*r.answers)
+	wait := max(directTimeout, latencyFactor*r.latency)
 	switch {
 	case r.cut(c):
 		return 0
 	case r.failed || r.target(c).suspect:
-		wait = max(suspectTimeout, latencyFactor*r.answers)
+		wait = max(suspectTimeout, latencyFactor*r.latency)
 	}
 	if c.Op.isRead() {
 		return min(wait, maxReadWait)
@@ -274,7 +274,7 @@
 func (r *Routed) overdue() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return min(max(directTimeout, latencyFactor*r.answers), maxReadWait)
+	return min(max(directTimeout, latencyFactor*r.latency), maxReadWait)
 }
 
 // beside is how long a peer is waited for before the next one is asked as well.
@@ -282,9 +282,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if c.Op.isRead() {
-		return min(max(readPeerDelay, latencyFactor*r.answers), maxReadWait)
+		return min(max(readPeerDelay, latencyFactor*r.latency), maxReadWait)
 	}
-	return max(directTimeout, latencyFactor*r.answers)
+	return max(directTimeout, latencyFactor*r.latency)
 }
 
 // doubt notes that the direct way has not answered for longer than usual.
@@ -356,14 +356,14 @@
 	r.failed = IsUnavailable(err)
 	switch {
 	case !r.failed:
-		if now.Sub(r.directly) > max(cutAfter, latencyFactor*r.answers) {
+		if now.Sub(r.directly) > max(cutAfter, latencyFactor*r.latency) {
 			close(r.revived)
 			r.revived = make(chan struct{})
 		}
 		*t = target{good: now}
 		r.good, r.directly = now, now
 		if c.Wait == 0 {
-			r.answers = max(time.Duration(latencyDecay*float64(r.answers)), now.Sub(began))
+			r.latency = max(time.Duration(latencyDecay*float64(r.latency)), now.Sub(began))
 		}
 	default:
 		t.suspect, t.silent = true, !NotDone(err)
