--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -63,8 +63,8 @@
 	// failed tells that the last direct call failed, to whichever target.
 	failed bool
 	// latency is about how long latency took lately, the longest counting most.
-	latency time.Duration
-	good    time.Time
+	latency    time.Duration
+	lastAnswer time.Time
 	// directly is when the direct way answered last.
 	directly time.Time
 	// revived is closed when it answers after cutAfter without any answer.
@@ -120,7 +120,7 @@
 func (r *Routed) LastAnswer() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.good
+	return r.lastAnswer
 }
 
 // RecentLatency is about how long the store's answers took lately, the longest counting most.
@@ -135,7 +135,7 @@
 func (r *Routed) AnsweredWithin(d time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.now().Sub(r.good) < max(d, latencyFactor*r.latency+d/2)
+	return r.now().Sub(r.lastAnswer) < max(d, latencyFactor*r.latency+d/2)
 }
 
 // Direct makes the call on the direct way only, for a peer. While this host is cut off it
@@ -223,7 +223,7 @@
 	r.remember(p, err)
 	if !IsUnavailable(err) {
 		r.mu.Lock()
-		r.good = r.now()
+		r.lastAnswer = r.now()
 		r.mu.Unlock()
 	}
 	return a, err
@@ -361,7 +361,7 @@
 			r.revived = make(chan struct{})
 		}
 		*t = target{good: now}
-		r.good, r.directly = now, now
+		r.lastAnswer, r.directly = now, now
 		if c.Wait == 0 {
 			r.latency = max(time.Duration(latencyDecay*float64(r.latency)), now.Sub(began))
 		}
