--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -65,8 +65,8 @@
 	// latency is about how long latency took lately, the longest counting most.
 	latency    time.Duration
 	lastAnswer time.Time
-	// directly is when the direct way answered last.
-	directly time.Time
+	// lastDirect is when the direct way answered last.
+	lastDirect time.Time
 	// revived is closed when it answers after cutAfter without any answer.
 	revived chan struct{}
 	// served is the peer that was served last, away when those failed that were not.
@@ -238,7 +238,7 @@
 
 // cut is isCut; mu is held.
 func (r *Routed) cut(c Call) bool {
-	return r.failed && r.target(c).suspect && r.now().Sub(r.directly) > max(cutAfter, latencyFactor*r.latency)
+	return r.failed && r.target(c).suspect && r.now().Sub(r.lastDirect) > max(cutAfter, latencyFactor*r.latency)
 }
 
 func (r *Routed) isClosed(c Call) bool {
@@ -356,12 +356,12 @@
 	r.failed = IsUnavailable(err)
 	switch {
 	case !r.failed:
-		if now.Sub(r.directly) > max(cutAfter, latencyFactor*r.latency) {
+		if now.Sub(r.lastDirect) > max(cutAfter, latencyFactor*r.latency) {
 			close(r.revived)
 			r.revived = make(chan struct{})
 		}
 		*t = target{good: now}
-		r.lastAnswer, r.directly = now, now
+		r.lastAnswer, r.lastDirect = now, now
 		if c.Wait == 0 {
 			r.latency = max(time.Duration(latencyDecay*float64(r.latency)), now.Sub(began))
 		}
