--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -305,7 +305,7 @@
 // nothing began or was told as completed. That it is made twice is safe, as above.
 func (r *Routed) try(ctx context.Context, c Call) (Answer, error) {
 	for {
-		began, revival := r.now(), r.revival()
+		began, revival := r.now(), r.recovery()
 		call := c
 		call.NewConn = r.isSilent(c)
 		attempt, cancel := context.WithCancel(ctx)
@@ -328,8 +328,8 @@
 	}
 }
 
-// revival is closed when the store answers after it was silent.
-func (r *Routed) revival() <-chan struct{} {
+// recovery is closed when the store answers after it was silent.
+func (r *Routed) recovery() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.revived
