--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -67,8 +67,8 @@
 	lastAnswer time.Time
 	// lastDirect is when the direct way answered last.
 	lastDirect time.Time
-	// revived is closed when it answers after cutAfter without any answer.
-	revived chan struct{}
+	// recovered is closed when it answers after cutAfter without any answer.
+	recovered chan struct{}
 	// served is the peer that was served last, away when those failed that were not.
 	served string
 	away   map[string]time.Time
@@ -98,7 +98,7 @@
 func NewRouted(direct Log, relay Relay, now func() time.Time, lost func(c Call, ok bool, err error)) *Routed {
 	return &Routed{
 		direct: direct, relay: relay, now: now, onChange: lost,
-		targets: map[string]*target{}, revived: make(chan struct{}), away: map[string]time.Time{},
+		targets: map[string]*target{}, recovered: make(chan struct{}), away: map[string]time.Time{},
 	}
 }
 
@@ -332,7 +332,7 @@
 func (r *Routed) recovery() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.revived
+	return r.recovered
 }
 
 // isSilent tells whether the last direct call to the same target had no answer.
@@ -357,8 +357,8 @@
 	switch {
 	case !r.failed:
 		if now.Sub(r.lastDirect) > max(cutAfter, latencyFactor*r.latency) {
-			close(r.revived)
-			r.revived = make(chan struct{})
+			close(r.recovered)
+			r.recovered = make(chan struct{})
 		}
 		*t = target{good: now}
 		r.lastAnswer, r.lastDirect = now, now
