--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -69,9 +69,9 @@
 	lastDirect time.Time
 	// recovered is closed when it answers after cutAfter without any answer.
 	recovered chan struct{}
-	// served is the peer that was served last, away when those failed that were not.
-	served string
-	away   map[string]time.Time
+	// lastServed is the peer that was lastServed last, away when those failed that were not.
+	lastServed string
+	away       map[string]time.Time
 }
 
 // target is one partition or group on the direct way.
@@ -195,8 +195,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	slices.SortStableFunc(all, func(a, b string) int { return r.away[a].Compare(r.away[b]) })
-	if i := slices.Index(all, r.served); i > 0 {
-		all = slices.Insert(slices.Delete(all, i, i+1), 0, r.served)
+	if i := slices.Index(all, r.lastServed); i > 0 {
+		all = slices.Insert(slices.Delete(all, i, i+1), 0, r.lastServed)
 	}
 	return all[:min(len(all), maxPeers)]
 }
@@ -206,13 +206,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !IsUnavailable(err) {
-		r.served = p
+		r.lastServed = p
 		delete(r.away, p)
 		return
 	}
 	r.away[p] = r.now()
-	if r.served == p {
-		r.served = ""
+	if r.lastServed == p {
+		r.lastServed = ""
 	}
 }
 
