--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -70,8 +70,8 @@
 	// recovered is closed when it answers after cutAfter without any answer.
 	recovered chan struct{}
 	// lastServed is the peer that was lastServed last, away when those failed that were not.
-	lastServed string
-	away       map[string]time.Time
+	lastServed  string
+	failedPeers map[string]time.Time
 }
 
 // target is one partition or group on the direct way.
@@ -98,7 +98,7 @@
 func NewRouted(direct Log, relay Relay, now func() time.Time, lost func(c Call, ok bool, err error)) *Routed {
 	return &Routed{
 		direct: direct, relay: relay, now: now, onChange: lost,
-		targets: map[string]*target{}, recovered: make(chan struct{}), away: map[string]time.Time{},
+		targets: map[string]*target{}, recovered: make(chan struct{}), failedPeers: map[string]time.Time{},
 	}
 }
 
@@ -194,7 +194,7 @@
 	all := slices.Clone(r.relay.Peers())
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	slices.SortStableFunc(all, func(a, b string) int { return r.away[a].Compare(r.away[b]) })
+	slices.SortStableFunc(all, func(a, b string) int { return r.failedPeers[a].Compare(r.failedPeers[b]) })
 	if i := slices.Index(all, r.lastServed); i > 0 {
 		all = slices.Insert(slices.Delete(all, i, i+1), 0, r.lastServed)
 	}
@@ -207,10 +207,10 @@
 	defer r.mu.Unlock()
 	if !IsUnavailable(err) {
 		r.lastServed = p
-		delete(r.away, p)
+		delete(r.failedPeers, p)
 		return
 	}
-	r.away[p] = r.now()
+	r.failedPeers[p] = r.now()
 	if r.lastServed == p {
 		r.lastServed = ""
 	}
