--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -78,8 +78,8 @@
 type target struct {
 	// closed is until when it is not tried: appends may be refused where reads are not.
 	closed closing
-	// good is when it answered last.
-	good time.Time
+	// lastAnswer is when it answered last.
+	lastAnswer time.Time
 	// suspect tells that its last call failed or is overdue, silent that it had no answer.
 	suspect, silent bool
 }
@@ -348,7 +348,7 @@
 	now := r.now()
 	r.mu.Lock()
 	t := r.target(c)
-	if IsUnavailable(err) && t.good.After(began) {
+	if IsUnavailable(err) && t.lastAnswer.After(began) {
 		r.mu.Unlock()
 		return
 	}
@@ -360,7 +360,7 @@
 			close(r.recovered)
 			r.recovered = make(chan struct{})
 		}
-		*t = target{good: now}
+		*t = target{lastAnswer: now}
 		r.lastAnswer, r.lastDirect = now, now
 		if c.Wait == 0 {
 			r.latency = max(time.Duration(latencyDecay*float64(r.latency)), now.Sub(began))
