--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -76,8 +76,8 @@
 
 // target is one partition or group on the direct way.
 type target struct {
-	// closed is until when it is not tried: appends may be refused where reads are not.
-	closed closing
+	// closedUntil is until when it is not tried: appends may be refused where reads are not.
+	closedUntil closing
 	// lastAnswer is when it answered last.
 	lastAnswer time.Time
 	// suspect tells that its last call failed or is overdue, silent that it had no answer.
@@ -244,7 +244,7 @@
 func (r *Routed) isClosed(c Call) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.now().Before(*r.target(c).closed.of(c.Op))
+	return r.now().Before(*r.target(c).closedUntil.of(c.Op))
 }
 
 func (r *Routed) isSuspect(c Call) bool {
@@ -368,7 +368,7 @@
 	default:
 		t.suspect, t.silent = true, !NotDone(err)
 		if NotDone(err) {
-			*t.closed.of(c.Op) = now.Add(refusedPause)
+			*t.closedUntil.of(c.Op) = now.Add(refusedPause)
 		}
 	}
 	is := t.suspect
