--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -77,17 +77,17 @@
 // target is one partition or group on the direct way.
 type target struct {
 	// closedUntil is until when it is not tried: appends may be refused where reads are not.
-	closedUntil closing
+	closedUntil closedTimes
 	// lastAnswer is when it answered last.
 	lastAnswer time.Time
 	// suspect tells that its last call failed or is overdue, silent that it had no answer.
 	suspect, silent bool
 }
 
-// closing is until when calls of a kind are not tried.
-type closing struct{ reads, others time.Time }
+// closedTimes is until when calls of a kind are not tried.
+type closedTimes struct{ reads, others time.Time }
 
-func (c *closing) of(op Op) *time.Time {
+func (c *closedTimes) of(op Op) *time.Time {
 	if op.isRead() {
 		return &c.reads
 	}
