--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -156,7 +156,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout+c.Wait)
 	defer cancel()
 	if c.Wait > 0 && !r.isSuspect(c) {
-		if got, ok := r.poll(ctx, c); ok {
+		if got, ok := r.longPoll(ctx, c); ok {
 			return got.answer, got.err
 		}
 	}
@@ -164,9 +164,9 @@
 	return newRace(r, c).run(ctx)
 }
 
-// poll makes a read that waits; false if it has no answer in time. One that fails at once is
+// longPoll makes a read that waits; false if it has no answer in time. One that fails at once is
 // made again soon: a peer's time is not for that.
-func (r *Routed) poll(ctx context.Context, c Call) (result, bool) {
+func (r *Routed) longPoll(ctx context.Context, c Call) (result, bool) {
 	ctx, cancel := context.WithTimeout(ctx, c.Wait+r.overdue())
 	defer cancel()
 	a, err := r.try(ctx, c)
