--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -201,8 +201,8 @@
 	return all[:min(len(all), maxPeers)]
 }
 
-// remember notes whether a peer was served.
-func (r *Routed) remember(p string, err error) {
+// recordPeer notes whether a peer was served.
+func (r *Routed) recordPeer(p string, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !IsUnavailable(err) {
@@ -220,7 +220,7 @@
 	ctx, cancel := context.WithTimeout(ctx, 2*r.directDelay(c)+directTimeout)
 	defer cancel()
 	a, err := r.relay.Do(ctx, p, c)
-	r.remember(p, err)
+	r.recordPeer(p, err)
 	if !IsUnavailable(err) {
 		r.mu.Lock()
 		r.lastAnswer = r.now()
