--- a/internal/store/race.go
+++ b/internal/store/race.go
@@ -122,7 +122,7 @@
 	w.peers = w.peers[1:]
 	w.pending++
 	go func() {
-		a, err := w.r.ask(ctx, p, w.call)
+		a, err := w.r.callPeer(ctx, p, w.call)
 		w.results <- result{a, err}
 	}()
 }
--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -216,7 +216,7 @@
 	}
 }
 
-func (r *Routed) ask(ctx context.Context, p string, c Call) (Answer, error) {
+func (r *Routed) callPeer(ctx context.Context, p string, c Call) (Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*r.directDelay(c)+directTimeout)
 	defer cancel()
 	a, err := r.relay.Do(ctx, p, c)
