--- a/internal/store/race.go
+++ b/internal/store/race.go
@@ -107,7 +107,7 @@
 		// way is silent or slow.
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 		defer cancel()
-		a, err := w.r.try(ctx, w.call)
+		a, err := w.r.callDirect(ctx, w.call)
 		w.results <- result{a, err}
 	}()
 	return true
--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -147,7 +147,7 @@
 	// The peer has given up long before: its own calls end within the same time.
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return r.try(ctx, c)
+	return r.callDirect(ctx, c)
 }
 
 // Do makes the call. A read that waits for records does so on the direct way; if that has
@@ -169,7 +169,7 @@
 func (r *Routed) longPoll(ctx context.Context, c Call) (result, bool) {
 	ctx, cancel := context.WithTimeout(ctx, c.Wait+r.overdue())
 	defer cancel()
-	a, err := r.try(ctx, c)
+	a, err := r.callDirect(ctx, c)
 	return result{a, err}, !IsUnavailable(err) || ctx.Err() == nil
 }
 
@@ -299,11 +299,11 @@
 	}
 }
 
-// try makes the call on the direct way, and again when the store answers after it was
+// callDirect makes the call on the direct way, and again when the store answers after it was
 // silent. What was sent into the silence is never answered, and would be waited for to
 // the end of its time: a lead stored nothing for 1.6 s after the store was back, and
 // nothing began or was told as completed. That it is made twice is safe, as above.
-func (r *Routed) try(ctx context.Context, c Call) (Answer, error) {
+func (r *Routed) callDirect(ctx context.Context, c Call) (Answer, error) {
 	for {
 		began, revival := r.now(), r.recovery()
 		call := c
