--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -233,11 +233,11 @@
 func (r *Routed) isCut(c Call) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.cut(c)
+	return r.isCutLocked(c)
 }
 
-// cut is isCut; mu is held.
-func (r *Routed) cut(c Call) bool {
+// isCutLocked is isCut; mu is held.
+func (r *Routed) isCutLocked(c Call) bool {
 	return r.failed && r.target(c).suspect && r.now().Sub(r.lastDirect) > max(cutAfter, latencyFactor*r.latency)
 }
 
@@ -259,7 +259,7 @@
 	defer r.mu.Unlock()
 	wait := max(directTimeout, latencyFactor*r.latency)
 	switch {
-	case r.cut(c):
+	case r.isCutLocked(c):
 		return 0
 	case r.failed || r.target(c).suspect:
 		wait = max(suspectTimeout, latencyFactor*r.latency)
