--- a/internal/store/race.go
+++ b/internal/store/race.go
@@ -56,7 +56,7 @@
 	first := w.r.directDelay(w.call)
 	if !w.tryDirect(ctx) || w.r.isCut(w.call) {
 		w.askNextPeer(ctx)
-		first = w.r.beside(w.call)
+		first = w.r.peerDelay(w.call)
 	}
 	next := time.NewTimer(first)
 	defer next.Stop()
@@ -72,13 +72,13 @@
 			}
 			w.failed = CombineErrors(w.failed, got.err)
 			w.askNextPeer(ctx)
-			next.Reset(w.r.beside(w.call))
+			next.Reset(w.r.peerDelay(w.call))
 		case <-next.C:
 			if w.tries > 0 {
 				w.r.doubt(w.call)
 			}
 			w.askNextPeer(ctx)
-			next.Reset(w.r.beside(w.call))
+			next.Reset(w.r.peerDelay(w.call))
 		case <-again.C:
 			if w.call.Op.isRead() {
 				w.tryDirect(ctx)
--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -277,8 +277,8 @@
 	return min(max(directTimeout, latencyFactor*r.latency), maxReadWait)
 }
 
-// beside is how long a peer is waited for before the next one is asked as well.
-func (r *Routed) beside(c Call) time.Duration {
+// peerDelay is how long a peer is waited for before the next one is asked as well.
+func (r *Routed) peerDelay(c Call) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if c.Op.isRead() {
