--- a/internal/store/race.go
+++ b/internal/store/race.go
@@ -60,7 +60,7 @@
 	}
 	next := time.NewTimer(first)
 	defer next.Stop()
-	pause := w.r.overdue()
+	pause := w.r.retryDelay()
 	again := time.NewTimer(pause)
 	defer again.Stop()
 	for w.pending > 0 {
--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -167,7 +167,7 @@
 // longPoll makes a read that waits; false if it has no answer in time. One that fails at once is
 // made again soon: a peer's time is not for that.
 func (r *Routed) longPoll(ctx context.Context, c Call) (result, bool) {
-	ctx, cancel := context.WithTimeout(ctx, c.Wait+r.overdue())
+	ctx, cancel := context.WithTimeout(ctx, c.Wait+r.retryDelay())
 	defer cancel()
 	a, err := r.callDirect(ctx, c)
 	return result{a, err}, !IsUnavailable(err) || ctx.Err() == nil
@@ -270,8 +270,8 @@
 	return wait
 }
 
-// overdue is how long a read is waited for on the direct way before it is made again.
-func (r *Routed) overdue() time.Duration {
+// retryDelay is how long a read is waited for on the direct way before it is made again.
+func (r *Routed) retryDelay() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return min(max(directTimeout, latencyFactor*r.latency), maxReadWait)
