--- a/internal/store/race.go
+++ b/internal/store/race.go
@@ -75,7 +75,7 @@
 			next.Reset(w.r.peerDelay(w.call))
 		case <-next.C:
 			if w.tries > 0 {
-				w.r.doubt(w.call)
+				w.r.markSilent(w.call)
 			}
 			w.askNextPeer(ctx)
 			next.Reset(w.r.peerDelay(w.call))
--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -287,8 +287,8 @@
 	return max(directTimeout, latencyFactor*r.latency)
 }
 
-// doubt notes that the direct way has not answered for longer than usual.
-func (r *Routed) doubt(c Call) {
+// markSilent notes that the direct way has not answered for longer than usual.
+func (r *Routed) markSilent(c Call) {
 	r.mu.Lock()
 	was := r.target(c).suspect
 	r.target(c).suspect, r.failed = true, true
