--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -319,7 +319,7 @@
 			cancel()
 			if !errors.Is(ctx.Err(), context.Canceled) {
 				// Otherwise the caller left, which says nothing of the store.
-				r.tell(c, began, got.err)
+				r.recordDirect(c, began, got.err)
 			}
 			return got.answer, got.err
 		case <-revival:
@@ -342,9 +342,9 @@
 	return r.target(c).silent
 }
 
-// tell takes note of how a direct call went. A failure of a call that began before the last
+// recordDirect takes note of how a direct call went. A failure of a call that began before the last
 // answer says nothing any more.
-func (r *Routed) tell(c Call, began time.Time, err error) {
+func (r *Routed) recordDirect(c Call, began time.Time, err error) {
 	now := r.now()
 	r.mu.Lock()
 	t := r.target(c)
