--- a/internal/peer/bound.go
+++ b/internal/peer/bound.go
@@ -17,8 +17,8 @@
 const (
 	// maxMessage holds the largest body in base64 and a copy of the table.
 	maxMessage = 8 << 20
-	// messageWait bounds the reading of one message once it has begun.
-	messageWait = 10 * time.Second
+	// messageTimeout bounds the reading of one message once it has begun.
+	messageTimeout = 10 * time.Second
 )
 
 // SizeError tells that a message is larger than any that hosts send.
@@ -40,7 +40,7 @@
 	if _, err := r.Peek(1); err != nil {
 		return err
 	}
-	_ = c.conn.SetReadDeadline(time.Now().Add(messageWait))
+	_ = c.conn.SetReadDeadline(time.Now().Add(messageTimeout))
 	defer func() { _ = c.conn.SetReadDeadline(time.Time{}) }()
 	size, err := binary.ReadUvarint(r)
 	if err != nil {
--- a/internal/peer/bound_test.go
+++ b/internal/peer/bound_test.go
@@ -79,7 +79,7 @@
 			}
 		})
 		require.ErrorIs(t, <-done, os.ErrDeadlineExceeded)
-		require.Equal(t, messageWait, time.Since(began))
+		require.Equal(t, messageTimeout, time.Since(began))
 		require.Equal(t, 1, counted)
 		require.NoError(t, theirs.Close())
 		require.NoError(t, ours.Close())
