--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -13,8 +13,8 @@
 // Bounds of a connection to a peer. A question on a connection that has gone
 // silent fails after lookEvery + doubtAfter + pingWait at the latest.
 const (
-	// lookEvery is how often a connection is looked at.
-	lookEvery = 250 * time.Millisecond
+	// checkInterval is how often a connection is looked at.
+	checkInterval = 250 * time.Millisecond
 	// doubtAfter is how long a question may go without any answer on its
 	// connection before the connection is asked for a sign of life.
 	doubtAfter = 250 * time.Millisecond
@@ -128,7 +128,7 @@
 }
 
 func (l *link) watch() {
-	t := time.NewTicker(lookEvery)
+	t := time.NewTicker(checkInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -168,7 +168,7 @@
 		select {
 		case ok := <-good:
 			return ok
-		case <-time.After(min(left, lookEvery)):
+		case <-time.After(min(left, checkInterval)):
 		}
 	}
 }
