--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -15,9 +15,9 @@
 const (
 	// checkInterval is how often a connection is looked at.
 	checkInterval = 250 * time.Millisecond
-	// doubtAfter is how long a question may go without any answer on its
+	// suspectAfter is how long a question may go without any answer on its
 	// connection before the connection is asked for a sign of life.
-	doubtAfter = 250 * time.Millisecond
+	suspectAfter = 250 * time.Millisecond
 	// idleAfter is the same for a connection with no question open: heartbeats
 	// have no answer, and without it they would go unheard for good.
 	idleAfter = time.Second
@@ -147,7 +147,7 @@
 func (l *link) doubtful() bool {
 	quiet := time.Since(l.began) - time.Duration(l.good.Load())
 	if l.open.Load() > 0 {
-		return quiet > doubtAfter
+		return quiet > suspectAfter
 	}
 	return quiet > l.idle
 }
--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -73,7 +73,7 @@
 	return string(reply.Body), err
 }
 
-const silentBound = checkInterval + doubtAfter + pingWait
+const silentBound = checkInterval + suspectAfter + pingWait
 
 // A connection between two entry hosts goes dead without a reset, in both
 // directions or in one, under a request. The caller must hear unknown within
