--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -24,8 +24,8 @@
 	// spareAfter is the same for a further connection, which carries no
 	// heartbeats; it bounds the traffic of pings.
 	spareAfter = 30 * time.Second
-	// pingWait is how long that sign may take.
-	pingWait = time.Second
+	// pingTimeout is how long that sign may take.
+	pingTimeout = time.Second
 	// slowest is the rate in bytes a second at which what was sent before the
 	// question may still be on its way.
 	slowest = 256 << 10
@@ -178,7 +178,7 @@
 func (l *link) pingTime() time.Duration {
 	sent := l.sent.Load()
 	if sent < large {
-		return pingWait
+		return pingTimeout
 	}
-	return pingWait + time.Duration(sent)*time.Second/slowest
+	return pingTimeout + time.Duration(sent)*time.Second/slowest
 }
--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -73,7 +73,7 @@
 	return string(reply.Body), err
 }
 
-const silentBound = checkInterval + suspectAfter + pingWait
+const silentBound = checkInterval + suspectAfter + pingTimeout
 
 // A connection between two entry hosts goes dead without a reset, in both
 // directions or in one, under a request. The caller must hear unknown within
@@ -120,7 +120,7 @@
 		synctest.Wait()
 		require.Equal(t, 1, heard)
 		p.conns[0].out.Store(true)
-		time.Sleep(idleAfter + pingWait + 2*checkInterval)
+		time.Sleep(idleAfter + pingTimeout + 2*checkInterval)
 		require.NoError(t, p.Notify(context.Background(), "peer", Leave{}))
 		synctest.Wait()
 		require.Equal(t, 2, heard)
