--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -26,9 +26,9 @@
 	spareAfter = 30 * time.Second
 	// pingTimeout is how long that sign may take.
 	pingTimeout = time.Second
-	// slowest is the rate in bytes a second at which what was sent before the
+	// minRate is the rate in bytes a second at which what was sent before the
 	// question may still be on its way.
-	slowest = 256 << 10
+	minRate = 256 << 10
 	// large is how many bytes sent make that count.
 	large = 16 << 10
 )
@@ -180,5 +180,5 @@
 	if sent < large {
 		return pingTimeout
 	}
-	return pingTimeout + time.Duration(sent)*time.Second/slowest
+	return pingTimeout + time.Duration(sent)*time.Second/minRate
 }
