--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -29,8 +29,8 @@
 	// minRate is the rate in bytes a second at which what was sent before the
 	// question may still be on its way.
 	minRate = 256 << 10
-	// large is how many bytes sent make that count.
-	large = 16 << 10
+	// largeWrite is how many bytes sent make that count.
+	largeWrite = 16 << 10
 )
 
 // link is one connection to a peer. It watches over itself: a connection may
@@ -177,7 +177,7 @@
 // being written, which the question has to wait for.
 func (l *link) pingTime() time.Duration {
 	sent := l.sent.Load()
-	if sent < large {
+	if sent < largeWrite {
 		return pingTimeout
 	}
 	return pingTimeout + time.Duration(sent)*time.Second/minRate
