--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -43,9 +43,9 @@
 	ended atomic.Bool
 	// open counts questions without an answer; good is when the last answer
 	// came, in nanoseconds since began.
-	open  atomic.Int64
-	good  atomic.Int64
-	began time.Time
+	open     atomic.Int64
+	lastRead atomic.Int64
+	began    time.Time
 	// idle is how long the link may go without any answer and no question open.
 	idle time.Duration
 	// sent is how many bytes were written since the last sign of life.
@@ -83,7 +83,7 @@
 
 func (l *link) alive() {
 	l.sent.Store(0)
-	l.good.Store(int64(time.Since(l.began)))
+	l.lastRead.Store(int64(time.Since(l.began)))
 }
 
 // closed tells whether the link has ended. The library fails the questions under way
@@ -145,7 +145,7 @@
 }
 
 func (l *link) doubtful() bool {
-	quiet := time.Since(l.began) - time.Duration(l.good.Load())
+	quiet := time.Since(l.began) - time.Duration(l.lastRead.Load())
 	if l.open.Load() > 0 {
 		return quiet > suspectAfter
 	}
