--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -71,7 +71,7 @@
 func (m meter) Read(b []byte) (int, error) {
 	n, err := m.Conn.Read(b)
 	if n > 0 {
-		m.link.alive()
+		m.link.recordRead()
 	}
 	return n, err
 }
@@ -81,7 +81,7 @@
 	return m.Conn.Write(b)
 }
 
-func (l *link) alive() {
+func (l *link) recordRead() {
 	l.sent.Store(0)
 	l.lastRead.Store(int64(time.Since(l.began)))
 }
