--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -136,7 +136,7 @@
 			return
 		case <-t.C:
 		}
-		if l.doubtful() && !l.ping() && !l.closed() {
+		if l.isSuspect() && !l.ping() && !l.closed() {
 			l.silent.Add(1)
 			l.close()
 			return
@@ -144,7 +144,7 @@
 	}
 }
 
-func (l *link) doubtful() bool {
+func (l *link) isSuspect() bool {
 	quiet := time.Since(l.began) - time.Duration(l.lastRead.Load())
 	if l.open.Load() > 0 {
 		return quiet > suspectAfter
