--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -161,7 +161,7 @@
 	go func() { good <- answered(l.rpc.Call(ctx, Ping{}.method(), Ping{}, nil)) }()
 	began := time.Now()
 	for {
-		left := l.pingTime() - time.Since(began)
+		left := l.pingLimit() - time.Since(began)
 		if left <= 0 {
 			return false
 		}
@@ -173,9 +173,9 @@
 	}
 }
 
-// pingTime is how long an answer may take. It grows while a large message is
+// pingLimit is how long an answer may take. It grows while a large message is
 // being written, which the question has to wait for.
-func (l *link) pingTime() time.Duration {
+func (l *link) pingLimit() time.Duration {
 	sent := l.sent.Load()
 	if sent < largeWrite {
 		return pingTimeout
