--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -54,7 +54,7 @@
 	AnnounceSuccessor{},
 }
 
-var types = func() map[string]reflect.Type {
+var messageTypes = func() map[string]reflect.Type {
 	m := map[string]reflect.Type{}
 	for _, msg := range messages {
 		m[msg.method()] = reflect.TypeOf(msg)
@@ -138,7 +138,7 @@
 }
 
 func (s *Server) handle(ctx context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
-	typ, ok := types[req.Method]
+	typ, ok := messageTypes[req.Method]
 	if !ok || req.Params == nil {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: req.Method}
 	}
