--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -50,7 +50,7 @@
 	s := NewServer(answer)
 	p.dial = func(context.Context, netip.AddrPort) (net.Conn, error) {
 		here, there := net.Pipe()
-		go s.talk(ctx, there)
+		go s.serveConn(ctx, there)
 		p.conns = append(p.conns, &dumb{Conn: here})
 		return p.conns[len(p.conns)-1], nil
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -116,11 +116,11 @@
 			s.wg.Wait()
 			return
 		}
-		s.wg.Go(func() { s.talk(ctx, conn) })
+		s.wg.Go(func() { s.serveConn(ctx, conn) })
 	}
 }
 
-func (s *Server) talk(ctx context.Context, conn net.Conn) {
+func (s *Server) serveConn(ctx context.Context, conn net.Conn) {
 	dial.Bound(conn)
 	c := jsonrpc2.NewConn(withSender(ctx, conn), stream(conn, s.count), jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(s.handle)), quiet)
 	select {
