--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -95,13 +95,13 @@
 
 // Server takes messages from peers until its context ends.
 type Server struct {
-	answer Handler
-	count  func(reason string)
-	wg     sync.WaitGroup
+	handler Handler
+	count   func(reason string)
+	wg      sync.WaitGroup
 }
 
 // NewServer returns a server that answers with a.
-func NewServer(a Handler) *Server { return &Server{answer: a, count: func(string) {}} }
+func NewServer(a Handler) *Server { return &Server{handler: a, count: func(string) {}} }
 
 // OnRejected has every message that is turned away counted with its reason.
 func (s *Server) OnRejected(f func(reason string)) { s.count = f }
@@ -151,7 +151,7 @@
 	}
 	// The library ends ctx with the connection: what only waits here, in a
 	// queue or for a key, then frees its place.
-	return s.answer(ctx, v.Elem().Interface().(Message))
+	return s.handler(ctx, v.Elem().Interface().(Message))
 }
 
 // Lanes are the connections to one peer. The library holds a lock while it
