--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -122,7 +122,7 @@
 
 func (s *Server) serveConn(ctx context.Context, conn net.Conn) {
 	dial.Bound(conn)
-	c := jsonrpc2.NewConn(withSender(ctx, conn), stream(conn, s.count), jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(s.handle)), quiet)
+	c := jsonrpc2.NewConn(withSender(ctx, conn), stream(conn, s.count), jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(s.handle)), discardLog)
 	select {
 	case <-ctx.Done():
 		_ = c.Close()
@@ -130,8 +130,8 @@
 	}
 }
 
-// quiet keeps the library from writing to standard error by itself.
-var quiet = jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
+// discardLog keeps the library from writing to standard error by itself.
+var discardLog = jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
 
 func stream(conn net.Conn, count func(reason string)) jsonrpc2.ObjectStream {
 	return jsonrpc2.NewBufferedStream(conn, boundedCodec{conn: conn, count: count})
