--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -223,15 +223,15 @@
 		return struct{}{}, nil
 	})
 	done := make(chan error, 100)
-	for i := range busy * (lanes + 1) {
+	for i := range busy * (maxConns + 1) {
 		go func() { done <- p.Ask(context.Background(), "peer", OpenKey{}, nil) }()
 		<-asked
-		require.Len(t, p.conns, min(i/busy+1, lanes))
+		require.Len(t, p.conns, min(i/busy+1, maxConns))
 	}
 	close(letGo)
-	for range busy * (lanes + 1) {
+	for range busy * (maxConns + 1) {
 		require.NoError(t, <-done)
 	}
 	require.NoError(t, p.Ask(context.Background(), "peer", OpenKey{}, nil))
-	require.Len(t, p.conns, lanes)
+	require.Len(t, p.conns, maxConns)
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -158,7 +158,7 @@
 // writes a message, so that on a single connection many questions at once wait
 // for each other; a further one is opened when all others are busy.
 const (
-	lanes = 4
+	maxConns = 4
 	// busy is how many open questions make a connection busy.
 	busy = 4
 )
@@ -311,7 +311,7 @@
 // questions when all are; mu is held.
 func (c *Clients) pick(name string) lane {
 	best, least := lane{name: name}, int64(math.MaxInt64)
-	for i := range lanes {
+	for i := range maxConns {
 		at := lane{name: name, index: i}
 		conn := c.conns[at]
 		if conn == nil || conn.closed() || conn.open.Load() < busy {
