--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -223,13 +223,13 @@
 		return struct{}{}, nil
 	})
 	done := make(chan error, 100)
-	for i := range busy * (maxConns + 1) {
+	for i := range busyRequests * (maxConns + 1) {
 		go func() { done <- p.Ask(context.Background(), "peer", OpenKey{}, nil) }()
 		<-asked
-		require.Len(t, p.conns, min(i/busy+1, maxConns))
+		require.Len(t, p.conns, min(i/busyRequests+1, maxConns))
 	}
 	close(letGo)
-	for range busy * (maxConns + 1) {
+	for range busyRequests * (maxConns + 1) {
 		require.NoError(t, <-done)
 	}
 	require.NoError(t, p.Ask(context.Background(), "peer", OpenKey{}, nil))
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -159,8 +159,8 @@
 // for each other; a further one is opened when all others are busy.
 const (
 	maxConns = 4
-	// busy is how many open questions make a connection busy.
-	busy = 4
+	// busyRequests is how many open questions make a connection busyRequests.
+	busyRequests = 4
 )
 
 type lane struct {
@@ -314,7 +314,7 @@
 	for i := range maxConns {
 		at := lane{name: name, index: i}
 		conn := c.conns[at]
-		if conn == nil || conn.closed() || conn.open.Load() < busy {
+		if conn == nil || conn.closed() || conn.open.Load() < busyRequests {
 			return at
 		}
 		if n := conn.open.Load(); n < least {
