--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -163,7 +163,7 @@
 	busyRequests = 4
 )
 
-type lane struct {
+type connKey struct {
 	name  string
 	index int
 }
@@ -172,7 +172,7 @@
 type Clients struct {
 	mu    sync.Mutex
 	addrs map[string]netip.AddrPort
-	conns map[lane]*link
+	conns map[connKey]*link
 	// silent counts connections that were given up because they were silent.
 	silent atomic.Int64
 	dial   func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)
@@ -182,7 +182,7 @@
 
 // NewClients returns clients for the peers at these addresses.
 func NewClients(addrs map[string]netip.AddrPort) *Clients {
-	return &Clients{addrs: addrs, conns: map[lane]*link{}, dial: dialTCP, lost: func(string) {}}
+	return &Clients{addrs: addrs, conns: map[connKey]*link{}, dial: dialTCP, lost: func(string) {}}
 }
 
 // OnDisconnect sets what is told when a connection to a peer has ended, for whatever reason. It
@@ -245,7 +245,7 @@
 // In a large cell a probe a second to everybody costs more than all heartbeats.
 func (c *Clients) SetIdleTime(idle func(name string) time.Duration) { c.idle = idle }
 
-func (c *Clients) idleFor(at lane) time.Duration {
+func (c *Clients) idleFor(at connKey) time.Duration {
 	switch {
 	case at.index > 0:
 		return spareAfter
@@ -309,10 +309,10 @@
 
 // pick is the first lane that is not busy, or the one with the fewest open
 // questions when all are; mu is held.
-func (c *Clients) pick(name string) lane {
-	best, least := lane{name: name}, int64(math.MaxInt64)
+func (c *Clients) pick(name string) connKey {
+	best, least := connKey{name: name}, int64(math.MaxInt64)
 	for i := range maxConns {
-		at := lane{name: name, index: i}
+		at := connKey{name: name, index: i}
 		conn := c.conns[at]
 		if conn == nil || conn.closed() || conn.open.Load() < busyRequests {
 			return at
@@ -325,7 +325,7 @@
 }
 
 // keep stores a fresh connection unless another one was made meanwhile.
-func (c *Clients) keep(at lane, old, fresh *link) *link {
+func (c *Clients) keep(at connKey, old, fresh *link) *link {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if cur := c.conns[at]; cur != nil && cur != old {
