--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -174,20 +174,20 @@
 	addrs map[string]netip.AddrPort
 	conns map[connKey]*link
 	// silent counts connections that were given up because they were silent.
-	silent atomic.Int64
-	dial   func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)
-	idle   func(name string) time.Duration
-	lost   func(name string)
+	silent       atomic.Int64
+	dial         func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)
+	idle         func(name string) time.Duration
+	onDisconnect func(name string)
 }
 
 // NewClients returns clients for the peers at these addresses.
 func NewClients(addrs map[string]netip.AddrPort) *Clients {
-	return &Clients{addrs: addrs, conns: map[connKey]*link{}, dial: dialTCP, lost: func(string) {}}
+	return &Clients{addrs: addrs, conns: map[connKey]*link{}, dial: dialTCP, onDisconnect: func(string) {}}
 }
 
 // OnDisconnect sets what is told when a connection to a peer has ended, for whatever reason. It
 // must be called before the first message.
-func (c *Clients) OnDisconnect(f func(name string)) { c.lost = f }
+func (c *Clients) OnDisconnect(f func(name string)) { c.onDisconnect = f }
 
 // Reachability is what a new connection to a peer meets.
 type Reachability int
@@ -335,7 +335,7 @@
 	c.conns[at] = fresh
 	go func() {
 		<-fresh.rpc.DisconnectNotify()
-		c.lost(at.name)
+		c.onDisconnect(at.name)
 	}()
 	return fresh
 }
