--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -294,7 +294,7 @@
 
 func (c *Clients) conn(ctx context.Context, name string) (*link, error) {
 	c.mu.Lock()
-	at := c.pick(name)
+	at := c.pickConn(name)
 	conn, addr := c.conns[at], c.addrs[name]
 	c.mu.Unlock()
 	if conn != nil && !conn.closed() {
@@ -307,9 +307,9 @@
 	return c.keep(at, conn, newLink(raw, c.idleFor(at), &c.silent)), nil
 }
 
-// pick is the first lane that is not busy, or the one with the fewest open
+// pickConn is the first lane that is not busy, or the one with the fewest open
 // questions when all are; mu is held.
-func (c *Clients) pick(name string) connKey {
+func (c *Clients) pickConn(name string) connKey {
 	best, least := connKey{name: name}, int64(math.MaxInt64)
 	for i := range maxConns {
 		at := connKey{name: name, index: i}
