--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -304,7 +304,7 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "dial %s", addr)
 	}
-	return c.keep(at, conn, newLink(raw, c.idleFor(at), &c.silent)), nil
+	return c.storeConn(at, conn, newLink(raw, c.idleFor(at), &c.silent)), nil
 }
 
 // pickConn is the first lane that is not busy, or the one with the fewest open
@@ -324,8 +324,8 @@
 	return best
 }
 
-// keep stores a fresh connection unless another one was made meanwhile.
-func (c *Clients) keep(at connKey, old, fresh *link) *link {
+// storeConn stores a fresh connection unless another one was made meanwhile.
+func (c *Clients) storeConn(at connKey, old, fresh *link) *link {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if cur := c.conns[at]; cur != nil && cur != old {
