--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -56,7 +56,7 @@
 
 func newLink(raw net.Conn, idle time.Duration, silent *atomic.Int64) *link {
 	l := &link{raw: raw, began: time.Now(), idle: idle, silent: silent}
-	l.rpc = jsonrpc2.NewConn(context.Background(), stream(meter{Conn: raw, link: l}, func(string) {}), jsonrpc2.HandlerWithError(noQuestions), discardLog)
+	l.rpc = jsonrpc2.NewConn(context.Background(), stream(meter{Conn: raw, link: l}, func(string) {}), jsonrpc2.HandlerWithError(rejectRequest), discardLog)
 	go l.watch()
 	return l
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -340,7 +340,7 @@
 	return fresh
 }
 
-func noQuestions(_ context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
+func rejectRequest(_ context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
 	return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: req.Method}
 }
 
