--- a/internal/joblog/joblog.go
+++ b/internal/joblog/joblog.go
@@ -37,7 +37,7 @@
 	if r.State == "" {
 		r.State, r.Ran, r.Reason = older.State, older.Ran, older.Reason
 	}
-	r.Crashes = most(older.Crashes, r.Crashes)
+	r.Crashes = maxCounts(older.Crashes, r.Crashes)
 	return r
 }
 
@@ -60,7 +60,7 @@
 	return true
 }
 
-func most(a, b map[string]int64) map[string]int64 {
+func maxCounts(a, b map[string]int64) map[string]int64 {
 	if len(a) == 0 {
 		return b
 	}
@@ -138,7 +138,7 @@
 	if r.Spec != nil {
 		e.spec = *r.Spec
 	}
-	e.lives = most(e.lives, r.Crashes)
+	e.lives = maxCounts(e.lives, r.Crashes)
 	if offset > 0 {
 		e.offset = offset
 	}
