--- a/internal/joblog/joblog.go
+++ b/internal/joblog/joblog.go
@@ -78,8 +78,8 @@
 	return b, errors.Wrap(err, "encode job records")
 }
 
-// endedJobs bounds how many ended jobs are remembered.
-const endedJobs = 50_000
+// maxEndedJobs bounds how many ended jobs are remembered.
+const maxEndedJobs = 50_000
 
 type entry struct {
 	spec   job.Spec
@@ -150,7 +150,7 @@
 }
 
 func (l *Log) trim() {
-	if over := len(l.ended) - endedJobs; over > 0 {
+	if over := len(l.ended) - maxEndedJobs; over > 0 {
 		for _, id := range l.ended[:over] {
 			delete(l.jobs, id)
 		}
