--- a/internal/joblog/joblog.go
+++ b/internal/joblog/joblog.go
@@ -82,12 +82,12 @@
 const maxEndedJobs = 50_000
 
 type entry struct {
-	spec   job.Spec
-	state  string
-	ran    bool
-	reason string
-	lives  map[string]int64
-	offset int64
+	spec    job.Spec
+	state   string
+	ran     bool
+	reason  string
+	crashes map[string]int64
+	offset  int64
 }
 
 // Log is the fold of all records read until now.
@@ -138,7 +138,7 @@
 	if r.Spec != nil {
 		e.spec = *r.Spec
 	}
-	e.lives = maxCounts(e.lives, r.Crashes)
+	e.crashes = maxCounts(e.crashes, r.Crashes)
 	if offset > 0 {
 		e.offset = offset
 	}
@@ -199,7 +199,7 @@
 	if !ok {
 		return nil
 	}
-	return maps.Clone(e.lives)
+	return maps.Clone(e.crashes)
 }
 
 // Written tells whether the log itself, not only memory, has a record of the job.
