--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -181,7 +181,7 @@
 		case n < 15:
 			d.storeDown = !d.storeDown
 		case n < 18:
-			spare = d.disturb(r, spare)
+			spare = d.injectFault(r, spare)
 		case n < 19:
 			d.step(sched.Workers{})
 		}
--- a/internal/sched/history_test.go
+++ b/internal/sched/history_test.go
@@ -94,7 +94,7 @@
 				b.storeTime = func() time.Duration { return time.Duration(1+r.IntN(600)) * time.Millisecond }
 			}
 		case n < 18:
-			spare = b.disturb(r, spare)
+			spare = b.injectFault(r, spare)
 		}
 		if crashes != nil {
 			b.maybeCrashWorker(crashes)
@@ -137,8 +137,8 @@
 	}
 }
 
-// disturb does something to one worker; spare numbers workers that come anew.
-func (b *simCell) disturb(r *rand.Rand, spare int) int {
+// injectFault does something to one worker; spare numbers workers that come anew.
+func (b *simCell) injectFault(r *rand.Rand, spare int) int {
 	all := b.sortedWorkers()
 	w := all[r.IntN(len(all))]
 	switch r.IntN(7) {
