--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -186,7 +186,7 @@
 			d.step(sched.Workers{})
 		}
 		d.advance(time.Duration(r.IntN(500)) * time.Millisecond)
-		d.resizeSome(sizes)
+		d.resizeRandomWorkers(sizes)
 	}
 	d.calm()
 	d.advance(recoveryTime)
--- a/internal/sched/history_test.go
+++ b/internal/sched/history_test.go
@@ -100,7 +100,7 @@
 			b.maybeCrashWorker(crashes)
 		}
 		b.advance(time.Duration(r.IntN(700)) * time.Millisecond)
-		b.resizeSome(sizes)
+		b.resizeRandomWorkers(sizes)
 	}
 	b.calm()
 	b.advance(90 * time.Second)
@@ -165,9 +165,9 @@
 	return spare
 }
 
-// resizeSome gives a worker or two another size, down to none, or what they had at first; sizes
+// resizeRandomWorkers gives a worker or two another size, down to none, or what they had at first; sizes
 // is nil for none.
-func (b *simCell) resizeSome(sizes *rand.Rand) {
+func (b *simCell) resizeRandomWorkers(sizes *rand.Rand) {
 	if sizes == nil {
 		return
 	}
