--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -188,7 +188,7 @@
 		d.advance(time.Duration(r.IntN(500)) * time.Millisecond)
 		d.resizeRandomWorkers(sizes)
 	}
-	d.calm()
+	d.clearFaults()
 	d.advance(recoveryTime)
 	d.checkNotIdle(3 * time.Minute)
 	require.Empty(t, d.violations)
--- a/internal/sched/history_test.go
+++ b/internal/sched/history_test.go
@@ -102,7 +102,7 @@
 		b.advance(time.Duration(r.IntN(700)) * time.Millisecond)
 		b.resizeRandomWorkers(sizes)
 	}
-	b.calm()
+	b.clearFaults()
 	b.advance(90 * time.Second)
 	maps.DeleteFunc(jobs, func(id string, _ bool) bool { return b.state(id).Final() })
 	if crashes != nil {
@@ -190,8 +190,8 @@
 	}
 }
 
-// calm ends all faults that can end.
-func (b *simCell) calm() {
+// clearFaults ends all faults that can end.
+func (b *simCell) clearFaults() {
 	b.storeDown, b.storeTime = false, nil
 	for _, w := range b.sortedWorkers() {
 		w.setSize(w.originalSize())
