--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -23,8 +23,8 @@
 	maxLateStarts = 2
 )
 
-// crash ends the worker's life if that run is still there.
-func (w *fakeWorker) crash(n flow.Name, r *fakeRun) {
+// crashUnder ends the worker's life if that run is still there.
+func (w *fakeWorker) crashUnder(n flow.Name, r *fakeRun) {
 	if w.dead || w.runs[n] != r {
 		return
 	}
