--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -29,11 +29,11 @@
 		return
 	}
 	w.b.crashed[n]++
-	w.die()
+	w.endIncarnation()
 }
 
-// die ends the worker's life; the next one is listed later, at another address.
-func (w *fakeWorker) die() {
+// endIncarnation ends the worker's life; the next one is listed later, at another address.
+func (w *fakeWorker) endIncarnation() {
 	b := w.b
 	b.endedIncarnations++
 	w.dead = true
@@ -239,7 +239,7 @@
 		b.advance(20 * time.Second)
 		for _, w := range b.sortedWorkers() {
 			if !w.dead && len(w.runs) > 0 {
-				w.die()
+				w.endIncarnation()
 			}
 		}
 	}
@@ -304,7 +304,7 @@
 		}
 		for _, w := range b.sortedWorkers() {
 			if w.info.Rack == rack && !w.dead {
-				w.die()
+				w.endIncarnation()
 			}
 		}
 	}
--- a/internal/sched/history_test.go
+++ b/internal/sched/history_test.go
@@ -133,7 +133,7 @@
 		return
 	}
 	if w := b.sortedWorkers()[r.IntN(len(b.workers))]; !w.dead {
-		w.die()
+		w.endIncarnation()
 	}
 }
 
