--- a/internal/sched/crash_cells_test.go
+++ b/internal/sched/crash_cells_test.go
@@ -18,7 +18,7 @@
 			r := rand.New(rand.NewPCG(seed, 7))
 			b := newSimCell(t, 6+r.IntN(8))
 			b.copies = r.IntN(2) == 0
-			b.badJobs("bad0", "bad1")
+			b.markCrashing("bad0", "bad1")
 			b.restartExtra = time.Duration(r.IntN(3000)) * time.Millisecond
 			b.advance(time.Duration(r.IntN(1000)) * time.Millisecond)
 			bad := scan(3)
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -48,8 +48,8 @@
 	})
 }
 
-// badJobs makes all tasks of these jobs crash their workers.
-func (b *simCell) badJobs(ids ...string) {
+// markCrashing makes all tasks of these jobs crash their workers.
+func (b *simCell) markCrashing(ids ...string) {
 	b.crashesWorker = func(n flow.Name) bool {
 		for _, id := range ids {
 			if n.Job == id {
@@ -116,7 +116,7 @@
 		t.Run(k.name, func(t *testing.T) {
 			b := newSimCell(t, 8)
 			b.copies = k.step().AllowCopies
-			b.badJobs("bad")
+			b.markCrashing("bad")
 			b.advance(100 * time.Millisecond)
 			b.submit("bad", "scan", k.step())
 			b.advance(100 * time.Second)
@@ -132,7 +132,7 @@
 // One round after the other of a timed job crashes its workers.
 func TestATimedJobThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	b := newSimCell(t, 8)
-	b.badJobs("bad")
+	b.markCrashing("bad")
 	b.submitTimed("bad", flow.Repeat{Count: 30, First: b.now.Add(time.Second), Every: 3 * time.Second}, scan(1))
 	b.advance(100 * time.Second)
 	b.requireGivenUp("bad")
@@ -146,7 +146,7 @@
 			t.Run(fmt.Sprintf("copies_%t_%s", copies, after), func(t *testing.T) {
 				b := newSimCell(t, 8)
 				b.copies = copies
-				b.badJobs("bad")
+				b.markCrashing("bad")
 				st := scan(1)
 				st.AllowCopies = copies
 				b.advance(100 * time.Millisecond)
@@ -174,7 +174,7 @@
 		t.Run(fmt.Sprintf("copies_%t", copies), func(t *testing.T) {
 			b := newSimCell(t, 8)
 			b.copies = copies
-			b.badJobs("bad0", "bad1")
+			b.markCrashing("bad0", "bad1")
 			b.advance(100 * time.Millisecond)
 			bad := scan(3)
 			bad.AllowCopies = copies
@@ -202,7 +202,7 @@
 func TestNoStartIsMadeBeforeACrashIsStored(t *testing.T) {
 	b := newSimCell(t, 8)
 	b.copies = true
-	b.badJobs("bad")
+	b.markCrashing("bad")
 	b.advance(100 * time.Millisecond)
 	st := scan(1)
 	st.AllowCopies = true
@@ -219,7 +219,7 @@
 // The answer to a start is lost because the task ended the life of its worker at once.
 func TestAStartWithoutAnAnswerCountsWhenItsWorkerCrashed(t *testing.T) {
 	b := newSimCell(t, 8)
-	b.badJobs("bad")
+	b.markCrashing("bad")
 	b.advance(100 * time.Millisecond)
 	for _, w := range b.sortedWorkers() {
 		w.startDelay = time.Millisecond
@@ -318,7 +318,7 @@
 func TestALifeThatIsListedNoLongerIsAskedWhetherItEnded(t *testing.T) {
 	b := newSimCell(t, 8)
 	b.copies, b.restartExtra = true, 3*time.Second
-	b.badJobs("bad")
+	b.markCrashing("bad")
 	st := scan(1)
 	st.AllowCopies = true
 	b.advance(100 * time.Millisecond)
