--- a/internal/sched/crash_cells_test.go
+++ b/internal/sched/crash_cells_test.go
@@ -37,8 +37,8 @@
 				b.advance(time.Duration(r.IntN(300)) * time.Millisecond)
 			}
 			b.advance(60 * time.Second)
-			b.requireGivenUp("bad0")
-			b.requireGivenUp("bad1")
+			b.requireFailed("bad0")
+			b.requireFailed("bad1")
 			for i := range 20 {
 				id := fmt.Sprintf("good%02d", i)
 				require.Equal(t, flow.Completed, b.state(id), id)
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// requireGivenUp checks that a job ended as failed without many starts after the third crash.
-func (b *simCell) requireGivenUp(id string) {
+// requireFailed checks that a job ended as failed without many starts after the third crash.
+func (b *simCell) requireFailed(id string) {
 	b.t.Helper()
 	require.Equal(b.t, flow.Failed, b.state(id))
 	b.requireFewLate()
@@ -120,7 +120,7 @@
 			b.advance(100 * time.Millisecond)
 			b.submit("bad", "scan", k.step())
 			b.advance(100 * time.Second)
-			b.requireGivenUp("bad")
+			b.requireFailed("bad")
 			require.Empty(t, b.violations)
 			require.LessOrEqual(t, b.endedIncarnations, 9)
 			require.Len(t, b.failedNotes, 1)
@@ -135,7 +135,7 @@
 	b.markCrashing("bad")
 	b.submitTimed("bad", flow.Repeat{Count: 30, First: b.now.Add(time.Second), Every: 3 * time.Second}, scan(1))
 	b.advance(100 * time.Second)
-	b.requireGivenUp("bad")
+	b.requireFailed("bad")
 	require.LessOrEqual(t, b.endedIncarnations, 9)
 }
 
@@ -160,7 +160,7 @@
 						b.takeover()
 					}
 				}
-				b.requireGivenUp("bad")
+				b.requireFailed("bad")
 				require.LessOrEqual(t, b.endedIncarnations, 5)
 				require.Empty(t, b.violations)
 			})
@@ -187,8 +187,8 @@
 				b.advance(150 * time.Millisecond)
 			}
 			b.advance(120 * time.Second)
-			b.requireGivenUp("bad0")
-			b.requireGivenUp("bad1")
+			b.requireFailed("bad0")
+			b.requireFailed("bad1")
 			for i := range 20 {
 				require.Equal(t, flow.Completed, b.state(fmt.Sprintf("good%02d", i)), "good%02d", i)
 			}
@@ -213,7 +213,7 @@
 	b.storeDown = false
 	b.storeTime = func() time.Duration { return 600 * time.Millisecond }
 	b.advance(100 * time.Second)
-	b.requireGivenUp("bad")
+	b.requireFailed("bad")
 }
 
 // The answer to a start is lost because the task ended the life of its worker at once.
@@ -226,7 +226,7 @@
 	}
 	b.submit("bad", "scan", scan(1))
 	b.advance(100 * time.Second)
-	b.requireGivenUp("bad")
+	b.requireFailed("bad")
 }
 
 // A lasting task runs for long between two crashes of its workers that it did not cause.
@@ -324,7 +324,7 @@
 	b.advance(100 * time.Millisecond)
 	b.submit("bad", "scan", st)
 	b.advance(15 * time.Second)
-	b.requireGivenUp("bad")
+	b.requireFailed("bad")
 	require.Equal(t, 3, b.endedIncarnations)
 }
 
