--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -64,11 +64,11 @@
 func (b *simCell) requireFailed(id string) {
 	b.t.Helper()
 	require.Equal(b.t, flow.Failed, b.state(id))
-	b.requireFewLate()
+	b.requireFewLateStarts()
 }
 
-// requireFewLate checks how often tasks started after the third life ended under them.
-func (b *simCell) requireFewLate() {
+// requireFewLateStarts checks how often tasks started after the third life ended under them.
+func (b *simCell) requireFewLateStarts() {
 	b.t.Helper()
 	for n, late := range b.lateStarts {
 		require.LessOrEqual(b.t, late, maxLateStarts, "%s after three crashes", n)
--- a/internal/sched/history_test.go
+++ b/internal/sched/history_test.go
@@ -109,7 +109,7 @@
 		// Of lives that ended under a former lead nobody knows the address.
 		b.advance(40 * time.Second)
 	}
-	b.requireFewLate()
+	b.requireFewLateStarts()
 	require.Empty(t, b.violations)
 	for id := range jobs {
 		state := b.state(id)
