--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// crashAfter is how long after its start a bad task ends its worker's life, and
+	// crashDelay is how long after its start a bad task ends its worker's life, and
 	// rebornAfter when the next life is listed.
-	crashAfter  = 10 * time.Millisecond
+	crashDelay  = 10 * time.Millisecond
 	rebornAfter = 1500 * time.Millisecond
 	// unlistedAfter is when a life that ended is listed no longer.
 	unlistedAfter = 1200 * time.Millisecond
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -160,7 +160,7 @@
 	}
 	w.lapseLater()
 	if w.b.crashesWorker != nil && w.b.crashesWorker(a.Task) {
-		w.b.after(crashAfter, func() { w.crashUnder(a.Task, r) })
+		w.b.after(crashDelay, func() { w.crashUnder(a.Task, r) })
 	}
 	if !st.LongRunning && !w.stalled {
 		w.b.after(r.ends.Sub(w.b.now), func() { w.finish(a.Task, r) })
