--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -15,8 +15,8 @@
 const (
 	// crashDelay is how long after its start a bad task ends its worker's life, and
 	// rebornAfter when the next life is listed.
-	crashDelay  = 10 * time.Millisecond
-	rebornAfter = 1500 * time.Millisecond
+	crashDelay   = 10 * time.Millisecond
+	restartDelay = 1500 * time.Millisecond
 	// unlistedAfter is when a life that ended is listed no longer.
 	unlistedAfter = 1200 * time.Millisecond
 	// maxLateStarts is how often a task may start after the third life ended under it.
@@ -40,7 +40,7 @@
 	w.runs = map[flow.Name]*fakeRun{}
 	n := b.endedIncarnations
 	b.after(unlistedAfter, b.list)
-	b.after(rebornAfter+b.restartExtra, func() {
+	b.after(restartDelay+b.restartExtra, func() {
 		w.replaced = true
 		next := b.addWorker(fmt.Sprintf("z%03d", n), 100+n%100)
 		next.info.Size, next.info.Domain, next.info.Rack = w.info.Size, w.info.Domain, w.info.Rack
