--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -17,8 +17,8 @@
 	// rebornAfter when the next life is listed.
 	crashDelay   = 10 * time.Millisecond
 	restartDelay = 1500 * time.Millisecond
-	// unlistedAfter is when a life that ended is listed no longer.
-	unlistedAfter = 1200 * time.Millisecond
+	// unlistDelay is when a life that ended is listed no longer.
+	unlistDelay = 1200 * time.Millisecond
 	// maxLateStarts is how often a task may start after the third life ended under it.
 	maxLateStarts = 2
 )
@@ -39,7 +39,7 @@
 	w.dead = true
 	w.runs = map[flow.Name]*fakeRun{}
 	n := b.endedIncarnations
-	b.after(unlistedAfter, b.list)
+	b.after(unlistDelay, b.list)
 	b.after(restartDelay+b.restartExtra, func() {
 		w.replaced = true
 		next := b.addWorker(fmt.Sprintf("z%03d", n), 100+n%100)
