--- a/internal/sched/gpu_test.go
+++ b/internal/sched/gpu_test.go
@@ -13,11 +13,11 @@
 	"pollencroft/internal/sched"
 )
 
-// gpuBench is a cell of workers with eight GPUs and two queues whose steps the policy
+// newGPUCell is a cell of workers with eight GPUs and two queues whose steps the policy
 // service has to allow: render, of gangs that want up to a whole worker for each member,
 // and size, of single GPUs, which is less urgent. Costs of questions and shares of allowed
 // workers are those of an inspection firm's sheet.
-func gpuBench(t *testing.T, workers int) *simCell {
+func newGPUCell(t *testing.T, workers int) *simCell {
 	b := newSimCell(t, 0)
 	for i := range workers {
 		w := b.addWorker(fmt.Sprintf("w%02d", i), i)
@@ -55,7 +55,7 @@
 // may be asked about, nobody asked for them: at an inspection firm's measured load 100
 // tasks waited half a minute beside a third of all GPUs.
 func TestStepsThatCannotStartDoNotHideOthers(t *testing.T) {
-	b := gpuBench(t, 8)
+	b := newGPUCell(t, 8)
 	gangs := map[string]bool{}
 	b.allows = func(step, worker string) bool {
 		if gangs[step] {
@@ -79,7 +79,7 @@
 // one that it may use, and every host would be busy with such questions. One question
 // for each step tells all there is to know.
 func TestAQuestionLearnsOfAllWorkersWhileThatIsCheap(t *testing.T) {
-	b := gpuBench(t, 8)
+	b := newGPUCell(t, 8)
 	b.allows = func(_, worker string) bool { return worker == "w00" }
 	for i := range 6 {
 		b.submit(fmt.Sprintf("gang%02d", i), "render", render(2, 8))
@@ -92,7 +92,7 @@
 // half a second for a question. Asked when the worker is free, each gang leaves it idle
 // for that time; with a ticket got before, only the first one does.
 func TestTicketsAreGotWhileAWorkerIsStillFull(t *testing.T) {
-	b := gpuBench(t, 1)
+	b := newGPUCell(t, 1)
 	const gangs = 4
 	for i := range gangs {
 		b.submit(fmt.Sprintf("gang%d", i), "render", render(1, 8))
@@ -109,7 +109,7 @@
 // Four hosts of nine were kept for scans that took half of one; bulk waited half a minute
 // beside idle workers.
 func TestHostsAreKeptForUrgentQuestionsAsTheyNeed(t *testing.T) {
-	b := gpuBench(t, 13)
+	b := newGPUCell(t, 13)
 	b.step(sched.Hosts{Names: []string{"h1", "h2", "h3", "h4", "h5", "h6", "h7", "h8", "h9"}})
 	for i := range 12 {
 		b.submit(fmt.Sprintf("gang%02d", i), "render", render(1, 4))
@@ -117,7 +117,7 @@
 	b.advance(100 * time.Millisecond)
 	require.Len(t, b.queries, 8)
 
-	b = gpuBench(t, 13)
+	b = newGPUCell(t, 13)
 	b.queues = append(b.queues, flow.Queue{
 		Name: "scan", Service: "pass", Attempts: 3, Stretch: 1.5, Slack: 250 * time.Millisecond,
 		Advice: &flow.Advice{Base: 12 * time.Millisecond, PerWorker: 180 * time.Microsecond, Valid: 2 * time.Second},
@@ -152,7 +152,7 @@
 // room for, of jobs that have time to spare. Only one worker is allowed for the wide task
 // that comes then. It returns how long that one took.
 func flood(t *testing.T, single flow.Step) time.Duration {
-	b := gpuBench(t, 2)
+	b := newGPUCell(t, 2)
 	b.allows = func(step, worker string) bool { return step != "wide.0.0" || worker == "w00" }
 	n := 0
 	more := func() {
@@ -198,7 +198,7 @@
 // late learns how long it waited for the policy service's answer and how long for room; a
 // line tells of it while it still waits.
 func TestAStepTellsWhatItWaitsFor(t *testing.T) {
-	b := gpuBench(t, 1)
+	b := newGPUCell(t, 1)
 	long := wide()
 	long.EstimatedTime, long.Checkpoints = 8*time.Second, false
 	b.submit("first", "render", long)
