--- a/internal/sched/gpu_test.go
+++ b/internal/sched/gpu_test.go
@@ -148,10 +148,10 @@
 	return st
 }
 
-// flood keeps a cell full of tasks of one GPU, with more of them waiting than there is
+// timeWideTask keeps a cell full of tasks of one GPU, with more of them waiting than there is
 // room for, of jobs that have time to spare. Only one worker is allowed for the wide task
 // that comes then. It returns how long that one took.
-func flood(t *testing.T, single flow.Step) time.Duration {
+func timeWideTask(t *testing.T, single flow.Step) time.Duration {
 	b := newGPUCell(t, 2)
 	b.allows = func(step, worker string) bool { return step != "wide.0.0" || worker == "w00" }
 	n := 0
@@ -179,14 +179,14 @@
 	single := size(1)
 	single.Checkpoints = false
 	// 2.2 times its work and a second.
-	require.Less(t, flood(t, single), 8900*time.Millisecond)
+	require.Less(t, timeWideTask(t, single), 8900*time.Millisecond)
 }
 
 // The same, but the small tasks save their progress and have time to spare. The wide task
 // is more urgent and does not wait for them: it begins after its question and the stops.
 func TestBulkGivesWayToMoreUrgentTasks(t *testing.T) {
 	question, stop := 560*time.Millisecond, time.Second
-	require.Less(t, flood(t, size(1)), question+stop+wide().EstimatedTime)
+	require.Less(t, timeWideTask(t, size(1)), question+stop+wide().EstimatedTime)
 }
 
 func jobOf(step string) string {
