--- a/internal/sched/grown_test.go
+++ b/internal/sched/grown_test.go
@@ -15,10 +15,10 @@
 
 // kind is a queue with the steps of its jobs and how many of them come in a second.
 type kind struct {
-	queue flow.Queue
-	rate  float64
-	good  float64
-	step  func(r *rand.Rand) flow.Step
+	queue        flow.Queue
+	rate         float64
+	allowedShare float64
+	step         func(r *rand.Rand) flow.Step
 }
 
 func around(r *rand.Rand, mean time.Duration) time.Duration {
@@ -80,7 +80,7 @@
 	good := map[string]float64{}
 	for _, k := range kinds {
 		b.queues = append(b.queues, k.queue)
-		good[k.queue.Name] = k.good
+		good[k.queue.Name] = k.allowedShare
 	}
 	b.step(sched.Queues{Version: 2, All: b.queues})
 	var hosts []string
