--- a/internal/sched/grown_test.go
+++ b/internal/sched/grown_test.go
@@ -13,8 +13,8 @@
 	"pollencroft/internal/sched"
 )
 
-// kind is a queue with the steps of its jobs and how many of them come in a second.
-type kind struct {
+// workload is a queue with the steps of its jobs and how many of them come in a second.
+type workload struct {
 	queue        flow.Queue
 	rate         float64
 	allowedShare float64
@@ -28,12 +28,12 @@
 // firm is what an inspection firm asks for with 252 workers for reports and 98 with eight
 // GPUs each, as its sheet says: rates, widths, sizes, costs of questions and shares of
 // allowed workers.
-func firm() []kind {
+func firm() []workload {
 	advice := func(base, each time.Duration) *flow.Advice {
 		return &flow.Advice{Base: base, PerWorker: each, Valid: 2 * time.Second}
 	}
 	const us = time.Microsecond
-	return []kind{
+	return []workload{
 		{
 			flow.Queue{Name: "summary", Service: "desk", Attempts: 3, Stretch: 1.5, Slack: 250 * time.Millisecond, Advice: advice(12*time.Millisecond, 180*us)},
 			55, 0.7, func(r *rand.Rand) flow.Step {
@@ -66,7 +66,7 @@
 }
 
 // newFirm is the cell of such a firm.
-func newFirm(t *testing.T, kinds []kind) *simCell {
+func newFirm(t *testing.T, kinds []workload) *simCell {
 	b := newSimCell(t, 0)
 	for i := range 350 {
 		w := b.addWorker(fmt.Sprintf("w%03d", i), i)
@@ -99,7 +99,7 @@
 }
 
 // come hands in what comes in d.
-func (b *simCell) come(r *rand.Rand, kinds []kind, d time.Duration) {
+func (b *simCell) come(r *rand.Rand, kinds []workload, d time.Duration) {
 	const every = 10 * time.Millisecond
 	for range int(d / every) {
 		for _, k := range kinds {
@@ -150,7 +150,7 @@
 }
 
 // firmWithACrowd is a firm to which eight seconds' work has come in one.
-func firmWithACrowd(t *testing.T) (*simCell, *rand.Rand, []kind) {
+func firmWithACrowd(t *testing.T) (*simCell, *rand.Rand, []workload) {
 	kinds := firm()
 	c := newFirm(t, kinds)
 	r := rand.New(rand.NewPCG(1, 2))
