--- a/internal/sched/grown_test.go
+++ b/internal/sched/grown_test.go
@@ -25,10 +25,10 @@
 	return time.Duration(float64(mean) * (0.5 + r.Float64()))
 }
 
-// firm is what an inspection firm asks for with 252 workers for reports and 98 with eight
+// firmWorkloads is what an inspection firmWorkloads asks for with 252 workers for reports and 98 with eight
 // GPUs each, as its sheet says: rates, widths, sizes, costs of questions and shares of
 // allowed workers.
-func firm() []workload {
+func firmWorkloads() []workload {
 	advice := func(base, each time.Duration) *flow.Advice {
 		return &flow.Advice{Base: base, PerWorker: each, Valid: 2 * time.Second}
 	}
@@ -117,7 +117,7 @@
 func BenchmarkASecondOfAFirm(b *testing.B) {
 	for name, more := range map[string]float64{"usual": 1, "burst": 1.5} {
 		b.Run(name, func(b *testing.B) {
-			kinds := firm()
+			kinds := firmWorkloads()
 			for i := range kinds {
 				kinds[i].rate *= more
 			}
@@ -151,11 +151,11 @@
 
 // firmWithACrowd is a firm to which eight seconds' work has come in one.
 func firmWithACrowd(t *testing.T) (*simCell, *rand.Rand, []workload) {
-	kinds := firm()
+	kinds := firmWorkloads()
 	c := newFirm(t, kinds)
 	r := rand.New(rand.NewPCG(1, 2))
 	c.come(r, kinds, 4*time.Second)
-	crowd := firm()
+	crowd := firmWorkloads()
 	for i := range crowd {
 		crowd[i].rate *= 8
 	}
