--- a/internal/sched/grown_test.go
+++ b/internal/sched/grown_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// newFirm is the cell of such a firm.
-func newFirm(t *testing.T, kinds []workload) *simCell {
+// newFirmCell is the cell of such a firm.
+func newFirmCell(t *testing.T, kinds []workload) *simCell {
 	b := newSimCell(t, 0)
 	for i := range 350 {
 		w := b.addWorker(fmt.Sprintf("w%03d", i), i)
@@ -121,7 +121,7 @@
 			for i := range kinds {
 				kinds[i].rate *= more
 			}
-			c := newFirm(&testing.T{}, kinds)
+			c := newFirmCell(&testing.T{}, kinds)
 			r := rand.New(rand.NewPCG(1, 2))
 			c.come(r, kinds, 10*time.Second)
 			c.coreTime = 0
@@ -152,7 +152,7 @@
 // firmWithACrowd is a firm to which eight seconds' work has come in one.
 func firmWithACrowd(t *testing.T) (*simCell, *rand.Rand, []workload) {
 	kinds := firmWorkloads()
-	c := newFirm(t, kinds)
+	c := newFirmCell(t, kinds)
 	r := rand.New(rand.NewPCG(1, 2))
 	c.come(r, kinds, 4*time.Second)
 	crowd := firmWorkloads()
