--- a/internal/sched/grown_test.go
+++ b/internal/sched/grown_test.go
@@ -98,8 +98,8 @@
 	return b
 }
 
-// come hands in what comes in d.
-func (b *simCell) come(r *rand.Rand, kinds []workload, d time.Duration) {
+// submitArrivals hands in what comes in d.
+func (b *simCell) submitArrivals(r *rand.Rand, kinds []workload, d time.Duration) {
 	const every = 10 * time.Millisecond
 	for range int(d / every) {
 		for _, k := range kinds {
@@ -123,10 +123,10 @@
 			}
 			c := newFirmCell(&testing.T{}, kinds)
 			r := rand.New(rand.NewPCG(1, 2))
-			c.come(r, kinds, 10*time.Second)
+			c.submitArrivals(r, kinds, 10*time.Second)
 			c.coreTime = 0
 			for b.Loop() {
-				c.come(r, kinds, time.Second)
+				c.submitArrivals(r, kinds, time.Second)
 			}
 			b.ReportMetric(float64(c.coreTime.Microseconds())/1000/float64(b.N), "core-ms")
 		})
@@ -142,7 +142,7 @@
 	for b.Loop() {
 		c, r, kinds := firmWithACrowd(&testing.T{})
 		c.coreTime = 0
-		c.come(r, kinds, 2*time.Second)
+		c.submitArrivals(r, kinds, 2*time.Second)
 		spent += c.coreTime
 		n += 2
 	}
@@ -154,11 +154,11 @@
 	kinds := firmWorkloads()
 	c := newFirmCell(t, kinds)
 	r := rand.New(rand.NewPCG(1, 2))
-	c.come(r, kinds, 4*time.Second)
+	c.submitArrivals(r, kinds, 4*time.Second)
 	crowd := firmWorkloads()
 	for i := range crowd {
 		crowd[i].rate *= 8
 	}
-	c.come(r, crowd, time.Second)
+	c.submitArrivals(r, crowd, time.Second)
 	return c, r, kinds
 }
