--- a/internal/sched/grown_test.go
+++ b/internal/sched/grown_test.go
@@ -140,7 +140,7 @@
 	var spent time.Duration
 	n := 0
 	for b.Loop() {
-		c, r, kinds := firmWithACrowd(&testing.T{})
+		c, r, kinds := newFirmCellWithBurst(&testing.T{})
 		c.coreTime = 0
 		c.submitArrivals(r, kinds, 2*time.Second)
 		spent += c.coreTime
@@ -149,8 +149,8 @@
 	b.ReportMetric(float64(spent.Microseconds())/1000/float64(n), "core-ms")
 }
 
-// firmWithACrowd is a firm to which eight seconds' work has come in one.
-func firmWithACrowd(t *testing.T) (*simCell, *rand.Rand, []workload) {
+// newFirmCellWithBurst is a firm to which eight seconds' work has come in one.
+func newFirmCellWithBurst(t *testing.T) (*simCell, *rand.Rand, []workload) {
 	kinds := firmWorkloads()
 	c := newFirmCell(t, kinds)
 	r := rand.New(rand.NewPCG(1, 2))
