--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -38,9 +38,9 @@
 	d.list()
 	d.queues = nil
 	for i := range 2 + r.IntN(3) {
-		q := flow.Queue{Name: fmt.Sprintf("q%d", i), Service: "pass", Rank: i, Attempts: 20, Stretch: 1.5 + 3*r.Float64(), Slack: around(r, time.Second)}
+		q := flow.Queue{Name: fmt.Sprintf("q%d", i), Service: "pass", Rank: i, Attempts: 20, Stretch: 1.5 + 3*r.Float64(), Slack: jitter(r, time.Second)}
 		if r.IntN(4) > 0 {
-			q.Advice = &flow.Advice{Base: around(r, time.Duration(1+i)*100*time.Millisecond), PerWorker: around(r, 3*time.Millisecond), Valid: 2 * time.Second}
+			q.Advice = &flow.Advice{Base: jitter(r, time.Duration(1+i)*100*time.Millisecond), PerWorker: jitter(r, 3*time.Millisecond), Valid: 2 * time.Second}
 		}
 		d.queues = append(d.queues, q)
 	}
@@ -59,7 +59,7 @@
 func (d *randomCell) randomStep(r *rand.Rand) flow.Step {
 	parts := int64(1) << r.IntN(4)
 	st := flow.Step{
-		Tasks: 1 + r.IntN(8), Size: cell.Size{CPU: d.size.CPU / parts, Mem: 8 << 30}, EstimatedTime: around(r, 2*time.Second),
+		Tasks: 1 + r.IntN(8), Size: cell.Size{CPU: d.size.CPU / parts, Mem: 8 << 30}, EstimatedTime: jitter(r, 2*time.Second),
 		Checkpoints: r.IntN(2) == 0,
 	}
 	if d.size.Accel > 0 && r.IntN(2) == 0 {
--- a/internal/sched/crash_cells_test.go
+++ b/internal/sched/crash_cells_test.go
@@ -32,7 +32,7 @@
 				}
 				st := scan(6)
 				st.AllowCopies = b.copies && i%2 == 0
-				st.EstimatedTime = around(r, 2*time.Second)
+				st.EstimatedTime = jitter(r, 2*time.Second)
 				b.submit(fmt.Sprintf("good%02d", i), "scan", st, scan(2))
 				b.advance(time.Duration(r.IntN(300)) * time.Millisecond)
 			}
--- a/internal/sched/grown_test.go
+++ b/internal/sched/grown_test.go
@@ -21,7 +21,7 @@
 	step         func(r *rand.Rand) flow.Step
 }
 
-func around(r *rand.Rand, mean time.Duration) time.Duration {
+func jitter(r *rand.Rand, mean time.Duration) time.Duration {
 	return time.Duration(float64(mean) * (0.5 + r.Float64()))
 }
 
@@ -37,20 +37,20 @@
 		{
 			flow.Queue{Name: "summary", Service: "desk", Attempts: 3, Stretch: 1.5, Slack: 250 * time.Millisecond, Advice: advice(12*time.Millisecond, 180*us)},
 			55, 0.7, func(r *rand.Rand) flow.Step {
-				return flow.Step{Tasks: 1 + r.IntN(20), Size: cell.Size{CPU: 11_000, Mem: 12 << 30}, EstimatedTime: around(r, 560*time.Millisecond), AllowCopies: r.IntN(3) == 0}
+				return flow.Step{Tasks: 1 + r.IntN(20), Size: cell.Size{CPU: 11_000, Mem: 12 << 30}, EstimatedTime: jitter(r, 560*time.Millisecond), AllowCopies: r.IntN(3) == 0}
 			},
 		},
 		{
 			flow.Queue{Name: "review", Service: "desk", Rank: 2, Attempts: 3, Stretch: 4, Slack: 3 * time.Second, Advice: advice(170*time.Millisecond, 2400*us)},
 			2.3, 0.45, func(r *rand.Rand) flow.Step {
-				return flow.Step{Tasks: 1 + r.IntN(36), Size: cell.Size{CPU: 18_000, Mem: 38 << 30}, EstimatedTime: around(r, 5600*time.Millisecond), Checkpoints: r.IntN(5) > 0}
+				return flow.Step{Tasks: 1 + r.IntN(36), Size: cell.Size{CPU: 18_000, Mem: 38 << 30}, EstimatedTime: jitter(r, 5600*time.Millisecond), Checkpoints: r.IntN(5) > 0}
 			},
 		},
 		{
 			flow.Queue{Name: "render", Service: "lab", Rank: 1, Attempts: 3, Stretch: 2.2, Slack: time.Second, Advice: advice(490*time.Millisecond, 7*time.Millisecond)},
 			4.5, 0.3, func(r *rand.Rand) flow.Step {
 				st := render(1+r.IntN(9), int64(2)<<r.IntN(3))
-				st.Gang, st.EstimatedTime = r.IntN(2) == 0, around(r, st.EstimatedTime)
+				st.Gang, st.EstimatedTime = r.IntN(2) == 0, jitter(r, st.EstimatedTime)
 				return st
 			},
 		},
@@ -58,7 +58,7 @@
 			flow.Queue{Name: "size", Service: "lab", Rank: 2, Attempts: 3, Stretch: 4, Slack: 3 * time.Second, Advice: advice(140*time.Millisecond, 2*time.Millisecond)},
 			5, 0.45, func(r *rand.Rand) flow.Step {
 				st := size(1 + r.IntN(25))
-				st.EstimatedTime = around(r, st.EstimatedTime)
+				st.EstimatedTime = jitter(r, st.EstimatedTime)
 				return st
 			},
 		},
