--- a/internal/sched/late_test.go
+++ b/internal/sched/late_test.go
@@ -12,10 +12,10 @@
 	"pollencroft/internal/sched"
 )
 
-// crowd plays work that all comes at once, as after an outage, and then steady work at
+// runBurst plays work that all comes at once, as after an outage, and then steady work at
 // share of what the cell can do, for a time. It returns how long each job took; one that
 // goes on at the end counts as long as it has.
-func crowd(t *testing.T, atOnce int, share float64, d time.Duration) (first, later []time.Duration) {
+func runBurst(t *testing.T, atOnce int, share float64, d time.Duration) (first, later []time.Duration) {
 	const workers, perWorker = 4, 12
 	b := newSimCell(t, workers)
 	b.queues[0].Stretch, b.queues[0].Slack = 1.5, 500*time.Millisecond
@@ -69,7 +69,7 @@
 // room for nine in ten. With those first that can still be in time the newer ones hardly
 // notice, but for the first seconds in which all can still be in time.
 func TestNewWorkIsInTimeBesideWorkThatIsLateAnyway(t *testing.T) {
-	_, later := crowd(t, 96, 0.9, 30*time.Second)
+	_, later := runBurst(t, 96, 0.9, 30*time.Second)
 	n := within(later, 2*time.Second)
 	require.Greater(t, n, len(later)*8/10, "%d of %d in time", n, len(later))
 }
@@ -80,7 +80,7 @@
 // can do.
 func TestLateWorkIsNotLeftForGood(t *testing.T) {
 	objective := 2 * time.Second
-	first, _ := crowd(t, 96, 1.02, 140*time.Second)
+	first, _ := runBurst(t, 96, 1.02, 140*time.Second)
 	// The work of all, an eighth of the workers, and what the last tasks of each leave idle.
 	work := 96 * 6 * scan(1).EstimatedTime
 	bound := 8*objective + 8*work/(4*12)*5/4
