--- a/internal/sched/late_test.go
+++ b/internal/sched/late_test.go
@@ -53,7 +53,7 @@
 	return first, later
 }
 
-func within(all []time.Duration, d time.Duration) int {
+func countWithin(all []time.Duration, d time.Duration) int {
 	n := 0
 	for _, t := range all {
 		if t <= d {
@@ -70,7 +70,7 @@
 // notice, but for the first seconds in which all can still be in time.
 func TestNewWorkIsInTimeBesideWorkThatIsLateAnyway(t *testing.T) {
 	_, later := runBurst(t, 96, 0.9, 30*time.Second)
-	n := within(later, 2*time.Second)
+	n := countWithin(later, 2*time.Second)
 	require.Greater(t, n, len(later)*8/10, "%d of %d in time", n, len(later))
 }
 
@@ -84,5 +84,5 @@
 	// The work of all, an eighth of the workers, and what the last tasks of each leave idle.
 	work := 96 * 6 * scan(1).EstimatedTime
 	bound := 8*objective + 8*work/(4*12)*5/4
-	require.Equal(t, len(first), within(first, bound))
+	require.Equal(t, len(first), countWithin(first, bound))
 }
