--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -134,9 +134,9 @@
 	require.Equal(t, flow.Completed, b.state("b"))
 }
 
-// cellWithCopies is a cell in which the worker with the most tasks of a job, of which copies may
+// newCellWithCopies is a cell in which the worker with the most tasks of a job, of which copies may
 // run beside each other, has been silent for a while.
-func cellWithCopies(t *testing.T, workers, tasks int, work, silent time.Duration) (*simCell, *fakeWorker) {
+func newCellWithCopies(t *testing.T, workers, tasks int, work, silent time.Duration) (*simCell, *fakeWorker) {
 	b := newSimCell(t, workers)
 	b.copies = true
 	b.advance(100 * time.Millisecond)
@@ -155,7 +155,7 @@
 // meanwhile. They still take its room, and work that was placed as if they did
 // not would overload it.
 func TestCopiesLeftOnAWorkerStillTakeItsRoom(t *testing.T) {
-	b, cut := cellWithCopies(t, 3, 12, 5*time.Second, 2500*time.Millisecond)
+	b, cut := newCellWithCopies(t, 3, 12, 5*time.Second, 2500*time.Millisecond)
 	require.Greater(t, len(cut.runs), 6)
 	b.submit("b", "scan", scan(24))
 	cut.silent = false
@@ -208,7 +208,7 @@
 // there, the lead asked it again as soon as it had answered, hundreds of times a second: a quarter
 // of all calls of a large cell's lead, which had no processor left for starts and answers.
 func TestAWorkerWithNothingButStoppedCopiesIsAskedAtItsPace(t *testing.T) {
-	b, cut := cellWithCopies(t, 4, 8, 3*time.Second, 1500*time.Millisecond)
+	b, cut := newCellWithCopies(t, 4, 8, 3*time.Second, 1500*time.Millisecond)
 	cut.silent = false
 	for b.state("a") != flow.Completed {
 		b.advance(10 * time.Millisecond)
