--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -26,7 +26,7 @@
 
 // The same job arrives again at another host after its 2xx. A caller would see
 // a pass spent twice if it became a second job.
-func TestAJobThatArrivesTwiceIsOneJob(t *testing.T) {
+func TestDuplicateSubmitIsIgnored(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.submit("a", "scan", scan(2))
 	b.advance(3 * time.Second)
