--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -40,7 +40,7 @@
 
 // The store does not answer for a while. Nothing may start that no successor
 // would know of, and no job may be shown as completed before that is stored.
-func TestNothingStartsBeforeItsRunIsStored(t *testing.T) {
+func TestRunStartsOnlyAfterItIsStored(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.advance(100 * time.Millisecond)
 	b.storeDown = true
