--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -60,7 +60,7 @@
 
 // A worker leaves a start without an answer and carries it out two seconds
 // later. Started elsewhere meanwhile, the task would run twice.
-func TestAStartWithoutAnAnswerIsStoppedBeforeTheTaskStartsElsewhere(t *testing.T) {
+func TestUnansweredStartIsStoppedBeforeRestartElsewhere(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.advance(100 * time.Millisecond)
 	for _, w := range b.sortedWorkers() {
