--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -79,7 +79,7 @@
 // A worker goes for good without a word. Its task begins elsewhere once no
 // lease on it can last any more, and not before; a job that waited for ever
 // would be one that its caller was told is accepted.
-func TestTasksOfAWorkerThatIsGoneStartElsewhereAfterTheLease(t *testing.T) {
+func TestTasksOfLostWorkerRestartAfterLease(t *testing.T) {
 	b := newSimCell(t, 2)
 	b.submit("a", "print", bulk(8))
 	b.advance(time.Second)
