--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -108,7 +108,7 @@
 
 // A worker is cut off for 5.5 s and runs on. Its tasks live through it and are
 // not started anywhere else.
-func TestTasksOfAWorkerThatIsCutOffLiveThroughIt(t *testing.T) {
+func TestTasksSurviveNetworkCut(t *testing.T) {
 	b := newSimCell(t, 2)
 	b.submit("a", "print", bulk(8))
 	b.advance(time.Second)
