--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -123,7 +123,7 @@
 
 // All power goes while tasks run. The next lead finds each run that the records
 // name at its worker, goes on with it, and starts nothing twice.
-func TestTheNextLeadGoesOnWithWhatRuns(t *testing.T) {
+func TestNewLeaderAdoptsRunningTasks(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.submit("a", "print", bulk(8))
 	b.submit("b", "scan", scan(5), scan(5))
