--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -138,7 +138,7 @@
 
 // The lead ends between storing a run and sending it. The worker was read by
 // the next lead and does not have it, so it starts, once.
-func TestARunThatWasStoredAndNeverSentStartsUnderTheNextLead(t *testing.T) {
+func TestNewLeaderStartsRunStoredButNotSent(t *testing.T) {
 	for cut := range 40 {
 		b := newSimCell(t, 3)
 		b.advance(100 * time.Millisecond)
