--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -154,7 +154,7 @@
 // The next lead cannot reach a worker that the records name. The former lead
 // may go on holding it for a while: nothing of it starts before that and one
 // lease are over.
-func TestInheritedRunsOfASilentWorkerWaitForTheFormerLeadAndALease(t *testing.T) {
+func TestInheritedRunsOfSilentWorkerWaitForPreviousLeaderAndLease(t *testing.T) {
 	b := newSimCell(t, 2)
 	b.submit("a", "print", bulk(8))
 	b.advance(time.Second)
