--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -171,7 +171,7 @@
 }
 
 // The same, but the former lead is known to be over: one lease is enough.
-func TestInheritedRunsWaitOneLeaseOnceTheFormerLeadIsOver(t *testing.T) {
+func TestInheritedRunsWaitOneLeaseAfterPreviousLeaderStopped(t *testing.T) {
 	b := newSimCell(t, 2)
 	b.submit("a", "print", bulk(8))
 	b.advance(time.Second)
