--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -189,7 +189,7 @@
 
 // A lead leaves while a worker is silent. Leads that leave one after the other
 // would each wait for a whole lease again, and the task would never start.
-func TestWhatALeadKnowsOfSilentWorkersGoesToItsSuccessor(t *testing.T) {
+func TestLeaseBoundsOfSilentWorkersPassToSuccessor(t *testing.T) {
 	b := newSimCell(t, 2)
 	b.submit("a", "print", bulk(8))
 	b.advance(time.Second)
