--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -209,7 +209,7 @@
 
 // A worker fails all that it starts, at once. It always has room; without a
 // judgement it would use up the tries of every job.
-func TestAWorkerThatFailsEverythingDoesNotFailJobs(t *testing.T) {
+func TestFailingWorkerDoesNotFailJobs(t *testing.T) {
 	b := newSimCell(t, 6)
 	b.workers["w00"].fails = true
 	for i := range 12 {
