--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -225,7 +225,7 @@
 
 // A job that fails everywhere ends as failed after as many tries as its queue
 // allows, and not one more.
-func TestAJobThatCanNeverBeDoneFailsAfterItsTries(t *testing.T) {
+func TestJobFailsAfterAllAttempts(t *testing.T) {
 	b := newSimCell(t, 6)
 	for _, w := range b.sortedWorkers() {
 		w.fails = true
