--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -238,7 +238,7 @@
 
 // All that one worker runs stands still while it answers every question. Its
 // tasks go on elsewhere within two seconds instead of when it recovers.
-func TestRunsThatStandStillGoOnElsewhere(t *testing.T) {
+func TestStalledRunsRestartElsewhere(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.workers["w00"].stalled = true
 	b.submit("a", "scan", scan(20))
