--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -249,7 +249,7 @@
 
 // A cancelled job's runs are stopped at once, those that had no answer too, and
 // the worker never begins them any more.
-func TestACancelledJobRunsNowhere(t *testing.T) {
+func TestCancelledJobIsStoppedEverywhere(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.advance(100 * time.Millisecond)
 	b.workers["w01"].startDelay = 2 * time.Second
