--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -264,7 +264,7 @@
 }
 
 // A worker that leaves gets no start, and a lasting task is moved.
-func TestAWorkerThatLeavesIsEmptied(t *testing.T) {
+func TestDrainingWorkerIsEmptied(t *testing.T) {
 	b := newSimCell(t, 2)
 	lasts := scan(8)
 	lasts.LongRunning = true
