--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -281,7 +281,7 @@
 }
 
 // All members of a gang start together or none does, under one run's number.
-func TestAGangStartsWholeOrNotAtAll(t *testing.T) {
+func TestGangStartsWholeOrNotAtAll(t *testing.T) {
 	b := newSimCell(t, 2)
 	filler := scan(1)
 	filler.Size.CPU, filler.EstimatedTime = 60_000, 3*time.Second
