--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -298,7 +298,7 @@
 }
 
 // A lead that a worker knows to be replaced is over.
-func TestALeadThatAWorkerKnowsToBeReplacedIsDeposed(t *testing.T) {
+func TestFencedLeaderStepsDown(t *testing.T) {
 	b := newSimCell(t, 1)
 	b.submit("a", "scan", scan(1))
 	b.advance(500 * time.Millisecond)
