--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -330,7 +330,7 @@
 // A job is accepted at one host and cancelled at another, while the lead changes. The
 // next lead hears of the cancellation first. Its caller was told that the job is
 // cancelled, so no task of it may start.
-func TestACancellationThatComesBeforeItsJobCounts(t *testing.T) {
+func TestCancellationBeforeSubmitCounts(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.advance(100 * time.Millisecond)
 	b.cancel("a")
