--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -130,7 +130,7 @@
 }
 
 // One round after the other of a timed job crashes its workers.
-func TestATimedJobThatCrashesItsWorkersIsGivenUp(t *testing.T) {
+func TestCrashingTimedJobFails(t *testing.T) {
 	b := newSimCell(t, 8)
 	b.markCrashing("bad")
 	b.submitTimed("bad", flow.Repeat{Count: 30, First: b.now.Add(time.Second), Every: 3 * time.Second}, scan(1))
