--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -169,7 +169,7 @@
 }
 
 // Guards against good jobs given up because they crash along with bad ones.
-func TestGoodJobsEndBesideTasksThatCrashWorkers(t *testing.T) {
+func TestGoodJobsCompleteBesideCrashingTasks(t *testing.T) {
 	for _, copies := range []bool{false, true} {
 		t.Run(fmt.Sprintf("copies_%t", copies), func(t *testing.T) {
 			b := newSimCell(t, 8)
