--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -199,7 +199,7 @@
 }
 
 // Guards against starts of a crashing task that the next lead does not know of.
-func TestNoStartIsMadeBeforeACrashIsStored(t *testing.T) {
+func TestCrashIsStoredBeforeNextStart(t *testing.T) {
 	b := newSimCell(t, 8)
 	b.copies = true
 	b.markCrashing("bad")
