--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -217,7 +217,7 @@
 }
 
 // The answer to a start is lost because the task ended the life of its worker at once.
-func TestAStartWithoutAnAnswerCountsWhenItsWorkerCrashed(t *testing.T) {
+func TestUnansweredStartOnCrashedWorkerCounts(t *testing.T) {
 	b := newSimCell(t, 8)
 	b.markCrashing("bad")
 	b.advance(100 * time.Millisecond)
