--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -230,7 +230,7 @@
 }
 
 // A lasting task runs for long between two crashes of its workers that it did not cause.
-func TestALastingTaskThatWorksIsNotGivenUp(t *testing.T) {
+func TestLastingTaskThatRanLongIsNotFailed(t *testing.T) {
 	b := newSimCell(t, 4)
 	st := scan(1)
 	st.LongRunning = true
