--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -289,7 +289,7 @@
 }
 
 // Guards against a job given up because racks lose power under it.
-func TestARackThatLosesItsPowerCountsAgainstNoTask(t *testing.T) {
+func TestRackPowerLossIsNotCounted(t *testing.T) {
 	b := newSimCell(t, 12)
 	st := bulk(4)
 	st.EstimatedTime = 12 * time.Second
