--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -315,7 +315,7 @@
 }
 
 // Guards against copies that wait for a verdict on a life that nobody asks any more.
-func TestALifeThatIsListedNoLongerIsAskedWhetherItEnded(t *testing.T) {
+func TestUnlistedIncarnationIsAskedWhetherItEnded(t *testing.T) {
 	b := newSimCell(t, 8)
 	b.copies, b.restartExtra = true, 3*time.Second
 	b.markCrashing("bad")
