--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -329,7 +329,7 @@
 }
 
 // Guards against a job given up for starts that found a life which had ended before.
-func TestAStartThatFindsAnotherLifeCountsAgainstNoTask(t *testing.T) {
+func TestStartAtEndedIncarnationIsNotCounted(t *testing.T) {
 	b := newSimCell(t, 6)
 	b.advance(100 * time.Millisecond)
 	for _, w := range b.sortedWorkers()[:5] {
