--- a/internal/sched/gpu_test.go
+++ b/internal/sched/gpu_test.go
@@ -54,7 +54,7 @@
 // room for start all the same. When what waits before them was taken from the room that
 // may be asked about, nobody asked for them: at an inspection firm's measured load 100
 // tasks waited half a minute beside a third of all GPUs.
-func TestStepsThatCannotStartDoNotHideOthers(t *testing.T) {
+func TestBlockedStepsDoNotBlockOthers(t *testing.T) {
 	b := newGPUCell(t, 8)
 	gangs := map[string]bool{}
 	b.allows = func(step, worker string) bool {
