--- a/internal/sched/gpu_test.go
+++ b/internal/sched/gpu_test.go
@@ -78,7 +78,7 @@
 // about a few workers at a time, a gang would ask three or four times until it finds the
 // one that it may use, and every host would be busy with such questions. One question
 // for each step tells all there is to know.
-func TestAQuestionLearnsOfAllWorkersWhileThatIsCheap(t *testing.T) {
+func TestOneQueryCoversAllWorkersWhenCheap(t *testing.T) {
 	b := newGPUCell(t, 8)
 	b.allows = func(_, worker string) bool { return worker == "w00" }
 	for i := range 6 {
