--- a/internal/sched/gpu_test.go
+++ b/internal/sched/gpu_test.go
@@ -91,7 +91,7 @@
 // Gangs that take a whole worker each wait for the only one, and the policy service takes
 // half a second for a question. Asked when the worker is free, each gang leaves it idle
 // for that time; with a ticket got before, only the first one does.
-func TestTicketsAreGotWhileAWorkerIsStillFull(t *testing.T) {
+func TestTicketsArePrefetchedForFullWorker(t *testing.T) {
 	b := newGPUCell(t, 1)
 	const gangs = 4
 	for i := range gangs {
