--- a/internal/sched/gpu_test.go
+++ b/internal/sched/gpu_test.go
@@ -108,7 +108,7 @@
 // as they need are left to them, and no scan waits behind a question of half a second.
 // Four hosts of nine were kept for scans that took half of one; bulk waited half a minute
 // beside idle workers.
-func TestHostsAreKeptForUrgentQuestionsAsTheyNeed(t *testing.T) {
+func TestHostsAreReservedForUrgentQueries(t *testing.T) {
 	b := newGPUCell(t, 13)
 	b.step(sched.Hosts{Names: []string{"h1", "h2", "h3", "h4", "h5", "h6", "h7", "h8", "h9"}})
 	for i := range 12 {
