--- a/internal/sched/gpu_test.go
+++ b/internal/sched/gpu_test.go
@@ -175,7 +175,7 @@
 // Tasks of one GPU come without end and take every GPU that is given back. A task that
 // wants all of a worker would never see one empty; it gets one in the time that its
 // caller was promised, since what is given back on its worker is held for it.
-func TestRoomIsHeldForAWideTask(t *testing.T) {
+func TestCapacityIsReservedForWideTask(t *testing.T) {
 	single := size(1)
 	single.Checkpoints = false
 	// 2.2 times its work and a second.
