--- a/internal/sched/gpu_test.go
+++ b/internal/sched/gpu_test.go
@@ -184,7 +184,7 @@
 
 // The same, but the small tasks save their progress and have time to spare. The wide task
 // is more urgent and does not wait for them: it begins after its question and the stops.
-func TestBulkGivesWayToMoreUrgentTasks(t *testing.T) {
+func TestBulkIsPreemptedForUrgentTask(t *testing.T) {
 	question, stop := 560*time.Millisecond, time.Second
 	require.Less(t, timeWideTask(t, size(1)), question+stop+wide().EstimatedTime)
 }
