--- a/internal/sched/gpu_test.go
+++ b/internal/sched/gpu_test.go
@@ -197,7 +197,7 @@
 // A worker is taken for eight seconds, and a job that wants it waits. Whoever asks why it is
 // late learns how long it waited for the policy service's answer and how long for room; a
 // line tells of it while it still waits.
-func TestAStepTellsWhatItWaitsFor(t *testing.T) {
+func TestStepReportsWaitReasons(t *testing.T) {
 	b := newGPUCell(t, 1)
 	long := wide()
 	long.EstimatedTime, long.Checkpoints = 8*time.Second, false
