--- a/internal/sched/late_test.go
+++ b/internal/sched/late_test.go
@@ -68,7 +68,7 @@
 // waits for the whole queue, and for minutes nobody is served in time, though there is
 // room for nine in ten. With those first that can still be in time the newer ones hardly
 // notice, but for the first seconds in which all can still be in time.
-func TestNewWorkIsInTimeBesideWorkThatIsLateAnyway(t *testing.T) {
+func TestNewWorkStaysOnTimeBesideLateWork(t *testing.T) {
 	_, later := runBurst(t, 96, 0.9, 30*time.Second)
 	n := countWithin(later, 2*time.Second)
 	require.Greater(t, n, len(later)*8/10, "%d of %d in time", n, len(later))
