--- a/internal/sched/late_test.go
+++ b/internal/sched/late_test.go
@@ -78,7 +78,7 @@
 // should have taken an eighth of the workers is left to it. A caller whose job waited for
 // as long as others come would never hear of it. More comes all the while than the cell
 // can do.
-func TestLateWorkIsNotLeftForGood(t *testing.T) {
+func TestLateWorkIsNotStarved(t *testing.T) {
 	objective := 2 * time.Second
 	first, _ := runBurst(t, 96, 1.02, 140*time.Second)
 	// The work of all, an eighth of the workers, and what the last tasks of each leave idle.
