--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -17,7 +17,7 @@
 // starts at once, in the room that bulk may not take. Pattern: the users' mix,
 // 12 scans a second of 6 tasks on 5 cores for a second beside bulk at more than
 // the rest of the cell; the grounds are the pass office's sheet.
-func TestUrgentWorkStartsAtOnceBesideAFloodOfBulk(t *testing.T) {
+func TestUrgentWorkStartsAtOnceBesideBulkBacklog(t *testing.T) {
 	b := newSimCell(t, 24)
 	for i := range 40 {
 		b.submit(fmt.Sprintf("bulk%02d", i), "print", bulk(8))
