--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -40,7 +40,7 @@
 
 // A queue with advice: no start without a ticket, and at most one question at a
 // time for a step.
-func TestAdviceIsAskedBeforeAStart(t *testing.T) {
+func TestTicketIsRequiredBeforeStart(t *testing.T) {
 	b := newSimCell(t, 12)
 	b.queues[0].Advice = &flow.Advice{Base: 24 * time.Millisecond, PerWorker: 340 * time.Microsecond, Valid: 2500 * time.Millisecond}
 	b.step(sched.Queues{Version: 2, All: b.queues})
