--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -154,7 +154,7 @@
 // A worker falls silent and returns with copies that were begun elsewhere
 // meanwhile. They still take its room, and work that was placed as if they did
 // not would overload it.
-func TestCopiesLeftOnAWorkerStillTakeItsRoom(t *testing.T) {
+func TestUntrackedCopiesStillTakeCapacity(t *testing.T) {
 	b, cut := newCellWithCopies(t, 3, 12, 5*time.Second, 2500*time.Millisecond)
 	require.Greater(t, len(cut.runs), 6)
 	b.submit("b", "scan", scan(24))
