--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -191,7 +191,7 @@
 
 // A lead is suspended for seconds in the middle of a pass. What waits when it goes on is placed as
 // soon as ever, not as if each pass took as long.
-func TestALeadThatWasSuspendedInAPassGoesOnAtItsPace(t *testing.T) {
+func TestSuspensionInAPassDoesNotSlowLaterPasses(t *testing.T) {
 	b := newSimCell(t, 2)
 	b.submit("first", "scan", scan(1))
 	b.core.RecordPassDuration(5 * time.Second)
