--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -223,7 +223,7 @@
 
 // A lead ends with copies started that it could not store. Its successor finds
 // them at their workers and goes on with them.
-func TestCopiesThatWereNotStoredAreFoundByTheNextLead(t *testing.T) {
+func TestNewLeaderFindsUnstoredCopies(t *testing.T) {
 	b := newSimCell(t, 4)
 	b.copies = true
 	b.advance(100 * time.Millisecond)
