--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -241,7 +241,7 @@
 }
 
 // The same events give the same decisions, to the order of each action.
-func TestTheCoreDecidesTheSameTwice(t *testing.T) {
+func TestDecisionsAreDeterministic(t *testing.T) {
 	play := func() string {
 		b := newSimCell(t, 9)
 		b.workers["w03"].fails = true
