--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -259,7 +259,7 @@
 
 // A worker works seven times slower while it answers every question. What it
 // runs of several jobs goes on elsewhere, and new work stays away from it.
-func TestRunsOnAWorkerThatCrawlsGoOnElsewhere(t *testing.T) {
+func TestRunsOnSlowWorkerRestartElsewhere(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.workers["w01"].slowdown = 7
 	for i := range 6 {
