--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -274,7 +274,7 @@
 
 // One task has five times the work that its estimate says. Begun again elsewhere
 // it would take as long once more.
-func TestALongTaskOnASoundWorkerIsLeftAlone(t *testing.T) {
+func TestLongTaskOnHealthyWorkerIsNotRestarted(t *testing.T) {
 	b := newSimCell(t, 1)
 	for i := range 3 {
 		b.submit(fmt.Sprintf("s%d", i), "scan", scan(3))
