--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -312,7 +312,7 @@
 // of an end; until the next answer nobody knows that the task is done, and with 16
 // tasks in a job most callers would wait for that. So the worker is asked again at
 // once. The pattern is that of the users' days on which answers get lost.
-func TestALostAnswerIsAskedForAtOnce(t *testing.T) {
+func TestLostHoldReplyIsRequestedAgainAtOnce(t *testing.T) {
 	b := newSimCell(t, 1)
 	b.workers["w00"].repliesToLose = 1
 	b.submit("a", "scan", scan(1))
