--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -331,7 +331,7 @@
 // starts and its end. What comes up while one is under way is stored beside it. If
 // it waited for the rest of that one's time as well, scans would take 3.3 s and not
 // 3.0, and more of them be late.
-func TestASlowStoreIsWaitedForOnceAStep(t *testing.T) {
+func TestSlowStoreDelaysEachStepOnce(t *testing.T) {
 	const slow = 212 * time.Millisecond
 	b := newSimCell(t, 12)
 	b.storeTime = func() time.Duration { return slow }
