--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -362,7 +362,7 @@
 // jobs wait. The policy service turns a host's 33rd question away, and a host that
 // fails gets none for a second. So questions wait at the lead, and go out at once
 // when other hosts are heard of.
-func TestQuestionsWaitForAHostThatIsFree(t *testing.T) {
+func TestQueriesWaitForFreeHost(t *testing.T) {
 	b := newSimCell(t, 24)
 	b.queues[0].Advice = &flow.Advice{Base: 30 * time.Millisecond, PerWorker: 300 * time.Microsecond, Valid: 2500 * time.Millisecond}
 	b.step(sched.Queues{Version: 2, All: b.queues})
