--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -390,7 +390,7 @@
 // The store returns after an outage in which the workers' entries lapsed: the first list
 // is empty, and full again within two seconds. All who waited for the store come in that
 // moment. The workers answer all the while, and work starts on them at once.
-func TestWorkersThatAnswerAreUsedWhileTheirEntriesAreAway(t *testing.T) {
+func TestAnsweringWorkersAreUsedWhileEntriesAreMissing(t *testing.T) {
 	b := newSimCell(t, 6)
 	b.advance(time.Second)
 	b.step(sched.Workers{})
