--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -413,7 +413,7 @@
 // Copies start before they are stored. The store is away, a task fails as often as its
 // caller allows, and the lead goes without having stored any of that. Its successor finds
 // the ends at the workers and counts them; it would try three times more.
-func TestFailedCopiesThatWereNotStoredAreCounted(t *testing.T) {
+func TestUnstoredFailedCopiesAreCounted(t *testing.T) {
 	b := newSimCell(t, 4)
 	b.copies = true
 	for _, w := range b.workers {
