--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -25,7 +25,7 @@
 }
 
 // A worker that was listed smaller since gets no more than it has now.
-func TestAWorkerThatShrankGetsNoMoreThanItHolds(t *testing.T) {
+func TestShrunkWorkerIsNotOverfilled(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.advance(time.Second)
 	b.resizeAll(small)
