--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -108,7 +108,7 @@
 }
 
 // A worker has its old size again. Work that waits uses it in the next pass.
-func TestRoomThatCameBackIsUsedAtOnce(t *testing.T) {
+func TestRegainedCapacityIsUsedAtOnce(t *testing.T) {
 	b := newSimCell(t, 1)
 	b.advance(100 * time.Millisecond)
 	b.resizeAll(small)
