--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -164,7 +164,7 @@
 }
 
 // Guards against starts, or lapsed runs, on a worker that is listed without room.
-func TestAWorkerWithoutRoomKeepsWhatRuns(t *testing.T) {
+func TestWorkerWithoutCapacityKeepsRuns(t *testing.T) {
 	b := newSimCell(t, 1)
 	long := bulk(2)
 	long.EstimatedTime = 20 * time.Second
