--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -184,7 +184,7 @@
 }
 
 // A task that takes no room does not start on a worker that is listed without any.
-func TestNothingStartsOnAWorkerWithoutRoom(t *testing.T) {
+func TestNothingStartsOnWorkerWithoutCapacity(t *testing.T) {
 	b := newSimCell(t, 1)
 	b.resizeAll(cell.Size{})
 	b.submit("a", "scan", flow.Step{Tasks: 1, EstimatedTime: time.Second})
