--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -266,7 +266,7 @@
 }
 
 // Guards against a change of size without a line of the size that was believed before.
-func TestAChangeOfSizeIsTold(t *testing.T) {
+func TestSizeChangeIsLogged(t *testing.T) {
 	b := newSimCell(t, 1)
 	w := b.workers["w00"]
 	b.advance(500 * time.Millisecond)
