--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -310,7 +310,7 @@
 // A lead takes over a job that has ended, of which it reads no steps, and a worker
 // still lists a run of it. Nobody knows what room that run takes. Whatever else was
 // started beside it could overfill the worker, so nothing is until it is gone.
-func TestARunOfUnknownRoomTakesTheWholeWorker(t *testing.T) {
+func TestRunOfUnknownSizeTakesWholeWorker(t *testing.T) {
 	b := newSimCell(t, 1)
 	b.submit("a", "scan", scan(1))
 	b.advance(3 * time.Second)
