--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -343,7 +343,7 @@
 }
 
 // Guards against room of ended members of a gang that stays booked for seconds.
-func TestMembersOfAGangThatEndedTakeNoRoom(t *testing.T) {
+func TestEndedGangMembersTakeNoCapacity(t *testing.T) {
 	b := newSimCell(t, 1)
 	for _, id := range []string{"a", "b"} {
 		gang := bulk(5)
