--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -84,7 +84,7 @@
 }
 
 // A task crashes each worker that starts it. Started without end it takes down the cell.
-func TestATaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
+func TestCrashingTaskFailsItsJob(t *testing.T) {
 	kinds := []struct {
 		name string
 		step func() flow.Step
