--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -140,7 +140,7 @@
 }
 
 // Guards against each new lead starting a crashing task anew.
-func TestCrashesOutliveTheLead(t *testing.T) {
+func TestCrashCountsSurviveLeaderChange(t *testing.T) {
 	for _, copies := range []bool{false, true} {
 		for _, after := range []time.Duration{30 * time.Millisecond, 200 * time.Millisecond, time.Second, 2 * time.Second} {
 			t.Run(fmt.Sprintf("copies_%t_%s", copies, after), func(t *testing.T) {
