--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -248,7 +248,7 @@
 }
 
 // Guards against a job given up for workers that leave, are cut off or answer again.
-func TestWorkersThatLiveOnCountAgainstNoTask(t *testing.T) {
+func TestWorkersThatDidNotCrashAreNotCounted(t *testing.T) {
 	for _, copies := range []bool{false, true} {
 		t.Run(fmt.Sprintf("copies_%t", copies), func(t *testing.T) {
 			b := newSimCell(t, 12)
