--- a/internal/sched/crash_cells_test.go
+++ b/internal/sched/crash_cells_test.go
@@ -12,7 +12,7 @@
 )
 
 // Guards against good jobs given up because they crash along with bad ones, in drawn cells.
-func TestGoodJobsEndInDrawnCellsWithCrashes(t *testing.T) {
+func TestGoodJobsCompleteInRandomCellsWithCrashes(t *testing.T) {
 	for seed := range uint64(25) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			r := rand.New(rand.NewPCG(seed, 7))
