--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -152,7 +152,7 @@
 // twice at a time or after its end was noted, and no worker be overfilled. Once all is calm
 // no job that could run waits beside an idle cell, and every job comes to its end. Each seed is
 // played once more with workers that shrink and grow while they run.
-func TestDrawnCells(t *testing.T) {
+func TestRandomCells(t *testing.T) {
 	seeds := slices.Clone(failedCellSeeds)
 	for i := range *histories {
 		seeds = append(seeds, *firstSeed+uint64(i))
