--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -170,7 +170,7 @@
 // tens of milliseconds. Made as often as ever, passes take half of the processor; starts, answers
 // and appends wait for the rest, more steps wait, and passes take longer still: a cell whose lead
 // does not find out of its backlog, and is fenced off for late answers.
-func TestPassesLeaveTheLeadTimeForTheRest(t *testing.T) {
+func TestPassesAreLimitedToAShareOfTime(t *testing.T) {
 	for _, took := range []time.Duration{time.Millisecond, 10 * time.Millisecond, 40 * time.Millisecond} {
 		b := newSimCell(t, 2)
 		b.submit("first", "scan", scan(1))
