--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -207,7 +207,7 @@
 // done first, so what it runs of them is stopped. Until it is certain that nothing more can begin
 // there, the lead asked it again as soon as it had answered, hundreds of times a second: a quarter
 // of all calls of a large cell's lead, which had no processor left for starts and answers.
-func TestAWorkerWithNothingButStoppedCopiesIsAskedAtItsPace(t *testing.T) {
+func TestWorkerWithOnlyStoppedCopiesIsPolledSlowly(t *testing.T) {
 	b, cut := newCellWithCopies(t, 4, 8, 3*time.Second, 1500*time.Millisecond)
 	cut.silent = false
 	for b.state("a") != flow.Completed {
