--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -39,7 +39,7 @@
 }
 
 // A worker shrinks below what runs there. That is neither stopped nor added to.
-func TestWhatRunsOnAWorkerThatShrankGoesOn(t *testing.T) {
+func TestRunsContinueOnShrunkWorker(t *testing.T) {
 	b := newSimCell(t, 2)
 	b.submit("a", "print", bulk(10))
 	b.advance(time.Second)
