--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -56,7 +56,7 @@
 }
 
 // Guards against starts sent to a worker that shrank while their append was under way.
-func TestStartsThatAreNotSentFitTheNewSize(t *testing.T) {
+func TestUnsentStartsFitNewSize(t *testing.T) {
 	b := newSimCell(t, 2)
 	b.advance(100 * time.Millisecond)
 	b.storeTime = func() time.Duration { return 500 * time.Millisecond }
