--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -75,7 +75,7 @@
 }
 
 // The same while the store is away for longer than a lease.
-func TestStartsThatWaitForAStoreThatIsAwayFitTheNewSize(t *testing.T) {
+func TestUnsentStartsFitNewSizeAfterStoreOutage(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.advance(100 * time.Millisecond)
 	b.storeDown = true
