--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -92,7 +92,7 @@
 }
 
 // Guards against a gang of which a part starts since one worker shrank.
-func TestAGangWhoseRoomShrankIsPlacedAgainWhole(t *testing.T) {
+func TestGangIsPlacedAgainWholeAfterShrink(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.advance(100 * time.Millisecond)
 	b.storeTime = func() time.Duration { return 300 * time.Millisecond }
