--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -122,7 +122,7 @@
 }
 
 // Sizes come and go twice a second. No run is given up for it.
-func TestRunsGoOnWhileSizesFlap(t *testing.T) {
+func TestRunsContinueWhileSizesFlap(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.submit("a", "print", bulk(12))
 	size := small
