--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -146,7 +146,7 @@
 }
 
 // Guards against a new lead that overfills workers which have shrunk.
-func TestALeadThatBeginsTakesTheSizesOfNow(t *testing.T) {
+func TestNewLeaderUsesCurrentSizes(t *testing.T) {
 	b := newSimCell(t, 2)
 	b.submit("a", "print", bulk(8))
 	b.advance(time.Second)
