--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -196,7 +196,7 @@
 }
 
 // The room of a run is not known, and its worker grows. The run may take that room too.
-func TestARunOfUnknownRoomTakesWhatItsWorkerGrowsBy(t *testing.T) {
+func TestRunOfUnknownSizeTakesAddedCapacity(t *testing.T) {
 	b := newSimCell(t, 1)
 	b.submit("a", "scan", scan(1))
 	b.advance(3 * time.Second)
