--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -216,7 +216,7 @@
 }
 
 // Guards against starts by a service or a label that a worker has no longer.
-func TestAWorkerIsWhatItSaysNow(t *testing.T) {
+func TestChangedServiceAndLabelsAreUsedAtOnce(t *testing.T) {
 	b := newSimCell(t, 2)
 	b.storeTime = func() time.Duration { return 300 * time.Millisecond }
 	for _, w := range b.sortedWorkers() {
