--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -245,7 +245,7 @@
 }
 
 // Guards against room that is held for a wide task on a worker too small for it now.
-func TestRoomMadeOnAWorkerThatShrankIsGivenUp(t *testing.T) {
+func TestPreemptedCapacityOnShrunkWorkerIsGivenUp(t *testing.T) {
 	b := newSimCell(t, 2)
 	b.queues[1].Stretch, b.queues[1].Slack = 10, time.Minute
 	b.step(sched.Queues{Version: 2, All: b.queues})
