--- a/internal/sched/hold.go
+++ b/internal/sched/hold.go
@@ -43,7 +43,7 @@
 		return 0
 	case len(w.tasks) == 0 && w.firstUntrackedEnd().After(s.now):
 		return min(s.limits.HoldWait, max(w.firstUntrackedEnd().Sub(s.now), s.limits.BatchInterval))
-	case w.fillCPU > 0 && w.runsServing():
+	case w.bestEffortCPU > 0 && w.runsServing():
 		return speedUpInterval / 2
 	default:
 		return s.limits.HoldWait
--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -46,7 +46,7 @@
 
 // adjustPace adjusts the pace of filling tasks to the response times that a worker lists.
 func (s *Sched) adjustPace(w *worker, running []RunStatus) {
-	if w.fillCPU == 0 {
+	if w.bestEffortCPU == 0 {
 		return
 	}
 	worst := w.worstLatency(running)
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -225,7 +225,7 @@
 		return false
 	case t.Avoid == w.Incarnation && s.now.Sub(t.Since) < avoidFor:
 		return false
-	case st.BestEffort && w.fillCPU+st.Size.CPU > max(w.free().CPU, 0):
+	case st.BestEffort && w.bestEffortCPU+st.Size.CPU > max(w.free().CPU, 0):
 		return false
 	case st.MaxPerWorker > 0 && w.tasksOf(r.stage) >= st.MaxPerWorker, !s.mayShare(t, w):
 		return false
@@ -271,12 +271,12 @@
 	if st.NearRack != "" && w.Rack != st.NearRack {
 		c += farCost
 	}
-	if st.BestEffort && w.runsServing() || st.LatencyTarget > 0 && w.fillCPU > 0 {
+	if st.BestEffort && w.runsServing() || st.LatencyTarget > 0 && w.bestEffortCPU > 0 {
 		c += serveCost
 	}
 	if st.BestEffort {
 		// Filling tasks go to the workers with the most free processor time.
-		c -= 2 * float64(w.free().CPU-w.fillCPU) / float64(w.Size.CPU)
+		c -= 2 * float64(w.free().CPU-w.bestEffortCPU) / float64(w.Size.CPU)
 	}
 	if r.job.Domain != "" && w.Domain != r.job.Domain {
 		c += domainCost
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -22,8 +22,8 @@
 	sizedAt time.Time
 	tasks   map[flow.Name]*flow.Task
 	// used is the capacity that tasks use, fillCPU the processors of filling tasks.
-	used    cell.Size
-	fillCPU int64
+	used          cell.Size
+	bestEffortCPU int64
 	// earmarked is the capacity that earlier steps with queries in flight are likely to use, in
 	// this pass.
 	earmarked cell.Size
@@ -83,7 +83,7 @@
 	w.tasks[t.Name] = t
 	w.used = w.used.Add(t.Spec().Demand())
 	if t.Spec().BestEffort {
-		w.fillCPU += t.Spec().Size.CPU
+		w.bestEffortCPU += t.Spec().Size.CPU
 	}
 }
 
@@ -94,7 +94,7 @@
 	delete(w.tasks, t.Name)
 	w.used = w.used.Sub(t.Spec().Demand())
 	if t.Spec().BestEffort {
-		w.fillCPU -= t.Spec().Size.CPU
+		w.bestEffortCPU -= t.Spec().Size.CPU
 	}
 }
 
