--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -71,7 +71,7 @@
 
 // Filling tasks take room only of memory; when a task that serves beside them
 // nears its bound they are held back, and let go again once it is calm.
-func TestFillingTasksAreSlowedBesideServingTask(t *testing.T) {
+func TestBestEffortTasksAreSlowedBesideServingTask(t *testing.T) {
 	b := newSimCell(t, 1)
 	serve := flow.Step{Tasks: 1, Size: cell.Size{CPU: 20_000, Mem: 8 << 30}, LongRunning: true, LatencyTarget: 100 * time.Millisecond}
 	fill := flow.Step{Tasks: 2, Size: cell.Size{CPU: 10_000, Mem: 8 << 30}, EstimatedTime: time.Minute, BestEffort: true}
