--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -19,9 +19,8 @@
 	"pollencroft/internal/sched"
 )
 
-// simCell plays a lead against workers that it holds in memory, on a clock
-// that the test moves. Workers start whatever they are told and record when
-// that is wrong.
+// simCell simulates a leader with in-memory workers, on a clock that the test advances. Workers
+// start whatever they are asked to, and record violations of the rules.
 type simCell struct {
 	t       *testing.T
 	now     time.Time
@@ -30,53 +29,54 @@
 	workers map[string]*fakeWorker
 	events  eventHeap
 	seq     int
-	// stored is what the store holds: the progress of jobs.
+	// stored is the progress of jobs in the store.
 	stored map[string][]byte
 	specs  map[string]flow.Spec
-	// storedCancels are what the store holds of cancellations, cancelled when each came.
+	// storedCancels are the cancellations in the store, cancelledAt is when each arrived.
 	storedCancels []string
 	cancelledAt   map[string]time.Time
-	// storeDown keeps appends without an answer; policy says which workers may
-	// run a step, nil all.
+	// storeDown leaves appends unanswered. allows reports which workers may run a step; nil allows
+	// all.
 	storeDown bool
 	// storeTime is how long the store takes for an append; nil is 3 ms.
 	storeTime func() time.Duration
-	// copies tells that runs of one task may be beside each other.
+	// copies means that several runs of one task may exist at the same time.
 	copies bool
 	allows func(step, worker string) bool
-	// queryTime is how long the policy service takes for a question; nil is 30 ms.
+	// queryTime is how long the policy service takes for a query; nil is 30 ms.
 	queryTime func(sched.QueryPolicy) time.Duration
 	queries   []sched.QueryPolicy
 	paces     []sched.Pace
 	deposed   bool
-	// stepWaits, begun and long are what the core told of waits.
+	// stepWaits, jobStarts and longWaits are the waiting times that the core reported.
 	stepWaits []sched.StepWaited
 	jobStarts []sched.JobStarted
 	longWaits []sched.Note
-	// resizeNotes are what the core told of changes of size.
+	// resizeNotes are the notes about size changes.
 	resizeNotes []sched.Note
-	// holds counts the questions for a worker's lists.
+	// holds counts the holds sent to workers.
 	holds int
-	// passes counts passes, passTook is how long one takes the lead.
+	// passes counts placement passes, passTook is how long one takes.
 	passes   int
 	passTook time.Duration
-	// coreTime is the real time that was spent in the core.
+	// coreTime is the real time spent in the core.
 	coreTime   time.Duration
 	queues     []flow.Queue
 	violations []string
-	// done are tasks that ended as done and were noted.
+	// done are tasks that ended as done and whose end was acknowledged.
 	done map[flow.Name]bool
-	// starts counts by task.
+	// starts counts starts by task.
 	starts map[flow.Name]int
-	// crashesWorker tells which tasks crash the workers that start them, crashed counts by task the
-	// lives that ended so, late the starts after the third, and lives all that ended.
+	// crashesWorker reports which tasks crash the workers that start them. crashed counts the
+	// incarnations that ended that way by task, lateStarts the starts after the third crash, and
+	// endedIncarnations all incarnations that ended.
 	crashesWorker     func(flow.Name) bool
 	crashed           map[flow.Name]int
 	lateStarts        map[flow.Name]int
 	endedIncarnations int
-	// restartExtra is by how much longer than usual a next life takes.
+	// restartExtra is the extra time until the next incarnation of a worker.
 	restartExtra time.Duration
-	// failedNotes are what was told of jobs that were given up.
+	// failedNotes are the notes about jobs that failed because of crashes.
 	failedNotes []sched.Note
 }
 
@@ -114,8 +114,8 @@
 	return w
 }
 
-// disabledMechanisms reads from POLLENCROFT_OFF which mechanisms the tests do without: each of them has
-// a test that fails then.
+// disabledMechanisms reads from POLLENCROFT_OFF which mechanisms to switch off: for each of them a
+// test fails without it.
 func disabledMechanisms() []sched.Mechanism {
 	var all []sched.Mechanism
 	for name := range strings.FieldsSeq(os.Getenv("POLLENCROFT_OFF")) {
@@ -124,7 +124,7 @@
 	return all
 }
 
-// list tells the core all workers that live.
+// list sends the core a list of all live workers.
 func (b *simCell) list() {
 	var ev sched.Workers
 	for _, n := range slices.Sorted(maps.Keys(b.workers)) {
@@ -142,7 +142,7 @@
 
 func (t timedEvent) compare(o timedEvent) int { return cmp.Or(t.at.Compare(o.at), t.seq-o.seq) }
 
-// eventHeap is what comes next, as a heap.
+// eventHeap holds the future events as a heap.
 type eventHeap []timedEvent
 
 func (a eventHeap) Len() int           { return len(a) }
@@ -158,7 +158,7 @@
 	return ev
 }
 
-// networkDelay is one way to a worker or to the store.
+// networkDelay is the one-way delay to a worker or to the store.
 const networkDelay = 500 * time.Microsecond
 
 // advance lets time pass.
@@ -206,7 +206,7 @@
 	}
 }
 
-// deliver feeds an answer to the core of the term that asked.
+// deliver passes a reply to the core, unless the term that asked has ended.
 func (b *simCell) deliver(term int64, ev sched.Event) {
 	if term == b.term {
 		b.step(ev)
@@ -249,7 +249,7 @@
 	}
 }
 
-// recordNote keeps what the core told of some decisions.
+// recordNote records notes about some of the core's decisions.
 func (b *simCell) recordNote(a sched.Note) {
 	switch a.What {
 	case "worker resized":
@@ -285,7 +285,7 @@
 	b.deliver(term, sched.PolicyReply{Step: a.Step, Host: a.Host, Tickets: good})
 }
 
-// submit hands in a job of like steps, each after the one before.
+// submit submits a job whose steps run one after the other.
 func (b *simCell) submit(id, queue string, steps ...flow.Step) {
 	spec := flow.Spec{ID: id, Steps: steps}
 	for _, q := range b.queues {
@@ -303,7 +303,7 @@
 	b.step(sched.Submit{Spec: spec})
 }
 
-// takeover ends the lead without a word; another begins from what is stored.
+// takeover ends the leader without a handover; another begins from what is stored.
 func (b *simCell) takeover() {
 	b.term++
 	var jobs []*flow.Job
@@ -334,7 +334,7 @@
 	b.list()
 }
 
-// cancel stores that a job is to stop and tells the lead.
+// cancel stores a cancellation and passes it to the leader.
 func (b *simCell) cancel(id string) {
 	b.storedCancels = append(b.storedCancels, id)
 	b.cancelledAt[id] = b.now
@@ -360,7 +360,7 @@
 	return all
 }
 
-// scan is a short step of the urgent kind, bulk one of the long kind.
+// scan returns a short step for the urgent queue, bulk a long one for the bulk queue.
 func scan(tasks int) flow.Step {
 	return flow.Step{Tasks: tasks, Size: cell.Size{CPU: 5_000, Mem: 16 << 30}, EstimatedTime: time.Second}
 }
--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -15,12 +15,12 @@
 	"pollencroft/internal/sched"
 )
 
-// randomCell is a cell that a seed draws: workers of one size with GPUs or none, queues with
-// and without a policy service, and what its jobs are like.
+// randomCell is a cell drawn from a seed: workers of one size with or without GPUs, queues with and
+// without a policy service, and jobs.
 type randomCell struct {
 	*simCell
 	size cell.Size
-	// allowedForAll are workers that every step may run on, and those that came for others.
+	// allowedForAll are the workers that every step may run on.
 	allowedForAll map[string]bool
 	jobs          []string
 	// endedJobs are jobs that ended; the core forgets them after a while.
@@ -55,7 +55,7 @@
 	return d
 }
 
-// randomStep draws a step that the three sure workers can hold.
+// randomStep draws a step for which the three workers that allow all steps have enough capacity.
 func (d *randomCell) randomStep(r *rand.Rand) flow.Step {
 	parts := int64(1) << r.IntN(4)
 	st := flow.Step{
@@ -71,22 +71,22 @@
 	return st
 }
 
-// submitRandom hands in a job of one step.
+// submitRandom submits a job with one random step.
 func (d *randomCell) submitRandom(r *rand.Rand) {
 	id := fmt.Sprintf("j%03d", len(d.jobs))
 	d.jobs = append(d.jobs, id)
 	d.submit(id, d.queues[r.IntN(len(d.queues))].Name, d.randomStep(r))
 }
 
-// maxIdle is how long a job that could run may have nothing running beside a cell that is
-// hardly used: the platform's rule. recoveryTime is how long after the last fault that
-// holds: a worker that failed everything has its longest rest by then.
+// maxIdle is how long a job that could run may have nothing running in a cell with little load: the
+// platform's rule. recoveryTime is how long after the last fault the rule applies again: by then a
+// worker that failed every run has passed its longest quarantine.
 const (
 	maxIdle      = 3 * time.Second
 	recoveryTime = 15 * time.Second
 )
 
-// ended tells whether a job has come to its end.
+// ended reports whether a job has ended.
 func (d *randomCell) ended(id string) bool {
 	if !d.endedJobs[id] && d.state(id).Final() {
 		d.endedJobs[id] = true
@@ -94,8 +94,8 @@
 	return d.endedJobs[id]
 }
 
-// checkNotIdle plays d and notes jobs with nothing running for idleFor while under half of the
-// cell is used and a worker that the step may use has room for it twice over.
+// checkNotIdle runs the cell and records jobs that have nothing running for maxIdle while less than
+// half of the cell is used and a worker that the step may use has capacity for two of its tasks.
 func (d *randomCell) checkNotIdle(length time.Duration) {
 	const every = 100 * time.Millisecond
 	since := map[string]time.Time{}
@@ -110,7 +110,7 @@
 				since[id] = d.now
 			}
 			if d.now.Sub(since[id]) > maxIdle {
-				d.violation("%s has nothing running since %s, and could", id, since[id])
+				d.violation("%s could run but has nothing running since %s", id, since[id])
 				delete(since, id)
 			}
 		}
@@ -142,16 +142,16 @@
 	return room && used.Share(whole) < 0.5
 }
 
-// failedCellSeeds are seeds of drawn cells that ever failed. 44, 393, 908: room was held for a wide
-// task on the only workers that it and small ones were allowed on, beside idle others. 930,
-// 5941: the room of members of a gang that had ended was booked for seconds.
+// failedCellSeeds are seeds of random cells that failed before. 44, 393, 908: capacity was reserved
+// for a wide task on the only workers that were allowed for it and for small tasks, while other
+// workers were idle. 930, 5941: the capacity of ended gang members stayed booked for seconds.
 var failedCellSeeds = []uint64{44, 393, 908, 930, 5941}
 
-// Cells of all kinds, drawn by the seed, with more work than they can do at times, bulk
-// that gives way, wide tasks, gangs and tickets, under faults that overlap. No task may run
-// twice at a time or after its end was noted, and no worker be overfilled. Once all is calm
-// no job that could run waits beside an idle cell, and every job comes to its end. Each seed is
-// played once more with workers that shrink and grow while they run.
+// Plays random cells with temporary overload, preemptible bulk, wide tasks, gangs, tickets, and
+// overlapping faults. No task may run twice at the same time or after its end was acknowledged, and
+// no worker may be overfilled. Once all faults have ended, no job that could run may wait in an
+// idle cell, and every job must end. Each seed is played a second time with workers that shrink and
+// grow meanwhile.
 func TestRandomCells(t *testing.T) {
 	seeds := slices.Clone(failedCellSeeds)
 	for i := range *histories {
@@ -193,6 +193,6 @@
 	d.checkNotIdle(3 * time.Minute)
 	require.Empty(t, d.violations)
 	for _, id := range d.jobs {
-		require.True(t, d.ended(id), "job %s goes on", id)
+		require.True(t, d.ended(id), "job %s has not ended", id)
 	}
 }
--- a/internal/sched/crash_cells_test.go
+++ b/internal/sched/crash_cells_test.go
@@ -11,7 +11,7 @@
 	"pollencroft/internal/flow"
 )
 
-// Guards against good jobs given up because they crash along with bad ones, in drawn cells.
+// Guards against healthy jobs failing because they run beside crashing ones, in random cells.
 func TestGoodJobsCompleteInRandomCellsWithCrashes(t *testing.T) {
 	for seed := range uint64(25) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// crashDelay is how long after its start a bad task ends its worker's life, and
-	// rebornAfter when the next life is listed.
+	// crashDelay is how long after its start a crashing task ends its worker's incarnation, and
+	// restartDelay the time until the next incarnation is listed.
 	crashDelay   = 10 * time.Millisecond
 	restartDelay = 1500 * time.Millisecond
-	// unlistDelay is when a life that ended is listed no longer.
+	// unlistDelay is the time until an ended incarnation is no longer listed.
 	unlistDelay = 1200 * time.Millisecond
-	// maxLateStarts is how often a task may start after the third life ended under it.
+	// maxLateStarts is how often a task may start after the third crash under it.
 	maxLateStarts = 2
 )
 
-// crashUnder ends the worker's life if that run is still there.
+// crashUnder crashes the worker if the run is still there.
 func (w *fakeWorker) crashUnder(n flow.Name, r *fakeRun) {
 	if w.dead || w.runs[n] != r {
 		return
@@ -32,7 +32,7 @@
 	w.endIncarnation()
 }
 
-// endIncarnation ends the worker's life; the next one is listed later, at another address.
+// endIncarnation ends the worker's incarnation. The next one is listed later, at another address.
 func (w *fakeWorker) endIncarnation() {
 	b := w.b
 	b.endedIncarnations++
@@ -48,7 +48,7 @@
 	})
 }
 
-// markCrashing makes all tasks of these jobs crash their workers.
+// markCrashing makes all tasks of the jobs crash their workers.
 func (b *simCell) markCrashing(ids ...string) {
 	b.crashesWorker = func(n flow.Name) bool {
 		for _, id := range ids {
@@ -60,22 +60,22 @@
 	}
 }
 
-// requireFailed checks that a job ended as failed without many starts after the third crash.
+// requireFailed checks that a job ended as failed, with few starts after the third crash.
 func (b *simCell) requireFailed(id string) {
 	b.t.Helper()
 	require.Equal(b.t, flow.Failed, b.state(id))
 	b.requireFewLateStarts()
 }
 
-// requireFewLateStarts checks how often tasks started after the third life ended under them.
+// requireFewLateStarts checks how often tasks started after the third crash under them.
 func (b *simCell) requireFewLateStarts() {
 	b.t.Helper()
 	for n, late := range b.lateStarts {
-		require.LessOrEqual(b.t, late, maxLateStarts, "%s after three crashes", n)
+		require.LessOrEqual(b.t, late, maxLateStarts, "starts of %s after three crashes", n)
 	}
 }
 
-// submitTimed hands in a job that is timed.
+// submitTimed submits a timed job.
 func (b *simCell) submitTimed(id string, repeat flow.Repeat, step flow.Step) {
 	spec := flow.Spec{ID: id, Queue: b.queues[0], Steps: []flow.Step{step}, Repeat: repeat}
 	require.NoError(b.t, spec.Check())
@@ -83,7 +83,8 @@
 	b.step(sched.Submit{Spec: spec})
 }
 
-// A task crashes each worker that starts it. Started without end it takes down the cell.
+// A task crashes each worker that starts it. If it were restarted without limit, it would take down
+// the whole cell.
 func TestCrashingTaskFailsItsJob(t *testing.T) {
 	kinds := []struct {
 		name string
@@ -129,7 +130,7 @@
 	}
 }
 
-// One round after the other of a timed job crashes its workers.
+// Each round of a timed job crashes its workers.
 func TestCrashingTimedJobFails(t *testing.T) {
 	b := newSimCell(t, 8)
 	b.markCrashing("bad")
@@ -139,7 +140,7 @@
 	require.LessOrEqual(t, b.endedIncarnations, 9)
 }
 
-// Guards against each new lead starting a crashing task anew.
+// Guards against crash counts that start again from zero with each new leader.
 func TestCrashCountsSurviveLeaderChange(t *testing.T) {
 	for _, copies := range []bool{false, true} {
 		for _, after := range []time.Duration{30 * time.Millisecond, 200 * time.Millisecond, time.Second, 2 * time.Second} {
@@ -168,7 +169,7 @@
 	}
 }
 
-// Guards against good jobs given up because they crash along with bad ones.
+// Guards against healthy jobs failing because they run beside crashing ones.
 func TestGoodJobsCompleteBesideCrashingTasks(t *testing.T) {
 	for _, copies := range []bool{false, true} {
 		t.Run(fmt.Sprintf("copies_%t", copies), func(t *testing.T) {
@@ -198,7 +199,7 @@
 	}
 }
 
-// Guards against starts of a crashing task that the next lead does not know of.
+// Guards against starts of a crashing task that the next leader would not know of.
 func TestCrashIsStoredBeforeNextStart(t *testing.T) {
 	b := newSimCell(t, 8)
 	b.copies = true
@@ -216,7 +217,7 @@
 	b.requireFailed("bad")
 }
 
-// The answer to a start is lost because the task ended the life of its worker at once.
+// The reply to a start is lost because the task crashed its worker immediately.
 func TestUnansweredStartOnCrashedWorkerCounts(t *testing.T) {
 	b := newSimCell(t, 8)
 	b.markCrashing("bad")
@@ -229,7 +230,7 @@
 	b.requireFailed("bad")
 }
 
-// A lasting task runs for long between two crashes of its workers that it did not cause.
+// A long-running task runs for a long time between crashes of its workers that it did not cause.
 func TestLastingTaskThatRanLongIsNotFailed(t *testing.T) {
 	b := newSimCell(t, 4)
 	st := scan(1)
@@ -247,7 +248,7 @@
 	require.Equal(t, flow.Active, b.state("watch"))
 }
 
-// Guards against a job given up for workers that leave, are cut off or answer again.
+// Guards against counting workers as crashed that are drained, cut off, or answer again.
 func TestWorkersThatDidNotCrashAreNotCounted(t *testing.T) {
 	for _, copies := range []bool{false, true} {
 		t.Run(fmt.Sprintf("copies_%t", copies), func(t *testing.T) {
@@ -275,7 +276,7 @@
 					b.advance(12 * time.Second)
 					w.silent = false
 					b.advance(time.Second)
-					// The next run begins on another worker.
+					// The next run starts on another worker.
 					w.info.Draining, w.info.Remaining = true, time.Minute
 					b.list()
 					break
@@ -288,7 +289,7 @@
 	}
 }
 
-// Guards against a job given up because racks lose power under it.
+// Guards against failing a job because racks lose power under it.
 func TestRackPowerLossIsNotCounted(t *testing.T) {
 	b := newSimCell(t, 12)
 	st := bulk(4)
@@ -314,7 +315,8 @@
 	require.Empty(t, b.violations)
 }
 
-// Guards against copies that wait for a verdict on a life that nobody asks any more.
+// Guards against copies that wait forever because an ended incarnation that may have crashed is no
+// longer polled.
 func TestUnlistedIncarnationIsAskedWhetherItEnded(t *testing.T) {
 	b := newSimCell(t, 8)
 	b.copies, b.restartExtra = true, 3*time.Second
@@ -328,7 +330,8 @@
 	require.Equal(t, 3, b.endedIncarnations)
 }
 
-// Guards against a job given up for starts that found a life which had ended before.
+// Guards against failing a job for starts that reached a worker whose incarnation had already
+// ended.
 func TestStartAtEndedIncarnationIsNotCounted(t *testing.T) {
 	b := newSimCell(t, 6)
 	b.advance(100 * time.Millisecond)
--- a/internal/sched/gpu_test.go
+++ b/internal/sched/gpu_test.go
@@ -13,10 +13,10 @@
 	"pollencroft/internal/sched"
 )
 
-// newGPUCell is a cell of workers with eight GPUs and two queues whose steps the policy
-// service has to allow: render, of gangs that want up to a whole worker for each member,
-// and size, of single GPUs, which is less urgent. Costs of questions and shares of allowed
-// workers are those of an inspection firm's sheet.
+// newGPUCell returns a cell of workers with eight GPUs each and two queues whose steps need
+// permission by the policy service: render, with gangs whose members need up to a whole worker
+// each, and size, with single-GPU tasks, which is less urgent. The cost of queries and the shares
+// of allowed workers are those in the data sheet of an inspection firm.
 func newGPUCell(t *testing.T, workers int) *simCell {
 	b := newSimCell(t, 0)
 	for i := range workers {
@@ -49,11 +49,11 @@
 	return flow.Step{Tasks: tasks, Size: cell.Size{CPU: 11_000, Mem: 33 << 30, Accel: 1}, EstimatedTime: 3800 * time.Millisecond, Checkpoints: true}
 }
 
-// Gangs wait for whole workers that the policy service allows them, and there are more
-// of them than all processors could hold. Steps of single GPUs that other workers have
-// room for start all the same. When what waits before them was taken from the room that
-// may be asked about, nobody asked for them: at an inspection firm's measured load 100
-// tasks waited half a minute beside a third of all GPUs.
+// Gangs wait for whole workers that the policy service allows them, and they need more than all
+// processors. Steps of single GPUs start all the same if other workers have capacity. When the
+// needs of the blocked steps were subtracted from the capacity that may be queried about, no query
+// was sent for the others: at the measured load of an inspection firm 100 tasks waited for half a
+// minute beside a third of all GPUs.
 func TestBlockedStepsDoNotBlockOthers(t *testing.T) {
 	b := newGPUCell(t, 8)
 	gangs := map[string]bool{}
@@ -69,15 +69,15 @@
 		b.submit(id, "render", render(2, 8))
 	}
 	b.submit("size", "size", size(8))
-	b.advance(18 * time.Second) // what a caller of size is promised
+	b.advance(18 * time.Second) // the time promised to a caller of size
 	require.Equal(t, flow.Completed, b.state("size"))
 	require.Empty(t, b.violations)
 }
 
-// A question about a gang takes the policy service half a second whatever it names. Asked
-// about a few workers at a time, a gang would ask three or four times until it finds the
-// one that it may use, and every host would be busy with such questions. One question
-// for each step tells all there is to know.
+// A query about a gang takes the policy service half a second, however many workers it names. If
+// each query named only a few workers, a gang would need three or four until it finds the one it
+// may use, and all hosts would be busy with such queries. One query for each step covers all
+// workers.
 func TestOneQueryCoversAllWorkersWhenCheap(t *testing.T) {
 	b := newGPUCell(t, 8)
 	b.allows = func(_, worker string) bool { return worker == "w00" }
@@ -88,9 +88,9 @@
 	require.Len(t, b.queries, 6)
 }
 
-// Gangs that take a whole worker each wait for the only one, and the policy service takes
-// half a second for a question. Asked when the worker is free, each gang leaves it idle
-// for that time; with a ticket got before, only the first one does.
+// Gangs that need a whole worker each wait for the only one, and the policy service takes half a
+// second for a query. If each gang queried only when the worker is free, the worker would be idle
+// for that time before each of them; with prefetched tickets, only before the first.
 func TestTicketsArePrefetchedForFullWorker(t *testing.T) {
 	b := newGPUCell(t, 1)
 	const gangs = 4
@@ -104,10 +104,10 @@
 	}
 }
 
-// Bulk alone waits: all hosts but one ask for it. While scans keep asking, as many hosts
-// as they need are left to them, and no scan waits behind a question of half a second.
-// Four hosts of nine were kept for scans that took half of one; bulk waited half a minute
-// beside idle workers.
+// While only bulk waits, all hosts but one may query for it. While scans arrive, as many hosts as
+// they need are reserved for them, so that no scan waits behind a query of half a second. With four
+// of nine hosts always reserved for scans that needed half of one, bulk waited half a minute beside
+// idle workers.
 func TestHostsAreReservedForUrgentQueries(t *testing.T) {
 	b := newGPUCell(t, 13)
 	b.step(sched.Hosts{Names: []string{"h1", "h2", "h3", "h4", "h5", "h6", "h7", "h8", "h9"}})
@@ -134,23 +134,23 @@
 		began[id] = b.now
 		b.advance(20 * time.Millisecond)
 	}
-	// The question, the append, the work and its end.
+	// The query, the append, the work and its end.
 	b.advance(1200 * time.Millisecond)
 	for id := range began {
 		require.Equal(t, flow.Completed, b.state(id), id)
 	}
 }
 
-// wide is one task that takes all GPUs of a worker.
+// wide is a step of one task that needs all GPUs of a worker.
 func wide() flow.Step {
 	st := render(1, 8)
 	st.Gang = false
 	return st
 }
 
-// timeWideTask keeps a cell full of tasks of one GPU, with more of them waiting than there is
-// room for, of jobs that have time to spare. Only one worker is allowed for the wide task
-// that comes then. It returns how long that one took.
+// timeWideTask keeps a cell full of single-GPU tasks, with more of them waiting than there is
+// capacity for, of jobs that have time to spare. It then submits a wide task that is allowed on one
+// worker only, and returns how long that task took.
 func timeWideTask(t *testing.T, single flow.Step) time.Duration {
 	b := newGPUCell(t, 2)
 	b.allows = func(step, worker string) bool { return step != "wide.0.0" || worker == "w00" }
@@ -172,18 +172,18 @@
 	return b.now.Sub(began)
 }
 
-// Tasks of one GPU come without end and take every GPU that is given back. A task that
-// wants all of a worker would never see one empty; it gets one in the time that its
-// caller was promised, since what is given back on its worker is held for it.
+// Single-GPU tasks arrive continuously and take every GPU that is released. A task that needs a
+// whole worker would never find one empty. It gets one within the time that its caller was
+// promised, because the capacity released on its worker is reserved for it.
 func TestCapacityIsReservedForWideTask(t *testing.T) {
 	single := size(1)
 	single.Checkpoints = false
-	// 2.2 times its work and a second.
+	// 2.2 times its work plus one second.
 	require.Less(t, timeWideTask(t, single), 8900*time.Millisecond)
 }
 
-// The same, but the small tasks save their progress and have time to spare. The wide task
-// is more urgent and does not wait for them: it begins after its question and the stops.
+// The same, but the small tasks save their progress and have time to spare. The wide task is more
+// urgent and doesn't wait for them: it begins after its query and the stops.
 func TestBulkIsPreemptedForUrgentTask(t *testing.T) {
 	question, stop := 560*time.Millisecond, time.Second
 	require.Less(t, timeWideTask(t, size(1)), question+stop+wide().EstimatedTime)
@@ -194,9 +194,9 @@
 	return id
 }
 
-// A worker is taken for eight seconds, and a job that wants it waits. Whoever asks why it is
-// late learns how long it waited for the policy service's answer and how long for room; a
-// line tells of it while it still waits.
+// A worker is occupied for eight seconds, and a job waits for it. The reported waiting times show
+// how long the job waited for the policy service and how long for capacity, and a log line reports
+// it while it still waits.
 func TestStepReportsWaitReasons(t *testing.T) {
 	b := newGPUCell(t, 1)
 	long := wide()
@@ -215,7 +215,7 @@
 	require.Contains(t, b.longWaits[0].Detail, "room 3")
 	b.advance(4 * time.Second)
 	require.Len(t, b.stepWaits, 2)
-	// The rest of eight seconds, of which the questions for tickets take a part.
+	// The rest of eight seconds, part of which is spent on queries for tickets.
 	require.InDelta(t, 7.55, b.stepWaits[1].Times.Total().Seconds(), 0.1)
 	require.Greater(t, b.stepWaits[1].Times[sched.WaitForCapacity], b.stepWaits[1].Times[sched.WaitForPolicy])
 	require.Equal(t, 1, b.stepWaits[1].Rank)
--- a/internal/sched/grown_test.go
+++ b/internal/sched/grown_test.go
@@ -13,7 +13,8 @@
 	"pollencroft/internal/sched"
 )
 
-// workload is a queue with the steps of its jobs and how many of them come in a second.
+// workload is a queue, its arrival rate in jobs per second, the share of workers that are allowed
+// for its steps, and a generator of steps.
 type workload struct {
 	queue        flow.Queue
 	rate         float64
@@ -25,9 +26,9 @@
 	return time.Duration(float64(mean) * (0.5 + r.Float64()))
 }
 
-// firmWorkloads is what an inspection firmWorkloads asks for with 252 workers for reports and 98 with eight
-// GPUs each, as its sheet says: rates, widths, sizes, costs of questions and shares of
-// allowed workers.
+// firmWorkloads returns the workloads of an inspection firm with 252 workers for reports and 98
+// with eight GPUs each, as given in its data sheet: arrival rates, numbers of tasks, sizes, query
+// costs and shares of allowed workers.
 func firmWorkloads() []workload {
 	advice := func(base, each time.Duration) *flow.Advice {
 		return &flow.Advice{Base: base, PerWorker: each, Valid: 2 * time.Second}
@@ -65,7 +66,7 @@
 	}
 }
 
-// newFirmCell is the cell of such a firm.
+// newFirmCell returns the cell of such a firm.
 func newFirmCell(t *testing.T, kinds []workload) *simCell {
 	b := newSimCell(t, 0)
 	for i := range 350 {
@@ -98,7 +99,7 @@
 	return b
 }
 
-// submitArrivals hands in what comes in d.
+// submitArrivals submits the jobs that arrive during d.
 func (b *simCell) submitArrivals(r *rand.Rand, kinds []workload, d time.Duration) {
 	const every = 10 * time.Millisecond
 	for range int(d / every) {
@@ -111,9 +112,9 @@
 	}
 }
 
-// A second of the lead's work at the load that the firm's sheet tells, and with half as much
-// again, after ten seconds of it. core-ms is the time in the scheduler itself. The weakest
-// host that leads such a cell has 0.8 of a core for this and for the wire.
+// Measures one second of the leader's work at the load in the firm's data sheet, and at 1.5 times
+// that load, after ten seconds of it. core-ms is the time spent in the scheduler itself. The
+// weakest host that leads such a cell has 0.8 of a core for the scheduler and its network traffic.
 func BenchmarkASecondOfAFirm(b *testing.B) {
 	for name, more := range map[string]float64{"usual": 1, "burst": 1.5} {
 		b.Run(name, func(b *testing.B) {
@@ -133,9 +134,9 @@
 	}
 }
 
-// Everybody comes at once, as after a store that was away or slow: five hundred urgent jobs in a
-// second, and bulk that has waited. Hundreds of steps wait for a ticket or for room in each pass.
-// core-ms is the time in the scheduler itself a second, as above.
+// Measures a burst of arrivals as after an outage or slowdown of the store: five hundred urgent
+// jobs within a second, and bulk that has waited. Hundreds of steps wait for a ticket or for
+// capacity in each pass. core-ms is the time spent in the scheduler itself per second, as above.
 func BenchmarkASecondOfAFirmWithACrowd(b *testing.B) {
 	var spent time.Duration
 	n := 0
@@ -149,7 +150,8 @@
 	b.ReportMetric(float64(spent.Microseconds())/1000/float64(n), "core-ms")
 }
 
-// newFirmCellWithBurst is a firm to which eight seconds' work has come in one.
+// newFirmCellWithBurst returns a firm's cell in which the work of eight seconds has arrived within
+// one.
 func newFirmCellWithBurst(t *testing.T) (*simCell, *rand.Rand, []workload) {
 	kinds := firmWorkloads()
 	c := newFirmCell(t, kinds)
--- a/internal/sched/history_test.go
+++ b/internal/sched/history_test.go
@@ -22,15 +22,14 @@
 	firstSeed = flag.Uint64("seed", 1, "seed of the first history")
 )
 
-// failedSeeds are seeds that ever failed, each with its cause.
+// failedSeeds are seeds that failed before, each with its cause.
 var failedSeeds = []uint64{}
 
-// A lead, workers and the store go through random faults that overlap: leads end
-// between any two steps, workers fall silent, die, leave, fail, crawl and carry
-// starts out late, the store is away, jobs are cancelled. No task may run twice at
-// a time or after its end was noted, no worker be overfilled, and once all is calm
-// every job comes to its end. Each seed is played once more with workers that shrink and
-// grow while they run.
+// Plays a leader, workers and the store with random overlapping faults: leaders end between any two
+// steps; workers fall silent, die, leave, fail, slow down and carry starts out late; the store is
+// down; jobs are cancelled. No task may run twice at the same time or after its end was
+// acknowledged, no worker may be overfilled, and once all faults have ended every job must end.
+// Each seed is played a second time with workers that shrink and grow meanwhile.
 func TestRandomHistories(t *testing.T) {
 	seeds := failedSeeds
 	for i := range *histories {
@@ -42,7 +41,7 @@
 	}
 }
 
-// Guards against a third start after the third crash, whatever the leads knew.
+// Guards against a third start after the third crash, regardless of what each leader knew.
 func TestRandomHistoriesWithCrashes(t *testing.T) {
 	for i := range *histories {
 		seed := *firstSeed + uint64(i)
@@ -50,12 +49,12 @@
 	}
 }
 
-// sizeRand draws the changes of size of a seed apart from its other faults, so that these stay
-// the same.
+// sizeRand returns a random source for size changes, separate from that of the other faults so that
+// these stay the same for a seed.
 func sizeRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 2)) }
 
-// runHistory plays the history of a seed; crashes draws what crashes workers and sizes changes
-// of size, nil none.
+// runHistory plays the history of a seed. crashes is the random source for worker crashes and sizes
+// that for size changes; nil means none.
 func runHistory(t *testing.T, seed uint64, crashes, sizes *rand.Rand) {
 	r := rand.New(rand.NewPCG(seed, 0))
 	b := newSimCell(t, 3+r.IntN(7))
@@ -88,7 +87,7 @@
 			}
 		case n < 13:
 			b.storeDown = !b.storeDown
-			// A slow store takes its appends in any order.
+			// A slow store completes its appends in any order.
 			b.storeTime = nil
 			if r.IntN(2) == 0 {
 				b.storeTime = func() time.Duration { return time.Duration(1+r.IntN(600)) * time.Millisecond }
@@ -106,7 +105,7 @@
 	b.advance(90 * time.Second)
 	maps.DeleteFunc(jobs, func(id string, _ bool) bool { return b.state(id).Final() })
 	if crashes != nil {
-		// Of lives that ended under a former lead nobody knows the address.
+		// The addresses of incarnations that ended under a previous leader are not known.
 		b.advance(40 * time.Second)
 	}
 	b.requireFewLateStarts()
@@ -117,7 +116,7 @@
 	}
 }
 
-// pickCrashingJobs draws which jobs crash their workers and how long these stay away.
+// pickCrashingJobs draws which jobs crash their workers and how long these stay down.
 func (b *simCell) pickCrashingJobs(r *rand.Rand, seed uint64) {
 	if r == nil {
 		return
@@ -127,7 +126,7 @@
 	b.crashesWorker = func(n flow.Name) bool { return xxhash.Sum64String(n.Job+fmt.Sprint(seed))%10 < share }
 }
 
-// maybeCrashWorker ends the life of a worker at times.
+// maybeCrashWorker sometimes crashes a worker.
 func (b *simCell) maybeCrashWorker(r *rand.Rand) {
 	if r.IntN(12) > 0 {
 		return
@@ -137,7 +136,7 @@
 	}
 }
 
-// injectFault does something to one worker; spare numbers workers that come anew.
+// injectFault applies a random fault to one worker. spare is the number of the last added worker.
 func (b *simCell) injectFault(r *rand.Rand, spare int) int {
 	all := b.sortedWorkers()
 	w := all[r.IntN(len(all))]
@@ -165,8 +164,8 @@
 	return spare
 }
 
-// resizeRandomWorkers gives a worker or two another size, down to none, or what they had at first; sizes
-// is nil for none.
+// resizeRandomWorkers changes the size of up to two workers, down to no capacity, or restores their
+// original size. It does nothing if sizes is nil.
 func (b *simCell) resizeRandomWorkers(sizes *rand.Rand) {
 	if sizes == nil {
 		return
--- a/internal/sched/late_test.go
+++ b/internal/sched/late_test.go
@@ -12,9 +12,9 @@
 	"pollencroft/internal/sched"
 )
 
-// runBurst plays work that all comes at once, as after an outage, and then steady work at
-// share of what the cell can do, for a time. It returns how long each job took; one that
-// goes on at the end counts as long as it has.
+// runBurst submits a burst of jobs at once, as after an outage, and then a steady load of the given
+// share of the cell's capacity for a time. It returns how long each job took; for a job that is not
+// completed at the end, the time so far.
 func runBurst(t *testing.T, atOnce int, share float64, d time.Duration) (first, later []time.Duration) {
 	const workers, perWorker = 4, 12
 	b := newSimCell(t, workers)
@@ -63,25 +63,25 @@
 	return n
 }
 
-// A store that was away returns, and all who were refused come at once: twelve seconds of
-// work. Newer callers keep the cell at nine tenths. With the oldest first each of them
-// waits for the whole queue, and for minutes nobody is served in time, though there is
-// room for nine in ten. With those first that can still be in time the newer ones hardly
-// notice, but for the first seconds in which all can still be in time.
+// The store is back after an outage, and all refused callers return at once with twelve seconds of
+// work, while new callers use nine tenths of the cell's capacity. With the oldest jobs first, each
+// new job would wait for the whole queue, and for minutes no job would be on time although there is
+// capacity for nine in ten. With the jobs first that can still be on time, new jobs are hardly
+// affected, except during the first seconds, in which all jobs can still be on time.
 func TestNewWorkStaysOnTimeBesideLateWork(t *testing.T) {
 	_, later := runBurst(t, 96, 0.9, 30*time.Second)
 	n := countWithin(later, 2*time.Second)
-	require.Greater(t, n, len(later)*8/10, "%d of %d in time", n, len(later))
+	require.Greater(t, n, len(later)*8/10, "%d of %d on time", n, len(later))
 }
 
-// Work that is late goes behind newer work, but not for good: after eight times what it
-// should have taken an eighth of the workers is left to it. A caller whose job waited for
-// as long as others come would never hear of it. More comes all the while than the cell
-// can do.
+// Late work is placed after newer work, but not forever: after eight times its objective an eighth
+// of the workers is reserved for it. Otherwise a job would wait for as long as other jobs arrive.
+// The load exceeds the cell's capacity all the time.
 func TestLateWorkIsNotStarved(t *testing.T) {
 	objective := 2 * time.Second
 	first, _ := runBurst(t, 96, 1.02, 140*time.Second)
-	// The work of all, an eighth of the workers, and what the last tasks of each leave idle.
+	// The work of all jobs on an eighth of the workers, plus what the last tasks of each leave
+	// idle.
 	work := 96 * 6 * scan(1).EstimatedTime
 	bound := 8*objective + 8*work/(4*12)*5/4
 	require.Equal(t, len(first), countWithin(first, bound))
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -13,10 +13,10 @@
 	"pollencroft/internal/sched"
 )
 
-// Bulk work fills the cell and more waits; scans come all the while. Each scan
-// starts at once, in the room that bulk may not take. Pattern: the users' mix,
-// 12 scans a second of 6 tasks on 5 cores for a second beside bulk at more than
-// the rest of the cell; the grounds are the pass office's sheet.
+// Bulk work fills the cell and more is waiting, while scans arrive. Each scan starts at once, in
+// the capacity that bulk may not use. The load follows the users' mix in the pass office's data
+// sheet: 12 scans a second, each of 6 tasks on 5 cores for a second, beside more bulk than fits in
+// the rest of the cell.
 func TestUrgentWorkStartsAtOnceBesideBulkBacklog(t *testing.T) {
 	b := newSimCell(t, 24)
 	for i := range 40 {
@@ -38,8 +38,7 @@
 	require.Empty(t, b.violations)
 }
 
-// A queue with advice: no start without a ticket, and at most one question at a
-// time for a step.
+// A queue with advice: no task starts without a ticket, and a step has at most one query in flight.
 func TestTicketIsRequiredBeforeStart(t *testing.T) {
 	b := newSimCell(t, 12)
 	b.queues[0].Advice = &flow.Advice{Base: 24 * time.Millisecond, PerWorker: 340 * time.Microsecond, Valid: 2500 * time.Millisecond}
@@ -54,8 +53,8 @@
 	}
 }
 
-// A job of many short tasks in three failure domains stays in one: when another
-// is cut off, the job goes on.
+// A job with many short tasks is placed in one of three failure domains, so that it continues when
+// another is cut off.
 func TestAJobStaysInOneFailureDomain(t *testing.T) {
 	b := newSimCell(t, 9)
 	b.submit("a", "scan", scan(6), scan(6))
@@ -69,8 +68,8 @@
 	require.Len(t, domains, 1)
 }
 
-// Filling tasks take room only of memory; when a task that serves beside them
-// nears its bound they are held back, and let go again once it is calm.
+// Best-effort tasks book only memory. When a serving task beside them nears its response-time
+// target they are slowed, and they speed up again once it has recovered.
 func TestBestEffortTasksAreSlowedBesideServingTask(t *testing.T) {
 	b := newSimCell(t, 1)
 	serve := flow.Step{Tasks: 1, Size: cell.Size{CPU: 20_000, Mem: 8 << 30}, LongRunning: true, LatencyTarget: 100 * time.Millisecond}
@@ -100,8 +99,8 @@
 	require.Positive(t, b.paces[0].Percent)
 }
 
-// The store is away and a worker falls silent. Tasks of which copies may run go
-// on starting; the first copy that is done counts and the job ends as done once.
+// The store is down and a worker falls silent. Tasks that allow copies still start. The first copy
+// that is done counts, and the job completes once.
 func TestCopiesNeitherWaitForTheStoreNorForASilentWorker(t *testing.T) {
 	b := newSimCell(t, 4)
 	b.copies = true
@@ -134,8 +133,8 @@
 	require.Equal(t, flow.Completed, b.state("b"))
 }
 
-// newCellWithCopies is a cell in which the worker with the most tasks of a job, of which copies may
-// run beside each other, has been silent for a while.
+// newCellWithCopies returns a cell with a job that allows copies, whose worker with the most tasks
+// has been silent for a while.
 func newCellWithCopies(t *testing.T, workers, tasks int, work, silent time.Duration) (*simCell, *fakeWorker) {
 	b := newSimCell(t, workers)
 	b.copies = true
@@ -151,25 +150,24 @@
 	return b, cut
 }
 
-// A worker falls silent and returns with copies that were begun elsewhere
-// meanwhile. They still take its room, and work that was placed as if they did
-// not would overload it.
+// A worker falls silent and returns after copies of its tasks were started elsewhere. Its own runs
+// still use its capacity; placing work as if they did not would overfill it.
 func TestUntrackedCopiesStillTakeCapacity(t *testing.T) {
 	b, cut := newCellWithCopies(t, 3, 12, 5*time.Second, 2500*time.Millisecond)
 	require.Greater(t, len(cut.runs), 6)
 	b.submit("b", "scan", scan(24))
 	cut.silent = false
 	b.advance(20 * time.Second)
-	require.Greater(t, total(b.starts), 12+24, "copies began elsewhere")
+	require.Greater(t, total(b.starts), 12+24, "copies must have started elsewhere")
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.Equal(t, flow.Completed, b.state("b"))
 	require.Empty(t, b.violations)
 }
 
-// Hundreds of steps wait, and the lead's processor is so scarce that one pass over them takes
-// tens of milliseconds. Made as often as ever, passes take half of the processor; starts, answers
-// and appends wait for the rest, more steps wait, and passes take longer still: a cell whose lead
-// does not find out of its backlog, and is fenced off for late answers.
+// Hundreds of steps wait, and the leader has so little processor time that one pass over them takes
+// tens of milliseconds. If passes ran as often as usual, they would take half of that time; starts,
+// replies and appends would wait for the rest, more steps would wait, and passes would take longer
+// still. The leader would never work off its backlog and would be fenced for late answers.
 func TestPassesAreLimitedToAShareOfTime(t *testing.T) {
 	for _, took := range []time.Duration{time.Millisecond, 10 * time.Millisecond, 40 * time.Millisecond} {
 		b := newSimCell(t, 2)
@@ -181,16 +179,16 @@
 			b.submit(fmt.Sprintf("a%03d", n), "scan", scan(4))
 			b.advance(10 * time.Millisecond)
 		}
-		require.LessOrEqual(t, time.Duration(b.passes)*took, time.Second/4+took, "a quarter of the second, and the pass that began last")
-		require.GreaterOrEqual(t, b.passes, 4, "in a second")
+		require.LessOrEqual(t, time.Duration(b.passes)*took, time.Second/4+took, "passes may take a quarter of the second, plus the one that began last")
+		require.GreaterOrEqual(t, b.passes, 4, "passes within a second")
 		b.passTook = 0
 		b.advance(2 * time.Second)
-		require.Greater(t, total(b.starts), 40, "work goes on")
+		require.Greater(t, total(b.starts), 40, "starts after the load")
 	}
 }
 
-// A lead is suspended for seconds in the middle of a pass. What waits when it goes on is placed as
-// soon as ever, not as if each pass took as long.
+// A leader is suspended for seconds in the middle of a pass. Afterwards waiting work is placed as
+// quickly as before, not as if each pass took that long.
 func TestSuspensionInAPassDoesNotSlowLaterPasses(t *testing.T) {
 	b := newSimCell(t, 2)
 	b.submit("first", "scan", scan(1))
@@ -200,13 +198,14 @@
 		b.submit(fmt.Sprintf("a%03d", n), "scan", scan(1))
 		b.advance(10 * time.Millisecond)
 	}
-	require.Greater(t, b.passes, 30, "of fifty in a second")
+	require.Greater(t, b.passes, 30, "of at most fifty passes within a second")
 }
 
-// A worker falls silent and returns; copies of its tasks were begun elsewhere meanwhile and are
-// done first, so what it runs of them is stopped. Until it is certain that nothing more can begin
-// there, the lead asked it again as soon as it had answered, hundreds of times a second: a quarter
-// of all calls of a large cell's lead, which had no processor left for starts and answers.
+// A worker falls silent and returns. Copies of its tasks were started elsewhere meanwhile and are
+// done first, so its own runs are stopped. Until it was certain that nothing more could begin
+// there, the leader asked it again after each reply, hundreds of times a second. These were a
+// quarter of all calls of a large cell's leader, which had no processor time left for starts and
+// replies.
 func TestWorkerWithOnlyStoppedCopiesIsPolledSlowly(t *testing.T) {
 	b, cut := newCellWithCopies(t, 4, 8, 3*time.Second, 1500*time.Millisecond)
 	cut.silent = false
@@ -217,12 +216,12 @@
 	b.holds = 0
 	const watched = 3 * time.Second
 	b.advance(watched)
-	require.Positive(t, b.holds, "until its room is given back")
+	require.Positive(t, b.holds, "holds until its capacity is released")
 	require.LessOrEqual(t, b.holds, 2+len(b.workers)*int(watched/sched.DefaultLimits.HoldWait))
 }
 
-// A lead ends with copies started that it could not store. Its successor finds
-// them at their workers and goes on with them.
+// A leader ends after starting copies that it could not store. Its successor finds them on their
+// workers and continues with them.
 func TestNewLeaderFindsUnstoredCopies(t *testing.T) {
 	b := newSimCell(t, 4)
 	b.copies = true
@@ -240,7 +239,7 @@
 	require.LessOrEqual(t, total(b.starts), 16)
 }
 
-// The same events give the same decisions, to the order of each action.
+// The same events give the same decisions, including the order of actions.
 func TestDecisionsAreDeterministic(t *testing.T) {
 	play := func() string {
 		b := newSimCell(t, 9)
@@ -257,8 +256,8 @@
 	require.Equal(t, play(), play())
 }
 
-// A worker works seven times slower while it answers every question. What it
-// runs of several jobs goes on elsewhere, and new work stays away from it.
+// A worker is seven times slower while it answers every request. Its runs of several jobs are
+// restarted elsewhere, and new work avoids it.
 func TestRunsOnSlowWorkerRestartElsewhere(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.workers["w01"].slowdown = 7
@@ -272,8 +271,7 @@
 	require.Empty(t, b.violations)
 }
 
-// One task has five times the work that its estimate says. Begun again elsewhere
-// it would take as long once more.
+// One task has five times the work of its estimate. Restarted elsewhere it would take just as long.
 func TestLongTaskOnHealthyWorkerIsNotRestarted(t *testing.T) {
 	b := newSimCell(t, 1)
 	for i := range 3 {
@@ -289,10 +287,9 @@
 	require.Equal(t, 1, b.starts[flow.Name{Job: "s2"}])
 }
 
-// Two thousand steps wait for tickets beside 350 workers, three times what the
-// grown users' cells had waiting when their lead was short of processor for
-// seconds. A pass over them must not look at every worker for every step; with
-// 700,000 looks a pass it would.
+// Measures a pass with two thousand steps waiting for tickets and 350 workers. That is three times
+// the backlog of the users' large cells when their leader was short of processor time for seconds.
+// A pass must not check every worker for every step, which would be 700,000 checks.
 func BenchmarkPassOverABacklog(b *testing.B) {
 	c := newSimCell(&testing.T{}, 350)
 	c.queues[1].Advice = &flow.Advice{Base: 370 * time.Millisecond, PerWorker: 5 * time.Millisecond, Valid: 2500 * time.Millisecond}
@@ -308,10 +305,9 @@
 	}
 }
 
-// One answer in twenty of the workers is lost for some seconds. The lost one tells
-// of an end; until the next answer nobody knows that the task is done, and with 16
-// tasks in a job most callers would wait for that. So the worker is asked again at
-// once. The pattern is that of the users' days on which answers get lost.
+// One reply in twenty is lost for some seconds, as on some of the users' days. The lost reply lists
+// an end, and until the next reply nobody knows that the task is done; with 16 tasks in a job most
+// callers would have to wait for that. So the worker is asked again at once.
 func TestLostHoldReplyIsRequestedAgainAtOnce(t *testing.T) {
 	b := newSimCell(t, 1)
 	b.workers["w00"].repliesToLose = 1
@@ -321,16 +317,15 @@
 		b.advance(10 * time.Millisecond)
 	}
 	require.Zero(t, b.workers["w00"].repliesToLose)
-	// The work, the rest of a hold's wait, and the patience for its answer.
+	// The work, the rest of a hold's wait, and the timeout for its reply.
 	t.Log(b.now.Sub(began))
 	require.Less(t, b.now.Sub(began), time.Second+sched.DefaultLimits.HoldWait+replyTimeout)
 }
 
-// The store takes 53 times as long for each append, as on the users' slow days, and
-// scans come all the while. Each needs three appends, one after the other: its two
-// starts and its end. What comes up while one is under way is stored beside it. If
-// it waited for the rest of that one's time as well, scans would take 3.3 s and not
-// 3.0, and more of them be late.
+// The store takes 53 times as long for each append, as on the users' slow days, while scans arrive.
+// Each scan needs three appends in sequence: for its two starts and its end. Changes that arrive
+// while one append is in flight are stored beside it. If they waited for the rest of its time as
+// well, scans would take 3.3 s instead of 3.0 s, and more of them would be late.
 func TestSlowStoreDelaysEachStepOnce(t *testing.T) {
 	const slow = 212 * time.Millisecond
 	b := newSimCell(t, 12)
@@ -358,10 +353,9 @@
 	require.Empty(t, b.violations)
 }
 
-// After a loss of all power the lead has heard of one host, itself, and forty urgent
-// jobs wait. The policy service turns a host's 33rd question away, and a host that
-// fails gets none for a second. So questions wait at the lead, and go out at once
-// when other hosts are heard of.
+// After a complete power loss the leader knows only one host, itself, and forty urgent jobs wait.
+// The policy service rejects a host's 33rd query, and a host with a failed query gets none for a
+// second. So queries wait in the leader, and are sent as soon as it learns of other hosts.
 func TestQueriesWaitForFreeHost(t *testing.T) {
 	b := newSimCell(t, 24)
 	b.queues[0].Advice = &flow.Advice{Base: 30 * time.Millisecond, PerWorker: 300 * time.Microsecond, Valid: 2500 * time.Millisecond}
@@ -380,16 +374,16 @@
 	}
 	b.step(sched.Hosts{Names: names})
 	b.advance(25 * time.Millisecond)
-	require.Equal(t, 40, len(b.queries), "%d were asked by one host", alone)
+	require.Equal(t, 40, len(b.queries), "%d queries were sent by one host", alone)
 	b.advance(3 * time.Second)
 	for i := range 40 {
 		require.Equal(t, flow.Completed, b.state(fmt.Sprintf("scan%02d", i)))
 	}
 }
 
-// The store returns after an outage in which the workers' entries lapsed: the first list
-// is empty, and full again within two seconds. All who waited for the store come in that
-// moment. The workers answer all the while, and work starts on them at once.
+// The store returns after an outage in which the workers' entries expired: the first list is empty,
+// and full again within two seconds. All callers who waited for the store return at that moment.
+// The workers answer all the time, and work starts on them at once.
 func TestAnsweringWorkersAreUsedWhileEntriesAreMissing(t *testing.T) {
 	b := newSimCell(t, 6)
 	b.advance(time.Second)
@@ -400,7 +394,7 @@
 	b.advance(2 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
 
-	// What is still missing after that has left.
+	// Workers that are still missing after that have left.
 	b.submit("b", "scan", scan(6))
 	b.advance(2 * time.Second)
 	require.Equal(t, 6, total(b.starts))
@@ -410,9 +404,9 @@
 	require.Empty(t, b.violations)
 }
 
-// Copies start before they are stored. The store is away, a task fails as often as its
-// caller allows, and the lead goes without having stored any of that. Its successor finds
-// the ends at the workers and counts them; it would try three times more.
+// Copies start before they are stored. The store is down, a task fails as often as its caller
+// allows, and the leader ends without having stored any of that. Its successor finds the ends on
+// the workers and counts them; otherwise it would try the task three more times.
 func TestUnstoredFailedCopiesAreCounted(t *testing.T) {
 	b := newSimCell(t, 4)
 	b.copies = true
@@ -428,7 +422,7 @@
 	require.Equal(t, 3, total(b.starts))
 	b.storeDown = false
 	b.takeover()
-	// It may start one more before it has read all workers.
+	// The new leader may start one more run before it has read all workers.
 	b.advance(200 * time.Millisecond)
 	require.LessOrEqual(t, total(b.starts), 4)
 	known := total(b.starts)
--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -228,7 +228,7 @@
 	Why  string
 }
 
-// Pace limits the processor time of a filling run.
+// Pace limits the processor time of a best-effort run.
 type Pace struct {
 	To      Address
 	Term    int64
--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -6,12 +6,12 @@
 	"pollencroft/internal/flow"
 )
 
-// Filling tasks disturb the tasks that serve requests on the same worker, by amounts that nobody
+// Best-effort tasks disturb the tasks that serve requests on the same worker, by amounts that nobody
 // declares and that change within seconds. The sign of it is a tail of the response times that
-// nears its target. Slowing the filling tasks brings it down within the platform's pacing delay,
+// nears its target. Slowing the best-effort tasks brings it down within the platform's pacing delay,
 // long before the target is missed for good.
 const (
-	// slowFrom is the share of the target from which filling tasks are slowed, pauseFrom the share
+	// slowFrom is the share of the target from which best-effort tasks are slowed, pauseFrom the share
 	// from which they are paused.
 	slowFrom  = 0.7
 	pauseFrom = 0.85
@@ -22,7 +22,7 @@
 	speedUpInterval = time.Second
 )
 
-// pacing is the share of the processor time that filling tasks on a worker may use, in percent.
+// pacing is the share of the processor time that best-effort tasks on a worker may use, in percent.
 type pacing struct {
 	level   int
 	changed time.Time
@@ -44,7 +44,7 @@
 	return worst
 }
 
-// adjustPace adjusts the pace of filling tasks to the response times that a worker lists.
+// adjustPace adjusts the pace of best-effort tasks to the response times that a worker lists.
 func (s *Sched) adjustPace(w *worker, running []RunStatus) {
 	if w.bestEffortCPU == 0 {
 		return
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -251,7 +251,7 @@
 const (
 	// farCost makes a task prefer the rack of its data without waiting for it.
 	farCost = 2
-	// serveCost keeps filling tasks and serving tasks apart while there is other capacity.
+	// serveCost keeps best-effort tasks and serving tasks apart while there is other capacity.
 	serveCost = 1
 	// domainCost keeps a job in one failure domain, and togetherCost keeps it on few workers: a job
 	// is late if its last task is late. With 6 tasks spread over 3 failure domains, a network cut
@@ -275,7 +275,7 @@
 		c += serveCost
 	}
 	if st.BestEffort {
-		// Filling tasks go to the workers with the most free processor time.
+		// Best-effort tasks go to the workers with the most free processor time.
 		c -= 2 * float64(w.free().CPU-w.bestEffortCPU) / float64(w.Size.CPU)
 	}
 	if r.job.Domain != "" && w.Domain != r.job.Domain {
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -118,7 +118,8 @@
 	})
 }
 
-// ensureWorker returns a worker ensureWorker that a previous leader's records name.
+// ensureWorker returns the worker of an incarnation that a previous leader's records name, and adds
+// it if it is unknown.
 func (s *Sched) ensureWorker(incarnation string) *worker {
 	w, ok := s.workers[incarnation]
 	if !ok {
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -24,8 +24,8 @@
 	require.Len(t, b.starts, 9)
 }
 
-// The same job arrives again at another host after its 2xx. A caller would see
-// a pass spent twice if it became a second job.
+// A job is submitted again at another host after its 2xx. If it became a second job, its work would
+// be done twice.
 func TestDuplicateSubmitIsIgnored(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.submit("a", "scan", scan(2))
@@ -38,8 +38,8 @@
 	}
 }
 
-// The store does not answer for a while. Nothing may start that no successor
-// would know of, and no job may be shown as completed before that is stored.
+// The store does not answer for a while. No run may start that a successor would not know of, and
+// no job may be shown as completed before that is stored.
 func TestRunStartsOnlyAfterItIsStored(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.advance(100 * time.Millisecond)
@@ -58,8 +58,8 @@
 	require.Equal(t, flow.Completed, b.state("a"))
 }
 
-// A worker leaves a start without an answer and carries it out two seconds
-// later. Started elsewhere meanwhile, the task would run twice.
+// A worker doesn't answer a start and carries it out two seconds later. If the task were started
+// elsewhere meanwhile, it would run twice.
 func TestUnansweredStartIsStoppedBeforeRestartElsewhere(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.advance(100 * time.Millisecond)
@@ -76,9 +76,8 @@
 	require.Empty(t, b.violations)
 }
 
-// A worker goes for good without a word. Its task begins elsewhere once no
-// lease on it can last any more, and not before; a job that waited for ever
-// would be one that its caller was told is accepted.
+// A worker disappears for good. Its tasks start elsewhere once no lease on it can still be valid,
+// and not before. A job that waited forever would break the promise of its acceptance.
 func TestTasksOfLostWorkerRestartAfterLease(t *testing.T) {
 	b := newSimCell(t, 2)
 	b.submit("a", "print", bulk(8))
@@ -90,7 +89,7 @@
 	b.list()
 	before := total(b.starts)
 	b.advance(6 * time.Second)
-	require.Equal(t, before, total(b.starts), "nothing starts twice while a lease may last")
+	require.Equal(t, before, total(b.starts), "tasks must not start again while a lease may still be valid")
 	b.advance(5 * time.Second)
 	require.Equal(t, before+held, total(b.starts))
 	b.advance(20 * time.Second)
@@ -106,8 +105,8 @@
 	return n
 }
 
-// A worker is cut off for 5.5 s and runs on. Its tasks live through it and are
-// not started anywhere else.
+// A worker is cut off from the network for 5.5 s and keeps running. Its tasks survive that and are
+// not started elsewhere.
 func TestTasksSurviveNetworkCut(t *testing.T) {
 	b := newSimCell(t, 2)
 	b.submit("a", "print", bulk(8))
@@ -121,8 +120,8 @@
 	require.Empty(t, b.violations)
 }
 
-// All power goes while tasks run. The next lead finds each run that the records
-// name at its worker, goes on with it, and starts nothing twice.
+// All hosts lose power while tasks run. The next leader finds each recorded run at its worker,
+// continues with it, and starts nothing twice.
 func TestNewLeaderAdoptsRunningTasks(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.submit("a", "print", bulk(8))
@@ -136,8 +135,8 @@
 	require.Empty(t, b.violations)
 }
 
-// The lead ends between storing a run and sending it. The worker was read by
-// the next lead and does not have it, so it starts, once.
+// The leader ends between storing a run and sending its start. The next leader reads the worker,
+// which does not have the run, and starts it once.
 func TestNewLeaderStartsRunStoredButNotSent(t *testing.T) {
 	for cut := range 40 {
 		b := newSimCell(t, 3)
@@ -151,9 +150,9 @@
 	}
 }
 
-// The next lead cannot reach a worker that the records name. The former lead
-// may go on holding it for a while: nothing of it starts before that and one
-// lease are over.
+// The next leader cannot reach a worker that the records name. The previous leader may keep
+// renewing leases there for a while: none of its tasks may start elsewhere before that time and one
+// lease have passed.
 func TestInheritedRunsOfSilentWorkerWaitForPreviousLeaderAndLease(t *testing.T) {
 	b := newSimCell(t, 2)
 	b.submit("a", "print", bulk(8))
@@ -170,7 +169,7 @@
 	require.Equal(t, before+held, total(b.starts))
 }
 
-// The same, but the former lead is known to be over: one lease is enough.
+// The same, but the previous leader is known to have stopped: one lease is enough.
 func TestInheritedRunsWaitOneLeaseAfterPreviousLeaderStopped(t *testing.T) {
 	b := newSimCell(t, 2)
 	b.submit("a", "print", bulk(8))
@@ -187,8 +186,8 @@
 	require.Equal(t, before+held, total(b.starts))
 }
 
-// A lead leaves while a worker is silent. Leads that leave one after the other
-// would each wait for a whole lease again, and the task would never start.
+// A leader leaves while a worker is silent. If each of several successive leaders waited for a
+// whole lease again, the task would never start.
 func TestLeaseBoundsOfSilentWorkersPassToSuccessor(t *testing.T) {
 	b := newSimCell(t, 2)
 	b.submit("a", "print", bulk(8))
@@ -207,8 +206,8 @@
 	require.Equal(t, before+held, total(b.starts))
 }
 
-// A worker fails all that it starts, at once. It always has room; without a
-// judgement it would use up the tries of every job.
+// A worker fails every run immediately, so it always has free capacity. Without a quarantine it
+// would use up the attempts of every job.
 func TestFailingWorkerDoesNotFailJobs(t *testing.T) {
 	b := newSimCell(t, 6)
 	b.workers["w00"].fails = true
@@ -223,8 +222,7 @@
 	require.Empty(t, b.violations)
 }
 
-// A job that fails everywhere ends as failed after as many tries as its queue
-// allows, and not one more.
+// A job that fails everywhere ends as failed after exactly as many attempts as its queue allows.
 func TestJobFailsAfterAllAttempts(t *testing.T) {
 	b := newSimCell(t, 6)
 	for _, w := range b.sortedWorkers() {
@@ -236,8 +234,8 @@
 	require.Equal(t, 3, total(b.starts))
 }
 
-// All that one worker runs stands still while it answers every question. Its
-// tasks go on elsewhere within two seconds instead of when it recovers.
+// All runs on one worker stall while it answers every request. Its tasks restart elsewhere within
+// two seconds instead of waiting for it to recover.
 func TestStalledRunsRestartElsewhere(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.workers["w00"].stalled = true
@@ -247,8 +245,8 @@
 	require.Empty(t, b.violations)
 }
 
-// A cancelled job's runs are stopped at once, those that had no answer too, and
-// the worker never begins them any more.
+// The runs of a cancelled job are stopped at once, including those whose start had no answer, and
+// the worker never begins them afterwards.
 func TestCancelledJobIsStoppedEverywhere(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.advance(100 * time.Millisecond)
@@ -263,7 +261,7 @@
 	}
 }
 
-// A worker that leaves gets no start, and a lasting task is moved.
+// A draining worker gets no starts, and a long-running task is moved away from it.
 func TestDrainingWorkerIsEmptied(t *testing.T) {
 	b := newSimCell(t, 2)
 	lasts := scan(8)
@@ -280,7 +278,7 @@
 	require.Empty(t, b.violations)
 }
 
-// All members of a gang start together or none does, under one run's number.
+// All members of a gang start together, with the same run number, or none does.
 func TestGangStartsWholeOrNotAtAll(t *testing.T) {
 	b := newSimCell(t, 2)
 	filler := scan(1)
@@ -291,13 +289,13 @@
 	gang.Gang, gang.Checkpoints = true, false
 	b.submit("gang", "print", gang)
 	b.advance(2 * time.Second)
-	require.Equal(t, 1, total(b.starts), "there is room for five members only")
+	require.Equal(t, 1, total(b.starts), "there is capacity for five members only")
 	b.advance(9 * time.Second)
 	require.Equal(t, flow.Completed, b.state("gang"))
 	require.Empty(t, b.violations)
 }
 
-// A lead that a worker knows to be replaced is over.
+// A leader steps down when a worker has seen a leader of a later term.
 func TestFencedLeaderStepsDown(t *testing.T) {
 	b := newSimCell(t, 1)
 	b.submit("a", "scan", scan(1))
@@ -307,9 +305,9 @@
 	require.True(t, b.deposed)
 }
 
-// A lead takes over a job that has ended, of which it reads no steps, and a worker
-// still lists a run of it. Nobody knows what room that run takes. Whatever else was
-// started beside it could overfill the worker, so nothing is until it is gone.
+// A leader takes over a job that has ended, whose steps are no longer stored, and a worker still
+// lists a run of it. The size of that run is unknown, and anything started beside it could overfill
+// the worker, so nothing may start there until it is gone.
 func TestRunOfUnknownSizeTakesWholeWorker(t *testing.T) {
 	b := newSimCell(t, 1)
 	b.submit("a", "scan", scan(1))
@@ -327,9 +325,9 @@
 	require.Empty(t, b.violations)
 }
 
-// A job is accepted at one host and cancelled at another, while the lead changes. The
-// next lead hears of the cancellation first. Its caller was told that the job is
-// cancelled, so no task of it may start.
+// A job is accepted at one host and cancelled at another while the leader changes, and the next
+// leader receives the cancellation first. The caller was told that the job is cancelled, so none of
+// its tasks may start.
 func TestCancellationBeforeSubmitCounts(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.advance(100 * time.Millisecond)
@@ -342,7 +340,7 @@
 	require.Empty(t, b.violations)
 }
 
-// Guards against room of ended members of a gang that stays booked for seconds.
+// Guards against the capacity of ended gang members staying booked for seconds.
 func TestEndedGangMembersTakeNoCapacity(t *testing.T) {
 	b := newSimCell(t, 1)
 	for _, id := range []string{"a", "b"} {
--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -11,20 +11,20 @@
 	"pollencroft/internal/sched"
 )
 
-// small is less than what two tasks of the long kind take, large what newBench gives.
+// small is less than two bulk tasks need, large is the size of newSimCell's workers.
 var (
 	small = cell.Size{CPU: 20_000, Mem: 80 << 30}
 	large = cell.Size{CPU: 64_000, Mem: 256 << 30}
 )
 
-// resizeAll lists all workers with another size at once.
+// resizeAll changes the size of all workers at once.
 func (b *simCell) resizeAll(size cell.Size) {
 	for _, w := range b.sortedWorkers() {
 		w.resize(size)
 	}
 }
 
-// A worker that was listed smaller since gets no more than it has now.
+// A worker that was listed with a smaller size gets no more work than fits that size.
 func TestShrunkWorkerIsNotOverfilled(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.advance(time.Second)
@@ -38,7 +38,7 @@
 	require.Empty(t, b.violations)
 }
 
-// A worker shrinks below what runs there. That is neither stopped nor added to.
+// A worker shrinks below what runs there. Its runs are not stopped, and nothing more starts there.
 func TestRunsContinueOnShrunkWorker(t *testing.T) {
 	b := newSimCell(t, 2)
 	b.submit("a", "print", bulk(10))
@@ -47,15 +47,15 @@
 	b.resizeAll(small)
 	b.submit("b", "scan", scan(4))
 	b.advance(4 * time.Second)
-	require.Equal(t, 10, total(b.starts), "there is less than no room")
+	require.Equal(t, 10, total(b.starts), "there is no free capacity")
 	b.advance(10 * time.Second)
 	require.Equal(t, flow.Completed, b.state("a"))
 	require.Equal(t, flow.Completed, b.state("b"))
-	require.Equal(t, 14, total(b.starts), "nothing was started again")
+	require.Equal(t, 14, total(b.starts), "nothing is started twice")
 	require.Empty(t, b.violations)
 }
 
-// Guards against starts sent to a worker that shrank while their append was under way.
+// Guards against starts that are sent to a worker that shrank while their append was in flight.
 func TestUnsentStartsFitNewSize(t *testing.T) {
 	b := newSimCell(t, 2)
 	b.advance(100 * time.Millisecond)
@@ -74,7 +74,7 @@
 	require.Empty(t, b.violations)
 }
 
-// The same while the store is away for longer than a lease.
+// The same while the store is down for longer than a lease.
 func TestUnsentStartsFitNewSizeAfterStoreOutage(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.advance(100 * time.Millisecond)
@@ -91,7 +91,7 @@
 	require.Empty(t, b.violations)
 }
 
-// Guards against a gang of which a part starts since one worker shrank.
+// Guards against a partial start of a gang after one of its workers shrank.
 func TestGangIsPlacedAgainWholeAfterShrink(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.advance(100 * time.Millisecond)
@@ -107,7 +107,7 @@
 	require.Empty(t, b.violations)
 }
 
-// A worker has its old size again. Work that waits uses it in the next pass.
+// A worker regains its old size. Waiting work uses the capacity in the next pass.
 func TestRegainedCapacityIsUsedAtOnce(t *testing.T) {
 	b := newSimCell(t, 1)
 	b.advance(100 * time.Millisecond)
@@ -121,7 +121,7 @@
 	require.Empty(t, b.violations)
 }
 
-// Sizes come and go twice a second. No run is given up for it.
+// Sizes change twice a second. No run is given up because of that.
 func TestRunsContinueWhileSizesFlap(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.submit("a", "print", bulk(12))
@@ -145,7 +145,7 @@
 	require.Empty(t, b.violations)
 }
 
-// Guards against a new lead that overfills workers which have shrunk.
+// Guards against a new leader that overfills workers that have shrunk.
 func TestNewLeaderUsesCurrentSizes(t *testing.T) {
 	b := newSimCell(t, 2)
 	b.submit("a", "print", bulk(8))
@@ -163,7 +163,7 @@
 	require.Empty(t, b.violations)
 }
 
-// Guards against starts, or lapsed runs, on a worker that is listed without room.
+// Guards against starts and against lapsed runs on a worker that is listed without capacity.
 func TestWorkerWithoutCapacityKeepsRuns(t *testing.T) {
 	b := newSimCell(t, 1)
 	long := bulk(2)
@@ -183,7 +183,7 @@
 	require.Empty(t, b.violations)
 }
 
-// A task that takes no room does not start on a worker that is listed without any.
+// A task that needs no capacity does not start on a worker that is listed without any.
 func TestNothingStartsOnWorkerWithoutCapacity(t *testing.T) {
 	b := newSimCell(t, 1)
 	b.resizeAll(cell.Size{})
@@ -195,7 +195,7 @@
 	require.Equal(t, flow.Completed, b.state("a"))
 }
 
-// The room of a run is not known, and its worker grows. The run may take that room too.
+// The size of a run is not known, and its worker grows. The run may use the added capacity too.
 func TestRunOfUnknownSizeTakesAddedCapacity(t *testing.T) {
 	b := newSimCell(t, 1)
 	b.submit("a", "scan", scan(1))
@@ -215,7 +215,7 @@
 	require.Empty(t, b.violations)
 }
 
-// Guards against starts by a service or a label that a worker has no longer.
+// Guards against starts based on a service or a label that a worker no longer has.
 func TestChangedServiceAndLabelsAreUsedAtOnce(t *testing.T) {
 	b := newSimCell(t, 2)
 	b.storeTime = func() time.Duration { return 300 * time.Millisecond }
@@ -244,7 +244,8 @@
 	require.Empty(t, b.violations)
 }
 
-// Guards against room that is held for a wide task on a worker too small for it now.
+// Guards against capacity that stays reserved for a wide task on a worker that has become too small
+// for it.
 func TestPreemptedCapacityOnShrunkWorkerIsGivenUp(t *testing.T) {
 	b := newSimCell(t, 2)
 	b.queues[1].Stretch, b.queues[1].Slack = 10, time.Minute
@@ -257,7 +258,7 @@
 	b.advance(40 * time.Millisecond)
 	b.workers["w00"].resize(cell.Size{CPU: 39_000, Mem: 256 << 30})
 	b.advance(500 * time.Millisecond)
-	require.Len(t, b.workers["w00"].runs, 3, "of bulk, which has what the wide task cannot take")
+	require.Len(t, b.workers["w00"].runs, 3, "bulk tasks, which use the capacity that is too small for the wide task")
 	require.Equal(t, 1, b.starts[flow.Name{Job: "wide"}])
 	b.advance(25 * time.Second)
 	require.Equal(t, flow.Completed, b.state("wide"))
@@ -265,7 +266,7 @@
 	require.Empty(t, b.violations)
 }
 
-// Guards against a change of size without a line of the size that was believed before.
+// Guards against a size change without a log line that has the previous size.
 func TestSizeChangeIsLogged(t *testing.T) {
 	b := newSimCell(t, 1)
 	w := b.workers["w00"]
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -21,7 +21,7 @@
 	// sizedAt is when its current size was first listed.
 	sizedAt time.Time
 	tasks   map[flow.Name]*flow.Task
-	// used is the capacity that tasks use, fillCPU the processors of filling tasks.
+	// used is the capacity that tasks use, bestEffortCPU the processors of best-effort tasks.
 	used          cell.Size
 	bestEffortCPU int64
 	// earmarked is the capacity that earlier steps with queries in flight are likely to use, in
--- a/internal/sched/worker_test.go
+++ b/internal/sched/worker_test.go
@@ -14,9 +14,10 @@
 type fakeWorker struct {
 	b    *simCell
 	info sched.Worker
-	// silent workers answer nothing, deaf ones leave orders undone as well.
+	// A silent worker ignores all requests while its runs go on; a dead one has ended.
 	silent, dead bool
-	// slowdown stretches all work; still stops it; fails ends every run as failed.
+	// slowdown is a factor on the duration of all runs. A stalled worker makes no progress; one
+	// with fails ends every run as failed.
 	slowdown     float64
 	stalled      bool
 	fails        bool
@@ -29,33 +30,34 @@
 	lapsedUpTo   int64
 	tombstones   map[flow.Name]int
 	waitingHolds []func()
-	// replaced tells that another life has begun at its address.
+	// replaced means that another incarnation has begun at the worker's address.
 	replaced bool
-	// formerSizes are former formerSizes, each until when it was listed.
+	// formerSizes are the worker's earlier sizes.
 	formerSizes []formerSize
-	// repliesToLose is how many answers that tell of an end are lost.
+	// repliesToLose is how many replies that list an end are lost.
 	repliesToLose int
 }
 
-// formerSize is a size that a worker had until another one was listed, in the bench's order.
+// formerSize is a size that a worker had until another one was listed, by sequence number of the
+// simulation's events.
 type formerSize struct {
 	size  cell.Size
 	until int
 }
 
-// resize lists the worker with another size.
+// resize changes the worker's size and lists it.
 func (w *fakeWorker) resize(size cell.Size) {
 	w.setSize(size)
 	w.b.list()
 }
 
-// setSize gives the worker another size, which is listed with whatever is listed next.
+// setSize changes the worker's size; the change takes effect with the next list.
 func (w *fakeWorker) setSize(size cell.Size) {
 	w.formerSizes = append(w.formerSizes, formerSize{w.info.Size, w.b.seq})
 	w.info.Size = size
 }
 
-// originalSize is the size that the worker had at first.
+// originalSize returns the size that the worker had at first.
 func (w *fakeWorker) originalSize() cell.Size {
 	if len(w.formerSizes) > 0 {
 		return w.formerSizes[0].size
@@ -63,8 +65,8 @@
 	return w.info.Size
 }
 
-// maxSizeSince is the most that was listed of each part since then: what is on its way may
-// still fill a worker that has shrunk meanwhile.
+// maxSizeSince returns the largest listed amount of each resource since then: requests in transit
+// may still fill a worker that has shrunk meanwhile.
 func (w *fakeWorker) maxSizeSince(sent int) cell.Size {
 	most := w.info.Size
 	for _, f := range w.formerSizes {
@@ -75,7 +77,7 @@
 	return most
 }
 
-// replyTimeout is how long the edge waits for an answer that should be there.
+// replyTimeout is how long the sender waits for a reply beyond its expected time.
 const replyTimeout = 120 * time.Millisecond
 
 type fakeRun struct {
@@ -102,7 +104,7 @@
 	w.b.after(networkDelay, func() { w.b.deliver(term, ev) })
 }
 
-// unanswered tells the sender after its own timeout that nothing came.
+// unanswered reports to the sender after its timeout that there was no reply.
 func (w *fakeWorker) unanswered(term int64, ev sched.Event) {
 	w.b.after(500*time.Millisecond, func() { w.b.deliver(term, ev) })
 }
@@ -156,7 +158,7 @@
 		w.deadline = a.Deadline
 	}
 	if used, size := w.used(), w.maxSizeSince(sent); !used.Fits(size) {
-		w.b.violation("%s is over its size: %+v of %+v", w.info.Incarnation, used, size)
+		w.b.violation("%s is overfilled: %+v used of %+v", w.info.Incarnation, used, size)
 	}
 	w.lapseLater()
 	if w.b.crashesWorker != nil && w.b.crashesWorker(a.Task) {
@@ -168,20 +170,20 @@
 	return sched.Accepted
 }
 
-// checkStart notes a start that must never happen.
+// checkStart records a violation if a start must not happen.
 func (b *simCell) checkStart(w *fakeWorker, a sched.Start) {
 	if b.copies {
 		return
 	}
 	if at, ok := b.cancelledAt[a.Task.Job]; ok && b.now.Sub(at) > 2*networkDelay+w.startDelay {
-		b.violation("%s starts %s after its job was cancelled", a.Task, b.now.Sub(at))
+		b.violation("%s starts %s after the cancellation of its job", a.Task, b.now.Sub(at))
 	}
 	if b.done[a.Task] {
-		b.violation("%s starts after it was noted as done", a.Task)
+		b.violation("%s starts after its end as done was acknowledged", a.Task)
 	}
 	for _, o := range b.workers {
 		if r, ok := o.runs[a.Task]; ok && !o.dead && o != w {
-			b.violation("%s run %d on %s while run %d is on %s", a.Task, a.Run, w.info.Incarnation, r.run, o.info.Incarnation)
+			b.violation("%s starts as run %d on %s while run %d is on %s", a.Task, a.Run, w.info.Incarnation, r.run, o.info.Incarnation)
 		}
 	}
 }
@@ -243,14 +245,14 @@
 	}
 }
 
-// lapseLater ends everything once the lease has run out.
+// lapseLater ends all runs once the lease has expired.
 func (w *fakeWorker) lapseLater() {
 	at := w.deadline
 	w.b.after(at.Sub(w.b.now)+time.Millisecond, func() {
 		if w.deadline != at || w.dead {
 			return
 		}
-		// Ends that were not noted before a lapse never count as noted.
+		// Ends that were not acknowledged before a lapse never count as acknowledged.
 		w.lapsedUpTo = w.lastEnd
 		for _, n := range slices.SortedFunc(maps.Keys(w.runs), func(x, y flow.Name) int { return x.Index - y.Index }) {
 			w.end(n, w.runs[n], sched.EndLapsed)
@@ -327,7 +329,7 @@
 	w.b.after(a.Wait, answer)
 }
 
-// rejectHold tells whether a hold is not carried out, and answers it then.
+// rejectHold reports whether a hold is not carried out, and answers it in that case.
 func (w *fakeWorker) rejectHold(term int64, a sched.Hold, ev sched.HoldReply) bool {
 	switch {
 	case w.silent || w.dead && !w.replaced:
