--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -141,7 +141,7 @@
 }
 
 // Guards against crash counts that start again from zero with each new leader.
-func TestCrashCountsSurviveLeaderChange(t *testing.T) {
+func TestCrashCountSurvivesLeaderChange(t *testing.T) {
 	for _, copies := range []bool{false, true} {
 		for _, after := range []time.Duration{30 * time.Millisecond, 200 * time.Millisecond, time.Second, 2 * time.Second} {
 			t.Run(fmt.Sprintf("copies_%t_%s", copies, after), func(t *testing.T) {
