--- a/internal/sched/gang.go
+++ b/internal/sched/gang.go
@@ -20,11 +20,11 @@
 	if keep > 0 && need > p.freeCPU-keep {
 		return
 	}
-	var put []*worker
+	var placed []*worker
 	if s.hasTicket(r) {
-		put = s.findGangWorkers(r, s.allowedWorkers(r, p))
+		placed = s.findGangWorkers(r, s.allowedWorkers(r, p))
 	}
-	if put == nil {
+	if placed == nil {
 		if r.queue.Advice != nil {
 			s.maybeQuery(r, p, len(tasks))
 		}
@@ -38,7 +38,7 @@
 	for i, t := range tasks {
 		// The members share one checkpoint.
 		t.Checkpoint = saved
-		s.assign(t, put[i], run+1)
+		s.assign(t, placed[i], run+1)
 	}
 	p.freeCPU -= need
 }
