--- a/internal/sched/gang.go
+++ b/internal/sched/gang.go
@@ -52,8 +52,8 @@
 			racks[w.Rack] = append(racks[w.Rack], w)
 		}
 		for _, name := range slices.Sorted(maps.Keys(racks)) {
-			if put := s.fitGang(r, racks[name]); put != nil {
-				return put
+			if placed := s.fitGang(r, racks[name]); placed != nil {
+				return placed
 			}
 		}
 	}
