--- a/internal/sched/gang.go
+++ b/internal/sched/gang.go
@@ -72,7 +72,7 @@
 		}
 	}
 	slices.SortStableFunc(able, func(a, b *worker) int { return int(room[b].CPU - room[a].CPU) })
-	put := make([]*worker, 0, len(r.stage.Tasks))
+	placed := make([]*worker, 0, len(r.stage.Tasks))
 	for range r.stage.Tasks {
 		i := slices.IndexFunc(able, func(w *worker) bool {
 			return st.Demand().Fits(room[w]) && (st.MaxPerWorker == 0 || w.tasksOf(r.stage)+count[w] < st.MaxPerWorker)
@@ -83,9 +83,9 @@
 		w := able[i]
 		room[w] = room[w].Sub(st.Demand())
 		count[w]++
-		put = append(put, w)
+		placed = append(placed, w)
 	}
-	return put
+	return placed
 }
 
 // breakGang stops the remaining members of a gang's run after one has ended. All members have to be
