--- a/internal/sched/gang.go
+++ b/internal/sched/gang.go
@@ -10,14 +10,14 @@
 
 // placeGang places all tasks of a step or none. A partly started gang would hold its capacity while
 // it waits for the other members, and then end with EndAlone.
-func (s *Sched) placeGang(r readyStep, p *pool, keep int64) {
+func (s *Sched) placeGang(r readyStep, p *pool, reservedCPU int64) {
 	tasks := r.stage.Tasks
 	if len(r.tasks) < len(tasks) {
 		// Members of the last run are still being stopped.
 		return
 	}
 	need := r.stage.Spec.Demand().CPU * int64(len(tasks))
-	if keep > 0 && need > p.freeCPU-keep {
+	if reservedCPU > 0 && need > p.freeCPU-reservedCPU {
 		return
 	}
 	var placed []*worker
