--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -138,11 +138,11 @@
 		if !ok {
 			continue
 		}
-		keep := int64(0)
+		reservedCPU := int64(0)
 		if r.queue.Rank > top {
-			keep = int64(urgentReserve * float64(p.totalCPU))
+			reservedCPU = int64(urgentReserve * float64(p.totalCPU))
 		}
-		s.placeStep(r, p, keep)
+		s.placeStep(r, p, reservedCPU)
 	}
 	for _, r := range steps {
 		if p, ok := pools[r.queue.Service]; ok {
