--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -153,9 +153,9 @@
 }
 
 // placeStep places as many tasks of a step as possible.
-func (s *Sched) placeStep(r readyStep, p *pool, keep int64) {
+func (s *Sched) placeStep(r readyStep, p *pool, reservedCPU int64) {
 	if r.stage.Spec.Gang {
-		s.placeGang(r, p, keep)
+		s.placeGang(r, p, reservedCPU)
 		return
 	}
 	need := r.stage.Spec.Demand().CPU
@@ -165,7 +165,7 @@
 	}
 	// Without a ticket no worker may run the step: a backlog of such steps is skipped without
 	// checking a single worker.
-	for len(left) > 0 && (keep == 0 || p.freeCPU >= keep+need) {
+	for len(left) > 0 && (reservedCPU == 0 || p.freeCPU >= reservedCPU+need) {
 		w := s.bestWorker(r, left[0], allowed)
 		if w == nil && left[0].CrashSuspicions() >= aloneAfter {
 			alone, left = append(alone, left[0]), left[1:]
@@ -179,7 +179,7 @@
 		left = left[1:]
 	}
 	left = append(left, alone...)
-	if len(left) > 0 && r.queue.Advice != nil && p.freeCPU-keep >= need {
+	if len(left) > 0 && r.queue.Advice != nil && p.freeCPU-reservedCPU >= need {
 		s.maybeQuery(r, p, len(left))
 	}
 	if len(left) > 0 {
