--- a/internal/entry/doubt_test.go
+++ b/internal/entry/doubt_test.go
@@ -50,7 +50,7 @@
 }
 
 // Guards against another host's claim being taken for progress of a stalled leader.
-func TestAClaimOfAnotherHostIsNoWorkOfTheLead(t *testing.T) {
+func TestClaimOfAnotherHostIsNoProgressOfTheLeader(t *testing.T) {
 	_, leader := checkStalledLeader(t, func(log *users.Log) {
 		log.Put(stateTopic, claimKey, claimOf("c2", silentHost(t)))
 	})
