--- a/internal/entry/doubt_test.go
+++ b/internal/entry/doubt_test.go
@@ -58,7 +58,7 @@
 }
 
 // Guards against a host's own failed claim being taken for progress of the leader.
-func TestAHostsOwnClaimIsNoWorkOfTheLead(t *testing.T) {
+func TestOwnClaimIsNoProgressOfTheLeader(t *testing.T) {
 	works, leader := checkStalledLeader(t, func(log *users.Log) {
 		log.Put(stateTopic, claimKey, claimOf("b1", netip.MustParseAddrPort("127.0.0.1:1")))
 	})
