--- a/internal/entry/doubt_test.go
+++ b/internal/entry/doubt_test.go
@@ -67,7 +67,7 @@
 }
 
 // The leader has claimed and is too slow to answer. What it stores shows that it is alive.
-func TestWhatTheLeadStoresShowsThatItWorks(t *testing.T) {
+func TestStoredProgressShowsThatTheLeaderIsAlive(t *testing.T) {
 	works, leader := checkStalledLeader(t, func(log *users.Log) {
 		log.Put(stateTopic, "0001", []byte("{}"))
 	})
