--- a/internal/entry/doubt_test.go
+++ b/internal/entry/doubt_test.go
@@ -77,7 +77,7 @@
 
 // Guards against the last append of a leader that stepped down being taken for progress of its
 // successor.
-func TestWhatTheFormerLeadStoredIsNoWorkOfItsSuccessor(t *testing.T) {
+func TestAppendOfPreviousLeaderIsNoProgressOfItsSuccessor(t *testing.T) {
 	log := users.NewLog(1, time.Now)
 	f := entry.NewFollower(t, slog.New(slog.DiscardHandler), "b1", nil, "", log.For("b1"), nil)
 	defer f.Stop()
