--- a/internal/entry/endings_test.go
+++ b/internal/entry/endings_test.go
@@ -14,7 +14,7 @@
 
 // Guards against final states that a host misses, and against final states that a leader never
 // removes.
-func TestFinalStatesAreToldInOrderAndDropped(t *testing.T) {
+func TestFinalStatesAreReportedInOrderAndDropped(t *testing.T) {
 	var e entry.FinalStates
 	at := time.Unix(1000, 0)
 	const jobs = 1200
