--- a/internal/entry/endings_test.go
+++ b/internal/entry/endings_test.go
@@ -46,7 +46,7 @@
 
 // Guards against a leader that does not report the final states of jobs to other hosts while its
 // scheduler core is busy.
-func TestABusyLeadTellsHostsOfEndedJobs(t *testing.T) {
+func TestBusyLeaderReportsEndedJobs(t *testing.T) {
 	c := newCluster(t, 2, 2, 20*time.Millisecond)
 	leader := c.leader()
 	c.submitMany(leader, 0, 1)
