--- a/internal/entry/endings_test.go
+++ b/internal/entry/endings_test.go
@@ -65,7 +65,7 @@
 
 // Guards against final states that a host does not receive because another leader numbers them
 // from the beginning.
-func TestEachTermTellsItsEndsFromTheFirst(t *testing.T) {
+func TestEachTermReportsItsFinalStatesFromTheFirst(t *testing.T) {
 	const jobs = 5
 	c := newCluster(t, 2, 2, 20*time.Millisecond)
 	previous := c.leader()
