--- a/internal/entry/endings_test.go
+++ b/internal/entry/endings_test.go
@@ -84,7 +84,7 @@
 
 // Guards against a late reply of a previous leader that moves the position in the current
 // leader's list of final states backward or forward.
-func TestAFormerLeadsNumberIsNotGoneOnWith(t *testing.T) {
+func TestSyncPositionOfPreviousLeaderIsIgnored(t *testing.T) {
 	h := newCluster(t, 1, 1, 20*time.Millisecond).leader()
 	const term = 1 << 40
 	for _, c := range []struct {
