--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -17,7 +17,7 @@
 	"pollencroft/internal/store"
 )
 
-func TestAJobGoesFromItsCallerToWorkersAndBack(t *testing.T) {
+func TestJobIsAcceptedRunAndReportedCompleted(t *testing.T) {
 	c := newCluster(t, 3, 4, 50*time.Millisecond)
 	f := c.follower()
 	require.Equal(t, http.StatusOK, c.submit(f, 0).code)
