--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -31,7 +31,7 @@
 
 // The leader's metrics show how long jobs waited until their first start, for what reasons, and
 // how long the store took. They serve to find out why jobs were late.
-func TestTheLeadServesHistogramsOfWaits(t *testing.T) {
+func TestLeaderServesHistogramsOfWaits(t *testing.T) {
 	c := newCluster(t, 1, 2, 50*time.Millisecond)
 	leader := c.leader()
 	require.Equal(t, http.StatusOK, c.submit(leader, 0).code)
