--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestWhatIsNotThereIsToldSo(t *testing.T) {
+func TestUnknownQueuesAndJobsAreRefused(t *testing.T) {
 	c := newCluster(t, 2, 1, 50*time.Millisecond)
 	for _, h := range c.hosts {
 		code, _ := c.get(h.cfg.Listen.Caller, "/nowhere/"+jobID(1))
