--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -55,7 +55,7 @@
 }
 
 // A body that is not a valid job gets a 4xx reply that names the field, and nothing is stored.
-func TestABadBodyIsRefusedAndNeverStored(t *testing.T) {
+func TestInvalidBodyIsRefusedAndNeverStored(t *testing.T) {
 	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	h := c.leader()
 	bad := map[string]string{
