--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -81,7 +81,7 @@
 
 // The leader dies while tasks run. Another host takes over within seconds, continues with the
 // running tasks, and starts nothing twice.
-func TestAnotherHostLeadsAfterTheLeadDies(t *testing.T) {
+func TestAnotherHostLeadsAfterTheLeaderDies(t *testing.T) {
 	c := newCluster(t, 3, 4, 600*time.Millisecond)
 	f := c.follower()
 	for n := range 6 {
