--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -97,7 +97,7 @@
 
 // All hosts die at once, right after jobs were acknowledged, so that only the records in the
 // store remain. Every job that was reported as accepted completes.
-func TestAcceptedJobsOutliveAllHosts(t *testing.T) {
+func TestAcceptedJobsSurviveAllHosts(t *testing.T) {
 	c := newCluster(t, 3, 4, 300*time.Millisecond)
 	for n := range 6 {
 		require.Equal(t, http.StatusOK, c.submit(c.follower(), n).code)
