--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -118,7 +118,7 @@
 
 // The leader is stopped as planned under load. Callers that keep sending to the other hosts see
 // no failure.
-func TestAPlannedStopOfTheLeadCutsNothing(t *testing.T) {
+func TestPlannedStopOfTheLeaderFailsNoRequest(t *testing.T) {
 	c := newCluster(t, 3, 4, 200*time.Millisecond)
 	old, f := c.leader(), c.follower()
 	done := make(chan struct{})
