--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -144,7 +144,7 @@
 
 // The store refuses one host and serves the others. Callers of that host are still served,
 // through a peer.
-func TestAHostThatTheStoreTurnsAwayServesThroughAPeer(t *testing.T) {
+func TestHostRefusedByTheStoreServesThroughAPeer(t *testing.T) {
 	c := newCluster(t, 3, 3, 50*time.Millisecond)
 	f := c.follower()
 	for i, fault := range []users.Fault{users.Busy, users.Silent, users.Lost} {
