--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -158,7 +158,7 @@
 
 // The store refuses all hosts. Callers are told so at once and not at their deadline, with a time
 // for a retry. The refused job does not run later.
-func TestAStoreThatIsAwayIsToldAtOnce(t *testing.T) {
+func TestStoreOutageIsReportedAtOnce(t *testing.T) {
 	c := newCluster(t, 2, 2, 50*time.Millisecond)
 	h := c.follower()
 	c.log.Break("", users.Busy)
