--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -179,7 +179,7 @@
 
 // The store executes appends, but no answer arrives. The job may run, so it must not be reported
 // as refused.
-func TestAnAppendWithoutAnAnswerIsNeverARefusal(t *testing.T) {
+func TestAppendWithoutAnAnswerIsNeverARefusal(t *testing.T) {
 	c := newCluster(t, 2, 2, 50*time.Millisecond)
 	h := c.follower()
 	c.log.Break("", users.Lost)
