--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -206,7 +206,7 @@
 
 // Other writers store worker entries too: undecodable bytes, fields of a wrong type, unknown
 // states and services. Such entries are ignored, and the valid ones are used.
-func TestAnEntryThatCannotBeReadNamesNoWorker(t *testing.T) {
+func TestUndecodableWorkerEntryIsIgnored(t *testing.T) {
 	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	for i, text := range []string{"\x00\xff", `{}`, `[]`, `{"service":5}`, `{"service":"pass","address":"nowhere","state":"ready"}`,
 		`{"service":"pass","address":"127.0.0.1:1","state":"asleep","capacity":{"cpu":1,"memMb":1}}`,
