--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -243,7 +243,7 @@
 }
 
 // Guards against new starts, and lost runs, on a worker whose entry can no longer be decoded.
-func TestAWorkerWhoseEntryTurnsBadKeepsWhatItRuns(t *testing.T) {
+func TestWorkerWhoseEntryTurnsInvalidKeepsItsRuns(t *testing.T) {
 	for name, text := range map[string]string{
 		"unreadable": "\x00\xff", "no capacity": `{"service":"pass","address":%q,"state":"ready"}`,
 		"no state": `{"service":"pass","address":%q,"capacity":{"cpu":64000,"memMb":262144}}`,
