--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -272,7 +272,7 @@
 
 // Operators publish a table that adds a queue, and afterwards an older record and a damaged one
 // are stored. Every host follows the newest table and none goes back.
-func TestTheTableIsFollowedAndNeverGoesBack(t *testing.T) {
+func TestTableIsFollowedAndNeverGoesBack(t *testing.T) {
 	c := newCluster(t, 2, 1, 50*time.Millisecond)
 	more := `,{"name":"print","host":"jobs.example","pathPrefix":"/print/","service":"pass"}`
 	c.log.Put("op", "config", fmt.Appendf(nil, tableText, 5, more))
