--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -293,7 +293,7 @@
 
 // A job is cancelled while it runs. Its tasks are stopped, and it stays cancelled under the next
 // leader.
-func TestACancelledJobStaysCancelled(t *testing.T) {
+func TestCancelledJobStaysCancelled(t *testing.T) {
 	c := newCluster(t, 2, 2, 5*time.Second)
 	h, f := c.leader(), c.follower()
 	require.Equal(t, http.StatusOK, c.submit(h, 0).code)
