--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -312,7 +312,7 @@
 
 // Hosts differ in power. The leader has the most work, so the lead goes to a host that is much
 // stronger; on a weak host every start would wait for CPU time.
-func TestTheStrongestHostLeads(t *testing.T) {
+func TestStrongestHostLeads(t *testing.T) {
 	c := newCluster(t, 2, 2, 50*time.Millisecond)
 	strong := c.start("strong", func(cfg *entry.Settings) { cfg.Power = 4 })
 	require.Eventually(t, strong.Leading, waitTimeout, 20*time.Millisecond)
