--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -325,7 +325,7 @@
 // A host claims the lead and takes seconds to read the state that it takes over, and the
 // candidate group names another host in the meantime. If that host claimed as well, the two would
 // fence each other off in turn, nothing would be scheduled, and callers would wait forever.
-func TestNobodyClaimsBesideAClaim(t *testing.T) {
+func TestNoHostClaimsDuringAnotherClaim(t *testing.T) {
 	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
