--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -349,7 +349,7 @@
 
 // The candidate group lists a host with much more power that cannot be reached. The others may
 // ask it to lead once, and then one of them leads.
-func TestAStrongHostThatIsGoneIsNotAskedForEver(t *testing.T) {
+func TestUnreachableStrongHostIsNotAskedForever(t *testing.T) {
 	c := newCluster(t, 2, 1, 50*time.Millisecond)
 	join := store.Call{Op: store.Join, Group: "hosts", Member: "ghost 127.0.0.1:1 life 100", Topics: []string{"lead"}, TTL: time.Second}
 	ctx, cancel := context.WithCancel(t.Context())
