--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -370,7 +370,7 @@
 }
 
 // Guards against a host that reports an earlier state of a job than the leader reported before.
-func TestAStateThatNobodyKnowsIsNotTold(t *testing.T) {
+func TestUnknownStateIsNotReported(t *testing.T) {
 	c := newCluster(t, 2, 2, 700*time.Millisecond)
 	leader, f := c.leader(), c.follower()
 	require.Equal(t, http.StatusOK, c.submit(f, 0).code)
