--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -391,7 +391,7 @@
 }
 
 // Guards against a host that forgets a final state that it has already reported.
-func TestAnEndThatWasToldIsToldAgain(t *testing.T) {
+func TestReportedFinalStateIsReportedAgain(t *testing.T) {
 	c := newCluster(t, 2, 2, 50*time.Millisecond)
 	leader, f := c.leader(), c.follower()
 	require.Equal(t, http.StatusOK, c.submit(f, 0).code)
