--- a/internal/entry/journal_test.go
+++ b/internal/entry/journal_test.go
@@ -63,7 +63,7 @@
 // The store is down for some partitions, in each of the possible ways. The leader's progress is
 // stored in another partition, after a refusal at once. With a single partition, nothing would
 // start until it is back, and every job would be late.
-func TestAPartitionThatIsDownStopsNothing(t *testing.T) {
+func TestProgressMovesToAnotherPartitionDuringAnOutage(t *testing.T) {
 	for _, fault := range []users.Fault{users.Busy, users.Silent, users.Lost} {
 		log, b := newJournal(t, 7)
 		require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("a", "1"), appendTimeout))
