--- a/internal/entry/journal_test.go
+++ b/internal/entry/journal_test.go
@@ -85,7 +85,7 @@
 
 // Another leader has claimed. The previous one can store nothing any more, whichever partition it
 // uses; its successor has read all partitions by then.
-func TestASuccessorFencesEveryPartition(t *testing.T) {
+func TestSuccessorFencesEveryPartition(t *testing.T) {
 	for _, down := range []int{0, 5} {
 		log, b := newJournal(t, 7)
 		for _, p := range []int{0, 5, 10} {
