--- a/internal/entry/journal_test.go
+++ b/internal/entry/journal_test.go
@@ -102,7 +102,7 @@
 }
 
 // While every partition is unavailable, the append waits and is not lost.
-func TestAnAppendWaitsForAnyPartition(t *testing.T) {
+func TestAppendWaitsForAnyPartition(t *testing.T) {
 	log, b := newJournal(t, 7)
 	for _, p := range []int{0, 5, 10} {
 		log.BreakPart("state", p, users.Busy)
