--- a/internal/entry/journal_test.go
+++ b/internal/entry/journal_test.go
@@ -125,7 +125,7 @@
 
 // A deleted job is removed from every partition that may contain its record. A record that
 // remained in one partition would be taken for the newest once the others are gone.
-func TestAForgottenJobIsDroppedEverywhere(t *testing.T) {
+func TestDeletedJobIsDroppedFromEveryPartition(t *testing.T) {
 	log, b := newJournal(t, 7)
 	require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("a", "1"), appendTimeout))
 	log.BreakPart("state", 0, users.Busy)
