--- a/internal/entry/journal_test.go
+++ b/internal/entry/journal_test.go
@@ -175,7 +175,7 @@
 
 // The partition to which a host appends jobs is down. The host appends to another one; otherwise
 // its callers would be refused while other hosts accept jobs.
-func TestJobsAreAcceptedWhileAPartitionIsDown(t *testing.T) {
+func TestJobsAreAcceptedDuringAPartitionOutage(t *testing.T) {
 	c := newCluster(t, 2, 2, 50*time.Millisecond)
 	h := c.follower()
 	for _, fault := range []users.Fault{users.Busy, users.Silent} {
