--- a/internal/entry/journal_test.go
+++ b/internal/entry/journal_test.go
@@ -198,7 +198,7 @@
 // An ended job is deleted while the store does not accept the deletion of its spec. If its
 // progress were deleted nevertheless, the next leader would find a job without progress and run
 // it again, and its caller would see the same work done twice.
-func TestAJobIsNotRunAgainAfterItIsForgotten(t *testing.T) {
+func TestJobIsNotRunAgainAfterItIsDeleted(t *testing.T) {
 	c := newCluster(t, 1, 2, 50*time.Millisecond)
 	c.hosts["h0"].Kill()
 	delete(c.hosts, "h0")
