--- a/internal/entry/journal_test.go
+++ b/internal/entry/journal_test.go
@@ -236,7 +236,7 @@
 // partition keeps the record that was written last. Whatever happens, the newest record found for
 // a job is at least as new as the last one whose append was reported as stored. An older record
 // would make a job run again that was reported as completed.
-func TestTheNewestRecordIsNeverWrittenOver(t *testing.T) {
+func TestNewestRecordIsNeverOverwritten(t *testing.T) {
 	for seed := range uint64(8) {
 		r := rand.New(rand.NewPCG(seed, 0))
 		log, b := newJournal(t, 7)
