--- a/internal/entry/journal_test.go
+++ b/internal/entry/journal_test.go
@@ -292,7 +292,7 @@
 // which partitions are tried changes all the time. The race detector reports any access to that
 // order without its lock: the number of partitions used to be read that way at the start of each
 // append.
-func TestAppendsBesideEachOtherWhilePartitionsTakeTurns(t *testing.T) {
+func TestConcurrentAppendsDuringAlternatingOutages(t *testing.T) {
 	log, b := newJournal(t, 7)
 	parts := []int{0, 5, 10}
 	var wg sync.WaitGroup
