--- a/internal/entry/orders_test.go
+++ b/internal/entry/orders_test.go
@@ -13,7 +13,7 @@
 // detected after a quarter of the longest timeout; otherwise a job with 16 tasks would be late.
 // When the leader itself is short of CPU time, all answers take longer, and the leader must not
 // take that for lost answers.
-func TestPatienceFollowsTheAnswers(t *testing.T) {
+func TestOrderTimeoutFollowsResponseTimes(t *testing.T) {
 	now := time.Unix(1000, 0)
 	o := entry.NewResponseTimes()
 	require.Equal(t, 120*time.Millisecond, o.Timeout("w", now))
