--- a/internal/entry/orders_test.go
+++ b/internal/entry/orders_test.go
@@ -29,7 +29,7 @@
 
 // A worker that is slow itself gets a longer timeout, and no other worker does. Otherwise the
 // runs that it starts would be stopped just as they begin.
-func TestASlowWorkerIsGivenMoreTime(t *testing.T) {
+func TestSlowWorkerGetsALongerTimeout(t *testing.T) {
 	now := time.Unix(1000, 0)
 	o := entry.NewResponseTimes()
 	o.Record("slow", 300*time.Millisecond, now)
