--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -42,7 +42,7 @@
 )
 
 // Guards against an older record that is reported while a newer one is in another partition.
-func TestTheNewestOfAJobsRecordsIsTold(t *testing.T) {
+func TestNewestRecordOfAJobIsReported(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	now := time.Now()
 	for n := range 2 {
