--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -83,7 +83,7 @@
 }
 
 // Guards against a job that is reported as missing because its record cannot be decoded.
-func TestAJobWhoseRecordCannotBeReadIsNotMissing(t *testing.T) {
+func TestJobWithUndecodableRecordIsNotReportedMissing(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	c.withoutLeader()
 	c.log.Put("state", jobID(0), []byte("{"))
