--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -92,7 +92,7 @@
 
 // Guards against a deleted job that is reported as running because one partition still contains a
 // record of it.
-func TestAForgottenJobIsNotToldAsRunning(t *testing.T) {
+func TestDeletedJobIsNotReportedAsRunning(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	long := time.Now().Add(-time.Hour)
 	c.putRecord(0, 0, 1, "running", long)
