--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -132,7 +132,7 @@
 }
 
 // Guards against a state query that waits only for a leader that has been succeeded.
-func TestTheNextLeadIsAskedAsWell(t *testing.T) {
+func TestNextLeaderIsAskedAsWell(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	h := c.follower()
 	silent, next := c.fakeLeader(""), c.fakeLeader("running")
