--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -146,7 +146,7 @@
 }
 
 // Guards against a state query that waits only for a leader that another host has fenced off.
-func TestAHostThatHasClaimedIsAskedAsWell(t *testing.T) {
+func TestHostThatHasClaimedIsAskedAsWell(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	h := c.follower()
 	silent, next := c.fakeLeader(""), c.fakeLeader("running")
