--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -162,7 +162,7 @@
 
 // Guards against a leader that reports a job as missing because it could not decode the stored
 // records.
-func TestALeadDoesNotTellAJobThatItCannotReadAsMissing(t *testing.T) {
+func TestLeaderDoesNotReportAnUndecodableJobAsMissing(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	c.log.Put("jobs", jobID(0), fmt.Appendf(nil, `{"id":%q,"queue":{"name":"scan","service":"pass"},"steps":[{"tasks":1}]}`, jobID(0)))
 	c.log.Put("state", jobID(0), []byte("{"))
