--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -177,7 +177,7 @@
 
 // Guards against hosts that cannot report running jobs while the leader is reachable and does not
 // answer.
-func TestRunningJobsAreToldWhileTheLeadDoesNotAnswer(t *testing.T) {
+func TestRunningJobsAreReportedWhileTheLeaderDoesNotAnswer(t *testing.T) {
 	c := newCluster(t, 3, 4, time.Minute)
 	c.submitMany(c.follower(), 0, 4)
 	leader := c.leader()
