--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -190,7 +190,7 @@
 }
 
 // Guards against pages that are read again for each ended job on them.
-func TestEndsThatStandOnAPageAreKept(t *testing.T) {
+func TestFinalStatesOnAPageAreKept(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	for n := range 2 {
 		c.putRecord(0, n, 1, "completed", time.Now())
