--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -203,7 +203,7 @@
 
 // Guards against a caller that is kept waiting by a host that reaches neither the leader nor the
 // store.
-func TestAHostThatIsCutOffRefusesBeforeTheDeadline(t *testing.T) {
+func TestIsolatedHostRefusesBeforeTheDeadline(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	h := c.follower()
 	h.LearnLeader("silent", c.fakeLeader(""), 1<<40)
