--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -221,7 +221,7 @@
 
 // Guards against a state query that keeps waiting although the host has learned the job's final
 // state since.
-func TestAnEndThatIsLearnedMeanwhileIsTold(t *testing.T) {
+func TestFinalStateLearnedDuringAQueryIsReported(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	h := c.follower()
 	c.log.BreakReads("state", users.Silent)
