--- a/internal/entry/settings_test.go
+++ b/internal/entry/settings_test.go
@@ -45,7 +45,7 @@
 
 // A required key is missing or has an invalid value. Loading the settings fails with an error
 // that names the key, so that no host starts that accepts callers and can serve none.
-func TestAMissingOrWrongSettingIsNamed(t *testing.T) {
+func TestMissingOrInvalidSettingIsNamed(t *testing.T) {
 	for key, line := range map[string]string{
 		"name": `name = "nord-1"`, "domain": `domain = "nord"`, "store": `store = "10.0.0.1:80"`, "parts": `parts = 16`,
 		"listen.caller": `caller = "10.1.0.1:1"`, "listen.ready": `ready = "10.1.0.1:2"`, "listen.peer": `peer = "10.1.0.1:3"`,
