--- a/internal/entry/states_test.go
+++ b/internal/entry/states_test.go
@@ -61,7 +61,7 @@
 const completedReply = `200 {"state":"completed"}`
 
 // Guards against ended jobs that no host reports while there is no leader.
-func TestEndedJobsAreToldWhileNoHostLeads(t *testing.T) {
+func TestEndedJobsAreReportedWhileNoHostLeads(t *testing.T) {
 	const jobs = 120
 	c := newCluster(t, 3, 4, 20*time.Millisecond)
 	c.submitMany(c.follower(), 0, jobs)
