--- a/internal/entry/states_test.go
+++ b/internal/entry/states_test.go
@@ -93,7 +93,7 @@
 
 // Guards against ended jobs that hosts do not report while they reach neither the leader nor the
 // store.
-func TestEndedJobsAreToldBehindACut(t *testing.T) {
+func TestEndedJobsAreReportedByIsolatedHosts(t *testing.T) {
 	const jobs = 30
 	c := newCluster(t, 3, 4, 20*time.Millisecond)
 	c.submitMany(c.leader(), 0, jobs)
