--- a/internal/entry/states_test.go
+++ b/internal/entry/states_test.go
@@ -115,7 +115,7 @@
 }
 
 // Guards against a job that only the host that accepted it reports while there is no leader.
-func TestAJobAcceptedWhileNoHostLeadsIsToldByAll(t *testing.T) {
+func TestJobAcceptedWithoutLeaderIsReportedByAll(t *testing.T) {
 	c := newCluster(t, 3, 1, 20*time.Millisecond)
 	c.withoutLeader()
 	f := c.follower()
