--- a/internal/entry/states_test.go
+++ b/internal/entry/states_test.go
@@ -129,7 +129,7 @@
 
 // Guards against hosts that report no job states while the leader is reachable and does not
 // answer.
-func TestStatesAreToldWhileTheLeadDoesNotAnswer(t *testing.T) {
+func TestStatesAreReportedWhileTheLeaderDoesNotAnswer(t *testing.T) {
 	c := newCluster(t, 3, 4, 20*time.Millisecond)
 	c.submitMany(c.follower(), 0, 20)
 	c.waitCompleted(c.leader(), 20)
