--- a/internal/entry/states_test.go
+++ b/internal/entry/states_test.go
@@ -142,7 +142,7 @@
 }
 
 // Guards against queries that hang on a connection that the leader's host does not read from.
-func TestStatesAreToldWhileTheLeadReadsNothing(t *testing.T) {
+func TestStatesAreReportedWhileTheLeaderReadsNothing(t *testing.T) {
 	c := newCluster(t, 2, 4, 20*time.Millisecond)
 	c.submitMany(c.leader(), 0, 20)
 	c.waitCompleted(c.leader(), 20)
