--- a/internal/entry/states_test.go
+++ b/internal/entry/states_test.go
@@ -155,7 +155,7 @@
 }
 
 // Guards against a state that is guessed from an incomplete read of the store.
-func TestNoStateIsGuessedFromAPartOfTheStore(t *testing.T) {
+func TestNoStateIsGuessedFromAnIncompleteRead(t *testing.T) {
 	c := newCluster(t, 3, 1, time.Minute)
 	f := c.follower()
 	c.submitMany(f, 0, 2)
