--- a/internal/entry/states_test.go
+++ b/internal/entry/states_test.go
@@ -173,7 +173,7 @@
 }
 
 // Guards against a job that is reported as missing by a leader that reads it while it is asked.
-func TestALeadThatReadsMeanwhileTellsNoJobAsMissing(t *testing.T) {
+func TestLeaderThatPollsMeanwhileReportsNoJobAsMissing(t *testing.T) {
 	c := newCluster(t, 1, 1, time.Minute)
 	h := c.leader()
 	c.log.BreakReads("jobs", users.Busy)
