--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -212,7 +212,7 @@
 // of one late answer would be fenced off; the next one would have to catch up with all open work,
 // be even later, and be fenced off in turn. No host would lead for long, and no submitted job
 // would start for minutes.
-func TestALeadShortOfProcessorIsNotFencedOff(t *testing.T) {
+func TestLeaderShortOfCPUIsNotFencedOff(t *testing.T) {
 	for _, load := range []float64{0.3, 0.6, 0.8, 0.9} {
 		t.Run(fmt.Sprintf("load %d percent", int(100*load)), func(t *testing.T) {
 			var before, after int
