--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -231,7 +231,7 @@
 // for most of a second every few seconds. If it were fenced off, the next one would do the same
 // with even more open work. One such change may be a mistake, but each makes the hosts wait
 // longer, and from the third one on the leader stays.
-func TestALeadThatStallsIsNotFencedOffAgainAndAgain(t *testing.T) {
+func TestStallingLeaderIsNotFencedOffRepeatedly(t *testing.T) {
 	for seed := range uint64(4) {
 		stalls := map[time.Duration]func(*busyCluster){}
 		for at := 4 * time.Second; at < time.Minute; at += 2300 * time.Millisecond {
