--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -250,7 +250,7 @@
 // with long tasks, or it waits for the policy service. It answers every request, half a second
 // late. The host that the candidate group names has received the late answer when it is about to
 // claim.
-func TestALeadThatAnswersLateIsNotFencedOff(t *testing.T) {
+func TestLeaderThatAnswersLateIsNotFencedOff(t *testing.T) {
 	c := runBusyCluster(t, &busyCluster{late: 500 * time.Millisecond}, 1, 30*time.Second, nil)
 	require.Equal(t, 1, c.termCount(), c.logs.String())
 }
