--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -258,7 +258,7 @@
 // A leader really is dead: its process is frozen, or no host receives anything from it any more
 // while the store still does. Callers wait until another host leads. That host waits for a leader
 // that is only slow, but not for long.
-func TestALeadThatIsGoneIsSucceeded(t *testing.T) {
+func TestDeadLeaderIsSucceeded(t *testing.T) {
 	for name, tc := range map[string]struct {
 		harm  func(b *busyHost)
 		bound time.Duration
