--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -289,7 +289,7 @@
 // The leader changed three times in a row, and this time its process really has ended: nothing
 // listens at its address. Hosts whose timeout has grown would leave callers without a leader for
 // three seconds.
-func TestAProcessThatIsGoneIsNotWaitedFor(t *testing.T) {
+func TestEndedLeaderProcessIsNotWaitedFor(t *testing.T) {
 	log := users.NewLog(1, time.Now)
 	f := entry.NewFollower(t, slog.New(slog.DiscardHandler), "b1", nil, "", log.For("b1"), nil)
 	defer f.Stop()
