--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -305,7 +305,7 @@
 // reports that the store does not serve it. When the store is back and the leader is busy with
 // the backlog, its answers are late. The leader used to be considered silent since before the
 // outage, and was replaced without need.
-func TestALeadThatTheStoreDidNotServeWasHeard(t *testing.T) {
+func TestRepliesCountWhileTheStoreDoesNotServeTheLeader(t *testing.T) {
 	c := runBusyCluster(t, &busyCluster{load: 0.5}, 1, 30*time.Second, map[time.Duration]func(*busyCluster){
 		10 * time.Second: func(c *busyCluster) { c.log.Break("", users.Silent) },
 		16 * time.Second: func(c *busyCluster) {
