--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -26,7 +26,7 @@
 // state, and again when it hands over the lead to a strong one. The same would happen if a host
 // took over that is restarted next. Callers would see their jobs late three times in a row. The
 // pattern is that of a rolling restart of a site that has grown.
-func TestTheStrongestAndYoungestHostIsTheSuccessor(t *testing.T) {
+func TestStrongestAndNewestHostIsTheSuccessor(t *testing.T) {
 	at := time.Unix(1000, 0)
 	seen := map[string]entry.HostInfo{
 		"weak":      {Power: 0.192, Began: at.Add(time.Hour)},
