--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -39,7 +39,7 @@
 
 // The leader of a cluster of unequal hosts is stopped. The strongest of the others leads next,
 // and no third host does.
-func TestAStoppedLeadIsFollowedByTheStrongest(t *testing.T) {
+func TestStrongestHostSucceedsAStoppedLeader(t *testing.T) {
 	c := newCluster(t, 1, 2, 50*time.Millisecond)
 	power := func(p float64) func(*entry.Settings) { return func(cfg *entry.Settings) { cfg.Power = p } }
 	c.start("a", power(0.2))
