--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -60,7 +60,7 @@
 // The leader's failure domain is cut off, and the leader answers nothing. The host that is to
 // lead asks it three times on the way to the claim, but waits for an answer only once. Three
 // waits would delay every start by half a second more.
-func TestASilentLeadIsWaitedForOnce(t *testing.T) {
+func TestSilentLeaderIsWaitedForOnce(t *testing.T) {
 	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
