--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -87,7 +87,7 @@
 // that it could not even be asked to hand over the lead, and nearly no job would be finished in
 // time. So a weak host is no candidate while there are enough strong ones, and becomes one when
 // they are gone.
-func TestAWeakHostStandsReadyOnlyWithoutStrongOnes(t *testing.T) {
+func TestWeakHostIsCandidateOnlyWithoutStrongOnes(t *testing.T) {
 	c := newCluster(t, 3, 2, 50*time.Millisecond)
 	weak := c.start("weak", func(cfg *entry.Settings) { cfg.Power = 0.2 })
 	require.Eventually(t, func() bool { return !weak.IsCandidate() }, waitTimeout, 20*time.Millisecond)
