--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -108,7 +108,7 @@
 // partition that it has already read. It must not report that this job does not exist, because
 // what it knows is as old as the beginning of its read. Callers used to be told that jobs that
 // they had submitted did not exist.
-func TestALeadKnowsOnlyWhatWasStoredBeforeItRead(t *testing.T) {
+func TestLeaderKnowsOnlyWhatWasStoredBeforeItsRead(t *testing.T) {
 	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	h := c.leader()
 	require.False(t, h.IsUncertain(jobID(0)), "the leader has just read the jobs")
