--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -127,7 +127,7 @@
 // lost, and the new leader has already read the partition. The job would wait for the new
 // leader's next poll of all partitions, nearly two seconds; in this test the new leader cannot
 // poll at all. The host notifies the new leader as soon as it knows which host leads.
-func TestAJobStoredWhileTheLeadChangesIsHandedToTheNextLead(t *testing.T) {
+func TestNextLeaderIsNotifiedOfAJobStoredDuringTheChange(t *testing.T) {
 	c := newCluster(t, 3, 2, 50*time.Millisecond)
 	leader, f := c.leader(), c.follower()
 	c.log.BreakReads("jobs", users.Busy)
