--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -147,7 +147,7 @@
 // The leader asks the policy service through the hosts that have contacted it. After a power
 // failure of all hosts none has. A host that learns of a leader contacts it at once; if it waited
 // for its next periodic sync, work would wait for up to a second.
-func TestAHostMakesItselfKnownToANewLead(t *testing.T) {
+func TestHostContactsANewLeader(t *testing.T) {
 	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	leader := c.leader()
 	cfg := leader.cfg
