--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -163,7 +163,7 @@
 // The announcement of a new leader is not stored at first. The other hosts continue to ask the
 // dead leader, and none of them claims, because the new one answers that it leads. If the
 // announcement were not repeated, their callers would be told forever that no host leads.
-func TestALeadIsAnnouncedUntilItIsStored(t *testing.T) {
+func TestAnnouncementIsRepeatedUntilItIsStored(t *testing.T) {
 	c := newCluster(t, 3, 2, 50*time.Millisecond)
 	c.log.BreakPart("lead", 0, users.Busy)
 	dead := c.leader()
