--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -178,7 +178,7 @@
 
 // The candidate group names a host while another host leads that it does not know of. It leaves
 // the lead to that host and follows it from then on.
-func TestAHostFollowsTheLeadThatItFinds(t *testing.T) {
+func TestHostFollowsTheLeaderThatItFinds(t *testing.T) {
 	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
