--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -204,7 +204,7 @@
 // and all work waits for answers of the policy service, which takes one request of a host at a
 // time. The leader uses a host as soon as it hears from it. If it did so only at its next
 // periodic sync, up to a second later, all requests would go through the leader alone until then.
-func TestALeadUsesAHostOnceItHearsOfIt(t *testing.T) {
+func TestLeaderUsesAHostOnceItHearsFromIt(t *testing.T) {
 	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	leader := c.leader()
 	require.False(t, leader.UsesForPolicy("new"))
