--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -216,7 +216,7 @@
 // standby knows at once and claims. With the candidate group at the store alone, no host would
 // lead until the dead host's membership has expired, which takes a second, and three on a slow
 // store.
-func TestTheHeirLeadsOnceTheLeadsProcessIsGone(t *testing.T) {
+func TestStandbyLeadsOnceTheLeadersProcessHasEnded(t *testing.T) {
 	c := newCluster(t, 3, 2, 50*time.Millisecond)
 	c.waitReady()
 	leader := c.leader()
