--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -243,7 +243,7 @@
 // The leader's process dies. Its connections are closed before its listener is, and the standby
 // checks in between: a new connection is still accepted. If it checked only once, it would take
 // the leader for alive, and callers would wait a second more for the next leader.
-func TestAProcessThatIsStillClosingIsGone(t *testing.T) {
+func TestProcessThatIsStillClosingCountsAsEnded(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	c := newCluster(t, 1, 1, 50*time.Millisecond)
