--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -266,7 +266,7 @@
 // best successors. If they were asked one after the other, they would use up the time that the
 // leader has to step down; it would name no successor, and nothing would be started until the
 // candidate group notices.
-func TestSilentHostsDoNotKeepALeadFromNamingItsSuccessor(t *testing.T) {
+func TestSilentHostsDoNotKeepALeaderFromNamingItsSuccessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
