--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -288,7 +288,7 @@
 // A leader's process restarts while its standby takes over, and asks other hosts which leader
 // they follow. The three hosts next to it in the list are cut off with their failure domain. If
 // it asked only those, it would claim at the same time as the standby.
-func TestHostsThatAreAskedLieApart(t *testing.T) {
+func TestAskedHostsAreSpacedApart(t *testing.T) {
 	require.Equal(t, []string{"a1", "b1", "c1"}, entry.SpacedSample([]string{"a1", "a2", "b1", "b2", "c1", "c2"}, 3))
 	require.Equal(t, []string{"a1", "a2"}, entry.SpacedSample([]string{"a1", "a2"}, 3))
 	require.Empty(t, entry.SpacedSample(nil, 3))
