--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -297,7 +297,7 @@
 // A host starts, and reads from the store at the same time which hosts there are and which host
 // leads. The list used to be iterated without its lock while the leader was added to it, which
 // crashes the process; callers would lose their connections to it just when all hosts restart.
-func TestHostsAreListedWhileTheLeadIsLearned(t *testing.T) {
+func TestHostsAreReplacedWhileALeaderIsLearned(t *testing.T) {
 	log := users.NewLog(1, time.Now)
 	f := entry.NewFollower(t, slog.New(slog.DiscardHandler), "b1", nil, "", log.For("b1"), nil)
 	addr := netip.MustParseAddrPort("127.0.0.1:1")
