--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -321,7 +321,7 @@
 }
 
 // Guards against work that a host starts after its shutdown has been waited for.
-func TestALeadThatIsLostWhileItsHeirEndsIsNotSucceeded(t *testing.T) {
+func TestStandbyThatIsStoppingDoesNotTakeOver(t *testing.T) {
 	log := users.NewLog(1, time.Now)
 	for n := range 50 {
 		f := entry.NewFollower(t, slog.New(slog.DiscardHandler), fmt.Sprint("b", n), nil, "a", log.For("b"), nil)
