--- a/internal/entry/turns_test.go
+++ b/internal/entry/turns_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards against hosts whose timeout grows after leader changes that were right.
-func TestLeadsThatStandStillInTurnAreSucceededInTime(t *testing.T) {
+func TestLeadersThatFreezeInTurnAreSucceededInTime(t *testing.T) {
 	const (
 		still = 3 * time.Second
 		every = 5 * time.Second
