--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -236,7 +236,7 @@
 // clusters proved it: in each one that failed, the leader and the first three names were in the
 // domain that was cut off. None fails since reads are repeated on a new connection, and peers are
 // asked concurrently, those that failed last.
-func TestATableIsInForceInTime(t *testing.T) {
+func TestTableIsInForceInTime(t *testing.T) {
 	const back = 10 * time.Second
 	for name, troubles := range map[string]func(away time.Duration) []outage{
 		"the store was silent": func(away time.Duration) []outage {
