--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -270,7 +270,7 @@
 // The store refuses one host, or does not answer it, for minutes, and serves the others; a
 // failure domain that contains the leader is cut off. A queue that is added in the meantime would
 // be served by all hosts but this one, whose callers would be told that it does not exist.
-func TestATableIsInForceInTimeThroughPeers(t *testing.T) {
+func TestTableIsInForceInTimeThroughPeers(t *testing.T) {
 	for _, k := range []outageKind{silent, refusing} {
 		for after := time.Duration(0); after < 3*time.Second; after += 90 * time.Millisecond {
 			w := fakeStore{cutAt: 3 * time.Second, cutDomain: 'a', changedAt: 10*time.Second + after, outages: []outage{{from: 4 * time.Second, to: time.Minute, kind: k, ownOnly: true}}}
