--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -281,7 +281,7 @@
 
 // Outages of the store, a cut and a change of the table happen at random times. Whatever they
 // are, a host that is not cut off itself has the change in force in time.
-func TestATableIsInForceInTimeWhateverWasSilent(t *testing.T) {
+func TestTableIsInForceInTimeAfterRandomOutages(t *testing.T) {
 	for seed := range uint64(1000) {
 		rng := rand.New(rand.NewPCG(seed, 0))
 		within := func(d time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(d))) }
