--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -304,7 +304,7 @@
 // The store does not answer for seconds. An operator on call sees that queues are missing on some
 // hosts, and has to distinguish a host that cannot read the table from one that read and ignored
 // it.
-func TestLinesTellOfATableThatCannotBeRead(t *testing.T) {
+func TestLogShowsThatTheTableCannotBeRead(t *testing.T) {
 	w := fakeStore{cutDomain: 'a', changedAt: 12 * time.Second, outages: []outage{{from: 3 * time.Second, to: 10 * time.Second, kind: silent}}}
 	require.True(t, w.tableArrives(t, "b1", "a1"))
 	text := w.logs.String()
