--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -320,7 +320,7 @@
 
 // The store refuses the hosts of one failure domain. If all of them asked the same peers, the
 // first by name, these would have to make the calls of all.
-func TestHostsAskUnlikePeers(t *testing.T) {
+func TestHostsAskDifferentPeers(t *testing.T) {
 	all := []string{"a1", "a2", "b1", "b2", "c1"}
 	for name, want := range map[string][]string{
 		"a1": {"b2", "a2", "b1", "c1"},
