--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -130,7 +130,7 @@
 type ResponseTimes struct{ *responseTimes }
 
 // NewResponseTimes returns an empty record of response times.
-func NewResponseTimes() ResponseTimes { return ResponseTimes{newOrders()} }
+func NewResponseTimes() ResponseTimes { return ResponseTimes{newResponseTimes()} }
 
 // Timeout returns how long to wait for a worker's answer.
 func (o ResponseTimes) Timeout(incarnation string, now time.Time) time.Duration {
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -32,7 +32,9 @@
 	slowWorkers map[string]time.Duration
 }
 
-func newOrders() *responseTimes { return &responseTimes{slowWorkers: map[string]time.Duration{}} }
+func newResponseTimes() *responseTimes {
+	return &responseTimes{slowWorkers: map[string]time.Duration{}}
+}
 
 // timeout returns how long to wait for a worker's answer.
 func (o *responseTimes) timeout(incarnation string, now time.Time) time.Duration {
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -82,7 +82,7 @@
 	t := &term{
 		h: h, number: number, readAt: read, beganAt: began, lastPoll: read, jobs: len(r.jobs) + len(r.notStarted), open: len(r.notStarted),
 		kick: make(chan struct{}, 1), nextOffset: next, jobParts: map[string]map[int]bool{}, workers: map[string]sched.Worker{}, unreadable: map[string]bool{},
-		core: sched.New(limits, number, r.jobs), journal: newJournal(h.store, h.log, &h.wg, number, h.stateParts()), responseTimes: newOrders(),
+		core: sched.New(limits, number, r.jobs), journal: newJournal(h.store, h.log, &h.wg, number, h.stateParts()), responseTimes: newResponseTimes(),
 	}
 	for _, id := range r.unreadable {
 		t.unreadable[id] = true
