--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -116,7 +116,7 @@
 	h.ctx, h.cancel = context.WithCancel(context.Background())
 	h.store = store.NewRouted(platform.NewStore(platform.New(), cfg.Store), relay{h}, now, h.storeChanged)
 	h.inbox = newInbox(h)
-	h.states = newStates(h)
+	h.states = newStateCache(h)
 	return h, nil
 }
 
--- a/internal/entry/states.go
+++ b/internal/entry/states.go
@@ -65,7 +65,7 @@
 	err error
 }
 
-func newStates(h *Host) *stateCache { return &stateCache{h: h, ended: map[string]cachedState{}} }
+func newStateCache(h *Host) *stateCache { return &stateCache{h: h, ended: map[string]cachedState{}} }
 
 // add stores a final state.
 func (s *stateCache) add(id string, state flow.State) {
