--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -145,7 +145,7 @@
 
 // tryConnect opens a new connection to a host and reports the result.
 func (h *Host) tryConnect(name string) peer.Reach {
-	ctx, cancel := context.WithTimeout(h.ctx, goneTimeout)
+	ctx, cancel := context.WithTimeout(h.ctx, processCheckTimeout)
 	defer cancel()
 	return h.peers.Reach(ctx, name)
 }
--- a/internal/entry/heir.go
+++ b/internal/entry/heir.go
@@ -16,10 +16,10 @@
 // store still decides who may.
 
 const (
-	// goneTimeout limits the check whether a process has ended, goneRetry is the pause before it
+	// processCheckTimeout limits the check whether a process has ended, goneRetry is the pause before it
 	// is repeated. A refused connection takes one round trip.
-	goneTimeout = 100 * time.Millisecond
-	goneRetry   = 15 * time.Millisecond
+	processCheckTimeout = 100 * time.Millisecond
+	goneRetry           = 15 * time.Millisecond
 	// followsTimeout limits the question which leader other hosts follow, and allows for a few
 	// round trips. After a power failure of all hosts nobody answers it, and nothing is scheduled
 	// in the meantime.
@@ -43,7 +43,7 @@
 // still be open, the standby would take the leader for alive, and nothing would be started until
 // the candidate group notices.
 func (h *Host) isProcessGone(leader string) bool {
-	ctx, cancel := context.WithTimeout(h.ctx, goneTimeout)
+	ctx, cancel := context.WithTimeout(h.ctx, processCheckTimeout)
 	defer cancel()
 	for h.peers.Reach(ctx, leader) != peer.Refused {
 		if !sleep(ctx, goneRetry) {
