--- a/internal/entry/heir.go
+++ b/internal/entry/heir.go
@@ -18,8 +18,8 @@
 const (
 	// processCheckTimeout limits the check whether a process has ended, goneRetry is the pause before it
 	// is repeated. A refused connection takes one round trip.
-	processCheckTimeout = 100 * time.Millisecond
-	goneRetry           = 15 * time.Millisecond
+	processCheckTimeout  = 100 * time.Millisecond
+	processCheckInterval = 15 * time.Millisecond
 	// followsTimeout limits the question which leader other hosts follow, and allows for a few
 	// round trips. After a power failure of all hosts nobody answers it, and nothing is scheduled
 	// in the meantime.
@@ -46,7 +46,7 @@
 	ctx, cancel := context.WithTimeout(h.ctx, processCheckTimeout)
 	defer cancel()
 	for h.peers.Reach(ctx, leader) != peer.Refused {
-		if !sleep(ctx, goneRetry) {
+		if !sleep(ctx, processCheckInterval) {
 			return false
 		}
 	}
