--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -30,9 +30,9 @@
 // the leader's own work, which ends in an append, a reply to a peer, and the backlog of a new
 // leader.
 const (
-	pieceEvery  = 20 * time.Millisecond
-	answerCost  = 500 * time.Microsecond
-	catchUpCost = 900 * time.Millisecond
+	workInterval = 20 * time.Millisecond
+	answerCost   = 500 * time.Microsecond
+	catchUpCost  = 900 * time.Millisecond
 )
 
 // processor executes one task after the other.
@@ -98,7 +98,7 @@
 // for the processor in the same queue as requests.
 func (b *busyHost) doLeaderWork() {
 	led := false
-	for n := 0; sleep(b.cluster.ctx, pieceEvery); n++ {
+	for n := 0; sleep(b.cluster.ctx, workInterval); n++ {
 		if _, frozen := b.faults(); frozen {
 			continue
 		}
@@ -114,7 +114,7 @@
 }
 
 func (b *busyHost) doPiece(n int) {
-	if b.cpu.do(b.cluster.ctx, time.Duration(b.cluster.load*float64(pieceEvery))) && b.StoreProgress(fmt.Sprintf("%s-%d", b.Name(), n)) {
+	if b.cpu.do(b.cluster.ctx, time.Duration(b.cluster.load*float64(workInterval))) && b.StoreProgress(fmt.Sprintf("%s-%d", b.Name(), n)) {
 		b.cluster.mu.Lock()
 		b.cluster.workDone++
 		b.cluster.mu.Unlock()
@@ -222,7 +222,7 @@
 				59 * time.Second: func(c *busyCluster) { after = c.workCount() },
 			})
 			require.LessOrEqual(t, c.termCount(), 2, c.logs.String())
-			require.Greater(t, after-before, 8*int(time.Second/pieceEvery), "the leader keeps up with the work that arrives in nine seconds")
+			require.Greater(t, after-before, 8*int(time.Second/workInterval), "the leader keeps up with the work that arrives in nine seconds")
 		})
 	}
 }
