--- a/internal/entry/storm_test.go
+++ b/internal/entry/storm_test.go
@@ -109,11 +109,11 @@
 		if led = leads; !leads || b.cluster.load == 0 {
 			continue
 		}
-		go b.doPiece(n)
+		go b.doUnit(n)
 	}
 }
 
-func (b *busyHost) doPiece(n int) {
+func (b *busyHost) doUnit(n int) {
 	if b.cpu.do(b.cluster.ctx, time.Duration(b.cluster.load*float64(workInterval))) && b.StoreProgress(fmt.Sprintf("%s-%d", b.Name(), n)) {
 		b.cluster.mu.Lock()
 		b.cluster.workDone++
