--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -221,13 +221,13 @@
 	c.waitReady()
 	leader := c.leader()
 	require.Eventually(t, func() bool {
-		heirs := 0
+		standbys := 0
 		for _, h := range c.hosts {
 			if h.Standby() != "" {
-				heirs++
+				standbys++
 			}
 		}
-		return heirs == 2
+		return standbys == 2
 	}, waitTimeout, 20*time.Millisecond)
 	leader.Kill()
 	delete(c.hosts, leader.cfg.Name)
