--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -238,7 +238,7 @@
 // asked concurrently, those that failed last.
 func TestTableIsInForceInTime(t *testing.T) {
 	const back = 10 * time.Second
-	for name, troubles := range map[string]func(away time.Duration) []outage{
+	for name, outages := range map[string]func(away time.Duration) []outage{
 		"the store was silent": func(away time.Duration) []outage {
 			return []outage{{from: back - away, to: back, kind: silent}}
 		},
@@ -259,7 +259,7 @@
 			// The read may have been sent at any time before.
 			for away := 2 * time.Second; away < 6*time.Second; away += 130 * time.Millisecond {
 				for after := time.Duration(0); after <= 600*time.Millisecond; after += 200 * time.Millisecond {
-					w := fakeStore{cutAt: 5 * time.Second, cutDomain: 'a', changedAt: back + after, outages: troubles(away)}
+					w := fakeStore{cutAt: 5 * time.Second, cutDomain: 'a', changedAt: back + after, outages: outages(away)}
 					require.True(t, w.tableArrives(t, "b1", "a1"), "away for %v, changed %v after", away, after)
 				}
 			}
