--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -104,8 +104,8 @@
 }
 
 // Append stores the records of an append.
-func (b *Journal) Append(ctx context.Context, number int64, records []store.Record, patience time.Duration) error {
-	return b.append(ctx, number, records, patience)
+func (b *Journal) Append(ctx context.Context, number int64, records []store.Record, timeout time.Duration) error {
+	return b.append(ctx, number, records, timeout)
 }
 
 // Drop deletes a job's progress.
