--- a/internal/entry/alive.go
+++ b/internal/entry/alive.go
@@ -112,10 +112,10 @@
 	return false
 }
 
-// progressAuthor returns the host whose append made a partition of stateTopic grow while lead is
-// under suspicion. It returns "" if that was a leader that has stepped down. If another host has
-// claimed the lead since, this host follows it: its term is not known yet and may never begin,
-// but the previous leader is fenced off.
+// progressAuthor returns the host whose append made a partition of stateTopic grow while leader
+// is under suspicion. It returns "" if that was a leader that has stepped down. If another host
+// has claimed leadership since, this host follows it: its term is not known yet and may never
+// begin, but the previous leader is fenced off.
 func (h *Host) progressAuthor(leader string, part int) string {
 	a, err := h.store.Do(h.ctx, store.Call{Op: store.Newest, Topic: stateTopic, Part: part})
 	if err != nil {
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -143,8 +143,8 @@
 	h.peers.Set(name, seen.addr)
 	r, err := h.askWhetherLeads(name)
 	if err == nil && r.Lead {
-		// The announcement of that leader may be lost. All hosts would then leave the lead to it
-		// without knowing it, and callers would be told forever that no host leads.
+		// The announcement of that leader may be lost. All hosts would then leave leadership to
+		// it without knowing it, and callers would be told forever that no host leads.
 		h.setLeader(leaderRecord{Name: name, Addr: seen.addr, Term: r.Term})
 	}
 	return name, err == nil && (r.Lead || r.Claiming)
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -310,7 +310,7 @@
 	require.Zero(t, running())
 }
 
-// Hosts differ in power. The leader has the most work, so the lead goes to a host that is much
+// Hosts differ in power. The leader has the most work, so leadership goes to a host that is much
 // stronger; on a weak host every start would wait for CPU time.
 func TestStrongestHostLeads(t *testing.T) {
 	c := newCluster(t, 2, 2, 50*time.Millisecond)
@@ -322,7 +322,7 @@
 	require.Empty(t, c.checker.Wrongs())
 }
 
-// A host claims the lead and takes seconds to read the state that it takes over, and the
+// A host claims leadership and takes seconds to read the state that it takes over, and the
 // candidate group names another host in the meantime. If that host claimed as well, the two would
 // fence each other off in turn, nothing would be scheduled, and callers would wait forever.
 func TestNoHostClaimsDuringAnotherClaim(t *testing.T) {
--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -72,7 +72,7 @@
 	return !errors.As(err, new(*NoLeaderError))
 }
 
-// IsCandidate reports whether the host is a candidate for the lead.
+// IsCandidate reports whether the host is a candidate for leadership.
 func (h *Host) IsCandidate() bool { return h.isCandidate() }
 
 // Journal exposes the writer of job progress.
@@ -186,7 +186,7 @@
 // group.
 type Follower struct{ *Host }
 
-// NewFollower returns a host that knows the other hosts and follows lead as leader. Its direct
+// NewFollower returns a host that knows the other hosts and follows the host leader. Its direct
 // route to the store is direct, and through is its route through a peer.
 func NewFollower(t *testing.T, log *slog.Logger, name string, others []string, leader string, direct store.Log, through func(ctx context.Context, peer string, c store.Call) (store.Answer, error)) *Follower {
 	h, err := New(Settings{Name: name, Parts: 1}, log, time.Now)
--- a/internal/entry/group.go
+++ b/internal/entry/group.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// candidateGroup is the group of the hosts that are candidates for the lead. The holder of
+	// candidateGroup is the group of the hosts that are candidates for leadership. The holder of
 	// the first partition of leaderTopic is the host that should try to lead; the group does not
 	// decide who may lead. The other hosts are in observerGroup, which has no further meaning.
 	// Membership in one of the two groups shows a host that the store serves it.
@@ -88,9 +88,9 @@
 	}
 }
 
-// isCandidate reports whether the host should be a candidate for the lead. If hosts differ in
-// power, a weak host would lead so slowly that it could not even be asked to hand over the lead,
-// and nearly no job would be finished in time.
+// isCandidate reports whether the host should be a candidate for leadership. If hosts differ in
+// power, a weak host would lead so slowly that it could not even be asked to hand over
+// leadership, and nearly no job would be finished in time.
 func (h *Host) isCandidate() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/entry/heir.go
+++ b/internal/entry/heir.go
@@ -12,12 +12,12 @@
 // only when the leader's membership has expired. But the operating system closes the connections
 // of a dead process and refuses new ones, so every connected host knows within a millisecond that
 // the leader sends no more orders. The leader therefore tells all hosts which of them is its
-// standby, and the standby claims the lead at once. This only decides who tries to lead; the
+// standby, and the standby claims leadership at once. This only decides who tries to lead; the
 // store still decides who may.
 
 const (
-	// processCheckTimeout limits the check whether a process has ended, goneRetry is the pause before it
-	// is repeated. A refused connection takes one round trip.
+	// processCheckTimeout limits the check whether a process has ended, processCheckInterval is
+	// the pause before it is repeated. A refused connection takes one round trip.
 	processCheckTimeout  = 100 * time.Millisecond
 	processCheckInterval = 15 * time.Millisecond
 	// followsTimeout limits the question which leader other hosts follow, and allows for a few
@@ -53,7 +53,7 @@
 	return true
 }
 
-// takeOver claims the lead if the leader's process has ended.
+// takeOver claims leadership if the leader's process has ended.
 func (h *Host) takeOver(leader string) {
 	if !h.isProcessGone(leader) {
 		return
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -228,8 +228,8 @@
 	shutdownTimeout = 1500 * time.Millisecond
 )
 
-// Stop shuts the host down gracefully: another host takes over the lead, callers are directed to
-// other hosts, and requests in progress are answered.
+// Stop shuts the host down gracefully: another host takes over leadership, callers are directed
+// to other hosts, and requests in progress are answered.
 func (h *Host) Stop() {
 	h.log.Info("entry: planned stop.", "host", h.cfg.Name, "peak-mib", peakMemory())
 	h.mu.Lock()
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -40,7 +40,7 @@
 	hostExpiry = 3500 * time.Millisecond
 )
 
-// resumeTerm claims the lead if a previous incarnation of this host led, unless its standby has
+// resumeTerm claims leadership if a previous incarnation of this host led, unless its standby has
 // taken over.
 func (h *Host) resumeTerm() {
 	listed := make(chan struct{})
--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -13,7 +13,7 @@
 
 const (
 	// strongerFactor is how many times as powerful another host has to be for the leader to hand
-	// over the lead to it. A leader change costs a tenth of a second, a leader that is short of
+	// over leadership to it. A leader change costs a tenth of a second, a leader that is short of
 	// CPU time delays every start.
 	strongerFactor = 1.5
 	// cedeMinTermAge is the age of a term at which the leader looks for a stronger host. The
@@ -40,7 +40,7 @@
 	h.wg.Go(func() { h.claim("the lead leaves") })
 }
 
-// stepDown ends the host's membership in the candidate group and hands the lead over to another
+// stepDown ends the host's membership in the candidate group and hands leadership over to another
 // host. All hosts are told which one, because the candidate group may name a different host, and
 // two hosts that claim concurrently at a slow store cost each other seconds.
 func (h *Host) stepDown(t *term) {
@@ -137,7 +137,7 @@
 
 // byPower orders hosts by how suitable they are to lead. The strongest come first: a weak host
 // with a narrow link takes a second or two to read the state that it takes over, no task starts
-// in that time, and it hands over the lead to a stronger host soon after. Among equally strong
+// in that time, and it hands over leadership to a stronger host soon after. Among equally strong
 // hosts the one that started last comes first: when hosts are restarted one after the other, it
 // has already been restarted.
 func byPower(seen map[string]hostInfo) []string {
@@ -146,7 +146,7 @@
 	})
 }
 
-// cedeToStronger hands the lead over to a host with much more power, if there is one.
+// cedeToStronger hands leadership over to a host with much more power, if there is one.
 func (h *Host) cedeToStronger() {
 	h.mu.Lock()
 	t := h.ownTerm
--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -23,7 +23,7 @@
 
 // Of 44 hosts 6 are strong, and hosts are restarted one after the other, the leader first. If a
 // weak host took over, with a tenth of the bandwidth, no task would start while it reads its
-// state, and again when it hands over the lead to a strong one. The same would happen if a host
+// state, and again when it hands over leadership to a strong one. The same would happen if a host
 // took over that is restarted next. Callers would see their jobs late three times in a row. The
 // pattern is that of a rolling restart of a site that has grown.
 func TestStrongestAndNewestHostIsTheSuccessor(t *testing.T) {
@@ -84,7 +84,7 @@
 }
 
 // Some hosts are much weaker than others. If one of them led, it would be so short of CPU time
-// that it could not even be asked to hand over the lead, and nearly no job would be finished in
+// that it could not even be asked to hand over leadership, and nearly no job would be finished in
 // time. So a weak host is no candidate while there are enough strong ones, and becomes one when
 // they are gone.
 func TestWeakHostIsCandidateOnlyWithoutStrongOnes(t *testing.T) {
@@ -177,7 +177,7 @@
 }
 
 // The candidate group names a host while another host leads that it does not know of. It leaves
-// the lead to that host and follows it from then on.
+// leadership to that host and follows it from then on.
 func TestHostFollowsTheLeaderThatItFinds(t *testing.T) {
 	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
