--- a/internal/host/edit.go
+++ b/internal/host/edit.go
@@ -42,7 +42,7 @@
 }
 
 // Verdict returns what became of an edit, false if it was not seen here.
-func (b book) Verdict(id string) (table.Judged, bool) {
+func (b book) Verdict(id string) (table.Verdict, bool) {
 	b.h.mu.Lock()
 	defer b.h.mu.Unlock()
 	return b.h.table.Verdict(id)
@@ -56,21 +56,21 @@
 }
 
 // Edit writes an edit and waits for its verdict.
-func (b book) Edit(ctx context.Context, e table.Edit) (table.Judged, error) {
+func (b book) Edit(ctx context.Context, e table.Edit) (table.Verdict, error) {
 	e.When = b.h.clock().UnixMilli()
 	body, err := table.Encode(e)
 	if err != nil {
-		return table.Judged{}, err
+		return table.Verdict{}, err
 	}
 	return b.h.publish(ctx, e.ID, body)
 }
 
 // EditQuota writes a quota's edit and waits for its verdict.
-func (b book) EditQuota(ctx context.Context, e table.QuotaEdit) (table.Judged, error) {
+func (b book) EditQuota(ctx context.Context, e table.QuotaEdit) (table.Verdict, error) {
 	e.When = b.h.clock().UnixMilli()
 	body, err := table.Encode(e)
 	if err != nil {
-		return table.Judged{}, err
+		return table.Verdict{}, err
 	}
 	return b.h.publish(ctx, e.ID, body)
 }
@@ -88,18 +88,18 @@
 // publish appends a record and waits until this host has read it back. Its
 // answer may be lost after the write: what counts is the record's own verdict,
 // never the log's answer.
-func (h *Host) publish(ctx context.Context, id string, body []byte) (table.Judged, error) {
+func (h *Host) publish(ctx context.Context, id string, body []byte) (table.Verdict, error) {
 	actx, cancel := context.WithTimeout(ctx, appendWait)
 	defer cancel()
 	_, err := h.platform.Append(actx, table.Stream, body)
 	var not *platform.NotWrittenError
 	if errors.As(err, &not) {
-		return table.Judged{}, err
+		return table.Verdict{}, err
 	}
 	return h.verdict(ctx, id)
 }
 
-func (h *Host) verdict(ctx context.Context, id string) (table.Judged, error) {
+func (h *Host) verdict(ctx context.Context, id string) (table.Verdict, error) {
 	ctx, cancel := context.WithTimeout(ctx, editWait)
 	defer cancel()
 	for {
--- a/internal/operator/edits.go
+++ b/internal/operator/edits.go
@@ -104,7 +104,7 @@
 		fail(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	var j table.Judged
+	var j table.Verdict
 	j, err = h.Table.EditQuota(r.Context(), e)
 	if settled(w, e.ID, j, err, func() any { return h.findTeam(e.Team) }) {
 		write(w, http.StatusOK, h.findTeam(e.Team))
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -39,13 +39,13 @@
 	Teams() []table.Quota
 	Past() []table.Past
 	// Verdict returns what became of an edit, false if it was not seen.
-	Verdict(id string) (table.Judged, bool)
+	Verdict(id string) (table.Verdict, bool)
 	// Preview returns a cell.ValueError for an edit that cannot be accepted.
 	Preview(e table.Edit) error
 	// Edit and EditQuota write an edit and wait for its verdict. The error is
 	// an UnsureError when it may have been written.
-	Edit(ctx context.Context, e table.Edit) (table.Judged, error)
-	EditQuota(ctx context.Context, e table.QuotaEdit) (table.Judged, error)
+	Edit(ctx context.Context, e table.Edit) (table.Verdict, error)
+	EditQuota(ctx context.Context, e table.QuotaEdit) (table.Verdict, error)
 	Settle(ctx context.Context, s table.Settle) error
 }
 
@@ -224,7 +224,7 @@
 
 // settled answers for an edit that is not accepted: with what is there now when
 // it lost a race, with the id to ask with when nobody knows yet.
-func settled(w http.ResponseWriter, id string, j table.Judged, err error, now func() any) bool {
+func settled(w http.ResponseWriter, id string, j table.Verdict, err error, now func() any) bool {
 	var unsure *UnsureError
 	switch {
 	case errors.As(err, &unsure):
--- a/internal/table/messages.go
+++ b/internal/table/messages.go
@@ -49,8 +49,8 @@
 	Gone    bool
 }
 
-// Judged tells the verdict on one edit. Every reader comes to the same one.
-type Judged struct {
+// Verdict tells the verdict on one edit. Every reader comes to the same one.
+type Verdict struct {
 	ID       string `json:"id"`
 	Accepted bool   `json:"accepted"`
 	Reason   string `json:"reason,omitempty"`
@@ -71,7 +71,7 @@
 type Append struct{ Body []byte }
 
 func (Changed) action()  {}
-func (Judged) action()   {}
+func (Verdict) action()  {}
 func (Gap) action()      {}
 func (Lost) action()     {}
 func (Restored) action() {}
@@ -113,7 +113,7 @@
 
 // Past is one edit with its verdict, as operators see it in the log.
 type Past struct {
-	Judged
+	Verdict
 	Offset int64     `json:"offset"`
 	Row    string    `json:"row"`
 	Who    string    `json:"who,omitempty"`
--- a/internal/table/quota.go
+++ b/internal/table/quota.go
@@ -72,16 +72,16 @@
 	return n
 }
 
-func (t *Table) quota(e QuotaEdit, offset int64) Judged {
+func (t *Table) quota(e QuotaEdit, offset int64) Verdict {
 	if old, ok := t.byID[e.ID]; ok {
 		return old
 	}
-	j := Judged{ID: e.ID, Accepted: true}
+	j := Verdict{ID: e.ID, Accepted: true}
 	old := t.Quotas[e.Team]
 	if old.Version != e.Base {
-		j = Judged{ID: e.ID, Reason: fmt.Sprintf("quota is at version %d", old.Version)}
+		j = Verdict{ID: e.ID, Reason: fmt.Sprintf("quota is at version %d", old.Version)}
 	} else if err := e.Check(); err != nil {
-		j = Judged{ID: e.ID, Reason: err.Error()}
+		j = Verdict{ID: e.ID, Reason: err.Error()}
 	}
 	t.remember(j)
 	if j.Accepted {
--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -82,7 +82,7 @@
 	if s.Rows == nil || s.Quotas == nil {
 		return s, &RecordError{Reason: "snapshot has no rows"}
 	}
-	s.byID = map[string]Judged{}
+	s.byID = map[string]Verdict{}
 	for _, j := range s.Judged {
 		s.byID[j.ID] = j
 	}
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -35,9 +35,9 @@
 	Digest uint64           `json:"digest"`
 	Rows   map[string]Line  `json:"rows"`
 	Quotas map[string]Quota `json:"quotas"`
-	Judged []Judged         `json:"judged"`
+	Judged []Verdict        `json:"judged"`
 	Passed []Passed         `json:"passed,omitempty"`
-	byID   map[string]Judged
+	byID   map[string]Verdict
 }
 
 // Passed is a record that this version does not know. It is kept in order and
@@ -71,7 +71,7 @@
 // New returns an empty table that waits for offset 1.
 func New() *Table {
 	return &Table{
-		state: state{Next: 1, Rows: map[string]Line{}, Quotas: map[string]Quota{}, byID: map[string]Judged{}},
+		state: state{Next: 1, Rows: map[string]Line{}, Quotas: map[string]Quota{}, byID: map[string]Verdict{}},
 		parts: map[int64]*gathered{},
 	}
 }
@@ -163,7 +163,7 @@
 	}
 	j, changed := t.judge(e, offset)
 	t.remember(j)
-	t.note(Past{Judged: j, Offset: offset, Row: e.Row, Who: e.Who, When: time.UnixMilli(e.When), What: what(e)})
+	t.note(Past{Verdict: j, Offset: offset, Row: e.Row, Who: e.Who, When: time.UnixMilli(e.When), What: what(e)})
 	if changed == nil {
 		return []Action{j}
 	}
@@ -177,21 +177,21 @@
 	return string(e.Fields)
 }
 
-func (t *Table) judge(e Edit, offset int64) (Judged, *Changed) {
+func (t *Table) judge(e Edit, offset int64) (Verdict, *Changed) {
 	cur := t.Rows[e.Row]
 	if cur.Version != e.Base {
-		return Judged{ID: e.ID, Reason: fmt.Sprintf("row is at version %d", cur.Version)}, nil
+		return Verdict{ID: e.ID, Reason: fmt.Sprintf("row is at version %d", cur.Version)}, nil
 	}
 	if e.Drop {
 		delete(t.Rows, e.Row)
-		return Judged{ID: e.ID, Accepted: true}, &Changed{Row: cur.Row, Version: offset, Gone: true}
+		return Verdict{ID: e.ID, Accepted: true}, &Changed{Row: cur.Row, Version: offset, Gone: true}
 	}
 	row, err := t.applied(e)
 	if err != nil {
-		return Judged{ID: e.ID, Reason: err.Error()}, nil
+		return Verdict{ID: e.ID, Reason: err.Error()}, nil
 	}
 	t.Rows[e.Row] = Line{Row: row, Version: offset}
-	return Judged{ID: e.ID, Accepted: true}, &Changed{Row: row, Version: offset}
+	return Verdict{ID: e.ID, Accepted: true}, &Changed{Row: row, Version: offset}
 }
 
 // applied returns the row as the edit would leave it.
@@ -207,7 +207,7 @@
 	return row, t.starved(row)
 }
 
-func (t *Table) remember(j Judged) {
+func (t *Table) remember(j Verdict) {
 	t.byID[j.ID] = j
 	t.Judged = append(t.Judged, j)
 	if len(t.Judged) > verdictsKept {
@@ -240,7 +240,7 @@
 }
 
 // Verdict returns what became of an edit, false if it was not seen.
-func (t *Table) Verdict(id string) (Judged, bool) {
+func (t *Table) Verdict(id string) (Verdict, bool) {
 	j, ok := t.byID[id]
 	return j, ok
 }
