--- a/internal/host/table.go
+++ b/internal/host/table.go
@@ -150,7 +150,7 @@
 		case table.Restored:
 			h.meter("restored")
 			h.log.Info("table: started from a snapshot.", "next", a.Next)
-		case table.Changed:
+		case table.RowChanged:
 			h.log.Info("table: row is in force.", "row", a.Row.Name, "version", a.Version, "gone", a.Gone)
 		}
 	}
--- a/internal/table/messages.go
+++ b/internal/table/messages.go
@@ -42,8 +42,8 @@
 // Action is what the table core asks its edge to do.
 type Action interface{ action() }
 
-// Changed tells that a row now has another version, or none.
-type Changed struct {
+// RowChanged tells that a row now has another version, or none.
+type RowChanged struct {
 	Row     Row
 	Version int64
 	Gone    bool
@@ -70,12 +70,12 @@
 // Append asks to write one record to the log.
 type Append struct{ Body []byte }
 
-func (Changed) action()  {}
-func (Verdict) action()  {}
-func (Gap) action()      {}
-func (Lost) action()     {}
-func (Restored) action() {}
-func (Append) action()   {}
+func (RowChanged) action() {}
+func (Verdict) action()    {}
+func (Gap) action()        {}
+func (Lost) action()       {}
+func (Restored) action()   {}
+func (Append) action()     {}
 
 // Edit is one operator's change to one row, as kept in the log. Base is the
 // version of the row that the operator saw, zero for a row that was not there.
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -177,21 +177,21 @@
 	return string(e.Fields)
 }
 
-func (t *Table) judge(e Edit, offset int64) (Verdict, *Changed) {
+func (t *Table) judge(e Edit, offset int64) (Verdict, *RowChanged) {
 	cur := t.Rows[e.Row]
 	if cur.Version != e.Base {
 		return Verdict{ID: e.ID, Reason: fmt.Sprintf("row is at version %d", cur.Version)}, nil
 	}
 	if e.Drop {
 		delete(t.Rows, e.Row)
-		return Verdict{ID: e.ID, Accepted: true}, &Changed{Row: cur.Row, Version: offset, Gone: true}
+		return Verdict{ID: e.ID, Accepted: true}, &RowChanged{Row: cur.Row, Version: offset, Gone: true}
 	}
 	row, err := t.applied(e)
 	if err != nil {
 		return Verdict{ID: e.ID, Reason: err.Error()}, nil
 	}
 	t.Rows[e.Row] = Line{Row: row, Version: offset}
-	return Verdict{ID: e.ID, Accepted: true}, &Changed{Row: row, Version: offset}
+	return Verdict{ID: e.ID, Accepted: true}, &RowChanged{Row: row, Version: offset}
 }
 
 // applied returns the row as the edit would leave it.
