--- a/internal/host/table.go
+++ b/internal/host/table.go
@@ -111,7 +111,7 @@
 		}
 		from = all[len(all)-1].Offset + 1
 	}
-	if err := h.fold(table.Behind{Entries: all}); err != nil {
+	if err := h.fold(table.TrimmedLog{Entries: all}); err != nil {
 		return err
 	}
 	h.move("table")
--- a/internal/table/messages.go
+++ b/internal/table/messages.go
@@ -19,9 +19,9 @@
 // Records is a run of log entries in offset order.
 type Records struct{ Entries []Entry }
 
-// Behind is everything that a trimmed log still holds, in offset order: the
+// TrimmedLog is everything that a trimmed log still holds, in offset order: the
 // table looks for a snapshot in it to start from.
-type Behind struct{ Entries []Entry }
+type TrimmedLog struct{ Entries []Entry }
 
 // Copy is a peer's whole table as snapshot records.
 type Copy struct{ Parts [][]byte }
@@ -34,10 +34,10 @@
 	Rank   int
 }
 
-func (Records) event() {}
-func (Behind) event()  {}
-func (Copy) event()    {}
-func (Tick) event()    {}
+func (Records) event()    {}
+func (TrimmedLog) event() {}
+func (Copy) event()       {}
+func (Tick) event()       {}
 
 // Action is what the table core asks its edge to do.
 type Action interface{ action() }
--- a/internal/table/prefix_test.go
+++ b/internal/table/prefix_test.go
@@ -66,7 +66,7 @@
 			},
 			"trimmed": func(t *rapid.T) {
 				from := rapid.IntRange(0, len(l.all)).Draw(t, "from")
-				step(t, rapid.SampledFrom(hosts).Draw(t, "host"), table.Behind{Entries: l.all[from:]})
+				step(t, rapid.SampledFrom(hosts).Draw(t, "host"), table.TrimmedLog{Entries: l.all[from:]})
 			},
 			"copy": func(t *rapid.T) {
 				parts, err := rapid.SampledFrom(hosts).Draw(t, "peer").Snapshot(now)
@@ -216,7 +216,7 @@
 				tab.Step(now, table.Records{Entries: []table.Entry{{Offset: 1, Body: b}}})
 			}
 			require.Equal(t, int64(2), tab.Wants())
-			table.New().Step(now, table.Behind{Entries: []table.Entry{{Offset: 9, Body: b}}})
+			table.New().Step(now, table.TrimmedLog{Entries: []table.Entry{{Offset: 9, Body: b}}})
 			table.New().Step(now, table.Copy{Parts: [][]byte{b}})
 		}
 	})
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -83,7 +83,7 @@
 	switch ev := ev.(type) {
 	case Records:
 		return t.foldAll(now, ev.Entries)
-	case Behind:
+	case TrimmedLog:
 		return t.catchUp(now, ev.Entries)
 	case Copy:
 		return t.copyFrom(ev.Parts)
