--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -170,7 +170,7 @@
 	if len(r.Parts) == 0 {
 		return false
 	}
-	if err := h.fold(table.Copy{Parts: r.Parts}); err != nil {
+	if err := h.fold(table.PeerCopy{Parts: r.Parts}); err != nil {
 		h.log.Warn("table: peer's copy is not taken.", "err", err)
 	}
 	if h.wants() <= from {
--- a/internal/table/messages.go
+++ b/internal/table/messages.go
@@ -23,8 +23,8 @@
 // table looks for a snapshot in it to start from.
 type TrimmedLog struct{ Entries []Entry }
 
-// Copy is a peer's whole table as snapshot records.
-type Copy struct{ Parts [][]byte }
+// PeerCopy is a peer's whole table as snapshot records.
+type PeerCopy struct{ Parts [][]byte }
 
 // Tick asks whether a snapshot is due. Oldest is the oldest offset that the
 // log still has; Rank is this host's place among the live hosts, so that they
@@ -36,7 +36,7 @@
 
 func (Records) event()    {}
 func (TrimmedLog) event() {}
-func (Copy) event()       {}
+func (PeerCopy) event()   {}
 func (Tick) event()       {}
 
 // Action is what the table core asks its edge to do.
--- a/internal/table/prefix_test.go
+++ b/internal/table/prefix_test.go
@@ -71,7 +71,7 @@
 			"copy": func(t *rapid.T) {
 				parts, err := rapid.SampledFrom(hosts).Draw(t, "peer").Snapshot(now)
 				require.NoError(t, err)
-				step(t, rapid.SampledFrom(hosts).Draw(t, "host"), table.Copy{Parts: parts})
+				step(t, rapid.SampledFrom(hosts).Draw(t, "host"), table.PeerCopy{Parts: parts})
 			},
 			"new": func(t *rapid.T) { hosts[rapid.IntRange(0, 2).Draw(t, "i")] = table.New() },
 			"": func(t *rapid.T) {
@@ -217,7 +217,7 @@
 			}
 			require.Equal(t, int64(2), tab.Wants())
 			table.New().Step(now, table.TrimmedLog{Entries: []table.Entry{{Offset: 9, Body: b}}})
-			table.New().Step(now, table.Copy{Parts: [][]byte{b}})
+			table.New().Step(now, table.PeerCopy{Parts: [][]byte{b}})
 		}
 	})
 }
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -85,7 +85,7 @@
 		return t.foldAll(now, ev.Entries)
 	case TrimmedLog:
 		return t.catchUp(now, ev.Entries)
-	case Copy:
+	case PeerCopy:
 		return t.copyFrom(ev.Parts)
 	case Tick:
 		return t.due(now, ev)
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -142,7 +142,7 @@
 	parts, err := tab.Snapshot(now)
 	require.NoError(t, err)
 	other := table.New()
-	require.Equal(t, []table.Action{table.Restored{Next: 3}}, other.Step(now, table.Copy{Parts: parts}))
+	require.Equal(t, []table.Action{table.Restored{Next: 3}}, other.Step(now, table.PeerCopy{Parts: parts}))
 	require.Equal(t, tab.Mark(), other.Mark())
 	require.Equal(t, []table.Passed{{Offset: 1, Body: b}}, other.Unknown())
 }
@@ -155,7 +155,7 @@
 	tab.Step(now, table.Records{Entries: []table.Entry{entry(t, 1, e), entry(t, 2, table.Edit{ID: "b", Row: "scan", Base: 1, Drop: true})}})
 	parts, err := tab.Snapshot(now)
 	require.NoError(t, err)
-	other.Step(now, table.Copy{Parts: parts})
+	other.Step(now, table.PeerCopy{Parts: parts})
 	for _, x := range []*table.Table{tab, other} {
 		x.Step(now, table.Records{Entries: []table.Entry{entry(t, 3, e)}})
 		require.Empty(t, x.Lines())
@@ -193,7 +193,7 @@
 	require.Equal(t, tab.Mark(), behind.Mark())
 	log.all = append(log.all[:20:20], log.all[21:]...)
 	require.Equal(t, table.Lost{Want: 1}, table.New().Step(now, table.TrimmedLog{Entries: moved(log.all[20:], parts[0])})[0], "a record after the snapshot's offset is gone")
-	require.Empty(t, behind.Step(now, table.Copy{Parts: parts}), "an older copy does not take it back")
+	require.Empty(t, behind.Step(now, table.PeerCopy{Parts: parts}), "an older copy does not take it back")
 	require.Equal(t, int64(23), behind.Wants())
 }
 
