--- a/internal/host/table.go
+++ b/internal/host/table.go
@@ -144,7 +144,7 @@
 		case table.Gap:
 			h.meter("gap")
 			err = &MissingError{Want: a.Want}
-		case table.Lost:
+		case table.SnapshotMissing:
 			h.meter("lost")
 			err = &MissingError{Want: a.Want}
 		case table.Restored:
--- a/internal/table/messages.go
+++ b/internal/table/messages.go
@@ -60,9 +60,9 @@
 // missing, or because a record was damaged on its way: read again from Want.
 type Gap struct{ Want, Found int64 }
 
-// Lost tells that the log no longer holds what is needed and no snapshot that
+// SnapshotMissing tells that the log no longer holds what is needed and no snapshot that
 // stands in for it: ask the peers.
-type Lost struct{ Want int64 }
+type SnapshotMissing struct{ Want int64 }
 
 // Restored tells that the table went forward to an offset from a snapshot.
 type Restored struct{ Next int64 }
@@ -70,12 +70,12 @@
 // Append asks to write one record to the log.
 type Append struct{ Body []byte }
 
-func (RowChanged) action() {}
-func (Verdict) action()    {}
-func (Gap) action()        {}
-func (Lost) action()       {}
-func (Restored) action()   {}
-func (Append) action()     {}
+func (RowChanged) action()      {}
+func (Verdict) action()         {}
+func (Gap) action()             {}
+func (SnapshotMissing) action() {}
+func (Restored) action()        {}
+func (Append) action()          {}
 
 // Edit is one operator's change to one row, as kept in the log. Base is the
 // version of the row that the operator saw, zero for a row that was not there.
--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -140,7 +140,7 @@
 	}
 	start, ok := t.bestStart(entries)
 	if !ok {
-		return []Action{Lost{Want: t.Next}}
+		return []Action{SnapshotMissing{Want: t.Next}}
 	}
 	t.restore(start)
 	acts := []Action{Restored{Next: start.Next}}
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -186,13 +186,13 @@
 	tab.Step(now, table.Records{Entries: log.all})
 
 	behind := table.New()
-	require.Equal(t, table.Lost{Want: 1}, behind.Step(now, table.TrimmedLog{Entries: log.all[21:]})[0], "the snapshot itself is gone")
-	require.Equal(t, table.Lost{Want: 1}, behind.Step(now, table.TrimmedLog{})[0])
+	require.Equal(t, table.SnapshotMissing{Want: 1}, behind.Step(now, table.TrimmedLog{Entries: log.all[21:]})[0], "the snapshot itself is gone")
+	require.Equal(t, table.SnapshotMissing{Want: 1}, behind.Step(now, table.TrimmedLog{})[0])
 	require.Equal(t, table.Restored{Next: 21}, behind.Step(now, table.TrimmedLog{Entries: log.all[20:]})[0])
 	require.Equal(t, tab.Lines(), behind.Lines())
 	require.Equal(t, tab.Mark(), behind.Mark())
 	log.all = append(log.all[:20:20], log.all[21:]...)
-	require.Equal(t, table.Lost{Want: 1}, table.New().Step(now, table.TrimmedLog{Entries: moved(log.all[20:], parts[0])})[0], "a record after the snapshot's offset is gone")
+	require.Equal(t, table.SnapshotMissing{Want: 1}, table.New().Step(now, table.TrimmedLog{Entries: moved(log.all[20:], parts[0])})[0], "a record after the snapshot's offset is gone")
 	require.Empty(t, behind.Step(now, table.PeerCopy{Parts: parts}), "an older copy does not take it back")
 	require.Equal(t, int64(23), behind.Wants())
 }
