--- a/internal/host/edit.go
+++ b/internal/host/edit.go
@@ -76,7 +76,7 @@
 }
 
 // Settle writes that a failure domain has settled, on an operator's word.
-func (b book) Settle(ctx context.Context, s table.Settle) error {
+func (b book) Settle(ctx context.Context, s table.ShareConfirmation) error {
 	body, err := table.Encode(s)
 	if err != nil {
 		return err
--- a/internal/operator/edits.go
+++ b/internal/operator/edits.go
@@ -119,7 +119,7 @@
 		fail(w, http.StatusNotFound, "no such quota")
 		return
 	}
-	s := table.Settle{Team: q.Team, Version: q.Version, Domain: chi.URLParam(r, "domain")}
+	s := table.ShareConfirmation{Team: q.Team, Version: q.Version, Domain: chi.URLParam(r, "domain")}
 	if err := h.Table.Settle(r.Context(), s); err != nil {
 		fail(w, http.StatusServiceUnavailable, fmt.Sprintf("may not be written: %s", err))
 		return
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -46,7 +46,7 @@
 	// an UnsureError when it may have been written.
 	Edit(ctx context.Context, e table.Edit) (table.Verdict, error)
 	EditQuota(ctx context.Context, e table.QuotaEdit) (table.Verdict, error)
-	Settle(ctx context.Context, s table.Settle) error
+	Settle(ctx context.Context, s table.ShareConfirmation) error
 }
 
 // TableStatus tells which host has which offset. Unknown counts the records
--- a/internal/table/messages.go
+++ b/internal/table/messages.go
@@ -103,9 +103,9 @@
 	When    int64            `json:"when,omitempty"`
 }
 
-// Settle tells that every host of a failure domain works by its smaller share
+// ShareConfirmation tells that every host of a failure domain works by its smaller share
 // of a quota, so that the others may have theirs. Version is the quota's.
-type Settle struct {
+type ShareConfirmation struct {
 	Team    string `json:"team"`
 	Version int64  `json:"version"`
 	Domain  string `json:"domain"`
--- a/internal/table/prefix_test.go
+++ b/internal/table/prefix_test.go
@@ -105,7 +105,7 @@
 	case 1:
 		b, err = table.Encode(table.QuotaEdit{ID: id, Team: name, Base: base, Tasks: 7, Domains: map[string]int64{"a": base, "b": 1}})
 	case 2:
-		b, err = table.Encode(table.Settle{Team: name, Version: base, Domain: "a"})
+		b, err = table.Encode(table.ShareConfirmation{Team: name, Version: base, Domain: "a"})
 	case 3:
 		b = []byte(`{"kind":"edit","sum":1,"body":{}}`)
 	default:
@@ -130,7 +130,7 @@
 			switch v := v.(type) {
 			case table.QuotaEdit:
 				b, err = table.Encode(v)
-			case table.Settle:
+			case table.ShareConfirmation:
 				b, err = table.Encode(v)
 			}
 			require.NoError(t, err)
--- a/internal/table/quota.go
+++ b/internal/table/quota.go
@@ -115,7 +115,7 @@
 
 // settle notes that a domain works by its smaller share. Only a word about the
 // newest version counts: an older one may have left it more.
-func (t *Table) settle(s Settle) {
+func (t *Table) settle(s ShareConfirmation) {
 	q, ok := t.Quotas[s.Team]
 	if !ok || q.Version != s.Version || !slices.Contains(q.Unread, s.Domain) {
 		return
@@ -202,11 +202,11 @@
 }
 
 // Unsettled lists what a failure domain has to settle.
-func (t *Table) Unsettled(domain string) []Settle {
-	var all []Settle
+func (t *Table) Unsettled(domain string) []ShareConfirmation {
+	var all []ShareConfirmation
 	for _, q := range t.Teams() {
 		if slices.Contains(q.Unread, domain) {
-			all = append(all, Settle{Team: q.Team, Version: q.Version, Domain: domain})
+			all = append(all, ShareConfirmation{Team: q.Team, Version: q.Version, Domain: domain})
 		}
 	}
 	return all
--- a/internal/table/record.go
+++ b/internal/table/record.go
@@ -32,11 +32,11 @@
 func (e *RecordError) Error() string { return "table record: " + e.Reason }
 
 // Encode writes an Edit, a QuotaEdit or a Settle as a record.
-func Encode[R Edit | QuotaEdit | Settle](r R) ([]byte, error) {
+func Encode[R Edit | QuotaEdit | ShareConfirmation](r R) ([]byte, error) {
 	switch r := any(r).(type) {
 	case QuotaEdit:
 		return seal(kindQuota, r)
-	case Settle:
+	case ShareConfirmation:
 		return seal(kindSettle, r)
 	default:
 		return seal(kindEdit, r)
@@ -97,7 +97,7 @@
 	case kindQuota:
 		return into[QuotaEdit](r)
 	case kindSettle:
-		return into[Settle](r)
+		return into[ShareConfirmation](r)
 	case kindSnapshot:
 		return into[part](r)
 	default:
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -130,7 +130,7 @@
 		return t.edit(v, e.Offset), true
 	case QuotaEdit:
 		return []Action{t.quota(v, e.Offset)}, true
-	case Settle:
+	case ShareConfirmation:
 		t.settle(v)
 	case part:
 		t.gather(now, v, e.Offset)
