--- a/internal/commands/table.go
+++ b/internal/commands/table.go
@@ -114,7 +114,7 @@
 }
 
 func showLog(o remote) error {
-	var past []table.Past
+	var past []table.HistoryEntry
 	if err := o.page("/log", &past); err != nil {
 		return err
 	}
--- a/internal/host/edit.go
+++ b/internal/host/edit.go
@@ -35,7 +35,7 @@
 }
 
 // Past lists the newest edits with their verdicts.
-func (b book) Past() []table.Past {
+func (b book) Past() []table.HistoryEntry {
 	b.h.mu.Lock()
 	defer b.h.mu.Unlock()
 	return b.h.table.Past()
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -37,7 +37,7 @@
 type Book interface {
 	Lines() []table.Line
 	Teams() []table.Quota
-	Past() []table.Past
+	Past() []table.HistoryEntry
 	// Verdict returns what became of an edit, false if it was not seen.
 	Verdict(id string) (table.Verdict, bool)
 	// Preview returns a cell.ValueError for an edit that cannot be accepted.
--- a/internal/table/messages.go
+++ b/internal/table/messages.go
@@ -111,8 +111,8 @@
 	Domain  string `json:"domain"`
 }
 
-// Past is one edit with its verdict, as operators see it in the log.
-type Past struct {
+// HistoryEntry is one edit with its verdict, as operators see it in the log.
+type HistoryEntry struct {
 	Verdict
 	Offset int64     `json:"offset"`
 	Row    string    `json:"row"`
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -20,7 +20,7 @@
 type Table struct {
 	state
 	damaged damage
-	past    []Past
+	past    []HistoryEntry
 	// needed is where the newest snapshot whose parts were all seen begins;
 	// zero when there is none, so that everything from offset 1 is needed.
 	needed  int64
@@ -163,7 +163,7 @@
 	}
 	j, changed := t.judge(e, offset)
 	t.remember(j)
-	t.note(Past{Verdict: j, Offset: offset, Row: e.Row, Who: e.Who, When: time.UnixMilli(e.When), What: what(e)})
+	t.note(HistoryEntry{Verdict: j, Offset: offset, Row: e.Row, Who: e.Who, When: time.UnixMilli(e.When), What: what(e)})
 	if changed == nil {
 		return []Action{j}
 	}
@@ -216,13 +216,13 @@
 	}
 }
 
-func (t *Table) note(p Past) {
+func (t *Table) note(p HistoryEntry) {
 	t.past = append(t.past, p)
 	t.past = t.past[max(0, len(t.past)-pastKept):]
 }
 
 // Past lists the newest edits that this host has folded itself, oldest first.
-func (t *Table) Past() []Past { return slices.Clone(t.past) }
+func (t *Table) Past() []HistoryEntry { return slices.Clone(t.past) }
 
 // Unknown lists the records that this version does not know, oldest first.
 func (t *Table) Unknown() []Passed { return slices.Clone(t.Passed) }
