--- a/internal/table/messages.go
+++ b/internal/table/messages.go
@@ -118,5 +118,5 @@
 	Row    string    `json:"row"`
 	Who    string    `json:"who,omitempty"`
 	When   time.Time `json:"when"`
-	What   string    `json:"what"`
+	Change string    `json:"what"`
 }
