--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -175,7 +175,7 @@
 		return
 	}
 	e.Row = chi.URLParam(r, "row")
-	e.Who = r.Header.Get("Pollencroft-Who")
+	e.Author = r.Header.Get("Pollencroft-Who")
 	line := h.find(e.Row)
 	if line != nil {
 		e.Base = line.Version
--- a/internal/table/messages.go
+++ b/internal/table/messages.go
@@ -86,7 +86,7 @@
 	Base   int64           `json:"base"`
 	Fields json.RawMessage `json:"fields,omitempty"`
 	Drop   bool            `json:"drop,omitempty"`
-	Who    string          `json:"who,omitempty"`
+	Author string          `json:"who,omitempty"`
 	When   int64           `json:"when,omitempty"`
 }
 
