--- a/internal/operator/edits.go
+++ b/internal/operator/edits.go
@@ -84,7 +84,7 @@
 		return
 	}
 	e := table.QuotaEdit{
-		Team: chi.URLParam(r, "team"), Room: body.Room, Tasks: body.Tasks, Domains: body.Domains,
+		Team: chi.URLParam(r, "team"), Capacity: body.Room, Tasks: body.Tasks, Domains: body.Domains,
 		Who: r.Header.Get("Pollencroft-Who"),
 	}
 	var err error
--- a/internal/table/messages.go
+++ b/internal/table/messages.go
@@ -93,14 +93,14 @@
 // QuotaEdit sets a team's quota and the weights by which the failure domains
 // share it.
 type QuotaEdit struct {
-	ID      string           `json:"id"`
-	Team    string           `json:"team"`
-	Base    int64            `json:"base"`
-	Room    cell.Size        `json:"room"`
-	Tasks   int64            `json:"tasks"`
-	Domains map[string]int64 `json:"domains"`
-	Who     string           `json:"who,omitempty"`
-	When    int64            `json:"when,omitempty"`
+	ID       string           `json:"id"`
+	Team     string           `json:"team"`
+	Base     int64            `json:"base"`
+	Capacity cell.Size        `json:"room"`
+	Tasks    int64            `json:"tasks"`
+	Domains  map[string]int64 `json:"domains"`
+	Who      string           `json:"who,omitempty"`
+	When     int64            `json:"when,omitempty"`
 }
 
 // ShareConfirmation tells that every host of a failure domain works by its smaller share
--- a/internal/table/prefix_test.go
+++ b/internal/table/prefix_test.go
@@ -146,7 +146,7 @@
 					base = q[0].Version
 				}
 				add(table.QuotaEdit{
-					ID: fmt.Sprint(len(l.all)), Team: "x", Base: base, Tasks: whole, Room: cell.Size{CPU: whole, Mem: whole, Accel: 1},
+					ID: fmt.Sprint(len(l.all)), Team: "x", Base: base, Tasks: whole, Capacity: cell.Size{CPU: whole, Mem: whole, Accel: 1},
 					Domains: map[string]int64{"a": weight.Draw(t, "a"), "b": weight.Draw(t, "b"), "c": weight.Draw(t, "c")},
 				})
 			},
--- a/internal/table/quota.go
+++ b/internal/table/quota.go
@@ -53,7 +53,7 @@
 			return &cell.ValueError{Field: "domains." + d, Found: fmt.Sprint(w), Allowed: fmt.Sprintf("0 to %d", maxQuotaWeight)}
 		}
 	}
-	for field, n := range map[string]int64{"tasks": e.Tasks, "room.cpu": e.Room.CPU, "room.mem": e.Room.Mem, "room.accel": e.Room.Accel} {
+	for field, n := range map[string]int64{"tasks": e.Tasks, "room.cpu": e.Capacity.CPU, "room.mem": e.Capacity.Mem, "room.accel": e.Capacity.Accel} {
 		if n < 0 {
 			return &cell.ValueError{Field: field, Found: fmt.Sprint(n), Allowed: "at least 0"}
 		}
@@ -92,8 +92,8 @@
 
 func (q Quota) next(e QuotaEdit, offset int64) Quota {
 	n := Quota{
-		Team: e.Team, Version: offset, Whole: Share{Room: e.Room, Tasks: e.Tasks}, Domains: e.Domains,
-		Wanted: split(Share{Room: e.Room, Tasks: e.Tasks}, e.Domains), Shares: map[string]Share{},
+		Team: e.Team, Version: offset, Whole: Share{Room: e.Capacity, Tasks: e.Tasks}, Domains: e.Domains,
+		Wanted: split(Share{Room: e.Capacity, Tasks: e.Tasks}, e.Domains), Shares: map[string]Share{},
 	}
 	unread := slices.Clone(q.Unread)
 	for d, old := range q.Shares {
