--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -193,14 +193,14 @@
 // restore replaces the table. Records that the snapshot's writer did not know
 // are folded now if this version knows them.
 func (t *Table) restore(s state) {
-	passed := s.Passed
-	s.Passed = nil
+	passed := s.Skipped
+	s.Skipped = nil
 	next, digest := s.Next, s.Digest
 	t.state = s
 	t.parts = map[int64]*gathered{}
 	for _, p := range passed {
 		if _, err := Decode(p.Body); err != nil {
-			t.Passed = append(t.Passed, p)
+			t.Skipped = append(t.Skipped, p)
 			continue
 		}
 		t.fold(time.Time{}, Entry(p))
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -31,13 +31,13 @@
 
 // state is what a snapshot holds: all that later verdicts hang on.
 type state struct {
-	Next   int64            `json:"next"`
-	Digest uint64           `json:"digest"`
-	Rows   map[string]Line  `json:"rows"`
-	Quotas map[string]Quota `json:"quotas"`
-	Judged []Verdict        `json:"judged"`
-	Passed []Passed         `json:"passed,omitempty"`
-	byID   map[string]Verdict
+	Next    int64            `json:"next"`
+	Digest  uint64           `json:"digest"`
+	Rows    map[string]Line  `json:"rows"`
+	Quotas  map[string]Quota `json:"quotas"`
+	Judged  []Verdict        `json:"judged"`
+	Skipped []Passed         `json:"passed,omitempty"`
+	byID    map[string]Verdict
 }
 
 // Passed is a record that this version does not know. It is kept in order and
@@ -148,8 +148,8 @@
 }
 
 func (t *Table) pass(p Passed) {
-	t.Passed = append(t.Passed, p)
-	t.Passed = t.Passed[max(0, len(t.Passed)-passedKept):]
+	t.Skipped = append(t.Skipped, p)
+	t.Skipped = t.Skipped[max(0, len(t.Skipped)-passedKept):]
 }
 
 // mix keeps one number that two hosts at the same offset can compare.
@@ -225,7 +225,7 @@
 func (t *Table) Past() []HistoryEntry { return slices.Clone(t.past) }
 
 // Unknown lists the records that this version does not know, oldest first.
-func (t *Table) Unknown() []Passed { return slices.Clone(t.Passed) }
+func (t *Table) Unknown() []Passed { return slices.Clone(t.Skipped) }
 
 // Wants returns the offset that the table waits for.
 func (t *Table) Wants() int64 { return t.Next }
