--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -224,8 +224,8 @@
 // Past lists the newest edits that this host has folded itself, oldest first.
 func (t *Table) Past() []HistoryEntry { return slices.Clone(t.past) }
 
-// Unknown lists the records that this version does not know, oldest first.
-func (t *Table) Unknown() []Passed { return slices.Clone(t.Skipped) }
+// SkippedRecords lists the records that this version does not know, oldest first.
+func (t *Table) SkippedRecords() []Passed { return slices.Clone(t.Skipped) }
 
 // Wants returns the offset that the table waits for.
 func (t *Table) Wants() int64 { return t.Next }
