--- a/internal/host/edit.go
+++ b/internal/host/edit.go
@@ -38,7 +38,7 @@
 func (b book) Past() []table.HistoryEntry {
 	b.h.mu.Lock()
 	defer b.h.mu.Unlock()
-	return b.h.table.Past()
+	return b.h.table.History()
 }
 
 // Verdict returns what became of an edit, false if it was not seen here.
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -221,8 +221,8 @@
 	t.past = t.past[max(0, len(t.past)-pastKept):]
 }
 
-// Past lists the newest edits that this host has folded itself, oldest first.
-func (t *Table) Past() []HistoryEntry { return slices.Clone(t.past) }
+// History lists the newest edits that this host has folded itself, oldest first.
+func (t *Table) History() []HistoryEntry { return slices.Clone(t.past) }
 
 // SkippedRecords lists the records that this version does not know, oldest first.
 func (t *Table) SkippedRecords() []Passed { return slices.Clone(t.Skipped) }
