--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -88,7 +88,7 @@
 func (h *Host) records(from int64) (peer.RecordsReply, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.table.Wants() <= from {
+	if h.table.NextOffset() <= from {
 		return peer.RecordsReply{}, nil
 	}
 	parts, err := h.table.Snapshot(h.clock())
@@ -100,7 +100,7 @@
 // nobody else would notice that they work by different limits.
 func (h *Host) compare(b member.Heartbeat) {
 	h.mu.Lock()
-	differs := b.Next == h.table.Wants() && b.Digest != uint32(h.table.Mark())
+	differs := b.Next == h.table.NextOffset() && b.Digest != uint32(h.table.Mark())
 	h.mu.Unlock()
 	if differs {
 		h.meter("differs")
@@ -231,7 +231,7 @@
 // for. One that was never heard counts with zero until it is silent long enough.
 func (h *Host) readByDomain() int64 {
 	now := h.clock()
-	lowest := h.table.Wants()
+	lowest := h.table.NextOffset()
 	beats := map[string]member.Heartbeat{}
 	for _, b := range h.members.Heartbeats() {
 		beats[b.Name] = b
--- a/internal/host/table.go
+++ b/internal/host/table.go
@@ -92,7 +92,7 @@
 func (h *Host) wants() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.table.Wants()
+	return h.table.NextOffset()
 }
 
 // readBehind reads all that a trimmed log still has.
--- a/internal/table/prefix_test.go
+++ b/internal/table/prefix_test.go
@@ -77,10 +77,10 @@
 			"": func(t *rapid.T) {
 				for _, h := range hosts {
 					text := fmt.Sprint(h.Mark(), h.Lines(), h.Teams())
-					if old, ok := seen[h.Wants()]; ok {
-						require.Equal(t, old, text, "offset %d", h.Wants())
+					if old, ok := seen[h.NextOffset()]; ok {
+						require.Equal(t, old, text, "offset %d", h.NextOffset())
 					}
-					seen[h.Wants()] = text
+					seen[h.NextOffset()] = text
 				}
 			},
 		})
@@ -88,9 +88,9 @@
 }
 
 func step(t *rapid.T, h *table.Table, ev table.Event) {
-	before := h.Wants()
+	before := h.NextOffset()
 	h.Step(now, ev)
-	require.GreaterOrEqual(t, h.Wants(), before, "went back")
+	require.GreaterOrEqual(t, h.NextOffset(), before, "went back")
 }
 
 func drawRecord(t *rapid.T, offset int) []byte {
@@ -215,7 +215,7 @@
 			for range 3 {
 				tab.Step(now, table.Records{Entries: []table.Entry{{Offset: 1, Body: b}}})
 			}
-			require.Equal(t, int64(2), tab.Wants())
+			require.Equal(t, int64(2), tab.NextOffset())
 			table.New().Step(now, table.TrimmedLog{Entries: []table.Entry{{Offset: 9, Body: b}}})
 			table.New().Step(now, table.PeerCopy{Parts: [][]byte{b}})
 		}
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -227,8 +227,8 @@
 // SkippedRecords lists the records that this version does not know, oldest first.
 func (t *Table) SkippedRecords() []Passed { return slices.Clone(t.Skipped) }
 
-// Wants returns the offset that the table waits for.
-func (t *Table) Wants() int64 { return t.Next }
+// NextOffset returns the offset that the table waits for.
+func (t *Table) NextOffset() int64 { return t.Next }
 
 // Mark returns the number that is equal on all hosts at one offset.
 func (t *Table) Mark() uint64 { return t.Digest }
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -107,7 +107,7 @@
 	for range 3 {
 		stuck.Step(now, table.Records{Entries: []table.Entry{bad}})
 	}
-	require.Equal(t, int64(2), stuck.Wants())
+	require.Equal(t, int64(2), stuck.NextOffset())
 	require.Empty(t, stuck.Lines())
 }
 
@@ -137,7 +137,7 @@
 	require.NoError(t, err)
 	tab := table.New()
 	tab.Step(now, table.Records{Entries: []table.Entry{{Offset: 1, Body: b}, entry(t, 2, table.Edit{ID: "a", Row: "scan"})}})
-	require.Equal(t, int64(3), tab.Wants())
+	require.Equal(t, int64(3), tab.NextOffset())
 	require.Len(t, tab.Lines(), 1)
 	parts, err := tab.Snapshot(now)
 	require.NoError(t, err)
@@ -194,7 +194,7 @@
 	log.all = append(log.all[:20:20], log.all[21:]...)
 	require.Equal(t, table.SnapshotMissing{Want: 1}, table.New().Step(now, table.TrimmedLog{Entries: moved(log.all[20:], parts[0])})[0], "a record after the snapshot's offset is gone")
 	require.Empty(t, behind.Step(now, table.PeerCopy{Parts: parts}), "an older copy does not take it back")
-	require.Equal(t, int64(23), behind.Wants())
+	require.Equal(t, int64(23), behind.NextOffset())
 }
 
 // The log trims the only snapshot, or all records grow old because nobody
