--- a/internal/host/beat.go
+++ b/internal/host/beat.go
@@ -65,7 +65,7 @@
 	h.mu.Lock()
 	h.beats++
 	b := member.Heartbeat{
-		Name: h.cfg.Name, Incarnation: h.incarnation, Seq: h.beats, Next: h.table.NextOffset(), Digest: uint32(h.table.Mark()),
+		Name: h.cfg.Name, Incarnation: h.incarnation, Seq: h.beats, Next: h.table.NextOffset(), Digest: uint32(h.table.Fingerprint()),
 		FreeSlots: free, Queued: waiting, Leaving: !h.Ready(), Ack: h.members.HearsFrom(now, name), Period: cell.Duration{Duration: period},
 	}
 	h.mu.Unlock()
--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -100,7 +100,7 @@
 // nobody else would notice that they work by different limits.
 func (h *Host) compare(b member.Heartbeat) {
 	h.mu.Lock()
-	differs := b.Next == h.table.NextOffset() && b.Digest != uint32(h.table.Mark())
+	differs := b.Next == h.table.NextOffset() && b.Digest != uint32(h.table.Fingerprint())
 	h.mu.Unlock()
 	if differs {
 		h.meter("differs")
--- a/internal/host/export_test.go
+++ b/internal/host/export_test.go
@@ -29,7 +29,7 @@
 func (h *Host) Beat() member.Heartbeat {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return member.Heartbeat{Name: h.cfg.Name, Incarnation: h.incarnation, Next: h.table.NextOffset(), Digest: uint32(h.table.Mark()), Ack: true}
+	return member.Heartbeat{Name: h.cfg.Name, Incarnation: h.incarnation, Next: h.table.NextOffset(), Digest: uint32(h.table.Fingerprint()), Ack: true}
 }
 
 // Hear takes a peer's heartbeat.
--- a/internal/host/routes.go
+++ b/internal/host/routes.go
@@ -129,7 +129,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s := operator.TableStatus{Unknown: len(h.table.SkippedRecords())}
-	s.Hosts = append(s.Hosts, operator.HostTable{Host: h.cfg.Name, Domain: h.cfg.Domain, Next: h.table.NextOffset(), Mark: uint32(h.table.Mark()), Heard: h.clock()})
+	s.Hosts = append(s.Hosts, operator.HostTable{Host: h.cfg.Name, Domain: h.cfg.Domain, Next: h.table.NextOffset(), Mark: uint32(h.table.Fingerprint()), Heard: h.clock()})
 	for _, b := range h.members.Heartbeats() {
 		s.Hosts = append(s.Hosts, operator.HostTable{Host: b.Name, Domain: b.Domain, Next: b.Next, Mark: b.Digest, Heard: b.ReceivedAt})
 	}
--- a/internal/table/prefix_test.go
+++ b/internal/table/prefix_test.go
@@ -76,7 +76,7 @@
 			"new": func(t *rapid.T) { hosts[rapid.IntRange(0, 2).Draw(t, "i")] = table.New() },
 			"": func(t *rapid.T) {
 				for _, h := range hosts {
-					text := fmt.Sprint(h.Mark(), h.Lines(), h.Teams())
+					text := fmt.Sprint(h.Fingerprint(), h.Lines(), h.Teams())
 					if old, ok := seen[h.NextOffset()]; ok {
 						require.Equal(t, old, text, "offset %d", h.NextOffset())
 					}
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -230,8 +230,8 @@
 // NextOffset returns the offset that the table waits for.
 func (t *Table) NextOffset() int64 { return t.Next }
 
-// Mark returns the number that is equal on all hosts at one offset.
-func (t *Table) Mark() uint64 { return t.Digest }
+// Fingerprint returns the number that is equal on all hosts at one offset.
+func (t *Table) Fingerprint() uint64 { return t.Digest }
 
 // Row returns a row and its version; the version is zero for an unknown row.
 func (t *Table) Row(name string) (Row, int64) {
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -143,7 +143,7 @@
 	require.NoError(t, err)
 	other := table.New()
 	require.Equal(t, []table.Action{table.Restored{Next: 3}}, other.Step(now, table.PeerCopy{Parts: parts}))
-	require.Equal(t, tab.Mark(), other.Mark())
+	require.Equal(t, tab.Fingerprint(), other.Fingerprint())
 	require.Equal(t, []table.Passed{{Offset: 1, Body: b}}, other.SkippedRecords())
 }
 
@@ -190,7 +190,7 @@
 	require.Equal(t, table.SnapshotMissing{Want: 1}, behind.Step(now, table.TrimmedLog{})[0])
 	require.Equal(t, table.Restored{Next: 21}, behind.Step(now, table.TrimmedLog{Entries: log.all[20:]})[0])
 	require.Equal(t, tab.Lines(), behind.Lines())
-	require.Equal(t, tab.Mark(), behind.Mark())
+	require.Equal(t, tab.Fingerprint(), behind.Fingerprint())
 	log.all = append(log.all[:20:20], log.all[21:]...)
 	require.Equal(t, table.SnapshotMissing{Want: 1}, table.New().Step(now, table.TrimmedLog{Entries: moved(log.all[20:], parts[0])})[0], "a record after the snapshot's offset is gone")
 	require.Empty(t, behind.Step(now, table.PeerCopy{Parts: parts}), "an older copy does not take it back")
