--- a/internal/commands/table.go
+++ b/internal/commands/table.go
@@ -153,8 +153,8 @@
 	return o.lines(all, "TEAM\tDOMAIN\tTASKS\tCPU\tMEM\tACCEL\tWAITS FOR\tVERSION", func(w io.Writer) {
 		for _, q := range all {
 			for d, s := range q.Shares {
-				_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\n", q.Team, d, bounded(s.Tasks), bounded(s.Room.CPU),
-					bounded(s.Room.Mem), bounded(s.Room.Accel), strings.Join(q.Unread, ","), q.Version)
+				_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\n", q.Team, d, bounded(s.Tasks), bounded(s.Capacity.CPU),
+					bounded(s.Capacity.Mem), bounded(s.Capacity.Accel), strings.Join(q.Unread, ","), q.Version)
 			}
 		}
 	})
--- a/internal/host/explain.go
+++ b/internal/host/explain.go
@@ -37,7 +37,7 @@
 
 // rowShares are what a row and its team may use in this failure domain.
 func (h *Host) rowShares(row table.Row) (own, team table.Share) {
-	open := table.Share{Room: cell.Size{CPU: table.NoLimit, Mem: table.NoLimit, Accel: table.NoLimit}, Tasks: table.NoLimit}
+	open := table.Share{Capacity: cell.Size{CPU: table.NoLimit, Mem: table.NoLimit, Accel: table.NoLimit}, Tasks: table.NoLimit}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	domains := []string{h.cfg.Domain}
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -144,7 +144,7 @@
 			return n
 		}
 	}
-	return cell.Size{CPU: part(s.Room.CPU), Mem: part(s.Room.Mem), Accel: part(s.Room.Accel)}, part(s.Tasks)
+	return cell.Size{CPU: part(s.Capacity.CPU), Mem: part(s.Capacity.Mem), Accel: part(s.Capacity.Accel)}, part(s.Tasks)
 }
 
 // ruleRefreshInterval is how often the rules of rows with waiting work are compared with the table.
--- a/internal/table/prefix_test.go
+++ b/internal/table/prefix_test.go
@@ -162,7 +162,7 @@
 				var tasks, cpu, accel int64
 				for d, tab := range domains {
 					s, _ := tab.TeamShare("x", d)
-					tasks, cpu, accel = tasks+s.Tasks, cpu+s.Room.CPU, accel+s.Room.Accel
+					tasks, cpu, accel = tasks+s.Tasks, cpu+s.Capacity.CPU, accel+s.Capacity.Accel
 				}
 				require.LessOrEqual(t, tasks, int64(whole))
 				require.LessOrEqual(t, cpu, int64(whole))
@@ -184,7 +184,7 @@
 	for _, d := range all {
 		s, ok := row.RowShare(d, all)
 		require.True(t, ok)
-		require.Equal(t, int64(table.NoLimit), s.Room.CPU)
+		require.Equal(t, int64(table.NoLimit), s.Capacity.CPU)
 		sum += s.Tasks
 	}
 	require.Equal(t, int64(2), sum)
--- a/internal/table/quota.go
+++ b/internal/table/quota.go
@@ -15,8 +15,8 @@
 // Share is a part of a quota or limit: room for tasks and their number. Parts
 // that are not bounded are NoLimit; zero means that nothing may be used.
 type Share struct {
-	Room  cell.Size `json:"room"`
-	Tasks int64     `json:"tasks"`
+	Capacity cell.Size `json:"room"`
+	Tasks    int64     `json:"tasks"`
 }
 
 // Quota is what a team may use in the whole cell, split into shares of the
@@ -92,8 +92,8 @@
 
 func (q Quota) next(e QuotaEdit, offset int64) Quota {
 	n := Quota{
-		Team: e.Team, Version: offset, Whole: Share{Room: e.Capacity, Tasks: e.Tasks}, Domains: e.Domains,
-		Wanted: split(Share{Room: e.Capacity, Tasks: e.Tasks}, e.Domains), Shares: map[string]Share{},
+		Team: e.Team, Version: offset, Whole: Share{Capacity: e.Capacity, Tasks: e.Tasks}, Domains: e.Domains,
+		Wanted: split(Share{Capacity: e.Capacity, Tasks: e.Tasks}, e.Domains), Shares: map[string]Share{},
 	}
 	unread := slices.Clone(q.Unread)
 	for d, old := range q.Shares {
@@ -129,17 +129,17 @@
 
 func least(a, b Share) Share {
 	return Share{
-		Room:  cell.Size{CPU: min(a.Room.CPU, b.Room.CPU), Mem: min(a.Room.Mem, b.Room.Mem), Accel: min(a.Room.Accel, b.Room.Accel)},
-		Tasks: min(a.Tasks, b.Tasks),
+		Capacity: cell.Size{CPU: min(a.Capacity.CPU, b.Capacity.CPU), Mem: min(a.Capacity.Mem, b.Capacity.Mem), Accel: min(a.Capacity.Accel, b.Capacity.Accel)},
+		Tasks:    min(a.Tasks, b.Tasks),
 	}
 }
 
 func split(whole Share, weights map[string]int64) map[string]Share {
-	cpu, mem := divide(whole.Room.CPU, weights), divide(whole.Room.Mem, weights)
-	accel, tasks := divide(whole.Room.Accel, weights), divide(whole.Tasks, weights)
+	cpu, mem := divide(whole.Capacity.CPU, weights), divide(whole.Capacity.Mem, weights)
+	accel, tasks := divide(whole.Capacity.Accel, weights), divide(whole.Tasks, weights)
 	shares := make(map[string]Share, len(weights))
 	for d := range weights {
-		shares[d] = Share{Room: cell.Size{CPU: cpu[d], Mem: mem[d], Accel: accel[d]}, Tasks: tasks[d]}
+		shares[d] = Share{Capacity: cell.Size{CPU: cpu[d], Mem: mem[d], Accel: accel[d]}, Tasks: tasks[d]}
 	}
 	return shares
 }
@@ -189,7 +189,7 @@
 	for _, d := range in {
 		weights[d] = 1
 	}
-	return split(Share{Room: r.Limits.Room, Tasks: r.Limits.Tasks}, weights)[domain], true
+	return split(Share{Capacity: r.Limits.Room, Tasks: r.Limits.Tasks}, weights)[domain], true
 }
 
 // Teams lists all quotas in order of team.
