--- a/internal/table/quota.go
+++ b/internal/table/quota.go
@@ -28,7 +28,7 @@
 type Quota struct {
 	Team    string           `json:"team"`
 	Version int64            `json:"version"`
-	Whole   Share            `json:"whole"`
+	Total   Share            `json:"whole"`
 	Domains map[string]int64 `json:"domains"`
 	Shares  map[string]Share `json:"shares"`
 	Wanted  map[string]Share `json:"wanted,omitempty"`
@@ -92,7 +92,7 @@
 
 func (q Quota) next(e QuotaEdit, offset int64) Quota {
 	n := Quota{
-		Team: e.Team, Version: offset, Whole: Share{Capacity: e.Capacity, Tasks: e.Tasks}, Domains: e.Domains,
+		Team: e.Team, Version: offset, Total: Share{Capacity: e.Capacity, Tasks: e.Tasks}, Domains: e.Domains,
 		Wanted: split(Share{Capacity: e.Capacity, Tasks: e.Tasks}, e.Domains), Shares: map[string]Share{},
 	}
 	unread := slices.Clone(q.Unread)
