--- a/internal/table/quota.go
+++ b/internal/table/quota.go
@@ -31,7 +31,7 @@
 	Total   Share            `json:"whole"`
 	Domains map[string]int64 `json:"domains"`
 	Shares  map[string]Share `json:"shares"`
-	Wanted  map[string]Share `json:"wanted,omitempty"`
+	Target  map[string]Share `json:"wanted,omitempty"`
 	Unread  []string         `json:"unread,omitempty"`
 }
 
@@ -93,21 +93,21 @@
 func (q Quota) next(e QuotaEdit, offset int64) Quota {
 	n := Quota{
 		Team: e.Team, Version: offset, Total: Share{Capacity: e.Capacity, Tasks: e.Tasks}, Domains: e.Domains,
-		Wanted: split(Share{Capacity: e.Capacity, Tasks: e.Tasks}, e.Domains), Shares: map[string]Share{},
+		Target: split(Share{Capacity: e.Capacity, Tasks: e.Tasks}, e.Domains), Shares: map[string]Share{},
 	}
 	unread := slices.Clone(q.Unread)
 	for d, old := range q.Shares {
-		if old != least(old, n.Wanted[d]) && !slices.Contains(unread, d) {
+		if old != least(old, n.Target[d]) && !slices.Contains(unread, d) {
 			unread = append(unread, d)
 		}
 	}
 	slices.Sort(unread)
 	n.Unread = unread
 	if len(unread) == 0 {
-		n.Shares, n.Wanted = n.Wanted, nil
+		n.Shares, n.Target = n.Target, nil
 		return n
 	}
-	for d, want := range n.Wanted {
+	for d, want := range n.Target {
 		n.Shares[d] = least(q.Shares[d], want)
 	}
 	return n
@@ -122,7 +122,7 @@
 	}
 	q.Unread = slices.DeleteFunc(slices.Clone(q.Unread), func(d string) bool { return d == s.Domain })
 	if len(q.Unread) == 0 {
-		q.Shares, q.Wanted, q.Unread = q.Wanted, nil, nil
+		q.Shares, q.Target, q.Unread = q.Target, nil, nil
 	}
 	t.Quotas[s.Team] = q
 }
