--- a/internal/commands/table.go
+++ b/internal/commands/table.go
@@ -154,7 +154,7 @@
 		for _, q := range all {
 			for d, s := range q.Shares {
 				_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\n", q.Team, d, bounded(s.Tasks), bounded(s.Capacity.CPU),
-					bounded(s.Capacity.Mem), bounded(s.Capacity.Accel), strings.Join(q.Unread, ","), q.Version)
+					bounded(s.Capacity.Mem), bounded(s.Capacity.Accel), strings.Join(q.Unconfirmed, ","), q.Version)
 			}
 		}
 	})
--- a/internal/table/prefix_test.go
+++ b/internal/table/prefix_test.go
@@ -168,7 +168,7 @@
 				require.LessOrEqual(t, cpu, int64(whole))
 				require.LessOrEqual(t, accel, int64(1))
 				for _, q := range domains["a"].Teams() {
-					if len(q.Unread) == 0 {
+					if len(q.Unconfirmed) == 0 {
 						require.Equal(t, int64(whole), q.Shares["a"].Tasks+q.Shares["b"].Tasks+q.Shares["c"].Tasks)
 					}
 				}
--- a/internal/table/quota.go
+++ b/internal/table/quota.go
@@ -26,13 +26,13 @@
 // edit and still works by its old share, and both together would exceed the
 // quota without anyone noticing.
 type Quota struct {
-	Team    string           `json:"team"`
-	Version int64            `json:"version"`
-	Total   Share            `json:"whole"`
-	Domains map[string]int64 `json:"domains"`
-	Shares  map[string]Share `json:"shares"`
-	Target  map[string]Share `json:"wanted,omitempty"`
-	Unread  []string         `json:"unread,omitempty"`
+	Team        string           `json:"team"`
+	Version     int64            `json:"version"`
+	Total       Share            `json:"whole"`
+	Domains     map[string]int64 `json:"domains"`
+	Shares      map[string]Share `json:"shares"`
+	Target      map[string]Share `json:"wanted,omitempty"`
+	Unconfirmed []string         `json:"unread,omitempty"`
 }
 
 // maxQuotaWeight bounds a domain's weight, so that products stay in 64 bits
@@ -95,14 +95,14 @@
 		Team: e.Team, Version: offset, Total: Share{Capacity: e.Capacity, Tasks: e.Tasks}, Domains: e.Domains,
 		Target: split(Share{Capacity: e.Capacity, Tasks: e.Tasks}, e.Domains), Shares: map[string]Share{},
 	}
-	unread := slices.Clone(q.Unread)
+	unread := slices.Clone(q.Unconfirmed)
 	for d, old := range q.Shares {
 		if old != least(old, n.Target[d]) && !slices.Contains(unread, d) {
 			unread = append(unread, d)
 		}
 	}
 	slices.Sort(unread)
-	n.Unread = unread
+	n.Unconfirmed = unread
 	if len(unread) == 0 {
 		n.Shares, n.Target = n.Target, nil
 		return n
@@ -117,12 +117,12 @@
 // newest version counts: an older one may have left it more.
 func (t *Table) settle(s ShareConfirmation) {
 	q, ok := t.Quotas[s.Team]
-	if !ok || q.Version != s.Version || !slices.Contains(q.Unread, s.Domain) {
+	if !ok || q.Version != s.Version || !slices.Contains(q.Unconfirmed, s.Domain) {
 		return
 	}
-	q.Unread = slices.DeleteFunc(slices.Clone(q.Unread), func(d string) bool { return d == s.Domain })
-	if len(q.Unread) == 0 {
-		q.Shares, q.Target, q.Unread = q.Target, nil, nil
+	q.Unconfirmed = slices.DeleteFunc(slices.Clone(q.Unconfirmed), func(d string) bool { return d == s.Domain })
+	if len(q.Unconfirmed) == 0 {
+		q.Shares, q.Target, q.Unconfirmed = q.Target, nil, nil
 	}
 	t.Quotas[s.Team] = q
 }
@@ -205,7 +205,7 @@
 func (t *Table) Unsettled(domain string) []ShareConfirmation {
 	var all []ShareConfirmation
 	for _, q := range t.Teams() {
-		if slices.Contains(q.Unread, domain) {
+		if slices.Contains(q.Unconfirmed, domain) {
 			all = append(all, ShareConfirmation{Team: q.Team, Version: q.Version, Domain: domain})
 		}
 	}
