--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -206,7 +206,7 @@
 // by. All its hosts must have read the edit: each takes part in using the share.
 func (h *Host) settle() {
 	h.mu.Lock()
-	due := h.table.Unsettled(h.cfg.Domain)
+	due := h.table.UnconfirmedShares(h.cfg.Domain)
 	read := h.readByDomain()
 	first := h.members.LiveIn(h.cfg.Domain)[0] == h.cfg.Name
 	h.mu.Unlock()
--- a/internal/table/prefix_test.go
+++ b/internal/table/prefix_test.go
@@ -154,7 +154,7 @@
 				d := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "domain")
 				to := rapid.IntRange(0, len(l.all)).Draw(t, "to")
 				domains[d].Step(now, table.Records{Entries: l.all[:to]})
-				for _, s := range domains[d].Unsettled(d) {
+				for _, s := range domains[d].UnconfirmedShares(d) {
 					add(s)
 				}
 			},
--- a/internal/table/quota.go
+++ b/internal/table/quota.go
@@ -201,8 +201,8 @@
 	return all
 }
 
-// Unsettled lists what a failure domain has to settle.
-func (t *Table) Unsettled(domain string) []ShareConfirmation {
+// UnconfirmedShares lists what a failure domain has to settle.
+func (t *Table) UnconfirmedShares(domain string) []ShareConfirmation {
 	var all []ShareConfirmation
 	for _, q := range t.Teams() {
 		if slices.Contains(q.Unconfirmed, domain) {
