--- a/internal/commands/table.go
+++ b/internal/commands/table.go
@@ -99,7 +99,7 @@
 		for _, l := range lines {
 			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%t\t%s\t%d\n",
 				l.Name, l.Kind, l.Class, l.Team, l.Weight, bounded(l.Limits.Slots), bounded(l.Limits.Queue), bounded(l.Limits.Tasks),
-				bounded(l.Limits.Room.CPU), bounded(l.Limits.Room.Mem), bounded(l.Limits.Room.Accel),
+				bounded(l.Limits.Capacity.CPU), bounded(l.Limits.Capacity.Mem), bounded(l.Limits.Capacity.Accel),
 				strings.Join(l.Domains, ","), l.Tries, l.Idempotent, l.Deadline, l.Version)
 		}
 	})
--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -80,7 +80,7 @@
 	switch {
 	case quota:
 		return "team " + row.Team
-	case row.Limits.Tasks == 0 && row.Limits.Room == cell.Size{}:
+	case row.Limits.Tasks == 0 && row.Limits.Capacity == cell.Size{}:
 		return ""
 	default:
 		return "row " + row.Name
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -112,7 +112,7 @@
 
 // tableRule returns the rule of a row in this failure domain according to the table.
 func (l *Leader) tableRule(row table.Row) place.Rule {
-	r := place.Rule{Weight: row.Weight, Limit: row.Limits.Room, MaxTasks: row.Limits.Tasks}
+	r := place.Rule{Weight: row.Weight, Limit: row.Limits.Capacity, MaxTasks: row.Limits.Tasks}
 	if l.Shares != nil {
 		own, team := l.Shares(row)
 		r.Limit, r.MaxTasks = placementLimit(own)
--- a/internal/table/quota.go
+++ b/internal/table/quota.go
@@ -189,7 +189,7 @@
 	for _, d := range in {
 		weights[d] = 1
 	}
-	return split(Share{Capacity: r.Limits.Room, Tasks: r.Limits.Tasks}, weights)[domain], true
+	return split(Share{Capacity: r.Limits.Capacity, Tasks: r.Limits.Tasks}, weights)[domain], true
 }
 
 // Teams lists all quotas in order of team.
--- a/internal/table/row.go
+++ b/internal/table/row.go
@@ -26,10 +26,10 @@
 
 // Limits bound what a row may use in the whole cell. Zero means no limit.
 type Limits struct {
-	Slots int64     `json:"slots,omitempty"`
-	Queue int64     `json:"queue,omitempty"`
-	Tasks int64     `json:"tasks,omitempty"`
-	Room  cell.Size `json:"room,omitzero"`
+	Slots    int64     `json:"slots,omitempty"`
+	Queue    int64     `json:"queue,omitempty"`
+	Tasks    int64     `json:"tasks,omitempty"`
+	Capacity cell.Size `json:"room,omitzero"`
 }
 
 // Row is one line of the operators' table: a workload's weights and limits.
@@ -136,9 +136,9 @@
 		{"limits.slots", r.Limits.Slots, 0, 0},
 		{"limits.queue", r.Limits.Queue, 0, 0},
 		{"limits.tasks", r.Limits.Tasks, 0, 0},
-		{"limits.room.cpu", r.Limits.Room.CPU, 0, 0},
-		{"limits.room.mem", r.Limits.Room.Mem, 0, 0},
-		{"limits.room.accel", r.Limits.Room.Accel, 0, 0},
+		{"limits.room.cpu", r.Limits.Capacity.CPU, 0, 0},
+		{"limits.room.mem", r.Limits.Capacity.Mem, 0, 0},
+		{"limits.room.accel", r.Limits.Capacity.Accel, 0, 0},
 		{"deadline", int64(r.Deadline.Duration), 1, int64(MaxDeadline)},
 	}
 	for _, n := range numbers {
