--- a/internal/host/share.go
+++ b/internal/host/share.go
@@ -27,7 +27,7 @@
 			others = append(others, p.Name)
 		}
 	}
-	limits := share.Limits{LongestDeadline: cfg.Limits.Deadline, StartupWait: cfg.Limits.Settle}
+	limits := share.Limits{LongestDeadline: cfg.Limits.Deadline, StartupWait: cfg.Limits.StartupWait}
 	return share.New(limits, cfg.Name, now.UnixMilli(), others, now)
 }
 
--- a/internal/host/silent_test.go
+++ b/internal/host/silent_test.go
@@ -147,7 +147,7 @@
 	}
 	list(false)
 	for i := range c.all {
-		c.all[i].Limits.Settle = time.Millisecond
+		c.all[i].Limits.StartupWait = time.Millisecond
 		c.start(i)
 		c.ready(i)
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -55,10 +55,10 @@
 	Queue int64
 	// Deadline is the longest that a caller may ask to wait.
 	Deadline time.Duration
-	// Settle is how long a started host waits before it uses its share of the
+	// StartupWait is how long a started host waits before it uses its share of the
 	// backend servers: until what a former process of its name sent has ended.
 	// It may be 0s only when the whole cell starts for the first time.
-	Settle time.Duration
+	StartupWait time.Duration
 	// Conns is how many connections each listener for callers and operators
 	// holds; Memory how many bytes of callers' requests the host holds.
 	Conns, Memory int64
@@ -147,7 +147,7 @@
 		Trace: Trace{File: r.text("trace.file", ""), Endpoint: r.text("trace.endpoint", "")},
 		Log:   r.oneOf("log", DefaultLog, "debug", "info", "warn", "error"),
 	}
-	s.Limits.Settle = r.timeFrom("limits.settle", 0, s.Limits.Deadline)
+	s.Limits.StartupWait = r.timeFrom("limits.settle", 0, s.Limits.Deadline)
 	return s
 }
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -35,7 +35,7 @@
 	require.NoError(t, err)
 	require.Equal(t, "nord-1", s.Name)
 	require.Equal(t, 5*time.Second, s.Limits.Deadline)
-	require.Equal(t, 5*time.Second, s.Limits.Settle, "a former process can have sent what takes the whole deadline")
+	require.Equal(t, 5*time.Second, s.Limits.StartupWait, "a former process can have sent what takes the whole deadline")
 	require.Equal(t, "nord-2", s.Peers[0].Name)
 	require.Equal(t, int64(settings.DefaultBody), s.Limits.Body)
 }
