--- a/internal/host/stop.go
+++ b/internal/host/stop.go
@@ -77,7 +77,7 @@
 	h.farewell()
 	// Callers still come until the balancer has seen that this host is not
 	// ready. They are served; refusing their connections would lose them.
-	h.linger(ctx, h.cfg.Limits.Leave-h.clock().Sub(began))
+	h.linger(ctx, h.cfg.Limits.ShutdownDelay-h.clock().Sub(began))
 	err := h.endWork(ctx)
 	h.move("empty")
 	h.Kill()
--- a/internal/host/stop_test.go
+++ b/internal/host/stop_test.go
@@ -43,7 +43,7 @@
 	c := newRig(t, 2)
 	m := c.minion(8)
 	for i := range c.all {
-		c.all[i].Limits.Leave, c.all[i].Limits.StartupWait = 50*time.Millisecond, time.Millisecond
+		c.all[i].Limits.ShutdownDelay, c.all[i].Limits.StartupWait = 50*time.Millisecond, time.Millisecond
 		c.start(i)
 		c.ready(i)
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -62,10 +62,10 @@
 	// Conns is how many connections each listener for callers and operators
 	// holds; Memory how many bytes of callers' requests the host holds.
 	Conns, Memory int64
-	// Leave is how long a stopping host goes on taking callers after it has
+	// ShutdownDelay is how long a stopping host goes on taking callers after it has
 	// turned not ready: as long as the balancer may take to notice. Zero closes
 	// at once.
-	Leave time.Duration
+	ShutdownDelay time.Duration
 	// Drain bounds a planned stop.
 	Drain time.Duration
 }
@@ -136,13 +136,13 @@
 		Operator: Operator{Token: r.text("operator.token", "")},
 		TLS:      TLS{Cert: r.text("tls.cert", ""), Key: r.text("tls.key", ""), CA: r.text("tls.ca", "")},
 		Limits: Limits{
-			Body:     r.count("limits.body", DefaultBody),
-			Queue:    r.count("limits.queue", DefaultQueue),
-			Deadline: r.time("limits.deadline", DefaultDeadline),
-			Conns:    r.count("limits.conns", DefaultConns),
-			Memory:   r.count("limits.memory", DefaultMemory),
-			Leave:    r.time("limits.leave", DefaultLeave),
-			Drain:    r.time("limits.drain", DefaultDrain),
+			Body:          r.count("limits.body", DefaultBody),
+			Queue:         r.count("limits.queue", DefaultQueue),
+			Deadline:      r.time("limits.deadline", DefaultDeadline),
+			Conns:         r.count("limits.conns", DefaultConns),
+			Memory:        r.count("limits.memory", DefaultMemory),
+			ShutdownDelay: r.time("limits.leave", DefaultLeave),
+			Drain:         r.time("limits.drain", DefaultDrain),
 		},
 		Trace: Trace{File: r.text("trace.file", ""), Endpoint: r.text("trace.endpoint", "")},
 		Log:   r.oneOf("log", DefaultLog, "debug", "info", "warn", "error"),
