--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -80,14 +80,14 @@
 const (
 	DefaultBody = 1 << 20
 	// MaxBody in base64 still goes into one message between hosts.
-	MaxBody         = 4 << 20
-	DefaultQueue    = 4096
-	DefaultDeadline = time.Minute
-	DefaultConns    = 2048
-	DefaultMemory   = 96 << 20
-	DefaultLeave    = time.Second
-	DefaultDrain    = 30 * time.Second
-	DefaultLog      = "info"
+	MaxBody              = 4 << 20
+	DefaultQueue         = 4096
+	DefaultDeadline      = time.Minute
+	DefaultConns         = 2048
+	DefaultMemory        = 96 << 20
+	DefaultShutdownDelay = time.Second
+	DefaultDrain         = 30 * time.Second
+	DefaultLog           = "info"
 )
 
 // Load reads a settings file. All faults come back at once, as Faults.
@@ -141,7 +141,7 @@
 			Deadline:      r.time("limits.deadline", DefaultDeadline),
 			Conns:         r.count("limits.conns", DefaultConns),
 			Memory:        r.count("limits.memory", DefaultMemory),
-			ShutdownDelay: r.time("limits.leave", DefaultLeave),
+			ShutdownDelay: r.time("limits.leave", DefaultShutdownDelay),
 			Drain:         r.time("limits.drain", DefaultDrain),
 		},
 		Trace: Trace{File: r.text("trace.file", ""), Endpoint: r.text("trace.endpoint", "")},
