--- a/internal/commands/serve.go
+++ b/internal/commands/serve.go
@@ -49,7 +49,7 @@
 		return err
 	}
 	h.Start(ls)
-	return stopOnSignal(h, cfg.Limits.Drain)
+	return stopOnSignal(h, cfg.Limits.DrainTimeout)
 }
 
 // stopOnSignal begins a planned stop on the first signal and ends the host at
--- a/internal/commands/table_test.go
+++ b/internal/commands/table_test.go
@@ -45,7 +45,7 @@
 	require.NoError(t, err)
 	h := host.New(settings.Settings{
 		Name: "nord-1", Domain: "nord", Platform: netip.MustParseAddrPort(srv.Listener.Addr().String()),
-		Operator: settings.Operator{Token: "secret"}, Limits: settings.Limits{Drain: time.Second},
+		Operator: settings.Operator{Token: "secret"}, Limits: settings.Limits{DrainTimeout: time.Second},
 	}, slog.New(slog.DiscardHandler), time.Now)
 	h.Start(ls)
 	defer h.Kill()
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -163,7 +163,7 @@
 	return settings.Settings{
 		Name: name, Domain: domain, Platform: plat,
 		Listen: settings.Listen{Caller: address(ls.Caller), Operator: address(ls.Operator), Peer: address(ls.Peer)},
-		Limits: settings.Limits{Body: settings.DefaultBody, Queue: settings.DefaultQueue, Deadline: settings.DefaultDeadline, ShutdownDelay: settings.DefaultShutdownDelay, Drain: settings.DefaultDrain},
+		Limits: settings.Limits{Body: settings.DefaultBody, Queue: settings.DefaultQueue, Deadline: settings.DefaultDeadline, ShutdownDelay: settings.DefaultShutdownDelay, DrainTimeout: settings.DefaultDrain},
 	}
 }
 
--- a/internal/host/cluster_test.go
+++ b/internal/host/cluster_test.go
@@ -76,7 +76,7 @@
 		all = append(all, settings.Settings{
 			Name: fmt.Sprintf("h%d", i), Domain: "nord", Platform: c.Address,
 			Listen: settings.Listen{Caller: at(ls.Caller), Operator: at(ls.Operator), Peer: at(ls.Peer)},
-			Limits: settings.Limits{Body: settings.DefaultBody, Queue: settings.DefaultQueue, Deadline: settings.DefaultDeadline, Drain: settings.DefaultDrain},
+			Limits: settings.Limits{Body: settings.DefaultBody, Queue: settings.DefaultQueue, Deadline: settings.DefaultDeadline, DrainTimeout: settings.DefaultDrain},
 		})
 	}
 	for i, cfg := range all {
--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -411,7 +411,7 @@
 // drainLater begins a planned stop without holding up its caller.
 func (h *Host) drainLater() {
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), h.cfg.Limits.Drain)
+		ctx, cancel := context.WithTimeout(context.Background(), h.cfg.Limits.DrainTimeout)
 		defer cancel()
 		_ = h.Stop(ctx)
 	}()
--- a/internal/host/share_test.go
+++ b/internal/host/share_test.go
@@ -46,7 +46,7 @@
 		d.cfgs = append(d.cfgs, settings.Settings{
 			Name: fmt.Sprint("h", i), Domain: "nord", Platform: c.Address,
 			Listen: settings.Listen{Caller: at(ls.Caller), Operator: at(ls.Operator), Peer: at(ls.Peer)},
-			Limits: settings.Limits{Body: 1 << 20, Queue: 100, Deadline: 4 * time.Second, Drain: 5 * time.Second},
+			Limits: settings.Limits{Body: 1 << 20, Queue: 100, Deadline: 4 * time.Second, DrainTimeout: 5 * time.Second},
 		})
 	}
 	d.list("h0", "h1", "h2")
--- a/internal/host/table_test.go
+++ b/internal/host/table_test.go
@@ -42,7 +42,7 @@
 		c.sockets = append(c.sockets, ls)
 		c.all = append(c.all, settings.Settings{
 			Name: fmt.Sprint("nord-", i), Domain: "nord", Platform: c.addr, Operator: settings.Operator{Token: "secret"},
-			Limits: settings.Limits{Body: 1 << 20, Queue: 64, Deadline: time.Minute, Drain: limit},
+			Limits: settings.Limits{Body: 1 << 20, Queue: 64, Deadline: time.Minute, DrainTimeout: limit},
 		})
 	}
 	for i := range c.all {
--- a/internal/measure/control.go
+++ b/internal/measure/control.go
@@ -82,7 +82,7 @@
 	return settings.Settings{
 		Name: fmt.Sprintf("host-%02d", i), Domain: domain, Platform: plat,
 		Listen: settings.Listen{Caller: at(ls.Caller.Addr().String()), Operator: at(ls.Operator.Addr().String()), Peer: at(ls.Peer.Addr().String())},
-		Limits: settings.Limits{Body: settings.DefaultBody, Queue: settings.DefaultQueue, Deadline: settings.DefaultDeadline, Drain: settings.DefaultDrain},
+		Limits: settings.Limits{Body: settings.DefaultBody, Queue: settings.DefaultQueue, Deadline: settings.DefaultDeadline, DrainTimeout: settings.DefaultDrain},
 	}
 }
 
--- a/internal/measure/relay.go
+++ b/internal/measure/relay.go
@@ -91,7 +91,7 @@
 		all = append(all, settings.Settings{
 			Name: fmt.Sprint("h", i), Domain: "nord", Platform: b.cell.Address,
 			Listen: settings.Listen{Caller: at(ls.Caller), Operator: at(ls.Operator), Peer: at(ls.Peer)},
-			Limits: settings.Limits{Body: settings.DefaultBody, Queue: settings.DefaultQueue, Deadline: settings.DefaultDeadline, Drain: settings.DefaultDrain},
+			Limits: settings.Limits{Body: settings.DefaultBody, Queue: settings.DefaultQueue, Deadline: settings.DefaultDeadline, DrainTimeout: settings.DefaultDrain},
 		})
 	}
 	for i, cfg := range all {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -66,8 +66,8 @@
 	// turned not ready: as long as the balancer may take to notice. Zero closes
 	// at once.
 	ShutdownDelay time.Duration
-	// Drain bounds a planned stop.
-	Drain time.Duration
+	// DrainTimeout bounds a planned stop.
+	DrainTimeout time.Duration
 }
 
 // Trace says where spans go; at most one of both is set.
@@ -142,7 +142,7 @@
 			Conns:         r.count("limits.conns", DefaultConns),
 			Memory:        r.count("limits.memory", DefaultMemory),
 			ShutdownDelay: r.time("limits.leave", DefaultShutdownDelay),
-			Drain:         r.time("limits.drain", DefaultDrain),
+			DrainTimeout:  r.time("limits.drain", DefaultDrain),
 		},
 		Trace: Trace{File: r.text("trace.file", ""), Endpoint: r.text("trace.endpoint", "")},
 		Log:   r.oneOf("log", DefaultLog, "debug", "info", "warn", "error"),
