--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -60,9 +60,9 @@
 	Accel int64 `json:"accel" toml:"accel"`
 }
 
-// Largest is the most of each part that a worker is believed to have. Sums over all workers stay
+// MaxSize is the most of each part that a worker is believed to have. Sums over all workers stay
 // far from overflowing.
-var Largest = Size{CPU: 1 << 30, Mem: 1 << 50, Accel: 1 << 20}
+var MaxSize = Size{CPU: 1 << 30, Mem: 1 << 50, Accel: 1 << 20}
 
 // Add returns the sum of both sizes.
 func (s Size) Add(o Size) Size {
--- a/internal/lead/machines.go
+++ b/internal/lead/machines.go
@@ -43,7 +43,7 @@
 func (l *Leader) updateMachine(m Machine) {
 	before, known := l.machines[m.Name]
 	listed := m.Size
-	if !(cell.Size{}).Fits(listed) || !listed.Fits(cell.Largest) {
+	if !(cell.Size{}).Fits(listed) || !listed.Fits(cell.MaxSize) {
 		m.Size = cell.Size{}
 	}
 	l.machines[m.Name] = m
