--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -74,8 +74,8 @@
 	return Size{CPU: s.CPU - o.CPU, Mem: s.Mem - o.Mem, Accel: s.Accel - o.Accel}
 }
 
-// Times returns a part of s, or a multiple.
-func (s Size) Times(f float64) Size {
+// Scale returns a part of s, or a multiple.
+func (s Size) Scale(f float64) Size {
 	return Size{CPU: int64(f * float64(s.CPU)), Mem: int64(f * float64(s.Mem)), Accel: int64(f * float64(s.Accel))}
 }
 
--- a/internal/lead/size_test.go
+++ b/internal/lead/size_test.go
@@ -65,7 +65,7 @@
 	i := rapid.IntRange(0, len(h.machines)-1).Draw(h.draw, "worker")
 	part := rapid.SampledFrom([]float64{0, 0.5, 1, 1.5}).Draw(h.draw, "part")
 	m := &h.machines[i]
-	m.Size = pairWorkerSize.Times(part)
+	m.Size = pairWorkerSize.Scale(part)
 	for _, name := range []string{"a", "b"} {
 		if !h.paused[name] {
 			h.hosts[name].UpdateMachines(h.machines)
--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -188,7 +188,7 @@
 			part = 1
 		}
 		likely := min(part*float64(r.taskCapacity(w)), want)
-		w.earmarked = w.earmarked.Add(room.Times(likely))
+		w.earmarked = w.earmarked.Add(room.Scale(likely))
 		if want -= likely; want <= 0 {
 			return
 		}
--- a/internal/sched/ahead.go
+++ b/internal/sched/ahead.go
@@ -22,7 +22,7 @@
 	if len(tasks) == 0 || p.prefetched.Share(p.total) > prefetchShare {
 		return
 	}
-	p.prefetched = p.prefetched.Add(r.stage.Spec.Demand().Times(float64(len(tasks))))
+	p.prefetched = p.prefetched.Add(r.stage.Spec.Demand().Scale(float64(len(tasks))))
 	a := s.adviceFor(r.stage)
 	if !a.queriedAt.IsZero() {
 		return
--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -132,9 +132,9 @@
 		}
 		used, whole = used.Add(w.used()), whole.Add(w.info.Size)
 		free := w.info.Size.Sub(w.used())
-		need := step.Demand().Times(2)
+		need := step.Demand().Scale(2)
 		if step.Gang {
-			need = step.Demand().Times(float64(step.Tasks))
+			need = step.Demand().Scale(float64(step.Tasks))
 		}
 		advised := d.specs[id].Queue.Advice == nil || d.allows(id+".0.0", w.info.Incarnation)
 		room = room || advised && need.Fits(free)
--- a/internal/sched/chance.go
+++ b/internal/sched/chance.go
@@ -89,7 +89,7 @@
 		if !ok || full[name] {
 			continue
 		}
-		need := r.stage.Spec.Demand().Times(float64(len(r.tasks)))
+		need := r.stage.Spec.Demand().Scale(float64(len(r.tasks)))
 		if sum := taken[name].Add(need); taken[name] == (cell.Size{}) || sum.Share(p.total) <= starvedShare {
 			taken[name] = sum
 			r.class = onTime
--- a/internal/sched/history_test.go
+++ b/internal/sched/history_test.go
@@ -182,9 +182,9 @@
 		case 2:
 			size.Mem = int64(sizes.Float64() * float64(size.Mem))
 		case 3:
-			size = size.Times(sizes.Float64())
+			size = size.Scale(sizes.Float64())
 		case 4:
-			size = size.Times(1 + sizes.Float64())
+			size = size.Scale(1 + sizes.Float64())
 		}
 		w.resize(size)
 	}
