--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -79,8 +79,8 @@
 	return Size{CPU: int64(f * float64(s.CPU)), Mem: int64(f * float64(s.Mem)), Accel: int64(f * float64(s.Accel))}
 }
 
-// Into returns how many of s go into room; math.MaxInt64 if s takes nothing.
-func (s Size) Into(room Size) int64 {
+// FitCount returns how many of s go into room; math.MaxInt64 if s takes nothing.
+func (s Size) FitCount(room Size) int64 {
 	n := int64(math.MaxInt64)
 	for _, p := range [...][2]int64{{s.CPU, room.CPU}, {s.Mem, room.Mem}, {s.Accel, room.Accel}} {
 		if p[0] > 0 {
--- a/internal/sched/ahead.go
+++ b/internal/sched/ahead.go
@@ -46,7 +46,7 @@
 	for _, w := range p.workers {
 		got, known := a.tickets[w.Incarnation]
 		if !a.denied[w.Incarnation] && r.stage.Spec.Demand().Fits(w.Size) {
-			most += r.stage.Spec.Demand().Into(w.Size)
+			most += r.stage.Spec.Demand().FitCount(w.Size)
 		}
 		if known && s.now.Add(cost).Before(got.until) {
 			if !r.stage.Spec.Gang {
--- a/internal/sched/naming.go
+++ b/internal/sched/naming.go
@@ -122,7 +122,7 @@
 // taskCapacity returns how many of the step's tasks a worker has capacity for.
 func (r readyStep) taskCapacity(w *worker) int {
 	st := r.stage.Spec
-	n := min(int64(len(r.tasks)), st.Demand().Into(w.free()))
+	n := min(int64(len(r.tasks)), st.Demand().FitCount(w.free()))
 	if st.MaxPerWorker > 0 {
 		n = min(n, int64(st.MaxPerWorker-w.tasksOf(r.stage)))
 	}
--- a/internal/sched/reserve.go
+++ b/internal/sched/reserve.go
@@ -45,7 +45,7 @@
 	}
 	slices.SortStableFunc(all, func(a, b option) int { return a.at.Compare(b.at) })
 	for _, o := range all {
-		for k := room.Into(o.w.Size.Sub(o.w.reserved)); k > 0 && n > 0; k-- {
+		for k := room.FitCount(o.w.Size.Sub(o.w.reserved)); k > 0 && n > 0; k-- {
 			o.w.reserved = o.w.reserved.Add(room)
 			p.reserved = p.reserved.Add(room)
 			n--
