--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -100,9 +100,9 @@
 	return max(ratio(s.CPU, whole.CPU), ratio(s.Mem, whole.Mem), ratio(s.Accel, whole.Accel))
 }
 
-// Least returns the smallest part of s relative to whole, over the parts that
+// MinShare returns the smallest part of s relative to whole, over the parts that
 // whole has: how much of it is left for any task.
-func (s Size) Least(whole Size) float64 {
+func (s Size) MinShare(whole Size) float64 {
 	least := ratio(s.CPU, whole.CPU)
 	if whole.Mem > 0 {
 		least = min(least, ratio(s.Mem, whole.Mem))
--- a/internal/place/limits.go
+++ b/internal/place/limits.go
@@ -33,7 +33,7 @@
 // more. Without the reserve, the bulk tasks of a night would use the last free capacity, and an
 // urgent task would have to wait for a preemption.
 func (p *Placer) keepsUrgentReserve(size cell.Size) bool {
-	return p.free.Sub(size).Least(p.total) >= p.limits.UrgentReserve
+	return p.free.Sub(size).MinShare(p.total) >= p.limits.UrgentReserve
 }
 
 // delaysOverdueBulk reports whether an entry would use capacity that an overdue bulk job waits for.
