--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -95,8 +95,8 @@
 	return s.CPU <= room.CPU && s.Mem <= room.Mem && s.Accel <= room.Accel
 }
 
-// Share returns the largest part of s relative to whole (dominant share).
-func (s Size) Share(whole Size) float64 {
+// DominantShare returns the largest part of s relative to whole (dominant share).
+func (s Size) DominantShare(whole Size) float64 {
 	return max(ratio(s.CPU, whole.CPU), ratio(s.Mem, whole.Mem), ratio(s.Accel, whole.Accel))
 }
 
--- a/internal/measure/scan.go
+++ b/internal/measure/scan.go
@@ -104,7 +104,7 @@
 		if !size.Fits(free) {
 			continue
 		}
-		if left := free.Sub(size).Share(workerSize); best < 0 || left < least {
+		if left := free.Sub(size).DominantShare(workerSize); best < 0 || left < least {
 			best, least = i, left
 		}
 		if s.first {
--- a/internal/place/allocation.go
+++ b/internal/place/allocation.go
@@ -27,7 +27,9 @@
 
 // freeShareAfter returns the largest share of any resource that remains free after size is
 // allocated.
-func (w *worker) freeShareAfter(size cell.Size) float64 { return w.free.Sub(size).Share(w.size) }
+func (w *worker) freeShareAfter(size cell.Size) float64 {
+	return w.free.Sub(size).DominantShare(w.size)
+}
 
 // acceptsTasks reports whether the worker may get tasks: it is not quarantined, or a trial is due.
 func (w *worker) acceptsTasks() bool { return !w.health.quarantined || w.health.trialOpen }
--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -25,7 +25,7 @@
 	if w.reservation == nil || w.reservation.entry == e {
 		return true
 	}
-	if e.Class == cell.Urgent && p.urgentUsage.size.Share(p.total) < p.limits.UrgentCap {
+	if e.Class == cell.Urgent && p.urgentUsage.size.DominantShare(p.total) < p.limits.UrgentCap {
 		return true
 	}
 	return e.RunTime > 0 && !p.now.Add(e.RunTime).After(w.reservation.availableAt)
--- a/internal/place/index.go
+++ b/internal/place/index.go
@@ -203,7 +203,7 @@
 		if !s.size.Fits(has) || !s.usable(w) {
 			continue
 		}
-		if left := has.Sub(s.size).Share(w.size); best == nil || left < least {
+		if left := has.Sub(s.size).DominantShare(w.size); best == nil || left < least {
 			best, least = w, left
 		}
 		if found++; found == maxCompared {
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -248,7 +248,7 @@
 // fairShare returns the sort keys of lanes of one class: the team that uses the smallest share of
 // the total capacity goes first, and within a team the row that uses the least for its weight.
 func (p *Placer) fairShare(l *lane) (float64, float64) {
-	return p.teamUsage[l.team].size.Share(p.total), p.rowUsage[l.row].size.Share(p.total) / float64(max(l.weight, 1))
+	return p.teamUsage[l.team].size.DominantShare(p.total), p.rowUsage[l.row].size.DominantShare(p.total) / float64(max(l.weight, 1))
 }
 
 func (p *Placer) tryEntry(e *entry) {
--- a/internal/place/preempt.go
+++ b/internal/place/preempt.go
@@ -68,7 +68,7 @@
 
 // preemptionCost is the work that preempting a task may lose, in shares of a worker times seconds.
 func (p *Placer) preemptionCost(r *allocation) float64 {
-	return (1 + p.now.Sub(r.started).Seconds()) * r.size.Share(r.worker.size)
+	return (1 + p.now.Sub(r.started).Seconds()) * r.size.DominantShare(r.worker.size)
 }
 
 // relieveOverload reduces the load of a worker whose tasks use more than its size. Only the
--- a/internal/sched/ahead.go
+++ b/internal/sched/ahead.go
@@ -19,7 +19,7 @@
 		return
 	}
 	tasks := startableTasks(r.stage)
-	if len(tasks) == 0 || p.prefetched.Share(p.total) > prefetchShare {
+	if len(tasks) == 0 || p.prefetched.DominantShare(p.total) > prefetchShare {
 		return
 	}
 	p.prefetched = p.prefetched.Add(r.stage.Spec.Demand().Scale(float64(len(tasks))))
--- a/internal/sched/cells_test.go
+++ b/internal/sched/cells_test.go
@@ -139,7 +139,7 @@
 		advised := d.specs[id].Queue.Advice == nil || d.allows(id+".0.0", w.info.Incarnation)
 		room = room || advised && need.Fits(free)
 	}
-	return room && used.Share(whole) < 0.5
+	return room && used.DominantShare(whole) < 0.5
 }
 
 // failedCellSeeds are seeds of drawn cells that ever failed. 44, 393, 908: room was held for a wide
--- a/internal/sched/chance.go
+++ b/internal/sched/chance.go
@@ -90,7 +90,7 @@
 			continue
 		}
 		need := r.stage.Spec.Demand().Scale(float64(len(r.tasks)))
-		if sum := taken[name].Add(need); taken[name] == (cell.Size{}) || sum.Share(p.total) <= starvedShare {
+		if sum := taken[name].Add(need); taken[name] == (cell.Size{}) || sum.DominantShare(p.total) <= starvedShare {
 			taken[name] = sum
 			r.class = onTime
 			continue
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -267,7 +267,7 @@
 func (s *Sched) cost(r readyStep, w *worker) float64 {
 	st := r.stage.Spec
 	left := w.free().Sub(st.Demand())
-	c := left.Share(cell.Size{CPU: w.Size.CPU, Mem: w.Size.Mem, Accel: max(w.Size.Accel, 1)})
+	c := left.DominantShare(cell.Size{CPU: w.Size.CPU, Mem: w.Size.Mem, Accel: max(w.Size.Accel, 1)})
 	if st.NearRack != "" && w.Rack != st.NearRack {
 		c += farCost
 	}
--- a/internal/sched/reserve.go
+++ b/internal/sched/reserve.go
@@ -27,7 +27,7 @@
 // that needs half of a worker or more would hardly ever find it, however urgent it is.
 func (s *Sched) reserveCapacity(r readyStep, p *pool, n int) {
 	room := r.stage.Spec.Demand()
-	if !s.enabled(ReserveForWide) || p.used.Share(p.total) < reserveMinUse || p.reserved.Share(p.total) > maxReservedShare {
+	if !s.enabled(ReserveForWide) || p.used.DominantShare(p.total) < reserveMinUse || p.reserved.DominantShare(p.total) > maxReservedShare {
 		return
 	}
 	type option struct {
@@ -36,7 +36,7 @@
 	}
 	var all []option
 	for _, w := range s.allowedWorkers(r, p) {
-		if room.Share(w.Size) < wideShare || !s.suits(r, r.tasks[0], w) {
+		if room.DominantShare(w.Size) < wideShare || !s.suits(r, r.tasks[0], w) {
 			continue
 		}
 		if at, ok := s.fitsAt(w, room.Add(w.reserved)); ok {
--- a/internal/sched/yield.go
+++ b/internal/sched/yield.go
@@ -64,7 +64,7 @@
 	var best *worker
 	var least []*flow.Task
 	for _, w := range s.allowedWorkers(r, p) {
-		if r.stage.Spec.Demand().Share(w.Size) < wideShare {
+		if r.stage.Spec.Demand().DominantShare(w.Size) < wideShare {
 			continue
 		}
 		if _, ok := s.ticket(r.tasks[0], w); !ok || !s.suits(r, r.tasks[0], w) {
