--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -122,9 +122,9 @@
 
 // The kinds of machine on the platform's host list.
 const (
-	EntryHost  Kind = "host"
-	WorkerHost Kind = "worker"
-	MinionHost Kind = "minion"
+	EntryHost   Kind = "host"
+	WorkerHost  Kind = "worker"
+	BackendHost Kind = "minion"
 )
 
 // ValueError tells which field of an input is wrong, what was found and what
--- a/internal/host/cell.go
+++ b/internal/host/cell.go
@@ -55,7 +55,7 @@
 		}
 		switch {
 		case m.Domain != h.cfg.Domain:
-		case m.Kind == cell.MinionHost && !m.Leaving:
+		case m.Kind == cell.BackendHost && !m.Leaving:
 			servers = append(servers, relay.Server{Name: m.Name, Address: m.Address, Slots: h.slots(m.Name, m.Slots)})
 		case m.Kind == cell.WorkerHost && !m.Leaving && h.leads(m):
 			workers = append(workers, machine)
--- a/internal/host/routes.go
+++ b/internal/host/routes.go
@@ -117,7 +117,7 @@
 		Slots: map[string]int{}, Awaited: h.shares.AwaitedHosts(), Aside: aside,
 	}
 	for _, m := range h.list {
-		if m.Kind == cell.MinionHost && m.Domain == h.cfg.Domain {
+		if m.Kind == cell.BackendHost && m.Domain == h.cfg.Domain {
 			v.Slots[m.Name] = h.shares.UsableSlots(m.Name, m.Slots)
 		}
 	}
--- a/internal/host/silent_test.go
+++ b/internal/host/silent_test.go
@@ -143,7 +143,7 @@
 	m := standin.NewMinion(8)
 	addr := serveMinion(t, m)
 	list := func(leaving bool) {
-		c.platform.SetHosts([]platform.Machine{{Name: "m", Kind: cell.MinionHost, Domain: "nord", Slots: 8, Address: addr, Leaving: leaving}})
+		c.platform.SetHosts([]platform.Machine{{Name: "m", Kind: cell.BackendHost, Domain: "nord", Slots: 8, Address: addr, Leaving: leaving}})
 	}
 	list(false)
 	for i := range c.all {
--- a/internal/host/stop_test.go
+++ b/internal/host/stop_test.go
@@ -21,7 +21,7 @@
 func (c *rig) minion(slots int) *standin.Minion {
 	m := standin.NewMinion(slots)
 	c.platform.SetHosts([]platform.Machine{{
-		Name: "m", Kind: cell.MinionHost, Domain: "nord", Slots: slots, Conns: 64, Address: serveMinion(c.t, m),
+		Name: "m", Kind: cell.BackendHost, Domain: "nord", Slots: slots, Conns: 64, Address: serveMinion(c.t, m),
 	}})
 	return m
 }
--- a/internal/standin/cell.go
+++ b/internal/standin/cell.go
@@ -77,7 +77,7 @@
 		name := fmt.Sprintf("minion-%02d", i)
 		m := NewMinion(c.Users.Slots)
 		c.Minions[name] = m
-		if err := c.add(any, m.Handler(), platform.Machine{Name: name, Kind: cell.MinionHost, Domain: c.domain(i, c.Users.Minions), Slots: c.Users.Slots}); err != nil {
+		if err := c.add(any, m.Handler(), platform.Machine{Name: name, Kind: cell.BackendHost, Domain: c.domain(i, c.Users.Minions), Slots: c.Users.Slots}); err != nil {
 			return err
 		}
 	}
