--- a/internal/trail/trail.go
+++ b/internal/trail/trail.go
@@ -10,10 +10,10 @@
 
 // Note is one decision about one id.
 type Note struct {
-	At   time.Time `json:"at"`
-	ID   string    `json:"id"`
-	Part string    `json:"part"`
-	What string    `json:"what"`
+	At        time.Time `json:"at"`
+	ID        string    `json:"id"`
+	Component string    `json:"part"`
+	What      string    `json:"what"`
 }
 
 // Trail is a ring of the newest notes. It is safe for concurrent use.
--- a/internal/trail/trail_test.go
+++ b/internal/trail/trail_test.go
@@ -11,7 +11,7 @@
 )
 
 func note(at int, id string) trail.Note {
-	return trail.Note{At: time.Unix(int64(at), 0), ID: id, Part: "lead", What: fmt.Sprint("note ", at)}
+	return trail.Note{At: time.Unix(int64(at), 0), ID: id, Component: "lead", What: fmt.Sprint("note ", at)}
 }
 
 // A job changes its lead, and the answer to the hand-over is lost, so that it
