--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -231,7 +231,7 @@
 func (l *Leader) Explain(id string) []trail.Note {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	notes := l.History.Of(id)
+	notes := l.History.ByID(id)
 	for _, task := range l.Jobs.WaitingTasks(id) {
 		if why, ok := l.Placer.ExplainWait(task); ok {
 			notes = append(notes, trail.Note{At: l.Clock(), ID: id, Component: "place", What: why})
--- a/internal/trail/trail.go
+++ b/internal/trail/trail.go
@@ -43,7 +43,7 @@
 func (t *Trail) Merge(notes []Note) {
 	for _, n := range notes {
 		known := func(o Note) bool { return o.At.Equal(n.At) && o.What == n.What }
-		if !slices.ContainsFunc(t.Of(n.ID), known) {
+		if !slices.ContainsFunc(t.ByID(n.ID), known) {
 			t.Add(n)
 		}
 	}
@@ -51,15 +51,15 @@
 
 // Brief returns at most n notes about one id: the first and the last ones.
 func (t *Trail) Brief(id string, n int) []Note {
-	all := t.Of(id)
+	all := t.ByID(id)
 	if len(all) <= n {
 		return all
 	}
 	return slices.Delete(all, 1, 1+len(all)-n)
 }
 
-// Of returns the notes about one id, oldest first.
-func (t *Trail) Of(id string) []Note {
+// ByID returns the notes about one id, oldest first.
+func (t *Trail) ByID(id string) []Note {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var found []Note
--- a/internal/trail/trail_test.go
+++ b/internal/trail/trail_test.go
@@ -27,7 +27,7 @@
 		heir.Merge(old.Brief("j", 4))
 	}
 	var got []string
-	for _, n := range heir.Of("j") {
+	for _, n := range heir.ByID("j") {
 		got = append(got, n.What)
 	}
 	require.Equal(t, []string{"note 0", "note 17", "note 18", "note 19", "note 30"}, got)
@@ -38,7 +38,7 @@
 	for i := range 5 {
 		tr.Add(note(i, "j"))
 	}
-	require.Len(t, tr.Of("j"), 3)
-	require.Equal(t, "note 2", tr.Of("j")[0].What)
-	require.Empty(t, tr.Of("other"))
+	require.Len(t, tr.ByID("j"), 3)
+	require.Equal(t, "note 2", tr.ByID("j")[0].What)
+	require.Empty(t, tr.ByID("other"))
 }
