--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -213,7 +213,7 @@
 	var all []trail.Note
 	for _, c := range carries {
 		if len(all) < notesMost {
-			all = append(all, h.trail.Brief(c.Spec.ID, notesAJob)...)
+			all = append(all, h.trail.Excerpt(c.Spec.ID, notesAJob)...)
 		}
 	}
 	return all
--- a/internal/trail/trail.go
+++ b/internal/trail/trail.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// Brief returns at most n notes about one id: the first and the last ones.
-func (t *Trail) Brief(id string, n int) []Note {
+// Excerpt returns at most n notes about one id: the first and the last ones.
+func (t *Trail) Excerpt(id string, n int) []Note {
 	all := t.ByID(id)
 	if len(all) <= n {
 		return all
--- a/internal/trail/trail_test.go
+++ b/internal/trail/trail_test.go
@@ -24,7 +24,7 @@
 	}
 	heir.Add(note(30, "j"))
 	for range 2 {
-		heir.Merge(old.Brief("j", 4))
+		heir.Merge(old.Excerpt("j", 4))
 	}
 	var got []string
 	for _, n := range heir.ByID("j") {
