--- a/internal/story/story.go
+++ b/internal/story/story.go
@@ -20,15 +20,15 @@
 type Line struct {
 	At time.Time
 	// From is what stood before the line's JSON, such as the host's name.
-	From string
-	Text string
+	From    string
+	Message string
 	// Fields are the line's attributes in order of name.
 	Fields []string
 }
 
 // String returns the line for a reader.
 func (l Line) String() string {
-	return fmt.Sprintf("%s %s %s %s", l.At.Format("15:04:05.000"), l.From, l.Text, strings.Join(l.Fields, " "))
+	return fmt.Sprintf("%s %s %s %s", l.At.Format("15:04:05.000"), l.From, l.Message, strings.Join(l.Fields, " "))
 }
 
 // longest bounds one line of a log.
@@ -62,7 +62,7 @@
 		return Line{}, false
 	}
 	l := Line{From: strings.TrimSpace(string(b[:i]))}
-	l.Text, _ = fields["msg"].(string)
+	l.Message, _ = fields["msg"].(string)
 	if at, ok := fields["time"].(string); ok {
 		// A line without a readable time comes first.
 		l.At, _ = time.Parse(time.RFC3339Nano, at)
