--- a/internal/lead/start.go
+++ b/internal/lead/start.go
@@ -54,7 +54,7 @@
 }
 
 func (l *Leader) sendStart(ctx context.Context, a job.Start, arbiter string, size cell.Size, deadline time.Time) {
-	ctx, end := spans.Hop(ctx, "worker", a.Task)
+	ctx, end := spans.Start(ctx, "worker", a.Task)
 	defer end()
 	err := l.Workers.Start(ctx, l.address(a.Worker), worker.Start{
 		ID: a.Task, Row: a.Spec.Row, Job: a.Spec.ID, Size: size, Asked: a.Spec.Size, Run: a.Spec.Time.Duration,
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -49,7 +49,7 @@
 // viaPeer runs a request on a peer's slot. It tells whether the peer gave it
 // back, or could not be asked, so that it must wait again.
 func (x *Relay) viaPeer(ctx context.Context, a queue.Lend, req call.Request) (try, bool) {
-	ctx, end := spans.Hop(ctx, "peer", req.ID)
+	ctx, end := spans.Start(ctx, "peer", req.ID)
 	defer end()
 	req.Trace = spans.Parent(ctx)
 	metrics.GetOrRegisterCounter("relay.lent", x.Metrics).Inc(1)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -256,7 +256,7 @@
 
 // Do answers a caller's request. It always returns a final reply.
 func (x *Relay) Do(ctx context.Context, req call.Request) call.Reply {
-	ctx, end := spans.Hop(ctx, "host", req.ID)
+	ctx, end := spans.Start(ctx, "host", req.ID)
 	defer end()
 	req.Trace = spans.Parent(ctx)
 	if req.Key == "" {
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -154,7 +154,7 @@
 	began := x.Clock()
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), req.Deadline.Sub(began))
 	defer cancel()
-	ctx, end := spans.Hop(ctx, "minion", req.ID)
+	ctx, end := spans.Start(ctx, "minion", req.ID)
 	defer end()
 	req.Trace = spans.Parent(ctx)
 	x.mu.Lock()
--- a/internal/spans/spans.go
+++ b/internal/spans/spans.go
@@ -15,8 +15,8 @@
 
 var context3 = propagation.TraceContext{}
 
-// Hop begins the span of one hop; the returned function ends it.
-func Hop(ctx context.Context, hop, id string) (context.Context, func()) {
+// Start begins the span of one hop; the returned function ends it.
+func Start(ctx context.Context, hop, id string) (context.Context, func()) {
 	ctx, span := otel.Tracer(scope).Start(ctx, hop, trace.WithAttributes(attribute.String("id", id)))
 	return ctx, func() { span.End() }
 }
--- a/internal/spans/spans_test.go
+++ b/internal/spans/spans_test.go
@@ -23,7 +23,7 @@
 	defer srv.Close()
 	done, err := spans.Export("nord-1", "", srv.URL+"/v1/traces")
 	require.NoError(t, err)
-	ctx, end := spans.Hop(context.Background(), "caller", "id")
+	ctx, end := spans.Start(context.Background(), "caller", "id")
 	require.NotEmpty(t, spans.Parent(ctx))
 	end()
 	done()
