--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -51,7 +51,7 @@
 func (x *Relay) viaPeer(ctx context.Context, a queue.Lend, req call.Request) (try, bool) {
 	ctx, end := spans.Start(ctx, "peer", req.ID)
 	defer end()
-	req.Trace = spans.Parent(ctx)
+	req.Trace = spans.TraceParent(ctx)
 	metrics.GetOrRegisterCounter("relay.lent", x.Metrics).Inc(1)
 	reply, err := x.askRun(ctx, a.Peer, req)
 	var unreachedPeer *peer.UnreachedError
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -258,7 +258,7 @@
 func (x *Relay) Do(ctx context.Context, req call.Request) call.Reply {
 	ctx, end := spans.Start(ctx, "host", req.ID)
 	defer end()
-	req.Trace = spans.Parent(ctx)
+	req.Trace = spans.TraceParent(ctx)
 	if req.Key == "" {
 		return x.route(ctx, req)
 	}
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -156,7 +156,7 @@
 	defer cancel()
 	ctx, end := spans.Start(ctx, "minion", req.ID)
 	defer end()
-	req.Trace = spans.Parent(ctx)
+	req.Trace = spans.TraceParent(ctx)
 	x.mu.Lock()
 	addr := x.servers[a.Minion].Address
 	x.watch(outlier.Sent{ID: req.ID, Minion: a.Minion, Row: req.Row})
--- a/internal/spans/spans.go
+++ b/internal/spans/spans.go
@@ -21,8 +21,8 @@
 	return ctx, func() { span.End() }
 }
 
-// Parent returns the W3C trace context of the current span for the next hop.
-func Parent(ctx context.Context) string {
+// TraceParent returns the W3C trace context of the current span for the next hop.
+func TraceParent(ctx context.Context) string {
 	c := propagation.MapCarrier{}
 	context3.Inject(ctx, c)
 	return c["traceparent"]
--- a/internal/spans/spans_test.go
+++ b/internal/spans/spans_test.go
@@ -24,7 +24,7 @@
 	done, err := spans.Export("nord-1", "", srv.URL+"/v1/traces")
 	require.NoError(t, err)
 	ctx, end := spans.Start(context.Background(), "caller", "id")
-	require.NotEmpty(t, spans.Parent(ctx))
+	require.NotEmpty(t, spans.TraceParent(ctx))
 	end()
 	done()
 	require.Equal(t, "/v1/traces", <-paths)
