--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -118,7 +118,7 @@
 		refuse(w, status, err.Error())
 		return
 	}
-	ctx, end := spans.Start(spans.Join(r.Context(), r.Header.Get("Traceparent")), "caller", req.ID)
+	ctx, end := spans.Start(spans.ContinueTrace(r.Context(), r.Header.Get("Traceparent")), "caller", req.ID)
 	defer end()
 	write(w, h.Do(ctx, req))
 }
--- a/internal/relay/lent.go
+++ b/internal/relay/lent.go
@@ -24,7 +24,7 @@
 func (x *Relay) RunFor(ctx context.Context, m peer.Relay) call.Reply {
 	req := m.Request
 	req.Deadline = x.Clock().Add(m.Left.Duration)
-	ctx, end := spans.Start(spans.Join(ctx, req.Trace), "host", req.ID)
+	ctx, end := spans.Start(spans.ContinueTrace(ctx, req.Trace), "host", req.ID)
 	defer end()
 	return x.Lent(ctx, req)
 }
--- a/internal/spans/spans.go
+++ b/internal/spans/spans.go
@@ -28,7 +28,7 @@
 	return c["traceparent"]
 }
 
-// Join continues the trace that the hop before began.
-func Join(ctx context.Context, parent string) context.Context {
+// ContinueTrace continues the trace that the hop before began.
+func ContinueTrace(ctx context.Context, parent string) context.Context {
 	return context3.Extract(ctx, propagation.MapCarrier{"traceparent": parent})
 }
