--- a/internal/audit/load.go
+++ b/internal/audit/load.go
@@ -18,19 +18,19 @@
 	"pollencroft/pkg/client"
 )
 
-// Names are the rows that a deployment uses.
-type Names struct{ Urgent, Flood, Batch, Gang, Watch string }
+// RowNames are the rows that a deployment uses.
+type RowNames struct{ Urgent, Flood, Batch, Gang, Watch string }
 
 // NamesOf returns the rows of one of the two deployments.
-func NamesOf(u standin.Users) Names {
+func NamesOf(u standin.Users) RowNames {
 	if u.Name == standin.Inzira.Name {
-		return Names{Urgent: "sheet", Flood: "plans", Batch: "termplan", Gang: "balance", Watch: "ingredients"}
+		return RowNames{Urgent: "sheet", Flood: "plans", Batch: "termplan", Gang: "balance", Watch: "ingredients"}
 	}
-	return Names{Urgent: "scan", Flood: "badges", Batch: "print", Gang: "seating", Watch: "wristbands"}
+	return RowNames{Urgent: "scan", Flood: "badges", Batch: "print", Gang: "seating", Watch: "wristbands"}
 }
 
 // Rows returns the fields of each row.
-func (n Names) Rows() map[string]map[string]any {
+func (n RowNames) Rows() map[string]map[string]any {
 	const class, kind, deadline = "class", "kind", "deadline"
 	return map[string]map[string]any{
 		n.Urgent: {class: "urgent", kind: "service", deadline: "2s"},
@@ -43,7 +43,7 @@
 
 // Load plays callers of all kinds until its context ends.
 type Load struct {
-	Names   Names
+	Names   RowNames
 	Domains []string
 	// Pick is what the platform's balancer does: any ready host of a domain.
 	Pick  func(r *rand.Rand, domain string) *client.Client
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -82,7 +82,7 @@
 	began   time.Time
 	cell    *standin.Cell
 	entries []*entry
-	names   audit.Names
+	names   audit.RowNames
 	tally   *audit.Tally
 }
 
--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -66,7 +66,7 @@
 	machine  map[string]*toxiproxy.Proxy
 	nodes    []*node
 	tally    *audit.Tally
-	names    audit.Names
+	names    audit.RowNames
 	// left is how many requests a leaving minion had run when its time was over.
 	left  int
 	stop  context.CancelFunc
