--- a/internal/audit/load.go
+++ b/internal/audit/load.go
@@ -21,8 +21,8 @@
 // RowNames are the rows that a deployment uses.
 type RowNames struct{ Urgent, Flood, Batch, Gang, Watch string }
 
-// NamesOf returns the rows of one of the two deployments.
-func NamesOf(u standin.Users) RowNames {
+// RowNamesOf returns the rows of one of the two deployments.
+func RowNamesOf(u standin.Users) RowNames {
 	if u.Name == standin.Inzira.Name {
 		return RowNames{Urgent: "sheet", Flood: "plans", Batch: "termplan", Gang: "balance", Watch: "ingredients"}
 	}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -93,7 +93,7 @@
 		return err
 	}
 	defer c.Close()
-	s := &show{out: out, began: time.Now(), cell: c, names: audit.NamesOf(u), tally: audit.NewTally()}
+	s := &show{out: out, began: time.Now(), cell: c, names: audit.RowNamesOf(u), tally: audit.NewTally()}
 	if err := s.startHosts(); err != nil {
 		return err
 	}
--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -86,7 +86,7 @@
 	t.Cleanup(c.Close)
 	ctx, stop := context.WithCancel(context.Background())
 	b := &bench{
-		t: t, cell: c, machine: map[string]*toxiproxy.Proxy{}, tally: audit.NewTally(), names: audit.NamesOf(users), stop: stop, users: users, more: more,
+		t: t, cell: c, machine: map[string]*toxiproxy.Proxy{}, tally: audit.NewTally(), names: audit.RowNamesOf(users), stop: stop, users: users, more: more,
 		proxies: toxiproxy.NewServer(toxiproxy.NewMetricsContainer(prometheus.NewRegistry()), zerolog.Nop()),
 	}
 	for _, m := range c.Machines {
