--- a/internal/audit/tally.go
+++ b/internal/audit/tally.go
@@ -17,8 +17,8 @@
 	"pollencroft/pkg/client"
 )
 
-// WrongError counts the promises that a cell broke.
-type WrongError struct {
+// ViolationsError counts the promises that a cell broke.
+type ViolationsError struct {
 	// Lost counts requests told done that did not run and tasks of accepted
 	// jobs that did not end.
 	Lost int
@@ -30,7 +30,7 @@
 	Told int
 }
 
-func (e *WrongError) Error() string {
+func (e *ViolationsError) Error() string {
 	return fmt.Sprintf("lost %d, twice %d, overfilled %d, told wrong %d", e.Lost, e.Twice, e.Overfilled, e.Told)
 }
 
@@ -140,10 +140,10 @@
 }
 
 // Wrong compares what callers were told with what the stand-ins recorded.
-func (t *Tally) Wrong(r standin.Report) WrongError {
+func (t *Tally) Wrong(r standin.Report) ViolationsError {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	w := WrongError{Overfilled: r.Overfilled, Twice: len(r.Doubled), Told: t.crossed}
+	w := ViolationsError{Overfilled: r.Overfilled, Twice: len(r.Doubled), Told: t.crossed}
 	for key, told := range t.requests {
 		ran := r.Ran[key]
 		if ran > 1 {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -330,7 +330,7 @@
 	s.tally.Print(s.out, s.names.Urgent, s.names.Flood, s.names.Batch, s.names.Gang, s.names.Watch)
 	_, _ = fmt.Fprintf(s.out, "packing %.1f %% of processor time, control %.0f bytes a second a host\n", 100*s.packed(), s.bytesASecond())
 	_, _ = fmt.Fprintln(s.out, "demo: "+w.Error())
-	if w != (audit.WrongError{}) {
+	if w != (audit.ViolationsError{}) {
 		return &w
 	}
 	return nil
--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -334,7 +334,7 @@
 
 // run plays the callers, brings about a fault meanwhile, mends it and returns
 // what was broken once all accepted jobs have had their time to end.
-func (b *bench) run(fault func(b *bench), heal func(b *bench)) audit.WrongError {
+func (b *bench) run(fault func(b *bench), heal func(b *bench)) audit.ViolationsError {
 	ctx, cancel := context.WithTimeout(context.Background(), calmFor+faultFor+healedFor)
 	defer cancel()
 	var wg sync.WaitGroup
@@ -361,7 +361,7 @@
 	}
 }
 
-func (b *bench) settle() audit.WrongError {
+func (b *bench) settle() audit.ViolationsError {
 	end := time.Now().Add(settleFor)
 	w := b.tally.Wrong(b.cell.Report())
 	for w.Lost > 0 && time.Now().Before(end) {
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -42,10 +42,10 @@
 	defer func() { <-atOnce }()
 	b := newBench(t)
 	wrong := b.run(s.fault, s.heal)
-	if wrong != (audit.WrongError{}) {
+	if wrong != (audit.ViolationsError{}) {
 		b.explain()
 	}
-	require.Equal(t, audit.WrongError{}, wrong)
+	require.Equal(t, audit.ViolationsError{}, wrong)
 	require.Zero(t, b.cell.Report().SlotsOver, "requests over a minion's slots")
 	asked, done := b.tally.Sum()
 	require.Positive(t, done, "of %d asked", asked)
