--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -19,7 +19,7 @@
 	tally.job(client.Job{Tasks: 2}, client.JobStatus{ID: "d.r.a"}, nil, 0)
 	tally.job(client.Job{Tasks: 1}, client.JobStatus{ID: "d.r.b"}, nil, 0)
 	tally.cancelled("d.r.b", "not run")
-	got := tally.Wrong(standin.Report{
+	got := tally.Violations(standin.Report{
 		Overfilled: 3, Doubled: []string{"x"},
 		Ran:     map[string]int{"twice": 2, "ran": 1},
 		Tasks:   map[string]int{"d.r.a.0": 1},
--- a/internal/audit/tally.go
+++ b/internal/audit/tally.go
@@ -139,8 +139,8 @@
 	return asked, done
 }
 
-// Wrong compares what callers were told with what the stand-ins recorded.
-func (t *Tally) Wrong(r standin.Report) ViolationsError {
+// Violations compares what callers were told with what the stand-ins recorded.
+func (t *Tally) Violations(r standin.Report) ViolationsError {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w := ViolationsError{Overfilled: r.Overfilled, Twice: len(r.Doubled), Told: t.crossed}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -321,10 +321,10 @@
 // audit.WrongError if a promise was broken.
 func (s *show) close() error {
 	end := time.Now().Add(settleWait)
-	w := s.tally.Wrong(s.cell.Report())
+	w := s.tally.Violations(s.cell.Report())
 	for w.Lost > 0 && time.Now().Before(end) {
 		time.Sleep(settlePause)
-		w = s.tally.Wrong(s.cell.Report())
+		w = s.tally.Violations(s.cell.Report())
 	}
 	s.say("load is over")
 	s.tally.Print(s.out, s.names.Urgent, s.names.Flood, s.names.Batch, s.names.Gang, s.names.Watch)
--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -363,10 +363,10 @@
 
 func (b *bench) settle() audit.ViolationsError {
 	end := time.Now().Add(settleFor)
-	w := b.tally.Wrong(b.cell.Report())
+	w := b.tally.Violations(b.cell.Report())
 	for w.Lost > 0 && time.Now().Before(end) {
 		time.Sleep(settlePoll)
-		w = b.tally.Wrong(b.cell.Report())
+		w = b.tally.Violations(b.cell.Report())
 	}
 	return w
 }
