--- a/internal/audit/tally.go
+++ b/internal/audit/tally.go
@@ -128,8 +128,8 @@
 	}
 }
 
-// Sum returns how much was asked and done so far.
-func (t *Tally) Sum() (asked, done int) {
+// Totals returns how much was asked and done so far.
+func (t *Tally) Totals() (asked, done int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, l := range t.lines {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -294,7 +294,7 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			asked, done := s.tally.Sum()
+			asked, done := s.tally.Totals()
 			s.say("asked %d, done %d", asked, done)
 		}
 	}
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -47,7 +47,7 @@
 	}
 	require.Equal(t, audit.ViolationsError{}, wrong)
 	require.Zero(t, b.cell.Report().SlotsOver, "requests over a minion's slots")
-	asked, done := b.tally.Sum()
+	asked, done := b.tally.Totals()
 	require.Positive(t, done, "of %d asked", asked)
 }
 
