--- a/internal/commands/tableset.go
+++ b/internal/commands/tableset.go
@@ -161,7 +161,7 @@
 func printResult(r result) {
 	fmt.Printf("%s: %s\n", r.Row, r.State)
 	for _, d := range r.Lost {
-		fmt.Printf("  %s: yours is %v, in force is %v\n", d.Column, d.Wanted, d.Theirs)
+		fmt.Printf("  %s: yours is %v, in force is %v\n", d.Column, d.Wanted, d.Current)
 	}
 }
 
--- a/internal/sheet/sheet.go
+++ b/internal/sheet/sheet.go
@@ -143,8 +143,8 @@
 
 // Difference is one column with the value that was wanted and the one in force.
 type Difference struct {
-	Column         string
-	Wanted, Theirs any
+	Column          string
+	Wanted, Current any
 }
 
 // Compare lists the columns in which a lost change differs from the row in
@@ -157,7 +157,7 @@
 	var all []Difference
 	for _, col := range slices.Sorted(maps.Keys(c.Fields)) {
 		if fmt.Sprint(c.Fields[col]) != fmt.Sprint(row[col]) {
-			all = append(all, Difference{Column: col, Wanted: c.Fields[col], Theirs: row[col]})
+			all = append(all, Difference{Column: col, Wanted: c.Fields[col], Current: row[col]})
 		}
 	}
 	return all, nil
--- a/internal/sheet/sheet_test.go
+++ b/internal/sheet/sheet_test.go
@@ -40,7 +40,7 @@
 	require.Equal(t, int64(9), all[1].Version)
 	diff, err := all[1].Compare(json.RawMessage(`{"name":"scan","class":"urgent","weight":7,"limits":{},"deadline":"1s","version":11}`))
 	require.NoError(t, err)
-	require.Equal(t, []sheet.Difference{{Column: "weight", Wanted: int64(6), Theirs: int64(7)}}, diff)
+	require.Equal(t, []sheet.Difference{{Column: "weight", Wanted: int64(6), Current: int64(7)}}, diff)
 	diff, err = all[0].Compare(json.RawMessage(`null`))
 	require.NoError(t, err)
 	require.Len(t, diff, 1)
