--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -63,7 +63,7 @@
 func (h *Host) RecentHostCount() int { return len(h.successors()) }
 
 // SetPeerAddr sets the address of a peer.
-func (h *Host) SetPeerAddr(name, addr string) { h.peers.Set(name, netip.MustParseAddrPort(addr)) }
+func (h *Host) SetPeerAddr(name, addr string) { h.peers.SetAddr(name, netip.MustParseAddrPort(addr)) }
 
 // WaitsForReply asks a host that does not answer whether it leads, and reports whether the host
 // waited for a reply.
@@ -270,7 +270,7 @@
 		return nil, err
 	}
 	h.store = store.NewRouted(direct, relay{h}, time.Now, h.storeChanged)
-	h.peers.Through(dial)
+	h.peers.SetDialer(dial)
 	srv := peer.NewServer(func(ctx context.Context, m peer.Message) (any, error) {
 		before(ctx)
 		return h.handleMessage(ctx, m)
--- a/internal/entry/heir.go
+++ b/internal/entry/heir.go
@@ -45,7 +45,7 @@
 func (h *Host) isProcessGone(leader string) bool {
 	ctx, cancel := context.WithTimeout(h.ctx, goneTimeout)
 	defer cancel()
-	for h.peers.Reach(ctx, leader) != peer.Refused {
+	for h.peers.CheckReach(ctx, leader) != peer.ConnRefused {
 		if !sleep(ctx, goneRetry) {
 			return false
 		}
@@ -61,7 +61,7 @@
 	term := h.currentTerm()
 	h.log.Info("lead: the leader's process has ended.", "host", leader, "term", term)
 	// Other hosts would claim at the same time, especially the next incarnation of the dead host.
-	succeed := peer.Succeed{Term: term, Successor: h.cfg.Name}
+	succeed := peer.AnnounceSuccessor{Term: term, Successor: h.cfg.Name}
 	for _, p := range h.otherHosts() {
 		if p == leader {
 			continue
--- a/internal/entry/states.go
+++ b/internal/entry/states.go
@@ -131,7 +131,7 @@
 // part cannot change. A failed read is repeated once as long as the store answers this host.
 func (s *stateCache) read(ctx context.Context, id string) (flow.State, bool, error) {
 	for try := 1; ; try++ {
-		if !s.h.store.Fresh(storeFreshness) {
+		if !s.h.store.AnsweredWithin(storeFreshness) {
 			return "", false, &store.RefusedError{Op: store.Newest, Reason: "the store has not answered for a while"}
 		}
 		r := s.join(id)
@@ -146,7 +146,7 @@
 			return state, true, nil
 		case r.unreadable[id]:
 			return "", false, &UnreadableStateError{ID: id}
-		case try == maxStateReads || !store.Away(r.err):
+		case try == maxStateReads || !store.IsUnavailable(r.err):
 			return "", false, r.err
 		}
 	}
@@ -257,7 +257,7 @@
 			return
 		}
 		if asked {
-			newest[rec.Key] = flow.Newer(newest[rec.Key], rec.Value)
+			newest[rec.Key] = flow.NewerRecord(newest[rec.Key], rec.Value)
 		}
 		if state, _, ok := flow.RecordState(rec.Value); ok {
 			s.add(rec.Key, state)
--- a/internal/flow/job.go
+++ b/internal/flow/job.go
@@ -150,9 +150,9 @@
 	State State
 	// Published is the state that a caller is told: one that is recorded, by the append
 	// of that number.
-	Published State
-	Recorded  int64
-	Began     time.Time
+	Published       State
+	PublishedAppend int64
+	Accepted        time.Time
 	// Number orders jobs by acceptance.
 	Number int64
 	// Domain is the failure domain that the job's tasks are kept in while it has
@@ -160,8 +160,8 @@
 	Domain string
 	// Rounds are those begun and not over.
 	Rounds map[int]*Round
-	// Next is the first round that has not begun.
-	Next int
+	// NextRound is the first round that has not begun.
+	NextRound int
 	// Ended is when a final state was reached.
 	Ended time.Time
 	// chains is by step how long the way from its begin to the job's end takes.
@@ -170,7 +170,7 @@
 
 // New returns a job that was just accepted.
 func New(spec Spec, number int64, now time.Time) *Job {
-	return &Job{Spec: spec, State: Queued, Published: Queued, Began: now, Number: number, Rounds: map[int]*Round{}}
+	return &Job{Spec: spec, State: Queued, Published: Queued, Accepted: now, Number: number, Rounds: map[int]*Round{}}
 }
 
 // rounds is how many rounds the job has in all.
@@ -184,12 +184,12 @@
 	return j.Spec.Repeat.First.Add(time.Duration(n) * j.Spec.Repeat.Every)
 }
 
-// Begin opens all rounds that are due and returns them.
-func (j *Job) Begin(now time.Time) []*Round {
+// BeginRounds opens all rounds that are due and returns them.
+func (j *Job) BeginRounds(now time.Time) []*Round {
 	var begun []*Round
-	for !j.State.Final() && j.Next < j.rounds() && !j.Due(j.Next).After(now) {
-		begun = append(begun, j.open(j.Next, now))
-		j.Next++
+	for !j.State.Final() && j.NextRound < j.rounds() && !j.Due(j.NextRound).After(now) {
+		begun = append(begun, j.open(j.NextRound, now))
+		j.NextRound++
 	}
 	return begun
 }
@@ -209,14 +209,14 @@
 	return r
 }
 
-// Settle closes rounds that are over and completes the job after its last one.
-func (j *Job) Settle(now time.Time) {
+// CloseRounds closes rounds that are over and completes the job after its last one.
+func (j *Job) CloseRounds(now time.Time) {
 	for n, r := range j.Rounds {
 		if r.Finished() {
 			delete(j.Rounds, n)
 		}
 	}
-	if !j.State.Final() && len(j.Rounds) == 0 && j.Next >= j.rounds() {
+	if !j.State.Final() && len(j.Rounds) == 0 && j.NextRound >= j.rounds() {
 		j.End(Completed, now)
 	}
 }
--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -36,7 +36,7 @@
 	switch m := m.(type) {
 	case peer.Beat:
 		return h.heard(m.Heartbeat)
-	case peer.Listed:
+	case peer.HostListChanged:
 		metrics.GetOrRegisterCounter("list.told", h.metrics).Inc(1)
 		h.refreshSoon()
 		return nil, nil
@@ -47,7 +47,7 @@
 		return nil, &peer.RefusedError{Name: h.cfg.Name, Reason: "host has stopped taking work"}
 	}
 	defer h.work.leave()
-	if m, ok := m.(peer.Records); ok {
+	if m, ok := m.(peer.AskTable); ok {
 		return h.records(m.From)
 	}
 	return h.answer(ctx, m)
@@ -61,11 +61,11 @@
 		return m.Name
 	case peer.Leave:
 		return m.Name
-	case peer.Slots:
+	case peer.WriterShares:
 		return m.Name
-	case peer.Census:
+	case peer.Inventory:
 		return m.From
-	case peer.Expect:
+	case peer.AskToken:
 		return m.From
 	case peer.Handover:
 		return m.From
@@ -85,14 +85,14 @@
 	return true
 }
 
-func (h *Host) records(from int64) (peer.RecordsReply, error) {
+func (h *Host) records(from int64) (peer.TableReply, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.table.NextOffset() <= from {
-		return peer.RecordsReply{}, nil
+		return peer.TableReply{}, nil
 	}
 	parts, err := h.table.Snapshot(h.clock())
-	return peer.RecordsReply{Parts: parts}, err
+	return peer.TableReply{Parts: parts}, err
 }
 
 // compare tells when a peer has folded other records up to the same offset.
@@ -127,7 +127,7 @@
 	ctx, cancel := context.WithTimeout(h.ctx, copyWait)
 	defer cancel()
 	from := h.wants()
-	replies := make(chan peer.RecordsReply)
+	replies := make(chan peer.TableReply)
 	open, asked := 0, map[string]bool{}
 	for {
 		if name := h.nextAhead(from, asked); name != "" {
@@ -157,16 +157,16 @@
 }
 
 // askCopy asks one peer; nothing comes of one that is not further on or does not answer.
-func (h *Host) askCopy(ctx context.Context, name string, from int64) peer.RecordsReply {
-	var r peer.RecordsReply
-	if err := h.peers.Ask(ctx, name, peer.Records{From: from}, &r); err != nil && ctx.Err() == nil {
+func (h *Host) askCopy(ctx context.Context, name string, from int64) peer.TableReply {
+	var r peer.TableReply
+	if err := h.peers.Ask(ctx, name, peer.AskTable{From: from}, &r); err != nil && ctx.Err() == nil {
 		h.log.Warn("table: peer's copy cannot be had.", "peer", name, "err", err)
 	}
 	return r
 }
 
 // takeCopy tells whether a peer's table was further on.
-func (h *Host) takeCopy(r peer.RecordsReply, from int64) bool {
+func (h *Host) takeCopy(r peer.TableReply, from int64) bool {
 	if len(r.Parts) == 0 {
 		return false
 	}
--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -196,7 +196,7 @@
 	defer cancel()
 	var reply peer.JobReply
 	err := h.peers.Ask(ctx, name, m, &reply)
-	var unreached *peer.UnreachedError
+	var unreached *peer.UnreachableError
 	switch {
 	case err == nil:
 		return reply
@@ -378,12 +378,12 @@
 	case peer.Leave:
 		h.member(member.LeaveReceived{Name: m.Name})
 		return nil, nil
-	case peer.Slots:
+	case peer.WriterShares:
 		h.shareStep(share.AnnouncementReceived{Announcement: m.Announcement})
-		h.relay.Told(m.Leaving)
+		h.relay.MarkLeaving(m.Leaving)
 		return nil, nil
 	case peer.Relay:
-		return h.relay.RunFor(ctx, m), nil
+		return h.relay.RunForPeer(ctx, m), nil
 	case peer.AwaitKey:
 		return h.relay.AwaitKey(ctx, m), nil
 	case peer.OpenKey:
@@ -391,14 +391,14 @@
 	case peer.CloseKeys:
 		h.relay.CloseKeys(m.All)
 		return struct{}{}, nil
-	case peer.Keep:
+	case peer.KeepRecord:
 		h.owe(m.Record)
 		return struct{}{}, nil
-	case peer.Census:
+	case peer.Inventory:
 		return h.census(m), nil
-	case peer.Expect:
+	case peer.AskToken:
 		token, err := h.lead.ExpectHandover(m.From)
-		return peer.Expected{Token: token}, err
+		return peer.TokenReply{Token: token}, err
 	case peer.Handover:
 		return h.adopt(m)
 	case peer.Submit, peer.AskJob, peer.AskTrail, peer.CancelJob:
--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -157,10 +157,10 @@
 
 // tellPeer asks live peers of the domain in turn to remember a record. If none said that it
 // does, silent is of one that may all the same: its answer did not come.
-func (h *Host) tellPeer(ctx context.Context, rec joblog.Record) (told bool, silent *peer.SilentError) {
+func (h *Host) tellPeer(ctx context.Context, rec joblog.Record) (told bool, silent *peer.NoAnswerError) {
 	for _, name := range h.domainPeers() {
 		pctx, cancel := context.WithTimeout(ctx, keepWait)
-		err := h.peers.Ask(pctx, name, peer.Keep{Record: rec}, nil)
+		err := h.peers.Ask(pctx, name, peer.KeepRecord{Record: rec}, nil)
 		cancel()
 		if err == nil {
 			return true, nil
@@ -193,7 +193,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.jobs.log.Remember(rec)
-	h.jobs.owed[rec.ID] = rec.Merged(h.jobs.owed[rec.ID])
+	h.jobs.owed[rec.ID] = rec.Merge(h.jobs.owed[rec.ID])
 }
 
 // payOwed writes what the log could not take. Records that were written
@@ -289,7 +289,7 @@
 		switch {
 		case errors.As(err, &trimmed):
 			h.mu.Lock()
-			h.jobs.log.Skip(trimmed.Oldest)
+			h.jobs.log.SkipTo(trimmed.Oldest)
 			h.mu.Unlock()
 			continue
 		case err != nil:
@@ -328,7 +328,7 @@
 	h.mu.Lock()
 	h.jobs.tidy()
 	whole := h.jobs.log.Next() >= page.Next
-	old := h.jobs.log.Old(page.Oldest + (page.Next-page.Oldest)/renewPart)
+	old := h.jobs.log.OpenBefore(page.Oldest + (page.Next-page.Oldest)/renewPart)
 	h.mu.Unlock()
 	h.takeOver()
 	if whole {
@@ -339,7 +339,7 @@
 	}
 	for _, s := range old {
 		if h.lead.HasJob(s.ID) {
-			h.owe(joblog.Record{ID: s.ID, Spec: &s, Lives: h.lives(s.ID)})
+			h.owe(joblog.Record{ID: s.ID, Spec: &s, Crashes: h.lives(s.ID)})
 		}
 	}
 }
--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -49,7 +49,7 @@
 // those that it only waits for and should not lead, and writes what is owed.
 func (h *Host) takeOver() {
 	h.mu.Lock()
-	open := h.jobs.log.Open()
+	open := h.jobs.log.OpenJobs()
 	h.mu.Unlock()
 	h.jobs.transfer.RLock()
 	defer h.jobs.transfer.RUnlock()
@@ -124,17 +124,17 @@
 func (h *Host) askOne(name string, q lead.InventoryRequest) {
 	ctx, cancel := context.WithTimeout(h.ctx, censusWait)
 	defer cancel()
-	var reply peer.CensusReply
-	m := peer.Census{From: h.cfg.Name, Jobs: q.Jobs, Waits: q.Waits, Keys: q.Keys}
+	var reply peer.InventoryReply
+	m := peer.Inventory{From: h.cfg.Name, Jobs: q.Jobs, Waits: q.Waits, Keys: q.Keys}
 	if err := h.peers.Ask(ctx, name, m, &reply); err != nil {
 		return
 	}
 	for _, rec := range reply.Records {
 		h.remember(rec)
 	}
-	c := lead.InventoryReply{Leads: reply.Leads, Waits: reply.Waits, Incarnations: reply.Lives}
+	c := lead.InventoryReply{Leads: reply.Leads, Waits: reply.Waits, Incarnations: reply.Incarnations}
 	for _, w := range reply.Workers {
-		v := lead.WorkerState{Worker: w.Name, Clock: w.Clock, Age: w.Age.Duration, Incarnation: w.Life, Tasks: w.Tasks}
+		v := lead.WorkerState{Worker: w.Name, Clock: w.Clock, Age: w.Age.Duration, Incarnation: w.Incarnation, Tasks: w.Tasks}
 		for _, t := range w.Counted {
 			v.Counted = append(v.Counted, lead.CountedTask(t))
 		}
@@ -147,14 +147,14 @@
 // census answers a peer's question. Jobs that this host is about to lead, or
 // that are on their way to another lead, count as led. They are looked up first: a
 // job that is accepted meanwhile is led when the lead is asked.
-func (h *Host) census(m peer.Census) peer.CensusReply {
+func (h *Host) census(m peer.Inventory) peer.InventoryReply {
 	h.jobs.transfer.RLock()
 	defer h.jobs.transfer.RUnlock()
 	busy := h.busyOf(m.Jobs)
 	c := h.lead.Inventory(m.From, lead.InventoryRequest{Jobs: m.Jobs, Waits: m.Waits, Keys: m.Keys})
-	reply := peer.CensusReply{Leads: append(busy, c.Leads...), Waits: c.Waits, Lives: c.Incarnations}
+	reply := peer.InventoryReply{Leads: append(busy, c.Leads...), Waits: c.Waits, Incarnations: c.Incarnations}
 	for _, v := range c.Workers {
-		w := peer.CensusWorker{Name: v.Worker, Clock: v.Clock, Age: cell.Duration{Duration: v.Age}, Life: v.Incarnation, Tasks: v.Tasks}
+		w := peer.InventoryWorker{Name: v.Worker, Clock: v.Clock, Age: cell.Duration{Duration: v.Age}, Incarnation: v.Incarnation, Tasks: v.Tasks}
 		for _, t := range v.Counted {
 			w.Counted = append(w.Counted, peer.CountedTask(t))
 		}
--- a/internal/measure/urgent.go
+++ b/internal/measure/urgent.go
@@ -121,14 +121,14 @@
 	o := ours{queue.New(queue.DefaultLimits)}
 	var all []queue.Share
 	for i := range loadMinions {
-		all = append(all, queue.Share{Minion: fmt.Sprintf("m%02d", i), Slots: loadSlots})
+		all = append(all, queue.Share{Backend: fmt.Sprintf("m%02d", i), Slots: loadSlots})
 	}
 	o.q.Step(now, queue.Shares{All: all})
 	return o
 }
 
 func (o ours) arrive(now time.Time, a *arrival) []string {
-	return sends(o.q.Step(now, queue.Ask{
+	return sends(o.q.Step(now, queue.Enqueue{
 		ID: a.id, Row: queue.Row{Name: a.class.String(), Class: a.class, Weight: 1}, Deadline: now.Add(patience),
 	}))
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -22,9 +22,9 @@
 	"pollencroft/internal/dial"
 )
 
-// Answerer answers a message from a peer. The value is sent back as JSON; an
+// Handler answers a message from a peer. The value is sent back as JSON; an
 // error reaches the peer as a RefusedError.
-type Answerer func(ctx context.Context, m Message) (any, error)
+type Handler func(ctx context.Context, m Message) (any, error)
 
 // messages lists one of each message that may arrive.
 var messages = []Message{
@@ -36,22 +36,22 @@
 	AskJob{},
 	CancelJob{},
 	AskTrail{},
-	Keep{},
+	KeepRecord{},
 	Leave{},
-	Census{},
-	Expect{},
+	Inventory{},
+	AskToken{},
 	Handover{},
 	Ping{},
 	AwaitKey{},
-	Slots{},
-	Records{},
-	Listed{},
-	Hand{},
+	WriterShares{},
+	AskTable{},
+	HostListChanged{},
+	ForwardRecords{},
 	AskState{},
 	Sync{},
 	Advise{},
 	StoreCall{},
-	Succeed{},
+	AnnounceSuccessor{},
 }
 
 var types = func() map[string]reflect.Type {
@@ -62,31 +62,31 @@
 	return m
 }()
 
-// UnreachedError means that a peer could not be asked: the question was not sent.
-type UnreachedError struct {
+// UnreachableError means that a peer could not be asked: the question was not sent.
+type UnreachableError struct {
 	Name  string
 	Cause error
 }
 
-func (e *UnreachedError) Error() string {
+func (e *UnreachableError) Error() string {
 	return fmt.Sprintf("peer %s not reached: %s", e.Name, e.Cause)
 }
 
 // Unwrap returns the transport's error.
-func (e *UnreachedError) Unwrap() error { return e.Cause }
+func (e *UnreachableError) Unwrap() error { return e.Cause }
 
-// SilentError means that a question was sent and has no answer.
-type SilentError struct {
+// NoAnswerError means that a question was sent and has no answer.
+type NoAnswerError struct {
 	Name  string
 	Cause error
 }
 
-func (e *SilentError) Error() string {
+func (e *NoAnswerError) Error() string {
 	return fmt.Sprintf("peer %s did not answer: %s", e.Name, e.Cause)
 }
 
 // Unwrap returns the transport's error.
-func (e *SilentError) Unwrap() error { return e.Cause }
+func (e *NoAnswerError) Unwrap() error { return e.Cause }
 
 // RefusedError means that a peer answered with an error.
 type RefusedError struct{ Name, Reason string }
@@ -95,16 +95,16 @@
 
 // Server takes messages from peers until its context ends.
 type Server struct {
-	answer Answerer
+	answer Handler
 	count  func(reason string)
 	wg     sync.WaitGroup
 }
 
 // NewServer returns a server that answers with a.
-func NewServer(a Answerer) *Server { return &Server{answer: a, count: func(string) {}} }
+func NewServer(a Handler) *Server { return &Server{answer: a, count: func(string) {}} }
 
-// Count has every message that is turned away counted with its reason.
-func (s *Server) Count(f func(reason string)) { s.count = f }
+// OnRejected has every message that is turned away counted with its reason.
+func (s *Server) OnRejected(f func(reason string)) { s.count = f }
 
 // Serve accepts connections on ln until ctx ends, then closes them all.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) {
@@ -185,23 +185,23 @@
 	return &Clients{addrs: addrs, conns: map[lane]*link{}, dial: dialTCP, lost: func(string) {}}
 }
 
-// Lost sets what is told when a connection to a peer has ended, for whatever reason. It
+// OnDisconnect sets what is told when a connection to a peer has ended, for whatever reason. It
 // must be called before the first message.
-func (c *Clients) Lost(f func(name string)) { c.lost = f }
+func (c *Clients) OnDisconnect(f func(name string)) { c.lost = f }
 
-// Reach is what a new connection to a peer meets.
-type Reach int
+// Reachability is what a new connection to a peer meets.
+type Reachability int
 
-// Open tells that something listens, Refused that the host is there and nothing listens, NoAnswer
+// Listening tells that something listens, ConnRefused that the host is there and nothing listens, NoAnswer
 // that nothing came back in time: the host is off or cut off.
 const (
-	Open Reach = iota
-	Refused
+	Listening Reachability = iota
+	ConnRefused
 	NoAnswer
 )
 
-// Reach tries a new connection to a peer.
-func (c *Clients) Reach(ctx context.Context, name string) Reach {
+// CheckReach tries a new connection to a peer.
+func (c *Clients) CheckReach(ctx context.Context, name string) Reachability {
 	c.mu.Lock()
 	addr := c.addrs[name]
 	c.mu.Unlock()
@@ -209,17 +209,17 @@
 	switch {
 	case err == nil:
 		_ = raw.Close()
-		return Open
+		return Listening
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return Refused
+		return ConnRefused
 	default:
 		return NoAnswer
 	}
 }
 
-// Set says where a peer is reached from now on. A host that comes back at
+// SetAddr says where a peer is reached from now on. A host that comes back at
 // another address keeps its name.
-func (c *Clients) Set(name string, addr netip.AddrPort) {
+func (c *Clients) SetAddr(name string, addr netip.AddrPort) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.addrs[name] == addr {
@@ -234,16 +234,16 @@
 	}
 }
 
-// Through sets how connections are made. It must be called before the first
+// SetDialer sets how connections are made. It must be called before the first
 // message.
-func (c *Clients) Through(d func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)) {
+func (c *Clients) SetDialer(d func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)) {
 	c.dial = d
 }
 
-// Probe sets how long a connection to a peer may be without any answer before
+// SetIdleTime sets how long a connection to a peer may be without any answer before
 // it is asked for a sign of life. It must be called before the first message.
 // In a large cell a probe a second to everybody costs more than all heartbeats.
-func (c *Clients) Probe(idle func(name string) time.Duration) { c.idle = idle }
+func (c *Clients) SetIdleTime(idle func(name string) time.Duration) { c.idle = idle }
 
 func (c *Clients) idleFor(at lane) time.Duration {
 	switch {
@@ -266,7 +266,7 @@
 func (c *Clients) Ask(ctx context.Context, name string, m Message, into any) error {
 	conn, err := c.conn(ctx, name)
 	if err != nil {
-		return &UnreachedError{Name: name, Cause: err}
+		return &UnreachableError{Name: name, Cause: err}
 	}
 	err = conn.call(ctx, m, into)
 	var refused *jsonrpc2.Error
@@ -276,18 +276,18 @@
 	case errors.As(err, &refused):
 		return &RefusedError{Name: name, Reason: refused.Message}
 	default:
-		return &SilentError{Name: name, Cause: err}
+		return &NoAnswerError{Name: name, Cause: err}
 	}
 }
 
-// Tell sends a message that has no answer.
-func (c *Clients) Tell(ctx context.Context, name string, m Message) error {
+// Notify sends a message that has no answer.
+func (c *Clients) Notify(ctx context.Context, name string, m Message) error {
 	conn, err := c.conn(ctx, name)
 	if err != nil {
-		return &UnreachedError{Name: name, Cause: err}
+		return &UnreachableError{Name: name, Cause: err}
 	}
 	if err := conn.rpc.Notify(ctx, m.method(), m); err != nil {
-		return &SilentError{Name: name, Cause: err}
+		return &NoAnswerError{Name: name, Cause: err}
 	}
 	return nil
 }
--- a/internal/queue/messages.go
+++ b/internal/queue/messages.go
@@ -17,20 +17,20 @@
 	// Slots is how many requests of the row this host may have sent at once:
 	// its part of the row's limit. Zero means no limit, None not one.
 	Slots int64
-	// Queue is how many requests of the row may wait here; zero means no limit.
-	Queue int64
+	// MaxQueued is how many requests of the row may wait here; zero means no limit.
+	MaxQueued int64
 }
 
-// None is the limit of a row that has no slot on this host.
-const None = -1
+// NoSlots is the limit of a row that has no slot on this host.
+const NoSlots = -1
 
-// Ask is a request that wants a slot of a backend server.
-type Ask struct {
+// Enqueue is a request that wants a slot of a backend server.
+type Enqueue struct {
 	ID       string
 	Row      Row
 	Deadline time.Time
-	// Lent asks for a free slot on behalf of a peer: now or not at all.
-	Lent bool
+	// FromPeer asks for a free slot on behalf of a peer: now or not at all.
+	FromPeer bool
 	// Avoid names backend servers that this request has failed on.
 	Avoid []string
 }
@@ -42,16 +42,16 @@
 	Failed bool
 }
 
-// Bounced tells that a peer had no slot for a request, which waits again.
-type Bounced struct{ ID string }
+// LendRejected tells that a peer had no slot for a request, which waits again.
+type LendRejected struct{ ID string }
 
-// Hung tells that a caller no longer waits for a request.
-type Hung struct{ ID string }
+// Cancelled tells that a caller no longer waits for a request.
+type Cancelled struct{ ID string }
 
 // Share is how many slots of one backend server this host may use.
 type Share struct {
-	Minion string
-	Slots  int
+	Backend string
+	Slots   int
 }
 
 // Shares replaces the backend servers and this host's shares of them.
@@ -73,20 +73,20 @@
 // Tick lets time pass.
 type Tick struct{}
 
-func (Ask) event()        {}
-func (Ended) event()      {}
-func (Bounced) event()    {}
-func (Hung) event()       {}
-func (Shares) event()     {}
-func (Peers) event()      {}
-func (RowChanged) event() {}
-func (Tick) event()       {}
+func (Enqueue) event()      {}
+func (Ended) event()        {}
+func (LendRejected) event() {}
+func (Cancelled) event()    {}
+func (Shares) event()       {}
+func (Peers) event()        {}
+func (RowChanged) event()   {}
+func (Tick) event()         {}
 
 // Action is what the queue core asks its edge to do.
 type Action interface{ action() }
 
 // Send tells to send a request to a backend server now.
-type Send struct{ ID, Minion string }
+type Send struct{ ID, Backend string }
 
 // Lend tells to hand a request to a peer, which sends it on a slot of its own.
 type Lend struct{ ID, Peer string }
@@ -95,8 +95,8 @@
 type Refuse struct {
 	ID     string
 	Reason Reason
-	// Again is how long the caller should wait before the next try.
-	Again time.Duration
+	// RetryAfter is how long the caller should wait before the next try.
+	RetryAfter time.Duration
 }
 
 func (Send) action()   {}
@@ -108,9 +108,9 @@
 
 // The reasons for a refusal.
 const (
-	Full     Reason = "queue is full"
-	TooLate  Reason = "cannot be answered in time"
-	NoMinion Reason = "no backend server"
-	Busy     Reason = "no free slot to lend"
-	Gone     Reason = "caller hung up"
+	Full       Reason = "queue is full"
+	TooLate    Reason = "cannot be answered in time"
+	NoBackend  Reason = "no backend server"
+	Busy       Reason = "no free slot to lend"
+	CallerGone Reason = "caller hung up"
 )
--- a/internal/relay/hedge.go
+++ b/internal/relay/hedge.go
@@ -24,7 +24,7 @@
 // gone silent, and its caller would wait until the deadline. The first try
 // keeps its slot and may still win, so that a server which is merely slow
 // loses nothing. The second comes out of the row's retry budget.
-func (x *Relay) hedged(ctx context.Context, ask queue.Ask, a queue.Send, req call.Request) try {
+func (x *Relay) hedged(ctx context.Context, ask queue.Enqueue, a queue.Send, req call.Request) try {
 	row, _ := x.Row(req.Row)
 	if !row.Idempotent {
 		return x.send(ctx, a, req)
@@ -53,12 +53,12 @@
 
 // second sends a request on a slot that is free now, or not at all: waiting in
 // the queue a second time would take the place of others.
-func (x *Relay) second(ctx context.Context, ask queue.Ask, a queue.Send, req call.Request) try {
+func (x *Relay) second(ctx context.Context, ask queue.Enqueue, a queue.Send, req call.Request) try {
 	req.ID += hedgeMark
 	ask.ID += hedgeMark
-	ask.Lent = true
-	ask.Avoid = append([]string{a.Minion}, ask.Avoid...)
-	if next, ok := x.wait(ctx, ask.ID, ask).(queue.Send); ok && next.Minion != a.Minion {
+	ask.FromPeer = true
+	ask.Avoid = append([]string{a.Backend}, ask.Avoid...)
+	if next, ok := x.wait(ctx, ask.ID, ask).(queue.Send); ok && next.Backend != a.Backend {
 		return x.send(ctx, next, req)
 	} else if ok {
 		x.step(queue.Ended{ID: ask.ID, Failed: true})
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -55,9 +55,9 @@
 	Topics     []string      `json:"topics,omitempty"`
 	TTL        time.Duration `json:"ttl,omitempty"`
 	Generation int64         `json:"generation,omitempty"`
-	// Anew asks for a connection that is not open yet: those that are may have gone
+	// NewConn asks for a connection that is not open yet: those that are may have gone
 	// silent.
-	Anew bool `json:"-"`
+	NewConn bool `json:"-"`
 }
 
 // Record is one record of a log. A keyed record without a value drops its key.
@@ -130,28 +130,28 @@
 
 func (e *FencedError) Error() string { return fmt.Sprintf("epoch %d is fenced off", e.Epoch) }
 
-// MovedError tells that the partition did not end where the call said.
-type MovedError struct{ End int64 }
+// EndMismatchError tells that the partition did not end where the call said.
+type EndMismatchError struct{ End int64 }
 
-func (e *MovedError) Error() string { return fmt.Sprintf("log ends at %d", e.End) }
+func (e *EndMismatchError) Error() string { return fmt.Sprintf("log ends at %d", e.End) }
 
 // TrimmedError tells that the records asked for are gone.
 type TrimmedError struct{ First int64 }
 
 func (e *TrimmedError) Error() string { return fmt.Sprintf("log begins at %d", e.First) }
 
-// BadError tells that the call or its answer makes no sense to the other side.
-type BadError struct {
+// InvalidError tells that the call or its answer makes no sense to the other side.
+type InvalidError struct {
 	Op     Op
 	Reason string
 }
 
-func (e *BadError) Error() string { return fmt.Sprintf("bad %s: %s", e.Op, e.Reason) }
+func (e *InvalidError) Error() string { return fmt.Sprintf("bad %s: %s", e.Op, e.Reason) }
 
-// Table reads the newest record of each key and where to follow from. The
+// ReadLatest reads the newest record of each key and where to follow from. The
 // pages are not a snapshot: a reader follows from the first page's end, where
 // records may come again.
-func Table(ctx context.Context, l Log, topic string, part int) ([]Record, int64, error) {
+func ReadLatest(ctx context.Context, l Log, topic string, part int) ([]Record, int64, error) {
 	var all []Record
 	from := int64(-1)
 	after := ""
