--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -111,7 +111,7 @@
 		}
 		h.policy = platform.NewPolicy(c, addr)
 	}
-	h.peers.Lost(h.onPeerLost)
+	h.peers.OnDisconnect(h.onPeerLost)
 	h.lastSync = now()
 	h.ctx, h.cancel = context.WithCancel(context.Background())
 	h.store = store.NewRouted(platform.NewStore(platform.New(), cfg.Store), relay{h}, now, h.storeChanged)
@@ -300,7 +300,7 @@
 	h.mu.Unlock()
 	for n, a := range all {
 		if n != h.cfg.Name {
-			h.peers.Set(n, a)
+			h.peers.SetAddr(n, a)
 		}
 	}
 	if t != nil {
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -48,7 +48,7 @@
 		defer close(listed)
 		h.readHosts()
 	})
-	all, _, err := store.Table(h.ctx, h.store, leaderTopic, 0)
+	all, _, err := store.ReadLatest(h.ctx, h.store, leaderTopic, 0)
 	if err != nil {
 		return
 	}
@@ -89,7 +89,7 @@
 	if leader != "" && !sleep(h.ctx, claimGrace-h.now().Sub(began)) {
 		return
 	}
-	if all, _, err := store.Table(h.ctx, h.store, leaderTopic, 0); err == nil {
+	if all, _, err := store.ReadLatest(h.ctx, h.store, leaderTopic, 0); err == nil {
 		h.applyLeader(all)
 	}
 	if newer, _ := h.currentLeader(); h.isLeaderOrClaiming(newer) || newer != "" && h.isLeaderAlive(before) {
@@ -219,7 +219,7 @@
 	}
 	h.mu.Lock()
 	h.pending, h.pendingAt = r.Pending, h.now()
-	h.lastSync, h.strongPower, h.standby = h.now(), r.Enough, r.Heir
+	h.lastSync, h.strongPower, h.standby = h.now(), r.EnoughPower, r.Standby
 	h.mu.Unlock()
 	all := make(map[string]netip.AddrPort, len(r.Hosts))
 	for n, a := range r.Hosts {
--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -25,7 +25,7 @@
 )
 
 // handleSucceed takes over from a leader that steps down, or follows the named successor.
-func (h *Host) handleSucceed(m peer.Succeed) {
+func (h *Host) handleSucceed(m peer.AnnounceSuccessor) {
 	if m.Successor != h.cfg.Name {
 		h.followLeader(m.Successor, m.Term)
 		return
@@ -58,7 +58,7 @@
 // announceSuccessor tells all hosts, the successor first, which host is to lead next. The other
 // hosts are told concurrently; otherwise one in a failure domain that is cut off would use up the
 // time for all.
-func (h *Host) announceSuccessor(ctx context.Context, successor string, succeed peer.Succeed) {
+func (h *Host) announceSuccessor(ctx context.Context, successor string, succeed peer.AnnounceSuccessor) {
 	succeed.Successor = successor
 	h.mu.Lock()
 	h.successor = successor
@@ -75,8 +75,8 @@
 	wg.Wait()
 }
 
-func (h *Host) sendSucceed(ctx context.Context, p string, succeed peer.Succeed) {
-	if err := h.peers.Tell(ctx, p, succeed); err != nil {
+func (h *Host) sendSucceed(ctx context.Context, p string, succeed peer.AnnounceSuccessor) {
+	if err := h.peers.Notify(ctx, p, succeed); err != nil {
 		h.log.Warn("entry: peer could not be told the successor.", "peer", p, "err", err)
 	}
 }
@@ -194,7 +194,7 @@
 	h.lastDelegation = h.now()
 	h.mu.Unlock()
 	h.log.Info("lead: stronger host asked to lead.", "host", best)
-	h.announceSuccessor(ctx, best, peer.Succeed{Term: term})
+	h.announceSuccessor(ctx, best, peer.AnnounceSuccessor{Term: term})
 	h.followLeader(best, term)
 	return true
 }
--- a/internal/entry/term.go
+++ b/internal/entry/term.go
@@ -149,10 +149,10 @@
 }
 
 // successionMessage is the message that a leader that steps down sends to its successor.
-func (t *term) successionMessage() peer.Succeed {
+func (t *term) successionMessage() peer.AnnounceSuccessor {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	m := peer.Succeed{Term: t.number, Bounds: map[string]cell.Duration{}}
+	m := peer.AnnounceSuccessor{Term: t.number, Bounds: map[string]cell.Duration{}}
 	for incarnation, left := range t.core.LeaseBounds(t.h.now()) {
 		m.Bounds[incarnation] = cell.Duration{Duration: left}
 	}
@@ -352,7 +352,7 @@
 			t.maxTickDelay = max(t.maxTickDelay, t.h.now().Sub(set)-pause)
 			t.mu.Unlock()
 		}
-		if t.h.now().Sub(t.h.store.Good()) > sched.StoreTimeout {
+		if t.h.now().Sub(t.h.store.LastAnswer()) > sched.StoreTimeout {
 			t.end("the store does not answer")
 			return
 		}
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -117,10 +117,10 @@
 	return time.Duration(float64(declared) * r.time.at(timeQuantile))
 }
 
-// Seen takes a report of what a running task uses and returns the room that it
+// RecordUse takes a report of what a running task uses and returns the room that it
 // takes from now on: what its row's tasks need, never less than it was seen to
 // use itself. A report of nothing is one that lags.
-func (e *Estimates) Seen(id, name string, declared, use cell.Size) (cell.Size, bool) {
+func (e *Estimates) RecordUse(id, name string, declared, use cell.Size) (cell.Size, bool) {
 	if use.CPU <= 0 && use.Mem <= 0 {
 		return cell.Size{}, false
 	}
@@ -159,9 +159,9 @@
 	t.sampled = t.peak
 }
 
-// Drop forgets a task that runs no longer. One that grew since it was counted
+// Forget forgets a task that runs no longer. One that grew since it was counted
 // is counted again, so that its row's estimate follows.
-func (e *Estimates) Drop(id string) {
+func (e *Estimates) Forget(id string) {
 	t, ok := e.tasks[id]
 	if !ok {
 		return
@@ -172,7 +172,7 @@
 	delete(e.tasks, id)
 }
 
-// Ran takes how long a task of that row really ran.
-func (e *Estimates) Ran(name string, declared, ran time.Duration) {
+// RecordTime takes how long a task of that row really ran.
+func (e *Estimates) RecordTime(name string, declared, ran time.Duration) {
 	e.row(name).time.add(ran.Seconds(), declared.Seconds())
 }
--- a/internal/host/export_test.go
+++ b/internal/host/export_test.go
@@ -21,7 +21,7 @@
 
 // Meet has a host answer its peers on ln and reach them through dial.
 func (h *Host) Meet(ln net.Listener, dial func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)) {
-	h.peers.Through(dial)
+	h.peers.SetDialer(dial)
 	h.wg.Go(func() { peer.NewServer(h.respond).Serve(h.ctx, ln) })
 }
 
@@ -29,7 +29,7 @@
 func (h *Host) Beat() member.Heartbeat {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return member.Heartbeat{Name: h.cfg.Name, Incarnation: h.incarnation, Next: h.table.Wants(), Digest: uint32(h.table.Mark()), Ack: true}
+	return member.Heartbeat{Name: h.cfg.Name, Incarnation: h.incarnation, Next: h.table.NextOffset(), Digest: uint32(h.table.Fingerprint()), Ack: true}
 }
 
 // Hear takes a peer's heartbeat.
@@ -56,7 +56,7 @@
 
 // SaysItLeads tells whether a peer that asks hears that this host leads a job.
 func (h *Host) SaysItLeads(id string) bool {
-	return slices.Contains(h.census(peer.Census{From: "h9", Jobs: []string{id}}).Leads, id)
+	return slices.Contains(h.census(peer.Inventory{From: "h9", Jobs: []string{id}}).Leads, id)
 }
 
 // Hold keeps the host from answering any question until the returned function is called.
--- a/internal/host/table.go
+++ b/internal/host/table.go
@@ -92,7 +92,7 @@
 func (h *Host) wants() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.table.Wants()
+	return h.table.NextOffset()
 }
 
 // readBehind reads all that a trimmed log still has.
@@ -111,7 +111,7 @@
 		}
 		from = all[len(all)-1].Offset + 1
 	}
-	if err := h.fold(table.Behind{Entries: all}); err != nil {
+	if err := h.fold(table.TrimmedLog{Entries: all}); err != nil {
 		return err
 	}
 	h.move("table")
@@ -144,13 +144,13 @@
 		case table.Gap:
 			h.meter("gap")
 			err = &MissingError{Want: a.Want}
-		case table.Lost:
+		case table.SnapshotMissing:
 			h.meter("lost")
 			err = &MissingError{Want: a.Want}
 		case table.Restored:
 			h.meter("restored")
 			h.log.Info("table: started from a snapshot.", "next", a.Next)
-		case table.Changed:
+		case table.RowChanged:
 			h.log.Info("table: row is in force.", "row", a.Row.Name, "version", a.Version, "gone", a.Gone)
 		}
 	}
--- a/internal/joblog/joblog.go
+++ b/internal/joblog/joblog.go
@@ -25,19 +25,19 @@
 	Ran bool `json:"ran,omitempty"`
 	// Reason tells why an ended job was given up.
 	Reason string `json:"reason,omitempty"`
-	// Lives are how many lives of workers ended under a task, by its id.
-	Lives map[string]int64 `json:"lives,omitempty"`
+	// Crashes are how many lives of workers ended under a task, by its id.
+	Crashes map[string]int64 `json:"lives,omitempty"`
 }
 
-// Merged is a record that says all that r and an older one of the same job say. An end is final.
-func (r Record) Merged(older Record) Record {
+// Merge is a record that says all that r and an older one of the same job say. An end is final.
+func (r Record) Merge(older Record) Record {
 	if r.Spec == nil {
 		r.Spec = older.Spec
 	}
 	if r.State == "" {
 		r.State, r.Ran, r.Reason = older.State, older.Ran, older.Reason
 	}
-	r.Lives = most(older.Lives, r.Lives)
+	r.Crashes = most(older.Crashes, r.Crashes)
 	return r
 }
 
@@ -52,8 +52,8 @@
 	case r.Spec == nil && other.Spec != nil:
 		return false
 	}
-	for task, lives := range other.Lives {
-		if r.Lives[task] < lives {
+	for task, lives := range other.Crashes {
+		if r.Crashes[task] < lives {
 			return false
 		}
 	}
@@ -104,8 +104,8 @@
 // Next is the offset to read from.
 func (l *Log) Next() int64 { return l.next }
 
-// Skip goes on at a later offset, when records before it were trimmed.
-func (l *Log) Skip(to int64) { l.next = max(l.next, to) }
+// SkipTo goes on at a later offset, when records before it were trimmed.
+func (l *Log) SkipTo(to int64) { l.next = max(l.next, to) }
 
 // Fold takes one record of the stream and returns what it says. A body that cannot be
 // read is passed over by every host alike.
@@ -138,7 +138,7 @@
 	if r.Spec != nil {
 		e.spec = *r.Spec
 	}
-	e.lives = most(e.lives, r.Lives)
+	e.lives = most(e.lives, r.Crashes)
 	if offset > 0 {
 		e.offset = offset
 	}
@@ -158,8 +158,8 @@
 	}
 }
 
-// Open lists the jobs that were accepted and have not ended, by id.
-func (l *Log) Open() []job.Spec {
+// OpenJobs lists the jobs that were accepted and have not ended, by id.
+func (l *Log) OpenJobs() []job.Spec {
 	var open []job.Spec
 	for _, id := range slices.Sorted(maps.Keys(l.jobs)) {
 		if e := l.jobs[id]; e.state == "" && e.spec.ID != "" {
@@ -169,10 +169,10 @@
 	return open
 }
 
-// Old lists the open jobs whose record lies before an offset, to be written
+// OpenBefore lists the open jobs whose record lies before an offset, to be written
 // again before the log trims it.
-func (l *Log) Old(before int64) []job.Spec {
-	return slices.DeleteFunc(l.Open(), func(s job.Spec) bool { return l.jobs[s.ID].offset >= before })
+func (l *Log) OpenBefore(before int64) []job.Spec {
+	return slices.DeleteFunc(l.OpenJobs(), func(s job.Spec) bool { return l.jobs[s.ID].offset >= before })
 }
 
 // Spec returns a job's accepted form; false if it is not known.
@@ -193,8 +193,8 @@
 	return Record{ID: id, State: e.state, Ran: e.ran, Reason: e.reason}, true
 }
 
-// Lives are how many lives of workers ended under the tasks of a job.
-func (l *Log) Lives(id string) map[string]int64 {
+// Crashes are how many lives of workers ended under the tasks of a job.
+func (l *Log) Crashes(id string) map[string]int64 {
 	e, ok := l.jobs[id]
 	if !ok {
 		return nil
--- a/internal/joblog/joblog_test.go
+++ b/internal/joblog/joblog_test.go
@@ -26,7 +26,7 @@
 	l.Fold(2, body(t, joblog.Record{ID: "d.r.1", State: "cancelled"}))
 	l.Fold(3, body(t, accepted("d.r.1")))
 	l.Remember(joblog.Record{ID: "d.r.1", State: "ended", Ran: true})
-	require.Equal(t, []job.Spec{{ID: "d.r.2"}}, l.Open())
+	require.Equal(t, []job.Spec{{ID: "d.r.2"}}, l.OpenJobs())
 	end, ok := l.End("d.r.1")
 	require.True(t, ok)
 	require.Equal(t, "cancelled", end.State)
@@ -40,27 +40,27 @@
 	l.Fold(2, body(t, accepted("d.r.1")))
 	l.Fold(1, body(t, joblog.Record{ID: "d.r.1", State: "ended"}))
 	require.Equal(t, int64(3), l.Next())
-	require.Len(t, l.Open(), 1)
-	require.Empty(t, l.Old(2))
-	require.Len(t, l.Old(3), 1)
+	require.Len(t, l.OpenJobs(), 1)
+	require.Empty(t, l.OpenBefore(2))
+	require.Len(t, l.OpenBefore(3), 1)
 }
 
 // Guards against a count of crashes that is lost with a later record.
 func TestCrashesAreKeptBesideOtherRecords(t *testing.T) {
 	l := joblog.New()
 	crashed := func(lives int64) joblog.Record {
-		return joblog.Record{ID: "d.r.1", Lives: map[string]int64{"d.r.1.0": lives}}
+		return joblog.Record{ID: "d.r.1", Crashes: map[string]int64{"d.r.1.0": lives}}
 	}
 	l.Fold(1, body(t, crashed(2)))
 	l.Fold(2, body(t, accepted("d.r.1")))
 	l.Fold(3, body(t, crashed(1)))
-	require.Equal(t, map[string]int64{"d.r.1.0": 2}, l.Lives("d.r.1"))
-	owed := accepted("d.r.1").Merged(crashed(2))
+	require.Equal(t, map[string]int64{"d.r.1.0": 2}, l.Crashes("d.r.1"))
+	owed := accepted("d.r.1").Merge(crashed(2))
 	require.False(t, accepted("d.r.1").Covers(owed))
 	require.False(t, crashed(2).Covers(owed))
-	require.False(t, accepted("d.r.1").Merged(crashed(1)).Covers(owed))
+	require.False(t, accepted("d.r.1").Merge(crashed(1)).Covers(owed))
 	require.True(t, owed.Covers(owed))
 	end := joblog.Record{ID: "d.r.1", State: "failed", Reason: "crashed"}
-	require.Equal(t, "failed", crashed(3).Merged(end).State)
-	require.True(t, end.Covers(end.Merged(owed)))
+	require.Equal(t, "failed", crashed(3).Merge(end).State)
+	require.True(t, end.Covers(end.Merge(owed)))
 }
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -65,7 +65,7 @@
 	}
 	defer raw.Close()
 	_ = raw.SetDeadline(time.Now().Add(limit))
-	conn, err := k.ToPeer(context.Background(), raw, name)
+	conn, err := k.ConnectPeer(context.Background(), raw, name)
 	if err != nil {
 		return err
 	}
@@ -82,7 +82,7 @@
 	k, c := open(t, a, t.TempDir(), server, later, time.Now)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	in := k.FromPeers(ln)
+	in := k.PeerListener(ln)
 	defer in.Close()
 	names := make(chan string, 8)
 	go func() {
@@ -139,7 +139,7 @@
 	k, c := open(t, a, dir, server, now.Add(time.Hour), clock)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	in := k.FromPeers(ln)
+	in := k.PeerListener(ln)
 	defer in.Close()
 	go func() {
 		for {
--- a/internal/operator/edits.go
+++ b/internal/operator/edits.go
@@ -84,7 +84,7 @@
 		return
 	}
 	e := table.QuotaEdit{
-		Team: chi.URLParam(r, "team"), Room: body.Room, Tasks: body.Tasks, Domains: body.Domains,
+		Team: chi.URLParam(r, "team"), Capacity: body.Room, Tasks: body.Tasks, Domains: body.Domains,
 		Who: r.Header.Get("Pollencroft-Who"),
 	}
 	var err error
@@ -104,7 +104,7 @@
 		fail(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	var j table.Judged
+	var j table.Verdict
 	j, err = h.Table.EditQuota(r.Context(), e)
 	if settled(w, e.ID, j, err, func() any { return h.findTeam(e.Team) }) {
 		write(w, http.StatusOK, h.findTeam(e.Team))
@@ -119,7 +119,7 @@
 		fail(w, http.StatusNotFound, "no such quota")
 		return
 	}
-	s := table.Settle{Team: q.Team, Version: q.Version, Domain: chi.URLParam(r, "domain")}
+	s := table.ShareConfirmation{Team: q.Team, Version: q.Version, Domain: chi.URLParam(r, "domain")}
 	if err := h.Table.Settle(r.Context(), s); err != nil {
 		fail(w, http.StatusServiceUnavailable, fmt.Sprintf("may not be written: %s", err))
 		return
--- a/internal/outlier/messages.go
+++ b/internal/outlier/messages.go
@@ -4,7 +4,7 @@
 type Event interface{ event() }
 
 // Sent tells that a request was sent to a backend server.
-type Sent struct{ ID, Minion, Row string }
+type Sent struct{ ID, Backend, Row string }
 
 // Ended tells what became of a sent request.
 type Ended struct {
@@ -17,39 +17,39 @@
 
 // The ways in which a sent request ends.
 const (
-	// Good is a whole answer.
-	Good Result = iota
+	// Succeeded is a whole answer.
+	Succeeded Result = iota
 	// Failed is no whole answer, or one that tells of a fault of the server.
 	Failed
-	// Unreached is a server that takes no connections.
-	Unreached
+	// Unreachable is a server that takes no connections.
+	Unreachable
 	// Leaving is a server's own word that it leaves.
 	Leaving
 )
 
-// Told is a peer's word that backend servers leave.
-type Told struct{ Leaving []string }
+// LeavingReported is a peer's word that backend servers leave.
+type LeavingReported struct{ Leaving []string }
 
-// Listed replaces the backend servers that are there by the host list.
-type Listed struct{ Minions []string }
+// ServersListed replaces the backend servers that are there by the host list.
+type ServersListed struct{ Backends []string }
 
 // Tick lets time pass.
 type Tick struct{}
 
-func (Sent) event()   {}
-func (Ended) event()  {}
-func (Told) event()   {}
-func (Listed) event() {}
-func (Tick) event()   {}
+func (Sent) event()            {}
+func (Ended) event()           {}
+func (LeavingReported) event() {}
+func (ServersListed) event()   {}
+func (Tick) event()            {}
 
 // Action is what the outlier core asks its edge to do.
 type Action interface{ action() }
 
-// Changed tells that Most gives another number for a backend server now.
-type Changed struct {
-	Minion string
-	State  State
-	Reason string
+// StateChanged tells that Most gives another number for a backend server now.
+type StateChanged struct {
+	Backend string
+	State   State
+	Reason  string
 }
 
-func (Changed) action() {}
+func (StateChanged) action() {}
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -13,14 +13,14 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-func ask(id, row string, class cell.Class) queue.Ask {
-	return queue.Ask{ID: id, Row: queue.Row{Name: row, Class: class, Weight: 1}, Deadline: start.Add(time.Minute)}
+func ask(id, row string, class cell.Class) queue.Enqueue {
+	return queue.Enqueue{ID: id, Row: queue.Row{Name: row, Class: class, Weight: 1}, Deadline: start.Add(time.Minute)}
 }
 
 func minions(n, slots int) queue.Shares {
 	var s queue.Shares
 	for i := range n {
-		s.All = append(s.All, queue.Share{Minion: fmt.Sprint("m", i), Slots: slots})
+		s.All = append(s.All, queue.Share{Backend: fmt.Sprint("m", i), Slots: slots})
 	}
 	return s
 }
@@ -51,7 +51,7 @@
 		sent += len(q.Step(start, ask(fmt.Sprint("b", i), "badges", cell.Bulk)))
 	}
 	require.Equal(t, 6, sent)
-	require.Equal(t, []queue.Action{queue.Send{ID: "s1", Minion: "m0"}}, q.Step(start, ask("s1", "scan", cell.Urgent)))
+	require.Equal(t, []queue.Action{queue.Send{ID: "s1", Backend: "m0"}}, q.Step(start, ask("s1", "scan", cell.Urgent)))
 }
 
 // No visitor has been scanned for a quarter of an hour. Slots that stay empty
@@ -79,7 +79,7 @@
 	refused, ok := acts[0].(queue.Refuse)
 	require.True(t, ok)
 	require.Equal(t, queue.TooLate, refused.Reason)
-	require.Positive(t, refused.Again)
+	require.Positive(t, refused.RetryAfter)
 }
 
 func TestRowsShareSlotsByWeight(t *testing.T) {
@@ -117,7 +117,7 @@
 		require.Equal(t, fmt.Sprint("b", 2-i), acts[0].(queue.Refuse).ID)
 	}
 	acts := q.Step(start, ask("s3", "scan", cell.Urgent))
-	require.Equal(t, queue.Refuse{ID: "s3", Reason: queue.Full, Again: acts[0].(queue.Refuse).Again}, acts[0])
+	require.Equal(t, queue.Refuse{ID: "s3", Reason: queue.Full, RetryAfter: acts[0].(queue.Refuse).RetryAfter}, acts[0])
 }
 
 // An operator takes slots from a row while its requests wait. The limit holds
@@ -130,7 +130,7 @@
 	q.Step(start, queue.RowChanged{Row: queue.Row{Name: "a", Class: cell.Normal, Weight: 1, Slots: 3}})
 	require.Equal(t, map[string]int{"a": 3}, counts(q.Step(start, minions(1, 10))))
 	require.Equal(t, 2, counts(q.Step(start, queue.RowChanged{Row: queue.Row{Name: "a", Weight: 1, Slots: 5}}))["a"])
-	require.Empty(t, q.Step(start, queue.RowChanged{Row: queue.Row{Name: "a", Weight: 1, Slots: queue.None}}))
+	require.Empty(t, q.Step(start, queue.RowChanged{Row: queue.Row{Name: "a", Weight: 1, Slots: queue.NoSlots}}))
 	require.Equal(t, 5, counts(q.Step(start, queue.RowChanged{Row: queue.Row{Name: "a", Weight: 1}}))["a"])
 }
 
@@ -158,7 +158,7 @@
 			case queue.Send:
 				p.ends[p.now.Add(took)] = append(p.ends[p.now.Add(took)], act.ID)
 			case queue.Refuse:
-				p.again = act.Again
+				p.again = act.RetryAfter
 			}
 		}
 		for what, k := range counts(acts) {
@@ -206,8 +206,8 @@
 	}
 	acts := q.Step(start, queue.Peers{All: []queue.Peer{{Name: "h2", Free: 1}, {Name: "h3"}}})
 	require.Equal(t, []queue.Action{queue.Lend{ID: "b", Peer: "h2"}}, acts)
-	require.Empty(t, q.Step(start, queue.Bounced{ID: "b"}), "h2 has no room until it says so again")
-	require.Equal(t, []queue.Action{queue.Send{ID: "b", Minion: "m0"}}, q.Step(start, queue.Ended{ID: "a"}))
+	require.Empty(t, q.Step(start, queue.LendRejected{ID: "b"}), "h2 has no room until it says so again")
+	require.Equal(t, []queue.Action{queue.Send{ID: "b", Backend: "m0"}}, q.Step(start, queue.Ended{ID: "a"}))
 	acts = q.Step(start, queue.Peers{All: []queue.Peer{{Name: "h2", Free: 1}}})
 	require.Equal(t, []queue.Action{queue.Lend{ID: "c", Peer: "h2"}}, acts)
 }
@@ -220,7 +220,7 @@
 	q.Step(start, queue.Peers{All: []queue.Peer{{Name: "h2", Free: 9}}})
 	for _, want := range []string{"x", string(queue.Busy)} {
 		a := ask("x"+want, "scan", cell.Urgent)
-		a.Lent = true
+		a.FromPeer = true
 		require.Equal(t, map[string]int{want: 1}, counts(q.Step(start, a)))
 	}
 	_, waiting := q.Load()
@@ -236,10 +236,10 @@
 		q.Step(start, ask(fmt.Sprint("s", i), "scan", cell.Urgent))
 	}
 	q.Step(start, queue.Shares{})
-	require.True(t, q.Over())
+	require.True(t, q.Overcommitted())
 	require.Empty(t, q.Step(start, minions(1, 2)))
 	require.Len(t, q.Step(start, queue.Ended{ID: "s0"}), 1)
-	require.False(t, q.Over())
+	require.False(t, q.Overcommitted())
 }
 
 // A request failed on one minion and is tried again. It goes to another one
@@ -250,7 +250,7 @@
 	for i, want := range []string{"m1", "m1", "m0"} {
 		a := ask(fmt.Sprint("s", i), "scan", cell.Urgent)
 		a.Avoid = []string{"m0"}
-		require.Equal(t, []queue.Action{queue.Send{ID: a.ID, Minion: want}}, q.Step(start, a))
+		require.Equal(t, []queue.Action{queue.Send{ID: a.ID, Backend: want}}, q.Step(start, a))
 	}
 }
 
@@ -258,7 +258,7 @@
 func TestHungUpCallerFreesItsPlace(t *testing.T) {
 	q := queue.New(queue.Limits{Length: 1})
 	q.Step(start, ask("a", "scan", cell.Urgent))
-	q.Step(start, queue.Hung{ID: "a"})
+	q.Step(start, queue.Cancelled{ID: "a"})
 	require.Empty(t, q.Step(start, ask("b", "scan", cell.Urgent)))
 }
 
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -41,9 +41,9 @@
 // another backend server where that is safe and within the row's budget.
 func (x *Relay) route(ctx context.Context, req call.Request) call.Reply {
 	row, _ := x.Row(req.Row)
-	x.Retries.Asked(req.Row)
+	x.Retries.RecordRequest(req.Row)
 	var sent *call.Reply
-	ask := queue.Ask{ID: req.ID, Row: x.queueRow(row), Deadline: req.Deadline}
+	ask := queue.Enqueue{ID: req.ID, Row: x.queueRow(row), Deadline: req.Deadline}
 	for n := int64(1); ; n++ {
 		t := x.once(ctx, ask, req)
 		req.Lost = append(req.Lost, t.reply.Lost...)
@@ -74,22 +74,22 @@
 	case unreached:
 		return true
 	case notRun:
-		return x.Retries.Spend(row.Name)
+		return x.Retries.TrySpend(row.Name)
 	case unsure:
-		return row.Idempotent && x.Retries.Spend(row.Name)
+		return row.Idempotent && x.Retries.TrySpend(row.Name)
 	case final:
 	}
 	return false
 }
 
-// Lent runs a peer's request on a slot that is free now, or refuses it as Busy.
-func (x *Relay) Lent(ctx context.Context, req call.Request) call.Reply {
+// RunOnFreeSlot runs a peer's request on a slot that is free now, or refuses it as Busy.
+func (x *Relay) RunOnFreeSlot(ctx context.Context, req call.Request) call.Reply {
 	row, _ := x.Row(req.Row)
-	return x.once(ctx, queue.Ask{ID: req.ID, Row: x.queueRow(row), Deadline: req.Deadline, Lent: true, Avoid: req.Lost}, req).reply
+	return x.once(ctx, queue.Enqueue{ID: req.ID, Row: x.queueRow(row), Deadline: req.Deadline, FromPeer: true, Avoid: req.Lost}, req).reply
 }
 
 // once waits for a slot and sends the request one time.
-func (x *Relay) once(ctx context.Context, ask queue.Ask, req call.Request) try {
+func (x *Relay) once(ctx context.Context, ask queue.Enqueue, req call.Request) try {
 	asked := x.Clock()
 	act := x.wait(ctx, ask.ID, ask)
 	x.waits[ask.Row.Class].Update(x.Clock().Sub(asked))
@@ -102,12 +102,12 @@
 			if !bounced {
 				return t
 			}
-			act = x.wait(ctx, ask.ID, queue.Bounced{ID: ask.ID})
+			act = x.wait(ctx, ask.ID, queue.LendRejected{ID: ask.ID})
 		case queue.Refuse:
 			metrics.GetOrRegisterCounter("queue.refused."+ask.Row.Class.String(), x.Metrics).Inc(1)
 			return try{reply: refusal(a)}
 		default:
-			return try{reply: call.Refuse(http.StatusServiceUnavailable, string(queue.Gone), time.Second)}
+			return try{reply: call.Refuse(http.StatusServiceUnavailable, string(queue.CallerGone), time.Second)}
 		}
 	}
 }
@@ -132,7 +132,7 @@
 		return a
 	default:
 		delete(x.waiting, id)
-		x.stepQueue(queue.Hung{ID: id})
+		x.stepQueue(queue.Cancelled{ID: id})
 		return nil
 	}
 }
@@ -145,7 +145,7 @@
 	case queue.TooLate:
 		status = http.StatusGatewayTimeout
 	}
-	return call.Refuse(status, string(a.Reason), a.Again)
+	return call.Refuse(status, string(a.Reason), a.RetryAfter)
 }
 
 // send runs on when the caller hangs up: a request that was sent keeps its
@@ -154,18 +154,18 @@
 	began := x.Clock()
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), req.Deadline.Sub(began))
 	defer cancel()
-	ctx, end := spans.Hop(ctx, "minion", req.ID)
+	ctx, end := spans.Start(ctx, "minion", req.ID)
 	defer end()
-	req.Trace = spans.Parent(ctx)
+	req.Trace = spans.TraceParent(ctx)
 	x.mu.Lock()
-	addr := x.servers[a.Minion].Address
-	x.watch(outlier.Sent{ID: req.ID, Minion: a.Minion, Row: req.Row})
+	addr := x.servers[a.Backend].Address
+	x.watch(outlier.Sent{ID: req.ID, Backend: a.Backend, Row: req.Row})
 	x.mu.Unlock()
 	answer, err := x.Minions.Do(ctx, addr, req)
 	t := judge(answer, err)
-	t.minion = a.Minion
+	t.minion = a.Backend
 	if broken(err) {
-		t.reply.Lost = []string{a.Minion}
+		t.reply.Lost = []string{a.Backend}
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -201,12 +201,12 @@
 func result(t try) outlier.Result {
 	switch {
 	case t.verdict == unreached:
-		return outlier.Unreached
+		return outlier.Unreachable
 	case t.verdict == notRun:
 		return outlier.Leaving
 	case t.verdict == unsure, t.reply.Outcome == cell.Unknown:
 		return outlier.Failed
 	default:
-		return outlier.Good
+		return outlier.Succeeded
 	}
 }
--- a/internal/sched/ahead.go
+++ b/internal/sched/ahead.go
@@ -19,10 +19,10 @@
 		return
 	}
 	tasks := startableTasks(r.stage)
-	if len(tasks) == 0 || p.prefetched.Share(p.total) > prefetchShare {
+	if len(tasks) == 0 || p.prefetched.DominantShare(p.total) > prefetchShare {
 		return
 	}
-	p.prefetched = p.prefetched.Add(r.stage.Spec.Demand().Times(float64(len(tasks))))
+	p.prefetched = p.prefetched.Add(r.stage.Spec.Demand().Scale(float64(len(tasks))))
 	a := s.adviceFor(r.stage)
 	if !a.queriedAt.IsZero() {
 		return
@@ -46,7 +46,7 @@
 	for _, w := range p.workers {
 		got, known := a.tickets[w.Incarnation]
 		if !a.denied[w.Incarnation] && r.stage.Spec.Demand().Fits(w.Size) {
-			most += r.stage.Spec.Demand().Into(w.Size)
+			most += r.stage.Spec.Demand().FitCount(w.Size)
 		}
 		if known && s.now.Add(cost).Before(got.until) {
 			if !r.stage.Spec.Gang {
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -19,82 +19,82 @@
 	"pollencroft/internal/sched"
 )
 
-// cellBench plays a lead against workers that it holds in memory, on a clock
+// simCell plays a lead against workers that it holds in memory, on a clock
 // that the test moves. Workers start whatever they are told and record when
 // that is wrong.
-type cellBench struct {
+type simCell struct {
 	t       *testing.T
 	now     time.Time
 	core    *sched.Sched
 	term    int64
 	workers map[string]*fakeWorker
-	events  agenda
-	order   int
+	events  eventHeap
+	seq     int
 	// stored is what the store holds: the progress of jobs.
 	stored map[string][]byte
 	specs  map[string]flow.Spec
-	// cancels are what the store holds of cancellations, cancelled when each came.
-	cancels   []string
-	cancelled map[string]time.Time
-	// storeAway keeps appends without an answer; policy says which workers may
+	// storedCancels are what the store holds of cancellations, cancelled when each came.
+	storedCancels []string
+	cancelledAt   map[string]time.Time
+	// storeDown keeps appends without an answer; policy says which workers may
 	// run a step, nil all.
-	storeAway bool
+	storeDown bool
 	// storeTime is how long the store takes for an append; nil is 3 ms.
 	storeTime func() time.Duration
 	// copies tells that runs of one task may be beside each other.
 	copies bool
-	policy func(step, worker string) bool
-	// policyTime is how long the policy service takes for a question; nil is 30 ms.
-	policyTime func(sched.QueryPolicy) time.Duration
-	asks       []sched.QueryPolicy
-	paces      []sched.Pace
-	deposed    bool
-	// waited, begun and long are what the core told of waits.
-	waited []sched.StepWaited
-	begun  []sched.JobStarted
-	long   []sched.Note
-	// resized are what the core told of changes of size.
-	resized []sched.Note
+	allows func(step, worker string) bool
+	// queryTime is how long the policy service takes for a question; nil is 30 ms.
+	queryTime func(sched.QueryPolicy) time.Duration
+	queries   []sched.QueryPolicy
+	paces     []sched.Pace
+	deposed   bool
+	// stepWaits, begun and long are what the core told of waits.
+	stepWaits []sched.StepWaited
+	jobStarts []sched.JobStarted
+	longWaits []sched.Note
+	// resizeNotes are what the core told of changes of size.
+	resizeNotes []sched.Note
 	// holds counts the questions for a worker's lists.
 	holds int
 	// passes counts passes, passTook is how long one takes the lead.
 	passes   int
 	passTook time.Duration
-	// inCore is the real time that was spent in the core.
-	inCore time.Duration
-	queues []flow.Queue
-	wrongs []string
+	// coreTime is the real time that was spent in the core.
+	coreTime   time.Duration
+	queues     []flow.Queue
+	violations []string
 	// done are tasks that ended as done and were noted.
 	done map[flow.Name]bool
 	// starts counts by task.
 	starts map[flow.Name]int
-	// bad tells which tasks crash the workers that start them, crashed counts by task the
+	// crashesWorker tells which tasks crash the workers that start them, crashed counts by task the
 	// lives that ended so, late the starts after the third, and lives all that ended.
-	bad     func(flow.Name) bool
-	crashed map[flow.Name]int
-	late    map[flow.Name]int
-	lives   int
-	// away is by how much longer than usual a next life takes.
-	away time.Duration
-	// notes are what was told of jobs that were given up.
-	notes []sched.Note
+	crashesWorker     func(flow.Name) bool
+	crashed           map[flow.Name]int
+	lateStarts        map[flow.Name]int
+	endedIncarnations int
+	// restartExtra is by how much longer than usual a next life takes.
+	restartExtra time.Duration
+	// failedNotes are what was told of jobs that were given up.
+	failedNotes []sched.Note
 }
 
-type timed struct {
-	at    time.Time
-	order int
-	run   func()
+type timedEvent struct {
+	at  time.Time
+	seq int
+	run func()
 }
 
-func newBench(t *testing.T, workers int) *cellBench {
-	b := &cellBench{
+func newSimCell(t *testing.T, workers int) *simCell {
+	b := &simCell{
 		t: t, now: time.Unix(1_000_000, 0), term: 1, workers: map[string]*fakeWorker{}, stored: map[string][]byte{},
-		specs: map[string]flow.Spec{}, done: map[flow.Name]bool{}, cancelled: map[string]time.Time{}, starts: map[flow.Name]int{},
-		crashed: map[flow.Name]int{}, late: map[flow.Name]int{},
+		specs: map[string]flow.Spec{}, done: map[flow.Name]bool{}, cancelledAt: map[string]time.Time{}, starts: map[flow.Name]int{},
+		crashed: map[flow.Name]int{}, lateStarts: map[flow.Name]int{},
 		queues: []flow.Queue{{Name: "scan", Service: "pass", Rank: 0, Attempts: 3}, {Name: "print", Service: "pass", Rank: 2, Attempts: 4}},
 	}
 	limits := sched.DefaultLimits
-	limits.Disabled = off()
+	limits.Disabled = disabledMechanisms()
 	b.core = sched.New(limits, b.term, nil)
 	for i := range workers {
 		b.addWorker(fmt.Sprintf("w%02d", i), i)
@@ -105,8 +105,8 @@
 	return b
 }
 
-func (b *cellBench) addWorker(life string, i int) *fakeWorker {
-	w := &fakeWorker{b: b, slow: 1, runs: map[flow.Name]*fakeRun{}, tombs: map[flow.Name]int{}, info: sched.Worker{
+func (b *simCell) addWorker(life string, i int) *fakeWorker {
+	w := &fakeWorker{b: b, slowdown: 1, runs: map[flow.Name]*fakeRun{}, tombstones: map[flow.Name]int{}, info: sched.Worker{
 		Address: sched.Address{Incarnation: life, Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 80)},
 		Service: "pass", Domain: fmt.Sprintf("d%d", i%3), Rack: fmt.Sprintf("r%d", i%3), Size: cell.Size{CPU: 64_000, Mem: 256 << 30},
 	}}
@@ -114,9 +114,9 @@
 	return w
 }
 
-// off reads from POLLENCROFT_OFF which mechanisms the tests do without: each of them has
+// disabledMechanisms reads from POLLENCROFT_OFF which mechanisms the tests do without: each of them has
 // a test that fails then.
-func off() []sched.Mechanism {
+func disabledMechanisms() []sched.Mechanism {
 	var all []sched.Mechanism
 	for name := range strings.FieldsSeq(os.Getenv("POLLENCROFT_OFF")) {
 		all = append(all, sched.Mechanism(name))
@@ -125,7 +125,7 @@
 }
 
 // list tells the core all workers that live.
-func (b *cellBench) list() {
+func (b *simCell) list() {
 	var ev sched.Workers
 	for _, n := range slices.Sorted(maps.Keys(b.workers)) {
 		if w := b.workers[n]; !w.dead {
@@ -135,34 +135,34 @@
 	b.step(ev)
 }
 
-func (b *cellBench) after(d time.Duration, f func()) {
-	b.order++
-	heap.Push(&b.events, timed{at: b.now.Add(d), order: b.order, run: f})
+func (b *simCell) after(d time.Duration, f func()) {
+	b.seq++
+	heap.Push(&b.events, timedEvent{at: b.now.Add(d), seq: b.seq, run: f})
 }
 
-func (t timed) compare(o timed) int { return cmp.Or(t.at.Compare(o.at), t.order-o.order) }
+func (t timedEvent) compare(o timedEvent) int { return cmp.Or(t.at.Compare(o.at), t.seq-o.seq) }
 
-// agenda is what comes next, as a heap.
-type agenda []timed
+// eventHeap is what comes next, as a heap.
+type eventHeap []timedEvent
 
-func (a agenda) Len() int           { return len(a) }
-func (a agenda) Less(i, j int) bool { return a[i].compare(a[j]) < 0 }
-func (a agenda) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)        { *a = append(*a, x.(timed)) }
+func (a eventHeap) Len() int           { return len(a) }
+func (a eventHeap) Less(i, j int) bool { return a[i].compare(a[j]) < 0 }
+func (a eventHeap) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *eventHeap) Push(x any)        { *a = append(*a, x.(timedEvent)) }
 
-func (a *agenda) Pop() any {
+func (a *eventHeap) Pop() any {
 	last := len(*a) - 1
 	ev := (*a)[last]
-	(*a)[last] = timed{}
+	(*a)[last] = timedEvent{}
 	*a = (*a)[:last]
 	return ev
 }
 
-// hop is one way to a worker or to the store.
-const hop = 500 * time.Microsecond
+// networkDelay is one way to a worker or to the store.
+const networkDelay = 500 * time.Microsecond
 
-// play lets time pass.
-func (b *cellBench) play(d time.Duration) {
+// advance lets time pass.
+func (b *simCell) advance(d time.Duration) {
 	until := b.now.Add(d)
 	for {
 		next := b.core.Due()
@@ -191,29 +191,29 @@
 	b.now = until
 }
 
-func (b *cellBench) step(ev sched.Event) {
+func (b *simCell) step(ev sched.Event) {
 	term := b.term
 	began := time.Now()
 	placed := b.core.LastPass()
 	acts := b.core.Step(b.now, ev)
-	b.inCore += time.Since(began)
+	b.coreTime += time.Since(began)
 	if b.core.LastPass() != placed {
 		b.passes++
 		b.core.RecordPassDuration(b.passTook)
 	}
 	for _, a := range acts {
-		b.carry(term, a)
+		b.execute(term, a)
 	}
 }
 
-// tell feeds an answer to the core of the term that asked.
-func (b *cellBench) tell(term int64, ev sched.Event) {
+// deliver feeds an answer to the core of the term that asked.
+func (b *simCell) deliver(term int64, ev sched.Event) {
 	if term == b.term {
 		b.step(ev)
 	}
 }
 
-func (b *cellBench) carry(term int64, a sched.Action) {
+func (b *simCell) execute(term int64, a sched.Action) {
 	switch a := a.(type) {
 	case sched.Append:
 		took := 3 * time.Millisecond
@@ -223,70 +223,70 @@
 		b.after(took, func() { b.store(term, a) })
 	case sched.Hold:
 		b.holds++
-		b.after(hop, func() { b.workers[a.To.Incarnation].hold(term, a, b.now.Add(-hop)) })
+		b.after(networkDelay, func() { b.workers[a.To.Incarnation].hold(term, a, b.now.Add(-networkDelay)) })
 	case sched.Start:
-		sent := b.order
-		b.after(hop, func() { b.workers[a.To.Incarnation].start(term, a, sent) })
+		sent := b.seq
+		b.after(networkDelay, func() { b.workers[a.To.Incarnation].start(term, a, sent) })
 	case sched.Stop:
-		b.after(hop, func() { b.workers[a.To.Incarnation].stop(term, a) })
+		b.after(networkDelay, func() { b.workers[a.To.Incarnation].stop(term, a) })
 	case sched.Pace:
 		b.paces = append(b.paces, a)
 	case sched.QueryPolicy:
-		b.asks = append(b.asks, a)
+		b.queries = append(b.queries, a)
 		took := 30 * time.Millisecond
-		if b.policyTime != nil {
-			took = b.policyTime(a)
+		if b.queryTime != nil {
+			took = b.queryTime(a)
 		}
-		b.after(took, func() { b.advise(term, a) })
+		b.after(took, func() { b.answerQuery(term, a) })
 	case sched.StepDown:
 		b.deposed = true
 	case sched.StepWaited:
-		b.waited = append(b.waited, a)
+		b.stepWaits = append(b.stepWaits, a)
 	case sched.JobStarted:
-		b.begun = append(b.begun, a)
+		b.jobStarts = append(b.jobStarts, a)
 	case sched.Note:
-		b.keep(a)
+		b.recordNote(a)
 	}
 }
 
-// keep keeps what the core told of some decisions.
-func (b *cellBench) keep(a sched.Note) {
+// recordNote keeps what the core told of some decisions.
+func (b *simCell) recordNote(a sched.Note) {
 	switch a.What {
 	case "worker resized":
-		b.resized = append(b.resized, a)
+		b.resizeNotes = append(b.resizeNotes, a)
 	case "step waits":
-		b.long = append(b.long, a)
+		b.longWaits = append(b.longWaits, a)
 	case "given up":
-		b.notes = append(b.notes, a)
+		b.failedNotes = append(b.failedNotes, a)
 	}
 }
 
-func (b *cellBench) store(term int64, a sched.Append) {
+func (b *simCell) store(term int64, a sched.Append) {
 	if term != b.term {
 		return
 	}
-	if b.storeAway {
+	if b.storeDown {
 		b.after(100*time.Millisecond, func() { b.store(term, a) })
 		return
 	}
 	for _, c := range a.Changes {
-		b.stored[c.Key] = flow.Newer(b.stored[c.Key], c.Value)
+		b.stored[c.Key] = flow.NewerRecord(b.stored[c.Key], c.Value)
 	}
-	b.after(3*time.Millisecond, func() { b.tell(term, sched.Appended{Number: a.Number}) })
+	b.after(3*time.Millisecond, func() { b.deliver(term, sched.Appended{Number: a.Number}) })
 }
 
-func (b *cellBench) advise(term int64, a sched.QueryPolicy) {
+func (b *simCell) answerQuery(term int64, a sched.QueryPolicy) {
 	good := map[string]string{}
 	for _, w := range a.Workers {
-		if b.policy == nil || b.policy(a.Step, w) {
+		if b.allows == nil || b.allows(a.Step, w) {
 			good[w] = "ticket"
 		}
 	}
-	b.tell(term, sched.PolicyReply{Step: a.Step, Host: a.Host, Tickets: good})
+	b.deliver(term, sched.PolicyReply{Step: a.Step, Host: a.Host, Tickets: good})
 }
 
 // submit hands in a job of like steps, each after the one before.
-func (b *cellBench) submit(id, queue string, steps ...flow.Step) {
+func (b *simCell) submit(id, queue string, steps ...flow.Step) {
 	spec := flow.Spec{ID: id, Steps: steps}
 	for _, q := range b.queues {
 		if q.Name == queue {
@@ -304,7 +304,7 @@
 }
 
 // takeover ends the lead without a word; another begins from what is stored.
-func (b *cellBench) takeover() {
+func (b *simCell) takeover() {
 	b.term++
 	var jobs []*flow.Job
 	var fresh []flow.Spec
@@ -328,31 +328,31 @@
 	for _, s := range fresh {
 		b.step(sched.Submit{Spec: s})
 	}
-	for _, id := range b.cancels {
+	for _, id := range b.storedCancels {
 		b.step(sched.Cancel{ID: id})
 	}
 	b.list()
 }
 
 // cancel stores that a job is to stop and tells the lead.
-func (b *cellBench) cancel(id string) {
-	b.cancels = append(b.cancels, id)
-	b.cancelled[id] = b.now
+func (b *simCell) cancel(id string) {
+	b.storedCancels = append(b.storedCancels, id)
+	b.cancelledAt[id] = b.now
 	b.step(sched.Cancel{ID: id})
 }
 
-func (b *cellBench) wrong(format string, args ...any) {
-	b.wrongs = append(b.wrongs, fmt.Sprintf(format, args...))
+func (b *simCell) violation(format string, args ...any) {
+	b.violations = append(b.violations, fmt.Sprintf(format, args...))
 }
 
-func (b *cellBench) state(id string) flow.State {
+func (b *simCell) state(id string) flow.State {
 	s, ok := b.core.State(id)
 	require.True(b.t, ok, "job %s is known", id)
 	return s
 }
 
-// inOrder lists the workers by name.
-func (b *cellBench) inOrder() []*fakeWorker {
+// sortedWorkers lists the workers by name.
+func (b *simCell) sortedWorkers() []*fakeWorker {
 	var all []*fakeWorker
 	for _, n := range slices.Sorted(maps.Keys(b.workers)) {
 		all = append(all, b.workers[n])
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -19,8 +19,8 @@
 	rebornAfter = 1500 * time.Millisecond
 	// unlistedAfter is when a life that ended is listed no longer.
 	unlistedAfter = 1200 * time.Millisecond
-	// lateStarts is how often a task may start after the third life ended under it.
-	lateStarts = 2
+	// maxLateStarts is how often a task may start after the third life ended under it.
+	maxLateStarts = 2
 )
 
 // crash ends the worker's life if that run is still there.
@@ -35,13 +35,13 @@
 // die ends the worker's life; the next one is listed later, at another address.
 func (w *fakeWorker) die() {
 	b := w.b
-	b.lives++
+	b.endedIncarnations++
 	w.dead = true
 	w.runs = map[flow.Name]*fakeRun{}
-	n := b.lives
+	n := b.endedIncarnations
 	b.after(unlistedAfter, b.list)
-	b.after(rebornAfter+b.away, func() {
-		w.reborn = true
+	b.after(rebornAfter+b.restartExtra, func() {
+		w.replaced = true
 		next := b.addWorker(fmt.Sprintf("z%03d", n), 100+n%100)
 		next.info.Size, next.info.Domain, next.info.Rack = w.info.Size, w.info.Domain, w.info.Rack
 		b.list()
@@ -49,8 +49,8 @@
 }
 
 // badJobs makes all tasks of these jobs crash their workers.
-func (b *cellBench) badJobs(ids ...string) {
-	b.bad = func(n flow.Name) bool {
+func (b *simCell) badJobs(ids ...string) {
+	b.crashesWorker = func(n flow.Name) bool {
 		for _, id := range ids {
 			if n.Job == id {
 				return true
@@ -61,22 +61,22 @@
 }
 
 // requireGivenUp checks that a job ended as failed without many starts after the third crash.
-func (b *cellBench) requireGivenUp(id string) {
+func (b *simCell) requireGivenUp(id string) {
 	b.t.Helper()
 	require.Equal(b.t, flow.Failed, b.state(id))
 	b.requireFewLate()
 }
 
 // requireFewLate checks how often tasks started after the third life ended under them.
-func (b *cellBench) requireFewLate() {
+func (b *simCell) requireFewLate() {
 	b.t.Helper()
-	for n, late := range b.late {
-		require.LessOrEqual(b.t, late, lateStarts, "%s after three crashes", n)
+	for n, late := range b.lateStarts {
+		require.LessOrEqual(b.t, late, maxLateStarts, "%s after three crashes", n)
 	}
 }
 
 // submitTimed hands in a job that is timed.
-func (b *cellBench) submitTimed(id string, repeat flow.Repeat, step flow.Step) {
+func (b *simCell) submitTimed(id string, repeat flow.Repeat, step flow.Step) {
 	spec := flow.Spec{ID: id, Queue: b.queues[0], Steps: []flow.Step{step}, Repeat: repeat}
 	require.NoError(b.t, spec.Check())
 	b.specs[id] = spec
@@ -114,29 +114,29 @@
 	}
 	for _, k := range kinds {
 		t.Run(k.name, func(t *testing.T) {
-			b := newBench(t, 8)
+			b := newSimCell(t, 8)
 			b.copies = k.step().AllowCopies
 			b.badJobs("bad")
-			b.play(100 * time.Millisecond)
+			b.advance(100 * time.Millisecond)
 			b.submit("bad", "scan", k.step())
-			b.play(100 * time.Second)
+			b.advance(100 * time.Second)
 			b.requireGivenUp("bad")
-			require.Empty(t, b.wrongs)
-			require.LessOrEqual(t, b.lives, 9)
-			require.Len(t, b.notes, 1)
-			require.Contains(t, b.notes[0].Detail, "bad.0.0.")
+			require.Empty(t, b.violations)
+			require.LessOrEqual(t, b.endedIncarnations, 9)
+			require.Len(t, b.failedNotes, 1)
+			require.Contains(t, b.failedNotes[0].Detail, "bad.0.0.")
 		})
 	}
 }
 
 // One round after the other of a timed job crashes its workers.
 func TestATimedJobThatCrashesItsWorkersIsGivenUp(t *testing.T) {
-	b := newBench(t, 8)
+	b := newSimCell(t, 8)
 	b.badJobs("bad")
 	b.submitTimed("bad", flow.Repeat{Count: 30, First: b.now.Add(time.Second), Every: 3 * time.Second}, scan(1))
-	b.play(100 * time.Second)
+	b.advance(100 * time.Second)
 	b.requireGivenUp("bad")
-	require.LessOrEqual(t, b.lives, 9)
+	require.LessOrEqual(t, b.endedIncarnations, 9)
 }
 
 // Guards against each new lead starting a crashing task anew.
@@ -144,25 +144,25 @@
 	for _, copies := range []bool{false, true} {
 		for _, after := range []time.Duration{30 * time.Millisecond, 200 * time.Millisecond, time.Second, 2 * time.Second} {
 			t.Run(fmt.Sprintf("copies_%t_%s", copies, after), func(t *testing.T) {
-				b := newBench(t, 8)
+				b := newSimCell(t, 8)
 				b.copies = copies
 				b.badJobs("bad")
 				st := scan(1)
 				st.AllowCopies = copies
-				b.play(100 * time.Millisecond)
+				b.advance(100 * time.Millisecond)
 				b.submit("bad", "scan", st)
 				ended := 0
 				for range 3000 {
-					b.play(50 * time.Millisecond)
-					if b.lives > ended {
-						ended = b.lives
-						b.play(after)
+					b.advance(50 * time.Millisecond)
+					if b.endedIncarnations > ended {
+						ended = b.endedIncarnations
+						b.advance(after)
 						b.takeover()
 					}
 				}
 				b.requireGivenUp("bad")
-				require.LessOrEqual(t, b.lives, 5)
-				require.Empty(t, b.wrongs)
+				require.LessOrEqual(t, b.endedIncarnations, 5)
+				require.Empty(t, b.violations)
 			})
 		}
 	}
@@ -172,10 +172,10 @@
 func TestGoodJobsEndBesideTasksThatCrashWorkers(t *testing.T) {
 	for _, copies := range []bool{false, true} {
 		t.Run(fmt.Sprintf("copies_%t", copies), func(t *testing.T) {
-			b := newBench(t, 8)
+			b := newSimCell(t, 8)
 			b.copies = copies
 			b.badJobs("bad0", "bad1")
-			b.play(100 * time.Millisecond)
+			b.advance(100 * time.Millisecond)
 			bad := scan(3)
 			bad.AllowCopies = copies
 			b.submit("bad0", "scan", bad)
@@ -184,66 +184,66 @@
 				st := scan(6)
 				st.AllowCopies = copies && i%2 == 0
 				b.submit(fmt.Sprintf("good%02d", i), "scan", st, scan(2))
-				b.play(150 * time.Millisecond)
+				b.advance(150 * time.Millisecond)
 			}
-			b.play(120 * time.Second)
+			b.advance(120 * time.Second)
 			b.requireGivenUp("bad0")
 			b.requireGivenUp("bad1")
 			for i := range 20 {
 				require.Equal(t, flow.Completed, b.state(fmt.Sprintf("good%02d", i)), "good%02d", i)
 			}
-			require.LessOrEqual(t, b.lives, 18)
-			require.Empty(t, b.wrongs)
+			require.LessOrEqual(t, b.endedIncarnations, 18)
+			require.Empty(t, b.violations)
 		})
 	}
 }
 
 // Guards against starts of a crashing task that the next lead does not know of.
 func TestNoStartIsMadeBeforeACrashIsStored(t *testing.T) {
-	b := newBench(t, 8)
+	b := newSimCell(t, 8)
 	b.copies = true
 	b.badJobs("bad")
-	b.play(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	st := scan(1)
 	st.AllowCopies = true
-	b.storeAway = true
+	b.storeDown = true
 	b.submit("bad", "scan", st)
-	b.play(20 * time.Second)
+	b.advance(20 * time.Second)
 	require.Equal(t, 1, total(b.starts))
-	b.storeAway = false
+	b.storeDown = false
 	b.storeTime = func() time.Duration { return 600 * time.Millisecond }
-	b.play(100 * time.Second)
+	b.advance(100 * time.Second)
 	b.requireGivenUp("bad")
 }
 
 // The answer to a start is lost because the task ended the life of its worker at once.
 func TestAStartWithoutAnAnswerCountsWhenItsWorkerCrashed(t *testing.T) {
-	b := newBench(t, 8)
+	b := newSimCell(t, 8)
 	b.badJobs("bad")
-	b.play(100 * time.Millisecond)
-	for _, w := range b.inOrder() {
-		w.lateStart = time.Millisecond
+	b.advance(100 * time.Millisecond)
+	for _, w := range b.sortedWorkers() {
+		w.startDelay = time.Millisecond
 	}
 	b.submit("bad", "scan", scan(1))
-	b.play(100 * time.Second)
+	b.advance(100 * time.Second)
 	b.requireGivenUp("bad")
 }
 
 // A lasting task runs for long between two crashes of its workers that it did not cause.
 func TestALastingTaskThatWorksIsNotGivenUp(t *testing.T) {
-	b := newBench(t, 4)
+	b := newSimCell(t, 4)
 	st := scan(1)
 	st.LongRunning = true
 	b.submit("watch", "scan", st)
 	for range 6 {
-		b.play(20 * time.Second)
-		for _, w := range b.inOrder() {
+		b.advance(20 * time.Second)
+		for _, w := range b.sortedWorkers() {
 			if !w.dead && len(w.runs) > 0 {
 				w.die()
 			}
 		}
 	}
-	b.play(20 * time.Second)
+	b.advance(20 * time.Second)
 	require.Equal(t, flow.Active, b.state("watch"))
 }
 
@@ -251,93 +251,93 @@
 func TestWorkersThatLiveOnCountAgainstNoTask(t *testing.T) {
 	for _, copies := range []bool{false, true} {
 		t.Run(fmt.Sprintf("copies_%t", copies), func(t *testing.T) {
-			b := newBench(t, 12)
+			b := newSimCell(t, 12)
 			b.copies = copies
 			st := scan(1)
 			st.AllowCopies, st.EstimatedTime = copies, 200*time.Second
 			b.submit("long", "scan", st)
 			for i := range 8 {
-				b.play(2 * time.Second)
-				for _, w := range b.inOrder() {
+				b.advance(2 * time.Second)
+				for _, w := range b.sortedWorkers() {
 					if len(w.runs) == 0 || w.silent || w.dead || w.info.Draining {
 						continue
 					}
 					if i%4 == 3 {
 						w.info.Draining, w.info.Remaining = true, time.Second
 						b.list()
-						b.play(time.Second)
-						w.dead, w.reborn, w.runs = true, true, map[flow.Name]*fakeRun{}
+						b.advance(time.Second)
+						w.dead, w.replaced, w.runs = true, true, map[flow.Name]*fakeRun{}
 						b.addWorker(fmt.Sprintf("y%02d", i), 80+i)
 						b.list()
 						break
 					}
 					w.silent = true
-					b.play(12 * time.Second)
+					b.advance(12 * time.Second)
 					w.silent = false
-					b.play(time.Second)
+					b.advance(time.Second)
 					// The next run begins on another worker.
 					w.info.Draining, w.info.Remaining = true, time.Minute
 					b.list()
 					break
 				}
 			}
-			b.play(250 * time.Second)
+			b.advance(250 * time.Second)
 			require.Equal(t, flow.Completed, b.state("long"))
-			require.Empty(t, b.notes)
+			require.Empty(t, b.failedNotes)
 		})
 	}
 }
 
 // Guards against a job given up because racks lose power under it.
 func TestARackThatLosesItsPowerCountsAgainstNoTask(t *testing.T) {
-	b := newBench(t, 12)
+	b := newSimCell(t, 12)
 	st := bulk(4)
 	st.EstimatedTime = 12 * time.Second
 	b.submit("job", "print", st)
 	for i := range 5 {
-		b.play(4 * time.Second)
+		b.advance(4 * time.Second)
 		rack := fmt.Sprintf("r%d", i%3)
-		for _, w := range b.inOrder() {
+		for _, w := range b.sortedWorkers() {
 			if len(w.runs) > 0 && !w.dead {
 				rack = w.info.Rack
 			}
 		}
-		for _, w := range b.inOrder() {
+		for _, w := range b.sortedWorkers() {
 			if w.info.Rack == rack && !w.dead {
 				w.die()
 			}
 		}
 	}
-	b.play(60 * time.Second)
+	b.advance(60 * time.Second)
 	require.Equal(t, flow.Completed, b.state("job"))
-	require.Empty(t, b.notes)
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.failedNotes)
+	require.Empty(t, b.violations)
 }
 
 // Guards against copies that wait for a verdict on a life that nobody asks any more.
 func TestALifeThatIsListedNoLongerIsAskedWhetherItEnded(t *testing.T) {
-	b := newBench(t, 8)
-	b.copies, b.away = true, 3*time.Second
+	b := newSimCell(t, 8)
+	b.copies, b.restartExtra = true, 3*time.Second
 	b.badJobs("bad")
 	st := scan(1)
 	st.AllowCopies = true
-	b.play(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	b.submit("bad", "scan", st)
-	b.play(15 * time.Second)
+	b.advance(15 * time.Second)
 	b.requireGivenUp("bad")
-	require.Equal(t, 3, b.lives)
+	require.Equal(t, 3, b.endedIncarnations)
 }
 
 // Guards against a job given up for starts that found a life which had ended before.
 func TestAStartThatFindsAnotherLifeCountsAgainstNoTask(t *testing.T) {
-	b := newBench(t, 6)
-	b.play(100 * time.Millisecond)
-	for _, w := range b.inOrder()[:5] {
-		w.dead, w.reborn = true, true
+	b := newSimCell(t, 6)
+	b.advance(100 * time.Millisecond)
+	for _, w := range b.sortedWorkers()[:5] {
+		w.dead, w.replaced = true, true
 	}
 	b.submit("job", "scan", scan(1))
-	b.play(10 * time.Second)
+	b.advance(10 * time.Second)
 	require.Equal(t, flow.Completed, b.state("job"))
 	require.Equal(t, 1, total(b.starts))
-	require.Empty(t, b.notes)
+	require.Empty(t, b.failedNotes)
 }
--- a/internal/sched/gpu_test.go
+++ b/internal/sched/gpu_test.go
@@ -17,8 +17,8 @@
 // service has to allow: render, of gangs that want up to a whole worker for each member,
 // and size, of single GPUs, which is less urgent. Costs of questions and shares of allowed
 // workers are those of an inspection firm's sheet.
-func gpuBench(t *testing.T, workers int) *cellBench {
-	b := newBench(t, 0)
+func gpuBench(t *testing.T, workers int) *simCell {
+	b := newSimCell(t, 0)
 	for i := range workers {
 		w := b.addWorker(fmt.Sprintf("w%02d", i), i)
 		w.info.Size = cell.Size{CPU: 128_000, Mem: 512 << 30, Accel: 8}
@@ -35,7 +35,7 @@
 		},
 	}
 	b.step(sched.Queues{Version: 2, All: b.queues})
-	b.policyTime = func(a sched.QueryPolicy) time.Duration {
+	b.queryTime = func(a sched.QueryPolicy) time.Duration {
 		return b.specs[jobOf(a.Step)].Queue.Advice.Cost(len(a.Workers))
 	}
 	return b
@@ -57,7 +57,7 @@
 func TestStepsThatCannotStartDoNotHideOthers(t *testing.T) {
 	b := gpuBench(t, 8)
 	gangs := map[string]bool{}
-	b.policy = func(step, worker string) bool {
+	b.allows = func(step, worker string) bool {
 		if gangs[step] {
 			return worker == "w00"
 		}
@@ -69,9 +69,9 @@
 		b.submit(id, "render", render(2, 8))
 	}
 	b.submit("size", "size", size(8))
-	b.play(18 * time.Second) // what a caller of size is promised
+	b.advance(18 * time.Second) // what a caller of size is promised
 	require.Equal(t, flow.Completed, b.state("size"))
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 }
 
 // A question about a gang takes the policy service half a second whatever it names. Asked
@@ -80,12 +80,12 @@
 // for each step tells all there is to know.
 func TestAQuestionLearnsOfAllWorkersWhileThatIsCheap(t *testing.T) {
 	b := gpuBench(t, 8)
-	b.policy = func(_, worker string) bool { return worker == "w00" }
+	b.allows = func(_, worker string) bool { return worker == "w00" }
 	for i := range 6 {
 		b.submit(fmt.Sprintf("gang%02d", i), "render", render(2, 8))
 	}
-	b.play(10 * time.Second)
-	require.Len(t, b.asks, 6)
+	b.advance(10 * time.Second)
+	require.Len(t, b.queries, 6)
 }
 
 // Gangs that take a whole worker each wait for the only one, and the policy service takes
@@ -98,7 +98,7 @@
 		b.submit(fmt.Sprintf("gang%d", i), "render", render(1, 8))
 	}
 	question := b.queues[0].Advice.Cost(1)
-	b.play(gangs*render(1, 8).EstimatedTime + 2*question)
+	b.advance(gangs*render(1, 8).EstimatedTime + 2*question)
 	for i := range gangs {
 		require.Equal(t, flow.Completed, b.state(fmt.Sprintf("gang%d", i)))
 	}
@@ -114,8 +114,8 @@
 	for i := range 12 {
 		b.submit(fmt.Sprintf("gang%02d", i), "render", render(1, 4))
 	}
-	b.play(100 * time.Millisecond)
-	require.Len(t, b.asks, 8)
+	b.advance(100 * time.Millisecond)
+	require.Len(t, b.queries, 8)
 
 	b = gpuBench(t, 13)
 	b.queues = append(b.queues, flow.Queue{
@@ -132,10 +132,10 @@
 		id := fmt.Sprintf("scan%02d", i)
 		b.submit(id, "scan", scan(1))
 		began[id] = b.now
-		b.play(20 * time.Millisecond)
+		b.advance(20 * time.Millisecond)
 	}
 	// The question, the append, the work and its end.
-	b.play(1200 * time.Millisecond)
+	b.advance(1200 * time.Millisecond)
 	for id := range began {
 		require.Equal(t, flow.Completed, b.state(id), id)
 	}
@@ -153,12 +153,12 @@
 // that comes then. It returns how long that one took.
 func flood(t *testing.T, single flow.Step) time.Duration {
 	b := gpuBench(t, 2)
-	b.policy = func(step, worker string) bool { return step != "wide.0.0" || worker == "w00" }
+	b.allows = func(step, worker string) bool { return step != "wide.0.0" || worker == "w00" }
 	n := 0
 	more := func() {
 		b.submit(fmt.Sprintf("size%03d", n), "size", single)
 		n++
-		b.play(200 * time.Millisecond)
+		b.advance(200 * time.Millisecond)
 	}
 	for range 20 {
 		more()
@@ -168,7 +168,7 @@
 	for b.state("wide") != flow.Completed && b.now.Sub(began) < time.Minute {
 		more()
 	}
-	require.Empty(t, b.wrongs)
+	require.Empty(t, b.violations)
 	return b.now.Sub(began)
 }
 
@@ -202,23 +202,23 @@
 	long := wide()
 	long.EstimatedTime, long.Checkpoints = 8*time.Second, false
 	b.submit("first", "render", long)
-	b.play(time.Second)
-	require.Len(t, b.waited, 1)
+	b.advance(time.Second)
+	require.Len(t, b.stepWaits, 1)
 	question := b.queues[0].Advice.Cost(1)
-	require.InDelta(t, question.Seconds(), b.waited[0].Times[sched.WaitForPolicy].Seconds(), 0.05)
-	require.Zero(t, b.waited[0].Times[sched.WaitForCapacity])
+	require.InDelta(t, question.Seconds(), b.stepWaits[0].Times[sched.WaitForPolicy].Seconds(), 0.05)
+	require.Zero(t, b.stepWaits[0].Times[sched.WaitForCapacity])
 
 	b.submit("second", "render", wide())
-	b.play(6 * time.Second)
-	require.Len(t, b.long, 1)
-	require.Equal(t, "second.0.0", b.long[0].ID)
-	require.Contains(t, b.long[0].Detail, "room 3")
-	b.play(4 * time.Second)
-	require.Len(t, b.waited, 2)
+	b.advance(6 * time.Second)
+	require.Len(t, b.longWaits, 1)
+	require.Equal(t, "second.0.0", b.longWaits[0].ID)
+	require.Contains(t, b.longWaits[0].Detail, "room 3")
+	b.advance(4 * time.Second)
+	require.Len(t, b.stepWaits, 2)
 	// The rest of eight seconds, of which the questions for tickets take a part.
-	require.InDelta(t, 7.55, b.waited[1].Times.Total().Seconds(), 0.1)
-	require.Greater(t, b.waited[1].Times[sched.WaitForCapacity], b.waited[1].Times[sched.WaitForPolicy])
-	require.Equal(t, 1, b.waited[1].Rank)
-	require.Len(t, b.begun, 2)
-	require.InDelta(t, 7.6, b.begun[1].After.Seconds(), 0.1)
+	require.InDelta(t, 7.55, b.stepWaits[1].Times.Total().Seconds(), 0.1)
+	require.Greater(t, b.stepWaits[1].Times[sched.WaitForCapacity], b.stepWaits[1].Times[sched.WaitForPolicy])
+	require.Equal(t, 1, b.stepWaits[1].Rank)
+	require.Len(t, b.jobStarts, 2)
+	require.InDelta(t, 7.6, b.jobStarts[1].After.Seconds(), 0.1)
 }
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -34,7 +34,7 @@
 		q := s.queue(j)
 		for _, r := range j.Rounds {
 			for _, st := range r.Stages {
-				if st.Over() || !r.Ready(st) {
+				if st.Finished() || !r.Ready(st) {
 					continue
 				}
 				if tasks := startableTasks(st); len(tasks) > 0 {
@@ -267,7 +267,7 @@
 func (s *Sched) cost(r readyStep, w *worker) float64 {
 	st := r.stage.Spec
 	left := w.free().Sub(st.Demand())
-	c := left.Share(cell.Size{CPU: w.Size.CPU, Mem: w.Size.Mem, Accel: max(w.Size.Accel, 1)})
+	c := left.DominantShare(cell.Size{CPU: w.Size.CPU, Mem: w.Size.Mem, Accel: max(w.Size.Accel, 1)})
 	if st.NearRack != "" && w.Rack != st.NearRack {
 		c += farCost
 	}
--- a/internal/sched/yield.go
+++ b/internal/sched/yield.go
@@ -50,7 +50,7 @@
 			return
 		}
 		for _, t := range victims {
-			t.Yields++
+			t.Preemptions++
 			s.stopRun(t, "gives way to "+r.stage.Tasks[0].Name.StepName())
 		}
 		w.reserved = w.reserved.Add(room)
@@ -64,7 +64,7 @@
 	var best *worker
 	var least []*flow.Task
 	for _, w := range s.allowedWorkers(r, p) {
-		if r.stage.Spec.Demand().Share(w.Size) < wideShare {
+		if r.stage.Spec.Demand().DominantShare(w.Size) < wideShare {
 			continue
 		}
 		if _, ok := s.ticket(r.tasks[0], w); !ok || !s.suits(r, r.tasks[0], w) {
@@ -106,12 +106,12 @@
 func (s *Sched) preemptible(t *flow.Task, r readyStep) bool {
 	st := t.Spec()
 	q := s.queue(t.Job)
-	if t.State != flow.Running || !st.Checkpoints || st.Gang || st.LongRunning || st.BestEffort || q.Rank <= r.queue.Rank || t.Yields >= maxPreemptions {
+	if t.State != flow.Running || !st.Checkpoints || st.Gang || st.LongRunning || st.BestEffort || q.Rank <= r.queue.Rank || t.Preemptions >= maxPreemptions {
 		return false
 	}
 	round, ok := t.Job.Rounds[t.Name.Round]
 	if !ok {
 		return false
 	}
-	return s.waitedSince(t.Job, round)+preemptionCost+t.Job.Left(t.Step) <= t.Job.Objective(q)
+	return s.waitedSince(t.Job, round)+preemptionCost+t.Job.RemainingTime(t.Step) <= t.Job.Objective(q)
 }
--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -116,23 +116,23 @@
 	return t
 }
 
-// Good is when the store answered this host last, on whichever way.
-func (r *Routed) Good() time.Time {
+// LastAnswer is when the store answered this host last, on whichever way.
+func (r *Routed) LastAnswer() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.good
 }
 
-// Usual is about how long the store's answers took lately, the longest counting most.
-func (r *Routed) Usual() time.Duration {
+// RecentLatency is about how long the store's answers took lately, the longest counting most.
+func (r *Routed) RecentLatency() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.answers
 }
 
-// Fresh tells whether the store answered this host within d, or within what its
+// AnsweredWithin tells whether the store answered this host within d, or within what its
 // answers take of late if that is longer.
-func (r *Routed) Fresh(d time.Duration) bool {
+func (r *Routed) AnsweredWithin(d time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.now().Sub(r.good) < max(d, slower*r.answers+d/2)
@@ -170,15 +170,15 @@
 	ctx, cancel := context.WithTimeout(ctx, c.Wait+r.overdue())
 	defer cancel()
 	a, err := r.try(ctx, c)
-	return result{a, err}, !Away(err) || ctx.Err() == nil
+	return result{a, err}, !IsUnavailable(err) || ctx.Err() == nil
 }
 
-// Worse joins the failures of two tries: only if both refused was nothing done.
-func Worse(a, b error) error {
+// CombineErrors joins the failures of two tries: only if both refused was nothing done.
+func CombineErrors(a, b error) error {
 	switch {
 	case b == nil:
 		return nil
-	case a == nil || NotDone(a) && NotDone(b) || !Away(b):
+	case a == nil || NotDone(a) && NotDone(b) || !IsUnavailable(b):
 		return b
 	case NotDone(b):
 		return a
@@ -205,7 +205,7 @@
 func (r *Routed) remember(p string, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !Away(err) {
+	if !IsUnavailable(err) {
 		r.served = p
 		delete(r.away, p)
 		return
@@ -221,7 +221,7 @@
 	defer cancel()
 	a, err := r.relay.Do(ctx, p, c)
 	r.remember(p, err)
-	if !Away(err) {
+	if !IsUnavailable(err) {
 		r.mu.Lock()
 		r.good = r.now()
 		r.mu.Unlock()
@@ -307,7 +307,7 @@
 	for {
 		began, revival := r.now(), r.revival()
 		call := c
-		call.Anew = r.isSilent(c)
+		call.NewConn = r.isSilent(c)
 		attempt, cancel := context.WithCancel(ctx)
 		done := make(chan result, 1)
 		go func() {
@@ -348,12 +348,12 @@
 	now := r.now()
 	r.mu.Lock()
 	t := r.target(c)
-	if Away(err) && t.good.After(began) {
+	if IsUnavailable(err) && t.good.After(began) {
 		r.mu.Unlock()
 		return
 	}
 	was := t.suspect
-	r.failed = Away(err)
+	r.failed = IsUnavailable(err)
 	switch {
 	case !r.failed:
 		if now.Sub(r.directly) > max(cutAfter, slower*r.answers) {
@@ -378,8 +378,8 @@
 	}
 }
 
-// Away tells whether the store did not serve this host at all.
-func Away(err error) bool {
+// IsUnavailable tells whether the store did not serve this host at all.
+func IsUnavailable(err error) bool {
 	var unanswered *UnansweredError
 	return NotDone(err) || errors.As(err, &unanswered)
 }
--- a/internal/trail/trail_test.go
+++ b/internal/trail/trail_test.go
@@ -11,7 +11,7 @@
 )
 
 func note(at int, id string) trail.Note {
-	return trail.Note{At: time.Unix(int64(at), 0), ID: id, Part: "lead", What: fmt.Sprint("note ", at)}
+	return trail.Note{At: time.Unix(int64(at), 0), ID: id, Component: "lead", What: fmt.Sprint("note ", at)}
 }
 
 // A job changes its lead, and the answer to the hand-over is lost, so that it
@@ -24,10 +24,10 @@
 	}
 	heir.Add(note(30, "j"))
 	for range 2 {
-		heir.Merge(old.Brief("j", 4))
+		heir.Merge(old.Excerpt("j", 4))
 	}
 	var got []string
-	for _, n := range heir.Of("j") {
+	for _, n := range heir.ByID("j") {
 		got = append(got, n.What)
 	}
 	require.Equal(t, []string{"note 0", "note 17", "note 18", "note 19", "note 30"}, got)
@@ -38,7 +38,7 @@
 	for i := range 5 {
 		tr.Add(note(i, "j"))
 	}
-	require.Len(t, tr.Of("j"), 3)
-	require.Equal(t, "note 2", tr.Of("j")[0].What)
-	require.Empty(t, tr.Of("other"))
+	require.Len(t, tr.ByID("j"), 3)
+	require.Equal(t, "note 2", tr.ByID("j")[0].What)
+	require.Empty(t, tr.ByID("other"))
 }
