--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -35,14 +35,14 @@
 func (h *Host) handleMessage(ctx context.Context, m peer.Message) (any, error) {
 	h.incCounter("peer." + peer.Kind(m))
 	switch m := m.(type) {
-	case peer.Hand:
+	case peer.ForwardRecords:
 		h.mu.Lock()
 		t := h.ownTerm
 		h.mu.Unlock()
 		if t != nil {
 			t.acceptRecords(m.Part, m.First, m.Records)
 		}
-		return peer.HandReply{Taken: t != nil}, nil
+		return peer.ForwardReply{Accepted: t != nil}, nil
 	case peer.AskState:
 		return h.localState(m.ID), nil
 	case peer.Sync:
@@ -52,10 +52,10 @@
 		ctx, cancel := context.WithTimeout(ctx, m.Within.Duration)
 		defer cancel()
 		good, err := h.askPolicy(ctx, m.Step, m.Workers)
-		return peer.AdviseReply{Good: good}, err
+		return peer.AdviseReply{Tickets: good}, err
 	case peer.StoreCall:
 		return encodeStoreReply(h.store.Direct(ctx, m.Call)), nil
-	case peer.Succeed:
+	case peer.AnnounceSuccessor:
 		h.handleSucceed(m)
 		return nil, nil
 	default:
@@ -122,7 +122,7 @@
 	}
 	claiming, leaving, successor, enough, follows := h.claiming, h.leaving, h.successor, h.minStrongPower(), h.leader
 	h.mu.Unlock()
-	served := h.store.Fresh(leaderFreshness)
+	served := h.store.AnsweredWithin(leaderFreshness)
 	if t == nil || !served {
 		return peer.SyncReply{Leading: t != nil, Claiming: claiming, Leaving: leaving, Served: served, Successor: successor, Follows: follows}
 	}
@@ -136,8 +136,8 @@
 		ended[string(state)] = ids
 	}
 	return peer.SyncReply{
-		Ended: ended, Endings: next, Leading: true, Lead: true, Leaving: leaving, Served: true, Heir: h.chooseStandby(), Follows: follows,
-		Enough: enough, Term: t.number, Pending: pending, Hosts: hosts,
+		Ended: ended, Endings: next, Leading: true, Lead: true, Leaving: leaving, Served: true, Standby: h.chooseStandby(), Follows: follows,
+		EnoughPower: enough, Term: t.number, Pending: pending, Hosts: hosts,
 	}
 }
 
@@ -151,7 +151,7 @@
 func (r relay) Do(ctx context.Context, name string, c store.Call) (store.Answer, error) {
 	var got peer.StoreReply
 	err := r.h.peers.Ask(ctx, name, peer.StoreCall{Call: c}, &got)
-	var unreached *peer.UnreachedError
+	var unreached *peer.UnreachableError
 	switch {
 	case errors.As(err, &unreached):
 		return store.Answer{}, &store.RefusedError{Op: c.Op, Reason: err.Error()}
@@ -179,7 +179,7 @@
 	r.Reason = err.Error()
 	var unsure *store.UnansweredError
 	var fenced *store.FencedError
-	var moved *store.MovedError
+	var moved *store.EndMismatchError
 	var trimmed *store.TrimmedError
 	switch {
 	case store.NotDone(err):
@@ -207,13 +207,13 @@
 	case failFenced:
 		return &store.FencedError{Epoch: r.Number}
 	case failMoved:
-		return &store.MovedError{End: r.Number}
+		return &store.EndMismatchError{End: r.Number}
 	case failTrimmed:
 		return &store.TrimmedError{First: r.Number}
 	case failOther:
-		return &store.BadError{Op: c.Op, Reason: r.Reason}
+		return &store.InvalidError{Op: c.Op, Reason: r.Reason}
 	default:
-		return &store.UnansweredError{Op: c.Op, Cause: &store.BadError{Op: c.Op, Reason: r.Reason}}
+		return &store.UnansweredError{Op: c.Op, Cause: &store.InvalidError{Op: c.Op, Reason: r.Reason}}
 	}
 }
 
@@ -234,7 +234,7 @@
 	m := peer.Advise{Step: a.Step, Workers: a.Workers}
 	m.Within.Duration = a.Timeout
 	err := h.peers.Ask(ctx, a.Host, m, &r)
-	return h.policyResult(a, r.Good, err)
+	return h.policyResult(a, r.Tickets, err)
 }
 
 func (h *Host) policyResult(a sched.QueryPolicy, good map[string]string, err error) sched.PolicyReply {
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -27,7 +27,7 @@
 // records as they arrive.
 func (h *Host) follow(topic string, read func([]store.Record)) {
 	for h.ctx.Err() == nil {
-		all, from, err := store.Table(h.ctx, h.store, topic, 0)
+		all, from, err := store.ReadLatest(h.ctx, h.store, topic, 0)
 		h.trackReadFailure(topic, from, err)
 		if err != nil {
 			sleep(h.ctx, followRetry)
@@ -173,7 +173,7 @@
 	t := h.ownTerm
 	h.mu.Unlock()
 	if l.Name != h.cfg.Name && l.Addr.IsValid() {
-		h.peers.Set(l.Name, l.Addr)
+		h.peers.SetAddr(l.Name, l.Addr)
 	}
 	h.log.Info("lead: new term announced.", "host", l.Name, "term", l.Term)
 	if l.Name != h.cfg.Name {
--- a/internal/entry/orders_test.go
+++ b/internal/entry/orders_test.go
@@ -13,7 +13,7 @@
 // detected after a quarter of the longest timeout; otherwise a job with 16 tasks would be late.
 // When the leader itself is short of CPU time, all answers take longer, and the leader must not
 // take that for lost answers.
-func TestPatienceFollowsTheAnswers(t *testing.T) {
+func TestOrderTimeoutFollowsResponseTimes(t *testing.T) {
 	now := time.Unix(1000, 0)
 	o := entry.NewResponseTimes()
 	require.Equal(t, 120*time.Millisecond, o.Timeout("w", now))
@@ -29,7 +29,7 @@
 
 // A worker that is slow itself gets a longer timeout, and no other worker does. Otherwise the
 // runs that it starts would be stopped just as they begin.
-func TestASlowWorkerIsGivenMoreTime(t *testing.T) {
+func TestSlowWorkerGetsALongerTimeout(t *testing.T) {
 	now := time.Unix(1000, 0)
 	o := entry.NewResponseTimes()
 	o.Record("slow", 300*time.Millisecond, now)
--- a/internal/entry/question.go
+++ b/internal/entry/question.go
@@ -119,7 +119,7 @@
 // isExhausted reports whether no further answer is to be expected. A host that gets no answer
 // from the store while the leader is late is cut off.
 func (q *stateQuery) isExhausted() bool {
-	return q.storeErr != nil && (q.unanswered == 0 || !q.h.store.Fresh(storeFreshness))
+	return q.storeErr != nil && (q.unanswered == 0 || !q.h.store.AnsweredWithin(storeFreshness))
 }
 
 func (q *stateQuery) unavailable() stateAnswer {
--- a/internal/entry/states_test.go
+++ b/internal/entry/states_test.go
@@ -61,7 +61,7 @@
 const completedReply = `200 {"state":"completed"}`
 
 // Guards against ended jobs that no host reports while there is no leader.
-func TestEndedJobsAreToldWhileNoHostLeads(t *testing.T) {
+func TestEndedJobsAreReportedWhileNoHostLeads(t *testing.T) {
 	const jobs = 120
 	c := newCluster(t, 3, 4, 20*time.Millisecond)
 	c.submitMany(c.follower(), 0, jobs)
@@ -93,7 +93,7 @@
 
 // Guards against ended jobs that hosts do not report while they reach neither the leader nor the
 // store.
-func TestEndedJobsAreToldBehindACut(t *testing.T) {
+func TestEndedJobsAreReportedByIsolatedHosts(t *testing.T) {
 	const jobs = 30
 	c := newCluster(t, 3, 4, 20*time.Millisecond)
 	c.submitMany(c.leader(), 0, jobs)
@@ -115,7 +115,7 @@
 }
 
 // Guards against a job that only the host that accepted it reports while there is no leader.
-func TestAJobAcceptedWhileNoHostLeadsIsToldByAll(t *testing.T) {
+func TestJobAcceptedWithoutLeaderIsReportedByAll(t *testing.T) {
 	c := newCluster(t, 3, 1, 20*time.Millisecond)
 	c.withoutLeader()
 	f := c.follower()
@@ -129,7 +129,7 @@
 
 // Guards against hosts that report no job states while the leader is reachable and does not
 // answer.
-func TestStatesAreToldWhileTheLeadDoesNotAnswer(t *testing.T) {
+func TestStatesAreReportedWhileTheLeaderDoesNotAnswer(t *testing.T) {
 	c := newCluster(t, 3, 4, 20*time.Millisecond)
 	c.submitMany(c.follower(), 0, 20)
 	c.waitCompleted(c.leader(), 20)
@@ -142,7 +142,7 @@
 }
 
 // Guards against queries that hang on a connection that the leader's host does not read from.
-func TestStatesAreToldWhileTheLeadReadsNothing(t *testing.T) {
+func TestStatesAreReportedWhileTheLeaderReadsNothing(t *testing.T) {
 	c := newCluster(t, 2, 4, 20*time.Millisecond)
 	c.submitMany(c.leader(), 0, 20)
 	c.waitCompleted(c.leader(), 20)
@@ -155,7 +155,7 @@
 }
 
 // Guards against a state that is guessed from an incomplete read of the store.
-func TestNoStateIsGuessedFromAPartOfTheStore(t *testing.T) {
+func TestNoStateIsGuessedFromAnIncompleteRead(t *testing.T) {
 	c := newCluster(t, 3, 1, time.Minute)
 	f := c.follower()
 	c.submitMany(f, 0, 2)
@@ -173,7 +173,7 @@
 }
 
 // Guards against a job that is reported as missing by a leader that reads it while it is asked.
-func TestALeadThatReadsMeanwhileTellsNoJobAsMissing(t *testing.T) {
+func TestLeaderThatPollsMeanwhileReportsNoJobAsMissing(t *testing.T) {
 	c := newCluster(t, 1, 1, time.Minute)
 	h := c.leader()
 	c.log.BreakReads("jobs", users.Busy)
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -25,9 +25,9 @@
 	for i := range 20 {
 		id := fmt.Sprint(i)
 		for range 3 {
-			e.Seen(id, "r", declared, share(f))
+			e.RecordUse(id, "r", declared, share(f))
 		}
-		e.Drop(id)
+		e.Forget(id)
 	}
 	return e
 }
@@ -50,13 +50,13 @@
 // at once, and the reports that lag must not take the room away.
 func TestRoomIsNeverBelowWhatIsSeen(t *testing.T) {
 	e := measured(0.5)
-	_, known := e.Seen("x", "r", declared, cell.Size{})
+	_, known := e.RecordUse("x", "r", declared, cell.Size{})
 	require.False(t, known, "a report that lags says nothing")
-	room, _ := e.Seen("x", "r", declared, share(2.5))
+	room, _ := e.RecordUse("x", "r", declared, share(2.5))
 	require.Equal(t, share(2.5).CPU, room.CPU)
-	room, _ = e.Seen("x", "r", declared, share(0.2))
+	room, _ = e.RecordUse("x", "r", declared, share(0.2))
 	require.Equal(t, share(2.5).Mem, room.Mem)
-	e.Drop("x")
+	e.Forget("x")
 	require.GreaterOrEqual(t, e.Size("r", declared).CPU, share(2.5).CPU, "the row's estimate follows")
 }
 
@@ -64,7 +64,7 @@
 	e := estimate.New()
 	require.Equal(t, 2*time.Minute, e.Time("r", time.Minute))
 	for range 10 {
-		e.Ran("r", time.Minute, 5*time.Minute)
+		e.RecordTime("r", time.Minute, 5*time.Minute)
 	}
 	require.InDelta(t, 300, e.Time("r", time.Minute).Seconds(), 5)
 }
@@ -75,8 +75,8 @@
 	e := measured(3)
 	for i := range 1100 {
 		id := fmt.Sprintf("new%d", i)
-		e.Seen(id, "r", declared, share(0.5))
-		e.Drop(id)
+		e.RecordUse(id, "r", declared, share(0.5))
+		e.Forget(id)
 	}
 	require.Less(t, e.Size("r", declared).CPU, int64(1000))
 }
--- a/internal/host/beat.go
+++ b/internal/host/beat.go
@@ -65,14 +65,14 @@
 	h.mu.Lock()
 	h.beats++
 	b := member.Heartbeat{
-		Name: h.cfg.Name, Incarnation: h.incarnation, Seq: h.beats, Next: h.table.Wants(), Digest: uint32(h.table.Mark()),
+		Name: h.cfg.Name, Incarnation: h.incarnation, Seq: h.beats, Next: h.table.NextOffset(), Digest: uint32(h.table.Fingerprint()),
 		FreeSlots: free, Queued: waiting, Leaving: !h.Ready(), Ack: h.members.HearsFrom(now, name), Period: cell.Duration{Duration: period},
 	}
 	h.mu.Unlock()
 	ctx, cancel := context.WithTimeout(h.ctx, beatWait)
 	defer cancel()
-	err := h.peers.Tell(ctx, name, peer.Beat{Heartbeat: b})
-	if errors.As(err, new(*peer.UnreachedError)) {
+	err := h.peers.Notify(ctx, name, peer.Beat{Heartbeat: b})
+	if errors.As(err, new(*peer.UnreachableError)) {
 		h.member(member.SendFailed{Name: name})
 	}
 }
@@ -116,7 +116,7 @@
 		all.Go(func() {
 			ctx, cancel := context.WithTimeout(h.ctx, beatWait)
 			defer cancel()
-			_ = h.peers.Tell(ctx, p.Name, peer.Leave{Name: h.cfg.Name})
+			_ = h.peers.Notify(ctx, p.Name, peer.Leave{Name: h.cfg.Name})
 		})
 	}
 	all.Wait()
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -75,7 +75,7 @@
 	toldAt      time.Time
 	// copying tells that peers are asked for their table.
 	copying atomic.Bool
-	list    []platform.Machine
+	list    []platform.HostEntry
 	shares  *share.Shares
 	// sharing is held from a decision on slots until the queue knows it. An
 	// older decision would else overtake a newer one and bring back slots
@@ -114,13 +114,13 @@
 		members: member.New(member.Heartbeat{Name: cfg.Name, Domain: cfg.Domain, Incarnation: now.UnixMilli()}),
 	}
 	h.life.Store(life.Start())
-	h.peers.Through(h.dialPeer)
-	h.peers.Probe(h.probe)
+	h.peers.SetDialer(h.dialPeer)
+	h.peers.SetIdleTime(h.probe)
 	h.relay = relay.New(relay.Deps{
 		Name: cfg.Name, Domain: cfg.Domain, Queue: queue.New(queue.Limits{Length: int(cfg.Limits.Queue), Reserve: queue.DefaultLimits.Reserve}),
 		Ledger: ledger.New(ledger.DefaultLimits, now), Minions: minion.New(minion.NewTransport(dial.New().DialContext), cfg.Limits.Body),
-		Outliers: outlier.New(outlier.DefaultLimits), Retries: retry.New(retry.DefaultLimits), Part: h.part, Pause: cfg.Limits.Deadline / 2, Metrics: h.metrics,
-		Plan: keyPlan(cfg), Inc: now.UnixMilli(), Peers: h.peers, Row: h.Row, Members: h.domainMembers, Clock: clock, Log: log,
+		Outliers: outlier.New(outlier.DefaultLimits), Retries: retry.New(retry.DefaultLimits), LimitShare: h.part, MaxPause: cfg.Limits.Deadline / 2, Metrics: h.metrics,
+		Plan: keyPlan(cfg), Incarnation: now.UnixMilli(), Peers: h.peers, Row: h.Row, Members: h.domainMembers, Clock: clock, Log: log,
 	})
 	h.lead = lead.New(ctx, lead.Deps{
 		Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: job.New(),
@@ -174,7 +174,7 @@
 	h.serve(h.bounded(ls.Caller), h.callerRoutes())
 	h.serve(h.operatorListener(h.bounded(ls.Operator)), h.operatorRoutes())
 	srv := peer.NewServer(h.respond)
-	srv.Count(h.countKeys)
+	srv.OnRejected(h.countKeys)
 	h.wg.Go(func() { srv.Serve(h.ctx, h.peerListener(ls.Peer)) })
 	h.wg.Go(h.followTable)
 	h.wg.Go(h.followList)
--- a/internal/host/share_test.go
+++ b/internal/host/share_test.go
@@ -46,7 +46,7 @@
 		d.cfgs = append(d.cfgs, settings.Settings{
 			Name: fmt.Sprint("h", i), Domain: "nord", Platform: c.Address,
 			Listen: settings.Listen{Caller: at(ls.Caller), Operator: at(ls.Operator), Peer: at(ls.Peer)},
-			Limits: settings.Limits{Body: 1 << 20, Queue: 100, Deadline: 4 * time.Second, Drain: 5 * time.Second},
+			Limits: settings.Limits{Body: 1 << 20, Queue: 100, Deadline: 4 * time.Second, DrainTimeout: 5 * time.Second},
 		})
 	}
 	d.list("h0", "h1", "h2")
@@ -67,9 +67,9 @@
 
 // list puts entry hosts on the platform's list beside the minions.
 func (d *domain) list(names ...string) {
-	all := append([]platform.Machine{}, d.cell.Machines...)
+	all := append([]platform.HostEntry{}, d.cell.Machines...)
 	for _, name := range names {
-		all = append(all, platform.Machine{Name: name, Kind: cell.EntryHost, Domain: "nord"})
+		all = append(all, platform.HostEntry{Name: name, Kind: cell.EntryHost, Domain: "nord"})
 	}
 	d.cell.Platform.SetHosts(all)
 }
--- a/internal/host/stop_test.go
+++ b/internal/host/stop_test.go
@@ -20,8 +20,8 @@
 // minion adds a backend server of the rig's failure domain.
 func (c *rig) minion(slots int) *standin.Minion {
 	m := standin.NewMinion(slots)
-	c.platform.SetHosts([]platform.Machine{{
-		Name: "m", Kind: cell.MinionHost, Domain: "nord", Slots: slots, Conns: 64, Address: serveMinion(c.t, m),
+	c.platform.SetHosts([]platform.HostEntry{{
+		Name: "m", Kind: cell.BackendHost, Domain: "nord", Slots: slots, Conns: 64, Address: serveMinion(c.t, m),
 	}})
 	return m
 }
@@ -43,7 +43,7 @@
 	c := newRig(t, 2)
 	m := c.minion(8)
 	for i := range c.all {
-		c.all[i].Limits.Leave, c.all[i].Limits.Settle = 50*time.Millisecond, time.Millisecond
+		c.all[i].Limits.ShutdownDelay, c.all[i].Limits.StartupWait = 50*time.Millisecond, time.Millisecond
 		c.start(i)
 		c.ready(i)
 	}
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -42,10 +42,10 @@
 
 func (e *NameError) Error() string { return "certificate names no known host" }
 
-// EmptyError tells that a file holds no certificate.
-type EmptyError struct{}
+// NoCertificateError tells that a file holds no certificate.
+type NoCertificateError struct{}
 
-func (e *EmptyError) Error() string { return "no certificate in it" }
+func (e *NoCertificateError) Error() string { return "no certificate in it" }
 
 // lookEvery bounds how often the files are looked at.
 const lookEvery = time.Second
@@ -87,7 +87,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(text) {
-		return &FileError{Path: k.files.CA, Cause: &EmptyError{}}
+		return &FileError{Path: k.files.CA, Cause: &NoCertificateError{}}
 	}
 	k.cert, k.pool = cert, pool
 	k.seen = k.changed()
@@ -127,8 +127,8 @@
 	k.count("reread")
 }
 
-// ToPeer makes a connection to the host with that certificate name a TLS one.
-func (k *Keys) ToPeer(ctx context.Context, conn net.Conn, name string) (net.Conn, error) {
+// ConnectPeer makes a connection to the host with that certificate name a TLS one.
+func (k *Keys) ConnectPeer(ctx context.Context, conn net.Conn, name string) (net.Conn, error) {
 	cert, pool := k.current()
 	c := tls.Client(conn, &tls.Config{
 		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert}, RootCAs: pool, ServerName: name, Time: k.clock,
--- a/internal/ledger/await.go
+++ b/internal/ledger/await.go
@@ -9,7 +9,7 @@
 func (l *Ledger) await(ev Await) []Action {
 	e, ok := l.keys[ev.Key]
 	if !ok {
-		return []Action{Woken{ID: ev.ID, Verdict: Verdict{Key: ev.Key, State: Free}}}
+		return []Action{Woken{ID: ev.ID, Verdict: Verdict{Key: ev.Key, State: Released}}}
 	}
 	if v := e.state(); v.State != Running {
 		return []Action{Woken{ID: ev.ID, Verdict: v}}
@@ -50,7 +50,7 @@
 	}
 	for front := l.opened.Front(); front != nil; front = l.opened.Front() {
 		e := front.Value.(*entry)
-		if now.Sub(e.opened) <= l.limits.Keep {
+		if now.Sub(e.opened) <= l.limits.Retention {
 			break
 		}
 		woken = append(woken, l.wake(e, Verdict{Key: e.key, State: Lost})...)
@@ -79,7 +79,7 @@
 
 // over tells whether the entry host of a running try is gone or overdue. The
 // question itself was a sign of life, also of a host not heard of before.
-func (e *entry) over(now time.Time, sign Sign) bool {
+func (e *entry) over(now time.Time, sign Heartbeat) bool {
 	if !e.until.IsZero() && now.After(e.until) {
 		return true
 	}
@@ -90,5 +90,5 @@
 	if sign.At.After(last) {
 		last = sign.At
 	}
-	return sign.Inc > e.inc || now.Sub(last) > silentAfter
+	return sign.Incarnation > e.inc || now.Sub(last) > silentAfter
 }
--- a/internal/ledger/messages.go
+++ b/internal/ledger/messages.go
@@ -18,14 +18,14 @@
 	// Try names this try of the key; no two tries share a name.
 	Try string `json:"try,omitempty"`
 	// Host and Inc name the entry host that asks and its incarnation.
-	Host string `json:"host,omitempty"`
-	Inc  int64  `json:"inc,omitempty"`
+	Host        string `json:"host,omitempty"`
+	Incarnation int64  `json:"inc,omitempty"`
 	// Domain is the failure domain whose homes are asked, and Group the digest
 	// of those homes' names, so that hosts with unlike settings notice it.
 	Domain string `json:"domain,omitempty"`
 	Group  uint64 `json:"group,omitempty"`
-	// Left is how long the try may still run.
-	Left cell.Duration `json:"left,omitzero"`
+	// Remaining is how long the try may still run.
+	Remaining cell.Duration `json:"left,omitzero"`
 }
 
 // Close keeps what became of a keyed request. Refused means that it provably
@@ -44,27 +44,27 @@
 	Until   time.Time
 }
 
-// Forget ends a wait whose waiter has gone.
-type Forget struct{ ID string }
+// CancelAwait ends a wait whose waiter has gone.
+type CancelAwait struct{ ID string }
 
-// Sign is the last sign of life of an entry host.
-type Sign struct {
-	Inc int64
-	At  time.Time
+// Heartbeat is the last sign of life of an entry host.
+type Heartbeat struct {
+	Incarnation int64
+	At          time.Time
 }
 
-// Hosts tells the last sign of life of every other entry host.
-type Hosts struct{ Signs map[string]Sign }
+// HostHeartbeats tells the last sign of life of every other entry host.
+type HostHeartbeats struct{ Heartbeats map[string]Heartbeat }
 
 // Tick lets time pass.
 type Tick struct{}
 
-func (Open) event()   {}
-func (Close) event()  {}
-func (Await) event()  {}
-func (Forget) event() {}
-func (Hosts) event()  {}
-func (Tick) event()   {}
+func (Open) event()           {}
+func (Close) event()          {}
+func (Await) event()          {}
+func (CancelAwait) event()    {}
+func (HostHeartbeats) event() {}
+func (Tick) event()           {}
 
 // Action is what the ledger asks its edge to do.
 type Action interface{ action() }
@@ -94,18 +94,18 @@
 	Fresh State = "fresh"
 	// Running means that another try of this key was sent and has no answer yet.
 	Running State = "running"
-	// Known means that the stored answer is the answer.
-	Known State = "known"
-	// Other means that the key was used with another request.
-	Other State = "other"
-	// Blind means that this home cannot vouch for the key.
-	Blind State = "blind"
+	// Answered means that the stored answer is the answer.
+	Answered State = "known"
+	// Mismatch means that the key was used with another request.
+	Mismatch State = "other"
+	// Unconfirmed means that this home cannot vouch for the key.
+	Unconfirmed State = "blind"
 	// Lost means that a try was running on an entry host that is gone.
 	Lost State = "lost"
-	// Free means that the try that was waited for gave the key back.
-	Free State = "free"
-	// Ahead means that the key's own time is in the future.
-	Ahead State = "ahead"
+	// Released means that the try that was waited for gave the key back.
+	Released State = "free"
+	// FutureKey means that the key's own time is in the future.
+	FutureKey State = "ahead"
 )
 
 // Answer is a whole answer as it is kept under its key.
@@ -115,9 +115,9 @@
 	Header  map[string]string `json:"header,omitempty"`
 	Body    []byte            `json:"body,omitempty"`
 	Reason  string            `json:"reason,omitempty"`
-	// Again is how long to wait before the next try.
-	Again cell.Duration `json:"again,omitzero"`
-	At    time.Time     `json:"-"`
+	// RetryAfter is how long to wait before the next try.
+	RetryAfter cell.Duration `json:"again,omitzero"`
+	At         time.Time     `json:"-"`
 }
 
 func (a Answer) size() int64 {
--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -47,7 +47,7 @@
 
 // brokenRules each leave out one rule that at most once rests on.
 var brokenRules = map[string]rule{
-	"one home is enough":    {group: func(g *ledger.Group) { g.Need = 1 }},
+	"one home is enough":    {group: func(g *ledger.Group) { g.RequiredWeight = 1 }},
 	"blind counts as fresh": {group: whole.group, older: time.Hour},
 }
 
@@ -93,14 +93,14 @@
 func (w *world) tick(d time.Duration) {
 	w.now = w.now.Add(d)
 	for name := range w.ledgers {
-		signs := map[string]ledger.Sign{}
+		signs := map[string]ledger.Heartbeat{}
 		for _, h := range w.hosts {
 			if w.reaches(h.Name, name) {
-				signs[h.Name] = ledger.Sign{Inc: w.inc[h.Name], At: w.clock(name)}
+				signs[h.Name] = ledger.Heartbeat{Incarnation: w.inc[h.Name], At: w.clock(name)}
 			}
 		}
 		if !w.still(name) {
-			w.tell(name, ledger.Hosts{Signs: signs})
+			w.tell(name, ledger.HostHeartbeats{Heartbeats: signs})
 			w.tell(name, ledger.Tick{})
 		}
 	}
@@ -112,12 +112,12 @@
 	w       *world
 	host    string
 	inc     int64
-	run     *ledger.Run
+	run     *ledger.Try
 	key     string
-	do      []ledger.RunAction
+	do      []ledger.TryAction
 	told    *ledger.Answer
 	ran     int
-	waiting *ledger.Wait
+	waiting *ledger.AwaitHome
 }
 
 func (w *world) try(host, key string, digest uint64, attempt int, live func(string) bool) *try {
@@ -134,18 +134,18 @@
 		if w.rule.byLive {
 			groups[i].Homes = slices.DeleteFunc(groups[i].Homes, func(h ledger.Home) bool { return !live(h.Name) })
 			groups[i].Homes = groups[i].Homes[:min(2, len(groups[i].Homes))]
-			groups[i].Need = 0
+			groups[i].RequiredWeight = 0
 			for _, home := range groups[i].Homes {
-				groups[i].Need += home.Weight
+				groups[i].RequiredWeight += home.Weight
 			}
 		}
 	}
 	w.tries++
 	open := ledger.Open{
-		Key: key, Digest: digest, Attempt: attempt, Try: host + strconv.Itoa(w.tries), Host: host, Inc: w.inc[host],
-		Left: cell.Duration{Duration: 10 * time.Second},
+		Key: key, Digest: digest, Attempt: attempt, Try: host + strconv.Itoa(w.tries), Host: host, Incarnation: w.inc[host],
+		Remaining: cell.Duration{Duration: 10 * time.Second},
 	}
-	t := &try{w: w, host: host, inc: w.inc[host], key: key, run: ledger.NewRun(open, groups)}
+	t := &try{w: w, host: host, inc: w.inc[host], key: key, run: ledger.NewTry(open, groups)}
 	t.do = t.run.Step(ledger.Begin{})
 	return t
 }
@@ -161,18 +161,18 @@
 	a := t.do[0]
 	t.do = t.do[1:]
 	switch a := a.(type) {
-	case ledger.Keep:
+	case ledger.RecordEnd:
 		t.w.post(t.host, a.Home, a.Close)
-	case ledger.Ask:
+	case ledger.AskHome:
 		t.feed(t.ask(a))
-	case ledger.Wait:
+	case ledger.AwaitHome:
 		t.waiting = &a
 		t.look()
 	case ledger.Send:
 		t.w.ran[t.key]++
 		t.ran++
-		t.feed(ledger.Ended{Answer: ledger.Answer{Outcome: cell.Done, Status: 200, Body: []byte("whole")}})
-	case ledger.Tell:
+		t.feed(ledger.RequestEnded{Answer: ledger.Answer{Outcome: cell.Done, Status: 200, Body: []byte("whole")}})
+	case ledger.Reply:
 		t.told = &a.Answer
 	}
 	return true
@@ -192,22 +192,22 @@
 	}
 }
 
-func (t *try) feed(ev ledger.RunEvent) { t.do = append(t.do, t.run.Step(ev)...) }
+func (t *try) feed(ev ledger.TryEvent) { t.do = append(t.do, t.run.Step(ev)...) }
 
-func (t *try) ask(a ledger.Ask) ledger.RunEvent {
+func (t *try) ask(a ledger.AskHome) ledger.TryEvent {
 	if !t.w.reaches(t.host, a.Home) {
-		return ledger.Silent{Home: a.Home}
+		return ledger.HomeSilent{Home: a.Home}
 	}
 	switch t.w.lossy(12) {
 	case 1: // the answer is lost
 		t.w.tell(a.Home, a.Open)
-		return ledger.Silent{Home: a.Home}
+		return ledger.HomeSilent{Home: a.Home}
 	case 2: // the question arrives when nobody waits for its answer
 		t.w.late = append(t.w.late, func() { t.w.tell(a.Home, a.Open) })
-		return ledger.Silent{Home: a.Home}
+		return ledger.HomeSilent{Home: a.Home}
 	}
 	v := t.w.tell(a.Home, a.Open)[0].(ledger.Verdict)
-	return ledger.Said{Home: a.Home, Verdict: v}
+	return ledger.HomeAnswered{Home: a.Home, Verdict: v}
 }
 
 // look asks the home of a waiting try whether the wait is over.
@@ -218,14 +218,14 @@
 	home := t.waiting.Home
 	if !t.w.reaches(t.host, home) {
 		t.waiting = nil
-		t.feed(ledger.Silent{Home: home})
+		t.feed(ledger.HomeSilent{Home: home})
 		return
 	}
 	acts := t.w.tell(home, ledger.Await{Key: t.key, ID: "w", Until: t.w.clock(home).Add(time.Minute)})
-	t.w.tell(home, ledger.Forget{ID: "w"})
+	t.w.tell(home, ledger.CancelAwait{ID: "w"})
 	if len(acts) > 0 {
 		t.waiting = nil
-		t.feed(ledger.Said{Home: home, Verdict: acts[0].(ledger.Woken).Verdict})
+		t.feed(ledger.HomeAnswered{Home: home, Verdict: acts[0].(ledger.Woken).Verdict})
 	}
 }
 
--- a/internal/measure/hole.go
+++ b/internal/measure/hole.go
@@ -16,7 +16,7 @@
 // hole plays urgent work on minions of which the first swallows everything.
 type hole struct {
 	o    ours
-	out  *outlier.Outliers
+	out  *outlier.Detector
 	line events
 	byID map[string]*arrival
 	at   map[string]string
@@ -37,7 +37,7 @@
 		for i := range loadMinions {
 			names = append(names, fmt.Sprintf("m%02d", i))
 		}
-		h.out.Step(start, outlier.Listed{Minions: names})
+		h.out.Step(start, outlier.ServersListed{Backends: names})
 	}
 	for i := range all {
 		h.byID[all[i].id] = &all[i]
@@ -57,7 +57,7 @@
 func (h *hole) step(e event) {
 	switch {
 	case e.arrive != nil:
-		h.send(e.at, h.o.q.Step(e.at, queue.Ask{
+		h.send(e.at, h.o.q.Step(e.at, queue.Enqueue{
 			ID: e.arrive.id, Row: queue.Row{Name: "scan", Class: cell.Urgent, Weight: 1}, Deadline: e.at.Add(holePatience),
 		}))
 	case e.end != nil:
@@ -69,7 +69,7 @@
 }
 
 func (h *hole) end(e event) {
-	result := outlier.Good
+	result := outlier.Succeeded
 	if h.swallows(e.end.id) {
 		h.lost++
 		result = outlier.Failed
@@ -87,7 +87,7 @@
 	var all []queue.Share
 	for i := range loadMinions {
 		name := fmt.Sprintf("m%02d", i)
-		all = append(all, queue.Share{Minion: name, Slots: h.out.Most(name, loadSlots)})
+		all = append(all, queue.Share{Backend: name, Slots: h.out.MaxSlots(name, loadSlots)})
 	}
 	h.send(now, h.o.q.Step(now, queue.Shares{All: all}))
 }
@@ -98,9 +98,9 @@
 		if !ok {
 			continue
 		}
-		h.at[send.ID] = send.Minion
+		h.at[send.ID] = send.Backend
 		if h.out != nil {
-			h.out.Step(now, outlier.Sent{ID: send.ID, Minion: send.Minion, Row: "scan"})
+			h.out.Step(now, outlier.Sent{ID: send.ID, Backend: send.Backend, Row: "scan"})
 		}
 		took := h.byID[send.ID].took
 		if h.swallows(send.ID) {
--- a/internal/measure/ledger.go
+++ b/internal/measure/ledger.go
@@ -24,13 +24,13 @@
 // many bytes of memory a kept key takes.
 func Keys(n int) float64 {
 	limits := ledger.DefaultLimits
-	limits.Entries, limits.Bytes = n, int64(n)*keyBody*2
+	limits.MaxKeys, limits.MaxBytes = n, int64(n)*keyBody*2
 	now := time.Unix(1_700_000_000, 0)
 	before := heapBytes()
 	l := ledger.New(limits, now.Add(-time.Hour))
 	for i := range n {
 		key := cell.NewID()
-		l.Step(now, ledger.Open{Key: key, Digest: 1, Attempt: 1, Try: strconv.Itoa(i), Host: "nord-0", Inc: 1})
+		l.Step(now, ledger.Open{Key: key, Digest: 1, Attempt: 1, Try: strconv.Itoa(i), Host: "nord-0", Incarnation: 1})
 		l.Step(now, ledger.Close{Key: key, Digest: 1, Try: strconv.Itoa(i), Answer: ledger.Answer{
 			Outcome: cell.Done, Status: 200, Body: make([]byte, keyBody),
 		}})
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -39,12 +39,12 @@
 // The states of a server.
 const (
 	Trusted State = "trusted"
-	// Aside gets nothing until its rest is over.
-	Aside State = "aside"
+	// Quarantined gets nothing until its rest is over.
+	Quarantined State = "aside"
 	// Trial gets one request at a time until enough of them went well.
 	Trial State = "trial"
-	// Gone leaves or cannot be reached. It is known, not suspected.
-	Gone State = "gone"
+	// Unavailable leaves or cannot be reached. It is known, not suspected.
+	Unavailable State = "gone"
 )
 
 // trials is how many requests must go well before a server is trusted again.
@@ -69,8 +69,8 @@
 	stuck       bool
 }
 
-// Outliers is the core of one host.
-type Outliers struct {
+// Detector is the core of one host.
+type Detector struct {
 	limits  Limits
 	servers map[string]*server
 	flights map[string]*flight
@@ -80,28 +80,28 @@
 }
 
 // New returns a core that knows no servers.
-func New(limits Limits) *Outliers {
-	return &Outliers{limits: limits, servers: map[string]*server{}, flights: map[string]*flight{}, times: map[string]float64{}}
+func New(limits Limits) *Detector {
+	return &Detector{limits: limits, servers: map[string]*server{}, flights: map[string]*flight{}, times: map[string]float64{}}
 }
 
 // Step takes one event and returns which servers changed their state.
-func (o *Outliers) Step(now time.Time, ev Event) []Action {
+func (o *Detector) Step(now time.Time, ev Event) []Action {
 	switch ev := ev.(type) {
 	case Sent:
-		o.flights[ev.ID] = &flight{minion: ev.Minion, row: ev.Row, since: now}
+		o.flights[ev.ID] = &flight{minion: ev.Backend, row: ev.Row, since: now}
 	case Ended:
 		return o.ended(now, ev)
-	case Told:
+	case LeavingReported:
 		return o.told(now, ev.Leaving)
-	case Listed:
-		o.list(ev.Minions)
+	case ServersListed:
+		o.list(ev.Backends)
 	case Tick:
 		return o.tick(now)
 	}
 	return nil
 }
 
-func (o *Outliers) list(names []string) {
+func (o *Detector) list(names []string) {
 	for _, name := range names {
 		if o.servers[name] == nil {
 			o.servers[name] = &server{state: Trusted}
@@ -114,7 +114,7 @@
 	}
 }
 
-func (o *Outliers) ended(now time.Time, ev Ended) []Action {
+func (o *Detector) ended(now time.Time, ev Ended) []Action {
 	f, ok := o.flights[ev.ID]
 	if !ok {
 		return nil
@@ -128,9 +128,9 @@
 	case Leaving:
 		s.told = now
 		return o.gone(now, f.minion, o.limits.Away, "it leaves")
-	case Unreached:
+	case Unreachable:
 		return o.gone(now, f.minion, o.next(s), "it takes no connections")
-	case Good:
+	case Succeeded:
 		o.time(s, f, now.Sub(f.since))
 	}
 	if f.stuck && ev.Result == Failed {
@@ -140,7 +140,7 @@
 }
 
 // time compares a request's time with its row's on all servers.
-func (o *Outliers) time(s *server, f *flight, took time.Duration) {
+func (o *Detector) time(s *server, f *flight, took time.Duration) {
 	mean, ok := o.times[f.row]
 	if !ok {
 		mean = took.Seconds()
@@ -151,7 +151,7 @@
 	}
 }
 
-func (o *Outliers) result(now time.Time, name string, failed bool) []Action {
+func (o *Detector) result(now time.Time, name string, failed bool) []Action {
 	s := o.servers[name]
 	s.n++
 	x := 0.0
@@ -171,10 +171,10 @@
 	}
 }
 
-func (o *Outliers) trial(now time.Time, name string, failed bool) []Action {
+func (o *Detector) trial(now time.Time, name string, failed bool) []Action {
 	s := o.servers[name]
 	if failed {
-		return o.set(name, Aside, now.Add(o.next(s)), "its trial failed")
+		return o.set(name, Quarantined, now.Add(o.next(s)), "its trial failed")
 	}
 	if s.good++; s.good < trials {
 		return nil
@@ -184,13 +184,13 @@
 }
 
 // next doubles a server's rest each time that it is set aside in a row.
-func (o *Outliers) next(s *server) time.Duration {
+func (o *Detector) next(s *server) time.Duration {
 	s.rest = min(max(2*s.rest, o.limits.Rest), o.limits.MostRest)
 	return s.rest
 }
 
 // judge compares a server with the others.
-func (o *Outliers) judge(now time.Time, name string) []Action {
+func (o *Detector) judge(now time.Time, name string) []Action {
 	s := o.servers[name]
 	if s.n < o.limits.Least {
 		return nil
@@ -208,11 +208,11 @@
 	if !o.mayAside() {
 		return nil
 	}
-	return o.set(name, Aside, now.Add(o.next(s)), why)
+	return o.set(name, Quarantined, now.Add(o.next(s)), why)
 }
 
 // others are the medians of the servers that are trusted, but for one.
-func (o *Outliers) others(name string) (fails, slowness float64) {
+func (o *Detector) others(name string) (fails, slowness float64) {
 	var f, t []float64
 	for other, s := range o.servers {
 		if other != name && s.state == Trusted && s.n > 0 {
@@ -230,45 +230,45 @@
 	return all[len(all)/2]
 }
 
-func (o *Outliers) mayAside() bool {
+func (o *Detector) mayAside() bool {
 	n := 0
 	for _, s := range o.servers {
-		if s.state == Aside || s.state == Trial {
+		if s.state == Quarantined || s.state == Trial {
 			n++
 		}
 	}
 	return n+1 <= int(o.limits.Share*float64(len(o.servers)))
 }
 
-func (o *Outliers) told(now time.Time, names []string) []Action {
+func (o *Detector) told(now time.Time, names []string) []Action {
 	var acts []Action
 	for _, name := range names {
-		if s, ok := o.servers[name]; ok && s.state != Gone {
+		if s, ok := o.servers[name]; ok && s.state != Unavailable {
 			acts = append(acts, o.gone(now, name, o.limits.Away, "a peer says that it leaves")...)
 		}
 	}
 	return acts
 }
 
-func (o *Outliers) gone(now time.Time, name string, d time.Duration, why string) []Action {
+func (o *Detector) gone(now time.Time, name string, d time.Duration, why string) []Action {
 	o.servers[name].until = now.Add(d)
-	return o.set(name, Gone, now.Add(d), why)
+	return o.set(name, Unavailable, now.Add(d), why)
 }
 
-func (o *Outliers) set(name string, to State, until time.Time, why string) []Action {
+func (o *Detector) set(name string, to State, until time.Time, why string) []Action {
 	s := o.servers[name]
 	from := s.state
 	s.state, s.until, s.good = to, until, 0
 	if from == to {
 		return nil
 	}
-	return []Action{Changed{Minion: name, State: to, Reason: why}}
+	return []Action{StateChanged{Backend: name, State: to, Reason: why}}
 }
 
 // checkTime is how often requests without answers are looked at.
 const checkTime = 250 * time.Millisecond
 
-func (o *Outliers) tick(now time.Time) []Action {
+func (o *Detector) tick(now time.Time) []Action {
 	if now.Sub(o.check) < checkTime {
 		return nil
 	}
@@ -288,19 +288,19 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(o.servers)) {
 		s := o.servers[name]
-		if (s.state == Aside || s.state == Gone) && !s.until.After(now) {
+		if (s.state == Quarantined || s.state == Unavailable) && !s.until.After(now) {
 			acts = append(acts, o.set(name, Trial, time.Time{}, "its rest is over")...)
 		}
 	}
 	return acts
 }
 
-func (o *Outliers) stuckAfter(row string) time.Duration {
+func (o *Detector) stuckAfter(row string) time.Duration {
 	return max(o.limits.Stuck, time.Duration(10*o.times[row]*float64(time.Second)))
 }
 
-// Most is how many of slots a server may get now.
-func (o *Outliers) Most(minion string, slots int) int {
+// MaxSlots is how many of slots a server may get now.
+func (o *Detector) MaxSlots(minion string, slots int) int {
 	s, ok := o.servers[minion]
 	switch {
 	case !ok || s.state == Trusted:
@@ -316,8 +316,8 @@
 // before Away, so that two hosts cannot keep each other believing it for ever.
 const wordTime = 5 * time.Second
 
-// Word lists the servers that told this host itself that they leave.
-func (o *Outliers) Word(now time.Time) []string {
+// LeavingServers lists the servers that told this host itself that they leave.
+func (o *Detector) LeavingServers(now time.Time) []string {
 	var all []string
 	for _, name := range slices.Sorted(maps.Keys(o.servers)) {
 		if s := o.servers[name]; !s.told.IsZero() && now.Sub(s.told) < wordTime {
@@ -327,8 +327,8 @@
 	return all
 }
 
-// States lists the servers that are not trusted.
-func (o *Outliers) States() map[string]State {
+// UntrustedStates lists the servers that are not trusted.
+func (o *Detector) UntrustedStates() map[string]State {
 	all := map[string]State{}
 	for name, s := range o.servers {
 		if s.state != Trusted {
--- a/internal/peer/bound_test.go
+++ b/internal/peer/bound_test.go
@@ -22,8 +22,8 @@
 // memory is taken; other peers are answered all the time.
 func TestOversizedAndBrokenMessagesCloseTheConnection(t *testing.T) {
 	var size, broken atomic.Int64
-	s := NewServer(func(context.Context, Message) (any, error) { return RecordsReply{}, nil })
-	s.Count(func(reason string) {
+	s := NewServer(func(context.Context, Message) (any, error) { return TableReply{}, nil })
+	s.OnRejected(func(reason string) {
 		if reason == "size" {
 			size.Add(1)
 		} else {
@@ -51,7 +51,7 @@
 	require.Equal(t, int64(1), broken.Load())
 	c := NewClients(map[string]netip.AddrPort{"a": netip.MustParseAddrPort(ln.Addr().String())})
 	defer c.Close()
-	require.NoError(t, c.Ask(ctx, "a", Records{}, nil))
+	require.NoError(t, c.Ask(ctx, "a", AskTable{}, nil))
 }
 
 // A peer begins a message and sends on forever, a byte a second. Whoever waits
--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -44,7 +44,7 @@
 	conns []*dumb
 }
 
-func newPair(t *testing.T, answer Answerer) *pair {
+func newPair(t *testing.T, answer Handler) *pair {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &pair{Clients: NewClients(map[string]netip.AddrPort{"peer": {}})}
 	s := NewServer(answer)
@@ -92,7 +92,7 @@
 				cut(p.conns[0])
 				began := time.Now()
 				_, err = p.relay("b")
-				var silent *SilentError
+				var silent *NoAnswerError
 				require.ErrorAs(t, err, &silent, "whether it ran is unknown")
 				require.LessOrEqual(t, time.Since(began), silentBound)
 				require.EqualValues(t, 1, p.Silent())
@@ -116,12 +116,12 @@
 			}
 			return nil, nil
 		})
-		require.NoError(t, p.Tell(context.Background(), "peer", Leave{}))
+		require.NoError(t, p.Notify(context.Background(), "peer", Leave{}))
 		synctest.Wait()
 		require.Equal(t, 1, heard)
 		p.conns[0].out.Store(true)
 		time.Sleep(idleAfter + pingWait + 2*lookEvery)
-		require.NoError(t, p.Tell(context.Background(), "peer", Leave{}))
+		require.NoError(t, p.Notify(context.Background(), "peer", Leave{}))
 		synctest.Wait()
 		require.Equal(t, 2, heard)
 		require.Len(t, p.conns, 2)
@@ -183,7 +183,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
 		err := p.Ask(ctx, "peer", Relay{Request: call.Request{ID: "late"}}, nil)
-		var silent *SilentError
+		var silent *NoAnswerError
 		require.ErrorAs(t, err, &silent)
 		for i := range 20 {
 			id := string(rune('a' + i))
--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -24,20 +24,20 @@
 func (x *Relay) keyed(ctx context.Context, req call.Request) call.Reply {
 	look, cancel := context.WithTimeout(ctx, req.Deadline.Sub(x.Clock()))
 	defer cancel()
-	run := ledger.NewRun(x.newOpen(req), x.Plan.Groups(req.Key, req.Attempt, x.liveNow()))
-	var ev ledger.RunEvent = ledger.Begin{}
+	run := ledger.NewTry(x.newOpen(req), x.Plan.Groups(req.Key, req.Attempt, x.liveNow()))
+	var ev ledger.TryEvent = ledger.Begin{}
 	for {
 		for _, a := range run.Step(ev) {
 			switch a := a.(type) {
-			case ledger.Keep:
+			case ledger.RecordEnd:
 				x.keepEnd(a)
-			case ledger.Ask:
+			case ledger.AskHome:
 				ev = x.ask(look, a)
-			case ledger.Wait:
+			case ledger.AwaitHome:
 				ev = x.await(look, a, req.Deadline)
 			case ledger.Send:
-				ev = ledger.Ended{Answer: kept(x.route(ctx, req))}
-			case ledger.Tell:
+				ev = ledger.RequestEnded{Answer: kept(x.route(ctx, req))}
+			case ledger.Reply:
 				return told(a.Answer)
 			}
 		}
@@ -46,17 +46,17 @@
 
 func (x *Relay) newOpen(req call.Request) ledger.Open {
 	return ledger.Open{
-		Key: req.Key, Digest: req.Digest(), Attempt: req.Attempt, Try: req.ID, Host: x.Name, Inc: x.Inc,
-		Left: cell.Duration{Duration: req.Deadline.Sub(x.Clock())},
+		Key: req.Key, Digest: req.Digest(), Attempt: req.Attempt, Try: req.ID, Host: x.Name, Incarnation: x.Incarnation,
+		Remaining: cell.Duration{Duration: req.Deadline.Sub(x.Clock())},
 	}
 }
 
 func kept(r call.Reply) ledger.Answer {
-	return ledger.Answer{Outcome: r.Outcome, Status: r.Status, Header: r.Header, Body: r.Body, Reason: r.Reason, Again: r.Again}
+	return ledger.Answer{Outcome: r.Outcome, Status: r.Status, Header: r.Header, Body: r.Body, Reason: r.Reason, RetryAfter: r.Again}
 }
 
 func told(a ledger.Answer) call.Reply {
-	r := call.Reply{Outcome: a.Outcome, Status: a.Status, Header: a.Header, Body: a.Body, Reason: a.Reason, Again: a.Again}
+	r := call.Reply{Outcome: a.Outcome, Status: a.Status, Header: a.Header, Body: a.Body, Reason: a.Reason, Again: a.RetryAfter}
 	if r.Status == 0 {
 		r.Status = http.StatusServiceUnavailable
 	}
@@ -66,9 +66,9 @@
 	return r
 }
 
-func (x *Relay) ask(ctx context.Context, a ledger.Ask) ledger.RunEvent {
+func (x *Relay) ask(ctx context.Context, a ledger.AskHome) ledger.TryEvent {
 	if a.Home == x.Name {
-		return ledger.Said{Home: a.Home, Verdict: x.OpenKey(a.Open)}
+		return ledger.HomeAnswered{Home: a.Home, Verdict: x.OpenKey(a.Open)}
 	}
 	short, cancel := context.WithTimeout(ctx, openWait)
 	defer cancel()
@@ -77,8 +77,8 @@
 	return heard(ctx, a.Home, v, err)
 }
 
-func (x *Relay) await(ctx context.Context, a ledger.Wait, deadline time.Time) ledger.RunEvent {
-	m := peer.AwaitKey{Key: a.Key, Left: cell.Duration{Duration: deadline.Sub(x.Clock())}}
+func (x *Relay) await(ctx context.Context, a ledger.AwaitHome, deadline time.Time) ledger.TryEvent {
+	m := peer.AwaitKey{Key: a.Key, Remaining: cell.Duration{Duration: deadline.Sub(x.Clock())}}
 	if a.Home == x.Name {
 		return heard(ctx, a.Home, x.AwaitKey(ctx, m), nil)
 	}
@@ -87,13 +87,13 @@
 	return heard(ctx, a.Home, v, err)
 }
 
-func heard(ctx context.Context, home string, v ledger.Verdict, err error) ledger.RunEvent {
+func heard(ctx context.Context, home string, v ledger.Verdict, err error) ledger.TryEvent {
 	switch {
 	case err == nil:
-		return ledger.Said{Home: home, Verdict: v}
+		return ledger.HomeAnswered{Home: home, Verdict: v}
 	case ctx.Err() != nil:
-		return ledger.GivenUp{}
+		return ledger.Canceled{}
 	default:
-		return ledger.Silent{Home: home}
+		return ledger.HomeSilent{Home: home}
 	}
 }
--- a/internal/relay/keyed_test.go
+++ b/internal/relay/keyed_test.go
@@ -67,7 +67,7 @@
 func (n *node) answer(ctx context.Context, m peer.Message) (any, error) {
 	switch m := m.(type) {
 	case peer.Relay:
-		return n.RunFor(ctx, m), nil
+		return n.RunForPeer(ctx, m), nil
 	case peer.OpenKey:
 		return n.OpenKey(m.Open), nil
 	case peer.AwaitKey:
@@ -126,12 +126,12 @@
 			}
 		}
 		n.Relay = relay.New(relay.Deps{
-			Name: name, Domain: "nord", Inc: 1, Queue: queue.New(queue.DefaultLimits),
+			Name: name, Domain: "nord", Incarnation: 1, Queue: queue.New(queue.DefaultLimits),
 			Ledger:   ledger.New(ledger.DefaultLimits, n.clock().Add(-time.Hour)),
 			Plan:     ledger.NewPlan(ledger.Host{Name: name, Domain: "nord"}, others),
 			Outliers: outlier.New(outlier.DefaultLimits), Retries: retry.New(retry.DefaultLimits), Metrics: metrics.NewRegistry(),
-			Part:  func(_ string, limit int64) int64 { return limit },
-			Peers: peers, Minions: minion.New(minion.NewTransport(dial.New().DialContext), 1<<20),
+			LimitShare: func(_ string, limit int64) int64 { return limit },
+			Peers:      peers, Minions: minion.New(minion.NewTransport(dial.New().DialContext), 1<<20),
 			Row:     func(string) (table.Row, int64) { return table.Row{Name: "scan", Weight: 1}, 1 },
 			Members: n.members, Clock: n.clock, Log: slog.New(slog.DiscardHandler),
 		})
@@ -194,7 +194,7 @@
 			hangUp()
 			require.Equal(t, cell.Refused, (<-reply).Outcome)
 			eventually(t, waiting(all[0], 0))
-			all[0].Settle()
+			all[0].FlushKeyEnds()
 			eventually(t, waiting(all[1], 0))
 			all[1].SetServers(g.servers)
 			repeat, _ := all[1].start(key, 2)
@@ -264,7 +264,7 @@
 	key := cell.NewID()
 	first, _ := all[1].start(key, 1)
 	require.Equal(t, cell.Done, (<-first).Outcome, "the caller does not wait for the homes")
-	all[1].Settle()
+	all[1].FlushKeyEnds()
 	all[1].kill()
 	repeat, _ := all[2].start(key, 2)
 	require.Equal(t, cell.Done, (<-repeat).Outcome)
@@ -289,7 +289,7 @@
 		})
 		require.Equal(t, cell.Done, reply.Outcome, reply.Reason)
 		require.True(t, bytes.Equal(body, reply.Body))
-		all[0].Settle()
+		all[0].FlushKeyEnds()
 	}
 	require.Len(t, g.arrived, 1)
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -29,26 +29,26 @@
 type Deps struct {
 	Name, Domain string
 	Queue        *queue.Queue
-	Outliers     *outlier.Outliers
+	Outliers     *outlier.Detector
 	Retries      *retry.Budget
 	Ledger       *ledger.Ledger
 	// Plan names the homes of keys, Inc is this host's incarnation.
-	Plan    ledger.Plan
-	Inc     int64
-	Minions *minion.Client
-	Peers   *peer.Clients
+	Plan        ledger.Plan
+	Incarnation int64
+	Minions     *minion.Client
+	Peers       *peer.Clients
 	// Row returns a row and its version, zero for none.
 	Row func(name string) (table.Row, int64)
-	// Part returns this host's part of a limit that holds in the whole cell.
-	Part func(row string, limit int64) int64
+	// LimitShare returns this host's part of a limit that holds in the whole cell.
+	LimitShare func(row string, limit int64) int64
 	// Members returns the live hosts of this domain and their heartbeats.
 	Members func() ([]string, []member.Heartbeat)
 	Clock   func() time.Time
-	// Pause is how long this host may stand still and still use its slots;
+	// MaxPause is how long this host may stand still and still use its slots;
 	// zero means for ever.
-	Pause   time.Duration
-	Log     *slog.Logger
-	Metrics metrics.Registry
+	MaxPause time.Duration
+	Log      *slog.Logger
+	Metrics  metrics.Registry
 }
 
 // Relay is the requests' part of one entry host. It is safe for concurrent use.
@@ -98,7 +98,7 @@
 	defer x.mu.Unlock()
 	x.last = x.Clock()
 	x.servers = servers
-	x.Outliers.Step(x.Clock(), outlier.Listed{Minions: names})
+	x.Outliers.Step(x.Clock(), outlier.ServersListed{Backends: names})
 	x.shares()
 }
 
@@ -106,7 +106,7 @@
 func (x *Relay) shares() {
 	all := make([]queue.Share, 0, len(x.servers))
 	for _, s := range x.servers {
-		all = append(all, queue.Share{Minion: s.Name, Slots: x.Outliers.Most(s.Name, s.Slots)})
+		all = append(all, queue.Share{Backend: s.Name, Slots: x.Outliers.MaxSlots(s.Name, s.Slots)})
 	}
 	x.stepQueue(queue.Shares{All: all})
 }
@@ -116,12 +116,12 @@
 	acts := x.Outliers.Step(x.Clock(), ev)
 	for _, a := range acts {
 		switch a := a.(type) {
-		case outlier.Changed:
-			x.Log.Info("relay: backend server changed.", "minion", a.Minion, "state", a.State, "reason", a.Reason)
+		case outlier.StateChanged:
+			x.Log.Info("relay: backend server changed.", "minion", a.Backend, "state", a.State, "reason", a.Reason)
 		}
 	}
 	if len(acts) > 0 {
-		metrics.GetOrRegisterGauge("relay.aside", x.Metrics).Update(int64(len(x.Outliers.States())))
+		metrics.GetOrRegisterGauge("relay.aside", x.Metrics).Update(int64(len(x.Outliers.UntrustedStates())))
 		x.shares()
 	}
 }
@@ -130,21 +130,21 @@
 func (x *Relay) Leaving() []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.Outliers.Word(x.Clock())
+	return x.Outliers.LeavingServers(x.Clock())
 }
 
-// Aside lists the backend servers that are not trusted.
-func (x *Relay) Aside() map[string]outlier.State {
+// Quarantined lists the backend servers that are not trusted.
+func (x *Relay) Quarantined() map[string]outlier.State {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.Outliers.States()
+	return x.Outliers.UntrustedStates()
 }
 
-// Told takes a peer's word that backend servers leave.
-func (x *Relay) Told(leaving []string) {
+// MarkLeaving takes a peer's word that backend servers leave.
+func (x *Relay) MarkLeaving(leaving []string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.watch(outlier.Told{Leaving: leaving})
+	x.watch(outlier.LeavingReported{Leaving: leaving})
 }
 
 // Tick lets time pass in the cores and puts changed rows in force.
@@ -164,7 +164,7 @@
 // refreshRows puts edits of the table in force for requests that wait already.
 func (x *Relay) refreshRows() {
 	x.mu.Lock()
-	names := x.Queue.Rows()
+	names := x.Queue.WaitingRows()
 	x.mu.Unlock()
 	for _, name := range names {
 		row, version := x.Row(name)
@@ -180,7 +180,7 @@
 func (x *Relay) queueRow(row table.Row) queue.Row {
 	return queue.Row{
 		Name: row.Name, Class: row.Urgency(), Weight: row.Weight,
-		Slots: x.part(row.Name, row.Limits.Slots, queue.None), Queue: x.part(row.Name, row.Limits.Queue, 1),
+		Slots: x.part(row.Name, row.Limits.Slots, queue.NoSlots), MaxQueued: x.part(row.Name, row.Limits.Queue, 1),
 	}
 }
 
@@ -189,7 +189,7 @@
 	if limit == 0 {
 		return 0
 	}
-	if n := x.Part(row, limit); n > 0 {
+	if n := x.LimitShare(row, limit); n > 0 {
 		return n
 	}
 	return least
@@ -200,7 +200,7 @@
 func (x *Relay) Drained() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return !x.Queue.Over()
+	return !x.Queue.Overcommitted()
 }
 
 // Load returns this host's free slots and waiting requests.
@@ -237,7 +237,7 @@
 // time; SetServers gives back what is still this host's.
 func (x *Relay) resume(now time.Time) []queue.Action {
 	gap := now.Sub(x.last)
-	paused := !x.last.IsZero() && x.Pause > 0 && gap > x.Pause
+	paused := !x.last.IsZero() && x.MaxPause > 0 && gap > x.MaxPause
 	x.last = now
 	if !paused {
 		return nil
@@ -256,9 +256,9 @@
 
 // Do answers a caller's request. It always returns a final reply.
 func (x *Relay) Do(ctx context.Context, req call.Request) call.Reply {
-	ctx, end := spans.Hop(ctx, "host", req.ID)
+	ctx, end := spans.Start(ctx, "host", req.ID)
 	defer end()
-	req.Trace = spans.Parent(ctx)
+	req.Trace = spans.TraceParent(ctx)
 	if req.Key == "" {
 		return x.route(ctx, req)
 	}
--- a/internal/sched/chance.go
+++ b/internal/sched/chance.go
@@ -46,7 +46,7 @@
 	}
 	objective := j.Objective(q)
 	waited := s.waitedSince(j, r)
-	ends := waited + j.Left(st)
+	ends := waited + j.RemainingTime(st)
 	switch {
 	case objective <= 0, ends <= objective:
 		return onTime
@@ -62,7 +62,7 @@
 // waitedSince returns the time since the job was accepted, or since its round was due.
 func (s *Sched) waitedSince(j *flow.Job, r *flow.Round) time.Duration {
 	if r.Due.IsZero() {
-		return s.now.Sub(j.Began)
+		return s.now.Sub(j.Accepted)
 	}
 	return s.now.Sub(r.Due)
 }
@@ -89,8 +89,8 @@
 		if !ok || full[name] {
 			continue
 		}
-		need := r.stage.Spec.Demand().Times(float64(len(r.tasks)))
-		if sum := taken[name].Add(need); taken[name] == (cell.Size{}) || sum.Share(p.total) <= starvedShare {
+		need := r.stage.Spec.Demand().Scale(float64(len(r.tasks)))
+		if sum := taken[name].Add(need); taken[name] == (cell.Size{}) || sum.DominantShare(p.total) <= starvedShare {
 			taken[name] = sum
 			r.class = onTime
 			continue
--- a/internal/sched/yield.go
+++ b/internal/sched/yield.go
@@ -64,7 +64,7 @@
 	var best *worker
 	var least []*flow.Task
 	for _, w := range s.allowedWorkers(r, p) {
-		if r.stage.Spec.Demand().Share(w.Size) < wideShare {
+		if r.stage.Spec.Demand().DominantShare(w.Size) < wideShare {
 			continue
 		}
 		if _, ok := s.ticket(r.tasks[0], w); !ok || !s.suits(r, r.tasks[0], w) {
@@ -113,5 +113,5 @@
 	if !ok {
 		return false
 	}
-	return s.waitedSince(t.Job, round)+preemptionCost+t.Job.Left(t.Step) <= t.Job.Objective(q)
+	return s.waitedSince(t.Job, round)+preemptionCost+t.Job.RemainingTime(t.Step) <= t.Job.Objective(q)
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -55,19 +55,19 @@
 	Queue int64
 	// Deadline is the longest that a caller may ask to wait.
 	Deadline time.Duration
-	// Settle is how long a started host waits before it uses its share of the
+	// StartupWait is how long a started host waits before it uses its share of the
 	// backend servers: until what a former process of its name sent has ended.
 	// It may be 0s only when the whole cell starts for the first time.
-	Settle time.Duration
+	StartupWait time.Duration
 	// Conns is how many connections each listener for callers and operators
 	// holds; Memory how many bytes of callers' requests the host holds.
 	Conns, Memory int64
-	// Leave is how long a stopping host goes on taking callers after it has
+	// ShutdownDelay is how long a stopping host goes on taking callers after it has
 	// turned not ready: as long as the balancer may take to notice. Zero closes
 	// at once.
-	Leave time.Duration
-	// Drain bounds a planned stop.
-	Drain time.Duration
+	ShutdownDelay time.Duration
+	// DrainTimeout bounds a planned stop.
+	DrainTimeout time.Duration
 }
 
 // Trace says where spans go; at most one of both is set.
@@ -80,14 +80,14 @@
 const (
 	DefaultBody = 1 << 20
 	// MaxBody in base64 still goes into one message between hosts.
-	MaxBody         = 4 << 20
-	DefaultQueue    = 4096
-	DefaultDeadline = time.Minute
-	DefaultConns    = 2048
-	DefaultMemory   = 96 << 20
-	DefaultLeave    = time.Second
-	DefaultDrain    = 30 * time.Second
-	DefaultLog      = "info"
+	MaxBody              = 4 << 20
+	DefaultQueue         = 4096
+	DefaultDeadline      = time.Minute
+	DefaultConns         = 2048
+	DefaultMemory        = 96 << 20
+	DefaultShutdownDelay = time.Second
+	DefaultDrain         = 30 * time.Second
+	DefaultLog           = "info"
 )
 
 // Load reads a settings file. All faults come back at once, as Faults.
@@ -136,18 +136,18 @@
 		Operator: Operator{Token: r.text("operator.token", "")},
 		TLS:      TLS{Cert: r.text("tls.cert", ""), Key: r.text("tls.key", ""), CA: r.text("tls.ca", "")},
 		Limits: Limits{
-			Body:     r.count("limits.body", DefaultBody),
-			Queue:    r.count("limits.queue", DefaultQueue),
-			Deadline: r.time("limits.deadline", DefaultDeadline),
-			Conns:    r.count("limits.conns", DefaultConns),
-			Memory:   r.count("limits.memory", DefaultMemory),
-			Leave:    r.time("limits.leave", DefaultLeave),
-			Drain:    r.time("limits.drain", DefaultDrain),
+			Body:          r.count("limits.body", DefaultBody),
+			Queue:         r.count("limits.queue", DefaultQueue),
+			Deadline:      r.time("limits.deadline", DefaultDeadline),
+			Conns:         r.count("limits.conns", DefaultConns),
+			Memory:        r.count("limits.memory", DefaultMemory),
+			ShutdownDelay: r.time("limits.leave", DefaultShutdownDelay),
+			DrainTimeout:  r.time("limits.drain", DefaultDrain),
 		},
 		Trace: Trace{File: r.text("trace.file", ""), Endpoint: r.text("trace.endpoint", "")},
 		Log:   r.oneOf("log", DefaultLog, "debug", "info", "warn", "error"),
 	}
-	s.Limits.Settle = r.timeFrom("limits.settle", 0, s.Limits.Deadline)
+	s.Limits.StartupWait = r.timeFrom("limits.settle", 0, s.Limits.Deadline)
 	return s
 }
 
--- a/internal/store/routed_test.go
+++ b/internal/store/routed_test.go
@@ -89,7 +89,7 @@
 	_, err := r.Do(background, appendCall)
 	require.ErrorAs(t, err, new(*store.FencedError))
 	require.Zero(t, p["a"].calls)
-	require.False(t, r.Good().IsZero())
+	require.False(t, r.LastAnswer().IsZero())
 }
 
 // A read that waits for records is only made again: it holds up nobody.
@@ -409,7 +409,7 @@
 }
 
 func (n *noting) Do(_ context.Context, c store.Call) (store.Answer, error) {
-	n.anew = append(n.anew, c.Anew)
+	n.anew = append(n.anew, c.NewConn)
 	return store.Answer{}, n.err
 }
 
--- a/internal/table/quota.go
+++ b/internal/table/quota.go
@@ -15,8 +15,8 @@
 // Share is a part of a quota or limit: room for tasks and their number. Parts
 // that are not bounded are NoLimit; zero means that nothing may be used.
 type Share struct {
-	Room  cell.Size `json:"room"`
-	Tasks int64     `json:"tasks"`
+	Capacity cell.Size `json:"room"`
+	Tasks    int64     `json:"tasks"`
 }
 
 // Quota is what a team may use in the whole cell, split into shares of the
@@ -26,13 +26,13 @@
 // edit and still works by its old share, and both together would exceed the
 // quota without anyone noticing.
 type Quota struct {
-	Team    string           `json:"team"`
-	Version int64            `json:"version"`
-	Whole   Share            `json:"whole"`
-	Domains map[string]int64 `json:"domains"`
-	Shares  map[string]Share `json:"shares"`
-	Wanted  map[string]Share `json:"wanted,omitempty"`
-	Unread  []string         `json:"unread,omitempty"`
+	Team        string           `json:"team"`
+	Version     int64            `json:"version"`
+	Total       Share            `json:"whole"`
+	Domains     map[string]int64 `json:"domains"`
+	Shares      map[string]Share `json:"shares"`
+	Target      map[string]Share `json:"wanted,omitempty"`
+	Unconfirmed []string         `json:"unread,omitempty"`
 }
 
 // maxQuotaWeight bounds a domain's weight, so that products stay in 64 bits
@@ -53,7 +53,7 @@
 			return &cell.ValueError{Field: "domains." + d, Found: fmt.Sprint(w), Allowed: fmt.Sprintf("0 to %d", maxQuotaWeight)}
 		}
 	}
-	for field, n := range map[string]int64{"tasks": e.Tasks, "room.cpu": e.Room.CPU, "room.mem": e.Room.Mem, "room.accel": e.Room.Accel} {
+	for field, n := range map[string]int64{"tasks": e.Tasks, "room.cpu": e.Capacity.CPU, "room.mem": e.Capacity.Mem, "room.accel": e.Capacity.Accel} {
 		if n < 0 {
 			return &cell.ValueError{Field: field, Found: fmt.Sprint(n), Allowed: "at least 0"}
 		}
@@ -72,16 +72,16 @@
 	return n
 }
 
-func (t *Table) quota(e QuotaEdit, offset int64) Judged {
+func (t *Table) quota(e QuotaEdit, offset int64) Verdict {
 	if old, ok := t.byID[e.ID]; ok {
 		return old
 	}
-	j := Judged{ID: e.ID, Accepted: true}
+	j := Verdict{ID: e.ID, Accepted: true}
 	old := t.Quotas[e.Team]
 	if old.Version != e.Base {
-		j = Judged{ID: e.ID, Reason: fmt.Sprintf("quota is at version %d", old.Version)}
+		j = Verdict{ID: e.ID, Reason: fmt.Sprintf("quota is at version %d", old.Version)}
 	} else if err := e.Check(); err != nil {
-		j = Judged{ID: e.ID, Reason: err.Error()}
+		j = Verdict{ID: e.ID, Reason: err.Error()}
 	}
 	t.remember(j)
 	if j.Accepted {
@@ -92,22 +92,22 @@
 
 func (q Quota) next(e QuotaEdit, offset int64) Quota {
 	n := Quota{
-		Team: e.Team, Version: offset, Whole: Share{Room: e.Room, Tasks: e.Tasks}, Domains: e.Domains,
-		Wanted: split(Share{Room: e.Room, Tasks: e.Tasks}, e.Domains), Shares: map[string]Share{},
+		Team: e.Team, Version: offset, Total: Share{Capacity: e.Capacity, Tasks: e.Tasks}, Domains: e.Domains,
+		Target: split(Share{Capacity: e.Capacity, Tasks: e.Tasks}, e.Domains), Shares: map[string]Share{},
 	}
-	unread := slices.Clone(q.Unread)
+	unread := slices.Clone(q.Unconfirmed)
 	for d, old := range q.Shares {
-		if old != least(old, n.Wanted[d]) && !slices.Contains(unread, d) {
+		if old != least(old, n.Target[d]) && !slices.Contains(unread, d) {
 			unread = append(unread, d)
 		}
 	}
 	slices.Sort(unread)
-	n.Unread = unread
+	n.Unconfirmed = unread
 	if len(unread) == 0 {
-		n.Shares, n.Wanted = n.Wanted, nil
+		n.Shares, n.Target = n.Target, nil
 		return n
 	}
-	for d, want := range n.Wanted {
+	for d, want := range n.Target {
 		n.Shares[d] = least(q.Shares[d], want)
 	}
 	return n
@@ -115,31 +115,31 @@
 
 // settle notes that a domain works by its smaller share. Only a word about the
 // newest version counts: an older one may have left it more.
-func (t *Table) settle(s Settle) {
+func (t *Table) settle(s ShareConfirmation) {
 	q, ok := t.Quotas[s.Team]
-	if !ok || q.Version != s.Version || !slices.Contains(q.Unread, s.Domain) {
+	if !ok || q.Version != s.Version || !slices.Contains(q.Unconfirmed, s.Domain) {
 		return
 	}
-	q.Unread = slices.DeleteFunc(slices.Clone(q.Unread), func(d string) bool { return d == s.Domain })
-	if len(q.Unread) == 0 {
-		q.Shares, q.Wanted, q.Unread = q.Wanted, nil, nil
+	q.Unconfirmed = slices.DeleteFunc(slices.Clone(q.Unconfirmed), func(d string) bool { return d == s.Domain })
+	if len(q.Unconfirmed) == 0 {
+		q.Shares, q.Target, q.Unconfirmed = q.Target, nil, nil
 	}
 	t.Quotas[s.Team] = q
 }
 
 func least(a, b Share) Share {
 	return Share{
-		Room:  cell.Size{CPU: min(a.Room.CPU, b.Room.CPU), Mem: min(a.Room.Mem, b.Room.Mem), Accel: min(a.Room.Accel, b.Room.Accel)},
-		Tasks: min(a.Tasks, b.Tasks),
+		Capacity: cell.Size{CPU: min(a.Capacity.CPU, b.Capacity.CPU), Mem: min(a.Capacity.Mem, b.Capacity.Mem), Accel: min(a.Capacity.Accel, b.Capacity.Accel)},
+		Tasks:    min(a.Tasks, b.Tasks),
 	}
 }
 
 func split(whole Share, weights map[string]int64) map[string]Share {
-	cpu, mem := divide(whole.Room.CPU, weights), divide(whole.Room.Mem, weights)
-	accel, tasks := divide(whole.Room.Accel, weights), divide(whole.Tasks, weights)
+	cpu, mem := divide(whole.Capacity.CPU, weights), divide(whole.Capacity.Mem, weights)
+	accel, tasks := divide(whole.Capacity.Accel, weights), divide(whole.Tasks, weights)
 	shares := make(map[string]Share, len(weights))
 	for d := range weights {
-		shares[d] = Share{Room: cell.Size{CPU: cpu[d], Mem: mem[d], Accel: accel[d]}, Tasks: tasks[d]}
+		shares[d] = Share{Capacity: cell.Size{CPU: cpu[d], Mem: mem[d], Accel: accel[d]}, Tasks: tasks[d]}
 	}
 	return shares
 }
@@ -189,7 +189,7 @@
 	for _, d := range in {
 		weights[d] = 1
 	}
-	return split(Share{Room: r.Limits.Room, Tasks: r.Limits.Tasks}, weights)[domain], true
+	return split(Share{Capacity: r.Limits.Capacity, Tasks: r.Limits.Tasks}, weights)[domain], true
 }
 
 // Teams lists all quotas in order of team.
@@ -201,12 +201,12 @@
 	return all
 }
 
-// Unsettled lists what a failure domain has to settle.
-func (t *Table) Unsettled(domain string) []Settle {
-	var all []Settle
+// UnconfirmedShares lists what a failure domain has to settle.
+func (t *Table) UnconfirmedShares(domain string) []ShareConfirmation {
+	var all []ShareConfirmation
 	for _, q := range t.Teams() {
-		if slices.Contains(q.Unread, domain) {
-			all = append(all, Settle{Team: q.Team, Version: q.Version, Domain: domain})
+		if slices.Contains(q.Unconfirmed, domain) {
+			all = append(all, ShareConfirmation{Team: q.Team, Version: q.Version, Domain: domain})
 		}
 	}
 	return all
