--- a/internal/entry/heir.go
+++ b/internal/entry/heir.go
@@ -12,14 +12,14 @@
 // only when the leader's membership has expired. But the operating system closes the connections
 // of a dead process and refuses new ones, so every connected host knows within a millisecond that
 // the leader sends no more orders. The leader therefore tells all hosts which of them is its
-// standby, and the standby claims the lead at once. This only decides who tries to lead; the
+// standby, and the standby claims leadership at once. This only decides who tries to lead; the
 // store still decides who may.
 
 const (
-	// goneTimeout limits the check whether a process has ended, goneRetry is the pause before it
-	// is repeated. A refused connection takes one round trip.
-	goneTimeout = 100 * time.Millisecond
-	goneRetry   = 15 * time.Millisecond
+	// processCheckTimeout limits the check whether a process has ended, processCheckInterval is
+	// the pause before it is repeated. A refused connection takes one round trip.
+	processCheckTimeout  = 100 * time.Millisecond
+	processCheckInterval = 15 * time.Millisecond
 	// followsTimeout limits the question which leader other hosts follow, and allows for a few
 	// round trips. After a power failure of all hosts nobody answers it, and nothing is scheduled
 	// in the meantime.
@@ -43,17 +43,17 @@
 // still be open, the standby would take the leader for alive, and nothing would be started until
 // the candidate group notices.
 func (h *Host) isProcessGone(leader string) bool {
-	ctx, cancel := context.WithTimeout(h.ctx, goneTimeout)
+	ctx, cancel := context.WithTimeout(h.ctx, processCheckTimeout)
 	defer cancel()
 	for h.peers.CheckReach(ctx, leader) != peer.ConnRefused {
-		if !sleep(ctx, goneRetry) {
+		if !sleep(ctx, processCheckInterval) {
 			return false
 		}
 	}
 	return true
 }
 
-// takeOver claims the lead if the leader's process has ended.
+// takeOver claims leadership if the leader's process has ended.
 func (h *Host) takeOver(leader string) {
 	if !h.isProcessGone(leader) {
 		return
--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -88,7 +88,7 @@
 func (h *Host) records(from int64) (peer.TableReply, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.table.Wants() <= from {
+	if h.table.NextOffset() <= from {
 		return peer.TableReply{}, nil
 	}
 	parts, err := h.table.Snapshot(h.clock())
@@ -100,7 +100,7 @@
 // nobody else would notice that they work by different limits.
 func (h *Host) compare(b member.Heartbeat) {
 	h.mu.Lock()
-	differs := b.Next == h.table.Wants() && b.Digest != uint32(h.table.Mark())
+	differs := b.Next == h.table.NextOffset() && b.Digest != uint32(h.table.Fingerprint())
 	h.mu.Unlock()
 	if differs {
 		h.meter("differs")
@@ -170,7 +170,7 @@
 	if len(r.Parts) == 0 {
 		return false
 	}
-	if err := h.fold(table.Copy{Parts: r.Parts}); err != nil {
+	if err := h.fold(table.PeerCopy{Parts: r.Parts}); err != nil {
 		h.log.Warn("table: peer's copy is not taken.", "err", err)
 	}
 	if h.wants() <= from {
@@ -206,7 +206,7 @@
 // by. All its hosts must have read the edit: each takes part in using the share.
 func (h *Host) settle() {
 	h.mu.Lock()
-	due := h.table.Unsettled(h.cfg.Domain)
+	due := h.table.UnconfirmedShares(h.cfg.Domain)
 	read := h.readByDomain()
 	first := h.members.LiveIn(h.cfg.Domain)[0] == h.cfg.Name
 	h.mu.Unlock()
@@ -231,7 +231,7 @@
 // for. One that was never heard counts with zero until it is silent long enough.
 func (h *Host) readByDomain() int64 {
 	now := h.clock()
-	lowest := h.table.Wants()
+	lowest := h.table.NextOffset()
 	beats := map[string]member.Heartbeat{}
 	for _, b := range h.members.Heartbeats() {
 		beats[b.Name] = b
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -154,9 +154,9 @@
 	began := x.Clock()
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), req.Deadline.Sub(began))
 	defer cancel()
-	ctx, end := spans.Hop(ctx, "minion", req.ID)
+	ctx, end := spans.Start(ctx, "minion", req.ID)
 	defer end()
-	req.Trace = spans.Parent(ctx)
+	req.Trace = spans.TraceParent(ctx)
 	x.mu.Lock()
 	addr := x.servers[a.Backend].Address
 	x.watch(outlier.Sent{ID: req.ID, Backend: a.Backend, Row: req.Row})
--- a/internal/sched/gang.go
+++ b/internal/sched/gang.go
@@ -10,21 +10,21 @@
 
 // placeGang places all tasks of a step or none. A partly started gang would hold its capacity while
 // it waits for the other members, and then end with EndAlone.
-func (s *Sched) placeGang(r readyStep, p *pool, keep int64) {
+func (s *Sched) placeGang(r readyStep, p *pool, reservedCPU int64) {
 	tasks := r.stage.Tasks
 	if len(r.tasks) < len(tasks) {
 		// Members of the last run are still being stopped.
 		return
 	}
 	need := r.stage.Spec.Demand().CPU * int64(len(tasks))
-	if keep > 0 && need > p.freeCPU-keep {
+	if reservedCPU > 0 && need > p.freeCPU-reservedCPU {
 		return
 	}
-	var put []*worker
+	var placed []*worker
 	if s.hasTicket(r) {
-		put = s.findGangWorkers(r, s.allowedWorkers(r, p))
+		placed = s.findGangWorkers(r, s.allowedWorkers(r, p))
 	}
-	if put == nil {
+	if placed == nil {
 		if r.queue.Advice != nil {
 			s.maybeQuery(r, p, len(tasks))
 		}
@@ -38,7 +38,7 @@
 	for i, t := range tasks {
 		// The members share one checkpoint.
 		t.Checkpoint = saved
-		s.assign(t, put[i], run+1)
+		s.assign(t, placed[i], run+1)
 	}
 	p.freeCPU -= need
 }
@@ -52,8 +52,8 @@
 			racks[w.Rack] = append(racks[w.Rack], w)
 		}
 		for _, name := range slices.Sorted(maps.Keys(racks)) {
-			if put := s.fitGang(r, racks[name]); put != nil {
-				return put
+			if placed := s.fitGang(r, racks[name]); placed != nil {
+				return placed
 			}
 		}
 	}
@@ -72,7 +72,7 @@
 		}
 	}
 	slices.SortStableFunc(able, func(a, b *worker) int { return int(room[b].CPU - room[a].CPU) })
-	put := make([]*worker, 0, len(r.stage.Tasks))
+	placed := make([]*worker, 0, len(r.stage.Tasks))
 	for range r.stage.Tasks {
 		i := slices.IndexFunc(able, func(w *worker) bool {
 			return st.Demand().Fits(room[w]) && (st.MaxPerWorker == 0 || w.tasksOf(r.stage)+count[w] < st.MaxPerWorker)
@@ -83,9 +83,9 @@
 		w := able[i]
 		room[w] = room[w].Sub(st.Demand())
 		count[w]++
-		put = append(put, w)
+		placed = append(placed, w)
 	}
-	return put
+	return placed
 }
 
 // breakGang stops the remaining members of a gang's run after one has ended. All members have to be
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -24,9 +24,9 @@
 	require.Len(t, b.starts, 9)
 }
 
-// The same job arrives again at another host after its 2xx. A caller would see
-// a pass spent twice if it became a second job.
-func TestAJobThatArrivesTwiceIsOneJob(t *testing.T) {
+// A job is submitted again at another host after its 2xx. If it became a second job, its work would
+// be done twice.
+func TestDuplicateSubmitIsIgnored(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.submit("a", "scan", scan(2))
 	b.advance(3 * time.Second)
@@ -38,9 +38,9 @@
 	}
 }
 
-// The store does not answer for a while. Nothing may start that no successor
-// would know of, and no job may be shown as completed before that is stored.
-func TestNothingStartsBeforeItsRunIsStored(t *testing.T) {
+// The store does not answer for a while. No run may start that a successor would not know of, and
+// no job may be shown as completed before that is stored.
+func TestRunStartsOnlyAfterItIsStored(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.advance(100 * time.Millisecond)
 	b.storeDown = true
@@ -58,9 +58,9 @@
 	require.Equal(t, flow.Completed, b.state("a"))
 }
 
-// A worker leaves a start without an answer and carries it out two seconds
-// later. Started elsewhere meanwhile, the task would run twice.
-func TestAStartWithoutAnAnswerIsStoppedBeforeTheTaskStartsElsewhere(t *testing.T) {
+// A worker doesn't answer a start and carries it out two seconds later. If the task were started
+// elsewhere meanwhile, it would run twice.
+func TestUnansweredStartIsStoppedBeforeRestartElsewhere(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.advance(100 * time.Millisecond)
 	for _, w := range b.sortedWorkers() {
@@ -76,10 +76,9 @@
 	require.Empty(t, b.violations)
 }
 
-// A worker goes for good without a word. Its task begins elsewhere once no
-// lease on it can last any more, and not before; a job that waited for ever
-// would be one that its caller was told is accepted.
-func TestTasksOfAWorkerThatIsGoneStartElsewhereAfterTheLease(t *testing.T) {
+// A worker disappears for good. Its tasks start elsewhere once no lease on it can still be valid,
+// and not before. A job that waited forever would break the promise of its acceptance.
+func TestTasksOfLostWorkerRestartAfterLease(t *testing.T) {
 	b := newSimCell(t, 2)
 	b.submit("a", "print", bulk(8))
 	b.advance(time.Second)
@@ -90,7 +89,7 @@
 	b.list()
 	before := total(b.starts)
 	b.advance(6 * time.Second)
-	require.Equal(t, before, total(b.starts), "nothing starts twice while a lease may last")
+	require.Equal(t, before, total(b.starts), "tasks must not start again while a lease may still be valid")
 	b.advance(5 * time.Second)
 	require.Equal(t, before+held, total(b.starts))
 	b.advance(20 * time.Second)
@@ -106,9 +105,9 @@
 	return n
 }
 
-// A worker is cut off for 5.5 s and runs on. Its tasks live through it and are
-// not started anywhere else.
-func TestTasksOfAWorkerThatIsCutOffLiveThroughIt(t *testing.T) {
+// A worker is cut off from the network for 5.5 s and keeps running. Its tasks survive that and are
+// not started elsewhere.
+func TestTasksSurviveNetworkCut(t *testing.T) {
 	b := newSimCell(t, 2)
 	b.submit("a", "print", bulk(8))
 	b.advance(time.Second)
@@ -121,9 +120,9 @@
 	require.Empty(t, b.violations)
 }
 
-// All power goes while tasks run. The next lead finds each run that the records
-// name at its worker, goes on with it, and starts nothing twice.
-func TestTheNextLeadGoesOnWithWhatRuns(t *testing.T) {
+// All hosts lose power while tasks run. The next leader finds each recorded run at its worker,
+// continues with it, and starts nothing twice.
+func TestNewLeaderAdoptsRunningTasks(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.submit("a", "print", bulk(8))
 	b.submit("b", "scan", scan(5), scan(5))
@@ -136,9 +135,9 @@
 	require.Empty(t, b.violations)
 }
 
-// The lead ends between storing a run and sending it. The worker was read by
-// the next lead and does not have it, so it starts, once.
-func TestARunThatWasStoredAndNeverSentStartsUnderTheNextLead(t *testing.T) {
+// The leader ends between storing a run and sending its start. The next leader reads the worker,
+// which does not have the run, and starts it once.
+func TestNewLeaderStartsRunStoredButNotSent(t *testing.T) {
 	for cut := range 40 {
 		b := newSimCell(t, 3)
 		b.advance(100 * time.Millisecond)
@@ -151,10 +150,10 @@
 	}
 }
 
-// The next lead cannot reach a worker that the records name. The former lead
-// may go on holding it for a while: nothing of it starts before that and one
-// lease are over.
-func TestInheritedRunsOfASilentWorkerWaitForTheFormerLeadAndALease(t *testing.T) {
+// The next leader cannot reach a worker that the records name. The previous leader may keep
+// renewing leases there for a while: none of its tasks may start elsewhere before that time and one
+// lease have passed.
+func TestInheritedRunsOfSilentWorkerWaitForPreviousLeaderAndLease(t *testing.T) {
 	b := newSimCell(t, 2)
 	b.submit("a", "print", bulk(8))
 	b.advance(time.Second)
@@ -170,8 +169,8 @@
 	require.Equal(t, before+held, total(b.starts))
 }
 
-// The same, but the former lead is known to be over: one lease is enough.
-func TestInheritedRunsWaitOneLeaseOnceTheFormerLeadIsOver(t *testing.T) {
+// The same, but the previous leader is known to have stopped: one lease is enough.
+func TestInheritedRunsWaitOneLeaseAfterPreviousLeaderStopped(t *testing.T) {
 	b := newSimCell(t, 2)
 	b.submit("a", "print", bulk(8))
 	b.advance(time.Second)
@@ -187,9 +186,9 @@
 	require.Equal(t, before+held, total(b.starts))
 }
 
-// A lead leaves while a worker is silent. Leads that leave one after the other
-// would each wait for a whole lease again, and the task would never start.
-func TestWhatALeadKnowsOfSilentWorkersGoesToItsSuccessor(t *testing.T) {
+// A leader leaves while a worker is silent. If each of several successive leaders waited for a
+// whole lease again, the task would never start.
+func TestLeaseBoundsOfSilentWorkersPassToSuccessor(t *testing.T) {
 	b := newSimCell(t, 2)
 	b.submit("a", "print", bulk(8))
 	b.advance(time.Second)
@@ -207,9 +206,9 @@
 	require.Equal(t, before+held, total(b.starts))
 }
 
-// A worker fails all that it starts, at once. It always has room; without a
-// judgement it would use up the tries of every job.
-func TestAWorkerThatFailsEverythingDoesNotFailJobs(t *testing.T) {
+// A worker fails every run immediately, so it always has free capacity. Without a quarantine it
+// would use up the attempts of every job.
+func TestFailingWorkerDoesNotFailJobs(t *testing.T) {
 	b := newSimCell(t, 6)
 	b.workers["w00"].fails = true
 	for i := range 12 {
@@ -223,9 +222,8 @@
 	require.Empty(t, b.violations)
 }
 
-// A job that fails everywhere ends as failed after as many tries as its queue
-// allows, and not one more.
-func TestAJobThatCanNeverBeDoneFailsAfterItsTries(t *testing.T) {
+// A job that fails everywhere ends as failed after exactly as many attempts as its queue allows.
+func TestJobFailsAfterAllAttempts(t *testing.T) {
 	b := newSimCell(t, 6)
 	for _, w := range b.sortedWorkers() {
 		w.fails = true
@@ -236,9 +234,9 @@
 	require.Equal(t, 3, total(b.starts))
 }
 
-// All that one worker runs stands still while it answers every question. Its
-// tasks go on elsewhere within two seconds instead of when it recovers.
-func TestRunsThatStandStillGoOnElsewhere(t *testing.T) {
+// All runs on one worker stall while it answers every request. Its tasks restart elsewhere within
+// two seconds instead of waiting for it to recover.
+func TestStalledRunsRestartElsewhere(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.workers["w00"].stalled = true
 	b.submit("a", "scan", scan(20))
@@ -247,9 +245,9 @@
 	require.Empty(t, b.violations)
 }
 
-// A cancelled job's runs are stopped at once, those that had no answer too, and
-// the worker never begins them any more.
-func TestACancelledJobRunsNowhere(t *testing.T) {
+// The runs of a cancelled job are stopped at once, including those whose start had no answer, and
+// the worker never begins them afterwards.
+func TestCancelledJobIsStoppedEverywhere(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.advance(100 * time.Millisecond)
 	b.workers["w01"].startDelay = 2 * time.Second
@@ -263,8 +261,8 @@
 	}
 }
 
-// A worker that leaves gets no start, and a lasting task is moved.
-func TestAWorkerThatLeavesIsEmptied(t *testing.T) {
+// A draining worker gets no starts, and a long-running task is moved away from it.
+func TestDrainingWorkerIsEmptied(t *testing.T) {
 	b := newSimCell(t, 2)
 	lasts := scan(8)
 	lasts.LongRunning = true
@@ -280,8 +278,8 @@
 	require.Empty(t, b.violations)
 }
 
-// All members of a gang start together or none does, under one run's number.
-func TestAGangStartsWholeOrNotAtAll(t *testing.T) {
+// All members of a gang start together, with the same run number, or none does.
+func TestGangStartsWholeOrNotAtAll(t *testing.T) {
 	b := newSimCell(t, 2)
 	filler := scan(1)
 	filler.Size.CPU, filler.EstimatedTime = 60_000, 3*time.Second
@@ -291,14 +289,14 @@
 	gang.Gang, gang.Checkpoints = true, false
 	b.submit("gang", "print", gang)
 	b.advance(2 * time.Second)
-	require.Equal(t, 1, total(b.starts), "there is room for five members only")
+	require.Equal(t, 1, total(b.starts), "there is capacity for five members only")
 	b.advance(9 * time.Second)
 	require.Equal(t, flow.Completed, b.state("gang"))
 	require.Empty(t, b.violations)
 }
 
-// A lead that a worker knows to be replaced is over.
-func TestALeadThatAWorkerKnowsToBeReplacedIsDeposed(t *testing.T) {
+// A leader steps down when a worker has seen a leader of a later term.
+func TestFencedLeaderStepsDown(t *testing.T) {
 	b := newSimCell(t, 1)
 	b.submit("a", "scan", scan(1))
 	b.advance(500 * time.Millisecond)
@@ -307,10 +305,10 @@
 	require.True(t, b.deposed)
 }
 
-// A lead takes over a job that has ended, of which it reads no steps, and a worker
-// still lists a run of it. Nobody knows what room that run takes. Whatever else was
-// started beside it could overfill the worker, so nothing is until it is gone.
-func TestARunOfUnknownRoomTakesTheWholeWorker(t *testing.T) {
+// A leader takes over a job that has ended, whose steps are no longer stored, and a worker still
+// lists a run of it. The size of that run is unknown, and anything started beside it could overfill
+// the worker, so nothing may start there until it is gone.
+func TestRunOfUnknownSizeTakesWholeWorker(t *testing.T) {
 	b := newSimCell(t, 1)
 	b.submit("a", "scan", scan(1))
 	b.advance(3 * time.Second)
@@ -327,10 +325,10 @@
 	require.Empty(t, b.violations)
 }
 
-// A job is accepted at one host and cancelled at another, while the lead changes. The
-// next lead hears of the cancellation first. Its caller was told that the job is
-// cancelled, so no task of it may start.
-func TestACancellationThatComesBeforeItsJobCounts(t *testing.T) {
+// A job is accepted at one host and cancelled at another while the leader changes, and the next
+// leader receives the cancellation first. The caller was told that the job is cancelled, so none of
+// its tasks may start.
+func TestCancellationBeforeSubmitCounts(t *testing.T) {
 	b := newSimCell(t, 3)
 	b.advance(100 * time.Millisecond)
 	b.cancel("a")
@@ -342,8 +340,8 @@
 	require.Empty(t, b.violations)
 }
 
-// Guards against room of ended members of a gang that stays booked for seconds.
-func TestMembersOfAGangThatEndedTakeNoRoom(t *testing.T) {
+// Guards against the capacity of ended gang members staying booked for seconds.
+func TestEndedGangMembersTakeNoCapacity(t *testing.T) {
 	b := newSimCell(t, 1)
 	for _, id := range []string{"a", "b"} {
 		gang := bulk(5)
--- a/internal/trail/trail.go
+++ b/internal/trail/trail.go
@@ -10,10 +10,10 @@
 
 // Note is one decision about one id.
 type Note struct {
-	At   time.Time `json:"at"`
-	ID   string    `json:"id"`
-	Part string    `json:"part"`
-	What string    `json:"what"`
+	At        time.Time `json:"at"`
+	ID        string    `json:"id"`
+	Component string    `json:"part"`
+	What      string    `json:"what"`
 }
 
 // Trail is a ring of the newest notes. It is safe for concurrent use.
@@ -43,23 +43,23 @@
 func (t *Trail) Merge(notes []Note) {
 	for _, n := range notes {
 		known := func(o Note) bool { return o.At.Equal(n.At) && o.What == n.What }
-		if !slices.ContainsFunc(t.Of(n.ID), known) {
+		if !slices.ContainsFunc(t.ByID(n.ID), known) {
 			t.Add(n)
 		}
 	}
 }
 
-// Brief returns at most n notes about one id: the first and the last ones.
-func (t *Trail) Brief(id string, n int) []Note {
-	all := t.Of(id)
+// Excerpt returns at most n notes about one id: the first and the last ones.
+func (t *Trail) Excerpt(id string, n int) []Note {
+	all := t.ByID(id)
 	if len(all) <= n {
 		return all
 	}
 	return slices.Delete(all, 1, 1+len(all)-n)
 }
 
-// Of returns the notes about one id, oldest first.
-func (t *Trail) Of(id string) []Note {
+// ByID returns the notes about one id, oldest first.
+func (t *Trail) ByID(id string) []Note {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var found []Note
