--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -61,7 +61,7 @@
 		return m.Name
 	case peer.Leave:
 		return m.Name
-	case peer.WriterShares:
+	case peer.AnnounceSlots:
 		return m.Name
 	case peer.Inventory:
 		return m.From
--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -378,7 +378,7 @@
 	case peer.Leave:
 		h.member(member.LeaveReceived{Name: m.Name})
 		return nil, nil
-	case peer.WriterShares:
+	case peer.AnnounceSlots:
 		h.shareStep(share.AnnouncementReceived{Announcement: m.Announcement})
 		h.relay.MarkLeaving(m.Leaving)
 		return nil, nil
--- a/internal/host/keys_test.go
+++ b/internal/host/keys_test.go
@@ -86,7 +86,7 @@
 	lie := peer.Beat{Heartbeat: member.Heartbeat{Name: "nord-1", Incarnation: 1 << 60, Leaving: true}}
 	require.ErrorAs(t, liar.Ask(ctx, "nord-0", lie, nil), new(*peer.RefusedError))
 	require.ErrorAs(t, liar.Ask(ctx, "nord-0", peer.Leave{Name: "nord-1"}, nil), new(*peer.RefusedError))
-	require.ErrorAs(t, liar.Ask(ctx, "nord-0", peer.WriterShares{Announcement: share.Announcement{Name: "nord-1", Released: true}}, nil), new(*peer.RefusedError))
+	require.ErrorAs(t, liar.Ask(ctx, "nord-0", peer.AnnounceSlots{Announcement: share.Announcement{Name: "nord-1", Released: true}}, nil), new(*peer.RefusedError))
 	require.Equal(t, int64(3), c.hosts[0].Count("keys.lie"))
 	require.NoError(t, operator(good).Get(ctx, "/hosts", &hosts))
 	require.Len(t, hosts.Live, 2)
--- a/internal/host/share.go
+++ b/internal/host/share.go
@@ -111,7 +111,7 @@
 		h.wg.Go(func() {
 			ctx, cancel := context.WithTimeout(h.ctx, beatWait)
 			defer cancel()
-			_ = h.peers.Notify(ctx, p.Name, peer.WriterShares{Announcement: w, Leaving: leaving})
+			_ = h.peers.Notify(ctx, p.Name, peer.AnnounceSlots{Announcement: w, Leaving: leaving})
 		})
 	}
 }
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -90,8 +90,8 @@
 // of it was taken.
 type HandoverReply struct{ Stale bool }
 
-// WriterShares tells what a host says of the shares of writers; it has no answer.
-type WriterShares struct {
+// AnnounceSlots tells what a host says of the shares of writers; it has no answer.
+type AnnounceSlots struct {
 	share.Announcement
 	// Leaving names backend servers that told the sender that they leave.
 	Leaving []string `json:"leaving,omitempty"`
@@ -128,7 +128,7 @@
 func (AskTrail) method() string        { return "trail" }
 func (CancelJob) method() string       { return "cancel" }
 func (KeepRecord) method() string      { return "keep" }
-func (WriterShares) method() string    { return "writers" }
+func (AnnounceSlots) method() string   { return "writers" }
 func (AskTable) method() string        { return "records" }
 func (HostListChanged) method() string { return "listed" }
 func (Leave) method() string           { return "leave" }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -43,7 +43,7 @@
 	Handover{},
 	Ping{},
 	AwaitKey{},
-	WriterShares{},
+	AnnounceSlots{},
 	AskTable{},
 	HostListChanged{},
 	ForwardRecords{},
