--- a/internal/store/routed_test.go
+++ b/internal/store/routed_test.go
@@ -13,19 +13,19 @@
 	"pollencroft/internal/store"
 )
 
-// way answers every call with err, or well without one.
-type way struct {
+// fixedLog answers every call with err, or well without one.
+type fixedLog struct {
 	err   error
 	calls int
 }
 
-func (w *way) Do(context.Context, store.Call) (store.Answer, error) {
+func (w *fixedLog) Do(context.Context, store.Call) (store.Answer, error) {
 	w.calls++
 	return store.Answer{End: 1}, w.err
 }
 
 // peers are ways through peers, in order of name.
-type peers map[string]*way
+type peers map[string]*fixedLog
 
 func (p peers) Peers() []string { return []string{"a", "b", "c"}[:len(p)] }
 
@@ -49,7 +49,7 @@
 // is then refused. Told as refused, the caller would hear that its job never
 // runs, and see it run.
 func TestNoAnswerThenARefusalIsNotARefusal(t *testing.T) {
-	r := routed(&way{err: errUnsure}, peers{"a": {err: errRefused}})
+	r := routed(&fixedLog{err: errUnsure}, peers{"a": {err: errRefused}})
 	_, err := r.Do(background, appendCall)
 	require.False(t, store.NotDone(err), "%v", err)
 	require.ErrorAs(t, err, new(*store.UnansweredError))
@@ -57,13 +57,13 @@
 
 // The other way round: this host is refused, a peer's call has no answer.
 func TestARefusalThenNoAnswerIsNotARefusal(t *testing.T) {
-	r := routed(&way{err: errRefused}, peers{"a": {err: errUnsure}, "b": {err: errRefused}})
+	r := routed(&fixedLog{err: errRefused}, peers{"a": {err: errUnsure}, "b": {err: errRefused}})
 	_, err := r.Do(background, appendCall)
 	require.False(t, store.NotDone(err), "%v", err)
 }
 
 func TestAllWaysRefusedIsARefusal(t *testing.T) {
-	r := routed(&way{err: errRefused}, peers{"a": {err: errRefused}, "b": {err: errRefused}})
+	r := routed(&fixedLog{err: errRefused}, peers{"a": {err: errRefused}, "b": {err: errRefused}})
 	_, err := r.Do(background, appendCall)
 	require.True(t, store.NotDone(err), "%v", err)
 }
@@ -71,7 +71,7 @@
 // The store turns this host away and serves the others. Callers of this host
 // would be refused although their jobs can be stored.
 func TestAHostThatIsTurnedAwayGoesThroughAPeer(t *testing.T) {
-	direct, p := &way{err: errRefused}, peers{"a": {err: errRefused}, "b": {}}
+	direct, p := &fixedLog{err: errRefused}, peers{"a": {err: errRefused}, "b": {}}
 	r := routed(direct, p)
 	for range 5 {
 		_, err := r.Do(background, appendCall)
@@ -85,7 +85,7 @@
 // What the store says of a call is final: another way would say the same.
 func TestAnAnswerThatIsAnErrorIsNotTriedElsewhere(t *testing.T) {
 	p := peers{"a": {}}
-	r := routed(&way{err: &store.FencedError{Epoch: 3}}, p)
+	r := routed(&fixedLog{err: &store.FencedError{Epoch: 3}}, p)
 	_, err := r.Do(background, appendCall)
 	require.ErrorAs(t, err, new(*store.FencedError))
 	require.Zero(t, p["a"].calls)
@@ -95,7 +95,7 @@
 // A read that waits for records is only made again: it holds up nobody.
 func TestALongReadIsNotMadeThroughAPeerAtOnce(t *testing.T) {
 	p := peers{"a": {}}
-	r := routed(&way{err: errUnsure}, p)
+	r := routed(&fixedLog{err: errUnsure}, p)
 	_, err := r.Do(background, longRead)
 	require.Error(t, err)
 	require.Zero(t, p["a"].calls)
@@ -242,7 +242,7 @@
 func TestAPeerThatWasServedIsAskedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cutPeer := &slow{wait: time.Minute}
-		r := store.NewRouted(&slow{wait: time.Minute}, mixed{"a": cutPeer, "b": &way{}}, time.Now, func(store.Call, bool, error) {})
+		r := store.NewRouted(&slow{wait: time.Minute}, mixed{"a": cutPeer, "b": &fixedLog{}}, time.Now, func(store.Call, bool, error) {})
 		for range 6 {
 			_, err := r.Do(background, appendCall)
 			require.NoError(t, err)
@@ -310,8 +310,8 @@
 	}{{appendCall, time.Second}, {store.Call{Op: store.Read, Topic: "op"}, 400 * time.Millisecond}} {
 		synctest.Test(t, func(t *testing.T) {
 			c := tc.call
-			p := mixed{"a": &slow{wait: time.Hour}, "b": &slow{wait: time.Hour}, "c": &way{}}
-			r := store.NewRouted(&way{err: errRefused}, p, time.Now, func(store.Call, bool, error) {})
+			p := mixed{"a": &slow{wait: time.Hour}, "b": &slow{wait: time.Hour}, "c": &fixedLog{}}
+			r := store.NewRouted(&fixedLog{err: errRefused}, p, time.Now, func(store.Call, bool, error) {})
 			began := time.Now()
 			_, err := r.Do(background, c)
 			require.NoError(t, err)
@@ -345,7 +345,7 @@
 // its callers for as long as these are turned away as well.
 func TestPeersThatAreTurnedAwayGoLast(t *testing.T) {
 	p := &many{names: []string{"a", "b", "c", "d", "e", "f", "g"}, asked: map[string]int{}}
-	r := store.NewRouted(&way{err: errRefused}, p, time.Now, func(store.Call, bool, error) {})
+	r := store.NewRouted(&fixedLog{err: errRefused}, p, time.Now, func(store.Call, bool, error) {})
 	refused := 0
 	for range 10 {
 		if _, err := r.Do(background, appendCall); err != nil {
