--- a/internal/store/routed_test.go
+++ b/internal/store/routed_test.go
@@ -402,13 +402,13 @@
 	})
 }
 
-// noting keeps which calls asked for a new connection, and fails with err.
-type noting struct {
+// recorder keeps which calls asked for a new connection, and fails with err.
+type recorder struct {
 	err  error
 	anew []bool
 }
 
-func (n *noting) Do(_ context.Context, c store.Call) (store.Answer, error) {
+func (n *recorder) Do(_ context.Context, c store.Call) (store.Answer, error) {
 	n.anew = append(n.anew, c.NewConn)
 	return store.Answer{}, n.err
 }
@@ -416,7 +416,7 @@
 // A connection has gone silent, and with it all that were open. The next call would wait on
 // another one of them.
 func TestAfterASilenceACallGoesOnANewConnection(t *testing.T) {
-	direct := &noting{err: errUnsure}
+	direct := &recorder{err: errUnsure}
 	r := routed(direct, peers{})
 	read := store.Call{Op: store.Read, Topic: "op"}
 	_, err := r.Do(background, read)
