--- a/internal/store/routed_test.go
+++ b/internal/store/routed_test.go
@@ -152,7 +152,7 @@
 // The store is down for some of its partitions. What is for the others goes its
 // direct way as before; taken for turned away as a whole, the host could not lead.
 func TestAPartitionThatIsDownClosesNoOther(t *testing.T) {
-	direct := &partly{down: 5}
+	direct := &partialLog{down: 5}
 	p := peers{"a": {err: errRefused}}
 	r := routed(direct, p)
 	for range 3 {
@@ -165,10 +165,10 @@
 	require.Equal(t, 3, p["a"].calls, "only what is down is tried through the peer")
 }
 
-// partly serves all partitions but one.
-type partly struct{ down, served int }
+// partialLog serves all partitions but one.
+type partialLog struct{ down, served int }
 
-func (p *partly) Do(_ context.Context, c store.Call) (store.Answer, error) {
+func (p *partialLog) Do(_ context.Context, c store.Call) (store.Answer, error) {
 	if c.Part == p.down {
 		return store.Answer{}, errRefused
 	}
