--- a/internal/store/routed_test.go
+++ b/internal/store/routed_test.go
@@ -70,7 +70,7 @@
 
 // The store turns this host away and serves the others. Callers of this host
 // would be refused although their jobs can be stored.
-func TestAHostThatIsTurnedAwayGoesThroughAPeer(t *testing.T) {
+func TestRefusedHostCallsThroughPeer(t *testing.T) {
 	direct, p := &fixedLog{err: errRefused}, peers{"a": {err: errRefused}, "b": {}}
 	r := routed(direct, p)
 	for range 5 {
