--- a/internal/store/routed_test.go
+++ b/internal/store/routed_test.go
@@ -135,7 +135,7 @@
 
 // The way to the store goes silent without a word. Callers at this host would
 // wait for as long as the bound on an answer with each call.
-func TestASilentWayCostsOnlyTheFirstCall(t *testing.T) {
+func TestSilentRouteDelaysOnlyFirstCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := routed(&slow{wait: time.Hour}, peers{"a": {}})
 		began := time.Now()
