--- a/internal/store/routed_test.go
+++ b/internal/store/routed_test.go
@@ -151,7 +151,7 @@
 
 // The store is down for some of its partitions. What is for the others goes its
 // direct way as before; taken for turned away as a whole, the host could not lead.
-func TestAPartitionThatIsDownClosesNoOther(t *testing.T) {
+func TestPartitionDownDoesNotAffectOthers(t *testing.T) {
 	direct := &partialLog{down: 5}
 	p := peers{"a": {err: errRefused}}
 	r := routed(direct, p)
