--- a/internal/store/routed_test.go
+++ b/internal/store/routed_test.go
@@ -213,7 +213,7 @@
 // The store is silent for all hosts for some seconds, and answers again. What a lead sent
 // shortly before is lost. Waited for to the end of its time, nothing would begin or be
 // told as completed for two seconds more, in the moment when everybody has waited.
-func TestCallsSentIntoASilenceAreMadeAgainAfterIt(t *testing.T) {
+func TestUnansweredCallsAreRepeatedAfterRecovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		direct := &silentUntil{}
 		r := routed(direct, peers{})
