--- a/internal/store/routed_test.go
+++ b/internal/store/routed_test.go
@@ -343,7 +343,7 @@
 
 // The store turns most hosts away. A host that always asked the same few peers would refuse
 // its callers for as long as these are turned away as well.
-func TestPeersThatAreTurnedAwayGoLast(t *testing.T) {
+func TestRefusedPeersAreAskedLast(t *testing.T) {
 	p := &many{names: []string{"a", "b", "c", "d", "e", "f", "g"}, asked: map[string]int{}}
 	r := store.NewRouted(&fixedLog{err: errRefused}, p, time.Now, func(store.Call, bool, error) {})
 	refused := 0
