--- a/internal/store/routed_test.go
+++ b/internal/store/routed_test.go
@@ -360,7 +360,7 @@
 // A read has gone unanswered for a second and was made again with success meanwhile. Its own
 // end, when its time is over, is older news: taken for a loss of the store it would send a
 // host's calls around through peers while its own way works.
-func TestAnOldFailureSaysNothingAgainstANewerAnswer(t *testing.T) {
+func TestOldFailureDoesNotOverrideNewerAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		direct := &silentUntil{}
 		var told []bool
