--- a/internal/store/routed_test.go
+++ b/internal/store/routed_test.go
@@ -377,7 +377,7 @@
 }
 
 // A host stops while a read waits. That says nothing of the store.
-func TestACallerThatLeavesIsNoLossOfTheStore(t *testing.T) {
+func TestCancelledCallIsNotAStoreFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lost := 0
 		r := store.NewRouted(&slow{wait: 800 * time.Millisecond}, peers{}, time.Now, func(store.Call, bool, error) { lost++ })
