--- a/internal/store/routed_test.go
+++ b/internal/store/routed_test.go
@@ -431,7 +431,7 @@
 
 // One answer took long, as after a short cut. That says little of the next call: waited for in
 // proportion, a read on a way that has gone silent would take seconds.
-func TestALongAnswerDoesNotMakeReadsPatient(t *testing.T) {
+func TestSlowAnswerDoesNotExtendReadTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		direct := &slow{wait: 2500 * time.Millisecond}
 		r := routed(direct, peers{"a": {}})
