--- a/internal/store/routed_test.go
+++ b/internal/store/routed_test.go
@@ -62,7 +62,7 @@
 	require.False(t, store.NotDone(err), "%v", err)
 }
 
-func TestAllWaysRefusedIsARefusal(t *testing.T) {
+func TestRefusalByAllRoutesIsARefusal(t *testing.T) {
 	r := routed(&fixedLog{err: errRefused}, peers{"a": {err: errRefused}, "b": {err: errRefused}})
 	_, err := r.Do(background, appendCall)
 	require.True(t, store.NotDone(err), "%v", err)
