--- a/internal/store/routed_test.go
+++ b/internal/store/routed_test.go
@@ -83,7 +83,7 @@
 }
 
 // What the store says of a call is final: another way would say the same.
-func TestAnAnswerThatIsAnErrorIsNotTriedElsewhere(t *testing.T) {
+func TestErrorAnswerIsNotRetriedElsewhere(t *testing.T) {
 	p := peers{"a": {}}
 	r := routed(&fixedLog{err: &store.FencedError{Epoch: 3}}, p)
 	_, err := r.Do(background, appendCall)
