--- a/internal/store/routed_test.go
+++ b/internal/store/routed_test.go
@@ -104,7 +104,7 @@
 // A store that is slow for everybody: every call takes longer than a peer is
 // waited for at first. Asking peers each time would double the load of a store
 // that takes one append at a time, and callers would be refused for that.
-func TestASlowStoreIsNotAskedTwiceForLong(t *testing.T) {
+func TestSlowStoreIsNotAskedTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		direct, p := &slow{wait: 600 * time.Millisecond}, peers{"a": {}}
 		r := routed(direct, p)
