--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -15,21 +15,21 @@
 	"pollencroft/internal/cell"
 )
 
-// dumb drops what is written on it and what arrives, once told to; neither
+// silentConn drops what is written on it and what arrives, once told to; neither
 // end hears of it.
-type dumb struct {
+type silentConn struct {
 	net.Conn
 	out, in atomic.Bool
 }
 
-func (d *dumb) Write(b []byte) (int, error) {
+func (d *silentConn) Write(b []byte) (int, error) {
 	if d.out.Load() {
 		return len(b), nil
 	}
 	return d.Conn.Write(b)
 }
 
-func (d *dumb) Read(b []byte) (int, error) {
+func (d *silentConn) Read(b []byte) (int, error) {
 	for {
 		n, err := d.Conn.Read(b)
 		if err != nil || !d.in.Load() {
@@ -41,7 +41,7 @@
 // pair is a client whose connections to one server can go silent.
 type pair struct {
 	*Clients
-	conns []*dumb
+	conns []*silentConn
 }
 
 func newPair(t *testing.T, answer Handler) *pair {
@@ -51,7 +51,7 @@
 	p.dial = func(context.Context, netip.AddrPort) (net.Conn, error) {
 		here, there := net.Pipe()
 		go s.serveConn(ctx, there)
-		p.conns = append(p.conns, &dumb{Conn: here})
+		p.conns = append(p.conns, &silentConn{Conn: here})
 		return p.conns[len(p.conns)-1], nil
 	}
 	t.Cleanup(func() { cancel(); p.Close() })
@@ -79,10 +79,10 @@
 // directions or in one, under a request. The caller must hear unknown within
 // the bound, not after its deadline, and the next request takes a new connection.
 func TestSilentConnectionUnderARequest(t *testing.T) {
-	for name, cut := range map[string]func(d *dumb){
-		"both ways":   func(d *dumb) { d.out.Store(true); d.in.Store(true) },
-		"to the peer": func(d *dumb) { d.out.Store(true) },
-		"from it":     func(d *dumb) { d.in.Store(true) },
+	for name, cut := range map[string]func(d *silentConn){
+		"both ways":   func(d *silentConn) { d.out.Store(true); d.in.Store(true) },
+		"to the peer": func(d *silentConn) { d.out.Store(true) },
+		"from it":     func(d *silentConn) { d.in.Store(true) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
