--- a/internal/joblog/joblog_test.go
+++ b/internal/joblog/joblog_test.go
@@ -46,7 +46,7 @@
 }
 
 // Guards against a count of crashes that is lost with a later record.
-func TestCrashesAreKeptBesideOtherRecords(t *testing.T) {
+func TestCrashCountsSurviveOtherRecords(t *testing.T) {
 	l := joblog.New()
 	crashed := func(lives int64) joblog.Record {
 		return joblog.Record{ID: "d.r.1", Crashes: map[string]int64{"d.r.1.0": lives}}
