--- a/internal/joblog/joblog.go
+++ b/internal/joblog/joblog.go
@@ -1,6 +1,5 @@
-// Package joblog folds the log stream of jobs: which jobs were accepted and
-// which have ended. Every host folds the same stream, so that any of them can
-// take over from any other.
+// Package joblog folds the log stream of jobs into the jobs that were accepted and those that
+// have ended. Every host folds the same stream, so that any host can take over from any other.
 package joblog
 
 import (
@@ -16,20 +15,20 @@
 // Stream is the log stream of jobs.
 const Stream = "jobs"
 
-// Record tells that a job was accepted, or with State set, how it ended.
+// Record says that a job was accepted or, if State is set, how it ended.
 type Record struct {
 	ID    string    `json:"id"`
 	Spec  *job.Spec `json:"spec,omitempty"`
 	State string    `json:"state,omitempty"`
-	// Ran tells whether a start of an ended job was ever sent.
+	// Ran reports whether a start of an ended job was ever sent.
 	Ran bool `json:"ran,omitempty"`
-	// Reason tells why an ended job was given up.
+	// Reason is why an ended job was given up.
 	Reason string `json:"reason,omitempty"`
-	// Crashes are how many lives of workers ended under a task, by its id.
+	// Crashes counts, by task id, the worker incarnations that ended while they ran the task.
 	Crashes map[string]int64 `json:"lives,omitempty"`
 }
 
-// Merge is a record that says all that r and an older one of the same job say. An end is final.
+// Merge returns a record that combines r and an older record of the same job. An end is final.
 func (r Record) Merge(older Record) Record {
 	if r.Spec == nil {
 		r.Spec = older.Spec
@@ -41,8 +40,8 @@
 	return r
 }
 
-// Covers tells whether a stored record leaves nothing of another one to be stored. The end of a
-// job is all that is asked of it.
+// Covers reports whether, once r is stored, other need not be stored. Of a job that has ended,
+// only the end matters.
 func (r Record) Covers(other Record) bool {
 	switch {
 	case r.State != other.State:
@@ -71,8 +70,8 @@
 	return all
 }
 
-// Encode writes several records as one record of the log, since the log takes
-// several hundred appends a second and a wave of cancellations is thousands.
+// Encode encodes several records as one record of the log, because the log accepts several
+// hundred appends a second and a wave of cancellations has thousands of records.
 func Encode(recs []Record) ([]byte, error) {
 	b, err := json.Marshal(recs)
 	return b, errors.Wrap(err, "encode job records")
@@ -90,25 +89,25 @@
 	offset  int64
 }
 
-// Log is the fold of all records read until now.
+// Log is the state after all records read so far.
 type Log struct {
 	next int64
 	jobs map[string]*entry
-	// ended holds ended jobs in the order of their ends.
+	// ended holds the ended jobs in the order in which they ended.
 	ended []string
 }
 
-// New returns the fold of an empty stream.
+// New returns the state of an empty stream.
 func New() *Log { return &Log{next: 1, jobs: map[string]*entry{}} }
 
-// Next is the offset to read from.
+// Next returns the offset to read from.
 func (l *Log) Next() int64 { return l.next }
 
-// SkipTo goes on at a later offset, when records before it were trimmed.
+// SkipTo continues at a later offset, when the records before it were trimmed.
 func (l *Log) SkipTo(to int64) { l.next = max(l.next, to) }
 
-// Fold takes one record of the stream and returns what it says. A body that cannot be
-// read is passed over by every host alike.
+// Fold applies one record of the stream and returns the records that its body holds. Every host
+// ignores a body that cannot be decoded.
 func (l *Log) Fold(offset int64, body []byte) []Record {
 	if offset < l.next {
 		return nil
@@ -124,11 +123,11 @@
 	return recs
 }
 
-// Remember takes a record that a peer asked to keep while the log is away.
+// Remember applies a record that a peer asked this host to keep while the log is unavailable.
 func (l *Log) Remember(r Record) { l.add(r, 0) }
 
-// add takes one record. The end of a job is final: a record of its acceptance
-// that was written twice, or late, does not open it again.
+// add applies one record. The end of a job is final: an acceptance record that was written twice,
+// or late, does not reopen the job.
 func (l *Log) add(r Record, offset int64) {
 	e, ok := l.jobs[r.ID]
 	if !ok {
@@ -158,7 +157,7 @@
 	}
 }
 
-// OpenJobs lists the jobs that were accepted and have not ended, by id.
+// OpenJobs returns the jobs that were accepted and have not ended, sorted by id.
 func (l *Log) OpenJobs() []job.Spec {
 	var open []job.Spec
 	for _, id := range slices.Sorted(maps.Keys(l.jobs)) {
@@ -169,13 +168,13 @@
 	return open
 }
 
-// OpenBefore lists the open jobs whose record lies before an offset, to be written
-// again before the log trims it.
+// OpenBefore returns the open jobs whose last record lies before an offset. They have to be
+// written again before the log trims that record.
 func (l *Log) OpenBefore(before int64) []job.Spec {
 	return slices.DeleteFunc(l.OpenJobs(), func(s job.Spec) bool { return l.jobs[s.ID].offset >= before })
 }
 
-// Spec returns a job's accepted form; false if it is not known.
+// Spec returns the specification of an accepted job; false if the job is not known.
 func (l *Log) Spec(id string) (job.Spec, bool) {
 	e, ok := l.jobs[id]
 	if !ok || e.spec.ID == "" {
@@ -184,7 +183,7 @@
 	return e.spec, true
 }
 
-// End returns how a job ended; false if it is open or not known.
+// End returns how a job ended; false if the job is open or not known.
 func (l *Log) End(id string) (Record, bool) {
 	e, ok := l.jobs[id]
 	if !ok || e.state == "" {
@@ -193,7 +192,8 @@
 	return Record{ID: id, State: e.state, Ran: e.ran, Reason: e.reason}, true
 }
 
-// Crashes are how many lives of workers ended under the tasks of a job.
+// Crashes returns, by task id, how many worker incarnations ended while they ran a task of the
+// job.
 func (l *Log) Crashes(id string) map[string]int64 {
 	e, ok := l.jobs[id]
 	if !ok {
@@ -202,7 +202,7 @@
 	return maps.Clone(e.crashes)
 }
 
-// Written tells whether the log itself, not only memory, has a record of the job.
+// Written reports whether the log itself, not only this host's memory, has a record of the job.
 func (l *Log) Written(id string) bool {
 	e, ok := l.jobs[id]
 	return ok && e.offset > 0
--- a/internal/joblog/joblog_test.go
+++ b/internal/joblog/joblog_test.go
@@ -18,8 +18,8 @@
 
 func accepted(id string) joblog.Record { return joblog.Record{ID: id, Spec: &job.Spec{ID: id}} }
 
-// An append's answer is lost and the record is written twice, the second time
-// after the job's end. The job must not come to life again.
+// The answer to an append is lost, so the record is written twice, the second time after the
+// job's end. The job must not be reopened.
 func TestEndOfAJobIsFinal(t *testing.T) {
 	l := joblog.New()
 	l.Fold(1, body(t, accepted("d.r.1"), accepted("d.r.2")))
@@ -32,8 +32,8 @@
 	require.Equal(t, "cancelled", end.State)
 }
 
-// The log holds a record that this version cannot read. Every host passes over
-// it alike and goes on behind it.
+// The log holds a record that this version cannot decode. Every host ignores it and goes on with
+// the next record.
 func TestUnreadableRecordIsPassedOver(t *testing.T) {
 	l := joblog.New()
 	l.Fold(1, []byte("{"))
@@ -45,7 +45,7 @@
 	require.Len(t, l.OpenBefore(3), 1)
 }
 
-// Guards against a count of crashes that is lost with a later record.
+// Guards against a crash count that is lost when a later record is applied.
 func TestCrashCountsSurviveOtherRecords(t *testing.T) {
 	l := joblog.New()
 	crashed := func(lives int64) joblog.Record {
--- a/internal/peer/bound.go
+++ b/internal/peer/bound.go
@@ -15,20 +15,20 @@
 
 // Bounds of one message.
 const (
-	// maxMessage holds the largest body in base64 and a copy of the table.
+	// maxMessage has room for the largest body in base64 and for a copy of the table.
 	maxMessage = 8 << 20
-	// messageTimeout bounds the reading of one message once it has begun.
+	// messageTimeout bounds the time to read one message after its first byte.
 	messageTimeout = 10 * time.Second
 )
 
-// SizeError tells that a message is larger than any that hosts send.
+// SizeError means that a message is larger than any message that hosts send.
 type SizeError struct{ Size uint64 }
 
 func (e *SizeError) Error() string { return fmt.Sprintf("message of %d bytes is too large", e.Size) }
 
-// boundedCodec reads the library's format and refuses a message that claims to
-// be too large or never ends. The library itself takes any size: one message
-// could take all memory, or hold its connection for good.
+// boundedCodec reads the library's format and rejects a message that claims to be too large or
+// does not end in time. The library itself accepts any size: one message could take all memory,
+// or hold its connection forever.
 type boundedCodec struct {
 	jsonrpc2.VarintObjectCodec
 	conn  net.Conn
@@ -61,8 +61,8 @@
 
 type senderKey struct{}
 
-// Sender is the host whose certificate came with a message's connection; false
-// without TLS.
+// Sender returns the name of the host in the certificate of the connection that a message came
+// on. It returns false without TLS.
 func Sender(ctx context.Context) (string, bool) {
 	name, ok := ctx.Value(senderKey{}).(string)
 	return name, ok
--- a/internal/peer/bound_test.go
+++ b/internal/peer/bound_test.go
@@ -17,9 +17,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A peer, or whoever reached the port, claims a message of a terabyte or sends
-// something else than a message. The connection is closed and counted before
-// memory is taken; other peers are answered all the time.
+// A peer, or anybody who can reach the port, announces a message of a terabyte or sends something
+// that is not a message. The connection is closed and the message counted before memory is
+// allocated. Other peers are still answered.
 func TestOversizedAndBrokenMessagesCloseTheConnection(t *testing.T) {
 	var size, broken atomic.Int64
 	s := NewServer(func(context.Context, Message) (any, error) { return TableReply{}, nil })
@@ -45,7 +45,7 @@
 		_, err = conn.Read(make([]byte, 1))
 		var late net.Error
 		require.Error(t, err)
-		require.False(t, errors.As(err, &late) && late.Timeout(), "the connection stays open")
+		require.False(t, errors.As(err, &late) && late.Timeout(), "the connection must be closed")
 	}
 	require.Equal(t, int64(1), size.Load())
 	require.Equal(t, int64(1), broken.Load())
@@ -54,9 +54,9 @@
 	require.NoError(t, c.Ask(ctx, "a", AskTable{}, nil))
 }
 
-// A peer begins a message and sends on forever, a byte a second. Whoever waits
-// for its end would hold the connection, and what it has read, for good; it is
-// closed after ten seconds.
+// A peer begins a message and sends one byte a second forever. Waiting for the end of the message
+// would occupy the connection, and the memory of what was read, forever. The read fails after ten
+// seconds.
 func TestNeverEndingMessageIsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ours, theirs := net.Pipe()
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -10,47 +10,48 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// Bounds of a connection to a peer. A question on a connection that has gone
-// silent fails after lookEvery + doubtAfter + pingWait at the latest.
+// Timing of a connection to a peer. A request on a connection that has gone silent fails after
+// checkInterval + suspectAfter + pingTimeout at the latest.
 const (
-	// checkInterval is how often a connection is looked at.
+	// checkInterval is how often a connection is checked.
 	checkInterval = 250 * time.Millisecond
-	// suspectAfter is how long a question may go without any answer on its
-	// connection before the connection is asked for a sign of life.
+	// suspectAfter is how long a connection with an open request may receive nothing before it is
+	// pinged.
 	suspectAfter = 250 * time.Millisecond
-	// idleAfter is the same for a connection with no question open: heartbeats
-	// have no answer, and without it they would go unheard for good.
+	// idleAfter is the same for a connection without an open request. Heartbeats have no answer,
+	// so without this check they could be lost forever unnoticed.
 	idleAfter = time.Second
-	// spareAfter is the same for a further connection, which carries no
-	// heartbeats; it bounds the traffic of pings.
+	// spareAfter is the same for an additional connection, which carries no heartbeats. It bounds
+	// the traffic of pings.
 	spareAfter = 30 * time.Second
-	// pingTimeout is how long that sign may take.
+	// pingTimeout is how long the answer to a ping may take.
 	pingTimeout = time.Second
-	// minRate is the rate in bytes a second at which what was sent before the
-	// question may still be on its way.
+	// minRate is the lowest expected rate, in bytes a second, at which data that was written
+	// before the ping is transferred.
 	minRate = 256 << 10
-	// largeWrite is how many bytes sent make that count.
+	// largeWrite is the number of written bytes from which the time for their transfer is added
+	// to pingTimeout.
 	largeWrite = 16 << 10
 )
 
-// link is one connection to a peer. It watches over itself: a connection may
-// go silent without a reset, and because questions to a peer share one
-// connection all of them would wait on it until their deadlines.
+// link is one connection to a peer. It monitors itself, because a connection may go silent
+// without a reset. Requests to a peer share one connection, so all of them would wait on it until
+// their deadlines.
 type link struct {
 	raw net.Conn
 	rpc *jsonrpc2.Conn
-	// ended tells that a question failed because the link has ended.
+	// ended is set if a request failed because the link has ended.
 	ended atomic.Bool
-	// open counts questions without an answer; good is when the last answer
-	// came, in nanoseconds since began.
+	// open counts the requests without an answer. lastRead is when data last arrived, in
+	// nanoseconds since began.
 	open     atomic.Int64
 	lastRead atomic.Int64
 	began    time.Time
-	// idle is how long the link may go without any answer and no question open.
+	// idle is how long the link may receive nothing while no request is open.
 	idle time.Duration
-	// sent is how many bytes were written since the last sign of life.
+	// sent is how many bytes were written since data last arrived.
 	sent atomic.Int64
-	// silent counts the links that were given up because they were silent.
+	// silent counts the links that were closed because they were silent.
 	silent *atomic.Int64
 }
 
@@ -61,8 +62,8 @@
 	return l
 }
 
-// meter takes what is read for a sign of life. Answers come whole from the
-// library, and a large one on a slow way would be taken for silence.
+// meter records when data is read and how much is written. The library delivers an answer only
+// when it is complete, so a large answer on a slow connection would look like silence.
 type meter struct {
 	net.Conn
 	link *link
@@ -86,9 +87,9 @@
 	l.lastRead.Store(int64(time.Since(l.began)))
 }
 
-// closed tells whether the link has ended. The library fails the questions under way
-// before it says that the link has ended; whoever then asked again at once was given the
-// same link, and heard a second time that nobody knows.
+// closed reports whether the link has ended. The library fails the open requests before it
+// signals that the link has ended. A caller that repeated its request at once got the same link,
+// and failed a second time with an unknown outcome.
 func (l *link) closed() bool {
 	if l.ended.Load() {
 		return true
@@ -101,7 +102,7 @@
 	}
 }
 
-// close closes the socket first: a write that hangs holds the library's lock.
+// close closes the socket first, because a write that hangs holds the library's lock.
 func (l *link) close() {
 	_ = l.raw.Close()
 	_ = l.rpc.Close()
@@ -111,7 +112,8 @@
 	l.open.Add(1)
 	defer l.open.Add(-1)
 	if r, ok := m.(Relay); ok {
-		// Counted before it is written: making the message takes time as well.
+		// The bytes are counted before they are written, because encoding the message takes time
+		// as well.
 		l.sent.Add(int64(len(r.Request.Body)))
 	}
 	err := l.rpc.Call(ctx, m.method(), m, into)
@@ -121,7 +123,7 @@
 	return err
 }
 
-// answered tells whether an answer came, be it a refusal.
+// answered reports whether an answer came, even if it is a refusal.
 func answered(err error) bool {
 	var refused *jsonrpc2.Error
 	return err == nil || errors.As(err, &refused)
@@ -152,8 +154,8 @@
 	return quiet > l.idle
 }
 
-// ping asks for a sign of life. The question may hang in its write, so the
-// time is kept outside of it.
+// ping reports whether the peer answers. The write of the ping itself may hang, so the timeout is
+// enforced here.
 func (l *link) ping() bool {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -173,8 +175,8 @@
 	}
 }
 
-// pingLimit is how long an answer may take. It grows while a large message is
-// being written, which the question has to wait for.
+// pingLimit returns how long an answer may take. The limit grows while a large message is being
+// written, because the ping waits for that write.
 func (l *link) pingLimit() time.Duration {
 	sent := l.sent.Load()
 	if sent < largeWrite {
--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -15,8 +15,7 @@
 	"pollencroft/internal/cell"
 )
 
-// silentConn drops what is written on it and what arrives, once told to; neither
-// end hears of it.
+// silentConn drops what is written to it or what arrives, as selected. Neither end sees an error.
 type silentConn struct {
 	net.Conn
 	out, in atomic.Bool
@@ -75,9 +74,9 @@
 
 const silentBound = checkInterval + suspectAfter + pingTimeout
 
-// A connection between two entry hosts goes dead without a reset, in both
-// directions or in one, under a request. The caller must hear unknown within
-// the bound, not after its deadline, and the next request takes a new connection.
+// A connection between two entry hosts goes silent without a reset, in both directions or in one,
+// while a request is open. The caller must get an unknown outcome within the bound, not after its
+// deadline, and the next request uses a new connection.
 func TestSilentConnectionUnderARequest(t *testing.T) {
 	for name, cut := range map[string]func(d *silentConn){
 		"both ways":   func(d *silentConn) { d.out.Store(true); d.in.Store(true) },
@@ -93,10 +92,10 @@
 				began := time.Now()
 				_, err = p.relay("b")
 				var silent *NoAnswerError
-				require.ErrorAs(t, err, &silent, "whether it ran is unknown")
+				require.ErrorAs(t, err, &silent, "it must be unknown whether the request ran")
 				require.LessOrEqual(t, time.Since(began), silentBound)
 				require.EqualValues(t, 1, p.Silent())
-				t.Logf("told after %s", time.Since(began))
+				t.Logf("the request failed after %s", time.Since(began))
 				body, err := p.relay("c")
 				require.NoError(t, err)
 				require.Equal(t, "c", body)
@@ -105,8 +104,8 @@
 	}
 }
 
-// The same between requests: heartbeats, which have no answer, must not go
-// unheard for good, else a live host is taken for dead.
+// A connection goes silent while no request is open. Heartbeats have no answer, so a live host
+// would be regarded as dead if they were lost forever.
 func TestSilentIdleConnectionIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		heard := 0
@@ -128,7 +127,7 @@
 	})
 }
 
-// A peer is slow, not silent: its connection stays, and so do the questions on it.
+// A peer is slow, not silent: its connection and the requests on it are kept.
 func TestSlowPeerKeepsItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPair(t, func(ctx context.Context, m Message) (any, error) {
@@ -142,9 +141,9 @@
 	})
 }
 
-// A large plan is on its way over a slow connection. The connection is not
-// silent, and the question must not end as unknown. Time is real here: a write
-// that hangs holds a lock, on which a bubble of synctest stands still.
+// A large plan is being sent over a slow connection. The connection is not silent, and the
+// request must not end with an unknown outcome. The test uses real time: a write that hangs holds
+// a lock, and synctest's fake clock does not advance while a goroutine waits for a lock.
 func TestSlowTransferIsNotSilence(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -170,8 +169,8 @@
 	return s.Conn.Write(b)
 }
 
-// A peer answers for a request that is over: its asker gave up long ago. The
-// answer must not reach the next asker on the same connection.
+// A peer answers a request whose sender gave up long ago. The answer must not be delivered to the
+// next request on the same connection.
 func TestAnswerToARequestThatIsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPair(t, func(ctx context.Context, m Message) (any, error) {
@@ -195,8 +194,8 @@
 	})
 }
 
-// An entry host dies while its caller's request waits in a peer's queue. The
-// place there must be freed: nobody can be told the answer any more.
+// An entry host dies while its caller's request waits in a peer's queue. The place in the queue
+// must be freed, because the answer cannot be delivered any more.
 func TestPeersRequestEndsWithItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		freed := false
@@ -213,8 +212,8 @@
 	})
 }
 
-// Many questions to one peer are open at once. They must not all wait for the
-// lock of one connection: keyed requests would get slower with every caller.
+// Many requests to one peer are open at once. They must not all wait for the lock of one
+// connection, or keyed requests would get slower with every additional caller.
 func TestBusyConnectionIsJoinedByFurtherOnes(t *testing.T) {
 	asked, letGo := make(chan struct{}, 100), make(chan struct{})
 	p := newPair(t, func(context.Context, Message) (any, error) {
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -15,70 +15,70 @@
 	"pollencroft/internal/trail"
 )
 
-// Message is what one entry host tells or asks another.
+// Message is a request or a notification that one entry host sends to another.
 type Message interface{ method() string }
 
 // Beat is a heartbeat; it has no answer.
 type Beat struct{ member.Heartbeat }
 
-// Relay asks to run a request on the peer's writers; the answer is a call.Reply.
-// Left is how long the caller still waits: the deadline itself would be wrong
-// by as much as the clocks of the two hosts differ.
+// Relay asks the peer to run a request on its backend servers; the answer is a call.Reply.
+// Remaining is how much longer the caller waits. The deadline itself would be wrong by the
+// difference of the two hosts' clocks.
 type Relay struct {
 	Request   call.Request
 	Remaining cell.Duration `json:"Left"`
 }
 
-// Ping asks for nothing but an answer: a sign that the connection works.
+// Ping asks only for an answer, to check that the connection works.
 type Ping struct{}
 
-// OpenKey asks a key's home; the answer is a ledger.Verdict.
+// OpenKey asks the home of a key to open it; the answer is a ledger.Verdict.
 type OpenKey struct{ ledger.Open }
 
-// AwaitKey asks a key's home to say when its running try has ended, for at
-// most Left; the answer is a ledger.Verdict.
+// AwaitKey asks the home of a key to report when the running try has ended, and to wait at most
+// Remaining; the answer is a ledger.Verdict.
 type AwaitKey struct {
 	Key       string
 	Remaining cell.Duration `json:"Left"`
 }
 
-// CloseKeys tells a home how keyed requests ended.
+// CloseKeys reports to a home how keyed requests ended.
 type CloseKeys struct{ All []ledger.Close }
 
 // Submit hands a job to the host that leads its rack; the answer is a JobReply.
 type Submit struct{ Spec job.Spec }
 
-// AskJob asks the lead for a job; the answer is a JobReply.
+// AskJob asks the leader for a job; the answer is a JobReply.
 type AskJob struct{ ID string }
 
-// AskTrail asks the lead why a job waits and what became of it; the answer is a
-// JobReply with Notes.
+// AskTrail asks the leader why a job waits and for the job's history; the answer is a JobReply
+// with Notes.
 type AskTrail struct{ ID string }
 
-// CancelJob asks the lead to cancel a job; the answer is a JobReply.
+// CancelJob asks the leader to cancel a job; the answer is a JobReply.
 type CancelJob struct{ ID string }
 
-// KeepRecord asks a peer to remember a record of a job that the log could not take.
+// KeepRecord asks a peer to remember a record of a job that the log could not store.
 type KeepRecord struct{ Record joblog.Record }
 
-// Inventory asks what the peer holds and which of these jobs it leads. Waits are
-// those that From wants to inherit. The answer is a CensusReply.
+// Inventory asks what the peer holds and which of Jobs it leads. Waits are the jobs that From
+// wants to take over. The answer is an InventoryReply.
 type Inventory struct {
 	From  string
 	Jobs  []string
 	Waits []string
-	// Keys are those of which the asker counts what runs.
+	// Keys are the keys whose running tasks the sender counts.
 	Keys []string `json:",omitempty"`
 }
 
-// AskToken asks for the token with which From may hand jobs over; the answer is Expected.
+// AskToken asks for the token with which From may hand jobs over; the answer is a TokenReply.
 type AskToken struct{ From string }
 
 // TokenReply is the token for one Handover.
 type TokenReply struct{ Token string }
 
-// Handover gives jobs to their next lead. The answer confirms that they are led.
-// Notes are what was decided about them, so that they can still be explained.
+// Handover transfers jobs to their next leader. The answer confirms that the jobs are led there.
+// Notes are the decisions about the jobs, so that the next leader can still explain them.
 type Handover struct {
 	From  string
 	Token string
@@ -86,35 +86,36 @@
 	Notes []trail.Note `json:",omitempty"`
 }
 
-// HandoverReply answers a Handover. Stale tells that its token counts no more, and that nothing
-// of it was taken.
+// HandoverReply answers a Handover. Stale means that the token is no longer valid and that no job
+// was accepted.
 type HandoverReply struct{ Stale bool }
 
-// AnnounceSlots tells what a host says of the shares of writers; it has no answer.
+// AnnounceSlots announces which slots of the backend servers the sender uses; it has no answer.
 type AnnounceSlots struct {
 	share.Announcement
-	// Leaving names backend servers that told the sender that they leave.
+	// Leaving names the backend servers that told the sender that they are leaving.
 	Leaving []string `json:"leaving,omitempty"`
 }
 
-// AskTable asks for the peer's table; the answer is a RecordsReply. From is the
-// offset that the asker waits for.
+// AskTable asks for the peer's table; the answer is a TableReply. From is the offset that the
+// sender waits for.
 type AskTable struct {
 	From int64 `json:"from"`
 }
 
-// TableReply is a table as snapshot records; none when it is no further on.
+// TableReply is a table as snapshot records. It has no records if the peer's table has not
+// reached the offset.
 type TableReply struct {
 	Parts [][]byte `json:"parts,omitempty"`
 }
 
-// HostListChanged tells that the platform's host list has changed; it has no answer.
+// HostListChanged reports that the platform's host list has changed; it has no answer.
 type HostListChanged struct{}
 
-// Leave tells that a host begins a planned stop.
+// Leave announces that a host begins a planned stop.
 type Leave struct{ Name string }
 
-// Kind names a message's kind.
+// Kind returns the name of a message's kind.
 func Kind(m Message) string { return m.method() }
 
 func (Beat) method() string            { return "beat" }
@@ -136,101 +137,102 @@
 func (AskToken) method() string        { return "expect" }
 func (Handover) method() string        { return "handover" }
 
-// InventoryWorker is one worker that a peer holds, with the tasks of the asked
-// jobs there. Age is how long ago the peer asked the worker.
+// InventoryWorker is one worker that a peer holds, with the tasks of the requested jobs there.
+// Age is how long ago the peer asked the worker.
 type InventoryWorker struct {
 	Name  string        `json:"name"`
 	Clock time.Time     `json:"clock"`
 	Age   cell.Duration `json:"age"`
-	// Incarnation names the worker's life.
+	// Incarnation identifies the incarnation of the worker.
 	Incarnation string           `json:"life,omitempty"`
 	Tasks       []job.ListedTask `json:"tasks,omitempty"`
-	// Counted are the running tasks of the asked keys.
+	// Counted are the running tasks of the requested keys.
 	Counted []CountedTask `json:"counted,omitempty"`
 }
 
-// CountedTask is one running task of a key that was asked for.
+// CountedTask is one running task of a requested key.
 type CountedTask struct {
 	Row  string    `json:"row"`
 	Size cell.Size `json:"size"`
 }
 
-// InventoryReply is what a peer holds, which of the asked jobs it leads, and what
-// it remembers because the log could not take it.
+// InventoryReply is what a peer holds, which of the requested jobs it leads, and which records it
+// remembers because the log could not store them.
 type InventoryReply struct {
 	Workers []InventoryWorker `json:"workers,omitempty"`
 	Leads   []string          `json:"leads,omitempty"`
 	Waits   []string          `json:"waits,omitempty"`
 	Records []joblog.Record   `json:"records,omitempty"`
-	// Incarnations holds by worker the life in which no start to an earlier one is under way any more.
+	// Incarnations holds, by worker, the incarnation for which no start to an earlier incarnation
+	// is in progress any more.
 	Incarnations map[string]string `json:"lives,omitempty"`
 }
 
-// JobReply is what a lead says of a job.
+// JobReply is a leader's answer about a job.
 type JobReply struct {
 	Status job.Status `json:"status"`
 	Kept   string     `json:"kept,omitempty"`
-	// Notes are a job's trail, oldest first.
+	// Notes are the history of decisions on a job, oldest first.
 	Notes []trail.Note `json:"notes,omitempty"`
-	// Code is the HTTP status that the caller is told; zero means success.
+	// Code is the HTTP status for the caller; zero means success.
 	Code    int          `json:"code,omitempty"`
 	Outcome cell.Outcome `json:"outcome,omitempty"`
 	Reason  string       `json:"reason,omitempty"`
 }
 
-// RefuseJob returns a reply to a job question that changed nothing.
+// RefuseJob returns the reply to a job request that changed nothing.
 func RefuseJob(code int, reason string) JobReply {
 	return JobReply{Code: code, Outcome: cell.Refused, Reason: reason}
 }
 
-// UnsureJob returns a reply to a job question whose effect nobody knows.
+// UnsureJob returns the reply to a job request whose effect is unknown.
 func UnsureJob(code int, id, reason string) JobReply {
 	return JobReply{Status: job.Status{ID: id}, Code: code, Outcome: cell.Unknown, Reason: reason}
 }
 
-// ForwardRecords tells the lead of jobs and cancellations that are stored in partition
-// Part from offset First on; the answer is a HandReply.
+// ForwardRecords passes to the leader jobs and cancellations that are stored in partition Part
+// from offset First on; the answer is a ForwardReply.
 type ForwardRecords struct {
 	Part    int
 	First   int64
 	Records []store.Record
 }
 
-// ForwardReply tells whether the host leads and took the records.
+// ForwardReply reports whether the host leads and accepted the records.
 type ForwardReply struct {
 	Accepted bool `json:"Taken"`
 }
 
-// AskState asks the lead for a job's state; the answer is a StateReply.
+// AskState asks the leader for a job's state; the answer is a StateReply.
 type AskState struct{ ID string }
 
-// StateReply tells a job's state. With Lead false the answering host does not
-// lead and knows nothing; Unsure tells that the job may be there all the same.
+// StateReply is a job's state. If Lead is false, the host that answers does not lead and knows
+// nothing about the job. Unsure means that the job may exist nevertheless.
 type StateReply struct {
 	Lead, Known bool
 	Unsure      bool
 	State       string
 }
 
-// Sync asks the lead for what every host tells callers, and tells it that the
-// sender is there; the answer is a SyncReply.
+// Sync asks the leader for what every host reports to callers, and tells the leader that the
+// sender is up; the answer is a SyncReply.
 type Sync struct {
 	From  string
 	Addr  netip.AddrPort
 	Power float64
-	// Began is when this life of the sender began, by its clock.
+	// Began is when this incarnation of the sender began, by the sender's clock.
 	Began time.Time
-	// Term and Endings are up to where the sender was told which jobs have ended.
+	// Term and Endings are how far the sender has read the list of ended jobs.
 	Term    int64
 	Endings int
 }
 
-// SyncReply is what every host tells callers: how many jobs of each queue wait, which
-// have ended, and which hosts there are.
+// SyncReply is what every host reports to callers: how many jobs of each queue wait, which jobs
+// have ended, and which hosts exist.
 type SyncReply struct {
-	// Leading tells that the host gives orders, Lead that it leads and that the
-	// store serves it, Claiming that it is about to, Leaving that it stops, Served
-	// that the store serves it, whether it leads or not.
+	// Leading means that the host gives orders, Lead that it leads and that the store serves it,
+	// Claiming that it is about to lead, Leaving that it is stopping, Served that the store
+	// serves it, whether it leads or not.
 	Leading  bool
 	Lead     bool
 	Claiming bool
@@ -238,22 +240,22 @@
 	Served   bool
 	// Successor is the host that was asked to lead when this one left.
 	Successor string
-	// Standby is the host that is to lead if this one dies, Follows the one that it takes
-	// for the lead.
+	// Standby is the host that is to lead if this one dies. Follows is the host that this one
+	// regards as the leader.
 	Standby string `json:"Heir"`
 	Follows string
-	// EnoughPower is a power that enough hosts have: much weaker ones need not stand
-	// ready to lead.
+	// EnoughPower is a power that enough hosts reach. Much weaker hosts need not be candidates.
 	EnoughPower float64 `json:"Enough"`
 	Term        int64
 	Pending     map[string]int
 	Hosts       map[string]string
-	// Ended are jobs by final state, Endings the number to go on with.
+	// Ended holds job ids by final state. Endings is the number from which to read on.
 	Ended   map[string][]string `json:",omitempty"`
 	Endings int                 `json:",omitempty"`
 }
 
-// Advise asks a host to ask the policy service; the answer is an AdviseReply.
+// Advise asks a host to query the policy service on the sender's behalf; the answer is an
+// AdviseReply.
 type Advise struct {
 	Step    string
 	Workers []string
@@ -265,21 +267,21 @@
 	Tickets map[string]string `json:"Good"`
 }
 
-// StoreCall asks a host to make a call to the store that does not serve the
-// sender; the answer is a StoreReply.
+// StoreCall asks a host to make a store call because the store does not serve the sender; the
+// answer is a StoreReply.
 type StoreCall struct{ Call store.Call }
 
-// StoreReply is the store's answer; with Failure set, its refusal.
+// StoreReply is the store's answer, or its refusal if Failure is set.
 type StoreReply struct {
 	Answer  store.Answer
 	Failure string `json:",omitempty"`
 	Reason  string `json:",omitempty"`
-	// Number is what the failure tells: an offset or an epoch.
+	// Number is the value that belongs to the failure: an offset or an epoch.
 	Number int64 `json:",omitempty"`
 }
 
-// AnnounceSuccessor tells all hosts that the sender leaves and that Successor is to take over;
-// it has no answer. Bounds tell of each worker that does not answer how much longer
+// AnnounceSuccessor tells all hosts that the sender is leaving and that Successor is to take
+// over; it has no answer. Bounds holds, for each worker that does not answer, how much longer
 // anything may run there.
 type AnnounceSuccessor struct {
 	Term      int64
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,4 +1,4 @@
-// Package peer speaks jsonrpc2 between entry hosts.
+// Package peer exchanges messages between entry hosts over JSON-RPC 2.0.
 package peer
 
 import (
@@ -22,8 +22,8 @@
 	"pollencroft/internal/dial"
 )
 
-// Handler answers a message from a peer. The value is sent back as JSON; an
-// error reaches the peer as a RefusedError.
+// Handler answers a message from a peer. The value is sent back as JSON; an error reaches the
+// peer as a RefusedError.
 type Handler func(ctx context.Context, m Message) (any, error)
 
 // messages lists one of each message that may arrive.
@@ -62,7 +62,7 @@
 	return m
 }()
 
-// UnreachableError means that a peer could not be asked: the question was not sent.
+// UnreachableError means that there was no connection to a peer, so the request was not sent.
 type UnreachableError struct {
 	Name  string
 	Cause error
@@ -75,7 +75,7 @@
 // Unwrap returns the transport's error.
 func (e *UnreachableError) Unwrap() error { return e.Cause }
 
-// NoAnswerError means that a question was sent and has no answer.
+// NoAnswerError means that a request was sent and got no answer.
 type NoAnswerError struct {
 	Name  string
 	Cause error
@@ -93,17 +93,17 @@
 
 func (e *RefusedError) Error() string { return fmt.Sprintf("peer %s refused: %s", e.Name, e.Reason) }
 
-// Server takes messages from peers until its context ends.
+// Server serves messages from peers until its context ends.
 type Server struct {
 	handler Handler
 	count   func(reason string)
 	wg      sync.WaitGroup
 }
 
-// NewServer returns a server that answers with a.
+// NewServer returns a server that answers messages with a.
 func NewServer(a Handler) *Server { return &Server{handler: a, count: func(string) {}} }
 
-// OnRejected has every message that is turned away counted with its reason.
+// OnRejected sets a function that is called with the reason for each message that is rejected.
 func (s *Server) OnRejected(f func(reason string)) { s.count = f }
 
 // Serve accepts connections on ln until ctx ends, then closes them all.
@@ -130,7 +130,7 @@
 	}
 }
 
-// discardLog keeps the library from writing to standard error by itself.
+// discardLog keeps the library from writing to standard error.
 var discardLog = jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
 
 func stream(conn net.Conn, count func(reason string)) jsonrpc2.ObjectStream {
@@ -149,17 +149,17 @@
 	if ping, ok := v.Elem().Interface().(Ping); ok {
 		return ping, nil
 	}
-	// The library ends ctx with the connection: what only waits here, in a
-	// queue or for a key, then frees its place.
+	// The library cancels ctx when the connection ends, so a request that only waits here, in a
+	// queue or for a key, frees its place.
 	return s.handler(ctx, v.Elem().Interface().(Message))
 }
 
-// Lanes are the connections to one peer. The library holds a lock while it
-// writes a message, so that on a single connection many questions at once wait
-// for each other; a further one is opened when all others are busy.
+// Each peer has up to maxConns connections. The library holds a lock while it writes a message,
+// so on a single connection many simultaneous requests would wait for each other. Another
+// connection is opened when all others are busy.
 const (
 	maxConns = 4
-	// busyRequests is how many open questions make a connection busyRequests.
+	// busyRequests is how many open requests make a connection busy.
 	busyRequests = 4
 )
 
@@ -173,7 +173,7 @@
 	mu    sync.Mutex
 	addrs map[string]netip.AddrPort
 	conns map[connKey]*link
-	// silent counts connections that were given up because they were silent.
+	// silent counts connections that were closed because they were silent.
 	silent       atomic.Int64
 	dial         func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)
 	idle         func(name string) time.Duration
@@ -185,22 +185,23 @@
 	return &Clients{addrs: addrs, conns: map[connKey]*link{}, dial: dialTCP, onDisconnect: func(string) {}}
 }
 
-// OnDisconnect sets what is told when a connection to a peer has ended, for whatever reason. It
-// must be called before the first message.
+// OnDisconnect sets a function that is called when a connection to a peer has ended, for whatever
+// reason. It must be called before the first message.
 func (c *Clients) OnDisconnect(f func(name string)) { c.onDisconnect = f }
 
-// Reachability is what a new connection to a peer meets.
+// Reachability is the result of opening a new connection to a peer.
 type Reachability int
 
-// Listening tells that something listens, ConnRefused that the host is there and nothing listens, NoAnswer
-// that nothing came back in time: the host is off or cut off.
+// Listening means that the connection was accepted. ConnRefused means that the host is up but
+// nothing listens there. NoAnswer means that nothing came back in time: the host is down or cut
+// off.
 const (
 	Listening Reachability = iota
 	ConnRefused
 	NoAnswer
 )
 
-// CheckReach tries a new connection to a peer.
+// CheckReach opens a new connection to a peer, closes it, and reports the result.
 func (c *Clients) CheckReach(ctx context.Context, name string) Reachability {
 	c.mu.Lock()
 	addr := c.addrs[name]
@@ -217,8 +218,7 @@
 	}
 }
 
-// SetAddr says where a peer is reached from now on. A host that comes back at
-// another address keeps its name.
+// SetAddr sets the address of a peer. A host that comes back at another address keeps its name.
 func (c *Clients) SetAddr(name string, addr netip.AddrPort) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -234,15 +234,14 @@
 	}
 }
 
-// SetDialer sets how connections are made. It must be called before the first
-// message.
+// SetDialer sets how connections are made. It must be called before the first message.
 func (c *Clients) SetDialer(d func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)) {
 	c.dial = d
 }
 
-// SetIdleTime sets how long a connection to a peer may be without any answer before
-// it is asked for a sign of life. It must be called before the first message.
-// In a large cell a probe a second to everybody costs more than all heartbeats.
+// SetIdleTime sets how long a connection to a peer may receive nothing before it is pinged. It
+// must be called before the first message. In a large cell, a ping a second to every peer costs
+// more than all heartbeats.
 func (c *Clients) SetIdleTime(idle func(name string) time.Duration) { c.idle = idle }
 
 func (c *Clients) idleFor(at connKey) time.Duration {
@@ -255,14 +254,14 @@
 	return max(idleAfter, c.idle(at.name))
 }
 
-// DialTCP makes a plain connection, as clients do by themselves.
+// DialTCP makes a plain TCP connection, which is the default dialer of Clients.
 func DialTCP(ctx context.Context, addr netip.AddrPort) (net.Conn, error) { return dialTCP(ctx, addr) }
 
 func dialTCP(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
 	return dial.New().DialContext(ctx, "tcp", addr.String())
 }
 
-// Ask sends a message and reads the answer into into, which may be nil.
+// Ask sends a message and decodes the answer into into, which may be nil.
 func (c *Clients) Ask(ctx context.Context, name string, m Message, into any) error {
 	conn, err := c.conn(ctx, name)
 	if err != nil {
@@ -307,8 +306,8 @@
 	return c.storeConn(at, conn, newLink(raw, c.idleFor(at), &c.silent)), nil
 }
 
-// pickConn is the first lane that is not busy, or the one with the fewest open
-// questions when all are; mu is held.
+// pickConn returns the first connection slot that is not busy, or the one with the fewest open
+// requests if all are busy. The caller holds mu.
 func (c *Clients) pickConn(name string) connKey {
 	best, least := connKey{name: name}, int64(math.MaxInt64)
 	for i := range maxConns {
@@ -324,7 +323,7 @@
 	return best
 }
 
-// storeConn stores a fresh connection unless another one was made meanwhile.
+// storeConn stores a new connection unless another one was made in the meantime.
 func (c *Clients) storeConn(at connKey, old, fresh *link) *link {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -344,7 +343,7 @@
 	return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: req.Method}
 }
 
-// Silent returns how many connections were given up because they were silent.
+// Silent returns how many connections were closed because they were silent.
 func (c *Clients) Silent() int64 { return c.silent.Load() }
 
 // Close closes all connections.
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,4 +1,4 @@
-// Package platform speaks to the platform's append-only log and host list.
+// Package platform accesses the platform's append-only log and host list.
 package platform
 
 import (
@@ -25,7 +25,7 @@
 	Body   []byte `json:"body"`
 }
 
-// HostEntry is one line of the platform's host list, which lags.
+// HostEntry is one entry of the platform's host list, which may be out of date.
 type HostEntry struct {
 	Name    string         `json:"name"`
 	Kind    cell.Kind      `json:"kind"`
@@ -38,10 +38,10 @@
 	Conns   int            `json:"conns,omitempty"`
 }
 
-// NotWrittenError means that an append did not reach the log or was refused by
-// it: nothing was written.
+// NotWrittenError means that an append did not reach the log or that the log refused it: nothing
+// was written.
 type NotWrittenError struct {
-	// Status is zero when the log was not reached.
+	// Status is zero if the log was not reached.
 	Status int
 	Cause  error
 }
@@ -56,7 +56,7 @@
 // Unwrap returns the transport's error, if any.
 func (e *NotWrittenError) Unwrap() error { return e.Cause }
 
-// UnsureError means that an append's answer was lost: it may have been written.
+// UnsureError means that the answer to an append was lost: the record may have been written.
 type UnsureError struct{ Cause error }
 
 func (e *UnsureError) Error() string { return "log append has no answer: " + e.Cause.Error() }
@@ -64,23 +64,23 @@
 // Unwrap returns the transport's error.
 func (e *UnsureError) Unwrap() error { return e.Cause }
 
-// TrimmedError means that records from the wanted offset are gone.
+// TrimmedError means that the records from the requested offset on were trimmed.
 type TrimmedError struct{ Oldest int64 }
 
 func (e *TrimmedError) Error() string { return fmt.Sprintf("log is trimmed up to %d", e.Oldest) }
 
-// DownError means that the platform could not be asked.
+// DownError means that the platform could not be reached or did not give a valid answer.
 type DownError struct{ Reason string }
 
 func (e *DownError) Error() string { return "platform is down: " + e.Reason }
 
-// Client asks one platform address. It is safe for concurrent use.
+// Client sends requests to one platform address. It is safe for concurrent use.
 type Client struct {
 	base string
 	http *http.Client
 }
 
-// New returns a client; rt carries the requests and may be nil.
+// New returns a client. The requests use the transport rt, or the default transport if rt is nil.
 func New(addr netip.AddrPort, rt http.RoundTripper) *Client {
 	return &Client{base: "http://" + addr.String(), http: &http.Client{Transport: rt}}
 }
@@ -89,8 +89,8 @@
 	Offset int64 `json:"offset"`
 }
 
-// Append writes one record and returns its offset. The error is a
-// NotWrittenError if nothing was written, else an UnsureError.
+// Append writes one record and returns its offset. The error is a NotWrittenError if nothing was
+// written, otherwise an UnsureError.
 func (c *Client) Append(ctx context.Context, stream string, body []byte) (int64, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+"/log/"+stream, bytes.NewReader(body))
 	if err != nil {
@@ -111,8 +111,8 @@
 	return a.Offset, nil
 }
 
-// appendError tells an append that never left this host, because no connection
-// came about, from one that may have arrived.
+// appendError distinguishes an append that never left this host, because no connection was made,
+// from one that may have arrived.
 func appendError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -121,13 +121,13 @@
 	return &UnsureError{Cause: err}
 }
 
-// isRefusal tells whether a status proves that nothing was written. Other 5xx
-// also come from something between that lost the log's answer.
+// isRefusal reports whether a status proves that nothing was written. Other 5xx codes may come
+// from an intermediary that lost the log's answer.
 func isRefusal(status int) bool {
 	return status >= http.StatusBadRequest && status < http.StatusInternalServerError || status == http.StatusServiceUnavailable
 }
 
-// Page is a run of records and the oldest offset that the log still has.
+// Page is a sequence of records and the oldest offset that the log still has.
 type Page struct {
 	Entries []Entry `json:"entries"`
 	Oldest  int64   `json:"oldest"`
@@ -145,9 +145,9 @@
 	return p, err
 }
 
-// Hosts returns the host list as the platform sees it now, and its tag. Given
-// the tag of the last answer it returns nothing while the list is the same: the
-// whole list twice a second would cost more than all other control together.
+// Hosts returns the current host list as the platform sees it, and the list's tag. Given the tag
+// of the last answer it returns nothing if the list has not changed: the whole list twice a
+// second would cost more than all other control traffic together.
 func (c *Client) Hosts(ctx context.Context, tag string) (all []HostEntry, now string, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+"/hosts", nil)
 	if err != nil {
--- a/internal/store/race.go
+++ b/internal/store/race.go
@@ -6,38 +6,38 @@
 )
 
 const (
-	// maxReadWait is the most that a read is waited for before it is made again on another
-	// connection, however long answers took of late: the operators' table has to be in
-	// force within two seconds, and one second of that is spent waiting for it.
+	// maxReadWait is the longest wait before a read is repeated on another connection, whatever
+	// the recent latency. The operators' table must be in force within two seconds, and one
+	// second of that is spent waiting for it.
 	maxReadWait = 700 * time.Millisecond
-	// readPeerDelay is when the next peer is asked as well while one has not answered a read,
-	// ten times what a peer on a calm host takes. A write is left to one peer for patience:
-	// it costs the store a turn each time.
+	// readPeerDelay is the delay before the next peer is asked as well while a peer has not
+	// answered a read. It is ten times what a peer on an idle host takes. For a write the delay
+	// is at least directTimeout, since each attempt of a write costs the store a turn.
 	readPeerDelay = 150 * time.Millisecond
-	// maxPeers is how many peers are asked for one call. While the store is away for all,
-	// each call of each host would otherwise go to every other host.
+	// maxPeers is how many peers are asked for one call. While the store is unavailable to all
+	// hosts, each call of each host would otherwise go to every other host.
 	maxPeers = 3
-	// maxTries is how often one read is made on the direct way, with twice the pause each
-	// time: a lead that takes over reads pages that take their time on a busy host.
+	// maxTries is how often one read is made on the direct route. The pause doubles each time,
+	// because a leader that takes over reads pages that take long on a busy host.
 	maxTries = 3
 )
 
-// race makes one call on several ways: first the direct one, then through peers, each a
-// while after the one before, and none is waited for before the next is tried.
+// race makes one call on several routes: first the direct one, then through peers, each some time
+// after the previous one. It does not wait for one attempt to end before it starts the next.
 //
-// Ways fall silent without a word, and several at once: the hosts of a failure domain that
-// is cut off, a connection that was open while the store was away. Waited for one after the
-// other, a read would take as long as all of them together, and a host would go on with an
-// old table for seconds after everyone was told that the new one is in force.
+// Routes go silent without an error, and several may do so at once, such as all hosts of a
+// failure domain that is cut off, or a connection that was open while the store was unavailable.
+// If the routes were tried one after the other, a read would take the sum of their timeouts, and
+// a host would use an old table for seconds after everyone was told that the new one is in force.
 type race struct {
 	r       *Routed
 	call    Call
 	results chan result
-	// pending is how many tries have no outcome yet, tries how many were direct.
+	// pending counts the attempts without an outcome, tries the attempts on the direct route.
 	pending, tries int
 	// peers are those not asked yet.
 	peers []string
-	// failed joins the failures so far.
+	// failed combines the failures so far.
 	failed error
 }
 
@@ -50,8 +50,8 @@
 	return &race{r: r, call: c, results: make(chan result, maxTries+maxPeers), peers: r.peers()}
 }
 
-// run returns the first answer, or the failure of all ways. What has no answer when the
-// time is over may still be carried out.
+// run returns the first answer, or the combined failure of all routes. A call that has no answer
+// when the context ends may still be carried out.
 func (w *race) run(ctx context.Context) (Answer, error) {
 	first := w.r.directDelay(w.call)
 	if !w.tryDirect(ctx) || w.r.isCut(w.call) {
@@ -95,7 +95,8 @@
 	return Answer{}, w.failed
 }
 
-// tryDirect tries the tryDirect way; false if the store has just refused there.
+// tryDirect starts an attempt on the direct route. It returns false if the store has just refused
+// there or maxTries is reached.
 func (w *race) tryDirect(ctx context.Context) bool {
 	if w.tries == maxTries || w.r.isClosed(w.call) {
 		return false
@@ -103,8 +104,8 @@
 	w.tries++
 	w.pending++
 	go func() {
-		// It goes on when a peer was faster: how long it takes tells whether the
-		// way is silent or slow.
+		// The attempt goes on even if a peer answers first: its duration shows whether the route
+		// is silent or slow.
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 		defer cancel()
 		a, err := w.r.callDirect(ctx, w.call)
@@ -113,7 +114,7 @@
 	return true
 }
 
-// askNextPeer asks the next askNextPeer, if there is one.
+// askNextPeer asks the next peer, if there is one.
 func (w *race) askNextPeer(ctx context.Context) {
 	if len(w.peers) == 0 {
 		return
--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -10,81 +10,86 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Ways to the store.
+// Timing of the routes to the store.
 const (
-	// directTimeout is how long a call goes without an answer before it is made
-	// through a peer as well. The store answers in 4 ms; a busy host takes some
-	// tens more.
+	// directTimeout is how long a call may go without an answer before it is made through a peer
+	// as well. The store answers in 4 ms; a busy host takes some tens of milliseconds more.
 	directTimeout = 450 * time.Millisecond
-	// suspectTimeout is the same while the direct way did not answer lately.
+	// suspectTimeout replaces directTimeout while the direct route has recently not answered.
 	suspectTimeout = 25 * time.Millisecond
-	// cutAfter is how long the direct way goes without any answer before calls are made
-	// through a peer at once, and only beside that on the direct way; an answer after that
-	// has all calls made again that are still under way. A host that is cut
-	// off from the store stays so for seconds, and each call of a lead there, three for
-	// a step of a job, would wait for suspicion in vain.
+	// cutAfter is how long the direct route may go without any answer before this host counts as
+	// cut off. From then on, calls go through a peer at once and on the direct route at the same
+	// time. The first direct answer after that repeats all calls that are still in progress. A
+	// host that is cut off from the store stays so for seconds, and each call of a leader there,
+	// three for a step of a job, would otherwise wait for suspectTimeout in vain.
 	cutAfter = time.Second
-	// latencyFactor is by how much patience exceeds the answers of late: a store that is
-	// slow is slow for peers too, and asking twice would make it latencyFactor.
+	// latencyFactor is the ratio of the timeouts to the recent latency. A store that is slow is
+	// slow for peers too, and asking twice would make it slower.
 	latencyFactor = 2
-	// refusedPause is how long the direct way to a partition is left alone after it refused.
+	// refusedPause is how long the direct route to a partition is not used after it refused.
 	refusedPause = 500 * time.Millisecond
-	// callTimeout bounds one call in all, besides the time it asks the store to wait.
+	// callTimeout bounds one whole call, in addition to the time that the call asks the store to
+	// wait.
 	callTimeout = 2800 * time.Millisecond
-	// latencyDecay is what is left of the longest answer's weight with each next one.
+	// latencyDecay is the factor by which the weight of the longest answer shrinks with each
+	// further answer.
 	latencyDecay = 0.8
 )
 
-// Relay makes a call at a peer that may be served by the store.
+// Relay makes a call through a peer that the store may serve.
 type Relay interface {
 	// Peers lists the peers to ask, best first.
 	Peers() []string
-	// Do has the peer make the call.
+	// Do makes the call through the peer.
 	Do(ctx context.Context, peer string, c Call) (Answer, error)
 }
 
-// Routed reaches the store directly or, while it turns this host away, through
-// a peer. A host that the store refuses would otherwise refuse callers whom the
-// host beside it serves; it would be seen in refusals at single hosts.
+// Routed reaches the store directly or, while the store refuses this host, through a peer.
+// Without that, a host that the store refuses would refuse its callers although the host next to
+// it serves them, and single hosts would show refusals.
 //
-// A call without an answer is made on the other way as well. That is safe: an
-// append is fenced by epoch and sequence, is conditional, or is keyed by what it
-// says, and all other calls only read or renew.
+// A call without an answer is made on the other route as well. That is safe: an append is fenced
+// by epoch and sequence, is conditional, or is keyed by its content, and all other calls only
+// read or renew.
 type Routed struct {
 	direct Log
 	relay  Relay
 	now    func() time.Time
-	// onChange is told when the direct way of a call fails and comes back.
+	// onChange is called when the direct route starts to fail for a call's target, and when it
+	// works again.
 	onChange func(c Call, ok bool, err error)
 	mu       sync.Mutex
-	// targets are the partitions and groups by name. The store may serve some and
-	// not others: a refusal of one says nothing of the rest.
+	// targets holds the partitions and groups by name. The store may serve some and not others: a
+	// refusal of one says nothing about the rest.
 	targets map[string]*target
-	// failed tells that the last direct call failed, to whichever target.
+	// failed is set if the last direct call failed, whatever its target.
 	failed bool
-	// latency is about how long latency took lately, the longest counting most.
+	// latency is an estimate of the store's recent latency in which the longest answer weighs
+	// most.
 	latency    time.Duration
 	lastAnswer time.Time
-	// lastDirect is when the direct way answered last.
+	// lastDirect is when the direct route last answered.
 	lastDirect time.Time
-	// recovered is closed when it answers after cutAfter without any answer.
+	// recovered is closed when the direct route answers after cutAfter without any answer.
 	recovered chan struct{}
-	// lastServed is the peer that was lastServed last, away when those failed that were not.
+	// lastServed is the peer that the store served last. failedPeers holds, for each peer that
+	// the store does not serve, when that was seen last.
 	lastServed  string
 	failedPeers map[string]time.Time
 }
 
-// target is one partition or group on the direct way.
+// target is the state of one partition or group on the direct route.
 type target struct {
-	// closedUntil is until when it is not tried: appends may be refused where reads are not.
+	// closedUntil is until when the target is not tried. Reads and other calls are separate,
+	// because appends may be refused where reads are not.
 	closedUntil closedTimes
-	// lastAnswer is when it answered last.
+	// lastAnswer is when the target last answered.
 	lastAnswer time.Time
-	// suspect tells that its last call failed or is overdue, silent that it had no answer.
+	// suspect is set if the last call failed or is overdue, silent if it had no answer.
 	suspect, silent bool
 }
 
-// closedTimes is until when calls of a kind are not tried.
+// closedTimes holds until when reads and other calls are not tried.
 type closedTimes struct{ reads, others time.Time }
 
 func (c *closedTimes) of(op Op) *time.Time {
@@ -94,7 +99,7 @@
 	return &c.others
 }
 
-// NewRouted returns a log that knows both ways; lost may not wait.
+// NewRouted returns a log that uses the direct route and peers. The function lost must not block.
 func NewRouted(direct Log, relay Relay, now func() time.Time, lost func(c Call, ok bool, err error)) *Routed {
 	return &Routed{
 		direct: direct, relay: relay, now: now, onChange: lost,
@@ -102,7 +107,7 @@
 	}
 }
 
-// target returns what is known of what a call is for; mu is held.
+// target returns the state of the target of a call. The caller holds mu.
 func (r *Routed) target(c Call) *target {
 	name := c.Topic + "/" + strconv.Itoa(c.Part)
 	if c.Group != "" {
@@ -116,42 +121,43 @@
 	return t
 }
 
-// LastAnswer is when the store answered this host last, on whichever way.
+// LastAnswer returns when the store last answered this host, on any route.
 func (r *Routed) LastAnswer() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.lastAnswer
 }
 
-// RecentLatency is about how long the store's answers took lately, the longest counting most.
+// RecentLatency returns an estimate of the store's recent latency in which the longest answer
+// weighs most.
 func (r *Routed) RecentLatency() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.latency
 }
 
-// AnsweredWithin tells whether the store answered this host within d, or within what its
-// answers take of late if that is longer.
+// AnsweredWithin reports whether the store answered this host within d, or within a time that
+// follows from the recent latency if that is longer.
 func (r *Routed) AnsweredWithin(d time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.now().Sub(r.lastAnswer) < max(d, latencyFactor*r.latency+d/2)
 }
 
-// Direct makes the call on the direct way only, for a peer. While this host is cut off it
-// does nothing: the peer would wait for an answer that does not come.
+// Direct makes a call for a peer, on the direct route only. While this host is cut off it refuses
+// at once, because the peer would wait for an answer that does not come.
 func (r *Routed) Direct(ctx context.Context, c Call) (Answer, error) {
 	if r.isClosed(c) || r.isCut(c) {
 		return Answer{}, &RefusedError{Op: c.Op, Reason: "this host is turned away as well"}
 	}
-	// The peer has given up long before: its own calls end within the same time.
+	// The peer has given up by then, because its own calls are bounded by the same timeout.
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return r.callDirect(ctx, c)
 }
 
-// Do makes the call. A read that waits for records does so on the direct way; if that has
-// no answer in time or had none before, the read is made on all ways and waits nowhere.
+// Do makes the call. A read that waits for records uses the direct route. If that has no answer
+// in time or had none before, the read is made on all routes and without waiting for records.
 func (r *Routed) Do(ctx context.Context, c Call) (Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout+c.Wait)
 	defer cancel()
@@ -164,8 +170,8 @@
 	return newRace(r, c).run(ctx)
 }
 
-// longPoll makes a read that waits; false if it has no answer in time. One that fails at once is
-// made again soon: a peer's time is not for that.
+// longPoll makes a read that waits for records. It returns false if there is no answer in time. A
+// read that fails at once is not made through a peer, since the caller soon repeats it.
 func (r *Routed) longPoll(ctx context.Context, c Call) (result, bool) {
 	ctx, cancel := context.WithTimeout(ctx, c.Wait+r.retryDelay())
 	defer cancel()
@@ -173,7 +179,8 @@
 	return result{a, err}, !IsUnavailable(err) || ctx.Err() == nil
 }
 
-// CombineErrors joins the failures of two tries: only if both refused was nothing done.
+// CombineErrors combines the failures of two attempts: only if both were refused is it certain
+// that nothing was done.
 func CombineErrors(a, b error) error {
 	switch {
 	case b == nil:
@@ -187,9 +194,10 @@
 	}
 }
 
-// peers lists the peers to ask: first the one that was served last, then those that never
-// failed, then whoever failed longest ago. The hosts of a failure domain that is cut off
-// stand together in the list; asked again and again, they would be all that are asked.
+// peers lists the peers to ask: first the one that was served last, then those that never failed,
+// then the others, the one whose failure is oldest first. The hosts of a failure domain that is
+// cut off are adjacent in the list. If failed peers kept their place, only those would be asked,
+// again and again.
 func (r *Routed) peers() []string {
 	all := slices.Clone(r.relay.Peers())
 	r.mu.Lock()
@@ -201,7 +209,7 @@
 	return all[:min(len(all), maxPeers)]
 }
 
-// recordPeer notes whether a peer was served.
+// recordPeer records whether the store served a peer.
 func (r *Routed) recordPeer(p string, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -229,14 +237,15 @@
 	return a, err
 }
 
-// isCut tells whether no direct call has had an answer for so long that none is expected.
+// isCut reports whether direct calls have gone without an answer for so long that none is
+// expected.
 func (r *Routed) isCut(c Call) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.isCutLocked(c)
 }
 
-// isCutLocked is isCut; mu is held.
+// isCutLocked is isCut for callers that hold mu.
 func (r *Routed) isCutLocked(c Call) bool {
 	return r.failed && r.target(c).suspect && r.now().Sub(r.lastDirect) > max(cutAfter, latencyFactor*r.latency)
 }
@@ -253,7 +262,7 @@
 	return r.target(c).suspect
 }
 
-// directDelay is how long to wait for the direct way before a peer is asked.
+// directDelay returns how long to wait for the direct route before a peer is asked.
 func (r *Routed) directDelay(c Call) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -270,14 +279,14 @@
 	return wait
 }
 
-// retryDelay is how long a read is waited for on the direct way before it is made again.
+// retryDelay returns how long to wait for a read on the direct route before it is repeated.
 func (r *Routed) retryDelay() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return min(max(directTimeout, latencyFactor*r.latency), maxReadWait)
 }
 
-// peerDelay is how long a peer is waited for before the next one is asked as well.
+// peerDelay returns how long to wait for a peer before the next one is asked as well.
 func (r *Routed) peerDelay(c Call) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -287,7 +296,7 @@
 	return max(directTimeout, latencyFactor*r.latency)
 }
 
-// markSilent notes that the direct way has not answered for longer than usual.
+// markSilent records that the direct route has not answered for longer than usual.
 func (r *Routed) markSilent(c Call) {
 	r.mu.Lock()
 	was := r.target(c).suspect
@@ -299,10 +308,11 @@
 	}
 }
 
-// callDirect makes the call on the direct way, and again when the store answers after it was
-// silent. What was sent into the silence is never answered, and would be waited for to
-// the end of its time: a lead stored nothing for 1.6 s after the store was back, and
-// nothing began or was told as completed. That it is made twice is safe, as above.
+// callDirect makes the call on the direct route, and repeats it when the store answers after it
+// was silent. A call that was sent while the store was silent is never answered, and would be
+// waited for until its timeout: a leader stored nothing for 1.6 s after the store was back, and
+// in that time no task was started and no job was reported as completed. Making the call twice is
+// safe, see Routed.
 func (r *Routed) callDirect(ctx context.Context, c Call) (Answer, error) {
 	for {
 		began, revival := r.now(), r.recovery()
@@ -318,7 +328,7 @@
 		case got := <-done:
 			cancel()
 			if !errors.Is(ctx.Err(), context.Canceled) {
-				// Otherwise the caller left, which says nothing of the store.
+				// Otherwise the caller gave up, which says nothing about the store.
 				r.recordDirect(c, began, got.err)
 			}
 			return got.answer, got.err
@@ -328,22 +338,22 @@
 	}
 }
 
-// recovery is closed when the store answers after it was silent.
+// recovery returns a channel that is closed when the store answers after it was silent.
 func (r *Routed) recovery() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.recovered
 }
 
-// isSilent tells whether the last direct call to the same target had no answer.
+// isSilent reports whether the last direct call to the same target had no answer.
 func (r *Routed) isSilent(c Call) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.target(c).silent
 }
 
-// recordDirect takes note of how a direct call went. A failure of a call that began before the last
-// answer says nothing any more.
+// recordDirect records the result of a direct call. The failure of a call that began before the
+// last answer is out of date and is ignored.
 func (r *Routed) recordDirect(c Call, began time.Time, err error) {
 	now := r.now()
 	r.mu.Lock()
@@ -378,7 +388,7 @@
 	}
 }
 
-// IsUnavailable tells whether the store did not serve this host at all.
+// IsUnavailable reports whether the store did not serve this host at all.
 func IsUnavailable(err error) bool {
 	var unanswered *UnansweredError
 	return NotDone(err) || errors.As(err, &unanswered)
--- a/internal/store/routed_test.go
+++ b/internal/store/routed_test.go
@@ -13,7 +13,7 @@
 	"pollencroft/internal/store"
 )
 
-// fixedLog answers every call with err, or well without one.
+// fixedLog answers every call with err, or successfully if err is nil.
 type fixedLog struct {
 	err   error
 	calls int
@@ -24,7 +24,7 @@
 	return store.Answer{End: 1}, w.err
 }
 
-// peers are ways through peers, in order of name.
+// peers are the routes through peers, sorted by name.
 type peers map[string]*fixedLog
 
 func (p peers) Peers() []string { return []string{"a", "b", "c"}[:len(p)] }
@@ -45,9 +45,9 @@
 	background = context.Background()
 )
 
-// A store that does not answer this host may still carry the append out; a peer
-// is then refused. Told as refused, the caller would hear that its job never
-// runs, and see it run.
+// A store that does not answer this host may still carry the append out, while a peer is refused.
+// If the result counted as a refusal, the caller would be told that its job never runs, and would
+// see it run.
 func TestNoAnswerThenARefusalIsNotARefusal(t *testing.T) {
 	r := routed(&fixedLog{err: errUnsure}, peers{"a": {err: errRefused}})
 	_, err := r.Do(background, appendCall)
@@ -55,7 +55,7 @@
 	require.ErrorAs(t, err, new(*store.UnansweredError))
 }
 
-// The other way round: this host is refused, a peer's call has no answer.
+// This host is refused, and a call through a peer has no answer.
 func TestARefusalThenNoAnswerIsNotARefusal(t *testing.T) {
 	r := routed(&fixedLog{err: errRefused}, peers{"a": {err: errUnsure}, "b": {err: errRefused}})
 	_, err := r.Do(background, appendCall)
@@ -68,8 +68,8 @@
 	require.True(t, store.NotDone(err), "%v", err)
 }
 
-// The store turns this host away and serves the others. Callers of this host
-// would be refused although their jobs can be stored.
+// The store refuses this host and serves the others. Without the route through a peer, callers of
+// this host would be refused although their jobs can be stored.
 func TestRefusedHostCallsThroughPeer(t *testing.T) {
 	direct, p := &fixedLog{err: errRefused}, peers{"a": {err: errRefused}, "b": {}}
 	r := routed(direct, p)
@@ -77,12 +77,12 @@
 		_, err := r.Do(background, appendCall)
 		require.NoError(t, err)
 	}
-	require.Equal(t, 1, direct.calls, "the direct way is left alone after it failed")
+	require.Equal(t, 1, direct.calls, "the direct route is not used again right after a refusal")
 	_, err := r.Direct(background, appendCall)
-	require.True(t, store.NotDone(err), "a peer is told at once that this host is turned away")
+	require.True(t, store.NotDone(err), "a peer's call is refused at once while the store refuses this host")
 }
 
-// What the store says of a call is final: another way would say the same.
+// An error that the store answers with is final: another route would give the same answer.
 func TestErrorAnswerIsNotRetriedElsewhere(t *testing.T) {
 	p := peers{"a": {}}
 	r := routed(&fixedLog{err: &store.FencedError{Epoch: 3}}, p)
@@ -92,7 +92,7 @@
 	require.False(t, r.LastAnswer().IsZero())
 }
 
-// A read that waits for records is only made again: it holds up nobody.
+// A read that waits for records delays nobody, so it is only repeated.
 func TestALongReadIsNotMadeThroughAPeerAtOnce(t *testing.T) {
 	p := peers{"a": {}}
 	r := routed(&fixedLog{err: errUnsure}, p)
@@ -101,9 +101,9 @@
 	require.Zero(t, p["a"].calls)
 }
 
-// A store that is slow for everybody: every call takes longer than a peer is
-// waited for at first. Asking peers each time would double the load of a store
-// that takes one append at a time, and callers would be refused for that.
+// The store is slow for everybody: every call takes longer than the initial wait before a peer is
+// asked. Asking peers each time would double the load of a store that carries out one append at a
+// time, and callers would be refused because of that.
 func TestSlowStoreIsNotAskedTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		direct, p := &slow{wait: 600 * time.Millisecond}, peers{"a": {}}
@@ -117,7 +117,7 @@
 	})
 }
 
-// slow answers after a while, if it is waited for.
+// slow answers after a delay, unless the context ends first.
 type slow struct {
 	wait  time.Duration
 	calls atomic.Int64
@@ -133,8 +133,8 @@
 	}
 }
 
-// The way to the store goes silent without a word. Callers at this host would
-// wait for as long as the bound on an answer with each call.
+// The route to the store goes silent without an error. Each call of this host's callers would
+// otherwise wait for the whole timeout.
 func TestSilentRouteDelaysOnlyFirstCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := routed(&slow{wait: time.Hour}, peers{"a": {}})
@@ -144,13 +144,13 @@
 			require.NoError(t, err)
 		}
 		require.Less(t, time.Since(began), time.Second)
-		// The direct calls have to end on their own.
+		// Wait until the direct calls have ended by themselves.
 		time.Sleep(time.Minute)
 	})
 }
 
-// The store is down for some of its partitions. What is for the others goes its
-// direct way as before; taken for turned away as a whole, the host could not lead.
+// The store is down for some of its partitions. Calls for the others still use the direct route.
+// If the host regarded the whole store as unavailable, it could not lead.
 func TestPartitionDownDoesNotAffectOthers(t *testing.T) {
 	direct := &partialLog{down: 5}
 	p := peers{"a": {err: errRefused}}
@@ -162,7 +162,7 @@
 		require.NoError(t, err)
 	}
 	require.Equal(t, 3, direct.served)
-	require.Equal(t, 3, p["a"].calls, "only what is down is tried through the peer")
+	require.Equal(t, 3, p["a"].calls, "only calls to the partition that is down go through the peer")
 }
 
 // partialLog serves all partitions but one.
@@ -176,10 +176,10 @@
 	return store.Answer{End: 1}, nil
 }
 
-// The store's answers do not reach this host any more, and nothing refuses its calls.
-// Peers are served. Every call of a lead there would wait for the direct way first, three
-// for each step of a job, and one urgent job in five would be late for as long as the cut
-// lasts. After a second without an answer peers are asked at once.
+// The store's answers no longer reach this host, and nothing refuses its calls. Peers are served.
+// Every call of a leader there would first wait for the direct route, three times for each step
+// of a job, and one urgent job in five would be late for as long as the cut lasts. After a second
+// without an answer, peers are asked at once.
 func TestAHostThatIsCutOffAsksAPeerAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		direct, p := &slow{wait: time.Minute}, peers{"a": {}}
@@ -194,12 +194,12 @@
 		require.NoError(t, err)
 		require.Zero(t, time.Since(began))
 		synctest.Wait()
-		require.Greater(t, direct.calls.Load(), tried, "the direct way is still tried beside it")
+		require.Greater(t, direct.calls.Load(), tried, "the direct route is still tried at the same time")
 		time.Sleep(2 * time.Minute)
 	})
 }
 
-// silentUntil never answers what is sent to it before some moment, not even after it.
+// silentUntil never answers a call that was sent before a certain time, not even after that time.
 type silentUntil struct{ at time.Time }
 
 func (s *silentUntil) Do(ctx context.Context, c store.Call) (store.Answer, error) {
@@ -210,9 +210,10 @@
 	return store.Answer{}, nil
 }
 
-// The store is silent for all hosts for some seconds, and answers again. What a lead sent
-// shortly before is lost. Waited for to the end of its time, nothing would begin or be
-// told as completed for two seconds more, in the moment when everybody has waited.
+// The store is silent for all hosts for some seconds and then answers again. Calls that a leader
+// sent shortly before are lost. If the leader waited for them until their timeout, no task would
+// start and no job would be reported as completed for two seconds more, just when everybody has
+// been waiting.
 func TestUnansweredCallsAreRepeatedAfterRecovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		direct := &silentUntil{}
@@ -236,9 +237,9 @@
 	})
 }
 
-// Two hosts are cut off from the store, and the first of the peers that one of them asks is
-// the other. Each call of a lead there waited for that one first, half a second, and urgent
-// jobs of half a second took three. The peer that was served last is asked first.
+// Two hosts are cut off from the store, and one of them asks the other one first. Each call of a
+// leader there would wait half a second for that peer, and urgent jobs of half a second took
+// three seconds. The peer that was served last is asked first.
 func TestAPeerThatWasServedIsAskedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cutPeer := &slow{wait: time.Minute}
@@ -256,7 +257,7 @@
 	})
 }
 
-// mixed are peers of unlike kinds.
+// mixed are peers of different kinds.
 type mixed map[string]store.Log
 
 func (m mixed) Peers() []string { return []string{"a", "b", "c"}[:len(m)] }
@@ -265,8 +266,8 @@
 	return m[name].Do(ctx, c)
 }
 
-// A host that is cut off is asked by another one to make a call for it. It says at once
-// that it cannot, and has not: the other one would wait for an answer that does not come.
+// A host that is cut off is asked by a peer to make a call. It refuses at once, and the refusal
+// means that nothing was done. Otherwise the peer would wait for an answer that does not come.
 func TestAHostThatIsCutOffMakesNoCallsForPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := routed(&slow{wait: time.Minute}, peers{"a": {}})
@@ -283,9 +284,9 @@
 	})
 }
 
-// A host finds out with short calls whether a silent store is back. Waited for to the end
-// of the direct way's time, each would take seconds, and callers would be refused for as
-// long although the store serves again.
+// A host uses short calls to find out whether a silent store is back. If each of them lasted
+// until the timeout of the direct route, callers would be refused for seconds although the store
+// serves again.
 func TestACallEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := routed(&slow{wait: time.Minute}, peers{"a": {err: errRefused}})
@@ -300,9 +301,9 @@
 	})
 }
 
-// A failure domain is cut off, and all peers that a host asks first are in it. Asked one
-// after the other, each for half a second, they would make a host that the store turns away
-// refuse its callers, though the next peer is served.
+// A failure domain is cut off, and it contains all peers that a host asks first. The store
+// refuses the host. If it waited half a second for one peer after the other, it would refuse its
+// callers although the next peer is served.
 func TestSilentPeersDoNotHoldUpTheNext(t *testing.T) {
 	for _, tc := range []struct {
 		call  store.Call
@@ -319,7 +320,7 @@
 			began = time.Now()
 			_, err = r.Do(background, c)
 			require.NoError(t, err)
-			require.Zero(t, time.Since(began), "the peer that was served is known")
+			require.Zero(t, time.Since(began), "the peer that was served last is asked first")
 			time.Sleep(time.Minute)
 		})
 	}
@@ -341,8 +342,8 @@
 	return store.Answer{}, nil
 }
 
-// The store turns most hosts away. A host that always asked the same few peers would refuse
-// its callers for as long as these are turned away as well.
+// The store refuses most hosts. A host that always asked the same few peers would refuse its
+// callers for as long as the store refuses these peers as well.
 func TestRefusedPeersAreAskedLast(t *testing.T) {
 	p := &many{names: []string{"a", "b", "c", "d", "e", "f", "g"}, asked: map[string]int{}}
 	r := store.NewRouted(&fixedLog{err: errRefused}, p, time.Now, func(store.Call, bool, error) {})
@@ -354,12 +355,12 @@
 		}
 	}
 	require.Equal(t, 2, refused)
-	require.Equal(t, 1, p.asked["a"], "not asked again while another is served")
+	require.Equal(t, 1, p.asked["a"], "a peer that failed is not asked again while another one is served")
 }
 
-// A read has gone unanswered for a second and was made again with success meanwhile. Its own
-// end, when its time is over, is older news: taken for a loss of the store it would send a
-// host's calls around through peers while its own way works.
+// A read has gone unanswered for a second, and a repetition of it succeeded in the meantime. The
+// timeout of the first attempt is then out of date. If it counted as a loss of the store, the
+// host would send its calls through peers although its own route works.
 func TestOldFailureDoesNotOverrideNewerAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		direct := &silentUntil{}
@@ -376,7 +377,7 @@
 	})
 }
 
-// A host stops while a read waits. That says nothing of the store.
+// A host stops while a read waits. That says nothing about the store.
 func TestCancelledCallIsNotAStoreFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lost := 0
@@ -390,8 +391,9 @@
 	})
 }
 
-// A peer asks a host to read for it, and the host's way has gone silent. The peer has long
-// given up; without a bound such reads would gather at the host for a minute each.
+// A peer asks a host to read on its behalf, and the host's route has gone silent. The peer gives
+// up long before the host does. Without a bound, such reads would accumulate at the host for a
+// minute each.
 func TestACallForAPeerIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := routed(&slow{wait: time.Hour}, peers{})
@@ -402,7 +404,7 @@
 	})
 }
 
-// recorder keeps which calls asked for a new connection, and fails with err.
+// recorder records which calls asked for a new connection, and fails with err.
 type recorder struct {
 	err  error
 	anew []bool
@@ -413,8 +415,8 @@
 	return store.Answer{}, n.err
 }
 
-// A connection has gone silent, and with it all that were open. The next call would wait on
-// another one of them.
+// A connection has gone silent, and with it all others that were open. Without a new connection
+// the next call would wait on another one of them.
 func TestAfterASilenceACallGoesOnANewConnection(t *testing.T) {
 	direct := &recorder{err: errUnsure}
 	r := routed(direct, peers{})
@@ -429,8 +431,8 @@
 	require.Equal(t, []bool{false, true, false}, direct.anew)
 }
 
-// One answer took long, as after a short cut. That says little of the next call: waited for in
-// proportion, a read on a way that has gone silent would take seconds.
+// One answer took long, as after a short cut. That says little about the next call. If reads
+// waited in proportion to it, a read on a route that has gone silent would take seconds.
 func TestSlowAnswerDoesNotExtendReadTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		direct := &slow{wait: 2500 * time.Millisecond}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,6 @@
-// Package store says what the product needs of the platform's store: an
-// append-only log with partitions, the newest record of each key, fenced and
-// conditional appends, and groups whose members share out partitions.
+// Package store defines what this program needs of the platform's store: an append-only log with
+// partitions, the latest record of each key, fenced and conditional appends, and groups whose
+// members divide partitions among them.
 package store
 
 import (
@@ -11,10 +11,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Op names one kind of call.
+// Op is the operation of a call.
 type Op string
 
-// The calls.
+// The operations.
 const (
 	Append Op = "append"
 	Read   Op = "read"
@@ -24,50 +24,49 @@
 	Owners Op = "owners"
 )
 
-// isRead tells whether a call changes nothing, so that it costs little to make it twice.
+// isRead reports whether the operation changes nothing, so that repeating it is cheap.
 func (o Op) isRead() bool { return o == Read || o == Newest || o == Owners }
 
-// Call is one call to the store. It is one type for all operations so that a
-// host can make a call for another one.
+// Call is one call to the store. All operations share one type so that a host can make a call on
+// behalf of another host.
 type Call struct {
 	Op    Op     `json:"op"`
 	Topic string `json:"topic,omitempty"`
 	Part  int    `json:"part,omitempty"`
-	// Records are appended all or none. With Keyed they have keys.
+	// Records are appended all or none. If Keyed is set, the records have keys.
 	Records []Record `json:"records,omitempty"`
 	Keyed   bool     `json:"keyed,omitempty"`
-	// At, if not nil, is where the partition has to end for the append to be
-	// carried out.
+	// At, if not nil, is the offset at which the partition must end for the append to be carried
+	// out.
 	At *int64 `json:"at,omitempty"`
-	// Epoch fences appends: once the partition has seen a higher one, a lower
-	// one is refused. Zero is no fence. Seq numbers an epoch's appends, so that
-	// one that is repeated is carried out once.
+	// Epoch fences appends: after the partition has seen a higher epoch, it refuses appends with
+	// a lower one. Zero means no fencing. Seq numbers the appends of an epoch, so that a repeated
+	// append is carried out once.
 	Epoch int64 `json:"epoch,omitempty"`
 	Seq   int64 `json:"seq,omitempty"`
-	// From is the first offset to read, After the last key already had.
+	// From is the first offset to read. After is the last key that the caller already has.
 	From  int64  `json:"from,omitempty"`
 	After string `json:"after,omitempty"`
 	// Wait is how long a read may wait for records.
 	Wait time.Duration `json:"wait,omitempty"`
-	// Group, Member, Topics, TTL and Generation are for groups.
+	// Group, Member, Topics, TTL and Generation are used by the group operations.
 	Group      string        `json:"group,omitempty"`
 	Member     string        `json:"member,omitempty"`
 	Topics     []string      `json:"topics,omitempty"`
 	TTL        time.Duration `json:"ttl,omitempty"`
 	Generation int64         `json:"generation,omitempty"`
-	// NewConn asks for a connection that is not open yet: those that are may have gone
-	// silent.
+	// NewConn asks for a new connection, because the open ones may have gone silent.
 	NewConn bool `json:"-"`
 }
 
-// Record is one record of a log. A keyed record without a value drops its key.
+// Record is one record of a log. A keyed record without a value deletes its key.
 type Record struct {
 	Offset int64  `json:"offset,omitempty"`
 	Key    string `json:"key,omitempty"`
 	Value  []byte `json:"value,omitempty"`
 }
 
-// Share is one partition and the member that has it.
+// Share is one partition and the member that owns it.
 type Share struct {
 	Topic  string `json:"topic"`
 	Part   int    `json:"part"`
@@ -76,13 +75,13 @@
 
 // Answer is the store's answer to a call.
 type Answer struct {
-	// Offset is the first appended record's, End the next free offset and
-	// First the oldest that is kept.
+	// Offset is the offset of the first appended record, End the next free offset, and First the
+	// oldest offset that is kept.
 	Offset  int64    `json:"offset,omitempty"`
 	End     int64    `json:"end,omitempty"`
 	First   int64    `json:"first,omitempty"`
 	Records []Record `json:"records,omitempty"`
-	// More tells that there are newer keys after the last one.
+	// More reports whether there are more keys after the last one returned.
 	More       bool    `json:"more,omitempty"`
 	Generation int64   `json:"generation,omitempty"`
 	Shares     []Share `json:"shares,omitempty"`
@@ -93,7 +92,7 @@
 	Do(ctx context.Context, c Call) (Answer, error)
 }
 
-// RefusedError tells that the store did nothing.
+// RefusedError means that the store refused the call and did nothing.
 type RefusedError struct {
 	Op     Op
 	Reason string
@@ -101,18 +100,17 @@
 
 func (e *RefusedError) Error() string { return fmt.Sprintf("store refused %s: %s", e.Op, e.Reason) }
 
-// NotDone tells whether err says for certain that the store did nothing. An
-// UnansweredError may wrap a refusal, when one way did not answer and another
-// refused: taking it for a refusal would tell a caller that its job is not
-// stored while it is.
+// NotDone reports whether err means for certain that the store did nothing. An UnansweredError
+// may wrap a refusal, when one route gave no answer and another refused. If that counted as a
+// refusal, a caller would be told that its job is not stored although it is.
 func NotDone(err error) bool {
 	var unanswered *UnansweredError
 	var no *RefusedError
 	return errors.As(err, &no) && !errors.As(err, &unanswered)
 }
 
-// UnansweredError tells that there was no answer: the call may be carried out,
-// also later.
+// UnansweredError means that there was no answer: the call may have been carried out, or may
+// still be carried out later.
 type UnansweredError struct {
 	Op    Op
 	Cause error
@@ -125,22 +123,22 @@
 // Unwrap returns the transport's error.
 func (e *UnansweredError) Unwrap() error { return e.Cause }
 
-// FencedError tells that a higher epoch writes to the partition.
+// FencedError means that a writer with a higher epoch writes to the partition.
 type FencedError struct{ Epoch int64 }
 
 func (e *FencedError) Error() string { return fmt.Sprintf("epoch %d is fenced off", e.Epoch) }
 
-// EndMismatchError tells that the partition did not end where the call said.
+// EndMismatchError means that the partition did not end at the offset that the call required.
 type EndMismatchError struct{ End int64 }
 
 func (e *EndMismatchError) Error() string { return fmt.Sprintf("log ends at %d", e.End) }
 
-// TrimmedError tells that the records asked for are gone.
+// TrimmedError means that the requested records were trimmed from the log.
 type TrimmedError struct{ First int64 }
 
 func (e *TrimmedError) Error() string { return fmt.Sprintf("log begins at %d", e.First) }
 
-// InvalidError tells that the call or its answer makes no sense to the other side.
+// InvalidError means that the other side could not interpret the call or its answer.
 type InvalidError struct {
 	Op     Op
 	Reason string
@@ -148,9 +146,9 @@
 
 func (e *InvalidError) Error() string { return fmt.Sprintf("bad %s: %s", e.Op, e.Reason) }
 
-// ReadLatest reads the newest record of each key and where to follow from. The
-// pages are not a snapshot: a reader follows from the first page's end, where
-// records may come again.
+// ReadLatest reads the latest record of each key, and returns the offset to read on from. The
+// pages are not a snapshot: the offset is the end at the time of the first page, so a reader that
+// follows from there may see some records again.
 func ReadLatest(ctx context.Context, l Log, topic string, part int) ([]Record, int64, error) {
 	var all []Record
 	from := int64(-1)
