--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -36,13 +36,13 @@
 	Rows    map[string]Line  `json:"rows"`
 	Quotas  map[string]Quota `json:"quotas"`
 	Judged  []Verdict        `json:"judged"`
-	Skipped []Passed         `json:"passed,omitempty"`
+	Skipped []SkippedRecord  `json:"passed,omitempty"`
 	byID    map[string]Verdict
 }
 
-// Passed is a record that this version does not know. It is kept in order and
+// SkippedRecord is a record that this version does not know. It is kept in order and
 // goes into snapshots, so that a version that knows it does not miss it.
-type Passed struct {
+type SkippedRecord struct {
 	Offset int64  `json:"offset"`
 	Body   []byte `json:"body"`
 }
@@ -121,7 +121,7 @@
 	t.mix(e.Body)
 	v, err := Decode(e.Body)
 	if err != nil {
-		t.pass(Passed(e))
+		t.pass(SkippedRecord(e))
 		return nil, true
 	}
 	switch v := v.(type) {
@@ -147,7 +147,7 @@
 	return t.damaged.reads >= damageReads
 }
 
-func (t *Table) pass(p Passed) {
+func (t *Table) pass(p SkippedRecord) {
 	t.Skipped = append(t.Skipped, p)
 	t.Skipped = t.Skipped[max(0, len(t.Skipped)-passedKept):]
 }
@@ -225,7 +225,7 @@
 func (t *Table) History() []HistoryEntry { return slices.Clone(t.past) }
 
 // SkippedRecords lists the records that this version does not know, oldest first.
-func (t *Table) SkippedRecords() []Passed { return slices.Clone(t.Skipped) }
+func (t *Table) SkippedRecords() []SkippedRecord { return slices.Clone(t.Skipped) }
 
 // NextOffset returns the offset that the table waits for.
 func (t *Table) NextOffset() int64 { return t.Next }
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -144,7 +144,7 @@
 	other := table.New()
 	require.Equal(t, []table.Action{table.Restored{Next: 3}}, other.Step(now, table.PeerCopy{Parts: parts}))
 	require.Equal(t, tab.Fingerprint(), other.Fingerprint())
-	require.Equal(t, []table.Passed{{Offset: 1, Body: b}}, other.SkippedRecords())
+	require.Equal(t, []table.SkippedRecord{{Offset: 1, Body: b}}, other.SkippedRecords())
 }
 
 // An accepted edit's record comes a second time after the row was dropped and
