--- a/internal/operator/edits.go
+++ b/internal/operator/edits.go
@@ -85,7 +85,7 @@
 	}
 	e := table.QuotaEdit{
 		Team: chi.URLParam(r, "team"), Capacity: body.Room, Tasks: body.Tasks, Domains: body.Domains,
-		Who: r.Header.Get("Pollencroft-Who"),
+		Author: r.Header.Get("Pollencroft-Who"),
 	}
 	var err error
 	if e.ID, err = editID(r); err != nil {
--- a/internal/table/messages.go
+++ b/internal/table/messages.go
@@ -99,7 +99,7 @@
 	Capacity cell.Size        `json:"room"`
 	Tasks    int64            `json:"tasks"`
 	Domains  map[string]int64 `json:"domains"`
-	Who      string           `json:"who,omitempty"`
+	Author   string           `json:"who,omitempty"`
 	When     int64            `json:"when,omitempty"`
 }
 
