--- a/internal/commands/table.go
+++ b/internal/commands/table.go
@@ -124,7 +124,7 @@
 			if !p.Accepted {
 				verdict = "void: " + p.Reason
 			}
-			_, _ = fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\n", p.Offset, p.When.Format(time.RFC3339), p.Who, p.Row, verdict, p.Change)
+			_, _ = fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\n", p.Offset, p.When.Format(time.RFC3339), p.Author, p.Row, verdict, p.Change)
 		}
 	})
 }
--- a/internal/table/messages.go
+++ b/internal/table/messages.go
@@ -116,7 +116,7 @@
 	Verdict
 	Offset int64     `json:"offset"`
 	Row    string    `json:"row"`
-	Who    string    `json:"who,omitempty"`
+	Author string    `json:"who,omitempty"`
 	When   time.Time `json:"when"`
 	Change string    `json:"what"`
 }
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -163,7 +163,7 @@
 	}
 	j, changed := t.judge(e, offset)
 	t.remember(j)
-	t.note(HistoryEntry{Verdict: j, Offset: offset, Row: e.Row, Who: e.Author, When: time.UnixMilli(e.When), Change: what(e)})
+	t.note(HistoryEntry{Verdict: j, Offset: offset, Row: e.Row, Author: e.Author, When: time.UnixMilli(e.When), Change: what(e)})
 	if changed == nil {
 		return []Action{j}
 	}
