--- a/internal/host/explain.go
+++ b/internal/host/explain.go
@@ -22,7 +22,7 @@
 	if reply.Code == 0 {
 		return reply.Notes
 	}
-	told := trail.Note{At: h.clock(), ID: id, Component: "host", What: "its lead tells nothing: " + reply.Reason}
+	told := trail.Note{At: h.clock(), ID: id, Component: "host", Message: "its lead tells nothing: " + reply.Reason}
 	return append(h.lead.Explain(id), told)
 }
 
--- a/internal/lead/fault_test.go
+++ b/internal/lead/fault_test.go
@@ -186,10 +186,10 @@
 	p.hosts["b"].SetLedMachines(p.machines)
 	p.hosts["b"].Inherit([]job.Spec{p.spec("full"), p.spec("old")})
 	notes := p.hosts["b"].Explain("d.r.old")
-	require.Equal(t, "waits for its census: log", notes[len(notes)-1].What)
+	require.Equal(t, "waits for its census: log", notes[len(notes)-1].Message)
 	p.run("b", 10*time.Second)
 	require.Equal(t, "running", p.state("b", "full"), "the running task is adopted")
-	require.Contains(t, p.hosts["b"].Explain("d.r.full")[0].What, "inherited")
+	require.Contains(t, p.hosts["b"].Explain("d.r.full")[0].Message, "inherited")
 	_, err := p.hosts["a"].Cancel("d.r.old")
 	var unknown *job.UnknownError
 	require.ErrorAs(t, err, &unknown)
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -213,7 +213,7 @@
 
 func (l *Leader) addNote(id, what string) {
 	l.Log.Info("lead: job.", "id", id, "what", what)
-	l.History.Add(trail.Note{At: l.Clock(), ID: id, Component: "lead", What: what})
+	l.History.Add(trail.Note{At: l.Clock(), ID: id, Component: "lead", Message: what})
 }
 
 // stepLeases, stepPlacement, stepJobs and stepTakeover each pass an event to one state machine and
--- a/internal/lead/limits_test.go
+++ b/internal/lead/limits_test.go
@@ -91,7 +91,7 @@
 	require.Equal(t, 1, p.runningTasks())
 	require.Equal(t, "running", p.state("a", "two"))
 	notes := p.hosts["b"].Explain("d.r.one")
-	require.Equal(t, "the host that holds "+p.machines[0].Name+" counts row scan", notes[len(notes)-1].What)
+	require.Equal(t, "the host that holds "+p.machines[0].Name+" counts row scan", notes[len(notes)-1].Message)
 }
 
 // fillFirstWorker makes host a lead only the first worker and fills it with a task of another row,
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -234,16 +234,16 @@
 	notes := l.History.ByID(id)
 	for _, task := range l.Jobs.WaitingTasks(id) {
 		if why, ok := l.Placer.ExplainWait(task); ok {
-			notes = append(notes, trail.Note{At: l.Clock(), ID: id, Component: "place", What: why})
+			notes = append(notes, trail.Note{At: l.Clock(), ID: id, Component: "place", Message: why})
 			notes = append(notes, l.explainPostponed(id, task)...)
 			break
 		}
 	}
 	if l.Jobs.AwaitsInventory(id) {
-		notes = append(notes, trail.Note{At: l.Clock(), ID: id, Component: "lead", What: "waits for its census: " + l.Takeover.Missing(l.Clock(), id)})
+		notes = append(notes, trail.Note{At: l.Clock(), ID: id, Component: "lead", Message: "waits for its census: " + l.Takeover.Missing(l.Clock(), id)})
 	}
 	if aside := l.Placer.QuarantinedWorkers(); len(notes) > 0 && len(aside) > 0 {
-		notes = append(notes, trail.Note{At: l.Clock(), ID: id, Component: "place", What: fmt.Sprintf("workers set aside: %v", aside)})
+		notes = append(notes, trail.Note{At: l.Clock(), ID: id, Component: "place", Message: fmt.Sprintf("workers set aside: %v", aside)})
 	}
 	return notes
 }
@@ -256,5 +256,5 @@
 		return nil
 	}
 	key, worker := l.arbiter(row)
-	return []trail.Note{{At: l.Clock(), ID: id, Component: "lead", What: "the host that holds " + worker + " counts " + key}}
+	return []trail.Note{{At: l.Clock(), ID: id, Component: "lead", Message: "the host that holds " + worker + " counts " + key}}
 }
--- a/internal/lead/place_test.go
+++ b/internal/lead/place_test.go
@@ -81,7 +81,7 @@
 func (f *fleet) notes(id string) string {
 	var all []string
 	for _, n := range f.Explain("d.r." + id) {
-		all = append(all, n.What)
+		all = append(all, n.Message)
 	}
 	return strings.Join(all, "\n")
 }
--- a/internal/trail/trail.go
+++ b/internal/trail/trail.go
@@ -13,7 +13,7 @@
 	At        time.Time `json:"at"`
 	ID        string    `json:"id"`
 	Component string    `json:"part"`
-	What      string    `json:"what"`
+	Message   string    `json:"what"`
 }
 
 // Trail is a ring of the newest notes. It is safe for concurrent use.
@@ -42,7 +42,7 @@
 // a hand-over whose answer was lost brings them twice.
 func (t *Trail) Merge(notes []Note) {
 	for _, n := range notes {
-		known := func(o Note) bool { return o.At.Equal(n.At) && o.What == n.What }
+		known := func(o Note) bool { return o.At.Equal(n.At) && o.Message == n.Message }
 		if !slices.ContainsFunc(t.ByID(n.ID), known) {
 			t.Add(n)
 		}
--- a/internal/trail/trail_test.go
+++ b/internal/trail/trail_test.go
@@ -11,7 +11,7 @@
 )
 
 func note(at int, id string) trail.Note {
-	return trail.Note{At: time.Unix(int64(at), 0), ID: id, Component: "lead", What: fmt.Sprint("note ", at)}
+	return trail.Note{At: time.Unix(int64(at), 0), ID: id, Component: "lead", Message: fmt.Sprint("note ", at)}
 }
 
 // A job changes its lead, and the answer to the hand-over is lost, so that it
@@ -28,7 +28,7 @@
 	}
 	var got []string
 	for _, n := range heir.ByID("j") {
-		got = append(got, n.What)
+		got = append(got, n.Message)
 	}
 	require.Equal(t, []string{"note 0", "note 17", "note 18", "note 19", "note 30"}, got)
 }
@@ -39,6 +39,6 @@
 		tr.Add(note(i, "j"))
 	}
 	require.Len(t, tr.ByID("j"), 3)
-	require.Equal(t, "note 2", tr.ByID("j")[0].What)
+	require.Equal(t, "note 2", tr.ByID("j")[0].Message)
 	require.Empty(t, tr.ByID("other"))
 }
