--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -110,7 +110,7 @@
 	delete(t.parts, p.Next)
 	// What a host needs to start is everything from the snapshot's own offset,
 	// which lies before its record by what was appended meanwhile.
-	t.needed = min(p.Next, g.first)
+	t.oldestNeeded = min(p.Next, g.first)
 	t.saved = earlier(now, time.UnixMilli(g.when))
 	t.dueFrom = time.Time{}
 }
@@ -184,7 +184,7 @@
 		}
 		t.restore(s)
 		// The copy's writer minds the snapshots that lie before it.
-		t.needed = s.Next
+		t.oldestNeeded = s.Next
 		return []Action{Restored{Next: t.Next}}
 	}
 	return nil
@@ -253,7 +253,7 @@
 	if t.saved.IsZero() {
 		t.saved = now
 	}
-	needed := max(t.needed, 1)
+	needed := max(t.oldestNeeded, 1)
 	half := oldest > 1 && needed-oldest < (t.Next-oldest)/2
 	return half || t.Next-needed > snapshotRecords || now.Sub(t.saved) > SnapshotAge
 }
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -21,12 +21,12 @@
 	state
 	damaged damage
 	past    []HistoryEntry
-	// needed is where the newest snapshot whose parts were all seen begins;
-	// zero when there is none, so that everything from offset 1 is needed.
-	needed  int64
-	saved   time.Time
-	dueFrom time.Time
-	parts   map[int64]*gathered
+	// oldestNeeded is where the newest snapshot whose parts were all seen begins;
+	// zero when there is none, so that everything from offset 1 is oldestNeeded.
+	oldestNeeded int64
+	saved        time.Time
+	dueFrom      time.Time
+	parts        map[int64]*gathered
 }
 
 // state is what a snapshot holds: all that later verdicts hang on.
