--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -111,15 +111,15 @@
 	// What a host needs to start is everything from the snapshot's own offset,
 	// which lies before its record by what was appended meanwhile.
 	t.oldestNeeded = min(p.Next, g.first)
-	t.saved = earlier(now, time.UnixMilli(g.when))
+	t.snapshotTime = earlier(now, time.UnixMilli(g.when))
 	t.dueFrom = time.Time{}
 }
 
 // began notes the age of the oldest record that is needed while no snapshot
 // was seen.
 func (t *Table) began(now time.Time, when int64) {
-	if t.saved.IsZero() && when > 0 {
-		t.saved = earlier(now, time.UnixMilli(when))
+	if t.snapshotTime.IsZero() && when > 0 {
+		t.snapshotTime = earlier(now, time.UnixMilli(when))
 	}
 }
 
@@ -250,10 +250,10 @@
 	if t.Next == 1 {
 		return false
 	}
-	if t.saved.IsZero() {
-		t.saved = now
+	if t.snapshotTime.IsZero() {
+		t.snapshotTime = now
 	}
 	needed := max(t.oldestNeeded, 1)
 	half := oldest > 1 && needed-oldest < (t.Next-oldest)/2
-	return half || t.Next-needed > snapshotRecords || now.Sub(t.saved) > SnapshotAge
+	return half || t.Next-needed > snapshotRecords || now.Sub(t.snapshotTime) > SnapshotAge
 }
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -24,7 +24,7 @@
 	// oldestNeeded is where the newest snapshot whose parts were all seen begins;
 	// zero when there is none, so that everything from offset 1 is oldestNeeded.
 	oldestNeeded int64
-	saved        time.Time
+	snapshotTime time.Time
 	dueFrom      time.Time
 	parts        map[int64]*gathered
 }
