--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -112,7 +112,7 @@
 	// which lies before its record by what was appended meanwhile.
 	t.oldestNeeded = min(p.Next, g.first)
 	t.snapshotTime = earlier(now, time.UnixMilli(g.when))
-	t.dueFrom = time.Time{}
+	t.dueSince = time.Time{}
 }
 
 // began notes the age of the oldest record that is needed while no snapshot
@@ -224,13 +224,13 @@
 // older half of what the log keeps, or the last one is old.
 func (t *Table) due(now time.Time, ev Tick) []Action {
 	if !t.needsSaving(now, ev.Oldest) {
-		t.dueFrom = time.Time{}
+		t.dueSince = time.Time{}
 		return nil
 	}
-	if t.dueFrom.IsZero() {
-		t.dueFrom = now
+	if t.dueSince.IsZero() {
+		t.dueSince = now
 	}
-	if now.Sub(t.dueFrom) < time.Duration(ev.Rank)*snapshotTurn {
+	if now.Sub(t.dueSince) < time.Duration(ev.Rank)*snapshotTurn {
 		return nil
 	}
 	records, err := t.Snapshot(now)
@@ -238,7 +238,7 @@
 		return nil
 	}
 	// The next try is due only after every host has had its turn.
-	t.dueFrom = now.Add(snapshotTurn)
+	t.dueSince = now.Add(snapshotTurn)
 	acts := make([]Action, len(records))
 	for i, b := range records {
 		acts[i] = Append{Body: b}
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -25,7 +25,7 @@
 	// zero when there is none, so that everything from offset 1 is oldestNeeded.
 	oldestNeeded int64
 	snapshotTime time.Time
-	dueFrom      time.Time
+	dueSince     time.Time
 	parts        map[int64]*gathered
 }
 
