--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -95,19 +95,19 @@
 	if !p.good() {
 		return
 	}
-	g := t.parts[p.Next]
+	g := t.incomplete[p.Next]
 	if g == nil {
 		// A writer that died between two parts leaves some that never complete.
-		if len(t.parts) > unfinishedKept {
-			clear(t.parts)
+		if len(t.incomplete) > unfinishedKept {
+			clear(t.incomplete)
 		}
 		g = &gathered{}
-		t.parts[p.Next] = g
+		t.incomplete[p.Next] = g
 	}
 	if !g.add(p, offset) {
 		return
 	}
-	delete(t.parts, p.Next)
+	delete(t.incomplete, p.Next)
 	// What a host needs to start is everything from the snapshot's own offset,
 	// which lies before its record by what was appended meanwhile.
 	t.oldestNeeded = min(p.Next, g.first)
@@ -197,7 +197,7 @@
 	s.Skipped = nil
 	next, digest := s.Next, s.Digest
 	t.state = s
-	t.parts = map[int64]*gathered{}
+	t.incomplete = map[int64]*gathered{}
 	for _, p := range passed {
 		if _, err := Decode(p.Body); err != nil {
 			t.Skipped = append(t.Skipped, p)
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -26,7 +26,7 @@
 	oldestNeeded int64
 	snapshotTime time.Time
 	dueSince     time.Time
-	parts        map[int64]*gathered
+	incomplete   map[int64]*gathered
 }
 
 // state is what a snapshot holds: all that later verdicts hang on.
@@ -71,8 +71,8 @@
 // New returns an empty table that waits for offset 1.
 func New() *Table {
 	return &Table{
-		state: state{Next: 1, Rows: map[string]Line{}, Quotas: map[string]Quota{}, byID: map[string]Verdict{}},
-		parts: map[int64]*gathered{},
+		state:      state{Next: 1, Rows: map[string]Line{}, Quotas: map[string]Quota{}, byID: map[string]Verdict{}},
+		incomplete: map[int64]*gathered{},
 	}
 }
 
