--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -20,7 +20,7 @@
 type Table struct {
 	state
 	damaged damage
-	past    []HistoryEntry
+	history []HistoryEntry
 	// oldestNeeded is where the newest snapshot whose parts were all seen begins;
 	// zero when there is none, so that everything from offset 1 is oldestNeeded.
 	oldestNeeded int64
@@ -217,12 +217,12 @@
 }
 
 func (t *Table) note(p HistoryEntry) {
-	t.past = append(t.past, p)
-	t.past = t.past[max(0, len(t.past)-pastKept):]
+	t.history = append(t.history, p)
+	t.history = t.history[max(0, len(t.history)-pastKept):]
 }
 
 // History lists the newest edits that this host has folded itself, oldest first.
-func (t *Table) History() []HistoryEntry { return slices.Clone(t.past) }
+func (t *Table) History() []HistoryEntry { return slices.Clone(t.history) }
 
 // SkippedRecords lists the records that this version does not know, oldest first.
 func (t *Table) SkippedRecords() []SkippedRecord { return slices.Clone(t.Skipped) }
