--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -121,7 +121,7 @@
 	t.mix(e.Body)
 	v, err := Decode(e.Body)
 	if err != nil {
-		t.pass(SkippedRecord(e))
+		t.skip(SkippedRecord(e))
 		return nil, true
 	}
 	switch v := v.(type) {
@@ -147,7 +147,7 @@
 	return t.damaged.reads >= damageReads
 }
 
-func (t *Table) pass(p SkippedRecord) {
+func (t *Table) skip(p SkippedRecord) {
 	t.Skipped = append(t.Skipped, p)
 	t.Skipped = t.Skipped[max(0, len(t.Skipped)-passedKept):]
 }
