--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -118,7 +118,7 @@
 		return nil, false
 	}
 	t.Next = e.Offset + 1
-	t.mix(e.Body)
+	t.updateDigest(e.Body)
 	v, err := Decode(e.Body)
 	if err != nil {
 		t.skip(SkippedRecord(e))
@@ -152,8 +152,8 @@
 	t.Skipped = t.Skipped[max(0, len(t.Skipped)-passedKept):]
 }
 
-// mix keeps one number that two hosts at the same offset can compare.
-func (t *Table) mix(body []byte) {
+// updateDigest keeps one number that two hosts at the same offset can compare.
+func (t *Table) updateDigest(body []byte) {
 	t.Digest = xxhash.Sum64String(fmt.Sprint(t.Digest, t.Next, xxhash.Sum64(body)))
 }
 
