--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -127,7 +127,7 @@
 	switch v := v.(type) {
 	case Edit:
 		t.began(now, v.When)
-		return t.edit(v, e.Offset), true
+		return t.foldEdit(v, e.Offset), true
 	case QuotaEdit:
 		return []Action{t.quota(v, e.Offset)}, true
 	case ShareConfirmation:
@@ -157,7 +157,7 @@
 	t.Digest = xxhash.Sum64String(fmt.Sprint(t.Digest, t.Next, xxhash.Sum64(body)))
 }
 
-func (t *Table) edit(e Edit, offset int64) []Action {
+func (t *Table) foldEdit(e Edit, offset int64) []Action {
 	if old, ok := t.byID[e.ID]; ok {
 		return []Action{old}
 	}
