--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -161,7 +161,7 @@
 	if old, ok := t.byID[e.ID]; ok {
 		return []Action{old}
 	}
-	j, changed := t.judge(e, offset)
+	j, changed := t.evaluate(e, offset)
 	t.remember(j)
 	t.note(HistoryEntry{Verdict: j, Offset: offset, Row: e.Row, Author: e.Author, When: time.UnixMilli(e.When), Change: what(e)})
 	if changed == nil {
@@ -177,7 +177,7 @@
 	return string(e.Fields)
 }
 
-func (t *Table) judge(e Edit, offset int64) (Verdict, *RowChanged) {
+func (t *Table) evaluate(e Edit, offset int64) (Verdict, *RowChanged) {
 	cur := t.Rows[e.Row]
 	if cur.Version != e.Base {
 		return Verdict{ID: e.ID, Reason: fmt.Sprintf("row is at version %d", cur.Version)}, nil
