--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -186,7 +186,7 @@
 		delete(t.Rows, e.Row)
 		return Verdict{ID: e.ID, Accepted: true}, &RowChanged{Row: cur.Row, Version: offset, Gone: true}
 	}
-	row, err := t.applied(e)
+	row, err := t.rowAfterEdit(e)
 	if err != nil {
 		return Verdict{ID: e.ID, Reason: err.Error()}, nil
 	}
@@ -194,8 +194,8 @@
 	return Verdict{ID: e.ID, Accepted: true}, &RowChanged{Row: row, Version: offset}
 }
 
-// applied returns the row as the edit would leave it.
-func (t *Table) applied(e Edit) (Row, error) {
+// rowAfterEdit returns the row as the edit would leave it.
+func (t *Table) rowAfterEdit(e Edit) (Row, error) {
 	cur, ok := t.Rows[e.Row]
 	if !ok {
 		cur.Row = newRow(e.Row)
@@ -251,7 +251,7 @@
 	if e.Drop {
 		return nil
 	}
-	_, err := t.applied(e)
+	_, err := t.rowAfterEdit(e)
 	return err
 }
 
