--- a/internal/table/quota.go
+++ b/internal/table/quota.go
@@ -83,7 +83,7 @@
 	} else if err := e.Check(); err != nil {
 		j = Verdict{ID: e.ID, Reason: err.Error()}
 	}
-	t.remember(j)
+	t.recordVerdict(j)
 	if j.Accepted {
 		t.Quotas[e.Team] = old.next(e, offset)
 	}
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -162,7 +162,7 @@
 		return []Action{old}
 	}
 	j, changed := t.evaluate(e, offset)
-	t.remember(j)
+	t.recordVerdict(j)
 	t.note(HistoryEntry{Verdict: j, Offset: offset, Row: e.Row, Author: e.Author, When: time.UnixMilli(e.When), Change: what(e)})
 	if changed == nil {
 		return []Action{j}
@@ -207,7 +207,7 @@
 	return row, t.starved(row)
 }
 
-func (t *Table) remember(j Verdict) {
+func (t *Table) recordVerdict(j Verdict) {
 	t.byID[j.ID] = j
 	t.Judged = append(t.Judged, j)
 	if len(t.Judged) > verdictsKept {
