--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -163,7 +163,7 @@
 	}
 	j, changed := t.evaluate(e, offset)
 	t.recordVerdict(j)
-	t.note(HistoryEntry{Verdict: j, Offset: offset, Row: e.Row, Author: e.Author, When: time.UnixMilli(e.When), Change: what(e)})
+	t.addHistory(HistoryEntry{Verdict: j, Offset: offset, Row: e.Row, Author: e.Author, When: time.UnixMilli(e.When), Change: what(e)})
 	if changed == nil {
 		return []Action{j}
 	}
@@ -216,7 +216,7 @@
 	}
 }
 
-func (t *Table) note(p HistoryEntry) {
+func (t *Table) addHistory(p HistoryEntry) {
 	t.history = append(t.history, p)
 	t.history = t.history[max(0, len(t.history)-pastKept):]
 }
