--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -114,7 +114,7 @@
 
 // fold takes the next entry; false leaves it to be read again.
 func (t *Table) fold(now time.Time, e Entry) ([]Action, bool) {
-	if _, err := open(e.Body); err != nil && !t.seenDamaged(e) {
+	if _, err := open(e.Body); err != nil && !t.damageIsPermanent(e) {
 		return nil, false
 	}
 	t.Next = e.Offset + 1
@@ -138,7 +138,7 @@
 	return nil, true
 }
 
-func (t *Table) seenDamaged(e Entry) bool {
+func (t *Table) damageIsPermanent(e Entry) bool {
 	s := xxhash.Sum64(e.Body)
 	if t.damaged.offset != e.Offset || t.damaged.sum != s {
 		t.damaged = damage{offset: e.Offset, sum: s}
