--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -163,14 +163,14 @@
 	}
 	j, changed := t.evaluate(e, offset)
 	t.recordVerdict(j)
-	t.addHistory(HistoryEntry{Verdict: j, Offset: offset, Row: e.Row, Author: e.Author, When: time.UnixMilli(e.When), Change: what(e)})
+	t.addHistory(HistoryEntry{Verdict: j, Offset: offset, Row: e.Row, Author: e.Author, When: time.UnixMilli(e.When), Change: describeChange(e)})
 	if changed == nil {
 		return []Action{j}
 	}
 	return []Action{j, *changed}
 }
 
-func what(e Edit) string {
+func describeChange(e Edit) string {
 	if e.Drop {
 		return "dropped"
 	}
