--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -56,12 +56,12 @@
 
 // Bounds of what is kept.
 const (
-	// verdictsKept bounds the memory of verdicts. They are part of the fold: a
+	// maxVerdicts bounds the memory of verdicts. They are part of the fold: a
 	// record that was appended twice must be void for every reader, so every
 	// reader remembers equally many. At 2,900 edits a day this is eight hours.
-	verdictsKept = 1024
-	passedKept   = 256
-	pastKept     = 256
+	maxVerdicts = 1024
+	passedKept  = 256
+	pastKept    = 256
 	// damageReads is how often a damaged record must come back with the same
 	// bytes before it is passed over. One damaged on its way to one host only
 	// would otherwise be missed by that host alone, and its table would differ.
@@ -210,7 +210,7 @@
 func (t *Table) recordVerdict(j Verdict) {
 	t.byID[j.ID] = j
 	t.Judged = append(t.Judged, j)
-	if len(t.Judged) > verdictsKept {
+	if len(t.Judged) > maxVerdicts {
 		delete(t.byID, t.Judged[0].ID)
 		t.Judged = slices.Clone(t.Judged[1:])
 	}
