--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -60,7 +60,7 @@
 	// record that was appended twice must be void for every reader, so every
 	// reader remembers equally many. At 2,900 edits a day this is eight hours.
 	maxVerdicts = 1024
-	passedKept  = 256
+	maxSkipped  = 256
 	pastKept    = 256
 	// damageReads is how often a damaged record must come back with the same
 	// bytes before it is passed over. One damaged on its way to one host only
@@ -149,7 +149,7 @@
 
 func (t *Table) skip(p SkippedRecord) {
 	t.Skipped = append(t.Skipped, p)
-	t.Skipped = t.Skipped[max(0, len(t.Skipped)-passedKept):]
+	t.Skipped = t.Skipped[max(0, len(t.Skipped)-maxSkipped):]
 }
 
 // updateDigest keeps one number that two hosts at the same offset can compare.
