--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -61,7 +61,7 @@
 	// reader remembers equally many. At 2,900 edits a day this is eight hours.
 	maxVerdicts = 1024
 	maxSkipped  = 256
-	pastKept    = 256
+	maxHistory  = 256
 	// damageReads is how often a damaged record must come back with the same
 	// bytes before it is passed over. One damaged on its way to one host only
 	// would otherwise be missed by that host alone, and its table would differ.
@@ -218,7 +218,7 @@
 
 func (t *Table) addHistory(p HistoryEntry) {
 	t.history = append(t.history, p)
-	t.history = t.history[max(0, len(t.history)-pastKept):]
+	t.history = t.history[max(0, len(t.history)-maxHistory):]
 }
 
 // History lists the newest edits that this host has folded itself, oldest first.
