--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -62,10 +62,10 @@
 	maxVerdicts = 1024
 	maxSkipped  = 256
 	maxHistory  = 256
-	// damageReads is how often a damaged record must come back with the same
+	// maxDamagedReads is how often a damaged record must come back with the same
 	// bytes before it is passed over. One damaged on its way to one host only
 	// would otherwise be missed by that host alone, and its table would differ.
-	damageReads = 3
+	maxDamagedReads = 3
 )
 
 // New returns an empty table that waits for offset 1.
@@ -144,7 +144,7 @@
 		t.damaged = damage{offset: e.Offset, sum: s}
 	}
 	t.damaged.reads++
-	return t.damaged.reads >= damageReads
+	return t.damaged.reads >= maxDamagedReads
 }
 
 func (t *Table) skip(p SkippedRecord) {
