--- a/internal/table/row.go
+++ b/internal/table/row.go
@@ -170,10 +170,10 @@
 	return len(r.Domains) == 0 || slices.Contains(r.Domains, domain)
 }
 
-// starved refuses a row whose weight leaves another row of its class, or itself,
+// checkStarvation refuses a row whose weight leaves another row of its class, or itself,
 // less than one part in MaxWeight: its work would wait while its class is busy,
 // and an operator would only see that it does not move.
-func (t *Table) starved(r Row) error {
+func (t *Table) checkStarvation(r Row) error {
 	all, low, name := r.Weight, r.Weight, r.Name
 	for _, l := range t.Lines() {
 		if l.Name == r.Name || l.Class != r.Class {
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -204,7 +204,7 @@
 	if err != nil {
 		return row, err
 	}
-	return row, t.starved(row)
+	return row, t.checkStarvation(row)
 }
 
 func (t *Table) recordVerdict(j Verdict) {
