--- a/internal/table/quota.go
+++ b/internal/table/quota.go
@@ -72,7 +72,7 @@
 	return n
 }
 
-func (t *Table) quota(e QuotaEdit, offset int64) Verdict {
+func (t *Table) foldQuotaEdit(e QuotaEdit, offset int64) Verdict {
 	if old, ok := t.byID[e.ID]; ok {
 		return old
 	}
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -129,7 +129,7 @@
 		t.began(now, v.When)
 		return t.foldEdit(v, e.Offset), true
 	case QuotaEdit:
-		return []Action{t.quota(v, e.Offset)}, true
+		return []Action{t.foldQuotaEdit(v, e.Offset)}, true
 	case ShareConfirmation:
 		t.settle(v)
 	case part:
