--- a/internal/table/quota.go
+++ b/internal/table/quota.go
@@ -113,9 +113,9 @@
 	return n
 }
 
-// settle notes that a domain works by its smaller share. Only a word about the
+// foldConfirmation notes that a domain works by its smaller share. Only a word about the
 // newest version counts: an older one may have left it more.
-func (t *Table) settle(s ShareConfirmation) {
+func (t *Table) foldConfirmation(s ShareConfirmation) {
 	q, ok := t.Quotas[s.Team]
 	if !ok || q.Version != s.Version || !slices.Contains(q.Unconfirmed, s.Domain) {
 		return
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -131,7 +131,7 @@
 	case QuotaEdit:
 		return []Action{t.foldQuotaEdit(v, e.Offset)}, true
 	case ShareConfirmation:
-		t.settle(v)
+		t.foldConfirmation(v)
 	case part:
 		t.gather(now, v, e.Offset)
 	}
