--- a/internal/table/quota.go
+++ b/internal/table/quota.go
@@ -97,7 +97,7 @@
 	}
 	unread := slices.Clone(q.Unconfirmed)
 	for d, old := range q.Shares {
-		if old != least(old, n.Target[d]) && !slices.Contains(unread, d) {
+		if old != minShare(old, n.Target[d]) && !slices.Contains(unread, d) {
 			unread = append(unread, d)
 		}
 	}
@@ -108,7 +108,7 @@
 		return n
 	}
 	for d, want := range n.Target {
-		n.Shares[d] = least(q.Shares[d], want)
+		n.Shares[d] = minShare(q.Shares[d], want)
 	}
 	return n
 }
@@ -127,7 +127,7 @@
 	t.Quotas[s.Team] = q
 }
 
-func least(a, b Share) Share {
+func minShare(a, b Share) Share {
 	return Share{
 		Capacity: cell.Size{CPU: min(a.Capacity.CPU, b.Capacity.CPU), Mem: min(a.Capacity.Mem, b.Capacity.Mem), Accel: min(a.Capacity.Accel, b.Capacity.Accel)},
 		Tasks:    min(a.Tasks, b.Tasks),
