--- a/internal/table/quota.go
+++ b/internal/table/quota.go
@@ -93,7 +93,7 @@
 func (q Quota) next(e QuotaEdit, offset int64) Quota {
 	n := Quota{
 		Team: e.Team, Version: offset, Total: Share{Capacity: e.Capacity, Tasks: e.Tasks}, Domains: e.Domains,
-		Target: split(Share{Capacity: e.Capacity, Tasks: e.Tasks}, e.Domains), Shares: map[string]Share{},
+		Target: splitShare(Share{Capacity: e.Capacity, Tasks: e.Tasks}, e.Domains), Shares: map[string]Share{},
 	}
 	unread := slices.Clone(q.Unconfirmed)
 	for d, old := range q.Shares {
@@ -134,7 +134,7 @@
 	}
 }
 
-func split(whole Share, weights map[string]int64) map[string]Share {
+func splitShare(whole Share, weights map[string]int64) map[string]Share {
 	cpu, mem := divide(whole.Capacity.CPU, weights), divide(whole.Capacity.Mem, weights)
 	accel, tasks := divide(whole.Capacity.Accel, weights), divide(whole.Tasks, weights)
 	shares := make(map[string]Share, len(weights))
@@ -189,7 +189,7 @@
 	for _, d := range in {
 		weights[d] = 1
 	}
-	return split(Share{Capacity: r.Limits.Capacity, Tasks: r.Limits.Tasks}, weights)[domain], true
+	return splitShare(Share{Capacity: r.Limits.Capacity, Tasks: r.Limits.Tasks}, weights)[domain], true
 }
 
 // Teams lists all quotas in order of team.
