--- a/internal/table/quota.go
+++ b/internal/table/quota.go
@@ -135,8 +135,8 @@
 }
 
 func splitShare(whole Share, weights map[string]int64) map[string]Share {
-	cpu, mem := divide(whole.Capacity.CPU, weights), divide(whole.Capacity.Mem, weights)
-	accel, tasks := divide(whole.Capacity.Accel, weights), divide(whole.Tasks, weights)
+	cpu, mem := divideByWeight(whole.Capacity.CPU, weights), divideByWeight(whole.Capacity.Mem, weights)
+	accel, tasks := divideByWeight(whole.Capacity.Accel, weights), divideByWeight(whole.Tasks, weights)
 	shares := make(map[string]Share, len(weights))
 	for d := range weights {
 		shares[d] = Share{Capacity: cell.Size{CPU: cpu[d], Mem: mem[d], Accel: accel[d]}, Tasks: tasks[d]}
@@ -144,9 +144,9 @@
 	return shares
 }
 
-// divide splits n by weight into whole numbers that add up to n; what is left
+// divideByWeight splits n by weight into whole numbers that add up to n; what is left
 // over goes to the first names that have a weight. Zero stands for no limit.
-func divide(n int64, weights map[string]int64) map[string]int64 {
+func divideByWeight(n int64, weights map[string]int64) map[string]int64 {
 	all := total(weights)
 	parts := make(map[string]int64, len(weights))
 	left := n
