--- a/internal/table/quota.go
+++ b/internal/table/quota.go
@@ -58,13 +58,13 @@
 			return &cell.ValueError{Field: field, Found: fmt.Sprint(n), Allowed: "at least 0"}
 		}
 	}
-	if total(e.Domains) == 0 {
+	if sumWeights(e.Domains) == 0 {
 		return &cell.ValueError{Field: "domains", Found: "0 in all", Allowed: "at least one weight above 0"}
 	}
 	return nil
 }
 
-func total(weights map[string]int64) int64 {
+func sumWeights(weights map[string]int64) int64 {
 	var n int64
 	for _, w := range weights {
 		n += w
@@ -147,7 +147,7 @@
 // divideByWeight splits n by weight into whole numbers that add up to n; what is left
 // over goes to the first names that have a weight. Zero stands for no limit.
 func divideByWeight(n int64, weights map[string]int64) map[string]int64 {
-	all := total(weights)
+	all := sumWeights(weights)
 	parts := make(map[string]int64, len(weights))
 	left := n
 	for d, w := range weights {
