--- a/internal/table/record.go
+++ b/internal/table/record.go
@@ -12,10 +12,10 @@
 // column must give its edits another kind: an older host would find the column
 // unknown and come to another verdict than a newer one.
 const (
-	kindEdit     = "edit"
-	kindQuota    = "quota"
-	kindSettle   = "settle"
-	kindSnapshot = "snapshot"
+	kindEdit         = "edit"
+	kindQuota        = "quota"
+	kindConfirmation = "settle"
+	kindSnapshot     = "snapshot"
 )
 
 // record is the envelope of all records. The sum is over kind and body, so that
@@ -37,7 +37,7 @@
 	case QuotaEdit:
 		return seal(kindQuota, r)
 	case ShareConfirmation:
-		return seal(kindSettle, r)
+		return seal(kindConfirmation, r)
 	default:
 		return seal(kindEdit, r)
 	}
@@ -96,7 +96,7 @@
 		return into[Edit](r)
 	case kindQuota:
 		return into[QuotaEdit](r)
-	case kindSettle:
+	case kindConfirmation:
 		return into[ShareConfirmation](r)
 	case kindSnapshot:
 		return into[part](r)
