--- a/internal/table/record.go
+++ b/internal/table/record.go
@@ -93,19 +93,19 @@
 	}
 	switch r.Kind {
 	case kindEdit:
-		return into[Edit](r)
+		return decodeAs[Edit](r)
 	case kindQuota:
-		return into[QuotaEdit](r)
+		return decodeAs[QuotaEdit](r)
 	case kindConfirmation:
-		return into[ShareConfirmation](r)
+		return decodeAs[ShareConfirmation](r)
 	case kindSnapshot:
-		return into[part](r)
+		return decodeAs[part](r)
 	default:
 		return nil, &RecordError{Reason: "kind " + r.Kind + " is not known"}
 	}
 }
 
-func into[R any](r record) (any, error) {
+func decodeAs[R any](r record) (any, error) {
 	var v R
 	err := r.read(&v)
 	return v, err
