--- a/internal/table/record.go
+++ b/internal/table/record.go
@@ -73,9 +73,9 @@
 	return r, nil
 }
 
-// read fills v from a record's body. Fields that this version does not know are
+// decodeBody fills v from a record's body. Fields that this version does not know are
 // refused: half a record must not be folded.
-func (r record) read(v any) error {
+func (r record) decodeBody(v any) error {
 	d := json.NewDecoder(bytes.NewReader(r.Body))
 	d.DisallowUnknownFields()
 	if err := d.Decode(v); err != nil {
@@ -107,6 +107,6 @@
 
 func decodeAs[R any](r record) (any, error) {
 	var v R
-	err := r.read(&v)
+	err := r.decodeBody(&v)
 	return v, err
 }
