--- a/internal/table/record.go
+++ b/internal/table/record.go
@@ -60,9 +60,9 @@
 	return d.Sum64()
 }
 
-// open reads the envelope and refuses a record whose checksum does not match,
+// openRecord reads the envelope and refuses a record whose checksum does not match,
 // which would otherwise put a row in force that no operator wrote.
-func open(b []byte) (record, error) {
+func openRecord(b []byte) (record, error) {
 	var r record
 	if err := json.Unmarshal(b, &r); err != nil {
 		return r, &RecordError{Reason: err.Error()}
@@ -87,7 +87,7 @@
 // Decode reads a record of a known kind: an Edit, a QuotaEdit, a Settle or a
 // snapshot's part. The error is a RecordError.
 func Decode(b []byte) (any, error) {
-	r, err := open(b)
+	r, err := openRecord(b)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -114,7 +114,7 @@
 
 // fold takes the next entry; false leaves it to be read again.
 func (t *Table) fold(now time.Time, e Entry) ([]Action, bool) {
-	if _, err := open(e.Body); err != nil && !t.damageIsPermanent(e) {
+	if _, err := openRecord(e.Body); err != nil && !t.damageIsPermanent(e) {
 		return nil, false
 	}
 	t.Next = e.Offset + 1
