--- a/internal/table/record.go
+++ b/internal/table/record.go
@@ -35,15 +35,15 @@
 func Encode[R Edit | QuotaEdit | ShareConfirmation](r R) ([]byte, error) {
 	switch r := any(r).(type) {
 	case QuotaEdit:
-		return seal(kindQuota, r)
+		return encodeRecord(kindQuota, r)
 	case ShareConfirmation:
-		return seal(kindConfirmation, r)
+		return encodeRecord(kindConfirmation, r)
 	default:
-		return seal(kindEdit, r)
+		return encodeRecord(kindEdit, r)
 	}
 }
 
-func seal(kind string, v any) ([]byte, error) {
+func encodeRecord(kind string, v any) ([]byte, error) {
 	body, err := json.Marshal(v)
 	if err != nil {
 		return nil, errors.Wrapf(err, "encode %s", kind)
--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -49,7 +49,7 @@
 	records := make([][]byte, len(pieces))
 	for i, piece := range pieces {
 		p := part{Next: t.Next, Index: i, Of: len(pieces), Whole: xxhash.Sum64(whole), When: now.UnixMilli(), Piece: piece}
-		if records[i], err = seal(kindSnapshot, p); err != nil {
+		if records[i], err = encodeRecord(kindSnapshot, p); err != nil {
 			return nil, err
 		}
 	}
