--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -21,8 +21,8 @@
 	Piece []byte `json:"piece"`
 }
 
-// gathered are the parts of one snapshot that were seen so far.
-type gathered struct {
+// partialSnapshot are the parts of one snapshot that were seen so far.
+type partialSnapshot struct {
 	first  int64
 	whole  uint64
 	when   int64
@@ -57,9 +57,9 @@
 }
 
 // add keeps a part and tells whether the snapshot is complete.
-func (g *gathered) add(p part, offset int64) bool {
+func (g *partialSnapshot) add(p part, offset int64) bool {
 	if g.pieces == nil || g.whole != p.Whole || len(g.pieces) != p.Of {
-		*g = gathered{first: offset, whole: p.Whole, when: p.When, pieces: make([][]byte, p.Of)}
+		*g = partialSnapshot{first: offset, whole: p.Whole, when: p.When, pieces: make([][]byte, p.Of)}
 	}
 	g.pieces[p.Index] = p.Piece
 	return !slices.ContainsFunc(g.pieces, func(b []byte) bool { return b == nil })
@@ -70,7 +70,7 @@
 }
 
 // state reads the table out of a complete snapshot.
-func (g *gathered) state() (state, error) {
+func (g *partialSnapshot) state() (state, error) {
 	whole := slices.Concat(g.pieces...)
 	if xxhash.Sum64(whole) != g.whole {
 		return state{}, &RecordError{Reason: "snapshot's checksum does not match"}
@@ -101,7 +101,7 @@
 		if len(t.incomplete) > unfinishedKept {
 			clear(t.incomplete)
 		}
-		g = &gathered{}
+		g = &partialSnapshot{}
 		t.incomplete[p.Next] = g
 	}
 	if !g.add(p, offset) {
@@ -148,7 +148,7 @@
 }
 
 func (t *Table) bestStart(entries []Entry) (state, bool) {
-	parts := map[int64]*gathered{}
+	parts := map[int64]*partialSnapshot{}
 	best := state{}
 	for _, e := range entries {
 		v, err := Decode(e.Body)
@@ -157,7 +157,7 @@
 			continue
 		}
 		if parts[p.Next] == nil {
-			parts[p.Next] = &gathered{}
+			parts[p.Next] = &partialSnapshot{}
 		}
 		if !parts[p.Next].add(p, e.Offset) || p.Next < max(t.Next, best.Next, entries[0].Offset) {
 			continue
@@ -171,7 +171,7 @@
 
 // copyFrom takes a peer's table if it is further on than this one.
 func (t *Table) copyFrom(records [][]byte) []Action {
-	g := gathered{}
+	g := partialSnapshot{}
 	for _, b := range records {
 		v, err := Decode(b)
 		p, ok := v.(part)
@@ -197,7 +197,7 @@
 	s.Skipped = nil
 	next, digest := s.Next, s.Digest
 	t.state = s
-	t.incomplete = map[int64]*gathered{}
+	t.incomplete = map[int64]*partialSnapshot{}
 	for _, p := range passed {
 		if _, err := Decode(p.Body); err != nil {
 			t.Skipped = append(t.Skipped, p)
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -26,7 +26,7 @@
 	oldestNeeded int64
 	snapshotTime time.Time
 	dueSince     time.Time
-	incomplete   map[int64]*gathered
+	incomplete   map[int64]*partialSnapshot
 }
 
 // state is what a snapshot holds: all that later verdicts hang on.
@@ -72,7 +72,7 @@
 func New() *Table {
 	return &Table{
 		state:      state{Next: 1, Rows: map[string]Line{}, Quotas: map[string]Quota{}, byID: map[string]Verdict{}},
-		incomplete: map[int64]*gathered{},
+		incomplete: map[int64]*partialSnapshot{},
 	}
 }
 
