--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -89,9 +89,9 @@
 	return s, nil
 }
 
-// gather notes a snapshot that is met while folding. The table is already
+// foldSnapshotPart notes a snapshot that is met while folding. The table is already
 // there, so that only its place in the log and its age count.
-func (t *Table) gather(now time.Time, p part, offset int64) {
+func (t *Table) foldSnapshotPart(now time.Time, p part, offset int64) {
 	if !p.good() {
 		return
 	}
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -133,7 +133,7 @@
 	case ShareConfirmation:
 		t.foldConfirmation(v)
 	case part:
-		t.gather(now, v, e.Offset)
+		t.foldSnapshotPart(now, v, e.Offset)
 	}
 	return nil, true
 }
