--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -115,9 +115,9 @@
 	t.dueSince = time.Time{}
 }
 
-// began notes the age of the oldest record that is needed while no snapshot
+// recordEditTime notes the age of the oldest record that is needed while no snapshot
 // was seen.
-func (t *Table) began(now time.Time, when int64) {
+func (t *Table) recordEditTime(now time.Time, when int64) {
 	if t.snapshotTime.IsZero() && when > 0 {
 		t.snapshotTime = earlier(now, time.UnixMilli(when))
 	}
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -126,7 +126,7 @@
 	}
 	switch v := v.(type) {
 	case Edit:
-		t.began(now, v.When)
+		t.recordEditTime(now, v.When)
 		return t.foldEdit(v, e.Offset), true
 	case QuotaEdit:
 		return []Action{t.foldQuotaEdit(v, e.Offset)}, true
