--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -65,7 +65,7 @@
 	return !slices.ContainsFunc(g.pieces, func(b []byte) bool { return b == nil })
 }
 
-func (p part) good() bool {
+func (p part) valid() bool {
 	return p.Next > 0 && p.Of > 0 && p.Of <= maxParts && p.Index >= 0 && p.Index < p.Of && p.Piece != nil
 }
 
@@ -92,7 +92,7 @@
 // foldSnapshotPart notes a snapshot that is met while folding. The table is already
 // there, so that only its place in the log and its age count.
 func (t *Table) foldSnapshotPart(now time.Time, p part, offset int64) {
-	if !p.good() {
+	if !p.valid() {
 		return
 	}
 	g := t.incomplete[p.Next]
@@ -153,7 +153,7 @@
 	for _, e := range entries {
 		v, err := Decode(e.Body)
 		p, ok := v.(part)
-		if err != nil || !ok || !p.good() {
+		if err != nil || !ok || !p.valid() {
 			continue
 		}
 		if parts[p.Next] == nil {
@@ -175,7 +175,7 @@
 	for _, b := range records {
 		v, err := Decode(b)
 		p, ok := v.(part)
-		if err != nil || !ok || !p.good() || !g.add(p, p.Next) {
+		if err != nil || !ok || !p.valid() || !g.add(p, p.Next) {
 			continue
 		}
 		s, err := g.state()
