--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -169,8 +169,8 @@
 	return best, best.Next > 0
 }
 
-// copyFrom takes a peer's table if it is further on than this one.
-func (t *Table) copyFrom(records [][]byte) []Action {
+// restoreFromPeer takes a peer's table if it is further on than this one.
+func (t *Table) restoreFromPeer(records [][]byte) []Action {
 	g := partialSnapshot{}
 	for _, b := range records {
 		v, err := Decode(b)
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -86,7 +86,7 @@
 	case TrimmedLog:
 		return t.catchUp(now, ev.Entries)
 	case PeerCopy:
-		return t.copyFrom(ev.Parts)
+		return t.restoreFromPeer(ev.Parts)
 	case Tick:
 		return t.due(now, ev)
 	default:
