--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -220,9 +220,9 @@
 	snapshotTurn = 3 * time.Second
 )
 
-// due asks for a snapshot while what is needed to start a host lies in the
+// snapshotIfDue asks for a snapshot while what is needed to start a host lies in the
 // older half of what the log keeps, or the last one is old.
-func (t *Table) due(now time.Time, ev Tick) []Action {
+func (t *Table) snapshotIfDue(now time.Time, ev Tick) []Action {
 	if !t.needsSaving(now, ev.Oldest) {
 		t.dueSince = time.Time{}
 		return nil
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -88,7 +88,7 @@
 	case PeerCopy:
 		return t.restoreFromPeer(ev.Parts)
 	case Tick:
-		return t.due(now, ev)
+		return t.snapshotIfDue(now, ev)
 	default:
 		return nil
 	}
