--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -223,7 +223,7 @@
 // snapshotIfDue asks for a snapshot while what is needed to start a host lies in the
 // older half of what the log keeps, or the last one is old.
 func (t *Table) snapshotIfDue(now time.Time, ev Tick) []Action {
-	if !t.needsSaving(now, ev.Oldest) {
+	if !t.needsSnapshot(now, ev.Oldest) {
 		t.dueSince = time.Time{}
 		return nil
 	}
@@ -246,7 +246,7 @@
 	return acts
 }
 
-func (t *Table) needsSaving(now time.Time, oldest int64) bool {
+func (t *Table) needsSnapshot(now time.Time, oldest int64) bool {
 	if t.Next == 1 {
 		return false
 	}
