--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -32,8 +32,8 @@
 // pieceSize bounds a part so that its record stays under 256 KiB.
 const pieceSize = 96 << 10
 
-// unfinishedKept bounds the snapshots whose parts are still being gathered.
-const unfinishedKept = 8
+// maxIncomplete bounds the snapshots whose parts are still being gathered.
+const maxIncomplete = 8
 
 // maxParts bounds what a snapshot may claim, 3 MiB; a peer's copy of it must go
 // into one message.
@@ -98,7 +98,7 @@
 	g := t.incomplete[p.Next]
 	if g == nil {
 		// A writer that died between two parts leaves some that never complete.
-		if len(t.incomplete) > unfinishedKept {
+		if len(t.incomplete) > maxIncomplete {
 			clear(t.incomplete)
 		}
 		g = &partialSnapshot{}
