--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -214,8 +214,8 @@
 	// log keeps records for a limited time, at least a day, also when nobody
 	// edits anything: a quarter of that leaves three more tries.
 	SnapshotAge = 6 * time.Hour
-	// snapshotRecords is how many records a new host folds at most before that.
-	snapshotRecords = 512
+	// maxRecordsAfterSnapshot is how many records a new host folds at most before that.
+	maxRecordsAfterSnapshot = 512
 	// snapshotTurn is how long each host leaves the write to those before it.
 	snapshotTurn = 3 * time.Second
 )
@@ -255,5 +255,5 @@
 	}
 	needed := max(t.oldestNeeded, 1)
 	half := oldest > 1 && needed-oldest < (t.Next-oldest)/2
-	return half || t.Next-needed > snapshotRecords || now.Sub(t.snapshotTime) > SnapshotAge
+	return half || t.Next-needed > maxRecordsAfterSnapshot || now.Sub(t.snapshotTime) > SnapshotAge
 }
