--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -216,8 +216,8 @@
 	SnapshotAge = 6 * time.Hour
 	// maxRecordsAfterSnapshot is how many records a new host folds at most before that.
 	maxRecordsAfterSnapshot = 512
-	// snapshotTurn is how long each host leaves the write to those before it.
-	snapshotTurn = 3 * time.Second
+	// rankDelay is how long each host leaves the write to those before it.
+	rankDelay = 3 * time.Second
 )
 
 // snapshotIfDue asks for a snapshot while what is needed to start a host lies in the
@@ -230,7 +230,7 @@
 	if t.dueSince.IsZero() {
 		t.dueSince = now
 	}
-	if now.Sub(t.dueSince) < time.Duration(ev.Rank)*snapshotTurn {
+	if now.Sub(t.dueSince) < time.Duration(ev.Rank)*rankDelay {
 		return nil
 	}
 	records, err := t.Snapshot(now)
@@ -238,7 +238,7 @@
 		return nil
 	}
 	// The next try is due only after every host has had its turn.
-	t.dueSince = now.Add(snapshotTurn)
+	t.dueSince = now.Add(rankDelay)
 	acts := make([]Action, len(records))
 	for i, b := range records {
 		acts[i] = Append{Body: b}
