--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -213,7 +213,7 @@
 
 func (r *reader) peers() []Peer {
 	var all []Peer
-	for i := 0; r.has(fmt.Sprintf("peers[%d].", i)); i++ {
+	for i := 0; r.hasPrefix(fmt.Sprintf("peers[%d].", i)); i++ {
 		all = append(all, Peer{
 			Name:    r.word(peerKey(i, "name")),
 			Domain:  r.word(peerKey(i, "domain")),
@@ -223,7 +223,7 @@
 	return all
 }
 
-func (r *reader) has(prefix string) bool {
+func (r *reader) hasPrefix(prefix string) bool {
 	for key := range r.values {
 		if strings.HasPrefix(key, prefix) {
 			return true
