--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -232,7 +232,7 @@
 	return false
 }
 
-func (r *reader) unknown() {
+func (r *reader) rejectUnknown() {
 	for _, key := range slices.Sorted(maps.Keys(r.values)) {
 		if !r.read[key] {
 			r.fault(key, "not known", "a key of the settings page")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -106,7 +106,7 @@
 		return Settings{}, Faults{*fault}
 	}
 	s := read(r)
-	r.unknown()
+	r.rejectUnknown()
 	s.check(r)
 	if len(r.faults) > 0 {
 		slices.SortStableFunc(r.faults, func(a, b Fault) int { return a.Line - b.Line })
