--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -187,7 +187,7 @@
 	return n
 }
 
-func (r *reader) time(key string, or time.Duration) time.Duration {
+func (r *reader) duration(key string, or time.Duration) time.Duration {
 	return r.timeFrom(key, time.Nanosecond, or)
 }
 
