--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -188,11 +188,11 @@
 }
 
 func (r *reader) duration(key string, or time.Duration) time.Duration {
-	return r.timeFrom(key, time.Nanosecond, or)
+	return r.durationFrom(key, time.Nanosecond, or)
 }
 
-// timeFrom reads a time that is not below least.
-func (r *reader) timeFrom(key string, least, or time.Duration) time.Duration {
+// durationFrom reads a time that is not below least.
+func (r *reader) durationFrom(key string, least, or time.Duration) time.Duration {
 	s := r.text(key, or.String())
 	d, err := time.ParseDuration(s)
 	if err != nil || d < least {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -147,7 +147,7 @@
 		Trace: Trace{File: r.text("trace.file", ""), Endpoint: r.text("trace.endpoint", "")},
 		Log:   r.oneOf("log", DefaultLog, "debug", "info", "warn", "error"),
 	}
-	s.Limits.StartupWait = r.timeFrom("limits.settle", 0, s.Limits.Deadline)
+	s.Limits.StartupWait = r.durationFrom("limits.settle", 0, s.Limits.Deadline)
 	return s
 }
 
