--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -132,14 +132,14 @@
 	r.faults = append(r.faults, Fault{File: r.path, Line: line, Key: key, Found: found, Allowed: allowed})
 }
 
-func (r *reader) get(key string) (any, bool) {
+func (r *reader) lookup(key string) (any, bool) {
 	r.read[key] = true
 	v, ok := r.values[key]
 	return v, ok
 }
 
 func (r *reader) text(key, or string) string {
-	v, ok := r.get(key)
+	v, ok := r.lookup(key)
 	if !ok {
 		return or
 	}
@@ -151,7 +151,7 @@
 }
 
 func (r *reader) word(key string) string {
-	if _, ok := r.get(key); !ok {
+	if _, ok := r.lookup(key); !ok {
 		r.fault(key, missing, "a word")
 		return ""
 	}
@@ -163,7 +163,7 @@
 }
 
 func (r *reader) address(key string) netip.AddrPort {
-	if _, ok := r.get(key); !ok {
+	if _, ok := r.lookup(key); !ok {
 		r.fault(key, missing, "an IP number and a port")
 		return netip.AddrPort{}
 	}
@@ -176,7 +176,7 @@
 }
 
 func (r *reader) count(key string, or int64) int64 {
-	v, ok := r.get(key)
+	v, ok := r.lookup(key)
 	if !ok {
 		return or
 	}
