--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -124,7 +124,7 @@
 	return strings.Join(parts, "."), line
 }
 
-func (r *reader) fault(key, found, allowed string) {
+func (r *reader) addFault(key, found, allowed string) {
 	line, ok := r.lines[key]
 	if !ok {
 		line = max(1, r.lines[key[:max(0, strings.LastIndex(key, "."))]])
@@ -145,32 +145,32 @@
 	}
 	s, ok := v.(string)
 	if !ok {
-		r.fault(key, fmt.Sprint(v), "a text")
+		r.addFault(key, fmt.Sprint(v), "a text")
 	}
 	return s
 }
 
 func (r *reader) word(key string) string {
 	if _, ok := r.lookup(key); !ok {
-		r.fault(key, missing, "a word")
+		r.addFault(key, missing, "a word")
 		return ""
 	}
 	s := r.text(key, "")
 	if strings.ContainsAny(s, " \t/") || s == "" {
-		r.fault(key, fmt.Sprintf("%q", s), "a word")
+		r.addFault(key, fmt.Sprintf("%q", s), "a word")
 	}
 	return s
 }
 
 func (r *reader) address(key string) netip.AddrPort {
 	if _, ok := r.lookup(key); !ok {
-		r.fault(key, missing, "an IP number and a port")
+		r.addFault(key, missing, "an IP number and a port")
 		return netip.AddrPort{}
 	}
 	s := r.text(key, "")
 	a, err := netip.ParseAddrPort(s)
 	if err != nil {
-		r.fault(key, fmt.Sprintf("%q", s), "an IP number and a port")
+		r.addFault(key, fmt.Sprintf("%q", s), "an IP number and a port")
 	}
 	return a
 }
@@ -182,7 +182,7 @@
 	}
 	n, ok := v.(int64)
 	if !ok || n < 1 {
-		r.fault(key, fmt.Sprint(v), "a whole number from 1")
+		r.addFault(key, fmt.Sprint(v), "a whole number from 1")
 	}
 	return n
 }
@@ -196,7 +196,7 @@
 	s := r.text(key, or.String())
 	d, err := time.ParseDuration(s)
 	if err != nil || d < least {
-		r.fault(key, fmt.Sprintf("%q", s), "a time such as 250ms or 3s")
+		r.addFault(key, fmt.Sprintf("%q", s), "a time such as 250ms or 3s")
 	}
 	return d
 }
@@ -204,7 +204,7 @@
 func (r *reader) oneOf(key, or string, allowed ...string) string {
 	s := r.text(key, or)
 	if !slices.Contains(allowed, s) {
-		r.fault(key, fmt.Sprintf("%q", s), strings.Join(allowed, ", "))
+		r.addFault(key, fmt.Sprintf("%q", s), strings.Join(allowed, ", "))
 	}
 	return s
 }
@@ -235,7 +235,7 @@
 func (r *reader) rejectUnknown() {
 	for _, key := range slices.Sorted(maps.Keys(r.values)) {
 		if !r.read[key] {
-			r.fault(key, "not known", "a key of the settings page")
+			r.addFault(key, "not known", "a key of the settings page")
 		}
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -153,24 +153,24 @@
 
 func (s Settings) check(r *reader) {
 	if s.Trace.File != "" && s.Trace.Endpoint != "" {
-		r.fault("trace.endpoint", s.Trace.Endpoint, "nothing while trace.file is set")
+		r.addFault("trace.endpoint", s.Trace.Endpoint, "nothing while trace.file is set")
 	}
 	for key, path := range map[string]string{"tls.cert": s.TLS.Cert, "tls.key": s.TLS.Key, "tls.ca": s.TLS.CA} {
 		if path == "" && s.TLS != (TLS{}) {
-			r.fault(key, missing, "a file, as for the other two")
+			r.addFault(key, missing, "a file, as for the other two")
 		}
 	}
 	seen := map[string]bool{s.Name: true}
 	for i, p := range s.Peers {
 		if p.Name != "" && seen[p.Name] {
-			r.fault(peerKey(i, "name"), p.Name, "a name that no other host has")
+			r.addFault(peerKey(i, "name"), p.Name, "a name that no other host has")
 		}
 		seen[p.Name] = true
 	}
 	if s.Limits.Body > MaxBody {
-		r.fault("limits.body", strconv.FormatInt(s.Limits.Body, 10), fmt.Sprintf("at most %d", MaxBody))
+		r.addFault("limits.body", strconv.FormatInt(s.Limits.Body, 10), fmt.Sprintf("at most %d", MaxBody))
 	}
 	if strings.Contains(s.Domain, ".") {
-		r.fault("domain", s.Domain, "a word without dots")
+		r.addFault("domain", s.Domain, "a word without dots")
 	}
 }
