--- a/internal/sheet/sheet.go
+++ b/internal/sheet/sheet.go
@@ -56,7 +56,7 @@
 		delete(row, keyName)
 		version := row[keyVersion]
 		delete(row, keyVersion)
-		row[keySeen] = seen(row)
+		row[keySeen] = checksum(row)
 		row[keyVersion] = version
 		all[name] = row
 	}
@@ -92,7 +92,7 @@
 	}
 }
 
-func seen(columns Row) string {
+func checksum(columns Row) string {
 	b, err := json.Marshal(columns)
 	if err != nil {
 		return ""
@@ -138,7 +138,7 @@
 	for _, key := range []string{keyVersion, keyDrop, keySeen} {
 		delete(c.Fields, key)
 	}
-	return c, c.Drop || row[keySeen] != seen(c.Fields), nil
+	return c, c.Drop || row[keySeen] != checksum(c.Fields), nil
 }
 
 // Difference is one column with the value that was wanted and the one in force.
