--- a/internal/sheet/sheet.go
+++ b/internal/sheet/sheet.go
@@ -21,10 +21,10 @@
 // it was dumped: without it, a row that another operator has changed meanwhile
 // would look as if this one had changed it back.
 const (
-	keyVersion = "version"
-	keySeen    = "seen"
-	keyDrop    = "drop"
-	keyName    = "name"
+	keyVersion  = "version"
+	keyChecksum = "seen"
+	keyDrop     = "drop"
+	keyName     = "name"
 )
 
 // Row is one row's columns as JSON values.
@@ -56,7 +56,7 @@
 		delete(row, keyName)
 		version := row[keyVersion]
 		delete(row, keyVersion)
-		row[keySeen] = checksum(row)
+		row[keyChecksum] = checksum(row)
 		row[keyVersion] = version
 		all[name] = row
 	}
@@ -135,10 +135,10 @@
 			return c, false, &cell.ValueError{Field: name + ".drop", Found: fmt.Sprint(v), Allowed: "true or false"}
 		}
 	}
-	for _, key := range []string{keyVersion, keyDrop, keySeen} {
+	for _, key := range []string{keyVersion, keyDrop, keyChecksum} {
 		delete(c.Fields, key)
 	}
-	return c, c.Drop || row[keySeen] != checksum(c.Fields), nil
+	return c, c.Drop || row[keyChecksum] != checksum(c.Fields), nil
 }
 
 // Difference is one column with the value that was wanted and the one in force.
