--- a/internal/sheet/sheet.go
+++ b/internal/sheet/sheet.go
@@ -75,11 +75,11 @@
 	if err := d.Decode(&row); err != nil {
 		return nil, errors.Wrap(err, "read row")
 	}
-	whole(row)
+	convertIntegers(row)
 	return row, nil
 }
 
-func whole(m map[string]any) {
+func convertIntegers(m map[string]any) {
 	for k, v := range m {
 		switch v := v.(type) {
 		case json.Number:
@@ -87,7 +87,7 @@
 				m[k] = n
 			}
 		case map[string]any:
-			whole(v)
+			convertIntegers(v)
 		}
 	}
 }
