--- a/internal/sheet/sheet.go
+++ b/internal/sheet/sheet.go
@@ -48,7 +48,7 @@
 func Dump(rows []json.RawMessage) ([]byte, error) {
 	all := map[string]Row{}
 	for _, raw := range rows {
-		row, err := read(raw)
+		row, err := decodeRow(raw)
 		if err != nil {
 			return nil, err
 		}
@@ -66,9 +66,9 @@
 	return b.Bytes(), errors.Wrap(err, "write table as TOML")
 }
 
-// read keeps whole numbers whole; a plain decode would turn 2^40 bytes into a
+// decodeRow keeps whole numbers whole; a plain decode would turn 2^40 bytes into a
 // number with a point, which the table refuses.
-func read(raw json.RawMessage) (Row, error) {
+func decodeRow(raw json.RawMessage) (Row, error) {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.UseNumber()
 	var row Row
@@ -150,7 +150,7 @@
 // Compare lists the columns in which a lost change differs from the row in
 // force, given as JSON, null when the row is gone.
 func (c Change) Compare(theirs json.RawMessage) ([]Difference, error) {
-	row, err := read(theirs)
+	row, err := decodeRow(theirs)
 	if err != nil {
 		return nil, err
 	}
