--- a/internal/sheet/sheet.go
+++ b/internal/sheet/sheet.go
@@ -111,7 +111,7 @@
 	}
 	var all []Change
 	for _, name := range slices.Sorted(maps.Keys(file.Rows)) {
-		c, changed, err := change(name, file.Rows[name])
+		c, changed, err := parseRow(name, file.Rows[name])
 		if err != nil {
 			return nil, err
 		}
@@ -122,7 +122,7 @@
 	return all, nil
 }
 
-func change(name string, row Row) (Change, bool, error) {
+func parseRow(name string, row Row) (Change, bool, error) {
 	c := Change{Row: name, Fields: maps.Clone(row)}
 	var ok bool
 	if v, has := row[keyVersion]; has {
