--- a/internal/sheet/sheet.go
+++ b/internal/sheet/sheet.go
@@ -39,7 +39,7 @@
 	Fields  Row
 }
 
-const head = `# Change rows here and send them with "pollencroft table load FILE". Leave
+const fileHeader = `# Change rows here and send them with "pollencroft table load FILE". Leave
 # version and seen as they are; "drop = true" drops a row; a new row has neither.
 
 `
@@ -61,7 +61,7 @@
 		all[name] = row
 	}
 	var b bytes.Buffer
-	b.WriteString(head)
+	b.WriteString(fileHeader)
 	err := toml.NewEncoder(&b).Encode(map[string]any{"rows": all})
 	return b.Bytes(), errors.Wrap(err, "write table as TOML")
 }
