--- a/internal/story/story.go
+++ b/internal/story/story.go
@@ -31,15 +31,15 @@
 	return fmt.Sprintf("%s %s %s %s", l.At.Format("15:04:05.000"), l.From, l.Message, strings.Join(l.Fields, " "))
 }
 
-// longest bounds one line of a log.
-const longest = 1 << 20
+// maxLineLength bounds one line of a log.
+const maxLineLength = 1 << 20
 
 // Read returns the lines that name the id, a task or a step of it, by time.
 // Lines that are no log lines are passed over.
 func Read(r io.Reader, id string) ([]Line, error) {
 	var all []Line
 	s := bufio.NewScanner(r)
-	s.Buffer(make([]byte, 0, 64<<10), longest)
+	s.Buffer(make([]byte, 0, 64<<10), maxLineLength)
 	for s.Scan() {
 		if l, ok := parse(s.Bytes(), id); ok {
 			all = append(all, l)
