--- a/internal/story/story.go
+++ b/internal/story/story.go
@@ -58,7 +58,7 @@
 	if json.Unmarshal(b[i:], &fields) != nil {
 		return Line{}, false
 	}
-	if !names(fields, id) {
+	if !mentions(fields, id) {
 		return Line{}, false
 	}
 	l := Line{From: strings.TrimSpace(string(b[:i]))}
@@ -77,8 +77,8 @@
 	return l, true
 }
 
-// names tells whether a line is about the id, a step or a task of it.
-func names(fields map[string]any, id string) bool {
+// mentions tells whether a line is about the id, a step or a task of it.
+func mentions(fields map[string]any, id string) bool {
 	for _, k := range []string{"id", "step"} {
 		if v, ok := fields[k].(string); ok && (v == id || strings.HasPrefix(v, id+".")) {
 			return true
