--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// buffer is how many lines wait for a reader that is slow: a few seconds of
+	// maxBufferedLines is how many lines wait for a reader that is slow: a few seconds of
 	// a busy host's lines.
-	buffer = 1024
+	maxBufferedLines = 1024
 	// rate and burst are lines a second of one kind, by its message. A host with
 	// 0.4 of a core writes a line in about 10 µs; all kinds together then stay
 	// below a hundredth of it.
@@ -35,7 +35,7 @@
 
 // NewWriter starts a writer to out.
 func NewWriter(out io.Writer) *Writer {
-	w := &Writer{lines: make(chan []byte, buffer), out: out, done: make(chan struct{})}
+	w := &Writer{lines: make(chan []byte, maxBufferedLines), out: out, done: make(chan struct{})}
 	go w.run()
 	return w
 }
