--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -16,11 +16,11 @@
 	// maxBufferedLines is how many lines wait for a reader that is slow: a few seconds of
 	// a busy host's lines.
 	maxBufferedLines = 1024
-	// rate and burst are lines a second of one kind, by its message. A host with
+	// linesPerSecond and burst are lines a second of one kind, by its message. A host with
 	// 0.4 of a core writes a line in about 10 µs; all kinds together then stay
 	// below a hundredth of it.
-	rate  = 40
-	burst = 120
+	linesPerSecond = 40
+	burst          = 120
 	// tellEvery is how often what was left out is told.
 	tellEvery = 10 * time.Second
 )
@@ -130,7 +130,7 @@
 		b = &bucket{tokens: burst, at: now}
 		s.kept[r.Message] = b
 	}
-	b.tokens = min(b.tokens+rate*now.Sub(b.at).Seconds(), burst)
+	b.tokens = min(b.tokens+linesPerSecond*now.Sub(b.at).Seconds(), burst)
 	b.at = now
 	pass := r.Level >= slog.LevelWarn || b.tokens >= 1
 	if pass {
