--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -21,8 +21,8 @@
 	// below a hundredth of it.
 	linesPerSecond = 40
 	burst          = 120
-	// tellEvery is how often what was left out is told.
-	tellEvery = 10 * time.Second
+	// reportInterval is how often what was left out is told.
+	reportInterval = 10 * time.Second
 )
 
 // Writer passes lines on without waiting.
@@ -138,7 +138,7 @@
 	} else {
 		s.left++
 	}
-	if s.left == 0 || now.Sub(s.told) < tellEvery {
+	if s.left == 0 || now.Sub(s.told) < reportInterval {
 		return pass, 0
 	}
 	left := s.left
