--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -74,10 +74,10 @@
 // pass.
 type Handler struct {
 	slog.Handler
-	state *state
+	state *limiter
 }
 
-type state struct {
+type limiter struct {
 	now  func() time.Time
 	mu   sync.Mutex
 	kept map[string]*bucket
@@ -92,7 +92,7 @@
 
 // NewHandler bounds what h gets.
 func NewHandler(h slog.Handler, now func() time.Time) *Handler {
-	return &Handler{Handler: h, state: &state{now: now, kept: map[string]*bucket{}, told: now()}}
+	return &Handler{Handler: h, state: &limiter{now: now, kept: map[string]*bucket{}, told: now()}}
 }
 
 // Handle writes the line or counts it.
@@ -121,7 +121,7 @@
 	return &Handler{Handler: h.Handler.WithGroup(name), state: h.state}
 }
 
-func (s *state) pass(r slog.Record) (bool, int64) {
+func (s *limiter) pass(r slog.Record) (bool, int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
