--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -78,11 +78,11 @@
 }
 
 type limiter struct {
-	now  func() time.Time
-	mu   sync.Mutex
-	kept map[string]*bucket
-	left int64
-	told time.Time
+	now     func() time.Time
+	mu      sync.Mutex
+	buckets map[string]*bucket
+	left    int64
+	told    time.Time
 }
 
 type bucket struct {
@@ -92,7 +92,7 @@
 
 // NewHandler bounds what h gets.
 func NewHandler(h slog.Handler, now func() time.Time) *Handler {
-	return &Handler{Handler: h, state: &limiter{now: now, kept: map[string]*bucket{}, told: now()}}
+	return &Handler{Handler: h, state: &limiter{now: now, buckets: map[string]*bucket{}, told: now()}}
 }
 
 // Handle writes the line or counts it.
@@ -125,10 +125,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	b, ok := s.kept[r.Message]
+	b, ok := s.buckets[r.Message]
 	if !ok {
 		b = &bucket{tokens: burst, at: now}
-		s.kept[r.Message] = b
+		s.buckets[r.Message] = b
 	}
 	b.tokens = min(b.tokens+linesPerSecond*now.Sub(b.at).Seconds(), burst)
 	b.at = now
