--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -78,11 +78,11 @@
 }
 
 type limiter struct {
-	now     func() time.Time
-	mu      sync.Mutex
-	buckets map[string]*bucket
-	left    int64
-	told    time.Time
+	now        func() time.Time
+	mu         sync.Mutex
+	buckets    map[string]*bucket
+	suppressed int64
+	told       time.Time
 }
 
 type bucket struct {
@@ -136,12 +136,12 @@
 	if pass {
 		b.tokens--
 	} else {
-		s.left++
+		s.suppressed++
 	}
-	if s.left == 0 || now.Sub(s.told) < reportInterval {
+	if s.suppressed == 0 || now.Sub(s.told) < reportInterval {
 		return pass, 0
 	}
-	left := s.left
-	s.left, s.told = 0, now
+	left := s.suppressed
+	s.suppressed, s.told = 0, now
 	return pass, left
 }
