--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -82,7 +82,7 @@
 	mu         sync.Mutex
 	buckets    map[string]*bucket
 	suppressed int64
-	told       time.Time
+	lastReport time.Time
 }
 
 type bucket struct {
@@ -92,7 +92,7 @@
 
 // NewHandler bounds what h gets.
 func NewHandler(h slog.Handler, now func() time.Time) *Handler {
-	return &Handler{Handler: h, state: &limiter{now: now, buckets: map[string]*bucket{}, told: now()}}
+	return &Handler{Handler: h, state: &limiter{now: now, buckets: map[string]*bucket{}, lastReport: now()}}
 }
 
 // Handle writes the line or counts it.
@@ -138,10 +138,10 @@
 	} else {
 		s.suppressed++
 	}
-	if s.suppressed == 0 || now.Sub(s.told) < reportInterval {
+	if s.suppressed == 0 || now.Sub(s.lastReport) < reportInterval {
 		return pass, 0
 	}
 	left := s.suppressed
-	s.suppressed, s.told = 0, now
+	s.suppressed, s.lastReport = 0, now
 	return pass, left
 }
