--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -97,7 +97,7 @@
 
 // Handle writes the line or counts it.
 func (h *Handler) Handle(ctx context.Context, r slog.Record) error {
-	pass, left := h.state.pass(r)
+	pass, left := h.state.allow(r)
 	if left > 0 {
 		more := slog.NewRecord(r.Time, slog.LevelWarn, "log: lines were left out.", 0)
 		more.AddAttrs(slog.Int64("lines", left))
@@ -121,7 +121,7 @@
 	return &Handler{Handler: h.Handler.WithGroup(name), state: h.state}
 }
 
-func (s *limiter) pass(r slog.Record) (bool, int64) {
+func (s *limiter) allow(r slog.Record) (bool, int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
