--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -74,7 +74,7 @@
 // pass.
 type Handler struct {
 	slog.Handler
-	state *limiter
+	limiter *limiter
 }
 
 type limiter struct {
@@ -92,12 +92,12 @@
 
 // NewHandler bounds what h gets.
 func NewHandler(h slog.Handler, now func() time.Time) *Handler {
-	return &Handler{Handler: h, state: &limiter{now: now, buckets: map[string]*bucket{}, lastReport: now()}}
+	return &Handler{Handler: h, limiter: &limiter{now: now, buckets: map[string]*bucket{}, lastReport: now()}}
 }
 
 // Handle writes the line or counts it.
 func (h *Handler) Handle(ctx context.Context, r slog.Record) error {
-	pass, left := h.state.allow(r)
+	pass, left := h.limiter.allow(r)
 	if left > 0 {
 		more := slog.NewRecord(r.Time, slog.LevelWarn, "log: lines were left out.", 0)
 		more.AddAttrs(slog.Int64("lines", left))
@@ -113,12 +113,12 @@
 
 // WithAttrs returns a handler with more attributes and the same budgets.
 func (h *Handler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &Handler{Handler: h.Handler.WithAttrs(attrs), state: h.state}
+	return &Handler{Handler: h.Handler.WithAttrs(attrs), limiter: h.limiter}
 }
 
 // WithGroup returns a handler with a group and the same budgets.
 func (h *Handler) WithGroup(name string) slog.Handler {
-	return &Handler{Handler: h.Handler.WithGroup(name), state: h.state}
+	return &Handler{Handler: h.Handler.WithGroup(name), limiter: h.limiter}
 }
 
 func (s *limiter) allow(r slog.Record) (bool, int64) {
