--- a/internal/spans/spans.go
+++ b/internal/spans/spans.go
@@ -13,7 +13,7 @@
 
 const scope = "pollencroft"
 
-var context3 = propagation.TraceContext{}
+var propagator = propagation.TraceContext{}
 
 // Start begins the span of one hop; the returned function ends it.
 func Start(ctx context.Context, hop, id string) (context.Context, func()) {
@@ -24,11 +24,11 @@
 // TraceParent returns the W3C trace context of the current span for the next hop.
 func TraceParent(ctx context.Context) string {
 	c := propagation.MapCarrier{}
-	context3.Inject(ctx, c)
+	propagator.Inject(ctx, c)
 	return c["traceparent"]
 }
 
 // ContinueTrace continues the trace that the hop before began.
 func ContinueTrace(ctx context.Context, parent string) context.Context {
-	return context3.Extract(ctx, propagation.MapCarrier{"traceparent": parent})
+	return propagator.Extract(ctx, propagation.MapCarrier{"traceparent": parent})
 }
