--- a/internal/spans/spans.go
+++ b/internal/spans/spans.go
@@ -11,13 +11,13 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-const scope = "pollencroft"
+const tracerName = "pollencroft"
 
 var propagator = propagation.TraceContext{}
 
 // Start begins the span of one hop; the returned function ends it.
 func Start(ctx context.Context, hop, id string) (context.Context, func()) {
-	ctx, span := otel.Tracer(scope).Start(ctx, hop, trace.WithAttributes(attribute.String("id", id)))
+	ctx, span := otel.Tracer(tracerName).Start(ctx, hop, trace.WithAttributes(attribute.String("id", id)))
 	return ctx, func() { span.End() }
 }
 
