--- a/internal/spans/export.go
+++ b/internal/spans/export.go
@@ -14,8 +14,8 @@
 	sdk "go.opentelemetry.io/otel/sdk/trace"
 )
 
-// flushWait bounds how long the last spans may take to be written.
-const flushWait = 2 * time.Second
+// flushTimeout bounds how long the last spans may take to be written.
+const flushTimeout = 2 * time.Second
 
 // Export sends all spans of this process to a file or to an OTLP endpoint
 // such as http://127.0.0.1:4318; with neither, spans are not kept. The
@@ -32,7 +32,7 @@
 	p := sdk.NewTracerProvider(sdk.WithBatcher(exp), sdk.WithResource(res))
 	otel.SetTracerProvider(p)
 	return func() {
-		ctx, cancel := context.WithTimeout(context.Background(), flushWait)
+		ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
 		defer cancel()
 		_ = p.Shutdown(ctx)
 		closeFile()
