--- a/internal/audit/load.go
+++ b/internal/audit/load.go
@@ -77,7 +77,7 @@
 	for i := range l.Batch {
 		g.Go(func() error { l.batchCaller(ctx, i); return nil })
 	}
-	g.Go(func() error { l.single(ctx); return nil })
+	g.Go(func() error { l.submitWatchersAndGang(ctx); return nil })
 	_ = g.Wait()
 }
 
@@ -142,8 +142,8 @@
 
 func cost(d time.Duration) http.Header { return http.Header{standin.HeaderCost: {d.String()}} }
 
-// single submits the watchers and the all-at-once job.
-func (l Load) single(ctx context.Context) {
+// submitWatchersAndGang submits the watchers and the all-at-once job.
+func (l Load) submitWatchersAndGang(ctx context.Context) {
 	r := rand.New(rand.NewPCG(3, 0))
 	for _, domain := range l.Domains {
 		l.submit(ctx, r, domain, client.Job{Workload: l.Names.Watch, Tasks: 4, Size: client.Size{CPU: 2000, Mem: 4 << 30}, Time: 3600})
