--- a/internal/audit/load.go
+++ b/internal/audit/load.go
@@ -97,12 +97,12 @@
 func (l Load) urgentCaller(ctx context.Context, i int) {
 	r := rand.New(rand.NewPCG(1, uint64(i)))
 	for ctx.Err() == nil {
-		l.keyed(ctx, r, l.domain(i))
+		l.sendKeyed(ctx, r, l.domain(i))
 		sleep(ctx, time.Duration(r.Int64N(int64(2*urgentEvery))))
 	}
 }
 
-func (l Load) keyed(ctx context.Context, r *rand.Rand, domain string) {
+func (l Load) sendKeyed(ctx context.Context, r *rand.Rand, domain string) {
 	req := client.Request{
 		Workload: l.Names.Urgent, Method: http.MethodPost, Path: "/gate", Key: uuid.Must(uuid.NewV7()).String(),
 		Header: cost(urgentCost), Body: []byte(strconv.Itoa(r.Int())),
