--- a/internal/audit/load.go
+++ b/internal/audit/load.go
@@ -110,7 +110,7 @@
 	began := time.Now()
 	var reply client.Reply
 	for req.Attempt = 1; req.Attempt <= tries; req.Attempt++ {
-		reply = l.ask(ctx, l.Pick(r, domain), req)
+		reply = l.send(ctx, l.Pick(r, domain), req)
 		l.Tally.told(req.Key, reply.Outcome)
 		if reply.Outcome == client.Done {
 			break
@@ -120,7 +120,7 @@
 	l.Tally.request(l.Names.Urgent, req, reply, time.Since(began))
 }
 
-func (l Load) ask(ctx context.Context, c *client.Client, req client.Request) client.Reply {
+func (l Load) send(ctx context.Context, c *client.Client, req client.Request) client.Reply {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), replyWait)
 	defer cancel()
 	reply, _ := c.Do(ctx, req)
@@ -132,7 +132,7 @@
 	for ctx.Err() == nil {
 		req := client.Request{Workload: l.Names.Flood, Method: http.MethodPost, Path: "/page", Header: cost(floodCost), Body: []byte("page")}
 		began := time.Now()
-		reply := l.ask(ctx, l.Pick(r, l.domain(i)), req)
+		reply := l.send(ctx, l.Pick(r, l.domain(i)), req)
 		l.Tally.request(l.Names.Flood, req, reply, time.Since(began))
 		if reply.Outcome != client.Done {
 			sleep(ctx, 2*repeatAfter)
