--- a/internal/audit/load.go
+++ b/internal/audit/load.go
@@ -105,7 +105,7 @@
 func (l Load) sendKeyed(ctx context.Context, r *rand.Rand, domain string) {
 	req := client.Request{
 		Workload: l.Names.Urgent, Method: http.MethodPost, Path: "/gate", Key: uuid.Must(uuid.NewV7()).String(),
-		Header: cost(urgentCost), Body: []byte(strconv.Itoa(r.Int())),
+		Header: costHeader(urgentCost), Body: []byte(strconv.Itoa(r.Int())),
 	}
 	began := time.Now()
 	var reply client.Reply
@@ -130,7 +130,7 @@
 func (l Load) floodCaller(ctx context.Context, i int) {
 	r := rand.New(rand.NewPCG(2, uint64(i)))
 	for ctx.Err() == nil {
-		req := client.Request{Workload: l.Names.Flood, Method: http.MethodPost, Path: "/page", Header: cost(floodCost), Body: []byte("page")}
+		req := client.Request{Workload: l.Names.Flood, Method: http.MethodPost, Path: "/page", Header: costHeader(floodCost), Body: []byte("page")}
 		began := time.Now()
 		reply := l.send(ctx, l.Pick(r, l.domain(i)), req)
 		l.Tally.request(l.Names.Flood, req, reply, time.Since(began))
@@ -140,7 +140,7 @@
 	}
 }
 
-func cost(d time.Duration) http.Header { return http.Header{standin.HeaderCost: {d.String()}} }
+func costHeader(d time.Duration) http.Header { return http.Header{standin.HeaderCost: {d.String()}} }
 
 // submitWatchersAndGang submits the watchers and the all-at-once job.
 func (l Load) submitWatchersAndGang(ctx context.Context) {
