--- a/internal/audit/load.go
+++ b/internal/audit/load.go
@@ -61,8 +61,8 @@
 	repeatAfter = 50 * time.Millisecond
 	gangAfter   = 2 * time.Second
 	tries       = 4
-	// replyWait is how long a caller waits before it takes the reply for lost.
-	replyWait = 15 * time.Second
+	// replyTimeout is how long a caller waits before it takes the reply for lost.
+	replyTimeout = 15 * time.Second
 )
 
 // Run plays all callers; it returns when ctx has ended and all are answered.
@@ -121,7 +121,7 @@
 }
 
 func (l Load) send(ctx context.Context, c *client.Client, req client.Request) client.Reply {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), replyWait)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), replyTimeout)
 	defer cancel()
 	reply, _ := c.Do(ctx, req)
 	return reply
@@ -169,7 +169,7 @@
 // submit hands in a job; one that is refused comes back a few times, as the
 // refusal tells it to.
 func (l Load) submit(ctx context.Context, r *rand.Rand, domain string, j client.Job) string {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), replyWait)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), replyTimeout)
 	defer cancel()
 	began := time.Now()
 	var status client.JobStatus
@@ -187,7 +187,7 @@
 }
 
 func (l Load) cancel(ctx context.Context, r *rand.Rand, domain, id string) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), replyWait)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), replyTimeout)
 	defer cancel()
 	status, err := l.Pick(r, domain).Cancel(ctx, id)
 	outcome := status.Outcome
