--- a/internal/audit/load.go
+++ b/internal/audit/load.go
@@ -58,7 +58,7 @@
 	urgentCost  = 4 * time.Millisecond
 	floodCost   = 60 * time.Millisecond
 	batchEvery  = 400 * time.Millisecond
-	repeatAfter = 50 * time.Millisecond
+	retryDelay  = 50 * time.Millisecond
 	gangAfter   = 2 * time.Second
 	tries       = 4
 	// replyTimeout is how long a caller waits before it takes the reply for lost.
@@ -115,7 +115,7 @@
 		if reply.Outcome == client.Done {
 			break
 		}
-		time.Sleep(repeatAfter)
+		time.Sleep(retryDelay)
 	}
 	l.Tally.request(l.Names.Urgent, req, reply, time.Since(began))
 }
@@ -135,7 +135,7 @@
 		reply := l.send(ctx, l.Pick(r, l.domain(i)), req)
 		l.Tally.request(l.Names.Flood, req, reply, time.Since(began))
 		if reply.Outcome != client.Done {
-			sleep(ctx, 2*repeatAfter)
+			sleep(ctx, 2*retryDelay)
 		}
 	}
 }
@@ -180,7 +180,7 @@
 		if !errors.As(err, &refused) || refused.Outcome != client.Refused {
 			break
 		}
-		sleep(ctx, 4*repeatAfter)
+		sleep(ctx, 4*retryDelay)
 	}
 	l.Tally.job(j, status, err, time.Since(began))
 	return status.ID
