--- a/internal/audit/load.go
+++ b/internal/audit/load.go
@@ -59,7 +59,7 @@
 	floodCost   = 60 * time.Millisecond
 	batchEvery  = 400 * time.Millisecond
 	retryDelay  = 50 * time.Millisecond
-	gangAfter   = 2 * time.Second
+	gangDelay   = 2 * time.Second
 	tries       = 4
 	// replyTimeout is how long a caller waits before it takes the reply for lost.
 	replyTimeout = 15 * time.Second
@@ -148,7 +148,7 @@
 	for _, domain := range l.Domains {
 		l.submit(ctx, r, domain, client.Job{Workload: l.Names.Watch, Tasks: 4, Size: client.Size{CPU: 2000, Mem: 4 << 30}, Time: 3600})
 	}
-	sleep(ctx, gangAfter)
+	sleep(ctx, gangDelay)
 	l.submit(ctx, r, l.Domains[0], client.Job{Workload: l.Names.Gang, Tasks: 12, Size: client.Size{CPU: 8000, Mem: 16 << 30}, Time: 3, Gang: true})
 }
 
