--- a/internal/audit/load.go
+++ b/internal/audit/load.go
@@ -60,7 +60,7 @@
 	batchEvery  = 400 * time.Millisecond
 	retryDelay  = 50 * time.Millisecond
 	gangDelay   = 2 * time.Second
-	tries       = 4
+	maxTries    = 4
 	// replyTimeout is how long a caller waits before it takes the reply for lost.
 	replyTimeout = 15 * time.Second
 )
@@ -109,7 +109,7 @@
 	}
 	began := time.Now()
 	var reply client.Reply
-	for req.Attempt = 1; req.Attempt <= tries; req.Attempt++ {
+	for req.Attempt = 1; req.Attempt <= maxTries; req.Attempt++ {
 		reply = l.send(ctx, l.Pick(r, domain), req)
 		l.Tally.told(req.Key, reply.Outcome)
 		if reply.Outcome == client.Done {
@@ -174,7 +174,7 @@
 	began := time.Now()
 	var status client.JobStatus
 	var err error
-	for range tries {
+	for range maxTries {
 		status, err = l.Pick(r, domain).Submit(ctx, j)
 		var refused *client.StatusError
 		if !errors.As(err, &refused) || refused.Outcome != client.Refused {
