--- a/internal/audit/tally.go
+++ b/internal/audit/tally.go
@@ -64,7 +64,7 @@
 	return &Tally{lines: map[string]*line{}, requests: map[string][]string{}, jobs: map[string]*toldJob{}}
 }
 
-func (t *Tally) line(row string) *line {
+func (t *Tally) rowStats(row string) *line {
 	l, ok := t.lines[row]
 	if !ok {
 		l = &line{waits: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
@@ -95,7 +95,7 @@
 func (t *Tally) request(row string, req client.Request, reply client.Reply, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.line(row).count(reply.Outcome, took)
+	t.rowStats(row).count(reply.Outcome, took)
 	if reply.Outcome == client.Done && !strings.HasSuffix(string(reply.Body), " "+string(req.Body)) {
 		t.crossed++
 	}
@@ -104,7 +104,7 @@
 func (t *Tally) job(j client.Job, s client.JobStatus, err error, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l := t.line(j.Workload)
+	l := t.rowStats(j.Workload)
 	var status *client.StatusError
 	switch {
 	case err == nil:
