--- a/internal/audit/tally.go
+++ b/internal/audit/tally.go
@@ -50,8 +50,8 @@
 
 // Tally keeps what each caller was told. It is safe for concurrent use.
 type Tally struct {
-	mu    sync.Mutex
-	lines map[string]*line
+	mu   sync.Mutex
+	rows map[string]*line
 	// requests holds by key every outcome that its caller was told, in order.
 	requests map[string][]string
 	crossed  int
@@ -61,14 +61,14 @@
 
 // NewTally returns an empty tally.
 func NewTally() *Tally {
-	return &Tally{lines: map[string]*line{}, requests: map[string][]string{}, jobs: map[string]*toldJob{}}
+	return &Tally{rows: map[string]*line{}, requests: map[string][]string{}, jobs: map[string]*toldJob{}}
 }
 
 func (t *Tally) rowStats(row string) *line {
-	l, ok := t.lines[row]
+	l, ok := t.rows[row]
 	if !ok {
 		l = &line{waits: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
-		t.lines[row] = l
+		t.rows[row] = l
 	}
 	l.asked++
 	return l
@@ -132,7 +132,7 @@
 func (t *Tally) Totals() (asked, done int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, l := range t.lines {
+	for _, l := range t.rows {
 		asked += l.asked
 		done += l.done
 	}
@@ -238,7 +238,7 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(w, "workload\tasked\tdone\trefused\tunknown\twait p50\twait p99\t")
 	for _, name := range names {
-		l, ok := t.lines[name]
+		l, ok := t.rows[name]
 		if !ok {
 			continue
 		}
