--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -13,9 +13,9 @@
 // rise would let every test pass.
 func TestWrongSeesEachBrokenPromise(t *testing.T) {
 	tally := NewTally()
-	tally.told("twice", client.Done)
-	tally.told("lost", client.Done)
-	tally.told("ran", client.Refused)
+	tally.recordOutcome("twice", client.Done)
+	tally.recordOutcome("lost", client.Done)
+	tally.recordOutcome("ran", client.Refused)
 	tally.job(client.Job{Tasks: 2}, client.JobStatus{ID: "d.r.a"}, nil, 0)
 	tally.job(client.Job{Tasks: 1}, client.JobStatus{ID: "d.r.b"}, nil, 0)
 	tally.cancelled("d.r.b", "not run")
--- a/internal/audit/load.go
+++ b/internal/audit/load.go
@@ -111,7 +111,7 @@
 	var reply client.Reply
 	for req.Attempt = 1; req.Attempt <= maxTries; req.Attempt++ {
 		reply = l.send(ctx, l.Pick(r, domain), req)
-		l.Tally.told(req.Key, reply.Outcome)
+		l.Tally.recordOutcome(req.Key, reply.Outcome)
 		if reply.Outcome == client.Done {
 			break
 		}
--- a/internal/audit/tally.go
+++ b/internal/audit/tally.go
@@ -86,7 +86,7 @@
 	}
 }
 
-func (t *Tally) told(key, outcome string) {
+func (t *Tally) recordOutcome(key, outcome string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.requests[key] = append(t.requests[key], outcome)
