--- a/internal/audit/load.go
+++ b/internal/audit/load.go
@@ -117,7 +117,7 @@
 		}
 		time.Sleep(retryDelay)
 	}
-	l.Tally.request(l.Names.Urgent, req, reply, time.Since(began))
+	l.Tally.recordRequest(l.Names.Urgent, req, reply, time.Since(began))
 }
 
 func (l Load) send(ctx context.Context, c *client.Client, req client.Request) client.Reply {
@@ -133,7 +133,7 @@
 		req := client.Request{Workload: l.Names.Flood, Method: http.MethodPost, Path: "/page", Header: costHeader(floodCost), Body: []byte("page")}
 		began := time.Now()
 		reply := l.send(ctx, l.Pick(r, l.domain(i)), req)
-		l.Tally.request(l.Names.Flood, req, reply, time.Since(began))
+		l.Tally.recordRequest(l.Names.Flood, req, reply, time.Since(began))
 		if reply.Outcome != client.Done {
 			sleep(ctx, 2*retryDelay)
 		}
--- a/internal/audit/tally.go
+++ b/internal/audit/tally.go
@@ -92,7 +92,7 @@
 	t.requests[key] = append(t.requests[key], outcome)
 }
 
-func (t *Tally) request(row string, req client.Request, reply client.Reply, took time.Duration) {
+func (t *Tally) recordRequest(row string, req client.Request, reply client.Reply, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.rowStats(row).count(reply.Outcome, took)
