--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -16,8 +16,8 @@
 	tally.recordOutcome("twice", client.Done)
 	tally.recordOutcome("lost", client.Done)
 	tally.recordOutcome("ran", client.Refused)
-	tally.job(client.Job{Tasks: 2}, client.JobStatus{ID: "d.r.a"}, nil, 0)
-	tally.job(client.Job{Tasks: 1}, client.JobStatus{ID: "d.r.b"}, nil, 0)
+	tally.recordJob(client.Job{Tasks: 2}, client.JobStatus{ID: "d.r.a"}, nil, 0)
+	tally.recordJob(client.Job{Tasks: 1}, client.JobStatus{ID: "d.r.b"}, nil, 0)
 	tally.cancelled("d.r.b", "not run")
 	got := tally.Violations(standin.Report{
 		Overfilled: 3, Doubled: []string{"x"},
--- a/internal/audit/load.go
+++ b/internal/audit/load.go
@@ -182,7 +182,7 @@
 		}
 		sleep(ctx, 4*retryDelay)
 	}
-	l.Tally.job(j, status, err, time.Since(began))
+	l.Tally.recordJob(j, status, err, time.Since(began))
 	return status.ID
 }
 
--- a/internal/audit/tally.go
+++ b/internal/audit/tally.go
@@ -101,7 +101,7 @@
 	}
 }
 
-func (t *Tally) job(j client.Job, s client.JobStatus, err error, took time.Duration) {
+func (t *Tally) recordJob(j client.Job, s client.JobStatus, err error, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	l := t.rowStats(j.Workload)
