--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -18,7 +18,7 @@
 	tally.recordOutcome("ran", client.Refused)
 	tally.recordJob(client.Job{Tasks: 2}, client.JobStatus{ID: "d.r.a"}, nil, 0)
 	tally.recordJob(client.Job{Tasks: 1}, client.JobStatus{ID: "d.r.b"}, nil, 0)
-	tally.cancelled("d.r.b", "not run")
+	tally.recordCancel("d.r.b", "not run")
 	got := tally.Violations(standin.Report{
 		Overfilled: 3, Doubled: []string{"x"},
 		Ran:     map[string]int{"twice": 2, "ran": 1},
--- a/internal/audit/load.go
+++ b/internal/audit/load.go
@@ -194,5 +194,5 @@
 	if err != nil {
 		outcome = client.Unknown
 	}
-	l.Tally.cancelled(id, outcome)
+	l.Tally.recordCancel(id, outcome)
 }
--- a/internal/audit/tally.go
+++ b/internal/audit/tally.go
@@ -120,7 +120,7 @@
 	}
 }
 
-func (t *Tally) cancelled(id, outcome string) {
+func (t *Tally) recordCancel(id, outcome string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if j, ok := t.jobs[id]; ok {
