--- a/internal/audit/tally.go
+++ b/internal/audit/tally.go
@@ -39,7 +39,7 @@
 	waits                         *hdrhistogram.Histogram
 }
 
-type toldJob struct {
+type acceptedJob struct {
 	tasks     int
 	watch     bool
 	cancelled string
@@ -55,13 +55,13 @@
 	// requests holds by key every outcome that its caller was told, in order.
 	requests map[string][]string
 	crossed  int
-	jobs     map[string]*toldJob
+	jobs     map[string]*acceptedJob
 	unsure   int
 }
 
 // NewTally returns an empty tally.
 func NewTally() *Tally {
-	return &Tally{rows: map[string]*line{}, requests: map[string][]string{}, jobs: map[string]*toldJob{}}
+	return &Tally{rows: map[string]*line{}, requests: map[string][]string{}, jobs: map[string]*acceptedJob{}}
 }
 
 func (t *Tally) rowStats(row string) *line {
@@ -109,7 +109,7 @@
 	switch {
 	case err == nil:
 		l.count(client.Done, took)
-		t.jobs[s.ID] = &toldJob{tasks: j.Tasks, watch: j.Time > watchTime}
+		t.jobs[s.ID] = &acceptedJob{tasks: j.Tasks, watch: j.Time > watchTime}
 	case errors.As(err, &status):
 		l.count(status.Outcome, took)
 	default:
@@ -198,7 +198,7 @@
 
 // lost counts the tasks that neither ended nor were cancelled; a watcher is
 // lost if it was never started.
-func (j *toldJob) lost(id string, r standin.Report) int {
+func (j *acceptedJob) lost(id string, r standin.Report) int {
 	if j.cancelled != "" {
 		return 0
 	}
