--- a/internal/audit/tally.go
+++ b/internal/audit/tally.go
@@ -53,10 +53,10 @@
 	mu   sync.Mutex
 	rows map[string]*line
 	// requests holds by key every outcome that its caller was told, in order.
-	requests map[string][]string
-	crossed  int
-	jobs     map[string]*acceptedJob
-	unsure   int
+	requests   map[string][]string
+	mismatched int
+	jobs       map[string]*acceptedJob
+	unsure     int
 }
 
 // NewTally returns an empty tally.
@@ -97,7 +97,7 @@
 	defer t.mu.Unlock()
 	t.rowStats(row).count(reply.Outcome, took)
 	if reply.Outcome == client.Done && !strings.HasSuffix(string(reply.Body), " "+string(req.Body)) {
-		t.crossed++
+		t.mismatched++
 	}
 }
 
@@ -143,7 +143,7 @@
 func (t *Tally) Violations(r standin.Report) ViolationsError {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	w := ViolationsError{Overfilled: r.Overfilled, Twice: len(r.Doubled), Told: t.crossed}
+	w := ViolationsError{Overfilled: r.Overfilled, Twice: len(r.Doubled), Told: t.mismatched}
 	for key, told := range t.requests {
 		ran := r.Ran[key]
 		if ran > 1 {
