--- a/internal/audit/tally.go
+++ b/internal/audit/tally.go
@@ -53,10 +53,10 @@
 	mu   sync.Mutex
 	rows map[string]*line
 	// requests holds by key every outcome that its caller was told, in order.
-	requests   map[string][]string
-	mismatched int
-	jobs       map[string]*acceptedJob
-	unsure     int
+	requests       map[string][]string
+	mismatched     int
+	jobs           map[string]*acceptedJob
+	unknownSubmits int
 }
 
 // NewTally returns an empty tally.
@@ -116,7 +116,7 @@
 		l.count(client.Unknown, took)
 	}
 	if err != nil && (status == nil || status.Outcome != client.Refused) {
-		t.unsure++
+		t.unknownSubmits++
 	}
 }
 
@@ -228,7 +228,7 @@
 			wrong++
 		}
 	}
-	return wrong + max(0, len(strangers)-t.unsure)
+	return wrong + max(0, len(strangers)-t.unknownSubmits)
 }
 
 // Print writes a table by workload, in the order of names.
