--- a/internal/audit/tally.go
+++ b/internal/audit/tally.go
@@ -157,7 +157,7 @@
 		}
 	}
 	w.Lost += t.lostTasks(r)
-	w.Told += t.startedThough(r)
+	w.Told += t.contradictedStarts(r)
 	return w
 }
 
@@ -213,9 +213,9 @@
 	return lost
 }
 
-// startedThough counts starts of jobs that were told not run, and of more
+// contradictedStarts counts starts of jobs that were told not run, and of more
 // unknown jobs than callers were told unknown of.
-func (t *Tally) startedThough(r standin.Report) int {
+func (t *Tally) contradictedStarts(r standin.Report) int {
 	wrong := 0
 	strangers := map[string]bool{}
 	for task := range r.Started {
