--- a/internal/audit/tally.go
+++ b/internal/audit/tally.go
@@ -45,8 +45,8 @@
 	cancelled string
 }
 
-// watchTime is the declared time in seconds from which a job is a watcher.
-const watchTime = 60
+// watcherMinSeconds is the declared time in seconds from which a job is a watcher.
+const watcherMinSeconds = 60
 
 // Tally keeps what each caller was told. It is safe for concurrent use.
 type Tally struct {
@@ -109,7 +109,7 @@
 	switch {
 	case err == nil:
 		l.count(client.Done, took)
-		t.jobs[s.ID] = &acceptedJob{tasks: j.Tasks, watch: j.Time > watchTime}
+		t.jobs[s.ID] = &acceptedJob{tasks: j.Tasks, watch: j.Time > watcherMinSeconds}
 	case errors.As(err, &status):
 		l.count(status.Outcome, took)
 	default:
