--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -162,8 +162,8 @@
 	}
 }
 
-// moved puts a snapshot's record at the end, as when its writer was slow.
-func moved(rest []table.Entry, snapshot []byte) []table.Entry {
+// withSnapshotAppended puts a snapshot's record at the end, as when its writer was slow.
+func withSnapshotAppended(rest []table.Entry, snapshot []byte) []table.Entry {
 	last := rest[len(rest)-1]
 	return append(rest, table.Entry{Offset: last.Offset + 1, Body: snapshot})
 }
@@ -192,7 +192,7 @@
 	require.Equal(t, tab.Lines(), behind.Lines())
 	require.Equal(t, tab.Fingerprint(), behind.Fingerprint())
 	log.all = append(log.all[:20:20], log.all[21:]...)
-	require.Equal(t, table.SnapshotMissing{Want: 1}, table.New().Step(now, table.TrimmedLog{Entries: moved(log.all[20:], parts[0])})[0], "a record after the snapshot's offset is gone")
+	require.Equal(t, table.SnapshotMissing{Want: 1}, table.New().Step(now, table.TrimmedLog{Entries: withSnapshotAppended(log.all[20:], parts[0])})[0], "a record after the snapshot's offset is gone")
 	require.Empty(t, behind.Step(now, table.PeerCopy{Parts: parts}), "an older copy does not take it back")
 	require.Equal(t, int64(23), behind.NextOffset())
 }
