--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -256,7 +256,7 @@
 		b.resizeNotes = append(b.resizeNotes, a)
 	case "step waits":
 		b.longWaits = append(b.longWaits, a)
-	case "given up":
+	case "failed after crashes":
 		b.failedNotes = append(b.failedNotes, a)
 	}
 }
--- a/internal/sched/crash.go
+++ b/internal/sched/crash.go
@@ -54,11 +54,11 @@
 	}
 	s.suspects[t] = true
 	s.markDirty(j)
-	s.emit(Note{ID: t.Name.String(), What: "worker crashed under it", Worker: w.Incarnation, Run: t.Run, Detail: strconv.Itoa(len(t.Crashed))})
+	s.emit(Note{ID: t.Name.String(), What: "worker crashed during run", Worker: w.Incarnation, Run: t.Run, Detail: strconv.Itoa(len(t.Crashed))})
 	if len(t.Crashed) < maxCrashes {
 		return
 	}
-	s.emit(Note{ID: j.Spec.ID, What: "given up", Detail: t.Name.String() + " crashed " + strings.Join(t.Crashed, ", ")})
+	s.emit(Note{ID: j.Spec.ID, What: "failed after crashes", Detail: t.Name.String() + " crashed " + strings.Join(t.Crashed, ", ")})
 	s.endJob(j, flow.Failed)
 }
 
--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -26,7 +26,7 @@
 	switch {
 	case !ok:
 		s.earlyCancels[id] = s.now
-		s.emit(Note{ID: id, What: "cancelled before it is known"})
+		s.emit(Note{ID: id, What: "cancelled before submission"})
 		return
 	case j.State.Final():
 		return
@@ -145,6 +145,6 @@
 	if j.State.Final() || t.Spec().LongRunning || t.Failures < s.queue(j).Attempts {
 		return
 	}
-	s.emit(Note{ID: j.Spec.ID, What: "failed for good", Detail: t.Name.String()})
+	s.emit(Note{ID: j.Spec.ID, What: "failed after all attempts", Detail: t.Name.String()})
 	s.endJob(j, flow.Failed)
 }
--- a/internal/sched/list.go
+++ b/internal/sched/list.go
@@ -90,5 +90,5 @@
 func (s *Sched) startDraining(w *worker, left time.Duration) {
 	w.draining = true
 	w.leavesAt = s.now.Add(left)
-	s.emit(Note{ID: w.Incarnation, What: "worker leaves", Worker: w.Incarnation, Detail: left.String()})
+	s.emit(Note{ID: w.Incarnation, What: "worker draining", Worker: w.Incarnation, Detail: left.String()})
 }
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -325,7 +325,7 @@
 // The store takes 53 times as long for each append, as on the users' slow days, while scans arrive.
 // Each scan needs three appends in sequence: for its two starts and its end. Changes that arrive
 // while one append is in flight are stored beside it. If they waited for the rest of its time as
-// well, scans would take 3.3 s instead of 3.0 s, and more of them would be late.
+// well, scans would take 3.3 s and not 3.0, and more of them would be late.
 func TestSlowStoreDelaysEachStepOnce(t *testing.T) {
 	const slow = 212 * time.Millisecond
 	b := newSimCell(t, 12)
