--- a/internal/sched/gang.go
+++ b/internal/sched/gang.go
@@ -62,26 +62,26 @@
 
 func (s *Sched) fitGang(r readyStep, workers []*worker) []*worker {
 	st := r.stage.Spec
-	room := make(map[*worker]cell.Size, len(workers))
+	freeCapacity := make(map[*worker]cell.Size, len(workers))
 	count := map[*worker]int{}
 	var able []*worker
 	for _, w := range workers {
 		if _, ok := s.ticket(r.tasks[0], w); ok && s.fits(r, r.tasks[0], w) {
 			able = append(able, w)
-			room[w] = w.available()
+			freeCapacity[w] = w.available()
 		}
 	}
-	slices.SortStableFunc(able, func(a, b *worker) int { return int(room[b].CPU - room[a].CPU) })
+	slices.SortStableFunc(able, func(a, b *worker) int { return int(freeCapacity[b].CPU - freeCapacity[a].CPU) })
 	placed := make([]*worker, 0, len(r.stage.Tasks))
 	for range r.stage.Tasks {
 		i := slices.IndexFunc(able, func(w *worker) bool {
-			return st.Demand().Fits(room[w]) && (st.MaxPerWorker == 0 || w.tasksOf(r.stage)+count[w] < st.MaxPerWorker)
+			return st.Demand().Fits(freeCapacity[w]) && (st.MaxPerWorker == 0 || w.tasksOf(r.stage)+count[w] < st.MaxPerWorker)
 		})
 		if i < 0 {
 			return nil
 		}
 		w := able[i]
-		room[w] = room[w].Sub(st.Demand())
+		freeCapacity[w] = freeCapacity[w].Sub(st.Demand())
 		count[w]++
 		placed = append(placed, w)
 	}
