--- a/internal/sched/randomcells_test.go
+++ b/internal/sched/randomcells_test.go
@@ -120,7 +120,7 @@
 func (d *randomCell) couldRun(id string) bool {
 	step := d.specs[id].Steps[0]
 	var used, whole cell.Size
-	room := false
+	hasCapacity := false
 	for _, w := range d.sortedWorkers() {
 		if w.dead || w.info.Draining {
 			continue
@@ -137,9 +137,9 @@
 			need = step.Demand().Scale(float64(step.Tasks))
 		}
 		advised := d.specs[id].Queue.Advice == nil || d.allows(id+".0.0", w.info.Incarnation)
-		room = room || advised && need.Fits(free)
+		hasCapacity = hasCapacity || advised && need.Fits(free)
 	}
-	return room && used.DominantShare(whole) < 0.5
+	return hasCapacity && used.DominantShare(whole) < 0.5
 }
 
 // failedCellSeeds are seeds of random cells that failed before. 44, 393, 908: capacity was reserved
