--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -176,11 +176,11 @@
 // earmark sets aside the capacity that the step is likely to take once its query is answered, so
 // that no later step queries about the same free capacity.
 func (s *Sched) earmark(r readyStep, a *advice) {
-	room := r.stage.Spec.Demand()
+	demand := r.stage.Spec.Demand()
 	want := float64(len(r.tasks))
 	for _, incarnation := range a.queried {
 		w, ok := s.workers[incarnation]
-		if !ok || !room.Fits(w.free()) {
+		if !ok || !demand.Fits(w.free()) {
 			continue
 		}
 		part := s.allowRate(r.queue)
@@ -188,7 +188,7 @@
 			part = 1
 		}
 		likely := min(part*float64(r.taskCapacity(w)), want)
-		w.earmarked = w.earmarked.Add(room.Scale(likely))
+		w.earmarked = w.earmarked.Add(demand.Scale(likely))
 		if want -= likely; want <= 0 {
 			return
 		}
--- a/internal/sched/candidates.go
+++ b/internal/sched/candidates.go
@@ -68,9 +68,9 @@
 // cell most passes find none, for hundreds of steps, so the capacity is checked first and the more
 // expensive ordering is done only for workers that have it.
 func (s *Sched) candidatesWithCapacity(r readyStep, a *advice, p *pool) (all []candidate, most int) {
-	room, some := r.stage.Spec.Demand(), false
+	demand, some := r.stage.Spec.Demand(), false
 	for _, w := range p.workers {
-		if !room.Fits(w.available().Sub(w.earmarked)) {
+		if !demand.Fits(w.available().Sub(w.earmarked)) {
 			continue
 		}
 		some = true
@@ -86,7 +86,7 @@
 		}
 	}
 	if !some {
-		p.unfit = append(p.unfit, room)
+		p.unfit = append(p.unfit, demand)
 	}
 	slices.SortStableFunc(all, candidate.compare)
 	return all, most
@@ -96,10 +96,10 @@
 // about yet.
 func (s *Sched) otherCandidates(r readyStep, a *advice, p *pool) []candidate {
 	var all []candidate
-	room := r.stage.Spec.Demand()
+	demand := r.stage.Spec.Demand()
 	for _, w := range p.workers {
 		_, known := a.tickets[w.Incarnation]
-		if known || a.denied[w.Incarnation] || !room.Fits(w.Size) || room.Fits(w.available().Sub(w.earmarked)) || !s.suits(r, r.tasks[0], w) {
+		if known || a.denied[w.Incarnation] || !demand.Fits(w.Size) || demand.Fits(w.available().Sub(w.earmarked)) || !s.suits(r, r.tasks[0], w) {
 			continue
 		}
 		all = append(all, candidate{incarnation: w.Incarnation, cost: s.cost(r, w)})
--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -10,18 +10,18 @@
 // untrackedRun is a run that the scheduler no longer tracks but that may still be on its worker and
 // take capacity. It may begin as late as latestStart.
 type untrackedRun struct {
-	room        cell.Size
+	demand        cell.Size
 	latestStart time.Time
 	// sizeUnknown means that the run's size is not known: it may fill the whole worker.
 	sizeUnknown bool
 }
 
 // untrack keeps the capacity of a run booked that is no longer tracked.
-func (w *worker) untrack(k runKey, room cell.Size, until time.Time) {
+func (w *worker) untrack(k runKey, demand cell.Size, until time.Time) {
 	l, ok := w.untracked[k]
 	if !ok {
-		l.room = room
-		w.used = w.used.Add(room)
+		l.demand = demand
+		w.used = w.used.Add(demand)
 	}
 	if until.After(l.latestStart) {
 		l.latestStart = until
@@ -59,7 +59,7 @@
 		if listed[k.task] == k.run || now.Before(l.latestStart) {
 			continue
 		}
-		w.used = w.used.Sub(l.room)
+		w.used = w.used.Sub(l.demand)
 		delete(w.untracked, k)
 	}
 }
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -91,8 +91,8 @@
 }
 
 // knownFull reports whether this pass has already found that no worker has that much free capacity.
-func (p *pool) knownFull(room cell.Size) bool {
-	return slices.ContainsFunc(p.unfit, func(n cell.Size) bool { return n.Fits(room) })
+func (p *pool) knownFull(demand cell.Size) bool {
+	return slices.ContainsFunc(p.unfit, func(n cell.Size) bool { return n.Fits(demand) })
 }
 
 func (s *Sched) pools() map[string]*pool {
--- a/internal/sched/preempt.go
+++ b/internal/sched/preempt.go
@@ -34,14 +34,14 @@
 	if !s.enabled(PreemptBulk) || r.class != onTime || r.stage.Spec.Gang {
 		return
 	}
-	room := r.stage.Spec.Demand()
+	demand := r.stage.Spec.Demand()
 	s.preemptions[r.stage] = slices.DeleteFunc(s.preemptions[r.stage], func(y preemption) bool {
 		w, ok := s.workers[y.worker]
-		return !ok || !room.Fits(w.Size) || !s.now.Before(y.until)
+		return !ok || !demand.Fits(w.Size) || !s.now.Before(y.until)
 	})
 	for _, y := range s.preemptions[r.stage] {
 		w := s.workers[y.worker]
-		w.reserved = w.reserved.Add(room)
+		w.reserved = w.reserved.Add(demand)
 		n--
 	}
 	for ; n > 0; n-- {
@@ -53,7 +53,7 @@
 			t.Preemptions++
 			s.stopRun(t, "gives way to "+r.stage.Tasks[0].Name.StepName())
 		}
-		w.reserved = w.reserved.Add(room)
+		w.reserved = w.reserved.Add(demand)
 		s.preemptions[r.stage] = append(s.preemptions[r.stage], preemption{w.Incarnation, s.now.Add(preemptedHold)})
 	}
 }
@@ -81,8 +81,8 @@
 // victims returns the tasks to stop on a worker, or false if stopping them doesn't free enough
 // capacity. Tasks that began last come first, since they have the least to restore.
 func (s *Sched) victims(r readyStep, w *worker) ([]*flow.Task, bool) {
-	room, open := r.stage.Spec.Demand(), w.available()
-	if !room.Fits(w.Size.Sub(w.reserved)) {
+	demand, open := r.stage.Spec.Demand(), w.available()
+	if !demand.Fits(w.Size.Sub(w.reserved)) {
 		return nil, false
 	}
 	var all []*flow.Task
@@ -93,12 +93,12 @@
 	}
 	slices.SortStableFunc(all, func(a, b *flow.Task) int { return b.Since.Compare(a.Since) })
 	for i, t := range all {
-		if room.Fits(open) {
+		if demand.Fits(open) {
 			return all[:i], true
 		}
 		open = open.Add(t.Spec().Demand())
 	}
-	return all, room.Fits(open)
+	return all, demand.Fits(open)
 }
 
 // preemptible reports whether a task may be stopped in favour of a step: it is less urgent, saves
--- a/internal/sched/reserve.go
+++ b/internal/sched/reserve.go
@@ -26,7 +26,7 @@
 // have it first. Tasks of one processor or GPU find capacity on any worker all the time; a task
 // that needs half of a worker or more would hardly ever find it, however urgent it is.
 func (s *Sched) reserveCapacity(r readyStep, p *pool, n int) {
-	room := r.stage.Spec.Demand()
+	demand := r.stage.Spec.Demand()
 	if !s.enabled(ReserveForWide) || p.used.DominantShare(p.total) < reserveMinUse || p.reserved.DominantShare(p.total) > maxReservedShare {
 		return
 	}
@@ -36,18 +36,18 @@
 	}
 	var all []option
 	for _, w := range s.allowedWorkers(r, p) {
-		if room.DominantShare(w.Size) < wideShare || !s.suits(r, r.tasks[0], w) {
+		if demand.DominantShare(w.Size) < wideShare || !s.suits(r, r.tasks[0], w) {
 			continue
 		}
-		if at, ok := s.fitsAt(w, room.Add(w.reserved)); ok {
+		if at, ok := s.fitsAt(w, demand.Add(w.reserved)); ok {
 			all = append(all, option{w, at})
 		}
 	}
 	slices.SortStableFunc(all, func(a, b option) int { return a.at.Compare(b.at) })
 	for _, o := range all {
-		for k := room.FitCount(o.w.Size.Sub(o.w.reserved)); k > 0 && n > 0; k-- {
-			o.w.reserved = o.w.reserved.Add(room)
-			p.reserved = p.reserved.Add(room)
+		for k := demand.FitCount(o.w.Size.Sub(o.w.reserved)); k > 0 && n > 0; k-- {
+			o.w.reserved = o.w.reserved.Add(demand)
+			p.reserved = p.reserved.Add(demand)
 			n--
 		}
 	}
@@ -55,9 +55,9 @@
 
 // fitsAt returns when a worker will have that much free capacity if nothing else is started there,
 // or false if it never will.
-func (s *Sched) fitsAt(w *worker, room cell.Size) (time.Time, bool) {
+func (s *Sched) fitsAt(w *worker, demand cell.Size) (time.Time, bool) {
 	free := w.free()
-	if room.Fits(free) {
+	if demand.Fits(free) {
 		return s.now, true
 	}
 	type end struct {
@@ -72,7 +72,7 @@
 	}
 	slices.SortStableFunc(ends, func(a, b end) int { return a.at.Compare(b.at) })
 	for _, e := range ends {
-		if free = free.Add(e.size); room.Fits(free) {
+		if free = free.Add(e.size); demand.Fits(free) {
 			return e.at, true
 		}
 	}
