--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -10,7 +10,7 @@
 // untrackedRun is a run that the scheduler no longer tracks but that may still be on its worker and
 // take capacity. It may begin as late as latestStart.
 type untrackedRun struct {
-	demand        cell.Size
+	demand      cell.Size
 	latestStart time.Time
 	// sizeUnknown means that the run's size is not known: it may fill the whole worker.
 	sizeUnknown bool
