--- a/internal/joblog/joblog.go
+++ b/internal/joblog/joblog.go
@@ -37,7 +37,7 @@
 	if r.State == "" {
 		r.State, r.Ran, r.Reason = older.State, older.Ran, older.Reason
 	}
-	r.Crashes = most(older.Crashes, r.Crashes)
+	r.Crashes = maxCounts(older.Crashes, r.Crashes)
 	return r
 }
 
@@ -60,7 +60,7 @@
 	return true
 }
 
-func most(a, b map[string]int64) map[string]int64 {
+func maxCounts(a, b map[string]int64) map[string]int64 {
 	if len(a) == 0 {
 		return b
 	}
@@ -78,16 +78,16 @@
 	return b, errors.Wrap(err, "encode job records")
 }
 
-// endedJobs bounds how many ended jobs are remembered.
-const endedJobs = 50_000
+// maxEndedJobs bounds how many ended jobs are remembered.
+const maxEndedJobs = 50_000
 
 type entry struct {
-	spec   job.Spec
-	state  string
-	ran    bool
-	reason string
-	lives  map[string]int64
-	offset int64
+	spec    job.Spec
+	state   string
+	ran     bool
+	reason  string
+	crashes map[string]int64
+	offset  int64
 }
 
 // Log is the fold of all records read until now.
@@ -138,7 +138,7 @@
 	if r.Spec != nil {
 		e.spec = *r.Spec
 	}
-	e.lives = most(e.lives, r.Crashes)
+	e.crashes = maxCounts(e.crashes, r.Crashes)
 	if offset > 0 {
 		e.offset = offset
 	}
@@ -150,7 +150,7 @@
 }
 
 func (l *Log) trim() {
-	if over := len(l.ended) - endedJobs; over > 0 {
+	if over := len(l.ended) - maxEndedJobs; over > 0 {
 		for _, id := range l.ended[:over] {
 			delete(l.jobs, id)
 		}
@@ -199,7 +199,7 @@
 	if !ok {
 		return nil
 	}
-	return maps.Clone(e.lives)
+	return maps.Clone(e.crashes)
 }
 
 // Written tells whether the log itself, not only memory, has a record of the job.
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -13,24 +13,24 @@
 // Bounds of a connection to a peer. A question on a connection that has gone
 // silent fails after lookEvery + doubtAfter + pingWait at the latest.
 const (
-	// lookEvery is how often a connection is looked at.
-	lookEvery = 250 * time.Millisecond
-	// doubtAfter is how long a question may go without any answer on its
+	// checkInterval is how often a connection is looked at.
+	checkInterval = 250 * time.Millisecond
+	// suspectAfter is how long a question may go without any answer on its
 	// connection before the connection is asked for a sign of life.
-	doubtAfter = 250 * time.Millisecond
+	suspectAfter = 250 * time.Millisecond
 	// idleAfter is the same for a connection with no question open: heartbeats
 	// have no answer, and without it they would go unheard for good.
 	idleAfter = time.Second
 	// spareAfter is the same for a further connection, which carries no
 	// heartbeats; it bounds the traffic of pings.
 	spareAfter = 30 * time.Second
-	// pingWait is how long that sign may take.
-	pingWait = time.Second
-	// slowest is the rate in bytes a second at which what was sent before the
+	// pingTimeout is how long that sign may take.
+	pingTimeout = time.Second
+	// minRate is the rate in bytes a second at which what was sent before the
 	// question may still be on its way.
-	slowest = 256 << 10
-	// large is how many bytes sent make that count.
-	large = 16 << 10
+	minRate = 256 << 10
+	// largeWrite is how many bytes sent make that count.
+	largeWrite = 16 << 10
 )
 
 // link is one connection to a peer. It watches over itself: a connection may
@@ -43,9 +43,9 @@
 	ended atomic.Bool
 	// open counts questions without an answer; good is when the last answer
 	// came, in nanoseconds since began.
-	open  atomic.Int64
-	good  atomic.Int64
-	began time.Time
+	open     atomic.Int64
+	lastRead atomic.Int64
+	began    time.Time
 	// idle is how long the link may go without any answer and no question open.
 	idle time.Duration
 	// sent is how many bytes were written since the last sign of life.
@@ -56,7 +56,7 @@
 
 func newLink(raw net.Conn, idle time.Duration, silent *atomic.Int64) *link {
 	l := &link{raw: raw, began: time.Now(), idle: idle, silent: silent}
-	l.rpc = jsonrpc2.NewConn(context.Background(), stream(meter{Conn: raw, link: l}, func(string) {}), jsonrpc2.HandlerWithError(noQuestions), quiet)
+	l.rpc = jsonrpc2.NewConn(context.Background(), stream(meter{Conn: raw, link: l}, func(string) {}), jsonrpc2.HandlerWithError(rejectRequest), discardLog)
 	go l.watch()
 	return l
 }
@@ -71,7 +71,7 @@
 func (m meter) Read(b []byte) (int, error) {
 	n, err := m.Conn.Read(b)
 	if n > 0 {
-		m.link.alive()
+		m.link.recordRead()
 	}
 	return n, err
 }
@@ -81,9 +81,9 @@
 	return m.Conn.Write(b)
 }
 
-func (l *link) alive() {
+func (l *link) recordRead() {
 	l.sent.Store(0)
-	l.good.Store(int64(time.Since(l.began)))
+	l.lastRead.Store(int64(time.Since(l.began)))
 }
 
 // closed tells whether the link has ended. The library fails the questions under way
@@ -128,7 +128,7 @@
 }
 
 func (l *link) watch() {
-	t := time.NewTicker(lookEvery)
+	t := time.NewTicker(checkInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -136,7 +136,7 @@
 			return
 		case <-t.C:
 		}
-		if l.doubtful() && !l.ping() && !l.closed() {
+		if l.isSuspect() && !l.ping() && !l.closed() {
 			l.silent.Add(1)
 			l.close()
 			return
@@ -144,10 +144,10 @@
 	}
 }
 
-func (l *link) doubtful() bool {
-	quiet := time.Since(l.began) - time.Duration(l.good.Load())
+func (l *link) isSuspect() bool {
+	quiet := time.Since(l.began) - time.Duration(l.lastRead.Load())
 	if l.open.Load() > 0 {
-		return quiet > doubtAfter
+		return quiet > suspectAfter
 	}
 	return quiet > l.idle
 }
@@ -161,24 +161,24 @@
 	go func() { good <- answered(l.rpc.Call(ctx, Ping{}.method(), Ping{}, nil)) }()
 	began := time.Now()
 	for {
-		left := l.pingTime() - time.Since(began)
+		left := l.pingLimit() - time.Since(began)
 		if left <= 0 {
 			return false
 		}
 		select {
 		case ok := <-good:
 			return ok
-		case <-time.After(min(left, lookEvery)):
+		case <-time.After(min(left, checkInterval)):
 		}
 	}
 }
 
-// pingTime is how long an answer may take. It grows while a large message is
+// pingLimit is how long an answer may take. It grows while a large message is
 // being written, which the question has to wait for.
-func (l *link) pingTime() time.Duration {
+func (l *link) pingLimit() time.Duration {
 	sent := l.sent.Load()
-	if sent < large {
-		return pingWait
+	if sent < largeWrite {
+		return pingTimeout
 	}
-	return pingWait + time.Duration(sent)*time.Second/slowest
+	return pingTimeout + time.Duration(sent)*time.Second/minRate
 }
--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -50,7 +50,7 @@
 	s := NewServer(answer)
 	p.dial = func(context.Context, netip.AddrPort) (net.Conn, error) {
 		here, there := net.Pipe()
-		go s.talk(ctx, there)
+		go s.serveConn(ctx, there)
 		p.conns = append(p.conns, &dumb{Conn: here})
 		return p.conns[len(p.conns)-1], nil
 	}
@@ -73,7 +73,7 @@
 	return string(reply.Body), err
 }
 
-const silentBound = lookEvery + doubtAfter + pingWait
+const silentBound = checkInterval + suspectAfter + pingTimeout
 
 // A connection between two entry hosts goes dead without a reset, in both
 // directions or in one, under a request. The caller must hear unknown within
@@ -120,7 +120,7 @@
 		synctest.Wait()
 		require.Equal(t, 1, heard)
 		p.conns[0].out.Store(true)
-		time.Sleep(idleAfter + pingWait + 2*lookEvery)
+		time.Sleep(idleAfter + pingTimeout + 2*checkInterval)
 		require.NoError(t, p.Notify(context.Background(), "peer", Leave{}))
 		synctest.Wait()
 		require.Equal(t, 2, heard)
@@ -223,15 +223,15 @@
 		return struct{}{}, nil
 	})
 	done := make(chan error, 100)
-	for i := range busy * (lanes + 1) {
+	for i := range busyRequests * (maxConns + 1) {
 		go func() { done <- p.Ask(context.Background(), "peer", OpenKey{}, nil) }()
 		<-asked
-		require.Len(t, p.conns, min(i/busy+1, lanes))
+		require.Len(t, p.conns, min(i/busyRequests+1, maxConns))
 	}
 	close(letGo)
-	for range busy * (lanes + 1) {
+	for range busyRequests * (maxConns + 1) {
 		require.NoError(t, <-done)
 	}
 	require.NoError(t, p.Ask(context.Background(), "peer", OpenKey{}, nil))
-	require.Len(t, p.conns, lanes)
+	require.Len(t, p.conns, maxConns)
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -54,7 +54,7 @@
 	AnnounceSuccessor{},
 }
 
-var types = func() map[string]reflect.Type {
+var messageTypes = func() map[string]reflect.Type {
 	m := map[string]reflect.Type{}
 	for _, msg := range messages {
 		m[msg.method()] = reflect.TypeOf(msg)
@@ -95,13 +95,13 @@
 
 // Server takes messages from peers until its context ends.
 type Server struct {
-	answer Handler
-	count  func(reason string)
-	wg     sync.WaitGroup
+	handler Handler
+	count   func(reason string)
+	wg      sync.WaitGroup
 }
 
 // NewServer returns a server that answers with a.
-func NewServer(a Handler) *Server { return &Server{answer: a, count: func(string) {}} }
+func NewServer(a Handler) *Server { return &Server{handler: a, count: func(string) {}} }
 
 // OnRejected has every message that is turned away counted with its reason.
 func (s *Server) OnRejected(f func(reason string)) { s.count = f }
@@ -116,13 +116,13 @@
 			s.wg.Wait()
 			return
 		}
-		s.wg.Go(func() { s.talk(ctx, conn) })
+		s.wg.Go(func() { s.serveConn(ctx, conn) })
 	}
 }
 
-func (s *Server) talk(ctx context.Context, conn net.Conn) {
+func (s *Server) serveConn(ctx context.Context, conn net.Conn) {
 	dial.Bound(conn)
-	c := jsonrpc2.NewConn(withSender(ctx, conn), stream(conn, s.count), jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(s.handle)), quiet)
+	c := jsonrpc2.NewConn(withSender(ctx, conn), stream(conn, s.count), jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(s.handle)), discardLog)
 	select {
 	case <-ctx.Done():
 		_ = c.Close()
@@ -130,15 +130,15 @@
 	}
 }
 
-// quiet keeps the library from writing to standard error by itself.
-var quiet = jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
+// discardLog keeps the library from writing to standard error by itself.
+var discardLog = jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
 
 func stream(conn net.Conn, count func(reason string)) jsonrpc2.ObjectStream {
 	return jsonrpc2.NewBufferedStream(conn, boundedCodec{conn: conn, count: count})
 }
 
 func (s *Server) handle(ctx context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
-	typ, ok := types[req.Method]
+	typ, ok := messageTypes[req.Method]
 	if !ok || req.Params == nil {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: req.Method}
 	}
@@ -151,19 +151,19 @@
 	}
 	// The library ends ctx with the connection: what only waits here, in a
 	// queue or for a key, then frees its place.
-	return s.answer(ctx, v.Elem().Interface().(Message))
+	return s.handler(ctx, v.Elem().Interface().(Message))
 }
 
 // Lanes are the connections to one peer. The library holds a lock while it
 // writes a message, so that on a single connection many questions at once wait
 // for each other; a further one is opened when all others are busy.
 const (
-	lanes = 4
-	// busy is how many open questions make a connection busy.
-	busy = 4
+	maxConns = 4
+	// busyRequests is how many open questions make a connection busyRequests.
+	busyRequests = 4
 )
 
-type lane struct {
+type connKey struct {
 	name  string
 	index int
 }
@@ -172,22 +172,22 @@
 type Clients struct {
 	mu    sync.Mutex
 	addrs map[string]netip.AddrPort
-	conns map[lane]*link
+	conns map[connKey]*link
 	// silent counts connections that were given up because they were silent.
-	silent atomic.Int64
-	dial   func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)
-	idle   func(name string) time.Duration
-	lost   func(name string)
+	silent       atomic.Int64
+	dial         func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)
+	idle         func(name string) time.Duration
+	onDisconnect func(name string)
 }
 
 // NewClients returns clients for the peers at these addresses.
 func NewClients(addrs map[string]netip.AddrPort) *Clients {
-	return &Clients{addrs: addrs, conns: map[lane]*link{}, dial: dialTCP, lost: func(string) {}}
+	return &Clients{addrs: addrs, conns: map[connKey]*link{}, dial: dialTCP, onDisconnect: func(string) {}}
 }
 
 // OnDisconnect sets what is told when a connection to a peer has ended, for whatever reason. It
 // must be called before the first message.
-func (c *Clients) OnDisconnect(f func(name string)) { c.lost = f }
+func (c *Clients) OnDisconnect(f func(name string)) { c.onDisconnect = f }
 
 // Reachability is what a new connection to a peer meets.
 type Reachability int
@@ -245,7 +245,7 @@
 // In a large cell a probe a second to everybody costs more than all heartbeats.
 func (c *Clients) SetIdleTime(idle func(name string) time.Duration) { c.idle = idle }
 
-func (c *Clients) idleFor(at lane) time.Duration {
+func (c *Clients) idleFor(at connKey) time.Duration {
 	switch {
 	case at.index > 0:
 		return spareAfter
@@ -294,7 +294,7 @@
 
 func (c *Clients) conn(ctx context.Context, name string) (*link, error) {
 	c.mu.Lock()
-	at := c.pick(name)
+	at := c.pickConn(name)
 	conn, addr := c.conns[at], c.addrs[name]
 	c.mu.Unlock()
 	if conn != nil && !conn.closed() {
@@ -304,17 +304,17 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "dial %s", addr)
 	}
-	return c.keep(at, conn, newLink(raw, c.idleFor(at), &c.silent)), nil
+	return c.storeConn(at, conn, newLink(raw, c.idleFor(at), &c.silent)), nil
 }
 
-// pick is the first lane that is not busy, or the one with the fewest open
+// pickConn is the first lane that is not busy, or the one with the fewest open
 // questions when all are; mu is held.
-func (c *Clients) pick(name string) lane {
-	best, least := lane{name: name}, int64(math.MaxInt64)
-	for i := range lanes {
-		at := lane{name: name, index: i}
+func (c *Clients) pickConn(name string) connKey {
+	best, least := connKey{name: name}, int64(math.MaxInt64)
+	for i := range maxConns {
+		at := connKey{name: name, index: i}
 		conn := c.conns[at]
-		if conn == nil || conn.closed() || conn.open.Load() < busy {
+		if conn == nil || conn.closed() || conn.open.Load() < busyRequests {
 			return at
 		}
 		if n := conn.open.Load(); n < least {
@@ -324,8 +324,8 @@
 	return best
 }
 
-// keep stores a fresh connection unless another one was made meanwhile.
-func (c *Clients) keep(at lane, old, fresh *link) *link {
+// storeConn stores a fresh connection unless another one was made meanwhile.
+func (c *Clients) storeConn(at connKey, old, fresh *link) *link {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if cur := c.conns[at]; cur != nil && cur != old {
@@ -335,12 +335,12 @@
 	c.conns[at] = fresh
 	go func() {
 		<-fresh.rpc.DisconnectNotify()
-		c.lost(at.name)
+		c.onDisconnect(at.name)
 	}()
 	return fresh
 }
 
-func noQuestions(_ context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
+func rejectRequest(_ context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
 	return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: req.Method}
 }
 
--- a/internal/store/race.go
+++ b/internal/store/race.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	// longest is the most that a read is waited for before it is made again on another
+	// maxReadWait is the most that a read is waited for before it is made again on another
 	// connection, however long answers took of late: the operators' table has to be in
 	// force within two seconds, and one second of that is spent waiting for it.
-	longest = 700 * time.Millisecond
-	// besideRead is when the next peer is asked as well while one has not answered a read,
+	maxReadWait = 700 * time.Millisecond
+	// readPeerDelay is when the next peer is asked as well while one has not answered a read,
 	// ten times what a peer on a calm host takes. A write is left to one peer for patience:
 	// it costs the store a turn each time.
-	besideRead = 150 * time.Millisecond
-	// mostPeers is how many peers are asked for one call. While the store is away for all,
+	readPeerDelay = 150 * time.Millisecond
+	// maxPeers is how many peers are asked for one call. While the store is away for all,
 	// each call of each host would otherwise go to every other host.
-	mostPeers = 3
-	// mostTries is how often one read is made on the direct way, with twice the pause each
+	maxPeers = 3
+	// maxTries is how often one read is made on the direct way, with twice the pause each
 	// time: a lead that takes over reads pages that take their time on a busy host.
-	mostTries = 3
+	maxTries = 3
 )
 
 // race makes one call on several ways: first the direct one, then through peers, each a
@@ -33,8 +33,8 @@
 	r       *Routed
 	call    Call
 	results chan result
-	// open is how many tries have no outcome yet, tries how many were direct.
-	open, tries int
+	// pending is how many tries have no outcome yet, tries how many were direct.
+	pending, tries int
 	// peers are those not asked yet.
 	peers []string
 	// failed joins the failures so far.
@@ -47,41 +47,41 @@
 }
 
 func newRace(r *Routed, c Call) *race {
-	return &race{r: r, call: c, results: make(chan result, mostTries+mostPeers), peers: r.peers()}
+	return &race{r: r, call: c, results: make(chan result, maxTries+maxPeers), peers: r.peers()}
 }
 
 // run returns the first answer, or the failure of all ways. What has no answer when the
 // time is over may still be carried out.
 func (w *race) run(ctx context.Context) (Answer, error) {
-	first := w.r.patience(w.call)
-	if !w.direct(ctx) || w.r.isCut(w.call) {
-		w.peer(ctx)
-		first = w.r.beside(w.call)
+	first := w.r.directDelay(w.call)
+	if !w.tryDirect(ctx) || w.r.isCut(w.call) {
+		w.askNextPeer(ctx)
+		first = w.r.peerDelay(w.call)
 	}
 	next := time.NewTimer(first)
 	defer next.Stop()
-	pause := w.r.overdue()
+	pause := w.r.retryDelay()
 	again := time.NewTimer(pause)
 	defer again.Stop()
-	for w.open > 0 {
+	for w.pending > 0 {
 		select {
 		case got := <-w.results:
-			w.open--
+			w.pending--
 			if !IsUnavailable(got.err) {
 				return got.answer, got.err
 			}
 			w.failed = CombineErrors(w.failed, got.err)
-			w.peer(ctx)
-			next.Reset(w.r.beside(w.call))
+			w.askNextPeer(ctx)
+			next.Reset(w.r.peerDelay(w.call))
 		case <-next.C:
 			if w.tries > 0 {
-				w.r.doubt(w.call)
+				w.r.markSilent(w.call)
 			}
-			w.peer(ctx)
-			next.Reset(w.r.beside(w.call))
+			w.askNextPeer(ctx)
+			next.Reset(w.r.peerDelay(w.call))
 		case <-again.C:
-			if w.call.Op.reads() {
-				w.direct(ctx)
+			if w.call.Op.isRead() {
+				w.tryDirect(ctx)
 			}
 			pause *= 2
 			again.Reset(pause)
@@ -95,34 +95,34 @@
 	return Answer{}, w.failed
 }
 
-// direct tries the direct way; false if the store has just refused there.
-func (w *race) direct(ctx context.Context) bool {
-	if w.tries == mostTries || w.r.isClosed(w.call) {
+// tryDirect tries the tryDirect way; false if the store has just refused there.
+func (w *race) tryDirect(ctx context.Context) bool {
+	if w.tries == maxTries || w.r.isClosed(w.call) {
 		return false
 	}
 	w.tries++
-	w.open++
+	w.pending++
 	go func() {
 		// It goes on when a peer was faster: how long it takes tells whether the
 		// way is silent or slow.
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), most)
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 		defer cancel()
-		a, err := w.r.try(ctx, w.call)
+		a, err := w.r.callDirect(ctx, w.call)
 		w.results <- result{a, err}
 	}()
 	return true
 }
 
-// peer asks the next peer, if there is one.
-func (w *race) peer(ctx context.Context) {
+// askNextPeer asks the next askNextPeer, if there is one.
+func (w *race) askNextPeer(ctx context.Context) {
 	if len(w.peers) == 0 {
 		return
 	}
 	p := w.peers[0]
 	w.peers = w.peers[1:]
-	w.open++
+	w.pending++
 	go func() {
-		a, err := w.r.ask(ctx, p, w.call)
+		a, err := w.r.callPeer(ctx, p, w.call)
 		w.results <- result{a, err}
 	}()
 }
