--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -115,11 +115,11 @@
 // RunStatus is one run that a worker lists. For a task that serves requests, Metric is the tail of
 // its response times in milliseconds, otherwise the number of processors in use.
 type RunStatus struct {
-	Task    flow.Name
-	Run     int
-	Saved   string
-	Percent int
-	Metric  int64
+	Task       flow.Name
+	Run        int
+	Checkpoint string
+	Percent    int
+	Metric     int64
 }
 
 // RunEnd is one run that ended on a worker. Number increases within each incarnation.
--- a/internal/sched/runs.go
+++ b/internal/sched/runs.go
@@ -18,8 +18,8 @@
 	if t.State == flow.Starting || t.State == flow.Inherited {
 		s.confirm(t)
 	}
-	if l.Saved != "" {
-		t.Checkpoint = l.Saved
+	if l.Checkpoint != "" {
+		t.Checkpoint = l.Checkpoint
 	}
 	if t.State == flow.Running && t.Job.State.Final() {
 		s.stopRun(t, "job is over")
