--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -124,11 +124,11 @@
 
 // RunEnd is one run that ended on a worker. Number increases within each incarnation.
 type RunEnd struct {
-	Number int64
-	Task   flow.Name
-	Run    int
-	How    Ending
-	Saved  string
+	Number     int64
+	Task       flow.Name
+	Run        int
+	How        Ending
+	Checkpoint string
 }
 
 // StartReply is the result of a Start.
--- a/internal/sched/runs.go
+++ b/internal/sched/runs.go
@@ -71,8 +71,8 @@
 		s.copyEnded(w, e)
 		return
 	}
-	if e.Saved != "" {
-		t.Checkpoint = e.Saved
+	if e.Checkpoint != "" {
+		t.Checkpoint = e.Checkpoint
 	}
 	switch {
 	case e.How == EndDone:
