--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -209,14 +209,14 @@
 
 // Start asks a worker to start a run. The worker ignores it after Deadline, by the worker's clock.
 type Start struct {
-	To       Address
-	Term     int64
-	Task     flow.Name
-	Run      int
-	Text     string
-	Saved    string
-	Ticket   string
-	Deadline time.Time
+	To         Address
+	Term       int64
+	Task       flow.Name
+	Run        int
+	Text       string
+	Checkpoint string
+	Ticket     string
+	Deadline   time.Time
 }
 
 // Stop asks a worker to stop a run, or never to begin it if it has not begun.
--- a/internal/sched/start.go
+++ b/internal/sched/start.go
@@ -50,7 +50,7 @@
 	deadline := w.clockAt(s.now).Add(startTimeout)
 	w.extendDeadline(deadline)
 	s.emit(Start{
-		To: w.Address, Term: s.term, Task: t.Name, Run: t.Run, Text: t.Job.Spec.Text, Saved: t.Checkpoint, Ticket: ticket, Deadline: deadline,
+		To: w.Address, Term: s.term, Task: t.Name, Run: t.Run, Text: t.Job.Spec.Text, Checkpoint: t.Checkpoint, Ticket: ticket, Deadline: deadline,
 	})
 	s.ensureHold(w)
 }
