--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -302,7 +302,7 @@
 	b.advance(500 * time.Millisecond)
 	b.workers["w00"].fence = 9
 	b.advance(2 * time.Second)
-	require.True(t, b.deposed)
+	require.True(t, b.steppedDown)
 }
 
 // A leader takes over a job that has ended, whose steps are no longer stored, and a worker still
--- a/internal/sched/simcell_test.go
+++ b/internal/sched/simcell_test.go
@@ -44,10 +44,10 @@
 	copies bool
 	allows func(step, worker string) bool
 	// queryTime is how long the policy service takes for a query; nil is 30 ms.
-	queryTime func(sched.QueryPolicy) time.Duration
-	queries   []sched.QueryPolicy
-	paces     []sched.Pace
-	deposed   bool
+	queryTime   func(sched.QueryPolicy) time.Duration
+	queries     []sched.QueryPolicy
+	paces       []sched.Pace
+	steppedDown bool
 	// stepWaits, jobStarts and longWaits are the waiting times that the core reported.
 	stepWaits []sched.StepWaited
 	jobStarts []sched.JobStarted
@@ -239,7 +239,7 @@
 		}
 		b.after(took, func() { b.answerQuery(term, a) })
 	case sched.StepDown:
-		b.deposed = true
+		b.steppedDown = true
 	case sched.StepWaited:
 		b.stepWaits = append(b.stepWaits, a)
 	case sched.JobStarted:
