--- a/internal/sched/deadline.go
+++ b/internal/sched/deadline.go
@@ -45,7 +45,7 @@
 		return onTime
 	}
 	objective := j.Objective(q)
-	waited := s.waitedSince(j, r)
+	waited := s.waitTime(j, r)
 	ends := waited + j.RemainingTime(st)
 	switch {
 	case objective <= 0, ends <= objective:
@@ -59,8 +59,8 @@
 	}
 }
 
-// waitedSince returns the time since the job was accepted, or since its round was due.
-func (s *Sched) waitedSince(j *flow.Job, r *flow.Round) time.Duration {
+// waitTime returns the time since the job was accepted, or since its round was due.
+func (s *Sched) waitTime(j *flow.Job, r *flow.Round) time.Duration {
 	if r.Due.IsZero() {
 		return s.now.Sub(j.Accepted)
 	}
