--- a/internal/sched/health.go
+++ b/internal/sched/health.go
@@ -21,7 +21,7 @@
 
 // health tracks the recent failures of runs on a worker.
 type health struct {
-	fails            int
+	failures         int
 	lastJob          string
 	quarantine       time.Duration
 	quarantinedUntil time.Time
@@ -40,10 +40,10 @@
 
 func (h *health) fail(job string, now time.Time) bool {
 	if h.lastJob != job {
-		h.fails++
+		h.failures++
 	}
 	h.lastJob = job
-	if h.fails < maxFailures {
+	if h.failures < maxFailures {
 		return false
 	}
 	h.quarantine = min(max(2*h.quarantine, minQuarantine), maxQuarantine)
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -287,7 +287,7 @@
 	if w.speed < slowSpeed {
 		c += slowCost * (1 - w.speed)
 	}
-	return c + suspectCost*float64(w.health.fails)
+	return c + suspectCost*float64(w.health.failures)
 }
 
 // runsTaskOf reports whether a task of the job is on the worker.
