--- a/internal/sched/simcell_test.go
+++ b/internal/sched/simcell_test.go
@@ -105,12 +105,12 @@
 	return b
 }
 
-func (b *simCell) addWorker(life string, i int) *fakeWorker {
+func (b *simCell) addWorker(incarnation string, i int) *fakeWorker {
 	w := &fakeWorker{b: b, slowdown: 1, runs: map[flow.Name]*fakeRun{}, tombstones: map[flow.Name]int{}, info: sched.Worker{
-		Address: sched.Address{Incarnation: life, Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 80)},
+		Address: sched.Address{Incarnation: incarnation, Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 80)},
 		Service: "pass", Domain: fmt.Sprintf("d%d", i%3), Rack: fmt.Sprintf("r%d", i%3), Size: cell.Size{CPU: 64_000, Mem: 256 << 30},
 	}}
-	b.workers[life] = w
+	b.workers[incarnation] = w
 	return w
 }
 
