--- a/internal/sched/simcell_test.go
+++ b/internal/sched/simcell_test.go
@@ -35,13 +35,13 @@
 	// storedCancels are the cancellations in the store, cancelledAt is when each arrived.
 	storedCancels []string
 	cancelledAt   map[string]time.Time
-	// storeDown leaves appends unanswered. allows reports which workers may run a step; nil allows
-	// all.
+	// storeDown leaves appends unanswered.
 	storeDown bool
 	// storeTime is how long the store takes for an append; nil is 3 ms.
 	storeTime func() time.Duration
 	// copies means that several runs of one task may exist at the same time.
 	copies bool
+	// allows reports which workers may run a step; nil allows all.
 	allows func(step, worker string) bool
 	// queryTime is how long the policy service takes for a query; nil is 30 ms.
 	queryTime   func(sched.QueryPolicy) time.Duration
