--- a/internal/ledger/await.go
+++ b/internal/ledger/await.go
@@ -90,5 +90,5 @@
 	if sign.At.After(last) {
 		last = sign.At
 	}
-	return sign.Incarnation > e.inc || now.Sub(last) > silentAfter
+	return sign.Incarnation > e.inc || now.Sub(last) > hostTimeout
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -32,10 +32,10 @@
 	Retention: 10 * time.Minute, RepeatWindow: 30 * time.Second, MaxSkew: time.Second, MaxKeys: 100_000, MaxBytes: 32 << 20,
 }
 
-// silentAfter is how long an entry host may give no sign of life before its
+// hostTimeout is how long an entry host may give no sign of life before its
 // running tries count as lost. A wrong guess tells a repeat unknown, which is
 // never false; the answer still replaces it when it comes after all.
-const silentAfter = 1500 * time.Millisecond
+const hostTimeout = 1500 * time.Millisecond
 
 // closeGrace is how long after a try's deadline its end may still arrive.
 const closeGrace = time.Second
