--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -40,11 +40,11 @@
 // closeGrace is how long after a try's deadline its end may still arrive.
 const closeGrace = time.Second
 
-// inline is the largest answer, in bytes, that comes with a verdict. A question
+// maxInlineAnswer is the largest answer, in bytes, that comes with a verdict. A question
 // to a home is bounded tightly, and a large answer would take longer than a
 // silent home is waited for. Such a key counts as running: the wait for its end
 // is over at once and has all the time that the caller has.
-const inline = 16 << 10
+const maxInlineAnswer = 16 << 10
 
 type entry struct {
 	key     string
@@ -136,7 +136,7 @@
 	case ev.Try != "" && ev.Try == e.try && e.answer == nil:
 		// A home may belong to two groups of the same try.
 		return Verdict{Key: ev.Key, State: Fresh}
-	case e.answer != nil && e.answer.size() > inline:
+	case e.answer != nil && e.answer.size() > maxInlineAnswer:
 		return Verdict{Key: ev.Key, State: Running}
 	default:
 		return e.state()
