--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -57,8 +57,8 @@
 	answer  *Answer
 	lost    bool
 	waiters []string
-	// age and stored are the places in the orders of opening and of answers.
-	age, stored *list.Element
+	// openedElem and stored are the places in the orders of opening and of answers.
+	openedElem, stored *list.Element
 }
 
 type waiter struct {
@@ -174,7 +174,7 @@
 		l.evict()
 	}
 	e := &entry{key: key, digest: digest, opened: now}
-	e.age = l.opened.PushBack(e)
+	e.openedElem = l.opened.PushBack(e)
 	l.keys[key] = e
 	return e
 }
@@ -191,7 +191,7 @@
 
 func (l *Ledger) remove(e *entry) {
 	l.rest(e)
-	l.opened.Remove(e.age)
+	l.opened.Remove(e.openedElem)
 	l.discard(e)
 	delete(l.keys, e.key)
 }
