--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -57,8 +57,8 @@
 	answer  *Answer
 	lost    bool
 	waiters []string
-	// openedElem and stored are the places in the orders of opening and of answers.
-	openedElem, stored *list.Element
+	// openedElem and answerElem are the places in the orders of opening and of answers.
+	openedElem, answerElem *list.Element
 }
 
 type waiter struct {
@@ -237,7 +237,7 @@
 	l.rest(e)
 	l.discard(e)
 	e.answer = &a
-	e.stored = l.answers.PushBack(e)
+	e.answerElem = l.answers.PushBack(e)
 	l.bytes += a.size()
 	for l.bytes > l.limits.MaxBytes && l.answers.Len() > 0 {
 		old := l.answers.Front().Value.(*entry)
@@ -247,12 +247,12 @@
 }
 
 func (l *Ledger) discard(e *entry) {
-	if e.stored == nil {
+	if e.answerElem == nil {
 		return
 	}
 	l.bytes -= e.answer.size()
-	l.answers.Remove(e.stored)
-	e.stored = nil
+	l.answers.Remove(e.answerElem)
+	e.answerElem = nil
 }
 
 // Len returns how many keys are kept.
