--- a/internal/ledger/await.go
+++ b/internal/ledger/await.go
@@ -80,7 +80,7 @@
 // over tells whether the entry host of a running try is gone or overdue. The
 // question itself was a sign of life, also of a host not heard of before.
 func (e *entry) over(now time.Time, sign Heartbeat) bool {
-	if !e.until.IsZero() && now.After(e.until) {
+	if !e.overdueAt.IsZero() && now.After(e.overdueAt) {
 		return true
 	}
 	if e.host == "" {
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -47,16 +47,16 @@
 const maxInlineAnswer = 16 << 10
 
 type entry struct {
-	key     string
-	digest  uint64
-	try     string
-	host    string
-	inc     int64
-	opened  time.Time
-	until   time.Time
-	answer  *Answer
-	lost    bool
-	waiters []string
+	key       string
+	digest    uint64
+	try       string
+	host      string
+	inc       int64
+	opened    time.Time
+	overdueAt time.Time
+	answer    *Answer
+	lost      bool
+	waiters   []string
 	// openedElem and answerElem are the places in the orders of opening and of answers.
 	openedElem, answerElem *list.Element
 }
@@ -123,7 +123,7 @@
 	e := l.add(now, ev.Key, ev.Digest)
 	e.try, e.host, e.inc = ev.Try, ev.Host, ev.Incarnation
 	if ev.Remaining.Duration > 0 {
-		e.until = now.Add(ev.Remaining.Duration + closeGrace)
+		e.overdueAt = now.Add(ev.Remaining.Duration + closeGrace)
 	}
 	l.run(e)
 	return Verdict{Key: ev.Key, State: Fresh}
