--- a/internal/ledger/await.go
+++ b/internal/ledger/await.go
@@ -64,7 +64,7 @@
 func (l *Ledger) lose(now time.Time) []Action {
 	var woken []Action
 	for host, tries := range l.running {
-		sign := l.signs[host]
+		sign := l.heartbeats[host]
 		for _, e := range tries {
 			if !e.over(now, sign) {
 				continue
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -76,16 +76,16 @@
 	bytes   int64
 	// running holds the open tries by entry host, so that a host's death costs
 	// as much as it has tries open.
-	running map[string]map[string]*entry
-	waiters map[string]waiter
-	signs   map[string]Heartbeat
+	running    map[string]map[string]*entry
+	waiters    map[string]waiter
+	heartbeats map[string]Heartbeat
 }
 
 // New returns an empty ledger that remembers from since on.
 func New(limits Limits, since time.Time) *Ledger {
 	return &Ledger{
 		limits: limits, since: since, keys: map[string]*entry{}, opened: list.New(), answers: list.New(),
-		running: map[string]map[string]*entry{}, waiters: map[string]waiter{}, signs: map[string]Heartbeat{},
+		running: map[string]map[string]*entry{}, waiters: map[string]waiter{}, heartbeats: map[string]Heartbeat{},
 	}
 }
 
@@ -102,7 +102,7 @@
 	case CancelAwait:
 		l.drop(ev.ID)
 	case HostHeartbeats:
-		l.signs = ev.Heartbeats
+		l.heartbeats = ev.Heartbeats
 	case Tick:
 		return l.tick(now)
 	}
