--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -117,7 +117,7 @@
 	if timed && made.After(now.Add(l.limits.MaxSkew)) {
 		return Verdict{Key: ev.Key, State: FutureKey}
 	}
-	if !l.vouches(now, ev, made) {
+	if !l.canConfirm(now, ev, made) {
 		return Verdict{Key: ev.Key, State: Unconfirmed}
 	}
 	e := l.add(now, ev.Key, ev.Digest)
@@ -154,7 +154,7 @@
 	}
 }
 
-// vouches tells whether this home would know the key had it been used. A home
+// canConfirm tells whether this home would know the key had it been used. A home
 // that started after the key's first try may have lost it with its
 // predecessor's memory, or forgotten it to stay within its limits; taking it
 // as fresh would run the request twice. A key's own time proves that it is
@@ -162,7 +162,7 @@
 // of its clock, and clocks of homes differ by Skew at most. Else only the
 // balancer's repeats of a first try are to be feared, and they come within the
 // repeat window.
-func (l *Ledger) vouches(now time.Time, ev Open, made time.Time) bool {
+func (l *Ledger) canConfirm(now time.Time, ev Open, made time.Time) bool {
 	if made.After(l.since.Add(2 * l.limits.MaxSkew)) {
 		return true
 	}
