--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -125,7 +125,7 @@
 	if ev.Remaining.Duration > 0 {
 		e.overdueAt = now.Add(ev.Remaining.Duration + closeGrace)
 	}
-	l.run(e)
+	l.addRunning(e)
 	return Verdict{Key: ev.Key, State: Fresh}
 }
 
@@ -196,7 +196,7 @@
 	delete(l.keys, e.key)
 }
 
-func (l *Ledger) run(e *entry) {
+func (l *Ledger) addRunning(e *entry) {
 	if l.running[e.host] == nil {
 		l.running[e.host] = map[string]*entry{}
 	}
