--- a/internal/ledger/await.go
+++ b/internal/ledger/await.go
@@ -70,7 +70,7 @@
 				continue
 			}
 			e.lost = true
-			l.rest(e)
+			l.removeRunning(e)
 			woken = append(woken, l.wake(e, e.state())...)
 		}
 	}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -190,7 +190,7 @@
 }
 
 func (l *Ledger) remove(e *entry) {
-	l.rest(e)
+	l.removeRunning(e)
 	l.opened.Remove(e.openedElem)
 	l.discard(e)
 	delete(l.keys, e.key)
@@ -203,7 +203,7 @@
 	l.running[e.host][e.key] = e
 }
 
-func (l *Ledger) rest(e *entry) {
+func (l *Ledger) removeRunning(e *entry) {
 	delete(l.running[e.host], e.key)
 	if len(l.running[e.host]) == 0 {
 		delete(l.running, e.host)
@@ -234,7 +234,7 @@
 // store keeps an answer; the oldest ones make room. What is left of such an
 // answer is that the request ran, so its repeat is told unknown.
 func (l *Ledger) store(e *entry, a Answer) {
-	l.rest(e)
+	l.removeRunning(e)
 	l.discard(e)
 	e.answer = &a
 	e.answerElem = l.answers.PushBack(e)
