--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -227,13 +227,13 @@
 	if e.answer != nil && (e.answer.Outcome == cell.Done || ev.Answer.Outcome != cell.Done) {
 		return nil
 	}
-	l.store(e, ev.Answer)
+	l.storeAnswer(e, ev.Answer)
 	return l.wake(e, e.state())
 }
 
-// store keeps an answer; the oldest ones make room. What is left of such an
+// storeAnswer keeps an answer; the oldest ones make room. What is left of such an
 // answer is that the request ran, so its repeat is told unknown.
-func (l *Ledger) store(e *entry, a Answer) {
+func (l *Ledger) storeAnswer(e *entry, a Answer) {
 	l.removeRunning(e)
 	l.discard(e)
 	e.answer = &a
