--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -192,7 +192,7 @@
 func (l *Ledger) remove(e *entry) {
 	l.removeRunning(e)
 	l.opened.Remove(e.openedElem)
-	l.discard(e)
+	l.dropAnswer(e)
 	delete(l.keys, e.key)
 }
 
@@ -235,18 +235,18 @@
 // answer is that the request ran, so its repeat is told unknown.
 func (l *Ledger) storeAnswer(e *entry, a Answer) {
 	l.removeRunning(e)
-	l.discard(e)
+	l.dropAnswer(e)
 	e.answer = &a
 	e.answerElem = l.answers.PushBack(e)
 	l.bytes += a.size()
 	for l.bytes > l.limits.MaxBytes && l.answers.Len() > 0 {
 		old := l.answers.Front().Value.(*entry)
-		l.discard(old)
+		l.dropAnswer(old)
 		old.answer = &Answer{Outcome: cell.Unknown, Reason: "the answer is no longer kept"}
 	}
 }
 
-func (l *Ledger) discard(e *entry) {
+func (l *Ledger) dropAnswer(e *entry) {
 	if e.answerElem == nil {
 		return
 	}
