--- a/internal/ledger/await.go
+++ b/internal/ledger/await.go
@@ -19,7 +19,7 @@
 	return nil
 }
 
-func (l *Ledger) drop(id string) {
+func (l *Ledger) removeWaiter(id string) {
 	w, ok := l.waiters[id]
 	if !ok {
 		return
@@ -44,7 +44,7 @@
 	woken := l.lose(now)
 	for id, w := range l.waiters {
 		if !w.until.After(now) {
-			l.drop(id)
+			l.removeWaiter(id)
 			woken = append(woken, Woken{ID: id, Verdict: Verdict{Key: w.key, State: Running}})
 		}
 	}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -100,7 +100,7 @@
 	case Await:
 		return l.await(ev)
 	case CancelAwait:
-		l.drop(ev.ID)
+		l.removeWaiter(ev.ID)
 	case HostHeartbeats:
 		l.heartbeats = ev.Heartbeats
 	case Tick:
