--- a/internal/ledger/await.go
+++ b/internal/ledger/await.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func (l *Ledger) wake(e *entry, v Verdict) []Action {
+func (l *Ledger) notifyWaiters(e *entry, v Verdict) []Action {
 	var woken []Action
 	for _, id := range e.waiters {
 		delete(l.waiters, id)
@@ -53,7 +53,7 @@
 		if now.Sub(e.opened) <= l.limits.Retention {
 			break
 		}
-		woken = append(woken, l.wake(e, Verdict{Key: e.key, State: Lost})...)
+		woken = append(woken, l.notifyWaiters(e, Verdict{Key: e.key, State: Lost})...)
 		l.evict()
 	}
 	return woken
@@ -71,7 +71,7 @@
 			}
 			e.lost = true
 			l.removeRunning(e)
-			woken = append(woken, l.wake(e, e.state())...)
+			woken = append(woken, l.notifyWaiters(e, e.state())...)
 		}
 	}
 	return woken
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -217,7 +217,7 @@
 			return nil
 		}
 		// It provably did not run, so the next try is a fresh one.
-		woken := l.wake(e, Verdict{Key: e.key, State: Released})
+		woken := l.notifyWaiters(e, Verdict{Key: e.key, State: Released})
 		l.remove(e)
 		return woken
 	}
@@ -228,7 +228,7 @@
 		return nil
 	}
 	l.storeAnswer(e, ev.Answer)
-	return l.wake(e, e.state())
+	return l.notifyWaiters(e, e.state())
 }
 
 // storeAnswer keeps an answer; the oldest ones make room. What is left of such an
