--- a/internal/ledger/await.go
+++ b/internal/ledger/await.go
@@ -41,7 +41,7 @@
 }
 
 func (l *Ledger) tick(now time.Time) []Action {
-	woken := l.lose(now)
+	woken := l.markLostTries(now)
 	for id, w := range l.waiters {
 		if !w.until.After(now) {
 			l.removeWaiter(id)
@@ -59,9 +59,9 @@
 	return woken
 }
 
-// lose gives up the running tries of entry hosts that are gone. Without it a
+// markLostTries gives up the running tries of entry hosts that are gone. Without it a
 // repeat would wait until its deadline for an end that nobody will tell.
-func (l *Ledger) lose(now time.Time) []Action {
+func (l *Ledger) markLostTries(now time.Time) []Action {
 	var woken []Action
 	for host, tries := range l.running {
 		sign := l.heartbeats[host]
