--- a/internal/ledger/await.go
+++ b/internal/ledger/await.go
@@ -66,7 +66,7 @@
 	for host, tries := range l.running {
 		sign := l.heartbeats[host]
 		for _, e := range tries {
-			if !e.over(now, sign) {
+			if !e.isLost(now, sign) {
 				continue
 			}
 			e.lost = true
@@ -77,9 +77,9 @@
 	return woken
 }
 
-// over tells whether the entry host of a running try is gone or overdue. The
+// isLost tells whether the entry host of a running try is gone or overdue. The
 // question itself was a sign of life, also of a host not heard of before.
-func (e *entry) over(now time.Time, sign Heartbeat) bool {
+func (e *entry) isLost(now time.Time, sign Heartbeat) bool {
 	if !e.overdueAt.IsZero() && now.After(e.overdueAt) {
 		return true
 	}
