--- a/internal/ledger/plan.go
+++ b/internal/ledger/plan.go
@@ -91,9 +91,9 @@
 }
 
 func (p Plan) group(key, domain string, live func(string) bool) Group {
-	homes := weigh(top(key, p.domains[domain], groupSize), ownWeight)
+	homes := withWeight(top(key, p.domains[domain], groupSize), ownWeight)
 	if len(homes) == groupSize-1 {
-		homes = append(homes, weigh(top(key, p.elsewhere(domain), witnesses), witnessWeight)...)
+		homes = append(homes, withWeight(top(key, p.elsewhere(domain), witnesses), witnessWeight)...)
 	}
 	g := Group{Domain: domain, Homes: homes, RequiredWeight: sum(homes)/2 + 1, Digest: digest(homes)}
 	slices.SortStableFunc(homes, func(a, b Home) int {
@@ -102,7 +102,7 @@
 	return g
 }
 
-func weigh(names []string, weight int) []Home {
+func withWeight(names []string, weight int) []Home {
 	homes := make([]Home, len(names))
 	for i, name := range names {
 		homes[i] = Home{Name: name, Weight: weight}
