--- a/internal/ledger/plan.go
+++ b/internal/ledger/plan.go
@@ -95,7 +95,7 @@
 	if len(homes) == groupSize-1 {
 		homes = append(homes, withWeight(top(key, p.elsewhere(domain), witnesses), witnessWeight)...)
 	}
-	g := Group{Domain: domain, Homes: homes, RequiredWeight: sum(homes)/2 + 1, Digest: digest(homes)}
+	g := Group{Domain: domain, Homes: homes, RequiredWeight: totalWeight(homes)/2 + 1, Digest: digest(homes)}
 	slices.SortStableFunc(homes, func(a, b Home) int {
 		return cmp.Or(rank(live(a.Name))-rank(live(b.Name)), b.Weight-a.Weight)
 	})
@@ -110,7 +110,7 @@
 	return homes
 }
 
-func sum(homes []Home) int {
+func totalWeight(homes []Home) int {
 	n := 0
 	for _, h := range homes {
 		n += h.Weight
--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -124,7 +124,7 @@
 		}
 		g = r.groups[r.group]
 	}
-	if r.fresh+sum(g.Homes[r.home:]) < g.RequiredWeight {
+	if r.fresh+totalWeight(g.Homes[r.home:]) < g.RequiredWeight {
 		return r.stop(unsure(http.StatusServiceUnavailable, "too few homes in "+g.Domain+" vouch for the key"))
 	}
 	home := g.Homes[r.home].Name
