--- a/internal/ledger/plan.go
+++ b/internal/ledger/plan.go
@@ -97,7 +97,7 @@
 	}
 	g := Group{Domain: domain, Homes: homes, RequiredWeight: totalWeight(homes)/2 + 1, Digest: digest(homes)}
 	slices.SortStableFunc(homes, func(a, b Home) int {
-		return cmp.Or(rank(live(a.Name))-rank(live(b.Name)), b.Weight-a.Weight)
+		return cmp.Or(liveRank(live(a.Name))-liveRank(live(b.Name)), b.Weight-a.Weight)
 	})
 	return g
 }
@@ -118,7 +118,7 @@
 	return n
 }
 
-func rank(live bool) int {
+func liveRank(live bool) int {
 	if live {
 		return 0
 	}
