--- a/internal/ledger/plan.go
+++ b/internal/ledger/plan.go
@@ -91,9 +91,9 @@
 }
 
 func (p Plan) group(key, domain string, live func(string) bool) Group {
-	homes := withWeight(top(key, p.domains[domain], groupSize), ownWeight)
+	homes := withWeight(topRanked(key, p.domains[domain], groupSize), ownWeight)
 	if len(homes) == groupSize-1 {
-		homes = append(homes, withWeight(top(key, p.elsewhere(domain), witnesses), witnessWeight)...)
+		homes = append(homes, withWeight(topRanked(key, p.elsewhere(domain), witnesses), witnessWeight)...)
 	}
 	g := Group{Domain: domain, Homes: homes, RequiredWeight: totalWeight(homes)/2 + 1, Digest: digest(homes)}
 	slices.SortStableFunc(homes, func(a, b Home) int {
@@ -141,7 +141,7 @@
 	return p.group(ev.Key, ev.Domain, func(string) bool { return true }).Digest == ev.Group
 }
 
-func top(key string, names []string, n int) []string {
+func topRanked(key string, names []string, n int) []string {
 	rest := slices.Clone(names)
 	var best []string
 	for len(best) < n && len(rest) > 0 {
