--- a/internal/ledger/plan.go
+++ b/internal/ledger/plan.go
@@ -75,13 +75,13 @@
 		return []Group{p.group(key, p.self.Domain, live)}
 	}
 	var all []Group
-	for _, domain := range p.names() {
+	for _, domain := range p.domainNames() {
 		all = append(all, p.group(key, domain, live))
 	}
 	return all
 }
 
-func (p Plan) names() []string {
+func (p Plan) domainNames() []string {
 	var all []string
 	for domain := range p.domains {
 		all = append(all, domain)
@@ -127,7 +127,7 @@
 
 func (p Plan) elsewhere(domain string) []string {
 	var all []string
-	for _, name := range p.names() {
+	for _, name := range p.domainNames() {
 		if name != domain {
 			all = append(all, p.domains[name]...)
 		}
