--- a/internal/ledger/plan.go
+++ b/internal/ledger/plan.go
@@ -93,7 +93,7 @@
 func (p Plan) group(key, domain string, live func(string) bool) Group {
 	homes := withWeight(topRanked(key, p.domains[domain], groupSize), ownWeight)
 	if len(homes) == groupSize-1 {
-		homes = append(homes, withWeight(topRanked(key, p.elsewhere(domain), witnesses), witnessWeight)...)
+		homes = append(homes, withWeight(topRanked(key, p.hostsOutside(domain), witnesses), witnessWeight)...)
 	}
 	g := Group{Domain: domain, Homes: homes, RequiredWeight: totalWeight(homes)/2 + 1, Digest: digest(homes)}
 	slices.SortStableFunc(homes, func(a, b Home) int {
@@ -125,7 +125,7 @@
 	return 1
 }
 
-func (p Plan) elsewhere(domain string) []string {
+func (p Plan) hostsOutside(domain string) []string {
 	var all []string
 	for _, name := range p.domainNames() {
 		if name != domain {
