--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -83,7 +83,7 @@
 	// asked are the homes that may hold the key for this round.
 	asked []string
 	sent  bool
-	over  bool
+	done  bool
 }
 
 // NewTry returns the core of one try. Open's fields Domain and Group are
@@ -92,7 +92,7 @@
 
 // Step takes one event. After a Tell nothing more happens.
 func (r *Try) Step(ev TryEvent) []TryAction {
-	if r.over {
+	if r.done {
 		return nil
 	}
 	switch ev := ev.(type) {
@@ -198,7 +198,7 @@
 	if r.sent {
 		return nil
 	}
-	r.over = true
+	r.done = true
 	return append(r.giveBack(), Reply{Answer: a})
 }
 
@@ -206,7 +206,7 @@
 	if !r.sent {
 		return nil
 	}
-	r.over = true
+	r.done = true
 	r.asked = slices.Compact(slices.Sorted(slices.Values(r.asked)))
 	return append(r.keep(a), Reply{Answer: a})
 }
