--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -80,10 +80,10 @@
 	// group and home are the next to be asked, fresh is the weight of the homes
 	// of the group that hold the key.
 	group, home, fresh int
-	// asked are the homes that may hold the key for this round.
-	asked []string
-	sent  bool
-	done  bool
+	// mayHold are the homes that may hold the key for this round.
+	mayHold []string
+	sent    bool
+	done    bool
 }
 
 // NewTry returns the core of one try. Open's fields Domain and Group are
@@ -129,14 +129,14 @@
 	}
 	home := g.Homes[r.home].Name
 	r.home++
-	r.asked = append(r.asked, home)
+	r.mayHold = append(r.mayHold, home)
 	open := r.open
 	open.Try, open.Domain, open.Group = r.try(), g.Domain, g.Digest
 	return []TryAction{AskHome{Home: home, Open: open}}
 }
 
 func (r *Try) silent() []TryAction {
-	if len(r.asked) == 0 {
+	if len(r.mayHold) == 0 {
 		// The home that was waited for has gone; the others may know the end.
 		return r.again()
 	}
@@ -153,7 +153,7 @@
 	case Released:
 		return r.again()
 	case Running:
-		if len(r.asked) == 0 {
+		if len(r.mayHold) == 0 {
 			return r.stop(unsure(http.StatusConflict, "an earlier try still runs"))
 		}
 		return append(r.giveBack(), AwaitHome{Home: ev.Home, Key: r.open.Key})
@@ -186,10 +186,10 @@
 
 func (r *Try) keep(a Answer) []TryAction {
 	var all []TryAction
-	for _, home := range r.asked {
+	for _, home := range r.mayHold {
 		all = append(all, RecordEnd{Home: home, Close: Close{Key: r.open.Key, Digest: r.open.Digest, Try: r.try(), Answer: a}})
 	}
-	r.asked = nil
+	r.mayHold = nil
 	return all
 }
 
@@ -207,7 +207,7 @@
 		return nil
 	}
 	r.done = true
-	r.asked = slices.Compact(slices.Sorted(slices.Values(r.asked)))
+	r.mayHold = slices.Compact(slices.Sorted(slices.Values(r.mayHold)))
 	return append(r.keep(a), Reply{Answer: a})
 }
 
