--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -77,9 +77,9 @@
 	open   Open
 	groups []Group
 	round  int
-	// group and home are the next to be asked, fresh is the weight of the homes
+	// group and home are the next to be asked, heldWeight is the weight of the homes
 	// of the group that hold the key.
-	group, home, fresh int
+	group, home, heldWeight int
 	// mayHold are the homes that may hold the key for this round.
 	mayHold []string
 	sent    bool
@@ -116,15 +116,15 @@
 
 func (r *Try) next() []TryAction {
 	g := r.groups[r.group]
-	if r.fresh >= g.RequiredWeight {
-		r.group, r.home, r.fresh = r.group+1, 0, 0
+	if r.heldWeight >= g.RequiredWeight {
+		r.group, r.home, r.heldWeight = r.group+1, 0, 0
 		if r.group == len(r.groups) {
 			r.sent = true
 			return []TryAction{Send{}}
 		}
 		g = r.groups[r.group]
 	}
-	if r.fresh+totalWeight(g.Homes[r.home:]) < g.RequiredWeight {
+	if r.heldWeight+totalWeight(g.Homes[r.home:]) < g.RequiredWeight {
 		return r.stop(unsure(http.StatusServiceUnavailable, "too few homes in "+g.Domain+" vouch for the key"))
 	}
 	home := g.Homes[r.home].Name
@@ -146,7 +146,7 @@
 func (r *Try) said(ev HomeAnswered) []TryAction {
 	switch ev.Verdict.State {
 	case Fresh:
-		r.fresh += r.groups[r.group].Homes[r.home-1].Weight
+		r.heldWeight += r.groups[r.group].Homes[r.home-1].Weight
 		return r.next()
 	case Answered:
 		return r.stop(*ev.Verdict.Answer)
@@ -174,7 +174,7 @@
 	if r.round == maxRounds {
 		return append(back, r.stop(unsure(http.StatusConflict, "other tries of the key were in the way"))...)
 	}
-	r.group, r.home, r.fresh = 0, 0, 0
+	r.group, r.home, r.heldWeight = 0, 0, 0
 	return append(back, r.next()...)
 }
 
