--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -110,9 +110,9 @@
 	return nil
 }
 
-// try names the round: a late end of an earlier round must not take away what
+// roundID names the round: a late end of an earlier round must not take away what
 // a home holds for this one.
-func (r *Try) try() string { return r.open.Try + "/" + strconv.Itoa(r.round) }
+func (r *Try) roundID() string { return r.open.Try + "/" + strconv.Itoa(r.round) }
 
 func (r *Try) next() []TryAction {
 	g := r.groups[r.group]
@@ -131,7 +131,7 @@
 	r.home++
 	r.mayHold = append(r.mayHold, home)
 	open := r.open
-	open.Try, open.Domain, open.Group = r.try(), g.Domain, g.Digest
+	open.Try, open.Domain, open.Group = r.roundID(), g.Domain, g.Digest
 	return []TryAction{AskHome{Home: home, Open: open}}
 }
 
@@ -187,7 +187,7 @@
 func (r *Try) keep(a Answer) []TryAction {
 	var all []TryAction
 	for _, home := range r.mayHold {
-		all = append(all, RecordEnd{Home: home, Close: Close{Key: r.open.Key, Digest: r.open.Digest, Try: r.try(), Answer: a}})
+		all = append(all, RecordEnd{Home: home, Close: Close{Key: r.open.Key, Digest: r.open.Digest, Try: r.roundID(), Answer: a}})
 	}
 	r.mayHold = nil
 	return all
