--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -97,7 +97,7 @@
 	}
 	switch ev := ev.(type) {
 	case Begin:
-		return r.next()
+		return r.askNext()
 	case HomeAnswered:
 		return r.said(ev)
 	case HomeSilent:
@@ -114,7 +114,7 @@
 // a home holds for this one.
 func (r *Try) roundID() string { return r.open.Try + "/" + strconv.Itoa(r.round) }
 
-func (r *Try) next() []TryAction {
+func (r *Try) askNext() []TryAction {
 	g := r.groups[r.group]
 	if r.heldWeight >= g.RequiredWeight {
 		r.group, r.home, r.heldWeight = r.group+1, 0, 0
@@ -140,14 +140,14 @@
 		// The home that was waited for has gone; the others may know the end.
 		return r.again()
 	}
-	return r.next()
+	return r.askNext()
 }
 
 func (r *Try) said(ev HomeAnswered) []TryAction {
 	switch ev.Verdict.State {
 	case Fresh:
 		r.heldWeight += r.groups[r.group].Homes[r.home-1].Weight
-		return r.next()
+		return r.askNext()
 	case Answered:
 		return r.stop(*ev.Verdict.Answer)
 	case Released:
@@ -164,7 +164,7 @@
 	case FutureKey:
 		return r.stop(refused(http.StatusBadRequest, "Idempotency-Key's time is ahead of the clock"))
 	default:
-		return r.next()
+		return r.askNext()
 	}
 }
 
@@ -175,7 +175,7 @@
 		return append(back, r.stop(unsure(http.StatusConflict, "other tries of the key were in the way"))...)
 	}
 	r.group, r.home, r.heldWeight = 0, 0, 0
-	return append(back, r.next()...)
+	return append(back, r.askNext()...)
 }
 
 // giveBack frees the key at the homes that may hold it for a try that was
