--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -101,7 +101,7 @@
 	case HomeAnswered:
 		return r.said(ev)
 	case HomeSilent:
-		return r.silent()
+		return r.onHomeSilent()
 	case RequestEnded:
 		return r.ended(ev.Answer)
 	case Canceled:
@@ -135,7 +135,7 @@
 	return []TryAction{AskHome{Home: home, Open: open}}
 }
 
-func (r *Try) silent() []TryAction {
+func (r *Try) onHomeSilent() []TryAction {
 	if len(r.mayHold) == 0 {
 		// The home that was waited for has gone; the others may know the end.
 		return r.again()
