--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -99,7 +99,7 @@
 	case Begin:
 		return r.askNext()
 	case HomeAnswered:
-		return r.said(ev)
+		return r.onHomeAnswered(ev)
 	case HomeSilent:
 		return r.onHomeSilent()
 	case RequestEnded:
@@ -143,7 +143,7 @@
 	return r.askNext()
 }
 
-func (r *Try) said(ev HomeAnswered) []TryAction {
+func (r *Try) onHomeAnswered(ev HomeAnswered) []TryAction {
 	switch ev.Verdict.State {
 	case Fresh:
 		r.heldWeight += r.groups[r.group].Homes[r.home-1].Weight
