--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -103,7 +103,7 @@
 	case HomeSilent:
 		return r.onHomeSilent()
 	case RequestEnded:
-		return r.ended(ev.Answer)
+		return r.onRequestEnded(ev.Answer)
 	case Canceled:
 		return r.stop(unsure(http.StatusGatewayTimeout, "time ran out while the key was looked up"))
 	}
@@ -202,7 +202,7 @@
 	return append(r.giveBack(), Reply{Answer: a})
 }
 
-func (r *Try) ended(a Answer) []TryAction {
+func (r *Try) onRequestEnded(a Answer) []TryAction {
 	if !r.sent {
 		return nil
 	}
