--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -138,7 +138,7 @@
 func (r *Try) onHomeSilent() []TryAction {
 	if len(r.mayHold) == 0 {
 		// The home that was waited for has gone; the others may know the end.
-		return r.again()
+		return r.restart()
 	}
 	return r.askNext()
 }
@@ -151,7 +151,7 @@
 	case Answered:
 		return r.stop(*ev.Verdict.Answer)
 	case Released:
-		return r.again()
+		return r.restart()
 	case Running:
 		if len(r.mayHold) == 0 {
 			return r.stop(unsure(http.StatusConflict, "an earlier try still runs"))
@@ -168,7 +168,7 @@
 	}
 }
 
-func (r *Try) again() []TryAction {
+func (r *Try) restart() []TryAction {
 	back := r.giveBack()
 	r.round++
 	if r.round == maxRounds {
