--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -156,7 +156,7 @@
 		if len(r.mayHold) == 0 {
 			return r.stop(unsure(http.StatusConflict, "an earlier try still runs"))
 		}
-		return append(r.giveBack(), AwaitHome{Home: ev.Home, Key: r.open.Key})
+		return append(r.releaseKey(), AwaitHome{Home: ev.Home, Key: r.open.Key})
 	case Lost:
 		return r.stop(unsure(http.StatusServiceUnavailable, "an earlier try was running on a host that is gone"))
 	case Mismatch:
@@ -169,7 +169,7 @@
 }
 
 func (r *Try) restart() []TryAction {
-	back := r.giveBack()
+	back := r.releaseKey()
 	r.round++
 	if r.round == maxRounds {
 		return append(back, r.stop(unsure(http.StatusConflict, "other tries of the key were in the way"))...)
@@ -178,9 +178,9 @@
 	return append(back, r.askNext()...)
 }
 
-// giveBack frees the key at the homes that may hold it for a try that was
+// releaseKey frees the key at the homes that may hold it for a try that was
 // never let go.
-func (r *Try) giveBack() []TryAction {
+func (r *Try) releaseKey() []TryAction {
 	return r.keep(Answer{Outcome: cell.Refused})
 }
 
@@ -199,7 +199,7 @@
 		return nil
 	}
 	r.done = true
-	return append(r.giveBack(), Reply{Answer: a})
+	return append(r.releaseKey(), Reply{Answer: a})
 }
 
 func (r *Try) onRequestEnded(a Answer) []TryAction {
