--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -181,10 +181,10 @@
 // releaseKey frees the key at the homes that may hold it for a try that was
 // never let go.
 func (r *Try) releaseKey() []TryAction {
-	return r.keep(Answer{Outcome: cell.Refused})
+	return r.recordEnd(Answer{Outcome: cell.Refused})
 }
 
-func (r *Try) keep(a Answer) []TryAction {
+func (r *Try) recordEnd(a Answer) []TryAction {
 	var all []TryAction
 	for _, home := range r.mayHold {
 		all = append(all, RecordEnd{Home: home, Close: Close{Key: r.open.Key, Digest: r.open.Digest, Try: r.roundID(), Answer: a}})
@@ -208,7 +208,7 @@
 	}
 	r.done = true
 	r.mayHold = slices.Compact(slices.Sorted(slices.Values(r.mayHold)))
-	return append(r.keep(a), Reply{Answer: a})
+	return append(r.recordEnd(a), Reply{Answer: a})
 }
 
 func unsure(status int, reason string) Answer {
