--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -105,7 +105,7 @@
 	case RequestEnded:
 		return r.onRequestEnded(ev.Answer)
 	case Canceled:
-		return r.stop(unsure(http.StatusGatewayTimeout, "time ran out while the key was looked up"))
+		return r.finishUnsent(unsure(http.StatusGatewayTimeout, "time ran out while the key was looked up"))
 	}
 	return nil
 }
@@ -125,7 +125,7 @@
 		g = r.groups[r.group]
 	}
 	if r.heldWeight+totalWeight(g.Homes[r.home:]) < g.RequiredWeight {
-		return r.stop(unsure(http.StatusServiceUnavailable, "too few homes in "+g.Domain+" vouch for the key"))
+		return r.finishUnsent(unsure(http.StatusServiceUnavailable, "too few homes in "+g.Domain+" vouch for the key"))
 	}
 	home := g.Homes[r.home].Name
 	r.home++
@@ -149,20 +149,20 @@
 		r.heldWeight += r.groups[r.group].Homes[r.home-1].Weight
 		return r.askNext()
 	case Answered:
-		return r.stop(*ev.Verdict.Answer)
+		return r.finishUnsent(*ev.Verdict.Answer)
 	case Released:
 		return r.restart()
 	case Running:
 		if len(r.mayHold) == 0 {
-			return r.stop(unsure(http.StatusConflict, "an earlier try still runs"))
+			return r.finishUnsent(unsure(http.StatusConflict, "an earlier try still runs"))
 		}
 		return append(r.releaseKey(), AwaitHome{Home: ev.Home, Key: r.open.Key})
 	case Lost:
-		return r.stop(unsure(http.StatusServiceUnavailable, "an earlier try was running on a host that is gone"))
+		return r.finishUnsent(unsure(http.StatusServiceUnavailable, "an earlier try was running on a host that is gone"))
 	case Mismatch:
-		return r.stop(refused(http.StatusUnprocessableEntity, "Idempotency-Key was used with another request"))
+		return r.finishUnsent(refused(http.StatusUnprocessableEntity, "Idempotency-Key was used with another request"))
 	case FutureKey:
-		return r.stop(refused(http.StatusBadRequest, "Idempotency-Key's time is ahead of the clock"))
+		return r.finishUnsent(refused(http.StatusBadRequest, "Idempotency-Key's time is ahead of the clock"))
 	default:
 		return r.askNext()
 	}
@@ -172,7 +172,7 @@
 	back := r.releaseKey()
 	r.round++
 	if r.round == maxRounds {
-		return append(back, r.stop(unsure(http.StatusConflict, "other tries of the key were in the way"))...)
+		return append(back, r.finishUnsent(unsure(http.StatusConflict, "other tries of the key were in the way"))...)
 	}
 	r.group, r.home, r.heldWeight = 0, 0, 0
 	return append(back, r.askNext()...)
@@ -193,8 +193,8 @@
 	return all
 }
 
-// stop ends a try that was never let go.
-func (r *Try) stop(a Answer) []TryAction {
+// finishUnsent ends a try that was never let go.
+func (r *Try) finishUnsent(a Answer) []TryAction {
 	if r.sent {
 		return nil
 	}
