--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -105,7 +105,7 @@
 	case RequestEnded:
 		return r.onRequestEnded(ev.Answer)
 	case Canceled:
-		return r.finishUnsent(unsure(http.StatusGatewayTimeout, "time ran out while the key was looked up"))
+		return r.finishUnsent(unknown(http.StatusGatewayTimeout, "time ran out while the key was looked up"))
 	}
 	return nil
 }
@@ -125,7 +125,7 @@
 		g = r.groups[r.group]
 	}
 	if r.heldWeight+totalWeight(g.Homes[r.home:]) < g.RequiredWeight {
-		return r.finishUnsent(unsure(http.StatusServiceUnavailable, "too few homes in "+g.Domain+" vouch for the key"))
+		return r.finishUnsent(unknown(http.StatusServiceUnavailable, "too few homes in "+g.Domain+" vouch for the key"))
 	}
 	home := g.Homes[r.home].Name
 	r.home++
@@ -154,11 +154,11 @@
 		return r.restart()
 	case Running:
 		if len(r.mayHold) == 0 {
-			return r.finishUnsent(unsure(http.StatusConflict, "an earlier try still runs"))
+			return r.finishUnsent(unknown(http.StatusConflict, "an earlier try still runs"))
 		}
 		return append(r.releaseKey(), AwaitHome{Home: ev.Home, Key: r.open.Key})
 	case Lost:
-		return r.finishUnsent(unsure(http.StatusServiceUnavailable, "an earlier try was running on a host that is gone"))
+		return r.finishUnsent(unknown(http.StatusServiceUnavailable, "an earlier try was running on a host that is gone"))
 	case Mismatch:
 		return r.finishUnsent(refused(http.StatusUnprocessableEntity, "Idempotency-Key was used with another request"))
 	case FutureKey:
@@ -172,7 +172,7 @@
 	back := r.releaseKey()
 	r.round++
 	if r.round == maxRounds {
-		return append(back, r.finishUnsent(unsure(http.StatusConflict, "other tries of the key were in the way"))...)
+		return append(back, r.finishUnsent(unknown(http.StatusConflict, "other tries of the key were in the way"))...)
 	}
 	r.group, r.home, r.heldWeight = 0, 0, 0
 	return append(back, r.askNext()...)
@@ -211,7 +211,7 @@
 	return append(r.recordEnd(a), Reply{Answer: a})
 }
 
-func unsure(status int, reason string) Answer {
+func unknown(status int, reason string) Answer {
 	return Answer{Outcome: cell.Unknown, Status: status, Reason: reason}
 }
 
