--- a/internal/relay/ends.go
+++ b/internal/relay/ends.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// closeWait bounds one telling of keys' ends. A connection that has gone
+	// closeTimeout bounds one telling of keys' ends. A connection that has gone
 	// silent is replaced within the time of two, so that one of closeTries gets
 	// through; without it repeats would wait for an end that is there.
-	closeWait = time.Second
+	closeTimeout = time.Second
 	// closeRate is the rate in bytes a second that answers are given besides.
 	closeRate  = 256 << 10
 	closeTries = 4
@@ -90,7 +90,7 @@
 
 func (x *Relay) tellBatch(home string, batch []ledger.Close) {
 	var silent *peer.SilentError
-	wait := closeWait
+	wait := closeTimeout
 	for _, ev := range batch {
 		wait += time.Duration(len(ev.Answer.Body)) * time.Second / closeRate
 	}
