--- a/internal/relay/ends.go
+++ b/internal/relay/ends.go
@@ -24,8 +24,8 @@
 	// its way share the next, which halves the cost of a keyed request.
 	closeBatch = 128
 	closeBytes = 1 << 20
-	// closeQueue bounds the ends that wait for one home.
-	closeQueue = 4096
+	// maxQueuedEnds bounds the ends that wait for one home.
+	maxQueuedEnds = 4096
 )
 
 // ends are the ends of keys that homes are still to be told, by home.
@@ -49,7 +49,7 @@
 	if e.waiting == nil {
 		e.waiting, e.busy = map[string][]ledger.Close{}, map[string]bool{}
 	}
-	if len(e.waiting[a.Home]) >= closeQueue {
+	if len(e.waiting[a.Home]) >= maxQueuedEnds {
 		x.Log.Warn("ledger: too many keys' ends wait for a home.", "home", a.Home)
 		return
 	}
