--- a/internal/relay/ends.go
+++ b/internal/relay/ends.go
@@ -28,8 +28,8 @@
 	maxQueuedEnds = 4096
 )
 
-// ends are the ends of keys that homes are still to be told, by home.
-type ends struct {
+// keyEnds are the keyEnds of keys that homes are still to be told, by home.
+type keyEnds struct {
 	mu      sync.Mutex
 	waiting map[string][]ledger.Close
 	busy    map[string]bool
@@ -71,7 +71,7 @@
 }
 
 // take returns the next ends for a home; without any the home is not busy.
-func (e *ends) take(home string) []ledger.Close {
+func (e *keyEnds) take(home string) []ledger.Close {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	all := e.waiting[home]
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -62,7 +62,7 @@
 	waits map[cell.Class]metrics.Timer
 	last  time.Time
 	home  home
-	ends  ends
+	ends  keyEnds
 	// lent is when each peer last told its load, silent when it last failed.
 	lent, silent map[string]time.Time
 }
