--- a/internal/relay/ends.go
+++ b/internal/relay/ends.go
@@ -62,7 +62,7 @@
 
 func (x *Relay) tellEnds(home string) {
 	for {
-		batch := x.ends.take(home)
+		batch := x.ends.nextBatch(home)
 		if len(batch) == 0 {
 			return
 		}
@@ -70,8 +70,8 @@
 	}
 }
 
-// take returns the next ends for a home; without any the home is not busy.
-func (e *keyEnds) take(home string) []ledger.Close {
+// nextBatch returns the next ends for a home; without any the home is not busy.
+func (e *keyEnds) nextBatch(home string) []ledger.Close {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	all := e.waiting[home]
