--- a/internal/relay/ends.go
+++ b/internal/relay/ends.go
@@ -32,7 +32,7 @@
 type keyEnds struct {
 	mu      sync.Mutex
 	waiting map[string][]ledger.Close
-	busy    map[string]bool
+	sending map[string]bool
 	wg      sync.WaitGroup
 }
 
@@ -47,15 +47,15 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.waiting == nil {
-		e.waiting, e.busy = map[string][]ledger.Close{}, map[string]bool{}
+		e.waiting, e.sending = map[string][]ledger.Close{}, map[string]bool{}
 	}
 	if len(e.waiting[a.Home]) >= maxQueuedEnds {
 		x.Log.Warn("ledger: too many keys' ends wait for a home.", "home", a.Home)
 		return
 	}
 	e.waiting[a.Home] = append(e.waiting[a.Home], a.Close)
-	if !e.busy[a.Home] {
-		e.busy[a.Home] = true
+	if !e.sending[a.Home] {
+		e.sending[a.Home] = true
 		e.wg.Go(func() { x.tellEnds(a.Home) })
 	}
 }
@@ -83,7 +83,7 @@
 	e.waiting[home] = all[n:]
 	if n == 0 {
 		delete(e.waiting, home)
-		delete(e.busy, home)
+		delete(e.sending, home)
 	}
 	return all[:n:n]
 }
