--- a/internal/relay/ends.go
+++ b/internal/relay/ends.go
@@ -36,9 +36,9 @@
 	wg      sync.WaitGroup
 }
 
-// keepEnd tells a home how a try ended. The caller does not wait for it: a
+// queueEnd tells a home how a try ended. The caller does not wait for it: a
 // home that has gone silent would hold back an answer that is there.
-func (x *Relay) keepEnd(a ledger.RecordEnd) {
+func (x *Relay) queueEnd(a ledger.RecordEnd) {
 	if a.Home == x.Name {
 		x.CloseKey(a.Close)
 		return
--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -30,7 +30,7 @@
 		for _, a := range run.Step(ev) {
 			switch a := a.(type) {
 			case ledger.RecordEnd:
-				x.keepEnd(a)
+				x.queueEnd(a)
 			case ledger.AskHome:
 				ev = x.ask(look, a)
 			case ledger.AwaitHome:
