--- a/internal/relay/ends.go
+++ b/internal/relay/ends.go
@@ -56,11 +56,11 @@
 	e.waiting[a.Home] = append(e.waiting[a.Home], a.Close)
 	if !e.sending[a.Home] {
 		e.sending[a.Home] = true
-		e.wg.Go(func() { x.tellEnds(a.Home) })
+		e.wg.Go(func() { x.sendEnds(a.Home) })
 	}
 }
 
-func (x *Relay) tellEnds(home string) {
+func (x *Relay) sendEnds(home string) {
 	for {
 		batch := x.ends.nextBatch(home)
 		if len(batch) == 0 {
