--- a/internal/relay/ends.go
+++ b/internal/relay/ends.go
@@ -66,7 +66,7 @@
 		if len(batch) == 0 {
 			return
 		}
-		x.tellBatch(home, batch)
+		x.sendBatch(home, batch)
 	}
 }
 
@@ -88,7 +88,7 @@
 	return all[:n:n]
 }
 
-func (x *Relay) tellBatch(home string, batch []ledger.Close) {
+func (x *Relay) sendBatch(home string, batch []ledger.Close) {
 	var silent *peer.SilentError
 	wait := closeTimeout
 	for _, ev := range batch {
