--- a/internal/relay/hedge.go
+++ b/internal/relay/hedge.go
@@ -12,9 +12,9 @@
 	"pollencroft/internal/queue"
 )
 
-// maxPatience bounds how long an idempotent request waits for one backend
+// maxHedgeDelay bounds how long an idempotent request waits for one backend
 // server before another is asked too.
-const maxPatience = time.Second
+const maxHedgeDelay = time.Second
 
 // hedgeMark tells the second try of a request from its first by its id.
 const hedgeMark = ".2"
@@ -31,7 +31,7 @@
 	}
 	ends := make(chan try, 2)
 	go func() { ends <- x.send(ctx, a, req) }()
-	patience := time.NewTimer(min(maxPatience, req.Deadline.Sub(x.Clock())/2))
+	patience := time.NewTimer(min(maxHedgeDelay, req.Deadline.Sub(x.Clock())/2))
 	defer patience.Stop()
 	select {
 	case t := <-ends:
