--- a/internal/relay/hedge.go
+++ b/internal/relay/hedge.go
@@ -31,12 +31,12 @@
 	}
 	ends := make(chan try, 2)
 	go func() { ends <- x.send(ctx, a, req) }()
-	patience := time.NewTimer(min(maxHedgeDelay, req.Deadline.Sub(x.Clock())/2))
-	defer patience.Stop()
+	hedgeTimer := time.NewTimer(min(maxHedgeDelay, req.Deadline.Sub(x.Clock())/2))
+	defer hedgeTimer.Stop()
 	select {
 	case t := <-ends:
 		return t
-	case <-patience.C:
+	case <-hedgeTimer.C:
 	}
 	// The server that is waited for may end, too.
 	if len(req.Lost)+1 >= mostLost || !x.mayRetry(row, unsure) {
