--- a/internal/relay/hedge.go
+++ b/internal/relay/hedge.go
@@ -16,8 +16,8 @@
 // server before another is asked too.
 const maxHedgeDelay = time.Second
 
-// hedgeMark tells the second try of a request from its first by its id.
-const hedgeMark = ".2"
+// hedgeSuffix tells the second try of a request from its first by its id.
+const hedgeSuffix = ".2"
 
 // hedged sends a request and, when its row is idempotent and nothing has come
 // for a while, sends it to another backend server too: the connection may have
@@ -54,8 +54,8 @@
 // second sends a request on a slot that is free now, or not at all: waiting in
 // the queue a second time would take the place of others.
 func (x *Relay) second(ctx context.Context, ask queue.Enqueue, a queue.Send, req call.Request) try {
-	req.ID += hedgeMark
-	ask.ID += hedgeMark
+	req.ID += hedgeSuffix
+	ask.ID += hedgeSuffix
 	ask.FromPeer = true
 	ask.Avoid = append([]string{a.Backend}, ask.Avoid...)
 	if next, ok := x.wait(ctx, ask.ID, ask).(queue.Send); ok && next.Backend != a.Backend {
