--- a/internal/relay/hedge.go
+++ b/internal/relay/hedge.go
@@ -19,12 +19,12 @@
 // hedgeSuffix tells the second try of a request from its first by its id.
 const hedgeSuffix = ".2"
 
-// hedged sends a request and, when its row is idempotent and nothing has come
+// sendHedged sends a request and, when its row is idempotent and nothing has come
 // for a while, sends it to another backend server too: the connection may have
 // gone silent, and its caller would wait until the deadline. The first try
 // keeps its slot and may still win, so that a server which is merely slow
 // loses nothing. The second comes out of the row's retry budget.
-func (x *Relay) hedged(ctx context.Context, ask queue.Enqueue, a queue.Send, req call.Request) try {
+func (x *Relay) sendHedged(ctx context.Context, ask queue.Enqueue, a queue.Send, req call.Request) try {
 	row, _ := x.Row(req.Row)
 	if !row.Idempotent {
 		return x.send(ctx, a, req)
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -96,7 +96,7 @@
 	for {
 		switch a := act.(type) {
 		case queue.Send:
-			return x.hedged(ctx, ask, a, req)
+			return x.sendHedged(ctx, ask, a, req)
 		case queue.Lend:
 			t, bounced := x.viaPeer(ctx, a, req)
 			if !bounced {
