--- a/internal/relay/hedge.go
+++ b/internal/relay/hedge.go
@@ -43,7 +43,7 @@
 		return <-ends
 	}
 	metrics.GetOrRegisterCounter("relay.hedged", x.Metrics).Inc(1)
-	go func() { ends <- x.second(ctx, ask, a, req) }()
+	go func() { ends <- x.sendSecond(ctx, ask, a, req) }()
 	t := <-ends
 	if t.reply.Outcome == cell.Done {
 		return t
@@ -51,9 +51,9 @@
 	return better(t, <-ends)
 }
 
-// second sends a request on a slot that is free now, or not at all: waiting in
-// the queue a second time would take the place of others.
-func (x *Relay) second(ctx context.Context, ask queue.Enqueue, a queue.Send, req call.Request) try {
+// sendSecond sends a request on a slot that is free now, or not at all: waiting in
+// the queue a sendSecond time would take the place of others.
+func (x *Relay) sendSecond(ctx context.Context, ask queue.Enqueue, a queue.Send, req call.Request) try {
 	req.ID += hedgeSuffix
 	ask.ID += hedgeSuffix
 	ask.FromPeer = true
