--- a/internal/relay/hedge.go
+++ b/internal/relay/hedge.go
@@ -48,7 +48,7 @@
 	if t.reply.Outcome == cell.Done {
 		return t
 	}
-	return better(t, <-ends)
+	return betterReply(t, <-ends)
 }
 
 // sendSecond sends a request on a slot that is free now, or not at all: waiting in
@@ -66,9 +66,9 @@
 	return try{reply: call.Refuse(http.StatusServiceUnavailable, string(queue.Busy), 0)}
 }
 
-// better is what the caller is told of two tries. One that may have run goes
+// betterReply is what the caller is told of two tries. One that may have run goes
 // before one that was refused, which alone would claim that nothing ran.
-func better(a, b try) try {
+func betterReply(a, b try) try {
 	rank := map[cell.Outcome]int{cell.Done: 2, cell.Unknown: 1, cell.Refused: 0}
 	lost := append(a.reply.Lost, b.reply.Lost...)
 	if rank[b.reply.Outcome] > rank[a.reply.Outcome] {
