--- a/internal/relay/home.go
+++ b/internal/relay/home.go
@@ -12,8 +12,8 @@
 	"pollencroft/internal/peer"
 )
 
-// home is this host's side as a home of keys.
-type home struct {
+// homeState is this host's side as a homeState of keys.
+type homeState struct {
 	mu      sync.Mutex
 	waiting map[string]chan ledger.Verdict
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -61,7 +61,7 @@
 	// waits are the times that requests of each class waited for a slot.
 	waits map[cell.Class]metrics.Timer
 	last  time.Time
-	home  home
+	home  homeState
 	ends  keyEnds
 	// lent is when each peer last told its load, silent when it last failed.
 	lent, silent map[string]time.Time
