--- a/internal/relay/home.go
+++ b/internal/relay/home.go
@@ -86,12 +86,12 @@
 	}
 	x.stepHome(ledger.HostHeartbeats{Heartbeats: signs})
 	x.stepHome(ledger.Tick{})
-	x.gauge()
+	x.updateGauges()
 }
 
-// gauge shows what this home keeps. Reach is how far back it knows every key
+// updateGauges shows what this home keeps. Reach is how far back it knows every key
 // that it was asked for, in milliseconds.
-func (x *Relay) gauge() {
+func (x *Relay) updateGauges() {
 	x.home.mu.Lock()
 	defer x.home.mu.Unlock()
 	set := func(name string, v int64) { metrics.GetOrRegisterGauge(name, x.Metrics).Update(v) }
