--- a/internal/relay/home.go
+++ b/internal/relay/home.go
@@ -102,8 +102,8 @@
 	set("minion.dropped", x.Minions.Dropped())
 }
 
-// liveNow returns who is taken for alive, in any failure domain.
-func (x *Relay) liveNow() func(string) bool {
+// liveHosts returns who is taken for alive, in any failure domain.
+func (x *Relay) liveHosts() func(string) bool {
 	_, beats := x.Members()
 	live := map[string]bool{x.Name: true}
 	now := x.Clock()
--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -24,7 +24,7 @@
 func (x *Relay) keyed(ctx context.Context, req call.Request) call.Reply {
 	look, cancel := context.WithTimeout(ctx, req.Deadline.Sub(x.Clock()))
 	defer cancel()
-	run := ledger.NewTry(x.newOpen(req), x.Plan.Groups(req.Key, req.Attempt, x.liveNow()))
+	run := ledger.NewTry(x.newOpen(req), x.Plan.Groups(req.Key, req.Attempt, x.liveHosts()))
 	var ev ledger.TryEvent = ledger.Begin{}
 	for {
 		for _, a := range run.Step(ev) {
