--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -13,9 +13,9 @@
 
 // Waits for a key's homes.
 const (
-	// openWait bounds one question to a home. A home that takes longer counts
+	// openTimeout bounds one question to a home. A home that takes longer counts
 	// as silent and the next one is asked.
-	openWait = 250 * time.Millisecond
+	openTimeout = 250 * time.Millisecond
 	// keyAgain is when a caller that was told unknown may ask again.
 	keyAgain = time.Second
 )
@@ -70,7 +70,7 @@
 	if a.Home == x.Name {
 		return ledger.HomeAnswered{Home: a.Home, Verdict: x.OpenKey(a.Open)}
 	}
-	short, cancel := context.WithTimeout(ctx, openWait)
+	short, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
 	var v ledger.Verdict
 	err := x.Peers.Ask(short, a.Home, peer.OpenKey{Open: a.Open}, &v)
--- a/internal/relay/lent.go
+++ b/internal/relay/lent.go
@@ -13,7 +13,7 @@
 // that was sent runs on, and its end belongs under its key.
 func (x *Relay) askRun(ctx context.Context, name string, req call.Request) (call.Reply, error) {
 	left := req.Deadline.Sub(x.Clock())
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), left+openWait)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), left+openTimeout)
 	defer cancel()
 	var reply call.Reply
 	err := x.Peers.Ask(ctx, name, peer.Relay{Request: req, Left: cell.Duration{Duration: left}}, &reply)
