--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -16,8 +16,8 @@
 	// openTimeout bounds one question to a home. A home that takes longer counts
 	// as silent and the next one is asked.
 	openTimeout = 250 * time.Millisecond
-	// keyAgain is when a caller that was told unknown may ask again.
-	keyAgain = time.Second
+	// keyRetryAfter is when a caller that was told unknown may ask again.
+	keyRetryAfter = time.Second
 )
 
 // keyed runs a request under its key: once, whatever repeats arrive where.
@@ -61,7 +61,7 @@
 		r.Status = http.StatusServiceUnavailable
 	}
 	if r.Outcome == cell.Unknown && r.Again.Duration == 0 {
-		r.Again.Duration = keyAgain
+		r.Again.Duration = keyRetryAfter
 	}
 	return r
 }
