--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -20,8 +20,8 @@
 	keyRetryAfter = time.Second
 )
 
-// keyed runs a request under its key: once, whatever repeats arrive where.
-func (x *Relay) keyed(ctx context.Context, req call.Request) call.Reply {
+// runKeyed runs a request under its key: once, whatever repeats arrive where.
+func (x *Relay) runKeyed(ctx context.Context, req call.Request) call.Reply {
 	look, cancel := context.WithTimeout(ctx, req.Deadline.Sub(x.Clock()))
 	defer cancel()
 	run := ledger.NewTry(x.newOpen(req), x.Plan.Groups(req.Key, req.Attempt, x.liveHosts()))
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -262,5 +262,5 @@
 	if req.Key == "" {
 		return x.route(ctx, req)
 	}
-	return x.keyed(ctx, req)
+	return x.runKeyed(ctx, req)
 }
