--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -22,7 +22,7 @@
 
 // runKeyed runs a request under its key: once, whatever repeats arrive where.
 func (x *Relay) runKeyed(ctx context.Context, req call.Request) call.Reply {
-	look, cancel := context.WithTimeout(ctx, req.Deadline.Sub(x.Clock()))
+	lookupCtx, cancel := context.WithTimeout(ctx, req.Deadline.Sub(x.Clock()))
 	defer cancel()
 	run := ledger.NewTry(x.newOpen(req), x.Plan.Groups(req.Key, req.Attempt, x.liveHosts()))
 	var ev ledger.TryEvent = ledger.Begin{}
@@ -32,9 +32,9 @@
 			case ledger.RecordEnd:
 				x.queueEnd(a)
 			case ledger.AskHome:
-				ev = x.ask(look, a)
+				ev = x.ask(lookupCtx, a)
 			case ledger.AwaitHome:
-				ev = x.await(look, a, req.Deadline)
+				ev = x.await(lookupCtx, a, req.Deadline)
 			case ledger.Send:
 				ev = ledger.RequestEnded{Answer: kept(x.route(ctx, req))}
 			case ledger.Reply:
