--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -36,7 +36,7 @@
 			case ledger.AwaitHome:
 				ev = x.await(lookupCtx, a, req.Deadline)
 			case ledger.Send:
-				ev = ledger.RequestEnded{Answer: kept(x.route(ctx, req))}
+				ev = ledger.RequestEnded{Answer: toAnswer(x.route(ctx, req))}
 			case ledger.Reply:
 				return told(a.Answer)
 			}
@@ -51,7 +51,7 @@
 	}
 }
 
-func kept(r call.Reply) ledger.Answer {
+func toAnswer(r call.Reply) ledger.Answer {
 	return ledger.Answer{Outcome: r.Outcome, Status: r.Status, Header: r.Header, Body: r.Body, Reason: r.Reason, RetryAfter: r.Again}
 }
 
