--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -38,7 +38,7 @@
 			case ledger.Send:
 				ev = ledger.RequestEnded{Answer: toAnswer(x.route(ctx, req))}
 			case ledger.Reply:
-				return told(a.Answer)
+				return toReply(a.Answer)
 			}
 		}
 	}
@@ -55,7 +55,7 @@
 	return ledger.Answer{Outcome: r.Outcome, Status: r.Status, Header: r.Header, Body: r.Body, Reason: r.Reason, RetryAfter: r.Again}
 }
 
-func told(a ledger.Answer) call.Reply {
+func toReply(a ledger.Answer) call.Reply {
 	r := call.Reply{Outcome: a.Outcome, Status: a.Status, Header: a.Header, Body: a.Body, Reason: a.Reason, Again: a.RetryAfter}
 	if r.Status == 0 {
 		r.Status = http.StatusServiceUnavailable
