--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -74,20 +74,20 @@
 	defer cancel()
 	var v ledger.Verdict
 	err := x.Peers.Ask(short, a.Home, peer.OpenKey{Open: a.Open}, &v)
-	return heard(ctx, a.Home, v, err)
+	return toTryEvent(ctx, a.Home, v, err)
 }
 
 func (x *Relay) await(ctx context.Context, a ledger.AwaitHome, deadline time.Time) ledger.TryEvent {
 	m := peer.AwaitKey{Key: a.Key, Left: cell.Duration{Duration: deadline.Sub(x.Clock())}}
 	if a.Home == x.Name {
-		return heard(ctx, a.Home, x.AwaitKey(ctx, m), nil)
+		return toTryEvent(ctx, a.Home, x.AwaitKey(ctx, m), nil)
 	}
 	var v ledger.Verdict
 	err := x.Peers.Ask(ctx, a.Home, m, &v)
-	return heard(ctx, a.Home, v, err)
+	return toTryEvent(ctx, a.Home, v, err)
 }
 
-func heard(ctx context.Context, home string, v ledger.Verdict, err error) ledger.TryEvent {
+func toTryEvent(ctx context.Context, home string, v ledger.Verdict, err error) ledger.TryEvent {
 	switch {
 	case err == nil:
 		return ledger.HomeAnswered{Home: home, Verdict: v}
