--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -32,7 +32,7 @@
 			case ledger.RecordEnd:
 				x.queueEnd(a)
 			case ledger.AskHome:
-				ev = x.ask(lookupCtx, a)
+				ev = x.askHome(lookupCtx, a)
 			case ledger.AwaitHome:
 				ev = x.await(lookupCtx, a, req.Deadline)
 			case ledger.Send:
@@ -66,7 +66,7 @@
 	return r
 }
 
-func (x *Relay) ask(ctx context.Context, a ledger.AskHome) ledger.TryEvent {
+func (x *Relay) askHome(ctx context.Context, a ledger.AskHome) ledger.TryEvent {
 	if a.Home == x.Name {
 		return ledger.HomeAnswered{Home: a.Home, Verdict: x.OpenKey(a.Open)}
 	}
