--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -34,7 +34,7 @@
 			case ledger.AskHome:
 				ev = x.askHome(lookupCtx, a)
 			case ledger.AwaitHome:
-				ev = x.await(lookupCtx, a, req.Deadline)
+				ev = x.awaitHome(lookupCtx, a, req.Deadline)
 			case ledger.Send:
 				ev = ledger.RequestEnded{Answer: toAnswer(x.route(ctx, req))}
 			case ledger.Reply:
@@ -77,7 +77,7 @@
 	return toTryEvent(ctx, a.Home, v, err)
 }
 
-func (x *Relay) await(ctx context.Context, a ledger.AwaitHome, deadline time.Time) ledger.TryEvent {
+func (x *Relay) awaitHome(ctx context.Context, a ledger.AwaitHome, deadline time.Time) ledger.TryEvent {
 	m := peer.AwaitKey{Key: a.Key, Left: cell.Duration{Duration: deadline.Sub(x.Clock())}}
 	if a.Home == x.Name {
 		return toTryEvent(ctx, a.Home, x.AwaitKey(ctx, m), nil)
