--- a/internal/relay/lent.go
+++ b/internal/relay/lent.go
@@ -9,9 +9,9 @@
 	"pollencroft/internal/spans"
 )
 
-// askRun has a peer run a request. The caller may hang up meanwhile: a request
+// askPeer has a peer run a request. The caller may hang up meanwhile: a request
 // that was sent runs on, and its end belongs under its key.
-func (x *Relay) askRun(ctx context.Context, name string, req call.Request) (call.Reply, error) {
+func (x *Relay) askPeer(ctx context.Context, name string, req call.Request) (call.Reply, error) {
 	left := req.Deadline.Sub(x.Clock())
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), left+openTimeout)
 	defer cancel()
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -53,7 +53,7 @@
 	defer end()
 	req.Trace = spans.Parent(ctx)
 	metrics.GetOrRegisterCounter("relay.lent", x.Metrics).Inc(1)
-	reply, err := x.askRun(ctx, a.Peer, req)
+	reply, err := x.askPeer(ctx, a.Peer, req)
 	var unreachedPeer *peer.UnreachedError
 	switch {
 	case err == nil && reply.Outcome == cell.Refused && reply.Reason == string(queue.Busy):
