--- a/internal/relay/lost.go
+++ b/internal/relay/lost.go
@@ -13,9 +13,9 @@
 	"pollencroft/internal/minion"
 )
 
-// mostLost is how often a backend server may end under one request. One that crashes its server
+// maxLostServers is how often a backend server may end under one request. One that crashes its server
 // would else crash as many as its row allows tries.
-const mostLost = 3
+const maxLostServers = 3
 
 // LostError tells that a request was given up because backend servers ended under it.
 type LostError struct{ Servers []string }
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -55,7 +55,7 @@
 		if t.verdict == unsure {
 			sent = &t.reply
 		}
-		if t.verdict == unsure && len(req.Lost) >= mostLost {
+		if t.verdict == unsure && len(req.Lost) >= maxLostServers {
 			return x.giveUp(req)
 		}
 		if n >= row.Tries || ctx.Err() != nil || !x.mayRetry(row, t.verdict) {
