--- a/internal/relay/lost.go
+++ b/internal/relay/lost.go
@@ -24,8 +24,8 @@
 	return fmt.Sprintf("given up: connections to backend servers broke %d times under the request", len(e.Servers))
 }
 
-// broken tells whether a server, or the way to it, ended under a request that was sent.
-func broken(err error) bool {
+// connectionBroke tells whether a server, or the way to it, ended under a request that was sent.
+func connectionBroke(err error) bool {
 	var none *minion.NoAnswerError
 	return errors.As(err, &none) && !errors.Is(err, context.DeadlineExceeded)
 }
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -164,7 +164,7 @@
 	answer, err := x.Minions.Do(ctx, addr, req)
 	t := judge(answer, err)
 	t.minion = a.Backend
-	if broken(err) {
+	if connectionBroke(err) {
 		t.reply.Lost = []string{a.Backend}
 	}
 	x.mu.Lock()
