--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -31,7 +31,7 @@
 		}
 		fresh = fresh || x.lent[b.Name] != b.ReceivedAt
 		x.lent[b.Name] = b.ReceivedAt
-		if x.lends(now, b) {
+		if x.canLend(now, b) {
 			all = append(all, queue.Peer{Name: b.Name, Free: b.FreeSlots})
 		}
 	}
@@ -40,9 +40,9 @@
 	}
 }
 
-// lends tells whether a peer's word counts: it is recent, and newer than the
+// canLend tells whether a peer's word counts: it is recent, and newer than the
 // last request that got no answer there.
-func (x *Relay) lends(now time.Time, b member.Heartbeat) bool {
+func (x *Relay) canLend(now time.Time, b member.Heartbeat) bool {
 	return !b.Leaving && b.ReceivedAt.After(x.silent[b.Name]) && now.Sub(b.ReceivedAt) <= member.SilenceTimeout
 }
 
