--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -46,9 +46,9 @@
 	return !b.Leaving && b.ReceivedAt.After(x.silent[b.Name]) && now.Sub(b.ReceivedAt) <= member.SilenceTimeout
 }
 
-// viaPeer runs a request on a peer's slot. It tells whether the peer gave it
+// sendToPeer runs a request on a peer's slot. It tells whether the peer gave it
 // back, or could not be asked, so that it must wait again.
-func (x *Relay) viaPeer(ctx context.Context, a queue.Lend, req call.Request) (try, bool) {
+func (x *Relay) sendToPeer(ctx context.Context, a queue.Lend, req call.Request) (try, bool) {
 	ctx, end := spans.Hop(ctx, "peer", req.ID)
 	defer end()
 	req.Trace = spans.Parent(ctx)
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -98,7 +98,7 @@
 		case queue.Send:
 			return x.sendHedged(ctx, ask, a, req)
 		case queue.Lend:
-			t, bounced := x.viaPeer(ctx, a, req)
+			t, bounced := x.sendToPeer(ctx, a, req)
 			if !bounced {
 				return t
 			}
