--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -62,18 +62,18 @@
 		x.step(queue.Ended{ID: req.ID})
 		return lentTry(reply), false
 	case errors.As(err, &unreachedPeer):
-		x.avoid(a.Peer)
+		x.markSilent(a.Peer)
 		return try{}, true
 	default:
-		x.avoid(a.Peer)
+		x.markSilent(a.Peer)
 		x.step(queue.Ended{ID: req.ID, Failed: true})
 		return try{reply: call.Unsure(http.StatusBadGateway, err.Error(), time.Second), verdict: unsure}, false
 	}
 }
 
-// avoid takes a peer for silent until it tells its load again. Its last word
+// markSilent takes a peer for silent until it tells its load again. Its last word
 // would draw request after request into a dead host.
-func (x *Relay) avoid(name string) {
+func (x *Relay) markSilent(name string) {
 	x.mu.Lock()
 	x.silent[name] = x.Clock()
 	x.lent[name] = time.Time{}
