--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -60,7 +60,7 @@
 		return try{}, true
 	case err == nil:
 		x.step(queue.Ended{ID: req.ID})
-		return lentTry(reply), false
+		return classifyPeerReply(reply), false
 	case errors.As(err, &unreachedPeer):
 		x.markSilent(a.Peer)
 		return try{}, true
@@ -81,9 +81,9 @@
 	x.refreshPeers()
 }
 
-// lentTry tells what a peer's final reply means for a retry here. The peer
+// classifyPeerReply tells what a peer's final reply means for a retry here. The peer
 // itself does not retry.
-func lentTry(reply call.Reply) try {
+func classifyPeerReply(reply call.Reply) try {
 	t := try{reply: reply}
 	switch {
 	case reply.Outcome == cell.Unknown, reply.Outcome == cell.Done && reply.Status >= http.StatusInternalServerError:
