--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -29,8 +29,8 @@
 		if b.Domain != x.Domain {
 			continue
 		}
-		fresh = fresh || x.lent[b.Name] != b.ReceivedAt
-		x.lent[b.Name] = b.ReceivedAt
+		fresh = fresh || x.lastLoad[b.Name] != b.ReceivedAt
+		x.lastLoad[b.Name] = b.ReceivedAt
 		if x.canLend(now, b) {
 			all = append(all, queue.Peer{Name: b.Name, Free: b.FreeSlots})
 		}
@@ -76,7 +76,7 @@
 func (x *Relay) markSilent(name string) {
 	x.mu.Lock()
 	x.silent[name] = x.Clock()
-	x.lent[name] = time.Time{}
+	x.lastLoad[name] = time.Time{}
 	x.mu.Unlock()
 	x.refreshPeers()
 }
