--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -43,7 +43,7 @@
 // canLend tells whether a peer's word counts: it is recent, and newer than the
 // last request that got no answer there.
 func (x *Relay) canLend(now time.Time, b member.Heartbeat) bool {
-	return !b.Leaving && b.ReceivedAt.After(x.silent[b.Name]) && now.Sub(b.ReceivedAt) <= member.SilenceTimeout
+	return !b.Leaving && b.ReceivedAt.After(x.lastFailure[b.Name]) && now.Sub(b.ReceivedAt) <= member.SilenceTimeout
 }
 
 // sendToPeer runs a request on a peer's slot. It tells whether the peer gave it
@@ -75,7 +75,7 @@
 // would draw request after request into a dead host.
 func (x *Relay) markSilent(name string) {
 	x.mu.Lock()
-	x.silent[name] = x.Clock()
+	x.lastFailure[name] = x.Clock()
 	x.lastLoad[name] = time.Time{}
 	x.mu.Unlock()
 	x.refreshPeers()
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -63,8 +63,8 @@
 	last  time.Time
 	home  homeState
 	ends  keyEnds
-	// lastLoad is when each peer last told its load, silent when it last failed.
-	lastLoad, silent map[string]time.Time
+	// lastLoad is when each peer last told its load, lastFailure when it last failed.
+	lastLoad, lastFailure map[string]time.Time
 }
 
 // New returns a relay that knows no backend servers yet.
@@ -75,7 +75,7 @@
 	}
 	return &Relay{
 		Deps: d, waits: waits, waiting: map[string]chan queue.Action{}, servers: map[string]Server{}, versions: map[string]int64{},
-		lastLoad: map[string]time.Time{}, silent: map[string]time.Time{},
+		lastLoad: map[string]time.Time{}, lastFailure: map[string]time.Time{},
 	}
 }
 
