--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -58,11 +58,11 @@
 	waiting  map[string]chan queue.Action
 	servers  map[string]Server
 	versions map[string]int64
-	// waits are the times that requests of each class waited for a slot.
-	waits map[cell.Class]metrics.Timer
-	last  time.Time
-	home  homeState
-	ends  keyEnds
+	// waitTimers are the times that requests of each class waited for a slot.
+	waitTimers map[cell.Class]metrics.Timer
+	last       time.Time
+	home       homeState
+	ends       keyEnds
 	// lastLoad is when each peer last told its load, lastFailure when it last failed.
 	lastLoad, lastFailure map[string]time.Time
 }
@@ -74,7 +74,7 @@
 		waits[c] = metrics.GetOrRegisterTimer("queue.wait."+c.String(), d.Metrics)
 	}
 	return &Relay{
-		Deps: d, waits: waits, waiting: map[string]chan queue.Action{}, servers: map[string]Server{}, versions: map[string]int64{},
+		Deps: d, waitTimers: waits, waiting: map[string]chan queue.Action{}, servers: map[string]Server{}, versions: map[string]int64{},
 		lastLoad: map[string]time.Time{}, lastFailure: map[string]time.Time{},
 	}
 }
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -92,7 +92,7 @@
 func (x *Relay) once(ctx context.Context, ask queue.Enqueue, req call.Request) try {
 	asked := x.Clock()
 	act := x.wait(ctx, ask.ID, ask)
-	x.waits[ask.Row.Class].Update(x.Clock().Sub(asked))
+	x.waitTimers[ask.Row.Class].Update(x.Clock().Sub(asked))
 	for {
 		switch a := act.(type) {
 		case queue.Send:
