--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -60,7 +60,7 @@
 	versions map[string]int64
 	// waitTimers are the times that requests of each class waited for a slot.
 	waitTimers map[cell.Class]metrics.Timer
-	last       time.Time
+	lastStep   time.Time
 	home       homeState
 	ends       keyEnds
 	// lastLoad is when each peer last told its load, lastFailure when it last failed.
@@ -96,7 +96,7 @@
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.last = x.Clock()
+	x.lastStep = x.Clock()
 	x.servers = servers
 	x.Outliers.Step(x.Clock(), outlier.Listed{Minions: names})
 	x.shares()
@@ -236,9 +236,9 @@
 // them over meanwhile, and whatever wakes first would send into them a second
 // time; SetServers gives back what is still this host's.
 func (x *Relay) resume(now time.Time) []queue.Action {
-	gap := now.Sub(x.last)
-	paused := !x.last.IsZero() && x.MaxPause > 0 && gap > x.MaxPause
-	x.last = now
+	gap := now.Sub(x.lastStep)
+	paused := !x.lastStep.IsZero() && x.MaxPause > 0 && gap > x.MaxPause
+	x.lastStep = now
 	if !paused {
 		return nil
 	}
