--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -99,11 +99,11 @@
 	x.lastStep = x.Clock()
 	x.servers = servers
 	x.Outliers.Step(x.Clock(), outlier.Listed{Minions: names})
-	x.shares()
+	x.updateShares()
 }
 
-// shares tells the queue what each backend server may get; mu is held.
-func (x *Relay) shares() {
+// updateShares tells the queue what each backend server may get; mu is held.
+func (x *Relay) updateShares() {
 	all := make([]queue.Share, 0, len(x.servers))
 	for _, s := range x.servers {
 		all = append(all, queue.Share{Backend: s.Name, Slots: x.Outliers.Most(s.Name, s.Slots)})
@@ -122,7 +122,7 @@
 	}
 	if len(acts) > 0 {
 		metrics.GetOrRegisterGauge("relay.aside", x.Metrics).Update(int64(len(x.Outliers.States())))
-		x.shares()
+		x.updateShares()
 	}
 }
 
