--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -111,8 +111,8 @@
 	x.stepQueue(queue.Shares{All: all})
 }
 
-// watch tells the outlier core what happened to a backend server; mu is held.
-func (x *Relay) watch(ev outlier.Event) {
+// stepOutliers tells the outlier core what happened to a backend server; mu is held.
+func (x *Relay) stepOutliers(ev outlier.Event) {
 	acts := x.Outliers.Step(x.Clock(), ev)
 	for _, a := range acts {
 		switch a := a.(type) {
@@ -144,7 +144,7 @@
 func (x *Relay) MarkLeaving(leaving []string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.watch(outlier.LeavingReported{Leaving: leaving})
+	x.stepOutliers(outlier.LeavingReported{Leaving: leaving})
 }
 
 // Tick lets time pass in the cores and puts changed rows in force.
@@ -154,7 +154,7 @@
 	x.tickHome()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.watch(outlier.Tick{})
+	x.stepOutliers(outlier.Tick{})
 	x.stepQueue(queue.Tick{})
 	free, waiting := x.Queue.Load()
 	metrics.GetOrRegisterGauge("queue.free", x.Metrics).Update(int64(free))
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -159,7 +159,7 @@
 	req.Trace = spans.Parent(ctx)
 	x.mu.Lock()
 	addr := x.servers[a.Backend].Address
-	x.watch(outlier.Sent{ID: req.ID, Minion: a.Backend, Row: req.Row})
+	x.stepOutliers(outlier.Sent{ID: req.ID, Minion: a.Backend, Row: req.Row})
 	x.mu.Unlock()
 	answer, err := x.Minions.Do(ctx, addr, req)
 	t := judge(answer, err)
@@ -169,7 +169,7 @@
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.watch(outlier.Ended{ID: req.ID, Result: result(t)})
+	x.stepOutliers(outlier.Ended{ID: req.ID, Result: result(t)})
 	x.stepQueue(queue.Ended{ID: req.ID, Took: x.Clock().Sub(began), Failed: err != nil})
 	return t
 }
