--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -219,7 +219,7 @@
 // stepQueue steps the queue core and wakes whom it decided about; mu is held.
 func (x *Relay) stepQueue(ev queue.Event) {
 	now := x.Clock()
-	acts := x.resume(now)
+	acts := x.checkPause(now)
 	for _, a := range append(acts, x.Queue.Step(now, ev)...) {
 		switch a := a.(type) {
 		case queue.Send:
@@ -232,10 +232,10 @@
 	}
 }
 
-// resume takes all slots away after a long pause. Other hosts may have taken
+// checkPause takes all slots away after a long pause. Other hosts may have taken
 // them over meanwhile, and whatever wakes first would send into them a second
 // time; SetServers gives back what is still this host's.
-func (x *Relay) resume(now time.Time) []queue.Action {
+func (x *Relay) checkPause(now time.Time) []queue.Action {
 	gap := now.Sub(x.lastStep)
 	paused := !x.lastStep.IsZero() && x.MaxPause > 0 && gap > x.MaxPause
 	x.lastStep = now
