--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -180,12 +180,12 @@
 func (x *Relay) queueRow(row table.Row) queue.Row {
 	return queue.Row{
 		Name: row.Name, Class: row.Urgency(), Weight: row.Weight,
-		Slots: x.part(row.Name, row.Limits.Slots, queue.NoSlots), MaxQueued: x.part(row.Name, row.Limits.Queue, 1),
+		Slots: x.localLimit(row.Name, row.Limits.Slots, queue.NoSlots), MaxQueued: x.localLimit(row.Name, row.Limits.Queue, 1),
 	}
 }
 
-// part is this host's part of a limit, or least when it has none.
-func (x *Relay) part(row string, limit, least int64) int64 {
+// localLimit is this host's localLimit of a limit, or least when it has none.
+func (x *Relay) localLimit(row string, limit, least int64) int64 {
 	if limit == 0 {
 		return 0
 	}
