--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -17,12 +17,12 @@
 	"pollencroft/internal/table"
 )
 
-// verdict is how a try ended, as far as a retry is concerned.
-type verdict int
+// retryClass is how a try ended, as far as a retry is concerned.
+type retryClass int
 
 const (
 	// final means that the reply is told to the caller.
-	final verdict = iota
+	final retryClass = iota
 	// unreached means that no server got the request.
 	unreached
 	// notRun means that a server got the request and did not run it.
@@ -33,7 +33,7 @@
 
 type try struct {
 	reply   call.Reply
-	verdict verdict
+	verdict retryClass
 	minion  string
 }
 
@@ -69,7 +69,7 @@
 // mayRetry lets a request that no server got be tried again without counting:
 // it loads nobody. All other retries come out of the row's budget, or a fault
 // of all servers would multiply the load by the number of tries.
-func (x *Relay) mayRetry(row table.Row, v verdict) bool {
+func (x *Relay) mayRetry(row table.Row, v retryClass) bool {
 	switch v {
 	case unreached:
 		return true
