--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -32,9 +32,9 @@
 )
 
 type try struct {
-	reply   call.Reply
-	verdict retryClass
-	minion  string
+	reply      call.Reply
+	retryClass retryClass
+	minion     string
 }
 
 // route runs a request on this host's slots or a peer's, and retries it on
@@ -52,13 +52,13 @@
 			// the caller would take it for "not run" and spend a pass again.
 			return *sent
 		}
-		if t.verdict == unsure {
+		if t.retryClass == unsure {
 			sent = &t.reply
 		}
-		if t.verdict == unsure && len(req.Lost) >= maxLostServers {
+		if t.retryClass == unsure && len(req.Lost) >= maxLostServers {
 			return x.giveUp(req)
 		}
-		if n >= row.Tries || ctx.Err() != nil || !x.mayRetry(row, t.verdict) {
+		if n >= row.Tries || ctx.Err() != nil || !x.mayRetry(row, t.retryClass) {
 			return t.reply
 		}
 		metrics.GetOrRegisterCounter("relay.retries", x.Metrics).Inc(1)
@@ -183,28 +183,28 @@
 	case err == nil:
 		t := try{reply: call.Reply{Outcome: cell.Done, Status: answer.Status, Header: answer.Header, Body: answer.Body}}
 		if answer.Status >= http.StatusInternalServerError {
-			t.verdict = unsure
+			t.retryClass = unsure
 		}
 		return t
 	case errors.As(err, &notSent):
-		return try{reply: call.Refuse(http.StatusServiceUnavailable, err.Error(), time.Second), verdict: unreached}
+		return try{reply: call.Refuse(http.StatusServiceUnavailable, err.Error(), time.Second), retryClass: unreached}
 	case errors.As(err, &leaving):
-		return try{reply: call.Refuse(http.StatusServiceUnavailable, err.Error(), time.Second), verdict: notRun}
+		return try{reply: call.Refuse(http.StatusServiceUnavailable, err.Error(), time.Second), retryClass: notRun}
 	case errors.Is(err, context.DeadlineExceeded):
 		return try{reply: call.Unsure(http.StatusGatewayTimeout, err.Error(), time.Second)}
 	default:
-		return try{reply: call.Unsure(http.StatusBadGateway, err.Error(), time.Second), verdict: unsure}
+		return try{reply: call.Unsure(http.StatusBadGateway, err.Error(), time.Second), retryClass: unsure}
 	}
 }
 
 // result is what a try says of the server itself.
 func result(t try) outlier.Result {
 	switch {
-	case t.verdict == unreached:
+	case t.retryClass == unreached:
 		return outlier.Unreached
-	case t.verdict == notRun:
+	case t.retryClass == notRun:
 		return outlier.Leaving
-	case t.verdict == unsure, t.reply.Outcome == cell.Unknown:
+	case t.retryClass == unsure, t.reply.Outcome == cell.Unknown:
 		return outlier.Failed
 	default:
 		return outlier.Good
