--- a/internal/relay/hedge.go
+++ b/internal/relay/hedge.go
@@ -39,7 +39,7 @@
 	case <-hedgeTimer.C:
 	}
 	// The server that is waited for may end, too.
-	if len(req.Lost)+1 >= maxLostServers || !x.mayRetry(row, unsure) {
+	if len(req.Lost)+1 >= maxLostServers || !x.mayRetry(row, mayHaveRun) {
 		return <-ends
 	}
 	metrics.GetOrRegisterCounter("relay.hedged", x.Metrics).Inc(1)
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -67,7 +67,7 @@
 	default:
 		x.markSilent(a.Peer)
 		x.step(queue.Ended{ID: req.ID, Failed: true})
-		return try{reply: call.Unsure(http.StatusBadGateway, err.Error(), time.Second), retryClass: unsure}, false
+		return try{reply: call.Unsure(http.StatusBadGateway, err.Error(), time.Second), retryClass: mayHaveRun}, false
 	}
 }
 
@@ -87,7 +87,7 @@
 	t := try{reply: reply}
 	switch {
 	case reply.Outcome == cell.Unknown, reply.Outcome == cell.Done && reply.Status >= http.StatusInternalServerError:
-		t.retryClass = unsure
+		t.retryClass = mayHaveRun
 	case reply.Outcome == cell.Refused && reply.Status == http.StatusServiceUnavailable:
 		t.retryClass = notRun
 	}
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -27,8 +27,8 @@
 	unreached
 	// notRun means that a server got the request and did not run it.
 	notRun
-	// unsure means that the request may have run.
-	unsure
+	// mayHaveRun means that the request may have run.
+	mayHaveRun
 )
 
 type try struct {
@@ -52,10 +52,10 @@
 			// the caller would take it for "not run" and spend a pass again.
 			return *sent
 		}
-		if t.retryClass == unsure {
+		if t.retryClass == mayHaveRun {
 			sent = &t.reply
 		}
-		if t.retryClass == unsure && len(req.Lost) >= maxLostServers {
+		if t.retryClass == mayHaveRun && len(req.Lost) >= maxLostServers {
 			return x.giveUp(req)
 		}
 		if n >= row.Tries || ctx.Err() != nil || !x.mayRetry(row, t.retryClass) {
@@ -75,7 +75,7 @@
 		return true
 	case notRun:
 		return x.Retries.Spend(row.Name)
-	case unsure:
+	case mayHaveRun:
 		return row.Idempotent && x.Retries.Spend(row.Name)
 	case final:
 	}
@@ -183,7 +183,7 @@
 	case err == nil:
 		t := try{reply: call.Reply{Outcome: cell.Done, Status: answer.Status, Header: answer.Header, Body: answer.Body}}
 		if answer.Status >= http.StatusInternalServerError {
-			t.retryClass = unsure
+			t.retryClass = mayHaveRun
 		}
 		return t
 	case errors.As(err, &notSent):
@@ -193,7 +193,7 @@
 	case errors.Is(err, context.DeadlineExceeded):
 		return try{reply: call.Unsure(http.StatusGatewayTimeout, err.Error(), time.Second)}
 	default:
-		return try{reply: call.Unsure(http.StatusBadGateway, err.Error(), time.Second), retryClass: unsure}
+		return try{reply: call.Unsure(http.StatusBadGateway, err.Error(), time.Second), retryClass: mayHaveRun}
 	}
 }
 
@@ -204,7 +204,7 @@
 		return outlier.Unreached
 	case t.retryClass == notRun:
 		return outlier.Leaving
-	case t.retryClass == unsure, t.reply.Outcome == cell.Unknown:
+	case t.retryClass == mayHaveRun, t.reply.Outcome == cell.Unknown:
 		return outlier.Failed
 	default:
 		return outlier.Good
