--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -36,7 +36,7 @@
 			case ledger.AwaitHome:
 				ev = x.awaitHome(lookupCtx, a, req.Deadline)
 			case ledger.Send:
-				ev = ledger.RequestEnded{Answer: toAnswer(x.route(ctx, req))}
+				ev = ledger.RequestEnded{Answer: toAnswer(x.runWithRetries(ctx, req))}
 			case ledger.Reply:
 				return toReply(a.Answer)
 			}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -260,7 +260,7 @@
 	defer end()
 	req.Trace = spans.Parent(ctx)
 	if req.Key == "" {
-		return x.route(ctx, req)
+		return x.runWithRetries(ctx, req)
 	}
 	return x.runKeyed(ctx, req)
 }
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -37,9 +37,9 @@
 	minion     string
 }
 
-// route runs a request on this host's slots or a peer's, and retries it on
+// runWithRetries runs a request on this host's slots or a peer's, and retries it on
 // another backend server where that is safe and within the row's budget.
-func (x *Relay) route(ctx context.Context, req call.Request) call.Reply {
+func (x *Relay) runWithRetries(ctx context.Context, req call.Request) call.Reply {
 	row, _ := x.Row(req.Row)
 	x.Retries.Asked(req.Row)
 	var sent *call.Reply
