--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -45,7 +45,7 @@
 	var sent *call.Reply
 	ask := queue.Enqueue{ID: req.ID, Row: x.queueRow(row), Deadline: req.Deadline}
 	for n := int64(1); ; n++ {
-		t := x.once(ctx, ask, req)
+		t := x.runOnce(ctx, ask, req)
 		req.Lost = append(req.Lost, t.reply.Lost...)
 		if sent != nil && t.reply.Outcome == cell.Refused {
 			// An earlier try may have run. That this one did not is no news:
@@ -85,11 +85,11 @@
 // RunOnFreeSlot runs a peer's request on a slot that is free now, or refuses it as Busy.
 func (x *Relay) RunOnFreeSlot(ctx context.Context, req call.Request) call.Reply {
 	row, _ := x.Row(req.Row)
-	return x.once(ctx, queue.Enqueue{ID: req.ID, Row: x.queueRow(row), Deadline: req.Deadline, FromPeer: true, Avoid: req.Lost}, req).reply
+	return x.runOnce(ctx, queue.Enqueue{ID: req.ID, Row: x.queueRow(row), Deadline: req.Deadline, FromPeer: true, Avoid: req.Lost}, req).reply
 }
 
-// once waits for a slot and sends the request one time.
-func (x *Relay) once(ctx context.Context, ask queue.Enqueue, req call.Request) try {
+// runOnce waits for a slot and sends the request one time.
+func (x *Relay) runOnce(ctx context.Context, ask queue.Enqueue, req call.Request) try {
 	asked := x.Clock()
 	act := x.wait(ctx, ask.ID, ask)
 	x.waitTimers[ask.Row.Class].Update(x.Clock().Sub(asked))
