--- a/internal/relay/hedge.go
+++ b/internal/relay/hedge.go
@@ -58,7 +58,7 @@
 	ask.ID += hedgeSuffix
 	ask.FromPeer = true
 	ask.Avoid = append([]string{a.Backend}, ask.Avoid...)
-	if next, ok := x.wait(ctx, ask.ID, ask).(queue.Send); ok && next.Backend != a.Backend {
+	if next, ok := x.awaitSlot(ctx, ask.ID, ask).(queue.Send); ok && next.Backend != a.Backend {
 		return x.send(ctx, next, req)
 	} else if ok {
 		x.step(queue.Ended{ID: ask.ID, Failed: true})
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -91,7 +91,7 @@
 // runOnce waits for a slot and sends the request one time.
 func (x *Relay) runOnce(ctx context.Context, ask queue.Enqueue, req call.Request) try {
 	asked := x.Clock()
-	act := x.wait(ctx, ask.ID, ask)
+	act := x.awaitSlot(ctx, ask.ID, ask)
 	x.waitTimers[ask.Row.Class].Update(x.Clock().Sub(asked))
 	for {
 		switch a := act.(type) {
@@ -102,7 +102,7 @@
 			if !bounced {
 				return t
 			}
-			act = x.wait(ctx, ask.ID, queue.LendRejected{ID: ask.ID})
+			act = x.awaitSlot(ctx, ask.ID, queue.LendRejected{ID: ask.ID})
 		case queue.Refuse:
 			metrics.GetOrRegisterCounter("queue.refused."+ask.Row.Class.String(), x.Metrics).Inc(1)
 			return try{reply: refusal(a)}
@@ -112,9 +112,9 @@
 	}
 }
 
-// wait tells the queue of a request and waits for its decision; nil when the
+// awaitSlot tells the queue of a request and waits for its decision; nil when the
 // caller hung up first.
-func (x *Relay) wait(ctx context.Context, id string, ev queue.Event) queue.Action {
+func (x *Relay) awaitSlot(ctx context.Context, id string, ev queue.Event) queue.Action {
 	c := make(chan queue.Action, 1)
 	x.mu.Lock()
 	x.waiting[id] = c
