--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -162,7 +162,7 @@
 	x.stepOutliers(outlier.Sent{ID: req.ID, Minion: a.Backend, Row: req.Row})
 	x.mu.Unlock()
 	answer, err := x.Minions.Do(ctx, addr, req)
-	t := judge(answer, err)
+	t := classify(answer, err)
 	t.minion = a.Backend
 	if connectionBroke(err) {
 		t.reply.Lost = []string{a.Backend}
@@ -174,9 +174,9 @@
 	return t
 }
 
-// judge turns a server's answer, or the lack of one, into what the caller is
+// classify turns a server's answer, or the lack of one, into what the caller is
 // told and whether a retry is safe.
-func judge(answer minion.Answer, err error) try {
+func classify(answer minion.Answer, err error) try {
 	var notSent *minion.NotSentError
 	var leaving *minion.LeavingError
 	switch {
