--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -169,7 +169,7 @@
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.stepOutliers(outlier.Ended{ID: req.ID, Result: result(t)})
+	x.stepOutliers(outlier.Ended{ID: req.ID, Result: outlierResult(t)})
 	x.stepQueue(queue.Ended{ID: req.ID, Took: x.Clock().Sub(began), Failed: err != nil})
 	return t
 }
@@ -197,8 +197,8 @@
 	}
 }
 
-// result is what a try says of the server itself.
-func result(t try) outlier.Result {
+// outlierResult is what a try says of the server itself.
+func outlierResult(t try) outlier.Result {
 	switch {
 	case t.retryClass == unreached:
 		return outlier.Unreached
