--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -47,8 +47,8 @@
 
 func (e *NoCertificateError) Error() string { return "no certificate in it" }
 
-// lookEvery bounds how often the files are looked at.
-const lookEvery = time.Second
+// checkInterval bounds how often the files are looked at.
+const checkInterval = time.Second
 
 // handshakeWait bounds a handshake. Something that connects and says nothing
 // would otherwise hold a connection for good.
@@ -110,7 +110,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.clock()
-	if now.Sub(k.looked) >= lookEvery {
+	if now.Sub(k.looked) >= checkInterval {
 		k.looked = now
 		if k.changed() != k.seen {
 			k.reread()
