--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -50,9 +50,9 @@
 // checkInterval bounds how often the files are looked at.
 const checkInterval = time.Second
 
-// handshakeWait bounds a handshake. Something that connects and says nothing
+// handshakeTimeout bounds a handshake. Something that connects and says nothing
 // would otherwise hold a connection for good.
-const handshakeWait = 3 * time.Second
+const handshakeTimeout = 3 * time.Second
 
 // Keys are the keys of one host. They are safe for concurrent use.
 type Keys struct {
@@ -133,7 +133,7 @@
 	c := tls.Client(conn, &tls.Config{
 		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert}, RootCAs: pool, ServerName: name, Time: k.clock,
 	})
-	ctx, cancel := context.WithTimeout(ctx, handshakeWait)
+	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
 	if err := c.HandshakeContext(ctx); err != nil {
 		k.count(reason(err))
--- a/internal/keys/listener.go
+++ b/internal/keys/listener.go
@@ -54,7 +54,7 @@
 
 func (l *listener) shake(conn net.Conn) {
 	c := tls.Server(conn, l.keys.peerConfig())
-	ctx, cancel := context.WithTimeout(context.Background(), handshakeWait)
+	ctx, cancel := context.WithTimeout(context.Background(), handshakeTimeout)
 	defer cancel()
 	if err := c.HandshakeContext(ctx); err != nil {
 		l.keys.count(reason(err))
