--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -62,11 +62,11 @@
 	count func(reason string)
 	clock func() time.Time
 
-	mu     sync.Mutex
-	looked time.Time
-	seen   [3]time.Time
-	cert   tls.Certificate
-	pool   *x509.CertPool
+	mu        sync.Mutex
+	lastCheck time.Time
+	seen      [3]time.Time
+	cert      tls.Certificate
+	pool      *x509.CertPool
 }
 
 // New reads the files; the error is a FileError. Names maps the certificate
@@ -110,8 +110,8 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.clock()
-	if now.Sub(k.looked) >= checkInterval {
-		k.looked = now
+	if now.Sub(k.lastCheck) >= checkInterval {
+		k.lastCheck = now
 		if k.changed() != k.seen {
 			k.reread()
 		}
