--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -64,7 +64,7 @@
 
 	mu        sync.Mutex
 	lastCheck time.Time
-	seen      [3]time.Time
+	modTimes  [3]time.Time
 	cert      tls.Certificate
 	pool      *x509.CertPool
 }
@@ -90,7 +90,7 @@
 		return &FileError{Path: k.files.CA, Cause: &NoCertificateError{}}
 	}
 	k.cert, k.pool = cert, pool
-	k.seen = k.changed()
+	k.modTimes = k.changed()
 	return nil
 }
 
@@ -112,7 +112,7 @@
 	now := k.clock()
 	if now.Sub(k.lastCheck) >= checkInterval {
 		k.lastCheck = now
-		if k.changed() != k.seen {
+		if k.changed() != k.modTimes {
 			k.reread()
 		}
 	}
