--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -90,11 +90,11 @@
 		return &FileError{Path: k.files.CA, Cause: &NoCertificateError{}}
 	}
 	k.cert, k.pool = cert, pool
-	k.modTimes = k.changed()
+	k.modTimes = k.readModTimes()
 	return nil
 }
 
-func (k *Keys) changed() [3]time.Time {
+func (k *Keys) readModTimes() [3]time.Time {
 	var at [3]time.Time
 	for i, path := range []string{k.files.Cert, k.files.Key, k.files.CA} {
 		if info, err := os.Stat(path); err == nil {
@@ -112,7 +112,7 @@
 	now := k.clock()
 	if now.Sub(k.lastCheck) >= checkInterval {
 		k.lastCheck = now
-		if k.changed() != k.modTimes {
+		if k.readModTimes() != k.modTimes {
 			k.reread()
 		}
 	}
