--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -73,10 +73,10 @@
 // names that may connect to host names; count is told why one was turned away.
 func New(f Files, names map[string]string, count func(reason string), clock func() time.Time) (*Keys, error) {
 	k := &Keys{files: f, names: names, count: count, clock: clock}
-	return k, k.read()
+	return k, k.load()
 }
 
-func (k *Keys) read() error {
+func (k *Keys) load() error {
 	cert, err := tls.LoadX509KeyPair(k.files.Cert, k.files.Key)
 	if err != nil {
 		return &FileError{Path: k.files.Cert, Cause: err}
@@ -120,7 +120,7 @@
 }
 
 func (k *Keys) reread() {
-	if err := k.read(); err != nil {
+	if err := k.load(); err != nil {
 		k.count("unread")
 		return
 	}
