--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -113,13 +113,13 @@
 	if now.Sub(k.lastCheck) >= checkInterval {
 		k.lastCheck = now
 		if k.readModTimes() != k.modTimes {
-			k.reread()
+			k.reload()
 		}
 	}
 	return k.cert, k.pool
 }
 
-func (k *Keys) reread() {
+func (k *Keys) reload() {
 	if err := k.load(); err != nil {
 		k.count("unread")
 		return
