--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -150,7 +150,7 @@
 		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert}, ClientCAs: pool, Time: k.clock,
 		ClientAuth: tls.RequireAndVerifyClientCert, SessionTicketsDisabled: true,
 		VerifyConnection: func(s tls.ConnectionState) error {
-			if k.host(s) == "" {
+			if k.knownHost(s) == "" {
 				return &NameError{Names: s.PeerCertificates[0].DNSNames}
 			}
 			return nil
@@ -158,8 +158,8 @@
 	}
 }
 
-// host returns the host that a certificate names, empty for none.
-func (k *Keys) host(s tls.ConnectionState) string {
+// knownHost returns the knownHost that a certificate names, empty for none.
+func (k *Keys) knownHost(s tls.ConnectionState) string {
 	if len(s.VerifiedChains) == 0 {
 		return ""
 	}
--- a/internal/keys/listener.go
+++ b/internal/keys/listener.go
@@ -62,7 +62,7 @@
 		return
 	}
 	select {
-	case l.ready <- &Conn{Conn: c, peer: l.keys.host(c.ConnectionState())}:
+	case l.ready <- &Conn{Conn: c, peer: l.keys.knownHost(c.ConnectionState())}:
 	case <-l.done:
 		_ = conn.Close()
 	}
