--- a/internal/keys/listener.go
+++ b/internal/keys/listener.go
@@ -16,8 +16,8 @@
 // Peer is the name of the host that its certificate gives.
 func (c *Conn) Peer() string { return c.peer }
 
-// shaking bounds the handshakes under way at once.
-const shaking = 64
+// maxHandshakes bounds the handshakes under way at once.
+const maxHandshakes = 64
 
 // listener hands out connections only after their handshake, and makes the
 // handshakes beside each other: one that hangs must not hold up the others.
@@ -37,7 +37,7 @@
 }
 
 func (l *listener) accept() {
-	slots := make(chan struct{}, shaking)
+	slots := make(chan struct{}, maxHandshakes)
 	for {
 		conn, err := l.Listener.Accept()
 		if err != nil {
