--- a/internal/keys/listener.go
+++ b/internal/keys/listener.go
@@ -47,12 +47,12 @@
 		slots <- struct{}{}
 		go func() {
 			defer func() { <-slots }()
-			l.shake(conn)
+			l.handshake(conn)
 		}()
 	}
 }
 
-func (l *listener) shake(conn net.Conn) {
+func (l *listener) handshake(conn net.Conn) {
 	c := tls.Server(conn, l.keys.peerConfig())
 	ctx, cancel := context.WithTimeout(context.Background(), handshakeTimeout)
 	defer cancel()
