--- a/internal/ledger/random_test.go
+++ b/internal/ledger/random_test.go
@@ -23,10 +23,10 @@
 	}
 }
 
-// wrong tells how a history broke a promise.
-type wrong struct{ what, key string }
+// invariantError tells how a history broke a promise.
+type invariantError struct{ what, key string }
 
-func (e *wrong) Error() string { return fmt.Sprintf("%s: key %s", e.what, e.key) }
+func (e *invariantError) Error() string { return fmt.Sprintf("%s: key %s", e.what, e.key) }
 
 // history is one random course of tries, faults and messages. Draw chooses a
 // number below n.
@@ -125,16 +125,16 @@
 func (h *history) check() error {
 	for key, n := range h.ran {
 		if n > 1 {
-			return &wrong{"ran twice", key}
+			return &invariantError{"ran twice", key}
 		}
 	}
 	for _, t := range h.tries {
 		switch {
 		case t.told == nil:
 		case t.told.Outcome == cell.Refused && t.ran > 0:
-			return &wrong{"refused but ran", t.key}
+			return &invariantError{"refused but ran", t.key}
 		case t.told.Outcome == cell.Done && h.ran[t.key] != 1:
-			return &wrong{"done but did not run", t.key}
+			return &invariantError{"done but did not run", t.key}
 		}
 	}
 	return nil
