--- a/internal/ledger/random_test.go
+++ b/internal/ledger/random_test.go
@@ -32,10 +32,10 @@
 // number below n.
 type history struct {
 	*world
-	draw  func(n int) int
-	keys  []string
-	first map[string]time.Time
-	tries []*try
+	draw       func(n int) int
+	keys       []string
+	firstTried map[string]time.Time
+	tries      []*try
 }
 
 // twoHosts is the smallest domain that can lose a host, beside a larger one.
@@ -51,7 +51,7 @@
 	}
 	w.tick(time.Duration(draw(60)) * time.Second)
 	w.lossy = draw
-	return &history{world: w, draw: draw, first: map[string]time.Time{}}
+	return &history{world: w, draw: draw, firstTried: map[string]time.Time{}}
 }
 
 // newTry is a caller's or a balancer's. The balancer repeats a first try in
@@ -64,12 +64,12 @@
 	key := h.keys[len(h.keys)-1-h.draw(min(2, len(h.keys)))]
 	host := h.hosts[h.draw(len(h.hosts))]
 	attempt := 2
-	began, tried := h.first[key]
+	began, tried := h.firstTried[key]
 	if host.Domain == "nord" && (!tried || h.now.Sub(began) < ledger.DefaultLimits.RepeatWindow) {
 		attempt = 1 + h.draw(2)
 	}
 	if !tried {
-		h.first[key] = h.now
+		h.firstTried[key] = h.now
 	}
 	if h.still(host.Name) {
 		return
