--- a/internal/ledger/steps_test.go
+++ b/internal/ledger/steps_test.go
@@ -26,7 +26,7 @@
 	"nothing asked": 0, "first home holds": 1, "both homes hold": 2, "sent": 3, "first home told": 4, "both homes told": 5, "caller told": 6,
 }
 
-type scene struct {
+type scenario struct {
 	*world
 	first, second, entry string
 	try                  *try
@@ -45,40 +45,40 @@
 	return id.String()
 }
 
-func newScene(rule rule) *scene {
+func newScene(rule rule) *scenario {
 	w := newWorld(cellHosts, rule)
 	key := timedKey(w.now, 1)
 	homes := ledger.NewPlan(cellHosts[0], cellHosts[1:]).Groups(key, 1, live)[0].Homes
-	s := &scene{world: w, first: homes[0].Name, second: homes[1].Name, entry: homes[2].Name}
+	s := &scenario{world: w, first: homes[0].Name, second: homes[1].Name, entry: homes[2].Name}
 	s.try = w.try(s.entry, key, 1, 1, live)
 	return s
 }
 
-var faults = map[string]func(s *scene){
-	"none":                    func(*scene) {},
-	"entry host dies":         func(s *scene) { s.dead[s.entry] = true },
-	"entry host pauses":       func(s *scene) { s.paused[s.entry] = true },
-	"entry host is replaced":  func(s *scene) { s.replace(s.entry) },
-	"first home dies":         func(s *scene) { s.dead[s.first] = true },
-	"second home dies":        func(s *scene) { s.dead[s.second] = true },
-	"first home is replaced":  func(s *scene) { s.replace(s.first) },
-	"second home is replaced": func(s *scene) { s.replace(s.second) },
-	"both homes are replaced": func(s *scene) { s.replace(s.first); s.replace(s.second) },
-	"all hosts are replaced":  func(s *scene) { s.replace(s.first); s.replace(s.second); s.replace(s.entry) },
-	"domain is cut off":       func(s *scene) { s.cut["nord"] = true },
+var faults = map[string]func(s *scenario){
+	"none":                    func(*scenario) {},
+	"entry host dies":         func(s *scenario) { s.dead[s.entry] = true },
+	"entry host pauses":       func(s *scenario) { s.paused[s.entry] = true },
+	"entry host is replaced":  func(s *scenario) { s.replace(s.entry) },
+	"first home dies":         func(s *scenario) { s.dead[s.first] = true },
+	"second home dies":        func(s *scenario) { s.dead[s.second] = true },
+	"first home is replaced":  func(s *scenario) { s.replace(s.first) },
+	"second home is replaced": func(s *scenario) { s.replace(s.second) },
+	"both homes are replaced": func(s *scenario) { s.replace(s.first); s.replace(s.second) },
+	"all hosts are replaced":  func(s *scenario) { s.replace(s.first); s.replace(s.second); s.replace(s.entry) },
+	"domain is cut off":       func(s *scenario) { s.cut["nord"] = true },
 }
 
 // repeats arrive while the first try stands at its step; its host goes on
 // only afterwards, as far as it can.
-var repeats = map[string]func(s *scene) *try{
-	"here":  func(s *scene) *try { return s.world.try(s.other(), s.try.key, 1, 2, live) },
-	"twin":  func(s *scene) *try { return s.world.try(s.other(), s.try.key, 1, 1, live) },
-	"away":  func(s *scene) *try { return s.world.try("sued-0", s.try.key, 1, 2, live) },
-	"other": func(s *scene) *try { return s.world.try(s.other(), s.try.key, 2, 2, live) },
+var repeats = map[string]func(s *scenario) *try{
+	"here":  func(s *scenario) *try { return s.world.try(s.other(), s.try.key, 1, 2, live) },
+	"twin":  func(s *scenario) *try { return s.world.try(s.other(), s.try.key, 1, 1, live) },
+	"away":  func(s *scenario) *try { return s.world.try("sued-0", s.try.key, 1, 2, live) },
+	"other": func(s *scenario) *try { return s.world.try(s.other(), s.try.key, 2, 2, live) },
 }
 
 // other is a live host of the first try's domain, not its entry host.
-func (s *scene) other() string {
+func (s *scenario) other() string {
 	if s.dead[s.second] {
 		return s.first
 	}
@@ -100,7 +100,7 @@
 // playRow lets the first try go to its step, brings the fault about, then
 // lets the repeat go as far as it can, the first try likewise, and the repeat
 // to its end. It returns what the repeat's caller was told.
-func playRow(row stepRow, kind string, rule rule) (*scene, string) {
+func playRow(row stepRow, kind string, rule rule) (*scenario, string) {
 	s := newScene(rule)
 	for range steps[row.Step] {
 		s.try.step()
