--- a/internal/ledger/steps_test.go
+++ b/internal/ledger/steps_test.go
@@ -45,7 +45,7 @@
 	return id.String()
 }
 
-func newScene(rule rule) *scenario {
+func newScenario(rule rule) *scenario {
 	w := newWorld(cellHosts, rule)
 	key := timedKey(w.now, 1)
 	homes := ledger.NewPlan(cellHosts[0], cellHosts[1:]).Groups(key, 1, live)[0].Homes
@@ -101,7 +101,7 @@
 // lets the repeat go as far as it can, the first try likewise, and the repeat
 // to its end. It returns what the repeat's caller was told.
 func playRow(row stepRow, kind string, rule rule) (*scenario, string) {
-	s := newScene(rule)
+	s := newScenario(rule)
 	for range steps[row.Step] {
 		s.try.step()
 	}
@@ -166,7 +166,7 @@
 // must hear at once that nobody knows its end, not after its whole deadline.
 func TestRepeatOfADeadHostsTryIsToldAtOnce(t *testing.T) {
 	for _, fault := range []string{"entry host dies", "entry host is replaced"} {
-		s := newScene(whole)
+		s := newScenario(whole)
 		for range steps["sent"] {
 			s.try.step()
 		}
