--- a/internal/ledger/random_test.go
+++ b/internal/ledger/random_test.go
@@ -31,7 +31,7 @@
 // history is one random course of tries, faults and messages. Draw chooses a
 // number below n.
 type history struct {
-	*world
+	*simulation
 	draw       func(n int) int
 	keys       []string
 	firstTried map[string]time.Time
@@ -51,7 +51,7 @@
 	}
 	w.tick(time.Duration(draw(60)) * time.Second)
 	w.lossy = draw
-	return &history{world: w, draw: draw, firstTried: map[string]time.Time{}}
+	return &history{simulation: w, draw: draw, firstTried: map[string]time.Time{}}
 }
 
 // newTry is a caller's or a balancer's. The balancer repeats a first try in
--- a/internal/ledger/steps_test.go
+++ b/internal/ledger/steps_test.go
@@ -27,7 +27,7 @@
 }
 
 type scenario struct {
-	*world
+	*simulation
 	first, second, entry string
 	try                  *try
 }
@@ -49,7 +49,7 @@
 	w := newWorld(cellHosts, rule)
 	key := timedKey(w.now, 1)
 	homes := ledger.NewPlan(cellHosts[0], cellHosts[1:]).Groups(key, 1, live)[0].Homes
-	s := &scenario{world: w, first: homes[0].Name, second: homes[1].Name, entry: homes[2].Name}
+	s := &scenario{simulation: w, first: homes[0].Name, second: homes[1].Name, entry: homes[2].Name}
 	s.try = w.try(s.entry, key, 1, 1, live)
 	return s
 }
@@ -71,10 +71,10 @@
 // repeats arrive while the first try stands at its step; its host goes on
 // only afterwards, as far as it can.
 var repeats = map[string]func(s *scenario) *try{
-	"here":  func(s *scenario) *try { return s.world.try(s.other(), s.try.key, 1, 2, live) },
-	"twin":  func(s *scenario) *try { return s.world.try(s.other(), s.try.key, 1, 1, live) },
-	"away":  func(s *scenario) *try { return s.world.try("sued-0", s.try.key, 1, 2, live) },
-	"other": func(s *scenario) *try { return s.world.try(s.other(), s.try.key, 2, 2, live) },
+	"here":  func(s *scenario) *try { return s.simulation.try(s.other(), s.try.key, 1, 2, live) },
+	"twin":  func(s *scenario) *try { return s.simulation.try(s.other(), s.try.key, 1, 1, live) },
+	"away":  func(s *scenario) *try { return s.simulation.try("sued-0", s.try.key, 1, 2, live) },
+	"other": func(s *scenario) *try { return s.simulation.try(s.other(), s.try.key, 2, 2, live) },
 }
 
 // other is a live host of the first try's domain, not its entry host.
@@ -181,9 +181,9 @@
 // host of another domain. Its gate scans must go on, also keyed ones; cut off
 // from the others, both of its hosts together do.
 func TestTwoHostDomainGoesOn(t *testing.T) {
-	for name, fault := range map[string]func(w *world){
-		"one host and one witness die": func(w *world) { w.dead["nord-1"], w.dead["sued-0"] = true, true },
-		"cut off":                      func(w *world) { w.cut["nord"] = true },
+	for name, fault := range map[string]func(w *simulation){
+		"one host and one witness die": func(w *simulation) { w.dead["nord-1"], w.dead["sued-0"] = true, true },
+		"cut off":                      func(w *simulation) { w.cut["nord"] = true },
 	} {
 		w := newWorld(twoHosts, whole)
 		fault(w)
--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -9,9 +9,9 @@
 	"pollencroft/internal/ledger"
 )
 
-// world plays entry hosts, homes and backend servers with the real cores; a
+// simulation plays entry hosts, homes and backend servers with the real cores; a
 // test chooses which message goes next and who dies.
-type world struct {
+type simulation struct {
 	now     time.Time
 	limits  ledger.Limits
 	hosts   []ledger.Host
@@ -51,8 +51,8 @@
 	"blind counts as fresh": {group: whole.group, older: time.Hour},
 }
 
-func newWorld(hosts []ledger.Host, rule rule) *world {
-	w := &world{
+func newWorld(hosts []ledger.Host, rule rule) *simulation {
+	w := &simulation{
 		now: start, limits: ledger.DefaultLimits, hosts: hosts, ledgers: map[string]*ledger.Ledger{}, inc: map[string]int64{},
 		dead: map[string]bool{}, paused: map[string]bool{}, cut: map[string]bool{}, skew: map[string]time.Duration{}, ran: map[string]int{}, rule: rule, lossy: func(int) int { return 0 },
 	}
@@ -64,33 +64,33 @@
 }
 
 // replace starts a host anew, without its predecessor's memory.
-func (w *world) replace(name string) {
+func (w *simulation) replace(name string) {
 	w.ledgers[name] = ledger.New(w.limits, w.clock(name).Add(-w.rule.older))
 	w.inc[name]++
 	w.dead[name], w.paused[name] = false, false
 }
 
-func (w *world) clock(name string) time.Time { return w.now.Add(w.skew[name]) }
+func (w *simulation) clock(name string) time.Time { return w.now.Add(w.skew[name]) }
 
 // tell gives a home an event at its own time.
-func (w *world) tell(name string, ev ledger.Event) []ledger.Action {
+func (w *simulation) tell(name string, ev ledger.Event) []ledger.Action {
 	return w.ledgers[name].Step(w.clock(name), ev)
 }
 
-func (w *world) domain(name string) string {
+func (w *simulation) domain(name string) string {
 	i := slices.IndexFunc(w.hosts, func(h ledger.Host) bool { return h.Name == name })
 	return w.hosts[i].Domain
 }
 
-func (w *world) still(name string) bool { return w.dead[name] || w.paused[name] }
+func (w *simulation) still(name string) bool { return w.dead[name] || w.paused[name] }
 
-func (w *world) reaches(from, to string) bool {
+func (w *simulation) reaches(from, to string) bool {
 	a, b := w.domain(from), w.domain(to)
 	return !w.still(from) && !w.still(to) && (a == b || !w.cut[a] && !w.cut[b])
 }
 
 // tick lets time pass; live hosts give signs of life.
-func (w *world) tick(d time.Duration) {
+func (w *simulation) tick(d time.Duration) {
 	w.now = w.now.Add(d)
 	for name := range w.ledgers {
 		signs := map[string]ledger.Heartbeat{}
@@ -109,7 +109,7 @@
 // try is one try at one entry host. Its next message is in do; what it has
 // told its caller is in told.
 type try struct {
-	w       *world
+	w       *simulation
 	host    string
 	inc     int64
 	run     *ledger.Try
@@ -120,7 +120,7 @@
 	waiting *ledger.AwaitHome
 }
 
-func (w *world) try(host, key string, digest uint64, attempt int, live func(string) bool) *try {
+func (w *simulation) try(host, key string, digest uint64, attempt int, live func(string) bool) *try {
 	var others []ledger.Host
 	for _, h := range w.hosts {
 		if h.Name != host {
@@ -179,7 +179,7 @@
 }
 
 // post sends a message that nobody awaits: now, later or never.
-func (w *world) post(from, to string, ev ledger.Event) {
+func (w *simulation) post(from, to string, ev ledger.Event) {
 	if !w.reaches(from, to) {
 		return
 	}
