--- a/internal/ledger/random_test.go
+++ b/internal/ledger/random_test.go
@@ -43,7 +43,7 @@
 
 func newHistory(draw func(int) int, rule rule) *history {
 	hosts := [][]ledger.Host{cellHosts, twoHosts}[draw(2)]
-	w := newWorld(hosts, rule)
+	w := newSimulation(hosts, rule)
 	w.limits.MaxKeys = 2 + draw(3)
 	for _, h := range hosts {
 		w.skew[h.Name] = time.Duration(draw(1000)) * time.Millisecond
--- a/internal/ledger/steps_test.go
+++ b/internal/ledger/steps_test.go
@@ -46,7 +46,7 @@
 }
 
 func newScenario(rule rule) *scenario {
-	w := newWorld(cellHosts, rule)
+	w := newSimulation(cellHosts, rule)
 	key := timedKey(w.now, 1)
 	homes := ledger.NewPlan(cellHosts[0], cellHosts[1:]).Groups(key, 1, live)[0].Homes
 	s := &scenario{simulation: w, first: homes[0].Name, second: homes[1].Name, entry: homes[2].Name}
@@ -185,7 +185,7 @@
 		"one host and one witness die": func(w *simulation) { w.dead["nord-1"], w.dead["sued-0"] = true, true },
 		"cut off":                      func(w *simulation) { w.cut["nord"] = true },
 	} {
-		w := newWorld(twoHosts, whole)
+		w := newSimulation(twoHosts, whole)
 		fault(w)
 		for n := range byte(20) {
 			alive := func(host string) bool { return w.reaches("nord-0", host) }
--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -51,7 +51,7 @@
 	"blind counts as fresh": {group: whole.group, older: time.Hour},
 }
 
-func newWorld(hosts []ledger.Host, rule rule) *simulation {
+func newSimulation(hosts []ledger.Host, rule rule) *simulation {
 	w := &simulation{
 		now: start, limits: ledger.DefaultLimits, hosts: hosts, ledgers: map[string]*ledger.Ledger{}, inc: map[string]int64{},
 		dead: map[string]bool{}, paused: map[string]bool{}, cut: map[string]bool{}, skew: map[string]time.Duration{}, ran: map[string]int{}, rule: rule, lossy: func(int) int { return 0 },
