--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -72,8 +72,8 @@
 
 func (w *simulation) clock(name string) time.Time { return w.now.Add(w.skew[name]) }
 
-// tell gives a home an event at its own time.
-func (w *simulation) tell(name string, ev ledger.Event) []ledger.Action {
+// stepHome gives a home an event at its own time.
+func (w *simulation) stepHome(name string, ev ledger.Event) []ledger.Action {
 	return w.ledgers[name].Step(w.clock(name), ev)
 }
 
@@ -100,8 +100,8 @@
 			}
 		}
 		if !w.still(name) {
-			w.tell(name, ledger.HostHeartbeats{Heartbeats: signs})
-			w.tell(name, ledger.Tick{})
+			w.stepHome(name, ledger.HostHeartbeats{Heartbeats: signs})
+			w.stepHome(name, ledger.Tick{})
 		}
 	}
 }
@@ -186,9 +186,9 @@
 	switch w.lossy(6) {
 	case 1:
 	case 2:
-		w.late = append(w.late, func() { w.tell(to, ev) })
+		w.late = append(w.late, func() { w.stepHome(to, ev) })
 	default:
-		w.tell(to, ev)
+		w.stepHome(to, ev)
 	}
 }
 
@@ -200,13 +200,13 @@
 	}
 	switch t.w.lossy(12) {
 	case 1: // the answer is lost
-		t.w.tell(a.Home, a.Open)
+		t.w.stepHome(a.Home, a.Open)
 		return ledger.HomeSilent{Home: a.Home}
 	case 2: // the question arrives when nobody waits for its answer
-		t.w.late = append(t.w.late, func() { t.w.tell(a.Home, a.Open) })
+		t.w.late = append(t.w.late, func() { t.w.stepHome(a.Home, a.Open) })
 		return ledger.HomeSilent{Home: a.Home}
 	}
-	v := t.w.tell(a.Home, a.Open)[0].(ledger.Verdict)
+	v := t.w.stepHome(a.Home, a.Open)[0].(ledger.Verdict)
 	return ledger.HomeAnswered{Home: a.Home, Verdict: v}
 }
 
@@ -221,8 +221,8 @@
 		t.feed(ledger.HomeSilent{Home: home})
 		return
 	}
-	acts := t.w.tell(home, ledger.Await{Key: t.key, ID: "w", Until: t.w.clock(home).Add(time.Minute)})
-	t.w.tell(home, ledger.CancelAwait{ID: "w"})
+	acts := t.w.stepHome(home, ledger.Await{Key: t.key, ID: "w", Until: t.w.clock(home).Add(time.Minute)})
+	t.w.stepHome(home, ledger.CancelAwait{ID: "w"})
 	if len(acts) > 0 {
 		t.waiting = nil
 		t.feed(ledger.HomeAnswered{Home: home, Verdict: acts[0].(ledger.Woken).Verdict})
