--- a/internal/ledger/random_test.go
+++ b/internal/ledger/random_test.go
@@ -71,7 +71,7 @@
 	if !tried {
 		h.firstTried[key] = h.now
 	}
-	if h.still(host.Name) {
+	if h.isDown(host.Name) {
 		return
 	}
 	seen := h.draw(8)
--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -82,11 +82,11 @@
 	return w.hosts[i].Domain
 }
 
-func (w *simulation) still(name string) bool { return w.dead[name] || w.paused[name] }
+func (w *simulation) isDown(name string) bool { return w.dead[name] || w.paused[name] }
 
 func (w *simulation) reaches(from, to string) bool {
 	a, b := w.domain(from), w.domain(to)
-	return !w.still(from) && !w.still(to) && (a == b || !w.cut[a] && !w.cut[b])
+	return !w.isDown(from) && !w.isDown(to) && (a == b || !w.cut[a] && !w.cut[b])
 }
 
 // tick lets time pass; live hosts give signs of life.
@@ -99,7 +99,7 @@
 				signs[h.Name] = ledger.Heartbeat{Incarnation: w.inc[h.Name], At: w.clock(name)}
 			}
 		}
-		if !w.still(name) {
+		if !w.isDown(name) {
 			w.stepHome(name, ledger.HostHeartbeats{Heartbeats: signs})
 			w.stepHome(name, ledger.Tick{})
 		}
