--- a/internal/ledger/random_test.go
+++ b/internal/ledger/random_test.go
@@ -130,10 +130,10 @@
 	}
 	for _, t := range h.tries {
 		switch {
-		case t.told == nil:
-		case t.told.Outcome == cell.Refused && t.ran > 0:
+		case t.reply == nil:
+		case t.reply.Outcome == cell.Refused && t.ran > 0:
 			return &invariantError{"refused but ran", t.key}
-		case t.told.Outcome == cell.Done && h.ran[t.key] != 1:
+		case t.reply.Outcome == cell.Done && h.ran[t.key] != 1:
 			return &invariantError{"done but did not run", t.key}
 		}
 	}
--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -115,7 +115,7 @@
 	run     *ledger.Try
 	key     string
 	do      []ledger.TryAction
-	told    *ledger.Answer
+	reply   *ledger.Answer
 	ran     int
 	waiting *ledger.AwaitHome
 }
@@ -173,7 +173,7 @@
 		t.ran++
 		t.feed(ledger.RequestEnded{Answer: ledger.Answer{Outcome: cell.Done, Status: 200, Body: []byte("whole")}})
 	case ledger.Reply:
-		t.told = &a.Answer
+		t.reply = &a.Answer
 	}
 	return true
 }
@@ -235,18 +235,18 @@
 	for range 200 {
 		for t.step() {
 		}
-		if t.told != nil || t.gone() {
+		if t.reply != nil || t.gone() {
 			break
 		}
 		t.w.tick(100 * time.Millisecond)
 		t.look()
 	}
 	switch {
-	case t.told == nil:
+	case t.reply == nil:
 		return "nothing"
-	case t.told.Status == 422:
+	case t.reply.Status == 422:
 		return "422"
 	default:
-		return string(t.told.Outcome)
+		return string(t.reply.Outcome)
 	}
 }
