--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -114,7 +114,7 @@
 	inc     int64
 	run     *ledger.Try
 	key     string
-	do      []ledger.TryAction
+	actions []ledger.TryAction
 	reply   *ledger.Answer
 	ran     int
 	waiting *ledger.AwaitHome
@@ -146,7 +146,7 @@
 		Remaining: cell.Duration{Duration: 10 * time.Second},
 	}
 	t := &try{w: w, host: host, inc: w.inc[host], key: key, run: ledger.NewTry(open, groups)}
-	t.do = t.run.Step(ledger.Begin{})
+	t.actions = t.run.Step(ledger.Begin{})
 	return t
 }
 
@@ -155,11 +155,11 @@
 // step takes the try's next action to where it goes; false when it has ended,
 // waits or its host is gone.
 func (t *try) step() bool {
-	if t.gone() || t.w.paused[t.host] || len(t.do) == 0 {
+	if t.gone() || t.w.paused[t.host] || len(t.actions) == 0 {
 		return false
 	}
-	a := t.do[0]
-	t.do = t.do[1:]
+	a := t.actions[0]
+	t.actions = t.actions[1:]
 	switch a := a.(type) {
 	case ledger.RecordEnd:
 		t.w.post(t.host, a.Home, a.Close)
@@ -192,7 +192,7 @@
 	}
 }
 
-func (t *try) feed(ev ledger.TryEvent) { t.do = append(t.do, t.run.Step(ev)...) }
+func (t *try) feed(ev ledger.TryEvent) { t.actions = append(t.actions, t.run.Step(ev)...) }
 
 func (t *try) ask(a ledger.AskHome) ledger.TryEvent {
 	if !t.w.reaches(t.host, a.Home) {
