--- a/internal/ledger/random_test.go
+++ b/internal/ledger/random_test.go
@@ -111,7 +111,7 @@
 		default:
 			if len(h.tries) > 0 {
 				t := h.tries[len(h.tries)-1-h.draw(min(4, len(h.tries)))]
-				t.look()
+				t.pollWait()
 				t.step()
 			}
 		}
--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -167,7 +167,7 @@
 		t.feed(t.ask(a))
 	case ledger.AwaitHome:
 		t.waiting = &a
-		t.look()
+		t.pollWait()
 	case ledger.Send:
 		t.w.ran[t.key]++
 		t.ran++
@@ -210,8 +210,8 @@
 	return ledger.HomeAnswered{Home: a.Home, Verdict: v}
 }
 
-// look asks the home of a waiting try whether the wait is over.
-func (t *try) look() {
+// pollWait asks the home of a waiting try whether the wait is over.
+func (t *try) pollWait() {
 	if t.waiting == nil || t.gone() || t.w.paused[t.host] {
 		return
 	}
@@ -239,7 +239,7 @@
 			break
 		}
 		t.w.tick(100 * time.Millisecond)
-		t.look()
+		t.pollWait()
 	}
 	switch {
 	case t.reply == nil:
