--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -150,12 +150,12 @@
 	return t
 }
 
-func (t *try) gone() bool { return t.w.dead[t.host] || t.w.inc[t.host] != t.inc }
+func (t *try) hostReplaced() bool { return t.w.dead[t.host] || t.w.inc[t.host] != t.inc }
 
 // step takes the try's next action to where it goes; false when it has ended,
 // waits or its host is gone.
 func (t *try) step() bool {
-	if t.gone() || t.w.paused[t.host] || len(t.actions) == 0 {
+	if t.hostReplaced() || t.w.paused[t.host] || len(t.actions) == 0 {
 		return false
 	}
 	a := t.actions[0]
@@ -212,7 +212,7 @@
 
 // pollWait asks the home of a waiting try whether the wait is over.
 func (t *try) pollWait() {
-	if t.waiting == nil || t.gone() || t.w.paused[t.host] {
+	if t.waiting == nil || t.hostReplaced() || t.w.paused[t.host] {
 		return
 	}
 	home := t.waiting.Home
@@ -235,7 +235,7 @@
 	for range 200 {
 		for t.step() {
 		}
-		if t.reply != nil || t.gone() {
+		if t.reply != nil || t.hostReplaced() {
 			break
 		}
 		t.w.tick(100 * time.Millisecond)
