--- a/internal/ledger/random_test.go
+++ b/internal/ledger/random_test.go
@@ -146,14 +146,14 @@
 func TestNoHistoryRunsAKeyTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") }
-		require.NoError(t, newHistory(draw, whole).play(120))
+		require.NoError(t, newHistory(draw, allRules).play(120))
 	})
 }
 
 // The oracle has to notice a rule that is left out.
 func TestHistoriesFindBrokenRules(t *testing.T) {
 	rules := maps.Clone(brokenRules)
-	rules["homes follow from who is live"] = rule{group: whole.group, byLive: true}
+	rules["homes follow from who is live"] = rule{group: allRules.group, byLive: true}
 	for name, rule := range rules {
 		seed, err := uint64(0), error(nil)
 		for ; seed < 5000 && err == nil; seed++ {
@@ -166,7 +166,7 @@
 	done := 0
 	for seed := range uint64(5000) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		h := newHistory(r.IntN, whole)
+		h := newHistory(r.IntN, allRules)
 		require.NoError(t, h.play(120), "history %d", seed)
 		done += len(h.ran)
 	}
--- a/internal/ledger/steps_test.go
+++ b/internal/ledger/steps_test.go
@@ -132,7 +132,7 @@
 	for _, row := range rows {
 		for kind := range repeats {
 			t.Run(row.Step+"/"+row.Fault+"/"+kind, func(t *testing.T) {
-				s, told := playRow(row, kind, whole)
+				s, told := playRow(row, kind, allRules)
 				require.Equal(t, row.want(kind), told)
 				require.LessOrEqual(t, s.ran[s.try.key], 1)
 				if told == "done" {
@@ -166,7 +166,7 @@
 // must hear at once that nobody knows its end, not after its whole deadline.
 func TestRepeatOfADeadHostsTryIsToldAtOnce(t *testing.T) {
 	for _, fault := range []string{"entry host dies", "entry host is replaced"} {
-		s := newScenario(whole)
+		s := newScenario(allRules)
 		for range steps["sent"] {
 			s.try.step()
 		}
@@ -185,7 +185,7 @@
 		"one host and one witness die": func(w *simulation) { w.dead["nord-1"], w.dead["sued-0"] = true, true },
 		"cut off":                      func(w *simulation) { w.cut["nord"] = true },
 	} {
-		w := newSimulation(twoHosts, whole)
+		w := newSimulation(twoHosts, allRules)
 		fault(w)
 		for n := range byte(20) {
 			alive := func(host string) bool { return w.reaches("nord-0", host) }
--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -43,12 +43,12 @@
 	byLive bool
 }
 
-var whole = rule{group: func(*ledger.Group) {}}
+var allRules = rule{group: func(*ledger.Group) {}}
 
 // brokenRules each leave out one rule that at most once rests on.
 var brokenRules = map[string]rule{
 	"one home is enough":    {group: func(g *ledger.Group) { g.RequiredWeight = 1 }},
-	"blind counts as fresh": {group: whole.group, older: time.Hour},
+	"blind counts as fresh": {group: allRules.group, older: time.Hour},
 }
 
 func newSimulation(hosts []ledger.Host, rule rule) *simulation {
