--- a/internal/relay/keyed_test.go
+++ b/internal/relay/keyed_test.go
@@ -82,14 +82,14 @@
 	return nil, nil
 }
 
-// gate is a backend server that holds each request until it is let go.
-type gate struct {
+// blockingServer is a backend server that holds each request until it is let go.
+type blockingServer struct {
 	arrived chan *http.Request
 	letGo   chan struct{}
 	servers []relay.Server
 }
 
-func (g *gate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (g *blockingServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	g.arrived <- r
 	<-g.letGo
@@ -99,8 +99,8 @@
 
 var names = []string{"nord-0", "nord-1", "nord-2"}
 
-func newNodes(t *testing.T, ahead time.Duration) ([]*node, *gate) {
-	g := &gate{arrived: make(chan *http.Request, 10), letGo: make(chan struct{})}
+func newNodes(t *testing.T, ahead time.Duration) ([]*node, *blockingServer) {
+	g := &blockingServer{arrived: make(chan *http.Request, 10), letGo: make(chan struct{})}
 	srv := httptest.NewServer(g)
 	t.Cleanup(srv.Close)
 	addrs := map[string]netip.AddrPort{}
