--- a/internal/relay/keyed_test.go
+++ b/internal/relay/keyed_test.go
@@ -85,14 +85,14 @@
 // blockingServer is a backend server that holds each request until it is let go.
 type blockingServer struct {
 	arrived chan *http.Request
-	letGo   chan struct{}
+	release chan struct{}
 	servers []relay.Server
 }
 
 func (g *blockingServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	g.arrived <- r
-	<-g.letGo
+	<-g.release
 	w.Header().Set(minion.HeaderID, r.Header.Get(minion.HeaderID))
 	_, _ = w.Write(body)
 }
@@ -100,7 +100,7 @@
 var names = []string{"nord-0", "nord-1", "nord-2"}
 
 func newNodes(t *testing.T, ahead time.Duration) ([]*node, *blockingServer) {
-	g := &blockingServer{arrived: make(chan *http.Request, 10), letGo: make(chan struct{})}
+	g := &blockingServer{arrived: make(chan *http.Request, 10), release: make(chan struct{})}
 	srv := httptest.NewServer(g)
 	t.Cleanup(srv.Close)
 	addrs := map[string]netip.AddrPort{}
@@ -183,7 +183,7 @@
 	for name, lent := range map[string]bool{"own queue": false, "given back by a peer": true} {
 		t.Run(name, func(t *testing.T) {
 			all, g := newNodes(t, 0)
-			close(g.letGo)
+			close(g.release)
 			if lent {
 				all[1].SetServers(nil)
 				free(all)
@@ -216,7 +216,7 @@
 			<-g.arrived
 			hangUp()
 			repeat, _ := all[2].start(key, 2)
-			close(g.letGo)
+			close(g.release)
 			reply := <-repeat
 			require.Equal(t, cell.Done, reply.Outcome)
 			require.Equal(t, "pass", string(reply.Body))
@@ -230,7 +230,7 @@
 // backend server still works on it and the deadline is far.
 func TestWaitingRepeatIsToldWhenTheEntryHostIsGone(t *testing.T) {
 	all, g := newNodes(t, 0)
-	defer close(g.letGo)
+	defer close(g.release)
 	key := cell.NewID()
 	_, hangUp := all[1].start(key, 1)
 	defer hangUp()
@@ -257,7 +257,7 @@
 // told again; else the turnstile's repeat would be told unknown.
 func TestEndIsToldAgainWhenAHomeIsSilent(t *testing.T) {
 	all, g := newNodes(t, 0)
-	close(g.letGo)
+	close(g.release)
 	for _, n := range all {
 		n.deaf.Store(1)
 	}
@@ -275,7 +275,7 @@
 // must get all of it, and so must the repeat that finds it under its key.
 func TestLargeBodyComesWholeFromAPeer(t *testing.T) {
 	all, g := newNodes(t, 0)
-	close(g.letGo)
+	close(g.release)
 	free(all)
 	body := make([]byte, 256<<10)
 	for i := range body {
@@ -300,7 +300,7 @@
 func TestDeadlineIsTheTimeLeftOnEveryHop(t *testing.T) {
 	for _, ahead := range []time.Duration{-time.Hour, time.Hour} {
 		all, g := newNodes(t, ahead)
-		close(g.letGo)
+		close(g.release)
 		free(all)
 		reply, _ := all[0].start("", 1)
 		require.Equal(t, cell.Done, (<-reply).Outcome, ahead)
