--- a/internal/relay/keyed_test.go
+++ b/internal/relay/keyed_test.go
@@ -40,8 +40,8 @@
 	mu    sync.Mutex
 	// kill closes the connections on which peers ask this node.
 	kill context.CancelFunc
-	// deaf is how many ends of keys it does not hear.
-	deaf atomic.Int32
+	// ignoreEnds is how many ends of keys it does not hear.
+	ignoreEnds atomic.Int32
 }
 
 func (n *node) clock() time.Time { return time.Now().Add(n.ahead) }
@@ -73,7 +73,7 @@
 	case peer.AwaitKey:
 		return n.AwaitKey(ctx, m), nil
 	case peer.CloseKeys:
-		if n.deaf.Add(-1) >= 0 {
+		if n.ignoreEnds.Add(-1) >= 0 {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
@@ -259,7 +259,7 @@
 	all, g := newNodes(t, 0)
 	close(g.release)
 	for _, n := range all {
-		n.deaf.Store(1)
+		n.ignoreEnds.Store(1)
 	}
 	key := cell.NewID()
 	first, _ := all[1].start(key, 1)
