--- a/internal/relay/keyed_test.go
+++ b/internal/relay/keyed_test.go
@@ -171,8 +171,8 @@
 	require.Eventually(t, f, 10*time.Second, time.Millisecond)
 }
 
-// free makes the first node take the second for one with free slots.
-func free(all []*node) {
+// announceFreeSlots makes the first node take the second for one with announceFreeSlots slots.
+func announceFreeSlots(all []*node) {
 	all[0].setBeats(member.Heartbeat{Name: "nord-1", Domain: "nord", FreeSlots: 8})
 	all[0].Tick()
 }
@@ -186,7 +186,7 @@
 			close(g.release)
 			if lent {
 				all[1].SetServers(nil)
-				free(all)
+				announceFreeSlots(all)
 			}
 			key := cell.NewID()
 			reply, hangUp := all[0].start(key, 1)
@@ -210,7 +210,7 @@
 	for name, first := range map[string]int{"own slot": 1, "peer's slot": 0} {
 		t.Run(name, func(t *testing.T) {
 			all, g := newNodes(t, 0)
-			free(all)
+			announceFreeSlots(all)
 			key := cell.NewID()
 			_, hangUp := all[first].start(key, 1)
 			<-g.arrived
@@ -276,7 +276,7 @@
 func TestLargeBodyComesWholeFromAPeer(t *testing.T) {
 	all, g := newNodes(t, 0)
 	close(g.release)
-	free(all)
+	announceFreeSlots(all)
 	body := make([]byte, 256<<10)
 	for i := range body {
 		body[i] = byte(i * 7)
@@ -301,7 +301,7 @@
 	for _, ahead := range []time.Duration{-time.Hour, time.Hour} {
 		all, g := newNodes(t, ahead)
 		close(g.release)
-		free(all)
+		announceFreeSlots(all)
 		reply, _ := all[0].start("", 1)
 		require.Equal(t, cell.Done, (<-reply).Outcome, ahead)
 		left, err := time.ParseDuration((<-g.arrived).Header.Get(minion.HeaderDeadline))
