--- a/internal/relay/lost_test.go
+++ b/internal/relay/lost_test.go
@@ -11,8 +11,8 @@
 	"pollencroft/internal/standin"
 )
 
-// mostLost is how many backend servers one request may end.
-const mostLost = 3
+// maxLostServers is how many backend servers one request may end.
+const maxLostServers = 3
 
 // saved is a bench of a row that allows many tries and has saved up retries.
 func saved(t *testing.T, minions int) *bench {
@@ -53,7 +53,7 @@
 		reply := b.Do(t.Context(), req)
 		servers, runs := b.reached(req.ID)
 		t.Logf("servers: %d, runs: %d", servers, runs)
-		require.LessOrEqual(t, runs, mostLost)
+		require.LessOrEqual(t, runs, maxLostServers)
 		require.Equal(t, cell.Unknown, reply.Outcome, "it may have run")
 		require.Contains(t, reply.Reason, "backend servers")
 	}
@@ -68,7 +68,7 @@
 	reply := b.Do(t.Context(), req)
 	servers, runs := b.reached(req.ID)
 	t.Logf("servers: %d, runs: %d", servers, runs)
-	require.LessOrEqual(t, runs, mostLost)
+	require.LessOrEqual(t, runs, maxLostServers)
 	require.Equal(t, cell.Unknown, reply.Outcome, "it may have run")
 }
 
@@ -81,5 +81,5 @@
 	_, runs := b.reached(req.ID)
 	t.Logf("runs: %d", runs)
 	require.Equal(t, http.StatusInternalServerError, reply.Status)
-	require.Greater(t, runs, mostLost)
+	require.Greater(t, runs, maxLostServers)
 }
