--- a/internal/relay/lost_test.go
+++ b/internal/relay/lost_test.go
@@ -14,8 +14,8 @@
 // maxLostServers is how many backend servers one request may end.
 const maxLostServers = 3
 
-// saved is a bench of a row that allows many tries and has saved up retries.
-func saved(t *testing.T, minions int) *bench {
+// newBenchWithBudget is a bench of a row that allows many tries and has newBenchWithBudget up retries.
+func newBenchWithBudget(t *testing.T, minions int) *bench {
 	t.Helper()
 	b := newBench(t, minions, 8)
 	b.row.Idempotent, b.row.Tries = true, 100
@@ -47,7 +47,7 @@
 // Guards against a request that ends one backend server after the other.
 func TestRequestThatEndsBackendServersIsGivenUp(t *testing.T) {
 	for _, minions := range []int{2, 12} {
-		b := saved(t, minions)
+		b := newBenchWithBudget(t, minions)
 		b.all(standin.MinionFaults{Lose: 1000})
 		req := request()
 		reply := b.Do(t.Context(), req)
@@ -61,7 +61,7 @@
 
 // Guards against a hedged request that ends one backend server after the other.
 func TestHedgedRequestThatEndsBackendServersIsGivenUp(t *testing.T) {
-	b := saved(t, 12)
+	b := newBenchWithBudget(t, 12)
 	b.all(standin.MinionFaults{Lose: 1000, Slow: 1500 * time.Millisecond})
 	req := request()
 	req.Deadline = time.Now().Add(30 * time.Second)
@@ -74,7 +74,7 @@
 
 // Guards against requests that are given up because servers answer with failures: those go on.
 func TestAnsweredFailuresEndNoServer(t *testing.T) {
-	b := saved(t, 12)
+	b := newBenchWithBudget(t, 12)
 	b.all(standin.MinionFaults{Fail: 100})
 	req := request()
 	reply := b.Do(t.Context(), req)
