--- a/internal/relay/lost_test.go
+++ b/internal/relay/lost_test.go
@@ -25,7 +25,7 @@
 	return b
 }
 
-func (b *bench) all(f standin.MinionFaults) {
+func (b *bench) setFaults(f standin.MinionFaults) {
 	for _, m := range b.minions {
 		m.SetFaults(f)
 	}
@@ -48,7 +48,7 @@
 func TestRequestThatEndsBackendServersIsGivenUp(t *testing.T) {
 	for _, minions := range []int{2, 12} {
 		b := newBenchWithBudget(t, minions)
-		b.all(standin.MinionFaults{Lose: 1000})
+		b.setFaults(standin.MinionFaults{Lose: 1000})
 		req := request()
 		reply := b.Do(t.Context(), req)
 		servers, runs := b.reached(req.ID)
@@ -62,7 +62,7 @@
 // Guards against a hedged request that ends one backend server after the other.
 func TestHedgedRequestThatEndsBackendServersIsGivenUp(t *testing.T) {
 	b := newBenchWithBudget(t, 12)
-	b.all(standin.MinionFaults{Lose: 1000, Slow: 1500 * time.Millisecond})
+	b.setFaults(standin.MinionFaults{Lose: 1000, Slow: 1500 * time.Millisecond})
 	req := request()
 	req.Deadline = time.Now().Add(30 * time.Second)
 	reply := b.Do(t.Context(), req)
@@ -75,7 +75,7 @@
 // Guards against requests that are given up because servers answer with failures: those go on.
 func TestAnsweredFailuresEndNoServer(t *testing.T) {
 	b := newBenchWithBudget(t, 12)
-	b.all(standin.MinionFaults{Fail: 100})
+	b.setFaults(standin.MinionFaults{Fail: 100})
 	req := request()
 	reply := b.Do(t.Context(), req)
 	_, runs := b.reached(req.ID)
