--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -19,11 +19,11 @@
 	tally.job(client.Job{Tasks: 2}, client.JobStatus{ID: "d.r.a"}, nil, 0)
 	tally.job(client.Job{Tasks: 1}, client.JobStatus{ID: "d.r.b"}, nil, 0)
 	tally.cancelled("d.r.b", "not run")
-	got := tally.Wrong(standin.Report{
+	got := tally.Violations(standin.Report{
 		Overfilled: 3, Doubled: []string{"x"},
 		Ran:     map[string]int{"twice": 2, "ran": 1},
 		Tasks:   map[string]int{"d.r.a.0": 1},
 		Started: map[string]int{"d.r.a.0": 1, "d.r.b.0": 1, "d.r.c.0": 1},
 	})
-	require.Equal(t, WrongError{Lost: 2, Twice: 2, Overfilled: 3, Told: 3}, got)
+	require.Equal(t, ViolationsError{Lost: 2, Twice: 2, Overfilled: 3, Told: 3}, got)
 }
--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -60,9 +60,9 @@
 	Accel int64 `json:"accel" toml:"accel"`
 }
 
-// Largest is the most of each part that a worker is believed to have. Sums over all workers stay
+// MaxSize is the most of each part that a worker is believed to have. Sums over all workers stay
 // far from overflowing.
-var Largest = Size{CPU: 1 << 30, Mem: 1 << 50, Accel: 1 << 20}
+var MaxSize = Size{CPU: 1 << 30, Mem: 1 << 50, Accel: 1 << 20}
 
 // Add returns the sum of both sizes.
 func (s Size) Add(o Size) Size {
@@ -74,13 +74,13 @@
 	return Size{CPU: s.CPU - o.CPU, Mem: s.Mem - o.Mem, Accel: s.Accel - o.Accel}
 }
 
-// Times returns a part of s, or a multiple.
-func (s Size) Times(f float64) Size {
+// Scale returns a part of s, or a multiple.
+func (s Size) Scale(f float64) Size {
 	return Size{CPU: int64(f * float64(s.CPU)), Mem: int64(f * float64(s.Mem)), Accel: int64(f * float64(s.Accel))}
 }
 
-// Into returns how many of s go into room; math.MaxInt64 if s takes nothing.
-func (s Size) Into(room Size) int64 {
+// FitCount returns how many of s go into room; math.MaxInt64 if s takes nothing.
+func (s Size) FitCount(room Size) int64 {
 	n := int64(math.MaxInt64)
 	for _, p := range [...][2]int64{{s.CPU, room.CPU}, {s.Mem, room.Mem}, {s.Accel, room.Accel}} {
 		if p[0] > 0 {
@@ -95,14 +95,14 @@
 	return s.CPU <= room.CPU && s.Mem <= room.Mem && s.Accel <= room.Accel
 }
 
-// Share returns the largest part of s relative to whole (dominant share).
-func (s Size) Share(whole Size) float64 {
+// DominantShare returns the largest part of s relative to whole (dominant share).
+func (s Size) DominantShare(whole Size) float64 {
 	return max(ratio(s.CPU, whole.CPU), ratio(s.Mem, whole.Mem), ratio(s.Accel, whole.Accel))
 }
 
-// Least returns the smallest part of s relative to whole, over the parts that
+// MinShare returns the smallest part of s relative to whole, over the parts that
 // whole has: how much of it is left for any task.
-func (s Size) Least(whole Size) float64 {
+func (s Size) MinShare(whole Size) float64 {
 	least := ratio(s.CPU, whole.CPU)
 	if whole.Mem > 0 {
 		least = min(least, ratio(s.Mem, whole.Mem))
@@ -122,9 +122,9 @@
 
 // The kinds of machine on the platform's host list.
 const (
-	EntryHost  Kind = "host"
-	WorkerHost Kind = "worker"
-	MinionHost Kind = "minion"
+	EntryHost   Kind = "host"
+	WorkerHost  Kind = "worker"
+	BackendHost Kind = "minion"
 )
 
 // ValueError tells which field of an input is wrong, what was found and what
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -140,11 +140,11 @@
 	if !ok || name == h.cfg.Name {
 		return name, false
 	}
-	h.peers.Set(name, seen.addr)
+	h.peers.SetAddr(name, seen.addr)
 	r, err := h.askWhetherLeads(name)
 	if err == nil && r.Lead {
-		// The announcement of that leader may be lost. All hosts would then leave the lead to it
-		// without knowing it, and callers would be told forever that no host leads.
+		// The announcement of that leader may be lost. All hosts would then leave leadership to
+		// it without knowing it, and callers would be told forever that no host leads.
 		h.setLeader(leaderRecord{Name: name, Addr: seen.addr, Term: r.Term})
 	}
 	return name, err == nil && (r.Lead || r.Claiming)
@@ -174,7 +174,7 @@
 	for i, p := range parts {
 		g.Go(func() error {
 			var err error
-			states[i], _, err = store.Table(ctx, h.store, stateTopic, p)
+			states[i], _, err = store.ReadLatest(ctx, h.store, stateTopic, p)
 			return err
 		})
 	}
@@ -196,7 +196,7 @@
 	for i := range parts {
 		g.Go(func() error {
 			var err error
-			parts[i], next[i], err = store.Table(ctx, h.store, jobsTopic, i)
+			parts[i], next[i], err = store.ReadLatest(ctx, h.store, jobsTopic, i)
 			return err
 		})
 	}
--- a/internal/entry/endings_test.go
+++ b/internal/entry/finalstates_test.go
@@ -14,7 +14,7 @@
 
 // Guards against final states that a host misses, and against final states that a leader never
 // removes.
-func TestFinalStatesAreToldInOrderAndDropped(t *testing.T) {
+func TestFinalStatesAreReportedInOrderAndDropped(t *testing.T) {
 	var e entry.FinalStates
 	at := time.Unix(1000, 0)
 	const jobs = 1200
@@ -46,7 +46,7 @@
 
 // Guards against a leader that does not report the final states of jobs to other hosts while its
 // scheduler core is busy.
-func TestABusyLeadTellsHostsOfEndedJobs(t *testing.T) {
+func TestBusyLeaderReportsEndedJobs(t *testing.T) {
 	c := newCluster(t, 2, 2, 20*time.Millisecond)
 	leader := c.leader()
 	c.submitMany(leader, 0, 1)
@@ -65,7 +65,7 @@
 
 // Guards against final states that a host does not receive because another leader numbers them
 // from the beginning.
-func TestEachTermTellsItsEndsFromTheFirst(t *testing.T) {
+func TestEachTermReportsItsFinalStatesFromTheFirst(t *testing.T) {
 	const jobs = 5
 	c := newCluster(t, 2, 2, 20*time.Millisecond)
 	previous := c.leader()
@@ -84,7 +84,7 @@
 
 // Guards against a late reply of a previous leader that moves the position in the current
 // leader's list of final states backward or forward.
-func TestAFormerLeadsNumberIsNotGoneOnWith(t *testing.T) {
+func TestSyncPositionOfPreviousLeaderIsIgnored(t *testing.T) {
 	h := newCluster(t, 1, 1, 20*time.Millisecond).leader()
 	const term = 1 << 40
 	for _, c := range []struct {
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -111,12 +111,12 @@
 		}
 		h.policy = platform.NewPolicy(c, addr)
 	}
-	h.peers.Lost(h.onPeerLost)
+	h.peers.OnDisconnect(h.onPeerLost)
 	h.lastSync = now()
 	h.ctx, h.cancel = context.WithCancel(context.Background())
 	h.store = store.NewRouted(platform.NewStore(platform.New(), cfg.Store), relay{h}, now, h.storeChanged)
 	h.inbox = newInbox(h)
-	h.states = newStates(h)
+	h.states = newStateCache(h)
 	return h, nil
 }
 
@@ -228,8 +228,8 @@
 	shutdownTimeout = 1500 * time.Millisecond
 )
 
-// Stop shuts the host down gracefully: another host takes over the lead, callers are directed to
-// other hosts, and requests in progress are answered.
+// Stop shuts the host down gracefully: another host takes over leadership, callers are directed
+// to other hosts, and requests in progress are answered.
 func (h *Host) Stop() {
 	h.log.Info("entry: planned stop.", "host", h.cfg.Name, "peak-mib", peakMemory())
 	h.mu.Lock()
@@ -300,7 +300,7 @@
 	h.mu.Unlock()
 	for n, a := range all {
 		if n != h.cfg.Name {
-			h.peers.Set(n, a)
+			h.peers.SetAddr(n, a)
 		}
 	}
 	if t != nil {
--- a/internal/entry/inbox.go
+++ b/internal/entry/inbox.go
@@ -56,7 +56,7 @@
 // append stores a record. If it returns a store.RefusedError, the record is certainly not stored
 // and never will be. After any other error it is unknown whether the record is stored.
 func (b *inbox) append(ctx context.Context, r store.Record) error {
-	if !b.h.store.Fresh(storeFreshness) {
+	if !b.h.store.AnsweredWithin(storeFreshness) {
 		// A request that is sent while the store is unreachable gets no answer, and its caller
 		// could only be told that the outcome is unknown. A request that is not sent is certainly
 		// not stored.
@@ -187,7 +187,7 @@
 	}
 	ctx, cancel := context.WithTimeout(h.ctx, askTimeout)
 	defer cancel()
-	var r peer.HandReply
-	err := h.peers.Ask(ctx, leader, peer.Hand{Part: part, First: first, Records: records}, &r)
-	return err == nil && r.Taken
+	var r peer.ForwardReply
+	err := h.peers.Ask(ctx, leader, peer.ForwardRecords{Part: part, First: first, Records: records}, &r)
+	return err == nil && r.Accepted
 }
--- a/internal/entry/spread.go
+++ b/internal/entry/spread.go
@@ -33,7 +33,7 @@
 
 // appendTimeout returns how long to wait for one partition before the next one is tried.
 func (h *Host) appendTimeout() time.Duration {
-	return max(spreadTimeout, spreadTimeoutFactor*h.store.Usual())
+	return max(spreadTimeout, spreadTimeoutFactor*h.store.RecentLatency())
 }
 
 // spread makes the same append at one partition after the other until one succeeds. It moves on
@@ -83,10 +83,10 @@
 		if timer != nil {
 			timer.Stop()
 		}
-		if !store.Away(r.err) {
+		if !store.IsUnavailable(r.err) {
 			return r.i, next, r.got, r.err
 		}
-		failed = store.Worse(failed, r.err)
+		failed = store.CombineErrors(failed, r.err)
 		switch {
 		case next < n:
 			begin()
--- a/internal/entry/states.go
+++ b/internal/entry/statecache.go
@@ -65,7 +65,7 @@
 	err error
 }
 
-func newStates(h *Host) *stateCache { return &stateCache{h: h, ended: map[string]cachedState{}} }
+func newStateCache(h *Host) *stateCache { return &stateCache{h: h, ended: map[string]cachedState{}} }
 
 // add stores a final state.
 func (s *stateCache) add(id string, state flow.State) {
@@ -131,7 +131,7 @@
 // part cannot change. A failed read is repeated once as long as the store answers this host.
 func (s *stateCache) read(ctx context.Context, id string) (flow.State, bool, error) {
 	for try := 1; ; try++ {
-		if !s.h.store.Fresh(storeFreshness) {
+		if !s.h.store.AnsweredWithin(storeFreshness) {
 			return "", false, &store.RefusedError{Op: store.Newest, Reason: "the store has not answered for a while"}
 		}
 		r := s.join(id)
@@ -146,7 +146,7 @@
 			return state, true, nil
 		case r.unreadable[id]:
 			return "", false, &UnreadableStateError{ID: id}
-		case try == maxStateReads || !store.Away(r.err):
+		case try == maxStateReads || !store.IsUnavailable(r.err):
 			return "", false, r.err
 		}
 	}
--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -36,7 +36,7 @@
 	switch m := m.(type) {
 	case peer.Beat:
 		return h.heard(m.Heartbeat)
-	case peer.Listed:
+	case peer.HostListChanged:
 		metrics.GetOrRegisterCounter("list.told", h.metrics).Inc(1)
 		h.refreshSoon()
 		return nil, nil
@@ -47,7 +47,7 @@
 		return nil, &peer.RefusedError{Name: h.cfg.Name, Reason: "host has stopped taking work"}
 	}
 	defer h.work.leave()
-	if m, ok := m.(peer.Records); ok {
+	if m, ok := m.(peer.AskTable); ok {
 		return h.records(m.From)
 	}
 	return h.answer(ctx, m)
@@ -61,11 +61,11 @@
 		return m.Name
 	case peer.Leave:
 		return m.Name
-	case peer.Slots:
+	case peer.WriterShares:
 		return m.Name
-	case peer.Census:
+	case peer.Inventory:
 		return m.From
-	case peer.Expect:
+	case peer.AskToken:
 		return m.From
 	case peer.Handover:
 		return m.From
@@ -85,14 +85,14 @@
 	return true
 }
 
-func (h *Host) records(from int64) (peer.RecordsReply, error) {
+func (h *Host) records(from int64) (peer.TableReply, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.table.Wants() <= from {
-		return peer.RecordsReply{}, nil
+	if h.table.NextOffset() <= from {
+		return peer.TableReply{}, nil
 	}
 	parts, err := h.table.Snapshot(h.clock())
-	return peer.RecordsReply{Parts: parts}, err
+	return peer.TableReply{Parts: parts}, err
 }
 
 // compare tells when a peer has folded other records up to the same offset.
@@ -100,7 +100,7 @@
 // nobody else would notice that they work by different limits.
 func (h *Host) compare(b member.Heartbeat) {
 	h.mu.Lock()
-	differs := b.Next == h.table.Wants() && b.Digest != uint32(h.table.Mark())
+	differs := b.Next == h.table.NextOffset() && b.Digest != uint32(h.table.Fingerprint())
 	h.mu.Unlock()
 	if differs {
 		h.meter("differs")
@@ -127,7 +127,7 @@
 	ctx, cancel := context.WithTimeout(h.ctx, copyWait)
 	defer cancel()
 	from := h.wants()
-	replies := make(chan peer.RecordsReply)
+	replies := make(chan peer.TableReply)
 	open, asked := 0, map[string]bool{}
 	for {
 		if name := h.nextAhead(from, asked); name != "" {
@@ -157,20 +157,20 @@
 }
 
 // askCopy asks one peer; nothing comes of one that is not further on or does not answer.
-func (h *Host) askCopy(ctx context.Context, name string, from int64) peer.RecordsReply {
-	var r peer.RecordsReply
-	if err := h.peers.Ask(ctx, name, peer.Records{From: from}, &r); err != nil && ctx.Err() == nil {
+func (h *Host) askCopy(ctx context.Context, name string, from int64) peer.TableReply {
+	var r peer.TableReply
+	if err := h.peers.Ask(ctx, name, peer.AskTable{From: from}, &r); err != nil && ctx.Err() == nil {
 		h.log.Warn("table: peer's copy cannot be had.", "peer", name, "err", err)
 	}
 	return r
 }
 
 // takeCopy tells whether a peer's table was further on.
-func (h *Host) takeCopy(r peer.RecordsReply, from int64) bool {
+func (h *Host) takeCopy(r peer.TableReply, from int64) bool {
 	if len(r.Parts) == 0 {
 		return false
 	}
-	if err := h.fold(table.Copy{Parts: r.Parts}); err != nil {
+	if err := h.fold(table.PeerCopy{Parts: r.Parts}); err != nil {
 		h.log.Warn("table: peer's copy is not taken.", "err", err)
 	}
 	if h.wants() <= from {
@@ -206,7 +206,7 @@
 // by. All its hosts must have read the edit: each takes part in using the share.
 func (h *Host) settle() {
 	h.mu.Lock()
-	due := h.table.Unsettled(h.cfg.Domain)
+	due := h.table.UnconfirmedShares(h.cfg.Domain)
 	read := h.readByDomain()
 	first := h.members.LiveIn(h.cfg.Domain)[0] == h.cfg.Name
 	h.mu.Unlock()
@@ -231,7 +231,7 @@
 // for. One that was never heard counts with zero until it is silent long enough.
 func (h *Host) readByDomain() int64 {
 	now := h.clock()
-	lowest := h.table.Wants()
+	lowest := h.table.NextOffset()
 	beats := map[string]member.Heartbeat{}
 	for _, b := range h.members.Heartbeats() {
 		beats[b.Name] = b
--- a/internal/host/share.go
+++ b/internal/host/share.go
@@ -27,11 +27,11 @@
 			others = append(others, p.Name)
 		}
 	}
-	limits := share.Limits{LongestDeadline: cfg.Limits.Deadline, StartupWait: cfg.Limits.Settle}
+	limits := share.Limits{LongestDeadline: cfg.Limits.Deadline, StartupWait: cfg.Limits.StartupWait}
 	return share.New(limits, cfg.Name, now.UnixMilli(), others, now)
 }
 
-func entryHosts(all []platform.Machine, domain string) []string {
+func entryHosts(all []platform.HostEntry, domain string) []string {
 	var names []string
 	for _, m := range all {
 		if m.Kind == cell.EntryHost && m.Domain == domain {
@@ -111,7 +111,7 @@
 		h.wg.Go(func() {
 			ctx, cancel := context.WithTimeout(h.ctx, beatWait)
 			defer cancel()
-			_ = h.peers.Tell(ctx, p.Name, peer.Slots{Announcement: w, Leaving: leaving})
+			_ = h.peers.Notify(ctx, p.Name, peer.WriterShares{Announcement: w, Leaving: leaving})
 		})
 	}
 }
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -65,9 +65,9 @@
 }
 
 func (l *Leader) handleResult(a job.Result) {
-	l.Estimates.Drop(a.Task)
+	l.Estimates.Forget(a.Task)
 	if spec, ok := l.Jobs.Spec(a.Task); ok && !a.Failed {
-		l.Estimates.Ran(a.Row, spec.Time.Duration, a.Run)
+		l.Estimates.RecordTime(a.Row, spec.Time.Duration, a.Run)
 	}
 	if a.Failed {
 		l.Count("lead.failed")
@@ -112,7 +112,7 @@
 
 // tableRule returns the rule of a row in this failure domain according to the table.
 func (l *Leader) tableRule(row table.Row) place.Rule {
-	r := place.Rule{Weight: row.Weight, Limit: row.Limits.Room, MaxTasks: row.Limits.Tasks}
+	r := place.Rule{Weight: row.Weight, Limit: row.Limits.Capacity, MaxTasks: row.Limits.Tasks}
 	if l.Shares != nil {
 		own, team := l.Shares(row)
 		r.Limit, r.MaxTasks = placementLimit(own)
@@ -144,7 +144,7 @@
 			return n
 		}
 	}
-	return cell.Size{CPU: part(s.Room.CPU), Mem: part(s.Room.Mem), Accel: part(s.Room.Accel)}, part(s.Tasks)
+	return cell.Size{CPU: part(s.Capacity.CPU), Mem: part(s.Capacity.Mem), Accel: part(s.Capacity.Accel)}, part(s.Tasks)
 }
 
 // ruleRefreshInterval is how often the rules of rows with waiting work are compared with the table.
@@ -189,7 +189,7 @@
 func (l *Leader) recordUsage(tasks []lease.Task) {
 	for _, t := range tasks {
 		if t.State != "running" {
-			l.Estimates.Drop(t.ID)
+			l.Estimates.Forget(t.ID)
 			continue
 		}
 		spec, ok := l.Jobs.Spec(t.ID)
@@ -200,7 +200,7 @@
 		case l.Jobs.NeedsExclusiveWorker(t.ID):
 			continue
 		}
-		if room, ok := l.Estimates.Seen(t.ID, t.Row, spec.Size, t.Use); ok {
+		if room, ok := l.Estimates.RecordUse(t.ID, t.Row, spec.Size, t.Use); ok {
 			l.stepPlacement(place.TaskResized{Task: t.ID, Size: room, Use: t.Use})
 		}
 	}
@@ -231,19 +231,19 @@
 func (l *Leader) Explain(id string) []trail.Note {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	notes := l.History.Of(id)
+	notes := l.History.ByID(id)
 	for _, task := range l.Jobs.WaitingTasks(id) {
 		if why, ok := l.Placer.ExplainWait(task); ok {
-			notes = append(notes, trail.Note{At: l.Clock(), ID: id, Part: "place", What: why})
+			notes = append(notes, trail.Note{At: l.Clock(), ID: id, Component: "place", What: why})
 			notes = append(notes, l.explainPostponed(id, task)...)
 			break
 		}
 	}
 	if l.Jobs.AwaitsInventory(id) {
-		notes = append(notes, trail.Note{At: l.Clock(), ID: id, Part: "lead", What: "waits for its census: " + l.Takeover.Missing(l.Clock(), id)})
+		notes = append(notes, trail.Note{At: l.Clock(), ID: id, Component: "lead", What: "waits for its census: " + l.Takeover.Missing(l.Clock(), id)})
 	}
 	if aside := l.Placer.QuarantinedWorkers(); len(notes) > 0 && len(aside) > 0 {
-		notes = append(notes, trail.Note{At: l.Clock(), ID: id, Part: "place", What: fmt.Sprintf("workers set aside: %v", aside)})
+		notes = append(notes, trail.Note{At: l.Clock(), ID: id, Component: "place", What: fmt.Sprintf("workers set aside: %v", aside)})
 	}
 	return notes
 }
@@ -256,5 +256,5 @@
 		return nil
 	}
 	key, worker := l.arbiter(row)
-	return []trail.Note{{At: l.Clock(), ID: id, Part: "lead", What: "the host that holds " + worker + " counts " + key}}
+	return []trail.Note{{At: l.Clock(), ID: id, Component: "lead", What: "the host that holds " + worker + " counts " + key}}
 }
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -16,7 +16,7 @@
 
 // bench sends one request after another to each server that may get one.
 type bench struct {
-	o    *outlier.Outliers
+	o    *outlier.Detector
 	now  time.Time
 	n    int
 	got  map[string]int
@@ -30,7 +30,7 @@
 	for i := range n {
 		names = append(names, fmt.Sprint("m", i))
 	}
-	b.o.Step(start, outlier.Listed{Minions: names})
+	b.o.Step(start, outlier.ServersListed{Backends: names})
 	return b
 }
 
@@ -44,21 +44,21 @@
 		var ids [][2]string
 		for i := range servers {
 			name := fmt.Sprint("m", i)
-			if b.held[name] >= b.o.Most(name, 8) {
+			if b.held[name] >= b.o.MaxSlots(name, 8) {
 				continue
 			}
 			b.n++
 			b.held[name]++
 			b.got[name]++
 			id := fmt.Sprint(b.n)
-			b.o.Step(b.now, outlier.Sent{ID: id, Minion: name, Row: "scan"})
+			b.o.Step(b.now, outlier.Sent{ID: id, Backend: name, Row: "scan"})
 			ids = append(ids, [2]string{name, id})
 		}
 		b.now = b.now.Add(work)
 		for _, id := range ids {
 			does := b.does[id[0]]
 			if does == nil {
-				does = b.end(outlier.Good)
+				does = b.end(outlier.Succeeded)
 			}
 			does(id[1])
 			b.held[id[0]]--
@@ -75,13 +75,13 @@
 	for name, does := range map[string]func(*bench) func(string){
 		"fails":     func(b *bench) func(string) { return b.end(outlier.Failed) },
 		"swallows":  func(b *bench) func(string) { return func(string) { b.held["m0"]++ } },
-		"unreached": func(b *bench) func(string) { return b.end(outlier.Unreached) },
+		"unreached": func(b *bench) func(string) { return b.end(outlier.Unreachable) },
 		"leaves":    func(b *bench) func(string) { return b.end(outlier.Leaving) },
 		"slow": func(b *bench) func(string) {
 			return func(id string) {
 				now := b.now
 				b.now = now.Add(10 * work)
-				b.end(outlier.Good)(id)
+				b.end(outlier.Succeeded)(id)
 				b.now = now
 			}
 		},
@@ -91,14 +91,14 @@
 			b.run(time.Second, 6)
 			b.does["m0"] = does(b)
 			b.run(3*time.Second, 6)
-			require.Zero(t, b.o.Most("m0", 8))
+			require.Zero(t, b.o.MaxSlots("m0", 8))
 			b.run(10*time.Second, 6)
 			require.LessOrEqual(t, b.got["m0"], 10*b.got["m1"]/100, "a trickle of trials at most")
 			require.Greater(t, b.got["m1"], 900)
 			delete(b.does, "m0")
 			b.held["m0"] = 0
 			b.run(time.Minute, 6)
-			require.Equal(t, 8, b.o.Most("m0", 8))
+			require.Equal(t, 8, b.o.MaxSlots("m0", 8))
 		})
 	}
 }
@@ -112,7 +112,7 @@
 			b.does[fmt.Sprint("m", i)] = b.end(outlier.Failed)
 		}
 		b.run(time.Minute, 6)
-		require.LessOrEqual(t, len(b.o.States()), most, "%d of 6 fail", bad)
+		require.LessOrEqual(t, len(b.o.UntrustedStates()), most, "%d of 6 fail", bad)
 	}
 }
 
@@ -123,11 +123,11 @@
 	first, second := newBench(6), newBench(6)
 	first.does["m0"] = first.end(outlier.Leaving)
 	first.run(work, 6)
-	require.Equal(t, []string{"m0"}, first.o.Word(first.now))
-	second.o.Step(start, outlier.LeavingReported{Leaving: first.o.Word(first.now)})
-	require.Zero(t, second.o.Most("m0", 8))
-	require.Empty(t, second.o.Word(start))
-	require.Empty(t, first.o.Word(start.Add(time.Minute)))
+	require.Equal(t, []string{"m0"}, first.o.LeavingServers(first.now))
+	second.o.Step(start, outlier.LeavingReported{Leaving: first.o.LeavingServers(first.now)})
+	require.Zero(t, second.o.MaxSlots("m0", 8))
+	require.Empty(t, second.o.LeavingServers(start))
+	require.Empty(t, first.o.LeavingServers(start.Add(time.Minute)))
 	second.run(time.Minute, 6)
-	require.Equal(t, 8, second.o.Most("m0", 8))
+	require.Equal(t, 8, second.o.MaxSlots("m0", 8))
 }
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -25,8 +25,8 @@
 // Left is how long the caller still waits: the deadline itself would be wrong
 // by as much as the clocks of the two hosts differ.
 type Relay struct {
-	Request call.Request
-	Left    cell.Duration
+	Request   call.Request
+	Remaining cell.Duration `json:"Left"`
 }
 
 // Ping asks for nothing but an answer: a sign that the connection works.
@@ -38,8 +38,8 @@
 // AwaitKey asks a key's home to say when its running try has ended, for at
 // most Left; the answer is a ledger.Verdict.
 type AwaitKey struct {
-	Key  string
-	Left cell.Duration
+	Key       string
+	Remaining cell.Duration `json:"Left"`
 }
 
 // CloseKeys tells a home how keyed requests ended.
@@ -58,12 +58,12 @@
 // CancelJob asks the lead to cancel a job; the answer is a JobReply.
 type CancelJob struct{ ID string }
 
-// Keep asks a peer to remember a record of a job that the log could not take.
-type Keep struct{ Record joblog.Record }
+// KeepRecord asks a peer to remember a record of a job that the log could not take.
+type KeepRecord struct{ Record joblog.Record }
 
-// Census asks what the peer holds and which of these jobs it leads. Waits are
+// Inventory asks what the peer holds and which of these jobs it leads. Waits are
 // those that From wants to inherit. The answer is a CensusReply.
-type Census struct {
+type Inventory struct {
 	From  string
 	Jobs  []string
 	Waits []string
@@ -71,11 +71,11 @@
 	Keys []string `json:",omitempty"`
 }
 
-// Expect asks for the token with which From may hand jobs over; the answer is Expected.
-type Expect struct{ From string }
+// AskToken asks for the token with which From may hand jobs over; the answer is Expected.
+type AskToken struct{ From string }
 
-// Expected is the token for one Handover.
-type Expected struct{ Token string }
+// TokenReply is the token for one Handover.
+type TokenReply struct{ Token string }
 
 // Handover gives jobs to their next lead. The answer confirms that they are led.
 // Notes are what was decided about them, so that they can still be explained.
@@ -90,26 +90,26 @@
 // of it was taken.
 type HandoverReply struct{ Stale bool }
 
-// Slots tells what a host says of the shares of writers; it has no answer.
-type Slots struct {
+// WriterShares tells what a host says of the shares of writers; it has no answer.
+type WriterShares struct {
 	share.Announcement
 	// Leaving names backend servers that told the sender that they leave.
 	Leaving []string `json:"leaving,omitempty"`
 }
 
-// Records asks for the peer's table; the answer is a RecordsReply. From is the
+// AskTable asks for the peer's table; the answer is a RecordsReply. From is the
 // offset that the asker waits for.
-type Records struct {
+type AskTable struct {
 	From int64 `json:"from"`
 }
 
-// RecordsReply is a table as snapshot records; none when it is no further on.
-type RecordsReply struct {
+// TableReply is a table as snapshot records; none when it is no further on.
+type TableReply struct {
 	Parts [][]byte `json:"parts,omitempty"`
 }
 
-// Listed tells that the platform's host list has changed; it has no answer.
-type Listed struct{}
+// HostListChanged tells that the platform's host list has changed; it has no answer.
+type HostListChanged struct{}
 
 // Leave tells that a host begins a planned stop.
 type Leave struct{ Name string }
@@ -117,34 +117,34 @@
 // Kind names a message's kind.
 func Kind(m Message) string { return m.method() }
 
-func (Beat) method() string      { return "beat" }
-func (Relay) method() string     { return "relay" }
-func (Ping) method() string      { return "ping" }
-func (OpenKey) method() string   { return "open" }
-func (AwaitKey) method() string  { return "await" }
-func (CloseKeys) method() string { return "close" }
-func (Submit) method() string    { return "submit" }
-func (AskJob) method() string    { return "job" }
-func (AskTrail) method() string  { return "trail" }
-func (CancelJob) method() string { return "cancel" }
-func (Keep) method() string      { return "keep" }
-func (Slots) method() string     { return "writers" }
-func (Records) method() string   { return "records" }
-func (Listed) method() string    { return "listed" }
-func (Leave) method() string     { return "leave" }
-func (Census) method() string    { return "census" }
-func (Expect) method() string    { return "expect" }
-func (Handover) method() string  { return "handover" }
-
-// CensusWorker is one worker that a peer holds, with the tasks of the asked
+func (Beat) method() string            { return "beat" }
+func (Relay) method() string           { return "relay" }
+func (Ping) method() string            { return "ping" }
+func (OpenKey) method() string         { return "open" }
+func (AwaitKey) method() string        { return "await" }
+func (CloseKeys) method() string       { return "close" }
+func (Submit) method() string          { return "submit" }
+func (AskJob) method() string          { return "job" }
+func (AskTrail) method() string        { return "trail" }
+func (CancelJob) method() string       { return "cancel" }
+func (KeepRecord) method() string      { return "keep" }
+func (WriterShares) method() string    { return "writers" }
+func (AskTable) method() string        { return "records" }
+func (HostListChanged) method() string { return "listed" }
+func (Leave) method() string           { return "leave" }
+func (Inventory) method() string       { return "census" }
+func (AskToken) method() string        { return "expect" }
+func (Handover) method() string        { return "handover" }
+
+// InventoryWorker is one worker that a peer holds, with the tasks of the asked
 // jobs there. Age is how long ago the peer asked the worker.
-type CensusWorker struct {
+type InventoryWorker struct {
 	Name  string        `json:"name"`
 	Clock time.Time     `json:"clock"`
 	Age   cell.Duration `json:"age"`
-	// Life names the worker's life.
-	Life  string           `json:"life,omitempty"`
-	Tasks []job.ListedTask `json:"tasks,omitempty"`
+	// Incarnation names the worker's life.
+	Incarnation string           `json:"life,omitempty"`
+	Tasks       []job.ListedTask `json:"tasks,omitempty"`
 	// Counted are the running tasks of the asked keys.
 	Counted []CountedTask `json:"counted,omitempty"`
 }
@@ -155,15 +155,15 @@
 	Size cell.Size `json:"size"`
 }
 
-// CensusReply is what a peer holds, which of the asked jobs it leads, and what
+// InventoryReply is what a peer holds, which of the asked jobs it leads, and what
 // it remembers because the log could not take it.
-type CensusReply struct {
-	Workers []CensusWorker  `json:"workers,omitempty"`
-	Leads   []string        `json:"leads,omitempty"`
-	Waits   []string        `json:"waits,omitempty"`
-	Records []joblog.Record `json:"records,omitempty"`
-	// Lives holds by worker the life in which no start to an earlier one is under way any more.
-	Lives map[string]string `json:"lives,omitempty"`
+type InventoryReply struct {
+	Workers []InventoryWorker `json:"workers,omitempty"`
+	Leads   []string          `json:"leads,omitempty"`
+	Waits   []string          `json:"waits,omitempty"`
+	Records []joblog.Record   `json:"records,omitempty"`
+	// Incarnations holds by worker the life in which no start to an earlier one is under way any more.
+	Incarnations map[string]string `json:"lives,omitempty"`
 }
 
 // JobReply is what a lead says of a job.
@@ -188,16 +188,18 @@
 	return JobReply{Status: job.Status{ID: id}, Code: code, Outcome: cell.Unknown, Reason: reason}
 }
 
-// Hand tells the lead of jobs and cancellations that are stored in partition
+// ForwardRecords tells the lead of jobs and cancellations that are stored in partition
 // Part from offset First on; the answer is a HandReply.
-type Hand struct {
+type ForwardRecords struct {
 	Part    int
 	First   int64
 	Records []store.Record
 }
 
-// HandReply tells whether the host leads and took the records.
-type HandReply struct{ Taken bool }
+// ForwardReply tells whether the host leads and took the records.
+type ForwardReply struct {
+	Accepted bool `json:"Taken"`
+}
 
 // AskState asks the lead for a job's state; the answer is a StateReply.
 type AskState struct{ ID string }
@@ -236,16 +238,16 @@
 	Served   bool
 	// Successor is the host that was asked to lead when this one left.
 	Successor string
-	// Heir is the host that is to lead if this one dies, Follows the one that it takes
+	// Standby is the host that is to lead if this one dies, Follows the one that it takes
 	// for the lead.
-	Heir    string
+	Standby string `json:"Heir"`
 	Follows string
-	// Enough is a power that enough hosts have: much weaker ones need not stand
+	// EnoughPower is a power that enough hosts have: much weaker ones need not stand
 	// ready to lead.
-	Enough  float64
-	Term    int64
-	Pending map[string]int
-	Hosts   map[string]string
+	EnoughPower float64 `json:"Enough"`
+	Term        int64
+	Pending     map[string]int
+	Hosts       map[string]string
 	// Ended are jobs by final state, Endings the number to go on with.
 	Ended   map[string][]string `json:",omitempty"`
 	Endings int                 `json:",omitempty"`
@@ -259,7 +261,9 @@
 }
 
 // AdviseReply holds a ticket for each worker that may run the step.
-type AdviseReply struct{ Good map[string]string }
+type AdviseReply struct {
+	Tickets map[string]string `json:"Good"`
+}
 
 // StoreCall asks a host to make a call to the store that does not serve the
 // sender; the answer is a StoreReply.
@@ -274,18 +278,18 @@
 	Number int64 `json:",omitempty"`
 }
 
-// Succeed tells all hosts that the sender leaves and that Successor is to take over;
+// AnnounceSuccessor tells all hosts that the sender leaves and that Successor is to take over;
 // it has no answer. Bounds tell of each worker that does not answer how much longer
 // anything may run there.
-type Succeed struct {
+type AnnounceSuccessor struct {
 	Term      int64
 	Successor string
 	Bounds    map[string]cell.Duration
 }
 
-func (Hand) method() string      { return "hand" }
-func (AskState) method() string  { return "state" }
-func (Sync) method() string      { return "sync" }
-func (Advise) method() string    { return "advise" }
-func (StoreCall) method() string { return "store" }
-func (Succeed) method() string   { return "succeed" }
+func (ForwardRecords) method() string    { return "hand" }
+func (AskState) method() string          { return "state" }
+func (Sync) method() string              { return "sync" }
+func (Advise) method() string            { return "advise" }
+func (StoreCall) method() string         { return "store" }
+func (AnnounceSuccessor) method() string { return "succeed" }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -25,8 +25,8 @@
 	Body   []byte `json:"body"`
 }
 
-// Machine is one line of the platform's host list, which lags.
-type Machine struct {
+// HostEntry is one line of the platform's host list, which lags.
+type HostEntry struct {
 	Name    string         `json:"name"`
 	Kind    cell.Kind      `json:"kind"`
 	Domain  string         `json:"domain"`
@@ -98,10 +98,10 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return 0, lostAppend(err)
+		return 0, appendError(err)
 	}
 	defer resp.Body.Close()
-	if refused(resp.StatusCode) {
+	if isRefusal(resp.StatusCode) {
 		return 0, &NotWrittenError{Status: resp.StatusCode}
 	}
 	var a appendAnswer
@@ -111,9 +111,9 @@
 	return a.Offset, nil
 }
 
-// lostAppend tells an append that never left this host, because no connection
+// appendError tells an append that never left this host, because no connection
 // came about, from one that may have arrived.
-func lostAppend(err error) error {
+func appendError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return &NotWrittenError{Cause: err}
@@ -121,9 +121,9 @@
 	return &UnsureError{Cause: err}
 }
 
-// refused tells whether a status proves that nothing was written. Other 5xx
+// isRefusal tells whether a status proves that nothing was written. Other 5xx
 // also come from something between that lost the log's answer.
-func refused(status int) bool {
+func isRefusal(status int) bool {
 	return status >= http.StatusBadRequest && status < http.StatusInternalServerError || status == http.StatusServiceUnavailable
 }
 
@@ -148,7 +148,7 @@
 // Hosts returns the host list as the platform sees it now, and its tag. Given
 // the tag of the last answer it returns nothing while the list is the same: the
 // whole list twice a second would cost more than all other control together.
-func (c *Client) Hosts(ctx context.Context, tag string) (all []Machine, now string, err error) {
+func (c *Client) Hosts(ctx context.Context, tag string) (all []HostEntry, now string, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+"/hosts", nil)
 	if err != nil {
 		return nil, "", errors.Wrap(err, "make read")
--- a/internal/relay/ends.go
+++ b/internal/relay/ends.go
@@ -89,7 +89,7 @@
 }
 
 func (x *Relay) sendBatch(home string, batch []ledger.Close) {
-	var silent *peer.SilentError
+	var silent *peer.NoAnswerError
 	wait := closeTimeout
 	for _, ev := range batch {
 		wait += time.Duration(len(ev.Answer.Body)) * time.Second / closeRate
--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -78,7 +78,7 @@
 }
 
 func (x *Relay) awaitHome(ctx context.Context, a ledger.AwaitHome, deadline time.Time) ledger.TryEvent {
-	m := peer.AwaitKey{Key: a.Key, Left: cell.Duration{Duration: deadline.Sub(x.Clock())}}
+	m := peer.AwaitKey{Key: a.Key, Remaining: cell.Duration{Duration: deadline.Sub(x.Clock())}}
 	if a.Home == x.Name {
 		return toTryEvent(ctx, a.Home, x.AwaitKey(ctx, m), nil)
 	}
--- a/internal/relay/lent.go
+++ b/internal/relay/lent.go
@@ -16,15 +16,15 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), left+openTimeout)
 	defer cancel()
 	var reply call.Reply
-	err := x.Peers.Ask(ctx, name, peer.Relay{Request: req, Left: cell.Duration{Duration: left}}, &reply)
+	err := x.Peers.Ask(ctx, name, peer.Relay{Request: req, Remaining: cell.Duration{Duration: left}}, &reply)
 	return reply, err
 }
 
 // RunForPeer runs a request for a peer's caller on a slot that is free now.
 func (x *Relay) RunForPeer(ctx context.Context, m peer.Relay) call.Reply {
 	req := m.Request
-	req.Deadline = x.Clock().Add(m.Left.Duration)
-	ctx, end := spans.Hop(spans.Join(ctx, req.Trace), "host", req.ID)
+	req.Deadline = x.Clock().Add(m.Remaining.Duration)
+	ctx, end := spans.Start(spans.ContinueTrace(ctx, req.Trace), "host", req.ID)
 	defer end()
 	return x.RunOnFreeSlot(ctx, req)
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -29,7 +29,7 @@
 type Deps struct {
 	Name, Domain string
 	Queue        *queue.Queue
-	Outliers     *outlier.Outliers
+	Outliers     *outlier.Detector
 	Retries      *retry.Budget
 	Ledger       *ledger.Ledger
 	// Plan names the homes of keys, Inc is this host's incarnation.
@@ -98,7 +98,7 @@
 	defer x.mu.Unlock()
 	x.lastStep = x.Clock()
 	x.servers = servers
-	x.Outliers.Step(x.Clock(), outlier.Listed{Minions: names})
+	x.Outliers.Step(x.Clock(), outlier.ServersListed{Backends: names})
 	x.updateShares()
 }
 
@@ -106,7 +106,7 @@
 func (x *Relay) updateShares() {
 	all := make([]queue.Share, 0, len(x.servers))
 	for _, s := range x.servers {
-		all = append(all, queue.Share{Backend: s.Name, Slots: x.Outliers.Most(s.Name, s.Slots)})
+		all = append(all, queue.Share{Backend: s.Name, Slots: x.Outliers.MaxSlots(s.Name, s.Slots)})
 	}
 	x.stepQueue(queue.Shares{All: all})
 }
@@ -116,12 +116,12 @@
 	acts := x.Outliers.Step(x.Clock(), ev)
 	for _, a := range acts {
 		switch a := a.(type) {
-		case outlier.Changed:
-			x.Log.Info("relay: backend server changed.", "minion", a.Minion, "state", a.State, "reason", a.Reason)
+		case outlier.StateChanged:
+			x.Log.Info("relay: backend server changed.", "minion", a.Backend, "state", a.State, "reason", a.Reason)
 		}
 	}
 	if len(acts) > 0 {
-		metrics.GetOrRegisterGauge("relay.aside", x.Metrics).Update(int64(len(x.Outliers.States())))
+		metrics.GetOrRegisterGauge("relay.aside", x.Metrics).Update(int64(len(x.Outliers.UntrustedStates())))
 		x.updateShares()
 	}
 }
@@ -130,14 +130,14 @@
 func (x *Relay) Leaving() []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.Outliers.Word(x.Clock())
+	return x.Outliers.LeavingServers(x.Clock())
 }
 
 // Quarantined lists the backend servers that are not trusted.
 func (x *Relay) Quarantined() map[string]outlier.State {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.Outliers.States()
+	return x.Outliers.UntrustedStates()
 }
 
 // MarkLeaving takes a peer's word that backend servers leave.
@@ -256,9 +256,9 @@
 
 // Do answers a caller's request. It always returns a final reply.
 func (x *Relay) Do(ctx context.Context, req call.Request) call.Reply {
-	ctx, end := spans.Hop(ctx, "host", req.ID)
+	ctx, end := spans.Start(ctx, "host", req.ID)
 	defer end()
-	req.Trace = spans.Parent(ctx)
+	req.Trace = spans.TraceParent(ctx)
 	if req.Key == "" {
 		return x.runWithRetries(ctx, req)
 	}
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -41,7 +41,7 @@
 // another backend server where that is safe and within the row's budget.
 func (x *Relay) runWithRetries(ctx context.Context, req call.Request) call.Reply {
 	row, _ := x.Row(req.Row)
-	x.Retries.Asked(req.Row)
+	x.Retries.RecordRequest(req.Row)
 	var sent *call.Reply
 	ask := queue.Enqueue{ID: req.ID, Row: x.queueRow(row), Deadline: req.Deadline}
 	for n := int64(1); ; n++ {
@@ -74,9 +74,9 @@
 	case unreached:
 		return true
 	case notRun:
-		return x.Retries.Spend(row.Name)
+		return x.Retries.TrySpend(row.Name)
 	case mayHaveRun:
-		return row.Idempotent && x.Retries.Spend(row.Name)
+		return row.Idempotent && x.Retries.TrySpend(row.Name)
 	case final:
 	}
 	return false
@@ -154,12 +154,12 @@
 	began := x.Clock()
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), req.Deadline.Sub(began))
 	defer cancel()
-	ctx, end := spans.Hop(ctx, "minion", req.ID)
+	ctx, end := spans.Start(ctx, "minion", req.ID)
 	defer end()
-	req.Trace = spans.Parent(ctx)
+	req.Trace = spans.TraceParent(ctx)
 	x.mu.Lock()
 	addr := x.servers[a.Backend].Address
-	x.stepOutliers(outlier.Sent{ID: req.ID, Minion: a.Backend, Row: req.Row})
+	x.stepOutliers(outlier.Sent{ID: req.ID, Backend: a.Backend, Row: req.Row})
 	x.mu.Unlock()
 	answer, err := x.Minions.Do(ctx, addr, req)
 	t := classify(answer, err)
@@ -201,12 +201,12 @@
 func outlierResult(t try) outlier.Result {
 	switch {
 	case t.retryClass == unreached:
-		return outlier.Unreached
+		return outlier.Unreachable
 	case t.retryClass == notRun:
 		return outlier.Leaving
 	case t.retryClass == mayHaveRun, t.reply.Outcome == cell.Unknown:
 		return outlier.Failed
 	default:
-		return outlier.Good
+		return outlier.Succeeded
 	}
 }
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -8,12 +8,12 @@
 type Limits struct {
 	// Ratio is how many retries one first try pays for.
 	Ratio float64
-	// First is what a new row may spend, and Most what it may save up.
-	First, Most float64
+	// Initial is what a new row may spend, and Max what it may save up.
+	Initial, Max float64
 }
 
 // DefaultLimits keep the load below 1.1 times of what was asked.
-var DefaultLimits = Limits{Ratio: 0.09, First: 5, Most: 100}
+var DefaultLimits = Limits{Ratio: 0.09, Initial: 5, Max: 100}
 
 // Budget counts the retries of all rows. It is safe for concurrent use.
 type Budget struct {
@@ -25,15 +25,15 @@
 // New returns a budget in which no row has spent anything.
 func New(limits Limits) *Budget { return &Budget{limits: limits, left: map[string]float64{}} }
 
-// Asked counts a first try of a row.
-func (b *Budget) Asked(row string) {
+// RecordRequest counts a first try of a row.
+func (b *Budget) RecordRequest(row string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.left[row] = min(b.row(row)+b.limits.Ratio, b.limits.Most)
+	b.left[row] = min(b.row(row)+b.limits.Ratio, b.limits.Max)
 }
 
-// Spend tells whether a row may retry once more, and counts the retry.
-func (b *Budget) Spend(row string) bool {
+// TrySpend tells whether a row may retry once more, and counts the retry.
+func (b *Budget) TrySpend(row string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	left := b.row(row)
@@ -48,5 +48,5 @@
 	if left, ok := b.left[row]; ok {
 		return left
 	}
-	return b.limits.First
+	return b.limits.Initial
 }
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -13,34 +13,34 @@
 )
 
 const (
-	// crashAfter is how long after its start a bad task ends its worker's life, and
-	// rebornAfter when the next life is listed.
-	crashAfter  = 10 * time.Millisecond
-	rebornAfter = 1500 * time.Millisecond
-	// unlistedAfter is when a life that ended is listed no longer.
-	unlistedAfter = 1200 * time.Millisecond
-	// maxLateStarts is how often a task may start after the third life ended under it.
+	// crashDelay is how long after its start a crashing task ends its worker's incarnation, and
+	// restartDelay the time until the next incarnation is listed.
+	crashDelay   = 10 * time.Millisecond
+	restartDelay = 1500 * time.Millisecond
+	// unlistDelay is the time until an ended incarnation is no longer listed.
+	unlistDelay = 1200 * time.Millisecond
+	// maxLateStarts is how often a task may start after the third crash under it.
 	maxLateStarts = 2
 )
 
-// crash ends the worker's life if that run is still there.
-func (w *fakeWorker) crash(n flow.Name, r *fakeRun) {
+// crashUnder crashes the worker if the run is still there.
+func (w *fakeWorker) crashUnder(n flow.Name, r *fakeRun) {
 	if w.dead || w.runs[n] != r {
 		return
 	}
 	w.b.crashed[n]++
-	w.die()
+	w.endIncarnation()
 }
 
-// die ends the worker's life; the next one is listed later, at another address.
-func (w *fakeWorker) die() {
+// endIncarnation ends the worker's incarnation. The next one is listed later, at another address.
+func (w *fakeWorker) endIncarnation() {
 	b := w.b
 	b.endedIncarnations++
 	w.dead = true
 	w.runs = map[flow.Name]*fakeRun{}
 	n := b.endedIncarnations
-	b.after(unlistedAfter, b.list)
-	b.after(rebornAfter+b.restartExtra, func() {
+	b.after(unlistDelay, b.list)
+	b.after(restartDelay+b.restartExtra, func() {
 		w.replaced = true
 		next := b.addWorker(fmt.Sprintf("z%03d", n), 100+n%100)
 		next.info.Size, next.info.Domain, next.info.Rack = w.info.Size, w.info.Domain, w.info.Rack
@@ -48,8 +48,8 @@
 	})
 }
 
-// badJobs makes all tasks of these jobs crash their workers.
-func (b *simCell) badJobs(ids ...string) {
+// markCrashing makes all tasks of the jobs crash their workers.
+func (b *simCell) markCrashing(ids ...string) {
 	b.crashesWorker = func(n flow.Name) bool {
 		for _, id := range ids {
 			if n.Job == id {
@@ -60,22 +60,22 @@
 	}
 }
 
-// requireGivenUp checks that a job ended as failed without many starts after the third crash.
-func (b *simCell) requireGivenUp(id string) {
+// requireFailed checks that a job ended as failed, with few starts after the third crash.
+func (b *simCell) requireFailed(id string) {
 	b.t.Helper()
 	require.Equal(b.t, flow.Failed, b.state(id))
-	b.requireFewLate()
+	b.requireFewLateStarts()
 }
 
-// requireFewLate checks how often tasks started after the third life ended under them.
-func (b *simCell) requireFewLate() {
+// requireFewLateStarts checks how often tasks started after the third crash under them.
+func (b *simCell) requireFewLateStarts() {
 	b.t.Helper()
 	for n, late := range b.lateStarts {
-		require.LessOrEqual(b.t, late, maxLateStarts, "%s after three crashes", n)
+		require.LessOrEqual(b.t, late, maxLateStarts, "starts of %s after three crashes", n)
 	}
 }
 
-// submitTimed hands in a job that is timed.
+// submitTimed submits a timed job.
 func (b *simCell) submitTimed(id string, repeat flow.Repeat, step flow.Step) {
 	spec := flow.Spec{ID: id, Queue: b.queues[0], Steps: []flow.Step{step}, Repeat: repeat}
 	require.NoError(b.t, spec.Check())
@@ -83,8 +83,9 @@
 	b.step(sched.Submit{Spec: spec})
 }
 
-// A task crashes each worker that starts it. Started without end it takes down the cell.
-func TestATaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
+// A task crashes each worker that starts it. If it were restarted without limit, it would take down
+// the whole cell.
+func TestCrashingTaskFailsItsJob(t *testing.T) {
 	kinds := []struct {
 		name string
 		step func() flow.Step
@@ -116,11 +117,11 @@
 		t.Run(k.name, func(t *testing.T) {
 			b := newSimCell(t, 8)
 			b.copies = k.step().AllowCopies
-			b.badJobs("bad")
+			b.markCrashing("bad")
 			b.advance(100 * time.Millisecond)
 			b.submit("bad", "scan", k.step())
 			b.advance(100 * time.Second)
-			b.requireGivenUp("bad")
+			b.requireFailed("bad")
 			require.Empty(t, b.violations)
 			require.LessOrEqual(t, b.endedIncarnations, 9)
 			require.Len(t, b.failedNotes, 1)
@@ -129,24 +130,24 @@
 	}
 }
 
-// One round after the other of a timed job crashes its workers.
-func TestATimedJobThatCrashesItsWorkersIsGivenUp(t *testing.T) {
+// Each round of a timed job crashes its workers.
+func TestCrashingTimedJobFails(t *testing.T) {
 	b := newSimCell(t, 8)
-	b.badJobs("bad")
+	b.markCrashing("bad")
 	b.submitTimed("bad", flow.Repeat{Count: 30, First: b.now.Add(time.Second), Every: 3 * time.Second}, scan(1))
 	b.advance(100 * time.Second)
-	b.requireGivenUp("bad")
+	b.requireFailed("bad")
 	require.LessOrEqual(t, b.endedIncarnations, 9)
 }
 
-// Guards against each new lead starting a crashing task anew.
-func TestCrashesOutliveTheLead(t *testing.T) {
+// Guards against crash counts that start again from zero with each new leader.
+func TestCrashCountSurvivesLeaderChange(t *testing.T) {
 	for _, copies := range []bool{false, true} {
 		for _, after := range []time.Duration{30 * time.Millisecond, 200 * time.Millisecond, time.Second, 2 * time.Second} {
 			t.Run(fmt.Sprintf("copies_%t_%s", copies, after), func(t *testing.T) {
 				b := newSimCell(t, 8)
 				b.copies = copies
-				b.badJobs("bad")
+				b.markCrashing("bad")
 				st := scan(1)
 				st.AllowCopies = copies
 				b.advance(100 * time.Millisecond)
@@ -160,7 +161,7 @@
 						b.takeover()
 					}
 				}
-				b.requireGivenUp("bad")
+				b.requireFailed("bad")
 				require.LessOrEqual(t, b.endedIncarnations, 5)
 				require.Empty(t, b.violations)
 			})
@@ -168,13 +169,13 @@
 	}
 }
 
-// Guards against good jobs given up because they crash along with bad ones.
-func TestGoodJobsEndBesideTasksThatCrashWorkers(t *testing.T) {
+// Guards against healthy jobs failing because they run beside crashing ones.
+func TestGoodJobsCompleteBesideCrashingTasks(t *testing.T) {
 	for _, copies := range []bool{false, true} {
 		t.Run(fmt.Sprintf("copies_%t", copies), func(t *testing.T) {
 			b := newSimCell(t, 8)
 			b.copies = copies
-			b.badJobs("bad0", "bad1")
+			b.markCrashing("bad0", "bad1")
 			b.advance(100 * time.Millisecond)
 			bad := scan(3)
 			bad.AllowCopies = copies
@@ -187,8 +188,8 @@
 				b.advance(150 * time.Millisecond)
 			}
 			b.advance(120 * time.Second)
-			b.requireGivenUp("bad0")
-			b.requireGivenUp("bad1")
+			b.requireFailed("bad0")
+			b.requireFailed("bad1")
 			for i := range 20 {
 				require.Equal(t, flow.Completed, b.state(fmt.Sprintf("good%02d", i)), "good%02d", i)
 			}
@@ -198,11 +199,11 @@
 	}
 }
 
-// Guards against starts of a crashing task that the next lead does not know of.
-func TestNoStartIsMadeBeforeACrashIsStored(t *testing.T) {
+// Guards against starts of a crashing task that the next leader would not know of.
+func TestCrashIsStoredBeforeNextStart(t *testing.T) {
 	b := newSimCell(t, 8)
 	b.copies = true
-	b.badJobs("bad")
+	b.markCrashing("bad")
 	b.advance(100 * time.Millisecond)
 	st := scan(1)
 	st.AllowCopies = true
@@ -213,24 +214,24 @@
 	b.storeDown = false
 	b.storeTime = func() time.Duration { return 600 * time.Millisecond }
 	b.advance(100 * time.Second)
-	b.requireGivenUp("bad")
+	b.requireFailed("bad")
 }
 
-// The answer to a start is lost because the task ended the life of its worker at once.
-func TestAStartWithoutAnAnswerCountsWhenItsWorkerCrashed(t *testing.T) {
+// The reply to a start is lost because the task crashed its worker immediately.
+func TestUnansweredStartOnCrashedWorkerCounts(t *testing.T) {
 	b := newSimCell(t, 8)
-	b.badJobs("bad")
+	b.markCrashing("bad")
 	b.advance(100 * time.Millisecond)
 	for _, w := range b.sortedWorkers() {
 		w.startDelay = time.Millisecond
 	}
 	b.submit("bad", "scan", scan(1))
 	b.advance(100 * time.Second)
-	b.requireGivenUp("bad")
+	b.requireFailed("bad")
 }
 
-// A lasting task runs for long between two crashes of its workers that it did not cause.
-func TestALastingTaskThatWorksIsNotGivenUp(t *testing.T) {
+// A long-running task runs for a long time between crashes of its workers that it did not cause.
+func TestLastingTaskThatRanLongIsNotFailed(t *testing.T) {
 	b := newSimCell(t, 4)
 	st := scan(1)
 	st.LongRunning = true
@@ -239,7 +240,7 @@
 		b.advance(20 * time.Second)
 		for _, w := range b.sortedWorkers() {
 			if !w.dead && len(w.runs) > 0 {
-				w.die()
+				w.endIncarnation()
 			}
 		}
 	}
@@ -247,8 +248,8 @@
 	require.Equal(t, flow.Active, b.state("watch"))
 }
 
-// Guards against a job given up for workers that leave, are cut off or answer again.
-func TestWorkersThatLiveOnCountAgainstNoTask(t *testing.T) {
+// Guards against counting workers as crashed that are drained, cut off, or answer again.
+func TestWorkersThatDidNotCrashAreNotCounted(t *testing.T) {
 	for _, copies := range []bool{false, true} {
 		t.Run(fmt.Sprintf("copies_%t", copies), func(t *testing.T) {
 			b := newSimCell(t, 12)
@@ -275,7 +276,7 @@
 					b.advance(12 * time.Second)
 					w.silent = false
 					b.advance(time.Second)
-					// The next run begins on another worker.
+					// The next run starts on another worker.
 					w.info.Draining, w.info.Remaining = true, time.Minute
 					b.list()
 					break
@@ -288,8 +289,8 @@
 	}
 }
 
-// Guards against a job given up because racks lose power under it.
-func TestARackThatLosesItsPowerCountsAgainstNoTask(t *testing.T) {
+// Guards against failing a job because racks lose power under it.
+func TestRackPowerLossIsNotCounted(t *testing.T) {
 	b := newSimCell(t, 12)
 	st := bulk(4)
 	st.EstimatedTime = 12 * time.Second
@@ -304,7 +305,7 @@
 		}
 		for _, w := range b.sortedWorkers() {
 			if w.info.Rack == rack && !w.dead {
-				w.die()
+				w.endIncarnation()
 			}
 		}
 	}
@@ -314,22 +315,24 @@
 	require.Empty(t, b.violations)
 }
 
-// Guards against copies that wait for a verdict on a life that nobody asks any more.
-func TestALifeThatIsListedNoLongerIsAskedWhetherItEnded(t *testing.T) {
+// Guards against copies that wait forever because an ended incarnation that may have crashed is no
+// longer polled.
+func TestUnlistedIncarnationIsAskedWhetherItEnded(t *testing.T) {
 	b := newSimCell(t, 8)
 	b.copies, b.restartExtra = true, 3*time.Second
-	b.badJobs("bad")
+	b.markCrashing("bad")
 	st := scan(1)
 	st.AllowCopies = true
 	b.advance(100 * time.Millisecond)
 	b.submit("bad", "scan", st)
 	b.advance(15 * time.Second)
-	b.requireGivenUp("bad")
+	b.requireFailed("bad")
 	require.Equal(t, 3, b.endedIncarnations)
 }
 
-// Guards against a job given up for starts that found a life which had ended before.
-func TestAStartThatFindsAnotherLifeCountsAgainstNoTask(t *testing.T) {
+// Guards against failing a job for starts that reached a worker whose incarnation had already
+// ended.
+func TestStartAtEndedIncarnationIsNotCounted(t *testing.T) {
 	b := newSimCell(t, 6)
 	b.advance(100 * time.Millisecond)
 	for _, w := range b.sortedWorkers()[:5] {
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -91,8 +91,8 @@
 }
 
 // knownFull reports whether this pass has already found that no worker has that much free capacity.
-func (p *pool) knownFull(room cell.Size) bool {
-	return slices.ContainsFunc(p.unfit, func(n cell.Size) bool { return n.Fits(room) })
+func (p *pool) knownFull(demand cell.Size) bool {
+	return slices.ContainsFunc(p.unfit, func(n cell.Size) bool { return n.Fits(demand) })
 }
 
 func (s *Sched) pools() map[string]*pool {
@@ -138,11 +138,11 @@
 		if !ok {
 			continue
 		}
-		keep := int64(0)
+		reservedCPU := int64(0)
 		if r.queue.Rank > top {
-			keep = int64(urgentReserve * float64(p.totalCPU))
+			reservedCPU = int64(urgentReserve * float64(p.totalCPU))
 		}
-		s.placeStep(r, p, keep)
+		s.placeStep(r, p, reservedCPU)
 	}
 	for _, r := range steps {
 		if p, ok := pools[r.queue.Service]; ok {
@@ -153,9 +153,9 @@
 }
 
 // placeStep places as many tasks of a step as possible.
-func (s *Sched) placeStep(r readyStep, p *pool, keep int64) {
+func (s *Sched) placeStep(r readyStep, p *pool, reservedCPU int64) {
 	if r.stage.Spec.Gang {
-		s.placeGang(r, p, keep)
+		s.placeGang(r, p, reservedCPU)
 		return
 	}
 	need := r.stage.Spec.Demand().CPU
@@ -165,7 +165,7 @@
 	}
 	// Without a ticket no worker may run the step: a backlog of such steps is skipped without
 	// checking a single worker.
-	for len(left) > 0 && (keep == 0 || p.freeCPU >= keep+need) {
+	for len(left) > 0 && (reservedCPU == 0 || p.freeCPU >= reservedCPU+need) {
 		w := s.bestWorker(r, left[0], allowed)
 		if w == nil && left[0].CrashSuspicions() >= aloneAfter {
 			alone, left = append(alone, left[0]), left[1:]
@@ -179,7 +179,7 @@
 		left = left[1:]
 	}
 	left = append(left, alone...)
-	if len(left) > 0 && r.queue.Advice != nil && p.freeCPU-keep >= need {
+	if len(left) > 0 && r.queue.Advice != nil && p.freeCPU-reservedCPU >= need {
 		s.maybeQuery(r, p, len(left))
 	}
 	if len(left) > 0 {
@@ -225,7 +225,7 @@
 		return false
 	case t.Avoid == w.Incarnation && s.now.Sub(t.Since) < avoidFor:
 		return false
-	case st.BestEffort && w.fillCPU+st.Size.CPU > max(w.free().CPU, 0):
+	case st.BestEffort && w.bestEffortCPU+st.Size.CPU > max(w.free().CPU, 0):
 		return false
 	case st.MaxPerWorker > 0 && w.tasksOf(r.stage) >= st.MaxPerWorker, !s.mayShare(t, w):
 		return false
@@ -251,7 +251,7 @@
 const (
 	// farCost makes a task prefer the rack of its data without waiting for it.
 	farCost = 2
-	// serveCost keeps filling tasks and serving tasks apart while there is other capacity.
+	// serveCost keeps best-effort tasks and serving tasks apart while there is other capacity.
 	serveCost = 1
 	// domainCost keeps a job in one failure domain, and togetherCost keeps it on few workers: a job
 	// is late if its last task is late. With 6 tasks spread over 3 failure domains, a network cut
@@ -267,16 +267,16 @@
 func (s *Sched) cost(r readyStep, w *worker) float64 {
 	st := r.stage.Spec
 	left := w.free().Sub(st.Demand())
-	c := left.Share(cell.Size{CPU: w.Size.CPU, Mem: w.Size.Mem, Accel: max(w.Size.Accel, 1)})
+	c := left.DominantShare(cell.Size{CPU: w.Size.CPU, Mem: w.Size.Mem, Accel: max(w.Size.Accel, 1)})
 	if st.NearRack != "" && w.Rack != st.NearRack {
 		c += farCost
 	}
-	if st.BestEffort && w.runsServing() || st.LatencyTarget > 0 && w.fillCPU > 0 {
+	if st.BestEffort && w.runsServing() || st.LatencyTarget > 0 && w.bestEffortCPU > 0 {
 		c += serveCost
 	}
 	if st.BestEffort {
-		// Filling tasks go to the workers with the most free processor time.
-		c -= 2 * float64(w.free().CPU-w.fillCPU) / float64(w.Size.CPU)
+		// Best-effort tasks go to the workers with the most free processor time.
+		c -= 2 * float64(w.free().CPU-w.bestEffortCPU) / float64(w.Size.CPU)
 	}
 	if r.job.Domain != "" && w.Domain != r.job.Domain {
 		c += domainCost
--- a/internal/spans/spans.go
+++ b/internal/spans/spans.go
@@ -15,20 +15,20 @@
 
 var context3 = propagation.TraceContext{}
 
-// Hop begins the span of one hop; the returned function ends it.
-func Hop(ctx context.Context, hop, id string) (context.Context, func()) {
+// Start begins the span of one hop; the returned function ends it.
+func Start(ctx context.Context, hop, id string) (context.Context, func()) {
 	ctx, span := otel.Tracer(scope).Start(ctx, hop, trace.WithAttributes(attribute.String("id", id)))
 	return ctx, func() { span.End() }
 }
 
-// Parent returns the W3C trace context of the current span for the next hop.
-func Parent(ctx context.Context) string {
+// TraceParent returns the W3C trace context of the current span for the next hop.
+func TraceParent(ctx context.Context) string {
 	c := propagation.MapCarrier{}
 	context3.Inject(ctx, c)
 	return c["traceparent"]
 }
 
-// Join continues the trace that the hop before began.
-func Join(ctx context.Context, parent string) context.Context {
+// ContinueTrace continues the trace that the hop before began.
+func ContinueTrace(ctx context.Context, parent string) context.Context {
 	return context3.Extract(ctx, propagation.MapCarrier{"traceparent": parent})
 }
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -20,7 +20,7 @@
 type Table struct {
 	state
 	damaged damage
-	past    []Past
+	past    []HistoryEntry
 	// needed is where the newest snapshot whose parts were all seen begins;
 	// zero when there is none, so that everything from offset 1 is needed.
 	needed  int64
@@ -31,13 +31,13 @@
 
 // state is what a snapshot holds: all that later verdicts hang on.
 type state struct {
-	Next   int64            `json:"next"`
-	Digest uint64           `json:"digest"`
-	Rows   map[string]Line  `json:"rows"`
-	Quotas map[string]Quota `json:"quotas"`
-	Judged []Judged         `json:"judged"`
-	Passed []Passed         `json:"passed,omitempty"`
-	byID   map[string]Judged
+	Next    int64            `json:"next"`
+	Digest  uint64           `json:"digest"`
+	Rows    map[string]Line  `json:"rows"`
+	Quotas  map[string]Quota `json:"quotas"`
+	Judged  []Verdict        `json:"judged"`
+	Skipped []Passed         `json:"passed,omitempty"`
+	byID    map[string]Verdict
 }
 
 // Passed is a record that this version does not know. It is kept in order and
@@ -71,7 +71,7 @@
 // New returns an empty table that waits for offset 1.
 func New() *Table {
 	return &Table{
-		state: state{Next: 1, Rows: map[string]Line{}, Quotas: map[string]Quota{}, byID: map[string]Judged{}},
+		state: state{Next: 1, Rows: map[string]Line{}, Quotas: map[string]Quota{}, byID: map[string]Verdict{}},
 		parts: map[int64]*gathered{},
 	}
 }
@@ -83,9 +83,9 @@
 	switch ev := ev.(type) {
 	case Records:
 		return t.foldAll(now, ev.Entries)
-	case Behind:
+	case TrimmedLog:
 		return t.catchUp(now, ev.Entries)
-	case Copy:
+	case PeerCopy:
 		return t.copyFrom(ev.Parts)
 	case Tick:
 		return t.due(now, ev)
@@ -130,7 +130,7 @@
 		return t.edit(v, e.Offset), true
 	case QuotaEdit:
 		return []Action{t.quota(v, e.Offset)}, true
-	case Settle:
+	case ShareConfirmation:
 		t.settle(v)
 	case part:
 		t.gather(now, v, e.Offset)
@@ -148,8 +148,8 @@
 }
 
 func (t *Table) pass(p Passed) {
-	t.Passed = append(t.Passed, p)
-	t.Passed = t.Passed[max(0, len(t.Passed)-passedKept):]
+	t.Skipped = append(t.Skipped, p)
+	t.Skipped = t.Skipped[max(0, len(t.Skipped)-passedKept):]
 }
 
 // mix keeps one number that two hosts at the same offset can compare.
@@ -163,7 +163,7 @@
 	}
 	j, changed := t.judge(e, offset)
 	t.remember(j)
-	t.note(Past{Judged: j, Offset: offset, Row: e.Row, Who: e.Who, When: time.UnixMilli(e.When), What: what(e)})
+	t.note(HistoryEntry{Verdict: j, Offset: offset, Row: e.Row, Who: e.Author, When: time.UnixMilli(e.When), Change: what(e)})
 	if changed == nil {
 		return []Action{j}
 	}
@@ -177,21 +177,21 @@
 	return string(e.Fields)
 }
 
-func (t *Table) judge(e Edit, offset int64) (Judged, *Changed) {
+func (t *Table) judge(e Edit, offset int64) (Verdict, *RowChanged) {
 	cur := t.Rows[e.Row]
 	if cur.Version != e.Base {
-		return Judged{ID: e.ID, Reason: fmt.Sprintf("row is at version %d", cur.Version)}, nil
+		return Verdict{ID: e.ID, Reason: fmt.Sprintf("row is at version %d", cur.Version)}, nil
 	}
 	if e.Drop {
 		delete(t.Rows, e.Row)
-		return Judged{ID: e.ID, Accepted: true}, &Changed{Row: cur.Row, Version: offset, Gone: true}
+		return Verdict{ID: e.ID, Accepted: true}, &RowChanged{Row: cur.Row, Version: offset, Gone: true}
 	}
 	row, err := t.applied(e)
 	if err != nil {
-		return Judged{ID: e.ID, Reason: err.Error()}, nil
+		return Verdict{ID: e.ID, Reason: err.Error()}, nil
 	}
 	t.Rows[e.Row] = Line{Row: row, Version: offset}
-	return Judged{ID: e.ID, Accepted: true}, &Changed{Row: row, Version: offset}
+	return Verdict{ID: e.ID, Accepted: true}, &RowChanged{Row: row, Version: offset}
 }
 
 // applied returns the row as the edit would leave it.
@@ -207,7 +207,7 @@
 	return row, t.starved(row)
 }
 
-func (t *Table) remember(j Judged) {
+func (t *Table) remember(j Verdict) {
 	t.byID[j.ID] = j
 	t.Judged = append(t.Judged, j)
 	if len(t.Judged) > verdictsKept {
@@ -216,22 +216,22 @@
 	}
 }
 
-func (t *Table) note(p Past) {
+func (t *Table) note(p HistoryEntry) {
 	t.past = append(t.past, p)
 	t.past = t.past[max(0, len(t.past)-pastKept):]
 }
 
-// Past lists the newest edits that this host has folded itself, oldest first.
-func (t *Table) Past() []Past { return slices.Clone(t.past) }
+// History lists the newest edits that this host has folded itself, oldest first.
+func (t *Table) History() []HistoryEntry { return slices.Clone(t.past) }
 
-// Unknown lists the records that this version does not know, oldest first.
-func (t *Table) Unknown() []Passed { return slices.Clone(t.Passed) }
+// SkippedRecords lists the records that this version does not know, oldest first.
+func (t *Table) SkippedRecords() []Passed { return slices.Clone(t.Skipped) }
 
-// Wants returns the offset that the table waits for.
-func (t *Table) Wants() int64 { return t.Next }
+// NextOffset returns the offset that the table waits for.
+func (t *Table) NextOffset() int64 { return t.Next }
 
-// Mark returns the number that is equal on all hosts at one offset.
-func (t *Table) Mark() uint64 { return t.Digest }
+// Fingerprint returns the number that is equal on all hosts at one offset.
+func (t *Table) Fingerprint() uint64 { return t.Digest }
 
 // Row returns a row and its version; the version is zero for an unknown row.
 func (t *Table) Row(name string) (Row, int64) {
@@ -240,7 +240,7 @@
 }
 
 // Verdict returns what became of an edit, false if it was not seen.
-func (t *Table) Verdict(id string) (Judged, bool) {
+func (t *Table) Verdict(id string) (Verdict, bool) {
 	j, ok := t.byID[id]
 	return j, ok
 }
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -107,7 +107,7 @@
 	for range 3 {
 		stuck.Step(now, table.Records{Entries: []table.Entry{bad}})
 	}
-	require.Equal(t, int64(2), stuck.Wants())
+	require.Equal(t, int64(2), stuck.NextOffset())
 	require.Empty(t, stuck.Lines())
 }
 
@@ -137,14 +137,14 @@
 	require.NoError(t, err)
 	tab := table.New()
 	tab.Step(now, table.Records{Entries: []table.Entry{{Offset: 1, Body: b}, entry(t, 2, table.Edit{ID: "a", Row: "scan"})}})
-	require.Equal(t, int64(3), tab.Wants())
+	require.Equal(t, int64(3), tab.NextOffset())
 	require.Len(t, tab.Lines(), 1)
 	parts, err := tab.Snapshot(now)
 	require.NoError(t, err)
 	other := table.New()
-	require.Equal(t, []table.Action{table.Restored{Next: 3}}, other.Step(now, table.Copy{Parts: parts}))
-	require.Equal(t, tab.Mark(), other.Mark())
-	require.Equal(t, []table.Passed{{Offset: 1, Body: b}}, other.Unknown())
+	require.Equal(t, []table.Action{table.Restored{Next: 3}}, other.Step(now, table.PeerCopy{Parts: parts}))
+	require.Equal(t, tab.Fingerprint(), other.Fingerprint())
+	require.Equal(t, []table.Passed{{Offset: 1, Body: b}}, other.SkippedRecords())
 }
 
 // An accepted edit's record comes a second time after the row was dropped and
@@ -155,7 +155,7 @@
 	tab.Step(now, table.Records{Entries: []table.Entry{entry(t, 1, e), entry(t, 2, table.Edit{ID: "b", Row: "scan", Base: 1, Drop: true})}})
 	parts, err := tab.Snapshot(now)
 	require.NoError(t, err)
-	other.Step(now, table.Copy{Parts: parts})
+	other.Step(now, table.PeerCopy{Parts: parts})
 	for _, x := range []*table.Table{tab, other} {
 		x.Step(now, table.Records{Entries: []table.Entry{entry(t, 3, e)}})
 		require.Empty(t, x.Lines())
@@ -186,15 +186,15 @@
 	tab.Step(now, table.Records{Entries: log.all})
 
 	behind := table.New()
-	require.Equal(t, table.Lost{Want: 1}, behind.Step(now, table.Behind{Entries: log.all[21:]})[0], "the snapshot itself is gone")
-	require.Equal(t, table.Lost{Want: 1}, behind.Step(now, table.Behind{})[0])
-	require.Equal(t, table.Restored{Next: 21}, behind.Step(now, table.Behind{Entries: log.all[20:]})[0])
+	require.Equal(t, table.SnapshotMissing{Want: 1}, behind.Step(now, table.TrimmedLog{Entries: log.all[21:]})[0], "the snapshot itself is gone")
+	require.Equal(t, table.SnapshotMissing{Want: 1}, behind.Step(now, table.TrimmedLog{})[0])
+	require.Equal(t, table.Restored{Next: 21}, behind.Step(now, table.TrimmedLog{Entries: log.all[20:]})[0])
 	require.Equal(t, tab.Lines(), behind.Lines())
-	require.Equal(t, tab.Mark(), behind.Mark())
+	require.Equal(t, tab.Fingerprint(), behind.Fingerprint())
 	log.all = append(log.all[:20:20], log.all[21:]...)
-	require.Equal(t, table.Lost{Want: 1}, table.New().Step(now, table.Behind{Entries: moved(log.all[20:], parts[0])})[0], "a record after the snapshot's offset is gone")
-	require.Empty(t, behind.Step(now, table.Copy{Parts: parts}), "an older copy does not take it back")
-	require.Equal(t, int64(23), behind.Wants())
+	require.Equal(t, table.SnapshotMissing{Want: 1}, table.New().Step(now, table.TrimmedLog{Entries: moved(log.all[20:], parts[0])})[0], "a record after the snapshot's offset is gone")
+	require.Empty(t, behind.Step(now, table.PeerCopy{Parts: parts}), "an older copy does not take it back")
+	require.Equal(t, int64(23), behind.NextOffset())
 }
 
 // The log trims the only snapshot, or all records grow old because nobody
