--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -47,12 +47,12 @@
 
 func (e *NoCertificateError) Error() string { return "no certificate in it" }
 
-// lookEvery bounds how often the files are looked at.
-const lookEvery = time.Second
+// checkInterval bounds how often the files are looked at.
+const checkInterval = time.Second
 
-// handshakeWait bounds a handshake. Something that connects and says nothing
+// handshakeTimeout bounds a handshake. Something that connects and says nothing
 // would otherwise hold a connection for good.
-const handshakeWait = 3 * time.Second
+const handshakeTimeout = 3 * time.Second
 
 // Keys are the keys of one host. They are safe for concurrent use.
 type Keys struct {
@@ -62,21 +62,21 @@
 	count func(reason string)
 	clock func() time.Time
 
-	mu     sync.Mutex
-	looked time.Time
-	seen   [3]time.Time
-	cert   tls.Certificate
-	pool   *x509.CertPool
+	mu        sync.Mutex
+	lastCheck time.Time
+	modTimes  [3]time.Time
+	cert      tls.Certificate
+	pool      *x509.CertPool
 }
 
 // New reads the files; the error is a FileError. Names maps the certificate
 // names that may connect to host names; count is told why one was turned away.
 func New(f Files, names map[string]string, count func(reason string), clock func() time.Time) (*Keys, error) {
 	k := &Keys{files: f, names: names, count: count, clock: clock}
-	return k, k.read()
+	return k, k.load()
 }
 
-func (k *Keys) read() error {
+func (k *Keys) load() error {
 	cert, err := tls.LoadX509KeyPair(k.files.Cert, k.files.Key)
 	if err != nil {
 		return &FileError{Path: k.files.Cert, Cause: err}
@@ -90,11 +90,11 @@
 		return &FileError{Path: k.files.CA, Cause: &NoCertificateError{}}
 	}
 	k.cert, k.pool = cert, pool
-	k.seen = k.changed()
+	k.modTimes = k.readModTimes()
 	return nil
 }
 
-func (k *Keys) changed() [3]time.Time {
+func (k *Keys) readModTimes() [3]time.Time {
 	var at [3]time.Time
 	for i, path := range []string{k.files.Cert, k.files.Key, k.files.CA} {
 		if info, err := os.Stat(path); err == nil {
@@ -110,17 +110,17 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.clock()
-	if now.Sub(k.looked) >= lookEvery {
-		k.looked = now
-		if k.changed() != k.seen {
-			k.reread()
+	if now.Sub(k.lastCheck) >= checkInterval {
+		k.lastCheck = now
+		if k.readModTimes() != k.modTimes {
+			k.reload()
 		}
 	}
 	return k.cert, k.pool
 }
 
-func (k *Keys) reread() {
-	if err := k.read(); err != nil {
+func (k *Keys) reload() {
+	if err := k.load(); err != nil {
 		k.count("unread")
 		return
 	}
@@ -133,7 +133,7 @@
 	c := tls.Client(conn, &tls.Config{
 		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert}, RootCAs: pool, ServerName: name, Time: k.clock,
 	})
-	ctx, cancel := context.WithTimeout(ctx, handshakeWait)
+	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
 	if err := c.HandshakeContext(ctx); err != nil {
 		k.count(reason(err))
@@ -150,7 +150,7 @@
 		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert}, ClientCAs: pool, Time: k.clock,
 		ClientAuth: tls.RequireAndVerifyClientCert, SessionTicketsDisabled: true,
 		VerifyConnection: func(s tls.ConnectionState) error {
-			if k.host(s) == "" {
+			if k.knownHost(s) == "" {
 				return &NameError{Names: s.PeerCertificates[0].DNSNames}
 			}
 			return nil
@@ -158,8 +158,8 @@
 	}
 }
 
-// host returns the host that a certificate names, empty for none.
-func (k *Keys) host(s tls.ConnectionState) string {
+// knownHost returns the knownHost that a certificate names, empty for none.
+func (k *Keys) knownHost(s tls.ConnectionState) string {
 	if len(s.VerifiedChains) == 0 {
 		return ""
 	}
--- a/internal/ledger/plan.go
+++ b/internal/ledger/plan.go
@@ -75,13 +75,13 @@
 		return []Group{p.group(key, p.self.Domain, live)}
 	}
 	var all []Group
-	for _, domain := range p.names() {
+	for _, domain := range p.domainNames() {
 		all = append(all, p.group(key, domain, live))
 	}
 	return all
 }
 
-func (p Plan) names() []string {
+func (p Plan) domainNames() []string {
 	var all []string
 	for domain := range p.domains {
 		all = append(all, domain)
@@ -91,18 +91,18 @@
 }
 
 func (p Plan) group(key, domain string, live func(string) bool) Group {
-	homes := weigh(top(key, p.domains[domain], groupSize), ownWeight)
+	homes := withWeight(topRanked(key, p.domains[domain], groupSize), ownWeight)
 	if len(homes) == groupSize-1 {
-		homes = append(homes, weigh(top(key, p.elsewhere(domain), witnesses), witnessWeight)...)
+		homes = append(homes, withWeight(topRanked(key, p.hostsOutside(domain), witnesses), witnessWeight)...)
 	}
-	g := Group{Domain: domain, Homes: homes, RequiredWeight: sum(homes)/2 + 1, Digest: digest(homes)}
+	g := Group{Domain: domain, Homes: homes, RequiredWeight: totalWeight(homes)/2 + 1, Digest: digest(homes)}
 	slices.SortStableFunc(homes, func(a, b Home) int {
-		return cmp.Or(rank(live(a.Name))-rank(live(b.Name)), b.Weight-a.Weight)
+		return cmp.Or(liveRank(live(a.Name))-liveRank(live(b.Name)), b.Weight-a.Weight)
 	})
 	return g
 }
 
-func weigh(names []string, weight int) []Home {
+func withWeight(names []string, weight int) []Home {
 	homes := make([]Home, len(names))
 	for i, name := range names {
 		homes[i] = Home{Name: name, Weight: weight}
@@ -110,7 +110,7 @@
 	return homes
 }
 
-func sum(homes []Home) int {
+func totalWeight(homes []Home) int {
 	n := 0
 	for _, h := range homes {
 		n += h.Weight
@@ -118,16 +118,16 @@
 	return n
 }
 
-func rank(live bool) int {
+func liveRank(live bool) int {
 	if live {
 		return 0
 	}
 	return 1
 }
 
-func (p Plan) elsewhere(domain string) []string {
+func (p Plan) hostsOutside(domain string) []string {
 	var all []string
-	for _, name := range p.names() {
+	for _, name := range p.domainNames() {
 		if name != domain {
 			all = append(all, p.domains[name]...)
 		}
@@ -141,7 +141,7 @@
 	return p.group(ev.Key, ev.Domain, func(string) bool { return true }).Digest == ev.Group
 }
 
-func top(key string, names []string, n int) []string {
+func topRanked(key string, names []string, n int) []string {
 	rest := slices.Clone(names)
 	var best []string
 	for len(best) < n && len(rest) > 0 {
--- a/internal/relay/ends.go
+++ b/internal/relay/ends.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// closeWait bounds one telling of keys' ends. A connection that has gone
+	// closeTimeout bounds one telling of keys' ends. A connection that has gone
 	// silent is replaced within the time of two, so that one of closeTries gets
 	// through; without it repeats would wait for an end that is there.
-	closeWait = time.Second
+	closeTimeout = time.Second
 	// closeRate is the rate in bytes a second that answers are given besides.
 	closeRate  = 256 << 10
 	closeTries = 4
@@ -24,21 +24,21 @@
 	// its way share the next, which halves the cost of a keyed request.
 	closeBatch = 128
 	closeBytes = 1 << 20
-	// closeQueue bounds the ends that wait for one home.
-	closeQueue = 4096
+	// maxQueuedEnds bounds the ends that wait for one home.
+	maxQueuedEnds = 4096
 )
 
-// ends are the ends of keys that homes are still to be told, by home.
-type ends struct {
+// keyEnds are the keyEnds of keys that homes are still to be told, by home.
+type keyEnds struct {
 	mu      sync.Mutex
 	waiting map[string][]ledger.Close
-	busy    map[string]bool
+	sending map[string]bool
 	wg      sync.WaitGroup
 }
 
-// keepEnd tells a home how a try ended. The caller does not wait for it: a
+// queueEnd tells a home how a try ended. The caller does not wait for it: a
 // home that has gone silent would hold back an answer that is there.
-func (x *Relay) keepEnd(a ledger.RecordEnd) {
+func (x *Relay) queueEnd(a ledger.RecordEnd) {
 	if a.Home == x.Name {
 		x.CloseKey(a.Close)
 		return
@@ -47,31 +47,31 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.waiting == nil {
-		e.waiting, e.busy = map[string][]ledger.Close{}, map[string]bool{}
+		e.waiting, e.sending = map[string][]ledger.Close{}, map[string]bool{}
 	}
-	if len(e.waiting[a.Home]) >= closeQueue {
+	if len(e.waiting[a.Home]) >= maxQueuedEnds {
 		x.Log.Warn("ledger: too many keys' ends wait for a home.", "home", a.Home)
 		return
 	}
 	e.waiting[a.Home] = append(e.waiting[a.Home], a.Close)
-	if !e.busy[a.Home] {
-		e.busy[a.Home] = true
-		e.wg.Go(func() { x.tellEnds(a.Home) })
+	if !e.sending[a.Home] {
+		e.sending[a.Home] = true
+		e.wg.Go(func() { x.sendEnds(a.Home) })
 	}
 }
 
-func (x *Relay) tellEnds(home string) {
+func (x *Relay) sendEnds(home string) {
 	for {
-		batch := x.ends.take(home)
+		batch := x.ends.nextBatch(home)
 		if len(batch) == 0 {
 			return
 		}
-		x.tellBatch(home, batch)
+		x.sendBatch(home, batch)
 	}
 }
 
-// take returns the next ends for a home; without any the home is not busy.
-func (e *ends) take(home string) []ledger.Close {
+// nextBatch returns the next ends for a home; without any the home is not busy.
+func (e *keyEnds) nextBatch(home string) []ledger.Close {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	all := e.waiting[home]
@@ -83,14 +83,14 @@
 	e.waiting[home] = all[n:]
 	if n == 0 {
 		delete(e.waiting, home)
-		delete(e.busy, home)
+		delete(e.sending, home)
 	}
 	return all[:n:n]
 }
 
-func (x *Relay) tellBatch(home string, batch []ledger.Close) {
+func (x *Relay) sendBatch(home string, batch []ledger.Close) {
 	var silent *peer.NoAnswerError
-	wait := closeWait
+	wait := closeTimeout
 	for _, ev := range batch {
 		wait += time.Duration(len(ev.Answer.Body)) * time.Second / closeRate
 	}
--- a/internal/relay/lost_test.go
+++ b/internal/relay/lost_test.go
@@ -11,11 +11,11 @@
 	"pollencroft/internal/standin"
 )
 
-// mostLost is how many backend servers one request may end.
-const mostLost = 3
+// maxLostServers is how many backend servers one request may end.
+const maxLostServers = 3
 
-// saved is a bench of a row that allows many tries and has saved up retries.
-func saved(t *testing.T, minions int) *bench {
+// newBenchWithBudget is a bench of a row that allows many tries and has newBenchWithBudget up retries.
+func newBenchWithBudget(t *testing.T, minions int) *bench {
 	t.Helper()
 	b := newBench(t, minions, 8)
 	b.row.Idempotent, b.row.Tries = true, 100
@@ -25,7 +25,7 @@
 	return b
 }
 
-func (b *bench) all(f standin.MinionFaults) {
+func (b *bench) setFaults(f standin.MinionFaults) {
 	for _, m := range b.minions {
 		m.SetFaults(f)
 	}
@@ -47,13 +47,13 @@
 // Guards against a request that ends one backend server after the other.
 func TestRequestThatEndsBackendServersIsGivenUp(t *testing.T) {
 	for _, minions := range []int{2, 12} {
-		b := saved(t, minions)
-		b.all(standin.MinionFaults{Lose: 1000})
+		b := newBenchWithBudget(t, minions)
+		b.setFaults(standin.MinionFaults{Lose: 1000})
 		req := request()
 		reply := b.Do(t.Context(), req)
 		servers, runs := b.reached(req.ID)
 		t.Logf("servers: %d, runs: %d", servers, runs)
-		require.LessOrEqual(t, runs, mostLost)
+		require.LessOrEqual(t, runs, maxLostServers)
 		require.Equal(t, cell.Unknown, reply.Outcome, "it may have run")
 		require.Contains(t, reply.Reason, "backend servers")
 	}
@@ -61,25 +61,25 @@
 
 // Guards against a hedged request that ends one backend server after the other.
 func TestHedgedRequestThatEndsBackendServersIsGivenUp(t *testing.T) {
-	b := saved(t, 12)
-	b.all(standin.MinionFaults{Lose: 1000, Slow: 1500 * time.Millisecond})
+	b := newBenchWithBudget(t, 12)
+	b.setFaults(standin.MinionFaults{Lose: 1000, Slow: 1500 * time.Millisecond})
 	req := request()
 	req.Deadline = time.Now().Add(30 * time.Second)
 	reply := b.Do(t.Context(), req)
 	servers, runs := b.reached(req.ID)
 	t.Logf("servers: %d, runs: %d", servers, runs)
-	require.LessOrEqual(t, runs, mostLost)
+	require.LessOrEqual(t, runs, maxLostServers)
 	require.Equal(t, cell.Unknown, reply.Outcome, "it may have run")
 }
 
 // Guards against requests that are given up because servers answer with failures: those go on.
 func TestAnsweredFailuresEndNoServer(t *testing.T) {
-	b := saved(t, 12)
-	b.all(standin.MinionFaults{Fail: 100})
+	b := newBenchWithBudget(t, 12)
+	b.setFaults(standin.MinionFaults{Fail: 100})
 	req := request()
 	reply := b.Do(t.Context(), req)
 	_, runs := b.reached(req.ID)
 	t.Logf("runs: %d", runs)
 	require.Equal(t, http.StatusInternalServerError, reply.Status)
-	require.Greater(t, runs, mostLost)
+	require.Greater(t, runs, maxLostServers)
 }
