--- a/internal/entry/journal_test.go
+++ b/internal/entry/journal_test.go
@@ -63,7 +63,7 @@
 // The store is down for some partitions, in each of the possible ways. The leader's progress is
 // stored in another partition, after a refusal at once. With a single partition, nothing would
 // start until it is back, and every job would be late.
-func TestAPartitionThatIsDownStopsNothing(t *testing.T) {
+func TestProgressMovesToAnotherPartitionDuringAnOutage(t *testing.T) {
 	for _, fault := range []users.Fault{users.Busy, users.Silent, users.Lost} {
 		log, b := newJournal(t, 7)
 		require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("a", "1"), appendTimeout))
@@ -85,7 +85,7 @@
 
 // Another leader has claimed. The previous one can store nothing any more, whichever partition it
 // uses; its successor has read all partitions by then.
-func TestASuccessorFencesEveryPartition(t *testing.T) {
+func TestSuccessorFencesEveryPartition(t *testing.T) {
 	for _, down := range []int{0, 5} {
 		log, b := newJournal(t, 7)
 		for _, p := range []int{0, 5, 10} {
@@ -102,7 +102,7 @@
 }
 
 // While every partition is unavailable, the append waits and is not lost.
-func TestAnAppendWaitsForAnyPartition(t *testing.T) {
+func TestAppendWaitsForAnyPartition(t *testing.T) {
 	log, b := newJournal(t, 7)
 	for _, p := range []int{0, 5, 10} {
 		log.BreakPart("state", p, users.Busy)
@@ -125,7 +125,7 @@
 
 // A deleted job is removed from every partition that may contain its record. A record that
 // remained in one partition would be taken for the newest once the others are gone.
-func TestAForgottenJobIsDroppedEverywhere(t *testing.T) {
+func TestDeletedJobIsDroppedFromEveryPartition(t *testing.T) {
 	log, b := newJournal(t, 7)
 	require.NoError(t, b.Append(t.Context(), nextNumber(), oneRecord("a", "1"), appendTimeout))
 	log.BreakPart("state", 0, users.Busy)
@@ -175,7 +175,7 @@
 
 // The partition to which a host appends jobs is down. The host appends to another one; otherwise
 // its callers would be refused while other hosts accept jobs.
-func TestJobsAreAcceptedWhileAPartitionIsDown(t *testing.T) {
+func TestJobsAreAcceptedDuringAPartitionOutage(t *testing.T) {
 	c := newCluster(t, 2, 2, 50*time.Millisecond)
 	h := c.follower()
 	for _, fault := range []users.Fault{users.Busy, users.Silent} {
@@ -198,7 +198,7 @@
 // An ended job is deleted while the store does not accept the deletion of its spec. If its
 // progress were deleted nevertheless, the next leader would find a job without progress and run
 // it again, and its caller would see the same work done twice.
-func TestAJobIsNotRunAgainAfterItIsForgotten(t *testing.T) {
+func TestJobIsNotRunAgainAfterItIsDeleted(t *testing.T) {
 	c := newCluster(t, 1, 2, 50*time.Millisecond)
 	c.hosts["h0"].Kill()
 	delete(c.hosts, "h0")
@@ -236,7 +236,7 @@
 // partition keeps the record that was written last. Whatever happens, the newest record found for
 // a job is at least as new as the last one whose append was reported as stored. An older record
 // would make a job run again that was reported as completed.
-func TestTheNewestRecordIsNeverWrittenOver(t *testing.T) {
+func TestNewestRecordIsNeverOverwritten(t *testing.T) {
 	for seed := range uint64(8) {
 		r := rand.New(rand.NewPCG(seed, 0))
 		log, b := newJournal(t, 7)
@@ -292,7 +292,7 @@
 // which partitions are tried changes all the time. The race detector reports any access to that
 // order without its lock: the number of partitions used to be read that way at the start of each
 // append.
-func TestAppendsBesideEachOtherWhilePartitionsTakeTurns(t *testing.T) {
+func TestConcurrentAppendsDuringAlternatingOutages(t *testing.T) {
 	log, b := newJournal(t, 7)
 	parts := []int{0, 5, 10}
 	var wg sync.WaitGroup
--- a/internal/entry/watch_test.go
+++ b/internal/entry/table_test.go
@@ -236,9 +236,9 @@
 // clusters proved it: in each one that failed, the leader and the first three names were in the
 // domain that was cut off. None fails since reads are repeated on a new connection, and peers are
 // asked concurrently, those that failed last.
-func TestATableIsInForceInTime(t *testing.T) {
+func TestTableIsInForceInTime(t *testing.T) {
 	const back = 10 * time.Second
-	for name, troubles := range map[string]func(away time.Duration) []outage{
+	for name, outages := range map[string]func(away time.Duration) []outage{
 		"the store was silent": func(away time.Duration) []outage {
 			return []outage{{from: back - away, to: back, kind: silent}}
 		},
@@ -259,7 +259,7 @@
 			// The read may have been sent at any time before.
 			for away := 2 * time.Second; away < 6*time.Second; away += 130 * time.Millisecond {
 				for after := time.Duration(0); after <= 600*time.Millisecond; after += 200 * time.Millisecond {
-					w := fakeStore{cutAt: 5 * time.Second, cutDomain: 'a', changedAt: back + after, outages: troubles(away)}
+					w := fakeStore{cutAt: 5 * time.Second, cutDomain: 'a', changedAt: back + after, outages: outages(away)}
 					require.True(t, w.tableArrives(t, "b1", "a1"), "away for %v, changed %v after", away, after)
 				}
 			}
@@ -270,7 +270,7 @@
 // The store refuses one host, or does not answer it, for minutes, and serves the others; a
 // failure domain that contains the leader is cut off. A queue that is added in the meantime would
 // be served by all hosts but this one, whose callers would be told that it does not exist.
-func TestATableIsInForceInTimeThroughPeers(t *testing.T) {
+func TestTableIsInForceInTimeThroughPeers(t *testing.T) {
 	for _, k := range []outageKind{silent, refusing} {
 		for after := time.Duration(0); after < 3*time.Second; after += 90 * time.Millisecond {
 			w := fakeStore{cutAt: 3 * time.Second, cutDomain: 'a', changedAt: 10*time.Second + after, outages: []outage{{from: 4 * time.Second, to: time.Minute, kind: k, ownOnly: true}}}
@@ -281,7 +281,7 @@
 
 // Outages of the store, a cut and a change of the table happen at random times. Whatever they
 // are, a host that is not cut off itself has the change in force in time.
-func TestATableIsInForceInTimeWhateverWasSilent(t *testing.T) {
+func TestTableIsInForceInTimeAfterRandomOutages(t *testing.T) {
 	for seed := range uint64(1000) {
 		rng := rand.New(rand.NewPCG(seed, 0))
 		within := func(d time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(d))) }
@@ -304,7 +304,7 @@
 // The store does not answer for seconds. An operator on call sees that queues are missing on some
 // hosts, and has to distinguish a host that cannot read the table from one that read and ignored
 // it.
-func TestLinesTellOfATableThatCannotBeRead(t *testing.T) {
+func TestLogShowsThatTheTableCannotBeRead(t *testing.T) {
 	w := fakeStore{cutDomain: 'a', changedAt: 12 * time.Second, outages: []outage{{from: 3 * time.Second, to: 10 * time.Second, kind: silent}}}
 	require.True(t, w.tableArrives(t, "b1", "a1"))
 	text := w.logs.String()
@@ -320,7 +320,7 @@
 
 // The store refuses the hosts of one failure domain. If all of them asked the same peers, the
 // first by name, these would have to make the calls of all.
-func TestHostsAskUnlikePeers(t *testing.T) {
+func TestHostsAskDifferentPeers(t *testing.T) {
 	all := []string{"a1", "a2", "b1", "b2", "c1"}
 	for name, want := range map[string][]string{
 		"a1": {"b2", "a2", "b1", "c1"},
--- a/internal/keys/listener.go
+++ b/internal/keys/listener.go
@@ -16,8 +16,8 @@
 // Peer is the name of the host that its certificate gives.
 func (c *Conn) Peer() string { return c.peer }
 
-// shaking bounds the handshakes under way at once.
-const shaking = 64
+// maxHandshakes bounds the handshakes under way at once.
+const maxHandshakes = 64
 
 // listener hands out connections only after their handshake, and makes the
 // handshakes beside each other: one that hangs must not hold up the others.
@@ -37,7 +37,7 @@
 }
 
 func (l *listener) accept() {
-	slots := make(chan struct{}, shaking)
+	slots := make(chan struct{}, maxHandshakes)
 	for {
 		conn, err := l.Listener.Accept()
 		if err != nil {
@@ -47,14 +47,14 @@
 		slots <- struct{}{}
 		go func() {
 			defer func() { <-slots }()
-			l.shake(conn)
+			l.handshake(conn)
 		}()
 	}
 }
 
-func (l *listener) shake(conn net.Conn) {
+func (l *listener) handshake(conn net.Conn) {
 	c := tls.Server(conn, l.keys.peerConfig())
-	ctx, cancel := context.WithTimeout(context.Background(), handshakeWait)
+	ctx, cancel := context.WithTimeout(context.Background(), handshakeTimeout)
 	defer cancel()
 	if err := c.HandshakeContext(ctx); err != nil {
 		l.keys.count(reason(err))
@@ -62,7 +62,7 @@
 		return
 	}
 	select {
-	case l.ready <- &Conn{Conn: c, peer: l.keys.host(c.ConnectionState())}:
+	case l.ready <- &Conn{Conn: c, peer: l.keys.knownHost(c.ConnectionState())}:
 	case <-l.done:
 		_ = conn.Close()
 	}
--- a/internal/relay/home.go
+++ b/internal/relay/home.go
@@ -12,8 +12,8 @@
 	"pollencroft/internal/peer"
 )
 
-// home is this host's side as a home of keys.
-type home struct {
+// homeState is this host's side as a homeState of keys.
+type homeState struct {
 	mu      sync.Mutex
 	waiting map[string]chan ledger.Verdict
 }
@@ -86,12 +86,12 @@
 	}
 	x.stepHome(ledger.HostHeartbeats{Heartbeats: signs})
 	x.stepHome(ledger.Tick{})
-	x.gauge()
+	x.updateGauges()
 }
 
-// gauge shows what this home keeps. Reach is how far back it knows every key
+// updateGauges shows what this home keeps. Reach is how far back it knows every key
 // that it was asked for, in milliseconds.
-func (x *Relay) gauge() {
+func (x *Relay) updateGauges() {
 	x.home.mu.Lock()
 	defer x.home.mu.Unlock()
 	set := func(name string, v int64) { metrics.GetOrRegisterGauge(name, x.Metrics).Update(v) }
@@ -102,8 +102,8 @@
 	set("minion.dropped", x.Minions.Dropped())
 }
 
-// liveNow returns who is taken for alive, in any failure domain.
-func (x *Relay) liveNow() func(string) bool {
+// liveHosts returns who is taken for alive, in any failure domain.
+func (x *Relay) liveHosts() func(string) bool {
 	_, beats := x.Members()
 	live := map[string]bool{x.Name: true}
 	now := x.Clock()
--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -13,32 +13,32 @@
 
 // Waits for a key's homes.
 const (
-	// openWait bounds one question to a home. A home that takes longer counts
+	// openTimeout bounds one question to a home. A home that takes longer counts
 	// as silent and the next one is asked.
-	openWait = 250 * time.Millisecond
-	// keyAgain is when a caller that was told unknown may ask again.
-	keyAgain = time.Second
+	openTimeout = 250 * time.Millisecond
+	// keyRetryAfter is when a caller that was told unknown may ask again.
+	keyRetryAfter = time.Second
 )
 
-// keyed runs a request under its key: once, whatever repeats arrive where.
-func (x *Relay) keyed(ctx context.Context, req call.Request) call.Reply {
-	look, cancel := context.WithTimeout(ctx, req.Deadline.Sub(x.Clock()))
+// runKeyed runs a request under its key: once, whatever repeats arrive where.
+func (x *Relay) runKeyed(ctx context.Context, req call.Request) call.Reply {
+	lookupCtx, cancel := context.WithTimeout(ctx, req.Deadline.Sub(x.Clock()))
 	defer cancel()
-	run := ledger.NewTry(x.newOpen(req), x.Plan.Groups(req.Key, req.Attempt, x.liveNow()))
+	run := ledger.NewTry(x.newOpen(req), x.Plan.Groups(req.Key, req.Attempt, x.liveHosts()))
 	var ev ledger.TryEvent = ledger.Begin{}
 	for {
 		for _, a := range run.Step(ev) {
 			switch a := a.(type) {
 			case ledger.RecordEnd:
-				x.keepEnd(a)
+				x.queueEnd(a)
 			case ledger.AskHome:
-				ev = x.ask(look, a)
+				ev = x.askHome(lookupCtx, a)
 			case ledger.AwaitHome:
-				ev = x.await(look, a, req.Deadline)
+				ev = x.awaitHome(lookupCtx, a, req.Deadline)
 			case ledger.Send:
-				ev = ledger.RequestEnded{Answer: kept(x.route(ctx, req))}
+				ev = ledger.RequestEnded{Answer: toAnswer(x.runWithRetries(ctx, req))}
 			case ledger.Reply:
-				return told(a.Answer)
+				return toReply(a.Answer)
 			}
 		}
 	}
@@ -51,43 +51,43 @@
 	}
 }
 
-func kept(r call.Reply) ledger.Answer {
+func toAnswer(r call.Reply) ledger.Answer {
 	return ledger.Answer{Outcome: r.Outcome, Status: r.Status, Header: r.Header, Body: r.Body, Reason: r.Reason, RetryAfter: r.Again}
 }
 
-func told(a ledger.Answer) call.Reply {
+func toReply(a ledger.Answer) call.Reply {
 	r := call.Reply{Outcome: a.Outcome, Status: a.Status, Header: a.Header, Body: a.Body, Reason: a.Reason, Again: a.RetryAfter}
 	if r.Status == 0 {
 		r.Status = http.StatusServiceUnavailable
 	}
 	if r.Outcome == cell.Unknown && r.Again.Duration == 0 {
-		r.Again.Duration = keyAgain
+		r.Again.Duration = keyRetryAfter
 	}
 	return r
 }
 
-func (x *Relay) ask(ctx context.Context, a ledger.AskHome) ledger.TryEvent {
+func (x *Relay) askHome(ctx context.Context, a ledger.AskHome) ledger.TryEvent {
 	if a.Home == x.Name {
 		return ledger.HomeAnswered{Home: a.Home, Verdict: x.OpenKey(a.Open)}
 	}
-	short, cancel := context.WithTimeout(ctx, openWait)
+	short, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
 	var v ledger.Verdict
 	err := x.Peers.Ask(short, a.Home, peer.OpenKey{Open: a.Open}, &v)
-	return heard(ctx, a.Home, v, err)
+	return toTryEvent(ctx, a.Home, v, err)
 }
 
-func (x *Relay) await(ctx context.Context, a ledger.AwaitHome, deadline time.Time) ledger.TryEvent {
+func (x *Relay) awaitHome(ctx context.Context, a ledger.AwaitHome, deadline time.Time) ledger.TryEvent {
 	m := peer.AwaitKey{Key: a.Key, Remaining: cell.Duration{Duration: deadline.Sub(x.Clock())}}
 	if a.Home == x.Name {
-		return heard(ctx, a.Home, x.AwaitKey(ctx, m), nil)
+		return toTryEvent(ctx, a.Home, x.AwaitKey(ctx, m), nil)
 	}
 	var v ledger.Verdict
 	err := x.Peers.Ask(ctx, a.Home, m, &v)
-	return heard(ctx, a.Home, v, err)
+	return toTryEvent(ctx, a.Home, v, err)
 }
 
-func heard(ctx context.Context, home string, v ledger.Verdict, err error) ledger.TryEvent {
+func toTryEvent(ctx context.Context, home string, v ledger.Verdict, err error) ledger.TryEvent {
 	switch {
 	case err == nil:
 		return ledger.HomeAnswered{Home: home, Verdict: v}
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -29,9 +29,9 @@
 		if b.Domain != x.Domain {
 			continue
 		}
-		fresh = fresh || x.lent[b.Name] != b.ReceivedAt
-		x.lent[b.Name] = b.ReceivedAt
-		if x.lends(now, b) {
+		fresh = fresh || x.lastLoad[b.Name] != b.ReceivedAt
+		x.lastLoad[b.Name] = b.ReceivedAt
+		if x.canLend(now, b) {
 			all = append(all, queue.Peer{Name: b.Name, Free: b.FreeSlots})
 		}
 	}
@@ -40,56 +40,56 @@
 	}
 }
 
-// lends tells whether a peer's word counts: it is recent, and newer than the
+// canLend tells whether a peer's word counts: it is recent, and newer than the
 // last request that got no answer there.
-func (x *Relay) lends(now time.Time, b member.Heartbeat) bool {
-	return !b.Leaving && b.ReceivedAt.After(x.silent[b.Name]) && now.Sub(b.ReceivedAt) <= member.SilenceTimeout
+func (x *Relay) canLend(now time.Time, b member.Heartbeat) bool {
+	return !b.Leaving && b.ReceivedAt.After(x.lastFailure[b.Name]) && now.Sub(b.ReceivedAt) <= member.SilenceTimeout
 }
 
-// viaPeer runs a request on a peer's slot. It tells whether the peer gave it
+// sendToPeer runs a request on a peer's slot. It tells whether the peer gave it
 // back, or could not be asked, so that it must wait again.
-func (x *Relay) viaPeer(ctx context.Context, a queue.Lend, req call.Request) (try, bool) {
+func (x *Relay) sendToPeer(ctx context.Context, a queue.Lend, req call.Request) (try, bool) {
 	ctx, end := spans.Start(ctx, "peer", req.ID)
 	defer end()
 	req.Trace = spans.TraceParent(ctx)
 	metrics.GetOrRegisterCounter("relay.lent", x.Metrics).Inc(1)
-	reply, err := x.askRun(ctx, a.Peer, req)
+	reply, err := x.askPeer(ctx, a.Peer, req)
 	var unreachedPeer *peer.UnreachableError
 	switch {
 	case err == nil && reply.Outcome == cell.Refused && reply.Reason == string(queue.Busy):
 		return try{}, true
 	case err == nil:
 		x.step(queue.Ended{ID: req.ID})
-		return lentTry(reply), false
+		return classifyPeerReply(reply), false
 	case errors.As(err, &unreachedPeer):
-		x.avoid(a.Peer)
+		x.markSilent(a.Peer)
 		return try{}, true
 	default:
-		x.avoid(a.Peer)
+		x.markSilent(a.Peer)
 		x.step(queue.Ended{ID: req.ID, Failed: true})
-		return try{reply: call.Unsure(http.StatusBadGateway, err.Error(), time.Second), verdict: unsure}, false
+		return try{reply: call.Unsure(http.StatusBadGateway, err.Error(), time.Second), retryClass: mayHaveRun}, false
 	}
 }
 
-// avoid takes a peer for silent until it tells its load again. Its last word
+// markSilent takes a peer for silent until it tells its load again. Its last word
 // would draw request after request into a dead host.
-func (x *Relay) avoid(name string) {
+func (x *Relay) markSilent(name string) {
 	x.mu.Lock()
-	x.silent[name] = x.Clock()
-	x.lent[name] = time.Time{}
+	x.lastFailure[name] = x.Clock()
+	x.lastLoad[name] = time.Time{}
 	x.mu.Unlock()
 	x.refreshPeers()
 }
 
-// lentTry tells what a peer's final reply means for a retry here. The peer
+// classifyPeerReply tells what a peer's final reply means for a retry here. The peer
 // itself does not retry.
-func lentTry(reply call.Reply) try {
+func classifyPeerReply(reply call.Reply) try {
 	t := try{reply: reply}
 	switch {
 	case reply.Outcome == cell.Unknown, reply.Outcome == cell.Done && reply.Status >= http.StatusInternalServerError:
-		t.verdict = unsure
+		t.retryClass = mayHaveRun
 	case reply.Outcome == cell.Refused && reply.Status == http.StatusServiceUnavailable:
-		t.verdict = notRun
+		t.retryClass = notRun
 	}
 	return t
 }
--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -12,27 +12,27 @@
 
 // Ways to the store.
 const (
-	// patience is how long a call goes without an answer before it is made
+	// directTimeout is how long a call goes without an answer before it is made
 	// through a peer as well. The store answers in 4 ms; a busy host takes some
 	// tens more.
-	patience = 450 * time.Millisecond
-	// suspicion is the same while the direct way did not answer lately.
-	suspicion = 25 * time.Millisecond
+	directTimeout = 450 * time.Millisecond
+	// suspectTimeout is the same while the direct way did not answer lately.
+	suspectTimeout = 25 * time.Millisecond
 	// cutAfter is how long the direct way goes without any answer before calls are made
 	// through a peer at once, and only beside that on the direct way; an answer after that
 	// has all calls made again that are still under way. A host that is cut
 	// off from the store stays so for seconds, and each call of a lead there, three for
 	// a step of a job, would wait for suspicion in vain.
 	cutAfter = time.Second
-	// slower is by how much patience exceeds the answers of late: a store that is
-	// slow is slow for peers too, and asking twice would make it slower.
-	slower = 2
-	// avoid is how long the direct way to a partition is left alone after it refused.
-	avoid = 500 * time.Millisecond
-	// most bounds one call in all, besides the time it asks the store to wait.
-	most = 2800 * time.Millisecond
-	// fade is what is left of the longest answer's weight with each next one.
-	fade = 0.8
+	// latencyFactor is by how much patience exceeds the answers of late: a store that is
+	// slow is slow for peers too, and asking twice would make it latencyFactor.
+	latencyFactor = 2
+	// refusedPause is how long the direct way to a partition is left alone after it refused.
+	refusedPause = 500 * time.Millisecond
+	// callTimeout bounds one call in all, besides the time it asks the store to wait.
+	callTimeout = 2800 * time.Millisecond
+	// latencyDecay is what is left of the longest answer's weight with each next one.
+	latencyDecay = 0.8
 )
 
 // Relay makes a call at a peer that may be served by the store.
@@ -54,41 +54,41 @@
 	direct Log
 	relay  Relay
 	now    func() time.Time
-	// lost is told when the direct way of a call fails and comes back.
-	lost func(c Call, ok bool, err error)
-	mu   sync.Mutex
+	// onChange is told when the direct way of a call fails and comes back.
+	onChange func(c Call, ok bool, err error)
+	mu       sync.Mutex
 	// targets are the partitions and groups by name. The store may serve some and
 	// not others: a refusal of one says nothing of the rest.
 	targets map[string]*target
 	// failed tells that the last direct call failed, to whichever target.
 	failed bool
-	// answers is about how long answers took lately, the longest counting most.
-	answers time.Duration
-	good    time.Time
-	// directly is when the direct way answered last.
-	directly time.Time
-	// revived is closed when it answers after cutAfter without any answer.
-	revived chan struct{}
-	// served is the peer that was served last, away when those failed that were not.
-	served string
-	away   map[string]time.Time
+	// latency is about how long latency took lately, the longest counting most.
+	latency    time.Duration
+	lastAnswer time.Time
+	// lastDirect is when the direct way answered last.
+	lastDirect time.Time
+	// recovered is closed when it answers after cutAfter without any answer.
+	recovered chan struct{}
+	// lastServed is the peer that was lastServed last, away when those failed that were not.
+	lastServed  string
+	failedPeers map[string]time.Time
 }
 
 // target is one partition or group on the direct way.
 type target struct {
-	// closed is until when it is not tried: appends may be refused where reads are not.
-	closed closing
-	// good is when it answered last.
-	good time.Time
+	// closedUntil is until when it is not tried: appends may be refused where reads are not.
+	closedUntil closedTimes
+	// lastAnswer is when it answered last.
+	lastAnswer time.Time
 	// suspect tells that its last call failed or is overdue, silent that it had no answer.
 	suspect, silent bool
 }
 
-// closing is until when calls of a kind are not tried.
-type closing struct{ reads, others time.Time }
+// closedTimes is until when calls of a kind are not tried.
+type closedTimes struct{ reads, others time.Time }
 
-func (c *closing) of(op Op) *time.Time {
-	if op.reads() {
+func (c *closedTimes) of(op Op) *time.Time {
+	if op.isRead() {
 		return &c.reads
 	}
 	return &c.others
@@ -97,8 +97,8 @@
 // NewRouted returns a log that knows both ways; lost may not wait.
 func NewRouted(direct Log, relay Relay, now func() time.Time, lost func(c Call, ok bool, err error)) *Routed {
 	return &Routed{
-		direct: direct, relay: relay, now: now, lost: lost,
-		targets: map[string]*target{}, revived: make(chan struct{}), away: map[string]time.Time{},
+		direct: direct, relay: relay, now: now, onChange: lost,
+		targets: map[string]*target{}, recovered: make(chan struct{}), failedPeers: map[string]time.Time{},
 	}
 }
 
@@ -120,14 +120,14 @@
 func (r *Routed) LastAnswer() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.good
+	return r.lastAnswer
 }
 
 // RecentLatency is about how long the store's answers took lately, the longest counting most.
 func (r *Routed) RecentLatency() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.answers
+	return r.latency
 }
 
 // AnsweredWithin tells whether the store answered this host within d, or within what its
@@ -135,7 +135,7 @@
 func (r *Routed) AnsweredWithin(d time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.now().Sub(r.good) < max(d, slower*r.answers+d/2)
+	return r.now().Sub(r.lastAnswer) < max(d, latencyFactor*r.latency+d/2)
 }
 
 // Direct makes the call on the direct way only, for a peer. While this host is cut off it
@@ -145,18 +145,18 @@
 		return Answer{}, &RefusedError{Op: c.Op, Reason: "this host is turned away as well"}
 	}
 	// The peer has given up long before: its own calls end within the same time.
-	ctx, cancel := context.WithTimeout(ctx, most)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return r.try(ctx, c)
+	return r.callDirect(ctx, c)
 }
 
 // Do makes the call. A read that waits for records does so on the direct way; if that has
 // no answer in time or had none before, the read is made on all ways and waits nowhere.
 func (r *Routed) Do(ctx context.Context, c Call) (Answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, most+c.Wait)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout+c.Wait)
 	defer cancel()
 	if c.Wait > 0 && !r.isSuspect(c) {
-		if got, ok := r.poll(ctx, c); ok {
+		if got, ok := r.longPoll(ctx, c); ok {
 			return got.answer, got.err
 		}
 	}
@@ -164,12 +164,12 @@
 	return newRace(r, c).run(ctx)
 }
 
-// poll makes a read that waits; false if it has no answer in time. One that fails at once is
+// longPoll makes a read that waits; false if it has no answer in time. One that fails at once is
 // made again soon: a peer's time is not for that.
-func (r *Routed) poll(ctx context.Context, c Call) (result, bool) {
-	ctx, cancel := context.WithTimeout(ctx, c.Wait+r.overdue())
+func (r *Routed) longPoll(ctx context.Context, c Call) (result, bool) {
+	ctx, cancel := context.WithTimeout(ctx, c.Wait+r.retryDelay())
 	defer cancel()
-	a, err := r.try(ctx, c)
+	a, err := r.callDirect(ctx, c)
 	return result{a, err}, !IsUnavailable(err) || ctx.Err() == nil
 }
 
@@ -194,36 +194,36 @@
 	all := slices.Clone(r.relay.Peers())
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	slices.SortStableFunc(all, func(a, b string) int { return r.away[a].Compare(r.away[b]) })
-	if i := slices.Index(all, r.served); i > 0 {
-		all = slices.Insert(slices.Delete(all, i, i+1), 0, r.served)
+	slices.SortStableFunc(all, func(a, b string) int { return r.failedPeers[a].Compare(r.failedPeers[b]) })
+	if i := slices.Index(all, r.lastServed); i > 0 {
+		all = slices.Insert(slices.Delete(all, i, i+1), 0, r.lastServed)
 	}
-	return all[:min(len(all), mostPeers)]
+	return all[:min(len(all), maxPeers)]
 }
 
-// remember notes whether a peer was served.
-func (r *Routed) remember(p string, err error) {
+// recordPeer notes whether a peer was served.
+func (r *Routed) recordPeer(p string, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !IsUnavailable(err) {
-		r.served = p
-		delete(r.away, p)
+		r.lastServed = p
+		delete(r.failedPeers, p)
 		return
 	}
-	r.away[p] = r.now()
-	if r.served == p {
-		r.served = ""
+	r.failedPeers[p] = r.now()
+	if r.lastServed == p {
+		r.lastServed = ""
 	}
 }
 
-func (r *Routed) ask(ctx context.Context, p string, c Call) (Answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, 2*r.patience(c)+patience)
+func (r *Routed) callPeer(ctx context.Context, p string, c Call) (Answer, error) {
+	ctx, cancel := context.WithTimeout(ctx, 2*r.directDelay(c)+directTimeout)
 	defer cancel()
 	a, err := r.relay.Do(ctx, p, c)
-	r.remember(p, err)
+	r.recordPeer(p, err)
 	if !IsUnavailable(err) {
 		r.mu.Lock()
-		r.good = r.now()
+		r.lastAnswer = r.now()
 		r.mu.Unlock()
 	}
 	return a, err
@@ -233,18 +233,18 @@
 func (r *Routed) isCut(c Call) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.cut(c)
+	return r.isCutLocked(c)
 }
 
-// cut is isCut; mu is held.
-func (r *Routed) cut(c Call) bool {
-	return r.failed && r.target(c).suspect && r.now().Sub(r.directly) > max(cutAfter, slower*r.answers)
+// isCutLocked is isCut; mu is held.
+func (r *Routed) isCutLocked(c Call) bool {
+	return r.failed && r.target(c).suspect && r.now().Sub(r.lastDirect) > max(cutAfter, latencyFactor*r.latency)
 }
 
 func (r *Routed) isClosed(c Call) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.now().Before(*r.target(c).closed.of(c.Op))
+	return r.now().Before(*r.target(c).closedUntil.of(c.Op))
 }
 
 func (r *Routed) isSuspect(c Call) bool {
@@ -253,59 +253,59 @@
 	return r.target(c).suspect
 }
 
-// patience is how long to wait for the direct way before a peer is asked.
-func (r *Routed) patience(c Call) time.Duration {
+// directDelay is how long to wait for the direct way before a peer is asked.
+func (r *Routed) directDelay(c Call) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	wait := max(patience, slower*r.answers)
+	wait := max(directTimeout, latencyFactor*r.latency)
 	switch {
-	case r.cut(c):
+	case r.isCutLocked(c):
 		return 0
 	case r.failed || r.target(c).suspect:
-		wait = max(suspicion, slower*r.answers)
+		wait = max(suspectTimeout, latencyFactor*r.latency)
 	}
-	if c.Op.reads() {
-		return min(wait, longest)
+	if c.Op.isRead() {
+		return min(wait, maxReadWait)
 	}
 	return wait
 }
 
-// overdue is how long a read is waited for on the direct way before it is made again.
-func (r *Routed) overdue() time.Duration {
+// retryDelay is how long a read is waited for on the direct way before it is made again.
+func (r *Routed) retryDelay() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return min(max(patience, slower*r.answers), longest)
+	return min(max(directTimeout, latencyFactor*r.latency), maxReadWait)
 }
 
-// beside is how long a peer is waited for before the next one is asked as well.
-func (r *Routed) beside(c Call) time.Duration {
+// peerDelay is how long a peer is waited for before the next one is asked as well.
+func (r *Routed) peerDelay(c Call) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if c.Op.reads() {
-		return min(max(besideRead, slower*r.answers), longest)
+	if c.Op.isRead() {
+		return min(max(readPeerDelay, latencyFactor*r.latency), maxReadWait)
 	}
-	return max(patience, slower*r.answers)
+	return max(directTimeout, latencyFactor*r.latency)
 }
 
-// doubt notes that the direct way has not answered for longer than usual.
-func (r *Routed) doubt(c Call) {
+// markSilent notes that the direct way has not answered for longer than usual.
+func (r *Routed) markSilent(c Call) {
 	r.mu.Lock()
 	was := r.target(c).suspect
 	r.target(c).suspect, r.failed = true, true
 	r.target(c).silent = true
 	r.mu.Unlock()
 	if !was {
-		r.lost(c, false, &UnansweredError{Op: c.Op, Cause: context.DeadlineExceeded})
+		r.onChange(c, false, &UnansweredError{Op: c.Op, Cause: context.DeadlineExceeded})
 	}
 }
 
-// try makes the call on the direct way, and again when the store answers after it was
+// callDirect makes the call on the direct way, and again when the store answers after it was
 // silent. What was sent into the silence is never answered, and would be waited for to
 // the end of its time: a lead stored nothing for 1.6 s after the store was back, and
 // nothing began or was told as completed. That it is made twice is safe, as above.
-func (r *Routed) try(ctx context.Context, c Call) (Answer, error) {
+func (r *Routed) callDirect(ctx context.Context, c Call) (Answer, error) {
 	for {
-		began, revival := r.now(), r.revival()
+		began, revival := r.now(), r.recovery()
 		call := c
 		call.NewConn = r.isSilent(c)
 		attempt, cancel := context.WithCancel(ctx)
@@ -319,7 +319,7 @@
 			cancel()
 			if !errors.Is(ctx.Err(), context.Canceled) {
 				// Otherwise the caller left, which says nothing of the store.
-				r.tell(c, began, got.err)
+				r.recordDirect(c, began, got.err)
 			}
 			return got.answer, got.err
 		case <-revival:
@@ -328,11 +328,11 @@
 	}
 }
 
-// revival is closed when the store answers after it was silent.
-func (r *Routed) revival() <-chan struct{} {
+// recovery is closed when the store answers after it was silent.
+func (r *Routed) recovery() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.revived
+	return r.recovered
 }
 
 // isSilent tells whether the last direct call to the same target had no answer.
@@ -342,13 +342,13 @@
 	return r.target(c).silent
 }
 
-// tell takes note of how a direct call went. A failure of a call that began before the last
+// recordDirect takes note of how a direct call went. A failure of a call that began before the last
 // answer says nothing any more.
-func (r *Routed) tell(c Call, began time.Time, err error) {
+func (r *Routed) recordDirect(c Call, began time.Time, err error) {
 	now := r.now()
 	r.mu.Lock()
 	t := r.target(c)
-	if IsUnavailable(err) && t.good.After(began) {
+	if IsUnavailable(err) && t.lastAnswer.After(began) {
 		r.mu.Unlock()
 		return
 	}
@@ -356,25 +356,25 @@
 	r.failed = IsUnavailable(err)
 	switch {
 	case !r.failed:
-		if now.Sub(r.directly) > max(cutAfter, slower*r.answers) {
-			close(r.revived)
-			r.revived = make(chan struct{})
+		if now.Sub(r.lastDirect) > max(cutAfter, latencyFactor*r.latency) {
+			close(r.recovered)
+			r.recovered = make(chan struct{})
 		}
-		*t = target{good: now}
-		r.good, r.directly = now, now
+		*t = target{lastAnswer: now}
+		r.lastAnswer, r.lastDirect = now, now
 		if c.Wait == 0 {
-			r.answers = max(time.Duration(fade*float64(r.answers)), now.Sub(began))
+			r.latency = max(time.Duration(latencyDecay*float64(r.latency)), now.Sub(began))
 		}
 	default:
 		t.suspect, t.silent = true, !NotDone(err)
 		if NotDone(err) {
-			*t.closed.of(c.Op) = now.Add(avoid)
+			*t.closedUntil.of(c.Op) = now.Add(refusedPause)
 		}
 	}
 	is := t.suspect
 	r.mu.Unlock()
 	if was != is {
-		r.lost(c, !is, err)
+		r.onChange(c, !is, err)
 	}
 }
 
