--- a/internal/audit/tally.go
+++ b/internal/audit/tally.go
@@ -39,36 +39,36 @@
 	waits                         *hdrhistogram.Histogram
 }
 
-type toldJob struct {
+type acceptedJob struct {
 	tasks     int
 	watch     bool
 	cancelled string
 }
 
-// watchTime is the declared time in seconds from which a job is a watcher.
-const watchTime = 60
+// watcherMinSeconds is the declared time in seconds from which a job is a watcher.
+const watcherMinSeconds = 60
 
 // Tally keeps what each caller was told. It is safe for concurrent use.
 type Tally struct {
-	mu    sync.Mutex
-	lines map[string]*line
+	mu   sync.Mutex
+	rows map[string]*line
 	// requests holds by key every outcome that its caller was told, in order.
-	requests map[string][]string
-	crossed  int
-	jobs     map[string]*toldJob
-	unsure   int
+	requests       map[string][]string
+	mismatched     int
+	jobs           map[string]*acceptedJob
+	unknownSubmits int
 }
 
 // NewTally returns an empty tally.
 func NewTally() *Tally {
-	return &Tally{lines: map[string]*line{}, requests: map[string][]string{}, jobs: map[string]*toldJob{}}
+	return &Tally{rows: map[string]*line{}, requests: map[string][]string{}, jobs: map[string]*acceptedJob{}}
 }
 
-func (t *Tally) line(row string) *line {
-	l, ok := t.lines[row]
+func (t *Tally) rowStats(row string) *line {
+	l, ok := t.rows[row]
 	if !ok {
 		l = &line{waits: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
-		t.lines[row] = l
+		t.rows[row] = l
 	}
 	l.asked++
 	return l
@@ -86,41 +86,41 @@
 	}
 }
 
-func (t *Tally) told(key, outcome string) {
+func (t *Tally) recordOutcome(key, outcome string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.requests[key] = append(t.requests[key], outcome)
 }
 
-func (t *Tally) request(row string, req client.Request, reply client.Reply, took time.Duration) {
+func (t *Tally) recordRequest(row string, req client.Request, reply client.Reply, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.line(row).count(reply.Outcome, took)
+	t.rowStats(row).count(reply.Outcome, took)
 	if reply.Outcome == client.Done && !strings.HasSuffix(string(reply.Body), " "+string(req.Body)) {
-		t.crossed++
+		t.mismatched++
 	}
 }
 
-func (t *Tally) job(j client.Job, s client.JobStatus, err error, took time.Duration) {
+func (t *Tally) recordJob(j client.Job, s client.JobStatus, err error, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l := t.line(j.Workload)
+	l := t.rowStats(j.Workload)
 	var status *client.StatusError
 	switch {
 	case err == nil:
 		l.count(client.Done, took)
-		t.jobs[s.ID] = &toldJob{tasks: j.Tasks, watch: j.Time > watchTime}
+		t.jobs[s.ID] = &acceptedJob{tasks: j.Tasks, watch: j.Time > watcherMinSeconds}
 	case errors.As(err, &status):
 		l.count(status.Outcome, took)
 	default:
 		l.count(client.Unknown, took)
 	}
 	if err != nil && (status == nil || status.Outcome != client.Refused) {
-		t.unsure++
+		t.unknownSubmits++
 	}
 }
 
-func (t *Tally) cancelled(id, outcome string) {
+func (t *Tally) recordCancel(id, outcome string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if j, ok := t.jobs[id]; ok {
@@ -132,7 +132,7 @@
 func (t *Tally) Totals() (asked, done int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, l := range t.lines {
+	for _, l := range t.rows {
 		asked += l.asked
 		done += l.done
 	}
@@ -143,7 +143,7 @@
 func (t *Tally) Violations(r standin.Report) ViolationsError {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	w := ViolationsError{Overfilled: r.Overfilled, Twice: len(r.Doubled), Told: t.crossed}
+	w := ViolationsError{Overfilled: r.Overfilled, Twice: len(r.Doubled), Told: t.mismatched}
 	for key, told := range t.requests {
 		ran := r.Ran[key]
 		if ran > 1 {
@@ -157,7 +157,7 @@
 		}
 	}
 	w.Lost += t.lostTasks(r)
-	w.Told += t.startedThough(r)
+	w.Told += t.contradictedStarts(r)
 	return w
 }
 
@@ -198,7 +198,7 @@
 
 // lost counts the tasks that neither ended nor were cancelled; a watcher is
 // lost if it was never started.
-func (j *toldJob) lost(id string, r standin.Report) int {
+func (j *acceptedJob) lost(id string, r standin.Report) int {
 	if j.cancelled != "" {
 		return 0
 	}
@@ -213,9 +213,9 @@
 	return lost
 }
 
-// startedThough counts starts of jobs that were told not run, and of more
+// contradictedStarts counts starts of jobs that were told not run, and of more
 // unknown jobs than callers were told unknown of.
-func (t *Tally) startedThough(r standin.Report) int {
+func (t *Tally) contradictedStarts(r standin.Report) int {
 	wrong := 0
 	strangers := map[string]bool{}
 	for task := range r.Started {
@@ -228,7 +228,7 @@
 			wrong++
 		}
 	}
-	return wrong + max(0, len(strangers)-t.unsure)
+	return wrong + max(0, len(strangers)-t.unknownSubmits)
 }
 
 // Print writes a table by workload, in the order of names.
@@ -238,7 +238,7 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(w, "workload\tasked\tdone\trefused\tunknown\twait p50\twait p99\t")
 	for _, name := range names {
-		l, ok := t.lines[name]
+		l, ok := t.rows[name]
 		if !ok {
 			continue
 		}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -32,33 +32,33 @@
 	Retention: 10 * time.Minute, RepeatWindow: 30 * time.Second, MaxSkew: time.Second, MaxKeys: 100_000, MaxBytes: 32 << 20,
 }
 
-// silentAfter is how long an entry host may give no sign of life before its
+// hostTimeout is how long an entry host may give no sign of life before its
 // running tries count as lost. A wrong guess tells a repeat unknown, which is
 // never false; the answer still replaces it when it comes after all.
-const silentAfter = 1500 * time.Millisecond
+const hostTimeout = 1500 * time.Millisecond
 
 // closeGrace is how long after a try's deadline its end may still arrive.
 const closeGrace = time.Second
 
-// inline is the largest answer, in bytes, that comes with a verdict. A question
+// maxInlineAnswer is the largest answer, in bytes, that comes with a verdict. A question
 // to a home is bounded tightly, and a large answer would take longer than a
 // silent home is waited for. Such a key counts as running: the wait for its end
 // is over at once and has all the time that the caller has.
-const inline = 16 << 10
+const maxInlineAnswer = 16 << 10
 
 type entry struct {
-	key     string
-	digest  uint64
-	try     string
-	host    string
-	inc     int64
-	opened  time.Time
-	until   time.Time
-	answer  *Answer
-	lost    bool
-	waiters []string
-	// age and stored are the places in the orders of opening and of answers.
-	age, stored *list.Element
+	key       string
+	digest    uint64
+	try       string
+	host      string
+	inc       int64
+	opened    time.Time
+	overdueAt time.Time
+	answer    *Answer
+	lost      bool
+	waiters   []string
+	// openedElem and answerElem are the places in the orders of opening and of answers.
+	openedElem, answerElem *list.Element
 }
 
 type waiter struct {
@@ -76,16 +76,16 @@
 	bytes   int64
 	// running holds the open tries by entry host, so that a host's death costs
 	// as much as it has tries open.
-	running map[string]map[string]*entry
-	waiters map[string]waiter
-	signs   map[string]Heartbeat
+	running    map[string]map[string]*entry
+	waiters    map[string]waiter
+	heartbeats map[string]Heartbeat
 }
 
 // New returns an empty ledger that remembers from since on.
 func New(limits Limits, since time.Time) *Ledger {
 	return &Ledger{
 		limits: limits, since: since, keys: map[string]*entry{}, opened: list.New(), answers: list.New(),
-		running: map[string]map[string]*entry{}, waiters: map[string]waiter{}, signs: map[string]Heartbeat{},
+		running: map[string]map[string]*entry{}, waiters: map[string]waiter{}, heartbeats: map[string]Heartbeat{},
 	}
 }
 
@@ -100,9 +100,9 @@
 	case Await:
 		return l.await(ev)
 	case CancelAwait:
-		l.drop(ev.ID)
+		l.removeWaiter(ev.ID)
 	case HostHeartbeats:
-		l.signs = ev.Heartbeats
+		l.heartbeats = ev.Heartbeats
 	case Tick:
 		return l.tick(now)
 	}
@@ -117,15 +117,15 @@
 	if timed && made.After(now.Add(l.limits.MaxSkew)) {
 		return Verdict{Key: ev.Key, State: FutureKey}
 	}
-	if !l.vouches(now, ev, made) {
+	if !l.canConfirm(now, ev, made) {
 		return Verdict{Key: ev.Key, State: Unconfirmed}
 	}
 	e := l.add(now, ev.Key, ev.Digest)
 	e.try, e.host, e.inc = ev.Try, ev.Host, ev.Incarnation
 	if ev.Remaining.Duration > 0 {
-		e.until = now.Add(ev.Remaining.Duration + closeGrace)
+		e.overdueAt = now.Add(ev.Remaining.Duration + closeGrace)
 	}
-	l.run(e)
+	l.addRunning(e)
 	return Verdict{Key: ev.Key, State: Fresh}
 }
 
@@ -136,7 +136,7 @@
 	case ev.Try != "" && ev.Try == e.try && e.answer == nil:
 		// A home may belong to two groups of the same try.
 		return Verdict{Key: ev.Key, State: Fresh}
-	case e.answer != nil && e.answer.size() > inline:
+	case e.answer != nil && e.answer.size() > maxInlineAnswer:
 		return Verdict{Key: ev.Key, State: Running}
 	default:
 		return e.state()
@@ -154,7 +154,7 @@
 	}
 }
 
-// vouches tells whether this home would know the key had it been used. A home
+// canConfirm tells whether this home would know the key had it been used. A home
 // that started after the key's first try may have lost it with its
 // predecessor's memory, or forgotten it to stay within its limits; taking it
 // as fresh would run the request twice. A key's own time proves that it is
@@ -162,7 +162,7 @@
 // of its clock, and clocks of homes differ by Skew at most. Else only the
 // balancer's repeats of a first try are to be feared, and they come within the
 // repeat window.
-func (l *Ledger) vouches(now time.Time, ev Open, made time.Time) bool {
+func (l *Ledger) canConfirm(now time.Time, ev Open, made time.Time) bool {
 	if made.After(l.since.Add(2 * l.limits.MaxSkew)) {
 		return true
 	}
@@ -174,7 +174,7 @@
 		l.evict()
 	}
 	e := &entry{key: key, digest: digest, opened: now}
-	e.age = l.opened.PushBack(e)
+	e.openedElem = l.opened.PushBack(e)
 	l.keys[key] = e
 	return e
 }
@@ -190,20 +190,20 @@
 }
 
 func (l *Ledger) remove(e *entry) {
-	l.rest(e)
-	l.opened.Remove(e.age)
-	l.discard(e)
+	l.removeRunning(e)
+	l.opened.Remove(e.openedElem)
+	l.dropAnswer(e)
 	delete(l.keys, e.key)
 }
 
-func (l *Ledger) run(e *entry) {
+func (l *Ledger) addRunning(e *entry) {
 	if l.running[e.host] == nil {
 		l.running[e.host] = map[string]*entry{}
 	}
 	l.running[e.host][e.key] = e
 }
 
-func (l *Ledger) rest(e *entry) {
+func (l *Ledger) removeRunning(e *entry) {
 	delete(l.running[e.host], e.key)
 	if len(l.running[e.host]) == 0 {
 		delete(l.running, e.host)
@@ -217,7 +217,7 @@
 			return nil
 		}
 		// It provably did not run, so the next try is a fresh one.
-		woken := l.wake(e, Verdict{Key: e.key, State: Released})
+		woken := l.notifyWaiters(e, Verdict{Key: e.key, State: Released})
 		l.remove(e)
 		return woken
 	}
@@ -227,32 +227,32 @@
 	if e.answer != nil && (e.answer.Outcome == cell.Done || ev.Answer.Outcome != cell.Done) {
 		return nil
 	}
-	l.store(e, ev.Answer)
-	return l.wake(e, e.state())
+	l.storeAnswer(e, ev.Answer)
+	return l.notifyWaiters(e, e.state())
 }
 
-// store keeps an answer; the oldest ones make room. What is left of such an
+// storeAnswer keeps an answer; the oldest ones make room. What is left of such an
 // answer is that the request ran, so its repeat is told unknown.
-func (l *Ledger) store(e *entry, a Answer) {
-	l.rest(e)
-	l.discard(e)
+func (l *Ledger) storeAnswer(e *entry, a Answer) {
+	l.removeRunning(e)
+	l.dropAnswer(e)
 	e.answer = &a
-	e.stored = l.answers.PushBack(e)
+	e.answerElem = l.answers.PushBack(e)
 	l.bytes += a.size()
 	for l.bytes > l.limits.MaxBytes && l.answers.Len() > 0 {
 		old := l.answers.Front().Value.(*entry)
-		l.discard(old)
+		l.dropAnswer(old)
 		old.answer = &Answer{Outcome: cell.Unknown, Reason: "the answer is no longer kept"}
 	}
 }
 
-func (l *Ledger) discard(e *entry) {
-	if e.stored == nil {
+func (l *Ledger) dropAnswer(e *entry) {
+	if e.answerElem == nil {
 		return
 	}
 	l.bytes -= e.answer.size()
-	l.answers.Remove(e.stored)
-	e.stored = nil
+	l.answers.Remove(e.answerElem)
+	e.answerElem = nil
 }
 
 // Len returns how many keys are kept.
--- a/internal/ledger/random_test.go
+++ b/internal/ledger/random_test.go
@@ -23,19 +23,19 @@
 	}
 }
 
-// wrong tells how a history broke a promise.
-type wrong struct{ what, key string }
+// invariantError tells how a history broke a promise.
+type invariantError struct{ what, key string }
 
-func (e *wrong) Error() string { return fmt.Sprintf("%s: key %s", e.what, e.key) }
+func (e *invariantError) Error() string { return fmt.Sprintf("%s: key %s", e.what, e.key) }
 
 // history is one random course of tries, faults and messages. Draw chooses a
 // number below n.
 type history struct {
-	*world
-	draw  func(n int) int
-	keys  []string
-	first map[string]time.Time
-	tries []*try
+	*simulation
+	draw       func(n int) int
+	keys       []string
+	firstTried map[string]time.Time
+	tries      []*try
 }
 
 // twoHosts is the smallest domain that can lose a host, beside a larger one.
@@ -43,7 +43,7 @@
 
 func newHistory(draw func(int) int, rule rule) *history {
 	hosts := [][]ledger.Host{cellHosts, twoHosts}[draw(2)]
-	w := newWorld(hosts, rule)
+	w := newSimulation(hosts, rule)
 	w.limits.MaxKeys = 2 + draw(3)
 	for _, h := range hosts {
 		w.skew[h.Name] = time.Duration(draw(1000)) * time.Millisecond
@@ -51,7 +51,7 @@
 	}
 	w.tick(time.Duration(draw(60)) * time.Second)
 	w.lossy = draw
-	return &history{world: w, draw: draw, first: map[string]time.Time{}}
+	return &history{simulation: w, draw: draw, firstTried: map[string]time.Time{}}
 }
 
 // newTry is a caller's or a balancer's. The balancer repeats a first try in
@@ -64,14 +64,14 @@
 	key := h.keys[len(h.keys)-1-h.draw(min(2, len(h.keys)))]
 	host := h.hosts[h.draw(len(h.hosts))]
 	attempt := 2
-	began, tried := h.first[key]
+	began, tried := h.firstTried[key]
 	if host.Domain == "nord" && (!tried || h.now.Sub(began) < ledger.DefaultLimits.RepeatWindow) {
 		attempt = 1 + h.draw(2)
 	}
 	if !tried {
-		h.first[key] = h.now
+		h.firstTried[key] = h.now
 	}
-	if h.still(host.Name) {
+	if h.isDown(host.Name) {
 		return
 	}
 	seen := h.draw(8)
@@ -111,7 +111,7 @@
 		default:
 			if len(h.tries) > 0 {
 				t := h.tries[len(h.tries)-1-h.draw(min(4, len(h.tries)))]
-				t.look()
+				t.pollWait()
 				t.step()
 			}
 		}
@@ -125,16 +125,16 @@
 func (h *history) check() error {
 	for key, n := range h.ran {
 		if n > 1 {
-			return &wrong{"ran twice", key}
+			return &invariantError{"ran twice", key}
 		}
 	}
 	for _, t := range h.tries {
 		switch {
-		case t.told == nil:
-		case t.told.Outcome == cell.Refused && t.ran > 0:
-			return &wrong{"refused but ran", t.key}
-		case t.told.Outcome == cell.Done && h.ran[t.key] != 1:
-			return &wrong{"done but did not run", t.key}
+		case t.reply == nil:
+		case t.reply.Outcome == cell.Refused && t.ran > 0:
+			return &invariantError{"refused but ran", t.key}
+		case t.reply.Outcome == cell.Done && h.ran[t.key] != 1:
+			return &invariantError{"done but did not run", t.key}
 		}
 	}
 	return nil
@@ -146,14 +146,14 @@
 func TestNoHistoryRunsAKeyTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") }
-		require.NoError(t, newHistory(draw, whole).play(120))
+		require.NoError(t, newHistory(draw, allRules).play(120))
 	})
 }
 
 // The oracle has to notice a rule that is left out.
 func TestHistoriesFindBrokenRules(t *testing.T) {
 	rules := maps.Clone(brokenRules)
-	rules["homes follow from who is live"] = rule{group: whole.group, byLive: true}
+	rules["homes follow from who is live"] = rule{group: allRules.group, byLive: true}
 	for name, rule := range rules {
 		seed, err := uint64(0), error(nil)
 		for ; seed < 5000 && err == nil; seed++ {
@@ -166,7 +166,7 @@
 	done := 0
 	for seed := range uint64(5000) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		h := newHistory(r.IntN, whole)
+		h := newHistory(r.IntN, allRules)
 		require.NoError(t, h.play(120), "history %d", seed)
 		done += len(h.ran)
 	}
--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -77,13 +77,13 @@
 	open   Open
 	groups []Group
 	round  int
-	// group and home are the next to be asked, fresh is the weight of the homes
+	// group and home are the next to be asked, heldWeight is the weight of the homes
 	// of the group that hold the key.
-	group, home, fresh int
-	// asked are the homes that may hold the key for this round.
-	asked []string
-	sent  bool
-	over  bool
+	group, home, heldWeight int
+	// mayHold are the homes that may hold the key for this round.
+	mayHold []string
+	sent    bool
+	done    bool
 }
 
 // NewTry returns the core of one try. Open's fields Domain and Group are
@@ -92,126 +92,126 @@
 
 // Step takes one event. After a Tell nothing more happens.
 func (r *Try) Step(ev TryEvent) []TryAction {
-	if r.over {
+	if r.done {
 		return nil
 	}
 	switch ev := ev.(type) {
 	case Begin:
-		return r.next()
+		return r.askNext()
 	case HomeAnswered:
-		return r.said(ev)
+		return r.onHomeAnswered(ev)
 	case HomeSilent:
-		return r.silent()
+		return r.onHomeSilent()
 	case RequestEnded:
-		return r.ended(ev.Answer)
+		return r.onRequestEnded(ev.Answer)
 	case Canceled:
-		return r.stop(unsure(http.StatusGatewayTimeout, "time ran out while the key was looked up"))
+		return r.finishUnsent(unknown(http.StatusGatewayTimeout, "time ran out while the key was looked up"))
 	}
 	return nil
 }
 
-// try names the round: a late end of an earlier round must not take away what
+// roundID names the round: a late end of an earlier round must not take away what
 // a home holds for this one.
-func (r *Try) try() string { return r.open.Try + "/" + strconv.Itoa(r.round) }
+func (r *Try) roundID() string { return r.open.Try + "/" + strconv.Itoa(r.round) }
 
-func (r *Try) next() []TryAction {
+func (r *Try) askNext() []TryAction {
 	g := r.groups[r.group]
-	if r.fresh >= g.RequiredWeight {
-		r.group, r.home, r.fresh = r.group+1, 0, 0
+	if r.heldWeight >= g.RequiredWeight {
+		r.group, r.home, r.heldWeight = r.group+1, 0, 0
 		if r.group == len(r.groups) {
 			r.sent = true
 			return []TryAction{Send{}}
 		}
 		g = r.groups[r.group]
 	}
-	if r.fresh+sum(g.Homes[r.home:]) < g.RequiredWeight {
-		return r.stop(unsure(http.StatusServiceUnavailable, "too few homes in "+g.Domain+" vouch for the key"))
+	if r.heldWeight+totalWeight(g.Homes[r.home:]) < g.RequiredWeight {
+		return r.finishUnsent(unknown(http.StatusServiceUnavailable, "too few homes in "+g.Domain+" vouch for the key"))
 	}
 	home := g.Homes[r.home].Name
 	r.home++
-	r.asked = append(r.asked, home)
+	r.mayHold = append(r.mayHold, home)
 	open := r.open
-	open.Try, open.Domain, open.Group = r.try(), g.Domain, g.Digest
+	open.Try, open.Domain, open.Group = r.roundID(), g.Domain, g.Digest
 	return []TryAction{AskHome{Home: home, Open: open}}
 }
 
-func (r *Try) silent() []TryAction {
-	if len(r.asked) == 0 {
+func (r *Try) onHomeSilent() []TryAction {
+	if len(r.mayHold) == 0 {
 		// The home that was waited for has gone; the others may know the end.
-		return r.again()
+		return r.restart()
 	}
-	return r.next()
+	return r.askNext()
 }
 
-func (r *Try) said(ev HomeAnswered) []TryAction {
+func (r *Try) onHomeAnswered(ev HomeAnswered) []TryAction {
 	switch ev.Verdict.State {
 	case Fresh:
-		r.fresh += r.groups[r.group].Homes[r.home-1].Weight
-		return r.next()
+		r.heldWeight += r.groups[r.group].Homes[r.home-1].Weight
+		return r.askNext()
 	case Answered:
-		return r.stop(*ev.Verdict.Answer)
+		return r.finishUnsent(*ev.Verdict.Answer)
 	case Released:
-		return r.again()
+		return r.restart()
 	case Running:
-		if len(r.asked) == 0 {
-			return r.stop(unsure(http.StatusConflict, "an earlier try still runs"))
+		if len(r.mayHold) == 0 {
+			return r.finishUnsent(unknown(http.StatusConflict, "an earlier try still runs"))
 		}
-		return append(r.giveBack(), AwaitHome{Home: ev.Home, Key: r.open.Key})
+		return append(r.releaseKey(), AwaitHome{Home: ev.Home, Key: r.open.Key})
 	case Lost:
-		return r.stop(unsure(http.StatusServiceUnavailable, "an earlier try was running on a host that is gone"))
+		return r.finishUnsent(unknown(http.StatusServiceUnavailable, "an earlier try was running on a host that is gone"))
 	case Mismatch:
-		return r.stop(refused(http.StatusUnprocessableEntity, "Idempotency-Key was used with another request"))
+		return r.finishUnsent(refused(http.StatusUnprocessableEntity, "Idempotency-Key was used with another request"))
 	case FutureKey:
-		return r.stop(refused(http.StatusBadRequest, "Idempotency-Key's time is ahead of the clock"))
+		return r.finishUnsent(refused(http.StatusBadRequest, "Idempotency-Key's time is ahead of the clock"))
 	default:
-		return r.next()
+		return r.askNext()
 	}
 }
 
-func (r *Try) again() []TryAction {
-	back := r.giveBack()
+func (r *Try) restart() []TryAction {
+	back := r.releaseKey()
 	r.round++
 	if r.round == maxRounds {
-		return append(back, r.stop(unsure(http.StatusConflict, "other tries of the key were in the way"))...)
+		return append(back, r.finishUnsent(unknown(http.StatusConflict, "other tries of the key were in the way"))...)
 	}
-	r.group, r.home, r.fresh = 0, 0, 0
-	return append(back, r.next()...)
+	r.group, r.home, r.heldWeight = 0, 0, 0
+	return append(back, r.askNext()...)
 }
 
-// giveBack frees the key at the homes that may hold it for a try that was
+// releaseKey frees the key at the homes that may hold it for a try that was
 // never let go.
-func (r *Try) giveBack() []TryAction {
-	return r.keep(Answer{Outcome: cell.Refused})
+func (r *Try) releaseKey() []TryAction {
+	return r.recordEnd(Answer{Outcome: cell.Refused})
 }
 
-func (r *Try) keep(a Answer) []TryAction {
+func (r *Try) recordEnd(a Answer) []TryAction {
 	var all []TryAction
-	for _, home := range r.asked {
-		all = append(all, RecordEnd{Home: home, Close: Close{Key: r.open.Key, Digest: r.open.Digest, Try: r.try(), Answer: a}})
+	for _, home := range r.mayHold {
+		all = append(all, RecordEnd{Home: home, Close: Close{Key: r.open.Key, Digest: r.open.Digest, Try: r.roundID(), Answer: a}})
 	}
-	r.asked = nil
+	r.mayHold = nil
 	return all
 }
 
-// stop ends a try that was never let go.
-func (r *Try) stop(a Answer) []TryAction {
+// finishUnsent ends a try that was never let go.
+func (r *Try) finishUnsent(a Answer) []TryAction {
 	if r.sent {
 		return nil
 	}
-	r.over = true
-	return append(r.giveBack(), Reply{Answer: a})
+	r.done = true
+	return append(r.releaseKey(), Reply{Answer: a})
 }
 
-func (r *Try) ended(a Answer) []TryAction {
+func (r *Try) onRequestEnded(a Answer) []TryAction {
 	if !r.sent {
 		return nil
 	}
-	r.over = true
-	r.asked = slices.Compact(slices.Sorted(slices.Values(r.asked)))
-	return append(r.keep(a), Reply{Answer: a})
+	r.done = true
+	r.mayHold = slices.Compact(slices.Sorted(slices.Values(r.mayHold)))
+	return append(r.recordEnd(a), Reply{Answer: a})
 }
 
-func unsure(status int, reason string) Answer {
+func unknown(status int, reason string) Answer {
 	return Answer{Outcome: cell.Unknown, Status: status, Reason: reason}
 }
 
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// buffer is how many lines wait for a reader that is slow: a few seconds of
+	// maxBufferedLines is how many lines wait for a reader that is slow: a few seconds of
 	// a busy host's lines.
-	buffer = 1024
-	// rate and burst are lines a second of one kind, by its message. A host with
+	maxBufferedLines = 1024
+	// linesPerSecond and burst are lines a second of one kind, by its message. A host with
 	// 0.4 of a core writes a line in about 10 µs; all kinds together then stay
 	// below a hundredth of it.
-	rate  = 40
-	burst = 120
-	// tellEvery is how often what was left out is told.
-	tellEvery = 10 * time.Second
+	linesPerSecond = 40
+	burst          = 120
+	// reportInterval is how often what was left out is told.
+	reportInterval = 10 * time.Second
 )
 
 // Writer passes lines on without waiting.
@@ -35,7 +35,7 @@
 
 // NewWriter starts a writer to out.
 func NewWriter(out io.Writer) *Writer {
-	w := &Writer{lines: make(chan []byte, buffer), out: out, done: make(chan struct{})}
+	w := &Writer{lines: make(chan []byte, maxBufferedLines), out: out, done: make(chan struct{})}
 	go w.run()
 	return w
 }
@@ -74,15 +74,15 @@
 // pass.
 type Handler struct {
 	slog.Handler
-	state *state
+	limiter *limiter
 }
 
-type state struct {
-	now  func() time.Time
-	mu   sync.Mutex
-	kept map[string]*bucket
-	left int64
-	told time.Time
+type limiter struct {
+	now        func() time.Time
+	mu         sync.Mutex
+	buckets    map[string]*bucket
+	suppressed int64
+	lastReport time.Time
 }
 
 type bucket struct {
@@ -92,12 +92,12 @@
 
 // NewHandler bounds what h gets.
 func NewHandler(h slog.Handler, now func() time.Time) *Handler {
-	return &Handler{Handler: h, state: &state{now: now, kept: map[string]*bucket{}, told: now()}}
+	return &Handler{Handler: h, limiter: &limiter{now: now, buckets: map[string]*bucket{}, lastReport: now()}}
 }
 
 // Handle writes the line or counts it.
 func (h *Handler) Handle(ctx context.Context, r slog.Record) error {
-	pass, left := h.state.pass(r)
+	pass, left := h.limiter.allow(r)
 	if left > 0 {
 		more := slog.NewRecord(r.Time, slog.LevelWarn, "log: lines were left out.", 0)
 		more.AddAttrs(slog.Int64("lines", left))
@@ -113,35 +113,35 @@
 
 // WithAttrs returns a handler with more attributes and the same budgets.
 func (h *Handler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &Handler{Handler: h.Handler.WithAttrs(attrs), state: h.state}
+	return &Handler{Handler: h.Handler.WithAttrs(attrs), limiter: h.limiter}
 }
 
 // WithGroup returns a handler with a group and the same budgets.
 func (h *Handler) WithGroup(name string) slog.Handler {
-	return &Handler{Handler: h.Handler.WithGroup(name), state: h.state}
+	return &Handler{Handler: h.Handler.WithGroup(name), limiter: h.limiter}
 }
 
-func (s *state) pass(r slog.Record) (bool, int64) {
+func (s *limiter) allow(r slog.Record) (bool, int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	b, ok := s.kept[r.Message]
+	b, ok := s.buckets[r.Message]
 	if !ok {
 		b = &bucket{tokens: burst, at: now}
-		s.kept[r.Message] = b
+		s.buckets[r.Message] = b
 	}
-	b.tokens = min(b.tokens+rate*now.Sub(b.at).Seconds(), burst)
+	b.tokens = min(b.tokens+linesPerSecond*now.Sub(b.at).Seconds(), burst)
 	b.at = now
 	pass := r.Level >= slog.LevelWarn || b.tokens >= 1
 	if pass {
 		b.tokens--
 	} else {
-		s.left++
+		s.suppressed++
 	}
-	if s.left == 0 || now.Sub(s.told) < tellEvery {
+	if s.suppressed == 0 || now.Sub(s.lastReport) < reportInterval {
 		return pass, 0
 	}
-	left := s.left
-	s.left, s.told = 0, now
+	left := s.suppressed
+	s.suppressed, s.lastReport = 0, now
 	return pass, left
 }
--- a/internal/relay/keyed_test.go
+++ b/internal/relay/keyed_test.go
@@ -40,8 +40,8 @@
 	mu    sync.Mutex
 	// kill closes the connections on which peers ask this node.
 	kill context.CancelFunc
-	// deaf is how many ends of keys it does not hear.
-	deaf atomic.Int32
+	// ignoreEnds is how many ends of keys it does not hear.
+	ignoreEnds atomic.Int32
 }
 
 func (n *node) clock() time.Time { return time.Now().Add(n.ahead) }
@@ -73,7 +73,7 @@
 	case peer.AwaitKey:
 		return n.AwaitKey(ctx, m), nil
 	case peer.CloseKeys:
-		if n.deaf.Add(-1) >= 0 {
+		if n.ignoreEnds.Add(-1) >= 0 {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
@@ -82,25 +82,25 @@
 	return nil, nil
 }
 
-// gate is a backend server that holds each request until it is let go.
-type gate struct {
+// blockingServer is a backend server that holds each request until it is let go.
+type blockingServer struct {
 	arrived chan *http.Request
-	letGo   chan struct{}
+	release chan struct{}
 	servers []relay.Server
 }
 
-func (g *gate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (g *blockingServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	g.arrived <- r
-	<-g.letGo
+	<-g.release
 	w.Header().Set(minion.HeaderID, r.Header.Get(minion.HeaderID))
 	_, _ = w.Write(body)
 }
 
 var names = []string{"nord-0", "nord-1", "nord-2"}
 
-func newNodes(t *testing.T, ahead time.Duration) ([]*node, *gate) {
-	g := &gate{arrived: make(chan *http.Request, 10), letGo: make(chan struct{})}
+func newNodes(t *testing.T, ahead time.Duration) ([]*node, *blockingServer) {
+	g := &blockingServer{arrived: make(chan *http.Request, 10), release: make(chan struct{})}
 	srv := httptest.NewServer(g)
 	t.Cleanup(srv.Close)
 	addrs := map[string]netip.AddrPort{}
@@ -171,8 +171,8 @@
 	require.Eventually(t, f, 10*time.Second, time.Millisecond)
 }
 
-// free makes the first node take the second for one with free slots.
-func free(all []*node) {
+// announceFreeSlots makes the first node take the second for one with announceFreeSlots slots.
+func announceFreeSlots(all []*node) {
 	all[0].setBeats(member.Heartbeat{Name: "nord-1", Domain: "nord", FreeSlots: 8})
 	all[0].Tick()
 }
@@ -183,10 +183,10 @@
 	for name, lent := range map[string]bool{"own queue": false, "given back by a peer": true} {
 		t.Run(name, func(t *testing.T) {
 			all, g := newNodes(t, 0)
-			close(g.letGo)
+			close(g.release)
 			if lent {
 				all[1].SetServers(nil)
-				free(all)
+				announceFreeSlots(all)
 			}
 			key := cell.NewID()
 			reply, hangUp := all[0].start(key, 1)
@@ -210,13 +210,13 @@
 	for name, first := range map[string]int{"own slot": 1, "peer's slot": 0} {
 		t.Run(name, func(t *testing.T) {
 			all, g := newNodes(t, 0)
-			free(all)
+			announceFreeSlots(all)
 			key := cell.NewID()
 			_, hangUp := all[first].start(key, 1)
 			<-g.arrived
 			hangUp()
 			repeat, _ := all[2].start(key, 2)
-			close(g.letGo)
+			close(g.release)
 			reply := <-repeat
 			require.Equal(t, cell.Done, reply.Outcome)
 			require.Equal(t, "pass", string(reply.Body))
@@ -230,7 +230,7 @@
 // backend server still works on it and the deadline is far.
 func TestWaitingRepeatIsToldWhenTheEntryHostIsGone(t *testing.T) {
 	all, g := newNodes(t, 0)
-	defer close(g.letGo)
+	defer close(g.release)
 	key := cell.NewID()
 	_, hangUp := all[1].start(key, 1)
 	defer hangUp()
@@ -257,9 +257,9 @@
 // told again; else the turnstile's repeat would be told unknown.
 func TestEndIsToldAgainWhenAHomeIsSilent(t *testing.T) {
 	all, g := newNodes(t, 0)
-	close(g.letGo)
+	close(g.release)
 	for _, n := range all {
-		n.deaf.Store(1)
+		n.ignoreEnds.Store(1)
 	}
 	key := cell.NewID()
 	first, _ := all[1].start(key, 1)
@@ -275,8 +275,8 @@
 // must get all of it, and so must the repeat that finds it under its key.
 func TestLargeBodyComesWholeFromAPeer(t *testing.T) {
 	all, g := newNodes(t, 0)
-	close(g.letGo)
-	free(all)
+	close(g.release)
+	announceFreeSlots(all)
 	body := make([]byte, 256<<10)
 	for i := range body {
 		body[i] = byte(i * 7)
@@ -300,8 +300,8 @@
 func TestDeadlineIsTheTimeLeftOnEveryHop(t *testing.T) {
 	for _, ahead := range []time.Duration{-time.Hour, time.Hour} {
 		all, g := newNodes(t, ahead)
-		close(g.letGo)
-		free(all)
+		close(g.release)
+		announceFreeSlots(all)
 		reply, _ := all[0].start("", 1)
 		require.Equal(t, cell.Done, (<-reply).Outcome, ahead)
 		left, err := time.ParseDuration((<-g.arrived).Header.Get(minion.HeaderDeadline))
--- a/internal/relay/lost.go
+++ b/internal/relay/lost.go
@@ -13,9 +13,9 @@
 	"pollencroft/internal/minion"
 )
 
-// mostLost is how often a backend server may end under one request. One that crashes its server
+// maxLostServers is how often a backend server may end under one request. One that crashes its server
 // would else crash as many as its row allows tries.
-const mostLost = 3
+const maxLostServers = 3
 
 // LostError tells that a request was given up because backend servers ended under it.
 type LostError struct{ Servers []string }
@@ -24,8 +24,8 @@
 	return fmt.Sprintf("given up: connections to backend servers broke %d times under the request", len(e.Servers))
 }
 
-// broken tells whether a server, or the way to it, ended under a request that was sent.
-func broken(err error) bool {
+// connectionBroke tells whether a server, or the way to it, ended under a request that was sent.
+func connectionBroke(err error) bool {
 	var none *minion.NoAnswerError
 	return errors.As(err, &none) && !errors.Is(err, context.DeadlineExceeded)
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -58,13 +58,13 @@
 	waiting  map[string]chan queue.Action
 	servers  map[string]Server
 	versions map[string]int64
-	// waits are the times that requests of each class waited for a slot.
-	waits map[cell.Class]metrics.Timer
-	last  time.Time
-	home  home
-	ends  ends
-	// lent is when each peer last told its load, silent when it last failed.
-	lent, silent map[string]time.Time
+	// waitTimers are the times that requests of each class waited for a slot.
+	waitTimers map[cell.Class]metrics.Timer
+	lastStep   time.Time
+	home       homeState
+	ends       keyEnds
+	// lastLoad is when each peer last told its load, lastFailure when it last failed.
+	lastLoad, lastFailure map[string]time.Time
 }
 
 // New returns a relay that knows no backend servers yet.
@@ -74,8 +74,8 @@
 		waits[c] = metrics.GetOrRegisterTimer("queue.wait."+c.String(), d.Metrics)
 	}
 	return &Relay{
-		Deps: d, waits: waits, waiting: map[string]chan queue.Action{}, servers: map[string]Server{}, versions: map[string]int64{},
-		lent: map[string]time.Time{}, silent: map[string]time.Time{},
+		Deps: d, waitTimers: waits, waiting: map[string]chan queue.Action{}, servers: map[string]Server{}, versions: map[string]int64{},
+		lastLoad: map[string]time.Time{}, lastFailure: map[string]time.Time{},
 	}
 }
 
@@ -96,14 +96,14 @@
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.last = x.Clock()
+	x.lastStep = x.Clock()
 	x.servers = servers
 	x.Outliers.Step(x.Clock(), outlier.ServersListed{Backends: names})
-	x.shares()
+	x.updateShares()
 }
 
-// shares tells the queue what each backend server may get; mu is held.
-func (x *Relay) shares() {
+// updateShares tells the queue what each backend server may get; mu is held.
+func (x *Relay) updateShares() {
 	all := make([]queue.Share, 0, len(x.servers))
 	for _, s := range x.servers {
 		all = append(all, queue.Share{Backend: s.Name, Slots: x.Outliers.MaxSlots(s.Name, s.Slots)})
@@ -111,8 +111,8 @@
 	x.stepQueue(queue.Shares{All: all})
 }
 
-// watch tells the outlier core what happened to a backend server; mu is held.
-func (x *Relay) watch(ev outlier.Event) {
+// stepOutliers tells the outlier core what happened to a backend server; mu is held.
+func (x *Relay) stepOutliers(ev outlier.Event) {
 	acts := x.Outliers.Step(x.Clock(), ev)
 	for _, a := range acts {
 		switch a := a.(type) {
@@ -122,7 +122,7 @@
 	}
 	if len(acts) > 0 {
 		metrics.GetOrRegisterGauge("relay.aside", x.Metrics).Update(int64(len(x.Outliers.UntrustedStates())))
-		x.shares()
+		x.updateShares()
 	}
 }
 
@@ -144,7 +144,7 @@
 func (x *Relay) MarkLeaving(leaving []string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.watch(outlier.LeavingReported{Leaving: leaving})
+	x.stepOutliers(outlier.LeavingReported{Leaving: leaving})
 }
 
 // Tick lets time pass in the cores and puts changed rows in force.
@@ -154,7 +154,7 @@
 	x.tickHome()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.watch(outlier.Tick{})
+	x.stepOutliers(outlier.Tick{})
 	x.stepQueue(queue.Tick{})
 	free, waiting := x.Queue.Load()
 	metrics.GetOrRegisterGauge("queue.free", x.Metrics).Update(int64(free))
@@ -180,12 +180,12 @@
 func (x *Relay) queueRow(row table.Row) queue.Row {
 	return queue.Row{
 		Name: row.Name, Class: row.Urgency(), Weight: row.Weight,
-		Slots: x.part(row.Name, row.Limits.Slots, queue.NoSlots), MaxQueued: x.part(row.Name, row.Limits.Queue, 1),
+		Slots: x.localLimit(row.Name, row.Limits.Slots, queue.NoSlots), MaxQueued: x.localLimit(row.Name, row.Limits.Queue, 1),
 	}
 }
 
-// part is this host's part of a limit, or least when it has none.
-func (x *Relay) part(row string, limit, least int64) int64 {
+// localLimit is this host's localLimit of a limit, or least when it has none.
+func (x *Relay) localLimit(row string, limit, least int64) int64 {
 	if limit == 0 {
 		return 0
 	}
@@ -219,7 +219,7 @@
 // stepQueue steps the queue core and wakes whom it decided about; mu is held.
 func (x *Relay) stepQueue(ev queue.Event) {
 	now := x.Clock()
-	acts := x.resume(now)
+	acts := x.checkPause(now)
 	for _, a := range append(acts, x.Queue.Step(now, ev)...) {
 		switch a := a.(type) {
 		case queue.Send:
@@ -232,13 +232,13 @@
 	}
 }
 
-// resume takes all slots away after a long pause. Other hosts may have taken
+// checkPause takes all slots away after a long pause. Other hosts may have taken
 // them over meanwhile, and whatever wakes first would send into them a second
 // time; SetServers gives back what is still this host's.
-func (x *Relay) resume(now time.Time) []queue.Action {
-	gap := now.Sub(x.last)
-	paused := !x.last.IsZero() && x.MaxPause > 0 && gap > x.MaxPause
-	x.last = now
+func (x *Relay) checkPause(now time.Time) []queue.Action {
+	gap := now.Sub(x.lastStep)
+	paused := !x.lastStep.IsZero() && x.MaxPause > 0 && gap > x.MaxPause
+	x.lastStep = now
 	if !paused {
 		return nil
 	}
@@ -260,7 +260,7 @@
 	defer end()
 	req.Trace = spans.TraceParent(ctx)
 	if req.Key == "" {
-		return x.route(ctx, req)
+		return x.runWithRetries(ctx, req)
 	}
-	return x.keyed(ctx, req)
+	return x.runKeyed(ctx, req)
 }
--- a/internal/sched/messages.go
+++ b/internal/sched/messages.go
@@ -115,20 +115,20 @@
 // RunStatus is one run that a worker lists. For a task that serves requests, Metric is the tail of
 // its response times in milliseconds, otherwise the number of processors in use.
 type RunStatus struct {
-	Task    flow.Name
-	Run     int
-	Saved   string
-	Percent int
-	Metric  int64
+	Task       flow.Name
+	Run        int
+	Checkpoint string
+	Percent    int
+	Metric     int64
 }
 
 // RunEnd is one run that ended on a worker. Number increases within each incarnation.
 type RunEnd struct {
-	Number int64
-	Task   flow.Name
-	Run    int
-	How    Ending
-	Saved  string
+	Number     int64
+	Task       flow.Name
+	Run        int
+	How        Ending
+	Checkpoint string
 }
 
 // StartReply is the result of a Start.
@@ -209,14 +209,14 @@
 
 // Start asks a worker to start a run. The worker ignores it after Deadline, by the worker's clock.
 type Start struct {
-	To       Address
-	Term     int64
-	Task     flow.Name
-	Run      int
-	Text     string
-	Saved    string
-	Ticket   string
-	Deadline time.Time
+	To         Address
+	Term       int64
+	Task       flow.Name
+	Run        int
+	Text       string
+	Checkpoint string
+	Ticket     string
+	Deadline   time.Time
 }
 
 // Stop asks a worker to stop a run, or never to begin it if it has not begun.
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -91,8 +91,8 @@
 }
 
 // knownFull reports whether this pass has already found that no worker has that much free capacity.
-func (p *pool) knownFull(room cell.Size) bool {
-	return slices.ContainsFunc(p.unfit, func(n cell.Size) bool { return n.Fits(room) })
+func (p *pool) knownFull(demand cell.Size) bool {
+	return slices.ContainsFunc(p.unfit, func(n cell.Size) bool { return n.Fits(demand) })
 }
 
 func (s *Sched) pools() map[string]*pool {
@@ -287,7 +287,7 @@
 	if w.speed < slowSpeed {
 		c += slowCost * (1 - w.speed)
 	}
-	return c + suspectCost*float64(w.health.fails)
+	return c + suspectCost*float64(w.health.failures)
 }
 
 // runsTaskOf reports whether a task of the job is on the worker.
--- a/internal/sched/bench_test.go
+++ b/internal/sched/simcell_test.go
@@ -35,19 +35,19 @@
 	// storedCancels are the cancellations in the store, cancelledAt is when each arrived.
 	storedCancels []string
 	cancelledAt   map[string]time.Time
-	// storeDown leaves appends unanswered. allows reports which workers may run a step; nil allows
-	// all.
+	// storeDown leaves appends unanswered.
 	storeDown bool
 	// storeTime is how long the store takes for an append; nil is 3 ms.
 	storeTime func() time.Duration
 	// copies means that several runs of one task may exist at the same time.
 	copies bool
+	// allows reports which workers may run a step; nil allows all.
 	allows func(step, worker string) bool
 	// queryTime is how long the policy service takes for a query; nil is 30 ms.
-	queryTime func(sched.QueryPolicy) time.Duration
-	queries   []sched.QueryPolicy
-	paces     []sched.Pace
-	deposed   bool
+	queryTime   func(sched.QueryPolicy) time.Duration
+	queries     []sched.QueryPolicy
+	paces       []sched.Pace
+	steppedDown bool
 	// stepWaits, jobStarts and longWaits are the waiting times that the core reported.
 	stepWaits []sched.StepWaited
 	jobStarts []sched.JobStarted
@@ -105,12 +105,12 @@
 	return b
 }
 
-func (b *simCell) addWorker(life string, i int) *fakeWorker {
+func (b *simCell) addWorker(incarnation string, i int) *fakeWorker {
 	w := &fakeWorker{b: b, slowdown: 1, runs: map[flow.Name]*fakeRun{}, tombstones: map[flow.Name]int{}, info: sched.Worker{
-		Address: sched.Address{Incarnation: life, Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 80)},
+		Address: sched.Address{Incarnation: incarnation, Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 80)},
 		Service: "pass", Domain: fmt.Sprintf("d%d", i%3), Rack: fmt.Sprintf("r%d", i%3), Size: cell.Size{CPU: 64_000, Mem: 256 << 30},
 	}}
-	b.workers[life] = w
+	b.workers[incarnation] = w
 	return w
 }
 
@@ -239,7 +239,7 @@
 		}
 		b.after(took, func() { b.answerQuery(term, a) })
 	case sched.StepDown:
-		b.deposed = true
+		b.steppedDown = true
 	case sched.StepWaited:
 		b.stepWaits = append(b.stepWaits, a)
 	case sched.JobStarted:
@@ -256,7 +256,7 @@
 		b.resizeNotes = append(b.resizeNotes, a)
 	case "step waits":
 		b.longWaits = append(b.longWaits, a)
-	case "given up":
+	case "failed after crashes":
 		b.failedNotes = append(b.failedNotes, a)
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -106,7 +106,7 @@
 		return Settings{}, Faults{*fault}
 	}
 	s := read(r)
-	r.unknown()
+	r.rejectUnknown()
 	s.check(r)
 	if len(r.faults) > 0 {
 		slices.SortStableFunc(r.faults, func(a, b Fault) int { return a.Line - b.Line })
@@ -138,39 +138,39 @@
 		Limits: Limits{
 			Body:          r.count("limits.body", DefaultBody),
 			Queue:         r.count("limits.queue", DefaultQueue),
-			Deadline:      r.time("limits.deadline", DefaultDeadline),
+			Deadline:      r.duration("limits.deadline", DefaultDeadline),
 			Conns:         r.count("limits.conns", DefaultConns),
 			Memory:        r.count("limits.memory", DefaultMemory),
-			ShutdownDelay: r.time("limits.leave", DefaultShutdownDelay),
-			DrainTimeout:  r.time("limits.drain", DefaultDrain),
+			ShutdownDelay: r.duration("limits.leave", DefaultShutdownDelay),
+			DrainTimeout:  r.duration("limits.drain", DefaultDrain),
 		},
 		Trace: Trace{File: r.text("trace.file", ""), Endpoint: r.text("trace.endpoint", "")},
 		Log:   r.oneOf("log", DefaultLog, "debug", "info", "warn", "error"),
 	}
-	s.Limits.StartupWait = r.timeFrom("limits.settle", 0, s.Limits.Deadline)
+	s.Limits.StartupWait = r.durationFrom("limits.settle", 0, s.Limits.Deadline)
 	return s
 }
 
 func (s Settings) check(r *reader) {
 	if s.Trace.File != "" && s.Trace.Endpoint != "" {
-		r.fault("trace.endpoint", s.Trace.Endpoint, "nothing while trace.file is set")
+		r.addFault("trace.endpoint", s.Trace.Endpoint, "nothing while trace.file is set")
 	}
 	for key, path := range map[string]string{"tls.cert": s.TLS.Cert, "tls.key": s.TLS.Key, "tls.ca": s.TLS.CA} {
 		if path == "" && s.TLS != (TLS{}) {
-			r.fault(key, missing, "a file, as for the other two")
+			r.addFault(key, missing, "a file, as for the other two")
 		}
 	}
 	seen := map[string]bool{s.Name: true}
 	for i, p := range s.Peers {
 		if p.Name != "" && seen[p.Name] {
-			r.fault(peerKey(i, "name"), p.Name, "a name that no other host has")
+			r.addFault(peerKey(i, "name"), p.Name, "a name that no other host has")
 		}
 		seen[p.Name] = true
 	}
 	if s.Limits.Body > MaxBody {
-		r.fault("limits.body", strconv.FormatInt(s.Limits.Body, 10), fmt.Sprintf("at most %d", MaxBody))
+		r.addFault("limits.body", strconv.FormatInt(s.Limits.Body, 10), fmt.Sprintf("at most %d", MaxBody))
 	}
 	if strings.Contains(s.Domain, ".") {
-		r.fault("domain", s.Domain, "a word without dots")
+		r.addFault("domain", s.Domain, "a word without dots")
 	}
 }
--- a/internal/table/quota.go
+++ b/internal/table/quota.go
@@ -58,13 +58,13 @@
 			return &cell.ValueError{Field: field, Found: fmt.Sprint(n), Allowed: "at least 0"}
 		}
 	}
-	if total(e.Domains) == 0 {
+	if sumWeights(e.Domains) == 0 {
 		return &cell.ValueError{Field: "domains", Found: "0 in all", Allowed: "at least one weight above 0"}
 	}
 	return nil
 }
 
-func total(weights map[string]int64) int64 {
+func sumWeights(weights map[string]int64) int64 {
 	var n int64
 	for _, w := range weights {
 		n += w
@@ -72,7 +72,7 @@
 	return n
 }
 
-func (t *Table) quota(e QuotaEdit, offset int64) Verdict {
+func (t *Table) foldQuotaEdit(e QuotaEdit, offset int64) Verdict {
 	if old, ok := t.byID[e.ID]; ok {
 		return old
 	}
@@ -83,7 +83,7 @@
 	} else if err := e.Check(); err != nil {
 		j = Verdict{ID: e.ID, Reason: err.Error()}
 	}
-	t.remember(j)
+	t.recordVerdict(j)
 	if j.Accepted {
 		t.Quotas[e.Team] = old.next(e, offset)
 	}
@@ -93,11 +93,11 @@
 func (q Quota) next(e QuotaEdit, offset int64) Quota {
 	n := Quota{
 		Team: e.Team, Version: offset, Total: Share{Capacity: e.Capacity, Tasks: e.Tasks}, Domains: e.Domains,
-		Target: split(Share{Capacity: e.Capacity, Tasks: e.Tasks}, e.Domains), Shares: map[string]Share{},
+		Target: splitShare(Share{Capacity: e.Capacity, Tasks: e.Tasks}, e.Domains), Shares: map[string]Share{},
 	}
 	unread := slices.Clone(q.Unconfirmed)
 	for d, old := range q.Shares {
-		if old != least(old, n.Target[d]) && !slices.Contains(unread, d) {
+		if old != minShare(old, n.Target[d]) && !slices.Contains(unread, d) {
 			unread = append(unread, d)
 		}
 	}
@@ -108,14 +108,14 @@
 		return n
 	}
 	for d, want := range n.Target {
-		n.Shares[d] = least(q.Shares[d], want)
+		n.Shares[d] = minShare(q.Shares[d], want)
 	}
 	return n
 }
 
-// settle notes that a domain works by its smaller share. Only a word about the
+// foldConfirmation notes that a domain works by its smaller share. Only a word about the
 // newest version counts: an older one may have left it more.
-func (t *Table) settle(s ShareConfirmation) {
+func (t *Table) foldConfirmation(s ShareConfirmation) {
 	q, ok := t.Quotas[s.Team]
 	if !ok || q.Version != s.Version || !slices.Contains(q.Unconfirmed, s.Domain) {
 		return
@@ -127,16 +127,16 @@
 	t.Quotas[s.Team] = q
 }
 
-func least(a, b Share) Share {
+func minShare(a, b Share) Share {
 	return Share{
 		Capacity: cell.Size{CPU: min(a.Capacity.CPU, b.Capacity.CPU), Mem: min(a.Capacity.Mem, b.Capacity.Mem), Accel: min(a.Capacity.Accel, b.Capacity.Accel)},
 		Tasks:    min(a.Tasks, b.Tasks),
 	}
 }
 
-func split(whole Share, weights map[string]int64) map[string]Share {
-	cpu, mem := divide(whole.Capacity.CPU, weights), divide(whole.Capacity.Mem, weights)
-	accel, tasks := divide(whole.Capacity.Accel, weights), divide(whole.Tasks, weights)
+func splitShare(whole Share, weights map[string]int64) map[string]Share {
+	cpu, mem := divideByWeight(whole.Capacity.CPU, weights), divideByWeight(whole.Capacity.Mem, weights)
+	accel, tasks := divideByWeight(whole.Capacity.Accel, weights), divideByWeight(whole.Tasks, weights)
 	shares := make(map[string]Share, len(weights))
 	for d := range weights {
 		shares[d] = Share{Capacity: cell.Size{CPU: cpu[d], Mem: mem[d], Accel: accel[d]}, Tasks: tasks[d]}
@@ -144,10 +144,10 @@
 	return shares
 }
 
-// divide splits n by weight into whole numbers that add up to n; what is left
+// divideByWeight splits n by weight into whole numbers that add up to n; what is left
 // over goes to the first names that have a weight. Zero stands for no limit.
-func divide(n int64, weights map[string]int64) map[string]int64 {
-	all := total(weights)
+func divideByWeight(n int64, weights map[string]int64) map[string]int64 {
+	all := sumWeights(weights)
 	parts := make(map[string]int64, len(weights))
 	left := n
 	for d, w := range weights {
@@ -189,7 +189,7 @@
 	for _, d := range in {
 		weights[d] = 1
 	}
-	return split(Share{Capacity: r.Limits.Capacity, Tasks: r.Limits.Tasks}, weights)[domain], true
+	return splitShare(Share{Capacity: r.Limits.Capacity, Tasks: r.Limits.Tasks}, weights)[domain], true
 }
 
 // Teams lists all quotas in order of team.
--- a/internal/table/record.go
+++ b/internal/table/record.go
@@ -12,10 +12,10 @@
 // column must give its edits another kind: an older host would find the column
 // unknown and come to another verdict than a newer one.
 const (
-	kindEdit     = "edit"
-	kindQuota    = "quota"
-	kindSettle   = "settle"
-	kindSnapshot = "snapshot"
+	kindEdit         = "edit"
+	kindQuota        = "quota"
+	kindConfirmation = "settle"
+	kindSnapshot     = "snapshot"
 )
 
 // record is the envelope of all records. The sum is over kind and body, so that
@@ -35,15 +35,15 @@
 func Encode[R Edit | QuotaEdit | ShareConfirmation](r R) ([]byte, error) {
 	switch r := any(r).(type) {
 	case QuotaEdit:
-		return seal(kindQuota, r)
+		return encodeRecord(kindQuota, r)
 	case ShareConfirmation:
-		return seal(kindSettle, r)
+		return encodeRecord(kindConfirmation, r)
 	default:
-		return seal(kindEdit, r)
+		return encodeRecord(kindEdit, r)
 	}
 }
 
-func seal(kind string, v any) ([]byte, error) {
+func encodeRecord(kind string, v any) ([]byte, error) {
 	body, err := json.Marshal(v)
 	if err != nil {
 		return nil, errors.Wrapf(err, "encode %s", kind)
@@ -60,9 +60,9 @@
 	return d.Sum64()
 }
 
-// open reads the envelope and refuses a record whose checksum does not match,
+// openRecord reads the envelope and refuses a record whose checksum does not match,
 // which would otherwise put a row in force that no operator wrote.
-func open(b []byte) (record, error) {
+func openRecord(b []byte) (record, error) {
 	var r record
 	if err := json.Unmarshal(b, &r); err != nil {
 		return r, &RecordError{Reason: err.Error()}
@@ -73,9 +73,9 @@
 	return r, nil
 }
 
-// read fills v from a record's body. Fields that this version does not know are
+// decodeBody fills v from a record's body. Fields that this version does not know are
 // refused: half a record must not be folded.
-func (r record) read(v any) error {
+func (r record) decodeBody(v any) error {
 	d := json.NewDecoder(bytes.NewReader(r.Body))
 	d.DisallowUnknownFields()
 	if err := d.Decode(v); err != nil {
@@ -87,26 +87,26 @@
 // Decode reads a record of a known kind: an Edit, a QuotaEdit, a Settle or a
 // snapshot's part. The error is a RecordError.
 func Decode(b []byte) (any, error) {
-	r, err := open(b)
+	r, err := openRecord(b)
 	if err != nil {
 		return nil, err
 	}
 	switch r.Kind {
 	case kindEdit:
-		return into[Edit](r)
+		return decodeAs[Edit](r)
 	case kindQuota:
-		return into[QuotaEdit](r)
-	case kindSettle:
-		return into[ShareConfirmation](r)
+		return decodeAs[QuotaEdit](r)
+	case kindConfirmation:
+		return decodeAs[ShareConfirmation](r)
 	case kindSnapshot:
-		return into[part](r)
+		return decodeAs[part](r)
 	default:
 		return nil, &RecordError{Reason: "kind " + r.Kind + " is not known"}
 	}
 }
 
-func into[R any](r record) (any, error) {
+func decodeAs[R any](r record) (any, error) {
 	var v R
-	err := r.read(&v)
+	err := r.decodeBody(&v)
 	return v, err
 }
--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -21,8 +21,8 @@
 	Piece []byte `json:"piece"`
 }
 
-// gathered are the parts of one snapshot that were seen so far.
-type gathered struct {
+// partialSnapshot are the parts of one snapshot that were seen so far.
+type partialSnapshot struct {
 	first  int64
 	whole  uint64
 	when   int64
@@ -32,8 +32,8 @@
 // pieceSize bounds a part so that its record stays under 256 KiB.
 const pieceSize = 96 << 10
 
-// unfinishedKept bounds the snapshots whose parts are still being gathered.
-const unfinishedKept = 8
+// maxIncomplete bounds the snapshots whose parts are still being gathered.
+const maxIncomplete = 8
 
 // maxParts bounds what a snapshot may claim, 3 MiB; a peer's copy of it must go
 // into one message.
@@ -49,7 +49,7 @@
 	records := make([][]byte, len(pieces))
 	for i, piece := range pieces {
 		p := part{Next: t.Next, Index: i, Of: len(pieces), Whole: xxhash.Sum64(whole), When: now.UnixMilli(), Piece: piece}
-		if records[i], err = seal(kindSnapshot, p); err != nil {
+		if records[i], err = encodeRecord(kindSnapshot, p); err != nil {
 			return nil, err
 		}
 	}
@@ -57,20 +57,20 @@
 }
 
 // add keeps a part and tells whether the snapshot is complete.
-func (g *gathered) add(p part, offset int64) bool {
+func (g *partialSnapshot) add(p part, offset int64) bool {
 	if g.pieces == nil || g.whole != p.Whole || len(g.pieces) != p.Of {
-		*g = gathered{first: offset, whole: p.Whole, when: p.When, pieces: make([][]byte, p.Of)}
+		*g = partialSnapshot{first: offset, whole: p.Whole, when: p.When, pieces: make([][]byte, p.Of)}
 	}
 	g.pieces[p.Index] = p.Piece
 	return !slices.ContainsFunc(g.pieces, func(b []byte) bool { return b == nil })
 }
 
-func (p part) good() bool {
+func (p part) valid() bool {
 	return p.Next > 0 && p.Of > 0 && p.Of <= maxParts && p.Index >= 0 && p.Index < p.Of && p.Piece != nil
 }
 
 // state reads the table out of a complete snapshot.
-func (g *gathered) state() (state, error) {
+func (g *partialSnapshot) state() (state, error) {
 	whole := slices.Concat(g.pieces...)
 	if xxhash.Sum64(whole) != g.whole {
 		return state{}, &RecordError{Reason: "snapshot's checksum does not match"}
@@ -89,37 +89,37 @@
 	return s, nil
 }
 
-// gather notes a snapshot that is met while folding. The table is already
+// foldSnapshotPart notes a snapshot that is met while folding. The table is already
 // there, so that only its place in the log and its age count.
-func (t *Table) gather(now time.Time, p part, offset int64) {
-	if !p.good() {
+func (t *Table) foldSnapshotPart(now time.Time, p part, offset int64) {
+	if !p.valid() {
 		return
 	}
-	g := t.parts[p.Next]
+	g := t.incomplete[p.Next]
 	if g == nil {
 		// A writer that died between two parts leaves some that never complete.
-		if len(t.parts) > unfinishedKept {
-			clear(t.parts)
+		if len(t.incomplete) > maxIncomplete {
+			clear(t.incomplete)
 		}
-		g = &gathered{}
-		t.parts[p.Next] = g
+		g = &partialSnapshot{}
+		t.incomplete[p.Next] = g
 	}
 	if !g.add(p, offset) {
 		return
 	}
-	delete(t.parts, p.Next)
+	delete(t.incomplete, p.Next)
 	// What a host needs to start is everything from the snapshot's own offset,
 	// which lies before its record by what was appended meanwhile.
-	t.needed = min(p.Next, g.first)
-	t.saved = earlier(now, time.UnixMilli(g.when))
-	t.dueFrom = time.Time{}
+	t.oldestNeeded = min(p.Next, g.first)
+	t.snapshotTime = earlier(now, time.UnixMilli(g.when))
+	t.dueSince = time.Time{}
 }
 
-// began notes the age of the oldest record that is needed while no snapshot
+// recordEditTime notes the age of the oldest record that is needed while no snapshot
 // was seen.
-func (t *Table) began(now time.Time, when int64) {
-	if t.saved.IsZero() && when > 0 {
-		t.saved = earlier(now, time.UnixMilli(when))
+func (t *Table) recordEditTime(now time.Time, when int64) {
+	if t.snapshotTime.IsZero() && when > 0 {
+		t.snapshotTime = earlier(now, time.UnixMilli(when))
 	}
 }
 
@@ -148,16 +148,16 @@
 }
 
 func (t *Table) bestStart(entries []Entry) (state, bool) {
-	parts := map[int64]*gathered{}
+	parts := map[int64]*partialSnapshot{}
 	best := state{}
 	for _, e := range entries {
 		v, err := Decode(e.Body)
 		p, ok := v.(part)
-		if err != nil || !ok || !p.good() {
+		if err != nil || !ok || !p.valid() {
 			continue
 		}
 		if parts[p.Next] == nil {
-			parts[p.Next] = &gathered{}
+			parts[p.Next] = &partialSnapshot{}
 		}
 		if !parts[p.Next].add(p, e.Offset) || p.Next < max(t.Next, best.Next, entries[0].Offset) {
 			continue
@@ -169,13 +169,13 @@
 	return best, best.Next > 0
 }
 
-// copyFrom takes a peer's table if it is further on than this one.
-func (t *Table) copyFrom(records [][]byte) []Action {
-	g := gathered{}
+// restoreFromPeer takes a peer's table if it is further on than this one.
+func (t *Table) restoreFromPeer(records [][]byte) []Action {
+	g := partialSnapshot{}
 	for _, b := range records {
 		v, err := Decode(b)
 		p, ok := v.(part)
-		if err != nil || !ok || !p.good() || !g.add(p, p.Next) {
+		if err != nil || !ok || !p.valid() || !g.add(p, p.Next) {
 			continue
 		}
 		s, err := g.state()
@@ -184,7 +184,7 @@
 		}
 		t.restore(s)
 		// The copy's writer minds the snapshots that lie before it.
-		t.needed = s.Next
+		t.oldestNeeded = s.Next
 		return []Action{Restored{Next: t.Next}}
 	}
 	return nil
@@ -197,7 +197,7 @@
 	s.Skipped = nil
 	next, digest := s.Next, s.Digest
 	t.state = s
-	t.parts = map[int64]*gathered{}
+	t.incomplete = map[int64]*partialSnapshot{}
 	for _, p := range passed {
 		if _, err := Decode(p.Body); err != nil {
 			t.Skipped = append(t.Skipped, p)
@@ -214,23 +214,23 @@
 	// log keeps records for a limited time, at least a day, also when nobody
 	// edits anything: a quarter of that leaves three more tries.
 	SnapshotAge = 6 * time.Hour
-	// snapshotRecords is how many records a new host folds at most before that.
-	snapshotRecords = 512
-	// snapshotTurn is how long each host leaves the write to those before it.
-	snapshotTurn = 3 * time.Second
+	// maxRecordsAfterSnapshot is how many records a new host folds at most before that.
+	maxRecordsAfterSnapshot = 512
+	// rankDelay is how long each host leaves the write to those before it.
+	rankDelay = 3 * time.Second
 )
 
-// due asks for a snapshot while what is needed to start a host lies in the
+// snapshotIfDue asks for a snapshot while what is needed to start a host lies in the
 // older half of what the log keeps, or the last one is old.
-func (t *Table) due(now time.Time, ev Tick) []Action {
-	if !t.needsSaving(now, ev.Oldest) {
-		t.dueFrom = time.Time{}
+func (t *Table) snapshotIfDue(now time.Time, ev Tick) []Action {
+	if !t.needsSnapshot(now, ev.Oldest) {
+		t.dueSince = time.Time{}
 		return nil
 	}
-	if t.dueFrom.IsZero() {
-		t.dueFrom = now
+	if t.dueSince.IsZero() {
+		t.dueSince = now
 	}
-	if now.Sub(t.dueFrom) < time.Duration(ev.Rank)*snapshotTurn {
+	if now.Sub(t.dueSince) < time.Duration(ev.Rank)*rankDelay {
 		return nil
 	}
 	records, err := t.Snapshot(now)
@@ -238,7 +238,7 @@
 		return nil
 	}
 	// The next try is due only after every host has had its turn.
-	t.dueFrom = now.Add(snapshotTurn)
+	t.dueSince = now.Add(rankDelay)
 	acts := make([]Action, len(records))
 	for i, b := range records {
 		acts[i] = Append{Body: b}
@@ -246,14 +246,14 @@
 	return acts
 }
 
-func (t *Table) needsSaving(now time.Time, oldest int64) bool {
+func (t *Table) needsSnapshot(now time.Time, oldest int64) bool {
 	if t.Next == 1 {
 		return false
 	}
-	if t.saved.IsZero() {
-		t.saved = now
+	if t.snapshotTime.IsZero() {
+		t.snapshotTime = now
 	}
-	needed := max(t.needed, 1)
+	needed := max(t.oldestNeeded, 1)
 	half := oldest > 1 && needed-oldest < (t.Next-oldest)/2
-	return half || t.Next-needed > snapshotRecords || now.Sub(t.saved) > SnapshotAge
+	return half || t.Next-needed > maxRecordsAfterSnapshot || now.Sub(t.snapshotTime) > SnapshotAge
 }
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -20,13 +20,13 @@
 type Table struct {
 	state
 	damaged damage
-	past    []HistoryEntry
-	// needed is where the newest snapshot whose parts were all seen begins;
-	// zero when there is none, so that everything from offset 1 is needed.
-	needed  int64
-	saved   time.Time
-	dueFrom time.Time
-	parts   map[int64]*gathered
+	history []HistoryEntry
+	// oldestNeeded is where the newest snapshot whose parts were all seen begins;
+	// zero when there is none, so that everything from offset 1 is oldestNeeded.
+	oldestNeeded int64
+	snapshotTime time.Time
+	dueSince     time.Time
+	incomplete   map[int64]*partialSnapshot
 }
 
 // state is what a snapshot holds: all that later verdicts hang on.
@@ -36,13 +36,13 @@
 	Rows    map[string]Line  `json:"rows"`
 	Quotas  map[string]Quota `json:"quotas"`
 	Judged  []Verdict        `json:"judged"`
-	Skipped []Passed         `json:"passed,omitempty"`
+	Skipped []SkippedRecord  `json:"passed,omitempty"`
 	byID    map[string]Verdict
 }
 
-// Passed is a record that this version does not know. It is kept in order and
+// SkippedRecord is a record that this version does not know. It is kept in order and
 // goes into snapshots, so that a version that knows it does not miss it.
-type Passed struct {
+type SkippedRecord struct {
 	Offset int64  `json:"offset"`
 	Body   []byte `json:"body"`
 }
@@ -56,23 +56,23 @@
 
 // Bounds of what is kept.
 const (
-	// verdictsKept bounds the memory of verdicts. They are part of the fold: a
+	// maxVerdicts bounds the memory of verdicts. They are part of the fold: a
 	// record that was appended twice must be void for every reader, so every
 	// reader remembers equally many. At 2,900 edits a day this is eight hours.
-	verdictsKept = 1024
-	passedKept   = 256
-	pastKept     = 256
-	// damageReads is how often a damaged record must come back with the same
+	maxVerdicts = 1024
+	maxSkipped  = 256
+	maxHistory  = 256
+	// maxDamagedReads is how often a damaged record must come back with the same
 	// bytes before it is passed over. One damaged on its way to one host only
 	// would otherwise be missed by that host alone, and its table would differ.
-	damageReads = 3
+	maxDamagedReads = 3
 )
 
 // New returns an empty table that waits for offset 1.
 func New() *Table {
 	return &Table{
-		state: state{Next: 1, Rows: map[string]Line{}, Quotas: map[string]Quota{}, byID: map[string]Verdict{}},
-		parts: map[int64]*gathered{},
+		state:      state{Next: 1, Rows: map[string]Line{}, Quotas: map[string]Quota{}, byID: map[string]Verdict{}},
+		incomplete: map[int64]*partialSnapshot{},
 	}
 }
 
@@ -86,9 +86,9 @@
 	case TrimmedLog:
 		return t.catchUp(now, ev.Entries)
 	case PeerCopy:
-		return t.copyFrom(ev.Parts)
+		return t.restoreFromPeer(ev.Parts)
 	case Tick:
-		return t.due(now, ev)
+		return t.snapshotIfDue(now, ev)
 	default:
 		return nil
 	}
@@ -114,70 +114,70 @@
 
 // fold takes the next entry; false leaves it to be read again.
 func (t *Table) fold(now time.Time, e Entry) ([]Action, bool) {
-	if _, err := open(e.Body); err != nil && !t.seenDamaged(e) {
+	if _, err := openRecord(e.Body); err != nil && !t.damageIsPermanent(e) {
 		return nil, false
 	}
 	t.Next = e.Offset + 1
-	t.mix(e.Body)
+	t.updateDigest(e.Body)
 	v, err := Decode(e.Body)
 	if err != nil {
-		t.pass(Passed(e))
+		t.skip(SkippedRecord(e))
 		return nil, true
 	}
 	switch v := v.(type) {
 	case Edit:
-		t.began(now, v.When)
-		return t.edit(v, e.Offset), true
+		t.recordEditTime(now, v.When)
+		return t.foldEdit(v, e.Offset), true
 	case QuotaEdit:
-		return []Action{t.quota(v, e.Offset)}, true
+		return []Action{t.foldQuotaEdit(v, e.Offset)}, true
 	case ShareConfirmation:
-		t.settle(v)
+		t.foldConfirmation(v)
 	case part:
-		t.gather(now, v, e.Offset)
+		t.foldSnapshotPart(now, v, e.Offset)
 	}
 	return nil, true
 }
 
-func (t *Table) seenDamaged(e Entry) bool {
+func (t *Table) damageIsPermanent(e Entry) bool {
 	s := xxhash.Sum64(e.Body)
 	if t.damaged.offset != e.Offset || t.damaged.sum != s {
 		t.damaged = damage{offset: e.Offset, sum: s}
 	}
 	t.damaged.reads++
-	return t.damaged.reads >= damageReads
+	return t.damaged.reads >= maxDamagedReads
 }
 
-func (t *Table) pass(p Passed) {
+func (t *Table) skip(p SkippedRecord) {
 	t.Skipped = append(t.Skipped, p)
-	t.Skipped = t.Skipped[max(0, len(t.Skipped)-passedKept):]
+	t.Skipped = t.Skipped[max(0, len(t.Skipped)-maxSkipped):]
 }
 
-// mix keeps one number that two hosts at the same offset can compare.
-func (t *Table) mix(body []byte) {
+// updateDigest keeps one number that two hosts at the same offset can compare.
+func (t *Table) updateDigest(body []byte) {
 	t.Digest = xxhash.Sum64String(fmt.Sprint(t.Digest, t.Next, xxhash.Sum64(body)))
 }
 
-func (t *Table) edit(e Edit, offset int64) []Action {
+func (t *Table) foldEdit(e Edit, offset int64) []Action {
 	if old, ok := t.byID[e.ID]; ok {
 		return []Action{old}
 	}
-	j, changed := t.judge(e, offset)
-	t.remember(j)
-	t.note(HistoryEntry{Verdict: j, Offset: offset, Row: e.Row, Who: e.Author, When: time.UnixMilli(e.When), Change: what(e)})
+	j, changed := t.evaluate(e, offset)
+	t.recordVerdict(j)
+	t.addHistory(HistoryEntry{Verdict: j, Offset: offset, Row: e.Row, Author: e.Author, When: time.UnixMilli(e.When), Change: describeChange(e)})
 	if changed == nil {
 		return []Action{j}
 	}
 	return []Action{j, *changed}
 }
 
-func what(e Edit) string {
+func describeChange(e Edit) string {
 	if e.Drop {
 		return "dropped"
 	}
 	return string(e.Fields)
 }
 
-func (t *Table) judge(e Edit, offset int64) (Verdict, *RowChanged) {
+func (t *Table) evaluate(e Edit, offset int64) (Verdict, *RowChanged) {
 	cur := t.Rows[e.Row]
 	if cur.Version != e.Base {
 		return Verdict{ID: e.ID, Reason: fmt.Sprintf("row is at version %d", cur.Version)}, nil
@@ -186,7 +186,7 @@
 		delete(t.Rows, e.Row)
 		return Verdict{ID: e.ID, Accepted: true}, &RowChanged{Row: cur.Row, Version: offset, Gone: true}
 	}
-	row, err := t.applied(e)
+	row, err := t.rowAfterEdit(e)
 	if err != nil {
 		return Verdict{ID: e.ID, Reason: err.Error()}, nil
 	}
@@ -194,8 +194,8 @@
 	return Verdict{ID: e.ID, Accepted: true}, &RowChanged{Row: row, Version: offset}
 }
 
-// applied returns the row as the edit would leave it.
-func (t *Table) applied(e Edit) (Row, error) {
+// rowAfterEdit returns the row as the edit would leave it.
+func (t *Table) rowAfterEdit(e Edit) (Row, error) {
 	cur, ok := t.Rows[e.Row]
 	if !ok {
 		cur.Row = newRow(e.Row)
@@ -204,28 +204,28 @@
 	if err != nil {
 		return row, err
 	}
-	return row, t.starved(row)
+	return row, t.checkStarvation(row)
 }
 
-func (t *Table) remember(j Verdict) {
+func (t *Table) recordVerdict(j Verdict) {
 	t.byID[j.ID] = j
 	t.Judged = append(t.Judged, j)
-	if len(t.Judged) > verdictsKept {
+	if len(t.Judged) > maxVerdicts {
 		delete(t.byID, t.Judged[0].ID)
 		t.Judged = slices.Clone(t.Judged[1:])
 	}
 }
 
-func (t *Table) note(p HistoryEntry) {
-	t.past = append(t.past, p)
-	t.past = t.past[max(0, len(t.past)-pastKept):]
+func (t *Table) addHistory(p HistoryEntry) {
+	t.history = append(t.history, p)
+	t.history = t.history[max(0, len(t.history)-maxHistory):]
 }
 
 // History lists the newest edits that this host has folded itself, oldest first.
-func (t *Table) History() []HistoryEntry { return slices.Clone(t.past) }
+func (t *Table) History() []HistoryEntry { return slices.Clone(t.history) }
 
 // SkippedRecords lists the records that this version does not know, oldest first.
-func (t *Table) SkippedRecords() []Passed { return slices.Clone(t.Skipped) }
+func (t *Table) SkippedRecords() []SkippedRecord { return slices.Clone(t.Skipped) }
 
 // NextOffset returns the offset that the table waits for.
 func (t *Table) NextOffset() int64 { return t.Next }
@@ -251,7 +251,7 @@
 	if e.Drop {
 		return nil
 	}
-	_, err := t.applied(e)
+	_, err := t.rowAfterEdit(e)
 	return err
 }
 
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -144,7 +144,7 @@
 	other := table.New()
 	require.Equal(t, []table.Action{table.Restored{Next: 3}}, other.Step(now, table.PeerCopy{Parts: parts}))
 	require.Equal(t, tab.Fingerprint(), other.Fingerprint())
-	require.Equal(t, []table.Passed{{Offset: 1, Body: b}}, other.SkippedRecords())
+	require.Equal(t, []table.SkippedRecord{{Offset: 1, Body: b}}, other.SkippedRecords())
 }
 
 // An accepted edit's record comes a second time after the row was dropped and
@@ -162,8 +162,8 @@
 	}
 }
 
-// moved puts a snapshot's record at the end, as when its writer was slow.
-func moved(rest []table.Entry, snapshot []byte) []table.Entry {
+// withSnapshotAppended puts a snapshot's record at the end, as when its writer was slow.
+func withSnapshotAppended(rest []table.Entry, snapshot []byte) []table.Entry {
 	last := rest[len(rest)-1]
 	return append(rest, table.Entry{Offset: last.Offset + 1, Body: snapshot})
 }
@@ -192,7 +192,7 @@
 	require.Equal(t, tab.Lines(), behind.Lines())
 	require.Equal(t, tab.Fingerprint(), behind.Fingerprint())
 	log.all = append(log.all[:20:20], log.all[21:]...)
-	require.Equal(t, table.SnapshotMissing{Want: 1}, table.New().Step(now, table.TrimmedLog{Entries: moved(log.all[20:], parts[0])})[0], "a record after the snapshot's offset is gone")
+	require.Equal(t, table.SnapshotMissing{Want: 1}, table.New().Step(now, table.TrimmedLog{Entries: withSnapshotAppended(log.all[20:], parts[0])})[0], "a record after the snapshot's offset is gone")
 	require.Empty(t, behind.Step(now, table.PeerCopy{Parts: parts}), "an older copy does not take it back")
 	require.Equal(t, int64(23), behind.NextOffset())
 }
