--- a/internal/store/routed_test.go
+++ b/internal/store/routed_test.go
@@ -364,8 +364,8 @@
 func TestOldFailureDoesNotOverrideNewerAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		direct := &silentUntil{}
-		var told []bool
-		r := store.NewRouted(direct, peers{}, time.Now, func(_ store.Call, ok bool, _ error) { told = append(told, ok) })
+		var changes []bool
+		r := store.NewRouted(direct, peers{}, time.Now, func(_ store.Call, ok bool, _ error) { changes = append(changes, ok) })
 		_, err := r.Do(background, appendCall)
 		require.NoError(t, err)
 		direct.at = time.Now().Add(300 * time.Millisecond)
@@ -373,7 +373,7 @@
 		require.NoError(t, err)
 		time.Sleep(time.Minute)
 		synctest.Wait()
-		require.Equal(t, []bool{false, true}, told)
+		require.Equal(t, []bool{false, true}, changes)
 	})
 }
 
