--- a/internal/joblog/joblog.go
+++ b/internal/joblog/joblog.go
@@ -51,8 +51,8 @@
 	case r.Spec == nil && other.Spec != nil:
 		return false
 	}
-	for task, lives := range other.Crashes {
-		if r.Crashes[task] < lives {
+	for task, count := range other.Crashes {
+		if r.Crashes[task] < count {
 			return false
 		}
 	}
