--- a/internal/joblog/joblog.go
+++ b/internal/joblog/joblog.go
@@ -64,8 +64,8 @@
 		return b
 	}
 	all := maps.Clone(a)
-	for task, lives := range b {
-		all[task] = max(all[task], lives)
+	for task, count := range b {
+		all[task] = max(all[task], count)
 	}
 	return all
 }
