--- a/internal/joblog/joblog_test.go
+++ b/internal/joblog/joblog_test.go
@@ -48,8 +48,8 @@
 // Guards against a crash count that is lost when a later record is applied.
 func TestCrashCountsSurviveOtherRecords(t *testing.T) {
 	l := joblog.New()
-	crashed := func(lives int64) joblog.Record {
-		return joblog.Record{ID: "d.r.1", Crashes: map[string]int64{"d.r.1.0": lives}}
+	crashed := func(count int64) joblog.Record {
+		return joblog.Record{ID: "d.r.1", Crashes: map[string]int64{"d.r.1.0": count}}
 	}
 	l.Fold(1, body(t, crashed(2)))
 	l.Fold(2, body(t, accepted("d.r.1")))
