--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -100,9 +100,9 @@
 }
 
 // NewRouted returns a log that uses the direct route and peers. The function lost must not block.
-func NewRouted(direct Log, relay Relay, now func() time.Time, lost func(c Call, ok bool, err error)) *Routed {
+func NewRouted(direct Log, relay Relay, now func() time.Time, onChange func(c Call, ok bool, err error)) *Routed {
 	return &Routed{
-		direct: direct, relay: relay, now: now, onChange: lost,
+		direct: direct, relay: relay, now: now, onChange: onChange,
 		targets: map[string]*target{}, recovered: make(chan struct{}), failedPeers: map[string]time.Time{},
 	}
 }
