--- a/internal/store/routed_test.go
+++ b/internal/store/routed_test.go
@@ -242,16 +242,16 @@
 // three seconds. The peer that was served last is asked first.
 func TestAPeerThatWasServedIsAskedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cutPeer := &slow{wait: time.Minute}
-		r := store.NewRouted(&slow{wait: time.Minute}, mixed{"a": cutPeer, "b": &fixedLog{}}, time.Now, func(store.Call, bool, error) {})
+		cutOff := &slow{wait: time.Minute}
+		r := store.NewRouted(&slow{wait: time.Minute}, mixed{"a": cutOff, "b": &fixedLog{}}, time.Now, func(store.Call, bool, error) {})
 		for range 6 {
 			_, err := r.Do(background, appendCall)
 			require.NoError(t, err)
 		}
-		asked, began := cutPeer.calls.Load(), time.Now()
+		asked, began := cutOff.calls.Load(), time.Now()
 		_, err := r.Do(background, appendCall)
 		require.NoError(t, err)
-		require.Equal(t, asked, cutPeer.calls.Load())
+		require.Equal(t, asked, cutOff.calls.Load())
 		require.Less(t, time.Since(began), 50*time.Millisecond)
 		time.Sleep(2 * time.Minute)
 	})
