--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -99,7 +99,7 @@
 	return &c.others
 }
 
-// NewRouted returns a log that uses the direct route and peers. The function lost must not block.
+// NewRouted returns a log that uses the direct route and peers. The function onChange must not block.
 func NewRouted(direct Log, relay Relay, now func() time.Time, onChange func(c Call, ok bool, err error)) *Routed {
 	return &Routed{
 		direct: direct, relay: relay, now: now, onChange: onChange,
