--- a/internal/table/messages.go
+++ b/internal/table/messages.go
@@ -7,10 +7,10 @@
 	"pollencroft/internal/cell"
 )
 
-// Event is what the table core is told.
+// Event is an input of the table's state machine.
 type Event interface{ event() }
 
-// Entry is one record as it lies in the log.
+// Entry is one record of the log and its offset.
 type Entry struct {
 	Offset int64
 	Body   []byte
@@ -19,16 +19,16 @@
 // Records is a run of log entries in offset order.
 type Records struct{ Entries []Entry }
 
-// TrimmedLog is everything that a trimmed log still holds, in offset order: the
-// table looks for a snapshot in it to start from.
+// TrimmedLog is everything that a trimmed log still holds, in offset order. The table looks for a
+// snapshot in it to start from.
 type TrimmedLog struct{ Entries []Entry }
 
-// PeerCopy is a peer's whole table as snapshot records.
+// PeerCopy is the whole table of a peer as snapshot records.
 type PeerCopy struct{ Parts [][]byte }
 
-// Tick asks whether a snapshot is due. Oldest is the oldest offset that the
-// log still has; Rank is this host's place among the live hosts, so that they
-// do not all write the same snapshot at once.
+// Tick asks whether a snapshot is due. Oldest is the oldest offset that the log still has. Rank is
+// the position of this host among the live hosts, so that they do not all write the same snapshot
+// at once.
 type Tick struct {
 	Oldest int64
 	Rank   int
@@ -39,35 +39,35 @@
 func (PeerCopy) event()   {}
 func (Tick) event()       {}
 
-// Action is what the table core asks its edge to do.
+// Action is a request or result that the table's state machine hands to its caller.
 type Action interface{ action() }
 
-// RowChanged tells that a row now has another version, or none.
+// RowChanged reports that a row has a new version, or with Gone that it was dropped.
 type RowChanged struct {
 	Row     Row
 	Version int64
 	Gone    bool
 }
 
-// Verdict tells the verdict on one edit. Every reader comes to the same one.
+// Verdict reports whether an edit was accepted. Every reader of the log comes to the same verdict.
 type Verdict struct {
 	ID       string `json:"id"`
 	Accepted bool   `json:"accepted"`
 	Reason   string `json:"reason,omitempty"`
 }
 
-// Gap tells that entries were left unread because records before them are
-// missing, or because a record was damaged on its way: read again from Want.
+// Gap reports that entries were not folded because records before them are missing or because a
+// record was damaged in transit. The log must be read again from Want.
 type Gap struct{ Want, Found int64 }
 
-// SnapshotMissing tells that the log no longer holds what is needed and no snapshot that
-// stands in for it: ask the peers.
+// SnapshotMissing reports that the log no longer holds the wanted records and holds no snapshot
+// that replaces them. The peers must be asked for a copy.
 type SnapshotMissing struct{ Want int64 }
 
-// Restored tells that the table went forward to an offset from a snapshot.
+// Restored reports that the table moved forward to an offset from a snapshot.
 type Restored struct{ Next int64 }
 
-// Append asks to write one record to the log.
+// Append asks the caller to write one record to the log.
 type Append struct{ Body []byte }
 
 func (RowChanged) action()      {}
@@ -77,9 +77,9 @@
 func (Restored) action()        {}
 func (Append) action()          {}
 
-// Edit is one operator's change to one row, as kept in the log. Base is the
-// version of the row that the operator saw, zero for a row that was not there.
-// When is in Unix milliseconds, for people to read only.
+// Edit is one operator's change to one row, as stored in the log. Base is the version of the row
+// that the operator saw, zero for a row that did not exist. When is in Unix milliseconds and only
+// informs people.
 type Edit struct {
 	ID     string          `json:"id"`
 	Row    string          `json:"row"`
@@ -90,8 +90,7 @@
 	When   int64           `json:"when,omitempty"`
 }
 
-// QuotaEdit sets a team's quota and the weights by which the failure domains
-// share it.
+// QuotaEdit sets the quota of a team and the weights by which the failure domains share it.
 type QuotaEdit struct {
 	ID       string           `json:"id"`
 	Team     string           `json:"team"`
@@ -103,8 +102,8 @@
 	When     int64            `json:"when,omitempty"`
 }
 
-// ShareConfirmation tells that every host of a failure domain works by its smaller share
-// of a quota, so that the others may have theirs. Version is the quota's.
+// ShareConfirmation reports that every host of a failure domain applies the domain's smaller share
+// of a quota, so that the other domains may use theirs. Version is the quota's version.
 type ShareConfirmation struct {
 	Team    string `json:"team"`
 	Version int64  `json:"version"`
--- a/internal/table/prefix_test.go
+++ b/internal/table/prefix_test.go
@@ -14,14 +14,13 @@
 	"pollencroft/internal/table"
 )
 
-// A fixed seed gives the same verdict on every machine; the command line may
-// name another.
+// A fixed seed gives the same result on every machine. The command line can set another seed.
 func init() {
 	_ = flag.Set("rapid.seed", "20261202")
 	_ = flag.Set("rapid.checks", "400")
 }
 
-// log is a log in memory.
+// log is an in-memory log.
 type log struct {
 	t   require.TestingT
 	all []table.Entry
@@ -39,9 +38,9 @@
 	l.add(b)
 }
 
-// Hosts read the log in pieces of any size, some twice, some late, some after a
-// trim, from snapshots or from a peer's copy. If any two differed at an offset,
-// or one went back, an accepted edit would not be in force everywhere.
+// Hosts read the log in pieces of any size, some of them twice, late or after a trim, from
+// snapshots or from a peer's copy. If two hosts differed at the same offset, or a host went back to
+// an earlier offset, an accepted edit would not be in force everywhere.
 func TestHostsNeverDisagreeAtAnOffsetAndNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := newLog(t)
@@ -90,7 +89,7 @@
 func step(t *rapid.T, h *table.Table, ev table.Event) {
 	before := h.NextOffset()
 	h.Step(now, ev)
-	require.GreaterOrEqual(t, h.NextOffset(), before, "went back")
+	require.GreaterOrEqual(t, h.NextOffset(), before, "the host went back to an earlier offset")
 }
 
 func drawRecord(t *rapid.T, offset int) []byte {
@@ -116,9 +115,8 @@
 	return b
 }
 
-// An operator moves quota between failure domains while one of them is cut off
-// and still works by its old share. At no moment may what the domains believe
-// add up to more than the quota.
+// An operator moves quota between failure domains while one of them is cut off and still applies
+// its old share. At no time may the shares that the domains apply add up to more than the quota.
 func TestQuotaSharesAddUpWhileTheyMove(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const whole = 100
@@ -193,8 +191,8 @@
 	require.False(t, ok)
 }
 
-// Anything may lie in the log: half a record, another program's, one that an
-// attacker wrote. The reader must neither crash nor let it stop the fold.
+// The log can contain anything: half a record, another program's record, or one that an attacker
+// wrote. The reader must neither crash nor stop folding because of it.
 func FuzzDecode(f *testing.F) {
 	for kind, body := range map[string]string{
 		"edit": `{"id":"a","row":"scan","base":0,"fields":{"weight":2}}`, "quota": `{"id":"b","team":"x","base":0,"tasks":3,"domains":{"a":1}}`,
--- a/internal/table/quota.go
+++ b/internal/table/quota.go
@@ -9,22 +9,22 @@
 	"pollencroft/internal/cell"
 )
 
-// NoLimit is a part of a share that is not bounded.
+// NoLimit marks a part of a share that is not bounded.
 const NoLimit = math.MaxInt64
 
-// Share is a part of a quota or limit: room for tasks and their number. Parts
+// Share is a part of a quota or limit: the capacity and the number of tasks that may be used. Parts
 // that are not bounded are NoLimit; zero means that nothing may be used.
 type Share struct {
 	Capacity cell.Size `json:"room"`
 	Tasks    int64     `json:"tasks"`
 }
 
-// Quota is what a team may use in the whole cell, split into shares of the
-// failure domains. Shares holds what each may use now, Wanted what the newest
-// edit gives it, if that differs; a zero part of Whole means no limit. A domain whose share grows gets the rest only when each one
-// whose share shrinks has settled: a domain that is cut off has not read the
-// edit and still works by its old share, and both together would exceed the
-// quota without anyone noticing.
+// Quota is what a team may use in the whole cell, split into shares of the failure domains. Shares
+// holds what each domain may use now, Target what the newest edit gives it, if that differs. A zero
+// part of Total means no limit. A domain whose share grows gets the rest only when every domain
+// whose share shrinks has confirmed its smaller share: a domain that is cut off has not read the
+// edit and still applies its old share, and both together would exceed the quota without anyone
+// noticing. Unconfirmed lists the domains that have not confirmed yet.
 type Quota struct {
 	Team        string           `json:"team"`
 	Version     int64            `json:"version"`
@@ -35,12 +35,11 @@
 	Unconfirmed []string         `json:"unread,omitempty"`
 }
 
-// maxQuotaWeight bounds a domain's weight, so that products stay in 64 bits
-// for memory up to 2^40 bytes times a weight.
+// maxQuotaWeight bounds the weight of a domain, so that products stay in 64 bits for memory up to
+// 2^40 bytes times a weight.
 const maxQuotaWeight = 1000
 
-// Check tells what makes a quota edit void whatever its base, as a
-// cell.ValueError.
+// Check returns a cell.ValueError if the edit is invalid whatever its base version.
 func (e QuotaEdit) Check() error {
 	if e.Team == "" {
 		return &cell.ValueError{Field: "team", Found: "empty", Allowed: "a team's name"}
@@ -113,8 +112,8 @@
 	return n
 }
 
-// foldConfirmation notes that a domain works by its smaller share. Only a word about the
-// newest version counts: an older one may have left it more.
+// foldConfirmation records that a domain applies its smaller share. Only a confirmation of the
+// newest version counts: an older version may have left the domain a larger share.
 func (t *Table) foldConfirmation(s ShareConfirmation) {
 	q, ok := t.Quotas[s.Team]
 	if !ok || q.Version != s.Version || !slices.Contains(q.Unconfirmed, s.Domain) {
@@ -144,8 +143,8 @@
 	return shares
 }
 
-// divideByWeight splits n by weight into whole numbers that add up to n; what is left
-// over goes to the first names that have a weight. Zero stands for no limit.
+// divideByWeight splits n by weight into whole numbers that add up to n. The remainder goes to the
+// first names, in sorted order, that have a weight. Zero means no limit.
 func divideByWeight(n int64, weights map[string]int64) map[string]int64 {
 	all := sumWeights(weights)
 	parts := make(map[string]int64, len(weights))
@@ -167,16 +166,16 @@
 	return parts
 }
 
-// TeamShare returns what a team may use in a failure domain now; false for a
-// team without a quota.
+// TeamShare returns what a team may use in a failure domain now, and false for a team without a
+// quota.
 func (t *Table) TeamShare(team, domain string) (Share, bool) {
 	q, ok := t.Quotas[team]
 	return q.Shares[domain], ok
 }
 
-// RowShare returns a row's share of its limits for a failure domain, when the
-// cell has these domains. A domain that the row does not name gets nothing,
-// told by false.
+// RowShare returns the share that a failure domain has of the row's limits, where domains are all
+// failure domains of the cell. It returns false for a domain that the row does not name; such a
+// domain gets nothing.
 func (r Row) RowShare(domain string, domains []string) (Share, bool) {
 	in := r.Domains
 	if len(in) == 0 {
@@ -192,7 +191,7 @@
 	return splitShare(Share{Capacity: r.Limits.Capacity, Tasks: r.Limits.Tasks}, weights)[domain], true
 }
 
-// Teams lists all quotas in order of team.
+// Teams returns all quotas, sorted by team.
 func (t *Table) Teams() []Quota {
 	all := make([]Quota, 0, len(t.Quotas))
 	for _, team := range slices.Sorted(maps.Keys(t.Quotas)) {
@@ -201,7 +200,7 @@
 	return all
 }
 
-// UnconfirmedShares lists what a failure domain has to settle.
+// UnconfirmedShares returns the confirmations that a failure domain still has to append.
 func (t *Table) UnconfirmedShares(domain string) []ShareConfirmation {
 	var all []ShareConfirmation
 	for _, q := range t.Teams() {
--- a/internal/table/record.go
+++ b/internal/table/record.go
@@ -8,9 +8,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// The kinds of record that this version knows. A later version that adds a
-// column must give its edits another kind: an older host would find the column
-// unknown and come to another verdict than a newer one.
+// The kinds of record that this version knows. A later version that adds a column must give its
+// edits another kind: an older host would reject the unknown column and come to a different verdict
+// than a newer host.
 const (
 	kindEdit         = "edit"
 	kindQuota        = "quota"
@@ -18,20 +18,20 @@
 	kindSnapshot     = "snapshot"
 )
 
-// record is the envelope of all records. The sum is over kind and body, so that
-// it can be checked for kinds that this version does not know.
+// record is the envelope of all records. The checksum covers kind and body, so that it can be
+// verified for kinds that this version does not know.
 type record struct {
 	Kind string          `json:"kind"`
 	Sum  uint64          `json:"sum"`
 	Body json.RawMessage `json:"body"`
 }
 
-// RecordError tells why a record in the log cannot be read.
+// RecordError reports why a record in the log cannot be read.
 type RecordError struct{ Reason string }
 
 func (e *RecordError) Error() string { return "table record: " + e.Reason }
 
-// Encode writes an Edit, a QuotaEdit or a Settle as a record.
+// Encode returns an Edit, a QuotaEdit or a ShareConfirmation as a record.
 func Encode[R Edit | QuotaEdit | ShareConfirmation](r R) ([]byte, error) {
 	switch r := any(r).(type) {
 	case QuotaEdit:
@@ -46,10 +46,10 @@
 func encodeRecord(kind string, v any) ([]byte, error) {
 	body, err := json.Marshal(v)
 	if err != nil {
-		return nil, errors.Wrapf(err, "encode %s", kind)
+		return nil, errors.Wrapf(err, "encode %s body", kind)
 	}
 	b, err := json.Marshal(record{Kind: kind, Sum: sum(kind, body), Body: body})
-	return b, errors.Wrapf(err, "seal %s", kind)
+	return b, errors.Wrapf(err, "encode %s record", kind)
 }
 
 func sum(kind string, body []byte) uint64 {
@@ -60,8 +60,8 @@
 	return d.Sum64()
 }
 
-// openRecord reads the envelope and refuses a record whose checksum does not match,
-// which would otherwise put a row in force that no operator wrote.
+// openRecord decodes the envelope and rejects a record whose checksum does not match. Accepting one
+// would put a row in force that no operator wrote.
 func openRecord(b []byte) (record, error) {
 	var r record
 	if err := json.Unmarshal(b, &r); err != nil {
@@ -73,8 +73,8 @@
 	return r, nil
 }
 
-// decodeBody fills v from a record's body. Fields that this version does not know are
-// refused: half a record must not be folded.
+// decodeBody decodes the body of a record into v. It rejects fields that this version does not
+// know, because a record must not be folded in part.
 func (r record) decodeBody(v any) error {
 	d := json.NewDecoder(bytes.NewReader(r.Body))
 	d.DisallowUnknownFields()
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// Decode reads a record of a known kind: an Edit, a QuotaEdit, a Settle or a
-// snapshot's part. The error is a RecordError.
+// Decode reads a record of a known kind: an Edit, a QuotaEdit, a ShareConfirmation or a part of a
+// snapshot. The error is a RecordError.
 func Decode(b []byte) (any, error) {
 	r, err := openRecord(b)
 	if err != nil {
--- a/internal/table/row.go
+++ b/internal/table/row.go
@@ -13,7 +13,7 @@
 	"pollencroft/internal/cell"
 )
 
-// Kind is what sort of workload a row describes.
+// Kind is the kind of workload that a row describes.
 type Kind string
 
 // The kinds of workload.
@@ -32,7 +32,7 @@
 	Capacity cell.Size `json:"room,omitzero"`
 }
 
-// Row is one line of the operators' table: a workload's weights and limits.
+// Row is one line of the operators' table: the weight and the limits of a workload.
 type Row struct {
 	Name       string        `json:"name"`
 	Kind       Kind          `json:"kind"`
@@ -67,7 +67,8 @@
 	}
 }
 
-// Urgency returns the row's class; rows are checked before they are kept.
+// Urgency returns the class of the row. An invalid class, which the check of every stored row rules
+// out, counts as Bulk.
 func (r Row) Urgency() cell.Class {
 	c, err := cell.ParseClass(r.Class)
 	if err != nil {
@@ -76,14 +77,14 @@
 	return c
 }
 
-// Apply returns the row with the given fields, if any, changed and checked. Unknown
-// fields, wrong types and impossible values give a cell.ValueError.
+// Apply returns the row with the given fields, if any, changed and checked. Unknown fields, wrong
+// types and invalid values return a cell.ValueError.
 func (r Row) Apply(fields json.RawMessage) (Row, error) {
 	name := r.Name
 	if len(fields) == 0 {
 		return r, r.check()
 	}
-	// Decoding would write over the list that the row in force still shows.
+	// Decoding would overwrite the slice that the row in force shares.
 	r.Domains = slices.Clone(r.Domains)
 	d := json.NewDecoder(bytes.NewReader(fields))
 	d.DisallowUnknownFields()
@@ -112,7 +113,7 @@
 	return &cell.ValueError{Field: "body", Found: err.Error(), Allowed: "a JSON object"}
 }
 
-// bound is a number of a row with its range; a most of zero means none.
+// bound is a number of a row with its range. A zero most means that there is no upper bound.
 type bound struct {
 	field              string
 	value, least, most int64
@@ -165,14 +166,14 @@
 	return nil
 }
 
-// Serves tells whether a row runs in a failure domain.
+// Serves reports whether the row runs in a failure domain.
 func (r Row) Serves(domain string) bool {
 	return len(r.Domains) == 0 || slices.Contains(r.Domains, domain)
 }
 
-// checkStarvation refuses a row whose weight leaves another row of its class, or itself,
-// less than one part in MaxWeight: its work would wait while its class is busy,
-// and an operator would only see that it does not move.
+// checkStarvation rejects a row whose weight leaves another row of its class, or itself, less than
+// one part in MaxWeight. Work of that row would wait while its class is busy, and an operator would
+// only see that it makes no progress.
 func (t *Table) checkStarvation(r Row) error {
 	all, low, name := r.Weight, r.Weight, r.Name
 	for _, l := range t.Lines() {
--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -9,9 +9,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// part is a piece of a snapshot. The log bounds a record's size, a table has no
-// such bound. Folds are equal, so the parts that two hosts wrote for the same
-// offset are equal too, and those of one may complete those of the other.
+// part is a piece of a snapshot. The log bounds the size of a record, but the table has no such
+// bound. All hosts fold the same table, so the parts that two hosts write for the same offset are
+// equal, and parts of one host can complete those of the other.
 type part struct {
 	Next  int64  `json:"next"`
 	Index int    `json:"part"`
@@ -21,7 +21,7 @@
 	Piece []byte `json:"piece"`
 }
 
-// partialSnapshot are the parts of one snapshot that were seen so far.
+// partialSnapshot holds the parts of one snapshot that were read so far.
 type partialSnapshot struct {
 	first  int64
 	whole  uint64
@@ -32,14 +32,14 @@
 // pieceSize bounds a part so that its record stays under 256 KiB.
 const pieceSize = 96 << 10
 
-// maxIncomplete bounds the snapshots whose parts are still being gathered.
+// maxIncomplete bounds the number of snapshots with missing parts that are kept.
 const maxIncomplete = 8
 
-// maxParts bounds what a snapshot may claim, 3 MiB; a peer's copy of it must go
-// into one message.
+// maxParts bounds the size of a snapshot to 3 MiB, because a peer's copy of it must fit into one
+// message.
 const maxParts = 32
 
-// Snapshot writes the table as records.
+// Snapshot returns the table encoded as snapshot records.
 func (t *Table) Snapshot(now time.Time) ([][]byte, error) {
 	whole, err := json.Marshal(t.state)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return records, nil
 }
 
-// add keeps a part and tells whether the snapshot is complete.
+// add stores a part and reports whether the snapshot is complete.
 func (g *partialSnapshot) add(p part, offset int64) bool {
 	if g.pieces == nil || g.whole != p.Whole || len(g.pieces) != p.Of {
 		*g = partialSnapshot{first: offset, whole: p.Whole, when: p.When, pieces: make([][]byte, p.Of)}
@@ -69,7 +69,7 @@
 	return p.Next > 0 && p.Of > 0 && p.Of <= maxParts && p.Index >= 0 && p.Index < p.Of && p.Piece != nil
 }
 
-// state reads the table out of a complete snapshot.
+// state decodes the table from a complete snapshot.
 func (g *partialSnapshot) state() (state, error) {
 	whole := slices.Concat(g.pieces...)
 	if xxhash.Sum64(whole) != g.whole {
@@ -89,15 +89,15 @@
 	return s, nil
 }
 
-// foldSnapshotPart notes a snapshot that is met while folding. The table is already
-// there, so that only its place in the log and its age count.
+// foldSnapshotPart records a snapshot that appears in the log while folding. The table is already
+// up to date, so only the snapshot's offset and age matter.
 func (t *Table) foldSnapshotPart(now time.Time, p part, offset int64) {
 	if !p.valid() {
 		return
 	}
 	g := t.incomplete[p.Next]
 	if g == nil {
-		// A writer that died between two parts leaves some that never complete.
+		// A writer that died between two parts leaves a snapshot that never completes.
 		if len(t.incomplete) > maxIncomplete {
 			clear(t.incomplete)
 		}
@@ -108,22 +108,21 @@
 		return
 	}
 	delete(t.incomplete, p.Next)
-	// What a host needs to start is everything from the snapshot's own offset,
-	// which lies before its record by what was appended meanwhile.
+	// A starting host needs everything from the snapshot's own offset on. That offset lies before
+	// the snapshot's record if other records were appended in the meantime.
 	t.oldestNeeded = min(p.Next, g.first)
 	t.snapshotTime = earlier(now, time.UnixMilli(g.when))
 	t.dueSince = time.Time{}
 }
 
-// recordEditTime notes the age of the oldest record that is needed while no snapshot
-// was seen.
+// recordEditTime records the age of the oldest needed record while no snapshot was read.
 func (t *Table) recordEditTime(now time.Time, when int64) {
 	if t.snapshotTime.IsZero() && when > 0 {
 		t.snapshotTime = earlier(now, time.UnixMilli(when))
 	}
 }
 
-// earlier returns the writer's time unless its clock is ahead of this host's.
+// earlier returns the writer's time, or now if the writer's clock is ahead of this host's.
 func earlier(now, written time.Time) time.Time {
 	if written.After(now) {
 		return now
@@ -131,9 +130,9 @@
 	return written
 }
 
-// catchUp starts from the newest complete snapshot whose following records are
-// all there. Without one the table stays as it is: an older table that is in
-// force is better than a hole in a newer one.
+// catchUp starts from the newest complete snapshot for which all following records are available.
+// Without one the table stays as it is: an older table in force is better than a newer one that
+// misses records.
 func (t *Table) catchUp(now time.Time, entries []Entry) []Action {
 	if len(entries) > 0 && entries[0].Offset <= t.Next {
 		return t.foldAll(now, entries)
@@ -169,7 +168,7 @@
 	return best, best.Next > 0
 }
 
-// restoreFromPeer takes a peer's table if it is further on than this one.
+// restoreFromPeer replaces the table by a peer's if the peer's is newer.
 func (t *Table) restoreFromPeer(records [][]byte) []Action {
 	g := partialSnapshot{}
 	for _, b := range records {
@@ -183,14 +182,14 @@
 			return nil
 		}
 		t.restore(s)
-		// The copy's writer minds the snapshots that lie before it.
+		// The writer of the copy takes care of the snapshots that lie before it.
 		t.oldestNeeded = s.Next
 		return []Action{Restored{Next: t.Next}}
 	}
 	return nil
 }
 
-// restore replaces the table. Records that the snapshot's writer did not know
+// restore replaces the table by a snapshot's. Records that the writer of the snapshot did not know
 // are folded now if this version knows them.
 func (t *Table) restore(s state) {
 	passed := s.Skipped
@@ -208,20 +207,22 @@
 	t.Next, t.Digest = next, digest
 }
 
-// When a snapshot is due.
+// Conditions under which a snapshot is due.
 const (
-	// SnapshotAge is the age at which the newest snapshot is written again. The
-	// log keeps records for a limited time, at least a day, also when nobody
-	// edits anything: a quarter of that leaves three more tries.
+	// SnapshotAge is the age at which the newest snapshot is written again. The log keeps records
+	// for a limited time, at least a day, even if nobody edits anything. A quarter of that leaves
+	// three more tries.
 	SnapshotAge = 6 * time.Hour
-	// maxRecordsAfterSnapshot is how many records a new host folds at most before that.
+	// maxRecordsAfterSnapshot is how many records a new host folds at most before another snapshot
+	// is due.
 	maxRecordsAfterSnapshot = 512
-	// rankDelay is how long each host leaves the write to those before it.
+	// rankDelay is how long a host waits, for each host of lower rank, to let that host write the
+	// snapshot.
 	rankDelay = 3 * time.Second
 )
 
-// snapshotIfDue asks for a snapshot while what is needed to start a host lies in the
-// older half of what the log keeps, or the last one is old.
+// snapshotIfDue returns a snapshot to append if the records that a starting host needs begin in the
+// older half of the log, if too many records follow the last snapshot, or if that is too old.
 func (t *Table) snapshotIfDue(now time.Time, ev Tick) []Action {
 	if !t.needsSnapshot(now, ev.Oldest) {
 		t.dueSince = time.Time{}
@@ -237,7 +238,7 @@
 	if err != nil {
 		return nil
 	}
-	// The next try is due only after every host has had its turn.
+	// The next try is due only after every host had its turn.
 	t.dueSince = now.Add(rankDelay)
 	acts := make([]Action, len(records))
 	for i, b := range records {
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -1,6 +1,6 @@
-// Package table folds the operators' edits, read from the platform's log in
-// offset order, into the rows that are in force. Every host folds the same
-// records and so comes to the same rows without asking another host.
+// Package table folds the operators' edits, read from the platform's log in offset order, into the
+// rows that are in force. Every host folds the same records and therefore comes to the same rows
+// without asking another host.
 package table
 
 import (
@@ -15,21 +15,22 @@
 // Stream is the log stream that holds the edits.
 const Stream = "table"
 
-// Table is the fold of all edits up to an offset. It is not safe for
-// concurrent use; edges share copies made by Rows.
+// Table is the result of folding all edits up to an offset. It is not safe for concurrent use;
+// callers share copies of the rows.
 type Table struct {
 	state
 	damaged damage
 	history []HistoryEntry
-	// oldestNeeded is where the newest snapshot whose parts were all seen begins;
-	// zero when there is none, so that everything from offset 1 is oldestNeeded.
+	// oldestNeeded is the offset from which a starting host must read: the start of the newest
+	// snapshot of which all parts were read. It is zero if there is none, so that everything from
+	// offset 1 is needed.
 	oldestNeeded int64
 	snapshotTime time.Time
 	dueSince     time.Time
 	incomplete   map[int64]*partialSnapshot
 }
 
-// state is what a snapshot holds: all that later verdicts hang on.
+// state is the content of a snapshot: everything that later verdicts depend on.
 type state struct {
 	Next    int64            `json:"next"`
 	Digest  uint64           `json:"digest"`
@@ -40,14 +41,15 @@
 	byID    map[string]Verdict
 }
 
-// SkippedRecord is a record that this version does not know. It is kept in order and
-// goes into snapshots, so that a version that knows it does not miss it.
+// SkippedRecord is a record of a kind that this version does not know. It is kept in order and goes
+// into snapshots, so that a version that knows the kind does not miss it.
 type SkippedRecord struct {
 	Offset int64  `json:"offset"`
 	Body   []byte `json:"body"`
 }
 
-// damage is a record that could not be read, and how often it came so.
+// damage identifies a record that could not be read and counts how often it was read with the same
+// bytes.
 type damage struct {
 	offset int64
 	sum    uint64
@@ -56,15 +58,15 @@
 
 // Bounds of what is kept.
 const (
-	// maxVerdicts bounds the memory of verdicts. They are part of the fold: a
-	// record that was appended twice must be void for every reader, so every
-	// reader remembers equally many. At 2,900 edits a day this is eight hours.
+	// maxVerdicts bounds how many verdicts are remembered. They are part of the folded state: a
+	// record that was appended twice must be void for every reader, so every reader remembers
+	// equally many. At 2,900 edits a day this covers eight hours.
 	maxVerdicts = 1024
 	maxSkipped  = 256
 	maxHistory  = 256
-	// maxDamagedReads is how often a damaged record must come back with the same
-	// bytes before it is passed over. One damaged on its way to one host only
-	// would otherwise be missed by that host alone, and its table would differ.
+	// maxDamagedReads is how often a damaged record must be read with the same bytes before it is
+	// skipped. Otherwise a host that received a record damaged in transit would be the only one to
+	// miss it, and its table would differ from the others.
 	maxDamagedReads = 3
 )
 
@@ -76,9 +78,9 @@
 	}
 }
 
-// Step folds records. Entries below the next wanted offset are passed over, so
-// a record that is read twice or from two sources counts once, and an answer
-// that is out of date changes nothing.
+// Step applies an event and returns the resulting actions. Entries below the next wanted offset are
+// ignored, so that a record that is read twice or from two sources counts once, and an outdated
+// answer changes nothing.
 func (t *Table) Step(now time.Time, ev Event) []Action {
 	switch ev := ev.(type) {
 	case Records:
@@ -112,7 +114,7 @@
 	return acts
 }
 
-// fold takes the next entry; false leaves it to be read again.
+// fold applies the next entry. It returns false if the entry must be read again.
 func (t *Table) fold(now time.Time, e Entry) ([]Action, bool) {
 	if _, err := openRecord(e.Body); err != nil && !t.damageIsPermanent(e) {
 		return nil, false
@@ -152,7 +154,7 @@
 	t.Skipped = t.Skipped[max(0, len(t.Skipped)-maxSkipped):]
 }
 
-// updateDigest keeps one number that two hosts at the same offset can compare.
+// updateDigest adds a record to the digest, which two hosts at the same offset can compare.
 func (t *Table) updateDigest(body []byte) {
 	t.Digest = xxhash.Sum64String(fmt.Sprint(t.Digest, t.Next, xxhash.Sum64(body)))
 }
@@ -221,32 +223,32 @@
 	t.history = t.history[max(0, len(t.history)-maxHistory):]
 }
 
-// History lists the newest edits that this host has folded itself, oldest first.
+// History returns the newest edits that this host has folded itself, oldest first.
 func (t *Table) History() []HistoryEntry { return slices.Clone(t.history) }
 
-// SkippedRecords lists the records that this version does not know, oldest first.
+// SkippedRecords returns the records that this version does not know, oldest first.
 func (t *Table) SkippedRecords() []SkippedRecord { return slices.Clone(t.Skipped) }
 
-// NextOffset returns the offset that the table waits for.
+// NextOffset returns the offset of the next record that the table folds.
 func (t *Table) NextOffset() int64 { return t.Next }
 
-// Fingerprint returns the number that is equal on all hosts at one offset.
+// Fingerprint returns a digest of all folded records. It is equal on all hosts at the same offset.
 func (t *Table) Fingerprint() uint64 { return t.Digest }
 
-// Row returns a row and its version; the version is zero for an unknown row.
+// Row returns a row and its version. The version is zero for an unknown row.
 func (t *Table) Row(name string) (Row, int64) {
 	v := t.Rows[name]
 	return v.Row, v.Version
 }
 
-// Verdict returns what became of an edit, false if it was not seen.
+// Verdict returns the verdict on an edit, and false if the edit was not seen.
 func (t *Table) Verdict(id string) (Verdict, bool) {
 	j, ok := t.byID[id]
 	return j, ok
 }
 
-// Preview tells what would make an edit void whatever its base, before
-// anything is written. The error is a cell.ValueError.
+// Preview returns a cell.ValueError if an edit would be void whatever its base version. It allows
+// checking an edit before it is written.
 func (t *Table) Preview(e Edit) error {
 	if e.Drop {
 		return nil
@@ -261,7 +263,7 @@
 	Version int64 `json:"version"`
 }
 
-// Lines lists all rows in order of name.
+// Lines returns all rows, sorted by name.
 func (t *Table) Lines() []Line {
 	lines := make([]Line, 0, len(t.Rows))
 	for _, name := range slices.Sorted(maps.Keys(t.Rows)) {
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -23,8 +23,8 @@
 	return table.Entry{Offset: offset, Body: b}
 }
 
-// Two operators open the same row and both save. The slower one must be told
-// that it lost; a user would otherwise see an accepted limit vanish.
+// Two operators open the same row and both save. The slower one must learn that the edit was
+// rejected; otherwise a user would see an accepted limit vanish.
 func TestLaterOfTwoRacingEditsIsVoid(t *testing.T) {
 	tab := table.New()
 	tab.Step(time.Time{}, table.Records{Entries: []table.Entry{
@@ -39,8 +39,8 @@
 	require.False(t, j.Accepted)
 }
 
-// A log answer is lost and the host appends the same edit again. The operator
-// must see one change, not two.
+// The log's reply to an append is lost and the host appends the same edit again. The operator must
+// see one change, not two.
 func TestEditAppendedTwiceCountsOnce(t *testing.T) {
 	tab := table.New()
 	e := table.Edit{ID: "a", Row: "scan", Fields: json.RawMessage(`{"weight":4}`)}
@@ -72,9 +72,8 @@
 	}
 }
 
-// An operator gives a bulk row a huge weight by mistake. Rows of the same class
-// would wait for hours; the edit must be void for every reader, and refused
-// before it is written.
+// An operator gives a bulk row a huge weight by mistake. Rows of the same class would wait for
+// hours. The edit must be void for every reader, and must be rejected before it is written.
 func TestWeightThatStarvesARowIsRefused(t *testing.T) {
 	tab := table.New()
 	var entries []table.Entry
@@ -92,9 +91,9 @@
 	require.NoError(t, tab.Preview(low))
 }
 
-// A record is damaged on its way to one host. Passing it over would leave this
-// host alone without an accepted edit, so it must be read again; one that the
-// log itself holds damaged must not stop every host for good.
+// A record is damaged in transit to one host. If that host skipped it, it alone would miss an
+// accepted edit, so it must read the record again. A record that is damaged in the log itself must
+// not stop every host forever.
 func TestDamagedRecordIsReadAgainBeforeItIsPassedOver(t *testing.T) {
 	good := entry(t, 1, table.Edit{ID: "a", Row: "scan"})
 	bad := table.Entry{Offset: 1, Body: bytes.Replace(good.Body, []byte("scan"), []byte("spam"), 1)}
@@ -111,9 +110,9 @@
 	require.Empty(t, stuck.Lines())
 }
 
-// The log answers with a page that lacks records in between, or with one that
-// ends before what was already seen. A host that folded it would work by other
-// limits than all others, and an accepted edit would revert.
+// The log returns a page that lacks records in between, or one that ends before a record that was
+// already read. A host that folded such a page would apply other limits than all other hosts, and
+// an accepted edit would be reverted.
 func TestGapAndOldAnswerChangeNothing(t *testing.T) {
 	first := entry(t, 1, table.Edit{ID: "a", Row: "scan"})
 	second := entry(t, 2, table.Edit{ID: "b", Row: "scan", Base: 1, Fields: json.RawMessage(`{"weight":2}`)})
@@ -129,9 +128,9 @@
 	require.Equal(t, int64(3), version)
 }
 
-// A newer host writes a record that this version does not know. Stopping there
-// would freeze this host's table; losing it in a snapshot would take it away
-// from the newer hosts that start from that snapshot.
+// A newer host writes a record that this version does not know. Stopping there would freeze this
+// host's table. Losing the record in a snapshot would hide it from newer hosts that start from that
+// snapshot.
 func TestUnknownRecordIsPassedOverAndKept(t *testing.T) {
 	b, err := json.Marshal(map[string]any{"kind": "later", "sum": xxhash.Sum64String("later\x00{}"), "body": map[string]any{}})
 	require.NoError(t, err)
@@ -147,8 +146,8 @@
 	require.Equal(t, []table.SkippedRecord{{Offset: 1, Body: b}}, other.SkippedRecords())
 }
 
-// An accepted edit's record comes a second time after the row was dropped and
-// a host has started from a snapshot. The row must not come back there.
+// The record of an accepted edit is read a second time, after the row was dropped and after a host
+// started from a snapshot. The row must not reappear there.
 func TestSnapshotKeepsTheVerdictsThatLaterRecordsHangOn(t *testing.T) {
 	e := table.Edit{ID: "a", Row: "scan"}
 	tab, other := table.New(), table.New()
@@ -162,15 +161,15 @@
 	}
 }
 
-// withSnapshotAppended puts a snapshot's record at the end, as when its writer was slow.
+// withSnapshotAppended appends a snapshot's record at the end, as a slow writer does.
 func withSnapshotAppended(rest []table.Entry, snapshot []byte) []table.Entry {
 	last := rest[len(rest)-1]
 	return append(rest, table.Entry{Offset: last.Offset + 1, Body: snapshot})
 }
 
-// A host was cut off for longer than the log keeps records. It starts from the
-// newest snapshot in what is left; when that does not reach, it keeps the table
-// that it has and asks the peers.
+// A host was cut off for longer than the log keeps records. It starts from the newest snapshot in
+// the remaining records. If that does not cover the missing records, it keeps its table and asks
+// the peers.
 func TestHostBehindATrimStartsFromTheSnapshot(t *testing.T) {
 	log, tab := newLog(t), table.New()
 	for i := range 20 {
@@ -186,38 +185,38 @@
 	tab.Step(now, table.Records{Entries: log.all})
 
 	behind := table.New()
-	require.Equal(t, table.SnapshotMissing{Want: 1}, behind.Step(now, table.TrimmedLog{Entries: log.all[21:]})[0], "the snapshot itself is gone")
+	require.Equal(t, table.SnapshotMissing{Want: 1}, behind.Step(now, table.TrimmedLog{Entries: log.all[21:]})[0], "the log no longer holds the snapshot")
 	require.Equal(t, table.SnapshotMissing{Want: 1}, behind.Step(now, table.TrimmedLog{})[0])
 	require.Equal(t, table.Restored{Next: 21}, behind.Step(now, table.TrimmedLog{Entries: log.all[20:]})[0])
 	require.Equal(t, tab.Lines(), behind.Lines())
 	require.Equal(t, tab.Fingerprint(), behind.Fingerprint())
 	log.all = append(log.all[:20:20], log.all[21:]...)
-	require.Equal(t, table.SnapshotMissing{Want: 1}, table.New().Step(now, table.TrimmedLog{Entries: withSnapshotAppended(log.all[20:], parts[0])})[0], "a record after the snapshot's offset is gone")
-	require.Empty(t, behind.Step(now, table.PeerCopy{Parts: parts}), "an older copy does not take it back")
+	require.Equal(t, table.SnapshotMissing{Want: 1}, table.New().Step(now, table.TrimmedLog{Entries: withSnapshotAppended(log.all[20:], parts[0])})[0], "a record after the offset of the snapshot is missing")
+	require.Empty(t, behind.Step(now, table.PeerCopy{Parts: parts}), "an older copy must not replace a newer table")
 	require.Equal(t, int64(23), behind.NextOffset())
 }
 
-// The log trims the only snapshot, or all records grow old because nobody
-// edits. A host that starts then has no table. So one is written in time, and
-// not by all hosts at once.
+// The log trims the only snapshot, or all records grow old because nobody edits. A host that starts
+// afterwards would have no table. Therefore a snapshot must be written in time, and not by all
+// hosts at once.
 func TestSnapshotIsDueWellBeforeTheTrim(t *testing.T) {
 	log, tab := newLog(t), table.New()
 	for range 20 {
 		log.edit("scan")
 	}
 	tab.Step(now, table.Records{Entries: log.all})
-	require.Empty(t, tab.Step(now, table.Tick{Oldest: 1}), "nothing is trimmed yet")
-	require.Empty(t, tab.Step(now, table.Tick{Oldest: 5, Rank: 1}), "the first host's turn")
+	require.Empty(t, tab.Step(now, table.Tick{Oldest: 1}), "no record is trimmed yet")
+	require.Empty(t, tab.Step(now, table.Tick{Oldest: 5, Rank: 1}), "the host of rank 0 writes first")
 	require.NotEmpty(t, tab.Step(now, table.Tick{Oldest: 5}))
-	require.Empty(t, tab.Step(now, table.Tick{Oldest: 5}), "it is on its way")
+	require.Empty(t, tab.Step(now, table.Tick{Oldest: 5}), "the snapshot was already requested")
 	acts := tab.Step(now.Add(10*time.Second), table.Tick{Oldest: 5, Rank: 1})
-	require.NotEmpty(t, acts, "the first host did not write it")
+	require.NotEmpty(t, acts, "the host of rank 0 did not write the snapshot")
 	for _, a := range acts {
 		log.add(a.(table.Append).Body)
 	}
 	tab.Step(now, table.Records{Entries: log.all})
 	require.Empty(t, tab.Step(now, table.Tick{Oldest: 5}))
-	require.NotEmpty(t, tab.Step(now.Add(table.SnapshotAge+time.Second), table.Tick{Oldest: 5}), "the snapshot has grown old")
+	require.NotEmpty(t, tab.Step(now.Add(table.SnapshotAge+time.Second), table.Tick{Oldest: 5}), "the snapshot is older than SnapshotAge")
 	for range 600 {
 		log.edit("scan")
 	}
@@ -226,5 +225,5 @@
 	tab.Step(now, table.Records{Entries: log.all[:22]})
 	require.Empty(t, tab.Step(now, table.Tick{Oldest: 1}))
 	tab.Step(now, table.Records{Entries: log.all})
-	require.NotEmpty(t, tab.Step(now, table.Tick{Oldest: 1}), "many records since")
+	require.NotEmpty(t, tab.Step(now, table.Tick{Oldest: 1}), "many records follow the snapshot")
 }
