--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -13,7 +13,7 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Fault is one thing that is wrong with a settings file.
+// Fault is one error in a settings file.
 type Fault struct {
 	File    string
 	Line    int
@@ -26,7 +26,7 @@
 	return fmt.Sprintf("%s:%d: %s is %s, allowed is %s", f.File, f.Line, f.Key, f.Found, f.Allowed)
 }
 
-// Faults are all things that are wrong with a settings file, by line.
+// Faults are all errors in a settings file, sorted by line.
 type Faults []Fault
 
 func (f Faults) Error() string {
@@ -39,7 +39,7 @@
 
 const missing = "missing"
 
-// reader looks values up by dotted key and gathers faults as it goes.
+// reader looks up values by dotted key and collects faults.
 type reader struct {
 	path   string
 	values map[string]any
@@ -84,7 +84,7 @@
 	}
 }
 
-// keyLines finds the line of each key, by the same dotted names as flatten.
+// keyLines returns the line of each key, under the same dotted names as flatten.
 func keyLines(text []byte) map[string]int {
 	lines := map[string]int{}
 	counts := map[string]int{}
@@ -145,32 +145,32 @@
 	}
 	s, ok := v.(string)
 	if !ok {
-		r.addFault(key, fmt.Sprint(v), "a text")
+		r.addFault(key, fmt.Sprint(v), "a string")
 	}
 	return s
 }
 
 func (r *reader) word(key string) string {
 	if _, ok := r.lookup(key); !ok {
-		r.addFault(key, missing, "a word")
+		r.addFault(key, missing, "a word without spaces or slashes")
 		return ""
 	}
 	s := r.text(key, "")
 	if strings.ContainsAny(s, " \t/") || s == "" {
-		r.addFault(key, fmt.Sprintf("%q", s), "a word")
+		r.addFault(key, fmt.Sprintf("%q", s), "a word without spaces or slashes")
 	}
 	return s
 }
 
 func (r *reader) address(key string) netip.AddrPort {
 	if _, ok := r.lookup(key); !ok {
-		r.addFault(key, missing, "an IP number and a port")
+		r.addFault(key, missing, "an IP address and a port")
 		return netip.AddrPort{}
 	}
 	s := r.text(key, "")
 	a, err := netip.ParseAddrPort(s)
 	if err != nil {
-		r.addFault(key, fmt.Sprintf("%q", s), "an IP number and a port")
+		r.addFault(key, fmt.Sprintf("%q", s), "an IP address and a port")
 	}
 	return a
 }
@@ -182,7 +182,7 @@
 	}
 	n, ok := v.(int64)
 	if !ok || n < 1 {
-		r.addFault(key, fmt.Sprint(v), "a whole number from 1")
+		r.addFault(key, fmt.Sprint(v), "a positive integer")
 	}
 	return n
 }
@@ -191,7 +191,7 @@
 	return r.durationFrom(key, time.Nanosecond, or)
 }
 
-// durationFrom reads a time that is not below least.
+// durationFrom reads a duration that must be at least least.
 func (r *reader) durationFrom(key string, least, or time.Duration) time.Duration {
 	s := r.text(key, or.String())
 	d, err := time.ParseDuration(s)
@@ -235,7 +235,7 @@
 func (r *reader) rejectUnknown() {
 	for _, key := range slices.Sorted(maps.Keys(r.values)) {
 		if !r.read[key] {
-			r.addFault(key, "not known", "a key of the settings page")
+			r.addFault(key, "unknown", "a key of the settings page")
 		}
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -14,7 +14,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Settings are those of one entry host.
+// Settings are the settings of one entry host.
 type Settings struct {
 	Name     string
 	Domain   string
@@ -28,7 +28,7 @@
 	Log      string
 }
 
-// Listen are the addresses that a host serves.
+// Listen holds the addresses that a host listens on.
 type Listen struct {
 	Caller, Operator, Peer netip.AddrPort
 }
@@ -39,47 +39,46 @@
 	Address      netip.AddrPort
 }
 
-// Operator says who may use the operators' listener.
+// Operator holds the token that clients of the operators' listener must present.
 type Operator struct{ Token string }
 
-// TLS names the PEM files for links between hosts and to operators: this host's
-// certificate, its key, and the authorities that it trusts. Without them links
-// are plain.
+// TLS names the PEM files for connections between hosts and to operators: this host's certificate,
+// its key, and the certificate authorities that it trusts. Without them connections are not
+// encrypted.
 type TLS struct{ Cert, Key, CA string }
 
-// Limits bound what one host takes in.
+// Limits bound the load that one host accepts.
 type Limits struct {
-	// Body is the largest request or answer body in bytes.
+	// Body is the largest request or reply body in bytes.
 	Body int64
 	// Queue is how many requests may wait.
 	Queue int64
-	// Deadline is the longest that a caller may ask to wait.
+	// Deadline is the longest time that a caller may ask to wait.
 	Deadline time.Duration
-	// StartupWait is how long a started host waits before it uses its share of the
-	// backend servers: until what a former process of its name sent has ended.
-	// It may be 0s only when the whole cell starts for the first time.
+	// StartupWait is how long a started host waits before it uses its share of the backend servers,
+	// so that requests sent by a previous process of the same name have ended. It may be 0s only
+	// when the whole cell starts for the first time.
 	StartupWait time.Duration
-	// Conns is how many connections each listener for callers and operators
-	// holds; Memory how many bytes of callers' requests the host holds.
+	// Conns is how many connections each listener for callers and operators accepts at a time.
+	// Memory is how many bytes of callers' requests the host holds.
 	Conns, Memory int64
-	// ShutdownDelay is how long a stopping host goes on taking callers after it has
-	// turned not ready: as long as the balancer may take to notice. Zero closes
-	// at once.
+	// ShutdownDelay is how long a stopping host still accepts callers after it reports that it is
+	// not ready: the time that the load balancer may need to notice. Zero closes at once.
 	ShutdownDelay time.Duration
-	// DrainTimeout bounds a planned stop.
+	// DrainTimeout bounds the duration of a planned stop.
 	DrainTimeout time.Duration
 }
 
-// Trace says where spans go; at most one of both is set.
+// Trace configures where spans are sent. At most one of the fields is set.
 type Trace struct {
 	File     string
 	Endpoint string
 }
 
-// Defaults for keys that a file leaves out.
+// Defaults for keys that are missing from a file.
 const (
 	DefaultBody = 1 << 20
-	// MaxBody in base64 still goes into one message between hosts.
+	// MaxBody in base64 still fits into one message between hosts.
 	MaxBody              = 4 << 20
 	DefaultQueue         = 4096
 	DefaultDeadline      = time.Minute
@@ -90,7 +89,7 @@
 	DefaultLog           = "info"
 )
 
-// Load reads a settings file. All faults come back at once, as Faults.
+// Load reads a settings file. It returns all errors in the file at once, as Faults.
 func Load(path string) (Settings, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -99,7 +98,7 @@
 	return Parse(path, b)
 }
 
-// Parse reads settings from text; path is only for the faults.
+// Parse reads settings from text. The path only appears in the faults.
 func Parse(path string, text []byte) (Settings, error) {
 	r, fault := newReader(path, text)
 	if fault != nil {
@@ -115,7 +114,7 @@
 	return s, nil
 }
 
-// Keys lists every key that a settings file may hold, in order.
+// Keys returns every key that a settings file may hold, sorted.
 func Keys() []string {
 	r := &reader{values: map[string]any{peerKey(0, "name"): ""}, lines: map[string]int{}, read: map[string]bool{}}
 	read(r)
@@ -153,11 +152,11 @@
 
 func (s Settings) check(r *reader) {
 	if s.Trace.File != "" && s.Trace.Endpoint != "" {
-		r.addFault("trace.endpoint", s.Trace.Endpoint, "nothing while trace.file is set")
+		r.addFault("trace.endpoint", s.Trace.Endpoint, "no value while trace.file is set")
 	}
 	for key, path := range map[string]string{"tls.cert": s.TLS.Cert, "tls.key": s.TLS.Key, "tls.ca": s.TLS.CA} {
 		if path == "" && s.TLS != (TLS{}) {
-			r.addFault(key, missing, "a file, as for the other two")
+			r.addFault(key, missing, "a file, because the other TLS keys are set")
 		}
 	}
 	seen := map[string]bool{s.Name: true}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -35,14 +35,13 @@
 	require.NoError(t, err)
 	require.Equal(t, "nord-1", s.Name)
 	require.Equal(t, 5*time.Second, s.Limits.Deadline)
-	require.Equal(t, 5*time.Second, s.Limits.StartupWait, "a former process can have sent what takes the whole deadline")
+	require.Equal(t, 5*time.Second, s.Limits.StartupWait, "a previous process may have sent requests that take the whole deadline")
 	require.Equal(t, "nord-2", s.Peers[0].Name)
 	require.Equal(t, int64(settings.DefaultBody), s.Limits.Body)
 }
 
-// An operator mistypes several keys at night. All of them are shown at once
-// with their lines; a host that started with half its settings would serve
-// with limits that nobody chose.
+// An operator mistypes several keys. All of them must be reported at once with their lines: a host
+// that started with half of its settings would serve with limits that nobody chose.
 func TestParseTellsEveryFaultWithItsLine(t *testing.T) {
 	text := `name = "nord 1"
 domain = "halle-nord"
@@ -75,7 +74,7 @@
 	require.Equal(t, want, got)
 }
 
-// A body that no message between hosts can carry would end as unknown whenever
+// A body that does not fit into a message between hosts would end with the outcome unknown whenever
 // a peer has to help.
 func TestParseRefusesABodyThatPeersCannotCarry(t *testing.T) {
 	_, err := settings.Parse("a.toml", []byte(strings.Replace(good, "[limits]", "[limits]\nbody = 5000000", 1)))
