--- a/internal/sheet/sheet.go
+++ b/internal/sheet/sheet.go
@@ -1,5 +1,5 @@
-// Package sheet writes the table as a TOML file that operators edit and reads
-// back which rows they changed.
+// Package sheet writes the table as a TOML file that operators edit, and determines which rows they
+// changed when it reads the file back.
 package sheet
 
 import (
@@ -17,9 +17,9 @@
 	"pollencroft/internal/cell"
 )
 
-// Keys of a row in the file that are no columns. Seen is a sum over the row as
-// it was dumped: without it, a row that another operator has changed meanwhile
-// would look as if this one had changed it back.
+// Keys of a row in the file that are not columns. The key "seen" holds a checksum of the row as it
+// was dumped. Without it, a row that another operator has changed in the meantime would look as if
+// this operator had changed it back.
 const (
 	keyVersion  = "version"
 	keyChecksum = "seen"
@@ -27,11 +27,11 @@
 	keyName     = "name"
 )
 
-// Row is one row's columns as JSON values.
+// Row holds the columns of one row as JSON values.
 type Row map[string]any
 
-// Change is one row that the operator changed in the file. Version is the one
-// that was dumped, zero for a new row.
+// Change is one row that the operator changed in the file. Version is the version that was dumped,
+// zero for a new row.
 type Change struct {
 	Row     string
 	Version int64
@@ -44,7 +44,7 @@
 
 `
 
-// Dump writes the table, given as the JSON of its rows.
+// Dump encodes the table, given as the JSON of its rows, as a TOML file.
 func Dump(rows []json.RawMessage) ([]byte, error) {
 	all := map[string]Row{}
 	for _, raw := range rows {
@@ -66,8 +66,8 @@
 	return b.Bytes(), errors.Wrap(err, "write table as TOML")
 }
 
-// decodeRow keeps whole numbers whole; a plain decode would turn 2^40 bytes into a
-// number with a point, which the table refuses.
+// decodeRow decodes a row and keeps whole numbers as integers. A plain decode would turn 2^40 bytes
+// into a floating-point number, which the table rejects.
 func decodeRow(raw json.RawMessage) (Row, error) {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.UseNumber()
@@ -100,8 +100,8 @@
 	return strconv.FormatUint(xxhash.Sum64(b), 36)
 }
 
-// Changes lists the rows of a file that differ from what was dumped, in order
-// of name. Errors in the file are cell.ValueErrors or toml's with the line.
+// Changes returns the rows of a file that differ from what was dumped, sorted by name. Errors in
+// the file are cell.ValueErrors or TOML errors with the line.
 func Changes(text []byte) ([]Change, error) {
 	var file struct {
 		Rows map[string]Row `toml:"rows"`
@@ -141,14 +141,14 @@
 	return c, c.Drop || row[keyChecksum] != checksum(c.Fields), nil
 }
 
-// Difference is one column with the value that was wanted and the one in force.
+// Difference is one column with the value that the operator wanted and the value in force.
 type Difference struct {
 	Column          string
 	Wanted, Current any
 }
 
-// Compare lists the columns in which a lost change differs from the row in
-// force, given as JSON, null when the row is gone.
+// Compare returns the columns in which a rejected change differs from the row in force. The row is
+// given as JSON, null if it no longer exists.
 func (c Change) Compare(theirs json.RawMessage) ([]Difference, error) {
 	row, err := decodeRow(theirs)
 	if err != nil {
--- a/internal/sheet/sheet_test.go
+++ b/internal/sheet/sheet_test.go
@@ -23,8 +23,8 @@
 	return string(b)
 }
 
-// An operator changes one cell of the dumped table and sends it back. Only this
-// row may be sent: sending the others would undo what colleagues changed since.
+// An operator changes one cell of the dumped table and sends it back. Only this row may be sent:
+// sending the others would undo changes that colleagues made since the dump.
 func TestOnlyChangedRowsAreSent(t *testing.T) {
 	text := dump(t)
 	all, err := sheet.Changes([]byte(text))
