--- a/internal/story/story.go
+++ b/internal/story/story.go
@@ -1,5 +1,5 @@
-// Package story puts together from the hosts' log lines what became of one
-// request or job, over several hosts and in order of time.
+// Package story assembles the timeline of one request or job from the log lines of several hosts,
+// in order of time.
 package story
 
 import (
@@ -16,26 +16,26 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Line is one log line that names the id.
+// Line is one log line that mentions the id.
 type Line struct {
 	At time.Time
-	// From is what stood before the line's JSON, such as the host's name.
+	// From is the text before the line's JSON, such as the name of the host.
 	From    string
 	Message string
-	// Fields are the line's attributes in order of name.
+	// Fields are the attributes of the line, sorted by name.
 	Fields []string
 }
 
-// String returns the line for a reader.
+// String formats the line for display.
 func (l Line) String() string {
 	return fmt.Sprintf("%s %s %s %s", l.At.Format("15:04:05.000"), l.From, l.Message, strings.Join(l.Fields, " "))
 }
 
-// maxLineLength bounds one line of a log.
+// maxLineLength bounds the length of one log line.
 const maxLineLength = 1 << 20
 
-// Read returns the lines that name the id, a task or a step of it, by time.
-// Lines that are no log lines are passed over.
+// Read returns the lines that mention the id, or a task or step of it, in order of time. Input
+// lines that are not log lines are skipped.
 func Read(r io.Reader, id string) ([]Line, error) {
 	var all []Line
 	s := bufio.NewScanner(r)
@@ -64,7 +64,7 @@
 	l := Line{From: strings.TrimSpace(string(b[:i]))}
 	l.Message, _ = fields["msg"].(string)
 	if at, ok := fields["time"].(string); ok {
-		// A line without a readable time comes first.
+		// A line without a valid time sorts first.
 		l.At, _ = time.Parse(time.RFC3339Nano, at)
 	}
 	for _, k := range slices.Sorted(maps.Keys(fields)) {
@@ -77,7 +77,7 @@
 	return l, true
 }
 
-// mentions tells whether a line is about the id, a step or a task of it.
+// mentions reports whether a line is about the id, or about a step or task of it.
 func mentions(fields map[string]any, id string) bool {
 	for _, k := range []string{"id", "step"} {
 		if v, ok := fields[k].(string); ok && (v == id || strings.HasPrefix(v, id+".")) {
