--- a/internal/trail/trail.go
+++ b/internal/trail/trail.go
@@ -1,5 +1,5 @@
-// Package trail keeps a bounded record of decisions, so that an operator can
-// ask why a job or request waits, where it was tried and what was refused.
+// Package trail keeps a bounded history of decisions, so that an operator can find out why a job or
+// request waits, where it was tried and what was refused.
 package trail
 
 import (
@@ -16,7 +16,7 @@
 	Message   string    `json:"what"`
 }
 
-// Trail is a ring of the newest notes. It is safe for concurrent use.
+// Trail is a ring buffer of the newest notes. It is safe for concurrent use.
 type Trail struct {
 	mu    sync.Mutex
 	notes []Note
@@ -26,7 +26,7 @@
 // New returns a trail that keeps the newest size notes.
 func New(size int) *Trail { return &Trail{notes: make([]Note, 0, size)} }
 
-// Add keeps one note and drops the oldest when full.
+// Add stores a note and drops the oldest one if the trail is full.
 func (t *Trail) Add(n Note) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -38,8 +38,8 @@
 	t.next = (t.next + 1) % len(t.notes)
 }
 
-// Merge adds notes that another host made, without those that are here already:
-// a hand-over whose answer was lost brings them twice.
+// Merge adds the notes of another host, except those that are already present: a handover that is
+// repeated because its reply was lost delivers them twice.
 func (t *Trail) Merge(notes []Note) {
 	for _, n := range notes {
 		known := func(o Note) bool { return o.At.Equal(n.At) && o.Message == n.Message }
@@ -49,7 +49,7 @@
 	}
 }
 
-// Excerpt returns at most n notes about one id: the first and the last ones.
+// Excerpt returns at most n notes about one id: the first one and the last ones.
 func (t *Trail) Excerpt(id string, n int) []Note {
 	all := t.ByID(id)
 	if len(all) <= n {
--- a/internal/trail/trail_test.go
+++ b/internal/trail/trail_test.go
@@ -14,9 +14,9 @@
 	return trail.Note{At: time.Unix(int64(at), 0), ID: id, Component: "lead", Message: fmt.Sprint("note ", at)}
 }
 
-// A job changes its lead, and the answer to the hand-over is lost, so that it
-// comes twice. The operator who asks why the job waits must see what was decided
-// before, each decision once and in order.
+// A job moves to another leader, and the reply to the handover is lost, so that the handover is
+// repeated. An operator who asks why the job waits must see the earlier decisions, each once and in
+// order.
 func TestNotesOfAFormerLeadAreMergedOnce(t *testing.T) {
 	old, heir := trail.New(100), trail.New(100)
 	for i := range 20 {
