--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,6 +1,5 @@
-// Package logs writes logs that never hold up what they tell of: lines go
-// through a buffer to a writer of their own, and what is more than its budget is
-// counted instead of written.
+// Package logs writes logs without ever blocking the code that logs. Lines go through a buffer to a
+// writer goroutine, and lines beyond their rate limit are counted instead of written.
 package logs
 
 import (
@@ -13,19 +12,18 @@
 )
 
 const (
-	// maxBufferedLines is how many lines wait for a reader that is slow: a few seconds of
-	// a busy host's lines.
+	// maxBufferedLines is how many lines wait for a slow reader: a few seconds of a busy host's
+	// log.
 	maxBufferedLines = 1024
-	// linesPerSecond and burst are lines a second of one kind, by its message. A host with
-	// 0.4 of a core writes a line in about 10 µs; all kinds together then stay
-	// below a hundredth of it.
+	// linesPerSecond and burst limit the lines with the same message. A host with 0.4 of a core
+	// writes a line in about 10 µs, so all messages together use less than a hundredth of the core.
 	linesPerSecond = 40
 	burst          = 120
-	// reportInterval is how often what was left out is told.
+	// reportInterval is how often the number of suppressed lines is logged.
 	reportInterval = 10 * time.Second
 )
 
-// Writer passes lines on without waiting.
+// Writer writes lines in the background, so that its callers never wait.
 type Writer struct {
 	lines   chan []byte
 	out     io.Writer
@@ -33,7 +31,7 @@
 	done    chan struct{}
 }
 
-// NewWriter starts a writer to out.
+// NewWriter starts a goroutine that writes to out.
 func NewWriter(out io.Writer) *Writer {
 	w := &Writer{lines: make(chan []byte, maxBufferedLines), out: out, done: make(chan struct{})}
 	go w.run()
@@ -43,12 +41,12 @@
 func (w *Writer) run() {
 	defer close(w.done)
 	for b := range w.lines {
-		// Nobody can be told that the log cannot be written.
+		// A failure to write the log cannot be reported anywhere.
 		_, _ = w.out.Write(b)
 	}
 }
 
-// Write takes one line, or counts it as dropped when too many wait.
+// Write queues one line, or counts it as dropped if the buffer is full.
 func (w *Writer) Write(b []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), b...):
@@ -58,10 +56,11 @@
 	return len(b), nil
 }
 
-// Dropped is how many lines had no place.
+// Dropped returns how many lines were dropped because the buffer was full.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
-// Close writes what waits, for at most the given time. No line may come after.
+// Close writes the queued lines and waits for that at most the given time. Write must not be called
+// afterwards.
 func (w *Writer) Close(wait time.Duration) {
 	close(w.lines)
 	select {
@@ -70,8 +69,7 @@
 	}
 }
 
-// Handler keeps each kind of line within its budget. Warnings and errors always
-// pass.
+// Handler limits the rate of lines with the same message. Warnings and errors always pass.
 type Handler struct {
 	slog.Handler
 	limiter *limiter
@@ -90,16 +88,16 @@
 	at     time.Time
 }
 
-// NewHandler bounds what h gets.
+// NewHandler returns a handler that passes lines within their rate limit to h.
 func NewHandler(h slog.Handler, now func() time.Time) *Handler {
 	return &Handler{Handler: h, limiter: &limiter{now: now, buckets: map[string]*bucket{}, lastReport: now()}}
 }
 
-// Handle writes the line or counts it.
+// Handle passes the line on, or counts it as suppressed.
 func (h *Handler) Handle(ctx context.Context, r slog.Record) error {
 	pass, left := h.limiter.allow(r)
 	if left > 0 {
-		more := slog.NewRecord(r.Time, slog.LevelWarn, "log: lines were left out.", 0)
+		more := slog.NewRecord(r.Time, slog.LevelWarn, "log: lines were suppressed.", 0)
 		more.AddAttrs(slog.Int64("lines", left))
 		if err := h.Handler.Handle(ctx, more); err != nil {
 			return err
@@ -111,12 +109,12 @@
 	return h.Handler.Handle(ctx, r)
 }
 
-// WithAttrs returns a handler with more attributes and the same budgets.
+// WithAttrs returns a handler with more attributes that shares the rate limits.
 func (h *Handler) WithAttrs(attrs []slog.Attr) slog.Handler {
 	return &Handler{Handler: h.Handler.WithAttrs(attrs), limiter: h.limiter}
 }
 
-// WithGroup returns a handler with a group and the same budgets.
+// WithGroup returns a handler with a group that shares the rate limits.
 func (h *Handler) WithGroup(name string) slog.Handler {
 	return &Handler{Handler: h.Handler.WithGroup(name), limiter: h.limiter}
 }
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -13,8 +13,8 @@
 	"pollencroft/internal/logs"
 )
 
-// Whoever reads the log has stopped. A decision that waited for its line would
-// stop with it.
+// The reader of the log has stopped. A decision that waited for its log line to be written would
+// stop, too.
 func TestAReaderThatStopsHoldsUpNothing(t *testing.T) {
 	r, out := io.Pipe()
 	w := logs.NewWriter(out)
@@ -28,15 +28,15 @@
 	select {
 	case <-done:
 	case <-time.After(time.Minute):
-		t.Fatal("writing waits for the reader")
+		t.Fatal("Write blocks while the reader has stopped")
 	}
 	require.Positive(t, w.Dropped())
 	require.NoError(t, r.Close())
 	w.Close(time.Minute)
 }
 
-// A flood of one kind of line is cut to its budget and told of; other kinds,
-// warnings and errors still pass.
+// A flood of lines with the same message is cut to its rate limit and the cut is reported. Other
+// messages, warnings and errors still pass.
 func TestAFloodStaysWithinItsBudget(t *testing.T) {
 	now := time.Unix(0, 0)
 	var buf bytes.Buffer
@@ -52,5 +52,5 @@
 	text := buf.String()
 	require.LessOrEqual(t, strings.Count(text, "msg=flood"), 120+10*40+1)
 	require.Equal(t, 2, strings.Count(text, "msg=other"))
-	require.Contains(t, text, "lines were left out")
+	require.Contains(t, text, "lines were suppressed")
 }
