--- a/internal/spans/export.go
+++ b/internal/spans/export.go
@@ -14,12 +14,12 @@
 	sdk "go.opentelemetry.io/otel/sdk/trace"
 )
 
-// flushTimeout bounds how long the last spans may take to be written.
+// flushTimeout bounds how long exporting the last spans may take.
 const flushTimeout = 2 * time.Second
 
-// Export sends all spans of this process to a file or to an OTLP endpoint
-// such as http://127.0.0.1:4318; with neither, spans are not kept. The
-// returned function flushes what is left.
+// Export sends all spans of this process to a file or to an OTLP endpoint such as
+// http://127.0.0.1:4318. With neither, spans are not recorded. The returned function flushes the
+// remaining spans.
 func Export(host, file, endpoint string) (func(), error) {
 	exp, closeFile, err := exporter(file, endpoint)
 	if err != nil {
--- a/internal/spans/spans.go
+++ b/internal/spans/spans.go
@@ -1,5 +1,5 @@
-// Package spans makes a trace span for each hop of a request: caller, host,
-// peer, minion or worker.
+// Package spans creates a trace span for each hop of a request: caller, host, peer, backend server
+// or worker.
 package spans
 
 import (
@@ -15,7 +15,7 @@
 
 var propagator = propagation.TraceContext{}
 
-// Start begins the span of one hop; the returned function ends it.
+// Start starts the span of one hop. The returned function ends it.
 func Start(ctx context.Context, hop, id string) (context.Context, func()) {
 	ctx, span := otel.Tracer(tracerName).Start(ctx, hop, trace.WithAttributes(attribute.String("id", id)))
 	return ctx, func() { span.End() }
@@ -28,7 +28,7 @@
 	return c["traceparent"]
 }
 
-// ContinueTrace continues the trace that the hop before began.
+// ContinueTrace continues the trace of the previous hop.
 func ContinueTrace(ctx context.Context, parent string) context.Context {
 	return propagator.Extract(ctx, propagation.MapCarrier{"traceparent": parent})
 }
