--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -9,8 +9,8 @@
 	"pollencroft/pkg/client"
 )
 
-// The audit itself must see each kind of broken promise; a count that cannot
-// rise would let every test pass.
+// The audit must detect each kind of violation. If a count could not rise, every test that uses the
+// audit would pass.
 func TestWrongSeesEachBrokenPromise(t *testing.T) {
 	tally := NewTally()
 	tally.recordOutcome("twice", client.Done)
--- a/internal/audit/load.go
+++ b/internal/audit/load.go
@@ -1,6 +1,6 @@
-// Package audit plays the callers of a cell and compares what each of them
-// was told with what the stand-ins recorded. The demo and the integration
-// tests use it; it knows nothing of the hosts' insides.
+// Package audit simulates the callers of a cell and compares what each of them was told with what
+// the simulated backend servers and workers recorded. The demo and the integration tests use it. It
+// does not depend on the internals of the hosts.
 package audit
 
 import (
@@ -18,10 +18,10 @@
 	"pollencroft/pkg/client"
 )
 
-// RowNames are the rows that a deployment uses.
+// RowNames are the names of the rows that a deployment uses.
 type RowNames struct{ Urgent, Flood, Batch, Gang, Watch string }
 
-// RowNamesOf returns the rows of one of the two deployments.
+// RowNamesOf returns the row names of one of the two deployments.
 func RowNamesOf(u standin.Users) RowNames {
 	if u.Name == standin.Inzira.Name {
 		return RowNames{Urgent: "sheet", Flood: "plans", Batch: "termplan", Gang: "balance", Watch: "ingredients"}
@@ -41,14 +41,14 @@
 	}
 }
 
-// Load plays callers of all kinds until its context ends.
+// Load simulates callers of all kinds until its context ends.
 type Load struct {
 	Names   RowNames
 	Domains []string
-	// Pick is what the platform's balancer does: any ready host of a domain.
+	// Pick stands for the platform's load balancer: it returns any ready host of a domain.
 	Pick  func(r *rand.Rand, domain string) *client.Client
 	Tally *Tally
-	// Urgent, Flood and Batch are how many callers of each kind there are.
+	// Urgent, Flood and Batch are the numbers of callers of each kind.
 	Urgent, Flood, Batch int
 }
 
@@ -61,11 +61,11 @@
 	retryDelay  = 50 * time.Millisecond
 	gangDelay   = 2 * time.Second
 	maxTries    = 4
-	// replyTimeout is how long a caller waits before it takes the reply for lost.
+	// replyTimeout is how long a caller waits before it treats the reply as lost.
 	replyTimeout = 15 * time.Second
 )
 
-// Run plays all callers; it returns when ctx has ended and all are answered.
+// Run simulates all callers. It returns when ctx has ended and all callers have their replies.
 func (l Load) Run(ctx context.Context) {
 	var g errgroup.Group
 	for i := range l.Urgent {
@@ -92,8 +92,8 @@
 
 func (l Load) domain(i int) string { return l.Domains[i%len(l.Domains)] }
 
-// urgentCaller is one turnstile or kitchen: it sends keyed requests and
-// repeats those that were refused or had no reply, under the same key.
+// urgentCaller simulates one turnstile or kitchen. It sends requests with a key and repeats those
+// that were refused or had no reply under the same key.
 func (l Load) urgentCaller(ctx context.Context, i int) {
 	r := rand.New(rand.NewPCG(1, uint64(i)))
 	for ctx.Err() == nil {
@@ -142,7 +142,7 @@
 
 func costHeader(d time.Duration) http.Header { return http.Header{standin.HeaderCost: {d.String()}} }
 
-// submitWatchersAndGang submits the watchers and the all-at-once job.
+// submitWatchersAndGang submits the watchers and the gang job.
 func (l Load) submitWatchersAndGang(ctx context.Context) {
 	r := rand.New(rand.NewPCG(3, 0))
 	for _, domain := range l.Domains {
@@ -166,8 +166,7 @@
 	}
 }
 
-// submit hands in a job; one that is refused comes back a few times, as the
-// refusal tells it to.
+// submit submits a job. It retries a refused job a few times, as the refusal asks for.
 func (l Load) submit(ctx context.Context, r *rand.Rand, domain string, j client.Job) string {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), replyTimeout)
 	defer cancel()
--- a/internal/audit/tally.go
+++ b/internal/audit/tally.go
@@ -17,16 +17,16 @@
 	"pollencroft/pkg/client"
 )
 
-// ViolationsError counts the promises that a cell broke.
+// ViolationsError counts the guarantees that a cell broke.
 type ViolationsError struct {
-	// Lost counts requests told done that did not run and tasks of accepted
-	// jobs that did not end.
+	// Lost counts requests that were reported done but did not run, and tasks of accepted jobs that
+	// did not end.
 	Lost int
 	// Twice counts keys that ran twice and tasks that ran in two places.
 	Twice int
-	// Overfilled counts starts that took a worker over its size.
+	// Overfilled counts starts that exceeded the size of a worker.
 	Overfilled int
-	// Told counts answers that the records contradict.
+	// Told counts replies that contradict the records.
 	Told int
 }
 
@@ -45,14 +45,14 @@
 	cancelled string
 }
 
-// watcherMinSeconds is the declared time in seconds from which a job is a watcher.
+// watcherMinSeconds is the declared duration in seconds above which a job counts as a watcher.
 const watcherMinSeconds = 60
 
-// Tally keeps what each caller was told. It is safe for concurrent use.
+// Tally records what each caller was told. It is safe for concurrent use.
 type Tally struct {
 	mu   sync.Mutex
 	rows map[string]*line
-	// requests holds by key every outcome that its caller was told, in order.
+	// requests holds, by key, every outcome that the caller was told, in order.
 	requests       map[string][]string
 	mismatched     int
 	jobs           map[string]*acceptedJob
@@ -128,7 +128,7 @@
 	}
 }
 
-// Totals returns how much was asked and done so far.
+// Totals returns how many requests and jobs were sent and how many were done so far.
 func (t *Tally) Totals() (asked, done int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -139,7 +139,8 @@
 	return asked, done
 }
 
-// Violations compares what callers were told with what the stand-ins recorded.
+// Violations compares what callers were told with what the simulated backend servers and workers
+// recorded.
 func (t *Tally) Violations(r standin.Report) ViolationsError {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -161,7 +162,7 @@
 	return w
 }
 
-// LostJobs lists the accepted jobs that have lost tasks, for looking into why.
+// LostJobs returns the accepted jobs that have lost tasks, for an investigation.
 func (t *Tally) LostJobs(r standin.Report) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -174,8 +175,8 @@
 	return lost
 }
 
-// Doubled lists the keys that ran twice and the tasks that ran in two places, for looking into
-// why.
+// Doubled returns the keys that ran twice and the tasks that ran in two places, for an
+// investigation.
 func (t *Tally) Doubled(r standin.Report) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -196,8 +197,8 @@
 	return lost
 }
 
-// lost counts the tasks that neither ended nor were cancelled; a watcher is
-// lost if it was never started.
+// lost counts the tasks that neither ended nor were cancelled. A watcher is lost if it was never
+// started.
 func (j *acceptedJob) lost(id string, r standin.Report) int {
 	if j.cancelled != "" {
 		return 0
@@ -213,8 +214,9 @@
 	return lost
 }
 
-// contradictedStarts counts starts of jobs that were told not run, and of more
-// unknown jobs than callers were told unknown of.
+// contradictedStarts counts the started tasks of jobs whose cancellation reported that they had not
+// run. It adds the number of started jobs that no caller got an id for, minus the number of
+// submissions with an unknown outcome.
 func (t *Tally) contradictedStarts(r standin.Report) int {
 	wrong := 0
 	strangers := map[string]bool{}
@@ -231,7 +233,7 @@
 	return wrong + max(0, len(strangers)-t.unknownSubmits)
 }
 
-// Print writes a table by workload, in the order of names.
+// Print writes a table with a line for each of the named workloads, in the order of names.
 func (t *Tally) Print(out io.Writer, names ...string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
