--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -1,5 +1,5 @@
-// Package worker speaks to workers: it takes their anchors, renews leases and
-// starts and stops tasks.
+// Package worker is the client for workers: it acquires their anchors, renews
+// leases and starts and stops tasks.
 package worker
 
 import (
@@ -19,37 +19,38 @@
 	"pollencroft/internal/lease"
 )
 
-// HeldError tells that another host holds the anchor for Left more.
+// HeldError means that another holder has the anchor. Its lease runs for another Left.
 type HeldError struct {
 	Holder string
 	Left   time.Duration
-	// Sent is when the refused question left.
+	// Sent is when the refused request was sent.
 	Sent time.Time
-	// Life names the worker's life.
+	// Life is the worker's incarnation.
 	Life string
 }
 
 func (e *HeldError) Error() string {
-	return fmt.Sprintf("anchor is held by %s for %s", e.Holder, e.Left)
+	return fmt.Sprintf("anchor is held by %s for another %s", e.Holder, e.Left)
 }
 
-// LateError tells that a start arrived after its deadline and was not run.
+// LateError means that a start reached the worker after its deadline and was not carried out.
 type LateError struct{}
 
-func (e *LateError) Error() string { return "start was late and was not run" }
+func (e *LateError) Error() string { return "start arrived after its deadline and was not carried out" }
 
-// GoneError tells that the worker knows no such task.
+// GoneError means that the worker has no task with this ID.
 type GoneError struct{ ID string }
 
-func (e *GoneError) Error() string { return "worker knows no task " + e.ID }
+func (e *GoneError) Error() string { return "worker has no task " + e.ID }
 
-// StatusError tells that a worker answered with a status that says nothing
-// about what was asked.
+// StatusError means that a worker answered with an unexpected HTTP status, from
+// which the result of the request cannot be told.
 type StatusError struct{ Status int }
 
-func (e *StatusError) Error() string { return fmt.Sprintf("worker answered status %d", e.Status) }
+func (e *StatusError) Error() string { return fmt.Sprintf("worker answered with status %d", e.Status) }
 
-// NoAnswerError tells that nobody knows whether the worker did what was asked.
+// NoAnswerError means that no valid answer came, so that it is unknown whether
+// the worker carried out the request.
 type NoAnswerError struct{ Cause error }
 
 func (e *NoAnswerError) Error() string { return "worker did not answer: " + e.Cause.Error() }
@@ -57,15 +58,16 @@
 // Unwrap returns the transport's error.
 func (e *NoAnswerError) Unwrap() error { return e.Cause }
 
-// UnreachedError tells that a worker took no connection, so that nothing arrived there.
+// UnreachedError means that no connection to the worker could be opened, so that
+// the request certainly did not reach it.
 type UnreachedError struct{ Cause error }
 
-func (e *UnreachedError) Error() string { return "worker took no connection: " + e.Cause.Error() }
+func (e *UnreachedError) Error() string { return "no connection to worker: " + e.Cause.Error() }
 
 // Unwrap returns the transport's error.
 func (e *UnreachedError) Unwrap() error { return e.Cause }
 
-// Client asks workers as one holder. It is safe for concurrent use.
+// Client sends requests to workers on behalf of one holder. It is safe for concurrent use.
 type Client struct {
 	holder string
 	term   int64
@@ -73,10 +75,10 @@
 	clock  func() time.Time
 }
 
-// New returns a client for a holder whose incarnation is term. The holder that
-// workers are told names both: a host that was replaced under its old name
-// waits for its predecessor's lease like any other, because a start of the
-// predecessor may still be under way.
+// New returns a client for a holder whose incarnation is term. The holder name
+// sent to workers contains both: a host that replaces another under the same
+// name waits for its predecessor's lease to run out as any other host does,
+// because a start sent by the predecessor may still be in flight.
 func New(holder string, term int64, rt http.RoundTripper, clock func() time.Time) *Client {
 	return &Client{holder: fmt.Sprintf("%s#%x", holder, term), term: term, http: &http.Client{Transport: rt}, clock: clock}
 }
@@ -132,13 +134,15 @@
 	return r
 }
 
-// Take asks for the anchor. The error is a HeldError, a NoAnswerError or an UnreachedError.
+// Take acquires the worker's anchor for ttl. The error is a HeldError, a
+// NoAnswerError or an UnreachedError.
 func (c *Client) Take(ctx context.Context, addr netip.AddrPort, ttl time.Duration) (lease.Reading, error) {
 	return c.lease(ctx, addr, "/anchor", askBody{TTL: ttl.Milliseconds()})
 }
 
-// Renew lengthens the anchor by TTL and the leases of all tasks by Long, and
-// lets the worker forget ended starts by their leases. Errors are as for Take.
+// Renew extends the anchor's lease by TTL and the leases of all tasks by
+// TaskTTL. The worker may discard the ended starts whose leases are in forget.
+// The errors are those of Take.
 func (c *Client) Renew(ctx context.Context, addr netip.AddrPort, a lease.Renew, forget []string) (lease.Reading, error) {
 	return c.lease(ctx, addr, "/renew", askBody{TTL: a.TTL.Milliseconds(), Keep: a.TaskTTL.Milliseconds(), Since: a.Since, Forget: forget})
 }
@@ -158,7 +162,7 @@
 	}
 }
 
-// Life returns the name of a worker's life.
+// Life returns a worker's incarnation.
 func (c *Client) Life(ctx context.Context, addr netip.AddrPort) (string, error) {
 	status, says, err := c.do(ctx, http.MethodGet, addr, "/tasks", askBody{})
 	if err != nil {
@@ -170,24 +174,25 @@
 	return says.Life, nil
 }
 
-// Give returns the anchor that was held under that lease.
+// Give releases the anchor that was held under the named lease.
 func (c *Client) Give(ctx context.Context, addr netip.AddrPort, name string) error {
 	_, _, err := c.do(ctx, http.MethodDelete, addr, "/anchor", askBody{Lease: name})
 	return err
 }
 
-// Start is one task to start. Deadline is in the worker's own clock.
+// Start describes a task to start. Deadline is in the worker's own clock.
 type Start struct {
 	ID, Row, Job string
-	// Size is the room that the task gets, Asked what its caller declared.
+	// Size is the capacity that the task gets, Asked the size that its caller declared.
 	Size, Asked cell.Size
 	Run         time.Duration
 	TTL         time.Duration
 	Deadline    time.Time
 }
 
-// Start asks for a start. A LateError means that this start was not carried
-// out, an UnreachedError that it did not arrive, a NoAnswerError that nobody knows.
+// Start asks the worker to start a task. A LateError means that the worker did
+// not carry out this start, an UnreachedError that the request did not arrive,
+// and a NoAnswerError that the result is unknown.
 func (c *Client) Start(ctx context.Context, addr netip.AddrPort, s Start) error {
 	status, _, err := c.do(ctx, http.MethodPost, addr, "/tasks", askBody{
 		ID: s.ID, Row: s.Row, Job: s.Job, Size: s.Size, Asked: s.Asked, Run: s.Run.Milliseconds(),
@@ -205,18 +210,18 @@
 	}
 }
 
-// Stop ends a task. Nil means that it runs no longer; a GoneError that the
-// worker does not know it (any more).
+// Stop stops a task. A nil error means that the task no longer runs, a
+// GoneError that the worker does not have the task or has already discarded it.
 func (c *Client) Stop(ctx context.Context, addr netip.AddrPort, id string) error {
 	return c.onTask(ctx, addr, "/stop", askBody{ID: id})
 }
 
-// Checkpoint keeps a task's work so that it can be stopped without losing it.
+// Checkpoint saves a task's progress so that the task can be stopped without losing it.
 func (c *Client) Checkpoint(ctx context.Context, addr netip.AddrPort, id string) error {
 	return c.onTask(ctx, addr, "/checkpoint", askBody{ID: id})
 }
 
-// Throttle holds a task to a share of its size.
+// Throttle limits a task to a share of its size.
 func (c *Client) Throttle(ctx context.Context, addr netip.AddrPort, id string, share float64) error {
 	return c.onTask(ctx, addr, "/throttle", askBody{ID: id, Share: share})
 }
@@ -240,13 +245,13 @@
 	ask.Holder, ask.Term = c.holder, c.term
 	b, err := json.Marshal(ask)
 	if err != nil {
-		return 0, says, errors.Wrap(err, "encode question to worker")
+		return 0, says, errors.Wrap(err, "encode request to worker")
 	}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr.String()+path, bytes.NewReader(b))
 	if err != nil {
-		return 0, says, errors.Wrap(err, "make question to worker")
+		return 0, says, errors.Wrap(err, "create request to worker")
 	}
-	// One header less on every renewal of every worker.
+	// Without this header, each renewal of each worker is shorter.
 	req.Header.Set("User-Agent", "")
 	resp, err := c.http.Do(req)
 	var op *net.OpError
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -16,7 +16,7 @@
 	"pollencroft/internal/worker"
 )
 
-// bench is one worker stand-in on a clock that the test sets.
+// bench is one worker stand-in whose clock the test sets.
 type bench struct {
 	worker *standin.Worker
 	over   *standin.Oversight
@@ -41,9 +41,10 @@
 	return worker.Start{ID: "t", Size: cell.Size{CPU: 1000, Mem: 1000}, Run: time.Hour, TTL: 3 * time.Second, Deadline: deadline}
 }
 
-// A host is replaced under its old name while a start of its predecessor is on
-// its way. The worker must not take both for one holder: the successor would
-// fill the worker and the old start would land on top.
+// A host is replaced by another with the same name while a start sent by the
+// predecessor is still in flight. The worker must treat the two as different
+// holders. Otherwise the new host would fill the worker, and the old start
+// would then overload it.
 func TestSuccessorOfTheSameNameWaitsForTheLease(t *testing.T) {
 	b, ctx := newBench(t), context.Background()
 	_, err := b.client("a", 1).Take(ctx, b.addr, 3*time.Second)
@@ -56,8 +57,8 @@
 	require.NoError(t, err)
 }
 
-// A host gives a worker back, and the message is slow. Meanwhile the host takes
-// the worker anew. The late message must not free what is held again.
+// A host releases a worker, but the message is delayed, and the host acquires
+// the worker again in the meantime. The late message must not release the new lease.
 func TestLateGiveFreesNothing(t *testing.T) {
 	b, ctx := newBench(t), context.Background()
 	a := b.client("a", 1)
@@ -73,9 +74,9 @@
 	require.NoError(t, err)
 }
 
-// A start is held up for longer than the anchor runs. The worker's clock is
-// hours off, so the deadline has to be in that clock; the worker's record shows
-// that the start was dead on arrival.
+// A start is delayed for longer than the anchor's lease. The worker must not
+// carry it out, which its record shows. The worker's clock is hours off, so the
+// deadline has to be in that clock.
 func TestLateStartIsDeadOnArrival(t *testing.T) {
 	b, ctx := newBench(t), context.Background()
 	b.worker.SetFaults(standin.WorkerFaults{Skew: -7 * time.Hour})
@@ -101,8 +102,8 @@
 	require.Empty(t, b.worker.Record().Started)
 }
 
-// A lead dies right after a renewal. Its tasks go on under the long lease until
-// the next lead has taken the worker, lists them and renews them.
+// A leader dies right after a renewal. Its tasks keep running under their longer
+// leases until the next leader acquires the worker, lists the tasks and renews them.
 func TestTasksOutliveTheirLead(t *testing.T) {
 	b, ctx := newBench(t), context.Background()
 	a, next := b.client("a", 1), b.client("b", 1)
@@ -121,9 +122,9 @@
 	require.Empty(t, b.worker.Record().Ended)
 }
 
-// A task failed and is started again on the same worker. The word to forget
-// the first start arrives late and must not wipe out the second, whose end the
-// lead has yet to read.
+// A task fails and is started again on the same worker. The request to discard
+// the first start arrives late. It must not discard the second start, whose end
+// the leader has not read yet.
 func TestForgettingNamesTheStart(t *testing.T) {
 	b, ctx := newBench(t), context.Background()
 	a := b.client("a", 1)
@@ -145,8 +146,8 @@
 	require.Equal(t, []string{"t"}, r.Removed)
 }
 
-// The stand-in has its guards off: it takes a second copy and an overload, and
-// its record is what shows them.
+// The stand-in prevents neither a second copy of a task nor an overload. It
+// records both, so that other tests can detect them.
 func TestStandinRecordsWhatItDoesNotPrevent(t *testing.T) {
 	b, ctx := newBench(t), context.Background()
 	a := b.client("a", 1)
