--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller serves HTTP towards callers: requests to backend servers and
-// jobs on workers.
+// Package caller implements the HTTP interface for callers: requests to backend
+// servers and jobs on workers.
 package caller
 
 import (
@@ -26,7 +26,7 @@
 	"pollencroft/internal/trail"
 )
 
-// Headers of the callers' protocol.
+// Headers of the interface for callers.
 const (
 	HeaderOutcome  = "Pollencroft-Outcome"
 	HeaderAttempt  = "Pollencroft-Attempt"
@@ -34,19 +34,20 @@
 	HeaderKey      = "Idempotency-Key"
 )
 
-// maxKey bounds an idempotency key in bytes.
+// maxKey is the maximum length of an idempotency key in bytes.
 const maxKey = 128
 
-// Deps are what the callers' handler works with.
+// Deps holds the functions and limits that the callers' handler depends on.
 type Deps struct {
 	Row    func(name string) (table.Row, int64)
 	Do     func(ctx context.Context, r call.Request) call.Reply
 	Submit func(ctx context.Context, j Job) peer.JobReply
 	Job    func(ctx context.Context, id string) peer.JobReply
 	Cancel func(ctx context.Context, id string) peer.JobReply
-	// Trail returns what was decided about a request or job.
+	// Trail returns the history of decisions on a request or job.
 	Trail func(ctx context.Context, id string) []trail.Note
-	// Body is the largest body in bytes; Deadline the longest wait.
+	// Body is the maximum size of a request's body in bytes, Deadline the longest
+	// time that a caller may wait.
 	Body     int64
 	Deadline time.Duration
 	Clock    func() time.Time
@@ -55,7 +56,7 @@
 // Handler is the callers' HTTP handler.
 type Handler struct{ Deps }
 
-// New returns the handler; Routes adds it to a router.
+// New returns a handler with these dependencies. Routes adds it to a router.
 func New(d Deps) *Handler { return &Handler{d} }
 
 // Routes adds the callers' routes.
@@ -86,8 +87,9 @@
 	write(w, call.Refuse(status, reason, 0))
 }
 
-// write sends a reply whole: headers and body of the backend server when it
-// is done, else what went wrong and when to come back.
+// write sends a reply: the backend server's status, headers and body if the
+// outcome is done, otherwise the reason of the failure and how long to wait
+// before the next attempt.
 func write(w http.ResponseWriter, reply call.Reply) {
 	w.Header().Set(HeaderOutcome, string(reply.Outcome))
 	if reply.Outcome == cell.Done {
@@ -158,9 +160,9 @@
 	return http.StatusBadRequest
 }
 
-// single returns a header that may be given once; false when it is left out.
-// Of two values one would be dropped in silence, and the request could run
-// under a key that its caller does not ask for again.
+// single returns the value of a header that may be given only once, and false if
+// it is absent. If two values were accepted, one would be silently ignored, and
+// the request could run under a key that its caller does not use again.
 func single(r *http.Request, name string) (string, bool, error) {
 	values := r.Header.Values(name)
 	switch len(values) {
@@ -199,8 +201,9 @@
 	return n, nil
 }
 
-// readDeadline reads how long the caller waits: a time such as 800ms, or an
-// instant in RFC 3339. Without one the row's deadline counts.
+// readDeadline returns the instant until which the caller waits. The header
+// holds a duration such as 800ms or an instant in RFC 3339. Without the header
+// the row's deadline applies.
 func (h *Handler) readDeadline(r *http.Request, row table.Row) (time.Time, error) {
 	now := h.Clock()
 	text, given, err := single(r, HeaderDeadline)
@@ -223,7 +226,7 @@
 	return at, nil
 }
 
-// joint joins the values of a header that is given more than once.
+// joint returns the separator between the values of a header that is given more than once.
 func joint(name string) string {
 	if name == "Cookie" {
 		return "; "
@@ -231,7 +234,8 @@
 	return ", "
 }
 
-// forwarded drops the headers that belong to one connection or to us.
+// forwarded returns the headers to send on. It omits those that apply to one
+// connection only and those that pollencroft itself reads or sets.
 func forwarded(h http.Header) map[string]string {
 	out := map[string]string{}
 	for name := range h {
--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -19,7 +19,8 @@
 
 var now = time.Unix(1_700_000_000, 0).UTC()
 
-// serve plays one entry host; it returns what was sent on and what was answered.
+// serve handles a request as an entry host does. It returns the requests that
+// were forwarded and the recorded answer.
 func serve(r *http.Request) ([]call.Request, *httptest.ResponseRecorder) {
 	var sent []call.Request
 	mux := chi.NewRouter()
@@ -49,8 +50,9 @@
 	return r
 }
 
-// A caller's program sends wrong input. Its user must hear what is wrong and
-// that nothing was sent, rather than have a scan run under a mangled key.
+// A caller sends invalid input. The answer must name the invalid field and say
+// that the request was refused, and nothing may be forwarded; a scan must not run
+// under a corrupted key.
 func TestWrongInputIsRefusedAndNothingIsSent(t *testing.T) {
 	wrong := map[string]struct {
 		r      *http.Request
@@ -91,6 +93,8 @@
 	}
 }
 
+// Valid input is forwarded unchanged, and the deadline is limited to the longest
+// allowed wait.
 func TestRightInputIsSentOn(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"": 2 * time.Second, "800ms": 800 * time.Millisecond, "2h": time.Minute,
--- a/internal/caller/jobs.go
+++ b/internal/caller/jobs.go
@@ -16,7 +16,7 @@
 	"pollencroft/internal/peer"
 )
 
-// Job is a job as a caller asks for it.
+// Job is a job as a caller submits it.
 type Job struct {
 	Row   string
 	Tasks int
@@ -36,7 +36,7 @@
 	Key  string  `json:"key"`
 }
 
-// maxJobBody bounds the body of a job in bytes.
+// maxJobBody is the maximum size of a submitted job's body in bytes.
 const maxJobBody = 64 << 10
 
 func (h *Handler) submit(w http.ResponseWriter, r *http.Request) {
@@ -124,8 +124,8 @@
 	})
 }
 
-// jobOutcome is what a caller is told of a job's end. "not run" is said only
-// when no start was ever sent.
+// jobOutcome returns the outcome of a job that is reported to its caller. It is
+// "not run" only if no start was ever sent.
 func jobOutcome(state string, ran bool) string {
 	switch {
 	case state == "cancelled" && !ran:
