--- a/internal/operator/edits.go
+++ b/internal/operator/edits.go
@@ -11,19 +11,20 @@
 	"pollencroft/internal/table"
 )
 
-// What may be said of an edit.
+// States of an edit as reported to operators.
 const (
 	stateAccepted = "accepted"
 	stateVoid     = "void"
 	stateUnknown  = "unknown"
 )
 
-// HeaderEdit carries the id that an operator gives an edit. A host that dies
-// takes an id of its own making with it: nobody could ask what became of the
-// edit, and sending it again could make a second one.
+// HeaderEdit carries the id that an operator assigns to an edit. An id generated
+// by the host is lost if the host dies before it answers. The operator could
+// then not ask for the state of the edit, and sending it again could create a
+// second edit.
 const HeaderEdit = "Pollencroft-Edit"
 
-// maxID bounds an edit's id in bytes.
+// maxID is the maximum length of an edit's id in bytes.
 const maxID = 64
 
 func editID(r *http.Request) (string, error) {
@@ -43,8 +44,8 @@
 	Reason string `json:"reason,omitempty"`
 }
 
-// verdict tells what became of an edit whose answer was lost. Unknown may yet
-// become accepted: the append may still be on its way.
+// verdict reports the state of an edit whose answer was lost. A state of unknown
+// may still become accepted, because the append may still be in flight.
 func (h *Handler) verdict(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
 	j, ok := h.Table.Verdict(id)
@@ -111,8 +112,8 @@
 	}
 }
 
-// settle is for a failure domain that is gone for good: nobody there will tell
-// that its smaller share is in use.
+// settle confirms a quota's smaller share on behalf of a failure domain that is
+// permanently gone, since no host there will report that it applies the share.
 func (h *Handler) settle(w http.ResponseWriter, r *http.Request) {
 	q := h.findTeam(chi.URLParam(r, "team"))
 	if q == nil {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator serves HTTP towards operators, on a listener of its own
-// and behind a bearer token.
+// Package operator implements the HTTP interface for operators, which has its
+// own listener and requires a client certificate or a bearer token.
 package operator
 
 import (
@@ -21,43 +21,46 @@
 	"pollencroft/internal/trail"
 )
 
-// Deps are what the operators' handler works with.
+// Deps holds the data and functions that the operators' handler depends on.
 type Deps struct {
 	Token   string
 	Table   Book
 	Status  func() TableStatus
 	Hosts   func() any
 	Workers func() any
-	// Trail returns what was decided about a request or job.
+	// Trail returns the history of decisions on a request or job.
 	Trail func(ctx context.Context, id string) []trail.Note
 	Drain func()
 }
 
-// Book is the table as operators read and write it.
+// Book gives operators access to the table: its rows, quotas and history.
 type Book interface {
 	Lines() []table.Line
 	Teams() []table.Quota
 	Past() []table.HistoryEntry
-	// Verdict returns what became of an edit, false if it was not seen.
+	// Verdict returns the result of an edit, and false if the edit has not been
+	// read from the log yet.
 	Verdict(id string) (table.Verdict, bool)
-	// Preview returns a cell.ValueError for an edit that cannot be accepted.
+	// Preview checks an edit without writing it. It returns a cell.ValueError if
+	// the edit cannot be accepted.
 	Preview(e table.Edit) error
-	// Edit and EditQuota write an edit and wait for its verdict. The error is
-	// an UnsureError when it may have been written.
+	// Edit and EditQuota write an edit and wait for its verdict. The error is an
+	// UnsureError if the edit may have been written but has no verdict yet.
 	Edit(ctx context.Context, e table.Edit) (table.Verdict, error)
 	EditQuota(ctx context.Context, e table.QuotaEdit) (table.Verdict, error)
+	// Settle writes the confirmation that a failure domain applies its share of a quota.
 	Settle(ctx context.Context, s table.ShareConfirmation) error
 }
 
-// TableStatus tells which host has which offset. Unknown counts the records
-// that this host's version does not know.
+// TableStatus reports up to which offset each host has applied the table's log.
+// Unknown counts the records that this host's version does not understand.
 type TableStatus struct {
 	Hosts   []HostTable `json:"hosts"`
 	Unknown int         `json:"unknown"`
 }
 
-// HostTable is how far a host has folded the table. Hosts with the same Next
-// must have the same Mark.
+// HostTable reports up to which offset a host has applied the table's log, and
+// when that was last heard. Hosts with the same Next must have the same Mark.
 type HostTable struct {
 	Host   string    `json:"host"`
 	Domain string    `json:"domain"`
@@ -69,7 +72,7 @@
 // Handler is the operators' HTTP handler.
 type Handler struct{ Deps }
 
-// New returns the handler; Routes adds it to a router.
+// New returns a handler with these dependencies. Routes adds it to a router.
 func New(d Deps) *Handler { return &Handler{d} }
 
 // Routes adds the operators' routes.
@@ -152,7 +155,7 @@
 	write(w, http.StatusOK, line)
 }
 
-// maxEdit bounds the body of an edit in bytes.
+// maxEdit is the maximum size of an edit's body in bytes.
 const maxEdit = 64 << 10
 
 func (h *Handler) put(w http.ResponseWriter, r *http.Request) {
@@ -199,7 +202,7 @@
 	h.judge(w, r, e)
 }
 
-// UnsureError tells that nobody knows yet whether an edit was written.
+// UnsureError means that it is not known yet whether an edit was written.
 type UnsureError struct{ ID string }
 
 func (err *UnsureError) Error() string { return "edit " + err.ID + " has no verdict yet" }
@@ -222,8 +225,9 @@
 	write(w, http.StatusOK, line)
 }
 
-// settled answers for an edit that is not accepted: with what is there now when
-// it lost a race, with the id to ask with when nobody knows yet.
+// settled reports whether an edit was accepted. If it was not, settled writes the
+// answer: with the current row or quota if another edit came first, and with the
+// id under which to ask for the edit's state if the result is not known yet.
 func settled(w http.ResponseWriter, id string, j table.Verdict, err error, now func() any) bool {
 	var unsure *UnsureError
 	switch {
