--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -1,11 +1,11 @@
-// Package dial opens TCP connections that notice it when the other end has
-// lost track of them.
+// Package dial opens TCP connections that soon fail if the other end no longer
+// knows them.
 //
-// Something between the two ends may drop a connection's state without a
-// reset: what is written is never acknowledged, and without a bound the system
-// tries again for a quarter of an hour. One would notice requests that hang on
-// an old connection while new ones work. The bounds here make such a
-// connection fail in about Dead, idle or not.
+// A middlebox between the two ends may drop a connection's state without a
+// reset. Data written to the connection is then never acknowledged, and without
+// a limit the operating system retransmits for a quarter of an hour: requests
+// hang on the old connection while those on new connections succeed. With the
+// limits set here such a connection fails in about Dead, whether it is idle or not.
 package dial
 
 import (
@@ -16,20 +16,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// Bounds of a connection.
+// Time limits of a connection.
 const (
-	// Timeout is how long a new connection may take to open.
+	// Timeout is how long opening a connection may take.
 	Timeout = 500 * time.Millisecond
-	// Dead is how long sent data may go without an acknowledgement.
+	// Dead is how long sent data may stay unacknowledged before the connection fails.
 	Dead = time.Second
 	// Probe is how long a connection is idle before it is probed, and the time
 	// between probes.
 	Probe = time.Second
-	// probes is how many probes go unanswered before the connection is closed.
+	// probes is how many probes may go unanswered before the connection is closed.
 	probes = 2
 )
 
-// New returns a dialer that bounds its connections.
+// New returns a dialer that sets the limits on its connections.
 func New() *net.Dialer {
 	return &net.Dialer{
 		Timeout:         Timeout,
@@ -50,7 +50,7 @@
 	return unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(Dead.Milliseconds()))
 }
 
-// Bound sets the bounds on a connection that was accepted.
+// Bound sets the limits on an accepted connection.
 func Bound(conn net.Conn) {
 	for {
 		outer, ok := conn.(interface{ NetConn() net.Conn })
--- a/internal/dial/dial_test.go
+++ b/internal/dial/dial_test.go
@@ -24,8 +24,9 @@
 	return get(unix.TCP_USER_TIMEOUT), get(unix.TCP_KEEPIDLE), get(unix.TCP_KEEPINTVL), get(unix.TCP_KEEPCNT)
 }
 
-// A middlebox forgets a connection and drops what is sent on it. Without the
-// bounds callers would wait on it until their deadlines, again and again.
+// A middlebox loses the state of a connection and drops everything sent on it.
+// Without the limits on both ends, each request on that connection would wait
+// until its deadline.
 func TestBothEndsAreBounded(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
