--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -1,5 +1,5 @@
-// Package call holds a caller's request and the reply to it, as they travel
-// from hop to hop.
+// Package call defines a caller's request and the reply to it, as hosts send
+// them to each other.
 package call
 
 import (
@@ -19,18 +19,20 @@
 	Header map[string]string `json:"header,omitempty"`
 	Body   []byte            `json:"body,omitempty"`
 	// Deadline is in the clock of the host that holds the request. It is not
-	// sent on: between hosts travels the time that is left, for their clocks
+	// encoded: hosts send each other the time left instead, because their clocks
 	// differ.
 	Deadline time.Time `json:"-"`
 	Key      string    `json:"key,omitempty"`
 	Attempt  int       `json:"attempt,omitempty"`
-	// Trace is the W3C trace context of the hop before.
+	// Trace is the W3C trace context of the previous hop.
 	Trace string `json:"trace,omitempty"`
-	// Lost are the backend servers whose connections broke under the request, once for each time.
+	// Lost lists the backend servers whose connections broke during the request,
+	// once for each time.
 	Lost []string `json:"lost,omitempty"`
 }
 
-// Digest tells two requests under one key apart.
+// Digest returns a hash of the request's row, method, path and body, which
+// distinguishes different requests with the same key.
 func (r Request) Digest() uint64 {
 	d := xxhash.New()
 	for _, part := range []string{r.Row, r.Method, r.Path} {
@@ -41,26 +43,27 @@
 	return d.Sum64()
 }
 
-// Reply is what the caller is told. Status, Header and Body are the backend
-// server's when the outcome is done.
+// Reply is the reply to a caller. Status, Header and Body are those of the
+// backend server if the outcome is done.
 type Reply struct {
 	Outcome cell.Outcome      `json:"outcome"`
 	Status  int               `json:"status"`
 	Header  map[string]string `json:"header,omitempty"`
 	Body    []byte            `json:"body,omitempty"`
 	Reason  string            `json:"reason,omitempty"`
-	// Again is how long to wait before the next try.
+	// Again is how long the caller should wait before the next attempt.
 	Again cell.Duration `json:"again,omitzero"`
-	// Lost are the backend servers whose connections broke under this try. Callers are not told.
+	// Lost lists the backend servers whose connections broke during this attempt.
+	// It is not sent to callers.
 	Lost []string `json:"lost,omitempty"`
 }
 
-// Refuse returns a reply to a request that truly did not run.
+// Refuse returns a reply to a request that certainly did not run.
 func Refuse(status int, reason string, again time.Duration) Reply {
 	return Reply{Outcome: cell.Refused, Status: status, Reason: reason, Again: cell.Duration{Duration: again}}
 }
 
-// Unsure returns a reply to a request that was sent and has no whole answer.
+// Unsure returns a reply to a request that may have run and has no complete answer.
 func Unsure(status int, reason string, again time.Duration) Reply {
 	return Reply{Outcome: cell.Unknown, Status: status, Reason: reason, Again: cell.Duration{Duration: again}}
 }
