--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,5 @@
 // Package operator implements the HTTP interface for operators, which has its
-// own listener and requires a client certificate or a bearer token.
+// own listener and checks operators' certificates or a bearer token.
 package operator
 
 import (
@@ -42,7 +42,7 @@
 	// read from the log yet.
 	Verdict(id string) (table.Verdict, bool)
 	// Preview checks an edit without writing it. It returns a cell.ValueError if
-	// the edit cannot be accepted.
+	// the edit cannot be accepted, whatever version of the row it is based on.
 	Preview(e table.Edit) error
 	// Edit and EditQuota write an edit and wait for its verdict. The error is an
 	// UnsureError if the edit may have been written but has no verdict yet.
