--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -282,7 +282,7 @@
 }
 
 func (l *Leader) acquireLease(ctx context.Context, a lease.Acquire) {
-	r, err := l.Workers.Take(ctx, l.address(a.Worker), a.TTL)
+	r, err := l.Workers.Acquire(ctx, l.address(a.Worker), a.TTL)
 	l.reportLease(a.Worker, err, lease.Granted{Worker: a.Worker, Reading: r})
 }
 
--- a/internal/lead/stop_test.go
+++ b/internal/lead/stop_test.go
@@ -33,7 +33,7 @@
 		machines = append(machines, lead.Machine{Name: name, Rack: name, Address: netip.MustParseAddrPort(srv.Listener.Addr().String()), Size: size})
 	}
 	other := worker.New("other", 1, nil, time.Now)
-	_, err := other.Take(t.Context(), machines[1].Address, time.Minute)
+	_, err := other.Acquire(t.Context(), machines[1].Address, time.Minute)
 	require.NoError(t, err)
 	require.NoError(t, other.Start(t.Context(), machines[1].Address, worker.Start{
 		ID: "d.w1.j.0", Job: "d.w1.j", Size: size, Run: time.Hour, TTL: time.Hour, Deadline: time.Now().Add(time.Hour),
--- a/internal/measure/renew.go
+++ b/internal/measure/renew.go
@@ -58,7 +58,7 @@
 	}}
 	defer rt.CloseIdleConnections()
 	c := worker.New("halle-nord-1", time.Now().UnixMilli(), rt, time.Now)
-	r, err := c.Take(ctx, addr, time.Minute)
+	r, err := c.Acquire(ctx, addr, time.Minute)
 	before := bytes.Load()
 	for i := 0; i < tasks && err == nil; i++ {
 		err = c.Start(ctx, addr, worker.Start{
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -134,9 +134,9 @@
 	return r
 }
 
-// Take acquires the worker's anchor for ttl. The error is a HeldError, a
+// Acquire acquires the worker's anchor for ttl. The error is a HeldError, a
 // NoAnswerError or an UnreachedError.
-func (c *Client) Take(ctx context.Context, addr netip.AddrPort, ttl time.Duration) (lease.Reading, error) {
+func (c *Client) Acquire(ctx context.Context, addr netip.AddrPort, ttl time.Duration) (lease.Reading, error) {
 	return c.lease(ctx, addr, "/anchor", askBody{TTL: ttl.Milliseconds()})
 }
 
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -47,13 +47,13 @@
 // would then overload it.
 func TestSuccessorOfTheSameNameWaitsForTheLease(t *testing.T) {
 	b, ctx := newBench(t), context.Background()
-	_, err := b.client("a", 1).Take(ctx, b.addr, 3*time.Second)
+	_, err := b.client("a", 1).Acquire(ctx, b.addr, 3*time.Second)
 	require.NoError(t, err)
 	var held *worker.HeldError
-	_, err = b.client("a", 2).Take(ctx, b.addr, 3*time.Second)
+	_, err = b.client("a", 2).Acquire(ctx, b.addr, 3*time.Second)
 	require.ErrorAs(t, err, &held)
 	b.now = b.now.Add(3 * time.Second)
-	_, err = b.client("a", 2).Take(ctx, b.addr, 3*time.Second)
+	_, err = b.client("a", 2).Acquire(ctx, b.addr, 3*time.Second)
 	require.NoError(t, err)
 }
 
@@ -62,15 +62,15 @@
 func TestLateGiveFreesNothing(t *testing.T) {
 	b, ctx := newBench(t), context.Background()
 	a := b.client("a", 1)
-	first, err := a.Take(ctx, b.addr, 3*time.Second)
+	first, err := a.Acquire(ctx, b.addr, 3*time.Second)
 	require.NoError(t, err)
-	second, err := a.Take(ctx, b.addr, 3*time.Second)
+	second, err := a.Acquire(ctx, b.addr, 3*time.Second)
 	require.NoError(t, err)
 	require.NoError(t, a.Give(ctx, b.addr, first.Lease))
-	_, err = b.client("b", 1).Take(ctx, b.addr, 3*time.Second)
+	_, err = b.client("b", 1).Acquire(ctx, b.addr, 3*time.Second)
 	require.Error(t, err)
 	require.NoError(t, a.Give(ctx, b.addr, second.Lease))
-	_, err = b.client("b", 1).Take(ctx, b.addr, 3*time.Second)
+	_, err = b.client("b", 1).Acquire(ctx, b.addr, 3*time.Second)
 	require.NoError(t, err)
 }
 
@@ -88,13 +88,13 @@
 	l.Step(b.now, lease.IncarnationLearned{Worker: "w", Incarnation: life})
 	b.now = b.now.Add(time.Minute)
 	l.Step(b.now, lease.Wanted{Workers: []string{"w"}})
-	r, err := a.Take(ctx, b.addr, 3*time.Second)
+	r, err := a.Acquire(ctx, b.addr, 3*time.Second)
 	require.NoError(t, err)
 	l.Step(b.now, lease.Granted{Worker: "w", Reading: r})
 	deadline, ok := l.Deadline(b.now, "w")
 	require.True(t, ok)
 	b.now = b.now.Add(3 * time.Second)
-	_, err = b.client("b", 1).Take(ctx, b.addr, 3*time.Second)
+	_, err = b.client("b", 1).Acquire(ctx, b.addr, 3*time.Second)
 	require.NoError(t, err)
 	var late *worker.LateError
 	require.ErrorAs(t, a.Start(ctx, b.addr, b.start(deadline)), &late)
@@ -107,13 +107,13 @@
 func TestTasksOutliveTheirLead(t *testing.T) {
 	b, ctx := newBench(t), context.Background()
 	a, next := b.client("a", 1), b.client("b", 1)
-	_, err := a.Take(ctx, b.addr, 3*time.Second)
+	_, err := a.Acquire(ctx, b.addr, 3*time.Second)
 	require.NoError(t, err)
 	require.NoError(t, a.Start(ctx, b.addr, b.start(b.now.Add(time.Second))))
 	_, err = a.Renew(ctx, b.addr, lease.Renew{TTL: 3 * time.Second, TaskTTL: 10 * time.Second}, nil)
 	require.NoError(t, err)
 	b.now = b.now.Add(9 * time.Second)
-	r, err := next.Take(ctx, b.addr, 3*time.Second)
+	r, err := next.Acquire(ctx, b.addr, 3*time.Second)
 	require.NoError(t, err)
 	require.Equal(t, "running", r.Tasks[0].State)
 	_, err = next.Renew(ctx, b.addr, lease.Renew{TTL: 3 * time.Second, TaskTTL: 10 * time.Second}, nil)
@@ -128,7 +128,7 @@
 func TestForgettingNamesTheStart(t *testing.T) {
 	b, ctx := newBench(t), context.Background()
 	a := b.client("a", 1)
-	_, err := a.Take(ctx, b.addr, 30*time.Second)
+	_, err := a.Acquire(ctx, b.addr, 30*time.Second)
 	require.NoError(t, err)
 	renew := lease.Renew{TTL: 30 * time.Second, TaskTTL: 30 * time.Second}
 	require.NoError(t, a.Start(ctx, b.addr, b.start(b.now.Add(time.Second))))
