--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -328,7 +328,7 @@
 }
 
 func (l *Leader) releaseLease(ctx context.Context, a lease.Release) {
-	if err := l.Workers.Give(ctx, l.address(a.Worker), a.Lease); err != nil {
+	if err := l.Workers.Release(ctx, l.address(a.Worker), a.Lease); err != nil {
 		l.Log.Warn("lead: lease not released.", "worker", a.Worker, "err", err)
 	}
 }
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -174,8 +174,8 @@
 	return says.Life, nil
 }
 
-// Give releases the anchor that was held under the named lease.
-func (c *Client) Give(ctx context.Context, addr netip.AddrPort, name string) error {
+// Release releases the anchor that was held under the named lease.
+func (c *Client) Release(ctx context.Context, addr netip.AddrPort, name string) error {
 	_, _, err := c.do(ctx, http.MethodDelete, addr, "/anchor", askBody{Lease: name})
 	return err
 }
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -66,10 +66,10 @@
 	require.NoError(t, err)
 	second, err := a.Acquire(ctx, b.addr, 3*time.Second)
 	require.NoError(t, err)
-	require.NoError(t, a.Give(ctx, b.addr, first.Lease))
+	require.NoError(t, a.Release(ctx, b.addr, first.Lease))
 	_, err = b.client("b", 1).Acquire(ctx, b.addr, 3*time.Second)
 	require.Error(t, err)
-	require.NoError(t, a.Give(ctx, b.addr, second.Lease))
+	require.NoError(t, a.Release(ctx, b.addr, second.Lease))
 	_, err = b.client("b", 1).Acquire(ctx, b.addr, 3*time.Second)
 	require.NoError(t, err)
 }
