--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -317,7 +317,7 @@
 // askIncarnation asks a worker for its incarnation. The lease state machine asks again if there is
 // no answer.
 func (l *Leader) askIncarnation(ctx context.Context, a lease.AskIncarnation) {
-	name, err := l.Workers.Life(ctx, l.address(a.Worker))
+	name, err := l.Workers.Incarnation(ctx, l.address(a.Worker))
 	if err != nil {
 		l.Log.Debug("lead: incarnation of a worker not available.", "worker", a.Worker, "err", err)
 		return
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -162,8 +162,8 @@
 	}
 }
 
-// Life returns a worker's incarnation.
-func (c *Client) Life(ctx context.Context, addr netip.AddrPort) (string, error) {
+// Incarnation returns a worker's incarnation.
+func (c *Client) Incarnation(ctx context.Context, addr netip.AddrPort) (string, error) {
 	status, says, err := c.do(ctx, http.MethodGet, addr, "/tasks", askBody{})
 	if err != nil {
 		return "", err
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -83,7 +83,7 @@
 	l := lease.New(lease.Limits{TTL: 3 * time.Second})
 	a := b.client("a", 1)
 	l.Step(b.now, lease.DomainWorkers{Workers: []string{"w"}})
-	life, err := a.Life(ctx, b.addr)
+	life, err := a.Incarnation(ctx, b.addr)
 	require.NoError(t, err)
 	l.Step(b.now, lease.IncarnationLearned{Worker: "w", Incarnation: life})
 	b.now = b.now.Add(time.Minute)
