--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -21,8 +21,8 @@
 
 // HeldError means that another holder has the anchor. Its lease runs for another Left.
 type HeldError struct {
-	Holder string
-	Left   time.Duration
+	Holder    string
+	Remaining time.Duration
 	// Sent is when the refused request was sent.
 	Sent time.Time
 	// Life is the worker's incarnation.
@@ -30,7 +30,7 @@
 }
 
 func (e *HeldError) Error() string {
-	return fmt.Sprintf("anchor is held by %s for another %s", e.Holder, e.Left)
+	return fmt.Sprintf("anchor is held by %s for another %s", e.Holder, e.Remaining)
 }
 
 // LateError means that a start reached the worker after its deadline and was not carried out.
@@ -154,7 +154,7 @@
 	case err != nil:
 		return lease.Reading{}, err
 	case status == http.StatusConflict:
-		return lease.Reading{}, &HeldError{Holder: says.Holder, Left: time.Duration(says.Left) * time.Millisecond, Sent: sent, Life: says.Life}
+		return lease.Reading{}, &HeldError{Holder: says.Holder, Remaining: time.Duration(says.Left) * time.Millisecond, Sent: sent, Life: says.Life}
 	case status != http.StatusOK:
 		return lease.Reading{}, &NoAnswerError{Cause: &StatusError{Status: status}}
 	default:
