--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -308,7 +308,7 @@
 		l.stepLeases(good)
 	case errors.As(err, &held):
 		l.stepTakeover(takeover.WorkerContact{Worker: name})
-		l.stepLeases(lease.Refused{Worker: name, Holder: held.Holder, Remaining: held.Remaining, Sent: held.Sent, Incarnation: held.Life})
+		l.stepLeases(lease.Refused{Worker: name, Holder: held.Holder, Remaining: held.Remaining, Sent: held.Sent, Incarnation: held.Incarnation})
 	default:
 		l.stepLeases(lease.Unanswered{Worker: name})
 	}
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -25,8 +25,8 @@
 	Remaining time.Duration
 	// Sent is when the refused request was sent.
 	Sent time.Time
-	// Life is the worker's incarnation.
-	Life string
+	// Incarnation is the worker's incarnation.
+	Incarnation string
 }
 
 func (e *HeldError) Error() string {
@@ -154,7 +154,7 @@
 	case err != nil:
 		return lease.Reading{}, err
 	case status == http.StatusConflict:
-		return lease.Reading{}, &HeldError{Holder: says.Holder, Remaining: time.Duration(says.Left) * time.Millisecond, Sent: sent, Life: says.Life}
+		return lease.Reading{}, &HeldError{Holder: says.Holder, Remaining: time.Duration(says.Left) * time.Millisecond, Sent: sent, Incarnation: says.Life}
 	case status != http.StatusOK:
 		return lease.Reading{}, &NoAnswerError{Cause: &StatusError{Status: status}}
 	default:
