--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -83,7 +83,7 @@
 	return &Client{holder: fmt.Sprintf("%s#%x", holder, term), term: term, http: &http.Client{Transport: rt}, clock: clock}
 }
 
-type askBody struct {
+type requestBody struct {
 	Holder   string    `json:"holder,omitempty"`
 	Term     int64     `json:"term,omitempty"`
 	TTL      int64     `json:"ttl,omitempty"`
@@ -137,17 +137,17 @@
 // Acquire acquires the worker's anchor for ttl. The error is a HeldError, a
 // NoAnswerError or an UnreachedError.
 func (c *Client) Acquire(ctx context.Context, addr netip.AddrPort, ttl time.Duration) (lease.Reading, error) {
-	return c.lease(ctx, addr, "/anchor", askBody{TTL: ttl.Milliseconds()})
+	return c.lease(ctx, addr, "/anchor", requestBody{TTL: ttl.Milliseconds()})
 }
 
 // Renew extends the anchor's lease by TTL and the leases of all tasks by
 // TaskTTL. The worker may discard the ended starts whose leases are in forget.
 // The errors are those of Take.
 func (c *Client) Renew(ctx context.Context, addr netip.AddrPort, a lease.Renew, forget []string) (lease.Reading, error) {
-	return c.lease(ctx, addr, "/renew", askBody{TTL: a.TTL.Milliseconds(), Keep: a.TaskTTL.Milliseconds(), Since: a.Since, Forget: forget})
+	return c.lease(ctx, addr, "/renew", requestBody{TTL: a.TTL.Milliseconds(), Keep: a.TaskTTL.Milliseconds(), Since: a.Since, Forget: forget})
 }
 
-func (c *Client) lease(ctx context.Context, addr netip.AddrPort, path string, ask askBody) (lease.Reading, error) {
+func (c *Client) lease(ctx context.Context, addr netip.AddrPort, path string, ask requestBody) (lease.Reading, error) {
 	sent := c.clock()
 	status, says, err := c.do(ctx, http.MethodPost, addr, path, ask)
 	switch {
@@ -164,7 +164,7 @@
 
 // Incarnation returns a worker's incarnation.
 func (c *Client) Incarnation(ctx context.Context, addr netip.AddrPort) (string, error) {
-	status, says, err := c.do(ctx, http.MethodGet, addr, "/tasks", askBody{})
+	status, says, err := c.do(ctx, http.MethodGet, addr, "/tasks", requestBody{})
 	if err != nil {
 		return "", err
 	}
@@ -176,7 +176,7 @@
 
 // Release releases the anchor that was held under the named lease.
 func (c *Client) Release(ctx context.Context, addr netip.AddrPort, name string) error {
-	_, _, err := c.do(ctx, http.MethodDelete, addr, "/anchor", askBody{Lease: name})
+	_, _, err := c.do(ctx, http.MethodDelete, addr, "/anchor", requestBody{Lease: name})
 	return err
 }
 
@@ -194,7 +194,7 @@
 // not carry out this start, an UnreachedError that the request did not arrive,
 // and a NoAnswerError that the result is unknown.
 func (c *Client) Start(ctx context.Context, addr netip.AddrPort, s Start) error {
-	status, _, err := c.do(ctx, http.MethodPost, addr, "/tasks", askBody{
+	status, _, err := c.do(ctx, http.MethodPost, addr, "/tasks", requestBody{
 		ID: s.ID, Row: s.Row, Job: s.Job, Size: s.Size, Asked: s.Asked, Run: s.Run.Milliseconds(),
 		TTL: s.TTL.Milliseconds(), Deadline: s.Deadline.UnixMilli(),
 	})
@@ -213,20 +213,20 @@
 // Stop stops a task. A nil error means that the task no longer runs, a
 // GoneError that the worker does not have the task or has already discarded it.
 func (c *Client) Stop(ctx context.Context, addr netip.AddrPort, id string) error {
-	return c.onTask(ctx, addr, "/stop", askBody{ID: id})
+	return c.onTask(ctx, addr, "/stop", requestBody{ID: id})
 }
 
 // Checkpoint saves a task's progress so that the task can be stopped without losing it.
 func (c *Client) Checkpoint(ctx context.Context, addr netip.AddrPort, id string) error {
-	return c.onTask(ctx, addr, "/checkpoint", askBody{ID: id})
+	return c.onTask(ctx, addr, "/checkpoint", requestBody{ID: id})
 }
 
 // Throttle limits a task to a share of its size.
 func (c *Client) Throttle(ctx context.Context, addr netip.AddrPort, id string, share float64) error {
-	return c.onTask(ctx, addr, "/throttle", askBody{ID: id, Share: share})
+	return c.onTask(ctx, addr, "/throttle", requestBody{ID: id, Share: share})
 }
 
-func (c *Client) onTask(ctx context.Context, addr netip.AddrPort, path string, ask askBody) error {
+func (c *Client) onTask(ctx context.Context, addr netip.AddrPort, path string, ask requestBody) error {
 	status, _, err := c.do(ctx, http.MethodPost, addr, path, ask)
 	switch {
 	case err != nil:
@@ -240,7 +240,7 @@
 	}
 }
 
-func (c *Client) do(ctx context.Context, method string, addr netip.AddrPort, path string, ask askBody) (int, saysBody, error) {
+func (c *Client) do(ctx context.Context, method string, addr netip.AddrPort, path string, ask requestBody) (int, saysBody, error) {
 	var says saysBody
 	ask.Holder, ask.Term = c.holder, c.term
 	b, err := json.Marshal(ask)
