--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -101,7 +101,7 @@
 	Share    float64   `json:"share,omitempty"`
 }
 
-type saysBody struct {
+type responseBody struct {
 	Clock  int64      `json:"clock"`
 	Holder string     `json:"holder"`
 	Left   int64      `json:"left"`
@@ -123,7 +123,7 @@
 	Use   cell.Size `json:"use"`
 }
 
-func (s saysBody) reading(sent time.Time) lease.Reading {
+func (s responseBody) reading(sent time.Time) lease.Reading {
 	r := lease.Reading{
 		Sent: sent, Clock: time.UnixMilli(s.Clock), Remaining: time.Duration(s.Left) * time.Millisecond,
 		Lease: s.Lease, Incarnation: s.Life, Cursor: s.Mark, Full: s.Whole, Removed: s.Gone,
@@ -240,8 +240,8 @@
 	}
 }
 
-func (c *Client) do(ctx context.Context, method string, addr netip.AddrPort, path string, ask requestBody) (int, saysBody, error) {
-	var says saysBody
+func (c *Client) do(ctx context.Context, method string, addr netip.AddrPort, path string, ask requestBody) (int, responseBody, error) {
+	var says responseBody
 	ask.Holder, ask.Term = c.holder, c.term
 	b, err := json.Marshal(ask)
 	if err != nil {
