--- a/internal/lead/start.go
+++ b/internal/lead/start.go
@@ -78,7 +78,7 @@
 		l.stepLeases(lease.StartAnswered{Worker: a.Worker, Task: a.Task, OutcomeKnown: true})
 		l.stepJobs(job.NotStarted{Task: a.Task, Attempt: a.Attempt})
 	default:
-		var unreached *worker.UnreachedError
+		var unreached *worker.UnreachableError
 		l.Count("lead.unsure")
 		l.stepLeases(lease.StartAnswered{Worker: a.Worker, Task: a.Task})
 		l.addNote(a.Spec.ID, "start of "+a.Task+" has no answer")
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -58,14 +58,14 @@
 // Unwrap returns the transport's error.
 func (e *NoAnswerError) Unwrap() error { return e.Cause }
 
-// UnreachedError means that no connection to the worker could be opened, so that
+// UnreachableError means that no connection to the worker could be opened, so that
 // the request certainly did not reach it.
-type UnreachedError struct{ Cause error }
+type UnreachableError struct{ Cause error }
 
-func (e *UnreachedError) Error() string { return "no connection to worker: " + e.Cause.Error() }
+func (e *UnreachableError) Error() string { return "no connection to worker: " + e.Cause.Error() }
 
 // Unwrap returns the transport's error.
-func (e *UnreachedError) Unwrap() error { return e.Cause }
+func (e *UnreachableError) Unwrap() error { return e.Cause }
 
 // Client sends requests to workers on behalf of one holder. It is safe for concurrent use.
 type Client struct {
@@ -257,7 +257,7 @@
 	var op *net.OpError
 	switch {
 	case errors.As(err, &op) && op.Op == "dial":
-		return 0, says, &UnreachedError{Cause: err}
+		return 0, says, &UnreachableError{Cause: err}
 	case err != nil:
 		return 0, says, &NoAnswerError{Cause: err}
 	}
