--- a/internal/lead/stop.go
+++ b/internal/lead/stop.go
@@ -37,7 +37,7 @@
 func (l *Leader) handleStopReply(name string, ev job.Stopped, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var gone *worker.GoneError
+	var gone *worker.UnknownTaskError
 	switch {
 	case err == nil:
 		l.stepJobs(ev)
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -38,10 +38,10 @@
 
 func (e *LateError) Error() string { return "start arrived after its deadline and was not carried out" }
 
-// GoneError means that the worker has no task with this ID.
-type GoneError struct{ ID string }
+// UnknownTaskError means that the worker has no task with this ID.
+type UnknownTaskError struct{ ID string }
 
-func (e *GoneError) Error() string { return "worker has no task " + e.ID }
+func (e *UnknownTaskError) Error() string { return "worker has no task " + e.ID }
 
 // StatusError means that a worker answered with an unexpected HTTP status, from
 // which the result of the request cannot be told.
@@ -232,7 +232,7 @@
 	case err != nil:
 		return err
 	case status == http.StatusNotFound:
-		return &GoneError{ID: ask.ID}
+		return &UnknownTaskError{ID: ask.ID}
 	case status != http.StatusOK:
 		return &NoAnswerError{Cause: &StatusError{Status: status}}
 	default:
