--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -51,8 +51,8 @@
 	Header  map[string]string `json:"header,omitempty"`
 	Body    []byte            `json:"body,omitempty"`
 	Reason  string            `json:"reason,omitempty"`
-	// Again is how long the caller should wait before the next attempt.
-	Again cell.Duration `json:"again,omitzero"`
+	// RetryAfter is how long the caller should wait before the next attempt.
+	RetryAfter cell.Duration `json:"again,omitzero"`
 	// Lost lists the backend servers whose connections broke during this attempt.
 	// It is not sent to callers.
 	Lost []string `json:"lost,omitempty"`
@@ -60,10 +60,10 @@
 
 // Refuse returns a reply to a request that certainly did not run.
 func Refuse(status int, reason string, again time.Duration) Reply {
-	return Reply{Outcome: cell.Refused, Status: status, Reason: reason, Again: cell.Duration{Duration: again}}
+	return Reply{Outcome: cell.Refused, Status: status, Reason: reason, RetryAfter: cell.Duration{Duration: again}}
 }
 
 // Unsure returns a reply to a request that may have run and has no complete answer.
 func Unsure(status int, reason string, again time.Duration) Reply {
-	return Reply{Outcome: cell.Unknown, Status: status, Reason: reason, Again: cell.Duration{Duration: again}}
+	return Reply{Outcome: cell.Unknown, Status: status, Reason: reason, RetryAfter: cell.Duration{Duration: again}}
 }
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -101,7 +101,7 @@
 		_, _ = w.Write(reply.Body)
 		return
 	}
-	again := reply.Again.Seconds()
+	again := reply.RetryAfter.Seconds()
 	w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(again))))
 	writeJSON(w, reply.Status, refusalBody{
 		Error: http.StatusText(reply.Status), Outcome: reply.Outcome, Reason: reply.Reason, Again: again,
--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -52,16 +52,16 @@
 }
 
 func toAnswer(r call.Reply) ledger.Answer {
-	return ledger.Answer{Outcome: r.Outcome, Status: r.Status, Header: r.Header, Body: r.Body, Reason: r.Reason, RetryAfter: r.Again}
+	return ledger.Answer{Outcome: r.Outcome, Status: r.Status, Header: r.Header, Body: r.Body, Reason: r.Reason, RetryAfter: r.RetryAfter}
 }
 
 func toReply(a ledger.Answer) call.Reply {
-	r := call.Reply{Outcome: a.Outcome, Status: a.Status, Header: a.Header, Body: a.Body, Reason: a.Reason, Again: a.RetryAfter}
+	r := call.Reply{Outcome: a.Outcome, Status: a.Status, Header: a.Header, Body: a.Body, Reason: a.Reason, RetryAfter: a.RetryAfter}
 	if r.Status == 0 {
 		r.Status = http.StatusServiceUnavailable
 	}
-	if r.Outcome == cell.Unknown && r.Again.Duration == 0 {
-		r.Again.Duration = keyRetryAfter
+	if r.Outcome == cell.Unknown && r.RetryAfter.Duration == 0 {
+		r.RetryAfter.Duration = keyRetryAfter
 	}
 	return r
 }
