--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -46,9 +46,9 @@
 	Cancel func(ctx context.Context, id string) peer.JobReply
 	// Trail returns the history of decisions on a request or job.
 	Trail func(ctx context.Context, id string) []trail.Note
-	// Body is the maximum size of a request's body in bytes, Deadline the longest
+	// MaxBody is the maximum size of a request's body in bytes, Deadline the longest
 	// time that a caller may wait.
-	Body     int64
+	MaxBody  int64
 	Deadline time.Duration
 	Clock    func() time.Time
 }
@@ -141,8 +141,8 @@
 	if req.Deadline, err = h.readDeadline(r, row); err != nil {
 		return req, http.StatusBadRequest, err
 	}
-	if req.Body, err = io.ReadAll(http.MaxBytesReader(w, r.Body, h.Body)); err != nil {
-		return req, bodyStatus(err), &cell.ValueError{Field: "body", Found: err.Error(), Allowed: fmt.Sprintf("at most %d bytes", h.Body)}
+	if req.Body, err = io.ReadAll(http.MaxBytesReader(w, r.Body, h.MaxBody)); err != nil {
+		return req, bodyStatus(err), &cell.ValueError{Field: "body", Found: err.Error(), Allowed: fmt.Sprintf("at most %d bytes", h.MaxBody)}
 	}
 	req.Path = "/" + chi.URLParam(r, "*")
 	if r.URL.RawQuery != "" {
