--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -48,9 +48,9 @@
 	Trail func(ctx context.Context, id string) []trail.Note
 	// MaxBody is the maximum size of a request's body in bytes, Deadline the longest
 	// time that a caller may wait.
-	MaxBody  int64
-	Deadline time.Duration
-	Clock    func() time.Time
+	MaxBody int64
+	MaxWait time.Duration
+	Clock   func() time.Time
 }
 
 // Handler is the callers' HTTP handler.
@@ -211,7 +211,7 @@
 		return now, err
 	}
 	if !given {
-		return now.Add(min(row.Deadline.Duration, h.Deadline)), nil
+		return now.Add(min(row.Deadline.Duration, h.MaxWait)), nil
 	}
 	at, err := time.Parse(time.RFC3339Nano, text)
 	if d, derr := time.ParseDuration(text); derr == nil {
@@ -220,7 +220,7 @@
 	if err != nil || !at.After(now) {
 		return at, &cell.ValueError{Field: HeaderDeadline, Found: text, Allowed: "a time to come"}
 	}
-	if most := now.Add(h.Deadline); at.After(most) {
+	if most := now.Add(h.MaxWait); at.After(most) {
 		return most, nil
 	}
 	return at, nil
--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -35,7 +35,7 @@
 			sent = append(sent, r)
 			return call.Reply{Outcome: cell.Done, Status: http.StatusOK}
 		},
-		MaxBody: 16, Deadline: time.Minute, Clock: func() time.Time { return now },
+		MaxBody: 16, MaxWait: time.Minute, Clock: func() time.Time { return now },
 	}).Routes(mux)
 	w := httptest.NewRecorder()
 	mux.ServeHTTP(w, r)
--- a/internal/host/routes.go
+++ b/internal/host/routes.go
@@ -24,7 +24,7 @@
 		r.Use(h.admit)
 		caller.New(caller.Deps{
 			Row: h.Row, Do: h.doHere, Submit: h.submitHere, Job: h.askJob, Cancel: h.cancelJob, Trail: h.explain,
-			MaxBody: h.cfg.Limits.Body, Deadline: h.cfg.Limits.Deadline, Clock: h.clock,
+			MaxBody: h.cfg.Limits.Body, MaxWait: h.cfg.Limits.Deadline, Clock: h.clock,
 		}).Routes(r)
 	})
 	return h.count(r)
