--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -160,10 +160,10 @@
 	return http.StatusBadRequest
 }
 
-// single returns the value of a header that may be given only once, and false if
+// singleHeader returns the value of a header that may be given only once, and false if
 // it is absent. If two values were accepted, one would be silently ignored, and
 // the request could run under a key that its caller does not use again.
-func single(r *http.Request, name string) (string, bool, error) {
+func singleHeader(r *http.Request, name string) (string, bool, error) {
 	values := r.Header.Values(name)
 	switch len(values) {
 	case 0:
@@ -176,7 +176,7 @@
 }
 
 func readKey(r *http.Request) (string, error) {
-	key, given, err := single(r, HeaderKey)
+	key, given, err := singleHeader(r, HeaderKey)
 	if err != nil || !given {
 		return "", err
 	}
@@ -190,7 +190,7 @@
 }
 
 func readAttempt(r *http.Request) (int, error) {
-	text, given, err := single(r, HeaderAttempt)
+	text, given, err := singleHeader(r, HeaderAttempt)
 	if err != nil || !given {
 		return 1, err
 	}
@@ -206,7 +206,7 @@
 // the row's deadline applies.
 func (h *Handler) readDeadline(r *http.Request, row table.Row) (time.Time, error) {
 	now := h.Clock()
-	text, given, err := single(r, HeaderDeadline)
+	text, given, err := singleHeader(r, HeaderDeadline)
 	if err != nil {
 		return now, err
 	}
