--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -226,8 +226,8 @@
 	return at, nil
 }
 
-// joint returns the separator between the values of a header that is given more than once.
-func joint(name string) string {
+// valueSeparator returns the separator between the values of a header that is given more than once.
+func valueSeparator(name string) string {
 	if name == "Cookie" {
 		return "; "
 	}
@@ -243,7 +243,7 @@
 		case "Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 			"Proxy-Authorization", "Proxy-Authenticate", HeaderKey, HeaderAttempt, HeaderDeadline, "Traceparent", "Accept-Encoding":
 		default:
-			out[name] = strings.Join(h.Values(name), joint(name))
+			out[name] = strings.Join(h.Values(name), valueSeparator(name))
 		}
 	}
 	return out
