--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -148,7 +148,7 @@
 	if r.URL.RawQuery != "" {
 		req.Path += "?" + r.URL.RawQuery
 	}
-	req.Header = forwarded(r.Header)
+	req.Header = forwardedHeaders(r.Header)
 	return req, 0, nil
 }
 
@@ -234,9 +234,9 @@
 	return ", "
 }
 
-// forwarded returns the headers to send on. It omits those that apply to one
+// forwardedHeaders returns the headers to send on. It omits those that apply to one
 // connection only and those that pollencroft itself reads or sets.
-func forwarded(h http.Header) map[string]string {
+func forwardedHeaders(h http.Header) map[string]string {
 	out := map[string]string{}
 	for name := range h {
 		switch name {
