--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -24,7 +24,7 @@
 // Deps holds the data and functions that the operators' handler depends on.
 type Deps struct {
 	Token   string
-	Table   Book
+	Table   Table
 	Status  func() TableStatus
 	Hosts   func() any
 	Workers func() any
@@ -33,8 +33,8 @@
 	Drain func()
 }
 
-// Book gives operators access to the table: its rows, quotas and history.
-type Book interface {
+// Table gives operators access to the table: its rows, quotas and history.
+type Table interface {
 	Lines() []table.Line
 	Teams() []table.Quota
 	Past() []table.HistoryEntry
