--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -80,7 +80,7 @@
 	r.Use(h.allowed)
 	r.Get("/table", h.table)
 	r.Get("/table/{row}", h.row)
-	r.Put("/table/{row}", h.put)
+	r.Put("/table/{row}", h.putRow)
 	r.Delete("/table/{row}", h.drop)
 	r.Get("/edits/{id}", h.verdict)
 	r.Get("/log", func(w http.ResponseWriter, _ *http.Request) { write(w, http.StatusOK, h.Table.Past()) })
@@ -158,7 +158,7 @@
 // maxEdit is the maximum size of an edit's body in bytes.
 const maxEdit = 64 << 10
 
-func (h *Handler) put(w http.ResponseWriter, r *http.Request) {
+func (h *Handler) putRow(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxEdit))
 	if err != nil {
 		fail(w, http.StatusRequestEntityTooLarge, fmt.Sprintf("body is larger than %d bytes", maxEdit))
