--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -81,7 +81,7 @@
 	r.Get("/table", h.table)
 	r.Get("/table/{row}", h.row)
 	r.Put("/table/{row}", h.putRow)
-	r.Delete("/table/{row}", h.drop)
+	r.Delete("/table/{row}", h.deleteRow)
 	r.Get("/edits/{id}", h.verdict)
 	r.Get("/log", func(w http.ResponseWriter, _ *http.Request) { write(w, http.StatusOK, h.Table.Past()) })
 	r.Get("/status", func(w http.ResponseWriter, _ *http.Request) { write(w, http.StatusOK, h.Status()) })
@@ -167,7 +167,7 @@
 	h.edit(w, r, table.Edit{Fields: body})
 }
 
-func (h *Handler) drop(w http.ResponseWriter, r *http.Request) {
+func (h *Handler) deleteRow(w http.ResponseWriter, r *http.Request) {
 	h.edit(w, r, table.Edit{Drop: true})
 }
 
