--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -199,7 +199,7 @@
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
-	h.judge(w, r, e)
+	h.writeEdit(w, r, e)
 }
 
 // UnsureError means that it is not known yet whether an edit was written.
@@ -207,7 +207,7 @@
 
 func (err *UnsureError) Error() string { return "edit " + err.ID + " has no verdict yet" }
 
-func (h *Handler) judge(w http.ResponseWriter, r *http.Request, e table.Edit) {
+func (h *Handler) writeEdit(w http.ResponseWriter, r *http.Request, e table.Edit) {
 	j, err := h.Table.Edit(r.Context(), e)
 	if !settled(w, e.ID, j, err, func() any { return h.find(e.Row) }) {
 		return
