--- a/internal/operator/edits.go
+++ b/internal/operator/edits.go
@@ -107,7 +107,7 @@
 	}
 	var j table.Verdict
 	j, err = h.Table.EditQuota(r.Context(), e)
-	if settled(w, e.ID, j, err, func() any { return h.findTeam(e.Team) }) {
+	if answerUnlessAccepted(w, e.ID, j, err, func() any { return h.findTeam(e.Team) }) {
 		write(w, http.StatusOK, h.findTeam(e.Team))
 	}
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -209,7 +209,7 @@
 
 func (h *Handler) writeEdit(w http.ResponseWriter, r *http.Request, e table.Edit) {
 	j, err := h.Table.Edit(r.Context(), e)
-	if !settled(w, e.ID, j, err, func() any { return h.find(e.Row) }) {
+	if !answerUnlessAccepted(w, e.ID, j, err, func() any { return h.find(e.Row) }) {
 		return
 	}
 	if e.Drop {
@@ -225,10 +225,10 @@
 	write(w, http.StatusOK, line)
 }
 
-// settled reports whether an edit was accepted. If it was not, settled writes the
+// answerUnlessAccepted reports whether an edit was accepted. If it was not, answerUnlessAccepted writes the
 // answer: with the current row or quota if another edit came first, and with the
 // id under which to ask for the edit's state if the result is not known yet.
-func settled(w http.ResponseWriter, id string, j table.Verdict, err error, now func() any) bool {
+func answerUnlessAccepted(w http.ResponseWriter, id string, j table.Verdict, err error, now func() any) bool {
 	var unsure *UnsureError
 	switch {
 	case errors.As(err, &unsure):
