--- a/internal/host/edit.go
+++ b/internal/host/edit.go
@@ -34,8 +34,8 @@
 	return b.h.table.Teams()
 }
 
-// Past lists the newest edits with their verdicts.
-func (b book) Past() []table.HistoryEntry {
+// History lists the newest edits with their verdicts.
+func (b book) History() []table.HistoryEntry {
 	b.h.mu.Lock()
 	defer b.h.mu.Unlock()
 	return b.h.table.History()
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -37,7 +37,7 @@
 type Table interface {
 	Lines() []table.Line
 	Teams() []table.Quota
-	Past() []table.HistoryEntry
+	History() []table.HistoryEntry
 	// Verdict returns the result of an edit, and false if the edit has not been
 	// read from the log yet.
 	Verdict(id string) (table.Verdict, bool)
@@ -83,7 +83,7 @@
 	r.Put("/table/{row}", h.putRow)
 	r.Delete("/table/{row}", h.deleteRow)
 	r.Get("/edits/{id}", h.verdict)
-	r.Get("/log", func(w http.ResponseWriter, _ *http.Request) { write(w, http.StatusOK, h.Table.Past()) })
+	r.Get("/log", func(w http.ResponseWriter, _ *http.Request) { write(w, http.StatusOK, h.Table.History()) })
 	r.Get("/status", func(w http.ResponseWriter, _ *http.Request) { write(w, http.StatusOK, h.Status()) })
 	r.Get("/quotas", func(w http.ResponseWriter, _ *http.Request) { write(w, http.StatusOK, h.Table.Teams()) })
 	r.Put("/quotas/{team}", h.putQuota)
