--- a/internal/flow/job.go
+++ b/internal/flow/job.go
@@ -8,7 +8,7 @@
 	"pollencroft/internal/chart"
 )
 
-var life = chart.MustLoad("run")
+var taskChart = chart.MustLoad("run")
 
 // States of a task.
 const (
@@ -82,7 +82,7 @@
 
 // Transition takes the task through one event; false if its state does not allow it.
 func (t *Task) Transition(ev chart.Event, now time.Time) bool {
-	next, err := life.Next(t.State, ev)
+	next, err := taskChart.Next(t.State, ev)
 	if err != nil {
 		return false
 	}
@@ -200,7 +200,7 @@
 		stage := &Stage{Spec: st, Index: i}
 		for k := range st.Tasks {
 			stage.Tasks = append(stage.Tasks, &Task{
-				Name: Name{Job: j.Spec.ID, Round: n, Step: i, Index: k}, Job: j, Step: stage, State: life.Start(), Since: now, CPUPercent: 100,
+				Name: Name{Job: j.Spec.ID, Round: n, Step: i, Index: k}, Job: j, Step: stage, State: taskChart.Start(), Since: now, CPUPercent: 100,
 			})
 		}
 		r.Stages = append(r.Stages, stage)
