--- a/internal/flow/crash.go
+++ b/internal/flow/crash.go
@@ -49,10 +49,10 @@
 	if t.Step.Spec.Gang {
 		return t.Step.doubt
 	}
-	return t.lives()
+	return t.ownSuspicions()
 }
 
-func (t *Task) lives() int { return len(t.Crashed) + len(t.Lost) }
+func (t *Task) ownSuspicions() int { return len(t.Crashed) + len(t.Lost) }
 
 // weigh finds the member of a gang under which the most lives ended.
 func (s *Stage) weigh() {
@@ -61,6 +61,6 @@
 	}
 	s.doubt = 0
 	for _, t := range s.Tasks {
-		s.doubt = max(s.doubt, t.lives())
+		s.doubt = max(s.doubt, t.ownSuspicions())
 	}
 }
