--- a/internal/flow/crash.go
+++ b/internal/flow/crash.go
@@ -9,7 +9,7 @@
 		return false
 	}
 	t.Lost = append(t.Lost, life)
-	t.Step.weigh()
+	t.Step.updateSuspicions()
 	return true
 }
 
@@ -21,7 +21,7 @@
 		return false
 	}
 	t.Crashed = append(t.Crashed, life)
-	t.Step.weigh()
+	t.Step.updateSuspicions()
 	return true
 }
 
@@ -33,14 +33,14 @@
 		return false
 	}
 	t.Lost = slices.Delete(t.Lost, i, i+1)
-	t.Step.weigh()
+	t.Step.updateSuspicions()
 	return true
 }
 
 // ClearCrashes forgets all lives that ended under the task.
 func (t *Task) ClearCrashes() {
 	t.Crashed, t.Lost = nil, nil
-	t.Step.weigh()
+	t.Step.updateSuspicions()
 }
 
 // CrashSuspicions is how many lives ended, or may have, under the task; of a gang, whose members run
@@ -54,8 +54,8 @@
 
 func (t *Task) ownSuspicions() int { return len(t.Crashed) + len(t.Lost) }
 
-// weigh finds the member of a gang under which the most lives ended.
-func (s *Stage) weigh() {
+// updateSuspicions finds the member of a gang under which the most lives ended.
+func (s *Stage) updateSuspicions() {
 	if !s.Spec.Gang {
 		return
 	}
--- a/internal/flow/record.go
+++ b/internal/flow/record.go
@@ -187,7 +187,7 @@
 func (t *Task) restore(tr taskRecord, now time.Time) {
 	t.Run, t.Failures, t.Checkpoint = tr.Run, tr.Fails, tr.Saved
 	t.Crashed, t.Lost = tr.Crashed, tr.Lost
-	t.Step.weigh()
+	t.Step.updateSuspicions()
 	switch {
 	case tr.Done:
 		t.State = Done
