--- a/internal/flow/crash.go
+++ b/internal/flow/crash.go
@@ -47,7 +47,7 @@
 // together, under the member that has the most.
 func (t *Task) CrashSuspicions() int {
 	if t.Step.Spec.Gang {
-		return t.Step.doubt
+		return t.Step.maxSuspicions
 	}
 	return t.ownSuspicions()
 }
@@ -59,8 +59,8 @@
 	if !s.Spec.Gang {
 		return
 	}
-	s.doubt = 0
+	s.maxSuspicions = 0
 	for _, t := range s.Tasks {
-		s.doubt = max(s.doubt, t.ownSuspicions())
+		s.maxSuspicions = max(s.maxSuspicions, t.ownSuspicions())
 	}
 }
--- a/internal/flow/job.go
+++ b/internal/flow/job.go
@@ -110,8 +110,8 @@
 	Tasks []*Task
 	// Done counts ended tasks.
 	Done int
-	// doubt is how many lives ended under that member of a gang that has the most.
-	doubt int
+	// maxSuspicions is how many lives ended under that member of a gang that has the most.
+	maxSuspicions int
 }
 
 // Finished tells whether all tasks have ended as done.
