--- a/internal/flow/job.go
+++ b/internal/flow/job.go
@@ -188,13 +188,13 @@
 func (j *Job) BeginRounds(now time.Time) []*Round {
 	var begun []*Round
 	for !j.State.Final() && j.NextRound < j.rounds() && !j.Due(j.NextRound).After(now) {
-		begun = append(begun, j.open(j.NextRound, now))
+		begun = append(begun, j.openRound(j.NextRound, now))
 		j.NextRound++
 	}
 	return begun
 }
 
-func (j *Job) open(n int, now time.Time) *Round {
+func (j *Job) openRound(n int, now time.Time) *Round {
 	r := &Round{Index: n, Due: j.Due(n)}
 	for i, st := range j.Spec.Steps {
 		stage := &Stage{Spec: st, Index: i}
--- a/internal/flow/record.go
+++ b/internal/flow/record.go
@@ -162,7 +162,7 @@
 	j := New(spec, rec.Number, time.UnixMilli(rec.Began))
 	j.NextRound = rec.Next
 	for _, rr := range rec.Rounds {
-		j.open(rr.Index, now).restore(rr, now)
+		j.openRound(rr.Index, now).restore(rr, now)
 	}
 	j.State, j.Published = rec.State, rec.State
 	if rec.State.Final() {
