--- a/internal/flow/objective.go
+++ b/internal/flow/objective.go
@@ -19,16 +19,16 @@
 
 // RemainingTime is how long the job takes from the begin of a step on, as estimated.
 func (j *Job) RemainingTime(st *Stage) time.Duration {
-	return j.left()[st.Index]
+	return j.remainingTimes()[st.Index]
 }
 
 // Objective is how long after its acceptance the job should end under what the table
 // says of its queue now.
 func (j *Job) Objective(q Queue) time.Duration {
-	return time.Duration(q.Stretch*float64(slices.Max(j.left()))) + q.Slack
+	return time.Duration(q.Stretch*float64(slices.Max(j.remainingTimes()))) + q.Slack
 }
 
-func (j *Job) left() []time.Duration {
+func (j *Job) remainingTimes() []time.Duration {
 	if j.chains == nil {
 		j.chains = j.Spec.chains()
 	}
