--- a/internal/flow/objective.go
+++ b/internal/flow/objective.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// chains is by step how long the chain of steps takes that begins with it.
-func (s Spec) chains() []time.Duration {
+// chainTimes is by step how long the chain of steps takes that begins with it.
+func (s Spec) chainTimes() []time.Duration {
 	after := make([]time.Duration, len(s.Steps))
 	for i := len(s.Steps) - 1; i >= 0; i-- {
 		after[i] += s.Steps[i].EstimatedTime
@@ -30,7 +30,7 @@
 
 func (j *Job) remainingTimes() []time.Duration {
 	if j.chains == nil {
-		j.chains = j.Spec.chains()
+		j.chains = j.Spec.chainTimes()
 	}
 	return j.chains
 }
