--- a/internal/flow/job.go
+++ b/internal/flow/job.go
@@ -164,8 +164,8 @@
 	NextRound int
 	// Ended is when a final state was reached.
 	Ended time.Time
-	// chains is by step how long the way from its begin to the job's end takes.
-	chains []time.Duration
+	// chainTimes is by step how long the way from its begin to the job's end takes.
+	chainTimes []time.Duration
 }
 
 // New returns a job that was just accepted.
--- a/internal/flow/objective.go
+++ b/internal/flow/objective.go
@@ -29,8 +29,8 @@
 }
 
 func (j *Job) remainingTimes() []time.Duration {
-	if j.chains == nil {
-		j.chains = j.Spec.chainTimes()
+	if j.chainTimes == nil {
+		j.chainTimes = j.Spec.chainTimes()
 	}
-	return j.chains
+	return j.chainTimes
 }
