--- a/internal/flow/record.go
+++ b/internal/flow/record.go
@@ -20,9 +20,9 @@
 	Next   int           `json:"x,omitempty"`
 	Rounds []roundRecord `json:"r,omitempty"`
 	Ended  int64         `json:"e,omitempty"`
-	// Strays tells of an ended job that copies of its tasks may still run: its spec
+	// MayHaveCopies tells of an ended job that copies of its tasks may still run: its spec
 	// says what room they take.
-	Strays bool `json:"k,omitempty"`
+	MayHaveCopies bool `json:"k,omitempty"`
 }
 
 type roundRecord struct {
@@ -85,7 +85,7 @@
 	rec := record{Version: v, State: j.State, Began: j.Accepted.UnixMilli(), Number: j.Number, Next: j.NextRound}
 	if j.State.Final() {
 		rec.Ended = j.Ended.UnixMilli()
-		rec.Strays = slices.ContainsFunc(j.Spec.Steps, func(s Step) bool { return s.AllowCopies })
+		rec.MayHaveCopies = slices.ContainsFunc(j.Spec.Steps, func(s Step) bool { return s.AllowCopies })
 	}
 	for _, n := range slices.Sorted(maps.Keys(j.Rounds)) {
 		rr := roundRecord{Index: n}
@@ -131,7 +131,7 @@
 // kept only to tell how they ended. False if the job is not such a one.
 func RestoreEnded(id string, b []byte) (*Job, bool) {
 	var rec record
-	if json.Unmarshal(b, &rec) != nil || !rec.State.Final() || rec.Strays || len(rec.Rounds) > 0 {
+	if json.Unmarshal(b, &rec) != nil || !rec.State.Final() || rec.MayHaveCopies || len(rec.Rounds) > 0 {
 		return nil, false
 	}
 	j := New(Spec{ID: id}, rec.Number, time.UnixMilli(rec.Began))
