--- a/internal/flow/record.go
+++ b/internal/flow/record.go
@@ -92,7 +92,7 @@
 		out := false
 		for _, s := range j.Rounds[n].Stages {
 			rr.Steps = append(rr.Steps, s.records())
-			out = out || s.anyOut()
+			out = out || s.anyMayBeRunning()
 		}
 		if out || !j.State.Final() {
 			rec.Rounds = append(rec.Rounds, rr)
@@ -103,8 +103,8 @@
 	return b
 }
 
-// anyOut tells whether a run of the step may be at a worker.
-func (s *Stage) anyOut() bool {
+// anyMayBeRunning tells whether a run of the step may be at a worker.
+func (s *Stage) anyMayBeRunning() bool {
 	return slices.ContainsFunc(s.Tasks, func(t *Task) bool { return t.MayBeRunning() })
 }
 
