--- a/internal/queue/dispatch.go
+++ b/internal/queue/dispatch.go
@@ -50,7 +50,7 @@
 	return best
 }
 
-func (q *Queue) lender(r *row) *minion {
+func (q *Queue) lender(r *row) *backend {
 	if r.waiting.first().FromPeer {
 		return nil
 	}
--- a/internal/queue/servers.go
+++ b/internal/queue/servers.go
@@ -8,16 +8,16 @@
 	"pollencroft/internal/cell"
 )
 
-type minion struct {
+type backend struct {
 	name        string
 	slots, busy int
 	// turn orders servers with equal room by when they were last used.
 	turn int
 }
 
-func (m *minion) room() int { return max(0, m.slots-m.busy) }
+func (m *backend) room() int { return max(0, m.slots-m.busy) }
 
-func roomier(a, b *minion) bool {
+func roomier(a, b *backend) bool {
 	if a.room() != b.room() {
 		return a.room() > b.room()
 	}
@@ -29,18 +29,18 @@
 
 // servers are the backend servers, or the peers that lend theirs.
 type servers struct {
-	all         map[string]*minion
-	best        *places[*minion]
+	all         map[string]*backend
+	best        *places[*backend]
 	slots, free int
 	turn        int
 }
 
 func newServers() *servers {
-	return &servers{all: map[string]*minion{}, best: newPlaces(roomier)}
+	return &servers{all: map[string]*backend{}, best: newPlaces(roomier)}
 }
 
 // set changes one server by f and keeps sums and order.
-func (s *servers) set(m *minion, f func(m *minion)) {
+func (s *servers) set(m *backend, f func(m *backend)) {
 	s.slots -= m.slots
 	s.free -= m.room()
 	f(m)
@@ -57,11 +57,11 @@
 	for _, share := range all {
 		fresh[share.Backend] = share.Slots
 		if s.all[share.Backend] == nil {
-			s.all[share.Backend] = &minion{name: share.Backend}
+			s.all[share.Backend] = &backend{name: share.Backend}
 		}
 	}
 	for name, m := range s.all {
-		s.set(m, func(m *minion) { m.slots = fresh[name] })
+		s.set(m, func(m *backend) { m.slots = fresh[name] })
 		if _, ok := fresh[name]; !ok && m.busy == 0 {
 			s.best.drop(m)
 			delete(s.all, name)
@@ -69,19 +69,19 @@
 	}
 }
 
-func (s *servers) take(m *minion) {
+func (s *servers) take(m *backend) {
 	s.turn++
-	s.set(m, func(m *minion) { m.busy++; m.turn = s.turn })
+	s.set(m, func(m *backend) { m.busy++; m.turn = s.turn })
 }
 
 func (s *servers) leave(name string) {
 	if m, ok := s.all[name]; ok {
-		s.set(m, func(m *minion) { m.busy-- })
+		s.set(m, func(m *backend) { m.busy-- })
 	}
 }
 
 // pick is the server with most room, if possible none of those to avoid.
-func (s *servers) pick(avoid func(name string) bool) *minion {
+func (s *servers) pick(avoid func(name string) bool) *backend {
 	m := s.best.first()
 	if m == nil || m.room() == 0 {
 		return nil
@@ -89,11 +89,11 @@
 	if !avoid(m.name) {
 		return m
 	}
-	rest := slices.DeleteFunc(slices.Clone(s.best.items), func(m *minion) bool { return m.room() == 0 || avoid(m.name) })
+	rest := slices.DeleteFunc(slices.Clone(s.best.items), func(m *backend) bool { return m.room() == 0 || avoid(m.name) })
 	if len(rest) == 0 {
 		return nil
 	}
-	return slices.MinFunc(rest, func(a, b *minion) int {
+	return slices.MinFunc(rest, func(a, b *backend) int {
 		if roomier(a, b) {
 			return -1
 		}
