--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -30,8 +30,8 @@
 	waiting map[string]*request
 	sent    map[string]*request
 	due     *places[*request]
-	local   *servers
-	peers   *servers
+	local   *pool
+	peers   *pool
 	need    need
 }
 
--- a/internal/queue/servers.go
+++ b/internal/queue/servers.go
@@ -27,20 +27,20 @@
 	return a.name < b.name
 }
 
-// servers are the backend servers, or the peers that lend theirs.
-type servers struct {
+// pool are the backend pool, or the peers that lend theirs.
+type pool struct {
 	all         map[string]*backend
 	best        *places[*backend]
 	slots, free int
 	turn        int
 }
 
-func newServers() *servers {
-	return &servers{all: map[string]*backend{}, best: newPlaces(roomier)}
+func newServers() *pool {
+	return &pool{all: map[string]*backend{}, best: newPlaces(roomier)}
 }
 
 // set changes one server by f and keeps sums and order.
-func (s *servers) set(m *backend, f func(m *backend)) {
+func (s *pool) set(m *backend, f func(m *backend)) {
 	s.slots -= m.slots
 	s.free -= m.room()
 	f(m)
@@ -52,7 +52,7 @@
 // replace takes the shares in force. A server that is gone from the list but
 // still has requests is remembered, because it may return to the list before
 // they end and would then get more than its slots.
-func (s *servers) replace(all []Share) {
+func (s *pool) replace(all []Share) {
 	fresh := map[string]int{}
 	for _, share := range all {
 		fresh[share.Backend] = share.Slots
@@ -69,19 +69,19 @@
 	}
 }
 
-func (s *servers) take(m *backend) {
+func (s *pool) take(m *backend) {
 	s.turn++
 	s.set(m, func(m *backend) { m.busy++; m.turn = s.turn })
 }
 
-func (s *servers) leave(name string) {
+func (s *pool) leave(name string) {
 	if m, ok := s.all[name]; ok {
 		s.set(m, func(m *backend) { m.busy-- })
 	}
 }
 
 // pick is the server with most room, if possible none of those to avoid.
-func (s *servers) pick(avoid func(name string) bool) *backend {
+func (s *pool) pick(avoid func(name string) bool) *backend {
 	m := s.best.first()
 	if m == nil || m.room() == 0 {
 		return nil
