--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -39,7 +39,7 @@
 func New(limits Limits) *Queue {
 	return &Queue{
 		limits: limits, rows: map[string]*row{}, classes: newClasses(), waiting: map[string]*request{},
-		sent: map[string]*request{}, due: newPlaces(earlier), local: newServers(), peers: newServers(),
+		sent: map[string]*request{}, due: newPlaces(earlier), local: newPool(), peers: newPool(),
 		need: need{level: firstNeed},
 	}
 }
--- a/internal/queue/servers.go
+++ b/internal/queue/servers.go
@@ -35,7 +35,7 @@
 	turn        int
 }
 
-func newServers() *pool {
+func newPool() *pool {
 	return &pool{all: map[string]*backend{}, best: newPlaces(roomier)}
 }
 
