--- a/internal/queue/servers.go
+++ b/internal/queue/servers.go
@@ -15,11 +15,11 @@
 	turn int
 }
 
-func (m *backend) room() int { return max(0, m.slots-m.busy) }
+func (m *backend) free() int { return max(0, m.slots-m.busy) }
 
 func roomier(a, b *backend) bool {
-	if a.room() != b.room() {
-		return a.room() > b.room()
+	if a.free() != b.free() {
+		return a.free() > b.free()
 	}
 	if a.turn != b.turn {
 		return a.turn < b.turn
@@ -42,10 +42,10 @@
 // set changes one server by f and keeps sums and order.
 func (s *pool) set(m *backend, f func(m *backend)) {
 	s.slots -= m.slots
-	s.free -= m.room()
+	s.free -= m.free()
 	f(m)
 	s.slots += m.slots
-	s.free += m.room()
+	s.free += m.free()
 	s.best.set(m)
 }
 
@@ -83,13 +83,13 @@
 // pick is the server with most room, if possible none of those to avoid.
 func (s *pool) pick(avoid func(name string) bool) *backend {
 	m := s.best.first()
-	if m == nil || m.room() == 0 {
+	if m == nil || m.free() == 0 {
 		return nil
 	}
 	if !avoid(m.name) {
 		return m
 	}
-	rest := slices.DeleteFunc(slices.Clone(s.best.items), func(m *backend) bool { return m.room() == 0 || avoid(m.name) })
+	rest := slices.DeleteFunc(slices.Clone(s.best.items), func(m *backend) bool { return m.free() == 0 || avoid(m.name) })
 	if len(rest) == 0 {
 		return nil
 	}
