--- a/internal/queue/servers.go
+++ b/internal/queue/servers.go
@@ -17,7 +17,7 @@
 
 func (m *backend) free() int { return max(0, m.slots-m.busy) }
 
-func roomier(a, b *backend) bool {
+func hasMoreFree(a, b *backend) bool {
 	if a.free() != b.free() {
 		return a.free() > b.free()
 	}
@@ -36,7 +36,7 @@
 }
 
 func newPool() *pool {
-	return &pool{all: map[string]*backend{}, best: newPlaces(roomier)}
+	return &pool{all: map[string]*backend{}, best: newPlaces(hasMoreFree)}
 }
 
 // set changes one server by f and keeps sums and order.
@@ -94,7 +94,7 @@
 		return nil
 	}
 	return slices.MinFunc(rest, func(a, b *backend) int {
-		if roomier(a, b) {
+		if hasMoreFree(a, b) {
 			return -1
 		}
 		return 1
