--- a/internal/queue/dispatch.go
+++ b/internal/queue/dispatch.go
@@ -64,7 +64,7 @@
 	}
 	m := q.local.pick(func(name string) bool { return slices.Contains(req.Avoid, name) })
 	if m == nil {
-		m = q.local.best.first()
+		m = q.local.byFree.first()
 	}
 	req.minion = m.name
 	q.local.take(m)
--- a/internal/queue/servers.go
+++ b/internal/queue/servers.go
@@ -30,13 +30,13 @@
 // pool are the backend pool, or the peers that lend theirs.
 type pool struct {
 	all         map[string]*backend
-	best        *places[*backend]
+	byFree      *places[*backend]
 	slots, free int
 	turn        int
 }
 
 func newPool() *pool {
-	return &pool{all: map[string]*backend{}, best: newPlaces(hasMoreFree)}
+	return &pool{all: map[string]*backend{}, byFree: newPlaces(hasMoreFree)}
 }
 
 // set changes one server by f and keeps sums and order.
@@ -46,7 +46,7 @@
 	f(m)
 	s.slots += m.slots
 	s.free += m.free()
-	s.best.set(m)
+	s.byFree.set(m)
 }
 
 // replace takes the shares in force. A server that is gone from the list but
@@ -63,7 +63,7 @@
 	for name, m := range s.all {
 		s.set(m, func(m *backend) { m.slots = fresh[name] })
 		if _, ok := fresh[name]; !ok && m.busy == 0 {
-			s.best.drop(m)
+			s.byFree.drop(m)
 			delete(s.all, name)
 		}
 	}
@@ -82,14 +82,14 @@
 
 // pick is the server with most room, if possible none of those to avoid.
 func (s *pool) pick(avoid func(name string) bool) *backend {
-	m := s.best.first()
+	m := s.byFree.first()
 	if m == nil || m.free() == 0 {
 		return nil
 	}
 	if !avoid(m.name) {
 		return m
 	}
-	rest := slices.DeleteFunc(slices.Clone(s.best.items), func(m *backend) bool { return m.free() == 0 || avoid(m.name) })
+	rest := slices.DeleteFunc(slices.Clone(s.byFree.items), func(m *backend) bool { return m.free() == 0 || avoid(m.name) })
 	if len(rest) == 0 {
 		return nil
 	}
