--- a/internal/queue/servers.go
+++ b/internal/queue/servers.go
@@ -11,8 +11,8 @@
 type backend struct {
 	name        string
 	slots, busy int
-	// turn orders servers with equal room by when they were last used.
-	turn int
+	// lastUse orders servers with equal room by when they were last used.
+	lastUse int
 }
 
 func (m *backend) free() int { return max(0, m.slots-m.busy) }
@@ -21,8 +21,8 @@
 	if a.free() != b.free() {
 		return a.free() > b.free()
 	}
-	if a.turn != b.turn {
-		return a.turn < b.turn
+	if a.lastUse != b.lastUse {
+		return a.lastUse < b.lastUse
 	}
 	return a.name < b.name
 }
@@ -71,7 +71,7 @@
 
 func (s *pool) take(m *backend) {
 	s.turn++
-	s.set(m, func(m *backend) { m.busy++; m.turn = s.turn })
+	s.set(m, func(m *backend) { m.busy++; m.lastUse = s.turn })
 }
 
 func (s *pool) leave(name string) {
