--- a/internal/queue/servers.go
+++ b/internal/queue/servers.go
@@ -32,7 +32,7 @@
 	all         map[string]*backend
 	byFree      *places[*backend]
 	slots, free int
-	turn        int
+	uses        int
 }
 
 func newPool() *pool {
@@ -70,8 +70,8 @@
 }
 
 func (s *pool) take(m *backend) {
-	s.turn++
-	s.set(m, func(m *backend) { m.busy++; m.lastUse = s.turn })
+	s.uses++
+	s.set(m, func(m *backend) { m.busy++; m.lastUse = s.uses })
 }
 
 func (s *pool) leave(name string) {
