--- a/internal/queue/dispatch.go
+++ b/internal/queue/dispatch.go
@@ -67,7 +67,7 @@
 		m = q.local.byFree.first()
 	}
 	req.minion = m.name
-	q.local.take(m)
+	q.local.acquire(m)
 	r.sent++
 	if r.Class == cell.Urgent {
 		q.need.sent(now.Sub(req.since), r.took, q.mostReserve())
@@ -90,7 +90,7 @@
 func (q *Queue) lend(now time.Time, c *class, r *row) Action {
 	req, m := r.waiting.first(), q.lender(r)
 	req.peer = m.name
-	q.peers.take(m)
+	q.peers.acquire(m)
 	q.served(now, c, req)
 	return Lend{ID: req.ID, Peer: m.name}
 }
--- a/internal/queue/servers.go
+++ b/internal/queue/servers.go
@@ -69,7 +69,7 @@
 	}
 }
 
-func (s *pool) take(m *backend) {
+func (s *pool) acquire(m *backend) {
 	s.uses++
 	s.set(m, func(m *backend) { m.busy++; m.lastUse = s.uses })
 }
