--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -242,10 +242,10 @@
 func (q *Queue) release(req *request) {
 	delete(q.sent, req.ID)
 	if req.peer != "" {
-		q.peers.leave(req.peer)
+		q.peers.release(req.peer)
 		return
 	}
-	q.local.leave(req.minion)
+	q.local.release(req.minion)
 	req.row.sent--
 }
 
--- a/internal/queue/servers.go
+++ b/internal/queue/servers.go
@@ -74,7 +74,7 @@
 	s.set(m, func(m *backend) { m.busy++; m.lastUse = s.uses })
 }
 
-func (s *pool) leave(name string) {
+func (s *pool) release(name string) {
 	if m, ok := s.all[name]; ok {
 		s.set(m, func(m *backend) { m.busy-- })
 	}
