--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -32,7 +32,7 @@
 	due     *places[*request]
 	local   *pool
 	peers   *pool
-	need    need
+	need    reserveEstimate
 }
 
 // New returns an empty queue without backend servers.
@@ -40,7 +40,7 @@
 	return &Queue{
 		limits: limits, rows: map[string]*row{}, classes: newClasses(), waiting: map[string]*request{},
 		sent: map[string]*request{}, due: newPlaces(earlier), local: newPool(), peers: newPool(),
-		need: need{level: firstNeed},
+		need: reserveEstimate{level: firstNeed},
 	}
 }
 
--- a/internal/queue/servers.go
+++ b/internal/queue/servers.go
@@ -101,9 +101,9 @@
 	})
 }
 
-// need is how many slots urgent requests need kept back, found by trying: it
+// reserveEstimate is how many slots urgent requests reserveEstimate kept back, found by trying: it
 // grows when one waited noticeably and shrinks slowly while none does.
-type need struct {
+type reserveEstimate struct {
 	level float64
 	last  time.Time
 }
@@ -121,7 +121,7 @@
 	needGrow, needShrink = 0.5, 0.005
 )
 
-func (n *need) pass(now time.Time) {
+func (n *reserveEstimate) pass(now time.Time) {
 	if !n.last.IsZero() {
 		n.level *= math.Exp2(-now.Sub(n.last).Seconds() / needTime.Seconds())
 	}
@@ -129,7 +129,7 @@
 }
 
 // sent takes note of one urgent request; most bounds what may be kept back.
-func (n *need) sent(waited, took time.Duration, most int) {
+func (n *reserveEstimate) sent(waited, took time.Duration, most int) {
 	if float64(waited) > needWait*float64(took) {
 		n.level += needGrow
 	} else {
