--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -65,7 +65,7 @@
 	case Tick:
 		acts = q.giveUp(now)
 	}
-	q.need.pass(now)
+	q.need.decay(now)
 	acts = append(acts, q.expire(now)...)
 	acts = append(acts, q.dispatch(now)...)
 	if ask, ok := ev.(Enqueue); ok && ask.FromPeer && q.waiting[ask.ID] != nil {
--- a/internal/queue/servers.go
+++ b/internal/queue/servers.go
@@ -121,7 +121,7 @@
 	needGrow, needShrink = 0.5, 0.005
 )
 
-func (n *reserveEstimate) pass(now time.Time) {
+func (n *reserveEstimate) decay(now time.Time) {
 	if !n.last.IsZero() {
 		n.level *= math.Exp2(-now.Sub(n.last).Seconds() / needTime.Seconds())
 	}
