--- a/internal/queue/servers.go
+++ b/internal/queue/servers.go
@@ -128,8 +128,8 @@
 	n.last = now
 }
 
-// sent takes note of one urgent request; most bounds what may be kept back.
-func (n *reserveEstimate) sent(waited, took time.Duration, most int) {
+// observe takes note of one urgent request; most bounds what may be kept back.
+func (n *reserveEstimate) observe(waited, took time.Duration, most int) {
 	if float64(waited) > needWait*float64(took) {
 		n.level += needGrow
 	} else {
