--- a/internal/queue/servers.go
+++ b/internal/queue/servers.go
@@ -109,8 +109,8 @@
 }
 
 const (
-	// needTime is how long the need has half its weight without urgent requests.
-	needTime = time.Minute
+	// reserveHalfLife is how long the need has half its weight without urgent requests.
+	reserveHalfLife = time.Minute
 	// firstNeed keeps the whole reserve until urgent requests were seen.
 	firstNeed = 1 << 10
 	// needWait is the part of its own time that an urgent request may wait
@@ -123,7 +123,7 @@
 
 func (n *reserveEstimate) decay(now time.Time) {
 	if !n.last.IsZero() {
-		n.level *= math.Exp2(-now.Sub(n.last).Seconds() / needTime.Seconds())
+		n.level *= math.Exp2(-now.Sub(n.last).Seconds() / reserveHalfLife.Seconds())
 	}
 	n.last = now
 }
