--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -40,7 +40,7 @@
 	return &Queue{
 		limits: limits, rows: map[string]*row{}, classes: newClasses(), waiting: map[string]*request{},
 		sent: map[string]*request{}, due: newPlaces(earlier), local: newPool(), peers: newPool(),
-		need: reserveEstimate{level: firstNeed},
+		need: reserveEstimate{level: initialReserve},
 	}
 }
 
--- a/internal/queue/servers.go
+++ b/internal/queue/servers.go
@@ -111,8 +111,8 @@
 const (
 	// reserveHalfLife is how long the need has half its weight without urgent requests.
 	reserveHalfLife = time.Minute
-	// firstNeed keeps the whole reserve until urgent requests were seen.
-	firstNeed = 1 << 10
+	// initialReserve keeps the whole reserve until urgent requests were seen.
+	initialReserve = 1 << 10
 	// needWait is the part of its own time that an urgent request may wait
 	// before it counts as delayed.
 	needWait = 0.25
