--- a/internal/queue/servers.go
+++ b/internal/queue/servers.go
@@ -113,9 +113,9 @@
 	reserveHalfLife = time.Minute
 	// initialReserve keeps the whole reserve until urgent requests were seen.
 	initialReserve = 1 << 10
-	// needWait is the part of its own time that an urgent request may wait
+	// delayedShare is the part of its own time that an urgent request may wait
 	// before it counts as delayed.
-	needWait = 0.25
+	delayedShare = 0.25
 	// needGrow and needShrink balance when one urgent request in a hundred is
 	// delayed.
 	needGrow, needShrink = 0.5, 0.005
@@ -130,7 +130,7 @@
 
 // observe takes note of one urgent request; most bounds what may be kept back.
 func (n *reserveEstimate) observe(waited, took time.Duration, most int) {
-	if float64(waited) > needWait*float64(took) {
+	if float64(waited) > delayedShare*float64(took) {
 		n.level += needGrow
 	} else {
 		n.level -= needShrink
