--- a/internal/queue/servers.go
+++ b/internal/queue/servers.go
@@ -116,9 +116,9 @@
 	// delayedShare is the part of its own time that an urgent request may wait
 	// before it counts as delayed.
 	delayedShare = 0.25
-	// needGrow and needShrink balance when one urgent request in a hundred is
+	// reserveGrow and needShrink balance when one urgent request in a hundred is
 	// delayed.
-	needGrow, needShrink = 0.5, 0.005
+	reserveGrow, needShrink = 0.5, 0.005
 )
 
 func (n *reserveEstimate) decay(now time.Time) {
@@ -131,7 +131,7 @@
 // observe takes note of one urgent request; most bounds what may be kept back.
 func (n *reserveEstimate) observe(waited, took time.Duration, most int) {
 	if float64(waited) > delayedShare*float64(took) {
-		n.level += needGrow
+		n.level += reserveGrow
 	} else {
 		n.level -= needShrink
 	}
