--- a/internal/queue/servers.go
+++ b/internal/queue/servers.go
@@ -116,9 +116,9 @@
 	// delayedShare is the part of its own time that an urgent request may wait
 	// before it counts as delayed.
 	delayedShare = 0.25
-	// reserveGrow and needShrink balance when one urgent request in a hundred is
+	// reserveGrow and reserveShrink balance when one urgent request in a hundred is
 	// delayed.
-	reserveGrow, needShrink = 0.5, 0.005
+	reserveGrow, reserveShrink = 0.5, 0.005
 )
 
 func (n *reserveEstimate) decay(now time.Time) {
@@ -133,7 +133,7 @@
 	if float64(waited) > delayedShare*float64(took) {
 		n.level += reserveGrow
 	} else {
-		n.level -= needShrink
+		n.level -= reserveShrink
 	}
 	n.level = max(0, min(n.level, float64(most)))
 }
