--- a/internal/queue/dispatch.go
+++ b/internal/queue/dispatch.go
@@ -40,7 +40,7 @@
 // every peer has bounced is passed over until the peers tell their load again.
 func (q *Queue) lendable(c *class) *row {
 	var best *row
-	for _, rows := range []*places[*row]{c.ready, c.blocked} {
+	for _, rows := range []*indexedHeap[*row]{c.ready, c.blocked} {
 		for _, r := range rows.items {
 			if (best == nil || lessUsed(r, best)) && q.lender(r) != nil {
 				best = r
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -29,7 +29,7 @@
 	classes map[cell.Class]*class
 	waiting map[string]*request
 	sent    map[string]*request
-	due     *places[*request]
+	due     *indexedHeap[*request]
 	local   *pool
 	peers   *pool
 	need    reserveEstimate
@@ -103,7 +103,7 @@
 			return nil
 		}
 		var worst *row
-		for _, rows := range []*places[*row]{q.classes[c].ready, q.classes[c].blocked} {
+		for _, rows := range []*indexedHeap[*row]{q.classes[c].ready, q.classes[c].blocked} {
 			for _, r := range rows.items {
 				if worst == nil || r.load() > worst.load() || r.load() == worst.load() && r.Name < worst.Name {
 					worst = r
@@ -201,7 +201,7 @@
 func (q *Queue) giveUp(now time.Time) []Action {
 	var acts []Action
 	for _, c := range slices.Backward(cell.Classes) {
-		for _, rows := range []*places[*row]{q.classes[c].ready, q.classes[c].blocked} {
+		for _, rows := range []*indexedHeap[*row]{q.classes[c].ready, q.classes[c].blocked} {
 			for _, r := range slices.Clone(rows.items) {
 				acts = append(acts, q.trim(now, r)...)
 			}
@@ -296,7 +296,7 @@
 func (q *Queue) WaitingRows() []string {
 	var names []string
 	for _, c := range q.classes {
-		for _, rows := range []*places[*row]{c.ready, c.blocked} {
+		for _, rows := range []*indexedHeap[*row]{c.ready, c.blocked} {
 			for _, r := range rows.items {
 				names = append(names, r.Name)
 			}
--- a/internal/queue/row.go
+++ b/internal/queue/row.go
@@ -22,7 +22,7 @@
 // row keeps the requests of one row.
 type row struct {
 	Row
-	waiting *places[*request]
+	waiting *indexedHeap[*request]
 	// order is by arrival, newest last.
 	order *list.List
 	// due counts waiting requests by deadline.
@@ -99,7 +99,7 @@
 // class keeps the rows of one class that have something waiting.
 type class struct {
 	// ready rows may be sent, blocked ones are at their limit on this host.
-	ready, blocked *places[*row]
+	ready, blocked *indexedHeap[*row]
 	waiting        int
 	// turn is the charge of the row that was served last. A row that was idle
 	// starts from there: it must not spend at once what it left unused, or its
--- a/internal/queue/servers.go
+++ b/internal/queue/servers.go
@@ -30,7 +30,7 @@
 // pool are the backend pool, or the peers that lend theirs.
 type pool struct {
 	all         map[string]*backend
-	byFree      *places[*backend]
+	byFree      *indexedHeap[*backend]
 	slots, free int
 	uses        int
 }
