--- a/internal/queue/heap.go
+++ b/internal/queue/heap.go
@@ -10,7 +10,7 @@
 	less  func(a, b T) bool
 }
 
-func newPlaces[T comparable](less func(a, b T) bool) *indexedHeap[T] {
+func newIndexedHeap[T comparable](less func(a, b T) bool) *indexedHeap[T] {
 	return &indexedHeap[T]{at: map[T]int{}, less: less}
 }
 
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -39,7 +39,7 @@
 func New(limits Limits) *Queue {
 	return &Queue{
 		limits: limits, rows: map[string]*row{}, classes: newClasses(), waiting: map[string]*request{},
-		sent: map[string]*request{}, due: newPlaces(earlier), local: newPool(), peers: newPool(),
+		sent: map[string]*request{}, due: newIndexedHeap(earlier), local: newPool(), peers: newPool(),
 		need: reserveEstimate{level: initialReserve},
 	}
 }
--- a/internal/queue/row.go
+++ b/internal/queue/row.go
@@ -40,7 +40,7 @@
 
 func newRow(of Row) *row {
 	return &row{
-		Row: of, waiting: newPlaces(earlier), order: list.New(), due: map[int64]int{}, bounced: map[string]bool{},
+		Row: of, waiting: newIndexedHeap(earlier), order: list.New(), due: map[int64]int{}, bounced: map[string]bool{},
 	}
 }
 
@@ -111,7 +111,7 @@
 func newClasses() map[cell.Class]*class {
 	all := map[cell.Class]*class{}
 	for _, c := range cell.Classes {
-		all[c] = &class{ready: newPlaces(lessUsed), blocked: newPlaces(lessUsed)}
+		all[c] = &class{ready: newIndexedHeap(lessUsed), blocked: newIndexedHeap(lessUsed)}
 	}
 	return all
 }
--- a/internal/queue/servers.go
+++ b/internal/queue/servers.go
@@ -36,7 +36,7 @@
 }
 
 func newPool() *pool {
-	return &pool{all: map[string]*backend{}, byFree: newPlaces(hasMoreFree)}
+	return &pool{all: map[string]*backend{}, byFree: newIndexedHeap(hasMoreFree)}
 }
 
 // set changes one server by f and keeps sums and order.
