--- a/internal/queue/heap.go
+++ b/internal/queue/heap.go
@@ -6,12 +6,12 @@
 // moved or taken out at the cost of a logarithm.
 type indexedHeap[T comparable] struct {
 	items []T
-	at    map[T]int
+	index map[T]int
 	less  func(a, b T) bool
 }
 
 func newIndexedHeap[T comparable](less func(a, b T) bool) *indexedHeap[T] {
-	return &indexedHeap[T]{at: map[T]int{}, less: less}
+	return &indexedHeap[T]{index: map[T]int{}, less: less}
 }
 
 // Len, Less, Swap, Push and Pop serve container/heap.
@@ -23,12 +23,12 @@
 // Swap exchanges two items by index.
 func (p *indexedHeap[T]) Swap(i, j int) {
 	p.items[i], p.items[j] = p.items[j], p.items[i]
-	p.at[p.items[i]], p.at[p.items[j]] = i, j
+	p.index[p.items[i]], p.index[p.items[j]] = i, j
 }
 
 // Push appends an item.
 func (p *indexedHeap[T]) Push(x any) {
-	p.at[x.(T)] = len(p.items)
+	p.index[x.(T)] = len(p.items)
 	p.items = append(p.items, x.(T))
 }
 
@@ -38,13 +38,13 @@
 	var none T
 	p.items[len(p.items)-1] = none
 	p.items = p.items[:len(p.items)-1]
-	delete(p.at, last)
+	delete(p.index, last)
 	return last
 }
 
 // set adds an item or moves it to where it belongs now.
 func (p *indexedHeap[T]) set(x T) {
-	if i, ok := p.at[x]; ok {
+	if i, ok := p.index[x]; ok {
 		heap.Fix(p, i)
 		return
 	}
@@ -52,7 +52,7 @@
 }
 
 func (p *indexedHeap[T]) drop(x T) {
-	if i, ok := p.at[x]; ok {
+	if i, ok := p.index[x]; ok {
 		heap.Remove(p, i)
 	}
 }
