--- a/internal/queue/dispatch.go
+++ b/internal/queue/dispatch.go
@@ -66,7 +66,7 @@
 	if m == nil {
 		m = q.local.byFree.first()
 	}
-	req.minion = m.name
+	req.backend = m.name
 	q.local.acquire(m)
 	r.sent++
 	if r.Class == cell.Urgent {
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -245,7 +245,7 @@
 		q.peers.release(req.peer)
 		return
 	}
-	q.local.release(req.minion)
+	q.local.release(req.backend)
 	req.row.sent--
 }
 
--- a/internal/queue/row.go
+++ b/internal/queue/row.go
@@ -13,10 +13,10 @@
 type request struct {
 	Enqueue
 	row *row
-	// minion or peer holds the request after it was sent.
-	minion, peer string
-	place        *list.Element
-	since        time.Time
+	// backend or peer holds the request after it was sent.
+	backend, peer string
+	place         *list.Element
+	since         time.Time
 }
 
 // row keeps the requests of one row.
