--- a/internal/queue/row.go
+++ b/internal/queue/row.go
@@ -15,7 +15,7 @@
 	row *row
 	// backend or peer holds the request after it was sent.
 	backend, peer string
-	place         *list.Element
+	element       *list.Element
 	since         time.Time
 }
 
@@ -55,13 +55,13 @@
 
 func (r *row) add(req *request) {
 	r.waiting.set(req)
-	req.place = r.order.PushBack(req)
+	req.element = r.order.PushBack(req)
 	r.due[bucket(req.Deadline)]++
 }
 
 func (r *row) remove(req *request) {
 	r.waiting.drop(req)
-	r.order.Remove(req.place)
+	r.order.Remove(req.element)
 	b := bucket(req.Deadline)
 	if r.due[b]--; r.due[b] == 0 {
 		delete(r.due, b)
