--- a/internal/queue/dispatch.go
+++ b/internal/queue/dispatch.go
@@ -99,8 +99,8 @@
 	r := req.row
 	q.remove(req)
 	q.sent[req.ID] = req
-	c.turn = r.used
-	r.used += r.cost()
+	c.turn = r.usage
+	r.usage += r.cost()
 	c.place(r)
 	r.drain.count(now)
 	c.drain.count(now)
--- a/internal/queue/row.go
+++ b/internal/queue/row.go
@@ -29,9 +29,9 @@
 	due map[int64]int
 	// sent is how many hold a slot of this host.
 	sent int64
-	// used is the slot time that the row had, divided by its weight.
-	used float64
-	took time.Duration
+	// usage is the slot time that the row had, divided by its weight.
+	usage float64
+	took  time.Duration
 	// bounced are the peers that had no room for the row since they last told
 	// their load.
 	bounced map[string]bool
@@ -117,8 +117,8 @@
 }
 
 func lessUsed(a, b *row) bool {
-	if a.used != b.used {
-		return a.used < b.used
+	if a.usage != b.usage {
+		return a.usage < b.usage
 	}
 	return a.Name < b.Name
 }
