--- a/internal/queue/dispatch.go
+++ b/internal/queue/dispatch.go
@@ -70,7 +70,7 @@
 	q.local.acquire(m)
 	r.sent++
 	if r.Class == cell.Urgent {
-		q.need.observe(now.Sub(req.since), r.took, q.maxReserve())
+		q.need.observe(now.Sub(req.since), r.meanTime, q.maxReserve())
 	}
 	q.served(now, c, req)
 	return Send{ID: req.ID, Backend: m.name}
@@ -80,10 +80,10 @@
 // before an answer can come. Each refusal lowers the measure a little, so that
 // one slow answer cannot keep a row from being tried for ever.
 func (q *Queue) tooLate(now time.Time, r *row, req *request) bool {
-	if req.Deadline.Sub(now) >= r.took/2 {
+	if req.Deadline.Sub(now) >= r.meanTime/2 {
 		return false
 	}
-	r.took = r.took * 7 / 8
+	r.meanTime = r.meanTime * 7 / 8
 	return true
 }
 
--- a/internal/queue/drain.go
+++ b/internal/queue/drain.go
@@ -71,7 +71,7 @@
 // answered in time at the measured rate.
 func (q *Queue) hopeless(now time.Time, r *row, ahead int, deadline time.Time) bool {
 	wait := q.estimate(now, r, ahead)
-	return wait > 0 && float64(wait+r.took) > margin[r.Class]*float64(deadline.Sub(now))
+	return wait > 0 && float64(wait+r.meanTime) > margin[r.Class]*float64(deadline.Sub(now))
 }
 
 // again is when a refused caller has a chance: when what waits now has been
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -230,10 +230,10 @@
 	r := req.row
 	q.release(req)
 	if ev.Took > 0 && !ev.Failed {
-		if r.took == 0 {
-			r.took = ev.Took
+		if r.meanTime == 0 {
+			r.meanTime = ev.Took
 		}
-		r.took = (r.took*7 + ev.Took) / 8
+		r.meanTime = (r.meanTime*7 + ev.Took) / 8
 	}
 	q.classes[r.Class].place(r)
 }
--- a/internal/queue/row.go
+++ b/internal/queue/row.go
@@ -30,8 +30,8 @@
 	// sent is how many hold a slot of this host.
 	sent int64
 	// usage is the slot time that the row had, divided by its weight.
-	usage float64
-	took  time.Duration
+	usage    float64
+	meanTime time.Duration
 	// bounced are the peers that had no room for the row since they last told
 	// their load.
 	bounced map[string]bool
@@ -89,7 +89,7 @@
 
 // cost is what one request of the row is charged.
 func (r *row) cost() float64 {
-	took := r.took
+	took := r.meanTime
 	if took == 0 {
 		took = firstDrain
 	}
