--- a/internal/queue/dispatch.go
+++ b/internal/queue/dispatch.go
@@ -54,7 +54,7 @@
 	if r.waiting.first().FromPeer {
 		return nil
 	}
-	return q.peers.pick(func(name string) bool { return r.bounced[name] })
+	return q.peers.pick(func(name string) bool { return r.rejectedBy[name] })
 }
 
 func (q *Queue) send(now time.Time, c *class, r *row) Action {
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -256,7 +256,7 @@
 		return
 	}
 	q.release(req)
-	req.row.bounced[req.peer] = true
+	req.row.rejectedBy[req.peer] = true
 	req.peer = ""
 	q.add(now, req)
 }
@@ -274,7 +274,7 @@
 	}
 	q.peers.replace(shares)
 	for _, r := range q.rows {
-		clear(r.bounced)
+		clear(r.rejectedBy)
 	}
 }
 
--- a/internal/queue/row.go
+++ b/internal/queue/row.go
@@ -32,15 +32,15 @@
 	// usage is the slot time that the row had, divided by its weight.
 	usage    float64
 	meanTime time.Duration
-	// bounced are the peers that had no room for the row since they last told
+	// rejectedBy are the peers that had no room for the row since they last told
 	// their load.
-	bounced map[string]bool
-	drain   drain
+	rejectedBy map[string]bool
+	drain      drain
 }
 
 func newRow(of Row) *row {
 	return &row{
-		Row: of, waiting: newIndexedHeap(earlier), order: list.New(), due: map[int64]int{}, bounced: map[string]bool{},
+		Row: of, waiting: newIndexedHeap(earlier), order: list.New(), due: map[int64]int{}, rejectedBy: map[string]bool{},
 	}
 }
 
