--- a/internal/queue/dispatch.go
+++ b/internal/queue/dispatch.go
@@ -68,7 +68,7 @@
 	}
 	req.backend = m.name
 	q.local.acquire(m)
-	r.sent++
+	r.busy++
 	if r.Class == cell.Urgent {
 		q.need.observe(now.Sub(req.since), r.meanTime, q.maxReserve())
 	}
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -150,7 +150,7 @@
 	c := q.classes[r.Class]
 	if len(r.waiting.items) == 0 {
 		r.drain.begin(now)
-		if r.sent == 0 {
+		if r.busy == 0 {
 			r.usage = max(r.usage, c.turn)
 		}
 	}
@@ -246,7 +246,7 @@
 		return
 	}
 	q.local.release(req.backend)
-	req.row.sent--
+	req.row.busy--
 }
 
 // bounced puts a request back; its deadline keeps its place in the row.
--- a/internal/queue/row.go
+++ b/internal/queue/row.go
@@ -27,8 +27,8 @@
 	order *list.List
 	// due counts waiting requests by deadline.
 	due map[int64]int
-	// sent is how many hold a slot of this host.
-	sent int64
+	// busy is how many hold a slot of this host.
+	busy int64
 	// usage is the slot time that the row had, divided by its weight.
 	usage    float64
 	meanTime time.Duration
@@ -82,7 +82,7 @@
 	return 0
 }
 
-func (r *row) atLimit() bool { return r.Slots != 0 && r.sent >= r.Slots }
+func (r *row) atLimit() bool { return r.Slots != 0 && r.busy >= r.Slots }
 
 // load is the row's part of the queue for its weight.
 func (r *row) load() float64 { return float64(len(r.waiting.items)) / float64(max(r.Weight, 1)) }
