--- a/internal/queue/dispatch.go
+++ b/internal/queue/dispatch.go
@@ -42,7 +42,7 @@
 	var best *row
 	for _, rows := range []*indexedHeap[*row]{c.ready, c.blocked} {
 		for _, r := range rows.items {
-			if (best == nil || lessUsed(r, best)) && q.lender(r) != nil {
+			if (best == nil || lessUsage(r, best)) && q.lender(r) != nil {
 				best = r
 			}
 		}
--- a/internal/queue/row.go
+++ b/internal/queue/row.go
@@ -111,12 +111,12 @@
 func newClasses() map[cell.Class]*class {
 	all := map[cell.Class]*class{}
 	for _, c := range cell.Classes {
-		all[c] = &class{ready: newIndexedHeap(lessUsed), blocked: newIndexedHeap(lessUsed)}
+		all[c] = &class{ready: newIndexedHeap(lessUsage), blocked: newIndexedHeap(lessUsage)}
 	}
 	return all
 }
 
-func lessUsed(a, b *row) bool {
+func lessUsage(a, b *row) bool {
 	if a.usage != b.usage {
 		return a.usage < b.usage
 	}
