--- a/internal/queue/dispatch.go
+++ b/internal/queue/dispatch.go
@@ -99,7 +99,7 @@
 	r := req.row
 	q.remove(req)
 	q.sent[req.ID] = req
-	c.turn = r.usage
+	c.virtualTime = r.usage
 	r.usage += r.cost()
 	c.place(r)
 	r.drain.count(now)
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -141,7 +141,7 @@
 		into.drain.begin(now)
 	}
 	into.waiting += n
-	r.usage = into.turn
+	r.usage = into.virtualTime
 	r.Class = to
 }
 
@@ -151,7 +151,7 @@
 	if len(r.waiting.items) == 0 {
 		r.drain.begin(now)
 		if r.busy == 0 {
-			r.usage = max(r.usage, c.turn)
+			r.usage = max(r.usage, c.virtualTime)
 		}
 	}
 	if c.waiting == 0 {
--- a/internal/queue/row.go
+++ b/internal/queue/row.go
@@ -101,11 +101,11 @@
 	// ready rows may be sent, blocked ones are at their limit on this host.
 	ready, blocked *indexedHeap[*row]
 	waiting        int
-	// turn is the charge of the row that was served last. A row that was idle
+	// virtualTime is the charge of the row that was served last. A row that was idle
 	// starts from there: it must not spend at once what it left unused, or its
 	// burst would hold up every other row of the class.
-	turn  float64
-	drain drain
+	virtualTime float64
+	drain       drain
 }
 
 func newClasses() map[cell.Class]*class {
