--- a/internal/queue/dispatch.go
+++ b/internal/queue/dispatch.go
@@ -101,7 +101,7 @@
 	q.sent[req.ID] = req
 	c.virtualTime = r.usage
 	r.usage += r.cost()
-	c.place(r)
+	c.reindex(r)
 	r.drain.count(now)
 	c.drain.count(now)
 }
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -128,7 +128,7 @@
 		q.move(now, r, to.Class)
 	}
 	r.Row = to
-	q.classes[r.Class].place(r)
+	q.classes[r.Class].reindex(r)
 	return r
 }
 
@@ -162,7 +162,7 @@
 	r.add(req)
 	q.waiting[req.ID] = req
 	q.due.set(req)
-	c.place(r)
+	c.reindex(r)
 }
 
 func (q *Queue) remove(req *request) {
@@ -174,7 +174,7 @@
 	req.row.remove(req)
 	delete(q.waiting, req.ID)
 	q.due.drop(req)
-	c.place(req.row)
+	c.reindex(req.row)
 }
 
 func (q *Queue) refuse(now time.Time, r *row, id string, why Reason) Refuse {
@@ -235,7 +235,7 @@
 		}
 		r.meanTime = (r.meanTime*7 + ev.Took) / 8
 	}
-	q.classes[r.Class].place(r)
+	q.classes[r.Class].reindex(r)
 }
 
 // release frees the slot that a sent request held.
--- a/internal/queue/row.go
+++ b/internal/queue/row.go
@@ -123,8 +123,8 @@
 	return a.Name < b.Name
 }
 
-// place puts a row where it belongs after any change.
-func (c *class) place(r *row) {
+// reindex puts a row where it belongs after any change.
+func (c *class) reindex(r *row) {
 	switch {
 	case len(r.waiting.items) == 0:
 		c.ready.drop(r)
