--- a/internal/queue/row.go
+++ b/internal/queue/row.go
@@ -25,8 +25,8 @@
 	waiting *indexedHeap[*request]
 	// order is by arrival, newest last.
 	order *list.List
-	// due counts waiting requests by deadline.
-	due map[int64]int
+	// dueCounts counts waiting requests by deadline.
+	dueCounts map[int64]int
 	// busy is how many hold a slot of this host.
 	busy int64
 	// usage is the slot time that the row had, divided by its weight.
@@ -40,7 +40,7 @@
 
 func newRow(of Row) *row {
 	return &row{
-		Row: of, waiting: newIndexedHeap(earlier), order: list.New(), due: map[int64]int{}, rejectedBy: map[string]bool{},
+		Row: of, waiting: newIndexedHeap(earlier), order: list.New(), dueCounts: map[int64]int{}, rejectedBy: map[string]bool{},
 	}
 }
 
@@ -56,23 +56,23 @@
 func (r *row) add(req *request) {
 	r.waiting.set(req)
 	req.element = r.order.PushBack(req)
-	r.due[bucket(req.Deadline)]++
+	r.dueCounts[bucket(req.Deadline)]++
 }
 
 func (r *row) remove(req *request) {
 	r.waiting.drop(req)
 	r.order.Remove(req.element)
 	b := bucket(req.Deadline)
-	if r.due[b]--; r.due[b] == 0 {
-		delete(r.due, b)
+	if r.dueCounts[b]--; r.dueCounts[b] == 0 {
+		delete(r.dueCounts, b)
 	}
 }
 
 // ahead is how many waiting requests are due no later than a deadline.
 func (r *row) ahead(deadline time.Time) int {
-	if last := bucket(deadline); len(r.due) > 0 {
+	if last := bucket(deadline); len(r.dueCounts) > 0 {
 		n := 0
-		for b, count := range r.due {
+		for b, count := range r.dueCounts {
 			if b <= last {
 				n += count
 			}
