--- a/internal/queue/row.go
+++ b/internal/queue/row.go
@@ -7,8 +7,8 @@
 	"pollencroft/internal/cell"
 )
 
-// bucketTime is how finely waiting requests are counted by deadline.
-const bucketTime = 250 * time.Millisecond
+// bucketWidth is how finely waiting requests are counted by deadline.
+const bucketWidth = 250 * time.Millisecond
 
 type request struct {
 	Enqueue
@@ -51,7 +51,7 @@
 	return a.ID < b.ID
 }
 
-func bucket(t time.Time) int64 { return t.UnixNano() / int64(bucketTime) }
+func bucket(t time.Time) int64 { return t.UnixNano() / int64(bucketWidth) }
 
 func (r *row) add(req *request) {
 	r.waiting.set(req)
