--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -61,7 +61,7 @@
 	case Peers:
 		q.lenders(ev.All)
 	case RowChanged:
-		q.change(now, ev.Row)
+		q.updateRow(now, ev.Row)
 	case Tick:
 		acts = q.giveUp(now)
 	}
@@ -75,7 +75,7 @@
 }
 
 func (q *Queue) ask(now time.Time, a Enqueue) []Action {
-	r := q.change(now, a.Row)
+	r := q.updateRow(now, a.Row)
 	ahead := r.ahead(a.Deadline)
 	var acts []Action
 	switch {
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// change puts a row's limits in force, for what waits already too.
-func (q *Queue) change(now time.Time, to Row) *row {
+// updateRow puts a row's limits in force, for what waits already too.
+func (q *Queue) updateRow(now time.Time, to Row) *row {
 	r, ok := q.rows[to.Name]
 	if !ok {
 		r = newRow(to)
