--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -125,14 +125,14 @@
 		q.rows[to.Name] = r
 	}
 	if r.Class != to.Class {
-		q.move(now, r, to.Class)
+		q.changeClass(now, r, to.Class)
 	}
 	r.Row = to
 	q.classes[r.Class].reindex(r)
 	return r
 }
 
-func (q *Queue) move(now time.Time, r *row, to cell.Class) {
+func (q *Queue) changeClass(now time.Time, r *row, to cell.Class) {
 	from, into, n := q.classes[r.Class], q.classes[to], len(r.waiting.items)
 	from.ready.drop(r)
 	from.blocked.drop(r)
