--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -49,7 +49,7 @@
 	var acts []Action
 	switch ev := ev.(type) {
 	case Enqueue:
-		acts = q.ask(now, ev)
+		acts = q.enqueue(now, ev)
 	case Ended:
 		q.ended(ev)
 	case LendRejected:
@@ -74,7 +74,7 @@
 	return acts
 }
 
-func (q *Queue) ask(now time.Time, a Enqueue) []Action {
+func (q *Queue) enqueue(now time.Time, a Enqueue) []Action {
 	r := q.updateRow(now, a.Row)
 	ahead := r.ahead(a.Deadline)
 	var acts []Action
