--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -203,14 +203,14 @@
 	for _, c := range slices.Backward(cell.Classes) {
 		for _, rows := range []*indexedHeap[*row]{q.classes[c].ready, q.classes[c].blocked} {
 			for _, r := range slices.Clone(rows.items) {
-				acts = append(acts, q.trim(now, r)...)
+				acts = append(acts, q.refuseNewest(now, r)...)
 			}
 		}
 	}
 	return acts
 }
 
-func (q *Queue) trim(now time.Time, r *row) []Action {
+func (q *Queue) refuseNewest(now time.Time, r *row) []Action {
 	var acts []Action
 	for n := len(r.waiting.items); n > 1; n-- {
 		newest := r.order.Back().Value.(*request)
