--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -63,7 +63,7 @@
 	case RowChanged:
 		q.updateRow(now, ev.Row)
 	case Tick:
-		acts = q.giveUp(now)
+		acts = q.refuseHopeless(now)
 	}
 	q.need.decay(now)
 	acts = append(acts, q.expire(now)...)
@@ -196,9 +196,9 @@
 	return acts
 }
 
-// giveUp refuses the newest of each row that the queue cannot reach in time
+// refuseHopeless refuses the newest of each row that the queue cannot reach in time
 // any more, so that its caller hears of it now and not at the deadline.
-func (q *Queue) giveUp(now time.Time) []Action {
+func (q *Queue) refuseHopeless(now time.Time) []Action {
 	var acts []Action
 	for _, c := range slices.Backward(cell.Classes) {
 		for _, rows := range []*indexedHeap[*row]{q.classes[c].ready, q.classes[c].blocked} {
