--- a/internal/queue/dispatch.go
+++ b/internal/queue/dispatch.go
@@ -60,7 +60,7 @@
 func (q *Queue) send(now time.Time, c *class, r *row) Action {
 	req := r.waiting.first()
 	if q.tooLate(now, r, req) {
-		return q.drop(now, req, TooLate)
+		return q.refuseWaiting(now, req, TooLate)
 	}
 	m := q.local.pick(func(name string) bool { return slices.Contains(req.Avoid, name) })
 	if m == nil {
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -69,7 +69,7 @@
 	acts = append(acts, q.expire(now)...)
 	acts = append(acts, q.dispatch(now)...)
 	if ask, ok := ev.(Enqueue); ok && ask.FromPeer && q.waiting[ask.ID] != nil {
-		acts = append(acts, q.drop(now, q.waiting[ask.ID], Busy))
+		acts = append(acts, q.refuseWaiting(now, q.waiting[ask.ID], Busy))
 	}
 	return acts
 }
@@ -89,7 +89,7 @@
 		if victim == nil {
 			return []Action{q.refuse(now, r, a.ID, Full)}
 		}
-		acts = append(acts, q.drop(now, victim, Full))
+		acts = append(acts, q.refuseWaiting(now, victim, Full))
 	}
 	q.add(now, &request{Enqueue: a, row: r})
 	return acts
@@ -181,7 +181,7 @@
 	return Refuse{ID: id, Reason: why, RetryAfter: q.again(now, r)}
 }
 
-func (q *Queue) drop(now time.Time, req *request, why Reason) Refuse {
+func (q *Queue) refuseWaiting(now time.Time, req *request, why Reason) Refuse {
 	again := q.refuse(now, req.row, req.ID, why)
 	q.remove(req)
 	return again
@@ -191,7 +191,7 @@
 func (q *Queue) expire(now time.Time) []Action {
 	var acts []Action
 	for req := q.due.first(); req != nil && !req.Deadline.After(now); req = q.due.first() {
-		acts = append(acts, q.drop(now, req, TooLate))
+		acts = append(acts, q.refuseWaiting(now, req, TooLate))
 	}
 	return acts
 }
@@ -217,7 +217,7 @@
 		if !q.hopeless(now, r, r.ahead(newest.Deadline)-1, newest.Deadline) {
 			break
 		}
-		acts = append(acts, q.drop(now, newest, TooLate))
+		acts = append(acts, q.refuseWaiting(now, newest, TooLate))
 	}
 	return acts
 }
