--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -53,7 +53,7 @@
 	case Ended:
 		q.ended(ev)
 	case LendRejected:
-		q.bounced(now, ev.ID)
+		q.lendRejected(now, ev.ID)
 	case Cancelled:
 		q.remove(q.waiting[ev.ID])
 	case Shares:
@@ -249,8 +249,8 @@
 	req.row.busy--
 }
 
-// bounced puts a request back; its deadline keeps its place in the row.
-func (q *Queue) bounced(now time.Time, id string) {
+// lendRejected puts a request back; its deadline keeps its place in the row.
+func (q *Queue) lendRejected(now time.Time, id string) {
 	req, ok := q.sent[id]
 	if !ok || req.peer == "" {
 		return
