--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -59,7 +59,7 @@
 	case Shares:
 		q.local.replace(ev.All)
 	case Peers:
-		q.lenders(ev.All)
+		q.setPeers(ev.All)
 	case RowChanged:
 		q.updateRow(now, ev.Row)
 	case Tick:
@@ -261,9 +261,9 @@
 	q.add(now, req)
 }
 
-// lenders takes the peers' free slots. What they told already leaves out the
+// setPeers takes the peers' free slots. What they told already leaves out the
 // slots that this host's requests have there.
-func (q *Queue) lenders(all []Peer) {
+func (q *Queue) setPeers(all []Peer) {
 	shares := make([]Share, 0, len(all))
 	for _, p := range all {
 		busy := 0
