--- a/internal/queue/dispatch.go
+++ b/internal/queue/dispatch.go
@@ -70,7 +70,7 @@
 	q.local.acquire(m)
 	r.busy++
 	if r.Class == cell.Urgent {
-		q.need.observe(now.Sub(req.since), r.meanTime, q.maxReserve())
+		q.reserved.observe(now.Sub(req.since), r.meanTime, q.maxReserve())
 	}
 	q.served(now, c, req)
 	return Send{ID: req.ID, Backend: m.name}
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -24,15 +24,15 @@
 
 // Queue is the request queue core of one host.
 type Queue struct {
-	limits  Limits
-	rows    map[string]*row
-	classes map[cell.Class]*class
-	waiting map[string]*request
-	sent    map[string]*request
-	due     *indexedHeap[*request]
-	local   *pool
-	peers   *pool
-	need    reserveEstimate
+	limits   Limits
+	rows     map[string]*row
+	classes  map[cell.Class]*class
+	waiting  map[string]*request
+	sent     map[string]*request
+	due      *indexedHeap[*request]
+	local    *pool
+	peers    *pool
+	reserved reserveEstimate
 }
 
 // New returns an empty queue without backend servers.
@@ -40,7 +40,7 @@
 	return &Queue{
 		limits: limits, rows: map[string]*row{}, classes: newClasses(), waiting: map[string]*request{},
 		sent: map[string]*request{}, due: newIndexedHeap(earlier), local: newPool(), peers: newPool(),
-		need: reserveEstimate{level: initialReserve},
+		reserved: reserveEstimate{level: initialReserve},
 	}
 }
 
@@ -65,7 +65,7 @@
 	case Tick:
 		acts = q.refuseHopeless(now)
 	}
-	q.need.decay(now)
+	q.reserved.decay(now)
 	acts = append(acts, q.expire(now)...)
 	acts = append(acts, q.dispatch(now)...)
 	if ask, ok := ev.(Enqueue); ok && ask.FromPeer && q.waiting[ask.ID] != nil {
--- a/internal/queue/servers.go
+++ b/internal/queue/servers.go
@@ -141,7 +141,7 @@
 // reserve is how many slots bulk requests must leave free: what urgent ones
 // need by measure, at least one and at most the set share.
 func (q *Queue) reserve() int {
-	return min(q.maxReserve(), 1+int(math.Round(q.need.level)))
+	return min(q.maxReserve(), 1+int(math.Round(q.reserved.level)))
 }
 
 func (q *Queue) maxReserve() int { return int(math.Ceil(q.limits.Reserve * float64(q.local.slots))) }
