--- a/internal/queue/dispatch.go
+++ b/internal/queue/dispatch.go
@@ -42,7 +42,7 @@
 	var best *row
 	for _, rows := range []*indexedHeap[*row]{c.ready, c.blocked} {
 		for _, r := range rows.items {
-			if (best == nil || lessUsage(r, best)) && q.lender(r) != nil {
+			if (best == nil || lessUsage(r, best)) && q.pickPeer(r) != nil {
 				best = r
 			}
 		}
@@ -50,7 +50,7 @@
 	return best
 }
 
-func (q *Queue) lender(r *row) *backend {
+func (q *Queue) pickPeer(r *row) *backend {
 	if r.waiting.first().FromPeer {
 		return nil
 	}
@@ -88,7 +88,7 @@
 }
 
 func (q *Queue) lend(now time.Time, c *class, r *row) Action {
-	req, m := r.waiting.first(), q.lender(r)
+	req, m := r.waiting.first(), q.pickPeer(r)
 	req.peer = m.name
 	q.peers.acquire(m)
 	q.served(now, c, req)
