--- a/internal/queue/dispatch.go
+++ b/internal/queue/dispatch.go
@@ -72,7 +72,7 @@
 	if r.Class == cell.Urgent {
 		q.reserved.observe(now.Sub(req.since), r.meanTime, q.maxReserve())
 	}
-	q.served(now, c, req)
+	q.account(now, c, req)
 	return Send{ID: req.ID, Backend: m.name}
 }
 
@@ -91,11 +91,11 @@
 	req, m := r.waiting.first(), q.pickPeer(r)
 	req.peer = m.name
 	q.peers.acquire(m)
-	q.served(now, c, req)
+	q.account(now, c, req)
 	return Lend{ID: req.ID, Peer: m.name}
 }
 
-func (q *Queue) served(now time.Time, c *class, req *request) {
+func (q *Queue) account(now time.Time, c *class, req *request) {
 	r := req.row
 	q.remove(req)
 	q.sent[req.ID] = req
