--- a/internal/flow/crash.go
+++ b/internal/flow/crash.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// MarkLost notes that a run of the task was lost at a life of a worker that answers no more;
-// false if that is known.
+// MarkLost records that a run of the task was lost on a worker incarnation that no longer
+// answers. It returns false if the incarnation is already recorded as lost or crashed.
 func (t *Task) MarkLost(life string) bool {
 	if slices.Contains(t.Crashed, life) || slices.Contains(t.Lost, life) {
 		return false
@@ -13,8 +13,8 @@
 	return true
 }
 
-// MarkCrashed notes that a life ended while a run of the task was, or may have been, at it;
-// false if that is known.
+// MarkCrashed records that a worker incarnation ended while a run of the task was, or may
+// have been, on it. It returns false if that is already recorded.
 func (t *Task) MarkCrashed(life string) bool {
 	t.UnmarkLost(life)
 	if slices.Contains(t.Crashed, life) {
@@ -25,8 +25,8 @@
 	return true
 }
 
-// UnmarkLost notes that a life on which a run was lost goes on, or ended for another cause;
-// false if no run was lost there.
+// UnmarkLost removes an incarnation from the lost ones, because it is still alive or ended
+// for another reason. It returns false if no run was lost on it.
 func (t *Task) UnmarkLost(life string) bool {
 	i := slices.Index(t.Lost, life)
 	if i < 0 {
@@ -37,14 +37,15 @@
 	return true
 }
 
-// ClearCrashes forgets all lives that ended under the task.
+// ClearCrashes forgets all incarnations that crashed or were lost while they ran the task.
 func (t *Task) ClearCrashes() {
 	t.Crashed, t.Lost = nil, nil
 	t.Step.updateSuspicions()
 }
 
-// CrashSuspicions is how many lives ended, or may have, under the task; of a gang, whose members run
-// together, under the member that has the most.
+// CrashSuspicions returns how many worker incarnations crashed, or may have crashed, while
+// they ran the task. The members of a gang run together, so each member of a gang has the
+// highest number among them.
 func (t *Task) CrashSuspicions() int {
 	if t.Step.Spec.Gang {
 		return t.Step.maxSuspicions
@@ -54,7 +55,8 @@
 
 func (t *Task) ownSuspicions() int { return len(t.Crashed) + len(t.Lost) }
 
-// updateSuspicions finds the member of a gang under which the most lives ended.
+// updateSuspicions recomputes the highest number of crash suspicions among the members of a
+// gang.
 func (s *Stage) updateSuspicions() {
 	if !s.Spec.Gang {
 		return
--- a/internal/flow/job.go
+++ b/internal/flow/job.go
@@ -34,7 +34,7 @@
 	adopt   = chart.Event("adopt")
 )
 
-// State is where a job is.
+// State is the state of a job.
 type State string
 
 // States of a job. The last three are final.
@@ -46,7 +46,7 @@
 	Cancelled State = "cancelled"
 )
 
-// Final tells whether a job in this state is over.
+// Final reports whether s is a final state.
 func (s State) Final() bool { return s == Completed || s == Failed || s == Cancelled }
 
 // Task is one task of a step.
@@ -56,31 +56,33 @@
 	Step   *Stage
 	State  chart.State
 	Worker string
-	// Run numbers the task's starts, from 1.
+	// Run is the number of the task's current or latest run, counted from 1.
 	Run      int
 	Failures int
-	// Crashed are the lives of workers that ended while a run of the task was, or may
-	// have been, at them; Lost those on which one was lost and whose fate is not known.
+	// Crashed lists the worker incarnations that ended while a run of the task was, or may
+	// have been, on them. Lost lists those on which a run was lost and of which it is not
+	// known whether they ended.
 	Crashed, Lost []string
-	// Checkpoint is the newest checkpoint; empty is none.
+	// Checkpoint is the newest checkpoint, or empty if there is none.
 	Checkpoint string
-	// Since is when the task came into its state.
+	// Since is when the task entered its current state.
 	Since time.Time
-	// Avoid is the worker that the task failed on last.
+	// Avoid is the worker on which the task failed most recently.
 	Avoid string
-	// Percent is the progress seen last; Seen and Moved are when it was seen first
-	// and when it changed, by the worker's clock.
+	// Percent is the progress reported last. ProgressSeen is when progress was first reported
+	// and ProgressChanged when it last changed, both by the worker's clock.
 	Percent                       int
 	ProgressSeen, ProgressChanged time.Time
-	// Restarts counts runs that were given up because their worker was too slow.
+	// Restarts counts runs that were abandoned because their worker was too slow.
 	Restarts int
-	// Preemptions counts runs that were stopped for more urgent work.
+	// Preemptions counts runs that were stopped in favor of more urgent work.
 	Preemptions int
-	// CPUPercent is the share of the processor that a filling task may use now.
+	// CPUPercent is the share of the processor that a best-effort task may use now.
 	CPUPercent int
 }
 
-// Transition takes the task through one event; false if its state does not allow it.
+// Transition applies an event to the task's state. It returns false if the state does not
+// allow the event.
 func (t *Task) Transition(ev chart.Event, now time.Time) bool {
 	next, err := taskChart.Next(t.State, ev)
 	if err != nil {
@@ -90,7 +92,7 @@
 	return true
 }
 
-// MayBeRunning tells whether a run of the task may be at a worker.
+// MayBeRunning reports whether a worker may have a run of the task.
 func (t *Task) MayBeRunning() bool {
 	switch t.State {
 	case Assigned, Starting, Running, Stopping, Inherited:
@@ -100,31 +102,31 @@
 	}
 }
 
-// Spec is the task's step as its caller wrote it.
+// Spec returns the task's step as the caller specified it.
 func (t *Task) Spec() Step { return t.Step.Spec }
 
-// Stage is one step in one round.
+// Stage is the execution of one step in one round.
 type Stage struct {
 	Spec  Step
 	Index int
 	Tasks []*Task
-	// Done counts ended tasks.
+	// Done counts the tasks that are done.
 	Done int
-	// maxSuspicions is how many lives ended under that member of a gang that has the most.
+	// maxSuspicions is the highest number of crash suspicions among the members of a gang.
 	maxSuspicions int
 }
 
-// Finished tells whether all tasks have ended as done.
+// Finished reports whether all tasks are done.
 func (s *Stage) Finished() bool { return s.Done == len(s.Tasks) }
 
-// Round is one run through all steps.
+// Round is one execution of all steps of a job.
 type Round struct {
 	Index  int
 	Due    time.Time
 	Stages []*Stage
 }
 
-// Finished tells whether all steps are over.
+// Finished reports whether all steps are finished.
 func (r *Round) Finished() bool {
 	for _, s := range r.Stages {
 		if !s.Finished() {
@@ -134,7 +136,7 @@
 	return true
 }
 
-// Ready tells whether all steps before s are over.
+// Ready reports whether all steps that s depends on are finished.
 func (r *Round) Ready(s *Stage) bool {
 	for _, i := range s.Spec.After {
 		if !r.Stages[i].Finished() {
@@ -144,39 +146,39 @@
 	return true
 }
 
-// Job is one job and all that is known of its tasks.
+// Job is a job and the state of its tasks.
 type Job struct {
 	Spec  Spec
 	State State
-	// Published is the state that a caller is told: one that is recorded, by the append
-	// of that number.
+	// Published is the state that callers are shown. It is always one that the store has
+	// recorded; PublishedAppend is the number of the append that did so.
 	Published       State
 	PublishedAppend int64
 	Accepted        time.Time
 	// Number orders jobs by acceptance.
 	Number int64
-	// Domain is the failure domain that the job's tasks are kept in while it has
-	// room; empty while none has run.
+	// Domain is the failure domain in which the job's tasks are placed as long as it has
+	// capacity. It is empty until a task has run.
 	Domain string
-	// Rounds are those begun and not over.
+	// Rounds holds the rounds that have begun and are not finished, by index.
 	Rounds map[int]*Round
-	// NextRound is the first round that has not begun.
+	// NextRound is the index of the first round that has not begun.
 	NextRound int
-	// Ended is when a final state was reached.
+	// Ended is when the job reached a final state.
 	Ended time.Time
-	// chainTimes is by step how long the way from its begin to the job's end takes.
+	// chainTimes holds for each step the estimated time from its start to the end of the job.
 	chainTimes []time.Duration
 }
 
-// New returns a job that was just accepted.
+// New returns a job that was accepted at now.
 func New(spec Spec, number int64, now time.Time) *Job {
 	return &Job{Spec: spec, State: Queued, Published: Queued, Accepted: now, Number: number, Rounds: map[int]*Round{}}
 }
 
-// rounds is how many rounds the job has in all.
+// rounds returns the total number of rounds.
 func (j *Job) rounds() int { return max(j.Spec.Repeat.Count, 1) }
 
-// Due is when round n is to begin; the zero time is at once.
+// Due returns when round n is due to begin. The zero time means immediately.
 func (j *Job) Due(n int) time.Time {
 	if j.Spec.Repeat.Count == 0 {
 		return time.Time{}
@@ -209,7 +211,7 @@
 	return r
 }
 
-// CloseRounds closes rounds that are over and completes the job after its last one.
+// CloseRounds removes finished rounds and completes the job after its last round.
 func (j *Job) CloseRounds(now time.Time) {
 	for n, r := range j.Rounds {
 		if r.Finished() {
@@ -221,14 +223,14 @@
 	}
 }
 
-// End brings the job to a final state; the first one stands.
+// End brings the job to a final state. It does nothing if the job is already in one.
 func (j *Job) End(s State, now time.Time) {
 	if !j.State.Final() {
 		j.State, j.Ended = s, now
 	}
 }
 
-// Tasks calls f for each task of the rounds that are open.
+// Tasks calls f for each task of the open rounds.
 func (j *Job) Tasks(f func(t *Task)) {
 	for _, n := range slices.Sorted(maps.Keys(j.Rounds)) {
 		for _, s := range j.Rounds[n].Stages {
@@ -239,7 +241,7 @@
 	}
 }
 
-// Task returns the task of that name; nil if its round is not open.
+// Task returns the task with that name, or nil if its round is not open.
 func (j *Job) Task(n Name) *Task {
 	r, ok := j.Rounds[n.Round]
 	if !ok || n.Step >= len(r.Stages) || n.Index >= len(r.Stages[n.Step].Tasks) {
--- a/internal/flow/objective.go
+++ b/internal/flow/objective.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// chainTimes is by step how long the chain of steps takes that begins with it.
+// chainTimes returns for each step the estimated time of the longest chain of dependent steps
+// that starts with it.
 func (s Spec) chainTimes() []time.Duration {
 	after := make([]time.Duration, len(s.Steps))
 	for i := len(s.Steps) - 1; i >= 0; i-- {
@@ -17,13 +18,13 @@
 	return after
 }
 
-// RemainingTime is how long the job takes from the begin of a step on, as estimated.
+// RemainingTime returns the estimated time from the start of a step to the end of the job.
 func (j *Job) RemainingTime(st *Stage) time.Duration {
 	return j.remainingTimes()[st.Index]
 }
 
-// Objective is how long after its acceptance the job should end under what the table
-// says of its queue now.
+// Objective returns the time, counted from its acceptance, within which the job should end
+// according to the table's present entry for its queue.
 func (j *Job) Objective(q Queue) time.Duration {
 	return time.Duration(q.Stretch*float64(slices.Max(j.remainingTimes()))) + q.Slack
 }
--- a/internal/flow/record.go
+++ b/internal/flow/record.go
@@ -10,8 +10,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// record is what must survive of a job beside its spec: which tasks are done,
-// where a run may be, and how far it got.
+// record is the part of a job besides its spec that must survive a restart: which tasks are
+// done, where a run may exist, and the latest checkpoints.
 type record struct {
 	Version
 	State  State         `json:"s"`
@@ -20,8 +20,8 @@
 	Next   int           `json:"x,omitempty"`
 	Rounds []roundRecord `json:"r,omitempty"`
 	Ended  int64         `json:"e,omitempty"`
-	// MayHaveCopies tells of an ended job that copies of its tasks may still run: its spec
-	// says what room they take.
+	// MayHaveCopies marks an ended job of which copies of tasks may still run. The job's spec
+	// is then still needed, because it says how much capacity they use.
 	MayHaveCopies bool `json:"k,omitempty"`
 }
 
@@ -30,16 +30,16 @@
 	Steps [][]taskRecord `json:"s"`
 }
 
-// Version orders the records of a job: the term that wrote it, and its place among
-// that term's appends. The records lie in several partitions, and the one that was
-// written last counts.
+// Version orders the records of a job: by the term of the leader that wrote the record, then
+// by the number of the append within that term. The store may hold records of a job in
+// several partitions; the one that was written last is valid.
 type Version struct {
 	Term   int64 `json:"t,omitempty"`
 	Append int64 `json:"a,omitempty"`
 }
 
-// NewerRecord returns the record that was written later; one that cannot be read counts
-// as the older one, and none as still older.
+// NewerRecord returns the record that was written later. An unreadable record counts as older
+// than a readable one, and a missing record as older than either.
 func NewerRecord(a, b []byte) []byte {
 	var va, vb Version
 	switch {
@@ -54,7 +54,7 @@
 	}
 }
 
-// taskRecord leaves out tasks that never ran.
+// taskRecord is the stored state of one task. Tasks that never ran are not stored.
 type taskRecord struct {
 	Index  int    `json:"i"`
 	Done   bool   `json:"d,omitempty"`
@@ -62,12 +62,13 @@
 	Worker string `json:"w,omitempty"`
 	Fails  int    `json:"f,omitempty"`
 	Saved  string `json:"c,omitempty"`
-	// Crashed and Lost are the lives of workers that ended, or may have, under the task.
+	// Crashed and Lost list the worker incarnations that ended, or may have ended, while they
+	// ran the task.
 	Crashed []string `json:"x,omitempty"`
 	Lost    []string `json:"l,omitempty"`
 }
 
-// RecordError tells that a stored record cannot be read.
+// RecordError reports that a stored record cannot be read.
 type RecordError struct {
 	Key   string
 	Cause error
@@ -98,12 +99,12 @@
 			rec.Rounds = append(rec.Rounds, rr)
 		}
 	}
-	// Only plain values: this cannot fail.
+	// The record has only plain values, so encoding cannot fail.
 	b, _ := json.Marshal(rec)
 	return b
 }
 
-// anyMayBeRunning tells whether a run of the step may be at a worker.
+// anyMayBeRunning reports whether a worker may have a run of one of the step's tasks.
 func (s *Stage) anyMayBeRunning() bool {
 	return slices.ContainsFunc(s.Tasks, func(t *Task) bool { return t.MayBeRunning() })
 }
@@ -126,9 +127,9 @@
 	return all
 }
 
-// RestoreEnded brings back a job that has ended and of which nothing runs, without
-// its spec, which is most of the work: nine jobs in ten that a lead takes over are
-// kept only to tell how they ended. False if the job is not such a one.
+// RestoreEnded restores a job that has ended and of which nothing runs, without its spec.
+// Decoding the spec is most of the work of a restore, and nine in ten jobs that a new leader
+// takes over are kept only to report how they ended. It returns false for any other job.
 func RestoreEnded(id string, b []byte) (*Job, bool) {
 	var rec record
 	if json.Unmarshal(b, &rec) != nil || !rec.State.Final() || rec.MayHaveCopies || len(rec.Rounds) > 0 {
@@ -139,8 +140,8 @@
 	return j, true
 }
 
-// RecordState reads only a job's state and when it was accepted; false if the record is
-// none or cannot be read.
+// RecordState decodes only a job's state and the time of its acceptance. It returns false if
+// the record is missing or unreadable.
 func RecordState(b []byte) (state State, began time.Time, ok bool) {
 	var rec struct {
 		State State `json:"s"`
@@ -152,8 +153,8 @@
 	return rec.State, time.UnixMilli(rec.Began), true
 }
 
-// Restore brings a job back from its spec and its record. A task whose run may
-// be at a worker is Inherited until that worker was read.
+// Restore restores a job from its spec and its record. A task of which a worker may have a
+// run is Inherited until that worker's state has been read.
 func Restore(spec Spec, b []byte, now time.Time) (*Job, error) {
 	var rec record
 	if err := json.Unmarshal(b, &rec); err != nil {
--- a/internal/flow/spec.go
+++ b/internal/flow/spec.go
@@ -1,6 +1,6 @@
-// Package flow follows jobs that are made of steps: which tasks may run, which
-// run, and what of it must survive the loss of every host. It knows nothing of
-// workers but their names.
+// Package flow models jobs that consist of steps: which tasks may run, which are running, and
+// which part of their state must survive the loss of every host. It knows workers only by
+// name.
 package flow
 
 import (
@@ -12,79 +12,84 @@
 	"pollencroft/internal/cell"
 )
 
-// Spec is a job as its caller handed it in.
+// Spec is a job as its caller submitted it.
 type Spec struct {
 	ID string `json:"id"`
-	// Queue is the policy under which the job was accepted. The table's row goes
-	// before it for as long as it exists.
+	// Queue is the policy under which the job was accepted. While the table has a row for this
+	// queue, that row takes precedence.
 	Queue Queue `json:"queue"`
-	// Text is handed to each task unread.
+	// Text is passed to each task uninterpreted.
 	Text   string `json:"text"`
 	Steps  []Step `json:"steps"`
 	Repeat Repeat `json:"repeat,omitzero"`
 }
 
-// Queue is what the table says of jobs of one kind.
+// Queue is the table's policy for jobs of one kind.
 type Queue struct {
 	Name    string `json:"name"`
 	Service string `json:"service"`
-	// Rank orders queues; lower ranks go first and may preempt.
+	// Rank orders queues. Jobs of a lower rank go first and may preempt others.
 	Rank int `json:"rank"`
 	// Attempts is how many runs of a task may fail.
 	Attempts int `json:"attempts"`
-	// Stretch and Slack bound how late a job may end: Stretch times its longest
-	// chain of work and Slack more.
+	// Stretch and Slack bound how late a job may end: Stretch times the duration of its
+	// longest chain of steps, plus Slack.
 	Stretch float64       `json:"stretch"`
 	Slack   time.Duration `json:"slack"`
-	// Advice is set where a policy service decides which workers may run a step.
+	// Advice is set if a policy service decides which workers may run a step.
 	Advice *Advice `json:"advice,omitempty"`
 }
 
-// Advice is what a question to the policy service costs.
+// Advice describes how long a query to the policy service takes and how long its answer is
+// valid.
 type Advice struct {
-	// Base and Each are how long the service takes for a question and for each
-	// worker that it names.
+	// Base is the service's time for any query, and PerWorker its additional time for each
+	// worker in the query.
 	Base      time.Duration `json:"base"`
 	PerWorker time.Duration `json:"each"`
-	// Valid is how long a ticket holds.
+	// Valid is how long a ticket is valid.
 	Valid time.Duration `json:"valid"`
 }
 
-// Cost is how long a question about n workers takes.
+// Cost returns how long a query about n workers takes.
 func (a Advice) Cost(n int) time.Duration { return a.Base + time.Duration(n)*a.PerWorker }
 
-// Step is a set of like tasks.
+// Step is a set of identical tasks.
 type Step struct {
 	Tasks int       `json:"tasks"`
 	Size  cell.Size `json:"size"`
-	// EstimatedTime is the caller's rough estimate of one task.
+	// EstimatedTime is the caller's rough estimate of the run time of one task.
 	EstimatedTime time.Duration `json:"time,omitempty"`
-	// After are the steps that must be done first.
+	// After lists the steps that must be finished first.
 	After []int `json:"after,omitempty"`
-	// Checkpoints tells that tasks checkpoint their progress.
+	// Checkpoints reports whether tasks save checkpoints of their progress.
 	Checkpoints bool `json:"saves,omitempty"`
-	// Gang tells that all tasks run together or not at all.
+	// Gang reports whether the tasks run all together or not at all.
 	Gang     bool `json:"gang,omitempty"`
 	SameRack bool `json:"samerack,omitempty"`
-	// AllowCopies tells that copies of a task may run beside each other.
+	// AllowCopies reports whether copies of a task may run at the same time.
 	AllowCopies bool `json:"copies,omitempty"`
-	// LongRunning tells that the tasks run until the job is cancelled.
+	// LongRunning reports whether the tasks run until the job is cancelled.
 	LongRunning bool `json:"lasts,omitempty"`
-	// Label is one that the worker must have; Near the rack of the data.
+	// Label is a label that the worker must have. NearRack is the rack that holds the data,
+	// near which tasks should run.
 	Label    string `json:"label,omitempty"`
 	NearRack string `json:"near,omitempty"`
-	// MaxPerWorker is the most tasks of the step on one worker; zero is no limit.
+	// MaxPerWorker is the maximum number of tasks of the step on one worker. Zero means no
+	// limit.
 	MaxPerWorker int    `json:"apart,omitempty"`
 	Image        string `json:"image,omitempty"`
-	// LatencyTarget bounds the tail of the response times of a lasting task.
+	// LatencyTarget bounds the tail of the response times of a long-running task.
 	LatencyTarget time.Duration `json:"target,omitempty"`
-	// BestEffort tells that the tasks take only processor time that others leave.
+	// BestEffort reports whether the tasks use only processor time that other tasks leave
+	// unused.
 	BestEffort bool `json:"fills,omitempty"`
-	// MaxUnavailable is how many lasting tasks the system may stop at a time.
+	// MaxUnavailable is how many long-running tasks of the step the scheduler may stop at a
+	// time.
 	MaxUnavailable int `json:"maymiss,omitempty"`
 }
 
-// Demand is what one task takes of a worker's size.
+// Demand returns the part of a worker's capacity that one task takes.
 func (s Step) Demand() cell.Size {
 	if s.BestEffort {
 		return cell.Size{Mem: s.Size.Mem, Accel: s.Size.Accel}
@@ -92,14 +97,14 @@
 	return s.Size
 }
 
-// Repeat runs the steps Count times; zero runs them once, at once.
+// Repeat runs the steps Count times. If Count is zero they run once, immediately.
 type Repeat struct {
 	Count int           `json:"count"`
 	First time.Time     `json:"first"`
 	Every time.Duration `json:"every"`
 }
 
-// Bounds of a job, so that one caller cannot fill a host's memory.
+// Bounds of a job, which keep a single caller from filling a host's memory.
 const (
 	maxSteps = 64
 	maxTasks = 10_000
@@ -151,24 +156,24 @@
 	return nil
 }
 
-// Name is a task's full name.
+// Name identifies a task.
 type Name struct {
 	Job string
-	// Round counts the times that a job is repeated, from 0.
+	// Round counts the repetitions of the job, from 0.
 	Round, Step, Index int
 }
 
-// String returns the name as workers list it.
+// String returns the name in the form in which workers list it.
 func (n Name) String() string {
 	return n.StepName() + "." + strconv.Itoa(n.Index)
 }
 
-// StepName is the name of the task's step.
+// StepName returns the name of the task's step.
 func (n Name) StepName() string {
 	return n.Job + "." + strconv.Itoa(n.Round) + "." + strconv.Itoa(n.Step)
 }
 
-// ParseName reads a task's name; false if it is none.
+// ParseName parses a task's name. It returns false if s is not a valid name.
 func ParseName(s string) (Name, bool) {
 	parts := strings.Split(s, ".")
 	if len(parts) != 4 {
