--- a/internal/queue/drain.go
+++ b/internal/queue/drain.go
@@ -67,9 +67,9 @@
 	return c.drain.each(now) * time.Duration(ahead+c.waiting-len(r.waiting.items))
 }
 
-// hopeless tells that a request with ahead others before it cannot be
+// wouldMissDeadline tells that a request with ahead others before it cannot be
 // answered in time at the measured rate.
-func (q *Queue) hopeless(now time.Time, r *row, ahead int, deadline time.Time) bool {
+func (q *Queue) wouldMissDeadline(now time.Time, r *row, ahead int, deadline time.Time) bool {
 	wait := q.estimate(now, r, ahead)
 	return wait > 0 && float64(wait+r.meanTime) > margin[r.Class]*float64(deadline.Sub(now))
 }
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -80,7 +80,7 @@
 	var acts []Action
 	switch {
 	case a.FromPeer:
-	case !a.Deadline.After(now), ahead > 0 && q.hopeless(now, r, ahead, a.Deadline):
+	case !a.Deadline.After(now), ahead > 0 && q.wouldMissDeadline(now, r, ahead, a.Deadline):
 		return []Action{q.refuse(now, r, a.ID, TooLate)}
 	case a.Row.MaxQueued > 0 && int64(len(r.waiting.items)) >= a.Row.MaxQueued:
 		return []Action{q.refuse(now, r, a.ID, Full)}
@@ -214,7 +214,7 @@
 	var acts []Action
 	for n := len(r.waiting.items); n > 1; n-- {
 		newest := r.order.Back().Value.(*request)
-		if !q.hopeless(now, r, r.ahead(newest.Deadline)-1, newest.Deadline) {
+		if !q.wouldMissDeadline(now, r, r.ahead(newest.Deadline)-1, newest.Deadline) {
 			break
 		}
 		acts = append(acts, q.refuseWaiting(now, newest, TooLate))
