--- a/internal/queue/drain.go
+++ b/internal/queue/drain.go
@@ -74,9 +74,9 @@
 	return wait > 0 && float64(wait+r.meanTime) > margin[r.Class]*float64(deadline.Sub(now))
 }
 
-// again is when a refused caller has a chance: when what waits now has been
+// retryAfter is when a refused caller has a chance: when what waits now has been
 // sent at the measured rate.
-func (q *Queue) again(now time.Time, r *row) time.Duration {
+func (q *Queue) retryAfter(now time.Time, r *row) time.Duration {
 	n := len(r.waiting.items) + 1
 	wait := q.estimate(now, r, n)
 	if wait == 0 {
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -178,7 +178,7 @@
 }
 
 func (q *Queue) refuse(now time.Time, r *row, id string, why Reason) Refuse {
-	return Refuse{ID: id, Reason: why, RetryAfter: q.again(now, r)}
+	return Refuse{ID: id, Reason: why, RetryAfter: q.retryAfter(now, r)}
 }
 
 func (q *Queue) refuseWaiting(now time.Time, req *request, why Reason) Refuse {
