--- a/internal/queue/drain.go
+++ b/internal/queue/drain.go
@@ -12,8 +12,8 @@
 // firstDrain stands for the time between two sends until it was measured.
 const firstDrain = 20 * time.Millisecond
 
-// longestAgain bounds what a caller is told to wait.
-const longestAgain = time.Minute
+// maxRetryAfter bounds what a caller is told to wait.
+const maxRetryAfter = time.Minute
 
 // drain measures how fast a backlog goes down.
 type drain struct {
@@ -82,5 +82,5 @@
 	if wait == 0 {
 		wait = firstDrain * time.Duration(n)
 	}
-	return min(wait, longestAgain)
+	return min(wait, maxRetryAfter)
 }
