--- a/internal/queue/drain.go
+++ b/internal/queue/drain.go
@@ -9,8 +9,8 @@
 // drainWindow is how long sends are counted before they change the measure.
 const drainWindow = 250 * time.Millisecond
 
-// firstDrain stands for the time between two sends until it was measured.
-const firstDrain = 20 * time.Millisecond
+// initialInterval stands for the time between two sends until it was measured.
+const initialInterval = 20 * time.Millisecond
 
 // maxRetryAfter bounds what a caller is told to wait.
 const maxRetryAfter = time.Minute
@@ -80,7 +80,7 @@
 	n := len(r.waiting.items) + 1
 	wait := q.estimate(now, r, n)
 	if wait == 0 {
-		wait = firstDrain * time.Duration(n)
+		wait = initialInterval * time.Duration(n)
 	}
 	return min(wait, maxRetryAfter)
 }
--- a/internal/queue/row.go
+++ b/internal/queue/row.go
@@ -91,7 +91,7 @@
 func (r *row) cost() float64 {
 	took := r.meanTime
 	if took == 0 {
-		took = firstDrain
+		took = initialInterval
 	}
 	return took.Seconds() / float64(max(r.Weight, 1))
 }
