--- a/internal/queue/drain.go
+++ b/internal/queue/drain.go
@@ -50,9 +50,9 @@
 	return max(d.per, stalled/time.Duration(d.sent+1))
 }
 
-// margin is how far the estimate must be beyond the time left before a
+// lateMargin is how far the estimate must be beyond the time left before a
 // request is refused on its word: bulk at once, urgent last.
-var margin = map[cell.Class]float64{cell.Urgent: 1.5, cell.Normal: 1.25, cell.Bulk: 1}
+var lateMargin = map[cell.Class]float64{cell.Urgent: 1.5, cell.Normal: 1.25, cell.Bulk: 1}
 
 // estimate is how long a request of a row waits behind ahead others of it;
 // zero if nothing was measured.
@@ -71,7 +71,7 @@
 // answered in time at the measured rate.
 func (q *Queue) wouldMissDeadline(now time.Time, r *row, ahead int, deadline time.Time) bool {
 	wait := q.estimate(now, r, ahead)
-	return wait > 0 && float64(wait+r.meanTime) > margin[r.Class]*float64(deadline.Sub(now))
+	return wait > 0 && float64(wait+r.meanTime) > lateMargin[r.Class]*float64(deadline.Sub(now))
 }
 
 // retryAfter is when a refused caller has a chance: when what waits now has been
