--- a/internal/queue/drain.go
+++ b/internal/queue/drain.go
@@ -39,10 +39,10 @@
 	d.begin(now)
 }
 
-// each is the time between two sends, zero if it is not known. A queue that
+// interval is the time between two sends, zero if it is not known. A queue that
 // has stopped shows the time since its last send, but only after a window: one
 // chance gap, taken times a long queue, would refuse what is in good time.
-func (d *drain) each(now time.Time) time.Duration {
+func (d *drain) interval(now time.Time) time.Duration {
 	stalled := now.Sub(d.began)
 	if stalled < drainWindow {
 		return d.per
@@ -57,14 +57,14 @@
 // estimate is how long a request of a row waits behind ahead others of it;
 // zero if nothing was measured.
 func (q *Queue) estimate(now time.Time, r *row, ahead int) time.Duration {
-	if per := r.drain.each(now); per > 0 && len(r.waiting.items) > 0 {
+	if per := r.drain.interval(now); per > 0 && len(r.waiting.items) > 0 {
 		return per * time.Duration(ahead)
 	}
 	c := q.classes[r.Class]
 	if c.waiting == 0 {
 		return 0
 	}
-	return c.drain.each(now) * time.Duration(ahead+c.waiting-len(r.waiting.items))
+	return c.drain.interval(now) * time.Duration(ahead+c.waiting-len(r.waiting.items))
 }
 
 // wouldMissDeadline tells that a request with ahead others before it cannot be
