--- a/internal/queue/drain.go
+++ b/internal/queue/drain.go
@@ -17,9 +17,9 @@
 
 // drain measures how fast a backlog goes down.
 type drain struct {
-	began time.Time
-	sent  int
-	per   time.Duration
+	began    time.Time
+	sent     int
+	measured time.Duration
 }
 
 // begin starts a count when a backlog begins; idle time must not count as slow.
@@ -32,10 +32,10 @@
 		return
 	}
 	per := took / time.Duration(d.sent)
-	if d.per > 0 {
-		per = (d.per + per) / 2
+	if d.measured > 0 {
+		per = (d.measured + per) / 2
 	}
-	d.per = per
+	d.measured = per
 	d.begin(now)
 }
 
@@ -45,9 +45,9 @@
 func (d *drain) interval(now time.Time) time.Duration {
 	stalled := now.Sub(d.began)
 	if stalled < drainWindow {
-		return d.per
+		return d.measured
 	}
-	return max(d.per, stalled/time.Duration(d.sent+1))
+	return max(d.measured, stalled/time.Duration(d.sent+1))
 }
 
 // lateMargin is how far the estimate must be beyond the time left before a
