--- a/internal/queue/drain.go
+++ b/internal/queue/drain.go
@@ -22,8 +22,8 @@
 	measured time.Duration
 }
 
-// begin starts a count when a backlog begins; idle time must not count as slow.
-func (d *drain) begin(now time.Time) { d.began, d.sent = now, 0 }
+// restart starts a count when a backlog begins; idle time must not count as slow.
+func (d *drain) restart(now time.Time) { d.began, d.sent = now, 0 }
 
 func (d *drain) count(now time.Time) {
 	d.sent++
@@ -36,7 +36,7 @@
 		per = (d.measured + per) / 2
 	}
 	d.measured = per
-	d.begin(now)
+	d.restart(now)
 }
 
 // interval is the time between two sends, zero if it is not known. A queue that
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -138,7 +138,7 @@
 	from.blocked.drop(r)
 	from.waiting -= n
 	if into.waiting == 0 {
-		into.drain.begin(now)
+		into.drain.restart(now)
 	}
 	into.waiting += n
 	r.usage = into.virtualTime
@@ -149,13 +149,13 @@
 	r := req.row
 	c := q.classes[r.Class]
 	if len(r.waiting.items) == 0 {
-		r.drain.begin(now)
+		r.drain.restart(now)
 		if r.busy == 0 {
 			r.usage = max(r.usage, c.virtualTime)
 		}
 	}
 	if c.waiting == 0 {
-		c.drain.begin(now)
+		c.drain.restart(now)
 	}
 	c.waiting++
 	req.since = now
