--- a/internal/queue/drain.go
+++ b/internal/queue/drain.go
@@ -25,7 +25,7 @@
 // restart starts a count when a backlog begins; idle time must not count as slow.
 func (d *drain) restart(now time.Time) { d.began, d.sent = now, 0 }
 
-func (d *drain) count(now time.Time) {
+func (d *drain) countSend(now time.Time) {
 	d.sent++
 	took := now.Sub(d.began)
 	if took < drainWindow {
