--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -14,9 +14,9 @@
 type Limits struct {
 	// Share is the largest part of the servers that suspicion may set aside.
 	Share float64
-	// Fails is the failure rate, and Slow how many times the others' time,
+	// FailureRate is the failure rate, and Slow how many times the others' time,
 	// from which a server is suspect.
-	Fails, Slow float64
+	FailureRate, Slow float64
 	// Least is how many results must have been seen.
 	Least int
 	// Stuck is the least age at which a request without answer is a failure.
@@ -29,7 +29,7 @@
 
 // DefaultLimits suit the minions of one failure domain.
 var DefaultLimits = Limits{
-	Share: 0.34, Fails: 0.5, Slow: 4, Least: 5, Stuck: time.Second,
+	Share: 0.34, FailureRate: 0.5, Slow: 4, Least: 5, Stuck: time.Second,
 	Rest: 2 * time.Second, MostRest: time.Minute, Away: 30 * time.Second,
 }
 
@@ -198,7 +198,7 @@
 	fails, slowness := o.others(name)
 	why := ""
 	switch {
-	case s.fails >= o.limits.Fails && s.fails >= 2*fails:
+	case s.fails >= o.limits.FailureRate && s.fails >= 2*fails:
 		why = "it fails more than the others"
 	case slowness > 0 && s.slowness >= o.limits.Slow*slowness:
 		why = "it is slower than the others"
