--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -17,8 +17,8 @@
 	// FailureRate is the failure rate, and Slowness how many times the others' time,
 	// from which a server is suspect.
 	FailureRate, Slowness float64
-	// Least is how many results must have been seen.
-	Least int
+	// MinResults is how many results must have been seen.
+	MinResults int
 	// Stuck is the least age at which a request without answer is a failure.
 	Stuck time.Duration
 	// Rest is the first time without work; it doubles up to MostRest.
@@ -29,7 +29,7 @@
 
 // DefaultLimits suit the minions of one failure domain.
 var DefaultLimits = Limits{
-	Share: 0.34, FailureRate: 0.5, Slowness: 4, Least: 5, Stuck: time.Second,
+	Share: 0.34, FailureRate: 0.5, Slowness: 4, MinResults: 5, Stuck: time.Second,
 	Rest: 2 * time.Second, MostRest: time.Minute, Away: 30 * time.Second,
 }
 
@@ -192,7 +192,7 @@
 // judge compares a server with the others.
 func (o *Detector) judge(now time.Time, name string) []Action {
 	s := o.servers[name]
-	if s.n < o.limits.Least {
+	if s.n < o.limits.MinResults {
 		return nil
 	}
 	fails, slowness := o.others(name)
