--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -19,8 +19,8 @@
 	FailureRate, Slowness float64
 	// MinResults is how many results must have been seen.
 	MinResults int
-	// Stuck is the least age at which a request without answer is a failure.
-	Stuck time.Duration
+	// StuckAfter is the least age at which a request without answer is a failure.
+	StuckAfter time.Duration
 	// Rest is the first time without work; it doubles up to MostRest.
 	Rest, MostRest time.Duration
 	// Away is how long a server that leaves gets no work.
@@ -29,7 +29,7 @@
 
 // DefaultLimits suit the minions of one failure domain.
 var DefaultLimits = Limits{
-	Share: 0.34, FailureRate: 0.5, Slowness: 4, MinResults: 5, Stuck: time.Second,
+	Share: 0.34, FailureRate: 0.5, Slowness: 4, MinResults: 5, StuckAfter: time.Second,
 	Rest: 2 * time.Second, MostRest: time.Minute, Away: 30 * time.Second,
 }
 
@@ -296,7 +296,7 @@
 }
 
 func (o *Detector) stuckAfter(row string) time.Duration {
-	return max(o.limits.Stuck, time.Duration(10*o.times[row]*float64(time.Second)))
+	return max(o.limits.StuckAfter, time.Duration(10*o.times[row]*float64(time.Second)))
 }
 
 // MaxSlots is how many of slots a server may get now.
