--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -21,8 +21,8 @@
 	MinResults int
 	// StuckAfter is the least age at which a request without answer is a failure.
 	StuckAfter time.Duration
-	// Pause is the first time without work; it doubles up to MostRest.
-	Pause, MostRest time.Duration
+	// Pause is the first time without work; it doubles up to MaxPause.
+	Pause, MaxPause time.Duration
 	// Away is how long a server that leaves gets no work.
 	Away time.Duration
 }
@@ -30,7 +30,7 @@
 // DefaultLimits suit the minions of one failure domain.
 var DefaultLimits = Limits{
 	Share: 0.34, FailureRate: 0.5, Slowness: 4, MinResults: 5, StuckAfter: time.Second,
-	Pause: 2 * time.Second, MostRest: time.Minute, Away: 30 * time.Second,
+	Pause: 2 * time.Second, MaxPause: time.Minute, Away: 30 * time.Second,
 }
 
 // State is what a server may get.
@@ -185,7 +185,7 @@
 
 // next doubles a server's rest each time that it is set aside in a row.
 func (o *Detector) next(s *server) time.Duration {
-	s.rest = min(max(2*s.rest, o.limits.Pause), o.limits.MostRest)
+	s.rest = min(max(2*s.rest, o.limits.Pause), o.limits.MaxPause)
 	return s.rest
 }
 
