--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -23,14 +23,14 @@
 	StuckAfter time.Duration
 	// Pause is the first time without work; it doubles up to MaxPause.
 	Pause, MaxPause time.Duration
-	// Away is how long a server that leaves gets no work.
-	Away time.Duration
+	// LeavingPause is how long a server that leaves gets no work.
+	LeavingPause time.Duration
 }
 
 // DefaultLimits suit the minions of one failure domain.
 var DefaultLimits = Limits{
 	Share: 0.34, FailureRate: 0.5, Slowness: 4, MinResults: 5, StuckAfter: time.Second,
-	Pause: 2 * time.Second, MaxPause: time.Minute, Away: 30 * time.Second,
+	Pause: 2 * time.Second, MaxPause: time.Minute, LeavingPause: 30 * time.Second,
 }
 
 // State is what a server may get.
@@ -127,7 +127,7 @@
 	switch ev.Result {
 	case Leaving:
 		s.told = now
-		return o.gone(now, f.minion, o.limits.Away, "it leaves")
+		return o.gone(now, f.minion, o.limits.LeavingPause, "it leaves")
 	case Unreachable:
 		return o.gone(now, f.minion, o.next(s), "it takes no connections")
 	case Succeeded:
@@ -244,7 +244,7 @@
 	var acts []Action
 	for _, name := range names {
 		if s, ok := o.servers[name]; ok && s.state != Unavailable {
-			acts = append(acts, o.gone(now, name, o.limits.Away, "a peer says that it leaves")...)
+			acts = append(acts, o.gone(now, name, o.limits.LeavingPause, "a peer says that it leaves")...)
 		}
 	}
 	return acts
