--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -12,8 +12,8 @@
 
 // Limits bound what is set aside.
 type Limits struct {
-	// Share is the largest part of the servers that suspicion may set aside.
-	Share float64
+	// MaxShare is the largest part of the servers that suspicion may set aside.
+	MaxShare float64
 	// FailureRate is the failure rate, and Slowness how many times the others' time,
 	// from which a server is suspect.
 	FailureRate, Slowness float64
@@ -29,7 +29,7 @@
 
 // DefaultLimits suit the minions of one failure domain.
 var DefaultLimits = Limits{
-	Share: 0.34, FailureRate: 0.5, Slowness: 4, MinResults: 5, StuckAfter: time.Second,
+	MaxShare: 0.34, FailureRate: 0.5, Slowness: 4, MinResults: 5, StuckAfter: time.Second,
 	Pause: 2 * time.Second, MaxPause: time.Minute, LeavingPause: 30 * time.Second,
 }
 
@@ -237,7 +237,7 @@
 			n++
 		}
 	}
-	return n+1 <= int(o.limits.Share*float64(len(o.servers)))
+	return n+1 <= int(o.limits.MaxShare*float64(len(o.servers)))
 }
 
 func (o *Detector) told(now time.Time, names []string) []Action {
