--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -63,7 +63,7 @@
 	slowness float64
 }
 
-type flight struct {
+type request struct {
 	minion, row string
 	since       time.Time
 	stuck       bool
@@ -73,7 +73,7 @@
 type Detector struct {
 	limits  Limits
 	servers map[string]*server
-	flights map[string]*flight
+	flights map[string]*request
 	// times are the rows' mean times over all servers.
 	times map[string]float64
 	check time.Time
@@ -81,14 +81,14 @@
 
 // New returns a core that knows no servers.
 func New(limits Limits) *Detector {
-	return &Detector{limits: limits, servers: map[string]*server{}, flights: map[string]*flight{}, times: map[string]float64{}}
+	return &Detector{limits: limits, servers: map[string]*server{}, flights: map[string]*request{}, times: map[string]float64{}}
 }
 
 // Step takes one event and returns which servers changed their state.
 func (o *Detector) Step(now time.Time, ev Event) []Action {
 	switch ev := ev.(type) {
 	case Sent:
-		o.flights[ev.ID] = &flight{minion: ev.Backend, row: ev.Row, since: now}
+		o.flights[ev.ID] = &request{minion: ev.Backend, row: ev.Row, since: now}
 	case Ended:
 		return o.ended(now, ev)
 	case LeavingReported:
@@ -140,7 +140,7 @@
 }
 
 // time compares a request's time with its row's on all servers.
-func (o *Detector) time(s *server, f *flight, took time.Duration) {
+func (o *Detector) time(s *server, f *request, took time.Duration) {
 	mean, ok := o.times[f.row]
 	if !ok {
 		mean = took.Seconds()
