--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -64,9 +64,9 @@
 }
 
 type request struct {
-	minion, row string
-	since       time.Time
-	stuck       bool
+	backend, row string
+	since        time.Time
+	stuck        bool
 }
 
 // Detector is the core of one host.
@@ -88,7 +88,7 @@
 func (o *Detector) Step(now time.Time, ev Event) []Action {
 	switch ev := ev.(type) {
 	case Sent:
-		o.flights[ev.ID] = &request{minion: ev.Backend, row: ev.Row, since: now}
+		o.flights[ev.ID] = &request{backend: ev.Backend, row: ev.Row, since: now}
 	case Ended:
 		return o.ended(now, ev)
 	case LeavingReported:
@@ -120,23 +120,23 @@
 		return nil
 	}
 	delete(o.flights, ev.ID)
-	s, ok := o.servers[f.minion]
+	s, ok := o.servers[f.backend]
 	if !ok {
 		return nil
 	}
 	switch ev.Result {
 	case Leaving:
 		s.told = now
-		return o.gone(now, f.minion, o.limits.LeavingPause, "it leaves")
+		return o.gone(now, f.backend, o.limits.LeavingPause, "it leaves")
 	case Unreachable:
-		return o.gone(now, f.minion, o.next(s), "it takes no connections")
+		return o.gone(now, f.backend, o.next(s), "it takes no connections")
 	case Succeeded:
 		o.time(s, f, now.Sub(f.since))
 	}
 	if f.stuck && ev.Result == Failed {
 		return nil
 	}
-	return o.result(now, f.minion, ev.Result == Failed)
+	return o.result(now, f.backend, ev.Result == Failed)
 }
 
 // time compares a request's time with its row's on all servers.
@@ -276,14 +276,14 @@
 	var acts []Action
 	for _, id := range slices.Sorted(maps.Keys(o.flights)) {
 		f := o.flights[id]
-		if s := o.servers[f.minion]; s != nil && !f.stuck && now.Sub(f.since) > o.stuckAfter(f.row) {
+		if s := o.servers[f.backend]; s != nil && !f.stuck && now.Sub(f.since) > o.stuckAfter(f.row) {
 			// A server that swallows requests gives no result until the
 			// deadline; meanwhile it would get one request after another.
 			// Silence is a stronger sign than a failure, which may be the
 			// request's own, and counts twice.
 			f.stuck = true
-			acts = append(acts, o.result(now, f.minion, true)...)
-			acts = append(acts, o.result(now, f.minion, true)...)
+			acts = append(acts, o.result(now, f.backend, true)...)
+			acts = append(acts, o.result(now, f.backend, true)...)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(o.servers)) {
