--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -71,9 +71,9 @@
 
 // Detector is the core of one host.
 type Detector struct {
-	limits  Limits
-	servers map[string]*server
-	flights map[string]*request
+	limits   Limits
+	servers  map[string]*server
+	inFlight map[string]*request
 	// times are the rows' mean times over all servers.
 	times map[string]float64
 	check time.Time
@@ -81,14 +81,14 @@
 
 // New returns a core that knows no servers.
 func New(limits Limits) *Detector {
-	return &Detector{limits: limits, servers: map[string]*server{}, flights: map[string]*request{}, times: map[string]float64{}}
+	return &Detector{limits: limits, servers: map[string]*server{}, inFlight: map[string]*request{}, times: map[string]float64{}}
 }
 
 // Step takes one event and returns which servers changed their state.
 func (o *Detector) Step(now time.Time, ev Event) []Action {
 	switch ev := ev.(type) {
 	case Sent:
-		o.flights[ev.ID] = &request{backend: ev.Backend, row: ev.Row, since: now}
+		o.inFlight[ev.ID] = &request{backend: ev.Backend, row: ev.Row, since: now}
 	case Ended:
 		return o.ended(now, ev)
 	case LeavingReported:
@@ -115,11 +115,11 @@
 }
 
 func (o *Detector) ended(now time.Time, ev Ended) []Action {
-	f, ok := o.flights[ev.ID]
+	f, ok := o.inFlight[ev.ID]
 	if !ok {
 		return nil
 	}
-	delete(o.flights, ev.ID)
+	delete(o.inFlight, ev.ID)
 	s, ok := o.servers[f.backend]
 	if !ok {
 		return nil
@@ -274,8 +274,8 @@
 	}
 	o.check = now
 	var acts []Action
-	for _, id := range slices.Sorted(maps.Keys(o.flights)) {
-		f := o.flights[id]
+	for _, id := range slices.Sorted(maps.Keys(o.inFlight)) {
+		f := o.inFlight[id]
 		if s := o.servers[f.backend]; s != nil && !f.stuck && now.Sub(f.since) > o.stuckAfter(f.row) {
 			// A server that swallows requests gives no result until the
 			// deadline; meanwhile it would get one request after another.
