--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -74,14 +74,14 @@
 	limits   Limits
 	servers  map[string]*server
 	inFlight map[string]*request
-	// times are the rows' mean times over all servers.
-	times map[string]float64
-	check time.Time
+	// meanTimes are the rows' mean meanTimes over all servers.
+	meanTimes map[string]float64
+	check     time.Time
 }
 
 // New returns a core that knows no servers.
 func New(limits Limits) *Detector {
-	return &Detector{limits: limits, servers: map[string]*server{}, inFlight: map[string]*request{}, times: map[string]float64{}}
+	return &Detector{limits: limits, servers: map[string]*server{}, inFlight: map[string]*request{}, meanTimes: map[string]float64{}}
 }
 
 // Step takes one event and returns which servers changed their state.
@@ -141,11 +141,11 @@
 
 // time compares a request's time with its row's on all servers.
 func (o *Detector) time(s *server, f *request, took time.Duration) {
-	mean, ok := o.times[f.row]
+	mean, ok := o.meanTimes[f.row]
 	if !ok {
 		mean = took.Seconds()
 	}
-	o.times[f.row] = mean + alpha*(took.Seconds()-mean)
+	o.meanTimes[f.row] = mean + alpha*(took.Seconds()-mean)
 	if mean > 0 {
 		s.slowness += alpha * (took.Seconds()/mean - s.slowness)
 	}
@@ -296,7 +296,7 @@
 }
 
 func (o *Detector) stuckAfter(row string) time.Duration {
-	return max(o.limits.StuckAfter, time.Duration(10*o.times[row]*float64(time.Second)))
+	return max(o.limits.StuckAfter, time.Duration(10*o.meanTimes[row]*float64(time.Second)))
 }
 
 // MaxSlots is how many of slots a server may get now.
