--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -76,7 +76,7 @@
 	inFlight map[string]*request
 	// meanTimes are the rows' mean meanTimes over all servers.
 	meanTimes map[string]float64
-	check     time.Time
+	lastCheck time.Time
 }
 
 // New returns a core that knows no servers.
@@ -269,10 +269,10 @@
 const checkTime = 250 * time.Millisecond
 
 func (o *Detector) tick(now time.Time) []Action {
-	if now.Sub(o.check) < checkTime {
+	if now.Sub(o.lastCheck) < checkTime {
 		return nil
 	}
-	o.check = now
+	o.lastCheck = now
 	var acts []Action
 	for _, id := range slices.Sorted(maps.Keys(o.inFlight)) {
 		f := o.inFlight[id]
