--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -265,11 +265,11 @@
 	return []Action{StateChanged{Backend: name, State: to, Reason: why}}
 }
 
-// checkTime is how often requests without answers are looked at.
-const checkTime = 250 * time.Millisecond
+// checkInterval is how often requests without answers are looked at.
+const checkInterval = 250 * time.Millisecond
 
 func (o *Detector) tick(now time.Time) []Action {
-	if now.Sub(o.lastCheck) < checkTime {
+	if now.Sub(o.lastCheck) < checkInterval {
 		return nil
 	}
 	o.lastCheck = now
