--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -312,15 +312,15 @@
 	}
 }
 
-// wordTime is how long a first-hand sign of leaving is told to peers. It ends
+// announceTime is how long a first-hand sign of leaving is told to peers. It ends
 // before Away, so that two hosts cannot keep each other believing it for ever.
-const wordTime = 5 * time.Second
+const announceTime = 5 * time.Second
 
 // LeavingServers lists the servers that told this host itself that they leave.
 func (o *Detector) LeavingServers(now time.Time) []string {
 	var all []string
 	for _, name := range slices.Sorted(maps.Keys(o.servers)) {
-		if s := o.servers[name]; !s.told.IsZero() && now.Sub(s.told) < wordTime {
+		if s := o.servers[name]; !s.told.IsZero() && now.Sub(s.told) < announceTime {
 			all = append(all, name)
 		}
 	}
