--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -47,8 +47,8 @@
 	Unavailable State = "gone"
 )
 
-// trials is how many requests must go well before a server is trusted again.
-const trials = 3
+// requiredTrials is how many requests must go well before a server is trusted again.
+const requiredTrials = 3
 
 // alpha weighs a new result against the former ones.
 const alpha = 0.125
@@ -176,7 +176,7 @@
 	if failed {
 		return o.set(name, Quarantined, now.Add(o.next(s)), "its trial failed")
 	}
-	if s.good++; s.good < trials {
+	if s.good++; s.good < requiredTrials {
 		return nil
 	}
 	s.rest, s.n, s.fails, s.slowness = 0, 0, 0, 1
