--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -54,13 +54,13 @@
 const alpha = 0.125
 
 type server struct {
-	state    State
-	until    time.Time
-	rest     time.Duration
-	told     time.Time
-	n, good  int
-	fails    float64
-	slowness float64
+	state        State
+	until        time.Time
+	rest         time.Duration
+	leavingSince time.Time
+	n, good      int
+	fails        float64
+	slowness     float64
 }
 
 type request struct {
@@ -126,7 +126,7 @@
 	}
 	switch ev.Result {
 	case Leaving:
-		s.told = now
+		s.leavingSince = now
 		return o.gone(now, f.backend, o.limits.LeavingPause, "it leaves")
 	case Unreachable:
 		return o.gone(now, f.backend, o.next(s), "it takes no connections")
@@ -320,7 +320,7 @@
 func (o *Detector) LeavingServers(now time.Time) []string {
 	var all []string
 	for _, name := range slices.Sorted(maps.Keys(o.servers)) {
-		if s := o.servers[name]; !s.told.IsZero() && now.Sub(s.told) < announceTime {
+		if s := o.servers[name]; !s.leavingSince.IsZero() && now.Sub(s.leavingSince) < announceTime {
 			all = append(all, name)
 		}
 	}
