--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -54,13 +54,13 @@
 const alpha = 0.125
 
 type server struct {
-	state        State
-	until        time.Time
-	rest         time.Duration
-	leavingSince time.Time
-	n, good      int
-	fails        float64
-	slowness     float64
+	state         State
+	until         time.Time
+	rest          time.Duration
+	leavingSince  time.Time
+	results, good int
+	fails         float64
+	slowness      float64
 }
 
 type request struct {
@@ -153,14 +153,14 @@
 
 func (o *Detector) result(now time.Time, name string, failed bool) []Action {
 	s := o.servers[name]
-	s.n++
+	s.results++
 	x := 0.0
 	if failed {
 		x = 1
 	}
 	// The first results count alike; with a fixed weight a server that fails
 	// everything from its first request on would look half good for long.
-	s.fails += max(alpha, 1/float64(s.n)) * (x - s.fails)
+	s.fails += max(alpha, 1/float64(s.results)) * (x - s.fails)
 	switch s.state {
 	case Trial:
 		return o.trial(now, name, failed)
@@ -179,7 +179,7 @@
 	if s.good++; s.good < requiredTrials {
 		return nil
 	}
-	s.rest, s.n, s.fails, s.slowness = 0, 0, 0, 1
+	s.rest, s.results, s.fails, s.slowness = 0, 0, 0, 1
 	return o.set(name, Trusted, time.Time{}, "its trials went well")
 }
 
@@ -192,7 +192,7 @@
 // judge compares a server with the others.
 func (o *Detector) judge(now time.Time, name string) []Action {
 	s := o.servers[name]
-	if s.n < o.limits.MinResults {
+	if s.results < o.limits.MinResults {
 		return nil
 	}
 	fails, slowness := o.others(name)
@@ -215,7 +215,7 @@
 func (o *Detector) others(name string) (fails, slowness float64) {
 	var f, t []float64
 	for other, s := range o.servers {
-		if other != name && s.state == Trusted && s.n > 0 {
+		if other != name && s.state == Trusted && s.results > 0 {
 			f, t = append(f, s.fails), append(t, s.slowness)
 		}
 	}
