--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -54,13 +54,13 @@
 const alpha = 0.125
 
 type server struct {
-	state         State
-	until         time.Time
-	rest          time.Duration
-	leavingSince  time.Time
-	results, good int
-	fails         float64
-	slowness      float64
+	state                 State
+	until                 time.Time
+	rest                  time.Duration
+	leavingSince          time.Time
+	results, passedTrials int
+	fails                 float64
+	slowness              float64
 }
 
 type request struct {
@@ -176,7 +176,7 @@
 	if failed {
 		return o.set(name, Quarantined, now.Add(o.next(s)), "its trial failed")
 	}
-	if s.good++; s.good < requiredTrials {
+	if s.passedTrials++; s.passedTrials < requiredTrials {
 		return nil
 	}
 	s.rest, s.results, s.fails, s.slowness = 0, 0, 0, 1
@@ -258,7 +258,7 @@
 func (o *Detector) set(name string, to State, until time.Time, why string) []Action {
 	s := o.servers[name]
 	from := s.state
-	s.state, s.until, s.good = to, until, 0
+	s.state, s.until, s.passedTrials = to, until, 0
 	if from == to {
 		return nil
 	}
