--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -59,7 +59,7 @@
 	rest                  time.Duration
 	leavingSince          time.Time
 	results, passedTrials int
-	fails                 float64
+	failureRate           float64
 	slowness              float64
 }
 
@@ -160,7 +160,7 @@
 	}
 	// The first results count alike; with a fixed weight a server that fails
 	// everything from its first request on would look half good for long.
-	s.fails += max(alpha, 1/float64(s.results)) * (x - s.fails)
+	s.failureRate += max(alpha, 1/float64(s.results)) * (x - s.failureRate)
 	switch s.state {
 	case Trial:
 		return o.trial(now, name, failed)
@@ -179,7 +179,7 @@
 	if s.passedTrials++; s.passedTrials < requiredTrials {
 		return nil
 	}
-	s.rest, s.results, s.fails, s.slowness = 0, 0, 0, 1
+	s.rest, s.results, s.failureRate, s.slowness = 0, 0, 0, 1
 	return o.set(name, Trusted, time.Time{}, "its trials went well")
 }
 
@@ -198,7 +198,7 @@
 	fails, slowness := o.others(name)
 	why := ""
 	switch {
-	case s.fails >= o.limits.FailureRate && s.fails >= 2*fails:
+	case s.failureRate >= o.limits.FailureRate && s.failureRate >= 2*fails:
 		why = "it fails more than the others"
 	case slowness > 0 && s.slowness >= o.limits.Slowness*slowness:
 		why = "it is slower than the others"
@@ -216,7 +216,7 @@
 	var f, t []float64
 	for other, s := range o.servers {
 		if other != name && s.state == Trusted && s.results > 0 {
-			f, t = append(f, s.fails), append(t, s.slowness)
+			f, t = append(f, s.failureRate), append(t, s.slowness)
 		}
 	}
 	return median(f), median(t)
