--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -56,7 +56,7 @@
 type server struct {
 	state                 State
 	until                 time.Time
-	rest                  time.Duration
+	pause                 time.Duration
 	leavingSince          time.Time
 	results, passedTrials int
 	failureRate           float64
@@ -179,14 +179,14 @@
 	if s.passedTrials++; s.passedTrials < requiredTrials {
 		return nil
 	}
-	s.rest, s.results, s.failureRate, s.slowness = 0, 0, 0, 1
+	s.pause, s.results, s.failureRate, s.slowness = 0, 0, 0, 1
 	return o.set(name, Trusted, time.Time{}, "its trials went well")
 }
 
 // next doubles a server's rest each time that it is set aside in a row.
 func (o *Detector) next(s *server) time.Duration {
-	s.rest = min(max(2*s.rest, o.limits.Pause), o.limits.MaxPause)
-	return s.rest
+	s.pause = min(max(2*s.pause, o.limits.Pause), o.limits.MaxPause)
+	return s.pause
 }
 
 // judge compares a server with the others.
