--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -94,14 +94,14 @@
 	case LeavingReported:
 		return o.told(now, ev.Leaving)
 	case ServersListed:
-		o.list(ev.Backends)
+		o.setServers(ev.Backends)
 	case Tick:
 		return o.tick(now)
 	}
 	return nil
 }
 
-func (o *Detector) list(names []string) {
+func (o *Detector) setServers(names []string) {
 	for _, name := range names {
 		if o.servers[name] == nil {
 			o.servers[name] = &server{state: Trusted}
