--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -131,7 +131,7 @@
 	case Unreachable:
 		return o.gone(now, f.backend, o.next(s), "it takes no connections")
 	case Succeeded:
-		o.time(s, f, now.Sub(f.since))
+		o.recordTime(s, f, now.Sub(f.since))
 	}
 	if f.stuck && ev.Result == Failed {
 		return nil
@@ -139,8 +139,8 @@
 	return o.result(now, f.backend, ev.Result == Failed)
 }
 
-// time compares a request's time with its row's on all servers.
-func (o *Detector) time(s *server, f *request, took time.Duration) {
+// recordTime compares a request's recordTime with its row's on all servers.
+func (o *Detector) recordTime(s *server, f *request, took time.Duration) {
 	mean, ok := o.meanTimes[f.row]
 	if !ok {
 		mean = took.Seconds()
