--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -136,7 +136,7 @@
 	if f.stuck && ev.Result == Failed {
 		return nil
 	}
-	return o.result(now, f.backend, ev.Result == Failed)
+	return o.recordResult(now, f.backend, ev.Result == Failed)
 }
 
 // recordTime compares a request's recordTime with its row's on all servers.
@@ -151,7 +151,7 @@
 	}
 }
 
-func (o *Detector) result(now time.Time, name string, failed bool) []Action {
+func (o *Detector) recordResult(now time.Time, name string, failed bool) []Action {
 	s := o.servers[name]
 	s.results++
 	x := 0.0
@@ -282,8 +282,8 @@
 			// Silence is a stronger sign than a failure, which may be the
 			// request's own, and counts twice.
 			f.stuck = true
-			acts = append(acts, o.result(now, f.backend, true)...)
-			acts = append(acts, o.result(now, f.backend, true)...)
+			acts = append(acts, o.recordResult(now, f.backend, true)...)
+			acts = append(acts, o.recordResult(now, f.backend, true)...)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(o.servers)) {
