--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -163,7 +163,7 @@
 	s.failureRate += max(alpha, 1/float64(s.results)) * (x - s.failureRate)
 	switch s.state {
 	case Trial:
-		return o.trial(now, name, failed)
+		return o.recordTrial(now, name, failed)
 	case Trusted:
 		return o.judge(now, name)
 	default:
@@ -171,7 +171,7 @@
 	}
 }
 
-func (o *Detector) trial(now time.Time, name string, failed bool) []Action {
+func (o *Detector) recordTrial(now time.Time, name string, failed bool) []Action {
 	s := o.servers[name]
 	if failed {
 		return o.set(name, Quarantined, now.Add(o.next(s)), "its trial failed")
