--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -129,7 +129,7 @@
 		s.leavingSince = now
 		return o.gone(now, f.backend, o.limits.LeavingPause, "it leaves")
 	case Unreachable:
-		return o.gone(now, f.backend, o.next(s), "it takes no connections")
+		return o.gone(now, f.backend, o.nextPause(s), "it takes no connections")
 	case Succeeded:
 		o.recordTime(s, f, now.Sub(f.since))
 	}
@@ -174,7 +174,7 @@
 func (o *Detector) recordTrial(now time.Time, name string, failed bool) []Action {
 	s := o.servers[name]
 	if failed {
-		return o.set(name, Quarantined, now.Add(o.next(s)), "its trial failed")
+		return o.set(name, Quarantined, now.Add(o.nextPause(s)), "its trial failed")
 	}
 	if s.passedTrials++; s.passedTrials < requiredTrials {
 		return nil
@@ -183,8 +183,8 @@
 	return o.set(name, Trusted, time.Time{}, "its trials went well")
 }
 
-// next doubles a server's rest each time that it is set aside in a row.
-func (o *Detector) next(s *server) time.Duration {
+// nextPause doubles a server's rest each time that it is set aside in a row.
+func (o *Detector) nextPause(s *server) time.Duration {
 	s.pause = min(max(2*s.pause, o.limits.Pause), o.limits.MaxPause)
 	return s.pause
 }
@@ -208,7 +208,7 @@
 	if !o.mayAside() {
 		return nil
 	}
-	return o.set(name, Quarantined, now.Add(o.next(s)), why)
+	return o.set(name, Quarantined, now.Add(o.nextPause(s)), why)
 }
 
 // others are the medians of the servers that are trusted, but for one.
