--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -165,7 +165,7 @@
 	case Trial:
 		return o.recordTrial(now, name, failed)
 	case Trusted:
-		return o.judge(now, name)
+		return o.detect(now, name)
 	default:
 		return nil
 	}
@@ -189,8 +189,8 @@
 	return s.pause
 }
 
-// judge compares a server with the others.
-func (o *Detector) judge(now time.Time, name string) []Action {
+// detect compares a server with the others.
+func (o *Detector) detect(now time.Time, name string) []Action {
 	s := o.servers[name]
 	if s.results < o.limits.MinResults {
 		return nil
