--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -195,7 +195,7 @@
 	if s.results < o.limits.MinResults {
 		return nil
 	}
-	fails, slowness := o.others(name)
+	fails, slowness := o.otherMedians(name)
 	why := ""
 	switch {
 	case s.failureRate >= o.limits.FailureRate && s.failureRate >= 2*fails:
@@ -211,8 +211,8 @@
 	return o.set(name, Quarantined, now.Add(o.nextPause(s)), why)
 }
 
-// others are the medians of the servers that are trusted, but for one.
-func (o *Detector) others(name string) (fails, slowness float64) {
+// otherMedians are the medians of the servers that are trusted, but for one.
+func (o *Detector) otherMedians(name string) (fails, slowness float64) {
 	var f, t []float64
 	for other, s := range o.servers {
 		if other != name && s.state == Trusted && s.results > 0 {
