--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -205,7 +205,7 @@
 	default:
 		return nil
 	}
-	if !o.mayAside() {
+	if !o.mayQuarantine() {
 		return nil
 	}
 	return o.set(name, Quarantined, now.Add(o.nextPause(s)), why)
@@ -230,7 +230,7 @@
 	return all[len(all)/2]
 }
 
-func (o *Detector) mayAside() bool {
+func (o *Detector) mayQuarantine() bool {
 	n := 0
 	for _, s := range o.servers {
 		if s.state == Quarantined || s.state == Trial {
