--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -92,7 +92,7 @@
 	case Ended:
 		return o.ended(now, ev)
 	case LeavingReported:
-		return o.told(now, ev.Leaving)
+		return o.leavingReported(now, ev.Leaving)
 	case ServersListed:
 		o.setServers(ev.Backends)
 	case Tick:
@@ -240,7 +240,7 @@
 	return n+1 <= int(o.limits.MaxShare*float64(len(o.servers)))
 }
 
-func (o *Detector) told(now time.Time, names []string) []Action {
+func (o *Detector) leavingReported(now time.Time, names []string) []Action {
 	var acts []Action
 	for _, name := range names {
 		if s, ok := o.servers[name]; ok && s.state != Unavailable {
