--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -127,9 +127,9 @@
 	switch ev.Result {
 	case Leaving:
 		s.leavingSince = now
-		return o.gone(now, f.backend, o.limits.LeavingPause, "it leaves")
+		return o.markUnavailable(now, f.backend, o.limits.LeavingPause, "it leaves")
 	case Unreachable:
-		return o.gone(now, f.backend, o.nextPause(s), "it takes no connections")
+		return o.markUnavailable(now, f.backend, o.nextPause(s), "it takes no connections")
 	case Succeeded:
 		o.recordTime(s, f, now.Sub(f.since))
 	}
@@ -244,13 +244,13 @@
 	var acts []Action
 	for _, name := range names {
 		if s, ok := o.servers[name]; ok && s.state != Unavailable {
-			acts = append(acts, o.gone(now, name, o.limits.LeavingPause, "a peer says that it leaves")...)
+			acts = append(acts, o.markUnavailable(now, name, o.limits.LeavingPause, "a peer says that it leaves")...)
 		}
 	}
 	return acts
 }
 
-func (o *Detector) gone(now time.Time, name string, d time.Duration, why string) []Action {
+func (o *Detector) markUnavailable(now time.Time, name string, d time.Duration, why string) []Action {
 	o.servers[name].until = now.Add(d)
 	return o.set(name, Unavailable, now.Add(d), why)
 }
