--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -174,13 +174,13 @@
 func (o *Detector) recordTrial(now time.Time, name string, failed bool) []Action {
 	s := o.servers[name]
 	if failed {
-		return o.set(name, Quarantined, now.Add(o.nextPause(s)), "its trial failed")
+		return o.setState(name, Quarantined, now.Add(o.nextPause(s)), "its trial failed")
 	}
 	if s.passedTrials++; s.passedTrials < requiredTrials {
 		return nil
 	}
 	s.pause, s.results, s.failureRate, s.slowness = 0, 0, 0, 1
-	return o.set(name, Trusted, time.Time{}, "its trials went well")
+	return o.setState(name, Trusted, time.Time{}, "its trials went well")
 }
 
 // nextPause doubles a server's rest each time that it is set aside in a row.
@@ -208,7 +208,7 @@
 	if !o.mayQuarantine() {
 		return nil
 	}
-	return o.set(name, Quarantined, now.Add(o.nextPause(s)), why)
+	return o.setState(name, Quarantined, now.Add(o.nextPause(s)), why)
 }
 
 // otherMedians are the medians of the servers that are trusted, but for one.
@@ -252,10 +252,10 @@
 
 func (o *Detector) markUnavailable(now time.Time, name string, d time.Duration, why string) []Action {
 	o.servers[name].until = now.Add(d)
-	return o.set(name, Unavailable, now.Add(d), why)
+	return o.setState(name, Unavailable, now.Add(d), why)
 }
 
-func (o *Detector) set(name string, to State, until time.Time, why string) []Action {
+func (o *Detector) setState(name string, to State, until time.Time, why string) []Action {
 	s := o.servers[name]
 	from := s.state
 	s.state, s.until, s.passedTrials = to, until, 0
@@ -289,7 +289,7 @@
 	for _, name := range slices.Sorted(maps.Keys(o.servers)) {
 		s := o.servers[name]
 		if (s.state == Quarantined || s.state == Unavailable) && !s.until.After(now) {
-			acts = append(acts, o.set(name, Trial, time.Time{}, "its rest is over")...)
+			acts = append(acts, o.setState(name, Trial, time.Time{}, "its rest is over")...)
 		}
 	}
 	return acts
