--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -14,7 +14,7 @@
 // What is measured is kept as a share of what was declared, in thousandths.
 const (
 	scale    = 1000
-	mostSeen = 1000 * scale
+	maxShare = 1000 * scale
 	digits   = 2
 )
 
@@ -41,7 +41,7 @@
 type quantiles struct{ now, before *hdrhistogram.Histogram }
 
 func newQuantiles() *quantiles {
-	return &quantiles{now: hdrhistogram.New(1, mostSeen, digits), before: hdrhistogram.New(1, mostSeen, digits)}
+	return &quantiles{now: hdrhistogram.New(1, maxShare, digits), before: hdrhistogram.New(1, maxShare, digits)}
 }
 
 func (q *quantiles) add(value, declared float64) {
@@ -52,7 +52,7 @@
 		q.now, q.before = q.before, q.now
 		q.now.Reset()
 	}
-	_ = q.now.RecordValue(min(max(int64(value/declared*scale), 1), mostSeen))
+	_ = q.now.RecordValue(min(max(int64(value/declared*scale), 1), maxShare))
 }
 
 func (q *quantiles) count() int64 { return q.now.TotalCount() + q.before.TotalCount() }
