--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// enough tasks must have been measured before a row is packed by it.
-	enough = 8
+	// minSamples tasks must have been measured before a row is packed by it.
+	minSamples = 8
 	// cautious is how many times its declared size a task of an unmeasured
 	// row gets: its first tasks are the ones that surprise.
 	cautious = 2
@@ -98,7 +98,7 @@
 // declared, since a task holds them whole.
 func (e *Estimates) Size(name string, declared cell.Size) cell.Size {
 	r, ok := e.rows[name]
-	if !ok || r.cpu.count() < enough {
+	if !ok || r.cpu.count() < minSamples {
 		return cell.Size{CPU: times(declared.CPU, cautious), Mem: times(declared.Mem, cautious), Accel: declared.Accel}
 	}
 	return cell.Size{
@@ -111,7 +111,7 @@
 // Time is how long a task of that row is expected to run at most.
 func (e *Estimates) Time(name string, declared time.Duration) time.Duration {
 	r, ok := e.rows[name]
-	if !ok || r.time.count() < enough {
+	if !ok || r.time.count() < minSamples {
 		return declared * cautious
 	}
 	return time.Duration(float64(declared) * r.time.at(timeQuantile))
