--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -21,9 +21,9 @@
 const (
 	// minSamples tasks must have been measured before a row is packed by it.
 	minSamples = 8
-	// cautious is how many times its declared size a task of an unmeasured
+	// unmeasuredFactor is how many times its declared size a task of an unmeasured
 	// row gets: its first tasks are the ones that surprise.
-	cautious = 2
+	unmeasuredFactor = 2
 	// sizeQuantile and Margin leave room for the row's largest tasks and for
 	// growth that is not reported yet, since reports lag.
 	sizeQuantile = 99.5
@@ -99,7 +99,7 @@
 func (e *Estimates) Size(name string, declared cell.Size) cell.Size {
 	r, ok := e.rows[name]
 	if !ok || r.cpu.count() < minSamples {
-		return cell.Size{CPU: times(declared.CPU, cautious), Mem: times(declared.Mem, cautious), Accel: declared.Accel}
+		return cell.Size{CPU: times(declared.CPU, unmeasuredFactor), Mem: times(declared.Mem, unmeasuredFactor), Accel: declared.Accel}
 	}
 	return cell.Size{
 		CPU: times(declared.CPU, r.cpu.at(sizeQuantile)*Margin), Mem: times(declared.Mem, r.mem.at(sizeQuantile)*Margin), Accel: declared.Accel,
@@ -112,7 +112,7 @@
 func (e *Estimates) Time(name string, declared time.Duration) time.Duration {
 	r, ok := e.rows[name]
 	if !ok || r.time.count() < minSamples {
-		return declared * cautious
+		return declared * unmeasuredFactor
 	}
 	return time.Duration(float64(declared) * r.time.at(timeQuantile))
 }
