--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -33,8 +33,8 @@
 	// reached its size. One that still grows when it is counted would make the
 	// next ones of its row too small.
 	steady = 5
-	// generation is after how many samples older ones begin to be dropped.
-	generation = 500
+	// generationSize is after how many samples older ones begin to be dropped.
+	generationSize = 500
 )
 
 // quantiles keeps the newest samples: those of this generation and the last.
@@ -48,7 +48,7 @@
 	if declared <= 0 {
 		return
 	}
-	if q.now.TotalCount() >= generation {
+	if q.now.TotalCount() >= generationSize {
 		q.now, q.before = q.before, q.now
 		q.now.Reset()
 	}
