--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -38,27 +38,27 @@
 )
 
 // quantiles keeps the newest samples: those of this generation and the last.
-type quantiles struct{ now, before *hdrhistogram.Histogram }
+type quantiles struct{ current, before *hdrhistogram.Histogram }
 
 func newQuantiles() *quantiles {
-	return &quantiles{now: hdrhistogram.New(1, maxShare, digits), before: hdrhistogram.New(1, maxShare, digits)}
+	return &quantiles{current: hdrhistogram.New(1, maxShare, digits), before: hdrhistogram.New(1, maxShare, digits)}
 }
 
 func (q *quantiles) add(value, declared float64) {
 	if declared <= 0 {
 		return
 	}
-	if q.now.TotalCount() >= generationSize {
-		q.now, q.before = q.before, q.now
-		q.now.Reset()
+	if q.current.TotalCount() >= generationSize {
+		q.current, q.before = q.before, q.current
+		q.current.Reset()
 	}
-	_ = q.now.RecordValue(min(max(int64(value/declared*scale), 1), maxShare))
+	_ = q.current.RecordValue(min(max(int64(value/declared*scale), 1), maxShare))
 }
 
-func (q *quantiles) count() int64 { return q.now.TotalCount() + q.before.TotalCount() }
+func (q *quantiles) count() int64 { return q.current.TotalCount() + q.before.TotalCount() }
 
 func (q *quantiles) at(quantile float64) float64 {
-	return float64(max(q.now.ValueAtQuantile(quantile), q.before.ValueAtQuantile(quantile))) / scale
+	return float64(max(q.current.ValueAtQuantile(quantile), q.before.ValueAtQuantile(quantile))) / scale
 }
 
 type row struct{ cpu, mem, time *quantiles }
