--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -57,7 +57,7 @@
 
 func (q *quantiles) count() int64 { return q.current.TotalCount() + q.previous.TotalCount() }
 
-func (q *quantiles) at(quantile float64) float64 {
+func (q *quantiles) quantile(quantile float64) float64 {
 	return float64(max(q.current.ValueAtQuantile(quantile), q.previous.ValueAtQuantile(quantile))) / scale
 }
 
@@ -102,7 +102,7 @@
 		return cell.Size{CPU: times(declared.CPU, unmeasuredFactor), Mem: times(declared.Mem, unmeasuredFactor), Accel: declared.Accel}
 	}
 	return cell.Size{
-		CPU: times(declared.CPU, r.cpu.at(sizeQuantile)*Margin), Mem: times(declared.Mem, r.mem.at(sizeQuantile)*Margin), Accel: declared.Accel,
+		CPU: times(declared.CPU, r.cpu.quantile(sizeQuantile)*Margin), Mem: times(declared.Mem, r.mem.quantile(sizeQuantile)*Margin), Accel: declared.Accel,
 	}
 }
 
@@ -114,7 +114,7 @@
 	if !ok || r.time.count() < minSamples {
 		return declared * unmeasuredFactor
 	}
-	return time.Duration(float64(declared) * r.time.at(timeQuantile))
+	return time.Duration(float64(declared) * r.time.quantile(timeQuantile))
 }
 
 // RecordUse takes a report of what a running task uses and returns the room that it
