--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -99,14 +99,14 @@
 func (e *Estimates) Size(name string, declared cell.Size) cell.Size {
 	r, ok := e.rows[name]
 	if !ok || r.cpu.count() < minSamples {
-		return cell.Size{CPU: times(declared.CPU, unmeasuredFactor), Mem: times(declared.Mem, unmeasuredFactor), Accel: declared.Accel}
+		return cell.Size{CPU: scaled(declared.CPU, unmeasuredFactor), Mem: scaled(declared.Mem, unmeasuredFactor), Accel: declared.Accel}
 	}
 	return cell.Size{
-		CPU: times(declared.CPU, r.cpu.quantile(sizeQuantile)*Margin), Mem: times(declared.Mem, r.mem.quantile(sizeQuantile)*Margin), Accel: declared.Accel,
+		CPU: scaled(declared.CPU, r.cpu.quantile(sizeQuantile)*Margin), Mem: scaled(declared.Mem, r.mem.quantile(sizeQuantile)*Margin), Accel: declared.Accel,
 	}
 }
 
-func times(v int64, by float64) int64 { return max(int64(float64(v)*by), min(v, 1)) }
+func scaled(v int64, by float64) int64 { return max(int64(float64(v)*by), min(v, 1)) }
 
 // Time is how long a task of that row is expected to run at most.
 func (e *Estimates) Time(name string, declared time.Duration) time.Duration {
