--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -133,11 +133,11 @@
 	if !use.Fits(t.peak) {
 		t.steady = 0
 	}
-	t.peak = largest(t.peak, use)
+	t.peak = maxSize(t.peak, use)
 	if t.steady == steady && !t.peak.Fits(t.sampled) {
 		e.sample(t)
 	}
-	room := largest(e.Size(name, declared), t.peak)
+	room := maxSize(e.Size(name, declared), t.peak)
 	if t.steady >= steady {
 		// A task that has not grown for a while takes half of what its row could still
 		// grow by. That is for processors only, which can be throttled; memory
@@ -148,7 +148,7 @@
 	return room, true
 }
 
-func largest(a, b cell.Size) cell.Size {
+func maxSize(a, b cell.Size) cell.Size {
 	return cell.Size{CPU: max(a.CPU, b.CPU), Mem: max(a.Mem, b.Mem), Accel: max(a.Accel, b.Accel)}
 }
 
