--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -29,10 +29,10 @@
 	sizeQuantile = 99.5
 	// timeQuantile of a row's tasks end within the expected time.
 	timeQuantile = 90
-	// steady is after how many reports without growth a task is taken to have
+	// steadyReports is after how many reports without growth a task is taken to have
 	// reached its size. One that still grows when it is counted would make the
 	// next ones of its row too small.
-	steady = 5
+	steadyReports = 5
 	// generationSize is after how many samples older ones begin to be dropped.
 	generationSize = 500
 )
@@ -134,11 +134,11 @@
 		t.steady = 0
 	}
 	t.peak = maxSize(t.peak, use)
-	if t.steady == steady && !t.peak.Fits(t.sampled) {
+	if t.steady == steadyReports && !t.peak.Fits(t.sampled) {
 		e.sample(t)
 	}
 	room := maxSize(e.Size(name, declared), t.peak)
-	if t.steady >= steady {
+	if t.steady >= steadyReports {
 		// A task that has not grown for a while takes half of what its row could still
 		// grow by. That is for processors only, which can be throttled; memory
 		// that runs out kills tasks.
