--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -17,19 +17,19 @@
 
 // Budget counts the retries of all rows. It is safe for concurrent use.
 type Budget struct {
-	limits Limits
-	mu     sync.Mutex
-	left   map[string]float64
+	limits   Limits
+	mu       sync.Mutex
+	balances map[string]float64
 }
 
 // New returns a budget in which no row has spent anything.
-func New(limits Limits) *Budget { return &Budget{limits: limits, left: map[string]float64{}} }
+func New(limits Limits) *Budget { return &Budget{limits: limits, balances: map[string]float64{}} }
 
 // RecordRequest counts a first try of a row.
 func (b *Budget) RecordRequest(row string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.left[row] = min(b.row(row)+b.limits.Ratio, b.limits.Max)
+	b.balances[row] = min(b.row(row)+b.limits.Ratio, b.limits.Max)
 }
 
 // TrySpend tells whether a row may retry once more, and counts the retry.
@@ -40,12 +40,12 @@
 	if left < 1 {
 		return false
 	}
-	b.left[row] = left - 1
+	b.balances[row] = left - 1
 	return true
 }
 
 func (b *Budget) row(row string) float64 {
-	if left, ok := b.left[row]; ok {
+	if left, ok := b.balances[row]; ok {
 		return left
 	}
 	return b.limits.Initial
