--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -29,14 +29,14 @@
 func (b *Budget) RecordRequest(row string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.balances[row] = min(b.row(row)+b.limits.Ratio, b.limits.Max)
+	b.balances[row] = min(b.balance(row)+b.limits.Ratio, b.limits.Max)
 }
 
 // TrySpend tells whether a row may retry once more, and counts the retry.
 func (b *Budget) TrySpend(row string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	left := b.row(row)
+	left := b.balance(row)
 	if left < 1 {
 		return false
 	}
@@ -44,7 +44,7 @@
 	return true
 }
 
-func (b *Budget) row(row string) float64 {
+func (b *Budget) balance(row string) float64 {
 	if left, ok := b.balances[row]; ok {
 		return left
 	}
