--- a/internal/flow/crash.go
+++ b/internal/flow/crash.go
@@ -4,11 +4,11 @@
 
 // MarkLost records that a run of the task was lost on a worker incarnation that no longer
 // answers. It returns false if the incarnation is already recorded as lost or crashed.
-func (t *Task) MarkLost(life string) bool {
-	if slices.Contains(t.Crashed, life) || slices.Contains(t.Lost, life) {
+func (t *Task) MarkLost(incarnation string) bool {
+	if slices.Contains(t.Crashed, incarnation) || slices.Contains(t.Lost, incarnation) {
 		return false
 	}
-	t.Lost = append(t.Lost, life)
+	t.Lost = append(t.Lost, incarnation)
 	t.Step.updateSuspicions()
 	return true
 }
