--- a/internal/flow/crash.go
+++ b/internal/flow/crash.go
@@ -15,12 +15,12 @@
 
 // MarkCrashed records that a worker incarnation ended while a run of the task was, or may
 // have been, on it. It returns false if that is already recorded.
-func (t *Task) MarkCrashed(life string) bool {
-	t.UnmarkLost(life)
-	if slices.Contains(t.Crashed, life) {
+func (t *Task) MarkCrashed(incarnation string) bool {
+	t.UnmarkLost(incarnation)
+	if slices.Contains(t.Crashed, incarnation) {
 		return false
 	}
-	t.Crashed = append(t.Crashed, life)
+	t.Crashed = append(t.Crashed, incarnation)
 	t.Step.updateSuspicions()
 	return true
 }
