--- a/internal/flow/crash.go
+++ b/internal/flow/crash.go
@@ -27,8 +27,8 @@
 
 // UnmarkLost removes an incarnation from the lost ones, because it is still alive or ended
 // for another reason. It returns false if no run was lost on it.
-func (t *Task) UnmarkLost(life string) bool {
-	i := slices.Index(t.Lost, life)
+func (t *Task) UnmarkLost(incarnation string) bool {
+	i := slices.Index(t.Lost, incarnation)
 	if i < 0 {
 		return false
 	}
