--- a/internal/queue/drain.go
+++ b/internal/queue/drain.go
@@ -54,9 +54,9 @@
 // request is refused on its word: bulk at once, urgent last.
 var lateMargin = map[cell.Class]float64{cell.Urgent: 1.5, cell.Normal: 1.25, cell.Bulk: 1}
 
-// estimate is how long a request of a row waits behind ahead others of it;
+// estimateWait is how long a request of a row waits behind ahead others of it;
 // zero if nothing was measured.
-func (q *Queue) estimate(now time.Time, r *row, ahead int) time.Duration {
+func (q *Queue) estimateWait(now time.Time, r *row, ahead int) time.Duration {
 	if per := r.drain.interval(now); per > 0 && len(r.waiting.items) > 0 {
 		return per * time.Duration(ahead)
 	}
@@ -70,7 +70,7 @@
 // wouldMissDeadline tells that a request with ahead others before it cannot be
 // answered in time at the measured rate.
 func (q *Queue) wouldMissDeadline(now time.Time, r *row, ahead int, deadline time.Time) bool {
-	wait := q.estimate(now, r, ahead)
+	wait := q.estimateWait(now, r, ahead)
 	return wait > 0 && float64(wait+r.meanTime) > lateMargin[r.Class]*float64(deadline.Sub(now))
 }
 
@@ -78,7 +78,7 @@
 // sent at the measured rate.
 func (q *Queue) retryAfter(now time.Time, r *row) time.Duration {
 	n := len(r.waiting.items) + 1
-	wait := q.estimate(now, r, n)
+	wait := q.estimateWait(now, r, n)
 	if wait == 0 {
 		wait = initialInterval * time.Duration(n)
 	}
