--- a/internal/flow/crash_test.go
+++ b/internal/flow/crash_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards against a count of crashes that a takeover loses.
-func TestLivesThatEndedUnderATaskAreInItsRecord(t *testing.T) {
+func TestRestoreKeepsCrashSuspicions(t *testing.T) {
 	now := time.UnixMilli(1_000_000)
 	spec := flow.Spec{ID: "a", Steps: []flow.Step{{Tasks: 2, Gang: true}}}
 	j := flow.New(spec, 7, now)
