--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -18,7 +18,7 @@
 	// Output: 5c0e7a21d94b36f8.0.1.17 5c0e7a21d94b36f8.0.1
 }
 
-func TestNamesAreReadBack(t *testing.T) {
+func TestNameRoundTrip(t *testing.T) {
 	n := flow.Name{Job: "a", Round: 3, Step: 1, Index: 17}
 	got, ok := flow.ParseName(n.String())
 	require.True(t, ok)
