--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -53,7 +53,7 @@
 
 // A record holds all that a successor must know: what is done, where a run may
 // be, how often a task failed, how far it got.
-func TestARecordBringsBackWhatMustSurvive(t *testing.T) {
+func TestRestoreKeepsProgress(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.UnixMilli(1_000_000)
 		spec := flow.Spec{ID: "a", Steps: []flow.Step{{Tasks: 3}, {Tasks: 2, After: []int{0}}}}
