--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -91,7 +91,7 @@
 	})
 }
 
-func TestARecordThatCannotBeReadIsAnError(t *testing.T) {
+func TestUnreadableRecordIsAnError(t *testing.T) {
 	_, err := flow.Restore(flow.Spec{ID: "a"}, []byte("{"), time.Time{})
 	require.ErrorAs(t, err, new(*flow.RecordError))
 }
