--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -99,7 +99,7 @@
 // Nine jobs in ten that a lead takes over have ended. Their records are short and
 // bring them back without their specs; a job of which anything may still run keeps
 // both, since what room that takes stands in the spec.
-func TestAnEndedJobNeedsNoSpec(t *testing.T) {
+func TestRestoreEndedNeedsNoSpec(t *testing.T) {
 	now := time.UnixMilli(1_000_000)
 	end := func(step flow.Step, how func(j *flow.Job, t *flow.Task)) ([]byte, bool) {
 		j := flow.New(flow.Spec{ID: "a", Steps: []flow.Step{step}}, 7, now)
