--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -137,7 +137,7 @@
 
 // A partition of the store was down and the lead wrote to another one; both hold a
 // record of the job. The one that was written last counts, whichever is read first.
-func TestTheRecordThatWasWrittenLastCounts(t *testing.T) {
+func TestNewerRecordIsTheLastWritten(t *testing.T) {
 	j := flow.New(flow.Spec{ID: "a", Steps: []flow.Step{{Tasks: 1}}}, 7, time.UnixMilli(1))
 	at := func(term, n int64) []byte { return j.Record(flow.Version{Term: term, Append: n}) }
 	for _, pair := range [][2][]byte{{at(3, 9), at(4, 1)}, {at(4, 1), at(4, 2)}, {[]byte("{"), at(0, 0)}, {at(9, 9), at(10, 0)}} {
