--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -56,7 +56,7 @@
 
 // No visitor has been scanned for a quarter of an hour. Slots that stay empty
 // for scans would only delay the badges, so all but one are given to them.
-func TestReserveShrinksWhileNobodyIsScanned(t *testing.T) {
+func TestReserveShrinksWithoutUrgentRequests(t *testing.T) {
 	q := queue.New(queue.DefaultLimits)
 	q.Step(start, minions(1, 8))
 	q.Step(start.Add(15*time.Minute), queue.Tick{})
