--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -244,7 +244,7 @@
 
 // A request failed on one minion and is tried again. It goes to another one
 // while there is any with room.
-func TestRetryAvoidsTheMinionThatFailed(t *testing.T) {
+func TestRetryAvoidsFailedBackend(t *testing.T) {
 	q := queue.New(queue.DefaultLimits)
 	q.Step(start, minions(2, 2))
 	for i, want := range []string{"m1", "m1", "m0"} {
