--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-func ask(id, row string, class cell.Class) queue.Enqueue {
+func newRequest(id, row string, class cell.Class) queue.Enqueue {
 	return queue.Enqueue{ID: id, Row: queue.Row{Name: row, Class: class, Weight: 1}, Deadline: start.Add(time.Minute)}
 }
 
@@ -48,10 +48,10 @@
 	q.Step(start, minions(1, 8))
 	sent := 0
 	for i := range 100 {
-		sent += len(q.Step(start, ask(fmt.Sprint("b", i), "badges", cell.Bulk)))
+		sent += len(q.Step(start, newRequest(fmt.Sprint("b", i), "badges", cell.Bulk)))
 	}
 	require.Equal(t, 6, sent)
-	require.Equal(t, []queue.Action{queue.Send{ID: "s1", Backend: "m0"}}, q.Step(start, ask("s1", "scan", cell.Urgent)))
+	require.Equal(t, []queue.Action{queue.Send{ID: "s1", Backend: "m0"}}, q.Step(start, newRequest("s1", "scan", cell.Urgent)))
 }
 
 // No visitor has been scanned for a quarter of an hour. Slots that stay empty
@@ -61,7 +61,7 @@
 	q.Step(start, minions(1, 8))
 	q.Step(start.Add(15*time.Minute), queue.Tick{})
 	for i := range 9 {
-		a := ask(fmt.Sprint("b", i), "badges", cell.Bulk)
+		a := newRequest(fmt.Sprint("b", i), "badges", cell.Bulk)
 		a.Deadline = start.Add(time.Hour)
 		q.Step(start.Add(15*time.Minute), a)
 	}
@@ -73,7 +73,7 @@
 // then, with the time to come back, instead of being kept waiting.
 func TestRequestPastItsDeadlineIsRefused(t *testing.T) {
 	q := queue.New(queue.DefaultLimits)
-	require.Empty(t, q.Step(start, ask("a", "scan", cell.Urgent)))
+	require.Empty(t, q.Step(start, newRequest("a", "scan", cell.Urgent)))
 	acts := q.Step(start.Add(time.Minute), queue.Tick{})
 	require.Len(t, acts, 1)
 	refused, ok := acts[0].(queue.Refuse)
@@ -85,7 +85,7 @@
 func TestRowsShareSlotsByWeight(t *testing.T) {
 	q := queue.New(queue.Limits{Length: 1000})
 	for i := range 100 {
-		a, b := ask(fmt.Sprint("a", i), "a", cell.Normal), ask(fmt.Sprint("b", i), "b", cell.Normal)
+		a, b := newRequest(fmt.Sprint("a", i), "a", cell.Normal), newRequest(fmt.Sprint("b", i), "b", cell.Normal)
 		a.Row.Weight = 3
 		q.Step(start, a)
 		q.Step(start, b)
@@ -98,9 +98,9 @@
 func TestCrowdOfOneRowDoesNotHoldUpAnother(t *testing.T) {
 	q := queue.New(queue.Limits{Length: 1000})
 	for i := range 1000 {
-		require.Empty(t, q.Step(start, ask(fmt.Sprint("c", i), "crowd", cell.Normal)))
+		require.Empty(t, q.Step(start, newRequest(fmt.Sprint("c", i), "crowd", cell.Normal)))
 	}
-	acts := q.Step(start, ask("x", "single", cell.Normal))
+	acts := q.Step(start, newRequest("x", "single", cell.Normal))
 	require.Equal(t, map[string]int{string(queue.Full): 1}, counts(acts), "the crowd's newest gives way")
 	require.Equal(t, 1, counts(q.Step(start, minions(1, 2)))["x"])
 }
@@ -110,13 +110,13 @@
 func TestFullQueueShedsNewestBulkFirst(t *testing.T) {
 	q := queue.New(queue.Limits{Length: 3})
 	for i := range 3 {
-		q.Step(start, ask(fmt.Sprint("b", i), "badges", cell.Bulk))
+		q.Step(start, newRequest(fmt.Sprint("b", i), "badges", cell.Bulk))
 	}
 	for i, id := range []string{"s0", "s1", "s2"} {
-		acts := q.Step(start, ask(id, "scan", cell.Urgent))
+		acts := q.Step(start, newRequest(id, "scan", cell.Urgent))
 		require.Equal(t, fmt.Sprint("b", 2-i), acts[0].(queue.Refuse).ID)
 	}
-	acts := q.Step(start, ask("s3", "scan", cell.Urgent))
+	acts := q.Step(start, newRequest("s3", "scan", cell.Urgent))
 	require.Equal(t, queue.Refuse{ID: "s3", Reason: queue.Full, RetryAfter: acts[0].(queue.Refuse).RetryAfter}, acts[0])
 }
 
@@ -125,7 +125,7 @@
 func TestNewLimitHoldsForWhatWaitsAlready(t *testing.T) {
 	q := queue.New(queue.Limits{Length: 1000})
 	for i := range 20 {
-		q.Step(start, ask(fmt.Sprint("a", i), "a", cell.Normal))
+		q.Step(start, newRequest(fmt.Sprint("a", i), "a", cell.Normal))
 	}
 	q.Step(start, queue.RowChanged{Row: queue.Row{Name: "a", Class: cell.Normal, Weight: 1, Slots: 3}})
 	require.Equal(t, map[string]int{"a": 3}, counts(q.Step(start, minions(1, 10))))
@@ -150,7 +150,7 @@
 		for _, id := range p.ends[p.now] {
 			acts = append(acts, p.q.Step(p.now, queue.Ended{ID: id, Took: took})...)
 		}
-		a := ask(fmt.Sprint("r", p.now.UnixNano()), "row", cell.Normal)
+		a := newRequest(fmt.Sprint("r", p.now.UnixNano()), "row", cell.Normal)
 		a.Deadline = p.now.Add(patience)
 		acts = append(acts, p.q.Step(p.now, a)...)
 		for _, act := range acts {
@@ -187,7 +187,7 @@
 	free, waiting := q.Load()
 	require.Zero(t, free)
 	require.Less(t, waiting, 80)
-	late := ask("late", "row", cell.Normal)
+	late := newRequest("late", "row", cell.Normal)
 	late.Deadline = p.now.Add(time.Second)
 	require.Equal(t, queue.TooLate, p.q.Step(p.now, late)[0].(queue.Refuse).Reason, "refused when it asks, not later")
 	q.Step(p.now, queue.Shares{})
@@ -202,7 +202,7 @@
 	q := queue.New(queue.DefaultLimits)
 	q.Step(start, minions(1, 1))
 	for _, id := range []string{"a", "b", "c"} {
-		q.Step(start, ask(id, "scan", cell.Urgent))
+		q.Step(start, newRequest(id, "scan", cell.Urgent))
 	}
 	acts := q.Step(start, queue.Peers{All: []queue.Peer{{Name: "h2", Free: 1}, {Name: "h3"}}})
 	require.Equal(t, []queue.Action{queue.Lend{ID: "b", Peer: "h2"}}, acts)
@@ -219,7 +219,7 @@
 	q.Step(start, minions(1, 1))
 	q.Step(start, queue.Peers{All: []queue.Peer{{Name: "h2", Free: 9}}})
 	for _, want := range []string{"x", string(queue.Busy)} {
-		a := ask("x"+want, "scan", cell.Urgent)
+		a := newRequest("x"+want, "scan", cell.Urgent)
 		a.FromPeer = true
 		require.Equal(t, map[string]int{want: 1}, counts(q.Step(start, a)))
 	}
@@ -233,7 +233,7 @@
 	q := queue.New(queue.DefaultLimits)
 	q.Step(start, minions(1, 2))
 	for i := range 4 {
-		q.Step(start, ask(fmt.Sprint("s", i), "scan", cell.Urgent))
+		q.Step(start, newRequest(fmt.Sprint("s", i), "scan", cell.Urgent))
 	}
 	q.Step(start, queue.Shares{})
 	require.True(t, q.Overcommitted())
@@ -248,7 +248,7 @@
 	q := queue.New(queue.DefaultLimits)
 	q.Step(start, minions(2, 2))
 	for i, want := range []string{"m1", "m1", "m0"} {
-		a := ask(fmt.Sprint("s", i), "scan", cell.Urgent)
+		a := newRequest(fmt.Sprint("s", i), "scan", cell.Urgent)
 		a.Avoid = []string{"m0"}
 		require.Equal(t, []queue.Action{queue.Send{ID: a.ID, Backend: want}}, q.Step(start, a))
 	}
@@ -257,9 +257,9 @@
 // A caller hangs up while its request waits. The place is free for another.
 func TestHungUpCallerFreesItsPlace(t *testing.T) {
 	q := queue.New(queue.Limits{Length: 1})
-	q.Step(start, ask("a", "scan", cell.Urgent))
+	q.Step(start, newRequest("a", "scan", cell.Urgent))
 	q.Step(start, queue.Cancelled{ID: "a"})
-	require.Empty(t, q.Step(start, ask("b", "scan", cell.Urgent)))
+	require.Empty(t, q.Step(start, newRequest("b", "scan", cell.Urgent)))
 }
 
 // A long queue drains steadily and then one answer takes a little longer. Taken
@@ -268,7 +268,7 @@
 	q := queue.New(queue.Limits{Length: 4096})
 	q.Step(start, minions(1, 1))
 	for i := range 3000 {
-		q.Step(start, ask(fmt.Sprintf("b%04d", i), "badges", cell.Bulk))
+		q.Step(start, newRequest(fmt.Sprintf("b%04d", i), "badges", cell.Bulk))
 	}
 	now := start
 	for i := range 252 {
