--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -17,7 +17,7 @@
 	return queue.Enqueue{ID: id, Row: queue.Row{Name: row, Class: class, Weight: 1}, Deadline: start.Add(time.Minute)}
 }
 
-func minions(n, slots int) queue.Shares {
+func newShares(n, slots int) queue.Shares {
 	var s queue.Shares
 	for i := range n {
 		s.All = append(s.All, queue.Share{Backend: fmt.Sprint("m", i), Slots: slots})
@@ -45,7 +45,7 @@
 // visitor must not wait for the batch: the scan takes a reserved slot at once.
 func TestScanDoesNotWaitBehindBulk(t *testing.T) {
 	q := queue.New(queue.DefaultLimits)
-	q.Step(start, minions(1, 8))
+	q.Step(start, newShares(1, 8))
 	sent := 0
 	for i := range 100 {
 		sent += len(q.Step(start, newRequest(fmt.Sprint("b", i), "badges", cell.Bulk)))
@@ -58,7 +58,7 @@
 // for scans would only delay the badges, so all but one are given to them.
 func TestReserveShrinksWithoutUrgentRequests(t *testing.T) {
 	q := queue.New(queue.DefaultLimits)
-	q.Step(start, minions(1, 8))
+	q.Step(start, newShares(1, 8))
 	q.Step(start.Add(15*time.Minute), queue.Tick{})
 	for i := range 9 {
 		a := newRequest(fmt.Sprint("b", i), "badges", cell.Bulk)
@@ -90,7 +90,7 @@
 		q.Step(start, a)
 		q.Step(start, b)
 	}
-	require.Equal(t, map[string]int{"a": 30, "b": 10}, counts(q.Step(start, minions(1, 40))))
+	require.Equal(t, map[string]int{"a": 30, "b": 10}, counts(q.Step(start, newShares(1, 40))))
 }
 
 // A thousand callers of one row come at once, and one of another row a moment
@@ -102,7 +102,7 @@
 	}
 	acts := q.Step(start, newRequest("x", "single", cell.Normal))
 	require.Equal(t, map[string]int{string(queue.Full): 1}, counts(acts), "the crowd's newest gives way")
-	require.Equal(t, 1, counts(q.Step(start, minions(1, 2)))["x"])
+	require.Equal(t, 1, counts(q.Step(start, newShares(1, 2)))["x"])
 }
 
 // The queue is full of badges when visitors are scanned. The newest badge
@@ -128,7 +128,7 @@
 		q.Step(start, newRequest(fmt.Sprint("a", i), "a", cell.Normal))
 	}
 	q.Step(start, queue.RowChanged{Row: queue.Row{Name: "a", Class: cell.Normal, Weight: 1, Slots: 3}})
-	require.Equal(t, map[string]int{"a": 3}, counts(q.Step(start, minions(1, 10))))
+	require.Equal(t, map[string]int{"a": 3}, counts(q.Step(start, newShares(1, 10))))
 	require.Equal(t, 2, counts(q.Step(start, queue.RowChanged{Row: queue.Row{Name: "a", Weight: 1, Slots: 5}}))["a"])
 	require.Empty(t, q.Step(start, queue.RowChanged{Row: queue.Row{Name: "a", Weight: 1, Slots: queue.NoSlots}}))
 	require.Equal(t, 5, counts(q.Step(start, queue.RowChanged{Row: queue.Row{Name: "a", Weight: 1}}))["a"])
@@ -176,12 +176,12 @@
 	q := queue.New(queue.DefaultLimits)
 	p := &player{q: q, now: start, ends: map[time.Time][]string{}}
 	const each, took = 10 * time.Millisecond, 80 * time.Millisecond
-	require.Equal(t, map[string]int{"r": 500}, p.run(minions(2, 4), 5*time.Second, each, took, time.Second))
-	total := p.run(minions(1, 4), 10*time.Second, each, took, time.Second)
+	require.Equal(t, map[string]int{"r": 500}, p.run(newShares(2, 4), 5*time.Second, each, took, time.Second))
+	total := p.run(newShares(1, 4), 10*time.Second, each, took, time.Second)
 	require.InDelta(t, 500, total["r"], 25, "half of the slots do half of the work")
 	require.InDelta(t, 450, total[string(queue.TooLate)], 75)
 	require.InDelta(t, 0.8, p.again.Seconds(), 0.5, "a queue of a second drains in about a second")
-	total = p.run(minions(2, 4), 10*time.Second, each, 4*took, time.Second)
+	total = p.run(newShares(2, 4), 10*time.Second, each, 4*took, time.Second)
 	require.InDelta(t, 250, total["r"], 25, "slow minions do a quarter of the work")
 	require.Positive(t, total[string(queue.TooLate)])
 	free, waiting := q.Load()
@@ -200,7 +200,7 @@
 // its place when the peer has given the slot away meanwhile.
 func TestWaitingRequestUsesAPeersFreeSlot(t *testing.T) {
 	q := queue.New(queue.DefaultLimits)
-	q.Step(start, minions(1, 1))
+	q.Step(start, newShares(1, 1))
 	for _, id := range []string{"a", "b", "c"} {
 		q.Step(start, newRequest(id, "scan", cell.Urgent))
 	}
@@ -216,7 +216,7 @@
 // request back at once: queued here it would wait while others have room.
 func TestLentRequestIsSentNowOrGivenBack(t *testing.T) {
 	q := queue.New(queue.DefaultLimits)
-	q.Step(start, minions(1, 1))
+	q.Step(start, newShares(1, 1))
 	q.Step(start, queue.Peers{All: []queue.Peer{{Name: "h2", Free: 9}}})
 	for _, want := range []string{"x", string(queue.Busy)} {
 		a := newRequest("x"+want, "scan", cell.Urgent)
@@ -231,13 +231,13 @@
 // our requests. They must count, or it gets more than its slots.
 func TestMinionThatReturnsToTheListKeepsItsLoad(t *testing.T) {
 	q := queue.New(queue.DefaultLimits)
-	q.Step(start, minions(1, 2))
+	q.Step(start, newShares(1, 2))
 	for i := range 4 {
 		q.Step(start, newRequest(fmt.Sprint("s", i), "scan", cell.Urgent))
 	}
 	q.Step(start, queue.Shares{})
 	require.True(t, q.Overcommitted())
-	require.Empty(t, q.Step(start, minions(1, 2)))
+	require.Empty(t, q.Step(start, newShares(1, 2)))
 	require.Len(t, q.Step(start, queue.Ended{ID: "s0"}), 1)
 	require.False(t, q.Overcommitted())
 }
@@ -246,7 +246,7 @@
 // while there is any with room.
 func TestRetryAvoidsFailedBackend(t *testing.T) {
 	q := queue.New(queue.DefaultLimits)
-	q.Step(start, minions(2, 2))
+	q.Step(start, newShares(2, 2))
 	for i, want := range []string{"m1", "m1", "m0"} {
 		a := newRequest(fmt.Sprint("s", i), "scan", cell.Urgent)
 		a.Avoid = []string{"m0"}
@@ -266,7 +266,7 @@
 // times the queue's length, that one gap would turn away half of the batch.
 func TestOneSlowAnswerRefusesNobody(t *testing.T) {
 	q := queue.New(queue.Limits{Length: 4096})
-	q.Step(start, minions(1, 1))
+	q.Step(start, newShares(1, 1))
 	for i := range 3000 {
 		q.Step(start, newRequest(fmt.Sprintf("b%04d", i), "badges", cell.Bulk))
 	}
