--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -25,8 +25,8 @@
 	return s
 }
 
-// counts sums up actions: sends by row letter, lends by peer, refusals by reason.
-func counts(acts []queue.Action) map[string]int {
+// countActions sums up actions: sends by row letter, lends by peer, refusals by reason.
+func countActions(acts []queue.Action) map[string]int {
 	n := map[string]int{}
 	for _, a := range acts {
 		switch a := a.(type) {
@@ -90,7 +90,7 @@
 		q.Step(start, a)
 		q.Step(start, b)
 	}
-	require.Equal(t, map[string]int{"a": 30, "b": 10}, counts(q.Step(start, newShares(1, 40))))
+	require.Equal(t, map[string]int{"a": 30, "b": 10}, countActions(q.Step(start, newShares(1, 40))))
 }
 
 // A thousand callers of one row come at once, and one of another row a moment
@@ -101,8 +101,8 @@
 		require.Empty(t, q.Step(start, newRequest(fmt.Sprint("c", i), "crowd", cell.Normal)))
 	}
 	acts := q.Step(start, newRequest("x", "single", cell.Normal))
-	require.Equal(t, map[string]int{string(queue.Full): 1}, counts(acts), "the crowd's newest gives way")
-	require.Equal(t, 1, counts(q.Step(start, newShares(1, 2)))["x"])
+	require.Equal(t, map[string]int{string(queue.Full): 1}, countActions(acts), "the crowd's newest gives way")
+	require.Equal(t, 1, countActions(q.Step(start, newShares(1, 2)))["x"])
 }
 
 // The queue is full of badges when visitors are scanned. The newest badge
@@ -128,10 +128,10 @@
 		q.Step(start, newRequest(fmt.Sprint("a", i), "a", cell.Normal))
 	}
 	q.Step(start, queue.RowChanged{Row: queue.Row{Name: "a", Class: cell.Normal, Weight: 1, Slots: 3}})
-	require.Equal(t, map[string]int{"a": 3}, counts(q.Step(start, newShares(1, 10))))
-	require.Equal(t, 2, counts(q.Step(start, queue.RowChanged{Row: queue.Row{Name: "a", Weight: 1, Slots: 5}}))["a"])
+	require.Equal(t, map[string]int{"a": 3}, countActions(q.Step(start, newShares(1, 10))))
+	require.Equal(t, 2, countActions(q.Step(start, queue.RowChanged{Row: queue.Row{Name: "a", Weight: 1, Slots: 5}}))["a"])
 	require.Empty(t, q.Step(start, queue.RowChanged{Row: queue.Row{Name: "a", Weight: 1, Slots: queue.NoSlots}}))
-	require.Equal(t, 5, counts(q.Step(start, queue.RowChanged{Row: queue.Row{Name: "a", Weight: 1}}))["a"])
+	require.Equal(t, 5, countActions(q.Step(start, queue.RowChanged{Row: queue.Row{Name: "a", Weight: 1}}))["a"])
 }
 
 // player plays a steady load on fixed service times.
@@ -161,7 +161,7 @@
 				p.again = act.RetryAfter
 			}
 		}
-		for what, k := range counts(acts) {
+		for what, k := range countActions(acts) {
 			total[what] += k
 		}
 	}
@@ -192,7 +192,7 @@
 	require.Equal(t, queue.TooLate, p.q.Step(p.now, late)[0].(queue.Refuse).Reason, "refused when it asks, not later")
 	q.Step(p.now, queue.Shares{})
 	acts := q.Step(p.now.Add(400*time.Millisecond), queue.Tick{})
-	require.Greater(t, counts(acts)[string(queue.TooLate)], waiting/2, "when nothing moves they hear of it before their time is over")
+	require.Greater(t, countActions(acts)[string(queue.TooLate)], waiting/2, "when nothing moves they hear of it before their time is over")
 }
 
 // A request without a free slot here must not wait while a peer has some, also
@@ -221,7 +221,7 @@
 	for _, want := range []string{"x", string(queue.Busy)} {
 		a := newRequest("x"+want, "scan", cell.Urgent)
 		a.FromPeer = true
-		require.Equal(t, map[string]int{want: 1}, counts(q.Step(start, a)))
+		require.Equal(t, map[string]int{want: 1}, countActions(q.Step(start, a)))
 	}
 	_, waiting := q.Load()
 	require.Zero(t, waiting)
@@ -275,5 +275,5 @@
 		now = now.Add(3 * time.Millisecond)
 		q.Step(now, queue.Ended{ID: fmt.Sprintf("b%04d", i), Took: 3 * time.Millisecond})
 	}
-	require.Empty(t, counts(q.Step(now.Add(30*time.Millisecond), queue.Tick{})))
+	require.Empty(t, countActions(q.Step(now.Add(30*time.Millisecond), queue.Tick{})))
 }
