--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -134,15 +134,15 @@
 	require.Equal(t, 5, countActions(q.Step(start, queue.RowChanged{Row: queue.Row{Name: "a", Weight: 1}}))["a"])
 }
 
-// player plays a steady load on fixed service times.
-type player struct {
+// loadDriver plays a steady load on fixed service times.
+type loadDriver struct {
 	q     *queue.Queue
 	now   time.Time
 	ends  map[time.Time][]string
 	again time.Duration
 }
 
-func (p *player) run(servers queue.Shares, d, each, took, patience time.Duration) map[string]int {
+func (p *loadDriver) run(servers queue.Shares, d, each, took, patience time.Duration) map[string]int {
 	total := map[string]int{}
 	for end := p.now.Add(d); p.now.Before(end); p.now = p.now.Add(each) {
 		acts := p.q.Step(p.now, servers)
@@ -174,7 +174,7 @@
 // still be answered in time, so that no slot is spent on a caller who left.
 func TestOverloadIsRefusedEarlyFromTheMeasuredDrain(t *testing.T) {
 	q := queue.New(queue.DefaultLimits)
-	p := &player{q: q, now: start, ends: map[time.Time][]string{}}
+	p := &loadDriver{q: q, now: start, ends: map[time.Time][]string{}}
 	const each, took = 10 * time.Millisecond, 80 * time.Millisecond
 	require.Equal(t, map[string]int{"r": 500}, p.run(newShares(2, 4), 5*time.Second, each, took, time.Second))
 	total := p.run(newShares(1, 4), 10*time.Second, each, took, time.Second)
