--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -142,7 +142,7 @@
 	again time.Duration
 }
 
-func (p *loadDriver) run(servers queue.Shares, d, each, took, patience time.Duration) map[string]int {
+func (p *loadDriver) run(servers queue.Shares, d, each, took, timeout time.Duration) map[string]int {
 	total := map[string]int{}
 	for end := p.now.Add(d); p.now.Before(end); p.now = p.now.Add(each) {
 		acts := p.q.Step(p.now, servers)
@@ -151,7 +151,7 @@
 			acts = append(acts, p.q.Step(p.now, queue.Ended{ID: id, Took: took})...)
 		}
 		a := newRequest(fmt.Sprint("r", p.now.UnixNano()), "row", cell.Normal)
-		a.Deadline = p.now.Add(patience)
+		a.Deadline = p.now.Add(timeout)
 		acts = append(acts, p.q.Step(p.now, a)...)
 		for _, act := range acts {
 			switch act := act.(type) {
