--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -14,8 +14,8 @@
 
 const work = 10 * time.Millisecond
 
-// bench sends one request after another to each server that may get one.
-type bench struct {
+// simulation sends one request after another to each server that may get one.
+type simulation struct {
 	o    *outlier.Detector
 	now  time.Time
 	n    int
@@ -24,8 +24,8 @@
 	does map[string]func(id string) // what a server does instead of a good answer
 }
 
-func newBench(n int) *bench {
-	b := &bench{o: outlier.New(outlier.DefaultLimits), now: start, got: map[string]int{}, held: map[string]int{}, does: map[string]func(string){}}
+func newBench(n int) *simulation {
+	b := &simulation{o: outlier.New(outlier.DefaultLimits), now: start, got: map[string]int{}, held: map[string]int{}, does: map[string]func(string){}}
 	var names []string
 	for i := range n {
 		names = append(names, fmt.Sprint("m", i))
@@ -34,11 +34,11 @@
 	return b
 }
 
-func (b *bench) end(result outlier.Result) func(string) {
+func (b *simulation) end(result outlier.Result) func(string) {
 	return func(id string) { b.o.Step(b.now, outlier.Ended{ID: id, Result: result}) }
 }
 
-func (b *bench) run(d time.Duration, servers int) {
+func (b *simulation) run(d time.Duration, servers int) {
 	clear(b.got)
 	for end := b.now.Add(d); b.now.Before(end); {
 		var ids [][2]string
@@ -72,12 +72,12 @@
 // and would draw the visitors' scans; it must get next to none, and its full
 // share again soon after it has been mended.
 func TestOutlierIsSetAsideAndReturns(t *testing.T) {
-	for name, does := range map[string]func(*bench) func(string){
-		"fails":     func(b *bench) func(string) { return b.end(outlier.Failed) },
-		"swallows":  func(b *bench) func(string) { return func(string) { b.held["m0"]++ } },
-		"unreached": func(b *bench) func(string) { return b.end(outlier.Unreachable) },
-		"leaves":    func(b *bench) func(string) { return b.end(outlier.Leaving) },
-		"slow": func(b *bench) func(string) {
+	for name, does := range map[string]func(*simulation) func(string){
+		"fails":     func(b *simulation) func(string) { return b.end(outlier.Failed) },
+		"swallows":  func(b *simulation) func(string) { return func(string) { b.held["m0"]++ } },
+		"unreached": func(b *simulation) func(string) { return b.end(outlier.Unreachable) },
+		"leaves":    func(b *simulation) func(string) { return b.end(outlier.Leaving) },
+		"slow": func(b *simulation) func(string) {
 			return func(id string) {
 				now := b.now
 				b.now = now.Add(10 * work)
