--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -24,7 +24,7 @@
 	does map[string]func(id string) // what a server does instead of a good answer
 }
 
-func newBench(n int) *simulation {
+func newSimulation(n int) *simulation {
 	b := &simulation{o: outlier.New(outlier.DefaultLimits), now: start, got: map[string]int{}, held: map[string]int{}, does: map[string]func(string){}}
 	var names []string
 	for i := range n {
@@ -87,7 +87,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(6)
+			b := newSimulation(6)
 			b.run(time.Second, 6)
 			b.does["m0"] = does(b)
 			b.run(3*time.Second, 6)
@@ -107,7 +107,7 @@
 // than the rest could carry. Setting them all aside would end the service.
 func TestNeverMoreThanASetShareIsAside(t *testing.T) {
 	for bad, most := range map[int]int{6: 0, 3: 2} {
-		b := newBench(6)
+		b := newSimulation(6)
 		for i := range bad {
 			b.does[fmt.Sprint("m", i)] = b.end(outlier.Failed)
 		}
@@ -120,7 +120,7 @@
 // The other hosts must stop at that host's word, and only for as long as the
 // sign is fresh: hosts that echo each other would shut a minion out for ever.
 func TestPeersWordStopsWorkForALeavingMinion(t *testing.T) {
-	first, second := newBench(6), newBench(6)
+	first, second := newSimulation(6), newSimulation(6)
 	first.does["m0"] = first.end(outlier.Leaving)
 	first.run(work, 6)
 	require.Equal(t, []string{"m0"}, first.o.LeavingServers(first.now))
