--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -16,16 +16,16 @@
 
 // simulation sends one request after another to each server that may get one.
 type simulation struct {
-	o    *outlier.Detector
-	now  time.Time
-	n    int
-	got  map[string]int
-	held map[string]int
-	does map[string]func(id string) // what a server does instead of a good answer
+	o      *outlier.Detector
+	now    time.Time
+	n      int
+	got    map[string]int
+	held   map[string]int
+	faults map[string]func(id string) // what a server does instead of a good answer
 }
 
 func newSimulation(n int) *simulation {
-	b := &simulation{o: outlier.New(outlier.DefaultLimits), now: start, got: map[string]int{}, held: map[string]int{}, does: map[string]func(string){}}
+	b := &simulation{o: outlier.New(outlier.DefaultLimits), now: start, got: map[string]int{}, held: map[string]int{}, faults: map[string]func(string){}}
 	var names []string
 	for i := range n {
 		names = append(names, fmt.Sprint("m", i))
@@ -56,7 +56,7 @@
 		}
 		b.now = b.now.Add(work)
 		for _, id := range ids {
-			does := b.does[id[0]]
+			does := b.faults[id[0]]
 			if does == nil {
 				does = b.end(outlier.Succeeded)
 			}
@@ -89,13 +89,13 @@
 		t.Run(name, func(t *testing.T) {
 			b := newSimulation(6)
 			b.run(time.Second, 6)
-			b.does["m0"] = does(b)
+			b.faults["m0"] = does(b)
 			b.run(3*time.Second, 6)
 			require.Zero(t, b.o.MaxSlots("m0", 8))
 			b.run(10*time.Second, 6)
 			require.LessOrEqual(t, b.got["m0"], 10*b.got["m1"]/100, "a trickle of trials at most")
 			require.Greater(t, b.got["m1"], 900)
-			delete(b.does, "m0")
+			delete(b.faults, "m0")
 			b.held["m0"] = 0
 			b.run(time.Minute, 6)
 			require.Equal(t, 8, b.o.MaxSlots("m0", 8))
@@ -109,7 +109,7 @@
 	for bad, most := range map[int]int{6: 0, 3: 2} {
 		b := newSimulation(6)
 		for i := range bad {
-			b.does[fmt.Sprint("m", i)] = b.end(outlier.Failed)
+			b.faults[fmt.Sprint("m", i)] = b.end(outlier.Failed)
 		}
 		b.run(time.Minute, 6)
 		require.LessOrEqual(t, len(b.o.UntrustedStates()), most, "%d of 6 fail", bad)
@@ -121,7 +121,7 @@
 // sign is fresh: hosts that echo each other would shut a minion out for ever.
 func TestPeersWordStopsWorkForALeavingMinion(t *testing.T) {
 	first, second := newSimulation(6), newSimulation(6)
-	first.does["m0"] = first.end(outlier.Leaving)
+	first.faults["m0"] = first.end(outlier.Leaving)
 	first.run(work, 6)
 	require.Equal(t, []string{"m0"}, first.o.LeavingServers(first.now))
 	second.o.Step(start, outlier.LeavingReported{Leaving: first.o.LeavingServers(first.now)})
