--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -19,13 +19,13 @@
 	o      *outlier.Detector
 	now    time.Time
 	n      int
-	got    map[string]int
+	sent   map[string]int
 	held   map[string]int
 	faults map[string]func(id string) // what a server does instead of a good answer
 }
 
 func newSimulation(n int) *simulation {
-	b := &simulation{o: outlier.New(outlier.DefaultLimits), now: start, got: map[string]int{}, held: map[string]int{}, faults: map[string]func(string){}}
+	b := &simulation{o: outlier.New(outlier.DefaultLimits), now: start, sent: map[string]int{}, held: map[string]int{}, faults: map[string]func(string){}}
 	var names []string
 	for i := range n {
 		names = append(names, fmt.Sprint("m", i))
@@ -39,7 +39,7 @@
 }
 
 func (b *simulation) run(d time.Duration, servers int) {
-	clear(b.got)
+	clear(b.sent)
 	for end := b.now.Add(d); b.now.Before(end); {
 		var ids [][2]string
 		for i := range servers {
@@ -49,7 +49,7 @@
 			}
 			b.n++
 			b.held[name]++
-			b.got[name]++
+			b.sent[name]++
 			id := fmt.Sprint(b.n)
 			b.o.Step(b.now, outlier.Sent{ID: id, Backend: name, Row: "scan"})
 			ids = append(ids, [2]string{name, id})
@@ -93,8 +93,8 @@
 			b.run(3*time.Second, 6)
 			require.Zero(t, b.o.MaxSlots("m0", 8))
 			b.run(10*time.Second, 6)
-			require.LessOrEqual(t, b.got["m0"], 10*b.got["m1"]/100, "a trickle of trials at most")
-			require.Greater(t, b.got["m1"], 900)
+			require.LessOrEqual(t, b.sent["m0"], 10*b.sent["m1"]/100, "a trickle of trials at most")
+			require.Greater(t, b.sent["m1"], 900)
 			delete(b.faults, "m0")
 			b.held["m0"] = 0
 			b.run(time.Minute, 6)
