--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -16,16 +16,16 @@
 
 // simulation sends one request after another to each server that may get one.
 type simulation struct {
-	o      *outlier.Detector
-	now    time.Time
-	n      int
-	sent   map[string]int
-	held   map[string]int
-	faults map[string]func(id string) // what a server does instead of a good answer
+	o          *outlier.Detector
+	now        time.Time
+	n          int
+	sent       map[string]int
+	inProgress map[string]int
+	faults     map[string]func(id string) // what a server does instead of a good answer
 }
 
 func newSimulation(n int) *simulation {
-	b := &simulation{o: outlier.New(outlier.DefaultLimits), now: start, sent: map[string]int{}, held: map[string]int{}, faults: map[string]func(string){}}
+	b := &simulation{o: outlier.New(outlier.DefaultLimits), now: start, sent: map[string]int{}, inProgress: map[string]int{}, faults: map[string]func(string){}}
 	var names []string
 	for i := range n {
 		names = append(names, fmt.Sprint("m", i))
@@ -44,11 +44,11 @@
 		var ids [][2]string
 		for i := range servers {
 			name := fmt.Sprint("m", i)
-			if b.held[name] >= b.o.MaxSlots(name, 8) {
+			if b.inProgress[name] >= b.o.MaxSlots(name, 8) {
 				continue
 			}
 			b.n++
-			b.held[name]++
+			b.inProgress[name]++
 			b.sent[name]++
 			id := fmt.Sprint(b.n)
 			b.o.Step(b.now, outlier.Sent{ID: id, Backend: name, Row: "scan"})
@@ -61,7 +61,7 @@
 				does = b.end(outlier.Succeeded)
 			}
 			does(id[1])
-			b.held[id[0]]--
+			b.inProgress[id[0]]--
 		}
 		b.o.Step(b.now, outlier.Tick{})
 	}
@@ -74,7 +74,7 @@
 func TestOutlierIsSetAsideAndReturns(t *testing.T) {
 	for name, does := range map[string]func(*simulation) func(string){
 		"fails":     func(b *simulation) func(string) { return b.end(outlier.Failed) },
-		"swallows":  func(b *simulation) func(string) { return func(string) { b.held["m0"]++ } },
+		"swallows":  func(b *simulation) func(string) { return func(string) { b.inProgress["m0"]++ } },
 		"unreached": func(b *simulation) func(string) { return b.end(outlier.Unreachable) },
 		"leaves":    func(b *simulation) func(string) { return b.end(outlier.Leaving) },
 		"slow": func(b *simulation) func(string) {
@@ -96,7 +96,7 @@
 			require.LessOrEqual(t, b.sent["m0"], 10*b.sent["m1"]/100, "a trickle of trials at most")
 			require.Greater(t, b.sent["m1"], 900)
 			delete(b.faults, "m0")
-			b.held["m0"] = 0
+			b.inProgress["m0"] = 0
 			b.run(time.Minute, 6)
 			require.Equal(t, 8, b.o.MaxSlots("m0", 8))
 		})
