--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-const work = 10 * time.Millisecond
+const serviceTime = 10 * time.Millisecond
 
 // simulation sends one request after another to each server that may get one.
 type simulation struct {
@@ -54,7 +54,7 @@
 			b.o.Step(b.now, outlier.Sent{ID: id, Backend: name, Row: "scan"})
 			ids = append(ids, [2]string{name, id})
 		}
-		b.now = b.now.Add(work)
+		b.now = b.now.Add(serviceTime)
 		for _, id := range ids {
 			does := b.faults[id[0]]
 			if does == nil {
@@ -80,7 +80,7 @@
 		"slow": func(b *simulation) func(string) {
 			return func(id string) {
 				now := b.now
-				b.now = now.Add(10 * work)
+				b.now = now.Add(10 * serviceTime)
 				b.end(outlier.Succeeded)(id)
 				b.now = now
 			}
@@ -122,7 +122,7 @@
 func TestPeersWordStopsWorkForALeavingMinion(t *testing.T) {
 	first, second := newSimulation(6), newSimulation(6)
 	first.faults["m0"] = first.end(outlier.Leaving)
-	first.run(work, 6)
+	first.run(serviceTime, 6)
 	require.Equal(t, []string{"m0"}, first.o.LeavingServers(first.now))
 	second.o.Step(start, outlier.LeavingReported{Leaving: first.o.LeavingServers(first.now)})
 	require.Zero(t, second.o.MaxSlots("m0", 8))
