--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -15,7 +15,7 @@
 
 var declared = cell.Size{CPU: 1000, Mem: gib, Accel: 1}
 
-func share(f float64) cell.Size {
+func shareOfDeclared(f float64) cell.Size {
 	return cell.Size{CPU: int64(f * 1000), Mem: int64(f * float64(gib))}
 }
 
@@ -25,7 +25,7 @@
 	for i := range 20 {
 		id := fmt.Sprint(i)
 		for range 3 {
-			e.RecordUse(id, "r", declared, share(f))
+			e.RecordUse(id, "r", declared, shareOfDeclared(f))
 		}
 		e.Forget(id)
 	}
@@ -39,9 +39,9 @@
 	require.Equal(t, cell.Size{CPU: 2000, Mem: 2 * gib, Accel: 1}, estimate.New().Size("r", declared))
 	for _, f := range []float64{0.1, 0.5, 1, 3} {
 		got := measured(f).Size("r", declared)
-		require.GreaterOrEqual(t, got.CPU, share(f).CPU)
-		require.LessOrEqual(t, got.CPU, int64(float64(share(f).CPU)*1.3))
-		require.GreaterOrEqual(t, got.Mem, share(f).Mem)
+		require.GreaterOrEqual(t, got.CPU, shareOfDeclared(f).CPU)
+		require.LessOrEqual(t, got.CPU, int64(float64(shareOfDeclared(f).CPU)*1.3))
+		require.GreaterOrEqual(t, got.Mem, shareOfDeclared(f).Mem)
 		require.Equal(t, int64(1), got.Accel)
 	}
 }
@@ -52,12 +52,12 @@
 	e := measured(0.5)
 	_, known := e.RecordUse("x", "r", declared, cell.Size{})
 	require.False(t, known, "a report that lags says nothing")
-	room, _ := e.RecordUse("x", "r", declared, share(2.5))
-	require.Equal(t, share(2.5).CPU, room.CPU)
-	room, _ = e.RecordUse("x", "r", declared, share(0.2))
-	require.Equal(t, share(2.5).Mem, room.Mem)
+	room, _ := e.RecordUse("x", "r", declared, shareOfDeclared(2.5))
+	require.Equal(t, shareOfDeclared(2.5).CPU, room.CPU)
+	room, _ = e.RecordUse("x", "r", declared, shareOfDeclared(0.2))
+	require.Equal(t, shareOfDeclared(2.5).Mem, room.Mem)
 	e.Forget("x")
-	require.GreaterOrEqual(t, e.Size("r", declared).CPU, share(2.5).CPU, "the row's estimate follows")
+	require.GreaterOrEqual(t, e.Size("r", declared).CPU, shareOfDeclared(2.5).CPU, "the row's estimate follows")
 }
 
 func TestTimesFollowWhatIsMeasured(t *testing.T) {
@@ -75,7 +75,7 @@
 	e := measured(3)
 	for i := range 1100 {
 		id := fmt.Sprintf("new%d", i)
-		e.RecordUse(id, "r", declared, share(0.5))
+		e.RecordUse(id, "r", declared, shareOfDeclared(0.5))
 		e.Forget(id)
 	}
 	require.Less(t, e.Size("r", declared).CPU, int64(1000))
