--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -60,7 +60,7 @@
 	require.GreaterOrEqual(t, e.Size("r", declared).CPU, shareOfDeclared(2.5).CPU, "the row's estimate follows")
 }
 
-func TestTimesFollowWhatIsMeasured(t *testing.T) {
+func TestTimeFollowsMeasuredTimes(t *testing.T) {
 	e := estimate.New()
 	require.Equal(t, 2*time.Minute, e.Time("r", time.Minute))
 	for range 10 {
