--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -71,7 +71,7 @@
 
 // A row is changed and uses much less from then on. Its old measurements must
 // not bind its room for ever.
-func TestOldMeasurementsFade(t *testing.T) {
+func TestOldMeasurementsAreDropped(t *testing.T) {
 	e := measured(3)
 	for i := range 1100 {
 		id := fmt.Sprintf("new%d", i)
