--- a/internal/flow/crash_test.go
+++ b/internal/flow/crash_test.go
@@ -9,7 +9,7 @@
 	"pollencroft/internal/flow"
 )
 
-// Guards against a count of crashes that a takeover loses.
+// Guards against losing crash counts when a new leader takes over.
 func TestRestoreKeepsCrashSuspicions(t *testing.T) {
 	now := time.UnixMilli(1_000_000)
 	spec := flow.Spec{ID: "a", Steps: []flow.Step{{Tasks: 2, Gang: true}}}
@@ -26,7 +26,7 @@
 	require.False(t, first.MarkLost("w1"))
 	require.True(t, first.MarkLost("w2"))
 	require.True(t, second.MarkLost("w3"))
-	require.Equal(t, 2, second.CrashSuspicions(), "a gang has the doubt of its worst member")
+	require.Equal(t, 2, second.CrashSuspicions(), "a gang has the highest count of its members")
 
 	got, err := flow.Restore(spec, j.Record(flow.Version{Term: 1}), now)
 	require.NoError(t, err)
--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// Rounds of a repeated job begin when they are due and not before, may overlap,
-// and the job is over after the last.
+// The rounds of a repeated job begin when they are due and not earlier, may overlap, and the
+// job completes after the last one.
 func TestRoundsBeginWhenTheyAreDue(t *testing.T) {
 	now := time.Unix(100, 0)
 	spec := flow.Spec{ID: "a", Steps: []flow.Step{{Tasks: 1}}, Repeat: flow.Repeat{Count: 3, First: now.Add(time.Second), Every: time.Second}}
@@ -51,8 +51,8 @@
 	require.Equal(t, flow.Completed, j.State)
 }
 
-// A record holds all that a successor must know: what is done, where a run may
-// be, how often a task failed, how far it got.
+// A record holds all that a new leader must know: which tasks are done, where runs may exist,
+// how often each task failed, and the newest checkpoints.
 func TestRestoreKeepsProgress(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.UnixMilli(1_000_000)
@@ -96,9 +96,9 @@
 	require.ErrorAs(t, err, new(*flow.RecordError))
 }
 
-// Nine jobs in ten that a lead takes over have ended. Their records are short and
-// bring them back without their specs; a job of which anything may still run keeps
-// both, since what room that takes stands in the spec.
+// Nine in ten jobs that a new leader takes over have ended. Their records are short, and such
+// a job is restored without its spec. A job of which anything may still run keeps both,
+// because the spec says how much capacity it uses.
 func TestRestoreEndedNeedsNoSpec(t *testing.T) {
 	now := time.UnixMilli(1_000_000)
 	end := func(step flow.Step, how func(j *flow.Job, t *flow.Task)) ([]byte, bool) {
@@ -128,15 +128,16 @@
 	require.True(t, ok)
 	require.Less(t, len(b), 100, string(b))
 	_, ok = end(flow.Step{Tasks: 1, AllowCopies: true}, done)
-	require.False(t, ok, "a copy of it may still run")
+	require.False(t, ok, "a copy of its task may still run")
 	_, ok = end(flow.Step{Tasks: 1}, func(j *flow.Job, _ *flow.Task) { j.State, j.Ended = flow.Cancelled, now })
-	require.False(t, ok, "its run has to be stopped")
+	require.False(t, ok, "a run of its task must still be stopped")
 	_, ok = end(flow.Step{Tasks: 1}, func(*flow.Job, *flow.Task) {})
-	require.False(t, ok, "it goes on")
+	require.False(t, ok, "the job has not ended")
 }
 
-// A partition of the store was down and the lead wrote to another one; both hold a
-// record of the job. The one that was written last counts, whichever is read first.
+// While a partition of the store was down, the leader wrote to another one, so both hold a
+// record of the job. The record that was written last is valid, in whichever order they are
+// read.
 func TestNewerRecordIsTheLastWritten(t *testing.T) {
 	j := flow.New(flow.Spec{ID: "a", Steps: []flow.Step{{Tasks: 1}}}, 7, time.UnixMilli(1))
 	at := func(term, n int64) []byte { return j.Record(flow.Version{Term: term, Append: n}) }
--- a/internal/flow/objective_test.go
+++ b/internal/flow/objective_test.go
@@ -7,8 +7,8 @@
 	"pollencroft/internal/flow"
 )
 
-// Two steps may run beside each other and a third one waits for both: the job takes
-// as long as the longer way through them, and may take 1.5 times that and a second.
+// Two steps may run at the same time and a third waits for both. The job takes as long as the
+// longer path through its steps, and may take 1.5 times that plus one second.
 func ExampleJob_Objective() {
 	q := flow.Queue{Stretch: 1.5, Slack: time.Second}
 	s := flow.Spec{Queue: q, Steps: []flow.Step{{EstimatedTime: 2 * time.Second}, {EstimatedTime: 5 * time.Second}, {EstimatedTime: time.Second, After: []int{0, 1}}}}
