--- a/internal/queue/dispatch.go
+++ b/internal/queue/dispatch.go
@@ -7,7 +7,7 @@
 	"pollencroft/internal/cell"
 )
 
-// dispatch sends while there is a slot for the request whose turn it is.
+// dispatch sends requests, the most urgent class first, as long as there are slots for them.
 func (q *Queue) dispatch(now time.Time) []Action {
 	var acts []Action
 	for _, c := range cell.Classes {
@@ -22,7 +22,7 @@
 	return acts
 }
 
-// next sends or lends one request of a class; nil when there is none to send.
+// next sends or lends one request of a class. It returns nil if none can be sent.
 func (q *Queue) next(now time.Time, c *class, of cell.Class) Action {
 	if r := c.ready.first(); r != nil && q.mayUse(of) {
 		return q.send(now, c, r)
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// lendable is the row that has the next slot of a peer. A row whose requests
-// every peer has bounced is passed over until the peers tell their load again.
+// lendable returns the row that gets the next free slot of a peer. It skips a row whose
+// requests all peers have rejected, until the peers announce their load again.
 func (q *Queue) lendable(c *class) *row {
 	var best *row
 	for _, rows := range []*indexedHeap[*row]{c.ready, c.blocked} {
@@ -76,9 +76,9 @@
 	return Send{ID: req.ID, Backend: m.name}
 }
 
-// tooLate tells that a request would be sent in vain: its caller is gone
-// before an answer can come. Each refusal lowers the measure a little, so that
-// one slow answer cannot keep a row from being tried for ever.
+// tooLate reports whether it is pointless to send a request, because its caller will be gone
+// before an answer can be expected. Each refusal lowers the row's mean time a little, so that
+// one slow answer cannot block the row forever.
 func (q *Queue) tooLate(now time.Time, r *row, req *request) bool {
 	if req.Deadline.Sub(now) >= r.meanTime/2 {
 		return false
--- a/internal/queue/heap.go
+++ b/internal/queue/heap.go
@@ -2,8 +2,8 @@
 
 import "container/heap"
 
-// indexedHeap keeps items ordered and knows where each lies, so that one can be
-// moved or taken out at the cost of a logarithm.
+// indexedHeap is a heap that knows the position of each item, so that any item can be moved
+// or removed in logarithmic time.
 type indexedHeap[T comparable] struct {
 	items []T
 	index map[T]int
@@ -14,13 +14,13 @@
 	return &indexedHeap[T]{index: map[T]int{}, less: less}
 }
 
-// Len, Less, Swap, Push and Pop serve container/heap.
+// Len, Less, Swap, Push and Pop implement heap.Interface.
 func (p *indexedHeap[T]) Len() int { return len(p.items) }
 
-// Less orders two items by index.
+// Less reports whether the item at i sorts before the item at j.
 func (p *indexedHeap[T]) Less(i, j int) bool { return p.less(p.items[i], p.items[j]) }
 
-// Swap exchanges two items by index.
+// Swap exchanges the items at i and j.
 func (p *indexedHeap[T]) Swap(i, j int) {
 	p.items[i], p.items[j] = p.items[j], p.items[i]
 	p.index[p.items[i]], p.index[p.items[j]] = i, j
@@ -32,7 +32,7 @@
 	p.items = append(p.items, x.(T))
 }
 
-// Pop takes the last item.
+// Pop removes and returns the last item.
 func (p *indexedHeap[T]) Pop() any {
 	last := p.items[len(p.items)-1]
 	var none T
@@ -42,7 +42,7 @@
 	return last
 }
 
-// set adds an item or moves it to where it belongs now.
+// set adds an item, or moves it to its new position if its order has changed.
 func (p *indexedHeap[T]) set(x T) {
 	if i, ok := p.index[x]; ok {
 		heap.Fix(p, i)
@@ -57,7 +57,7 @@
 	}
 }
 
-// first returns the least item, or the zero value of an empty heap.
+// first returns the least item, or the zero value if the heap is empty.
 func (p *indexedHeap[T]) first() T {
 	var none T
 	if len(p.items) == 0 {
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,7 +1,7 @@
-// Package queue decides which request is sent to which backend server, and
-// when. Urgent requests go first and keep a reserve of slots; within a class
-// rows share the slots by weight; within a row the earliest deadline is first.
-// What cannot be answered in time is refused early, bulk first.
+// Package queue decides which request is sent to which backend server, and when. Urgent
+// requests go first and have a reserve of slots. Within a class, rows share the slots by
+// weight; within a row, the request with the earliest deadline goes first. Requests that
+// cannot be answered in time are refused early, bulk requests first.
 package queue
 
 import (
@@ -11,18 +11,18 @@
 	"pollencroft/internal/cell"
 )
 
-// Limits bound one host's queue.
+// Limits bounds the queue of one host.
 type Limits struct {
-	// Length is how many requests may wait in all.
+	// Length is how many requests may wait in total.
 	Length int
-	// Reserve is the largest share of slots that bulk requests may not use.
+	// Reserve is the maximum share of the slots that is kept free from bulk requests.
 	Reserve float64
 }
 
-// DefaultLimits suit a small entry host.
+// DefaultLimits is suitable for a small entry host.
 var DefaultLimits = Limits{Length: 4096, Reserve: 0.25}
 
-// Queue is the request queue core of one host.
+// Queue is the state machine of one host's request queue.
 type Queue struct {
 	limits   Limits
 	rows     map[string]*row
@@ -44,7 +44,7 @@
 	}
 }
 
-// Step takes one event and returns what to send or refuse, in order.
+// Step handles one event and returns the resulting actions in order.
 func (q *Queue) Step(now time.Time, ev Event) []Action {
 	var acts []Action
 	switch ev := ev.(type) {
@@ -95,8 +95,10 @@
 	return acts
 }
 
-// victim is the newest request of the row that fills the queue most, in the
-// least urgent class that waits; nil if the row that asks is no better.
+// victim returns the request to refuse in favor of a new one of row asks when the queue is
+// full: the newest request of the most loaded row in the least urgent class that has waiting
+// requests. It returns nil if that class is more urgent than the new request's, or is the
+// same and none of its rows has a higher load than asks would have.
 func (q *Queue) victim(asks *row) *request {
 	for _, c := range slices.Backward(cell.Classes) {
 		if c < asks.Class {
@@ -117,7 +119,7 @@
 	return nil
 }
 
-// updateRow puts a row's limits in force, for what waits already too.
+// updateRow applies a row's new limits, also to the requests that already wait.
 func (q *Queue) updateRow(now time.Time, to Row) *row {
 	r, ok := q.rows[to.Name]
 	if !ok {
@@ -187,7 +189,7 @@
 	return again
 }
 
-// expire gives up what has passed its deadline.
+// expire refuses the requests whose deadline has passed.
 func (q *Queue) expire(now time.Time) []Action {
 	var acts []Action
 	for req := q.due.first(); req != nil && !req.Deadline.After(now); req = q.due.first() {
@@ -196,8 +198,8 @@
 	return acts
 }
 
-// refuseHopeless refuses the newest of each row that the queue cannot reach in time
-// any more, so that its caller hears of it now and not at the deadline.
+// refuseHopeless refuses the newest requests of each row that can no longer be sent in time,
+// so that their callers learn of it now rather than at the deadline.
 func (q *Queue) refuseHopeless(now time.Time) []Action {
 	var acts []Action
 	for _, c := range slices.Backward(cell.Classes) {
@@ -249,7 +251,8 @@
 	req.row.busy--
 }
 
-// lendRejected puts a request back; its deadline keeps its place in the row.
+// lendRejected puts a request back into its row. Since the row is ordered by deadline, the
+// request gets its former position.
 func (q *Queue) lendRejected(now time.Time, id string) {
 	req, ok := q.sent[id]
 	if !ok || req.peer == "" {
@@ -261,8 +264,8 @@
 	q.add(now, req)
 }
 
-// setPeers takes the peers' free slots. What they told already leaves out the
-// slots that this host's requests have there.
+// setPeers sets the peers' free slots. The announced numbers already exclude the slots that
+// requests of this host hold there, so these are added again.
 func (q *Queue) setPeers(all []Peer) {
 	shares := make([]Share, 0, len(all))
 	for _, p := range all {
@@ -278,8 +281,8 @@
 	}
 }
 
-// Overcommitted tells whether a backend server has more requests than this host's
-// present share of it.
+// Overcommitted reports whether a backend server has more requests of this host than this
+// host's current share of its slots.
 func (q *Queue) Overcommitted() bool {
 	for _, m := range q.local.all {
 		if m.busy > m.slots {
@@ -292,7 +295,7 @@
 // Load returns how many slots are free and how many requests wait.
 func (q *Queue) Load() (free, waiting int) { return q.local.free, len(q.waiting) }
 
-// WaitingRows lists the rows that have something waiting.
+// WaitingRows lists the rows that have waiting requests.
 func (q *Queue) WaitingRows() []string {
 	var names []string
 	for _, c := range q.classes {
--- a/internal/queue/row.go
+++ b/internal/queue/row.go
@@ -7,32 +7,33 @@
 	"pollencroft/internal/cell"
 )
 
-// bucketWidth is how finely waiting requests are counted by deadline.
+// bucketWidth is the resolution at which waiting requests are counted by deadline.
 const bucketWidth = 250 * time.Millisecond
 
 type request struct {
 	Enqueue
 	row *row
-	// backend or peer holds the request after it was sent.
+	// backend or peer is where the request was sent.
 	backend, peer string
 	element       *list.Element
 	since         time.Time
 }
 
-// row keeps the requests of one row.
+// row holds the requests of one row.
 type row struct {
 	Row
 	waiting *indexedHeap[*request]
-	// order is by arrival, newest last.
+	// order holds the waiting requests by arrival, the newest last.
 	order *list.List
-	// dueCounts counts waiting requests by deadline.
+	// dueCounts counts the waiting requests by deadline bucket.
 	dueCounts map[int64]int
-	// busy is how many hold a slot of this host.
+	// busy is how many requests hold a slot of this host.
 	busy int64
-	// usage is the slot time that the row had, divided by its weight.
+	// usage is the slot time that the row has been charged, divided by its weight.
 	usage    float64
+	// meanTime is the moving average of the time that the row's successful requests took.
 	meanTime time.Duration
-	// rejectedBy are the peers that had no room for the row since they last told
+	// rejectedBy holds the peers that have had no slot for the row since they last announced
 	// their load.
 	rejectedBy map[string]bool
 	drain      drain
@@ -68,7 +69,8 @@
 	}
 }
 
-// ahead is how many waiting requests are due no later than a deadline.
+// ahead returns how many waiting requests are due no later than a deadline, to the resolution
+// of bucketWidth.
 func (r *row) ahead(deadline time.Time) int {
 	if last := bucket(deadline); len(r.dueCounts) > 0 {
 		n := 0
@@ -84,10 +86,10 @@
 
 func (r *row) atLimit() bool { return r.Slots != 0 && r.busy >= r.Slots }
 
-// load is the row's part of the queue for its weight.
+// load returns the number of the row's waiting requests divided by its weight.
 func (r *row) load() float64 { return float64(len(r.waiting.items)) / float64(max(r.Weight, 1)) }
 
-// cost is what one request of the row is charged.
+// cost returns the usage that one request of the row is charged.
 func (r *row) cost() float64 {
 	took := r.meanTime
 	if took == 0 {
@@ -96,14 +98,15 @@
 	return took.Seconds() / float64(max(r.Weight, 1))
 }
 
-// class keeps the rows of one class that have something waiting.
+// class holds the rows of one class that have waiting requests.
 type class struct {
-	// ready rows may be sent, blocked ones are at their limit on this host.
+	// ready holds the rows whose requests may be sent, blocked those at their limit on this
+	// host.
 	ready, blocked *indexedHeap[*row]
 	waiting        int
-	// virtualTime is the charge of the row that was served last. A row that was idle
-	// starts from there: it must not spend at once what it left unused, or its
-	// burst would hold up every other row of the class.
+	// virtualTime is the usage of the row that was served last. A row that was idle starts
+	// from there: if it could use up at once what it left unused, its burst would hold up
+	// every other row of the class.
 	virtualTime float64
 	drain       drain
 }
@@ -123,7 +126,7 @@
 	return a.Name < b.Name
 }
 
-// reindex puts a row where it belongs after any change.
+// reindex moves a row into the right heap, and to the right position in it, after a change.
 func (c *class) reindex(r *row) {
 	switch {
 	case len(r.waiting.items) == 0:
--- a/internal/queue/servers.go
+++ b/internal/queue/servers.go
@@ -11,7 +11,8 @@
 type backend struct {
 	name        string
 	slots, busy int
-	// lastUse orders servers with equal room by when they were last used.
+	// lastUse orders servers with the same number of free slots: the one that was used least
+	// recently goes first.
 	lastUse int
 }
 
@@ -27,7 +28,7 @@
 	return a.name < b.name
 }
 
-// pool are the backend pool, or the peers that lend theirs.
+// pool holds the backend servers, or the peers that lend slots of theirs.
 type pool struct {
 	all         map[string]*backend
 	byFree      *indexedHeap[*backend]
@@ -39,7 +40,7 @@
 	return &pool{all: map[string]*backend{}, byFree: newIndexedHeap(hasMoreFree)}
 }
 
-// set changes one server by f and keeps sums and order.
+// set changes one server by f and updates the sums and the order.
 func (s *pool) set(m *backend, f func(m *backend)) {
 	s.slots -= m.slots
 	s.free -= m.free()
@@ -49,9 +50,9 @@
 	s.byFree.set(m)
 }
 
-// replace takes the shares in force. A server that is gone from the list but
-// still has requests is remembered, because it may return to the list before
-// they end and would then get more than its slots.
+// replace sets the current shares. A server that is no longer listed but still has requests
+// is kept: it may be listed again before they end and would then get more requests than it
+// has slots.
 func (s *pool) replace(all []Share) {
 	fresh := map[string]int{}
 	for _, share := range all {
@@ -80,7 +81,8 @@
 	}
 }
 
-// pick is the server with most room, if possible none of those to avoid.
+// pick returns the server with the most free slots, skipping those to avoid. It returns nil
+// if no other server has a free slot.
 func (s *pool) pick(avoid func(name string) bool) *backend {
 	m := s.byFree.first()
 	if m == nil || m.free() == 0 {
@@ -101,22 +103,23 @@
 	})
 }
 
-// reserveEstimate is how many slots urgent requests reserveEstimate kept back, found by trying: it
-// grows when one waited noticeably and shrinks slowly while none does.
+// reserveEstimate estimates how many slots must be kept free for urgent requests. It grows
+// when an urgent request waited noticeably and shrinks slowly while none does.
 type reserveEstimate struct {
 	level float64
 	last  time.Time
 }
 
 const (
-	// reserveHalfLife is how long the need has half its weight without urgent requests.
+	// reserveHalfLife is the time in which the estimate falls to half without urgent requests.
 	reserveHalfLife = time.Minute
-	// initialReserve keeps the whole reserve until urgent requests were seen.
+	// initialReserve is high enough to keep the whole reserve until urgent requests have been
+	// seen.
 	initialReserve = 1 << 10
-	// delayedShare is the part of its own time that an urgent request may wait
-	// before it counts as delayed.
+	// delayedShare is the share of its own duration that an urgent request may wait before it
+	// counts as delayed.
 	delayedShare = 0.25
-	// reserveGrow and reserveShrink balance when one urgent request in a hundred is
+	// reserveGrow and reserveShrink balance each other when one urgent request in a hundred is
 	// delayed.
 	reserveGrow, reserveShrink = 0.5, 0.005
 )
@@ -128,7 +131,8 @@
 	n.last = now
 }
 
-// observe takes note of one urgent request; most bounds what may be kept back.
+// observe updates the estimate with one urgent request. most is the upper bound of the
+// estimate.
 func (n *reserveEstimate) observe(waited, took time.Duration, most int) {
 	if float64(waited) > delayedShare*float64(took) {
 		n.level += reserveGrow
@@ -138,15 +142,15 @@
 	n.level = max(0, min(n.level, float64(most)))
 }
 
-// reserve is how many slots bulk requests must leave free: what urgent ones
-// need by measure, at least one and at most the set share.
+// reserve returns how many slots bulk requests must leave free: the estimate for urgent
+// requests, but at least one and at most the configured share.
 func (q *Queue) reserve() int {
 	return min(q.maxReserve(), 1+int(math.Round(q.reserved.level)))
 }
 
 func (q *Queue) maxReserve() int { return int(math.Ceil(q.limits.Reserve * float64(q.local.slots))) }
 
-// mayUse tells whether a class may have one of the free slots.
+// mayUse reports whether a request of a class may use one of the free slots.
 func (q *Queue) mayUse(c cell.Class) bool {
 	if c == cell.Bulk {
 		return q.local.free > q.reserve()
