--- a/internal/outlier/messages.go
+++ b/internal/outlier/messages.go
@@ -1,12 +1,12 @@
 package outlier
 
-// Event is what the outlier core is told.
+// Event is an input of the detector.
 type Event interface{ event() }
 
-// Sent tells that a request was sent to a backend server.
+// Sent reports that a request was sent to a backend server.
 type Sent struct{ ID, Backend, Row string }
 
-// Ended tells what became of a sent request.
+// Ended reports the result of a sent request.
 type Ended struct {
 	ID     string
 	Result Result
@@ -15,25 +15,26 @@
 // Result is how a sent request ended.
 type Result int
 
-// The ways in which a sent request ends.
+// The results of a sent request.
 const (
-	// Succeeded is a whole answer.
+	// Succeeded means that a complete answer arrived.
 	Succeeded Result = iota
-	// Failed is no whole answer, or one that tells of a fault of the server.
+	// Failed means that no complete answer arrived, or one that indicates a fault of the
+	// server.
 	Failed
-	// Unreachable is a server that takes no connections.
+	// Unreachable means that the server accepted no connection.
 	Unreachable
-	// Leaving is a server's own word that it leaves.
+	// Leaving means that the server itself announced that it leaves.
 	Leaving
 )
 
-// LeavingReported is a peer's word that backend servers leave.
+// LeavingReported reports that a peer has announced that backend servers leave.
 type LeavingReported struct{ Leaving []string }
 
-// ServersListed replaces the backend servers that are there by the host list.
+// ServersListed replaces the list of backend servers by that of the host list.
 type ServersListed struct{ Backends []string }
 
-// Tick lets time pass.
+// Tick reports that time has passed.
 type Tick struct{}
 
 func (Sent) event()            {}
@@ -42,10 +43,11 @@
 func (ServersListed) event()   {}
 func (Tick) event()            {}
 
-// Action is what the outlier core asks its edge to do.
+// Action is something that the detector asks its caller to do.
 type Action interface{ action() }
 
-// StateChanged tells that Most gives another number for a backend server now.
+// StateChanged reports that a server has a new state, so that MaxSlots may return another
+// number for it.
 type StateChanged struct {
 	Backend string
 	State   State
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -1,7 +1,7 @@
-// Package outlier sets aside backend servers that do worse than the rest: ones
-// that fail or swallow requests, slow ones, ones that cannot be reached and
-// ones that leave. A row's own fault makes all servers fail alike and so
-// condemns none, and never more than a set share is set aside on suspicion.
+// Package outlier detects backend servers that should get no work: servers that fail or never
+// answer requests, slow ones, unreachable ones and ones that leave. A row whose requests fail
+// by their own fault makes all servers fail alike, so none is quarantined for it, and no more
+// than a configured share of the servers is quarantined on suspicion.
 package outlier
 
 import (
@@ -10,47 +10,48 @@
 	"time"
 )
 
-// Limits bound what is set aside.
+// Limits bounds what is quarantined.
 type Limits struct {
-	// MaxShare is the largest part of the servers that suspicion may set aside.
+	// MaxShare is the maximum share of the servers that may be quarantined on suspicion.
 	MaxShare float64
-	// FailureRate is the failure rate, and Slowness how many times the others' time,
-	// from which a server is suspect.
+	// FailureRate is the failure rate from which a server is suspect. Slowness is how many
+	// times as long as on the other servers its requests must take for that.
 	FailureRate, Slowness float64
-	// MinResults is how many results must have been seen.
+	// MinResults is how many results a server must have before it can be suspect.
 	MinResults int
-	// StuckAfter is the least age at which a request without answer is a failure.
+	// StuckAfter is the minimum age at which a request without an answer counts as failed.
 	StuckAfter time.Duration
-	// Pause is the first time without work; it doubles up to MaxPause.
+	// Pause is how long a server gets no work the first time. It doubles each time up to
+	// MaxPause.
 	Pause, MaxPause time.Duration
 	// LeavingPause is how long a server that leaves gets no work.
 	LeavingPause time.Duration
 }
 
-// DefaultLimits suit the minions of one failure domain.
+// DefaultLimits is suitable for the backend servers of one failure domain.
 var DefaultLimits = Limits{
 	MaxShare: 0.34, FailureRate: 0.5, Slowness: 4, MinResults: 5, StuckAfter: time.Second,
 	Pause: 2 * time.Second, MaxPause: time.Minute, LeavingPause: 30 * time.Second,
 }
 
-// State is what a server may get.
+// State says how much work a server may get.
 type State string
 
 // The states of a server.
 const (
 	Trusted State = "trusted"
-	// Quarantined gets nothing until its rest is over.
+	// Quarantined servers get no work until their pause is over.
 	Quarantined State = "aside"
-	// Trial gets one request at a time until enough of them went well.
+	// Trial servers get one request at a time until enough of them have succeeded.
 	Trial State = "trial"
-	// Unavailable leaves or cannot be reached. It is known, not suspected.
+	// Unavailable servers leave or cannot be reached. This is known, not suspected.
 	Unavailable State = "gone"
 )
 
-// requiredTrials is how many requests must go well before a server is trusted again.
+// requiredTrials is how many requests must succeed before a server is trusted again.
 const requiredTrials = 3
 
-// alpha weighs a new result against the former ones.
+// alpha is the weight of a new result in the moving averages.
 const alpha = 0.125
 
 type server struct {
@@ -69,22 +70,22 @@
 	stuck        bool
 }
 
-// Detector is the core of one host.
+// Detector is the outlier detection of one host.
 type Detector struct {
 	limits   Limits
 	servers  map[string]*server
 	inFlight map[string]*request
-	// meanTimes are the rows' mean meanTimes over all servers.
+	// meanTimes holds the average time of each row's requests over all servers.
 	meanTimes map[string]float64
 	lastCheck time.Time
 }
 
-// New returns a core that knows no servers.
+// New returns a detector that knows no servers.
 func New(limits Limits) *Detector {
 	return &Detector{limits: limits, servers: map[string]*server{}, inFlight: map[string]*request{}, meanTimes: map[string]float64{}}
 }
 
-// Step takes one event and returns which servers changed their state.
+// Step handles one event and returns the changes of servers' states.
 func (o *Detector) Step(now time.Time, ev Event) []Action {
 	switch ev := ev.(type) {
 	case Sent:
@@ -139,7 +140,7 @@
 	return o.recordResult(now, f.backend, ev.Result == Failed)
 }
 
-// recordTime compares a request's recordTime with its row's on all servers.
+// recordTime compares the time of a request with the average of its row on all servers.
 func (o *Detector) recordTime(s *server, f *request, took time.Duration) {
 	mean, ok := o.meanTimes[f.row]
 	if !ok {
@@ -158,8 +159,8 @@
 	if failed {
 		x = 1
 	}
-	// The first results count alike; with a fixed weight a server that fails
-	// everything from its first request on would look half good for long.
+	// The first results have equal weights. With a fixed weight, a server that fails all
+	// requests from the first one on would have a low failure rate for a long time.
 	s.failureRate += max(alpha, 1/float64(s.results)) * (x - s.failureRate)
 	switch s.state {
 	case Trial:
@@ -183,13 +184,14 @@
 	return o.setState(name, Trusted, time.Time{}, "its trials went well")
 }
 
-// nextPause doubles a server's rest each time that it is set aside in a row.
+// nextPause doubles a server's pause each time that it is quarantined or found unreachable
+// again before it is trusted.
 func (o *Detector) nextPause(s *server) time.Duration {
 	s.pause = min(max(2*s.pause, o.limits.Pause), o.limits.MaxPause)
 	return s.pause
 }
 
-// detect compares a server with the others.
+// detect compares a server with the others and quarantines it if it is an outlier.
 func (o *Detector) detect(now time.Time, name string) []Action {
 	s := o.servers[name]
 	if s.results < o.limits.MinResults {
@@ -211,7 +213,8 @@
 	return o.setState(name, Quarantined, now.Add(o.nextPause(s)), why)
 }
 
-// otherMedians are the medians of the servers that are trusted, but for one.
+// otherMedians returns the median failure rate and slowness of the trusted servers other than
+// the named one.
 func (o *Detector) otherMedians(name string) (fails, slowness float64) {
 	var f, t []float64
 	for other, s := range o.servers {
@@ -265,7 +268,7 @@
 	return []Action{StateChanged{Backend: name, State: to, Reason: why}}
 }
 
-// checkInterval is how often requests without answers are looked at.
+// checkInterval is how often requests without answers are checked.
 const checkInterval = 250 * time.Millisecond
 
 func (o *Detector) tick(now time.Time) []Action {
@@ -277,10 +280,9 @@
 	for _, id := range slices.Sorted(maps.Keys(o.inFlight)) {
 		f := o.inFlight[id]
 		if s := o.servers[f.backend]; s != nil && !f.stuck && now.Sub(f.since) > o.stuckAfter(f.row) {
-			// A server that swallows requests gives no result until the
-			// deadline; meanwhile it would get one request after another.
-			// Silence is a stronger sign than a failure, which may be the
-			// request's own, and counts twice.
+			// A server that never answers gives no result until the deadline, and would get one
+			// request after another until then. No answer is a stronger sign than a failure,
+			// which may be the request's own fault, so it counts twice.
 			f.stuck = true
 			acts = append(acts, o.recordResult(now, f.backend, true)...)
 			acts = append(acts, o.recordResult(now, f.backend, true)...)
@@ -299,7 +301,7 @@
 	return max(o.limits.StuckAfter, time.Duration(10*o.meanTimes[row]*float64(time.Second)))
 }
 
-// MaxSlots is how many of slots a server may get now.
+// MaxSlots returns how many of its slots a server may use now.
 func (o *Detector) MaxSlots(minion string, slots int) int {
 	s, ok := o.servers[minion]
 	switch {
@@ -312,11 +314,12 @@
 	}
 }
 
-// announceTime is how long a first-hand sign of leaving is told to peers. It ends
-// before Away, so that two hosts cannot keep each other believing it for ever.
+// announceTime is how long this host announces to its peers that a server told it that it
+// leaves. It is shorter than LeavingPause, so that two hosts cannot keep each other believing
+// it forever.
 const announceTime = 5 * time.Second
 
-// LeavingServers lists the servers that told this host itself that they leave.
+// LeavingServers lists the servers that recently told this host itself that they leave.
 func (o *Detector) LeavingServers(now time.Time) []string {
 	var all []string
 	for _, name := range slices.Sorted(maps.Keys(o.servers)) {
@@ -327,7 +330,7 @@
 	return all
 }
 
-// UntrustedStates lists the servers that are not trusted.
+// UntrustedStates returns the states of all servers that are not trusted.
 func (o *Detector) UntrustedStates() map[string]State {
 	all := map[string]State{}
 	for name, s := range o.servers {
