--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -1,6 +1,6 @@
-// Package estimate corrects what callers declare by what was measured. Sizes
-// and times are often far off; for each row it keeps how much its tasks really
-// use of what they declare, and packs by that instead.
+// Package estimate corrects the sizes and times that callers declare by measurements.
+// Declared values are often far off, so the package records for each row which share of the
+// declared values its tasks really use, and sizes tasks by that.
 package estimate
 
 import (
@@ -11,7 +11,7 @@
 	"pollencroft/internal/cell"
 )
 
-// What is measured is kept as a share of what was declared, in thousandths.
+// Measurements are stored as a share of the declared value, in thousandths.
 const (
 	scale    = 1000
 	maxShare = 1000 * scale
@@ -19,25 +19,27 @@
 )
 
 const (
-	// minSamples tasks must have been measured before a row is packed by it.
+	// minSamples is how many tasks must have been measured before a row's measurements are
+	// used.
 	minSamples = 8
-	// unmeasuredFactor is how many times its declared size a task of an unmeasured
-	// row gets: its first tasks are the ones that surprise.
+	// unmeasuredFactor multiplies the declared size and time of tasks of a row without enough
+	// measurements, because a row's first tasks are the least predictable.
 	unmeasuredFactor = 2
-	// sizeQuantile and Margin leave room for the row's largest tasks and for
-	// growth that is not reported yet, since reports lag.
+	// sizeQuantile and Margin leave capacity for the row's largest tasks and for growth that
+	// is not reported yet, since reports lag.
 	sizeQuantile = 99.5
-	// timeQuantile of a row's tasks end within the expected time.
+	// timeQuantile is the percentage of a row's tasks that end within the expected time.
 	timeQuantile = 90
-	// steadyReports is after how many reports without growth a task is taken to have
-	// reached its size. One that still grows when it is counted would make the
-	// next ones of its row too small.
+	// steadyReports is after how many reports without growth a task is assumed to have reached
+	// its full size. Tasks that were measured while they still grew would make the estimate
+	// for the next tasks of their row too small.
 	steadyReports = 5
-	// generationSize is after how many samples older ones begin to be dropped.
+	// generationSize is after how many samples a new generation of samples begins and the
+	// oldest one is dropped.
 	generationSize = 500
 )
 
-// quantiles keeps the newest samples: those of this generation and the last.
+// quantiles holds the newest samples: those of the current generation and the previous one.
 type quantiles struct{ current, previous *hdrhistogram.Histogram }
 
 func newQuantiles() *quantiles {
@@ -72,17 +74,16 @@
 	sampled cell.Size
 }
 
-// Margin is the part that a room is larger than what was measured.
+// Margin is the factor by which the capacity for a task exceeds its measured use.
 const Margin = 1.15
 
-// Estimates holds what was measured of all rows. It is not safe for
-// concurrent use.
+// Estimates holds the measurements of all rows. It is not safe for concurrent use.
 type Estimates struct {
 	rows  map[string]*row
 	tasks map[string]*task
 }
 
-// New returns estimates that know no row.
+// New returns estimates without measurements.
 func New() *Estimates { return &Estimates{rows: map[string]*row{}, tasks: map[string]*task{}} }
 
 func (e *Estimates) row(name string) *row {
@@ -94,8 +95,8 @@
 	return r
 }
 
-// Size is the room that a task of that row needs. Accelerators are taken as
-// declared, since a task holds them whole.
+// Size returns the capacity that a task of a row needs. Accelerators are taken as declared,
+// since a task holds whole accelerators.
 func (e *Estimates) Size(name string, declared cell.Size) cell.Size {
 	r, ok := e.rows[name]
 	if !ok || r.cpu.count() < minSamples {
@@ -108,7 +109,7 @@
 
 func scaled(v int64, by float64) int64 { return max(int64(float64(v)*by), min(v, 1)) }
 
-// Time is how long a task of that row is expected to run at most.
+// Time returns the time within which a task of a row is expected to end.
 func (e *Estimates) Time(name string, declared time.Duration) time.Duration {
 	r, ok := e.rows[name]
 	if !ok || r.time.count() < minSamples {
@@ -117,9 +118,9 @@
 	return time.Duration(float64(declared) * r.time.quantile(timeQuantile))
 }
 
-// RecordUse takes a report of what a running task uses and returns the room that it
-// takes from now on: what its row's tasks need, never less than it was seen to
-// use itself. A report of nothing is one that lags.
+// RecordUse records a report of the resources that a running task uses, and returns the
+// capacity that it takes from now on: what tasks of its row need, but never less than the
+// task itself has used. A report without any use is outdated and is ignored.
 func (e *Estimates) RecordUse(id, name string, declared, use cell.Size) (cell.Size, bool) {
 	if use.CPU <= 0 && use.Mem <= 0 {
 		return cell.Size{}, false
@@ -139,9 +140,9 @@
 	}
 	room := maxSize(e.Size(name, declared), t.peak)
 	if t.steady >= steadyReports {
-		// A task that has not grown for a while takes half of what its row could still
-		// grow by. That is for processors only, which can be throttled; memory
-		// that runs out kills tasks.
+		// A task that has not grown for a while keeps only half of the processor capacity by
+		// which tasks of its row may still grow. This applies to processors only, because they
+		// can be throttled; running out of memory kills tasks.
 		room.CPU = t.peak.CPU + (room.CPU-t.peak.CPU)/2
 	}
 	room.Accel = declared.Accel
@@ -159,8 +160,8 @@
 	t.sampled = t.peak
 }
 
-// Forget forgets a task that runs no longer. One that grew since it was counted
-// is counted again, so that its row's estimate follows.
+// Forget removes a task that no longer runs. A task that has grown since it was sampled is
+// sampled again, so that the estimate of its row follows.
 func (e *Estimates) Forget(id string) {
 	t, ok := e.tasks[id]
 	if !ok {
@@ -172,7 +173,7 @@
 	delete(e.tasks, id)
 }
 
-// RecordTime takes how long a task of that row really ran.
+// RecordTime records how long a task of a row really ran.
 func (e *Estimates) RecordTime(name string, declared, ran time.Duration) {
 	e.row(name).time.add(ran.Seconds(), declared.Seconds())
 }
