--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,38 +1,39 @@
-// Package retry keeps the budget of retries that each row has, so that retries
-// cannot turn a fault into an overload.
+// Package retry limits the retries of each row by a budget, so that retries cannot turn a
+// fault into an overload.
 package retry
 
 import "sync"
 
-// Limits bound the retries of one row.
+// Limits bounds the retries of one row.
 type Limits struct {
-	// Ratio is how many retries one first try pays for.
+	// Ratio is how many retries each first attempt adds to the budget.
 	Ratio float64
-	// Initial is what a new row may spend, and Max what it may save up.
+	// Initial is the budget of a new row, and Max the most that a row can save up.
 	Initial, Max float64
 }
 
-// DefaultLimits keep the load below 1.1 times of what was asked.
+// DefaultLimits keeps the load below 1.1 times the load without retries.
 var DefaultLimits = Limits{Ratio: 0.09, Initial: 5, Max: 100}
 
-// Budget counts the retries of all rows. It is safe for concurrent use.
+// Budget tracks the retry budgets of all rows. It is safe for concurrent use.
 type Budget struct {
 	limits   Limits
 	mu       sync.Mutex
 	balances map[string]float64
 }
 
-// New returns a budget in which no row has spent anything.
+// New returns a budget in which no row has used any retries.
 func New(limits Limits) *Budget { return &Budget{limits: limits, balances: map[string]float64{}} }
 
-// RecordRequest counts a first try of a row.
+// RecordRequest records the first attempt of a request of a row.
 func (b *Budget) RecordRequest(row string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.balances[row] = min(b.balance(row)+b.limits.Ratio, b.limits.Max)
 }
 
-// TrySpend tells whether a row may retry once more, and counts the retry.
+// TrySpend reports whether a row may retry once more, and if so deducts the retry from its
+// budget.
 func (b *Budget) TrySpend(row string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
