--- a/internal/queue/property_test.go
+++ b/internal/queue/property_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { randtest.Main(m, 200, 120) }
 
-// model keeps what the queue has decided and checks each decision.
+// model records the queue's decisions and checks each of them.
 type model struct {
 	t        require.TestingT
 	q        *queue.Queue
@@ -38,13 +38,13 @@
 			m.decided(a.ID)
 			m.busy[a.Backend]++
 			m.rowBusy[m.rows[a.ID]]++
-			require.LessOrEqual(m.t, m.busy[a.Backend], m.slots[a.Backend], "a minion gets no more than its share")
+			require.LessOrEqual(m.t, m.busy[a.Backend], m.slots[a.Backend], "a backend server gets no more requests than its share")
 			if limit := m.rowSlots[m.rows[a.ID]]; limit != 0 {
-				require.LessOrEqual(m.t, m.rowBusy[m.rows[a.ID]], limit, "a row gets no more than its limit")
+				require.LessOrEqual(m.t, m.rowBusy[m.rows[a.ID]], limit, "a row gets no more slots than its limit")
 			}
 			m.sent[a.ID] = a
 		case queue.Lend:
-			require.False(m.t, m.waiting[a.ID].FromPeer, "a lent request is not lent again")
+			require.False(m.t, m.waiting[a.ID].FromPeer, "a request from a peer is not lent again")
 			m.decided(a.ID)
 			m.lent[a.ID] = a.Peer
 		case queue.Refuse:
@@ -52,14 +52,14 @@
 		}
 	}
 	free, waiting := m.q.Load()
-	require.Equal(m.t, len(m.waiting), waiting, "each request is decided once")
+	require.Equal(m.t, len(m.waiting), waiting, "each request is decided exactly once")
 	if free == 0 {
 		return
 	}
 	for _, ask := range m.waiting {
 		limit := m.rowSlots[ask.Row.Name]
 		held := limit != 0 && m.rowBusy[ask.Row.Name] >= limit
-		require.True(m.t, held || ask.Row.Class == cell.Bulk, "no slot stays idle while %s waits", ask.ID)
+		require.True(m.t, held || ask.Row.Class == cell.Bulk, "a slot is free while request %s waits", ask.ID)
 	}
 }
 
@@ -83,10 +83,10 @@
 	return fmt.Sprintf("%06d%s", (turn*len(id)+int(id[len(id)-1]))%997, id)
 }
 
-// Requests come, end, hang up and are given back by peers while servers, rows
-// and peers change. Whatever the order, no minion gets more than its share, no
-// row more than its limit, each caller one decision, and none but bulk ones,
-// which leave the reserve, waits beside a free slot.
+// Requests arrive, end, are cancelled and are rejected by peers while servers, rows and peers
+// change. Whatever the order, no backend server gets more requests than its share, no row
+// exceeds its limit, each request is decided once, and only bulk requests, which leave the
+// reserve free, wait while a slot is free.
 func TestQueueKeepsItsBoundsInAnyOrder(t *testing.T) {
 	classes := map[string]cell.Class{"scan": cell.Urgent, "menu": cell.Normal, "badge": cell.Bulk}
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -25,7 +25,8 @@
 	return s
 }
 
-// countActions sums up actions: sends by row letter, lends by peer, refusals by reason.
+// countActions counts sends by the first letter of the request's ID, lends by peer and
+// refusals by reason.
 func countActions(acts []queue.Action) map[string]int {
 	n := map[string]int{}
 	for _, a := range acts {
@@ -41,8 +42,8 @@
 	return n
 }
 
-// A badge print batch fills the queue just before a visitor is scanned. The
-// visitor must not wait for the batch: the scan takes a reserved slot at once.
+// A batch of badge prints fills the queue just before a visitor is scanned. The urgent scan
+// must not wait for the batch: it gets a reserved slot immediately.
 func TestScanDoesNotWaitBehindBulk(t *testing.T) {
 	q := queue.New(queue.DefaultLimits)
 	q.Step(start, newShares(1, 8))
@@ -54,8 +55,8 @@
 	require.Equal(t, []queue.Action{queue.Send{ID: "s1", Backend: "m0"}}, q.Step(start, newRequest("s1", "scan", cell.Urgent)))
 }
 
-// No visitor has been scanned for a quarter of an hour. Slots that stay empty
-// for scans would only delay the badges, so all but one are given to them.
+// No visitor has been scanned for a quarter of an hour. Slots kept free for scans would only
+// delay the badges, so all but one are given to the badges.
 func TestReserveShrinksWithoutUrgentRequests(t *testing.T) {
 	q := queue.New(queue.DefaultLimits)
 	q.Step(start, newShares(1, 8))
@@ -69,8 +70,8 @@
 	require.Equal(t, [2]int{1, 2}, [2]int{free, waiting})
 }
 
-// The queue cannot serve a request before its deadline. The caller is told so
-// then, with the time to come back, instead of being kept waiting.
+// The queue cannot serve a request before its deadline. The request is refused then, with the
+// time after which to retry, rather than being kept waiting.
 func TestRequestPastItsDeadlineIsRefused(t *testing.T) {
 	q := queue.New(queue.DefaultLimits)
 	require.Empty(t, q.Step(start, newRequest("a", "scan", cell.Urgent)))
@@ -93,20 +94,21 @@
 	require.Equal(t, map[string]int{"a": 30, "b": 10}, countActions(q.Step(start, newShares(1, 40))))
 }
 
-// A thousand callers of one row come at once, and one of another row a moment
-// later. The single one must not wait for the thousand, nor find the queue full.
+// A thousand callers of one row arrive at once, and one of another row a moment later. The
+// single request must neither wait for the thousand nor be refused because the queue is full.
 func TestCrowdOfOneRowDoesNotHoldUpAnother(t *testing.T) {
 	q := queue.New(queue.Limits{Length: 1000})
 	for i := range 1000 {
 		require.Empty(t, q.Step(start, newRequest(fmt.Sprint("c", i), "crowd", cell.Normal)))
 	}
 	acts := q.Step(start, newRequest("x", "single", cell.Normal))
-	require.Equal(t, map[string]int{string(queue.Full): 1}, countActions(acts), "the crowd's newest gives way")
+	require.Equal(t, map[string]int{string(queue.Full): 1}, countActions(acts), "the newest request of the flooding row is refused")
 	require.Equal(t, 1, countActions(q.Step(start, newShares(1, 2)))["x"])
 }
 
-// The queue is full of badges when visitors are scanned. The newest badge
-// requests are told to come back; no scan is turned away for them.
+// The queue is full of badge requests when visitors are scanned. The newest badge requests
+// are refused in favor of the scans, with the time after which to retry. No scan is refused
+// for a badge.
 func TestFullQueueShedsNewestBulkFirst(t *testing.T) {
 	q := queue.New(queue.Limits{Length: 3})
 	for i := range 3 {
@@ -120,8 +122,8 @@
 	require.Equal(t, queue.Refuse{ID: "s3", Reason: queue.Full, RetryAfter: acts[0].(queue.Refuse).RetryAfter}, acts[0])
 }
 
-// An operator takes slots from a row while its requests wait. The limit holds
-// for those too; a flood that is already queued would run on for minutes.
+// An operator takes slots from a row while its requests wait. The new limit applies to them
+// too; otherwise a flood that is already queued would go on for minutes.
 func TestNewLimitHoldsForWhatWaitsAlready(t *testing.T) {
 	q := queue.New(queue.Limits{Length: 1000})
 	for i := range 20 {
@@ -134,7 +136,7 @@
 	require.Equal(t, 5, countActions(q.Step(start, queue.RowChanged{Row: queue.Row{Name: "a", Weight: 1}}))["a"])
 }
 
-// loadDriver plays a steady load on fixed service times.
+// loadDriver applies a steady load to a queue, with a fixed time per request.
 type loadDriver struct {
 	q     *queue.Queue
 	now   time.Time
@@ -168,36 +170,36 @@
 	return total
 }
 
-// Half of the minions leave, or a minion grows slow, under a steady load that
-// then no longer fits. Callers who cannot be served in time must hear so early
-// and be told when to come back from the measured drain; what is sent must
-// still be answered in time, so that no slot is spent on a caller who left.
+// Half of the backend servers leave, or the servers get slow, under a steady load that then
+// exceeds their capacity. Callers that cannot be served in time must be refused early, with a
+// retry time that follows from the measured rate. Requests that are sent must still be
+// answered in time, so that no slot is spent on a caller that has left.
 func TestOverloadIsRefusedEarlyFromTheMeasuredDrain(t *testing.T) {
 	q := queue.New(queue.DefaultLimits)
 	p := &loadDriver{q: q, now: start, ends: map[time.Time][]string{}}
 	const each, took = 10 * time.Millisecond, 80 * time.Millisecond
 	require.Equal(t, map[string]int{"r": 500}, p.run(newShares(2, 4), 5*time.Second, each, took, time.Second))
 	total := p.run(newShares(1, 4), 10*time.Second, each, took, time.Second)
-	require.InDelta(t, 500, total["r"], 25, "half of the slots do half of the work")
+	require.InDelta(t, 500, total["r"], 25, "half of the slots serve half of the requests")
 	require.InDelta(t, 450, total[string(queue.TooLate)], 75)
-	require.InDelta(t, 0.8, p.again.Seconds(), 0.5, "a queue of a second drains in about a second")
+	require.InDelta(t, 0.8, p.again.Seconds(), 0.5, "a queue of one second is worked off in about one second")
 	total = p.run(newShares(2, 4), 10*time.Second, each, 4*took, time.Second)
-	require.InDelta(t, 250, total["r"], 25, "slow minions do a quarter of the work")
+	require.InDelta(t, 250, total["r"], 25, "the slow servers serve a quarter of the requests")
 	require.Positive(t, total[string(queue.TooLate)])
 	free, waiting := q.Load()
 	require.Zero(t, free)
 	require.Less(t, waiting, 80)
 	late := newRequest("late", "row", cell.Normal)
 	late.Deadline = p.now.Add(time.Second)
-	require.Equal(t, queue.TooLate, p.q.Step(p.now, late)[0].(queue.Refuse).Reason, "refused when it asks, not later")
+	require.Equal(t, queue.TooLate, p.q.Step(p.now, late)[0].(queue.Refuse).Reason, "the request must be refused on arrival, not later")
 	q.Step(p.now, queue.Shares{})
 	acts := q.Step(p.now.Add(400*time.Millisecond), queue.Tick{})
-	require.Greater(t, countActions(acts)[string(queue.TooLate)], waiting/2, "when nothing moves they hear of it before their time is over")
+	require.Greater(t, countActions(acts)[string(queue.TooLate)], waiting/2, "callers of a stalled queue must be refused before their deadline")
 }
 
-// A request without a free slot here must not wait while a peer has some, also
-// when it was queued before the peer's slot came free; and it must return to
-// its place when the peer has given the slot away meanwhile.
+// A request without a free slot on this host must not wait while a peer has one, even if it
+// was queued before the peer's slot became free. If the peer has given the slot away in the
+// meantime, the request must return to its position.
 func TestWaitingRequestUsesAPeersFreeSlot(t *testing.T) {
 	q := queue.New(queue.DefaultLimits)
 	q.Step(start, newShares(1, 1))
@@ -206,14 +208,14 @@
 	}
 	acts := q.Step(start, queue.Peers{All: []queue.Peer{{Name: "h2", Free: 1}, {Name: "h3"}}})
 	require.Equal(t, []queue.Action{queue.Lend{ID: "b", Peer: "h2"}}, acts)
-	require.Empty(t, q.Step(start, queue.LendRejected{ID: "b"}), "h2 has no room until it says so again")
+	require.Empty(t, q.Step(start, queue.LendRejected{ID: "b"}), "h2 must not be tried again until it announces free slots")
 	require.Equal(t, []queue.Action{queue.Send{ID: "b", Backend: "m0"}}, q.Step(start, queue.Ended{ID: "a"}))
 	acts = q.Step(start, queue.Peers{All: []queue.Peer{{Name: "h2", Free: 1}}})
 	require.Equal(t, []queue.Action{queue.Lend{ID: "c", Peer: "h2"}}, acts)
 }
 
-// A peer asks for a slot that has just been taken here. It must get its
-// request back at once: queued here it would wait while others have room.
+// A peer asks for a slot that has just been taken on this host. It must get its request back
+// immediately: queued here, the request would wait while other hosts have free slots.
 func TestLentRequestIsSentNowOrGivenBack(t *testing.T) {
 	q := queue.New(queue.DefaultLimits)
 	q.Step(start, newShares(1, 1))
@@ -227,8 +229,9 @@
 	require.Zero(t, waiting)
 }
 
-// A minion vanishes from the lagging host list and returns while it still has
-// our requests. They must count, or it gets more than its slots.
+// A backend server disappears from the host list, which lags, and is listed again while it
+// still has requests of this host. They must be counted, or the server gets more requests
+// than it has slots.
 func TestMinionThatReturnsToTheListKeepsItsLoad(t *testing.T) {
 	q := queue.New(queue.DefaultLimits)
 	q.Step(start, newShares(1, 2))
@@ -242,8 +245,8 @@
 	require.False(t, q.Overcommitted())
 }
 
-// A request failed on one minion and is tried again. It goes to another one
-// while there is any with room.
+// A request that failed on one backend server is retried. It goes to another one as long as
+// any has a free slot.
 func TestRetryAvoidsFailedBackend(t *testing.T) {
 	q := queue.New(queue.DefaultLimits)
 	q.Step(start, newShares(2, 2))
@@ -254,7 +257,8 @@
 	}
 }
 
-// A caller hangs up while its request waits. The place is free for another.
+// A caller hangs up while its request waits. Its place in the queue is free for another
+// request.
 func TestHungUpCallerFreesItsPlace(t *testing.T) {
 	q := queue.New(queue.Limits{Length: 1})
 	q.Step(start, newRequest("a", "scan", cell.Urgent))
@@ -262,8 +266,9 @@
 	require.Empty(t, q.Step(start, newRequest("b", "scan", cell.Urgent)))
 }
 
-// A long queue drains steadily and then one answer takes a little longer. Taken
-// times the queue's length, that one gap would turn away half of the batch.
+// A long queue is worked off at a steady rate and then one answer takes a little longer.
+// Multiplied by the length of the queue, that single gap would cause half of the batch to be
+// refused.
 func TestOneSlowAnswerRefusesNobody(t *testing.T) {
 	q := queue.New(queue.Limits{Length: 4096})
 	q.Step(start, newShares(1, 1))
