--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -21,7 +21,7 @@
 	n          int
 	sent       map[string]int
 	inProgress map[string]int
-	faults     map[string]func(id string) // what a server does instead of a good answer
+	faults     map[string]func(id string) // called instead of answering, by server
 }
 
 func newSimulation(n int) *simulation {
@@ -67,10 +67,10 @@
 	}
 }
 
-// One minion fails every request at once, swallows them without an answer, is
-// several times slower than the rest, or refuses connections. It looks idle
-// and would draw the visitors' scans; it must get next to none, and its full
-// share again soon after it has been mended.
+// One backend server fails all requests immediately, never answers them, is several times
+// slower than the others, refuses connections or leaves. A failing server looks idle and
+// would attract the visitors' scans. It must get almost no requests, and its full share again
+// soon after it has recovered.
 func TestOutlierIsSetAsideAndReturns(t *testing.T) {
 	for name, does := range map[string]func(*simulation) func(string){
 		"fails":     func(b *simulation) func(string) { return b.end(outlier.Failed) },
@@ -93,7 +93,7 @@
 			b.run(3*time.Second, 6)
 			require.Zero(t, b.o.MaxSlots("m0", 8))
 			b.run(10*time.Second, 6)
-			require.LessOrEqual(t, b.sent["m0"], 10*b.sent["m1"]/100, "a trickle of trials at most")
+			require.LessOrEqual(t, b.sent["m0"], 10*b.sent["m1"]/100, "the outlier gets at most a few trial requests")
 			require.Greater(t, b.sent["m1"], 900)
 			delete(b.faults, "m0")
 			b.inProgress["m0"] = 0
@@ -103,8 +103,8 @@
 	}
 }
 
-// A row has a fault of its own and fails everywhere, or more minions go bad
-// than the rest could carry. Setting them all aside would end the service.
+// A row has a fault of its own and fails on all servers, or more servers fail than the others
+// can replace. Quarantining all of them would end the service.
 func TestNeverMoreThanASetShareIsAside(t *testing.T) {
 	for bad, most := range map[int]int{6: 0, 3: 2} {
 		b := newSimulation(6)
@@ -112,13 +112,14 @@
 			b.faults[fmt.Sprint("m", i)] = b.end(outlier.Failed)
 		}
 		b.run(time.Minute, 6)
-		require.LessOrEqual(t, len(b.o.UntrustedStates()), most, "%d of 6 fail", bad)
+		require.LessOrEqual(t, len(b.o.UntrustedStates()), most, "%d of 6 servers fail", bad)
 	}
 }
 
-// A minion tells one host that it leaves while the host list still shows it.
-// The other hosts must stop at that host's word, and only for as long as the
-// sign is fresh: hosts that echo each other would shut a minion out for ever.
+// A backend server tells one host that it leaves while the host list still shows it. The
+// other hosts must stop sending to it when that host announces this, and only as long as the
+// announcement is recent: hosts that repeat each other's announcements would exclude the
+// server forever.
 func TestPeersWordStopsWorkForALeavingMinion(t *testing.T) {
 	first, second := newSimulation(6), newSimulation(6)
 	first.faults["m0"] = first.end(outlier.Leaving)
