--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -19,7 +19,8 @@
 	return cell.Size{CPU: int64(f * 1000), Mem: int64(f * float64(gib))}
 }
 
-// measured returns estimates for a row of which 20 tasks used that share.
+// measured returns estimates for a row of which 20 tasks used the given share of their
+// declared size.
 func measured(f float64) *estimate.Estimates {
 	e := estimate.New()
 	for i := range 20 {
@@ -32,9 +33,9 @@
 	return e
 }
 
-// A caller declares far too much, or too little. Packed by that, workers stand
-// empty, or are overfilled. The row's measured use is packed by instead, never
-// below what was seen, and what nobody measured gets room to surprise.
+// Callers declare far too much or too little. Placed by the declared sizes, tasks would leave
+// workers empty or overfill them. Tasks are sized by the measured use of their row instead,
+// never below it, and tasks of a row without measurements get additional capacity.
 func TestSizesFollowWhatIsMeasured(t *testing.T) {
 	require.Equal(t, cell.Size{CPU: 2000, Mem: 2 * gib, Accel: 1}, estimate.New().Size("r", declared))
 	for _, f := range []float64{0.1, 0.5, 1, 3} {
@@ -46,18 +47,18 @@
 	}
 }
 
-// One task grows far over its row's measured use. Its room must grow with it
-// at once, and the reports that lag must not take the room away.
+// One task grows far beyond the measured use of its row. Its capacity must grow immediately,
+// and outdated reports must not reduce it again.
 func TestRoomIsNeverBelowWhatIsSeen(t *testing.T) {
 	e := measured(0.5)
 	_, known := e.RecordUse("x", "r", declared, cell.Size{})
-	require.False(t, known, "a report that lags says nothing")
+	require.False(t, known, "an outdated report must be ignored")
 	room, _ := e.RecordUse("x", "r", declared, shareOfDeclared(2.5))
 	require.Equal(t, shareOfDeclared(2.5).CPU, room.CPU)
 	room, _ = e.RecordUse("x", "r", declared, shareOfDeclared(0.2))
 	require.Equal(t, shareOfDeclared(2.5).Mem, room.Mem)
 	e.Forget("x")
-	require.GreaterOrEqual(t, e.Size("r", declared).CPU, shareOfDeclared(2.5).CPU, "the row's estimate follows")
+	require.GreaterOrEqual(t, e.Size("r", declared).CPU, shareOfDeclared(2.5).CPU, "the estimate of the row must follow")
 }
 
 func TestTimeFollowsMeasuredTimes(t *testing.T) {
@@ -69,8 +70,8 @@
 	require.InDelta(t, 300, e.Time("r", time.Minute).Seconds(), 5)
 }
 
-// A row is changed and uses much less from then on. Its old measurements must
-// not bind its room for ever.
+// A row changes and uses much less from then on. Its old measurements must not determine its
+// size forever.
 func TestOldMeasurementsAreDropped(t *testing.T) {
 	e := measured(3)
 	for i := range 1100 {
