--- a/internal/queue/row.go
+++ b/internal/queue/row.go
@@ -30,7 +30,7 @@
 	// busy is how many requests hold a slot of this host.
 	busy int64
 	// usage is the slot time that the row has been charged, divided by its weight.
-	usage    float64
+	usage float64
 	// meanTime is the moving average of the time that the row's successful requests took.
 	meanTime time.Duration
 	// rejectedBy holds the peers that have had no slot for the row since they last announced
