--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -214,7 +214,7 @@
 
 // Many requests to one peer are open at once. They must not all wait for the lock of one
 // connection, or keyed requests would get slower with every additional caller.
-func TestBusyConnectionIsJoinedByFurtherOnes(t *testing.T) {
+func TestBusyPeerGetsMoreConnections(t *testing.T) {
 	asked, letGo := make(chan struct{}, 100), make(chan struct{})
 	p := newPair(t, func(context.Context, Message) (any, error) {
 		asked <- struct{}{}
