--- a/internal/joblog/joblog_test.go
+++ b/internal/joblog/joblog_test.go
@@ -34,7 +34,7 @@
 
 // The log holds a record that this version cannot decode. Every host ignores it and goes on with
 // the next record.
-func TestUnreadableRecordIsPassedOver(t *testing.T) {
+func TestUndecodableRecordIsSkipped(t *testing.T) {
 	l := joblog.New()
 	l.Fold(1, []byte("{"))
 	l.Fold(2, body(t, accepted("d.r.1")))
