--- a/internal/ledger/await.go
+++ b/internal/ledger/await.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// await answers at once unless a try is running.
+// await answers at once unless a try of the key is running.
 func (l *Ledger) await(ev Await) []Action {
 	e, ok := l.keys[ev.Key]
 	if !ok {
@@ -59,8 +59,9 @@
 	return woken
 }
 
-// markLostTries gives up the running tries of entry hosts that are gone. Without it a
-// repeat would wait until its deadline for an end that nobody will tell.
+// markLostTries gives up the running tries whose entry host is gone or whose time is over,
+// and notifies their waiters. Otherwise a repeat would wait until its deadline for an end
+// that nobody reports.
 func (l *Ledger) markLostTries(now time.Time) []Action {
 	var woken []Action
 	for host, tries := range l.running {
@@ -77,8 +78,8 @@
 	return woken
 }
 
-// isLost tells whether the entry host of a running try is gone or overdue. The
-// question itself was a sign of life, also of a host not heard of before.
+// isLost reports whether the entry host of a running try is gone or the try is overdue. The
+// Open of the try counts as a heartbeat, also for a host that has sent none yet.
 func (e *entry) isLost(now time.Time, sign Heartbeat) bool {
 	if !e.overdueAt.IsZero() && now.After(e.overdueAt) {
 		return true
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,8 +1,9 @@
-// Package ledger remembers which keyed requests were sent and how they ended,
-// so that a repeat gets the first answer instead of a second run.
+// Package ledger remembers which keyed requests were sent and how they ended, so that a
+// repeat of a request gets the first answer instead of a second run.
 //
-// Ledger is the memory of one home, Run the entry host's side that asks the
-// homes, and Plan names the homes of a key. All three decide without I/O.
+// A Ledger is the memory of one home, which is an entry host that holds keys. A Try is one
+// try of a request at its entry host, which asks the homes of the key before it sends the
+// request. A Plan chooses the homes of a key. All three decide without I/O.
 package ledger
 
 import (
@@ -12,38 +13,38 @@
 	"pollencroft/internal/cell"
 )
 
-// Limits bound one home's memory of keys.
+// Limits bound what one home remembers.
 type Limits struct {
 	// Retention is how long a key is remembered after its first try.
 	Retention time.Duration
-	// RepeatWindow is how long after its first try a balancer may repeat a request.
+	// RepeatWindow is how long after its first try a load balancer may repeat a request.
 	RepeatWindow time.Duration
-	// MaxSkew is how far a key's own time may be ahead of a home's clock. Clocks
-	// of two homes may differ by as much again.
+	// MaxSkew is how far the time in a key may be ahead of a home's clock. The clocks of
+	// two homes may differ by the same amount.
 	MaxSkew time.Duration
-	// MaxKeys is the largest number of keys.
+	// MaxKeys is the largest number of remembered keys.
 	MaxKeys int
-	// MaxBytes is the largest sum of the stored answers' sizes.
+	// MaxBytes bounds the total size of the stored answers.
 	MaxBytes int64
 }
 
-// DefaultLimits suit a small entry host.
+// DefaultLimits are sized for a small entry host.
 var DefaultLimits = Limits{
 	Retention: 10 * time.Minute, RepeatWindow: 30 * time.Second, MaxSkew: time.Second, MaxKeys: 100_000, MaxBytes: 32 << 20,
 }
 
-// hostTimeout is how long an entry host may give no sign of life before its
-// running tries count as lost. A wrong guess tells a repeat unknown, which is
-// never false; the answer still replaces it when it comes after all.
+// hostTimeout is how long an entry host may send no heartbeat before its running tries
+// count as lost. If the host is alive after all, a repeat is answered with unknown, which
+// is never false, and the real answer still replaces it when it arrives.
 const hostTimeout = 1500 * time.Millisecond
 
-// closeGrace is how long after a try's deadline its end may still arrive.
+// closeGrace is how long after the deadline of a try its Close may still arrive.
 const closeGrace = time.Second
 
-// maxInlineAnswer is the largest answer, in bytes, that comes with a verdict. A question
-// to a home is bounded tightly, and a large answer would take longer than a
-// silent home is waited for. Such a key counts as running: the wait for its end
-// is over at once and has all the time that the caller has.
+// maxInlineAnswer is the size in bytes of the largest answer that a Verdict carries. An
+// Open has a short timeout, which the transfer of a larger answer would exceed, so that the
+// home would count as silent. A key with a larger answer is reported as running: the Await
+// that follows returns at once and may use all the time that the caller has.
 const maxInlineAnswer = 16 << 10
 
 type entry struct {
@@ -57,7 +58,8 @@
 	answer    *Answer
 	lost      bool
 	waiters   []string
-	// openedElem and answerElem are the places in the orders of opening and of answers.
+	// openedElem and answerElem are the elements of this entry in Ledger.opened and
+	// Ledger.answers.
 	openedElem, answerElem *list.Element
 }
 
@@ -66,7 +68,7 @@
 	until time.Time
 }
 
-// Ledger is the key ledger core of one home.
+// Ledger is the state machine of one home.
 type Ledger struct {
 	limits  Limits
 	since   time.Time
@@ -74,14 +76,14 @@
 	opened  *list.List
 	answers *list.List
 	bytes   int64
-	// running holds the open tries by entry host, so that a host's death costs
-	// as much as it has tries open.
+	// running holds the running tries by entry host, so that the loss of a host costs only
+	// as much as that host has running tries.
 	running    map[string]map[string]*entry
 	waiters    map[string]waiter
 	heartbeats map[string]Heartbeat
 }
 
-// New returns an empty ledger that remembers from since on.
+// New returns an empty ledger that remembers keys from since on.
 func New(limits Limits, since time.Time) *Ledger {
 	return &Ledger{
 		limits: limits, since: since, keys: map[string]*entry{}, opened: list.New(), answers: list.New(),
@@ -89,8 +91,8 @@
 	}
 }
 
-// Step takes one event. An Open is answered by exactly one Verdict, an Await
-// by exactly one Woken now or later, unless a Forget ends it.
+// Step handles one event. An Open yields exactly one Verdict. An Await yields exactly one
+// Woken, now or in a later step, unless a CancelAwait comes first.
 func (l *Ledger) Step(now time.Time, ev Event) []Action {
 	switch ev := ev.(type) {
 	case Open:
@@ -134,7 +136,7 @@
 	case e.digest != ev.Digest:
 		return Verdict{Key: ev.Key, State: Mismatch}
 	case ev.Try != "" && ev.Try == e.try && e.answer == nil:
-		// A home may belong to two groups of the same try.
+		// A home may belong to two groups that the same try asks.
 		return Verdict{Key: ev.Key, State: Fresh}
 	case e.answer != nil && e.answer.size() > maxInlineAnswer:
 		return Verdict{Key: ev.Key, State: Running}
@@ -154,14 +156,15 @@
 	}
 }
 
-// canConfirm tells whether this home would know the key had it been used. A home
-// that started after the key's first try may have lost it with its
-// predecessor's memory, or forgotten it to stay within its limits; taking it
-// as fresh would run the request twice. A key's own time proves that it is
-// younger than the memory: no home takes a key that is more than Skew ahead
-// of its clock, and clocks of homes differ by Skew at most. Else only the
-// balancer's repeats of a first try are to be feared, and they come within the
-// repeat window.
+// canConfirm reports whether this home would know the key if it had been used before. A
+// home that started after the first try of the key may have lost it with the memory of its
+// previous incarnation, or may have forgotten it to stay within its limits; to report it as
+// fresh would run the request twice.
+//
+// The time in a key can prove that the key is newer than this home's memory: no home
+// accepts a key that is more than MaxSkew ahead of its clock, and the clocks of homes
+// differ by MaxSkew at most. For all other keys, the only repeats that look like first
+// tries come from the load balancer, within the repeat window.
 func (l *Ledger) canConfirm(now time.Time, ev Open, made time.Time) bool {
 	if made.After(l.since.Add(2 * l.limits.MaxSkew)) {
 		return true
@@ -179,8 +182,8 @@
 	return e
 }
 
-// evict forgets the oldest key. From then on this home vouches only for keys
-// that are younger, else the forgotten key would be taken as fresh.
+// evict forgets the oldest key. From then on this home confirms only keys that are newer,
+// because the forgotten key would otherwise be taken as fresh.
 func (l *Ledger) evict() {
 	e := l.opened.Front().Value.(*entry)
 	if e.opened.After(l.since) {
@@ -216,7 +219,7 @@
 		if !ok || e.try != ev.Try || e.answer != nil {
 			return nil
 		}
-		// It provably did not run, so the next try is a fresh one.
+		// The request certainly did not run, so the next try is a fresh one.
 		woken := l.notifyWaiters(e, Verdict{Key: e.key, State: Released})
 		l.remove(e)
 		return woken
@@ -231,8 +234,9 @@
 	return l.notifyWaiters(e, e.state())
 }
 
-// storeAnswer keeps an answer; the oldest ones make room. What is left of such an
-// answer is that the request ran, so its repeat is told unknown.
+// storeAnswer stores an answer and drops the oldest answers that exceed MaxBytes. For a
+// dropped answer the ledger still knows that the request ran, so its repeat is answered
+// with unknown.
 func (l *Ledger) storeAnswer(e *entry, a Answer) {
 	l.removeRunning(e)
 	l.dropAnswer(e)
@@ -255,12 +259,12 @@
 	e.answerElem = nil
 }
 
-// Len returns how many keys are kept.
+// Len returns the number of remembered keys.
 func (l *Ledger) Len() int { return len(l.keys) }
 
-// Bytes returns the sum of the stored answers' sizes.
+// Bytes returns the total size of the stored answers.
 func (l *Ledger) Bytes() int64 { return l.bytes }
 
-// Since returns the time from which on this home knows every key it was asked
-// for. It moves on as keys are forgotten.
+// Since returns the time from which on this home knows every key that it was asked about.
+// It advances as keys are forgotten.
 func (l *Ledger) Since() time.Time { return l.since }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -16,8 +16,8 @@
 	return l.Step(start.Add(at), ledger.Open{Key: key, Digest: digest, Attempt: 1})[0].(ledger.Verdict)
 }
 
-// A turnstile repeats a scan whose answer it missed. The day pass must not be
-// spent again: the repeat gets the first answer.
+// A client repeats a request whose answer it missed. The request must not run again: the
+// repeat gets the first answer.
 func TestRepeatGetsTheStoredAnswer(t *testing.T) {
 	l := ledger.New(ledger.DefaultLimits, start)
 	require.Equal(t, ledger.Fresh, open(l, time.Minute, "k", 1).State)
@@ -29,8 +29,8 @@
 	require.Equal(t, 200, v.Answer.Status)
 }
 
-// A home was replaced a second ago and lost its memory. It must not call a
-// key fresh that its predecessor may have seen, else a pass is spent twice.
+// A home was replaced a second ago and lost its memory. It must not report a key as fresh
+// that its previous incarnation may have seen; otherwise the request runs twice.
 func TestHomeThatJustStartedIsBlind(t *testing.T) {
 	l := ledger.New(ledger.DefaultLimits, start)
 	require.Equal(t, ledger.Unconfirmed, open(l, time.Second, "k", 1).State)
@@ -43,8 +43,8 @@
 	require.Equal(t, ledger.Fresh, open(l, time.Minute, "k", 1).State)
 }
 
-// A flood of keys fills a home's memory. The oldest key makes room, and from
-// then on the home must not take its repeat, or any key as old, as fresh.
+// A flood of keys fills a home's memory, and the oldest key is evicted. From then on the
+// home must not report a repeat of it, or any key of the same age, as fresh.
 func TestForgottenKeyIsNeverFreshAgain(t *testing.T) {
 	limits := ledger.DefaultLimits
 	limits.MaxKeys = 2
@@ -64,8 +64,9 @@
 	require.Equal(t, ledger.Unconfirmed, l.Step(start.Add(3*time.Hour), again)[0].(ledger.Verdict).State)
 }
 
-// Large answers fill a home's memory. The oldest is dropped, but not the
-// knowledge that it was given: its repeat is told unknown, not run again.
+// Large answers fill a home's memory, and the oldest answer is dropped. The home still
+// knows that the request was answered: its repeat is answered with unknown and does not
+// run.
 func TestDroppedAnswerIsUnknown(t *testing.T) {
 	limits := ledger.DefaultLimits
 	limits.MaxBytes = 15
@@ -79,16 +80,16 @@
 	require.Equal(t, cell.Done, open(l, time.Hour, "b", 1).Answer.Outcome)
 }
 
-// A turnstile's clock runs ahead. Its keys would look younger than a home that
-// started after their first try and so be taken as fresh twice.
+// A client's clock runs ahead. Its keys would look newer than a home that started after
+// their first try, and would be taken as fresh twice.
 func TestKeyFromTheFutureIsRefused(t *testing.T) {
 	l := ledger.New(ledger.DefaultLimits, start)
 	require.Equal(t, ledger.FutureKey, open(l, time.Hour, timedKey(start.Add(time.Hour+2*time.Second), 0), 1).State)
-	require.Equal(t, ledger.Unconfirmed, open(l, time.Second, timedKey(start.Add(2*time.Second), 0), 1).State, "within the skew of the start")
+	require.Equal(t, ledger.Unconfirmed, open(l, time.Second, timedKey(start.Add(2*time.Second), 0), 1).State, "the time in the key is within the clock skew of the start")
 }
 
-// A repeat waits for the running first try. It is told as soon as that try
-// ends, is given back or runs out of time, and no earlier.
+// A repeat waits for the running first try. It is notified as soon as that try ends,
+// releases the key or runs out of time, and no earlier.
 func TestRepeatWaitsForTheRunningTry(t *testing.T) {
 	later := start.Add(time.Hour)
 	ask := ledger.Open{Key: "k", Digest: 1, Attempt: 1, Try: "t", Remaining: cell.Duration{Duration: time.Second}}
@@ -109,7 +110,7 @@
 		require.Empty(t, l.Step(later, ledger.Tick{}))
 		acts := l.Step(later.Add(end.at), end.ev)
 		if state == ledger.Running {
-			require.Empty(t, acts, "the end of another try is not the end of this one")
+			require.Empty(t, acts, "a Close of another try must not end this one")
 			acts = l.Step(later, ledger.Await{Key: "k", ID: "v", Until: later})
 			require.Empty(t, acts)
 			continue
@@ -120,8 +121,8 @@
 	}
 }
 
-// Operators change the list of entry hosts, and for a while hosts work by
-// unlike lists. Homes of unlike groups need not meet, so they do not vouch.
+// Operators change the list of entry hosts, and for a while hosts use different lists.
+// Homes of different groups may not overlap, so they do not confirm keys for each other.
 func TestHostsWithOtherSettingsDoNotVouch(t *testing.T) {
 	old := ledger.NewPlan(cellHosts[0], cellHosts[1:])
 	renamed := ledger.NewPlan(cellHosts[0], append([]ledger.Host{{Name: "nord-9", Domain: "nord"}}, cellHosts[2:]...))
@@ -131,8 +132,8 @@
 	require.False(t, renamed.MatchesGroup(ev))
 }
 
-// A head cook's term plan is large. Its repeat must not take the home that
-// sends it for a silent one.
+// The answer to a request is large. Its repeat must not count the home that transfers the
+// answer as silent.
 func TestLargeAnswerComesWithTheWait(t *testing.T) {
 	l := ledger.New(ledger.DefaultLimits, start)
 	open(l, time.Hour, "k", 1)
--- a/internal/ledger/messages.go
+++ b/internal/ledger/messages.go
@@ -6,30 +6,29 @@
 	"pollencroft/internal/cell"
 )
 
-// Event is what the key ledger is told.
+// Event is an input of Ledger.Step.
 type Event interface{ event() }
 
-// Open asks whether a keyed request may be sent on. Attempt is 1 for the
-// caller's first try.
+// Open asks whether a keyed request may be sent. Attempt is 1 for the caller's first try.
 type Open struct {
 	Key     string `json:"key"`
 	Digest  uint64 `json:"digest"`
 	Attempt int    `json:"attempt"`
-	// Try names this try of the key; no two tries share a name.
+	// Try identifies this try of the key. No two tries share an identifier.
 	Try string `json:"try,omitempty"`
-	// Host and Inc name the entry host that asks and its incarnation.
+	// Host and Incarnation identify the entry host that asks.
 	Host        string `json:"host,omitempty"`
 	Incarnation int64  `json:"inc,omitempty"`
-	// Domain is the failure domain whose homes are asked, and Group the digest
-	// of those homes' names, so that hosts with unlike settings notice it.
+	// Domain is the failure domain whose homes are asked. Group is the digest of the names
+	// of these homes; it reveals hosts whose settings differ.
 	Domain string `json:"domain,omitempty"`
 	Group  uint64 `json:"group,omitempty"`
 	// Remaining is how long the try may still run.
 	Remaining cell.Duration `json:"left,omitzero"`
 }
 
-// Close keeps what became of a keyed request. Refused means that it provably
-// did not run: the key is given back, if this try holds it.
+// Close records how a keyed request ended. The outcome Refused means that the request
+// certainly did not run: the key is released if this try holds it.
 type Close struct {
 	Key    string `json:"key"`
 	Digest uint64 `json:"digest,omitempty"`
@@ -37,8 +36,8 @@
 	Answer Answer `json:"answer"`
 }
 
-// Await asks to be told once the running try of a key has ended. ID names the
-// waiter, Until is when it gives up.
+// Await asks for a notification when the running try of a key has ended. ID identifies the
+// waiter, and Until is when it gives up.
 type Await struct {
 	Key, ID string
 	Until   time.Time
@@ -47,16 +46,16 @@
 // CancelAwait ends a wait whose waiter has gone.
 type CancelAwait struct{ ID string }
 
-// Heartbeat is the last sign of life of an entry host.
+// Heartbeat is the last heartbeat of an entry host.
 type Heartbeat struct {
 	Incarnation int64
 	At          time.Time
 }
 
-// HostHeartbeats tells the last sign of life of every other entry host.
+// HostHeartbeats carries the last heartbeat of each entry host.
 type HostHeartbeats struct{ Heartbeats map[string]Heartbeat }
 
-// Tick lets time pass.
+// Tick advances the time.
 type Tick struct{}
 
 func (Open) event()           {}
@@ -66,7 +65,7 @@
 func (HostHeartbeats) event() {}
 func (Tick) event()           {}
 
-// Action is what the ledger asks its edge to do.
+// Action is an output of Ledger.Step, for the caller to carry out.
 type Action interface{ action() }
 
 // Verdict answers an Open.
@@ -85,37 +84,37 @@
 func (Verdict) action() {}
 func (Woken) action()   {}
 
-// State says what is known of a key.
+// State is what a home knows about a key.
 type State string
 
-// What a ledger may say of a key.
+// The states of a key.
 const (
-	// Fresh means that the key is now kept and the request may be sent.
+	// Fresh means that the home now holds the key and the request may be sent.
 	Fresh State = "fresh"
 	// Running means that another try of this key was sent and has no answer yet.
 	Running State = "running"
-	// Answered means that the stored answer is the answer.
+	// Answered means that the key has a stored answer.
 	Answered State = "known"
 	// Mismatch means that the key was used with another request.
 	Mismatch State = "other"
-	// Unconfirmed means that this home cannot vouch for the key.
+	// Unconfirmed means that this home cannot guarantee that the key was not used before.
 	Unconfirmed State = "blind"
 	// Lost means that a try was running on an entry host that is gone.
 	Lost State = "lost"
-	// Released means that the try that was waited for gave the key back.
+	// Released means that the awaited try released the key without running the request.
 	Released State = "free"
-	// FutureKey means that the key's own time is in the future.
+	// FutureKey means that the time in the key is too far ahead of the home's clock.
 	FutureKey State = "ahead"
 )
 
-// Answer is a whole answer as it is kept under its key.
+// Answer is a complete answer as it is stored under its key.
 type Answer struct {
 	Outcome cell.Outcome      `json:"outcome"`
 	Status  int               `json:"status"`
 	Header  map[string]string `json:"header,omitempty"`
 	Body    []byte            `json:"body,omitempty"`
 	Reason  string            `json:"reason,omitempty"`
-	// RetryAfter is how long to wait before the next try.
+	// RetryAfter is how long the caller waits before the next try.
 	RetryAfter cell.Duration `json:"again,omitzero"`
 	At         time.Time     `json:"-"`
 }
--- a/internal/ledger/plan.go
+++ b/internal/ledger/plan.go
@@ -10,17 +10,17 @@
 	"pollencroft/internal/member"
 )
 
-// A key's homes have weights, and a try needs more than half of the group's
-// weight to hold the key: any two such sets meet, whoever is taken for alive
-// by whom.
+// Each home of a key has a weight. A try needs homes with more than half of the weight of
+// the group to hold the key. Any two such sets of homes overlap, no matter which hosts each
+// side takes to be alive.
 const (
-	// groupSize is how many hosts of one failure domain may be a key's homes.
+	// groupSize is the largest number of homes of a key in one failure domain.
 	groupSize = 3
-	// ownWeight is that of a home in the failure domain: two of them are always
-	// enough, so that a domain which is cut off goes on.
+	// ownWeight is the weight of a home in the failure domain itself. Two of these homes
+	// are always enough, so that a domain that is cut off from the others keeps working.
 	ownWeight = 2
-	// A domain of two hosts gets witnesses elsewhere. With two of the three one
-	// host goes on when the other is gone.
+	// A domain of two hosts gets witnesses in other domains. With two of the three
+	// witnesses, one host keeps working when the other is gone.
 	witnesses     = 3
 	witnessWeight = 1
 )
@@ -28,14 +28,14 @@
 // Host is an entry host as the settings list it.
 type Host struct{ Name, Domain string }
 
-// Group are the hosts that may be a key's homes in one failure domain.
+// Group lists the hosts that may be homes of a key for one failure domain.
 type Group struct {
 	Domain string
 	// Homes are in the order in which they are asked.
 	Homes []Home
-	// RequiredWeight is the weight of the homes that must hold the key.
+	// RequiredWeight is the total weight of the homes that must hold the key.
 	RequiredWeight int
-	// Digest is that of the homes' names.
+	// Digest is the hash of the names of the homes.
 	Digest uint64
 }
 
@@ -45,15 +45,15 @@
 	Weight int
 }
 
-// Plan names the homes of keys. It follows from the settings' list of entry
-// hosts alone: were it to follow from who is taken for alive, hosts that
-// disagree could each find two homes that have never seen the key.
+// Plan chooses the homes of keys. It depends only on the list of entry hosts in the
+// settings. If it depended on which hosts are taken to be alive, hosts that disagree could
+// each find two homes that have never seen the key.
 type Plan struct {
 	self    Host
 	domains map[string][]string
 }
 
-// NewPlan returns the plan of the host self among all hosts of the settings.
+// NewPlan returns the plan of the host self. others are all other hosts of the settings.
 func NewPlan(self Host, others []Host) Plan {
 	p := Plan{self: self, domains: map[string][]string{}}
 	for _, h := range append([]Host{self}, others...) {
@@ -65,11 +65,11 @@
 	return p
 }
 
-// Groups returns whom to ask for a try of a key. A first try needs its own
-// failure domain only, so that a domain which is cut off goes on. A later one
-// needs every domain, in an order that is the same for all hosts, because the
-// try before may have gone to another domain. Live says who is taken for
-// alive; it decides only who is asked first.
+// Groups returns the groups that a try of a key has to ask. A first try needs only the
+// group of its own failure domain, so that a domain that is cut off keeps working. A later
+// try needs the groups of all domains, because the try before it may have gone to another
+// domain; their order is the same on all hosts. live reports which hosts are taken to be
+// alive and affects only the order in which homes are asked.
 func (p Plan) Groups(key string, attempt int, live func(name string) bool) []Group {
 	if attempt <= 1 {
 		return []Group{p.group(key, p.self.Domain, live)}
@@ -135,8 +135,8 @@
 	return all
 }
 
-// MatchesGroup tells whether this host's settings name the same homes as those of
-// the host that asks. Homes of unlike groups need not meet.
+// MatchesGroup reports whether this host's settings name the same homes as the settings of
+// the host that asks. Groups from different settings may not overlap.
 func (p Plan) MatchesGroup(ev Open) bool {
 	return p.group(ev.Key, ev.Domain, func(string) bool { return true }).Digest == ev.Group
 }
--- a/internal/ledger/random_test.go
+++ b/internal/ledger/random_test.go
@@ -17,19 +17,19 @@
 )
 
 func init() {
-	// CI gives the same verdict every time.
+	// A fixed seed makes the result in CI reproducible.
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
 	}
 }
 
-// invariantError tells how a history broke a promise.
+// invariantError reports how a history violated an invariant.
 type invariantError struct{ what, key string }
 
 func (e *invariantError) Error() string { return fmt.Sprintf("%s: key %s", e.what, e.key) }
 
-// history is one random course of tries, faults and messages. Draw chooses a
-// number below n.
+// history is a random sequence of tries, faults and messages. draw returns a random number
+// below n.
 type history struct {
 	*simulation
 	draw       func(n int) int
@@ -38,7 +38,8 @@
 	tries      []*try
 }
 
-// twoHosts is the smallest domain that can lose a host, beside a larger one.
+// twoHosts has a domain of two hosts, the smallest that can lose a host, beside a larger
+// domain.
 var twoHosts = []ledger.Host{cellHosts[0], cellHosts[1], cellHosts[3], cellHosts[4], cellHosts[5]}
 
 func newHistory(draw func(int) int, rule rule) *history {
@@ -54,8 +55,8 @@
 	return &history{simulation: w, draw: draw, firstTried: map[string]time.Time{}}
 }
 
-// newTry is a caller's or a balancer's. The balancer repeats a first try in
-// the same domain and within the repeat window, as the operators are told.
+// newTry starts a try of a caller or of a load balancer. The balancer repeats a first try
+// in the same domain and within the repeat window, as the operators are instructed.
 func (h *history) newTry() {
 	if len(h.keys) == 0 || h.draw(3) == 0 {
 		ahead := time.Duration(h.draw(6000)-3000) * time.Millisecond
@@ -140,9 +141,9 @@
 	return nil
 }
 
-// Hosts die, are replaced without their memory, lose other domains and
-// disagree about who lives, while repeats of scans come in anywhere. No day
-// pass is spent twice and nobody is told wrong.
+// Hosts crash, are replaced without their memory, lose contact with other domains and
+// disagree about which hosts are alive, while repeats of requests arrive at any host. No
+// request may run twice, and no caller may get a false outcome.
 func TestNoHistoryRunsAKeyTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") }
@@ -150,7 +151,7 @@
 	})
 }
 
-// The oracle has to notice a rule that is left out.
+// The check of random histories must detect each rule that is left out.
 func TestHistoriesFindBrokenRules(t *testing.T) {
 	rules := maps.Clone(brokenRules)
 	rules["homes follow from who is live"] = rule{group: allRules.group, byLive: true}
@@ -170,5 +171,5 @@
 		require.NoError(t, h.play(120), "history %d", seed)
 		done += len(h.ran)
 	}
-	t.Logf("all rules kept: %d keys ran in 5000 histories", done)
+	t.Logf("all rules in force: %d keys ran in 5000 histories", done)
 }
--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -8,30 +8,30 @@
 	"pollencroft/internal/cell"
 )
 
-// maxRounds bounds how often a try begins again after another try gave the
-// key back. Two tries that meet half-way could else go on so for ever.
+// maxRounds bounds how often a try starts over after another try released the key. Without
+// the bound, two concurrent tries could block each other forever.
 const maxRounds = 4
 
-// TryEvent is what one try of a keyed request is told.
+// TryEvent is an input of Try.Step.
 type TryEvent interface{ runEvent() }
 
 // Begin starts the try.
 type Begin struct{}
 
-// HomeAnswered is a home's answer to an Ask or a Wait.
+// HomeAnswered carries a home's answer to an AskHome or an AwaitHome.
 type HomeAnswered struct {
 	Home    string
 	Verdict Verdict
 }
 
-// HomeSilent tells that a home gave no answer, whether or not it was asked.
+// HomeSilent reports that a home gave no answer, whether or not the question reached it.
 type HomeSilent struct{ Home string }
 
-// RequestEnded tells how the request ended after it was let go by a Send.
+// RequestEnded reports how the request ended after a Send.
 type RequestEnded struct{ Answer Answer }
 
-// Canceled tells that the caller has gone or the deadline has passed before
-// the request was let go.
+// Canceled reports that the caller has gone or the deadline has passed before the request
+// was sent.
 type Canceled struct{}
 
 func (Begin) runEvent()        {}
@@ -40,26 +40,26 @@
 func (RequestEnded) runEvent() {}
 func (Canceled) runEvent()     {}
 
-// TryAction is what a try asks its edge to do. Of Ask, Wait, Send and Tell
-// each step returns exactly one, as the last.
+// TryAction is an output of Try.Step, for the caller to carry out. Each step returns
+// exactly one of AskHome, AwaitHome, Send and Reply, as its last action.
 type TryAction interface{ runAction() }
 
-// AskHome puts an Open to a home.
+// AskHome sends an Open to a home.
 type AskHome struct {
 	Home string
 	Open Open
 }
 
-// AwaitHome asks a home to say when the running try has ended.
+// AwaitHome asks a home to report when the running try has ended.
 type AwaitHome struct{ Home, Key string }
 
-// Send lets the request go on to a backend server, once.
+// Send sends the request to a backend server, once.
 type Send struct{}
 
-// Reply is the final answer to the caller.
+// Reply returns the final answer to the caller.
 type Reply struct{ Answer Answer }
 
-// RecordEnd tells a home how the try ended; its answer is not awaited.
+// RecordEnd tells a home how the try ended. Its answer is not awaited.
 type RecordEnd struct {
 	Home  string
 	Close Close
@@ -71,26 +71,25 @@
 func (Reply) runAction()     {}
 func (RecordEnd) runAction() {}
 
-// Try is the core of one try of a keyed request at its entry host: it lets
-// the request go only when enough homes of every group hold its key.
+// Try is the state machine of one try of a keyed request at its entry host. It sends the
+// request only after enough homes of every group hold its key.
 type Try struct {
 	open   Open
 	groups []Group
 	round  int
-	// group and home are the next to be asked, heldWeight is the weight of the homes
-	// of the group that hold the key.
+	// group and home are the indexes of the next home to ask. heldWeight is the weight of
+	// the homes of the group that hold the key.
 	group, home, heldWeight int
-	// mayHold are the homes that may hold the key for this round.
+	// mayHold lists the homes that may hold the key for this round.
 	mayHold []string
 	sent    bool
 	done    bool
 }
 
-// NewTry returns the core of one try. Open's fields Domain and Group are
-// filled in from the groups.
+// NewTry returns a try. The fields Domain and Group of open are set from the groups.
 func NewTry(open Open, groups []Group) *Try { return &Try{open: open, groups: groups} }
 
-// Step takes one event. After a Tell nothing more happens.
+// Step handles one event. After a Reply it ignores all events.
 func (r *Try) Step(ev TryEvent) []TryAction {
 	if r.done {
 		return nil
@@ -110,8 +109,8 @@
 	return nil
 }
 
-// roundID names the round: a late end of an earlier round must not take away what
-// a home holds for this one.
+// roundID identifies the round. It prevents a late Close of an earlier round from releasing
+// the key that a home holds for this one.
 func (r *Try) roundID() string { return r.open.Try + "/" + strconv.Itoa(r.round) }
 
 func (r *Try) askNext() []TryAction {
@@ -137,7 +136,7 @@
 
 func (r *Try) onHomeSilent() []TryAction {
 	if len(r.mayHold) == 0 {
-		// The home that was waited for has gone; the others may know the end.
+		// The awaited home is gone; the other homes may know how the try ended.
 		return r.restart()
 	}
 	return r.askNext()
@@ -178,8 +177,8 @@
 	return append(back, r.askNext()...)
 }
 
-// releaseKey frees the key at the homes that may hold it for a try that was
-// never let go.
+// releaseKey releases the key at the homes that may hold it, for a request that was not
+// sent.
 func (r *Try) releaseKey() []TryAction {
 	return r.recordEnd(Answer{Outcome: cell.Refused})
 }
@@ -193,7 +192,7 @@
 	return all
 }
 
-// finishUnsent ends a try that was never let go.
+// finishUnsent ends a try whose request was not sent.
 func (r *Try) finishUnsent(a Answer) []TryAction {
 	if r.sent {
 		return nil
--- a/internal/ledger/steps_test.go
+++ b/internal/ledger/steps_test.go
@@ -13,15 +13,15 @@
 	"pollencroft/internal/ledger"
 )
 
-// stepRow is one line of the table: after which step of the first try what
-// goes wrong, and what each kind of repeat is told.
+// stepRow is one row of the table: which fault occurs after which step of the first try,
+// and the outcome that each kind of repeat gets.
 type stepRow struct {
 	Step, Fault             string
 	Here, Twin, Away, Other string
 }
 
-// steps are the points of a first try, as the number of its actions that were
-// carried out: two questions to homes, the sending, two ends kept, the answer.
+// steps are the points of a first try, as the number of its actions that were carried out:
+// two questions to homes, the request, two recorded ends and the reply.
 var steps = map[string]int{
 	"nothing asked": 0, "first home holds": 1, "both homes hold": 2, "sent": 3, "first home told": 4, "both homes told": 5, "caller told": 6,
 }
@@ -34,7 +34,7 @@
 
 func live(string) bool { return true }
 
-// timedKey returns a key that was made at a time.
+// timedKey returns a key that carries the given time.
 func timedKey(at time.Time, n byte) string {
 	var id uuid.UUID
 	ms := at.UnixMilli()
@@ -68,8 +68,8 @@
 	"domain is cut off":       func(s *scenario) { s.cut["nord"] = true },
 }
 
-// repeats arrive while the first try stands at its step; its host goes on
-// only afterwards, as far as it can.
+// repeats start while the first try is stopped at its step. The host of the first try
+// continues only afterwards, as far as it can.
 var repeats = map[string]func(s *scenario) *try{
 	"here":  func(s *scenario) *try { return s.simulation.try(s.other(), s.try.key, 1, 2, live) },
 	"twin":  func(s *scenario) *try { return s.simulation.try(s.other(), s.try.key, 1, 1, live) },
@@ -77,7 +77,7 @@
 	"other": func(s *scenario) *try { return s.simulation.try(s.other(), s.try.key, 2, 2, live) },
 }
 
-// other is a live host of the first try's domain, not its entry host.
+// other returns a live host of the first try's domain that is not its entry host.
 func (s *scenario) other() string {
 	if s.dead[s.second] {
 		return s.first
@@ -97,9 +97,10 @@
 	return table.Row
 }
 
-// playRow lets the first try go to its step, brings the fault about, then
-// lets the repeat go as far as it can, the first try likewise, and the repeat
-// to its end. It returns what the repeat's caller was told.
+// playRow runs the first try up to its step, causes the fault, and runs the repeat as far
+// as possible, then the first try likewise, and then the repeat to its end. If the fault
+// affects the entry host, the repeat ends before the first try continues. It returns the
+// outcome that the caller of the repeat got.
 func playRow(row stepRow, kind string, rule rule) (*scenario, string) {
 	s := newScenario(rule)
 	for range steps[row.Step] {
@@ -122,10 +123,10 @@
 	return s, rep.finish()
 }
 
-// A gate scan is repeated by its turnstile, by the balancer, in another failure
-// domain or under the same key with another body, while anything at all goes
-// wrong at any step of the first try. The visitor's day pass must be spent at
-// most once, and nobody may be told "refused" of a scan that ran.
+// A request is repeated by its client, by the load balancer, in another failure domain or
+// under the same key with another body, while any fault occurs at any step of the first
+// try. The request must run at most once, and no caller may get "refused" for a request
+// that ran.
 func TestEveryStepAndFault(t *testing.T) {
 	rows := loadSteps(t)
 	require.Len(t, rows, len(steps)*len(faults))
@@ -146,7 +147,7 @@
 	}
 }
 
-// A rule that is left out must show in the table, else the table proves nothing.
+// The table must detect each rule that is left out; otherwise it proves nothing.
 func TestTableFindsBrokenRules(t *testing.T) {
 	for name, rule := range brokenRules {
 		twice := 0
@@ -158,12 +159,12 @@
 			}
 		}
 		require.Positive(t, twice, name)
-		t.Logf("%s: %d of the table's cells ran twice", name, twice)
+		t.Logf("%s: the request ran twice in %d cells of the table", name, twice)
 	}
 }
 
-// An entry host dies with a scan in flight. The turnstile that repeats the scan
-// must hear at once that nobody knows its end, not after its whole deadline.
+// An entry host crashes with a request in flight. A repeat must get the outcome unknown at
+// once, not after its whole deadline.
 func TestRepeatOfADeadHostsTryIsToldAtOnce(t *testing.T) {
 	for _, fault := range []string{"entry host dies", "entry host is replaced"} {
 		s := newScenario(allRules)
@@ -177,9 +178,9 @@
 	}
 }
 
-// A failure domain has two entry hosts, and one of them dies together with a
-// host of another domain. Its gate scans must go on, also keyed ones; cut off
-// from the others, both of its hosts together do.
+// A failure domain has two entry hosts, and one of them crashes together with a host of
+// another domain. The remaining host must go on serving requests, including keyed ones. If
+// the domain is cut off from the others, its two hosts must do so together.
 func TestTwoHostDomainGoesOn(t *testing.T) {
 	for name, fault := range map[string]func(w *simulation){
 		"one host and one witness die": func(w *simulation) { w.dead["nord-1"], w.dead["sued-0"] = true, true },
--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -9,8 +9,8 @@
 	"pollencroft/internal/ledger"
 )
 
-// simulation plays entry hosts, homes and backend servers with the real cores; a
-// test chooses which message goes next and who dies.
+// simulation runs entry hosts, homes and backend servers with the real state machines. A
+// test chooses which message is delivered next and which host crashes.
 type simulation struct {
 	now     time.Time
 	limits  ledger.Limits
@@ -24,7 +24,8 @@
 	ran     map[string]int
 	tries   int
 	rule    rule
-	// lossy chooses what becomes of a message; late holds those on their way.
+	// lossy chooses whether a message is delivered, delayed or lost. late holds the delayed
+	// messages.
 	lossy func(n int) int
 	late  []func()
 }
@@ -34,18 +35,18 @@
 	{Name: "sued-0", Domain: "sued"}, {Name: "sued-1", Domain: "sued"}, {Name: "sued-2", Domain: "sued"},
 }
 
-// rule bends the rules of a world; whole keeps them all.
+// rule changes the rules of a simulation. allRules changes none.
 type rule struct {
-	// older makes homes vouch for a time before they started.
+	// older makes homes confirm keys from this long before their start.
 	older time.Duration
 	group func(*ledger.Group)
-	// byLive lets the homes follow from who is taken for alive.
+	// byLive chooses the homes from the hosts that are taken to be alive.
 	byLive bool
 }
 
 var allRules = rule{group: func(*ledger.Group) {}}
 
-// brokenRules each leave out one rule that at most once rests on.
+// brokenRules each leave out one rule that the at-most-once guarantee depends on.
 var brokenRules = map[string]rule{
 	"one home is enough":    {group: func(g *ledger.Group) { g.RequiredWeight = 1 }},
 	"blind counts as fresh": {group: allRules.group, older: time.Hour},
@@ -63,7 +64,7 @@
 	return w
 }
 
-// replace starts a host anew, without its predecessor's memory.
+// replace restarts a host without its memory.
 func (w *simulation) replace(name string) {
 	w.ledgers[name] = ledger.New(w.limits, w.clock(name).Add(-w.rule.older))
 	w.inc[name]++
@@ -72,7 +73,7 @@
 
 func (w *simulation) clock(name string) time.Time { return w.now.Add(w.skew[name]) }
 
-// stepHome gives a home an event at its own time.
+// stepHome passes an event to a home at the home's own time.
 func (w *simulation) stepHome(name string, ev ledger.Event) []ledger.Action {
 	return w.ledgers[name].Step(w.clock(name), ev)
 }
@@ -89,7 +90,7 @@
 	return !w.isDown(from) && !w.isDown(to) && (a == b || !w.cut[a] && !w.cut[b])
 }
 
-// tick lets time pass; live hosts give signs of life.
+// tick advances the time. Live hosts send heartbeats.
 func (w *simulation) tick(d time.Duration) {
 	w.now = w.now.Add(d)
 	for name := range w.ledgers {
@@ -106,8 +107,8 @@
 	}
 }
 
-// try is one try at one entry host. Its next message is in do; what it has
-// told its caller is in told.
+// try is one try at one entry host. actions are the pending actions, and reply is what the
+// caller got.
 type try struct {
 	w       *simulation
 	host    string
@@ -152,8 +153,8 @@
 
 func (t *try) hostReplaced() bool { return t.w.dead[t.host] || t.w.inc[t.host] != t.inc }
 
-// step takes the try's next action to where it goes; false when it has ended,
-// waits or its host is gone.
+// step carries out the next action of the try. It returns false if the try has ended or
+// waits, or if its host is down.
 func (t *try) step() bool {
 	if t.hostReplaced() || t.w.paused[t.host] || len(t.actions) == 0 {
 		return false
@@ -178,7 +179,7 @@
 	return true
 }
 
-// post sends a message that nobody awaits: now, later or never.
+// post sends a message whose answer is not awaited. It arrives now, later or never.
 func (w *simulation) post(from, to string, ev ledger.Event) {
 	if !w.reaches(from, to) {
 		return
@@ -202,7 +203,7 @@
 	case 1: // the answer is lost
 		t.w.stepHome(a.Home, a.Open)
 		return ledger.HomeSilent{Home: a.Home}
-	case 2: // the question arrives when nobody waits for its answer
+	case 2: // the question arrives after the asking host has stopped waiting
 		t.w.late = append(t.w.late, func() { t.w.stepHome(a.Home, a.Open) })
 		return ledger.HomeSilent{Home: a.Home}
 	}
@@ -229,8 +230,8 @@
 	}
 }
 
-// finish runs a try until it has told its caller something; the wait for a
-// running try is bounded by the deadline of that try.
+// finish runs a try until its caller got a reply. The wait for a running try is bounded by
+// the deadline of that try.
 func (t *try) finish() string {
 	for range 200 {
 		for t.step() {
