--- a/internal/relay/ends.go
+++ b/internal/relay/ends.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// closeTimeout bounds one telling of keys' ends. A connection that has gone
-	// silent is replaced within the time of two, so that one of closeTries gets
-	// through; without it repeats would wait for an end that is there.
+	// closeTimeout bounds one message that reports ends of keys to a home. A connection
+	// that has gone silent is replaced within two such timeouts, so that one of closeTries
+	// messages gets through. Otherwise repeats would wait for an end that is already known.
 	closeTimeout = time.Second
-	// closeRate is the rate in bytes a second that answers are given besides.
+	// closeRate extends closeTimeout by one second for this many bytes of answers.
 	closeRate  = 256 << 10
 	closeTries = 4
-	// closeBatch is how many ends go into one message, and closeBytes after how
-	// many bytes of answers it is full. Ends that come while one message is on
-	// its way share the next, which halves the cost of a keyed request.
+	// closeBatch is how many ends one message holds, and closeBytes is after how many bytes
+	// of answers it is full. Ends that arrive while a message is in flight share the next
+	// one, which halves the cost of a keyed request.
 	closeBatch = 128
 	closeBytes = 1 << 20
-	// maxQueuedEnds bounds the ends that wait for one home.
+	// maxQueuedEnds bounds the ends that are queued for one home.
 	maxQueuedEnds = 4096
 )
 
-// keyEnds are the keyEnds of keys that homes are still to be told, by home.
+// keyEnds queues the ends of keys that are still to be reported, by home.
 type keyEnds struct {
 	mu      sync.Mutex
 	waiting map[string][]ledger.Close
@@ -36,8 +36,8 @@
 	wg      sync.WaitGroup
 }
 
-// queueEnd tells a home how a try ended. The caller does not wait for it: a
-// home that has gone silent would hold back an answer that is there.
+// queueEnd queues the end of a try for a home. The caller does not wait for it to be
+// delivered: a silent home would delay an answer that is already available.
 func (x *Relay) queueEnd(a ledger.RecordEnd) {
 	if a.Home == x.Name {
 		x.CloseKey(a.Close)
@@ -50,7 +50,7 @@
 		e.waiting, e.sending = map[string][]ledger.Close{}, map[string]bool{}
 	}
 	if len(e.waiting[a.Home]) >= maxQueuedEnds {
-		x.Log.Warn("ledger: too many keys' ends wait for a home.", "home", a.Home)
+		x.Log.Warn("ledger: dropped the end of a key, the queue for its home is full.", "home", a.Home)
 		return
 	}
 	e.waiting[a.Home] = append(e.waiting[a.Home], a.Close)
@@ -70,7 +70,8 @@
 	}
 }
 
-// nextBatch returns the next ends for a home; without any the home is not busy.
+// nextBatch removes and returns the next ends for a home. If there are none, it marks the
+// sending to this home as finished.
 func (e *keyEnds) nextBatch(home string) []ledger.Close {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -101,13 +102,13 @@
 		if err == nil {
 			return
 		}
-		x.Log.Warn("ledger: keys' ends not kept.", "home", home, "ends", len(batch), "err", err)
+		x.Log.Warn("ledger: failed to report the ends of keys to a home.", "home", home, "ends", len(batch), "err", err)
 		if !errors.As(err, &silent) {
 			return
 		}
 	}
 }
 
-// FlushKeyEnds waits until the homes were told the ends of all requests. A planned
-// stop calls it: homes that were not told would answer repeats with unknown.
+// FlushKeyEnds waits until the homes have been told the ends of all requests. A planned
+// stop calls it, because homes that were not told would answer repeats with unknown.
 func (x *Relay) FlushKeyEnds() { x.ends.wg.Wait() }
--- a/internal/relay/hedge.go
+++ b/internal/relay/hedge.go
@@ -12,18 +12,18 @@
 	"pollencroft/internal/queue"
 )
 
-// maxHedgeDelay bounds how long an idempotent request waits for one backend
-// server before another is asked too.
+// maxHedgeDelay bounds how long an idempotent request waits for one backend server before
+// it is also sent to another.
 const maxHedgeDelay = time.Second
 
-// hedgeSuffix tells the second try of a request from its first by its id.
+// hedgeSuffix distinguishes the ID of a request's second try from the ID of its first.
 const hedgeSuffix = ".2"
 
-// sendHedged sends a request and, when its row is idempotent and nothing has come
-// for a while, sends it to another backend server too: the connection may have
-// gone silent, and its caller would wait until the deadline. The first try
-// keeps its slot and may still win, so that a server which is merely slow
-// loses nothing. The second comes out of the row's retry budget.
+// sendHedged sends a request. If its row is idempotent and no answer arrives for a while,
+// it also sends the request to another backend server: the connection may have gone silent,
+// and the caller would wait until the deadline. The first try keeps its slot and may still
+// answer first, so that a server that is only slow loses nothing. The second try counts
+// against the row's retry budget.
 func (x *Relay) sendHedged(ctx context.Context, ask queue.Enqueue, a queue.Send, req call.Request) try {
 	row, _ := x.Row(req.Row)
 	if !row.Idempotent {
@@ -38,7 +38,7 @@
 		return t
 	case <-hedgeTimer.C:
 	}
-	// The server that is waited for may end, too.
+	// The connection to the first server may still break and then counts as well.
 	if len(req.Lost)+1 >= maxLostServers || !x.mayRetry(row, mayHaveRun) {
 		return <-ends
 	}
@@ -51,8 +51,8 @@
 	return betterReply(t, <-ends)
 }
 
-// sendSecond sends a request on a slot that is free now, or not at all: waiting in
-// the queue a sendSecond time would take the place of others.
+// sendSecond sends a request on a slot that is free now, or not at all. If it waited in the
+// queue a second time, it would take the place of other requests.
 func (x *Relay) sendSecond(ctx context.Context, ask queue.Enqueue, a queue.Send, req call.Request) try {
 	req.ID += hedgeSuffix
 	ask.ID += hedgeSuffix
@@ -66,8 +66,8 @@
 	return try{reply: call.Refuse(http.StatusServiceUnavailable, string(queue.Busy), 0)}
 }
 
-// betterReply is what the caller is told of two tries. One that may have run goes
-// before one that was refused, which alone would claim that nothing ran.
+// betterReply selects which of two tries the caller is told about. A try that may have run
+// takes precedence over one that was refused, which alone would claim that nothing ran.
 func betterReply(a, b try) try {
 	rank := map[cell.Outcome]int{cell.Done: 2, cell.Unknown: 1, cell.Refused: 0}
 	lost := append(a.reply.Lost, b.reply.Lost...)
--- a/internal/relay/home.go
+++ b/internal/relay/home.go
@@ -12,16 +12,16 @@
 	"pollencroft/internal/peer"
 )
 
-// homeState is this host's side as a homeState of keys.
+// homeState is the state of this host as a home of keys.
 type homeState struct {
 	mu      sync.Mutex
 	waiting map[string]chan ledger.Verdict
 }
 
-// OpenKey answers for this host as a key's home.
+// OpenKey answers an Open on behalf of this host as a home of the key.
 func (x *Relay) OpenKey(ev ledger.Open) ledger.Verdict {
 	if !x.Plan.MatchesGroup(ev) {
-		x.Log.Warn("ledger: settings name other homes.", "host", ev.Host, "domain", ev.Domain)
+		x.Log.Warn("ledger: the asking host's settings name other homes for a key.", "host", ev.Host, "domain", ev.Domain)
 		return ledger.Verdict{Key: ev.Key, State: ledger.Unconfirmed}
 	}
 	x.home.mu.Lock()
@@ -31,18 +31,18 @@
 	return v
 }
 
-// CloseKey keeps how a keyed request ended.
+// CloseKey records how a keyed request ended.
 func (x *Relay) CloseKey(ev ledger.Close) { x.stepHome(ev) }
 
-// CloseKeys keeps how several keyed requests ended.
+// CloseKeys records how several keyed requests ended.
 func (x *Relay) CloseKeys(all []ledger.Close) {
 	for _, ev := range all {
 		x.CloseKey(ev)
 	}
 }
 
-// AwaitKey returns once the running try of a key has ended, the time that is
-// left has passed or the waiter has gone.
+// AwaitKey returns when the running try of a key has ended, when the time in m has passed,
+// or when ctx is done.
 func (x *Relay) AwaitKey(ctx context.Context, m peer.AwaitKey) ledger.Verdict {
 	id := cell.NewID()
 	c := make(chan ledger.Verdict, 1)
@@ -76,8 +76,8 @@
 	}
 }
 
-// tickHome lets time pass and tells the ledger which entry hosts live, so
-// that a repeat does not wait for a host that is gone.
+// tickHome advances the time of the ledger and passes it the heartbeats of the entry hosts,
+// so that a repeat does not wait for a host that is gone.
 func (x *Relay) tickHome() {
 	_, beats := x.Members()
 	signs := map[string]ledger.Heartbeat{x.Name: {Incarnation: x.Incarnation, At: x.Clock()}}
@@ -89,8 +89,8 @@
 	x.updateGauges()
 }
 
-// updateGauges shows what this home keeps. Reach is how far back it knows every key
-// that it was asked for, in milliseconds.
+// updateGauges updates the metrics of this home. ledger.reach is the period in milliseconds
+// for which the home knows every key that it was asked about.
 func (x *Relay) updateGauges() {
 	x.home.mu.Lock()
 	defer x.home.mu.Unlock()
@@ -102,7 +102,8 @@
 	set("minion.dropped", x.Minions.Dropped())
 }
 
-// liveHosts returns who is taken for alive, in any failure domain.
+// liveHosts returns a function that reports whether a host of any failure domain is taken
+// to be alive.
 func (x *Relay) liveHosts() func(string) bool {
 	_, beats := x.Members()
 	live := map[string]bool{x.Name: true}
--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -11,16 +11,18 @@
 	"pollencroft/internal/peer"
 )
 
-// Waits for a key's homes.
+// Times for requests with a key.
 const (
-	// openTimeout bounds one question to a home. A home that takes longer counts
-	// as silent and the next one is asked.
+	// openTimeout bounds one Open to a home. A home that takes longer counts as silent, and
+	// the next one is asked.
 	openTimeout = 250 * time.Millisecond
-	// keyRetryAfter is when a caller that was told unknown may ask again.
+	// keyRetryAfter is how long a caller whose outcome is unknown should wait before it
+	// asks again.
 	keyRetryAfter = time.Second
 )
 
-// runKeyed runs a request under its key: once, whatever repeats arrive where.
+// runKeyed runs a request under its key, so that it is sent only once, whichever hosts its
+// repeats reach.
 func (x *Relay) runKeyed(ctx context.Context, req call.Request) call.Reply {
 	lookupCtx, cancel := context.WithTimeout(ctx, req.Deadline.Sub(x.Clock()))
 	defer cancel()
--- a/internal/relay/keyed_test.go
+++ b/internal/relay/keyed_test.go
@@ -31,8 +31,8 @@
 	"pollencroft/internal/table"
 )
 
-// node is the requests' part of one entry host, with real connections to its
-// peers and to one backend server.
+// node is the relay of one entry host, with real connections to its peers and to one
+// backend server.
 type node struct {
 	*relay.Relay
 	ahead time.Duration
@@ -40,7 +40,7 @@
 	mu    sync.Mutex
 	// kill closes the connections on which peers ask this node.
 	kill context.CancelFunc
-	// ignoreEnds is how many ends of keys it does not hear.
+	// ignoreEnds is how many messages with ends of keys the node leaves unanswered.
 	ignoreEnds atomic.Int32
 }
 
@@ -82,7 +82,7 @@
 	return nil, nil
 }
 
-// blockingServer is a backend server that holds each request until it is let go.
+// blockingServer is a backend server that holds each request until it is released.
 type blockingServer struct {
 	arrived chan *http.Request
 	release chan struct{}
@@ -146,7 +146,8 @@
 	return all, g
 }
 
-// start asks a node; the reply comes on the channel, the caller hangs up with cancel.
+// start sends a request to a node. The reply arrives on the channel, and cancel makes the
+// caller hang up.
 func (n *node) start(key string, attempt int) (<-chan call.Reply, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := make(chan call.Reply, 1)
@@ -171,14 +172,15 @@
 	require.Eventually(t, f, 10*time.Second, time.Millisecond)
 }
 
-// announceFreeSlots makes the first node take the second for one with announceFreeSlots slots.
+// announceFreeSlots makes the first node believe that the second has free slots.
 func announceFreeSlots(all []*node) {
 	all[0].setBeats(member.Heartbeat{Name: "nord-1", Domain: "nord", FreeSlots: 8})
 	all[0].Tick()
 }
 
-// A caller hangs up while the request waits for a slot, at once or after a peer
-// gave it back. Its place must be free and its key given back: the repeat runs.
+// A caller hangs up while its request waits for a slot, either at once or after a peer has
+// returned the request. Its place in the queue and its key must be released, so that the
+// repeat runs.
 func TestHangUpInTheQueueFreesPlaceAndKey(t *testing.T) {
 	for name, lent := range map[string]bool{"own queue": false, "given back by a peer": true} {
 		t.Run(name, func(t *testing.T) {
@@ -204,8 +206,8 @@
 	}
 }
 
-// A turnstile hangs up after its scan was sent and asks again at another
-// host. The scan runs on, and the repeat gets its answer, not a second run.
+// A caller hangs up after its request was sent and repeats it at another host. The request
+// runs on, and the repeat gets its answer instead of a second run.
 func TestSentRequestRunsOnAndItsAnswerIsKept(t *testing.T) {
 	for name, first := range map[string]int{"own slot": 1, "peer's slot": 0} {
 		t.Run(name, func(t *testing.T) {
@@ -220,14 +222,14 @@
 			reply := <-repeat
 			require.Equal(t, cell.Done, reply.Outcome)
 			require.Equal(t, "pass", string(reply.Body))
-			require.Empty(t, g.arrived, "it ran once")
+			require.Empty(t, g.arrived, "the request must run only once")
 		})
 	}
 }
 
-// An entry host dies with a scan in flight and its successor is up at once.
-// The repeat, which waits for the first try, is told unknown although the
-// backend server still works on it and the deadline is far.
+// An entry host crashes with a request in flight and restarts at once. The repeat, which
+// waits for the first try, gets the outcome unknown although the backend server still works
+// on the request and the deadline is far away.
 func TestWaitingRepeatIsToldWhenTheEntryHostIsGone(t *testing.T) {
 	all, g := newNodes(t, 0)
 	defer close(g.release)
@@ -253,8 +255,8 @@
 	}
 }
 
-// The word that a scan has ended is lost on its way to the key's homes. It is
-// told again; else the turnstile's repeat would be told unknown.
+// The message that a request has ended is lost on its way to the homes of the key. It is
+// sent again; otherwise the repeat would get the outcome unknown.
 func TestEndIsToldAgainWhenAHomeIsSilent(t *testing.T) {
 	all, g := newNodes(t, 0)
 	close(g.release)
@@ -263,7 +265,7 @@
 	}
 	key := cell.NewID()
 	first, _ := all[1].start(key, 1)
-	require.Equal(t, cell.Done, (<-first).Outcome, "the caller does not wait for the homes")
+	require.Equal(t, cell.Done, (<-first).Outcome, "the caller must not wait for the homes")
 	all[1].FlushKeyEnds()
 	all[1].kill()
 	repeat, _ := all[2].start(key, 2)
@@ -271,8 +273,8 @@
 	require.Len(t, g.arrived, 1)
 }
 
-// A large plan goes to a peer's slot and back. A head cook
-// must get all of it, and so must the repeat that finds it under its key.
+// A large body passes through a peer's slot and back. The caller must get all of it, and so
+// must the repeat that finds it under its key.
 func TestLargeBodyComesWholeFromAPeer(t *testing.T) {
 	all, g := newNodes(t, 0)
 	close(g.release)
@@ -294,9 +296,9 @@
 	require.Len(t, g.arrived, 1)
 }
 
-// Clocks of two hosts are an hour apart. A request that one hands to the other
-// must keep the time that its caller still waits, neither be refused as too
-// late nor wait an hour.
+// The clocks of two hosts differ by an hour. A request that one host passes to the other
+// must keep the time that its caller still waits: it must neither be refused as too late
+// nor wait an hour.
 func TestDeadlineIsTheTimeLeftOnEveryHop(t *testing.T) {
 	for _, ahead := range []time.Duration{-time.Hour, time.Hour} {
 		all, g := newNodes(t, ahead)
--- a/internal/relay/lent.go
+++ b/internal/relay/lent.go
@@ -9,8 +9,8 @@
 	"pollencroft/internal/spans"
 )
 
-// askPeer has a peer run a request. The caller may hang up meanwhile: a request
-// that was sent runs on, and its end belongs under its key.
+// askPeer asks a peer to run a request. The request runs on if the caller hangs up
+// meanwhile, because the end of a request that was sent has to be recorded under its key.
 func (x *Relay) askPeer(ctx context.Context, name string, req call.Request) (call.Reply, error) {
 	left := req.Deadline.Sub(x.Clock())
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), left+openTimeout)
@@ -20,7 +20,8 @@
 	return reply, err
 }
 
-// RunForPeer runs a request for a peer's caller on a slot that is free now.
+// RunForPeer runs a request that a peer received from its caller, on a slot that is free
+// now.
 func (x *Relay) RunForPeer(ctx context.Context, m peer.Relay) call.Reply {
 	req := m.Request
 	req.Deadline = x.Clock().Add(m.Remaining.Duration)
--- a/internal/relay/lost_test.go
+++ b/internal/relay/lost_test.go
@@ -11,10 +11,11 @@
 	"pollencroft/internal/standin"
 )
 
-// maxLostServers is how many backend servers one request may end.
+// maxLostServers is how many backend servers may fail under one request.
 const maxLostServers = 3
 
-// newBenchWithBudget is a bench of a row that allows many tries and has newBenchWithBudget up retries.
+// newBenchWithBudget returns a bench whose row allows many tries and has accumulated a
+// retry budget.
 func newBenchWithBudget(t *testing.T, minions int) *bench {
 	t.Helper()
 	b := newBench(t, minions, 8)
@@ -31,7 +32,7 @@
 	}
 }
 
-// reached counts the backend servers that got one request, and how often they did.
+// reached returns how many backend servers received a request, and how often they ran it.
 func (b *bench) reached(id string) (servers, runs int) {
 	for _, m := range b.minions {
 		n := 0
@@ -44,7 +45,7 @@
 	return servers, runs
 }
 
-// Guards against a request that ends one backend server after the other.
+// Guards against a request that crashes one backend server after another.
 func TestRequestThatEndsBackendServersIsGivenUp(t *testing.T) {
 	for _, minions := range []int{2, 12} {
 		b := newBenchWithBudget(t, minions)
@@ -54,12 +55,12 @@
 		servers, runs := b.reached(req.ID)
 		t.Logf("servers: %d, runs: %d", servers, runs)
 		require.LessOrEqual(t, runs, maxLostServers)
-		require.Equal(t, cell.Unknown, reply.Outcome, "it may have run")
+		require.Equal(t, cell.Unknown, reply.Outcome, "the request may have run")
 		require.Contains(t, reply.Reason, "backend servers")
 	}
 }
 
-// Guards against a hedged request that ends one backend server after the other.
+// Guards against a hedged request that crashes one backend server after another.
 func TestHedgedRequestThatEndsBackendServersIsGivenUp(t *testing.T) {
 	b := newBenchWithBudget(t, 12)
 	b.setFaults(standin.MinionFaults{Lose: 1000, Slow: 1500 * time.Millisecond})
@@ -69,10 +70,11 @@
 	servers, runs := b.reached(req.ID)
 	t.Logf("servers: %d, runs: %d", servers, runs)
 	require.LessOrEqual(t, runs, maxLostServers)
-	require.Equal(t, cell.Unknown, reply.Outcome, "it may have run")
+	require.Equal(t, cell.Unknown, reply.Outcome, "the request may have run")
 }
 
-// Guards against requests that are given up because servers answer with failures: those go on.
+// Guards against giving up requests whose servers answer with failures: such requests are
+// retried.
 func TestAnsweredFailuresEndNoServer(t *testing.T) {
 	b := newBenchWithBudget(t, 12)
 	b.setFaults(standin.MinionFaults{Fail: 100})
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -16,8 +16,9 @@
 	"pollencroft/internal/spans"
 )
 
-// refreshPeers tells the queue of the peers' free slots when one has told its
-// load again. Older words are not used twice: the slots they name are taken.
+// refreshPeers passes the free slots of the peers to the queue when a peer has announced
+// its load again. No announcement is used twice, because the slots that it lists are taken
+// by then.
 func (x *Relay) refreshPeers() {
 	live, beats := x.Members()
 	now := x.Clock()
@@ -40,14 +41,15 @@
 	}
 }
 
-// canLend tells whether a peer's word counts: it is recent, and newer than the
-// last request that got no answer there.
+// canLend reports whether a peer's announcement counts: it has to be recent, and newer than
+// the last request that the peer did not answer.
 func (x *Relay) canLend(now time.Time, b member.Heartbeat) bool {
 	return !b.Leaving && b.ReceivedAt.After(x.lastFailure[b.Name]) && now.Sub(b.ReceivedAt) <= member.SilenceTimeout
 }
 
-// sendToPeer runs a request on a peer's slot. It tells whether the peer gave it
-// back, or could not be asked, so that it must wait again.
+// sendToPeer runs a request on a peer's slot. The second result reports whether the peer
+// returned the request without running it, or could not be asked, so that the request has
+// to wait again.
 func (x *Relay) sendToPeer(ctx context.Context, a queue.Lend, req call.Request) (try, bool) {
 	ctx, end := spans.Start(ctx, "peer", req.ID)
 	defer end()
@@ -71,8 +73,8 @@
 	}
 }
 
-// markSilent takes a peer for silent until it tells its load again. Its last word
-// would draw request after request into a dead host.
+// markSilent treats a peer as silent until it announces its load again. Its last
+// announcement would otherwise attract one request after another to a dead host.
 func (x *Relay) markSilent(name string) {
 	x.mu.Lock()
 	x.lastFailure[name] = x.Clock()
@@ -81,8 +83,8 @@
 	x.refreshPeers()
 }
 
-// classifyPeerReply tells what a peer's final reply means for a retry here. The peer
-// itself does not retry.
+// classifyPeerReply determines whether a request may be retried here after a peer's final
+// reply. The peer itself does not retry.
 func classifyPeerReply(reply call.Reply) try {
 	t := try{reply: reply}
 	switch {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay carries callers' requests through one entry host: it asks the
-// key ledger, waits for a slot, sends to a backend server or to a peer with
-// room, retries what may be retried, and tells how the request ended.
+// Package relay carries callers' requests through one entry host. It asks the key ledger,
+// waits for a slot, sends the request to a backend server or to a peer with free capacity,
+// retries what may be retried, and reports how the request ended.
 package relay
 
 import (
@@ -25,49 +25,50 @@
 	"pollencroft/internal/table"
 )
 
-// Deps are what a Relay works with.
+// Deps are the dependencies of a Relay.
 type Deps struct {
 	Name, Domain string
 	Queue        *queue.Queue
 	Outliers     *outlier.Detector
 	Retries      *retry.Budget
 	Ledger       *ledger.Ledger
-	// Plan names the homes of keys, Inc is this host's incarnation.
+	// Plan chooses the homes of keys. Incarnation is the incarnation of this host.
 	Plan        ledger.Plan
 	Incarnation int64
 	Minions     *minion.Client
 	Peers       *peer.Clients
-	// Row returns a row and its version, zero for none.
+	// Row returns a row and its version, which is zero if there is no such row.
 	Row func(name string) (table.Row, int64)
-	// LimitShare returns this host's part of a limit that holds in the whole cell.
+	// LimitShare returns this host's share of a limit that applies to the whole cell.
 	LimitShare func(row string, limit int64) int64
 	// Members returns the live hosts of this domain and their heartbeats.
 	Members func() ([]string, []member.Heartbeat)
 	Clock   func() time.Time
-	// MaxPause is how long this host may stand still and still use its slots;
-	// zero means for ever.
+	// MaxPause is how long this host may be paused and still use its slots. Zero means that
+	// there is no limit.
 	MaxPause time.Duration
 	Log      *slog.Logger
 	Metrics  metrics.Registry
 }
 
-// Relay is the requests' part of one entry host. It is safe for concurrent use.
+// Relay handles the callers' requests of one entry host. It is safe for concurrent use.
 type Relay struct {
 	Deps
 	mu       sync.Mutex
 	waiting  map[string]chan queue.Action
 	servers  map[string]Server
 	versions map[string]int64
-	// waitTimers are the times that requests of each class waited for a slot.
+	// waitTimers measure how long requests of each class wait for a slot.
 	waitTimers map[cell.Class]metrics.Timer
 	lastStep   time.Time
 	home       homeState
 	ends       keyEnds
-	// lastLoad is when each peer last told its load, lastFailure when it last failed.
+	// lastLoad is when each peer last announced its load, and lastFailure is when it last
+	// failed to answer.
 	lastLoad, lastFailure map[string]time.Time
 }
 
-// New returns a relay that knows no backend servers yet.
+// New returns a relay without backend servers.
 func New(d Deps) *Relay {
 	waits := map[cell.Class]metrics.Timer{}
 	for _, c := range cell.Classes {
@@ -79,14 +80,14 @@
 	}
 }
 
-// Server is one backend server and this host's share of its slots.
+// Server is a backend server with this host's share of its slots.
 type Server struct {
 	Name    string
 	Address netip.AddrPort
 	Slots   int
 }
 
-// SetServers replaces the backend servers that may get new work.
+// SetServers replaces the backend servers that may receive new requests.
 func (x *Relay) SetServers(all []Server) {
 	servers := map[string]Server{}
 	names := make([]string, 0, len(all))
@@ -102,7 +103,8 @@
 	x.updateShares()
 }
 
-// updateShares tells the queue what each backend server may get; mu is held.
+// updateShares tells the queue how many requests each backend server may receive. x.mu must
+// be held.
 func (x *Relay) updateShares() {
 	all := make([]queue.Share, 0, len(x.servers))
 	for _, s := range x.servers {
@@ -111,13 +113,14 @@
 	x.stepQueue(queue.Shares{All: all})
 }
 
-// stepOutliers tells the outlier core what happened to a backend server; mu is held.
+// stepOutliers passes an event about backend servers to the outlier detection. x.mu must be
+// held.
 func (x *Relay) stepOutliers(ev outlier.Event) {
 	acts := x.Outliers.Step(x.Clock(), ev)
 	for _, a := range acts {
 		switch a := a.(type) {
 		case outlier.StateChanged:
-			x.Log.Info("relay: backend server changed.", "minion", a.Backend, "state", a.State, "reason", a.Reason)
+			x.Log.Info("relay: backend server changed its state.", "minion", a.Backend, "state", a.State, "reason", a.Reason)
 		}
 	}
 	if len(acts) > 0 {
@@ -126,28 +129,28 @@
 	}
 }
 
-// Leaving lists the backend servers that told this host that they leave.
+// Leaving lists the backend servers that have told this host that they are leaving.
 func (x *Relay) Leaving() []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.Outliers.LeavingServers(x.Clock())
 }
 
-// Quarantined lists the backend servers that are not trusted.
+// Quarantined lists the backend servers that are not trusted at present, with their states.
 func (x *Relay) Quarantined() map[string]outlier.State {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.Outliers.UntrustedStates()
 }
 
-// MarkLeaving takes a peer's word that backend servers leave.
+// MarkLeaving handles a peer's announcement that backend servers are leaving.
 func (x *Relay) MarkLeaving(leaving []string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.stepOutliers(outlier.LeavingReported{Leaving: leaving})
 }
 
-// Tick lets time pass in the cores and puts changed rows in force.
+// Tick advances the time of the state machines and applies changed rows.
 func (x *Relay) Tick() {
 	x.refreshRows()
 	x.refreshPeers()
@@ -161,7 +164,7 @@
 	metrics.GetOrRegisterGauge("queue.waiting", x.Metrics).Update(int64(waiting))
 }
 
-// refreshRows puts edits of the table in force for requests that wait already.
+// refreshRows applies edits of the table to requests that are already waiting.
 func (x *Relay) refreshRows() {
 	x.mu.Lock()
 	names := x.Queue.WaitingRows()
@@ -184,7 +187,8 @@
 	}
 }
 
-// localLimit is this host's localLimit of a limit, or least when it has none.
+// localLimit returns this host's share of a limit, or least if its share is zero. Without a
+// limit it returns zero.
 func (x *Relay) localLimit(row string, limit, least int64) int64 {
 	if limit == 0 {
 		return 0
@@ -195,15 +199,15 @@
 	return least
 }
 
-// Drained tells whether no backend server has more of this host's requests
-// than its present share.
+// Drained reports whether no backend server has more requests of this host than its present
+// share allows.
 func (x *Relay) Drained() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return !x.Queue.Overcommitted()
 }
 
-// Load returns this host's free slots and waiting requests.
+// Load returns the numbers of this host's free slots and waiting requests.
 func (x *Relay) Load() (free, waiting int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -216,7 +220,8 @@
 	x.stepQueue(ev)
 }
 
-// stepQueue steps the queue core and wakes whom it decided about; mu is held.
+// stepQueue passes an event to the queue and wakes the requests that it decided on. x.mu
+// must be held.
 func (x *Relay) stepQueue(ev queue.Event) {
 	now := x.Clock()
 	acts := x.checkPause(now)
@@ -232,9 +237,9 @@
 	}
 }
 
-// checkPause takes all slots away after a long pause. Other hosts may have taken
-// them over meanwhile, and whatever wakes first would send into them a second
-// time; SetServers gives back what is still this host's.
+// checkPause removes all slots after a long pause of this host. Other hosts may have taken
+// the slots over meanwhile, and a request that wakes first would use them a second time.
+// SetServers restores the slots that still belong to this host.
 func (x *Relay) checkPause(now time.Time) []queue.Action {
 	gap := now.Sub(x.lastStep)
 	paused := !x.lastStep.IsZero() && x.MaxPause > 0 && gap > x.MaxPause
@@ -242,7 +247,7 @@
 	if !paused {
 		return nil
 	}
-	x.Log.Warn("relay: host stood still.", "for", gap)
+	x.Log.Warn("relay: host was paused for too long, its slots are removed.", "for", gap)
 	x.servers = map[string]Server{}
 	return x.Queue.Step(now, queue.Shares{})
 }
@@ -254,7 +259,7 @@
 	}
 }
 
-// Do answers a caller's request. It always returns a final reply.
+// Do runs a caller's request. It always returns a final reply.
 func (x *Relay) Do(ctx context.Context, req call.Request) call.Reply {
 	ctx, end := spans.Start(ctx, "host", req.ID)
 	defer end()
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -29,7 +29,7 @@
 	"pollencroft/internal/table"
 )
 
-// bench is one relay with stand-in minions and a row that tests change.
+// bench is one relay with stand-in minions and a row that tests can change.
 type bench struct {
 	*relay.Relay
 	minions []*standin.Minion
@@ -86,9 +86,9 @@
 	return n
 }
 
-// A minion takes connections no more, or says that it leaves, while the host
-// list still shows it. Such a request certainly did not run; it is answered by
-// another minion and its caller notices nothing.
+// A minion refuses connections or replies that it is leaving, while the host still lists
+// it. Such a request certainly did not run; another minion answers it, and the caller
+// notices nothing.
 func TestRequestThatDidNotRunIsTriedElsewhere(t *testing.T) {
 	for name, breaks := range map[string]func(b *bench){
 		"refuses connections": func(b *bench) {
@@ -108,8 +108,8 @@
 	}
 }
 
-// A minion runs a request and hangs up without an answer. A scan must not be
-// sent again, for it may have spent the pass; a badge may be printed again.
+// A minion runs a request and closes the connection without an answer. The request must not
+// be sent again, because it may have run, unless its row is idempotent.
 func TestOnlyIdempotentRowsRetryWhatMayHaveRun(t *testing.T) {
 	for _, idempotent := range []bool{false, true} {
 		b := newBench(t, 2, 8)
@@ -121,8 +121,8 @@
 	}
 }
 
-// The first try of a badge ran without an answer and the second finds every
-// minion leaving. "Refused" would be a lie: the badge may have been printed.
+// The first try of an idempotent request runs without an answer, and the second finds every
+// minion leaving. The outcome "refused" would be false, because the request may have run.
 func TestRefusedRetryDoesNotHideAnEarlierTry(t *testing.T) {
 	b := newBench(t, 2, 8)
 	b.row.Idempotent = true
@@ -134,8 +134,8 @@
 	require.Equal(t, 1, b.ran())
 }
 
-// Every minion answers every request with a failure. Retries must not turn
-// that into several times the load, which would keep the minions down.
+// Every minion answers every request with a failure. Retries must not multiply the load,
+// which would keep the minions down.
 func TestNoRetryStormWhileEverythingFails(t *testing.T) {
 	b := newBench(t, 3, 8)
 	b.row.Idempotent = true
@@ -153,12 +153,12 @@
 			before += n
 		}
 	}
-	require.Greater(t, before, asked, "some retries are made")
+	require.Greater(t, before, asked, "some requests must be retried")
 	require.LessOrEqual(t, before, asked*11/10)
 }
 
-// A caller hangs up. If its request still waits, the place is freed and
-// nothing runs; if it was sent, it runs on to its end.
+// A caller hangs up. If its request is still waiting, its place in the queue is released
+// and nothing runs. If the request was sent, it runs to its end.
 func TestHangUpFreesThePlaceButCutsNothingThatWasSent(t *testing.T) {
 	b := newBench(t, 1, 1)
 	slow := request()
@@ -178,8 +178,8 @@
 	require.Equal(t, 1, b.ran())
 }
 
-// An operator limits a row while its requests wait here. The next tick puts
-// the limit in force for them.
+// An operator changes the limit of a row while its requests are waiting. The next tick
+// applies the new limit to them.
 func TestEditOfALimitReachesWhatWaits(t *testing.T) {
 	b := newBench(t, 1, 2)
 	b.row.Limits.Slots = 1
@@ -203,9 +203,9 @@
 	require.Equal(t, 2, b.minions[0].Record().Most)
 }
 
-// A host stands still for an hour with a request on its way in. Other hosts
-// have taken its slots meanwhile, so it must send nothing until it has learnt
-// which slots are its own; a minion would get a ninth request.
+// A host is paused for an hour while a request arrives. Other hosts have taken over its
+// slots meanwhile, so it must send nothing until it knows which slots it has; otherwise a
+// minion with 8 slots would get a ninth request.
 func TestHostThatStoodStillSendsNothingUntilItKnowsItsSlots(t *testing.T) {
 	b := newBench(t, 1, 8)
 	require.Equal(t, cell.Done, b.Do(t.Context(), request()).Outcome)
@@ -222,9 +222,9 @@
 	require.Equal(t, cell.Done, (<-reply).Outcome)
 }
 
-// A minion, or the way to it, takes requests and answers nothing. A badge may
-// be printed twice: it is sent to another minion well before its deadline,
-// within the row's budget. A scan is not; its end stays unknown.
+// A minion, or the connection to it, accepts requests and answers nothing. A request of an
+// idempotent row is sent to another minion well before its deadline, within the row's
+// budget. Any other request is not, and its outcome stays unknown.
 func TestOnlyIdempotentRowsAreHedged(t *testing.T) {
 	for _, idempotent := range []bool{false, true} {
 		b := newBench(t, 2, 8)
@@ -238,6 +238,6 @@
 		reply := b.Do(t.Context(), req)
 		require.Equal(t, map[bool]cell.Outcome{false: cell.Unknown, true: cell.Done}[idempotent], reply.Outcome)
 		require.Equal(t, map[bool]int{false: 1, true: 2}[idempotent], b.ran())
-		t.Logf("idempotent %t: told after %s", idempotent, time.Since(began).Round(10*time.Millisecond))
+		t.Logf("idempotent %t: replied after %s", idempotent, time.Since(began).Round(10*time.Millisecond))
 	}
 }
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -17,15 +17,15 @@
 	"pollencroft/internal/table"
 )
 
-// retryClass is how a try ended, as far as a retry is concerned.
+// retryClass is how a try ended, as far as it matters for a retry.
 type retryClass int
 
 const (
-	// final means that the reply is told to the caller.
+	// final means that the reply goes to the caller.
 	final retryClass = iota
-	// unreached means that no server got the request.
+	// unreached means that no server received the request.
 	unreached
-	// notRun means that a server got the request and did not run it.
+	// notRun means that a server received the request and did not run it.
 	notRun
 	// mayHaveRun means that the request may have run.
 	mayHaveRun
@@ -37,8 +37,8 @@
 	minion     string
 }
 
-// runWithRetries runs a request on this host's slots or a peer's, and retries it on
-// another backend server where that is safe and within the row's budget.
+// runWithRetries runs a request on a slot of this host or of a peer. It retries the request
+// on another backend server where that is safe and within the row's budget.
 func (x *Relay) runWithRetries(ctx context.Context, req call.Request) call.Reply {
 	row, _ := x.Row(req.Row)
 	x.Retries.RecordRequest(req.Row)
@@ -48,8 +48,8 @@
 		t := x.runOnce(ctx, ask, req)
 		req.Lost = append(req.Lost, t.reply.Lost...)
 		if sent != nil && t.reply.Outcome == cell.Refused {
-			// An earlier try may have run. That this one did not is no news:
-			// the caller would take it for "not run" and spend a pass again.
+			// An earlier try may have run. From the refusal of this try the caller would
+			// conclude that nothing ran, and would run the request again.
 			return *sent
 		}
 		if t.retryClass == mayHaveRun {
@@ -66,9 +66,10 @@
 	}
 }
 
-// mayRetry lets a request that no server got be tried again without counting:
-// it loads nobody. All other retries come out of the row's budget, or a fault
-// of all servers would multiply the load by the number of tries.
+// mayRetry reports whether a try may be retried. A request that no server received may be
+// retried without counting, because it loaded no server. All other retries count against
+// the row's budget; otherwise a fault of all servers would multiply the load by the number
+// of tries.
 func (x *Relay) mayRetry(row table.Row, v retryClass) bool {
 	switch v {
 	case unreached:
@@ -112,8 +113,8 @@
 	}
 }
 
-// awaitSlot tells the queue of a request and waits for its decision; nil when the
-// caller hung up first.
+// awaitSlot passes a request to the queue and waits for the queue's decision. It returns
+// nil if the caller hung up first.
 func (x *Relay) awaitSlot(ctx context.Context, id string, ev queue.Event) queue.Action {
 	c := make(chan queue.Action, 1)
 	x.mu.Lock()
@@ -148,8 +149,9 @@
 	return call.Refuse(status, string(a.Reason), a.RetryAfter)
 }
 
-// send runs on when the caller hangs up: a request that was sent keeps its
-// slot until the backend server has answered or the deadline has passed.
+// send sends a request to a backend server. It continues when the caller hangs up: a
+// request that was sent keeps its slot until the server has answered or the deadline has
+// passed.
 func (x *Relay) send(ctx context.Context, a queue.Send, req call.Request) try {
 	began := x.Clock()
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), req.Deadline.Sub(began))
@@ -174,8 +176,8 @@
 	return t
 }
 
-// classify turns a server's answer, or the lack of one, into what the caller is
-// told and whether a retry is safe.
+// classify turns a server's answer, or its absence, into a reply for the caller and
+// determines whether a retry is safe.
 func classify(answer minion.Answer, err error) try {
 	var notSent *minion.NotSentError
 	var leaving *minion.LeavingError
@@ -197,7 +199,7 @@
 	}
 }
 
-// outlierResult is what a try says of the server itself.
+// outlierResult returns what a try shows about the server itself.
 func outlierResult(t try) outlier.Result {
 	switch {
 	case t.retryClass == unreached:
