--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -1,6 +1,6 @@
-// Package keys gives TLS 1.3 to the links between hosts and to operators. Both
-// ends show a certificate that names the host and its failure domain; anything
-// else is turned away and counted. Files are read again when they change.
+// Package keys provides TLS 1.3 for the connections between hosts and for operators. Both
+// ends present a certificate that names the host and its failure domain; every other
+// connection is rejected and counted. The files are reloaded when they change.
 package keys
 
 import (
@@ -16,17 +16,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Files are the PEM files of one host: its certificate, its key, and the
-// authorities whose certificates it takes.
+// Files are the paths of the PEM files of one host: its certificate, its private key, and
+// the authorities whose certificates it accepts.
 type Files struct{ Cert, Key, CA string }
 
-// Operator is the name in an operator's certificate.
+// Operator is the DNS name in an operator's certificate.
 const Operator = "operator"
 
-// Name is the name that a host's certificate must carry.
+// Name returns the name that a host's certificate must carry.
 func Name(host, domain string) string { return host + "." + domain }
 
-// FileError tells that a key file cannot be used.
+// FileError reports that a key file cannot be used.
 type FileError struct {
 	Path  string
 	Cause error
@@ -34,30 +34,31 @@
 
 func (e *FileError) Error() string { return "key file " + e.Path + ": " + e.Cause.Error() }
 
-// Unwrap returns what is wrong with the file.
+// Unwrap returns the cause of the error.
 func (e *FileError) Unwrap() error { return e.Cause }
 
-// NameError tells that a certificate names nobody that may connect.
+// NameError reports that a certificate names no host that may connect.
 type NameError struct{ Names []string }
 
 func (e *NameError) Error() string { return "certificate names no known host" }
 
-// NoCertificateError tells that a file holds no certificate.
+// NoCertificateError reports that a file contains no certificate.
 type NoCertificateError struct{}
 
-func (e *NoCertificateError) Error() string { return "no certificate in it" }
+func (e *NoCertificateError) Error() string { return "the file contains no certificate" }
 
-// checkInterval bounds how often the files are looked at.
+// checkInterval is the shortest time between two checks of the files.
 const checkInterval = time.Second
 
-// handshakeTimeout bounds a handshake. Something that connects and says nothing
-// would otherwise hold a connection for good.
+// handshakeTimeout bounds a TLS handshake. A client that connects and sends nothing would
+// otherwise hold its connection forever.
 const handshakeTimeout = 3 * time.Second
 
-// Keys are the keys of one host. They are safe for concurrent use.
+// Keys are the certificates and the private key of one host. They are safe for concurrent
+// use.
 type Keys struct {
 	files Files
-	// names are the certificate names that may connect, with the host's name.
+	// names maps the certificate names that may connect to host names.
 	names map[string]string
 	count func(reason string)
 	clock func() time.Time
@@ -69,8 +70,9 @@
 	pool      *x509.CertPool
 }
 
-// New reads the files; the error is a FileError. Names maps the certificate
-// names that may connect to host names; count is told why one was turned away.
+// New loads the files; the error is a FileError. names maps the certificate names that may
+// connect to host names. count is called with the reason of each failed handshake and the
+// result of each reload.
 func New(f Files, names map[string]string, count func(reason string), clock func() time.Time) (*Keys, error) {
 	k := &Keys{files: f, names: names, count: count, clock: clock}
 	return k, k.load()
@@ -104,8 +106,9 @@
 	return at
 }
 
-// current returns the keys in force. Files that are half written when they are
-// looked at leave the old keys in force; the next look finds them whole.
+// current returns the keys in force. It first checks whether the files have changed. If a
+// file is only half written at that time, the old keys stay in force, and the next check
+// finds the complete file.
 func (k *Keys) current() (tls.Certificate, *x509.CertPool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -127,7 +130,8 @@
 	k.count("reread")
 }
 
-// ConnectPeer makes a connection to the host with that certificate name a TLS one.
+// ConnectPeer performs the client's TLS handshake on conn with the host that has the given
+// certificate name.
 func (k *Keys) ConnectPeer(ctx context.Context, conn net.Conn, name string) (net.Conn, error) {
 	cert, pool := k.current()
 	c := tls.Client(conn, &tls.Config{
@@ -143,7 +147,7 @@
 	return c, nil
 }
 
-// peerConfig asks for a certificate that names a known host.
+// peerConfig returns a server configuration that requires a certificate of a known host.
 func (k *Keys) peerConfig() *tls.Config {
 	cert, pool := k.current()
 	return &tls.Config{
@@ -158,7 +162,8 @@
 	}
 }
 
-// knownHost returns the knownHost that a certificate names, empty for none.
+// knownHost returns the known host that a certificate names, or an empty string if there is
+// none.
 func (k *Keys) knownHost(s tls.ConnectionState) string {
 	if len(s.VerifiedChains) == 0 {
 		return ""
@@ -171,8 +176,8 @@
 	return ""
 }
 
-// OperatorConfig is for the operators' listener: a certificate may be shown and
-// must then be good; without one a token has to do.
+// OperatorConfig returns the configuration of the operators' listener. A client may present
+// a certificate, which must then be valid; a client without one needs a token.
 func (k *Keys) OperatorConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -186,13 +191,13 @@
 	}
 }
 
-// IsOperator tells whether a connection showed an operator's certificate. A
-// host's own certificate is none: a host must not edit the table.
+// IsOperator reports whether a client presented an operator's certificate. A host's own
+// certificate does not count, because a host must not edit the table.
 func IsOperator(s *tls.ConnectionState) bool {
 	return s != nil && len(s.VerifiedChains) > 0 && slices.Contains(s.PeerCertificates[0].DNSNames, Operator)
 }
 
-// reason names why a handshake failed, for the counters.
+// reason returns the cause of a failed handshake as it is named in the metrics.
 func reason(err error) string {
 	var invalid x509.CertificateInvalidError
 	var authority x509.UnknownAuthorityError
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -15,7 +15,7 @@
 	"pollencroft/internal/standin"
 )
 
-// counts keeps why connections were turned away.
+// counts counts failed handshakes and reloads by reason.
 type counts struct {
 	mu  sync.Mutex
 	all map[string]int
@@ -56,8 +56,8 @@
 	return a
 }
 
-// dial opens a TLS connection and reads one byte: only then a client knows that
-// the server took its certificate.
+// dial opens a TLS connection and reads one byte. Only then does a client know that the
+// server accepted its certificate.
 func dial(k *keys.Keys, addr, name string) error {
 	raw, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -73,9 +73,9 @@
 	return err
 }
 
-// Somebody who does not belong connects to a host's peer port: with no TLS at
-// all, with an expired certificate, one of another authority, one that names no
-// known host. Each is turned away and counted, and none holds up the others.
+// Unauthorized clients connect to a host's peer port: without TLS, with an expired
+// certificate, with one of another authority, or with one that names no known host. Each is
+// rejected and counted, and none delays the others.
 func TestOnlyKnownHostsGetIn(t *testing.T) {
 	a, far := authority(t), authority(t)
 	later := time.Now().Add(time.Hour)
@@ -116,20 +116,20 @@
 	require.Error(t, dial(expired, addr, server))
 	foreign, fc := open(t, far, t.TempDir(), friend, later, time.Now)
 	require.Error(t, dial(foreign, addr, server))
-	require.Equal(t, 1, fc.of("foreign"), "the client does not trust the server either")
+	require.Equal(t, 1, fc.of("foreign"), "the client must not trust the server either")
 	conn, err := tls.Dial("tcp", addr, &tls.Config{InsecureSkipVerify: true, MaxVersion: tls.VersionTLS12})
-	require.Error(t, err, "an old version")
+	require.Error(t, err, "TLS 1.2 must be rejected")
 	require.Nil(t, conn)
 
-	require.Error(t, dial(good, addr, "nord-3.nord"), "the server is not the host that was meant")
+	require.Error(t, dial(good, addr, "nord-3.nord"), "the server is not the host that the client asked for")
 	for _, reason := range []string{"plain", "name", "expired"} {
 		require.Eventually(t, func() bool { return c.of(reason) > 0 }, limit, time.Millisecond, reason)
 	}
 	require.Empty(t, names)
 }
 
-// Certificates are replaced while the host runs. New connections use the new
-// ones without a restart; a file that is half written leaves the old in force.
+// Certificates are replaced while the host runs. New connections use the new certificates
+// without a restart.
 func TestKeysAreReadAgain(t *testing.T) {
 	a, b := authority(t), authority(t)
 	now := time.Now()
--- a/internal/keys/listener.go
+++ b/internal/keys/listener.go
@@ -7,20 +7,20 @@
 	"sync"
 )
 
-// Conn is a connection from a host whose certificate was checked.
+// Conn is a connection from a host whose certificate was verified.
 type Conn struct {
 	*tls.Conn
 	peer string
 }
 
-// Peer is the name of the host that its certificate gives.
+// Peer returns the name of the host that the certificate belongs to.
 func (c *Conn) Peer() string { return c.peer }
 
-// maxHandshakes bounds the handshakes under way at once.
+// maxHandshakes bounds the number of concurrent handshakes.
 const maxHandshakes = 64
 
-// listener hands out connections only after their handshake, and makes the
-// handshakes beside each other: one that hangs must not hold up the others.
+// listener returns connections only after their handshake. It performs handshakes
+// concurrently, so that one that hangs does not delay the others.
 type listener struct {
 	net.Listener
 	keys  *Keys
@@ -29,7 +29,7 @@
 	once  sync.Once
 }
 
-// PeerListener wraps a listener for peers.
+// PeerListener returns a listener that accepts only connections from known hosts.
 func (k *Keys) PeerListener(ln net.Listener) net.Listener {
 	l := &listener{Listener: ln, keys: k, ready: make(chan net.Conn), done: make(chan struct{})}
 	go l.accept()
@@ -68,7 +68,7 @@
 	}
 }
 
-// Accept returns the next connection whose certificate was checked.
+// Accept returns the next connection whose certificate was verified.
 func (l *listener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-l.ready:
