--- a/internal/audit/tally.go
+++ b/internal/audit/tally.go
@@ -17,20 +17,20 @@
 	"pollencroft/pkg/client"
 )
 
-// WrongError counts the promises that a cell broke.
-type WrongError struct {
-	// Lost counts requests told done that did not run and tasks of accepted
-	// jobs that did not end.
+// ViolationsError counts the guarantees that a cell broke.
+type ViolationsError struct {
+	// Lost counts requests that were reported done but did not run, and tasks of accepted jobs that
+	// did not end.
 	Lost int
 	// Twice counts keys that ran twice and tasks that ran in two places.
 	Twice int
-	// Overfilled counts starts that took a worker over its size.
+	// Overfilled counts starts that exceeded the size of a worker.
 	Overfilled int
-	// Told counts answers that the records contradict.
+	// Told counts replies that contradict the records.
 	Told int
 }
 
-func (e *WrongError) Error() string {
+func (e *ViolationsError) Error() string {
 	return fmt.Sprintf("lost %d, twice %d, overfilled %d, told wrong %d", e.Lost, e.Twice, e.Overfilled, e.Told)
 }
 
@@ -39,36 +39,36 @@
 	waits                         *hdrhistogram.Histogram
 }
 
-type toldJob struct {
+type acceptedJob struct {
 	tasks     int
 	watch     bool
 	cancelled string
 }
 
-// watchTime is the declared time in seconds from which a job is a watcher.
-const watchTime = 60
+// watcherMinSeconds is the declared duration in seconds above which a job counts as a watcher.
+const watcherMinSeconds = 60
 
-// Tally keeps what each caller was told. It is safe for concurrent use.
+// Tally records what each caller was told. It is safe for concurrent use.
 type Tally struct {
-	mu    sync.Mutex
-	lines map[string]*line
-	// requests holds by key every outcome that its caller was told, in order.
-	requests map[string][]string
-	crossed  int
-	jobs     map[string]*toldJob
-	unsure   int
+	mu   sync.Mutex
+	rows map[string]*line
+	// requests holds, by key, every outcome that the caller was told, in order.
+	requests       map[string][]string
+	mismatched     int
+	jobs           map[string]*acceptedJob
+	unknownSubmits int
 }
 
 // NewTally returns an empty tally.
 func NewTally() *Tally {
-	return &Tally{lines: map[string]*line{}, requests: map[string][]string{}, jobs: map[string]*toldJob{}}
+	return &Tally{rows: map[string]*line{}, requests: map[string][]string{}, jobs: map[string]*acceptedJob{}}
 }
 
-func (t *Tally) line(row string) *line {
-	l, ok := t.lines[row]
+func (t *Tally) rowStats(row string) *line {
+	l, ok := t.rows[row]
 	if !ok {
 		l = &line{waits: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
-		t.lines[row] = l
+		t.rows[row] = l
 	}
 	l.asked++
 	return l
@@ -86,41 +86,41 @@
 	}
 }
 
-func (t *Tally) told(key, outcome string) {
+func (t *Tally) recordOutcome(key, outcome string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.requests[key] = append(t.requests[key], outcome)
 }
 
-func (t *Tally) request(row string, req client.Request, reply client.Reply, took time.Duration) {
+func (t *Tally) recordRequest(row string, req client.Request, reply client.Reply, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.line(row).count(reply.Outcome, took)
+	t.rowStats(row).count(reply.Outcome, took)
 	if reply.Outcome == client.Done && !strings.HasSuffix(string(reply.Body), " "+string(req.Body)) {
-		t.crossed++
+		t.mismatched++
 	}
 }
 
-func (t *Tally) job(j client.Job, s client.JobStatus, err error, took time.Duration) {
+func (t *Tally) recordJob(j client.Job, s client.JobStatus, err error, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l := t.line(j.Workload)
+	l := t.rowStats(j.Workload)
 	var status *client.StatusError
 	switch {
 	case err == nil:
 		l.count(client.Done, took)
-		t.jobs[s.ID] = &toldJob{tasks: j.Tasks, watch: j.Time > watchTime}
+		t.jobs[s.ID] = &acceptedJob{tasks: j.Tasks, watch: j.Time > watcherMinSeconds}
 	case errors.As(err, &status):
 		l.count(status.Outcome, took)
 	default:
 		l.count(client.Unknown, took)
 	}
 	if err != nil && (status == nil || status.Outcome != client.Refused) {
-		t.unsure++
+		t.unknownSubmits++
 	}
 }
 
-func (t *Tally) cancelled(id, outcome string) {
+func (t *Tally) recordCancel(id, outcome string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if j, ok := t.jobs[id]; ok {
@@ -128,22 +128,23 @@
 	}
 }
 
-// Sum returns how much was asked and done so far.
-func (t *Tally) Sum() (asked, done int) {
+// Totals returns how many requests and jobs were sent and how many were done so far.
+func (t *Tally) Totals() (asked, done int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, l := range t.lines {
+	for _, l := range t.rows {
 		asked += l.asked
 		done += l.done
 	}
 	return asked, done
 }
 
-// Wrong compares what callers were told with what the stand-ins recorded.
-func (t *Tally) Wrong(r standin.Report) WrongError {
+// Violations compares what callers were told with what the simulated backend servers and workers
+// recorded.
+func (t *Tally) Violations(r standin.Report) ViolationsError {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	w := WrongError{Overfilled: r.Overfilled, Twice: len(r.Doubled), Told: t.crossed}
+	w := ViolationsError{Overfilled: r.Overfilled, Twice: len(r.Doubled), Told: t.mismatched}
 	for key, told := range t.requests {
 		ran := r.Ran[key]
 		if ran > 1 {
@@ -157,11 +158,11 @@
 		}
 	}
 	w.Lost += t.lostTasks(r)
-	w.Told += t.startedThough(r)
+	w.Told += t.contradictedStarts(r)
 	return w
 }
 
-// LostJobs lists the accepted jobs that have lost tasks, for looking into why.
+// LostJobs returns the accepted jobs that have lost tasks, for an investigation.
 func (t *Tally) LostJobs(r standin.Report) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -174,8 +175,8 @@
 	return lost
 }
 
-// Doubled lists the keys that ran twice and the tasks that ran in two places, for looking into
-// why.
+// Doubled returns the keys that ran twice and the tasks that ran in two places, for an
+// investigation.
 func (t *Tally) Doubled(r standin.Report) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -196,9 +197,9 @@
 	return lost
 }
 
-// lost counts the tasks that neither ended nor were cancelled; a watcher is
-// lost if it was never started.
-func (j *toldJob) lost(id string, r standin.Report) int {
+// lost counts the tasks that neither ended nor were cancelled. A watcher is lost if it was never
+// started.
+func (j *acceptedJob) lost(id string, r standin.Report) int {
 	if j.cancelled != "" {
 		return 0
 	}
@@ -213,9 +214,10 @@
 	return lost
 }
 
-// startedThough counts starts of jobs that were told not run, and of more
-// unknown jobs than callers were told unknown of.
-func (t *Tally) startedThough(r standin.Report) int {
+// contradictedStarts counts the started tasks of jobs whose cancellation reported that they had not
+// run. It adds the number of started jobs that no caller got an id for, minus the number of
+// submissions with an unknown outcome.
+func (t *Tally) contradictedStarts(r standin.Report) int {
 	wrong := 0
 	strangers := map[string]bool{}
 	for task := range r.Started {
@@ -228,17 +230,17 @@
 			wrong++
 		}
 	}
-	return wrong + max(0, len(strangers)-t.unsure)
+	return wrong + max(0, len(strangers)-t.unknownSubmits)
 }
 
-// Print writes a table by workload, in the order of names.
+// Print writes a table with a line for each of the named workloads, in the order of names.
 func (t *Tally) Print(out io.Writer, names ...string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(w, "workload\tasked\tdone\trefused\tunknown\twait p50\twait p99\t")
 	for _, name := range names {
-		l, ok := t.lines[name]
+		l, ok := t.rows[name]
 		if !ok {
 			continue
 		}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -82,7 +82,7 @@
 	began   time.Time
 	cell    *standin.Cell
 	entries []*entry
-	names   audit.Names
+	names   audit.RowNames
 	tally   *audit.Tally
 }
 
@@ -93,7 +93,7 @@
 		return err
 	}
 	defer c.Close()
-	s := &show{out: out, began: time.Now(), cell: c, names: audit.NamesOf(u), tally: audit.NewTally()}
+	s := &show{out: out, began: time.Now(), cell: c, names: audit.RowNamesOf(u), tally: audit.NewTally()}
 	if err := s.startHosts(); err != nil {
 		return err
 	}
@@ -163,7 +163,7 @@
 	return settings.Settings{
 		Name: name, Domain: domain, Platform: plat,
 		Listen: settings.Listen{Caller: address(ls.Caller), Operator: address(ls.Operator), Peer: address(ls.Peer)},
-		Limits: settings.Limits{Body: settings.DefaultBody, Queue: settings.DefaultQueue, Deadline: settings.DefaultDeadline, Leave: settings.DefaultLeave, Drain: settings.DefaultDrain},
+		Limits: settings.Limits{Body: settings.DefaultBody, Queue: settings.DefaultQueue, Deadline: settings.DefaultDeadline, ShutdownDelay: settings.DefaultShutdownDelay, DrainTimeout: settings.DefaultDrain},
 	}
 }
 
@@ -294,7 +294,7 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			asked, done := s.tally.Sum()
+			asked, done := s.tally.Totals()
 			s.say("asked %d, done %d", asked, done)
 		}
 	}
@@ -321,16 +321,16 @@
 // audit.WrongError if a promise was broken.
 func (s *show) close() error {
 	end := time.Now().Add(settleWait)
-	w := s.tally.Wrong(s.cell.Report())
+	w := s.tally.Violations(s.cell.Report())
 	for w.Lost > 0 && time.Now().Before(end) {
 		time.Sleep(settlePause)
-		w = s.tally.Wrong(s.cell.Report())
+		w = s.tally.Violations(s.cell.Report())
 	}
 	s.say("load is over")
 	s.tally.Print(s.out, s.names.Urgent, s.names.Flood, s.names.Batch, s.names.Gang, s.names.Watch)
 	_, _ = fmt.Fprintf(s.out, "packing %.1f %% of processor time, control %.0f bytes a second a host\n", 100*s.packed(), s.bytesASecond())
 	_, _ = fmt.Fprintln(s.out, "demo: "+w.Error())
-	if w != (audit.WrongError{}) {
+	if w != (audit.ViolationsError{}) {
 		return &w
 	}
 	return nil
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -61,7 +61,7 @@
 	switch {
 	case id == "" && r.Method == http.MethodGet:
 		h.servePending(ctx, w, q)
-	case !platform.JobID(id):
+	case !platform.IsJobID(id):
 		h.refuse(w, http.StatusNotFound, id, "no job's id")
 	case r.Method == http.MethodPost:
 		h.submit(ctx, w, r, q, id)
@@ -244,7 +244,7 @@
 func (h *Host) ready() bool {
 	h.mu.Lock()
 	table, leaving, leader, was := h.table != nil, h.leaving, h.leader, h.wasReady
-	served := h.store.Fresh(readyFreshness)
+	served := h.store.AnsweredWithin(readyFreshness)
 	is := table && !leaving && leader != "" && served
 	h.wasReady = is
 	h.mu.Unlock()
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -17,7 +17,7 @@
 	"pollencroft/internal/store"
 )
 
-func TestAJobGoesFromItsCallerToWorkersAndBack(t *testing.T) {
+func TestJobIsAcceptedRunAndReportedCompleted(t *testing.T) {
 	c := newCluster(t, 3, 4, 50*time.Millisecond)
 	f := c.follower()
 	require.Equal(t, http.StatusOK, c.submit(f, 0).code)
@@ -31,7 +31,7 @@
 
 // The leader's metrics show how long jobs waited until their first start, for what reasons, and
 // how long the store took. They serve to find out why jobs were late.
-func TestTheLeadServesHistogramsOfWaits(t *testing.T) {
+func TestLeaderServesHistogramsOfWaits(t *testing.T) {
 	c := newCluster(t, 1, 2, 50*time.Millisecond)
 	leader := c.leader()
 	require.Equal(t, http.StatusOK, c.submit(leader, 0).code)
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestWhatIsNotThereIsToldSo(t *testing.T) {
+func TestUnknownQueuesAndJobsAreRefused(t *testing.T) {
 	c := newCluster(t, 2, 1, 50*time.Millisecond)
 	for _, h := range c.hosts {
 		code, _ := c.get(h.cfg.Listen.Caller, "/nowhere/"+jobID(1))
@@ -55,7 +55,7 @@
 }
 
 // A body that is not a valid job gets a 4xx reply that names the field, and nothing is stored.
-func TestABadBodyIsRefusedAndNeverStored(t *testing.T) {
+func TestInvalidBodyIsRefusedAndNeverStored(t *testing.T) {
 	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	h := c.leader()
 	bad := map[string]string{
@@ -81,7 +81,7 @@
 
 // The leader dies while tasks run. Another host takes over within seconds, continues with the
 // running tasks, and starts nothing twice.
-func TestAnotherHostLeadsAfterTheLeadDies(t *testing.T) {
+func TestAnotherHostLeadsAfterTheLeaderDies(t *testing.T) {
 	c := newCluster(t, 3, 4, 600*time.Millisecond)
 	f := c.follower()
 	for n := range 6 {
@@ -97,7 +97,7 @@
 
 // All hosts die at once, right after jobs were acknowledged, so that only the records in the
 // store remain. Every job that was reported as accepted completes.
-func TestAcceptedJobsOutliveAllHosts(t *testing.T) {
+func TestAcceptedJobsSurviveAllHosts(t *testing.T) {
 	c := newCluster(t, 3, 4, 300*time.Millisecond)
 	for n := range 6 {
 		require.Equal(t, http.StatusOK, c.submit(c.follower(), n).code)
@@ -118,7 +118,7 @@
 
 // The leader is stopped as planned under load. Callers that keep sending to the other hosts see
 // no failure.
-func TestAPlannedStopOfTheLeadCutsNothing(t *testing.T) {
+func TestPlannedStopOfTheLeaderFailsNoRequest(t *testing.T) {
 	c := newCluster(t, 3, 4, 200*time.Millisecond)
 	old, f := c.leader(), c.follower()
 	done := make(chan struct{})
@@ -144,7 +144,7 @@
 
 // The store refuses one host and serves the others. Callers of that host are still served,
 // through a peer.
-func TestAHostThatTheStoreTurnsAwayServesThroughAPeer(t *testing.T) {
+func TestHostRefusedByTheStoreServesThroughAPeer(t *testing.T) {
 	c := newCluster(t, 3, 3, 50*time.Millisecond)
 	f := c.follower()
 	for i, fault := range []users.Fault{users.Busy, users.Silent, users.Lost} {
@@ -158,7 +158,7 @@
 
 // The store refuses all hosts. Callers are told so at once and not at their deadline, with a time
 // for a retry. The refused job does not run later.
-func TestAStoreThatIsAwayIsToldAtOnce(t *testing.T) {
+func TestStoreOutageIsReportedAtOnce(t *testing.T) {
 	c := newCluster(t, 2, 2, 50*time.Millisecond)
 	h := c.follower()
 	c.log.Break("", users.Busy)
@@ -179,7 +179,7 @@
 
 // The store executes appends, but no answer arrives. The job may run, so it must not be reported
 // as refused.
-func TestAnAppendWithoutAnAnswerIsNeverARefusal(t *testing.T) {
+func TestAppendWithoutAnAnswerIsNeverARefusal(t *testing.T) {
 	c := newCluster(t, 2, 2, 50*time.Millisecond)
 	h := c.follower()
 	c.log.Break("", users.Lost)
@@ -206,7 +206,7 @@
 
 // Other writers store worker entries too: undecodable bytes, fields of a wrong type, unknown
 // states and services. Such entries are ignored, and the valid ones are used.
-func TestAnEntryThatCannotBeReadNamesNoWorker(t *testing.T) {
+func TestUndecodableWorkerEntryIsIgnored(t *testing.T) {
 	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	for i, text := range []string{"\x00\xff", `{}`, `[]`, `{"service":5}`, `{"service":"pass","address":"nowhere","state":"ready"}`,
 		`{"service":"pass","address":"127.0.0.1:1","state":"asleep","capacity":{"cpu":1,"memMb":1}}`,
@@ -243,7 +243,7 @@
 }
 
 // Guards against new starts, and lost runs, on a worker whose entry can no longer be decoded.
-func TestAWorkerWhoseEntryTurnsBadKeepsWhatItRuns(t *testing.T) {
+func TestWorkerWhoseEntryTurnsInvalidKeepsItsRuns(t *testing.T) {
 	for name, text := range map[string]string{
 		"unreadable": "\x00\xff", "no capacity": `{"service":"pass","address":%q,"state":"ready"}`,
 		"no state": `{"service":"pass","address":%q,"capacity":{"cpu":64000,"memMb":262144}}`,
@@ -272,7 +272,7 @@
 
 // Operators publish a table that adds a queue, and afterwards an older record and a damaged one
 // are stored. Every host follows the newest table and none goes back.
-func TestTheTableIsFollowedAndNeverGoesBack(t *testing.T) {
+func TestTableIsFollowedAndNeverGoesBack(t *testing.T) {
 	c := newCluster(t, 2, 1, 50*time.Millisecond)
 	more := `,{"name":"print","host":"jobs.example","pathPrefix":"/print/","service":"pass"}`
 	c.log.Put("op", "config", fmt.Appendf(nil, tableText, 5, more))
@@ -293,7 +293,7 @@
 
 // A job is cancelled while it runs. Its tasks are stopped, and it stays cancelled under the next
 // leader.
-func TestACancelledJobStaysCancelled(t *testing.T) {
+func TestCancelledJobStaysCancelled(t *testing.T) {
 	c := newCluster(t, 2, 2, 5*time.Second)
 	h, f := c.leader(), c.follower()
 	require.Equal(t, http.StatusOK, c.submit(h, 0).code)
@@ -310,9 +310,9 @@
 	require.Zero(t, running())
 }
 
-// Hosts differ in power. The leader has the most work, so the lead goes to a host that is much
+// Hosts differ in power. The leader has the most work, so leadership goes to a host that is much
 // stronger; on a weak host every start would wait for CPU time.
-func TestTheStrongestHostLeads(t *testing.T) {
+func TestStrongestHostLeads(t *testing.T) {
 	c := newCluster(t, 2, 2, 50*time.Millisecond)
 	strong := c.start("strong", func(cfg *entry.Settings) { cfg.Power = 4 })
 	require.Eventually(t, strong.Leading, waitTimeout, 20*time.Millisecond)
@@ -322,10 +322,10 @@
 	require.Empty(t, c.checker.Wrongs())
 }
 
-// A host claims the lead and takes seconds to read the state that it takes over, and the
+// A host claims leadership and takes seconds to read the state that it takes over, and the
 // candidate group names another host in the meantime. If that host claimed as well, the two would
 // fence each other off in turn, nothing would be scheduled, and callers would wait forever.
-func TestNobodyClaimsBesideAClaim(t *testing.T) {
+func TestNoHostClaimsDuringAnotherClaim(t *testing.T) {
 	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -349,7 +349,7 @@
 
 // The candidate group lists a host with much more power that cannot be reached. The others may
 // ask it to lead once, and then one of them leads.
-func TestAStrongHostThatIsGoneIsNotAskedForEver(t *testing.T) {
+func TestUnreachableStrongHostIsNotAskedForever(t *testing.T) {
 	c := newCluster(t, 2, 1, 50*time.Millisecond)
 	join := store.Call{Op: store.Join, Group: "hosts", Member: "ghost 127.0.0.1:1 life 100", Topics: []string{"lead"}, TTL: time.Second}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -370,7 +370,7 @@
 }
 
 // Guards against a host that reports an earlier state of a job than the leader reported before.
-func TestAStateThatNobodyKnowsIsNotTold(t *testing.T) {
+func TestUnknownStateIsNotReported(t *testing.T) {
 	c := newCluster(t, 2, 2, 700*time.Millisecond)
 	leader, f := c.leader(), c.follower()
 	require.Equal(t, http.StatusOK, c.submit(f, 0).code)
@@ -391,7 +391,7 @@
 }
 
 // Guards against a host that forgets a final state that it has already reported.
-func TestAnEndThatWasToldIsToldAgain(t *testing.T) {
+func TestReportedFinalStateIsReportedAgain(t *testing.T) {
 	c := newCluster(t, 2, 2, 50*time.Millisecond)
 	leader, f := c.leader(), c.follower()
 	require.Equal(t, http.StatusOK, c.submit(f, 0).code)
--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -63,7 +63,7 @@
 func (h *Host) RecentHostCount() int { return len(h.successors()) }
 
 // SetPeerAddr sets the address of a peer.
-func (h *Host) SetPeerAddr(name, addr string) { h.peers.Set(name, netip.MustParseAddrPort(addr)) }
+func (h *Host) SetPeerAddr(name, addr string) { h.peers.SetAddr(name, netip.MustParseAddrPort(addr)) }
 
 // WaitsForReply asks a host that does not answer whether it leads, and reports whether the host
 // waited for a reply.
@@ -72,7 +72,7 @@
 	return !errors.As(err, new(*NoLeaderError))
 }
 
-// IsCandidate reports whether the host is a candidate for the lead.
+// IsCandidate reports whether the host is a candidate for leadership.
 func (h *Host) IsCandidate() bool { return h.isCandidate() }
 
 // Journal exposes the writer of job progress.
@@ -104,8 +104,8 @@
 }
 
 // Append stores the records of an append.
-func (b *Journal) Append(ctx context.Context, number int64, records []store.Record, patience time.Duration) error {
-	return b.append(ctx, number, records, patience)
+func (b *Journal) Append(ctx context.Context, number int64, records []store.Record, timeout time.Duration) error {
+	return b.append(ctx, number, records, timeout)
 }
 
 // Drop deletes a job's progress.
@@ -130,7 +130,7 @@
 type ResponseTimes struct{ *responseTimes }
 
 // NewResponseTimes returns an empty record of response times.
-func NewResponseTimes() ResponseTimes { return ResponseTimes{newOrders()} }
+func NewResponseTimes() ResponseTimes { return ResponseTimes{newResponseTimes()} }
 
 // Timeout returns how long to wait for a worker's answer.
 func (o ResponseTimes) Timeout(incarnation string, now time.Time) time.Duration {
@@ -186,7 +186,7 @@
 // group.
 type Follower struct{ *Host }
 
-// NewFollower returns a host that knows the other hosts and follows lead as leader. Its direct
+// NewFollower returns a host that knows the other hosts and follows the host leader. Its direct
 // route to the store is direct, and through is its route through a peer.
 func NewFollower(t *testing.T, log *slog.Logger, name string, others []string, leader string, direct store.Log, through func(ctx context.Context, peer string, c store.Call) (store.Answer, error)) *Follower {
 	h, err := New(Settings{Name: name, Parts: 1}, log, time.Now)
@@ -270,7 +270,7 @@
 		return nil, err
 	}
 	h.store = store.NewRouted(direct, relay{h}, time.Now, h.storeChanged)
-	h.peers.Through(dial)
+	h.peers.SetDialer(dial)
 	srv := peer.NewServer(func(ctx context.Context, m peer.Message) (any, error) {
 		before(ctx)
 		return h.handleMessage(ctx, m)
--- a/internal/entry/alive.go
+++ b/internal/entry/liveness.go
@@ -72,7 +72,7 @@
 		return false
 	}
 	reach := h.tryConnect(leader)
-	if reach == peer.Refused {
+	if reach == peer.ConnRefused {
 		return false
 	}
 	if h.repliedLate(leader) {
@@ -112,10 +112,10 @@
 	return false
 }
 
-// progressAuthor returns the host whose append made a partition of stateTopic grow while lead is
-// under suspicion. It returns "" if that was a leader that has stepped down. If another host has
-// claimed the lead since, this host follows it: its term is not known yet and may never begin,
-// but the previous leader is fenced off.
+// progressAuthor returns the host whose append made a partition of stateTopic grow while leader
+// is under suspicion. It returns "" if that was a leader that has stepped down. If another host
+// has claimed leadership since, this host follows it: its term is not known yet and may never
+// begin, but the previous leader is fenced off.
 func (h *Host) progressAuthor(leader string, part int) string {
 	a, err := h.store.Do(h.ctx, store.Call{Op: store.Newest, Topic: stateTopic, Part: part})
 	if err != nil {
@@ -129,7 +129,7 @@
 	case name == leader || name == h.cfg.Name:
 		return name
 	}
-	h.peers.Set(name, seen.addr)
+	h.peers.SetAddr(name, seen.addr)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
@@ -144,10 +144,10 @@
 }
 
 // tryConnect opens a new connection to a host and reports the result.
-func (h *Host) tryConnect(name string) peer.Reach {
-	ctx, cancel := context.WithTimeout(h.ctx, goneTimeout)
+func (h *Host) tryConnect(name string) peer.Reachability {
+	ctx, cancel := context.WithTimeout(h.ctx, processCheckTimeout)
 	defer cancel()
-	return h.peers.Reach(ctx, name)
+	return h.peers.CheckReach(ctx, name)
 }
 
 // repliedLate reports whether a late reply of the leader arrived within lateReplyValidity.
@@ -167,7 +167,7 @@
 // timeout grows with each recent leader change that was not announced and that may have been a
 // mistake: the more changes there were, the likelier is a mistake and the more it costs. A host
 // that accepts no connection is down or cut off rather than slow, so its timeout does not grow.
-func (h *Host) progressTimeout(reach peer.Reach) time.Duration {
+func (h *Host) progressTimeout(reach peer.Reachability) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	timeout := claimGrace
--- a/internal/entry/doubt_test.go
+++ b/internal/entry/liveness_test.go
@@ -50,7 +50,7 @@
 }
 
 // Guards against another host's claim being taken for progress of a stalled leader.
-func TestAClaimOfAnotherHostIsNoWorkOfTheLead(t *testing.T) {
+func TestClaimOfAnotherHostIsNoProgressOfTheLeader(t *testing.T) {
 	_, leader := checkStalledLeader(t, func(log *users.Log) {
 		log.Put(stateTopic, claimKey, claimOf("c2", silentHost(t)))
 	})
@@ -58,7 +58,7 @@
 }
 
 // Guards against a host's own failed claim being taken for progress of the leader.
-func TestAHostsOwnClaimIsNoWorkOfTheLead(t *testing.T) {
+func TestOwnClaimIsNoProgressOfTheLeader(t *testing.T) {
 	works, leader := checkStalledLeader(t, func(log *users.Log) {
 		log.Put(stateTopic, claimKey, claimOf("b1", netip.MustParseAddrPort("127.0.0.1:1")))
 	})
@@ -67,7 +67,7 @@
 }
 
 // The leader has claimed and is too slow to answer. What it stores shows that it is alive.
-func TestWhatTheLeadStoresShowsThatItWorks(t *testing.T) {
+func TestStoredProgressShowsThatTheLeaderIsAlive(t *testing.T) {
 	works, leader := checkStalledLeader(t, func(log *users.Log) {
 		log.Put(stateTopic, "0001", []byte("{}"))
 	})
@@ -77,7 +77,7 @@
 
 // Guards against the last append of a leader that stepped down being taken for progress of its
 // successor.
-func TestWhatTheFormerLeadStoredIsNoWorkOfItsSuccessor(t *testing.T) {
+func TestAppendOfPreviousLeaderIsNoProgressOfItsSuccessor(t *testing.T) {
 	log := users.NewLog(1, time.Now)
 	f := entry.NewFollower(t, slog.New(slog.DiscardHandler), "b1", nil, "", log.For("b1"), nil)
 	defer f.Stop()
--- a/internal/entry/storm_test.go
+++ b/internal/entry/overload_test.go
@@ -30,9 +30,9 @@
 // the leader's own work, which ends in an append, a reply to a peer, and the backlog of a new
 // leader.
 const (
-	pieceEvery  = 20 * time.Millisecond
-	answerCost  = 500 * time.Microsecond
-	catchUpCost = 900 * time.Millisecond
+	workInterval = 20 * time.Millisecond
+	answerCost   = 500 * time.Microsecond
+	catchUpCost  = 900 * time.Millisecond
 )
 
 // processor executes one task after the other.
@@ -98,7 +98,7 @@
 // for the processor in the same queue as requests.
 func (b *busyHost) doLeaderWork() {
 	led := false
-	for n := 0; sleep(b.cluster.ctx, pieceEvery); n++ {
+	for n := 0; sleep(b.cluster.ctx, workInterval); n++ {
 		if _, frozen := b.faults(); frozen {
 			continue
 		}
@@ -109,12 +109,12 @@
 		if led = leads; !leads || b.cluster.load == 0 {
 			continue
 		}
-		go b.doPiece(n)
+		go b.doUnit(n)
 	}
 }
 
-func (b *busyHost) doPiece(n int) {
-	if b.cpu.do(b.cluster.ctx, time.Duration(b.cluster.load*float64(pieceEvery))) && b.StoreProgress(fmt.Sprintf("%s-%d", b.Name(), n)) {
+func (b *busyHost) doUnit(n int) {
+	if b.cpu.do(b.cluster.ctx, time.Duration(b.cluster.load*float64(workInterval))) && b.StoreProgress(fmt.Sprintf("%s-%d", b.Name(), n)) {
 		b.cluster.mu.Lock()
 		b.cluster.workDone++
 		b.cluster.mu.Unlock()
@@ -212,7 +212,7 @@
 // of one late answer would be fenced off; the next one would have to catch up with all open work,
 // be even later, and be fenced off in turn. No host would lead for long, and no submitted job
 // would start for minutes.
-func TestALeadShortOfProcessorIsNotFencedOff(t *testing.T) {
+func TestLeaderShortOfCPUIsNotFencedOff(t *testing.T) {
 	for _, load := range []float64{0.3, 0.6, 0.8, 0.9} {
 		t.Run(fmt.Sprintf("load %d percent", int(100*load)), func(t *testing.T) {
 			var before, after int
@@ -222,7 +222,7 @@
 				59 * time.Second: func(c *busyCluster) { after = c.workCount() },
 			})
 			require.LessOrEqual(t, c.termCount(), 2, c.logs.String())
-			require.Greater(t, after-before, 8*int(time.Second/pieceEvery), "the leader keeps up with the work that arrives in nine seconds")
+			require.Greater(t, after-before, 8*int(time.Second/workInterval), "the leader keeps up with the work that arrives in nine seconds")
 		})
 	}
 }
@@ -231,7 +231,7 @@
 // for most of a second every few seconds. If it were fenced off, the next one would do the same
 // with even more open work. One such change may be a mistake, but each makes the hosts wait
 // longer, and from the third one on the leader stays.
-func TestALeadThatStallsIsNotFencedOffAgainAndAgain(t *testing.T) {
+func TestStallingLeaderIsNotFencedOffRepeatedly(t *testing.T) {
 	for seed := range uint64(4) {
 		stalls := map[time.Duration]func(*busyCluster){}
 		for at := 4 * time.Second; at < time.Minute; at += 2300 * time.Millisecond {
@@ -250,7 +250,7 @@
 // with long tasks, or it waits for the policy service. It answers every request, half a second
 // late. The host that the candidate group names has received the late answer when it is about to
 // claim.
-func TestALeadThatAnswersLateIsNotFencedOff(t *testing.T) {
+func TestLeaderThatAnswersLateIsNotFencedOff(t *testing.T) {
 	c := runBusyCluster(t, &busyCluster{late: 500 * time.Millisecond}, 1, 30*time.Second, nil)
 	require.Equal(t, 1, c.termCount(), c.logs.String())
 }
@@ -258,7 +258,7 @@
 // A leader really is dead: its process is frozen, or no host receives anything from it any more
 // while the store still does. Callers wait until another host leads. That host waits for a leader
 // that is only slow, but not for long.
-func TestALeadThatIsGoneIsSucceeded(t *testing.T) {
+func TestDeadLeaderIsSucceeded(t *testing.T) {
 	for name, tc := range map[string]struct {
 		harm  func(b *busyHost)
 		bound time.Duration
@@ -289,7 +289,7 @@
 // The leader changed three times in a row, and this time its process really has ended: nothing
 // listens at its address. Hosts whose timeout has grown would leave callers without a leader for
 // three seconds.
-func TestAProcessThatIsGoneIsNotWaitedFor(t *testing.T) {
+func TestEndedLeaderProcessIsNotWaitedFor(t *testing.T) {
 	log := users.NewLog(1, time.Now)
 	f := entry.NewFollower(t, slog.New(slog.DiscardHandler), "b1", nil, "", log.For("b1"), nil)
 	defer f.Stop()
@@ -305,7 +305,7 @@
 // reports that the store does not serve it. When the store is back and the leader is busy with
 // the backlog, its answers are late. The leader used to be considered silent since before the
 // outage, and was replaced without need.
-func TestALeadThatTheStoreDidNotServeWasHeard(t *testing.T) {
+func TestRepliesCountWhileTheStoreDoesNotServeTheLeader(t *testing.T) {
 	c := runBusyCluster(t, &busyCluster{load: 0.5}, 1, 30*time.Second, map[time.Duration]func(*busyCluster){
 		10 * time.Second: func(c *busyCluster) { c.log.Break("", users.Silent) },
 		16 * time.Second: func(c *busyCluster) {
--- a/internal/entry/records_test.go
+++ b/internal/entry/records_test.go
@@ -42,7 +42,7 @@
 )
 
 // Guards against an older record that is reported while a newer one is in another partition.
-func TestTheNewestOfAJobsRecordsIsTold(t *testing.T) {
+func TestNewestRecordOfAJobIsReported(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	now := time.Now()
 	for n := range 2 {
@@ -83,7 +83,7 @@
 }
 
 // Guards against a job that is reported as missing because its record cannot be decoded.
-func TestAJobWhoseRecordCannotBeReadIsNotMissing(t *testing.T) {
+func TestJobWithUndecodableRecordIsNotReportedMissing(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	c.withoutLeader()
 	c.log.Put("state", jobID(0), []byte("{"))
@@ -92,7 +92,7 @@
 
 // Guards against a deleted job that is reported as running because one partition still contains a
 // record of it.
-func TestAForgottenJobIsNotToldAsRunning(t *testing.T) {
+func TestDeletedJobIsNotReportedAsRunning(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	long := time.Now().Add(-time.Hour)
 	c.putRecord(0, 0, 1, "running", long)
@@ -132,7 +132,7 @@
 }
 
 // Guards against a state query that waits only for a leader that has been succeeded.
-func TestTheNextLeadIsAskedAsWell(t *testing.T) {
+func TestNextLeaderIsAskedAsWell(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	h := c.follower()
 	silent, next := c.fakeLeader(""), c.fakeLeader("running")
@@ -146,7 +146,7 @@
 }
 
 // Guards against a state query that waits only for a leader that another host has fenced off.
-func TestAHostThatHasClaimedIsAskedAsWell(t *testing.T) {
+func TestHostThatHasClaimedIsAskedAsWell(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	h := c.follower()
 	silent, next := c.fakeLeader(""), c.fakeLeader("running")
@@ -162,7 +162,7 @@
 
 // Guards against a leader that reports a job as missing because it could not decode the stored
 // records.
-func TestALeadDoesNotTellAJobThatItCannotReadAsMissing(t *testing.T) {
+func TestLeaderDoesNotReportAnUndecodableJobAsMissing(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	c.log.Put("jobs", jobID(0), fmt.Appendf(nil, `{"id":%q,"queue":{"name":"scan","service":"pass"},"steps":[{"tasks":1}]}`, jobID(0)))
 	c.log.Put("state", jobID(0), []byte("{"))
@@ -177,7 +177,7 @@
 
 // Guards against hosts that cannot report running jobs while the leader is reachable and does not
 // answer.
-func TestRunningJobsAreToldWhileTheLeadDoesNotAnswer(t *testing.T) {
+func TestRunningJobsAreReportedWhileTheLeaderDoesNotAnswer(t *testing.T) {
 	c := newCluster(t, 3, 4, time.Minute)
 	c.submitMany(c.follower(), 0, 4)
 	leader := c.leader()
@@ -190,7 +190,7 @@
 }
 
 // Guards against pages that are read again for each ended job on them.
-func TestEndsThatStandOnAPageAreKept(t *testing.T) {
+func TestFinalStatesOnAPageAreKept(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	for n := range 2 {
 		c.putRecord(0, n, 1, "completed", time.Now())
@@ -203,7 +203,7 @@
 
 // Guards against a caller that is kept waiting by a host that reaches neither the leader nor the
 // store.
-func TestAHostThatIsCutOffRefusesBeforeTheDeadline(t *testing.T) {
+func TestIsolatedHostRefusesBeforeTheDeadline(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	h := c.follower()
 	h.LearnLeader("silent", c.fakeLeader(""), 1<<40)
@@ -221,7 +221,7 @@
 
 // Guards against a state query that keeps waiting although the host has learned the job's final
 // state since.
-func TestAnEndThatIsLearnedMeanwhileIsTold(t *testing.T) {
+func TestFinalStateLearnedDuringAQueryIsReported(t *testing.T) {
 	c := newCluster(t, 2, 1, 20*time.Millisecond)
 	h := c.follower()
 	c.log.BreakReads("state", users.Silent)
--- a/internal/entry/succession.go
+++ b/internal/entry/succession.go
@@ -13,7 +13,7 @@
 
 const (
 	// strongerFactor is how many times as powerful another host has to be for the leader to hand
-	// over the lead to it. A leader change costs a tenth of a second, a leader that is short of
+	// over leadership to it. A leader change costs a tenth of a second, a leader that is short of
 	// CPU time delays every start.
 	strongerFactor = 1.5
 	// cedeMinTermAge is the age of a term at which the leader looks for a stronger host. The
@@ -25,7 +25,7 @@
 )
 
 // handleSucceed takes over from a leader that steps down, or follows the named successor.
-func (h *Host) handleSucceed(m peer.Succeed) {
+func (h *Host) handleSucceed(m peer.AnnounceSuccessor) {
 	if m.Successor != h.cfg.Name {
 		h.followLeader(m.Successor, m.Term)
 		return
@@ -40,7 +40,7 @@
 	h.wg.Go(func() { h.claim("the lead leaves") })
 }
 
-// stepDown ends the host's membership in the candidate group and hands the lead over to another
+// stepDown ends the host's membership in the candidate group and hands leadership over to another
 // host. All hosts are told which one, because the candidate group may name a different host, and
 // two hosts that claim concurrently at a slow store cost each other seconds.
 func (h *Host) stepDown(t *term) {
@@ -58,7 +58,7 @@
 // announceSuccessor tells all hosts, the successor first, which host is to lead next. The other
 // hosts are told concurrently; otherwise one in a failure domain that is cut off would use up the
 // time for all.
-func (h *Host) announceSuccessor(ctx context.Context, successor string, succeed peer.Succeed) {
+func (h *Host) announceSuccessor(ctx context.Context, successor string, succeed peer.AnnounceSuccessor) {
 	succeed.Successor = successor
 	h.mu.Lock()
 	h.successor = successor
@@ -75,8 +75,8 @@
 	wg.Wait()
 }
 
-func (h *Host) sendSucceed(ctx context.Context, p string, succeed peer.Succeed) {
-	if err := h.peers.Tell(ctx, p, succeed); err != nil {
+func (h *Host) sendSucceed(ctx context.Context, p string, succeed peer.AnnounceSuccessor) {
+	if err := h.peers.Notify(ctx, p, succeed); err != nil {
 		h.log.Warn("entry: peer could not be told the successor.", "peer", p, "err", err)
 	}
 }
@@ -137,7 +137,7 @@
 
 // byPower orders hosts by how suitable they are to lead. The strongest come first: a weak host
 // with a narrow link takes a second or two to read the state that it takes over, no task starts
-// in that time, and it hands over the lead to a stronger host soon after. Among equally strong
+// in that time, and it hands over leadership to a stronger host soon after. Among equally strong
 // hosts the one that started last comes first: when hosts are restarted one after the other, it
 // has already been restarted.
 func byPower(seen map[string]hostInfo) []string {
@@ -146,7 +146,7 @@
 	})
 }
 
-// cedeToStronger hands the lead over to a host with much more power, if there is one.
+// cedeToStronger hands leadership over to a host with much more power, if there is one.
 func (h *Host) cedeToStronger() {
 	h.mu.Lock()
 	t := h.ownTerm
@@ -194,7 +194,7 @@
 	h.lastDelegation = h.now()
 	h.mu.Unlock()
 	h.log.Info("lead: stronger host asked to lead.", "host", best)
-	h.announceSuccessor(ctx, best, peer.Succeed{Term: term})
+	h.announceSuccessor(ctx, best, peer.AnnounceSuccessor{Term: term})
 	h.followLeader(best, term)
 	return true
 }
--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -23,10 +23,10 @@
 
 // Of 44 hosts 6 are strong, and hosts are restarted one after the other, the leader first. If a
 // weak host took over, with a tenth of the bandwidth, no task would start while it reads its
-// state, and again when it hands over the lead to a strong one. The same would happen if a host
+// state, and again when it hands over leadership to a strong one. The same would happen if a host
 // took over that is restarted next. Callers would see their jobs late three times in a row. The
 // pattern is that of a rolling restart of a site that has grown.
-func TestTheStrongestAndYoungestHostIsTheSuccessor(t *testing.T) {
+func TestStrongestAndNewestHostIsTheSuccessor(t *testing.T) {
 	at := time.Unix(1000, 0)
 	seen := map[string]entry.HostInfo{
 		"weak":      {Power: 0.192, Began: at.Add(time.Hour)},
@@ -39,7 +39,7 @@
 
 // The leader of a cluster of unequal hosts is stopped. The strongest of the others leads next,
 // and no third host does.
-func TestAStoppedLeadIsFollowedByTheStrongest(t *testing.T) {
+func TestStrongestHostSucceedsAStoppedLeader(t *testing.T) {
 	c := newCluster(t, 1, 2, 50*time.Millisecond)
 	power := func(p float64) func(*entry.Settings) { return func(cfg *entry.Settings) { cfg.Power = p } }
 	c.start("a", power(0.2))
@@ -60,7 +60,7 @@
 // The leader's failure domain is cut off, and the leader answers nothing. The host that is to
 // lead asks it three times on the way to the claim, but waits for an answer only once. Three
 // waits would delay every start by half a second more.
-func TestASilentLeadIsWaitedForOnce(t *testing.T) {
+func TestSilentLeaderIsWaitedForOnce(t *testing.T) {
 	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -84,10 +84,10 @@
 }
 
 // Some hosts are much weaker than others. If one of them led, it would be so short of CPU time
-// that it could not even be asked to hand over the lead, and nearly no job would be finished in
+// that it could not even be asked to hand over leadership, and nearly no job would be finished in
 // time. So a weak host is no candidate while there are enough strong ones, and becomes one when
 // they are gone.
-func TestAWeakHostStandsReadyOnlyWithoutStrongOnes(t *testing.T) {
+func TestWeakHostIsCandidateOnlyWithoutStrongOnes(t *testing.T) {
 	c := newCluster(t, 3, 2, 50*time.Millisecond)
 	weak := c.start("weak", func(cfg *entry.Settings) { cfg.Power = 0.2 })
 	require.Eventually(t, func() bool { return !weak.IsCandidate() }, waitTimeout, 20*time.Millisecond)
@@ -108,7 +108,7 @@
 // partition that it has already read. It must not report that this job does not exist, because
 // what it knows is as old as the beginning of its read. Callers used to be told that jobs that
 // they had submitted did not exist.
-func TestALeadKnowsOnlyWhatWasStoredBeforeItRead(t *testing.T) {
+func TestLeaderKnowsOnlyWhatWasStoredBeforeItsRead(t *testing.T) {
 	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	h := c.leader()
 	require.False(t, h.IsUncertain(jobID(0)), "the leader has just read the jobs")
@@ -127,7 +127,7 @@
 // lost, and the new leader has already read the partition. The job would wait for the new
 // leader's next poll of all partitions, nearly two seconds; in this test the new leader cannot
 // poll at all. The host notifies the new leader as soon as it knows which host leads.
-func TestAJobStoredWhileTheLeadChangesIsHandedToTheNextLead(t *testing.T) {
+func TestNextLeaderIsNotifiedOfAJobStoredDuringTheChange(t *testing.T) {
 	c := newCluster(t, 3, 2, 50*time.Millisecond)
 	leader, f := c.leader(), c.follower()
 	c.log.BreakReads("jobs", users.Busy)
@@ -147,7 +147,7 @@
 // The leader asks the policy service through the hosts that have contacted it. After a power
 // failure of all hosts none has. A host that learns of a leader contacts it at once; if it waited
 // for its next periodic sync, work would wait for up to a second.
-func TestAHostMakesItselfKnownToANewLead(t *testing.T) {
+func TestHostContactsANewLeader(t *testing.T) {
 	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	leader := c.leader()
 	cfg := leader.cfg
@@ -163,7 +163,7 @@
 // The announcement of a new leader is not stored at first. The other hosts continue to ask the
 // dead leader, and none of them claims, because the new one answers that it leads. If the
 // announcement were not repeated, their callers would be told forever that no host leads.
-func TestALeadIsAnnouncedUntilItIsStored(t *testing.T) {
+func TestAnnouncementIsRepeatedUntilItIsStored(t *testing.T) {
 	c := newCluster(t, 3, 2, 50*time.Millisecond)
 	c.log.BreakPart("lead", 0, users.Busy)
 	dead := c.leader()
@@ -177,8 +177,8 @@
 }
 
 // The candidate group names a host while another host leads that it does not know of. It leaves
-// the lead to that host and follows it from then on.
-func TestAHostFollowsTheLeadThatItFinds(t *testing.T) {
+// leadership to that host and follows it from then on.
+func TestHostFollowsTheLeaderThatItFinds(t *testing.T) {
 	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -204,7 +204,7 @@
 // and all work waits for answers of the policy service, which takes one request of a host at a
 // time. The leader uses a host as soon as it hears from it. If it did so only at its next
 // periodic sync, up to a second later, all requests would go through the leader alone until then.
-func TestALeadUsesAHostOnceItHearsOfIt(t *testing.T) {
+func TestLeaderUsesAHostOnceItHearsFromIt(t *testing.T) {
 	c := newCluster(t, 1, 1, 50*time.Millisecond)
 	leader := c.leader()
 	require.False(t, leader.UsesForPolicy("new"))
@@ -216,18 +216,18 @@
 // standby knows at once and claims. With the candidate group at the store alone, no host would
 // lead until the dead host's membership has expired, which takes a second, and three on a slow
 // store.
-func TestTheHeirLeadsOnceTheLeadsProcessIsGone(t *testing.T) {
+func TestStandbyLeadsOnceTheLeadersProcessHasEnded(t *testing.T) {
 	c := newCluster(t, 3, 2, 50*time.Millisecond)
 	c.waitReady()
 	leader := c.leader()
 	require.Eventually(t, func() bool {
-		heirs := 0
+		standbys := 0
 		for _, h := range c.hosts {
 			if h.Standby() != "" {
-				heirs++
+				standbys++
 			}
 		}
-		return heirs == 2
+		return standbys == 2
 	}, waitTimeout, 20*time.Millisecond)
 	leader.Kill()
 	delete(c.hosts, leader.cfg.Name)
@@ -243,7 +243,7 @@
 // The leader's process dies. Its connections are closed before its listener is, and the standby
 // checks in between: a new connection is still accepted. If it checked only once, it would take
 // the leader for alive, and callers would wait a second more for the next leader.
-func TestAProcessThatIsStillClosingIsGone(t *testing.T) {
+func TestProcessThatIsStillClosingCountsAsEnded(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	c := newCluster(t, 1, 1, 50*time.Millisecond)
@@ -266,7 +266,7 @@
 // best successors. If they were asked one after the other, they would use up the time that the
 // leader has to step down; it would name no successor, and nothing would be started until the
 // candidate group notices.
-func TestSilentHostsDoNotKeepALeadFromNamingItsSuccessor(t *testing.T) {
+func TestSilentHostsDoNotKeepALeaderFromNamingItsSuccessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
@@ -288,7 +288,7 @@
 // A leader's process restarts while its standby takes over, and asks other hosts which leader
 // they follow. The three hosts next to it in the list are cut off with their failure domain. If
 // it asked only those, it would claim at the same time as the standby.
-func TestHostsThatAreAskedLieApart(t *testing.T) {
+func TestAskedHostsAreSpacedApart(t *testing.T) {
 	require.Equal(t, []string{"a1", "b1", "c1"}, entry.SpacedSample([]string{"a1", "a2", "b1", "b2", "c1", "c2"}, 3))
 	require.Equal(t, []string{"a1", "a2"}, entry.SpacedSample([]string{"a1", "a2"}, 3))
 	require.Empty(t, entry.SpacedSample(nil, 3))
@@ -297,7 +297,7 @@
 // A host starts, and reads from the store at the same time which hosts there are and which host
 // leads. The list used to be iterated without its lock while the leader was added to it, which
 // crashes the process; callers would lose their connections to it just when all hosts restart.
-func TestHostsAreListedWhileTheLeadIsLearned(t *testing.T) {
+func TestHostsAreReplacedWhileALeaderIsLearned(t *testing.T) {
 	log := users.NewLog(1, time.Now)
 	f := entry.NewFollower(t, slog.New(slog.DiscardHandler), "b1", nil, "", log.For("b1"), nil)
 	addr := netip.MustParseAddrPort("127.0.0.1:1")
@@ -321,7 +321,7 @@
 }
 
 // Guards against work that a host starts after its shutdown has been waited for.
-func TestALeadThatIsLostWhileItsHeirEndsIsNotSucceeded(t *testing.T) {
+func TestStandbyThatIsStoppingDoesNotTakeOver(t *testing.T) {
 	log := users.NewLog(1, time.Now)
 	for n := range 50 {
 		f := entry.NewFollower(t, slog.New(slog.DiscardHandler), fmt.Sprint("b", n), nil, "a", log.For("b"), nil)
--- a/internal/host/cell.go
+++ b/internal/host/cell.go
@@ -55,7 +55,7 @@
 		}
 		switch {
 		case m.Domain != h.cfg.Domain:
-		case m.Kind == cell.MinionHost && !m.Leaving:
+		case m.Kind == cell.BackendHost && !m.Leaving:
 			servers = append(servers, relay.Server{Name: m.Name, Address: m.Address, Slots: h.slots(m.Name, m.Slots)})
 		case m.Kind == cell.WorkerHost && !m.Leaving && h.leads(m):
 			workers = append(workers, machine)
@@ -82,6 +82,6 @@
 	return known[i : i+1]
 }
 
-func (h *Host) leads(m platform.Machine) bool {
+func (h *Host) leads(m platform.HostEntry) bool {
 	return h.Ready() && h.rackLead(cell.Home{Domain: m.Domain, Rack: m.Rack}) == h.cfg.Name
 }
--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -120,7 +120,7 @@
 func (h *Host) sendTo(name string, all []*handed) {
 	err := h.push(name, all)
 	var refused *peer.RefusedError
-	var unreached *peer.UnreachedError
+	var unreached *peer.UnreachableError
 	no := errors.As(err, &refused) || errors.As(err, &unreached)
 	switch {
 	case err == nil:
@@ -140,8 +140,8 @@
 func (h *Host) push(name string, all []*handed) error {
 	ctx, cancel := context.WithTimeout(h.ctx, handWait)
 	defer cancel()
-	var expected peer.Expected
-	if err := h.peers.Ask(ctx, name, peer.Expect{From: h.cfg.Name}, &expected); err != nil {
+	var expected peer.TokenReply
+	if err := h.peers.Ask(ctx, name, peer.AskToken{From: h.cfg.Name}, &expected); err != nil {
 		return err
 	}
 	m := peer.Handover{From: h.cfg.Name, Token: expected.Token}
@@ -151,7 +151,7 @@
 	m.Notes = h.notesOf(m.Jobs)
 	var reply peer.HandoverReply
 	err := h.peers.Ask(ctx, name, m, &reply)
-	if errors.As(err, new(*peer.SilentError)) {
+	if errors.As(err, new(*peer.NoAnswerError)) {
 		for _, one := range all {
 			one.unsure = true
 		}
@@ -213,7 +213,7 @@
 	var all []trail.Note
 	for _, c := range carries {
 		if len(all) < notesMost {
-			all = append(all, h.trail.Brief(c.Spec.ID, notesAJob)...)
+			all = append(all, h.trail.Excerpt(c.Spec.ID, notesAJob)...)
 		}
 	}
 	return all
@@ -246,7 +246,7 @@
 		if !h.jobs.log.Written(c.Spec.ID) {
 			rec := joblog.Record{ID: c.Spec.ID, Spec: &c.Spec}
 			h.jobs.log.Remember(rec)
-			h.jobs.owed[rec.ID] = rec.Merged(h.jobs.owed[rec.ID])
+			h.jobs.owed[rec.ID] = rec.Merge(h.jobs.owed[rec.ID])
 		}
 	}
 	h.mu.Unlock()
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -75,7 +75,7 @@
 	toldAt      time.Time
 	// copying tells that peers are asked for their table.
 	copying atomic.Bool
-	list    []platform.Machine
+	list    []platform.HostEntry
 	shares  *share.Shares
 	// sharing is held from a decision on slots until the queue knows it. An
 	// older decision would else overtake a newer one and bring back slots
@@ -114,8 +114,8 @@
 		members: member.New(member.Heartbeat{Name: cfg.Name, Domain: cfg.Domain, Incarnation: now.UnixMilli()}),
 	}
 	h.life.Store(life.Start())
-	h.peers.Through(h.dialPeer)
-	h.peers.Probe(h.probe)
+	h.peers.SetDialer(h.dialPeer)
+	h.peers.SetIdleTime(h.probe)
 	h.relay = relay.New(relay.Deps{
 		Name: cfg.Name, Domain: cfg.Domain, Queue: queue.New(queue.Limits{Length: int(cfg.Limits.Queue), Reserve: queue.DefaultLimits.Reserve}),
 		Ledger: ledger.New(ledger.DefaultLimits, now), Minions: minion.New(minion.NewTransport(dial.New().DialContext), cfg.Limits.Body),
@@ -174,7 +174,7 @@
 	h.serve(h.bounded(ls.Caller), h.callerRoutes())
 	h.serve(h.operatorListener(h.bounded(ls.Operator)), h.operatorRoutes())
 	srv := peer.NewServer(h.respond)
-	srv.Count(h.countKeys)
+	srv.OnRejected(h.countKeys)
 	h.wg.Go(func() { srv.Serve(h.ctx, h.peerListener(ls.Peer)) })
 	h.wg.Go(h.followTable)
 	h.wg.Go(h.followList)
--- a/internal/host/keys_test.go
+++ b/internal/host/keys_test.go
@@ -80,13 +80,13 @@
 
 	liar := peer.NewClients(map[string]netip.AddrPort{"nord-0": at(c.sockets[0].Peer)})
 	defer liar.Close()
-	liar.Through(func(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
+	liar.SetDialer(func(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
 		return (&tls.Dialer{Config: host}).DialContext(ctx, "tcp", addr.String())
 	})
 	lie := peer.Beat{Heartbeat: member.Heartbeat{Name: "nord-1", Incarnation: 1 << 60, Leaving: true}}
 	require.ErrorAs(t, liar.Ask(ctx, "nord-0", lie, nil), new(*peer.RefusedError))
 	require.ErrorAs(t, liar.Ask(ctx, "nord-0", peer.Leave{Name: "nord-1"}, nil), new(*peer.RefusedError))
-	require.ErrorAs(t, liar.Ask(ctx, "nord-0", peer.Slots{Announcement: share.Announcement{Name: "nord-1", Released: true}}, nil), new(*peer.RefusedError))
+	require.ErrorAs(t, liar.Ask(ctx, "nord-0", peer.AnnounceSlots{Announcement: share.Announcement{Name: "nord-1", Released: true}}, nil), new(*peer.RefusedError))
 	require.Equal(t, int64(3), c.hosts[0].Count("keys.lie"))
 	require.NoError(t, operator(good).Get(ctx, "/hosts", &hosts))
 	require.Len(t, hosts.Live, 2)
--- a/internal/ledger/await.go
+++ b/internal/ledger/await.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// await answers at once unless a try is running.
+// await answers at once unless a try of the key is running.
 func (l *Ledger) await(ev Await) []Action {
 	e, ok := l.keys[ev.Key]
 	if !ok {
@@ -19,7 +19,7 @@
 	return nil
 }
 
-func (l *Ledger) drop(id string) {
+func (l *Ledger) removeWaiter(id string) {
 	w, ok := l.waiters[id]
 	if !ok {
 		return
@@ -30,7 +30,7 @@
 	}
 }
 
-func (l *Ledger) wake(e *entry, v Verdict) []Action {
+func (l *Ledger) notifyWaiters(e *entry, v Verdict) []Action {
 	var woken []Action
 	for _, id := range e.waiters {
 		delete(l.waiters, id)
@@ -41,10 +41,10 @@
 }
 
 func (l *Ledger) tick(now time.Time) []Action {
-	woken := l.lose(now)
+	woken := l.markLostTries(now)
 	for id, w := range l.waiters {
 		if !w.until.After(now) {
-			l.drop(id)
+			l.removeWaiter(id)
 			woken = append(woken, Woken{ID: id, Verdict: Verdict{Key: w.key, State: Running}})
 		}
 	}
@@ -53,34 +53,35 @@
 		if now.Sub(e.opened) <= l.limits.Retention {
 			break
 		}
-		woken = append(woken, l.wake(e, Verdict{Key: e.key, State: Lost})...)
+		woken = append(woken, l.notifyWaiters(e, Verdict{Key: e.key, State: Lost})...)
 		l.evict()
 	}
 	return woken
 }
 
-// lose gives up the running tries of entry hosts that are gone. Without it a
-// repeat would wait until its deadline for an end that nobody will tell.
-func (l *Ledger) lose(now time.Time) []Action {
+// markLostTries gives up the running tries whose entry host is gone or whose time is over,
+// and notifies their waiters. Otherwise a repeat would wait until its deadline for an end
+// that nobody reports.
+func (l *Ledger) markLostTries(now time.Time) []Action {
 	var woken []Action
 	for host, tries := range l.running {
-		sign := l.signs[host]
+		sign := l.heartbeats[host]
 		for _, e := range tries {
-			if !e.over(now, sign) {
+			if !e.isLost(now, sign) {
 				continue
 			}
 			e.lost = true
-			l.rest(e)
-			woken = append(woken, l.wake(e, e.state())...)
+			l.removeRunning(e)
+			woken = append(woken, l.notifyWaiters(e, e.state())...)
 		}
 	}
 	return woken
 }
 
-// over tells whether the entry host of a running try is gone or overdue. The
-// question itself was a sign of life, also of a host not heard of before.
-func (e *entry) over(now time.Time, sign Heartbeat) bool {
-	if !e.until.IsZero() && now.After(e.until) {
+// isLost reports whether the entry host of a running try is gone or the try is overdue. The
+// Open of the try counts as a heartbeat, also for a host that has sent none yet.
+func (e *entry) isLost(now time.Time, sign Heartbeat) bool {
+	if !e.overdueAt.IsZero() && now.After(e.overdueAt) {
 		return true
 	}
 	if e.host == "" {
@@ -90,5 +91,5 @@
 	if sign.At.After(last) {
 		last = sign.At
 	}
-	return sign.Incarnation > e.inc || now.Sub(last) > silentAfter
+	return sign.Incarnation > e.inc || now.Sub(last) > hostTimeout
 }
--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -9,9 +9,9 @@
 	"pollencroft/internal/ledger"
 )
 
-// world plays entry hosts, homes and backend servers with the real cores; a
-// test chooses which message goes next and who dies.
-type world struct {
+// simulation runs entry hosts, homes and backend servers with the real state machines. A
+// test chooses which message is delivered next and which host crashes.
+type simulation struct {
 	now     time.Time
 	limits  ledger.Limits
 	hosts   []ledger.Host
@@ -24,7 +24,8 @@
 	ran     map[string]int
 	tries   int
 	rule    rule
-	// lossy chooses what becomes of a message; late holds those on their way.
+	// lossy chooses whether a message is delivered, delayed or lost. late holds the delayed
+	// messages.
 	lossy func(n int) int
 	late  []func()
 }
@@ -34,25 +35,25 @@
 	{Name: "sued-0", Domain: "sued"}, {Name: "sued-1", Domain: "sued"}, {Name: "sued-2", Domain: "sued"},
 }
 
-// rule bends the rules of a world; whole keeps them all.
+// rule changes the rules of a simulation. allRules changes none.
 type rule struct {
-	// older makes homes vouch for a time before they started.
+	// older makes homes confirm keys from this long before their start.
 	older time.Duration
 	group func(*ledger.Group)
-	// byLive lets the homes follow from who is taken for alive.
+	// byLive chooses the homes from the hosts that are taken to be alive.
 	byLive bool
 }
 
-var whole = rule{group: func(*ledger.Group) {}}
+var allRules = rule{group: func(*ledger.Group) {}}
 
-// brokenRules each leave out one rule that at most once rests on.
+// brokenRules each leave out one rule that the at-most-once guarantee depends on.
 var brokenRules = map[string]rule{
 	"one home is enough":    {group: func(g *ledger.Group) { g.RequiredWeight = 1 }},
-	"blind counts as fresh": {group: whole.group, older: time.Hour},
+	"blind counts as fresh": {group: allRules.group, older: time.Hour},
 }
 
-func newWorld(hosts []ledger.Host, rule rule) *world {
-	w := &world{
+func newSimulation(hosts []ledger.Host, rule rule) *simulation {
+	w := &simulation{
 		now: start, limits: ledger.DefaultLimits, hosts: hosts, ledgers: map[string]*ledger.Ledger{}, inc: map[string]int64{},
 		dead: map[string]bool{}, paused: map[string]bool{}, cut: map[string]bool{}, skew: map[string]time.Duration{}, ran: map[string]int{}, rule: rule, lossy: func(int) int { return 0 },
 	}
@@ -63,34 +64,34 @@
 	return w
 }
 
-// replace starts a host anew, without its predecessor's memory.
-func (w *world) replace(name string) {
+// replace restarts a host without its memory.
+func (w *simulation) replace(name string) {
 	w.ledgers[name] = ledger.New(w.limits, w.clock(name).Add(-w.rule.older))
 	w.inc[name]++
 	w.dead[name], w.paused[name] = false, false
 }
 
-func (w *world) clock(name string) time.Time { return w.now.Add(w.skew[name]) }
+func (w *simulation) clock(name string) time.Time { return w.now.Add(w.skew[name]) }
 
-// tell gives a home an event at its own time.
-func (w *world) tell(name string, ev ledger.Event) []ledger.Action {
+// stepHome passes an event to a home at the home's own time.
+func (w *simulation) stepHome(name string, ev ledger.Event) []ledger.Action {
 	return w.ledgers[name].Step(w.clock(name), ev)
 }
 
-func (w *world) domain(name string) string {
+func (w *simulation) domain(name string) string {
 	i := slices.IndexFunc(w.hosts, func(h ledger.Host) bool { return h.Name == name })
 	return w.hosts[i].Domain
 }
 
-func (w *world) still(name string) bool { return w.dead[name] || w.paused[name] }
+func (w *simulation) isDown(name string) bool { return w.dead[name] || w.paused[name] }
 
-func (w *world) reaches(from, to string) bool {
+func (w *simulation) reaches(from, to string) bool {
 	a, b := w.domain(from), w.domain(to)
-	return !w.still(from) && !w.still(to) && (a == b || !w.cut[a] && !w.cut[b])
+	return !w.isDown(from) && !w.isDown(to) && (a == b || !w.cut[a] && !w.cut[b])
 }
 
-// tick lets time pass; live hosts give signs of life.
-func (w *world) tick(d time.Duration) {
+// tick advances the time. Live hosts send heartbeats.
+func (w *simulation) tick(d time.Duration) {
 	w.now = w.now.Add(d)
 	for name := range w.ledgers {
 		signs := map[string]ledger.Heartbeat{}
@@ -99,28 +100,28 @@
 				signs[h.Name] = ledger.Heartbeat{Incarnation: w.inc[h.Name], At: w.clock(name)}
 			}
 		}
-		if !w.still(name) {
-			w.tell(name, ledger.HostHeartbeats{Heartbeats: signs})
-			w.tell(name, ledger.Tick{})
+		if !w.isDown(name) {
+			w.stepHome(name, ledger.HostHeartbeats{Heartbeats: signs})
+			w.stepHome(name, ledger.Tick{})
 		}
 	}
 }
 
-// try is one try at one entry host. Its next message is in do; what it has
-// told its caller is in told.
+// try is one try at one entry host. actions are the pending actions, and reply is what the
+// caller got.
 type try struct {
-	w       *world
+	w       *simulation
 	host    string
 	inc     int64
 	run     *ledger.Try
 	key     string
-	do      []ledger.TryAction
-	told    *ledger.Answer
+	actions []ledger.TryAction
+	reply   *ledger.Answer
 	ran     int
 	waiting *ledger.AwaitHome
 }
 
-func (w *world) try(host, key string, digest uint64, attempt int, live func(string) bool) *try {
+func (w *simulation) try(host, key string, digest uint64, attempt int, live func(string) bool) *try {
 	var others []ledger.Host
 	for _, h := range w.hosts {
 		if h.Name != host {
@@ -146,20 +147,20 @@
 		Remaining: cell.Duration{Duration: 10 * time.Second},
 	}
 	t := &try{w: w, host: host, inc: w.inc[host], key: key, run: ledger.NewTry(open, groups)}
-	t.do = t.run.Step(ledger.Begin{})
+	t.actions = t.run.Step(ledger.Begin{})
 	return t
 }
 
-func (t *try) gone() bool { return t.w.dead[t.host] || t.w.inc[t.host] != t.inc }
+func (t *try) hostReplaced() bool { return t.w.dead[t.host] || t.w.inc[t.host] != t.inc }
 
-// step takes the try's next action to where it goes; false when it has ended,
-// waits or its host is gone.
+// step carries out the next action of the try. It returns false if the try has ended or
+// waits, or if its host is down.
 func (t *try) step() bool {
-	if t.gone() || t.w.paused[t.host] || len(t.do) == 0 {
+	if t.hostReplaced() || t.w.paused[t.host] || len(t.actions) == 0 {
 		return false
 	}
-	a := t.do[0]
-	t.do = t.do[1:]
+	a := t.actions[0]
+	t.actions = t.actions[1:]
 	switch a := a.(type) {
 	case ledger.RecordEnd:
 		t.w.post(t.host, a.Home, a.Close)
@@ -167,32 +168,32 @@
 		t.feed(t.ask(a))
 	case ledger.AwaitHome:
 		t.waiting = &a
-		t.look()
+		t.pollWait()
 	case ledger.Send:
 		t.w.ran[t.key]++
 		t.ran++
 		t.feed(ledger.RequestEnded{Answer: ledger.Answer{Outcome: cell.Done, Status: 200, Body: []byte("whole")}})
 	case ledger.Reply:
-		t.told = &a.Answer
+		t.reply = &a.Answer
 	}
 	return true
 }
 
-// post sends a message that nobody awaits: now, later or never.
-func (w *world) post(from, to string, ev ledger.Event) {
+// post sends a message whose answer is not awaited. It arrives now, later or never.
+func (w *simulation) post(from, to string, ev ledger.Event) {
 	if !w.reaches(from, to) {
 		return
 	}
 	switch w.lossy(6) {
 	case 1:
 	case 2:
-		w.late = append(w.late, func() { w.tell(to, ev) })
+		w.late = append(w.late, func() { w.stepHome(to, ev) })
 	default:
-		w.tell(to, ev)
+		w.stepHome(to, ev)
 	}
 }
 
-func (t *try) feed(ev ledger.TryEvent) { t.do = append(t.do, t.run.Step(ev)...) }
+func (t *try) feed(ev ledger.TryEvent) { t.actions = append(t.actions, t.run.Step(ev)...) }
 
 func (t *try) ask(a ledger.AskHome) ledger.TryEvent {
 	if !t.w.reaches(t.host, a.Home) {
@@ -200,19 +201,19 @@
 	}
 	switch t.w.lossy(12) {
 	case 1: // the answer is lost
-		t.w.tell(a.Home, a.Open)
+		t.w.stepHome(a.Home, a.Open)
 		return ledger.HomeSilent{Home: a.Home}
-	case 2: // the question arrives when nobody waits for its answer
-		t.w.late = append(t.w.late, func() { t.w.tell(a.Home, a.Open) })
+	case 2: // the question arrives after the asking host has stopped waiting
+		t.w.late = append(t.w.late, func() { t.w.stepHome(a.Home, a.Open) })
 		return ledger.HomeSilent{Home: a.Home}
 	}
-	v := t.w.tell(a.Home, a.Open)[0].(ledger.Verdict)
+	v := t.w.stepHome(a.Home, a.Open)[0].(ledger.Verdict)
 	return ledger.HomeAnswered{Home: a.Home, Verdict: v}
 }
 
-// look asks the home of a waiting try whether the wait is over.
-func (t *try) look() {
-	if t.waiting == nil || t.gone() || t.w.paused[t.host] {
+// pollWait asks the home of a waiting try whether the wait is over.
+func (t *try) pollWait() {
+	if t.waiting == nil || t.hostReplaced() || t.w.paused[t.host] {
 		return
 	}
 	home := t.waiting.Home
@@ -221,32 +222,32 @@
 		t.feed(ledger.HomeSilent{Home: home})
 		return
 	}
-	acts := t.w.tell(home, ledger.Await{Key: t.key, ID: "w", Until: t.w.clock(home).Add(time.Minute)})
-	t.w.tell(home, ledger.CancelAwait{ID: "w"})
+	acts := t.w.stepHome(home, ledger.Await{Key: t.key, ID: "w", Until: t.w.clock(home).Add(time.Minute)})
+	t.w.stepHome(home, ledger.CancelAwait{ID: "w"})
 	if len(acts) > 0 {
 		t.waiting = nil
 		t.feed(ledger.HomeAnswered{Home: home, Verdict: acts[0].(ledger.Woken).Verdict})
 	}
 }
 
-// finish runs a try until it has told its caller something; the wait for a
-// running try is bounded by the deadline of that try.
+// finish runs a try until its caller got a reply. The wait for a running try is bounded by
+// the deadline of that try.
 func (t *try) finish() string {
 	for range 200 {
 		for t.step() {
 		}
-		if t.told != nil || t.gone() {
+		if t.reply != nil || t.hostReplaced() {
 			break
 		}
 		t.w.tick(100 * time.Millisecond)
-		t.look()
+		t.pollWait()
 	}
 	switch {
-	case t.told == nil:
+	case t.reply == nil:
 		return "nothing"
-	case t.told.Status == 422:
+	case t.reply.Status == 422:
 		return "422"
 	default:
-		return string(t.told.Outcome)
+		return string(t.reply.Outcome)
 	}
 }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -10,59 +10,60 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// Bounds of a connection to a peer. A question on a connection that has gone
-// silent fails after lookEvery + doubtAfter + pingWait at the latest.
+// Timing of a connection to a peer. A request on a connection that has gone silent fails after
+// checkInterval + suspectAfter + pingTimeout at the latest.
 const (
-	// lookEvery is how often a connection is looked at.
-	lookEvery = 250 * time.Millisecond
-	// doubtAfter is how long a question may go without any answer on its
-	// connection before the connection is asked for a sign of life.
-	doubtAfter = 250 * time.Millisecond
-	// idleAfter is the same for a connection with no question open: heartbeats
-	// have no answer, and without it they would go unheard for good.
+	// checkInterval is how often a connection is checked.
+	checkInterval = 250 * time.Millisecond
+	// suspectAfter is how long a connection with an open request may receive nothing before it is
+	// pinged.
+	suspectAfter = 250 * time.Millisecond
+	// idleAfter is the same for a connection without an open request. Heartbeats have no answer,
+	// so without this check they could be lost forever unnoticed.
 	idleAfter = time.Second
-	// spareAfter is the same for a further connection, which carries no
-	// heartbeats; it bounds the traffic of pings.
+	// spareAfter is the same for an additional connection, which carries no heartbeats. It bounds
+	// the traffic of pings.
 	spareAfter = 30 * time.Second
-	// pingWait is how long that sign may take.
-	pingWait = time.Second
-	// slowest is the rate in bytes a second at which what was sent before the
-	// question may still be on its way.
-	slowest = 256 << 10
-	// large is how many bytes sent make that count.
-	large = 16 << 10
+	// pingTimeout is how long the answer to a ping may take.
+	pingTimeout = time.Second
+	// minRate is the lowest expected rate, in bytes a second, at which data that was written
+	// before the ping is transferred.
+	minRate = 256 << 10
+	// largeWrite is the number of written bytes from which the time for their transfer is added
+	// to pingTimeout.
+	largeWrite = 16 << 10
 )
 
-// link is one connection to a peer. It watches over itself: a connection may
-// go silent without a reset, and because questions to a peer share one
-// connection all of them would wait on it until their deadlines.
+// link is one connection to a peer. It monitors itself, because a connection may go silent
+// without a reset. Requests to a peer share one connection, so all of them would wait on it until
+// their deadlines.
 type link struct {
 	raw net.Conn
 	rpc *jsonrpc2.Conn
-	// ended tells that a question failed because the link has ended.
+	// ended is set if a request failed because the link has ended.
 	ended atomic.Bool
-	// open counts questions without an answer; good is when the last answer
-	// came, in nanoseconds since began.
-	open  atomic.Int64
-	good  atomic.Int64
-	began time.Time
-	// idle is how long the link may go without any answer and no question open.
+	// open counts the requests without an answer. lastRead is when data last arrived, in
+	// nanoseconds since began.
+	open     atomic.Int64
+	lastRead atomic.Int64
+	began    time.Time
+	// idle is how long the link may receive nothing while no request is open.
 	idle time.Duration
-	// sent is how many bytes were written since the last sign of life.
+	// sent is how many bytes were written since data last arrived.
 	sent atomic.Int64
-	// silent counts the links that were given up because they were silent.
+	// silent counts the links that were closed because they were silent.
 	silent *atomic.Int64
 }
 
 func newLink(raw net.Conn, idle time.Duration, silent *atomic.Int64) *link {
 	l := &link{raw: raw, began: time.Now(), idle: idle, silent: silent}
-	l.rpc = jsonrpc2.NewConn(context.Background(), stream(meter{Conn: raw, link: l}, func(string) {}), jsonrpc2.HandlerWithError(noQuestions), quiet)
+	l.rpc = jsonrpc2.NewConn(context.Background(), stream(meter{Conn: raw, link: l}, func(string) {}), jsonrpc2.HandlerWithError(rejectRequest), discardLog)
 	go l.watch()
 	return l
 }
 
-// meter takes what is read for a sign of life. Answers come whole from the
-// library, and a large one on a slow way would be taken for silence.
+// meter records when data is read and how much is written. The library delivers an answer only
+// when it is complete, so a large answer on a slow connection would look like silence.
 type meter struct {
 	net.Conn
 	link *link
@@ -71,7 +72,7 @@
 func (m meter) Read(b []byte) (int, error) {
 	n, err := m.Conn.Read(b)
 	if n > 0 {
-		m.link.alive()
+		m.link.recordRead()
 	}
 	return n, err
 }
@@ -81,14 +82,14 @@
 	return m.Conn.Write(b)
 }
 
-func (l *link) alive() {
+func (l *link) recordRead() {
 	l.sent.Store(0)
-	l.good.Store(int64(time.Since(l.began)))
+	l.lastRead.Store(int64(time.Since(l.began)))
 }
 
-// closed tells whether the link has ended. The library fails the questions under way
-// before it says that the link has ended; whoever then asked again at once was given the
-// same link, and heard a second time that nobody knows.
+// closed reports whether the link has ended. The library fails the open requests before it
+// signals that the link has ended. A caller that repeated its request at once got the same link,
+// and failed a second time with an unknown outcome.
 func (l *link) closed() bool {
 	if l.ended.Load() {
 		return true
@@ -101,7 +102,7 @@
 	}
 }
 
-// close closes the socket first: a write that hangs holds the library's lock.
+// close closes the socket first, because a write that hangs holds the library's lock.
 func (l *link) close() {
 	_ = l.raw.Close()
 	_ = l.rpc.Close()
@@ -111,7 +112,8 @@
 	l.open.Add(1)
 	defer l.open.Add(-1)
 	if r, ok := m.(Relay); ok {
-		// Counted before it is written: making the message takes time as well.
+		// The bytes are counted before they are written, because encoding the message takes time
+		// as well.
 		l.sent.Add(int64(len(r.Request.Body)))
 	}
 	err := l.rpc.Call(ctx, m.method(), m, into)
@@ -121,14 +123,14 @@
 	return err
 }
 
-// answered tells whether an answer came, be it a refusal.
+// answered reports whether an answer came, even if it is a refusal.
 func answered(err error) bool {
 	var refused *jsonrpc2.Error
 	return err == nil || errors.As(err, &refused)
 }
 
 func (l *link) watch() {
-	t := time.NewTicker(lookEvery)
+	t := time.NewTicker(checkInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -136,7 +138,7 @@
 			return
 		case <-t.C:
 		}
-		if l.doubtful() && !l.ping() && !l.closed() {
+		if l.isSuspect() && !l.ping() && !l.closed() {
 			l.silent.Add(1)
 			l.close()
 			return
@@ -144,16 +146,16 @@
 	}
 }
 
-func (l *link) doubtful() bool {
-	quiet := time.Since(l.began) - time.Duration(l.good.Load())
+func (l *link) isSuspect() bool {
+	quiet := time.Since(l.began) - time.Duration(l.lastRead.Load())
 	if l.open.Load() > 0 {
-		return quiet > doubtAfter
+		return quiet > suspectAfter
 	}
 	return quiet > l.idle
 }
 
-// ping asks for a sign of life. The question may hang in its write, so the
-// time is kept outside of it.
+// ping reports whether the peer answers. The write of the ping itself may hang, so the timeout is
+// enforced here.
 func (l *link) ping() bool {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -161,24 +163,24 @@
 	go func() { good <- answered(l.rpc.Call(ctx, Ping{}.method(), Ping{}, nil)) }()
 	began := time.Now()
 	for {
-		left := l.pingTime() - time.Since(began)
+		left := l.pingLimit() - time.Since(began)
 		if left <= 0 {
 			return false
 		}
 		select {
 		case ok := <-good:
 			return ok
-		case <-time.After(min(left, lookEvery)):
+		case <-time.After(min(left, checkInterval)):
 		}
 	}
 }
 
-// pingTime is how long an answer may take. It grows while a large message is
-// being written, which the question has to wait for.
-func (l *link) pingTime() time.Duration {
+// pingLimit returns how long an answer may take. The limit grows while a large message is being
+// written, because the ping waits for that write.
+func (l *link) pingLimit() time.Duration {
 	sent := l.sent.Load()
-	if sent < large {
-		return pingWait
+	if sent < largeWrite {
+		return pingTimeout
 	}
-	return pingWait + time.Duration(sent)*time.Second/slowest
+	return pingTimeout + time.Duration(sent)*time.Second/minRate
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,4 +1,4 @@
-// Package peer speaks jsonrpc2 between entry hosts.
+// Package peer exchanges messages between entry hosts over JSON-RPC 2.0.
 package peer
 
 import (
@@ -22,9 +22,9 @@
 	"pollencroft/internal/dial"
 )
 
-// Answerer answers a message from a peer. The value is sent back as JSON; an
-// error reaches the peer as a RefusedError.
-type Answerer func(ctx context.Context, m Message) (any, error)
+// Handler answers a message from a peer. The value is sent back as JSON; an error reaches the
+// peer as a RefusedError.
+type Handler func(ctx context.Context, m Message) (any, error)
 
 // messages lists one of each message that may arrive.
 var messages = []Message{
@@ -36,25 +36,25 @@
 	AskJob{},
 	CancelJob{},
 	AskTrail{},
-	Keep{},
+	KeepRecord{},
 	Leave{},
-	Census{},
-	Expect{},
+	Inventory{},
+	AskToken{},
 	Handover{},
 	Ping{},
 	AwaitKey{},
-	Slots{},
-	Records{},
-	Listed{},
-	Hand{},
+	AnnounceSlots{},
+	AskTable{},
+	HostListChanged{},
+	ForwardRecords{},
 	AskState{},
 	Sync{},
 	Advise{},
 	StoreCall{},
-	Succeed{},
+	AnnounceSuccessor{},
 }
 
-var types = func() map[string]reflect.Type {
+var messageTypes = func() map[string]reflect.Type {
 	m := map[string]reflect.Type{}
 	for _, msg := range messages {
 		m[msg.method()] = reflect.TypeOf(msg)
@@ -62,49 +62,49 @@
 	return m
 }()
 
-// UnreachedError means that a peer could not be asked: the question was not sent.
-type UnreachedError struct {
+// UnreachableError means that there was no connection to a peer, so the request was not sent.
+type UnreachableError struct {
 	Name  string
 	Cause error
 }
 
-func (e *UnreachedError) Error() string {
+func (e *UnreachableError) Error() string {
 	return fmt.Sprintf("peer %s not reached: %s", e.Name, e.Cause)
 }
 
 // Unwrap returns the transport's error.
-func (e *UnreachedError) Unwrap() error { return e.Cause }
+func (e *UnreachableError) Unwrap() error { return e.Cause }
 
-// SilentError means that a question was sent and has no answer.
-type SilentError struct {
+// NoAnswerError means that a request was sent and got no answer.
+type NoAnswerError struct {
 	Name  string
 	Cause error
 }
 
-func (e *SilentError) Error() string {
+func (e *NoAnswerError) Error() string {
 	return fmt.Sprintf("peer %s did not answer: %s", e.Name, e.Cause)
 }
 
 // Unwrap returns the transport's error.
-func (e *SilentError) Unwrap() error { return e.Cause }
+func (e *NoAnswerError) Unwrap() error { return e.Cause }
 
 // RefusedError means that a peer answered with an error.
 type RefusedError struct{ Name, Reason string }
 
 func (e *RefusedError) Error() string { return fmt.Sprintf("peer %s refused: %s", e.Name, e.Reason) }
 
-// Server takes messages from peers until its context ends.
+// Server serves messages from peers until its context ends.
 type Server struct {
-	answer Answerer
-	count  func(reason string)
-	wg     sync.WaitGroup
+	handler Handler
+	count   func(reason string)
+	wg      sync.WaitGroup
 }
 
-// NewServer returns a server that answers with a.
-func NewServer(a Answerer) *Server { return &Server{answer: a, count: func(string) {}} }
+// NewServer returns a server that answers messages with a.
+func NewServer(a Handler) *Server { return &Server{handler: a, count: func(string) {}} }
 
-// Count has every message that is turned away counted with its reason.
-func (s *Server) Count(f func(reason string)) { s.count = f }
+// OnRejected sets a function that is called with the reason for each message that is rejected.
+func (s *Server) OnRejected(f func(reason string)) { s.count = f }
 
 // Serve accepts connections on ln until ctx ends, then closes them all.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) {
@@ -116,13 +116,13 @@
 			s.wg.Wait()
 			return
 		}
-		s.wg.Go(func() { s.talk(ctx, conn) })
+		s.wg.Go(func() { s.serveConn(ctx, conn) })
 	}
 }
 
-func (s *Server) talk(ctx context.Context, conn net.Conn) {
+func (s *Server) serveConn(ctx context.Context, conn net.Conn) {
 	dial.Bound(conn)
-	c := jsonrpc2.NewConn(withSender(ctx, conn), stream(conn, s.count), jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(s.handle)), quiet)
+	c := jsonrpc2.NewConn(withSender(ctx, conn), stream(conn, s.count), jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(s.handle)), discardLog)
 	select {
 	case <-ctx.Done():
 		_ = c.Close()
@@ -130,15 +130,15 @@
 	}
 }
 
-// quiet keeps the library from writing to standard error by itself.
-var quiet = jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
+// discardLog keeps the library from writing to standard error.
+var discardLog = jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
 
 func stream(conn net.Conn, count func(reason string)) jsonrpc2.ObjectStream {
 	return jsonrpc2.NewBufferedStream(conn, boundedCodec{conn: conn, count: count})
 }
 
 func (s *Server) handle(ctx context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
-	typ, ok := types[req.Method]
+	typ, ok := messageTypes[req.Method]
 	if !ok || req.Params == nil {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: req.Method}
 	}
@@ -149,21 +149,21 @@
 	if ping, ok := v.Elem().Interface().(Ping); ok {
 		return ping, nil
 	}
-	// The library ends ctx with the connection: what only waits here, in a
-	// queue or for a key, then frees its place.
-	return s.answer(ctx, v.Elem().Interface().(Message))
+	// The library cancels ctx when the connection ends, so a request that only waits here, in a
+	// queue or for a key, frees its place.
+	return s.handler(ctx, v.Elem().Interface().(Message))
 }
 
-// Lanes are the connections to one peer. The library holds a lock while it
-// writes a message, so that on a single connection many questions at once wait
-// for each other; a further one is opened when all others are busy.
+// Each peer has up to maxConns connections. The library holds a lock while it writes a message,
+// so on a single connection many simultaneous requests would wait for each other. Another
+// connection is opened when all others are busy.
 const (
-	lanes = 4
-	// busy is how many open questions make a connection busy.
-	busy = 4
+	maxConns = 4
+	// busyRequests is how many open requests make a connection busy.
+	busyRequests = 4
 )
 
-type lane struct {
+type connKey struct {
 	name  string
 	index int
 }
@@ -172,36 +172,37 @@
 type Clients struct {
 	mu    sync.Mutex
 	addrs map[string]netip.AddrPort
-	conns map[lane]*link
-	// silent counts connections that were given up because they were silent.
-	silent atomic.Int64
-	dial   func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)
-	idle   func(name string) time.Duration
-	lost   func(name string)
+	conns map[connKey]*link
+	// silent counts connections that were closed because they were silent.
+	silent       atomic.Int64
+	dial         func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)
+	idle         func(name string) time.Duration
+	onDisconnect func(name string)
 }
 
 // NewClients returns clients for the peers at these addresses.
 func NewClients(addrs map[string]netip.AddrPort) *Clients {
-	return &Clients{addrs: addrs, conns: map[lane]*link{}, dial: dialTCP, lost: func(string) {}}
+	return &Clients{addrs: addrs, conns: map[connKey]*link{}, dial: dialTCP, onDisconnect: func(string) {}}
 }
 
-// Lost sets what is told when a connection to a peer has ended, for whatever reason. It
-// must be called before the first message.
-func (c *Clients) Lost(f func(name string)) { c.lost = f }
+// OnDisconnect sets a function that is called when a connection to a peer has ended, for whatever
+// reason. It must be called before the first message.
+func (c *Clients) OnDisconnect(f func(name string)) { c.onDisconnect = f }
 
-// Reach is what a new connection to a peer meets.
-type Reach int
+// Reachability is the result of opening a new connection to a peer.
+type Reachability int
 
-// Open tells that something listens, Refused that the host is there and nothing listens, NoAnswer
-// that nothing came back in time: the host is off or cut off.
+// Listening means that the connection was accepted. ConnRefused means that the host is up but
+// nothing listens there. NoAnswer means that nothing came back in time: the host is down or cut
+// off.
 const (
-	Open Reach = iota
-	Refused
+	Listening Reachability = iota
+	ConnRefused
 	NoAnswer
 )
 
-// Reach tries a new connection to a peer.
-func (c *Clients) Reach(ctx context.Context, name string) Reach {
+// CheckReach opens a new connection to a peer, closes it, and reports the result.
+func (c *Clients) CheckReach(ctx context.Context, name string) Reachability {
 	c.mu.Lock()
 	addr := c.addrs[name]
 	c.mu.Unlock()
@@ -209,17 +210,16 @@
 	switch {
 	case err == nil:
 		_ = raw.Close()
-		return Open
+		return Listening
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return Refused
+		return ConnRefused
 	default:
 		return NoAnswer
 	}
 }
 
-// Set says where a peer is reached from now on. A host that comes back at
-// another address keeps its name.
-func (c *Clients) Set(name string, addr netip.AddrPort) {
+// SetAddr sets the address of a peer. A host that comes back at another address keeps its name.
+func (c *Clients) SetAddr(name string, addr netip.AddrPort) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.addrs[name] == addr {
@@ -234,18 +234,17 @@
 	}
 }
 
-// Through sets how connections are made. It must be called before the first
-// message.
-func (c *Clients) Through(d func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)) {
+// SetDialer sets how connections are made. It must be called before the first message.
+func (c *Clients) SetDialer(d func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)) {
 	c.dial = d
 }
 
-// Probe sets how long a connection to a peer may be without any answer before
-// it is asked for a sign of life. It must be called before the first message.
-// In a large cell a probe a second to everybody costs more than all heartbeats.
-func (c *Clients) Probe(idle func(name string) time.Duration) { c.idle = idle }
+// SetIdleTime sets how long a connection to a peer may receive nothing before it is pinged. It
+// must be called before the first message. In a large cell, a ping a second to every peer costs
+// more than all heartbeats.
+func (c *Clients) SetIdleTime(idle func(name string) time.Duration) { c.idle = idle }
 
-func (c *Clients) idleFor(at lane) time.Duration {
+func (c *Clients) idleFor(at connKey) time.Duration {
 	switch {
 	case at.index > 0:
 		return spareAfter
@@ -255,18 +254,18 @@
 	return max(idleAfter, c.idle(at.name))
 }
 
-// DialTCP makes a plain connection, as clients do by themselves.
+// DialTCP makes a plain TCP connection, which is the default dialer of Clients.
 func DialTCP(ctx context.Context, addr netip.AddrPort) (net.Conn, error) { return dialTCP(ctx, addr) }
 
 func dialTCP(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
 	return dial.New().DialContext(ctx, "tcp", addr.String())
 }
 
-// Ask sends a message and reads the answer into into, which may be nil.
+// Ask sends a message and decodes the answer into into, which may be nil.
 func (c *Clients) Ask(ctx context.Context, name string, m Message, into any) error {
 	conn, err := c.conn(ctx, name)
 	if err != nil {
-		return &UnreachedError{Name: name, Cause: err}
+		return &UnreachableError{Name: name, Cause: err}
 	}
 	err = conn.call(ctx, m, into)
 	var refused *jsonrpc2.Error
@@ -276,25 +275,25 @@
 	case errors.As(err, &refused):
 		return &RefusedError{Name: name, Reason: refused.Message}
 	default:
-		return &SilentError{Name: name, Cause: err}
+		return &NoAnswerError{Name: name, Cause: err}
 	}
 }
 
-// Tell sends a message that has no answer.
-func (c *Clients) Tell(ctx context.Context, name string, m Message) error {
+// Notify sends a message that has no answer.
+func (c *Clients) Notify(ctx context.Context, name string, m Message) error {
 	conn, err := c.conn(ctx, name)
 	if err != nil {
-		return &UnreachedError{Name: name, Cause: err}
+		return &UnreachableError{Name: name, Cause: err}
 	}
 	if err := conn.rpc.Notify(ctx, m.method(), m); err != nil {
-		return &SilentError{Name: name, Cause: err}
+		return &NoAnswerError{Name: name, Cause: err}
 	}
 	return nil
 }
 
 func (c *Clients) conn(ctx context.Context, name string) (*link, error) {
 	c.mu.Lock()
-	at := c.pick(name)
+	at := c.pickConn(name)
 	conn, addr := c.conns[at], c.addrs[name]
 	c.mu.Unlock()
 	if conn != nil && !conn.closed() {
@@ -304,17 +303,17 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "dial %s", addr)
 	}
-	return c.keep(at, conn, newLink(raw, c.idleFor(at), &c.silent)), nil
+	return c.storeConn(at, conn, newLink(raw, c.idleFor(at), &c.silent)), nil
 }
 
-// pick is the first lane that is not busy, or the one with the fewest open
-// questions when all are; mu is held.
-func (c *Clients) pick(name string) lane {
-	best, least := lane{name: name}, int64(math.MaxInt64)
-	for i := range lanes {
-		at := lane{name: name, index: i}
+// pickConn returns the first connection slot that is not busy, or the one with the fewest open
+// requests if all are busy. The caller holds mu.
+func (c *Clients) pickConn(name string) connKey {
+	best, least := connKey{name: name}, int64(math.MaxInt64)
+	for i := range maxConns {
+		at := connKey{name: name, index: i}
 		conn := c.conns[at]
-		if conn == nil || conn.closed() || conn.open.Load() < busy {
+		if conn == nil || conn.closed() || conn.open.Load() < busyRequests {
 			return at
 		}
 		if n := conn.open.Load(); n < least {
@@ -324,8 +323,8 @@
 	return best
 }
 
-// keep stores a fresh connection unless another one was made meanwhile.
-func (c *Clients) keep(at lane, old, fresh *link) *link {
+// storeConn stores a new connection unless another one was made in the meantime.
+func (c *Clients) storeConn(at connKey, old, fresh *link) *link {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if cur := c.conns[at]; cur != nil && cur != old {
@@ -335,16 +334,16 @@
 	c.conns[at] = fresh
 	go func() {
 		<-fresh.rpc.DisconnectNotify()
-		c.lost(at.name)
+		c.onDisconnect(at.name)
 	}()
 	return fresh
 }
 
-func noQuestions(_ context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
+func rejectRequest(_ context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
 	return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: req.Method}
 }
 
-// Silent returns how many connections were given up because they were silent.
+// Silent returns how many connections were closed because they were silent.
 func (c *Clients) Silent() int64 { return c.silent.Load() }
 
 // Close closes all connections.
--- a/internal/relay/ends.go
+++ b/internal/relay/ends.go
@@ -12,33 +12,33 @@
 )
 
 const (
-	// closeWait bounds one telling of keys' ends. A connection that has gone
-	// silent is replaced within the time of two, so that one of closeTries gets
-	// through; without it repeats would wait for an end that is there.
-	closeWait = time.Second
-	// closeRate is the rate in bytes a second that answers are given besides.
+	// closeTimeout bounds one message that reports ends of keys to a home. A connection
+	// that has gone silent is replaced within two such timeouts, so that one of closeTries
+	// messages gets through. Otherwise repeats would wait for an end that is already known.
+	closeTimeout = time.Second
+	// closeRate extends closeTimeout by one second for this many bytes of answers.
 	closeRate  = 256 << 10
 	closeTries = 4
-	// closeBatch is how many ends go into one message, and closeBytes after how
-	// many bytes of answers it is full. Ends that come while one message is on
-	// its way share the next, which halves the cost of a keyed request.
+	// closeBatch is how many ends one message holds, and closeBytes is after how many bytes
+	// of answers it is full. Ends that arrive while a message is in flight share the next
+	// one, which halves the cost of a keyed request.
 	closeBatch = 128
 	closeBytes = 1 << 20
-	// closeQueue bounds the ends that wait for one home.
-	closeQueue = 4096
+	// maxQueuedEnds bounds the ends that are queued for one home.
+	maxQueuedEnds = 4096
 )
 
-// ends are the ends of keys that homes are still to be told, by home.
-type ends struct {
+// keyEnds queues the ends of keys that are still to be reported, by home.
+type keyEnds struct {
 	mu      sync.Mutex
 	waiting map[string][]ledger.Close
-	busy    map[string]bool
+	sending map[string]bool
 	wg      sync.WaitGroup
 }
 
-// keepEnd tells a home how a try ended. The caller does not wait for it: a
-// home that has gone silent would hold back an answer that is there.
-func (x *Relay) keepEnd(a ledger.RecordEnd) {
+// queueEnd queues the end of a try for a home. The caller does not wait for it to be
+// delivered: a silent home would delay an answer that is already available.
+func (x *Relay) queueEnd(a ledger.RecordEnd) {
 	if a.Home == x.Name {
 		x.CloseKey(a.Close)
 		return
@@ -47,31 +47,32 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.waiting == nil {
-		e.waiting, e.busy = map[string][]ledger.Close{}, map[string]bool{}
+		e.waiting, e.sending = map[string][]ledger.Close{}, map[string]bool{}
 	}
-	if len(e.waiting[a.Home]) >= closeQueue {
-		x.Log.Warn("ledger: too many keys' ends wait for a home.", "home", a.Home)
+	if len(e.waiting[a.Home]) >= maxQueuedEnds {
+		x.Log.Warn("ledger: dropped the end of a key, the queue for its home is full.", "home", a.Home)
 		return
 	}
 	e.waiting[a.Home] = append(e.waiting[a.Home], a.Close)
-	if !e.busy[a.Home] {
-		e.busy[a.Home] = true
-		e.wg.Go(func() { x.tellEnds(a.Home) })
+	if !e.sending[a.Home] {
+		e.sending[a.Home] = true
+		e.wg.Go(func() { x.sendEnds(a.Home) })
 	}
 }
 
-func (x *Relay) tellEnds(home string) {
+func (x *Relay) sendEnds(home string) {
 	for {
-		batch := x.ends.take(home)
+		batch := x.ends.nextBatch(home)
 		if len(batch) == 0 {
 			return
 		}
-		x.tellBatch(home, batch)
+		x.sendBatch(home, batch)
 	}
 }
 
-// take returns the next ends for a home; without any the home is not busy.
-func (e *ends) take(home string) []ledger.Close {
+// nextBatch removes and returns the next ends for a home. If there are none, it marks the
+// sending to this home as finished.
+func (e *keyEnds) nextBatch(home string) []ledger.Close {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	all := e.waiting[home]
@@ -83,14 +84,14 @@
 	e.waiting[home] = all[n:]
 	if n == 0 {
 		delete(e.waiting, home)
-		delete(e.busy, home)
+		delete(e.sending, home)
 	}
 	return all[:n:n]
 }
 
-func (x *Relay) tellBatch(home string, batch []ledger.Close) {
-	var silent *peer.SilentError
-	wait := closeWait
+func (x *Relay) sendBatch(home string, batch []ledger.Close) {
+	var silent *peer.NoAnswerError
+	wait := closeTimeout
 	for _, ev := range batch {
 		wait += time.Duration(len(ev.Answer.Body)) * time.Second / closeRate
 	}
@@ -101,13 +102,13 @@
 		if err == nil {
 			return
 		}
-		x.Log.Warn("ledger: keys' ends not kept.", "home", home, "ends", len(batch), "err", err)
+		x.Log.Warn("ledger: failed to report the ends of keys to a home.", "home", home, "ends", len(batch), "err", err)
 		if !errors.As(err, &silent) {
 			return
 		}
 	}
 }
 
-// FlushKeyEnds waits until the homes were told the ends of all requests. A planned
-// stop calls it: homes that were not told would answer repeats with unknown.
+// FlushKeyEnds waits until the homes have been told the ends of all requests. A planned
+// stop calls it, because homes that were not told would answer repeats with unknown.
 func (x *Relay) FlushKeyEnds() { x.ends.wg.Wait() }
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -16,8 +16,9 @@
 	"pollencroft/internal/spans"
 )
 
-// refreshPeers tells the queue of the peers' free slots when one has told its
-// load again. Older words are not used twice: the slots they name are taken.
+// refreshPeers passes the free slots of the peers to the queue when a peer has announced
+// its load again. No announcement is used twice, because the slots that it lists are taken
+// by then.
 func (x *Relay) refreshPeers() {
 	live, beats := x.Members()
 	now := x.Clock()
@@ -29,9 +30,9 @@
 		if b.Domain != x.Domain {
 			continue
 		}
-		fresh = fresh || x.lent[b.Name] != b.ReceivedAt
-		x.lent[b.Name] = b.ReceivedAt
-		if x.lends(now, b) {
+		fresh = fresh || x.lastLoad[b.Name] != b.ReceivedAt
+		x.lastLoad[b.Name] = b.ReceivedAt
+		if x.canLend(now, b) {
 			all = append(all, queue.Peer{Name: b.Name, Free: b.FreeSlots})
 		}
 	}
@@ -40,56 +41,57 @@
 	}
 }
 
-// lends tells whether a peer's word counts: it is recent, and newer than the
-// last request that got no answer there.
-func (x *Relay) lends(now time.Time, b member.Heartbeat) bool {
-	return !b.Leaving && b.ReceivedAt.After(x.silent[b.Name]) && now.Sub(b.ReceivedAt) <= member.SilenceTimeout
+// canLend reports whether a peer's announcement counts: it has to be recent, and newer than
+// the last request that the peer did not answer.
+func (x *Relay) canLend(now time.Time, b member.Heartbeat) bool {
+	return !b.Leaving && b.ReceivedAt.After(x.lastFailure[b.Name]) && now.Sub(b.ReceivedAt) <= member.SilenceTimeout
 }
 
-// viaPeer runs a request on a peer's slot. It tells whether the peer gave it
-// back, or could not be asked, so that it must wait again.
-func (x *Relay) viaPeer(ctx context.Context, a queue.Lend, req call.Request) (try, bool) {
-	ctx, end := spans.Hop(ctx, "peer", req.ID)
+// sendToPeer runs a request on a peer's slot. The second result reports whether the peer
+// returned the request without running it, or could not be asked, so that the request has
+// to wait again.
+func (x *Relay) sendToPeer(ctx context.Context, a queue.Lend, req call.Request) (try, bool) {
+	ctx, end := spans.Start(ctx, "peer", req.ID)
 	defer end()
-	req.Trace = spans.Parent(ctx)
+	req.Trace = spans.TraceParent(ctx)
 	metrics.GetOrRegisterCounter("relay.lent", x.Metrics).Inc(1)
-	reply, err := x.askRun(ctx, a.Peer, req)
-	var unreachedPeer *peer.UnreachedError
+	reply, err := x.askPeer(ctx, a.Peer, req)
+	var unreachedPeer *peer.UnreachableError
 	switch {
 	case err == nil && reply.Outcome == cell.Refused && reply.Reason == string(queue.Busy):
 		return try{}, true
 	case err == nil:
 		x.step(queue.Ended{ID: req.ID})
-		return lentTry(reply), false
+		return classifyPeerReply(reply), false
 	case errors.As(err, &unreachedPeer):
-		x.avoid(a.Peer)
+		x.markSilent(a.Peer)
 		return try{}, true
 	default:
-		x.avoid(a.Peer)
+		x.markSilent(a.Peer)
 		x.step(queue.Ended{ID: req.ID, Failed: true})
-		return try{reply: call.Unsure(http.StatusBadGateway, err.Error(), time.Second), verdict: unsure}, false
+		return try{reply: call.Unsure(http.StatusBadGateway, err.Error(), time.Second), retryClass: mayHaveRun}, false
 	}
 }
 
-// avoid takes a peer for silent until it tells its load again. Its last word
-// would draw request after request into a dead host.
-func (x *Relay) avoid(name string) {
+// markSilent treats a peer as silent until it announces its load again. Its last
+// announcement would otherwise attract one request after another to a dead host.
+func (x *Relay) markSilent(name string) {
 	x.mu.Lock()
-	x.silent[name] = x.Clock()
-	x.lent[name] = time.Time{}
+	x.lastFailure[name] = x.Clock()
+	x.lastLoad[name] = time.Time{}
 	x.mu.Unlock()
 	x.refreshPeers()
 }
 
-// lentTry tells what a peer's final reply means for a retry here. The peer
-// itself does not retry.
-func lentTry(reply call.Reply) try {
+// classifyPeerReply determines whether a request may be retried here after a peer's final
+// reply. The peer itself does not retry.
+func classifyPeerReply(reply call.Reply) try {
 	t := try{reply: reply}
 	switch {
 	case reply.Outcome == cell.Unknown, reply.Outcome == cell.Done && reply.Status >= http.StatusInternalServerError:
-		t.verdict = unsure
+		t.retryClass = mayHaveRun
 	case reply.Outcome == cell.Refused && reply.Status == http.StatusServiceUnavailable:
-		t.verdict = notRun
+		t.retryClass = notRun
 	}
 	return t
 }
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -17,48 +17,48 @@
 	"pollencroft/internal/table"
 )
 
-// verdict is how a try ended, as far as a retry is concerned.
-type verdict int
+// retryClass is how a try ended, as far as it matters for a retry.
+type retryClass int
 
 const (
-	// final means that the reply is told to the caller.
-	final verdict = iota
-	// unreached means that no server got the request.
+	// final means that the reply goes to the caller.
+	final retryClass = iota
+	// unreached means that no server received the request.
 	unreached
-	// notRun means that a server got the request and did not run it.
+	// notRun means that a server received the request and did not run it.
 	notRun
-	// unsure means that the request may have run.
-	unsure
+	// mayHaveRun means that the request may have run.
+	mayHaveRun
 )
 
 type try struct {
-	reply   call.Reply
-	verdict verdict
-	minion  string
+	reply      call.Reply
+	retryClass retryClass
+	minion     string
 }
 
-// route runs a request on this host's slots or a peer's, and retries it on
-// another backend server where that is safe and within the row's budget.
-func (x *Relay) route(ctx context.Context, req call.Request) call.Reply {
+// runWithRetries runs a request on a slot of this host or of a peer. It retries the request
+// on another backend server where that is safe and within the row's budget.
+func (x *Relay) runWithRetries(ctx context.Context, req call.Request) call.Reply {
 	row, _ := x.Row(req.Row)
 	x.Retries.RecordRequest(req.Row)
 	var sent *call.Reply
 	ask := queue.Enqueue{ID: req.ID, Row: x.queueRow(row), Deadline: req.Deadline}
 	for n := int64(1); ; n++ {
-		t := x.once(ctx, ask, req)
+		t := x.runOnce(ctx, ask, req)
 		req.Lost = append(req.Lost, t.reply.Lost...)
 		if sent != nil && t.reply.Outcome == cell.Refused {
-			// An earlier try may have run. That this one did not is no news:
-			// the caller would take it for "not run" and spend a pass again.
+			// An earlier try may have run. From the refusal of this try the caller would
+			// conclude that nothing ran, and would run the request again.
 			return *sent
 		}
-		if t.verdict == unsure {
+		if t.retryClass == mayHaveRun {
 			sent = &t.reply
 		}
-		if t.verdict == unsure && len(req.Lost) >= mostLost {
+		if t.retryClass == mayHaveRun && len(req.Lost) >= maxLostServers {
 			return x.giveUp(req)
 		}
-		if n >= row.Tries || ctx.Err() != nil || !x.mayRetry(row, t.verdict) {
+		if n >= row.Tries || ctx.Err() != nil || !x.mayRetry(row, t.retryClass) {
 			return t.reply
 		}
 		metrics.GetOrRegisterCounter("relay.retries", x.Metrics).Inc(1)
@@ -66,16 +66,17 @@
 	}
 }
 
-// mayRetry lets a request that no server got be tried again without counting:
-// it loads nobody. All other retries come out of the row's budget, or a fault
-// of all servers would multiply the load by the number of tries.
-func (x *Relay) mayRetry(row table.Row, v verdict) bool {
+// mayRetry reports whether a try may be retried. A request that no server received may be
+// retried without counting, because it loaded no server. All other retries count against
+// the row's budget; otherwise a fault of all servers would multiply the load by the number
+// of tries.
+func (x *Relay) mayRetry(row table.Row, v retryClass) bool {
 	switch v {
 	case unreached:
 		return true
 	case notRun:
 		return x.Retries.TrySpend(row.Name)
-	case unsure:
+	case mayHaveRun:
 		return row.Idempotent && x.Retries.TrySpend(row.Name)
 	case final:
 	}
@@ -85,24 +86,24 @@
 // RunOnFreeSlot runs a peer's request on a slot that is free now, or refuses it as Busy.
 func (x *Relay) RunOnFreeSlot(ctx context.Context, req call.Request) call.Reply {
 	row, _ := x.Row(req.Row)
-	return x.once(ctx, queue.Enqueue{ID: req.ID, Row: x.queueRow(row), Deadline: req.Deadline, FromPeer: true, Avoid: req.Lost}, req).reply
+	return x.runOnce(ctx, queue.Enqueue{ID: req.ID, Row: x.queueRow(row), Deadline: req.Deadline, FromPeer: true, Avoid: req.Lost}, req).reply
 }
 
-// once waits for a slot and sends the request one time.
-func (x *Relay) once(ctx context.Context, ask queue.Enqueue, req call.Request) try {
+// runOnce waits for a slot and sends the request one time.
+func (x *Relay) runOnce(ctx context.Context, ask queue.Enqueue, req call.Request) try {
 	asked := x.Clock()
-	act := x.wait(ctx, ask.ID, ask)
-	x.waits[ask.Row.Class].Update(x.Clock().Sub(asked))
+	act := x.awaitSlot(ctx, ask.ID, ask)
+	x.waitTimers[ask.Row.Class].Update(x.Clock().Sub(asked))
 	for {
 		switch a := act.(type) {
 		case queue.Send:
-			return x.hedged(ctx, ask, a, req)
+			return x.sendHedged(ctx, ask, a, req)
 		case queue.Lend:
-			t, bounced := x.viaPeer(ctx, a, req)
+			t, bounced := x.sendToPeer(ctx, a, req)
 			if !bounced {
 				return t
 			}
-			act = x.wait(ctx, ask.ID, queue.LendRejected{ID: ask.ID})
+			act = x.awaitSlot(ctx, ask.ID, queue.LendRejected{ID: ask.ID})
 		case queue.Refuse:
 			metrics.GetOrRegisterCounter("queue.refused."+ask.Row.Class.String(), x.Metrics).Inc(1)
 			return try{reply: refusal(a)}
@@ -112,9 +113,9 @@
 	}
 }
 
-// wait tells the queue of a request and waits for its decision; nil when the
-// caller hung up first.
-func (x *Relay) wait(ctx context.Context, id string, ev queue.Event) queue.Action {
+// awaitSlot passes a request to the queue and waits for the queue's decision. It returns
+// nil if the caller hung up first.
+func (x *Relay) awaitSlot(ctx context.Context, id string, ev queue.Event) queue.Action {
 	c := make(chan queue.Action, 1)
 	x.mu.Lock()
 	x.waiting[id] = c
@@ -148,63 +149,64 @@
 	return call.Refuse(status, string(a.Reason), a.RetryAfter)
 }
 
-// send runs on when the caller hangs up: a request that was sent keeps its
-// slot until the backend server has answered or the deadline has passed.
+// send sends a request to a backend server. It continues when the caller hangs up: a
+// request that was sent keeps its slot until the server has answered or the deadline has
+// passed.
 func (x *Relay) send(ctx context.Context, a queue.Send, req call.Request) try {
 	began := x.Clock()
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), req.Deadline.Sub(began))
 	defer cancel()
-	ctx, end := spans.Hop(ctx, "minion", req.ID)
+	ctx, end := spans.Start(ctx, "minion", req.ID)
 	defer end()
-	req.Trace = spans.Parent(ctx)
+	req.Trace = spans.TraceParent(ctx)
 	x.mu.Lock()
 	addr := x.servers[a.Backend].Address
-	x.watch(outlier.Sent{ID: req.ID, Backend: a.Backend, Row: req.Row})
+	x.stepOutliers(outlier.Sent{ID: req.ID, Backend: a.Backend, Row: req.Row})
 	x.mu.Unlock()
 	answer, err := x.Minions.Do(ctx, addr, req)
-	t := judge(answer, err)
+	t := classify(answer, err)
 	t.minion = a.Backend
-	if broken(err) {
+	if connectionBroke(err) {
 		t.reply.Lost = []string{a.Backend}
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.watch(outlier.Ended{ID: req.ID, Result: result(t)})
+	x.stepOutliers(outlier.Ended{ID: req.ID, Result: outlierResult(t)})
 	x.stepQueue(queue.Ended{ID: req.ID, Took: x.Clock().Sub(began), Failed: err != nil})
 	return t
 }
 
-// judge turns a server's answer, or the lack of one, into what the caller is
-// told and whether a retry is safe.
-func judge(answer minion.Answer, err error) try {
+// classify turns a server's answer, or its absence, into a reply for the caller and
+// determines whether a retry is safe.
+func classify(answer minion.Answer, err error) try {
 	var notSent *minion.NotSentError
 	var leaving *minion.LeavingError
 	switch {
 	case err == nil:
 		t := try{reply: call.Reply{Outcome: cell.Done, Status: answer.Status, Header: answer.Header, Body: answer.Body}}
 		if answer.Status >= http.StatusInternalServerError {
-			t.verdict = unsure
+			t.retryClass = mayHaveRun
 		}
 		return t
 	case errors.As(err, &notSent):
-		return try{reply: call.Refuse(http.StatusServiceUnavailable, err.Error(), time.Second), verdict: unreached}
+		return try{reply: call.Refuse(http.StatusServiceUnavailable, err.Error(), time.Second), retryClass: unreached}
 	case errors.As(err, &leaving):
-		return try{reply: call.Refuse(http.StatusServiceUnavailable, err.Error(), time.Second), verdict: notRun}
+		return try{reply: call.Refuse(http.StatusServiceUnavailable, err.Error(), time.Second), retryClass: notRun}
 	case errors.Is(err, context.DeadlineExceeded):
 		return try{reply: call.Unsure(http.StatusGatewayTimeout, err.Error(), time.Second)}
 	default:
-		return try{reply: call.Unsure(http.StatusBadGateway, err.Error(), time.Second), verdict: unsure}
+		return try{reply: call.Unsure(http.StatusBadGateway, err.Error(), time.Second), retryClass: mayHaveRun}
 	}
 }
 
-// result is what a try says of the server itself.
-func result(t try) outlier.Result {
+// outlierResult returns what a try shows about the server itself.
+func outlierResult(t try) outlier.Result {
 	switch {
-	case t.verdict == unreached:
+	case t.retryClass == unreached:
 		return outlier.Unreachable
-	case t.verdict == notRun:
+	case t.retryClass == notRun:
 		return outlier.Leaving
-	case t.verdict == unsure, t.reply.Outcome == cell.Unknown:
+	case t.retryClass == mayHaveRun, t.reply.Outcome == cell.Unknown:
 		return outlier.Failed
 	default:
 		return outlier.Succeeded
--- a/internal/sched/crash_cells_test.go
+++ b/internal/sched/crash_randomcells_test.go
@@ -11,14 +11,14 @@
 	"pollencroft/internal/flow"
 )
 
-// Guards against good jobs given up because they crash along with bad ones, in drawn cells.
-func TestGoodJobsEndInDrawnCellsWithCrashes(t *testing.T) {
+// Guards against healthy jobs failing because they run beside crashing ones, in random cells.
+func TestGoodJobsCompleteInRandomCellsWithCrashes(t *testing.T) {
 	for seed := range uint64(25) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			r := rand.New(rand.NewPCG(seed, 7))
 			b := newSimCell(t, 6+r.IntN(8))
 			b.copies = r.IntN(2) == 0
-			b.badJobs("bad0", "bad1")
+			b.markCrashing("bad0", "bad1")
 			b.restartExtra = time.Duration(r.IntN(3000)) * time.Millisecond
 			b.advance(time.Duration(r.IntN(1000)) * time.Millisecond)
 			bad := scan(3)
@@ -32,13 +32,13 @@
 				}
 				st := scan(6)
 				st.AllowCopies = b.copies && i%2 == 0
-				st.EstimatedTime = around(r, 2*time.Second)
+				st.EstimatedTime = jitter(r, 2*time.Second)
 				b.submit(fmt.Sprintf("good%02d", i), "scan", st, scan(2))
 				b.advance(time.Duration(r.IntN(300)) * time.Millisecond)
 			}
 			b.advance(60 * time.Second)
-			b.requireGivenUp("bad0")
-			b.requireGivenUp("bad1")
+			b.requireFailed("bad0")
+			b.requireFailed("bad1")
 			for i := range 20 {
 				id := fmt.Sprintf("good%02d", i)
 				require.Equal(t, flow.Completed, b.state(id), id)
--- a/internal/spans/spans.go
+++ b/internal/spans/spans.go
@@ -1,5 +1,5 @@
-// Package spans makes a trace span for each hop of a request: caller, host,
-// peer, minion or worker.
+// Package spans creates a trace span for each hop of a request: caller, host, peer, backend server
+// or worker.
 package spans
 
 import (
@@ -11,24 +11,24 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-const scope = "pollencroft"
+const tracerName = "pollencroft"
 
-var context3 = propagation.TraceContext{}
+var propagator = propagation.TraceContext{}
 
-// Hop begins the span of one hop; the returned function ends it.
-func Hop(ctx context.Context, hop, id string) (context.Context, func()) {
-	ctx, span := otel.Tracer(scope).Start(ctx, hop, trace.WithAttributes(attribute.String("id", id)))
+// Start starts the span of one hop. The returned function ends it.
+func Start(ctx context.Context, hop, id string) (context.Context, func()) {
+	ctx, span := otel.Tracer(tracerName).Start(ctx, hop, trace.WithAttributes(attribute.String("id", id)))
 	return ctx, func() { span.End() }
 }
 
-// Parent returns the W3C trace context of the current span for the next hop.
-func Parent(ctx context.Context) string {
+// TraceParent returns the W3C trace context of the current span for the next hop.
+func TraceParent(ctx context.Context) string {
 	c := propagation.MapCarrier{}
-	context3.Inject(ctx, c)
+	propagator.Inject(ctx, c)
 	return c["traceparent"]
 }
 
-// Join continues the trace that the hop before began.
-func Join(ctx context.Context, parent string) context.Context {
-	return context3.Extract(ctx, propagation.MapCarrier{"traceparent": parent})
+// ContinueTrace continues the trace of the previous hop.
+func ContinueTrace(ctx context.Context, parent string) context.Context {
+	return propagator.Extract(ctx, propagation.MapCarrier{"traceparent": parent})
 }
--- a/internal/store/routed_test.go
+++ b/internal/store/routed_test.go
@@ -13,19 +13,19 @@
 	"pollencroft/internal/store"
 )
 
-// way answers every call with err, or well without one.
-type way struct {
+// fixedLog answers every call with err, or successfully if err is nil.
+type fixedLog struct {
 	err   error
 	calls int
 }
 
-func (w *way) Do(context.Context, store.Call) (store.Answer, error) {
+func (w *fixedLog) Do(context.Context, store.Call) (store.Answer, error) {
 	w.calls++
 	return store.Answer{End: 1}, w.err
 }
 
-// peers are ways through peers, in order of name.
-type peers map[string]*way
+// peers are the routes through peers, sorted by name.
+type peers map[string]*fixedLog
 
 func (p peers) Peers() []string { return []string{"a", "b", "c"}[:len(p)] }
 
@@ -45,66 +45,66 @@
 	background = context.Background()
 )
 
-// A store that does not answer this host may still carry the append out; a peer
-// is then refused. Told as refused, the caller would hear that its job never
-// runs, and see it run.
+// A store that does not answer this host may still carry the append out, while a peer is refused.
+// If the result counted as a refusal, the caller would be told that its job never runs, and would
+// see it run.
 func TestNoAnswerThenARefusalIsNotARefusal(t *testing.T) {
-	r := routed(&way{err: errUnsure}, peers{"a": {err: errRefused}})
+	r := routed(&fixedLog{err: errUnsure}, peers{"a": {err: errRefused}})
 	_, err := r.Do(background, appendCall)
 	require.False(t, store.NotDone(err), "%v", err)
 	require.ErrorAs(t, err, new(*store.UnansweredError))
 }
 
-// The other way round: this host is refused, a peer's call has no answer.
+// This host is refused, and a call through a peer has no answer.
 func TestARefusalThenNoAnswerIsNotARefusal(t *testing.T) {
-	r := routed(&way{err: errRefused}, peers{"a": {err: errUnsure}, "b": {err: errRefused}})
+	r := routed(&fixedLog{err: errRefused}, peers{"a": {err: errUnsure}, "b": {err: errRefused}})
 	_, err := r.Do(background, appendCall)
 	require.False(t, store.NotDone(err), "%v", err)
 }
 
-func TestAllWaysRefusedIsARefusal(t *testing.T) {
-	r := routed(&way{err: errRefused}, peers{"a": {err: errRefused}, "b": {err: errRefused}})
+func TestRefusalByAllRoutesIsARefusal(t *testing.T) {
+	r := routed(&fixedLog{err: errRefused}, peers{"a": {err: errRefused}, "b": {err: errRefused}})
 	_, err := r.Do(background, appendCall)
 	require.True(t, store.NotDone(err), "%v", err)
 }
 
-// The store turns this host away and serves the others. Callers of this host
-// would be refused although their jobs can be stored.
-func TestAHostThatIsTurnedAwayGoesThroughAPeer(t *testing.T) {
-	direct, p := &way{err: errRefused}, peers{"a": {err: errRefused}, "b": {}}
+// The store refuses this host and serves the others. Without the route through a peer, callers of
+// this host would be refused although their jobs can be stored.
+func TestRefusedHostCallsThroughPeer(t *testing.T) {
+	direct, p := &fixedLog{err: errRefused}, peers{"a": {err: errRefused}, "b": {}}
 	r := routed(direct, p)
 	for range 5 {
 		_, err := r.Do(background, appendCall)
 		require.NoError(t, err)
 	}
-	require.Equal(t, 1, direct.calls, "the direct way is left alone after it failed")
+	require.Equal(t, 1, direct.calls, "the direct route is not used again right after a refusal")
 	_, err := r.Direct(background, appendCall)
-	require.True(t, store.NotDone(err), "a peer is told at once that this host is turned away")
+	require.True(t, store.NotDone(err), "a peer's call is refused at once while the store refuses this host")
 }
 
-// What the store says of a call is final: another way would say the same.
-func TestAnAnswerThatIsAnErrorIsNotTriedElsewhere(t *testing.T) {
+// An error that the store answers with is final: another route would give the same answer.
+func TestErrorAnswerIsNotRetriedElsewhere(t *testing.T) {
 	p := peers{"a": {}}
-	r := routed(&way{err: &store.FencedError{Epoch: 3}}, p)
+	r := routed(&fixedLog{err: &store.FencedError{Epoch: 3}}, p)
 	_, err := r.Do(background, appendCall)
 	require.ErrorAs(t, err, new(*store.FencedError))
 	require.Zero(t, p["a"].calls)
-	require.False(t, r.Good().IsZero())
+	require.False(t, r.LastAnswer().IsZero())
 }
 
-// A read that waits for records is only made again: it holds up nobody.
+// A read that waits for records delays nobody, so it is only repeated.
 func TestALongReadIsNotMadeThroughAPeerAtOnce(t *testing.T) {
 	p := peers{"a": {}}
-	r := routed(&way{err: errUnsure}, p)
+	r := routed(&fixedLog{err: errUnsure}, p)
 	_, err := r.Do(background, longRead)
 	require.Error(t, err)
 	require.Zero(t, p["a"].calls)
 }
 
-// A store that is slow for everybody: every call takes longer than a peer is
-// waited for at first. Asking peers each time would double the load of a store
-// that takes one append at a time, and callers would be refused for that.
-func TestASlowStoreIsNotAskedTwiceForLong(t *testing.T) {
+// The store is slow for everybody: every call takes longer than the initial wait before a peer is
+// asked. Asking peers each time would double the load of a store that carries out one append at a
+// time, and callers would be refused because of that.
+func TestSlowStoreIsNotAskedTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		direct, p := &slow{wait: 600 * time.Millisecond}, peers{"a": {}}
 		r := routed(direct, p)
@@ -117,7 +117,7 @@
 	})
 }
 
-// slow answers after a while, if it is waited for.
+// slow answers after a delay, unless the context ends first.
 type slow struct {
 	wait  time.Duration
 	calls atomic.Int64
@@ -133,9 +133,9 @@
 	}
 }
 
-// The way to the store goes silent without a word. Callers at this host would
-// wait for as long as the bound on an answer with each call.
-func TestASilentWayCostsOnlyTheFirstCall(t *testing.T) {
+// The route to the store goes silent without an error. Each call of this host's callers would
+// otherwise wait for the whole timeout.
+func TestSilentRouteDelaysOnlyFirstCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := routed(&slow{wait: time.Hour}, peers{"a": {}})
 		began := time.Now()
@@ -144,15 +144,15 @@
 			require.NoError(t, err)
 		}
 		require.Less(t, time.Since(began), time.Second)
-		// The direct calls have to end on their own.
+		// Wait until the direct calls have ended by themselves.
 		time.Sleep(time.Minute)
 	})
 }
 
-// The store is down for some of its partitions. What is for the others goes its
-// direct way as before; taken for turned away as a whole, the host could not lead.
-func TestAPartitionThatIsDownClosesNoOther(t *testing.T) {
-	direct := &partly{down: 5}
+// The store is down for some of its partitions. Calls for the others still use the direct route.
+// If the host regarded the whole store as unavailable, it could not lead.
+func TestPartitionDownDoesNotAffectOthers(t *testing.T) {
+	direct := &partialLog{down: 5}
 	p := peers{"a": {err: errRefused}}
 	r := routed(direct, p)
 	for range 3 {
@@ -162,13 +162,13 @@
 		require.NoError(t, err)
 	}
 	require.Equal(t, 3, direct.served)
-	require.Equal(t, 3, p["a"].calls, "only what is down is tried through the peer")
+	require.Equal(t, 3, p["a"].calls, "only calls to the partition that is down go through the peer")
 }
 
-// partly serves all partitions but one.
-type partly struct{ down, served int }
+// partialLog serves all partitions but one.
+type partialLog struct{ down, served int }
 
-func (p *partly) Do(_ context.Context, c store.Call) (store.Answer, error) {
+func (p *partialLog) Do(_ context.Context, c store.Call) (store.Answer, error) {
 	if c.Part == p.down {
 		return store.Answer{}, errRefused
 	}
@@ -176,10 +176,10 @@
 	return store.Answer{End: 1}, nil
 }
 
-// The store's answers do not reach this host any more, and nothing refuses its calls.
-// Peers are served. Every call of a lead there would wait for the direct way first, three
-// for each step of a job, and one urgent job in five would be late for as long as the cut
-// lasts. After a second without an answer peers are asked at once.
+// The store's answers no longer reach this host, and nothing refuses its calls. Peers are served.
+// Every call of a leader there would first wait for the direct route, three times for each step
+// of a job, and one urgent job in five would be late for as long as the cut lasts. After a second
+// without an answer, peers are asked at once.
 func TestAHostThatIsCutOffAsksAPeerAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		direct, p := &slow{wait: time.Minute}, peers{"a": {}}
@@ -194,12 +194,12 @@
 		require.NoError(t, err)
 		require.Zero(t, time.Since(began))
 		synctest.Wait()
-		require.Greater(t, direct.calls.Load(), tried, "the direct way is still tried beside it")
+		require.Greater(t, direct.calls.Load(), tried, "the direct route is still tried at the same time")
 		time.Sleep(2 * time.Minute)
 	})
 }
 
-// silentUntil never answers what is sent to it before some moment, not even after it.
+// silentUntil never answers a call that was sent before a certain time, not even after that time.
 type silentUntil struct{ at time.Time }
 
 func (s *silentUntil) Do(ctx context.Context, c store.Call) (store.Answer, error) {
@@ -210,10 +210,11 @@
 	return store.Answer{}, nil
 }
 
-// The store is silent for all hosts for some seconds, and answers again. What a lead sent
-// shortly before is lost. Waited for to the end of its time, nothing would begin or be
-// told as completed for two seconds more, in the moment when everybody has waited.
-func TestCallsSentIntoASilenceAreMadeAgainAfterIt(t *testing.T) {
+// The store is silent for all hosts for some seconds and then answers again. Calls that a leader
+// sent shortly before are lost. If the leader waited for them until their timeout, no task would
+// start and no job would be reported as completed for two seconds more, just when everybody has
+// been waiting.
+func TestUnansweredCallsAreRepeatedAfterRecovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		direct := &silentUntil{}
 		r := routed(direct, peers{})
@@ -236,27 +237,27 @@
 	})
 }
 
-// Two hosts are cut off from the store, and the first of the peers that one of them asks is
-// the other. Each call of a lead there waited for that one first, half a second, and urgent
-// jobs of half a second took three. The peer that was served last is asked first.
+// Two hosts are cut off from the store, and one of them asks the other one first. Each call of a
+// leader there would wait half a second for that peer, and urgent jobs of half a second took
+// three seconds. The peer that was served last is asked first.
 func TestAPeerThatWasServedIsAskedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cutPeer := &slow{wait: time.Minute}
-		r := store.NewRouted(&slow{wait: time.Minute}, mixed{"a": cutPeer, "b": &way{}}, time.Now, func(store.Call, bool, error) {})
+		cutOff := &slow{wait: time.Minute}
+		r := store.NewRouted(&slow{wait: time.Minute}, mixed{"a": cutOff, "b": &fixedLog{}}, time.Now, func(store.Call, bool, error) {})
 		for range 6 {
 			_, err := r.Do(background, appendCall)
 			require.NoError(t, err)
 		}
-		asked, began := cutPeer.calls.Load(), time.Now()
+		asked, began := cutOff.calls.Load(), time.Now()
 		_, err := r.Do(background, appendCall)
 		require.NoError(t, err)
-		require.Equal(t, asked, cutPeer.calls.Load())
+		require.Equal(t, asked, cutOff.calls.Load())
 		require.Less(t, time.Since(began), 50*time.Millisecond)
 		time.Sleep(2 * time.Minute)
 	})
 }
 
-// mixed are peers of unlike kinds.
+// mixed are peers of different kinds.
 type mixed map[string]store.Log
 
 func (m mixed) Peers() []string { return []string{"a", "b", "c"}[:len(m)] }
@@ -265,8 +266,8 @@
 	return m[name].Do(ctx, c)
 }
 
-// A host that is cut off is asked by another one to make a call for it. It says at once
-// that it cannot, and has not: the other one would wait for an answer that does not come.
+// A host that is cut off is asked by a peer to make a call. It refuses at once, and the refusal
+// means that nothing was done. Otherwise the peer would wait for an answer that does not come.
 func TestAHostThatIsCutOffMakesNoCallsForPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := routed(&slow{wait: time.Minute}, peers{"a": {}})
@@ -283,9 +284,9 @@
 	})
 }
 
-// A host finds out with short calls whether a silent store is back. Waited for to the end
-// of the direct way's time, each would take seconds, and callers would be refused for as
-// long although the store serves again.
+// A host uses short calls to find out whether a silent store is back. If each of them lasted
+// until the timeout of the direct route, callers would be refused for seconds although the store
+// serves again.
 func TestACallEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := routed(&slow{wait: time.Minute}, peers{"a": {err: errRefused}})
@@ -300,9 +301,9 @@
 	})
 }
 
-// A failure domain is cut off, and all peers that a host asks first are in it. Asked one
-// after the other, each for half a second, they would make a host that the store turns away
-// refuse its callers, though the next peer is served.
+// A failure domain is cut off, and it contains all peers that a host asks first. The store
+// refuses the host. If it waited half a second for one peer after the other, it would refuse its
+// callers although the next peer is served.
 func TestSilentPeersDoNotHoldUpTheNext(t *testing.T) {
 	for _, tc := range []struct {
 		call  store.Call
@@ -310,8 +311,8 @@
 	}{{appendCall, time.Second}, {store.Call{Op: store.Read, Topic: "op"}, 400 * time.Millisecond}} {
 		synctest.Test(t, func(t *testing.T) {
 			c := tc.call
-			p := mixed{"a": &slow{wait: time.Hour}, "b": &slow{wait: time.Hour}, "c": &way{}}
-			r := store.NewRouted(&way{err: errRefused}, p, time.Now, func(store.Call, bool, error) {})
+			p := mixed{"a": &slow{wait: time.Hour}, "b": &slow{wait: time.Hour}, "c": &fixedLog{}}
+			r := store.NewRouted(&fixedLog{err: errRefused}, p, time.Now, func(store.Call, bool, error) {})
 			began := time.Now()
 			_, err := r.Do(background, c)
 			require.NoError(t, err)
@@ -319,7 +320,7 @@
 			began = time.Now()
 			_, err = r.Do(background, c)
 			require.NoError(t, err)
-			require.Zero(t, time.Since(began), "the peer that was served is known")
+			require.Zero(t, time.Since(began), "the peer that was served last is asked first")
 			time.Sleep(time.Minute)
 		})
 	}
@@ -341,11 +342,11 @@
 	return store.Answer{}, nil
 }
 
-// The store turns most hosts away. A host that always asked the same few peers would refuse
-// its callers for as long as these are turned away as well.
-func TestPeersThatAreTurnedAwayGoLast(t *testing.T) {
+// The store refuses most hosts. A host that always asked the same few peers would refuse its
+// callers for as long as the store refuses these peers as well.
+func TestRefusedPeersAreAskedLast(t *testing.T) {
 	p := &many{names: []string{"a", "b", "c", "d", "e", "f", "g"}, asked: map[string]int{}}
-	r := store.NewRouted(&way{err: errRefused}, p, time.Now, func(store.Call, bool, error) {})
+	r := store.NewRouted(&fixedLog{err: errRefused}, p, time.Now, func(store.Call, bool, error) {})
 	refused := 0
 	for range 10 {
 		if _, err := r.Do(background, appendCall); err != nil {
@@ -354,17 +355,17 @@
 		}
 	}
 	require.Equal(t, 2, refused)
-	require.Equal(t, 1, p.asked["a"], "not asked again while another is served")
+	require.Equal(t, 1, p.asked["a"], "a peer that failed is not asked again while another one is served")
 }
 
-// A read has gone unanswered for a second and was made again with success meanwhile. Its own
-// end, when its time is over, is older news: taken for a loss of the store it would send a
-// host's calls around through peers while its own way works.
-func TestAnOldFailureSaysNothingAgainstANewerAnswer(t *testing.T) {
+// A read has gone unanswered for a second, and a repetition of it succeeded in the meantime. The
+// timeout of the first attempt is then out of date. If it counted as a loss of the store, the
+// host would send its calls through peers although its own route works.
+func TestOldFailureDoesNotOverrideNewerAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		direct := &silentUntil{}
-		var told []bool
-		r := store.NewRouted(direct, peers{}, time.Now, func(_ store.Call, ok bool, _ error) { told = append(told, ok) })
+		var changes []bool
+		r := store.NewRouted(direct, peers{}, time.Now, func(_ store.Call, ok bool, _ error) { changes = append(changes, ok) })
 		_, err := r.Do(background, appendCall)
 		require.NoError(t, err)
 		direct.at = time.Now().Add(300 * time.Millisecond)
@@ -372,12 +373,12 @@
 		require.NoError(t, err)
 		time.Sleep(time.Minute)
 		synctest.Wait()
-		require.Equal(t, []bool{false, true}, told)
+		require.Equal(t, []bool{false, true}, changes)
 	})
 }
 
-// A host stops while a read waits. That says nothing of the store.
-func TestACallerThatLeavesIsNoLossOfTheStore(t *testing.T) {
+// A host stops while a read waits. That says nothing about the store.
+func TestCancelledCallIsNotAStoreFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lost := 0
 		r := store.NewRouted(&slow{wait: 800 * time.Millisecond}, peers{}, time.Now, func(store.Call, bool, error) { lost++ })
@@ -390,8 +391,9 @@
 	})
 }
 
-// A peer asks a host to read for it, and the host's way has gone silent. The peer has long
-// given up; without a bound such reads would gather at the host for a minute each.
+// A peer asks a host to read on its behalf, and the host's route has gone silent. The peer gives
+// up long before the host does. Without a bound, such reads would accumulate at the host for a
+// minute each.
 func TestACallForAPeerIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := routed(&slow{wait: time.Hour}, peers{})
@@ -402,21 +404,21 @@
 	})
 }
 
-// noting keeps which calls asked for a new connection, and fails with err.
-type noting struct {
+// recorder records which calls asked for a new connection, and fails with err.
+type recorder struct {
 	err  error
 	anew []bool
 }
 
-func (n *noting) Do(_ context.Context, c store.Call) (store.Answer, error) {
-	n.anew = append(n.anew, c.Anew)
+func (n *recorder) Do(_ context.Context, c store.Call) (store.Answer, error) {
+	n.anew = append(n.anew, c.NewConn)
 	return store.Answer{}, n.err
 }
 
-// A connection has gone silent, and with it all that were open. The next call would wait on
-// another one of them.
+// A connection has gone silent, and with it all others that were open. Without a new connection
+// the next call would wait on another one of them.
 func TestAfterASilenceACallGoesOnANewConnection(t *testing.T) {
-	direct := &noting{err: errUnsure}
+	direct := &recorder{err: errUnsure}
 	r := routed(direct, peers{})
 	read := store.Call{Op: store.Read, Topic: "op"}
 	_, err := r.Do(background, read)
@@ -429,9 +431,9 @@
 	require.Equal(t, []bool{false, true, false}, direct.anew)
 }
 
-// One answer took long, as after a short cut. That says little of the next call: waited for in
-// proportion, a read on a way that has gone silent would take seconds.
-func TestALongAnswerDoesNotMakeReadsPatient(t *testing.T) {
+// One answer took long, as after a short cut. That says little about the next call. If reads
+// waited in proportion to it, a read on a route that has gone silent would take seconds.
+func TestSlowAnswerDoesNotExtendReadTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		direct := &slow{wait: 2500 * time.Millisecond}
 		r := routed(direct, peers{"a": {}})
--- a/internal/table/prefix_test.go
+++ b/internal/table/prefix_test.go
@@ -14,14 +14,13 @@
 	"pollencroft/internal/table"
 )
 
-// A fixed seed gives the same verdict on every machine; the command line may
-// name another.
+// A fixed seed gives the same result on every machine. The command line can set another seed.
 func init() {
 	_ = flag.Set("rapid.seed", "20261202")
 	_ = flag.Set("rapid.checks", "400")
 }
 
-// log is a log in memory.
+// log is an in-memory log.
 type log struct {
 	t   require.TestingT
 	all []table.Entry
@@ -39,9 +38,9 @@
 	l.add(b)
 }
 
-// Hosts read the log in pieces of any size, some twice, some late, some after a
-// trim, from snapshots or from a peer's copy. If any two differed at an offset,
-// or one went back, an accepted edit would not be in force everywhere.
+// Hosts read the log in pieces of any size, some of them twice, late or after a trim, from
+// snapshots or from a peer's copy. If two hosts differed at the same offset, or a host went back to
+// an earlier offset, an accepted edit would not be in force everywhere.
 func TestHostsNeverDisagreeAtAnOffsetAndNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := newLog(t)
@@ -66,21 +65,21 @@
 			},
 			"trimmed": func(t *rapid.T) {
 				from := rapid.IntRange(0, len(l.all)).Draw(t, "from")
-				step(t, rapid.SampledFrom(hosts).Draw(t, "host"), table.Behind{Entries: l.all[from:]})
+				step(t, rapid.SampledFrom(hosts).Draw(t, "host"), table.TrimmedLog{Entries: l.all[from:]})
 			},
 			"copy": func(t *rapid.T) {
 				parts, err := rapid.SampledFrom(hosts).Draw(t, "peer").Snapshot(now)
 				require.NoError(t, err)
-				step(t, rapid.SampledFrom(hosts).Draw(t, "host"), table.Copy{Parts: parts})
+				step(t, rapid.SampledFrom(hosts).Draw(t, "host"), table.PeerCopy{Parts: parts})
 			},
 			"new": func(t *rapid.T) { hosts[rapid.IntRange(0, 2).Draw(t, "i")] = table.New() },
 			"": func(t *rapid.T) {
 				for _, h := range hosts {
-					text := fmt.Sprint(h.Mark(), h.Lines(), h.Teams())
-					if old, ok := seen[h.Wants()]; ok {
-						require.Equal(t, old, text, "offset %d", h.Wants())
+					text := fmt.Sprint(h.Fingerprint(), h.Lines(), h.Teams())
+					if old, ok := seen[h.NextOffset()]; ok {
+						require.Equal(t, old, text, "offset %d", h.NextOffset())
 					}
-					seen[h.Wants()] = text
+					seen[h.NextOffset()] = text
 				}
 			},
 		})
@@ -88,9 +87,9 @@
 }
 
 func step(t *rapid.T, h *table.Table, ev table.Event) {
-	before := h.Wants()
+	before := h.NextOffset()
 	h.Step(now, ev)
-	require.GreaterOrEqual(t, h.Wants(), before, "went back")
+	require.GreaterOrEqual(t, h.NextOffset(), before, "the host went back to an earlier offset")
 }
 
 func drawRecord(t *rapid.T, offset int) []byte {
@@ -105,7 +104,7 @@
 	case 1:
 		b, err = table.Encode(table.QuotaEdit{ID: id, Team: name, Base: base, Tasks: 7, Domains: map[string]int64{"a": base, "b": 1}})
 	case 2:
-		b, err = table.Encode(table.Settle{Team: name, Version: base, Domain: "a"})
+		b, err = table.Encode(table.ShareConfirmation{Team: name, Version: base, Domain: "a"})
 	case 3:
 		b = []byte(`{"kind":"edit","sum":1,"body":{}}`)
 	default:
@@ -116,9 +115,8 @@
 	return b
 }
 
-// An operator moves quota between failure domains while one of them is cut off
-// and still works by its old share. At no moment may what the domains believe
-// add up to more than the quota.
+// An operator moves quota between failure domains while one of them is cut off and still applies
+// its old share. At no time may the shares that the domains apply add up to more than the quota.
 func TestQuotaSharesAddUpWhileTheyMove(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const whole = 100
@@ -130,7 +128,7 @@
 			switch v := v.(type) {
 			case table.QuotaEdit:
 				b, err = table.Encode(v)
-			case table.Settle:
+			case table.ShareConfirmation:
 				b, err = table.Encode(v)
 			}
 			require.NoError(t, err)
@@ -146,7 +144,7 @@
 					base = q[0].Version
 				}
 				add(table.QuotaEdit{
-					ID: fmt.Sprint(len(l.all)), Team: "x", Base: base, Tasks: whole, Room: cell.Size{CPU: whole, Mem: whole, Accel: 1},
+					ID: fmt.Sprint(len(l.all)), Team: "x", Base: base, Tasks: whole, Capacity: cell.Size{CPU: whole, Mem: whole, Accel: 1},
 					Domains: map[string]int64{"a": weight.Draw(t, "a"), "b": weight.Draw(t, "b"), "c": weight.Draw(t, "c")},
 				})
 			},
@@ -154,7 +152,7 @@
 				d := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "domain")
 				to := rapid.IntRange(0, len(l.all)).Draw(t, "to")
 				domains[d].Step(now, table.Records{Entries: l.all[:to]})
-				for _, s := range domains[d].Unsettled(d) {
+				for _, s := range domains[d].UnconfirmedShares(d) {
 					add(s)
 				}
 			},
@@ -162,13 +160,13 @@
 				var tasks, cpu, accel int64
 				for d, tab := range domains {
 					s, _ := tab.TeamShare("x", d)
-					tasks, cpu, accel = tasks+s.Tasks, cpu+s.Room.CPU, accel+s.Room.Accel
+					tasks, cpu, accel = tasks+s.Tasks, cpu+s.Capacity.CPU, accel+s.Capacity.Accel
 				}
 				require.LessOrEqual(t, tasks, int64(whole))
 				require.LessOrEqual(t, cpu, int64(whole))
 				require.LessOrEqual(t, accel, int64(1))
 				for _, q := range domains["a"].Teams() {
-					if len(q.Unread) == 0 {
+					if len(q.Unconfirmed) == 0 {
 						require.Equal(t, int64(whole), q.Shares["a"].Tasks+q.Shares["b"].Tasks+q.Shares["c"].Tasks)
 					}
 				}
@@ -184,7 +182,7 @@
 	for _, d := range all {
 		s, ok := row.RowShare(d, all)
 		require.True(t, ok)
-		require.Equal(t, int64(table.NoLimit), s.Room.CPU)
+		require.Equal(t, int64(table.NoLimit), s.Capacity.CPU)
 		sum += s.Tasks
 	}
 	require.Equal(t, int64(2), sum)
@@ -193,8 +191,8 @@
 	require.False(t, ok)
 }
 
-// Anything may lie in the log: half a record, another program's, one that an
-// attacker wrote. The reader must neither crash nor let it stop the fold.
+// The log can contain anything: half a record, another program's record, or one that an attacker
+// wrote. The reader must neither crash nor stop folding because of it.
 func FuzzDecode(f *testing.F) {
 	for kind, body := range map[string]string{
 		"edit": `{"id":"a","row":"scan","base":0,"fields":{"weight":2}}`, "quota": `{"id":"b","team":"x","base":0,"tasks":3,"domains":{"a":1}}`,
@@ -215,9 +213,9 @@
 			for range 3 {
 				tab.Step(now, table.Records{Entries: []table.Entry{{Offset: 1, Body: b}}})
 			}
-			require.Equal(t, int64(2), tab.Wants())
-			table.New().Step(now, table.Behind{Entries: []table.Entry{{Offset: 9, Body: b}}})
-			table.New().Step(now, table.Copy{Parts: [][]byte{b}})
+			require.Equal(t, int64(2), tab.NextOffset())
+			table.New().Step(now, table.TrimmedLog{Entries: []table.Entry{{Offset: 9, Body: b}}})
+			table.New().Step(now, table.PeerCopy{Parts: [][]byte{b}})
 		}
 	})
 }
--- a/internal/trail/trail_test.go
+++ b/internal/trail/trail_test.go
@@ -11,12 +11,12 @@
 )
 
 func note(at int, id string) trail.Note {
-	return trail.Note{At: time.Unix(int64(at), 0), ID: id, Part: "lead", What: fmt.Sprint("note ", at)}
+	return trail.Note{At: time.Unix(int64(at), 0), ID: id, Component: "lead", Message: fmt.Sprint("note ", at)}
 }
 
-// A job changes its lead, and the answer to the hand-over is lost, so that it
-// comes twice. The operator who asks why the job waits must see what was decided
-// before, each decision once and in order.
+// A job moves to another leader, and the reply to the handover is lost, so that the handover is
+// repeated. An operator who asks why the job waits must see the earlier decisions, each once and in
+// order.
 func TestNotesOfAFormerLeadAreMergedOnce(t *testing.T) {
 	old, heir := trail.New(100), trail.New(100)
 	for i := range 20 {
@@ -24,11 +24,11 @@
 	}
 	heir.Add(note(30, "j"))
 	for range 2 {
-		heir.Merge(old.Brief("j", 4))
+		heir.Merge(old.Excerpt("j", 4))
 	}
 	var got []string
-	for _, n := range heir.Of("j") {
-		got = append(got, n.What)
+	for _, n := range heir.ByID("j") {
+		got = append(got, n.Message)
 	}
 	require.Equal(t, []string{"note 0", "note 17", "note 18", "note 19", "note 30"}, got)
 }
@@ -38,7 +38,7 @@
 	for i := range 5 {
 		tr.Add(note(i, "j"))
 	}
-	require.Len(t, tr.Of("j"), 3)
-	require.Equal(t, "note 2", tr.Of("j")[0].What)
-	require.Empty(t, tr.Of("other"))
+	require.Len(t, tr.ByID("j"), 3)
+	require.Equal(t, "note 2", tr.ByID("j")[0].Message)
+	require.Empty(t, tr.ByID("other"))
 }
