--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -302,8 +302,8 @@
 }
 
 // MaxSlots returns how many of its slots a server may use now.
-func (o *Detector) MaxSlots(minion string, slots int) int {
-	s, ok := o.servers[minion]
+func (o *Detector) MaxSlots(backend string, slots int) int {
+	s, ok := o.servers[backend]
 	switch {
 	case !ok || s.state == Trusted:
 		return slots
