--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -138,15 +138,15 @@
 	if t.steady == steadyReports && !t.peak.Fits(t.sampled) {
 		e.sample(t)
 	}
-	room := maxSize(e.Size(name, declared), t.peak)
+	capacity := maxSize(e.Size(name, declared), t.peak)
 	if t.steady >= steadyReports {
 		// A task that has not grown for a while keeps only half of the processor capacity by
 		// which tasks of its row may still grow. This applies to processors only, because they
 		// can be throttled; running out of memory kills tasks.
-		room.CPU = t.peak.CPU + (room.CPU-t.peak.CPU)/2
+		capacity.CPU = t.peak.CPU + (capacity.CPU-t.peak.CPU)/2
 	}
-	room.Accel = declared.Accel
-	return room, true
+	capacity.Accel = declared.Accel
+	return capacity, true
 }
 
 func maxSize(a, b cell.Size) cell.Size {
