--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -184,9 +184,9 @@
 }
 
 func (q *Queue) refuseWaiting(now time.Time, req *request, why Reason) Refuse {
-	again := q.refuse(now, req.row, req.ID, why)
+	refusal := q.refuse(now, req.row, req.ID, why)
 	q.remove(req)
-	return again
+	return refusal
 }
 
 // expire refuses the requests whose deadline has passed.
