--- a/internal/queue/servers.go
+++ b/internal/queue/servers.go
@@ -54,16 +54,16 @@
 // is kept: it may be listed again before they end and would then get more requests than it
 // has slots.
 func (s *pool) replace(all []Share) {
-	fresh := map[string]int{}
+	slots := map[string]int{}
 	for _, share := range all {
-		fresh[share.Backend] = share.Slots
+		slots[share.Backend] = share.Slots
 		if s.all[share.Backend] == nil {
 			s.all[share.Backend] = &backend{name: share.Backend}
 		}
 	}
 	for name, m := range s.all {
-		s.set(m, func(m *backend) { m.slots = fresh[name] })
-		if _, ok := fresh[name]; !ok && m.busy == 0 {
+		s.set(m, func(m *backend) { m.slots = slots[name] })
+		if _, ok := slots[name]; !ok && m.busy == 0 {
 			s.byFree.drop(m)
 			delete(s.all, name)
 		}
