--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -138,10 +138,10 @@
 
 // loadDriver applies a steady load to a queue, with a fixed time per request.
 type loadDriver struct {
-	q     *queue.Queue
-	now   time.Time
-	ends  map[time.Time][]string
-	again time.Duration
+	q          *queue.Queue
+	now        time.Time
+	ends       map[time.Time][]string
+	retryAfter time.Duration
 }
 
 func (p *loadDriver) run(servers queue.Shares, d, each, took, timeout time.Duration) map[string]int {
@@ -160,7 +160,7 @@
 			case queue.Send:
 				p.ends[p.now.Add(took)] = append(p.ends[p.now.Add(took)], act.ID)
 			case queue.Refuse:
-				p.again = act.RetryAfter
+				p.retryAfter = act.RetryAfter
 			}
 		}
 		for what, k := range countActions(acts) {
@@ -182,7 +182,7 @@
 	total := p.run(newShares(1, 4), 10*time.Second, each, took, time.Second)
 	require.InDelta(t, 500, total["r"], 25, "half of the slots serve half of the requests")
 	require.InDelta(t, 450, total[string(queue.TooLate)], 75)
-	require.InDelta(t, 0.8, p.again.Seconds(), 0.5, "a queue of one second is worked off in about one second")
+	require.InDelta(t, 0.8, p.retryAfter.Seconds(), 0.5, "a queue of one second is worked off in about one second")
 	total = p.run(newShares(2, 4), 10*time.Second, each, 4*took, time.Second)
 	require.InDelta(t, 250, total["r"], 25, "the slow servers serve a quarter of the requests")
 	require.Positive(t, total[string(queue.TooLate)])
