--- a/internal/queue/property_test.go
+++ b/internal/queue/property_test.go
@@ -28,7 +28,7 @@
 	waiting  map[string]queue.Enqueue
 	sent     map[string]queue.Send
 	rows     map[string]string
-	lent     map[string]string
+	lentTo   map[string]string
 }
 
 func (m *model) step(ev queue.Event) {
@@ -46,7 +46,7 @@
 		case queue.Lend:
 			require.False(m.t, m.waiting[a.ID].FromPeer, "a request from a peer is not lent again")
 			m.decided(a.ID)
-			m.lent[a.ID] = a.Peer
+			m.lentTo[a.ID] = a.Peer
 		case queue.Refuse:
 			m.decided(a.ID)
 		}
@@ -93,7 +93,7 @@
 		m := &model{
 			t: t, q: queue.New(queue.Limits{Length: 12, Reserve: 0.25}), now: start, slots: map[string]int{}, busy: map[string]int{},
 			rowSlots: map[string]int64{}, rowBusy: map[string]int64{}, waiting: map[string]queue.Enqueue{}, sent: map[string]queue.Send{},
-			rows: map[string]string{}, lent: map[string]string{},
+			rows: map[string]string{}, lentTo: map[string]string{},
 		}
 		name := func() string { return rapid.SampledFrom([]string{"scan", "menu", "badge"}).Draw(t, "row") }
 		row := func(name string) queue.Row {
@@ -118,8 +118,8 @@
 				}
 			},
 			"bounce": func(t *rapid.T) {
-				if id := pick(t, m.lent); id != "" {
-					delete(m.lent, id)
+				if id := pick(t, m.lentTo); id != "" {
+					delete(m.lentTo, id)
 					m.waiting[id] = queue.Enqueue{ID: id, Row: row(m.rows[id])}
 					m.step(queue.LendRejected{ID: id})
 				}
