--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -315,7 +315,7 @@
 // safe, see Routed.
 func (r *Routed) callDirect(ctx context.Context, c Call) (Answer, error) {
 	for {
-		began, revival := r.now(), r.recovery()
+		began, recovered := r.now(), r.recovery()
 		call := c
 		call.NewConn = r.isSilent(c)
 		attempt, cancel := context.WithCancel(ctx)
@@ -332,7 +332,7 @@
 				r.recordDirect(c, began, got.err)
 			}
 			return got.answer, got.err
-		case <-revival:
+		case <-recovered:
 			cancel()
 		}
 	}
