--- a/internal/store/routed.go
+++ b/internal/store/routed.go
@@ -31,8 +31,8 @@
 	// callTimeout bounds one whole call, in addition to the time that the call asks the store to
 	// wait.
 	callTimeout = 2800 * time.Millisecond
-	// latencyDecay is the factor by which the weight of the longest answer shrinks with each
-	// further answer.
+	// latencyDecay is the factor by which the latency estimate shrinks with each further answer,
+	// unless that answer took longer.
 	latencyDecay = 0.8
 )
 
@@ -99,7 +99,8 @@
 	return &c.others
 }
 
-// NewRouted returns a log that uses the direct route and peers. The function onChange must not block.
+// NewRouted returns a log that uses the direct route and peers. The function onChange must not
+// block.
 func NewRouted(direct Log, relay Relay, now func() time.Time, onChange func(c Call, ok bool, err error)) *Routed {
 	return &Routed{
 		direct: direct, relay: relay, now: now, onChange: onChange,
