--- a/internal/entry/statequery.go
+++ b/internal/entry/statequery.go
@@ -78,7 +78,7 @@
 
 func (q *stateQuery) run() stateAnswer {
 	q.askLeader()
-	timer := time.NewTimer(q.leaderPatience())
+	timer := time.NewTimer(q.leaderWait())
 	defer timer.Stop()
 	look := time.NewTicker(recheckInterval)
 	defer look.Stop()
@@ -107,9 +107,9 @@
 	return q.unavailable()
 }
 
-// leaderPatience is how long the query waits for the leader alone: at most half of the caller's
+// leaderWait is how long the query waits for the leader alone: at most half of the caller's
 // time.
-func (q *stateQuery) leaderPatience() time.Duration {
+func (q *stateQuery) leaderWait() time.Duration {
 	if at, ok := q.ctx.Deadline(); ok {
 		return min(storeReadDelay, time.Until(at)/2)
 	}
