--- a/internal/entry/statequery.go
+++ b/internal/entry/statequery.go
@@ -80,8 +80,8 @@
 	q.askLeader()
 	timer := time.NewTimer(q.leaderWait())
 	defer timer.Stop()
-	look := time.NewTicker(recheckInterval)
-	defer look.Stop()
+	recheck := time.NewTicker(recheckInterval)
+	defer recheck.Stop()
 	for !q.isExhausted() {
 		select {
 		case a := <-q.answers:
@@ -92,7 +92,7 @@
 			q.noteFailure(a)
 		case <-timer.C:
 			q.readStore()
-		case <-look.C:
+		case <-recheck.C:
 			if state, ok := q.h.states.final(q.id); ok {
 				return stateAnswer{state: state, known: true}
 			}
