--- a/internal/joblog/joblog_test.go
+++ b/internal/joblog/joblog_test.go
@@ -18,8 +18,8 @@
 
 func accepted(id string) joblog.Record { return joblog.Record{ID: id, Spec: &job.Spec{ID: id}} }
 
-// An append's answer is lost and the record is written twice, the second time
-// after the job's end. The job must not come to life again.
+// The answer to an append is lost, so the record is written twice, the second time after the
+// job's end. The job must not be reopened.
 func TestEndOfAJobIsFinal(t *testing.T) {
 	l := joblog.New()
 	l.Fold(1, body(t, accepted("d.r.1"), accepted("d.r.2")))
@@ -32,9 +32,9 @@
 	require.Equal(t, "cancelled", end.State)
 }
 
-// The log holds a record that this version cannot read. Every host passes over
-// it alike and goes on behind it.
-func TestUnreadableRecordIsPassedOver(t *testing.T) {
+// The log holds a record that this version cannot decode. Every host ignores it and goes on with
+// the next record.
+func TestUndecodableRecordIsSkipped(t *testing.T) {
 	l := joblog.New()
 	l.Fold(1, []byte("{"))
 	l.Fold(2, body(t, accepted("d.r.1")))
@@ -45,11 +45,11 @@
 	require.Len(t, l.OpenBefore(3), 1)
 }
 
-// Guards against a count of crashes that is lost with a later record.
-func TestCrashesAreKeptBesideOtherRecords(t *testing.T) {
+// Guards against a crash count that is lost when a later record is applied.
+func TestCrashCountsSurviveOtherRecords(t *testing.T) {
 	l := joblog.New()
-	crashed := func(lives int64) joblog.Record {
-		return joblog.Record{ID: "d.r.1", Crashes: map[string]int64{"d.r.1.0": lives}}
+	crashed := func(count int64) joblog.Record {
+		return joblog.Record{ID: "d.r.1", Crashes: map[string]int64{"d.r.1.0": count}}
 	}
 	l.Fold(1, body(t, crashed(2)))
 	l.Fold(2, body(t, accepted("d.r.1")))
--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -8,30 +8,30 @@
 	"pollencroft/internal/cell"
 )
 
-// maxRounds bounds how often a try begins again after another try gave the
-// key back. Two tries that meet half-way could else go on so for ever.
+// maxRounds bounds how often a try starts over after another try released the key. Without
+// the bound, two concurrent tries could block each other forever.
 const maxRounds = 4
 
-// TryEvent is what one try of a keyed request is told.
+// TryEvent is an input of Try.Step.
 type TryEvent interface{ runEvent() }
 
 // Begin starts the try.
 type Begin struct{}
 
-// HomeAnswered is a home's answer to an Ask or a Wait.
+// HomeAnswered carries a home's answer to an AskHome or an AwaitHome.
 type HomeAnswered struct {
 	Home    string
 	Verdict Verdict
 }
 
-// HomeSilent tells that a home gave no answer, whether or not it was asked.
+// HomeSilent reports that a home gave no answer, whether or not the question reached it.
 type HomeSilent struct{ Home string }
 
-// RequestEnded tells how the request ended after it was let go by a Send.
+// RequestEnded reports how the request ended after a Send.
 type RequestEnded struct{ Answer Answer }
 
-// Canceled tells that the caller has gone or the deadline has passed before
-// the request was let go.
+// Canceled reports that the caller has gone or the deadline has passed before the request
+// was sent.
 type Canceled struct{}
 
 func (Begin) runEvent()        {}
@@ -40,26 +40,26 @@
 func (RequestEnded) runEvent() {}
 func (Canceled) runEvent()     {}
 
-// TryAction is what a try asks its edge to do. Of Ask, Wait, Send and Tell
-// each step returns exactly one, as the last.
+// TryAction is an output of Try.Step, for the caller to carry out. Each step returns
+// exactly one of AskHome, AwaitHome, Send and Reply, as its last action.
 type TryAction interface{ runAction() }
 
-// AskHome puts an Open to a home.
+// AskHome sends an Open to a home.
 type AskHome struct {
 	Home string
 	Open Open
 }
 
-// AwaitHome asks a home to say when the running try has ended.
+// AwaitHome asks a home to report when the running try has ended.
 type AwaitHome struct{ Home, Key string }
 
-// Send lets the request go on to a backend server, once.
+// Send sends the request to a backend server, once.
 type Send struct{}
 
-// Reply is the final answer to the caller.
+// Reply returns the final answer to the caller.
 type Reply struct{ Answer Answer }
 
-// RecordEnd tells a home how the try ended; its answer is not awaited.
+// RecordEnd tells a home how the try ended. Its answer is not awaited.
 type RecordEnd struct {
 	Home  string
 	Close Close
@@ -71,147 +71,146 @@
 func (Reply) runAction()     {}
 func (RecordEnd) runAction() {}
 
-// Try is the core of one try of a keyed request at its entry host: it lets
-// the request go only when enough homes of every group hold its key.
+// Try is the state machine of one try of a keyed request at its entry host. It sends the
+// request only after enough homes of every group hold its key.
 type Try struct {
 	open   Open
 	groups []Group
 	round  int
-	// group and home are the next to be asked, fresh is the weight of the homes
-	// of the group that hold the key.
-	group, home, fresh int
-	// asked are the homes that may hold the key for this round.
-	asked []string
-	sent  bool
-	over  bool
+	// group and home are the indexes of the next home to ask. heldWeight is the weight of
+	// the homes of the group that hold the key.
+	group, home, heldWeight int
+	// mayHold lists the homes that may hold the key for this round.
+	mayHold []string
+	sent    bool
+	done    bool
 }
 
-// NewTry returns the core of one try. Open's fields Domain and Group are
-// filled in from the groups.
+// NewTry returns a try. The fields Domain and Group of open are set from the groups.
 func NewTry(open Open, groups []Group) *Try { return &Try{open: open, groups: groups} }
 
-// Step takes one event. After a Tell nothing more happens.
+// Step handles one event. After a Reply it ignores all events.
 func (r *Try) Step(ev TryEvent) []TryAction {
-	if r.over {
+	if r.done {
 		return nil
 	}
 	switch ev := ev.(type) {
 	case Begin:
-		return r.next()
+		return r.askNext()
 	case HomeAnswered:
-		return r.said(ev)
+		return r.onHomeAnswered(ev)
 	case HomeSilent:
-		return r.silent()
+		return r.onHomeSilent()
 	case RequestEnded:
-		return r.ended(ev.Answer)
+		return r.onRequestEnded(ev.Answer)
 	case Canceled:
-		return r.stop(unsure(http.StatusGatewayTimeout, "time ran out while the key was looked up"))
+		return r.finishUnsent(unknown(http.StatusGatewayTimeout, "time ran out while the key was looked up"))
 	}
 	return nil
 }
 
-// try names the round: a late end of an earlier round must not take away what
-// a home holds for this one.
-func (r *Try) try() string { return r.open.Try + "/" + strconv.Itoa(r.round) }
+// roundID identifies the round. It prevents a late Close of an earlier round from releasing
+// the key that a home holds for this one.
+func (r *Try) roundID() string { return r.open.Try + "/" + strconv.Itoa(r.round) }
 
-func (r *Try) next() []TryAction {
+func (r *Try) askNext() []TryAction {
 	g := r.groups[r.group]
-	if r.fresh >= g.RequiredWeight {
-		r.group, r.home, r.fresh = r.group+1, 0, 0
+	if r.heldWeight >= g.RequiredWeight {
+		r.group, r.home, r.heldWeight = r.group+1, 0, 0
 		if r.group == len(r.groups) {
 			r.sent = true
 			return []TryAction{Send{}}
 		}
 		g = r.groups[r.group]
 	}
-	if r.fresh+sum(g.Homes[r.home:]) < g.RequiredWeight {
-		return r.stop(unsure(http.StatusServiceUnavailable, "too few homes in "+g.Domain+" vouch for the key"))
+	if r.heldWeight+totalWeight(g.Homes[r.home:]) < g.RequiredWeight {
+		return r.finishUnsent(unknown(http.StatusServiceUnavailable, "too few homes in "+g.Domain+" vouch for the key"))
 	}
 	home := g.Homes[r.home].Name
 	r.home++
-	r.asked = append(r.asked, home)
+	r.mayHold = append(r.mayHold, home)
 	open := r.open
-	open.Try, open.Domain, open.Group = r.try(), g.Domain, g.Digest
+	open.Try, open.Domain, open.Group = r.roundID(), g.Domain, g.Digest
 	return []TryAction{AskHome{Home: home, Open: open}}
 }
 
-func (r *Try) silent() []TryAction {
-	if len(r.asked) == 0 {
-		// The home that was waited for has gone; the others may know the end.
-		return r.again()
+func (r *Try) onHomeSilent() []TryAction {
+	if len(r.mayHold) == 0 {
+		// The awaited home is gone; the other homes may know how the try ended.
+		return r.restart()
 	}
-	return r.next()
+	return r.askNext()
 }
 
-func (r *Try) said(ev HomeAnswered) []TryAction {
+func (r *Try) onHomeAnswered(ev HomeAnswered) []TryAction {
 	switch ev.Verdict.State {
 	case Fresh:
-		r.fresh += r.groups[r.group].Homes[r.home-1].Weight
-		return r.next()
+		r.heldWeight += r.groups[r.group].Homes[r.home-1].Weight
+		return r.askNext()
 	case Answered:
-		return r.stop(*ev.Verdict.Answer)
+		return r.finishUnsent(*ev.Verdict.Answer)
 	case Released:
-		return r.again()
+		return r.restart()
 	case Running:
-		if len(r.asked) == 0 {
-			return r.stop(unsure(http.StatusConflict, "an earlier try still runs"))
+		if len(r.mayHold) == 0 {
+			return r.finishUnsent(unknown(http.StatusConflict, "an earlier try still runs"))
 		}
-		return append(r.giveBack(), AwaitHome{Home: ev.Home, Key: r.open.Key})
+		return append(r.releaseKey(), AwaitHome{Home: ev.Home, Key: r.open.Key})
 	case Lost:
-		return r.stop(unsure(http.StatusServiceUnavailable, "an earlier try was running on a host that is gone"))
+		return r.finishUnsent(unknown(http.StatusServiceUnavailable, "an earlier try was running on a host that is gone"))
 	case Mismatch:
-		return r.stop(refused(http.StatusUnprocessableEntity, "Idempotency-Key was used with another request"))
+		return r.finishUnsent(refused(http.StatusUnprocessableEntity, "Idempotency-Key was used with another request"))
 	case FutureKey:
-		return r.stop(refused(http.StatusBadRequest, "Idempotency-Key's time is ahead of the clock"))
+		return r.finishUnsent(refused(http.StatusBadRequest, "Idempotency-Key's time is ahead of the clock"))
 	default:
-		return r.next()
+		return r.askNext()
 	}
 }
 
-func (r *Try) again() []TryAction {
-	back := r.giveBack()
+func (r *Try) restart() []TryAction {
+	back := r.releaseKey()
 	r.round++
 	if r.round == maxRounds {
-		return append(back, r.stop(unsure(http.StatusConflict, "other tries of the key were in the way"))...)
+		return append(back, r.finishUnsent(unknown(http.StatusConflict, "other tries of the key were in the way"))...)
 	}
-	r.group, r.home, r.fresh = 0, 0, 0
-	return append(back, r.next()...)
+	r.group, r.home, r.heldWeight = 0, 0, 0
+	return append(back, r.askNext()...)
 }
 
-// giveBack frees the key at the homes that may hold it for a try that was
-// never let go.
-func (r *Try) giveBack() []TryAction {
-	return r.keep(Answer{Outcome: cell.Refused})
+// releaseKey releases the key at the homes that may hold it, for a request that was not
+// sent.
+func (r *Try) releaseKey() []TryAction {
+	return r.recordEnd(Answer{Outcome: cell.Refused})
 }
 
-func (r *Try) keep(a Answer) []TryAction {
+func (r *Try) recordEnd(a Answer) []TryAction {
 	var all []TryAction
-	for _, home := range r.asked {
-		all = append(all, RecordEnd{Home: home, Close: Close{Key: r.open.Key, Digest: r.open.Digest, Try: r.try(), Answer: a}})
+	for _, home := range r.mayHold {
+		all = append(all, RecordEnd{Home: home, Close: Close{Key: r.open.Key, Digest: r.open.Digest, Try: r.roundID(), Answer: a}})
 	}
-	r.asked = nil
+	r.mayHold = nil
 	return all
 }
 
-// stop ends a try that was never let go.
-func (r *Try) stop(a Answer) []TryAction {
+// finishUnsent ends a try whose request was not sent.
+func (r *Try) finishUnsent(a Answer) []TryAction {
 	if r.sent {
 		return nil
 	}
-	r.over = true
-	return append(r.giveBack(), Reply{Answer: a})
+	r.done = true
+	return append(r.releaseKey(), Reply{Answer: a})
 }
 
-func (r *Try) ended(a Answer) []TryAction {
+func (r *Try) onRequestEnded(a Answer) []TryAction {
 	if !r.sent {
 		return nil
 	}
-	r.over = true
-	r.asked = slices.Compact(slices.Sorted(slices.Values(r.asked)))
-	return append(r.keep(a), Reply{Answer: a})
+	r.done = true
+	r.mayHold = slices.Compact(slices.Sorted(slices.Values(r.mayHold)))
+	return append(r.recordEnd(a), Reply{Answer: a})
 }
 
-func unsure(status int, reason string) Answer {
+func unknown(status int, reason string) Answer {
 	return Answer{Outcome: cell.Unknown, Status: status, Reason: reason}
 }
 
--- a/internal/sheet/sheet.go
+++ b/internal/sheet/sheet.go
@@ -1,5 +1,5 @@
-// Package sheet writes the table as a TOML file that operators edit and reads
-// back which rows they changed.
+// Package sheet writes the table as a TOML file that operators edit, and determines which rows they
+// changed when it reads the file back.
 package sheet
 
 import (
@@ -17,21 +17,21 @@
 	"pollencroft/internal/cell"
 )
 
-// Keys of a row in the file that are no columns. Seen is a sum over the row as
-// it was dumped: without it, a row that another operator has changed meanwhile
-// would look as if this one had changed it back.
+// Keys of a row in the file that are not columns. The key "seen" holds a checksum of the row as it
+// was dumped. Without it, a row that another operator has changed in the meantime would look as if
+// this operator had changed it back.
 const (
-	keyVersion = "version"
-	keySeen    = "seen"
-	keyDrop    = "drop"
-	keyName    = "name"
+	keyVersion  = "version"
+	keyChecksum = "seen"
+	keyDrop     = "drop"
+	keyName     = "name"
 )
 
-// Row is one row's columns as JSON values.
+// Row holds the columns of one row as JSON values.
 type Row map[string]any
 
-// Change is one row that the operator changed in the file. Version is the one
-// that was dumped, zero for a new row.
+// Change is one row that the operator changed in the file. Version is the version that was dumped,
+// zero for a new row.
 type Change struct {
 	Row     string
 	Version int64
@@ -39,16 +39,16 @@
 	Fields  Row
 }
 
-const head = `# Change rows here and send them with "pollencroft table load FILE". Leave
+const fileHeader = `# Change rows here and send them with "pollencroft table load FILE". Leave
 # version and seen as they are; "drop = true" drops a row; a new row has neither.
 
 `
 
-// Dump writes the table, given as the JSON of its rows.
+// Dump encodes the table, given as the JSON of its rows, as a TOML file.
 func Dump(rows []json.RawMessage) ([]byte, error) {
 	all := map[string]Row{}
 	for _, raw := range rows {
-		row, err := read(raw)
+		row, err := decodeRow(raw)
 		if err != nil {
 			return nil, err
 		}
@@ -56,30 +56,30 @@
 		delete(row, keyName)
 		version := row[keyVersion]
 		delete(row, keyVersion)
-		row[keySeen] = seen(row)
+		row[keyChecksum] = checksum(row)
 		row[keyVersion] = version
 		all[name] = row
 	}
 	var b bytes.Buffer
-	b.WriteString(head)
+	b.WriteString(fileHeader)
 	err := toml.NewEncoder(&b).Encode(map[string]any{"rows": all})
 	return b.Bytes(), errors.Wrap(err, "write table as TOML")
 }
 
-// read keeps whole numbers whole; a plain decode would turn 2^40 bytes into a
-// number with a point, which the table refuses.
-func read(raw json.RawMessage) (Row, error) {
+// decodeRow decodes a row and keeps whole numbers as integers. A plain decode would turn 2^40 bytes
+// into a floating-point number, which the table rejects.
+func decodeRow(raw json.RawMessage) (Row, error) {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.UseNumber()
 	var row Row
 	if err := d.Decode(&row); err != nil {
 		return nil, errors.Wrap(err, "read row")
 	}
-	whole(row)
+	convertIntegers(row)
 	return row, nil
 }
 
-func whole(m map[string]any) {
+func convertIntegers(m map[string]any) {
 	for k, v := range m {
 		switch v := v.(type) {
 		case json.Number:
@@ -87,12 +87,12 @@
 				m[k] = n
 			}
 		case map[string]any:
-			whole(v)
+			convertIntegers(v)
 		}
 	}
 }
 
-func seen(columns Row) string {
+func checksum(columns Row) string {
 	b, err := json.Marshal(columns)
 	if err != nil {
 		return ""
@@ -100,8 +100,8 @@
 	return strconv.FormatUint(xxhash.Sum64(b), 36)
 }
 
-// Changes lists the rows of a file that differ from what was dumped, in order
-// of name. Errors in the file are cell.ValueErrors or toml's with the line.
+// Changes returns the rows of a file that differ from what was dumped, sorted by name. Errors in
+// the file are cell.ValueErrors or TOML errors with the line.
 func Changes(text []byte) ([]Change, error) {
 	var file struct {
 		Rows map[string]Row `toml:"rows"`
@@ -111,7 +111,7 @@
 	}
 	var all []Change
 	for _, name := range slices.Sorted(maps.Keys(file.Rows)) {
-		c, changed, err := change(name, file.Rows[name])
+		c, changed, err := parseRow(name, file.Rows[name])
 		if err != nil {
 			return nil, err
 		}
@@ -122,7 +122,7 @@
 	return all, nil
 }
 
-func change(name string, row Row) (Change, bool, error) {
+func parseRow(name string, row Row) (Change, bool, error) {
 	c := Change{Row: name, Fields: maps.Clone(row)}
 	var ok bool
 	if v, has := row[keyVersion]; has {
@@ -135,22 +135,22 @@
 			return c, false, &cell.ValueError{Field: name + ".drop", Found: fmt.Sprint(v), Allowed: "true or false"}
 		}
 	}
-	for _, key := range []string{keyVersion, keyDrop, keySeen} {
+	for _, key := range []string{keyVersion, keyDrop, keyChecksum} {
 		delete(c.Fields, key)
 	}
-	return c, c.Drop || row[keySeen] != seen(c.Fields), nil
+	return c, c.Drop || row[keyChecksum] != checksum(c.Fields), nil
 }
 
-// Difference is one column with the value that was wanted and the one in force.
+// Difference is one column with the value that the operator wanted and the value in force.
 type Difference struct {
 	Column          string
 	Wanted, Current any
 }
 
-// Compare lists the columns in which a lost change differs from the row in
-// force, given as JSON, null when the row is gone.
+// Compare returns the columns in which a rejected change differs from the row in force. The row is
+// given as JSON, null if it no longer exists.
 func (c Change) Compare(theirs json.RawMessage) ([]Difference, error) {
-	row, err := read(theirs)
+	row, err := decodeRow(theirs)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -1,6 +1,6 @@
-// Package table folds the operators' edits, read from the platform's log in
-// offset order, into the rows that are in force. Every host folds the same
-// records and so comes to the same rows without asking another host.
+// Package table folds the operators' edits, read from the platform's log in offset order, into the
+// rows that are in force. Every host folds the same records and therefore comes to the same rows
+// without asking another host.
 package table
 
 import (
@@ -15,39 +15,41 @@
 // Stream is the log stream that holds the edits.
 const Stream = "table"
 
-// Table is the fold of all edits up to an offset. It is not safe for
-// concurrent use; edges share copies made by Rows.
+// Table is the result of folding all edits up to an offset. It is not safe for concurrent use;
+// callers share copies of the rows.
 type Table struct {
 	state
 	damaged damage
-	past    []HistoryEntry
-	// needed is where the newest snapshot whose parts were all seen begins;
-	// zero when there is none, so that everything from offset 1 is needed.
-	needed  int64
-	saved   time.Time
-	dueFrom time.Time
-	parts   map[int64]*gathered
+	history []HistoryEntry
+	// oldestNeeded is the offset from which a starting host must read: the start of the newest
+	// snapshot of which all parts were read. It is zero if there is none, so that everything from
+	// offset 1 is needed.
+	oldestNeeded int64
+	snapshotTime time.Time
+	dueSince     time.Time
+	incomplete   map[int64]*partialSnapshot
 }
 
-// state is what a snapshot holds: all that later verdicts hang on.
+// state is the content of a snapshot: everything that later verdicts depend on.
 type state struct {
 	Next    int64            `json:"next"`
 	Digest  uint64           `json:"digest"`
 	Rows    map[string]Line  `json:"rows"`
 	Quotas  map[string]Quota `json:"quotas"`
 	Judged  []Verdict        `json:"judged"`
-	Skipped []Passed         `json:"passed,omitempty"`
+	Skipped []SkippedRecord  `json:"passed,omitempty"`
 	byID    map[string]Verdict
 }
 
-// Passed is a record that this version does not know. It is kept in order and
-// goes into snapshots, so that a version that knows it does not miss it.
-type Passed struct {
+// SkippedRecord is a record of a kind that this version does not know. It is kept in order and goes
+// into snapshots, so that a version that knows the kind does not miss it.
+type SkippedRecord struct {
 	Offset int64  `json:"offset"`
 	Body   []byte `json:"body"`
 }
 
-// damage is a record that could not be read, and how often it came so.
+// damage identifies a record that could not be read and counts how often it was read with the same
+// bytes.
 type damage struct {
 	offset int64
 	sum    uint64
@@ -56,29 +58,29 @@
 
 // Bounds of what is kept.
 const (
-	// verdictsKept bounds the memory of verdicts. They are part of the fold: a
-	// record that was appended twice must be void for every reader, so every
-	// reader remembers equally many. At 2,900 edits a day this is eight hours.
-	verdictsKept = 1024
-	passedKept   = 256
-	pastKept     = 256
-	// damageReads is how often a damaged record must come back with the same
-	// bytes before it is passed over. One damaged on its way to one host only
-	// would otherwise be missed by that host alone, and its table would differ.
-	damageReads = 3
+	// maxVerdicts bounds how many verdicts are remembered. They are part of the folded state: a
+	// record that was appended twice must be void for every reader, so every reader remembers
+	// equally many. At 2,900 edits a day this covers eight hours.
+	maxVerdicts = 1024
+	maxSkipped  = 256
+	maxHistory  = 256
+	// maxDamagedReads is how often a damaged record must be read with the same bytes before it is
+	// skipped. Otherwise a host that received a record damaged in transit would be the only one to
+	// miss it, and its table would differ from the others.
+	maxDamagedReads = 3
 )
 
 // New returns an empty table that waits for offset 1.
 func New() *Table {
 	return &Table{
-		state: state{Next: 1, Rows: map[string]Line{}, Quotas: map[string]Quota{}, byID: map[string]Verdict{}},
-		parts: map[int64]*gathered{},
+		state:      state{Next: 1, Rows: map[string]Line{}, Quotas: map[string]Quota{}, byID: map[string]Verdict{}},
+		incomplete: map[int64]*partialSnapshot{},
 	}
 }
 
-// Step folds records. Entries below the next wanted offset are passed over, so
-// a record that is read twice or from two sources counts once, and an answer
-// that is out of date changes nothing.
+// Step applies an event and returns the resulting actions. Entries below the next wanted offset are
+// ignored, so that a record that is read twice or from two sources counts once, and an outdated
+// answer changes nothing.
 func (t *Table) Step(now time.Time, ev Event) []Action {
 	switch ev := ev.(type) {
 	case Records:
@@ -86,9 +88,9 @@
 	case TrimmedLog:
 		return t.catchUp(now, ev.Entries)
 	case PeerCopy:
-		return t.copyFrom(ev.Parts)
+		return t.restoreFromPeer(ev.Parts)
 	case Tick:
-		return t.due(now, ev)
+		return t.snapshotIfDue(now, ev)
 	default:
 		return nil
 	}
@@ -112,72 +114,72 @@
 	return acts
 }
 
-// fold takes the next entry; false leaves it to be read again.
+// fold applies the next entry. It returns false if the entry must be read again.
 func (t *Table) fold(now time.Time, e Entry) ([]Action, bool) {
-	if _, err := open(e.Body); err != nil && !t.seenDamaged(e) {
+	if _, err := openRecord(e.Body); err != nil && !t.damageIsPermanent(e) {
 		return nil, false
 	}
 	t.Next = e.Offset + 1
-	t.mix(e.Body)
+	t.updateDigest(e.Body)
 	v, err := Decode(e.Body)
 	if err != nil {
-		t.pass(Passed(e))
+		t.skip(SkippedRecord(e))
 		return nil, true
 	}
 	switch v := v.(type) {
 	case Edit:
-		t.began(now, v.When)
-		return t.edit(v, e.Offset), true
+		t.recordEditTime(now, v.When)
+		return t.foldEdit(v, e.Offset), true
 	case QuotaEdit:
-		return []Action{t.quota(v, e.Offset)}, true
+		return []Action{t.foldQuotaEdit(v, e.Offset)}, true
 	case ShareConfirmation:
-		t.settle(v)
+		t.foldConfirmation(v)
 	case part:
-		t.gather(now, v, e.Offset)
+		t.foldSnapshotPart(now, v, e.Offset)
 	}
 	return nil, true
 }
 
-func (t *Table) seenDamaged(e Entry) bool {
+func (t *Table) damageIsPermanent(e Entry) bool {
 	s := xxhash.Sum64(e.Body)
 	if t.damaged.offset != e.Offset || t.damaged.sum != s {
 		t.damaged = damage{offset: e.Offset, sum: s}
 	}
 	t.damaged.reads++
-	return t.damaged.reads >= damageReads
+	return t.damaged.reads >= maxDamagedReads
 }
 
-func (t *Table) pass(p Passed) {
+func (t *Table) skip(p SkippedRecord) {
 	t.Skipped = append(t.Skipped, p)
-	t.Skipped = t.Skipped[max(0, len(t.Skipped)-passedKept):]
+	t.Skipped = t.Skipped[max(0, len(t.Skipped)-maxSkipped):]
 }
 
-// mix keeps one number that two hosts at the same offset can compare.
-func (t *Table) mix(body []byte) {
+// updateDigest adds a record to the digest, which two hosts at the same offset can compare.
+func (t *Table) updateDigest(body []byte) {
 	t.Digest = xxhash.Sum64String(fmt.Sprint(t.Digest, t.Next, xxhash.Sum64(body)))
 }
 
-func (t *Table) edit(e Edit, offset int64) []Action {
+func (t *Table) foldEdit(e Edit, offset int64) []Action {
 	if old, ok := t.byID[e.ID]; ok {
 		return []Action{old}
 	}
-	j, changed := t.judge(e, offset)
-	t.remember(j)
-	t.note(HistoryEntry{Verdict: j, Offset: offset, Row: e.Row, Who: e.Author, When: time.UnixMilli(e.When), Change: what(e)})
+	j, changed := t.evaluate(e, offset)
+	t.recordVerdict(j)
+	t.addHistory(HistoryEntry{Verdict: j, Offset: offset, Row: e.Row, Author: e.Author, When: time.UnixMilli(e.When), Change: describeChange(e)})
 	if changed == nil {
 		return []Action{j}
 	}
 	return []Action{j, *changed}
 }
 
-func what(e Edit) string {
+func describeChange(e Edit) string {
 	if e.Drop {
 		return "dropped"
 	}
 	return string(e.Fields)
 }
 
-func (t *Table) judge(e Edit, offset int64) (Verdict, *RowChanged) {
+func (t *Table) evaluate(e Edit, offset int64) (Verdict, *RowChanged) {
 	cur := t.Rows[e.Row]
 	if cur.Version != e.Base {
 		return Verdict{ID: e.ID, Reason: fmt.Sprintf("row is at version %d", cur.Version)}, nil
@@ -186,7 +188,7 @@
 		delete(t.Rows, e.Row)
 		return Verdict{ID: e.ID, Accepted: true}, &RowChanged{Row: cur.Row, Version: offset, Gone: true}
 	}
-	row, err := t.applied(e)
+	row, err := t.rowAfterEdit(e)
 	if err != nil {
 		return Verdict{ID: e.ID, Reason: err.Error()}, nil
 	}
@@ -194,8 +196,8 @@
 	return Verdict{ID: e.ID, Accepted: true}, &RowChanged{Row: row, Version: offset}
 }
 
-// applied returns the row as the edit would leave it.
-func (t *Table) applied(e Edit) (Row, error) {
+// rowAfterEdit returns the row as the edit would leave it.
+func (t *Table) rowAfterEdit(e Edit) (Row, error) {
 	cur, ok := t.Rows[e.Row]
 	if !ok {
 		cur.Row = newRow(e.Row)
@@ -204,54 +206,54 @@
 	if err != nil {
 		return row, err
 	}
-	return row, t.starved(row)
+	return row, t.checkStarvation(row)
 }
 
-func (t *Table) remember(j Verdict) {
+func (t *Table) recordVerdict(j Verdict) {
 	t.byID[j.ID] = j
 	t.Judged = append(t.Judged, j)
-	if len(t.Judged) > verdictsKept {
+	if len(t.Judged) > maxVerdicts {
 		delete(t.byID, t.Judged[0].ID)
 		t.Judged = slices.Clone(t.Judged[1:])
 	}
 }
 
-func (t *Table) note(p HistoryEntry) {
-	t.past = append(t.past, p)
-	t.past = t.past[max(0, len(t.past)-pastKept):]
+func (t *Table) addHistory(p HistoryEntry) {
+	t.history = append(t.history, p)
+	t.history = t.history[max(0, len(t.history)-maxHistory):]
 }
 
-// History lists the newest edits that this host has folded itself, oldest first.
-func (t *Table) History() []HistoryEntry { return slices.Clone(t.past) }
+// History returns the newest edits that this host has folded itself, oldest first.
+func (t *Table) History() []HistoryEntry { return slices.Clone(t.history) }
 
-// SkippedRecords lists the records that this version does not know, oldest first.
-func (t *Table) SkippedRecords() []Passed { return slices.Clone(t.Skipped) }
+// SkippedRecords returns the records that this version does not know, oldest first.
+func (t *Table) SkippedRecords() []SkippedRecord { return slices.Clone(t.Skipped) }
 
-// NextOffset returns the offset that the table waits for.
+// NextOffset returns the offset of the next record that the table folds.
 func (t *Table) NextOffset() int64 { return t.Next }
 
-// Fingerprint returns the number that is equal on all hosts at one offset.
+// Fingerprint returns a digest of all folded records. It is equal on all hosts at the same offset.
 func (t *Table) Fingerprint() uint64 { return t.Digest }
 
-// Row returns a row and its version; the version is zero for an unknown row.
+// Row returns a row and its version. The version is zero for an unknown row.
 func (t *Table) Row(name string) (Row, int64) {
 	v := t.Rows[name]
 	return v.Row, v.Version
 }
 
-// Verdict returns what became of an edit, false if it was not seen.
+// Verdict returns the verdict on an edit, and false if the edit was not seen.
 func (t *Table) Verdict(id string) (Verdict, bool) {
 	j, ok := t.byID[id]
 	return j, ok
 }
 
-// Preview tells what would make an edit void whatever its base, before
-// anything is written. The error is a cell.ValueError.
+// Preview returns a cell.ValueError if an edit would be void whatever its base version. It allows
+// checking an edit before it is written.
 func (t *Table) Preview(e Edit) error {
 	if e.Drop {
 		return nil
 	}
-	_, err := t.applied(e)
+	_, err := t.rowAfterEdit(e)
 	return err
 }
 
@@ -261,7 +263,7 @@
 	Version int64 `json:"version"`
 }
 
-// Lines lists all rows in order of name.
+// Lines returns all rows, sorted by name.
 func (t *Table) Lines() []Line {
 	lines := make([]Line, 0, len(t.Rows))
 	for _, name := range slices.Sorted(maps.Keys(t.Rows)) {
