--- a/internal/entry/statequery.go
+++ b/internal/entry/statequery.go
@@ -78,10 +78,10 @@
 
 func (q *stateQuery) run() stateAnswer {
 	q.askLeader()
-	timer := time.NewTimer(q.leaderPatience())
+	timer := time.NewTimer(q.leaderWait())
 	defer timer.Stop()
-	look := time.NewTicker(recheckInterval)
-	defer look.Stop()
+	recheck := time.NewTicker(recheckInterval)
+	defer recheck.Stop()
 	for !q.isExhausted() {
 		select {
 		case a := <-q.answers:
@@ -92,7 +92,7 @@
 			q.noteFailure(a)
 		case <-timer.C:
 			q.readStore()
-		case <-look.C:
+		case <-recheck.C:
 			if state, ok := q.h.states.final(q.id); ok {
 				return stateAnswer{state: state, known: true}
 			}
@@ -107,9 +107,9 @@
 	return q.unavailable()
 }
 
-// leaderPatience is how long the query waits for the leader alone: at most half of the caller's
+// leaderWait is how long the query waits for the leader alone: at most half of the caller's
 // time.
-func (q *stateQuery) leaderPatience() time.Duration {
+func (q *stateQuery) leaderWait() time.Duration {
 	if at, ok := q.ctx.Deadline(); ok {
 		return min(storeReadDelay, time.Until(at)/2)
 	}
--- a/internal/queue/row.go
+++ b/internal/queue/row.go
@@ -7,40 +7,41 @@
 	"pollencroft/internal/cell"
 )
 
-// bucketTime is how finely waiting requests are counted by deadline.
-const bucketTime = 250 * time.Millisecond
+// bucketWidth is the resolution at which waiting requests are counted by deadline.
+const bucketWidth = 250 * time.Millisecond
 
 type request struct {
 	Enqueue
 	row *row
-	// minion or peer holds the request after it was sent.
-	minion, peer string
-	place        *list.Element
-	since        time.Time
+	// backend or peer is where the request was sent.
+	backend, peer string
+	element       *list.Element
+	since         time.Time
 }
 
-// row keeps the requests of one row.
+// row holds the requests of one row.
 type row struct {
 	Row
-	waiting *places[*request]
-	// order is by arrival, newest last.
+	waiting *indexedHeap[*request]
+	// order holds the waiting requests by arrival, the newest last.
 	order *list.List
-	// due counts waiting requests by deadline.
-	due map[int64]int
-	// sent is how many hold a slot of this host.
-	sent int64
-	// used is the slot time that the row had, divided by its weight.
-	used float64
-	took time.Duration
-	// bounced are the peers that had no room for the row since they last told
+	// dueCounts counts the waiting requests by deadline bucket.
+	dueCounts map[int64]int
+	// busy is how many requests hold a slot of this host.
+	busy int64
+	// usage is the slot time that the row has been charged, divided by its weight.
+	usage float64
+	// meanTime is the moving average of the time that the row's successful requests took.
+	meanTime time.Duration
+	// rejectedBy holds the peers that have had no slot for the row since they last announced
 	// their load.
-	bounced map[string]bool
-	drain   drain
+	rejectedBy map[string]bool
+	drain      drain
 }
 
 func newRow(of Row) *row {
 	return &row{
-		Row: of, waiting: newPlaces(earlier), order: list.New(), due: map[int64]int{}, bounced: map[string]bool{},
+		Row: of, waiting: newIndexedHeap(earlier), order: list.New(), dueCounts: map[int64]int{}, rejectedBy: map[string]bool{},
 	}
 }
 
@@ -51,28 +52,29 @@
 	return a.ID < b.ID
 }
 
-func bucket(t time.Time) int64 { return t.UnixNano() / int64(bucketTime) }
+func bucket(t time.Time) int64 { return t.UnixNano() / int64(bucketWidth) }
 
 func (r *row) add(req *request) {
 	r.waiting.set(req)
-	req.place = r.order.PushBack(req)
-	r.due[bucket(req.Deadline)]++
+	req.element = r.order.PushBack(req)
+	r.dueCounts[bucket(req.Deadline)]++
 }
 
 func (r *row) remove(req *request) {
 	r.waiting.drop(req)
-	r.order.Remove(req.place)
+	r.order.Remove(req.element)
 	b := bucket(req.Deadline)
-	if r.due[b]--; r.due[b] == 0 {
-		delete(r.due, b)
+	if r.dueCounts[b]--; r.dueCounts[b] == 0 {
+		delete(r.dueCounts, b)
 	}
 }
 
-// ahead is how many waiting requests are due no later than a deadline.
+// ahead returns how many waiting requests are due no later than a deadline, to the resolution
+// of bucketWidth.
 func (r *row) ahead(deadline time.Time) int {
-	if last := bucket(deadline); len(r.due) > 0 {
+	if last := bucket(deadline); len(r.dueCounts) > 0 {
 		n := 0
-		for b, count := range r.due {
+		for b, count := range r.dueCounts {
 			if b <= last {
 				n += count
 			}
@@ -82,49 +84,50 @@
 	return 0
 }
 
-func (r *row) atLimit() bool { return r.Slots != 0 && r.sent >= r.Slots }
+func (r *row) atLimit() bool { return r.Slots != 0 && r.busy >= r.Slots }
 
-// load is the row's part of the queue for its weight.
+// load returns the number of the row's waiting requests divided by its weight.
 func (r *row) load() float64 { return float64(len(r.waiting.items)) / float64(max(r.Weight, 1)) }
 
-// cost is what one request of the row is charged.
+// cost returns the usage that one request of the row is charged.
 func (r *row) cost() float64 {
-	took := r.took
+	took := r.meanTime
 	if took == 0 {
-		took = firstDrain
+		took = initialInterval
 	}
 	return took.Seconds() / float64(max(r.Weight, 1))
 }
 
-// class keeps the rows of one class that have something waiting.
+// class holds the rows of one class that have waiting requests.
 type class struct {
-	// ready rows may be sent, blocked ones are at their limit on this host.
-	ready, blocked *places[*row]
+	// ready holds the rows whose requests may be sent, blocked those at their limit on this
+	// host.
+	ready, blocked *indexedHeap[*row]
 	waiting        int
-	// turn is the charge of the row that was served last. A row that was idle
-	// starts from there: it must not spend at once what it left unused, or its
-	// burst would hold up every other row of the class.
-	turn  float64
-	drain drain
+	// virtualTime is the usage of the row that was served last. A row that was idle starts
+	// from there: if it could use up at once what it left unused, its burst would hold up
+	// every other row of the class.
+	virtualTime float64
+	drain       drain
 }
 
 func newClasses() map[cell.Class]*class {
 	all := map[cell.Class]*class{}
 	for _, c := range cell.Classes {
-		all[c] = &class{ready: newPlaces(lessUsed), blocked: newPlaces(lessUsed)}
+		all[c] = &class{ready: newIndexedHeap(lessUsage), blocked: newIndexedHeap(lessUsage)}
 	}
 	return all
 }
 
-func lessUsed(a, b *row) bool {
-	if a.used != b.used {
-		return a.used < b.used
+func lessUsage(a, b *row) bool {
+	if a.usage != b.usage {
+		return a.usage < b.usage
 	}
 	return a.Name < b.Name
 }
 
-// place puts a row where it belongs after any change.
-func (c *class) place(r *row) {
+// reindex moves a row into the right heap, and to the right position in it, after a change.
+func (c *class) reindex(r *row) {
 	switch {
 	case len(r.waiting.items) == 0:
 		c.ready.drop(r)
--- a/internal/queue/servers.go
+++ b/internal/queue/servers.go
@@ -8,145 +8,149 @@
 	"pollencroft/internal/cell"
 )
 
-type minion struct {
+type backend struct {
 	name        string
 	slots, busy int
-	// turn orders servers with equal room by when they were last used.
-	turn int
+	// lastUse orders servers with the same number of free slots: the one that was used least
+	// recently goes first.
+	lastUse int
 }
 
-func (m *minion) room() int { return max(0, m.slots-m.busy) }
+func (m *backend) free() int { return max(0, m.slots-m.busy) }
 
-func roomier(a, b *minion) bool {
-	if a.room() != b.room() {
-		return a.room() > b.room()
+func hasMoreFree(a, b *backend) bool {
+	if a.free() != b.free() {
+		return a.free() > b.free()
 	}
-	if a.turn != b.turn {
-		return a.turn < b.turn
+	if a.lastUse != b.lastUse {
+		return a.lastUse < b.lastUse
 	}
 	return a.name < b.name
 }
 
-// servers are the backend servers, or the peers that lend theirs.
-type servers struct {
-	all         map[string]*minion
-	best        *places[*minion]
+// pool holds the backend servers, or the peers that lend slots of theirs.
+type pool struct {
+	all         map[string]*backend
+	byFree      *indexedHeap[*backend]
 	slots, free int
-	turn        int
+	uses        int
 }
 
-func newServers() *servers {
-	return &servers{all: map[string]*minion{}, best: newPlaces(roomier)}
+func newPool() *pool {
+	return &pool{all: map[string]*backend{}, byFree: newIndexedHeap(hasMoreFree)}
 }
 
-// set changes one server by f and keeps sums and order.
-func (s *servers) set(m *minion, f func(m *minion)) {
+// set changes one server by f and updates the sums and the order.
+func (s *pool) set(m *backend, f func(m *backend)) {
 	s.slots -= m.slots
-	s.free -= m.room()
+	s.free -= m.free()
 	f(m)
 	s.slots += m.slots
-	s.free += m.room()
-	s.best.set(m)
+	s.free += m.free()
+	s.byFree.set(m)
 }
 
-// replace takes the shares in force. A server that is gone from the list but
-// still has requests is remembered, because it may return to the list before
-// they end and would then get more than its slots.
-func (s *servers) replace(all []Share) {
+// replace sets the current shares. A server that is no longer listed but still has requests
+// is kept: it may be listed again before they end and would then get more requests than it
+// has slots.
+func (s *pool) replace(all []Share) {
 	fresh := map[string]int{}
 	for _, share := range all {
 		fresh[share.Backend] = share.Slots
 		if s.all[share.Backend] == nil {
-			s.all[share.Backend] = &minion{name: share.Backend}
+			s.all[share.Backend] = &backend{name: share.Backend}
 		}
 	}
 	for name, m := range s.all {
-		s.set(m, func(m *minion) { m.slots = fresh[name] })
+		s.set(m, func(m *backend) { m.slots = fresh[name] })
 		if _, ok := fresh[name]; !ok && m.busy == 0 {
-			s.best.drop(m)
+			s.byFree.drop(m)
 			delete(s.all, name)
 		}
 	}
 }
 
-func (s *servers) take(m *minion) {
-	s.turn++
-	s.set(m, func(m *minion) { m.busy++; m.turn = s.turn })
+func (s *pool) acquire(m *backend) {
+	s.uses++
+	s.set(m, func(m *backend) { m.busy++; m.lastUse = s.uses })
 }
 
-func (s *servers) leave(name string) {
+func (s *pool) release(name string) {
 	if m, ok := s.all[name]; ok {
-		s.set(m, func(m *minion) { m.busy-- })
+		s.set(m, func(m *backend) { m.busy-- })
 	}
 }
 
-// pick is the server with most room, if possible none of those to avoid.
-func (s *servers) pick(avoid func(name string) bool) *minion {
-	m := s.best.first()
-	if m == nil || m.room() == 0 {
+// pick returns the server with the most free slots, skipping those to avoid. It returns nil
+// if no other server has a free slot.
+func (s *pool) pick(avoid func(name string) bool) *backend {
+	m := s.byFree.first()
+	if m == nil || m.free() == 0 {
 		return nil
 	}
 	if !avoid(m.name) {
 		return m
 	}
-	rest := slices.DeleteFunc(slices.Clone(s.best.items), func(m *minion) bool { return m.room() == 0 || avoid(m.name) })
+	rest := slices.DeleteFunc(slices.Clone(s.byFree.items), func(m *backend) bool { return m.free() == 0 || avoid(m.name) })
 	if len(rest) == 0 {
 		return nil
 	}
-	return slices.MinFunc(rest, func(a, b *minion) int {
-		if roomier(a, b) {
+	return slices.MinFunc(rest, func(a, b *backend) int {
+		if hasMoreFree(a, b) {
 			return -1
 		}
 		return 1
 	})
 }
 
-// need is how many slots urgent requests need kept back, found by trying: it
-// grows when one waited noticeably and shrinks slowly while none does.
-type need struct {
+// reserveEstimate estimates how many slots must be kept free for urgent requests. It grows
+// when an urgent request waited noticeably and shrinks slowly while none does.
+type reserveEstimate struct {
 	level float64
 	last  time.Time
 }
 
 const (
-	// needTime is how long the need has half its weight without urgent requests.
-	needTime = time.Minute
-	// firstNeed keeps the whole reserve until urgent requests were seen.
-	firstNeed = 1 << 10
-	// needWait is the part of its own time that an urgent request may wait
-	// before it counts as delayed.
-	needWait = 0.25
-	// needGrow and needShrink balance when one urgent request in a hundred is
+	// reserveHalfLife is the time in which the estimate falls to half without urgent requests.
+	reserveHalfLife = time.Minute
+	// initialReserve is high enough to keep the whole reserve until urgent requests have been
+	// seen.
+	initialReserve = 1 << 10
+	// delayedShare is the share of its own duration that an urgent request may wait before it
+	// counts as delayed.
+	delayedShare = 0.25
+	// reserveGrow and reserveShrink balance each other when one urgent request in a hundred is
 	// delayed.
-	needGrow, needShrink = 0.5, 0.005
+	reserveGrow, reserveShrink = 0.5, 0.005
 )
 
-func (n *need) pass(now time.Time) {
+func (n *reserveEstimate) decay(now time.Time) {
 	if !n.last.IsZero() {
-		n.level *= math.Exp2(-now.Sub(n.last).Seconds() / needTime.Seconds())
+		n.level *= math.Exp2(-now.Sub(n.last).Seconds() / reserveHalfLife.Seconds())
 	}
 	n.last = now
 }
 
-// sent takes note of one urgent request; most bounds what may be kept back.
-func (n *need) sent(waited, took time.Duration, most int) {
-	if float64(waited) > needWait*float64(took) {
-		n.level += needGrow
+// observe updates the estimate with one urgent request. most is the upper bound of the
+// estimate.
+func (n *reserveEstimate) observe(waited, took time.Duration, most int) {
+	if float64(waited) > delayedShare*float64(took) {
+		n.level += reserveGrow
 	} else {
-		n.level -= needShrink
+		n.level -= reserveShrink
 	}
 	n.level = max(0, min(n.level, float64(most)))
 }
 
-// reserve is how many slots bulk requests must leave free: what urgent ones
-// need by measure, at least one and at most the set share.
+// reserve returns how many slots bulk requests must leave free: the estimate for urgent
+// requests, but at least one and at most the configured share.
 func (q *Queue) reserve() int {
-	return min(q.mostReserve(), 1+int(math.Round(q.need.level)))
+	return min(q.maxReserve(), 1+int(math.Round(q.reserved.level)))
 }
 
-func (q *Queue) mostReserve() int { return int(math.Ceil(q.limits.Reserve * float64(q.local.slots))) }
+func (q *Queue) maxReserve() int { return int(math.Ceil(q.limits.Reserve * float64(q.local.slots))) }
 
-// mayUse tells whether a class may have one of the free slots.
+// mayUse reports whether a request of a class may use one of the free slots.
 func (q *Queue) mayUse(c cell.Class) bool {
 	if c == cell.Bulk {
 		return q.local.free > q.reserve()
