--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -36,7 +36,7 @@
 // Callers declare far too much or too little. Placed by the declared sizes, tasks would leave
 // workers empty or overfill them. Tasks are sized by the measured use of their row instead,
 // never below it, and tasks of a row without measurements get additional capacity.
-func TestSizesFollowWhatIsMeasured(t *testing.T) {
+func TestSizeFollowsMeasuredUse(t *testing.T) {
 	require.Equal(t, cell.Size{CPU: 2000, Mem: 2 * gib, Accel: 1}, estimate.New().Size("r", declared))
 	for _, f := range []float64{0.1, 0.5, 1, 3} {
 		got := measured(f).Size("r", declared)
@@ -49,7 +49,7 @@
 
 // One task grows far beyond the measured use of its row. Its capacity must grow immediately,
 // and outdated reports must not reduce it again.
-func TestRoomIsNeverBelowWhatIsSeen(t *testing.T) {
+func TestSizeIsNeverBelowMeasuredUse(t *testing.T) {
 	e := measured(0.5)
 	_, known := e.RecordUse("x", "r", declared, cell.Size{})
 	require.False(t, known, "an outdated report must be ignored")
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -71,7 +71,7 @@
 // slower than the others, refuses connections or leaves. A failing server looks idle and
 // would attract the visitors' scans. It must get almost no requests, and its full share again
 // soon after it has recovered.
-func TestOutlierIsSetAsideAndReturns(t *testing.T) {
+func TestOutlierIsQuarantinedAndReturns(t *testing.T) {
 	for name, does := range map[string]func(*simulation) func(string){
 		"fails":     func(b *simulation) func(string) { return b.end(outlier.Failed) },
 		"swallows":  func(b *simulation) func(string) { return func(string) { b.inProgress["m0"]++ } },
@@ -105,7 +105,7 @@
 
 // A row has a fault of its own and fails on all servers, or more servers fail than the others
 // can replace. Quarantining all of them would end the service.
-func TestNeverMoreThanASetShareIsAside(t *testing.T) {
+func TestQuarantineIsLimitedToMaxShare(t *testing.T) {
 	for bad, most := range map[int]int{6: 0, 3: 2} {
 		b := newSimulation(6)
 		for i := range bad {
@@ -120,7 +120,7 @@
 // other hosts must stop sending to it when that host announces this, and only as long as the
 // announcement is recent: hosts that repeat each other's announcements would exclude the
 // server forever.
-func TestPeersWordStopsWorkForALeavingMinion(t *testing.T) {
+func TestPeerAnnouncementStopsWorkForLeavingBackend(t *testing.T) {
 	first, second := newSimulation(6), newSimulation(6)
 	first.faults["m0"] = first.end(outlier.Leaving)
 	first.run(serviceTime, 6)
--- a/internal/queue/property_test.go
+++ b/internal/queue/property_test.go
@@ -87,7 +87,7 @@
 // change. Whatever the order, no backend server gets more requests than its share, no row
 // exceeds its limit, each request is decided once, and only bulk requests, which leave the
 // reserve free, wait while a slot is free.
-func TestQueueKeepsItsBoundsInAnyOrder(t *testing.T) {
+func TestQueueInvariantsHoldInAnyOrder(t *testing.T) {
 	classes := map[string]cell.Class{"scan": cell.Urgent, "menu": cell.Normal, "badge": cell.Bulk}
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -44,7 +44,7 @@
 
 // A batch of badge prints fills the queue just before a visitor is scanned. The urgent scan
 // must not wait for the batch: it gets a reserved slot immediately.
-func TestScanDoesNotWaitBehindBulk(t *testing.T) {
+func TestUrgentRequestDoesNotWaitBehindBulk(t *testing.T) {
 	q := queue.New(queue.DefaultLimits)
 	q.Step(start, newShares(1, 8))
 	sent := 0
@@ -96,7 +96,7 @@
 
 // A thousand callers of one row arrive at once, and one of another row a moment later. The
 // single request must neither wait for the thousand nor be refused because the queue is full.
-func TestCrowdOfOneRowDoesNotHoldUpAnother(t *testing.T) {
+func TestFloodOfOneRowDoesNotBlockAnother(t *testing.T) {
 	q := queue.New(queue.Limits{Length: 1000})
 	for i := range 1000 {
 		require.Empty(t, q.Step(start, newRequest(fmt.Sprint("c", i), "crowd", cell.Normal)))
@@ -124,7 +124,7 @@
 
 // An operator takes slots from a row while its requests wait. The new limit applies to them
 // too; otherwise a flood that is already queued would go on for minutes.
-func TestNewLimitHoldsForWhatWaitsAlready(t *testing.T) {
+func TestNewLimitAppliesToWaitingRequests(t *testing.T) {
 	q := queue.New(queue.Limits{Length: 1000})
 	for i := range 20 {
 		q.Step(start, newRequest(fmt.Sprint("a", i), "a", cell.Normal))
@@ -174,7 +174,7 @@
 // exceeds their capacity. Callers that cannot be served in time must be refused early, with a
 // retry time that follows from the measured rate. Requests that are sent must still be
 // answered in time, so that no slot is spent on a caller that has left.
-func TestOverloadIsRefusedEarlyFromTheMeasuredDrain(t *testing.T) {
+func TestOverloadIsRefusedEarlyByMeasuredRate(t *testing.T) {
 	q := queue.New(queue.DefaultLimits)
 	p := &loadDriver{q: q, now: start, ends: map[time.Time][]string{}}
 	const each, took = 10 * time.Millisecond, 80 * time.Millisecond
@@ -216,7 +216,7 @@
 
 // A peer asks for a slot that has just been taken on this host. It must get its request back
 // immediately: queued here, the request would wait while other hosts have free slots.
-func TestLentRequestIsSentNowOrGivenBack(t *testing.T) {
+func TestRequestFromPeerIsSentNowOrRefused(t *testing.T) {
 	q := queue.New(queue.DefaultLimits)
 	q.Step(start, newShares(1, 1))
 	q.Step(start, queue.Peers{All: []queue.Peer{{Name: "h2", Free: 9}}})
@@ -232,7 +232,7 @@
 // A backend server disappears from the host list, which lags, and is listed again while it
 // still has requests of this host. They must be counted, or the server gets more requests
 // than it has slots.
-func TestMinionThatReturnsToTheListKeepsItsLoad(t *testing.T) {
+func TestRelistedBackendKeepsItsLoad(t *testing.T) {
 	q := queue.New(queue.DefaultLimits)
 	q.Step(start, newShares(1, 2))
 	for i := range 4 {
@@ -259,7 +259,7 @@
 
 // A caller hangs up while its request waits. Its place in the queue is free for another
 // request.
-func TestHungUpCallerFreesItsPlace(t *testing.T) {
+func TestCancelledRequestFreesItsPlace(t *testing.T) {
 	q := queue.New(queue.Limits{Length: 1})
 	q.Step(start, newRequest("a", "scan", cell.Urgent))
 	q.Step(start, queue.Cancelled{ID: "a"})
@@ -269,7 +269,7 @@
 // A long queue is worked off at a steady rate and then one answer takes a little longer.
 // Multiplied by the length of the queue, that single gap would cause half of the batch to be
 // refused.
-func TestOneSlowAnswerRefusesNobody(t *testing.T) {
+func TestOneSlowAnswerCausesNoRefusals(t *testing.T) {
 	q := queue.New(queue.Limits{Length: 4096})
 	q.Step(start, newShares(1, 1))
 	for i := range 3000 {
