--- a/internal/host/admit.go
+++ b/internal/host/admit.go
@@ -24,9 +24,9 @@
 	requestCost = 16 << 10
 	// bodyCopies is how often a body lies in memory: as read, and as sent on.
 	bodyCopies = 2
-	// bodyWait bounds the reading of a body. A caller that sends one byte now
+	// bodyReadTimeout bounds the reading of a body. A caller that sends one byte now
 	// and then would hold its room for good.
-	bodyWait = 10 * time.Second
+	bodyReadTimeout = 10 * time.Second
 )
 
 // budget bounds the bytes that callers' requests hold in this host.
@@ -79,7 +79,7 @@
 			return
 		}
 		defer h.budget.give(size)
-		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyWait))
+		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyReadTimeout))
 		next.ServeHTTP(w, r)
 	})
 }
