--- a/internal/host/admit.go
+++ b/internal/host/admit.go
@@ -31,7 +31,7 @@
 
 // budget bounds the bytes that callers' requests hold in this host.
 type budget struct {
-	most   int64
+	limit  int64
 	mu     sync.Mutex
 	held   int64
 	number atomic.Int64
@@ -45,7 +45,7 @@
 func (b *budget) take(class cell.Class, n int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if float64(b.held+n) > part[class]*float64(b.most) {
+	if float64(b.held+n) > part[class]*float64(b.limit) {
 		return false
 	}
 	b.held += n
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -108,7 +108,7 @@
 	h := &Host{
 		cfg: cfg, control: control, log: log, clock: clock, incarnation: now.UnixMilli(), began: now, metrics: metrics.NewRegistry(),
 		platform: platform.New(cfg.Platform, transport(control)), peers: peer.NewClients(peerAddresses(cfg)),
-		trail: trail.New(trailNotes), table: table.New(), grown: make(chan struct{}), jobs: newKeeper(), relist: make(chan struct{}, 1), work: newGate(), budget: &budget{most: orDefault(cfg.Limits.Memory, settings.DefaultMemory)},
+		trail: trail.New(trailNotes), table: table.New(), grown: make(chan struct{}), jobs: newKeeper(), relist: make(chan struct{}, 1), work: newGate(), budget: &budget{limit: orDefault(cfg.Limits.Memory, settings.DefaultMemory)},
 		ctx: ctx, cancel: cancel, drained: make(chan struct{}),
 		shares:  newShares(cfg, now),
 		members: member.New(member.Heartbeat{Name: cfg.Name, Domain: cfg.Domain, Incarnation: now.UnixMilli()}),
