--- a/internal/host/admit.go
+++ b/internal/host/admit.go
@@ -31,10 +31,10 @@
 
 // budget bounds the bytes that callers' requests hold in this host.
 type budget struct {
-	limit  int64
-	mu     sync.Mutex
-	held   int64
-	number atomic.Int64
+	limit    int64
+	mu       sync.Mutex
+	reserved int64
+	number   atomic.Int64
 }
 
 // part is how much of the budget a class may fill. The rest is kept back for
@@ -45,10 +45,10 @@
 func (b *budget) take(class cell.Class, n int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if float64(b.held+n) > part[class]*float64(b.limit) {
+	if float64(b.reserved+n) > part[class]*float64(b.limit) {
 		return false
 	}
-	b.held += n
+	b.reserved += n
 	b.number.Add(1)
 	return true
 }
@@ -56,7 +56,7 @@
 func (b *budget) give(n int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.held -= n
+	b.reserved -= n
 	b.number.Add(-1)
 }
 
