--- a/internal/host/admit.go
+++ b/internal/host/admit.go
@@ -34,7 +34,7 @@
 	limit    int64
 	mu       sync.Mutex
 	reserved int64
-	number   atomic.Int64
+	requests atomic.Int64
 }
 
 // part is how much of the budget a class may fill. The rest is kept back for
@@ -49,7 +49,7 @@
 		return false
 	}
 	b.reserved += n
-	b.number.Add(1)
+	b.requests.Add(1)
 	return true
 }
 
@@ -57,11 +57,11 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.reserved -= n
-	b.number.Add(-1)
+	b.requests.Add(-1)
 }
 
 // InFlight returns how many callers' requests this host holds.
-func (h *Host) InFlight() int64 { return h.budget.number.Load() }
+func (h *Host) InFlight() int64 { return h.budget.requests.Load() }
 
 // admit takes a caller's request in, or sheds it before its body is read: it
 // has not run anywhere. Without a bound a burst of large bodies ends the whole
