--- a/internal/host/admit.go
+++ b/internal/host/admit.go
@@ -37,15 +37,15 @@
 	requests atomic.Int64
 }
 
-// part is how much of the budget a class may fill. The rest is kept back for
+// classFraction is how much of the budget a class may fill. The rest is kept back for
 // more urgent work: a flood of bulk bodies must not lock a scan out.
-var part = map[cell.Class]float64{cell.Urgent: 1, cell.Normal: 0.75, cell.Bulk: 0.5}
+var classFraction = map[cell.Class]float64{cell.Urgent: 1, cell.Normal: 0.75, cell.Bulk: 0.5}
 
 // take reserves bytes for a request of a class; false means that it is shed.
 func (b *budget) take(class cell.Class, n int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if float64(b.reserved+n) > part[class]*float64(b.limit) {
+	if float64(b.reserved+n) > classFraction[class]*float64(b.limit) {
 		return false
 	}
 	b.reserved += n
