--- a/internal/host/admit.go
+++ b/internal/host/admit.go
@@ -41,8 +41,8 @@
 // more urgent work: a flood of bulk bodies must not lock a scan out.
 var classFraction = map[cell.Class]float64{cell.Urgent: 1, cell.Normal: 0.75, cell.Bulk: 0.5}
 
-// take reserves bytes for a request of a class; false means that it is shed.
-func (b *budget) take(class cell.Class, n int64) bool {
+// reserve reserves bytes for a request of a class; false means that it is shed.
+func (b *budget) reserve(class cell.Class, n int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if float64(b.reserved+n) > classFraction[class]*float64(b.limit) {
@@ -74,7 +74,7 @@
 		}
 		size = requestCost + bodyCopies*size
 		class := h.classOf(r)
-		if !h.budget.take(class, size) {
+		if !h.budget.reserve(class, size) {
 			h.shed(w, class)
 			return
 		}
