--- a/internal/host/admit.go
+++ b/internal/host/admit.go
@@ -53,7 +53,7 @@
 	return true
 }
 
-func (b *budget) give(n int64) {
+func (b *budget) release(n int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.reserved -= n
@@ -78,7 +78,7 @@
 			h.shed(w, class)
 			return
 		}
-		defer h.budget.give(size)
+		defer h.budget.release(size)
 		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyReadTimeout))
 		next.ServeHTTP(w, r)
 	})
