--- a/internal/host/admit.go
+++ b/internal/host/admit.go
@@ -100,10 +100,10 @@
 }
 
 type shedBody struct {
-	Error   string       `json:"error"`
-	Outcome cell.Outcome `json:"outcome"`
-	Reason  string       `json:"reason"`
-	Again   float64      `json:"again"`
+	Error      string       `json:"error"`
+	Outcome    cell.Outcome `json:"outcome"`
+	Reason     string       `json:"reason"`
+	RetryAfter float64      `json:"again"`
 }
 
 // shedAgain is when a caller that was shed may come back.
@@ -119,7 +119,7 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 	_ = json.NewEncoder(w).Encode(shedBody{
 		Error: http.StatusText(http.StatusServiceUnavailable), Outcome: cell.Refused,
-		Reason: "host has no room for class " + class.String(), Again: shedAgain.Seconds(),
+		Reason: "host has no room for class " + class.String(), RetryAfter: shedAgain.Seconds(),
 	})
 }
 
