--- a/internal/host/admit.go
+++ b/internal/host/admit.go
@@ -106,20 +106,20 @@
 	RetryAfter float64      `json:"again"`
 }
 
-// shedAgain is when a caller that was shed may come back.
-const shedAgain = time.Second
+// shedRetryAfter is when a caller that was shed may come back.
+const shedRetryAfter = time.Second
 
 func (h *Host) shed(w http.ResponseWriter, class cell.Class) {
 	metrics.GetOrRegisterCounter("host.shed."+class.String(), h.metrics).Inc(1)
 	w.Header().Set(caller.HeaderOutcome, string(cell.Refused))
-	w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(shedAgain.Seconds()))))
+	w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(shedRetryAfter.Seconds()))))
 	w.Header().Set("Content-Type", "application/json")
 	// The body is not read: the connection cannot carry another request.
 	w.Header().Set("Connection", "close")
 	w.WriteHeader(http.StatusServiceUnavailable)
 	_ = json.NewEncoder(w).Encode(shedBody{
 		Error: http.StatusText(http.StatusServiceUnavailable), Outcome: cell.Refused,
-		Reason: "host has no room for class " + class.String(), RetryAfter: shedAgain.Seconds(),
+		Reason: "host has no room for class " + class.String(), RetryAfter: shedRetryAfter.Seconds(),
 	})
 }
 
