--- a/internal/host/admit.go
+++ b/internal/host/admit.go
@@ -127,14 +127,14 @@
 // tries another host; waiting in the backlog would look like a silent host.
 type boundedListener struct {
 	net.Listener
-	most  int64
-	now   *atomic.Int64
-	count metrics.Counter
+	maxConns int64
+	now      *atomic.Int64
+	count    metrics.Counter
 }
 
 func (h *Host) bounded(ln net.Listener) net.Listener {
 	return &boundedListener{
-		Listener: ln, most: orDefault(h.cfg.Limits.Conns, settings.DefaultConns), now: new(atomic.Int64),
+		Listener: ln, maxConns: orDefault(h.cfg.Limits.Conns, settings.DefaultConns), now: new(atomic.Int64),
 		count: metrics.GetOrRegisterCounter("host.conns.refused", h.metrics),
 	}
 }
@@ -153,7 +153,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if l.now.Add(1) <= l.most {
+		if l.now.Add(1) <= l.maxConns {
 			return &boundedConn{Conn: conn, now: l.now}, nil
 		}
 		l.now.Add(-1)
