--- a/internal/host/admit.go
+++ b/internal/host/admit.go
@@ -128,13 +128,13 @@
 type boundedListener struct {
 	net.Listener
 	maxConns int64
-	now      *atomic.Int64
+	open     *atomic.Int64
 	count    metrics.Counter
 }
 
 func (h *Host) bounded(ln net.Listener) net.Listener {
 	return &boundedListener{
-		Listener: ln, maxConns: orDefault(h.cfg.Limits.Conns, settings.DefaultConns), now: new(atomic.Int64),
+		Listener: ln, maxConns: orDefault(h.cfg.Limits.Conns, settings.DefaultConns), open: new(atomic.Int64),
 		count: metrics.GetOrRegisterCounter("host.conns.refused", h.metrics),
 	}
 }
@@ -153,10 +153,10 @@
 		if err != nil {
 			return nil, err
 		}
-		if l.now.Add(1) <= l.maxConns {
-			return &boundedConn{Conn: conn, now: l.now}, nil
+		if l.open.Add(1) <= l.maxConns {
+			return &boundedConn{Conn: conn, now: l.open}, nil
 		}
-		l.now.Add(-1)
+		l.open.Add(-1)
 		l.count.Inc(1)
 		_ = conn.Close()
 	}
