--- a/internal/host/admit.go
+++ b/internal/host/admit.go
@@ -129,13 +129,13 @@
 	net.Listener
 	maxConns int64
 	open     *atomic.Int64
-	count    metrics.Counter
+	refused  metrics.Counter
 }
 
 func (h *Host) bounded(ln net.Listener) net.Listener {
 	return &boundedListener{
 		Listener: ln, maxConns: orDefault(h.cfg.Limits.Conns, settings.DefaultConns), open: new(atomic.Int64),
-		count: metrics.GetOrRegisterCounter("host.conns.refused", h.metrics),
+		refused: metrics.GetOrRegisterCounter("host.conns.refused", h.metrics),
 	}
 }
 
@@ -157,7 +157,7 @@
 			return &boundedConn{Conn: conn, now: l.open}, nil
 		}
 		l.open.Add(-1)
-		l.count.Inc(1)
+		l.refused.Inc(1)
 		_ = conn.Close()
 	}
 }
