--- a/internal/host/admit.go
+++ b/internal/host/admit.go
@@ -154,7 +154,7 @@
 			return nil, err
 		}
 		if l.open.Add(1) <= l.maxConns {
-			return &boundedConn{Conn: conn, now: l.open}, nil
+			return &boundedConn{Conn: conn, open: l.open}, nil
 		}
 		l.open.Add(-1)
 		l.refused.Inc(1)
@@ -164,7 +164,7 @@
 
 type boundedConn struct {
 	net.Conn
-	now  *atomic.Int64
+	open *atomic.Int64
 	once sync.Once
 }
 
@@ -173,6 +173,6 @@
 
 // Close closes the connection and frees its place.
 func (c *boundedConn) Close() error {
-	c.once.Do(func() { c.now.Add(-1) })
+	c.once.Do(func() { c.open.Add(-1) })
 	return c.Conn.Close()
 }
