--- a/internal/host/admit.go
+++ b/internal/host/admit.go
@@ -132,7 +132,7 @@
 	refused  metrics.Counter
 }
 
-func (h *Host) bounded(ln net.Listener) net.Listener {
+func (h *Host) limitConns(ln net.Listener) net.Listener {
 	return &boundedListener{
 		Listener: ln, maxConns: orDefault(h.cfg.Limits.Conns, settings.DefaultConns), open: new(atomic.Int64),
 		refused: metrics.GetOrRegisterCounter("host.conns.refused", h.metrics),
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -171,8 +171,8 @@
 
 // Start serves on the listeners and begins the host's regular work.
 func (h *Host) Start(ls Listeners) {
-	h.serve(h.bounded(ls.Caller), h.callerRoutes())
-	h.serve(h.operatorListener(h.bounded(ls.Operator)), h.operatorRoutes())
+	h.serve(h.limitConns(ls.Caller), h.callerRoutes())
+	h.serve(h.operatorListener(h.limitConns(ls.Operator)), h.operatorRoutes())
 	srv := peer.NewServer(h.respond)
 	srv.Count(h.countKeys)
 	h.wg.Go(func() { srv.Serve(h.ctx, h.peerListener(ls.Peer)) })
--- a/internal/host/transport.go
+++ b/internal/host/transport.go
@@ -87,7 +87,7 @@
 }
 
 func (h *Host) peerListener(ln net.Listener) net.Listener {
-	ln = h.bounded(countedListener{ln, &h.peerBytes})
+	ln = h.limitConns(countedListener{ln, &h.peerBytes})
 	if h.keys == nil {
 		return h.plain(ln)
 	}
