--- a/internal/host/beat.go
+++ b/internal/host/beat.go
@@ -13,8 +13,8 @@
 	"pollencroft/internal/peer"
 )
 
-// beatWait bounds the sending of one heartbeat.
-const beatWait = 250 * time.Millisecond
+// sendTimeout bounds the sending of one heartbeat.
+const sendTimeout = 250 * time.Millisecond
 
 // beatAll beats to the peers of the own failure domain and, less often, to all
 // others. Sends are spread over the period, so that no burst of dials and
@@ -69,7 +69,7 @@
 		FreeSlots: free, Queued: waiting, Leaving: !h.Ready(), Ack: h.members.HearsFrom(now, name), Period: cell.Duration{Duration: period},
 	}
 	h.mu.Unlock()
-	ctx, cancel := context.WithTimeout(h.ctx, beatWait)
+	ctx, cancel := context.WithTimeout(h.ctx, sendTimeout)
 	defer cancel()
 	err := h.peers.Tell(ctx, name, peer.Beat{Heartbeat: b})
 	if errors.As(err, new(*peer.UnreachedError)) {
@@ -114,7 +114,7 @@
 	var all sync.WaitGroup
 	for _, p := range h.cfg.Peers {
 		all.Go(func() {
-			ctx, cancel := context.WithTimeout(h.ctx, beatWait)
+			ctx, cancel := context.WithTimeout(h.ctx, sendTimeout)
 			defer cancel()
 			_ = h.peers.Tell(ctx, p.Name, peer.Leave{Name: h.cfg.Name})
 		})
--- a/internal/host/list.go
+++ b/internal/host/list.go
@@ -95,7 +95,7 @@
 	near, _ := h.peersByDomain()
 	for _, name := range near {
 		h.wg.Go(func() {
-			ctx, cancel := context.WithTimeout(h.ctx, beatWait)
+			ctx, cancel := context.WithTimeout(h.ctx, sendTimeout)
 			defer cancel()
 			_ = h.peers.Tell(ctx, name, peer.Listed{})
 		})
--- a/internal/host/share.go
+++ b/internal/host/share.go
@@ -109,7 +109,7 @@
 			continue
 		}
 		h.wg.Go(func() {
-			ctx, cancel := context.WithTimeout(h.ctx, beatWait)
+			ctx, cancel := context.WithTimeout(h.ctx, sendTimeout)
 			defer cancel()
 			_ = h.peers.Tell(ctx, p.Name, peer.Slots{Announcement: w, Leaving: leaving})
 		})
@@ -125,7 +125,7 @@
 	}
 	if ctx.Err() == nil {
 		h.shareStep(share.Drained{})
-		h.pause(beatWait)
+		h.pause(sendTimeout)
 	}
 }
 
