--- a/internal/host/beat.go
+++ b/internal/host/beat.go
@@ -16,10 +16,10 @@
 // sendTimeout bounds the sending of one heartbeat.
 const sendTimeout = 250 * time.Millisecond
 
-// beatAll beats to the peers of the own failure domain and, less often, to all
+// startHeartbeats beats to the peers of the own failure domain and, less often, to all
 // others. Sends are spread over the period, so that no burst of dials and
 // messages comes at once.
-func (h *Host) beatAll() {
+func (h *Host) startHeartbeats() {
 	near, far := h.peersByDomain()
 	for _, name := range near {
 		h.wg.Go(func() { h.beat(name, member.NearPeriod(len(near))) })
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -178,7 +178,7 @@
 	h.wg.Go(func() { srv.Serve(h.ctx, h.peerListener(ls.Peer)) })
 	h.wg.Go(h.followTable)
 	h.wg.Go(h.followList)
-	h.beatAll()
+	h.startHeartbeats()
 	h.wg.Go(h.followJobs)
 	h.wg.Go(h.appendJobs)
 	h.every(shareEvery, h.repeatShares)
