--- a/internal/host/beat.go
+++ b/internal/host/beat.go
@@ -39,9 +39,9 @@
 	return near, far
 }
 
-// probe is how long a link to a peer may be idle. Near links share two probes a
+// linkIdleTimeout is how long a link to a peer may be idle. Near links share two probes a
 // second among them; far ones, whose loss only costs a try, one.
-func (h *Host) probe(name string) time.Duration {
+func (h *Host) linkIdleTimeout(name string) time.Duration {
 	near, far := h.peersByDomain()
 	if slices.Contains(near, name) {
 		return time.Duration(len(near)) * 500 * time.Millisecond
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -115,7 +115,7 @@
 	}
 	h.life.Store(life.Start())
 	h.peers.Through(h.dialPeer)
-	h.peers.Probe(h.probe)
+	h.peers.Probe(h.linkIdleTimeout)
 	h.relay = relay.New(relay.Deps{
 		Name: cfg.Name, Domain: cfg.Domain, Queue: queue.New(queue.Limits{Length: int(cfg.Limits.Queue), Reserve: queue.DefaultLimits.Reserve}),
 		Ledger: ledger.New(ledger.DefaultLimits, now), Minions: minion.New(minion.NewTransport(dial.New().DialContext), cfg.Limits.Body),
