--- a/internal/host/beat.go
+++ b/internal/host/beat.go
@@ -24,8 +24,8 @@
 	for _, name := range near {
 		h.wg.Go(func() { h.beat(name, member.NearPeriod(len(near))) })
 	}
-	h.beatTo(near, member.NearPeriod(len(near)))
-	h.beatTo(far, member.FarPeriod(len(far)))
+	h.heartbeatEach(near, member.NearPeriod(len(near)))
+	h.heartbeatEach(far, member.FarPeriod(len(far)))
 }
 
 func (h *Host) peersByDomain() (near, far []string) {
@@ -49,7 +49,7 @@
 	return time.Duration(len(far)) * time.Second
 }
 
-func (h *Host) beatTo(names []string, period time.Duration) {
+func (h *Host) heartbeatEach(names []string, period time.Duration) {
 	for i, name := range names {
 		h.wg.Go(func() {
 			h.pause(period * time.Duration(i) / time.Duration(len(names)))
