--- a/internal/host/beat.go
+++ b/internal/host/beat.go
@@ -22,7 +22,7 @@
 func (h *Host) startHeartbeats() {
 	near, far := h.peersByDomain()
 	for _, name := range near {
-		h.wg.Go(func() { h.beat(name, member.NearPeriod(len(near))) })
+		h.wg.Go(func() { h.sendHeartbeat(name, member.NearPeriod(len(near))) })
 	}
 	h.heartbeatEach(near, member.NearPeriod(len(near)))
 	h.heartbeatEach(far, member.FarPeriod(len(far)))
@@ -53,13 +53,13 @@
 	for i, name := range names {
 		h.wg.Go(func() {
 			h.pause(period * time.Duration(i) / time.Duration(len(names)))
-			h.every(period, func() { h.beat(name, period) })
+			h.every(period, func() { h.sendHeartbeat(name, period) })
 		})
 	}
 }
 
-// beat tells one peer that this host lives and what load it carries.
-func (h *Host) beat(name string, period time.Duration) {
+// sendHeartbeat tells one peer that this host lives and what load it carries.
+func (h *Host) sendHeartbeat(name string, period time.Duration) {
 	free, waiting := h.relay.Load()
 	now := h.clock()
 	h.mu.Lock()
@@ -105,7 +105,7 @@
 	if slices.Contains(near, b.Name) {
 		period = member.NearPeriod(len(near))
 	}
-	h.wg.Go(func() { h.beat(b.Name, period) })
+	h.wg.Go(func() { h.sendHeartbeat(b.Name, period) })
 }
 
 // farewell tells all peers at once that this host leaves; those that cannot be
