--- a/internal/host/beat.go
+++ b/internal/host/beat.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// heard takes a peer's heartbeat. Hosts that the settings do not name are not
+// handleHeartbeat takes a peer's heartbeat. Hosts that the settings do not name are not
 // known and not counted.
-func (h *Host) heard(b member.Heartbeat) (any, error) {
+func (h *Host) handleHeartbeat(b member.Heartbeat) (any, error) {
 	for _, p := range h.cfg.Peers {
 		if p.Name == b.Name {
 			b.Domain = p.Domain
--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -35,7 +35,7 @@
 	}
 	switch m := m.(type) {
 	case peer.Beat:
-		return h.heard(m.Heartbeat)
+		return h.handleHeartbeat(m.Heartbeat)
 	case peer.Listed:
 		metrics.GetOrRegisterCounter("list.told", h.metrics).Inc(1)
 		h.refreshSoon()
--- a/internal/host/export_test.go
+++ b/internal/host/export_test.go
@@ -33,7 +33,7 @@
 }
 
 // Hear takes a peer's heartbeat.
-func (h *Host) Hear(b member.Heartbeat) { _, _ = h.heard(b) }
+func (h *Host) Hear(b member.Heartbeat) { _, _ = h.handleHeartbeat(b) }
 
 // KeepJobs has a host that is not started write jobs to the log, which rt reaches.
 func (h *Host) KeepJobs(rt http.RoundTripper) {
