--- a/internal/host/beat.go
+++ b/internal/host/beat.go
@@ -85,7 +85,7 @@
 			b.Domain = p.Domain
 			h.compare(b)
 			h.member(member.HeartbeatReceived{Beat: b})
-			h.greet(b)
+			h.answerHeartbeat(b)
 			return nil, nil
 		}
 	}
@@ -93,10 +93,10 @@
 	return nil, &peer.RefusedError{Name: h.cfg.Name, Reason: "host " + b.Name + " is not in the settings"}
 }
 
-// greet answers a peer that does not hear this host yet at once. Two hosts that
+// answerHeartbeat answers a peer that does not hear this host yet at once. Two hosts that
 // have just started would otherwise need two periods to know each other, and
 // hand each other's jobs over only then.
-func (h *Host) greet(b member.Heartbeat) {
+func (h *Host) answerHeartbeat(b member.Heartbeat) {
 	if b.Ack || h.ctx.Err() != nil {
 		return
 	}
