--- a/internal/host/beat.go
+++ b/internal/host/beat.go
@@ -108,9 +108,9 @@
 	h.wg.Go(func() { h.sendHeartbeat(b.Name, period) })
 }
 
-// farewell tells all peers at once that this host leaves; those that cannot be
+// announceLeaving tells all peers at once that this host leaves; those that cannot be
 // reached must not hold up the stop one after the other.
-func (h *Host) farewell() {
+func (h *Host) announceLeaving() {
 	var all sync.WaitGroup
 	for _, p := range h.cfg.Peers {
 		all.Go(func() {
--- a/internal/host/stop.go
+++ b/internal/host/stop.go
@@ -74,7 +74,7 @@
 	h.log.Info("host: leaving.", "name", h.cfg.Name)
 	h.lead.Leave()
 	h.handOver()
-	h.farewell()
+	h.announceLeaving()
 	// Callers still come until the balancer has seen that this host is not
 	// ready. They are served; refusing their connections would lose them.
 	h.linger(ctx, h.cfg.Limits.Leave-h.clock().Sub(began))
