--- a/internal/host/beat.go
+++ b/internal/host/beat.go
@@ -73,7 +73,7 @@
 	defer cancel()
 	err := h.peers.Tell(ctx, name, peer.Beat{Heartbeat: b})
 	if errors.As(err, new(*peer.UnreachedError)) {
-		h.member(member.SendFailed{Name: name})
+		h.memberStep(member.SendFailed{Name: name})
 	}
 }
 
@@ -84,7 +84,7 @@
 		if p.Name == b.Name {
 			b.Domain = p.Domain
 			h.compare(b)
-			h.member(member.HeartbeatReceived{Beat: b})
+			h.memberStep(member.HeartbeatReceived{Beat: b})
 			h.answerHeartbeat(b)
 			return nil, nil
 		}
--- a/internal/host/cell.go
+++ b/internal/host/cell.go
@@ -11,7 +11,7 @@
 	"pollencroft/internal/share"
 )
 
-func (h *Host) member(ev member.Event) {
+func (h *Host) memberStep(ev member.Event) {
 	h.mu.Lock()
 	acts := h.members.Step(h.clock(), ev)
 	h.mu.Unlock()
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -207,7 +207,7 @@
 func (h *Host) tick() {
 	h.relay.Tick()
 	h.lead.Tick()
-	h.member(member.Tick{})
+	h.memberStep(member.Tick{})
 	h.tickShares()
 }
 
--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -373,10 +373,10 @@
 func (h *Host) answer(ctx context.Context, m peer.Message) (any, error) {
 	switch m := m.(type) {
 	case peer.Beat:
-		h.member(member.HeartbeatReceived{Beat: m.Heartbeat})
+		h.memberStep(member.HeartbeatReceived{Beat: m.Heartbeat})
 		return nil, nil
 	case peer.Leave:
-		h.member(member.LeaveReceived{Name: m.Name})
+		h.memberStep(member.LeaveReceived{Name: m.Name})
 		return nil, nil
 	case peer.Slots:
 		h.shareStep(share.AnnouncementReceived{Announcement: m.Announcement})
--- a/internal/host/list.go
+++ b/internal/host/list.go
@@ -74,7 +74,7 @@
 			leaving = append(leaving, m.Name)
 		}
 	}
-	h.member(member.LeavingListed{Leaving: leaving})
+	h.memberStep(member.LeavingListed{Leaving: leaving})
 	h.listedShares()
 	h.share()
 	if h.readsList() {
