--- a/internal/host/cell.go
+++ b/internal/host/cell.go
@@ -19,7 +19,7 @@
 		switch a := a.(type) {
 		case member.LiveChanged:
 			h.log.Info("member: live hosts changed.", "live", a.Live)
-			h.share()
+			h.updateShares()
 		}
 	}
 }
@@ -30,8 +30,8 @@
 	return h.members.LiveIn(h.cfg.Domain), h.members.Heartbeats()
 }
 
-// share works out which slots and which workers are this host's.
-func (h *Host) share() {
+// updateShares works out which slots and which workers are this host's.
+func (h *Host) updateShares() {
 	h.sharing.Lock()
 	defer h.sharing.Unlock()
 	// After a pause the share core must see the time before it is asked.
--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -97,7 +97,7 @@
 		h.sendTo(name, all)
 	}
 	if !h.Ready() && len(to) > 0 && h.handing() == 0 {
-		h.share()
+		h.updateShares()
 	}
 }
 
--- a/internal/host/list.go
+++ b/internal/host/list.go
@@ -76,7 +76,7 @@
 	}
 	h.memberStep(member.LeavingListed{Leaving: leaving})
 	h.listedShares()
-	h.share()
+	h.updateShares()
 	if h.readsList() {
 		h.tellList()
 	}
--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -99,7 +99,7 @@
 func (h *Host) repair() {
 	if ready := h.Ready(); ready != h.jobs.ready {
 		h.jobs.ready = ready
-		h.share()
+		h.updateShares()
 	}
 	h.takeOver()
 	h.handOver()
