--- a/internal/host/cell.go
+++ b/internal/host/cell.go
@@ -36,10 +36,10 @@
 	defer h.sharing.Unlock()
 	// After a pause the share core must see the time before it is asked.
 	h.shareStepHeld(share.Tick{})
-	h.shareOut()
+	h.applyShares()
 }
 
-func (h *Host) shareOut() {
+func (h *Host) applyShares() {
 	h.mu.Lock()
 	list := h.list
 	live := h.members.LiveIn(h.cfg.Domain)
--- a/internal/host/share.go
+++ b/internal/host/share.go
@@ -57,7 +57,7 @@
 		case share.SlotsChanged:
 			metrics.GetOrRegisterGauge("share.awaited", h.metrics).Update(int64(len(awaited)))
 			h.log.Info("share: slots changed.", "awaited", awaited)
-			h.shareOut()
+			h.applyShares()
 		case share.SendAnnouncement:
 			h.tellShares(a.Announcement)
 		}
