--- a/internal/host/cell.go
+++ b/internal/host/cell.go
@@ -66,14 +66,14 @@
 	h.lead.SetDomain(names, without(live, h.cfg.Name))
 	h.collect()
 	if !h.Ready() && h.handing() > 0 {
-		workers = h.keepOne(known)
+		workers = h.oneHeldWorker(known)
 	}
 	h.lead.SetLedMachines(workers)
 }
 
-// keepOne is one of the workers that a leaving host still holds. As long as it does, nobody else
+// oneHeldWorker is one of the workers that a leaving host still holds. As long as it does, nobody else
 // can complete a census for the jobs that it is handing over.
-func (h *Host) keepOne(known []lead.Machine) []lead.Machine {
+func (h *Host) oneHeldWorker(known []lead.Machine) []lead.Machine {
 	held := h.lead.Held()
 	i := slices.IndexFunc(known, func(m lead.Machine) bool { return slices.Contains(held, m.Name) })
 	if i < 0 {
