--- a/internal/host/cell.go
+++ b/internal/host/cell.go
@@ -57,7 +57,7 @@
 		case m.Domain != h.cfg.Domain:
 		case m.Kind == cell.MinionHost && !m.Leaving:
 			servers = append(servers, relay.Server{Name: m.Name, Address: m.Address, Slots: h.slots(m.Name, m.Slots)})
-		case m.Kind == cell.WorkerHost && !m.Leaving && h.leads(m):
+		case m.Kind == cell.WorkerHost && !m.Leaving && h.leadsWorker(m):
 			workers = append(workers, machine)
 		}
 	}
@@ -82,6 +82,6 @@
 	return known[i : i+1]
 }
 
-func (h *Host) leads(m platform.Machine) bool {
+func (h *Host) leadsWorker(m platform.Machine) bool {
 	return h.Ready() && h.rackLead(cell.Home{Domain: m.Domain, Rack: m.Rack}) == h.cfg.Name
 }
