--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// copyWait bounds the questions for peers' tables, copyBeside is when the next peer is asked
+	// copyTimeout bounds the questions for peers' tables, copyBeside is when the next peer is asked
 	// as well: those that had read furthest may be cut off by now.
-	copyWait   = 2 * time.Second
-	copyBeside = 150 * time.Millisecond
+	copyTimeout = 2 * time.Second
+	copyBeside  = 150 * time.Millisecond
 	// settleEvery is how often it is checked what this failure domain settles.
 	settleEvery = time.Second
 	// settleSilent is how long a host must be silent before a quota's move no
@@ -124,7 +124,7 @@
 // waited for before the next is asked, and takes the first table that it gets. One that gets
 // further on meanwhile is asked as well.
 func (h *Host) copyTable() {
-	ctx, cancel := context.WithTimeout(h.ctx, copyWait)
+	ctx, cancel := context.WithTimeout(h.ctx, copyTimeout)
 	defer cancel()
 	from := h.wants()
 	replies := make(chan peer.RecordsReply)
