--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -16,8 +16,8 @@
 const (
 	// copyTimeout bounds the questions for peers' tables, copyBeside is when the next peer is asked
 	// as well: those that had read furthest may be cut off by now.
-	copyTimeout = 2 * time.Second
-	copyBeside  = 150 * time.Millisecond
+	copyTimeout     = 2 * time.Second
+	copyAskInterval = 150 * time.Millisecond
 	// settleEvery is how often it is checked what this failure domain settles.
 	settleEvery = time.Second
 	// settleSilent is how long a host must be silent before a quota's move no
@@ -149,7 +149,7 @@
 			if h.takeCopy(r, from) {
 				return
 			}
-		case <-time.After(copyBeside):
+		case <-time.After(copyAskInterval):
 		case <-ctx.Done():
 			return
 		}
