--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -18,8 +18,8 @@
 	// as well: those that had read furthest may be cut off by now.
 	copyTimeout     = 2 * time.Second
 	copyAskInterval = 150 * time.Millisecond
-	// settleEvery is how often it is checked what this failure domain settles.
-	settleEvery = time.Second
+	// settleInterval is how often it is checked what this failure domain settles.
+	settleInterval = time.Second
 	// settleSilent is how long a host must be silent before a quota's move no
 	// longer waits for it. By then the leases it took under the old share have
 	// lapsed, and it takes no other before it has read the log.
