--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -20,10 +20,10 @@
 	copyAskInterval = 150 * time.Millisecond
 	// settleInterval is how often it is checked what this failure domain settles.
 	settleInterval = time.Second
-	// settleSilent is how long a host must be silent before a quota's move no
+	// settleSilence is how long a host must be silent before a quota's move no
 	// longer waits for it. By then the leases it took under the old share have
 	// lapsed, and it takes no other before it has read the log.
-	settleSilent = 2 * time.Minute
+	settleSilence = 2 * time.Minute
 )
 
 // respond answers peers. What a peer waits for counts as work in flight: a
@@ -245,7 +245,7 @@
 		if heard {
 			since = b.ReceivedAt
 		}
-		if now.Sub(since) < settleSilent {
+		if now.Sub(since) < settleSilence {
 			lowest = min(lowest, b.Next)
 		}
 	}
