--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -26,10 +26,10 @@
 	settleSilence = 2 * time.Minute
 )
 
-// respond answers peers. What a peer waits for counts as work in flight: a
+// handlePeer answers peers. What a peer waits for counts as work in flight: a
 // planned stop that cut it would turn the answer of a caller at another host
 // into "unknown".
-func (h *Host) respond(ctx context.Context, m peer.Message) (any, error) {
+func (h *Host) handlePeer(ctx context.Context, m peer.Message) (any, error) {
 	if h.lies(ctx, speaker(m)) {
 		return nil, &peer.RefusedError{Name: h.cfg.Name, Reason: "name is not the certificate's"}
 	}
--- a/internal/host/export_test.go
+++ b/internal/host/export_test.go
@@ -22,7 +22,7 @@
 // Meet has a host answer its peers on ln and reach them through dial.
 func (h *Host) Meet(ln net.Listener, dial func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)) {
 	h.peers.Through(dial)
-	h.wg.Go(func() { peer.NewServer(h.respond).Serve(h.ctx, ln) })
+	h.wg.Go(func() { peer.NewServer(h.handlePeer).Serve(h.ctx, ln) })
 }
 
 // Beat is what the host tells its peers of itself.
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -173,7 +173,7 @@
 func (h *Host) Start(ls Listeners) {
 	h.serve(h.limitConns(ls.Caller), h.callerRoutes())
 	h.serve(h.operatorListener(h.limitConns(ls.Operator)), h.operatorRoutes())
-	srv := peer.NewServer(h.respond)
+	srv := peer.NewServer(h.handlePeer)
 	srv.Count(h.countKeys)
 	h.wg.Go(func() { srv.Serve(h.ctx, h.peerListener(ls.Peer)) })
 	h.wg.Go(h.followTable)
