--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -30,7 +30,7 @@
 // planned stop that cut it would turn the answer of a caller at another host
 // into "unknown".
 func (h *Host) handlePeer(ctx context.Context, m peer.Message) (any, error) {
-	if h.lies(ctx, speaker(m)) {
+	if h.lies(ctx, claimedSender(m)) {
 		return nil, &peer.RefusedError{Name: h.cfg.Name, Reason: "name is not the certificate's"}
 	}
 	switch m := m.(type) {
@@ -53,9 +53,9 @@
 	return h.answer(ctx, m)
 }
 
-// speaker is the host that a message says it comes from, empty for messages
+// claimedSender is the host that a message says it comes from, empty for messages
 // that act for nobody.
-func speaker(m peer.Message) string {
+func claimedSender(m peer.Message) string {
 	switch m := m.(type) {
 	case peer.Beat:
 		return m.Name
