--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -30,7 +30,7 @@
 // planned stop that cut it would turn the answer of a caller at another host
 // into "unknown".
 func (h *Host) handlePeer(ctx context.Context, m peer.Message) (any, error) {
-	if h.lies(ctx, claimedSender(m)) {
+	if h.isImpersonation(ctx, claimedSender(m)) {
 		return nil, &peer.RefusedError{Name: h.cfg.Name, Reason: "name is not the certificate's"}
 	}
 	switch m := m.(type) {
@@ -74,9 +74,9 @@
 	}
 }
 
-// lies tells whether a peer speaks for another host than its certificate names.
+// isImpersonation tells whether a peer speaks for another host than its certificate names.
 // It could otherwise have a live host taken for gone, or its slots for free.
-func (h *Host) lies(ctx context.Context, name string) bool {
+func (h *Host) isImpersonation(ctx context.Context, name string) bool {
 	sender, known := peer.Sender(ctx)
 	if !known || name == "" || sender == name {
 		return false
