--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -48,7 +48,7 @@
 	}
 	defer h.work.leave()
 	if m, ok := m.(peer.Records); ok {
-		return h.records(m.From)
+		return h.tableCopy(m.From)
 	}
 	return h.answer(ctx, m)
 }
@@ -85,7 +85,7 @@
 	return true
 }
 
-func (h *Host) records(from int64) (peer.RecordsReply, error) {
+func (h *Host) tableCopy(from int64) (peer.RecordsReply, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.table.Wants() <= from {
