--- a/internal/host/beat.go
+++ b/internal/host/beat.go
@@ -83,7 +83,7 @@
 	for _, p := range h.cfg.Peers {
 		if p.Name == b.Name {
 			b.Domain = p.Domain
-			h.compare(b)
+			h.compareTables(b)
 			h.memberStep(member.HeartbeatReceived{Beat: b})
 			h.answerHeartbeat(b)
 			return nil, nil
--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -95,10 +95,10 @@
 	return peer.RecordsReply{Parts: parts}, err
 }
 
-// compare tells when a peer has folded other records up to the same offset.
+// compareTables tells when a peer has folded other records up to the same offset.
 // That cannot come about unless the log showed two hosts unlike records;
 // nobody else would notice that they work by different limits.
-func (h *Host) compare(b member.Heartbeat) {
+func (h *Host) compareTables(b member.Heartbeat) {
 	h.mu.Lock()
 	differs := b.Next == h.table.Wants() && b.Digest != uint32(h.table.Mark())
 	h.mu.Unlock()
