--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -108,9 +108,9 @@
 	}
 }
 
-// copySoon has the table of a peer that is further on taken, unless that is under way. The log
+// startTableCopy has the table of a peer that is further on taken, unless that is under way. The log
 // may be down for hours, trimmed or out of date meanwhile.
-func (h *Host) copySoon() {
+func (h *Host) startTableCopy() {
 	if !h.copying.CompareAndSwap(false, true) {
 		return
 	}
--- a/internal/host/read.go
+++ b/internal/host/read.go
@@ -58,7 +58,7 @@
 				h.log.Warn("table: log does not answer in time.", "from", from)
 			}
 			h.meter("overdue")
-			h.copySoon()
+			h.startTableCopy()
 			h.wg.Go(func() {
 				// One is under way when the next is sent, for answers that take that long.
 				ctx, cancel := context.WithTimeout(ctx, 2*readAgain)
--- a/internal/host/table.go
+++ b/internal/host/table.go
@@ -46,7 +46,7 @@
 		if err := h.readTable(wait); err != nil {
 			h.meter("unread")
 			h.log.Warn("table: log cannot be read.", "err", err)
-			h.copySoon()
+			h.startTableCopy()
 			h.pause(readPause)
 			continue
 		}
@@ -82,7 +82,7 @@
 		return err
 	}
 	if len(page.Entries) == 0 {
-		h.copySoon()
+		h.startTableCopy()
 	}
 	h.move("table")
 	h.save(page.Oldest)
