--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -135,7 +135,7 @@
 			open++
 			h.wg.Go(func() {
 				select {
-				case replies <- h.askCopy(ctx, name, from):
+				case replies <- h.requestCopy(ctx, name, from):
 				case <-ctx.Done():
 				}
 			})
@@ -156,8 +156,8 @@
 	}
 }
 
-// askCopy asks one peer; nothing comes of one that is not further on or does not answer.
-func (h *Host) askCopy(ctx context.Context, name string, from int64) peer.RecordsReply {
+// requestCopy asks one peer; nothing comes of one that is not further on or does not answer.
+func (h *Host) requestCopy(ctx context.Context, name string, from int64) peer.RecordsReply {
 	var r peer.RecordsReply
 	if err := h.peers.Ask(ctx, name, peer.Records{From: from}, &r); err != nil && ctx.Err() == nil {
 		h.log.Warn("table: peer's copy cannot be had.", "peer", name, "err", err)
