--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -146,7 +146,7 @@
 		select {
 		case r := <-replies:
 			open--
-			if h.takeCopy(r, from) {
+			if h.applyCopy(r, from) {
 				return
 			}
 		case <-time.After(copyAskInterval):
@@ -165,8 +165,8 @@
 	return r
 }
 
-// takeCopy tells whether a peer's table was further on.
-func (h *Host) takeCopy(r peer.RecordsReply, from int64) bool {
+// applyCopy tells whether a peer's table was further on.
+func (h *Host) applyCopy(r peer.RecordsReply, from int64) bool {
 	if len(r.Parts) == 0 {
 		return false
 	}
