--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -130,7 +130,7 @@
 	replies := make(chan peer.RecordsReply)
 	open, asked := 0, map[string]bool{}
 	for {
-		if name := h.nextAhead(from, asked); name != "" {
+		if name := h.nextPeerAhead(from, asked); name != "" {
 			asked[name] = true
 			open++
 			h.wg.Go(func() {
@@ -181,9 +181,9 @@
 	return true
 }
 
-// nextAhead is the peer to ask next for what comes from an offset on: one that is heard of before
+// nextPeerAhead is the peer to ask next for what comes from an offset on: one that is heard of before
 // one that is not, the one that is furthest on before the others; empty if there is none.
-func (h *Host) nextAhead(from int64, asked map[string]bool) string {
+func (h *Host) nextPeerAhead(from int64, asked map[string]bool) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	all := slices.DeleteFunc(h.members.Heartbeats(), func(b member.Heartbeat) bool { return b.Next <= from || asked[b.Name] })
