--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -202,9 +202,9 @@
 	}).Name
 }
 
-// settle tells the log which smaller shares of quotas this failure domain works
+// settleQuotas tells the log which smaller shares of quotas this failure domain works
 // by. All its hosts must have read the edit: each takes part in using the share.
-func (h *Host) settle() {
+func (h *Host) settleQuotas() {
 	h.mu.Lock()
 	due := h.table.Unsettled(h.cfg.Domain)
 	read := h.readByDomain()
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -184,7 +184,7 @@
 	h.every(shareEvery, h.repeatShares)
 	h.every(takeoverEvery, h.repair)
 	h.every(tickEvery, h.tick)
-	h.every(settleInterval, h.settle)
+	h.every(settleInterval, h.settleQuotas)
 	h.log.Info("host: started.", "name", h.cfg.Name, "domain", h.cfg.Domain)
 }
 
