--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -207,7 +207,7 @@
 func (h *Host) settleQuotas() {
 	h.mu.Lock()
 	due := h.table.Unsettled(h.cfg.Domain)
-	read := h.readByDomain()
+	read := h.domainReadOffset()
 	first := h.members.LiveIn(h.cfg.Domain)[0] == h.cfg.Name
 	h.mu.Unlock()
 	if !first {
@@ -227,9 +227,9 @@
 	}
 }
 
-// readByDomain is the lowest offset that a host of this failure domain waits
+// domainReadOffset is the lowest offset that a host of this failure domain waits
 // for. One that was never heard counts with zero until it is silent long enough.
-func (h *Host) readByDomain() int64 {
+func (h *Host) domainReadOffset() int64 {
 	now := h.clock()
 	lowest := h.table.Wants()
 	beats := map[string]member.Heartbeat{}
