--- a/internal/host/crash.go
+++ b/internal/host/crash.go
@@ -5,9 +5,9 @@
 	"pollencroft/internal/joblog"
 )
 
-// crashed has the lives that ended under a task stored, in the log or while that is away by a
+// storeCrashes has the lives that ended under a task stored, in the log or while that is away by a
 // peer. The lead does not start the task again before.
-func (h *Host) crashed(spec job.Spec, task string, lives int64) {
+func (h *Host) storeCrashes(spec job.Spec, task string, lives int64) {
 	rec := joblog.Record{ID: spec.ID, Spec: &spec, Lives: map[string]int64{task: lives}}
 	h.store(rec, func() { h.noted(rec) })
 }
