--- a/internal/host/crash.go
+++ b/internal/host/crash.go
@@ -9,11 +9,11 @@
 // peer. The lead does not start the task again before.
 func (h *Host) storeCrashes(spec job.Spec, task string, lives int64) {
 	rec := joblog.Record{ID: spec.ID, Spec: &spec, Lives: map[string]int64{task: lives}}
-	h.store(rec, func() { h.noted(rec) })
+	h.store(rec, func() { h.ackCrashes(rec) })
 }
 
-// noted tells the lead which lives are stored.
-func (h *Host) noted(rec joblog.Record) {
+// ackCrashes tells the lead which lives are stored.
+func (h *Host) ackCrashes(rec joblog.Record) {
 	for task, lives := range rec.Lives {
 		h.lead.AckCrashes(task, lives)
 	}
--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -235,7 +235,7 @@
 	if rec.State != "" {
 		h.lead.AckEnd(rec.ID)
 	}
-	h.noted(rec)
+	h.ackCrashes(rec)
 }
 
 // ended keeps the end of a job. Workers may forget its tasks when it is in the
