--- a/internal/host/crash.go
+++ b/internal/host/crash.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// lives are how many lives of workers ended under a job's tasks, as far as that is stored.
-func (h *Host) lives(id string) map[string]int64 {
+// crashCounts are how many crashCounts of workers ended under a job's tasks, as far as that is stored.
+func (h *Host) crashCounts(id string) map[string]int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.jobs.log.Lives(id)
--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -339,7 +339,7 @@
 	}
 	for _, s := range old {
 		if h.lead.HasJob(s.ID) {
-			h.owe(joblog.Record{ID: s.ID, Spec: &s, Lives: h.lives(s.ID)})
+			h.owe(joblog.Record{ID: s.ID, Spec: &s, Lives: h.crashCounts(s.ID)})
 		}
 	}
 }
