--- a/internal/host/edit.go
+++ b/internal/host/edit.go
@@ -17,46 +17,46 @@
 	appendWait = 2 * time.Second
 )
 
-// book gives operators the table of this host.
-type book struct{ h *Host }
+// operatorTable gives operators the table of this host.
+type operatorTable struct{ h *Host }
 
 // Lines lists the rows in force.
-func (b book) Lines() []table.Line {
+func (b operatorTable) Lines() []table.Line {
 	b.h.mu.Lock()
 	defer b.h.mu.Unlock()
 	return b.h.table.Lines()
 }
 
 // Teams lists the quotas in force.
-func (b book) Teams() []table.Quota {
+func (b operatorTable) Teams() []table.Quota {
 	b.h.mu.Lock()
 	defer b.h.mu.Unlock()
 	return b.h.table.Teams()
 }
 
 // Past lists the newest edits with their verdicts.
-func (b book) Past() []table.Past {
+func (b operatorTable) Past() []table.Past {
 	b.h.mu.Lock()
 	defer b.h.mu.Unlock()
 	return b.h.table.Past()
 }
 
 // Verdict returns what became of an edit, false if it was not seen here.
-func (b book) Verdict(id string) (table.Judged, bool) {
+func (b operatorTable) Verdict(id string) (table.Judged, bool) {
 	b.h.mu.Lock()
 	defer b.h.mu.Unlock()
 	return b.h.table.Verdict(id)
 }
 
 // Preview tells what would make an edit void whatever its base.
-func (b book) Preview(e table.Edit) error {
+func (b operatorTable) Preview(e table.Edit) error {
 	b.h.mu.Lock()
 	defer b.h.mu.Unlock()
 	return b.h.table.Preview(e)
 }
 
 // Edit writes an edit and waits for its verdict.
-func (b book) Edit(ctx context.Context, e table.Edit) (table.Judged, error) {
+func (b operatorTable) Edit(ctx context.Context, e table.Edit) (table.Judged, error) {
 	e.When = b.h.clock().UnixMilli()
 	body, err := table.Encode(e)
 	if err != nil {
@@ -66,7 +66,7 @@
 }
 
 // EditQuota writes a quota's edit and waits for its verdict.
-func (b book) EditQuota(ctx context.Context, e table.QuotaEdit) (table.Judged, error) {
+func (b operatorTable) EditQuota(ctx context.Context, e table.QuotaEdit) (table.Judged, error) {
 	e.When = b.h.clock().UnixMilli()
 	body, err := table.Encode(e)
 	if err != nil {
@@ -76,7 +76,7 @@
 }
 
 // Settle writes that a failure domain has settled, on an operator's word.
-func (b book) Settle(ctx context.Context, s table.Settle) error {
+func (b operatorTable) Settle(ctx context.Context, s table.Settle) error {
 	body, err := table.Encode(s)
 	if err != nil {
 		return err
--- a/internal/host/routes.go
+++ b/internal/host/routes.go
@@ -59,7 +59,7 @@
 	h.health(r)
 	r.Group(func(r chi.Router) {
 		operator.New(operator.Deps{
-			Token: h.cfg.Operator.Token, Table: book{h}, Status: h.tableStatus,
+			Token: h.cfg.Operator.Token, Table: operatorTable{h}, Status: h.tableStatus,
 			Hosts: func() any { return h.hostsView() }, Workers: func() any { return h.lead.Held() },
 			Trail: h.explain, Drain: h.drainLater,
 		}).Routes(r)
