--- a/internal/host/edit.go
+++ b/internal/host/edit.go
@@ -13,8 +13,8 @@
 
 // Times of an operator's edit.
 const (
-	editWait   = 5 * time.Second
-	appendWait = 2 * time.Second
+	verdictTimeout = 5 * time.Second
+	appendWait     = 2 * time.Second
 )
 
 // operatorTable gives operators the table of this host.
@@ -100,7 +100,7 @@
 }
 
 func (h *Host) verdict(ctx context.Context, id string) (table.Judged, error) {
-	ctx, cancel := context.WithTimeout(ctx, editWait)
+	ctx, cancel := context.WithTimeout(ctx, verdictTimeout)
 	defer cancel()
 	for {
 		h.mu.Lock()
