--- a/internal/host/edit.go
+++ b/internal/host/edit.go
@@ -14,7 +14,7 @@
 // Times of an operator's edit.
 const (
 	verdictTimeout = 5 * time.Second
-	appendWait     = 2 * time.Second
+	appendTimeout  = 2 * time.Second
 )
 
 // operatorTable gives operators the table of this host.
@@ -89,7 +89,7 @@
 // answer may be lost after the write: what counts is the record's own verdict,
 // never the log's answer.
 func (h *Host) publish(ctx context.Context, id string, body []byte) (table.Judged, error) {
-	actx, cancel := context.WithTimeout(ctx, appendWait)
+	actx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	_, err := h.platform.Append(actx, table.Stream, body)
 	var not *platform.NotWrittenError
--- a/internal/host/table.go
+++ b/internal/host/table.go
@@ -180,7 +180,7 @@
 }
 
 func (h *Host) append(body []byte) error {
-	ctx, cancel := context.WithTimeout(h.ctx, appendWait)
+	ctx, cancel := context.WithTimeout(h.ctx, appendTimeout)
 	defer cancel()
 	_, err := h.platform.Append(ctx, table.Stream, body)
 	return err
