--- a/internal/host/edit.go
+++ b/internal/host/edit.go
@@ -96,10 +96,10 @@
 	if errors.As(err, &not) {
 		return table.Judged{}, err
 	}
-	return h.verdict(ctx, id)
+	return h.awaitVerdict(ctx, id)
 }
 
-func (h *Host) verdict(ctx context.Context, id string) (table.Judged, error) {
+func (h *Host) awaitVerdict(ctx context.Context, id string) (table.Judged, error) {
 	ctx, cancel := context.WithTimeout(ctx, verdictTimeout)
 	defer cancel()
 	for {
