--- a/internal/host/ended.go
+++ b/internal/host/ended.go
@@ -8,8 +8,8 @@
 	"pollencroft/internal/peer"
 )
 
-// endedWait bounds the question to a lead about a job whose end is in the log.
-const endedWait = 400 * time.Millisecond
+// endedJobTimeout bounds the question to a lead about a job whose end is in the log.
+const endedJobTimeout = 400 * time.Millisecond
 
 // askJob asks the lead, which knows most of a job. If the log has the job's end, that is told
 // when the lead does not answer soon.
@@ -17,7 +17,7 @@
 	if !h.done(id) {
 		return h.atLead(ctx, id, peer.AskJob{ID: id})
 	}
-	ctx, cancel := context.WithTimeout(ctx, endedWait)
+	ctx, cancel := context.WithTimeout(ctx, endedJobTimeout)
 	defer cancel()
 	reply := h.atLead(ctx, id, peer.AskJob{ID: id})
 	if end, ok := h.logged(id); ok && reply.Code != 0 {
