--- a/internal/host/ended.go
+++ b/internal/host/ended.go
@@ -11,9 +11,9 @@
 // endedJobTimeout bounds the question to a lead about a job whose end is in the log.
 const endedJobTimeout = 400 * time.Millisecond
 
-// askJob asks the lead, which knows most of a job. If the log has the job's end, that is told
+// jobStatus asks the lead, which knows most of a job. If the log has the job's end, that is told
 // when the lead does not answer soon.
-func (h *Host) askJob(ctx context.Context, id string) peer.JobReply {
+func (h *Host) jobStatus(ctx context.Context, id string) peer.JobReply {
 	if !h.done(id) {
 		return h.atLead(ctx, id, peer.AskJob{ID: id})
 	}
--- a/internal/host/routes.go
+++ b/internal/host/routes.go
@@ -23,7 +23,7 @@
 	r.Group(func(r chi.Router) {
 		r.Use(h.admit)
 		caller.New(caller.Deps{
-			Row: h.Row, Do: h.doHere, Submit: h.submitHere, Job: h.askJob, Cancel: h.cancelJob, Trail: h.explain,
+			Row: h.Row, Do: h.doHere, Submit: h.submitHere, Job: h.jobStatus, Cancel: h.cancelJob, Trail: h.explain,
 			Body: h.cfg.Limits.Body, Deadline: h.cfg.Limits.Deadline, Clock: h.clock,
 		}).Routes(r)
 	})
