--- a/internal/host/ended.go
+++ b/internal/host/ended.go
@@ -20,14 +20,14 @@
 	ctx, cancel := context.WithTimeout(ctx, endedJobTimeout)
 	defer cancel()
 	reply := h.atLead(ctx, id, peer.AskJob{ID: id})
-	if end, ok := h.logged(id); ok && reply.Code != 0 {
+	if end, ok := h.loggedEnd(id); ok && reply.Code != 0 {
 		return end
 	}
 	return reply
 }
 
-// logged tells a job's end from the log.
-func (h *Host) logged(id string) (peer.JobReply, bool) {
+// loggedEnd tells a job's end from the log.
+func (h *Host) loggedEnd(id string) (peer.JobReply, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	end, ok := h.jobs.log.End(id)
--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -230,7 +230,7 @@
 	if !errors.As(err, &unknown) {
 		return h.honest(jobReply(s, err))
 	}
-	if end, ok := h.logged(id); ok {
+	if end, ok := h.loggedEnd(id); ok {
 		return end
 	}
 	h.mu.Lock()
