--- a/internal/host/explain.go
+++ b/internal/host/explain.go
@@ -26,9 +26,9 @@
 	return append(h.lead.Explain(id), told)
 }
 
-// explained answers for jobs that are led here only. A host that has inherited
+// localHistory answers for jobs that are led here only. A host that has inherited
 // a job and waits for its census has a record too, of next to nothing.
-func (h *Host) explained(id string) peer.JobReply {
+func (h *Host) localHistory(id string) peer.JobReply {
 	if !h.lead.Leads(id) {
 		return peer.RefuseJob(http.StatusNotFound, "job "+id+" is not led here")
 	}
--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -214,7 +214,7 @@
 	case peer.AskJob:
 		return h.told(m.ID, func() (job.Status, error) { return h.lead.Status(m.ID) })
 	case peer.AskTrail:
-		return h.explained(m.ID)
+		return h.localHistory(m.ID)
 	case peer.CancelJob:
 		reply := h.told(m.ID, func() (job.Status, error) { return h.lead.Cancel(m.ID) })
 		return h.settled(ctx, reply)
