--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -14,8 +14,8 @@
 	"pollencroft/internal/trail"
 )
 
-// handWait bounds one hand-over.
-const handWait = time.Second
+// handoverTimeout bounds one hand-over.
+const handoverTimeout = time.Second
 
 // handed is a job on its way to another lead. It is not led here meanwhile:
 // the other may have it already.
@@ -138,7 +138,7 @@
 
 // push hands jobs over to a peer that has just said that it expects them.
 func (h *Host) push(name string, all []*handed) error {
-	ctx, cancel := context.WithTimeout(h.ctx, handWait)
+	ctx, cancel := context.WithTimeout(h.ctx, handoverTimeout)
 	defer cancel()
 	var expected peer.Expected
 	if err := h.peers.Ask(ctx, name, peer.Expect{From: h.cfg.Name}, &expected); err != nil {
@@ -188,7 +188,7 @@
 // lastHandOver offers what a leaving host still has to the hosts that hold its
 // workers by now. What nobody takes in time needs a census.
 func (h *Host) lastHandOver(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, 2*handWait)
+	ctx, cancel := context.WithTimeout(ctx, 2*handoverTimeout)
 	defer cancel()
 	for h.handing() > 0 && ctx.Err() == nil {
 		h.sendHanded()
