--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -20,8 +20,8 @@
 // handed is a job on its way to another lead. It is not led here meanwhile:
 // the other may have it already.
 type handed struct {
-	carry job.Snapshot
-	to    string
+	snapshot job.Snapshot
+	to       string
 	// epoch is the one in which the job was led here.
 	epoch int64
 	// unsure tells that it was sent and has no answer.
@@ -63,7 +63,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, c := range carries {
-		h.jobs.handing[c.Spec.ID] = &handed{carry: c, to: to, epoch: epoch}
+		h.jobs.handing[c.Spec.ID] = &handed{snapshot: c, to: to, epoch: epoch}
 	}
 }
 
@@ -146,7 +146,7 @@
 	}
 	m := peer.Handover{From: h.cfg.Name, Token: expected.Token}
 	for _, one := range all {
-		m.Jobs = append(m.Jobs, one.carry)
+		m.Jobs = append(m.Jobs, one.snapshot)
 	}
 	m.Notes = h.notesOf(m.Jobs)
 	var reply peer.HandoverReply
@@ -169,12 +169,12 @@
 	h.jobs.transfer.Lock()
 	defer h.jobs.transfer.Unlock()
 	for _, one := range all {
-		id := one.carry.Spec.ID
+		id := one.snapshot.Spec.ID
 		switch {
 		case one.unsure:
 			h.log.Warn("host: job waits for a census.", "id", id, "to", one.to)
 		case h.Ready():
-			if err := h.lead.TakeBack([]job.Snapshot{one.carry}, one.epoch); err != nil {
+			if err := h.lead.TakeBack([]job.Snapshot{one.snapshot}, one.epoch); err != nil {
 				h.log.Warn("host: job waits for a census.", "id", id, "err", err)
 			}
 		default:
@@ -224,7 +224,7 @@
 	defer h.mu.Unlock()
 	for _, one := range all {
 		// The job may have come back meanwhile and be on its way again.
-		if id := one.carry.Spec.ID; h.jobs.handing[id] == one {
+		if id := one.snapshot.Spec.ID; h.jobs.handing[id] == one {
 			delete(h.jobs.handing, id)
 		}
 	}
