--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -21,7 +21,7 @@
 // the other may have it already.
 type handed struct {
 	snapshot job.Snapshot
-	to       string
+	target   string
 	// epoch is the one in which the job was led here.
 	epoch int64
 	// unsure tells that it was sent and has no answer.
@@ -63,7 +63,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, c := range carries {
-		h.jobs.handing[c.Spec.ID] = &handed{snapshot: c, to: to, epoch: epoch}
+		h.jobs.handing[c.Spec.ID] = &handed{snapshot: c, target: to, epoch: epoch}
 	}
 }
 
@@ -90,7 +90,7 @@
 	to := map[string][]*handed{}
 	h.mu.Lock()
 	for _, one := range h.jobs.handing {
-		to[one.to] = append(to[one.to], one)
+		to[one.target] = append(to[one.target], one)
 	}
 	h.mu.Unlock()
 	for name, all := range to {
@@ -172,13 +172,13 @@
 		id := one.snapshot.Spec.ID
 		switch {
 		case one.unsure:
-			h.log.Warn("host: job waits for a census.", "id", id, "to", one.to)
+			h.log.Warn("host: job waits for a census.", "id", id, "to", one.target)
 		case h.Ready():
 			if err := h.lead.TakeBack([]job.Snapshot{one.snapshot}, one.epoch); err != nil {
 				h.log.Warn("host: job waits for a census.", "id", id, "err", err)
 			}
 		default:
-			one.to = h.nextLead(id)
+			one.target = h.nextLead(id)
 			continue
 		}
 		h.clearHanded([]*handed{one})
