--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -24,8 +24,8 @@
 	target   string
 	// epoch is the one in which the job was led here.
 	epoch int64
-	// unsure tells that it was sent and has no answer.
-	unsure bool
+	// unconfirmed tells that it was sent and has no answer.
+	unconfirmed bool
 }
 
 // handOver gives jobs whose rack has another live lead to that host, with all
@@ -153,7 +153,7 @@
 	err := h.peers.Ask(ctx, name, m, &reply)
 	if errors.As(err, new(*peer.SilentError)) {
 		for _, one := range all {
-			one.unsure = true
+			one.unconfirmed = true
 		}
 	}
 	if err == nil && reply.Stale {
@@ -171,7 +171,7 @@
 	for _, one := range all {
 		id := one.snapshot.Spec.ID
 		switch {
-		case one.unsure:
+		case one.unconfirmed:
 			h.log.Warn("host: job waits for a census.", "id", id, "to", one.target)
 		case h.Ready():
 			if err := h.lead.TakeBack([]job.Snapshot{one.snapshot}, one.epoch); err != nil {
