--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -17,9 +17,9 @@
 // handoverTimeout bounds one hand-over.
 const handoverTimeout = time.Second
 
-// handed is a job on its way to another lead. It is not led here meanwhile:
+// outgoingJob is a job on its way to another lead. It is not led here meanwhile:
 // the other may have it already.
-type handed struct {
+type outgoingJob struct {
 	snapshot job.Snapshot
 	target   string
 	// epoch is the one in which the job was led here.
@@ -63,7 +63,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, c := range carries {
-		h.jobs.handing[c.Spec.ID] = &handed{snapshot: c, target: to, epoch: epoch}
+		h.jobs.handing[c.Spec.ID] = &outgoingJob{snapshot: c, target: to, epoch: epoch}
 	}
 }
 
@@ -87,7 +87,7 @@
 	h.jobs.sending.Lock()
 	defer h.jobs.sending.Unlock()
 	h.dropLapsed()
-	to := map[string][]*handed{}
+	to := map[string][]*outgoingJob{}
 	h.mu.Lock()
 	for _, one := range h.jobs.handing {
 		to[one.target] = append(to[one.target], one)
@@ -117,7 +117,7 @@
 
 // sendTo sends jobs to their next lead until it confirms. With its answer lost it may lead them
 // already, so they stay put and are sent again: it passes over what it has.
-func (h *Host) sendTo(name string, all []*handed) {
+func (h *Host) sendTo(name string, all []*outgoingJob) {
 	err := h.push(name, all)
 	var refused *peer.RefusedError
 	var unreached *peer.UnreachedError
@@ -137,7 +137,7 @@
 }
 
 // push hands jobs over to a peer that has just said that it expects them.
-func (h *Host) push(name string, all []*handed) error {
+func (h *Host) push(name string, all []*outgoingJob) error {
 	ctx, cancel := context.WithTimeout(h.ctx, handoverTimeout)
 	defer cancel()
 	var expected peer.Expected
@@ -165,7 +165,7 @@
 // giveUp ends the hand-over of jobs whose next lead does not take them. This host leads them
 // again, or offers them to another when it leaves; those that the next lead may have taken all
 // the same need a census.
-func (h *Host) giveUp(all []*handed) {
+func (h *Host) giveUp(all []*outgoingJob) {
 	h.jobs.transfer.Lock()
 	defer h.jobs.transfer.Unlock()
 	for _, one := range all {
@@ -181,7 +181,7 @@
 			one.target = h.nextLead(id)
 			continue
 		}
-		h.clearHanded([]*handed{one})
+		h.clearHanded([]*outgoingJob{one})
 	}
 }
 
@@ -219,7 +219,7 @@
 	return all
 }
 
-func (h *Host) clearHanded(all []*handed) {
+func (h *Host) clearHanded(all []*outgoingJob) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, one := range all {
