--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -28,9 +28,9 @@
 	unconfirmed bool
 }
 
-// handOver gives jobs whose rack has another live lead to that host, with all
+// handOverJobs gives jobs whose rack has another live lead to that host, with all
 // that is known of them, so that it need not wait for any lease.
-func (h *Host) handOver() {
+func (h *Host) handOverJobs() {
 	h.collect()
 	h.sendHanded()
 }
--- a/internal/host/stop.go
+++ b/internal/host/stop.go
@@ -73,7 +73,7 @@
 	began := h.clock()
 	h.log.Info("host: leaving.", "name", h.cfg.Name)
 	h.lead.Leave()
-	h.handOver()
+	h.handOverJobs()
 	h.announceLeaving()
 	// Callers still come until the balancer has seen that this host is not
 	// ready. They are served; refusing their connections would lose them.
--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -102,7 +102,7 @@
 		h.updateShares()
 	}
 	h.takeOver()
-	h.handOver()
+	h.handOverJobs()
 	h.mu.Lock()
 	owed := len(h.jobs.owed)
 	h.mu.Unlock()
