--- a/internal/host/cell.go
+++ b/internal/host/cell.go
@@ -64,7 +64,7 @@
 	h.relay.SetServers(servers)
 	h.lead.UpdateMachines(known)
 	h.lead.SetDomain(names, without(live, h.cfg.Name))
-	h.collect()
+	h.collectOutgoing()
 	if !h.Ready() && h.handing() > 0 {
 		workers = h.oneHeldWorker(known)
 	}
--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -31,17 +31,17 @@
 // handOverJobs gives jobs whose rack has another live lead to that host, with all
 // that is known of them, so that it need not wait for any lease.
 func (h *Host) handOverJobs() {
-	h.collect()
+	h.collectOutgoing()
 	h.sendHanded()
 }
 
-// collect stops leading the jobs that another live host should lead. It comes
+// collectOutgoing stops leading the jobs that another live host should lead. It comes
 // before the workers are given up: a host that loses its last worker has to
 // take it that others took it for dead, and knows nothing of its jobs any more.
 //
 // One collects at a time: a planned stop that found the jobs already taken off
 // the lead, but not yet noted as handed, would end the host under them.
-func (h *Host) collect() {
+func (h *Host) collectOutgoing() {
 	h.jobs.collecting.Lock()
 	defer h.jobs.collecting.Unlock()
 	to := map[string][]string{}
