--- a/internal/host/export_test.go
+++ b/internal/host/export_test.go
@@ -50,7 +50,7 @@
 // GiveTo takes a job off this host's lead and offers it to a peer, as a host does whose rack has
 // got another lead.
 func (h *Host) GiveTo(to, id string) {
-	h.takeOff(to, []string{id})
+	h.stopLeading(to, []string{id})
 	h.sendHanded()
 }
 
--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -51,12 +51,12 @@
 		}
 	}
 	for name, ids := range to {
-		h.takeOff(name, ids)
+		h.stopLeading(name, ids)
 	}
 }
 
-// takeOff stops leading some jobs and notes where they go.
-func (h *Host) takeOff(to string, ids []string) {
+// stopLeading stops leading some jobs and notes where they go.
+func (h *Host) stopLeading(to string, ids []string) {
 	h.jobs.transfer.Lock()
 	defer h.jobs.transfer.Unlock()
 	carries, epoch := h.lead.HandOver(ids)
