--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -46,7 +46,7 @@
 	defer h.jobs.collecting.Unlock()
 	to := map[string][]string{}
 	for _, s := range h.lead.OpenJobs() {
-		if name := h.nextLead(s.ID); name != "" && name != h.cfg.Name {
+		if name := h.nextLeader(s.ID); name != "" && name != h.cfg.Name {
 			to[name] = append(to[name], s.ID)
 		}
 	}
@@ -67,11 +67,11 @@
 	}
 }
 
-// nextLead is the host that a job goes to. A host that stops before it has heard
+// nextLeader is the host that a job goes to. A host that stops before it has heard
 // of any peer, as right after its start, offers its jobs to one that the settings
 // name: with it would go all that is known of them, and they would have to wait
 // for a census.
-func (h *Host) nextLead(id string) string {
+func (h *Host) nextLeader(id string) string {
 	name := h.leadOf(id)
 	if h.Ready() || name != "" && name != h.cfg.Name {
 		return name
@@ -178,7 +178,7 @@
 				h.log.Warn("host: job waits for a census.", "id", id, "err", err)
 			}
 		default:
-			one.target = h.nextLead(id)
+			one.target = h.nextLeader(id)
 			continue
 		}
 		h.clearHanded([]*outgoingJob{one})
