--- a/internal/host/export_test.go
+++ b/internal/host/export_test.go
@@ -51,7 +51,7 @@
 // got another lead.
 func (h *Host) GiveTo(to, id string) {
 	h.stopLeading(to, []string{id})
-	h.sendHanded()
+	h.sendOutgoing()
 }
 
 // SaysItLeads tells whether a peer that asks hears that this host leads a job.
--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -32,7 +32,7 @@
 // that is known of them, so that it need not wait for any lease.
 func (h *Host) handOverJobs() {
 	h.collectOutgoing()
-	h.sendHanded()
+	h.sendOutgoing()
 }
 
 // collectOutgoing stops leading the jobs that another live host should lead. It comes
@@ -81,9 +81,9 @@
 	return first
 }
 
-// sendHanded offers jobs to their next leads. One sends at a time: of two hand-overs from one
+// sendOutgoing offers jobs to their next leads. One sends at a time: of two hand-overs from one
 // host to another only the later counts.
-func (h *Host) sendHanded() {
+func (h *Host) sendOutgoing() {
 	h.jobs.sending.Lock()
 	defer h.jobs.sending.Unlock()
 	h.dropLapsed()
@@ -191,7 +191,7 @@
 	ctx, cancel := context.WithTimeout(ctx, 2*handoverTimeout)
 	defer cancel()
 	for h.handing() > 0 && ctx.Err() == nil {
-		h.sendHanded()
+		h.sendOutgoing()
 		h.pause(takeoverEvery / 5)
 	}
 }
