--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -86,7 +86,7 @@
 func (h *Host) sendOutgoing() {
 	h.jobs.sending.Lock()
 	defer h.jobs.sending.Unlock()
-	h.dropLapsed()
+	h.dropStaleOutgoing()
 	to := map[string][]*outgoingJob{}
 	h.mu.Lock()
 	for _, one := range h.jobs.handing {
@@ -101,9 +101,9 @@
 	}
 }
 
-// dropLapsed forgets jobs that were handed over before this host lost all its workers. Another
+// dropStaleOutgoing forgets jobs that were handed over before this host lost all its workers. Another
 // may have completed a census for them since.
-func (h *Host) dropLapsed() {
+func (h *Host) dropStaleOutgoing() {
 	epoch := h.lead.Epoch()
 	h.mu.Lock()
 	defer h.mu.Unlock()
