--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -94,7 +94,7 @@
 	}
 	h.mu.Unlock()
 	for name, all := range to {
-		h.sendTo(name, all)
+		h.sendOutgoingTo(name, all)
 	}
 	if !h.Ready() && len(to) > 0 && h.handing() == 0 {
 		h.updateShares()
@@ -115,9 +115,9 @@
 	}
 }
 
-// sendTo sends jobs to their next lead until it confirms. With its answer lost it may lead them
+// sendOutgoingTo sends jobs to their next lead until it confirms. With its answer lost it may lead them
 // already, so they stay put and are sent again: it passes over what it has.
-func (h *Host) sendTo(name string, all []*outgoingJob) {
+func (h *Host) sendOutgoingTo(name string, all []*outgoingJob) {
 	err := h.push(name, all)
 	var refused *peer.RefusedError
 	var unreached *peer.UnreachedError
