--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -118,7 +118,7 @@
 // sendOutgoingTo sends jobs to their next lead until it confirms. With its answer lost it may lead them
 // already, so they stay put and are sent again: it passes over what it has.
 func (h *Host) sendOutgoingTo(name string, all []*outgoingJob) {
-	err := h.push(name, all)
+	err := h.transferJobs(name, all)
 	var refused *peer.RefusedError
 	var unreached *peer.UnreachedError
 	no := errors.As(err, &refused) || errors.As(err, &unreached)
@@ -136,8 +136,8 @@
 	}
 }
 
-// push hands jobs over to a peer that has just said that it expects them.
-func (h *Host) push(name string, all []*outgoingJob) error {
+// transferJobs hands jobs over to a peer that has just said that it expects them.
+func (h *Host) transferJobs(name string, all []*outgoingJob) error {
 	ctx, cancel := context.WithTimeout(h.ctx, handoverTimeout)
 	defer cancel()
 	var expected peer.Expected
