--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -129,7 +129,7 @@
 		h.log.Info("host: hand-over was overtaken, it is sent again.", "to", name, "jobs", len(all))
 	case no && h.Ready(), !h.isLive(name):
 		h.log.Warn("host: jobs not handed over.", "to", name, "jobs", len(all), "err", err)
-		h.giveUp(all)
+		h.abortHandover(all)
 	default:
 		// The next lead may hold no worker before this host has given up its own.
 		h.log.Info("host: jobs wait for their next lead.", "to", name, "jobs", len(all), "err", err)
@@ -162,10 +162,10 @@
 	return err
 }
 
-// giveUp ends the hand-over of jobs whose next lead does not take them. This host leads them
+// abortHandover ends the hand-over of jobs whose next lead does not take them. This host leads them
 // again, or offers them to another when it leaves; those that the next lead may have taken all
 // the same need a census.
-func (h *Host) giveUp(all []*outgoingJob) {
+func (h *Host) abortHandover(all []*outgoingJob) {
 	h.jobs.transfer.Lock()
 	defer h.jobs.transfer.Unlock()
 	for _, one := range all {
