--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -185,9 +185,9 @@
 	}
 }
 
-// lastHandOver offers what a leaving host still has to the hosts that hold its
+// finalHandover offers what a leaving host still has to the hosts that hold its
 // workers by now. What nobody takes in time needs a census.
-func (h *Host) lastHandOver(ctx context.Context) {
+func (h *Host) finalHandover(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, 2*handoverTimeout)
 	defer cancel()
 	for h.handing() > 0 && ctx.Err() == nil {
--- a/internal/host/stop.go
+++ b/internal/host/stop.go
@@ -111,7 +111,7 @@
 	h.relay.Settle()
 	err = errors.CombineErrors(err, h.work.close(ctx))
 	h.giveSlots(ctx)
-	h.lastHandOver(ctx)
+	h.finalHandover(ctx)
 	h.lead.Release()
 	return err
 }
