--- a/internal/host/cell.go
+++ b/internal/host/cell.go
@@ -65,7 +65,7 @@
 	h.lead.UpdateMachines(known)
 	h.lead.SetDomain(names, without(live, h.cfg.Name))
 	h.collectOutgoing()
-	if !h.Ready() && h.handing() > 0 {
+	if !h.Ready() && h.outgoingCount() > 0 {
 		workers = h.oneHeldWorker(known)
 	}
 	h.lead.SetLedMachines(workers)
--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -96,7 +96,7 @@
 	for name, all := range to {
 		h.sendOutgoingTo(name, all)
 	}
-	if !h.Ready() && len(to) > 0 && h.handing() == 0 {
+	if !h.Ready() && len(to) > 0 && h.outgoingCount() == 0 {
 		h.updateShares()
 	}
 }
@@ -190,13 +190,13 @@
 func (h *Host) finalHandover(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, 2*handoverTimeout)
 	defer cancel()
-	for h.handing() > 0 && ctx.Err() == nil {
+	for h.outgoingCount() > 0 && ctx.Err() == nil {
 		h.sendOutgoing()
 		h.pause(takeoverEvery / 5)
 	}
 }
 
-func (h *Host) handing() int {
+func (h *Host) outgoingCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.jobs.handing)
