--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -205,15 +205,15 @@
 // Notes that go along with jobs that are handed over: a few a job, and not so
 // many in all that looking them up holds up the hand-over.
 const (
-	notesAJob = 8
-	notesMost = 400
+	notesPerJob = 8
+	notesMost   = 400
 )
 
 func (h *Host) notesOf(carries []job.Snapshot) []trail.Note {
 	var all []trail.Note
 	for _, c := range carries {
 		if len(all) < notesMost {
-			all = append(all, h.trail.Brief(c.Spec.ID, notesAJob)...)
+			all = append(all, h.trail.Brief(c.Spec.ID, notesPerJob)...)
 		}
 	}
 	return all
