--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -205,14 +205,14 @@
 // Notes that go along with jobs that are handed over: a few a job, and not so
 // many in all that looking them up holds up the hand-over.
 const (
-	notesPerJob = 8
-	notesMost   = 400
+	notesPerJob      = 8
+	maxHandoverNotes = 400
 )
 
 func (h *Host) notesOf(carries []job.Snapshot) []trail.Note {
 	var all []trail.Note
 	for _, c := range carries {
-		if len(all) < notesMost {
+		if len(all) < maxHandoverNotes {
 			all = append(all, h.trail.Brief(c.Spec.ID, notesPerJob)...)
 		}
 	}
