--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -148,7 +148,7 @@
 	for _, one := range all {
 		m.Jobs = append(m.Jobs, one.snapshot)
 	}
-	m.Notes = h.notesOf(m.Jobs)
+	m.Notes = h.handoverNotes(m.Jobs)
 	var reply peer.HandoverReply
 	err := h.peers.Ask(ctx, name, m, &reply)
 	if errors.As(err, new(*peer.SilentError)) {
@@ -209,7 +209,7 @@
 	maxHandoverNotes = 400
 )
 
-func (h *Host) notesOf(carries []job.Snapshot) []trail.Note {
+func (h *Host) handoverNotes(carries []job.Snapshot) []trail.Note {
 	var all []trail.Note
 	for _, c := range carries {
 		if len(all) < maxHandoverNotes {
