--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -124,7 +124,7 @@
 	no := errors.As(err, &refused) || errors.As(err, &unreached)
 	switch {
 	case err == nil:
-		h.clearHanded(all)
+		h.removeOutgoing(all)
 	case errors.As(err, new(*lead.StaleHandoverError)):
 		h.log.Info("host: hand-over was overtaken, it is sent again.", "to", name, "jobs", len(all))
 	case no && h.Ready(), !h.isLive(name):
@@ -181,7 +181,7 @@
 			one.target = h.nextLeader(id)
 			continue
 		}
-		h.clearHanded([]*outgoingJob{one})
+		h.removeOutgoing([]*outgoingJob{one})
 	}
 }
 
@@ -219,7 +219,7 @@
 	return all
 }
 
-func (h *Host) clearHanded(all []*outgoingJob) {
+func (h *Host) removeOutgoing(all []*outgoingJob) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, one := range all {
