--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -239,8 +239,8 @@
 	return false
 }
 
-// adopt takes jobs that a live lead hands over.
-func (h *Host) adopt(m peer.Handover) (peer.HandoverReply, error) {
+// adoptJobs takes jobs that a live lead hands over.
+func (h *Host) adoptJobs(m peer.Handover) (peer.HandoverReply, error) {
 	h.mu.Lock()
 	for _, c := range m.Jobs {
 		if !h.jobs.log.Written(c.Spec.ID) {
--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -400,7 +400,7 @@
 		token, err := h.lead.ExpectHandover(m.From)
 		return peer.Expected{Token: token}, err
 	case peer.Handover:
-		return h.adopt(m)
+		return h.adoptJobs(m)
 	case peer.Submit, peer.AskJob, peer.AskTrail, peer.CancelJob:
 		return h.answerJob(ctx, m), nil
 	default:
