--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -40,8 +40,8 @@
 
 // How often a host does its regular work.
 const (
-	tickEvery  = 20 * time.Millisecond
-	trailNotes = 20_000
+	tickEvery       = 20 * time.Millisecond
+	maxHistoryNotes = 20_000
 )
 
 // Host is one entry host.
@@ -108,7 +108,7 @@
 	h := &Host{
 		cfg: cfg, control: control, log: log, clock: clock, incarnation: now.UnixMilli(), began: now, metrics: metrics.NewRegistry(),
 		platform: platform.New(cfg.Platform, transport(control)), peers: peer.NewClients(peerAddresses(cfg)),
-		trail: trail.New(trailNotes), table: table.New(), grown: make(chan struct{}), jobs: newKeeper(), relist: make(chan struct{}, 1), work: newGate(), budget: &budget{limit: orDefault(cfg.Limits.Memory, settings.DefaultMemory)},
+		trail: trail.New(maxHistoryNotes), table: table.New(), grown: make(chan struct{}), jobs: newKeeper(), relist: make(chan struct{}, 1), work: newGate(), budget: &budget{limit: orDefault(cfg.Limits.Memory, settings.DefaultMemory)},
 		ctx: ctx, cancel: cancel, drained: make(chan struct{}),
 		shares:  newShares(cfg, now),
 		members: member.New(member.Heartbeat{Name: cfg.Name, Domain: cfg.Domain, Incarnation: now.UnixMilli()}),
