--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -40,7 +40,7 @@
 
 // How often a host does its regular work.
 const (
-	tickEvery       = 20 * time.Millisecond
+	tickInterval    = 20 * time.Millisecond
 	maxHistoryNotes = 20_000
 )
 
@@ -183,7 +183,7 @@
 	h.wg.Go(h.appendJobs)
 	h.every(shareEvery, h.repeatShares)
 	h.every(takeoverEvery, h.repair)
-	h.every(tickEvery, h.tick)
+	h.every(tickInterval, h.tick)
 	h.every(settleInterval, h.settleQuotas)
 	h.log.Info("host: started.", "name", h.cfg.Name, "domain", h.cfg.Domain)
 }
--- a/internal/host/share.go
+++ b/internal/host/share.go
@@ -121,7 +121,7 @@
 func (h *Host) giveSlots(ctx context.Context) {
 	h.shareStep(share.Stopping{})
 	for ctx.Err() == nil && !h.relay.Drained() {
-		h.pause(tickEvery)
+		h.pause(tickInterval)
 	}
 	if ctx.Err() == nil {
 		h.shareStep(share.Drained{})
