--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -241,7 +241,7 @@
 			continue
 		}
 		b, heard := beats[p.Name]
-		since := h.began
+		since := h.startedAt
 		if heard {
 			since = b.ReceivedAt
 		}
