--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -52,7 +52,7 @@
 	incarnation int64
 	startedAt   time.Time
 	metrics     metrics.Registry
-	life        atomic.Value
+	state       atomic.Value
 	control     *atomic.Int64
 	peerBytes   atomic.Int64
 
@@ -113,7 +113,7 @@
 		shares:  newShares(cfg, now),
 		members: member.New(member.Heartbeat{Name: cfg.Name, Domain: cfg.Domain, Incarnation: now.UnixMilli()}),
 	}
-	h.life.Store(life.Start())
+	h.state.Store(life.Start())
 	h.peers.Through(h.dialPeer)
 	h.peers.Probe(h.linkIdleTimeout)
 	h.relay = relay.New(relay.Deps{
@@ -214,19 +214,19 @@
 // move steps the host's life cycle; it tells whether the step was allowed.
 func (h *Host) move(ev chart.Event) bool {
 	for {
-		old := h.life.Load().(chart.State)
+		old := h.state.Load().(chart.State)
 		next, err := life.Next(old, ev)
 		if err != nil {
 			return false
 		}
-		if h.life.CompareAndSwap(old, next) {
+		if h.state.CompareAndSwap(old, next) {
 			return true
 		}
 	}
 }
 
 // Ready tells whether this host takes new work.
-func (h *Host) Ready() bool { return h.ctx.Err() == nil && h.life.Load().(chart.State) == "ready" }
+func (h *Host) Ready() bool { return h.ctx.Err() == nil && h.state.Load().(chart.State) == "ready" }
 
 // Kill ends the host at once, as a crash would.
 func (h *Host) Kill() {
