--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -98,7 +98,7 @@
 	once    sync.Once
 }
 
-var life = chart.MustLoad("host")
+var lifecycle = chart.MustLoad("host")
 
 // New returns a host that serves nothing yet.
 func New(cfg settings.Settings, log *slog.Logger, clock func() time.Time) *Host {
@@ -113,7 +113,7 @@
 		shares:  newShares(cfg, now),
 		members: member.New(member.Heartbeat{Name: cfg.Name, Domain: cfg.Domain, Incarnation: now.UnixMilli()}),
 	}
-	h.state.Store(life.Start())
+	h.state.Store(lifecycle.Start())
 	h.peers.Through(h.dialPeer)
 	h.peers.Probe(h.linkIdleTimeout)
 	h.relay = relay.New(relay.Deps{
@@ -215,7 +215,7 @@
 func (h *Host) move(ev chart.Event) bool {
 	for {
 		old := h.state.Load().(chart.State)
-		next, err := life.Next(old, ev)
+		next, err := lifecycle.Next(old, ev)
 		if err != nil {
 			return false
 		}
