--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -46,15 +46,15 @@
 
 // Host is one entry host.
 type Host struct {
-	cfg         settings.Settings
-	log         *slog.Logger
-	clock       func() time.Time
-	incarnation int64
-	startedAt   time.Time
-	metrics     metrics.Registry
-	state       atomic.Value
-	control     *atomic.Int64
-	peerBytes   atomic.Int64
+	cfg          settings.Settings
+	log          *slog.Logger
+	clock        func() time.Time
+	incarnation  int64
+	startedAt    time.Time
+	metrics      metrics.Registry
+	state        atomic.Value
+	controlBytes *atomic.Int64
+	peerBytes    atomic.Int64
 
 	platform *platform.Client
 	peers    *peer.Clients
@@ -106,7 +106,7 @@
 	now := clock()
 	control := new(atomic.Int64)
 	h := &Host{
-		cfg: cfg, control: control, log: log, clock: clock, incarnation: now.UnixMilli(), startedAt: now, metrics: metrics.NewRegistry(),
+		cfg: cfg, controlBytes: control, log: log, clock: clock, incarnation: now.UnixMilli(), startedAt: now, metrics: metrics.NewRegistry(),
 		platform: platform.New(cfg.Platform, transport(control)), peers: peer.NewClients(peerAddresses(cfg)),
 		trail: trail.New(maxHistoryNotes), table: table.New(), grown: make(chan struct{}), jobs: newKeeper(), relist: make(chan struct{}, 1), work: newGate(), budget: &budget{limit: orDefault(cfg.Limits.Memory, settings.DefaultMemory)},
 		ctx: ctx, cancel: cancel, drained: make(chan struct{}),
--- a/internal/host/transport.go
+++ b/internal/host/transport.go
@@ -148,4 +148,4 @@
 
 // ControlBytes returns how many bytes this host has exchanged with the
 // platform and with workers. Callers' requests are not control.
-func (h *Host) ControlBytes() int64 { return h.control.Load() }
+func (h *Host) ControlBytes() int64 { return h.controlBytes.Load() }
