--- a/internal/host/cell.go
+++ b/internal/host/cell.go
@@ -62,19 +62,19 @@
 		}
 	}
 	h.relay.SetServers(servers)
-	h.lead.UpdateMachines(known)
-	h.lead.SetDomain(names, without(live, h.cfg.Name))
+	h.leader.UpdateMachines(known)
+	h.leader.SetDomain(names, without(live, h.cfg.Name))
 	h.collectOutgoing()
 	if !h.Ready() && h.outgoingCount() > 0 {
 		workers = h.oneHeldWorker(known)
 	}
-	h.lead.SetLedMachines(workers)
+	h.leader.SetLedMachines(workers)
 }
 
 // oneHeldWorker is one of the workers that a leaving host still holds. As long as it does, nobody else
 // can complete a census for the jobs that it is handing over.
 func (h *Host) oneHeldWorker(known []lead.Machine) []lead.Machine {
-	held := h.lead.Held()
+	held := h.leader.Held()
 	i := slices.IndexFunc(known, func(m lead.Machine) bool { return slices.Contains(held, m.Name) })
 	if i < 0 {
 		return nil
--- a/internal/host/crash.go
+++ b/internal/host/crash.go
@@ -15,7 +15,7 @@
 // ackCrashes tells the lead which lives are stored.
 func (h *Host) ackCrashes(rec joblog.Record) {
 	for task, lives := range rec.Lives {
-		h.lead.AckCrashes(task, lives)
+		h.leader.AckCrashes(task, lives)
 	}
 }
 
--- a/internal/host/explain.go
+++ b/internal/host/explain.go
@@ -23,16 +23,16 @@
 		return reply.Notes
 	}
 	told := trail.Note{At: h.clock(), ID: id, Part: "host", What: "its lead tells nothing: " + reply.Reason}
-	return append(h.lead.Explain(id), told)
+	return append(h.leader.Explain(id), told)
 }
 
 // localHistory answers for jobs that are led here only. A host that has inherited
 // a job and waits for its census has a record too, of next to nothing.
 func (h *Host) localHistory(id string) peer.JobReply {
-	if !h.lead.Leads(id) {
+	if !h.leader.Leads(id) {
 		return peer.RefuseJob(http.StatusNotFound, "job "+id+" is not led here")
 	}
-	return peer.JobReply{Notes: h.lead.Explain(id)}
+	return peer.JobReply{Notes: h.leader.Explain(id)}
 }
 
 // rowShares are what a row and its team may use in this failure domain.
--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -45,7 +45,7 @@
 	h.jobs.collecting.Lock()
 	defer h.jobs.collecting.Unlock()
 	to := map[string][]string{}
-	for _, s := range h.lead.OpenJobs() {
+	for _, s := range h.leader.OpenJobs() {
 		if name := h.nextLeader(s.ID); name != "" && name != h.cfg.Name {
 			to[name] = append(to[name], s.ID)
 		}
@@ -59,7 +59,7 @@
 func (h *Host) stopLeading(to string, ids []string) {
 	h.jobs.transfer.Lock()
 	defer h.jobs.transfer.Unlock()
-	carries, epoch := h.lead.HandOver(ids)
+	carries, epoch := h.leader.HandOver(ids)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, c := range carries {
@@ -104,7 +104,7 @@
 // dropStaleOutgoing forgets jobs that were handed over before this host lost all its workers. Another
 // may have completed a census for them since.
 func (h *Host) dropStaleOutgoing() {
-	epoch := h.lead.Epoch()
+	epoch := h.leader.Epoch()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for id, one := range h.jobs.handing {
@@ -174,7 +174,7 @@
 		case one.unconfirmed:
 			h.log.Warn("host: job waits for a census.", "id", id, "to", one.target)
 		case h.Ready():
-			if err := h.lead.TakeBack([]job.Snapshot{one.snapshot}, one.epoch); err != nil {
+			if err := h.leader.TakeBack([]job.Snapshot{one.snapshot}, one.epoch); err != nil {
 				h.log.Warn("host: job waits for a census.", "id", id, "err", err)
 			}
 		default:
@@ -250,7 +250,7 @@
 		}
 	}
 	h.mu.Unlock()
-	err := h.lead.Adopt(m.From, m.Token, m.Jobs)
+	err := h.leader.Adopt(m.From, m.Token, m.Jobs)
 	if errors.As(err, new(*lead.StaleHandoverError)) {
 		h.log.Warn("host: hand-over is out of date.", "from", m.From, "jobs", len(m.Jobs))
 		return peer.HandoverReply{Stale: true}, nil
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -59,7 +59,7 @@
 	platform *platform.Client
 	peers    *peer.Clients
 	relay    *relay.Relay
-	lead     *lead.Leader
+	leader   *lead.Leader
 	trail    *trail.Trail
 
 	mu      sync.Mutex
@@ -122,7 +122,7 @@
 		Outliers: outlier.New(outlier.DefaultLimits), Retries: retry.New(retry.DefaultLimits), Part: h.part, Pause: cfg.Limits.Deadline / 2, Metrics: h.metrics,
 		Plan: keyPlan(cfg), Inc: now.UnixMilli(), Peers: h.peers, Row: h.Row, Members: h.domainMembers, Clock: clock, Log: log,
 	})
-	h.lead = lead.New(ctx, lead.Deps{
+	h.leader = lead.New(ctx, lead.Deps{
 		Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: job.New(),
 		Takeover:         takeover.New(cfg.Name, takeover.Limits{LongestLease: lease.DefaultLimits.TaskTTL, AskInterval: takeoverEvery}),
 		RequestInventory: h.askCensus, EndLogged: h.done, StoreEnd: h.ended, StoreCrashes: h.storeCrashes, CrashCounts: h.crashCounts,
@@ -206,7 +206,7 @@
 
 func (h *Host) tick() {
 	h.relay.Tick()
-	h.lead.Tick()
+	h.leader.Tick()
 	h.memberStep(member.Tick{})
 	h.tickShares()
 }
--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -212,11 +212,11 @@
 	case peer.Submit:
 		return h.accept(ctx, m.Spec)
 	case peer.AskJob:
-		return h.told(m.ID, func() (job.Status, error) { return h.lead.Status(m.ID) })
+		return h.told(m.ID, func() (job.Status, error) { return h.leader.Status(m.ID) })
 	case peer.AskTrail:
 		return h.localHistory(m.ID)
 	case peer.CancelJob:
-		reply := h.told(m.ID, func() (job.Status, error) { return h.lead.Cancel(m.ID) })
+		reply := h.told(m.ID, func() (job.Status, error) { return h.leader.Cancel(m.ID) })
 		return h.settled(ctx, reply)
 	default:
 		return peer.RefuseJob(http.StatusBadRequest, "not a question about a job")
@@ -247,7 +247,7 @@
 // end when a second host knows it too.
 func (h *Host) honest(r peer.JobReply) peer.JobReply {
 	id := r.Status.ID
-	state, ended := h.lead.EndState(id)
+	state, ended := h.leader.EndState(id)
 	if r.Code != 0 || !ended {
 		return r
 	}
@@ -265,14 +265,14 @@
 	ctx, cancel := context.WithTimeout(ctx, keepWait)
 	defer cancel()
 	for r.Status.State == "stopping" && ctx.Err() == nil {
-		if _, ended := h.lead.EndState(r.Status.ID); !ended {
+		if _, ended := h.leader.EndState(r.Status.ID); !ended {
 			return r
 		}
 		select {
 		case <-time.After(batchFor):
 		case <-ctx.Done():
 		}
-		r = h.told(r.Status.ID, func() (job.Status, error) { return h.lead.Status(r.Status.ID) })
+		r = h.told(r.Status.ID, func() (job.Status, error) { return h.leader.Status(r.Status.ID) })
 	}
 	return r
 }
@@ -299,7 +299,7 @@
 	if reply, known := h.repeated(spec); known {
 		return reply
 	}
-	epoch, err := h.lead.Check(spec)
+	epoch, err := h.leader.Check(spec)
 	if err != nil {
 		return jobReply(job.Status{}, err)
 	}
@@ -322,8 +322,8 @@
 // before, which an earlier try of its caller reached, so it is inherited.
 func (h *Host) run(spec job.Spec, epoch int64) job.Status {
 	if spec.Key != "" {
-		h.lead.Inherit([]job.Spec{spec})
-	} else if s, err := h.lead.Submit(spec, epoch); err == nil {
+		h.leader.Inherit([]job.Spec{spec})
+	} else if s, err := h.leader.Submit(spec, epoch); err == nil {
 		return s
 	}
 	// The job is kept, so whoever leads its rack by now runs it.
@@ -345,7 +345,7 @@
 	if old.Tasks != spec.Tasks || old.Size != spec.Size || old.Time != spec.Time || old.Gang != spec.Gang {
 		return peer.RefuseJob(http.StatusConflict, "another job has the same key"), true
 	}
-	reply := h.told(spec.ID, func() (job.Status, error) { return h.lead.Status(spec.ID) })
+	reply := h.told(spec.ID, func() (job.Status, error) { return h.leader.Status(spec.ID) })
 	reply.Kept = "peers"
 	if written {
 		reply.Kept = "log"
@@ -397,7 +397,7 @@
 	case peer.Census:
 		return h.census(m), nil
 	case peer.Expect:
-		token, err := h.lead.ExpectHandover(m.From)
+		token, err := h.leader.ExpectHandover(m.From)
 		return peer.Expected{Token: token}, err
 	case peer.Handover:
 		return h.adoptJobs(m)
--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -233,7 +233,7 @@
 	}
 	h.mu.Unlock()
 	if rec.State != "" {
-		h.lead.AckEnd(rec.ID)
+		h.leader.AckEnd(rec.ID)
 	}
 	h.ackCrashes(rec)
 }
@@ -303,7 +303,7 @@
 
 // jobsWait makes the log answer at once while a census waits for it.
 func (h *Host) jobsWait() time.Duration {
-	if len(h.lead.AwaitingInventory()) > 0 {
+	if len(h.leader.AwaitingInventory()) > 0 {
 		return readPause
 	}
 	return readWait
@@ -332,13 +332,13 @@
 	h.mu.Unlock()
 	h.takeOver()
 	if whole {
-		h.lead.LogRead(asked)
+		h.leader.LogRead(asked)
 	}
 	if page.Oldest == 1 {
 		return
 	}
 	for _, s := range old {
-		if h.lead.HasJob(s.ID) {
+		if h.leader.HasJob(s.ID) {
 			h.owe(joblog.Record{ID: s.ID, Spec: &s, Lives: h.crashCounts(s.ID)})
 		}
 	}
--- a/internal/host/routes.go
+++ b/internal/host/routes.go
@@ -60,7 +60,7 @@
 	r.Group(func(r chi.Router) {
 		operator.New(operator.Deps{
 			Token: h.cfg.Operator.Token, Table: operatorTable{h}, Status: h.tableStatus,
-			Hosts: func() any { return h.hostsView() }, Workers: func() any { return h.lead.Held() },
+			Hosts: func() any { return h.hostsView() }, Workers: func() any { return h.leader.Held() },
 			Trail: h.explain, Drain: h.drainLater,
 		}).Routes(r)
 	})
--- a/internal/host/stop.go
+++ b/internal/host/stop.go
@@ -72,7 +72,7 @@
 	}
 	began := h.clock()
 	h.log.Info("host: leaving.", "name", h.cfg.Name)
-	h.lead.Leave()
+	h.leader.Leave()
 	h.handOverJobs()
 	h.announceLeaving()
 	// Callers still come until the balancer has seen that this host is not
@@ -112,6 +112,6 @@
 	err = errors.CombineErrors(err, h.work.close(ctx))
 	h.giveSlots(ctx)
 	h.finalHandover(ctx)
-	h.lead.Release()
+	h.leader.Release()
 	return err
 }
--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -63,13 +63,13 @@
 			mine = append(mine, s)
 		}
 	}
-	h.lead.Inherit(mine)
-	for _, id := range h.lead.AwaitingInventory() {
+	h.leader.Inherit(mine)
+	for _, id := range h.leader.AwaitingInventory() {
 		h.mu.Lock()
 		_, ended := h.jobs.log.End(id)
 		h.mu.Unlock()
 		if ended || h.leadOf(id) != h.cfg.Name {
-			h.lead.ForgetInherited(id)
+			h.leader.ForgetInherited(id)
 		}
 	}
 }
@@ -114,7 +114,7 @@
 // askCensus asks all live peers of the domain what they hold and lead.
 func (h *Host) askCensus() {
 	h.wg.Go(func() {
-		q := h.lead.InventoryRequest()
+		q := h.leader.InventoryRequest()
 		for _, name := range h.domainPeers() {
 			h.wg.Go(func() { h.askOne(name, q) })
 		}
@@ -141,7 +141,7 @@
 		c.Workers = append(c.Workers, v)
 	}
 	h.takeOver()
-	h.lead.HandleInventory(name, q, c)
+	h.leader.HandleInventory(name, q, c)
 }
 
 // census answers a peer's question. Jobs that this host is about to lead, or
@@ -151,7 +151,7 @@
 	h.jobs.transfer.RLock()
 	defer h.jobs.transfer.RUnlock()
 	busy := h.busyOf(m.Jobs)
-	c := h.lead.Inventory(m.From, lead.InventoryRequest{Jobs: m.Jobs, Waits: m.Waits, Keys: m.Keys})
+	c := h.leader.Inventory(m.From, lead.InventoryRequest{Jobs: m.Jobs, Waits: m.Waits, Keys: m.Keys})
 	reply := peer.CensusReply{Leads: append(busy, c.Leads...), Waits: c.Waits, Lives: c.Incarnations}
 	for _, v := range c.Workers {
 		w := peer.CensusWorker{Name: v.Worker, Clock: v.Clock, Age: cell.Duration{Duration: v.Age}, Life: v.Incarnation, Tasks: v.Tasks}
@@ -169,10 +169,10 @@
 }
 
 // Leads tells whether this host leads a job and knows where its tasks are.
-func (h *Host) Leads(id string) bool { return h.lead.Leads(id) }
+func (h *Host) Leads(id string) bool { return h.leader.Leads(id) }
 
 // Held lists the workers that this host holds.
-func (h *Host) Held() []string { return h.lead.Held() }
+func (h *Host) Held() []string { return h.leader.Held() }
 
 // Remembers tells whether this host knows of a job's acceptance.
 func (h *Host) Remembers(id string) bool {
