--- a/internal/host/explain.go
+++ b/internal/host/explain.go
@@ -16,7 +16,7 @@
 // goes before.
 func (h *Host) explain(ctx context.Context, id string) []trail.Note {
 	if _, err := cell.ParseHome(id); err != nil {
-		return h.trail.Of(id)
+		return h.history.Of(id)
 	}
 	reply := h.atLead(ctx, id, peer.AskTrail{ID: id})
 	if reply.Code == 0 {
--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -213,7 +213,7 @@
 	var all []trail.Note
 	for _, c := range carries {
 		if len(all) < maxHandoverNotes {
-			all = append(all, h.trail.Brief(c.Spec.ID, notesPerJob)...)
+			all = append(all, h.history.Brief(c.Spec.ID, notesPerJob)...)
 		}
 	}
 	return all
@@ -258,6 +258,6 @@
 	if err != nil {
 		return peer.HandoverReply{}, err
 	}
-	h.trail.Merge(m.Notes)
+	h.history.Merge(m.Notes)
 	return peer.HandoverReply{}, nil
 }
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -60,7 +60,7 @@
 	peers    *peer.Clients
 	relay    *relay.Relay
 	leader   *lead.Leader
-	trail    *trail.Trail
+	history  *trail.Trail
 
 	mu      sync.Mutex
 	members *member.Members
@@ -108,7 +108,7 @@
 	h := &Host{
 		cfg: cfg, controlBytes: control, log: log, clock: clock, incarnation: now.UnixMilli(), startedAt: now, metrics: metrics.NewRegistry(),
 		platform: platform.New(cfg.Platform, transport(control)), peers: peer.NewClients(peerAddresses(cfg)),
-		trail: trail.New(maxHistoryNotes), table: table.New(), grown: make(chan struct{}), jobs: newKeeper(), relist: make(chan struct{}, 1), work: newGate(), budget: &budget{limit: orDefault(cfg.Limits.Memory, settings.DefaultMemory)},
+		history: trail.New(maxHistoryNotes), table: table.New(), grown: make(chan struct{}), jobs: newKeeper(), relist: make(chan struct{}, 1), work: newGate(), budget: &budget{limit: orDefault(cfg.Limits.Memory, settings.DefaultMemory)},
 		ctx: ctx, cancel: cancel, drained: make(chan struct{}),
 		shares:  newShares(cfg, now),
 		members: member.New(member.Heartbeat{Name: cfg.Name, Domain: cfg.Domain, Incarnation: now.UnixMilli()}),
@@ -126,7 +126,7 @@
 		Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: job.New(),
 		Takeover:         takeover.New(cfg.Name, takeover.Limits{LongestLease: lease.DefaultLimits.TaskTTL, AskInterval: takeoverEvery}),
 		RequestInventory: h.askCensus, EndLogged: h.done, StoreEnd: h.ended, StoreCrashes: h.storeCrashes, CrashCounts: h.crashCounts,
-		Workers: worker.New(cfg.Name, now.UnixMilli(), transport(control), clock), Row: h.Row, History: h.trail, Clock: clock, Log: log,
+		Workers: worker.New(cfg.Name, now.UnixMilli(), transport(control), clock), Row: h.Row, History: h.history, Clock: clock, Log: log,
 		LimitKey: h.limitKey, Arbiters: h.keyWorkers, Shares: h.rowShares, Count: func(name string) { metrics.GetOrRegisterCounter(name, h.metrics).Inc(1) },
 	})
 	return h
