--- a/internal/host/beat.go
+++ b/internal/host/beat.go
@@ -63,9 +63,9 @@
 	free, waiting := h.relay.Load()
 	now := h.clock()
 	h.mu.Lock()
-	h.beats++
+	h.heartbeatSeq++
 	b := member.Heartbeat{
-		Name: h.cfg.Name, Incarnation: h.incarnation, Seq: h.beats, Next: h.table.Wants(), Digest: uint32(h.table.Mark()),
+		Name: h.cfg.Name, Incarnation: h.incarnation, Seq: h.heartbeatSeq, Next: h.table.Wants(), Digest: uint32(h.table.Mark()),
 		FreeSlots: free, Queued: waiting, Leaving: !h.Ready(), Ack: h.members.HearsFrom(now, name), Period: cell.Duration{Duration: period},
 	}
 	h.mu.Unlock()
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -64,10 +64,10 @@
 
 	mu      sync.Mutex
 	members *member.Members
-	// beats counts the heartbeats of this incarnation.
-	beats int64
-	table *table.Table
-	grown chan struct{}
+	// heartbeatSeq counts the heartbeats of this incarnation.
+	heartbeatSeq int64
+	table        *table.Table
+	grown        chan struct{}
 	// told… is what repeatShares has told last.
 	toldWord    share.Announcement
 	toldLeaving []string
