--- a/internal/host/edit.go
+++ b/internal/host/edit.go
@@ -105,7 +105,7 @@
 	for {
 		h.mu.Lock()
 		j, ok := h.table.Verdict(id)
-		grown := h.grown
+		grown := h.tableChanged
 		h.mu.Unlock()
 		if ok {
 			return j, nil
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -67,7 +67,7 @@
 	// heartbeatSeq counts the heartbeats of this incarnation.
 	heartbeatSeq int64
 	table        *table.Table
-	grown        chan struct{}
+	tableChanged chan struct{}
 	// told… is what repeatShares has told last.
 	toldWord    share.Announcement
 	toldLeaving []string
@@ -108,7 +108,7 @@
 	h := &Host{
 		cfg: cfg, controlBytes: control, log: log, clock: clock, incarnation: now.UnixMilli(), startedAt: now, metrics: metrics.NewRegistry(),
 		platform: platform.New(cfg.Platform, transport(control)), peers: peer.NewClients(peerAddresses(cfg)),
-		history: trail.New(maxHistoryNotes), table: table.New(), grown: make(chan struct{}), jobs: newKeeper(), relist: make(chan struct{}, 1), work: newGate(), budget: &budget{limit: orDefault(cfg.Limits.Memory, settings.DefaultMemory)},
+		history: trail.New(maxHistoryNotes), table: table.New(), tableChanged: make(chan struct{}), jobs: newKeeper(), relist: make(chan struct{}, 1), work: newGate(), budget: &budget{limit: orDefault(cfg.Limits.Memory, settings.DefaultMemory)},
 		ctx: ctx, cancel: cancel, drained: make(chan struct{}),
 		shares:  newShares(cfg, now),
 		members: member.New(member.Heartbeat{Name: cfg.Name, Domain: cfg.Domain, Incarnation: now.UnixMilli()}),
--- a/internal/host/table.go
+++ b/internal/host/table.go
@@ -135,8 +135,8 @@
 func (h *Host) fold(ev table.Event) error {
 	h.mu.Lock()
 	acts := h.table.Step(h.clock(), ev)
-	close(h.grown)
-	h.grown = make(chan struct{})
+	close(h.tableChanged)
+	h.tableChanged = make(chan struct{})
 	h.mu.Unlock()
 	var err error
 	for _, a := range acts {
