--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -69,10 +69,10 @@
 	table        *table.Table
 	tableChanged chan struct{}
 	// told… is what repeatShares has told last.
-	toldWord    share.Announcement
-	toldLeaving []string
-	toldLive    []string
-	toldAt      time.Time
+	lastAnnouncement share.Announcement
+	toldLeaving      []string
+	toldLive         []string
+	toldAt           time.Time
 	// copying tells that peers are asked for their table.
 	copying atomic.Bool
 	list    []platform.Machine
