--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -70,7 +70,7 @@
 	tableChanged chan struct{}
 	// told… is what repeatShares has told last.
 	lastAnnouncement share.Announcement
-	toldLeaving      []string
+	announcedLeaving []string
 	toldLive         []string
 	toldAt           time.Time
 	// copying tells that peers are asked for their table.
