--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -71,7 +71,7 @@
 	// told… is what repeatShares has told last.
 	lastAnnouncement share.Announcement
 	announcedLeaving []string
-	toldLive         []string
+	announcedLive    []string
 	toldAt           time.Time
 	// copying tells that peers are asked for their table.
 	copying atomic.Bool
--- a/internal/host/share.go
+++ b/internal/host/share.go
@@ -90,12 +90,12 @@
 func (h *Host) repeatShares() {
 	w, leaving, now := h.shareWord(), h.relay.Leaving(), h.clock()
 	h.mu.Lock()
-	same := reflect.DeepEqual(h.lastAnnouncement, w) && reflect.DeepEqual(h.announcedLeaving, leaving) && slices.Equal(h.toldLive, h.members.Live())
+	same := reflect.DeepEqual(h.lastAnnouncement, w) && reflect.DeepEqual(h.announcedLeaving, leaving) && slices.Equal(h.announcedLive, h.members.Live())
 	if same && now.Sub(h.toldAt) < shareRest {
 		h.mu.Unlock()
 		return
 	}
-	h.lastAnnouncement, h.announcedLeaving, h.toldLive, h.toldAt = w, leaving, h.members.Live(), now
+	h.lastAnnouncement, h.announcedLeaving, h.announcedLive, h.toldAt = w, leaving, h.members.Live(), now
 	h.mu.Unlock()
 	h.tellShares(w)
 }
