--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -72,7 +72,7 @@
 	lastAnnouncement share.Announcement
 	announcedLeaving []string
 	announcedLive    []string
-	toldAt           time.Time
+	announcedAt      time.Time
 	// copying tells that peers are asked for their table.
 	copying atomic.Bool
 	list    []platform.Machine
--- a/internal/host/share.go
+++ b/internal/host/share.go
@@ -91,11 +91,11 @@
 	w, leaving, now := h.shareWord(), h.relay.Leaving(), h.clock()
 	h.mu.Lock()
 	same := reflect.DeepEqual(h.lastAnnouncement, w) && reflect.DeepEqual(h.announcedLeaving, leaving) && slices.Equal(h.announcedLive, h.members.Live())
-	if same && now.Sub(h.toldAt) < shareRest {
+	if same && now.Sub(h.announcedAt) < shareRest {
 		h.mu.Unlock()
 		return
 	}
-	h.lastAnnouncement, h.announcedLeaving, h.announcedLive, h.toldAt = w, leaving, h.members.Live(), now
+	h.lastAnnouncement, h.announcedLeaving, h.announcedLive, h.announcedAt = w, leaving, h.members.Live(), now
 	h.mu.Unlock()
 	h.tellShares(w)
 }
