--- a/internal/host/cell.go
+++ b/internal/host/cell.go
@@ -41,7 +41,7 @@
 
 func (h *Host) applyShares() {
 	h.mu.Lock()
-	list := h.list
+	list := h.machines
 	live := h.members.LiveIn(h.cfg.Domain)
 	h.mu.Unlock()
 	var servers []relay.Server
--- a/internal/host/explain.go
+++ b/internal/host/explain.go
@@ -41,7 +41,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	domains := []string{h.cfg.Domain}
-	for _, m := range h.list {
+	for _, m := range h.machines {
 		if !slices.Contains(domains, m.Domain) {
 			domains = append(domains, m.Domain)
 		}
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -74,9 +74,9 @@
 	announcedLive    []string
 	announcedAt      time.Time
 	// copying tells that peers are asked for their table.
-	copying atomic.Bool
-	list    []platform.Machine
-	shares  *share.Shares
+	copying  atomic.Bool
+	machines []platform.Machine
+	shares   *share.Shares
 	// sharing is held from a decision on slots until the queue knows it. An
 	// older decision would else overtake a newer one and bring back slots
 	// that another host has been told are free.
--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -105,7 +105,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var names []string
-	for _, m := range h.list {
+	for _, m := range h.machines {
 		if m.Kind == cell.WorkerHost && m.Domain == h.cfg.Domain && m.Rack == rack && !m.Leaving {
 			names = append(names, m.Name)
 		}
@@ -140,7 +140,7 @@
 func (h *Host) racks(domain string) []string {
 	var racks []string
 	h.mu.Lock()
-	for _, m := range h.list {
+	for _, m := range h.machines {
 		if m.Kind == cell.WorkerHost && m.Domain == domain && !slices.Contains(racks, m.Rack) {
 			racks = append(racks, m.Rack)
 		}
--- a/internal/host/list.go
+++ b/internal/host/list.go
@@ -66,7 +66,7 @@
 	}
 	h.listTag = tag
 	h.mu.Lock()
-	h.list = all
+	h.machines = all
 	h.mu.Unlock()
 	var leaving []string
 	for _, m := range all {
@@ -86,7 +86,7 @@
 // changed or not: a share is given up by what is listed, not by what changed.
 func (h *Host) listedShares() {
 	h.mu.Lock()
-	names := entryHosts(h.list, h.cfg.Domain)
+	names := entryHosts(h.machines, h.cfg.Domain)
 	h.mu.Unlock()
 	h.shareStep(share.HostsListed{Names: names})
 }
--- a/internal/host/routes.go
+++ b/internal/host/routes.go
@@ -116,7 +116,7 @@
 		Self: h.cfg.Name, Live: h.members.Live(), Next: h.table.Wants(), Seen: h.members.Heartbeats(),
 		Slots: map[string]int{}, Awaited: h.shares.AwaitedHosts(), Aside: aside,
 	}
-	for _, m := range h.list {
+	for _, m := range h.machines {
 		if m.Kind == cell.MinionHost && m.Domain == h.cfg.Domain {
 			v.Slots[m.Name] = h.shares.UsableSlots(m.Name, m.Slots)
 		}
