--- a/internal/host/cell.go
+++ b/internal/host/cell.go
@@ -32,8 +32,8 @@
 
 // updateShares works out which slots and which workers are this host's.
 func (h *Host) updateShares() {
-	h.sharing.Lock()
-	defer h.sharing.Unlock()
+	h.shareMu.Lock()
+	defer h.shareMu.Unlock()
 	// After a pause the share core must see the time before it is asked.
 	h.shareStepHeld(share.Tick{})
 	h.applyShares()
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -77,10 +77,10 @@
 	copying  atomic.Bool
 	machines []platform.Machine
 	shares   *share.Shares
-	// sharing is held from a decision on slots until the queue knows it. An
+	// shareMu is held from a decision on slots until the queue knows it. An
 	// older decision would else overtake a newer one and bring back slots
 	// that another host has been told are free.
-	sharing sync.Mutex
+	shareMu sync.Mutex
 	// listTag is for followList alone; relist and listTold have it read sooner.
 	listTag  string
 	relist   chan struct{}
--- a/internal/host/share.go
+++ b/internal/host/share.go
@@ -42,8 +42,8 @@
 }
 
 func (h *Host) shareStep(ev share.Event) {
-	h.sharing.Lock()
-	defer h.sharing.Unlock()
+	h.shareMu.Lock()
+	defer h.shareMu.Unlock()
 	h.shareStepHeld(ev)
 }
 
@@ -65,8 +65,8 @@
 }
 
 func (h *Host) tickShares() {
-	h.sharing.Lock()
-	defer h.sharing.Unlock()
+	h.shareMu.Lock()
+	defer h.shareMu.Unlock()
 	if h.Ready() && h.relay.Drained() {
 		h.shareStepHeld(share.Drained{})
 		return
