--- a/internal/host/list.go
+++ b/internal/host/list.go
@@ -36,7 +36,7 @@
 		}
 		select {
 		case <-time.After(listOften):
-		case <-h.relist:
+		case <-h.listChanged:
 			h.listTold.Store(true)
 		case <-h.ctx.Done():
 		}
@@ -47,7 +47,7 @@
 // the same word.
 func (h *Host) refreshSoon() {
 	select {
-	case h.relist <- struct{}{}:
+	case h.listChanged <- struct{}{}:
 	default:
 	}
 }
