--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -82,10 +82,10 @@
 	// that another host has been told are free.
 	shareMu sync.Mutex
 	// listTag is for followList alone; relist and listTold have it read sooner.
-	listTag     string
-	listChanged chan struct{}
-	listTold    atomic.Bool
-	jobs        *keeper
+	listTag      string
+	listChanged  chan struct{}
+	listNotified atomic.Bool
+	jobs         *keeper
 
 	ctx     context.Context
 	cancel  context.CancelFunc
--- a/internal/host/list.go
+++ b/internal/host/list.go
@@ -30,14 +30,14 @@
 func (h *Host) followList() {
 	read := time.Time{}
 	for h.ctx.Err() == nil {
-		if h.readsList() || h.clock().Sub(read) >= listSeldom || h.listTold.Swap(false) {
+		if h.readsList() || h.clock().Sub(read) >= listSeldom || h.listNotified.Swap(false) {
 			h.refreshList()
 			read = h.clock()
 		}
 		select {
 		case <-time.After(listOften):
 		case <-h.listChanged:
-			h.listTold.Store(true)
+			h.listNotified.Store(true)
 		case <-h.ctx.Done():
 		}
 	}
