--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -43,10 +43,10 @@
 	case peer.Leave:
 		return h.answer(ctx, m)
 	}
-	if !h.work.enter() {
+	if !h.peerWork.enter() {
 		return nil, &peer.RefusedError{Name: h.cfg.Name, Reason: "host has stopped taking work"}
 	}
-	defer h.work.leave()
+	defer h.peerWork.leave()
 	if m, ok := m.(peer.Records); ok {
 		return h.tableCopy(m.From)
 	}
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -87,15 +87,15 @@
 	listNotified atomic.Bool
 	jobs         *keeper
 
-	ctx     context.Context
-	cancel  context.CancelFunc
-	servers []*server
-	keys    *keys.Keys
-	work    *gate
-	budget  *budget
-	wg      sync.WaitGroup
-	drained chan struct{}
-	once    sync.Once
+	ctx      context.Context
+	cancel   context.CancelFunc
+	servers  []*server
+	keys     *keys.Keys
+	peerWork *gate
+	budget   *budget
+	wg       sync.WaitGroup
+	drained  chan struct{}
+	once     sync.Once
 }
 
 var lifecycle = chart.MustLoad("host")
@@ -108,7 +108,7 @@
 	h := &Host{
 		cfg: cfg, controlBytes: control, log: log, clock: clock, incarnation: now.UnixMilli(), startedAt: now, metrics: metrics.NewRegistry(),
 		platform: platform.New(cfg.Platform, transport(control)), peers: peer.NewClients(peerAddresses(cfg)),
-		history: trail.New(maxHistoryNotes), table: table.New(), tableChanged: make(chan struct{}), jobs: newKeeper(), listChanged: make(chan struct{}, 1), work: newGate(), budget: &budget{limit: orDefault(cfg.Limits.Memory, settings.DefaultMemory)},
+		history: trail.New(maxHistoryNotes), table: table.New(), tableChanged: make(chan struct{}), jobs: newKeeper(), listChanged: make(chan struct{}, 1), peerWork: newGate(), budget: &budget{limit: orDefault(cfg.Limits.Memory, settings.DefaultMemory)},
 		ctx: ctx, cancel: cancel, drained: make(chan struct{}),
 		shares:  newShares(cfg, now),
 		members: member.New(member.Heartbeat{Name: cfg.Name, Domain: cfg.Domain, Incarnation: now.UnixMilli()}),
--- a/internal/host/stop.go
+++ b/internal/host/stop.go
@@ -109,7 +109,7 @@
 	}
 	err := all.Wait()
 	h.relay.Settle()
-	err = errors.CombineErrors(err, h.work.close(ctx))
+	err = errors.CombineErrors(err, h.peerWork.close(ctx))
 	h.giveSlots(ctx)
 	h.finalHandover(ctx)
 	h.leader.Release()
