--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -95,7 +95,7 @@
 	budget   *budget
 	wg       sync.WaitGroup
 	drained  chan struct{}
-	once     sync.Once
+	killOnce sync.Once
 }
 
 var lifecycle = chart.MustLoad("host")
@@ -230,7 +230,7 @@
 
 // Kill ends the host at once, as a crash would.
 func (h *Host) Kill() {
-	h.once.Do(func() {
+	h.killOnce.Do(func() {
 		h.cancel()
 		for _, srv := range h.servers {
 			_ = srv.Close()
