--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -94,7 +94,7 @@
 	peerWork *gate
 	budget   *budget
 	wg       sync.WaitGroup
-	drained  chan struct{}
+	stopped  chan struct{}
 	killOnce sync.Once
 }
 
@@ -109,7 +109,7 @@
 		cfg: cfg, controlBytes: control, log: log, clock: clock, incarnation: now.UnixMilli(), startedAt: now, metrics: metrics.NewRegistry(),
 		platform: platform.New(cfg.Platform, transport(control)), peers: peer.NewClients(peerAddresses(cfg)),
 		history: trail.New(maxHistoryNotes), table: table.New(), tableChanged: make(chan struct{}), jobs: newKeeper(), listChanged: make(chan struct{}, 1), peerWork: newGate(), budget: &budget{limit: orDefault(cfg.Limits.Memory, settings.DefaultMemory)},
-		ctx: ctx, cancel: cancel, drained: make(chan struct{}),
+		ctx: ctx, cancel: cancel, stopped: make(chan struct{}),
 		shares:  newShares(cfg, now),
 		members: member.New(member.Heartbeat{Name: cfg.Name, Domain: cfg.Domain, Incarnation: now.UnixMilli()}),
 	}
@@ -236,10 +236,10 @@
 			_ = srv.Close()
 		}
 		h.peers.Close()
-		close(h.drained)
+		close(h.stopped)
 	})
 	h.wg.Wait()
 }
 
 // Stopped is closed when the host has ended.
-func (h *Host) Stopped() <-chan struct{} { return h.drained }
+func (h *Host) Stopped() <-chan struct{} { return h.stopped }
