--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -177,7 +177,7 @@
 		return false
 	}
 	h.meter("copied")
-	h.move("table")
+	h.transition("table")
 	return true
 }
 
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -211,8 +211,8 @@
 	h.tickShares()
 }
 
-// move steps the host's life cycle; it tells whether the step was allowed.
-func (h *Host) move(ev chart.Event) bool {
+// transition steps the host's life cycle; it tells whether the step was allowed.
+func (h *Host) transition(ev chart.Event) bool {
 	for {
 		old := h.state.Load().(chart.State)
 		next, err := lifecycle.Next(old, ev)
--- a/internal/host/stop.go
+++ b/internal/host/stop.go
@@ -67,7 +67,7 @@
 // what is in flight, also for peers, and then closes everything. It returns a
 // CutError if ctx ended before the work did.
 func (h *Host) Stop(ctx context.Context) error {
-	if !h.move("stop") {
+	if !h.transition("stop") {
 		return nil
 	}
 	began := h.clock()
@@ -79,7 +79,7 @@
 	// ready. They are served; refusing their connections would lose them.
 	h.linger(ctx, h.cfg.Limits.Leave-h.clock().Sub(began))
 	err := h.endWork(ctx)
-	h.move("empty")
+	h.transition("empty")
 	h.Kill()
 	if err != nil {
 		h.log.Warn("host: stop cut work in flight.", "err", err)
--- a/internal/host/table.go
+++ b/internal/host/table.go
@@ -84,7 +84,7 @@
 	if len(page.Entries) == 0 {
 		h.startTableCopy()
 	}
-	h.move("table")
+	h.transition("table")
 	h.save(page.Oldest)
 	return nil
 }
@@ -114,7 +114,7 @@
 	if err := h.fold(table.Behind{Entries: all}); err != nil {
 		return err
 	}
-	h.move("table")
+	h.transition("table")
 	return nil
 }
 
