--- a/internal/host/beat.go
+++ b/internal/host/beat.go
@@ -53,7 +53,7 @@
 	for i, name := range names {
 		h.wg.Go(func() {
 			h.pause(period * time.Duration(i) / time.Duration(len(names)))
-			h.every(period, func() { h.sendHeartbeat(name, period) })
+			h.runEvery(period, func() { h.sendHeartbeat(name, period) })
 		})
 	}
 }
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -181,14 +181,14 @@
 	h.startHeartbeats()
 	h.wg.Go(h.followJobs)
 	h.wg.Go(h.appendJobs)
-	h.every(shareEvery, h.repeatShares)
-	h.every(takeoverEvery, h.repair)
-	h.every(tickInterval, h.tick)
-	h.every(settleInterval, h.settleQuotas)
+	h.runEvery(shareEvery, h.repeatShares)
+	h.runEvery(takeoverEvery, h.repair)
+	h.runEvery(tickInterval, h.tick)
+	h.runEvery(settleInterval, h.settleQuotas)
 	h.log.Info("host: started.", "name", h.cfg.Name, "domain", h.cfg.Domain)
 }
 
-func (h *Host) every(d time.Duration, f func()) {
+func (h *Host) runEvery(d time.Duration, f func()) {
 	h.wg.Go(func() {
 		t := time.NewTicker(d)
 		defer t.Stop()
