--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -22,8 +22,8 @@
 	"pollencroft/internal/table"
 )
 
-// jobWait bounds one question about a job to a peer.
-const jobWait = 3 * time.Second
+// jobAskTimeout bounds one question about a job to a peer.
+const jobAskTimeout = 3 * time.Second
 
 // While no lead of the domain holds a worker, as after a death, a job is offered
 // again for so long before it is refused.
@@ -192,7 +192,7 @@
 	if name == h.cfg.Name {
 		return h.answerJob(ctx, m)
 	}
-	ctx, cancel := context.WithTimeout(ctx, jobWait)
+	ctx, cancel := context.WithTimeout(ctx, jobAskTimeout)
 	defer cancel()
 	var reply peer.JobReply
 	err := h.peers.Ask(ctx, name, m, &reply)
