--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -28,8 +28,8 @@
 // While no lead of the domain holds a worker, as after a death, a job is offered
 // again for so long before it is refused.
 const (
-	submitWait  = time.Second
-	submitPause = 50 * time.Millisecond
+	submitRetryFor = time.Second
+	submitPause    = 50 * time.Millisecond
 )
 
 // jobKeys makes the ids of jobs that carry their caller's key.
@@ -54,7 +54,7 @@
 	if err := spec.Check(); err != nil {
 		return peer.RefuseJob(http.StatusBadRequest, err.Error())
 	}
-	end := h.clock().Add(submitWait)
+	end := h.clock().Add(submitRetryFor)
 	reply := h.atLead(ctx, spec.ID, peer.Submit{Spec: spec})
 	for tries := 1; elsewhere(reply) && h.clock().Before(end) && ctx.Err() == nil; tries++ {
 		if tries%len(racks) == 0 {
