--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -28,8 +28,8 @@
 // While no lead of the domain holds a worker, as after a death, a job is offered
 // again for so long before it is refused.
 const (
-	submitRetryFor = time.Second
-	submitPause    = 50 * time.Millisecond
+	submitRetryFor   = time.Second
+	submitRetryPause = 50 * time.Millisecond
 )
 
 // jobKeys makes the ids of jobs that carry their caller's key.
@@ -58,7 +58,7 @@
 	reply := h.atLead(ctx, spec.ID, peer.Submit{Spec: spec})
 	for tries := 1; elsewhere(reply) && h.clock().Before(end) && ctx.Err() == nil; tries++ {
 		if tries%len(racks) == 0 {
-			h.pause(submitPause)
+			h.pause(submitRetryPause)
 		}
 		spec.ID = h.jobID(j, racks, first+tries)
 		reply = h.atLead(ctx, spec.ID, peer.Submit{Spec: spec})
