--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -32,8 +32,8 @@
 	submitRetryPause = 50 * time.Millisecond
 )
 
-// jobKeys makes the ids of jobs that carry their caller's key.
-var jobKeys = uuid.MustParse("6d4f0b52-7c1e-4a55-9b07-2f6f5a0a7c11")
+// jobKeyNamespace makes the ids of jobs that carry their caller's key.
+var jobKeyNamespace = uuid.MustParse("6d4f0b52-7c1e-4a55-9b07-2f6f5a0a7c11")
 
 // submit gives a job a home rack and hands it to the host that leads it. A
 // lead that certainly did not take it is passed over for that of another rack.
@@ -133,7 +133,7 @@
 		return cell.JobID(home)
 	}
 	home.Rack, _ = member.Rank(j.Row+" "+j.Key, racks)
-	return home.JobID(uuid.NewSHA1(jobKeys, []byte(j.Row+" "+j.Key)).String())
+	return home.JobID(uuid.NewSHA1(jobKeyNamespace, []byte(j.Row+" "+j.Key)).String())
 }
 
 // racks lists the racks of a failure domain in order of name.
