--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -43,7 +43,7 @@
 	if len(racks) == 0 {
 		return peer.RefuseJob(http.StatusServiceUnavailable, "no workers are known")
 	}
-	if home := h.countedAt(row); home != "" {
+	if home := h.limitRack(row); home != "" {
 		racks = []string{home}
 	}
 	first := int(xxhash.Sum64String(cell.NewID()) % uint64(len(racks)))
@@ -87,9 +87,9 @@
 	}
 }
 
-// countedAt is the rack where all jobs of a limited row, or of a team with a
+// limitRack is the rack where all jobs of a limited row, or of a team with a
 // quota, are at home, so that one lead counts them; empty for any.
-func (h *Host) countedAt(row table.Row) string {
+func (h *Host) limitRack(row table.Row) string {
 	key := h.limitKey(row)
 	if key == "" {
 		return ""
--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -370,7 +370,7 @@
 	if !known || home.Domain != h.cfg.Domain {
 		return h.rackLead(home)
 	}
-	if rack := h.countedAt(row); rack != "" {
+	if rack := h.limitRack(row); rack != "" {
 		// Its row got a limit after the job: only the lead of that rack may start it.
 		home.Rack = rack
 	}
