--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -98,9 +98,9 @@
 	return rack
 }
 
-// keyWorkers are the workers of the rack where a key is counted. The holder of the first that
+// arbiterWorkers are the workers of the rack where a key is counted. The holder of the first that
 // lives may start the key's tasks.
-func (h *Host) keyWorkers(key string) []string {
+func (h *Host) arbiterWorkers(key string) []string {
 	rack, _ := member.Rank(key, h.racks(h.cfg.Domain))
 	h.mu.Lock()
 	defer h.mu.Unlock()
