--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -114,9 +114,9 @@
 	return names
 }
 
-// knows tells whether the settings name a failure domain. A question after a
+// isKnownDomain tells whether the settings name a failure domain. A question after a
 // job of any other would be told to come back for ever.
-func (h *Host) knows(domain string) bool {
+func (h *Host) isKnownDomain(domain string) bool {
 	in := func(p settings.Peer) bool { return p.Domain == domain }
 	return domain == h.cfg.Domain || slices.ContainsFunc(h.cfg.Peers, in)
 }
@@ -161,7 +161,7 @@
 	if err != nil {
 		return peer.RefuseJob(http.StatusBadRequest, err.Error())
 	}
-	if !h.knows(home.Domain) {
+	if !h.isKnownDomain(home.Domain) {
 		return peer.RefuseJob(http.StatusNotFound, "failure domain "+home.Domain+" is not in the settings")
 	}
 	first := h.rackLead(home)
