--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -56,7 +56,7 @@
 	}
 	end := h.clock().Add(submitRetryFor)
 	reply := h.atLead(ctx, spec.ID, peer.Submit{Spec: spec})
-	for tries := 1; elsewhere(reply) && h.clock().Before(end) && ctx.Err() == nil; tries++ {
+	for tries := 1; isUnavailable(reply) && h.clock().Before(end) && ctx.Err() == nil; tries++ {
 		if tries%len(racks) == 0 {
 			h.pause(submitRetryPause)
 		}
@@ -121,7 +121,7 @@
 	return domain == h.cfg.Domain || slices.ContainsFunc(h.cfg.Peers, in)
 }
 
-func elsewhere(r peer.JobReply) bool {
+func isUnavailable(r peer.JobReply) bool {
 	return r.Code == http.StatusServiceUnavailable && r.Outcome == cell.Refused
 }
 
@@ -169,7 +169,7 @@
 		return peer.RefuseJob(http.StatusServiceUnavailable, "no host of failure domain "+home.Domain+" is live")
 	}
 	reply := h.atHost(ctx, first, id, m)
-	if _, fresh := m.(peer.Submit); fresh || reply.Code != http.StatusNotFound && !elsewhere(reply) {
+	if _, fresh := m.(peer.Submit); fresh || reply.Code != http.StatusNotFound && !isUnavailable(reply) {
 		return reply
 	}
 	// The rack may have changed its lead since the job was taken.
@@ -178,10 +178,10 @@
 	h.mu.Unlock()
 	for _, name := range without(live, first) {
 		other := h.atHost(ctx, name, id, m)
-		if other.Code != http.StatusNotFound && !elsewhere(other) {
+		if other.Code != http.StatusNotFound && !isUnavailable(other) {
 			return other
 		}
-		if elsewhere(other) {
+		if isUnavailable(other) {
 			reply = other
 		}
 	}
