--- a/internal/host/ended.go
+++ b/internal/host/ended.go
@@ -15,11 +15,11 @@
 // when the lead does not answer soon.
 func (h *Host) jobStatus(ctx context.Context, id string) peer.JobReply {
 	if !h.done(id) {
-		return h.atLead(ctx, id, peer.AskJob{ID: id})
+		return h.askLeader(ctx, id, peer.AskJob{ID: id})
 	}
 	ctx, cancel := context.WithTimeout(ctx, endedJobTimeout)
 	defer cancel()
-	reply := h.atLead(ctx, id, peer.AskJob{ID: id})
+	reply := h.askLeader(ctx, id, peer.AskJob{ID: id})
 	if end, ok := h.loggedEnd(id); ok && reply.Code != 0 {
 		return end
 	}
--- a/internal/host/explain.go
+++ b/internal/host/explain.go
@@ -18,7 +18,7 @@
 	if _, err := cell.ParseHome(id); err != nil {
 		return h.history.Of(id)
 	}
-	reply := h.atLead(ctx, id, peer.AskTrail{ID: id})
+	reply := h.askLeader(ctx, id, peer.AskTrail{ID: id})
 	if reply.Code == 0 {
 		return reply.Notes
 	}
--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -55,13 +55,13 @@
 		return peer.RefuseJob(http.StatusBadRequest, err.Error())
 	}
 	end := h.clock().Add(submitRetryFor)
-	reply := h.atLead(ctx, spec.ID, peer.Submit{Spec: spec})
+	reply := h.askLeader(ctx, spec.ID, peer.Submit{Spec: spec})
 	for tries := 1; isUnavailable(reply) && h.clock().Before(end) && ctx.Err() == nil; tries++ {
 		if tries%len(racks) == 0 {
 			h.pause(submitRetryPause)
 		}
 		spec.ID = h.jobID(j, racks, first+tries)
-		reply = h.atLead(ctx, spec.ID, peer.Submit{Spec: spec})
+		reply = h.askLeader(ctx, spec.ID, peer.Submit{Spec: spec})
 	}
 	return reply
 }
@@ -151,12 +151,12 @@
 }
 
 func (h *Host) cancelJob(ctx context.Context, id string) peer.JobReply {
-	return h.atLead(ctx, id, peer.CancelJob{ID: id})
+	return h.askLeader(ctx, id, peer.CancelJob{ID: id})
 }
 
-// atLead answers here when this host leads the job's rack, else asks the host
+// askLeader answers here when this host leads the job's rack, else asks the host
 // that does. The id says where the job is at home, so nobody is asked first.
-func (h *Host) atLead(ctx context.Context, id string, m peer.Message) peer.JobReply {
+func (h *Host) askLeader(ctx context.Context, id string, m peer.Message) peer.JobReply {
 	home, err := cell.ParseHome(id)
 	if err != nil {
 		return peer.RefuseJob(http.StatusBadRequest, err.Error())
