--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -168,7 +168,7 @@
 	if first == "" {
 		return peer.RefuseJob(http.StatusServiceUnavailable, "no host of failure domain "+home.Domain+" is live")
 	}
-	reply := h.atHost(ctx, first, id, m)
+	reply := h.askHost(ctx, first, id, m)
 	if _, fresh := m.(peer.Submit); fresh || reply.Code != http.StatusNotFound && !isUnavailable(reply) {
 		return reply
 	}
@@ -177,7 +177,7 @@
 	live := h.members.LiveIn(home.Domain)
 	h.mu.Unlock()
 	for _, name := range without(live, first) {
-		other := h.atHost(ctx, name, id, m)
+		other := h.askHost(ctx, name, id, m)
 		if other.Code != http.StatusNotFound && !isUnavailable(other) {
 			return other
 		}
@@ -188,7 +188,7 @@
 	return reply
 }
 
-func (h *Host) atHost(ctx context.Context, name, id string, m peer.Message) peer.JobReply {
+func (h *Host) askHost(ctx context.Context, name, id string, m peer.Message) peer.JobReply {
 	if name == h.cfg.Name {
 		return h.answerJob(ctx, m)
 	}
