--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -190,7 +190,7 @@
 
 func (h *Host) askHost(ctx context.Context, name, id string, m peer.Message) peer.JobReply {
 	if name == h.cfg.Name {
-		return h.answerJob(ctx, m)
+		return h.handleJobMessage(ctx, m)
 	}
 	ctx, cancel := context.WithTimeout(ctx, jobAskTimeout)
 	defer cancel()
@@ -207,7 +207,7 @@
 	}
 }
 
-func (h *Host) answerJob(ctx context.Context, m peer.Message) peer.JobReply {
+func (h *Host) handleJobMessage(ctx context.Context, m peer.Message) peer.JobReply {
 	switch m := m.(type) {
 	case peer.Submit:
 		return h.accept(ctx, m.Spec)
@@ -402,7 +402,7 @@
 	case peer.Handover:
 		return h.adoptJobs(m)
 	case peer.Submit, peer.AskJob, peer.AskTrail, peer.CancelJob:
-		return h.answerJob(ctx, m), nil
+		return h.handleJobMessage(ctx, m), nil
 	default:
 		return nil, &peer.RefusedError{Name: h.cfg.Name, Reason: "message is not known"}
 	}
