--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -212,19 +212,19 @@
 	case peer.Submit:
 		return h.accept(ctx, m.Spec)
 	case peer.AskJob:
-		return h.told(m.ID, func() (job.Status, error) { return h.leader.Status(m.ID) })
+		return h.localStatus(m.ID, func() (job.Status, error) { return h.leader.Status(m.ID) })
 	case peer.AskTrail:
 		return h.localHistory(m.ID)
 	case peer.CancelJob:
-		reply := h.told(m.ID, func() (job.Status, error) { return h.leader.Cancel(m.ID) })
+		reply := h.localStatus(m.ID, func() (job.Status, error) { return h.leader.Cancel(m.ID) })
 		return h.settled(ctx, reply)
 	default:
 		return peer.RefuseJob(http.StatusBadRequest, "not a question about a job")
 	}
 }
 
-// told answers a question about a job from its lead's core, else from the log.
-func (h *Host) told(id string, ask func() (job.Status, error)) peer.JobReply {
+// localStatus answers a question about a job from its lead's core, else from the log.
+func (h *Host) localStatus(id string, ask func() (job.Status, error)) peer.JobReply {
 	s, err := ask()
 	var unknown *job.UnknownError
 	if !errors.As(err, &unknown) {
@@ -272,7 +272,7 @@
 		case <-time.After(batchFor):
 		case <-ctx.Done():
 		}
-		r = h.told(r.Status.ID, func() (job.Status, error) { return h.leader.Status(r.Status.ID) })
+		r = h.localStatus(r.Status.ID, func() (job.Status, error) { return h.leader.Status(r.Status.ID) })
 	}
 	return r
 }
@@ -345,7 +345,7 @@
 	if old.Tasks != spec.Tasks || old.Size != spec.Size || old.Time != spec.Time || old.Gang != spec.Gang {
 		return peer.RefuseJob(http.StatusConflict, "another job has the same key"), true
 	}
-	reply := h.told(spec.ID, func() (job.Status, error) { return h.leader.Status(spec.ID) })
+	reply := h.localStatus(spec.ID, func() (job.Status, error) { return h.leader.Status(spec.ID) })
 	reply.Kept = "peers"
 	if written {
 		reply.Kept = "log"
