--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -228,7 +228,7 @@
 	s, err := ask()
 	var unknown *job.UnknownError
 	if !errors.As(err, &unknown) {
-		return h.honest(jobReply(s, err))
+		return h.hideUnstoredEnd(jobReply(s, err))
 	}
 	if end, ok := h.loggedEnd(id); ok {
 		return end
@@ -241,11 +241,11 @@
 	return jobReply(s, err)
 }
 
-// honest holds back a final state that only this host knows: if it died now,
+// hideUnstoredEnd holds back a final state that only this host knows: if it died now,
 // the next lead would run a job whose caller was told that it did not run. That
 // it did not run is said when the log says so for every successor, any other
 // end when a second host knows it too.
-func (h *Host) honest(r peer.JobReply) peer.JobReply {
+func (h *Host) hideUnstoredEnd(r peer.JobReply) peer.JobReply {
 	id := r.Status.ID
 	state, ended := h.leader.EndState(id)
 	if r.Code != 0 || !ended {
