--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -217,7 +217,7 @@
 		return h.localHistory(m.ID)
 	case peer.CancelJob:
 		reply := h.localStatus(m.ID, func() (job.Status, error) { return h.leader.Cancel(m.ID) })
-		return h.settled(ctx, reply)
+		return h.awaitStoredEnd(ctx, reply)
 	default:
 		return peer.RefuseJob(http.StatusBadRequest, "not a question about a job")
 	}
@@ -260,8 +260,8 @@
 	return r
 }
 
-// settled waits a little for the end of a cancelled job to be kept.
-func (h *Host) settled(ctx context.Context, r peer.JobReply) peer.JobReply {
+// awaitStoredEnd waits a little for the end of a cancelled job to be kept.
+func (h *Host) awaitStoredEnd(ctx context.Context, r peer.JobReply) peer.JobReply {
 	ctx, cancel := context.WithTimeout(ctx, keepWait)
 	defer cancel()
 	for r.Status.State == "stopping" && ctx.Err() == nil {
