--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -210,7 +210,7 @@
 func (h *Host) handleJobMessage(ctx context.Context, m peer.Message) peer.JobReply {
 	switch m := m.(type) {
 	case peer.Submit:
-		return h.accept(ctx, m.Spec)
+		return h.acceptJob(ctx, m.Spec)
 	case peer.AskJob:
 		return h.localStatus(m.ID, func() (job.Status, error) { return h.leader.Status(m.ID) })
 	case peer.AskTrail:
@@ -292,10 +292,10 @@
 	}
 }
 
-// accept keeps a job where a second host can find it before it is run. While
+// acceptJob keeps a job where a second host can find it before it is run. While
 // it does so, peers are told that this host leads the job: else one of them
 // could inherit it from the log and run it beside this host.
-func (h *Host) accept(ctx context.Context, spec job.Spec) peer.JobReply {
+func (h *Host) acceptJob(ctx context.Context, spec job.Spec) peer.JobReply {
 	if reply, known := h.repeated(spec); known {
 		return reply
 	}
