--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -315,12 +315,12 @@
 	case err != nil:
 		return peer.UnsureJob(http.StatusGatewayTimeout, spec.ID, err.Error())
 	}
-	return peer.JobReply{Status: h.run(spec, epoch), Kept: kept}
+	return peer.JobReply{Status: h.startJob(spec, epoch), Kept: kept}
 }
 
-// run begins a kept job. One with a key may have been accepted by another host
+// startJob begins a kept job. One with a key may have been accepted by another host
 // before, which an earlier try of its caller reached, so it is inherited.
-func (h *Host) run(spec job.Spec, epoch int64) job.Status {
+func (h *Host) startJob(spec job.Spec, epoch int64) job.Status {
 	if spec.Key != "" {
 		h.leader.Inherit([]job.Spec{spec})
 	} else if s, err := h.leader.Submit(spec, epoch); err == nil {
