--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -296,7 +296,7 @@
 // it does so, peers are told that this host leads the job: else one of them
 // could inherit it from the log and run it beside this host.
 func (h *Host) acceptJob(ctx context.Context, spec job.Spec) peer.JobReply {
-	if reply, known := h.repeated(spec); known {
+	if reply, known := h.repeatedSubmission(spec); known {
 		return reply
 	}
 	epoch, err := h.leader.Check(spec)
@@ -330,8 +330,8 @@
 	return job.Status{ID: spec.ID, Row: spec.Row, State: "waiting"}
 }
 
-// repeated answers the repeat of a submission with a key.
-func (h *Host) repeated(spec job.Spec) (peer.JobReply, bool) {
+// repeatedSubmission answers the repeat of a submission with a key.
+func (h *Host) repeatedSubmission(spec job.Spec) (peer.JobReply, bool) {
 	if spec.Key == "" {
 		return peer.JobReply{}, false
 	}
