--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -303,7 +303,7 @@
 	if err != nil {
 		return jobReply(job.Status{}, err)
 	}
-	if !h.begin(spec.ID) {
+	if !h.beginAccepting(spec.ID) {
 		return peer.UnsureJob(http.StatusGatewayTimeout, spec.ID, "job is being accepted by another request")
 	}
 	defer h.finish(spec.ID)
@@ -353,7 +353,7 @@
 	return reply, true
 }
 
-func (h *Host) begin(id string) bool {
+func (h *Host) beginAccepting(id string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.jobs.accepting[id] {
