--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -306,7 +306,7 @@
 	if !h.beginAccepting(spec.ID) {
 		return peer.UnsureJob(http.StatusGatewayTimeout, spec.ID, "job is being accepted by another request")
 	}
-	defer h.finish(spec.ID)
+	defer h.endAccepting(spec.ID)
 	kept, err := h.keep(ctx, spec)
 	var not *platform.NotWrittenError
 	switch {
@@ -363,7 +363,7 @@
 	return true
 }
 
-func (h *Host) finish(id string) {
+func (h *Host) endAccepting(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.jobs.accepting, id)
