--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -41,7 +41,7 @@
 		h.refreshSoon()
 		return nil, nil
 	case peer.Leave:
-		return h.answer(ctx, m)
+		return h.handleMessage(ctx, m)
 	}
 	if !h.peerWork.enter() {
 		return nil, &peer.RefusedError{Name: h.cfg.Name, Reason: "host has stopped taking work"}
@@ -50,7 +50,7 @@
 	if m, ok := m.(peer.Records); ok {
 		return h.tableCopy(m.From)
 	}
-	return h.answer(ctx, m)
+	return h.handleMessage(ctx, m)
 }
 
 // claimedSender is the host that a message says it comes from, empty for messages
--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -369,8 +369,8 @@
 	delete(h.jobs.accepting, id)
 }
 
-// answer handles one message from a peer.
-func (h *Host) answer(ctx context.Context, m peer.Message) (any, error) {
+// handleMessage handles one message from a peer.
+func (h *Host) handleMessage(ctx context.Context, m peer.Message) (any, error) {
 	switch m := m.(type) {
 	case peer.Beat:
 		h.memberStep(member.HeartbeatReceived{Beat: m.Heartbeat})
