--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -408,8 +408,8 @@
 	}
 }
 
-// drainLater begins a planned stop without holding up its caller.
-func (h *Host) drainLater() {
+// stopInBackground begins a planned stop without holding up its caller.
+func (h *Host) stopInBackground() {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), h.cfg.Limits.Drain)
 		defer cancel()
--- a/internal/host/routes.go
+++ b/internal/host/routes.go
@@ -61,7 +61,7 @@
 		operator.New(operator.Deps{
 			Token: h.cfg.Operator.Token, Table: operatorTable{h}, Status: h.tableStatus,
 			Hosts: func() any { return h.hostsView() }, Workers: func() any { return h.leader.Held() },
-			Trail: h.explain, Drain: h.drainLater,
+			Trail: h.explain, Drain: h.stopInBackground,
 		}).Routes(r)
 	})
 	return r
