--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -269,7 +269,7 @@
 			return r
 		}
 		select {
-		case <-time.After(batchFor):
+		case <-time.After(batchWindow):
 		case <-ctx.Done():
 		}
 		r = h.localStatus(r.Status.ID, func() (job.Status, error) { return h.leader.Status(r.Status.ID) })
--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -17,8 +17,8 @@
 
 // Times of the log of jobs.
 const (
-	// batchFor is how long records are gathered for one append.
-	batchFor = 10 * time.Millisecond
+	// batchWindow is how long records are gathered for one append.
+	batchWindow = 10 * time.Millisecond
 	// batchMost bounds the records of one append.
 	batchMost = 200
 	keepWait  = time.Second
@@ -85,7 +85,7 @@
 
 func (h *Host) gather(first pending) []pending {
 	batch := []pending{first}
-	end := time.After(batchFor)
+	end := time.After(batchWindow)
 	for len(batch) < batchMost {
 		select {
 		case p := <-h.jobs.queue:
