--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -19,9 +19,9 @@
 const (
 	// batchWindow is how long records are gathered for one append.
 	batchWindow = 10 * time.Millisecond
-	// batchMost bounds the records of one append.
-	batchMost = 200
-	keepWait  = time.Second
+	// maxBatch bounds the records of one append.
+	maxBatch = 200
+	keepWait = time.Second
 	// renewPart is the oldest part of the log in which an open job's record is
 	// written again, before the log trims it.
 	renewPart = 4
@@ -86,7 +86,7 @@
 func (h *Host) gather(first pending) []pending {
 	batch := []pending{first}
 	end := time.After(batchWindow)
-	for len(batch) < batchMost {
+	for len(batch) < maxBatch {
 		select {
 		case p := <-h.jobs.queue:
 			batch = append(batch, p)
@@ -200,9 +200,9 @@
 // already are harmless: the fold is idempotent.
 func (h *Host) payOwed() {
 	h.mu.Lock()
-	owed := make([]joblog.Record, 0, batchMost)
+	owed := make([]joblog.Record, 0, maxBatch)
 	for _, rec := range h.jobs.owed {
-		if len(owed) < batchMost {
+		if len(owed) < maxBatch {
 			owed = append(owed, rec)
 		}
 	}
