--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -262,7 +262,7 @@
 
 // awaitStoredEnd waits a little for the end of a cancelled job to be kept.
 func (h *Host) awaitStoredEnd(ctx context.Context, r peer.JobReply) peer.JobReply {
-	ctx, cancel := context.WithTimeout(ctx, keepWait)
+	ctx, cancel := context.WithTimeout(ctx, keepTimeout)
 	defer cancel()
 	for r.Status.State == "stopping" && ctx.Err() == nil {
 		if _, ended := h.leader.EndState(r.Status.ID); !ended {
--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -20,8 +20,8 @@
 	// batchWindow is how long records are gathered for one append.
 	batchWindow = 10 * time.Millisecond
 	// maxBatch bounds the records of one append.
-	maxBatch = 200
-	keepWait = time.Second
+	maxBatch    = 200
+	keepTimeout = time.Second
 	// renewPart is the oldest part of the log in which an open job's record is
 	// written again, before the log trims it.
 	renewPart = 4
@@ -106,7 +106,7 @@
 	}
 	body, err := joblog.Encode(recs)
 	if err == nil {
-		ctx, cancel := context.WithTimeout(h.ctx, keepWait)
+		ctx, cancel := context.WithTimeout(h.ctx, keepTimeout)
 		_, err = h.platform.Append(ctx, joblog.Stream, body)
 		cancel()
 	}
@@ -159,7 +159,7 @@
 // does, silent is of one that may all the same: its answer did not come.
 func (h *Host) tellPeer(ctx context.Context, rec joblog.Record) (told bool, silent *peer.SilentError) {
 	for _, name := range h.domainPeers() {
-		pctx, cancel := context.WithTimeout(ctx, keepWait)
+		pctx, cancel := context.WithTimeout(ctx, keepTimeout)
 		err := h.peers.Ask(pctx, name, peer.Keep{Record: rec}, nil)
 		cancel()
 		if err == nil {
@@ -211,7 +211,7 @@
 	if err != nil || len(owed) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(h.ctx, keepWait)
+	ctx, cancel := context.WithTimeout(h.ctx, keepTimeout)
 	defer cancel()
 	if _, err := h.platform.Append(ctx, joblog.Stream, body); err != nil {
 		h.log.Warn("host: job records wait for the log.", "records", len(owed), "err", err)
@@ -253,7 +253,7 @@
 func (h *Host) store(rec joblog.Record, shared func()) {
 	h.owe(rec)
 	h.wg.Go(func() {
-		ctx, cancel := context.WithTimeout(h.ctx, 2*keepWait)
+		ctx, cancel := context.WithTimeout(h.ctx, 2*keepTimeout)
 		defer cancel()
 		if h.write(ctx, rec) == nil {
 			h.paid(rec)
