--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -22,9 +22,9 @@
 	// maxBatch bounds the records of one append.
 	maxBatch    = 200
 	keepTimeout = time.Second
-	// renewPart is the oldest part of the log in which an open job's record is
+	// renewFraction is the oldest part of the log in which an open job's record is
 	// written again, before the log trims it.
-	renewPart = 4
+	renewFraction = 4
 )
 
 // pending is one record that waits for its append.
@@ -328,7 +328,7 @@
 	h.mu.Lock()
 	h.jobs.tidy()
 	whole := h.jobs.log.Next() >= page.Next
-	old := h.jobs.log.Old(page.Oldest + (page.Next-page.Oldest)/renewPart)
+	old := h.jobs.log.Old(page.Oldest + (page.Next-page.Oldest)/renewFraction)
 	h.mu.Unlock()
 	h.takeOver()
 	if whole {
