--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -27,8 +27,8 @@
 	renewFraction = 4
 )
 
-// pending is one record that waits for its append.
-type pending struct {
+// pendingRecord is one record that waits for its append.
+type pendingRecord struct {
 	rec  joblog.Record
 	done chan error
 }
@@ -36,7 +36,7 @@
 // keeper holds what this host's jobs need to outlive it.
 type keeper struct {
 	log     *joblog.Log
-	queue   chan pending
+	queue   chan pendingRecord
 	appends *semaphore.Weighted
 	// accepting are jobs that this host is about to lead.
 	accepting map[string]bool
@@ -59,7 +59,7 @@
 
 func newKeeper() *keeper {
 	return &keeper{
-		log: joblog.New(), queue: make(chan pending), appends: semaphore.NewWeighted(4), accepting: map[string]bool{},
+		log: joblog.New(), queue: make(chan pendingRecord), appends: semaphore.NewWeighted(4), accepting: map[string]bool{},
 		handing: map[string]*outgoingJob{}, owed: map[string]joblog.Record{}, ends: map[string]bool{}, shared: map[string]bool{},
 	}
 }
@@ -83,8 +83,8 @@
 	}
 }
 
-func (h *Host) gather(first pending) []pending {
-	batch := []pending{first}
+func (h *Host) gather(first pendingRecord) []pendingRecord {
+	batch := []pendingRecord{first}
 	end := time.After(batchWindow)
 	for len(batch) < maxBatch {
 		select {
@@ -99,7 +99,7 @@
 	return batch
 }
 
-func (h *Host) appendBatch(batch []pending) {
+func (h *Host) appendBatch(batch []pendingRecord) {
 	recs := make([]joblog.Record, 0, len(batch))
 	for _, p := range batch {
 		recs = append(recs, p.rec)
@@ -118,7 +118,7 @@
 // write appends one record. The error is a platform.NotWrittenError if nothing
 // was written, else the record may be in the log.
 func (h *Host) write(ctx context.Context, rec joblog.Record) error {
-	p := pending{rec: rec, done: make(chan error, 1)}
+	p := pendingRecord{rec: rec, done: make(chan error, 1)}
 	select {
 	case h.jobs.queue <- p:
 	case <-ctx.Done():
