--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -35,9 +35,9 @@
 
 // keeper holds what this host's jobs need to outlive it.
 type keeper struct {
-	log     *joblog.Log
-	queue   chan pendingRecord
-	appends *semaphore.Weighted
+	log         *joblog.Log
+	queue       chan pendingRecord
+	appendSlots *semaphore.Weighted
 	// accepting are jobs that this host is about to lead.
 	accepting map[string]bool
 	// transfer is held while jobs go from the lead to handing or back. Whoever looks in both
@@ -59,7 +59,7 @@
 
 func newKeeper() *keeper {
 	return &keeper{
-		log: joblog.New(), queue: make(chan pendingRecord), appends: semaphore.NewWeighted(4), accepting: map[string]bool{},
+		log: joblog.New(), queue: make(chan pendingRecord), appendSlots: semaphore.NewWeighted(4), accepting: map[string]bool{},
 		handing: map[string]*outgoingJob{}, owed: map[string]joblog.Record{}, ends: map[string]bool{}, shared: map[string]bool{},
 	}
 }
@@ -72,11 +72,11 @@
 			return
 		case first := <-h.jobs.queue:
 			batch := h.gather(first)
-			if h.jobs.appends.Acquire(h.ctx, 1) != nil {
+			if h.jobs.appendSlots.Acquire(h.ctx, 1) != nil {
 				return
 			}
 			h.wg.Go(func() {
-				defer h.jobs.appends.Release(1)
+				defer h.jobs.appendSlots.Release(1)
 				h.appendBatch(batch)
 			})
 		}
