--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -57,8 +57,8 @@
 
 // stopLeading stops leading some jobs and notes where they go.
 func (h *Host) stopLeading(to string, ids []string) {
-	h.jobs.transfer.Lock()
-	defer h.jobs.transfer.Unlock()
+	h.jobs.transferMu.Lock()
+	defer h.jobs.transferMu.Unlock()
 	carries, epoch := h.leader.HandOver(ids)
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -166,8 +166,8 @@
 // again, or offers them to another when it leaves; those that the next lead may have taken all
 // the same need a census.
 func (h *Host) abortHandover(all []*outgoingJob) {
-	h.jobs.transfer.Lock()
-	defer h.jobs.transfer.Unlock()
+	h.jobs.transferMu.Lock()
+	defer h.jobs.transferMu.Unlock()
 	for _, one := range all {
 		id := one.snapshot.Spec.ID
 		switch {
--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -40,9 +40,9 @@
 	appendSlots *semaphore.Weighted
 	// accepting are jobs that this host is about to lead.
 	accepting map[string]bool
-	// transfer is held while jobs go from the lead to handing or back. Whoever looks in both
+	// transferMu is held while jobs go from the lead to handing or back. Whoever looks in both
 	// without it may find a job in neither, and take it for one that nobody leads.
-	transfer   sync.RWMutex
+	transferMu sync.RWMutex
 	collecting sync.Mutex
 	// ready is what repair last saw of this host's readiness.
 	ready bool
--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -51,8 +51,8 @@
 	h.mu.Lock()
 	open := h.jobs.log.Open()
 	h.mu.Unlock()
-	h.jobs.transfer.RLock()
-	defer h.jobs.transfer.RUnlock()
+	h.jobs.transferMu.RLock()
+	defer h.jobs.transferMu.RUnlock()
 	var mine []job.Spec
 	for _, s := range open {
 		home, err := cell.ParseHome(s.ID)
@@ -148,8 +148,8 @@
 // that are on their way to another lead, count as led. They are looked up first: a
 // job that is accepted meanwhile is led when the lead is asked.
 func (h *Host) census(m peer.Census) peer.CensusReply {
-	h.jobs.transfer.RLock()
-	defer h.jobs.transfer.RUnlock()
+	h.jobs.transferMu.RLock()
+	defer h.jobs.transferMu.RUnlock()
 	busy := h.busyOf(m.Jobs)
 	c := h.leader.Inventory(m.From, lead.InventoryRequest{Jobs: m.Jobs, Waits: m.Waits, Keys: m.Keys})
 	reply := peer.CensusReply{Leads: append(busy, c.Leads...), Waits: c.Waits, Lives: c.Incarnations}
