--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -42,8 +42,8 @@
 // One collects at a time: a planned stop that found the jobs already taken off
 // the lead, but not yet noted as handed, would end the host under them.
 func (h *Host) collectOutgoing() {
-	h.jobs.collecting.Lock()
-	defer h.jobs.collecting.Unlock()
+	h.jobs.collectMu.Lock()
+	defer h.jobs.collectMu.Unlock()
 	to := map[string][]string{}
 	for _, s := range h.leader.OpenJobs() {
 		if name := h.nextLeader(s.ID); name != "" && name != h.cfg.Name {
--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -43,7 +43,7 @@
 	// transferMu is held while jobs go from the lead to handing or back. Whoever looks in both
 	// without it may find a job in neither, and take it for one that nobody leads.
 	transferMu sync.RWMutex
-	collecting sync.Mutex
+	collectMu  sync.Mutex
 	// ready is what repair last saw of this host's readiness.
 	ready bool
 	// handing are jobs on their way to another lead, by id.
