--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -44,8 +44,8 @@
 	// without it may find a job in neither, and take it for one that nobody leads.
 	transferMu sync.RWMutex
 	collectMu  sync.Mutex
-	// ready is what repair last saw of this host's readiness.
-	ready bool
+	// wasReady is what repair last saw of this host's readiness.
+	wasReady bool
 	// handing are jobs on their way to another lead, by id.
 	handing map[string]*outgoingJob
 	// sending is held while jobs are offered to their next leads.
--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -97,8 +97,8 @@
 // out anew: the list is not told again while it stays the same, and a host
 // without peers would lead nothing for good.
 func (h *Host) repair() {
-	if ready := h.Ready(); ready != h.jobs.ready {
-		h.jobs.ready = ready
+	if ready := h.Ready(); ready != h.jobs.wasReady {
+		h.jobs.wasReady = ready
 		h.updateShares()
 	}
 	h.takeOver()
