--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -63,7 +63,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, c := range carries {
-		h.jobs.handing[c.Spec.ID] = &outgoingJob{snapshot: c, target: to, epoch: epoch}
+		h.jobs.outgoing[c.Spec.ID] = &outgoingJob{snapshot: c, target: to, epoch: epoch}
 	}
 }
 
@@ -89,7 +89,7 @@
 	h.dropStaleOutgoing()
 	to := map[string][]*outgoingJob{}
 	h.mu.Lock()
-	for _, one := range h.jobs.handing {
+	for _, one := range h.jobs.outgoing {
 		to[one.target] = append(to[one.target], one)
 	}
 	h.mu.Unlock()
@@ -107,10 +107,10 @@
 	epoch := h.leader.Epoch()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for id, one := range h.jobs.handing {
+	for id, one := range h.jobs.outgoing {
 		if one.epoch != epoch {
 			h.log.Warn("host: job waits for a census.", "id", id, "epoch", epoch, "handed", one.epoch)
-			delete(h.jobs.handing, id)
+			delete(h.jobs.outgoing, id)
 		}
 	}
 }
@@ -199,7 +199,7 @@
 func (h *Host) outgoingCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return len(h.jobs.handing)
+	return len(h.jobs.outgoing)
 }
 
 // Notes that go along with jobs that are handed over: a few a job, and not so
@@ -224,8 +224,8 @@
 	defer h.mu.Unlock()
 	for _, one := range all {
 		// The job may have come back meanwhile and be on its way again.
-		if id := one.snapshot.Spec.ID; h.jobs.handing[id] == one {
-			delete(h.jobs.handing, id)
+		if id := one.snapshot.Spec.ID; h.jobs.outgoing[id] == one {
+			delete(h.jobs.outgoing, id)
 		}
 	}
 }
--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -46,8 +46,8 @@
 	collectMu  sync.Mutex
 	// wasReady is what repair last saw of this host's readiness.
 	wasReady bool
-	// handing are jobs on their way to another lead, by id.
-	handing map[string]*outgoingJob
+	// outgoing are jobs on their way to another lead, by id.
+	outgoing map[string]*outgoingJob
 	// sending is held while jobs are offered to their next leads.
 	sending sync.Mutex
 	// owed are records that the log could not take yet, by id.
@@ -60,7 +60,7 @@
 func newKeeper() *keeper {
 	return &keeper{
 		log: joblog.New(), queue: make(chan pendingRecord), appendSlots: semaphore.NewWeighted(4), accepting: map[string]bool{},
-		handing: map[string]*outgoingJob{}, owed: map[string]joblog.Record{}, ends: map[string]bool{}, shared: map[string]bool{},
+		outgoing: map[string]*outgoingJob{}, owed: map[string]joblog.Record{}, ends: map[string]bool{}, shared: map[string]bool{},
 	}
 }
 
--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -83,7 +83,7 @@
 	defer h.mu.Unlock()
 	var busy []string
 	for _, id := range ids {
-		_, handing := h.jobs.handing[id]
+		_, handing := h.jobs.outgoing[id]
 		if h.jobs.accepting[id] || handing {
 			busy = append(busy, id)
 		}
