--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -84,8 +84,8 @@
 // sendOutgoing offers jobs to their next leads. One sends at a time: of two hand-overs from one
 // host to another only the later counts.
 func (h *Host) sendOutgoing() {
-	h.jobs.sending.Lock()
-	defer h.jobs.sending.Unlock()
+	h.jobs.sendMu.Lock()
+	defer h.jobs.sendMu.Unlock()
 	h.dropStaleOutgoing()
 	to := map[string][]*outgoingJob{}
 	h.mu.Lock()
--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -48,8 +48,8 @@
 	wasReady bool
 	// outgoing are jobs on their way to another lead, by id.
 	outgoing map[string]*outgoingJob
-	// sending is held while jobs are offered to their next leads.
-	sending sync.Mutex
+	// sendMu is held while jobs are offered to their next leads.
+	sendMu sync.Mutex
 	// owed are records that the log could not take yet, by id.
 	owed map[string]joblog.Record
 	// ends are jobs of this host whose end is in the log, shared those whose
