--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -246,7 +246,7 @@
 		if !h.jobs.log.Written(c.Spec.ID) {
 			rec := joblog.Record{ID: c.Spec.ID, Spec: &c.Spec}
 			h.jobs.log.Remember(rec)
-			h.jobs.owed[rec.ID] = rec.Merged(h.jobs.owed[rec.ID])
+			h.jobs.unwritten[rec.ID] = rec.Merged(h.jobs.unwritten[rec.ID])
 		}
 	}
 	h.mu.Unlock()
--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -50,8 +50,8 @@
 	outgoing map[string]*outgoingJob
 	// sendMu is held while jobs are offered to their next leads.
 	sendMu sync.Mutex
-	// owed are records that the log could not take yet, by id.
-	owed map[string]joblog.Record
+	// unwritten are records that the log could not take yet, by id.
+	unwritten map[string]joblog.Record
 	// ends are jobs of this host whose end is in the log, shared those whose
 	// end a second host remembers.
 	ends, shared map[string]bool
@@ -60,7 +60,7 @@
 func newKeeper() *keeper {
 	return &keeper{
 		log: joblog.New(), queue: make(chan pendingRecord), appendSlots: semaphore.NewWeighted(4), accepting: map[string]bool{},
-		outgoing: map[string]*outgoingJob{}, owed: map[string]joblog.Record{}, ends: map[string]bool{}, shared: map[string]bool{},
+		outgoing: map[string]*outgoingJob{}, unwritten: map[string]joblog.Record{}, ends: map[string]bool{}, shared: map[string]bool{},
 	}
 }
 
@@ -193,7 +193,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.jobs.log.Remember(rec)
-	h.jobs.owed[rec.ID] = rec.Merged(h.jobs.owed[rec.ID])
+	h.jobs.unwritten[rec.ID] = rec.Merged(h.jobs.unwritten[rec.ID])
 }
 
 // payOwed writes what the log could not take. Records that were written
@@ -201,7 +201,7 @@
 func (h *Host) payOwed() {
 	h.mu.Lock()
 	owed := make([]joblog.Record, 0, maxBatch)
-	for _, rec := range h.jobs.owed {
+	for _, rec := range h.jobs.unwritten {
 		if len(owed) < maxBatch {
 			owed = append(owed, rec)
 		}
@@ -225,8 +225,8 @@
 // paid notes that a record is in the log.
 func (h *Host) paid(rec joblog.Record) {
 	h.mu.Lock()
-	if rec.Covers(h.jobs.owed[rec.ID]) {
-		delete(h.jobs.owed, rec.ID)
+	if rec.Covers(h.jobs.unwritten[rec.ID]) {
+		delete(h.jobs.unwritten, rec.ID)
 	}
 	if rec.State != "" {
 		h.jobs.ends[rec.ID] = true
@@ -270,7 +270,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_, ended := h.jobs.log.End(id)
-	_, owed := h.jobs.owed[id]
+	_, owed := h.jobs.unwritten[id]
 	return h.jobs.ends[id] || ended && !owed && h.jobs.log.Written(id)
 }
 
@@ -314,7 +314,7 @@
 	var stored []joblog.Record
 	for _, e := range page.Entries {
 		for _, rec := range h.jobs.log.Fold(e.Offset, e.Body) {
-			if owed, ok := h.jobs.owed[rec.ID]; ok && owed.State == rec.State {
+			if owed, ok := h.jobs.unwritten[rec.ID]; ok && owed.State == rec.State {
 				stored = append(stored, rec)
 			}
 		}
@@ -349,7 +349,7 @@
 	for _, marks := range []map[string]bool{k.ends, k.shared} {
 		for id := range marks {
 			_, ended := k.log.End(id)
-			_, owed := k.owed[id]
+			_, owed := k.unwritten[id]
 			if ended && !owed && k.log.Written(id) {
 				delete(marks, id)
 			}
--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -104,7 +104,7 @@
 	h.takeOver()
 	h.handOverJobs()
 	h.mu.Lock()
-	owed := len(h.jobs.owed)
+	owed := len(h.jobs.unwritten)
 	h.mu.Unlock()
 	if owed > 0 {
 		h.payOwed()
@@ -162,7 +162,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, rec := range h.jobs.owed {
+	for _, rec := range h.jobs.unwritten {
 		reply.Records = append(reply.Records, rec)
 	}
 	return reply
