--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -52,15 +52,15 @@
 	sendMu sync.Mutex
 	// unwritten are records that the log could not take yet, by id.
 	unwritten map[string]joblog.Record
-	// ends are jobs of this host whose end is in the log, shared those whose
+	// writtenEnds are jobs of this host whose end is in the log, shared those whose
 	// end a second host remembers.
-	ends, shared map[string]bool
+	writtenEnds, shared map[string]bool
 }
 
 func newKeeper() *keeper {
 	return &keeper{
 		log: joblog.New(), queue: make(chan pendingRecord), appendSlots: semaphore.NewWeighted(4), accepting: map[string]bool{},
-		outgoing: map[string]*outgoingJob{}, unwritten: map[string]joblog.Record{}, ends: map[string]bool{}, shared: map[string]bool{},
+		outgoing: map[string]*outgoingJob{}, unwritten: map[string]joblog.Record{}, writtenEnds: map[string]bool{}, shared: map[string]bool{},
 	}
 }
 
@@ -229,7 +229,7 @@
 		delete(h.jobs.unwritten, rec.ID)
 	}
 	if rec.State != "" {
-		h.jobs.ends[rec.ID] = true
+		h.jobs.writtenEnds[rec.ID] = true
 	}
 	h.mu.Unlock()
 	if rec.State != "" {
@@ -271,7 +271,7 @@
 	defer h.mu.Unlock()
 	_, ended := h.jobs.log.End(id)
 	_, owed := h.jobs.unwritten[id]
-	return h.jobs.ends[id] || ended && !owed && h.jobs.log.Written(id)
+	return h.jobs.writtenEnds[id] || ended && !owed && h.jobs.log.Written(id)
 }
 
 // followJobs folds the log of jobs until the host ends.
@@ -346,7 +346,7 @@
 
 // tidy forgets marks of ended jobs that the folded log tells as well.
 func (k *keeper) tidy() {
-	for _, marks := range []map[string]bool{k.ends, k.shared} {
+	for _, marks := range []map[string]bool{k.writtenEnds, k.shared} {
 		for id := range marks {
 			_, ended := k.log.End(id)
 			_, owed := k.unwritten[id]
