--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -252,7 +252,7 @@
 		return r
 	}
 	h.mu.Lock()
-	kept := r.Status.Ran && h.jobs.shared[id]
+	kept := r.Status.Ran && h.jobs.sharedEnds[id]
 	h.mu.Unlock()
 	if !kept && !h.done(id) && state == "cancelled" {
 		r.Status.State = "stopping"
--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -52,15 +52,15 @@
 	sendMu sync.Mutex
 	// unwritten are records that the log could not take yet, by id.
 	unwritten map[string]joblog.Record
-	// writtenEnds are jobs of this host whose end is in the log, shared those whose
+	// writtenEnds are jobs of this host whose end is in the log, sharedEnds those whose
 	// end a second host remembers.
-	writtenEnds, shared map[string]bool
+	writtenEnds, sharedEnds map[string]bool
 }
 
 func newKeeper() *keeper {
 	return &keeper{
 		log: joblog.New(), queue: make(chan pendingRecord), appendSlots: semaphore.NewWeighted(4), accepting: map[string]bool{},
-		outgoing: map[string]*outgoingJob{}, unwritten: map[string]joblog.Record{}, writtenEnds: map[string]bool{}, shared: map[string]bool{},
+		outgoing: map[string]*outgoingJob{}, unwritten: map[string]joblog.Record{}, writtenEnds: map[string]bool{}, sharedEnds: map[string]bool{},
 	}
 }
 
@@ -244,7 +244,7 @@
 	h.store(joblog.Record{ID: end.ID, State: end.State, Ran: ran, Reason: end.Reason}, func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.jobs.shared[end.ID] = true
+		h.jobs.sharedEnds[end.ID] = true
 	})
 }
 
@@ -346,7 +346,7 @@
 
 // tidy forgets marks of ended jobs that the folded log tells as well.
 func (k *keeper) tidy() {
-	for _, marks := range []map[string]bool{k.writtenEnds, k.shared} {
+	for _, marks := range []map[string]bool{k.writtenEnds, k.sharedEnds} {
 		for id := range marks {
 			_, ended := k.log.End(id)
 			_, owed := k.unwritten[id]
