--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -57,7 +57,7 @@
 	writtenEnds, sharedEnds map[string]bool
 }
 
-func newKeeper() *keeper {
+func newJobStore() *keeper {
 	return &keeper{
 		log: joblog.New(), queue: make(chan pendingRecord), appendSlots: semaphore.NewWeighted(4), accepting: map[string]bool{},
 		outgoing: map[string]*outgoingJob{}, unwritten: map[string]joblog.Record{}, writtenEnds: map[string]bool{}, sharedEnds: map[string]bool{},
