--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -85,7 +85,7 @@
 	listTag      string
 	listChanged  chan struct{}
 	listNotified atomic.Bool
-	jobs         *keeper
+	jobs         *jobStore
 
 	ctx      context.Context
 	cancel   context.CancelFunc
--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -33,8 +33,8 @@
 	done chan error
 }
 
-// keeper holds what this host's jobs need to outlive it.
-type keeper struct {
+// jobStore holds what this host's jobs need to outlive it.
+type jobStore struct {
 	log         *joblog.Log
 	queue       chan pendingRecord
 	appendSlots *semaphore.Weighted
@@ -57,8 +57,8 @@
 	writtenEnds, sharedEnds map[string]bool
 }
 
-func newJobStore() *keeper {
-	return &keeper{
+func newJobStore() *jobStore {
+	return &jobStore{
 		log: joblog.New(), queue: make(chan pendingRecord), appendSlots: semaphore.NewWeighted(4), accepting: map[string]bool{},
 		outgoing: map[string]*outgoingJob{}, unwritten: map[string]joblog.Record{}, writtenEnds: map[string]bool{}, sharedEnds: map[string]bool{},
 	}
@@ -345,7 +345,7 @@
 }
 
 // tidy forgets marks of ended jobs that the folded log tells as well.
-func (k *keeper) tidy() {
+func (k *jobStore) tidy() {
 	for _, marks := range []map[string]bool{k.writtenEnds, k.sharedEnds} {
 		for id := range marks {
 			_, ended := k.log.End(id)
