--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -71,7 +71,7 @@
 		case <-h.ctx.Done():
 			return
 		case first := <-h.jobs.queue:
-			batch := h.gather(first)
+			batch := h.gatherBatch(first)
 			if h.jobs.appendSlots.Acquire(h.ctx, 1) != nil {
 				return
 			}
@@ -83,7 +83,7 @@
 	}
 }
 
-func (h *Host) gather(first pendingRecord) []pendingRecord {
+func (h *Host) gatherBatch(first pendingRecord) []pendingRecord {
 	batch := []pendingRecord{first}
 	end := time.After(batchWindow)
 	for len(batch) < maxBatch {
