--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -115,9 +115,9 @@
 	}
 }
 
-// write appends one record. The error is a platform.NotWrittenError if nothing
+// writeRecord appends one record. The error is a platform.NotWrittenError if nothing
 // was written, else the record may be in the log.
-func (h *Host) write(ctx context.Context, rec joblog.Record) error {
+func (h *Host) writeRecord(ctx context.Context, rec joblog.Record) error {
 	p := pendingRecord{rec: rec, done: make(chan error, 1)}
 	select {
 	case h.jobs.queue <- p:
@@ -137,7 +137,7 @@
 // platform.NotWrittenError tells that the job may be kept.
 func (h *Host) keep(ctx context.Context, spec job.Spec) (string, error) {
 	rec := joblog.Record{ID: spec.ID, Spec: &spec}
-	err := h.write(ctx, rec)
+	err := h.writeRecord(ctx, rec)
 	if err == nil {
 		h.remember(rec)
 		return "log", nil
@@ -255,7 +255,7 @@
 	h.wg.Go(func() {
 		ctx, cancel := context.WithTimeout(h.ctx, 2*keepTimeout)
 		defer cancel()
-		if h.write(ctx, rec) == nil {
+		if h.writeRecord(ctx, rec) == nil {
 			h.paid(rec)
 			return
 		}
