--- a/internal/host/export_test.go
+++ b/internal/host/export_test.go
@@ -43,7 +43,7 @@
 
 // KeepJob keeps a job where a second host can find it.
 func (h *Host) KeepJob(ctx context.Context, id string) error {
-	_, err := h.keep(ctx, job.Spec{ID: id})
+	_, err := h.keepJob(ctx, job.Spec{ID: id})
 	return err
 }
 
--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -307,7 +307,7 @@
 		return peer.UnsureJob(http.StatusGatewayTimeout, spec.ID, "job is being accepted by another request")
 	}
 	defer h.endAccepting(spec.ID)
-	kept, err := h.keep(ctx, spec)
+	kept, err := h.keepJob(ctx, spec)
 	var not *platform.NotWrittenError
 	switch {
 	case errors.As(err, &not):
--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -132,10 +132,10 @@
 	}
 }
 
-// keep writes a job to the log; while the log is away a peer remembers it, and
+// keepJob writes a job to the log; while the log is away a peer remembers it, and
 // it is written when the log returns. An error that is not a
 // platform.NotWrittenError tells that the job may be kept.
-func (h *Host) keep(ctx context.Context, spec job.Spec) (string, error) {
+func (h *Host) keepJob(ctx context.Context, spec job.Spec) (string, error) {
 	rec := joblog.Record{ID: spec.ID, Spec: &spec}
 	err := h.writeRecord(ctx, rec)
 	if err == nil {
