--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -142,7 +142,7 @@
 		h.remember(rec)
 		return "log", nil
 	}
-	told, silent := h.tellPeer(ctx, rec)
+	told, silent := h.askPeerToKeep(ctx, rec)
 	switch {
 	case told:
 		h.owe(rec)
@@ -155,9 +155,9 @@
 	}
 }
 
-// tellPeer asks live peers of the domain in turn to remember a record. If none said that it
+// askPeerToKeep asks live peers of the domain in turn to remember a record. If none said that it
 // does, silent is of one that may all the same: its answer did not come.
-func (h *Host) tellPeer(ctx context.Context, rec joblog.Record) (told bool, silent *peer.SilentError) {
+func (h *Host) askPeerToKeep(ctx context.Context, rec joblog.Record) (told bool, silent *peer.SilentError) {
 	for _, name := range h.domainPeers() {
 		pctx, cancel := context.WithTimeout(ctx, keepTimeout)
 		err := h.peers.Ask(pctx, name, peer.Keep{Record: rec}, nil)
@@ -259,7 +259,7 @@
 			h.paid(rec)
 			return
 		}
-		if told, _ := h.tellPeer(ctx, rec); told {
+		if told, _ := h.askPeerToKeep(ctx, rec); told {
 			shared()
 		}
 	})
