--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -139,7 +139,7 @@
 	rec := joblog.Record{ID: spec.ID, Spec: &spec}
 	err := h.writeRecord(ctx, rec)
 	if err == nil {
-		h.remember(rec)
+		h.rememberRecord(rec)
 		return "log", nil
 	}
 	told, silent := h.askPeerToKeep(ctx, rec)
@@ -182,7 +182,7 @@
 	return peers
 }
 
-func (h *Host) remember(rec joblog.Record) {
+func (h *Host) rememberRecord(rec joblog.Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.jobs.log.Remember(rec)
--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -130,7 +130,7 @@
 		return
 	}
 	for _, rec := range reply.Records {
-		h.remember(rec)
+		h.rememberRecord(rec)
 	}
 	c := lead.InventoryReply{Leads: reply.Leads, Waits: reply.Waits, Incarnations: reply.Lives}
 	for _, w := range reply.Workers {
