--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -392,7 +392,7 @@
 		h.relay.CloseKeys(m.All)
 		return struct{}{}, nil
 	case peer.Keep:
-		h.owe(m.Record)
+		h.addUnwritten(m.Record)
 		return struct{}{}, nil
 	case peer.Census:
 		return h.census(m), nil
--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -145,7 +145,7 @@
 	told, silent := h.askPeerToKeep(ctx, rec)
 	switch {
 	case told:
-		h.owe(rec)
+		h.addUnwritten(rec)
 		return "peers", nil
 	case silent != nil:
 		// That peer may write the job to the log later: told as not run, it would run.
@@ -188,8 +188,8 @@
 	h.jobs.log.Remember(rec)
 }
 
-// owe notes a record that has to be written when the log returns.
-func (h *Host) owe(rec joblog.Record) {
+// addUnwritten notes a record that has to be written when the log returns.
+func (h *Host) addUnwritten(rec joblog.Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.jobs.log.Remember(rec)
@@ -251,7 +251,7 @@
 // store writes a record without waiting for it. If the log does not take it but a peer remembers
 // it, shared is called.
 func (h *Host) store(rec joblog.Record, shared func()) {
-	h.owe(rec)
+	h.addUnwritten(rec)
 	h.wg.Go(func() {
 		ctx, cancel := context.WithTimeout(h.ctx, 2*keepTimeout)
 		defer cancel()
@@ -339,7 +339,7 @@
 	}
 	for _, s := range old {
 		if h.leader.HasJob(s.ID) {
-			h.owe(joblog.Record{ID: s.ID, Spec: &s, Lives: h.crashCounts(s.ID)})
+			h.addUnwritten(joblog.Record{ID: s.ID, Spec: &s, Lives: h.crashCounts(s.ID)})
 		}
 	}
 }
