--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -196,9 +196,9 @@
 	h.jobs.unwritten[rec.ID] = rec.Merged(h.jobs.unwritten[rec.ID])
 }
 
-// payOwed writes what the log could not take. Records that were written
+// writeUnwritten writes what the log could not take. Records that were written
 // already are harmless: the fold is idempotent.
-func (h *Host) payOwed() {
+func (h *Host) writeUnwritten() {
 	h.mu.Lock()
 	owed := make([]joblog.Record, 0, maxBatch)
 	for _, rec := range h.jobs.unwritten {
--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -107,7 +107,7 @@
 	owed := len(h.jobs.unwritten)
 	h.mu.Unlock()
 	if owed > 0 {
-		h.payOwed()
+		h.writeUnwritten()
 	}
 }
 
