--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -218,12 +218,12 @@
 		return
 	}
 	for _, rec := range owed {
-		h.paid(rec)
+		h.recordWritten(rec)
 	}
 }
 
-// paid notes that a record is in the log.
-func (h *Host) paid(rec joblog.Record) {
+// recordWritten notes that a record is in the log.
+func (h *Host) recordWritten(rec joblog.Record) {
 	h.mu.Lock()
 	if rec.Covers(h.jobs.unwritten[rec.ID]) {
 		delete(h.jobs.unwritten, rec.ID)
@@ -256,7 +256,7 @@
 		ctx, cancel := context.WithTimeout(h.ctx, 2*keepTimeout)
 		defer cancel()
 		if h.writeRecord(ctx, rec) == nil {
-			h.paid(rec)
+			h.recordWritten(rec)
 			return
 		}
 		if told, _ := h.askPeerToKeep(ctx, rec); told {
@@ -323,7 +323,7 @@
 	// A log that answers later than an append is waited for has stored it all the same. Written
 	// again and again, it was owed for ever, and callers were told "unknown" of what did not run.
 	for _, rec := range stored {
-		h.paid(rec)
+		h.recordWritten(rec)
 	}
 	h.mu.Lock()
 	h.jobs.tidy()
