--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -238,9 +238,9 @@
 	h.ackCrashes(rec)
 }
 
-// ended keeps the end of a job. Workers may forget its tasks when it is in the
+// storeEnd keeps the end of a job. Workers may forget its tasks when it is in the
 // log; until then their lists tell a successor that they ran.
-func (h *Host) ended(end job.Ended, ran bool) {
+func (h *Host) storeEnd(end job.Ended, ran bool) {
 	h.store(joblog.Record{ID: end.ID, State: end.State, Ran: ran, Reason: end.Reason}, func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
