--- a/internal/host/crash.go
+++ b/internal/host/crash.go
@@ -9,7 +9,7 @@
 // peer. The lead does not start the task again before.
 func (h *Host) storeCrashes(spec job.Spec, task string, lives int64) {
 	rec := joblog.Record{ID: spec.ID, Spec: &spec, Lives: map[string]int64{task: lives}}
-	h.store(rec, func() { h.ackCrashes(rec) })
+	h.storeRecord(rec, func() { h.ackCrashes(rec) })
 }
 
 // ackCrashes tells the lead which lives are stored.
--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -241,16 +241,16 @@
 // storeEnd keeps the end of a job. Workers may forget its tasks when it is in the
 // log; until then their lists tell a successor that they ran.
 func (h *Host) storeEnd(end job.Ended, ran bool) {
-	h.store(joblog.Record{ID: end.ID, State: end.State, Ran: ran, Reason: end.Reason}, func() {
+	h.storeRecord(joblog.Record{ID: end.ID, State: end.State, Ran: ran, Reason: end.Reason}, func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		h.jobs.sharedEnds[end.ID] = true
 	})
 }
 
-// store writes a record without waiting for it. If the log does not take it but a peer remembers
+// storeRecord writes a record without waiting for it. If the log does not take it but a peer remembers
 // it, shared is called.
-func (h *Host) store(rec joblog.Record, shared func()) {
+func (h *Host) storeRecord(rec joblog.Record, shared func()) {
 	h.addUnwritten(rec)
 	h.wg.Go(func() {
 		ctx, cancel := context.WithTimeout(h.ctx, 2*keepTimeout)
