--- a/internal/host/ended.go
+++ b/internal/host/ended.go
@@ -14,7 +14,7 @@
 // jobStatus asks the lead, which knows most of a job. If the log has the job's end, that is told
 // when the lead does not answer soon.
 func (h *Host) jobStatus(ctx context.Context, id string) peer.JobReply {
-	if !h.done(id) {
+	if !h.endLogged(id) {
 		return h.askLeader(ctx, id, peer.AskJob{ID: id})
 	}
 	ctx, cancel := context.WithTimeout(ctx, endedJobTimeout)
--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -254,7 +254,7 @@
 	h.mu.Lock()
 	kept := r.Status.Ran && h.jobs.sharedEnds[id]
 	h.mu.Unlock()
-	if !kept && !h.done(id) && state == "cancelled" {
+	if !kept && !h.endLogged(id) && state == "cancelled" {
 		r.Status.State = "stopping"
 	}
 	return r
--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -265,8 +265,8 @@
 	})
 }
 
-// done tells whether a job's end is in the log.
-func (h *Host) done(id string) bool {
+// endLogged tells whether a job's end is in the log.
+func (h *Host) endLogged(id string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_, ended := h.jobs.log.End(id)
