--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -297,12 +297,12 @@
 			continue
 		}
 		h.foldJobs(page, asked)
-		wait = h.jobsWait()
+		wait = h.jobLogWait()
 	}
 }
 
-// jobsWait makes the log answer at once while a census waits for it.
-func (h *Host) jobsWait() time.Duration {
+// jobLogWait makes the log answer at once while a census waits for it.
+func (h *Host) jobLogWait() time.Duration {
 	if len(h.leader.AwaitingInventory()) > 0 {
 		return readPause
 	}
