--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -326,7 +326,7 @@
 		h.recordWritten(rec)
 	}
 	h.mu.Lock()
-	h.jobs.tidy()
+	h.jobs.dropWrittenEnds()
 	whole := h.jobs.log.Next() >= page.Next
 	old := h.jobs.log.Old(page.Oldest + (page.Next-page.Oldest)/renewFraction)
 	h.mu.Unlock()
@@ -344,8 +344,8 @@
 	}
 }
 
-// tidy forgets marks of ended jobs that the folded log tells as well.
-func (k *jobStore) tidy() {
+// dropWrittenEnds forgets marks of ended jobs that the folded log tells as well.
+func (k *jobStore) dropWrittenEnds() {
 	for _, marks := range []map[string]bool{k.writtenEnds, k.sharedEnds} {
 		for id := range marks {
 			_, ended := k.log.End(id)
