--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -72,7 +72,7 @@
 // name: with it would go all that is known of them, and they would have to wait
 // for a census.
 func (h *Host) nextLeader(id string) string {
-	name := h.leadOf(id)
+	name := h.leaderOf(id)
 	if h.Ready() || name != "" && name != h.cfg.Name {
 		return name
 	}
--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -357,8 +357,8 @@
 	}
 }
 
-// leadOf is the live host that leads a job's rack, as this host sees it.
-func (h *Host) leadOf(id string) string {
+// leaderOf is the live host that leads a job's rack, as this host sees it.
+func (h *Host) leaderOf(id string) string {
 	home, err := cell.ParseHome(id)
 	if err != nil {
 		return ""
--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -59,7 +59,7 @@
 		if err != nil || home.Domain != h.cfg.Domain {
 			continue
 		}
-		if h.leadOf(s.ID) == h.cfg.Name && !h.busy(s.ID) {
+		if h.leaderOf(s.ID) == h.cfg.Name && !h.busy(s.ID) {
 			mine = append(mine, s)
 		}
 	}
@@ -68,7 +68,7 @@
 		h.mu.Lock()
 		_, ended := h.jobs.log.End(id)
 		h.mu.Unlock()
-		if ended || h.leadOf(id) != h.cfg.Name {
+		if ended || h.leaderOf(id) != h.cfg.Name {
 			h.leader.ForgetInherited(id)
 		}
 	}
