--- a/internal/host/list.go
+++ b/internal/host/list.go
@@ -13,10 +13,10 @@
 // How often the host list is read. One host of each failure domain reads it
 // often and tells the others when it has changed; they read it seldom, for when
 // that host is gone or cannot reach them. A leaving backend server is so seen
-// within listOften, and within SilentAfter more when the reader has just died.
+// within listReaderInterval, and within SilentAfter more when the reader has just died.
 const (
-	listOften  = time.Second
-	listSeldom = 10 * time.Second
+	listReaderInterval = time.Second
+	listSeldom         = 10 * time.Second
 )
 
 // readsList tells whether this host is the one that reads the list often.
@@ -35,7 +35,7 @@
 			read = h.clock()
 		}
 		select {
-		case <-time.After(listOften):
+		case <-time.After(listReaderInterval):
 		case <-h.listChanged:
 			h.listNotified.Store(true)
 		case <-h.ctx.Done():
