--- a/internal/host/list.go
+++ b/internal/host/list.go
@@ -16,7 +16,7 @@
 // within listReaderInterval, and within SilentAfter more when the reader has just died.
 const (
 	listReaderInterval = time.Second
-	listSeldom         = 10 * time.Second
+	listOtherInterval  = 10 * time.Second
 )
 
 // readsList tells whether this host is the one that reads the list often.
@@ -30,7 +30,7 @@
 func (h *Host) followList() {
 	read := time.Time{}
 	for h.ctx.Err() == nil {
-		if h.readsList() || h.clock().Sub(read) >= listSeldom || h.listNotified.Swap(false) {
+		if h.readsList() || h.clock().Sub(read) >= listOtherInterval || h.listNotified.Swap(false) {
 			h.refreshList()
 			read = h.clock()
 		}
