--- a/internal/host/list.go
+++ b/internal/host/list.go
@@ -19,8 +19,8 @@
 	listOtherInterval  = 10 * time.Second
 )
 
-// readsList tells whether this host is the one that reads the list often.
-func (h *Host) readsList() bool {
+// isListReader tells whether this host is the one that reads the list often.
+func (h *Host) isListReader() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.members.LiveIn(h.cfg.Domain)[0] == h.cfg.Name
@@ -30,7 +30,7 @@
 func (h *Host) followList() {
 	read := time.Time{}
 	for h.ctx.Err() == nil {
-		if h.readsList() || h.clock().Sub(read) >= listOtherInterval || h.listNotified.Swap(false) {
+		if h.isListReader() || h.clock().Sub(read) >= listOtherInterval || h.listNotified.Swap(false) {
 			h.refreshList()
 			read = h.clock()
 		}
@@ -77,7 +77,7 @@
 	h.memberStep(member.LeavingListed{Leaving: leaving})
 	h.listedShares()
 	h.updateShares()
-	if h.readsList() {
+	if h.isListReader() {
 		h.tellList()
 	}
 }
