--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -38,7 +38,7 @@
 		return h.handleHeartbeat(m.Heartbeat)
 	case peer.Listed:
 		metrics.GetOrRegisterCounter("list.told", h.metrics).Inc(1)
-		h.refreshSoon()
+		h.requestRefresh()
 		return nil, nil
 	case peer.Leave:
 		return h.handleMessage(ctx, m)
--- a/internal/host/list.go
+++ b/internal/host/list.go
@@ -43,9 +43,9 @@
 	}
 }
 
-// refreshSoon has the list read at once; more than one word of it waiting is
+// requestRefresh has the list read at once; more than one word of it waiting is
 // the same word.
-func (h *Host) refreshSoon() {
+func (h *Host) requestRefresh() {
 	select {
 	case h.listChanged <- struct{}{}:
 	default:
