--- a/internal/host/list.go
+++ b/internal/host/list.go
@@ -61,7 +61,7 @@
 		return
 	}
 	if tag == h.listTag && tag != "" {
-		h.listedShares()
+		h.shareListedHosts()
 		return
 	}
 	h.listTag = tag
@@ -75,16 +75,16 @@
 		}
 	}
 	h.memberStep(member.LeavingListed{Leaving: leaving})
-	h.listedShares()
+	h.shareListedHosts()
 	h.updateShares()
 	if h.isListReader() {
 		h.tellList()
 	}
 }
 
-// listedShares tells the slots' core which entry hosts the platform lists now,
+// shareListedHosts tells the slots' core which entry hosts the platform lists now,
 // changed or not: a share is given up by what is listed, not by what changed.
-func (h *Host) listedShares() {
+func (h *Host) shareListedHosts() {
 	h.mu.Lock()
 	names := entryHosts(h.machines, h.cfg.Domain)
 	h.mu.Unlock()
