--- a/internal/host/list.go
+++ b/internal/host/list.go
@@ -78,7 +78,7 @@
 	h.shareListedHosts()
 	h.updateShares()
 	if h.isListReader() {
-		h.tellList()
+		h.notifyListChanged()
 	}
 }
 
@@ -91,7 +91,7 @@
 	h.shareStep(share.HostsListed{Names: names})
 }
 
-func (h *Host) tellList() {
+func (h *Host) notifyListChanged() {
 	near, _ := h.peersByDomain()
 	for _, name := range near {
 		h.wg.Go(func() {
