--- a/internal/host/read.go
+++ b/internal/host/read.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// answerLeast is how much later than asked for an answer of the log may come before the
+	// overdueAfter is how much later than asked for an answer of the log may come before the
 	// read is made again, readAgain how often that is done.
-	answerLeast = 500 * time.Millisecond
-	readAgain   = time.Second
+	overdueAfter = 500 * time.Millisecond
+	readAgain    = time.Second
 	// answerMost bounds the first of these reads: a log that is slow for hours is still read.
 	answerMost = 30 * time.Second
 )
@@ -44,7 +44,7 @@
 	}
 	h.wg.Go(func() { read(ctx, wait) })
 	sent, late := h.clock(), 0
-	overdue := time.NewTimer(wait + answerLeast)
+	overdue := time.NewTimer(wait + overdueAfter)
 	defer overdue.Stop()
 	for {
 		select {
