--- a/internal/host/read.go
+++ b/internal/host/read.go
@@ -11,8 +11,8 @@
 const (
 	// overdueAfter is how much later than asked for an answer of the log may come before the
 	// read is made again, readAgain how often that is done.
-	overdueAfter = 500 * time.Millisecond
-	readAgain    = time.Second
+	overdueAfter   = 500 * time.Millisecond
+	rereadInterval = time.Second
 	// answerMost bounds the first of these reads: a log that is slow for hours is still read.
 	answerMost = 30 * time.Second
 )
@@ -61,11 +61,11 @@
 			h.startTableCopy()
 			h.wg.Go(func() {
 				// One is under way when the next is sent, for answers that take that long.
-				ctx, cancel := context.WithTimeout(ctx, 2*readAgain)
+				ctx, cancel := context.WithTimeout(ctx, 2*rereadInterval)
 				defer cancel()
 				read(ctx, 0)
 			})
-			overdue.Reset(readAgain)
+			overdue.Reset(rereadInterval)
 		case <-ctx.Done():
 			return platform.Page{}, &platform.DownError{Reason: ctx.Err().Error()}
 		}
