--- a/internal/host/read.go
+++ b/internal/host/read.go
@@ -13,8 +13,8 @@
 	// read is made again, readAgain how often that is done.
 	overdueAfter   = 500 * time.Millisecond
 	rereadInterval = time.Second
-	// answerMost bounds the first of these reads: a log that is slow for hours is still read.
-	answerMost = 30 * time.Second
+	// maxAnswerDelay bounds the first of these reads: a log that is slow for hours is still read.
+	maxAnswerDelay = 30 * time.Second
 )
 
 type pageRead struct {
@@ -29,7 +29,7 @@
 // silence had been. So a read without an answer is made again, while the first is waited for in
 // case the log is only slow, and peers are asked for what they have read.
 func (h *Host) page(from int64, wait time.Duration) (platform.Page, error) {
-	ctx, cancel := context.WithTimeout(h.ctx, wait+answerMost)
+	ctx, cancel := context.WithTimeout(h.ctx, wait+maxAnswerDelay)
 	defer cancel()
 	got := make(chan pageRead)
 	read := func(ctx context.Context, wait time.Duration) {
