--- a/internal/host/read.go
+++ b/internal/host/read.go
@@ -17,7 +17,7 @@
 	maxAnswerDelay = 30 * time.Second
 )
 
-type pageRead struct {
+type pageResult struct {
 	page platform.Page
 	err  error
 }
@@ -31,14 +31,14 @@
 func (h *Host) page(from int64, wait time.Duration) (platform.Page, error) {
 	ctx, cancel := context.WithTimeout(h.ctx, wait+maxAnswerDelay)
 	defer cancel()
-	got := make(chan pageRead)
+	got := make(chan pageResult)
 	read := func(ctx context.Context, wait time.Duration) {
 		page, err := h.platform.Read(ctx, table.Stream, from, wait)
 		if ctx.Err() != nil {
 			return
 		}
 		select {
-		case got <- pageRead{page, err}:
+		case got <- pageResult{page, err}:
 		case <-ctx.Done():
 		}
 	}
