--- a/internal/host/routes.go
+++ b/internal/host/routes.go
@@ -30,9 +30,9 @@
 	return h.count(r)
 }
 
-// elsewhere tells why a row's work is not taken in this failure domain, empty
+// refusalReason tells why a row's work is not taken in this failure domain, empty
 // if it is. A row that is confined to some domains may need what only they have.
-func (h *Host) elsewhere(name string) string {
+func (h *Host) refusalReason(name string) string {
 	row, _ := h.Row(name)
 	if row.Serves(h.cfg.Domain) {
 		return ""
@@ -41,14 +41,14 @@
 }
 
 func (h *Host) doHere(ctx context.Context, req call.Request) call.Reply {
-	if reason := h.elsewhere(req.Row); reason != "" {
+	if reason := h.refusalReason(req.Row); reason != "" {
 		return call.Refuse(http.StatusMisdirectedRequest, reason, 0)
 	}
 	return h.relay.Do(ctx, req)
 }
 
 func (h *Host) submitHere(ctx context.Context, j caller.Job) peer.JobReply {
-	if reason := h.elsewhere(j.Row); reason != "" {
+	if reason := h.refusalReason(j.Row); reason != "" {
 		return peer.RefuseJob(http.StatusMisdirectedRequest, reason)
 	}
 	return h.submit(ctx, j)
