--- a/internal/host/routes.go
+++ b/internal/host/routes.go
@@ -23,7 +23,7 @@
 	r.Group(func(r chi.Router) {
 		r.Use(h.admit)
 		caller.New(caller.Deps{
-			Row: h.Row, Do: h.doHere, Submit: h.submitHere, Job: h.jobStatus, Cancel: h.cancelJob, Trail: h.explain,
+			Row: h.Row, Do: h.doIfServed, Submit: h.submitHere, Job: h.jobStatus, Cancel: h.cancelJob, Trail: h.explain,
 			Body: h.cfg.Limits.Body, Deadline: h.cfg.Limits.Deadline, Clock: h.clock,
 		}).Routes(r)
 	})
@@ -40,7 +40,7 @@
 	return "row " + name + " runs only in " + strings.Join(row.Domains, ", ")
 }
 
-func (h *Host) doHere(ctx context.Context, req call.Request) call.Reply {
+func (h *Host) doIfServed(ctx context.Context, req call.Request) call.Reply {
 	if reason := h.refusalReason(req.Row); reason != "" {
 		return call.Refuse(http.StatusMisdirectedRequest, reason, 0)
 	}
