--- a/internal/host/routes.go
+++ b/internal/host/routes.go
@@ -23,7 +23,7 @@
 	r.Group(func(r chi.Router) {
 		r.Use(h.admit)
 		caller.New(caller.Deps{
-			Row: h.Row, Do: h.doIfServed, Submit: h.submitHere, Job: h.jobStatus, Cancel: h.cancelJob, Trail: h.explain,
+			Row: h.Row, Do: h.doIfServed, Submit: h.submitIfServed, Job: h.jobStatus, Cancel: h.cancelJob, Trail: h.explain,
 			Body: h.cfg.Limits.Body, Deadline: h.cfg.Limits.Deadline, Clock: h.clock,
 		}).Routes(r)
 	})
@@ -47,7 +47,7 @@
 	return h.relay.Do(ctx, req)
 }
 
-func (h *Host) submitHere(ctx context.Context, j caller.Job) peer.JobReply {
+func (h *Host) submitIfServed(ctx context.Context, j caller.Job) peer.JobReply {
 	if reason := h.refusalReason(j.Row); reason != "" {
 		return peer.RefuseJob(http.StatusMisdirectedRequest, reason)
 	}
