--- a/internal/host/routes.go
+++ b/internal/host/routes.go
@@ -27,7 +27,7 @@
 			Body: h.cfg.Limits.Body, Deadline: h.cfg.Limits.Deadline, Clock: h.clock,
 		}).Routes(r)
 	})
-	return h.count(r)
+	return h.countRequests(r)
 }
 
 // refusalReason tells why a row's work is not taken in this failure domain, empty
@@ -82,8 +82,8 @@
 	})
 }
 
-// count keeps one counter an outcome and the times of all requests.
-func (h *Host) count(next http.Handler) http.Handler {
+// countRequests keeps one counter an outcome and the times of all requests.
+func (h *Host) countRequests(next http.Handler) http.Handler {
 	times := metrics.GetOrRegisterTimer("caller.time", h.metrics)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		began := h.clock()
