--- a/internal/host/server.go
+++ b/internal/host/server.go
@@ -12,8 +12,8 @@
 // server is one HTTP listener of a host.
 type server struct {
 	*http.Server
-	mu    sync.Mutex
-	fresh map[net.Conn]bool
+	mu     sync.Mutex
+	unused map[net.Conn]bool
 }
 
 // Bounds of a connection from a caller or an operator.
@@ -24,7 +24,7 @@
 )
 
 func (h *Host) serve(ln net.Listener, handler http.Handler) {
-	s := &server{fresh: map[net.Conn]bool{}}
+	s := &server{unused: map[net.Conn]bool{}}
 	s.Server = &http.Server{
 		Handler: handler, ReadHeaderTimeout: headerWait, IdleTimeout: idleWait, MaxHeaderBytes: headerSize,
 		ConnState: s.note, ErrorLog: slog.NewLogLogger(h.log.Handler(), slog.LevelDebug),
@@ -38,10 +38,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if state == http.StateNew {
-		s.fresh[conn] = true
+		s.unused[conn] = true
 		return
 	}
-	delete(s.fresh, conn)
+	delete(s.unused, conn)
 }
 
 // stop ends what is in flight. Clients open connections ahead and may never use
@@ -54,7 +54,7 @@
 	defer t.Stop()
 	for {
 		s.mu.Lock()
-		for conn := range s.fresh {
+		for conn := range s.unused {
 			_ = conn.SetReadDeadline(time.Unix(1, 0))
 		}
 		s.mu.Unlock()
