--- a/internal/host/server.go
+++ b/internal/host/server.go
@@ -27,14 +27,14 @@
 	s := &server{unused: map[net.Conn]bool{}}
 	s.Server = &http.Server{
 		Handler: handler, ReadHeaderTimeout: headerWait, IdleTimeout: idleWait, MaxHeaderBytes: headerSize,
-		ConnState: s.note, ErrorLog: slog.NewLogLogger(h.log.Handler(), slog.LevelDebug),
+		ConnState: s.trackState, ErrorLog: slog.NewLogLogger(h.log.Handler(), slog.LevelDebug),
 	}
 	h.servers = append(h.servers, s)
 	h.wg.Go(func() { _ = s.Serve(ln) })
 }
 
-// note remembers connections that have not sent anything yet.
-func (s *server) note(conn net.Conn, state http.ConnState) {
+// trackState remembers connections that have not sent anything yet.
+func (s *server) trackState(conn net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if state == http.StateNew {
