--- a/internal/host/server.go
+++ b/internal/host/server.go
@@ -18,15 +18,15 @@
 
 // Bounds of a connection from a caller or an operator.
 const (
-	headerTimeout = 5 * time.Second
-	idleTimeout   = 2 * time.Minute
-	headerSize    = 32 << 10
+	headerTimeout  = 5 * time.Second
+	idleTimeout    = 2 * time.Minute
+	maxHeaderBytes = 32 << 10
 )
 
 func (h *Host) serve(ln net.Listener, handler http.Handler) {
 	s := &server{unused: map[net.Conn]bool{}}
 	s.Server = &http.Server{
-		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: headerSize,
+		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ConnState: s.trackState, ErrorLog: slog.NewLogLogger(h.log.Handler(), slog.LevelDebug),
 	}
 	h.servers = append(h.servers, s)
