--- a/internal/host/share.go
+++ b/internal/host/share.go
@@ -16,9 +16,9 @@
 	"pollencroft/internal/share"
 )
 
-// shareEvery is how often hosts of a failure domain tell each other which
+// announceCheckInterval is how often hosts of a failure domain tell each other which
 // slots they use; what changes is told at once.
-const shareEvery = 300 * time.Millisecond
+const announceCheckInterval = 300 * time.Millisecond
 
 func newShares(cfg settings.Settings, now time.Time) *share.Shares {
 	var others []string
