--- a/internal/host/cell.go
+++ b/internal/host/cell.go
@@ -35,7 +35,7 @@
 	h.shareMu.Lock()
 	defer h.shareMu.Unlock()
 	// After a pause the share core must see the time before it is asked.
-	h.shareStepHeld(share.Tick{})
+	h.shareStepLocked(share.Tick{})
 	h.applyShares()
 }
 
--- a/internal/host/share.go
+++ b/internal/host/share.go
@@ -44,10 +44,10 @@
 func (h *Host) shareStep(ev share.Event) {
 	h.shareMu.Lock()
 	defer h.shareMu.Unlock()
-	h.shareStepHeld(ev)
+	h.shareStepLocked(ev)
 }
 
-func (h *Host) shareStepHeld(ev share.Event) {
+func (h *Host) shareStepLocked(ev share.Event) {
 	h.mu.Lock()
 	acts := h.shares.Step(h.clock(), ev)
 	awaited := h.shares.AwaitedHosts()
@@ -68,10 +68,10 @@
 	h.shareMu.Lock()
 	defer h.shareMu.Unlock()
 	if h.Ready() && h.relay.Drained() {
-		h.shareStepHeld(share.Drained{})
+		h.shareStepLocked(share.Drained{})
 		return
 	}
-	h.shareStepHeld(share.Tick{})
+	h.shareStepLocked(share.Tick{})
 }
 
 func (h *Host) shareWord() share.Announcement {
