--- a/internal/host/share.go
+++ b/internal/host/share.go
@@ -74,7 +74,7 @@
 	h.shareStepLocked(share.Tick{})
 }
 
-func (h *Host) shareWord() share.Announcement {
+func (h *Host) announcement() share.Announcement {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.shares.Announcement()
@@ -88,7 +88,7 @@
 // repeatShares tells the word on this host's slots again when it has changed or
 // has not been told for a while.
 func (h *Host) repeatShares() {
-	w, leaving, now := h.shareWord(), h.relay.Leaving(), h.clock()
+	w, leaving, now := h.announcement(), h.relay.Leaving(), h.clock()
 	h.mu.Lock()
 	same := reflect.DeepEqual(h.lastAnnouncement, w) && reflect.DeepEqual(h.announcedLeaving, leaving) && slices.Equal(h.announcedLive, h.members.Live())
 	if same && now.Sub(h.announcedAt) < shareRest {
