--- a/internal/host/share.go
+++ b/internal/host/share.go
@@ -80,10 +80,10 @@
 	return h.shares.Announcement()
 }
 
-// shareRest is how often a word is told again that has not changed. A word is
+// announceRepeat is how often a word is told again that has not changed. A word is
 // there to be lost; told at the pace of changes it costs more bytes than all
 // other control of a large failure domain.
-const shareRest = 2 * time.Second
+const announceRepeat = 2 * time.Second
 
 // repeatShares tells the word on this host's slots again when it has changed or
 // has not been told for a while.
@@ -91,7 +91,7 @@
 	w, leaving, now := h.announcement(), h.relay.Leaving(), h.clock()
 	h.mu.Lock()
 	same := reflect.DeepEqual(h.lastAnnouncement, w) && reflect.DeepEqual(h.announcedLeaving, leaving) && slices.Equal(h.announcedLive, h.members.Live())
-	if same && now.Sub(h.announcedAt) < shareRest {
+	if same && now.Sub(h.announcedAt) < announceRepeat {
 		h.mu.Unlock()
 		return
 	}
