--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -181,7 +181,7 @@
 	h.startHeartbeats()
 	h.wg.Go(h.followJobs)
 	h.wg.Go(h.appendJobs)
-	h.runEvery(announceCheckInterval, h.repeatShares)
+	h.runEvery(announceCheckInterval, h.announceShares)
 	h.runEvery(takeoverEvery, h.repair)
 	h.runEvery(tickInterval, h.tick)
 	h.runEvery(settleInterval, h.settleQuotas)
--- a/internal/host/share.go
+++ b/internal/host/share.go
@@ -85,9 +85,9 @@
 // other control of a large failure domain.
 const announceRepeat = 2 * time.Second
 
-// repeatShares tells the word on this host's slots again when it has changed or
+// announceShares tells the word on this host's slots again when it has changed or
 // has not been told for a while.
-func (h *Host) repeatShares() {
+func (h *Host) announceShares() {
 	w, leaving, now := h.announcement(), h.relay.Leaving(), h.clock()
 	h.mu.Lock()
 	same := reflect.DeepEqual(h.lastAnnouncement, w) && reflect.DeepEqual(h.announcedLeaving, leaving) && slices.Equal(h.announcedLive, h.members.Live())
