--- a/internal/host/share.go
+++ b/internal/host/share.go
@@ -59,7 +59,7 @@
 			h.log.Info("share: slots changed.", "awaited", awaited)
 			h.applyShares()
 		case share.SendAnnouncement:
-			h.tellShares(a.Announcement)
+			h.sendAnnouncement(a.Announcement)
 		}
 	}
 }
@@ -97,12 +97,12 @@
 	}
 	h.lastAnnouncement, h.announcedLeaving, h.announcedLive, h.announcedAt = w, leaving, h.members.Live(), now
 	h.mu.Unlock()
-	h.tellShares(w)
+	h.sendAnnouncement(w)
 }
 
-// tellShares tells the hosts of this failure domain; a lost word is told again
+// sendAnnouncement tells the hosts of this failure domain; a lost word is told again
 // with the next heartbeat.
-func (h *Host) tellShares(w share.Announcement) {
+func (h *Host) sendAnnouncement(w share.Announcement) {
 	leaving := h.relay.Leaving()
 	for _, p := range h.cfg.Peers {
 		if p.Domain != h.cfg.Domain {
