--- a/internal/host/share.go
+++ b/internal/host/share.go
@@ -116,9 +116,9 @@
 	}
 }
 
-// giveSlots ends a planned stop's use of slots and gives them to their heirs,
+// releaseSlots ends a planned stop's use of slots and gives them to their heirs,
 // which would otherwise wait until the host list shows that this host is gone.
-func (h *Host) giveSlots(ctx context.Context) {
+func (h *Host) releaseSlots(ctx context.Context) {
 	h.shareStep(share.Stopping{})
 	for ctx.Err() == nil && !h.relay.Drained() {
 		h.pause(tickInterval)
--- a/internal/host/stop.go
+++ b/internal/host/stop.go
@@ -110,7 +110,7 @@
 	err := all.Wait()
 	h.relay.Settle()
 	err = errors.CombineErrors(err, h.peerWork.close(ctx))
-	h.giveSlots(ctx)
+	h.releaseSlots(ctx)
 	h.finalHandover(ctx)
 	h.leader.Release()
 	return err
