--- a/internal/host/cell.go
+++ b/internal/host/cell.go
@@ -56,7 +56,7 @@
 		switch {
 		case m.Domain != h.cfg.Domain:
 		case m.Kind == cell.MinionHost && !m.Leaving:
-			servers = append(servers, relay.Server{Name: m.Name, Address: m.Address, Slots: h.slots(m.Name, m.Slots)})
+			servers = append(servers, relay.Server{Name: m.Name, Address: m.Address, Slots: h.usableSlots(m.Name, m.Slots)})
 		case m.Kind == cell.WorkerHost && !m.Leaving && h.leadsWorker(m):
 			workers = append(workers, machine)
 		}
--- a/internal/host/share.go
+++ b/internal/host/share.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// slots is how many of a backend server's slots are this host's.
-func (h *Host) slots(minion string, slots int) int {
+// usableSlots is how many of a backend server's usableSlots are this host's.
+func (h *Host) usableSlots(minion string, slots int) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.shares.UsableSlots(minion, slots)
