--- a/internal/host/share.go
+++ b/internal/host/share.go
@@ -136,9 +136,9 @@
 	return h.shares.UsableSlots(minion, slots)
 }
 
-// part is this host's part of a row's limit, which holds in the whole cell.
+// rowLimitPart is this host's rowLimitPart of a row's limit, which holds in the whole cell.
 // The parts follow from the settings alone and add up to the limit.
-func (h *Host) part(row string, limit int64) int64 {
+func (h *Host) rowLimitPart(row string, limit int64) int64 {
 	names := []string{h.cfg.Name}
 	for _, p := range h.cfg.Peers {
 		names = append(names, p.Name)
