--- a/internal/host/stop.go
+++ b/internal/host/stop.go
@@ -11,10 +11,10 @@
 
 // gate counts work in flight that no HTTP server sees.
 type gate struct {
-	mu     sync.Mutex
-	n      int
-	closed bool
-	empty  chan struct{}
+	mu       sync.Mutex
+	inFlight int
+	closed   bool
+	empty    chan struct{}
 }
 
 func newGate() *gate { return &gate{empty: make(chan struct{})} }
@@ -26,15 +26,15 @@
 	if g.closed {
 		return false
 	}
-	g.n++
+	g.inFlight++
 	return true
 }
 
 func (g *gate) leave() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.n--
-	if g.closed && g.n == 0 {
+	g.inFlight--
+	if g.closed && g.inFlight == 0 {
 		close(g.empty)
 	}
 }
@@ -42,7 +42,7 @@
 // close takes no more work and waits for what is in flight.
 func (g *gate) close(ctx context.Context) error {
 	g.mu.Lock()
-	if !g.closed && g.n == 0 {
+	if !g.closed && g.inFlight == 0 {
 		close(g.empty)
 	}
 	g.closed = true
