--- a/internal/host/stop.go
+++ b/internal/host/stop.go
@@ -78,7 +78,7 @@
 	// Callers still come until the balancer has seen that this host is not
 	// ready. They are served; refusing their connections would lose them.
 	h.linger(ctx, h.cfg.Limits.Leave-h.clock().Sub(began))
-	err := h.endWork(ctx)
+	err := h.finishWork(ctx)
 	h.transition("empty")
 	h.Kill()
 	if err != nil {
@@ -99,10 +99,10 @@
 	}
 }
 
-// endWork waits for callers' and operators' requests, then for what their keys
+// finishWork waits for callers' and operators' requests, then for what their keys
 // still have to be told, then for the peers' work. Peers come last: they may
 // wait for answers to keys whose requests end here.
-func (h *Host) endWork(ctx context.Context) error {
+func (h *Host) finishWork(ctx context.Context) error {
 	var all errgroup.Group
 	for _, srv := range h.servers {
 		all.Go(func() error { return srv.stop(ctx) })
