--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -282,7 +282,7 @@
 		from := h.jobs.log.Next()
 		h.mu.Unlock()
 		asked := h.clock()
-		ctx, cancel := context.WithTimeout(h.ctx, readWait+time.Second)
+		ctx, cancel := context.WithTimeout(h.ctx, readLongPoll+time.Second)
 		page, err := h.platform.Read(ctx, joblog.Stream, from, wait)
 		cancel()
 		var trimmed *platform.TrimmedError
@@ -306,7 +306,7 @@
 	if len(h.leader.AwaitingInventory()) > 0 {
 		return readPause
 	}
-	return readWait
+	return readLongPoll
 }
 
 func (h *Host) foldJobs(page platform.Page, asked time.Time) {
--- a/internal/host/table.go
+++ b/internal/host/table.go
@@ -13,8 +13,8 @@
 
 // Times of the table's log.
 const (
-	readWait  = 1500 * time.Millisecond
-	readPause = 200 * time.Millisecond
+	readLongPoll = 1500 * time.Millisecond
+	readPause    = 200 * time.Millisecond
 )
 
 // Row returns a row in force and its version, zero for none.
@@ -50,7 +50,7 @@
 			h.pause(readPause)
 			continue
 		}
-		wait = readWait
+		wait = readLongPoll
 	}
 }
 
