--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -293,7 +293,7 @@
 			h.mu.Unlock()
 			continue
 		case err != nil:
-			h.pause(readPause)
+			h.pause(readRetryPause)
 			continue
 		}
 		h.foldJobs(page, asked)
@@ -304,7 +304,7 @@
 // jobLogWait makes the log answer at once while a census waits for it.
 func (h *Host) jobLogWait() time.Duration {
 	if len(h.leader.AwaitingInventory()) > 0 {
-		return readPause
+		return readRetryPause
 	}
 	return readLongPoll
 }
--- a/internal/host/table.go
+++ b/internal/host/table.go
@@ -13,8 +13,8 @@
 
 // Times of the table's log.
 const (
-	readLongPoll = 1500 * time.Millisecond
-	readPause    = 200 * time.Millisecond
+	readLongPoll   = 1500 * time.Millisecond
+	readRetryPause = 200 * time.Millisecond
 )
 
 // Row returns a row in force and its version, zero for none.
@@ -47,7 +47,7 @@
 			h.meter("unread")
 			h.log.Warn("table: log cannot be read.", "err", err)
 			h.startTableCopy()
-			h.pause(readPause)
+			h.pause(readRetryPause)
 			continue
 		}
 		wait = readLongPoll
@@ -76,7 +76,7 @@
 	if page.Next < from {
 		h.meter("stale")
 		h.log.Warn("table: log answer is out of date.", "next", page.Next, "wanted", from)
-		h.pause(readPause)
+		h.pause(readRetryPause)
 	}
 	if err := h.fold(table.Records{Entries: entries(page)}); err != nil {
 		return err
