--- a/internal/host/beat.go
+++ b/internal/host/beat.go
@@ -89,7 +89,7 @@
 			return nil, nil
 		}
 	}
-	h.meter("strangers")
+	h.countTable("strangers")
 	return nil, &peer.RefusedError{Name: h.cfg.Name, Reason: "host " + b.Name + " is not in the settings"}
 }
 
--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -103,7 +103,7 @@
 	differs := b.Next == h.table.Wants() && b.Digest != uint32(h.table.Mark())
 	h.mu.Unlock()
 	if differs {
-		h.meter("differs")
+		h.countTable("differs")
 		h.log.Error("table: peer differs at the same offset.", "peer", b.Name, "next", b.Next)
 	}
 }
@@ -176,7 +176,7 @@
 	if h.wants() <= from {
 		return false
 	}
-	h.meter("copied")
+	h.countTable("copied")
 	h.transition("table")
 	return true
 }
--- a/internal/host/read.go
+++ b/internal/host/read.go
@@ -57,7 +57,7 @@
 			if late++; late == 1 {
 				h.log.Warn("table: log does not answer in time.", "from", from)
 			}
-			h.meter("overdue")
+			h.countTable("overdue")
 			h.startTableCopy()
 			h.wg.Go(func() {
 				// One is under way when the next is sent, for answers that take that long.
--- a/internal/host/table.go
+++ b/internal/host/table.go
@@ -32,7 +32,7 @@
 	return h.table.TeamShare(team, h.cfg.Domain)
 }
 
-func (h *Host) meter(name string) { metrics.GetOrRegisterCounter("table."+name, h.metrics).Inc(1) }
+func (h *Host) countTable(name string) { metrics.GetOrRegisterCounter("table."+name, h.metrics).Inc(1) }
 
 // Count returns one of this host's counters.
 func (h *Host) Count(name string) int64 {
@@ -44,7 +44,7 @@
 	wait := time.Duration(0)
 	for h.ctx.Err() == nil {
 		if err := h.readTable(wait); err != nil {
-			h.meter("unread")
+			h.countTable("unread")
 			h.log.Warn("table: log cannot be read.", "err", err)
 			h.startTableCopy()
 			h.pause(readRetryPause)
@@ -74,7 +74,7 @@
 		return err
 	}
 	if page.Next < from {
-		h.meter("stale")
+		h.countTable("stale")
 		h.log.Warn("table: log answer is out of date.", "next", page.Next, "wanted", from)
 		h.pause(readRetryPause)
 	}
@@ -97,7 +97,7 @@
 
 // readBehind reads all that a trimmed log still has.
 func (h *Host) readBehind(oldest int64) error {
-	h.meter("behind")
+	h.countTable("behind")
 	h.log.Warn("table: log is trimmed, a snapshot is needed.", "wanted", h.wants(), "oldest", oldest)
 	var all []table.Entry
 	for from := oldest; ; {
@@ -142,13 +142,13 @@
 	for _, a := range acts {
 		switch a := a.(type) {
 		case table.Gap:
-			h.meter("gap")
+			h.countTable("gap")
 			err = &MissingError{Want: a.Want}
 		case table.Lost:
-			h.meter("lost")
+			h.countTable("lost")
 			err = &MissingError{Want: a.Want}
 		case table.Restored:
-			h.meter("restored")
+			h.countTable("restored")
 			h.log.Info("table: started from a snapshot.", "next", a.Next)
 		case table.Changed:
 			h.log.Info("table: row is in force.", "row", a.Row.Name, "version", a.Version, "gone", a.Gone)
@@ -175,7 +175,7 @@
 				return
 			}
 		}
-		h.meter("snapshots")
+		h.countTable("snapshots")
 	})
 }
 
