--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -126,7 +126,7 @@
 func (h *Host) copyTable() {
 	ctx, cancel := context.WithTimeout(h.ctx, copyTimeout)
 	defer cancel()
-	from := h.wants()
+	from := h.nextOffset()
 	replies := make(chan peer.RecordsReply)
 	open, asked := 0, map[string]bool{}
 	for {
@@ -173,7 +173,7 @@
 	if err := h.fold(table.Copy{Parts: r.Parts}); err != nil {
 		h.log.Warn("table: peer's copy is not taken.", "err", err)
 	}
-	if h.wants() <= from {
+	if h.nextOffset() <= from {
 		return false
 	}
 	h.countTable("copied")
--- a/internal/host/table.go
+++ b/internal/host/table.go
@@ -64,7 +64,7 @@
 // readTable reads and folds one page. A page that ends before what this host
 // has seen is out of date; the peers' copy helps if they are further on.
 func (h *Host) readTable(wait time.Duration) error {
-	from := h.wants()
+	from := h.nextOffset()
 	page, err := h.page(from, wait)
 	var trimmed *platform.TrimmedError
 	if errors.As(err, &trimmed) {
@@ -89,7 +89,7 @@
 	return nil
 }
 
-func (h *Host) wants() int64 {
+func (h *Host) nextOffset() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.table.Wants()
@@ -98,7 +98,7 @@
 // readBehind reads all that a trimmed log still has.
 func (h *Host) readBehind(oldest int64) error {
 	h.countTable("behind")
-	h.log.Warn("table: log is trimmed, a snapshot is needed.", "wanted", h.wants(), "oldest", oldest)
+	h.log.Warn("table: log is trimmed, a snapshot is needed.", "wanted", h.nextOffset(), "oldest", oldest)
 	var all []table.Entry
 	for from := oldest; ; {
 		page, err := h.page(from, 0)
