--- a/internal/host/table.go
+++ b/internal/host/table.go
@@ -68,7 +68,7 @@
 	page, err := h.page(from, wait)
 	var trimmed *platform.TrimmedError
 	if errors.As(err, &trimmed) {
-		return h.readBehind(trimmed.Oldest)
+		return h.readTrimmedLog(trimmed.Oldest)
 	}
 	if err != nil {
 		return err
@@ -95,8 +95,8 @@
 	return h.table.Wants()
 }
 
-// readBehind reads all that a trimmed log still has.
-func (h *Host) readBehind(oldest int64) error {
+// readTrimmedLog reads all that a trimmed log still has.
+func (h *Host) readTrimmedLog(oldest int64) error {
 	h.countTable("behind")
 	h.log.Warn("table: log is trimmed, a snapshot is needed.", "wanted", h.nextOffset(), "oldest", oldest)
 	var all []table.Entry
