--- a/internal/host/table.go
+++ b/internal/host/table.go
@@ -78,7 +78,7 @@
 		h.log.Warn("table: log answer is out of date.", "next", page.Next, "wanted", from)
 		h.pause(readRetryPause)
 	}
-	if err := h.fold(table.Records{Entries: entries(page)}); err != nil {
+	if err := h.fold(table.Records{Entries: tableEntries(page)}); err != nil {
 		return err
 	}
 	if len(page.Entries) == 0 {
@@ -105,7 +105,7 @@
 		if err != nil {
 			return err
 		}
-		all = append(all, entries(page)...)
+		all = append(all, tableEntries(page)...)
 		if len(page.Entries) == 0 {
 			break
 		}
@@ -118,7 +118,7 @@
 	return nil
 }
 
-func entries(p platform.Page) []table.Entry {
+func tableEntries(p platform.Page) []table.Entry {
 	all := make([]table.Entry, 0, len(p.Entries))
 	for _, e := range p.Entries {
 		all = append(all, table.Entry{Offset: e.Offset, Body: e.Body})
