--- a/internal/host/table.go
+++ b/internal/host/table.go
@@ -85,7 +85,7 @@
 		h.startTableCopy()
 	}
 	h.transition("table")
-	h.save(page.Oldest)
+	h.saveSnapshot(page.Oldest)
 	return nil
 }
 
@@ -157,9 +157,9 @@
 	return err
 }
 
-// save writes a snapshot when the table finds one due. The log may take its
+// saveSnapshot writes a snapshot when the table finds one due. The log may take its
 // time: nobody waits for it.
-func (h *Host) save(oldest int64) {
+func (h *Host) saveSnapshot(oldest int64) {
 	live, rank := h.rank()
 	h.mu.Lock()
 	acts := h.table.Step(h.clock(), table.Tick{Oldest: oldest, Rank: rank})
