--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -221,7 +221,7 @@
 		if err != nil {
 			continue
 		}
-		if err := h.append(body); err != nil {
+		if err := h.appendTable(body); err != nil {
 			h.log.Warn("table: settled share is not written.", "team", s.Team, "err", err)
 		}
 	}
--- a/internal/host/table.go
+++ b/internal/host/table.go
@@ -170,7 +170,7 @@
 	h.log.Info("table: writing a snapshot.", "parts", len(acts), "live", live)
 	h.wg.Go(func() {
 		for _, a := range acts {
-			if err := h.append(a.(table.Append).Body); err != nil {
+			if err := h.appendTable(a.(table.Append).Body); err != nil {
 				h.log.Warn("table: snapshot is not written.", "err", err)
 				return
 			}
@@ -179,7 +179,7 @@
 	})
 }
 
-func (h *Host) append(body []byte) error {
+func (h *Host) appendTable(body []byte) error {
 	ctx, cancel := context.WithTimeout(h.ctx, appendTimeout)
 	defer cancel()
 	_, err := h.platform.Append(ctx, table.Stream, body)
