--- a/internal/host/table.go
+++ b/internal/host/table.go
@@ -160,7 +160,7 @@
 // saveSnapshot writes a snapshot when the table finds one due. The log may take its
 // time: nobody waits for it.
 func (h *Host) saveSnapshot(oldest int64) {
-	live, rank := h.rank()
+	live, rank := h.liveRank()
 	h.mu.Lock()
 	acts := h.table.Step(h.clock(), table.Tick{Oldest: oldest, Rank: rank})
 	h.mu.Unlock()
@@ -186,8 +186,8 @@
 	return err
 }
 
-// rank is this host's place among the live hosts.
-func (h *Host) rank() (live, rank int) {
+// liveRank is this host's place among the live hosts.
+func (h *Host) liveRank() (live, rank int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	names := h.members.Live()
