--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -170,7 +170,7 @@
 	if len(r.Parts) == 0 {
 		return false
 	}
-	if err := h.fold(table.Copy{Parts: r.Parts}); err != nil {
+	if err := h.foldTable(table.Copy{Parts: r.Parts}); err != nil {
 		h.log.Warn("table: peer's copy is not taken.", "err", err)
 	}
 	if h.nextOffset() <= from {
--- a/internal/host/table.go
+++ b/internal/host/table.go
@@ -78,7 +78,7 @@
 		h.log.Warn("table: log answer is out of date.", "next", page.Next, "wanted", from)
 		h.pause(readRetryPause)
 	}
-	if err := h.fold(table.Records{Entries: tableEntries(page)}); err != nil {
+	if err := h.foldTable(table.Records{Entries: tableEntries(page)}); err != nil {
 		return err
 	}
 	if len(page.Entries) == 0 {
@@ -111,7 +111,7 @@
 		}
 		from = all[len(all)-1].Offset + 1
 	}
-	if err := h.fold(table.Behind{Entries: all}); err != nil {
+	if err := h.foldTable(table.Behind{Entries: all}); err != nil {
 		return err
 	}
 	h.transition("table")
@@ -131,8 +131,8 @@
 
 func (e *MissingError) Error() string { return "records are missing" }
 
-// fold steps the table and wakes those who wait for a verdict.
-func (h *Host) fold(ev table.Event) error {
+// foldTable steps the table and wakes those who wait for a verdict.
+func (h *Host) foldTable(ev table.Event) error {
 	h.mu.Lock()
 	acts := h.table.Step(h.clock(), ev)
 	close(h.tableChanged)
