--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -192,7 +192,7 @@
 	defer cancel()
 	for h.outgoingCount() > 0 && ctx.Err() == nil {
 		h.sendOutgoing()
-		h.pause(takeoverEvery / 5)
+		h.pause(repairInterval / 5)
 	}
 }
 
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -124,7 +124,7 @@
 	})
 	h.leader = lead.New(ctx, lead.Deps{
 		Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: job.New(),
-		Takeover:         takeover.New(cfg.Name, takeover.Limits{LongestLease: lease.DefaultLimits.TaskTTL, AskInterval: takeoverEvery}),
+		Takeover:         takeover.New(cfg.Name, takeover.Limits{LongestLease: lease.DefaultLimits.TaskTTL, AskInterval: repairInterval}),
 		RequestInventory: h.askCensus, EndLogged: h.endLogged, StoreEnd: h.storeEnd, StoreCrashes: h.storeCrashes, CrashCounts: h.crashCounts,
 		Workers: worker.New(cfg.Name, now.UnixMilli(), transport(control), clock), Row: h.Row, History: h.history, Clock: clock, Log: log,
 		LimitKey: h.limitKey, Arbiters: h.arbiterWorkers, Shares: h.rowShares, Count: func(name string) { metrics.GetOrRegisterCounter(name, h.metrics).Inc(1) },
@@ -182,7 +182,7 @@
 	h.wg.Go(h.followJobs)
 	h.wg.Go(h.appendJobs)
 	h.runEvery(announceCheckInterval, h.announceShares)
-	h.runEvery(takeoverEvery, h.repair)
+	h.runEvery(repairInterval, h.repair)
 	h.runEvery(tickInterval, h.tick)
 	h.runEvery(settleInterval, h.settleQuotas)
 	h.log.Info("host: started.", "name", h.cfg.Name, "domain", h.cfg.Domain)
--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -14,8 +14,8 @@
 
 // Times of a takeover.
 const (
-	takeoverEvery = 250 * time.Millisecond
-	censusWait    = time.Second
+	repairInterval = 250 * time.Millisecond
+	censusWait     = time.Second
 )
 
 // rackLead is the live host that leads a rack, as this host sees it; empty if
