--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -14,8 +14,8 @@
 
 // Times of a takeover.
 const (
-	repairInterval = 250 * time.Millisecond
-	censusWait     = time.Second
+	repairInterval   = 250 * time.Millisecond
+	inventoryTimeout = time.Second
 )
 
 // rackLead is the live host that leads a rack, as this host sees it; empty if
@@ -122,7 +122,7 @@
 }
 
 func (h *Host) askOne(name string, q lead.InventoryRequest) {
-	ctx, cancel := context.WithTimeout(h.ctx, censusWait)
+	ctx, cancel := context.WithTimeout(h.ctx, inventoryTimeout)
 	defer cancel()
 	var reply peer.CensusReply
 	m := peer.Census{From: h.cfg.Name, Jobs: q.Jobs, Waits: q.Waits, Keys: q.Keys}
