--- a/internal/host/cell.go
+++ b/internal/host/cell.go
@@ -83,5 +83,5 @@
 }
 
 func (h *Host) leadsWorker(m platform.Machine) bool {
-	return h.Ready() && h.rackLead(cell.Home{Domain: m.Domain, Rack: m.Rack}) == h.cfg.Name
+	return h.Ready() && h.rackLeader(cell.Home{Domain: m.Domain, Rack: m.Rack}) == h.cfg.Name
 }
--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -164,7 +164,7 @@
 	if !h.isKnownDomain(home.Domain) {
 		return peer.RefuseJob(http.StatusNotFound, "failure domain "+home.Domain+" is not in the settings")
 	}
-	first := h.rackLead(home)
+	first := h.rackLeader(home)
 	if first == "" {
 		return peer.RefuseJob(http.StatusServiceUnavailable, "no host of failure domain "+home.Domain+" is live")
 	}
--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -368,11 +368,11 @@
 	row, _ := h.table.Row(spec.Row)
 	h.mu.Unlock()
 	if !known || home.Domain != h.cfg.Domain {
-		return h.rackLead(home)
+		return h.rackLeader(home)
 	}
 	if rack := h.limitRack(row); rack != "" {
 		// Its row got a limit after the job: only the lead of that rack may start it.
 		home.Rack = rack
 	}
-	return h.rackLead(home)
+	return h.rackLeader(home)
 }
--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -18,9 +18,9 @@
 	inventoryTimeout = time.Second
 )
 
-// rackLead is the live host that leads a rack, as this host sees it; empty if
+// rackLeader is the live host that leads a rack, as this host sees it; empty if
 // no host of the failure domain is live.
-func (h *Host) rackLead(home cell.Home) string {
+func (h *Host) rackLeader(home cell.Home) string {
 	h.mu.Lock()
 	live := h.members.LiveIn(home.Domain)
 	h.mu.Unlock()
