--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -59,7 +59,7 @@
 		if err != nil || home.Domain != h.cfg.Domain {
 			continue
 		}
-		if h.leaderOf(s.ID) == h.cfg.Name && !h.busy(s.ID) {
+		if h.leaderOf(s.ID) == h.cfg.Name && !h.isBusy(s.ID) {
 			mine = append(mine, s)
 		}
 	}
@@ -74,8 +74,8 @@
 	}
 }
 
-// busy tells whether a job is being accepted here or handed to another host.
-func (h *Host) busy(id string) bool { return len(h.busyOf([]string{id})) > 0 }
+// isBusy tells whether a job is being accepted here or handed to another host.
+func (h *Host) isBusy(id string) bool { return len(h.busyOf([]string{id})) > 0 }
 
 // busyOf are those of some jobs that are being accepted here or handed to another host.
 func (h *Host) busyOf(ids []string) []string {
