--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -75,10 +75,10 @@
 }
 
 // isBusy tells whether a job is being accepted here or handed to another host.
-func (h *Host) isBusy(id string) bool { return len(h.busyOf([]string{id})) > 0 }
+func (h *Host) isBusy(id string) bool { return len(h.busyJobs([]string{id})) > 0 }
 
-// busyOf are those of some jobs that are being accepted here or handed to another host.
-func (h *Host) busyOf(ids []string) []string {
+// busyJobs are those of some jobs that are being accepted here or handed to another host.
+func (h *Host) busyJobs(ids []string) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var busy []string
@@ -150,7 +150,7 @@
 func (h *Host) census(m peer.Census) peer.CensusReply {
 	h.jobs.transferMu.RLock()
 	defer h.jobs.transferMu.RUnlock()
-	busy := h.busyOf(m.Jobs)
+	busy := h.busyJobs(m.Jobs)
 	c := h.leader.Inventory(m.From, lead.InventoryRequest{Jobs: m.Jobs, Waits: m.Waits, Keys: m.Keys})
 	reply := peer.CensusReply{Leads: append(busy, c.Leads...), Waits: c.Waits, Lives: c.Incarnations}
 	for _, v := range c.Workers {
