--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -125,7 +125,7 @@
 	h.leader = lead.New(ctx, lead.Deps{
 		Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: job.New(),
 		Takeover:         takeover.New(cfg.Name, takeover.Limits{LongestLease: lease.DefaultLimits.TaskTTL, AskInterval: repairInterval}),
-		RequestInventory: h.askCensus, EndLogged: h.endLogged, StoreEnd: h.storeEnd, StoreCrashes: h.storeCrashes, CrashCounts: h.crashCounts,
+		RequestInventory: h.requestInventories, EndLogged: h.endLogged, StoreEnd: h.storeEnd, StoreCrashes: h.storeCrashes, CrashCounts: h.crashCounts,
 		Workers: worker.New(cfg.Name, now.UnixMilli(), transport(control), clock), Row: h.Row, History: h.history, Clock: clock, Log: log,
 		LimitKey: h.limitKey, Arbiters: h.arbiterWorkers, Shares: h.rowShares, Count: func(name string) { metrics.GetOrRegisterCounter(name, h.metrics).Inc(1) },
 	})
--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// askCensus asks all live peers of the domain what they hold and lead.
-func (h *Host) askCensus() {
+// requestInventories asks all live peers of the domain what they hold and lead.
+func (h *Host) requestInventories() {
 	h.wg.Go(func() {
 		q := h.leader.InventoryRequest()
 		for _, name := range h.domainPeers() {
