--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -116,12 +116,12 @@
 	h.wg.Go(func() {
 		q := h.leader.InventoryRequest()
 		for _, name := range h.domainPeers() {
-			h.wg.Go(func() { h.askOne(name, q) })
+			h.wg.Go(func() { h.requestInventory(name, q) })
 		}
 	})
 }
 
-func (h *Host) askOne(name string, q lead.InventoryRequest) {
+func (h *Host) requestInventory(name string, q lead.InventoryRequest) {
 	ctx, cancel := context.WithTimeout(h.ctx, inventoryTimeout)
 	defer cancel()
 	var reply peer.CensusReply
