--- a/internal/host/export_test.go
+++ b/internal/host/export_test.go
@@ -56,7 +56,7 @@
 
 // SaysItLeads tells whether a peer that asks hears that this host leads a job.
 func (h *Host) SaysItLeads(id string) bool {
-	return slices.Contains(h.census(peer.Census{From: "h9", Jobs: []string{id}}).Leads, id)
+	return slices.Contains(h.handleInventory(peer.Census{From: "h9", Jobs: []string{id}}).Leads, id)
 }
 
 // Hold keeps the host from answering any question until the returned function is called.
--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -395,7 +395,7 @@
 		h.addUnwritten(m.Record)
 		return struct{}{}, nil
 	case peer.Census:
-		return h.census(m), nil
+		return h.handleInventory(m), nil
 	case peer.Expect:
 		token, err := h.leader.ExpectHandover(m.From)
 		return peer.Expected{Token: token}, err
--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -144,10 +144,10 @@
 	h.leader.HandleInventory(name, q, c)
 }
 
-// census answers a peer's question. Jobs that this host is about to lead, or
+// handleInventory answers a peer's question. Jobs that this host is about to lead, or
 // that are on their way to another lead, count as led. They are looked up first: a
 // job that is accepted meanwhile is led when the lead is asked.
-func (h *Host) census(m peer.Census) peer.CensusReply {
+func (h *Host) handleInventory(m peer.Census) peer.CensusReply {
 	h.jobs.transferMu.RLock()
 	defer h.jobs.transferMu.RUnlock()
 	busy := h.busyJobs(m.Jobs)
