--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -182,7 +182,7 @@
 	h.wg.Go(h.followJobs)
 	h.wg.Go(h.appendJobs)
 	h.runEvery(announceCheckInterval, h.announceShares)
-	h.runEvery(repairInterval, h.repair)
+	h.runEvery(repairInterval, h.repairJobs)
 	h.runEvery(tickInterval, h.tick)
 	h.runEvery(settleInterval, h.settleQuotas)
 	h.log.Info("host: started.", "name", h.cfg.Name, "domain", h.cfg.Domain)
--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -91,12 +91,12 @@
 	return busy
 }
 
-// repair is the regular work on jobs that change their lead.
+// repairJobs is the regular work on jobs that change their lead.
 //
 // A host that becomes ready after it has read the host list shares the workers
 // out anew: the list is not told again while it stays the same, and a host
 // without peers would lead nothing for good.
-func (h *Host) repair() {
+func (h *Host) repairJobs() {
 	if ready := h.Ready(); ready != h.jobs.wasReady {
 		h.jobs.wasReady = ready
 		h.updateShares()
