--- a/internal/host/transport.go
+++ b/internal/host/transport.go
@@ -51,14 +51,14 @@
 	return countedConn{Conn: conn, bytes: c.bytes}, nil
 }
 
-// countedListener counts the bytes of all connections that it accepts.
-type countedListener struct {
+// countingListener counts the bytes of all connections that it accepts.
+type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
 }
 
 // Accept returns the next connection.
-func (l countedListener) Accept() (net.Conn, error) {
+func (l countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -87,7 +87,7 @@
 }
 
 func (h *Host) peerListener(ln net.Listener) net.Listener {
-	ln = h.limitConns(countedListener{ln, &h.peerBytes})
+	ln = h.limitConns(countingListener{ln, &h.peerBytes})
 	if h.keys == nil {
 		return h.plain(ln)
 	}
