--- a/internal/host/transport.go
+++ b/internal/host/transport.go
@@ -23,21 +23,21 @@
 // counted counts the bytes of all connections that it opens.
 type counted struct{ bytes *atomic.Int64 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c countedConn) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
 // NetConn returns the connection inside, as tls.Conn does.
-func (c countedConn) NetConn() net.Conn { return c.Conn }
+func (c countingConn) NetConn() net.Conn { return c.Conn }
 
-func (c countedConn) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
 	return n, err
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return countedConn{Conn: conn, bytes: c.bytes}, nil
+	return countingConn{Conn: conn, bytes: c.bytes}, nil
 }
 
 // countingListener counts the bytes of all connections that it accepts.
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return countedConn{Conn: conn, bytes: l.bytes}, nil
+	return countingConn{Conn: conn, bytes: l.bytes}, nil
 }
 
 // OpenKeys reads the host's keys, if the settings name any. It must be called
@@ -117,7 +117,7 @@
 	if err != nil {
 		return nil, err
 	}
-	counted := countedConn{Conn: conn, bytes: &h.peerBytes}
+	counted := countingConn{Conn: conn, bytes: &h.peerBytes}
 	if h.keys == nil {
 		return counted, nil
 	}
