--- a/internal/host/transport.go
+++ b/internal/host/transport.go
@@ -20,8 +20,8 @@
 // connsPerServer is how many idle connections are kept to one server.
 const connsPerServer = 16
 
-// counted counts the bytes of all connections that it opens.
-type counted struct{ bytes *atomic.Int64 }
+// countingDialer counts the bytes of all connections that it opens.
+type countingDialer struct{ bytes *atomic.Int64 }
 
 type countingConn struct {
 	net.Conn
@@ -43,7 +43,7 @@
 	return n, err
 }
 
-func (c counted) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+func (c countingDialer) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	conn, err := dial.New().DialContext(ctx, network, addr)
 	if err != nil {
 		return nil, err
@@ -141,7 +141,7 @@
 	return &http.Transport{
 		MaxIdleConnsPerHost: connsPerServer,
 		IdleConnTimeout:     30 * time.Second,
-		DialContext:         counted{bytes: bytes}.dial,
+		DialContext:         countingDialer{bytes: bytes}.dial,
 		DisableCompression:  true,
 	}
 }
