--- a/internal/host/transport.go
+++ b/internal/host/transport.go
@@ -89,14 +89,14 @@
 func (h *Host) peerListener(ln net.Listener) net.Listener {
 	ln = h.limitConns(countingListener{ln, &h.peerBytes})
 	if h.keys == nil {
-		return h.plain(ln)
+		return h.plainListener(ln)
 	}
 	return h.keys.FromPeers(ln)
 }
 
-// plain refuses to serve without TLS when the settings ask for it: whoever can
+// plainListener refuses to serve without TLS when the settings ask for it: whoever can
 // reach the port could otherwise speak for any host.
-func (h *Host) plain(ln net.Listener) net.Listener {
+func (h *Host) plainListener(ln net.Listener) net.Listener {
 	if h.cfg.TLS != (settings.TLS{}) {
 		h.log.Error("keys: not opened, nothing is served here.", "address", ln.Addr())
 		_ = ln.Close()
@@ -106,7 +106,7 @@
 
 func (h *Host) operatorListener(ln net.Listener) net.Listener {
 	if h.keys == nil {
-		return h.plain(ln)
+		return h.plainListener(ln)
 	}
 	return tls.NewListener(ln, h.keys.OperatorConfig())
 }
