--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -107,7 +107,7 @@
 	control := new(atomic.Int64)
 	h := &Host{
 		cfg: cfg, controlBytes: control, log: log, clock: clock, incarnation: now.UnixMilli(), startedAt: now, metrics: metrics.NewRegistry(),
-		platform: platform.New(cfg.Platform, transport(control)), peers: peer.NewClients(peerAddresses(cfg)),
+		platform: platform.New(cfg.Platform, newTransport(control)), peers: peer.NewClients(peerAddresses(cfg)),
 		history: trail.New(maxHistoryNotes), table: table.New(), tableChanged: make(chan struct{}), jobs: newJobStore(), listChanged: make(chan struct{}, 1), peerWork: newGate(), budget: &budget{limit: orDefault(cfg.Limits.Memory, settings.DefaultMemory)},
 		ctx: ctx, cancel: cancel, stopped: make(chan struct{}),
 		shares:  newShares(cfg, now),
@@ -126,7 +126,7 @@
 		Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: job.New(),
 		Takeover:         takeover.New(cfg.Name, takeover.Limits{LongestLease: lease.DefaultLimits.TaskTTL, AskInterval: repairInterval}),
 		RequestInventory: h.requestInventories, EndLogged: h.endLogged, StoreEnd: h.storeEnd, StoreCrashes: h.storeCrashes, CrashCounts: h.crashCounts,
-		Workers: worker.New(cfg.Name, now.UnixMilli(), transport(control), clock), Row: h.Row, History: h.history, Clock: clock, Log: log,
+		Workers: worker.New(cfg.Name, now.UnixMilli(), newTransport(control), clock), Row: h.Row, History: h.history, Clock: clock, Log: log,
 		LimitKey: h.limitKey, Arbiters: h.arbiterWorkers, Shares: h.rowShares, Count: func(name string) { metrics.GetOrRegisterCounter(name, h.metrics).Inc(1) },
 	})
 	return h
--- a/internal/host/transport.go
+++ b/internal/host/transport.go
@@ -137,7 +137,7 @@
 // both directions, callers' requests handed over among them.
 func (h *Host) PeerBytes() int64 { return h.peerBytes.Load() }
 
-func transport(bytes *atomic.Int64) *http.Transport {
+func newTransport(bytes *atomic.Int64) *http.Transport {
 	return &http.Transport{
 		MaxIdleConnsPerHost: connsPerServer,
 		IdleConnTimeout:     30 * time.Second,
