--- a/internal/commands/serve.go
+++ b/internal/commands/serve.go
@@ -45,7 +45,7 @@
 	}
 	debug.SetMemoryLimit(memoryLimit)
 	h := host.New(cfg, logger(cfg.Log), time.Now)
-	if err := h.OpenKeys(); err != nil {
+	if err := h.LoadKeys(); err != nil {
 		return err
 	}
 	h.Start(ls)
--- a/internal/host/table_test.go
+++ b/internal/host/table_test.go
@@ -59,7 +59,7 @@
 
 func (c *rig) start(i int) *host.Host {
 	h := host.New(c.all[i], slog.New(slog.DiscardHandler), time.Now)
-	require.NoError(c.t, h.OpenKeys())
+	require.NoError(c.t, h.LoadKeys())
 	h.Start(c.sockets[i])
 	c.t.Cleanup(h.Kill)
 	c.hosts[i] = h
--- a/internal/host/transport.go
+++ b/internal/host/transport.go
@@ -66,9 +66,9 @@
 	return countingConn{Conn: conn, bytes: l.bytes}, nil
 }
 
-// OpenKeys reads the host's keys, if the settings name any. It must be called
+// LoadKeys reads the host's keys, if the settings name any. It must be called
 // before Start; the error is a keys.FileError.
-func (h *Host) OpenKeys() error {
+func (h *Host) LoadKeys() error {
 	if h.cfg.TLS == (settings.TLS{}) {
 		return nil
 	}
