--- a/internal/host/export_test.go
+++ b/internal/host/export_test.go
@@ -19,8 +19,8 @@
 	h.wg.Go(h.followTable)
 }
 
-// Meet has a host answer its peers on ln and reach them through dial.
-func (h *Host) Meet(ln net.Listener, dial func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)) {
+// ConnectPeers has a host answer its peers on ln and reach them through dial.
+func (h *Host) ConnectPeers(ln net.Listener, dial func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)) {
 	h.peers.Through(dial)
 	h.wg.Go(func() { peer.NewServer(h.handlePeer).Serve(h.ctx, ln) })
 }
--- a/internal/host/follow_test.go
+++ b/internal/host/follow_test.go
@@ -146,7 +146,7 @@
 			}
 		}
 		h := host.New(cfg, slog.New(slog.DiscardHandler), time.Now)
-		h.Meet(c.net.Listen(addr(i)), c.net.Dial)
+		h.ConnectPeers(c.net.Listen(addr(i)), c.net.Dial)
 		h.FollowTable(w)
 		c.hosts = append(c.hosts, h)
 	}
--- a/internal/host/keep_test.go
+++ b/internal/host/keep_test.go
@@ -50,7 +50,7 @@
 				}
 				h := host.New(cfg, slog.New(slog.DiscardHandler), time.Now)
 				defer h.Kill()
-				h.Meet(net.Listen(addr(0)), net.Dial)
+				h.ConnectPeers(net.Listen(addr(0)), net.Dial)
 				h.KeepJobs(down{})
 				if tc.answer != nil {
 					ctx, cancel := context.WithCancel(t.Context())
