--- a/internal/host/export_test.go
+++ b/internal/host/export_test.go
@@ -25,8 +25,8 @@
 	h.wg.Go(func() { peer.NewServer(h.handlePeer).Serve(h.ctx, ln) })
 }
 
-// Beat is what the host tells its peers of itself.
-func (h *Host) Beat() member.Heartbeat {
+// Heartbeat is what the host tells its peers of itself.
+func (h *Host) Heartbeat() member.Heartbeat {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return member.Heartbeat{Name: h.cfg.Name, Incarnation: h.incarnation, Next: h.table.Wants(), Digest: uint32(h.table.Mark()), Ack: true}
--- a/internal/host/follow_test.go
+++ b/internal/host/follow_test.go
@@ -159,7 +159,7 @@
 		for i, to := range c.hosts {
 			for j, from := range c.hosts {
 				if i != j {
-					to.Hear(from.Beat())
+					to.Hear(from.Heartbeat())
 				}
 			}
 		}
