--- a/internal/host/export_test.go
+++ b/internal/host/export_test.go
@@ -32,8 +32,8 @@
 	return member.Heartbeat{Name: h.cfg.Name, Incarnation: h.incarnation, Next: h.table.Wants(), Digest: uint32(h.table.Mark()), Ack: true}
 }
 
-// Hear takes a peer's heartbeat.
-func (h *Host) Hear(b member.Heartbeat) { _, _ = h.handleHeartbeat(b) }
+// HandleHeartbeat takes a peer's heartbeat.
+func (h *Host) HandleHeartbeat(b member.Heartbeat) { _, _ = h.handleHeartbeat(b) }
 
 // KeepJobs has a host that is not started write jobs to the log, which rt reaches.
 func (h *Host) KeepJobs(rt http.RoundTripper) {
--- a/internal/host/follow_test.go
+++ b/internal/host/follow_test.go
@@ -159,7 +159,7 @@
 		for i, to := range c.hosts {
 			for j, from := range c.hosts {
 				if i != j {
-					to.Hear(from.Heartbeat())
+					to.HandleHeartbeat(from.Heartbeat())
 				}
 			}
 		}
@@ -170,7 +170,7 @@
 func (c *readers) tellLast() {
 	for _, h := range c.hosts {
 		for _, name := range c.cut {
-			h.Hear(member.Heartbeat{Name: name, Next: 10, Ack: true})
+			h.HandleHeartbeat(member.Heartbeat{Name: name, Next: 10, Ack: true})
 		}
 	}
 }
--- a/internal/host/keep_test.go
+++ b/internal/host/keep_test.go
@@ -58,7 +58,7 @@
 					ln := net.Listen(addr(1))
 					go peer.NewServer(tc.answer).Serve(ctx, ln)
 				}
-				h.Hear(member.Heartbeat{Name: "nord-1", Incarnation: 1, Ack: true})
+				h.HandleHeartbeat(member.Heartbeat{Name: "nord-1", Incarnation: 1, Ack: true})
 				err := h.KeepJob(t.Context(), "nord.r1.1")
 				require.Error(t, err)
 				require.Equal(t, tc.notStored, isNotWritten(err), "%v", err)
