--- a/internal/host/export_test.go
+++ b/internal/host/export_test.go
@@ -47,9 +47,9 @@
 	return err
 }
 
-// GiveTo takes a job off this host's lead and offers it to a peer, as a host does whose rack has
+// HandJobTo takes a job off this host's lead and offers it to a peer, as a host does whose rack has
 // got another lead.
-func (h *Host) GiveTo(to, id string) {
+func (h *Host) HandJobTo(to, id string) {
 	h.stopLeading(to, []string{id})
 	h.sendOutgoing()
 }
--- a/internal/host/handover_test.go
+++ b/internal/host/handover_test.go
@@ -18,7 +18,7 @@
 	go func() {
 		defer close(done)
 		for time.Now().Before(end) {
-			h.GiveTo("h1", s.ID)
+			h.HandJobTo("h1", s.ID)
 		}
 	}()
 	for {
