--- a/internal/host/export_test.go
+++ b/internal/host/export_test.go
@@ -54,8 +54,8 @@
 	h.sendOutgoing()
 }
 
-// SaysItLeads tells whether a peer that asks hears that this host leads a job.
-func (h *Host) SaysItLeads(id string) bool {
+// ReportsLeading tells whether a peer that asks hears that this host leads a job.
+func (h *Host) ReportsLeading(id string) bool {
 	return slices.Contains(h.handleInventory(peer.Census{From: "h9", Jobs: []string{id}}).Leads, id)
 }
 
--- a/internal/host/handover_test.go
+++ b/internal/host/handover_test.go
@@ -22,7 +22,7 @@
 		}
 	}()
 	for {
-		require.True(t, h.SaysItLeads(s.ID))
+		require.True(t, h.ReportsLeading(s.ID))
 		select {
 		case <-done:
 			return
