--- a/internal/host/export_test.go
+++ b/internal/host/export_test.go
@@ -59,8 +59,8 @@
 	return slices.Contains(h.handleInventory(peer.Census{From: "h9", Jobs: []string{id}}).Leads, id)
 }
 
-// Hold keeps the host from answering any question until the returned function is called.
-func (h *Host) Hold() func() {
+// Freeze keeps the host from answering any question until the returned function is called.
+func (h *Host) Freeze() func() {
 	h.mu.Lock()
 	return h.mu.Unlock
 }
--- a/internal/host/told_test.go
+++ b/internal/host/told_test.go
@@ -23,7 +23,7 @@
 	})
 	before, err := asked.Job(context.Background(), id)
 	require.NoError(t, err)
-	release := c.hosts[lead].Hold()
+	release := c.hosts[lead].Freeze()
 	defer release()
 	got, err := asked.Job(context.Background(), id)
 	require.NoError(t, err)
