--- a/internal/host/export_test.go
+++ b/internal/host/export_test.go
@@ -65,8 +65,8 @@
 	return h.mu.Unlock
 }
 
-// KnowsEnd tells whether the host's copy of the log has a job's end.
-func (h *Host) KnowsEnd(id string) bool {
+// HasLoggedEnd tells whether the host's copy of the log has a job's end.
+func (h *Host) HasLoggedEnd(id string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_, ended := h.jobs.log.End(id)
--- a/internal/host/told_test.go
+++ b/internal/host/told_test.go
@@ -15,7 +15,7 @@
 	asked := c.any(lead)
 	c.until("every host knows the end", func() bool {
 		for _, h := range c.hosts {
-			if !h.KnowsEnd(id) {
+			if !h.HasLoggedEnd(id) {
 				return false
 			}
 		}
