--- a/internal/host/admit_test.go
+++ b/internal/host/admit_test.go
@@ -25,7 +25,7 @@
 	c.ready(0)
 	require.NoError(t, c.set(0, "scan", map[string]any{"class": "urgent"}))
 	require.NoError(t, c.set(0, "print", map[string]any{"class": "bulk"}))
-	c.until("slots", func() bool { return served(c, "scan") })
+	c.until("slots", func() bool { return isServed(c, "scan") })
 	addr := c.sockets[0].Caller.Addr().String()
 	var writers []*io.PipeWriter
 	codes := make(chan int, 8)
@@ -48,7 +48,7 @@
 	}
 	c.until("bulk is shed", func() bool { return c.hosts[0].Count("host.shed.bulk") >= 7 })
 	require.LessOrEqual(t, c.hosts[0].InFlight(), int64(1))
-	require.True(t, served(c, "scan"))
+	require.True(t, isServed(c, "scan"))
 	for _, w := range writers {
 		_ = w.CloseWithError(io.ErrUnexpectedEOF)
 	}
@@ -58,7 +58,7 @@
 	c.until("room is given back", func() bool { return c.hosts[0].InFlight() == 0 })
 }
 
-func served(c *rig, row string) bool {
+func isServed(c *rig, row string) bool {
 	reply, err := client.New(at(c.sockets[0].Caller), "", nil).Do(context.Background(),
 		client.Request{Workload: row, Method: "POST", Body: bytes.Repeat([]byte("x"), 100), Deadline: 5 * time.Second})
 	return err == nil && reply.Outcome == client.Done
