--- a/internal/host/admit_test.go
+++ b/internal/host/admit_test.go
@@ -82,7 +82,7 @@
 		conn, err := net.Dial("tcp", c.sockets[0].Caller.Addr().String())
 		require.NoError(t, err)
 		defer conn.Close()
-		_ = conn.SetReadDeadline(time.Now().Add(limit))
+		_ = conn.SetReadDeadline(time.Now().Add(testTimeout))
 		_, err = conn.Read(make([]byte, 1))
 		return err != nil && c.hosts[0].Count("host.conns.refused") > 0
 	})
--- a/internal/host/cluster_test.go
+++ b/internal/host/cluster_test.go
@@ -20,8 +20,8 @@
 	"pollencroft/pkg/client"
 )
 
-// limit bounds how long a test waits for a state; no verdict rests on less.
-const limit = 30 * time.Second
+// testTimeout bounds how long a test waits for a state; no verdict rests on less.
+const testTimeout = 30 * time.Second
 
 // cluster is one failure domain: stand-ins and real hosts in this process.
 type cluster struct {
@@ -114,7 +114,7 @@
 
 func (c *cluster) until(what string, f func() bool) {
 	c.Helper()
-	require.Eventually(c, f, limit, 10*time.Millisecond, what)
+	require.Eventually(c, f, testTimeout, 10*time.Millisecond, what)
 }
 
 // held counts the workers that live hosts hold.
--- a/internal/host/follow_test.go
+++ b/internal/host/follow_test.go
@@ -139,7 +139,7 @@
 	}
 	for i, w := range ways {
 		i += len(cut)
-		cfg := settings.Settings{Name: names[i], Domain: "nord", Limits: settings.Limits{Body: 1 << 20, Queue: 64, Deadline: time.Minute, Drain: limit}}
+		cfg := settings.Settings{Name: names[i], Domain: "nord", Limits: settings.Limits{Body: 1 << 20, Queue: 64, Deadline: time.Minute, Drain: testTimeout}}
 		for j, name := range names {
 			if i != j {
 				cfg.Peers = append(cfg.Peers, settings.Peer{Name: name, Domain: "nord", Address: addr(j)})
--- a/internal/host/keep_test.go
+++ b/internal/host/keep_test.go
@@ -44,7 +44,7 @@
 		t.Run(name, func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
 				var net standin.Pipes
-				cfg := settings.Settings{Name: "nord-0", Domain: "nord", Limits: settings.Limits{Body: 1 << 20, Queue: 64, Deadline: time.Minute, Drain: limit}}
+				cfg := settings.Settings{Name: "nord-0", Domain: "nord", Limits: settings.Limits{Body: 1 << 20, Queue: 64, Deadline: time.Minute, Drain: testTimeout}}
 				for i := 1; i <= 2; i++ {
 					cfg.Peers = append(cfg.Peers, settings.Peer{Name: fmt.Sprint("nord-", i), Domain: "nord", Address: addr(i)})
 				}
--- a/internal/host/share_test.go
+++ b/internal/host/share_test.go
@@ -90,7 +90,7 @@
 			}
 		}
 		return sum["minion-00"] == 8 && sum["minion-01"] == 8
-	}, limit, 20*time.Millisecond, what)
+	}, testTimeout, 20*time.Millisecond, what)
 }
 
 // One host dies and another stops in a planned way. The last one must come to
@@ -101,7 +101,7 @@
 	d.hosts[0].Kill()
 	d.list("h1", "h2")
 	d.share("the others take the dead host's slots", 1, 2)
-	ctx, cancel := context.WithTimeout(t.Context(), limit)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	require.NoError(t, d.hosts[1].Stop(ctx))
 	d.share("the last host gets what the stopped one gave", 2)
@@ -113,7 +113,7 @@
 	require.NoError(d.t, d.operators[0].SetRow(ctx, "scan", "", map[string]any{"class": "urgent"}))
 	var all []*client.Client
 	for i, cfg := range d.cfgs {
-		require.Eventually(d.t, func() bool { _, v := d.hosts[i].Row("scan"); return v > 0 }, limit, 10*time.Millisecond, "row is in force")
+		require.Eventually(d.t, func() bool { _, v := d.hosts[i].Row("scan"); return v > 0 }, testTimeout, 10*time.Millisecond, "row is in force")
 		all = append(all, client.New(cfg.Listen.Caller, "", nil))
 	}
 	return all
@@ -160,8 +160,8 @@
 		require.NoError(t, err)
 		require.Equal(t, client.Done, reply.Outcome, "it is answered by the other minion")
 		return aside(0)
-	}, limit, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 	for i := range callers {
-		require.Eventually(t, func() bool { return aside(i) }, limit, 10*time.Millisecond)
+		require.Eventually(t, func() bool { return aside(i) }, testTimeout, 10*time.Millisecond)
 	}
 }
--- a/internal/host/stop_test.go
+++ b/internal/host/stop_test.go
@@ -52,7 +52,7 @@
 	callers := []*client.Client{client.New(at(c.sockets[0].Caller), "", nil), client.New(at(c.sockets[1].Caller), "", nil)}
 	ask := func(i int, key, cost string) (client.Reply, error) {
 		return callers[i].Do(context.Background(), client.Request{
-			Workload: "scan", Method: "POST", Path: "/x", Key: key, Deadline: limit, Body: []byte("pass"),
+			Workload: "scan", Method: "POST", Path: "/x", Key: key, Deadline: testTimeout, Body: []byte("pass"),
 			Header: http.Header{standin.HeaderCost: {cost}},
 		})
 	}
@@ -91,7 +91,7 @@
 	require.NoError(t, err)
 	defer unused.Close()
 
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	require.NoError(t, c.hosts[0].Stop(ctx))
 	for range 7 {
--- a/internal/host/table_test.go
+++ b/internal/host/table_test.go
@@ -42,7 +42,7 @@
 		c.sockets = append(c.sockets, ls)
 		c.all = append(c.all, settings.Settings{
 			Name: fmt.Sprint("nord-", i), Domain: "nord", Platform: c.addr, Operator: settings.Operator{Token: "secret"},
-			Limits: settings.Limits{Body: 1 << 20, Queue: 64, Deadline: time.Minute, Drain: limit},
+			Limits: settings.Limits{Body: 1 << 20, Queue: 64, Deadline: time.Minute, Drain: testTimeout},
 		})
 	}
 	for i := range c.all {
@@ -76,7 +76,7 @@
 
 func (c *rig) until(what string, f func() bool) {
 	c.t.Helper()
-	require.Eventually(c.t, f, limit, 10*time.Millisecond, what)
+	require.Eventually(c.t, f, testTimeout, 10*time.Millisecond, what)
 }
 
 func (c *rig) ready(i int) { c.t.Helper(); c.until("ready", c.hosts[i].Ready) }
