--- a/internal/host/cluster_test.go
+++ b/internal/host/cluster_test.go
@@ -34,19 +34,19 @@
 	operators []netip.AddrPort
 }
 
-// lines gathers what the hosts of a cluster log.
-type lines struct {
+// logBuffer gathers what the hosts of a cluster log.
+type logBuffer struct {
 	mu  sync.Mutex
 	all strings.Builder
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.all.Write(b)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.all.String()
@@ -59,7 +59,7 @@
 	c, err := standin.NewCell(users, local, time.Now)
 	require.NoError(t, err)
 	t.Cleanup(c.Close)
-	told := &lines{}
+	told := &logBuffer{}
 	t.Cleanup(func() {
 		if t.Failed() {
 			t.Log(told.String())
