--- a/internal/host/cluster_test.go
+++ b/internal/host/cluster_test.go
@@ -26,10 +26,10 @@
 // cluster is one failure domain: stand-ins and real hosts in this process.
 type cluster struct {
 	*testing.T
-	cell  *standin.Cell
-	hosts map[string]*host.Host
-	ask   map[string]*client.Client
-	names []string
+	cell    *standin.Cell
+	hosts   map[string]*host.Host
+	clients map[string]*client.Client
+	names   []string
 	// operators are the operators' addresses by host.
 	operators []netip.AddrPort
 }
@@ -65,7 +65,7 @@
 			t.Log(told.String())
 		}
 	})
-	cl := &cluster{T: t, cell: c, hosts: map[string]*host.Host{}, ask: map[string]*client.Client{}}
+	cl := &cluster{T: t, cell: c, hosts: map[string]*host.Host{}, clients: map[string]*client.Client{}}
 	var all []settings.Settings
 	var socks []host.Listeners
 	for i := range n {
@@ -88,7 +88,7 @@
 		h := host.New(cfg, slog.New(slog.NewTextHandler(told, nil)).With("host", cfg.Name), time.Now)
 		h.Start(socks[i])
 		t.Cleanup(h.Kill)
-		cl.hosts[cfg.Name], cl.ask[cfg.Name] = h, client.New(cfg.Listen.Caller, "", nil)
+		cl.hosts[cfg.Name], cl.clients[cfg.Name] = h, client.New(cfg.Listen.Caller, "", nil)
 		cl.names = append(cl.names, cfg.Name)
 		cl.operators = append(cl.operators, cfg.Listen.Operator)
 	}
@@ -129,14 +129,14 @@
 func (c *cluster) kill(name string) {
 	c.hosts[name].Kill()
 	delete(c.hosts, name)
-	delete(c.ask, name)
+	delete(c.clients, name)
 }
 
 // any is the client of some live host other than not.
 func (c *cluster) any(not string) *client.Client {
 	for _, name := range c.names {
-		if name != not && c.ask[name] != nil {
-			return c.ask[name]
+		if name != not && c.clients[name] != nil {
+			return c.clients[name]
 		}
 	}
 	return nil
@@ -231,7 +231,7 @@
 	name := c.leadOf(s.ID)
 	require.NoError(c, c.hosts[name].Stop(context.Background()))
 	delete(c.hosts, name)
-	delete(c.ask, name)
+	delete(c.clients, name)
 	for _, h := range c.hosts {
 		require.True(t, h.Leads(s.ID), "the other host leads the job when the stop is over")
 	}
--- a/internal/host/explain_test.go
+++ b/internal/host/explain_test.go
@@ -22,7 +22,7 @@
 		// Hosts that have just started do not see each other yet.
 		c.until("trail is found from "+name, func() bool {
 			var notes []trail.Note
-			require.NoError(t, c.ask[name].Get(context.Background(), "/jobs/"+s.ID+"/trail", &notes))
+			require.NoError(t, c.clients[name].Get(context.Background(), "/jobs/"+s.ID+"/trail", &notes))
 			text := fmt.Sprint(notes)
 			return strings.Contains(text, "accepted") && strings.Contains(text, "no worker has room")
 		})
--- a/internal/host/lifecycle_test.go
+++ b/internal/host/lifecycle_test.go
@@ -250,7 +250,7 @@
 	ids := map[string]bool{}
 	for _, name := range []string{"h0", "h1", "h0"} {
 		c.until("job is accepted", func() bool {
-			s, err := c.ask[name].Submit(context.Background(), j)
+			s, err := c.clients[name].Submit(context.Background(), j)
 			if err == nil {
 				ids[s.ID] = true
 			}
@@ -264,7 +264,7 @@
 		require.Equal(t, 2, started)
 	}
 	j.Tasks = 3
-	_, err := c.ask["h0"].Submit(context.Background(), j)
+	_, err := c.clients["h0"].Submit(context.Background(), j)
 	require.ErrorContains(t, err, "409")
 }
 
--- a/internal/host/limits_test.go
+++ b/internal/host/limits_test.go
@@ -25,7 +25,7 @@
 		return true
 	})
 	for range 4 {
-		for _, ask := range c.ask {
+		for _, ask := range c.clients {
 			c.until("job is accepted", func() bool {
 				_, err := ask.Submit(ctx, client.Job{Workload: "print", Tasks: 1, Size: client.Size{CPU: 100, Mem: 1 << 20}, Time: 600})
 				return err == nil
