--- a/internal/host/cluster_test.go
+++ b/internal/host/cluster_test.go
@@ -98,7 +98,7 @@
 				return false
 			}
 		}
-		return cl.held() == 4
+		return cl.heldCount() == 4
 	})
 	require.NoError(t, client.New(all[0].Listen.Operator, "", nil).SetRow(context.Background(), "print", "", map[string]any{"class": "normal"}))
 	cl.until("row is in force", func() bool {
@@ -117,8 +117,8 @@
 	require.Eventually(c, f, testTimeout, 10*time.Millisecond, what)
 }
 
-// held counts the workers that live hosts hold.
-func (c *cluster) held() int {
+// heldCount counts the workers that live hosts hold.
+func (c *cluster) heldCount() int {
 	n := 0
 	for _, h := range c.hosts {
 		n += len(h.Held())
--- a/internal/host/lifecycle_test.go
+++ b/internal/host/lifecycle_test.go
@@ -143,7 +143,7 @@
 			c.until("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
 			c.logDown(true)
 			c.kill(c.leadOf(s.ID))
-			c.until("the next lead holds all workers", func() bool { return c.held() == 4 })
+			c.until("the next lead holds all workers", func() bool { return c.heldCount() == 4 })
 			c.logDown(false)
 			c.whole(s.ID, 8)
 		},
@@ -231,7 +231,7 @@
 	}
 	require.Len(t, c.hosts, 1)
 	c.logDown(false)
-	c.until("the last host has read the log", func() bool { return c.held() == 4 })
+	c.until("the last host has read the log", func() bool { return c.heldCount() == 4 })
 	_, err := c.any("").Job(context.Background(), s.ID)
 	require.ErrorContains(t, err, "404")
 	started, _ := c.ran(s.ID)
