--- a/internal/host/cluster_test.go
+++ b/internal/host/cluster_test.go
@@ -132,8 +132,8 @@
 	delete(c.clients, name)
 }
 
-// any is the client of some live host other than not.
-func (c *cluster) any(not string) *client.Client {
+// anyClient is the client of some live host other than not.
+func (c *cluster) anyClient(not string) *client.Client {
 	for _, name := range c.names {
 		if name != not && c.clients[name] != nil {
 			return c.clients[name]
@@ -148,7 +148,7 @@
 	j.Workload = "print"
 	c.until("job is accepted", func() bool {
 		var err error
-		s, err = c.any("").Submit(context.Background(), j)
+		s, err = c.anyClient("").Submit(context.Background(), j)
 		return err == nil
 	})
 	return s
@@ -171,7 +171,7 @@
 }
 
 func (c *cluster) state(id string) string {
-	s, err := c.any("").Job(context.Background(), id)
+	s, err := c.anyClient("").Job(context.Background(), id)
 	if err != nil {
 		return ""
 	}
--- a/internal/host/lifecycle_test.go
+++ b/internal/host/lifecycle_test.go
@@ -43,7 +43,7 @@
 				}
 			})
 			c.until("blocker is cancelled", func() bool {
-				s, err = c.any("").Cancel(context.Background(), id)
+				s, err = c.anyClient("").Cancel(context.Background(), id)
 				return err == nil && (s.Outcome == "stopped" || s.Outcome == "not run")
 			})
 		}
@@ -61,7 +61,7 @@
 func (c *cluster) cancel(id string) string {
 	outcome := ""
 	c.until("cancel is answered", func() bool {
-		s, err := c.any("").Cancel(context.Background(), id)
+		s, err := c.anyClient("").Cancel(context.Background(), id)
 		outcome = s.Outcome
 		return err == nil
 	})
@@ -176,7 +176,7 @@
 				require.Equal(t, "unknown", told)
 				require.GreaterOrEqual(t, time.Since(began), cancelWait, "the end was not waited for")
 				c.until("not run is said", func() bool {
-					got, err := c.any("").Job(context.Background(), s.ID)
+					got, err := c.anyClient("").Job(context.Background(), s.ID)
 					return err == nil && got.Outcome == "not run"
 				})
 			}
@@ -205,7 +205,7 @@
 	require.Equal(t, "unknown", c.cancel(s.ID))
 	c.logDown(false)
 	c.until("not run is said", func() bool {
-		got, err := c.any("").Job(context.Background(), s.ID)
+		got, err := c.anyClient("").Job(context.Background(), s.ID)
 		return err == nil && got.Outcome == "not run"
 	})
 	free()
@@ -232,7 +232,7 @@
 	require.Len(t, c.hosts, 1)
 	c.logDown(false)
 	c.until("the last host has read the log", func() bool { return c.heldCount() == 4 })
-	_, err := c.any("").Job(context.Background(), s.ID)
+	_, err := c.anyClient("").Job(context.Background(), s.ID)
 	require.ErrorContains(t, err, "404")
 	started, _ := c.ran(s.ID)
 	require.Zero(t, started)
--- a/internal/host/limits_test.go
+++ b/internal/host/limits_test.go
@@ -44,7 +44,7 @@
 	c := newCluster(t, 2)
 	ctx := context.Background()
 	for id, status := range map[string]int{"plain": 400, "nowhere.r0.1": 404, "nord.r0.1": 404} {
-		_, err := c.any("").Job(ctx, id)
+		_, err := c.anyClient("").Job(ctx, id)
 		var told *client.StatusError
 		require.ErrorAs(t, err, &told, id)
 		require.Equal(t, status, told.Status, id)
@@ -52,7 +52,7 @@
 	}
 	s := c.submit(client.Job{Tasks: 1, Size: client.Size{CPU: 100, Mem: 1 << 20}, Time: 0.01})
 	c.until("job has ended", func() bool { return c.state(s.ID) == "ended" })
-	told, err := c.any("").Cancel(ctx, s.ID)
+	told, err := c.anyClient("").Cancel(ctx, s.ID)
 	require.NoError(t, err)
 	require.Equal(t, "ended", told.State)
 }
--- a/internal/host/told_test.go
+++ b/internal/host/told_test.go
@@ -12,7 +12,7 @@
 	c := newCluster(t, 3)
 	id := c.submit(small(1, 0.01)).ID
 	lead := c.leadOf(id)
-	asked := c.any(lead)
+	asked := c.anyClient(lead)
 	c.until("every host knows the end", func() bool {
 		for _, h := range c.hosts {
 			if !h.HasLoggedEnd(id) {
