--- a/internal/host/cluster_test.go
+++ b/internal/host/cluster_test.go
@@ -154,8 +154,8 @@
 	return s
 }
 
-// leadOf is the host that leads a job.
-func (c *cluster) leadOf(id string) string {
+// leaderOf is the host that leads a job.
+func (c *cluster) leaderOf(id string) string {
 	c.Helper()
 	name := ""
 	c.until("job has a lead", func() bool {
@@ -214,7 +214,7 @@
 	c := newCluster(t, 3)
 	s := c.submit(small(24, 1))
 	c.until("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
-	c.kill(c.leadOf(s.ID))
+	c.kill(c.leaderOf(s.ID))
 	c.until("job ends under its next lead", func() bool { return c.state(s.ID) == "ended" })
 	_, ended := c.ran(s.ID)
 	require.Equal(t, 24, ended)
@@ -228,7 +228,7 @@
 	c := newCluster(t, 2)
 	s := c.submit(small(12, 2))
 	c.until("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
-	name := c.leadOf(s.ID)
+	name := c.leaderOf(s.ID)
 	require.NoError(c, c.hosts[name].Stop(context.Background()))
 	delete(c.hosts, name)
 	delete(c.clients, name)
--- a/internal/host/crash_test.go
+++ b/internal/host/crash_test.go
@@ -24,7 +24,7 @@
 	c.crashing()
 	s := c.submit(small(1, 5))
 	c.until("the task is started again", func() bool { started, _ := c.ran(s.ID); return started == 2 })
-	c.kill(c.leadOf(s.ID))
+	c.kill(c.leaderOf(s.ID))
 	c.until("job is given up", func() bool { return c.state(s.ID) == "failed" })
 	started, _ := c.ran(s.ID)
 	t.Logf("starts: %d", started)
--- a/internal/host/lifecycle_test.go
+++ b/internal/host/lifecycle_test.go
@@ -85,7 +85,7 @@
 		"accepted, no start sent": func(c *cluster) {
 			free := c.fill()
 			s := c.submit(small(2, 0.2))
-			c.kill(c.leadOf(s.ID))
+			c.kill(c.leaderOf(s.ID))
 			free()
 			c.whole(s.ID, 2)
 		},
@@ -95,7 +95,7 @@
 			}
 			s := c.submit(small(8, 1))
 			c.until("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
-			c.kill(c.leadOf(s.ID))
+			c.kill(c.leaderOf(s.ID))
 			c.whole(s.ID, 8)
 		},
 		"starts sent, workers paused": func(c *cluster) {
@@ -103,7 +103,7 @@
 				w.SetFaults(standin.WorkerFaults{Paused: true})
 			}
 			s := c.submit(small(8, 1))
-			c.kill(c.leadOf(s.ID))
+			c.kill(c.leaderOf(s.ID))
 			for _, w := range c.cell.Workers {
 				w.SetFaults(standin.WorkerFaults{})
 			}
@@ -115,7 +115,7 @@
 			c.logDown(true)
 			c.until("the lead knows the end", func() bool { return c.state(s.ID) == "ended" })
 			c.renewed(2)
-			c.kill(c.leadOf(s.ID))
+			c.kill(c.leaderOf(s.ID))
 			// The first other host by name is the one that was told of the end.
 			for _, name := range c.names {
 				if c.hosts[name] != nil {
@@ -133,7 +133,7 @@
 			c.logDown(true)
 			s := c.submit(small(2, 0.2))
 			require.Equal(c, "peers", s.Kept)
-			c.kill(c.leadOf(s.ID))
+			c.kill(c.leaderOf(s.ID))
 			c.logDown(false)
 			free()
 			c.whole(s.ID, 2)
@@ -142,7 +142,7 @@
 			s := c.submit(small(8, 6))
 			c.until("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
 			c.logDown(true)
-			c.kill(c.leadOf(s.ID))
+			c.kill(c.leaderOf(s.ID))
 			c.until("the next lead holds all workers", func() bool { return c.heldCount() == 4 })
 			c.logDown(false)
 			c.whole(s.ID, 8)
@@ -181,7 +181,7 @@
 				})
 			}
 			c.cell.Platform.SetFaults(standin.PlatformFaults{})
-			c.kill(c.leadOf(s.ID))
+			c.kill(c.leaderOf(s.ID))
 			free()
 			after := c.submit(small(1, 0.1))
 			c.whole(after.ID, 1)
@@ -222,7 +222,7 @@
 	c.logDown(true)
 	s := c.submit(small(2, 0.2))
 	require.Equal(t, "peers", s.Kept)
-	lead := c.leadOf(s.ID)
+	lead := c.leaderOf(s.ID)
 	c.kill(lead)
 	for name, h := range c.hosts {
 		if h.Remembers(s.ID) {
@@ -276,7 +276,7 @@
 	s := c.submit(small(12, 2))
 	c.until("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
 	c.logDown(true)
-	name := c.leadOf(s.ID)
+	name := c.leaderOf(s.ID)
 	require.NoError(t, c.hosts[name].Stop(context.Background()))
 	c.kill(name)
 	for _, h := range c.hosts {
--- a/internal/host/told_test.go
+++ b/internal/host/told_test.go
@@ -11,7 +11,7 @@
 func TestAnEndIsToldWhileTheLeadIsSilent(t *testing.T) {
 	c := newCluster(t, 3)
 	id := c.submit(small(1, 0.01)).ID
-	lead := c.leadOf(id)
+	lead := c.leaderOf(id)
 	asked := c.anyClient(lead)
 	c.until("every host knows the end", func() bool {
 		for _, h := range c.hosts {
