--- a/internal/host/cluster_test.go
+++ b/internal/host/cluster_test.go
@@ -194,8 +194,8 @@
 	return started, ended
 }
 
-// sound checks the workers' own records.
-func (c *cluster) sound() {
+// requireNoDoubleRuns checks the workers' own records.
+func (c *cluster) requireNoDoubleRuns() {
 	c.Helper()
 	r := c.cell.Report()
 	require.Zero(c, r.Overfilled, "a worker was given more than it holds")
@@ -218,7 +218,7 @@
 	c.until("job ends under its next lead", func() bool { return c.state(s.ID) == "ended" })
 	_, ended := c.ran(s.ID)
 	require.Equal(t, 24, ended)
-	c.sound()
+	c.requireNoDoubleRuns()
 }
 
 // A planned stop hands jobs over. Nothing waits for a lease, and the running
@@ -239,5 +239,5 @@
 	started, ended := c.ran(s.ID)
 	require.Equal(t, 12, ended)
 	require.Equal(t, 12, started, "a task was started twice")
-	c.sound()
+	c.requireNoDoubleRuns()
 }
--- a/internal/host/lifecycle_test.go
+++ b/internal/host/lifecycle_test.go
@@ -74,7 +74,7 @@
 	c.until("job ends", func() bool { return c.state(id) == "ended" })
 	_, ended := c.ran(id)
 	require.Equal(c, tasks, ended)
-	c.sound()
+	c.requireNoDoubleRuns()
 }
 
 // The lead dies at one step of a job's life after the other, and the log is
