--- a/internal/host/cluster_test.go
+++ b/internal/host/cluster_test.go
@@ -202,7 +202,7 @@
 	require.Empty(c, r.Doubled, "a task ran in two places")
 }
 
-func small(tasks int, seconds float64) client.Job {
+func smallJob(tasks int, seconds float64) client.Job {
 	return client.Job{Tasks: tasks, Size: client.Size{CPU: 1000, Mem: 1 << 20}, Time: seconds}
 }
 
@@ -212,7 +212,7 @@
 func TestJobOfAKilledLeadGoesOn(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
-	s := c.submit(small(24, 1))
+	s := c.submit(smallJob(24, 1))
 	c.until("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
 	c.kill(c.leaderOf(s.ID))
 	c.until("job ends under its next lead", func() bool { return c.state(s.ID) == "ended" })
@@ -226,7 +226,7 @@
 func TestPlannedStopHandsJobsOver(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2)
-	s := c.submit(small(12, 2))
+	s := c.submit(smallJob(12, 2))
 	c.until("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
 	name := c.leaderOf(s.ID)
 	require.NoError(c, c.hosts[name].Stop(context.Background()))
--- a/internal/host/crash_test.go
+++ b/internal/host/crash_test.go
@@ -22,7 +22,7 @@
 	t.Parallel()
 	c := newCluster(t, 2)
 	c.crashing()
-	s := c.submit(small(1, 5))
+	s := c.submit(smallJob(1, 5))
 	c.until("the task is started again", func() bool { started, _ := c.ran(s.ID); return started == 2 })
 	c.kill(c.leaderOf(s.ID))
 	c.until("job is given up", func() bool { return c.state(s.ID) == "failed" })
--- a/internal/host/handover_test.go
+++ b/internal/host/handover_test.go
@@ -11,7 +11,7 @@
 // lead gives it up and the one at which the lead notes where it goes, or takes it back.
 func TestJobThatIsHandedOverIsLedByTheHostThatHandsIt(t *testing.T) {
 	c := newCluster(t, 1)
-	s := c.submit(small(24, 600))
+	s := c.submit(smallJob(24, 600))
 	h := c.hosts["h0"]
 	end := time.Now().Add(2 * time.Second)
 	done := make(chan struct{})
--- a/internal/host/lifecycle_test.go
+++ b/internal/host/lifecycle_test.go
@@ -84,7 +84,7 @@
 	for name, life := range map[string]func(c *cluster){
 		"accepted, no start sent": func(c *cluster) {
 			free := c.fill()
-			s := c.submit(small(2, 0.2))
+			s := c.submit(smallJob(2, 0.2))
 			c.kill(c.leaderOf(s.ID))
 			free()
 			c.whole(s.ID, 2)
@@ -93,7 +93,7 @@
 			for _, w := range c.cell.Workers {
 				w.SetFaults(standin.WorkerFaults{LoseAnswers: 1})
 			}
-			s := c.submit(small(8, 1))
+			s := c.submit(smallJob(8, 1))
 			c.until("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
 			c.kill(c.leaderOf(s.ID))
 			c.whole(s.ID, 8)
@@ -102,7 +102,7 @@
 			for _, w := range c.cell.Workers {
 				w.SetFaults(standin.WorkerFaults{Paused: true})
 			}
-			s := c.submit(small(8, 1))
+			s := c.submit(smallJob(8, 1))
 			c.kill(c.leaderOf(s.ID))
 			for _, w := range c.cell.Workers {
 				w.SetFaults(standin.WorkerFaults{})
@@ -110,7 +110,7 @@
 			c.whole(s.ID, 8)
 		},
 		"all tasks ended, end not in the log, both keepers die": func(c *cluster) {
-			s := c.submit(small(4, 0.3))
+			s := c.submit(smallJob(4, 0.3))
 			c.until("tasks run", func() bool { started, _ := c.ran(s.ID); return started == 4 })
 			c.logDown(true)
 			c.until("the lead knows the end", func() bool { return c.state(s.ID) == "ended" })
@@ -131,7 +131,7 @@
 		"kept by peers, log away before": func(c *cluster) {
 			free := c.fill()
 			c.logDown(true)
-			s := c.submit(small(2, 0.2))
+			s := c.submit(smallJob(2, 0.2))
 			require.Equal(c, "peers", s.Kept)
 			c.kill(c.leaderOf(s.ID))
 			c.logDown(false)
@@ -139,7 +139,7 @@
 			c.whole(s.ID, 2)
 		},
 		"tasks run, log away during and after": func(c *cluster) {
-			s := c.submit(small(8, 6))
+			s := c.submit(smallJob(8, 6))
 			c.until("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
 			c.logDown(true)
 			c.kill(c.leaderOf(s.ID))
@@ -169,7 +169,7 @@
 			t.Parallel()
 			c := newCluster(t, 3)
 			free := c.fill()
-			s := c.submit(small(2, 0.2))
+			s := c.submit(smallJob(2, 0.2))
 			c.cell.Platform.SetFaults(standin.PlatformFaults{Slow: slow})
 			began := time.Now()
 			if told := c.cancel(s.ID); told != "not run" {
@@ -183,7 +183,7 @@
 			c.cell.Platform.SetFaults(standin.PlatformFaults{})
 			c.kill(c.leaderOf(s.ID))
 			free()
-			after := c.submit(small(1, 0.1))
+			after := c.submit(smallJob(1, 0.1))
 			c.whole(after.ID, 1)
 			c.until("every host knows the end", func() bool { return c.state(s.ID) == "cancelled" })
 			started, _ := c.ran(s.ID)
@@ -199,7 +199,7 @@
 	t.Parallel()
 	c := newCluster(t, 2)
 	free := c.fill()
-	s := c.submit(small(2, 0.2))
+	s := c.submit(smallJob(2, 0.2))
 	require.Equal(t, "log", s.Kept)
 	c.logDown(true)
 	require.Equal(t, "unknown", c.cancel(s.ID))
@@ -220,7 +220,7 @@
 	c := newCluster(t, 3)
 	c.fill()
 	c.logDown(true)
-	s := c.submit(small(2, 0.2))
+	s := c.submit(smallJob(2, 0.2))
 	require.Equal(t, "peers", s.Kept)
 	lead := c.leaderOf(s.ID)
 	c.kill(lead)
@@ -244,7 +244,7 @@
 func TestRepeatOfAJobWithAKeyFindsIt(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2)
-	j := small(2, 0.3)
+	j := smallJob(2, 0.3)
 	j.Workload, j.Key = "print", "batch-7"
 	c.cell.Platform.SetFaults(standin.PlatformFaults{LoseAnswers: 1})
 	ids := map[string]bool{}
@@ -273,7 +273,7 @@
 func TestPlannedStopWhileTheLogIsAway(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2)
-	s := c.submit(small(12, 2))
+	s := c.submit(smallJob(12, 2))
 	c.until("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
 	c.logDown(true)
 	name := c.leaderOf(s.ID)
@@ -294,10 +294,10 @@
 func TestRecordOfALongJobOutlivesTheLogsRetention(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 1)
-	watcher := c.submit(small(1, 3600))
+	watcher := c.submit(smallJob(1, 3600))
 	c.cell.Platform.SetFaults(standin.PlatformFaults{Retain: 12})
 	for range 20 {
-		id := c.submit(small(1, 3600)).ID
+		id := c.submit(smallJob(1, 3600)).ID
 		c.until("job is stopped", func() bool { return c.cancel(id) != "unknown" })
 	}
 	var l *joblog.Log
