--- a/internal/host/cluster_test.go
+++ b/internal/host/cluster_test.go
@@ -92,7 +92,7 @@
 		cl.names = append(cl.names, cfg.Name)
 		cl.operators = append(cl.operators, cfg.Listen.Operator)
 	}
-	cl.until("hosts share all workers", func() bool {
+	cl.waitFor("hosts share all workers", func() bool {
 		for _, h := range cl.hosts {
 			if n > 1 && len(h.Held()) > 2 {
 				return false
@@ -101,7 +101,7 @@
 		return cl.heldCount() == 4
 	})
 	require.NoError(t, client.New(all[0].Listen.Operator, "", nil).SetRow(context.Background(), "print", "", map[string]any{"class": "normal"}))
-	cl.until("row is in force", func() bool {
+	cl.waitFor("row is in force", func() bool {
 		for _, h := range cl.hosts {
 			if _, v := h.Row("print"); v == 0 {
 				return false
@@ -112,7 +112,7 @@
 	return cl
 }
 
-func (c *cluster) until(what string, f func() bool) {
+func (c *cluster) waitFor(what string, f func() bool) {
 	c.Helper()
 	require.Eventually(c, f, testTimeout, 10*time.Millisecond, what)
 }
@@ -146,7 +146,7 @@
 	c.Helper()
 	var s client.JobStatus
 	j.Workload = "print"
-	c.until("job is accepted", func() bool {
+	c.waitFor("job is accepted", func() bool {
 		var err error
 		s, err = c.anyClient("").Submit(context.Background(), j)
 		return err == nil
@@ -158,7 +158,7 @@
 func (c *cluster) leaderOf(id string) string {
 	c.Helper()
 	name := ""
-	c.until("job has a lead", func() bool {
+	c.waitFor("job has a lead", func() bool {
 		for n, h := range c.hosts {
 			if h.Leads(id) {
 				name = n
@@ -213,9 +213,9 @@
 	t.Parallel()
 	c := newCluster(t, 3)
 	s := c.submit(smallJob(24, 1))
-	c.until("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
+	c.waitFor("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
 	c.kill(c.leaderOf(s.ID))
-	c.until("job ends under its next lead", func() bool { return c.state(s.ID) == "ended" })
+	c.waitFor("job ends under its next lead", func() bool { return c.state(s.ID) == "ended" })
 	_, ended := c.ran(s.ID)
 	require.Equal(t, 24, ended)
 	c.requireNoDoubleRuns()
@@ -227,7 +227,7 @@
 	t.Parallel()
 	c := newCluster(t, 2)
 	s := c.submit(smallJob(12, 2))
-	c.until("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
+	c.waitFor("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
 	name := c.leaderOf(s.ID)
 	require.NoError(c, c.hosts[name].Stop(context.Background()))
 	delete(c.hosts, name)
@@ -235,7 +235,7 @@
 	for _, h := range c.hosts {
 		require.True(t, h.Leads(s.ID), "the other host leads the job when the stop is over")
 	}
-	c.until("job ends", func() bool { return c.state(s.ID) == "ended" })
+	c.waitFor("job ends", func() bool { return c.state(s.ID) == "ended" })
 	started, ended := c.ran(s.ID)
 	require.Equal(t, 12, ended)
 	require.Equal(t, 12, started, "a task was started twice")
--- a/internal/host/explain_test.go
+++ b/internal/host/explain_test.go
@@ -17,10 +17,10 @@
 func TestTrailIsFoundFromEveryHost(t *testing.T) {
 	c := newCluster(t, 3)
 	s := c.submit(client.Job{Tasks: 9, Size: client.Size{CPU: 4000, Mem: 1 << 20}, Time: 60})
-	c.until("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
+	c.waitFor("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
 	for name := range c.hosts {
 		// Hosts that have just started do not see each other yet.
-		c.until("trail is found from "+name, func() bool {
+		c.waitFor("trail is found from "+name, func() bool {
 			var notes []trail.Note
 			require.NoError(t, c.clients[name].Get(context.Background(), "/jobs/"+s.ID+"/trail", &notes))
 			text := fmt.Sprint(notes)
--- a/internal/host/lifecycle_test.go
+++ b/internal/host/lifecycle_test.go
@@ -21,7 +21,7 @@
 // returns what frees them again.
 func (c *cluster) fill() (free func()) {
 	var ids []string
-	c.until("all workers are full", func() bool {
+	c.waitFor("all workers are full", func() bool {
 		full := 0
 		for _, w := range c.cell.Workers {
 			if len(w.Record().Started) > 0 {
@@ -42,7 +42,7 @@
 					c.Log("blocker", id, s, err)
 				}
 			})
-			c.until("blocker is cancelled", func() bool {
+			c.waitFor("blocker is cancelled", func() bool {
 				s, err = c.anyClient("").Cancel(context.Background(), id)
 				return err == nil && (s.Outcome == "stopped" || s.Outcome == "not run")
 			})
@@ -54,13 +54,13 @@
 func (c *cluster) renewed(times int) {
 	for _, w := range c.cell.Workers {
 		before := w.Record().Renewed
-		c.until("worker is renewed", func() bool { return w.Record().Renewed >= before+times })
+		c.waitFor("worker is renewed", func() bool { return w.Record().Renewed >= before+times })
 	}
 }
 
 func (c *cluster) cancel(id string) string {
 	outcome := ""
-	c.until("cancel is answered", func() bool {
+	c.waitFor("cancel is answered", func() bool {
 		s, err := c.anyClient("").Cancel(context.Background(), id)
 		outcome = s.Outcome
 		return err == nil
@@ -71,7 +71,7 @@
 // whole waits for the job's end and checks that each task ran to its end once.
 func (c *cluster) whole(id string, tasks int) {
 	c.Helper()
-	c.until("job ends", func() bool { return c.state(id) == "ended" })
+	c.waitFor("job ends", func() bool { return c.state(id) == "ended" })
 	_, ended := c.ran(id)
 	require.Equal(c, tasks, ended)
 	c.requireNoDoubleRuns()
@@ -94,7 +94,7 @@
 				w.SetFaults(standin.WorkerFaults{LoseAnswers: 1})
 			}
 			s := c.submit(smallJob(8, 1))
-			c.until("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
+			c.waitFor("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
 			c.kill(c.leaderOf(s.ID))
 			c.whole(s.ID, 8)
 		},
@@ -111,9 +111,9 @@
 		},
 		"all tasks ended, end not in the log, both keepers die": func(c *cluster) {
 			s := c.submit(smallJob(4, 0.3))
-			c.until("tasks run", func() bool { started, _ := c.ran(s.ID); return started == 4 })
+			c.waitFor("tasks run", func() bool { started, _ := c.ran(s.ID); return started == 4 })
 			c.logDown(true)
-			c.until("the lead knows the end", func() bool { return c.state(s.ID) == "ended" })
+			c.waitFor("the lead knows the end", func() bool { return c.state(s.ID) == "ended" })
 			c.renewed(2)
 			c.kill(c.leaderOf(s.ID))
 			// The first other host by name is the one that was told of the end.
@@ -140,10 +140,10 @@
 		},
 		"tasks run, log away during and after": func(c *cluster) {
 			s := c.submit(smallJob(8, 6))
-			c.until("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
+			c.waitFor("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
 			c.logDown(true)
 			c.kill(c.leaderOf(s.ID))
-			c.until("the next lead holds all workers", func() bool { return c.heldCount() == 4 })
+			c.waitFor("the next lead holds all workers", func() bool { return c.heldCount() == 4 })
 			c.logDown(false)
 			c.whole(s.ID, 8)
 		},
@@ -175,7 +175,7 @@
 			if told := c.cancel(s.ID); told != "not run" {
 				require.Equal(t, "unknown", told)
 				require.GreaterOrEqual(t, time.Since(began), cancelWait, "the end was not waited for")
-				c.until("not run is said", func() bool {
+				c.waitFor("not run is said", func() bool {
 					got, err := c.anyClient("").Job(context.Background(), s.ID)
 					return err == nil && got.Outcome == "not run"
 				})
@@ -185,7 +185,7 @@
 			free()
 			after := c.submit(smallJob(1, 0.1))
 			c.whole(after.ID, 1)
-			c.until("every host knows the end", func() bool { return c.state(s.ID) == "cancelled" })
+			c.waitFor("every host knows the end", func() bool { return c.state(s.ID) == "cancelled" })
 			started, _ := c.ran(s.ID)
 			require.Zero(t, started)
 		})
@@ -204,7 +204,7 @@
 	c.logDown(true)
 	require.Equal(t, "unknown", c.cancel(s.ID))
 	c.logDown(false)
-	c.until("not run is said", func() bool {
+	c.waitFor("not run is said", func() bool {
 		got, err := c.anyClient("").Job(context.Background(), s.ID)
 		return err == nil && got.Outcome == "not run"
 	})
@@ -231,7 +231,7 @@
 	}
 	require.Len(t, c.hosts, 1)
 	c.logDown(false)
-	c.until("the last host has read the log", func() bool { return c.heldCount() == 4 })
+	c.waitFor("the last host has read the log", func() bool { return c.heldCount() == 4 })
 	_, err := c.anyClient("").Job(context.Background(), s.ID)
 	require.ErrorContains(t, err, "404")
 	started, _ := c.ran(s.ID)
@@ -249,7 +249,7 @@
 	c.cell.Platform.SetFaults(standin.PlatformFaults{LoseAnswers: 1})
 	ids := map[string]bool{}
 	for _, name := range []string{"h0", "h1", "h0"} {
-		c.until("job is accepted", func() bool {
+		c.waitFor("job is accepted", func() bool {
 			s, err := c.clients[name].Submit(context.Background(), j)
 			if err == nil {
 				ids[s.ID] = true
@@ -274,7 +274,7 @@
 	t.Parallel()
 	c := newCluster(t, 2)
 	s := c.submit(smallJob(12, 2))
-	c.until("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
+	c.waitFor("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
 	c.logDown(true)
 	name := c.leaderOf(s.ID)
 	require.NoError(t, c.hosts[name].Stop(context.Background()))
@@ -298,10 +298,10 @@
 	c.cell.Platform.SetFaults(standin.PlatformFaults{Retain: 12})
 	for range 20 {
 		id := c.submit(smallJob(1, 3600)).ID
-		c.until("job is stopped", func() bool { return c.cancel(id) != "unknown" })
+		c.waitFor("job is stopped", func() bool { return c.cancel(id) != "unknown" })
 	}
 	var l *joblog.Log
-	c.until("a newcomer finds the watcher", func() bool {
+	c.waitFor("a newcomer finds the watcher", func() bool {
 		l = joblog.New()
 		_, err := platform.New(c.cell.Address, nil).Read(context.Background(), joblog.Stream, 1, 0)
 		var trimmed *platform.TrimmedError
--- a/internal/host/limits_test.go
+++ b/internal/host/limits_test.go
@@ -16,7 +16,7 @@
 	ctx := context.Background()
 	op := client.New(c.operators[0], "", nil)
 	require.NoError(t, op.SetRow(ctx, "print", "", map[string]any{"limits": map[string]any{"tasks": 2}}))
-	c.until("limit is in force", func() bool {
+	c.waitFor("limit is in force", func() bool {
 		for _, h := range c.hosts {
 			if row, _ := h.Row("print"); row.Limits.Tasks != 2 {
 				return false
@@ -26,14 +26,14 @@
 	})
 	for range 4 {
 		for _, ask := range c.clients {
-			c.until("job is accepted", func() bool {
+			c.waitFor("job is accepted", func() bool {
 				_, err := ask.Submit(ctx, client.Job{Workload: "print", Tasks: 1, Size: client.Size{CPU: 100, Mem: 1 << 20}, Time: 600})
 				return err == nil
 			})
 		}
 	}
 	started := func() int { return len(c.cell.Report().Started) }
-	c.until("two tasks run", func() bool { return started() == 2 })
+	c.waitFor("two tasks run", func() bool { return started() == 2 })
 	require.Never(t, func() bool { return started() > 2 }, time.Second, 20*time.Millisecond)
 }
 
@@ -51,7 +51,7 @@
 		require.Equal(t, client.Refused, told.Outcome, id)
 	}
 	s := c.submit(client.Job{Tasks: 1, Size: client.Size{CPU: 100, Mem: 1 << 20}, Time: 0.01})
-	c.until("job has ended", func() bool { return c.state(s.ID) == "ended" })
+	c.waitFor("job has ended", func() bool { return c.state(s.ID) == "ended" })
 	told, err := c.anyClient("").Cancel(ctx, s.ID)
 	require.NoError(t, err)
 	require.Equal(t, "ended", told.State)
--- a/internal/host/told_test.go
+++ b/internal/host/told_test.go
@@ -13,7 +13,7 @@
 	id := c.submit(smallJob(1, 0.01)).ID
 	lead := c.leaderOf(id)
 	asked := c.anyClient(lead)
-	c.until("every host knows the end", func() bool {
+	c.waitFor("every host knows the end", func() bool {
 		for _, h := range c.hosts {
 			if !h.HasLoggedEnd(id) {
 				return false
