--- a/internal/host/crash_test.go
+++ b/internal/host/crash_test.go
@@ -10,8 +10,8 @@
 	"pollencroft/internal/standin"
 )
 
-// crashing makes each task crash its worker soon after its start.
-func (c *cluster) crashing() {
+// crashAllTasks makes each task crash its worker soon after its start.
+func (c *cluster) crashAllTasks() {
 	for _, w := range c.cell.Workers {
 		w.SetFaults(standin.WorkerFaults{CrashRow: "print", CrashAfter: 10 * time.Millisecond})
 	}
@@ -21,7 +21,7 @@
 func TestCrashesOutliveAKilledLead(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2)
-	c.crashing()
+	c.crashAllTasks()
 	s := c.submit(smallJob(1, 5))
 	c.waitFor("the task is started again", func() bool { started, _ := c.ran(s.ID); return started == 2 })
 	c.kill(c.leaderOf(s.ID))
