--- a/internal/host/follow_test.go
+++ b/internal/host/follow_test.go
@@ -30,7 +30,7 @@
 	// editDeadline is the promise to operators: how long after its acceptance an edit is in force on
 	// every host, and inTouch how long after the last trouble on its ways a host keeps it again.
 	editDeadline = 2 * time.Second
-	inTouch      = 3 * time.Second
+	recoveryTime = 3 * time.Second
 	// beatsEvery is how often hosts tell each other how far they have read.
 	beatsEvery = 500 * time.Millisecond
 )
@@ -210,7 +210,7 @@
 					w := way{log: newLogInMemory(t, back+after), silences: []silence{{from, back}}, took: 5 * time.Millisecond}
 					c := newReaders(nil, w)
 					defer c.stop()
-					c.run(max(back+inTouch, back+after+editDeadline))
+					c.run(max(back+recoveryTime, back+after+editDeadline))
 					require.Equal(t, int64(2), weightOf(c.hosts[0]), "edited %v after the silence", after)
 				})
 			}
@@ -230,7 +230,7 @@
 			defer c.stop()
 			c.run(from)
 			c.tellLast()
-			c.run(max(after+editDeadline, inTouch))
+			c.run(max(after+editDeadline, recoveryTime))
 			require.Equal(t, int64(2), weightOf(c.hosts[0]), "edited %v after the silence began", after)
 		})
 	}
@@ -254,7 +254,7 @@
 			edited := end - time.Second + within(6*time.Second)
 			c := newReaders(nil, way{log: newLogInMemory(t, edited), silences: all, took: within(200 * time.Millisecond)})
 			defer c.stop()
-			c.run(max(end+inTouch, edited+editDeadline))
+			c.run(max(end+recoveryTime, edited+editDeadline))
 			require.Equal(t, int64(2), weightOf(c.hosts[0]), "seed %d: %v, edited at %v", seed, all, edited)
 		})
 	}
