--- a/internal/host/follow_test.go
+++ b/internal/host/follow_test.go
@@ -31,8 +31,8 @@
 	// every host, and inTouch how long after the last trouble on its ways a host keeps it again.
 	editDeadline = 2 * time.Second
 	recoveryTime = 3 * time.Second
-	// beatsEvery is how often hosts tell each other how far they have read.
-	beatsEvery = 500 * time.Millisecond
+	// heartbeatInterval is how often hosts tell each other how far they have read.
+	heartbeatInterval = 500 * time.Millisecond
 )
 
 // silence is when a host's way to the log answers nothing; what is under way at either end of
@@ -155,7 +155,7 @@
 
 // run lets d pass, with heartbeats.
 func (c *readers) run(d time.Duration) {
-	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(min(beatsEvery, time.Until(end))) {
+	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(min(heartbeatInterval, time.Until(end))) {
 		for i, to := range c.hosts {
 			for j, from := range c.hosts {
 				if i != j {
