--- a/internal/host/follow_test.go
+++ b/internal/host/follow_test.go
@@ -37,7 +37,7 @@
 
 // silence is when a host's way to the log answers nothing; what is under way at either end of
 // it is never answered.
-type silence struct{ start, to time.Duration }
+type silence struct{ start, end time.Duration }
 
 // logInMemory is the table's log: one edit from the start and another later.
 type logInMemory struct {
@@ -77,7 +77,7 @@
 func (w way) isSilent(sent time.Duration) bool {
 	now := time.Since(w.log.began)
 	for _, s := range w.silences {
-		if sent < s.to && now >= s.start {
+		if sent < s.end && now >= s.start {
 			return true
 		}
 	}
@@ -247,8 +247,8 @@
 			end := time.Second
 			for range 1 + rng.IntN(3) {
 				s := silence{start: end + within(8*time.Second)}
-				s.to = s.start + within(40*time.Second)
-				end = s.to
+				s.end = s.start + within(40*time.Second)
+				end = s.end
 				all = append(all, s)
 			}
 			edited := end - time.Second + within(6*time.Second)
