--- a/internal/host/follow_test.go
+++ b/internal/host/follow_test.go
@@ -41,14 +41,14 @@
 
 // logInMemory is the table's log: one edit from the start and another later.
 type logInMemory struct {
-	began time.Time
+	startedAt time.Time
 	// edited is when the later edit is written.
 	edited time.Duration
 	edits  [][]byte
 }
 
 func newLogInMemory(t *testing.T, edited time.Duration) *logInMemory {
-	l := &logInMemory{began: time.Now(), edited: edited}
+	l := &logInMemory{startedAt: time.Now(), edited: edited}
 	for n := range 2 {
 		body, err := table.Encode(table.Edit{ID: fmt.Sprint(n), Row: "scan", Base: int64(n), Fields: fmt.Appendf(nil, `{"weight":%d}`, n+1)})
 		require.NoError(t, err)
@@ -59,7 +59,7 @@
 
 // written is how many edits there are now.
 func (l *logInMemory) written() int64 {
-	if time.Since(l.began) < l.edited {
+	if time.Since(l.startedAt) < l.edited {
 		return 1
 	}
 	return 2
@@ -75,7 +75,7 @@
 
 // isSilent tells whether a call that was sent at some moment is answered now.
 func (w way) isSilent(sent time.Duration) bool {
-	now := time.Since(w.log.began)
+	now := time.Since(w.log.startedAt)
 	for _, s := range w.silences {
 		if sent < s.end && now >= s.start {
 			return true
@@ -86,7 +86,7 @@
 
 // RoundTrip answers a read of the log.
 func (w way) RoundTrip(r *http.Request) (*http.Response, error) {
-	sent := time.Since(w.log.began)
+	sent := time.Since(w.log.startedAt)
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
 		return nil, err
