--- a/internal/host/follow_test.go
+++ b/internal/host/follow_test.go
@@ -42,13 +42,13 @@
 // logInMemory is the table's log: one edit from the start and another later.
 type logInMemory struct {
 	startedAt time.Time
-	// edited is when the later edit is written.
-	edited time.Duration
+	// editAt is when the later edit is written.
+	editAt time.Duration
 	edits  [][]byte
 }
 
 func newLogInMemory(t *testing.T, edited time.Duration) *logInMemory {
-	l := &logInMemory{startedAt: time.Now(), edited: edited}
+	l := &logInMemory{startedAt: time.Now(), editAt: edited}
 	for n := range 2 {
 		body, err := table.Encode(table.Edit{ID: fmt.Sprint(n), Row: "scan", Base: int64(n), Fields: fmt.Appendf(nil, `{"weight":%d}`, n+1)})
 		require.NoError(t, err)
@@ -59,7 +59,7 @@
 
 // written is how many edits there are now.
 func (l *logInMemory) written() int64 {
-	if time.Since(l.startedAt) < l.edited {
+	if time.Since(l.startedAt) < l.editAt {
 		return 1
 	}
 	return 2
