--- a/internal/host/follow_test.go
+++ b/internal/host/follow_test.go
@@ -39,16 +39,16 @@
 // it is never answered.
 type silence struct{ start, end time.Duration }
 
-// logInMemory is the table's log: one edit from the start and another later.
-type logInMemory struct {
+// memoryLog is the table's log: one edit from the start and another later.
+type memoryLog struct {
 	startedAt time.Time
 	// editAt is when the later edit is written.
 	editAt time.Duration
 	edits  [][]byte
 }
 
-func newLogInMemory(t *testing.T, edited time.Duration) *logInMemory {
-	l := &logInMemory{startedAt: time.Now(), editAt: edited}
+func newLogInMemory(t *testing.T, edited time.Duration) *memoryLog {
+	l := &memoryLog{startedAt: time.Now(), editAt: edited}
 	for n := range 2 {
 		body, err := table.Encode(table.Edit{ID: fmt.Sprint(n), Row: "scan", Base: int64(n), Fields: fmt.Appendf(nil, `{"weight":%d}`, n+1)})
 		require.NoError(t, err)
@@ -58,7 +58,7 @@
 }
 
 // written is how many edits there are now.
-func (l *logInMemory) written() int64 {
+func (l *memoryLog) written() int64 {
 	if time.Since(l.startedAt) < l.editAt {
 		return 1
 	}
@@ -67,7 +67,7 @@
 
 // way is one host's way to the log.
 type way struct {
-	log *logInMemory
+	log *memoryLog
 	// silences are when it answers nothing, took is how long an answer takes.
 	silences []silence
 	took     time.Duration
