--- a/internal/host/follow_test.go
+++ b/internal/host/follow_test.go
@@ -47,7 +47,7 @@
 	edits  [][]byte
 }
 
-func newLogInMemory(t *testing.T, edited time.Duration) *memoryLog {
+func newMemoryLog(t *testing.T, edited time.Duration) *memoryLog {
 	l := &memoryLog{startedAt: time.Now(), editAt: edited}
 	for n := range 2 {
 		body, err := table.Encode(table.Edit{ID: fmt.Sprint(n), Row: "scan", Base: int64(n), Fields: fmt.Appendf(nil, `{"weight":%d}`, n+1)})
@@ -207,7 +207,7 @@
 				inVirtualTime(t, func(t *testing.T) {
 					const from = 5 * time.Second
 					back := from + away
-					w := way{log: newLogInMemory(t, back+after), silences: []silence{{from, back}}, took: 5 * time.Millisecond}
+					w := way{log: newMemoryLog(t, back+after), silences: []silence{{from, back}}, took: 5 * time.Millisecond}
 					c := newReaders(nil, w)
 					defer c.stop()
 					c.run(max(back+recoveryTime, back+after+editDeadline))
@@ -224,7 +224,7 @@
 	for after := time.Duration(0); after < 30*time.Second; after += 1700 * time.Millisecond {
 		inVirtualTime(t, func(t *testing.T) {
 			const from = 5 * time.Second
-			log := newLogInMemory(t, from+after)
+			log := newMemoryLog(t, from+after)
 			served := way{log: log, took: 5 * time.Millisecond}
 			c := newReaders([]string{"nord-x", "nord-y", "nord-z"}, way{log: log, silences: []silence{{from, time.Hour}}, took: served.took}, served, served)
 			defer c.stop()
@@ -252,7 +252,7 @@
 				all = append(all, s)
 			}
 			edited := end - time.Second + within(6*time.Second)
-			c := newReaders(nil, way{log: newLogInMemory(t, edited), silences: all, took: within(200 * time.Millisecond)})
+			c := newReaders(nil, way{log: newMemoryLog(t, edited), silences: all, took: within(200 * time.Millisecond)})
 			defer c.stop()
 			c.run(max(end+recoveryTime, edited+editDeadline))
 			require.Equal(t, int64(2), weightOf(c.hosts[0]), "seed %d: %v, edited at %v", seed, all, edited)
