--- a/internal/host/follow_test.go
+++ b/internal/host/follow_test.go
@@ -57,8 +57,8 @@
 	return l
 }
 
-// written is how many edits there are now.
-func (l *memoryLog) written() int64 {
+// editCount is how many edits there are now.
+func (l *memoryLog) editCount() int64 {
 	if time.Since(l.startedAt) < l.editAt {
 		return 1
 	}
@@ -96,7 +96,7 @@
 		return nil, err
 	}
 	until := time.Now().Add(wait)
-	for w.log.written() < from && time.Now().Before(until) && r.Context().Err() == nil {
+	for w.log.editCount() < from && time.Now().Before(until) && r.Context().Err() == nil {
 		pause(r, 10*time.Millisecond)
 	}
 	pause(r, w.took)
@@ -104,7 +104,7 @@
 		<-r.Context().Done()
 		return nil, r.Context().Err()
 	}
-	p := platform.Page{Oldest: 1, Next: w.log.written() + 1}
+	p := platform.Page{Oldest: 1, Next: w.log.editCount() + 1}
 	for n := from; n < p.Next; n++ {
 		p.Entries = append(p.Entries, platform.Entry{Offset: n, Body: w.log.edits[n-1]})
 	}
