--- a/internal/host/follow_test.go
+++ b/internal/host/follow_test.go
@@ -70,7 +70,7 @@
 	log *memoryLog
 	// silences are when it answers nothing, took is how long an answer takes.
 	silences []silence
-	took     time.Duration
+	latency  time.Duration
 }
 
 // isSilent tells whether a call that was sent at some moment is answered now.
@@ -99,7 +99,7 @@
 	for w.log.editCount() < from && time.Now().Before(until) && r.Context().Err() == nil {
 		pause(r, 10*time.Millisecond)
 	}
-	pause(r, w.took)
+	pause(r, w.latency)
 	if w.isSilent(sent) || r.Context().Err() != nil {
 		<-r.Context().Done()
 		return nil, r.Context().Err()
@@ -207,7 +207,7 @@
 				inVirtualTime(t, func(t *testing.T) {
 					const from = 5 * time.Second
 					back := from + away
-					w := way{log: newMemoryLog(t, back+after), silences: []silence{{from, back}}, took: 5 * time.Millisecond}
+					w := way{log: newMemoryLog(t, back+after), silences: []silence{{from, back}}, latency: 5 * time.Millisecond}
 					c := newReaders(nil, w)
 					defer c.stop()
 					c.run(max(back+recoveryTime, back+after+editDeadline))
@@ -225,8 +225,8 @@
 		inVirtualTime(t, func(t *testing.T) {
 			const from = 5 * time.Second
 			log := newMemoryLog(t, from+after)
-			served := way{log: log, took: 5 * time.Millisecond}
-			c := newReaders([]string{"nord-x", "nord-y", "nord-z"}, way{log: log, silences: []silence{{from, time.Hour}}, took: served.took}, served, served)
+			served := way{log: log, latency: 5 * time.Millisecond}
+			c := newReaders([]string{"nord-x", "nord-y", "nord-z"}, way{log: log, silences: []silence{{from, time.Hour}}, latency: served.latency}, served, served)
 			defer c.stop()
 			c.run(from)
 			c.tellLast()
@@ -252,7 +252,7 @@
 				all = append(all, s)
 			}
 			edited := end - time.Second + within(6*time.Second)
-			c := newReaders(nil, way{log: newMemoryLog(t, edited), silences: all, took: within(200 * time.Millisecond)})
+			c := newReaders(nil, way{log: newMemoryLog(t, edited), silences: all, latency: within(200 * time.Millisecond)})
 			defer c.stop()
 			c.run(max(end+recoveryTime, edited+editDeadline))
 			require.Equal(t, int64(2), weightOf(c.hosts[0]), "seed %d: %v, edited at %v", seed, all, edited)
