--- a/internal/host/follow_test.go
+++ b/internal/host/follow_test.go
@@ -65,8 +65,8 @@
 	return 2
 }
 
-// way is one host's way to the log.
-type way struct {
+// logRoute is one host's logRoute to the log.
+type logRoute struct {
 	log *memoryLog
 	// silences are when it answers nothing, took is how long an answer takes.
 	silences []silence
@@ -74,7 +74,7 @@
 }
 
 // isSilent tells whether a call that was sent at some moment is answered now.
-func (w way) isSilent(sent time.Duration) bool {
+func (w logRoute) isSilent(sent time.Duration) bool {
 	now := time.Since(w.log.startedAt)
 	for _, s := range w.silences {
 		if sent < s.end && now >= s.start {
@@ -85,7 +85,7 @@
 }
 
 // RoundTrip answers a read of the log.
-func (w way) RoundTrip(r *http.Request) (*http.Response, error) {
+func (w logRoute) RoundTrip(r *http.Request) (*http.Response, error) {
 	sent := time.Since(w.log.startedAt)
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
@@ -127,7 +127,7 @@
 	cut []string
 }
 
-func newReaders(cut []string, ways ...way) *readers {
+func newReaders(cut []string, ways ...logRoute) *readers {
 	c := &readers{cut: cut}
 	addr := func(i int) netip.AddrPort { return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 1) }
 	names := slices.Clone(cut)
@@ -207,7 +207,7 @@
 				inVirtualTime(t, func(t *testing.T) {
 					const from = 5 * time.Second
 					back := from + away
-					w := way{log: newMemoryLog(t, back+after), silences: []silence{{from, back}}, latency: 5 * time.Millisecond}
+					w := logRoute{log: newMemoryLog(t, back+after), silences: []silence{{from, back}}, latency: 5 * time.Millisecond}
 					c := newReaders(nil, w)
 					defer c.stop()
 					c.run(max(back+recoveryTime, back+after+editDeadline))
@@ -225,8 +225,8 @@
 		inVirtualTime(t, func(t *testing.T) {
 			const from = 5 * time.Second
 			log := newMemoryLog(t, from+after)
-			served := way{log: log, latency: 5 * time.Millisecond}
-			c := newReaders([]string{"nord-x", "nord-y", "nord-z"}, way{log: log, silences: []silence{{from, time.Hour}}, latency: served.latency}, served, served)
+			served := logRoute{log: log, latency: 5 * time.Millisecond}
+			c := newReaders([]string{"nord-x", "nord-y", "nord-z"}, logRoute{log: log, silences: []silence{{from, time.Hour}}, latency: served.latency}, served, served)
 			defer c.stop()
 			c.run(from)
 			c.tellLast()
@@ -252,7 +252,7 @@
 				all = append(all, s)
 			}
 			edited := end - time.Second + within(6*time.Second)
-			c := newReaders(nil, way{log: newMemoryLog(t, edited), silences: all, latency: within(200 * time.Millisecond)})
+			c := newReaders(nil, logRoute{log: newMemoryLog(t, edited), silences: all, latency: within(200 * time.Millisecond)})
 			defer c.stop()
 			c.run(max(end+recoveryTime, edited+editDeadline))
 			require.Equal(t, int64(2), weightOf(c.hosts[0]), "seed %d: %v, edited at %v", seed, all, edited)
