--- a/internal/host/follow_test.go
+++ b/internal/host/follow_test.go
@@ -123,12 +123,12 @@
 type readers struct {
 	net   standin.Pipes
 	hosts []*host.Host
-	// cut are peers that every host knows and that answer nobody any more.
-	cut []string
+	// unreachable are peers that every host knows and that answer nobody any more.
+	unreachable []string
 }
 
 func newReaders(cut []string, ways ...logRoute) *readers {
-	c := &readers{cut: cut}
+	c := &readers{unreachable: cut}
 	addr := func(i int) netip.AddrPort { return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 1) }
 	names := slices.Clone(cut)
 	for i := range ways {
@@ -169,7 +169,7 @@
 // tellLast has all hosts hear the last heartbeats of those that are cut off since.
 func (c *readers) tellLast() {
 	for _, h := range c.hosts {
-		for _, name := range c.cut {
+		for _, name := range c.unreachable {
 			h.HandleHeartbeat(member.Heartbeat{Name: name, Next: 10, Ack: true})
 		}
 	}
