--- a/internal/host/follow_test.go
+++ b/internal/host/follow_test.go
@@ -119,16 +119,16 @@
 	}
 }
 
-// readers are hosts that follow the table in virtual time, each on its own way.
-type readers struct {
+// tableReaders are hosts that follow the table in virtual time, each on its own way.
+type tableReaders struct {
 	net   standin.Pipes
 	hosts []*host.Host
 	// unreachable are peers that every host knows and that answer nobody any more.
 	unreachable []string
 }
 
-func newReaders(cut []string, ways ...logRoute) *readers {
-	c := &readers{unreachable: cut}
+func newReaders(cut []string, ways ...logRoute) *tableReaders {
+	c := &tableReaders{unreachable: cut}
 	addr := func(i int) netip.AddrPort { return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 1) }
 	names := slices.Clone(cut)
 	for i := range ways {
@@ -154,7 +154,7 @@
 }
 
 // run lets d pass, with heartbeats.
-func (c *readers) run(d time.Duration) {
+func (c *tableReaders) run(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(min(heartbeatInterval, time.Until(end))) {
 		for i, to := range c.hosts {
 			for j, from := range c.hosts {
@@ -167,7 +167,7 @@
 }
 
 // tellLast has all hosts hear the last heartbeats of those that are cut off since.
-func (c *readers) tellLast() {
+func (c *tableReaders) tellLast() {
 	for _, h := range c.hosts {
 		for _, name := range c.unreachable {
 			h.HandleHeartbeat(member.Heartbeat{Name: name, Next: 10, Ack: true})
@@ -175,7 +175,7 @@
 	}
 }
 
-func (c *readers) stop() {
+func (c *tableReaders) stop() {
 	for _, h := range c.hosts {
 		h.Kill()
 	}
