--- a/internal/host/follow_test.go
+++ b/internal/host/follow_test.go
@@ -127,7 +127,7 @@
 	unreachable []string
 }
 
-func newReaders(cut []string, ways ...logRoute) *tableReaders {
+func newTableReaders(cut []string, ways ...logRoute) *tableReaders {
 	c := &tableReaders{unreachable: cut}
 	addr := func(i int) netip.AddrPort { return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 1) }
 	names := slices.Clone(cut)
@@ -208,7 +208,7 @@
 					const from = 5 * time.Second
 					back := from + away
 					w := logRoute{log: newMemoryLog(t, back+after), silences: []silence{{from, back}}, latency: 5 * time.Millisecond}
-					c := newReaders(nil, w)
+					c := newTableReaders(nil, w)
 					defer c.stop()
 					c.run(max(back+recoveryTime, back+after+editDeadline))
 					require.Equal(t, int64(2), weightOf(c.hosts[0]), "edited %v after the silence", after)
@@ -226,7 +226,7 @@
 			const from = 5 * time.Second
 			log := newMemoryLog(t, from+after)
 			served := logRoute{log: log, latency: 5 * time.Millisecond}
-			c := newReaders([]string{"nord-x", "nord-y", "nord-z"}, logRoute{log: log, silences: []silence{{from, time.Hour}}, latency: served.latency}, served, served)
+			c := newTableReaders([]string{"nord-x", "nord-y", "nord-z"}, logRoute{log: log, silences: []silence{{from, time.Hour}}, latency: served.latency}, served, served)
 			defer c.stop()
 			c.run(from)
 			c.tellLast()
@@ -252,7 +252,7 @@
 				all = append(all, s)
 			}
 			edited := end - time.Second + within(6*time.Second)
-			c := newReaders(nil, logRoute{log: newMemoryLog(t, edited), silences: all, latency: within(200 * time.Millisecond)})
+			c := newTableReaders(nil, logRoute{log: newMemoryLog(t, edited), silences: all, latency: within(200 * time.Millisecond)})
 			defer c.stop()
 			c.run(max(end+recoveryTime, edited+editDeadline))
 			require.Equal(t, int64(2), weightOf(c.hosts[0]), "seed %d: %v, edited at %v", seed, all, edited)
