--- a/internal/host/follow_test.go
+++ b/internal/host/follow_test.go
@@ -166,8 +166,8 @@
 	}
 }
 
-// tellLast has all hosts hear the last heartbeats of those that are cut off since.
-func (c *tableReaders) tellLast() {
+// sendLastHeartbeats has all hosts hear the last heartbeats of those that are cut off since.
+func (c *tableReaders) sendLastHeartbeats() {
 	for _, h := range c.hosts {
 		for _, name := range c.unreachable {
 			h.HandleHeartbeat(member.Heartbeat{Name: name, Next: 10, Ack: true})
@@ -229,7 +229,7 @@
 			c := newTableReaders([]string{"nord-x", "nord-y", "nord-z"}, logRoute{log: log, silences: []silence{{from, time.Hour}}, latency: served.latency}, served, served)
 			defer c.stop()
 			c.run(from)
-			c.tellLast()
+			c.sendLastHeartbeats()
 			c.run(max(after+editDeadline, recoveryTime))
 			require.Equal(t, int64(2), weightOf(c.hosts[0]), "edited %v after the silence began", after)
 		})
