--- a/internal/host/keep_test.go
+++ b/internal/host/keep_test.go
@@ -20,11 +20,11 @@
 	"pollencroft/internal/standin"
 )
 
-// down is a log that refuses everything.
-type down struct{}
+// unavailableLog is a log that refuses everything.
+type unavailableLog struct{}
 
 // RoundTrip refuses.
-func (down) RoundTrip(*http.Request) (*http.Response, error) {
+func (unavailableLog) RoundTrip(*http.Request) (*http.Response, error) {
 	return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}, nil
 }
 
@@ -51,7 +51,7 @@
 				h := host.New(cfg, slog.New(slog.DiscardHandler), time.Now)
 				defer h.Kill()
 				h.ConnectPeers(net.Listen(addr(0)), net.Dial)
-				h.KeepJobs(down{})
+				h.KeepJobs(unavailableLog{})
 				if tc.answer != nil {
 					ctx, cancel := context.WithCancel(t.Context())
 					defer cancel()
