--- a/internal/host/keys_test.go
+++ b/internal/host/keys_test.go
@@ -22,7 +22,7 @@
 	"pollencroft/pkg/client"
 )
 
-func issue(t *testing.T, a *standin.Authority, name string) settings.TLS {
+func issueCert(t *testing.T, a *standin.Authority, name string) settings.TLS {
 	t.Helper()
 	dir := t.TempDir()
 	require.NoError(t, a.Issue(dir, name, time.Now().Add(time.Hour)))
@@ -30,7 +30,7 @@
 }
 
 func (c *rig) secure(a *standin.Authority, i int) {
-	c.all[i].TLS = issue(c.t, a, keys.Name(c.all[i].Name, c.all[i].Domain))
+	c.all[i].TLS = issueCert(c.t, a, keys.Name(c.all[i].Name, c.all[i].Domain))
 }
 
 func withCert(t *testing.T, files settings.TLS, name string) *tls.Config {
@@ -69,7 +69,7 @@
 	none := host.Clone()
 	none.Certificates = nil
 	require.ErrorAs(t, operator(none).SetRow(ctx, "scan", "", nil), &status)
-	good := withCert(t, issue(t, a, keys.Operator), name)
+	good := withCert(t, issueCert(t, a, keys.Operator), name)
 	require.NoError(t, operator(good).SetRow(ctx, "scan", "", nil))
 	require.Error(t, client.New(at(c.sockets[0].Operator), "", nil).Get(ctx, "/table", nil), "no TLS")
 	c.until("row goes to the other host over TLS and the log", func() bool { return c.weight(1, "scan") == 1 })
