--- a/internal/host/keys_test.go
+++ b/internal/host/keys_test.go
@@ -29,7 +29,7 @@
 	return settings.TLS{Cert: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem"), CA: filepath.Join(dir, "ca.pem")}
 }
 
-func (c *rig) secure(a *standin.Authority, i int) {
+func (c *rig) useTLS(a *standin.Authority, i int) {
 	c.all[i].TLS = issueCert(c.t, a, keys.Name(c.all[i].Name, c.all[i].Domain))
 }
 
@@ -53,7 +53,7 @@
 	c := newRig(t, 3)
 	for i := range c.all {
 		c.all[i].Operator.Token = ""
-		c.secure(a, i)
+		c.useTLS(a, i)
 	}
 	c.start(0)
 	c.start(1)
