--- a/internal/host/keys_test.go
+++ b/internal/host/keys_test.go
@@ -33,7 +33,7 @@
 	c.all[i].TLS = issueCert(c.t, a, keys.Name(c.all[i].Name, c.all[i].Domain))
 }
 
-func withCert(t *testing.T, files settings.TLS, name string) *tls.Config {
+func tlsConfig(t *testing.T, files settings.TLS, name string) *tls.Config {
 	t.Helper()
 	cert, err := tls.LoadX509KeyPair(files.Cert, files.Key)
 	require.NoError(t, err)
@@ -63,13 +63,13 @@
 	ctx := context.Background()
 	operator := func(cfg *tls.Config) *client.Client { return client.NewTLS(at(c.sockets[0].Operator), "", cfg) }
 	var status *client.StatusError
-	host := withCert(t, c.all[2].TLS, name)
+	host := tlsConfig(t, c.all[2].TLS, name)
 	require.ErrorAs(t, operator(host).SetRow(ctx, "scan", "", nil), &status)
 	require.Equal(t, 401, status.Status)
 	none := host.Clone()
 	none.Certificates = nil
 	require.ErrorAs(t, operator(none).SetRow(ctx, "scan", "", nil), &status)
-	good := withCert(t, issueCert(t, a, keys.Operator), name)
+	good := tlsConfig(t, issueCert(t, a, keys.Operator), name)
 	require.NoError(t, operator(good).SetRow(ctx, "scan", "", nil))
 	require.Error(t, client.New(at(c.sockets[0].Operator), "", nil).Get(ctx, "/table", nil), "no TLS")
 	c.until("row goes to the other host over TLS and the log", func() bool { return c.weight(1, "scan") == 1 })
