--- a/internal/host/lifecycle_test.go
+++ b/internal/host/lifecycle_test.go
@@ -13,7 +13,7 @@
 	"pollencroft/pkg/client"
 )
 
-func (c *cluster) logDown(down bool) {
+func (c *cluster) setLogDown(down bool) {
 	c.cell.Platform.SetFaults(standin.PlatformFaults{Down: down})
 }
 
@@ -112,7 +112,7 @@
 		"all tasks ended, end not in the log, both keepers die": func(c *cluster) {
 			s := c.submit(smallJob(4, 0.3))
 			c.waitFor("tasks run", func() bool { started, _ := c.ran(s.ID); return started == 4 })
-			c.logDown(true)
+			c.setLogDown(true)
 			c.waitFor("the lead knows the end", func() bool { return c.state(s.ID) == "ended" })
 			c.renewed(2)
 			c.kill(c.leaderOf(s.ID))
@@ -123,28 +123,28 @@
 					break
 				}
 			}
-			c.logDown(false)
+			c.setLogDown(false)
 			c.whole(s.ID, 4)
 			started, _ := c.ran(s.ID)
 			require.Equal(c, 4, started, "an ended task ran again")
 		},
 		"kept by peers, log away before": func(c *cluster) {
 			free := c.fill()
-			c.logDown(true)
+			c.setLogDown(true)
 			s := c.submit(smallJob(2, 0.2))
 			require.Equal(c, "peers", s.Kept)
 			c.kill(c.leaderOf(s.ID))
-			c.logDown(false)
+			c.setLogDown(false)
 			free()
 			c.whole(s.ID, 2)
 		},
 		"tasks run, log away during and after": func(c *cluster) {
 			s := c.submit(smallJob(8, 6))
 			c.waitFor("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
-			c.logDown(true)
+			c.setLogDown(true)
 			c.kill(c.leaderOf(s.ID))
 			c.waitFor("the next lead holds all workers", func() bool { return c.heldCount() == 4 })
-			c.logDown(false)
+			c.setLogDown(false)
 			c.whole(s.ID, 8)
 		},
 	} {
@@ -201,9 +201,9 @@
 	free := c.fill()
 	s := c.submit(smallJob(2, 0.2))
 	require.Equal(t, "log", s.Kept)
-	c.logDown(true)
+	c.setLogDown(true)
 	require.Equal(t, "unknown", c.cancel(s.ID))
-	c.logDown(false)
+	c.setLogDown(false)
 	c.waitFor("not run is said", func() bool {
 		got, err := c.anyClient("").Job(context.Background(), s.ID)
 		return err == nil && got.Outcome == "not run"
@@ -219,7 +219,7 @@
 	t.Parallel()
 	c := newCluster(t, 3)
 	c.fill()
-	c.logDown(true)
+	c.setLogDown(true)
 	s := c.submit(smallJob(2, 0.2))
 	require.Equal(t, "peers", s.Kept)
 	lead := c.leaderOf(s.ID)
@@ -230,7 +230,7 @@
 		}
 	}
 	require.Len(t, c.hosts, 1)
-	c.logDown(false)
+	c.setLogDown(false)
 	c.waitFor("the last host has read the log", func() bool { return c.heldCount() == 4 })
 	_, err := c.anyClient("").Job(context.Background(), s.ID)
 	require.ErrorContains(t, err, "404")
@@ -275,14 +275,14 @@
 	c := newCluster(t, 2)
 	s := c.submit(smallJob(12, 2))
 	c.waitFor("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
-	c.logDown(true)
+	c.setLogDown(true)
 	name := c.leaderOf(s.ID)
 	require.NoError(t, c.hosts[name].Stop(context.Background()))
 	c.kill(name)
 	for _, h := range c.hosts {
 		require.True(t, h.Leads(s.ID))
 	}
-	c.logDown(false)
+	c.setLogDown(false)
 	c.whole(s.ID, 12)
 	started, _ := c.ran(s.ID)
 	require.Equal(t, 12, started)
