--- a/internal/host/lifecycle_test.go
+++ b/internal/host/lifecycle_test.go
@@ -17,9 +17,9 @@
 	c.cell.Platform.SetFaults(standin.PlatformFaults{Down: down})
 }
 
-// fill takes every worker with one large task, so that further jobs wait, and
+// fillWorkers takes every worker with one large task, so that further jobs wait, and
 // returns what frees them again.
-func (c *cluster) fill() (free func()) {
+func (c *cluster) fillWorkers() (free func()) {
 	var ids []string
 	c.waitFor("all workers are full", func() bool {
 		full := 0
@@ -83,7 +83,7 @@
 func TestLeadDiesAtEveryStep(t *testing.T) {
 	for name, life := range map[string]func(c *cluster){
 		"accepted, no start sent": func(c *cluster) {
-			free := c.fill()
+			free := c.fillWorkers()
 			s := c.submit(smallJob(2, 0.2))
 			c.kill(c.leaderOf(s.ID))
 			free()
@@ -129,7 +129,7 @@
 			require.Equal(c, 4, started, "an ended task ran again")
 		},
 		"kept by peers, log away before": func(c *cluster) {
-			free := c.fill()
+			free := c.fillWorkers()
 			c.setLogDown(true)
 			s := c.submit(smallJob(2, 0.2))
 			require.Equal(c, "peers", s.Kept)
@@ -168,7 +168,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := newCluster(t, 3)
-			free := c.fill()
+			free := c.fillWorkers()
 			s := c.submit(smallJob(2, 0.2))
 			c.cell.Platform.SetFaults(standin.PlatformFaults{Slow: slow})
 			began := time.Now()
@@ -198,7 +198,7 @@
 func TestCancelWhileTheLogIsAwayIsUnknownAtFirst(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2)
-	free := c.fill()
+	free := c.fillWorkers()
 	s := c.submit(smallJob(2, 0.2))
 	require.Equal(t, "log", s.Kept)
 	c.setLogDown(true)
@@ -218,7 +218,7 @@
 func TestBothKeepersDie(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
-	c.fill()
+	c.fillWorkers()
 	c.setLogDown(true)
 	s := c.submit(smallJob(2, 0.2))
 	require.Equal(t, "peers", s.Kept)
