--- a/internal/host/lifecycle_test.go
+++ b/internal/host/lifecycle_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// renewed waits until every worker was renewed so often again.
-func (c *cluster) renewed(times int) {
+// waitRenewals waits until every worker was waitRenewals so often again.
+func (c *cluster) waitRenewals(times int) {
 	for _, w := range c.cell.Workers {
 		before := w.Record().Renewed
 		c.waitFor("worker is renewed", func() bool { return w.Record().Renewed >= before+times })
@@ -114,7 +114,7 @@
 			c.waitFor("tasks run", func() bool { started, _ := c.ran(s.ID); return started == 4 })
 			c.setLogDown(true)
 			c.waitFor("the lead knows the end", func() bool { return c.state(s.ID) == "ended" })
-			c.renewed(2)
+			c.waitRenewals(2)
 			c.kill(c.leaderOf(s.ID))
 			// The first other host by name is the one that was told of the end.
 			for _, name := range c.names {
