--- a/internal/host/lifecycle_test.go
+++ b/internal/host/lifecycle_test.go
@@ -68,8 +68,8 @@
 	return outcome
 }
 
-// whole waits for the job's end and checks that each task ran to its end once.
-func (c *cluster) whole(id string, tasks int) {
+// requireEndsOnce waits for the job's end and checks that each task ran to its end once.
+func (c *cluster) requireEndsOnce(id string, tasks int) {
 	c.Helper()
 	c.waitFor("job ends", func() bool { return c.state(id) == "ended" })
 	_, ended := c.ran(id)
@@ -87,7 +87,7 @@
 			s := c.submit(smallJob(2, 0.2))
 			c.kill(c.leaderOf(s.ID))
 			free()
-			c.whole(s.ID, 2)
+			c.requireEndsOnce(s.ID, 2)
 		},
 		"starts sent, answers lost": func(c *cluster) {
 			for _, w := range c.cell.Workers {
@@ -96,7 +96,7 @@
 			s := c.submit(smallJob(8, 1))
 			c.waitFor("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
 			c.kill(c.leaderOf(s.ID))
-			c.whole(s.ID, 8)
+			c.requireEndsOnce(s.ID, 8)
 		},
 		"starts sent, workers paused": func(c *cluster) {
 			for _, w := range c.cell.Workers {
@@ -107,7 +107,7 @@
 			for _, w := range c.cell.Workers {
 				w.SetFaults(standin.WorkerFaults{})
 			}
-			c.whole(s.ID, 8)
+			c.requireEndsOnce(s.ID, 8)
 		},
 		"all tasks ended, end not in the log, both keepers die": func(c *cluster) {
 			s := c.submit(smallJob(4, 0.3))
@@ -124,7 +124,7 @@
 				}
 			}
 			c.setLogDown(false)
-			c.whole(s.ID, 4)
+			c.requireEndsOnce(s.ID, 4)
 			started, _ := c.ran(s.ID)
 			require.Equal(c, 4, started, "an ended task ran again")
 		},
@@ -136,7 +136,7 @@
 			c.kill(c.leaderOf(s.ID))
 			c.setLogDown(false)
 			free()
-			c.whole(s.ID, 2)
+			c.requireEndsOnce(s.ID, 2)
 		},
 		"tasks run, log away during and after": func(c *cluster) {
 			s := c.submit(smallJob(8, 6))
@@ -145,7 +145,7 @@
 			c.kill(c.leaderOf(s.ID))
 			c.waitFor("the next lead holds all workers", func() bool { return c.heldCount() == 4 })
 			c.setLogDown(false)
-			c.whole(s.ID, 8)
+			c.requireEndsOnce(s.ID, 8)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -184,7 +184,7 @@
 			c.kill(c.leaderOf(s.ID))
 			free()
 			after := c.submit(smallJob(1, 0.1))
-			c.whole(after.ID, 1)
+			c.requireEndsOnce(after.ID, 1)
 			c.waitFor("every host knows the end", func() bool { return c.state(s.ID) == "cancelled" })
 			started, _ := c.ran(s.ID)
 			require.Zero(t, started)
@@ -259,7 +259,7 @@
 	}
 	require.Len(t, ids, 1)
 	for id := range ids {
-		c.whole(id, 2)
+		c.requireEndsOnce(id, 2)
 		started, _ := c.ran(id)
 		require.Equal(t, 2, started)
 	}
@@ -283,7 +283,7 @@
 		require.True(t, h.Leads(s.ID))
 	}
 	c.setLogDown(false)
-	c.whole(s.ID, 12)
+	c.requireEndsOnce(s.ID, 12)
 	started, _ := c.ran(s.ID)
 	require.Equal(t, 12, started)
 }
