--- a/internal/host/share_test.go
+++ b/internal/host/share_test.go
@@ -74,8 +74,8 @@
 	d.cell.Platform.SetHosts(all)
 }
 
-// share waits until these hosts together may use all slots of each minion.
-func (d *domain) share(what string, hosts ...int) {
+// waitSlotsShared waits until these hosts together may use all slots of each minion.
+func (d *domain) waitSlotsShared(what string, hosts ...int) {
 	require.Eventually(d.t, func() bool {
 		sum := map[string]int{}
 		for _, i := range hosts {
@@ -97,14 +97,14 @@
 // use all slots: its callers would otherwise wait beside idle minions for ever.
 func TestSlotsOfGoneHostsAreTakenOver(t *testing.T) {
 	d := newDomain(t)
-	d.share("all share at the start", 0, 1, 2)
+	d.waitSlotsShared("all share at the start", 0, 1, 2)
 	d.hosts[0].Kill()
 	d.list("h1", "h2")
-	d.share("the others take the dead host's slots", 1, 2)
+	d.waitSlotsShared("the others take the dead host's slots", 1, 2)
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	require.NoError(t, d.hosts[1].Stop(ctx))
-	d.share("the last host gets what the stopped one gave", 2)
+	d.waitSlotsShared("the last host gets what the stopped one gave", 2)
 }
 
 // callers sets an urgent row and returns clients of the hosts.
@@ -123,7 +123,7 @@
 // rest must not stay idle while they wait, and no minion may get a ninth.
 func TestOneHostsCallersUseAllSlotsAndNoMore(t *testing.T) {
 	d := newDomain(t)
-	d.share("all share", 0, 1, 2)
+	d.waitSlotsShared("all share", 0, 1, 2)
 	callers := d.callers()
 	var wg sync.WaitGroup
 	for range 16 {
@@ -146,7 +146,7 @@
 // other hosts must hear of it and send it nothing more.
 func TestLeavingMinionIsShunnedByAllHosts(t *testing.T) {
 	d := newDomain(t)
-	d.share("all share", 0, 1, 2)
+	d.waitSlotsShared("all share", 0, 1, 2)
 	callers := d.callers()
 	d.cell.Minions["minion-00"].SetFaults(standin.MinionFaults{Leaving: true})
 	aside := func(i int) bool {
