--- a/internal/host/share_test.go
+++ b/internal/host/share_test.go
@@ -49,7 +49,7 @@
 			Limits: settings.Limits{Body: 1 << 20, Queue: 100, Deadline: 4 * time.Second, Drain: 5 * time.Second},
 		})
 	}
-	d.list("h0", "h1", "h2")
+	d.setListed("h0", "h1", "h2")
 	for i, cfg := range d.cfgs {
 		for j, other := range d.cfgs {
 			if i != j {
@@ -65,8 +65,8 @@
 	return d
 }
 
-// list puts entry hosts on the platform's list beside the minions.
-func (d *domain) list(names ...string) {
+// setListed puts entry hosts on the platform's setListed beside the minions.
+func (d *domain) setListed(names ...string) {
 	all := append([]platform.Machine{}, d.cell.Machines...)
 	for _, name := range names {
 		all = append(all, platform.Machine{Name: name, Kind: cell.EntryHost, Domain: "nord"})
@@ -99,7 +99,7 @@
 	d := newDomain(t)
 	d.waitSlotsShared("all share at the start", 0, 1, 2)
 	d.hosts[0].Kill()
-	d.list("h1", "h2")
+	d.setListed("h1", "h2")
 	d.waitSlotsShared("the others take the dead host's slots", 1, 2)
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
