--- a/internal/host/silent_test.go
+++ b/internal/host/silent_test.go
@@ -44,14 +44,14 @@
 			f.mu.Lock()
 			silent := f.silent
 			f.mu.Unlock()
-			go pass(in, out, silent)
-			go pass(out, in, silent)
+			go copyUntilSilent(in, out, silent)
+			go copyUntilSilent(out, in, silent)
 		}
 	}()
 	return f
 }
 
-func pass(from, to net.Conn, silent chan struct{}) {
+func copyUntilSilent(from, to net.Conn, silent chan struct{}) {
 	b := make([]byte, 4096)
 	for {
 		n, err := from.Read(b)
