--- a/internal/host/admit_test.go
+++ b/internal/host/admit_test.go
@@ -19,7 +19,7 @@
 // scan that comes at the same moment is served.
 func TestFloodOfBodiesIsShedByClass(t *testing.T) {
 	c := newRig(t, 1)
-	c.minion(8)
+	c.addBackend(8)
 	c.all[0].Limits.Memory = 4 << 20
 	c.start(0)
 	c.ready(0)
--- a/internal/host/stop_test.go
+++ b/internal/host/stop_test.go
@@ -17,8 +17,8 @@
 	"pollencroft/pkg/client"
 )
 
-// minion adds a backend server of the rig's failure domain.
-func (c *rig) minion(slots int) *standin.Minion {
+// addBackend adds a backend server of the rig's failure domain.
+func (c *rig) addBackend(slots int) *standin.Minion {
 	m := standin.NewMinion(slots)
 	c.platform.SetHosts([]platform.Machine{{
 		Name: "m", Kind: cell.MinionHost, Domain: "nord", Slots: slots, Conns: 64, Address: serveMinion(c.t, m),
@@ -41,7 +41,7 @@
 // up the stop for long once they have.
 func TestPlannedStopCutsNothing(t *testing.T) {
 	c := newRig(t, 2)
-	m := c.minion(8)
+	m := c.addBackend(8)
 	for i := range c.all {
 		c.all[i].Limits.Leave, c.all[i].Limits.Settle = 50*time.Millisecond, time.Millisecond
 		c.start(i)
@@ -106,7 +106,7 @@
 // it has cut work, rather than hang for good or claim a clean end.
 func TestStopThatCutsWorkSaysSo(t *testing.T) {
 	c := newRig(t, 1)
-	m := c.minion(8)
+	m := c.addBackend(8)
 	c.start(0)
 	c.ready(0)
 	require.NoError(t, c.set(0, "scan", map[string]any{"class": "urgent"}))
