--- a/internal/host/silent_test.go
+++ b/internal/host/silent_test.go
@@ -141,7 +141,7 @@
 func TestLeavingServerIsSeenByHostsThatDoNotReadTheList(t *testing.T) {
 	c := newRig(t, 2)
 	m := standin.NewMinion(8)
-	addr := serveMinion(t, m)
+	addr := serveBackend(t, m)
 	list := func(leaving bool) {
 		c.platform.SetHosts([]platform.Machine{{Name: "m", Kind: cell.MinionHost, Domain: "nord", Slots: 8, Address: addr, Leaving: leaving}})
 	}
--- a/internal/host/stop_test.go
+++ b/internal/host/stop_test.go
@@ -21,12 +21,12 @@
 func (c *rig) addBackend(slots int) *standin.Minion {
 	m := standin.NewMinion(slots)
 	c.platform.SetHosts([]platform.Machine{{
-		Name: "m", Kind: cell.MinionHost, Domain: "nord", Slots: slots, Conns: 64, Address: serveMinion(c.t, m),
+		Name: "m", Kind: cell.MinionHost, Domain: "nord", Slots: slots, Conns: 64, Address: serveBackend(c.t, m),
 	}})
 	return m
 }
 
-func serveMinion(t *testing.T, m *standin.Minion) netip.AddrPort {
+func serveBackend(t *testing.T, m *standin.Minion) netip.AddrPort {
 	t.Helper()
 	srv := httptest.NewServer(m.Handler())
 	t.Cleanup(srv.Close)
