--- a/internal/host/stop_test.go
+++ b/internal/host/stop_test.go
@@ -33,7 +33,7 @@
 	return netip.MustParseAddrPort(srv.Listener.Addr().String())
 }
 
-func ran(m *standin.Minion) int { return m.Record().Most }
+func maxRunning(m *standin.Minion) int { return m.Record().Most }
 
 // A host is told to stop while it carries a plain request, a keyed one, one
 // that a peer handed over, and connections that clients opened ahead and never
@@ -81,12 +81,12 @@
 	for range 4 {
 		send(1, "", "2s")
 	}
-	c.until("host 1 is full", func() bool { return ran(m) >= 4 })
+	c.until("host 1 is full", func() bool { return maxRunning(m) >= 4 })
 	// What is handed over ends last, when nothing of host 0's own runs any more.
 	send(1, "", "3s")
 	send(0, "", "1s")
 	send(0, cell.NewID(), "1s")
-	c.until("all run", func() bool { return ran(m) >= 7 })
+	c.until("all run", func() bool { return maxRunning(m) >= 7 })
 	unused, err := net.Dial("tcp", c.sockets[0].Caller.Addr().String())
 	require.NoError(t, err)
 	defer unused.Close()
