--- a/internal/host/admit_test.go
+++ b/internal/host/admit_test.go
@@ -20,7 +20,7 @@
 func TestFloodOfBodiesIsShedByClass(t *testing.T) {
 	c := newRig(t, 1)
 	c.addBackend(8)
-	c.all[0].Limits.Memory = 4 << 20
+	c.settings[0].Limits.Memory = 4 << 20
 	c.start(0)
 	c.ready(0)
 	require.NoError(t, c.set(0, "scan", map[string]any{"class": "urgent"}))
@@ -69,7 +69,7 @@
 // they are gone there is room again.
 func TestConnectionsAboveTheBoundAreClosed(t *testing.T) {
 	c := newRig(t, 1)
-	c.all[0].Limits.Conns = 4
+	c.settings[0].Limits.Conns = 4
 	c.start(0)
 	c.ready(0)
 	var conns []net.Conn
--- a/internal/host/keys_test.go
+++ b/internal/host/keys_test.go
@@ -30,7 +30,7 @@
 }
 
 func (c *rig) useTLS(a *standin.Authority, i int) {
-	c.all[i].TLS = issueCert(c.t, a, keys.Name(c.all[i].Name, c.all[i].Domain))
+	c.settings[i].TLS = issueCert(c.t, a, keys.Name(c.settings[i].Name, c.settings[i].Domain))
 }
 
 func tlsConfig(t *testing.T, files settings.TLS, name string) *tls.Config {
@@ -51,19 +51,19 @@
 	a, err := standin.NewAuthority()
 	require.NoError(t, err)
 	c := newRig(t, 3)
-	for i := range c.all {
-		c.all[i].Operator.Token = ""
+	for i := range c.settings {
+		c.settings[i].Operator.Token = ""
 		c.useTLS(a, i)
 	}
 	c.start(0)
 	c.start(1)
 	c.ready(0)
 	c.ready(1)
-	name := keys.Name(c.all[0].Name, c.all[0].Domain)
+	name := keys.Name(c.settings[0].Name, c.settings[0].Domain)
 	ctx := context.Background()
 	operator := func(cfg *tls.Config) *client.Client { return client.NewTLS(at(c.sockets[0].Operator), "", cfg) }
 	var status *client.StatusError
-	host := tlsConfig(t, c.all[2].TLS, name)
+	host := tlsConfig(t, c.settings[2].TLS, name)
 	require.ErrorAs(t, operator(host).SetRow(ctx, "scan", "", nil), &status)
 	require.Equal(t, 401, status.Status)
 	none := host.Clone()
--- a/internal/host/silent_test.go
+++ b/internal/host/silent_test.go
@@ -82,7 +82,7 @@
 func TestEditReachesAHostWhoseLogConnectionWentSilent(t *testing.T) {
 	c := newRig(t, 2)
 	f := forward(t, c.addr)
-	c.all[1].Platform, c.all[1].Peers = netip.MustParseAddrPort(f.Addr().String()), nil
+	c.settings[1].Platform, c.settings[1].Peers = netip.MustParseAddrPort(f.Addr().String()), nil
 	c.start(0)
 	c.start(1)
 	c.ready(0)
@@ -98,7 +98,7 @@
 	t.Parallel()
 	c := newRig(t, 2)
 	f := forward(t, c.addr)
-	c.all[1].Platform, c.all[1].Peers = netip.MustParseAddrPort(f.Addr().String()), nil
+	c.settings[1].Platform, c.settings[1].Peers = netip.MustParseAddrPort(f.Addr().String()), nil
 	c.start(0)
 	c.ready(0)
 	require.NoError(t, c.set(0, "scan", map[string]any{"weight": 7}))
@@ -113,8 +113,8 @@
 func TestEditOfAHostThatDiesIsFoundAtAnother(t *testing.T) {
 	c := newRig(t, 2)
 	f := forward(t, c.addr)
-	c.all[0].Platform = netip.MustParseAddrPort(f.Addr().String())
-	c.all[0].Peers = nil
+	c.settings[0].Platform = netip.MustParseAddrPort(f.Addr().String())
+	c.settings[0].Peers = nil
 	c.start(0)
 	c.start(1)
 	c.ready(0)
@@ -146,8 +146,8 @@
 		c.platform.SetHosts([]platform.Machine{{Name: "m", Kind: cell.MinionHost, Domain: "nord", Slots: 8, Address: addr, Leaving: leaving}})
 	}
 	list(false)
-	for i := range c.all {
-		c.all[i].Limits.Settle = time.Millisecond
+	for i := range c.settings {
+		c.settings[i].Limits.Settle = time.Millisecond
 		c.start(i)
 		c.ready(i)
 	}
--- a/internal/host/stop_test.go
+++ b/internal/host/stop_test.go
@@ -42,8 +42,8 @@
 func TestPlannedStopCutsNothing(t *testing.T) {
 	c := newRig(t, 2)
 	m := c.addBackend(8)
-	for i := range c.all {
-		c.all[i].Limits.Leave, c.all[i].Limits.Settle = 50*time.Millisecond, time.Millisecond
+	for i := range c.settings {
+		c.settings[i].Limits.Leave, c.settings[i].Limits.Settle = 50*time.Millisecond, time.Millisecond
 		c.start(i)
 		c.ready(i)
 	}
--- a/internal/host/table_test.go
+++ b/internal/host/table_test.go
@@ -25,7 +25,7 @@
 	t        *testing.T
 	platform *standin.Platform
 	addr     netip.AddrPort
-	all      []settings.Settings
+	settings []settings.Settings
 	sockets  []host.Listeners
 	hosts    []*host.Host
 }
@@ -40,15 +40,15 @@
 		ls, err := host.Listen(settings.Listen{Caller: local, Operator: local, Peer: local})
 		require.NoError(t, err)
 		c.sockets = append(c.sockets, ls)
-		c.all = append(c.all, settings.Settings{
+		c.settings = append(c.settings, settings.Settings{
 			Name: fmt.Sprint("nord-", i), Domain: "nord", Platform: c.addr, Operator: settings.Operator{Token: "secret"},
 			Limits: settings.Limits{Body: 1 << 20, Queue: 64, Deadline: time.Minute, Drain: testTimeout},
 		})
 	}
-	for i := range c.all {
-		for j := range c.all {
+	for i := range c.settings {
+		for j := range c.settings {
 			if i != j {
-				c.all[i].Peers = append(c.all[i].Peers, settings.Peer{Name: c.all[j].Name, Domain: "nord", Address: at(c.sockets[j].Peer)})
+				c.settings[i].Peers = append(c.settings[i].Peers, settings.Peer{Name: c.settings[j].Name, Domain: "nord", Address: at(c.sockets[j].Peer)})
 			}
 		}
 	}
@@ -58,7 +58,7 @@
 func at(ln net.Listener) netip.AddrPort { return netip.MustParseAddrPort(ln.Addr().String()) }
 
 func (c *rig) start(i int) *host.Host {
-	h := host.New(c.all[i], slog.New(slog.DiscardHandler), time.Now)
+	h := host.New(c.settings[i], slog.New(slog.DiscardHandler), time.Now)
 	require.NoError(c.t, h.LoadKeys())
 	h.Start(c.sockets[i])
 	c.t.Cleanup(h.Kill)
@@ -142,7 +142,7 @@
 // would refuse every caller or ignore every limit.
 func TestHostThatStartsWhileTheLogIsDownTakesThePeersTable(t *testing.T) {
 	c := newRig(t, 3)
-	c.all[2].Peers = nil
+	c.settings[2].Peers = nil
 	c.start(0)
 	c.ready(0)
 	require.NoError(t, c.set(0, "scan", map[string]any{"weight": 7}))
@@ -161,7 +161,7 @@
 // another wrote in time, though it knows no peer.
 func TestNewHostStartsFromTheSnapshotInATrimmedLog(t *testing.T) {
 	c := newRig(t, 2)
-	c.all[1].Peers = nil
+	c.settings[1].Peers = nil
 	c.start(0)
 	c.ready(0)
 	c.platform.SetFaults(standin.PlatformFaults{Retain: 8})
@@ -241,7 +241,7 @@
 // after every host of the shrinking one has read the edit and the log says so.
 func TestQuotaMovesAfterTheShrinkingDomainHasSettled(t *testing.T) {
 	c := newRig(t, 2)
-	c.all[1].Domain, c.all[0].Peers[0].Domain = "sued", "sued"
+	c.settings[1].Domain, c.settings[0].Peers[0].Domain = "sued", "sued"
 	c.start(0)
 	c.ready(0)
 	ctx := context.Background()
