--- a/internal/host/admit_test.go
+++ b/internal/host/admit_test.go
@@ -58,7 +58,7 @@
 	c.until("room is given back", func() bool { return c.hosts[0].InFlight() == 0 })
 }
 
-func isServed(c *rig, row string) bool {
+func isServed(c *testHosts, row string) bool {
 	reply, err := client.New(at(c.sockets[0].Caller), "", nil).Do(context.Background(),
 		client.Request{Workload: row, Method: "POST", Body: bytes.Repeat([]byte("x"), 100), Deadline: 5 * time.Second})
 	return err == nil && reply.Outcome == client.Done
--- a/internal/host/keys_test.go
+++ b/internal/host/keys_test.go
@@ -29,7 +29,7 @@
 	return settings.TLS{Cert: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem"), CA: filepath.Join(dir, "ca.pem")}
 }
 
-func (c *rig) useTLS(a *standin.Authority, i int) {
+func (c *testHosts) useTLS(a *standin.Authority, i int) {
 	c.settings[i].TLS = issueCert(c.t, a, keys.Name(c.settings[i].Name, c.settings[i].Domain))
 }
 
--- a/internal/host/stop_test.go
+++ b/internal/host/stop_test.go
@@ -18,7 +18,7 @@
 )
 
 // addBackend adds a backend server of the rig's failure domain.
-func (c *rig) addBackend(slots int) *standin.Minion {
+func (c *testHosts) addBackend(slots int) *standin.Minion {
 	m := standin.NewMinion(slots)
 	c.platform.SetHosts([]platform.Machine{{
 		Name: "m", Kind: cell.MinionHost, Domain: "nord", Slots: slots, Conns: 64, Address: serveBackend(c.t, m),
--- a/internal/host/table_test.go
+++ b/internal/host/table_test.go
@@ -20,8 +20,8 @@
 
 var local = netip.MustParseAddrPort("127.0.0.1:0")
 
-// rig is a platform and some entry hosts in one process.
-type rig struct {
+// testHosts is a platform and some entry hosts in one process.
+type testHosts struct {
 	t        *testing.T
 	platform *standin.Platform
 	addr     netip.AddrPort
@@ -31,8 +31,8 @@
 }
 
 // newRig opens the sockets of n hosts that know each other and starts none.
-func newRig(t *testing.T, n int) *rig {
-	c := &rig{t: t, platform: standin.NewPlatform(), hosts: make([]*host.Host, n)}
+func newRig(t *testing.T, n int) *testHosts {
+	c := &testHosts{t: t, platform: standin.NewPlatform(), hosts: make([]*host.Host, n)}
 	srv := httptest.NewServer(c.platform.Handler())
 	t.Cleanup(srv.Close)
 	c.addr = netip.MustParseAddrPort(srv.Listener.Addr().String())
@@ -57,7 +57,7 @@
 
 func at(ln net.Listener) netip.AddrPort { return netip.MustParseAddrPort(ln.Addr().String()) }
 
-func (c *rig) start(i int) *host.Host {
+func (c *testHosts) start(i int) *host.Host {
 	h := host.New(c.settings[i], slog.New(slog.DiscardHandler), time.Now)
 	require.NoError(c.t, h.LoadKeys())
 	h.Start(c.sockets[i])
@@ -66,22 +66,22 @@
 	return h
 }
 
-func (c *rig) operator(i int) *client.Client {
+func (c *testHosts) operator(i int) *client.Client {
 	return client.New(at(c.sockets[i].Operator), "secret", nil)
 }
 
-func (c *rig) set(i int, row string, fields map[string]any) error {
+func (c *testHosts) set(i int, row string, fields map[string]any) error {
 	return c.operator(i).SetRow(context.Background(), row, "", fields)
 }
 
-func (c *rig) until(what string, f func() bool) {
+func (c *testHosts) until(what string, f func() bool) {
 	c.t.Helper()
 	require.Eventually(c.t, f, testTimeout, 10*time.Millisecond, what)
 }
 
-func (c *rig) ready(i int) { c.t.Helper(); c.until("ready", c.hosts[i].Ready) }
+func (c *testHosts) ready(i int) { c.t.Helper(); c.until("ready", c.hosts[i].Ready) }
 
-func (c *rig) weight(i int, row string) int64 {
+func (c *testHosts) weight(i int, row string) int64 {
 	r, _ := c.hosts[i].Row(row)
 	return r.Weight
 }
