--- a/internal/host/admit_test.go
+++ b/internal/host/admit_test.go
@@ -18,7 +18,7 @@
 // than it has memory for; it refuses bulk work, which has not run, and a gate
 // scan that comes at the same moment is served.
 func TestFloodOfBodiesIsShedByClass(t *testing.T) {
-	c := newRig(t, 1)
+	c := newTestHosts(t, 1)
 	c.addBackend(8)
 	c.settings[0].Limits.Memory = 4 << 20
 	c.start(0)
@@ -68,7 +68,7 @@
 // at once, so that they go elsewhere; those that it holds are served, and when
 // they are gone there is room again.
 func TestConnectionsAboveTheBoundAreClosed(t *testing.T) {
-	c := newRig(t, 1)
+	c := newTestHosts(t, 1)
 	c.settings[0].Limits.Conns = 4
 	c.start(0)
 	c.ready(0)
--- a/internal/host/keys_test.go
+++ b/internal/host/keys_test.go
@@ -50,7 +50,7 @@
 func TestHostsSpeakOnlyForThemselvesAndOperatorsShowKeys(t *testing.T) {
 	a, err := standin.NewAuthority()
 	require.NoError(t, err)
-	c := newRig(t, 3)
+	c := newTestHosts(t, 3)
 	for i := range c.settings {
 		c.settings[i].Operator.Token = ""
 		c.useTLS(a, i)
--- a/internal/host/silent_test.go
+++ b/internal/host/silent_test.go
@@ -80,7 +80,7 @@
 // the host waits for the next record. An accepted edit must still come into
 // force there, on a new connection.
 func TestEditReachesAHostWhoseLogConnectionWentSilent(t *testing.T) {
-	c := newRig(t, 2)
+	c := newTestHosts(t, 2)
 	f := forward(t, c.addr)
 	c.settings[1].Platform, c.settings[1].Peers = netip.MustParseAddrPort(f.Addr().String()), nil
 	c.start(0)
@@ -96,7 +96,7 @@
 // answer too early would never read an accepted edit.
 func TestSlowLogIsStillRead(t *testing.T) {
 	t.Parallel()
-	c := newRig(t, 2)
+	c := newTestHosts(t, 2)
 	f := forward(t, c.addr)
 	c.settings[1].Platform, c.settings[1].Peers = netip.MustParseAddrPort(f.Addr().String()), nil
 	c.start(0)
@@ -111,7 +111,7 @@
 // The operator has the edit's id and learns at any other host what became of it;
 // sent again under that id it does not count twice.
 func TestEditOfAHostThatDiesIsFoundAtAnother(t *testing.T) {
-	c := newRig(t, 2)
+	c := newTestHosts(t, 2)
 	f := forward(t, c.addr)
 	c.settings[0].Platform = netip.MustParseAddrPort(f.Addr().String())
 	c.settings[0].Peers = nil
@@ -139,7 +139,7 @@
 // others, and when that host has died the next one reads it; work that went on
 // to the server would end as unknown.
 func TestLeavingServerIsSeenByHostsThatDoNotReadTheList(t *testing.T) {
-	c := newRig(t, 2)
+	c := newTestHosts(t, 2)
 	m := standin.NewMinion(8)
 	addr := serveBackend(t, m)
 	list := func(leaving bool) {
--- a/internal/host/stop_test.go
+++ b/internal/host/stop_test.go
@@ -40,7 +40,7 @@
 // used. Each must get its whole answer; nothing may hold
 // up the stop for long once they have.
 func TestPlannedStopCutsNothing(t *testing.T) {
-	c := newRig(t, 2)
+	c := newTestHosts(t, 2)
 	m := c.addBackend(8)
 	for i := range c.settings {
 		c.settings[i].Limits.Leave, c.settings[i].Limits.Settle = 50*time.Millisecond, time.Millisecond
@@ -105,7 +105,7 @@
 // Something in flight never ends. The stop gives up at its bound and says that
 // it has cut work, rather than hang for good or claim a clean end.
 func TestStopThatCutsWorkSaysSo(t *testing.T) {
-	c := newRig(t, 1)
+	c := newTestHosts(t, 1)
 	m := c.addBackend(8)
 	c.start(0)
 	c.ready(0)
@@ -132,7 +132,7 @@
 // five seconds for a first request on each; an idle host must not use up the
 // bound of its stop with that.
 func TestUnusedConnectionsDoNotHoldUpAStop(t *testing.T) {
-	c := newRig(t, 1)
+	c := newTestHosts(t, 1)
 	c.start(0)
 	c.ready(0)
 	unused, err := net.Dial("tcp", c.sockets[0].Caller.Addr().String())
--- a/internal/host/table_test.go
+++ b/internal/host/table_test.go
@@ -30,8 +30,8 @@
 	hosts    []*host.Host
 }
 
-// newRig opens the sockets of n hosts that know each other and starts none.
-func newRig(t *testing.T, n int) *testHosts {
+// newTestHosts opens the sockets of n hosts that know each other and starts none.
+func newTestHosts(t *testing.T, n int) *testHosts {
 	c := &testHosts{t: t, platform: standin.NewPlatform(), hosts: make([]*host.Host, n)}
 	srv := httptest.NewServer(c.platform.Handler())
 	t.Cleanup(srv.Close)
@@ -89,7 +89,7 @@
 // The log writes an edit and its answer is lost. The operator must be told what
 // the record says, or an edit that is in force would be told as failed.
 func TestLostAppendAnswerIsSettledByTheRecord(t *testing.T) {
-	c := newRig(t, 1)
+	c := newTestHosts(t, 1)
 	c.start(0)
 	c.ready(0)
 	c.platform.SetFaults(standin.PlatformFaults{LoseAnswers: 1})
@@ -101,7 +101,7 @@
 // The log is down for hours while operators try to edit. They are told "not
 // accepted", and the last accepted table stays in force.
 func TestEditWhileTheLogIsDownIsNotAccepted(t *testing.T) {
-	c := newRig(t, 1)
+	c := newTestHosts(t, 1)
 	c.start(0)
 	c.ready(0)
 	require.NoError(t, c.set(0, "scan", map[string]any{"weight": 7}))
@@ -119,7 +119,7 @@
 // to ask with and finds the verdict there once the log can be read.
 func TestUnreadEditIsUnknownUntilItIsFound(t *testing.T) {
 	t.Parallel()
-	c := newRig(t, 1)
+	c := newTestHosts(t, 1)
 	c.start(0)
 	c.ready(0)
 	c.platform.SetFaults(standin.PlatformFaults{Deaf: true})
@@ -141,7 +141,7 @@
 // their table; one that has never seen a table must take no work, because it
 // would refuse every caller or ignore every limit.
 func TestHostThatStartsWhileTheLogIsDownTakesThePeersTable(t *testing.T) {
-	c := newRig(t, 3)
+	c := newTestHosts(t, 3)
 	c.settings[2].Peers = nil
 	c.start(0)
 	c.ready(0)
@@ -160,7 +160,7 @@
 // The log has trimmed what a new host needs. It starts from the snapshot that
 // another wrote in time, though it knows no peer.
 func TestNewHostStartsFromTheSnapshotInATrimmedLog(t *testing.T) {
-	c := newRig(t, 2)
+	c := newTestHosts(t, 2)
 	c.settings[1].Peers = nil
 	c.start(0)
 	c.ready(0)
@@ -177,7 +177,7 @@
 // The log answers with a page that lacks a record, or as it was some time ago.
 // The host keeps what it has and reads again, rather than folding over the gap.
 func TestBadPagesOfTheLogAreNotFolded(t *testing.T) {
-	c := newRig(t, 1)
+	c := newTestHosts(t, 1)
 	c.start(0)
 	c.ready(0)
 	require.NoError(t, c.set(0, "scan", map[string]any{"weight": 1}))
@@ -199,7 +199,7 @@
 // Two operators race for one row through two hosts. Exactly one wins; the other
 // is told so with the row as it is.
 func TestOneOfTwoRacingOperatorsIsToldThatItLost(t *testing.T) {
-	c := newRig(t, 2)
+	c := newTestHosts(t, 2)
 	for i := range c.hosts {
 		c.start(i)
 		c.ready(i)
@@ -224,7 +224,7 @@
 // A row is confined to other failure domains. Its requests and jobs must be
 // refused here with the reason, not run where the row may not.
 func TestRowOfOtherDomainsIsRefused(t *testing.T) {
-	c := newRig(t, 1)
+	c := newTestHosts(t, 1)
 	c.start(0)
 	c.ready(0)
 	require.NoError(t, c.set(0, "scan", map[string]any{"domains": []string{"sued"}}))
@@ -240,7 +240,7 @@
 // Quota moves between two failure domains. The growing one gets its part only
 // after every host of the shrinking one has read the edit and the log says so.
 func TestQuotaMovesAfterTheShrinkingDomainHasSettled(t *testing.T) {
-	c := newRig(t, 2)
+	c := newTestHosts(t, 2)
 	c.settings[1].Domain, c.settings[0].Peers[0].Domain = "sued", "sued"
 	c.start(0)
 	c.ready(0)
