--- a/internal/host/admit_test.go
+++ b/internal/host/admit_test.go
@@ -59,7 +59,7 @@
 }
 
 func isServed(c *testHosts, row string) bool {
-	reply, err := client.New(at(c.sockets[0].Caller), "", nil).Do(context.Background(),
+	reply, err := client.New(addrOf(c.sockets[0].Caller), "", nil).Do(context.Background(),
 		client.Request{Workload: row, Method: "POST", Body: bytes.Repeat([]byte("x"), 100), Deadline: 5 * time.Second})
 	return err == nil && reply.Outcome == client.Done
 }
@@ -96,6 +96,6 @@
 		_ = conn.Close()
 	}
 	c.until("room again", func() bool {
-		return client.New(at(c.sockets[0].Caller), "", nil).Get(context.Background(), "/live", nil) == nil
+		return client.New(addrOf(c.sockets[0].Caller), "", nil).Get(context.Background(), "/live", nil) == nil
 	})
 }
--- a/internal/host/keys_test.go
+++ b/internal/host/keys_test.go
@@ -61,7 +61,7 @@
 	c.ready(1)
 	name := keys.Name(c.settings[0].Name, c.settings[0].Domain)
 	ctx := context.Background()
-	operator := func(cfg *tls.Config) *client.Client { return client.NewTLS(at(c.sockets[0].Operator), "", cfg) }
+	operator := func(cfg *tls.Config) *client.Client { return client.NewTLS(addrOf(c.sockets[0].Operator), "", cfg) }
 	var status *client.StatusError
 	host := tlsConfig(t, c.settings[2].TLS, name)
 	require.ErrorAs(t, operator(host).SetRow(ctx, "scan", "", nil), &status)
@@ -71,14 +71,14 @@
 	require.ErrorAs(t, operator(none).SetRow(ctx, "scan", "", nil), &status)
 	good := tlsConfig(t, issueCert(t, a, keys.Operator), name)
 	require.NoError(t, operator(good).SetRow(ctx, "scan", "", nil))
-	require.Error(t, client.New(at(c.sockets[0].Operator), "", nil).Get(ctx, "/table", nil), "no TLS")
+	require.Error(t, client.New(addrOf(c.sockets[0].Operator), "", nil).Get(ctx, "/table", nil), "no TLS")
 	c.until("row goes to the other host over TLS and the log", func() bool { return c.weight(1, "scan") == 1 })
 	var hosts struct{ Live []string }
 	c.until("hosts hear each other over TLS", func() bool {
 		return operator(good).Get(ctx, "/hosts", &hosts) == nil && len(hosts.Live) == 2
 	})
 
-	liar := peer.NewClients(map[string]netip.AddrPort{"nord-0": at(c.sockets[0].Peer)})
+	liar := peer.NewClients(map[string]netip.AddrPort{"nord-0": addrOf(c.sockets[0].Peer)})
 	defer liar.Close()
 	liar.Through(func(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
 		return (&tls.Dialer{Config: host}).DialContext(ctx, "tcp", addr.String())
--- a/internal/host/silent_test.go
+++ b/internal/host/silent_test.go
@@ -152,7 +152,7 @@
 		c.ready(i)
 	}
 	require.NoError(t, c.set(0, "scan", map[string]any{"class": "urgent"}))
-	caller := client.New(at(c.sockets[1].Caller), "", nil)
+	caller := client.New(addrOf(c.sockets[1].Caller), "", nil)
 	outcome := func() string {
 		r, _ := caller.Do(context.Background(), client.Request{Workload: "scan", Method: "GET", Deadline: 200 * time.Millisecond})
 		return r.Outcome
--- a/internal/host/stop_test.go
+++ b/internal/host/stop_test.go
@@ -49,7 +49,7 @@
 	}
 	require.NoError(t, c.set(0, "scan", map[string]any{"class": "urgent"}))
 	c.until("row everywhere", func() bool { return c.weight(1, "scan") == 1 })
-	callers := []*client.Client{client.New(at(c.sockets[0].Caller), "", nil), client.New(at(c.sockets[1].Caller), "", nil)}
+	callers := []*client.Client{client.New(addrOf(c.sockets[0].Caller), "", nil), client.New(addrOf(c.sockets[1].Caller), "", nil)}
 	ask := func(i int, key, cost string) (client.Reply, error) {
 		return callers[i].Do(context.Background(), client.Request{
 			Workload: "scan", Method: "POST", Path: "/x", Key: key, Deadline: testTimeout, Body: []byte("pass"),
@@ -110,7 +110,7 @@
 	c.start(0)
 	c.ready(0)
 	require.NoError(t, c.set(0, "scan", map[string]any{"class": "urgent"}))
-	caller := client.New(at(c.sockets[0].Caller), "", nil)
+	caller := client.New(addrOf(c.sockets[0].Caller), "", nil)
 	done := make(chan struct{})
 	c.until("runs", func() bool {
 		r, err := caller.Do(context.Background(), client.Request{Workload: "scan", Method: "GET"})
--- a/internal/host/table_test.go
+++ b/internal/host/table_test.go
@@ -48,14 +48,14 @@
 	for i := range c.settings {
 		for j := range c.settings {
 			if i != j {
-				c.settings[i].Peers = append(c.settings[i].Peers, settings.Peer{Name: c.settings[j].Name, Domain: "nord", Address: at(c.sockets[j].Peer)})
+				c.settings[i].Peers = append(c.settings[i].Peers, settings.Peer{Name: c.settings[j].Name, Domain: "nord", Address: addrOf(c.sockets[j].Peer)})
 			}
 		}
 	}
 	return c
 }
 
-func at(ln net.Listener) netip.AddrPort { return netip.MustParseAddrPort(ln.Addr().String()) }
+func addrOf(ln net.Listener) netip.AddrPort { return netip.MustParseAddrPort(ln.Addr().String()) }
 
 func (c *testHosts) start(i int) *host.Host {
 	h := host.New(c.settings[i], slog.New(slog.DiscardHandler), time.Now)
@@ -67,7 +67,7 @@
 }
 
 func (c *testHosts) operator(i int) *client.Client {
-	return client.New(at(c.sockets[i].Operator), "secret", nil)
+	return client.New(addrOf(c.sockets[i].Operator), "secret", nil)
 }
 
 func (c *testHosts) set(i int, row string, fields map[string]any) error {
@@ -228,7 +228,7 @@
 	c.start(0)
 	c.ready(0)
 	require.NoError(t, c.set(0, "scan", map[string]any{"domains": []string{"sued"}}))
-	caller := client.New(at(c.sockets[0].Caller), "", nil)
+	caller := client.New(addrOf(c.sockets[0].Caller), "", nil)
 	reply, err := caller.Do(context.Background(), client.Request{Workload: "scan", Method: "GET"})
 	require.NoError(t, err)
 	require.Equal(t, 421, reply.Status)
