--- a/internal/host/admit_test.go
+++ b/internal/host/admit_test.go
@@ -23,8 +23,8 @@
 	c.settings[0].Limits.Memory = 4 << 20
 	c.start(0)
 	c.ready(0)
-	require.NoError(t, c.set(0, "scan", map[string]any{"class": "urgent"}))
-	require.NoError(t, c.set(0, "print", map[string]any{"class": "bulk"}))
+	require.NoError(t, c.setRow(0, "scan", map[string]any{"class": "urgent"}))
+	require.NoError(t, c.setRow(0, "print", map[string]any{"class": "bulk"}))
 	c.until("slots", func() bool { return isServed(c, "scan") })
 	addr := c.sockets[0].Caller.Addr().String()
 	var writers []*io.PipeWriter
--- a/internal/host/silent_test.go
+++ b/internal/host/silent_test.go
@@ -88,7 +88,7 @@
 	c.ready(0)
 	c.ready(1)
 	f.silence()
-	require.NoError(t, c.set(0, "scan", map[string]any{"weight": 7}))
+	require.NoError(t, c.setRow(0, "scan", map[string]any{"weight": 7}))
 	c.until("in force", func() bool { return c.weight(1, "scan") == 7 })
 }
 
@@ -101,7 +101,7 @@
 	c.settings[1].Platform, c.settings[1].Peers = netip.MustParseAddrPort(f.Addr().String()), nil
 	c.start(0)
 	c.ready(0)
-	require.NoError(t, c.set(0, "scan", map[string]any{"weight": 7}))
+	require.NoError(t, c.setRow(0, "scan", map[string]any{"weight": 7}))
 	c.platform.SetFaults(standin.PlatformFaults{Slow: 1500 * time.Millisecond})
 	c.start(1)
 	c.until("in force", func() bool { return c.weight(1, "scan") == 7 })
@@ -122,7 +122,7 @@
 	c.platform.SetFaults(standin.PlatformFaults{Deaf: true})
 	c.until("reads fail", func() bool { return c.hosts[0].Count("table.unread") > 0 })
 	done := make(chan error, 1)
-	go func() { done <- c.set(0, "scan", map[string]any{"weight": 7}) }()
+	go func() { done <- c.setRow(0, "scan", map[string]any{"weight": 7}) }()
 	c.until("written", func() bool { return c.platform.Appends() == 1 })
 	c.hosts[0].Kill()
 	var unsure *client.UnsureError
@@ -151,7 +151,7 @@
 		c.start(i)
 		c.ready(i)
 	}
-	require.NoError(t, c.set(0, "scan", map[string]any{"class": "urgent"}))
+	require.NoError(t, c.setRow(0, "scan", map[string]any{"class": "urgent"}))
 	caller := client.New(addrOf(c.sockets[1].Caller), "", nil)
 	outcome := func() string {
 		r, _ := caller.Do(context.Background(), client.Request{Workload: "scan", Method: "GET", Deadline: 200 * time.Millisecond})
--- a/internal/host/stop_test.go
+++ b/internal/host/stop_test.go
@@ -47,7 +47,7 @@
 		c.start(i)
 		c.ready(i)
 	}
-	require.NoError(t, c.set(0, "scan", map[string]any{"class": "urgent"}))
+	require.NoError(t, c.setRow(0, "scan", map[string]any{"class": "urgent"}))
 	c.until("row everywhere", func() bool { return c.weight(1, "scan") == 1 })
 	callers := []*client.Client{client.New(addrOf(c.sockets[0].Caller), "", nil), client.New(addrOf(c.sockets[1].Caller), "", nil)}
 	ask := func(i int, key, cost string) (client.Reply, error) {
@@ -109,7 +109,7 @@
 	m := c.addBackend(8)
 	c.start(0)
 	c.ready(0)
-	require.NoError(t, c.set(0, "scan", map[string]any{"class": "urgent"}))
+	require.NoError(t, c.setRow(0, "scan", map[string]any{"class": "urgent"}))
 	caller := client.New(addrOf(c.sockets[0].Caller), "", nil)
 	done := make(chan struct{})
 	c.until("runs", func() bool {
--- a/internal/host/table_test.go
+++ b/internal/host/table_test.go
@@ -70,7 +70,7 @@
 	return client.New(addrOf(c.sockets[i].Operator), "secret", nil)
 }
 
-func (c *testHosts) set(i int, row string, fields map[string]any) error {
+func (c *testHosts) setRow(i int, row string, fields map[string]any) error {
 	return c.operator(i).SetRow(context.Background(), row, "", fields)
 }
 
@@ -93,7 +93,7 @@
 	c.start(0)
 	c.ready(0)
 	c.platform.SetFaults(standin.PlatformFaults{LoseAnswers: 1})
-	require.NoError(t, c.set(0, "scan", map[string]any{"weight": 7}))
+	require.NoError(t, c.setRow(0, "scan", map[string]any{"weight": 7}))
 	require.Equal(t, int64(7), c.weight(0, "scan"))
 	require.Equal(t, int64(1), c.platform.Appends())
 }
@@ -104,14 +104,14 @@
 	c := newTestHosts(t, 1)
 	c.start(0)
 	c.ready(0)
-	require.NoError(t, c.set(0, "scan", map[string]any{"weight": 7}))
+	require.NoError(t, c.setRow(0, "scan", map[string]any{"weight": 7}))
 	c.platform.SetFaults(standin.PlatformFaults{Down: true})
 	var status *client.StatusError
-	require.ErrorAs(t, c.set(0, "scan", map[string]any{"weight": 8}), &status)
+	require.ErrorAs(t, c.setRow(0, "scan", map[string]any{"weight": 8}), &status)
 	require.Equal(t, 503, status.Status)
 	require.Contains(t, status.Reason, "not accepted")
 	c.platform.SetFaults(standin.PlatformFaults{})
-	require.NoError(t, c.set(0, "print", nil))
+	require.NoError(t, c.setRow(0, "print", nil))
 	require.Equal(t, int64(7), c.weight(0, "scan"))
 }
 
@@ -125,7 +125,7 @@
 	c.platform.SetFaults(standin.PlatformFaults{Deaf: true})
 	// The read that waits for the next record would still answer.
 	c.until("reads fail", func() bool { return c.hosts[0].Count("table.unread") > 0 })
-	err := c.set(0, "scan", map[string]any{"weight": 7})
+	err := c.setRow(0, "scan", map[string]any{"weight": 7})
 	var unsure *client.UnsureError
 	require.ErrorAs(t, err, &unsure)
 	var state struct{ State string }
@@ -145,7 +145,7 @@
 	c.settings[2].Peers = nil
 	c.start(0)
 	c.ready(0)
-	require.NoError(t, c.set(0, "scan", map[string]any{"weight": 7}))
+	require.NoError(t, c.setRow(0, "scan", map[string]any{"weight": 7}))
 	c.platform.SetFaults(standin.PlatformFaults{Down: true})
 	c.start(2)
 	c.start(1)
@@ -165,9 +165,9 @@
 	c.start(0)
 	c.ready(0)
 	c.platform.SetFaults(standin.PlatformFaults{Retain: 8})
-	require.NoError(t, c.set(0, "first", nil))
+	require.NoError(t, c.setRow(0, "first", nil))
 	for i := range 20 {
-		require.NoError(t, c.set(0, "scan", map[string]any{"weight": i + 1}))
+		require.NoError(t, c.setRow(0, "scan", map[string]any{"weight": i + 1}))
 	}
 	c.start(1)
 	c.ready(1)
@@ -180,14 +180,14 @@
 	c := newTestHosts(t, 1)
 	c.start(0)
 	c.ready(0)
-	require.NoError(t, c.set(0, "scan", map[string]any{"weight": 1}))
+	require.NoError(t, c.setRow(0, "scan", map[string]any{"weight": 1}))
 	c.platform.SetFaults(standin.PlatformFaults{Hole: 2, Stale: 1})
 	c.until("stale page", func() bool { return c.hosts[0].Count("table.stale") > 0 })
 	require.Equal(t, int64(1), c.weight(0, "scan"))
 	c.platform.SetFaults(standin.PlatformFaults{Hole: 2})
 	done := make(chan error, 2)
-	go func() { done <- c.set(0, "scan", map[string]any{"weight": 2}) }()
-	go func() { done <- c.set(0, "print", nil) }()
+	go func() { done <- c.setRow(0, "scan", map[string]any{"weight": 2}) }()
+	go func() { done <- c.setRow(0, "print", nil) }()
 	c.until("gap", func() bool { return c.hosts[0].Count("table.gap") > 0 })
 	require.Equal(t, int64(1), c.weight(0, "scan"))
 	c.platform.SetFaults(standin.PlatformFaults{})
@@ -204,7 +204,7 @@
 		c.start(i)
 		c.ready(i)
 	}
-	require.NoError(t, c.set(0, "scan", nil))
+	require.NoError(t, c.setRow(0, "scan", nil))
 	c.until("row everywhere", func() bool { return c.weight(1, "scan") == 1 })
 	ctx := context.Background()
 	done := make(chan error, 2)
@@ -227,7 +227,7 @@
 	c := newTestHosts(t, 1)
 	c.start(0)
 	c.ready(0)
-	require.NoError(t, c.set(0, "scan", map[string]any{"domains": []string{"sued"}}))
+	require.NoError(t, c.setRow(0, "scan", map[string]any{"domains": []string{"sued"}}))
 	caller := client.New(addrOf(c.sockets[0].Caller), "", nil)
 	reply, err := caller.Do(context.Background(), client.Request{Workload: "scan", Method: "GET"})
 	require.NoError(t, err)
