--- a/internal/host/admit_test.go
+++ b/internal/host/admit_test.go
@@ -25,7 +25,7 @@
 	c.ready(0)
 	require.NoError(t, c.setRow(0, "scan", map[string]any{"class": "urgent"}))
 	require.NoError(t, c.setRow(0, "print", map[string]any{"class": "bulk"}))
-	c.until("slots", func() bool { return isServed(c, "scan") })
+	c.waitFor("slots", func() bool { return isServed(c, "scan") })
 	addr := c.sockets[0].Caller.Addr().String()
 	var writers []*io.PipeWriter
 	codes := make(chan int, 8)
@@ -46,7 +46,7 @@
 		}()
 		go func() { _, _ = w.Write([]byte("x")) }()
 	}
-	c.until("bulk is shed", func() bool { return c.hosts[0].Count("host.shed.bulk") >= 7 })
+	c.waitFor("bulk is shed", func() bool { return c.hosts[0].Count("host.shed.bulk") >= 7 })
 	require.LessOrEqual(t, c.hosts[0].InFlight(), int64(1))
 	require.True(t, isServed(c, "scan"))
 	for _, w := range writers {
@@ -55,7 +55,7 @@
 	for range 8 {
 		<-codes
 	}
-	c.until("room is given back", func() bool { return c.hosts[0].InFlight() == 0 })
+	c.waitFor("room is given back", func() bool { return c.hosts[0].InFlight() == 0 })
 }
 
 func isServed(c *testHosts, row string) bool {
@@ -78,7 +78,7 @@
 		require.NoError(t, err)
 		conns = append(conns, conn)
 	}
-	c.until("above the bound", func() bool {
+	c.waitFor("above the bound", func() bool {
 		conn, err := net.Dial("tcp", c.sockets[0].Caller.Addr().String())
 		require.NoError(t, err)
 		defer conn.Close()
@@ -95,7 +95,7 @@
 	for _, conn := range conns {
 		_ = conn.Close()
 	}
-	c.until("room again", func() bool {
+	c.waitFor("room again", func() bool {
 		return client.New(addrOf(c.sockets[0].Caller), "", nil).Get(context.Background(), "/live", nil) == nil
 	})
 }
--- a/internal/host/keys_test.go
+++ b/internal/host/keys_test.go
@@ -72,9 +72,9 @@
 	good := tlsConfig(t, issueCert(t, a, keys.Operator), name)
 	require.NoError(t, operator(good).SetRow(ctx, "scan", "", nil))
 	require.Error(t, client.New(addrOf(c.sockets[0].Operator), "", nil).Get(ctx, "/table", nil), "no TLS")
-	c.until("row goes to the other host over TLS and the log", func() bool { return c.weight(1, "scan") == 1 })
+	c.waitFor("row goes to the other host over TLS and the log", func() bool { return c.weight(1, "scan") == 1 })
 	var hosts struct{ Live []string }
-	c.until("hosts hear each other over TLS", func() bool {
+	c.waitFor("hosts hear each other over TLS", func() bool {
 		return operator(good).Get(ctx, "/hosts", &hosts) == nil && len(hosts.Live) == 2
 	})
 
--- a/internal/host/silent_test.go
+++ b/internal/host/silent_test.go
@@ -89,7 +89,7 @@
 	c.ready(1)
 	f.silence()
 	require.NoError(t, c.setRow(0, "scan", map[string]any{"weight": 7}))
-	c.until("in force", func() bool { return c.weight(1, "scan") == 7 })
+	c.waitFor("in force", func() bool { return c.weight(1, "scan") == 7 })
 }
 
 // The log answers, but takes seconds for it, for hours. A host that gave up each
@@ -104,7 +104,7 @@
 	require.NoError(t, c.setRow(0, "scan", map[string]any{"weight": 7}))
 	c.platform.SetFaults(standin.PlatformFaults{Slow: 1500 * time.Millisecond})
 	c.start(1)
-	c.until("in force", func() bool { return c.weight(1, "scan") == 7 })
+	c.waitFor("in force", func() bool { return c.weight(1, "scan") == 7 })
 }
 
 // A host dies after it has written an edit and before it could tell the verdict.
@@ -120,16 +120,16 @@
 	c.ready(0)
 	c.ready(1)
 	c.platform.SetFaults(standin.PlatformFaults{Deaf: true})
-	c.until("reads fail", func() bool { return c.hosts[0].Count("table.unread") > 0 })
+	c.waitFor("reads fail", func() bool { return c.hosts[0].Count("table.unread") > 0 })
 	done := make(chan error, 1)
 	go func() { done <- c.setRow(0, "scan", map[string]any{"weight": 7}) }()
-	c.until("written", func() bool { return c.platform.Appends() == 1 })
+	c.waitFor("written", func() bool { return c.platform.Appends() == 1 })
 	c.hosts[0].Kill()
 	var unsure *client.UnsureError
 	require.ErrorAs(t, <-done, &unsure)
 	c.platform.SetFaults(standin.PlatformFaults{})
 	var state struct{ State string }
-	c.until("verdict", func() bool {
+	c.waitFor("verdict", func() bool {
 		return c.operator(1).Get(context.Background(), "/edits/"+unsure.ID, &state) == nil && state.State == "accepted"
 	})
 	require.Equal(t, int64(7), c.weight(1, "scan"))
@@ -157,14 +157,14 @@
 		r, _ := caller.Do(context.Background(), client.Request{Workload: "scan", Method: "GET", Deadline: 200 * time.Millisecond})
 		return r.Outcome
 	}
-	c.until("served", func() bool { return outcome() == client.Done })
+	c.waitFor("served", func() bool { return outcome() == client.Done })
 	told := c.hosts[1].Count("list.told")
 	list(true)
-	c.until("not served", func() bool { return outcome() == client.Refused })
+	c.waitFor("not served", func() bool { return outcome() == client.Refused })
 	require.Greater(t, c.hosts[1].Count("list.told"), told)
 	c.hosts[0].Kill()
 	list(false)
-	c.until("served again", func() bool { return outcome() == client.Done })
+	c.waitFor("served again", func() bool { return outcome() == client.Done })
 	list(true)
-	c.until("not served without the reader", func() bool { return outcome() == client.Refused })
+	c.waitFor("not served without the reader", func() bool { return outcome() == client.Refused })
 }
--- a/internal/host/stop_test.go
+++ b/internal/host/stop_test.go
@@ -48,7 +48,7 @@
 		c.ready(i)
 	}
 	require.NoError(t, c.setRow(0, "scan", map[string]any{"class": "urgent"}))
-	c.until("row everywhere", func() bool { return c.weight(1, "scan") == 1 })
+	c.waitFor("row everywhere", func() bool { return c.weight(1, "scan") == 1 })
 	callers := []*client.Client{client.New(addrOf(c.sockets[0].Caller), "", nil), client.New(addrOf(c.sockets[1].Caller), "", nil)}
 	ask := func(i int, key, cost string) (client.Reply, error) {
 		return callers[i].Do(context.Background(), client.Request{
@@ -56,7 +56,7 @@
 			Header: http.Header{standin.HeaderCost: {cost}},
 		})
 	}
-	c.until("slots are shared out", func() bool {
+	c.waitFor("slots are shared out", func() bool {
 		for i := range callers {
 			reply, err := callers[i].Do(context.Background(), client.Request{Workload: "scan", Method: "POST", Path: "/x", Key: cell.NewID()})
 			if err != nil || reply.Outcome != client.Done {
@@ -81,12 +81,12 @@
 	for range 4 {
 		send(1, "", "2s")
 	}
-	c.until("host 1 is full", func() bool { return maxRunning(m) >= 4 })
+	c.waitFor("host 1 is full", func() bool { return maxRunning(m) >= 4 })
 	// What is handed over ends last, when nothing of host 0's own runs any more.
 	send(1, "", "3s")
 	send(0, "", "1s")
 	send(0, cell.NewID(), "1s")
-	c.until("all run", func() bool { return maxRunning(m) >= 7 })
+	c.waitFor("all run", func() bool { return maxRunning(m) >= 7 })
 	unused, err := net.Dial("tcp", c.sockets[0].Caller.Addr().String())
 	require.NoError(t, err)
 	defer unused.Close()
@@ -112,7 +112,7 @@
 	require.NoError(t, c.setRow(0, "scan", map[string]any{"class": "urgent"}))
 	caller := client.New(addrOf(c.sockets[0].Caller), "", nil)
 	done := make(chan struct{})
-	c.until("runs", func() bool {
+	c.waitFor("runs", func() bool {
 		r, err := caller.Do(context.Background(), client.Request{Workload: "scan", Method: "GET"})
 		return err == nil && r.Outcome == client.Done
 	})
@@ -121,7 +121,7 @@
 		defer close(done)
 		_, _ = caller.Do(context.Background(), client.Request{Workload: "scan", Method: "POST", Deadline: 2 * time.Second})
 	}()
-	c.until("in flight", func() bool { return c.hosts[0].InFlight() > 0 })
+	c.waitFor("in flight", func() bool { return c.hosts[0].InFlight() > 0 })
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	require.Error(t, c.hosts[0].Stop(ctx))
--- a/internal/host/table_test.go
+++ b/internal/host/table_test.go
@@ -74,12 +74,12 @@
 	return c.operator(i).SetRow(context.Background(), row, "", fields)
 }
 
-func (c *testHosts) until(what string, f func() bool) {
+func (c *testHosts) waitFor(what string, f func() bool) {
 	c.t.Helper()
 	require.Eventually(c.t, f, testTimeout, 10*time.Millisecond, what)
 }
 
-func (c *testHosts) ready(i int) { c.t.Helper(); c.until("ready", c.hosts[i].Ready) }
+func (c *testHosts) ready(i int) { c.t.Helper(); c.waitFor("ready", c.hosts[i].Ready) }
 
 func (c *testHosts) weight(i int, row string) int64 {
 	r, _ := c.hosts[i].Row(row)
@@ -124,7 +124,7 @@
 	c.ready(0)
 	c.platform.SetFaults(standin.PlatformFaults{Deaf: true})
 	// The read that waits for the next record would still answer.
-	c.until("reads fail", func() bool { return c.hosts[0].Count("table.unread") > 0 })
+	c.waitFor("reads fail", func() bool { return c.hosts[0].Count("table.unread") > 0 })
 	err := c.setRow(0, "scan", map[string]any{"weight": 7})
 	var unsure *client.UnsureError
 	require.ErrorAs(t, err, &unsure)
@@ -132,7 +132,7 @@
 	require.NoError(t, c.operator(0).Get(context.Background(), "/edits/"+unsure.ID, &state))
 	require.Equal(t, "unknown", state.State)
 	c.platform.SetFaults(standin.PlatformFaults{})
-	c.until("verdict", func() bool {
+	c.waitFor("verdict", func() bool {
 		return c.operator(0).Get(context.Background(), "/edits/"+unsure.ID, &state) == nil && state.State == "accepted"
 	})
 }
@@ -171,7 +171,7 @@
 	}
 	c.start(1)
 	c.ready(1)
-	c.until("both rows", func() bool { return c.weight(1, "scan") == 20 && c.weight(1, "first") == 1 })
+	c.waitFor("both rows", func() bool { return c.weight(1, "scan") == 20 && c.weight(1, "first") == 1 })
 }
 
 // The log answers with a page that lacks a record, or as it was some time ago.
@@ -182,13 +182,13 @@
 	c.ready(0)
 	require.NoError(t, c.setRow(0, "scan", map[string]any{"weight": 1}))
 	c.platform.SetFaults(standin.PlatformFaults{Hole: 2, Stale: 1})
-	c.until("stale page", func() bool { return c.hosts[0].Count("table.stale") > 0 })
+	c.waitFor("stale page", func() bool { return c.hosts[0].Count("table.stale") > 0 })
 	require.Equal(t, int64(1), c.weight(0, "scan"))
 	c.platform.SetFaults(standin.PlatformFaults{Hole: 2})
 	done := make(chan error, 2)
 	go func() { done <- c.setRow(0, "scan", map[string]any{"weight": 2}) }()
 	go func() { done <- c.setRow(0, "print", nil) }()
-	c.until("gap", func() bool { return c.hosts[0].Count("table.gap") > 0 })
+	c.waitFor("gap", func() bool { return c.hosts[0].Count("table.gap") > 0 })
 	require.Equal(t, int64(1), c.weight(0, "scan"))
 	c.platform.SetFaults(standin.PlatformFaults{})
 	require.NoError(t, <-done)
@@ -205,7 +205,7 @@
 		c.ready(i)
 	}
 	require.NoError(t, c.setRow(0, "scan", nil))
-	c.until("row everywhere", func() bool { return c.weight(1, "scan") == 1 })
+	c.waitFor("row everywhere", func() bool { return c.weight(1, "scan") == 1 })
 	ctx := context.Background()
 	done := make(chan error, 2)
 	for i := range c.hosts {
@@ -255,7 +255,7 @@
 	require.True(t, ok)
 	require.Zero(t, share.Tasks, "sued has no host that has read the edit")
 	c.start(1)
-	c.until("settled", func() bool { s, _ := c.hosts[0].TeamShare("x"); return s.Tasks == 10 })
+	c.waitFor("settled", func() bool { s, _ := c.hosts[0].TeamShare("x"); return s.Tasks == 10 })
 	share, _ = c.hosts[1].TeamShare("x")
 	require.Zero(t, share.Tasks)
 }
