--- a/internal/host/admit_test.go
+++ b/internal/host/admit_test.go
@@ -22,7 +22,7 @@
 	c.addBackend(8)
 	c.settings[0].Limits.Memory = 4 << 20
 	c.start(0)
-	c.ready(0)
+	c.waitReady(0)
 	require.NoError(t, c.setRow(0, "scan", map[string]any{"class": "urgent"}))
 	require.NoError(t, c.setRow(0, "print", map[string]any{"class": "bulk"}))
 	c.waitFor("slots", func() bool { return isServed(c, "scan") })
@@ -71,7 +71,7 @@
 	c := newTestHosts(t, 1)
 	c.settings[0].Limits.Conns = 4
 	c.start(0)
-	c.ready(0)
+	c.waitReady(0)
 	var conns []net.Conn
 	for range 4 {
 		conn, err := net.Dial("tcp", c.sockets[0].Caller.Addr().String())
--- a/internal/host/keys_test.go
+++ b/internal/host/keys_test.go
@@ -57,8 +57,8 @@
 	}
 	c.start(0)
 	c.start(1)
-	c.ready(0)
-	c.ready(1)
+	c.waitReady(0)
+	c.waitReady(1)
 	name := keys.Name(c.settings[0].Name, c.settings[0].Domain)
 	ctx := context.Background()
 	operator := func(cfg *tls.Config) *client.Client { return client.NewTLS(addrOf(c.sockets[0].Operator), "", cfg) }
--- a/internal/host/silent_test.go
+++ b/internal/host/silent_test.go
@@ -85,8 +85,8 @@
 	c.settings[1].Platform, c.settings[1].Peers = netip.MustParseAddrPort(f.Addr().String()), nil
 	c.start(0)
 	c.start(1)
-	c.ready(0)
-	c.ready(1)
+	c.waitReady(0)
+	c.waitReady(1)
 	f.silence()
 	require.NoError(t, c.setRow(0, "scan", map[string]any{"weight": 7}))
 	c.waitFor("in force", func() bool { return c.weight(1, "scan") == 7 })
@@ -100,7 +100,7 @@
 	f := forward(t, c.addr)
 	c.settings[1].Platform, c.settings[1].Peers = netip.MustParseAddrPort(f.Addr().String()), nil
 	c.start(0)
-	c.ready(0)
+	c.waitReady(0)
 	require.NoError(t, c.setRow(0, "scan", map[string]any{"weight": 7}))
 	c.platform.SetFaults(standin.PlatformFaults{Slow: 1500 * time.Millisecond})
 	c.start(1)
@@ -117,8 +117,8 @@
 	c.settings[0].Peers = nil
 	c.start(0)
 	c.start(1)
-	c.ready(0)
-	c.ready(1)
+	c.waitReady(0)
+	c.waitReady(1)
 	c.platform.SetFaults(standin.PlatformFaults{Deaf: true})
 	c.waitFor("reads fail", func() bool { return c.hosts[0].Count("table.unread") > 0 })
 	done := make(chan error, 1)
@@ -149,7 +149,7 @@
 	for i := range c.settings {
 		c.settings[i].Limits.Settle = time.Millisecond
 		c.start(i)
-		c.ready(i)
+		c.waitReady(i)
 	}
 	require.NoError(t, c.setRow(0, "scan", map[string]any{"class": "urgent"}))
 	caller := client.New(addrOf(c.sockets[1].Caller), "", nil)
--- a/internal/host/stop_test.go
+++ b/internal/host/stop_test.go
@@ -45,7 +45,7 @@
 	for i := range c.settings {
 		c.settings[i].Limits.Leave, c.settings[i].Limits.Settle = 50*time.Millisecond, time.Millisecond
 		c.start(i)
-		c.ready(i)
+		c.waitReady(i)
 	}
 	require.NoError(t, c.setRow(0, "scan", map[string]any{"class": "urgent"}))
 	c.waitFor("row everywhere", func() bool { return c.weight(1, "scan") == 1 })
@@ -108,7 +108,7 @@
 	c := newTestHosts(t, 1)
 	m := c.addBackend(8)
 	c.start(0)
-	c.ready(0)
+	c.waitReady(0)
 	require.NoError(t, c.setRow(0, "scan", map[string]any{"class": "urgent"}))
 	caller := client.New(addrOf(c.sockets[0].Caller), "", nil)
 	done := make(chan struct{})
@@ -134,7 +134,7 @@
 func TestUnusedConnectionsDoNotHoldUpAStop(t *testing.T) {
 	c := newTestHosts(t, 1)
 	c.start(0)
-	c.ready(0)
+	c.waitReady(0)
 	unused, err := net.Dial("tcp", c.sockets[0].Caller.Addr().String())
 	require.NoError(t, err)
 	defer unused.Close()
--- a/internal/host/table_test.go
+++ b/internal/host/table_test.go
@@ -79,7 +79,7 @@
 	require.Eventually(c.t, f, testTimeout, 10*time.Millisecond, what)
 }
 
-func (c *testHosts) ready(i int) { c.t.Helper(); c.waitFor("ready", c.hosts[i].Ready) }
+func (c *testHosts) waitReady(i int) { c.t.Helper(); c.waitFor("ready", c.hosts[i].Ready) }
 
 func (c *testHosts) weight(i int, row string) int64 {
 	r, _ := c.hosts[i].Row(row)
@@ -91,7 +91,7 @@
 func TestLostAppendAnswerIsSettledByTheRecord(t *testing.T) {
 	c := newTestHosts(t, 1)
 	c.start(0)
-	c.ready(0)
+	c.waitReady(0)
 	c.platform.SetFaults(standin.PlatformFaults{LoseAnswers: 1})
 	require.NoError(t, c.setRow(0, "scan", map[string]any{"weight": 7}))
 	require.Equal(t, int64(7), c.weight(0, "scan"))
@@ -103,7 +103,7 @@
 func TestEditWhileTheLogIsDownIsNotAccepted(t *testing.T) {
 	c := newTestHosts(t, 1)
 	c.start(0)
-	c.ready(0)
+	c.waitReady(0)
 	require.NoError(t, c.setRow(0, "scan", map[string]any{"weight": 7}))
 	c.platform.SetFaults(standin.PlatformFaults{Down: true})
 	var status *client.StatusError
@@ -121,7 +121,7 @@
 	t.Parallel()
 	c := newTestHosts(t, 1)
 	c.start(0)
-	c.ready(0)
+	c.waitReady(0)
 	c.platform.SetFaults(standin.PlatformFaults{Deaf: true})
 	// The read that waits for the next record would still answer.
 	c.waitFor("reads fail", func() bool { return c.hosts[0].Count("table.unread") > 0 })
@@ -144,16 +144,16 @@
 	c := newTestHosts(t, 3)
 	c.settings[2].Peers = nil
 	c.start(0)
-	c.ready(0)
+	c.waitReady(0)
 	require.NoError(t, c.setRow(0, "scan", map[string]any{"weight": 7}))
 	c.platform.SetFaults(standin.PlatformFaults{Down: true})
 	c.start(2)
 	c.start(1)
-	c.ready(1)
+	c.waitReady(1)
 	require.Equal(t, int64(7), c.weight(1, "scan"))
 	require.False(t, c.hosts[2].Ready())
 	c.platform.SetFaults(standin.PlatformFaults{})
-	c.ready(2)
+	c.waitReady(2)
 	require.Equal(t, int64(7), c.weight(2, "scan"))
 }
 
@@ -163,14 +163,14 @@
 	c := newTestHosts(t, 2)
 	c.settings[1].Peers = nil
 	c.start(0)
-	c.ready(0)
+	c.waitReady(0)
 	c.platform.SetFaults(standin.PlatformFaults{Retain: 8})
 	require.NoError(t, c.setRow(0, "first", nil))
 	for i := range 20 {
 		require.NoError(t, c.setRow(0, "scan", map[string]any{"weight": i + 1}))
 	}
 	c.start(1)
-	c.ready(1)
+	c.waitReady(1)
 	c.waitFor("both rows", func() bool { return c.weight(1, "scan") == 20 && c.weight(1, "first") == 1 })
 }
 
@@ -179,7 +179,7 @@
 func TestBadPagesOfTheLogAreNotFolded(t *testing.T) {
 	c := newTestHosts(t, 1)
 	c.start(0)
-	c.ready(0)
+	c.waitReady(0)
 	require.NoError(t, c.setRow(0, "scan", map[string]any{"weight": 1}))
 	c.platform.SetFaults(standin.PlatformFaults{Hole: 2, Stale: 1})
 	c.waitFor("stale page", func() bool { return c.hosts[0].Count("table.stale") > 0 })
@@ -202,7 +202,7 @@
 	c := newTestHosts(t, 2)
 	for i := range c.hosts {
 		c.start(i)
-		c.ready(i)
+		c.waitReady(i)
 	}
 	require.NoError(t, c.setRow(0, "scan", nil))
 	c.waitFor("row everywhere", func() bool { return c.weight(1, "scan") == 1 })
@@ -226,7 +226,7 @@
 func TestRowOfOtherDomainsIsRefused(t *testing.T) {
 	c := newTestHosts(t, 1)
 	c.start(0)
-	c.ready(0)
+	c.waitReady(0)
 	require.NoError(t, c.setRow(0, "scan", map[string]any{"domains": []string{"sued"}}))
 	caller := client.New(addrOf(c.sockets[0].Caller), "", nil)
 	reply, err := caller.Do(context.Background(), client.Request{Workload: "scan", Method: "GET"})
@@ -243,7 +243,7 @@
 	c := newTestHosts(t, 2)
 	c.settings[1].Domain, c.settings[0].Peers[0].Domain = "sued", "sued"
 	c.start(0)
-	c.ready(0)
+	c.waitReady(0)
 	ctx := context.Background()
 	put := func(nord, sued int) {
 		body := map[string]any{"tasks": 10, "domains": map[string]int{"nord": nord, "sued": sued}}
