--- a/internal/host/admit_test.go
+++ b/internal/host/admit_test.go
@@ -21,7 +21,7 @@
 	c := newTestHosts(t, 1)
 	c.addBackend(8)
 	c.settings[0].Limits.Memory = 4 << 20
-	c.start(0)
+	c.startHost(0)
 	c.waitReady(0)
 	require.NoError(t, c.setRow(0, "scan", map[string]any{"class": "urgent"}))
 	require.NoError(t, c.setRow(0, "print", map[string]any{"class": "bulk"}))
@@ -70,7 +70,7 @@
 func TestConnectionsAboveTheBoundAreClosed(t *testing.T) {
 	c := newTestHosts(t, 1)
 	c.settings[0].Limits.Conns = 4
-	c.start(0)
+	c.startHost(0)
 	c.waitReady(0)
 	var conns []net.Conn
 	for range 4 {
--- a/internal/host/keys_test.go
+++ b/internal/host/keys_test.go
@@ -55,8 +55,8 @@
 		c.settings[i].Operator.Token = ""
 		c.useTLS(a, i)
 	}
-	c.start(0)
-	c.start(1)
+	c.startHost(0)
+	c.startHost(1)
 	c.waitReady(0)
 	c.waitReady(1)
 	name := keys.Name(c.settings[0].Name, c.settings[0].Domain)
--- a/internal/host/silent_test.go
+++ b/internal/host/silent_test.go
@@ -83,8 +83,8 @@
 	c := newTestHosts(t, 2)
 	f := forward(t, c.addr)
 	c.settings[1].Platform, c.settings[1].Peers = netip.MustParseAddrPort(f.Addr().String()), nil
-	c.start(0)
-	c.start(1)
+	c.startHost(0)
+	c.startHost(1)
 	c.waitReady(0)
 	c.waitReady(1)
 	f.silence()
@@ -99,11 +99,11 @@
 	c := newTestHosts(t, 2)
 	f := forward(t, c.addr)
 	c.settings[1].Platform, c.settings[1].Peers = netip.MustParseAddrPort(f.Addr().String()), nil
-	c.start(0)
+	c.startHost(0)
 	c.waitReady(0)
 	require.NoError(t, c.setRow(0, "scan", map[string]any{"weight": 7}))
 	c.platform.SetFaults(standin.PlatformFaults{Slow: 1500 * time.Millisecond})
-	c.start(1)
+	c.startHost(1)
 	c.waitFor("in force", func() bool { return c.weight(1, "scan") == 7 })
 }
 
@@ -115,8 +115,8 @@
 	f := forward(t, c.addr)
 	c.settings[0].Platform = netip.MustParseAddrPort(f.Addr().String())
 	c.settings[0].Peers = nil
-	c.start(0)
-	c.start(1)
+	c.startHost(0)
+	c.startHost(1)
 	c.waitReady(0)
 	c.waitReady(1)
 	c.platform.SetFaults(standin.PlatformFaults{Deaf: true})
@@ -148,7 +148,7 @@
 	list(false)
 	for i := range c.settings {
 		c.settings[i].Limits.Settle = time.Millisecond
-		c.start(i)
+		c.startHost(i)
 		c.waitReady(i)
 	}
 	require.NoError(t, c.setRow(0, "scan", map[string]any{"class": "urgent"}))
--- a/internal/host/stop_test.go
+++ b/internal/host/stop_test.go
@@ -44,7 +44,7 @@
 	m := c.addBackend(8)
 	for i := range c.settings {
 		c.settings[i].Limits.Leave, c.settings[i].Limits.Settle = 50*time.Millisecond, time.Millisecond
-		c.start(i)
+		c.startHost(i)
 		c.waitReady(i)
 	}
 	require.NoError(t, c.setRow(0, "scan", map[string]any{"class": "urgent"}))
@@ -107,7 +107,7 @@
 func TestStopThatCutsWorkSaysSo(t *testing.T) {
 	c := newTestHosts(t, 1)
 	m := c.addBackend(8)
-	c.start(0)
+	c.startHost(0)
 	c.waitReady(0)
 	require.NoError(t, c.setRow(0, "scan", map[string]any{"class": "urgent"}))
 	caller := client.New(addrOf(c.sockets[0].Caller), "", nil)
@@ -133,7 +133,7 @@
 // bound of its stop with that.
 func TestUnusedConnectionsDoNotHoldUpAStop(t *testing.T) {
 	c := newTestHosts(t, 1)
-	c.start(0)
+	c.startHost(0)
 	c.waitReady(0)
 	unused, err := net.Dial("tcp", c.sockets[0].Caller.Addr().String())
 	require.NoError(t, err)
--- a/internal/host/table_test.go
+++ b/internal/host/table_test.go
@@ -57,7 +57,7 @@
 
 func addrOf(ln net.Listener) netip.AddrPort { return netip.MustParseAddrPort(ln.Addr().String()) }
 
-func (c *testHosts) start(i int) *host.Host {
+func (c *testHosts) startHost(i int) *host.Host {
 	h := host.New(c.settings[i], slog.New(slog.DiscardHandler), time.Now)
 	require.NoError(c.t, h.LoadKeys())
 	h.Start(c.sockets[i])
@@ -90,7 +90,7 @@
 // the record says, or an edit that is in force would be told as failed.
 func TestLostAppendAnswerIsSettledByTheRecord(t *testing.T) {
 	c := newTestHosts(t, 1)
-	c.start(0)
+	c.startHost(0)
 	c.waitReady(0)
 	c.platform.SetFaults(standin.PlatformFaults{LoseAnswers: 1})
 	require.NoError(t, c.setRow(0, "scan", map[string]any{"weight": 7}))
@@ -102,7 +102,7 @@
 // accepted", and the last accepted table stays in force.
 func TestEditWhileTheLogIsDownIsNotAccepted(t *testing.T) {
 	c := newTestHosts(t, 1)
-	c.start(0)
+	c.startHost(0)
 	c.waitReady(0)
 	require.NoError(t, c.setRow(0, "scan", map[string]any{"weight": 7}))
 	c.platform.SetFaults(standin.PlatformFaults{Down: true})
@@ -120,7 +120,7 @@
 func TestUnreadEditIsUnknownUntilItIsFound(t *testing.T) {
 	t.Parallel()
 	c := newTestHosts(t, 1)
-	c.start(0)
+	c.startHost(0)
 	c.waitReady(0)
 	c.platform.SetFaults(standin.PlatformFaults{Deaf: true})
 	// The read that waits for the next record would still answer.
@@ -143,12 +143,12 @@
 func TestHostThatStartsWhileTheLogIsDownTakesThePeersTable(t *testing.T) {
 	c := newTestHosts(t, 3)
 	c.settings[2].Peers = nil
-	c.start(0)
+	c.startHost(0)
 	c.waitReady(0)
 	require.NoError(t, c.setRow(0, "scan", map[string]any{"weight": 7}))
 	c.platform.SetFaults(standin.PlatformFaults{Down: true})
-	c.start(2)
-	c.start(1)
+	c.startHost(2)
+	c.startHost(1)
 	c.waitReady(1)
 	require.Equal(t, int64(7), c.weight(1, "scan"))
 	require.False(t, c.hosts[2].Ready())
@@ -162,14 +162,14 @@
 func TestNewHostStartsFromTheSnapshotInATrimmedLog(t *testing.T) {
 	c := newTestHosts(t, 2)
 	c.settings[1].Peers = nil
-	c.start(0)
+	c.startHost(0)
 	c.waitReady(0)
 	c.platform.SetFaults(standin.PlatformFaults{Retain: 8})
 	require.NoError(t, c.setRow(0, "first", nil))
 	for i := range 20 {
 		require.NoError(t, c.setRow(0, "scan", map[string]any{"weight": i + 1}))
 	}
-	c.start(1)
+	c.startHost(1)
 	c.waitReady(1)
 	c.waitFor("both rows", func() bool { return c.weight(1, "scan") == 20 && c.weight(1, "first") == 1 })
 }
@@ -178,7 +178,7 @@
 // The host keeps what it has and reads again, rather than folding over the gap.
 func TestBadPagesOfTheLogAreNotFolded(t *testing.T) {
 	c := newTestHosts(t, 1)
-	c.start(0)
+	c.startHost(0)
 	c.waitReady(0)
 	require.NoError(t, c.setRow(0, "scan", map[string]any{"weight": 1}))
 	c.platform.SetFaults(standin.PlatformFaults{Hole: 2, Stale: 1})
@@ -201,7 +201,7 @@
 func TestOneOfTwoRacingOperatorsIsToldThatItLost(t *testing.T) {
 	c := newTestHosts(t, 2)
 	for i := range c.hosts {
-		c.start(i)
+		c.startHost(i)
 		c.waitReady(i)
 	}
 	require.NoError(t, c.setRow(0, "scan", nil))
@@ -225,7 +225,7 @@
 // refused here with the reason, not run where the row may not.
 func TestRowOfOtherDomainsIsRefused(t *testing.T) {
 	c := newTestHosts(t, 1)
-	c.start(0)
+	c.startHost(0)
 	c.waitReady(0)
 	require.NoError(t, c.setRow(0, "scan", map[string]any{"domains": []string{"sued"}}))
 	caller := client.New(addrOf(c.sockets[0].Caller), "", nil)
@@ -242,7 +242,7 @@
 func TestQuotaMovesAfterTheShrinkingDomainHasSettled(t *testing.T) {
 	c := newTestHosts(t, 2)
 	c.settings[1].Domain, c.settings[0].Peers[0].Domain = "sued", "sued"
-	c.start(0)
+	c.startHost(0)
 	c.waitReady(0)
 	ctx := context.Background()
 	put := func(nord, sued int) {
@@ -254,7 +254,7 @@
 	share, ok := c.hosts[0].TeamShare("x")
 	require.True(t, ok)
 	require.Zero(t, share.Tasks, "sued has no host that has read the edit")
-	c.start(1)
+	c.startHost(1)
 	c.waitFor("settled", func() bool { s, _ := c.hosts[0].TeamShare("x"); return s.Tasks == 10 })
 	share, _ = c.hosts[1].TeamShare("x")
 	require.Zero(t, share.Tasks)
