--- a/internal/host/read.go
+++ b/internal/host/read.go
@@ -22,13 +22,13 @@
 	err  error
 }
 
-// page reads one page of the table's log; only followTable may call it.
+// readPage reads one readPage of the table's log; only followTable may call it.
 //
 // What is sent while the log is silent is never answered. Waited for to its end, and for longer
 // after each such read, it kept edits that everyone was told of out of force for as long as the
 // silence had been. So a read without an answer is made again, while the first is waited for in
 // case the log is only slow, and peers are asked for what they have read.
-func (h *Host) page(from int64, wait time.Duration) (platform.Page, error) {
+func (h *Host) readPage(from int64, wait time.Duration) (platform.Page, error) {
 	ctx, cancel := context.WithTimeout(h.ctx, wait+maxAnswerDelay)
 	defer cancel()
 	got := make(chan pageResult)
--- a/internal/host/table.go
+++ b/internal/host/table.go
@@ -65,7 +65,7 @@
 // has seen is out of date; the peers' copy helps if they are further on.
 func (h *Host) readTable(wait time.Duration) error {
 	from := h.nextOffset()
-	page, err := h.page(from, wait)
+	page, err := h.readPage(from, wait)
 	var trimmed *platform.TrimmedError
 	if errors.As(err, &trimmed) {
 		return h.readTrimmedLog(trimmed.Oldest)
@@ -101,7 +101,7 @@
 	h.log.Warn("table: log is trimmed, a snapshot is needed.", "wanted", h.nextOffset(), "oldest", oldest)
 	var all []table.Entry
 	for from := oldest; ; {
-		page, err := h.page(from, 0)
+		page, err := h.readPage(from, 0)
 		if err != nil {
 			return err
 		}
