--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -121,13 +121,13 @@
 	err := h.transferJobs(name, all)
 	var refused *peer.RefusedError
 	var unreached *peer.UnreachedError
-	no := errors.As(err, &refused) || errors.As(err, &unreached)
+	rejected := errors.As(err, &refused) || errors.As(err, &unreached)
 	switch {
 	case err == nil:
 		h.removeOutgoing(all)
 	case errors.As(err, new(*lead.StaleHandoverError)):
 		h.log.Info("host: hand-over was overtaken, it is sent again.", "to", name, "jobs", len(all))
-	case no && h.Ready(), !h.isLive(name):
+	case rejected && h.Ready(), !h.isLive(name):
 		h.log.Warn("host: jobs not handed over.", "to", name, "jobs", len(all), "err", err)
 		h.abortHandover(all)
 	default:
