--- a/internal/host/edit.go
+++ b/internal/host/edit.go
@@ -92,8 +92,8 @@
 	actx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	_, err := h.platform.Append(actx, table.Stream, body)
-	var not *platform.NotWrittenError
-	if errors.As(err, &not) {
+	var notWritten *platform.NotWrittenError
+	if errors.As(err, &notWritten) {
 		return table.Judged{}, err
 	}
 	return h.awaitVerdict(ctx, id)
