--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -308,9 +308,9 @@
 	}
 	defer h.endAccepting(spec.ID)
 	kept, err := h.keepJob(ctx, spec)
-	var not *platform.NotWrittenError
+	var notWritten *platform.NotWrittenError
 	switch {
-	case errors.As(err, &not):
+	case errors.As(err, &notWritten):
 		return peer.RefuseJob(http.StatusServiceUnavailable, err.Error())
 	case err != nil:
 		return peer.UnsureJob(http.StatusGatewayTimeout, spec.ID, err.Error())
