--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -279,13 +279,13 @@
 
 func jobReply(s job.Status, err error) peer.JobReply {
 	var unknown *job.UnknownError
-	var never *lead.InfeasibleError
+	var unschedulable *lead.InfeasibleError
 	switch {
 	case err == nil:
 		return peer.JobReply{Status: s}
 	case errors.As(err, &unknown):
 		return peer.RefuseJob(http.StatusNotFound, err.Error())
-	case errors.As(err, &never):
+	case errors.As(err, &unschedulable):
 		return peer.RefuseJob(http.StatusUnprocessableEntity, err.Error())
 	default:
 		return peer.RefuseJob(http.StatusServiceUnavailable, err.Error())
