--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -169,7 +169,7 @@
 		return peer.RefuseJob(http.StatusServiceUnavailable, "no host of failure domain "+home.Domain+" is live")
 	}
 	reply := h.askHost(ctx, first, id, m)
-	if _, fresh := m.(peer.Submit); fresh || reply.Code != http.StatusNotFound && !isUnavailable(reply) {
+	if _, isSubmit := m.(peer.Submit); isSubmit || reply.Code != http.StatusNotFound && !isUnavailable(reply) {
 		return reply
 	}
 	// The rack may have changed its lead since the job was taken.
