--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -157,7 +157,7 @@
 
 // askPeerToKeep asks live peers of the domain in turn to remember a record. If none said that it
 // does, silent is of one that may all the same: its answer did not come.
-func (h *Host) askPeerToKeep(ctx context.Context, rec joblog.Record) (told bool, silent *peer.SilentError) {
+func (h *Host) askPeerToKeep(ctx context.Context, rec joblog.Record) (kept bool, silent *peer.SilentError) {
 	for _, name := range h.domainPeers() {
 		pctx, cancel := context.WithTimeout(ctx, keepTimeout)
 		err := h.peers.Ask(pctx, name, peer.Keep{Record: rec}, nil)
