--- a/internal/host/read.go
+++ b/internal/host/read.go
@@ -43,18 +43,18 @@
 		}
 	}
 	h.wg.Go(func() { read(ctx, wait) })
-	sent, late := h.clock(), 0
+	sent, rereads := h.clock(), 0
 	overdue := time.NewTimer(wait + overdueAfter)
 	defer overdue.Stop()
 	for {
 		select {
 		case r := <-got:
-			if late > 0 {
+			if rereads > 0 {
 				h.log.Info("table: log answers again.", "from", from, "after", h.clock().Sub(sent), "err", r.err)
 			}
 			return r.page, r.err
 		case <-overdue.C:
-			if late++; late == 1 {
+			if rereads++; rereads == 1 {
 				h.log.Warn("table: log does not answer in time.", "from", from)
 			}
 			h.countTable("overdue")
