--- a/internal/host/list.go
+++ b/internal/host/list.go
@@ -28,11 +28,11 @@
 
 // followList reads the list until the host ends.
 func (h *Host) followList() {
-	read := time.Time{}
+	lastRead := time.Time{}
 	for h.ctx.Err() == nil {
-		if h.isListReader() || h.clock().Sub(read) >= listOtherInterval || h.listNotified.Swap(false) {
+		if h.isListReader() || h.clock().Sub(lastRead) >= listOtherInterval || h.listNotified.Swap(false) {
 			h.refreshList()
-			read = h.clock()
+			lastRead = h.clock()
 		}
 		select {
 		case <-time.After(listReaderInterval):
