--- a/internal/host/cluster_test.go
+++ b/internal/host/cluster_test.go
@@ -209,7 +209,7 @@
 // A lead dies with tasks running and others waiting for room. Nobody at the
 // print office does anything; the batch has to come out whole, and no page of
 // it twice.
-func TestJobOfAKilledLeadGoesOn(t *testing.T) {
+func TestJobOfAKilledLeaderGoesOn(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
 	s := c.submit(smallJob(24, 1))
--- a/internal/host/crash_test.go
+++ b/internal/host/crash_test.go
@@ -18,7 +18,7 @@
 }
 
 // Guards against a count of crashes that dies with the lead.
-func TestCrashesOutliveAKilledLead(t *testing.T) {
+func TestCrashCountsSurviveAKilledLeader(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2)
 	c.crashAllTasks()
--- a/internal/host/explain_test.go
+++ b/internal/host/explain_test.go
@@ -14,7 +14,7 @@
 
 // The balancer sends the question why a job waits to any host. A host that
 // does not lead the job used to know nothing, and its caller saw an empty list.
-func TestTrailIsFoundFromEveryHost(t *testing.T) {
+func TestHistoryIsServedByEveryHost(t *testing.T) {
 	c := newCluster(t, 3)
 	s := c.submit(client.Job{Tasks: 9, Size: client.Size{CPU: 4000, Mem: 1 << 20}, Time: 60})
 	c.waitFor("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
--- a/internal/host/keep_test.go
+++ b/internal/host/keep_test.go
@@ -31,7 +31,7 @@
 // The log is down, and the peer that is asked to remember a job instead does so, but its answer is
 // lost. The caller was told that the job was not accepted and never runs; the peer writes it to
 // the log later, and it runs.
-func TestAJobThatAPeerMayRememberIsNotToldAsNotRun(t *testing.T) {
+func TestAJobThatAPeerMayRememberIsNotReportedAsNotRun(t *testing.T) {
 	addr := func(i int) netip.AddrPort { return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 1) }
 	for name, tc := range map[string]struct {
 		answer    peer.Answerer
--- a/internal/host/lifecycle_test.go
+++ b/internal/host/lifecycle_test.go
@@ -80,7 +80,7 @@
 // The lead dies at one step of a job's life after the other, and the log is
 // away before, during or after. What the caller was told stays true: an
 // accepted job comes out whole, and nothing of it runs in two places.
-func TestLeadDiesAtEveryStep(t *testing.T) {
+func TestLeaderDiesAtEveryStep(t *testing.T) {
 	for name, life := range map[string]func(c *cluster){
 		"accepted, no start sent": func(c *cluster) {
 			free := c.fillWorkers()
@@ -162,7 +162,7 @@
 // not run, and then the host that said so dies. The next lead finds the batch
 // in the log and must not print it. A log that takes longer than a caller is kept
 // waiting has the desk hear "unknown" first, and "not run" only once that is stored.
-func TestNotRunStaysTrueAfterTheLeadDied(t *testing.T) {
+func TestNotRunStaysTrueAfterTheLeaderDied(t *testing.T) {
 	t.Parallel()
 	for name, slow := range map[string]time.Duration{"the log is quick": 0, "the log is slow": cancelWait + 200*time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
@@ -215,7 +215,7 @@
 
 // Both hosts that remember a job die while the log is away. The job is gone;
 // it was told as kept by peers only, it does not run, and nobody says that it did.
-func TestBothKeepersDie(t *testing.T) {
+func TestBothHostsThatRememberAJobDie(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
 	c.fillWorkers()
--- a/internal/host/limits_test.go
+++ b/internal/host/limits_test.go
@@ -11,7 +11,7 @@
 )
 
 // Guards against a row's limit that is exceeded when its jobs come to both hosts of a domain.
-func TestLimitOfARowHoldsOverAllLeads(t *testing.T) {
+func TestLimitOfARowHoldsOverAllLeaders(t *testing.T) {
 	c := newCluster(t, 2)
 	ctx := context.Background()
 	op := client.New(c.operators[0], "", nil)
@@ -40,7 +40,7 @@
 // A caller mistypes an id, asks after a job of a failure domain that does not
 // exist, or cancels a job that has ended. Each gets a plain answer at once, and
 // the ended job stays as it was.
-func TestQuestionsAfterOtherJobsChangeNothing(t *testing.T) {
+func TestRequestsForOtherJobsChangeNothing(t *testing.T) {
 	c := newCluster(t, 2)
 	ctx := context.Background()
 	for id, status := range map[string]int{"plain": 400, "nowhere.r0.1": 404, "nord.r0.1": 404} {
--- a/internal/host/share_test.go
+++ b/internal/host/share_test.go
@@ -144,7 +144,7 @@
 
 // A minion tells one host that it leaves; the host list never shows it. The
 // other hosts must hear of it and send it nothing more.
-func TestLeavingMinionIsShunnedByAllHosts(t *testing.T) {
+func TestLeavingBackendIsAvoidedByAllHosts(t *testing.T) {
 	d := newDomain(t)
 	d.waitSlotsShared("all share", 0, 1, 2)
 	callers := d.callers()
--- a/internal/host/told_test.go
+++ b/internal/host/told_test.go
@@ -8,7 +8,7 @@
 )
 
 // Guards against an end that lies in every host's log and is told by none.
-func TestAnEndIsToldWhileTheLeadIsSilent(t *testing.T) {
+func TestLoggedEndIsReportedWhileTheLeaderIsSilent(t *testing.T) {
 	c := newCluster(t, 3)
 	id := c.submit(smallJob(1, 0.01)).ID
 	lead := c.leaderOf(id)
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -28,7 +28,7 @@
 
 // A host was replaced, and a heartbeat that its predecessor sent arrives late.
 // It must not replace what is known of the successor.
-func TestOldIncarnationIsPassedOver(t *testing.T) {
+func TestOldIncarnationIsIgnored(t *testing.T) {
 	m := member.New(member.Heartbeat{Name: "a", Domain: "d"})
 	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Incarnation: 2, FreeSlots: 5}})
 	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Incarnation: 1, FreeSlots: 0}})
@@ -37,7 +37,7 @@
 
 // Guards against two hosts that lead one rack: a heartbeat from before the peer heard this host
 // overtakes the next one, and this host takes the peer for gone.
-func TestOvertakenHeartbeatIsPassedOver(t *testing.T) {
+func TestOvertakenHeartbeatIsIgnored(t *testing.T) {
 	m := member.New(member.Heartbeat{Name: "a"})
 	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Seq: 2, Ack: true}})
 	require.Empty(t, m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Seq: 1}}))
@@ -87,7 +87,7 @@
 
 // A peer's process dies: sending to it fails at once, long before it has been
 // silent for long enough.
-func TestFailedSendTakesAPeerForGoneUntilItIsHeard(t *testing.T) {
+func TestFailedSendMarksAPeerAsGoneUntilItIsHeard(t *testing.T) {
 	m := member.New(member.Heartbeat{Name: "a"})
 	beat := member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Ack: true}}
 	m.Step(now, beat)
@@ -99,7 +99,7 @@
 
 // The platform's list still shows a host as leaving that was replaced long ago
 // under the same name. What the peers hear of the new one counts.
-func TestLaggingListDoesNotHideASuccessor(t *testing.T) {
+func TestLaggingListDoesNotHideARestartedHost(t *testing.T) {
 	m := member.New(member.Heartbeat{Name: "a"})
 	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Incarnation: 1, Ack: true}})
 	m.Step(now.Add(time.Second), member.LeavingListed{Leaving: []string{"b"}})
@@ -112,7 +112,7 @@
 
 // A host of a large cell beats slowly to those far away. They must not take it
 // for dead between two heartbeats.
-func TestSlowBeaterIsGivenThreeOfItsPeriods(t *testing.T) {
+func TestLongHeartbeatPeriodExtendsTheTimeout(t *testing.T) {
 	m := member.New(member.Heartbeat{Name: "a"})
 	far := member.FarPeriod(45)
 	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Ack: true, Period: cell.Duration{Duration: far}}})
