--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -23,10 +23,10 @@
 
 // partialSnapshot holds the parts of one snapshot that were read so far.
 type partialSnapshot struct {
-	first  int64
-	whole  uint64
-	when   int64
-	pieces [][]byte
+	first    int64
+	checksum uint64
+	when     int64
+	pieces   [][]byte
 }
 
 // pieceSize bounds a part so that its record stays under 256 KiB.
@@ -58,8 +58,8 @@
 
 // add stores a part and reports whether the snapshot is complete.
 func (g *partialSnapshot) add(p part, offset int64) bool {
-	if g.pieces == nil || g.whole != p.Whole || len(g.pieces) != p.Of {
-		*g = partialSnapshot{first: offset, whole: p.Whole, when: p.When, pieces: make([][]byte, p.Of)}
+	if g.pieces == nil || g.checksum != p.Whole || len(g.pieces) != p.Of {
+		*g = partialSnapshot{first: offset, checksum: p.Whole, when: p.When, pieces: make([][]byte, p.Of)}
 	}
 	g.pieces[p.Index] = p.Piece
 	return !slices.ContainsFunc(g.pieces, func(b []byte) bool { return b == nil })
@@ -72,7 +72,7 @@
 // state decodes the table from a complete snapshot.
 func (g *partialSnapshot) state() (state, error) {
 	whole := slices.Concat(g.pieces...)
-	if xxhash.Sum64(whole) != g.whole {
+	if xxhash.Sum64(whole) != g.checksum {
 		return state{}, &RecordError{Reason: "snapshot's checksum does not match"}
 	}
 	var s state
