--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -13,12 +13,12 @@
 // bound. All hosts fold the same table, so the parts that two hosts write for the same offset are
 // equal, and parts of one host can complete those of the other.
 type part struct {
-	Next  int64  `json:"next"`
-	Index int    `json:"part"`
-	Of    int    `json:"of"`
-	Whole uint64 `json:"whole"`
-	When  int64  `json:"when"`
-	Piece []byte `json:"piece"`
+	Next     int64  `json:"next"`
+	Index    int    `json:"part"`
+	Of       int    `json:"of"`
+	Checksum uint64 `json:"whole"`
+	When     int64  `json:"when"`
+	Piece    []byte `json:"piece"`
 }
 
 // partialSnapshot holds the parts of one snapshot that were read so far.
@@ -48,7 +48,7 @@
 	pieces := slices.Collect(slices.Chunk(whole, pieceSize))
 	records := make([][]byte, len(pieces))
 	for i, piece := range pieces {
-		p := part{Next: t.Next, Index: i, Of: len(pieces), Whole: xxhash.Sum64(whole), When: now.UnixMilli(), Piece: piece}
+		p := part{Next: t.Next, Index: i, Of: len(pieces), Checksum: xxhash.Sum64(whole), When: now.UnixMilli(), Piece: piece}
 		if records[i], err = encodeRecord(kindSnapshot, p); err != nil {
 			return nil, err
 		}
@@ -58,8 +58,8 @@
 
 // add stores a part and reports whether the snapshot is complete.
 func (g *partialSnapshot) add(p part, offset int64) bool {
-	if g.pieces == nil || g.checksum != p.Whole || len(g.pieces) != p.Of {
-		*g = partialSnapshot{first: offset, checksum: p.Whole, when: p.When, pieces: make([][]byte, p.Of)}
+	if g.pieces == nil || g.checksum != p.Checksum || len(g.pieces) != p.Of {
+		*g = partialSnapshot{first: offset, checksum: p.Checksum, when: p.When, pieces: make([][]byte, p.Of)}
 	}
 	g.pieces[p.Index] = p.Piece
 	return !slices.ContainsFunc(g.pieces, func(b []byte) bool { return b == nil })
