--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -192,12 +192,12 @@
 // restore replaces the table by a snapshot's. Records that the writer of the snapshot did not know
 // are folded now if this version knows them.
 func (t *Table) restore(s state) {
-	passed := s.Skipped
+	skipped := s.Skipped
 	s.Skipped = nil
 	next, digest := s.Next, s.Digest
 	t.state = s
 	t.incomplete = map[int64]*partialSnapshot{}
-	for _, p := range passed {
+	for _, p := range skipped {
 		if _, err := Decode(p.Body); err != nil {
 			t.Skipped = append(t.Skipped, p)
 			continue
