--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -137,7 +137,7 @@
 	if len(entries) > 0 && entries[0].Offset <= t.Next {
 		return t.foldAll(now, entries)
 	}
-	start, ok := t.bestStart(entries)
+	start, ok := t.newestUsableSnapshot(entries)
 	if !ok {
 		return []Action{SnapshotMissing{Want: t.Next}}
 	}
@@ -146,7 +146,7 @@
 	return append(acts, t.foldAll(now, entries)...)
 }
 
-func (t *Table) bestStart(entries []Entry) (state, bool) {
+func (t *Table) newestUsableSnapshot(entries []Entry) (state, bool) {
 	parts := map[int64]*partialSnapshot{}
 	best := state{}
 	for _, e := range entries {
