--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -11,7 +11,7 @@
 
 // The audit must detect each kind of violation. If a count could not rise, every test that uses the
 // audit would pass.
-func TestWrongSeesEachBrokenPromise(t *testing.T) {
+func TestViolationsDetectsEachBrokenGuarantee(t *testing.T) {
 	tally := NewTally()
 	tally.recordOutcome("twice", client.Done)
 	tally.recordOutcome("lost", client.Done)
