--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -15,7 +15,7 @@
 
 // The reader of the log has stopped. A decision that waited for its log line to be written would
 // stop, too.
-func TestAReaderThatStopsHoldsUpNothing(t *testing.T) {
+func TestStoppedReaderDoesNotBlockWriter(t *testing.T) {
 	r, out := io.Pipe()
 	w := logs.NewWriter(out)
 	done := make(chan struct{})
