--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -37,7 +37,7 @@
 
 // A flood of lines with the same message is cut to its rate limit and the cut is reported. Other
 // messages, warnings and errors still pass.
-func TestAFloodStaysWithinItsBudget(t *testing.T) {
+func TestFloodStaysWithinRateLimit(t *testing.T) {
 	now := time.Unix(0, 0)
 	var buf bytes.Buffer
 	log := slog.New(logs.NewHandler(slog.NewTextHandler(&buf, nil), func() time.Time { return now }))
