--- a/internal/trail/trail_test.go
+++ b/internal/trail/trail_test.go
@@ -17,7 +17,7 @@
 // A job moves to another leader, and the reply to the handover is lost, so that the handover is
 // repeated. An operator who asks why the job waits must see the earlier decisions, each once and in
 // order.
-func TestNotesOfAFormerLeadAreMergedOnce(t *testing.T) {
+func TestNotesOfPreviousLeaderAreMergedOnce(t *testing.T) {
 	old, heir := trail.New(100), trail.New(100)
 	for i := range 20 {
 		old.Add(note(i, "j"))
