--- a/internal/story/story_test.go
+++ b/internal/story/story_test.go
@@ -29,7 +29,7 @@
 	// 11:05:12.200 12.1 nord-2 sched: start taken. id=a1.0.0.3 run=1 worker=w7
 }
 
-func TestALineThatIsTooLongIsAnError(t *testing.T) {
+func TestTooLongLineIsAnError(t *testing.T) {
 	_, err := story.Read(strings.NewReader(strings.Repeat("x", 2<<20)), "a1")
 	require.Error(t, err)
 }
