--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -42,7 +42,7 @@
 
 // An operator mistypes several keys. All of them must be reported at once with their lines: a host
 // that started with half of its settings would serve with limits that nobody chose.
-func TestParseTellsEveryFaultWithItsLine(t *testing.T) {
+func TestParseReportsEveryFaultWithItsLine(t *testing.T) {
 	text := `name = "nord 1"
 domain = "halle-nord"
 colour = "red"
