--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -81,7 +81,7 @@
 	require.ErrorContains(t, err, "limits.body")
 }
 
-func TestParseTellsSyntaxFaults(t *testing.T) {
+func TestParseReportsSyntaxFaults(t *testing.T) {
 	_, err := settings.Parse("a.toml", []byte("name = \n"))
 	require.ErrorAs(t, err, new(settings.Faults))
 }
