--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -76,7 +76,7 @@
 
 // A body that does not fit into a message between hosts would end with the outcome unknown whenever
 // a peer has to help.
-func TestParseRefusesABodyThatPeersCannotCarry(t *testing.T) {
+func TestParseRejectsBodyLargerThanPeerMessages(t *testing.T) {
 	_, err := settings.Parse("a.toml", []byte(strings.Replace(good, "[limits]", "[limits]\nbody = 5000000", 1)))
 	require.ErrorContains(t, err, "limits.body")
 }
