--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,7 +10,7 @@
 	"pollencroft/internal/settings"
 )
 
-const good = `name = "nord-1"
+const validSettings = `name = "nord-1"
 domain = "halle-nord"
 
 [listen]
@@ -31,7 +31,7 @@
 `
 
 func TestParseReadsEveryKey(t *testing.T) {
-	s, err := settings.Parse("a.toml", []byte(good))
+	s, err := settings.Parse("a.toml", []byte(validSettings))
 	require.NoError(t, err)
 	require.Equal(t, "nord-1", s.Name)
 	require.Equal(t, 5*time.Second, s.Limits.Deadline)
@@ -77,7 +77,7 @@
 // A body that does not fit into a message between hosts would end with the outcome unknown whenever
 // a peer has to help.
 func TestParseRejectsBodyLargerThanPeerMessages(t *testing.T) {
-	_, err := settings.Parse("a.toml", []byte(strings.Replace(good, "[limits]", "[limits]\nbody = 5000000", 1)))
+	_, err := settings.Parse("a.toml", []byte(strings.Replace(validSettings, "[limits]", "[limits]\nbody = 5000000", 1)))
 	require.ErrorContains(t, err, "limits.body")
 }
 
