--- a/internal/spans/spans_test.go
+++ b/internal/spans/spans_test.go
@@ -30,7 +30,7 @@
 	require.Equal(t, "/v1/traces", <-paths)
 }
 
-func TestExportTellsAFileThatCannotBeOpened(t *testing.T) {
+func TestExportReportsFileThatCannotBeOpened(t *testing.T) {
 	_, err := spans.Export("nord-1", filepath.Join(t.TempDir(), "no", "file"), "")
 	require.Error(t, err)
 }
