--- a/internal/audit/tally.go
+++ b/internal/audit/tally.go
@@ -41,7 +41,7 @@
 
 type acceptedJob struct {
 	tasks     int
-	watch     bool
+	watcher   bool
 	cancelled string
 }
 
@@ -109,7 +109,7 @@
 	switch {
 	case err == nil:
 		l.count(client.Done, took)
-		t.jobs[s.ID] = &acceptedJob{tasks: j.Tasks, watch: j.Time > watcherMinSeconds}
+		t.jobs[s.ID] = &acceptedJob{tasks: j.Tasks, watcher: j.Time > watcherMinSeconds}
 	case errors.As(err, &status):
 		l.count(status.Outcome, took)
 	default:
@@ -206,7 +206,7 @@
 	lost := 0
 	for n := range j.tasks {
 		task := fmt.Sprintf("%s.%d", id, n)
-		if r.Tasks[task] > 0 || j.watch && r.Started[task] > 0 {
+		if r.Tasks[task] > 0 || j.watcher && r.Started[task] > 0 {
 			continue
 		}
 		lost++
