--- a/internal/trail/trail_test.go
+++ b/internal/trail/trail_test.go
@@ -18,16 +18,16 @@
 // repeated. An operator who asks why the job waits must see the earlier decisions, each once and in
 // order.
 func TestNotesOfPreviousLeaderAreMergedOnce(t *testing.T) {
-	old, heir := trail.New(100), trail.New(100)
+	old, successor := trail.New(100), trail.New(100)
 	for i := range 20 {
 		old.Add(note(i, "j"))
 	}
-	heir.Add(note(30, "j"))
+	successor.Add(note(30, "j"))
 	for range 2 {
-		heir.Merge(old.Excerpt("j", 4))
+		successor.Merge(old.Excerpt("j", 4))
 	}
 	var got []string
-	for _, n := range heir.ByID("j") {
+	for _, n := range successor.ByID("j") {
 		got = append(got, n.Message)
 	}
 	require.Equal(t, []string{"note 0", "note 17", "note 18", "note 19", "note 30"}, got)
