--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -97,7 +97,7 @@
 func (h *Handler) Handle(ctx context.Context, r slog.Record) error {
 	pass, left := h.limiter.allow(r)
 	if left > 0 {
-		more := slog.NewRecord(r.Time, slog.LevelWarn, "log: lines were suppressed.", 0)
+		more := slog.NewRecord(r.Time, slog.LevelWarn, "log: lines were left out.", 0)
 		more.AddAttrs(slog.Int64("lines", left))
 		if err := h.Handler.Handle(ctx, more); err != nil {
 			return err
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -52,5 +52,5 @@
 	text := buf.String()
 	require.LessOrEqual(t, strings.Count(text, "msg=flood"), 120+10*40+1)
 	require.Equal(t, 2, strings.Count(text, "msg=other"))
-	require.Contains(t, text, "lines were suppressed")
+	require.Contains(t, text, "lines were left out")
 }
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -235,7 +235,7 @@
 func (r *reader) rejectUnknown() {
 	for _, key := range slices.Sorted(maps.Keys(r.values)) {
 		if !r.read[key] {
-			r.addFault(key, "unknown", "a key of the settings page")
+			r.addFault(key, "an unknown key", "a key of the settings page")
 		}
 	}
 }
