--- a/internal/joblog/joblog.go
+++ b/internal/joblog/joblog.go
@@ -51,8 +51,8 @@
 	case r.Spec == nil && other.Spec != nil:
 		return false
 	}
-	for task, lives := range other.Crashes {
-		if r.Crashes[task] < lives {
+	for task, count := range other.Crashes {
+		if r.Crashes[task] < count {
 			return false
 		}
 	}
@@ -64,8 +64,8 @@
 		return b
 	}
 	all := maps.Clone(a)
-	for task, lives := range b {
-		all[task] = max(all[task], lives)
+	for task, count := range b {
+		all[task] = max(all[task], count)
 	}
 	return all
 }
--- a/internal/store/routed_test.go
+++ b/internal/store/routed_test.go
@@ -242,16 +242,16 @@
 // three seconds. The peer that was served last is asked first.
 func TestAPeerThatWasServedIsAskedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cutPeer := &slow{wait: time.Minute}
-		r := store.NewRouted(&slow{wait: time.Minute}, mixed{"a": cutPeer, "b": &fixedLog{}}, time.Now, func(store.Call, bool, error) {})
+		cutOff := &slow{wait: time.Minute}
+		r := store.NewRouted(&slow{wait: time.Minute}, mixed{"a": cutOff, "b": &fixedLog{}}, time.Now, func(store.Call, bool, error) {})
 		for range 6 {
 			_, err := r.Do(background, appendCall)
 			require.NoError(t, err)
 		}
-		asked, began := cutPeer.calls.Load(), time.Now()
+		asked, began := cutOff.calls.Load(), time.Now()
 		_, err := r.Do(background, appendCall)
 		require.NoError(t, err)
-		require.Equal(t, asked, cutPeer.calls.Load())
+		require.Equal(t, asked, cutOff.calls.Load())
 		require.Less(t, time.Since(began), 50*time.Millisecond)
 		time.Sleep(2 * time.Minute)
 	})
@@ -364,8 +364,8 @@
 func TestOldFailureDoesNotOverrideNewerAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		direct := &silentUntil{}
-		var told []bool
-		r := store.NewRouted(direct, peers{}, time.Now, func(_ store.Call, ok bool, _ error) { told = append(told, ok) })
+		var changes []bool
+		r := store.NewRouted(direct, peers{}, time.Now, func(_ store.Call, ok bool, _ error) { changes = append(changes, ok) })
 		_, err := r.Do(background, appendCall)
 		require.NoError(t, err)
 		direct.at = time.Now().Add(300 * time.Millisecond)
@@ -373,7 +373,7 @@
 		require.NoError(t, err)
 		time.Sleep(time.Minute)
 		synctest.Wait()
-		require.Equal(t, []bool{false, true}, told)
+		require.Equal(t, []bool{false, true}, changes)
 	})
 }
 
