--- a/internal/audit/load.go
+++ b/internal/audit/load.go
@@ -1,6 +1,6 @@
-// Package audit plays the callers of a cell and compares what each of them
-// was told with what the stand-ins recorded. The demo and the integration
-// tests use it; it knows nothing of the hosts' insides.
+// Package audit simulates the callers of a cell and compares what each of them was told with what
+// the simulated backend servers and workers recorded. The demo and the integration tests use it. It
+// does not depend on the internals of the hosts.
 package audit
 
 import (
@@ -18,19 +18,19 @@
 	"pollencroft/pkg/client"
 )
 
-// Names are the rows that a deployment uses.
-type Names struct{ Urgent, Flood, Batch, Gang, Watch string }
+// RowNames are the names of the rows that a deployment uses.
+type RowNames struct{ Urgent, Flood, Batch, Gang, Watch string }
 
-// NamesOf returns the rows of one of the two deployments.
-func NamesOf(u standin.Users) Names {
+// RowNamesOf returns the row names of one of the two deployments.
+func RowNamesOf(u standin.Users) RowNames {
 	if u.Name == standin.Inzira.Name {
-		return Names{Urgent: "sheet", Flood: "plans", Batch: "termplan", Gang: "balance", Watch: "ingredients"}
+		return RowNames{Urgent: "sheet", Flood: "plans", Batch: "termplan", Gang: "balance", Watch: "ingredients"}
 	}
-	return Names{Urgent: "scan", Flood: "badges", Batch: "print", Gang: "seating", Watch: "wristbands"}
+	return RowNames{Urgent: "scan", Flood: "badges", Batch: "print", Gang: "seating", Watch: "wristbands"}
 }
 
 // Rows returns the fields of each row.
-func (n Names) Rows() map[string]map[string]any {
+func (n RowNames) Rows() map[string]map[string]any {
 	const class, kind, deadline = "class", "kind", "deadline"
 	return map[string]map[string]any{
 		n.Urgent: {class: "urgent", kind: "service", deadline: "2s"},
@@ -41,14 +41,14 @@
 	}
 }
 
-// Load plays callers of all kinds until its context ends.
+// Load simulates callers of all kinds until its context ends.
 type Load struct {
-	Names   Names
+	Names   RowNames
 	Domains []string
-	// Pick is what the platform's balancer does: any ready host of a domain.
+	// Pick stands for the platform's load balancer: it returns any ready host of a domain.
 	Pick  func(r *rand.Rand, domain string) *client.Client
 	Tally *Tally
-	// Urgent, Flood and Batch are how many callers of each kind there are.
+	// Urgent, Flood and Batch are the numbers of callers of each kind.
 	Urgent, Flood, Batch int
 }
 
@@ -58,14 +58,14 @@
 	urgentCost  = 4 * time.Millisecond
 	floodCost   = 60 * time.Millisecond
 	batchEvery  = 400 * time.Millisecond
-	repeatAfter = 50 * time.Millisecond
-	gangAfter   = 2 * time.Second
-	tries       = 4
-	// replyWait is how long a caller waits before it takes the reply for lost.
-	replyWait = 15 * time.Second
+	retryDelay  = 50 * time.Millisecond
+	gangDelay   = 2 * time.Second
+	maxTries    = 4
+	// replyTimeout is how long a caller waits before it treats the reply as lost.
+	replyTimeout = 15 * time.Second
 )
 
-// Run plays all callers; it returns when ctx has ended and all are answered.
+// Run simulates all callers. It returns when ctx has ended and all callers have their replies.
 func (l Load) Run(ctx context.Context) {
 	var g errgroup.Group
 	for i := range l.Urgent {
@@ -77,7 +77,7 @@
 	for i := range l.Batch {
 		g.Go(func() error { l.batchCaller(ctx, i); return nil })
 	}
-	g.Go(func() error { l.single(ctx); return nil })
+	g.Go(func() error { l.submitWatchersAndGang(ctx); return nil })
 	_ = g.Wait()
 }
 
@@ -92,36 +92,36 @@
 
 func (l Load) domain(i int) string { return l.Domains[i%len(l.Domains)] }
 
-// urgentCaller is one turnstile or kitchen: it sends keyed requests and
-// repeats those that were refused or had no reply, under the same key.
+// urgentCaller simulates one turnstile or kitchen. It sends requests with a key and repeats those
+// that were refused or had no reply under the same key.
 func (l Load) urgentCaller(ctx context.Context, i int) {
 	r := rand.New(rand.NewPCG(1, uint64(i)))
 	for ctx.Err() == nil {
-		l.keyed(ctx, r, l.domain(i))
+		l.sendKeyed(ctx, r, l.domain(i))
 		sleep(ctx, time.Duration(r.Int64N(int64(2*urgentEvery))))
 	}
 }
 
-func (l Load) keyed(ctx context.Context, r *rand.Rand, domain string) {
+func (l Load) sendKeyed(ctx context.Context, r *rand.Rand, domain string) {
 	req := client.Request{
 		Workload: l.Names.Urgent, Method: http.MethodPost, Path: "/gate", Key: uuid.Must(uuid.NewV7()).String(),
-		Header: cost(urgentCost), Body: []byte(strconv.Itoa(r.Int())),
+		Header: costHeader(urgentCost), Body: []byte(strconv.Itoa(r.Int())),
 	}
 	began := time.Now()
 	var reply client.Reply
-	for req.Attempt = 1; req.Attempt <= tries; req.Attempt++ {
-		reply = l.ask(ctx, l.Pick(r, domain), req)
-		l.Tally.told(req.Key, reply.Outcome)
+	for req.Attempt = 1; req.Attempt <= maxTries; req.Attempt++ {
+		reply = l.send(ctx, l.Pick(r, domain), req)
+		l.Tally.recordOutcome(req.Key, reply.Outcome)
 		if reply.Outcome == client.Done {
 			break
 		}
-		time.Sleep(repeatAfter)
+		time.Sleep(retryDelay)
 	}
-	l.Tally.request(l.Names.Urgent, req, reply, time.Since(began))
+	l.Tally.recordRequest(l.Names.Urgent, req, reply, time.Since(began))
 }
 
-func (l Load) ask(ctx context.Context, c *client.Client, req client.Request) client.Reply {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), replyWait)
+func (l Load) send(ctx context.Context, c *client.Client, req client.Request) client.Reply {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), replyTimeout)
 	defer cancel()
 	reply, _ := c.Do(ctx, req)
 	return reply
@@ -130,25 +130,25 @@
 func (l Load) floodCaller(ctx context.Context, i int) {
 	r := rand.New(rand.NewPCG(2, uint64(i)))
 	for ctx.Err() == nil {
-		req := client.Request{Workload: l.Names.Flood, Method: http.MethodPost, Path: "/page", Header: cost(floodCost), Body: []byte("page")}
+		req := client.Request{Workload: l.Names.Flood, Method: http.MethodPost, Path: "/page", Header: costHeader(floodCost), Body: []byte("page")}
 		began := time.Now()
-		reply := l.ask(ctx, l.Pick(r, l.domain(i)), req)
-		l.Tally.request(l.Names.Flood, req, reply, time.Since(began))
+		reply := l.send(ctx, l.Pick(r, l.domain(i)), req)
+		l.Tally.recordRequest(l.Names.Flood, req, reply, time.Since(began))
 		if reply.Outcome != client.Done {
-			sleep(ctx, 2*repeatAfter)
+			sleep(ctx, 2*retryDelay)
 		}
 	}
 }
 
-func cost(d time.Duration) http.Header { return http.Header{standin.HeaderCost: {d.String()}} }
+func costHeader(d time.Duration) http.Header { return http.Header{standin.HeaderCost: {d.String()}} }
 
-// single submits the watchers and the all-at-once job.
-func (l Load) single(ctx context.Context) {
+// submitWatchersAndGang submits the watchers and the gang job.
+func (l Load) submitWatchersAndGang(ctx context.Context) {
 	r := rand.New(rand.NewPCG(3, 0))
 	for _, domain := range l.Domains {
 		l.submit(ctx, r, domain, client.Job{Workload: l.Names.Watch, Tasks: 4, Size: client.Size{CPU: 2000, Mem: 4 << 30}, Time: 3600})
 	}
-	sleep(ctx, gangAfter)
+	sleep(ctx, gangDelay)
 	l.submit(ctx, r, l.Domains[0], client.Job{Workload: l.Names.Gang, Tasks: 12, Size: client.Size{CPU: 8000, Mem: 16 << 30}, Time: 3, Gang: true})
 }
 
@@ -166,33 +166,32 @@
 	}
 }
 
-// submit hands in a job; one that is refused comes back a few times, as the
-// refusal tells it to.
+// submit submits a job. It retries a refused job a few times, as the refusal asks for.
 func (l Load) submit(ctx context.Context, r *rand.Rand, domain string, j client.Job) string {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), replyWait)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), replyTimeout)
 	defer cancel()
 	began := time.Now()
 	var status client.JobStatus
 	var err error
-	for range tries {
+	for range maxTries {
 		status, err = l.Pick(r, domain).Submit(ctx, j)
 		var refused *client.StatusError
 		if !errors.As(err, &refused) || refused.Outcome != client.Refused {
 			break
 		}
-		sleep(ctx, 4*repeatAfter)
+		sleep(ctx, 4*retryDelay)
 	}
-	l.Tally.job(j, status, err, time.Since(began))
+	l.Tally.recordJob(j, status, err, time.Since(began))
 	return status.ID
 }
 
 func (l Load) cancel(ctx context.Context, r *rand.Rand, domain, id string) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), replyWait)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), replyTimeout)
 	defer cancel()
 	status, err := l.Pick(r, domain).Cancel(ctx, id)
 	outcome := status.Outcome
 	if err != nil {
 		outcome = client.Unknown
 	}
-	l.Tally.cancelled(id, outcome)
+	l.Tally.recordCancel(id, outcome)
 }
--- a/internal/commands/table.go
+++ b/internal/commands/table.go
@@ -99,7 +99,7 @@
 		for _, l := range lines {
 			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%t\t%s\t%d\n",
 				l.Name, l.Kind, l.Class, l.Team, l.Weight, bounded(l.Limits.Slots), bounded(l.Limits.Queue), bounded(l.Limits.Tasks),
-				bounded(l.Limits.Room.CPU), bounded(l.Limits.Room.Mem), bounded(l.Limits.Room.Accel),
+				bounded(l.Limits.Capacity.CPU), bounded(l.Limits.Capacity.Mem), bounded(l.Limits.Capacity.Accel),
 				strings.Join(l.Domains, ","), l.Tries, l.Idempotent, l.Deadline, l.Version)
 		}
 	})
@@ -114,7 +114,7 @@
 }
 
 func showLog(o remote) error {
-	var past []table.Past
+	var past []table.HistoryEntry
 	if err := o.page("/log", &past); err != nil {
 		return err
 	}
@@ -124,7 +124,7 @@
 			if !p.Accepted {
 				verdict = "void: " + p.Reason
 			}
-			_, _ = fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\n", p.Offset, p.When.Format(time.RFC3339), p.Who, p.Row, verdict, p.What)
+			_, _ = fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\n", p.Offset, p.When.Format(time.RFC3339), p.Author, p.Row, verdict, p.Change)
 		}
 	})
 }
@@ -153,8 +153,8 @@
 	return o.lines(all, "TEAM\tDOMAIN\tTASKS\tCPU\tMEM\tACCEL\tWAITS FOR\tVERSION", func(w io.Writer) {
 		for _, q := range all {
 			for d, s := range q.Shares {
-				_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\n", q.Team, d, bounded(s.Tasks), bounded(s.Room.CPU),
-					bounded(s.Room.Mem), bounded(s.Room.Accel), strings.Join(q.Unread, ","), q.Version)
+				_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\n", q.Team, d, bounded(s.Tasks), bounded(s.Capacity.CPU),
+					bounded(s.Capacity.Mem), bounded(s.Capacity.Accel), strings.Join(q.Unconfirmed, ","), q.Version)
 			}
 		}
 	})
--- /dev/null
+++ b/internal/entry/finalstates_test.go
@@ -0,0 +1,105 @@
+package entry_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"pollencroft/internal/entry"
+	"pollencroft/internal/flow"
+	"pollencroft/internal/peer"
+)
+
+// Guards against final states that a host misses, and against final states that a leader never
+// removes.
+func TestFinalStatesAreReportedInOrderAndDropped(t *testing.T) {
+	var e entry.FinalStates
+	at := time.Unix(1000, 0)
+	const jobs = 1200
+	for n := range jobs {
+		e.Add(fmt.Sprint(n), flow.Completed, at.Add(time.Duration(n)*time.Second))
+	}
+	reported := map[string]int{}
+	next := 0
+	for range 10 {
+		var by map[flow.State][]string
+		by, next = e.From(next)
+		for _, id := range by[flow.Completed] {
+			reported[id]++
+		}
+	}
+	require.Len(t, reported, jobs)
+	require.Equal(t, jobs, next)
+	for id, n := range reported {
+		require.Equal(t, 1, n, id)
+	}
+	e.Drop(at.Add(1000 * time.Second))
+	by, next := e.From(0)
+	require.Len(t, by[flow.Completed], 200)
+	require.Equal(t, jobs, next)
+	by, next = e.From(jobs + 50)
+	require.Empty(t, by)
+	require.Equal(t, jobs, next)
+}
+
+// Guards against a leader that does not report the final states of jobs to other hosts while its
+// scheduler core is busy.
+func TestBusyLeaderReportsEndedJobs(t *testing.T) {
+	c := newCluster(t, 2, 2, 20*time.Millisecond)
+	leader := c.leader()
+	c.submitMany(leader, 0, 1)
+	c.waitCompleted(leader, 1)
+	release := leader.BlockCore()
+	defer release()
+	reported := make(chan peer.StateReply, 1)
+	go func() { reported <- leader.State(jobID(0)) }()
+	select {
+	case r := <-reported:
+		require.Equal(t, peer.StateReply{Lead: true, Known: true, State: "completed"}, r)
+	case <-time.After(waitTimeout):
+		require.Fail(t, "the reply waits for the scheduler core")
+	}
+}
+
+// Guards against final states that a host does not receive because another leader numbers them
+// from the beginning.
+func TestEachTermReportsItsFinalStatesFromTheFirst(t *testing.T) {
+	const jobs = 5
+	c := newCluster(t, 2, 2, 20*time.Millisecond)
+	previous := c.leader()
+	c.submitMany(previous, 0, jobs)
+	c.waitCompleted(previous, jobs)
+	require.Eventually(t, func() bool { return len(previous.SyncReply(0, 0).Ended["completed"]) == jobs }, waitTimeout, 10*time.Millisecond)
+	old := previous.SyncReply(0, 0)
+	require.Empty(t, previous.SyncReply(old.Term, old.Endings).Ended)
+	previous.Kill()
+	delete(c.hosts, previous.cfg.Name)
+	require.Eventually(t, func() bool { return c.leader() != nil }, waitTimeout, 10*time.Millisecond)
+	r := c.leader().SyncReply(old.Term, old.Endings)
+	require.Greater(t, r.Term, old.Term)
+	require.Len(t, r.Ended["completed"], jobs)
+}
+
+// Guards against a late reply of a previous leader that moves the position in the current
+// leader's list of final states backward or forward.
+func TestSyncPositionOfPreviousLeaderIsIgnored(t *testing.T) {
+	h := newCluster(t, 1, 1, 20*time.Millisecond).leader()
+	const term = 1 << 40
+	for _, c := range []struct {
+		reported peer.SyncReply
+		term     int64
+		next     int
+	}{
+		{peer.SyncReply{Lead: true, Term: term, Endings: 900}, term, 900},
+		{peer.SyncReply{Lead: true, Term: term, Endings: 400}, term, 900},
+		{peer.SyncReply{Lead: true, Term: term + 1, Endings: 3}, term + 1, 3},
+		{peer.SyncReply{Lead: true, Term: term, Endings: 1400}, term + 1, 3},
+		{peer.SyncReply{Term: term + 2, Endings: 9}, term + 1, 3},
+	} {
+		number, next := h.SyncPositionAfter(c.reported)
+		require.Equal(t, c.term, number)
+		require.Equal(t, c.next, next)
+	}
+}
--- a/internal/flow/record.go
+++ b/internal/flow/record.go
@@ -10,8 +10,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// record is what must survive of a job beside its spec: which tasks are done,
-// where a run may be, and how far it got.
+// record is the part of a job besides its spec that must survive a restart: which tasks are
+// done, where a run may exist, and the latest checkpoints.
 type record struct {
 	Version
 	State  State         `json:"s"`
@@ -20,9 +20,9 @@
 	Next   int           `json:"x,omitempty"`
 	Rounds []roundRecord `json:"r,omitempty"`
 	Ended  int64         `json:"e,omitempty"`
-	// Strays tells of an ended job that copies of its tasks may still run: its spec
-	// says what room they take.
-	Strays bool `json:"k,omitempty"`
+	// MayHaveCopies marks an ended job of which copies of tasks may still run. The job's spec
+	// is then still needed, because it says how much capacity they use.
+	MayHaveCopies bool `json:"k,omitempty"`
 }
 
 type roundRecord struct {
@@ -30,17 +30,17 @@
 	Steps [][]taskRecord `json:"s"`
 }
 
-// Version orders the records of a job: the term that wrote it, and its place among
-// that term's appends. The records lie in several partitions, and the one that was
-// written last counts.
+// Version orders the records of a job: by the term of the leader that wrote the record, then
+// by the number of the append within that term. The store may hold records of a job in
+// several partitions; the one that was written last is valid.
 type Version struct {
 	Term   int64 `json:"t,omitempty"`
 	Append int64 `json:"a,omitempty"`
 }
 
-// Newer returns the record that was written later; one that cannot be read counts
-// as the older one, and none as still older.
-func Newer(a, b []byte) []byte {
+// NewerRecord returns the record that was written later. An unreadable record counts as older
+// than a readable one, and a missing record as older than either.
+func NewerRecord(a, b []byte) []byte {
 	var va, vb Version
 	switch {
 	case a == nil:
@@ -54,7 +54,7 @@
 	}
 }
 
-// taskRecord leaves out tasks that never ran.
+// taskRecord is the stored state of one task. Tasks that never ran are not stored.
 type taskRecord struct {
 	Index  int    `json:"i"`
 	Done   bool   `json:"d,omitempty"`
@@ -62,12 +62,13 @@
 	Worker string `json:"w,omitempty"`
 	Fails  int    `json:"f,omitempty"`
 	Saved  string `json:"c,omitempty"`
-	// Crashed and Lost are the lives of workers that ended, or may have, under the task.
+	// Crashed and Lost list the worker incarnations that ended, or may have ended, while they
+	// ran the task.
 	Crashed []string `json:"x,omitempty"`
 	Lost    []string `json:"l,omitempty"`
 }
 
-// RecordError tells that a stored record cannot be read.
+// RecordError reports that a stored record cannot be read.
 type RecordError struct {
 	Key   string
 	Cause error
@@ -82,30 +83,30 @@
 
 // Record encodes the job's progress.
 func (j *Job) Record(v Version) []byte {
-	rec := record{Version: v, State: j.State, Began: j.Began.UnixMilli(), Number: j.Number, Next: j.Next}
+	rec := record{Version: v, State: j.State, Began: j.Accepted.UnixMilli(), Number: j.Number, Next: j.NextRound}
 	if j.State.Final() {
 		rec.Ended = j.Ended.UnixMilli()
-		rec.Strays = slices.ContainsFunc(j.Spec.Steps, func(s Step) bool { return s.Copies })
+		rec.MayHaveCopies = slices.ContainsFunc(j.Spec.Steps, func(s Step) bool { return s.AllowCopies })
 	}
 	for _, n := range slices.Sorted(maps.Keys(j.Rounds)) {
 		rr := roundRecord{Index: n}
 		out := false
 		for _, s := range j.Rounds[n].Stages {
 			rr.Steps = append(rr.Steps, s.records())
-			out = out || s.anyOut()
+			out = out || s.anyMayBeRunning()
 		}
 		if out || !j.State.Final() {
 			rec.Rounds = append(rec.Rounds, rr)
 		}
 	}
-	// Only plain values: this cannot fail.
+	// The record has only plain values, so encoding cannot fail.
 	b, _ := json.Marshal(rec)
 	return b
 }
 
-// anyOut tells whether a run of the step may be at a worker.
-func (s *Stage) anyOut() bool {
-	return slices.ContainsFunc(s.Tasks, func(t *Task) bool { return t.Out() })
+// anyMayBeRunning reports whether a worker may have a run of one of the step's tasks.
+func (s *Stage) anyMayBeRunning() bool {
+	return slices.ContainsFunc(s.Tasks, func(t *Task) bool { return t.MayBeRunning() })
 }
 
 func (s *Stage) records() []taskRecord {
@@ -114,11 +115,11 @@
 		if t.Run == 0 && t.State != Done {
 			continue
 		}
-		tr := taskRecord{Index: i, Done: t.State == Done, Run: t.Run, Fails: t.Fails}
+		tr := taskRecord{Index: i, Done: t.State == Done, Run: t.Run, Fails: t.Failures}
 		if t.State != Done {
-			tr.Saved, tr.Crashed, tr.Lost = t.Saved, t.Crashed, t.Lost
+			tr.Saved, tr.Crashed, tr.Lost = t.Checkpoint, t.Crashed, t.Lost
 		}
-		if t.Out() {
+		if t.MayBeRunning() {
 			tr.Worker = t.Worker
 		}
 		all = append(all, tr)
@@ -126,21 +127,21 @@
 	return all
 }
 
-// RestoreEnded brings back a job that has ended and of which nothing runs, without
-// its spec, which is most of the work: nine jobs in ten that a lead takes over are
-// kept only to tell how they ended. False if the job is not such a one.
+// RestoreEnded restores a job that has ended and of which nothing runs, without its spec.
+// Decoding the spec is most of the work of a restore, and nine in ten jobs that a new leader
+// takes over are kept only to report how they ended. It returns false for any other job.
 func RestoreEnded(id string, b []byte) (*Job, bool) {
 	var rec record
-	if json.Unmarshal(b, &rec) != nil || !rec.State.Final() || rec.Strays || len(rec.Rounds) > 0 {
+	if json.Unmarshal(b, &rec) != nil || !rec.State.Final() || rec.MayHaveCopies || len(rec.Rounds) > 0 {
 		return nil, false
 	}
 	j := New(Spec{ID: id}, rec.Number, time.UnixMilli(rec.Began))
-	j.Next, j.State, j.Shown, j.Ended = rec.Next, rec.State, rec.State, time.UnixMilli(rec.Ended)
+	j.NextRound, j.State, j.Published, j.Ended = rec.Next, rec.State, rec.State, time.UnixMilli(rec.Ended)
 	return j, true
 }
 
-// RecordState reads only a job's state and when it was accepted; false if the record is
-// none or cannot be read.
+// RecordState decodes only a job's state and the time of its acceptance. It returns false if
+// the record is missing or unreadable.
 func RecordState(b []byte) (state State, began time.Time, ok bool) {
 	var rec struct {
 		State State `json:"s"`
@@ -152,19 +153,19 @@
 	return rec.State, time.UnixMilli(rec.Began), true
 }
 
-// Restore brings a job back from its spec and its record. A task whose run may
-// be at a worker is Inherited until that worker was read.
+// Restore restores a job from its spec and its record. A task of which a worker may have a
+// run is Inherited until that worker's state has been read.
 func Restore(spec Spec, b []byte, now time.Time) (*Job, error) {
 	var rec record
 	if err := json.Unmarshal(b, &rec); err != nil {
 		return nil, &RecordError{Key: spec.ID, Cause: errors.Wrap(err, "decode")}
 	}
 	j := New(spec, rec.Number, time.UnixMilli(rec.Began))
-	j.Next = rec.Next
+	j.NextRound = rec.Next
 	for _, rr := range rec.Rounds {
-		j.open(rr.Index, now).restore(rr, now)
+		j.openRound(rr.Index, now).restore(rr, now)
 	}
-	j.State, j.Shown = rec.State, rec.State
+	j.State, j.Published = rec.State, rec.State
 	if rec.State.Final() {
 		j.Ended = time.UnixMilli(rec.Ended)
 	}
@@ -185,15 +186,15 @@
 }
 
 func (t *Task) restore(tr taskRecord, now time.Time) {
-	t.Run, t.Fails, t.Saved = tr.Run, tr.Fails, tr.Saved
+	t.Run, t.Failures, t.Checkpoint = tr.Run, tr.Fails, tr.Saved
 	t.Crashed, t.Lost = tr.Crashed, tr.Lost
-	t.Step.weigh()
+	t.Step.updateSuspicions()
 	switch {
 	case tr.Done:
 		t.State = Done
 		t.Step.Done++
 	case tr.Worker != "":
 		t.Worker = tr.Worker
-		t.Move(adopt, now)
+		t.Transition(adopt, now)
 	}
 }
--- a/internal/host/beat.go
+++ b/internal/host/beat.go
@@ -65,14 +65,14 @@
 	h.mu.Lock()
 	h.heartbeatSeq++
 	b := member.Heartbeat{
-		Name: h.cfg.Name, Incarnation: h.incarnation, Seq: h.heartbeatSeq, Next: h.table.Wants(), Digest: uint32(h.table.Mark()),
+		Name: h.cfg.Name, Incarnation: h.incarnation, Seq: h.heartbeatSeq, Next: h.table.NextOffset(), Digest: uint32(h.table.Fingerprint()),
 		FreeSlots: free, Queued: waiting, Leaving: !h.Ready(), Ack: h.members.HearsFrom(now, name), Period: cell.Duration{Duration: period},
 	}
 	h.mu.Unlock()
 	ctx, cancel := context.WithTimeout(h.ctx, sendTimeout)
 	defer cancel()
-	err := h.peers.Tell(ctx, name, peer.Beat{Heartbeat: b})
-	if errors.As(err, new(*peer.UnreachedError)) {
+	err := h.peers.Notify(ctx, name, peer.Beat{Heartbeat: b})
+	if errors.As(err, new(*peer.UnreachableError)) {
 		h.memberStep(member.SendFailed{Name: name})
 	}
 }
@@ -116,7 +116,7 @@
 		all.Go(func() {
 			ctx, cancel := context.WithTimeout(h.ctx, sendTimeout)
 			defer cancel()
-			_ = h.peers.Tell(ctx, p.Name, peer.Leave{Name: h.cfg.Name})
+			_ = h.peers.Notify(ctx, p.Name, peer.Leave{Name: h.cfg.Name})
 		})
 	}
 	all.Wait()
--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -36,7 +36,7 @@
 	switch m := m.(type) {
 	case peer.Beat:
 		return h.handleHeartbeat(m.Heartbeat)
-	case peer.Listed:
+	case peer.HostListChanged:
 		metrics.GetOrRegisterCounter("list.told", h.metrics).Inc(1)
 		h.requestRefresh()
 		return nil, nil
@@ -47,7 +47,7 @@
 		return nil, &peer.RefusedError{Name: h.cfg.Name, Reason: "host has stopped taking work"}
 	}
 	defer h.peerWork.leave()
-	if m, ok := m.(peer.Records); ok {
+	if m, ok := m.(peer.AskTable); ok {
 		return h.tableCopy(m.From)
 	}
 	return h.handleMessage(ctx, m)
@@ -61,11 +61,11 @@
 		return m.Name
 	case peer.Leave:
 		return m.Name
-	case peer.Slots:
+	case peer.AnnounceSlots:
 		return m.Name
-	case peer.Census:
+	case peer.Inventory:
 		return m.From
-	case peer.Expect:
+	case peer.AskToken:
 		return m.From
 	case peer.Handover:
 		return m.From
@@ -85,14 +85,14 @@
 	return true
 }
 
-func (h *Host) tableCopy(from int64) (peer.RecordsReply, error) {
+func (h *Host) tableCopy(from int64) (peer.TableReply, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.table.Wants() <= from {
-		return peer.RecordsReply{}, nil
+	if h.table.NextOffset() <= from {
+		return peer.TableReply{}, nil
 	}
 	parts, err := h.table.Snapshot(h.clock())
-	return peer.RecordsReply{Parts: parts}, err
+	return peer.TableReply{Parts: parts}, err
 }
 
 // compareTables tells when a peer has folded other records up to the same offset.
@@ -100,7 +100,7 @@
 // nobody else would notice that they work by different limits.
 func (h *Host) compareTables(b member.Heartbeat) {
 	h.mu.Lock()
-	differs := b.Next == h.table.Wants() && b.Digest != uint32(h.table.Mark())
+	differs := b.Next == h.table.NextOffset() && b.Digest != uint32(h.table.Fingerprint())
 	h.mu.Unlock()
 	if differs {
 		h.countTable("differs")
@@ -127,7 +127,7 @@
 	ctx, cancel := context.WithTimeout(h.ctx, copyTimeout)
 	defer cancel()
 	from := h.nextOffset()
-	replies := make(chan peer.RecordsReply)
+	replies := make(chan peer.TableReply)
 	open, asked := 0, map[string]bool{}
 	for {
 		if name := h.nextPeerAhead(from, asked); name != "" {
@@ -157,20 +157,20 @@
 }
 
 // requestCopy asks one peer; nothing comes of one that is not further on or does not answer.
-func (h *Host) requestCopy(ctx context.Context, name string, from int64) peer.RecordsReply {
-	var r peer.RecordsReply
-	if err := h.peers.Ask(ctx, name, peer.Records{From: from}, &r); err != nil && ctx.Err() == nil {
+func (h *Host) requestCopy(ctx context.Context, name string, from int64) peer.TableReply {
+	var r peer.TableReply
+	if err := h.peers.Ask(ctx, name, peer.AskTable{From: from}, &r); err != nil && ctx.Err() == nil {
 		h.log.Warn("table: peer's copy cannot be had.", "peer", name, "err", err)
 	}
 	return r
 }
 
 // applyCopy tells whether a peer's table was further on.
-func (h *Host) applyCopy(r peer.RecordsReply, from int64) bool {
+func (h *Host) applyCopy(r peer.TableReply, from int64) bool {
 	if len(r.Parts) == 0 {
 		return false
 	}
-	if err := h.foldTable(table.Copy{Parts: r.Parts}); err != nil {
+	if err := h.foldTable(table.PeerCopy{Parts: r.Parts}); err != nil {
 		h.log.Warn("table: peer's copy is not taken.", "err", err)
 	}
 	if h.nextOffset() <= from {
@@ -206,7 +206,7 @@
 // by. All its hosts must have read the edit: each takes part in using the share.
 func (h *Host) settleQuotas() {
 	h.mu.Lock()
-	due := h.table.Unsettled(h.cfg.Domain)
+	due := h.table.UnconfirmedShares(h.cfg.Domain)
 	read := h.domainReadOffset()
 	first := h.members.LiveIn(h.cfg.Domain)[0] == h.cfg.Name
 	h.mu.Unlock()
@@ -231,7 +231,7 @@
 // for. One that was never heard counts with zero until it is silent long enough.
 func (h *Host) domainReadOffset() int64 {
 	now := h.clock()
-	lowest := h.table.Wants()
+	lowest := h.table.NextOffset()
 	beats := map[string]member.Heartbeat{}
 	for _, b := range h.members.Heartbeats() {
 		beats[b.Name] = b
--- a/internal/host/explain.go
+++ b/internal/host/explain.go
@@ -16,13 +16,13 @@
 // goes before.
 func (h *Host) explain(ctx context.Context, id string) []trail.Note {
 	if _, err := cell.ParseHome(id); err != nil {
-		return h.history.Of(id)
+		return h.history.ByID(id)
 	}
 	reply := h.askLeader(ctx, id, peer.AskTrail{ID: id})
 	if reply.Code == 0 {
 		return reply.Notes
 	}
-	told := trail.Note{At: h.clock(), ID: id, Part: "host", What: "its lead tells nothing: " + reply.Reason}
+	told := trail.Note{At: h.clock(), ID: id, Component: "host", Message: "its lead tells nothing: " + reply.Reason}
 	return append(h.leader.Explain(id), told)
 }
 
@@ -37,7 +37,7 @@
 
 // rowShares are what a row and its team may use in this failure domain.
 func (h *Host) rowShares(row table.Row) (own, team table.Share) {
-	open := table.Share{Room: cell.Size{CPU: table.NoLimit, Mem: table.NoLimit, Accel: table.NoLimit}, Tasks: table.NoLimit}
+	open := table.Share{Capacity: cell.Size{CPU: table.NoLimit, Mem: table.NoLimit, Accel: table.NoLimit}, Tasks: table.NoLimit}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	domains := []string{h.cfg.Domain}
--- a/internal/host/export_test.go
+++ b/internal/host/export_test.go
@@ -21,7 +21,7 @@
 
 // ConnectPeers has a host answer its peers on ln and reach them through dial.
 func (h *Host) ConnectPeers(ln net.Listener, dial func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)) {
-	h.peers.Through(dial)
+	h.peers.SetDialer(dial)
 	h.wg.Go(func() { peer.NewServer(h.handlePeer).Serve(h.ctx, ln) })
 }
 
@@ -29,7 +29,7 @@
 func (h *Host) Heartbeat() member.Heartbeat {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return member.Heartbeat{Name: h.cfg.Name, Incarnation: h.incarnation, Next: h.table.Wants(), Digest: uint32(h.table.Mark()), Ack: true}
+	return member.Heartbeat{Name: h.cfg.Name, Incarnation: h.incarnation, Next: h.table.NextOffset(), Digest: uint32(h.table.Fingerprint()), Ack: true}
 }
 
 // HandleHeartbeat takes a peer's heartbeat.
@@ -56,7 +56,7 @@
 
 // ReportsLeading tells whether a peer that asks hears that this host leads a job.
 func (h *Host) ReportsLeading(id string) bool {
-	return slices.Contains(h.handleInventory(peer.Census{From: "h9", Jobs: []string{id}}).Leads, id)
+	return slices.Contains(h.handleInventory(peer.Inventory{From: "h9", Jobs: []string{id}}).Leads, id)
 }
 
 // Freeze keeps the host from answering any question until the returned function is called.
--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -120,7 +120,7 @@
 func (h *Host) sendOutgoingTo(name string, all []*outgoingJob) {
 	err := h.transferJobs(name, all)
 	var refused *peer.RefusedError
-	var unreached *peer.UnreachedError
+	var unreached *peer.UnreachableError
 	rejected := errors.As(err, &refused) || errors.As(err, &unreached)
 	switch {
 	case err == nil:
@@ -140,8 +140,8 @@
 func (h *Host) transferJobs(name string, all []*outgoingJob) error {
 	ctx, cancel := context.WithTimeout(h.ctx, handoverTimeout)
 	defer cancel()
-	var expected peer.Expected
-	if err := h.peers.Ask(ctx, name, peer.Expect{From: h.cfg.Name}, &expected); err != nil {
+	var expected peer.TokenReply
+	if err := h.peers.Ask(ctx, name, peer.AskToken{From: h.cfg.Name}, &expected); err != nil {
 		return err
 	}
 	m := peer.Handover{From: h.cfg.Name, Token: expected.Token}
@@ -151,7 +151,7 @@
 	m.Notes = h.handoverNotes(m.Jobs)
 	var reply peer.HandoverReply
 	err := h.peers.Ask(ctx, name, m, &reply)
-	if errors.As(err, new(*peer.SilentError)) {
+	if errors.As(err, new(*peer.NoAnswerError)) {
 		for _, one := range all {
 			one.unconfirmed = true
 		}
@@ -213,7 +213,7 @@
 	var all []trail.Note
 	for _, c := range carries {
 		if len(all) < maxHandoverNotes {
-			all = append(all, h.history.Brief(c.Spec.ID, notesPerJob)...)
+			all = append(all, h.history.Excerpt(c.Spec.ID, notesPerJob)...)
 		}
 	}
 	return all
@@ -246,7 +246,7 @@
 		if !h.jobs.log.Written(c.Spec.ID) {
 			rec := joblog.Record{ID: c.Spec.ID, Spec: &c.Spec}
 			h.jobs.log.Remember(rec)
-			h.jobs.unwritten[rec.ID] = rec.Merged(h.jobs.unwritten[rec.ID])
+			h.jobs.unwritten[rec.ID] = rec.Merge(h.jobs.unwritten[rec.ID])
 		}
 	}
 	h.mu.Unlock()
--- a/internal/host/keep_test.go
+++ b/internal/host/keep_test.go
@@ -34,7 +34,7 @@
 func TestAJobThatAPeerMayRememberIsNotReportedAsNotRun(t *testing.T) {
 	addr := func(i int) netip.AddrPort { return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 1) }
 	for name, tc := range map[string]struct {
-		answer    peer.Answerer
+		answer    peer.Handler
 		notStored bool
 	}{
 		"its answer is lost": {func(ctx context.Context, _ peer.Message) (any, error) { <-ctx.Done(); return nil, ctx.Err() }, false},
@@ -44,7 +44,7 @@
 		t.Run(name, func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
 				var net standin.Pipes
-				cfg := settings.Settings{Name: "nord-0", Domain: "nord", Limits: settings.Limits{Body: 1 << 20, Queue: 64, Deadline: time.Minute, Drain: testTimeout}}
+				cfg := settings.Settings{Name: "nord-0", Domain: "nord", Limits: settings.Limits{Body: 1 << 20, Queue: 64, Deadline: time.Minute, DrainTimeout: testTimeout}}
 				for i := 1; i <= 2; i++ {
 					cfg.Peers = append(cfg.Peers, settings.Peer{Name: fmt.Sprint("nord-", i), Domain: "nord", Address: addr(i)})
 				}
--- a/internal/host/list.go
+++ b/internal/host/list.go
@@ -97,7 +97,7 @@
 		h.wg.Go(func() {
 			ctx, cancel := context.WithTimeout(h.ctx, sendTimeout)
 			defer cancel()
-			_ = h.peers.Tell(ctx, name, peer.Listed{})
+			_ = h.peers.Notify(ctx, name, peer.HostListChanged{})
 		})
 	}
 }
--- a/internal/host/silent_test.go
+++ b/internal/host/silent_test.go
@@ -143,11 +143,11 @@
 	m := standin.NewMinion(8)
 	addr := serveBackend(t, m)
 	list := func(leaving bool) {
-		c.platform.SetHosts([]platform.Machine{{Name: "m", Kind: cell.MinionHost, Domain: "nord", Slots: 8, Address: addr, Leaving: leaving}})
+		c.platform.SetHosts([]platform.HostEntry{{Name: "m", Kind: cell.BackendHost, Domain: "nord", Slots: 8, Address: addr, Leaving: leaving}})
 	}
 	list(false)
 	for i := range c.settings {
-		c.settings[i].Limits.Settle = time.Millisecond
+		c.settings[i].Limits.StartupWait = time.Millisecond
 		c.startHost(i)
 		c.waitReady(i)
 	}
--- a/internal/host/stop.go
+++ b/internal/host/stop.go
@@ -77,7 +77,7 @@
 	h.announceLeaving()
 	// Callers still come until the balancer has seen that this host is not
 	// ready. They are served; refusing their connections would lose them.
-	h.linger(ctx, h.cfg.Limits.Leave-h.clock().Sub(began))
+	h.linger(ctx, h.cfg.Limits.ShutdownDelay-h.clock().Sub(began))
 	err := h.finishWork(ctx)
 	h.transition("empty")
 	h.Kill()
@@ -108,7 +108,7 @@
 		all.Go(func() error { return srv.stop(ctx) })
 	}
 	err := all.Wait()
-	h.relay.Settle()
+	h.relay.FlushKeyEnds()
 	err = errors.CombineErrors(err, h.peerWork.close(ctx))
 	h.releaseSlots(ctx)
 	h.finalHandover(ctx)
--- a/internal/host/stop_test.go
+++ b/internal/host/stop_test.go
@@ -20,8 +20,8 @@
 // addBackend adds a backend server of the rig's failure domain.
 func (c *testHosts) addBackend(slots int) *standin.Minion {
 	m := standin.NewMinion(slots)
-	c.platform.SetHosts([]platform.Machine{{
-		Name: "m", Kind: cell.MinionHost, Domain: "nord", Slots: slots, Conns: 64, Address: serveBackend(c.t, m),
+	c.platform.SetHosts([]platform.HostEntry{{
+		Name: "m", Kind: cell.BackendHost, Domain: "nord", Slots: slots, Conns: 64, Address: serveBackend(c.t, m),
 	}})
 	return m
 }
@@ -43,7 +43,7 @@
 	c := newTestHosts(t, 2)
 	m := c.addBackend(8)
 	for i := range c.settings {
-		c.settings[i].Limits.Leave, c.settings[i].Limits.Settle = 50*time.Millisecond, time.Millisecond
+		c.settings[i].Limits.ShutdownDelay, c.settings[i].Limits.StartupWait = 50*time.Millisecond, time.Millisecond
 		c.startHost(i)
 		c.waitReady(i)
 	}
--- a/internal/host/table_test.go
+++ b/internal/host/table_test.go
@@ -42,7 +42,7 @@
 		c.sockets = append(c.sockets, ls)
 		c.settings = append(c.settings, settings.Settings{
 			Name: fmt.Sprint("nord-", i), Domain: "nord", Platform: c.addr, Operator: settings.Operator{Token: "secret"},
-			Limits: settings.Limits{Body: 1 << 20, Queue: 64, Deadline: time.Minute, Drain: testTimeout},
+			Limits: settings.Limits{Body: 1 << 20, Queue: 64, Deadline: time.Minute, DrainTimeout: testTimeout},
 		})
 	}
 	for i := range c.settings {
--- a/internal/host/transport.go
+++ b/internal/host/transport.go
@@ -91,7 +91,7 @@
 	if h.keys == nil {
 		return h.plainListener(ln)
 	}
-	return h.keys.FromPeers(ln)
+	return h.keys.PeerListener(ln)
 }
 
 // plainListener refuses to serve without TLS when the settings ask for it: whoever can
@@ -121,7 +121,7 @@
 	if h.keys == nil {
 		return counted, nil
 	}
-	return h.keys.ToPeer(ctx, counted, h.certName(addr))
+	return h.keys.ConnectPeer(ctx, counted, h.certName(addr))
 }
 
 func (h *Host) certName(addr netip.AddrPort) string {
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -1,6 +1,6 @@
-// Package keys gives TLS 1.3 to the links between hosts and to operators. Both
-// ends show a certificate that names the host and its failure domain; anything
-// else is turned away and counted. Files are read again when they change.
+// Package keys provides TLS 1.3 for the connections between hosts and for operators. Both
+// ends present a certificate that names the host and its failure domain; every other
+// connection is rejected and counted. The files are reloaded when they change.
 package keys
 
 import (
@@ -16,17 +16,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Files are the PEM files of one host: its certificate, its key, and the
-// authorities whose certificates it takes.
+// Files are the paths of the PEM files of one host: its certificate, its private key, and
+// the authorities whose certificates it accepts.
 type Files struct{ Cert, Key, CA string }
 
-// Operator is the name in an operator's certificate.
+// Operator is the DNS name in an operator's certificate.
 const Operator = "operator"
 
-// Name is the name that a host's certificate must carry.
+// Name returns the name that a host's certificate must carry.
 func Name(host, domain string) string { return host + "." + domain }
 
-// FileError tells that a key file cannot be used.
+// FileError reports that a key file cannot be used.
 type FileError struct {
 	Path  string
 	Cause error
@@ -34,49 +34,51 @@
 
 func (e *FileError) Error() string { return "key file " + e.Path + ": " + e.Cause.Error() }
 
-// Unwrap returns what is wrong with the file.
+// Unwrap returns the cause of the error.
 func (e *FileError) Unwrap() error { return e.Cause }
 
-// NameError tells that a certificate names nobody that may connect.
+// NameError reports that a certificate names no host that may connect.
 type NameError struct{ Names []string }
 
 func (e *NameError) Error() string { return "certificate names no known host" }
 
-// EmptyError tells that a file holds no certificate.
-type EmptyError struct{}
+// NoCertificateError reports that a file contains no certificate.
+type NoCertificateError struct{}
 
-func (e *EmptyError) Error() string { return "no certificate in it" }
+func (e *NoCertificateError) Error() string { return "the file contains no certificate" }
 
-// lookEvery bounds how often the files are looked at.
-const lookEvery = time.Second
+// checkInterval is the shortest time between two checks of the files.
+const checkInterval = time.Second
 
-// handshakeWait bounds a handshake. Something that connects and says nothing
-// would otherwise hold a connection for good.
-const handshakeWait = 3 * time.Second
+// handshakeTimeout bounds a TLS handshake. A client that connects and sends nothing would
+// otherwise hold its connection forever.
+const handshakeTimeout = 3 * time.Second
 
-// Keys are the keys of one host. They are safe for concurrent use.
+// Keys are the certificates and the private key of one host. They are safe for concurrent
+// use.
 type Keys struct {
 	files Files
-	// names are the certificate names that may connect, with the host's name.
+	// names maps the certificate names that may connect to host names.
 	names map[string]string
 	count func(reason string)
 	clock func() time.Time
 
-	mu     sync.Mutex
-	looked time.Time
-	seen   [3]time.Time
-	cert   tls.Certificate
-	pool   *x509.CertPool
+	mu        sync.Mutex
+	lastCheck time.Time
+	modTimes  [3]time.Time
+	cert      tls.Certificate
+	pool      *x509.CertPool
 }
 
-// New reads the files; the error is a FileError. Names maps the certificate
-// names that may connect to host names; count is told why one was turned away.
+// New loads the files; the error is a FileError. names maps the certificate names that may
+// connect to host names. count is called with the reason of each failed handshake and the
+// result of each reload.
 func New(f Files, names map[string]string, count func(reason string), clock func() time.Time) (*Keys, error) {
 	k := &Keys{files: f, names: names, count: count, clock: clock}
-	return k, k.read()
+	return k, k.load()
 }
 
-func (k *Keys) read() error {
+func (k *Keys) load() error {
 	cert, err := tls.LoadX509KeyPair(k.files.Cert, k.files.Key)
 	if err != nil {
 		return &FileError{Path: k.files.Cert, Cause: err}
@@ -87,14 +89,14 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(text) {
-		return &FileError{Path: k.files.CA, Cause: &EmptyError{}}
+		return &FileError{Path: k.files.CA, Cause: &NoCertificateError{}}
 	}
 	k.cert, k.pool = cert, pool
-	k.seen = k.changed()
+	k.modTimes = k.readModTimes()
 	return nil
 }
 
-func (k *Keys) changed() [3]time.Time {
+func (k *Keys) readModTimes() [3]time.Time {
 	var at [3]time.Time
 	for i, path := range []string{k.files.Cert, k.files.Key, k.files.CA} {
 		if info, err := os.Stat(path); err == nil {
@@ -104,36 +106,38 @@
 	return at
 }
 
-// current returns the keys in force. Files that are half written when they are
-// looked at leave the old keys in force; the next look finds them whole.
+// current returns the keys in force. It first checks whether the files have changed. If a
+// file is only half written at that time, the old keys stay in force, and the next check
+// finds the complete file.
 func (k *Keys) current() (tls.Certificate, *x509.CertPool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.clock()
-	if now.Sub(k.looked) >= lookEvery {
-		k.looked = now
-		if k.changed() != k.seen {
-			k.reread()
+	if now.Sub(k.lastCheck) >= checkInterval {
+		k.lastCheck = now
+		if k.readModTimes() != k.modTimes {
+			k.reload()
 		}
 	}
 	return k.cert, k.pool
 }
 
-func (k *Keys) reread() {
-	if err := k.read(); err != nil {
+func (k *Keys) reload() {
+	if err := k.load(); err != nil {
 		k.count("unread")
 		return
 	}
 	k.count("reread")
 }
 
-// ToPeer makes a connection to the host with that certificate name a TLS one.
-func (k *Keys) ToPeer(ctx context.Context, conn net.Conn, name string) (net.Conn, error) {
+// ConnectPeer performs the client's TLS handshake on conn with the host that has the given
+// certificate name.
+func (k *Keys) ConnectPeer(ctx context.Context, conn net.Conn, name string) (net.Conn, error) {
 	cert, pool := k.current()
 	c := tls.Client(conn, &tls.Config{
 		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert}, RootCAs: pool, ServerName: name, Time: k.clock,
 	})
-	ctx, cancel := context.WithTimeout(ctx, handshakeWait)
+	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
 	if err := c.HandshakeContext(ctx); err != nil {
 		k.count(reason(err))
@@ -143,14 +147,14 @@
 	return c, nil
 }
 
-// peerConfig asks for a certificate that names a known host.
+// peerConfig returns a server configuration that requires a certificate of a known host.
 func (k *Keys) peerConfig() *tls.Config {
 	cert, pool := k.current()
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert}, ClientCAs: pool, Time: k.clock,
 		ClientAuth: tls.RequireAndVerifyClientCert, SessionTicketsDisabled: true,
 		VerifyConnection: func(s tls.ConnectionState) error {
-			if k.host(s) == "" {
+			if k.knownHost(s) == "" {
 				return &NameError{Names: s.PeerCertificates[0].DNSNames}
 			}
 			return nil
@@ -158,8 +162,9 @@
 	}
 }
 
-// host returns the host that a certificate names, empty for none.
-func (k *Keys) host(s tls.ConnectionState) string {
+// knownHost returns the known host that a certificate names, or an empty string if there is
+// none.
+func (k *Keys) knownHost(s tls.ConnectionState) string {
 	if len(s.VerifiedChains) == 0 {
 		return ""
 	}
@@ -171,8 +176,8 @@
 	return ""
 }
 
-// OperatorConfig is for the operators' listener: a certificate may be shown and
-// must then be good; without one a token has to do.
+// OperatorConfig returns the configuration of the operators' listener. A client may present
+// a certificate, which must then be valid; a client without one needs a token.
 func (k *Keys) OperatorConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -186,13 +191,13 @@
 	}
 }
 
-// IsOperator tells whether a connection showed an operator's certificate. A
-// host's own certificate is none: a host must not edit the table.
+// IsOperator reports whether a client presented an operator's certificate. A host's own
+// certificate does not count, because a host must not edit the table.
 func IsOperator(s *tls.ConnectionState) bool {
 	return s != nil && len(s.VerifiedChains) > 0 && slices.Contains(s.PeerCertificates[0].DNSNames, Operator)
 }
 
-// reason names why a handshake failed, for the counters.
+// reason returns the cause of a failed handshake as it is named in the metrics.
 func reason(err error) string {
 	var invalid x509.CertificateInvalidError
 	var authority x509.UnknownAuthorityError
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -16,24 +16,24 @@
 	return l.Step(start.Add(at), ledger.Open{Key: key, Digest: digest, Attempt: 1})[0].(ledger.Verdict)
 }
 
-// A turnstile repeats a scan whose answer it missed. The day pass must not be
-// spent again: the repeat gets the first answer.
+// A client repeats a request whose answer it missed. The request must not run again: the
+// repeat gets the first answer.
 func TestRepeatGetsTheStoredAnswer(t *testing.T) {
 	l := ledger.New(ledger.DefaultLimits, start)
 	require.Equal(t, ledger.Fresh, open(l, time.Minute, "k", 1).State)
 	require.Equal(t, ledger.Running, open(l, time.Minute, "k", 1).State)
-	require.Equal(t, ledger.Other, open(l, time.Minute, "k", 2).State)
+	require.Equal(t, ledger.Mismatch, open(l, time.Minute, "k", 2).State)
 	l.Step(start.Add(time.Minute), ledger.Close{Key: "k", Answer: ledger.Answer{Outcome: cell.Done, Status: 200}})
 	v := open(l, time.Minute, "k", 1)
-	require.Equal(t, ledger.Known, v.State)
+	require.Equal(t, ledger.Answered, v.State)
 	require.Equal(t, 200, v.Answer.Status)
 }
 
-// A home was replaced a second ago and lost its memory. It must not call a
-// key fresh that its predecessor may have seen, else a pass is spent twice.
+// A home was replaced a second ago and lost its memory. It must not report a key as fresh
+// that its previous incarnation may have seen; otherwise the request runs twice.
 func TestHomeThatJustStartedIsBlind(t *testing.T) {
 	l := ledger.New(ledger.DefaultLimits, start)
-	require.Equal(t, ledger.Blind, open(l, time.Second, "k", 1).State)
+	require.Equal(t, ledger.Unconfirmed, open(l, time.Second, "k", 1).State)
 }
 
 func TestRefusedKeyIsFreshAgain(t *testing.T) {
@@ -43,32 +43,33 @@
 	require.Equal(t, ledger.Fresh, open(l, time.Minute, "k", 1).State)
 }
 
-// A flood of keys fills a home's memory. The oldest key makes room, and from
-// then on the home must not take its repeat, or any key as old, as fresh.
+// A flood of keys fills a home's memory, and the oldest key is evicted. From then on the
+// home must not report a repeat of it, or any key of the same age, as fresh.
 func TestForgottenKeyIsNeverFreshAgain(t *testing.T) {
 	limits := ledger.DefaultLimits
-	limits.Entries = 2
+	limits.MaxKeys = 2
 	l := ledger.New(limits, start)
 	for i := range byte(3) {
 		key := timedKey(start.Add(time.Hour), i)
 		require.Equal(t, ledger.Fresh, open(l, time.Hour+time.Duration(i)*time.Second, key, 1).State)
 	}
 	require.Equal(t, 2, l.Len())
-	require.Equal(t, ledger.Blind, open(l, time.Hour+4*time.Second, timedKey(start.Add(time.Hour), 0), 1).State)
-	require.Equal(t, ledger.Blind, open(l, time.Hour+4*time.Second, "untimed", 1).State)
+	require.Equal(t, ledger.Unconfirmed, open(l, time.Hour+4*time.Second, timedKey(start.Add(time.Hour), 0), 1).State)
+	require.Equal(t, ledger.Unconfirmed, open(l, time.Hour+4*time.Second, "untimed", 1).State)
 	require.Equal(t, ledger.Fresh, open(l, time.Hour+9*time.Second, timedKey(start.Add(time.Hour+9*time.Second), 9), 1).State)
 
 	l.Step(start.Add(3*time.Hour), ledger.Tick{})
 	require.Zero(t, l.Len())
 	again := ledger.Open{Key: timedKey(start.Add(time.Hour+9*time.Second), 9), Digest: 1, Attempt: 2}
-	require.Equal(t, ledger.Blind, l.Step(start.Add(3*time.Hour), again)[0].(ledger.Verdict).State)
+	require.Equal(t, ledger.Unconfirmed, l.Step(start.Add(3*time.Hour), again)[0].(ledger.Verdict).State)
 }
 
-// Large answers fill a home's memory. The oldest is dropped, but not the
-// knowledge that it was given: its repeat is told unknown, not run again.
+// Large answers fill a home's memory, and the oldest answer is dropped. The home still
+// knows that the request was answered: its repeat is answered with unknown and does not
+// run.
 func TestDroppedAnswerIsUnknown(t *testing.T) {
 	limits := ledger.DefaultLimits
-	limits.Bytes = 15
+	limits.MaxBytes = 15
 	l := ledger.New(limits, start)
 	for _, key := range []string{"a", "b"} {
 		require.Equal(t, ledger.Fresh, open(l, time.Hour, key, 1).State)
@@ -79,28 +80,28 @@
 	require.Equal(t, cell.Done, open(l, time.Hour, "b", 1).Answer.Outcome)
 }
 
-// A turnstile's clock runs ahead. Its keys would look younger than a home that
-// started after their first try and so be taken as fresh twice.
+// A client's clock runs ahead. Its keys would look newer than a home that started after
+// their first try, and would be taken as fresh twice.
 func TestKeyFromTheFutureIsRefused(t *testing.T) {
 	l := ledger.New(ledger.DefaultLimits, start)
-	require.Equal(t, ledger.Ahead, open(l, time.Hour, timedKey(start.Add(time.Hour+2*time.Second), 0), 1).State)
-	require.Equal(t, ledger.Blind, open(l, time.Second, timedKey(start.Add(2*time.Second), 0), 1).State, "within the skew of the start")
+	require.Equal(t, ledger.FutureKey, open(l, time.Hour, timedKey(start.Add(time.Hour+2*time.Second), 0), 1).State)
+	require.Equal(t, ledger.Unconfirmed, open(l, time.Second, timedKey(start.Add(2*time.Second), 0), 1).State, "the time in the key is within the clock skew of the start")
 }
 
-// A repeat waits for the running first try. It is told as soon as that try
-// ends, is given back or runs out of time, and no earlier.
+// A repeat waits for the running first try. It is notified as soon as that try ends,
+// releases the key or runs out of time, and no earlier.
 func TestRepeatWaitsForTheRunningTry(t *testing.T) {
 	later := start.Add(time.Hour)
-	ask := ledger.Open{Key: "k", Digest: 1, Attempt: 1, Try: "t", Left: cell.Duration{Duration: time.Second}}
+	ask := ledger.Open{Key: "k", Digest: 1, Attempt: 1, Try: "t", Remaining: cell.Duration{Duration: time.Second}}
 	wait := ledger.Await{Key: "k", ID: "w", Until: later.Add(time.Minute)}
 	ends := map[ledger.State]struct {
 		at time.Duration
 		ev ledger.Event
 	}{
-		ledger.Known:   {0, ledger.Close{Key: "k", Try: "t", Answer: ledger.Answer{Outcome: cell.Done}}},
-		ledger.Free:    {0, ledger.Close{Key: "k", Try: "t", Answer: ledger.Answer{Outcome: cell.Refused}}},
-		ledger.Lost:    {3 * time.Second, ledger.Tick{}},
-		ledger.Running: {0, ledger.Close{Key: "k", Try: "another", Answer: ledger.Answer{Outcome: cell.Refused}}},
+		ledger.Answered: {0, ledger.Close{Key: "k", Try: "t", Answer: ledger.Answer{Outcome: cell.Done}}},
+		ledger.Released: {0, ledger.Close{Key: "k", Try: "t", Answer: ledger.Answer{Outcome: cell.Refused}}},
+		ledger.Lost:     {3 * time.Second, ledger.Tick{}},
+		ledger.Running:  {0, ledger.Close{Key: "k", Try: "another", Answer: ledger.Answer{Outcome: cell.Refused}}},
 	}
 	for state, end := range ends {
 		l := ledger.New(ledger.DefaultLimits, start)
@@ -109,7 +110,7 @@
 		require.Empty(t, l.Step(later, ledger.Tick{}))
 		acts := l.Step(later.Add(end.at), end.ev)
 		if state == ledger.Running {
-			require.Empty(t, acts, "the end of another try is not the end of this one")
+			require.Empty(t, acts, "a Close of another try must not end this one")
 			acts = l.Step(later, ledger.Await{Key: "k", ID: "v", Until: later})
 			require.Empty(t, acts)
 			continue
@@ -120,19 +121,19 @@
 	}
 }
 
-// Operators change the list of entry hosts, and for a while hosts work by
-// unlike lists. Homes of unlike groups need not meet, so they do not vouch.
+// Operators change the list of entry hosts, and for a while hosts use different lists.
+// Homes of different groups may not overlap, so they do not confirm keys for each other.
 func TestHostsWithOtherSettingsDoNotVouch(t *testing.T) {
 	old := ledger.NewPlan(cellHosts[0], cellHosts[1:])
 	renamed := ledger.NewPlan(cellHosts[0], append([]ledger.Host{{Name: "nord-9", Domain: "nord"}}, cellHosts[2:]...))
 	g := old.Groups("k", 1, live)[0]
 	ev := ledger.Open{Key: "k", Domain: g.Domain, Group: g.Digest}
-	require.True(t, ledger.NewPlan(cellHosts[3], append([]ledger.Host{cellHosts[4], cellHosts[5]}, cellHosts[:3]...)).Agrees(ev))
-	require.False(t, renamed.Agrees(ev))
+	require.True(t, ledger.NewPlan(cellHosts[3], append([]ledger.Host{cellHosts[4], cellHosts[5]}, cellHosts[:3]...)).MatchesGroup(ev))
+	require.False(t, renamed.MatchesGroup(ev))
 }
 
-// A head cook's term plan is large. Its repeat must not take the home that
-// sends it for a silent one.
+// The answer to a request is large. Its repeat must not count the home that transfers the
+// answer as silent.
 func TestLargeAnswerComesWithTheWait(t *testing.T) {
 	l := ledger.New(ledger.DefaultLimits, start)
 	open(l, time.Hour, "k", 1)
--- a/internal/ledger/steps_test.go
+++ b/internal/ledger/steps_test.go
@@ -13,28 +13,28 @@
 	"pollencroft/internal/ledger"
 )
 
-// stepRow is one line of the table: after which step of the first try what
-// goes wrong, and what each kind of repeat is told.
+// stepRow is one row of the table: which fault occurs after which step of the first try,
+// and the outcome that each kind of repeat gets.
 type stepRow struct {
 	Step, Fault             string
 	Here, Twin, Away, Other string
 }
 
-// steps are the points of a first try, as the number of its actions that were
-// carried out: two questions to homes, the sending, two ends kept, the answer.
+// steps are the points of a first try, as the number of its actions that were carried out:
+// two questions to homes, the request, two recorded ends and the reply.
 var steps = map[string]int{
 	"nothing asked": 0, "first home holds": 1, "both homes hold": 2, "sent": 3, "first home told": 4, "both homes told": 5, "caller told": 6,
 }
 
-type scene struct {
-	*world
+type scenario struct {
+	*simulation
 	first, second, entry string
 	try                  *try
 }
 
 func live(string) bool { return true }
 
-// timedKey returns a key that was made at a time.
+// timedKey returns a key that carries the given time.
 func timedKey(at time.Time, n byte) string {
 	var id uuid.UUID
 	ms := at.UnixMilli()
@@ -45,40 +45,40 @@
 	return id.String()
 }
 
-func newScene(rule rule) *scene {
-	w := newWorld(cellHosts, rule)
+func newScenario(rule rule) *scenario {
+	w := newSimulation(cellHosts, rule)
 	key := timedKey(w.now, 1)
 	homes := ledger.NewPlan(cellHosts[0], cellHosts[1:]).Groups(key, 1, live)[0].Homes
-	s := &scene{world: w, first: homes[0].Name, second: homes[1].Name, entry: homes[2].Name}
+	s := &scenario{simulation: w, first: homes[0].Name, second: homes[1].Name, entry: homes[2].Name}
 	s.try = w.try(s.entry, key, 1, 1, live)
 	return s
 }
 
-var faults = map[string]func(s *scene){
-	"none":                    func(*scene) {},
-	"entry host dies":         func(s *scene) { s.dead[s.entry] = true },
-	"entry host pauses":       func(s *scene) { s.paused[s.entry] = true },
-	"entry host is replaced":  func(s *scene) { s.replace(s.entry) },
-	"first home dies":         func(s *scene) { s.dead[s.first] = true },
-	"second home dies":        func(s *scene) { s.dead[s.second] = true },
-	"first home is replaced":  func(s *scene) { s.replace(s.first) },
-	"second home is replaced": func(s *scene) { s.replace(s.second) },
-	"both homes are replaced": func(s *scene) { s.replace(s.first); s.replace(s.second) },
-	"all hosts are replaced":  func(s *scene) { s.replace(s.first); s.replace(s.second); s.replace(s.entry) },
-	"domain is cut off":       func(s *scene) { s.cut["nord"] = true },
+var faults = map[string]func(s *scenario){
+	"none":                    func(*scenario) {},
+	"entry host dies":         func(s *scenario) { s.dead[s.entry] = true },
+	"entry host pauses":       func(s *scenario) { s.paused[s.entry] = true },
+	"entry host is replaced":  func(s *scenario) { s.replace(s.entry) },
+	"first home dies":         func(s *scenario) { s.dead[s.first] = true },
+	"second home dies":        func(s *scenario) { s.dead[s.second] = true },
+	"first home is replaced":  func(s *scenario) { s.replace(s.first) },
+	"second home is replaced": func(s *scenario) { s.replace(s.second) },
+	"both homes are replaced": func(s *scenario) { s.replace(s.first); s.replace(s.second) },
+	"all hosts are replaced":  func(s *scenario) { s.replace(s.first); s.replace(s.second); s.replace(s.entry) },
+	"domain is cut off":       func(s *scenario) { s.cut["nord"] = true },
 }
 
-// repeats arrive while the first try stands at its step; its host goes on
-// only afterwards, as far as it can.
-var repeats = map[string]func(s *scene) *try{
-	"here":  func(s *scene) *try { return s.world.try(s.other(), s.try.key, 1, 2, live) },
-	"twin":  func(s *scene) *try { return s.world.try(s.other(), s.try.key, 1, 1, live) },
-	"away":  func(s *scene) *try { return s.world.try("sued-0", s.try.key, 1, 2, live) },
-	"other": func(s *scene) *try { return s.world.try(s.other(), s.try.key, 2, 2, live) },
+// repeats start while the first try is stopped at its step. The host of the first try
+// continues only afterwards, as far as it can.
+var repeats = map[string]func(s *scenario) *try{
+	"here":  func(s *scenario) *try { return s.simulation.try(s.other(), s.try.key, 1, 2, live) },
+	"twin":  func(s *scenario) *try { return s.simulation.try(s.other(), s.try.key, 1, 1, live) },
+	"away":  func(s *scenario) *try { return s.simulation.try("sued-0", s.try.key, 1, 2, live) },
+	"other": func(s *scenario) *try { return s.simulation.try(s.other(), s.try.key, 2, 2, live) },
 }
 
-// other is a live host of the first try's domain, not its entry host.
-func (s *scene) other() string {
+// other returns a live host of the first try's domain that is not its entry host.
+func (s *scenario) other() string {
 	if s.dead[s.second] {
 		return s.first
 	}
@@ -97,11 +97,12 @@
 	return table.Row
 }
 
-// playRow lets the first try go to its step, brings the fault about, then
-// lets the repeat go as far as it can, the first try likewise, and the repeat
-// to its end. It returns what the repeat's caller was told.
-func playRow(row stepRow, kind string, rule rule) (*scene, string) {
-	s := newScene(rule)
+// playRow runs the first try up to its step, causes the fault, and runs the repeat as far
+// as possible, then the first try likewise, and then the repeat to its end. If the fault
+// affects the entry host, the repeat ends before the first try continues. It returns the
+// outcome that the caller of the repeat got.
+func playRow(row stepRow, kind string, rule rule) (*scenario, string) {
+	s := newScenario(rule)
 	for range steps[row.Step] {
 		s.try.step()
 	}
@@ -122,17 +123,17 @@
 	return s, rep.finish()
 }
 
-// A gate scan is repeated by its turnstile, by the balancer, in another failure
-// domain or under the same key with another body, while anything at all goes
-// wrong at any step of the first try. The visitor's day pass must be spent at
-// most once, and nobody may be told "refused" of a scan that ran.
+// A request is repeated by its client, by the load balancer, in another failure domain or
+// under the same key with another body, while any fault occurs at any step of the first
+// try. The request must run at most once, and no caller may get "refused" for a request
+// that ran.
 func TestEveryStepAndFault(t *testing.T) {
 	rows := loadSteps(t)
 	require.Len(t, rows, len(steps)*len(faults))
 	for _, row := range rows {
 		for kind := range repeats {
 			t.Run(row.Step+"/"+row.Fault+"/"+kind, func(t *testing.T) {
-				s, told := playRow(row, kind, whole)
+				s, told := playRow(row, kind, allRules)
 				require.Equal(t, row.want(kind), told)
 				require.LessOrEqual(t, s.ran[s.try.key], 1)
 				if told == "done" {
@@ -146,7 +147,7 @@
 	}
 }
 
-// A rule that is left out must show in the table, else the table proves nothing.
+// The table must detect each rule that is left out; otherwise it proves nothing.
 func TestTableFindsBrokenRules(t *testing.T) {
 	for name, rule := range brokenRules {
 		twice := 0
@@ -158,15 +159,15 @@
 			}
 		}
 		require.Positive(t, twice, name)
-		t.Logf("%s: %d of the table's cells ran twice", name, twice)
+		t.Logf("%s: the request ran twice in %d cells of the table", name, twice)
 	}
 }
 
-// An entry host dies with a scan in flight. The turnstile that repeats the scan
-// must hear at once that nobody knows its end, not after its whole deadline.
+// An entry host crashes with a request in flight. A repeat must get the outcome unknown at
+// once, not after its whole deadline.
 func TestRepeatOfADeadHostsTryIsToldAtOnce(t *testing.T) {
 	for _, fault := range []string{"entry host dies", "entry host is replaced"} {
-		s := newScene(whole)
+		s := newScenario(allRules)
 		for range steps["sent"] {
 			s.try.step()
 		}
@@ -177,15 +178,15 @@
 	}
 }
 
-// A failure domain has two entry hosts, and one of them dies together with a
-// host of another domain. Its gate scans must go on, also keyed ones; cut off
-// from the others, both of its hosts together do.
+// A failure domain has two entry hosts, and one of them crashes together with a host of
+// another domain. The remaining host must go on serving requests, including keyed ones. If
+// the domain is cut off from the others, its two hosts must do so together.
 func TestTwoHostDomainGoesOn(t *testing.T) {
-	for name, fault := range map[string]func(w *world){
-		"one host and one witness die": func(w *world) { w.dead["nord-1"], w.dead["sued-0"] = true, true },
-		"cut off":                      func(w *world) { w.cut["nord"] = true },
+	for name, fault := range map[string]func(w *simulation){
+		"one host and one witness die": func(w *simulation) { w.dead["nord-1"], w.dead["sued-0"] = true, true },
+		"cut off":                      func(w *simulation) { w.cut["nord"] = true },
 	} {
-		w := newWorld(twoHosts, whole)
+		w := newSimulation(twoHosts, allRules)
 		fault(w)
 		for n := range byte(20) {
 			alive := func(host string) bool { return w.reaches("nord-0", host) }
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -13,9 +13,9 @@
 	"pollencroft/internal/logs"
 )
 
-// Whoever reads the log has stopped. A decision that waited for its line would
-// stop with it.
-func TestAReaderThatStopsHoldsUpNothing(t *testing.T) {
+// The reader of the log has stopped. A decision that waited for its log line to be written would
+// stop, too.
+func TestStoppedReaderDoesNotBlockWriter(t *testing.T) {
 	r, out := io.Pipe()
 	w := logs.NewWriter(out)
 	done := make(chan struct{})
@@ -28,16 +28,16 @@
 	select {
 	case <-done:
 	case <-time.After(time.Minute):
-		t.Fatal("writing waits for the reader")
+		t.Fatal("Write blocks while the reader has stopped")
 	}
 	require.Positive(t, w.Dropped())
 	require.NoError(t, r.Close())
 	w.Close(time.Minute)
 }
 
-// A flood of one kind of line is cut to its budget and told of; other kinds,
-// warnings and errors still pass.
-func TestAFloodStaysWithinItsBudget(t *testing.T) {
+// A flood of lines with the same message is cut to its rate limit and the cut is reported. Other
+// messages, warnings and errors still pass.
+func TestFloodStaysWithinRateLimit(t *testing.T) {
 	now := time.Unix(0, 0)
 	var buf bytes.Buffer
 	log := slog.New(logs.NewHandler(slog.NewTextHandler(&buf, nil), func() time.Time { return now }))
--- a/internal/measure/jobs.go
+++ b/internal/measure/jobs.go
@@ -255,7 +255,7 @@
 func (r *jobRun) end(t *jobTask) {
 	delete(r.running[t.worker], t.id)
 	if r.est != nil {
-		r.est.Drop(t.id)
+		r.est.Forget(t.id)
 	}
 	r.step(place.Freed{Task: t.id})
 }
@@ -265,7 +265,7 @@
 	_ = r.done.Waits[row.Class].RecordValue(max(t.began.Sub(t.came).Milliseconds(), 1))
 	r.done.Ended++
 	if r.est != nil {
-		r.est.Ran(fmt.Sprint(t.row), row.Time, t.run)
+		r.est.RecordTime(fmt.Sprint(t.row), row.Time, t.run)
 	}
 	r.step(place.Result{Worker: worker, Row: fmt.Sprint(t.row)})
 	r.end(t)
@@ -338,7 +338,7 @@
 			if t == nil {
 				continue
 			}
-			if room, ok := r.est.Seen(id, fmt.Sprint(t.row), t.declared, t.uses(r.now.Add(-reportLag))); ok {
+			if room, ok := r.est.RecordUse(id, fmt.Sprint(t.row), t.declared, t.uses(r.now.Add(-reportLag))); ok {
 				r.step(place.TaskResized{Task: id, Size: room, Use: t.uses(r.now.Add(-reportLag))})
 			}
 		}
--- a/internal/peer/bound_test.go
+++ b/internal/peer/bound_test.go
@@ -17,13 +17,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A peer, or whoever reached the port, claims a message of a terabyte or sends
-// something else than a message. The connection is closed and counted before
-// memory is taken; other peers are answered all the time.
+// A peer, or anybody who can reach the port, announces a message of a terabyte or sends something
+// that is not a message. The connection is closed and the message counted before memory is
+// allocated. Other peers are still answered.
 func TestOversizedAndBrokenMessagesCloseTheConnection(t *testing.T) {
 	var size, broken atomic.Int64
-	s := NewServer(func(context.Context, Message) (any, error) { return RecordsReply{}, nil })
-	s.Count(func(reason string) {
+	s := NewServer(func(context.Context, Message) (any, error) { return TableReply{}, nil })
+	s.OnRejected(func(reason string) {
 		if reason == "size" {
 			size.Add(1)
 		} else {
@@ -45,18 +45,18 @@
 		_, err = conn.Read(make([]byte, 1))
 		var late net.Error
 		require.Error(t, err)
-		require.False(t, errors.As(err, &late) && late.Timeout(), "the connection stays open")
+		require.False(t, errors.As(err, &late) && late.Timeout(), "the connection must be closed")
 	}
 	require.Equal(t, int64(1), size.Load())
 	require.Equal(t, int64(1), broken.Load())
 	c := NewClients(map[string]netip.AddrPort{"a": netip.MustParseAddrPort(ln.Addr().String())})
 	defer c.Close()
-	require.NoError(t, c.Ask(ctx, "a", Records{}, nil))
+	require.NoError(t, c.Ask(ctx, "a", AskTable{}, nil))
 }
 
-// A peer begins a message and sends on forever, a byte a second. Whoever waits
-// for its end would hold the connection, and what it has read, for good; it is
-// closed after ten seconds.
+// A peer begins a message and sends one byte a second forever. Waiting for the end of the message
+// would occupy the connection, and the memory of what was read, forever. The read fails after ten
+// seconds.
 func TestNeverEndingMessageIsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ours, theirs := net.Pipe()
@@ -79,7 +79,7 @@
 			}
 		})
 		require.ErrorIs(t, <-done, os.ErrDeadlineExceeded)
-		require.Equal(t, messageWait, time.Since(began))
+		require.Equal(t, messageTimeout, time.Since(began))
 		require.Equal(t, 1, counted)
 		require.NoError(t, theirs.Close())
 		require.NoError(t, ours.Close())
--- a/internal/queue/property_test.go
+++ b/internal/queue/property_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { randtest.Main(m, 200, 120) }
 
-// model keeps what the queue has decided and checks each decision.
+// model records the queue's decisions and checks each of them.
 type model struct {
 	t        require.TestingT
 	q        *queue.Queue
@@ -25,10 +25,10 @@
 	busy     map[string]int
 	rowSlots map[string]int64
 	rowBusy  map[string]int64
-	waiting  map[string]queue.Ask
+	waiting  map[string]queue.Enqueue
 	sent     map[string]queue.Send
 	rows     map[string]string
-	lent     map[string]string
+	lentTo   map[string]string
 }
 
 func (m *model) step(ev queue.Event) {
@@ -36,30 +36,30 @@
 		switch a := a.(type) {
 		case queue.Send:
 			m.decided(a.ID)
-			m.busy[a.Minion]++
+			m.busy[a.Backend]++
 			m.rowBusy[m.rows[a.ID]]++
-			require.LessOrEqual(m.t, m.busy[a.Minion], m.slots[a.Minion], "a minion gets no more than its share")
+			require.LessOrEqual(m.t, m.busy[a.Backend], m.slots[a.Backend], "a backend server gets no more requests than its share")
 			if limit := m.rowSlots[m.rows[a.ID]]; limit != 0 {
-				require.LessOrEqual(m.t, m.rowBusy[m.rows[a.ID]], limit, "a row gets no more than its limit")
+				require.LessOrEqual(m.t, m.rowBusy[m.rows[a.ID]], limit, "a row gets no more slots than its limit")
 			}
 			m.sent[a.ID] = a
 		case queue.Lend:
-			require.False(m.t, m.waiting[a.ID].Lent, "a lent request is not lent again")
+			require.False(m.t, m.waiting[a.ID].FromPeer, "a request from a peer is not lent again")
 			m.decided(a.ID)
-			m.lent[a.ID] = a.Peer
+			m.lentTo[a.ID] = a.Peer
 		case queue.Refuse:
 			m.decided(a.ID)
 		}
 	}
 	free, waiting := m.q.Load()
-	require.Equal(m.t, len(m.waiting), waiting, "each request is decided once")
+	require.Equal(m.t, len(m.waiting), waiting, "each request is decided exactly once")
 	if free == 0 {
 		return
 	}
 	for _, ask := range m.waiting {
 		limit := m.rowSlots[ask.Row.Name]
 		held := limit != 0 && m.rowBusy[ask.Row.Name] >= limit
-		require.True(m.t, held || ask.Row.Class == cell.Bulk, "no slot stays idle while %s waits", ask.ID)
+		require.True(m.t, held || ask.Row.Class == cell.Bulk, "a slot is free while request %s waits", ask.ID)
 	}
 }
 
@@ -83,27 +83,27 @@
 	return fmt.Sprintf("%06d%s", (turn*len(id)+int(id[len(id)-1]))%997, id)
 }
 
-// Requests come, end, hang up and are given back by peers while servers, rows
-// and peers change. Whatever the order, no minion gets more than its share, no
-// row more than its limit, each caller one decision, and none but bulk ones,
-// which leave the reserve, waits beside a free slot.
+// Requests arrive, end, are cancelled and are rejected by peers while servers, rows and peers
+// change. Whatever the order, no backend server gets more requests than its share, no row
+// exceeds its limit, each request is decided once, and only bulk requests, which leave the
+// reserve free, wait while a slot is free.
 func TestQueueKeepsItsBoundsInAnyOrder(t *testing.T) {
 	classes := map[string]cell.Class{"scan": cell.Urgent, "menu": cell.Normal, "badge": cell.Bulk}
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{
 			t: t, q: queue.New(queue.Limits{Length: 12, Reserve: 0.25}), now: start, slots: map[string]int{}, busy: map[string]int{},
-			rowSlots: map[string]int64{}, rowBusy: map[string]int64{}, waiting: map[string]queue.Ask{}, sent: map[string]queue.Send{},
-			rows: map[string]string{}, lent: map[string]string{},
+			rowSlots: map[string]int64{}, rowBusy: map[string]int64{}, waiting: map[string]queue.Enqueue{}, sent: map[string]queue.Send{},
+			rows: map[string]string{}, lentTo: map[string]string{},
 		}
 		name := func() string { return rapid.SampledFrom([]string{"scan", "menu", "badge"}).Draw(t, "row") }
 		row := func(name string) queue.Row {
-			return queue.Row{Name: name, Class: classes[name], Weight: 1, Slots: m.rowSlots[name], Queue: 8}
+			return queue.Row{Name: name, Class: classes[name], Weight: 1, Slots: m.rowSlots[name], MaxQueued: 8}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"ask": func(t *rapid.T) {
 				m.n++
-				a := queue.Ask{
-					ID: fmt.Sprint("r", m.n), Row: row(name()), Lent: rapid.IntRange(0, 4).Draw(t, "lent") == 0,
+				a := queue.Enqueue{
+					ID: fmt.Sprint("r", m.n), Row: row(name()), FromPeer: rapid.IntRange(0, 4).Draw(t, "lent") == 0,
 					Deadline: m.now.Add(time.Duration(rapid.IntRange(1, 50).Draw(t, "left")) * 100 * time.Millisecond),
 				}
 				m.waiting[a.ID], m.rows[a.ID] = a, a.Row.Name
@@ -111,31 +111,31 @@
 			},
 			"end": func(t *rapid.T) {
 				if id := pick(t, m.sent); id != "" {
-					m.busy[m.sent[id].Minion]--
+					m.busy[m.sent[id].Backend]--
 					m.rowBusy[m.rows[id]]--
 					delete(m.sent, id)
 					m.step(queue.Ended{ID: id, Took: 30 * time.Millisecond})
 				}
 			},
 			"bounce": func(t *rapid.T) {
-				if id := pick(t, m.lent); id != "" {
-					delete(m.lent, id)
-					m.waiting[id] = queue.Ask{ID: id, Row: row(m.rows[id])}
-					m.step(queue.Bounced{ID: id})
+				if id := pick(t, m.lentTo); id != "" {
+					delete(m.lentTo, id)
+					m.waiting[id] = queue.Enqueue{ID: id, Row: row(m.rows[id])}
+					m.step(queue.LendRejected{ID: id})
 				}
 			},
 			"hang": func(t *rapid.T) {
 				if id := pick(t, m.waiting); id != "" {
 					delete(m.waiting, id)
-					m.step(queue.Hung{ID: id})
+					m.step(queue.Cancelled{ID: id})
 				}
 			},
 			"servers": func(t *rapid.T) {
 				var s queue.Shares
 				clear(m.slots)
 				for i := range rapid.IntRange(0, 3).Draw(t, "minions") {
-					share := queue.Share{Minion: fmt.Sprint("m", i), Slots: rapid.IntRange(0, 4).Draw(t, "slots")}
-					m.slots[share.Minion] = share.Slots
+					share := queue.Share{Backend: fmt.Sprint("m", i), Slots: rapid.IntRange(0, 4).Draw(t, "slots")}
+					m.slots[share.Backend] = share.Slots
 					s.All = append(s.All, share)
 				}
 				m.step(s)
--- a/internal/relay/hedge.go
+++ b/internal/relay/hedge.go
@@ -12,53 +12,53 @@
 	"pollencroft/internal/queue"
 )
 
-// maxPatience bounds how long an idempotent request waits for one backend
-// server before another is asked too.
-const maxPatience = time.Second
+// maxHedgeDelay bounds how long an idempotent request waits for one backend server before
+// it is also sent to another.
+const maxHedgeDelay = time.Second
 
-// hedgeMark tells the second try of a request from its first by its id.
-const hedgeMark = ".2"
+// hedgeSuffix distinguishes the ID of a request's second try from the ID of its first.
+const hedgeSuffix = ".2"
 
-// hedged sends a request and, when its row is idempotent and nothing has come
-// for a while, sends it to another backend server too: the connection may have
-// gone silent, and its caller would wait until the deadline. The first try
-// keeps its slot and may still win, so that a server which is merely slow
-// loses nothing. The second comes out of the row's retry budget.
-func (x *Relay) hedged(ctx context.Context, ask queue.Ask, a queue.Send, req call.Request) try {
+// sendHedged sends a request. If its row is idempotent and no answer arrives for a while,
+// it also sends the request to another backend server: the connection may have gone silent,
+// and the caller would wait until the deadline. The first try keeps its slot and may still
+// answer first, so that a server that is only slow loses nothing. The second try counts
+// against the row's retry budget.
+func (x *Relay) sendHedged(ctx context.Context, ask queue.Enqueue, a queue.Send, req call.Request) try {
 	row, _ := x.Row(req.Row)
 	if !row.Idempotent {
 		return x.send(ctx, a, req)
 	}
 	ends := make(chan try, 2)
 	go func() { ends <- x.send(ctx, a, req) }()
-	patience := time.NewTimer(min(maxPatience, req.Deadline.Sub(x.Clock())/2))
-	defer patience.Stop()
+	hedgeTimer := time.NewTimer(min(maxHedgeDelay, req.Deadline.Sub(x.Clock())/2))
+	defer hedgeTimer.Stop()
 	select {
 	case t := <-ends:
 		return t
-	case <-patience.C:
+	case <-hedgeTimer.C:
 	}
-	// The server that is waited for may end, too.
-	if len(req.Lost)+1 >= mostLost || !x.mayRetry(row, unsure) {
+	// The connection to the first server may still break and then counts as well.
+	if len(req.Lost)+1 >= maxLostServers || !x.mayRetry(row, mayHaveRun) {
 		return <-ends
 	}
 	metrics.GetOrRegisterCounter("relay.hedged", x.Metrics).Inc(1)
-	go func() { ends <- x.second(ctx, ask, a, req) }()
+	go func() { ends <- x.sendSecond(ctx, ask, a, req) }()
 	t := <-ends
 	if t.reply.Outcome == cell.Done {
 		return t
 	}
-	return better(t, <-ends)
+	return betterReply(t, <-ends)
 }
 
-// second sends a request on a slot that is free now, or not at all: waiting in
-// the queue a second time would take the place of others.
-func (x *Relay) second(ctx context.Context, ask queue.Ask, a queue.Send, req call.Request) try {
-	req.ID += hedgeMark
-	ask.ID += hedgeMark
-	ask.Lent = true
-	ask.Avoid = append([]string{a.Minion}, ask.Avoid...)
-	if next, ok := x.wait(ctx, ask.ID, ask).(queue.Send); ok && next.Minion != a.Minion {
+// sendSecond sends a request on a slot that is free now, or not at all. If it waited in the
+// queue a second time, it would take the place of other requests.
+func (x *Relay) sendSecond(ctx context.Context, ask queue.Enqueue, a queue.Send, req call.Request) try {
+	req.ID += hedgeSuffix
+	ask.ID += hedgeSuffix
+	ask.FromPeer = true
+	ask.Avoid = append([]string{a.Backend}, ask.Avoid...)
+	if next, ok := x.awaitSlot(ctx, ask.ID, ask).(queue.Send); ok && next.Backend != a.Backend {
 		return x.send(ctx, next, req)
 	} else if ok {
 		x.step(queue.Ended{ID: ask.ID, Failed: true})
@@ -66,9 +66,9 @@
 	return try{reply: call.Refuse(http.StatusServiceUnavailable, string(queue.Busy), 0)}
 }
 
-// better is what the caller is told of two tries. One that may have run goes
-// before one that was refused, which alone would claim that nothing ran.
-func better(a, b try) try {
+// betterReply selects which of two tries the caller is told about. A try that may have run
+// takes precedence over one that was refused, which alone would claim that nothing ran.
+func betterReply(a, b try) try {
 	rank := map[cell.Outcome]int{cell.Done: 2, cell.Unknown: 1, cell.Refused: 0}
 	lost := append(a.reply.Lost, b.reply.Lost...)
 	if rank[b.reply.Outcome] > rank[a.reply.Outcome] {
--- a/internal/sched/naming.go
+++ b/internal/sched/candidates.go
@@ -68,9 +68,9 @@
 // cell most passes find none, for hundreds of steps, so the capacity is checked first and the more
 // expensive ordering is done only for workers that have it.
 func (s *Sched) candidatesWithCapacity(r readyStep, a *advice, p *pool) (all []candidate, most int) {
-	room, some := r.stage.Spec.Room(), false
+	demand, some := r.stage.Spec.Demand(), false
 	for _, w := range p.workers {
-		if !room.Fits(w.available().Sub(w.earmarked)) {
+		if !demand.Fits(w.available().Sub(w.earmarked)) {
 			continue
 		}
 		some = true
@@ -86,7 +86,7 @@
 		}
 	}
 	if !some {
-		p.unfit = append(p.unfit, room)
+		p.unfit = append(p.unfit, demand)
 	}
 	slices.SortStableFunc(all, candidate.compare)
 	return all, most
@@ -96,10 +96,10 @@
 // about yet.
 func (s *Sched) otherCandidates(r readyStep, a *advice, p *pool) []candidate {
 	var all []candidate
-	room := r.stage.Spec.Room()
+	demand := r.stage.Spec.Demand()
 	for _, w := range p.workers {
 		_, known := a.tickets[w.Incarnation]
-		if known || a.denied[w.Incarnation] || !room.Fits(w.Size) || room.Fits(w.available().Sub(w.earmarked)) || !s.suits(r, r.tasks[0], w) {
+		if known || a.denied[w.Incarnation] || !demand.Fits(w.Size) || demand.Fits(w.available().Sub(w.earmarked)) || !s.suits(r, r.tasks[0], w) {
 			continue
 		}
 		all = append(all, candidate{incarnation: w.Incarnation, cost: s.cost(r, w)})
@@ -113,18 +113,18 @@
 	switch {
 	case !s.enabled(QueryMoreWorkers):
 		return 0
-	case a.Each <= 0:
+	case a.PerWorker <= 0:
 		return maxQueryWorkers
 	}
-	return int(maxExtraCost * float64(a.Base) / float64(a.Each))
+	return int(maxExtraCost * float64(a.Base) / float64(a.PerWorker))
 }
 
 // taskCapacity returns how many of the step's tasks a worker has capacity for.
 func (r readyStep) taskCapacity(w *worker) int {
 	st := r.stage.Spec
-	n := min(int64(len(r.tasks)), st.Room().Into(w.free()))
-	if st.Apart > 0 {
-		n = min(n, int64(st.Apart-w.tasksOf(r.stage)))
+	n := min(int64(len(r.tasks)), st.Demand().FitCount(w.free()))
+	if st.MaxPerWorker > 0 {
+		n = min(n, int64(st.MaxPerWorker-w.tasksOf(r.stage)))
 	}
 	return int(max(n, 1))
 }
--- a/internal/sched/worker_test.go
+++ b/internal/sched/fakeworker_test.go
@@ -12,62 +12,64 @@
 )
 
 type fakeWorker struct {
-	b    *cellBench
+	b    *simCell
 	info sched.Worker
-	// silent workers answer nothing, deaf ones leave orders undone as well.
+	// A silent worker ignores all requests while its runs go on; a dead one has ended.
 	silent, dead bool
-	// slow stretches all work; still stops it; fails ends every run as failed.
-	slow      float64
-	still     bool
-	fails     bool
-	lateStart time.Duration
-	fence     int64
-	deadline  time.Time
-	runs      map[flow.Name]*fakeRun
-	ends      []sched.RunEnd
-	number    int64
-	void      int64
-	tombs     map[flow.Name]int
-	waiting   []func()
-	// reborn tells that another life has begun at its address.
-	reborn bool
-	// sizes are former sizes, each until when it was listed.
-	sizes []formerSize
-	// loseEnds is how many answers that tell of an end are lost.
-	loseEnds int
+	// slowdown is a factor on the duration of all runs. A stalled worker makes no progress; one
+	// with fails ends every run as failed.
+	slowdown     float64
+	stalled      bool
+	fails        bool
+	startDelay   time.Duration
+	fence        int64
+	deadline     time.Time
+	runs         map[flow.Name]*fakeRun
+	ends         []sched.RunEnd
+	lastEnd      int64
+	lapsedUpTo   int64
+	tombstones   map[flow.Name]int
+	waitingHolds []func()
+	// replaced means that another incarnation has begun at the worker's address.
+	replaced bool
+	// formerSizes are the worker's earlier sizes.
+	formerSizes []formerSize
+	// repliesToLose is how many replies that list an end are lost.
+	repliesToLose int
 }
 
-// formerSize is a size that a worker had until another one was listed, in the bench's order.
+// formerSize is a size that a worker had until another one was listed, by sequence number of the
+// simulation's events.
 type formerSize struct {
 	size  cell.Size
 	until int
 }
 
-// resize lists the worker with another size.
+// resize changes the worker's size and lists it.
 func (w *fakeWorker) resize(size cell.Size) {
-	w.become(size)
+	w.setSize(size)
 	w.b.list()
 }
 
-// become gives the worker another size, which is listed with whatever is listed next.
-func (w *fakeWorker) become(size cell.Size) {
-	w.sizes = append(w.sizes, formerSize{w.info.Size, w.b.order})
+// setSize changes the worker's size; the change takes effect with the next list.
+func (w *fakeWorker) setSize(size cell.Size) {
+	w.formerSizes = append(w.formerSizes, formerSize{w.info.Size, w.b.seq})
 	w.info.Size = size
 }
 
-// full is the size that the worker had at first.
-func (w *fakeWorker) full() cell.Size {
-	if len(w.sizes) > 0 {
-		return w.sizes[0].size
+// originalSize returns the size that the worker had at first.
+func (w *fakeWorker) originalSize() cell.Size {
+	if len(w.formerSizes) > 0 {
+		return w.formerSizes[0].size
 	}
 	return w.info.Size
 }
 
-// sizeSince is the most that was listed of each part since then: what is on its way may
-// still fill a worker that has shrunk meanwhile.
-func (w *fakeWorker) sizeSince(sent int) cell.Size {
+// maxSizeSince returns the largest listed amount of each resource since then: requests in transit
+// may still fill a worker that has shrunk meanwhile.
+func (w *fakeWorker) maxSizeSince(sent int) cell.Size {
 	most := w.info.Size
-	for _, f := range w.sizes {
+	for _, f := range w.formerSizes {
 		if f.until > sent {
 			most = cell.Size{CPU: max(most.CPU, f.size.CPU), Mem: max(most.Mem, f.size.Mem), Accel: max(most.Accel, f.size.Accel)}
 		}
@@ -75,8 +77,8 @@
 	return most
 }
 
-// patience is how long the edge waits for an answer that should be there.
-const patience = 120 * time.Millisecond
+// replyTimeout is how long the sender waits for a reply beyond its expected time.
+const replyTimeout = 120 * time.Millisecond
 
 type fakeRun struct {
 	run   int
@@ -88,7 +90,7 @@
 func (w *fakeWorker) used() cell.Size {
 	var sum cell.Size
 	for _, r := range w.runs {
-		sum = sum.Add(r.step.Room())
+		sum = sum.Add(r.step.Demand())
 	}
 	return sum
 }
@@ -99,19 +101,19 @@
 	if w.silent {
 		return
 	}
-	w.b.after(hop, func() { w.b.tell(term, ev) })
+	w.b.after(networkDelay, func() { w.b.deliver(term, ev) })
 }
 
-// unanswered tells the sender after its own timeout that nothing came.
+// unanswered reports to the sender after its timeout that there was no reply.
 func (w *fakeWorker) unanswered(term int64, ev sched.Event) {
-	w.b.after(500*time.Millisecond, func() { w.b.tell(term, ev) })
+	w.b.after(500*time.Millisecond, func() { w.b.deliver(term, ev) })
 }
 
 func (w *fakeWorker) start(term int64, a sched.Start, sent int) {
 	answer := func(o sched.Outcome) {
 		w.reply(term, sched.StartReply{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: o})
 	}
-	if w.reborn && !w.silent {
+	if w.replaced && !w.silent {
 		answer(sched.OtherIncarnation)
 		return
 	}
@@ -119,7 +121,7 @@
 		w.unanswered(term, sched.StartReply{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: sched.Unanswered})
 		return
 	}
-	if late := w.lateStart; late > 0 {
+	if late := w.startDelay; late > 0 {
 		w.unanswered(term, sched.StartReply{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: sched.Unanswered})
 		w.b.after(late, func() {
 			if !w.dead {
@@ -137,57 +139,57 @@
 		return sched.Fenced
 	case w.b.now.After(a.Deadline):
 		return sched.Rejected
-	case w.tombs[a.Task] >= a.Run:
+	case w.tombstones[a.Task] >= a.Run:
 		return sched.Rejected
 	}
 	w.fence = a.Term
 	if r, ok := w.runs[a.Task]; ok && r.run == a.Run {
 		return sched.Accepted
 	}
-	w.b.check(w, a)
+	w.b.checkStart(w, a)
 	w.b.starts[a.Task]++
 	if w.b.crashed[a.Task] >= 3 {
-		w.b.late[a.Task]++
+		w.b.lateStarts[a.Task]++
 	}
 	st := w.spec(a.Task)
-	r := &fakeRun{run: a.Run, began: w.b.now, ends: w.b.now.Add(time.Duration(float64(st.Time) * w.slow)), step: st}
+	r := &fakeRun{run: a.Run, began: w.b.now, ends: w.b.now.Add(time.Duration(float64(st.EstimatedTime) * w.slowdown)), step: st}
 	w.runs[a.Task] = r
 	if a.Deadline.After(w.deadline) {
 		w.deadline = a.Deadline
 	}
-	if used, size := w.used(), w.sizeSince(sent); !used.Fits(size) {
-		w.b.wrong("%s is over its size: %+v of %+v", w.info.Incarnation, used, size)
+	if used, size := w.used(), w.maxSizeSince(sent); !used.Fits(size) {
+		w.b.violation("%s is overfilled: %+v used of %+v", w.info.Incarnation, used, size)
 	}
 	w.lapseLater()
-	if w.b.bad != nil && w.b.bad(a.Task) {
-		w.b.after(crashAfter, func() { w.crash(a.Task, r) })
+	if w.b.crashesWorker != nil && w.b.crashesWorker(a.Task) {
+		w.b.after(crashDelay, func() { w.crashUnder(a.Task, r) })
 	}
-	if !st.Lasts && !w.still {
+	if !st.LongRunning && !w.stalled {
 		w.b.after(r.ends.Sub(w.b.now), func() { w.finish(a.Task, r) })
 	}
 	return sched.Accepted
 }
 
-// check notes a start that must never happen.
-func (b *cellBench) check(w *fakeWorker, a sched.Start) {
+// checkStart records a violation if a start must not happen.
+func (b *simCell) checkStart(w *fakeWorker, a sched.Start) {
 	if b.copies {
 		return
 	}
-	if at, ok := b.cancelled[a.Task.Job]; ok && b.now.Sub(at) > 2*hop+w.lateStart {
-		b.wrong("%s starts %s after its job was cancelled", a.Task, b.now.Sub(at))
+	if at, ok := b.cancelledAt[a.Task.Job]; ok && b.now.Sub(at) > 2*networkDelay+w.startDelay {
+		b.violation("%s starts %s after the cancellation of its job", a.Task, b.now.Sub(at))
 	}
 	if b.done[a.Task] {
-		b.wrong("%s starts after it was noted as done", a.Task)
+		b.violation("%s starts after its end as done was acknowledged", a.Task)
 	}
 	for _, o := range b.workers {
 		if r, ok := o.runs[a.Task]; ok && !o.dead && o != w {
-			b.wrong("%s run %d on %s while run %d is on %s", a.Task, a.Run, w.info.Incarnation, r.run, o.info.Incarnation)
+			b.violation("%s starts as run %d on %s while run %d is on %s", a.Task, a.Run, w.info.Incarnation, r.run, o.info.Incarnation)
 		}
 	}
 }
 
 func (w *fakeWorker) finish(n flow.Name, r *fakeRun) {
-	if w.runs[n] != r || w.still || w.dead || w.b.now.Before(r.ends) {
+	if w.runs[n] != r || w.stalled || w.dead || w.b.now.Before(r.ends) {
 		return
 	}
 	how := sched.EndDone
@@ -202,19 +204,19 @@
 }
 
 // finishGang ends all members of a gang's run together, once the slowest is done.
-func (b *cellBench) finishGang(n flow.Name, r *fakeRun, how sched.Ending) {
+func (b *simCell) finishGang(n flow.Name, r *fakeRun, how sched.Ending) {
 	type member struct {
 		w *fakeWorker
 		n flow.Name
 		r *fakeRun
 	}
 	var all []member
-	for _, w := range b.inOrder() {
+	for _, w := range b.sortedWorkers() {
 		for m, o := range w.runs {
 			if m.StepName() != n.StepName() || o.run != r.run || w.dead {
 				continue
 			}
-			if o.ends.After(b.now) || w.still {
+			if o.ends.After(b.now) || w.stalled {
 				b.after(100*time.Millisecond, func() { w.finish(m, o) })
 				return
 			}
@@ -229,29 +231,29 @@
 
 func (w *fakeWorker) end(n flow.Name, r *fakeRun, how sched.Ending) {
 	delete(w.runs, n)
-	w.tombs[n] = max(w.tombs[n], r.run)
-	w.number++
-	w.ends = append(w.ends, sched.RunEnd{Number: w.number, Task: n, Run: r.run, How: how})
-	w.wake()
+	w.tombstones[n] = max(w.tombstones[n], r.run)
+	w.lastEnd++
+	w.ends = append(w.ends, sched.RunEnd{Number: w.lastEnd, Task: n, Run: r.run, How: how})
+	w.answerHolds()
 }
 
-func (w *fakeWorker) wake() {
-	all := w.waiting
-	w.waiting = nil
+func (w *fakeWorker) answerHolds() {
+	all := w.waitingHolds
+	w.waitingHolds = nil
 	for _, f := range all {
 		f()
 	}
 }
 
-// lapseLater ends everything once the lease has run out.
+// lapseLater ends all runs once the lease has expired.
 func (w *fakeWorker) lapseLater() {
 	at := w.deadline
 	w.b.after(at.Sub(w.b.now)+time.Millisecond, func() {
 		if w.deadline != at || w.dead {
 			return
 		}
-		// Ends that were not noted before a lapse never count as noted.
-		w.void = w.number
+		// Ends that were not acknowledged before a lapse never count as acknowledged.
+		w.lapsedUpTo = w.lastEnd
 		for _, n := range slices.SortedFunc(maps.Keys(w.runs), func(x, y flow.Name) int { return x.Index - y.Index }) {
 			w.end(n, w.runs[n], sched.EndLapsed)
 		}
@@ -259,7 +261,7 @@
 }
 
 func (w *fakeWorker) stop(term int64, a sched.Stop) {
-	if w.reborn && !w.silent {
+	if w.replaced && !w.silent {
 		w.reply(term, sched.StopReply{Task: a.Task, Run: a.Run, Worker: w.info.Incarnation, Outcome: sched.OtherIncarnation})
 		return
 	}
@@ -272,7 +274,7 @@
 		out = sched.Fenced
 	} else {
 		w.fence = a.Term
-		w.tombs[a.Task] = max(w.tombs[a.Task], a.Run)
+		w.tombstones[a.Task] = max(w.tombstones[a.Task], a.Run)
 		if r, ok := w.runs[a.Task]; ok && r.run == a.Run {
 			w.b.after(100*time.Millisecond, func() {
 				if w.runs[a.Task] == r {
@@ -286,12 +288,12 @@
 
 func (w *fakeWorker) hold(term int64, a sched.Hold, sent time.Time) {
 	ev := sched.HoldReply{Worker: w.info.Incarnation, Probe: a.Probe, AckedEnd: a.AckedEnd, Sent: sent}
-	if w.denied(term, a, ev) {
+	if w.rejectHold(term, a, ev) {
 		return
 	}
 	w.fence = a.Term
 	for len(w.ends) > 0 && w.ends[0].Number <= a.AckedEnd {
-		if w.ends[0].How == sched.EndDone && w.ends[0].Number > w.void {
+		if w.ends[0].How == sched.EndDone && w.ends[0].Number > w.lapsedUpTo {
 			w.b.done[w.ends[0].Task] = true
 		}
 		w.ends = w.ends[1:]
@@ -311,10 +313,10 @@
 			w.unanswered(term, ev)
 			return
 		}
-		if w.loseEnds > 0 && len(w.ends) > 0 {
-			w.loseEnds--
+		if w.repliesToLose > 0 && len(w.ends) > 0 {
+			w.repliesToLose--
 			ev.Outcome = sched.Unanswered
-			w.b.after(max(sent.Add(a.Wait+patience).Sub(w.b.now), hop), func() { w.b.tell(term, ev) })
+			w.b.after(max(sent.Add(a.Wait+replyTimeout).Sub(w.b.now), networkDelay), func() { w.b.deliver(term, ev) })
 			return
 		}
 		w.list(term, ev)
@@ -323,18 +325,18 @@
 		answer()
 		return
 	}
-	w.waiting = append(w.waiting, answer)
+	w.waitingHolds = append(w.waitingHolds, answer)
 	w.b.after(a.Wait, answer)
 }
 
-// denied tells whether a hold is not carried out, and answers it then.
-func (w *fakeWorker) denied(term int64, a sched.Hold, ev sched.HoldReply) bool {
+// rejectHold reports whether a hold is not carried out, and answers it in that case.
+func (w *fakeWorker) rejectHold(term int64, a sched.Hold, ev sched.HoldReply) bool {
 	switch {
-	case w.silent || w.dead && !w.reborn:
+	case w.silent || w.dead && !w.replaced:
 		ev.Outcome = sched.Unanswered
 		w.unanswered(term, ev)
 		return true
-	case w.reborn:
+	case w.replaced:
 		ev.Outcome = sched.OtherIncarnation
 	case a.Term < w.fence:
 		ev.Outcome = sched.Fenced
@@ -355,15 +357,15 @@
 	for _, n := range slices.SortedFunc(maps.Keys(w.runs), func(x, y flow.Name) int { return strings.Compare(x.String(), y.String()) }) {
 		r := w.runs[n]
 		l := sched.RunStatus{Task: n, Run: r.run, Percent: 100}
-		if !r.step.Lasts && r.step.Time > 0 && !w.still {
+		if !r.step.LongRunning && r.step.EstimatedTime > 0 && !w.stalled {
 			l.Percent = int(100 * w.b.now.Sub(r.began) / r.ends.Sub(r.began))
 		}
-		if w.still {
+		if w.stalled {
 			l.Percent = 7
 		}
 		ev.Running = append(ev.Running, l)
 	}
 	ev.Ended = slices.Clone(w.ends)
-	ev.Received = w.b.now.Add(hop)
+	ev.Received = w.b.now.Add(networkDelay)
 	w.reply(term, ev)
 }
--- a/internal/sched/history_test.go
+++ b/internal/sched/history_test.go
@@ -22,44 +22,43 @@
 	firstSeed = flag.Uint64("seed", 1, "seed of the first history")
 )
 
-// failedOnce are seeds that ever failed, each with its cause.
-var failedOnce = []uint64{}
+// failedSeeds are seeds that failed before, each with its cause.
+var failedSeeds = []uint64{}
 
-// A lead, workers and the store go through random faults that overlap: leads end
-// between any two steps, workers fall silent, die, leave, fail, crawl and carry
-// starts out late, the store is away, jobs are cancelled. No task may run twice at
-// a time or after its end was noted, no worker be overfilled, and once all is calm
-// every job comes to its end. Each seed is played once more with workers that shrink and
-// grow while they run.
+// Plays a leader, workers and the store with random overlapping faults: leaders end between any two
+// steps; workers fall silent, die, leave, fail, slow down and carry starts out late; the store is
+// down; jobs are cancelled. No task may run twice at the same time or after its end was
+// acknowledged, no worker may be overfilled, and once all faults have ended every job must end.
+// Each seed is played a second time with workers that shrink and grow meanwhile.
 func TestRandomHistories(t *testing.T) {
-	seeds := failedOnce
+	seeds := failedSeeds
 	for i := range *histories {
 		seeds = append(seeds, *firstSeed+uint64(i))
 	}
 	for _, seed := range seeds {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playHistory(t, seed, nil, nil) })
-		t.Run(fmt.Sprintf("%d_sizes", seed), func(t *testing.T) { playHistory(t, seed, nil, sizesOf(seed)) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runHistory(t, seed, nil, nil) })
+		t.Run(fmt.Sprintf("%d_sizes", seed), func(t *testing.T) { runHistory(t, seed, nil, sizeRand(seed)) })
 	}
 }
 
-// Guards against a third start after the third crash, whatever the leads knew.
+// Guards against a third start after the third crash, regardless of what each leader knew.
 func TestRandomHistoriesWithCrashes(t *testing.T) {
 	for i := range *histories {
 		seed := *firstSeed + uint64(i)
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playHistory(t, seed, rand.New(rand.NewPCG(seed, 2)), nil) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runHistory(t, seed, rand.New(rand.NewPCG(seed, 2)), nil) })
 	}
 }
 
-// sizesOf draws the changes of size of a seed apart from its other faults, so that these stay
-// the same.
-func sizesOf(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 2)) }
+// sizeRand returns a random source for size changes, separate from that of the other faults so that
+// these stay the same for a seed.
+func sizeRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 2)) }
 
-// playHistory plays the history of a seed; crashes draws what crashes workers and sizes changes
-// of size, nil none.
-func playHistory(t *testing.T, seed uint64, crashes, sizes *rand.Rand) {
+// runHistory plays the history of a seed. crashes is the random source for worker crashes and sizes
+// that for size changes; nil means none.
+func runHistory(t *testing.T, seed uint64, crashes, sizes *rand.Rand) {
 	r := rand.New(rand.NewPCG(seed, 0))
-	b := newBench(t, 3+r.IntN(7))
-	b.drawBad(crashes, seed)
+	b := newSimCell(t, 3+r.IntN(7))
+	b.pickCrashingJobs(crashes, seed)
 	jobs := map[string]bool{}
 	spare := 50
 	for i := range 40 + r.IntN(40) {
@@ -87,59 +86,59 @@
 				b.step(sched.PredecessorStopped{Since: b.now})
 			}
 		case n < 13:
-			b.storeAway = !b.storeAway
-			// A slow store takes its appends in any order.
+			b.storeDown = !b.storeDown
+			// A slow store completes its appends in any order.
 			b.storeTime = nil
 			if r.IntN(2) == 0 {
 				b.storeTime = func() time.Duration { return time.Duration(1+r.IntN(600)) * time.Millisecond }
 			}
 		case n < 18:
-			spare = b.disturb(r, spare)
+			spare = b.injectFault(r, spare)
 		}
 		if crashes != nil {
-			b.crashAny(crashes)
+			b.maybeCrashWorker(crashes)
 		}
-		b.play(time.Duration(r.IntN(700)) * time.Millisecond)
-		b.resizeSome(sizes)
+		b.advance(time.Duration(r.IntN(700)) * time.Millisecond)
+		b.resizeRandomWorkers(sizes)
 	}
-	b.calm()
-	b.play(90 * time.Second)
+	b.clearFaults()
+	b.advance(90 * time.Second)
 	maps.DeleteFunc(jobs, func(id string, _ bool) bool { return b.state(id).Final() })
 	if crashes != nil {
-		// Of lives that ended under a former lead nobody knows the address.
-		b.play(40 * time.Second)
+		// The addresses of incarnations that ended under a previous leader are not known.
+		b.advance(40 * time.Second)
 	}
-	b.requireFewLate()
-	require.Empty(t, b.wrongs)
+	b.requireFewLateStarts()
+	require.Empty(t, b.violations)
 	for id := range jobs {
 		state := b.state(id)
 		require.True(t, state.Final(), "job %s is %s", id, state)
 	}
 }
 
-// drawBad draws which jobs crash their workers and how long these stay away.
-func (b *cellBench) drawBad(r *rand.Rand, seed uint64) {
+// pickCrashingJobs draws which jobs crash their workers and how long these stay down.
+func (b *simCell) pickCrashingJobs(r *rand.Rand, seed uint64) {
 	if r == nil {
 		return
 	}
-	b.away = time.Duration(r.IntN(4000)) * time.Millisecond
+	b.restartExtra = time.Duration(r.IntN(4000)) * time.Millisecond
 	share := 1 + r.Uint64N(8)
-	b.bad = func(n flow.Name) bool { return xxhash.Sum64String(n.Job+fmt.Sprint(seed))%10 < share }
+	b.crashesWorker = func(n flow.Name) bool { return xxhash.Sum64String(n.Job+fmt.Sprint(seed))%10 < share }
 }
 
-// crashAny ends the life of a worker at times.
-func (b *cellBench) crashAny(r *rand.Rand) {
+// maybeCrashWorker sometimes crashes a worker.
+func (b *simCell) maybeCrashWorker(r *rand.Rand) {
 	if r.IntN(12) > 0 {
 		return
 	}
-	if w := b.inOrder()[r.IntN(len(b.workers))]; !w.dead {
-		w.die()
+	if w := b.sortedWorkers()[r.IntN(len(b.workers))]; !w.dead {
+		w.endIncarnation()
 	}
 }
 
-// disturb does something to one worker; spare numbers workers that come anew.
-func (b *cellBench) disturb(r *rand.Rand, spare int) int {
-	all := b.inOrder()
+// injectFault applies a random fault to one worker. spare is the number of the last added worker.
+func (b *simCell) injectFault(r *rand.Rand, spare int) int {
+	all := b.sortedWorkers()
 	w := all[r.IntN(len(all))]
 	switch r.IntN(7) {
 	case 0:
@@ -147,34 +146,34 @@
 	case 1:
 		w.dead = true
 		spare++
-		b.addWorker(fmt.Sprintf("x%02d", spare), spare).info.Size = w.full()
+		b.addWorker(fmt.Sprintf("x%02d", spare), spare).info.Size = w.originalSize()
 	case 2:
 		w.fails = !w.fails
 	case 3:
-		w.still = !w.still
+		w.stalled = !w.stalled
 	case 4:
-		w.slow = []float64{1, 6}[r.IntN(2)]
+		w.slowdown = []float64{1, 6}[r.IntN(2)]
 	case 5:
-		w.lateStart = time.Duration(r.IntN(2)) * time.Duration(r.IntN(6)) * time.Second
+		w.startDelay = time.Duration(r.IntN(2)) * time.Duration(r.IntN(6)) * time.Second
 	case 6:
 		w.info.Draining, w.info.Remaining = true, 3*time.Second
 		spare++
-		b.addWorker(fmt.Sprintf("x%02d", spare), spare).info.Size = w.full()
+		b.addWorker(fmt.Sprintf("x%02d", spare), spare).info.Size = w.originalSize()
 	}
 	b.list()
 	return spare
 }
 
-// resizeSome gives a worker or two another size, down to none, or what they had at first; sizes
-// is nil for none.
-func (b *cellBench) resizeSome(sizes *rand.Rand) {
+// resizeRandomWorkers changes the size of up to two workers, down to no capacity, or restores their
+// original size. It does nothing if sizes is nil.
+func (b *simCell) resizeRandomWorkers(sizes *rand.Rand) {
 	if sizes == nil {
 		return
 	}
-	all := b.inOrder()
+	all := b.sortedWorkers()
 	for range sizes.IntN(3) {
 		w := all[sizes.IntN(len(all))]
-		size := w.full()
+		size := w.originalSize()
 		switch sizes.IntN(5) {
 		case 0:
 		case 1:
@@ -182,20 +181,20 @@
 		case 2:
 			size.Mem = int64(sizes.Float64() * float64(size.Mem))
 		case 3:
-			size = size.Times(sizes.Float64())
+			size = size.Scale(sizes.Float64())
 		case 4:
-			size = size.Times(1 + sizes.Float64())
+			size = size.Scale(1 + sizes.Float64())
 		}
 		w.resize(size)
 	}
 }
 
-// calm ends all faults that can end.
-func (b *cellBench) calm() {
-	b.storeAway, b.storeTime = false, nil
-	for _, w := range b.inOrder() {
-		w.become(w.full())
-		w.silent, w.fails, w.still, w.slow, w.lateStart = false, false, false, 1, 0
+// clearFaults ends all faults that can end.
+func (b *simCell) clearFaults() {
+	b.storeDown, b.storeTime = false, nil
+	for _, w := range b.sortedWorkers() {
+		w.setSize(w.originalSize())
+		w.silent, w.fails, w.stalled, w.slowdown, w.startDelay = false, false, false, 1, 0
 		for n, run := range w.runs {
 			if !w.dead {
 				b.after(10*time.Second, func() {
--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -6,12 +6,12 @@
 	"pollencroft/internal/flow"
 )
 
-// Filling tasks disturb the tasks that serve requests on the same worker, by amounts that nobody
+// Best-effort tasks disturb the tasks that serve requests on the same worker, by amounts that nobody
 // declares and that change within seconds. The sign of it is a tail of the response times that
-// nears its target. Slowing the filling tasks brings it down within the platform's pacing delay,
+// nears its target. Slowing the best-effort tasks brings it down within the platform's pacing delay,
 // long before the target is missed for good.
 const (
-	// slowFrom is the share of the target from which filling tasks are slowed, pauseFrom the share
+	// slowFrom is the share of the target from which best-effort tasks are slowed, pauseFrom the share
 	// from which they are paused.
 	slowFrom  = 0.7
 	pauseFrom = 0.85
@@ -22,7 +22,7 @@
 	speedUpInterval = time.Second
 )
 
-// pacing is the share of the processor time that filling tasks on a worker may use, in percent.
+// pacing is the share of the processor time that best-effort tasks on a worker may use, in percent.
 type pacing struct {
 	level   int
 	changed time.Time
@@ -36,17 +36,17 @@
 	worst := 0.0
 	for _, l := range running {
 		t := w.tasks[l.Task]
-		if t == nil || t.Run != l.Run || t.Spec().Target == 0 {
+		if t == nil || t.Run != l.Run || t.Spec().LatencyTarget == 0 {
 			continue
 		}
-		worst = max(worst, float64(l.Metric)/float64(t.Spec().Target.Milliseconds()))
+		worst = max(worst, float64(l.Metric)/float64(t.Spec().LatencyTarget.Milliseconds()))
 	}
 	return worst
 }
 
-// adjustPace adjusts the pace of filling tasks to the response times that a worker lists.
+// adjustPace adjusts the pace of best-effort tasks to the response times that a worker lists.
 func (s *Sched) adjustPace(w *worker, running []RunStatus) {
-	if w.fillCPU == 0 {
+	if w.bestEffortCPU == 0 {
 		return
 	}
 	worst := w.worstLatency(running)
@@ -63,8 +63,8 @@
 		w.pace.level, w.pace.changed = level, s.now
 	}
 	for _, t := range w.sortedTasks() {
-		if t.Spec().Fills && t.State == flow.Running && (t.Pace != level || worst >= pauseFrom) {
-			t.Pace = level
+		if t.Spec().BestEffort && t.State == flow.Running && (t.CPUPercent != level || worst >= pauseFrom) {
+			t.CPUPercent = level
 			s.emit(Pace{To: w.Address, Term: s.term, Task: t.Name, Run: t.Run, Percent: level})
 		}
 	}
--- a/internal/sched/ends.go
+++ b/internal/sched/runs.go
@@ -18,8 +18,8 @@
 	if t.State == flow.Starting || t.State == flow.Inherited {
 		s.confirm(t)
 	}
-	if l.Saved != "" {
-		t.Saved = l.Saved
+	if l.Checkpoint != "" {
+		t.Checkpoint = l.Checkpoint
 	}
 	if t.State == flow.Running && t.Job.State.Final() {
 		s.stopRun(t, "job is over")
@@ -36,7 +36,7 @@
 	// The run is listed, so it has begun. Older lists may still be in transit.
 	until := s.now.Add(maxTransit)
 	if j, ok := s.jobs[l.Task.Job]; ok && l.Task.Step < len(j.Spec.Steps) {
-		w.untrack(k, j.Spec.Steps[l.Task.Step].Room(), until)
+		w.untrack(k, j.Spec.Steps[l.Task.Step].Demand(), until)
 	} else {
 		w.untrackUnknownSize(k, until)
 	}
@@ -67,12 +67,12 @@
 // meanwhile: if that was wrong, starting the task again would run it twice.
 func (s *Sched) runEnded(w *worker, e RunEnd, clock time.Time) {
 	t := s.task(runKey{e.Task, e.Run})
-	if t == nil || t.Worker != w.Incarnation || !t.Out() {
+	if t == nil || t.Worker != w.Incarnation || !t.MayBeRunning() {
 		s.copyEnded(w, e)
 		return
 	}
-	if e.Saved != "" {
-		t.Saved = e.Saved
+	if e.Checkpoint != "" {
+		t.Checkpoint = e.Checkpoint
 	}
 	switch {
 	case e.How == EndDone:
--- /dev/null
+++ b/internal/sched/simcell_test.go
@@ -0,0 +1,370 @@
+package sched_test
+
+import (
+	"cmp"
+	"container/heap"
+	"fmt"
+	"maps"
+	"net/netip"
+	"os"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"pollencroft/internal/cell"
+	"pollencroft/internal/flow"
+	"pollencroft/internal/sched"
+)
+
+// simCell simulates a leader with in-memory workers, on a clock that the test advances. Workers
+// start whatever they are asked to, and record violations of the rules.
+type simCell struct {
+	t       *testing.T
+	now     time.Time
+	core    *sched.Sched
+	term    int64
+	workers map[string]*fakeWorker
+	events  eventHeap
+	seq     int
+	// stored is the progress of jobs in the store.
+	stored map[string][]byte
+	specs  map[string]flow.Spec
+	// storedCancels are the cancellations in the store, cancelledAt is when each arrived.
+	storedCancels []string
+	cancelledAt   map[string]time.Time
+	// storeDown leaves appends unanswered.
+	storeDown bool
+	// storeTime is how long the store takes for an append; nil is 3 ms.
+	storeTime func() time.Duration
+	// copies means that several runs of one task may exist at the same time.
+	copies bool
+	// allows reports which workers may run a step; nil allows all.
+	allows func(step, worker string) bool
+	// queryTime is how long the policy service takes for a query; nil is 30 ms.
+	queryTime   func(sched.QueryPolicy) time.Duration
+	queries     []sched.QueryPolicy
+	paces       []sched.Pace
+	steppedDown bool
+	// stepWaits, jobStarts and longWaits are the waiting times that the core reported.
+	stepWaits []sched.StepWaited
+	jobStarts []sched.JobStarted
+	longWaits []sched.Note
+	// resizeNotes are the notes about size changes.
+	resizeNotes []sched.Note
+	// holds counts the holds sent to workers.
+	holds int
+	// passes counts placement passes, passTook is how long one takes.
+	passes   int
+	passTook time.Duration
+	// coreTime is the real time spent in the core.
+	coreTime   time.Duration
+	queues     []flow.Queue
+	violations []string
+	// done are tasks that ended as done and whose end was acknowledged.
+	done map[flow.Name]bool
+	// starts counts starts by task.
+	starts map[flow.Name]int
+	// crashesWorker reports which tasks crash the workers that start them. crashed counts the
+	// incarnations that ended that way by task, lateStarts the starts after the third crash, and
+	// endedIncarnations all incarnations that ended.
+	crashesWorker     func(flow.Name) bool
+	crashed           map[flow.Name]int
+	lateStarts        map[flow.Name]int
+	endedIncarnations int
+	// restartExtra is the extra time until the next incarnation of a worker.
+	restartExtra time.Duration
+	// failedNotes are the notes about jobs that failed because of crashes.
+	failedNotes []sched.Note
+}
+
+type timedEvent struct {
+	at  time.Time
+	seq int
+	run func()
+}
+
+func newSimCell(t *testing.T, workers int) *simCell {
+	b := &simCell{
+		t: t, now: time.Unix(1_000_000, 0), term: 1, workers: map[string]*fakeWorker{}, stored: map[string][]byte{},
+		specs: map[string]flow.Spec{}, done: map[flow.Name]bool{}, cancelledAt: map[string]time.Time{}, starts: map[flow.Name]int{},
+		crashed: map[flow.Name]int{}, lateStarts: map[flow.Name]int{},
+		queues: []flow.Queue{{Name: "scan", Service: "pass", Rank: 0, Attempts: 3}, {Name: "print", Service: "pass", Rank: 2, Attempts: 4}},
+	}
+	limits := sched.DefaultLimits
+	limits.Disabled = disabledMechanisms()
+	b.core = sched.New(limits, b.term, nil)
+	for i := range workers {
+		b.addWorker(fmt.Sprintf("w%02d", i), i)
+	}
+	b.step(sched.Queues{Version: 1, All: b.queues})
+	b.step(sched.Hosts{Names: []string{"h1", "h2", "h3", "h4"}})
+	b.list()
+	return b
+}
+
+func (b *simCell) addWorker(incarnation string, i int) *fakeWorker {
+	w := &fakeWorker{b: b, slowdown: 1, runs: map[flow.Name]*fakeRun{}, tombstones: map[flow.Name]int{}, info: sched.Worker{
+		Address: sched.Address{Incarnation: incarnation, Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 80)},
+		Service: "pass", Domain: fmt.Sprintf("d%d", i%3), Rack: fmt.Sprintf("r%d", i%3), Size: cell.Size{CPU: 64_000, Mem: 256 << 30},
+	}}
+	b.workers[incarnation] = w
+	return w
+}
+
+// disabledMechanisms reads from POLLENCROFT_OFF which mechanisms to switch off: for each of them a
+// test fails without it.
+func disabledMechanisms() []sched.Mechanism {
+	var all []sched.Mechanism
+	for name := range strings.FieldsSeq(os.Getenv("POLLENCROFT_OFF")) {
+		all = append(all, sched.Mechanism(name))
+	}
+	return all
+}
+
+// list sends the core a list of all live workers.
+func (b *simCell) list() {
+	var ev sched.Workers
+	for _, n := range slices.Sorted(maps.Keys(b.workers)) {
+		if w := b.workers[n]; !w.dead {
+			ev.All = append(ev.All, w.info)
+		}
+	}
+	b.step(ev)
+}
+
+func (b *simCell) after(d time.Duration, f func()) {
+	b.seq++
+	heap.Push(&b.events, timedEvent{at: b.now.Add(d), seq: b.seq, run: f})
+}
+
+func (t timedEvent) compare(o timedEvent) int { return cmp.Or(t.at.Compare(o.at), t.seq-o.seq) }
+
+// eventHeap holds the future events as a heap.
+type eventHeap []timedEvent
+
+func (a eventHeap) Len() int           { return len(a) }
+func (a eventHeap) Less(i, j int) bool { return a[i].compare(a[j]) < 0 }
+func (a eventHeap) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *eventHeap) Push(x any)        { *a = append(*a, x.(timedEvent)) }
+
+func (a *eventHeap) Pop() any {
+	last := len(*a) - 1
+	ev := (*a)[last]
+	(*a)[last] = timedEvent{}
+	*a = (*a)[:last]
+	return ev
+}
+
+// networkDelay is the one-way delay to a worker or to the store.
+const networkDelay = 500 * time.Microsecond
+
+// advance lets time pass.
+func (b *simCell) advance(d time.Duration) {
+	until := b.now.Add(d)
+	for {
+		next := b.core.Due()
+		if len(b.events) > 0 && !b.events[0].at.After(next) {
+			ev := b.events[0]
+			if ev.at.After(until) {
+				break
+			}
+			heap.Pop(&b.events)
+			if ev.at.After(b.now) {
+				b.now = ev.at
+			}
+			ev.run()
+			continue
+		}
+		if next.After(until) {
+			break
+		}
+		if next.After(b.now) {
+			b.now = next
+		} else {
+			b.now = b.now.Add(time.Millisecond)
+		}
+		b.step(sched.Tick{})
+	}
+	b.now = until
+}
+
+func (b *simCell) step(ev sched.Event) {
+	term := b.term
+	began := time.Now()
+	placed := b.core.LastPass()
+	acts := b.core.Step(b.now, ev)
+	b.coreTime += time.Since(began)
+	if b.core.LastPass() != placed {
+		b.passes++
+		b.core.RecordPassDuration(b.passTook)
+	}
+	for _, a := range acts {
+		b.execute(term, a)
+	}
+}
+
+// deliver passes a reply to the core, unless the term that asked has ended.
+func (b *simCell) deliver(term int64, ev sched.Event) {
+	if term == b.term {
+		b.step(ev)
+	}
+}
+
+func (b *simCell) execute(term int64, a sched.Action) {
+	switch a := a.(type) {
+	case sched.Append:
+		took := 3 * time.Millisecond
+		if b.storeTime != nil {
+			took = b.storeTime()
+		}
+		b.after(took, func() { b.store(term, a) })
+	case sched.Hold:
+		b.holds++
+		b.after(networkDelay, func() { b.workers[a.To.Incarnation].hold(term, a, b.now.Add(-networkDelay)) })
+	case sched.Start:
+		sent := b.seq
+		b.after(networkDelay, func() { b.workers[a.To.Incarnation].start(term, a, sent) })
+	case sched.Stop:
+		b.after(networkDelay, func() { b.workers[a.To.Incarnation].stop(term, a) })
+	case sched.Pace:
+		b.paces = append(b.paces, a)
+	case sched.QueryPolicy:
+		b.queries = append(b.queries, a)
+		took := 30 * time.Millisecond
+		if b.queryTime != nil {
+			took = b.queryTime(a)
+		}
+		b.after(took, func() { b.answerQuery(term, a) })
+	case sched.StepDown:
+		b.steppedDown = true
+	case sched.StepWaited:
+		b.stepWaits = append(b.stepWaits, a)
+	case sched.JobStarted:
+		b.jobStarts = append(b.jobStarts, a)
+	case sched.Note:
+		b.recordNote(a)
+	}
+}
+
+// recordNote records notes about some of the core's decisions.
+func (b *simCell) recordNote(a sched.Note) {
+	switch a.What {
+	case "worker resized":
+		b.resizeNotes = append(b.resizeNotes, a)
+	case "step waits":
+		b.longWaits = append(b.longWaits, a)
+	case "failed after crashes":
+		b.failedNotes = append(b.failedNotes, a)
+	}
+}
+
+func (b *simCell) store(term int64, a sched.Append) {
+	if term != b.term {
+		return
+	}
+	if b.storeDown {
+		b.after(100*time.Millisecond, func() { b.store(term, a) })
+		return
+	}
+	for _, c := range a.Changes {
+		b.stored[c.Key] = flow.NewerRecord(b.stored[c.Key], c.Value)
+	}
+	b.after(3*time.Millisecond, func() { b.deliver(term, sched.Appended{Number: a.Number}) })
+}
+
+func (b *simCell) answerQuery(term int64, a sched.QueryPolicy) {
+	good := map[string]string{}
+	for _, w := range a.Workers {
+		if b.allows == nil || b.allows(a.Step, w) {
+			good[w] = "ticket"
+		}
+	}
+	b.deliver(term, sched.PolicyReply{Step: a.Step, Host: a.Host, Tickets: good})
+}
+
+// submit submits a job whose steps run one after the other.
+func (b *simCell) submit(id, queue string, steps ...flow.Step) {
+	spec := flow.Spec{ID: id, Steps: steps}
+	for _, q := range b.queues {
+		if q.Name == queue {
+			spec.Queue = q
+		}
+	}
+	for i := range steps {
+		if i > 0 && steps[i].After == nil {
+			spec.Steps[i].After = []int{i - 1}
+		}
+	}
+	require.NoError(b.t, spec.Check())
+	b.specs[id] = spec
+	b.step(sched.Submit{Spec: spec})
+}
+
+// takeover ends the leader without a handover; another begins from what is stored.
+func (b *simCell) takeover() {
+	b.term++
+	var jobs []*flow.Job
+	var fresh []flow.Spec
+	for _, id := range slices.Sorted(maps.Keys(b.specs)) {
+		rec, ok := b.stored[id]
+		if !ok {
+			fresh = append(fresh, b.specs[id])
+			continue
+		}
+		if j, ended := flow.RestoreEnded(id, rec); ended {
+			jobs = append(jobs, j)
+			continue
+		}
+		j, err := flow.Restore(b.specs[id], rec, b.now)
+		require.NoError(b.t, err)
+		jobs = append(jobs, j)
+	}
+	b.core = sched.New(sched.DefaultLimits, b.term, jobs)
+	b.step(sched.Queues{Version: 1, All: b.queues})
+	b.step(sched.Hosts{Names: []string{"h1", "h2", "h3", "h4"}})
+	for _, s := range fresh {
+		b.step(sched.Submit{Spec: s})
+	}
+	for _, id := range b.storedCancels {
+		b.step(sched.Cancel{ID: id})
+	}
+	b.list()
+}
+
+// cancel stores a cancellation and passes it to the leader.
+func (b *simCell) cancel(id string) {
+	b.storedCancels = append(b.storedCancels, id)
+	b.cancelledAt[id] = b.now
+	b.step(sched.Cancel{ID: id})
+}
+
+func (b *simCell) violation(format string, args ...any) {
+	b.violations = append(b.violations, fmt.Sprintf(format, args...))
+}
+
+func (b *simCell) state(id string) flow.State {
+	s, ok := b.core.State(id)
+	require.True(b.t, ok, "job %s is known", id)
+	return s
+}
+
+// sortedWorkers lists the workers by name.
+func (b *simCell) sortedWorkers() []*fakeWorker {
+	var all []*fakeWorker
+	for _, n := range slices.Sorted(maps.Keys(b.workers)) {
+		all = append(all, b.workers[n])
+	}
+	return all
+}
+
+// scan returns a short step for the urgent queue, bulk a long one for the bulk queue.
+func scan(tasks int) flow.Step {
+	return flow.Step{Tasks: tasks, Size: cell.Size{CPU: 5_000, Mem: 16 << 30}, EstimatedTime: time.Second}
+}
+
+func bulk(tasks int) flow.Step {
+	return flow.Step{Tasks: tasks, Size: cell.Size{CPU: 11_000, Mem: 32 << 30}, EstimatedTime: 6 * time.Second, Checkpoints: true}
+}
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -21,9 +21,9 @@
 	// sizedAt is when its current size was first listed.
 	sizedAt time.Time
 	tasks   map[flow.Name]*flow.Task
-	// used is the capacity that tasks use, fillCPU the processors of filling tasks.
-	used    cell.Size
-	fillCPU int64
+	// used is the capacity that tasks use, bestEffortCPU the processors of best-effort tasks.
+	used          cell.Size
+	bestEffortCPU int64
 	// earmarked is the capacity that earlier steps with queries in flight are likely to use, in
 	// this pass.
 	earmarked cell.Size
@@ -81,9 +81,9 @@
 		return
 	}
 	w.tasks[t.Name] = t
-	w.used = w.used.Add(t.Spec().Room())
-	if t.Spec().Fills {
-		w.fillCPU += t.Spec().Size.CPU
+	w.used = w.used.Add(t.Spec().Demand())
+	if t.Spec().BestEffort {
+		w.bestEffortCPU += t.Spec().Size.CPU
 	}
 }
 
@@ -92,9 +92,9 @@
 		return
 	}
 	delete(w.tasks, t.Name)
-	w.used = w.used.Sub(t.Spec().Room())
-	if t.Spec().Fills {
-		w.fillCPU -= t.Spec().Size.CPU
+	w.used = w.used.Sub(t.Spec().Demand())
+	if t.Spec().BestEffort {
+		w.bestEffortCPU -= t.Spec().Size.CPU
 	}
 }
 
@@ -158,9 +158,9 @@
 		}
 		st := t.Spec()
 		switch {
-		case st.Lasts:
+		case st.LongRunning:
 			s.stopRun(t, "worker leaves")
-		case st.Saves && s.now.Add(s.limits.StopGrace).After(w.leavesAt):
+		case st.Checkpoints && s.now.Add(s.limits.StopGrace).After(w.leavesAt):
 			s.stopRun(t, "worker leaves")
 		}
 	}
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -13,7 +13,7 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Fault is one thing that is wrong with a settings file.
+// Fault is one error in a settings file.
 type Fault struct {
 	File    string
 	Line    int
@@ -26,7 +26,7 @@
 	return fmt.Sprintf("%s:%d: %s is %s, allowed is %s", f.File, f.Line, f.Key, f.Found, f.Allowed)
 }
 
-// Faults are all things that are wrong with a settings file, by line.
+// Faults are all errors in a settings file, sorted by line.
 type Faults []Fault
 
 func (f Faults) Error() string {
@@ -39,7 +39,7 @@
 
 const missing = "missing"
 
-// reader looks values up by dotted key and gathers faults as it goes.
+// reader looks up values by dotted key and collects faults.
 type reader struct {
 	path   string
 	values map[string]any
@@ -84,7 +84,7 @@
 	}
 }
 
-// keyLines finds the line of each key, by the same dotted names as flatten.
+// keyLines returns the line of each key, under the same dotted names as flatten.
 func keyLines(text []byte) map[string]int {
 	lines := map[string]int{}
 	counts := map[string]int{}
@@ -124,7 +124,7 @@
 	return strings.Join(parts, "."), line
 }
 
-func (r *reader) fault(key, found, allowed string) {
+func (r *reader) addFault(key, found, allowed string) {
 	line, ok := r.lines[key]
 	if !ok {
 		line = max(1, r.lines[key[:max(0, strings.LastIndex(key, "."))]])
@@ -132,71 +132,71 @@
 	r.faults = append(r.faults, Fault{File: r.path, Line: line, Key: key, Found: found, Allowed: allowed})
 }
 
-func (r *reader) get(key string) (any, bool) {
+func (r *reader) lookup(key string) (any, bool) {
 	r.read[key] = true
 	v, ok := r.values[key]
 	return v, ok
 }
 
 func (r *reader) text(key, or string) string {
-	v, ok := r.get(key)
+	v, ok := r.lookup(key)
 	if !ok {
 		return or
 	}
 	s, ok := v.(string)
 	if !ok {
-		r.fault(key, fmt.Sprint(v), "a text")
+		r.addFault(key, fmt.Sprint(v), "a string")
 	}
 	return s
 }
 
 func (r *reader) word(key string) string {
-	if _, ok := r.get(key); !ok {
-		r.fault(key, missing, "a word")
+	if _, ok := r.lookup(key); !ok {
+		r.addFault(key, missing, "a word without spaces or slashes")
 		return ""
 	}
 	s := r.text(key, "")
 	if strings.ContainsAny(s, " \t/") || s == "" {
-		r.fault(key, fmt.Sprintf("%q", s), "a word")
+		r.addFault(key, fmt.Sprintf("%q", s), "a word without spaces or slashes")
 	}
 	return s
 }
 
 func (r *reader) address(key string) netip.AddrPort {
-	if _, ok := r.get(key); !ok {
-		r.fault(key, missing, "an IP number and a port")
+	if _, ok := r.lookup(key); !ok {
+		r.addFault(key, missing, "an IP address and a port")
 		return netip.AddrPort{}
 	}
 	s := r.text(key, "")
 	a, err := netip.ParseAddrPort(s)
 	if err != nil {
-		r.fault(key, fmt.Sprintf("%q", s), "an IP number and a port")
+		r.addFault(key, fmt.Sprintf("%q", s), "an IP address and a port")
 	}
 	return a
 }
 
 func (r *reader) count(key string, or int64) int64 {
-	v, ok := r.get(key)
+	v, ok := r.lookup(key)
 	if !ok {
 		return or
 	}
 	n, ok := v.(int64)
 	if !ok || n < 1 {
-		r.fault(key, fmt.Sprint(v), "a whole number from 1")
+		r.addFault(key, fmt.Sprint(v), "a positive integer")
 	}
 	return n
 }
 
-func (r *reader) time(key string, or time.Duration) time.Duration {
-	return r.timeFrom(key, time.Nanosecond, or)
+func (r *reader) duration(key string, or time.Duration) time.Duration {
+	return r.durationFrom(key, time.Nanosecond, or)
 }
 
-// timeFrom reads a time that is not below least.
-func (r *reader) timeFrom(key string, least, or time.Duration) time.Duration {
+// durationFrom reads a duration that must be at least least.
+func (r *reader) durationFrom(key string, least, or time.Duration) time.Duration {
 	s := r.text(key, or.String())
 	d, err := time.ParseDuration(s)
 	if err != nil || d < least {
-		r.fault(key, fmt.Sprintf("%q", s), "a time such as 250ms or 3s")
+		r.addFault(key, fmt.Sprintf("%q", s), "a time such as 250ms or 3s")
 	}
 	return d
 }
@@ -204,7 +204,7 @@
 func (r *reader) oneOf(key, or string, allowed ...string) string {
 	s := r.text(key, or)
 	if !slices.Contains(allowed, s) {
-		r.fault(key, fmt.Sprintf("%q", s), strings.Join(allowed, ", "))
+		r.addFault(key, fmt.Sprintf("%q", s), strings.Join(allowed, ", "))
 	}
 	return s
 }
@@ -213,7 +213,7 @@
 
 func (r *reader) peers() []Peer {
 	var all []Peer
-	for i := 0; r.has(fmt.Sprintf("peers[%d].", i)); i++ {
+	for i := 0; r.hasPrefix(fmt.Sprintf("peers[%d].", i)); i++ {
 		all = append(all, Peer{
 			Name:    r.word(peerKey(i, "name")),
 			Domain:  r.word(peerKey(i, "domain")),
@@ -223,7 +223,7 @@
 	return all
 }
 
-func (r *reader) has(prefix string) bool {
+func (r *reader) hasPrefix(prefix string) bool {
 	for key := range r.values {
 		if strings.HasPrefix(key, prefix) {
 			return true
@@ -232,10 +232,10 @@
 	return false
 }
 
-func (r *reader) unknown() {
+func (r *reader) rejectUnknown() {
 	for _, key := range slices.Sorted(maps.Keys(r.values)) {
 		if !r.read[key] {
-			r.fault(key, "not known", "a key of the settings page")
+			r.addFault(key, "an unknown key", "a key of the settings page")
 		}
 	}
 }
--- a/internal/spans/spans_test.go
+++ b/internal/spans/spans_test.go
@@ -23,14 +23,14 @@
 	defer srv.Close()
 	done, err := spans.Export("nord-1", "", srv.URL+"/v1/traces")
 	require.NoError(t, err)
-	ctx, end := spans.Hop(context.Background(), "caller", "id")
-	require.NotEmpty(t, spans.Parent(ctx))
+	ctx, end := spans.Start(context.Background(), "caller", "id")
+	require.NotEmpty(t, spans.TraceParent(ctx))
 	end()
 	done()
 	require.Equal(t, "/v1/traces", <-paths)
 }
 
-func TestExportTellsAFileThatCannotBeOpened(t *testing.T) {
+func TestExportReportsFileThatCannotBeOpened(t *testing.T) {
 	_, err := spans.Export("nord-1", filepath.Join(t.TempDir(), "no", "file"), "")
 	require.Error(t, err)
 }
--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -9,37 +9,37 @@
 	"github.com/cockroachdb/errors"
 )
 
-// part is a piece of a snapshot. The log bounds a record's size, a table has no
-// such bound. Folds are equal, so the parts that two hosts wrote for the same
-// offset are equal too, and those of one may complete those of the other.
+// part is a piece of a snapshot. The log bounds the size of a record, but the table has no such
+// bound. All hosts fold the same table, so the parts that two hosts write for the same offset are
+// equal, and parts of one host can complete those of the other.
 type part struct {
-	Next  int64  `json:"next"`
-	Index int    `json:"part"`
-	Of    int    `json:"of"`
-	Whole uint64 `json:"whole"`
-	When  int64  `json:"when"`
-	Piece []byte `json:"piece"`
+	Next     int64  `json:"next"`
+	Index    int    `json:"part"`
+	Of       int    `json:"of"`
+	Checksum uint64 `json:"whole"`
+	When     int64  `json:"when"`
+	Piece    []byte `json:"piece"`
 }
 
-// gathered are the parts of one snapshot that were seen so far.
-type gathered struct {
-	first  int64
-	whole  uint64
-	when   int64
-	pieces [][]byte
+// partialSnapshot holds the parts of one snapshot that were read so far.
+type partialSnapshot struct {
+	first    int64
+	checksum uint64
+	when     int64
+	pieces   [][]byte
 }
 
 // pieceSize bounds a part so that its record stays under 256 KiB.
 const pieceSize = 96 << 10
 
-// unfinishedKept bounds the snapshots whose parts are still being gathered.
-const unfinishedKept = 8
+// maxIncomplete bounds the number of snapshots with missing parts that are kept.
+const maxIncomplete = 8
 
-// maxParts bounds what a snapshot may claim, 3 MiB; a peer's copy of it must go
-// into one message.
+// maxParts bounds the size of a snapshot to 3 MiB, because a peer's copy of it must fit into one
+// message.
 const maxParts = 32
 
-// Snapshot writes the table as records.
+// Snapshot returns the table encoded as snapshot records.
 func (t *Table) Snapshot(now time.Time) ([][]byte, error) {
 	whole, err := json.Marshal(t.state)
 	if err != nil {
@@ -48,31 +48,31 @@
 	pieces := slices.Collect(slices.Chunk(whole, pieceSize))
 	records := make([][]byte, len(pieces))
 	for i, piece := range pieces {
-		p := part{Next: t.Next, Index: i, Of: len(pieces), Whole: xxhash.Sum64(whole), When: now.UnixMilli(), Piece: piece}
-		if records[i], err = seal(kindSnapshot, p); err != nil {
+		p := part{Next: t.Next, Index: i, Of: len(pieces), Checksum: xxhash.Sum64(whole), When: now.UnixMilli(), Piece: piece}
+		if records[i], err = encodeRecord(kindSnapshot, p); err != nil {
 			return nil, err
 		}
 	}
 	return records, nil
 }
 
-// add keeps a part and tells whether the snapshot is complete.
-func (g *gathered) add(p part, offset int64) bool {
-	if g.pieces == nil || g.whole != p.Whole || len(g.pieces) != p.Of {
-		*g = gathered{first: offset, whole: p.Whole, when: p.When, pieces: make([][]byte, p.Of)}
+// add stores a part and reports whether the snapshot is complete.
+func (g *partialSnapshot) add(p part, offset int64) bool {
+	if g.pieces == nil || g.checksum != p.Checksum || len(g.pieces) != p.Of {
+		*g = partialSnapshot{first: offset, checksum: p.Checksum, when: p.When, pieces: make([][]byte, p.Of)}
 	}
 	g.pieces[p.Index] = p.Piece
 	return !slices.ContainsFunc(g.pieces, func(b []byte) bool { return b == nil })
 }
 
-func (p part) good() bool {
+func (p part) valid() bool {
 	return p.Next > 0 && p.Of > 0 && p.Of <= maxParts && p.Index >= 0 && p.Index < p.Of && p.Piece != nil
 }
 
-// state reads the table out of a complete snapshot.
-func (g *gathered) state() (state, error) {
+// state decodes the table from a complete snapshot.
+func (g *partialSnapshot) state() (state, error) {
 	whole := slices.Concat(g.pieces...)
-	if xxhash.Sum64(whole) != g.whole {
+	if xxhash.Sum64(whole) != g.checksum {
 		return state{}, &RecordError{Reason: "snapshot's checksum does not match"}
 	}
 	var s state
@@ -82,48 +82,47 @@
 	if s.Rows == nil || s.Quotas == nil {
 		return s, &RecordError{Reason: "snapshot has no rows"}
 	}
-	s.byID = map[string]Judged{}
+	s.byID = map[string]Verdict{}
 	for _, j := range s.Judged {
 		s.byID[j.ID] = j
 	}
 	return s, nil
 }
 
-// gather notes a snapshot that is met while folding. The table is already
-// there, so that only its place in the log and its age count.
-func (t *Table) gather(now time.Time, p part, offset int64) {
-	if !p.good() {
+// foldSnapshotPart records a snapshot that appears in the log while folding. The table is already
+// up to date, so only the snapshot's offset and age matter.
+func (t *Table) foldSnapshotPart(now time.Time, p part, offset int64) {
+	if !p.valid() {
 		return
 	}
-	g := t.parts[p.Next]
+	g := t.incomplete[p.Next]
 	if g == nil {
-		// A writer that died between two parts leaves some that never complete.
-		if len(t.parts) > unfinishedKept {
-			clear(t.parts)
+		// A writer that died between two parts leaves a snapshot that never completes.
+		if len(t.incomplete) > maxIncomplete {
+			clear(t.incomplete)
 		}
-		g = &gathered{}
-		t.parts[p.Next] = g
+		g = &partialSnapshot{}
+		t.incomplete[p.Next] = g
 	}
 	if !g.add(p, offset) {
 		return
 	}
-	delete(t.parts, p.Next)
-	// What a host needs to start is everything from the snapshot's own offset,
-	// which lies before its record by what was appended meanwhile.
-	t.needed = min(p.Next, g.first)
-	t.saved = earlier(now, time.UnixMilli(g.when))
-	t.dueFrom = time.Time{}
+	delete(t.incomplete, p.Next)
+	// A starting host needs everything from the snapshot's own offset on. That offset lies before
+	// the snapshot's record if other records were appended in the meantime.
+	t.oldestNeeded = min(p.Next, g.first)
+	t.snapshotTime = earlier(now, time.UnixMilli(g.when))
+	t.dueSince = time.Time{}
 }
 
-// began notes the age of the oldest record that is needed while no snapshot
-// was seen.
-func (t *Table) began(now time.Time, when int64) {
-	if t.saved.IsZero() && when > 0 {
-		t.saved = earlier(now, time.UnixMilli(when))
+// recordEditTime records the age of the oldest needed record while no snapshot was read.
+func (t *Table) recordEditTime(now time.Time, when int64) {
+	if t.snapshotTime.IsZero() && when > 0 {
+		t.snapshotTime = earlier(now, time.UnixMilli(when))
 	}
 }
 
-// earlier returns the writer's time unless its clock is ahead of this host's.
+// earlier returns the writer's time, or now if the writer's clock is ahead of this host's.
 func earlier(now, written time.Time) time.Time {
 	if written.After(now) {
 		return now
@@ -131,33 +130,33 @@
 	return written
 }
 
-// catchUp starts from the newest complete snapshot whose following records are
-// all there. Without one the table stays as it is: an older table that is in
-// force is better than a hole in a newer one.
+// catchUp starts from the newest complete snapshot for which all following records are available.
+// Without one the table stays as it is: an older table in force is better than a newer one that
+// misses records.
 func (t *Table) catchUp(now time.Time, entries []Entry) []Action {
 	if len(entries) > 0 && entries[0].Offset <= t.Next {
 		return t.foldAll(now, entries)
 	}
-	start, ok := t.bestStart(entries)
+	start, ok := t.newestUsableSnapshot(entries)
 	if !ok {
-		return []Action{Lost{Want: t.Next}}
+		return []Action{SnapshotMissing{Want: t.Next}}
 	}
 	t.restore(start)
 	acts := []Action{Restored{Next: start.Next}}
 	return append(acts, t.foldAll(now, entries)...)
 }
 
-func (t *Table) bestStart(entries []Entry) (state, bool) {
-	parts := map[int64]*gathered{}
+func (t *Table) newestUsableSnapshot(entries []Entry) (state, bool) {
+	parts := map[int64]*partialSnapshot{}
 	best := state{}
 	for _, e := range entries {
 		v, err := Decode(e.Body)
 		p, ok := v.(part)
-		if err != nil || !ok || !p.good() {
+		if err != nil || !ok || !p.valid() {
 			continue
 		}
 		if parts[p.Next] == nil {
-			parts[p.Next] = &gathered{}
+			parts[p.Next] = &partialSnapshot{}
 		}
 		if !parts[p.Next].add(p, e.Offset) || p.Next < max(t.Next, best.Next, entries[0].Offset) {
 			continue
@@ -169,13 +168,13 @@
 	return best, best.Next > 0
 }
 
-// copyFrom takes a peer's table if it is further on than this one.
-func (t *Table) copyFrom(records [][]byte) []Action {
-	g := gathered{}
+// restoreFromPeer replaces the table by a peer's if the peer's is newer.
+func (t *Table) restoreFromPeer(records [][]byte) []Action {
+	g := partialSnapshot{}
 	for _, b := range records {
 		v, err := Decode(b)
 		p, ok := v.(part)
-		if err != nil || !ok || !p.good() || !g.add(p, p.Next) {
+		if err != nil || !ok || !p.valid() || !g.add(p, p.Next) {
 			continue
 		}
 		s, err := g.state()
@@ -183,24 +182,24 @@
 			return nil
 		}
 		t.restore(s)
-		// The copy's writer minds the snapshots that lie before it.
-		t.needed = s.Next
+		// The writer of the copy takes care of the snapshots that lie before it.
+		t.oldestNeeded = s.Next
 		return []Action{Restored{Next: t.Next}}
 	}
 	return nil
 }
 
-// restore replaces the table. Records that the snapshot's writer did not know
+// restore replaces the table by a snapshot's. Records that the writer of the snapshot did not know
 // are folded now if this version knows them.
 func (t *Table) restore(s state) {
-	passed := s.Passed
-	s.Passed = nil
+	skipped := s.Skipped
+	s.Skipped = nil
 	next, digest := s.Next, s.Digest
 	t.state = s
-	t.parts = map[int64]*gathered{}
-	for _, p := range passed {
+	t.incomplete = map[int64]*partialSnapshot{}
+	for _, p := range skipped {
 		if _, err := Decode(p.Body); err != nil {
-			t.Passed = append(t.Passed, p)
+			t.Skipped = append(t.Skipped, p)
 			continue
 		}
 		t.fold(time.Time{}, Entry(p))
@@ -208,37 +207,39 @@
 	t.Next, t.Digest = next, digest
 }
 
-// When a snapshot is due.
+// Conditions under which a snapshot is due.
 const (
-	// SnapshotAge is the age at which the newest snapshot is written again. The
-	// log keeps records for a limited time, at least a day, also when nobody
-	// edits anything: a quarter of that leaves three more tries.
+	// SnapshotAge is the age at which the newest snapshot is written again. The log keeps records
+	// for a limited time, at least a day, even if nobody edits anything. A quarter of that leaves
+	// three more tries.
 	SnapshotAge = 6 * time.Hour
-	// snapshotRecords is how many records a new host folds at most before that.
-	snapshotRecords = 512
-	// snapshotTurn is how long each host leaves the write to those before it.
-	snapshotTurn = 3 * time.Second
+	// maxRecordsAfterSnapshot is how many records a new host folds at most before another snapshot
+	// is due.
+	maxRecordsAfterSnapshot = 512
+	// rankDelay is how long a host waits, for each host of lower rank, to let that host write the
+	// snapshot.
+	rankDelay = 3 * time.Second
 )
 
-// due asks for a snapshot while what is needed to start a host lies in the
-// older half of what the log keeps, or the last one is old.
-func (t *Table) due(now time.Time, ev Tick) []Action {
-	if !t.needsSaving(now, ev.Oldest) {
-		t.dueFrom = time.Time{}
+// snapshotIfDue returns a snapshot to append if the records that a starting host needs begin in the
+// older half of the log, if too many records follow the last snapshot, or if that is too old.
+func (t *Table) snapshotIfDue(now time.Time, ev Tick) []Action {
+	if !t.needsSnapshot(now, ev.Oldest) {
+		t.dueSince = time.Time{}
 		return nil
 	}
-	if t.dueFrom.IsZero() {
-		t.dueFrom = now
+	if t.dueSince.IsZero() {
+		t.dueSince = now
 	}
-	if now.Sub(t.dueFrom) < time.Duration(ev.Rank)*snapshotTurn {
+	if now.Sub(t.dueSince) < time.Duration(ev.Rank)*rankDelay {
 		return nil
 	}
 	records, err := t.Snapshot(now)
 	if err != nil {
 		return nil
 	}
-	// The next try is due only after every host has had its turn.
-	t.dueFrom = now.Add(snapshotTurn)
+	// The next try is due only after every host had its turn.
+	t.dueSince = now.Add(rankDelay)
 	acts := make([]Action, len(records))
 	for i, b := range records {
 		acts[i] = Append{Body: b}
@@ -246,14 +247,14 @@
 	return acts
 }
 
-func (t *Table) needsSaving(now time.Time, oldest int64) bool {
+func (t *Table) needsSnapshot(now time.Time, oldest int64) bool {
 	if t.Next == 1 {
 		return false
 	}
-	if t.saved.IsZero() {
-		t.saved = now
+	if t.snapshotTime.IsZero() {
+		t.snapshotTime = now
 	}
-	needed := max(t.needed, 1)
+	needed := max(t.oldestNeeded, 1)
 	half := oldest > 1 && needed-oldest < (t.Next-oldest)/2
-	return half || t.Next-needed > snapshotRecords || now.Sub(t.saved) > SnapshotAge
+	return half || t.Next-needed > maxRecordsAfterSnapshot || now.Sub(t.snapshotTime) > SnapshotAge
 }
--- a/internal/trail/trail.go
+++ b/internal/trail/trail.go
@@ -1,5 +1,5 @@
-// Package trail keeps a bounded record of decisions, so that an operator can
-// ask why a job or request waits, where it was tried and what was refused.
+// Package trail keeps a bounded history of decisions, so that an operator can find out why a job or
+// request waits, where it was tried and what was refused.
 package trail
 
 import (
@@ -10,13 +10,13 @@
 
 // Note is one decision about one id.
 type Note struct {
-	At   time.Time `json:"at"`
-	ID   string    `json:"id"`
-	Part string    `json:"part"`
-	What string    `json:"what"`
+	At        time.Time `json:"at"`
+	ID        string    `json:"id"`
+	Component string    `json:"part"`
+	Message   string    `json:"what"`
 }
 
-// Trail is a ring of the newest notes. It is safe for concurrent use.
+// Trail is a ring buffer of the newest notes. It is safe for concurrent use.
 type Trail struct {
 	mu    sync.Mutex
 	notes []Note
@@ -26,7 +26,7 @@
 // New returns a trail that keeps the newest size notes.
 func New(size int) *Trail { return &Trail{notes: make([]Note, 0, size)} }
 
-// Add keeps one note and drops the oldest when full.
+// Add stores a note and drops the oldest one if the trail is full.
 func (t *Trail) Add(n Note) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -38,28 +38,28 @@
 	t.next = (t.next + 1) % len(t.notes)
 }
 
-// Merge adds notes that another host made, without those that are here already:
-// a hand-over whose answer was lost brings them twice.
+// Merge adds the notes of another host, except those that are already present: a handover that is
+// repeated because its reply was lost delivers them twice.
 func (t *Trail) Merge(notes []Note) {
 	for _, n := range notes {
-		known := func(o Note) bool { return o.At.Equal(n.At) && o.What == n.What }
-		if !slices.ContainsFunc(t.Of(n.ID), known) {
+		known := func(o Note) bool { return o.At.Equal(n.At) && o.Message == n.Message }
+		if !slices.ContainsFunc(t.ByID(n.ID), known) {
 			t.Add(n)
 		}
 	}
 }
 
-// Brief returns at most n notes about one id: the first and the last ones.
-func (t *Trail) Brief(id string, n int) []Note {
-	all := t.Of(id)
+// Excerpt returns at most n notes about one id: the first one and the last ones.
+func (t *Trail) Excerpt(id string, n int) []Note {
+	all := t.ByID(id)
 	if len(all) <= n {
 		return all
 	}
 	return slices.Delete(all, 1, 1+len(all)-n)
 }
 
-// Of returns the notes about one id, oldest first.
-func (t *Trail) Of(id string) []Note {
+// ByID returns the notes about one id, oldest first.
+func (t *Trail) ByID(id string) []Note {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var found []Note
--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -62,11 +62,11 @@
 	cell     *standin.Cell
 	users    standin.Users
 	more     func(host string) string
-	machines []platform.Machine
+	machines []platform.HostEntry
 	machine  map[string]*toxiproxy.Proxy
 	nodes    []*node
 	tally    *audit.Tally
-	names    audit.Names
+	names    audit.RowNames
 	// left is how many requests a leaving minion had run when its time was over.
 	left  int
 	stop  context.CancelFunc
@@ -86,7 +86,7 @@
 	t.Cleanup(c.Close)
 	ctx, stop := context.WithCancel(context.Background())
 	b := &bench{
-		t: t, cell: c, machine: map[string]*toxiproxy.Proxy{}, tally: audit.NewTally(), names: audit.NamesOf(users), stop: stop, users: users, more: more,
+		t: t, cell: c, machine: map[string]*toxiproxy.Proxy{}, tally: audit.NewTally(), names: audit.RowNamesOf(users), stop: stop, users: users, more: more,
 		proxies: toxiproxy.NewServer(toxiproxy.NewMetricsContainer(prometheus.NewRegistry()), zerolog.Nop()),
 	}
 	for _, m := range c.Machines {
@@ -334,7 +334,7 @@
 
 // run plays the callers, brings about a fault meanwhile, mends it and returns
 // what was broken once all accepted jobs have had their time to end.
-func (b *bench) run(fault func(b *bench), heal func(b *bench)) audit.WrongError {
+func (b *bench) run(fault func(b *bench), heal func(b *bench)) audit.ViolationsError {
 	ctx, cancel := context.WithTimeout(context.Background(), calmFor+faultFor+healedFor)
 	defer cancel()
 	var wg sync.WaitGroup
@@ -361,12 +361,12 @@
 	}
 }
 
-func (b *bench) settle() audit.WrongError {
+func (b *bench) settle() audit.ViolationsError {
 	end := time.Now().Add(settleFor)
-	w := b.tally.Wrong(b.cell.Report())
+	w := b.tally.Violations(b.cell.Report())
 	for w.Lost > 0 && time.Now().Before(end) {
 		time.Sleep(settlePoll)
-		w = b.tally.Wrong(b.cell.Report())
+		w = b.tally.Violations(b.cell.Report())
 	}
 	return w
 }
