--- a/internal/commands/commands.go
+++ b/internal/commands/commands.go
@@ -1,5 +1,5 @@
-// Package commands holds the command line: one file a command, which
-// registers itself.
+// Package commands implements the command line. Each subcommand has its own file and
+// registers itself from an init function.
 package commands
 
 import (
@@ -14,7 +14,7 @@
 
 type command struct {
 	name, about string
-	// flags adds the command's flags; run carries it out.
+	// flags, if set, adds the command's flags to its parser. run executes the command.
 	flags func(*flaggy.Subcommand)
 	run   func() error
 }
@@ -23,7 +23,7 @@
 
 func register(c command) { all = append(all, c) }
 
-// Run carries out one command line and returns the exit status.
+// Run parses and executes one command line and returns the exit status.
 func Run(args []string) int {
 	p := flaggy.NewParser("pollencroft")
 	p.Description = "a cluster scheduler for unlike workloads"
--- a/internal/commands/entry.go
+++ b/internal/commands/entry.go
@@ -14,7 +14,8 @@
 	"pollencroft/internal/logs"
 )
 
-// settingsVariable holds the path of the settings file that the platform writes.
+// settingsVariable is the environment variable that holds the path of the settings file
+// written by the platform.
 const settingsVariable = "POLLENCROFT_CONFIG"
 
 func init() {
@@ -29,12 +30,15 @@
 }
 
 const (
-	// collect is the collector's aim in percent: the host's live memory is a few
-	// MiB, and collecting at twice that costs more processor than it saves memory.
+	// collect is the garbage collector's target percentage. The host's live heap is only a
+	// few MiB, so collecting each time it doubles would cost more CPU time than the memory
+	// that it saves is worth.
 	collect = 400
-	// share is the part of the memory from which the collector works harder.
+	// share is the fraction of the host's memory that is set as the garbage collector's soft
+	// limit.
 	share = 0.6
-	// lastLines is how long a stop waits for its last lines to be read.
+	// lastLines is how long a stopping host waits until its remaining log lines are written
+	// to standard output.
 	lastLines = 200 * time.Millisecond
 )
 
--- a/internal/commands/explain.go
+++ b/internal/commands/explain.go
@@ -29,7 +29,8 @@
 	})
 }
 
-// explainLogs prints the story of an id from log lines of any number of hosts.
+// explainLogs prints the timeline of the job or request with this ID, extracted from the log
+// lines on standard input. The lines may come from any number of hosts.
 func explainLogs(id string) error {
 	lines, err := story.Read(os.Stdin, id)
 	if err != nil {
--- a/internal/commands/operator.go
+++ b/internal/commands/operator.go
@@ -17,12 +17,12 @@
 	"pollencroft/pkg/client"
 )
 
-// remote are the flags of commands that ask a running host.
+// remote holds the flags of the commands that connect to a running host.
 type remote struct {
 	host, token string
 	json        bool
-	// cert, key and ca are PEM files; server is the name in the host's
-	// certificate, "host.domain". A ca alone goes with a token.
+	// cert, key and ca are paths of PEM files. server is the name in the host's certificate,
+	// "host.domain". If ca is given without cert, the operator authenticates with the token.
 	cert, key, ca, server string
 }
 
@@ -74,7 +74,7 @@
 	return cfg, errors.Wrap(err, "read operator's certificate")
 }
 
-// Usual addresses of a host that is started by hand.
+// Default listener addresses of a host that is started by hand.
 const (
 	usualCaller   = "127.0.0.1:7001"
 	usualOperator = "127.0.0.1:7002"
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// show fetches one of the operators' pages and prints it.
+// show fetches a page from the host's operator listener and prints it as JSON.
 func (o *remote) show(path string) error {
 	c, ctx, cancel, err := o.dial()
 	if err != nil {
--- a/internal/commands/pages_test.go
+++ b/internal/commands/pages_test.go
@@ -11,6 +11,7 @@
 	"pollencroft/internal/settings"
 )
 
+// page returns the text of a manual page without its font markup.
 func page(t *testing.T, name string) string {
 	t.Helper()
 	b, err := os.ReadFile("../../doc/" + name)
@@ -18,8 +19,8 @@
 	return strings.NewReplacer(`\-`, "-", `\fR`, "", `\fB`, "", `\fI`, "").Replace(string(b))
 }
 
-// An operator at night trusts the page. Each command and each of its flags
-// that --help shows must be on it.
+// Operators rely on the manual page during incidents, so it must contain every command and
+// every flag that --help shows.
 func TestManPageNamesEveryCommandAndFlag(t *testing.T) {
 	text := page(t, "pollencroft.1")
 	for _, c := range all {
--- a/internal/commands/serve.go
+++ b/internal/commands/serve.go
@@ -25,8 +25,8 @@
 	})
 }
 
-// memoryLimit is where the collector begins to work harder: a host may use
-// 256 MB, and what callers hold is bounded well below.
+// memoryLimit is the garbage collector's soft limit. A host may use 256 MB, and the memory
+// that callers can occupy is bounded well below this limit.
 const memoryLimit = 224 << 20
 
 func serve(file string) error {
@@ -52,8 +52,8 @@
 	return stopOnSignal(h, cfg.Limits.DrainTimeout)
 }
 
-// stopOnSignal begins a planned stop on the first signal and ends the host at
-// once on the second.
+// stopOnSignal begins a planned stop on the first signal and exits the process immediately on
+// the second.
 func stopOnSignal(h *host.Host, drain time.Duration) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
@@ -64,8 +64,8 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), drain)
 	defer cancel()
-	// Nothing that hangs may hold up the second signal: the system closes what
-	// is open.
+	// The second signal must end the process even if the planned stop hangs. The operating
+	// system closes the open files and sockets.
 	go func() {
 		<-signals
 		os.Exit(1)
--- a/internal/commands/table.go
+++ b/internal/commands/table.go
@@ -16,10 +16,11 @@
 	"pollencroft/internal/table"
 )
 
-// maxWords bounds the words after a verb: a row and its fields.
+// maxWords is the maximum number of arguments after the verb: a row name and its fields.
 const maxWords = 16
 
-// tableVerbs are what the table command can do.
+// tableVerbs maps each verb of the table command to its implementation. The empty verb shows
+// the table.
 var tableVerbs = map[string]func(o remote, words []string) error{
 	"":       func(o remote, _ []string) error { return showTable(o) },
 	"set":    setRow,
@@ -59,6 +60,8 @@
 	})
 }
 
+// given returns the arguments before the first empty one, since the parser leaves arguments
+// that are not on the command line empty.
 func given(words []string) []string {
 	for i, w := range words {
 		if w == "" {
@@ -68,7 +71,8 @@
 	return words
 }
 
-// page fetches one of the operators' pages.
+// page fetches a page from the host's operator listener and decodes it into the value that
+// into points to.
 func (o remote) page(path string, into any) error {
 	c, ctx, cancel, err := o.dial()
 	if err != nil {
@@ -78,7 +82,8 @@
 	return c.Get(ctx, path, into)
 }
 
-// lines prints v as JSON if that was asked for, else as aligned lines.
+// lines prints v as JSON if --json is set. Otherwise it prints an aligned table with the column
+// heads in head and the rows that each writes.
 func (o remote) lines(v any, head string, each func(w io.Writer)) error {
 	if o.json {
 		return printJSON(v)
@@ -105,7 +110,8 @@
 	})
 }
 
-// bounded shows a limit; none is a dash, since 0 would read as "nothing allowed".
+// bounded formats a limit. The absence of a limit is shown as a dash, because 0 would read as
+// "nothing allowed".
 func bounded(n int64) string {
 	if n == 0 || n == table.NoLimit {
 		return "-"
@@ -160,7 +166,8 @@
 	})
 }
 
-// fields reads field=value words; a dot in a name goes into an object.
+// fields parses arguments of the form field=value. A dot in a field name addresses a field of a
+// nested object.
 func fields(words []string) (map[string]any, error) {
 	all := map[string]any{}
 	for _, word := range words {
@@ -183,7 +190,8 @@
 	return all, nil
 }
 
-// jsonValue takes numbers, true, false and JSON as they are and all else as text.
+// jsonValue returns s unchanged if it is valid JSON, such as a number or a boolean, and encodes
+// it as a JSON string otherwise.
 func jsonValue(s string) json.RawMessage {
 	if json.Valid([]byte(s)) {
 		return json.RawMessage(s)
--- a/internal/commands/table_test.go
+++ b/internal/commands/table_test.go
@@ -19,7 +19,7 @@
 	"pollencroft/internal/standin"
 )
 
-// run carries out one command line and returns its status and output.
+// run executes one command line and returns its exit status and output.
 func run(t *testing.T, args ...string) (int, string) {
 	t.Helper()
 	r, w, err := os.Pipe()
@@ -34,9 +34,9 @@
 	return status, string(b)
 }
 
-// Two operators edit the whole table at the same time. The slower one's file
-// must change only the rows that it touched, and a row that both touched is
-// shown with both values instead of being overwritten.
+// Two operators edit a dump of the whole table at the same time. The operator who loads the file
+// last must change only the rows that he edited. A row that both edited must not be overwritten:
+// the command reports it as lost and prints both values.
 func TestLoadShowsALostRaceWithBothValues(t *testing.T) {
 	srv := httptest.NewServer(standin.NewPlatform().Handler())
 	defer srv.Close()
--- a/internal/commands/tableset.go
+++ b/internal/commands/tableset.go
@@ -20,7 +20,8 @@
 	return words[0], nil
 }
 
-// put sends the fields among words to a page named after the first word.
+// put sends an edit to the host. The first argument is the name of the row or team, which is
+// appended to page, and the others are its fields. what names the first argument in errors.
 func (o remote) put(page, what string, words []string) error {
 	name, err := firstWord(words, what)
 	if err != nil {
@@ -62,8 +63,9 @@
 	return c.DropRow(ctx, name, "")
 }
 
-// dumpTable and loadTable stand for an "edit" that would start the operator's
-// editor: a process starts no other process. The editor runs between the two.
+// dumpTable writes the table to a file. Together with loadTable it replaces an "edit" command
+// that starts the operator's editor, because a process of this program must not start other
+// processes. The operator runs the editor between the two commands.
 func dumpTable(o remote, words []string) error {
 	file, err := firstWord(words, "file")
 	if err != nil {
@@ -80,20 +82,21 @@
 	return errors.Wrap(os.WriteFile(file, text, 0o600), "write table")
 }
 
-// LostError tells how many of the changed rows lost a race.
+// LostError reports how many of the changed rows were not written because of a concurrent edit.
 type LostError struct{ Lost, Sent int }
 
 func (e *LostError) Error() string {
 	return fmt.Sprintf("%d of %d changed rows lost a race; dump again and repeat them", e.Lost, e.Sent)
 }
 
-// result is what became of one changed row.
+// result is the outcome of one changed row.
 type result struct {
 	Row   string             `json:"row"`
 	State string             `json:"state"`
 	Lost  []sheet.Difference `json:"lost,omitempty"`
 }
 
+// loadTable sends the rows that were changed in a file written by dumpTable.
 func loadTable(o remote, words []string) error {
 	file, err := firstWord(words, "file")
 	if err != nil {
@@ -107,8 +110,8 @@
 	if err != nil {
 		return err
 	}
-	// All rows are tried before the first is written, so that a mistyped column
-	// in one row does not leave half of the file in force.
+	// All rows are validated before the first one is written, so that a mistyped column in one
+	// row does not leave the file half applied.
 	for _, ch := range changes {
 		if err := o.send(ch, true); err != nil && !errors.As(err, new(*client.RaceError)) {
 			return errors.Wrapf(err, "row %s", ch.Row)
@@ -165,7 +168,7 @@
 	}
 }
 
-// send sends one change, or only asks whether it would be accepted.
+// send sends one change to the host. If try is set, the host only validates the change.
 func (o remote) send(ch sheet.Change, try bool) error {
 	c, ctx, cancel, err := o.dial()
 	if err != nil {
