--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -18,29 +18,29 @@
 	"github.com/google/uuid"
 )
 
-// Outcomes of a request.
+// Outcomes of a request, as the host reports them.
 const (
 	Done    = "done"
 	Refused = "refused"
 	Unknown = "unknown"
 )
 
-// Client asks one entry host. It is safe for concurrent use.
+// Client sends requests to one entry host. It is safe for concurrent use.
 type Client struct {
 	base  string
 	token string
 	http  *http.Client
 }
 
-// New returns a client of the host at addr. Token is for operators only; rt
-// may be nil.
+// New returns a client of the host at addr. Only operators need a token. If rt is nil, the client
+// uses http.DefaultTransport.
 func New(addr netip.AddrPort, token string, rt http.RoundTripper) *Client {
 	return &Client{base: "http://" + addr.String(), token: token, http: &http.Client{Transport: rt}}
 }
 
-// NewTLS returns a client of an operators' listener that speaks TLS. The
-// configuration holds the authorities to trust and, in place of a token, an
-// operator's certificate; ServerName is "host.domain" of the host.
+// NewTLS returns a client that connects to a host's operator listener with TLS. cfg contains the
+// trusted certificate authorities and, if the operator has no token, the operator's certificate.
+// Its ServerName is "host.domain" of the host.
 func NewTLS(addr netip.AddrPort, token string, cfg *tls.Config) *Client {
 	rt := &http.Transport{TLSClientConfig: cfg}
 	return &Client{base: "https://" + addr.String(), token: token, http: &http.Client{Transport: rt}}
@@ -58,26 +58,26 @@
 	Body     []byte
 }
 
-// Reply is a whole reply.
+// Reply is a reply that was received completely.
 type Reply struct {
 	Outcome string
 	Status  int
 	Body    []byte
-	// Again is how long to wait before the next try.
+	// Again is how long the caller should wait before it retries the request.
 	Again time.Duration
 }
 
-// NoReplyError tells that the host gave no whole reply: whether the request
-// ran is unknown.
+// NoReplyError reports that no complete reply was received from the host. It is unknown whether
+// the request ran.
 type NoReplyError struct{ Cause error }
 
 func (e *NoReplyError) Error() string { return "no whole reply: " + e.Cause.Error() }
 
-// Unwrap returns the transport's error.
+// Unwrap returns the error of the transport.
 func (e *NoReplyError) Unwrap() error { return e.Cause }
 
-// StatusError is a refusal with its reason. Outcome is empty for operators'
-// pages and for what did not come from a host.
+// StatusError reports a refused request and the reason. Outcome is empty for requests to the
+// operator listener and for replies that do not come from a host.
 type StatusError struct {
 	Status  int
 	Outcome string
@@ -86,8 +86,8 @@
 
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d: %s", e.Status, e.Reason) }
 
-// RaceError tells that an edit lost a race: Row is the row as it is, in JSON,
-// null for none.
+// RaceError reports that an edit was rejected because of a concurrent edit. Row is the current row
+// in JSON, or null if there is none.
 type RaceError struct {
 	Reason string
 	Row    json.RawMessage
@@ -95,11 +95,12 @@
 
 func (e *RaceError) Error() string { return "lost the race: " + e.Reason }
 
-// UnsureError tells that nobody knows yet what becomes of an edit; GET
-// /edits/ID tells once it is known.
+// UnsureError reports that it is not yet known whether an edit was written. GET /edits/ID returns
+// the outcome once it is known.
 type UnsureError struct {
 	ID string
-	// Cause is why there is no reply, nil when the host itself does not know.
+	// Cause is the reason why there is no reply. It is nil if the host replied that it does not
+	// know the outcome.
 	Cause error
 }
 
@@ -107,7 +108,7 @@
 	return "unknown whether the edit was written; ask for edit " + e.ID
 }
 
-// Unwrap returns why there is no reply.
+// Unwrap returns the reason why there is no reply.
 func (e *UnsureError) Unwrap() error { return e.Cause }
 
 // Do sends a request to a backend server through the host.
@@ -147,14 +148,15 @@
 	}, nil
 }
 
-// Size is what a task needs: millicores, bytes and accelerators.
+// Size is the resource request of a task: CPU in millicores, memory in bytes and the number of
+// accelerators.
 type Size struct {
 	CPU   int64 `json:"cpu"`
 	Mem   int64 `json:"mem"`
 	Accel int64 `json:"accel"`
 }
 
-// Job is a job to run; Time is the declared run time of a task in seconds.
+// Job describes a job to run. Time is the declared run time of one task in seconds.
 type Job struct {
 	Workload string  `json:"workload"`
 	Tasks    int     `json:"tasks"`
@@ -164,7 +166,7 @@
 	Key      string  `json:"key,omitempty"`
 }
 
-// JobStatus is what the host says of a job.
+// JobStatus is the status of a job as reported by the host.
 type JobStatus struct {
 	ID      string         `json:"id"`
 	State   string         `json:"state"`
@@ -172,45 +174,48 @@
 	Outcome string         `json:"outcome"`
 	Tasks   map[string]int `json:"tasks"`
 	Wait    string         `json:"wait"`
-	// Reason tells why the job was given up; empty: it was not.
+	// Reason is why the job was abandoned. It is empty if the job was not abandoned.
 	Reason string `json:"reason"`
 }
 
-// Submit hands in a job.
+// Submit submits a job.
 func (c *Client) Submit(ctx context.Context, j Job) (JobStatus, error) {
 	var s JobStatus
 	return s, c.json(ctx, http.MethodPost, "/jobs", nil, j, &s)
 }
 
-// Job asks after a job.
+// Job returns the status of a job.
 func (c *Client) Job(ctx context.Context, id string) (JobStatus, error) {
 	var s JobStatus
 	return s, c.json(ctx, http.MethodGet, "/jobs/"+id, nil, nil, &s)
 }
 
-// Cancel asks that a job stops.
+// Cancel requests that a job be stopped.
 func (c *Client) Cancel(ctx context.Context, id string) (JobStatus, error) {
 	var s JobStatus
 	return s, c.json(ctx, http.MethodDelete, "/jobs/"+id, nil, nil, &s)
 }
 
-// SetRow changes a row's fields; version is the one that was seen, or empty.
-// The error is a RaceError or an UnsureError when that is how it ended.
+// SetRow changes fields of a row. version is the version on which the edit is based, or empty for
+// an unconditional edit. The error is a RaceError if a concurrent edit was written first, and an
+// UnsureError if the outcome of the edit is unknown.
 func (c *Client) SetRow(ctx context.Context, row, version string, fields any) error {
 	return c.Put(ctx, "/table/"+row, version, fields, nil)
 }
 
-// DropRow drops a row as SetRow changes one.
+// DropRow deletes a row. The version and the errors are the same as for SetRow.
 func (c *Client) DropRow(ctx context.Context, row, version string) error {
 	return c.json(ctx, http.MethodDelete, "/table/"+row, ifMatch(version), nil, nil)
 }
 
-// Put changes one of the operators' pages and reads what it is then into into,
-// which may be nil.
+// Put sends an edit to a path of the host's operator listener and decodes the new state into the
+// value that into points to. into may be nil. The version and the errors are the same as for SetRow.
 func (c *Client) Put(ctx context.Context, path, version string, body, into any) error {
 	return c.json(ctx, http.MethodPut, path, ifMatch(version), body, into)
 }
 
+// ifMatch returns the headers of an edit: the expected version, if any, a fresh edit ID and the
+// author.
 func ifMatch(version string) http.Header {
 	h := http.Header{}
 	if version != "" {
@@ -223,12 +228,13 @@
 	return h
 }
 
-// Get reads one of the operators' pages into into.
+// Get fetches a path of the host's operator listener and decodes the reply into the value that into
+// points to.
 func (c *Client) Get(ctx context.Context, path string, into any) error {
 	return c.json(ctx, http.MethodGet, path, nil, nil, into)
 }
 
-// Post asks for one of the operators' actions.
+// Post requests an operator action, such as /drain.
 func (c *Client) Post(ctx context.Context, path string) error {
 	return c.json(ctx, http.MethodPost, path, nil, nil, nil)
 }
@@ -278,7 +284,8 @@
 	Row   json.RawMessage `json:"row"`
 }
 
-// editError reads the two answers to an edit that an operator acts on.
+// editError returns a RaceError or an UnsureError if the reply to an edit reports one, and nil
+// otherwise.
 func editError(reply Reply) error {
 	var f editFailure
 	if reply.Status < http.StatusBadRequest || json.Unmarshal(reply.Body, &f) != nil {
