--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Standin runs small stand-ins of the platform, the workers and the backend
-// servers of one deployment, for trying out real hosts by hand.
+// Standin runs simple fakes of the platform, the workers and the backend servers of one
+// deployment, so that real hosts can be tried out by hand.
 package main
 
 import (
