--- a/main.go
+++ b/main.go
@@ -1,5 +1,5 @@
-// Pollencroft schedules unlike workloads in one cell: requests to backend
-// servers and jobs on workers.
+// Pollencroft is a cluster scheduler for one cell. It schedules different kinds of workload: requests
+// to backend servers and jobs on workers.
 package main
 
 import (
