--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,7 +1,7 @@
-// Package demo runs a whole cell in one process on stand-ins: entry hosts,
-// all four kinds of workload, a row that changes, a host that is killed and
-// one that is stopped in a planned way. What went wrong is counted from the
-// stand-ins' records, not from the hosts' word.
+// Package demo runs a whole cell in one process. The entry hosts are real; the platform, the
+// workers and the backend servers are fakes from package standin. The demo runs all four kinds of
+// workload while it changes a row, kills a host and stops another host in a planned way. It counts
+// violations from the records of the fakes, not from what the hosts report.
 package demo
 
 import (
@@ -25,7 +25,7 @@
 	"pollencroft/pkg/client"
 )
 
-// Times of the demo.
+// Timeouts and the schedule of the demo.
 const (
 	readyWait  = 5 * time.Second
 	changeAt   = 3 * time.Second
@@ -34,34 +34,34 @@
 	loadFor    = 12 * time.Second
 	settleWait = 12 * time.Second
 
-	// vouchAfter is how long a host that starts takes keys for unknown: its
-	// predecessor may have run them.
+	// vouchAfter is how long after its start a host replies that the outcome of a new
+	// idempotency key is unknown, because its previous incarnation may have run the request.
 	vouchAfter  = 2100 * time.Millisecond
 	ledWithin   = 30 * time.Second
 	settlePause = 200 * time.Millisecond
 )
 
-// How many callers of each kind the demo plays.
+// Number of simulated callers of each kind.
 const (
 	urgentCallers = 24
 	floodCallers  = 480
 	batchCallers  = 3
 )
 
-// UsersError tells that no deployment has that name.
+// UsersError reports that there is no deployment with this name.
 type UsersError struct{ Name string }
 
 func (e *UsersError) Error() string { return "no deployment is called " + e.Name }
 
-// LedError tells that hosts did not lead all workers in time.
+// LedError reports that some workers still had no leading host when the timeout expired.
 type LedError struct{ Led, Workers int }
 
 func (e *LedError) Error() string {
 	return fmt.Sprintf("only %d of %d workers are led", e.Led, e.Workers)
 }
 
-// Run plays the demo and prints its progress and tables to out. It returns a
-// audit.WrongError if any count of the last line is not zero.
+// Run runs the demo and prints its progress and result tables to out. It returns an
+// audit.ViolationsError if any violation count of the last line is not zero.
 func Run(out io.Writer, users string) error {
 	for _, u := range []standin.Users{standin.Kronach, standin.Inzira} {
 		if u.Name == users {
@@ -115,7 +115,8 @@
 	_, _ = fmt.Fprintf(s.out, "%5.1fs  %s\n", time.Since(s.began).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// waitForWorkers waits as long as hosts that start together do before they lead workers.
+// waitForWorkers waits until every worker is led by a host. Hosts that start together delay
+// leading workers.
 func (s *show) waitForWorkers() error {
 	for end := time.Now().Add(ledWithin); ; time.Sleep(100 * time.Millisecond) {
 		led := 0
@@ -131,8 +132,8 @@
 	}
 }
 
-// startHosts opens all sockets first, so that every host's settings can name
-// its peers.
+// startHosts opens the sockets of all hosts before it starts the first host, so that the settings
+// of every host can list the addresses of its peers.
 func (s *show) startHosts() error {
 	u := s.cell.Users
 	var all []settings.Settings
@@ -179,7 +180,7 @@
 	})
 }
 
-// NotReadyError tells that a host did not become ready in time.
+// NotReadyError reports that a host did not become ready before the timeout.
 type NotReadyError struct{ Name string }
 
 func (e *NotReadyError) Error() string { return "host " + e.Name + " is not ready" }
@@ -226,7 +227,7 @@
 	return nil
 }
 
-// load runs all workloads and the planned mishaps until the time is over.
+// load runs all workloads and injects the faults until the load duration has passed.
 func (s *show) load() {
 	ctx, cancel := context.WithTimeout(context.Background(), loadFor)
 	defer cancel()
@@ -241,7 +242,8 @@
 	_ = g.Wait()
 }
 
-// pick is what the platform's balancer does: any ready host of the domain.
+// pick returns the client of a random ready host in the domain, as the platform's load balancer
+// would. If no host of the domain is ready, it returns the client of the first host.
 func (s *show) pick(r *rand.Rand, domain string) *client.Client {
 	var in []*entry
 	for _, e := range s.entries {
@@ -300,7 +302,7 @@
 	}
 }
 
-// bytesASecond is the control traffic that one host caused on average.
+// bytesASecond returns the average control traffic of one host in bytes per second.
 func (s *show) bytesASecond() float64 {
 	sum := int64(0)
 	for _, e := range s.entries {
@@ -309,6 +311,7 @@
 	return float64(sum) / time.Since(s.began).Seconds() / float64(len(s.entries))
 }
 
+// packed returns the average fraction of the workers' processor time that tasks occupied.
 func (s *show) packed() float64 {
 	sum := 0.0
 	for _, w := range s.cell.Workers {
@@ -317,8 +320,8 @@
 	return sum / float64(len(s.cell.Workers))
 }
 
-// close waits until accepted jobs have ended, prints the tables and returns an
-// audit.WrongError if a promise was broken.
+// close waits until the accepted jobs have ended or the wait times out, prints the result tables and
+// returns an audit.ViolationsError if there were violations.
 func (s *show) close() error {
 	end := time.Now().Add(settleWait)
 	w := s.tally.Violations(s.cell.Report())
