--- a/internal/host/admit_test.go
+++ b/internal/host/admit_test.go
@@ -18,14 +18,14 @@
 // than it has memory for; it refuses bulk work, which has not run, and a gate
 // scan that comes at the same moment is served.
 func TestFloodOfBodiesIsShedByClass(t *testing.T) {
-	c := newRig(t, 1)
-	c.minion(8)
-	c.all[0].Limits.Memory = 4 << 20
-	c.start(0)
-	c.ready(0)
-	require.NoError(t, c.set(0, "scan", map[string]any{"class": "urgent"}))
-	require.NoError(t, c.set(0, "print", map[string]any{"class": "bulk"}))
-	c.until("slots", func() bool { return served(c, "scan") })
+	c := newTestHosts(t, 1)
+	c.addBackend(8)
+	c.settings[0].Limits.Memory = 4 << 20
+	c.startHost(0)
+	c.waitReady(0)
+	require.NoError(t, c.setRow(0, "scan", map[string]any{"class": "urgent"}))
+	require.NoError(t, c.setRow(0, "print", map[string]any{"class": "bulk"}))
+	c.waitFor("slots", func() bool { return isServed(c, "scan") })
 	addr := c.sockets[0].Caller.Addr().String()
 	var writers []*io.PipeWriter
 	codes := make(chan int, 8)
@@ -46,20 +46,20 @@
 		}()
 		go func() { _, _ = w.Write([]byte("x")) }()
 	}
-	c.until("bulk is shed", func() bool { return c.hosts[0].Count("host.shed.bulk") >= 7 })
+	c.waitFor("bulk is shed", func() bool { return c.hosts[0].Count("host.shed.bulk") >= 7 })
 	require.LessOrEqual(t, c.hosts[0].InFlight(), int64(1))
-	require.True(t, served(c, "scan"))
+	require.True(t, isServed(c, "scan"))
 	for _, w := range writers {
 		_ = w.CloseWithError(io.ErrUnexpectedEOF)
 	}
 	for range 8 {
 		<-codes
 	}
-	c.until("room is given back", func() bool { return c.hosts[0].InFlight() == 0 })
+	c.waitFor("room is given back", func() bool { return c.hosts[0].InFlight() == 0 })
 }
 
-func served(c *rig, row string) bool {
-	reply, err := client.New(at(c.sockets[0].Caller), "", nil).Do(context.Background(),
+func isServed(c *testHosts, row string) bool {
+	reply, err := client.New(addrOf(c.sockets[0].Caller), "", nil).Do(context.Background(),
 		client.Request{Workload: row, Method: "POST", Body: bytes.Repeat([]byte("x"), 100), Deadline: 5 * time.Second})
 	return err == nil && reply.Outcome == client.Done
 }
@@ -68,21 +68,21 @@
 // at once, so that they go elsewhere; those that it holds are served, and when
 // they are gone there is room again.
 func TestConnectionsAboveTheBoundAreClosed(t *testing.T) {
-	c := newRig(t, 1)
-	c.all[0].Limits.Conns = 4
-	c.start(0)
-	c.ready(0)
+	c := newTestHosts(t, 1)
+	c.settings[0].Limits.Conns = 4
+	c.startHost(0)
+	c.waitReady(0)
 	var conns []net.Conn
 	for range 4 {
 		conn, err := net.Dial("tcp", c.sockets[0].Caller.Addr().String())
 		require.NoError(t, err)
 		conns = append(conns, conn)
 	}
-	c.until("above the bound", func() bool {
+	c.waitFor("above the bound", func() bool {
 		conn, err := net.Dial("tcp", c.sockets[0].Caller.Addr().String())
 		require.NoError(t, err)
 		defer conn.Close()
-		_ = conn.SetReadDeadline(time.Now().Add(limit))
+		_ = conn.SetReadDeadline(time.Now().Add(testTimeout))
 		_, err = conn.Read(make([]byte, 1))
 		return err != nil && c.hosts[0].Count("host.conns.refused") > 0
 	})
@@ -95,7 +95,7 @@
 	for _, conn := range conns {
 		_ = conn.Close()
 	}
-	c.until("room again", func() bool {
-		return client.New(at(c.sockets[0].Caller), "", nil).Get(context.Background(), "/live", nil) == nil
+	c.waitFor("room again", func() bool {
+		return client.New(addrOf(c.sockets[0].Caller), "", nil).Get(context.Background(), "/live", nil) == nil
 	})
 }
--- a/internal/host/export_test.go
+++ b/internal/host/export_test.go
@@ -19,21 +19,21 @@
 	h.wg.Go(h.followTable)
 }
 
-// Meet has a host answer its peers on ln and reach them through dial.
-func (h *Host) Meet(ln net.Listener, dial func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)) {
+// ConnectPeers has a host answer its peers on ln and reach them through dial.
+func (h *Host) ConnectPeers(ln net.Listener, dial func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)) {
 	h.peers.SetDialer(dial)
-	h.wg.Go(func() { peer.NewServer(h.respond).Serve(h.ctx, ln) })
+	h.wg.Go(func() { peer.NewServer(h.handlePeer).Serve(h.ctx, ln) })
 }
 
-// Beat is what the host tells its peers of itself.
-func (h *Host) Beat() member.Heartbeat {
+// Heartbeat is what the host tells its peers of itself.
+func (h *Host) Heartbeat() member.Heartbeat {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return member.Heartbeat{Name: h.cfg.Name, Incarnation: h.incarnation, Next: h.table.NextOffset(), Digest: uint32(h.table.Fingerprint()), Ack: true}
 }
 
-// Hear takes a peer's heartbeat.
-func (h *Host) Hear(b member.Heartbeat) { _, _ = h.heard(b) }
+// HandleHeartbeat takes a peer's heartbeat.
+func (h *Host) HandleHeartbeat(b member.Heartbeat) { _, _ = h.handleHeartbeat(b) }
 
 // KeepJobs has a host that is not started write jobs to the log, which rt reaches.
 func (h *Host) KeepJobs(rt http.RoundTripper) {
@@ -43,30 +43,30 @@
 
 // KeepJob keeps a job where a second host can find it.
 func (h *Host) KeepJob(ctx context.Context, id string) error {
-	_, err := h.keep(ctx, job.Spec{ID: id})
+	_, err := h.keepJob(ctx, job.Spec{ID: id})
 	return err
 }
 
-// GiveTo takes a job off this host's lead and offers it to a peer, as a host does whose rack has
+// HandJobTo takes a job off this host's lead and offers it to a peer, as a host does whose rack has
 // got another lead.
-func (h *Host) GiveTo(to, id string) {
-	h.takeOff(to, []string{id})
-	h.sendHanded()
+func (h *Host) HandJobTo(to, id string) {
+	h.stopLeading(to, []string{id})
+	h.sendOutgoing()
 }
 
-// SaysItLeads tells whether a peer that asks hears that this host leads a job.
-func (h *Host) SaysItLeads(id string) bool {
-	return slices.Contains(h.census(peer.Inventory{From: "h9", Jobs: []string{id}}).Leads, id)
+// ReportsLeading tells whether a peer that asks hears that this host leads a job.
+func (h *Host) ReportsLeading(id string) bool {
+	return slices.Contains(h.handleInventory(peer.Inventory{From: "h9", Jobs: []string{id}}).Leads, id)
 }
 
-// Hold keeps the host from answering any question until the returned function is called.
-func (h *Host) Hold() func() {
+// Freeze keeps the host from answering any question until the returned function is called.
+func (h *Host) Freeze() func() {
 	h.mu.Lock()
 	return h.mu.Unlock
 }
 
-// KnowsEnd tells whether the host's copy of the log has a job's end.
-func (h *Host) KnowsEnd(id string) bool {
+// HasLoggedEnd tells whether the host's copy of the log has a job's end.
+func (h *Host) HasLoggedEnd(id string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_, ended := h.jobs.log.End(id)
--- a/internal/host/follow_test.go
+++ b/internal/host/follow_test.go
@@ -27,28 +27,28 @@
 )
 
 const (
-	// inForce is the promise to operators: how long after its acceptance an edit is in force on
+	// editDeadline is the promise to operators: how long after its acceptance an edit is in force on
 	// every host, and inTouch how long after the last trouble on its ways a host keeps it again.
-	inForce = 2 * time.Second
-	inTouch = 3 * time.Second
-	// beatsEvery is how often hosts tell each other how far they have read.
-	beatsEvery = 500 * time.Millisecond
+	editDeadline = 2 * time.Second
+	recoveryTime = 3 * time.Second
+	// heartbeatInterval is how often hosts tell each other how far they have read.
+	heartbeatInterval = 500 * time.Millisecond
 )
 
 // silence is when a host's way to the log answers nothing; what is under way at either end of
 // it is never answered.
-type silence struct{ from, to time.Duration }
+type silence struct{ start, end time.Duration }
 
-// logInMemory is the table's log: one edit from the start and another later.
-type logInMemory struct {
-	began time.Time
-	// edited is when the later edit is written.
-	edited time.Duration
+// memoryLog is the table's log: one edit from the start and another later.
+type memoryLog struct {
+	startedAt time.Time
+	// editAt is when the later edit is written.
+	editAt time.Duration
 	edits  [][]byte
 }
 
-func newLogInMemory(t *testing.T, edited time.Duration) *logInMemory {
-	l := &logInMemory{began: time.Now(), edited: edited}
+func newMemoryLog(t *testing.T, edited time.Duration) *memoryLog {
+	l := &memoryLog{startedAt: time.Now(), editAt: edited}
 	for n := range 2 {
 		body, err := table.Encode(table.Edit{ID: fmt.Sprint(n), Row: "scan", Base: int64(n), Fields: fmt.Appendf(nil, `{"weight":%d}`, n+1)})
 		require.NoError(t, err)
@@ -57,27 +57,27 @@
 	return l
 }
 
-// written is how many edits there are now.
-func (l *logInMemory) written() int64 {
-	if time.Since(l.began) < l.edited {
+// editCount is how many edits there are now.
+func (l *memoryLog) editCount() int64 {
+	if time.Since(l.startedAt) < l.editAt {
 		return 1
 	}
 	return 2
 }
 
-// way is one host's way to the log.
-type way struct {
-	log *logInMemory
+// logRoute is one host's logRoute to the log.
+type logRoute struct {
+	log *memoryLog
 	// silences are when it answers nothing, took is how long an answer takes.
 	silences []silence
-	took     time.Duration
+	latency  time.Duration
 }
 
 // isSilent tells whether a call that was sent at some moment is answered now.
-func (w way) isSilent(sent time.Duration) bool {
-	now := time.Since(w.log.began)
+func (w logRoute) isSilent(sent time.Duration) bool {
+	now := time.Since(w.log.startedAt)
 	for _, s := range w.silences {
-		if sent < s.to && now >= s.from {
+		if sent < s.end && now >= s.start {
 			return true
 		}
 	}
@@ -85,8 +85,8 @@
 }
 
 // RoundTrip answers a read of the log.
-func (w way) RoundTrip(r *http.Request) (*http.Response, error) {
-	sent := time.Since(w.log.began)
+func (w logRoute) RoundTrip(r *http.Request) (*http.Response, error) {
+	sent := time.Since(w.log.startedAt)
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
 		return nil, err
@@ -96,15 +96,15 @@
 		return nil, err
 	}
 	until := time.Now().Add(wait)
-	for w.log.written() < from && time.Now().Before(until) && r.Context().Err() == nil {
+	for w.log.editCount() < from && time.Now().Before(until) && r.Context().Err() == nil {
 		pause(r, 10*time.Millisecond)
 	}
-	pause(r, w.took)
+	pause(r, w.latency)
 	if w.isSilent(sent) || r.Context().Err() != nil {
 		<-r.Context().Done()
 		return nil, r.Context().Err()
 	}
-	p := platform.Page{Oldest: 1, Next: w.log.written() + 1}
+	p := platform.Page{Oldest: 1, Next: w.log.editCount() + 1}
 	for n := from; n < p.Next; n++ {
 		p.Entries = append(p.Entries, platform.Entry{Offset: n, Body: w.log.edits[n-1]})
 	}
@@ -119,16 +119,16 @@
 	}
 }
 
-// readers are hosts that follow the table in virtual time, each on its own way.
-type readers struct {
+// tableReaders are hosts that follow the table in virtual time, each on its own way.
+type tableReaders struct {
 	net   standin.Pipes
 	hosts []*host.Host
-	// cut are peers that every host knows and that answer nobody any more.
-	cut []string
+	// unreachable are peers that every host knows and that answer nobody any more.
+	unreachable []string
 }
 
-func newReaders(cut []string, ways ...way) *readers {
-	c := &readers{cut: cut}
+func newTableReaders(cut []string, ways ...logRoute) *tableReaders {
+	c := &tableReaders{unreachable: cut}
 	addr := func(i int) netip.AddrPort { return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 1) }
 	names := slices.Clone(cut)
 	for i := range ways {
@@ -139,14 +139,14 @@
 	}
 	for i, w := range ways {
 		i += len(cut)
-		cfg := settings.Settings{Name: names[i], Domain: "nord", Limits: settings.Limits{Body: 1 << 20, Queue: 64, Deadline: time.Minute, DrainTimeout: limit}}
+		cfg := settings.Settings{Name: names[i], Domain: "nord", Limits: settings.Limits{Body: 1 << 20, Queue: 64, Deadline: time.Minute, DrainTimeout: testTimeout}}
 		for j, name := range names {
 			if i != j {
 				cfg.Peers = append(cfg.Peers, settings.Peer{Name: name, Domain: "nord", Address: addr(j)})
 			}
 		}
 		h := host.New(cfg, slog.New(slog.DiscardHandler), time.Now)
-		h.Meet(c.net.Listen(addr(i)), c.net.Dial)
+		h.ConnectPeers(c.net.Listen(addr(i)), c.net.Dial)
 		h.FollowTable(w)
 		c.hosts = append(c.hosts, h)
 	}
@@ -154,28 +154,28 @@
 }
 
 // run lets d pass, with heartbeats.
-func (c *readers) run(d time.Duration) {
-	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(min(beatsEvery, time.Until(end))) {
+func (c *tableReaders) run(d time.Duration) {
+	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(min(heartbeatInterval, time.Until(end))) {
 		for i, to := range c.hosts {
 			for j, from := range c.hosts {
 				if i != j {
-					to.Hear(from.Beat())
+					to.HandleHeartbeat(from.Heartbeat())
 				}
 			}
 		}
 	}
 }
 
-// tellLast has all hosts hear the last heartbeats of those that are cut off since.
-func (c *readers) tellLast() {
+// sendLastHeartbeats has all hosts hear the last heartbeats of those that are cut off since.
+func (c *tableReaders) sendLastHeartbeats() {
 	for _, h := range c.hosts {
-		for _, name := range c.cut {
-			h.Hear(member.Heartbeat{Name: name, Next: 10, Ack: true})
+		for _, name := range c.unreachable {
+			h.HandleHeartbeat(member.Heartbeat{Name: name, Next: 10, Ack: true})
 		}
 	}
 }
 
-func (c *readers) stop() {
+func (c *tableReaders) stop() {
 	for _, h := range c.hosts {
 		h.Kill()
 	}
@@ -207,10 +207,10 @@
 				inVirtualTime(t, func(t *testing.T) {
 					const from = 5 * time.Second
 					back := from + away
-					w := way{log: newLogInMemory(t, back+after), silences: []silence{{from, back}}, took: 5 * time.Millisecond}
-					c := newReaders(nil, w)
+					w := logRoute{log: newMemoryLog(t, back+after), silences: []silence{{from, back}}, latency: 5 * time.Millisecond}
+					c := newTableReaders(nil, w)
 					defer c.stop()
-					c.run(max(back+inTouch, back+after+inForce))
+					c.run(max(back+recoveryTime, back+after+editDeadline))
 					require.Equal(t, int64(2), weightOf(c.hosts[0]), "edited %v after the silence", after)
 				})
 			}
@@ -224,13 +224,13 @@
 	for after := time.Duration(0); after < 30*time.Second; after += 1700 * time.Millisecond {
 		inVirtualTime(t, func(t *testing.T) {
 			const from = 5 * time.Second
-			log := newLogInMemory(t, from+after)
-			served := way{log: log, took: 5 * time.Millisecond}
-			c := newReaders([]string{"nord-x", "nord-y", "nord-z"}, way{log: log, silences: []silence{{from, time.Hour}}, took: served.took}, served, served)
+			log := newMemoryLog(t, from+after)
+			served := logRoute{log: log, latency: 5 * time.Millisecond}
+			c := newTableReaders([]string{"nord-x", "nord-y", "nord-z"}, logRoute{log: log, silences: []silence{{from, time.Hour}}, latency: served.latency}, served, served)
 			defer c.stop()
 			c.run(from)
-			c.tellLast()
-			c.run(max(after+inForce, inTouch))
+			c.sendLastHeartbeats()
+			c.run(max(after+editDeadline, recoveryTime))
 			require.Equal(t, int64(2), weightOf(c.hosts[0]), "edited %v after the silence began", after)
 		})
 	}
@@ -246,15 +246,15 @@
 			var all []silence
 			end := time.Second
 			for range 1 + rng.IntN(3) {
-				s := silence{from: end + within(8*time.Second)}
-				s.to = s.from + within(40*time.Second)
-				end = s.to
+				s := silence{start: end + within(8*time.Second)}
+				s.end = s.start + within(40*time.Second)
+				end = s.end
 				all = append(all, s)
 			}
 			edited := end - time.Second + within(6*time.Second)
-			c := newReaders(nil, way{log: newLogInMemory(t, edited), silences: all, took: within(200 * time.Millisecond)})
+			c := newTableReaders(nil, logRoute{log: newMemoryLog(t, edited), silences: all, latency: within(200 * time.Millisecond)})
 			defer c.stop()
-			c.run(max(end+inTouch, edited+inForce))
+			c.run(max(end+recoveryTime, edited+editDeadline))
 			require.Equal(t, int64(2), weightOf(c.hosts[0]), "seed %d: %v, edited at %v", seed, all, edited)
 		})
 	}
--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -17,50 +17,50 @@
 
 // Times of the log of jobs.
 const (
-	// batchFor is how long records are gathered for one append.
-	batchFor = 10 * time.Millisecond
-	// batchMost bounds the records of one append.
-	batchMost = 200
-	keepWait  = time.Second
-	// renewPart is the oldest part of the log in which an open job's record is
+	// batchWindow is how long records are gathered for one append.
+	batchWindow = 10 * time.Millisecond
+	// maxBatch bounds the records of one append.
+	maxBatch    = 200
+	keepTimeout = time.Second
+	// renewFraction is the oldest part of the log in which an open job's record is
 	// written again, before the log trims it.
-	renewPart = 4
+	renewFraction = 4
 )
 
-// pending is one record that waits for its append.
-type pending struct {
+// pendingRecord is one record that waits for its append.
+type pendingRecord struct {
 	rec  joblog.Record
 	done chan error
 }
 
-// keeper holds what this host's jobs need to outlive it.
-type keeper struct {
-	log     *joblog.Log
-	queue   chan pending
-	appends *semaphore.Weighted
+// jobStore holds what this host's jobs need to outlive it.
+type jobStore struct {
+	log         *joblog.Log
+	queue       chan pendingRecord
+	appendSlots *semaphore.Weighted
 	// accepting are jobs that this host is about to lead.
 	accepting map[string]bool
-	// transfer is held while jobs go from the lead to handing or back. Whoever looks in both
+	// transferMu is held while jobs go from the lead to handing or back. Whoever looks in both
 	// without it may find a job in neither, and take it for one that nobody leads.
-	transfer   sync.RWMutex
-	collecting sync.Mutex
-	// ready is what repair last saw of this host's readiness.
-	ready bool
-	// handing are jobs on their way to another lead, by id.
-	handing map[string]*handed
-	// sending is held while jobs are offered to their next leads.
-	sending sync.Mutex
-	// owed are records that the log could not take yet, by id.
-	owed map[string]joblog.Record
-	// ends are jobs of this host whose end is in the log, shared those whose
+	transferMu sync.RWMutex
+	collectMu  sync.Mutex
+	// wasReady is what repair last saw of this host's readiness.
+	wasReady bool
+	// outgoing are jobs on their way to another lead, by id.
+	outgoing map[string]*outgoingJob
+	// sendMu is held while jobs are offered to their next leads.
+	sendMu sync.Mutex
+	// unwritten are records that the log could not take yet, by id.
+	unwritten map[string]joblog.Record
+	// writtenEnds are jobs of this host whose end is in the log, sharedEnds those whose
 	// end a second host remembers.
-	ends, shared map[string]bool
+	writtenEnds, sharedEnds map[string]bool
 }
 
-func newKeeper() *keeper {
-	return &keeper{
-		log: joblog.New(), queue: make(chan pending), appends: semaphore.NewWeighted(4), accepting: map[string]bool{},
-		handing: map[string]*handed{}, owed: map[string]joblog.Record{}, ends: map[string]bool{}, shared: map[string]bool{},
+func newJobStore() *jobStore {
+	return &jobStore{
+		log: joblog.New(), queue: make(chan pendingRecord), appendSlots: semaphore.NewWeighted(4), accepting: map[string]bool{},
+		outgoing: map[string]*outgoingJob{}, unwritten: map[string]joblog.Record{}, writtenEnds: map[string]bool{}, sharedEnds: map[string]bool{},
 	}
 }
 
@@ -71,22 +71,22 @@
 		case <-h.ctx.Done():
 			return
 		case first := <-h.jobs.queue:
-			batch := h.gather(first)
-			if h.jobs.appends.Acquire(h.ctx, 1) != nil {
+			batch := h.gatherBatch(first)
+			if h.jobs.appendSlots.Acquire(h.ctx, 1) != nil {
 				return
 			}
 			h.wg.Go(func() {
-				defer h.jobs.appends.Release(1)
+				defer h.jobs.appendSlots.Release(1)
 				h.appendBatch(batch)
 			})
 		}
 	}
 }
 
-func (h *Host) gather(first pending) []pending {
-	batch := []pending{first}
-	end := time.After(batchFor)
-	for len(batch) < batchMost {
+func (h *Host) gatherBatch(first pendingRecord) []pendingRecord {
+	batch := []pendingRecord{first}
+	end := time.After(batchWindow)
+	for len(batch) < maxBatch {
 		select {
 		case p := <-h.jobs.queue:
 			batch = append(batch, p)
@@ -99,14 +99,14 @@
 	return batch
 }
 
-func (h *Host) appendBatch(batch []pending) {
+func (h *Host) appendBatch(batch []pendingRecord) {
 	recs := make([]joblog.Record, 0, len(batch))
 	for _, p := range batch {
 		recs = append(recs, p.rec)
 	}
 	body, err := joblog.Encode(recs)
 	if err == nil {
-		ctx, cancel := context.WithTimeout(h.ctx, keepWait)
+		ctx, cancel := context.WithTimeout(h.ctx, keepTimeout)
 		_, err = h.platform.Append(ctx, joblog.Stream, body)
 		cancel()
 	}
@@ -115,10 +115,10 @@
 	}
 }
 
-// write appends one record. The error is a platform.NotWrittenError if nothing
+// writeRecord appends one record. The error is a platform.NotWrittenError if nothing
 // was written, else the record may be in the log.
-func (h *Host) write(ctx context.Context, rec joblog.Record) error {
-	p := pending{rec: rec, done: make(chan error, 1)}
+func (h *Host) writeRecord(ctx context.Context, rec joblog.Record) error {
+	p := pendingRecord{rec: rec, done: make(chan error, 1)}
 	select {
 	case h.jobs.queue <- p:
 	case <-ctx.Done():
@@ -132,20 +132,20 @@
 	}
 }
 
-// keep writes a job to the log; while the log is away a peer remembers it, and
+// keepJob writes a job to the log; while the log is away a peer remembers it, and
 // it is written when the log returns. An error that is not a
 // platform.NotWrittenError tells that the job may be kept.
-func (h *Host) keep(ctx context.Context, spec job.Spec) (string, error) {
+func (h *Host) keepJob(ctx context.Context, spec job.Spec) (string, error) {
 	rec := joblog.Record{ID: spec.ID, Spec: &spec}
-	err := h.write(ctx, rec)
+	err := h.writeRecord(ctx, rec)
 	if err == nil {
-		h.remember(rec)
+		h.rememberRecord(rec)
 		return "log", nil
 	}
-	told, silent := h.tellPeer(ctx, rec)
+	told, silent := h.askPeerToKeep(ctx, rec)
 	switch {
 	case told:
-		h.owe(rec)
+		h.addUnwritten(rec)
 		return "peers", nil
 	case silent != nil:
 		// That peer may write the job to the log later: told as not run, it would run.
@@ -155,11 +155,11 @@
 	}
 }
 
-// tellPeer asks live peers of the domain in turn to remember a record. If none said that it
+// askPeerToKeep asks live peers of the domain in turn to remember a record. If none said that it
 // does, silent is of one that may all the same: its answer did not come.
-func (h *Host) tellPeer(ctx context.Context, rec joblog.Record) (told bool, silent *peer.NoAnswerError) {
+func (h *Host) askPeerToKeep(ctx context.Context, rec joblog.Record) (kept bool, silent *peer.NoAnswerError) {
 	for _, name := range h.domainPeers() {
-		pctx, cancel := context.WithTimeout(ctx, keepWait)
+		pctx, cancel := context.WithTimeout(ctx, keepTimeout)
 		err := h.peers.Ask(pctx, name, peer.KeepRecord{Record: rec}, nil)
 		cancel()
 		if err == nil {
@@ -182,27 +182,27 @@
 	return peers
 }
 
-func (h *Host) remember(rec joblog.Record) {
+func (h *Host) rememberRecord(rec joblog.Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.jobs.log.Remember(rec)
 }
 
-// owe notes a record that has to be written when the log returns.
-func (h *Host) owe(rec joblog.Record) {
+// addUnwritten notes a record that has to be written when the log returns.
+func (h *Host) addUnwritten(rec joblog.Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.jobs.log.Remember(rec)
-	h.jobs.owed[rec.ID] = rec.Merge(h.jobs.owed[rec.ID])
+	h.jobs.unwritten[rec.ID] = rec.Merge(h.jobs.unwritten[rec.ID])
 }
 
-// payOwed writes what the log could not take. Records that were written
+// writeUnwritten writes what the log could not take. Records that were written
 // already are harmless: the fold is idempotent.
-func (h *Host) payOwed() {
+func (h *Host) writeUnwritten() {
 	h.mu.Lock()
-	owed := make([]joblog.Record, 0, batchMost)
-	for _, rec := range h.jobs.owed {
-		if len(owed) < batchMost {
+	owed := make([]joblog.Record, 0, maxBatch)
+	for _, rec := range h.jobs.unwritten {
+		if len(owed) < maxBatch {
 			owed = append(owed, rec)
 		}
 	}
@@ -211,67 +211,67 @@
 	if err != nil || len(owed) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(h.ctx, keepWait)
+	ctx, cancel := context.WithTimeout(h.ctx, keepTimeout)
 	defer cancel()
 	if _, err := h.platform.Append(ctx, joblog.Stream, body); err != nil {
 		h.log.Warn("host: job records wait for the log.", "records", len(owed), "err", err)
 		return
 	}
 	for _, rec := range owed {
-		h.paid(rec)
+		h.recordWritten(rec)
 	}
 }
 
-// paid notes that a record is in the log.
-func (h *Host) paid(rec joblog.Record) {
+// recordWritten notes that a record is in the log.
+func (h *Host) recordWritten(rec joblog.Record) {
 	h.mu.Lock()
-	if rec.Covers(h.jobs.owed[rec.ID]) {
-		delete(h.jobs.owed, rec.ID)
+	if rec.Covers(h.jobs.unwritten[rec.ID]) {
+		delete(h.jobs.unwritten, rec.ID)
 	}
 	if rec.State != "" {
-		h.jobs.ends[rec.ID] = true
+		h.jobs.writtenEnds[rec.ID] = true
 	}
 	h.mu.Unlock()
 	if rec.State != "" {
-		h.lead.AckEnd(rec.ID)
+		h.leader.AckEnd(rec.ID)
 	}
-	h.noted(rec)
+	h.ackCrashes(rec)
 }
 
-// ended keeps the end of a job. Workers may forget its tasks when it is in the
+// storeEnd keeps the end of a job. Workers may forget its tasks when it is in the
 // log; until then their lists tell a successor that they ran.
-func (h *Host) ended(end job.Ended, ran bool) {
-	h.store(joblog.Record{ID: end.ID, State: end.State, Ran: ran, Reason: end.Reason}, func() {
+func (h *Host) storeEnd(end job.Ended, ran bool) {
+	h.storeRecord(joblog.Record{ID: end.ID, State: end.State, Ran: ran, Reason: end.Reason}, func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.jobs.shared[end.ID] = true
+		h.jobs.sharedEnds[end.ID] = true
 	})
 }
 
-// store writes a record without waiting for it. If the log does not take it but a peer remembers
+// storeRecord writes a record without waiting for it. If the log does not take it but a peer remembers
 // it, shared is called.
-func (h *Host) store(rec joblog.Record, shared func()) {
-	h.owe(rec)
+func (h *Host) storeRecord(rec joblog.Record, shared func()) {
+	h.addUnwritten(rec)
 	h.wg.Go(func() {
-		ctx, cancel := context.WithTimeout(h.ctx, 2*keepWait)
+		ctx, cancel := context.WithTimeout(h.ctx, 2*keepTimeout)
 		defer cancel()
-		if h.write(ctx, rec) == nil {
-			h.paid(rec)
+		if h.writeRecord(ctx, rec) == nil {
+			h.recordWritten(rec)
 			return
 		}
-		if told, _ := h.tellPeer(ctx, rec); told {
+		if told, _ := h.askPeerToKeep(ctx, rec); told {
 			shared()
 		}
 	})
 }
 
-// done tells whether a job's end is in the log.
-func (h *Host) done(id string) bool {
+// endLogged tells whether a job's end is in the log.
+func (h *Host) endLogged(id string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_, ended := h.jobs.log.End(id)
-	_, owed := h.jobs.owed[id]
-	return h.jobs.ends[id] || ended && !owed && h.jobs.log.Written(id)
+	_, owed := h.jobs.unwritten[id]
+	return h.jobs.writtenEnds[id] || ended && !owed && h.jobs.log.Written(id)
 }
 
 // followJobs folds the log of jobs until the host ends.
@@ -282,7 +282,7 @@
 		from := h.jobs.log.Next()
 		h.mu.Unlock()
 		asked := h.clock()
-		ctx, cancel := context.WithTimeout(h.ctx, readWait+time.Second)
+		ctx, cancel := context.WithTimeout(h.ctx, readLongPoll+time.Second)
 		page, err := h.platform.Read(ctx, joblog.Stream, from, wait)
 		cancel()
 		var trimmed *platform.TrimmedError
@@ -293,20 +293,20 @@
 			h.mu.Unlock()
 			continue
 		case err != nil:
-			h.pause(readPause)
+			h.pause(readRetryPause)
 			continue
 		}
 		h.foldJobs(page, asked)
-		wait = h.jobsWait()
+		wait = h.jobLogWait()
 	}
 }
 
-// jobsWait makes the log answer at once while a census waits for it.
-func (h *Host) jobsWait() time.Duration {
-	if len(h.lead.AwaitingInventory()) > 0 {
-		return readPause
+// jobLogWait makes the log answer at once while a census waits for it.
+func (h *Host) jobLogWait() time.Duration {
+	if len(h.leader.AwaitingInventory()) > 0 {
+		return readRetryPause
 	}
-	return readWait
+	return readLongPoll
 }
 
 func (h *Host) foldJobs(page platform.Page, asked time.Time) {
@@ -314,7 +314,7 @@
 	var stored []joblog.Record
 	for _, e := range page.Entries {
 		for _, rec := range h.jobs.log.Fold(e.Offset, e.Body) {
-			if owed, ok := h.jobs.owed[rec.ID]; ok && owed.State == rec.State {
+			if owed, ok := h.jobs.unwritten[rec.ID]; ok && owed.State == rec.State {
 				stored = append(stored, rec)
 			}
 		}
@@ -323,33 +323,33 @@
 	// A log that answers later than an append is waited for has stored it all the same. Written
 	// again and again, it was owed for ever, and callers were told "unknown" of what did not run.
 	for _, rec := range stored {
-		h.paid(rec)
+		h.recordWritten(rec)
 	}
 	h.mu.Lock()
-	h.jobs.tidy()
+	h.jobs.dropWrittenEnds()
 	whole := h.jobs.log.Next() >= page.Next
-	old := h.jobs.log.OpenBefore(page.Oldest + (page.Next-page.Oldest)/renewPart)
+	old := h.jobs.log.OpenBefore(page.Oldest + (page.Next-page.Oldest)/renewFraction)
 	h.mu.Unlock()
 	h.takeOver()
 	if whole {
-		h.lead.LogRead(asked)
+		h.leader.LogRead(asked)
 	}
 	if page.Oldest == 1 {
 		return
 	}
 	for _, s := range old {
-		if h.lead.HasJob(s.ID) {
-			h.owe(joblog.Record{ID: s.ID, Spec: &s, Crashes: h.lives(s.ID)})
+		if h.leader.HasJob(s.ID) {
+			h.addUnwritten(joblog.Record{ID: s.ID, Spec: &s, Crashes: h.crashCounts(s.ID)})
 		}
 	}
 }
 
-// tidy forgets marks of ended jobs that the folded log tells as well.
-func (k *keeper) tidy() {
-	for _, marks := range []map[string]bool{k.ends, k.shared} {
+// dropWrittenEnds forgets marks of ended jobs that the folded log tells as well.
+func (k *jobStore) dropWrittenEnds() {
+	for _, marks := range []map[string]bool{k.writtenEnds, k.sharedEnds} {
 		for id := range marks {
 			_, ended := k.log.End(id)
-			_, owed := k.owed[id]
+			_, owed := k.unwritten[id]
 			if ended && !owed && k.log.Written(id) {
 				delete(marks, id)
 			}
@@ -357,8 +357,8 @@
 	}
 }
 
-// leadOf is the live host that leads a job's rack, as this host sees it.
-func (h *Host) leadOf(id string) string {
+// leaderOf is the live host that leads a job's rack, as this host sees it.
+func (h *Host) leaderOf(id string) string {
 	home, err := cell.ParseHome(id)
 	if err != nil {
 		return ""
@@ -368,11 +368,11 @@
 	row, _ := h.table.Row(spec.Row)
 	h.mu.Unlock()
 	if !known || home.Domain != h.cfg.Domain {
-		return h.rackLead(home)
+		return h.rackLeader(home)
 	}
-	if rack := h.countedAt(row); rack != "" {
+	if rack := h.limitRack(row); rack != "" {
 		// Its row got a limit after the job: only the lead of that rack may start it.
 		home.Rack = rack
 	}
-	return h.rackLead(home)
+	return h.rackLeader(home)
 }
--- a/internal/host/keep_test.go
+++ b/internal/host/keep_test.go
@@ -20,18 +20,18 @@
 	"pollencroft/internal/standin"
 )
 
-// down is a log that refuses everything.
-type down struct{}
+// unavailableLog is a log that refuses everything.
+type unavailableLog struct{}
 
 // RoundTrip refuses.
-func (down) RoundTrip(*http.Request) (*http.Response, error) {
+func (unavailableLog) RoundTrip(*http.Request) (*http.Response, error) {
 	return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}, nil
 }
 
 // The log is down, and the peer that is asked to remember a job instead does so, but its answer is
 // lost. The caller was told that the job was not accepted and never runs; the peer writes it to
 // the log later, and it runs.
-func TestAJobThatAPeerMayRememberIsNotToldAsNotRun(t *testing.T) {
+func TestAJobThatAPeerMayRememberIsNotReportedAsNotRun(t *testing.T) {
 	addr := func(i int) netip.AddrPort { return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 1) }
 	for name, tc := range map[string]struct {
 		answer    peer.Handler
@@ -44,21 +44,21 @@
 		t.Run(name, func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
 				var net standin.Pipes
-				cfg := settings.Settings{Name: "nord-0", Domain: "nord", Limits: settings.Limits{Body: 1 << 20, Queue: 64, Deadline: time.Minute, DrainTimeout: limit}}
+				cfg := settings.Settings{Name: "nord-0", Domain: "nord", Limits: settings.Limits{Body: 1 << 20, Queue: 64, Deadline: time.Minute, DrainTimeout: testTimeout}}
 				for i := 1; i <= 2; i++ {
 					cfg.Peers = append(cfg.Peers, settings.Peer{Name: fmt.Sprint("nord-", i), Domain: "nord", Address: addr(i)})
 				}
 				h := host.New(cfg, slog.New(slog.DiscardHandler), time.Now)
 				defer h.Kill()
-				h.Meet(net.Listen(addr(0)), net.Dial)
-				h.KeepJobs(down{})
+				h.ConnectPeers(net.Listen(addr(0)), net.Dial)
+				h.KeepJobs(unavailableLog{})
 				if tc.answer != nil {
 					ctx, cancel := context.WithCancel(t.Context())
 					defer cancel()
 					ln := net.Listen(addr(1))
 					go peer.NewServer(tc.answer).Serve(ctx, ln)
 				}
-				h.Hear(member.Heartbeat{Name: "nord-1", Incarnation: 1, Ack: true})
+				h.HandleHeartbeat(member.Heartbeat{Name: "nord-1", Incarnation: 1, Ack: true})
 				err := h.KeepJob(t.Context(), "nord.r1.1")
 				require.Error(t, err)
 				require.Equal(t, tc.notStored, isNotWritten(err), "%v", err)
--- a/internal/host/server.go
+++ b/internal/host/server.go
@@ -12,36 +12,36 @@
 // server is one HTTP listener of a host.
 type server struct {
 	*http.Server
-	mu    sync.Mutex
-	fresh map[net.Conn]bool
+	mu     sync.Mutex
+	unused map[net.Conn]bool
 }
 
 // Bounds of a connection from a caller or an operator.
 const (
-	headerWait = 5 * time.Second
-	idleWait   = 2 * time.Minute
-	headerSize = 32 << 10
+	headerTimeout  = 5 * time.Second
+	idleTimeout    = 2 * time.Minute
+	maxHeaderBytes = 32 << 10
 )
 
 func (h *Host) serve(ln net.Listener, handler http.Handler) {
-	s := &server{fresh: map[net.Conn]bool{}}
+	s := &server{unused: map[net.Conn]bool{}}
 	s.Server = &http.Server{
-		Handler: handler, ReadHeaderTimeout: headerWait, IdleTimeout: idleWait, MaxHeaderBytes: headerSize,
-		ConnState: s.note, ErrorLog: slog.NewLogLogger(h.log.Handler(), slog.LevelDebug),
+		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ConnState: s.trackState, ErrorLog: slog.NewLogLogger(h.log.Handler(), slog.LevelDebug),
 	}
 	h.servers = append(h.servers, s)
 	h.wg.Go(func() { _ = s.Serve(ln) })
 }
 
-// note remembers connections that have not sent anything yet.
-func (s *server) note(conn net.Conn, state http.ConnState) {
+// trackState remembers connections that have not sent anything yet.
+func (s *server) trackState(conn net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if state == http.StateNew {
-		s.fresh[conn] = true
+		s.unused[conn] = true
 		return
 	}
-	delete(s.fresh, conn)
+	delete(s.unused, conn)
 }
 
 // stop ends what is in flight. Clients open connections ahead and may never use
@@ -54,7 +54,7 @@
 	defer t.Stop()
 	for {
 		s.mu.Lock()
-		for conn := range s.fresh {
+		for conn := range s.unused {
 			_ = conn.SetReadDeadline(time.Unix(1, 0))
 		}
 		s.mu.Unlock()
--- a/internal/host/told_test.go
+++ b/internal/host/told_test.go
@@ -8,14 +8,14 @@
 )
 
 // Guards against an end that lies in every host's log and is told by none.
-func TestAnEndIsToldWhileTheLeadIsSilent(t *testing.T) {
+func TestLoggedEndIsReportedWhileTheLeaderIsSilent(t *testing.T) {
 	c := newCluster(t, 3)
-	id := c.submit(small(1, 0.01)).ID
-	lead := c.leadOf(id)
-	asked := c.any(lead)
-	c.until("every host knows the end", func() bool {
+	id := c.submit(smallJob(1, 0.01)).ID
+	lead := c.leaderOf(id)
+	asked := c.anyClient(lead)
+	c.waitFor("every host knows the end", func() bool {
 		for _, h := range c.hosts {
-			if !h.KnowsEnd(id) {
+			if !h.HasLoggedEnd(id) {
 				return false
 			}
 		}
@@ -23,7 +23,7 @@
 	})
 	before, err := asked.Job(context.Background(), id)
 	require.NoError(t, err)
-	release := c.hosts[lead].Hold()
+	release := c.hosts[lead].Freeze()
 	defer release()
 	got, err := asked.Job(context.Background(), id)
 	require.NoError(t, err)
