--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -18,7 +18,7 @@
 	// Output: 5c0e7a21d94b36f8.0.1.17 5c0e7a21d94b36f8.0.1
 }
 
-func TestNamesAreReadBack(t *testing.T) {
+func TestNameRoundTrip(t *testing.T) {
 	n := flow.Name{Job: "a", Round: 3, Step: 1, Index: 17}
 	got, ok := flow.ParseName(n.String())
 	require.True(t, ok)
@@ -29,8 +29,8 @@
 	}
 }
 
-// Rounds of a repeated job begin when they are due and not before, may overlap,
-// and the job is over after the last.
+// The rounds of a repeated job begin when they are due and not earlier, may overlap, and the
+// job completes after the last one.
 func TestRoundsBeginWhenTheyAreDue(t *testing.T) {
 	now := time.Unix(100, 0)
 	spec := flow.Spec{ID: "a", Steps: []flow.Step{{Tasks: 1}}, Repeat: flow.Repeat{Count: 3, First: now.Add(time.Second), Every: time.Second}}
@@ -51,9 +51,9 @@
 	require.Equal(t, flow.Completed, j.State)
 }
 
-// A record holds all that a successor must know: what is done, where a run may
-// be, how often a task failed, how far it got.
-func TestARecordBringsBackWhatMustSurvive(t *testing.T) {
+// A record holds all that a new leader must know: which tasks are done, where runs may exist,
+// how often each task failed, and the newest checkpoints.
+func TestRestoreKeepsProgress(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.UnixMilli(1_000_000)
 		spec := flow.Spec{ID: "a", Steps: []flow.Step{{Tasks: 3}, {Tasks: 2, After: []int{0}}}}
@@ -91,15 +91,15 @@
 	})
 }
 
-func TestARecordThatCannotBeReadIsAnError(t *testing.T) {
+func TestUnreadableRecordIsAnError(t *testing.T) {
 	_, err := flow.Restore(flow.Spec{ID: "a"}, []byte("{"), time.Time{})
 	require.ErrorAs(t, err, new(*flow.RecordError))
 }
 
-// Nine jobs in ten that a lead takes over have ended. Their records are short and
-// bring them back without their specs; a job of which anything may still run keeps
-// both, since what room that takes stands in the spec.
-func TestAnEndedJobNeedsNoSpec(t *testing.T) {
+// Nine in ten jobs that a new leader takes over have ended. Their records are short, and such
+// a job is restored without its spec. A job of which anything may still run keeps both,
+// because the spec says how much capacity it uses.
+func TestRestoreEndedNeedsNoSpec(t *testing.T) {
 	now := time.UnixMilli(1_000_000)
 	end := func(step flow.Step, how func(j *flow.Job, t *flow.Task)) ([]byte, bool) {
 		j := flow.New(flow.Spec{ID: "a", Steps: []flow.Step{step}}, 7, now)
@@ -128,16 +128,17 @@
 	require.True(t, ok)
 	require.Less(t, len(b), 100, string(b))
 	_, ok = end(flow.Step{Tasks: 1, AllowCopies: true}, done)
-	require.False(t, ok, "a copy of it may still run")
+	require.False(t, ok, "a copy of its task may still run")
 	_, ok = end(flow.Step{Tasks: 1}, func(j *flow.Job, _ *flow.Task) { j.State, j.Ended = flow.Cancelled, now })
-	require.False(t, ok, "its run has to be stopped")
+	require.False(t, ok, "a run of its task must still be stopped")
 	_, ok = end(flow.Step{Tasks: 1}, func(*flow.Job, *flow.Task) {})
-	require.False(t, ok, "it goes on")
+	require.False(t, ok, "the job has not ended")
 }
 
-// A partition of the store was down and the lead wrote to another one; both hold a
-// record of the job. The one that was written last counts, whichever is read first.
-func TestTheRecordThatWasWrittenLastCounts(t *testing.T) {
+// While a partition of the store was down, the leader wrote to another one, so both hold a
+// record of the job. The record that was written last is valid, in whichever order they are
+// read.
+func TestNewerRecordIsTheLastWritten(t *testing.T) {
 	j := flow.New(flow.Spec{ID: "a", Steps: []flow.Step{{Tasks: 1}}}, 7, time.UnixMilli(1))
 	at := func(term, n int64) []byte { return j.Record(flow.Version{Term: term, Append: n}) }
 	for _, pair := range [][2][]byte{{at(3, 9), at(4, 1)}, {at(4, 1), at(4, 2)}, {[]byte("{"), at(0, 0)}, {at(9, 9), at(10, 0)}} {
--- a/internal/host/explain.go
+++ b/internal/host/explain.go
@@ -16,23 +16,23 @@
 // goes before.
 func (h *Host) explain(ctx context.Context, id string) []trail.Note {
 	if _, err := cell.ParseHome(id); err != nil {
-		return h.trail.ByID(id)
+		return h.history.ByID(id)
 	}
-	reply := h.atLead(ctx, id, peer.AskTrail{ID: id})
+	reply := h.askLeader(ctx, id, peer.AskTrail{ID: id})
 	if reply.Code == 0 {
 		return reply.Notes
 	}
 	told := trail.Note{At: h.clock(), ID: id, Component: "host", Message: "its lead tells nothing: " + reply.Reason}
-	return append(h.lead.Explain(id), told)
+	return append(h.leader.Explain(id), told)
 }
 
-// explained answers for jobs that are led here only. A host that has inherited
+// localHistory answers for jobs that are led here only. A host that has inherited
 // a job and waits for its census has a record too, of next to nothing.
-func (h *Host) explained(id string) peer.JobReply {
-	if !h.lead.Leads(id) {
+func (h *Host) localHistory(id string) peer.JobReply {
+	if !h.leader.Leads(id) {
 		return peer.RefuseJob(http.StatusNotFound, "job "+id+" is not led here")
 	}
-	return peer.JobReply{Notes: h.lead.Explain(id)}
+	return peer.JobReply{Notes: h.leader.Explain(id)}
 }
 
 // rowShares are what a row and its team may use in this failure domain.
@@ -41,7 +41,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	domains := []string{h.cfg.Domain}
-	for _, m := range h.list {
+	for _, m := range h.machines {
 		if !slices.Contains(domains, m.Domain) {
 			domains = append(domains, m.Domain)
 		}
--- a/internal/host/lifecycle_test.go
+++ b/internal/host/lifecycle_test.go
@@ -13,15 +13,15 @@
 	"pollencroft/pkg/client"
 )
 
-func (c *cluster) logDown(down bool) {
+func (c *cluster) setLogDown(down bool) {
 	c.cell.Platform.SetFaults(standin.PlatformFaults{Down: down})
 }
 
-// fill takes every worker with one large task, so that further jobs wait, and
+// fillWorkers takes every worker with one large task, so that further jobs wait, and
 // returns what frees them again.
-func (c *cluster) fill() (free func()) {
+func (c *cluster) fillWorkers() (free func()) {
 	var ids []string
-	c.until("all workers are full", func() bool {
+	c.waitFor("all workers are full", func() bool {
 		full := 0
 		for _, w := range c.cell.Workers {
 			if len(w.Record().Started) > 0 {
@@ -42,80 +42,80 @@
 					c.Log("blocker", id, s, err)
 				}
 			})
-			c.until("blocker is cancelled", func() bool {
-				s, err = c.any("").Cancel(context.Background(), id)
+			c.waitFor("blocker is cancelled", func() bool {
+				s, err = c.anyClient("").Cancel(context.Background(), id)
 				return err == nil && (s.Outcome == "stopped" || s.Outcome == "not run")
 			})
 		}
 	}
 }
 
-// renewed waits until every worker was renewed so often again.
-func (c *cluster) renewed(times int) {
+// waitRenewals waits until every worker was waitRenewals so often again.
+func (c *cluster) waitRenewals(times int) {
 	for _, w := range c.cell.Workers {
 		before := w.Record().Renewed
-		c.until("worker is renewed", func() bool { return w.Record().Renewed >= before+times })
+		c.waitFor("worker is renewed", func() bool { return w.Record().Renewed >= before+times })
 	}
 }
 
 func (c *cluster) cancel(id string) string {
 	outcome := ""
-	c.until("cancel is answered", func() bool {
-		s, err := c.any("").Cancel(context.Background(), id)
+	c.waitFor("cancel is answered", func() bool {
+		s, err := c.anyClient("").Cancel(context.Background(), id)
 		outcome = s.Outcome
 		return err == nil
 	})
 	return outcome
 }
 
-// whole waits for the job's end and checks that each task ran to its end once.
-func (c *cluster) whole(id string, tasks int) {
+// requireEndsOnce waits for the job's end and checks that each task ran to its end once.
+func (c *cluster) requireEndsOnce(id string, tasks int) {
 	c.Helper()
-	c.until("job ends", func() bool { return c.state(id) == "ended" })
+	c.waitFor("job ends", func() bool { return c.state(id) == "ended" })
 	_, ended := c.ran(id)
 	require.Equal(c, tasks, ended)
-	c.sound()
+	c.requireNoDoubleRuns()
 }
 
 // The lead dies at one step of a job's life after the other, and the log is
 // away before, during or after. What the caller was told stays true: an
 // accepted job comes out whole, and nothing of it runs in two places.
-func TestLeadDiesAtEveryStep(t *testing.T) {
+func TestLeaderDiesAtEveryStep(t *testing.T) {
 	for name, life := range map[string]func(c *cluster){
 		"accepted, no start sent": func(c *cluster) {
-			free := c.fill()
-			s := c.submit(small(2, 0.2))
-			c.kill(c.leadOf(s.ID))
+			free := c.fillWorkers()
+			s := c.submit(smallJob(2, 0.2))
+			c.kill(c.leaderOf(s.ID))
 			free()
-			c.whole(s.ID, 2)
+			c.requireEndsOnce(s.ID, 2)
 		},
 		"starts sent, answers lost": func(c *cluster) {
 			for _, w := range c.cell.Workers {
 				w.SetFaults(standin.WorkerFaults{LoseAnswers: 1})
 			}
-			s := c.submit(small(8, 1))
-			c.until("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
-			c.kill(c.leadOf(s.ID))
-			c.whole(s.ID, 8)
+			s := c.submit(smallJob(8, 1))
+			c.waitFor("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
+			c.kill(c.leaderOf(s.ID))
+			c.requireEndsOnce(s.ID, 8)
 		},
 		"starts sent, workers paused": func(c *cluster) {
 			for _, w := range c.cell.Workers {
 				w.SetFaults(standin.WorkerFaults{Paused: true})
 			}
-			s := c.submit(small(8, 1))
-			c.kill(c.leadOf(s.ID))
+			s := c.submit(smallJob(8, 1))
+			c.kill(c.leaderOf(s.ID))
 			for _, w := range c.cell.Workers {
 				w.SetFaults(standin.WorkerFaults{})
 			}
-			c.whole(s.ID, 8)
+			c.requireEndsOnce(s.ID, 8)
 		},
 		"all tasks ended, end not in the log, both keepers die": func(c *cluster) {
-			s := c.submit(small(4, 0.3))
-			c.until("tasks run", func() bool { started, _ := c.ran(s.ID); return started == 4 })
-			c.logDown(true)
-			c.until("the lead knows the end", func() bool { return c.state(s.ID) == "ended" })
-			c.renewed(2)
-			c.kill(c.leadOf(s.ID))
+			s := c.submit(smallJob(4, 0.3))
+			c.waitFor("tasks run", func() bool { started, _ := c.ran(s.ID); return started == 4 })
+			c.setLogDown(true)
+			c.waitFor("the lead knows the end", func() bool { return c.state(s.ID) == "ended" })
+			c.waitRenewals(2)
+			c.kill(c.leaderOf(s.ID))
 			// The first other host by name is the one that was told of the end.
 			for _, name := range c.names {
 				if c.hosts[name] != nil {
@@ -123,29 +123,29 @@
 					break
 				}
 			}
-			c.logDown(false)
-			c.whole(s.ID, 4)
+			c.setLogDown(false)
+			c.requireEndsOnce(s.ID, 4)
 			started, _ := c.ran(s.ID)
 			require.Equal(c, 4, started, "an ended task ran again")
 		},
 		"kept by peers, log away before": func(c *cluster) {
-			free := c.fill()
-			c.logDown(true)
-			s := c.submit(small(2, 0.2))
+			free := c.fillWorkers()
+			c.setLogDown(true)
+			s := c.submit(smallJob(2, 0.2))
 			require.Equal(c, "peers", s.Kept)
-			c.kill(c.leadOf(s.ID))
-			c.logDown(false)
+			c.kill(c.leaderOf(s.ID))
+			c.setLogDown(false)
 			free()
-			c.whole(s.ID, 2)
+			c.requireEndsOnce(s.ID, 2)
 		},
 		"tasks run, log away during and after": func(c *cluster) {
-			s := c.submit(small(8, 6))
-			c.until("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
-			c.logDown(true)
-			c.kill(c.leadOf(s.ID))
-			c.until("the next lead holds all workers", func() bool { return c.held() == 4 })
-			c.logDown(false)
-			c.whole(s.ID, 8)
+			s := c.submit(smallJob(8, 6))
+			c.waitFor("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
+			c.setLogDown(true)
+			c.kill(c.leaderOf(s.ID))
+			c.waitFor("the next lead holds all workers", func() bool { return c.heldCount() == 4 })
+			c.setLogDown(false)
+			c.requireEndsOnce(s.ID, 8)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -162,30 +162,30 @@
 // not run, and then the host that said so dies. The next lead finds the batch
 // in the log and must not print it. A log that takes longer than a caller is kept
 // waiting has the desk hear "unknown" first, and "not run" only once that is stored.
-func TestNotRunStaysTrueAfterTheLeadDied(t *testing.T) {
+func TestNotRunStaysTrueAfterTheLeaderDied(t *testing.T) {
 	t.Parallel()
 	for name, slow := range map[string]time.Duration{"the log is quick": 0, "the log is slow": cancelWait + 200*time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := newCluster(t, 3)
-			free := c.fill()
-			s := c.submit(small(2, 0.2))
+			free := c.fillWorkers()
+			s := c.submit(smallJob(2, 0.2))
 			c.cell.Platform.SetFaults(standin.PlatformFaults{Slow: slow})
 			began := time.Now()
 			if told := c.cancel(s.ID); told != "not run" {
 				require.Equal(t, "unknown", told)
 				require.GreaterOrEqual(t, time.Since(began), cancelWait, "the end was not waited for")
-				c.until("not run is said", func() bool {
-					got, err := c.any("").Job(context.Background(), s.ID)
+				c.waitFor("not run is said", func() bool {
+					got, err := c.anyClient("").Job(context.Background(), s.ID)
 					return err == nil && got.Outcome == "not run"
 				})
 			}
 			c.cell.Platform.SetFaults(standin.PlatformFaults{})
-			c.kill(c.leadOf(s.ID))
+			c.kill(c.leaderOf(s.ID))
 			free()
-			after := c.submit(small(1, 0.1))
-			c.whole(after.ID, 1)
-			c.until("every host knows the end", func() bool { return c.state(s.ID) == "cancelled" })
+			after := c.submit(smallJob(1, 0.1))
+			c.requireEndsOnce(after.ID, 1)
+			c.waitFor("every host knows the end", func() bool { return c.state(s.ID) == "cancelled" })
 			started, _ := c.ran(s.ID)
 			require.Zero(t, started)
 		})
@@ -198,14 +198,14 @@
 func TestCancelWhileTheLogIsAwayIsUnknownAtFirst(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2)
-	free := c.fill()
-	s := c.submit(small(2, 0.2))
+	free := c.fillWorkers()
+	s := c.submit(smallJob(2, 0.2))
 	require.Equal(t, "log", s.Kept)
-	c.logDown(true)
+	c.setLogDown(true)
 	require.Equal(t, "unknown", c.cancel(s.ID))
-	c.logDown(false)
-	c.until("not run is said", func() bool {
-		got, err := c.any("").Job(context.Background(), s.ID)
+	c.setLogDown(false)
+	c.waitFor("not run is said", func() bool {
+		got, err := c.anyClient("").Job(context.Background(), s.ID)
 		return err == nil && got.Outcome == "not run"
 	})
 	free()
@@ -215,14 +215,14 @@
 
 // Both hosts that remember a job die while the log is away. The job is gone;
 // it was told as kept by peers only, it does not run, and nobody says that it did.
-func TestBothKeepersDie(t *testing.T) {
+func TestBothHostsThatRememberAJobDie(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
-	c.fill()
-	c.logDown(true)
-	s := c.submit(small(2, 0.2))
+	c.fillWorkers()
+	c.setLogDown(true)
+	s := c.submit(smallJob(2, 0.2))
 	require.Equal(t, "peers", s.Kept)
-	lead := c.leadOf(s.ID)
+	lead := c.leaderOf(s.ID)
 	c.kill(lead)
 	for name, h := range c.hosts {
 		if h.Remembers(s.ID) {
@@ -230,9 +230,9 @@
 		}
 	}
 	require.Len(t, c.hosts, 1)
-	c.logDown(false)
-	c.until("the last host has read the log", func() bool { return c.held() == 4 })
-	_, err := c.any("").Job(context.Background(), s.ID)
+	c.setLogDown(false)
+	c.waitFor("the last host has read the log", func() bool { return c.heldCount() == 4 })
+	_, err := c.anyClient("").Job(context.Background(), s.ID)
 	require.ErrorContains(t, err, "404")
 	started, _ := c.ran(s.ID)
 	require.Zero(t, started)
@@ -244,13 +244,13 @@
 func TestRepeatOfAJobWithAKeyFindsIt(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2)
-	j := small(2, 0.3)
+	j := smallJob(2, 0.3)
 	j.Workload, j.Key = "print", "batch-7"
 	c.cell.Platform.SetFaults(standin.PlatformFaults{LoseAnswers: 1})
 	ids := map[string]bool{}
 	for _, name := range []string{"h0", "h1", "h0"} {
-		c.until("job is accepted", func() bool {
-			s, err := c.ask[name].Submit(context.Background(), j)
+		c.waitFor("job is accepted", func() bool {
+			s, err := c.clients[name].Submit(context.Background(), j)
 			if err == nil {
 				ids[s.ID] = true
 			}
@@ -259,12 +259,12 @@
 	}
 	require.Len(t, ids, 1)
 	for id := range ids {
-		c.whole(id, 2)
+		c.requireEndsOnce(id, 2)
 		started, _ := c.ran(id)
 		require.Equal(t, 2, started)
 	}
 	j.Tasks = 3
-	_, err := c.ask["h0"].Submit(context.Background(), j)
+	_, err := c.clients["h0"].Submit(context.Background(), j)
 	require.ErrorContains(t, err, "409")
 }
 
@@ -273,17 +273,17 @@
 func TestPlannedStopWhileTheLogIsAway(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2)
-	s := c.submit(small(12, 2))
-	c.until("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
-	c.logDown(true)
-	name := c.leadOf(s.ID)
+	s := c.submit(smallJob(12, 2))
+	c.waitFor("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
+	c.setLogDown(true)
+	name := c.leaderOf(s.ID)
 	require.NoError(t, c.hosts[name].Stop(context.Background()))
 	c.kill(name)
 	for _, h := range c.hosts {
 		require.True(t, h.Leads(s.ID))
 	}
-	c.logDown(false)
-	c.whole(s.ID, 12)
+	c.setLogDown(false)
+	c.requireEndsOnce(s.ID, 12)
 	started, _ := c.ran(s.ID)
 	require.Equal(t, 12, started)
 }
@@ -294,14 +294,14 @@
 func TestRecordOfALongJobOutlivesTheLogsRetention(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 1)
-	watcher := c.submit(small(1, 3600))
+	watcher := c.submit(smallJob(1, 3600))
 	c.cell.Platform.SetFaults(standin.PlatformFaults{Retain: 12})
 	for range 20 {
-		id := c.submit(small(1, 3600)).ID
-		c.until("job is stopped", func() bool { return c.cancel(id) != "unknown" })
+		id := c.submit(smallJob(1, 3600)).ID
+		c.waitFor("job is stopped", func() bool { return c.cancel(id) != "unknown" })
 	}
 	var l *joblog.Log
-	c.until("a newcomer finds the watcher", func() bool {
+	c.waitFor("a newcomer finds the watcher", func() bool {
 		l = joblog.New()
 		_, err := platform.New(c.cell.Address, nil).Read(context.Background(), joblog.Stream, 1, 0)
 		var trimmed *platform.TrimmedError
--- a/internal/host/limits_test.go
+++ b/internal/host/limits_test.go
@@ -11,12 +11,12 @@
 )
 
 // Guards against a row's limit that is exceeded when its jobs come to both hosts of a domain.
-func TestLimitOfARowHoldsOverAllLeads(t *testing.T) {
+func TestLimitOfARowHoldsOverAllLeaders(t *testing.T) {
 	c := newCluster(t, 2)
 	ctx := context.Background()
 	op := client.New(c.operators[0], "", nil)
 	require.NoError(t, op.SetRow(ctx, "print", "", map[string]any{"limits": map[string]any{"tasks": 2}}))
-	c.until("limit is in force", func() bool {
+	c.waitFor("limit is in force", func() bool {
 		for _, h := range c.hosts {
 			if row, _ := h.Row("print"); row.Limits.Tasks != 2 {
 				return false
@@ -25,34 +25,34 @@
 		return true
 	})
 	for range 4 {
-		for _, ask := range c.ask {
-			c.until("job is accepted", func() bool {
+		for _, ask := range c.clients {
+			c.waitFor("job is accepted", func() bool {
 				_, err := ask.Submit(ctx, client.Job{Workload: "print", Tasks: 1, Size: client.Size{CPU: 100, Mem: 1 << 20}, Time: 600})
 				return err == nil
 			})
 		}
 	}
 	started := func() int { return len(c.cell.Report().Started) }
-	c.until("two tasks run", func() bool { return started() == 2 })
+	c.waitFor("two tasks run", func() bool { return started() == 2 })
 	require.Never(t, func() bool { return started() > 2 }, time.Second, 20*time.Millisecond)
 }
 
 // A caller mistypes an id, asks after a job of a failure domain that does not
 // exist, or cancels a job that has ended. Each gets a plain answer at once, and
 // the ended job stays as it was.
-func TestQuestionsAfterOtherJobsChangeNothing(t *testing.T) {
+func TestRequestsForOtherJobsChangeNothing(t *testing.T) {
 	c := newCluster(t, 2)
 	ctx := context.Background()
 	for id, status := range map[string]int{"plain": 400, "nowhere.r0.1": 404, "nord.r0.1": 404} {
-		_, err := c.any("").Job(ctx, id)
+		_, err := c.anyClient("").Job(ctx, id)
 		var told *client.StatusError
 		require.ErrorAs(t, err, &told, id)
 		require.Equal(t, status, told.Status, id)
 		require.Equal(t, client.Refused, told.Outcome, id)
 	}
 	s := c.submit(client.Job{Tasks: 1, Size: client.Size{CPU: 100, Mem: 1 << 20}, Time: 0.01})
-	c.until("job has ended", func() bool { return c.state(s.ID) == "ended" })
-	told, err := c.any("").Cancel(ctx, s.ID)
+	c.waitFor("job has ended", func() bool { return c.state(s.ID) == "ended" })
+	told, err := c.anyClient("").Cancel(ctx, s.ID)
 	require.NoError(t, err)
 	require.Equal(t, "ended", told.State)
 }
--- a/internal/host/routes.go
+++ b/internal/host/routes.go
@@ -23,16 +23,16 @@
 	r.Group(func(r chi.Router) {
 		r.Use(h.admit)
 		caller.New(caller.Deps{
-			Row: h.Row, Do: h.doHere, Submit: h.submitHere, Job: h.askJob, Cancel: h.cancelJob, Trail: h.explain,
+			Row: h.Row, Do: h.doIfServed, Submit: h.submitIfServed, Job: h.jobStatus, Cancel: h.cancelJob, Trail: h.explain,
 			MaxBody: h.cfg.Limits.Body, MaxWait: h.cfg.Limits.Deadline, Clock: h.clock,
 		}).Routes(r)
 	})
-	return h.count(r)
+	return h.countRequests(r)
 }
 
-// elsewhere tells why a row's work is not taken in this failure domain, empty
+// refusalReason tells why a row's work is not taken in this failure domain, empty
 // if it is. A row that is confined to some domains may need what only they have.
-func (h *Host) elsewhere(name string) string {
+func (h *Host) refusalReason(name string) string {
 	row, _ := h.Row(name)
 	if row.Serves(h.cfg.Domain) {
 		return ""
@@ -40,15 +40,15 @@
 	return "row " + name + " runs only in " + strings.Join(row.Domains, ", ")
 }
 
-func (h *Host) doHere(ctx context.Context, req call.Request) call.Reply {
-	if reason := h.elsewhere(req.Row); reason != "" {
+func (h *Host) doIfServed(ctx context.Context, req call.Request) call.Reply {
+	if reason := h.refusalReason(req.Row); reason != "" {
 		return call.Refuse(http.StatusMisdirectedRequest, reason, 0)
 	}
 	return h.relay.Do(ctx, req)
 }
 
-func (h *Host) submitHere(ctx context.Context, j caller.Job) peer.JobReply {
-	if reason := h.elsewhere(j.Row); reason != "" {
+func (h *Host) submitIfServed(ctx context.Context, j caller.Job) peer.JobReply {
+	if reason := h.refusalReason(j.Row); reason != "" {
 		return peer.RefuseJob(http.StatusMisdirectedRequest, reason)
 	}
 	return h.submit(ctx, j)
@@ -59,9 +59,9 @@
 	h.health(r)
 	r.Group(func(r chi.Router) {
 		operator.New(operator.Deps{
-			Token: h.cfg.Operator.Token, Table: book{h}, Status: h.tableStatus,
-			Hosts: func() any { return h.hostsView() }, Workers: func() any { return h.lead.Held() },
-			Trail: h.explain, Drain: h.drainLater,
+			Token: h.cfg.Operator.Token, Table: operatorTable{h}, Status: h.tableStatus,
+			Hosts: func() any { return h.hostsView() }, Workers: func() any { return h.leader.Held() },
+			Trail: h.explain, Drain: h.stopInBackground,
 		}).Routes(r)
 	})
 	return r
@@ -82,8 +82,8 @@
 	})
 }
 
-// count keeps one counter an outcome and the times of all requests.
-func (h *Host) count(next http.Handler) http.Handler {
+// countRequests keeps one counter an outcome and the times of all requests.
+func (h *Host) countRequests(next http.Handler) http.Handler {
 	times := metrics.GetOrRegisterTimer("caller.time", h.metrics)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		began := h.clock()
@@ -116,7 +116,7 @@
 		Self: h.cfg.Name, Live: h.members.Live(), Next: h.table.NextOffset(), Seen: h.members.Heartbeats(),
 		Slots: map[string]int{}, Awaited: h.shares.AwaitedHosts(), Aside: aside,
 	}
-	for _, m := range h.list {
+	for _, m := range h.machines {
 		if m.Kind == cell.BackendHost && m.Domain == h.cfg.Domain {
 			v.Slots[m.Name] = h.shares.UsableSlots(m.Name, m.Slots)
 		}
--- a/internal/host/share_test.go
+++ b/internal/host/share_test.go
@@ -49,7 +49,7 @@
 			Limits: settings.Limits{Body: 1 << 20, Queue: 100, Deadline: 4 * time.Second, DrainTimeout: 5 * time.Second},
 		})
 	}
-	d.list("h0", "h1", "h2")
+	d.setListed("h0", "h1", "h2")
 	for i, cfg := range d.cfgs {
 		for j, other := range d.cfgs {
 			if i != j {
@@ -65,8 +65,8 @@
 	return d
 }
 
-// list puts entry hosts on the platform's list beside the minions.
-func (d *domain) list(names ...string) {
+// setListed puts entry hosts on the platform's setListed beside the minions.
+func (d *domain) setListed(names ...string) {
 	all := append([]platform.HostEntry{}, d.cell.Machines...)
 	for _, name := range names {
 		all = append(all, platform.HostEntry{Name: name, Kind: cell.EntryHost, Domain: "nord"})
@@ -74,8 +74,8 @@
 	d.cell.Platform.SetHosts(all)
 }
 
-// share waits until these hosts together may use all slots of each minion.
-func (d *domain) share(what string, hosts ...int) {
+// waitSlotsShared waits until these hosts together may use all slots of each minion.
+func (d *domain) waitSlotsShared(what string, hosts ...int) {
 	require.Eventually(d.t, func() bool {
 		sum := map[string]int{}
 		for _, i := range hosts {
@@ -90,21 +90,21 @@
 			}
 		}
 		return sum["minion-00"] == 8 && sum["minion-01"] == 8
-	}, limit, 20*time.Millisecond, what)
+	}, testTimeout, 20*time.Millisecond, what)
 }
 
 // One host dies and another stops in a planned way. The last one must come to
 // use all slots: its callers would otherwise wait beside idle minions for ever.
 func TestSlotsOfGoneHostsAreTakenOver(t *testing.T) {
 	d := newDomain(t)
-	d.share("all share at the start", 0, 1, 2)
+	d.waitSlotsShared("all share at the start", 0, 1, 2)
 	d.hosts[0].Kill()
-	d.list("h1", "h2")
-	d.share("the others take the dead host's slots", 1, 2)
-	ctx, cancel := context.WithTimeout(t.Context(), limit)
+	d.setListed("h1", "h2")
+	d.waitSlotsShared("the others take the dead host's slots", 1, 2)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	require.NoError(t, d.hosts[1].Stop(ctx))
-	d.share("the last host gets what the stopped one gave", 2)
+	d.waitSlotsShared("the last host gets what the stopped one gave", 2)
 }
 
 // callers sets an urgent row and returns clients of the hosts.
@@ -113,7 +113,7 @@
 	require.NoError(d.t, d.operators[0].SetRow(ctx, "scan", "", map[string]any{"class": "urgent"}))
 	var all []*client.Client
 	for i, cfg := range d.cfgs {
-		require.Eventually(d.t, func() bool { _, v := d.hosts[i].Row("scan"); return v > 0 }, limit, 10*time.Millisecond, "row is in force")
+		require.Eventually(d.t, func() bool { _, v := d.hosts[i].Row("scan"); return v > 0 }, testTimeout, 10*time.Millisecond, "row is in force")
 		all = append(all, client.New(cfg.Listen.Caller, "", nil))
 	}
 	return all
@@ -123,7 +123,7 @@
 // rest must not stay idle while they wait, and no minion may get a ninth.
 func TestOneHostsCallersUseAllSlotsAndNoMore(t *testing.T) {
 	d := newDomain(t)
-	d.share("all share", 0, 1, 2)
+	d.waitSlotsShared("all share", 0, 1, 2)
 	callers := d.callers()
 	var wg sync.WaitGroup
 	for range 16 {
@@ -144,9 +144,9 @@
 
 // A minion tells one host that it leaves; the host list never shows it. The
 // other hosts must hear of it and send it nothing more.
-func TestLeavingMinionIsShunnedByAllHosts(t *testing.T) {
+func TestLeavingBackendIsAvoidedByAllHosts(t *testing.T) {
 	d := newDomain(t)
-	d.share("all share", 0, 1, 2)
+	d.waitSlotsShared("all share", 0, 1, 2)
 	callers := d.callers()
 	d.cell.Minions["minion-00"].SetFaults(standin.MinionFaults{Leaving: true})
 	aside := func(i int) bool {
@@ -160,8 +160,8 @@
 		require.NoError(t, err)
 		require.Equal(t, client.Done, reply.Outcome, "it is answered by the other minion")
 		return aside(0)
-	}, limit, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 	for i := range callers {
-		require.Eventually(t, func() bool { return aside(i) }, limit, 10*time.Millisecond)
+		require.Eventually(t, func() bool { return aside(i) }, testTimeout, 10*time.Millisecond)
 	}
 }
--- a/internal/host/stop_test.go
+++ b/internal/host/stop_test.go
@@ -17,46 +17,46 @@
 	"pollencroft/pkg/client"
 )
 
-// minion adds a backend server of the rig's failure domain.
-func (c *rig) minion(slots int) *standin.Minion {
+// addBackend adds a backend server of the rig's failure domain.
+func (c *testHosts) addBackend(slots int) *standin.Minion {
 	m := standin.NewMinion(slots)
 	c.platform.SetHosts([]platform.HostEntry{{
-		Name: "m", Kind: cell.BackendHost, Domain: "nord", Slots: slots, Conns: 64, Address: serveMinion(c.t, m),
+		Name: "m", Kind: cell.BackendHost, Domain: "nord", Slots: slots, Conns: 64, Address: serveBackend(c.t, m),
 	}})
 	return m
 }
 
-func serveMinion(t *testing.T, m *standin.Minion) netip.AddrPort {
+func serveBackend(t *testing.T, m *standin.Minion) netip.AddrPort {
 	t.Helper()
 	srv := httptest.NewServer(m.Handler())
 	t.Cleanup(srv.Close)
 	return netip.MustParseAddrPort(srv.Listener.Addr().String())
 }
 
-func ran(m *standin.Minion) int { return m.Record().Most }
+func maxRunning(m *standin.Minion) int { return m.Record().Most }
 
 // A host is told to stop while it carries a plain request, a keyed one, one
 // that a peer handed over, and connections that clients opened ahead and never
 // used. Each must get its whole answer; nothing may hold
 // up the stop for long once they have.
 func TestPlannedStopCutsNothing(t *testing.T) {
-	c := newRig(t, 2)
-	m := c.minion(8)
-	for i := range c.all {
-		c.all[i].Limits.ShutdownDelay, c.all[i].Limits.StartupWait = 50*time.Millisecond, time.Millisecond
-		c.start(i)
-		c.ready(i)
+	c := newTestHosts(t, 2)
+	m := c.addBackend(8)
+	for i := range c.settings {
+		c.settings[i].Limits.ShutdownDelay, c.settings[i].Limits.StartupWait = 50*time.Millisecond, time.Millisecond
+		c.startHost(i)
+		c.waitReady(i)
 	}
-	require.NoError(t, c.set(0, "scan", map[string]any{"class": "urgent"}))
-	c.until("row everywhere", func() bool { return c.weight(1, "scan") == 1 })
-	callers := []*client.Client{client.New(at(c.sockets[0].Caller), "", nil), client.New(at(c.sockets[1].Caller), "", nil)}
+	require.NoError(t, c.setRow(0, "scan", map[string]any{"class": "urgent"}))
+	c.waitFor("row everywhere", func() bool { return c.weight(1, "scan") == 1 })
+	callers := []*client.Client{client.New(addrOf(c.sockets[0].Caller), "", nil), client.New(addrOf(c.sockets[1].Caller), "", nil)}
 	ask := func(i int, key, cost string) (client.Reply, error) {
 		return callers[i].Do(context.Background(), client.Request{
-			Workload: "scan", Method: "POST", Path: "/x", Key: key, Deadline: limit, Body: []byte("pass"),
+			Workload: "scan", Method: "POST", Path: "/x", Key: key, Deadline: testTimeout, Body: []byte("pass"),
 			Header: http.Header{standin.HeaderCost: {cost}},
 		})
 	}
-	c.until("slots are shared out", func() bool {
+	c.waitFor("slots are shared out", func() bool {
 		for i := range callers {
 			reply, err := callers[i].Do(context.Background(), client.Request{Workload: "scan", Method: "POST", Path: "/x", Key: cell.NewID()})
 			if err != nil || reply.Outcome != client.Done {
@@ -81,17 +81,17 @@
 	for range 4 {
 		send(1, "", "2s")
 	}
-	c.until("host 1 is full", func() bool { return ran(m) >= 4 })
+	c.waitFor("host 1 is full", func() bool { return maxRunning(m) >= 4 })
 	// What is handed over ends last, when nothing of host 0's own runs any more.
 	send(1, "", "3s")
 	send(0, "", "1s")
 	send(0, cell.NewID(), "1s")
-	c.until("all run", func() bool { return ran(m) >= 7 })
+	c.waitFor("all run", func() bool { return maxRunning(m) >= 7 })
 	unused, err := net.Dial("tcp", c.sockets[0].Caller.Addr().String())
 	require.NoError(t, err)
 	defer unused.Close()
 
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	require.NoError(t, c.hosts[0].Stop(ctx))
 	for range 7 {
@@ -105,14 +105,14 @@
 // Something in flight never ends. The stop gives up at its bound and says that
 // it has cut work, rather than hang for good or claim a clean end.
 func TestStopThatCutsWorkSaysSo(t *testing.T) {
-	c := newRig(t, 1)
-	m := c.minion(8)
-	c.start(0)
-	c.ready(0)
-	require.NoError(t, c.set(0, "scan", map[string]any{"class": "urgent"}))
-	caller := client.New(at(c.sockets[0].Caller), "", nil)
+	c := newTestHosts(t, 1)
+	m := c.addBackend(8)
+	c.startHost(0)
+	c.waitReady(0)
+	require.NoError(t, c.setRow(0, "scan", map[string]any{"class": "urgent"}))
+	caller := client.New(addrOf(c.sockets[0].Caller), "", nil)
 	done := make(chan struct{})
-	c.until("runs", func() bool {
+	c.waitFor("runs", func() bool {
 		r, err := caller.Do(context.Background(), client.Request{Workload: "scan", Method: "GET"})
 		return err == nil && r.Outcome == client.Done
 	})
@@ -121,7 +121,7 @@
 		defer close(done)
 		_, _ = caller.Do(context.Background(), client.Request{Workload: "scan", Method: "POST", Deadline: 2 * time.Second})
 	}()
-	c.until("in flight", func() bool { return c.hosts[0].InFlight() > 0 })
+	c.waitFor("in flight", func() bool { return c.hosts[0].InFlight() > 0 })
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	require.Error(t, c.hosts[0].Stop(ctx))
@@ -132,9 +132,9 @@
 // five seconds for a first request on each; an idle host must not use up the
 // bound of its stop with that.
 func TestUnusedConnectionsDoNotHoldUpAStop(t *testing.T) {
-	c := newRig(t, 1)
-	c.start(0)
-	c.ready(0)
+	c := newTestHosts(t, 1)
+	c.startHost(0)
+	c.waitReady(0)
 	unused, err := net.Dial("tcp", c.sockets[0].Caller.Addr().String())
 	require.NoError(t, err)
 	defer unused.Close()
--- a/internal/host/transport.go
+++ b/internal/host/transport.go
@@ -20,55 +20,55 @@
 // connsPerServer is how many idle connections are kept to one server.
 const connsPerServer = 16
 
-// counted counts the bytes of all connections that it opens.
-type counted struct{ bytes *atomic.Int64 }
+// countingDialer counts the bytes of all connections that it opens.
+type countingDialer struct{ bytes *atomic.Int64 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c countedConn) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
 // NetConn returns the connection inside, as tls.Conn does.
-func (c countedConn) NetConn() net.Conn { return c.Conn }
+func (c countingConn) NetConn() net.Conn { return c.Conn }
 
-func (c countedConn) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c counted) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+func (c countingDialer) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	conn, err := dial.New().DialContext(ctx, network, addr)
 	if err != nil {
 		return nil, err
 	}
-	return countedConn{Conn: conn, bytes: c.bytes}, nil
+	return countingConn{Conn: conn, bytes: c.bytes}, nil
 }
 
-// countedListener counts the bytes of all connections that it accepts.
-type countedListener struct {
+// countingListener counts the bytes of all connections that it accepts.
+type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
 }
 
 // Accept returns the next connection.
-func (l countedListener) Accept() (net.Conn, error) {
+func (l countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return countedConn{Conn: conn, bytes: l.bytes}, nil
+	return countingConn{Conn: conn, bytes: l.bytes}, nil
 }
 
-// OpenKeys reads the host's keys, if the settings name any. It must be called
+// LoadKeys reads the host's keys, if the settings name any. It must be called
 // before Start; the error is a keys.FileError.
-func (h *Host) OpenKeys() error {
+func (h *Host) LoadKeys() error {
 	if h.cfg.TLS == (settings.TLS{}) {
 		return nil
 	}
@@ -87,16 +87,16 @@
 }
 
 func (h *Host) peerListener(ln net.Listener) net.Listener {
-	ln = h.bounded(countedListener{ln, &h.peerBytes})
+	ln = h.limitConns(countingListener{ln, &h.peerBytes})
 	if h.keys == nil {
-		return h.plain(ln)
+		return h.plainListener(ln)
 	}
 	return h.keys.PeerListener(ln)
 }
 
-// plain refuses to serve without TLS when the settings ask for it: whoever can
+// plainListener refuses to serve without TLS when the settings ask for it: whoever can
 // reach the port could otherwise speak for any host.
-func (h *Host) plain(ln net.Listener) net.Listener {
+func (h *Host) plainListener(ln net.Listener) net.Listener {
 	if h.cfg.TLS != (settings.TLS{}) {
 		h.log.Error("keys: not opened, nothing is served here.", "address", ln.Addr())
 		_ = ln.Close()
@@ -106,7 +106,7 @@
 
 func (h *Host) operatorListener(ln net.Listener) net.Listener {
 	if h.keys == nil {
-		return h.plain(ln)
+		return h.plainListener(ln)
 	}
 	return tls.NewListener(ln, h.keys.OperatorConfig())
 }
@@ -117,7 +117,7 @@
 	if err != nil {
 		return nil, err
 	}
-	counted := countedConn{Conn: conn, bytes: &h.peerBytes}
+	counted := countingConn{Conn: conn, bytes: &h.peerBytes}
 	if h.keys == nil {
 		return counted, nil
 	}
@@ -137,15 +137,15 @@
 // both directions, callers' requests handed over among them.
 func (h *Host) PeerBytes() int64 { return h.peerBytes.Load() }
 
-func transport(bytes *atomic.Int64) *http.Transport {
+func newTransport(bytes *atomic.Int64) *http.Transport {
 	return &http.Transport{
 		MaxIdleConnsPerHost: connsPerServer,
 		IdleConnTimeout:     30 * time.Second,
-		DialContext:         counted{bytes: bytes}.dial,
+		DialContext:         countingDialer{bytes: bytes}.dial,
 		DisableCompression:  true,
 	}
 }
 
 // ControlBytes returns how many bytes this host has exchanged with the
 // platform and with workers. Callers' requests are not control.
-func (h *Host) ControlBytes() int64 { return h.control.Load() }
+func (h *Host) ControlBytes() int64 { return h.controlBytes.Load() }
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -15,7 +15,7 @@
 
 // The reader of the log has stopped. A decision that waited for its log line to be written would
 // stop, too.
-func TestAReaderThatStopsHoldsUpNothing(t *testing.T) {
+func TestStoppedReaderDoesNotBlockWriter(t *testing.T) {
 	r, out := io.Pipe()
 	w := logs.NewWriter(out)
 	done := make(chan struct{})
@@ -37,7 +37,7 @@
 
 // A flood of lines with the same message is cut to its rate limit and the cut is reported. Other
 // messages, warnings and errors still pass.
-func TestAFloodStaysWithinItsBudget(t *testing.T) {
+func TestFloodStaysWithinRateLimit(t *testing.T) {
 	now := time.Unix(0, 0)
 	var buf bytes.Buffer
 	log := slog.New(logs.NewHandler(slog.NewTextHandler(&buf, nil), func() time.Time { return now }))
@@ -52,5 +52,5 @@
 	text := buf.String()
 	require.LessOrEqual(t, strings.Count(text, "msg=flood"), 120+10*40+1)
 	require.Equal(t, 2, strings.Count(text, "msg=other"))
-	require.Contains(t, text, "lines were suppressed")
+	require.Contains(t, text, "lines were left out")
 }
--- a/internal/queue/dispatch.go
+++ b/internal/queue/dispatch.go
@@ -7,7 +7,7 @@
 	"pollencroft/internal/cell"
 )
 
-// dispatch sends while there is a slot for the request whose turn it is.
+// dispatch sends requests, the most urgent class first, as long as there are slots for them.
 func (q *Queue) dispatch(now time.Time) []Action {
 	var acts []Action
 	for _, c := range cell.Classes {
@@ -22,7 +22,7 @@
 	return acts
 }
 
-// next sends or lends one request of a class; nil when there is none to send.
+// next sends or lends one request of a class. It returns nil if none can be sent.
 func (q *Queue) next(now time.Time, c *class, of cell.Class) Action {
 	if r := c.ready.first(); r != nil && q.mayUse(of) {
 		return q.send(now, c, r)
@@ -36,13 +36,13 @@
 	return nil
 }
 
-// lendable is the row that has the next slot of a peer. A row whose requests
-// every peer has bounced is passed over until the peers tell their load again.
+// lendable returns the row that gets the next free slot of a peer. It skips a row whose
+// requests all peers have rejected, until the peers announce their load again.
 func (q *Queue) lendable(c *class) *row {
 	var best *row
-	for _, rows := range []*places[*row]{c.ready, c.blocked} {
+	for _, rows := range []*indexedHeap[*row]{c.ready, c.blocked} {
 		for _, r := range rows.items {
-			if (best == nil || lessUsed(r, best)) && q.lender(r) != nil {
+			if (best == nil || lessUsage(r, best)) && q.pickPeer(r) != nil {
 				best = r
 			}
 		}
@@ -50,58 +50,58 @@
 	return best
 }
 
-func (q *Queue) lender(r *row) *minion {
+func (q *Queue) pickPeer(r *row) *backend {
 	if r.waiting.first().FromPeer {
 		return nil
 	}
-	return q.peers.pick(func(name string) bool { return r.bounced[name] })
+	return q.peers.pick(func(name string) bool { return r.rejectedBy[name] })
 }
 
 func (q *Queue) send(now time.Time, c *class, r *row) Action {
 	req := r.waiting.first()
 	if q.tooLate(now, r, req) {
-		return q.drop(now, req, TooLate)
+		return q.refuseWaiting(now, req, TooLate)
 	}
 	m := q.local.pick(func(name string) bool { return slices.Contains(req.Avoid, name) })
 	if m == nil {
-		m = q.local.best.first()
+		m = q.local.byFree.first()
 	}
-	req.minion = m.name
-	q.local.take(m)
-	r.sent++
+	req.backend = m.name
+	q.local.acquire(m)
+	r.busy++
 	if r.Class == cell.Urgent {
-		q.need.sent(now.Sub(req.since), r.took, q.mostReserve())
+		q.reserved.observe(now.Sub(req.since), r.meanTime, q.maxReserve())
 	}
-	q.served(now, c, req)
+	q.account(now, c, req)
 	return Send{ID: req.ID, Backend: m.name}
 }
 
-// tooLate tells that a request would be sent in vain: its caller is gone
-// before an answer can come. Each refusal lowers the measure a little, so that
-// one slow answer cannot keep a row from being tried for ever.
+// tooLate reports whether it is pointless to send a request, because its caller will be gone
+// before an answer can be expected. Each refusal lowers the row's mean time a little, so that
+// one slow answer cannot block the row forever.
 func (q *Queue) tooLate(now time.Time, r *row, req *request) bool {
-	if req.Deadline.Sub(now) >= r.took/2 {
+	if req.Deadline.Sub(now) >= r.meanTime/2 {
 		return false
 	}
-	r.took = r.took * 7 / 8
+	r.meanTime = r.meanTime * 7 / 8
 	return true
 }
 
 func (q *Queue) lend(now time.Time, c *class, r *row) Action {
-	req, m := r.waiting.first(), q.lender(r)
+	req, m := r.waiting.first(), q.pickPeer(r)
 	req.peer = m.name
-	q.peers.take(m)
-	q.served(now, c, req)
+	q.peers.acquire(m)
+	q.account(now, c, req)
 	return Lend{ID: req.ID, Peer: m.name}
 }
 
-func (q *Queue) served(now time.Time, c *class, req *request) {
+func (q *Queue) account(now time.Time, c *class, req *request) {
 	r := req.row
 	q.remove(req)
 	q.sent[req.ID] = req
-	c.turn = r.used
-	r.used += r.cost()
-	c.place(r)
-	r.drain.count(now)
-	c.drain.count(now)
+	c.virtualTime = r.usage
+	r.usage += r.cost()
+	c.reindex(r)
+	r.drain.countSend(now)
+	c.drain.countSend(now)
 }
--- a/internal/queue/property_test.go
+++ b/internal/queue/property_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { randtest.Main(m, 200, 120) }
 
-// model keeps what the queue has decided and checks each decision.
+// model records the queue's decisions and checks each of them.
 type model struct {
 	t        require.TestingT
 	q        *queue.Queue
@@ -28,7 +28,7 @@
 	waiting  map[string]queue.Enqueue
 	sent     map[string]queue.Send
 	rows     map[string]string
-	lent     map[string]string
+	lentTo   map[string]string
 }
 
 func (m *model) step(ev queue.Event) {
@@ -38,28 +38,28 @@
 			m.decided(a.ID)
 			m.busy[a.Backend]++
 			m.rowBusy[m.rows[a.ID]]++
-			require.LessOrEqual(m.t, m.busy[a.Backend], m.slots[a.Backend], "a minion gets no more than its share")
+			require.LessOrEqual(m.t, m.busy[a.Backend], m.slots[a.Backend], "a backend server gets no more requests than its share")
 			if limit := m.rowSlots[m.rows[a.ID]]; limit != 0 {
-				require.LessOrEqual(m.t, m.rowBusy[m.rows[a.ID]], limit, "a row gets no more than its limit")
+				require.LessOrEqual(m.t, m.rowBusy[m.rows[a.ID]], limit, "a row gets no more slots than its limit")
 			}
 			m.sent[a.ID] = a
 		case queue.Lend:
-			require.False(m.t, m.waiting[a.ID].FromPeer, "a lent request is not lent again")
+			require.False(m.t, m.waiting[a.ID].FromPeer, "a request from a peer is not lent again")
 			m.decided(a.ID)
-			m.lent[a.ID] = a.Peer
+			m.lentTo[a.ID] = a.Peer
 		case queue.Refuse:
 			m.decided(a.ID)
 		}
 	}
 	free, waiting := m.q.Load()
-	require.Equal(m.t, len(m.waiting), waiting, "each request is decided once")
+	require.Equal(m.t, len(m.waiting), waiting, "each request is decided exactly once")
 	if free == 0 {
 		return
 	}
 	for _, ask := range m.waiting {
 		limit := m.rowSlots[ask.Row.Name]
 		held := limit != 0 && m.rowBusy[ask.Row.Name] >= limit
-		require.True(m.t, held || ask.Row.Class == cell.Bulk, "no slot stays idle while %s waits", ask.ID)
+		require.True(m.t, held || ask.Row.Class == cell.Bulk, "a slot is free while request %s waits", ask.ID)
 	}
 }
 
@@ -83,17 +83,17 @@
 	return fmt.Sprintf("%06d%s", (turn*len(id)+int(id[len(id)-1]))%997, id)
 }
 
-// Requests come, end, hang up and are given back by peers while servers, rows
-// and peers change. Whatever the order, no minion gets more than its share, no
-// row more than its limit, each caller one decision, and none but bulk ones,
-// which leave the reserve, waits beside a free slot.
-func TestQueueKeepsItsBoundsInAnyOrder(t *testing.T) {
+// Requests arrive, end, are cancelled and are rejected by peers while servers, rows and peers
+// change. Whatever the order, no backend server gets more requests than its share, no row
+// exceeds its limit, each request is decided once, and only bulk requests, which leave the
+// reserve free, wait while a slot is free.
+func TestQueueInvariantsHoldInAnyOrder(t *testing.T) {
 	classes := map[string]cell.Class{"scan": cell.Urgent, "menu": cell.Normal, "badge": cell.Bulk}
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{
 			t: t, q: queue.New(queue.Limits{Length: 12, Reserve: 0.25}), now: start, slots: map[string]int{}, busy: map[string]int{},
 			rowSlots: map[string]int64{}, rowBusy: map[string]int64{}, waiting: map[string]queue.Enqueue{}, sent: map[string]queue.Send{},
-			rows: map[string]string{}, lent: map[string]string{},
+			rows: map[string]string{}, lentTo: map[string]string{},
 		}
 		name := func() string { return rapid.SampledFrom([]string{"scan", "menu", "badge"}).Draw(t, "row") }
 		row := func(name string) queue.Row {
@@ -118,8 +118,8 @@
 				}
 			},
 			"bounce": func(t *rapid.T) {
-				if id := pick(t, m.lent); id != "" {
-					delete(m.lent, id)
+				if id := pick(t, m.lentTo); id != "" {
+					delete(m.lentTo, id)
 					m.waiting[id] = queue.Enqueue{ID: id, Row: row(m.rows[id])}
 					m.step(queue.LendRejected{ID: id})
 				}
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,7 +1,7 @@
-// Package queue decides which request is sent to which backend server, and
-// when. Urgent requests go first and keep a reserve of slots; within a class
-// rows share the slots by weight; within a row the earliest deadline is first.
-// What cannot be answered in time is refused early, bulk first.
+// Package queue decides which request is sent to which backend server, and when. Urgent
+// requests go first and have a reserve of slots. Within a class, rows share the slots by
+// weight; within a row, the request with the earliest deadline goes first. Requests that
+// cannot be answered in time are refused early, bulk requests first.
 package queue
 
 import (
@@ -11,76 +11,76 @@
 	"pollencroft/internal/cell"
 )
 
-// Limits bound one host's queue.
+// Limits bounds the queue of one host.
 type Limits struct {
-	// Length is how many requests may wait in all.
+	// Length is how many requests may wait in total.
 	Length int
-	// Reserve is the largest share of slots that bulk requests may not use.
+	// Reserve is the maximum share of the slots that is kept free from bulk requests.
 	Reserve float64
 }
 
-// DefaultLimits suit a small entry host.
+// DefaultLimits is suitable for a small entry host.
 var DefaultLimits = Limits{Length: 4096, Reserve: 0.25}
 
-// Queue is the request queue core of one host.
+// Queue is the state machine of one host's request queue.
 type Queue struct {
-	limits  Limits
-	rows    map[string]*row
-	classes map[cell.Class]*class
-	waiting map[string]*request
-	sent    map[string]*request
-	due     *places[*request]
-	local   *servers
-	peers   *servers
-	need    need
+	limits   Limits
+	rows     map[string]*row
+	classes  map[cell.Class]*class
+	waiting  map[string]*request
+	sent     map[string]*request
+	due      *indexedHeap[*request]
+	local    *pool
+	peers    *pool
+	reserved reserveEstimate
 }
 
 // New returns an empty queue without backend servers.
 func New(limits Limits) *Queue {
 	return &Queue{
 		limits: limits, rows: map[string]*row{}, classes: newClasses(), waiting: map[string]*request{},
-		sent: map[string]*request{}, due: newPlaces(earlier), local: newServers(), peers: newServers(),
-		need: need{level: firstNeed},
+		sent: map[string]*request{}, due: newIndexedHeap(earlier), local: newPool(), peers: newPool(),
+		reserved: reserveEstimate{level: initialReserve},
 	}
 }
 
-// Step takes one event and returns what to send or refuse, in order.
+// Step handles one event and returns the resulting actions in order.
 func (q *Queue) Step(now time.Time, ev Event) []Action {
 	var acts []Action
 	switch ev := ev.(type) {
 	case Enqueue:
-		acts = q.ask(now, ev)
+		acts = q.enqueue(now, ev)
 	case Ended:
 		q.ended(ev)
 	case LendRejected:
-		q.bounced(now, ev.ID)
+		q.lendRejected(now, ev.ID)
 	case Cancelled:
 		q.remove(q.waiting[ev.ID])
 	case Shares:
 		q.local.replace(ev.All)
 	case Peers:
-		q.lenders(ev.All)
+		q.setPeers(ev.All)
 	case RowChanged:
-		q.change(now, ev.Row)
+		q.updateRow(now, ev.Row)
 	case Tick:
-		acts = q.giveUp(now)
+		acts = q.refuseHopeless(now)
 	}
-	q.need.pass(now)
+	q.reserved.decay(now)
 	acts = append(acts, q.expire(now)...)
 	acts = append(acts, q.dispatch(now)...)
 	if ask, ok := ev.(Enqueue); ok && ask.FromPeer && q.waiting[ask.ID] != nil {
-		acts = append(acts, q.drop(now, q.waiting[ask.ID], Busy))
+		acts = append(acts, q.refuseWaiting(now, q.waiting[ask.ID], Busy))
 	}
 	return acts
 }
 
-func (q *Queue) ask(now time.Time, a Enqueue) []Action {
-	r := q.change(now, a.Row)
+func (q *Queue) enqueue(now time.Time, a Enqueue) []Action {
+	r := q.updateRow(now, a.Row)
 	ahead := r.ahead(a.Deadline)
 	var acts []Action
 	switch {
 	case a.FromPeer:
-	case !a.Deadline.After(now), ahead > 0 && q.hopeless(now, r, ahead, a.Deadline):
+	case !a.Deadline.After(now), ahead > 0 && q.wouldMissDeadline(now, r, ahead, a.Deadline):
 		return []Action{q.refuse(now, r, a.ID, TooLate)}
 	case a.Row.MaxQueued > 0 && int64(len(r.waiting.items)) >= a.Row.MaxQueued:
 		return []Action{q.refuse(now, r, a.ID, Full)}
@@ -89,21 +89,23 @@
 		if victim == nil {
 			return []Action{q.refuse(now, r, a.ID, Full)}
 		}
-		acts = append(acts, q.drop(now, victim, Full))
+		acts = append(acts, q.refuseWaiting(now, victim, Full))
 	}
 	q.add(now, &request{Enqueue: a, row: r})
 	return acts
 }
 
-// victim is the newest request of the row that fills the queue most, in the
-// least urgent class that waits; nil if the row that asks is no better.
+// victim returns the request to refuse in favor of a new one of row asks when the queue is
+// full: the newest request of the most loaded row in the least urgent class that has waiting
+// requests. It returns nil if that class is more urgent than the new request's, or is the
+// same and none of its rows has a higher load than asks would have.
 func (q *Queue) victim(asks *row) *request {
 	for _, c := range slices.Backward(cell.Classes) {
 		if c < asks.Class {
 			return nil
 		}
 		var worst *row
-		for _, rows := range []*places[*row]{q.classes[c].ready, q.classes[c].blocked} {
+		for _, rows := range []*indexedHeap[*row]{q.classes[c].ready, q.classes[c].blocked} {
 			for _, r := range rows.items {
 				if worst == nil || r.load() > worst.load() || r.load() == worst.load() && r.Name < worst.Name {
 					worst = r
@@ -117,31 +119,31 @@
 	return nil
 }
 
-// change puts a row's limits in force, for what waits already too.
-func (q *Queue) change(now time.Time, to Row) *row {
+// updateRow applies a row's new limits, also to the requests that already wait.
+func (q *Queue) updateRow(now time.Time, to Row) *row {
 	r, ok := q.rows[to.Name]
 	if !ok {
 		r = newRow(to)
 		q.rows[to.Name] = r
 	}
 	if r.Class != to.Class {
-		q.move(now, r, to.Class)
+		q.changeClass(now, r, to.Class)
 	}
 	r.Row = to
-	q.classes[r.Class].place(r)
+	q.classes[r.Class].reindex(r)
 	return r
 }
 
-func (q *Queue) move(now time.Time, r *row, to cell.Class) {
+func (q *Queue) changeClass(now time.Time, r *row, to cell.Class) {
 	from, into, n := q.classes[r.Class], q.classes[to], len(r.waiting.items)
 	from.ready.drop(r)
 	from.blocked.drop(r)
 	from.waiting -= n
 	if into.waiting == 0 {
-		into.drain.begin(now)
+		into.drain.restart(now)
 	}
 	into.waiting += n
-	r.used = into.turn
+	r.usage = into.virtualTime
 	r.Class = to
 }
 
@@ -149,20 +151,20 @@
 	r := req.row
 	c := q.classes[r.Class]
 	if len(r.waiting.items) == 0 {
-		r.drain.begin(now)
-		if r.sent == 0 {
-			r.used = max(r.used, c.turn)
+		r.drain.restart(now)
+		if r.busy == 0 {
+			r.usage = max(r.usage, c.virtualTime)
 		}
 	}
 	if c.waiting == 0 {
-		c.drain.begin(now)
+		c.drain.restart(now)
 	}
 	c.waiting++
 	req.since = now
 	r.add(req)
 	q.waiting[req.ID] = req
 	q.due.set(req)
-	c.place(r)
+	c.reindex(r)
 }
 
 func (q *Queue) remove(req *request) {
@@ -174,50 +176,50 @@
 	req.row.remove(req)
 	delete(q.waiting, req.ID)
 	q.due.drop(req)
-	c.place(req.row)
+	c.reindex(req.row)
 }
 
 func (q *Queue) refuse(now time.Time, r *row, id string, why Reason) Refuse {
-	return Refuse{ID: id, Reason: why, RetryAfter: q.again(now, r)}
+	return Refuse{ID: id, Reason: why, RetryAfter: q.retryAfter(now, r)}
 }
 
-func (q *Queue) drop(now time.Time, req *request, why Reason) Refuse {
-	again := q.refuse(now, req.row, req.ID, why)
+func (q *Queue) refuseWaiting(now time.Time, req *request, why Reason) Refuse {
+	refusal := q.refuse(now, req.row, req.ID, why)
 	q.remove(req)
-	return again
+	return refusal
 }
 
-// expire gives up what has passed its deadline.
+// expire refuses the requests whose deadline has passed.
 func (q *Queue) expire(now time.Time) []Action {
 	var acts []Action
 	for req := q.due.first(); req != nil && !req.Deadline.After(now); req = q.due.first() {
-		acts = append(acts, q.drop(now, req, TooLate))
+		acts = append(acts, q.refuseWaiting(now, req, TooLate))
 	}
 	return acts
 }
 
-// giveUp refuses the newest of each row that the queue cannot reach in time
-// any more, so that its caller hears of it now and not at the deadline.
-func (q *Queue) giveUp(now time.Time) []Action {
+// refuseHopeless refuses the newest requests of each row that can no longer be sent in time,
+// so that their callers learn of it now rather than at the deadline.
+func (q *Queue) refuseHopeless(now time.Time) []Action {
 	var acts []Action
 	for _, c := range slices.Backward(cell.Classes) {
-		for _, rows := range []*places[*row]{q.classes[c].ready, q.classes[c].blocked} {
+		for _, rows := range []*indexedHeap[*row]{q.classes[c].ready, q.classes[c].blocked} {
 			for _, r := range slices.Clone(rows.items) {
-				acts = append(acts, q.trim(now, r)...)
+				acts = append(acts, q.refuseNewest(now, r)...)
 			}
 		}
 	}
 	return acts
 }
 
-func (q *Queue) trim(now time.Time, r *row) []Action {
+func (q *Queue) refuseNewest(now time.Time, r *row) []Action {
 	var acts []Action
 	for n := len(r.waiting.items); n > 1; n-- {
 		newest := r.order.Back().Value.(*request)
-		if !q.hopeless(now, r, r.ahead(newest.Deadline)-1, newest.Deadline) {
+		if !q.wouldMissDeadline(now, r, r.ahead(newest.Deadline)-1, newest.Deadline) {
 			break
 		}
-		acts = append(acts, q.drop(now, newest, TooLate))
+		acts = append(acts, q.refuseWaiting(now, newest, TooLate))
 	}
 	return acts
 }
@@ -230,40 +232,41 @@
 	r := req.row
 	q.release(req)
 	if ev.Took > 0 && !ev.Failed {
-		if r.took == 0 {
-			r.took = ev.Took
+		if r.meanTime == 0 {
+			r.meanTime = ev.Took
 		}
-		r.took = (r.took*7 + ev.Took) / 8
+		r.meanTime = (r.meanTime*7 + ev.Took) / 8
 	}
-	q.classes[r.Class].place(r)
+	q.classes[r.Class].reindex(r)
 }
 
 // release frees the slot that a sent request held.
 func (q *Queue) release(req *request) {
 	delete(q.sent, req.ID)
 	if req.peer != "" {
-		q.peers.leave(req.peer)
+		q.peers.release(req.peer)
 		return
 	}
-	q.local.leave(req.minion)
-	req.row.sent--
+	q.local.release(req.backend)
+	req.row.busy--
 }
 
-// bounced puts a request back; its deadline keeps its place in the row.
-func (q *Queue) bounced(now time.Time, id string) {
+// lendRejected puts a request back into its row. Since the row is ordered by deadline, the
+// request gets its former position.
+func (q *Queue) lendRejected(now time.Time, id string) {
 	req, ok := q.sent[id]
 	if !ok || req.peer == "" {
 		return
 	}
 	q.release(req)
-	req.row.bounced[req.peer] = true
+	req.row.rejectedBy[req.peer] = true
 	req.peer = ""
 	q.add(now, req)
 }
 
-// lenders takes the peers' free slots. What they told already leaves out the
-// slots that this host's requests have there.
-func (q *Queue) lenders(all []Peer) {
+// setPeers sets the peers' free slots. The announced numbers already exclude the slots that
+// requests of this host hold there, so these are added again.
+func (q *Queue) setPeers(all []Peer) {
 	shares := make([]Share, 0, len(all))
 	for _, p := range all {
 		busy := 0
@@ -274,12 +277,12 @@
 	}
 	q.peers.replace(shares)
 	for _, r := range q.rows {
-		clear(r.bounced)
+		clear(r.rejectedBy)
 	}
 }
 
-// Overcommitted tells whether a backend server has more requests than this host's
-// present share of it.
+// Overcommitted reports whether a backend server has more requests of this host than this
+// host's current share of its slots.
 func (q *Queue) Overcommitted() bool {
 	for _, m := range q.local.all {
 		if m.busy > m.slots {
@@ -292,11 +295,11 @@
 // Load returns how many slots are free and how many requests wait.
 func (q *Queue) Load() (free, waiting int) { return q.local.free, len(q.waiting) }
 
-// WaitingRows lists the rows that have something waiting.
+// WaitingRows lists the rows that have waiting requests.
 func (q *Queue) WaitingRows() []string {
 	var names []string
 	for _, c := range q.classes {
-		for _, rows := range []*places[*row]{c.ready, c.blocked} {
+		for _, rows := range []*indexedHeap[*row]{c.ready, c.blocked} {
 			for _, r := range rows.items {
 				names = append(names, r.Name)
 			}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,7 +10,7 @@
 	"pollencroft/internal/settings"
 )
 
-const good = `name = "nord-1"
+const validSettings = `name = "nord-1"
 domain = "halle-nord"
 
 [listen]
@@ -31,7 +31,7 @@
 `
 
 func TestParseReadsEveryKey(t *testing.T) {
-	s, err := settings.Parse("a.toml", []byte(good))
+	s, err := settings.Parse("a.toml", []byte(validSettings))
 	require.NoError(t, err)
 	require.Equal(t, "nord-1", s.Name)
 	require.Equal(t, 5*time.Second, s.Limits.Deadline)
@@ -42,7 +42,7 @@
 
 // An operator mistypes several keys. All of them must be reported at once with their lines: a host
 // that started with half of its settings would serve with limits that nobody chose.
-func TestParseTellsEveryFaultWithItsLine(t *testing.T) {
+func TestParseReportsEveryFaultWithItsLine(t *testing.T) {
 	text := `name = "nord 1"
 domain = "halle-nord"
 colour = "red"
@@ -76,12 +76,12 @@
 
 // A body that does not fit into a message between hosts would end with the outcome unknown whenever
 // a peer has to help.
-func TestParseRefusesABodyThatPeersCannotCarry(t *testing.T) {
-	_, err := settings.Parse("a.toml", []byte(strings.Replace(good, "[limits]", "[limits]\nbody = 5000000", 1)))
+func TestParseRejectsBodyLargerThanPeerMessages(t *testing.T) {
+	_, err := settings.Parse("a.toml", []byte(strings.Replace(validSettings, "[limits]", "[limits]\nbody = 5000000", 1)))
 	require.ErrorContains(t, err, "limits.body")
 }
 
-func TestParseTellsSyntaxFaults(t *testing.T) {
+func TestParseReportsSyntaxFaults(t *testing.T) {
 	_, err := settings.Parse("a.toml", []byte("name = \n"))
 	require.ErrorAs(t, err, new(settings.Faults))
 }
--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -13,20 +13,20 @@
 // bound. All hosts fold the same table, so the parts that two hosts write for the same offset are
 // equal, and parts of one host can complete those of the other.
 type part struct {
-	Next  int64  `json:"next"`
-	Index int    `json:"part"`
-	Of    int    `json:"of"`
-	Whole uint64 `json:"whole"`
-	When  int64  `json:"when"`
-	Piece []byte `json:"piece"`
+	Next     int64  `json:"next"`
+	Index    int    `json:"part"`
+	Of       int    `json:"of"`
+	Checksum uint64 `json:"whole"`
+	When     int64  `json:"when"`
+	Piece    []byte `json:"piece"`
 }
 
 // partialSnapshot holds the parts of one snapshot that were read so far.
 type partialSnapshot struct {
-	first  int64
-	whole  uint64
-	when   int64
-	pieces [][]byte
+	first    int64
+	checksum uint64
+	when     int64
+	pieces   [][]byte
 }
 
 // pieceSize bounds a part so that its record stays under 256 KiB.
@@ -48,7 +48,7 @@
 	pieces := slices.Collect(slices.Chunk(whole, pieceSize))
 	records := make([][]byte, len(pieces))
 	for i, piece := range pieces {
-		p := part{Next: t.Next, Index: i, Of: len(pieces), Whole: xxhash.Sum64(whole), When: now.UnixMilli(), Piece: piece}
+		p := part{Next: t.Next, Index: i, Of: len(pieces), Checksum: xxhash.Sum64(whole), When: now.UnixMilli(), Piece: piece}
 		if records[i], err = encodeRecord(kindSnapshot, p); err != nil {
 			return nil, err
 		}
@@ -58,8 +58,8 @@
 
 // add stores a part and reports whether the snapshot is complete.
 func (g *partialSnapshot) add(p part, offset int64) bool {
-	if g.pieces == nil || g.whole != p.Whole || len(g.pieces) != p.Of {
-		*g = partialSnapshot{first: offset, whole: p.Whole, when: p.When, pieces: make([][]byte, p.Of)}
+	if g.pieces == nil || g.checksum != p.Checksum || len(g.pieces) != p.Of {
+		*g = partialSnapshot{first: offset, checksum: p.Checksum, when: p.When, pieces: make([][]byte, p.Of)}
 	}
 	g.pieces[p.Index] = p.Piece
 	return !slices.ContainsFunc(g.pieces, func(b []byte) bool { return b == nil })
@@ -72,7 +72,7 @@
 // state decodes the table from a complete snapshot.
 func (g *partialSnapshot) state() (state, error) {
 	whole := slices.Concat(g.pieces...)
-	if xxhash.Sum64(whole) != g.whole {
+	if xxhash.Sum64(whole) != g.checksum {
 		return state{}, &RecordError{Reason: "snapshot's checksum does not match"}
 	}
 	var s state
@@ -137,7 +137,7 @@
 	if len(entries) > 0 && entries[0].Offset <= t.Next {
 		return t.foldAll(now, entries)
 	}
-	start, ok := t.bestStart(entries)
+	start, ok := t.newestUsableSnapshot(entries)
 	if !ok {
 		return []Action{SnapshotMissing{Want: t.Next}}
 	}
@@ -146,7 +146,7 @@
 	return append(acts, t.foldAll(now, entries)...)
 }
 
-func (t *Table) bestStart(entries []Entry) (state, bool) {
+func (t *Table) newestUsableSnapshot(entries []Entry) (state, bool) {
 	parts := map[int64]*partialSnapshot{}
 	best := state{}
 	for _, e := range entries {
@@ -192,12 +192,12 @@
 // restore replaces the table by a snapshot's. Records that the writer of the snapshot did not know
 // are folded now if this version knows them.
 func (t *Table) restore(s state) {
-	passed := s.Skipped
+	skipped := s.Skipped
 	s.Skipped = nil
 	next, digest := s.Next, s.Digest
 	t.state = s
 	t.incomplete = map[int64]*partialSnapshot{}
-	for _, p := range passed {
+	for _, p := range skipped {
 		if _, err := Decode(p.Body); err != nil {
 			t.Skipped = append(t.Skipped, p)
 			continue
