--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -19,7 +19,7 @@
 	"pollencroft/internal/lease"
 )
 
-// HeldError means that another holder has the anchor. Its lease runs for another Left.
+// HeldError means that another holder has the anchor. Its lease runs for another Remaining.
 type HeldError struct {
 	Holder    string
 	Remaining time.Duration
@@ -134,15 +134,15 @@
 	return r
 }
 
-// Acquire acquires the worker's anchor for ttl. The error is a HeldError, a
-// NoAnswerError or an UnreachedError.
+// Acquire takes the worker's anchor for ttl. The error is a HeldError, a
+// NoAnswerError or an UnreachableError.
 func (c *Client) Acquire(ctx context.Context, addr netip.AddrPort, ttl time.Duration) (lease.Reading, error) {
 	return c.lease(ctx, addr, "/anchor", requestBody{TTL: ttl.Milliseconds()})
 }
 
 // Renew extends the anchor's lease by TTL and the leases of all tasks by
 // TaskTTL. The worker may discard the ended starts whose leases are in forget.
-// The errors are those of Take.
+// The errors are those of Acquire.
 func (c *Client) Renew(ctx context.Context, addr netip.AddrPort, a lease.Renew, forget []string) (lease.Reading, error) {
 	return c.lease(ctx, addr, "/renew", requestBody{TTL: a.TTL.Milliseconds(), Keep: a.TaskTTL.Milliseconds(), Since: a.Since, Forget: forget})
 }
@@ -174,7 +174,7 @@
 	return says.Life, nil
 }
 
-// Release releases the anchor that was held under the named lease.
+// Release gives up the anchor that was held under the named lease.
 func (c *Client) Release(ctx context.Context, addr netip.AddrPort, name string) error {
 	_, _, err := c.do(ctx, http.MethodDelete, addr, "/anchor", requestBody{Lease: name})
 	return err
@@ -191,7 +191,7 @@
 }
 
 // Start asks the worker to start a task. A LateError means that the worker did
-// not carry out this start, an UnreachedError that the request did not arrive,
+// not carry out this start, an UnreachableError that the request did not arrive,
 // and a NoAnswerError that the result is unknown.
 func (c *Client) Start(ctx context.Context, addr netip.AddrPort, s Start) error {
 	status, _, err := c.do(ctx, http.MethodPost, addr, "/tasks", requestBody{
@@ -210,8 +210,8 @@
 	}
 }
 
-// Stop stops a task. A nil error means that the task no longer runs, a
-// GoneError that the worker does not have the task or has already discarded it.
+// Stop stops a task. A nil error means that the task no longer runs, an
+// UnknownTaskError that the worker does not have the task or has already discarded it.
 func (c *Client) Stop(ctx context.Context, addr netip.AddrPort, id string) error {
 	return c.onTask(ctx, addr, "/stop", requestBody{ID: id})
 }
