--- a/internal/audit/tally.go
+++ b/internal/audit/tally.go
@@ -64,7 +64,7 @@
 	return &Tally{rows: map[string]*line{}, requests: map[string][]string{}, jobs: map[string]*acceptedJob{}}
 }
 
-func (t *Tally) rowStats(row string) *line {
+func (t *Tally) countAsked(row string) *line {
 	l, ok := t.rows[row]
 	if !ok {
 		l = &line{waits: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
@@ -95,7 +95,7 @@
 func (t *Tally) recordRequest(row string, req client.Request, reply client.Reply, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.rowStats(row).count(reply.Outcome, took)
+	t.countAsked(row).count(reply.Outcome, took)
 	if reply.Outcome == client.Done && !strings.HasSuffix(string(reply.Body), " "+string(req.Body)) {
 		t.mismatched++
 	}
@@ -104,7 +104,7 @@
 func (t *Tally) recordJob(j client.Job, s client.JobStatus, err error, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l := t.rowStats(j.Workload)
+	l := t.countAsked(j.Workload)
 	var status *client.StatusError
 	switch {
 	case err == nil:
