--- a/internal/audit/tally.go
+++ b/internal/audit/tally.go
@@ -34,7 +34,7 @@
 	return fmt.Sprintf("lost %d, twice %d, overfilled %d, told wrong %d", e.Lost, e.Twice, e.Overfilled, e.Told)
 }
 
-type line struct {
+type rowStats struct {
 	asked, done, refused, unknown int
 	waits                         *hdrhistogram.Histogram
 }
@@ -51,7 +51,7 @@
 // Tally records what each caller was told. It is safe for concurrent use.
 type Tally struct {
 	mu   sync.Mutex
-	rows map[string]*line
+	rows map[string]*rowStats
 	// requests holds, by key, every outcome that the caller was told, in order.
 	requests       map[string][]string
 	mismatched     int
@@ -61,20 +61,20 @@
 
 // NewTally returns an empty tally.
 func NewTally() *Tally {
-	return &Tally{rows: map[string]*line{}, requests: map[string][]string{}, jobs: map[string]*acceptedJob{}}
+	return &Tally{rows: map[string]*rowStats{}, requests: map[string][]string{}, jobs: map[string]*acceptedJob{}}
 }
 
-func (t *Tally) countAsked(row string) *line {
+func (t *Tally) countAsked(row string) *rowStats {
 	l, ok := t.rows[row]
 	if !ok {
-		l = &line{waits: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+		l = &rowStats{waits: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 		t.rows[row] = l
 	}
 	l.asked++
 	return l
 }
 
-func (l *line) count(outcome string, took time.Duration) {
+func (l *rowStats) count(outcome string, took time.Duration) {
 	switch outcome {
 	case client.Done:
 		l.done++
@@ -249,6 +249,6 @@
 	_ = w.Flush()
 }
 
-func (l *line) quantile(q float64) time.Duration {
+func (l *rowStats) quantile(q float64) time.Duration {
 	return time.Duration(l.waits.ValueAtQuantile(q)) * time.Microsecond
 }
