--- a/internal/audit/tally.go
+++ b/internal/audit/tally.go
@@ -219,18 +219,18 @@
 // submissions with an unknown outcome.
 func (t *Tally) contradictedStarts(r standin.Report) int {
 	wrong := 0
-	strangers := map[string]bool{}
+	unknownJobs := map[string]bool{}
 	for task := range r.Started {
 		id := task[:max(0, strings.LastIndex(task, "."))]
 		j, ok := t.jobs[id]
 		switch {
 		case !ok:
-			strangers[id] = true
+			unknownJobs[id] = true
 		case j.cancelled == "not run":
 			wrong++
 		}
 	}
-	return wrong + max(0, len(strangers)-t.unknownSubmits)
+	return wrong + max(0, len(unknownJobs)-t.unknownSubmits)
 }
 
 // Print writes a table with a line for each of the named workloads, in the order of names.
