--- a/internal/table/prefix_test.go
+++ b/internal/table/prefix_test.go
@@ -20,19 +20,19 @@
 	_ = flag.Set("rapid.checks", "400")
 }
 
-// log is an in-memory log.
-type log struct {
+// memoryLog is an in-memory memoryLog.
+type memoryLog struct {
 	t   require.TestingT
 	all []table.Entry
 }
 
-func newLog(t require.TestingT) *log { return &log{t: t} }
+func newLog(t require.TestingT) *memoryLog { return &memoryLog{t: t} }
 
-func (l *log) add(b []byte) {
+func (l *memoryLog) add(b []byte) {
 	l.all = append(l.all, table.Entry{Offset: int64(len(l.all) + 1), Body: b})
 }
 
-func (l *log) edit(row string) {
+func (l *memoryLog) edit(row string) {
 	b, err := table.Encode(table.Edit{ID: fmt.Sprint(len(l.all)), Row: row})
 	require.NoError(l.t, err)
 	l.add(b)
