--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -80,9 +80,9 @@
 }
 
 // FitCount returns how many times s fits into room, or math.MaxInt64 if s is zero.
-func (s Size) FitCount(room Size) int64 {
+func (s Size) FitCount(available Size) int64 {
 	n := int64(math.MaxInt64)
-	for _, p := range [...][2]int64{{s.CPU, room.CPU}, {s.Mem, room.Mem}, {s.Accel, room.Accel}} {
+	for _, p := range [...][2]int64{{s.CPU, available.CPU}, {s.Mem, available.Mem}, {s.Accel, available.Accel}} {
 		if p[0] > 0 {
 			n = min(n, max(p[1], 0)/p[0])
 		}
