--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -91,8 +91,8 @@
 }
 
 // Fits reports whether s fits into room in every component.
-func (s Size) Fits(room Size) bool {
-	return s.CPU <= room.CPU && s.Mem <= room.Mem && s.Accel <= room.Accel
+func (s Size) Fits(available Size) bool {
+	return s.CPU <= available.CPU && s.Mem <= available.Mem && s.Accel <= available.Accel
 }
 
 // DominantShare returns the largest component of s relative to whole.
