--- a/internal/audit/tally.go
+++ b/internal/audit/tally.go
@@ -26,12 +26,12 @@
 	Twice int
 	// Overfilled counts starts that exceeded the size of a worker.
 	Overfilled int
-	// Told counts replies that contradict the records.
-	Told int
+	// WrongReplies counts replies that contradict the records.
+	WrongReplies int
 }
 
 func (e *ViolationsError) Error() string {
-	return fmt.Sprintf("lost %d, twice %d, overfilled %d, told wrong %d", e.Lost, e.Twice, e.Overfilled, e.Told)
+	return fmt.Sprintf("lost %d, twice %d, overfilled %d, told wrong %d", e.Lost, e.Twice, e.Overfilled, e.WrongReplies)
 }
 
 type rowStats struct {
@@ -144,7 +144,7 @@
 func (t *Tally) Violations(r standin.Report) ViolationsError {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	w := ViolationsError{Overfilled: r.Overfilled, Twice: len(r.Doubled), Told: t.mismatched}
+	w := ViolationsError{Overfilled: r.Overfilled, Twice: len(r.Doubled), WrongReplies: t.mismatched}
 	for key, told := range t.requests {
 		ran := r.Ran[key]
 		if ran > 1 {
@@ -154,11 +154,11 @@
 		case slices.Contains(told, client.Done) && ran == 0:
 			w.Lost++
 		case told[len(told)-1] == client.Refused && ran > 0:
-			w.Told++
+			w.WrongReplies++
 		}
 	}
 	w.Lost += t.lostTasks(r)
-	w.Told += t.contradictedStarts(r)
+	w.WrongReplies += t.contradictedStarts(r)
 	return w
 }
 
