--- a/internal/audit/tally.go
+++ b/internal/audit/tally.go
@@ -22,8 +22,8 @@
 	// Lost counts requests that were reported done but did not run, and tasks of accepted jobs that
 	// did not end.
 	Lost int
-	// Twice counts keys that ran twice and tasks that ran in two places.
-	Twice int
+	// RanTwice counts keys that ran twice and tasks that ran in two places.
+	RanTwice int
 	// Overfilled counts starts that exceeded the size of a worker.
 	Overfilled int
 	// WrongReplies counts replies that contradict the records.
@@ -31,7 +31,7 @@
 }
 
 func (e *ViolationsError) Error() string {
-	return fmt.Sprintf("lost %d, twice %d, overfilled %d, told wrong %d", e.Lost, e.Twice, e.Overfilled, e.WrongReplies)
+	return fmt.Sprintf("lost %d, twice %d, overfilled %d, told wrong %d", e.Lost, e.RanTwice, e.Overfilled, e.WrongReplies)
 }
 
 type rowStats struct {
@@ -144,11 +144,11 @@
 func (t *Tally) Violations(r standin.Report) ViolationsError {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	w := ViolationsError{Overfilled: r.Overfilled, Twice: len(r.Doubled), WrongReplies: t.mismatched}
+	w := ViolationsError{Overfilled: r.Overfilled, RanTwice: len(r.Doubled), WrongReplies: t.mismatched}
 	for key, told := range t.requests {
 		ran := r.Ran[key]
 		if ran > 1 {
-			w.Twice++
+			w.RanTwice++
 		}
 		switch {
 		case slices.Contains(told, client.Done) && ran == 0:
