--- a/internal/host/beat.go
+++ b/internal/host/beat.go
@@ -13,19 +13,19 @@
 	"pollencroft/internal/peer"
 )
 
-// beatWait bounds the sending of one heartbeat.
-const beatWait = 250 * time.Millisecond
+// sendTimeout bounds the sending of one heartbeat.
+const sendTimeout = 250 * time.Millisecond
 
-// beatAll beats to the peers of the own failure domain and, less often, to all
+// startHeartbeats beats to the peers of the own failure domain and, less often, to all
 // others. Sends are spread over the period, so that no burst of dials and
 // messages comes at once.
-func (h *Host) beatAll() {
+func (h *Host) startHeartbeats() {
 	near, far := h.peersByDomain()
 	for _, name := range near {
-		h.wg.Go(func() { h.beat(name, member.NearPeriod(len(near))) })
+		h.wg.Go(func() { h.sendHeartbeat(name, member.NearPeriod(len(near))) })
 	}
-	h.beatTo(near, member.NearPeriod(len(near)))
-	h.beatTo(far, member.FarPeriod(len(far)))
+	h.heartbeatEach(near, member.NearPeriod(len(near)))
+	h.heartbeatEach(far, member.FarPeriod(len(far)))
 }
 
 func (h *Host) peersByDomain() (near, far []string) {
@@ -39,9 +39,9 @@
 	return near, far
 }
 
-// probe is how long a link to a peer may be idle. Near links share two probes a
+// linkIdleTimeout is how long a link to a peer may be idle. Near links share two probes a
 // second among them; far ones, whose loss only costs a try, one.
-func (h *Host) probe(name string) time.Duration {
+func (h *Host) linkIdleTimeout(name string) time.Duration {
 	near, far := h.peersByDomain()
 	if slices.Contains(near, name) {
 		return time.Duration(len(near)) * 500 * time.Millisecond
@@ -49,54 +49,54 @@
 	return time.Duration(len(far)) * time.Second
 }
 
-func (h *Host) beatTo(names []string, period time.Duration) {
+func (h *Host) heartbeatEach(names []string, period time.Duration) {
 	for i, name := range names {
 		h.wg.Go(func() {
 			h.pause(period * time.Duration(i) / time.Duration(len(names)))
-			h.every(period, func() { h.beat(name, period) })
+			h.runEvery(period, func() { h.sendHeartbeat(name, period) })
 		})
 	}
 }
 
-// beat tells one peer that this host lives and what load it carries.
-func (h *Host) beat(name string, period time.Duration) {
+// sendHeartbeat tells one peer that this host lives and what load it carries.
+func (h *Host) sendHeartbeat(name string, period time.Duration) {
 	free, waiting := h.relay.Load()
 	now := h.clock()
 	h.mu.Lock()
-	h.beats++
+	h.heartbeatSeq++
 	b := member.Heartbeat{
-		Name: h.cfg.Name, Incarnation: h.incarnation, Seq: h.beats, Next: h.table.NextOffset(), Digest: uint32(h.table.Fingerprint()),
+		Name: h.cfg.Name, Incarnation: h.incarnation, Seq: h.heartbeatSeq, Next: h.table.NextOffset(), Digest: uint32(h.table.Fingerprint()),
 		FreeSlots: free, Queued: waiting, Leaving: !h.Ready(), Ack: h.members.HearsFrom(now, name), Period: cell.Duration{Duration: period},
 	}
 	h.mu.Unlock()
-	ctx, cancel := context.WithTimeout(h.ctx, beatWait)
+	ctx, cancel := context.WithTimeout(h.ctx, sendTimeout)
 	defer cancel()
 	err := h.peers.Notify(ctx, name, peer.Beat{Heartbeat: b})
 	if errors.As(err, new(*peer.UnreachableError)) {
-		h.member(member.SendFailed{Name: name})
+		h.memberStep(member.SendFailed{Name: name})
 	}
 }
 
-// heard takes a peer's heartbeat. Hosts that the settings do not name are not
+// handleHeartbeat takes a peer's heartbeat. Hosts that the settings do not name are not
 // known and not counted.
-func (h *Host) heard(b member.Heartbeat) (any, error) {
+func (h *Host) handleHeartbeat(b member.Heartbeat) (any, error) {
 	for _, p := range h.cfg.Peers {
 		if p.Name == b.Name {
 			b.Domain = p.Domain
-			h.compare(b)
-			h.member(member.HeartbeatReceived{Beat: b})
-			h.greet(b)
+			h.compareTables(b)
+			h.memberStep(member.HeartbeatReceived{Beat: b})
+			h.answerHeartbeat(b)
 			return nil, nil
 		}
 	}
-	h.meter("strangers")
+	h.countTable("strangers")
 	return nil, &peer.RefusedError{Name: h.cfg.Name, Reason: "host " + b.Name + " is not in the settings"}
 }
 
-// greet answers a peer that does not hear this host yet at once. Two hosts that
+// answerHeartbeat answers a peer that does not hear this host yet at once. Two hosts that
 // have just started would otherwise need two periods to know each other, and
 // hand each other's jobs over only then.
-func (h *Host) greet(b member.Heartbeat) {
+func (h *Host) answerHeartbeat(b member.Heartbeat) {
 	if b.Ack || h.ctx.Err() != nil {
 		return
 	}
@@ -105,16 +105,16 @@
 	if slices.Contains(near, b.Name) {
 		period = member.NearPeriod(len(near))
 	}
-	h.wg.Go(func() { h.beat(b.Name, period) })
+	h.wg.Go(func() { h.sendHeartbeat(b.Name, period) })
 }
 
-// farewell tells all peers at once that this host leaves; those that cannot be
+// announceLeaving tells all peers at once that this host leaves; those that cannot be
 // reached must not hold up the stop one after the other.
-func (h *Host) farewell() {
+func (h *Host) announceLeaving() {
 	var all sync.WaitGroup
 	for _, p := range h.cfg.Peers {
 		all.Go(func() {
-			ctx, cancel := context.WithTimeout(h.ctx, beatWait)
+			ctx, cancel := context.WithTimeout(h.ctx, sendTimeout)
 			defer cancel()
 			_ = h.peers.Notify(ctx, p.Name, peer.Leave{Name: h.cfg.Name})
 		})
--- a/internal/host/cell.go
+++ b/internal/host/cell.go
@@ -11,7 +11,7 @@
 	"pollencroft/internal/share"
 )
 
-func (h *Host) member(ev member.Event) {
+func (h *Host) memberStep(ev member.Event) {
 	h.mu.Lock()
 	acts := h.members.Step(h.clock(), ev)
 	h.mu.Unlock()
@@ -19,7 +19,7 @@
 		switch a := a.(type) {
 		case member.LiveChanged:
 			h.log.Info("member: live hosts changed.", "live", a.Live)
-			h.share()
+			h.updateShares()
 		}
 	}
 }
@@ -30,18 +30,18 @@
 	return h.members.LiveIn(h.cfg.Domain), h.members.Heartbeats()
 }
 
-// share works out which slots and which workers are this host's.
-func (h *Host) share() {
-	h.sharing.Lock()
-	defer h.sharing.Unlock()
+// updateShares works out which slots and which workers are this host's.
+func (h *Host) updateShares() {
+	h.shareMu.Lock()
+	defer h.shareMu.Unlock()
 	// After a pause the share core must see the time before it is asked.
-	h.shareStepHeld(share.Tick{})
-	h.shareOut()
+	h.shareStepLocked(share.Tick{})
+	h.applyShares()
 }
 
-func (h *Host) shareOut() {
+func (h *Host) applyShares() {
 	h.mu.Lock()
-	list := h.list
+	list := h.machines
 	live := h.members.LiveIn(h.cfg.Domain)
 	h.mu.Unlock()
 	var servers []relay.Server
@@ -56,25 +56,25 @@
 		switch {
 		case m.Domain != h.cfg.Domain:
 		case m.Kind == cell.BackendHost && !m.Leaving:
-			servers = append(servers, relay.Server{Name: m.Name, Address: m.Address, Slots: h.slots(m.Name, m.Slots)})
-		case m.Kind == cell.WorkerHost && !m.Leaving && h.leads(m):
+			servers = append(servers, relay.Server{Name: m.Name, Address: m.Address, Slots: h.usableSlots(m.Name, m.Slots)})
+		case m.Kind == cell.WorkerHost && !m.Leaving && h.leadsWorker(m):
 			workers = append(workers, machine)
 		}
 	}
 	h.relay.SetServers(servers)
-	h.lead.UpdateMachines(known)
-	h.lead.SetDomain(names, without(live, h.cfg.Name))
-	h.collect()
-	if !h.Ready() && h.handing() > 0 {
-		workers = h.keepOne(known)
+	h.leader.UpdateMachines(known)
+	h.leader.SetDomain(names, without(live, h.cfg.Name))
+	h.collectOutgoing()
+	if !h.Ready() && h.outgoingCount() > 0 {
+		workers = h.oneHeldWorker(known)
 	}
-	h.lead.SetLedMachines(workers)
+	h.leader.SetLedMachines(workers)
 }
 
-// keepOne is one of the workers that a leaving host still holds. As long as it does, nobody else
+// oneHeldWorker is one of the workers that a leaving host still holds. As long as it does, nobody else
 // can complete a census for the jobs that it is handing over.
-func (h *Host) keepOne(known []lead.Machine) []lead.Machine {
-	held := h.lead.Held()
+func (h *Host) oneHeldWorker(known []lead.Machine) []lead.Machine {
+	held := h.leader.Held()
 	i := slices.IndexFunc(known, func(m lead.Machine) bool { return slices.Contains(held, m.Name) })
 	if i < 0 {
 		return nil
@@ -82,6 +82,6 @@
 	return known[i : i+1]
 }
 
-func (h *Host) leads(m platform.HostEntry) bool {
-	return h.Ready() && h.rackLead(cell.Home{Domain: m.Domain, Rack: m.Rack}) == h.cfg.Name
+func (h *Host) leadsWorker(m platform.HostEntry) bool {
+	return h.Ready() && h.rackLeader(cell.Home{Domain: m.Domain, Rack: m.Rack}) == h.cfg.Name
 }
--- a/internal/host/cluster_test.go
+++ b/internal/host/cluster_test.go
@@ -20,33 +20,33 @@
 	"pollencroft/pkg/client"
 )
 
-// limit bounds how long a test waits for a state; no verdict rests on less.
-const limit = 30 * time.Second
+// testTimeout bounds how long a test waits for a state; no verdict rests on less.
+const testTimeout = 30 * time.Second
 
 // cluster is one failure domain: stand-ins and real hosts in this process.
 type cluster struct {
 	*testing.T
-	cell  *standin.Cell
-	hosts map[string]*host.Host
-	ask   map[string]*client.Client
-	names []string
+	cell    *standin.Cell
+	hosts   map[string]*host.Host
+	clients map[string]*client.Client
+	names   []string
 	// operators are the operators' addresses by host.
 	operators []netip.AddrPort
 }
 
-// lines gathers what the hosts of a cluster log.
-type lines struct {
+// logBuffer gathers what the hosts of a cluster log.
+type logBuffer struct {
 	mu  sync.Mutex
 	all strings.Builder
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.all.Write(b)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.all.String()
@@ -59,13 +59,13 @@
 	c, err := standin.NewCell(users, local, time.Now)
 	require.NoError(t, err)
 	t.Cleanup(c.Close)
-	told := &lines{}
+	told := &logBuffer{}
 	t.Cleanup(func() {
 		if t.Failed() {
 			t.Log(told.String())
 		}
 	})
-	cl := &cluster{T: t, cell: c, hosts: map[string]*host.Host{}, ask: map[string]*client.Client{}}
+	cl := &cluster{T: t, cell: c, hosts: map[string]*host.Host{}, clients: map[string]*client.Client{}}
 	var all []settings.Settings
 	var socks []host.Listeners
 	for i := range n {
@@ -88,20 +88,20 @@
 		h := host.New(cfg, slog.New(slog.NewTextHandler(told, nil)).With("host", cfg.Name), time.Now)
 		h.Start(socks[i])
 		t.Cleanup(h.Kill)
-		cl.hosts[cfg.Name], cl.ask[cfg.Name] = h, client.New(cfg.Listen.Caller, "", nil)
+		cl.hosts[cfg.Name], cl.clients[cfg.Name] = h, client.New(cfg.Listen.Caller, "", nil)
 		cl.names = append(cl.names, cfg.Name)
 		cl.operators = append(cl.operators, cfg.Listen.Operator)
 	}
-	cl.until("hosts share all workers", func() bool {
+	cl.waitFor("hosts share all workers", func() bool {
 		for _, h := range cl.hosts {
 			if n > 1 && len(h.Held()) > 2 {
 				return false
 			}
 		}
-		return cl.held() == 4
+		return cl.heldCount() == 4
 	})
 	require.NoError(t, client.New(all[0].Listen.Operator, "", nil).SetRow(context.Background(), "print", "", map[string]any{"class": "normal"}))
-	cl.until("row is in force", func() bool {
+	cl.waitFor("row is in force", func() bool {
 		for _, h := range cl.hosts {
 			if _, v := h.Row("print"); v == 0 {
 				return false
@@ -112,13 +112,13 @@
 	return cl
 }
 
-func (c *cluster) until(what string, f func() bool) {
+func (c *cluster) waitFor(what string, f func() bool) {
 	c.Helper()
-	require.Eventually(c, f, limit, 10*time.Millisecond, what)
+	require.Eventually(c, f, testTimeout, 10*time.Millisecond, what)
 }
 
-// held counts the workers that live hosts hold.
-func (c *cluster) held() int {
+// heldCount counts the workers that live hosts hold.
+func (c *cluster) heldCount() int {
 	n := 0
 	for _, h := range c.hosts {
 		n += len(h.Held())
@@ -129,14 +129,14 @@
 func (c *cluster) kill(name string) {
 	c.hosts[name].Kill()
 	delete(c.hosts, name)
-	delete(c.ask, name)
+	delete(c.clients, name)
 }
 
-// any is the client of some live host other than not.
-func (c *cluster) any(not string) *client.Client {
+// anyClient is the client of some live host other than not.
+func (c *cluster) anyClient(not string) *client.Client {
 	for _, name := range c.names {
-		if name != not && c.ask[name] != nil {
-			return c.ask[name]
+		if name != not && c.clients[name] != nil {
+			return c.clients[name]
 		}
 	}
 	return nil
@@ -146,19 +146,19 @@
 	c.Helper()
 	var s client.JobStatus
 	j.Workload = "print"
-	c.until("job is accepted", func() bool {
+	c.waitFor("job is accepted", func() bool {
 		var err error
-		s, err = c.any("").Submit(context.Background(), j)
+		s, err = c.anyClient("").Submit(context.Background(), j)
 		return err == nil
 	})
 	return s
 }
 
-// leadOf is the host that leads a job.
-func (c *cluster) leadOf(id string) string {
+// leaderOf is the host that leads a job.
+func (c *cluster) leaderOf(id string) string {
 	c.Helper()
 	name := ""
-	c.until("job has a lead", func() bool {
+	c.waitFor("job has a lead", func() bool {
 		for n, h := range c.hosts {
 			if h.Leads(id) {
 				name = n
@@ -171,7 +171,7 @@
 }
 
 func (c *cluster) state(id string) string {
-	s, err := c.any("").Job(context.Background(), id)
+	s, err := c.anyClient("").Job(context.Background(), id)
 	if err != nil {
 		return ""
 	}
@@ -194,31 +194,31 @@
 	return started, ended
 }
 
-// sound checks the workers' own records.
-func (c *cluster) sound() {
+// requireNoDoubleRuns checks the workers' own records.
+func (c *cluster) requireNoDoubleRuns() {
 	c.Helper()
 	r := c.cell.Report()
 	require.Zero(c, r.Overfilled, "a worker was given more than it holds")
 	require.Empty(c, r.Doubled, "a task ran in two places")
 }
 
-func small(tasks int, seconds float64) client.Job {
+func smallJob(tasks int, seconds float64) client.Job {
 	return client.Job{Tasks: tasks, Size: client.Size{CPU: 1000, Mem: 1 << 20}, Time: seconds}
 }
 
 // A lead dies with tasks running and others waiting for room. Nobody at the
 // print office does anything; the batch has to come out whole, and no page of
 // it twice.
-func TestJobOfAKilledLeadGoesOn(t *testing.T) {
+func TestJobOfAKilledLeaderGoesOn(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
-	s := c.submit(small(24, 1))
-	c.until("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
-	c.kill(c.leadOf(s.ID))
-	c.until("job ends under its next lead", func() bool { return c.state(s.ID) == "ended" })
+	s := c.submit(smallJob(24, 1))
+	c.waitFor("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
+	c.kill(c.leaderOf(s.ID))
+	c.waitFor("job ends under its next lead", func() bool { return c.state(s.ID) == "ended" })
 	_, ended := c.ran(s.ID)
 	require.Equal(t, 24, ended)
-	c.sound()
+	c.requireNoDoubleRuns()
 }
 
 // A planned stop hands jobs over. Nothing waits for a lease, and the running
@@ -226,18 +226,18 @@
 func TestPlannedStopHandsJobsOver(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2)
-	s := c.submit(small(12, 2))
-	c.until("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
-	name := c.leadOf(s.ID)
+	s := c.submit(smallJob(12, 2))
+	c.waitFor("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
+	name := c.leaderOf(s.ID)
 	require.NoError(c, c.hosts[name].Stop(context.Background()))
 	delete(c.hosts, name)
-	delete(c.ask, name)
+	delete(c.clients, name)
 	for _, h := range c.hosts {
 		require.True(t, h.Leads(s.ID), "the other host leads the job when the stop is over")
 	}
-	c.until("job ends", func() bool { return c.state(s.ID) == "ended" })
+	c.waitFor("job ends", func() bool { return c.state(s.ID) == "ended" })
 	started, ended := c.ran(s.ID)
 	require.Equal(t, 12, ended)
 	require.Equal(t, 12, started, "a task was started twice")
-	c.sound()
+	c.requireNoDoubleRuns()
 }
--- a/internal/host/ended.go
+++ b/internal/host/ended.go
@@ -8,26 +8,26 @@
 	"pollencroft/internal/peer"
 )
 
-// endedWait bounds the question to a lead about a job whose end is in the log.
-const endedWait = 400 * time.Millisecond
+// endedJobTimeout bounds the question to a lead about a job whose end is in the log.
+const endedJobTimeout = 400 * time.Millisecond
 
-// askJob asks the lead, which knows most of a job. If the log has the job's end, that is told
+// jobStatus asks the lead, which knows most of a job. If the log has the job's end, that is told
 // when the lead does not answer soon.
-func (h *Host) askJob(ctx context.Context, id string) peer.JobReply {
-	if !h.done(id) {
-		return h.atLead(ctx, id, peer.AskJob{ID: id})
+func (h *Host) jobStatus(ctx context.Context, id string) peer.JobReply {
+	if !h.endLogged(id) {
+		return h.askLeader(ctx, id, peer.AskJob{ID: id})
 	}
-	ctx, cancel := context.WithTimeout(ctx, endedWait)
+	ctx, cancel := context.WithTimeout(ctx, endedJobTimeout)
 	defer cancel()
-	reply := h.atLead(ctx, id, peer.AskJob{ID: id})
-	if end, ok := h.logged(id); ok && reply.Code != 0 {
+	reply := h.askLeader(ctx, id, peer.AskJob{ID: id})
+	if end, ok := h.loggedEnd(id); ok && reply.Code != 0 {
 		return end
 	}
 	return reply
 }
 
-// logged tells a job's end from the log.
-func (h *Host) logged(id string) (peer.JobReply, bool) {
+// loggedEnd tells a job's end from the log.
+func (h *Host) loggedEnd(id string) (peer.JobReply, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	end, ok := h.jobs.log.End(id)
--- a/internal/host/stop.go
+++ b/internal/host/stop.go
@@ -11,10 +11,10 @@
 
 // gate counts work in flight that no HTTP server sees.
 type gate struct {
-	mu     sync.Mutex
-	n      int
-	closed bool
-	empty  chan struct{}
+	mu       sync.Mutex
+	inFlight int
+	closed   bool
+	empty    chan struct{}
 }
 
 func newGate() *gate { return &gate{empty: make(chan struct{})} }
@@ -26,15 +26,15 @@
 	if g.closed {
 		return false
 	}
-	g.n++
+	g.inFlight++
 	return true
 }
 
 func (g *gate) leave() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.n--
-	if g.closed && g.n == 0 {
+	g.inFlight--
+	if g.closed && g.inFlight == 0 {
 		close(g.empty)
 	}
 }
@@ -42,7 +42,7 @@
 // close takes no more work and waits for what is in flight.
 func (g *gate) close(ctx context.Context) error {
 	g.mu.Lock()
-	if !g.closed && g.n == 0 {
+	if !g.closed && g.inFlight == 0 {
 		close(g.empty)
 	}
 	g.closed = true
@@ -67,19 +67,19 @@
 // what is in flight, also for peers, and then closes everything. It returns a
 // CutError if ctx ended before the work did.
 func (h *Host) Stop(ctx context.Context) error {
-	if !h.move("stop") {
+	if !h.transition("stop") {
 		return nil
 	}
 	began := h.clock()
 	h.log.Info("host: leaving.", "name", h.cfg.Name)
-	h.lead.Leave()
-	h.handOver()
-	h.farewell()
+	h.leader.Leave()
+	h.handOverJobs()
+	h.announceLeaving()
 	// Callers still come until the balancer has seen that this host is not
 	// ready. They are served; refusing their connections would lose them.
 	h.linger(ctx, h.cfg.Limits.ShutdownDelay-h.clock().Sub(began))
-	err := h.endWork(ctx)
-	h.move("empty")
+	err := h.finishWork(ctx)
+	h.transition("empty")
 	h.Kill()
 	if err != nil {
 		h.log.Warn("host: stop cut work in flight.", "err", err)
@@ -99,19 +99,19 @@
 	}
 }
 
-// endWork waits for callers' and operators' requests, then for what their keys
+// finishWork waits for callers' and operators' requests, then for what their keys
 // still have to be told, then for the peers' work. Peers come last: they may
 // wait for answers to keys whose requests end here.
-func (h *Host) endWork(ctx context.Context) error {
+func (h *Host) finishWork(ctx context.Context) error {
 	var all errgroup.Group
 	for _, srv := range h.servers {
 		all.Go(func() error { return srv.stop(ctx) })
 	}
 	err := all.Wait()
 	h.relay.FlushKeyEnds()
-	err = errors.CombineErrors(err, h.work.close(ctx))
-	h.giveSlots(ctx)
-	h.lastHandOver(ctx)
-	h.lead.Release()
+	err = errors.CombineErrors(err, h.peerWork.close(ctx))
+	h.releaseSlots(ctx)
+	h.finalHandover(ctx)
+	h.leader.Release()
 	return err
 }
--- a/internal/host/table.go
+++ b/internal/host/table.go
@@ -13,8 +13,8 @@
 
 // Times of the table's log.
 const (
-	readWait  = 1500 * time.Millisecond
-	readPause = 200 * time.Millisecond
+	readLongPoll   = 1500 * time.Millisecond
+	readRetryPause = 200 * time.Millisecond
 )
 
 // Row returns a row in force and its version, zero for none.
@@ -32,7 +32,7 @@
 	return h.table.TeamShare(team, h.cfg.Domain)
 }
 
-func (h *Host) meter(name string) { metrics.GetOrRegisterCounter("table."+name, h.metrics).Inc(1) }
+func (h *Host) countTable(name string) { metrics.GetOrRegisterCounter("table."+name, h.metrics).Inc(1) }
 
 // Count returns one of this host's counters.
 func (h *Host) Count(name string) int64 {
@@ -44,13 +44,13 @@
 	wait := time.Duration(0)
 	for h.ctx.Err() == nil {
 		if err := h.readTable(wait); err != nil {
-			h.meter("unread")
+			h.countTable("unread")
 			h.log.Warn("table: log cannot be read.", "err", err)
-			h.copySoon()
-			h.pause(readPause)
+			h.startTableCopy()
+			h.pause(readRetryPause)
 			continue
 		}
-		wait = readWait
+		wait = readLongPoll
 	}
 }
 
@@ -64,61 +64,61 @@
 // readTable reads and folds one page. A page that ends before what this host
 // has seen is out of date; the peers' copy helps if they are further on.
 func (h *Host) readTable(wait time.Duration) error {
-	from := h.wants()
-	page, err := h.page(from, wait)
+	from := h.nextOffset()
+	page, err := h.readPage(from, wait)
 	var trimmed *platform.TrimmedError
 	if errors.As(err, &trimmed) {
-		return h.readBehind(trimmed.Oldest)
+		return h.readTrimmedLog(trimmed.Oldest)
 	}
 	if err != nil {
 		return err
 	}
 	if page.Next < from {
-		h.meter("stale")
+		h.countTable("stale")
 		h.log.Warn("table: log answer is out of date.", "next", page.Next, "wanted", from)
-		h.pause(readPause)
+		h.pause(readRetryPause)
 	}
-	if err := h.fold(table.Records{Entries: entries(page)}); err != nil {
+	if err := h.foldTable(table.Records{Entries: tableEntries(page)}); err != nil {
 		return err
 	}
 	if len(page.Entries) == 0 {
-		h.copySoon()
+		h.startTableCopy()
 	}
-	h.move("table")
-	h.save(page.Oldest)
+	h.transition("table")
+	h.saveSnapshot(page.Oldest)
 	return nil
 }
 
-func (h *Host) wants() int64 {
+func (h *Host) nextOffset() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.table.NextOffset()
 }
 
-// readBehind reads all that a trimmed log still has.
-func (h *Host) readBehind(oldest int64) error {
-	h.meter("behind")
-	h.log.Warn("table: log is trimmed, a snapshot is needed.", "wanted", h.wants(), "oldest", oldest)
+// readTrimmedLog reads all that a trimmed log still has.
+func (h *Host) readTrimmedLog(oldest int64) error {
+	h.countTable("behind")
+	h.log.Warn("table: log is trimmed, a snapshot is needed.", "wanted", h.nextOffset(), "oldest", oldest)
 	var all []table.Entry
 	for from := oldest; ; {
-		page, err := h.page(from, 0)
+		page, err := h.readPage(from, 0)
 		if err != nil {
 			return err
 		}
-		all = append(all, entries(page)...)
+		all = append(all, tableEntries(page)...)
 		if len(page.Entries) == 0 {
 			break
 		}
 		from = all[len(all)-1].Offset + 1
 	}
-	if err := h.fold(table.TrimmedLog{Entries: all}); err != nil {
+	if err := h.foldTable(table.TrimmedLog{Entries: all}); err != nil {
 		return err
 	}
-	h.move("table")
+	h.transition("table")
 	return nil
 }
 
-func entries(p platform.Page) []table.Entry {
+func tableEntries(p platform.Page) []table.Entry {
 	all := make([]table.Entry, 0, len(p.Entries))
 	for _, e := range p.Entries {
 		all = append(all, table.Entry{Offset: e.Offset, Body: e.Body})
@@ -131,24 +131,24 @@
 
 func (e *MissingError) Error() string { return "records are missing" }
 
-// fold steps the table and wakes those who wait for a verdict.
-func (h *Host) fold(ev table.Event) error {
+// foldTable steps the table and wakes those who wait for a verdict.
+func (h *Host) foldTable(ev table.Event) error {
 	h.mu.Lock()
 	acts := h.table.Step(h.clock(), ev)
-	close(h.grown)
-	h.grown = make(chan struct{})
+	close(h.tableChanged)
+	h.tableChanged = make(chan struct{})
 	h.mu.Unlock()
 	var err error
 	for _, a := range acts {
 		switch a := a.(type) {
 		case table.Gap:
-			h.meter("gap")
+			h.countTable("gap")
 			err = &MissingError{Want: a.Want}
 		case table.SnapshotMissing:
-			h.meter("lost")
+			h.countTable("lost")
 			err = &MissingError{Want: a.Want}
 		case table.Restored:
-			h.meter("restored")
+			h.countTable("restored")
 			h.log.Info("table: started from a snapshot.", "next", a.Next)
 		case table.RowChanged:
 			h.log.Info("table: row is in force.", "row", a.Row.Name, "version", a.Version, "gone", a.Gone)
@@ -157,10 +157,10 @@
 	return err
 }
 
-// save writes a snapshot when the table finds one due. The log may take its
+// saveSnapshot writes a snapshot when the table finds one due. The log may take its
 // time: nobody waits for it.
-func (h *Host) save(oldest int64) {
-	live, rank := h.rank()
+func (h *Host) saveSnapshot(oldest int64) {
+	live, rank := h.liveRank()
 	h.mu.Lock()
 	acts := h.table.Step(h.clock(), table.Tick{Oldest: oldest, Rank: rank})
 	h.mu.Unlock()
@@ -170,24 +170,24 @@
 	h.log.Info("table: writing a snapshot.", "parts", len(acts), "live", live)
 	h.wg.Go(func() {
 		for _, a := range acts {
-			if err := h.append(a.(table.Append).Body); err != nil {
+			if err := h.appendTable(a.(table.Append).Body); err != nil {
 				h.log.Warn("table: snapshot is not written.", "err", err)
 				return
 			}
 		}
-		h.meter("snapshots")
+		h.countTable("snapshots")
 	})
 }
 
-func (h *Host) append(body []byte) error {
-	ctx, cancel := context.WithTimeout(h.ctx, appendWait)
+func (h *Host) appendTable(body []byte) error {
+	ctx, cancel := context.WithTimeout(h.ctx, appendTimeout)
 	defer cancel()
 	_, err := h.platform.Append(ctx, table.Stream, body)
 	return err
 }
 
-// rank is this host's place among the live hosts.
-func (h *Host) rank() (live, rank int) {
+// liveRank is this host's place among the live hosts.
+func (h *Host) liveRank() (live, rank int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	names := h.members.Live()
--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -14,13 +14,13 @@
 
 // Times of a takeover.
 const (
-	takeoverEvery = 250 * time.Millisecond
-	censusWait    = time.Second
+	repairInterval   = 250 * time.Millisecond
+	inventoryTimeout = time.Second
 )
 
-// rackLead is the live host that leads a rack, as this host sees it; empty if
+// rackLeader is the live host that leads a rack, as this host sees it; empty if
 // no host of the failure domain is live.
-func (h *Host) rackLead(home cell.Home) string {
+func (h *Host) rackLeader(home cell.Home) string {
 	h.mu.Lock()
 	live := h.members.LiveIn(home.Domain)
 	h.mu.Unlock()
@@ -51,39 +51,39 @@
 	h.mu.Lock()
 	open := h.jobs.log.OpenJobs()
 	h.mu.Unlock()
-	h.jobs.transfer.RLock()
-	defer h.jobs.transfer.RUnlock()
+	h.jobs.transferMu.RLock()
+	defer h.jobs.transferMu.RUnlock()
 	var mine []job.Spec
 	for _, s := range open {
 		home, err := cell.ParseHome(s.ID)
 		if err != nil || home.Domain != h.cfg.Domain {
 			continue
 		}
-		if h.leadOf(s.ID) == h.cfg.Name && !h.busy(s.ID) {
+		if h.leaderOf(s.ID) == h.cfg.Name && !h.isBusy(s.ID) {
 			mine = append(mine, s)
 		}
 	}
-	h.lead.Inherit(mine)
-	for _, id := range h.lead.AwaitingInventory() {
+	h.leader.Inherit(mine)
+	for _, id := range h.leader.AwaitingInventory() {
 		h.mu.Lock()
 		_, ended := h.jobs.log.End(id)
 		h.mu.Unlock()
-		if ended || h.leadOf(id) != h.cfg.Name {
-			h.lead.ForgetInherited(id)
+		if ended || h.leaderOf(id) != h.cfg.Name {
+			h.leader.ForgetInherited(id)
 		}
 	}
 }
 
-// busy tells whether a job is being accepted here or handed to another host.
-func (h *Host) busy(id string) bool { return len(h.busyOf([]string{id})) > 0 }
+// isBusy tells whether a job is being accepted here or handed to another host.
+func (h *Host) isBusy(id string) bool { return len(h.busyJobs([]string{id})) > 0 }
 
-// busyOf are those of some jobs that are being accepted here or handed to another host.
-func (h *Host) busyOf(ids []string) []string {
+// busyJobs are those of some jobs that are being accepted here or handed to another host.
+func (h *Host) busyJobs(ids []string) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var busy []string
 	for _, id := range ids {
-		_, handing := h.jobs.handing[id]
+		_, handing := h.jobs.outgoing[id]
 		if h.jobs.accepting[id] || handing {
 			busy = append(busy, id)
 		}
@@ -91,38 +91,38 @@
 	return busy
 }
 
-// repair is the regular work on jobs that change their lead.
+// repairJobs is the regular work on jobs that change their lead.
 //
 // A host that becomes ready after it has read the host list shares the workers
 // out anew: the list is not told again while it stays the same, and a host
 // without peers would lead nothing for good.
-func (h *Host) repair() {
-	if ready := h.Ready(); ready != h.jobs.ready {
-		h.jobs.ready = ready
-		h.share()
+func (h *Host) repairJobs() {
+	if ready := h.Ready(); ready != h.jobs.wasReady {
+		h.jobs.wasReady = ready
+		h.updateShares()
 	}
 	h.takeOver()
-	h.handOver()
+	h.handOverJobs()
 	h.mu.Lock()
-	owed := len(h.jobs.owed)
+	owed := len(h.jobs.unwritten)
 	h.mu.Unlock()
 	if owed > 0 {
-		h.payOwed()
+		h.writeUnwritten()
 	}
 }
 
-// askCensus asks all live peers of the domain what they hold and lead.
-func (h *Host) askCensus() {
+// requestInventories asks all live peers of the domain what they hold and lead.
+func (h *Host) requestInventories() {
 	h.wg.Go(func() {
-		q := h.lead.InventoryRequest()
+		q := h.leader.InventoryRequest()
 		for _, name := range h.domainPeers() {
-			h.wg.Go(func() { h.askOne(name, q) })
+			h.wg.Go(func() { h.requestInventory(name, q) })
 		}
 	})
 }
 
-func (h *Host) askOne(name string, q lead.InventoryRequest) {
-	ctx, cancel := context.WithTimeout(h.ctx, censusWait)
+func (h *Host) requestInventory(name string, q lead.InventoryRequest) {
+	ctx, cancel := context.WithTimeout(h.ctx, inventoryTimeout)
 	defer cancel()
 	var reply peer.InventoryReply
 	m := peer.Inventory{From: h.cfg.Name, Jobs: q.Jobs, Waits: q.Waits, Keys: q.Keys}
@@ -130,7 +130,7 @@
 		return
 	}
 	for _, rec := range reply.Records {
-		h.remember(rec)
+		h.rememberRecord(rec)
 	}
 	c := lead.InventoryReply{Leads: reply.Leads, Waits: reply.Waits, Incarnations: reply.Incarnations}
 	for _, w := range reply.Workers {
@@ -141,17 +141,17 @@
 		c.Workers = append(c.Workers, v)
 	}
 	h.takeOver()
-	h.lead.HandleInventory(name, q, c)
+	h.leader.HandleInventory(name, q, c)
 }
 
-// census answers a peer's question. Jobs that this host is about to lead, or
+// handleInventory answers a peer's question. Jobs that this host is about to lead, or
 // that are on their way to another lead, count as led. They are looked up first: a
 // job that is accepted meanwhile is led when the lead is asked.
-func (h *Host) census(m peer.Inventory) peer.InventoryReply {
-	h.jobs.transfer.RLock()
-	defer h.jobs.transfer.RUnlock()
-	busy := h.busyOf(m.Jobs)
-	c := h.lead.Inventory(m.From, lead.InventoryRequest{Jobs: m.Jobs, Waits: m.Waits, Keys: m.Keys})
+func (h *Host) handleInventory(m peer.Inventory) peer.InventoryReply {
+	h.jobs.transferMu.RLock()
+	defer h.jobs.transferMu.RUnlock()
+	busy := h.busyJobs(m.Jobs)
+	c := h.leader.Inventory(m.From, lead.InventoryRequest{Jobs: m.Jobs, Waits: m.Waits, Keys: m.Keys})
 	reply := peer.InventoryReply{Leads: append(busy, c.Leads...), Waits: c.Waits, Incarnations: c.Incarnations}
 	for _, v := range c.Workers {
 		w := peer.InventoryWorker{Name: v.Worker, Clock: v.Clock, Age: cell.Duration{Duration: v.Age}, Incarnation: v.Incarnation, Tasks: v.Tasks}
@@ -162,17 +162,17 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, rec := range h.jobs.owed {
+	for _, rec := range h.jobs.unwritten {
 		reply.Records = append(reply.Records, rec)
 	}
 	return reply
 }
 
 // Leads tells whether this host leads a job and knows where its tasks are.
-func (h *Host) Leads(id string) bool { return h.lead.Leads(id) }
+func (h *Host) Leads(id string) bool { return h.leader.Leads(id) }
 
 // Held lists the workers that this host holds.
-func (h *Host) Held() []string { return h.lead.Held() }
+func (h *Host) Held() []string { return h.leader.Held() }
 
 // Remembers tells whether this host knows of a job's acceptance.
 func (h *Host) Remembers(id string) bool {
