--- a/internal/host/edit.go
+++ b/internal/host/edit.go
@@ -27,8 +27,8 @@
 	return b.h.table.Lines()
 }
 
-// Teams lists the quotas in force.
-func (b operatorTable) Teams() []table.Quota {
+// Quotas lists the quotas in force.
+func (b operatorTable) Quotas() []table.Quota {
 	b.h.mu.Lock()
 	defer b.h.mu.Unlock()
 	return b.h.table.Teams()
--- a/internal/operator/edits.go
+++ b/internal/operator/edits.go
@@ -68,7 +68,7 @@
 }
 
 func (h *Handler) findTeam(team string) *table.Quota {
-	for _, q := range h.Table.Teams() {
+	for _, q := range h.Table.Quotas() {
 		if q.Team == team {
 			return &q
 		}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -36,7 +36,7 @@
 // Table gives operators access to the table: its rows, quotas and history.
 type Table interface {
 	Lines() []table.Line
-	Teams() []table.Quota
+	Quotas() []table.Quota
 	History() []table.HistoryEntry
 	// Verdict returns the result of an edit, and false if the edit has not been
 	// read from the log yet.
@@ -85,7 +85,7 @@
 	r.Get("/edits/{id}", h.verdict)
 	r.Get("/log", func(w http.ResponseWriter, _ *http.Request) { write(w, http.StatusOK, h.Table.History()) })
 	r.Get("/status", func(w http.ResponseWriter, _ *http.Request) { write(w, http.StatusOK, h.Status()) })
-	r.Get("/quotas", func(w http.ResponseWriter, _ *http.Request) { write(w, http.StatusOK, h.Table.Teams()) })
+	r.Get("/quotas", func(w http.ResponseWriter, _ *http.Request) { write(w, http.StatusOK, h.Table.Quotas()) })
 	r.Put("/quotas/{team}", h.putQuota)
 	r.Post("/quotas/{team}/settle/{domain}", h.settle)
 	r.Get("/hosts", func(w http.ResponseWriter, _ *http.Request) { write(w, http.StatusOK, h.Hosts()) })
