--- a/internal/host/edit.go
+++ b/internal/host/edit.go
@@ -75,8 +75,8 @@
 	return b.h.publish(ctx, e.ID, body)
 }
 
-// Settle writes that a failure domain has settled, on an operator's word.
-func (b operatorTable) Settle(ctx context.Context, s table.ShareConfirmation) error {
+// ConfirmShare writes that a failure domain has settled, on an operator's word.
+func (b operatorTable) ConfirmShare(ctx context.Context, s table.ShareConfirmation) error {
 	body, err := table.Encode(s)
 	if err != nil {
 		return err
--- a/internal/operator/edits.go
+++ b/internal/operator/edits.go
@@ -121,7 +121,7 @@
 		return
 	}
 	s := table.ShareConfirmation{Team: q.Team, Version: q.Version, Domain: chi.URLParam(r, "domain")}
-	if err := h.Table.Settle(r.Context(), s); err != nil {
+	if err := h.Table.ConfirmShare(r.Context(), s); err != nil {
 		fail(w, http.StatusServiceUnavailable, fmt.Sprintf("may not be written: %s", err))
 		return
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -48,8 +48,8 @@
 	// UnsureError if the edit may have been written but has no verdict yet.
 	Edit(ctx context.Context, e table.Edit) (table.Verdict, error)
 	EditQuota(ctx context.Context, e table.QuotaEdit) (table.Verdict, error)
-	// Settle writes the confirmation that a failure domain applies its share of a quota.
-	Settle(ctx context.Context, s table.ShareConfirmation) error
+	// ConfirmShare writes the confirmation that a failure domain applies its share of a quota.
+	ConfirmShare(ctx context.Context, s table.ShareConfirmation) error
 }
 
 // TableStatus reports up to which offset each host has applied the table's log.
