--- a/internal/operator/edits.go
+++ b/internal/operator/edits.go
@@ -112,9 +112,9 @@
 	}
 }
 
-// settle confirms a quota's smaller share on behalf of a failure domain that is
+// confirmShare confirms a quota's smaller share on behalf of a failure domain that is
 // permanently gone, since no host there will report that it applies the share.
-func (h *Handler) settle(w http.ResponseWriter, r *http.Request) {
+func (h *Handler) confirmShare(w http.ResponseWriter, r *http.Request) {
 	q := h.findTeam(chi.URLParam(r, "team"))
 	if q == nil {
 		fail(w, http.StatusNotFound, "no such quota")
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -87,7 +87,7 @@
 	r.Get("/status", func(w http.ResponseWriter, _ *http.Request) { write(w, http.StatusOK, h.Status()) })
 	r.Get("/quotas", func(w http.ResponseWriter, _ *http.Request) { write(w, http.StatusOK, h.Table.Quotas()) })
 	r.Put("/quotas/{team}", h.putQuota)
-	r.Post("/quotas/{team}/settle/{domain}", h.settle)
+	r.Post("/quotas/{team}/settle/{domain}", h.confirmShare)
 	r.Get("/hosts", func(w http.ResponseWriter, _ *http.Request) { write(w, http.StatusOK, h.Hosts()) })
 	r.Get("/workers", func(w http.ResponseWriter, _ *http.Request) { write(w, http.StatusOK, h.Workers()) })
 	r.Get("/explain/{id}", h.explain)
