--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -20,8 +20,8 @@
 const (
 	// Timeout is how long opening a connection may take.
 	Timeout = 500 * time.Millisecond
-	// Dead is how long sent data may stay unacknowledged before the connection fails.
-	Dead = time.Second
+	// AckTimeout is how long sent data may stay unacknowledged before the connection fails.
+	AckTimeout = time.Second
 	// Probe is how long a connection is idle before it is probed, and the time
 	// between probes.
 	Probe = time.Second
@@ -47,7 +47,7 @@
 }
 
 func setUserTimeout(fd int) error {
-	return unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(Dead.Milliseconds()))
+	return unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(AckTimeout.Milliseconds()))
 }
 
 // Bound sets the limits on an accepted connection.
