--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -22,9 +22,9 @@
 	Timeout = 500 * time.Millisecond
 	// AckTimeout is how long sent data may stay unacknowledged before the connection fails.
 	AckTimeout = time.Second
-	// Probe is how long a connection is idle before it is probed, and the time
+	// ProbeInterval is how long a connection is idle before it is probed, and the time
 	// between probes.
-	Probe = time.Second
+	ProbeInterval = time.Second
 	// probes is how many probes may go unanswered before the connection is closed.
 	probes = 2
 )
@@ -33,7 +33,7 @@
 func New() *net.Dialer {
 	return &net.Dialer{
 		Timeout:         Timeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: Probe, Interval: Probe, Count: probes},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: ProbeInterval, Interval: ProbeInterval, Count: probes},
 		Control:         bound,
 	}
 }
