--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -34,11 +34,11 @@
 	return &net.Dialer{
 		Timeout:         Timeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: ProbeInterval, Interval: ProbeInterval, Count: probes},
-		Control:         bound,
+		Control:         setLimits,
 	}
 }
 
-func bound(_, _ string, c syscall.RawConn) error {
+func setLimits(_, _ string, c syscall.RawConn) error {
 	var err error
 	if cerr := c.Control(func(fd uintptr) { err = setUserTimeout(int(fd)) }); cerr != nil {
 		return cerr
@@ -65,6 +65,6 @@
 	}
 	_ = tcp.SetKeepAliveConfig(New().KeepAliveConfig)
 	if raw, err := tcp.SyscallConn(); err == nil {
-		_ = bound("", "", raw)
+		_ = setLimits("", "", raw)
 	}
 }
