--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -50,8 +50,8 @@
 	return unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(AckTimeout.Milliseconds()))
 }
 
-// Bound sets the limits on an accepted connection.
-func Bound(conn net.Conn) {
+// SetLimits sets the limits on an accepted connection.
+func SetLimits(conn net.Conn) {
 	for {
 		outer, ok := conn.(interface{ NetConn() net.Conn })
 		if !ok {
--- a/internal/dial/dial_test.go
+++ b/internal/dial/dial_test.go
@@ -37,7 +37,7 @@
 	in, err := ln.Accept()
 	require.NoError(t, err)
 	defer in.Close()
-	dial.Bound(in)
+	dial.SetLimits(in)
 	for _, conn := range []net.Conn{out, in} {
 		timeout, idle, interval, count := options(t, conn)
 		require.Equal(t, []int{1000, 1, 1, 2}, []int{timeout, idle, interval, count})
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -121,7 +121,7 @@
 }
 
 func (s *Server) serveConn(ctx context.Context, conn net.Conn) {
-	dial.Bound(conn)
+	dial.SetLimits(conn)
 	c := jsonrpc2.NewConn(withSender(ctx, conn), stream(conn, s.count), jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(s.handle)), discardLog)
 	select {
 	case <-ctx.Done():
