--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -79,7 +79,7 @@
 	return Size{CPU: int64(f * float64(s.CPU)), Mem: int64(f * float64(s.Mem)), Accel: int64(f * float64(s.Accel))}
 }
 
-// FitCount returns how many times s fits into room, or math.MaxInt64 if s is zero.
+// FitCount returns how many times s fits into available, or math.MaxInt64 if s is zero.
 func (s Size) FitCount(available Size) int64 {
 	n := int64(math.MaxInt64)
 	for _, p := range [...][2]int64{{s.CPU, available.CPU}, {s.Mem, available.Mem}, {s.Accel, available.Accel}} {
@@ -90,7 +90,7 @@
 	return n
 }
 
-// Fits reports whether s fits into room in every component.
+// Fits reports whether s fits into available in every component.
 func (s Size) Fits(available Size) bool {
 	return s.CPU <= available.CPU && s.Mem <= available.Mem && s.Accel <= available.Accel
 }
--- a/internal/spans/export.go
+++ b/internal/spans/export.go
@@ -47,10 +47,10 @@
 			return nil, nil, errors.Wrap(err, "open trace file")
 		}
 		exp, err := stdouttrace.New(stdouttrace.WithWriter(f))
-		return exp, func() { _ = f.Close() }, errors.Wrap(err, "make trace exporter")
+		return exp, func() { _ = f.Close() }, errors.Wrap(err, "create trace exporter")
 	case endpoint != "":
 		exp, err := otlptracehttp.New(context.Background(), otlptracehttp.WithEndpointURL(endpoint))
-		return exp, func() {}, errors.Wrap(err, "make trace exporter")
+		return exp, func() {}, errors.Wrap(err, "create trace exporter")
 	default:
 		return nil, nil, nil
 	}
