--- a/internal/commands/explain.go
+++ b/internal/commands/explain.go
@@ -6,7 +6,7 @@
 
 	"github.com/integrii/flaggy"
 
-	"pollencroft/internal/story"
+	"pollencroft/internal/timeline"
 )
 
 func init() {
@@ -32,7 +32,7 @@
 // explainLogs prints the timeline of the job or request with this ID, extracted from the log
 // lines on standard input. The lines may come from any number of hosts.
 func explainLogs(id string) error {
-	lines, err := story.Read(os.Stdin, id)
+	lines, err := timeline.Read(os.Stdin, id)
 	if err != nil {
 		return err
 	}
--- a/internal/story/story.go
+++ b/internal/timeline/timeline.go
@@ -1,6 +1,6 @@
-// Package story assembles the timeline of one request or job from the log lines of several hosts,
+// Package timeline assembles the timeline of one request or job from the log lines of several hosts,
 // in order of time.
-package story
+package timeline
 
 import (
 	"bufio"
--- a/internal/story/story_test.go
+++ b/internal/timeline/timeline_test.go
@@ -1,4 +1,4 @@
-package story_test
+package timeline_test
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"pollencroft/internal/story"
+	"pollencroft/internal/timeline"
 )
 
 const logs = `12.1 nord-2 {"time":"2026-03-04T11:05:12.2Z","level":"INFO","msg":"sched: start taken.","id":"a1.0.0.3","worker":"w7","run":1}
@@ -17,7 +17,7 @@
 `
 
 func ExampleRead() {
-	lines, err := story.Read(strings.NewReader(logs), "a1")
+	lines, err := timeline.Read(strings.NewReader(logs), "a1")
 	if err != nil {
 		fmt.Println(err)
 	}
@@ -30,6 +30,6 @@
 }
 
 func TestTooLongLineIsAnError(t *testing.T) {
-	_, err := story.Read(strings.NewReader(strings.Repeat("x", 2<<20)), "a1")
+	_, err := timeline.Read(strings.NewReader(strings.Repeat("x", 2<<20)), "a1")
 	require.Error(t, err)
 }
