--- a/internal/commands/tableset.go
+++ b/internal/commands/tableset.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 
 	"pollencroft/internal/cell"
-	"pollencroft/internal/sheet"
+	"pollencroft/internal/tablefile"
 	"pollencroft/pkg/client"
 )
 
@@ -75,7 +75,7 @@
 	if err := o.page("/table", &rows); err != nil {
 		return err
 	}
-	text, err := sheet.Dump(rows)
+	text, err := tablefile.Dump(rows)
 	if err != nil {
 		return err
 	}
@@ -91,9 +91,9 @@
 
 // result is the outcome of one changed row.
 type result struct {
-	Row   string             `json:"row"`
-	State string             `json:"state"`
-	Lost  []sheet.Difference `json:"lost,omitempty"`
+	Row   string                 `json:"row"`
+	State string                 `json:"state"`
+	Lost  []tablefile.Difference `json:"lost,omitempty"`
 }
 
 // loadTable sends the rows that were changed in a file written by dumpTable.
@@ -106,7 +106,7 @@
 	if err != nil {
 		return errors.Wrap(err, "read table")
 	}
-	changes, err := sheet.Changes(text)
+	changes, err := tablefile.Changes(text)
 	if err != nil {
 		return err
 	}
@@ -120,7 +120,7 @@
 	return o.sendAll(changes)
 }
 
-func (o remote) sendAll(changes []sheet.Change) error {
+func (o remote) sendAll(changes []tablefile.Change) error {
 	lost := 0
 	results := make([]result, 0, len(changes))
 	for _, ch := range changes {
@@ -147,7 +147,7 @@
 	return nil
 }
 
-func (o remote) sendOne(ch sheet.Change) (result, error) {
+func (o remote) sendOne(ch tablefile.Change) (result, error) {
 	err := o.send(ch, false)
 	var race *client.RaceError
 	switch {
@@ -169,7 +169,7 @@
 }
 
 // send sends one change to the host. If try is set, the host only validates the change.
-func (o remote) send(ch sheet.Change, try bool) error {
+func (o remote) send(ch tablefile.Change, try bool) error {
 	c, ctx, cancel, err := o.dial()
 	if err != nil {
 		return err
--- a/internal/sheet/sheet.go
+++ b/internal/tablefile/tablefile.go
@@ -1,6 +1,6 @@
-// Package sheet writes the table as a TOML file that operators edit, and determines which rows they
+// Package tablefile writes the table as a TOML file that operators edit, and determines which rows they
 // changed when it reads the file back.
-package sheet
+package tablefile
 
 import (
 	"bytes"
--- a/internal/sheet/sheet_test.go
+++ b/internal/tablefile/tablefile_test.go
@@ -1,4 +1,4 @@
-package sheet_test
+package tablefile_test
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	"pollencroft/internal/cell"
-	"pollencroft/internal/sheet"
+	"pollencroft/internal/tablefile"
 )
 
 var rows = []json.RawMessage{
@@ -18,7 +18,7 @@
 
 func dump(t *testing.T) string {
 	t.Helper()
-	b, err := sheet.Dump(rows)
+	b, err := tablefile.Dump(rows)
 	require.NoError(t, err)
 	return string(b)
 }
@@ -27,20 +27,20 @@
 // sending the others would undo changes that colleagues made since the dump.
 func TestOnlyChangedRowsAreSent(t *testing.T) {
 	text := dump(t)
-	all, err := sheet.Changes([]byte(text))
+	all, err := tablefile.Changes([]byte(text))
 	require.NoError(t, err)
 	require.Empty(t, all)
 
 	text = strings.Replace(text, "weight = 5", "weight = 6", 1) + "\n[rows.fresh]\nweight = 2\n"
-	all, err = sheet.Changes([]byte(text))
+	all, err = tablefile.Changes([]byte(text))
 	require.NoError(t, err)
 	require.Len(t, all, 2)
-	require.Equal(t, sheet.Change{Row: "fresh", Fields: sheet.Row{"weight": int64(2)}}, all[0])
+	require.Equal(t, tablefile.Change{Row: "fresh", Fields: tablefile.Row{"weight": int64(2)}}, all[0])
 	require.Equal(t, "scan", all[1].Row)
 	require.Equal(t, int64(9), all[1].Version)
 	diff, err := all[1].Compare(json.RawMessage(`{"name":"scan","class":"urgent","weight":7,"limits":{},"deadline":"1s","version":11}`))
 	require.NoError(t, err)
-	require.Equal(t, []sheet.Difference{{Column: "weight", Wanted: int64(6), Current: int64(7)}}, diff)
+	require.Equal(t, []tablefile.Difference{{Column: "weight", Wanted: int64(6), Current: int64(7)}}, diff)
 	diff, err = all[0].Compare(json.RawMessage(`null`))
 	require.NoError(t, err)
 	require.Len(t, diff, 1)
@@ -51,11 +51,11 @@
 		"[rows.scan]\nversion = \"x\"\n": "scan.version",
 		"[rows.scan]\ndrop = 1\n":        "scan.drop",
 	} {
-		_, err := sheet.Changes([]byte(text))
+		_, err := tablefile.Changes([]byte(text))
 		var val *cell.ValueError
 		require.ErrorAs(t, err, &val)
 		require.Equal(t, field, val.Field)
 	}
-	_, err := sheet.Changes([]byte("[row.scan]\n"))
+	_, err := tablefile.Changes([]byte("[row.scan]\n"))
 	require.Error(t, err)
 }
