--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -13,7 +13,7 @@
 const maxRounds = 4
 
 // TryEvent is an input of Try.Step.
-type TryEvent interface{ runEvent() }
+type TryEvent interface{ tryEvent() }
 
 // Begin starts the try.
 type Begin struct{}
@@ -34,11 +34,11 @@
 // was sent.
 type Canceled struct{}
 
-func (Begin) runEvent()        {}
-func (HomeAnswered) runEvent() {}
-func (HomeSilent) runEvent()   {}
-func (RequestEnded) runEvent() {}
-func (Canceled) runEvent()     {}
+func (Begin) tryEvent()        {}
+func (HomeAnswered) tryEvent() {}
+func (HomeSilent) tryEvent()   {}
+func (RequestEnded) tryEvent() {}
+func (Canceled) tryEvent()     {}
 
 // TryAction is an output of Try.Step, for the caller to carry out. Each step returns
 // exactly one of AskHome, AwaitHome, Send and Reply, as its last action.
