--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -42,7 +42,7 @@
 
 // TryAction is an output of Try.Step, for the caller to carry out. Each step returns
 // exactly one of AskHome, AwaitHome, Send and Reply, as its last action.
-type TryAction interface{ runAction() }
+type TryAction interface{ tryAction() }
 
 // AskHome sends an Open to a home.
 type AskHome struct {
@@ -65,11 +65,11 @@
 	Close Close
 }
 
-func (AskHome) runAction()   {}
-func (AwaitHome) runAction() {}
-func (Send) runAction()      {}
-func (Reply) runAction()     {}
-func (RecordEnd) runAction() {}
+func (AskHome) tryAction()   {}
+func (AwaitHome) tryAction() {}
+func (Send) tryAction()      {}
+func (Reply) tryAction()     {}
+func (RecordEnd) tryAction() {}
 
 // Try is the state machine of one try of a keyed request at its entry host. It sends the
 // request only after enough homes of every group hold its key.
