--- a/internal/relay/home.go
+++ b/internal/relay/home.go
@@ -80,11 +80,11 @@
 // so that a repeat does not wait for a host that is gone.
 func (x *Relay) tickHome() {
 	_, beats := x.Members()
-	signs := map[string]ledger.Heartbeat{x.Name: {Incarnation: x.Incarnation, At: x.Clock()}}
+	heartbeats := map[string]ledger.Heartbeat{x.Name: {Incarnation: x.Incarnation, At: x.Clock()}}
 	for _, b := range beats {
-		signs[b.Name] = ledger.Heartbeat{Incarnation: b.Incarnation, At: b.ReceivedAt}
+		heartbeats[b.Name] = ledger.Heartbeat{Incarnation: b.Incarnation, At: b.ReceivedAt}
 	}
-	x.stepHome(ledger.HostHeartbeats{Heartbeats: signs})
+	x.stepHome(ledger.HostHeartbeats{Heartbeats: heartbeats})
 	x.stepHome(ledger.Tick{})
 	x.updateGauges()
 }
