--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -94,14 +94,14 @@
 func (w *simulation) tick(d time.Duration) {
 	w.now = w.now.Add(d)
 	for name := range w.ledgers {
-		signs := map[string]ledger.Heartbeat{}
+		heartbeats := map[string]ledger.Heartbeat{}
 		for _, h := range w.hosts {
 			if w.reaches(h.Name, name) {
-				signs[h.Name] = ledger.Heartbeat{Incarnation: w.inc[h.Name], At: w.clock(name)}
+				heartbeats[h.Name] = ledger.Heartbeat{Incarnation: w.inc[h.Name], At: w.clock(name)}
 			}
 		}
 		if !w.isDown(name) {
-			w.stepHome(name, ledger.HostHeartbeats{Heartbeats: signs})
+			w.stepHome(name, ledger.HostHeartbeats{Heartbeats: heartbeats})
 			w.stepHome(name, ledger.Tick{})
 		}
 	}
