--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -72,10 +72,10 @@
 	if a.Home == x.Name {
 		return ledger.HomeAnswered{Home: a.Home, Verdict: x.OpenKey(a.Open)}
 	}
-	short, cancel := context.WithTimeout(ctx, openTimeout)
+	openCtx, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
 	var v ledger.Verdict
-	err := x.Peers.Ask(short, a.Home, peer.OpenKey{Open: a.Open}, &v)
+	err := x.Peers.Ask(openCtx, a.Home, peer.OpenKey{Open: a.Open}, &v)
 	return toTryEvent(ctx, a.Home, v, err)
 }
 
