--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -31,7 +31,7 @@
 
 // A home was replaced a second ago and lost its memory. It must not report a key as fresh
 // that its previous incarnation may have seen; otherwise the request runs twice.
-func TestHomeThatJustStartedIsBlind(t *testing.T) {
+func TestRestartedHomeDoesNotConfirmKeys(t *testing.T) {
 	l := ledger.New(ledger.DefaultLimits, start)
 	require.Equal(t, ledger.Unconfirmed, open(l, time.Second, "k", 1).State)
 }
