--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -123,7 +123,7 @@
 
 // Operators change the list of entry hosts, and for a while hosts use different lists.
 // Homes of different groups may not overlap, so they do not confirm keys for each other.
-func TestHostsWithOtherSettingsDoNotVouch(t *testing.T) {
+func TestHostsWithOtherSettingsDoNotConfirm(t *testing.T) {
 	old := ledger.NewPlan(cellHosts[0], cellHosts[1:])
 	renamed := ledger.NewPlan(cellHosts[0], append([]ledger.Host{{Name: "nord-9", Domain: "nord"}}, cellHosts[2:]...))
 	g := old.Groups("k", 1, live)[0]
