--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -134,7 +134,7 @@
 
 // The answer to a request is large. Its repeat must not count the home that transfers the
 // answer as silent.
-func TestLargeAnswerComesWithTheWait(t *testing.T) {
+func TestLargeAnswerIsReturnedByAwait(t *testing.T) {
 	l := ledger.New(ledger.DefaultLimits, start)
 	open(l, time.Hour, "k", 1)
 	l.Step(start.Add(time.Hour), ledger.Close{Key: "k", Answer: ledger.Answer{Outcome: cell.Done, Body: make([]byte, 1<<20)}})
