--- a/internal/ledger/steps_test.go
+++ b/internal/ledger/steps_test.go
@@ -165,7 +165,7 @@
 
 // An entry host crashes with a request in flight. A repeat must get the outcome unknown at
 // once, not after its whole deadline.
-func TestRepeatOfADeadHostsTryIsToldAtOnce(t *testing.T) {
+func TestRepeatEndsAtOnceWhenTheEntryHostIsGone(t *testing.T) {
 	for _, fault := range []string{"entry host dies", "entry host is replaced"} {
 		s := newScenario(allRules)
 		for range steps["sent"] {
