--- a/internal/ledger/steps_test.go
+++ b/internal/ledger/steps_test.go
@@ -181,7 +181,7 @@
 // A failure domain has two entry hosts, and one of them crashes together with a host of
 // another domain. The remaining host must go on serving requests, including keyed ones. If
 // the domain is cut off from the others, its two hosts must do so together.
-func TestTwoHostDomainGoesOn(t *testing.T) {
+func TestTwoHostDomainToleratesFailures(t *testing.T) {
 	for name, fault := range map[string]func(w *simulation){
 		"one host and one witness die": func(w *simulation) { w.dead["nord-1"], w.dead["sued-0"] = true, true },
 		"cut off":                      func(w *simulation) { w.cut["nord"] = true },
