--- a/internal/relay/keyed_test.go
+++ b/internal/relay/keyed_test.go
@@ -230,7 +230,7 @@
 // An entry host crashes with a request in flight and restarts at once. The repeat, which
 // waits for the first try, gets the outcome unknown although the backend server still works
 // on the request and the deadline is far away.
-func TestWaitingRepeatIsToldWhenTheEntryHostIsGone(t *testing.T) {
+func TestWaitingRepeatEndsWhenTheEntryHostIsGone(t *testing.T) {
 	all, g := newNodes(t, 0)
 	defer close(g.release)
 	key := cell.NewID()
