--- a/internal/relay/keyed_test.go
+++ b/internal/relay/keyed_test.go
@@ -257,7 +257,7 @@
 
 // The message that a request has ended is lost on its way to the homes of the key. It is
 // sent again; otherwise the repeat would get the outcome unknown.
-func TestEndIsToldAgainWhenAHomeIsSilent(t *testing.T) {
+func TestEndIsResentWhenAHomeIsSilent(t *testing.T) {
 	all, g := newNodes(t, 0)
 	close(g.release)
 	for _, n := range all {
