--- a/internal/relay/lost_test.go
+++ b/internal/relay/lost_test.go
@@ -46,7 +46,7 @@
 }
 
 // Guards against a request that crashes one backend server after another.
-func TestRequestThatEndsBackendServersIsGivenUp(t *testing.T) {
+func TestRequestThatCrashesServersIsGivenUp(t *testing.T) {
 	for _, minions := range []int{2, 12} {
 		b := newBenchWithBudget(t, minions)
 		b.setFaults(standin.MinionFaults{Lose: 1000})
