--- a/internal/relay/lost_test.go
+++ b/internal/relay/lost_test.go
@@ -61,7 +61,7 @@
 }
 
 // Guards against a hedged request that crashes one backend server after another.
-func TestHedgedRequestThatEndsBackendServersIsGivenUp(t *testing.T) {
+func TestHedgedRequestThatCrashesServersIsGivenUp(t *testing.T) {
 	b := newBenchWithBudget(t, 12)
 	b.setFaults(standin.MinionFaults{Lose: 1000, Slow: 1500 * time.Millisecond})
 	req := request()
