--- a/internal/relay/lost_test.go
+++ b/internal/relay/lost_test.go
@@ -75,7 +75,7 @@
 
 // Guards against giving up requests whose servers answer with failures: such requests are
 // retried.
-func TestAnsweredFailuresEndNoServer(t *testing.T) {
+func TestErrorResponsesAreRetried(t *testing.T) {
 	b := newBenchWithBudget(t, 12)
 	b.setFaults(standin.MinionFaults{Fail: 100})
 	req := request()
