--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -159,7 +159,7 @@
 
 // A caller hangs up. If its request is still waiting, its place in the queue is released
 // and nothing runs. If the request was sent, it runs to its end.
-func TestHangUpFreesThePlaceButCutsNothingThatWasSent(t *testing.T) {
+func TestHangUpCancelsOnlyWaitingRequests(t *testing.T) {
 	b := newBench(t, 1, 1)
 	slow := request()
 	slow.Header = map[string]string{standin.HeaderCost: "300ms"}
