--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -180,7 +180,7 @@
 
 // An operator changes the limit of a row while its requests are waiting. The next tick
 // applies the new limit to them.
-func TestEditOfALimitReachesWhatWaits(t *testing.T) {
+func TestLimitChangeAppliesToWaitingRequests(t *testing.T) {
 	b := newBench(t, 1, 2)
 	b.row.Limits.Slots = 1
 	var wg sync.WaitGroup
