--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -206,7 +206,7 @@
 // A host is paused for an hour while a request arrives. Other hosts have taken over its
 // slots meanwhile, so it must send nothing until it knows which slots it has; otherwise a
 // minion with 8 slots would get a ninth request.
-func TestHostThatStoodStillSendsNothingUntilItKnowsItsSlots(t *testing.T) {
+func TestPausedHostSendsNothingUntilItKnowsItsSlots(t *testing.T) {
 	b := newBench(t, 1, 8)
 	require.Equal(t, cell.Done, b.Do(t.Context(), request()).Outcome)
 	b.mu.Lock()
