--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -130,7 +130,7 @@
 
 // Certificates are replaced while the host runs. New connections use the new certificates
 // without a restart.
-func TestKeysAreReadAgain(t *testing.T) {
+func TestKeysAreReloaded(t *testing.T) {
 	a, b := authority(t), authority(t)
 	now := time.Now()
 	var mu sync.Mutex
