--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -76,7 +76,7 @@
 // Unauthorized clients connect to a host's peer port: without TLS, with an expired
 // certificate, with one of another authority, or with one that names no known host. Each is
 // rejected and counted, and none delays the others.
-func TestOnlyKnownHostsGetIn(t *testing.T) {
+func TestOnlyKnownHostsConnect(t *testing.T) {
 	a, far := authority(t), authority(t)
 	later := time.Now().Add(time.Hour)
 	k, c := open(t, a, t.TempDir(), server, later, time.Now)
