--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -160,7 +160,7 @@
 	require.Equal(t, 1, c.of("reread"))
 }
 
-func TestKeyFaultsNameTheFile(t *testing.T) {
+func TestLoadErrorNamesTheFile(t *testing.T) {
 	_, err := keys.New(keys.Files{Cert: "none.pem", Key: "none.pem", CA: "none.pem"}, nil, nil, time.Now)
 	var file *keys.FileError
 	require.ErrorAs(t, err, &file)
