--- a/internal/host/admit.go
+++ b/internal/host/admit.go
@@ -24,44 +24,44 @@
 	requestCost = 16 << 10
 	// bodyCopies is how often a body lies in memory: as read, and as sent on.
 	bodyCopies = 2
-	// bodyWait bounds the reading of a body. A caller that sends one byte now
+	// bodyReadTimeout bounds the reading of a body. A caller that sends one byte now
 	// and then would hold its room for good.
-	bodyWait = 10 * time.Second
+	bodyReadTimeout = 10 * time.Second
 )
 
 // budget bounds the bytes that callers' requests hold in this host.
 type budget struct {
-	most   int64
-	mu     sync.Mutex
-	held   int64
-	number atomic.Int64
+	limit    int64
+	mu       sync.Mutex
+	reserved int64
+	requests atomic.Int64
 }
 
-// part is how much of the budget a class may fill. The rest is kept back for
+// classFraction is how much of the budget a class may fill. The rest is kept back for
 // more urgent work: a flood of bulk bodies must not lock a scan out.
-var part = map[cell.Class]float64{cell.Urgent: 1, cell.Normal: 0.75, cell.Bulk: 0.5}
+var classFraction = map[cell.Class]float64{cell.Urgent: 1, cell.Normal: 0.75, cell.Bulk: 0.5}
 
-// take reserves bytes for a request of a class; false means that it is shed.
-func (b *budget) take(class cell.Class, n int64) bool {
+// reserve reserves bytes for a request of a class; false means that it is shed.
+func (b *budget) reserve(class cell.Class, n int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if float64(b.held+n) > part[class]*float64(b.most) {
+	if float64(b.reserved+n) > classFraction[class]*float64(b.limit) {
 		return false
 	}
-	b.held += n
-	b.number.Add(1)
+	b.reserved += n
+	b.requests.Add(1)
 	return true
 }
 
-func (b *budget) give(n int64) {
+func (b *budget) release(n int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.held -= n
-	b.number.Add(-1)
+	b.reserved -= n
+	b.requests.Add(-1)
 }
 
 // InFlight returns how many callers' requests this host holds.
-func (h *Host) InFlight() int64 { return h.budget.number.Load() }
+func (h *Host) InFlight() int64 { return h.budget.requests.Load() }
 
 // admit takes a caller's request in, or sheds it before its body is read: it
 // has not run anywhere. Without a bound a burst of large bodies ends the whole
@@ -74,12 +74,12 @@
 		}
 		size = requestCost + bodyCopies*size
 		class := h.classOf(r)
-		if !h.budget.take(class, size) {
+		if !h.budget.reserve(class, size) {
 			h.shed(w, class)
 			return
 		}
-		defer h.budget.give(size)
-		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyWait))
+		defer h.budget.release(size)
+		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyReadTimeout))
 		next.ServeHTTP(w, r)
 	})
 }
@@ -100,26 +100,26 @@
 }
 
 type shedBody struct {
-	Error   string       `json:"error"`
-	Outcome cell.Outcome `json:"outcome"`
-	Reason  string       `json:"reason"`
-	Again   float64      `json:"again"`
+	Error      string       `json:"error"`
+	Outcome    cell.Outcome `json:"outcome"`
+	Reason     string       `json:"reason"`
+	RetryAfter float64      `json:"again"`
 }
 
-// shedAgain is when a caller that was shed may come back.
-const shedAgain = time.Second
+// shedRetryAfter is when a caller that was shed may come back.
+const shedRetryAfter = time.Second
 
 func (h *Host) shed(w http.ResponseWriter, class cell.Class) {
 	metrics.GetOrRegisterCounter("host.shed."+class.String(), h.metrics).Inc(1)
 	w.Header().Set(caller.HeaderOutcome, string(cell.Refused))
-	w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(shedAgain.Seconds()))))
+	w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(shedRetryAfter.Seconds()))))
 	w.Header().Set("Content-Type", "application/json")
 	// The body is not read: the connection cannot carry another request.
 	w.Header().Set("Connection", "close")
 	w.WriteHeader(http.StatusServiceUnavailable)
 	_ = json.NewEncoder(w).Encode(shedBody{
 		Error: http.StatusText(http.StatusServiceUnavailable), Outcome: cell.Refused,
-		Reason: "host has no room for class " + class.String(), Again: shedAgain.Seconds(),
+		Reason: "host has no room for class " + class.String(), RetryAfter: shedRetryAfter.Seconds(),
 	})
 }
 
@@ -127,15 +127,15 @@
 // tries another host; waiting in the backlog would look like a silent host.
 type boundedListener struct {
 	net.Listener
-	most  int64
-	now   *atomic.Int64
-	count metrics.Counter
+	maxConns int64
+	open     *atomic.Int64
+	refused  metrics.Counter
 }
 
-func (h *Host) bounded(ln net.Listener) net.Listener {
+func (h *Host) limitConns(ln net.Listener) net.Listener {
 	return &boundedListener{
-		Listener: ln, most: orDefault(h.cfg.Limits.Conns, settings.DefaultConns), now: new(atomic.Int64),
-		count: metrics.GetOrRegisterCounter("host.conns.refused", h.metrics),
+		Listener: ln, maxConns: orDefault(h.cfg.Limits.Conns, settings.DefaultConns), open: new(atomic.Int64),
+		refused: metrics.GetOrRegisterCounter("host.conns.refused", h.metrics),
 	}
 }
 
@@ -153,18 +153,18 @@
 		if err != nil {
 			return nil, err
 		}
-		if l.now.Add(1) <= l.most {
-			return &boundedConn{Conn: conn, now: l.now}, nil
+		if l.open.Add(1) <= l.maxConns {
+			return &boundedConn{Conn: conn, open: l.open}, nil
 		}
-		l.now.Add(-1)
-		l.count.Inc(1)
+		l.open.Add(-1)
+		l.refused.Inc(1)
 		_ = conn.Close()
 	}
 }
 
 type boundedConn struct {
 	net.Conn
-	now  *atomic.Int64
+	open *atomic.Int64
 	once sync.Once
 }
 
@@ -173,6 +173,6 @@
 
 // Close closes the connection and frees its place.
 func (c *boundedConn) Close() error {
-	c.once.Do(func() { c.now.Add(-1) })
+	c.once.Do(func() { c.open.Add(-1) })
 	return c.Conn.Close()
 }
--- a/internal/host/crash_test.go
+++ b/internal/host/crash_test.go
@@ -10,26 +10,26 @@
 	"pollencroft/internal/standin"
 )
 
-// crashing makes each task crash its worker soon after its start.
-func (c *cluster) crashing() {
+// crashAllTasks makes each task crash its worker soon after its start.
+func (c *cluster) crashAllTasks() {
 	for _, w := range c.cell.Workers {
 		w.SetFaults(standin.WorkerFaults{CrashRow: "print", CrashAfter: 10 * time.Millisecond})
 	}
 }
 
 // Guards against a count of crashes that dies with the lead.
-func TestCrashesOutliveAKilledLead(t *testing.T) {
+func TestCrashCountsSurviveAKilledLeader(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2)
-	c.crashing()
-	s := c.submit(small(1, 5))
-	c.until("the task is started again", func() bool { started, _ := c.ran(s.ID); return started == 2 })
-	c.kill(c.leadOf(s.ID))
-	c.until("job is given up", func() bool { return c.state(s.ID) == "failed" })
+	c.crashAllTasks()
+	s := c.submit(smallJob(1, 5))
+	c.waitFor("the task is started again", func() bool { started, _ := c.ran(s.ID); return started == 2 })
+	c.kill(c.leaderOf(s.ID))
+	c.waitFor("job is given up", func() bool { return c.state(s.ID) == "failed" })
 	started, _ := c.ran(s.ID)
 	t.Logf("starts: %d", started)
 	require.LessOrEqual(t, started, 4)
-	told, err := c.any("").Job(context.Background(), s.ID)
+	told, err := c.anyClient("").Job(context.Background(), s.ID)
 	require.NoError(t, err)
 	require.NotEmpty(t, told.Reason)
 }
--- a/internal/host/handover_test.go
+++ b/internal/host/handover_test.go
@@ -11,18 +11,18 @@
 // lead gives it up and the one at which the lead notes where it goes, or takes it back.
 func TestJobThatIsHandedOverIsLedByTheHostThatHandsIt(t *testing.T) {
 	c := newCluster(t, 1)
-	s := c.submit(small(24, 600))
+	s := c.submit(smallJob(24, 600))
 	h := c.hosts["h0"]
 	end := time.Now().Add(2 * time.Second)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for time.Now().Before(end) {
-			h.GiveTo("h1", s.ID)
+			h.HandJobTo("h1", s.ID)
 		}
 	}()
 	for {
-		require.True(t, h.SaysItLeads(s.ID))
+		require.True(t, h.ReportsLeading(s.ID))
 		select {
 		case <-done:
 			return
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -40,65 +40,65 @@
 
 // How often a host does its regular work.
 const (
-	tickEvery  = 20 * time.Millisecond
-	trailNotes = 20_000
+	tickInterval    = 20 * time.Millisecond
+	maxHistoryNotes = 20_000
 )
 
 // Host is one entry host.
 type Host struct {
-	cfg         settings.Settings
-	log         *slog.Logger
-	clock       func() time.Time
-	incarnation int64
-	began       time.Time
-	metrics     metrics.Registry
-	life        atomic.Value
-	control     *atomic.Int64
-	peerBytes   atomic.Int64
+	cfg          settings.Settings
+	log          *slog.Logger
+	clock        func() time.Time
+	incarnation  int64
+	startedAt    time.Time
+	metrics      metrics.Registry
+	state        atomic.Value
+	controlBytes *atomic.Int64
+	peerBytes    atomic.Int64
 
 	platform *platform.Client
 	peers    *peer.Clients
 	relay    *relay.Relay
-	lead     *lead.Leader
-	trail    *trail.Trail
+	leader   *lead.Leader
+	history  *trail.Trail
 
 	mu      sync.Mutex
 	members *member.Members
-	// beats counts the heartbeats of this incarnation.
-	beats int64
-	table *table.Table
-	grown chan struct{}
+	// heartbeatSeq counts the heartbeats of this incarnation.
+	heartbeatSeq int64
+	table        *table.Table
+	tableChanged chan struct{}
 	// told… is what repeatShares has told last.
-	toldWord    share.Announcement
-	toldLeaving []string
-	toldLive    []string
-	toldAt      time.Time
+	lastAnnouncement share.Announcement
+	announcedLeaving []string
+	announcedLive    []string
+	announcedAt      time.Time
 	// copying tells that peers are asked for their table.
-	copying atomic.Bool
-	list    []platform.HostEntry
-	shares  *share.Shares
-	// sharing is held from a decision on slots until the queue knows it. An
+	copying  atomic.Bool
+	machines []platform.HostEntry
+	shares   *share.Shares
+	// shareMu is held from a decision on slots until the queue knows it. An
 	// older decision would else overtake a newer one and bring back slots
 	// that another host has been told are free.
-	sharing sync.Mutex
+	shareMu sync.Mutex
 	// listTag is for followList alone; relist and listTold have it read sooner.
-	listTag  string
-	relist   chan struct{}
-	listTold atomic.Bool
-	jobs     *keeper
-
-	ctx     context.Context
-	cancel  context.CancelFunc
-	servers []*server
-	keys    *keys.Keys
-	work    *gate
-	budget  *budget
-	wg      sync.WaitGroup
-	drained chan struct{}
-	once    sync.Once
+	listTag      string
+	listChanged  chan struct{}
+	listNotified atomic.Bool
+	jobs         *jobStore
+
+	ctx      context.Context
+	cancel   context.CancelFunc
+	servers  []*server
+	keys     *keys.Keys
+	peerWork *gate
+	budget   *budget
+	wg       sync.WaitGroup
+	stopped  chan struct{}
+	killOnce sync.Once
 }
 
-var life = chart.MustLoad("host")
+var lifecycle = chart.MustLoad("host")
 
 // New returns a host that serves nothing yet.
 func New(cfg settings.Settings, log *slog.Logger, clock func() time.Time) *Host {
@@ -106,28 +106,28 @@
 	now := clock()
 	control := new(atomic.Int64)
 	h := &Host{
-		cfg: cfg, control: control, log: log, clock: clock, incarnation: now.UnixMilli(), began: now, metrics: metrics.NewRegistry(),
-		platform: platform.New(cfg.Platform, transport(control)), peers: peer.NewClients(peerAddresses(cfg)),
-		trail: trail.New(trailNotes), table: table.New(), grown: make(chan struct{}), jobs: newKeeper(), relist: make(chan struct{}, 1), work: newGate(), budget: &budget{most: orDefault(cfg.Limits.Memory, settings.DefaultMemory)},
-		ctx: ctx, cancel: cancel, drained: make(chan struct{}),
+		cfg: cfg, controlBytes: control, log: log, clock: clock, incarnation: now.UnixMilli(), startedAt: now, metrics: metrics.NewRegistry(),
+		platform: platform.New(cfg.Platform, newTransport(control)), peers: peer.NewClients(peerAddresses(cfg)),
+		history: trail.New(maxHistoryNotes), table: table.New(), tableChanged: make(chan struct{}), jobs: newJobStore(), listChanged: make(chan struct{}, 1), peerWork: newGate(), budget: &budget{limit: orDefault(cfg.Limits.Memory, settings.DefaultMemory)},
+		ctx: ctx, cancel: cancel, stopped: make(chan struct{}),
 		shares:  newShares(cfg, now),
 		members: member.New(member.Heartbeat{Name: cfg.Name, Domain: cfg.Domain, Incarnation: now.UnixMilli()}),
 	}
-	h.life.Store(life.Start())
+	h.state.Store(lifecycle.Start())
 	h.peers.SetDialer(h.dialPeer)
-	h.peers.SetIdleTime(h.probe)
+	h.peers.SetIdleTime(h.linkIdleTimeout)
 	h.relay = relay.New(relay.Deps{
 		Name: cfg.Name, Domain: cfg.Domain, Queue: queue.New(queue.Limits{Length: int(cfg.Limits.Queue), Reserve: queue.DefaultLimits.Reserve}),
 		Ledger: ledger.New(ledger.DefaultLimits, now), Minions: minion.New(minion.NewTransport(dial.New().DialContext), cfg.Limits.Body),
-		Outliers: outlier.New(outlier.DefaultLimits), Retries: retry.New(retry.DefaultLimits), LimitShare: h.part, MaxPause: cfg.Limits.Deadline / 2, Metrics: h.metrics,
+		Outliers: outlier.New(outlier.DefaultLimits), Retries: retry.New(retry.DefaultLimits), LimitShare: h.rowLimitPart, MaxPause: cfg.Limits.Deadline / 2, Metrics: h.metrics,
 		Plan: keyPlan(cfg), Incarnation: now.UnixMilli(), Peers: h.peers, Row: h.Row, Members: h.domainMembers, Clock: clock, Log: log,
 	})
-	h.lead = lead.New(ctx, lead.Deps{
+	h.leader = lead.New(ctx, lead.Deps{
 		Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: job.New(),
-		Takeover:         takeover.New(cfg.Name, takeover.Limits{LongestLease: lease.DefaultLimits.TaskTTL, AskInterval: takeoverEvery}),
-		RequestInventory: h.askCensus, EndLogged: h.done, StoreEnd: h.ended, StoreCrashes: h.crashed, CrashCounts: h.lives,
-		Workers: worker.New(cfg.Name, now.UnixMilli(), transport(control), clock), Row: h.Row, History: h.trail, Clock: clock, Log: log,
-		LimitKey: h.limitKey, Arbiters: h.keyWorkers, Shares: h.rowShares, Count: func(name string) { metrics.GetOrRegisterCounter(name, h.metrics).Inc(1) },
+		Takeover:         takeover.New(cfg.Name, takeover.Limits{LongestLease: lease.DefaultLimits.TaskTTL, AskInterval: repairInterval}),
+		RequestInventory: h.requestInventories, EndLogged: h.endLogged, StoreEnd: h.storeEnd, StoreCrashes: h.storeCrashes, CrashCounts: h.crashCounts,
+		Workers: worker.New(cfg.Name, now.UnixMilli(), newTransport(control), clock), Row: h.Row, History: h.history, Clock: clock, Log: log,
+		LimitKey: h.limitKey, Arbiters: h.arbiterWorkers, Shares: h.rowShares, Count: func(name string) { metrics.GetOrRegisterCounter(name, h.metrics).Inc(1) },
 	})
 	return h
 }
@@ -171,24 +171,24 @@
 
 // Start serves on the listeners and begins the host's regular work.
 func (h *Host) Start(ls Listeners) {
-	h.serve(h.bounded(ls.Caller), h.callerRoutes())
-	h.serve(h.operatorListener(h.bounded(ls.Operator)), h.operatorRoutes())
-	srv := peer.NewServer(h.respond)
+	h.serve(h.limitConns(ls.Caller), h.callerRoutes())
+	h.serve(h.operatorListener(h.limitConns(ls.Operator)), h.operatorRoutes())
+	srv := peer.NewServer(h.handlePeer)
 	srv.OnRejected(h.countKeys)
 	h.wg.Go(func() { srv.Serve(h.ctx, h.peerListener(ls.Peer)) })
 	h.wg.Go(h.followTable)
 	h.wg.Go(h.followList)
-	h.beatAll()
+	h.startHeartbeats()
 	h.wg.Go(h.followJobs)
 	h.wg.Go(h.appendJobs)
-	h.every(shareEvery, h.repeatShares)
-	h.every(takeoverEvery, h.repair)
-	h.every(tickEvery, h.tick)
-	h.every(settleEvery, h.settle)
+	h.runEvery(announceCheckInterval, h.announceShares)
+	h.runEvery(repairInterval, h.repairJobs)
+	h.runEvery(tickInterval, h.tick)
+	h.runEvery(settleInterval, h.settleQuotas)
 	h.log.Info("host: started.", "name", h.cfg.Name, "domain", h.cfg.Domain)
 }
 
-func (h *Host) every(d time.Duration, f func()) {
+func (h *Host) runEvery(d time.Duration, f func()) {
 	h.wg.Go(func() {
 		t := time.NewTicker(d)
 		defer t.Stop()
@@ -206,40 +206,40 @@
 
 func (h *Host) tick() {
 	h.relay.Tick()
-	h.lead.Tick()
-	h.member(member.Tick{})
+	h.leader.Tick()
+	h.memberStep(member.Tick{})
 	h.tickShares()
 }
 
-// move steps the host's life cycle; it tells whether the step was allowed.
-func (h *Host) move(ev chart.Event) bool {
+// transition steps the host's life cycle; it tells whether the step was allowed.
+func (h *Host) transition(ev chart.Event) bool {
 	for {
-		old := h.life.Load().(chart.State)
-		next, err := life.Next(old, ev)
+		old := h.state.Load().(chart.State)
+		next, err := lifecycle.Next(old, ev)
 		if err != nil {
 			return false
 		}
-		if h.life.CompareAndSwap(old, next) {
+		if h.state.CompareAndSwap(old, next) {
 			return true
 		}
 	}
 }
 
 // Ready tells whether this host takes new work.
-func (h *Host) Ready() bool { return h.ctx.Err() == nil && h.life.Load().(chart.State) == "ready" }
+func (h *Host) Ready() bool { return h.ctx.Err() == nil && h.state.Load().(chart.State) == "ready" }
 
 // Kill ends the host at once, as a crash would.
 func (h *Host) Kill() {
-	h.once.Do(func() {
+	h.killOnce.Do(func() {
 		h.cancel()
 		for _, srv := range h.servers {
 			_ = srv.Close()
 		}
 		h.peers.Close()
-		close(h.drained)
+		close(h.stopped)
 	})
 	h.wg.Wait()
 }
 
 // Stopped is closed when the host has ended.
-func (h *Host) Stopped() <-chan struct{} { return h.drained }
+func (h *Host) Stopped() <-chan struct{} { return h.stopped }
--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -22,18 +22,18 @@
 	"pollencroft/internal/table"
 )
 
-// jobWait bounds one question about a job to a peer.
-const jobWait = 3 * time.Second
+// jobAskTimeout bounds one question about a job to a peer.
+const jobAskTimeout = 3 * time.Second
 
 // While no lead of the domain holds a worker, as after a death, a job is offered
 // again for so long before it is refused.
 const (
-	submitWait  = time.Second
-	submitPause = 50 * time.Millisecond
+	submitRetryFor   = time.Second
+	submitRetryPause = 50 * time.Millisecond
 )
 
-// jobKeys makes the ids of jobs that carry their caller's key.
-var jobKeys = uuid.MustParse("6d4f0b52-7c1e-4a55-9b07-2f6f5a0a7c11")
+// jobKeyNamespace makes the ids of jobs that carry their caller's key.
+var jobKeyNamespace = uuid.MustParse("6d4f0b52-7c1e-4a55-9b07-2f6f5a0a7c11")
 
 // submit gives a job a home rack and hands it to the host that leads it. A
 // lead that certainly did not take it is passed over for that of another rack.
@@ -43,7 +43,7 @@
 	if len(racks) == 0 {
 		return peer.RefuseJob(http.StatusServiceUnavailable, "no workers are known")
 	}
-	if home := h.countedAt(row); home != "" {
+	if home := h.limitRack(row); home != "" {
 		racks = []string{home}
 	}
 	first := int(xxhash.Sum64String(cell.NewID()) % uint64(len(racks)))
@@ -54,14 +54,14 @@
 	if err := spec.Check(); err != nil {
 		return peer.RefuseJob(http.StatusBadRequest, err.Error())
 	}
-	end := h.clock().Add(submitWait)
-	reply := h.atLead(ctx, spec.ID, peer.Submit{Spec: spec})
-	for tries := 1; elsewhere(reply) && h.clock().Before(end) && ctx.Err() == nil; tries++ {
+	end := h.clock().Add(submitRetryFor)
+	reply := h.askLeader(ctx, spec.ID, peer.Submit{Spec: spec})
+	for tries := 1; isUnavailable(reply) && h.clock().Before(end) && ctx.Err() == nil; tries++ {
 		if tries%len(racks) == 0 {
-			h.pause(submitPause)
+			h.pause(submitRetryPause)
 		}
 		spec.ID = h.jobID(j, racks, first+tries)
-		reply = h.atLead(ctx, spec.ID, peer.Submit{Spec: spec})
+		reply = h.askLeader(ctx, spec.ID, peer.Submit{Spec: spec})
 	}
 	return reply
 }
@@ -87,9 +87,9 @@
 	}
 }
 
-// countedAt is the rack where all jobs of a limited row, or of a team with a
+// limitRack is the rack where all jobs of a limited row, or of a team with a
 // quota, are at home, so that one lead counts them; empty for any.
-func (h *Host) countedAt(row table.Row) string {
+func (h *Host) limitRack(row table.Row) string {
 	key := h.limitKey(row)
 	if key == "" {
 		return ""
@@ -98,14 +98,14 @@
 	return rack
 }
 
-// keyWorkers are the workers of the rack where a key is counted. The holder of the first that
+// arbiterWorkers are the workers of the rack where a key is counted. The holder of the first that
 // lives may start the key's tasks.
-func (h *Host) keyWorkers(key string) []string {
+func (h *Host) arbiterWorkers(key string) []string {
 	rack, _ := member.Rank(key, h.racks(h.cfg.Domain))
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var names []string
-	for _, m := range h.list {
+	for _, m := range h.machines {
 		if m.Kind == cell.WorkerHost && m.Domain == h.cfg.Domain && m.Rack == rack && !m.Leaving {
 			names = append(names, m.Name)
 		}
@@ -114,14 +114,14 @@
 	return names
 }
 
-// knows tells whether the settings name a failure domain. A question after a
+// isKnownDomain tells whether the settings name a failure domain. A question after a
 // job of any other would be told to come back for ever.
-func (h *Host) knows(domain string) bool {
+func (h *Host) isKnownDomain(domain string) bool {
 	in := func(p settings.Peer) bool { return p.Domain == domain }
 	return domain == h.cfg.Domain || slices.ContainsFunc(h.cfg.Peers, in)
 }
 
-func elsewhere(r peer.JobReply) bool {
+func isUnavailable(r peer.JobReply) bool {
 	return r.Code == http.StatusServiceUnavailable && r.Outcome == cell.Refused
 }
 
@@ -133,14 +133,14 @@
 		return cell.JobID(home)
 	}
 	home.Rack, _ = member.Rank(j.Row+" "+j.Key, racks)
-	return home.JobID(uuid.NewSHA1(jobKeys, []byte(j.Row+" "+j.Key)).String())
+	return home.JobID(uuid.NewSHA1(jobKeyNamespace, []byte(j.Row+" "+j.Key)).String())
 }
 
 // racks lists the racks of a failure domain in order of name.
 func (h *Host) racks(domain string) []string {
 	var racks []string
 	h.mu.Lock()
-	for _, m := range h.list {
+	for _, m := range h.machines {
 		if m.Kind == cell.WorkerHost && m.Domain == domain && !slices.Contains(racks, m.Rack) {
 			racks = append(racks, m.Rack)
 		}
@@ -151,25 +151,25 @@
 }
 
 func (h *Host) cancelJob(ctx context.Context, id string) peer.JobReply {
-	return h.atLead(ctx, id, peer.CancelJob{ID: id})
+	return h.askLeader(ctx, id, peer.CancelJob{ID: id})
 }
 
-// atLead answers here when this host leads the job's rack, else asks the host
+// askLeader answers here when this host leads the job's rack, else asks the host
 // that does. The id says where the job is at home, so nobody is asked first.
-func (h *Host) atLead(ctx context.Context, id string, m peer.Message) peer.JobReply {
+func (h *Host) askLeader(ctx context.Context, id string, m peer.Message) peer.JobReply {
 	home, err := cell.ParseHome(id)
 	if err != nil {
 		return peer.RefuseJob(http.StatusBadRequest, err.Error())
 	}
-	if !h.knows(home.Domain) {
+	if !h.isKnownDomain(home.Domain) {
 		return peer.RefuseJob(http.StatusNotFound, "failure domain "+home.Domain+" is not in the settings")
 	}
-	first := h.rackLead(home)
+	first := h.rackLeader(home)
 	if first == "" {
 		return peer.RefuseJob(http.StatusServiceUnavailable, "no host of failure domain "+home.Domain+" is live")
 	}
-	reply := h.atHost(ctx, first, id, m)
-	if _, fresh := m.(peer.Submit); fresh || reply.Code != http.StatusNotFound && !elsewhere(reply) {
+	reply := h.askHost(ctx, first, id, m)
+	if _, isSubmit := m.(peer.Submit); isSubmit || reply.Code != http.StatusNotFound && !isUnavailable(reply) {
 		return reply
 	}
 	// The rack may have changed its lead since the job was taken.
@@ -177,22 +177,22 @@
 	live := h.members.LiveIn(home.Domain)
 	h.mu.Unlock()
 	for _, name := range without(live, first) {
-		other := h.atHost(ctx, name, id, m)
-		if other.Code != http.StatusNotFound && !elsewhere(other) {
+		other := h.askHost(ctx, name, id, m)
+		if other.Code != http.StatusNotFound && !isUnavailable(other) {
 			return other
 		}
-		if elsewhere(other) {
+		if isUnavailable(other) {
 			reply = other
 		}
 	}
 	return reply
 }
 
-func (h *Host) atHost(ctx context.Context, name, id string, m peer.Message) peer.JobReply {
+func (h *Host) askHost(ctx context.Context, name, id string, m peer.Message) peer.JobReply {
 	if name == h.cfg.Name {
-		return h.answerJob(ctx, m)
+		return h.handleJobMessage(ctx, m)
 	}
-	ctx, cancel := context.WithTimeout(ctx, jobWait)
+	ctx, cancel := context.WithTimeout(ctx, jobAskTimeout)
 	defer cancel()
 	var reply peer.JobReply
 	err := h.peers.Ask(ctx, name, m, &reply)
@@ -207,30 +207,30 @@
 	}
 }
 
-func (h *Host) answerJob(ctx context.Context, m peer.Message) peer.JobReply {
+func (h *Host) handleJobMessage(ctx context.Context, m peer.Message) peer.JobReply {
 	switch m := m.(type) {
 	case peer.Submit:
-		return h.accept(ctx, m.Spec)
+		return h.acceptJob(ctx, m.Spec)
 	case peer.AskJob:
-		return h.told(m.ID, func() (job.Status, error) { return h.lead.Status(m.ID) })
+		return h.localStatus(m.ID, func() (job.Status, error) { return h.leader.Status(m.ID) })
 	case peer.AskTrail:
-		return h.explained(m.ID)
+		return h.localHistory(m.ID)
 	case peer.CancelJob:
-		reply := h.told(m.ID, func() (job.Status, error) { return h.lead.Cancel(m.ID) })
-		return h.settled(ctx, reply)
+		reply := h.localStatus(m.ID, func() (job.Status, error) { return h.leader.Cancel(m.ID) })
+		return h.awaitStoredEnd(ctx, reply)
 	default:
 		return peer.RefuseJob(http.StatusBadRequest, "not a question about a job")
 	}
 }
 
-// told answers a question about a job from its lead's core, else from the log.
-func (h *Host) told(id string, ask func() (job.Status, error)) peer.JobReply {
+// localStatus answers a question about a job from its lead's core, else from the log.
+func (h *Host) localStatus(id string, ask func() (job.Status, error)) peer.JobReply {
 	s, err := ask()
 	var unknown *job.UnknownError
 	if !errors.As(err, &unknown) {
-		return h.honest(jobReply(s, err))
+		return h.hideUnstoredEnd(jobReply(s, err))
 	}
-	if end, ok := h.logged(id); ok {
+	if end, ok := h.loggedEnd(id); ok {
 		return end
 	}
 	h.mu.Lock()
@@ -241,97 +241,97 @@
 	return jobReply(s, err)
 }
 
-// honest holds back a final state that only this host knows: if it died now,
+// hideUnstoredEnd holds back a final state that only this host knows: if it died now,
 // the next lead would run a job whose caller was told that it did not run. That
 // it did not run is said when the log says so for every successor, any other
 // end when a second host knows it too.
-func (h *Host) honest(r peer.JobReply) peer.JobReply {
+func (h *Host) hideUnstoredEnd(r peer.JobReply) peer.JobReply {
 	id := r.Status.ID
-	state, ended := h.lead.EndState(id)
+	state, ended := h.leader.EndState(id)
 	if r.Code != 0 || !ended {
 		return r
 	}
 	h.mu.Lock()
-	kept := r.Status.Ran && h.jobs.shared[id]
+	kept := r.Status.Ran && h.jobs.sharedEnds[id]
 	h.mu.Unlock()
-	if !kept && !h.done(id) && state == "cancelled" {
+	if !kept && !h.endLogged(id) && state == "cancelled" {
 		r.Status.State = "stopping"
 	}
 	return r
 }
 
-// settled waits a little for the end of a cancelled job to be kept.
-func (h *Host) settled(ctx context.Context, r peer.JobReply) peer.JobReply {
-	ctx, cancel := context.WithTimeout(ctx, keepWait)
+// awaitStoredEnd waits a little for the end of a cancelled job to be kept.
+func (h *Host) awaitStoredEnd(ctx context.Context, r peer.JobReply) peer.JobReply {
+	ctx, cancel := context.WithTimeout(ctx, keepTimeout)
 	defer cancel()
 	for r.Status.State == "stopping" && ctx.Err() == nil {
-		if _, ended := h.lead.EndState(r.Status.ID); !ended {
+		if _, ended := h.leader.EndState(r.Status.ID); !ended {
 			return r
 		}
 		select {
-		case <-time.After(batchFor):
+		case <-time.After(batchWindow):
 		case <-ctx.Done():
 		}
-		r = h.told(r.Status.ID, func() (job.Status, error) { return h.lead.Status(r.Status.ID) })
+		r = h.localStatus(r.Status.ID, func() (job.Status, error) { return h.leader.Status(r.Status.ID) })
 	}
 	return r
 }
 
 func jobReply(s job.Status, err error) peer.JobReply {
 	var unknown *job.UnknownError
-	var never *lead.InfeasibleError
+	var unschedulable *lead.InfeasibleError
 	switch {
 	case err == nil:
 		return peer.JobReply{Status: s}
 	case errors.As(err, &unknown):
 		return peer.RefuseJob(http.StatusNotFound, err.Error())
-	case errors.As(err, &never):
+	case errors.As(err, &unschedulable):
 		return peer.RefuseJob(http.StatusUnprocessableEntity, err.Error())
 	default:
 		return peer.RefuseJob(http.StatusServiceUnavailable, err.Error())
 	}
 }
 
-// accept keeps a job where a second host can find it before it is run. While
+// acceptJob keeps a job where a second host can find it before it is run. While
 // it does so, peers are told that this host leads the job: else one of them
 // could inherit it from the log and run it beside this host.
-func (h *Host) accept(ctx context.Context, spec job.Spec) peer.JobReply {
-	if reply, known := h.repeated(spec); known {
+func (h *Host) acceptJob(ctx context.Context, spec job.Spec) peer.JobReply {
+	if reply, known := h.repeatedSubmission(spec); known {
 		return reply
 	}
-	epoch, err := h.lead.Check(spec)
+	epoch, err := h.leader.Check(spec)
 	if err != nil {
 		return jobReply(job.Status{}, err)
 	}
-	if !h.begin(spec.ID) {
+	if !h.beginAccepting(spec.ID) {
 		return peer.UnsureJob(http.StatusGatewayTimeout, spec.ID, "job is being accepted by another request")
 	}
-	defer h.finish(spec.ID)
-	kept, err := h.keep(ctx, spec)
-	var not *platform.NotWrittenError
+	defer h.endAccepting(spec.ID)
+	kept, err := h.keepJob(ctx, spec)
+	var notWritten *platform.NotWrittenError
 	switch {
-	case errors.As(err, &not):
+	case errors.As(err, &notWritten):
 		return peer.RefuseJob(http.StatusServiceUnavailable, err.Error())
 	case err != nil:
 		return peer.UnsureJob(http.StatusGatewayTimeout, spec.ID, err.Error())
 	}
-	return peer.JobReply{Status: h.run(spec, epoch), Kept: kept}
+	return peer.JobReply{Status: h.startJob(spec, epoch), Kept: kept}
 }
 
-// run begins a kept job. One with a key may have been accepted by another host
+// startJob begins a kept job. One with a key may have been accepted by another host
 // before, which an earlier try of its caller reached, so it is inherited.
-func (h *Host) run(spec job.Spec, epoch int64) job.Status {
+func (h *Host) startJob(spec job.Spec, epoch int64) job.Status {
 	if spec.Key != "" {
-		h.lead.Inherit([]job.Spec{spec})
-	} else if s, err := h.lead.Submit(spec, epoch); err == nil {
+		h.leader.Inherit([]job.Spec{spec})
+	} else if s, err := h.leader.Submit(spec, epoch); err == nil {
 		return s
 	}
 	// The job is kept, so whoever leads its rack by now runs it.
 	return job.Status{ID: spec.ID, Row: spec.Row, State: "waiting"}
 }
 
-// repeated answers the repeat of a submission with a key.
-func (h *Host) repeated(spec job.Spec) (peer.JobReply, bool) {
+// repeatedSubmission answers the repeat of a submission with a key.
+func (h *Host) repeatedSubmission(spec job.Spec) (peer.JobReply, bool) {
 	if spec.Key == "" {
 		return peer.JobReply{}, false
 	}
@@ -345,7 +345,7 @@
 	if old.Tasks != spec.Tasks || old.Size != spec.Size || old.Time != spec.Time || old.Gang != spec.Gang {
 		return peer.RefuseJob(http.StatusConflict, "another job has the same key"), true
 	}
-	reply := h.told(spec.ID, func() (job.Status, error) { return h.lead.Status(spec.ID) })
+	reply := h.localStatus(spec.ID, func() (job.Status, error) { return h.leader.Status(spec.ID) })
 	reply.Kept = "peers"
 	if written {
 		reply.Kept = "log"
@@ -353,7 +353,7 @@
 	return reply, true
 }
 
-func (h *Host) begin(id string) bool {
+func (h *Host) beginAccepting(id string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.jobs.accepting[id] {
@@ -363,20 +363,20 @@
 	return true
 }
 
-func (h *Host) finish(id string) {
+func (h *Host) endAccepting(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.jobs.accepting, id)
 }
 
-// answer handles one message from a peer.
-func (h *Host) answer(ctx context.Context, m peer.Message) (any, error) {
+// handleMessage handles one message from a peer.
+func (h *Host) handleMessage(ctx context.Context, m peer.Message) (any, error) {
 	switch m := m.(type) {
 	case peer.Beat:
-		h.member(member.HeartbeatReceived{Beat: m.Heartbeat})
+		h.memberStep(member.HeartbeatReceived{Beat: m.Heartbeat})
 		return nil, nil
 	case peer.Leave:
-		h.member(member.LeaveReceived{Name: m.Name})
+		h.memberStep(member.LeaveReceived{Name: m.Name})
 		return nil, nil
 	case peer.AnnounceSlots:
 		h.shareStep(share.AnnouncementReceived{Announcement: m.Announcement})
@@ -392,24 +392,24 @@
 		h.relay.CloseKeys(m.All)
 		return struct{}{}, nil
 	case peer.KeepRecord:
-		h.owe(m.Record)
+		h.addUnwritten(m.Record)
 		return struct{}{}, nil
 	case peer.Inventory:
-		return h.census(m), nil
+		return h.handleInventory(m), nil
 	case peer.AskToken:
-		token, err := h.lead.ExpectHandover(m.From)
+		token, err := h.leader.ExpectHandover(m.From)
 		return peer.TokenReply{Token: token}, err
 	case peer.Handover:
-		return h.adopt(m)
+		return h.adoptJobs(m)
 	case peer.Submit, peer.AskJob, peer.AskTrail, peer.CancelJob:
-		return h.answerJob(ctx, m), nil
+		return h.handleJobMessage(ctx, m), nil
 	default:
 		return nil, &peer.RefusedError{Name: h.cfg.Name, Reason: "message is not known"}
 	}
 }
 
-// drainLater begins a planned stop without holding up its caller.
-func (h *Host) drainLater() {
+// stopInBackground begins a planned stop without holding up its caller.
+func (h *Host) stopInBackground() {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), h.cfg.Limits.DrainTimeout)
 		defer cancel()
--- a/internal/host/keys_test.go
+++ b/internal/host/keys_test.go
@@ -22,18 +22,18 @@
 	"pollencroft/pkg/client"
 )
 
-func issue(t *testing.T, a *standin.Authority, name string) settings.TLS {
+func issueCert(t *testing.T, a *standin.Authority, name string) settings.TLS {
 	t.Helper()
 	dir := t.TempDir()
 	require.NoError(t, a.Issue(dir, name, time.Now().Add(time.Hour)))
 	return settings.TLS{Cert: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem"), CA: filepath.Join(dir, "ca.pem")}
 }
 
-func (c *rig) secure(a *standin.Authority, i int) {
-	c.all[i].TLS = issue(c.t, a, keys.Name(c.all[i].Name, c.all[i].Domain))
+func (c *testHosts) useTLS(a *standin.Authority, i int) {
+	c.settings[i].TLS = issueCert(c.t, a, keys.Name(c.settings[i].Name, c.settings[i].Domain))
 }
 
-func withCert(t *testing.T, files settings.TLS, name string) *tls.Config {
+func tlsConfig(t *testing.T, files settings.TLS, name string) *tls.Config {
 	t.Helper()
 	cert, err := tls.LoadX509KeyPair(files.Cert, files.Key)
 	require.NoError(t, err)
@@ -50,35 +50,35 @@
 func TestHostsSpeakOnlyForThemselvesAndOperatorsShowKeys(t *testing.T) {
 	a, err := standin.NewAuthority()
 	require.NoError(t, err)
-	c := newRig(t, 3)
-	for i := range c.all {
-		c.all[i].Operator.Token = ""
-		c.secure(a, i)
+	c := newTestHosts(t, 3)
+	for i := range c.settings {
+		c.settings[i].Operator.Token = ""
+		c.useTLS(a, i)
 	}
-	c.start(0)
-	c.start(1)
-	c.ready(0)
-	c.ready(1)
-	name := keys.Name(c.all[0].Name, c.all[0].Domain)
+	c.startHost(0)
+	c.startHost(1)
+	c.waitReady(0)
+	c.waitReady(1)
+	name := keys.Name(c.settings[0].Name, c.settings[0].Domain)
 	ctx := context.Background()
-	operator := func(cfg *tls.Config) *client.Client { return client.NewTLS(at(c.sockets[0].Operator), "", cfg) }
+	operator := func(cfg *tls.Config) *client.Client { return client.NewTLS(addrOf(c.sockets[0].Operator), "", cfg) }
 	var status *client.StatusError
-	host := withCert(t, c.all[2].TLS, name)
+	host := tlsConfig(t, c.settings[2].TLS, name)
 	require.ErrorAs(t, operator(host).SetRow(ctx, "scan", "", nil), &status)
 	require.Equal(t, 401, status.Status)
 	none := host.Clone()
 	none.Certificates = nil
 	require.ErrorAs(t, operator(none).SetRow(ctx, "scan", "", nil), &status)
-	good := withCert(t, issue(t, a, keys.Operator), name)
+	good := tlsConfig(t, issueCert(t, a, keys.Operator), name)
 	require.NoError(t, operator(good).SetRow(ctx, "scan", "", nil))
-	require.Error(t, client.New(at(c.sockets[0].Operator), "", nil).Get(ctx, "/table", nil), "no TLS")
-	c.until("row goes to the other host over TLS and the log", func() bool { return c.weight(1, "scan") == 1 })
+	require.Error(t, client.New(addrOf(c.sockets[0].Operator), "", nil).Get(ctx, "/table", nil), "no TLS")
+	c.waitFor("row goes to the other host over TLS and the log", func() bool { return c.weight(1, "scan") == 1 })
 	var hosts struct{ Live []string }
-	c.until("hosts hear each other over TLS", func() bool {
+	c.waitFor("hosts hear each other over TLS", func() bool {
 		return operator(good).Get(ctx, "/hosts", &hosts) == nil && len(hosts.Live) == 2
 	})
 
-	liar := peer.NewClients(map[string]netip.AddrPort{"nord-0": at(c.sockets[0].Peer)})
+	liar := peer.NewClients(map[string]netip.AddrPort{"nord-0": addrOf(c.sockets[0].Peer)})
 	defer liar.Close()
 	liar.SetDialer(func(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
 		return (&tls.Dialer{Config: host}).DialContext(ctx, "tcp", addr.String())
--- a/internal/host/list.go
+++ b/internal/host/list.go
@@ -13,14 +13,14 @@
 // How often the host list is read. One host of each failure domain reads it
 // often and tells the others when it has changed; they read it seldom, for when
 // that host is gone or cannot reach them. A leaving backend server is so seen
-// within listOften, and within SilentAfter more when the reader has just died.
+// within listReaderInterval, and within SilentAfter more when the reader has just died.
 const (
-	listOften  = time.Second
-	listSeldom = 10 * time.Second
+	listReaderInterval = time.Second
+	listOtherInterval  = 10 * time.Second
 )
 
-// readsList tells whether this host is the one that reads the list often.
-func (h *Host) readsList() bool {
+// isListReader tells whether this host is the one that reads the list often.
+func (h *Host) isListReader() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.members.LiveIn(h.cfg.Domain)[0] == h.cfg.Name
@@ -28,26 +28,26 @@
 
 // followList reads the list until the host ends.
 func (h *Host) followList() {
-	read := time.Time{}
+	lastRead := time.Time{}
 	for h.ctx.Err() == nil {
-		if h.readsList() || h.clock().Sub(read) >= listSeldom || h.listTold.Swap(false) {
+		if h.isListReader() || h.clock().Sub(lastRead) >= listOtherInterval || h.listNotified.Swap(false) {
 			h.refreshList()
-			read = h.clock()
+			lastRead = h.clock()
 		}
 		select {
-		case <-time.After(listOften):
-		case <-h.relist:
-			h.listTold.Store(true)
+		case <-time.After(listReaderInterval):
+		case <-h.listChanged:
+			h.listNotified.Store(true)
 		case <-h.ctx.Done():
 		}
 	}
 }
 
-// refreshSoon has the list read at once; more than one word of it waiting is
+// requestRefresh has the list read at once; more than one word of it waiting is
 // the same word.
-func (h *Host) refreshSoon() {
+func (h *Host) requestRefresh() {
 	select {
-	case h.relist <- struct{}{}:
+	case h.listChanged <- struct{}{}:
 	default:
 	}
 }
@@ -61,12 +61,12 @@
 		return
 	}
 	if tag == h.listTag && tag != "" {
-		h.listedShares()
+		h.shareListedHosts()
 		return
 	}
 	h.listTag = tag
 	h.mu.Lock()
-	h.list = all
+	h.machines = all
 	h.mu.Unlock()
 	var leaving []string
 	for _, m := range all {
@@ -74,28 +74,28 @@
 			leaving = append(leaving, m.Name)
 		}
 	}
-	h.member(member.LeavingListed{Leaving: leaving})
-	h.listedShares()
-	h.share()
-	if h.readsList() {
-		h.tellList()
+	h.memberStep(member.LeavingListed{Leaving: leaving})
+	h.shareListedHosts()
+	h.updateShares()
+	if h.isListReader() {
+		h.notifyListChanged()
 	}
 }
 
-// listedShares tells the slots' core which entry hosts the platform lists now,
+// shareListedHosts tells the slots' core which entry hosts the platform lists now,
 // changed or not: a share is given up by what is listed, not by what changed.
-func (h *Host) listedShares() {
+func (h *Host) shareListedHosts() {
 	h.mu.Lock()
-	names := entryHosts(h.list, h.cfg.Domain)
+	names := entryHosts(h.machines, h.cfg.Domain)
 	h.mu.Unlock()
 	h.shareStep(share.HostsListed{Names: names})
 }
 
-func (h *Host) tellList() {
+func (h *Host) notifyListChanged() {
 	near, _ := h.peersByDomain()
 	for _, name := range near {
 		h.wg.Go(func() {
-			ctx, cancel := context.WithTimeout(h.ctx, beatWait)
+			ctx, cancel := context.WithTimeout(h.ctx, sendTimeout)
 			defer cancel()
 			_ = h.peers.Notify(ctx, name, peer.HostListChanged{})
 		})
--- a/internal/host/share.go
+++ b/internal/host/share.go
@@ -16,9 +16,9 @@
 	"pollencroft/internal/share"
 )
 
-// shareEvery is how often hosts of a failure domain tell each other which
+// announceCheckInterval is how often hosts of a failure domain tell each other which
 // slots they use; what changes is told at once.
-const shareEvery = 300 * time.Millisecond
+const announceCheckInterval = 300 * time.Millisecond
 
 func newShares(cfg settings.Settings, now time.Time) *share.Shares {
 	var others []string
@@ -42,12 +42,12 @@
 }
 
 func (h *Host) shareStep(ev share.Event) {
-	h.sharing.Lock()
-	defer h.sharing.Unlock()
-	h.shareStepHeld(ev)
+	h.shareMu.Lock()
+	defer h.shareMu.Unlock()
+	h.shareStepLocked(ev)
 }
 
-func (h *Host) shareStepHeld(ev share.Event) {
+func (h *Host) shareStepLocked(ev share.Event) {
 	h.mu.Lock()
 	acts := h.shares.Step(h.clock(), ev)
 	awaited := h.shares.AwaitedHosts()
@@ -57,88 +57,88 @@
 		case share.SlotsChanged:
 			metrics.GetOrRegisterGauge("share.awaited", h.metrics).Update(int64(len(awaited)))
 			h.log.Info("share: slots changed.", "awaited", awaited)
-			h.shareOut()
+			h.applyShares()
 		case share.SendAnnouncement:
-			h.tellShares(a.Announcement)
+			h.sendAnnouncement(a.Announcement)
 		}
 	}
 }
 
 func (h *Host) tickShares() {
-	h.sharing.Lock()
-	defer h.sharing.Unlock()
+	h.shareMu.Lock()
+	defer h.shareMu.Unlock()
 	if h.Ready() && h.relay.Drained() {
-		h.shareStepHeld(share.Drained{})
+		h.shareStepLocked(share.Drained{})
 		return
 	}
-	h.shareStepHeld(share.Tick{})
+	h.shareStepLocked(share.Tick{})
 }
 
-func (h *Host) shareWord() share.Announcement {
+func (h *Host) announcement() share.Announcement {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.shares.Announcement()
 }
 
-// shareRest is how often a word is told again that has not changed. A word is
+// announceRepeat is how often a word is told again that has not changed. A word is
 // there to be lost; told at the pace of changes it costs more bytes than all
 // other control of a large failure domain.
-const shareRest = 2 * time.Second
+const announceRepeat = 2 * time.Second
 
-// repeatShares tells the word on this host's slots again when it has changed or
+// announceShares tells the word on this host's slots again when it has changed or
 // has not been told for a while.
-func (h *Host) repeatShares() {
-	w, leaving, now := h.shareWord(), h.relay.Leaving(), h.clock()
+func (h *Host) announceShares() {
+	w, leaving, now := h.announcement(), h.relay.Leaving(), h.clock()
 	h.mu.Lock()
-	same := reflect.DeepEqual(h.toldWord, w) && reflect.DeepEqual(h.toldLeaving, leaving) && slices.Equal(h.toldLive, h.members.Live())
-	if same && now.Sub(h.toldAt) < shareRest {
+	same := reflect.DeepEqual(h.lastAnnouncement, w) && reflect.DeepEqual(h.announcedLeaving, leaving) && slices.Equal(h.announcedLive, h.members.Live())
+	if same && now.Sub(h.announcedAt) < announceRepeat {
 		h.mu.Unlock()
 		return
 	}
-	h.toldWord, h.toldLeaving, h.toldLive, h.toldAt = w, leaving, h.members.Live(), now
+	h.lastAnnouncement, h.announcedLeaving, h.announcedLive, h.announcedAt = w, leaving, h.members.Live(), now
 	h.mu.Unlock()
-	h.tellShares(w)
+	h.sendAnnouncement(w)
 }
 
-// tellShares tells the hosts of this failure domain; a lost word is told again
+// sendAnnouncement tells the hosts of this failure domain; a lost word is told again
 // with the next heartbeat.
-func (h *Host) tellShares(w share.Announcement) {
+func (h *Host) sendAnnouncement(w share.Announcement) {
 	leaving := h.relay.Leaving()
 	for _, p := range h.cfg.Peers {
 		if p.Domain != h.cfg.Domain {
 			continue
 		}
 		h.wg.Go(func() {
-			ctx, cancel := context.WithTimeout(h.ctx, beatWait)
+			ctx, cancel := context.WithTimeout(h.ctx, sendTimeout)
 			defer cancel()
 			_ = h.peers.Notify(ctx, p.Name, peer.AnnounceSlots{Announcement: w, Leaving: leaving})
 		})
 	}
 }
 
-// giveSlots ends a planned stop's use of slots and gives them to their heirs,
+// releaseSlots ends a planned stop's use of slots and gives them to their heirs,
 // which would otherwise wait until the host list shows that this host is gone.
-func (h *Host) giveSlots(ctx context.Context) {
+func (h *Host) releaseSlots(ctx context.Context) {
 	h.shareStep(share.Stopping{})
 	for ctx.Err() == nil && !h.relay.Drained() {
-		h.pause(tickEvery)
+		h.pause(tickInterval)
 	}
 	if ctx.Err() == nil {
 		h.shareStep(share.Drained{})
-		h.pause(beatWait)
+		h.pause(sendTimeout)
 	}
 }
 
-// slots is how many of a backend server's slots are this host's.
-func (h *Host) slots(minion string, slots int) int {
+// usableSlots is how many of a backend server's usableSlots are this host's.
+func (h *Host) usableSlots(minion string, slots int) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.shares.UsableSlots(minion, slots)
 }
 
-// part is this host's part of a row's limit, which holds in the whole cell.
+// rowLimitPart is this host's rowLimitPart of a row's limit, which holds in the whole cell.
 // The parts follow from the settings alone and add up to the limit.
-func (h *Host) part(row string, limit int64) int64 {
+func (h *Host) rowLimitPart(row string, limit int64) int64 {
 	names := []string{h.cfg.Name}
 	for _, p := range h.cfg.Peers {
 		names = append(names, p.Name)
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -1,7 +1,7 @@
-// Package outlier sets aside backend servers that do worse than the rest: ones
-// that fail or swallow requests, slow ones, ones that cannot be reached and
-// ones that leave. A row's own fault makes all servers fail alike and so
-// condemns none, and never more than a set share is set aside on suspicion.
+// Package outlier detects backend servers that should get no work: servers that fail or never
+// answer requests, slow ones, unreachable ones and ones that leave. A row whose requests fail
+// by their own fault makes all servers fail alike, so none is quarantined for it, and no more
+// than a configured share of the servers is quarantined on suspicion.
 package outlier
 
 import (
@@ -10,98 +10,99 @@
 	"time"
 )
 
-// Limits bound what is set aside.
+// Limits bounds what is quarantined.
 type Limits struct {
-	// Share is the largest part of the servers that suspicion may set aside.
-	Share float64
-	// Fails is the failure rate, and Slow how many times the others' time,
-	// from which a server is suspect.
-	Fails, Slow float64
-	// Least is how many results must have been seen.
-	Least int
-	// Stuck is the least age at which a request without answer is a failure.
-	Stuck time.Duration
-	// Rest is the first time without work; it doubles up to MostRest.
-	Rest, MostRest time.Duration
-	// Away is how long a server that leaves gets no work.
-	Away time.Duration
+	// MaxShare is the maximum share of the servers that may be quarantined on suspicion.
+	MaxShare float64
+	// FailureRate is the failure rate from which a server is suspect. Slowness is how many
+	// times as long as on the other servers its requests must take for that.
+	FailureRate, Slowness float64
+	// MinResults is how many results a server must have before it can be suspect.
+	MinResults int
+	// StuckAfter is the minimum age at which a request without an answer counts as failed.
+	StuckAfter time.Duration
+	// Pause is how long a server gets no work the first time. It doubles each time up to
+	// MaxPause.
+	Pause, MaxPause time.Duration
+	// LeavingPause is how long a server that leaves gets no work.
+	LeavingPause time.Duration
 }
 
-// DefaultLimits suit the minions of one failure domain.
+// DefaultLimits is suitable for the backend servers of one failure domain.
 var DefaultLimits = Limits{
-	Share: 0.34, Fails: 0.5, Slow: 4, Least: 5, Stuck: time.Second,
-	Rest: 2 * time.Second, MostRest: time.Minute, Away: 30 * time.Second,
+	MaxShare: 0.34, FailureRate: 0.5, Slowness: 4, MinResults: 5, StuckAfter: time.Second,
+	Pause: 2 * time.Second, MaxPause: time.Minute, LeavingPause: 30 * time.Second,
 }
 
-// State is what a server may get.
+// State says how much work a server may get.
 type State string
 
 // The states of a server.
 const (
 	Trusted State = "trusted"
-	// Quarantined gets nothing until its rest is over.
+	// Quarantined servers get no work until their pause is over.
 	Quarantined State = "aside"
-	// Trial gets one request at a time until enough of them went well.
+	// Trial servers get one request at a time until enough of them have succeeded.
 	Trial State = "trial"
-	// Unavailable leaves or cannot be reached. It is known, not suspected.
+	// Unavailable servers leave or cannot be reached. This is known, not suspected.
 	Unavailable State = "gone"
 )
 
-// trials is how many requests must go well before a server is trusted again.
-const trials = 3
+// requiredTrials is how many requests must succeed before a server is trusted again.
+const requiredTrials = 3
 
-// alpha weighs a new result against the former ones.
+// alpha is the weight of a new result in the moving averages.
 const alpha = 0.125
 
 type server struct {
-	state    State
-	until    time.Time
-	rest     time.Duration
-	told     time.Time
-	n, good  int
-	fails    float64
-	slowness float64
+	state                 State
+	until                 time.Time
+	pause                 time.Duration
+	leavingSince          time.Time
+	results, passedTrials int
+	failureRate           float64
+	slowness              float64
 }
 
-type flight struct {
-	minion, row string
-	since       time.Time
-	stuck       bool
+type request struct {
+	backend, row string
+	since        time.Time
+	stuck        bool
 }
 
-// Detector is the core of one host.
+// Detector is the outlier detection of one host.
 type Detector struct {
-	limits  Limits
-	servers map[string]*server
-	flights map[string]*flight
-	// times are the rows' mean times over all servers.
-	times map[string]float64
-	check time.Time
+	limits   Limits
+	servers  map[string]*server
+	inFlight map[string]*request
+	// meanTimes holds the average time of each row's requests over all servers.
+	meanTimes map[string]float64
+	lastCheck time.Time
 }
 
-// New returns a core that knows no servers.
+// New returns a detector that knows no servers.
 func New(limits Limits) *Detector {
-	return &Detector{limits: limits, servers: map[string]*server{}, flights: map[string]*flight{}, times: map[string]float64{}}
+	return &Detector{limits: limits, servers: map[string]*server{}, inFlight: map[string]*request{}, meanTimes: map[string]float64{}}
 }
 
-// Step takes one event and returns which servers changed their state.
+// Step handles one event and returns the changes of servers' states.
 func (o *Detector) Step(now time.Time, ev Event) []Action {
 	switch ev := ev.(type) {
 	case Sent:
-		o.flights[ev.ID] = &flight{minion: ev.Backend, row: ev.Row, since: now}
+		o.inFlight[ev.ID] = &request{backend: ev.Backend, row: ev.Row, since: now}
 	case Ended:
 		return o.ended(now, ev)
 	case LeavingReported:
-		return o.told(now, ev.Leaving)
+		return o.leavingReported(now, ev.Leaving)
 	case ServersListed:
-		o.list(ev.Backends)
+		o.setServers(ev.Backends)
 	case Tick:
 		return o.tick(now)
 	}
 	return nil
 }
 
-func (o *Detector) list(names []string) {
+func (o *Detector) setServers(names []string) {
 	for _, name := range names {
 		if o.servers[name] == nil {
 			o.servers[name] = &server{state: Trusted}
@@ -115,108 +116,110 @@
 }
 
 func (o *Detector) ended(now time.Time, ev Ended) []Action {
-	f, ok := o.flights[ev.ID]
+	f, ok := o.inFlight[ev.ID]
 	if !ok {
 		return nil
 	}
-	delete(o.flights, ev.ID)
-	s, ok := o.servers[f.minion]
+	delete(o.inFlight, ev.ID)
+	s, ok := o.servers[f.backend]
 	if !ok {
 		return nil
 	}
 	switch ev.Result {
 	case Leaving:
-		s.told = now
-		return o.gone(now, f.minion, o.limits.Away, "it leaves")
+		s.leavingSince = now
+		return o.markUnavailable(now, f.backend, o.limits.LeavingPause, "it leaves")
 	case Unreachable:
-		return o.gone(now, f.minion, o.next(s), "it takes no connections")
+		return o.markUnavailable(now, f.backend, o.nextPause(s), "it takes no connections")
 	case Succeeded:
-		o.time(s, f, now.Sub(f.since))
+		o.recordTime(s, f, now.Sub(f.since))
 	}
 	if f.stuck && ev.Result == Failed {
 		return nil
 	}
-	return o.result(now, f.minion, ev.Result == Failed)
+	return o.recordResult(now, f.backend, ev.Result == Failed)
 }
 
-// time compares a request's time with its row's on all servers.
-func (o *Detector) time(s *server, f *flight, took time.Duration) {
-	mean, ok := o.times[f.row]
+// recordTime compares the time of a request with the average of its row on all servers.
+func (o *Detector) recordTime(s *server, f *request, took time.Duration) {
+	mean, ok := o.meanTimes[f.row]
 	if !ok {
 		mean = took.Seconds()
 	}
-	o.times[f.row] = mean + alpha*(took.Seconds()-mean)
+	o.meanTimes[f.row] = mean + alpha*(took.Seconds()-mean)
 	if mean > 0 {
 		s.slowness += alpha * (took.Seconds()/mean - s.slowness)
 	}
 }
 
-func (o *Detector) result(now time.Time, name string, failed bool) []Action {
+func (o *Detector) recordResult(now time.Time, name string, failed bool) []Action {
 	s := o.servers[name]
-	s.n++
+	s.results++
 	x := 0.0
 	if failed {
 		x = 1
 	}
-	// The first results count alike; with a fixed weight a server that fails
-	// everything from its first request on would look half good for long.
-	s.fails += max(alpha, 1/float64(s.n)) * (x - s.fails)
+	// The first results have equal weights. With a fixed weight, a server that fails all
+	// requests from the first one on would have a low failure rate for a long time.
+	s.failureRate += max(alpha, 1/float64(s.results)) * (x - s.failureRate)
 	switch s.state {
 	case Trial:
-		return o.trial(now, name, failed)
+		return o.recordTrial(now, name, failed)
 	case Trusted:
-		return o.judge(now, name)
+		return o.detect(now, name)
 	default:
 		return nil
 	}
 }
 
-func (o *Detector) trial(now time.Time, name string, failed bool) []Action {
+func (o *Detector) recordTrial(now time.Time, name string, failed bool) []Action {
 	s := o.servers[name]
 	if failed {
-		return o.set(name, Quarantined, now.Add(o.next(s)), "its trial failed")
+		return o.setState(name, Quarantined, now.Add(o.nextPause(s)), "its trial failed")
 	}
-	if s.good++; s.good < trials {
+	if s.passedTrials++; s.passedTrials < requiredTrials {
 		return nil
 	}
-	s.rest, s.n, s.fails, s.slowness = 0, 0, 0, 1
-	return o.set(name, Trusted, time.Time{}, "its trials went well")
+	s.pause, s.results, s.failureRate, s.slowness = 0, 0, 0, 1
+	return o.setState(name, Trusted, time.Time{}, "its trials went well")
 }
 
-// next doubles a server's rest each time that it is set aside in a row.
-func (o *Detector) next(s *server) time.Duration {
-	s.rest = min(max(2*s.rest, o.limits.Rest), o.limits.MostRest)
-	return s.rest
+// nextPause doubles a server's pause each time that it is quarantined or found unreachable
+// again before it is trusted.
+func (o *Detector) nextPause(s *server) time.Duration {
+	s.pause = min(max(2*s.pause, o.limits.Pause), o.limits.MaxPause)
+	return s.pause
 }
 
-// judge compares a server with the others.
-func (o *Detector) judge(now time.Time, name string) []Action {
+// detect compares a server with the others and quarantines it if it is an outlier.
+func (o *Detector) detect(now time.Time, name string) []Action {
 	s := o.servers[name]
-	if s.n < o.limits.Least {
+	if s.results < o.limits.MinResults {
 		return nil
 	}
-	fails, slowness := o.others(name)
+	fails, slowness := o.otherMedians(name)
 	why := ""
 	switch {
-	case s.fails >= o.limits.Fails && s.fails >= 2*fails:
+	case s.failureRate >= o.limits.FailureRate && s.failureRate >= 2*fails:
 		why = "it fails more than the others"
-	case slowness > 0 && s.slowness >= o.limits.Slow*slowness:
+	case slowness > 0 && s.slowness >= o.limits.Slowness*slowness:
 		why = "it is slower than the others"
 	default:
 		return nil
 	}
-	if !o.mayAside() {
+	if !o.mayQuarantine() {
 		return nil
 	}
-	return o.set(name, Quarantined, now.Add(o.next(s)), why)
+	return o.setState(name, Quarantined, now.Add(o.nextPause(s)), why)
 }
 
-// others are the medians of the servers that are trusted, but for one.
-func (o *Detector) others(name string) (fails, slowness float64) {
+// otherMedians returns the median failure rate and slowness of the trusted servers other than
+// the named one.
+func (o *Detector) otherMedians(name string) (fails, slowness float64) {
 	var f, t []float64
 	for other, s := range o.servers {
-		if other != name && s.state == Trusted && s.n > 0 {
-			f, t = append(f, s.fails), append(t, s.slowness)
+		if other != name && s.state == Trusted && s.results > 0 {
+			f, t = append(f, s.failureRate), append(t, s.slowness)
 		}
 	}
 	return median(f), median(t)
@@ -230,78 +233,77 @@
 	return all[len(all)/2]
 }
 
-func (o *Detector) mayAside() bool {
+func (o *Detector) mayQuarantine() bool {
 	n := 0
 	for _, s := range o.servers {
 		if s.state == Quarantined || s.state == Trial {
 			n++
 		}
 	}
-	return n+1 <= int(o.limits.Share*float64(len(o.servers)))
+	return n+1 <= int(o.limits.MaxShare*float64(len(o.servers)))
 }
 
-func (o *Detector) told(now time.Time, names []string) []Action {
+func (o *Detector) leavingReported(now time.Time, names []string) []Action {
 	var acts []Action
 	for _, name := range names {
 		if s, ok := o.servers[name]; ok && s.state != Unavailable {
-			acts = append(acts, o.gone(now, name, o.limits.Away, "a peer says that it leaves")...)
+			acts = append(acts, o.markUnavailable(now, name, o.limits.LeavingPause, "a peer says that it leaves")...)
 		}
 	}
 	return acts
 }
 
-func (o *Detector) gone(now time.Time, name string, d time.Duration, why string) []Action {
+func (o *Detector) markUnavailable(now time.Time, name string, d time.Duration, why string) []Action {
 	o.servers[name].until = now.Add(d)
-	return o.set(name, Unavailable, now.Add(d), why)
+	return o.setState(name, Unavailable, now.Add(d), why)
 }
 
-func (o *Detector) set(name string, to State, until time.Time, why string) []Action {
+func (o *Detector) setState(name string, to State, until time.Time, why string) []Action {
 	s := o.servers[name]
 	from := s.state
-	s.state, s.until, s.good = to, until, 0
+	s.state, s.until, s.passedTrials = to, until, 0
 	if from == to {
 		return nil
 	}
 	return []Action{StateChanged{Backend: name, State: to, Reason: why}}
 }
 
-// checkTime is how often requests without answers are looked at.
-const checkTime = 250 * time.Millisecond
+// checkInterval is how often requests without answers are checked.
+const checkInterval = 250 * time.Millisecond
 
 func (o *Detector) tick(now time.Time) []Action {
-	if now.Sub(o.check) < checkTime {
+	if now.Sub(o.lastCheck) < checkInterval {
 		return nil
 	}
-	o.check = now
+	o.lastCheck = now
 	var acts []Action
-	for _, id := range slices.Sorted(maps.Keys(o.flights)) {
-		f := o.flights[id]
-		if s := o.servers[f.minion]; s != nil && !f.stuck && now.Sub(f.since) > o.stuckAfter(f.row) {
-			// A server that swallows requests gives no result until the
-			// deadline; meanwhile it would get one request after another.
-			// Silence is a stronger sign than a failure, which may be the
-			// request's own, and counts twice.
+	for _, id := range slices.Sorted(maps.Keys(o.inFlight)) {
+		f := o.inFlight[id]
+		if s := o.servers[f.backend]; s != nil && !f.stuck && now.Sub(f.since) > o.stuckAfter(f.row) {
+			// A server that never answers gives no result until the deadline, and would get one
+			// request after another until then. No answer is a stronger sign than a failure,
+			// which may be the request's own fault, so it counts twice.
 			f.stuck = true
-			acts = append(acts, o.result(now, f.minion, true)...)
-			acts = append(acts, o.result(now, f.minion, true)...)
+			acts = append(acts, o.recordResult(now, f.backend, true)...)
+			acts = append(acts, o.recordResult(now, f.backend, true)...)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(o.servers)) {
 		s := o.servers[name]
 		if (s.state == Quarantined || s.state == Unavailable) && !s.until.After(now) {
-			acts = append(acts, o.set(name, Trial, time.Time{}, "its rest is over")...)
+			acts = append(acts, o.setState(name, Trial, time.Time{}, "its rest is over")...)
 		}
 	}
 	return acts
 }
 
 func (o *Detector) stuckAfter(row string) time.Duration {
-	return max(o.limits.Stuck, time.Duration(10*o.times[row]*float64(time.Second)))
+	return max(o.limits.StuckAfter, time.Duration(10*o.meanTimes[row]*float64(time.Second)))
 }
 
-// MaxSlots is how many of slots a server may get now.
-func (o *Detector) MaxSlots(minion string, slots int) int {
-	s, ok := o.servers[minion]
+// MaxSlots returns how many of its slots a server may use now.
+func (o *Detector) MaxSlots(backend string, slots int) int {
+	s, ok := o.servers[backend]
 	switch {
 	case !ok || s.state == Trusted:
 		return slots
@@ -312,22 +314,23 @@
 	}
 }
 
-// wordTime is how long a first-hand sign of leaving is told to peers. It ends
-// before Away, so that two hosts cannot keep each other believing it for ever.
-const wordTime = 5 * time.Second
+// announceTime is how long this host announces to its peers that a server told it that it
+// leaves. It is shorter than LeavingPause, so that two hosts cannot keep each other believing
+// it forever.
+const announceTime = 5 * time.Second
 
-// LeavingServers lists the servers that told this host itself that they leave.
+// LeavingServers lists the servers that recently told this host itself that they leave.
 func (o *Detector) LeavingServers(now time.Time) []string {
 	var all []string
 	for _, name := range slices.Sorted(maps.Keys(o.servers)) {
-		if s := o.servers[name]; !s.told.IsZero() && now.Sub(s.told) < wordTime {
+		if s := o.servers[name]; !s.leavingSince.IsZero() && now.Sub(s.leavingSince) < announceTime {
 			all = append(all, name)
 		}
 	}
 	return all
 }
 
-// UntrustedStates lists the servers that are not trusted.
+// UntrustedStates returns the states of all servers that are not trusted.
 func (o *Detector) UntrustedStates() map[string]State {
 	all := map[string]State{}
 	for name, s := range o.servers {
