--- a/internal/flow/record.go
+++ b/internal/flow/record.go
@@ -14,12 +14,12 @@
 // done, where a run may exist, and the latest checkpoints.
 type record struct {
 	Version
-	State    State         `json:"s"`
-	Accepted int64         `json:"b"`
-	Number   int64         `json:"n"`
-	Next     int           `json:"x,omitempty"`
-	Rounds   []roundRecord `json:"r,omitempty"`
-	Ended    int64         `json:"e,omitempty"`
+	State     State         `json:"s"`
+	Accepted  int64         `json:"b"`
+	Number    int64         `json:"n"`
+	NextRound int           `json:"x,omitempty"`
+	Rounds    []roundRecord `json:"r,omitempty"`
+	Ended     int64         `json:"e,omitempty"`
 	// MayHaveCopies marks an ended job of which copies of tasks may still run. The job's spec
 	// is then still needed, because it says how much capacity they use.
 	MayHaveCopies bool `json:"k,omitempty"`
@@ -83,7 +83,7 @@
 
 // Record encodes the job's progress.
 func (j *Job) Record(v Version) []byte {
-	rec := record{Version: v, State: j.State, Accepted: j.Accepted.UnixMilli(), Number: j.Number, Next: j.NextRound}
+	rec := record{Version: v, State: j.State, Accepted: j.Accepted.UnixMilli(), Number: j.Number, NextRound: j.NextRound}
 	if j.State.Final() {
 		rec.Ended = j.Ended.UnixMilli()
 		rec.MayHaveCopies = slices.ContainsFunc(j.Spec.Steps, func(s Step) bool { return s.AllowCopies })
@@ -136,7 +136,7 @@
 		return nil, false
 	}
 	j := New(Spec{ID: id}, rec.Number, time.UnixMilli(rec.Accepted))
-	j.NextRound, j.State, j.Published, j.Ended = rec.Next, rec.State, rec.State, time.UnixMilli(rec.Ended)
+	j.NextRound, j.State, j.Published, j.Ended = rec.NextRound, rec.State, rec.State, time.UnixMilli(rec.Ended)
 	return j, true
 }
 
@@ -161,7 +161,7 @@
 		return nil, &RecordError{Key: spec.ID, Cause: errors.Wrap(err, "decode")}
 	}
 	j := New(spec, rec.Number, time.UnixMilli(rec.Accepted))
-	j.NextRound = rec.Next
+	j.NextRound = rec.NextRound
 	for _, rr := range rec.Rounds {
 		j.openRound(rr.Index, now).restore(rr, now)
 	}
