--- a/internal/flow/record.go
+++ b/internal/flow/record.go
@@ -56,12 +56,12 @@
 
 // taskRecord is the stored state of one task. Tasks that never ran are not stored.
 type taskRecord struct {
-	Index    int    `json:"i"`
-	Done     bool   `json:"d,omitempty"`
-	Run      int    `json:"r,omitempty"`
-	Worker   string `json:"w,omitempty"`
-	Failures int    `json:"f,omitempty"`
-	Saved    string `json:"c,omitempty"`
+	Index      int    `json:"i"`
+	Done       bool   `json:"d,omitempty"`
+	Run        int    `json:"r,omitempty"`
+	Worker     string `json:"w,omitempty"`
+	Failures   int    `json:"f,omitempty"`
+	Checkpoint string `json:"c,omitempty"`
 	// Crashed and Lost list the worker incarnations that ended, or may have ended, while they
 	// ran the task.
 	Crashed []string `json:"x,omitempty"`
@@ -117,7 +117,7 @@
 		}
 		tr := taskRecord{Index: i, Done: t.State == Done, Run: t.Run, Failures: t.Failures}
 		if t.State != Done {
-			tr.Saved, tr.Crashed, tr.Lost = t.Checkpoint, t.Crashed, t.Lost
+			tr.Checkpoint, tr.Crashed, tr.Lost = t.Checkpoint, t.Crashed, t.Lost
 		}
 		if t.MayBeRunning() {
 			tr.Worker = t.Worker
@@ -186,7 +186,7 @@
 }
 
 func (t *Task) restore(tr taskRecord, now time.Time) {
-	t.Run, t.Failures, t.Checkpoint = tr.Run, tr.Failures, tr.Saved
+	t.Run, t.Failures, t.Checkpoint = tr.Run, tr.Failures, tr.Checkpoint
 	t.Crashed, t.Lost = tr.Crashed, tr.Lost
 	t.Step.updateSuspicions()
 	switch {
