--- a/internal/audit/tally.go
+++ b/internal/audit/tally.go
@@ -22,19 +22,19 @@
 	// Lost counts requests that were reported done but did not run, and tasks of accepted jobs that
 	// did not end.
 	Lost int
-	// Twice counts keys that ran twice and tasks that ran in two places.
-	Twice int
+	// RanTwice counts keys that ran twice and tasks that ran in two places.
+	RanTwice int
 	// Overfilled counts starts that exceeded the size of a worker.
 	Overfilled int
-	// Told counts replies that contradict the records.
-	Told int
+	// WrongReplies counts replies that contradict the records.
+	WrongReplies int
 }
 
 func (e *ViolationsError) Error() string {
-	return fmt.Sprintf("lost %d, twice %d, overfilled %d, told wrong %d", e.Lost, e.Twice, e.Overfilled, e.Told)
+	return fmt.Sprintf("lost %d, twice %d, overfilled %d, told wrong %d", e.Lost, e.RanTwice, e.Overfilled, e.WrongReplies)
 }
 
-type line struct {
+type rowStats struct {
 	asked, done, refused, unknown int
 	waits                         *hdrhistogram.Histogram
 }
@@ -51,7 +51,7 @@
 // Tally records what each caller was told. It is safe for concurrent use.
 type Tally struct {
 	mu   sync.Mutex
-	rows map[string]*line
+	rows map[string]*rowStats
 	// requests holds, by key, every outcome that the caller was told, in order.
 	requests       map[string][]string
 	mismatched     int
@@ -61,20 +61,20 @@
 
 // NewTally returns an empty tally.
 func NewTally() *Tally {
-	return &Tally{rows: map[string]*line{}, requests: map[string][]string{}, jobs: map[string]*acceptedJob{}}
+	return &Tally{rows: map[string]*rowStats{}, requests: map[string][]string{}, jobs: map[string]*acceptedJob{}}
 }
 
-func (t *Tally) rowStats(row string) *line {
+func (t *Tally) countAsked(row string) *rowStats {
 	l, ok := t.rows[row]
 	if !ok {
-		l = &line{waits: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+		l = &rowStats{waits: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 		t.rows[row] = l
 	}
 	l.asked++
 	return l
 }
 
-func (l *line) count(outcome string, took time.Duration) {
+func (l *rowStats) count(outcome string, took time.Duration) {
 	switch outcome {
 	case client.Done:
 		l.done++
@@ -95,7 +95,7 @@
 func (t *Tally) recordRequest(row string, req client.Request, reply client.Reply, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.rowStats(row).count(reply.Outcome, took)
+	t.countAsked(row).count(reply.Outcome, took)
 	if reply.Outcome == client.Done && !strings.HasSuffix(string(reply.Body), " "+string(req.Body)) {
 		t.mismatched++
 	}
@@ -104,7 +104,7 @@
 func (t *Tally) recordJob(j client.Job, s client.JobStatus, err error, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l := t.rowStats(j.Workload)
+	l := t.countAsked(j.Workload)
 	var status *client.StatusError
 	switch {
 	case err == nil:
@@ -144,21 +144,21 @@
 func (t *Tally) Violations(r standin.Report) ViolationsError {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	w := ViolationsError{Overfilled: r.Overfilled, Twice: len(r.Doubled), Told: t.mismatched}
+	w := ViolationsError{Overfilled: r.Overfilled, RanTwice: len(r.Doubled), WrongReplies: t.mismatched}
 	for key, told := range t.requests {
 		ran := r.Ran[key]
 		if ran > 1 {
-			w.Twice++
+			w.RanTwice++
 		}
 		switch {
 		case slices.Contains(told, client.Done) && ran == 0:
 			w.Lost++
 		case told[len(told)-1] == client.Refused && ran > 0:
-			w.Told++
+			w.WrongReplies++
 		}
 	}
 	w.Lost += t.lostTasks(r)
-	w.Told += t.contradictedStarts(r)
+	w.WrongReplies += t.contradictedStarts(r)
 	return w
 }
 
@@ -219,18 +219,18 @@
 // submissions with an unknown outcome.
 func (t *Tally) contradictedStarts(r standin.Report) int {
 	wrong := 0
-	strangers := map[string]bool{}
+	unknownJobs := map[string]bool{}
 	for task := range r.Started {
 		id := task[:max(0, strings.LastIndex(task, "."))]
 		j, ok := t.jobs[id]
 		switch {
 		case !ok:
-			strangers[id] = true
+			unknownJobs[id] = true
 		case j.cancelled == "not run":
 			wrong++
 		}
 	}
-	return wrong + max(0, len(strangers)-t.unknownSubmits)
+	return wrong + max(0, len(unknownJobs)-t.unknownSubmits)
 }
 
 // Print writes a table with a line for each of the named workloads, in the order of names.
@@ -249,6 +249,6 @@
 	_ = w.Flush()
 }
 
-func (l *line) quantile(q float64) time.Duration {
+func (l *rowStats) quantile(q float64) time.Duration {
 	return time.Duration(l.waits.ValueAtQuantile(q)) * time.Microsecond
 }
