--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller serves HTTP towards callers: requests to backend servers and
-// jobs on workers.
+// Package caller implements the HTTP interface for callers: requests to backend
+// servers and jobs on workers.
 package caller
 
 import (
@@ -26,7 +26,7 @@
 	"pollencroft/internal/trail"
 )
 
-// Headers of the callers' protocol.
+// Headers of the interface for callers.
 const (
 	HeaderOutcome  = "Pollencroft-Outcome"
 	HeaderAttempt  = "Pollencroft-Attempt"
@@ -34,28 +34,29 @@
 	HeaderKey      = "Idempotency-Key"
 )
 
-// maxKey bounds an idempotency key in bytes.
+// maxKey is the maximum length of an idempotency key in bytes.
 const maxKey = 128
 
-// Deps are what the callers' handler works with.
+// Deps holds the functions and limits that the callers' handler depends on.
 type Deps struct {
 	Row    func(name string) (table.Row, int64)
 	Do     func(ctx context.Context, r call.Request) call.Reply
 	Submit func(ctx context.Context, j Job) peer.JobReply
 	Job    func(ctx context.Context, id string) peer.JobReply
 	Cancel func(ctx context.Context, id string) peer.JobReply
-	// Trail returns what was decided about a request or job.
+	// Trail returns the history of decisions on a request or job.
 	Trail func(ctx context.Context, id string) []trail.Note
-	// Body is the largest body in bytes; Deadline the longest wait.
-	Body     int64
-	Deadline time.Duration
-	Clock    func() time.Time
+	// MaxBody is the maximum size of a request's body in bytes, Deadline the longest
+	// time that a caller may wait.
+	MaxBody int64
+	MaxWait time.Duration
+	Clock   func() time.Time
 }
 
 // Handler is the callers' HTTP handler.
 type Handler struct{ Deps }
 
-// New returns the handler; Routes adds it to a router.
+// New returns a handler with these dependencies. Routes adds it to a router.
 func New(d Deps) *Handler { return &Handler{d} }
 
 // Routes adds the callers' routes.
@@ -86,8 +87,9 @@
 	write(w, call.Refuse(status, reason, 0))
 }
 
-// write sends a reply whole: headers and body of the backend server when it
-// is done, else what went wrong and when to come back.
+// write sends a reply: the backend server's status, headers and body if the
+// outcome is done, otherwise the reason of the failure and how long to wait
+// before the next attempt.
 func write(w http.ResponseWriter, reply call.Reply) {
 	w.Header().Set(HeaderOutcome, string(reply.Outcome))
 	if reply.Outcome == cell.Done {
@@ -99,7 +101,7 @@
 		_, _ = w.Write(reply.Body)
 		return
 	}
-	again := reply.Again.Seconds()
+	again := reply.RetryAfter.Seconds()
 	w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(again))))
 	writeJSON(w, reply.Status, refusalBody{
 		Error: http.StatusText(reply.Status), Outcome: reply.Outcome, Reason: reply.Reason, Again: again,
@@ -139,14 +141,14 @@
 	if req.Deadline, err = h.readDeadline(r, row); err != nil {
 		return req, http.StatusBadRequest, err
 	}
-	if req.Body, err = io.ReadAll(http.MaxBytesReader(w, r.Body, h.Body)); err != nil {
-		return req, bodyStatus(err), &cell.ValueError{Field: "body", Found: err.Error(), Allowed: fmt.Sprintf("at most %d bytes", h.Body)}
+	if req.Body, err = io.ReadAll(http.MaxBytesReader(w, r.Body, h.MaxBody)); err != nil {
+		return req, bodyStatus(err), &cell.ValueError{Field: "body", Found: err.Error(), Allowed: fmt.Sprintf("at most %d bytes", h.MaxBody)}
 	}
 	req.Path = "/" + chi.URLParam(r, "*")
 	if r.URL.RawQuery != "" {
 		req.Path += "?" + r.URL.RawQuery
 	}
-	req.Header = forwarded(r.Header)
+	req.Header = forwardedHeaders(r.Header)
 	return req, 0, nil
 }
 
@@ -158,10 +160,10 @@
 	return http.StatusBadRequest
 }
 
-// single returns a header that may be given once; false when it is left out.
-// Of two values one would be dropped in silence, and the request could run
-// under a key that its caller does not ask for again.
-func single(r *http.Request, name string) (string, bool, error) {
+// singleHeader returns the value of a header that may be given only once, and false if
+// it is absent. If two values were accepted, one would be silently ignored, and
+// the request could run under a key that its caller does not use again.
+func singleHeader(r *http.Request, name string) (string, bool, error) {
 	values := r.Header.Values(name)
 	switch len(values) {
 	case 0:
@@ -174,7 +176,7 @@
 }
 
 func readKey(r *http.Request) (string, error) {
-	key, given, err := single(r, HeaderKey)
+	key, given, err := singleHeader(r, HeaderKey)
 	if err != nil || !given {
 		return "", err
 	}
@@ -188,7 +190,7 @@
 }
 
 func readAttempt(r *http.Request) (int, error) {
-	text, given, err := single(r, HeaderAttempt)
+	text, given, err := singleHeader(r, HeaderAttempt)
 	if err != nil || !given {
 		return 1, err
 	}
@@ -199,16 +201,17 @@
 	return n, nil
 }
 
-// readDeadline reads how long the caller waits: a time such as 800ms, or an
-// instant in RFC 3339. Without one the row's deadline counts.
+// readDeadline returns the instant until which the caller waits. The header
+// holds a duration such as 800ms or an instant in RFC 3339. Without the header
+// the row's deadline applies.
 func (h *Handler) readDeadline(r *http.Request, row table.Row) (time.Time, error) {
 	now := h.Clock()
-	text, given, err := single(r, HeaderDeadline)
+	text, given, err := singleHeader(r, HeaderDeadline)
 	if err != nil {
 		return now, err
 	}
 	if !given {
-		return now.Add(min(row.Deadline.Duration, h.Deadline)), nil
+		return now.Add(min(row.Deadline.Duration, h.MaxWait)), nil
 	}
 	at, err := time.Parse(time.RFC3339Nano, text)
 	if d, derr := time.ParseDuration(text); derr == nil {
@@ -217,29 +220,30 @@
 	if err != nil || !at.After(now) {
 		return at, &cell.ValueError{Field: HeaderDeadline, Found: text, Allowed: "a time to come"}
 	}
-	if most := now.Add(h.Deadline); at.After(most) {
+	if most := now.Add(h.MaxWait); at.After(most) {
 		return most, nil
 	}
 	return at, nil
 }
 
-// joint joins the values of a header that is given more than once.
-func joint(name string) string {
+// valueSeparator returns the separator between the values of a header that is given more than once.
+func valueSeparator(name string) string {
 	if name == "Cookie" {
 		return "; "
 	}
 	return ", "
 }
 
-// forwarded drops the headers that belong to one connection or to us.
-func forwarded(h http.Header) map[string]string {
+// forwardedHeaders returns the headers to send on. It omits those that apply to one
+// connection only and those that pollencroft itself reads or sets.
+func forwardedHeaders(h http.Header) map[string]string {
 	out := map[string]string{}
 	for name := range h {
 		switch name {
 		case "Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 			"Proxy-Authorization", "Proxy-Authenticate", HeaderKey, HeaderAttempt, HeaderDeadline, "Traceparent", "Accept-Encoding":
 		default:
-			out[name] = strings.Join(h.Values(name), joint(name))
+			out[name] = strings.Join(h.Values(name), valueSeparator(name))
 		}
 	}
 	return out
--- a/internal/host/edit.go
+++ b/internal/host/edit.go
@@ -34,8 +34,8 @@
 	return b.h.table.Teams()
 }
 
-// Past lists the newest edits with their verdicts.
-func (b operatorTable) Past() []table.HistoryEntry {
+// History lists the newest edits with their verdicts.
+func (b operatorTable) History() []table.HistoryEntry {
 	b.h.mu.Lock()
 	defer b.h.mu.Unlock()
 	return b.h.table.History()
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -16,7 +16,7 @@
 	"pollencroft/internal/worker"
 )
 
-// bench is one worker stand-in on a clock that the test sets.
+// bench is one worker stand-in whose clock the test sets.
 type bench struct {
 	worker *standin.Worker
 	over   *standin.Oversight
@@ -41,59 +41,60 @@
 	return worker.Start{ID: "t", Size: cell.Size{CPU: 1000, Mem: 1000}, Run: time.Hour, TTL: 3 * time.Second, Deadline: deadline}
 }
 
-// A host is replaced under its old name while a start of its predecessor is on
-// its way. The worker must not take both for one holder: the successor would
-// fill the worker and the old start would land on top.
+// A host is replaced by another with the same name while a start sent by the
+// predecessor is still in flight. The worker must treat the two as different
+// holders. Otherwise the new host would fill the worker, and the old start
+// would then overload it.
 func TestSuccessorOfTheSameNameWaitsForTheLease(t *testing.T) {
 	b, ctx := newBench(t), context.Background()
-	_, err := b.client("a", 1).Take(ctx, b.addr, 3*time.Second)
+	_, err := b.client("a", 1).Acquire(ctx, b.addr, 3*time.Second)
 	require.NoError(t, err)
 	var held *worker.HeldError
-	_, err = b.client("a", 2).Take(ctx, b.addr, 3*time.Second)
+	_, err = b.client("a", 2).Acquire(ctx, b.addr, 3*time.Second)
 	require.ErrorAs(t, err, &held)
 	b.now = b.now.Add(3 * time.Second)
-	_, err = b.client("a", 2).Take(ctx, b.addr, 3*time.Second)
+	_, err = b.client("a", 2).Acquire(ctx, b.addr, 3*time.Second)
 	require.NoError(t, err)
 }
 
-// A host gives a worker back, and the message is slow. Meanwhile the host takes
-// the worker anew. The late message must not free what is held again.
+// A host releases a worker, but the message is delayed, and the host acquires
+// the worker again in the meantime. The late message must not release the new lease.
 func TestLateGiveFreesNothing(t *testing.T) {
 	b, ctx := newBench(t), context.Background()
 	a := b.client("a", 1)
-	first, err := a.Take(ctx, b.addr, 3*time.Second)
+	first, err := a.Acquire(ctx, b.addr, 3*time.Second)
 	require.NoError(t, err)
-	second, err := a.Take(ctx, b.addr, 3*time.Second)
+	second, err := a.Acquire(ctx, b.addr, 3*time.Second)
 	require.NoError(t, err)
-	require.NoError(t, a.Give(ctx, b.addr, first.Lease))
-	_, err = b.client("b", 1).Take(ctx, b.addr, 3*time.Second)
+	require.NoError(t, a.Release(ctx, b.addr, first.Lease))
+	_, err = b.client("b", 1).Acquire(ctx, b.addr, 3*time.Second)
 	require.Error(t, err)
-	require.NoError(t, a.Give(ctx, b.addr, second.Lease))
-	_, err = b.client("b", 1).Take(ctx, b.addr, 3*time.Second)
+	require.NoError(t, a.Release(ctx, b.addr, second.Lease))
+	_, err = b.client("b", 1).Acquire(ctx, b.addr, 3*time.Second)
 	require.NoError(t, err)
 }
 
-// A start is held up for longer than the anchor runs. The worker's clock is
-// hours off, so the deadline has to be in that clock; the worker's record shows
-// that the start was dead on arrival.
+// A start is delayed for longer than the anchor's lease. The worker must not
+// carry it out, which its record shows. The worker's clock is hours off, so the
+// deadline has to be in that clock.
 func TestLateStartIsDeadOnArrival(t *testing.T) {
 	b, ctx := newBench(t), context.Background()
 	b.worker.SetFaults(standin.WorkerFaults{Skew: -7 * time.Hour})
 	l := lease.New(lease.Limits{TTL: 3 * time.Second})
 	a := b.client("a", 1)
 	l.Step(b.now, lease.DomainWorkers{Workers: []string{"w"}})
-	life, err := a.Life(ctx, b.addr)
+	life, err := a.Incarnation(ctx, b.addr)
 	require.NoError(t, err)
 	l.Step(b.now, lease.IncarnationLearned{Worker: "w", Incarnation: life})
 	b.now = b.now.Add(time.Minute)
 	l.Step(b.now, lease.Wanted{Workers: []string{"w"}})
-	r, err := a.Take(ctx, b.addr, 3*time.Second)
+	r, err := a.Acquire(ctx, b.addr, 3*time.Second)
 	require.NoError(t, err)
 	l.Step(b.now, lease.Granted{Worker: "w", Reading: r})
 	deadline, ok := l.Deadline(b.now, "w")
 	require.True(t, ok)
 	b.now = b.now.Add(3 * time.Second)
-	_, err = b.client("b", 1).Take(ctx, b.addr, 3*time.Second)
+	_, err = b.client("b", 1).Acquire(ctx, b.addr, 3*time.Second)
 	require.NoError(t, err)
 	var late *worker.LateError
 	require.ErrorAs(t, a.Start(ctx, b.addr, b.start(deadline)), &late)
@@ -101,18 +102,18 @@
 	require.Empty(t, b.worker.Record().Started)
 }
 
-// A lead dies right after a renewal. Its tasks go on under the long lease until
-// the next lead has taken the worker, lists them and renews them.
+// A leader dies right after a renewal. Its tasks keep running under their longer
+// leases until the next leader acquires the worker, lists the tasks and renews them.
 func TestTasksOutliveTheirLead(t *testing.T) {
 	b, ctx := newBench(t), context.Background()
 	a, next := b.client("a", 1), b.client("b", 1)
-	_, err := a.Take(ctx, b.addr, 3*time.Second)
+	_, err := a.Acquire(ctx, b.addr, 3*time.Second)
 	require.NoError(t, err)
 	require.NoError(t, a.Start(ctx, b.addr, b.start(b.now.Add(time.Second))))
 	_, err = a.Renew(ctx, b.addr, lease.Renew{TTL: 3 * time.Second, TaskTTL: 10 * time.Second}, nil)
 	require.NoError(t, err)
 	b.now = b.now.Add(9 * time.Second)
-	r, err := next.Take(ctx, b.addr, 3*time.Second)
+	r, err := next.Acquire(ctx, b.addr, 3*time.Second)
 	require.NoError(t, err)
 	require.Equal(t, "running", r.Tasks[0].State)
 	_, err = next.Renew(ctx, b.addr, lease.Renew{TTL: 3 * time.Second, TaskTTL: 10 * time.Second}, nil)
@@ -121,13 +122,13 @@
 	require.Empty(t, b.worker.Record().Ended)
 }
 
-// A task failed and is started again on the same worker. The word to forget
-// the first start arrives late and must not wipe out the second, whose end the
-// lead has yet to read.
+// A task fails and is started again on the same worker. The request to discard
+// the first start arrives late. It must not discard the second start, whose end
+// the leader has not read yet.
 func TestForgettingNamesTheStart(t *testing.T) {
 	b, ctx := newBench(t), context.Background()
 	a := b.client("a", 1)
-	_, err := a.Take(ctx, b.addr, 30*time.Second)
+	_, err := a.Acquire(ctx, b.addr, 30*time.Second)
 	require.NoError(t, err)
 	renew := lease.Renew{TTL: 30 * time.Second, TaskTTL: 30 * time.Second}
 	require.NoError(t, a.Start(ctx, b.addr, b.start(b.now.Add(time.Second))))
@@ -145,8 +146,8 @@
 	require.Equal(t, []string{"t"}, r.Removed)
 }
 
-// The stand-in has its guards off: it takes a second copy and an overload, and
-// its record is what shows them.
+// The stand-in prevents neither a second copy of a task nor an overload. It
+// records both, so that other tests can detect them.
 func TestStandinRecordsWhatItDoesNotPrevent(t *testing.T) {
 	b, ctx := newBench(t), context.Background()
 	a := b.client("a", 1)
