--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -282,7 +282,7 @@
 }
 
 func (l *Leader) acquireLease(ctx context.Context, a lease.Acquire) {
-	r, err := l.Workers.Take(ctx, l.address(a.Worker), a.TTL)
+	r, err := l.Workers.Acquire(ctx, l.address(a.Worker), a.TTL)
 	l.reportLease(a.Worker, err, lease.Granted{Worker: a.Worker, Reading: r})
 }
 
@@ -308,7 +308,7 @@
 		l.stepLeases(good)
 	case errors.As(err, &held):
 		l.stepTakeover(takeover.WorkerContact{Worker: name})
-		l.stepLeases(lease.Refused{Worker: name, Holder: held.Holder, Remaining: held.Left, Sent: held.Sent, Incarnation: held.Life})
+		l.stepLeases(lease.Refused{Worker: name, Holder: held.Holder, Remaining: held.Remaining, Sent: held.Sent, Incarnation: held.Incarnation})
 	default:
 		l.stepLeases(lease.Unanswered{Worker: name})
 	}
@@ -317,7 +317,7 @@
 // askIncarnation asks a worker for its incarnation. The lease state machine asks again if there is
 // no answer.
 func (l *Leader) askIncarnation(ctx context.Context, a lease.AskIncarnation) {
-	name, err := l.Workers.Life(ctx, l.address(a.Worker))
+	name, err := l.Workers.Incarnation(ctx, l.address(a.Worker))
 	if err != nil {
 		l.Log.Debug("lead: incarnation of a worker not available.", "worker", a.Worker, "err", err)
 		return
@@ -328,7 +328,7 @@
 }
 
 func (l *Leader) releaseLease(ctx context.Context, a lease.Release) {
-	if err := l.Workers.Give(ctx, l.address(a.Worker), a.Lease); err != nil {
+	if err := l.Workers.Release(ctx, l.address(a.Worker), a.Lease); err != nil {
 		l.Log.Warn("lead: lease not released.", "worker", a.Worker, "err", err)
 	}
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -31,7 +31,7 @@
 
 // A home was replaced a second ago and lost its memory. It must not report a key as fresh
 // that its previous incarnation may have seen; otherwise the request runs twice.
-func TestHomeThatJustStartedIsBlind(t *testing.T) {
+func TestRestartedHomeDoesNotConfirmKeys(t *testing.T) {
 	l := ledger.New(ledger.DefaultLimits, start)
 	require.Equal(t, ledger.Unconfirmed, open(l, time.Second, "k", 1).State)
 }
@@ -123,7 +123,7 @@
 
 // Operators change the list of entry hosts, and for a while hosts use different lists.
 // Homes of different groups may not overlap, so they do not confirm keys for each other.
-func TestHostsWithOtherSettingsDoNotVouch(t *testing.T) {
+func TestHostsWithOtherSettingsDoNotConfirm(t *testing.T) {
 	old := ledger.NewPlan(cellHosts[0], cellHosts[1:])
 	renamed := ledger.NewPlan(cellHosts[0], append([]ledger.Host{{Name: "nord-9", Domain: "nord"}}, cellHosts[2:]...))
 	g := old.Groups("k", 1, live)[0]
@@ -134,7 +134,7 @@
 
 // The answer to a request is large. Its repeat must not count the home that transfers the
 // answer as silent.
-func TestLargeAnswerComesWithTheWait(t *testing.T) {
+func TestLargeAnswerIsReturnedByAwait(t *testing.T) {
 	l := ledger.New(ledger.DefaultLimits, start)
 	open(l, time.Hour, "k", 1)
 	l.Step(start.Add(time.Hour), ledger.Close{Key: "k", Answer: ledger.Answer{Outcome: cell.Done, Body: make([]byte, 1<<20)}})
--- a/internal/relay/lost_test.go
+++ b/internal/relay/lost_test.go
@@ -46,7 +46,7 @@
 }
 
 // Guards against a request that crashes one backend server after another.
-func TestRequestThatEndsBackendServersIsGivenUp(t *testing.T) {
+func TestRequestThatCrashesServersIsGivenUp(t *testing.T) {
 	for _, minions := range []int{2, 12} {
 		b := newBenchWithBudget(t, minions)
 		b.setFaults(standin.MinionFaults{Lose: 1000})
@@ -61,7 +61,7 @@
 }
 
 // Guards against a hedged request that crashes one backend server after another.
-func TestHedgedRequestThatEndsBackendServersIsGivenUp(t *testing.T) {
+func TestHedgedRequestThatCrashesServersIsGivenUp(t *testing.T) {
 	b := newBenchWithBudget(t, 12)
 	b.setFaults(standin.MinionFaults{Lose: 1000, Slow: 1500 * time.Millisecond})
 	req := request()
@@ -75,7 +75,7 @@
 
 // Guards against giving up requests whose servers answer with failures: such requests are
 // retried.
-func TestAnsweredFailuresEndNoServer(t *testing.T) {
+func TestErrorResponsesAreRetried(t *testing.T) {
 	b := newBenchWithBudget(t, 12)
 	b.setFaults(standin.MinionFaults{Fail: 100})
 	req := request()
