--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -76,7 +76,7 @@
 // Unauthorized clients connect to a host's peer port: without TLS, with an expired
 // certificate, with one of another authority, or with one that names no known host. Each is
 // rejected and counted, and none delays the others.
-func TestOnlyKnownHostsGetIn(t *testing.T) {
+func TestOnlyKnownHostsConnect(t *testing.T) {
 	a, far := authority(t), authority(t)
 	later := time.Now().Add(time.Hour)
 	k, c := open(t, a, t.TempDir(), server, later, time.Now)
@@ -130,7 +130,7 @@
 
 // Certificates are replaced while the host runs. New connections use the new certificates
 // without a restart.
-func TestKeysAreReadAgain(t *testing.T) {
+func TestKeysAreReloaded(t *testing.T) {
 	a, b := authority(t), authority(t)
 	now := time.Now()
 	var mu sync.Mutex
@@ -160,7 +160,7 @@
 	require.Equal(t, 1, c.of("reread"))
 }
 
-func TestKeyFaultsNameTheFile(t *testing.T) {
+func TestLoadErrorNamesTheFile(t *testing.T) {
 	_, err := keys.New(keys.Files{Cert: "none.pem", Key: "none.pem", CA: "none.pem"}, nil, nil, time.Now)
 	var file *keys.FileError
 	require.ErrorAs(t, err, &file)
--- a/internal/relay/keyed_test.go
+++ b/internal/relay/keyed_test.go
@@ -230,7 +230,7 @@
 // An entry host crashes with a request in flight and restarts at once. The repeat, which
 // waits for the first try, gets the outcome unknown although the backend server still works
 // on the request and the deadline is far away.
-func TestWaitingRepeatIsToldWhenTheEntryHostIsGone(t *testing.T) {
+func TestWaitingRepeatEndsWhenTheEntryHostIsGone(t *testing.T) {
 	all, g := newNodes(t, 0)
 	defer close(g.release)
 	key := cell.NewID()
@@ -257,7 +257,7 @@
 
 // The message that a request has ended is lost on its way to the homes of the key. It is
 // sent again; otherwise the repeat would get the outcome unknown.
-func TestEndIsToldAgainWhenAHomeIsSilent(t *testing.T) {
+func TestEndIsResentWhenAHomeIsSilent(t *testing.T) {
 	all, g := newNodes(t, 0)
 	close(g.release)
 	for _, n := range all {
