--- a/internal/minion/minion.go
+++ b/internal/minion/minion.go
@@ -137,7 +137,7 @@
 }
 
 func (c *Client) read(resp *http.Response, id string) (Answer, error) {
-	if err := owned(resp, id); err != nil {
+	if err := checkRequestID(resp, id); err != nil {
 		return Answer{}, err
 	}
 	// The library reads an answer without a length until the connection ends, so
@@ -155,11 +155,11 @@
 	return Answer{Status: resp.StatusCode, Header: kept(resp.Header), Body: body}, nil
 }
 
-// owned returns an error unless the answer is for the request with this id.
+// checkRequestID returns an error unless the answer is for the request with this id.
 // The refusal of a server that is leaving carries no id. It is accepted as such
 // only if it is the last answer on its connection; otherwise a late refusal
 // could be taken for the answer to the next request.
-func owned(resp *http.Response, id string) error {
+func checkRequestID(resp *http.Response, id string) error {
 	ids := resp.Header.Values(HeaderID)
 	switch {
 	case len(ids) == 1 && ids[0] == id:
