--- a/internal/minion/minion.go
+++ b/internal/minion/minion.go
@@ -152,7 +152,7 @@
 	if int64(len(body)) > c.most {
 		return Answer{}, &LargeError{Most: c.most}
 	}
-	return Answer{Status: resp.StatusCode, Header: kept(resp.Header), Body: body}, nil
+	return Answer{Status: resp.StatusCode, Header: callerHeaders(resp.Header), Body: body}, nil
 }
 
 // checkRequestID returns an error unless the answer is for the request with this id.
@@ -173,8 +173,8 @@
 	}
 }
 
-// kept returns the headers of the answer that are passed on to the caller.
-func kept(h http.Header) map[string]string {
+// callerHeaders returns the headers of the answer that are passed on to the caller.
+func callerHeaders(h http.Header) map[string]string {
 	out := map[string]string{}
 	for _, name := range []string{"Content-Type", "Content-Encoding", "Etag", "Location", "Cache-Control"} {
 		if v := h.Get(name); v != "" {
