--- a/internal/minion/minion.go
+++ b/internal/minion/minion.go
@@ -67,7 +67,7 @@
 func (c *Client) Do(ctx context.Context, addr netip.AddrPort, r call.Request) (Answer, error) {
 	for n := 1; ; n++ {
 		var u use
-		answer, err := c.once(ctx, addr, r, &u)
+		answer, err := c.attempt(ctx, addr, r, &u)
 		if err == nil {
 			return answer, nil
 		}
@@ -84,7 +84,7 @@
 	}
 }
 
-func (c *Client) once(ctx context.Context, addr netip.AddrPort, r call.Request, u *use) (Answer, error) {
+func (c *Client) attempt(ctx context.Context, addr netip.AddrPort, r call.Request, u *use) (Answer, error) {
 	trace := httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) { u.got(info.Conn) }}
 	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, &trace), r.Method, "http://"+addr.String()+r.Path, nil)
 	if err != nil {
