--- a/internal/minion/transport.go
+++ b/internal/minion/transport.go
@@ -33,10 +33,10 @@
 	}
 }
 
-// watchedConn counts the bytes written to it. If an idle connection proves to be
+// countingConn counts the bytes written to it. If an idle connection proves to be
 // closed just as a request is assigned to it, the transport does not report
 // whether the request was sent, and its outcome would have to be unknown.
-type watchedConn struct {
+type countingConn struct {
 	net.Conn
 	closed  atomic.Bool
 	written atomic.Int64
@@ -48,12 +48,12 @@
 		if err != nil {
 			return nil, err
 		}
-		return &watchedConn{Conn: conn}, nil
+		return &countingConn{Conn: conn}, nil
 	}
 }
 
 // Write counts the bytes before it sends them, so that the count is never too low.
-func (c *watchedConn) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	if c.closed.Load() {
 		return 0, net.ErrClosed
 	}
@@ -62,7 +62,7 @@
 }
 
 // Close closes the connection; any later Write fails.
-func (c *watchedConn) Close() error {
+func (c *countingConn) Close() error {
 	c.closed.Store(true)
 	return c.Conn.Close()
 }
@@ -70,12 +70,12 @@
 // use records the connection that one request was assigned and how many bytes
 // had been written to it before.
 type use struct {
-	conn   *watchedConn
+	conn   *countingConn
 	before int64
 }
 
 func (u *use) got(conn net.Conn) {
-	if c, ok := conn.(*watchedConn); ok {
+	if c, ok := conn.(*countingConn); ok {
 		u.conn, u.before = c, c.written.Load()
 	}
 }
