--- a/internal/minion/transport.go
+++ b/internal/minion/transport.go
@@ -28,7 +28,7 @@
 		MaxIdleConnsPerHost: idleConns,
 		MaxConnsPerHost:     maxConns,
 		IdleConnTimeout:     idleWait,
-		DialContext:         watched(dial),
+		DialContext:         countingDial(dial),
 		DisableCompression:  true,
 	}
 }
@@ -42,7 +42,7 @@
 	written atomic.Int64
 }
 
-func watched(dial Dial) Dial {
+func countingDial(dial Dial) Dial {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, network, addr)
 		if err != nil {
