--- a/internal/minion/minion.go
+++ b/internal/minion/minion.go
@@ -66,7 +66,7 @@
 // that it did not, all others that it may have.
 func (c *Client) Do(ctx context.Context, addr netip.AddrPort, r call.Request) (Answer, error) {
 	for n := 1; ; n++ {
-		var u use
+		var u assignedConn
 		answer, err := c.attempt(ctx, addr, r, &u)
 		if err == nil {
 			return answer, nil
@@ -84,7 +84,7 @@
 	}
 }
 
-func (c *Client) attempt(ctx context.Context, addr netip.AddrPort, r call.Request, u *use) (Answer, error) {
+func (c *Client) attempt(ctx context.Context, addr netip.AddrPort, r call.Request, u *assignedConn) (Answer, error) {
 	trace := httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) { u.got(info.Conn) }}
 	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, &trace), r.Method, "http://"+addr.String()+r.Path, nil)
 	if err != nil {
--- a/internal/minion/transport.go
+++ b/internal/minion/transport.go
@@ -67,25 +67,25 @@
 	return c.Conn.Close()
 }
 
-// use records the connection that one request was assigned and how many bytes
+// assignedConn records the connection that one request was assigned and how many bytes
 // had been written to it before.
-type use struct {
+type assignedConn struct {
 	conn   *countingConn
 	before int64
 }
 
-func (u *use) got(conn net.Conn) {
+func (u *assignedConn) got(conn net.Conn) {
 	if c, ok := conn.(*countingConn); ok {
 		u.conn, u.before = c, c.written.Load()
 	}
 }
 
 // unsent reports whether certainly no byte of the request was sent.
-func (u *use) unsent() bool { return u.conn != nil && u.conn.written.Load() == u.before }
+func (u *assignedConn) unsent() bool { return u.conn != nil && u.conn.written.Load() == u.before }
 
 // drop closes the connection, so that no data that still arrives on it can be
 // taken for the answer to a later request.
-func (u *use) drop() {
+func (u *assignedConn) drop() {
 	if u.conn != nil {
 		_ = u.conn.Close()
 	}
