--- a/internal/minion/minion_test.go
+++ b/internal/minion/minion_test.go
@@ -26,19 +26,19 @@
 type server struct {
 	mu    sync.Mutex
 	seen  []*http.Request
-	conns []*dumb
+	conns []*discardingConn
 	// script writes the answer to the n-th request. If it returns false the
 	// server closes the connection.
 	script func(w io.Writer, r *http.Request, n int) bool
 }
 
-// dumb is a connection that discards everything written to it once silent is set.
-type dumb struct {
+// discardingConn is a connection that discards everything written to it once silent is set.
+type discardingConn struct {
 	net.Conn
 	silent atomic.Bool
 }
 
-func (d *dumb) Write(b []byte) (int, error) {
+func (d *discardingConn) Write(b []byte) (int, error) {
 	if d.silent.Load() {
 		return len(b), nil
 	}
@@ -48,7 +48,7 @@
 func (s *server) dial(context.Context, string, string) (net.Conn, error) {
 	here, there := net.Pipe()
 	go s.serve(there)
-	s.conns = append(s.conns, &dumb{Conn: here})
+	s.conns = append(s.conns, &discardingConn{Conn: here})
 	return s.conns[len(s.conns)-1], nil
 }
 
