--- a/internal/minion/minion.go
+++ b/internal/minion/minion.go
@@ -32,15 +32,15 @@
 
 // Client sends requests to backend servers. It is safe for concurrent use.
 type Client struct {
-	http *http.Client
-	most int64
+	http    *http.Client
+	maxBody int64
 	// dropped counts attempts that failed, after which their connection was closed.
 	dropped atomic.Int64
 }
 
 // New returns a client that accepts answers with bodies of up to most bytes.
 func New(rt http.RoundTripper, most int64) *Client {
-	return &Client{http: &http.Client{Transport: rt, CheckRedirect: keepRedirect}, most: most}
+	return &Client{http: &http.Client{Transport: rt, CheckRedirect: keepRedirect}, maxBody: most}
 }
 
 func keepRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
@@ -145,12 +145,12 @@
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.Body != http.NoBody {
 		return Answer{}, &UnboundedError{}
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, c.most+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, c.maxBody+1))
 	if err != nil {
 		return Answer{}, &NoAnswerError{Cause: err}
 	}
-	if int64(len(body)) > c.most {
-		return Answer{}, &LargeError{Most: c.most}
+	if int64(len(body)) > c.maxBody {
+		return Answer{}, &LargeError{Most: c.maxBody}
 	}
 	return Answer{Status: resp.StatusCode, Header: callerHeaders(resp.Header), Body: body}, nil
 }
