--- a/internal/minion/minion.go
+++ b/internal/minion/minion.go
@@ -56,10 +56,10 @@
 	Body   []byte
 }
 
-// staleTries is how often a request is attempted when each attempt finds its
+// maxAttempts is how often a request is attempted when each attempt finds its
 // idle connection closed before any byte is sent. It allows every idle
 // connection to be closed and one more attempt.
-const staleTries = idleConns + 1
+const maxAttempts = idleConns + 1
 
 // Do sends a request and waits for the complete answer. The type of the error
 // says whether the request may have run: NotSentError and LeavingError mean
@@ -74,7 +74,7 @@
 		u.drop()
 		c.dropped.Add(1)
 		switch {
-		case u.unsent() && n < staleTries && ctx.Err() == nil:
+		case u.unsent() && n < maxAttempts && ctx.Err() == nil:
 			continue
 		case u.unsent():
 			return Answer{}, &NotSentError{Cause: err}
