--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -59,7 +59,7 @@
 
 // A host releases a worker, but the message is delayed, and the host acquires
 // the worker again in the meantime. The late message must not release the new lease.
-func TestLateGiveFreesNothing(t *testing.T) {
+func TestLateReleaseFreesNothing(t *testing.T) {
 	b, ctx := newBench(t), context.Background()
 	a := b.client("a", 1)
 	first, err := a.Acquire(ctx, b.addr, 3*time.Second)
@@ -77,7 +77,7 @@
 // A start is delayed for longer than the anchor's lease. The worker must not
 // carry it out, which its record shows. The worker's clock is hours off, so the
 // deadline has to be in that clock.
-func TestLateStartIsDeadOnArrival(t *testing.T) {
+func TestLateStartIsNotCarriedOut(t *testing.T) {
 	b, ctx := newBench(t), context.Background()
 	b.worker.SetFaults(standin.WorkerFaults{Skew: -7 * time.Hour})
 	l := lease.New(lease.Limits{TTL: 3 * time.Second})
@@ -104,7 +104,7 @@
 
 // A leader dies right after a renewal. Its tasks keep running under their longer
 // leases until the next leader acquires the worker, lists the tasks and renews them.
-func TestTasksOutliveTheirLead(t *testing.T) {
+func TestTasksOutliveTheirLeader(t *testing.T) {
 	b, ctx := newBench(t), context.Background()
 	a, next := b.client("a", 1), b.client("b", 1)
 	_, err := a.Acquire(ctx, b.addr, 3*time.Second)
@@ -125,7 +125,7 @@
 // A task fails and is started again on the same worker. The request to discard
 // the first start arrives late. It must not discard the second start, whose end
 // the leader has not read yet.
-func TestForgettingNamesTheStart(t *testing.T) {
+func TestDiscardNamesTheStart(t *testing.T) {
 	b, ctx := newBench(t), context.Background()
 	a := b.client("a", 1)
 	_, err := a.Acquire(ctx, b.addr, 30*time.Second)
