--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -46,7 +46,7 @@
 	Cancel func(ctx context.Context, id string) peer.JobReply
 	// Trail returns the history of decisions on a request or job.
 	Trail func(ctx context.Context, id string) []trail.Note
-	// MaxBody is the maximum size of a request's body in bytes, Deadline the longest
+	// MaxBody is the maximum size of a request's body in bytes, MaxWait the longest
 	// time that a caller may wait.
 	MaxBody int64
 	MaxWait time.Duration
--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -5,7 +5,7 @@
 // reset. Data written to the connection is then never acknowledged, and without
 // a limit the operating system retransmits for a quarter of an hour: requests
 // hang on the old connection while those on new connections succeed. With the
-// limits set here such a connection fails in about Dead, whether it is idle or not.
+// limits set here such a connection fails in about AckTimeout, whether it is idle or not.
 package dial
 
 import (
--- a/internal/minion/minion.go
+++ b/internal/minion/minion.go
@@ -38,9 +38,9 @@
 	dropped atomic.Int64
 }
 
-// New returns a client that accepts answers with bodies of up to most bytes.
-func New(rt http.RoundTripper, most int64) *Client {
-	return &Client{http: &http.Client{Transport: rt, CheckRedirect: keepRedirect}, maxBody: most}
+// New returns a client that accepts answers with bodies of up to maxBody bytes.
+func New(rt http.RoundTripper, maxBody int64) *Client {
+	return &Client{http: &http.Client{Transport: rt, CheckRedirect: keepRedirect}, maxBody: maxBody}
 }
 
 func keepRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -225,9 +225,9 @@
 	write(w, http.StatusOK, line)
 }
 
-// answerUnlessAccepted reports whether an edit was accepted. If it was not, answerUnlessAccepted writes the
-// answer: with the current row or quota if another edit came first, and with the
-// id under which to ask for the edit's state if the result is not known yet.
+// answerUnlessAccepted reports whether an edit was accepted. If it was not, it
+// writes the answer: with the current row or quota if another edit came first, and
+// with the id under which to ask for the edit's state if the result is not known yet.
 func answerUnlessAccepted(w http.ResponseWriter, id string, j table.Verdict, err error, now func() any) bool {
 	var unsure *UnsureError
 	switch {
