--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,5 +1,5 @@
-// Package member decides which entry hosts are taken for alive. The answer is
-// a hint for who tries what; no promise rests on it.
+// Package member decides which entry hosts count as alive. The result is only a hint for
+// choosing whom to contact; no guarantee depends on it.
 package member
 
 import (
@@ -8,26 +8,26 @@
 	"time"
 )
 
-// SilenceTimeout is how long a peer may be silent before it counts as gone. Peers
-// that beat slowly may be silent for silentBeats of their own periods.
+// SilenceTimeout is how long a peer may be silent before it counts as gone. A peer with a long
+// heartbeat period may miss silentPeriods of its own periods instead.
 const SilenceTimeout = 1500 * time.Millisecond
 
 const silentPeriods = 3
 
-// pauseThreshold is how long this host's own ticks may be apart. After a longer
-// pause the heartbeats of that time wait unread in the sockets: judged by its
-// clock alone, this host would take all peers for dead and their work with it.
+// pauseThreshold is the longest normal gap between two steps of this host. After a longer gap
+// this host was paused, and the heartbeats of that time are still unread in the sockets. Without
+// this rule it would count all peers as dead by its own clock and take over their work.
 const pauseThreshold = time.Second
 
 type peerState struct {
 	Heartbeat
-	// firstHeard is when this incarnation was firstHeard heard.
+	// firstHeard is when this incarnation of the peer was first heard.
 	firstHeard time.Time
-	// sendFailed tells that a message could not be sent since the last heartbeat.
+	// sendFailed reports whether a message to the peer failed since its last heartbeat.
 	sendFailed bool
 }
 
-// Members is the membership core of one host.
+// Members is the membership state machine of one host.
 type Members struct {
 	self         Heartbeat
 	peers        map[string]peerState
@@ -38,12 +38,12 @@
 	pauseCount   int
 }
 
-// New returns the core of the host that self describes.
+// New returns the state machine of the host that self describes.
 func New(self Heartbeat) *Members {
 	return &Members{self: self, peers: map[string]peerState{}, leavingSince: map[string]time.Time{}, live: []string{self.Name}}
 }
 
-// Step takes one event and returns a Changed if the live set changed.
+// Step applies one event and returns a LiveChanged if the set of live hosts changed.
 func (m *Members) Step(now time.Time, ev Event) []Action {
 	m.compensatePause(now)
 	switch ev := ev.(type) {
@@ -60,7 +60,8 @@
 	return m.updateLive(now)
 }
 
-// compensatePause gives the peers back the time in which this host itself was paused.
+// compensatePause extends the deadlines of all peers by the time in which this host itself was
+// paused.
 func (m *Members) compensatePause(now time.Time) {
 	gap := now.Sub(m.lastStep)
 	if !m.lastStep.IsZero() && gap > pauseThreshold {
@@ -73,9 +74,9 @@
 	m.lastStep = now
 }
 
-// recordHeartbeat keeps the newest incarnation: a message that a dead predecessor left in
-// the network would otherwise bring the predecessor back to life. An older heartbeat of the
-// same incarnation may tell that it did not recordHeartbeat this host yet.
+// recordHeartbeat keeps only the newest incarnation of a peer: a delayed message from a dead
+// incarnation would otherwise bring it back to life. An older heartbeat of the same incarnation
+// is ignored too, because it may say that the peer does not hear this host yet.
 func (m *Members) recordHeartbeat(now time.Time, b Heartbeat) {
 	old, ok := m.peers[b.Name]
 	if ok && (old.Incarnation > b.Incarnation || old.Incarnation == b.Incarnation && old.Seq > b.Seq) {
@@ -96,8 +97,8 @@
 	}
 }
 
-// recordLeaving notes since when the platform shows hosts as leaving. Its recordLeaving lags: a
-// host that came back under the same name is known by a newer incarnation.
+// recordLeaving remembers since when the platform lists each host as leaving. The list lags: a
+// host that was restarted under the same name is recognised by its newer incarnation.
 func (m *Members) recordLeaving(now time.Time, leaving []string) {
 	for name := range m.leavingSince {
 		if !slices.Contains(leaving, name) {
@@ -131,8 +132,8 @@
 	return []Action{LiveChanged{Live: slices.Clone(live)}}
 }
 
-// isListedLeaving tells whether the platform shows the host as leaving and this
-// incarnation was there before it did.
+// isListedLeaving reports whether the platform lists the host as leaving and this incarnation
+// was first heard before it did.
 func (m *Members) isListedLeaving(p peerState) bool {
 	since, ok := m.leavingSince[p.Name]
 	return ok && !p.firstHeard.After(since)
@@ -142,21 +143,21 @@
 	return max(SilenceTimeout, silentPeriods*p.Period.Duration)
 }
 
-// HearsFrom tells whether a peer's heartbeats arrive here. It goes into each
-// heartbeat to that peer: only the peer's answer can tell a host that its own
-// heartbeats are lost on a link that works the other way.
+// HearsFrom reports whether a peer's heartbeats arrive at this host. Each heartbeat to that peer
+// carries the result: only a reply from the peer can show a host that its own heartbeats are
+// lost while the other direction works.
 func (m *Members) HearsFrom(now time.Time, name string) bool {
 	p, ok := m.peers[name]
 	return ok && now.Sub(p.ReceivedAt) <= p.silenceTimeout()
 }
 
-// OneWayCount returns how many peers are heard and do not hear this host.
+// OneWayCount returns how many peers this host hears that do not hear this host.
 func (m *Members) OneWayCount() int { return m.oneWayCount }
 
 // PauseCount returns how often this host found that it had been paused.
 func (m *Members) PauseCount() int { return m.pauseCount }
 
-// Live lists the names of live hosts in order, this one included.
+// Live lists the names of all live hosts in order, including this one.
 func (m *Members) Live() []string { return slices.Clone(m.live) }
 
 // LiveIn lists the live hosts of one failure domain in order of name.
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -12,22 +12,22 @@
 
 var now = time.Unix(1_700_000_000, 0)
 
-// A host goes silent. Its peers must take over what it did; until they notice,
-// new work that they send there is lost time.
+// A host becomes silent. Its peers must take over its work soon: until they notice, every
+// request that they send to it is wasted time.
 func TestSilentPeerIsGone(t *testing.T) {
 	m := member.New(member.Heartbeat{Name: "a", Domain: "d"})
 	acts := m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Domain: "d", Ack: true}})
 	require.Equal(t, []member.Action{member.LiveChanged{Live: []string{"a", "b"}}}, acts)
 	require.Equal(t, []string{"a", "b"}, m.LiveIn("d"))
-	// Ticks far apart would look like a pause of this host itself.
+	// Two ticks that are far apart would look like a pause of this host itself.
 	require.Empty(t, m.Step(now.Add(member.SilenceTimeout/2), member.Tick{}))
 	require.Empty(t, m.Step(now.Add(member.SilenceTimeout), member.Tick{}))
 	acts = m.Step(now.Add(member.SilenceTimeout+1), member.Tick{})
 	require.Equal(t, []member.Action{member.LiveChanged{Live: []string{"a"}}}, acts)
 }
 
-// A host was replaced, and a heartbeat that its predecessor sent arrives late.
-// It must not replace what is known of the successor.
+// A host was restarted, and a heartbeat of its previous incarnation arrives late. It must not
+// overwrite the state of the new incarnation.
 func TestOldIncarnationIsIgnored(t *testing.T) {
 	m := member.New(member.Heartbeat{Name: "a", Domain: "d"})
 	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Incarnation: 2, FreeSlots: 5}})
@@ -35,8 +35,8 @@
 	require.Equal(t, 5, m.Heartbeats()[0].FreeSlots)
 }
 
-// Guards against two hosts that lead one rack: a heartbeat from before the peer heard this host
-// overtakes the next one, and this host takes the peer for gone.
+// Guards against two hosts that lead the same rack. A heartbeat that the peer sent before it
+// heard this host arrives after a newer one, and this host counts the peer as gone.
 func TestOvertakenHeartbeatIsIgnored(t *testing.T) {
 	m := member.New(member.Heartbeat{Name: "a"})
 	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Seq: 2, Ack: true}})
@@ -57,9 +57,9 @@
 	require.Empty(t, second)
 }
 
-// A link works one way only: this host hears a peer that does not hear it. Each
-// would go on with its own view, and work sent to the peer would be lost. The
-// peer's heartbeats say that it hears nothing, so both take the link for dead.
+// A link works in one direction only: this host hears a peer that does not hear it. Each would
+// act on its own view, and work sent to the peer would be lost. The peer's heartbeats say that
+// it hears nothing, so both hosts treat the link as down.
 func TestOneWayLinkIsDeadForBoth(t *testing.T) {
 	m := member.New(member.Heartbeat{Name: "a"})
 	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b"}})
@@ -71,8 +71,8 @@
 	require.Equal(t, []string{"a", "b"}, m.Live())
 }
 
-// This host is paused for a minute. Its peers beat all the time, but nothing of
-// that is read yet; it must not take over everything that they lead.
+// This host is paused for a minute. Its peers send heartbeats all the time, but this host has
+// not read any of them yet. It must not take over everything that they lead.
 func TestOwnPauseIsNotThePeersSilence(t *testing.T) {
 	m := member.New(member.Heartbeat{Name: "a"})
 	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Ack: true}})
@@ -82,11 +82,10 @@
 	for i := range 20 {
 		m.Step(later.Add(time.Duration(i)*100*time.Millisecond), member.Tick{})
 	}
-	require.Equal(t, []string{"a"}, m.Live(), "b is silent while this host runs")
+	require.Equal(t, []string{"a"}, m.Live(), "b is silent while this host is running")
 }
 
-// A peer's process dies: sending to it fails at once, long before it has been
-// silent for long enough.
+// A peer's process dies. Sending to it fails at once, long before the silence timeout.
 func TestFailedSendMarksAPeerAsGoneUntilItIsHeard(t *testing.T) {
 	m := member.New(member.Heartbeat{Name: "a"})
 	beat := member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Ack: true}}
@@ -97,8 +96,8 @@
 	require.Equal(t, []string{"a", "b"}, m.Live())
 }
 
-// The platform's list still shows a host as leaving that was replaced long ago
-// under the same name. What the peers hear of the new one counts.
+// The platform's list still shows a host as leaving that was restarted long ago under the same
+// name. The heartbeats of the new incarnation take precedence.
 func TestLaggingListDoesNotHideARestartedHost(t *testing.T) {
 	m := member.New(member.Heartbeat{Name: "a"})
 	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Incarnation: 1, Ack: true}})
@@ -110,8 +109,8 @@
 	require.Equal(t, []string{"a", "b"}, m.Live())
 }
 
-// A host of a large cell beats slowly to those far away. They must not take it
-// for dead between two heartbeats.
+// A host of a large cell has a long heartbeat period towards distant peers. They must not count
+// it as dead between two heartbeats.
 func TestLongHeartbeatPeriodExtendsTheTimeout(t *testing.T) {
 	m := member.New(member.Heartbeat{Name: "a"})
 	far := member.FarPeriod(45)
--- a/internal/member/messages.go
+++ b/internal/member/messages.go
@@ -6,23 +6,23 @@
 	"pollencroft/internal/cell"
 )
 
-// Event is what the membership core is told.
+// Event is an input of the membership state machine.
 type Event interface{ event() }
 
-// HeartbeatReceived is a heartbeat that arrived from a peer.
+// HeartbeatReceived reports a heartbeat from a peer.
 type HeartbeatReceived struct{ Beat Heartbeat }
 
-// Tick lets time pass.
+// Tick reports that time has passed.
 type Tick struct{}
 
-// SendFailed tells that a message to a peer could not be sent: its process is gone
-// or the way to it. The next heartbeat from it says otherwise.
+// SendFailed reports that a message to a peer could not be sent: its process or the network path
+// to it is down. The peer counts as gone until its next heartbeat.
 type SendFailed struct{ Name string }
 
-// LeavingListed tells which hosts the platform's list shows as leaving.
+// LeavingListed holds the hosts that the platform's list shows as leaving.
 type LeavingListed struct{ Leaving []string }
 
-// LeaveReceived tells that a peer said farewell in a planned stop.
+// LeaveReceived reports that a peer announced its planned stop.
 type LeaveReceived struct{ Name string }
 
 func (HeartbeatReceived) event() {}
@@ -31,19 +31,20 @@
 func (SendFailed) event()        {}
 func (LeavingListed) event()     {}
 
-// Action is what the membership core asks its edge to do.
+// Action is an output of the membership state machine for its caller to carry out.
 type Action interface{ action() }
 
-// LiveChanged tells that the set of live hosts is another one now.
+// LiveChanged reports the new set of live hosts.
 type LiveChanged struct{ Live []string }
 
 func (LiveChanged) action() {}
 
-// Heartbeat is one heartbeat: who sends it, since when it runs, what load it
-// carries, which table offset it waits for and the mark of its table there. Ack
-// tells the receiver that its own heartbeats arrive at the sender. Seq numbers an
-// incarnation's heartbeats, which may overtake each other. Domain does not travel:
-// each host knows its peers' from its settings.
+// Heartbeat is what a host sends to its peers at regular intervals. Incarnation is the sender's
+// start time, FreeSlots and Queued its load, Next the table offset that it waits for and Digest
+// that of its table at that offset. Ack tells the receiver that its own heartbeats arrive at the
+// sender. Seq numbers the heartbeats of an incarnation, since they may overtake each other.
+// Domain and ReceivedAt are not sent: each host knows the failure domains of its peers from its
+// settings.
 type Heartbeat struct {
 	Name        string        `json:"name"`
 	Domain      string        `json:"-"`
--- a/internal/member/period.go
+++ b/internal/member/period.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Periods of heartbeats. In the own failure domain hosts stand in for each
-// other within a second or two; across domains a late hint only costs a try.
+// Heartbeat periods. Hosts of one failure domain must be able to replace each other within a
+// second or two. Across failure domains an outdated hint only costs one failed attempt.
 const (
 	nearMinPeriod     = 400 * time.Millisecond
 	nearPeriodPerPeer = 200 * time.Millisecond
@@ -11,10 +11,10 @@
 	farPeriodPerPeer  = 500 * time.Millisecond
 )
 
-// NearPeriod returns how often a host beats to each of n peers in its own domain. The
-// period grows with n, so that a host sends at most five of them a second.
+// NearPeriod returns the heartbeat period towards each of n peers in the same failure domain. It
+// grows with n, so that a host sends at most five of these heartbeats a second.
 func NearPeriod(n int) time.Duration { return max(nearMinPeriod, time.Duration(n)*nearPeriodPerPeer) }
 
-// FarPeriod returns how often a host beats to each of n peers in other domains, at
-// most two of them a second.
+// FarPeriod returns the heartbeat period towards each of n peers in other failure domains, so
+// that a host sends at most two of these heartbeats a second.
 func FarPeriod(n int) time.Duration { return max(farMinPeriod, time.Duration(n)*farPeriodPerPeer) }
--- a/internal/member/rank.go
+++ b/internal/member/rank.go
@@ -7,9 +7,8 @@
 	"github.com/dgryski/go-rendezvous"
 )
 
-// Rank returns the host among names that rendezvous hashing gives a key to,
-// and the one that follows when the first is gone; the second is empty when
-// there is only one name.
+// Rank returns the name that rendezvous hashing assigns to a key, and the name that follows it
+// if the first is removed. The second is empty if there is only one name.
 func Rank(key string, names []string) (first, second string) {
 	if len(names) == 0 {
 		return "", ""
@@ -18,8 +17,8 @@
 	if len(names) == 1 {
 		return first, ""
 	}
-	// The library's Remove breaks its own index when the last name but one
-	// goes, so the second is looked up among the rest.
+	// The library's Remove corrupts its index when it removes the last name but one, so the
+	// second name is looked up among the remaining names.
 	rest := slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == first })
 	return first, lookup(key, rest)
 }
--- a/internal/member/share.go
+++ b/internal/member/share.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// AssignEvenly gives each key to one of names, by rendezvous hashing with an even
-// load: no name gets more than its part, rounded up. Plain hashing of a few
-// racks may give all of them to one host, whose death would then stop every
-// start in its failure domain until the leases lapse.
+// AssignEvenly assigns each key to one of names by rendezvous hashing, with at most an equal
+// part of the keys, rounded up, for each name. Plain hashing of a few racks could assign all of
+// them to one host, and its death would stop all starts in its failure domain until the leases
+// expire.
 func AssignEvenly(keys, names []string) map[string]string {
 	if len(names) == 0 {
 		return map[string]string{}
--- a/internal/member/share_test.go
+++ b/internal/member/share_test.go
@@ -8,8 +8,8 @@
 	"pollencroft/internal/member"
 )
 
-// A failure domain has two racks and three hosts. If one host led both racks,
-// its death would hold up every urgent job of the domain until the leases lapse.
+// A failure domain has two racks and three hosts. If one host led both racks, its death would
+// delay every urgent job of the domain until the leases expire.
 func TestFewRacksAreNotAllLedByOneHost(t *testing.T) {
 	names := []string{"x", "y", "z"}
 	for _, racks := range [][]string{{"a", "b"}, {"c", "d"}, {"e", "f"}, {"g", "h"}} {
