--- a/internal/host/admit.go
+++ b/internal/host/admit.go
@@ -18,18 +18,18 @@
 	"pollencroft/internal/settings"
 )
 
-// Costs of what a host holds for a caller, in bytes.
+// Memory costs of a caller's request, in bytes, and the time limit for reading its body.
 const (
-	// requestCost is what a request takes besides its body.
+	// requestCost is the memory that a request takes besides its body.
 	requestCost = 16 << 10
-	// bodyCopies is how often a body lies in memory: as read, and as sent on.
+	// bodyCopies is how many copies of a body are in memory: as received and as forwarded.
 	bodyCopies = 2
-	// bodyReadTimeout bounds the reading of a body. A caller that sends one byte now
-	// and then would hold its room for good.
+	// bodyReadTimeout limits the reading of a body. A caller that sends a byte now and then
+	// would otherwise hold its part of the budget for good.
 	bodyReadTimeout = 10 * time.Second
 )
 
-// budget bounds the bytes that callers' requests hold in this host.
+// budget limits the memory that callers' requests take in this host.
 type budget struct {
 	limit    int64
 	mu       sync.Mutex
@@ -37,11 +37,12 @@
 	requests atomic.Int64
 }
 
-// classFraction is how much of the budget a class may fill. The rest is kept back for
-// more urgent work: a flood of bulk bodies must not lock a scan out.
+// classFraction is the fraction of the budget that requests up to a class may fill. The rest is
+// reserved for more urgent work: a flood of bulk bodies must not block a scan.
 var classFraction = map[cell.Class]float64{cell.Urgent: 1, cell.Normal: 0.75, cell.Bulk: 0.5}
 
-// reserve reserves bytes for a request of a class; false means that it is shed.
+// reserve reserves n bytes for a request of a class. It returns false if the request must be
+// shed.
 func (b *budget) reserve(class cell.Class, n int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -60,12 +61,12 @@
 	b.requests.Add(-1)
 }
 
-// InFlight returns how many callers' requests this host holds.
+// InFlight returns how many callers' requests this host is processing.
 func (h *Host) InFlight() int64 { return h.budget.requests.Load() }
 
-// admit takes a caller's request in, or sheds it before its body is read: it
-// has not run anywhere. Without a bound a burst of large bodies ends the whole
-// process, and with it all that was in flight.
+// admit accepts a caller's request, or sheds it before its body is read, so that it has not run
+// anywhere. Without this limit a burst of large bodies would exhaust the memory of the process,
+// and all work in flight would be lost.
 func (h *Host) admit(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		size := r.ContentLength
@@ -84,8 +85,8 @@
 	})
 }
 
-// classOf is the class of the row that a path names; jobs and the rest, whose
-// bodies are small, count as normal.
+// classOf returns the class of the row that the path names. Jobs and all other requests have
+// small bodies and count as normal.
 func (h *Host) classOf(r *http.Request) cell.Class {
 	rest, ok := strings.CutPrefix(r.URL.Path, "/do/")
 	if !ok {
@@ -106,7 +107,7 @@
 	RetryAfter float64      `json:"again"`
 }
 
-// shedRetryAfter is when a caller that was shed may come back.
+// shedRetryAfter is when the caller of a request that was shed may try again.
 const shedRetryAfter = time.Second
 
 func (h *Host) shed(w http.ResponseWriter, class cell.Class) {
@@ -114,7 +115,7 @@
 	w.Header().Set(caller.HeaderOutcome, string(cell.Refused))
 	w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(shedRetryAfter.Seconds()))))
 	w.Header().Set("Content-Type", "application/json")
-	// The body is not read: the connection cannot carry another request.
+	// The body has not been read, so the connection cannot carry another request.
 	w.Header().Set("Connection", "close")
 	w.WriteHeader(http.StatusServiceUnavailable)
 	_ = json.NewEncoder(w).Encode(shedBody{
@@ -123,8 +124,8 @@
 	})
 }
 
-// boundedListener closes connections above a bound at once, so that a client
-// tries another host; waiting in the backlog would look like a silent host.
+// boundedListener closes connections above a limit at once, so that the client tries another
+// host. If they waited in the backlog, the host would look silent.
 type boundedListener struct {
 	net.Listener
 	maxConns int64
@@ -146,7 +147,7 @@
 	return or
 }
 
-// Accept returns the next connection that there is room for.
+// Accept returns the next connection within the limit.
 func (l *boundedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -168,10 +169,10 @@
 	once sync.Once
 }
 
-// NetConn returns the connection inside, as tls.Conn does.
+// NetConn returns the wrapped connection, as tls.Conn does.
 func (c *boundedConn) NetConn() net.Conn { return c.Conn }
 
-// Close closes the connection and frees its place.
+// Close closes the connection and makes room for another.
 func (c *boundedConn) Close() error {
 	c.once.Do(func() { c.open.Add(-1) })
 	return c.Conn.Close()
--- a/internal/host/beat.go
+++ b/internal/host/beat.go
@@ -13,12 +13,11 @@
 	"pollencroft/internal/peer"
 )
 
-// sendTimeout bounds the sending of one heartbeat.
+// sendTimeout limits the sending of a message that needs no reply, such as a heartbeat.
 const sendTimeout = 250 * time.Millisecond
 
-// startHeartbeats beats to the peers of the own failure domain and, less often, to all
-// others. Sends are spread over the period, so that no burst of dials and
-// messages comes at once.
+// startHeartbeats sends heartbeats to the peers of the same failure domain and, less often, to
+// all others. The sends are spread over the period, to avoid a burst of dials and messages.
 func (h *Host) startHeartbeats() {
 	near, far := h.peersByDomain()
 	for _, name := range near {
@@ -39,8 +38,9 @@
 	return near, far
 }
 
-// linkIdleTimeout is how long a link to a peer may be idle. Near links share two probes a
-// second among them; far ones, whose loss only costs a try, one.
+// linkIdleTimeout is how long the link to a peer may be idle before it is probed. Links within
+// the failure domain share two probes a second. All others, whose loss only costs a failed
+// attempt, share one.
 func (h *Host) linkIdleTimeout(name string) time.Duration {
 	near, far := h.peersByDomain()
 	if slices.Contains(near, name) {
@@ -58,7 +58,7 @@
 	}
 }
 
-// sendHeartbeat tells one peer that this host lives and what load it carries.
+// sendHeartbeat tells a peer that this host is alive and reports its load.
 func (h *Host) sendHeartbeat(name string, period time.Duration) {
 	free, waiting := h.relay.Load()
 	now := h.clock()
@@ -77,8 +77,7 @@
 	}
 }
 
-// handleHeartbeat takes a peer's heartbeat. Hosts that the settings do not name are not
-// known and not counted.
+// handleHeartbeat processes a peer's heartbeat. Hosts that the settings don't name are refused.
 func (h *Host) handleHeartbeat(b member.Heartbeat) (any, error) {
 	for _, p := range h.cfg.Peers {
 		if p.Name == b.Name {
@@ -93,9 +92,9 @@
 	return nil, &peer.RefusedError{Name: h.cfg.Name, Reason: "host " + b.Name + " is not in the settings"}
 }
 
-// answerHeartbeat answers a peer that does not hear this host yet at once. Two hosts that
-// have just started would otherwise need two periods to know each other, and
-// hand each other's jobs over only then.
+// answerHeartbeat replies at once to a peer that does not hear this host yet. Otherwise two
+// hosts that have just started would need two heartbeat periods to see each other, and could
+// hand jobs over to each other only then.
 func (h *Host) answerHeartbeat(b member.Heartbeat) {
 	if b.Ack || h.ctx.Err() != nil {
 		return
@@ -108,8 +107,8 @@
 	h.wg.Go(func() { h.sendHeartbeat(b.Name, period) })
 }
 
-// announceLeaving tells all peers at once that this host leaves; those that cannot be
-// reached must not hold up the stop one after the other.
+// announceLeaving tells all peers in parallel that this host is leaving, so that unreachable
+// peers do not delay the stop one after the other.
 func (h *Host) announceLeaving() {
 	var all sync.WaitGroup
 	for _, p := range h.cfg.Peers {
--- a/internal/host/cell.go
+++ b/internal/host/cell.go
@@ -30,11 +30,11 @@
 	return h.members.LiveIn(h.cfg.Domain), h.members.Heartbeats()
 }
 
-// updateShares works out which slots and which workers are this host's.
+// updateShares recomputes which slots and which workers this host may use.
 func (h *Host) updateShares() {
 	h.shareMu.Lock()
 	defer h.shareMu.Unlock()
-	// After a pause the share core must see the time before it is asked.
+	// After a pause, the share state machine must see the current time before it is queried.
 	h.shareStepLocked(share.Tick{})
 	h.applyShares()
 }
@@ -71,8 +71,8 @@
 	h.leader.SetLedMachines(workers)
 }
 
-// oneHeldWorker is one of the workers that a leaving host still holds. As long as it does, nobody else
-// can complete a census for the jobs that it is handing over.
+// oneHeldWorker returns one of the workers that a leaving host still holds. While this host
+// holds a worker, no other host can complete an inventory for the jobs that it is handing over.
 func (h *Host) oneHeldWorker(known []lead.Machine) []lead.Machine {
 	held := h.leader.Held()
 	i := slices.IndexFunc(known, func(m lead.Machine) bool { return slices.Contains(held, m.Name) })
--- a/internal/host/copy.go
+++ b/internal/host/copy.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// copyTimeout bounds the questions for peers' tables, copyBeside is when the next peer is asked
-	// as well: those that had read furthest may be cut off by now.
+	// copyTimeout limits the requests for peers' tables. After each copyAskInterval the next
+	// peer is asked as well, because the peers that had read furthest may be unreachable by now.
 	copyTimeout     = 2 * time.Second
 	copyAskInterval = 150 * time.Millisecond
-	// settleInterval is how often it is checked what this failure domain settles.
+	// settleInterval is how often this host checks which quota shares of its failure domain are
+	// settled.
 	settleInterval = time.Second
-	// settleSilence is how long a host must be silent before a quota's move no
-	// longer waits for it. By then the leases it took under the old share have
-	// lapsed, and it takes no other before it has read the log.
+	// settleSilence is how long a host must be silent before a quota move no longer waits for
+	// it. By then the leases that it took under the old share have expired, and it takes no
+	// others before it has read the log.
 	settleSilence = 2 * time.Minute
 )
 
-// handlePeer answers peers. What a peer waits for counts as work in flight: a
-// planned stop that cut it would turn the answer of a caller at another host
-// into "unknown".
+// handlePeer answers messages from peers. A message whose answer a peer waits for counts as work
+// in flight: if a planned stop cut it, a caller at another host would get "unknown".
 func (h *Host) handlePeer(ctx context.Context, m peer.Message) (any, error) {
 	if h.isImpersonation(ctx, claimedSender(m)) {
 		return nil, &peer.RefusedError{Name: h.cfg.Name, Reason: "name is not the certificate's"}
@@ -53,8 +53,8 @@
 	return h.handleMessage(ctx, m)
 }
 
-// claimedSender is the host that a message says it comes from, empty for messages
-// that act for nobody.
+// claimedSender returns the host that a message claims to come from. It is empty for messages
+// that do not act on behalf of a host.
 func claimedSender(m peer.Message) string {
 	switch m := m.(type) {
 	case peer.Beat:
@@ -74,8 +74,9 @@
 	}
 }
 
-// isImpersonation tells whether a peer speaks for another host than its certificate names.
-// It could otherwise have a live host taken for gone, or its slots for free.
+// isImpersonation reports whether a message claims to come from another host than the peer's
+// certificate names. Otherwise the peer could make a live host count as gone, or its slots as
+// free.
 func (h *Host) isImpersonation(ctx context.Context, name string) bool {
 	sender, known := peer.Sender(ctx)
 	if !known || name == "" || sender == name {
@@ -95,21 +96,21 @@
 	return peer.TableReply{Parts: parts}, err
 }
 
-// compareTables tells when a peer has folded other records up to the same offset.
-// That cannot come about unless the log showed two hosts unlike records;
-// nobody else would notice that they work by different limits.
+// compareTables reports when a peer's table differs from this host's at the same offset. That
+// can only happen if the log returned different records to two hosts, and nothing else would
+// detect that they work with different limits.
 func (h *Host) compareTables(b member.Heartbeat) {
 	h.mu.Lock()
 	differs := b.Next == h.table.NextOffset() && b.Digest != uint32(h.table.Fingerprint())
 	h.mu.Unlock()
 	if differs {
 		h.countTable("differs")
-		h.log.Error("table: peer differs at the same offset.", "peer", b.Name, "next", b.Next)
+		h.log.Error("table: the peer's table differs at the same offset.", "peer", b.Name, "next", b.Next)
 	}
 }
 
-// startTableCopy has the table of a peer that is further on taken, unless that is under way. The log
-// may be down for hours, trimmed or out of date meanwhile.
+// startTableCopy starts copying the table of a peer that has read further, unless a copy is
+// already in progress. The log may be down for hours, trimmed or out of date meanwhile.
 func (h *Host) startTableCopy() {
 	if !h.copying.CompareAndSwap(false, true) {
 		return
@@ -120,9 +121,9 @@
 	})
 }
 
-// copyTable asks the peers that are further on, each a while after the one before and none
-// waited for before the next is asked, and takes the first table that it gets. One that gets
-// further on meanwhile is asked as well.
+// copyTable asks the peers that have read further, one more after each copyAskInterval without
+// waiting for the answers before, and uses the first table that it gets. Peers that get ahead
+// meanwhile are asked too.
 func (h *Host) copyTable() {
 	ctx, cancel := context.WithTimeout(h.ctx, copyTimeout)
 	defer cancel()
@@ -156,22 +157,23 @@
 	}
 }
 
-// requestCopy asks one peer; nothing comes of one that is not further on or does not answer.
+// requestCopy asks one peer for its table. The reply is empty if the peer has not read further
+// or does not answer.
 func (h *Host) requestCopy(ctx context.Context, name string, from int64) peer.TableReply {
 	var r peer.TableReply
 	if err := h.peers.Ask(ctx, name, peer.AskTable{From: from}, &r); err != nil && ctx.Err() == nil {
-		h.log.Warn("table: peer's copy cannot be had.", "peer", name, "err", err)
+		h.log.Warn("table: cannot get a copy from the peer.", "peer", name, "err", err)
 	}
 	return r
 }
 
-// applyCopy tells whether a peer's table was further on.
+// applyCopy loads a peer's table and reports whether it was further ahead.
 func (h *Host) applyCopy(r peer.TableReply, from int64) bool {
 	if len(r.Parts) == 0 {
 		return false
 	}
 	if err := h.foldTable(table.PeerCopy{Parts: r.Parts}); err != nil {
-		h.log.Warn("table: peer's copy is not taken.", "err", err)
+		h.log.Warn("table: cannot apply the peer's copy.", "err", err)
 	}
 	if h.nextOffset() <= from {
 		return false
@@ -181,8 +183,8 @@
 	return true
 }
 
-// nextPeerAhead is the peer to ask next for what comes from an offset on: one that is heard of before
-// one that is not, the one that is furthest on before the others; empty if there is none.
+// nextPeerAhead returns the peer to ask next for the records after an offset: live peers before
+// silent ones, and among these the one that has read furthest. It is empty if there is none.
 func (h *Host) nextPeerAhead(from int64, asked map[string]bool) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -202,8 +204,8 @@
 	}).Name
 }
 
-// settleQuotas tells the log which smaller shares of quotas this failure domain works
-// by. All its hosts must have read the edit: each takes part in using the share.
+// settleQuotas writes to the log which reduced quota shares this failure domain complies with.
+// All its hosts must have read the edit first, because each of them uses a part of the share.
 func (h *Host) settleQuotas() {
 	h.mu.Lock()
 	due := h.table.UnconfirmedShares(h.cfg.Domain)
@@ -222,13 +224,13 @@
 			continue
 		}
 		if err := h.appendTable(body); err != nil {
-			h.log.Warn("table: settled share is not written.", "team", s.Team, "err", err)
+			h.log.Warn("table: cannot write the settled share.", "team", s.Team, "err", err)
 		}
 	}
 }
 
-// domainReadOffset is the lowest offset that a host of this failure domain waits
-// for. One that was never heard counts with zero until it is silent long enough.
+// domainReadOffset returns the lowest offset that a host of this failure domain waits for. A
+// host that was never heard counts as zero until it has been silent for settleSilence.
 func (h *Host) domainReadOffset() int64 {
 	now := h.clock()
 	lowest := h.table.NextOffset()
--- a/internal/host/edit.go
+++ b/internal/host/edit.go
@@ -11,13 +11,13 @@
 	"pollencroft/internal/table"
 )
 
-// Times of an operator's edit.
+// Time limits for an operator's edit.
 const (
 	verdictTimeout = 5 * time.Second
 	appendTimeout  = 2 * time.Second
 )
 
-// operatorTable gives operators the table of this host.
+// operatorTable gives operators access to this host's table.
 type operatorTable struct{ h *Host }
 
 // Lines lists the rows in force.
@@ -34,21 +34,21 @@
 	return b.h.table.Teams()
 }
 
-// Past lists the newest edits with their verdicts.
+// Past lists the latest edits with their verdicts.
 func (b operatorTable) Past() []table.HistoryEntry {
 	b.h.mu.Lock()
 	defer b.h.mu.Unlock()
 	return b.h.table.History()
 }
 
-// Verdict returns what became of an edit, false if it was not seen here.
+// Verdict returns the verdict on an edit, or false if this host has not read the edit.
 func (b operatorTable) Verdict(id string) (table.Verdict, bool) {
 	b.h.mu.Lock()
 	defer b.h.mu.Unlock()
 	return b.h.table.Verdict(id)
 }
 
-// Preview tells what would make an edit void whatever its base.
+// Preview returns the reason why an edit would be void regardless of its base version.
 func (b operatorTable) Preview(e table.Edit) error {
 	b.h.mu.Lock()
 	defer b.h.mu.Unlock()
@@ -65,7 +65,7 @@
 	return b.h.publish(ctx, e.ID, body)
 }
 
-// EditQuota writes a quota's edit and waits for its verdict.
+// EditQuota writes an edit of a quota and waits for its verdict.
 func (b operatorTable) EditQuota(ctx context.Context, e table.QuotaEdit) (table.Verdict, error) {
 	e.When = b.h.clock().UnixMilli()
 	body, err := table.Encode(e)
@@ -75,7 +75,7 @@
 	return b.h.publish(ctx, e.ID, body)
 }
 
-// Settle writes that a failure domain has settled, on an operator's word.
+// Settle writes that a failure domain has settled, as stated by an operator.
 func (b operatorTable) Settle(ctx context.Context, s table.ShareConfirmation) error {
 	body, err := table.Encode(s)
 	if err != nil {
@@ -85,9 +85,8 @@
 	return err
 }
 
-// publish appends a record and waits until this host has read it back. Its
-// answer may be lost after the write: what counts is the record's own verdict,
-// never the log's answer.
+// publish appends a record and waits until this host has read it back. The log's answer may be
+// lost after the write, so the verdict on the record decides, never the log's answer.
 func (h *Host) publish(ctx context.Context, id string, body []byte) (table.Verdict, error) {
 	actx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
--- a/internal/host/ended.go
+++ b/internal/host/ended.go
@@ -8,11 +8,12 @@
 	"pollencroft/internal/peer"
 )
 
-// endedJobTimeout bounds the question to a lead about a job whose end is in the log.
+// endedJobTimeout limits how long the leader of a job is waited for if the log already contains
+// the job's end.
 const endedJobTimeout = 400 * time.Millisecond
 
-// jobStatus asks the lead, which knows most of a job. If the log has the job's end, that is told
-// when the lead does not answer soon.
+// jobStatus asks the job's leader, which knows most about the job. If the leader does not answer
+// in time and the log contains the job's end, the answer comes from the log.
 func (h *Host) jobStatus(ctx context.Context, id string) peer.JobReply {
 	if !h.endLogged(id) {
 		return h.askLeader(ctx, id, peer.AskJob{ID: id})
@@ -26,7 +27,7 @@
 	return reply
 }
 
-// loggedEnd tells a job's end from the log.
+// loggedEnd returns a job's final state from the log.
 func (h *Host) loggedEnd(id string) (peer.JobReply, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/host/explain.go
+++ b/internal/host/explain.go
@@ -11,9 +11,8 @@
 	"pollencroft/internal/trail"
 )
 
-// explain returns what was decided about a request or job. What was decided
-// about a job lies with its lead, so that is asked; what this host did itself
-// goes before.
+// explain returns the history of a request or job. The history of a job is kept by its leader,
+// so the leader is asked; without its answer this host's own notes about the job are returned.
 func (h *Host) explain(ctx context.Context, id string) []trail.Note {
 	if _, err := cell.ParseHome(id); err != nil {
 		return h.history.ByID(id)
@@ -26,8 +25,8 @@
 	return append(h.leader.Explain(id), told)
 }
 
-// localHistory answers for jobs that are led here only. A host that has inherited
-// a job and waits for its census has a record too, of next to nothing.
+// localHistory returns the history of a job that this host leads. A host that has inherited a
+// job and waits for its inventory has an almost empty history, so it refuses.
 func (h *Host) localHistory(id string) peer.JobReply {
 	if !h.leader.Leads(id) {
 		return peer.RefuseJob(http.StatusNotFound, "job "+id+" is not led here")
@@ -35,7 +34,7 @@
 	return peer.JobReply{Notes: h.leader.Explain(id)}
 }
 
-// rowShares are what a row and its team may use in this failure domain.
+// rowShares returns what a row and its team may use in this failure domain.
 func (h *Host) rowShares(row table.Row) (own, team table.Share) {
 	open := table.Share{Capacity: cell.Size{CPU: table.NoLimit, Mem: table.NoLimit, Accel: table.NoLimit}, Tasks: table.NoLimit}
 	h.mu.Lock()
--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -14,33 +14,33 @@
 	"pollencroft/internal/trail"
 )
 
-// handoverTimeout bounds one hand-over.
+// handoverTimeout limits one handover.
 const handoverTimeout = time.Second
 
-// outgoingJob is a job on its way to another lead. It is not led here meanwhile:
-// the other may have it already.
+// outgoingJob is a job that is being handed over to another leader. This host does not lead it
+// meanwhile, since the other host may have it already.
 type outgoingJob struct {
 	snapshot job.Snapshot
 	target   string
-	// epoch is the one in which the job was led here.
+	// epoch is the leader's epoch in which this host led the job.
 	epoch int64
-	// unconfirmed tells that it was sent and has no answer.
+	// unconfirmed reports whether the job was sent and no answer came.
 	unconfirmed bool
 }
 
-// handOverJobs gives jobs whose rack has another live lead to that host, with all
-// that is known of them, so that it need not wait for any lease.
+// handOverJobs sends jobs whose rack has a new live leader to that host, with all their state,
+// so that it need not wait for any lease.
 func (h *Host) handOverJobs() {
 	h.collectOutgoing()
 	h.sendOutgoing()
 }
 
-// collectOutgoing stops leading the jobs that another live host should lead. It comes
-// before the workers are given up: a host that loses its last worker has to
-// take it that others took it for dead, and knows nothing of its jobs any more.
+// collectOutgoing stops leading the jobs that another live host should lead. It must run before
+// the workers are released: a host that loses its last worker has to assume that others took it
+// for dead, and discards what it knows about its jobs.
 //
-// One collects at a time: a planned stop that found the jobs already taken off
-// the lead, but not yet noted as handed, would end the host under them.
+// Only one call runs at a time. Otherwise a planned stop could find the jobs already removed
+// from the leader but not yet recorded as outgoing, and end the host without handing them over.
 func (h *Host) collectOutgoing() {
 	h.jobs.collectMu.Lock()
 	defer h.jobs.collectMu.Unlock()
@@ -55,7 +55,7 @@
 	}
 }
 
-// stopLeading stops leading some jobs and notes where they go.
+// stopLeading stops leading some jobs and records them as outgoing.
 func (h *Host) stopLeading(to string, ids []string) {
 	h.jobs.transferMu.Lock()
 	defer h.jobs.transferMu.Unlock()
@@ -67,10 +67,9 @@
 	}
 }
 
-// nextLeader is the host that a job goes to. A host that stops before it has heard
-// of any peer, as right after its start, offers its jobs to one that the settings
-// name: with it would go all that is known of them, and they would have to wait
-// for a census.
+// nextLeader returns the host that a job should go to. A host that stops before it has heard
+// from any peer, for instance right after its start, offers its jobs to a peer that the settings
+// name. Otherwise their state would be lost, and they would have to wait for an inventory.
 func (h *Host) nextLeader(id string) string {
 	name := h.leaderOf(id)
 	if h.Ready() || name != "" && name != h.cfg.Name {
@@ -81,8 +80,8 @@
 	return first
 }
 
-// sendOutgoing offers jobs to their next leads. One sends at a time: of two hand-overs from one
-// host to another only the later counts.
+// sendOutgoing offers jobs to their next leaders. Only one call runs at a time: of two handovers
+// from one host to another only the later one counts.
 func (h *Host) sendOutgoing() {
 	h.jobs.sendMu.Lock()
 	defer h.jobs.sendMu.Unlock()
@@ -101,22 +100,23 @@
 	}
 }
 
-// dropStaleOutgoing forgets jobs that were handed over before this host lost all its workers. Another
-// may have completed a census for them since.
+// dropStaleOutgoing forgets outgoing jobs from before this host lost all its workers. Another
+// host may have completed an inventory for them since.
 func (h *Host) dropStaleOutgoing() {
 	epoch := h.leader.Epoch()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for id, one := range h.jobs.outgoing {
 		if one.epoch != epoch {
-			h.log.Warn("host: job waits for a census.", "id", id, "epoch", epoch, "handed", one.epoch)
+			h.log.Warn("host: job waits for an inventory.", "id", id, "epoch", epoch, "handed", one.epoch)
 			delete(h.jobs.outgoing, id)
 		}
 	}
 }
 
-// sendOutgoingTo sends jobs to their next lead until it confirms. With its answer lost it may lead them
-// already, so they stay put and are sent again: it passes over what it has.
+// sendOutgoingTo sends jobs to their next leader until it confirms them. If its answer is lost
+// it may lead them already, so they remain outgoing and are sent again; the receiver ignores
+// jobs that it has.
 func (h *Host) sendOutgoingTo(name string, all []*outgoingJob) {
 	err := h.transferJobs(name, all)
 	var refused *peer.RefusedError
@@ -126,17 +126,17 @@
 	case err == nil:
 		h.removeOutgoing(all)
 	case errors.As(err, new(*lead.StaleHandoverError)):
-		h.log.Info("host: hand-over was overtaken, it is sent again.", "to", name, "jobs", len(all))
+		h.log.Info("host: a newer handover replaced this one, sending it again.", "to", name, "jobs", len(all))
 	case rejected && h.Ready(), !h.isLive(name):
 		h.log.Warn("host: jobs not handed over.", "to", name, "jobs", len(all), "err", err)
 		h.abortHandover(all)
 	default:
-		// The next lead may hold no worker before this host has given up its own.
-		h.log.Info("host: jobs wait for their next lead.", "to", name, "jobs", len(all), "err", err)
+		// The next leader may not hold a worker before this host has released its own.
+		h.log.Info("host: jobs wait for their next leader.", "to", name, "jobs", len(all), "err", err)
 	}
 }
 
-// transferJobs hands jobs over to a peer that has just said that it expects them.
+// transferJobs hands jobs over to a peer after the peer has confirmed that it expects them.
 func (h *Host) transferJobs(name string, all []*outgoingJob) error {
 	ctx, cancel := context.WithTimeout(h.ctx, handoverTimeout)
 	defer cancel()
@@ -162,9 +162,9 @@
 	return err
 }
 
-// abortHandover ends the hand-over of jobs whose next lead does not take them. This host leads them
-// again, or offers them to another when it leaves; those that the next lead may have taken all
-// the same need a census.
+// abortHandover ends the handover of jobs that the next leader does not accept. This host leads
+// them again, or offers them to another host if it is leaving. Jobs that the next leader may
+// have accepted nevertheless need an inventory.
 func (h *Host) abortHandover(all []*outgoingJob) {
 	h.jobs.transferMu.Lock()
 	defer h.jobs.transferMu.Unlock()
@@ -172,10 +172,10 @@
 		id := one.snapshot.Spec.ID
 		switch {
 		case one.unconfirmed:
-			h.log.Warn("host: job waits for a census.", "id", id, "to", one.target)
+			h.log.Warn("host: job waits for an inventory.", "id", id, "to", one.target)
 		case h.Ready():
 			if err := h.leader.TakeBack([]job.Snapshot{one.snapshot}, one.epoch); err != nil {
-				h.log.Warn("host: job waits for a census.", "id", id, "err", err)
+				h.log.Warn("host: job waits for an inventory.", "id", id, "err", err)
 			}
 		default:
 			one.target = h.nextLeader(id)
@@ -185,8 +185,8 @@
 	}
 }
 
-// finalHandover offers what a leaving host still has to the hosts that hold its
-// workers by now. What nobody takes in time needs a census.
+// finalHandover offers the remaining jobs of a leaving host to the hosts that hold its workers
+// by now. Jobs that no host accepts in time need an inventory.
 func (h *Host) finalHandover(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, 2*handoverTimeout)
 	defer cancel()
@@ -202,8 +202,8 @@
 	return len(h.jobs.outgoing)
 }
 
-// Notes that go along with jobs that are handed over: a few a job, and not so
-// many in all that looking them up holds up the hand-over.
+// Limits on the notes that are sent along with jobs: a few for each job, and few enough in total
+// that reading them does not delay the handover.
 const (
 	notesPerJob      = 8
 	maxHandoverNotes = 400
@@ -223,7 +223,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, one := range all {
-		// The job may have come back meanwhile and be on its way again.
+		// The job may have come back meanwhile and be outgoing again.
 		if id := one.snapshot.Spec.ID; h.jobs.outgoing[id] == one {
 			delete(h.jobs.outgoing, id)
 		}
@@ -239,7 +239,7 @@
 	return false
 }
 
-// adoptJobs takes jobs that a live lead hands over.
+// adoptJobs accepts jobs that a live leader hands over.
 func (h *Host) adoptJobs(m peer.Handover) (peer.HandoverReply, error) {
 	h.mu.Lock()
 	for _, c := range m.Jobs {
@@ -252,7 +252,7 @@
 	h.mu.Unlock()
 	err := h.leader.Adopt(m.From, m.Token, m.Jobs)
 	if errors.As(err, new(*lead.StaleHandoverError)) {
-		h.log.Warn("host: hand-over is out of date.", "from", m.From, "jobs", len(m.Jobs))
+		h.log.Warn("host: handover is out of date.", "from", m.From, "jobs", len(m.Jobs))
 		return peer.HandoverReply{Stale: true}, nil
 	}
 	if err != nil {
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -1,5 +1,5 @@
-// Package host is one entry host: it wires the cores to their edges, serves
-// callers, operators and peers, and stops without cutting anything.
+// Package host implements one entry host. It connects the state machines to the network, serves
+// callers, operators and peers, and stops without interrupting work in flight.
 package host
 
 import (
@@ -38,7 +38,7 @@
 	"pollencroft/internal/worker"
 )
 
-// How often a host does its regular work.
+// Interval of the periodic work, and the size of the history of decisions.
 const (
 	tickInterval    = 20 * time.Millisecond
 	maxHistoryNotes = 20_000
@@ -68,20 +68,22 @@
 	heartbeatSeq int64
 	table        *table.Table
 	tableChanged chan struct{}
-	// told… is what repeatShares has told last.
+	// lastAnnouncement, announcedLeaving and announcedLive are what announceShares last
+	// announced, at announcedAt.
 	lastAnnouncement share.Announcement
 	announcedLeaving []string
 	announcedLive    []string
 	announcedAt      time.Time
-	// copying tells that peers are asked for their table.
+	// copying reports whether peers are being asked for their table.
 	copying  atomic.Bool
 	machines []platform.HostEntry
 	shares   *share.Shares
-	// shareMu is held from a decision on slots until the queue knows it. An
-	// older decision would else overtake a newer one and bring back slots
-	// that another host has been told are free.
+	// shareMu is held from a decision on slots until the queue has applied it. Otherwise an
+	// older decision could overtake a newer one and restore slots that another host has been
+	// told are free.
 	shareMu sync.Mutex
-	// listTag is for followList alone; relist and listTold have it read sooner.
+	// listTag is used by followList only. listChanged and listNotified make it read the list
+	// sooner.
 	listTag      string
 	listChanged  chan struct{}
 	listNotified atomic.Bool
@@ -100,7 +102,7 @@
 
 var lifecycle = chart.MustLoad("host")
 
-// New returns a host that serves nothing yet.
+// New returns a host that does not serve anything yet.
 func New(cfg settings.Settings, log *slog.Logger, clock func() time.Time) *Host {
 	ctx, cancel := context.WithCancel(context.Background())
 	now := clock()
@@ -169,7 +171,7 @@
 	return ls, nil
 }
 
-// Start serves on the listeners and begins the host's regular work.
+// Start serves on the listeners and starts the host's periodic work.
 func (h *Host) Start(ls Listeners) {
 	h.serve(h.limitConns(ls.Caller), h.callerRoutes())
 	h.serve(h.operatorListener(h.limitConns(ls.Operator)), h.operatorRoutes())
@@ -211,7 +213,7 @@
 	h.tickShares()
 }
 
-// transition steps the host's life cycle; it tells whether the step was allowed.
+// transition applies an event to the host's life cycle and reports whether it was allowed.
 func (h *Host) transition(ev chart.Event) bool {
 	for {
 		old := h.state.Load().(chart.State)
@@ -225,7 +227,7 @@
 	}
 }
 
-// Ready tells whether this host takes new work.
+// Ready reports whether this host accepts new work.
 func (h *Host) Ready() bool { return h.ctx.Err() == nil && h.state.Load().(chart.State) == "ready" }
 
 // Kill ends the host at once, as a crash would.
@@ -241,5 +243,5 @@
 	h.wg.Wait()
 }
 
-// Stopped is closed when the host has ended.
+// Stopped returns a channel that is closed when the host has ended.
 func (h *Host) Stopped() <-chan struct{} { return h.stopped }
--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -22,21 +22,21 @@
 	"pollencroft/internal/table"
 )
 
-// jobAskTimeout bounds one question about a job to a peer.
+// jobAskTimeout limits one request about a job to a peer.
 const jobAskTimeout = 3 * time.Second
 
-// While no lead of the domain holds a worker, as after a death, a job is offered
-// again for so long before it is refused.
+// While no leader of the failure domain holds a worker, for instance after a host died, a job is
+// submitted again for submitRetryFor before it is refused.
 const (
 	submitRetryFor   = time.Second
 	submitRetryPause = 50 * time.Millisecond
 )
 
-// jobKeyNamespace makes the ids of jobs that carry their caller's key.
+// jobKeyNamespace is the UUID namespace for the ids of jobs that carry a caller's key.
 var jobKeyNamespace = uuid.MustParse("6d4f0b52-7c1e-4a55-9b07-2f6f5a0a7c11")
 
-// submit gives a job a home rack and hands it to the host that leads it. A
-// lead that certainly did not take it is passed over for that of another rack.
+// submit assigns a job to a home rack and sends it to the host that leads the rack. If that host
+// certainly did not accept the job, the leader of another rack is tried.
 func (h *Host) submit(ctx context.Context, j caller.Job) peer.JobReply {
 	row, _ := h.Row(j.Row)
 	racks := h.racks(h.cfg.Domain)
@@ -66,10 +66,10 @@
 	return reply
 }
 
-// limitKey is what the tasks of a row are counted by: the row, if it has limits, or its team, if
-// that has a quota; empty for neither. Urgent rows go where a lead is: a limit that holds back
-// urgent work while a lead is being replaced does more harm than one that is exceeded for that
-// time.
+// limitKey returns the key by which the tasks of a row are counted: its team if that has a
+// quota, or else the row if it has limits, or else nothing. Urgent rows are not counted and may
+// go to any leader: while a leader is being replaced, a limit that delays urgent work does more
+// harm than one that is exceeded.
 func (h *Host) limitKey(row table.Row) string {
 	if row.Urgency() == cell.Urgent {
 		return ""
@@ -87,8 +87,8 @@
 	}
 }
 
-// limitRack is the rack where all jobs of a limited row, or of a team with a
-// quota, are at home, so that one lead counts them; empty for any.
+// limitRack returns the home rack of all jobs of a limited row or of a team with a quota, so
+// that one leader counts them all. It is empty if the jobs may go to any rack.
 func (h *Host) limitRack(row table.Row) string {
 	key := h.limitKey(row)
 	if key == "" {
@@ -98,8 +98,8 @@
 	return rack
 }
 
-// arbiterWorkers are the workers of the rack where a key is counted. The holder of the first that
-// lives may start the key's tasks.
+// arbiterWorkers lists the workers of the rack where a key is counted. The host that holds the
+// first live one of them may start the key's tasks.
 func (h *Host) arbiterWorkers(key string) []string {
 	rack, _ := member.Rank(key, h.racks(h.cfg.Domain))
 	h.mu.Lock()
@@ -114,8 +114,8 @@
 	return names
 }
 
-// isKnownDomain tells whether the settings name a failure domain. A question after a
-// job of any other would be told to come back for ever.
+// isKnownDomain reports whether the settings name a failure domain. Callers that ask about a job
+// of any other domain would otherwise be told to retry for ever.
 func (h *Host) isKnownDomain(domain string) bool {
 	in := func(p settings.Peer) bool { return p.Domain == domain }
 	return domain == h.cfg.Domain || slices.ContainsFunc(h.cfg.Peers, in)
@@ -125,8 +125,8 @@
 	return r.Code == http.StatusServiceUnavailable && r.Outcome == cell.Refused
 }
 
-// jobID is the same for every try of a job with a key, so that the repeat of a
-// submission whose answer was lost finds the job instead of running it twice.
+// jobID returns the same id for every attempt to submit a job with a key. If the answer to a
+// submission is lost, its repetition then finds the job instead of running it twice.
 func (h *Host) jobID(j caller.Job, racks []string, n int) string {
 	home := cell.Home{Domain: h.cfg.Domain, Rack: racks[n%len(racks)]}
 	if j.Key == "" {
@@ -154,8 +154,8 @@
 	return h.askLeader(ctx, id, peer.CancelJob{ID: id})
 }
 
-// askLeader answers here when this host leads the job's rack, else asks the host
-// that does. The id says where the job is at home, so nobody is asked first.
+// askLeader answers locally if this host leads the job's rack, and otherwise asks the host that
+// does. The id contains the job's home rack, so no lookup is needed.
 func (h *Host) askLeader(ctx context.Context, id string, m peer.Message) peer.JobReply {
 	home, err := cell.ParseHome(id)
 	if err != nil {
@@ -172,7 +172,7 @@
 	if _, isSubmit := m.(peer.Submit); isSubmit || reply.Code != http.StatusNotFound && !isUnavailable(reply) {
 		return reply
 	}
-	// The rack may have changed its lead since the job was taken.
+	// The leader of the rack may have changed since the job was accepted.
 	h.mu.Lock()
 	live := h.members.LiveIn(home.Domain)
 	h.mu.Unlock()
@@ -223,7 +223,8 @@
 	}
 }
 
-// localStatus answers a question about a job from its lead's core, else from the log.
+// localStatus answers a request about a job from the leader's state or, if that does not know
+// the job, from the log.
 func (h *Host) localStatus(id string, ask func() (job.Status, error)) peer.JobReply {
 	s, err := ask()
 	var unknown *job.UnknownError
@@ -241,10 +242,10 @@
 	return jobReply(s, err)
 }
 
-// hideUnstoredEnd holds back a final state that only this host knows: if it died now,
-// the next lead would run a job whose caller was told that it did not run. That
-// it did not run is said when the log says so for every successor, any other
-// end when a second host knows it too.
+// hideUnstoredEnd replaces a final state that only this host knows: if this host died now, the
+// next leader would run a job whose caller was told that it did not run. "Not run" is reported
+// once it is in the log, where every later leader finds it, and any other end once a second host
+// knows it as well.
 func (h *Host) hideUnstoredEnd(r peer.JobReply) peer.JobReply {
 	id := r.Status.ID
 	state, ended := h.leader.EndState(id)
@@ -260,7 +261,7 @@
 	return r
 }
 
-// awaitStoredEnd waits a little for the end of a cancelled job to be kept.
+// awaitStoredEnd waits a short time until the end of a cancelled job is stored.
 func (h *Host) awaitStoredEnd(ctx context.Context, r peer.JobReply) peer.JobReply {
 	ctx, cancel := context.WithTimeout(ctx, keepTimeout)
 	defer cancel()
@@ -292,9 +293,9 @@
 	}
 }
 
-// acceptJob keeps a job where a second host can find it before it is run. While
-// it does so, peers are told that this host leads the job: else one of them
-// could inherit it from the log and run it beside this host.
+// acceptJob stores a job where a second host can find it before the job runs. Meanwhile peers
+// are told that this host leads the job; otherwise one of them could inherit it from the log and
+// run it at the same time.
 func (h *Host) acceptJob(ctx context.Context, spec job.Spec) peer.JobReply {
 	if reply, known := h.repeatedSubmission(spec); known {
 		return reply
@@ -318,19 +319,19 @@
 	return peer.JobReply{Status: h.startJob(spec, epoch), Kept: kept}
 }
 
-// startJob begins a kept job. One with a key may have been accepted by another host
-// before, which an earlier try of its caller reached, so it is inherited.
+// startJob starts leading a stored job. A job with a key may have been accepted by another host
+// earlier, if a previous attempt of its caller reached that host, so it is inherited.
 func (h *Host) startJob(spec job.Spec, epoch int64) job.Status {
 	if spec.Key != "" {
 		h.leader.Inherit([]job.Spec{spec})
 	} else if s, err := h.leader.Submit(spec, epoch); err == nil {
 		return s
 	}
-	// The job is kept, so whoever leads its rack by now runs it.
+	// The job is stored, so the host that now leads its rack runs it.
 	return job.Status{ID: spec.ID, Row: spec.Row, State: "waiting"}
 }
 
-// repeatedSubmission answers the repeat of a submission with a key.
+// repeatedSubmission answers the repetition of a submission with a key.
 func (h *Host) repeatedSubmission(spec job.Spec) (peer.JobReply, bool) {
 	if spec.Key == "" {
 		return peer.JobReply{}, false
@@ -408,7 +409,7 @@
 	}
 }
 
-// stopInBackground begins a planned stop without holding up its caller.
+// stopInBackground starts a planned stop without blocking its caller.
 func (h *Host) stopInBackground() {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), h.cfg.Limits.DrainTimeout)
--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -15,44 +15,45 @@
 	"pollencroft/internal/platform"
 )
 
-// Times of the log of jobs.
+// Settings of the job log.
 const (
-	// batchWindow is how long records are gathered for one append.
+	// batchWindow is how long records are collected for one append.
 	batchWindow = 10 * time.Millisecond
-	// maxBatch bounds the records of one append.
+	// maxBatch limits the number of records in one append.
 	maxBatch    = 200
 	keepTimeout = time.Second
-	// renewFraction is the oldest part of the log in which an open job's record is
-	// written again, before the log trims it.
+	// renewFraction is the divisor that gives the oldest part of the log. The record of an open
+	// job in this part is written again before the log trims it.
 	renewFraction = 4
 )
 
-// pendingRecord is one record that waits for its append.
+// pendingRecord is a record that waits for its append.
 type pendingRecord struct {
 	rec  joblog.Record
 	done chan error
 }
 
-// jobStore holds what this host's jobs need to outlive it.
+// jobStore holds the records of jobs that must survive this host, and the state of the jobs that
+// are changing their leader.
 type jobStore struct {
 	log         *joblog.Log
 	queue       chan pendingRecord
 	appendSlots *semaphore.Weighted
-	// accepting are jobs that this host is about to lead.
+	// accepting contains the jobs that this host is about to lead.
 	accepting map[string]bool
-	// transferMu is held while jobs go from the lead to handing or back. Whoever looks in both
-	// without it may find a job in neither, and take it for one that nobody leads.
+	// transferMu is held while jobs move between the leader and outgoing. Without it, a reader
+	// of both could find a job in neither, and conclude that nobody leads it.
 	transferMu sync.RWMutex
 	collectMu  sync.Mutex
-	// wasReady is what repair last saw of this host's readiness.
+	// wasReady is the readiness of this host at the last call of repairJobs.
 	wasReady bool
-	// outgoing are jobs on their way to another lead, by id.
+	// outgoing contains the jobs that are being handed over to another leader, by id.
 	outgoing map[string]*outgoingJob
-	// sendMu is held while jobs are offered to their next leads.
+	// sendMu is held while jobs are offered to their next leaders.
 	sendMu sync.Mutex
-	// unwritten are records that the log could not take yet, by id.
+	// unwritten contains the records that are still to be written to the log, by id.
 	unwritten map[string]joblog.Record
-	// writtenEnds are jobs of this host whose end is in the log, sharedEnds those whose
+	// writtenEnds contains the jobs of this host whose end is in the log, sharedEnds those whose
 	// end a second host remembers.
 	writtenEnds, sharedEnds map[string]bool
 }
@@ -64,7 +65,7 @@
 	}
 }
 
-// appendJobs gathers records and appends several at once until the host ends.
+// appendJobs appends records to the log in batches until the host ends.
 func (h *Host) appendJobs() {
 	for {
 		select {
@@ -115,8 +116,8 @@
 	}
 }
 
-// writeRecord appends one record. The error is a platform.NotWrittenError if nothing
-// was written, else the record may be in the log.
+// writeRecord appends one record. If the error is a platform.NotWrittenError, nothing was
+// written; after any other error the record may be in the log.
 func (h *Host) writeRecord(ctx context.Context, rec joblog.Record) error {
 	p := pendingRecord{rec: rec, done: make(chan error, 1)}
 	select {
@@ -132,9 +133,9 @@
 	}
 }
 
-// keepJob writes a job to the log; while the log is away a peer remembers it, and
-// it is written when the log returns. An error that is not a
-// platform.NotWrittenError tells that the job may be kept.
+// keepJob writes a job to the log. While the log is unavailable, a peer remembers the job
+// instead, and it is written when the log is available again. After an error other than a
+// platform.NotWrittenError the job may be stored.
 func (h *Host) keepJob(ctx context.Context, spec job.Spec) (string, error) {
 	rec := joblog.Record{ID: spec.ID, Spec: &spec}
 	err := h.writeRecord(ctx, rec)
@@ -148,15 +149,17 @@
 		h.addUnwritten(rec)
 		return "peers", nil
 	case silent != nil:
-		// That peer may write the job to the log later: told as not run, it would run.
+		// That peer may write the job to the log later. A job reported as not run would then
+		// run.
 		return "", &platform.UnsureError{Cause: silent}
 	default:
 		return "", err
 	}
 }
 
-// askPeerToKeep asks live peers of the domain in turn to remember a record. If none said that it
-// does, silent is of one that may all the same: its answer did not come.
+// askPeerToKeep asks live peers of the failure domain in turn to remember a record. If no peer
+// confirms it, silent is the error of a peer whose answer did not arrive and that may remember
+// it.
 func (h *Host) askPeerToKeep(ctx context.Context, rec joblog.Record) (kept bool, silent *peer.NoAnswerError) {
 	for _, name := range h.domainPeers() {
 		pctx, cancel := context.WithTimeout(ctx, keepTimeout)
@@ -165,7 +168,7 @@
 		if err == nil {
 			return true, nil
 		}
-		h.log.Warn("host: peer was not told of a job.", "peer", name, "id", rec.ID, "err", err)
+		h.log.Warn("host: peer did not confirm a job record.", "peer", name, "id", rec.ID, "err", err)
 		errors.As(err, &silent)
 	}
 	return false, silent
@@ -188,7 +191,7 @@
 	h.jobs.log.Remember(rec)
 }
 
-// addUnwritten notes a record that has to be written when the log returns.
+// addUnwritten remembers a record that must be written when the log is available again.
 func (h *Host) addUnwritten(rec joblog.Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -196,8 +199,8 @@
 	h.jobs.unwritten[rec.ID] = rec.Merge(h.jobs.unwritten[rec.ID])
 }
 
-// writeUnwritten writes what the log could not take. Records that were written
-// already are harmless: the fold is idempotent.
+// writeUnwritten writes the outstanding records. Writing a record twice does no harm, because
+// applying it is idempotent.
 func (h *Host) writeUnwritten() {
 	h.mu.Lock()
 	owed := make([]joblog.Record, 0, maxBatch)
@@ -214,7 +217,7 @@
 	ctx, cancel := context.WithTimeout(h.ctx, keepTimeout)
 	defer cancel()
 	if _, err := h.platform.Append(ctx, joblog.Stream, body); err != nil {
-		h.log.Warn("host: job records wait for the log.", "records", len(owed), "err", err)
+		h.log.Warn("host: cannot write job records to the log yet.", "records", len(owed), "err", err)
 		return
 	}
 	for _, rec := range owed {
@@ -222,7 +225,7 @@
 	}
 }
 
-// recordWritten notes that a record is in the log.
+// recordWritten marks a record as written to the log.
 func (h *Host) recordWritten(rec joblog.Record) {
 	h.mu.Lock()
 	if rec.Covers(h.jobs.unwritten[rec.ID]) {
@@ -238,8 +241,8 @@
 	h.ackCrashes(rec)
 }
 
-// storeEnd keeps the end of a job. Workers may forget its tasks when it is in the
-// log; until then their lists tell a successor that they ran.
+// storeEnd stores the end of a job. Workers may forget the job's tasks once the end is in the
+// log. Until then their task lists show the next leader that the tasks ran.
 func (h *Host) storeEnd(end job.Ended, ran bool) {
 	h.storeRecord(joblog.Record{ID: end.ID, State: end.State, Ran: ran, Reason: end.Reason}, func() {
 		h.mu.Lock()
@@ -248,8 +251,8 @@
 	})
 }
 
-// storeRecord writes a record without waiting for it. If the log does not take it but a peer remembers
-// it, shared is called.
+// storeRecord writes a record in the background. If the log does not accept it but a peer
+// remembers it, shared is called.
 func (h *Host) storeRecord(rec joblog.Record, shared func()) {
 	h.addUnwritten(rec)
 	h.wg.Go(func() {
@@ -265,7 +268,7 @@
 	})
 }
 
-// endLogged tells whether a job's end is in the log.
+// endLogged reports whether a job's end is in the log.
 func (h *Host) endLogged(id string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -274,7 +277,7 @@
 	return h.jobs.writtenEnds[id] || ended && !owed && h.jobs.log.Written(id)
 }
 
-// followJobs folds the log of jobs until the host ends.
+// followJobs reads the job log until the host ends.
 func (h *Host) followJobs() {
 	wait := time.Duration(0)
 	for h.ctx.Err() == nil {
@@ -301,7 +304,8 @@
 	}
 }
 
-// jobLogWait makes the log answer at once while a census waits for it.
+// jobLogWait returns the wait for the next read of the job log, which is short while an
+// inventory depends on it.
 func (h *Host) jobLogWait() time.Duration {
 	if len(h.leader.AwaitingInventory()) > 0 {
 		return readRetryPause
@@ -320,8 +324,9 @@
 		}
 	}
 	h.mu.Unlock()
-	// A log that answers later than an append is waited for has stored it all the same. Written
-	// again and again, it was owed for ever, and callers were told "unknown" of what did not run.
+	// An append that the log answers too late has been stored nevertheless. If it were not
+	// recognised here, its record would be written again and again and remain unwritten for
+	// ever, and callers would get "unknown" for jobs that did not run.
 	for _, rec := range stored {
 		h.recordWritten(rec)
 	}
@@ -344,7 +349,7 @@
 	}
 }
 
-// dropWrittenEnds forgets marks of ended jobs that the folded log tells as well.
+// dropWrittenEnds drops entries on ended jobs that the copy of the log contains as well.
 func (k *jobStore) dropWrittenEnds() {
 	for _, marks := range []map[string]bool{k.writtenEnds, k.sharedEnds} {
 		for id := range marks {
@@ -357,7 +362,7 @@
 	}
 }
 
-// leaderOf is the live host that leads a job's rack, as this host sees it.
+// leaderOf returns the live host that leads a job's rack according to this host's view.
 func (h *Host) leaderOf(id string) string {
 	home, err := cell.ParseHome(id)
 	if err != nil {
@@ -371,7 +376,8 @@
 		return h.rackLeader(home)
 	}
 	if rack := h.limitRack(row); rack != "" {
-		// Its row got a limit after the job: only the lead of that rack may start it.
+		// The row got a limit after the job was accepted: only the leader of that rack may start
+		// the job.
 		home.Rack = rack
 	}
 	return h.rackLeader(home)
--- a/internal/host/list.go
+++ b/internal/host/list.go
@@ -10,16 +10,16 @@
 	"pollencroft/internal/share"
 )
 
-// How often the host list is read. One host of each failure domain reads it
-// often and tells the others when it has changed; they read it seldom, for when
-// that host is gone or cannot reach them. A leaving backend server is so seen
-// within listReaderInterval, and within SilentAfter more when the reader has just died.
+// Intervals between reads of the host list. One host of each failure domain reads it often and
+// notifies the others of changes. The others read it rarely, in case that host is gone or cannot
+// reach them. So a leaving backend server is noticed within listReaderInterval, or up to
+// member.SilenceTimeout later if the reader has just died.
 const (
 	listReaderInterval = time.Second
 	listOtherInterval  = 10 * time.Second
 )
 
-// isListReader tells whether this host is the one that reads the list often.
+// isListReader reports whether this host is the one that reads the list often.
 func (h *Host) isListReader() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -43,8 +43,7 @@
 	}
 }
 
-// requestRefresh has the list read at once; more than one word of it waiting is
-// the same word.
+// requestRefresh makes followList read the list at once. Several pending requests count as one.
 func (h *Host) requestRefresh() {
 	select {
 	case h.listChanged <- struct{}{}:
@@ -57,7 +56,7 @@
 	defer cancel()
 	all, tag, err := h.platform.Hosts(ctx, h.listTag)
 	if err != nil {
-		h.log.Warn("platform: host list cannot be read.", "err", err)
+		h.log.Warn("platform: cannot read the host list.", "err", err)
 		return
 	}
 	if tag == h.listTag && tag != "" {
@@ -82,8 +81,9 @@
 	}
 }
 
-// shareListedHosts tells the slots' core which entry hosts the platform lists now,
-// changed or not: a share is given up by what is listed, not by what changed.
+// shareListedHosts passes the listed entry hosts to the share state machine, whether or not the
+// list has changed: a share is released because of what the list contains, not because of a
+// change.
 func (h *Host) shareListedHosts() {
 	h.mu.Lock()
 	names := entryHosts(h.machines, h.cfg.Domain)
--- a/internal/host/read.go
+++ b/internal/host/read.go
@@ -9,11 +9,12 @@
 )
 
 const (
-	// overdueAfter is how much later than asked for an answer of the log may come before the
-	// read is made again, readAgain how often that is done.
+	// overdueAfter is how long the log's answer may be overdue before the read is repeated. The
+	// read is repeated every rereadInterval.
 	overdueAfter   = 500 * time.Millisecond
 	rereadInterval = time.Second
-	// maxAnswerDelay bounds the first of these reads: a log that is slow for hours is still read.
+	// maxAnswerDelay limits the first of these reads, so that a log that is slow for hours can
+	// still be read.
 	maxAnswerDelay = 30 * time.Second
 )
 
@@ -22,12 +23,13 @@
 	err  error
 }
 
-// readPage reads one readPage of the table's log; only followTable may call it.
+// readPage reads one page of the table's log. Only followTable may call it.
 //
-// What is sent while the log is silent is never answered. Waited for to its end, and for longer
-// after each such read, it kept edits that everyone was told of out of force for as long as the
-// silence had been. So a read without an answer is made again, while the first is waited for in
-// case the log is only slow, and peers are asked for what they have read.
+// A request that is sent while the log is silent is never answered. When such a request was
+// waited for until its time limit, which grew after each one, accepted edits came into force
+// only after as much time again as the silence had lasted. So a read without an answer is
+// repeated while the first one is still waited for, in case the log is only slow, and peers are
+// asked for what they have read.
 func (h *Host) readPage(from int64, wait time.Duration) (platform.Page, error) {
 	ctx, cancel := context.WithTimeout(h.ctx, wait+maxAnswerDelay)
 	defer cancel()
@@ -50,17 +52,18 @@
 		select {
 		case r := <-got:
 			if rereads > 0 {
-				h.log.Info("table: log answers again.", "from", from, "after", h.clock().Sub(sent), "err", r.err)
+				h.log.Info("table: the log answers again.", "from", from, "after", h.clock().Sub(sent), "err", r.err)
 			}
 			return r.page, r.err
 		case <-overdue.C:
 			if rereads++; rereads == 1 {
-				h.log.Warn("table: log does not answer in time.", "from", from)
+				h.log.Warn("table: the log does not answer in time.", "from", from)
 			}
 			h.countTable("overdue")
 			h.startTableCopy()
 			h.wg.Go(func() {
-				// One is under way when the next is sent, for answers that take that long.
+				// The previous repetition is still in progress when the next one is sent, in
+				// case answers take that long.
 				ctx, cancel := context.WithTimeout(ctx, 2*rereadInterval)
 				defer cancel()
 				read(ctx, 0)
--- a/internal/host/routes.go
+++ b/internal/host/routes.go
@@ -30,8 +30,9 @@
 	return h.countRequests(r)
 }
 
-// refusalReason tells why a row's work is not taken in this failure domain, empty
-// if it is. A row that is confined to some domains may need what only they have.
+// refusalReason returns why this failure domain does not accept a row's work, or an empty string
+// if it does. A row that is confined to some failure domains may need resources that only they
+// have.
 func (h *Host) refusalReason(name string) string {
 	row, _ := h.Row(name)
 	if row.Serves(h.cfg.Domain) {
@@ -82,7 +83,7 @@
 	})
 }
 
-// countRequests keeps one counter an outcome and the times of all requests.
+// countRequests keeps a counter for each outcome and the durations of all requests.
 func (h *Host) countRequests(next http.Handler) http.Handler {
 	times := metrics.GetOrRegisterTimer("caller.time", h.metrics)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -96,11 +97,11 @@
 }
 
 type hostView struct {
-	// Slots is how many slots of each backend server this host may use, Awaited
-	// which hosts have not freed their part of its slots.
+	// Slots is how many slots of each backend server this host may use. Awaited lists the hosts
+	// that have not freed their part of this host's slots yet.
 	Slots   map[string]int `json:"slots,omitempty"`
 	Awaited []string       `json:"awaited,omitempty"`
-	// Aside are the backend servers that get less than that.
+	// Aside lists the backend servers that are quarantined and get less than their slots.
 	Aside map[string]outlier.State `json:"aside,omitempty"`
 	Self  string                   `json:"self"`
 	Live  []string                 `json:"live"`
@@ -124,7 +125,7 @@
 	return v
 }
 
-// tableStatus lists which host has which offset, this one first.
+// tableStatus lists the table offset of each host, this host first.
 func (h *Host) tableStatus() operator.TableStatus {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/host/server.go
+++ b/internal/host/server.go
@@ -16,7 +16,7 @@
 	unused map[net.Conn]bool
 }
 
-// Bounds of a connection from a caller or an operator.
+// Limits for a connection from a caller or an operator.
 const (
 	headerTimeout  = 5 * time.Second
 	idleTimeout    = 2 * time.Minute
@@ -33,7 +33,7 @@
 	h.wg.Go(func() { _ = s.Serve(ln) })
 }
 
-// trackState remembers connections that have not sent anything yet.
+// trackState keeps track of the connections that have not sent anything yet.
 func (s *server) trackState(conn net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,9 +44,10 @@
 	delete(s.unused, conn)
 }
 
-// stop ends what is in flight. Clients open connections ahead and may never use
-// them; the library waits five seconds for a first request on each, and a stop
-// would take that long with nothing to do. Reading on them ends at once instead.
+// stop waits for requests in flight and closes the server. Clients open connections in advance
+// and may never use them. The http package waits five seconds for the first request on each, so
+// that a stop would take as long without any work to do. Therefore reads on these connections
+// are ended at once.
 func (s *server) stop(ctx context.Context) error {
 	done := make(chan error, 1)
 	go func() { done <- s.Shutdown(ctx) }()
--- a/internal/host/share.go
+++ b/internal/host/share.go
@@ -16,8 +16,8 @@
 	"pollencroft/internal/share"
 )
 
-// announceCheckInterval is how often hosts of a failure domain tell each other which
-// slots they use; what changes is told at once.
+// announceCheckInterval is how often a host checks whether its announcement has to be repeated
+// to the hosts of its failure domain. Changes of the slots that it uses are announced at once.
 const announceCheckInterval = 300 * time.Millisecond
 
 func newShares(cfg settings.Settings, now time.Time) *share.Shares {
@@ -80,13 +80,13 @@
 	return h.shares.Announcement()
 }
 
-// announceRepeat is how often a word is told again that has not changed. A word is
-// there to be lost; told at the pace of changes it costs more bytes than all
-// other control of a large failure domain.
+// announceRepeat is how often an unchanged announcement is repeated, since one may be lost.
+// Repeating it as often as changes are checked for would cost more bytes than all other control
+// traffic of a large failure domain.
 const announceRepeat = 2 * time.Second
 
-// announceShares tells the word on this host's slots again when it has changed or
-// has not been told for a while.
+// announceShares announces this host's slots again if they have changed or were not announced
+// for announceRepeat.
 func (h *Host) announceShares() {
 	w, leaving, now := h.announcement(), h.relay.Leaving(), h.clock()
 	h.mu.Lock()
@@ -100,8 +100,8 @@
 	h.sendAnnouncement(w)
 }
 
-// sendAnnouncement tells the hosts of this failure domain; a lost word is told again
-// with the next heartbeat.
+// sendAnnouncement sends an announcement to the hosts of this failure domain. If one is lost,
+// announceShares sends the next.
 func (h *Host) sendAnnouncement(w share.Announcement) {
 	leaving := h.relay.Leaving()
 	for _, p := range h.cfg.Peers {
@@ -116,8 +116,8 @@
 	}
 }
 
-// releaseSlots ends a planned stop's use of slots and gives them to their heirs,
-// which would otherwise wait until the host list shows that this host is gone.
+// releaseSlots ends the use of slots in a planned stop and passes them to the hosts that get
+// them next. Otherwise these would wait until the host list shows that this host is gone.
 func (h *Host) releaseSlots(ctx context.Context) {
 	h.shareStep(share.Stopping{})
 	for ctx.Err() == nil && !h.relay.Drained() {
@@ -129,15 +129,15 @@
 	}
 }
 
-// usableSlots is how many of a backend server's usableSlots are this host's.
+// usableSlots returns how many of a backend server's slots this host may use.
 func (h *Host) usableSlots(minion string, slots int) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.shares.UsableSlots(minion, slots)
 }
 
-// rowLimitPart is this host's rowLimitPart of a row's limit, which holds in the whole cell.
-// The parts follow from the settings alone and add up to the limit.
+// rowLimitPart returns this host's part of a row's limit, which applies to the whole cell. The
+// parts depend only on the settings and add up to the limit.
 func (h *Host) rowLimitPart(row string, limit int64) int64 {
 	names := []string{h.cfg.Name}
 	for _, p := range h.cfg.Peers {
--- a/internal/host/stop.go
+++ b/internal/host/stop.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// gate counts work in flight that no HTTP server sees.
+// gate counts work in flight that is not a request to an HTTP server.
 type gate struct {
 	mu       sync.Mutex
 	inFlight int
@@ -19,7 +19,7 @@
 
 func newGate() *gate { return &gate{empty: make(chan struct{})} }
 
-// enter begins a piece of work; false when no more is taken.
+// enter starts a piece of work. It returns false if the gate is closed.
 func (g *gate) enter() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -39,7 +39,7 @@
 	}
 }
 
-// close takes no more work and waits for what is in flight.
+// close rejects further work and waits for the work in flight.
 func (g *gate) close(ctx context.Context) error {
 	g.mu.Lock()
 	if !g.closed && g.inFlight == 0 {
@@ -55,7 +55,7 @@
 	}
 }
 
-// CutError tells that a planned stop ended before all work had.
+// CutError reports that a planned stop ended before all work in flight had finished.
 type CutError struct{ Cause error }
 
 func (e *CutError) Error() string { return "stop cut work in flight: " + e.Cause.Error() }
@@ -63,9 +63,9 @@
 // Unwrap returns why the stop did not wait longer.
 func (e *CutError) Unwrap() error { return e.Cause }
 
-// Stop is a planned stop: it takes no new work, hands over its workers, ends
-// what is in flight, also for peers, and then closes everything. It returns a
-// CutError if ctx ended before the work did.
+// Stop performs a planned stop: it accepts no new work, hands over its workers, waits for the
+// work in flight, also that of peers, and then closes everything. It returns a CutError if ctx
+// ended before the work did.
 func (h *Host) Stop(ctx context.Context) error {
 	if !h.transition("stop") {
 		return nil
@@ -75,8 +75,8 @@
 	h.leader.Leave()
 	h.handOverJobs()
 	h.announceLeaving()
-	// Callers still come until the balancer has seen that this host is not
-	// ready. They are served; refusing their connections would lose them.
+	// Callers still connect until the load balancer has noticed that this host is not ready.
+	// They are served, because their requests would be lost if the connections were refused.
 	h.linger(ctx, h.cfg.Limits.ShutdownDelay-h.clock().Sub(began))
 	err := h.finishWork(ctx)
 	h.transition("empty")
@@ -99,9 +99,9 @@
 	}
 }
 
-// finishWork waits for callers' and operators' requests, then for what their keys
-// still have to be told, then for the peers' work. Peers come last: they may
-// wait for answers to keys whose requests end here.
+// finishWork waits for callers' and operators' requests, then until the hosts that keep their
+// keys have been told how these requests ended, then for the peers' work. Peers come last
+// because they may wait for answers to keys whose requests end here.
 func (h *Host) finishWork(ctx context.Context) error {
 	var all errgroup.Group
 	for _, srv := range h.servers {
--- a/internal/host/table.go
+++ b/internal/host/table.go
@@ -11,21 +11,21 @@
 	"pollencroft/internal/table"
 )
 
-// Times of the table's log.
+// Time limits for reading the table's log.
 const (
 	readLongPoll   = 1500 * time.Millisecond
 	readRetryPause = 200 * time.Millisecond
 )
 
-// Row returns a row in force and its version, zero for none.
+// Row returns a row in force and its version, which is zero if there is no such row.
 func (h *Host) Row(name string) (table.Row, int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.table.Row(name)
 }
 
-// TeamShare returns what a team may use in this host's failure domain now;
-// false for a team without a quota.
+// TeamShare returns what a team may currently use in this host's failure domain, or false for a
+// team without a quota.
 func (h *Host) TeamShare(team string) (table.Share, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -39,13 +39,13 @@
 	return metrics.GetOrRegisterCounter(name, h.metrics).Count()
 }
 
-// followTable folds the log until the host ends.
+// followTable reads the table's log until the host ends.
 func (h *Host) followTable() {
 	wait := time.Duration(0)
 	for h.ctx.Err() == nil {
 		if err := h.readTable(wait); err != nil {
 			h.countTable("unread")
-			h.log.Warn("table: log cannot be read.", "err", err)
+			h.log.Warn("table: cannot read the log.", "err", err)
 			h.startTableCopy()
 			h.pause(readRetryPause)
 			continue
@@ -61,8 +61,8 @@
 	}
 }
 
-// readTable reads and folds one page. A page that ends before what this host
-// has seen is out of date; the peers' copy helps if they are further on.
+// readTable reads and applies one page. A page that ends before the offset that this host has
+// already reached is out of date; a peer's copy is used if a peer has read further.
 func (h *Host) readTable(wait time.Duration) error {
 	from := h.nextOffset()
 	page, err := h.readPage(from, wait)
@@ -75,7 +75,7 @@
 	}
 	if page.Next < from {
 		h.countTable("stale")
-		h.log.Warn("table: log answer is out of date.", "next", page.Next, "wanted", from)
+		h.log.Warn("table: the log's answer is out of date.", "next", page.Next, "wanted", from)
 		h.pause(readRetryPause)
 	}
 	if err := h.foldTable(table.Records{Entries: tableEntries(page)}); err != nil {
@@ -95,10 +95,10 @@
 	return h.table.NextOffset()
 }
 
-// readTrimmedLog reads all that a trimmed log still has.
+// readTrimmedLog reads everything that a trimmed log still contains.
 func (h *Host) readTrimmedLog(oldest int64) error {
 	h.countTable("behind")
-	h.log.Warn("table: log is trimmed, a snapshot is needed.", "wanted", h.nextOffset(), "oldest", oldest)
+	h.log.Warn("table: the log is trimmed, reading a snapshot.", "wanted", h.nextOffset(), "oldest", oldest)
 	var all []table.Entry
 	for from := oldest; ; {
 		page, err := h.readPage(from, 0)
@@ -126,12 +126,12 @@
 	return all
 }
 
-// MissingError tells that records are missing before what was found.
+// MissingError reports that records are missing before those that were found.
 type MissingError struct{ Want int64 }
 
 func (e *MissingError) Error() string { return "records are missing" }
 
-// foldTable steps the table and wakes those who wait for a verdict.
+// foldTable applies an event to the table and wakes those who wait for a verdict.
 func (h *Host) foldTable(ev table.Event) error {
 	h.mu.Lock()
 	acts := h.table.Step(h.clock(), ev)
@@ -149,16 +149,16 @@
 			err = &MissingError{Want: a.Want}
 		case table.Restored:
 			h.countTable("restored")
-			h.log.Info("table: started from a snapshot.", "next", a.Next)
+			h.log.Info("table: loaded a snapshot.", "next", a.Next)
 		case table.RowChanged:
-			h.log.Info("table: row is in force.", "row", a.Row.Name, "version", a.Version, "gone", a.Gone)
+			h.log.Info("table: row came into force.", "row", a.Row.Name, "version", a.Version, "gone", a.Gone)
 		}
 	}
 	return err
 }
 
-// saveSnapshot writes a snapshot when the table finds one due. The log may take its
-// time: nobody waits for it.
+// saveSnapshot writes a snapshot if one is due. The write runs in the background, since the log
+// may be slow.
 func (h *Host) saveSnapshot(oldest int64) {
 	live, rank := h.liveRank()
 	h.mu.Lock()
@@ -171,7 +171,7 @@
 	h.wg.Go(func() {
 		for _, a := range acts {
 			if err := h.appendTable(a.(table.Append).Body); err != nil {
-				h.log.Warn("table: snapshot is not written.", "err", err)
+				h.log.Warn("table: cannot write the snapshot.", "err", err)
 				return
 			}
 		}
@@ -186,7 +186,7 @@
 	return err
 }
 
-// liveRank is this host's place among the live hosts.
+// liveRank returns the number of live hosts and this host's index among them.
 func (h *Host) liveRank() (live, rank int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -12,14 +12,14 @@
 	"pollencroft/internal/peer"
 )
 
-// Times of a takeover.
+// Intervals and time limits of a takeover.
 const (
 	repairInterval   = 250 * time.Millisecond
 	inventoryTimeout = time.Second
 )
 
-// rackLeader is the live host that leads a rack, as this host sees it; empty if
-// no host of the failure domain is live.
+// rackLeader returns the live host that leads a rack according to this host's view. It is empty
+// if no host of the failure domain is live.
 func (h *Host) rackLeader(home cell.Home) string {
 	h.mu.Lock()
 	live := h.members.LiveIn(home.Domain)
@@ -45,8 +45,8 @@
 	return rest
 }
 
-// takeOver inherits the open jobs of the racks that this host leads, forfeits
-// those that it only waits for and should not lead, and writes what is owed.
+// takeOver inherits the open jobs of the racks that this host leads, and gives up inherited jobs
+// that have ended or that another host should lead.
 func (h *Host) takeOver() {
 	h.mu.Lock()
 	open := h.jobs.log.OpenJobs()
@@ -74,10 +74,11 @@
 	}
 }
 
-// isBusy tells whether a job is being accepted here or handed to another host.
+// isBusy reports whether a job is being accepted here or handed over to another host.
 func (h *Host) isBusy(id string) bool { return len(h.busyJobs([]string{id})) > 0 }
 
-// busyJobs are those of some jobs that are being accepted here or handed to another host.
+// busyJobs returns those of some jobs that are being accepted here or handed over to another
+// host.
 func (h *Host) busyJobs(ids []string) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -91,11 +92,12 @@
 	return busy
 }
 
-// repairJobs is the regular work on jobs that change their lead.
+// repairJobs does the periodic work for jobs that change their leader, and writes outstanding
+// records.
 //
-// A host that becomes ready after it has read the host list shares the workers
-// out anew: the list is not told again while it stays the same, and a host
-// without peers would lead nothing for good.
+// If this host becomes ready after it has read the host list, it assigns the workers again. The
+// list is not reported again while it stays the same, so a host without peers would never lead
+// anything.
 func (h *Host) repairJobs() {
 	if ready := h.Ready(); ready != h.jobs.wasReady {
 		h.jobs.wasReady = ready
@@ -111,7 +113,7 @@
 	}
 }
 
-// requestInventories asks all live peers of the domain what they hold and lead.
+// requestInventories asks all live peers of the failure domain what they hold and lead.
 func (h *Host) requestInventories() {
 	h.wg.Go(func() {
 		q := h.leader.InventoryRequest()
@@ -144,9 +146,9 @@
 	h.leader.HandleInventory(name, q, c)
 }
 
-// handleInventory answers a peer's question. Jobs that this host is about to lead, or
-// that are on their way to another lead, count as led. They are looked up first: a
-// job that is accepted meanwhile is led when the lead is asked.
+// handleInventory answers a peer's inventory request. Jobs that this host is about to lead or is
+// handing over count as led. They are looked up before the leader is asked, so that a job that
+// is accepted in between is already reported by the leader.
 func (h *Host) handleInventory(m peer.Inventory) peer.InventoryReply {
 	h.jobs.transferMu.RLock()
 	defer h.jobs.transferMu.RUnlock()
@@ -168,13 +170,13 @@
 	return reply
 }
 
-// Leads tells whether this host leads a job and knows where its tasks are.
+// Leads reports whether this host leads a job and knows where its tasks are.
 func (h *Host) Leads(id string) bool { return h.leader.Leads(id) }
 
 // Held lists the workers that this host holds.
 func (h *Host) Held() []string { return h.leader.Held() }
 
-// Remembers tells whether this host knows of a job's acceptance.
+// Remembers reports whether this host knows that a job was accepted.
 func (h *Host) Remembers(id string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/host/transport.go
+++ b/internal/host/transport.go
@@ -17,7 +17,7 @@
 	"pollencroft/internal/settings"
 )
 
-// connsPerServer is how many idle connections are kept to one server.
+// connsPerServer is how many idle connections to one server are kept open.
 const connsPerServer = 16
 
 // countingDialer counts the bytes of all connections that it opens.
@@ -34,7 +34,7 @@
 	return n, err
 }
 
-// NetConn returns the connection inside, as tls.Conn does.
+// NetConn returns the wrapped connection, as tls.Conn does.
 func (c countingConn) NetConn() net.Conn { return c.Conn }
 
 func (c countingConn) Write(b []byte) (int, error) {
@@ -66,8 +66,8 @@
 	return countingConn{Conn: conn, bytes: l.bytes}, nil
 }
 
-// LoadKeys reads the host's keys, if the settings name any. It must be called
-// before Start; the error is a keys.FileError.
+// LoadKeys reads the host's keys and certificates, if the settings name any. It must be called
+// before Start. The error is a keys.FileError.
 func (h *Host) LoadKeys() error {
 	if h.cfg.TLS == (settings.TLS{}) {
 		return nil
@@ -83,7 +83,7 @@
 
 func (h *Host) countKeys(reason string) {
 	metrics.GetOrRegisterCounter("keys."+reason, h.metrics).Inc(1)
-	h.log.Warn("keys: counted.", "reason", reason)
+	h.log.Warn("keys: TLS event counted.", "reason", reason)
 }
 
 func (h *Host) peerListener(ln net.Listener) net.Listener {
@@ -94,11 +94,11 @@
 	return h.keys.PeerListener(ln)
 }
 
-// plainListener refuses to serve without TLS when the settings ask for it: whoever can
-// reach the port could otherwise speak for any host.
+// plainListener returns the listener without TLS, but closes it if the settings ask for TLS:
+// otherwise anyone who can reach the port could impersonate any host.
 func (h *Host) plainListener(ln net.Listener) net.Listener {
 	if h.cfg.TLS != (settings.TLS{}) {
-		h.log.Error("keys: not opened, nothing is served here.", "address", ln.Addr())
+		h.log.Error("keys: keys are not loaded, the listener is closed.", "address", ln.Addr())
 		_ = ln.Close()
 	}
 	return ln
@@ -133,8 +133,8 @@
 	return ""
 }
 
-// PeerBytes returns how many bytes this host has exchanged with its peers in
-// both directions, callers' requests handed over among them.
+// PeerBytes returns how many bytes this host has exchanged with its peers in both directions,
+// including relayed requests of callers.
 func (h *Host) PeerBytes() int64 { return h.peerBytes.Load() }
 
 func newTransport(bytes *atomic.Int64) *http.Transport {
@@ -146,6 +146,6 @@
 	}
 }
 
-// ControlBytes returns how many bytes this host has exchanged with the
-// platform and with workers. Callers' requests are not control.
+// ControlBytes returns how many bytes this host has exchanged with the platform and with
+// workers, without callers' requests.
 func (h *Host) ControlBytes() int64 { return h.controlBytes.Load() }
