--- a/internal/host/admit_test.go
+++ b/internal/host/admit_test.go
@@ -14,9 +14,9 @@
 	"pollencroft/pkg/client"
 )
 
-// A batch sends many large bodies at once, slowly. The host must not hold more
-// than it has memory for; it refuses bulk work, which has not run, and a gate
-// scan that comes at the same moment is served.
+// Guards against a host that runs out of memory, or that locks urgent work out, when a batch
+// sends many large bodies slowly and at the same time. The host must refuse bulk work above its
+// budget, which has then not run, and serve a scan that arrives at the same moment.
 func TestFloodOfBodiesIsShedByClass(t *testing.T) {
 	c := newTestHosts(t, 1)
 	c.addBackend(8)
@@ -46,7 +46,7 @@
 		}()
 		go func() { _, _ = w.Write([]byte("x")) }()
 	}
-	c.waitFor("bulk is shed", func() bool { return c.hosts[0].Count("host.shed.bulk") >= 7 })
+	c.waitFor("bulk requests are shed", func() bool { return c.hosts[0].Count("host.shed.bulk") >= 7 })
 	require.LessOrEqual(t, c.hosts[0].InFlight(), int64(1))
 	require.True(t, isServed(c, "scan"))
 	for _, w := range writers {
@@ -55,7 +55,7 @@
 	for range 8 {
 		<-codes
 	}
-	c.waitFor("room is given back", func() bool { return c.hosts[0].InFlight() == 0 })
+	c.waitFor("the budget is released", func() bool { return c.hosts[0].InFlight() == 0 })
 }
 
 func isServed(c *testHosts, row string) bool {
@@ -64,9 +64,9 @@
 	return err == nil && reply.Outcome == client.Done
 }
 
-// Callers open more connections than the host may hold. Those above are closed
-// at once, so that they go elsewhere; those that it holds are served, and when
-// they are gone there is room again.
+// Callers open more connections than the host allows. Those above the limit are closed at once,
+// so that the callers try other hosts. Those within the limit are served, and when they are
+// closed new ones are accepted again.
 func TestConnectionsAboveTheBoundAreClosed(t *testing.T) {
 	c := newTestHosts(t, 1)
 	c.settings[0].Limits.Conns = 4
@@ -78,7 +78,7 @@
 		require.NoError(t, err)
 		conns = append(conns, conn)
 	}
-	c.waitFor("above the bound", func() bool {
+	c.waitFor("a connection above the limit is closed", func() bool {
 		conn, err := net.Dial("tcp", c.sockets[0].Caller.Addr().String())
 		require.NoError(t, err)
 		defer conn.Close()
@@ -95,7 +95,7 @@
 	for _, conn := range conns {
 		_ = conn.Close()
 	}
-	c.waitFor("room again", func() bool {
+	c.waitFor("connections are accepted again", func() bool {
 		return client.New(addrOf(c.sockets[0].Caller), "", nil).Get(context.Background(), "/live", nil) == nil
 	})
 }
--- a/internal/host/cluster_test.go
+++ b/internal/host/cluster_test.go
@@ -20,21 +20,22 @@
 	"pollencroft/pkg/client"
 )
 
-// testTimeout bounds how long a test waits for a state; no verdict rests on less.
+// testTimeout is how long a test waits for a state. No check depends on a shorter time.
 const testTimeout = 30 * time.Second
 
-// cluster is one failure domain: stand-ins and real hosts in this process.
+// cluster is one failure domain: simulated platform and workers, and real hosts, in this
+// process.
 type cluster struct {
 	*testing.T
 	cell    *standin.Cell
 	hosts   map[string]*host.Host
 	clients map[string]*client.Client
 	names   []string
-	// operators are the operators' addresses by host.
+	// operators contains the operators' addresses by host.
 	operators []netip.AddrPort
 }
 
-// logBuffer gathers what the hosts of a cluster log.
+// logBuffer collects the log output of a cluster's hosts.
 type logBuffer struct {
 	mu  sync.Mutex
 	all strings.Builder
@@ -117,7 +118,7 @@
 	require.Eventually(c, f, testTimeout, 10*time.Millisecond, what)
 }
 
-// heldCount counts the workers that live hosts hold.
+// heldCount returns the number of workers that live hosts hold.
 func (c *cluster) heldCount() int {
 	n := 0
 	for _, h := range c.hosts {
@@ -132,7 +133,7 @@
 	delete(c.clients, name)
 }
 
-// anyClient is the client of some live host other than not.
+// anyClient returns the client of a live host other than not.
 func (c *cluster) anyClient(not string) *client.Client {
 	for _, name := range c.names {
 		if name != not && c.clients[name] != nil {
@@ -154,11 +155,11 @@
 	return s
 }
 
-// leaderOf is the host that leads a job.
+// leaderOf waits until a host leads a job and returns that host's name.
 func (c *cluster) leaderOf(id string) string {
 	c.Helper()
 	name := ""
-	c.waitFor("job has a lead", func() bool {
+	c.waitFor("job has a leader", func() bool {
 		for n, h := range c.hosts {
 			if h.Leads(id) {
 				name = n
@@ -178,7 +179,7 @@
 	return s.State
 }
 
-// ran counts the starts of a job's tasks on all workers.
+// ran counts the starts and ends of a job's tasks on all workers.
 func (c *cluster) ran(id string) (started, ended int) {
 	r := c.cell.Report()
 	for task, n := range r.Started {
@@ -194,7 +195,8 @@
 	return started, ended
 }
 
-// requireNoDoubleRuns checks the workers' own records.
+// requireNoDoubleRuns checks the workers' own records: no worker is overfilled, and no task ran
+// in two places.
 func (c *cluster) requireNoDoubleRuns() {
 	c.Helper()
 	r := c.cell.Report()
@@ -206,23 +208,22 @@
 	return client.Job{Tasks: tasks, Size: client.Size{CPU: 1000, Mem: 1 << 20}, Time: seconds}
 }
 
-// A lead dies with tasks running and others waiting for room. Nobody at the
-// print office does anything; the batch has to come out whole, and no page of
-// it twice.
+// A leader dies while tasks run and others wait for free capacity. Without any action of the
+// caller, every task must run to its end exactly once.
 func TestJobOfAKilledLeaderGoesOn(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
 	s := c.submit(smallJob(24, 1))
 	c.waitFor("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
 	c.kill(c.leaderOf(s.ID))
-	c.waitFor("job ends under its next lead", func() bool { return c.state(s.ID) == "ended" })
+	c.waitFor("job ends under its next leader", func() bool { return c.state(s.ID) == "ended" })
 	_, ended := c.ran(s.ID)
 	require.Equal(t, 24, ended)
 	c.requireNoDoubleRuns()
 }
 
-// A planned stop hands jobs over. Nothing waits for a lease, and the running
-// tasks are neither stopped nor started again.
+// A planned stop hands jobs over. No lease has to expire, and the running tasks are neither
+// stopped nor started again.
 func TestPlannedStopHandsJobsOver(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2)
--- a/internal/host/crash_test.go
+++ b/internal/host/crash_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// Guards against a count of crashes that dies with the lead.
+// Guards against crash counts that are lost when the leader dies.
 func TestCrashCountsSurviveAKilledLeader(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2)
@@ -25,7 +25,7 @@
 	s := c.submit(smallJob(1, 5))
 	c.waitFor("the task is started again", func() bool { started, _ := c.ran(s.ID); return started == 2 })
 	c.kill(c.leaderOf(s.ID))
-	c.waitFor("job is given up", func() bool { return c.state(s.ID) == "failed" })
+	c.waitFor("job has failed", func() bool { return c.state(s.ID) == "failed" })
 	started, _ := c.ran(s.ID)
 	t.Logf("starts: %d", started)
 	require.LessOrEqual(t, started, 4)
--- a/internal/host/export_test.go
+++ b/internal/host/export_test.go
@@ -13,59 +13,59 @@
 	"pollencroft/internal/platform"
 )
 
-// FollowTable has a host that is not started read the table's log, which rt reaches.
+// FollowTable makes a host that is not started read the table's log through rt.
 func (h *Host) FollowTable(rt http.RoundTripper) {
 	h.platform = platform.New(netip.MustParseAddrPort("10.0.0.0:1"), rt)
 	h.wg.Go(h.followTable)
 }
 
-// ConnectPeers has a host answer its peers on ln and reach them through dial.
+// ConnectPeers makes a host answer its peers on ln and reach them through dial.
 func (h *Host) ConnectPeers(ln net.Listener, dial func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)) {
 	h.peers.SetDialer(dial)
 	h.wg.Go(func() { peer.NewServer(h.handlePeer).Serve(h.ctx, ln) })
 }
 
-// Heartbeat is what the host tells its peers of itself.
+// Heartbeat returns the heartbeat that this host sends to its peers.
 func (h *Host) Heartbeat() member.Heartbeat {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return member.Heartbeat{Name: h.cfg.Name, Incarnation: h.incarnation, Next: h.table.NextOffset(), Digest: uint32(h.table.Fingerprint()), Ack: true}
 }
 
-// HandleHeartbeat takes a peer's heartbeat.
+// HandleHeartbeat processes a peer's heartbeat.
 func (h *Host) HandleHeartbeat(b member.Heartbeat) { _, _ = h.handleHeartbeat(b) }
 
-// KeepJobs has a host that is not started write jobs to the log, which rt reaches.
+// KeepJobs makes a host that is not started write jobs to the log through rt.
 func (h *Host) KeepJobs(rt http.RoundTripper) {
 	h.platform = platform.New(netip.MustParseAddrPort("10.0.0.0:1"), rt)
 	h.wg.Go(h.appendJobs)
 }
 
-// KeepJob keeps a job where a second host can find it.
+// KeepJob stores a job where a second host can find it.
 func (h *Host) KeepJob(ctx context.Context, id string) error {
 	_, err := h.keepJob(ctx, job.Spec{ID: id})
 	return err
 }
 
-// HandJobTo takes a job off this host's lead and offers it to a peer, as a host does whose rack has
-// got another lead.
+// HandJobTo stops leading a job and offers it to a peer, as happens when the job's rack gets
+// another leader.
 func (h *Host) HandJobTo(to, id string) {
 	h.stopLeading(to, []string{id})
 	h.sendOutgoing()
 }
 
-// ReportsLeading tells whether a peer that asks hears that this host leads a job.
+// ReportsLeading reports whether this host's answer to an inventory request names a job as led.
 func (h *Host) ReportsLeading(id string) bool {
 	return slices.Contains(h.handleInventory(peer.Inventory{From: "h9", Jobs: []string{id}}).Leads, id)
 }
 
-// Freeze keeps the host from answering any question until the returned function is called.
+// Freeze keeps the host from answering any request until the returned function is called.
 func (h *Host) Freeze() func() {
 	h.mu.Lock()
 	return h.mu.Unlock
 }
 
-// HasLoggedEnd tells whether the host's copy of the log has a job's end.
+// HasLoggedEnd reports whether the host's copy of the log contains a job's end.
 func (h *Host) HasLoggedEnd(id string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/host/follow_test.go
+++ b/internal/host/follow_test.go
@@ -27,19 +27,20 @@
 )
 
 const (
-	// editDeadline is the promise to operators: how long after its acceptance an edit is in force on
-	// every host, and inTouch how long after the last trouble on its ways a host keeps it again.
+	// editDeadline is the guarantee to operators: an accepted edit is in force on every host
+	// within this time. recoveryTime is how long after the last failure of its route to the log
+	// a host meets it again.
 	editDeadline = 2 * time.Second
 	recoveryTime = 3 * time.Second
 	// heartbeatInterval is how often hosts tell each other how far they have read.
 	heartbeatInterval = 500 * time.Millisecond
 )
 
-// silence is when a host's way to the log answers nothing; what is under way at either end of
-// it is never answered.
+// silence is a period in which a host's route to the log does not answer. A request that is in
+// progress at its start or its end is never answered.
 type silence struct{ start, end time.Duration }
 
-// memoryLog is the table's log: one edit from the start and another later.
+// memoryLog is the table's log, with one edit from the start and another one later.
 type memoryLog struct {
 	startedAt time.Time
 	// editAt is when the later edit is written.
@@ -57,7 +58,7 @@
 	return l
 }
 
-// editCount is how many edits there are now.
+// editCount returns the number of edits that are written by now.
 func (l *memoryLog) editCount() int64 {
 	if time.Since(l.startedAt) < l.editAt {
 		return 1
@@ -65,15 +66,15 @@
 	return 2
 }
 
-// logRoute is one host's logRoute to the log.
+// logRoute is one host's route to the log.
 type logRoute struct {
 	log *memoryLog
-	// silences are when it answers nothing, took is how long an answer takes.
+	// silences are the periods without answers, latency is how long an answer takes.
 	silences []silence
 	latency  time.Duration
 }
 
-// isSilent tells whether a call that was sent at some moment is answered now.
+// isSilent reports whether a request that was sent at a given time stays without an answer now.
 func (w logRoute) isSilent(sent time.Duration) bool {
 	now := time.Since(w.log.startedAt)
 	for _, s := range w.silences {
@@ -119,11 +120,11 @@
 	}
 }
 
-// tableReaders are hosts that follow the table in virtual time, each on its own way.
+// tableReaders are hosts that follow the table in virtual time, each over its own route.
 type tableReaders struct {
 	net   standin.Pipes
 	hosts []*host.Host
-	// unreachable are peers that every host knows and that answer nobody any more.
+	// unreachable contains peers that every host knows and that no longer answer.
 	unreachable []string
 }
 
@@ -153,7 +154,7 @@
 	return c
 }
 
-// run lets d pass, with heartbeats.
+// run lets d pass and exchanges heartbeats.
 func (c *tableReaders) run(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(min(heartbeatInterval, time.Until(end))) {
 		for i, to := range c.hosts {
@@ -166,7 +167,7 @@
 	}
 }
 
-// sendLastHeartbeats has all hosts hear the last heartbeats of those that are cut off since.
+// sendLastHeartbeats makes all hosts receive the last heartbeats of the unreachable peers.
 func (c *tableReaders) sendLastHeartbeats() {
 	for _, h := range c.hosts {
 		for _, name := range c.unreachable {
@@ -186,20 +187,18 @@
 	return r.Weight
 }
 
-// inVirtualTime runs f with a clock of its own.
+// inVirtualTime runs f with a virtual clock.
 func inVirtualTime(t *testing.T, f func(t *testing.T)) {
-	// The metrics library's own clock has to run outside: it never rests.
+	// The clock of the metrics library must run outside the bubble, since it never blocks.
 	metrics.NewMeter().Stop()
 	synctest.Test(t, f)
 }
 
-// Operators change a limit and are told that it is accepted; for half a minute callers at some
-// hosts are still held to the old one. The way to the log was silent for a while before that.
-//
-// A read was waited for to the end of its limit, which doubled with each one that had no answer:
-// the last one sent into a silence had about as long as that had lasted. Peers were asked only
-// between two reads. All tests here failed for that, and none does since reads are made again
-// beside the first.
+// Guards against an accepted edit that some hosts apply half a minute late because their route
+// to the log was silent before. The fault came about like this: each read was waited for until
+// its time limit, and that limit doubled after every read without an answer, so that the last
+// read of a silence took about as long as the silence. Peers were asked only between two reads.
+// All tests of this file failed until reads were repeated in parallel with the first one.
 func TestAnEditIsInForceInTimeAfterASilence(t *testing.T) {
 	for _, away := range []time.Duration{2 * time.Second, 5 * time.Second, 20 * time.Second, 50 * time.Second} {
 		t.Run(away.String(), func(t *testing.T) {
@@ -218,8 +217,8 @@
 	}
 }
 
-// The log is silent for one host only, for minutes, and its peers read on. An edit is in force
-// there as well, though the peers that have read furthest are cut off.
+// The log is silent for one host only, for minutes, while its peers go on reading. An edit must
+// be in force there in time as well, even if the peers that had read furthest are unreachable.
 func TestAnEditIsInForceInTimeThroughPeers(t *testing.T) {
 	for after := time.Duration(0); after < 30*time.Second; after += 1700 * time.Millisecond {
 		inVirtualTime(t, func(t *testing.T) {
@@ -236,8 +235,8 @@
 	}
 }
 
-// Silences come at drawn moments and last for drawn times, the log is more or less slow. Whatever
-// they are, an edit is in force in time after the last of them.
+// Silences of random length come at random times, and the log has a random latency. An edit must
+// always be in force in time after the last silence.
 func TestAnEditIsInForceInTimeWhateverWasSilent(t *testing.T) {
 	for seed := range uint64(200) {
 		inVirtualTime(t, func(t *testing.T) {
--- a/internal/host/handover_test.go
+++ b/internal/host/handover_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a job that two hosts lead: a peer asks for it between the moment at which its
-// lead gives it up and the one at which the lead notes where it goes, or takes it back.
+// Guards against a job that two hosts lead: a peer asks about the job after its leader stopped
+// leading it and before the leader has recorded it as outgoing, or has taken it back.
 func TestJobThatIsHandedOverIsLedByTheHostThatHandsIt(t *testing.T) {
 	c := newCluster(t, 1)
 	s := c.submit(smallJob(24, 600))
--- a/internal/host/keep_test.go
+++ b/internal/host/keep_test.go
@@ -20,17 +20,17 @@
 	"pollencroft/internal/standin"
 )
 
-// unavailableLog is a log that refuses everything.
+// unavailableLog is a log that refuses every request.
 type unavailableLog struct{}
 
-// RoundTrip refuses.
+// RoundTrip answers with status 503.
 func (unavailableLog) RoundTrip(*http.Request) (*http.Response, error) {
 	return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}, nil
 }
 
-// The log is down, and the peer that is asked to remember a job instead does so, but its answer is
-// lost. The caller was told that the job was not accepted and never runs; the peer writes it to
-// the log later, and it runs.
+// Guards against a job that runs after its caller was told that it was not accepted and never
+// runs. The log is down, a peer remembers the job instead, and the peer's answer is lost. The
+// peer writes the job to the log later.
 func TestAJobThatAPeerMayRememberIsNotReportedAsNotRun(t *testing.T) {
 	addr := func(i int) netip.AddrPort { return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 1) }
 	for name, tc := range map[string]struct {
--- a/internal/host/keys_test.go
+++ b/internal/host/keys_test.go
@@ -44,9 +44,9 @@
 	return &tls.Config{Certificates: []tls.Certificate{cert}, RootCAs: pool, ServerName: name}
 }
 
-// A host with a good certificate says that it is another: it could have that
-// one taken for gone. Operators come with a certificate of their own; a host's
-// is not enough to edit the table, and neither is none.
+// A host with a valid certificate claims to be another host, which could make the other count as
+// gone. Operators need certificates of their own: neither a host's certificate nor none is
+// sufficient to edit the table.
 func TestHostsSpeakOnlyForThemselvesAndOperatorsShowKeys(t *testing.T) {
 	a, err := standin.NewAuthority()
 	require.NoError(t, err)
@@ -72,9 +72,9 @@
 	good := tlsConfig(t, issueCert(t, a, keys.Operator), name)
 	require.NoError(t, operator(good).SetRow(ctx, "scan", "", nil))
 	require.Error(t, client.New(addrOf(c.sockets[0].Operator), "", nil).Get(ctx, "/table", nil), "no TLS")
-	c.waitFor("row goes to the other host over TLS and the log", func() bool { return c.weight(1, "scan") == 1 })
+	c.waitFor("the other host gets the row over TLS and the log", func() bool { return c.weight(1, "scan") == 1 })
 	var hosts struct{ Live []string }
-	c.waitFor("hosts hear each other over TLS", func() bool {
+	c.waitFor("hosts receive each other's heartbeats over TLS", func() bool {
 		return operator(good).Get(ctx, "/hosts", &hosts) == nil && len(hosts.Live) == 2
 	})
 
--- a/internal/host/leak_test.go
+++ b/internal/host/leak_test.go
@@ -7,8 +7,8 @@
 	"go.uber.org/goleak"
 )
 
-// Hosts stop and start all day. What a stopped host leaves running in a process
-// holds its memory and goes on writing to workers that it no longer leads.
+// Guards against goroutines that a stopped host leaves behind: they would keep its memory in use
+// and go on writing to workers that it no longer leads.
 func TestStoppedHostLeavesNothingRunning(t *testing.T) {
 	before := goleak.IgnoreCurrent()
 	t.Run("cluster", func(t *testing.T) {
@@ -18,7 +18,7 @@
 		}
 	})
 	http.DefaultClient.CloseIdleConnections()
-	// The metrics library keeps one clock for all meters of the process.
+	// The metrics library runs one clock for all meters of the process.
 	clock := goleak.IgnoreAnyFunction("github.com/rcrowley/go-metrics.(*meterArbiter).tick")
 	goleak.VerifyNone(t, before, clock)
 }
--- a/internal/host/lifecycle_test.go
+++ b/internal/host/lifecycle_test.go
@@ -17,8 +17,8 @@
 	c.cell.Platform.SetFaults(standin.PlatformFaults{Down: down})
 }
 
-// fillWorkers takes every worker with one large task, so that further jobs wait, and
-// returns what frees them again.
+// fillWorkers occupies every worker with one large task, so that further jobs wait. It returns a
+// function that frees the workers again.
 func (c *cluster) fillWorkers() (free func()) {
 	var ids []string
 	c.waitFor("all workers are full", func() bool {
@@ -42,7 +42,7 @@
 					c.Log("blocker", id, s, err)
 				}
 			})
-			c.waitFor("blocker is cancelled", func() bool {
+			c.waitFor("blocking job is cancelled", func() bool {
 				s, err = c.anyClient("").Cancel(context.Background(), id)
 				return err == nil && (s.Outcome == "stopped" || s.Outcome == "not run")
 			})
@@ -50,7 +50,7 @@
 	}
 }
 
-// waitRenewals waits until every worker was waitRenewals so often again.
+// waitRenewals waits until the lease of every worker was renewed this many times more.
 func (c *cluster) waitRenewals(times int) {
 	for _, w := range c.cell.Workers {
 		before := w.Record().Renewed
@@ -60,7 +60,7 @@
 
 func (c *cluster) cancel(id string) string {
 	outcome := ""
-	c.waitFor("cancel is answered", func() bool {
+	c.waitFor("cancellation is answered", func() bool {
 		s, err := c.anyClient("").Cancel(context.Background(), id)
 		outcome = s.Outcome
 		return err == nil
@@ -77,9 +77,9 @@
 	c.requireNoDoubleRuns()
 }
 
-// The lead dies at one step of a job's life after the other, and the log is
-// away before, during or after. What the caller was told stays true: an
-// accepted job comes out whole, and nothing of it runs in two places.
+// The leader dies at each step of a job's life cycle, with the log unavailable before, during or
+// after. What the caller was told must remain true: all tasks of an accepted job run to their
+// end, and none runs in two places.
 func TestLeaderDiesAtEveryStep(t *testing.T) {
 	for name, life := range map[string]func(c *cluster){
 		"accepted, no start sent": func(c *cluster) {
@@ -113,10 +113,10 @@
 			s := c.submit(smallJob(4, 0.3))
 			c.waitFor("tasks run", func() bool { started, _ := c.ran(s.ID); return started == 4 })
 			c.setLogDown(true)
-			c.waitFor("the lead knows the end", func() bool { return c.state(s.ID) == "ended" })
+			c.waitFor("the leader knows the end", func() bool { return c.state(s.ID) == "ended" })
 			c.waitRenewals(2)
 			c.kill(c.leaderOf(s.ID))
-			// The first other host by name is the one that was told of the end.
+			// The first other host in order of name is the one that was told of the end.
 			for _, name := range c.names {
 				if c.hosts[name] != nil {
 					c.kill(name)
@@ -143,7 +143,7 @@
 			c.waitFor("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
 			c.setLogDown(true)
 			c.kill(c.leaderOf(s.ID))
-			c.waitFor("the next lead holds all workers", func() bool { return c.heldCount() == 4 })
+			c.waitFor("the next leader holds all workers", func() bool { return c.heldCount() == 4 })
 			c.setLogDown(false)
 			c.requireEndsOnce(s.ID, 8)
 		},
@@ -155,13 +155,13 @@
 	}
 }
 
-// cancelWait is how long a cancellation is kept waiting for its end to be stored.
+// cancelWait is how long a cancellation waits for the end to be stored.
 const cancelWait = time.Second
 
-// A print batch is cancelled before it started, the desk is told that it did
-// not run, and then the host that said so dies. The next lead finds the batch
-// in the log and must not print it. A log that takes longer than a caller is kept
-// waiting has the desk hear "unknown" first, and "not run" only once that is stored.
+// A job is cancelled before it started, its caller is told that it did not run, and then the
+// host that said so dies. The next leader finds the job in the log and must not run it. If the
+// log takes longer than a caller is kept waiting, the caller gets "unknown" first, and "not run"
+// only once the end is stored.
 func TestNotRunStaysTrueAfterTheLeaderDied(t *testing.T) {
 	t.Parallel()
 	for name, slow := range map[string]time.Duration{"the log is quick": 0, "the log is slow": cancelWait + 200*time.Millisecond} {
@@ -174,8 +174,8 @@
 			began := time.Now()
 			if told := c.cancel(s.ID); told != "not run" {
 				require.Equal(t, "unknown", told)
-				require.GreaterOrEqual(t, time.Since(began), cancelWait, "the end was not waited for")
-				c.waitFor("not run is said", func() bool {
+				require.GreaterOrEqual(t, time.Since(began), cancelWait, "the cancellation did not wait for the end")
+				c.waitFor("not run is reported", func() bool {
 					got, err := c.anyClient("").Job(context.Background(), s.ID)
 					return err == nil && got.Outcome == "not run"
 				})
@@ -192,9 +192,9 @@
 	}
 }
 
-// The log is away when a batch is cancelled. The end is nowhere that a next
-// lead would be sure to find it, so the desk is told that it is unknown, and
-// that it did not run only when the log has said so.
+// The log is unavailable when a job is cancelled. The end is not stored anywhere where the next
+// leader would certainly find it, so the caller gets "unknown", and "not run" only after the log
+// contains the end.
 func TestCancelWhileTheLogIsAwayIsUnknownAtFirst(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2)
@@ -204,7 +204,7 @@
 	c.setLogDown(true)
 	require.Equal(t, "unknown", c.cancel(s.ID))
 	c.setLogDown(false)
-	c.waitFor("not run is said", func() bool {
+	c.waitFor("not run is reported", func() bool {
 		got, err := c.anyClient("").Job(context.Background(), s.ID)
 		return err == nil && got.Outcome == "not run"
 	})
@@ -213,8 +213,8 @@
 	require.Zero(t, started)
 }
 
-// Both hosts that remember a job die while the log is away. The job is gone;
-// it was told as kept by peers only, it does not run, and nobody says that it did.
+// Both hosts that remember a job die while the log is unavailable. The job is lost. Its caller
+// was told that only peers kept it; it must not run, and no host may report that it did.
 func TestBothHostsThatRememberAJobDie(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
@@ -238,9 +238,8 @@
 	require.Zero(t, started)
 }
 
-// The answer to the log's append is lost after the write. The caller is told
-// that it is unknown, repeats the job with its key, and gets the same job; it
-// runs once.
+// The answer to an append is lost after the write. The caller gets "unknown" and submits the job
+// with its key again. It must get the same job, and the job must run once.
 func TestRepeatOfAJobWithAKeyFindsIt(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2)
@@ -268,8 +267,8 @@
 	require.ErrorContains(t, err, "409")
 }
 
-// A host is stopped as planned while the log is away. Its jobs still go to the
-// next lead at once, since their state travels from host to host.
+// A host is stopped as planned while the log is unavailable. Its jobs go to the next leader at
+// once nevertheless, because their state is sent from host to host.
 func TestPlannedStopWhileTheLogIsAway(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2)
@@ -288,9 +287,9 @@
 	require.Equal(t, 12, started)
 }
 
-// The log keeps records for a limited time, and a watcher runs for longer. Its
-// record is written again before it is trimmed, so that a host which starts
-// then still learns of the job; and not again and again.
+// The log keeps records for a limited time, and a watcher job runs for longer. Its record must
+// be written again before it is trimmed, so that a host that starts afterwards learns about the
+// job, but not over and over.
 func TestRecordOfALongJobOutlivesTheLogsRetention(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 1)
@@ -301,7 +300,7 @@
 		c.waitFor("job is stopped", func() bool { return c.cancel(id) != "unknown" })
 	}
 	var l *joblog.Log
-	c.waitFor("a newcomer finds the watcher", func() bool {
+	c.waitFor("a new reader of the log finds the watcher", func() bool {
 		l = joblog.New()
 		_, err := platform.New(c.cell.Address, nil).Read(context.Background(), joblog.Stream, 1, 0)
 		var trimmed *platform.TrimmedError
@@ -316,5 +315,5 @@
 		_, found := l.Spec(watcher.ID)
 		return found
 	})
-	require.Less(t, l.Next(), int64(80), "the record is not written over and over")
+	require.Less(t, l.Next(), int64(80), "the record is written over and over")
 }
--- a/internal/host/limits_test.go
+++ b/internal/host/limits_test.go
@@ -10,7 +10,8 @@
 	"pollencroft/pkg/client"
 )
 
-// Guards against a row's limit that is exceeded when its jobs come to both hosts of a domain.
+// Guards against a row's limit that is exceeded when its jobs are submitted to both hosts of a
+// failure domain.
 func TestLimitOfARowHoldsOverAllLeaders(t *testing.T) {
 	c := newCluster(t, 2)
 	ctx := context.Background()
@@ -37,9 +38,8 @@
 	require.Never(t, func() bool { return started() > 2 }, time.Second, 20*time.Millisecond)
 }
 
-// A caller mistypes an id, asks after a job of a failure domain that does not
-// exist, or cancels a job that has ended. Each gets a plain answer at once, and
-// the ended job stays as it was.
+// A caller mistypes an id, asks about a job of an unknown failure domain, or cancels a job that
+// has ended. Each gets a definite answer at once, and the ended job remains unchanged.
 func TestRequestsForOtherJobsChangeNothing(t *testing.T) {
 	c := newCluster(t, 2)
 	ctx := context.Background()
--- a/internal/host/share_test.go
+++ b/internal/host/share_test.go
@@ -21,7 +21,7 @@
 	"pollencroft/pkg/client"
 )
 
-// domain is three real hosts with minions, on a host list that tests change.
+// domain is three real hosts with backend servers, on a host list that tests change.
 type domain struct {
 	t         *testing.T
 	cell      *standin.Cell
@@ -65,7 +65,7 @@
 	return d
 }
 
-// setListed puts entry hosts on the platform's setListed beside the minions.
+// setListed puts entry hosts on the platform's list in addition to the backend servers.
 func (d *domain) setListed(names ...string) {
 	all := append([]platform.HostEntry{}, d.cell.Machines...)
 	for _, name := range names {
@@ -74,7 +74,7 @@
 	d.cell.Platform.SetHosts(all)
 }
 
-// waitSlotsShared waits until these hosts together may use all slots of each minion.
+// waitSlotsShared waits until these hosts together may use all slots of each backend server.
 func (d *domain) waitSlotsShared(what string, hosts ...int) {
 	require.Eventually(d.t, func() bool {
 		sum := map[string]int{}
@@ -93,21 +93,21 @@
 	}, testTimeout, 20*time.Millisecond, what)
 }
 
-// One host dies and another stops in a planned way. The last one must come to
-// use all slots: its callers would otherwise wait beside idle minions for ever.
+// One host dies and another one performs a planned stop. The last host must get all slots.
+// Otherwise its callers would wait for ever while backend servers are idle.
 func TestSlotsOfGoneHostsAreTakenOver(t *testing.T) {
 	d := newDomain(t)
-	d.waitSlotsShared("all share at the start", 0, 1, 2)
+	d.waitSlotsShared("all hosts share the slots at the start", 0, 1, 2)
 	d.hosts[0].Kill()
 	d.setListed("h1", "h2")
-	d.waitSlotsShared("the others take the dead host's slots", 1, 2)
+	d.waitSlotsShared("the other hosts get the dead host's slots", 1, 2)
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	require.NoError(t, d.hosts[1].Stop(ctx))
-	d.waitSlotsShared("the last host gets what the stopped one gave", 2)
+	d.waitSlotsShared("the last host gets the slots of the stopped one", 2)
 }
 
-// callers sets an urgent row and returns clients of the hosts.
+// callers creates an urgent row and returns clients of the hosts.
 func (d *domain) callers() []*client.Client {
 	ctx := context.Background()
 	require.NoError(d.t, d.operators[0].SetRow(ctx, "scan", "", map[string]any{"class": "urgent"}))
@@ -119,11 +119,11 @@
 	return all
 }
 
-// All callers come to one host, whose own share is a third of the slots. The
-// rest must not stay idle while they wait, and no minion may get a ninth.
+// All callers use one host, whose own share is a third of the slots. The other slots must not
+// stay idle while callers wait, and no backend server may get a ninth request.
 func TestOneHostsCallersUseAllSlotsAndNoMore(t *testing.T) {
 	d := newDomain(t)
-	d.waitSlotsShared("all share", 0, 1, 2)
+	d.waitSlotsShared("all hosts share the slots", 0, 1, 2)
 	callers := d.callers()
 	var wg sync.WaitGroup
 	for range 16 {
@@ -142,11 +142,11 @@
 	}
 }
 
-// A minion tells one host that it leaves; the host list never shows it. The
-// other hosts must hear of it and send it nothing more.
+// A backend server tells one host that it is leaving, and the host list never shows it. The
+// other hosts must learn of it and send it nothing more.
 func TestLeavingBackendIsAvoidedByAllHosts(t *testing.T) {
 	d := newDomain(t)
-	d.waitSlotsShared("all share", 0, 1, 2)
+	d.waitSlotsShared("all hosts share the slots", 0, 1, 2)
 	callers := d.callers()
 	d.cell.Minions["minion-00"].SetFaults(standin.MinionFaults{Leaving: true})
 	aside := func(i int) bool {
@@ -158,7 +158,7 @@
 	require.Eventually(t, func() bool {
 		reply, err := callers[0].Do(context.Background(), client.Request{Workload: "scan", Method: http.MethodPost, Path: "/gate"})
 		require.NoError(t, err)
-		require.Equal(t, client.Done, reply.Outcome, "it is answered by the other minion")
+		require.Equal(t, client.Done, reply.Outcome, "the other backend server answers")
 		return aside(0)
 	}, testTimeout, time.Millisecond)
 	for i := range callers {
--- a/internal/host/silent_test.go
+++ b/internal/host/silent_test.go
@@ -17,8 +17,8 @@
 	"pollencroft/pkg/client"
 )
 
-// forwarder passes connections on until they are silenced: they then stay open
-// and carry nothing, while new ones work.
+// forwarder forwards connections. After silence, the existing ones stay open and carry nothing,
+// while new ones work.
 type forwarder struct {
 	net.Listener
 	mu     sync.Mutex
@@ -76,9 +76,9 @@
 	f.silent = make(chan struct{})
 }
 
-// Something between a host and the log loses track of the connection on which
-// the host waits for the next record. An accepted edit must still come into
-// force there, on a new connection.
+// A device between a host and the log drops the connection on which the host waits for the next
+// record, without closing it. An accepted edit must still come into force on that host, over a
+// new connection.
 func TestEditReachesAHostWhoseLogConnectionWentSilent(t *testing.T) {
 	c := newTestHosts(t, 2)
 	f := forward(t, c.addr)
@@ -89,11 +89,11 @@
 	c.waitReady(1)
 	f.silence()
 	require.NoError(t, c.setRow(0, "scan", map[string]any{"weight": 7}))
-	c.waitFor("in force", func() bool { return c.weight(1, "scan") == 7 })
+	c.waitFor("the edit is in force", func() bool { return c.weight(1, "scan") == 7 })
 }
 
-// The log answers, but takes seconds for it, for hours. A host that gave up each
-// answer too early would never read an accepted edit.
+// The log takes seconds for each answer, for hours. A host that gives up each request too early
+// would never read an accepted edit.
 func TestSlowLogIsStillRead(t *testing.T) {
 	t.Parallel()
 	c := newTestHosts(t, 2)
@@ -104,12 +104,12 @@
 	require.NoError(t, c.setRow(0, "scan", map[string]any{"weight": 7}))
 	c.platform.SetFaults(standin.PlatformFaults{Slow: 1500 * time.Millisecond})
 	c.startHost(1)
-	c.waitFor("in force", func() bool { return c.weight(1, "scan") == 7 })
+	c.waitFor("the edit is in force", func() bool { return c.weight(1, "scan") == 7 })
 }
 
-// A host dies after it has written an edit and before it could tell the verdict.
-// The operator has the edit's id and learns at any other host what became of it;
-// sent again under that id it does not count twice.
+// A host dies after it has written an edit and before it could return the verdict. The operator
+// has the edit's id and gets the verdict from any other host. An edit that is sent again under
+// its id does not count twice.
 func TestEditOfAHostThatDiesIsFoundAtAnother(t *testing.T) {
 	c := newTestHosts(t, 2)
 	f := forward(t, c.addr)
@@ -135,9 +135,9 @@
 	require.Equal(t, int64(7), c.weight(1, "scan"))
 }
 
-// A backend server begins to leave. The host that reads the list tells the
-// others, and when that host has died the next one reads it; work that went on
-// to the server would end as unknown.
+// A backend server begins to leave. The host that reads the list notifies the others, and when
+// that host has died, the next one reads the list. Requests that are still sent to the server
+// would end as unknown.
 func TestLeavingServerIsSeenByHostsThatDoNotReadTheList(t *testing.T) {
 	c := newTestHosts(t, 2)
 	m := standin.NewMinion(8)
@@ -160,11 +160,11 @@
 	c.waitFor("served", func() bool { return outcome() == client.Done })
 	told := c.hosts[1].Count("list.told")
 	list(true)
-	c.waitFor("not served", func() bool { return outcome() == client.Refused })
+	c.waitFor("requests are refused", func() bool { return outcome() == client.Refused })
 	require.Greater(t, c.hosts[1].Count("list.told"), told)
 	c.hosts[0].Kill()
 	list(false)
-	c.waitFor("served again", func() bool { return outcome() == client.Done })
+	c.waitFor("requests are served again", func() bool { return outcome() == client.Done })
 	list(true)
-	c.waitFor("not served without the reader", func() bool { return outcome() == client.Refused })
+	c.waitFor("requests are refused after the list's reader died", func() bool { return outcome() == client.Refused })
 }
--- a/internal/host/stop_test.go
+++ b/internal/host/stop_test.go
@@ -17,7 +17,7 @@
 	"pollencroft/pkg/client"
 )
 
-// addBackend adds a backend server of the rig's failure domain.
+// addBackend adds a backend server to the failure domain.
 func (c *testHosts) addBackend(slots int) *standin.Minion {
 	m := standin.NewMinion(slots)
 	c.platform.SetHosts([]platform.HostEntry{{
@@ -35,10 +35,9 @@
 
 func maxRunning(m *standin.Minion) int { return m.Record().Most }
 
-// A host is told to stop while it carries a plain request, a keyed one, one
-// that a peer handed over, and connections that clients opened ahead and never
-// used. Each must get its whole answer; nothing may hold
-// up the stop for long once they have.
+// A host is stopped while it serves a plain request, a keyed one, one that a peer relayed, and
+// connections that clients opened in advance and never used. Each request must get its complete
+// answer, and nothing may delay the stop for long afterwards.
 func TestPlannedStopCutsNothing(t *testing.T) {
 	c := newTestHosts(t, 2)
 	m := c.addBackend(8)
@@ -48,7 +47,7 @@
 		c.waitReady(i)
 	}
 	require.NoError(t, c.setRow(0, "scan", map[string]any{"class": "urgent"}))
-	c.waitFor("row everywhere", func() bool { return c.weight(1, "scan") == 1 })
+	c.waitFor("the row is in force on both hosts", func() bool { return c.weight(1, "scan") == 1 })
 	callers := []*client.Client{client.New(addrOf(c.sockets[0].Caller), "", nil), client.New(addrOf(c.sockets[1].Caller), "", nil)}
 	ask := func(i int, key, cost string) (client.Reply, error) {
 		return callers[i].Do(context.Background(), client.Request{
@@ -56,7 +55,7 @@
 			Header: http.Header{standin.HeaderCost: {cost}},
 		})
 	}
-	c.waitFor("slots are shared out", func() bool {
+	c.waitFor("both hosts have slots", func() bool {
 		for i := range callers {
 			reply, err := callers[i].Do(context.Background(), client.Request{Workload: "scan", Method: "POST", Path: "/x", Key: cell.NewID()})
 			if err != nil || reply.Outcome != client.Done {
@@ -76,17 +75,17 @@
 			ends <- end{reply, err}
 		}()
 	}
-	// Four of the eight slots are host 0's. Host 1's own four are in use first,
-	// so that what it takes in above them is handed to host 0.
+	// Four of the eight slots belong to host 0. The four of host 1 are occupied first, so that
+	// host 1 relays further requests to host 0.
 	for range 4 {
 		send(1, "", "2s")
 	}
-	c.waitFor("host 1 is full", func() bool { return maxRunning(m) >= 4 })
-	// What is handed over ends last, when nothing of host 0's own runs any more.
+	c.waitFor("the slots of host 1 are in use", func() bool { return maxRunning(m) >= 4 })
+	// The relayed request ends last, when host 0 has no requests of its own any more.
 	send(1, "", "3s")
 	send(0, "", "1s")
 	send(0, cell.NewID(), "1s")
-	c.waitFor("all run", func() bool { return maxRunning(m) >= 7 })
+	c.waitFor("all requests run", func() bool { return maxRunning(m) >= 7 })
 	unused, err := net.Dial("tcp", c.sockets[0].Caller.Addr().String())
 	require.NoError(t, err)
 	defer unused.Close()
@@ -102,8 +101,8 @@
 	<-c.hosts[0].Stopped()
 }
 
-// Something in flight never ends. The stop gives up at its bound and says that
-// it has cut work, rather than hang for good or claim a clean end.
+// A request in flight never ends. The stop must give up at its time limit and report that it cut
+// work, rather than block for ever or report a clean end.
 func TestStopThatCutsWorkSaysSo(t *testing.T) {
 	c := newTestHosts(t, 1)
 	m := c.addBackend(8)
@@ -128,9 +127,8 @@
 	<-done
 }
 
-// A balancer keeps connections open ahead that it never uses. The library waits
-// five seconds for a first request on each; an idle host must not use up the
-// bound of its stop with that.
+// A load balancer keeps connections open that it never uses. The http package waits five seconds
+// for the first request on each. The stop of an idle host must not spend its time limit on that.
 func TestUnusedConnectionsDoNotHoldUpAStop(t *testing.T) {
 	c := newTestHosts(t, 1)
 	c.startHost(0)
--- a/internal/host/table_test.go
+++ b/internal/host/table_test.go
@@ -20,7 +20,7 @@
 
 var local = netip.MustParseAddrPort("127.0.0.1:0")
 
-// testHosts is a platform and some entry hosts in one process.
+// testHosts is a simulated platform and some entry hosts in one process.
 type testHosts struct {
 	t        *testing.T
 	platform *standin.Platform
@@ -30,7 +30,7 @@
 	hosts    []*host.Host
 }
 
-// newTestHosts opens the sockets of n hosts that know each other and starts none.
+// newTestHosts opens the sockets of n hosts that know each other and starts none of them.
 func newTestHosts(t *testing.T, n int) *testHosts {
 	c := &testHosts{t: t, platform: standin.NewPlatform(), hosts: make([]*host.Host, n)}
 	srv := httptest.NewServer(c.platform.Handler())
@@ -86,8 +86,8 @@
 	return r.Weight
 }
 
-// The log writes an edit and its answer is lost. The operator must be told what
-// the record says, or an edit that is in force would be told as failed.
+// The log writes an edit and its answer is lost. The operator must get the verdict on the
+// record. Otherwise an edit that is in force would be reported as failed.
 func TestLostAppendAnswerIsSettledByTheRecord(t *testing.T) {
 	c := newTestHosts(t, 1)
 	c.startHost(0)
@@ -98,8 +98,8 @@
 	require.Equal(t, int64(1), c.platform.Appends())
 }
 
-// The log is down for hours while operators try to edit. They are told "not
-// accepted", and the last accepted table stays in force.
+// The log is down for hours while operators try to edit. They get "not accepted", and the last
+// accepted table stays in force.
 func TestEditWhileTheLogIsDownIsNotAccepted(t *testing.T) {
 	c := newTestHosts(t, 1)
 	c.startHost(0)
@@ -115,15 +115,15 @@
 	require.Equal(t, int64(7), c.weight(0, "scan"))
 }
 
-// The log takes an edit, but nobody can read it back. The operator gets the id
-// to ask with and finds the verdict there once the log can be read.
+// The log accepts an edit, but no host can read it back. The operator gets the edit's id and
+// finds the verdict under it once the log can be read.
 func TestUnreadEditIsUnknownUntilItIsFound(t *testing.T) {
 	t.Parallel()
 	c := newTestHosts(t, 1)
 	c.startHost(0)
 	c.waitReady(0)
 	c.platform.SetFaults(standin.PlatformFaults{Deaf: true})
-	// The read that waits for the next record would still answer.
+	// The read that waits for the next record could still be answered.
 	c.waitFor("reads fail", func() bool { return c.hosts[0].Count("table.unread") > 0 })
 	err := c.setRow(0, "scan", map[string]any{"weight": 7})
 	var unsure *client.UnsureError
@@ -137,9 +137,9 @@
 	})
 }
 
-// Hosts are replaced while the log is down. One with peers must come up with
-// their table; one that has never seen a table must take no work, because it
-// would refuse every caller or ignore every limit.
+// Hosts are replaced while the log is down. A host with peers must start with their table. A
+// host that has never seen a table must not accept work, because it would refuse every caller or
+// ignore every limit.
 func TestHostThatStartsWhileTheLogIsDownTakesThePeersTable(t *testing.T) {
 	c := newTestHosts(t, 3)
 	c.settings[2].Peers = nil
@@ -157,8 +157,8 @@
 	require.Equal(t, int64(7), c.weight(2, "scan"))
 }
 
-// The log has trimmed what a new host needs. It starts from the snapshot that
-// another wrote in time, though it knows no peer.
+// The log has trimmed records that a new host needs. The host must start from the snapshot that
+// another host wrote in time, even though it knows no peer.
 func TestNewHostStartsFromTheSnapshotInATrimmedLog(t *testing.T) {
 	c := newTestHosts(t, 2)
 	c.settings[1].Peers = nil
@@ -171,18 +171,18 @@
 	}
 	c.startHost(1)
 	c.waitReady(1)
-	c.waitFor("both rows", func() bool { return c.weight(1, "scan") == 20 && c.weight(1, "first") == 1 })
+	c.waitFor("both rows are in force", func() bool { return c.weight(1, "scan") == 20 && c.weight(1, "first") == 1 })
 }
 
-// The log answers with a page that lacks a record, or as it was some time ago.
-// The host keeps what it has and reads again, rather than folding over the gap.
+// The log answers with a page that lacks a record, or with an outdated one. The host must keep
+// its table and read again, rather than apply the records after the gap.
 func TestBadPagesOfTheLogAreNotFolded(t *testing.T) {
 	c := newTestHosts(t, 1)
 	c.startHost(0)
 	c.waitReady(0)
 	require.NoError(t, c.setRow(0, "scan", map[string]any{"weight": 1}))
 	c.platform.SetFaults(standin.PlatformFaults{Hole: 2, Stale: 1})
-	c.waitFor("stale page", func() bool { return c.hosts[0].Count("table.stale") > 0 })
+	c.waitFor("a stale page was read", func() bool { return c.hosts[0].Count("table.stale") > 0 })
 	require.Equal(t, int64(1), c.weight(0, "scan"))
 	c.platform.SetFaults(standin.PlatformFaults{Hole: 2})
 	done := make(chan error, 2)
@@ -196,8 +196,8 @@
 	require.Equal(t, int64(2), c.weight(0, "scan"))
 }
 
-// Two operators race for one row through two hosts. Exactly one wins; the other
-// is told so with the row as it is.
+// Two operators edit the same row through two hosts at the same time. Exactly one edit is
+// accepted. The other operator is told so, with the current row.
 func TestOneOfTwoRacingOperatorsIsToldThatItLost(t *testing.T) {
 	c := newTestHosts(t, 2)
 	for i := range c.hosts {
@@ -205,7 +205,7 @@
 		c.waitReady(i)
 	}
 	require.NoError(t, c.setRow(0, "scan", nil))
-	c.waitFor("row everywhere", func() bool { return c.weight(1, "scan") == 1 })
+	c.waitFor("the row is in force on both hosts", func() bool { return c.weight(1, "scan") == 1 })
 	ctx := context.Background()
 	done := make(chan error, 2)
 	for i := range c.hosts {
@@ -221,8 +221,8 @@
 	require.Contains(t, string(race.Row), `"version":2`)
 }
 
-// A row is confined to other failure domains. Its requests and jobs must be
-// refused here with the reason, not run where the row may not.
+// A row is confined to other failure domains. Its requests and jobs must be refused here with
+// the reason, and not run where the row may not run.
 func TestRowOfOtherDomainsIsRefused(t *testing.T) {
 	c := newTestHosts(t, 1)
 	c.startHost(0)
@@ -237,8 +237,8 @@
 	require.ErrorContains(t, err, "runs only in sued")
 }
 
-// Quota moves between two failure domains. The growing one gets its part only
-// after every host of the shrinking one has read the edit and the log says so.
+// A quota is moved between two failure domains. The growing domain gets its part only after
+// every host of the shrinking one has read the edit and the log says so.
 func TestQuotaMovesAfterTheShrinkingDomainHasSettled(t *testing.T) {
 	c := newTestHosts(t, 2)
 	c.settings[1].Domain, c.settings[0].Peers[0].Domain = "sued", "sued"
@@ -253,7 +253,7 @@
 	put(1, 0)
 	share, ok := c.hosts[0].TeamShare("x")
 	require.True(t, ok)
-	require.Zero(t, share.Tasks, "sued has no host that has read the edit")
+	require.Zero(t, share.Tasks, "no host of sued has read the edit")
 	c.startHost(1)
 	c.waitFor("settled", func() bool { s, _ := c.hosts[0].TeamShare("x"); return s.Tasks == 10 })
 	share, _ = c.hosts[1].TeamShare("x")
--- a/internal/host/told_test.go
+++ b/internal/host/told_test.go
@@ -7,13 +7,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against an end that lies in every host's log and is told by none.
+// Guards against a job whose end is in every host's log and that no host reports.
 func TestLoggedEndIsReportedWhileTheLeaderIsSilent(t *testing.T) {
 	c := newCluster(t, 3)
 	id := c.submit(smallJob(1, 0.01)).ID
 	lead := c.leaderOf(id)
 	asked := c.anyClient(lead)
-	c.waitFor("every host knows the end", func() bool {
+	c.waitFor("every host's log contains the end", func() bool {
 		for _, h := range c.hosts {
 			if !h.HasLoggedEnd(id) {
 				return false
