--- a/internal/host/cell.go
+++ b/internal/host/cell.go
@@ -45,13 +45,13 @@
 	live := h.members.LiveIn(h.cfg.Domain)
 	h.mu.Unlock()
 	var servers []relay.Server
-	var known, workers []lead.Machine
+	var domainWorkers, workers []lead.Machine
 	var names []string
 	for _, m := range list {
 		machine := lead.Machine{Name: m.Name, Rack: m.Rack, Address: m.Address, Size: m.Size}
 		if m.Domain == h.cfg.Domain && m.Kind == cell.WorkerHost {
 			names = append(names, m.Name)
-			known = append(known, machine)
+			domainWorkers = append(domainWorkers, machine)
 		}
 		switch {
 		case m.Domain != h.cfg.Domain:
@@ -62,11 +62,11 @@
 		}
 	}
 	h.relay.SetServers(servers)
-	h.leader.UpdateMachines(known)
+	h.leader.UpdateMachines(domainWorkers)
 	h.leader.SetDomain(names, without(live, h.cfg.Name))
 	h.collectOutgoing()
 	if !h.Ready() && h.outgoingCount() > 0 {
-		workers = h.oneHeldWorker(known)
+		workers = h.oneHeldWorker(domainWorkers)
 	}
 	h.leader.SetLedMachines(workers)
 }
