--- a/internal/host/cell.go
+++ b/internal/host/cell.go
@@ -73,13 +73,13 @@
 
 // oneHeldWorker returns one of the workers that a leaving host still holds. While this host
 // holds a worker, no other host can complete an inventory for the jobs that it is handing over.
-func (h *Host) oneHeldWorker(known []lead.Machine) []lead.Machine {
+func (h *Host) oneHeldWorker(domainWorkers []lead.Machine) []lead.Machine {
 	held := h.leader.Held()
-	i := slices.IndexFunc(known, func(m lead.Machine) bool { return slices.Contains(held, m.Name) })
+	i := slices.IndexFunc(domainWorkers, func(m lead.Machine) bool { return slices.Contains(held, m.Name) })
 	if i < 0 {
 		return nil
 	}
-	return known[i : i+1]
+	return domainWorkers[i : i+1]
 }
 
 func (h *Host) leadsWorker(m platform.HostEntry) bool {
