--- a/internal/host/cluster_test.go
+++ b/internal/host/cluster_test.go
@@ -60,10 +60,10 @@
 	c, err := standin.NewCell(users, local, time.Now)
 	require.NoError(t, err)
 	t.Cleanup(c.Close)
-	told := &logBuffer{}
+	logs := &logBuffer{}
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Log(told.String())
+			t.Log(logs.String())
 		}
 	})
 	cl := &cluster{T: t, cell: c, hosts: map[string]*host.Host{}, clients: map[string]*client.Client{}}
@@ -86,7 +86,7 @@
 				cfg.Peers = append(cfg.Peers, settings.Peer{Name: other.Name, Domain: other.Domain, Address: other.Listen.Peer})
 			}
 		}
-		h := host.New(cfg, slog.New(slog.NewTextHandler(told, nil)).With("host", cfg.Name), time.Now)
+		h := host.New(cfg, slog.New(slog.NewTextHandler(logs, nil)).With("host", cfg.Name), time.Now)
 		h.Start(socks[i])
 		t.Cleanup(h.Kill)
 		cl.hosts[cfg.Name], cl.clients[cfg.Name] = h, client.New(cfg.Listen.Caller, "", nil)
