--- a/internal/host/crash.go
+++ b/internal/host/crash.go
@@ -7,8 +7,8 @@
 
 // storeCrashes stores the crash count of a task in the log or, while the log is unavailable, at
 // a peer. The leader does not restart the task before this is done.
-func (h *Host) storeCrashes(spec job.Spec, task string, lives int64) {
-	rec := joblog.Record{ID: spec.ID, Spec: &spec, Crashes: map[string]int64{task: lives}}
+func (h *Host) storeCrashes(spec job.Spec, task string, crashes int64) {
+	rec := joblog.Record{ID: spec.ID, Spec: &spec, Crashes: map[string]int64{task: crashes}}
 	h.storeRecord(rec, func() { h.ackCrashes(rec) })
 }
 
