--- a/internal/host/crash.go
+++ b/internal/host/crash.go
@@ -14,8 +14,8 @@
 
 // ackCrashes tells the leader which crash counts are stored.
 func (h *Host) ackCrashes(rec joblog.Record) {
-	for task, lives := range rec.Crashes {
-		h.leader.AckCrashes(task, lives)
+	for task, crashes := range rec.Crashes {
+		h.leader.AckCrashes(task, crashes)
 	}
 }
 
