--- a/internal/host/crash_test.go
+++ b/internal/host/crash_test.go
@@ -29,7 +29,7 @@
 	started, _ := c.ran(s.ID)
 	t.Logf("starts: %d", started)
 	require.LessOrEqual(t, started, 4)
-	told, err := c.anyClient("").Job(context.Background(), s.ID)
+	status, err := c.anyClient("").Job(context.Background(), s.ID)
 	require.NoError(t, err)
-	require.NotEmpty(t, told.Reason)
+	require.NotEmpty(t, status.Reason)
 }
