--- a/internal/host/edit.go
+++ b/internal/host/edit.go
@@ -104,13 +104,13 @@
 	for {
 		h.mu.Lock()
 		j, ok := h.table.Verdict(id)
-		grown := h.tableChanged
+		changed := h.tableChanged
 		h.mu.Unlock()
 		if ok {
 			return j, nil
 		}
 		select {
-		case <-grown:
+		case <-changed:
 		case <-ctx.Done():
 			return j, &operator.UnsureError{ID: id}
 		}
