--- a/internal/host/explain.go
+++ b/internal/host/explain.go
@@ -21,8 +21,8 @@
 	if reply.Code == 0 {
 		return reply.Notes
 	}
-	told := trail.Note{At: h.clock(), ID: id, Component: "host", Message: "its lead tells nothing: " + reply.Reason}
-	return append(h.leader.Explain(id), told)
+	note := trail.Note{At: h.clock(), ID: id, Component: "host", Message: "its lead tells nothing: " + reply.Reason}
+	return append(h.leader.Explain(id), note)
 }
 
 // localHistory returns the history of a job that this host leads. A host that has inherited a
