--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -59,10 +59,10 @@
 func (h *Host) stopLeading(to string, ids []string) {
 	h.jobs.transferMu.Lock()
 	defer h.jobs.transferMu.Unlock()
-	carries, epoch := h.leader.HandOver(ids)
+	snapshots, epoch := h.leader.HandOver(ids)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, c := range carries {
+	for _, c := range snapshots {
 		h.jobs.outgoing[c.Spec.ID] = &outgoingJob{snapshot: c, target: to, epoch: epoch}
 	}
 }
