--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -209,9 +209,9 @@
 	maxHandoverNotes = 400
 )
 
-func (h *Host) handoverNotes(carries []job.Snapshot) []trail.Note {
+func (h *Host) handoverNotes(snapshots []job.Snapshot) []trail.Note {
 	var all []trail.Note
-	for _, c := range carries {
+	for _, c := range snapshots {
 		if len(all) < maxHandoverNotes {
 			all = append(all, h.history.Excerpt(c.Spec.ID, notesPerJob)...)
 		}
