--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -143,9 +143,9 @@
 		h.rememberRecord(rec)
 		return "log", nil
 	}
-	told, silent := h.askPeerToKeep(ctx, rec)
+	kept, silent := h.askPeerToKeep(ctx, rec)
 	switch {
-	case told:
+	case kept:
 		h.addUnwritten(rec)
 		return "peers", nil
 	case silent != nil:
