--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -262,7 +262,7 @@
 			h.recordWritten(rec)
 			return
 		}
-		if told, _ := h.askPeerToKeep(ctx, rec); told {
+		if kept, _ := h.askPeerToKeep(ctx, rec); kept {
 			shared()
 		}
 	})
