--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -203,24 +203,24 @@
 // applying it is idempotent.
 func (h *Host) writeUnwritten() {
 	h.mu.Lock()
-	owed := make([]joblog.Record, 0, maxBatch)
+	unwritten := make([]joblog.Record, 0, maxBatch)
 	for _, rec := range h.jobs.unwritten {
-		if len(owed) < maxBatch {
-			owed = append(owed, rec)
+		if len(unwritten) < maxBatch {
+			unwritten = append(unwritten, rec)
 		}
 	}
 	h.mu.Unlock()
-	body, err := joblog.Encode(owed)
-	if err != nil || len(owed) == 0 {
+	body, err := joblog.Encode(unwritten)
+	if err != nil || len(unwritten) == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(h.ctx, keepTimeout)
 	defer cancel()
 	if _, err := h.platform.Append(ctx, joblog.Stream, body); err != nil {
-		h.log.Warn("host: cannot write job records to the log yet.", "records", len(owed), "err", err)
+		h.log.Warn("host: cannot write job records to the log yet.", "records", len(unwritten), "err", err)
 		return
 	}
-	for _, rec := range owed {
+	for _, rec := range unwritten {
 		h.recordWritten(rec)
 	}
 }
