--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -273,8 +273,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_, ended := h.jobs.log.End(id)
-	_, owed := h.jobs.unwritten[id]
-	return h.jobs.writtenEnds[id] || ended && !owed && h.jobs.log.Written(id)
+	_, unwritten := h.jobs.unwritten[id]
+	return h.jobs.writtenEnds[id] || ended && !unwritten && h.jobs.log.Written(id)
 }
 
 // followJobs reads the job log until the host ends.
