--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -318,7 +318,7 @@
 	var stored []joblog.Record
 	for _, e := range page.Entries {
 		for _, rec := range h.jobs.log.Fold(e.Offset, e.Body) {
-			if owed, ok := h.jobs.unwritten[rec.ID]; ok && owed.State == rec.State {
+			if unwritten, ok := h.jobs.unwritten[rec.ID]; ok && unwritten.State == rec.State {
 				stored = append(stored, rec)
 			}
 		}
