--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -354,8 +354,8 @@
 	for _, marks := range []map[string]bool{k.writtenEnds, k.sharedEnds} {
 		for id := range marks {
 			_, ended := k.log.End(id)
-			_, owed := k.unwritten[id]
-			if ended && !owed && k.log.Written(id) {
+			_, unwritten := k.unwritten[id]
+			if ended && !unwritten && k.log.Written(id) {
 				delete(marks, id)
 			}
 		}
