--- a/internal/host/takeover.go
+++ b/internal/host/takeover.go
@@ -106,9 +106,9 @@
 	h.takeOver()
 	h.handOverJobs()
 	h.mu.Lock()
-	owed := len(h.jobs.unwritten)
+	unwritten := len(h.jobs.unwritten)
 	h.mu.Unlock()
-	if owed > 0 {
+	if unwritten > 0 {
 		h.writeUnwritten()
 	}
 }
