--- a/internal/host/lifecycle_test.go
+++ b/internal/host/lifecycle_test.go
@@ -81,7 +81,7 @@
 // after. What the caller was told must remain true: all tasks of an accepted job run to their
 // end, and none runs in two places.
 func TestLeaderDiesAtEveryStep(t *testing.T) {
-	for name, life := range map[string]func(c *cluster){
+	for name, scenario := range map[string]func(c *cluster){
 		"accepted, no start sent": func(c *cluster) {
 			free := c.fillWorkers()
 			s := c.submit(smallJob(2, 0.2))
@@ -150,7 +150,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			life(newCluster(t, 3))
+			scenario(newCluster(t, 3))
 		})
 	}
 }
