--- a/internal/host/lifecycle_test.go
+++ b/internal/host/lifecycle_test.go
@@ -172,8 +172,8 @@
 			s := c.submit(smallJob(2, 0.2))
 			c.cell.Platform.SetFaults(standin.PlatformFaults{Slow: slow})
 			began := time.Now()
-			if told := c.cancel(s.ID); told != "not run" {
-				require.Equal(t, "unknown", told)
+			if outcome := c.cancel(s.ID); outcome != "not run" {
+				require.Equal(t, "unknown", outcome)
 				require.GreaterOrEqual(t, time.Since(began), cancelWait, "the cancellation did not wait for the end")
 				c.waitFor("not run is reported", func() bool {
 					got, err := c.anyClient("").Job(context.Background(), s.ID)
