--- a/internal/host/limits_test.go
+++ b/internal/host/limits_test.go
@@ -45,10 +45,10 @@
 	ctx := context.Background()
 	for id, status := range map[string]int{"plain": 400, "nowhere.r0.1": 404, "nord.r0.1": 404} {
 		_, err := c.anyClient("").Job(ctx, id)
-		var told *client.StatusError
-		require.ErrorAs(t, err, &told, id)
-		require.Equal(t, status, told.Status, id)
-		require.Equal(t, client.Refused, told.Outcome, id)
+		var refused *client.StatusError
+		require.ErrorAs(t, err, &refused, id)
+		require.Equal(t, status, refused.Status, id)
+		require.Equal(t, client.Refused, refused.Outcome, id)
 	}
 	s := c.submit(client.Job{Tasks: 1, Size: client.Size{CPU: 100, Mem: 1 << 20}, Time: 0.01})
 	c.waitFor("job has ended", func() bool { return c.state(s.ID) == "ended" })
