--- a/internal/host/limits_test.go
+++ b/internal/host/limits_test.go
@@ -52,7 +52,7 @@
 	}
 	s := c.submit(client.Job{Tasks: 1, Size: client.Size{CPU: 100, Mem: 1 << 20}, Time: 0.01})
 	c.waitFor("job has ended", func() bool { return c.state(s.ID) == "ended" })
-	told, err := c.anyClient("").Cancel(ctx, s.ID)
+	status, err := c.anyClient("").Cancel(ctx, s.ID)
 	require.NoError(t, err)
-	require.Equal(t, "ended", told.State)
+	require.Equal(t, "ended", status.State)
 }
