--- a/internal/host/silent_test.go
+++ b/internal/host/silent_test.go
@@ -158,10 +158,10 @@
 		return r.Outcome
 	}
 	c.waitFor("served", func() bool { return outcome() == client.Done })
-	told := c.hosts[1].Count("list.told")
+	notified := c.hosts[1].Count("list.told")
 	list(true)
 	c.waitFor("requests are refused", func() bool { return outcome() == client.Refused })
-	require.Greater(t, c.hosts[1].Count("list.told"), told)
+	require.Greater(t, c.hosts[1].Count("list.told"), notified)
 	c.hosts[0].Kill()
 	list(false)
 	c.waitFor("requests are served again", func() bool { return outcome() == client.Done })
