--- a/internal/host/routes.go
+++ b/internal/host/routes.go
@@ -24,7 +24,7 @@
 		r.Use(h.admit)
 		caller.New(caller.Deps{
 			Row: h.Row, Do: h.doIfServed, Submit: h.submitIfServed, Job: h.jobStatus, Cancel: h.cancelJob, Trail: h.explain,
-			Body: h.cfg.Limits.Body, Deadline: h.cfg.Limits.Deadline, Clock: h.clock,
+			MaxBody: h.cfg.Limits.Body, MaxWait: h.cfg.Limits.Deadline, Clock: h.clock,
 		}).Routes(r)
 	})
 	return h.countRequests(r)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -159,7 +159,7 @@
 
 // A caller hangs up. If its request is still waiting, its place in the queue is released
 // and nothing runs. If the request was sent, it runs to its end.
-func TestHangUpFreesThePlaceButCutsNothingThatWasSent(t *testing.T) {
+func TestHangUpCancelsOnlyWaitingRequests(t *testing.T) {
 	b := newBench(t, 1, 1)
 	slow := request()
 	slow.Header = map[string]string{standin.HeaderCost: "300ms"}
@@ -180,7 +180,7 @@
 
 // An operator changes the limit of a row while its requests are waiting. The next tick
 // applies the new limit to them.
-func TestEditOfALimitReachesWhatWaits(t *testing.T) {
+func TestLimitChangeAppliesToWaitingRequests(t *testing.T) {
 	b := newBench(t, 1, 2)
 	b.row.Limits.Slots = 1
 	var wg sync.WaitGroup
@@ -206,7 +206,7 @@
 // A host is paused for an hour while a request arrives. Other hosts have taken over its
 // slots meanwhile, so it must send nothing until it knows which slots it has; otherwise a
 // minion with 8 slots would get a ninth request.
-func TestHostThatStoodStillSendsNothingUntilItKnowsItsSlots(t *testing.T) {
+func TestPausedHostSendsNothingUntilItKnowsItsSlots(t *testing.T) {
 	b := newBench(t, 1, 8)
 	require.Equal(t, cell.Done, b.Do(t.Context(), request()).Outcome)
 	b.mu.Lock()
