--- a/internal/tablefile/tablefile.go
+++ b/internal/tablefile/tablefile.go
@@ -1,5 +1,5 @@
-// Package tablefile writes the table as a TOML file that operators edit, and determines which rows they
-// changed when it reads the file back.
+// Package tablefile writes the table as a TOML file that operators edit, and determines which rows
+// they changed when it reads the file back.
 package tablefile
 
 import (
@@ -143,8 +143,9 @@
 
 // Difference is one column with the value that the operator wanted and the value in force.
 type Difference struct {
-	Column          string
-	Wanted, Current any
+	Column  string
+	Wanted  any `json:"Mine"`
+	Current any `json:"Theirs"`
 }
 
 // Compare returns the columns in which a rejected change differs from the row in force. The row is
