--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -36,7 +36,7 @@
 // Table gives operators access to the table: its rows, quotas and history.
 type Table interface {
 	Lines() []table.Line
-	Teams() []table.Quota
+	Quotas() []table.Quota
 	History() []table.HistoryEntry
 	// Verdict returns the result of an edit, and false if the edit has not been
 	// read from the log yet.
@@ -48,8 +48,8 @@
 	// UnsureError if the edit may have been written but has no verdict yet.
 	Edit(ctx context.Context, e table.Edit) (table.Verdict, error)
 	EditQuota(ctx context.Context, e table.QuotaEdit) (table.Verdict, error)
-	// Settle writes the confirmation that a failure domain applies its share of a quota.
-	Settle(ctx context.Context, s table.ShareConfirmation) error
+	// ConfirmShare writes the confirmation that a failure domain applies its share of a quota.
+	ConfirmShare(ctx context.Context, s table.ShareConfirmation) error
 }
 
 // TableStatus reports up to which offset each host has applied the table's log.
@@ -85,9 +85,9 @@
 	r.Get("/edits/{id}", h.verdict)
 	r.Get("/log", func(w http.ResponseWriter, _ *http.Request) { write(w, http.StatusOK, h.Table.History()) })
 	r.Get("/status", func(w http.ResponseWriter, _ *http.Request) { write(w, http.StatusOK, h.Status()) })
-	r.Get("/quotas", func(w http.ResponseWriter, _ *http.Request) { write(w, http.StatusOK, h.Table.Teams()) })
+	r.Get("/quotas", func(w http.ResponseWriter, _ *http.Request) { write(w, http.StatusOK, h.Table.Quotas()) })
 	r.Put("/quotas/{team}", h.putQuota)
-	r.Post("/quotas/{team}/settle/{domain}", h.settle)
+	r.Post("/quotas/{team}/settle/{domain}", h.confirmShare)
 	r.Get("/hosts", func(w http.ResponseWriter, _ *http.Request) { write(w, http.StatusOK, h.Hosts()) })
 	r.Get("/workers", func(w http.ResponseWriter, _ *http.Request) { write(w, http.StatusOK, h.Workers()) })
 	r.Get("/explain/{id}", h.explain)
