--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -118,7 +118,7 @@
 	h.peers.SetIdleTime(h.linkIdleTimeout)
 	h.relay = relay.New(relay.Deps{
 		Name: cfg.Name, Domain: cfg.Domain, Queue: queue.New(queue.Limits{Length: int(cfg.Limits.Queue), Reserve: queue.DefaultLimits.Reserve}),
-		Ledger: ledger.New(ledger.DefaultLimits, now), Minions: minion.New(minion.NewTransport(dial.New().DialContext), cfg.Limits.Body),
+		Ledger: ledger.New(ledger.DefaultLimits, now), Backends: minion.New(minion.NewTransport(dial.New().DialContext), cfg.Limits.Body),
 		Outliers: outlier.New(outlier.DefaultLimits), Retries: retry.New(retry.DefaultLimits), LimitShare: h.rowLimitPart, MaxPause: cfg.Limits.Deadline / 2, Metrics: h.metrics,
 		Plan: keyPlan(cfg), Incarnation: now.UnixMilli(), Peers: h.peers, Row: h.Row, Members: h.domainMembers, Clock: clock, Log: log,
 	})
--- a/internal/relay/home.go
+++ b/internal/relay/home.go
@@ -99,7 +99,7 @@
 	set("ledger.bytes", x.Ledger.Bytes())
 	set("ledger.reach", x.Clock().Sub(x.Ledger.Since()).Milliseconds())
 	set("peer.silent", x.Peers.Silent())
-	set("minion.dropped", x.Minions.Dropped())
+	set("minion.dropped", x.Backends.Dropped())
 }
 
 // liveHosts returns a function that reports whether a host of any failure domain is taken
--- a/internal/relay/keyed_test.go
+++ b/internal/relay/keyed_test.go
@@ -131,7 +131,7 @@
 			Plan:     ledger.NewPlan(ledger.Host{Name: name, Domain: "nord"}, others),
 			Outliers: outlier.New(outlier.DefaultLimits), Retries: retry.New(retry.DefaultLimits), Metrics: metrics.NewRegistry(),
 			LimitShare: func(_ string, limit int64) int64 { return limit },
-			Peers:      peers, Minions: minion.New(minion.NewTransport(dial.New().DialContext), 1<<20),
+			Peers:      peers, Backends: minion.New(minion.NewTransport(dial.New().DialContext), 1<<20),
 			Row:     func(string) (table.Row, int64) { return table.Row{Name: "scan", Weight: 1}, 1 },
 			Members: n.members, Clock: n.clock, Log: slog.New(slog.DiscardHandler),
 		})
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -35,7 +35,7 @@
 	// Plan chooses the homes of keys. Incarnation is the incarnation of this host.
 	Plan        ledger.Plan
 	Incarnation int64
-	Minions     *minion.Client
+	Backends    *minion.Client
 	Peers       *peer.Clients
 	// Row returns a row and its version, which is zero if there is no such row.
 	Row func(name string) (table.Row, int64)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -46,7 +46,7 @@
 	b.Relay = relay.New(relay.Deps{
 		Name: "h1", Domain: "d", Queue: queue.New(queue.DefaultLimits), Outliers: outlier.New(outlier.DefaultLimits),
 		Retries: retry.New(retry.DefaultLimits), Ledger: ledger.New(ledger.DefaultLimits, time.Now()),
-		Minions: minion.New(&http.Transport{}, 1<<20), Peers: peer.NewClients(nil),
+		Backends: minion.New(&http.Transport{}, 1<<20), Peers: peer.NewClients(nil),
 		Row: func(string) (table.Row, int64) {
 			b.mu.Lock()
 			defer b.mu.Unlock()
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -163,7 +163,7 @@
 	addr := x.servers[a.Backend].Address
 	x.stepOutliers(outlier.Sent{ID: req.ID, Backend: a.Backend, Row: req.Row})
 	x.mu.Unlock()
-	answer, err := x.Minions.Do(ctx, addr, req)
+	answer, err := x.Backends.Do(ctx, addr, req)
 	t := classify(answer, err)
 	t.minion = a.Backend
 	if connectionBroke(err) {
