--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -34,7 +34,7 @@
 type try struct {
 	reply      call.Reply
 	retryClass retryClass
-	minion     string
+	backend    string
 }
 
 // runWithRetries runs a request on a slot of this host or of a peer. It retries the request
@@ -62,7 +62,7 @@
 			return t.reply
 		}
 		metrics.GetOrRegisterCounter("relay.retries", x.Metrics).Inc(1)
-		ask.Avoid = append(append(ask.Avoid, t.minion), t.reply.Lost...)
+		ask.Avoid = append(append(ask.Avoid, t.backend), t.reply.Lost...)
 	}
 }
 
@@ -165,7 +165,7 @@
 	x.mu.Unlock()
 	answer, err := x.Backends.Do(ctx, addr, req)
 	t := classify(answer, err)
-	t.minion = a.Backend
+	t.backend = a.Backend
 	if connectionBroke(err) {
 		t.reply.Lost = []string{a.Backend}
 	}
