--- a/internal/relay/lost_test.go
+++ b/internal/relay/lost_test.go
@@ -27,14 +27,14 @@
 }
 
 func (b *bench) setFaults(f standin.MinionFaults) {
-	for _, m := range b.minions {
+	for _, m := range b.backends {
 		m.SetFaults(f)
 	}
 }
 
 // reached returns how many backend servers received a request, and how often they ran it.
 func (b *bench) reached(id string) (servers, runs int) {
-	for _, m := range b.minions {
+	for _, m := range b.backends {
 		n := 0
 		for _, key := range []string{id, id + ".2"} {
 			n += m.Record().Ran[key]
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -32,12 +32,12 @@
 // bench is one relay with stand-in minions and a row that tests can change.
 type bench struct {
 	*relay.Relay
-	minions []*standin.Minion
-	servers []relay.Server
-	mu      sync.Mutex
-	row     table.Row
-	version int64
-	ahead   time.Duration
+	backends []*standin.Minion
+	servers  []relay.Server
+	mu       sync.Mutex
+	row      table.Row
+	version  int64
+	ahead    time.Duration
 }
 
 func newBench(t *testing.T, minions, slots int) *bench {
@@ -65,7 +65,7 @@
 		m := standin.NewMinion(slots)
 		srv := httptest.NewServer(m.Handler())
 		t.Cleanup(srv.Close)
-		b.minions = append(b.minions, m)
+		b.backends = append(b.backends, m)
 		b.servers = append(b.servers, relay.Server{
 			Name: fmt.Sprint("m", i), Slots: slots, Address: netip.MustParseAddrPort(strings.TrimPrefix(srv.URL, "http://")),
 		})
@@ -80,7 +80,7 @@
 
 func (b *bench) ran() int {
 	n := 0
-	for _, m := range b.minions {
+	for _, m := range b.backends {
 		n += len(m.Record().Ran)
 	}
 	return n
@@ -95,7 +95,7 @@
 			b.servers[0].Address = netip.MustParseAddrPort("127.0.0.1:1")
 			b.SetServers(b.servers)
 		},
-		"leaves": func(b *bench) { b.minions[0].SetFaults(standin.MinionFaults{Leaving: true}) },
+		"leaves": func(b *bench) { b.backends[0].SetFaults(standin.MinionFaults{Leaving: true}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t, 2, 8)
@@ -114,7 +114,7 @@
 	for _, idempotent := range []bool{false, true} {
 		b := newBench(t, 2, 8)
 		b.row.Idempotent = idempotent
-		b.minions[0].SetFaults(standin.MinionFaults{Lose: 1})
+		b.backends[0].SetFaults(standin.MinionFaults{Lose: 1})
 		reply := b.Do(t.Context(), request())
 		require.Equal(t, map[bool]cell.Outcome{false: cell.Unknown, true: cell.Done}[idempotent], reply.Outcome)
 		require.Equal(t, map[bool]int{false: 1, true: 2}[idempotent], b.ran())
@@ -126,8 +126,8 @@
 func TestRefusedRetryDoesNotHideAnEarlierTry(t *testing.T) {
 	b := newBench(t, 2, 8)
 	b.row.Idempotent = true
-	b.minions[0].SetFaults(standin.MinionFaults{Lose: 1})
-	b.minions[1].SetFaults(standin.MinionFaults{Leaving: true})
+	b.backends[0].SetFaults(standin.MinionFaults{Lose: 1})
+	b.backends[1].SetFaults(standin.MinionFaults{Leaving: true})
 	req := request()
 	b.row.Tries = 2
 	require.Equal(t, cell.Unknown, b.Do(t.Context(), req).Outcome)
@@ -139,7 +139,7 @@
 func TestNoRetryStormWhileEverythingFails(t *testing.T) {
 	b := newBench(t, 3, 8)
 	b.row.Idempotent = true
-	for _, m := range b.minions {
+	for _, m := range b.backends {
 		m.SetFaults(standin.MinionFaults{Fail: 100})
 	}
 	const asked = 1000
@@ -148,7 +148,7 @@
 		reply := b.Do(t.Context(), request())
 		require.Equal(t, http.StatusInternalServerError, reply.Status)
 	}
-	for _, m := range b.minions {
+	for _, m := range b.backends {
 		for _, n := range m.Record().Ran {
 			before += n
 		}
@@ -200,7 +200,7 @@
 	_, waiting := b.Load()
 	require.Zero(t, waiting)
 	wg.Wait()
-	require.Equal(t, 2, b.minions[0].Record().Most)
+	require.Equal(t, 2, b.backends[0].Record().Most)
 }
 
 // A host is paused for an hour while a request arrives. Other hosts have taken over its
@@ -229,7 +229,7 @@
 	for _, idempotent := range []bool{false, true} {
 		b := newBench(t, 2, 8)
 		b.row.Idempotent = idempotent
-		for _, m := range b.minions[:1] {
+		for _, m := range b.backends[:1] {
 			m.SetFaults(standin.MinionFaults{Hole: true})
 		}
 		req := request()
