--- a/internal/relay/lost_test.go
+++ b/internal/relay/lost_test.go
@@ -16,9 +16,9 @@
 
 // newBenchWithBudget returns a bench whose row allows many tries and has accumulated a
 // retry budget.
-func newBenchWithBudget(t *testing.T, minions int) *bench {
+func newBenchWithBudget(t *testing.T, backends int) *bench {
 	t.Helper()
-	b := newBench(t, minions, 8)
+	b := newBench(t, backends, 8)
 	b.row.Idempotent, b.row.Tries = true, 100
 	for range 300 {
 		require.Equal(t, cell.Done, b.Do(t.Context(), request()).Outcome)
