--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -29,7 +29,7 @@
 	"pollencroft/internal/table"
 )
 
-// bench is one relay with stand-in minions and a row that tests can change.
+// bench is one relay with stand-in backend servers and a row that tests can change.
 type bench struct {
 	*relay.Relay
 	backends []*standin.Minion
@@ -86,9 +86,9 @@
 	return n
 }
 
-// A minion refuses connections or replies that it is leaving, while the host still lists
-// it. Such a request certainly did not run; another minion answers it, and the caller
-// notices nothing.
+// A backend server refuses connections or replies that it is leaving, while the host still
+// lists it. Such a request certainly did not run; another backend server answers it, and
+// the caller notices nothing.
 func TestRequestThatDidNotRunIsTriedElsewhere(t *testing.T) {
 	for name, breaks := range map[string]func(b *bench){
 		"refuses connections": func(b *bench) {
@@ -108,8 +108,8 @@
 	}
 }
 
-// A minion runs a request and closes the connection without an answer. The request must not
-// be sent again, because it may have run, unless its row is idempotent.
+// A backend server runs a request and closes the connection without an answer. The request
+// must not be sent again, because it may have run, unless its row is idempotent.
 func TestOnlyIdempotentRowsRetryWhatMayHaveRun(t *testing.T) {
 	for _, idempotent := range []bool{false, true} {
 		b := newBench(t, 2, 8)
@@ -122,7 +122,8 @@
 }
 
 // The first try of an idempotent request runs without an answer, and the second finds every
-// minion leaving. The outcome "refused" would be false, because the request may have run.
+// backend server leaving. The outcome "refused" would be false, because the request may
+// have run.
 func TestRefusedRetryDoesNotHideAnEarlierTry(t *testing.T) {
 	b := newBench(t, 2, 8)
 	b.row.Idempotent = true
@@ -134,8 +135,8 @@
 	require.Equal(t, 1, b.ran())
 }
 
-// Every minion answers every request with a failure. Retries must not multiply the load,
-// which would keep the minions down.
+// Every backend server answers every request with a failure. Retries must not multiply the
+// load, which would keep the backend servers down.
 func TestNoRetryStormWhileEverythingFails(t *testing.T) {
 	b := newBench(t, 3, 8)
 	b.row.Idempotent = true
@@ -205,7 +206,7 @@
 
 // A host is paused for an hour while a request arrives. Other hosts have taken over its
 // slots meanwhile, so it must send nothing until it knows which slots it has; otherwise a
-// minion with 8 slots would get a ninth request.
+// backend server with 8 slots would get a ninth request.
 func TestPausedHostSendsNothingUntilItKnowsItsSlots(t *testing.T) {
 	b := newBench(t, 1, 8)
 	require.Equal(t, cell.Done, b.Do(t.Context(), request()).Outcome)
@@ -222,9 +223,9 @@
 	require.Equal(t, cell.Done, (<-reply).Outcome)
 }
 
-// A minion, or the connection to it, accepts requests and answers nothing. A request of an
-// idempotent row is sent to another minion well before its deadline, within the row's
-// budget. Any other request is not, and its outcome stays unknown.
+// A backend server, or the connection to it, accepts requests and answers nothing. A
+// request of an idempotent row is sent to another backend server well before its deadline,
+// within the row's budget. Any other request is not, and its outcome stays unknown.
 func TestOnlyIdempotentRowsAreHedged(t *testing.T) {
 	for _, idempotent := range []bool{false, true} {
 		b := newBench(t, 2, 8)
