--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -40,7 +40,7 @@
 	ahead    time.Duration
 }
 
-func newBench(t *testing.T, minions, slots int) *bench {
+func newBench(t *testing.T, backends, slots int) *bench {
 	t.Helper()
 	b := &bench{version: 1, row: table.Row{Name: "scan", Class: "urgent", Weight: 1, Tries: 3}}
 	b.Relay = relay.New(relay.Deps{
@@ -61,7 +61,7 @@
 		},
 		MaxPause: time.Minute, Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
 	})
-	for i := range minions {
+	for i := range backends {
 		m := standin.NewMinion(slots)
 		srv := httptest.NewServer(m.Handler())
 		t.Cleanup(srv.Close)
