--- a/internal/relay/lost_test.go
+++ b/internal/relay/lost_test.go
@@ -47,8 +47,8 @@
 
 // Guards against a request that crashes one backend server after another.
 func TestRequestThatCrashesServersIsGivenUp(t *testing.T) {
-	for _, minions := range []int{2, 12} {
-		b := newBenchWithBudget(t, minions)
+	for _, backends := range []int{2, 12} {
+		b := newBenchWithBudget(t, backends)
 		b.setFaults(standin.MinionFaults{Lose: 1000})
 		req := request()
 		reply := b.Do(t.Context(), req)
