--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -20,11 +20,11 @@
 const (
 	// Timeout is how long opening a connection may take.
 	Timeout = 500 * time.Millisecond
-	// Dead is how long sent data may stay unacknowledged before the connection fails.
-	Dead = time.Second
-	// Probe is how long a connection is idle before it is probed, and the time
+	// AckTimeout is how long sent data may stay unacknowledged before the connection fails.
+	AckTimeout = time.Second
+	// ProbeInterval is how long a connection is idle before it is probed, and the time
 	// between probes.
-	Probe = time.Second
+	ProbeInterval = time.Second
 	// probes is how many probes may go unanswered before the connection is closed.
 	probes = 2
 )
@@ -33,12 +33,12 @@
 func New() *net.Dialer {
 	return &net.Dialer{
 		Timeout:         Timeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: Probe, Interval: Probe, Count: probes},
-		Control:         bound,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: ProbeInterval, Interval: ProbeInterval, Count: probes},
+		Control:         setLimits,
 	}
 }
 
-func bound(_, _ string, c syscall.RawConn) error {
+func setLimits(_, _ string, c syscall.RawConn) error {
 	var err error
 	if cerr := c.Control(func(fd uintptr) { err = setUserTimeout(int(fd)) }); cerr != nil {
 		return cerr
@@ -47,11 +47,11 @@
 }
 
 func setUserTimeout(fd int) error {
-	return unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(Dead.Milliseconds()))
+	return unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(AckTimeout.Milliseconds()))
 }
 
-// Bound sets the limits on an accepted connection.
-func Bound(conn net.Conn) {
+// SetLimits sets the limits on an accepted connection.
+func SetLimits(conn net.Conn) {
 	for {
 		outer, ok := conn.(interface{ NetConn() net.Conn })
 		if !ok {
@@ -65,6 +65,6 @@
 	}
 	_ = tcp.SetKeepAliveConfig(New().KeepAliveConfig)
 	if raw, err := tcp.SyscallConn(); err == nil {
-		_ = bound("", "", raw)
+		_ = setLimits("", "", raw)
 	}
 }
--- a/internal/host/cell.go
+++ b/internal/host/cell.go
@@ -30,11 +30,11 @@
 	return h.members.LiveIn(h.cfg.Domain), h.members.Heartbeats()
 }
 
-// updateShares works out which slots and which workers are this host's.
+// updateShares recomputes which slots and which workers this host may use.
 func (h *Host) updateShares() {
 	h.shareMu.Lock()
 	defer h.shareMu.Unlock()
-	// After a pause the share core must see the time before it is asked.
+	// After a pause, the share state machine must see the current time before it is queried.
 	h.shareStepLocked(share.Tick{})
 	h.applyShares()
 }
@@ -45,13 +45,13 @@
 	live := h.members.LiveIn(h.cfg.Domain)
 	h.mu.Unlock()
 	var servers []relay.Server
-	var known, workers []lead.Machine
+	var domainWorkers, workers []lead.Machine
 	var names []string
 	for _, m := range list {
 		machine := lead.Machine{Name: m.Name, Rack: m.Rack, Address: m.Address, Size: m.Size}
 		if m.Domain == h.cfg.Domain && m.Kind == cell.WorkerHost {
 			names = append(names, m.Name)
-			known = append(known, machine)
+			domainWorkers = append(domainWorkers, machine)
 		}
 		switch {
 		case m.Domain != h.cfg.Domain:
@@ -62,24 +62,24 @@
 		}
 	}
 	h.relay.SetServers(servers)
-	h.leader.UpdateMachines(known)
+	h.leader.UpdateMachines(domainWorkers)
 	h.leader.SetDomain(names, without(live, h.cfg.Name))
 	h.collectOutgoing()
 	if !h.Ready() && h.outgoingCount() > 0 {
-		workers = h.oneHeldWorker(known)
+		workers = h.oneHeldWorker(domainWorkers)
 	}
 	h.leader.SetLedMachines(workers)
 }
 
-// oneHeldWorker is one of the workers that a leaving host still holds. As long as it does, nobody else
-// can complete a census for the jobs that it is handing over.
-func (h *Host) oneHeldWorker(known []lead.Machine) []lead.Machine {
+// oneHeldWorker returns one of the workers that a leaving host still holds. While this host
+// holds a worker, no other host can complete an inventory for the jobs that it is handing over.
+func (h *Host) oneHeldWorker(domainWorkers []lead.Machine) []lead.Machine {
 	held := h.leader.Held()
-	i := slices.IndexFunc(known, func(m lead.Machine) bool { return slices.Contains(held, m.Name) })
+	i := slices.IndexFunc(domainWorkers, func(m lead.Machine) bool { return slices.Contains(held, m.Name) })
 	if i < 0 {
 		return nil
 	}
-	return known[i : i+1]
+	return domainWorkers[i : i+1]
 }
 
 func (h *Host) leadsWorker(m platform.HostEntry) bool {
--- a/internal/host/limits_test.go
+++ b/internal/host/limits_test.go
@@ -10,7 +10,8 @@
 	"pollencroft/pkg/client"
 )
 
-// Guards against a row's limit that is exceeded when its jobs come to both hosts of a domain.
+// Guards against a row's limit that is exceeded when its jobs are submitted to both hosts of a
+// failure domain.
 func TestLimitOfARowHoldsOverAllLeaders(t *testing.T) {
 	c := newCluster(t, 2)
 	ctx := context.Background()
@@ -37,22 +38,21 @@
 	require.Never(t, func() bool { return started() > 2 }, time.Second, 20*time.Millisecond)
 }
 
-// A caller mistypes an id, asks after a job of a failure domain that does not
-// exist, or cancels a job that has ended. Each gets a plain answer at once, and
-// the ended job stays as it was.
+// A caller mistypes an id, asks about a job of an unknown failure domain, or cancels a job that
+// has ended. Each gets a definite answer at once, and the ended job remains unchanged.
 func TestRequestsForOtherJobsChangeNothing(t *testing.T) {
 	c := newCluster(t, 2)
 	ctx := context.Background()
 	for id, status := range map[string]int{"plain": 400, "nowhere.r0.1": 404, "nord.r0.1": 404} {
 		_, err := c.anyClient("").Job(ctx, id)
-		var told *client.StatusError
-		require.ErrorAs(t, err, &told, id)
-		require.Equal(t, status, told.Status, id)
-		require.Equal(t, client.Refused, told.Outcome, id)
+		var refused *client.StatusError
+		require.ErrorAs(t, err, &refused, id)
+		require.Equal(t, status, refused.Status, id)
+		require.Equal(t, client.Refused, refused.Outcome, id)
 	}
 	s := c.submit(client.Job{Tasks: 1, Size: client.Size{CPU: 100, Mem: 1 << 20}, Time: 0.01})
 	c.waitFor("job has ended", func() bool { return c.state(s.ID) == "ended" })
-	told, err := c.anyClient("").Cancel(ctx, s.ID)
+	status, err := c.anyClient("").Cancel(ctx, s.ID)
 	require.NoError(t, err)
-	require.Equal(t, "ended", told.State)
+	require.Equal(t, "ended", status.State)
 }
--- a/internal/operator/edits.go
+++ b/internal/operator/edits.go
@@ -68,7 +68,7 @@
 }
 
 func (h *Handler) findTeam(team string) *table.Quota {
-	for _, q := range h.Table.Teams() {
+	for _, q := range h.Table.Quotas() {
 		if q.Team == team {
 			return &q
 		}
@@ -112,16 +112,16 @@
 	}
 }
 
-// settle confirms a quota's smaller share on behalf of a failure domain that is
+// confirmShare confirms a quota's smaller share on behalf of a failure domain that is
 // permanently gone, since no host there will report that it applies the share.
-func (h *Handler) settle(w http.ResponseWriter, r *http.Request) {
+func (h *Handler) confirmShare(w http.ResponseWriter, r *http.Request) {
 	q := h.findTeam(chi.URLParam(r, "team"))
 	if q == nil {
 		fail(w, http.StatusNotFound, "no such quota")
 		return
 	}
 	s := table.ShareConfirmation{Team: q.Team, Version: q.Version, Domain: chi.URLParam(r, "domain")}
-	if err := h.Table.Settle(r.Context(), s); err != nil {
+	if err := h.Table.ConfirmShare(r.Context(), s); err != nil {
 		fail(w, http.StatusServiceUnavailable, fmt.Sprintf("may not be written: %s", err))
 		return
 	}
