--- a/internal/standin/authority.go
+++ b/internal/standin/authority.go
@@ -15,17 +15,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Authority stands in for whoever gives out the hosts' certificates.
+// Authority is a test certificate authority that issues the hosts' certificates.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// NewAuthority returns an authority with a key of its own.
+// NewAuthority returns an authority with a newly generated key.
 func NewAuthority() (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, errors.Wrap(err, "make key")
+		return nil, errors.Wrap(err, "generate key")
 	}
 	t := &x509.Certificate{
 		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "standin"}, NotAfter: time.Now().Add(24 * time.Hour),
@@ -33,17 +33,18 @@
 	}
 	der, err := x509.CreateCertificate(rand.Reader, t, t, &key.PublicKey, key)
 	if err != nil {
-		return nil, errors.Wrap(err, "sign authority")
+		return nil, errors.Wrap(err, "create CA certificate")
 	}
 	cert, err := x509.ParseCertificate(der)
-	return &Authority{cert: cert, key: key}, errors.Wrap(err, "read authority")
+	return &Authority{cert: cert, key: key}, errors.Wrap(err, "parse CA certificate")
 }
 
-// Issue writes cert.pem, key.pem and ca.pem for a name into a directory.
+// Issue creates a certificate for name that is valid until the given time, and writes cert.pem,
+// key.pem and ca.pem into dir.
 func (a *Authority) Issue(dir, name string, until time.Time) error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return errors.Wrap(err, "make key")
+		return errors.Wrap(err, "generate key")
 	}
 	t := &x509.Certificate{
 		SerialNumber: big.NewInt(time.Now().UnixNano()), DNSNames: []string{name}, NotAfter: until,
@@ -55,7 +56,7 @@
 	}
 	secret, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
-		return errors.Wrap(err, "write key")
+		return errors.Wrap(err, "marshal key")
 	}
 	for file, block := range map[string]*pem.Block{
 		"cert.pem": {Type: "CERTIFICATE", Bytes: der}, "key.pem": {Type: "EC PRIVATE KEY", Bytes: secret},
--- a/internal/standin/cell.go
+++ b/internal/standin/cell.go
@@ -15,19 +15,19 @@
 	"pollencroft/internal/platform"
 )
 
-// Users describes one deployment: its failure domains and their machines.
+// Users describes one deployment: its failure domains and the machines in them.
 type Users struct {
 	Name    string
 	Domains []string
-	// Hosts is how many entry hosts each failure domain has.
+	// Hosts is the number of entry hosts in each failure domain.
 	Hosts []int
-	// Minions, Workers and Racks are counts in the whole cell.
+	// Minions, Workers and Racks are totals for the whole cell. Minions are backend servers.
 	Minions, Workers, Racks int
 	Slots                   int
 	Worker                  cell.Size
 }
 
-// The two deployments that the project is built for.
+// The two deployments that the project is designed for.
 var (
 	Kronach = Users{
 		Name: "kronach", Domains: []string{"halle-nord", "halle-sued", "stadthalle"}, Hosts: []int{3, 3, 2},
@@ -53,8 +53,9 @@
 	wg      sync.WaitGroup
 }
 
-// NewCell starts the stand-ins. The platform listens on addr; a zero port and
-// all other ports are chosen by the system.
+// NewCell starts the stand-ins. The platform listens on addr; if its port is zero, the operating
+// system chooses one. The other stand-ins listen on the same IP address and on ports that the
+// operating system chooses.
 func NewCell(u Users, addr netip.AddrPort, clock func() time.Time) (*Cell, error) {
 	c := &Cell{
 		Users: u, Platform: NewPlatform(), Minions: map[string]*Minion{}, Workers: map[string]*Worker{}, Over: NewOversight(),
@@ -120,19 +121,19 @@
 	return mux
 }
 
-// Report sums up what all stand-ins recorded.
+// Report is the sum of the records of all stand-ins.
 type Report struct {
 	Overfilled int            `json:"overfilled"`
 	Doubled    []string       `json:"doubled"`
 	SlotsOver  int            `json:"over"`
 	Ran        map[string]int `json:"ran"`
-	// Tasks counts by task id how often it ended well.
+	// Tasks counts, by task id, the runs that ended successfully.
 	Tasks map[string]int `json:"tasks"`
-	// Started counts starts by task id.
+	// Started counts the starts by task id.
 	Started map[string]int `json:"started"`
 }
 
-// Report returns the sum of all records now.
+// Report returns the current sum of all records.
 func (c *Cell) Report() Report {
 	r := Report{Doubled: c.Over.Doubled(), Ran: map[string]int{}, Tasks: map[string]int{}, Started: map[string]int{}}
 	for _, m := range c.Minions {
@@ -157,7 +158,7 @@
 	return r
 }
 
-// Close ends all stand-ins.
+// Close stops the servers of all stand-ins.
 func (c *Cell) Close() {
 	for _, srv := range c.servers {
 		_ = srv.Close()
--- a/internal/standin/crash.go
+++ b/internal/standin/crash.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Crash ends the worker's process and starts it anew: it runs and remembers nothing.
+// Crash simulates a restart of the worker's process: all its tasks end and its state is lost.
 func (k *Worker) Crash() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -10,7 +10,8 @@
 	k.crash()
 }
 
-// mayCrash crashes the worker under a task of the row that does so.
+// mayCrash crashes the worker if a task of the row faults.CrashRow has been running for
+// faults.CrashAfter. The caller holds mu.
 func (k *Worker) mayCrash(now time.Time) {
 	for _, t := range k.tasks {
 		row := k.faults.CrashRow
--- a/internal/standin/minion.go
+++ b/internal/standin/minion.go
@@ -12,50 +12,51 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// MinionFaults are switched over HTTP with PUT /faults.
+// MinionFaults are the faults that a backend server simulates; tests set them with PUT /faults.
 type MinionFaults struct {
-	// Slow is added to each request's service time.
+	// Slow is added to the service time of each request.
 	Slow time.Duration `json:"slow"`
-	// Fail answers 500 to that many of each hundred requests.
+	// Fail is the number of requests in each hundred that are answered with status 500.
 	Fail int `json:"fail"`
-	// Hole takes requests and never answers them.
+	// Hole accepts requests and never answers them.
 	Hole bool `json:"hole"`
-	// Silent takes that many requests and answers nothing on their connections;
-	// other connections go on.
+	// Silent is the number of requests that are accepted and never answered. Only the
+	// connections of these requests are affected.
 	Silent int `json:"silent"`
-	// Short sends that many answers with a body cut short.
+	// Short is the number of answers that are sent with a truncated body.
 	Short int `json:"short"`
-	// Cross sends that many answers under another request's id.
+	// Cross is the number of answers that carry the id of another request.
 	Cross int `json:"cross"`
-	// Lose runs that many requests and hangs up without an answer.
+	// Lose is the number of requests that are run and whose connection is then closed without
+	// an answer.
 	Lose int `json:"lose"`
-	// Leaving answers 503 with Connection: close.
+	// Leaving answers every request with status 503 and "Connection: close".
 	Leaving bool `json:"leaving"`
 }
 
-// Headers of the backend servers' protocol.
+// Headers of the protocol between hosts and backend servers.
 const (
-	// HeaderID carries the request id, which the backend server echoes.
+	// HeaderID carries the request id. The backend server echoes it.
 	HeaderID = "Pollencroft-Request"
 	// HeaderKey carries the caller's idempotency key.
 	HeaderKey = "Idempotency-Key"
-	// HeaderCost asks the stand-in for a service time.
+	// HeaderCost sets the service time that the stand-in simulates for the request.
 	HeaderCost = "Standin-Cost"
 )
 
-// MinionRecord is what a backend server saw.
+// MinionRecord counts what a backend server observed.
 type MinionRecord struct {
-	// Ran counts runs by key, or by request id where there is no key.
+	// Ran counts the runs by idempotency key, or by request id if the request has no key.
 	Ran map[string]int `json:"ran"`
-	// Most is the largest number of requests that ran at once.
+	// Most is the largest number of requests that ran at the same time.
 	Most int `json:"most"`
-	// Over counts requests that arrived while all slots were in use.
+	// Over counts the requests that arrived while all slots were in use.
 	Over int `json:"over"`
-	// Busy is the sum of service times.
+	// Busy is the sum of all service times.
 	Busy time.Duration `json:"busy"`
 }
 
-// Minion stands in for one backend server.
+// Minion simulates one backend server.
 type Minion struct {
 	slots  int
 	mu     sync.Mutex
@@ -65,19 +66,19 @@
 	record MinionRecord
 }
 
-// NewMinion returns a backend server with that many slots.
+// NewMinion returns a backend server with the given number of slots.
 func NewMinion(slots int) *Minion {
 	return &Minion{slots: slots, record: MinionRecord{Ran: map[string]int{}}}
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the active faults.
 func (m *Minion) SetFaults(f MinionFaults) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.faults = f
 }
 
-// Record returns a copy of what was seen.
+// Record returns a copy of the record.
 func (m *Minion) Record() MinionRecord {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -89,7 +90,7 @@
 	return r
 }
 
-// Handler serves requests under any path, the record and the faults.
+// Handler returns the handler for /record, /faults and, on any other path, requests.
 func (m *Minion) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Put("/faults", putFaults(m.SetFaults))
--- a/internal/standin/minion_test.go
+++ b/internal/standin/minion_test.go
@@ -13,8 +13,8 @@
 	"pollencroft/internal/standin"
 )
 
-// Tests rest on the stand-in's faults and record. A silent connection must be
-// silent for that request alone, and both requests must be in the record.
+// Other tests rely on the faults and the record of this stand-in. The Silent fault must affect only
+// the request that it applies to, and the record must contain both requests.
 func TestMinionIsSilentOnOneConnection(t *testing.T) {
 	m := standin.NewMinion(8)
 	srv := httptest.NewServer(m.Handler())
--- a/internal/standin/oversight.go
+++ b/internal/standin/oversight.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// copyKey names one start of a task on one worker.
+// copyKey identifies one start of a task on one worker.
 type copyKey struct {
 	worker *Worker
 	lease  string
 }
 
-// Oversight sees the tasks of all workers and records a second copy of a task
-// that runs anywhere. It knows until when each copy runs at most, since a
-// worker notices a lapsed lease only when it is asked.
+// Oversight detects tasks of which two copies run at the same time. All workers report their tasks
+// to it. Each copy is recorded with the latest time at which it can still run, because a worker
+// detects an expired lease only when it handles a request.
 type Oversight struct {
 	mu      sync.Mutex
 	copies  map[string]map[copyKey]time.Time
 	doubled []string
 }
 
-// NewOversight returns an oversight that has seen nothing.
+// NewOversight returns an oversight without any recorded copies.
 func NewOversight() *Oversight { return &Oversight{copies: map[string]map[copyKey]time.Time{}} }
 
-// runs notes that a copy runs until then at most, and whether another does.
+// runs records that a copy runs until the given time at the latest. If the copy is new and another
+// copy of the task is still running, it also records the task as doubled.
 func (o *Oversight) runs(id string, key copyKey, now, until time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -40,13 +41,14 @@
 	o.copies[id][key] = until
 }
 
+// ended removes a copy that no longer runs.
 func (o *Oversight) ended(id string, key copyKey) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.copies[id], key)
 }
 
-// Doubled lists tasks that ran in two places at once.
+// Doubled lists the tasks of which two copies ran at the same time, one entry for each case.
 func (o *Oversight) Doubled() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/standin/pipes.go
+++ b/internal/standin/pipes.go
@@ -8,21 +8,21 @@
 	"syscall"
 )
 
-// Pipes is a network in memory, for hosts whose time is virtual: the clock of a test stands
-// still while real connections are waited for.
+// Pipes is an in-memory network for tests with a virtual clock. With real connections the clock
+// would stand still while a goroutine waits for network I/O.
 type Pipes struct {
 	mu sync.Mutex
 	at map[netip.AddrPort]*Pipe
 }
 
-// Pipe takes the connections to one address.
+// Pipe is the listener for one address.
 type Pipe struct {
 	conns chan net.Conn
 	over  chan struct{}
 	once  sync.Once
 }
 
-// Listen takes an address.
+// Listen returns a new listener for the address. It replaces an earlier listener there.
 func (n *Pipes) Listen(addr netip.AddrPort) *Pipe {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -34,7 +34,7 @@
 	return p
 }
 
-// Dial connects to an address, and is refused where nobody listens.
+// Dial connects to an address. It returns ECONNREFUSED if there is no listener or it is closed.
 func (n *Pipes) Dial(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
 	n.mu.Lock()
 	p, ok := n.at[addr]
@@ -53,7 +53,7 @@
 	}
 }
 
-// Accept returns the next connection.
+// Accept waits for the next connection and returns it.
 func (p *Pipe) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.conns:
@@ -63,11 +63,11 @@
 	}
 }
 
-// Close ends Accept.
+// Close makes Accept return net.ErrClosed and refuses further connections.
 func (p *Pipe) Close() error {
 	p.once.Do(func() { close(p.over) })
 	return nil
 }
 
-// Addr is none that is needed.
+// Addr returns an empty address: no caller uses it, but net.Listener requires the method.
 func (p *Pipe) Addr() net.Addr { return &net.TCPAddr{} }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -15,26 +15,27 @@
 	"pollencroft/internal/platform"
 )
 
-// maxRecord bounds one log record, as the real service does.
+// maxRecord is the maximum size of a log record in bytes; the real service has the same limit.
 const maxRecord = 256 << 10
 
-// PlatformFaults are switched over HTTP with PUT /faults.
+// PlatformFaults are the faults that the platform simulates; tests set them with PUT /faults.
 type PlatformFaults struct {
-	// Down answers 503 to everything.
+	// Down answers every request with status 503.
 	Down bool `json:"down"`
 	// Slow delays each answer.
 	Slow time.Duration `json:"slow"`
-	// LoseAnswers writes an append and then drops the connection.
+	// LoseAnswers is the number of appends that are written and whose connection is then closed
+	// without an answer.
 	LoseAnswers int `json:"lose"`
-	// Retain keeps only the newest records of each stream; zero keeps all.
+	// Retain is the number of newest records to keep in each stream; zero keeps all.
 	Retain int `json:"retain"`
-	// FreezeHosts goes on showing the host list as it was when switched on.
+	// FreezeHosts keeps serving the host list as it was when this fault was switched on.
 	FreezeHosts bool `json:"freeze"`
-	// Deaf answers 503 to reads of the log only.
+	// Deaf answers reads of the log, and only these, with status 503.
 	Deaf bool `json:"deaf"`
-	// Hole leaves the record at this offset out of every page.
+	// Hole is the offset of a record that is left out of every page.
 	Hole int64 `json:"hole"`
-	// Stale shows the log as if it ended before this offset.
+	// Stale is an offset before which the log appears to end; zero shows the whole log.
 	Stale int64 `json:"stale"`
 }
 
@@ -44,7 +45,7 @@
 	grown   chan struct{}
 }
 
-// Platform stands in for the platform's log service and host list.
+// Platform simulates the platform's log service and host list.
 type Platform struct {
 	mu      sync.Mutex
 	streams map[string]*stream
@@ -54,7 +55,7 @@
 	appends int64
 }
 
-// NewPlatform returns an empty platform.
+// NewPlatform returns a platform with an empty log and an empty host list.
 func NewPlatform() *Platform { return &Platform{streams: map[string]*stream{}} }
 
 // SetHosts replaces the host list.
@@ -64,7 +65,7 @@
 	p.hosts = slices.Clone(all)
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the active faults.
 func (p *Platform) SetFaults(f PlatformFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -74,14 +75,14 @@
 	p.faults = f
 }
 
-// Appends returns how many records were written.
+// Appends returns the number of records written so far.
 func (p *Platform) Appends() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.appends
 }
 
-// Handler serves the log, the host list and the faults.
+// Handler returns the handler for the log, the host list and the faults.
 func (p *Platform) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Put("/faults", putFaults(p.SetFaults))
@@ -195,7 +196,7 @@
 	writeJSON(w, status, page)
 }
 
-// pageRecords bounds one answer.
+// pageRecords is the maximum number of records in one answer.
 const pageRecords = 512
 
 func (p *Platform) page(name string, from int64) (platform.Page, chan struct{}) {
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,7 +1,7 @@
-// Package standin has small stand-ins for the platform, the workers and the
-// backend servers, with faults that are switched over HTTP. They refuse
-// nothing that the real ones let pass and record what went wrong: those
-// records, not the hosts' word, are what tests and the demo count.
+// Package standin simulates the platform, the workers and the backend servers for tests and the
+// demo. Their faults are set over HTTP. The stand-ins accept every request that the real systems
+// accept, and record violations. Tests and the demo count these records instead of relying on what
+// the hosts report about themselves.
 package standin
 
 import (
@@ -17,6 +17,7 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
+// pause waits for d or until the context is done.
 func pause(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -13,7 +13,7 @@
 	"pollencroft/internal/cell"
 )
 
-// Worker stands in for one worker. It checks neither capacity nor who asks.
+// Worker simulates one worker. It checks neither its capacity nor the identity of the caller.
 type Worker struct {
 	size   cell.Size
 	clock  func() time.Time
@@ -24,12 +24,12 @@
 	anchor anchor
 	tasks  map[string]*Task
 	record WorkerRecord
-	// history holds by task what was asked and what came of it, in order.
+	// history lists, by task id, the requests and their results in order.
 	history map[string][]Step
 	nextID  int
 	mark    int64
 	gone    map[string]int64
-	// back is when the worker answers again after a crash.
+	// back is the time from which the worker answers again after a crash.
 	back   time.Time
 	area   float64
 	marked time.Time
@@ -41,7 +41,7 @@
 	until         time.Time
 }
 
-// NewWorker returns an empty worker of that size that reads the given clock.
+// NewWorker returns a worker of the given size without tasks. It uses the given clock.
 func NewWorker(size cell.Size, over *Oversight, clock func() time.Time) *Worker {
 	return &Worker{
 		size: size, clock: clock, over: over, resume: make(chan struct{}), tasks: map[string]*Task{}, gone: map[string]int64{},
@@ -49,14 +49,14 @@
 	}
 }
 
-// Resize gives the worker another size; what runs goes on.
+// Resize changes the worker's size. Running tasks are not affected.
 func (k *Worker) Resize(size cell.Size) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.size = size
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the active faults.
 func (k *Worker) SetFaults(f WorkerFaults) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -67,7 +67,7 @@
 	k.faults = f
 }
 
-// Record returns a copy of what was seen.
+// Record returns a copy of the record.
 func (k *Worker) Record() WorkerRecord {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -86,8 +86,8 @@
 	return out
 }
 
-// Packed returns the share of processor time that was given to tasks since
-// the worker was made.
+// Packed returns the share of the worker's CPU time that was allocated to tasks that have ended.
+// The argument since is the time at which the worker was created.
 func (k *Worker) Packed(since time.Time) float64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -101,8 +101,8 @@
 
 func (k *Worker) now() time.Time { return k.clock().Add(k.faults.Skew) }
 
-// settle ends tasks whose time or lease has run out. It is called with mu
-// held before each answer, so no timer decides what a reader sees.
+// settle ends the tasks whose run time or lease has expired. The caller holds mu. It is called
+// before each answer, so that answers do not depend on the timing of a timer.
 func (k *Worker) settle() {
 	now := k.clock()
 	k.mayCrash(now)
@@ -132,7 +132,7 @@
 	k.over.ended(t.ID, copyKey{k, t.Lease})
 }
 
-// watch tells the oversight until when a task runs at most.
+// watch reports to the Oversight the latest time at which a task can still run.
 func (k *Worker) watch(t *Task) {
 	until := t.until
 	if t.ends.Before(until) {
@@ -141,6 +141,7 @@
 	k.over.runs(t.ID, copyKey{k, t.Lease}, k.clock(), until)
 }
 
+// change marks a task as changed, so that the next renewal reports it.
 func (k *Worker) change(t *Task) {
 	k.mark++
 	t.mark = k.mark
@@ -151,7 +152,7 @@
 	return strconv.Itoa(k.nextID)
 }
 
-// Handler serves the worker's protocol, its record and its faults.
+// Handler returns the handler for the worker's protocol, its record and its faults.
 func (k *Worker) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Put("/faults", putFaults(k.SetFaults))
@@ -204,6 +205,7 @@
 	}
 }
 
+// awake waits while the worker is paused. It returns false if the request ends first.
 func (k *Worker) awake(r *http.Request) bool {
 	k.mu.Lock()
 	paused, resume := k.faults.Paused, k.resume
@@ -275,7 +277,7 @@
 		Use: grown(asked, k.faults.Grow), began: now, ends: now.Add(run), until: now.Add(time.Duration(ask.TTL) * time.Millisecond),
 	}
 	if old := k.tasks[t.ID]; old != nil && old.State == TaskRunning {
-		// The second copy runs beside the first, which goes on under its lease.
+		// Both copies run: the first one continues under its own lease.
 		k.tasks[t.ID+"#"+old.Lease] = old
 	}
 	k.tasks[t.ID] = t
@@ -295,7 +297,7 @@
 
 func (k *Worker) tell(id string, s Step) { k.history[id] = append(k.history[id], s) }
 
-// History is what happened to a task here, in order.
+// History returns the events of a task on this worker in order.
 func (k *Worker) History(id string) []Step {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -316,7 +318,7 @@
 	return cell.Size{CPU: int64(float64(s.CPU) * by), Mem: int64(float64(s.Mem) * by), Accel: s.Accel}
 }
 
-// live lists the tasks that changed since a mark.
+// live lists the tasks that changed after the given mark.
 func (k *Worker) live(since int64) []Task {
 	var all []Task
 	now := k.clock()
@@ -340,7 +342,8 @@
 	return http.StatusOK, says
 }
 
-// renew lengthens the anchor and all running tasks in one message, and forgets ended tasks that the holder has taken note of.
+// renew extends the lease on the anchor and the leases of all running tasks in one request, and
+// deletes the ended tasks that the holder has acknowledged.
 func (k *Worker) renew(ask WorkerAsk) (int, WorkerSays) {
 	if k.anchor.holder != ask.Holder || !k.anchor.until.After(k.clock()) {
 		return http.StatusConflict, k.anchorSays()
@@ -365,7 +368,7 @@
 	return http.StatusOK, says
 }
 
-// forget drops ended starts by their leases.
+// forget deletes the ended tasks that were started under the given leases.
 func (k *Worker) forget(leases []string) {
 	for id, t := range k.tasks {
 		if t.State != TaskRunning && slices.Contains(leases, t.Lease) {
--- a/internal/standin/workerwire.go
+++ b/internal/standin/workerwire.go
@@ -6,30 +6,32 @@
 	"pollencroft/internal/cell"
 )
 
-// WorkerFaults are switched over HTTP with PUT /faults.
+// WorkerFaults are the faults that a worker simulates; tests set them with PUT /faults.
 type WorkerFaults struct {
-	// Paused answers nothing until switched off.
+	// Paused delays all answers until it is switched off.
 	Paused bool `json:"paused"`
-	// FailAll ends every started task at once as failed.
+	// FailAll makes every task fail immediately after its start.
 	FailAll bool `json:"failall"`
-	// LoseAnswers does what was asked and hangs up, that many times.
+	// LoseAnswers is the number of requests that are carried out and whose connection is then
+	// closed without an answer.
 	LoseAnswers int `json:"lose"`
-	// Lag is how old the reported usage is.
+	// Lag is the time after its start for which a task's usage is reported as zero.
 	Lag time.Duration `json:"lag"`
-	// Grow multiplies what tasks really use; zero means what was declared.
+	// Grow is the ratio of a task's actual usage to its declared one; zero means as declared.
 	Grow float64 `json:"grow"`
-	// Stretch multiplies how long tasks really run; zero means as declared.
+	// Stretch is the ratio of a task's actual run time to its declared one; zero means as
+	// declared.
 	Stretch float64 `json:"stretch"`
-	// Skew is added to the worker's own clock.
+	// Skew is the offset of the worker's own clock.
 	Skew time.Duration `json:"skew"`
-	// CrashRow names a row of which each task crashes the worker, CrashAfter its start.
+	// CrashRow names a row whose tasks each crash the worker after running for CrashAfter.
 	CrashRow   string        `json:"crashrow"`
 	CrashAfter time.Duration `json:"crashafter"`
-	// CrashAway is how long the worker answers nothing after that.
+	// CrashAway is the time after a crash during which the worker does not answer.
 	CrashAway time.Duration `json:"crashaway"`
 }
 
-// Task is one task as the worker knows it.
+// Task is the worker's view of one task.
 type Task struct {
 	ID     string    `json:"id"`
 	Holder string    `json:"holder"`
@@ -39,16 +41,16 @@
 	Job    string    `json:"job"`
 	Size   cell.Size `json:"size"`
 	Use    cell.Size `json:"use"`
-	// Left is how long the lease still runs, in milliseconds.
+	// Left is the remaining time of the lease in milliseconds.
 	Left int64 `json:"left"`
-	// State is running, ended, failed, stopped or lapsed.
+	// State is running, ended, failed, stopped or lapsed. A task lapses when its lease expires.
 	State string `json:"state"`
 
 	until time.Time
 	ends  time.Time
 	began time.Time
 	mark  int64
-	// told is set when the usage shows in the list.
+	// told is set once the task's usage is included in the list.
 	told bool
 }
 
@@ -59,13 +61,13 @@
 	TaskFailed  = "failed"
 	TaskStopped = "stopped"
 	TaskLapsed  = "lapsed"
-	// TaskCrashed is what the record tells of a task that was running when the worker crashed. No
-	// list shows it.
+	// TaskCrashed is the state of a task that was running when the worker crashed. It appears in
+	// the record only, never in a list of tasks.
 	TaskCrashed = "crashed"
 )
 
-// Step is one thing that happened to a task on a worker. Left is how long the deadline of a
-// start was still away.
+// Step is one event of a task on a worker. For a start, Left is the time that remained until the
+// deadline of the request.
 type Step struct {
 	At            time.Time
 	What          string
@@ -73,26 +75,26 @@
 	Left          time.Duration
 }
 
-// WorkerRecord is what a worker saw go wrong.
+// WorkerRecord counts what a worker observed.
 type WorkerRecord struct {
-	// Overfilled counts starts that took the worker over its size.
+	// Overfilled counts the starts after which the tasks used more than the worker's size.
 	Overfilled int `json:"overfilled"`
-	// Started counts starts by task id.
+	// Started counts the starts by task id.
 	Started map[string]int `json:"started"`
 	// Ended holds the last state of each task that is no longer running.
 	Ended map[string]string `json:"ended"`
-	// Late counts starts that arrived after their deadline and were not run.
+	// Late counts the starts that arrived after their deadline and were rejected.
 	Late int `json:"late"`
-	// Renewed counts the renewals that were carried out.
+	// Renewed counts the successful renewals.
 	Renewed int `json:"renewed"`
 	// Crashed counts the worker's restarts.
 	Crashed int `json:"crashed"`
-	// Bytes counts bodies received and sent.
+	// Bytes counts the bytes of the bodies received and sent.
 	Bytes int64 `json:"bytes"`
 }
 
-// WorkerAsk is the body of every request to a worker; each route reads its
-// own fields. Times are in milliseconds.
+// WorkerAsk is the body of every request to a worker. Each route reads only its own fields. Times
+// are in milliseconds.
 type WorkerAsk struct {
 	Holder string    `json:"holder,omitempty"`
 	Term   int64     `json:"term,omitempty"`
@@ -101,8 +103,8 @@
 	Row    string    `json:"row,omitempty"`
 	Job    string    `json:"job,omitempty"`
 	Size   cell.Size `json:"size,omitzero"`
-	// Asked is what the caller declared; what a task uses follows from it and
-	// not from the room that it was given.
+	// Asked is the size that the caller declared. A task's usage is derived from it and not from
+	// Size, the capacity that the task was given; if Asked is zero, Size is used.
 	Asked    cell.Size `json:"asked,omitzero"`
 	Run      int64     `json:"run,omitempty"`
 	Deadline int64     `json:"deadline,omitempty"`
@@ -113,17 +115,16 @@
 	Share    float64   `json:"share,omitempty"`
 }
 
-// WorkerSays is the body of every answer. Clock is the worker's own clock in
-// milliseconds.
+// WorkerSays is the body of every answer. Clock is the worker's own clock in milliseconds.
 type WorkerSays struct {
 	Clock  int64  `json:"clock"`
 	Holder string `json:"holder,omitempty"`
 	Lease  string `json:"lease,omitempty"`
 	Left   int64  `json:"left,omitempty"`
-	// Life names the time from the worker's start to its end.
+	// Life identifies the incarnation of the worker: it changes with each restart.
 	Life string `json:"life,omitempty"`
-	// Mark counts the changes to the list of tasks. Whole tells that Tasks are
-	// all of them, not only those that changed since the mark that was sent.
+	// Mark counts the changes to the list of tasks. Whole reports whether Tasks contains all
+	// tasks, and not only those that changed since the mark in the request.
 	Mark  int64    `json:"mark,omitempty"`
 	Whole bool     `json:"whole,omitempty"`
 	Tasks []Task   `json:"tasks,omitempty"`
