--- a/internal/standin/users/log.go
+++ b/internal/standin/users/log.go
@@ -1,7 +1,7 @@
-// Package users stands in for the users' platform: its log with partitions,
-// fences and groups, its workers that start whatever they are told, and its
-// policy service. It speaks their published protocol over HTTP on the loopback
-// interface, injects faults, and records what must never happen.
+// Package users simulates the platform of the organisations that use pollencroft: its log with
+// partitions, fencing and consumer groups, its workers, which start every task that they are asked
+// to, and its policy service. It speaks the platform's published protocol over HTTP on the loopback
+// interface, injects faults, and records violations of invariants.
 package users
 
 import (
@@ -16,22 +16,23 @@
 	"pollencroft/internal/store"
 )
 
-// Fault is what the log does to the calls of one host.
+// Fault is a way in which the log fails the calls of a host.
 type Fault int
 
 // The faults.
 const (
-	// None serves the host.
+	// None serves calls normally.
 	None Fault = iota
-	// Busy refuses its calls.
+	// Busy refuses calls.
 	Busy
-	// Silent answers nothing and does nothing.
+	// Silent neither carries calls out nor answers them.
 	Silent
-	// Lost carries its calls out and answers nothing.
+	// Lost carries calls out but does not answer them.
 	Lost
 )
 
-// seqsKept is how many of a writer's last appends are answered again.
+// seqsKept is the number of a writer's last appends that are remembered. A repeated append among
+// them gets the first answer again.
 const seqsKept = 5
 
 type partition struct {
@@ -39,7 +40,7 @@
 	newest  map[string]store.Record
 	epoch   int64
 	seq     int64
-	// answers are the offsets of the epoch's last appends by number.
+	// answers holds the answers to the last appends of the epoch by sequence number.
 	answers map[int64]store.Answer
 	grown   chan struct{}
 }
@@ -55,7 +56,7 @@
 	owners     map[store.Share]string
 }
 
-// Log is the platform's log in memory. It is safe for concurrent use.
+// Log is an in-memory version of the platform's log. It is safe for concurrent use.
 type Log struct {
 	parts int
 	now   func() time.Time
@@ -64,22 +65,22 @@
 	group map[string]*group
 	fault map[string]Fault
 	all   Fault
-	// unread are topics of which reads fail, unwritten those of which appends fail, down single
-	// partitions, slow is how late every answer is.
+	// unread holds the faults of reads by topic, unwritten those of appends by topic, and down
+	// those of all calls by partition. Every answer is delayed by slow.
 	unread    map[string]Fault
 	unwritten map[string]Fault
 	down      map[store.Share]Fault
 	slow      time.Duration
-	// calls counts by operation.
+	// calls counts the calls by operation.
 	calls map[store.Op]int
 }
 
-// NewLog returns an empty log whose topics have so many partitions.
+// NewLog returns an empty log whose topics have the given number of partitions.
 func NewLog(parts int, now func() time.Time) *Log {
 	return &Log{parts: parts, now: now, logs: map[store.Share]*partition{}, group: map[string]*group{}, fault: map[string]Fault{}, unread: map[string]Fault{}, unwritten: map[string]Fault{}, down: map[store.Share]Fault{}, calls: map[store.Op]int{}}
 }
 
-// Break makes the calls of a host fail; an empty name is every host.
+// Break sets the fault for all calls of a host. An empty name stands for every host.
 func (l *Log) Break(host string, f Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -90,49 +91,49 @@
 	l.fault[host] = f
 }
 
-// BreakPart makes the calls of all hosts to one partition fail.
+// BreakPart sets the fault for the calls of all hosts to one partition.
 func (l *Log) BreakPart(topic string, part int, f Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.down[store.Share{Topic: topic, Part: part}] = f
 }
 
-// BreakReads makes all reads of a topic fail.
+// BreakReads sets the fault for all reads of a topic.
 func (l *Log) BreakReads(topic string, f Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.unread[topic] = f
 }
 
-// BreakAppends makes all appends to a topic fail.
+// BreakAppends sets the fault for all appends to a topic.
 func (l *Log) BreakAppends(topic string, f Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.unwritten[topic] = f
 }
 
-// Slow makes every answer late by d. What a call does is done at once.
+// Slow delays every answer by d. Calls still take effect immediately.
 func (l *Log) Slow(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.slow = d
 }
 
-// Calls returns how many calls of a kind were made.
+// Calls returns the number of calls of an operation.
 func (l *Log) Calls(op store.Op) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.calls[op]
 }
 
-// Put writes a record as the platform itself.
+// Put writes a record to the first partition of a topic on behalf of the platform.
 func (l *Log) Put(topic, key string, value []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.part(topic, 0).add([]store.Record{{Key: key, Value: value}})
 }
 
-// For returns the log as one host reaches it.
+// For returns a client of the log for one host. The host's faults apply to its calls.
 func (l *Log) For(host string) store.Log { return view{l, host} }
 
 type view struct {
@@ -140,10 +141,10 @@
 	host string
 }
 
-// errLost is why a call has no answer.
-var errLost = errors.New("the stand-in drops the answer")
+// errLost is the cause of the error for calls with the fault Lost.
+var errLost = errors.New("the stand-in dropped the answer")
 
-// Do makes a call as the host.
+// Do makes a call on behalf of the host.
 func (v view) Do(ctx context.Context, c store.Call) (store.Answer, error) {
 	v.log.mu.Lock()
 	fault := max(v.log.fault[v.host], v.log.all, v.log.down[store.Share{Topic: c.Topic, Part: c.Part}])
@@ -259,7 +260,8 @@
 	return a, nil
 }
 
-// await returns when there is something to read or the call's time is over.
+// await returns when there is a record to read, the call's wait time is over or the context is
+// done.
 func (l *Log) await(ctx context.Context, c store.Call) {
 	l.mu.Lock()
 	p := l.part(c.Topic, c.Part)
@@ -277,7 +279,7 @@
 	}
 }
 
-// pageSize keeps pages small, so that tests meet more than one.
+// pageSize is small so that tests have to read more than one page.
 const pageSize = 50
 
 func (l *Log) newest(c store.Call) store.Answer {
@@ -296,6 +298,7 @@
 	return a
 }
 
+// groupOf returns the group of that name, creating it if necessary, and removes its expired members.
 func (l *Log) groupOf(name string) *group {
 	g, ok := l.group[name]
 	if !ok {
@@ -311,7 +314,8 @@
 	return g
 }
 
-// deal shares the partitions out evenly; a partition whose owner is there stays.
+// deal assigns every partition without an owner to the member that owns the fewest. A partition
+// whose owner is still a member is not moved.
 func (g *group) deal(parts int) {
 	g.generation++
 	names := slices.Sorted(maps.Keys(g.members))
@@ -339,7 +343,8 @@
 	}
 }
 
-// even takes from members that have too much until all have about the same.
+// even rebalances the partitions: it moves partitions away from members that own more than an equal
+// share, rounded up.
 func (g *group) even(parts int) {
 	if len(g.members) == 0 {
 		return
@@ -397,8 +402,8 @@
 	return a
 }
 
-// Deal deals all partitions of a group anew at once, as the platform does at times without
-// being asked, the first one to the member that pick names.
+// Deal reassigns all partitions of a group at once, as the platform sometimes does on its own. The
+// first partition of each topic goes to the member that pick returns.
 func (l *Log) Deal(name string, pick func(members []string) string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/users/store.go
+++ b/internal/standin/users/store.go
@@ -15,14 +15,13 @@
 	"pollencroft/internal/store"
 )
 
-// hostOf tells by its address which host called; the store breaks its answers
-// for single hosts.
+// hostOf returns the name of the host that made a request. Faults are set for single hosts.
 type hostOf func(r *http.Request) string
 
-// keyed is the prefix of topics that keep the newest record of each key.
+// keyed is the prefix of the topics that retain the newest record of each key.
 const keyed = "keyed."
 
-// Handler serves the log over HTTP.
+// Handler returns the handler that serves the log over HTTP.
 func (l *Log) Handler(host hostOf) http.Handler {
 	r := chi.NewRouter()
 	r.Post("/pollencroft/log-append", func(w http.ResponseWriter, r *http.Request) { l.serve(w, r, host, appendCall) })
@@ -34,7 +33,7 @@
 	return r
 }
 
-// decoder reads a call from a request.
+// decoder decodes a call from an HTTP request.
 type decoder func(r *http.Request) (store.Call, error)
 
 func (l *Log) serve(w http.ResponseWriter, r *http.Request, host hostOf, read decoder) {
@@ -46,7 +45,7 @@
 	a, err := l.For(host(r)).Do(r.Context(), c)
 	var unanswered *store.UnansweredError
 	if errors.As(err, &unanswered) {
-		// The connection ends without an answer.
+		// Closes the connection without an answer.
 		panic(http.ErrAbortHandler)
 	}
 	if err != nil {
--- a/internal/standin/users/worker.go
+++ b/internal/standin/users/worker.go
@@ -14,38 +14,40 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// Oracle records what must never happen on any worker.
+// Oracle checks the invariants of task execution on all workers and records violations: a task
+// never runs twice at the same time, and does not start again after its end was acknowledged.
 type Oracle struct {
 	mu     sync.Mutex
 	wrongs []string
-	// at holds by task on which worker it runs, done the tasks that were noted.
+	// at holds the worker on which each task runs, done the tasks whose successful end the host
+	// has acknowledged, runs the number of starts of each task.
 	at   map[string]string
 	done map[string]bool
 	runs map[string]int
-	// finished are the tasks of which a run ended as done.
+	// finished holds the tasks of which a run ended as done.
 	finished map[string]bool
 }
 
-// NewOracle returns an oracle that has seen nothing.
+// NewOracle returns an oracle that has recorded nothing yet.
 func NewOracle() *Oracle {
 	return &Oracle{at: map[string]string{}, done: map[string]bool{}, runs: map[string]int{}, finished: map[string]bool{}}
 }
 
-// Wrongs lists what went wrong.
+// Wrongs lists the violations.
 func (o *Oracle) Wrongs() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return slices.Clone(o.wrongs)
 }
 
-// Runs returns how often a task was started.
+// Runs returns the number of starts of each task.
 func (o *Oracle) Runs() map[string]int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return maps.Clone(o.runs)
 }
 
-// Finished tells whether a run of the task ended as done.
+// Finished reports whether a run of the task ended as done.
 func (o *Oracle) Finished(task string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -62,10 +64,10 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if at, ok := o.at[task]; ok {
-		o.wrongs = append(o.wrongs, fmt.Sprintf("%s starts on %s while it runs on %s", task, worker, at))
+		o.wrongs = append(o.wrongs, fmt.Sprintf("task %s was started on %s while it was running on %s", task, worker, at))
 	}
 	if o.done[task] {
-		o.wrongs = append(o.wrongs, fmt.Sprintf("%s starts on %s after it was noted as done", task, worker))
+		o.wrongs = append(o.wrongs, fmt.Sprintf("task %s was started on %s after its end was acknowledged", task, worker))
 	}
 	o.at[task] = worker
 	o.runs[task]++
@@ -98,7 +100,7 @@
 	how  string
 }
 
-// Worker is one worker on the loopback interface. Every task takes Work.
+// Worker simulates one worker on the loopback interface. Every task runs for the duration work.
 type Worker struct {
 	ID     string
 	oracle *Oracle
@@ -115,22 +117,24 @@
 	changed  chan struct{}
 	deadline time.Time
 	lapse    *time.Timer
-	// cpu is what the worker says that it has, former what counts until then.
+	// cpu is the capacity that the worker announces. Until the time until, its former capacity
+	// still counts if it is larger.
 	cpu, former int64
 	until       time.Time
-	// drop leaves so many orders without an answer, carried out or not.
+	// drop is the number of coming orders that get no answer; dropped reports whether they are
+	// carried out.
 	drop    int
 	dropped bool
 }
 
 const (
-	// TaskCPU is what each task is taken for: orders do not tell it.
+	// TaskCPU is the CPU use that is assumed for each task, because orders do not contain it.
 	TaskCPU = 500
-	// wholeCPU is what a worker has at first.
+	// wholeCPU is the initial CPU capacity of a worker.
 	wholeCPU = 64_000
 )
 
-// NewWorker starts a worker whose tasks take work each.
+// NewWorker starts a worker whose tasks each run for the duration work.
 func NewWorker(id string, work time.Duration, o *Oracle) *Worker {
 	w := &Worker{ID: id, oracle: o, work: work, began: time.Now(), runs: map[string]*run{}, tombs: map[string]int{}, changed: make(chan struct{}), cpu: wholeCPU}
 	r := chi.NewRouter()
@@ -141,7 +145,7 @@
 	return w
 }
 
-// Close ends the worker and all that runs on it.
+// Close stops the worker and all its tasks.
 func (w *Worker) Close() {
 	w.mu.Lock()
 	for task, r := range w.runs {
@@ -154,16 +158,15 @@
 	w.server.Close()
 }
 
-// DropOrders leaves the next n orders without an answer; done tells whether
-// they are carried out all the same.
+// DropOrders leaves the next n orders without an answer. They are still carried out if done is set.
 func (w *Worker) DropOrders(n int, done bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.drop, w.dropped = n, done
 }
 
-// Resize changes what the worker's next entry says that it has. For a grace it may still be filled
-// up to what it had.
+// Resize changes the capacity that the worker's next entry announces. During the grace period tasks
+// may still use the former capacity.
 func (w *Worker) Resize(cpu int64, grace time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -171,7 +174,7 @@
 	w.cpu = cpu
 }
 
-// bound is up to what the worker may be filled; mu is held.
+// bound returns the CPU that tasks may use in total. The caller holds mu.
 func (w *Worker) bound() int64 {
 	if time.Now().Before(w.until) {
 		return max(w.cpu, w.former)
@@ -179,20 +182,20 @@
 	return w.cpu
 }
 
-// Running counts the tasks that run.
+// Running returns the number of running tasks.
 func (w *Worker) Running() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.runs)
 }
 
-// Address is where the worker listens.
+// Address returns the address on which the worker listens.
 func (w *Worker) Address() string { return strings.TrimPrefix(w.server.URL, "http://") }
 
-// Entry is what the worker writes of itself into the store.
+// Entry returns the record that the worker writes about itself to the store.
 func (w *Worker) Entry(service, zone string) []byte { return w.EntryAt(w.Address(), service, zone) }
 
-// EntryAt is the same for a worker that is reached at another address.
+// EntryAt returns the same record as Entry with another address.
 func (w *Worker) EntryAt(addr, service, zone string) []byte {
 	w.mu.Lock()
 	cpu := w.cpu
@@ -240,7 +243,7 @@
 	}
 }
 
-// start carries out a start; mu is held.
+// start carries out a start order. The caller holds mu.
 func (w *Worker) start(o order) (int, string) {
 	switch {
 	case o.FencingToken < w.fence:
@@ -259,13 +262,13 @@
 	r.timer = time.AfterFunc(w.work, func() { w.finish(o.Task, r, "done") })
 	w.runs[o.Task] = r
 	if used := int64(len(w.runs)) * TaskCPU; used > w.bound() {
-		w.oracle.wrong("%s starts on %s, which has %d, and takes it to %d", o.Task, w.ID, w.cpu, used)
+		w.oracle.wrong("task %s was started on %s, which has %d milli-CPU, and raised its use to %d", o.Task, w.ID, w.cpu, used)
 	}
 	w.extend(o.DeadlineMs)
 	return http.StatusOK, ""
 }
 
-// stop carries out a stop; mu is held.
+// stop carries out a stop order. The caller holds mu.
 func (w *Worker) stop(o order) (int, string) {
 	if o.FencingToken < w.fence {
 		return http.StatusConflict, "fence"
@@ -287,7 +290,7 @@
 	}
 }
 
-// end takes a run off the worker; mu is held.
+// end removes a run from the worker and adds its end to the list of ends. The caller holds mu.
 func (w *Worker) end(task string, r *run, how string) {
 	delete(w.runs, task)
 	w.oracle.end(task, how == "done")
@@ -298,7 +301,7 @@
 	w.changed = make(chan struct{})
 }
 
-// extend lengthens the leases; mu is held.
+// extend extends the leases of all tasks, never shortening them. The caller holds mu.
 func (w *Worker) extend(ms int64) {
 	at := w.began.Add(time.Duration(ms)*time.Millisecond - time.Hour)
 	if !at.After(w.deadline) {
