--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -147,9 +147,9 @@
 	return c.lease(ctx, addr, "/renew", requestBody{TTL: a.TTL.Milliseconds(), Keep: a.TaskTTL.Milliseconds(), Since: a.Since, Forget: forget})
 }
 
-func (c *Client) lease(ctx context.Context, addr netip.AddrPort, path string, ask requestBody) (lease.Reading, error) {
+func (c *Client) lease(ctx context.Context, addr netip.AddrPort, path string, request requestBody) (lease.Reading, error) {
 	sent := c.clock()
-	status, says, err := c.do(ctx, http.MethodPost, addr, path, ask)
+	status, says, err := c.do(ctx, http.MethodPost, addr, path, request)
 	switch {
 	case err != nil:
 		return lease.Reading{}, err
