--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -149,16 +149,16 @@
 
 func (c *Client) lease(ctx context.Context, addr netip.AddrPort, path string, request requestBody) (lease.Reading, error) {
 	sent := c.clock()
-	status, says, err := c.do(ctx, http.MethodPost, addr, path, request)
+	status, answer, err := c.do(ctx, http.MethodPost, addr, path, request)
 	switch {
 	case err != nil:
 		return lease.Reading{}, err
 	case status == http.StatusConflict:
-		return lease.Reading{}, &HeldError{Holder: says.Holder, Remaining: time.Duration(says.Left) * time.Millisecond, Sent: sent, Incarnation: says.Life}
+		return lease.Reading{}, &HeldError{Holder: answer.Holder, Remaining: time.Duration(answer.Left) * time.Millisecond, Sent: sent, Incarnation: answer.Life}
 	case status != http.StatusOK:
 		return lease.Reading{}, &NoAnswerError{Cause: &StatusError{Status: status}}
 	default:
-		return says.reading(sent), nil
+		return answer.reading(sent), nil
 	}
 }
 
