--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -164,14 +164,14 @@
 
 // Incarnation returns a worker's incarnation.
 func (c *Client) Incarnation(ctx context.Context, addr netip.AddrPort) (string, error) {
-	status, says, err := c.do(ctx, http.MethodGet, addr, "/tasks", requestBody{})
+	status, answer, err := c.do(ctx, http.MethodGet, addr, "/tasks", requestBody{})
 	if err != nil {
 		return "", err
 	}
 	if status != http.StatusOK {
 		return "", &StatusError{Status: status}
 	}
-	return says.Life, nil
+	return answer.Life, nil
 }
 
 // Release gives up the anchor that was held under the named lease.
