--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -226,13 +226,13 @@
 	return c.onTask(ctx, addr, "/throttle", requestBody{ID: id, Share: share})
 }
 
-func (c *Client) onTask(ctx context.Context, addr netip.AddrPort, path string, ask requestBody) error {
-	status, _, err := c.do(ctx, http.MethodPost, addr, path, ask)
+func (c *Client) onTask(ctx context.Context, addr netip.AddrPort, path string, request requestBody) error {
+	status, _, err := c.do(ctx, http.MethodPost, addr, path, request)
 	switch {
 	case err != nil:
 		return err
 	case status == http.StatusNotFound:
-		return &UnknownTaskError{ID: ask.ID}
+		return &UnknownTaskError{ID: request.ID}
 	case status != http.StatusOK:
 		return &NoAnswerError{Cause: &StatusError{Status: status}}
 	default:
