--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -240,10 +240,10 @@
 	}
 }
 
-func (c *Client) do(ctx context.Context, method string, addr netip.AddrPort, path string, ask requestBody) (int, responseBody, error) {
+func (c *Client) do(ctx context.Context, method string, addr netip.AddrPort, path string, request requestBody) (int, responseBody, error) {
 	var says responseBody
-	ask.Holder, ask.Term = c.holder, c.term
-	b, err := json.Marshal(ask)
+	request.Holder, request.Term = c.holder, c.term
+	b, err := json.Marshal(request)
 	if err != nil {
 		return 0, says, errors.Wrap(err, "encode request to worker")
 	}
