--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -241,15 +241,15 @@
 }
 
 func (c *Client) do(ctx context.Context, method string, addr netip.AddrPort, path string, request requestBody) (int, responseBody, error) {
-	var says responseBody
+	var answer responseBody
 	request.Holder, request.Term = c.holder, c.term
 	b, err := json.Marshal(request)
 	if err != nil {
-		return 0, says, errors.Wrap(err, "encode request to worker")
+		return 0, answer, errors.Wrap(err, "encode request to worker")
 	}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr.String()+path, bytes.NewReader(b))
 	if err != nil {
-		return 0, says, errors.Wrap(err, "create request to worker")
+		return 0, answer, errors.Wrap(err, "create request to worker")
 	}
 	// An empty value omits the header, which makes every renewal of every worker shorter.
 	req.Header.Set("User-Agent", "")
@@ -257,17 +257,17 @@
 	var op *net.OpError
 	switch {
 	case errors.As(err, &op) && op.Op == "dial":
-		return 0, says, &UnreachableError{Cause: err}
+		return 0, answer, &UnreachableError{Cause: err}
 	case err != nil:
-		return 0, says, &NoAnswerError{Cause: err}
+		return 0, answer, &NoAnswerError{Cause: err}
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return 0, says, &NoAnswerError{Cause: err}
+		return 0, answer, &NoAnswerError{Cause: err}
 	}
-	if err := json.Unmarshal(body, &says); err != nil {
-		return 0, says, &NoAnswerError{Cause: err}
+	if err := json.Unmarshal(body, &answer); err != nil {
+		return 0, answer, &NoAnswerError{Cause: err}
 	}
-	return resp.StatusCode, says, nil
+	return resp.StatusCode, answer, nil
 }
