--- a/internal/host/heartbeat.go
+++ b/internal/host/heartbeat.go
@@ -83,7 +83,7 @@
 		if p.Name == b.Name {
 			b.Domain = p.Domain
 			h.compareTables(b)
-			h.memberStep(member.HeartbeatReceived{Beat: b})
+			h.memberStep(member.HeartbeatReceived{Heartbeat: b})
 			h.answerHeartbeat(b)
 			return nil, nil
 		}
--- a/internal/host/jobs.go
+++ b/internal/host/jobs.go
@@ -374,7 +374,7 @@
 func (h *Host) handleMessage(ctx context.Context, m peer.Message) (any, error) {
 	switch m := m.(type) {
 	case peer.Beat:
-		h.memberStep(member.HeartbeatReceived{Beat: m.Heartbeat})
+		h.memberStep(member.HeartbeatReceived{Heartbeat: m.Heartbeat})
 		return nil, nil
 	case peer.Leave:
 		h.memberStep(member.LeaveReceived{Name: m.Name})
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -48,7 +48,7 @@
 	m.compensatePause(now)
 	switch ev := ev.(type) {
 	case HeartbeatReceived:
-		m.recordHeartbeat(now, ev.Beat)
+		m.recordHeartbeat(now, ev.Heartbeat)
 	case SendFailed:
 		m.recordSendFailure(ev.Name)
 	case LeaveReceived:
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -16,7 +16,7 @@
 // request that they send to it is wasted time.
 func TestSilentPeerIsGone(t *testing.T) {
 	m := member.New(member.Heartbeat{Name: "a", Domain: "d"})
-	acts := m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Domain: "d", Ack: true}})
+	acts := m.Step(now, member.HeartbeatReceived{Heartbeat: member.Heartbeat{Name: "b", Domain: "d", Ack: true}})
 	require.Equal(t, []member.Action{member.LiveChanged{Live: []string{"a", "b"}}}, acts)
 	require.Equal(t, []string{"a", "b"}, m.LiveIn("d"))
 	// Two ticks that are far apart would look like a pause of this host itself.
@@ -30,8 +30,8 @@
 // overwrite the state of the new incarnation.
 func TestOldIncarnationIsIgnored(t *testing.T) {
 	m := member.New(member.Heartbeat{Name: "a", Domain: "d"})
-	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Incarnation: 2, FreeSlots: 5}})
-	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Incarnation: 1, FreeSlots: 0}})
+	m.Step(now, member.HeartbeatReceived{Heartbeat: member.Heartbeat{Name: "b", Incarnation: 2, FreeSlots: 5}})
+	m.Step(now, member.HeartbeatReceived{Heartbeat: member.Heartbeat{Name: "b", Incarnation: 1, FreeSlots: 0}})
 	require.Equal(t, 5, m.Heartbeats()[0].FreeSlots)
 }
 
@@ -39,10 +39,10 @@
 // heard this host arrives after a newer one, and this host counts the peer as gone.
 func TestOvertakenHeartbeatIsIgnored(t *testing.T) {
 	m := member.New(member.Heartbeat{Name: "a"})
-	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Seq: 2, Ack: true}})
-	require.Empty(t, m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Seq: 1}}))
+	m.Step(now, member.HeartbeatReceived{Heartbeat: member.Heartbeat{Name: "b", Seq: 2, Ack: true}})
+	require.Empty(t, m.Step(now, member.HeartbeatReceived{Heartbeat: member.Heartbeat{Name: "b", Seq: 1}}))
 	require.Equal(t, []string{"a", "b"}, m.Live())
-	require.NotEmpty(t, m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Seq: 3}}))
+	require.NotEmpty(t, m.Step(now, member.HeartbeatReceived{Heartbeat: member.Heartbeat{Name: "b", Seq: 3}}))
 }
 
 func TestRankNamesTwoDifferentHosts(t *testing.T) {
@@ -62,12 +62,12 @@
 // it hears nothing, so both hosts treat the link as down.
 func TestOneWayLinkIsDeadForBoth(t *testing.T) {
 	m := member.New(member.Heartbeat{Name: "a"})
-	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b"}})
+	m.Step(now, member.HeartbeatReceived{Heartbeat: member.Heartbeat{Name: "b"}})
 	require.Equal(t, []string{"a"}, m.Live())
 	require.Equal(t, 1, m.OneWayCount())
 	require.True(t, m.HearsFrom(now, "b"))
 	require.False(t, m.HearsFrom(now.Add(time.Minute), "b"))
-	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Ack: true}})
+	m.Step(now, member.HeartbeatReceived{Heartbeat: member.Heartbeat{Name: "b", Ack: true}})
 	require.Equal(t, []string{"a", "b"}, m.Live())
 }
 
@@ -75,7 +75,7 @@
 // not read any of them yet. It must not take over everything that they lead.
 func TestOwnPauseIsNotThePeersSilence(t *testing.T) {
 	m := member.New(member.Heartbeat{Name: "a"})
-	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Ack: true}})
+	m.Step(now, member.HeartbeatReceived{Heartbeat: member.Heartbeat{Name: "b", Ack: true}})
 	require.Empty(t, m.Step(now.Add(time.Minute), member.Tick{}))
 	require.Equal(t, 1, m.PauseCount())
 	later := now.Add(time.Minute)
@@ -88,7 +88,7 @@
 // A peer's process dies. Sending to it fails at once, long before the silence timeout.
 func TestFailedSendMarksAPeerAsGoneUntilItIsHeard(t *testing.T) {
 	m := member.New(member.Heartbeat{Name: "a"})
-	beat := member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Ack: true}}
+	beat := member.HeartbeatReceived{Heartbeat: member.Heartbeat{Name: "b", Ack: true}}
 	m.Step(now, beat)
 	require.NotEmpty(t, m.Step(now, member.SendFailed{Name: "b"}))
 	require.Equal(t, []string{"a"}, m.Live())
@@ -100,10 +100,10 @@
 // name. The heartbeats of the new incarnation take precedence.
 func TestLaggingListDoesNotHideARestartedHost(t *testing.T) {
 	m := member.New(member.Heartbeat{Name: "a"})
-	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Incarnation: 1, Ack: true}})
+	m.Step(now, member.HeartbeatReceived{Heartbeat: member.Heartbeat{Name: "b", Incarnation: 1, Ack: true}})
 	m.Step(now.Add(time.Second), member.LeavingListed{Leaving: []string{"b"}})
 	require.Equal(t, []string{"a"}, m.Live())
-	m.Step(now.Add(1500*time.Millisecond), member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Incarnation: 2, Ack: true}})
+	m.Step(now.Add(1500*time.Millisecond), member.HeartbeatReceived{Heartbeat: member.Heartbeat{Name: "b", Incarnation: 2, Ack: true}})
 	require.Equal(t, []string{"a", "b"}, m.Live())
 	m.Step(now.Add(1500*time.Millisecond), member.LeavingListed{})
 	require.Equal(t, []string{"a", "b"}, m.Live())
@@ -114,7 +114,7 @@
 func TestLongHeartbeatPeriodExtendsTheTimeout(t *testing.T) {
 	m := member.New(member.Heartbeat{Name: "a"})
 	far := member.FarPeriod(45)
-	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Ack: true, Period: cell.Duration{Duration: far}}})
+	m.Step(now, member.HeartbeatReceived{Heartbeat: member.Heartbeat{Name: "b", Ack: true, Period: cell.Duration{Duration: far}}})
 	for at := time.Duration(0); at <= 4*far; at += 500 * time.Millisecond {
 		m.Step(now.Add(at), member.Tick{})
 		require.Equal(t, at <= 3*far, len(m.Live()) == 2, at)
--- a/internal/member/messages.go
+++ b/internal/member/messages.go
@@ -10,7 +10,7 @@
 type Event interface{ event() }
 
 // HeartbeatReceived reports a heartbeat from a peer.
-type HeartbeatReceived struct{ Beat Heartbeat }
+type HeartbeatReceived struct{ Heartbeat Heartbeat }
 
 // Tick reports that time has passed.
 type Tick struct{}
