--- a/internal/host/cluster_test.go
+++ b/internal/host/cluster_test.go
@@ -179,8 +179,8 @@
 	return s.State
 }
 
-// ran counts the starts and ends of a job's tasks on all workers.
-func (c *cluster) ran(id string) (started, ended int) {
+// countRuns counts the starts and ends of a job's tasks on all workers.
+func (c *cluster) countRuns(id string) (started, ended int) {
 	r := c.cell.Report()
 	for task, n := range r.Started {
 		if strings.HasPrefix(task, id+".") {
@@ -214,10 +214,10 @@
 	t.Parallel()
 	c := newCluster(t, 3)
 	s := c.submit(smallJob(24, 1))
-	c.waitFor("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
+	c.waitFor("tasks run", func() bool { started, _ := c.countRuns(s.ID); return started > 0 })
 	c.kill(c.leaderOf(s.ID))
 	c.waitFor("job ends under its next leader", func() bool { return c.state(s.ID) == "ended" })
-	_, ended := c.ran(s.ID)
+	_, ended := c.countRuns(s.ID)
 	require.Equal(t, 24, ended)
 	c.requireNoDoubleRuns()
 }
@@ -228,7 +228,7 @@
 	t.Parallel()
 	c := newCluster(t, 2)
 	s := c.submit(smallJob(12, 2))
-	c.waitFor("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
+	c.waitFor("tasks run", func() bool { started, _ := c.countRuns(s.ID); return started > 0 })
 	name := c.leaderOf(s.ID)
 	require.NoError(c, c.hosts[name].Stop(context.Background()))
 	delete(c.hosts, name)
@@ -237,7 +237,7 @@
 		require.True(t, h.Leads(s.ID), "the other host leads the job when the stop is over")
 	}
 	c.waitFor("job ends", func() bool { return c.state(s.ID) == "ended" })
-	started, ended := c.ran(s.ID)
+	started, ended := c.countRuns(s.ID)
 	require.Equal(t, 12, ended)
 	require.Equal(t, 12, started, "a task was started twice")
 	c.requireNoDoubleRuns()
--- a/internal/host/explain_test.go
+++ b/internal/host/explain_test.go
@@ -17,7 +17,7 @@
 func TestHistoryIsServedByEveryHost(t *testing.T) {
 	c := newCluster(t, 3)
 	s := c.submit(client.Job{Tasks: 9, Size: client.Size{CPU: 4000, Mem: 1 << 20}, Time: 60})
-	c.waitFor("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
+	c.waitFor("tasks run", func() bool { started, _ := c.countRuns(s.ID); return started > 0 })
 	for name := range c.hosts {
 		// Hosts that have just started do not see each other yet.
 		c.waitFor("history is served by "+name, func() bool {
--- a/internal/host/lifecycle_test.go
+++ b/internal/host/lifecycle_test.go
@@ -72,7 +72,7 @@
 func (c *cluster) requireEndsOnce(id string, tasks int) {
 	c.Helper()
 	c.waitFor("job ends", func() bool { return c.state(id) == "ended" })
-	_, ended := c.ran(id)
+	_, ended := c.countRuns(id)
 	require.Equal(c, tasks, ended)
 	c.requireNoDoubleRuns()
 }
@@ -94,7 +94,7 @@
 				w.SetFaults(standin.WorkerFaults{LoseAnswers: 1})
 			}
 			s := c.submit(smallJob(8, 1))
-			c.waitFor("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
+			c.waitFor("tasks run", func() bool { started, _ := c.countRuns(s.ID); return started > 0 })
 			c.kill(c.leaderOf(s.ID))
 			c.requireEndsOnce(s.ID, 8)
 		},
@@ -111,7 +111,7 @@
 		},
 		"all tasks ended, end not in the log, both keepers die": func(c *cluster) {
 			s := c.submit(smallJob(4, 0.3))
-			c.waitFor("tasks run", func() bool { started, _ := c.ran(s.ID); return started == 4 })
+			c.waitFor("tasks run", func() bool { started, _ := c.countRuns(s.ID); return started == 4 })
 			c.setLogDown(true)
 			c.waitFor("the leader knows the end", func() bool { return c.state(s.ID) == "ended" })
 			c.waitRenewals(2)
@@ -125,7 +125,7 @@
 			}
 			c.setLogDown(false)
 			c.requireEndsOnce(s.ID, 4)
-			started, _ := c.ran(s.ID)
+			started, _ := c.countRuns(s.ID)
 			require.Equal(c, 4, started, "an ended task ran again")
 		},
 		"kept by peers, log away before": func(c *cluster) {
@@ -140,7 +140,7 @@
 		},
 		"tasks run, log away during and after": func(c *cluster) {
 			s := c.submit(smallJob(8, 6))
-			c.waitFor("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
+			c.waitFor("tasks run", func() bool { started, _ := c.countRuns(s.ID); return started > 0 })
 			c.setLogDown(true)
 			c.kill(c.leaderOf(s.ID))
 			c.waitFor("the next leader holds all workers", func() bool { return c.heldCount() == 4 })
@@ -186,7 +186,7 @@
 			after := c.submit(smallJob(1, 0.1))
 			c.requireEndsOnce(after.ID, 1)
 			c.waitFor("every host knows the end", func() bool { return c.state(s.ID) == "cancelled" })
-			started, _ := c.ran(s.ID)
+			started, _ := c.countRuns(s.ID)
 			require.Zero(t, started)
 		})
 	}
@@ -209,7 +209,7 @@
 		return err == nil && got.Outcome == "not run"
 	})
 	free()
-	started, _ := c.ran(s.ID)
+	started, _ := c.countRuns(s.ID)
 	require.Zero(t, started)
 }
 
@@ -234,7 +234,7 @@
 	c.waitFor("the last host has read the log", func() bool { return c.heldCount() == 4 })
 	_, err := c.anyClient("").Job(context.Background(), s.ID)
 	require.ErrorContains(t, err, "404")
-	started, _ := c.ran(s.ID)
+	started, _ := c.countRuns(s.ID)
 	require.Zero(t, started)
 }
 
@@ -259,7 +259,7 @@
 	require.Len(t, ids, 1)
 	for id := range ids {
 		c.requireEndsOnce(id, 2)
-		started, _ := c.ran(id)
+		started, _ := c.countRuns(id)
 		require.Equal(t, 2, started)
 	}
 	j.Tasks = 3
@@ -273,7 +273,7 @@
 	t.Parallel()
 	c := newCluster(t, 2)
 	s := c.submit(smallJob(12, 2))
-	c.waitFor("tasks run", func() bool { started, _ := c.ran(s.ID); return started > 0 })
+	c.waitFor("tasks run", func() bool { started, _ := c.countRuns(s.ID); return started > 0 })
 	c.setLogDown(true)
 	name := c.leaderOf(s.ID)
 	require.NoError(t, c.hosts[name].Stop(context.Background()))
@@ -283,7 +283,7 @@
 	}
 	c.setLogDown(false)
 	c.requireEndsOnce(s.ID, 12)
-	started, _ := c.ran(s.ID)
+	started, _ := c.countRuns(s.ID)
 	require.Equal(t, 12, started)
 }
 
