--- a/internal/host/table.go
+++ b/internal/host/table.go
@@ -127,7 +127,7 @@
 }
 
 // MissingError reports that records are missing before those that were found.
-type MissingError struct{ Want int64 }
+type MissingError struct{ Wanted int64 }
 
 func (e *MissingError) Error() string { return "records are missing" }
 
@@ -143,10 +143,10 @@
 		switch a := a.(type) {
 		case table.Gap:
 			h.countTable("gap")
-			err = &MissingError{Want: a.Want}
+			err = &MissingError{Wanted: a.Want}
 		case table.SnapshotMissing:
 			h.countTable("lost")
-			err = &MissingError{Want: a.Want}
+			err = &MissingError{Wanted: a.Want}
 		case table.Restored:
 			h.countTable("restored")
 			h.log.Info("table: loaded a snapshot.", "next", a.Next)
