--- a/internal/minion/minion.go
+++ b/internal/minion/minion.go
@@ -32,15 +32,15 @@
 
 // Client sends requests to backend servers. It is safe for concurrent use.
 type Client struct {
-	http *http.Client
-	most int64
+	http    *http.Client
+	maxBody int64
 	// dropped counts attempts that failed, after which their connection was closed.
 	dropped atomic.Int64
 }
 
-// New returns a client that accepts answers with bodies of up to most bytes.
-func New(rt http.RoundTripper, most int64) *Client {
-	return &Client{http: &http.Client{Transport: rt, CheckRedirect: keepRedirect}, most: most}
+// New returns a client that accepts answers with bodies of up to maxBody bytes.
+func New(rt http.RoundTripper, maxBody int64) *Client {
+	return &Client{http: &http.Client{Transport: rt, CheckRedirect: keepRedirect}, maxBody: maxBody}
 }
 
 func keepRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
@@ -56,25 +56,25 @@
 	Body   []byte
 }
 
-// staleTries is how often a request is attempted when each attempt finds its
+// maxAttempts is how often a request is attempted when each attempt finds its
 // idle connection closed before any byte is sent. It allows every idle
 // connection to be closed and one more attempt.
-const staleTries = idleConns + 1
+const maxAttempts = idleConns + 1
 
 // Do sends a request and waits for the complete answer. The type of the error
 // says whether the request may have run: NotSentError and LeavingError mean
 // that it did not, all others that it may have.
 func (c *Client) Do(ctx context.Context, addr netip.AddrPort, r call.Request) (Answer, error) {
 	for n := 1; ; n++ {
-		var u use
-		answer, err := c.once(ctx, addr, r, &u)
+		var u assignedConn
+		answer, err := c.attempt(ctx, addr, r, &u)
 		if err == nil {
 			return answer, nil
 		}
 		u.drop()
 		c.dropped.Add(1)
 		switch {
-		case u.unsent() && n < staleTries && ctx.Err() == nil:
+		case u.unsent() && n < maxAttempts && ctx.Err() == nil:
 			continue
 		case u.unsent():
 			return Answer{}, &NotSentError{Cause: err}
@@ -84,7 +84,7 @@
 	}
 }
 
-func (c *Client) once(ctx context.Context, addr netip.AddrPort, r call.Request, u *use) (Answer, error) {
+func (c *Client) attempt(ctx context.Context, addr netip.AddrPort, r call.Request, u *assignedConn) (Answer, error) {
 	trace := httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) { u.got(info.Conn) }}
 	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, &trace), r.Method, "http://"+addr.String()+r.Path, nil)
 	if err != nil {
@@ -137,7 +137,7 @@
 }
 
 func (c *Client) read(resp *http.Response, id string) (Answer, error) {
-	if err := owned(resp, id); err != nil {
+	if err := checkRequestID(resp, id); err != nil {
 		return Answer{}, err
 	}
 	// The library reads an answer without a length until the connection ends, so
@@ -145,21 +145,21 @@
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.Body != http.NoBody {
 		return Answer{}, &UnboundedError{}
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, c.most+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, c.maxBody+1))
 	if err != nil {
 		return Answer{}, &NoAnswerError{Cause: err}
 	}
-	if int64(len(body)) > c.most {
-		return Answer{}, &LargeError{Most: c.most}
+	if int64(len(body)) > c.maxBody {
+		return Answer{}, &LargeError{Most: c.maxBody}
 	}
-	return Answer{Status: resp.StatusCode, Header: kept(resp.Header), Body: body}, nil
+	return Answer{Status: resp.StatusCode, Header: callerHeaders(resp.Header), Body: body}, nil
 }
 
-// owned returns an error unless the answer is for the request with this id.
+// checkRequestID returns an error unless the answer is for the request with this id.
 // The refusal of a server that is leaving carries no id. It is accepted as such
 // only if it is the last answer on its connection; otherwise a late refusal
 // could be taken for the answer to the next request.
-func owned(resp *http.Response, id string) error {
+func checkRequestID(resp *http.Response, id string) error {
 	ids := resp.Header.Values(HeaderID)
 	switch {
 	case len(ids) == 1 && ids[0] == id:
@@ -173,8 +173,8 @@
 	}
 }
 
-// kept returns the headers of the answer that are passed on to the caller.
-func kept(h http.Header) map[string]string {
+// callerHeaders returns the headers of the answer that are passed on to the caller.
+func callerHeaders(h http.Header) map[string]string {
 	out := map[string]string{}
 	for _, name := range []string{"Content-Type", "Content-Encoding", "Etag", "Location", "Cache-Control"} {
 		if v := h.Get(name); v != "" {
--- a/internal/minion/transport.go
+++ b/internal/minion/transport.go
@@ -28,32 +28,32 @@
 		MaxIdleConnsPerHost: idleConns,
 		MaxConnsPerHost:     maxConns,
 		IdleConnTimeout:     idleWait,
-		DialContext:         watched(dial),
+		DialContext:         countingDial(dial),
 		DisableCompression:  true,
 	}
 }
 
-// watchedConn counts the bytes written to it. If an idle connection proves to be
+// countingConn counts the bytes written to it. If an idle connection proves to be
 // closed just as a request is assigned to it, the transport does not report
 // whether the request was sent, and its outcome would have to be unknown.
-type watchedConn struct {
+type countingConn struct {
 	net.Conn
 	closed  atomic.Bool
 	written atomic.Int64
 }
 
-func watched(dial Dial) Dial {
+func countingDial(dial Dial) Dial {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
-		return &watchedConn{Conn: conn}, nil
+		return &countingConn{Conn: conn}, nil
 	}
 }
 
 // Write counts the bytes before it sends them, so that the count is never too low.
-func (c *watchedConn) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	if c.closed.Load() {
 		return 0, net.ErrClosed
 	}
@@ -62,30 +62,30 @@
 }
 
 // Close closes the connection; any later Write fails.
-func (c *watchedConn) Close() error {
+func (c *countingConn) Close() error {
 	c.closed.Store(true)
 	return c.Conn.Close()
 }
 
-// use records the connection that one request was assigned and how many bytes
+// assignedConn records the connection that one request was assigned and how many bytes
 // had been written to it before.
-type use struct {
-	conn   *watchedConn
+type assignedConn struct {
+	conn   *countingConn
 	before int64
 }
 
-func (u *use) got(conn net.Conn) {
-	if c, ok := conn.(*watchedConn); ok {
+func (u *assignedConn) got(conn net.Conn) {
+	if c, ok := conn.(*countingConn); ok {
 		u.conn, u.before = c, c.written.Load()
 	}
 }
 
 // unsent reports whether certainly no byte of the request was sent.
-func (u *use) unsent() bool { return u.conn != nil && u.conn.written.Load() == u.before }
+func (u *assignedConn) unsent() bool { return u.conn != nil && u.conn.written.Load() == u.before }
 
 // drop closes the connection, so that no data that still arrives on it can be
 // taken for the answer to a later request.
-func (u *use) drop() {
+func (u *assignedConn) drop() {
 	if u.conn != nil {
 		_ = u.conn.Close()
 	}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -29,24 +29,24 @@
 	"pollencroft/internal/table"
 )
 
-// bench is one relay with stand-in minions and a row that tests can change.
+// bench is one relay with stand-in backend servers and a row that tests can change.
 type bench struct {
 	*relay.Relay
-	minions []*standin.Minion
-	servers []relay.Server
-	mu      sync.Mutex
-	row     table.Row
-	version int64
-	ahead   time.Duration
+	backends []*standin.Minion
+	servers  []relay.Server
+	mu       sync.Mutex
+	row      table.Row
+	version  int64
+	ahead    time.Duration
 }
 
-func newBench(t *testing.T, minions, slots int) *bench {
+func newBench(t *testing.T, backends, slots int) *bench {
 	t.Helper()
 	b := &bench{version: 1, row: table.Row{Name: "scan", Class: "urgent", Weight: 1, Tries: 3}}
 	b.Relay = relay.New(relay.Deps{
 		Name: "h1", Domain: "d", Queue: queue.New(queue.DefaultLimits), Outliers: outlier.New(outlier.DefaultLimits),
 		Retries: retry.New(retry.DefaultLimits), Ledger: ledger.New(ledger.DefaultLimits, time.Now()),
-		Minions: minion.New(&http.Transport{}, 1<<20), Peers: peer.NewClients(nil),
+		Backends: minion.New(&http.Transport{}, 1<<20), Peers: peer.NewClients(nil),
 		Row: func(string) (table.Row, int64) {
 			b.mu.Lock()
 			defer b.mu.Unlock()
@@ -61,11 +61,11 @@
 		},
 		MaxPause: time.Minute, Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
 	})
-	for i := range minions {
+	for i := range backends {
 		m := standin.NewMinion(slots)
 		srv := httptest.NewServer(m.Handler())
 		t.Cleanup(srv.Close)
-		b.minions = append(b.minions, m)
+		b.backends = append(b.backends, m)
 		b.servers = append(b.servers, relay.Server{
 			Name: fmt.Sprint("m", i), Slots: slots, Address: netip.MustParseAddrPort(strings.TrimPrefix(srv.URL, "http://")),
 		})
@@ -80,22 +80,22 @@
 
 func (b *bench) ran() int {
 	n := 0
-	for _, m := range b.minions {
+	for _, m := range b.backends {
 		n += len(m.Record().Ran)
 	}
 	return n
 }
 
-// A minion refuses connections or replies that it is leaving, while the host still lists
-// it. Such a request certainly did not run; another minion answers it, and the caller
-// notices nothing.
+// A backend server refuses connections or replies that it is leaving, while the host still
+// lists it. Such a request certainly did not run; another backend server answers it, and
+// the caller notices nothing.
 func TestRequestThatDidNotRunIsTriedElsewhere(t *testing.T) {
 	for name, breaks := range map[string]func(b *bench){
 		"refuses connections": func(b *bench) {
 			b.servers[0].Address = netip.MustParseAddrPort("127.0.0.1:1")
 			b.SetServers(b.servers)
 		},
-		"leaves": func(b *bench) { b.minions[0].SetFaults(standin.MinionFaults{Leaving: true}) },
+		"leaves": func(b *bench) { b.backends[0].SetFaults(standin.MinionFaults{Leaving: true}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t, 2, 8)
@@ -108,13 +108,13 @@
 	}
 }
 
-// A minion runs a request and closes the connection without an answer. The request must not
-// be sent again, because it may have run, unless its row is idempotent.
+// A backend server runs a request and closes the connection without an answer. The request
+// must not be sent again, because it may have run, unless its row is idempotent.
 func TestOnlyIdempotentRowsRetryWhatMayHaveRun(t *testing.T) {
 	for _, idempotent := range []bool{false, true} {
 		b := newBench(t, 2, 8)
 		b.row.Idempotent = idempotent
-		b.minions[0].SetFaults(standin.MinionFaults{Lose: 1})
+		b.backends[0].SetFaults(standin.MinionFaults{Lose: 1})
 		reply := b.Do(t.Context(), request())
 		require.Equal(t, map[bool]cell.Outcome{false: cell.Unknown, true: cell.Done}[idempotent], reply.Outcome)
 		require.Equal(t, map[bool]int{false: 1, true: 2}[idempotent], b.ran())
@@ -122,24 +122,25 @@
 }
 
 // The first try of an idempotent request runs without an answer, and the second finds every
-// minion leaving. The outcome "refused" would be false, because the request may have run.
+// backend server leaving. The outcome "refused" would be false, because the request may
+// have run.
 func TestRefusedRetryDoesNotHideAnEarlierTry(t *testing.T) {
 	b := newBench(t, 2, 8)
 	b.row.Idempotent = true
-	b.minions[0].SetFaults(standin.MinionFaults{Lose: 1})
-	b.minions[1].SetFaults(standin.MinionFaults{Leaving: true})
+	b.backends[0].SetFaults(standin.MinionFaults{Lose: 1})
+	b.backends[1].SetFaults(standin.MinionFaults{Leaving: true})
 	req := request()
 	b.row.Tries = 2
 	require.Equal(t, cell.Unknown, b.Do(t.Context(), req).Outcome)
 	require.Equal(t, 1, b.ran())
 }
 
-// Every minion answers every request with a failure. Retries must not multiply the load,
-// which would keep the minions down.
+// Every backend server answers every request with a failure. Retries must not multiply the
+// load, which would keep the backend servers down.
 func TestNoRetryStormWhileEverythingFails(t *testing.T) {
 	b := newBench(t, 3, 8)
 	b.row.Idempotent = true
-	for _, m := range b.minions {
+	for _, m := range b.backends {
 		m.SetFaults(standin.MinionFaults{Fail: 100})
 	}
 	const asked = 1000
@@ -148,7 +149,7 @@
 		reply := b.Do(t.Context(), request())
 		require.Equal(t, http.StatusInternalServerError, reply.Status)
 	}
-	for _, m := range b.minions {
+	for _, m := range b.backends {
 		for _, n := range m.Record().Ran {
 			before += n
 		}
@@ -200,12 +201,12 @@
 	_, waiting := b.Load()
 	require.Zero(t, waiting)
 	wg.Wait()
-	require.Equal(t, 2, b.minions[0].Record().Most)
+	require.Equal(t, 2, b.backends[0].Record().Most)
 }
 
 // A host is paused for an hour while a request arrives. Other hosts have taken over its
 // slots meanwhile, so it must send nothing until it knows which slots it has; otherwise a
-// minion with 8 slots would get a ninth request.
+// backend server with 8 slots would get a ninth request.
 func TestPausedHostSendsNothingUntilItKnowsItsSlots(t *testing.T) {
 	b := newBench(t, 1, 8)
 	require.Equal(t, cell.Done, b.Do(t.Context(), request()).Outcome)
@@ -222,14 +223,14 @@
 	require.Equal(t, cell.Done, (<-reply).Outcome)
 }
 
-// A minion, or the connection to it, accepts requests and answers nothing. A request of an
-// idempotent row is sent to another minion well before its deadline, within the row's
-// budget. Any other request is not, and its outcome stays unknown.
+// A backend server, or the connection to it, accepts requests and answers nothing. A
+// request of an idempotent row is sent to another backend server well before its deadline,
+// within the row's budget. Any other request is not, and its outcome stays unknown.
 func TestOnlyIdempotentRowsAreHedged(t *testing.T) {
 	for _, idempotent := range []bool{false, true} {
 		b := newBench(t, 2, 8)
 		b.row.Idempotent = idempotent
-		for _, m := range b.minions[:1] {
+		for _, m := range b.backends[:1] {
 			m.SetFaults(standin.MinionFaults{Hole: true})
 		}
 		req := request()
