--- a/internal/host/stop_test.go
+++ b/internal/host/stop_test.go
@@ -18,7 +18,7 @@
 )
 
 // addBackend adds a backend server to the failure domain.
-func (c *testHosts) addBackend(slots int) *standin.Minion {
+func (c *testHosts) addBackend(slots int) *standin.Backend {
 	m := standin.NewMinion(slots)
 	c.platform.SetHosts([]platform.HostEntry{{
 		Name: "m", Kind: cell.BackendHost, Domain: "nord", Slots: slots, Conns: 64, Address: serveBackend(c.t, m),
@@ -26,14 +26,14 @@
 	return m
 }
 
-func serveBackend(t *testing.T, m *standin.Minion) netip.AddrPort {
+func serveBackend(t *testing.T, m *standin.Backend) netip.AddrPort {
 	t.Helper()
 	srv := httptest.NewServer(m.Handler())
 	t.Cleanup(srv.Close)
 	return netip.MustParseAddrPort(srv.Listener.Addr().String())
 }
 
-func maxRunning(m *standin.Minion) int { return m.Record().Most }
+func maxRunning(m *standin.Backend) int { return m.Record().Most }
 
 // A host is stopped while it serves a plain request, a keyed one, one that a peer relayed, and
 // connections that clients opened in advance and never used. Each request must get its complete
--- a/internal/measure/retry.go
+++ b/internal/measure/retry.go
@@ -44,7 +44,7 @@
 		Clock:      time.Now, Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
 	})
 	var servers []relay.Server
-	var minions []*standin.Minion
+	var minions []*standin.Backend
 	for i := range 4 {
 		m := standin.NewMinion(8)
 		m.SetFaults(standin.MinionFaults{Fail: 100})
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -32,7 +32,7 @@
 // bench is one relay with stand-in backend servers and a row that tests can change.
 type bench struct {
 	*relay.Relay
-	backends []*standin.Minion
+	backends []*standin.Backend
 	servers  []relay.Server
 	mu       sync.Mutex
 	row      table.Row
--- a/internal/standin/cell.go
+++ b/internal/standin/cell.go
@@ -44,7 +44,7 @@
 	Users    Users
 	Platform *Platform
 	Address  netip.AddrPort
-	Minions  map[string]*Minion
+	Minions  map[string]*Backend
 	Workers  map[string]*Worker
 	Over     *Oversight
 	Machines []platform.HostEntry
@@ -58,7 +58,7 @@
 // operating system chooses.
 func NewCell(u Users, addr netip.AddrPort, clock func() time.Time) (*Cell, error) {
 	c := &Cell{
-		Users: u, Platform: NewPlatform(), Minions: map[string]*Minion{}, Workers: map[string]*Worker{}, Over: NewOversight(),
+		Users: u, Platform: NewPlatform(), Minions: map[string]*Backend{}, Workers: map[string]*Worker{}, Over: NewOversight(),
 	}
 	if err := c.fill(addr, clock); err != nil {
 		c.Close()
--- a/internal/standin/minion.go
+++ b/internal/standin/minion.go
@@ -56,8 +56,8 @@
 	Busy time.Duration `json:"busy"`
 }
 
-// Minion simulates one backend server.
-type Minion struct {
+// Backend simulates one backend server.
+type Backend struct {
 	slots  int
 	mu     sync.Mutex
 	faults MinionFaults
@@ -67,19 +67,19 @@
 }
 
 // NewMinion returns a backend server with the given number of slots.
-func NewMinion(slots int) *Minion {
-	return &Minion{slots: slots, record: MinionRecord{Ran: map[string]int{}}}
+func NewMinion(slots int) *Backend {
+	return &Backend{slots: slots, record: MinionRecord{Ran: map[string]int{}}}
 }
 
 // SetFaults replaces the active faults.
-func (m *Minion) SetFaults(f MinionFaults) {
+func (m *Backend) SetFaults(f MinionFaults) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.faults = f
 }
 
 // Record returns a copy of the record.
-func (m *Minion) Record() MinionRecord {
+func (m *Backend) Record() MinionRecord {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r := m.record
@@ -91,7 +91,7 @@
 }
 
 // Handler returns the handler for /record, /faults and, on any other path, requests.
-func (m *Minion) Handler() http.Handler {
+func (m *Backend) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Put("/faults", putFaults(m.SetFaults))
 	r.Get("/record", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, m.Record()) })
@@ -99,7 +99,7 @@
 	return r
 }
 
-func (m *Minion) serve(w http.ResponseWriter, r *http.Request) {
+func (m *Backend) serve(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -116,7 +116,7 @@
 	m.answer(w, r, f, body)
 }
 
-func (m *Minion) begin(r *http.Request) (MinionFaults, bool) {
+func (m *Backend) begin(r *http.Request) (MinionFaults, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f := m.faults
@@ -141,20 +141,20 @@
 	return f, false
 }
 
-func (m *Minion) end() {
+func (m *Backend) end() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.now--
 }
 
-func (m *Minion) work(ctx context.Context, cost time.Duration) {
+func (m *Backend) work(ctx context.Context, cost time.Duration) {
 	pause(ctx, cost)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.record.Busy += cost
 }
 
-func (m *Minion) answer(w http.ResponseWriter, r *http.Request, f MinionFaults, body []byte) {
+func (m *Backend) answer(w http.ResponseWriter, r *http.Request, f MinionFaults, body []byte) {
 	id := r.Header.Get(HeaderID)
 	switch {
 	case f.Hole, f.Silent > 0:
@@ -181,7 +181,7 @@
 	_, _ = io.WriteString(w, answer)
 }
 
-func (m *Minion) unlucky(share int) bool {
+func (m *Backend) unlucky(share int) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.seen%100 < share
