--- a/internal/host/share_test.go
+++ b/internal/host/share_test.go
@@ -148,7 +148,7 @@
 	d := newDomain(t)
 	d.waitSlotsShared("all hosts share the slots", 0, 1, 2)
 	callers := d.callers()
-	d.cell.Minions["minion-00"].SetFaults(standin.MinionFaults{Leaving: true})
+	d.cell.Minions["minion-00"].SetFaults(standin.BackendFaults{Leaving: true})
 	aside := func(i int) bool {
 		var v struct {
 			Aside map[string]string `json:"aside"`
--- a/internal/host/stop_test.go
+++ b/internal/host/stop_test.go
@@ -115,7 +115,7 @@
 		r, err := caller.Do(context.Background(), client.Request{Workload: "scan", Method: "GET"})
 		return err == nil && r.Outcome == client.Done
 	})
-	m.SetFaults(standin.MinionFaults{Hole: true})
+	m.SetFaults(standin.BackendFaults{Hole: true})
 	go func() {
 		defer close(done)
 		_, _ = caller.Do(context.Background(), client.Request{Workload: "scan", Method: "POST", Deadline: 2 * time.Second})
--- a/internal/measure/retry.go
+++ b/internal/measure/retry.go
@@ -47,7 +47,7 @@
 	var minions []*standin.Backend
 	for i := range 4 {
 		m := standin.NewMinion(8)
-		m.SetFaults(standin.MinionFaults{Fail: 100})
+		m.SetFaults(standin.BackendFaults{Fail: 100})
 		srv := httptest.NewServer(m.Handler())
 		defer srv.Close()
 		at := netip.MustParseAddrPort(strings.TrimPrefix(srv.URL, "http://"))
--- a/internal/relay/lost_test.go
+++ b/internal/relay/lost_test.go
@@ -26,7 +26,7 @@
 	return b
 }
 
-func (b *bench) setFaults(f standin.MinionFaults) {
+func (b *bench) setFaults(f standin.BackendFaults) {
 	for _, m := range b.backends {
 		m.SetFaults(f)
 	}
@@ -49,7 +49,7 @@
 func TestRequestThatCrashesServersIsGivenUp(t *testing.T) {
 	for _, backends := range []int{2, 12} {
 		b := newBenchWithBudget(t, backends)
-		b.setFaults(standin.MinionFaults{Lose: 1000})
+		b.setFaults(standin.BackendFaults{Lose: 1000})
 		req := request()
 		reply := b.Do(t.Context(), req)
 		servers, runs := b.reached(req.ID)
@@ -63,7 +63,7 @@
 // Guards against a hedged request that crashes one backend server after another.
 func TestHedgedRequestThatCrashesServersIsGivenUp(t *testing.T) {
 	b := newBenchWithBudget(t, 12)
-	b.setFaults(standin.MinionFaults{Lose: 1000, Slow: 1500 * time.Millisecond})
+	b.setFaults(standin.BackendFaults{Lose: 1000, Slow: 1500 * time.Millisecond})
 	req := request()
 	req.Deadline = time.Now().Add(30 * time.Second)
 	reply := b.Do(t.Context(), req)
@@ -77,7 +77,7 @@
 // retried.
 func TestErrorResponsesAreRetried(t *testing.T) {
 	b := newBenchWithBudget(t, 12)
-	b.setFaults(standin.MinionFaults{Fail: 100})
+	b.setFaults(standin.BackendFaults{Fail: 100})
 	req := request()
 	reply := b.Do(t.Context(), req)
 	_, runs := b.reached(req.ID)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -95,7 +95,7 @@
 			b.servers[0].Address = netip.MustParseAddrPort("127.0.0.1:1")
 			b.SetServers(b.servers)
 		},
-		"leaves": func(b *bench) { b.backends[0].SetFaults(standin.MinionFaults{Leaving: true}) },
+		"leaves": func(b *bench) { b.backends[0].SetFaults(standin.BackendFaults{Leaving: true}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t, 2, 8)
@@ -114,7 +114,7 @@
 	for _, idempotent := range []bool{false, true} {
 		b := newBench(t, 2, 8)
 		b.row.Idempotent = idempotent
-		b.backends[0].SetFaults(standin.MinionFaults{Lose: 1})
+		b.backends[0].SetFaults(standin.BackendFaults{Lose: 1})
 		reply := b.Do(t.Context(), request())
 		require.Equal(t, map[bool]cell.Outcome{false: cell.Unknown, true: cell.Done}[idempotent], reply.Outcome)
 		require.Equal(t, map[bool]int{false: 1, true: 2}[idempotent], b.ran())
@@ -127,8 +127,8 @@
 func TestRefusedRetryDoesNotHideAnEarlierTry(t *testing.T) {
 	b := newBench(t, 2, 8)
 	b.row.Idempotent = true
-	b.backends[0].SetFaults(standin.MinionFaults{Lose: 1})
-	b.backends[1].SetFaults(standin.MinionFaults{Leaving: true})
+	b.backends[0].SetFaults(standin.BackendFaults{Lose: 1})
+	b.backends[1].SetFaults(standin.BackendFaults{Leaving: true})
 	req := request()
 	b.row.Tries = 2
 	require.Equal(t, cell.Unknown, b.Do(t.Context(), req).Outcome)
@@ -141,7 +141,7 @@
 	b := newBench(t, 3, 8)
 	b.row.Idempotent = true
 	for _, m := range b.backends {
-		m.SetFaults(standin.MinionFaults{Fail: 100})
+		m.SetFaults(standin.BackendFaults{Fail: 100})
 	}
 	const asked = 1000
 	before := 0
@@ -231,7 +231,7 @@
 		b := newBench(t, 2, 8)
 		b.row.Idempotent = idempotent
 		for _, m := range b.backends[:1] {
-			m.SetFaults(standin.MinionFaults{Hole: true})
+			m.SetFaults(standin.BackendFaults{Hole: true})
 		}
 		req := request()
 		req.Deadline = time.Now().Add(3 * time.Second)
--- a/internal/standin/minion.go
+++ b/internal/standin/minion.go
@@ -12,8 +12,8 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// MinionFaults are the faults that a backend server simulates; tests set them with PUT /faults.
-type MinionFaults struct {
+// BackendFaults are the faults that a backend server simulates; tests set them with PUT /faults.
+type BackendFaults struct {
 	// Slow is added to the service time of each request.
 	Slow time.Duration `json:"slow"`
 	// Fail is the number of requests in each hundred that are answered with status 500.
@@ -60,7 +60,7 @@
 type Backend struct {
 	slots  int
 	mu     sync.Mutex
-	faults MinionFaults
+	faults BackendFaults
 	now    int
 	seen   int
 	record MinionRecord
@@ -72,7 +72,7 @@
 }
 
 // SetFaults replaces the active faults.
-func (m *Backend) SetFaults(f MinionFaults) {
+func (m *Backend) SetFaults(f BackendFaults) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.faults = f
@@ -116,7 +116,7 @@
 	m.answer(w, r, f, body)
 }
 
-func (m *Backend) begin(r *http.Request) (MinionFaults, bool) {
+func (m *Backend) begin(r *http.Request) (BackendFaults, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f := m.faults
@@ -154,7 +154,7 @@
 	m.record.Busy += cost
 }
 
-func (m *Backend) answer(w http.ResponseWriter, r *http.Request, f MinionFaults, body []byte) {
+func (m *Backend) answer(w http.ResponseWriter, r *http.Request, f BackendFaults, body []byte) {
 	id := r.Header.Get(HeaderID)
 	switch {
 	case f.Hole, f.Silent > 0:
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -202,7 +202,7 @@
 	{
 		"minions leave",
 		func(b *bench) {
-			b.cell.Minions["minion-03"].SetFaults(standin.MinionFaults{Leaving: true})
+			b.cell.Minions["minion-03"].SetFaults(standin.BackendFaults{Leaving: true})
 			b.leave("minion-00")
 		},
 		func(b *bench) { b.stillLeft("minion-00") },
--- a/test/host_test.go
+++ b/test/host_test.go
@@ -30,7 +30,7 @@
 // not end well.
 func TestSecondSignalEndsAHostAtOnce(t *testing.T) {
 	b := newBenchOf(t, oneMinion, none)
-	b.cell.Minions["minion-00"].SetFaults(standin.MinionFaults{Hole: true})
+	b.cell.Minions["minion-00"].SetFaults(standin.BackendFaults{Hole: true})
 	n := b.nodes[0]
 	go func() {
 		_, _ = n.direct.Do(context.Background(), client.Request{Workload: b.names.Urgent, Method: http.MethodPost, Path: "/gate"})
@@ -49,7 +49,7 @@
 // requests that it carries.
 func TestFloodOfBodiesStaysWithinTheMemoryOfAHost(t *testing.T) {
 	b := newBenchOf(t, oneMinion, none)
-	b.cell.Minions["minion-00"].SetFaults(standin.MinionFaults{Hole: true})
+	b.cell.Minions["minion-00"].SetFaults(standin.BackendFaults{Hole: true})
 	n := b.nodes[0]
 	body := []byte(strings.Repeat("x", 1<<20))
 	var wg sync.WaitGroup
