--- a/internal/standin/minion.go
+++ b/internal/standin/minion.go
@@ -44,8 +44,8 @@
 	HeaderCost = "Standin-Cost"
 )
 
-// MinionRecord counts what a backend server observed.
-type MinionRecord struct {
+// BackendRecord counts what a backend server observed.
+type BackendRecord struct {
 	// Ran counts the runs by idempotency key, or by request id if the request has no key.
 	Ran map[string]int `json:"ran"`
 	// Most is the largest number of requests that ran at the same time.
@@ -63,12 +63,12 @@
 	faults BackendFaults
 	now    int
 	seen   int
-	record MinionRecord
+	record BackendRecord
 }
 
 // NewMinion returns a backend server with the given number of slots.
 func NewMinion(slots int) *Backend {
-	return &Backend{slots: slots, record: MinionRecord{Ran: map[string]int{}}}
+	return &Backend{slots: slots, record: BackendRecord{Ran: map[string]int{}}}
 }
 
 // SetFaults replaces the active faults.
@@ -79,7 +79,7 @@
 }
 
 // Record returns a copy of the record.
-func (m *Backend) Record() MinionRecord {
+func (m *Backend) Record() BackendRecord {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r := m.record
