--- a/internal/host/silent_test.go
+++ b/internal/host/silent_test.go
@@ -140,7 +140,7 @@
 // would end as unknown.
 func TestLeavingServerIsSeenByHostsThatDoNotReadTheList(t *testing.T) {
 	c := newTestHosts(t, 2)
-	m := standin.NewMinion(8)
+	m := standin.NewBackend(8)
 	addr := serveBackend(t, m)
 	list := func(leaving bool) {
 		c.platform.SetHosts([]platform.HostEntry{{Name: "m", Kind: cell.BackendHost, Domain: "nord", Slots: 8, Address: addr, Leaving: leaving}})
--- a/internal/host/stop_test.go
+++ b/internal/host/stop_test.go
@@ -19,7 +19,7 @@
 
 // addBackend adds a backend server to the failure domain.
 func (c *testHosts) addBackend(slots int) *standin.Backend {
-	m := standin.NewMinion(slots)
+	m := standin.NewBackend(slots)
 	c.platform.SetHosts([]platform.HostEntry{{
 		Name: "m", Kind: cell.BackendHost, Domain: "nord", Slots: slots, Conns: 64, Address: serveBackend(c.t, m),
 	}})
--- a/internal/measure/retry.go
+++ b/internal/measure/retry.go
@@ -46,7 +46,7 @@
 	var servers []relay.Server
 	var minions []*standin.Backend
 	for i := range 4 {
-		m := standin.NewMinion(8)
+		m := standin.NewBackend(8)
 		m.SetFaults(standin.BackendFaults{Fail: 100})
 		srv := httptest.NewServer(m.Handler())
 		defer srv.Close()
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -62,7 +62,7 @@
 		MaxPause: time.Minute, Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
 	})
 	for i := range backends {
-		m := standin.NewMinion(slots)
+		m := standin.NewBackend(slots)
 		srv := httptest.NewServer(m.Handler())
 		t.Cleanup(srv.Close)
 		b.backends = append(b.backends, m)
--- a/internal/standin/cell.go
+++ b/internal/standin/cell.go
@@ -76,7 +76,7 @@
 	any := netip.AddrPortFrom(addr.Addr(), 0)
 	for i := range c.Users.Minions {
 		name := fmt.Sprintf("minion-%02d", i)
-		m := NewMinion(c.Users.Slots)
+		m := NewBackend(c.Users.Slots)
 		c.Minions[name] = m
 		if err := c.add(any, m.Handler(), platform.HostEntry{Name: name, Kind: cell.BackendHost, Domain: c.domain(i, c.Users.Minions), Slots: c.Users.Slots}); err != nil {
 			return err
--- a/internal/standin/minion.go
+++ b/internal/standin/minion.go
@@ -66,8 +66,8 @@
 	record BackendRecord
 }
 
-// NewMinion returns a backend server with the given number of slots.
-func NewMinion(slots int) *Backend {
+// NewBackend returns a backend server with the given number of slots.
+func NewBackend(slots int) *Backend {
 	return &Backend{slots: slots, record: BackendRecord{Ran: map[string]int{}}}
 }
 
--- a/internal/standin/minion_test.go
+++ b/internal/standin/minion_test.go
@@ -16,7 +16,7 @@
 // Other tests rely on the faults and the record of this stand-in. The Silent fault must affect only
 // the request that it applies to, and the record must contain both requests.
 func TestMinionIsSilentOnOneConnection(t *testing.T) {
-	m := standin.NewMinion(8)
+	m := standin.NewBackend(8)
 	srv := httptest.NewServer(m.Handler())
 	defer srv.Close()
 	put, err := http.NewRequest(http.MethodPut, srv.URL+"/faults", strings.NewReader(`{"silent":1}`))
