--- a/internal/standin/cell.go
+++ b/internal/standin/cell.go
@@ -21,21 +21,21 @@
 	Domains []string
 	// Hosts is the number of entry hosts in each failure domain.
 	Hosts []int
-	// Minions, Workers and Racks are totals for the whole cell. Minions are backend servers.
-	Minions, Workers, Racks int
-	Slots                   int
-	Worker                  cell.Size
+	// Backends, Workers and Racks are totals for the whole cell. Backends are backend servers.
+	Backends, Workers, Racks int
+	Slots                    int
+	Worker                   cell.Size
 }
 
 // The two deployments that the project is designed for.
 var (
 	Kronach = Users{
 		Name: "kronach", Domains: []string{"halle-nord", "halle-sued", "stadthalle"}, Hosts: []int{3, 3, 2},
-		Minions: 48, Workers: 48, Racks: 6, Slots: 8, Worker: cell.Size{CPU: 64_000, Mem: 256 << 30},
+		Backends: 48, Workers: 48, Racks: 6, Slots: 8, Worker: cell.Size{CPU: 64_000, Mem: 256 << 30},
 	}
 	Inzira = Users{
 		Name: "inzira", Domains: []string{"nyarugenge", "gasabo", "kicukiro"}, Hosts: []int{3, 2, 2},
-		Minions: 48, Workers: 48, Racks: 6, Slots: 8, Worker: cell.Size{CPU: 32_000, Mem: 128 << 30},
+		Backends: 48, Workers: 48, Racks: 6, Slots: 8, Worker: cell.Size{CPU: 32_000, Mem: 128 << 30},
 	}
 )
 
@@ -74,11 +74,11 @@
 		return err
 	}
 	any := netip.AddrPortFrom(addr.Addr(), 0)
-	for i := range c.Users.Minions {
+	for i := range c.Users.Backends {
 		name := fmt.Sprintf("minion-%02d", i)
 		m := NewBackend(c.Users.Slots)
 		c.Minions[name] = m
-		if err := c.add(any, m.Handler(), platform.HostEntry{Name: name, Kind: cell.BackendHost, Domain: c.domain(i, c.Users.Minions), Slots: c.Users.Slots}); err != nil {
+		if err := c.add(any, m.Handler(), platform.HostEntry{Name: name, Kind: cell.BackendHost, Domain: c.domain(i, c.Users.Backends), Slots: c.Users.Slots}); err != nil {
 			return err
 		}
 	}
--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -35,7 +35,7 @@
 // small is a cell of three failure domains with two entry hosts each.
 var small = standin.Users{
 	Name: "kronach", Domains: []string{"halle-nord", "halle-sued", "stadthalle"}, Hosts: []int{2, 2, 2},
-	Minions: 6, Workers: 12, Racks: 6, Slots: 8, Worker: cell.Size{CPU: 64_000, Mem: 256 << 30},
+	Backends: 6, Workers: 12, Racks: 6, Slots: 8, Worker: cell.Size{CPU: 64_000, Mem: 256 << 30},
 }
 
 // node is one entry host as a process, with the proxies that lie in front
--- a/test/trace_test.go
+++ b/test/trace_test.go
@@ -71,7 +71,7 @@
 	dir := t.TempDir()
 	users := standin.Users{
 		Name: "kronach", Domains: []string{"halle-nord"}, Hosts: []int{2},
-		Minions: 1, Workers: 2, Racks: 1, Slots: 2, Worker: cell.Size{CPU: 1000, Mem: 1 << 30},
+		Backends: 1, Workers: 2, Racks: 1, Slots: 2, Worker: cell.Size{CPU: 1000, Mem: 1 << 30},
 	}
 	b := newBenchOf(t, users, func(host string) string {
 		return fmt.Sprintf("[trace]\nfile = %q\n", filepath.Join(dir, host))
