--- a/internal/host/share_test.go
+++ b/internal/host/share_test.go
@@ -136,7 +136,7 @@
 		})
 	}
 	wg.Wait()
-	for name, m := range d.cell.Minions {
+	for name, m := range d.cell.Backends {
 		require.Equal(t, 8, m.Record().Most, name)
 		require.Zero(t, m.Record().Over, name)
 	}
@@ -148,7 +148,7 @@
 	d := newDomain(t)
 	d.waitSlotsShared("all hosts share the slots", 0, 1, 2)
 	callers := d.callers()
-	d.cell.Minions["minion-00"].SetFaults(standin.BackendFaults{Leaving: true})
+	d.cell.Backends["minion-00"].SetFaults(standin.BackendFaults{Leaving: true})
 	aside := func(i int) bool {
 		var v struct {
 			Aside map[string]string `json:"aside"`
--- a/internal/standin/cell.go
+++ b/internal/standin/cell.go
@@ -44,7 +44,7 @@
 	Users    Users
 	Platform *Platform
 	Address  netip.AddrPort
-	Minions  map[string]*Backend
+	Backends map[string]*Backend
 	Workers  map[string]*Worker
 	Over     *Oversight
 	Machines []platform.HostEntry
@@ -58,7 +58,7 @@
 // operating system chooses.
 func NewCell(u Users, addr netip.AddrPort, clock func() time.Time) (*Cell, error) {
 	c := &Cell{
-		Users: u, Platform: NewPlatform(), Minions: map[string]*Backend{}, Workers: map[string]*Worker{}, Over: NewOversight(),
+		Users: u, Platform: NewPlatform(), Backends: map[string]*Backend{}, Workers: map[string]*Worker{}, Over: NewOversight(),
 	}
 	if err := c.fill(addr, clock); err != nil {
 		c.Close()
@@ -77,7 +77,7 @@
 	for i := range c.Users.Backends {
 		name := fmt.Sprintf("minion-%02d", i)
 		m := NewBackend(c.Users.Slots)
-		c.Minions[name] = m
+		c.Backends[name] = m
 		if err := c.add(any, m.Handler(), platform.HostEntry{Name: name, Kind: cell.BackendHost, Domain: c.domain(i, c.Users.Backends), Slots: c.Users.Slots}); err != nil {
 			return err
 		}
@@ -136,7 +136,7 @@
 // Report returns the current sum of all records.
 func (c *Cell) Report() Report {
 	r := Report{Doubled: c.Over.Doubled(), Ran: map[string]int{}, Tasks: map[string]int{}, Started: map[string]int{}}
-	for _, m := range c.Minions {
+	for _, m := range c.Backends {
 		rec := m.Record()
 		r.SlotsOver += rec.Over
 		for key, n := range rec.Ran {
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -108,13 +108,13 @@
 	}
 	b.cell.Platform.SetHosts(b.machines)
 	wait(context.Background(), leaveWithin)
-	b.left = len(b.cell.Minions[name].Record().Ran)
+	b.left = len(b.cell.Backends[name].Record().Ran)
 }
 
 // stillLeft tells that the minion got no request since.
 func (b *bench) stillLeft(name string) {
 	wait(context.Background(), time.Second)
-	require.Equal(b.t, b.left, len(b.cell.Minions[name].Record().Ran), "requests that it ran since")
+	require.Equal(b.t, b.left, len(b.cell.Backends[name].Record().Ran), "requests that it ran since")
 }
 
 func replaceFirst(b *bench) { b.start(b.nodes[0]) }
@@ -202,7 +202,7 @@
 	{
 		"minions leave",
 		func(b *bench) {
-			b.cell.Minions["minion-03"].SetFaults(standin.BackendFaults{Leaving: true})
+			b.cell.Backends["minion-03"].SetFaults(standin.BackendFaults{Leaving: true})
 			b.leave("minion-00")
 		},
 		func(b *bench) { b.stillLeft("minion-00") },
--- a/test/host_test.go
+++ b/test/host_test.go
@@ -30,12 +30,12 @@
 // not end well.
 func TestSecondSignalEndsAHostAtOnce(t *testing.T) {
 	b := newBenchOf(t, oneMinion, none)
-	b.cell.Minions["minion-00"].SetFaults(standin.BackendFaults{Hole: true})
+	b.cell.Backends["minion-00"].SetFaults(standin.BackendFaults{Hole: true})
 	n := b.nodes[0]
 	go func() {
 		_, _ = n.direct.Do(context.Background(), client.Request{Workload: b.names.Urgent, Method: http.MethodPost, Path: "/gate"})
 	}()
-	eventually(t, "request is sent", func() bool { return b.cell.Minions["minion-00"].Record().Most > 0 })
+	eventually(t, "request is sent", func() bool { return b.cell.Backends["minion-00"].Record().Most > 0 })
 	require.NoError(t, n.cmd.Process.Signal(syscall.SIGTERM))
 	eventually(t, "host is leaving", func() bool { return n.direct.Get(context.Background(), "/ready", nil) != nil })
 	require.NoError(t, n.cmd.Process.Signal(syscall.SIGTERM))
@@ -49,7 +49,7 @@
 // requests that it carries.
 func TestFloodOfBodiesStaysWithinTheMemoryOfAHost(t *testing.T) {
 	b := newBenchOf(t, oneMinion, none)
-	b.cell.Minions["minion-00"].SetFaults(standin.BackendFaults{Hole: true})
+	b.cell.Backends["minion-00"].SetFaults(standin.BackendFaults{Hole: true})
 	n := b.nodes[0]
 	body := []byte(strings.Repeat("x", 1<<20))
 	var wg sync.WaitGroup
