--- a/internal/audit/load.go
+++ b/internal/audit/load.go
@@ -22,7 +22,7 @@
 type RowNames struct{ Urgent, Flood, Batch, Gang, Watch string }
 
 // RowNamesOf returns the row names of one of the two deployments.
-func RowNamesOf(u standin.Users) RowNames {
+func RowNamesOf(u standin.Deployment) RowNames {
 	if u.Name == standin.Inzira.Name {
 		return RowNames{Urgent: "sheet", Flood: "plans", Batch: "termplan", Gang: "balance", Watch: "ingredients"}
 	}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -63,7 +63,7 @@
 // Run runs the demo and prints its progress and result tables to out. It returns an
 // audit.ViolationsError if any violation count of the last line is not zero.
 func Run(out io.Writer, users string) error {
-	for _, u := range []standin.Users{standin.Kronach, standin.Inzira} {
+	for _, u := range []standin.Deployment{standin.Kronach, standin.Inzira} {
 		if u.Name == users {
 			return run(out, u)
 		}
@@ -86,7 +86,7 @@
 	tally   *audit.Tally
 }
 
-func run(out io.Writer, u standin.Users) error {
+func run(out io.Writer, u standin.Deployment) error {
 	local := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), 0)
 	c, err := standin.NewCell(u, local, time.Now)
 	if err != nil {
--- a/internal/host/cluster_test.go
+++ b/internal/host/cluster_test.go
@@ -56,7 +56,7 @@
 func newCluster(t *testing.T, n int) *cluster {
 	t.Helper()
 	local := netip.MustParseAddrPort("127.0.0.1:0")
-	users := standin.Users{Name: "one", Domains: []string{"nord"}, Hosts: []int{n}, Workers: 4, Racks: 4, Worker: cell.Size{CPU: 4000, Mem: 4 << 30}}
+	users := standin.Deployment{Name: "one", Domains: []string{"nord"}, Hosts: []int{n}, Workers: 4, Racks: 4, Worker: cell.Size{CPU: 4000, Mem: 4 << 30}}
 	c, err := standin.NewCell(users, local, time.Now)
 	require.NoError(t, err)
 	t.Cleanup(c.Close)
--- a/internal/host/share_test.go
+++ b/internal/host/share_test.go
@@ -33,7 +33,7 @@
 func newDomain(t *testing.T) *domain {
 	t.Helper()
 	local := netip.MustParseAddrPort("127.0.0.1:0")
-	c, err := standin.NewCell(standin.Users{Domains: []string{"nord"}, Backends: 2, Slots: 8}, local, time.Now)
+	c, err := standin.NewCell(standin.Deployment{Domains: []string{"nord"}, Backends: 2, Slots: 8}, local, time.Now)
 	require.NoError(t, err)
 	t.Cleanup(c.Close)
 	d := &domain{t: t, cell: c}
--- a/internal/measure/control.go
+++ b/internal/measure/control.go
@@ -39,7 +39,7 @@
 // in all. Every host stands by itself but for processor and memory.
 func NewFleet(n, domains, workers int) (*Fleet, error) {
 	local := netip.MustParseAddrPort("127.0.0.1:0")
-	users := standin.Users{Name: "fleet", Workers: workers, Racks: max(1, workers/8), Slots: 8, Worker: cell.Size{CPU: 64_000, Mem: 256 << 30}}
+	users := standin.Deployment{Name: "fleet", Workers: workers, Racks: max(1, workers/8), Slots: 8, Worker: cell.Size{CPU: 64_000, Mem: 256 << 30}}
 	for d := range domains {
 		users.Domains = append(users.Domains, fmt.Sprint("domain-", d))
 	}
--- a/internal/measure/relay.go
+++ b/internal/measure/relay.go
@@ -50,7 +50,7 @@
 // NewRelayBench starts the bench; Close ends it.
 func NewRelayBench() (*RelayBench, error) {
 	local := netip.MustParseAddrPort("127.0.0.1:0")
-	users := standin.Users{Name: "one", Domains: []string{"nord"}, Hosts: []int{relayHosts}, Backends: 1, Slots: relaySlots}
+	users := standin.Deployment{Name: "one", Domains: []string{"nord"}, Hosts: []int{relayHosts}, Backends: 1, Slots: relaySlots}
 	c, err := standin.NewCell(users, local, time.Now)
 	if err != nil {
 		return nil, err
--- a/internal/standin/cell.go
+++ b/internal/standin/cell.go
@@ -15,8 +15,8 @@
 	"pollencroft/internal/platform"
 )
 
-// Users describes one deployment: its failure domains and the machines in them.
-type Users struct {
+// Deployment describes one deployment: its failure domains and the machines in them.
+type Deployment struct {
 	Name    string
 	Domains []string
 	// Hosts is the number of entry hosts in each failure domain.
@@ -29,11 +29,11 @@
 
 // The two deployments that the project is designed for.
 var (
-	Kronach = Users{
+	Kronach = Deployment{
 		Name: "kronach", Domains: []string{"halle-nord", "halle-sued", "stadthalle"}, Hosts: []int{3, 3, 2},
 		Backends: 48, Workers: 48, Racks: 6, Slots: 8, Worker: cell.Size{CPU: 64_000, Mem: 256 << 30},
 	}
-	Inzira = Users{
+	Inzira = Deployment{
 		Name: "inzira", Domains: []string{"nyarugenge", "gasabo", "kicukiro"}, Hosts: []int{3, 2, 2},
 		Backends: 48, Workers: 48, Racks: 6, Slots: 8, Worker: cell.Size{CPU: 32_000, Mem: 128 << 30},
 	}
@@ -41,7 +41,7 @@
 
 // Cell runs the stand-ins of one deployment on loopback sockets.
 type Cell struct {
-	Users    Users
+	Users    Deployment
 	Platform *Platform
 	Address  netip.AddrPort
 	Backends map[string]*Backend
@@ -56,7 +56,7 @@
 // NewCell starts the stand-ins. The platform listens on addr; if its port is zero, the operating
 // system chooses one. The other stand-ins listen on the same IP address and on ports that the
 // operating system chooses.
-func NewCell(u Users, addr netip.AddrPort, clock func() time.Time) (*Cell, error) {
+func NewCell(u Deployment, addr netip.AddrPort, clock func() time.Time) (*Cell, error) {
 	c := &Cell{
 		Users: u, Platform: NewPlatform(), Backends: map[string]*Backend{}, Workers: map[string]*Worker{}, Over: NewOversight(),
 	}
--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -33,7 +33,7 @@
 )
 
 // small is a cell of three failure domains with two entry hosts each.
-var small = standin.Users{
+var small = standin.Deployment{
 	Name: "kronach", Domains: []string{"halle-nord", "halle-sued", "stadthalle"}, Hosts: []int{2, 2, 2},
 	Backends: 6, Workers: 12, Racks: 6, Slots: 8, Worker: cell.Size{CPU: 64_000, Mem: 256 << 30},
 }
@@ -60,7 +60,7 @@
 	t        *testing.T
 	proxies  *toxiproxy.ApiServer
 	cell     *standin.Cell
-	users    standin.Users
+	users    standin.Deployment
 	more     func(host string) string
 	machines []platform.HostEntry
 	machine  map[string]*toxiproxy.Proxy
@@ -79,7 +79,7 @@
 }
 
 // newBenchOf runs other users' cell; more adds lines to a host's settings.
-func newBenchOf(t *testing.T, users standin.Users, more func(host string) string) *bench {
+func newBenchOf(t *testing.T, users standin.Deployment, more func(host string) string) *bench {
 	t.Helper()
 	c, err := standin.NewCell(users, netip.MustParseAddrPort("127.0.0.1:0"), time.Now)
 	require.NoError(t, err)
--- a/test/host_test.go
+++ b/test/host_test.go
@@ -18,7 +18,7 @@
 )
 
 // oneMinion is a failure domain with a single backend server behind two hosts.
-var oneMinion = standin.Users{
+var oneMinion = standin.Deployment{
 	Name: "kronach", Domains: []string{"halle-nord"}, Hosts: []int{2},
 	Backends: 1, Workers: 2, Racks: 1, Slots: 8, Worker: small.Worker,
 }
--- a/test/trace_test.go
+++ b/test/trace_test.go
@@ -69,7 +69,7 @@
 // may take longer than the one that waits for it.
 func TestTraceOfAScanThroughTwoHosts(t *testing.T) {
 	dir := t.TempDir()
-	users := standin.Users{
+	users := standin.Deployment{
 		Name: "kronach", Domains: []string{"halle-nord"}, Hosts: []int{2},
 		Backends: 1, Workers: 2, Racks: 1, Slots: 2, Worker: cell.Size{CPU: 1000, Mem: 1 << 30},
 	}
