--- a/internal/lead/fault_test.go
+++ b/internal/lead/fault_test.go
@@ -30,7 +30,7 @@
 	now      time.Time
 	workers  map[string]*standin.Worker
 	machines []lead.Machine
-	over     *standin.Oversight
+	over     *standin.CopyChecker
 	hosts    map[string]*lead.Leader
 	queues   map[string][]func()
 	// unreachable holds, by host, the worker that the host cannot reach.
--- a/internal/lead/place_test.go
+++ b/internal/lead/place_test.go
@@ -27,7 +27,7 @@
 type fleet struct {
 	*lead.Leader
 	t       *testing.T
-	over    *standin.Oversight
+	over    *standin.CopyChecker
 	workers []*standin.Worker
 	// addresses are the addresses of the workers, in the same order.
 	addresses []netip.AddrPort
--- a/internal/measure/takeover.go
+++ b/internal/measure/takeover.go
@@ -66,7 +66,7 @@
 	now      time.Time
 	workers  map[string]*standin.Worker
 	machines []lead.Machine
-	over     *standin.Oversight
+	over     *standin.CopyChecker
 	hosts    []*domainHost
 	live     []string
 	queue    []func()
--- a/internal/standin/cell.go
+++ b/internal/standin/cell.go
@@ -46,7 +46,7 @@
 	Address  netip.AddrPort
 	Backends map[string]*Backend
 	Workers  map[string]*Worker
-	Over     *Oversight
+	Over     *CopyChecker
 	Machines []platform.HostEntry
 
 	servers []*http.Server
--- a/internal/standin/oversight.go
+++ b/internal/standin/oversight.go
@@ -11,21 +11,21 @@
 	lease  string
 }
 
-// Oversight detects tasks of which two copies run at the same time. All workers report their tasks
+// CopyChecker detects tasks of which two copies run at the same time. All workers report their tasks
 // to it. Each copy is recorded with the latest time at which it can still run, because a worker
 // detects an expired lease only when it handles a request.
-type Oversight struct {
+type CopyChecker struct {
 	mu      sync.Mutex
 	copies  map[string]map[copyKey]time.Time
 	doubled []string
 }
 
 // NewOversight returns an oversight without any recorded copies.
-func NewOversight() *Oversight { return &Oversight{copies: map[string]map[copyKey]time.Time{}} }
+func NewOversight() *CopyChecker { return &CopyChecker{copies: map[string]map[copyKey]time.Time{}} }
 
 // runs records that a copy runs until the given time at the latest. If the copy is new and another
 // copy of the task is still running, it also records the task as doubled.
-func (o *Oversight) runs(id string, key copyKey, now, until time.Time) {
+func (o *CopyChecker) runs(id string, key copyKey, now, until time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.copies[id] == nil {
@@ -42,14 +42,14 @@
 }
 
 // ended removes a copy that no longer runs.
-func (o *Oversight) ended(id string, key copyKey) {
+func (o *CopyChecker) ended(id string, key copyKey) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.copies[id], key)
 }
 
 // Doubled lists the tasks of which two copies ran at the same time, one entry for each case.
-func (o *Oversight) Doubled() []string {
+func (o *CopyChecker) Doubled() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return append([]string(nil), o.doubled...)
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -17,7 +17,7 @@
 type Worker struct {
 	size   cell.Size
 	clock  func() time.Time
-	over   *Oversight
+	over   *CopyChecker
 	mu     sync.Mutex
 	resume chan struct{}
 	faults WorkerFaults
@@ -42,7 +42,7 @@
 }
 
 // NewWorker returns a worker of the given size without tasks. It uses the given clock.
-func NewWorker(size cell.Size, over *Oversight, clock func() time.Time) *Worker {
+func NewWorker(size cell.Size, over *CopyChecker, clock func() time.Time) *Worker {
 	return &Worker{
 		size: size, clock: clock, over: over, resume: make(chan struct{}), tasks: map[string]*Task{}, gone: map[string]int64{},
 		record: WorkerRecord{Started: map[string]int{}, Ended: map[string]string{}}, marked: clock(), history: map[string][]Step{},
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -19,7 +19,7 @@
 // bench is one worker stand-in whose clock the test sets.
 type bench struct {
 	worker *standin.Worker
-	over   *standin.Oversight
+	over   *standin.CopyChecker
 	now    time.Time
 	addr   netip.AddrPort
 }
