--- a/internal/lead/fault_test.go
+++ b/internal/lead/fault_test.go
@@ -65,7 +65,7 @@
 // the given transports.
 func newPairWithTransport(t *testing.T, workers int, logs io.Writer, through func(p *pair, name string) http.RoundTripper) *pair {
 	p := &pair{
-		T: t, now: time.Unix(1_700_000_000, 0), workers: map[string]*standin.Worker{}, over: standin.NewOversight(),
+		T: t, now: time.Unix(1_700_000_000, 0), workers: map[string]*standin.Worker{}, over: standin.NewCopyChecker(),
 		hosts: map[string]*lead.Leader{}, queues: map[string][]func(){}, unreachable: map[string]string{},
 	}
 	clock := func() time.Time { return p.now }
--- a/internal/lead/lead_test.go
+++ b/internal/lead/lead_test.go
@@ -31,7 +31,7 @@
 	size := cell.Size{CPU: 1000, Mem: 1 << 30}
 	var machines []lead.Machine
 	for _, name := range []string{"w1", "w2"} {
-		srv := httptest.NewServer(standin.NewWorker(size, standin.NewOversight(), clock).Handler())
+		srv := httptest.NewServer(standin.NewWorker(size, standin.NewCopyChecker(), clock).Handler())
 		t.Cleanup(srv.Close)
 		machines = append(machines, lead.Machine{Name: name, Rack: "r", Address: netip.MustParseAddrPort(srv.Listener.Addr().String()), Size: size})
 	}
--- a/internal/lead/place_test.go
+++ b/internal/lead/place_test.go
@@ -36,7 +36,7 @@
 var fleetWorkerSize = cell.Size{CPU: 4000, Mem: 4 << 30}
 
 func newFleet(t *testing.T, n int, rows map[string]table.Row) *fleet {
-	f := &fleet{t: t, over: standin.NewOversight()}
+	f := &fleet{t: t, over: standin.NewCopyChecker()}
 	var machines []lead.Machine
 	for i := range n {
 		w := standin.NewWorker(fleetWorkerSize, f.over, time.Now)
--- a/internal/lead/stop_test.go
+++ b/internal/lead/stop_test.go
@@ -28,7 +28,7 @@
 	size := cell.Size{CPU: 1000, Mem: 1 << 30}
 	var machines []lead.Machine
 	for _, name := range []string{"w1", "w2"} {
-		srv := httptest.NewServer(standin.NewWorker(size, standin.NewOversight(), time.Now).Handler())
+		srv := httptest.NewServer(standin.NewWorker(size, standin.NewCopyChecker(), time.Now).Handler())
 		t.Cleanup(srv.Close)
 		machines = append(machines, lead.Machine{Name: name, Rack: name, Address: netip.MustParseAddrPort(srv.Listener.Addr().String()), Size: size})
 	}
--- a/internal/measure/renew.go
+++ b/internal/measure/renew.go
@@ -47,7 +47,7 @@
 
 // CountRenewal runs exchanges with a worker of so many tasks on loopback.
 func CountRenewal(ctx context.Context, tasks int) (RenewBytes, error) {
-	w := standin.NewWorker(cell.Size{CPU: 64_000, Mem: 256 << 30}, standin.NewOversight(), time.Now)
+	w := standin.NewWorker(cell.Size{CPU: 64_000, Mem: 256 << 30}, standin.NewCopyChecker(), time.Now)
 	srv := httptest.NewServer(w.Handler())
 	defer srv.Close()
 	addr := netip.MustParseAddrPort(strings.TrimPrefix(srv.URL, "http://"))
--- a/internal/measure/takeover.go
+++ b/internal/measure/takeover.go
@@ -84,7 +84,7 @@
 func (t Takeover) Run() TookOver {
 	r := &takeoverRun{
 		Takeover: t, now: time.Unix(1_700_000_000, 0), workers: map[string]*standin.Worker{},
-		over: standin.NewOversight(), open: map[string]job.Spec{},
+		over: standin.NewCopyChecker(), open: map[string]job.Spec{},
 	}
 	clock := func() time.Time { return r.now }
 	for i := range t.Workers {
--- a/internal/standin/cell.go
+++ b/internal/standin/cell.go
@@ -58,7 +58,7 @@
 // operating system chooses.
 func NewCell(u Deployment, addr netip.AddrPort, clock func() time.Time) (*Cell, error) {
 	c := &Cell{
-		Users: u, Platform: NewPlatform(), Backends: map[string]*Backend{}, Workers: map[string]*Worker{}, Over: NewOversight(),
+		Users: u, Platform: NewPlatform(), Backends: map[string]*Backend{}, Workers: map[string]*Worker{}, Over: NewCopyChecker(),
 	}
 	if err := c.fill(addr, clock); err != nil {
 		c.Close()
--- a/internal/standin/oversight.go
+++ b/internal/standin/oversight.go
@@ -20,8 +20,8 @@
 	doubled []string
 }
 
-// NewOversight returns an oversight without any recorded copies.
-func NewOversight() *CopyChecker { return &CopyChecker{copies: map[string]map[copyKey]time.Time{}} }
+// NewCopyChecker returns an oversight without any recorded copies.
+func NewCopyChecker() *CopyChecker { return &CopyChecker{copies: map[string]map[copyKey]time.Time{}} }
 
 // runs records that a copy runs until the given time at the latest. If the copy is new and another
 // copy of the task is still running, it also records the task as doubled.
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -25,7 +25,7 @@
 }
 
 func newBench(t *testing.T) *bench {
-	b := &bench{now: time.Unix(1_700_000_000, 0), over: standin.NewOversight()}
+	b := &bench{now: time.Unix(1_700_000_000, 0), over: standin.NewCopyChecker()}
 	b.worker = standin.NewWorker(cell.Size{CPU: 1000, Mem: 1000}, b.over, func() time.Time { return b.now })
 	srv := httptest.NewServer(b.worker.Handler())
 	t.Cleanup(srv.Close)
