--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -168,9 +168,9 @@
 	return r
 }
 
-func handleWorker(k *Worker, do func(WorkerAsk) (int, WorkerSays)) http.HandlerFunc {
+func handleWorker(k *Worker, do func(WorkerRequest) (int, WorkerSays)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		var ask WorkerAsk
+		var ask WorkerRequest
 		if r.Method != http.MethodGet && r.ContentLength != 0 {
 			if err := json.NewDecoder(r.Body).Decode(&ask); err != nil {
 				http.Error(w, err.Error(), http.StatusBadRequest)
@@ -230,7 +230,7 @@
 	return WorkerSays{Holder: k.anchor.holder, Lease: k.anchor.lease, Left: k.anchor.until.Sub(k.clock()).Milliseconds()}
 }
 
-func (k *Worker) takeAnchor(ask WorkerAsk) (int, WorkerSays) {
+func (k *Worker) takeAnchor(ask WorkerRequest) (int, WorkerSays) {
 	if k.heldByOther(ask.Holder, ask.Term) {
 		return http.StatusConflict, k.anchorSays()
 	}
@@ -243,7 +243,7 @@
 	return http.StatusOK, says
 }
 
-func (k *Worker) giveAnchor(ask WorkerAsk) (int, WorkerSays) {
+func (k *Worker) giveAnchor(ask WorkerRequest) (int, WorkerSays) {
 	if k.anchor.holder == ask.Holder && k.anchor.lease == ask.Lease {
 		k.anchor = anchor{}
 	}
@@ -260,7 +260,7 @@
 	return sum
 }
 
-func (k *Worker) start(ask WorkerAsk) (int, WorkerSays) {
+func (k *Worker) start(ask WorkerRequest) (int, WorkerSays) {
 	if ask.Deadline > 0 && k.now().UnixMilli() > ask.Deadline {
 		k.record.Late++
 		k.tell(ask.ID, Step{At: k.clock(), What: "late", Holder: ask.Holder})
@@ -336,7 +336,7 @@
 	return all
 }
 
-func (k *Worker) list(WorkerAsk) (int, WorkerSays) {
+func (k *Worker) list(WorkerRequest) (int, WorkerSays) {
 	says := k.anchorSays()
 	says.Tasks, says.Mark, says.Whole = k.live(0), k.mark, true
 	return http.StatusOK, says
@@ -344,7 +344,7 @@
 
 // renew extends the lease on the anchor and the leases of all running tasks in one request, and
 // deletes the ended tasks that the holder has acknowledged.
-func (k *Worker) renew(ask WorkerAsk) (int, WorkerSays) {
+func (k *Worker) renew(ask WorkerRequest) (int, WorkerSays) {
 	if k.anchor.holder != ask.Holder || !k.anchor.until.After(k.clock()) {
 		return http.StatusConflict, k.anchorSays()
 	}
@@ -379,7 +379,7 @@
 	}
 }
 
-func (k *Worker) stop(ask WorkerAsk) (int, WorkerSays) {
+func (k *Worker) stop(ask WorkerRequest) (int, WorkerSays) {
 	t := k.tasks[ask.ID]
 	if t == nil {
 		return http.StatusNotFound, WorkerSays{}
@@ -390,7 +390,7 @@
 	return http.StatusOK, WorkerSays{Tasks: []Task{*t}}
 }
 
-func (k *Worker) checkpoint(ask WorkerAsk) (int, WorkerSays) {
+func (k *Worker) checkpoint(ask WorkerRequest) (int, WorkerSays) {
 	t := k.tasks[ask.ID]
 	if t == nil || t.State != TaskRunning {
 		return http.StatusNotFound, WorkerSays{}
@@ -398,7 +398,7 @@
 	return http.StatusOK, WorkerSays{Tasks: []Task{*t}}
 }
 
-func (k *Worker) throttle(ask WorkerAsk) (int, WorkerSays) {
+func (k *Worker) throttle(ask WorkerRequest) (int, WorkerSays) {
 	t := k.tasks[ask.ID]
 	if t == nil || t.State != TaskRunning {
 		return http.StatusNotFound, WorkerSays{}
--- a/internal/standin/workerwire.go
+++ b/internal/standin/workerwire.go
@@ -93,9 +93,9 @@
 	Bytes int64 `json:"bytes"`
 }
 
-// WorkerAsk is the body of every request to a worker. Each route reads only its own fields. Times
+// WorkerRequest is the body of every request to a worker. Each route reads only its own fields. Times
 // are in milliseconds.
-type WorkerAsk struct {
+type WorkerRequest struct {
 	Holder string    `json:"holder,omitempty"`
 	Term   int64     `json:"term,omitempty"`
 	TTL    int64     `json:"ttl,omitempty"`
