--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -168,7 +168,7 @@
 	return r
 }
 
-func handleWorker(k *Worker, do func(WorkerRequest) (int, WorkerSays)) http.HandlerFunc {
+func handleWorker(k *Worker, do func(WorkerRequest) (int, WorkerReply)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var ask WorkerRequest
 		if r.Method != http.MethodGet && r.ContentLength != 0 {
@@ -226,11 +226,11 @@
 	return a.holder != "" && a.until.After(k.clock()) && (a.holder != holder || a.term > term)
 }
 
-func (k *Worker) anchorSays() WorkerSays {
-	return WorkerSays{Holder: k.anchor.holder, Lease: k.anchor.lease, Left: k.anchor.until.Sub(k.clock()).Milliseconds()}
+func (k *Worker) anchorSays() WorkerReply {
+	return WorkerReply{Holder: k.anchor.holder, Lease: k.anchor.lease, Left: k.anchor.until.Sub(k.clock()).Milliseconds()}
 }
 
-func (k *Worker) takeAnchor(ask WorkerRequest) (int, WorkerSays) {
+func (k *Worker) takeAnchor(ask WorkerRequest) (int, WorkerReply) {
 	if k.heldByOther(ask.Holder, ask.Term) {
 		return http.StatusConflict, k.anchorSays()
 	}
@@ -243,11 +243,11 @@
 	return http.StatusOK, says
 }
 
-func (k *Worker) giveAnchor(ask WorkerRequest) (int, WorkerSays) {
+func (k *Worker) giveAnchor(ask WorkerRequest) (int, WorkerReply) {
 	if k.anchor.holder == ask.Holder && k.anchor.lease == ask.Lease {
 		k.anchor = anchor{}
 	}
-	return http.StatusOK, WorkerSays{}
+	return http.StatusOK, WorkerReply{}
 }
 
 func (k *Worker) used() cell.Size {
@@ -260,11 +260,11 @@
 	return sum
 }
 
-func (k *Worker) start(ask WorkerRequest) (int, WorkerSays) {
+func (k *Worker) start(ask WorkerRequest) (int, WorkerReply) {
 	if ask.Deadline > 0 && k.now().UnixMilli() > ask.Deadline {
 		k.record.Late++
 		k.tell(ask.ID, Step{At: k.clock(), What: "late", Holder: ask.Holder})
-		return http.StatusGone, WorkerSays{}
+		return http.StatusGone, WorkerReply{}
 	}
 	now := k.clock()
 	asked := ask.Asked
@@ -292,7 +292,7 @@
 	if k.faults.FailAll {
 		k.finish(t, TaskFailed, now)
 	}
-	return http.StatusOK, WorkerSays{}
+	return http.StatusOK, WorkerReply{}
 }
 
 func (k *Worker) tell(id string, s Step) { k.history[id] = append(k.history[id], s) }
@@ -336,7 +336,7 @@
 	return all
 }
 
-func (k *Worker) list(WorkerRequest) (int, WorkerSays) {
+func (k *Worker) list(WorkerRequest) (int, WorkerReply) {
 	says := k.anchorSays()
 	says.Tasks, says.Mark, says.Whole = k.live(0), k.mark, true
 	return http.StatusOK, says
@@ -344,7 +344,7 @@
 
 // renew extends the lease on the anchor and the leases of all running tasks in one request, and
 // deletes the ended tasks that the holder has acknowledged.
-func (k *Worker) renew(ask WorkerRequest) (int, WorkerSays) {
+func (k *Worker) renew(ask WorkerRequest) (int, WorkerReply) {
 	if k.anchor.holder != ask.Holder || !k.anchor.until.After(k.clock()) {
 		return http.StatusConflict, k.anchorSays()
 	}
@@ -359,7 +359,7 @@
 			k.watch(t)
 		}
 	}
-	says := WorkerSays{Left: k.anchor.until.Sub(k.clock()).Milliseconds(), Lease: k.anchor.lease, Mark: k.mark, Tasks: k.live(ask.Since)}
+	says := WorkerReply{Left: k.anchor.until.Sub(k.clock()).Milliseconds(), Lease: k.anchor.lease, Mark: k.mark, Tasks: k.live(ask.Since)}
 	for id, mark := range k.gone {
 		if mark > ask.Since {
 			says.Gone = append(says.Gone, id)
@@ -379,31 +379,31 @@
 	}
 }
 
-func (k *Worker) stop(ask WorkerRequest) (int, WorkerSays) {
+func (k *Worker) stop(ask WorkerRequest) (int, WorkerReply) {
 	t := k.tasks[ask.ID]
 	if t == nil {
-		return http.StatusNotFound, WorkerSays{}
+		return http.StatusNotFound, WorkerReply{}
 	}
 	if t.State == TaskRunning {
 		k.finish(t, TaskStopped, k.clock())
 	}
-	return http.StatusOK, WorkerSays{Tasks: []Task{*t}}
+	return http.StatusOK, WorkerReply{Tasks: []Task{*t}}
 }
 
-func (k *Worker) checkpoint(ask WorkerRequest) (int, WorkerSays) {
+func (k *Worker) checkpoint(ask WorkerRequest) (int, WorkerReply) {
 	t := k.tasks[ask.ID]
 	if t == nil || t.State != TaskRunning {
-		return http.StatusNotFound, WorkerSays{}
+		return http.StatusNotFound, WorkerReply{}
 	}
-	return http.StatusOK, WorkerSays{Tasks: []Task{*t}}
+	return http.StatusOK, WorkerReply{Tasks: []Task{*t}}
 }
 
-func (k *Worker) throttle(ask WorkerRequest) (int, WorkerSays) {
+func (k *Worker) throttle(ask WorkerRequest) (int, WorkerReply) {
 	t := k.tasks[ask.ID]
 	if t == nil || t.State != TaskRunning {
-		return http.StatusNotFound, WorkerSays{}
+		return http.StatusNotFound, WorkerReply{}
 	}
 	t.Use = grown(t.Size, ask.Share)
 	k.change(t)
-	return http.StatusOK, WorkerSays{Tasks: []Task{*t}}
+	return http.StatusOK, WorkerReply{Tasks: []Task{*t}}
 }
--- a/internal/standin/workerwire.go
+++ b/internal/standin/workerwire.go
@@ -115,8 +115,8 @@
 	Share    float64   `json:"share,omitempty"`
 }
 
-// WorkerSays is the body of every answer. Clock is the worker's own clock in milliseconds.
-type WorkerSays struct {
+// WorkerReply is the body of every answer. Clock is the worker's own clock in milliseconds.
+type WorkerReply struct {
 	Clock  int64  `json:"clock"`
 	Holder string `json:"holder,omitempty"`
 	Lease  string `json:"lease,omitempty"`
