--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -315,7 +315,7 @@
 func (s *show) packed() float64 {
 	sum := 0.0
 	for _, w := range s.cell.Workers {
-		sum += w.Packed(s.began)
+		sum += w.Utilization(s.began)
 	}
 	return sum / float64(len(s.cell.Workers))
 }
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -86,9 +86,9 @@
 	return out
 }
 
-// Packed returns the share of the worker's CPU time that was allocated to tasks that have ended.
+// Utilization returns the share of the worker's CPU time that was allocated to tasks that have ended.
 // The argument since is the time at which the worker was created.
-func (k *Worker) Packed(since time.Time) float64 {
+func (k *Worker) Utilization(since time.Time) float64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.settle()
