--- a/internal/entry/cluster_test.go
+++ b/internal/entry/cluster_test.go
@@ -37,7 +37,7 @@
 type cluster struct {
 	t       *testing.T
 	log     *users.Log
-	checker *users.Oracle
+	checker *users.InvariantChecker
 	workers []*users.Worker
 	hosts   map[string]*testHost
 	logs    *logBuffer
--- a/internal/standin/users/worker.go
+++ b/internal/standin/users/worker.go
@@ -14,9 +14,9 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// Oracle checks the invariants of task execution on all workers and records violations: a task
+// InvariantChecker checks the invariants of task execution on all workers and records violations: a task
 // never runs twice at the same time, and does not start again after its end was acknowledged.
-type Oracle struct {
+type InvariantChecker struct {
 	mu     sync.Mutex
 	wrongs []string
 	// at holds the worker on which each task runs, done the tasks whose successful end the host
@@ -29,38 +29,38 @@
 }
 
 // NewOracle returns an oracle that has recorded nothing yet.
-func NewOracle() *Oracle {
-	return &Oracle{at: map[string]string{}, done: map[string]bool{}, runs: map[string]int{}, finished: map[string]bool{}}
+func NewOracle() *InvariantChecker {
+	return &InvariantChecker{at: map[string]string{}, done: map[string]bool{}, runs: map[string]int{}, finished: map[string]bool{}}
 }
 
 // Wrongs lists the violations.
-func (o *Oracle) Wrongs() []string {
+func (o *InvariantChecker) Wrongs() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return slices.Clone(o.wrongs)
 }
 
 // Runs returns the number of starts of each task.
-func (o *Oracle) Runs() map[string]int {
+func (o *InvariantChecker) Runs() map[string]int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return maps.Clone(o.runs)
 }
 
 // Finished reports whether a run of the task ended as done.
-func (o *Oracle) Finished(task string) bool {
+func (o *InvariantChecker) Finished(task string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.finished[task]
 }
 
-func (o *Oracle) wrong(format string, args ...any) {
+func (o *InvariantChecker) wrong(format string, args ...any) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.wrongs = append(o.wrongs, fmt.Sprintf(format, args...))
 }
 
-func (o *Oracle) begin(task, worker string) {
+func (o *InvariantChecker) begin(task, worker string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if at, ok := o.at[task]; ok {
@@ -73,7 +73,7 @@
 	o.runs[task]++
 }
 
-func (o *Oracle) end(task string, done bool) {
+func (o *InvariantChecker) end(task string, done bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.at, task)
@@ -82,7 +82,7 @@
 	}
 }
 
-func (o *Oracle) noted(task string) {
+func (o *InvariantChecker) noted(task string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.done[task] = true
@@ -103,7 +103,7 @@
 // Worker simulates one worker on the loopback interface. Every task runs for the duration work.
 type Worker struct {
 	ID     string
-	oracle *Oracle
+	oracle *InvariantChecker
 	server *httptest.Server
 	work   time.Duration
 	began  time.Time
@@ -135,7 +135,7 @@
 )
 
 // NewWorker starts a worker whose tasks each run for the duration work.
-func NewWorker(id string, work time.Duration, o *Oracle) *Worker {
+func NewWorker(id string, work time.Duration, o *InvariantChecker) *Worker {
 	w := &Worker{ID: id, oracle: o, work: work, began: time.Now(), runs: map[string]*run{}, tombs: map[string]int{}, changed: make(chan struct{}), cpu: wholeCPU}
 	r := chi.NewRouter()
 	r.Post("/pollencroft/run-start", w.order(w.start))
--- a/soak/cell_test.go
+++ b/soak/cell_test.go
@@ -55,7 +55,7 @@
 	dir     string
 	proxies *toxiproxy.ApiServer
 	log     *users.Log
-	oracle  *users.Oracle
+	oracle  *users.InvariantChecker
 	hosts   []*host
 	mu      sync.Mutex
 	workers []*worker
