--- a/internal/entry/cluster_test.go
+++ b/internal/entry/cluster_test.go
@@ -70,7 +70,7 @@
 }
 
 func newCluster(t *testing.T, hosts, workers int, work time.Duration) *cluster {
-	c := &cluster{t: t, log: users.NewLog(16, time.Now), checker: users.NewOracle(), hosts: map[string]*testHost{}, logs: &logBuffer{}}
+	c := &cluster{t: t, log: users.NewLog(16, time.Now), checker: users.NewInvariantChecker(), hosts: map[string]*testHost{}, logs: &logBuffer{}}
 	for i := range workers {
 		w := users.NewWorker(fmt.Sprintf("w%d", i), work, c.checker)
 		t.Cleanup(w.Close)
--- a/internal/standin/users/worker.go
+++ b/internal/standin/users/worker.go
@@ -28,8 +28,8 @@
 	finished map[string]bool
 }
 
-// NewOracle returns an oracle that has recorded nothing yet.
-func NewOracle() *InvariantChecker {
+// NewInvariantChecker returns an oracle that has recorded nothing yet.
+func NewInvariantChecker() *InvariantChecker {
 	return &InvariantChecker{at: map[string]string{}, done: map[string]bool{}, runs: map[string]int{}, finished: map[string]bool{}}
 }
 
--- a/soak/cell_test.go
+++ b/soak/cell_test.go
@@ -88,7 +88,7 @@
 	dir, err := os.MkdirTemp("", "pollencroft-soak-logs")
 	require.NoError(t, err)
 	c := &cell{
-		t: t, dir: dir, log: users.NewLog(parts, time.Now), oracle: users.NewOracle(),
+		t: t, dir: dir, log: users.NewLog(parts, time.Now), oracle: users.NewInvariantChecker(),
 		proxies: toxiproxy.NewServer(toxiproxy.NewMetricsContainer(prometheus.NewRegistry()), zerolog.Nop()),
 	}
 	c.log.Put("op", "config", []byte(table))
