--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -23,7 +23,7 @@
 	require.Equal(t, http.StatusOK, c.submit(f, 0).code)
 	c.waitCompleted(c.leader(), 1)
 	require.Len(t, c.checker.Runs(), 7)
-	require.Empty(t, c.checker.Wrongs())
+	require.Empty(t, c.checker.Violations())
 	code, body := c.get(f.cfg.Listen.Caller, prefix)
 	require.Equal(t, http.StatusOK, code)
 	require.Equal(t, `{"pending":0}`, body)
@@ -92,7 +92,7 @@
 	dead.Kill()
 	delete(c.hosts, dead.cfg.Name)
 	c.waitCompleted(f, 6)
-	require.Empty(t, c.checker.Wrongs())
+	require.Empty(t, c.checker.Violations())
 }
 
 // All hosts die at once, right after jobs were acknowledged, so that only the records in the
@@ -110,7 +110,7 @@
 	}
 	c.waitReady()
 	c.waitCompleted(c.follower(), 6)
-	require.Empty(t, c.checker.Wrongs())
+	require.Empty(t, c.checker.Violations())
 	for task, n := range c.checker.Runs() {
 		require.Equal(t, 1, n, task)
 	}
@@ -139,7 +139,7 @@
 	delete(c.hosts, old.cfg.Name)
 	old.Kill()
 	c.waitCompleted(f, jobs)
-	require.Empty(t, c.checker.Wrongs())
+	require.Empty(t, c.checker.Violations())
 }
 
 // The store refuses one host and serves the others. Callers of that host are still served,
@@ -153,7 +153,7 @@
 		c.log.Break(f.cfg.Name, users.None)
 	}
 	c.waitCompleted(f, 3)
-	require.Empty(t, c.checker.Wrongs())
+	require.Empty(t, c.checker.Violations())
 }
 
 // The store refuses all hosts. Callers are told so at once and not at their deadline, with a time
@@ -200,7 +200,7 @@
 		}
 		require.Equal(t, http.StatusOK, c.submit(c.leader(), 0).code)
 		c.waitCompleted(c.leader(), 1)
-		require.Empty(t, c.checker.Wrongs())
+		require.Empty(t, c.checker.Violations())
 	}
 }
 
@@ -239,7 +239,7 @@
 	for task, n := range c.checker.Runs() {
 		require.Equal(t, 1, n, task)
 	}
-	require.Empty(t, c.checker.Wrongs())
+	require.Empty(t, c.checker.Violations())
 }
 
 // Guards against new starts, and lost runs, on a worker whose entry can no longer be decoded.
@@ -265,7 +265,7 @@
 			for task, n := range c.checker.Runs() {
 				require.Equal(t, 1, n, task)
 			}
-			require.Empty(t, c.checker.Wrongs())
+			require.Empty(t, c.checker.Violations())
 		})
 	}
 }
@@ -319,7 +319,7 @@
 	c.waitReady()
 	require.Equal(t, http.StatusOK, c.submit(c.follower(), 0).code)
 	c.waitCompleted(c.follower(), 1)
-	require.Empty(t, c.checker.Wrongs())
+	require.Empty(t, c.checker.Violations())
 }
 
 // A host claims leadership and takes seconds to read the state that it takes over, and the
--- a/internal/entry/journal_test.go
+++ b/internal/entry/journal_test.go
@@ -167,7 +167,7 @@
 	}
 	c.waitReady()
 	c.waitCompleted(c.follower(), jobs)
-	require.Empty(t, c.checker.Wrongs())
+	require.Empty(t, c.checker.Violations())
 	for task, n := range c.checker.Runs() {
 		require.Equal(t, 1, n, task)
 	}
@@ -192,7 +192,7 @@
 			return body == `{"state":"completed"}`
 		}, waitTimeout, 20*time.Millisecond)
 	}
-	require.Empty(t, c.checker.Wrongs())
+	require.Empty(t, c.checker.Violations())
 }
 
 // An ended job is deleted while the store does not accept the deletion of its spec. If its
--- a/internal/entry/succession_test.go
+++ b/internal/entry/succession_test.go
@@ -101,7 +101,7 @@
 	require.Eventually(t, weak.Leading, waitTimeout, 20*time.Millisecond)
 	require.Equal(t, http.StatusOK, c.submit(weak, 0).code)
 	c.waitCompleted(weak, 1)
-	require.Empty(t, c.checker.Wrongs())
+	require.Empty(t, c.checker.Violations())
 }
 
 // A new leader reads for seconds from a slow store, and in the meantime a job is accepted in a
@@ -237,7 +237,7 @@
 	require.Contains(t, c.logs.String(), `why="the lead's process is gone"`)
 	require.Equal(t, http.StatusOK, c.submit(c.leader(), 0).code)
 	c.waitCompleted(c.leader(), 1)
-	require.Empty(t, c.checker.Wrongs())
+	require.Empty(t, c.checker.Violations())
 }
 
 // The leader's process dies. Its connections are closed before its listener is, and the standby
--- a/internal/standin/users/worker.go
+++ b/internal/standin/users/worker.go
@@ -33,8 +33,8 @@
 	return &InvariantChecker{at: map[string]string{}, done: map[string]bool{}, runs: map[string]int{}, finished: map[string]bool{}}
 }
 
-// Wrongs lists the violations.
-func (o *InvariantChecker) Wrongs() []string {
+// Violations lists the violations.
+func (o *InvariantChecker) Violations() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return slices.Clone(o.wrongs)
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -101,6 +101,6 @@
 		}
 	}
 	t.Logf("%d jobs, %d accepted, %d faults", len(a.list()), accepted, len(said))
-	require.Empty(t, append(a.wrongs, a.c.oracle.Wrongs()...), strings.Join(said, "\n"))
+	require.Empty(t, append(a.wrongs, a.c.oracle.Violations()...), strings.Join(said, "\n"))
 	require.Greater(t, accepted, 5, "callers were served at all\n%s", strings.Join(said, "\n"))
 }
