--- a/internal/entry/overload_test.go
+++ b/internal/entry/overload_test.go
@@ -153,7 +153,7 @@
 			time.Sleep(50 * time.Millisecond)
 			if time.Since(dealt) > time.Second {
 				dealt = time.Now()
-				c.log.Deal("hosts", func(m []string) string { return m[rng.IntN(len(m))] })
+				c.log.Reassign("hosts", func(m []string) string { return m[rng.IntN(len(m))] })
 			}
 			for at, f := range then {
 				if time.Since(began) >= at {
--- a/internal/standin/users/log.go
+++ b/internal/standin/users/log.go
@@ -402,9 +402,9 @@
 	return a
 }
 
-// Deal reassigns all partitions of a group at once, as the platform sometimes does on its own. The
+// Reassign reassigns all partitions of a group at once, as the platform sometimes does on its own. The
 // first partition of each topic goes to the member that pick returns.
-func (l *Log) Deal(name string, pick func(members []string) string) {
+func (l *Log) Reassign(name string, pick func(members []string) string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	g := l.groupOf(name)
