--- a/internal/minion/minion.go
+++ b/internal/backend/client.go
@@ -1,6 +1,6 @@
-// Package minion is the HTTP client for backend servers. It returns an answer
+// Package backend is the HTTP client for backend servers. It returns an answer
 // only if the answer is complete and carries the id of the request.
-package minion
+package backend
 
 import (
 	"bytes"
--- a/internal/minion/minion_test.go
+++ b/internal/backend/client_test.go
@@ -1,4 +1,4 @@
-package minion_test
+package backend_test
 
 import (
 	"bufio"
@@ -17,8 +17,8 @@
 
 	"github.com/stretchr/testify/require"
 
+	"pollencroft/internal/backend"
 	"pollencroft/internal/call"
-	"pollencroft/internal/minion"
 )
 
 // server is a backend server that answers as its script says, over pipes in a
@@ -72,13 +72,13 @@
 
 const most = 64
 
-func (s *server) client(t *testing.T) *minion.Client {
-	tr := minion.NewTransport(s.dial)
+func (s *server) client(t *testing.T) *backend.Client {
+	tr := backend.NewTransport(s.dial)
 	t.Cleanup(tr.CloseIdleConnections)
-	return minion.New(tr, most)
+	return backend.New(tr, most)
 }
 
-func do(c *minion.Client, id string, change ...func(r *call.Request)) (minion.Answer, error) {
+func do(c *backend.Client, id string, change ...func(r *call.Request)) (backend.Answer, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	r := call.Request{ID: id, Method: http.MethodPost, Path: "/gate", Body: []byte("pass"), Key: "k"}
@@ -90,7 +90,7 @@
 
 // whole writes the complete and correct answer to a request.
 func whole(w io.Writer, r *http.Request) bool {
-	id := r.Header.Get(minion.HeaderID)
+	id := r.Header.Get(backend.HeaderID)
 	_, err := fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nPollencroft-Request: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(id), id)
 	return err == nil
 }
@@ -101,12 +101,12 @@
 // the connection and does not reuse it.
 func TestBadAnswerIsDroppedWithItsConnection(t *testing.T) {
 	const id = "Pollencroft-Request: a\r\n"
-	var crossed *minion.CrossedError
-	var none *minion.NoAnswerError
-	var unlabelled *minion.UnlabelledError
-	var unbounded *minion.UnboundedError
-	var large *minion.LargeError
-	var leaving *minion.LeavingError
+	var crossed *backend.CrossedError
+	var none *backend.NoAnswerError
+	var unlabelled *backend.UnlabelledError
+	var unbounded *backend.UnboundedError
+	var large *backend.LargeError
+	var leaving *backend.LeavingError
 	for name, c := range map[string]struct {
 		answer string
 		hangUp bool
@@ -200,7 +200,7 @@
 					_, err := do(client, "a")
 					require.NoError(t, err)
 					_, err = do(client, "b", func(r *call.Request) { r.Method, r.Body, r.Key = method, []byte(body), key })
-					var none *minion.NoAnswerError
+					var none *backend.NoAnswerError
 					require.ErrorAs(t, err, &none, "%s %q %q", method, body, key)
 					require.Len(t, s.seen, 2, "%s %q %q", method, body, key)
 				})
@@ -239,7 +239,7 @@
 		began := time.Now()
 		_, err = do(client, "b")
 		require.Equal(t, 2*time.Second, time.Since(began))
-		var none *minion.NoAnswerError
+		var none *backend.NoAnswerError
 		require.ErrorAs(t, err, &none)
 		answer, err := do(client, "c")
 		require.NoError(t, err)
@@ -260,7 +260,7 @@
 			if r.Method == http.MethodHead {
 				length = "\r\n"
 			}
-			_, err := fmt.Fprintf(w, "HTTP/1.1 201 OK\r\nPollencroft-Request: %s\r\n%s", r.Header.Get(minion.HeaderID), length)
+			_, err := fmt.Fprintf(w, "HTTP/1.1 201 OK\r\nPollencroft-Request: %s\r\n%s", r.Header.Get(backend.HeaderID), length)
 			return err == nil
 		}}
 		client := s.client(t)
@@ -272,7 +272,7 @@
 		}
 		_, err := do(client, "a", func(r *call.Request) { r.Method, r.Body = http.MethodHead, nil })
 		require.NoError(t, err)
-		require.Equal(t, "2s", s.seen[0].Header.Get(minion.HeaderDeadline))
+		require.Equal(t, "2s", s.seen[0].Header.Get(backend.HeaderDeadline))
 		require.Len(t, s.conns, 1)
 	})
 }
--- a/internal/minion/transport.go
+++ b/internal/backend/transport.go
@@ -1,4 +1,4 @@
-package minion
+package backend
 
 import (
 	"context"
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -14,6 +14,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/rcrowley/go-metrics"
 
+	"pollencroft/internal/backend"
 	"pollencroft/internal/chart"
 	"pollencroft/internal/dial"
 	"pollencroft/internal/job"
@@ -22,7 +23,6 @@
 	"pollencroft/internal/lease"
 	"pollencroft/internal/ledger"
 	"pollencroft/internal/member"
-	"pollencroft/internal/minion"
 	"pollencroft/internal/outlier"
 	"pollencroft/internal/peer"
 	"pollencroft/internal/place"
@@ -120,7 +120,7 @@
 	h.peers.SetIdleTime(h.linkIdleTimeout)
 	h.relay = relay.New(relay.Deps{
 		Name: cfg.Name, Domain: cfg.Domain, Queue: queue.New(queue.Limits{Length: int(cfg.Limits.Queue), Reserve: queue.DefaultLimits.Reserve}),
-		Ledger: ledger.New(ledger.DefaultLimits, now), Backends: minion.New(minion.NewTransport(dial.New().DialContext), cfg.Limits.Body),
+		Ledger: ledger.New(ledger.DefaultLimits, now), Backends: backend.New(backend.NewTransport(dial.New().DialContext), cfg.Limits.Body),
 		Outliers: outlier.New(outlier.DefaultLimits), Retries: retry.New(retry.DefaultLimits), LimitShare: h.rowLimitPart, MaxPause: cfg.Limits.Deadline / 2, Metrics: h.metrics,
 		Plan: keyPlan(cfg), Incarnation: now.UnixMilli(), Peers: h.peers, Row: h.Row, Members: h.domainMembers, Clock: clock, Log: log,
 	})
--- a/internal/measure/retry.go
+++ b/internal/measure/retry.go
@@ -12,11 +12,11 @@
 
 	"github.com/rcrowley/go-metrics"
 
+	"pollencroft/internal/backend"
 	"pollencroft/internal/call"
 	"pollencroft/internal/cell"
 	"pollencroft/internal/ledger"
 	"pollencroft/internal/member"
-	"pollencroft/internal/minion"
 	"pollencroft/internal/outlier"
 	"pollencroft/internal/peer"
 	"pollencroft/internal/queue"
@@ -37,7 +37,7 @@
 	x := relay.New(relay.Deps{
 		Name: "h1", Domain: "nord", Queue: queue.New(queue.DefaultLimits), Outliers: outlier.New(outlier.DefaultLimits),
 		Retries: retry.New(limits), Ledger: ledger.New(ledger.DefaultLimits, time.Now()),
-		Backends: minion.New(&http.Transport{}, 1<<20), Peers: peer.NewClients(nil),
+		Backends: backend.New(&http.Transport{}, 1<<20), Peers: peer.NewClients(nil),
 		Row:        func(string) (table.Row, int64) { return row, 1 },
 		LimitShare: func(_ string, limit int64) int64 { return limit },
 		Members:    func() ([]string, []member.Heartbeat) { return []string{"h1"}, nil },
--- a/internal/relay/keyed_test.go
+++ b/internal/relay/keyed_test.go
@@ -17,12 +17,12 @@
 	"github.com/rcrowley/go-metrics"
 	"github.com/stretchr/testify/require"
 
+	"pollencroft/internal/backend"
 	"pollencroft/internal/call"
 	"pollencroft/internal/cell"
 	"pollencroft/internal/dial"
 	"pollencroft/internal/ledger"
 	"pollencroft/internal/member"
-	"pollencroft/internal/minion"
 	"pollencroft/internal/outlier"
 	"pollencroft/internal/peer"
 	"pollencroft/internal/queue"
@@ -93,7 +93,7 @@
 	body, _ := io.ReadAll(r.Body)
 	g.arrived <- r
 	<-g.release
-	w.Header().Set(minion.HeaderID, r.Header.Get(minion.HeaderID))
+	w.Header().Set(backend.HeaderID, r.Header.Get(backend.HeaderID))
 	_, _ = w.Write(body)
 }
 
@@ -131,7 +131,7 @@
 			Plan:     ledger.NewPlan(ledger.Host{Name: name, Domain: "nord"}, others),
 			Outliers: outlier.New(outlier.DefaultLimits), Retries: retry.New(retry.DefaultLimits), Metrics: metrics.NewRegistry(),
 			LimitShare: func(_ string, limit int64) int64 { return limit },
-			Peers:      peers, Backends: minion.New(minion.NewTransport(dial.New().DialContext), 1<<20),
+			Peers:      peers, Backends: backend.New(backend.NewTransport(dial.New().DialContext), 1<<20),
 			Row:     func(string) (table.Row, int64) { return table.Row{Name: "scan", Weight: 1}, 1 },
 			Members: n.members, Clock: n.clock, Log: slog.New(slog.DiscardHandler),
 		})
@@ -306,7 +306,7 @@
 		announceFreeSlots(all)
 		reply, _ := all[0].start("", 1)
 		require.Equal(t, cell.Done, (<-reply).Outcome, ahead)
-		left, err := time.ParseDuration((<-g.arrived).Header.Get(minion.HeaderDeadline))
+		left, err := time.ParseDuration((<-g.arrived).Header.Get(backend.HeaderDeadline))
 		require.NoError(t, err)
 		require.Greater(t, left, time.Duration(0))
 		require.LessOrEqual(t, left, 20*time.Second)
--- a/internal/relay/lost.go
+++ b/internal/relay/lost.go
@@ -9,8 +9,8 @@
 	"github.com/cockroachdb/errors"
 	"github.com/rcrowley/go-metrics"
 
+	"pollencroft/internal/backend"
 	"pollencroft/internal/call"
-	"pollencroft/internal/minion"
 )
 
 // maxLostServers is how many backend servers may fail under one request. A request that
@@ -28,7 +28,7 @@
 // connectionBroke reports whether the server, or the connection to it, failed under a
 // request that was sent.
 func connectionBroke(err error) bool {
-	var none *minion.NoAnswerError
+	var none *backend.NoAnswerError
 	return errors.As(err, &none) && !errors.Is(err, context.DeadlineExceeded)
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -12,11 +12,11 @@
 
 	"github.com/rcrowley/go-metrics"
 
+	"pollencroft/internal/backend"
 	"pollencroft/internal/call"
 	"pollencroft/internal/cell"
 	"pollencroft/internal/ledger"
 	"pollencroft/internal/member"
-	"pollencroft/internal/minion"
 	"pollencroft/internal/outlier"
 	"pollencroft/internal/peer"
 	"pollencroft/internal/queue"
@@ -35,7 +35,7 @@
 	// Plan chooses the homes of keys. Incarnation is the incarnation of this host.
 	Plan        ledger.Plan
 	Incarnation int64
-	Backends    *minion.Client
+	Backends    *backend.Client
 	Peers       *peer.Clients
 	// Row returns a row and its version, which is zero if there is no such row.
 	Row func(name string) (table.Row, int64)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -15,11 +15,11 @@
 	"github.com/rcrowley/go-metrics"
 	"github.com/stretchr/testify/require"
 
+	"pollencroft/internal/backend"
 	"pollencroft/internal/call"
 	"pollencroft/internal/cell"
 	"pollencroft/internal/ledger"
 	"pollencroft/internal/member"
-	"pollencroft/internal/minion"
 	"pollencroft/internal/outlier"
 	"pollencroft/internal/peer"
 	"pollencroft/internal/queue"
@@ -46,7 +46,7 @@
 	b.Relay = relay.New(relay.Deps{
 		Name: "h1", Domain: "d", Queue: queue.New(queue.DefaultLimits), Outliers: outlier.New(outlier.DefaultLimits),
 		Retries: retry.New(retry.DefaultLimits), Ledger: ledger.New(ledger.DefaultLimits, time.Now()),
-		Backends: minion.New(&http.Transport{}, 1<<20), Peers: peer.NewClients(nil),
+		Backends: backend.New(&http.Transport{}, 1<<20), Peers: peer.NewClients(nil),
 		Row: func(string) (table.Row, int64) {
 			b.mu.Lock()
 			defer b.mu.Unlock()
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -8,9 +8,9 @@
 	"github.com/cockroachdb/errors"
 	"github.com/rcrowley/go-metrics"
 
+	"pollencroft/internal/backend"
 	"pollencroft/internal/call"
 	"pollencroft/internal/cell"
-	"pollencroft/internal/minion"
 	"pollencroft/internal/outlier"
 	"pollencroft/internal/queue"
 	"pollencroft/internal/spans"
@@ -178,9 +178,9 @@
 
 // classify turns a server's answer, or its absence, into a reply for the caller and
 // determines whether a retry is safe.
-func classify(answer minion.Answer, err error) try {
-	var notSent *minion.NotSentError
-	var leaving *minion.LeavingError
+func classify(answer backend.Answer, err error) try {
+	var notSent *backend.NotSentError
+	var leaving *backend.LeavingError
 	switch {
 	case err == nil:
 		t := try{reply: call.Reply{Outcome: cell.Done, Status: answer.Status, Header: answer.Header, Body: answer.Body}}
