--- a/internal/commands/table_test.go
+++ b/internal/commands/table_test.go
@@ -35,7 +35,7 @@
 }
 
 // Two operators edit a dump of the whole table at the same time. The operator who loads the file
-// last must change only the rows that he edited. A row that both edited must not be overwritten:
+// last must change only the rows they edited. A row that both edited must not be overwritten:
 // the command reports it as lost and prints both values.
 func TestLoadShowsALostRaceWithBothValues(t *testing.T) {
 	srv := httptest.NewServer(standin.NewPlatform().Handler())
