--- a/internal/commands/entry.go
+++ b/internal/commands/entry.go
@@ -30,10 +30,10 @@
 }
 
 const (
-	// collect is the garbage collector's target percentage. The host's live heap is only a
+	// gcPercent is the garbage collector's target percentage. The host's live heap is only a
 	// few MiB, so collecting each time it doubles would cost more CPU time than the memory
 	// that it saves is worth.
-	collect = 400
+	gcPercent = 400
 	// share is the fraction of the host's memory that is set as the garbage collector's soft
 	// limit.
 	share = 0.6
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	debug.SetGCPercent(collect)
+	debug.SetGCPercent(gcPercent)
 	if cfg.Memory > 0 {
 		debug.SetMemoryLimit(int64(share * float64(cfg.Memory<<20)))
 	}
