--- a/internal/commands/entry.go
+++ b/internal/commands/entry.go
@@ -34,9 +34,9 @@
 	// few MiB, so collecting each time it doubles would cost more CPU time than the memory
 	// that it saves is worth.
 	gcPercent = 400
-	// share is the fraction of the host's memory that is set as the garbage collector's soft
+	// memoryLimitShare is the fraction of the host's memory that is set as the garbage collector's soft
 	// limit.
-	share = 0.6
+	memoryLimitShare = 0.6
 	// lastLines is how long a stopping host waits until its remaining log lines are written
 	// to standard output.
 	lastLines = 200 * time.Millisecond
@@ -52,7 +52,7 @@
 	}
 	debug.SetGCPercent(gcPercent)
 	if cfg.Memory > 0 {
-		debug.SetMemoryLimit(int64(share * float64(cfg.Memory<<20)))
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(cfg.Memory<<20)))
 	}
 	w := logs.NewWriter(os.Stdout)
 	defer w.Close(lastLines)
