--- a/internal/commands/entry.go
+++ b/internal/commands/entry.go
@@ -37,9 +37,9 @@
 	// memoryLimitShare is the fraction of the host's memory that is set as the garbage collector's soft
 	// limit.
 	memoryLimitShare = 0.6
-	// lastLines is how long a stopping host waits until its remaining log lines are written
+	// logFlushTimeout is how long a stopping host waits until its remaining log lines are written
 	// to standard output.
-	lastLines = 200 * time.Millisecond
+	logFlushTimeout = 200 * time.Millisecond
 )
 
 func runEntry(file string) error {
@@ -55,7 +55,7 @@
 		debug.SetMemoryLimit(int64(memoryLimitShare * float64(cfg.Memory<<20)))
 	}
 	w := logs.NewWriter(os.Stdout)
-	defer w.Close(lastLines)
+	defer w.Close(logFlushTimeout)
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(cfg.Log)); err != nil {
 		level = slog.LevelInfo
