--- a/internal/commands/operator.go
+++ b/internal/commands/operator.go
@@ -26,7 +26,7 @@
 	cert, key, ca, server string
 }
 
-const commandWait = 10 * time.Second
+const commandTimeout = 10 * time.Second
 
 func (o *remote) flags(s *flaggy.Subcommand, usual string) {
 	o.host = usual
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, nil, nil, errors.Wrap(err, "read host address")
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), commandWait)
+	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	if o.ca == "" {
 		return client.New(addr, o.token, nil), ctx, cancel, nil
 	}
