--- a/internal/commands/job.go
+++ b/internal/commands/job.go
@@ -12,7 +12,7 @@
 	register(command{
 		name: "job", about: "ask after a job or cancel it: job show|cancel ID",
 		flags: func(s *flaggy.Subcommand) {
-			o.flags(s, usualCaller)
+			o.flags(s, defaultCallerAddress)
 			s.AddPositionalValue(&verb, "VERB", 1, true, "show or cancel")
 			s.AddPositionalValue(&id, "ID", 2, true, "job id")
 		},
