--- a/internal/commands/drain.go
+++ b/internal/commands/drain.go
@@ -6,7 +6,7 @@
 	var o remote
 	register(command{
 		name: "drain", about: "begin a planned stop of a host",
-		flags: func(s *flaggy.Subcommand) { o.flags(s, usualOperator) },
+		flags: func(s *flaggy.Subcommand) { o.flags(s, defaultOperatorAddress) },
 		run: func() error {
 			c, ctx, cancel, err := o.dial()
 			if err != nil {
--- a/internal/commands/explain.go
+++ b/internal/commands/explain.go
@@ -16,7 +16,7 @@
 	register(command{
 		name: "explain", about: "tell what was decided about a job or request",
 		flags: func(s *flaggy.Subcommand) {
-			o.flags(s, usualOperator)
+			o.flags(s, defaultOperatorAddress)
 			s.Bool(&logs, "l", "logs", "read the hosts' log lines from standard input instead of asking a host")
 			s.AddPositionalValue(&id, "ID", 1, true, "job or request id")
 		},
--- a/internal/commands/operator.go
+++ b/internal/commands/operator.go
@@ -76,8 +76,8 @@
 
 // Default listener addresses of a host that is started by hand.
 const (
-	defaultCallerAddress = "127.0.0.1:7001"
-	usualOperator        = "127.0.0.1:7002"
+	defaultCallerAddress   = "127.0.0.1:7001"
+	defaultOperatorAddress = "127.0.0.1:7002"
 )
 
 func printJSON(v any) error {
--- a/internal/commands/table.go
+++ b/internal/commands/table.go
@@ -41,7 +41,7 @@
 		name:  "table",
 		about: "show the table; set ROW field=value…, drop ROW, dump FILE, load FILE, log, status, quotas, quota TEAM field=value…",
 		flags: func(s *flaggy.Subcommand) {
-			o.flags(s, usualOperator)
+			o.flags(s, defaultOperatorAddress)
 			verb = ""
 			clear(words)
 			s.AddPositionalValue(&verb, "VERB", 1, false, "nothing to show the table")
