--- a/internal/commands/explain.go
+++ b/internal/commands/explain.go
@@ -24,7 +24,7 @@
 			if logs {
 				return explainLogs(id)
 			}
-			return o.show("/explain/" + id)
+			return o.printPage("/explain/" + id)
 		},
 	})
 }
--- a/internal/commands/hosts.go
+++ b/internal/commands/hosts.go
@@ -7,6 +7,6 @@
 	register(command{
 		name: "hosts", about: "show the entry hosts as one of them sees them",
 		flags: func(s *flaggy.Subcommand) { o.flags(s, defaultOperatorAddress) },
-		run:   func() error { return o.show("/hosts") },
+		run:   func() error { return o.printPage("/hosts") },
 	})
 }
--- a/internal/commands/operator.go
+++ b/internal/commands/operator.go
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// show fetches a page from the host's operator listener and prints it as JSON.
-func (o *remote) show(path string) error {
+// printPage fetches a page from the host's operator listener and prints it as JSON.
+func (o *remote) printPage(path string) error {
 	c, ctx, cancel, err := o.dial()
 	if err != nil {
 		return err
