--- a/internal/commands/table.go
+++ b/internal/commands/table.go
@@ -71,9 +71,9 @@
 	return words
 }
 
-// page fetches a page from the host's operator listener and decodes it into the value that
+// getPage fetches a getPage from the host's operator listener and decodes it into the value that
 // into points to.
-func (o remote) page(path string, into any) error {
+func (o remote) getPage(path string, into any) error {
 	c, ctx, cancel, err := o.dial()
 	if err != nil {
 		return err
@@ -96,7 +96,7 @@
 
 func showTable(o remote) error {
 	var lines []table.Line
-	if err := o.page("/table", &lines); err != nil {
+	if err := o.getPage("/table", &lines); err != nil {
 		return err
 	}
 	const head = "ROW\tKIND\tCLASS\tTEAM\tWEIGHT\tSLOTS\tQUEUE\tTASKS\tCPU\tMEM\tACCEL\tDOMAINS\tTRIES\tIDEMPOTENT\tDEADLINE\tVERSION"
@@ -121,7 +121,7 @@
 
 func showLog(o remote) error {
 	var past []table.HistoryEntry
-	if err := o.page("/log", &past); err != nil {
+	if err := o.getPage("/log", &past); err != nil {
 		return err
 	}
 	return o.lines(past, "OFFSET\tWHEN\tWHO\tROW\tVERDICT\tWHAT", func(w io.Writer) {
@@ -137,7 +137,7 @@
 
 func showStatus(o remote) error {
 	var s operator.TableStatus
-	if err := o.page("/status", &s); err != nil {
+	if err := o.getPage("/status", &s); err != nil {
 		return err
 	}
 	err := o.lines(s, "HOST\tDOMAIN\tNEXT\tMARK\tHEARD", func(w io.Writer) {
@@ -153,7 +153,7 @@
 
 func showQuotas(o remote) error {
 	var all []table.Quota
-	if err := o.page("/quotas", &all); err != nil {
+	if err := o.getPage("/quotas", &all); err != nil {
 		return err
 	}
 	return o.lines(all, "TEAM\tDOMAIN\tTASKS\tCPU\tMEM\tACCEL\tWAITS FOR\tVERSION", func(w io.Writer) {
--- a/internal/commands/tableset.go
+++ b/internal/commands/tableset.go
@@ -72,7 +72,7 @@
 		return err
 	}
 	var rows []json.RawMessage
-	if err := o.page("/table", &rows); err != nil {
+	if err := o.getPage("/table", &rows); err != nil {
 		return err
 	}
 	text, err := sheet.Dump(rows)
