--- a/internal/commands/table.go
+++ b/internal/commands/table.go
@@ -82,9 +82,9 @@
 	return c.Get(ctx, path, into)
 }
 
-// lines prints v as JSON if --json is set. Otherwise it prints an aligned table with the column
+// printRows prints v as JSON if --json is set. Otherwise it prints an aligned table with the column
 // heads in head and the rows that each writes.
-func (o remote) lines(v any, head string, each func(w io.Writer)) error {
+func (o remote) printRows(v any, head string, each func(w io.Writer)) error {
 	if o.json {
 		return printJSON(v)
 	}
@@ -100,7 +100,7 @@
 		return err
 	}
 	const head = "ROW\tKIND\tCLASS\tTEAM\tWEIGHT\tSLOTS\tQUEUE\tTASKS\tCPU\tMEM\tACCEL\tDOMAINS\tTRIES\tIDEMPOTENT\tDEADLINE\tVERSION"
-	return o.lines(lines, head, func(w io.Writer) {
+	return o.printRows(lines, head, func(w io.Writer) {
 		for _, l := range lines {
 			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%t\t%s\t%d\n",
 				l.Name, l.Kind, l.Class, l.Team, l.Weight, bounded(l.Limits.Slots), bounded(l.Limits.Queue), bounded(l.Limits.Tasks),
@@ -124,7 +124,7 @@
 	if err := o.getPage("/log", &past); err != nil {
 		return err
 	}
-	return o.lines(past, "OFFSET\tWHEN\tWHO\tROW\tVERDICT\tWHAT", func(w io.Writer) {
+	return o.printRows(past, "OFFSET\tWHEN\tWHO\tROW\tVERDICT\tWHAT", func(w io.Writer) {
 		for _, p := range past {
 			verdict := "accepted"
 			if !p.Accepted {
@@ -140,7 +140,7 @@
 	if err := o.getPage("/status", &s); err != nil {
 		return err
 	}
-	err := o.lines(s, "HOST\tDOMAIN\tNEXT\tMARK\tHEARD", func(w io.Writer) {
+	err := o.printRows(s, "HOST\tDOMAIN\tNEXT\tMARK\tHEARD", func(w io.Writer) {
 		for _, h := range s.Hosts {
 			_, _ = fmt.Fprintf(w, "%s\t%s\t%d\t%08x\t%s\n", h.Host, h.Domain, h.Next, h.Mark, h.Heard.Format(time.RFC3339))
 		}
@@ -156,7 +156,7 @@
 	if err := o.getPage("/quotas", &all); err != nil {
 		return err
 	}
-	return o.lines(all, "TEAM\tDOMAIN\tTASKS\tCPU\tMEM\tACCEL\tWAITS FOR\tVERSION", func(w io.Writer) {
+	return o.printRows(all, "TEAM\tDOMAIN\tTASKS\tCPU\tMEM\tACCEL\tWAITS FOR\tVERSION", func(w io.Writer) {
 		for _, q := range all {
 			for d, s := range q.Shares {
 				_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\n", q.Team, d, bounded(s.Tasks), bounded(s.Capacity.CPU),
