--- a/internal/commands/table.go
+++ b/internal/commands/table.go
@@ -16,8 +16,8 @@
 	"pollencroft/internal/table"
 )
 
-// maxWords is the maximum number of arguments after the verb: a row name and its fields.
-const maxWords = 16
+// maxArguments is the maximum number of arguments after the verb: a row name and its fields.
+const maxArguments = 16
 
 // tableVerbs maps each verb of the table command to its implementation. The empty verb shows
 // the table.
@@ -36,7 +36,7 @@
 func init() {
 	var o remote
 	var verb string
-	words := make([]string, maxWords)
+	words := make([]string, maxArguments)
 	register(command{
 		name:  "table",
 		about: "show the table; set ROW field=value…, drop ROW, dump FILE, load FILE, log, status, quotas, quota TEAM field=value…",
