--- a/internal/commands/table.go
+++ b/internal/commands/table.go
@@ -55,14 +55,14 @@
 			if !ok {
 				return &cell.ValueError{Field: "verb", Found: verb, Allowed: "set, drop, dump, load, log, status, quotas or quota"}
 			}
-			return f(o, given(words))
+			return f(o, nonEmptyPrefix(words))
 		},
 	})
 }
 
-// given returns the arguments before the first empty one, since the parser leaves arguments
+// nonEmptyPrefix returns the arguments before the first empty one, since the parser leaves arguments
 // that are not on the command line empty.
-func given(words []string) []string {
+func nonEmptyPrefix(words []string) []string {
 	for i, w := range words {
 		if w == "" {
 			return words[:i]
