--- a/internal/commands/table.go
+++ b/internal/commands/table.go
@@ -103,16 +103,16 @@
 	return o.printRows(lines, head, func(w io.Writer) {
 		for _, l := range lines {
 			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%t\t%s\t%d\n",
-				l.Name, l.Kind, l.Class, l.Team, l.Weight, bounded(l.Limits.Slots), bounded(l.Limits.Queue), bounded(l.Limits.Tasks),
-				bounded(l.Limits.Capacity.CPU), bounded(l.Limits.Capacity.Mem), bounded(l.Limits.Capacity.Accel),
+				l.Name, l.Kind, l.Class, l.Team, l.Weight, formatLimit(l.Limits.Slots), formatLimit(l.Limits.Queue), formatLimit(l.Limits.Tasks),
+				formatLimit(l.Limits.Capacity.CPU), formatLimit(l.Limits.Capacity.Mem), formatLimit(l.Limits.Capacity.Accel),
 				strings.Join(l.Domains, ","), l.Tries, l.Idempotent, l.Deadline, l.Version)
 		}
 	})
 }
 
-// bounded formats a limit. The absence of a limit is shown as a dash, because 0 would read as
+// formatLimit formats a limit. The absence of a limit is shown as a dash, because 0 would read as
 // "nothing allowed".
-func bounded(n int64) string {
+func formatLimit(n int64) string {
 	if n == 0 || n == table.NoLimit {
 		return "-"
 	}
@@ -159,8 +159,8 @@
 	return o.printRows(all, "TEAM\tDOMAIN\tTASKS\tCPU\tMEM\tACCEL\tWAITS FOR\tVERSION", func(w io.Writer) {
 		for _, q := range all {
 			for d, s := range q.Shares {
-				_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\n", q.Team, d, bounded(s.Tasks), bounded(s.Capacity.CPU),
-					bounded(s.Capacity.Mem), bounded(s.Capacity.Accel), strings.Join(q.Unconfirmed, ","), q.Version)
+				_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\n", q.Team, d, formatLimit(s.Tasks), formatLimit(s.Capacity.CPU),
+					formatLimit(s.Capacity.Mem), formatLimit(s.Capacity.Accel), strings.Join(q.Unconfirmed, ","), q.Version)
 			}
 		}
 	})
