--- a/internal/commands/tableset.go
+++ b/internal/commands/tableset.go
@@ -20,9 +20,9 @@
 	return words[0], nil
 }
 
-// put sends an edit to the host. The first argument is the name of the row or team, which is
+// putPage sends an edit to the host. The first argument is the name of the row or team, which is
 // appended to page, and the others are its fields. what names the first argument in errors.
-func (o remote) put(page, what string, words []string) error {
+func (o remote) putPage(page, what string, words []string) error {
 	name, err := firstWord(words, what)
 	if err != nil {
 		return err
@@ -46,9 +46,9 @@
 	return nil
 }
 
-func setRow(o remote, words []string) error { return o.put("/table/", "row", words) }
+func setRow(o remote, words []string) error { return o.putPage("/table/", "row", words) }
 
-func setQuota(o remote, words []string) error { return o.put("/quotas/", "team", words) }
+func setQuota(o remote, words []string) error { return o.putPage("/quotas/", "team", words) }
 
 func dropRow(o remote, words []string) error {
 	name, err := firstWord(words, "row")
