--- a/internal/commands/tableset.go
+++ b/internal/commands/tableset.go
@@ -113,7 +113,7 @@
 	// All rows are validated before the first one is written, so that a mistyped column in one
 	// row does not leave the file half applied.
 	for _, ch := range changes {
-		if err := o.send(ch, true); err != nil && !errors.As(err, new(*client.RaceError)) {
+		if err := o.sendChange(ch, true); err != nil && !errors.As(err, new(*client.RaceError)) {
 			return errors.Wrapf(err, "row %s", ch.Row)
 		}
 	}
@@ -148,7 +148,7 @@
 }
 
 func (o remote) sendOne(ch sheet.Change) (result, error) {
-	err := o.send(ch, false)
+	err := o.sendChange(ch, false)
 	var race *client.RaceError
 	switch {
 	case err == nil:
@@ -168,8 +168,8 @@
 	}
 }
 
-// send sends one change to the host. If try is set, the host only validates the change.
-func (o remote) send(ch sheet.Change, try bool) error {
+// sendChange sends one change to the host. If try is set, the host only validates the change.
+func (o remote) sendChange(ch sheet.Change, try bool) error {
 	c, ctx, cancel, err := o.dial()
 	if err != nil {
 		return err
