--- a/internal/commands/tableset.go
+++ b/internal/commands/tableset.go
@@ -124,7 +124,7 @@
 	lost := 0
 	results := make([]result, 0, len(changes))
 	for _, ch := range changes {
-		res, err := o.sendOne(ch)
+		res, err := o.sendAndCompare(ch)
 		if err != nil {
 			return err
 		}
@@ -147,7 +147,7 @@
 	return nil
 }
 
-func (o remote) sendOne(ch sheet.Change) (result, error) {
+func (o remote) sendAndCompare(ch sheet.Change) (result, error) {
 	err := o.sendChange(ch, false)
 	var race *client.RaceError
 	switch {
