--- a/internal/commands/pages_test.go
+++ b/internal/commands/pages_test.go
@@ -11,8 +11,8 @@
 	"pollencroft/internal/settings"
 )
 
-// page returns the text of a manual page without its font markup.
-func page(t *testing.T, name string) string {
+// readManPage returns the text of a manual readManPage without its font markup.
+func readManPage(t *testing.T, name string) string {
 	t.Helper()
 	b, err := os.ReadFile("../../doc/" + name)
 	require.NoError(t, err)
@@ -22,7 +22,7 @@
 // Operators rely on the manual page during incidents, so it must contain every command and
 // every flag that --help shows.
 func TestManPageNamesEveryCommandAndFlag(t *testing.T) {
-	text := page(t, "pollencroft.1")
+	text := readManPage(t, "pollencroft.1")
 	for _, c := range all {
 		require.Contains(t, text, "\n.B "+c.name, "command")
 		if c.flags == nil {
@@ -37,14 +37,14 @@
 }
 
 func TestManPageNamesEveryVerbOfTheTable(t *testing.T) {
-	text := page(t, "pollencroft.1")
+	text := readManPage(t, "pollencroft.1")
 	for verb := range tableVerbs {
 		require.Regexp(t, `(?m)^\.B (.*, )?`+verb+`\b`, text, "verb")
 	}
 }
 
 func TestSettingsPageNamesEveryKey(t *testing.T) {
-	text := page(t, "pollencroft.toml.5")
+	text := readManPage(t, "pollencroft.toml.5")
 	for _, key := range settings.Keys() {
 		require.Contains(t, text, strings.ReplaceAll(key, "[0]", "[]"), "key")
 	}
