--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -77,7 +77,7 @@
 	caller, operator *client.Client
 }
 
-type show struct {
+type demo struct {
 	out     io.Writer
 	began   time.Time
 	cell    *standin.Cell
@@ -93,7 +93,7 @@
 		return err
 	}
 	defer c.Close()
-	s := &show{out: out, began: time.Now(), cell: c, names: audit.RowNamesOf(u), tally: audit.NewTally()}
+	s := &demo{out: out, began: time.Now(), cell: c, names: audit.RowNamesOf(u), tally: audit.NewTally()}
 	if err := s.startHosts(); err != nil {
 		return err
 	}
@@ -111,13 +111,13 @@
 	return s.close()
 }
 
-func (s *show) say(format string, args ...any) {
+func (s *demo) say(format string, args ...any) {
 	_, _ = fmt.Fprintf(s.out, "%5.1fs  %s\n", time.Since(s.began).Seconds(), fmt.Sprintf(format, args...))
 }
 
 // waitForWorkers waits until every worker is led by a host. Hosts that start together delay
 // leading workers.
-func (s *show) waitForWorkers() error {
+func (s *demo) waitForWorkers() error {
 	for end := time.Now().Add(ledWithin); ; time.Sleep(100 * time.Millisecond) {
 		led := 0
 		for _, e := range s.entries {
@@ -134,7 +134,7 @@
 
 // startHosts opens the sockets of all hosts before it starts the first host, so that the settings
 // of every host can list the addresses of its peers.
-func (s *show) startHosts() error {
+func (s *demo) startHosts() error {
 	u := s.cell.Users
 	var all []settings.Settings
 	var sockets []host.Listeners
@@ -170,7 +170,7 @@
 
 func address(ln net.Listener) netip.AddrPort { return ln.Addr().(*net.TCPAddr).AddrPort() }
 
-func (s *show) startHost(cfg settings.Settings, ls host.Listeners) {
+func (s *demo) startHost(cfg settings.Settings, ls host.Listeners) {
 	h := host.New(cfg, slog.New(slog.DiscardHandler), time.Now)
 	h.Start(ls)
 	rt := &http.Transport{MaxIdleConnsPerHost: 256}
@@ -185,7 +185,7 @@
 
 func (e *NotReadyError) Error() string { return "host " + e.Name + " is not ready" }
 
-func (s *show) waitReady() error {
+func (s *demo) waitReady() error {
 	end := time.Now().Add(readyWait)
 	for _, e := range s.entries {
 		for !e.host.Ready() {
@@ -199,13 +199,13 @@
 	return nil
 }
 
-func (s *show) killAll() {
+func (s *demo) killAll() {
 	for _, e := range s.entries {
 		e.host.Kill()
 	}
 }
 
-func (s *show) setTable() error {
+func (s *demo) setTable() error {
 	ctx, cancel := context.WithTimeout(context.Background(), readyWait)
 	defer cancel()
 	for row, fields := range s.names.Rows() {
@@ -228,7 +228,7 @@
 }
 
 // load runs all workloads and injects the faults until the load duration has passed.
-func (s *show) load() {
+func (s *demo) load() {
 	ctx, cancel := context.WithTimeout(context.Background(), loadFor)
 	defer cancel()
 	var g errgroup.Group
@@ -244,7 +244,7 @@
 
 // pick returns the client of a random ready host in the domain, as the platform's load balancer
 // would. If no host of the domain is ready, it returns the client of the first host.
-func (s *show) pick(r *rand.Rand, domain string) *client.Client {
+func (s *demo) pick(r *rand.Rand, domain string) *client.Client {
 	var in []*entry
 	for _, e := range s.entries {
 		if e.domain == domain && e.host.Ready() {
@@ -257,7 +257,7 @@
 	return in[r.IntN(len(in))].caller
 }
 
-func (s *show) mishaps(ctx context.Context) {
+func (s *demo) mishaps(ctx context.Context) {
 	begin := time.Now()
 	sleep(ctx, changeAt-time.Since(begin))
 	err := s.entries[0].operator.SetRow(ctx, s.names.Flood, "", map[string]any{"weight": 5, "limits": map[string]any{"slots": 100}})
@@ -288,7 +288,7 @@
 	}
 }
 
-func (s *show) progress(ctx context.Context) {
+func (s *demo) progress(ctx context.Context) {
 	t := time.NewTicker(2 * time.Second)
 	defer t.Stop()
 	for {
@@ -303,7 +303,7 @@
 }
 
 // bytesASecond returns the average control traffic of one host in bytes per second.
-func (s *show) bytesASecond() float64 {
+func (s *demo) bytesASecond() float64 {
 	sum := int64(0)
 	for _, e := range s.entries {
 		sum += e.host.ControlBytes()
@@ -312,7 +312,7 @@
 }
 
 // packed returns the average fraction of the workers' processor time that tasks occupied.
-func (s *show) packed() float64 {
+func (s *demo) packed() float64 {
 	sum := 0.0
 	for _, w := range s.cell.Workers {
 		sum += w.Packed(s.began)
@@ -322,7 +322,7 @@
 
 // close waits until the accepted jobs have ended or the wait times out, prints the result tables and
 // returns an audit.ViolationsError if there were violations.
-func (s *show) close() error {
+func (s *demo) close() error {
 	end := time.Now().Add(settleWait)
 	w := s.tally.Violations(s.cell.Report())
 	for w.Lost > 0 && time.Now().Before(end) {
