--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -101,9 +101,9 @@
 	if err := s.setTable(); err != nil {
 		return err
 	}
-	s.say("waiting until the hosts vouch for fresh keys")
+	s.logf("waiting until the hosts vouch for fresh keys")
 	time.Sleep(vouchAfter)
-	s.say("waiting until the hosts lead the workers")
+	s.logf("waiting until the hosts lead the workers")
 	if err := s.waitForWorkers(); err != nil {
 		return err
 	}
@@ -111,7 +111,7 @@
 	return s.close()
 }
 
-func (s *demo) say(format string, args ...any) {
+func (s *demo) logf(format string, args ...any) {
 	_, _ = fmt.Fprintf(s.out, "%5.1fs  %s\n", time.Since(s.began).Seconds(), fmt.Sprintf(format, args...))
 }
 
@@ -195,7 +195,7 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	s.say("%d entry hosts in %d failure domains are ready", len(s.entries), len(s.cell.Users.Domains))
+	s.logf("%d entry hosts in %d failure domains are ready", len(s.entries), len(s.cell.Users.Domains))
 	return nil
 }
 
@@ -223,7 +223,7 @@
 			}
 		}
 	}
-	s.say("%d rows are in force on every host", len(s.names.Rows()))
+	s.logf("%d rows are in force on every host", len(s.names.Rows()))
 	return nil
 }
 
@@ -261,17 +261,17 @@
 	begin := time.Now()
 	sleep(ctx, changeAt-time.Since(begin))
 	err := s.entries[0].operator.SetRow(ctx, s.names.Flood, "", map[string]any{"weight": 5, "limits": map[string]any{"slots": 100}})
-	s.say("row %s is changed while it runs: %s", s.names.Flood, orGood(err))
+	s.logf("row %s is changed while it runs: %s", s.names.Flood, orGood(err))
 	sleep(ctx, killAt-time.Since(begin))
 	s.entries[1].host.Kill()
-	s.say("host %s is killed without warning", s.entries[1].name)
+	s.logf("host %s is killed without warning", s.entries[1].name)
 	sleep(ctx, stopAt-time.Since(begin))
 	leaving := s.entries[len(s.entries)-1]
 	stop, cancel := context.WithTimeout(context.Background(), readyWait)
 	defer cancel()
 	began := time.Now()
 	err = leaving.host.Stop(stop)
-	s.say("host %s is stopped in a planned way in %.1f s: %s", leaving.name, time.Since(began).Seconds(), orGood(err))
+	s.logf("host %s is stopped in a planned way in %.1f s: %s", leaving.name, time.Since(began).Seconds(), orGood(err))
 }
 
 func orGood(err error) string {
@@ -297,7 +297,7 @@
 			return
 		case <-t.C:
 			asked, done := s.tally.Totals()
-			s.say("asked %d, done %d", asked, done)
+			s.logf("asked %d, done %d", asked, done)
 		}
 	}
 }
@@ -329,7 +329,7 @@
 		time.Sleep(settlePause)
 		w = s.tally.Violations(s.cell.Report())
 	}
-	s.say("load is over")
+	s.logf("load is over")
 	s.tally.Print(s.out, s.names.Urgent, s.names.Flood, s.names.Batch, s.names.Gang, s.names.Watch)
 	_, _ = fmt.Fprintf(s.out, "packing %.1f %% of processor time, control %.0f bytes a second a host\n", 100*s.packed(), s.bytesASecond())
 	_, _ = fmt.Fprintln(s.out, "demo: "+w.Error())
