--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -261,7 +261,7 @@
 	begin := time.Now()
 	sleep(ctx, changeAt-time.Since(begin))
 	err := s.entries[0].operator.SetRow(ctx, s.names.Flood, "", map[string]any{"weight": 5, "limits": map[string]any{"slots": 100}})
-	s.logf("row %s is changed while it runs: %s", s.names.Flood, orGood(err))
+	s.logf("row %s is changed while it runs: %s", s.names.Flood, outcome(err))
 	sleep(ctx, killAt-time.Since(begin))
 	s.entries[1].host.Kill()
 	s.logf("host %s is killed without warning", s.entries[1].name)
@@ -271,10 +271,10 @@
 	defer cancel()
 	began := time.Now()
 	err = leaving.host.Stop(stop)
-	s.logf("host %s is stopped in a planned way in %.1f s: %s", leaving.name, time.Since(began).Seconds(), orGood(err))
+	s.logf("host %s is stopped in a planned way in %.1f s: %s", leaving.name, time.Since(began).Seconds(), outcome(err))
 }
 
-func orGood(err error) string {
+func outcome(err error) string {
 	if err != nil {
 		return err.Error()
 	}
