--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -34,11 +34,11 @@
 	loadFor    = 12 * time.Second
 	settleWait = 12 * time.Second
 
-	// vouchAfter is how long after its start a host replies that the outcome of a new
+	// keyConfirmWait is how long after its start a host replies that the outcome of a new
 	// idempotency key is unknown, because its previous incarnation may have run the request.
-	vouchAfter  = 2100 * time.Millisecond
-	ledWithin   = 30 * time.Second
-	settlePause = 200 * time.Millisecond
+	keyConfirmWait = 2100 * time.Millisecond
+	ledWithin      = 30 * time.Second
+	settlePause    = 200 * time.Millisecond
 )
 
 // Number of simulated callers of each kind.
@@ -102,7 +102,7 @@
 		return err
 	}
 	s.logf("waiting until the hosts vouch for fresh keys")
-	time.Sleep(vouchAfter)
+	time.Sleep(keyConfirmWait)
 	s.logf("waiting until the hosts lead the workers")
 	if err := s.waitForWorkers(); err != nil {
 		return err
