--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -37,7 +37,7 @@
 	// keyConfirmWait is how long after its start a host replies that the outcome of a new
 	// idempotency key is unknown, because its previous incarnation may have run the request.
 	keyConfirmWait = 2100 * time.Millisecond
-	ledWithin      = 30 * time.Second
+	leadTimeout    = 30 * time.Second
 	settlePause    = 200 * time.Millisecond
 )
 
@@ -118,7 +118,7 @@
 // waitForWorkers waits until every worker is led by a host. Hosts that start together delay
 // leading workers.
 func (s *demo) waitForWorkers() error {
-	for end := time.Now().Add(ledWithin); ; time.Sleep(100 * time.Millisecond) {
+	for end := time.Now().Add(leadTimeout); ; time.Sleep(100 * time.Millisecond) {
 		led := 0
 		for _, e := range s.entries {
 			led += len(e.host.Held())
