--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -27,12 +27,12 @@
 
 // Timeouts and the schedule of the demo.
 const (
-	readyWait  = 5 * time.Second
-	changeAt   = 3 * time.Second
-	killAt     = 5 * time.Second
-	stopAt     = 8 * time.Second
-	loadFor    = 12 * time.Second
-	settleWait = 12 * time.Second
+	readyWait     = 5 * time.Second
+	changeAt      = 3 * time.Second
+	killAt        = 5 * time.Second
+	stopAt        = 8 * time.Second
+	loadFor       = 12 * time.Second
+	jobEndTimeout = 12 * time.Second
 
 	// keyConfirmWait is how long after its start a host replies that the outcome of a new
 	// idempotency key is unknown, because its previous incarnation may have run the request.
@@ -323,7 +323,7 @@
 // close waits until the accepted jobs have ended or the wait times out, prints the result tables and
 // returns an audit.ViolationsError if there were violations.
 func (s *demo) close() error {
-	end := time.Now().Add(settleWait)
+	end := time.Now().Add(jobEndTimeout)
 	w := s.tally.Violations(s.cell.Report())
 	for w.Lost > 0 && time.Now().Before(end) {
 		time.Sleep(settlePause)
