--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -36,9 +36,9 @@
 
 	// keyConfirmWait is how long after its start a host replies that the outcome of a new
 	// idempotency key is unknown, because its previous incarnation may have run the request.
-	keyConfirmWait = 2100 * time.Millisecond
-	leadTimeout    = 30 * time.Second
-	settlePause    = 200 * time.Millisecond
+	keyConfirmWait     = 2100 * time.Millisecond
+	leadTimeout        = 30 * time.Second
+	jobEndPollInterval = 200 * time.Millisecond
 )
 
 // Number of simulated callers of each kind.
@@ -326,7 +326,7 @@
 	end := time.Now().Add(jobEndTimeout)
 	w := s.tally.Violations(s.cell.Report())
 	for w.Lost > 0 && time.Now().Before(end) {
-		time.Sleep(settlePause)
+		time.Sleep(jobEndPollInterval)
 		w = s.tally.Violations(s.cell.Report())
 	}
 	s.logf("load is over")
