--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -302,8 +302,8 @@
 	}
 }
 
-// bytesASecond returns the average control traffic of one host in bytes per second.
-func (s *demo) bytesASecond() float64 {
+// controlBytesPerSecond returns the average control traffic of one host in bytes per second.
+func (s *demo) controlBytesPerSecond() float64 {
 	sum := int64(0)
 	for _, e := range s.entries {
 		sum += e.host.ControlBytes()
@@ -331,7 +331,7 @@
 	}
 	s.logf("load is over")
 	s.tally.Print(s.out, s.names.Urgent, s.names.Flood, s.names.Batch, s.names.Gang, s.names.Watch)
-	_, _ = fmt.Fprintf(s.out, "packing %.1f %% of processor time, control %.0f bytes a second a host\n", 100*s.packed(), s.bytesASecond())
+	_, _ = fmt.Fprintf(s.out, "packing %.1f %% of processor time, control %.0f bytes a second a host\n", 100*s.packed(), s.controlBytesPerSecond())
 	_, _ = fmt.Fprintln(s.out, "demo: "+w.Error())
 	if w != (audit.ViolationsError{}) {
 		return &w
