--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -311,8 +311,8 @@
 	return float64(sum) / time.Since(s.began).Seconds() / float64(len(s.entries))
 }
 
-// packed returns the average fraction of the workers' processor time that tasks occupied.
-func (s *demo) packed() float64 {
+// cpuPacking returns the average fraction of the workers' processor time that tasks occupied.
+func (s *demo) cpuPacking() float64 {
 	sum := 0.0
 	for _, w := range s.cell.Workers {
 		sum += w.Packed(s.began)
@@ -331,7 +331,7 @@
 	}
 	s.logf("load is over")
 	s.tally.Print(s.out, s.names.Urgent, s.names.Flood, s.names.Batch, s.names.Gang, s.names.Watch)
-	_, _ = fmt.Fprintf(s.out, "packing %.1f %% of processor time, control %.0f bytes a second a host\n", 100*s.packed(), s.controlBytesPerSecond())
+	_, _ = fmt.Fprintf(s.out, "packing %.1f %% of processor time, control %.0f bytes a second a host\n", 100*s.cpuPacking(), s.controlBytesPerSecond())
 	_, _ = fmt.Fprintln(s.out, "demo: "+w.Error())
 	if w != (audit.ViolationsError{}) {
 		return &w
