--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -108,7 +108,7 @@
 		return err
 	}
 	s.load()
-	return s.close()
+	return s.finish()
 }
 
 func (s *demo) logf(format string, args ...any) {
@@ -320,9 +320,9 @@
 	return sum / float64(len(s.cell.Workers))
 }
 
-// close waits until the accepted jobs have ended or the wait times out, prints the result tables and
+// finish waits until the accepted jobs have ended or the wait times out, prints the result tables and
 // returns an audit.ViolationsError if there were violations.
-func (s *demo) close() error {
+func (s *demo) finish() error {
 	end := time.Now().Add(jobEndTimeout)
 	w := s.tally.Violations(s.cell.Report())
 	for w.Lost > 0 && time.Now().Before(end) {
