--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -48,10 +48,10 @@
 	batchCallers  = 3
 )
 
-// UsersError reports that there is no deployment with this name.
-type UsersError struct{ Name string }
+// UnknownDeploymentError reports that there is no deployment with this name.
+type UnknownDeploymentError struct{ Name string }
 
-func (e *UsersError) Error() string { return "no deployment is called " + e.Name }
+func (e *UnknownDeploymentError) Error() string { return "no deployment is called " + e.Name }
 
 // LedError reports that some workers still had no leading host when the timeout expired.
 type LedError struct{ Led, Workers int }
@@ -68,7 +68,7 @@
 			return run(out, u)
 		}
 	}
-	return &UsersError{Name: users}
+	return &UnknownDeploymentError{Name: users}
 }
 
 type entry struct {
