--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -53,10 +53,10 @@
 
 func (e *UnknownDeploymentError) Error() string { return "no deployment is called " + e.Name }
 
-// LedError reports that some workers still had no leading host when the timeout expired.
-type LedError struct{ Led, Workers int }
+// WorkersNotLedError reports that some workers still had no leading host when the timeout expired.
+type WorkersNotLedError struct{ Led, Workers int }
 
-func (e *LedError) Error() string {
+func (e *WorkersNotLedError) Error() string {
 	return fmt.Sprintf("only %d of %d workers are led", e.Led, e.Workers)
 }
 
@@ -127,7 +127,7 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return &LedError{Led: led, Workers: len(s.cell.Workers)}
+			return &WorkersNotLedError{Led: led, Workers: len(s.cell.Workers)}
 		}
 	}
 }
