--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -27,7 +27,7 @@
 
 // Timeouts and the schedule of the demo.
 const (
-	readyWait     = 5 * time.Second
+	readyTimeout  = 5 * time.Second
 	changeAt      = 3 * time.Second
 	killAt        = 5 * time.Second
 	stopAt        = 8 * time.Second
@@ -186,7 +186,7 @@
 func (e *NotReadyError) Error() string { return "host " + e.Name + " is not ready" }
 
 func (s *demo) waitReady() error {
-	end := time.Now().Add(readyWait)
+	end := time.Now().Add(readyTimeout)
 	for _, e := range s.entries {
 		for !e.host.Ready() {
 			if time.Now().After(end) {
@@ -206,7 +206,7 @@
 }
 
 func (s *demo) setTable() error {
-	ctx, cancel := context.WithTimeout(context.Background(), readyWait)
+	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
 	for row, fields := range s.names.Rows() {
 		if err := s.entries[0].operator.SetRow(ctx, row, "", fields); err != nil {
@@ -267,7 +267,7 @@
 	s.logf("host %s is killed without warning", s.entries[1].name)
 	sleep(ctx, stopAt-time.Since(begin))
 	leaving := s.entries[len(s.entries)-1]
-	stop, cancel := context.WithTimeout(context.Background(), readyWait)
+	stop, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
 	began := time.Now()
 	err = leaving.host.Stop(stop)
