--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -31,7 +31,7 @@
 	changeAt      = 3 * time.Second
 	killAt        = 5 * time.Second
 	stopAt        = 8 * time.Second
-	loadFor       = 12 * time.Second
+	loadDuration  = 12 * time.Second
 	jobEndTimeout = 12 * time.Second
 
 	// keyConfirmWait is how long after its start a host replies that the outcome of a new
@@ -229,7 +229,7 @@
 
 // load runs all workloads and injects the faults until the load duration has passed.
 func (s *demo) load() {
-	ctx, cancel := context.WithTimeout(context.Background(), loadFor)
+	ctx, cancel := context.WithTimeout(context.Background(), loadDuration)
 	defer cancel()
 	var g errgroup.Group
 	play := audit.Load{
