--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -237,7 +237,7 @@
 		Urgent: urgentCallers, Flood: floodCallers, Batch: batchCallers,
 	}
 	g.Go(func() error { play.Run(ctx); return nil })
-	g.Go(func() error { s.mishaps(ctx); return nil })
+	g.Go(func() error { s.injectFaults(ctx); return nil })
 	g.Go(func() error { s.progress(ctx); return nil })
 	_ = g.Wait()
 }
@@ -257,7 +257,7 @@
 	return in[r.IntN(len(in))].caller
 }
 
-func (s *demo) mishaps(ctx context.Context) {
+func (s *demo) injectFaults(ctx context.Context) {
 	begin := time.Now()
 	sleep(ctx, changeAt-time.Since(begin))
 	err := s.entries[0].operator.SetRow(ctx, s.names.Flood, "", map[string]any{"weight": 5, "limits": map[string]any{"slots": 100}})
