--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -94,7 +94,7 @@
 	}
 	defer c.Close()
 	s := &demo{out: out, began: time.Now(), cell: c, names: audit.RowNamesOf(u), tally: audit.NewTally()}
-	if err := s.startHosts(); err != nil {
+	if err := s.startAllHosts(); err != nil {
 		return err
 	}
 	defer s.killAll()
@@ -132,9 +132,9 @@
 	}
 }
 
-// startHosts opens the sockets of all hosts before it starts the first host, so that the settings
+// startAllHosts opens the sockets of all hosts before it starts the first host, so that the settings
 // of every host can list the addresses of its peers.
-func (s *demo) startHosts() error {
+func (s *demo) startAllHosts() error {
 	u := s.cell.Users
 	var all []settings.Settings
 	var sockets []host.Listeners
