--- a/internal/commands/entry.go
+++ b/internal/commands/entry.go
@@ -34,8 +34,8 @@
 	// few MiB, so collecting each time it doubles would cost more CPU time than the memory
 	// that it saves is worth.
 	gcPercent = 400
-	// memoryLimitShare is the fraction of the host's memory that is set as the garbage collector's soft
-	// limit.
+	// memoryLimitShare is the fraction of the host's memory that is set as the
+	// garbage collector's soft limit.
 	memoryLimitShare = 0.6
 	// logFlushTimeout is how long a stopping host waits until its remaining log lines are written
 	// to standard output.
--- a/internal/commands/pages_test.go
+++ b/internal/commands/pages_test.go
@@ -11,7 +11,7 @@
 	"pollencroft/internal/settings"
 )
 
-// readManPage returns the text of a manual readManPage without its font markup.
+// readManPage returns the text of a manual page without its font markup.
 func readManPage(t *testing.T, name string) string {
 	t.Helper()
 	b, err := os.ReadFile("../../doc/" + name)
--- a/internal/commands/table.go
+++ b/internal/commands/table.go
@@ -60,8 +60,8 @@
 	})
 }
 
-// nonEmptyPrefix returns the arguments before the first empty one, since the parser leaves arguments
-// that are not on the command line empty.
+// nonEmptyPrefix returns the arguments before the first empty one, because the parser leaves the
+// arguments that are not on the command line empty.
 func nonEmptyPrefix(words []string) []string {
 	for i, w := range words {
 		if w == "" {
@@ -71,7 +71,7 @@
 	return words
 }
 
-// getPage fetches a getPage from the host's operator listener and decodes it into the value that
+// getPage fetches a page from the host's operator listener and decodes it into the value that
 // into points to.
 func (o remote) getPage(path string, into any) error {
 	c, ctx, cancel, err := o.dial()
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -71,12 +71,14 @@
 	return &UnknownDeploymentError{Name: users}
 }
 
+// entry is a running entry host with the clients of its caller and operator listeners.
 type entry struct {
 	name, domain     string
 	host             *host.Host
 	caller, operator *client.Client
 }
 
+// demo is one run of the demo.
 type demo struct {
 	out     io.Writer
 	began   time.Time
