--- a/internal/commands/check.go
+++ b/internal/commands/check.go
@@ -11,7 +11,7 @@
 func init() {
 	var file string
 	register(command{
-		name: "check", about: "check a settings file and print every fault",
+		name: "check", summary: "check a settings file and print every fault",
 		flags: func(s *flaggy.Subcommand) {
 			s.AddPositionalValue(&file, "FILE", 1, true, "settings file")
 		},
--- a/internal/commands/commands.go
+++ b/internal/commands/commands.go
@@ -13,7 +13,7 @@
 const Version = "0.1.0"
 
 type command struct {
-	name, about string
+	name, summary string
 	// flags, if set, adds the command's flags to its parser. run executes the command.
 	flags func(*flaggy.Subcommand)
 	run   func() error
@@ -31,7 +31,7 @@
 	subs := make([]*flaggy.Subcommand, len(all))
 	for i, c := range all {
 		subs[i] = flaggy.NewSubcommand(c.name)
-		subs[i].Description = c.about
+		subs[i].Description = c.summary
 		if c.flags != nil {
 			c.flags(subs[i])
 		}
--- a/internal/commands/drain.go
+++ b/internal/commands/drain.go
@@ -5,7 +5,7 @@
 func init() {
 	var o remote
 	register(command{
-		name: "drain", about: "begin a planned stop of a host",
+		name: "drain", summary: "begin a planned stop of a host",
 		flags: func(s *flaggy.Subcommand) { o.flags(s, defaultOperatorAddress) },
 		run: func() error {
 			c, ctx, cancel, err := o.dial()
--- a/internal/commands/entry.go
+++ b/internal/commands/entry.go
@@ -21,7 +21,7 @@
 func init() {
 	var file string
 	register(command{
-		name: "entry", about: "run one entry host on the users' platform",
+		name: "entry", summary: "run one entry host on the users' platform",
 		flags: func(s *flaggy.Subcommand) {
 			s.String(&file, "s", "settings", "settings file; without it "+settingsVariable+" names it")
 		},
--- a/internal/commands/explain.go
+++ b/internal/commands/explain.go
@@ -14,7 +14,7 @@
 	var id string
 	var logs bool
 	register(command{
-		name: "explain", about: "tell what was decided about a job or request",
+		name: "explain", summary: "tell what was decided about a job or request",
 		flags: func(s *flaggy.Subcommand) {
 			o.flags(s, defaultOperatorAddress)
 			s.Bool(&logs, "l", "logs", "read the hosts' log lines from standard input instead of asking a host")
--- a/internal/commands/job.go
+++ b/internal/commands/job.go
@@ -10,7 +10,7 @@
 	var o remote
 	var verb, id string
 	register(command{
-		name: "job", about: "ask after a job or cancel it: job show|cancel ID",
+		name: "job", summary: "ask after a job or cancel it: job show|cancel ID",
 		flags: func(s *flaggy.Subcommand) {
 			o.flags(s, defaultCallerAddress)
 			s.AddPositionalValue(&verb, "VERB", 1, true, "show or cancel")
--- a/internal/commands/serve.go
+++ b/internal/commands/serve.go
@@ -19,7 +19,7 @@
 func init() {
 	var file string
 	register(command{
-		name: "serve", about: "run one entry host",
+		name: "serve", summary: "run one entry host",
 		flags: func(s *flaggy.Subcommand) { s.String(&file, "s", "settings", "settings file") },
 		run:   func() error { return serve(file) },
 	})
--- a/internal/commands/table.go
+++ b/internal/commands/table.go
@@ -38,8 +38,8 @@
 	var verb string
 	words := make([]string, maxArguments)
 	register(command{
-		name:  "table",
-		about: "show the table; set ROW field=value…, drop ROW, dump FILE, load FILE, log, status, quotas, quota TEAM field=value…",
+		name:    "table",
+		summary: "show the table; set ROW field=value…, drop ROW, dump FILE, load FILE, log, status, quotas, quota TEAM field=value…",
 		flags: func(s *flaggy.Subcommand) {
 			o.flags(s, defaultOperatorAddress)
 			verb = ""
