--- a/internal/commands/commands.go
+++ b/internal/commands/commands.go
@@ -19,17 +19,17 @@
 	run   func() error
 }
 
-var all []command
+var registered []command
 
-func register(c command) { all = append(all, c) }
+func register(c command) { registered = append(registered, c) }
 
 // Run parses and executes one command line and returns the exit status.
 func Run(args []string) int {
 	p := flaggy.NewParser("pollencroft")
 	p.Description = "a cluster scheduler for unlike workloads"
 	p.Version = Version
-	subs := make([]*flaggy.Subcommand, len(all))
-	for i, c := range all {
+	subs := make([]*flaggy.Subcommand, len(registered))
+	for i, c := range registered {
 		subs[i] = flaggy.NewSubcommand(c.name)
 		subs[i].Description = c.summary
 		if c.flags != nil {
@@ -41,7 +41,7 @@
 		fmt.Fprintln(os.Stderr, "pollencroft:", err)
 		return 2
 	}
-	for i, c := range all {
+	for i, c := range registered {
 		if subs[i].Used {
 			return report(c.run())
 		}
--- a/internal/commands/pages_test.go
+++ b/internal/commands/pages_test.go
@@ -23,7 +23,7 @@
 // every flag that --help shows.
 func TestManPageNamesEveryCommandAndFlag(t *testing.T) {
 	text := readManPage(t, "pollencroft.1")
-	for _, c := range all {
+	for _, c := range registered {
 		require.Contains(t, text, "\n.B "+c.name, "command")
 		if c.flags == nil {
 			continue
