--- a/internal/commands/commands.go
+++ b/internal/commands/commands.go
@@ -43,14 +43,14 @@
 	}
 	for i, c := range registered {
 		if subs[i].Used {
-			return report(c.run())
+			return exitStatus(c.run())
 		}
 	}
 	p.ShowHelp()
 	return 2
 }
 
-func report(err error) int {
+func exitStatus(err error) int {
 	if err == nil {
 		return 0
 	}
