--- a/internal/commands/operator.go
+++ b/internal/commands/operator.go
@@ -28,8 +28,8 @@
 
 const commandTimeout = 10 * time.Second
 
-func (o *remote) flags(s *flaggy.Subcommand, usual string) {
-	o.host = usual
+func (o *remote) flags(s *flaggy.Subcommand, defaultHost string) {
+	o.host = defaultHost
 	o.token = os.Getenv("POLLENCROFT_TOKEN")
 	s.String(&o.host, "a", "host", "address of an entry host")
 	s.String(&o.token, "t", "token", "operators' token (or POLLENCROFT_TOKEN)")
