--- a/internal/commands/tableset.go
+++ b/internal/commands/tableset.go
@@ -89,8 +89,8 @@
 	return fmt.Sprintf("%d of %d changed rows lost a race; dump again and repeat them", e.Lost, e.Sent)
 }
 
-// result is the outcome of one changed row.
-type result struct {
+// rowResult is the outcome of one changed row.
+type rowResult struct {
 	Row   string             `json:"row"`
 	State string             `json:"state"`
 	Lost  []sheet.Difference `json:"lost,omitempty"`
@@ -122,7 +122,7 @@
 
 func (o remote) sendAll(changes []sheet.Change) error {
 	lost := 0
-	results := make([]result, 0, len(changes))
+	results := make([]rowResult, 0, len(changes))
 	for _, ch := range changes {
 		res, err := o.sendAndCompare(ch)
 		if err != nil {
@@ -147,21 +147,21 @@
 	return nil
 }
 
-func (o remote) sendAndCompare(ch sheet.Change) (result, error) {
+func (o remote) sendAndCompare(ch sheet.Change) (rowResult, error) {
 	err := o.sendChange(ch, false)
 	var race *client.RaceError
 	switch {
 	case err == nil:
-		return result{Row: ch.Row, State: "accepted"}, nil
+		return rowResult{Row: ch.Row, State: "accepted"}, nil
 	case errors.As(err, &race):
 		diff, err := ch.Compare(race.Row)
-		return result{Row: ch.Row, State: "lost", Lost: diff}, err
+		return rowResult{Row: ch.Row, State: "lost", Lost: diff}, err
 	default:
-		return result{}, errors.Wrapf(err, "row %s", ch.Row)
+		return rowResult{}, errors.Wrapf(err, "row %s", ch.Row)
 	}
 }
 
-func printResult(r result) {
+func printResult(r rowResult) {
 	fmt.Printf("%s: %s\n", r.Row, r.State)
 	for _, d := range r.Lost {
 		fmt.Printf("  %s: yours is %v, in force is %v\n", d.Column, d.Wanted, d.Current)
