--- a/internal/commands/tableset.go
+++ b/internal/commands/tableset.go
@@ -13,7 +13,7 @@
 	"pollencroft/pkg/client"
 )
 
-func firstWord(words []string, what string) (string, error) {
+func firstArgument(words []string, what string) (string, error) {
 	if len(words) == 0 {
 		return "", &cell.ValueError{Field: what, Found: "missing", Allowed: "a name"}
 	}
@@ -23,7 +23,7 @@
 // putPage sends an edit to the host. The first argument is the name of the row or team, which is
 // appended to page, and the others are its fields. what names the first argument in errors.
 func (o remote) putPage(page, what string, words []string) error {
-	name, err := firstWord(words, what)
+	name, err := firstArgument(words, what)
 	if err != nil {
 		return err
 	}
@@ -51,7 +51,7 @@
 func setQuota(o remote, words []string) error { return o.putPage("/quotas/", "team", words) }
 
 func dropRow(o remote, words []string) error {
-	name, err := firstWord(words, "row")
+	name, err := firstArgument(words, "row")
 	if err != nil {
 		return err
 	}
@@ -67,7 +67,7 @@
 // that starts the operator's editor, because a process of this program must not start other
 // processes. The operator runs the editor between the two commands.
 func dumpTable(o remote, words []string) error {
-	file, err := firstWord(words, "file")
+	file, err := firstArgument(words, "file")
 	if err != nil {
 		return err
 	}
@@ -98,7 +98,7 @@
 
 // loadTable sends the rows that were changed in a file written by dumpTable.
 func loadTable(o remote, words []string) error {
-	file, err := firstWord(words, "file")
+	file, err := firstArgument(words, "file")
 	if err != nil {
 		return err
 	}
