--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -80,12 +80,12 @@
 
 // demo is one run of the demo.
 type demo struct {
-	out     io.Writer
-	began   time.Time
-	cell    *standin.Cell
-	entries []*entry
-	names   audit.RowNames
-	tally   *audit.Tally
+	out       io.Writer
+	startedAt time.Time
+	cell      *standin.Cell
+	entries   []*entry
+	names     audit.RowNames
+	tally     *audit.Tally
 }
 
 func run(out io.Writer, u standin.Users) error {
@@ -95,7 +95,7 @@
 		return err
 	}
 	defer c.Close()
-	s := &demo{out: out, began: time.Now(), cell: c, names: audit.RowNamesOf(u), tally: audit.NewTally()}
+	s := &demo{out: out, startedAt: time.Now(), cell: c, names: audit.RowNamesOf(u), tally: audit.NewTally()}
 	if err := s.startAllHosts(); err != nil {
 		return err
 	}
@@ -114,7 +114,7 @@
 }
 
 func (s *demo) logf(format string, args ...any) {
-	_, _ = fmt.Fprintf(s.out, "%5.1fs  %s\n", time.Since(s.began).Seconds(), fmt.Sprintf(format, args...))
+	_, _ = fmt.Fprintf(s.out, "%5.1fs  %s\n", time.Since(s.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
 
 // waitForWorkers waits until every worker is led by a host. Hosts that start together delay
@@ -310,14 +310,14 @@
 	for _, e := range s.entries {
 		sum += e.host.ControlBytes()
 	}
-	return float64(sum) / time.Since(s.began).Seconds() / float64(len(s.entries))
+	return float64(sum) / time.Since(s.startedAt).Seconds() / float64(len(s.entries))
 }
 
 // cpuPacking returns the average fraction of the workers' processor time that tasks occupied.
 func (s *demo) cpuPacking() float64 {
 	sum := 0.0
 	for _, w := range s.cell.Workers {
-		sum += w.Packed(s.began)
+		sum += w.Packed(s.startedAt)
 	}
 	return sum / float64(len(s.cell.Workers))
 }
