--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -235,7 +235,7 @@
 	defer cancel()
 	var g errgroup.Group
 	play := audit.Load{
-		Names: s.names, Domains: s.cell.Users.Domains, Pick: s.pick, Tally: s.tally,
+		Names: s.names, Domains: s.cell.Users.Domains, Pick: s.pickClient, Tally: s.tally,
 		Urgent: urgentCallers, Flood: floodCallers, Batch: batchCallers,
 	}
 	g.Go(func() error { play.Run(ctx); return nil })
@@ -244,9 +244,9 @@
 	_ = g.Wait()
 }
 
-// pick returns the client of a random ready host in the domain, as the platform's load balancer
+// pickClient returns the client of a random ready host in the domain, as the platform's load balancer
 // would. If no host of the domain is ready, it returns the client of the first host.
-func (s *demo) pick(r *rand.Rand, domain string) *client.Client {
+func (s *demo) pickClient(r *rand.Rand, domain string) *client.Client {
 	var in []*entry
 	for _, e := range s.entries {
 		if e.domain == domain && e.host.Ready() {
