--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -100,7 +100,7 @@
 		return err
 	}
 	defer s.killAll()
-	if err := s.setTable(); err != nil {
+	if err := s.writeTable(); err != nil {
 		return err
 	}
 	s.logf("waiting until the hosts vouch for fresh keys")
@@ -207,7 +207,7 @@
 	}
 }
 
-func (s *demo) setTable() error {
+func (s *demo) writeTable() error {
 	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
 	for row, fields := range s.names.Rows() {
