--- a/internal/flow/record.go
+++ b/internal/flow/record.go
@@ -14,12 +14,12 @@
 // done, where a run may exist, and the latest checkpoints.
 type record struct {
 	Version
-	State  State         `json:"s"`
-	Began  int64         `json:"b"`
-	Number int64         `json:"n"`
-	Next   int           `json:"x,omitempty"`
-	Rounds []roundRecord `json:"r,omitempty"`
-	Ended  int64         `json:"e,omitempty"`
+	State     State         `json:"s"`
+	Accepted  int64         `json:"b"`
+	Number    int64         `json:"n"`
+	NextRound int           `json:"x,omitempty"`
+	Rounds    []roundRecord `json:"r,omitempty"`
+	Ended     int64         `json:"e,omitempty"`
 	// MayHaveCopies marks an ended job of which copies of tasks may still run. The job's spec
 	// is then still needed, because it says how much capacity they use.
 	MayHaveCopies bool `json:"k,omitempty"`
@@ -56,12 +56,12 @@
 
 // taskRecord is the stored state of one task. Tasks that never ran are not stored.
 type taskRecord struct {
-	Index  int    `json:"i"`
-	Done   bool   `json:"d,omitempty"`
-	Run    int    `json:"r,omitempty"`
-	Worker string `json:"w,omitempty"`
-	Fails  int    `json:"f,omitempty"`
-	Saved  string `json:"c,omitempty"`
+	Index      int    `json:"i"`
+	Done       bool   `json:"d,omitempty"`
+	Run        int    `json:"r,omitempty"`
+	Worker     string `json:"w,omitempty"`
+	Failures   int    `json:"f,omitempty"`
+	Checkpoint string `json:"c,omitempty"`
 	// Crashed and Lost list the worker incarnations that ended, or may have ended, while they
 	// ran the task.
 	Crashed []string `json:"x,omitempty"`
@@ -83,7 +83,7 @@
 
 // Record encodes the job's progress.
 func (j *Job) Record(v Version) []byte {
-	rec := record{Version: v, State: j.State, Began: j.Accepted.UnixMilli(), Number: j.Number, Next: j.NextRound}
+	rec := record{Version: v, State: j.State, Accepted: j.Accepted.UnixMilli(), Number: j.Number, NextRound: j.NextRound}
 	if j.State.Final() {
 		rec.Ended = j.Ended.UnixMilli()
 		rec.MayHaveCopies = slices.ContainsFunc(j.Spec.Steps, func(s Step) bool { return s.AllowCopies })
@@ -115,9 +115,9 @@
 		if t.Run == 0 && t.State != Done {
 			continue
 		}
-		tr := taskRecord{Index: i, Done: t.State == Done, Run: t.Run, Fails: t.Failures}
+		tr := taskRecord{Index: i, Done: t.State == Done, Run: t.Run, Failures: t.Failures}
 		if t.State != Done {
-			tr.Saved, tr.Crashed, tr.Lost = t.Checkpoint, t.Crashed, t.Lost
+			tr.Checkpoint, tr.Crashed, tr.Lost = t.Checkpoint, t.Crashed, t.Lost
 		}
 		if t.MayBeRunning() {
 			tr.Worker = t.Worker
@@ -135,8 +135,8 @@
 	if json.Unmarshal(b, &rec) != nil || !rec.State.Final() || rec.MayHaveCopies || len(rec.Rounds) > 0 {
 		return nil, false
 	}
-	j := New(Spec{ID: id}, rec.Number, time.UnixMilli(rec.Began))
-	j.NextRound, j.State, j.Published, j.Ended = rec.Next, rec.State, rec.State, time.UnixMilli(rec.Ended)
+	j := New(Spec{ID: id}, rec.Number, time.UnixMilli(rec.Accepted))
+	j.NextRound, j.State, j.Published, j.Ended = rec.NextRound, rec.State, rec.State, time.UnixMilli(rec.Ended)
 	return j, true
 }
 
@@ -160,8 +160,8 @@
 	if err := json.Unmarshal(b, &rec); err != nil {
 		return nil, &RecordError{Key: spec.ID, Cause: errors.Wrap(err, "decode")}
 	}
-	j := New(spec, rec.Number, time.UnixMilli(rec.Began))
-	j.NextRound = rec.Next
+	j := New(spec, rec.Number, time.UnixMilli(rec.Accepted))
+	j.NextRound = rec.NextRound
 	for _, rr := range rec.Rounds {
 		j.openRound(rr.Index, now).restore(rr, now)
 	}
@@ -186,7 +186,7 @@
 }
 
 func (t *Task) restore(tr taskRecord, now time.Time) {
-	t.Run, t.Failures, t.Checkpoint = tr.Run, tr.Fails, tr.Saved
+	t.Run, t.Failures, t.Checkpoint = tr.Run, tr.Failures, tr.Checkpoint
 	t.Crashed, t.Lost = tr.Crashed, tr.Lost
 	t.Step.updateSuspicions()
 	switch {
--- a/internal/host/edit.go
+++ b/internal/host/edit.go
@@ -11,52 +11,52 @@
 	"pollencroft/internal/table"
 )
 
-// Times of an operator's edit.
+// Time limits for an operator's edit.
 const (
-	editWait   = 5 * time.Second
-	appendWait = 2 * time.Second
+	verdictTimeout = 5 * time.Second
+	appendTimeout  = 2 * time.Second
 )
 
-// book gives operators the table of this host.
-type book struct{ h *Host }
+// operatorTable gives operators access to this host's table.
+type operatorTable struct{ h *Host }
 
 // Lines lists the rows in force.
-func (b book) Lines() []table.Line {
+func (b operatorTable) Lines() []table.Line {
 	b.h.mu.Lock()
 	defer b.h.mu.Unlock()
 	return b.h.table.Lines()
 }
 
-// Teams lists the quotas in force.
-func (b book) Teams() []table.Quota {
+// Quotas lists the quotas in force.
+func (b operatorTable) Quotas() []table.Quota {
 	b.h.mu.Lock()
 	defer b.h.mu.Unlock()
 	return b.h.table.Teams()
 }
 
-// Past lists the newest edits with their verdicts.
-func (b book) Past() []table.HistoryEntry {
+// History lists the latest edits with their verdicts.
+func (b operatorTable) History() []table.HistoryEntry {
 	b.h.mu.Lock()
 	defer b.h.mu.Unlock()
 	return b.h.table.History()
 }
 
-// Verdict returns what became of an edit, false if it was not seen here.
-func (b book) Verdict(id string) (table.Verdict, bool) {
+// Verdict returns the verdict on an edit, or false if this host has not read the edit.
+func (b operatorTable) Verdict(id string) (table.Verdict, bool) {
 	b.h.mu.Lock()
 	defer b.h.mu.Unlock()
 	return b.h.table.Verdict(id)
 }
 
-// Preview tells what would make an edit void whatever its base.
-func (b book) Preview(e table.Edit) error {
+// Preview returns the reason why an edit would be void regardless of its base version.
+func (b operatorTable) Preview(e table.Edit) error {
 	b.h.mu.Lock()
 	defer b.h.mu.Unlock()
 	return b.h.table.Preview(e)
 }
 
 // Edit writes an edit and waits for its verdict.
-func (b book) Edit(ctx context.Context, e table.Edit) (table.Verdict, error) {
+func (b operatorTable) Edit(ctx context.Context, e table.Edit) (table.Verdict, error) {
 	e.When = b.h.clock().UnixMilli()
 	body, err := table.Encode(e)
 	if err != nil {
@@ -65,8 +65,8 @@
 	return b.h.publish(ctx, e.ID, body)
 }
 
-// EditQuota writes a quota's edit and waits for its verdict.
-func (b book) EditQuota(ctx context.Context, e table.QuotaEdit) (table.Verdict, error) {
+// EditQuota writes an edit of a quota and waits for its verdict.
+func (b operatorTable) EditQuota(ctx context.Context, e table.QuotaEdit) (table.Verdict, error) {
 	e.When = b.h.clock().UnixMilli()
 	body, err := table.Encode(e)
 	if err != nil {
@@ -75,8 +75,8 @@
 	return b.h.publish(ctx, e.ID, body)
 }
 
-// Settle writes that a failure domain has settled, on an operator's word.
-func (b book) Settle(ctx context.Context, s table.ShareConfirmation) error {
+// ConfirmShare writes that a failure domain has settled, as stated by an operator.
+func (b operatorTable) ConfirmShare(ctx context.Context, s table.ShareConfirmation) error {
 	body, err := table.Encode(s)
 	if err != nil {
 		return err
@@ -85,33 +85,32 @@
 	return err
 }
 
-// publish appends a record and waits until this host has read it back. Its
-// answer may be lost after the write: what counts is the record's own verdict,
-// never the log's answer.
+// publish appends a record and waits until this host has read it back. The log's answer may be
+// lost after the write, so the verdict on the record decides, never the log's answer.
 func (h *Host) publish(ctx context.Context, id string, body []byte) (table.Verdict, error) {
-	actx, cancel := context.WithTimeout(ctx, appendWait)
+	actx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	_, err := h.platform.Append(actx, table.Stream, body)
-	var not *platform.NotWrittenError
-	if errors.As(err, &not) {
+	var notWritten *platform.NotWrittenError
+	if errors.As(err, &notWritten) {
 		return table.Verdict{}, err
 	}
-	return h.verdict(ctx, id)
+	return h.awaitVerdict(ctx, id)
 }
 
-func (h *Host) verdict(ctx context.Context, id string) (table.Verdict, error) {
-	ctx, cancel := context.WithTimeout(ctx, editWait)
+func (h *Host) awaitVerdict(ctx context.Context, id string) (table.Verdict, error) {
+	ctx, cancel := context.WithTimeout(ctx, verdictTimeout)
 	defer cancel()
 	for {
 		h.mu.Lock()
 		j, ok := h.table.Verdict(id)
-		grown := h.grown
+		changed := h.tableChanged
 		h.mu.Unlock()
 		if ok {
 			return j, nil
 		}
 		select {
-		case <-grown:
+		case <-changed:
 		case <-ctx.Done():
 			return j, &operator.UnsureError{ID: id}
 		}
--- a/internal/host/follow_test.go
+++ b/internal/host/follow_test.go
@@ -27,28 +27,29 @@
 )
 
 const (
-	// inForce is the promise to operators: how long after its acceptance an edit is in force on
-	// every host, and inTouch how long after the last trouble on its ways a host keeps it again.
-	inForce = 2 * time.Second
-	inTouch = 3 * time.Second
-	// beatsEvery is how often hosts tell each other how far they have read.
-	beatsEvery = 500 * time.Millisecond
+	// editDeadline is the guarantee to operators: an accepted edit is in force on every host
+	// within this time. recoveryTime is how long after the last failure of its route to the log
+	// a host meets it again.
+	editDeadline = 2 * time.Second
+	recoveryTime = 3 * time.Second
+	// heartbeatInterval is how often hosts tell each other how far they have read.
+	heartbeatInterval = 500 * time.Millisecond
 )
 
-// silence is when a host's way to the log answers nothing; what is under way at either end of
-// it is never answered.
-type silence struct{ from, to time.Duration }
+// silence is a period in which a host's route to the log does not answer. A request that is in
+// progress at its start or its end is never answered.
+type silence struct{ start, end time.Duration }
 
-// logInMemory is the table's log: one edit from the start and another later.
-type logInMemory struct {
-	began time.Time
-	// edited is when the later edit is written.
-	edited time.Duration
+// memoryLog is the table's log, with one edit from the start and another one later.
+type memoryLog struct {
+	startedAt time.Time
+	// editAt is when the later edit is written.
+	editAt time.Duration
 	edits  [][]byte
 }
 
-func newLogInMemory(t *testing.T, edited time.Duration) *logInMemory {
-	l := &logInMemory{began: time.Now(), edited: edited}
+func newMemoryLog(t *testing.T, edited time.Duration) *memoryLog {
+	l := &memoryLog{startedAt: time.Now(), editAt: edited}
 	for n := range 2 {
 		body, err := table.Encode(table.Edit{ID: fmt.Sprint(n), Row: "scan", Base: int64(n), Fields: fmt.Appendf(nil, `{"weight":%d}`, n+1)})
 		require.NoError(t, err)
@@ -57,27 +58,27 @@
 	return l
 }
 
-// written is how many edits there are now.
-func (l *logInMemory) written() int64 {
-	if time.Since(l.began) < l.edited {
+// editCount returns the number of edits that are written by now.
+func (l *memoryLog) editCount() int64 {
+	if time.Since(l.startedAt) < l.editAt {
 		return 1
 	}
 	return 2
 }
 
-// way is one host's way to the log.
-type way struct {
-	log *logInMemory
-	// silences are when it answers nothing, took is how long an answer takes.
+// logRoute is one host's route to the log.
+type logRoute struct {
+	log *memoryLog
+	// silences are the periods without answers, latency is how long an answer takes.
 	silences []silence
-	took     time.Duration
+	latency  time.Duration
 }
 
-// isSilent tells whether a call that was sent at some moment is answered now.
-func (w way) isSilent(sent time.Duration) bool {
-	now := time.Since(w.log.began)
+// isSilent reports whether a request that was sent at a given time stays without an answer now.
+func (w logRoute) isSilent(sent time.Duration) bool {
+	now := time.Since(w.log.startedAt)
 	for _, s := range w.silences {
-		if sent < s.to && now >= s.from {
+		if sent < s.end && now >= s.start {
 			return true
 		}
 	}
@@ -85,8 +86,8 @@
 }
 
 // RoundTrip answers a read of the log.
-func (w way) RoundTrip(r *http.Request) (*http.Response, error) {
-	sent := time.Since(w.log.began)
+func (w logRoute) RoundTrip(r *http.Request) (*http.Response, error) {
+	sent := time.Since(w.log.startedAt)
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
 		return nil, err
@@ -96,15 +97,15 @@
 		return nil, err
 	}
 	until := time.Now().Add(wait)
-	for w.log.written() < from && time.Now().Before(until) && r.Context().Err() == nil {
+	for w.log.editCount() < from && time.Now().Before(until) && r.Context().Err() == nil {
 		pause(r, 10*time.Millisecond)
 	}
-	pause(r, w.took)
+	pause(r, w.latency)
 	if w.isSilent(sent) || r.Context().Err() != nil {
 		<-r.Context().Done()
 		return nil, r.Context().Err()
 	}
-	p := platform.Page{Oldest: 1, Next: w.log.written() + 1}
+	p := platform.Page{Oldest: 1, Next: w.log.editCount() + 1}
 	for n := from; n < p.Next; n++ {
 		p.Entries = append(p.Entries, platform.Entry{Offset: n, Body: w.log.edits[n-1]})
 	}
@@ -119,16 +120,16 @@
 	}
 }
 
-// readers are hosts that follow the table in virtual time, each on its own way.
-type readers struct {
+// tableReaders are hosts that follow the table in virtual time, each over its own route.
+type tableReaders struct {
 	net   standin.Pipes
 	hosts []*host.Host
-	// cut are peers that every host knows and that answer nobody any more.
-	cut []string
+	// unreachable contains peers that every host knows and that no longer answer.
+	unreachable []string
 }
 
-func newReaders(cut []string, ways ...way) *readers {
-	c := &readers{cut: cut}
+func newTableReaders(cut []string, ways ...logRoute) *tableReaders {
+	c := &tableReaders{unreachable: cut}
 	addr := func(i int) netip.AddrPort { return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 1) }
 	names := slices.Clone(cut)
 	for i := range ways {
@@ -139,43 +140,43 @@
 	}
 	for i, w := range ways {
 		i += len(cut)
-		cfg := settings.Settings{Name: names[i], Domain: "nord", Limits: settings.Limits{Body: 1 << 20, Queue: 64, Deadline: time.Minute, DrainTimeout: limit}}
+		cfg := settings.Settings{Name: names[i], Domain: "nord", Limits: settings.Limits{Body: 1 << 20, Queue: 64, Deadline: time.Minute, DrainTimeout: testTimeout}}
 		for j, name := range names {
 			if i != j {
 				cfg.Peers = append(cfg.Peers, settings.Peer{Name: name, Domain: "nord", Address: addr(j)})
 			}
 		}
 		h := host.New(cfg, slog.New(slog.DiscardHandler), time.Now)
-		h.Meet(c.net.Listen(addr(i)), c.net.Dial)
+		h.ConnectPeers(c.net.Listen(addr(i)), c.net.Dial)
 		h.FollowTable(w)
 		c.hosts = append(c.hosts, h)
 	}
 	return c
 }
 
-// run lets d pass, with heartbeats.
-func (c *readers) run(d time.Duration) {
-	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(min(beatsEvery, time.Until(end))) {
+// run lets d pass and exchanges heartbeats.
+func (c *tableReaders) run(d time.Duration) {
+	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(min(heartbeatInterval, time.Until(end))) {
 		for i, to := range c.hosts {
 			for j, from := range c.hosts {
 				if i != j {
-					to.Hear(from.Beat())
+					to.HandleHeartbeat(from.Heartbeat())
 				}
 			}
 		}
 	}
 }
 
-// tellLast has all hosts hear the last heartbeats of those that are cut off since.
-func (c *readers) tellLast() {
+// sendLastHeartbeats makes all hosts receive the last heartbeats of the unreachable peers.
+func (c *tableReaders) sendLastHeartbeats() {
 	for _, h := range c.hosts {
-		for _, name := range c.cut {
-			h.Hear(member.Heartbeat{Name: name, Next: 10, Ack: true})
+		for _, name := range c.unreachable {
+			h.HandleHeartbeat(member.Heartbeat{Name: name, Next: 10, Ack: true})
 		}
 	}
 }
 
-func (c *readers) stop() {
+func (c *tableReaders) stop() {
 	for _, h := range c.hosts {
 		h.Kill()
 	}
@@ -186,20 +187,18 @@
 	return r.Weight
 }
 
-// inVirtualTime runs f with a clock of its own.
+// inVirtualTime runs f with a virtual clock.
 func inVirtualTime(t *testing.T, f func(t *testing.T)) {
-	// The metrics library's own clock has to run outside: it never rests.
+	// The clock of the metrics library must run outside the bubble, since it never blocks.
 	metrics.NewMeter().Stop()
 	synctest.Test(t, f)
 }
 
-// Operators change a limit and are told that it is accepted; for half a minute callers at some
-// hosts are still held to the old one. The way to the log was silent for a while before that.
-//
-// A read was waited for to the end of its limit, which doubled with each one that had no answer:
-// the last one sent into a silence had about as long as that had lasted. Peers were asked only
-// between two reads. All tests here failed for that, and none does since reads are made again
-// beside the first.
+// Guards against an accepted edit that some hosts apply half a minute late because their route
+// to the log was silent before. The fault came about like this: each read was waited for until
+// its time limit, and that limit doubled after every read without an answer, so that the last
+// read of a silence took about as long as the silence. Peers were asked only between two reads.
+// All tests of this file failed until reads were repeated in parallel with the first one.
 func TestAnEditIsInForceInTimeAfterASilence(t *testing.T) {
 	for _, away := range []time.Duration{2 * time.Second, 5 * time.Second, 20 * time.Second, 50 * time.Second} {
 		t.Run(away.String(), func(t *testing.T) {
@@ -207,10 +206,10 @@
 				inVirtualTime(t, func(t *testing.T) {
 					const from = 5 * time.Second
 					back := from + away
-					w := way{log: newLogInMemory(t, back+after), silences: []silence{{from, back}}, took: 5 * time.Millisecond}
-					c := newReaders(nil, w)
+					w := logRoute{log: newMemoryLog(t, back+after), silences: []silence{{from, back}}, latency: 5 * time.Millisecond}
+					c := newTableReaders(nil, w)
 					defer c.stop()
-					c.run(max(back+inTouch, back+after+inForce))
+					c.run(max(back+recoveryTime, back+after+editDeadline))
 					require.Equal(t, int64(2), weightOf(c.hosts[0]), "edited %v after the silence", after)
 				})
 			}
@@ -218,26 +217,26 @@
 	}
 }
 
-// The log is silent for one host only, for minutes, and its peers read on. An edit is in force
-// there as well, though the peers that have read furthest are cut off.
+// The log is silent for one host only, for minutes, while its peers go on reading. An edit must
+// be in force there in time as well, even if the peers that had read furthest are unreachable.
 func TestAnEditIsInForceInTimeThroughPeers(t *testing.T) {
 	for after := time.Duration(0); after < 30*time.Second; after += 1700 * time.Millisecond {
 		inVirtualTime(t, func(t *testing.T) {
 			const from = 5 * time.Second
-			log := newLogInMemory(t, from+after)
-			served := way{log: log, took: 5 * time.Millisecond}
-			c := newReaders([]string{"nord-x", "nord-y", "nord-z"}, way{log: log, silences: []silence{{from, time.Hour}}, took: served.took}, served, served)
+			log := newMemoryLog(t, from+after)
+			served := logRoute{log: log, latency: 5 * time.Millisecond}
+			c := newTableReaders([]string{"nord-x", "nord-y", "nord-z"}, logRoute{log: log, silences: []silence{{from, time.Hour}}, latency: served.latency}, served, served)
 			defer c.stop()
 			c.run(from)
-			c.tellLast()
-			c.run(max(after+inForce, inTouch))
+			c.sendLastHeartbeats()
+			c.run(max(after+editDeadline, recoveryTime))
 			require.Equal(t, int64(2), weightOf(c.hosts[0]), "edited %v after the silence began", after)
 		})
 	}
 }
 
-// Silences come at drawn moments and last for drawn times, the log is more or less slow. Whatever
-// they are, an edit is in force in time after the last of them.
+// Silences of random length come at random times, and the log has a random latency. An edit must
+// always be in force in time after the last silence.
 func TestAnEditIsInForceInTimeWhateverWasSilent(t *testing.T) {
 	for seed := range uint64(200) {
 		inVirtualTime(t, func(t *testing.T) {
@@ -246,15 +245,15 @@
 			var all []silence
 			end := time.Second
 			for range 1 + rng.IntN(3) {
-				s := silence{from: end + within(8*time.Second)}
-				s.to = s.from + within(40*time.Second)
-				end = s.to
+				s := silence{start: end + within(8*time.Second)}
+				s.end = s.start + within(40*time.Second)
+				end = s.end
 				all = append(all, s)
 			}
 			edited := end - time.Second + within(6*time.Second)
-			c := newReaders(nil, way{log: newLogInMemory(t, edited), silences: all, took: within(200 * time.Millisecond)})
+			c := newTableReaders(nil, logRoute{log: newMemoryLog(t, edited), silences: all, latency: within(200 * time.Millisecond)})
 			defer c.stop()
-			c.run(max(end+inTouch, edited+inForce))
+			c.run(max(end+recoveryTime, edited+editDeadline))
 			require.Equal(t, int64(2), weightOf(c.hosts[0]), "seed %d: %v, edited at %v", seed, all, edited)
 		})
 	}
--- a/internal/host/handover.go
+++ b/internal/host/handover.go
@@ -14,65 +14,64 @@
 	"pollencroft/internal/trail"
 )
 
-// handWait bounds one hand-over.
-const handWait = time.Second
+// handoverTimeout limits one handover.
+const handoverTimeout = time.Second
 
-// handed is a job on its way to another lead. It is not led here meanwhile:
-// the other may have it already.
-type handed struct {
-	carry job.Snapshot
-	to    string
-	// epoch is the one in which the job was led here.
+// outgoingJob is a job that is being handed over to another leader. This host does not lead it
+// meanwhile, since the other host may have it already.
+type outgoingJob struct {
+	snapshot job.Snapshot
+	target   string
+	// epoch is the leader's epoch in which this host led the job.
 	epoch int64
-	// unsure tells that it was sent and has no answer.
-	unsure bool
+	// unconfirmed reports whether the job was sent and no answer came.
+	unconfirmed bool
 }
 
-// handOver gives jobs whose rack has another live lead to that host, with all
-// that is known of them, so that it need not wait for any lease.
-func (h *Host) handOver() {
-	h.collect()
-	h.sendHanded()
+// handOverJobs sends jobs whose rack has a new live leader to that host, with all their state,
+// so that it need not wait for any lease.
+func (h *Host) handOverJobs() {
+	h.collectOutgoing()
+	h.sendOutgoing()
 }
 
-// collect stops leading the jobs that another live host should lead. It comes
-// before the workers are given up: a host that loses its last worker has to
-// take it that others took it for dead, and knows nothing of its jobs any more.
+// collectOutgoing stops leading the jobs that another live host should lead. It must run before
+// the workers are released: a host that loses its last worker has to assume that others took it
+// for dead, and discards what it knows about its jobs.
 //
-// One collects at a time: a planned stop that found the jobs already taken off
-// the lead, but not yet noted as handed, would end the host under them.
-func (h *Host) collect() {
-	h.jobs.collecting.Lock()
-	defer h.jobs.collecting.Unlock()
+// Only one call runs at a time. Otherwise a planned stop could find the jobs already removed
+// from the leader but not yet recorded as outgoing, and end the host without handing them over.
+func (h *Host) collectOutgoing() {
+	h.jobs.collectMu.Lock()
+	defer h.jobs.collectMu.Unlock()
 	to := map[string][]string{}
-	for _, s := range h.lead.OpenJobs() {
-		if name := h.nextLead(s.ID); name != "" && name != h.cfg.Name {
+	for _, s := range h.leader.OpenJobs() {
+		if name := h.nextLeader(s.ID); name != "" && name != h.cfg.Name {
 			to[name] = append(to[name], s.ID)
 		}
 	}
 	for name, ids := range to {
-		h.takeOff(name, ids)
+		h.stopLeading(name, ids)
 	}
 }
 
-// takeOff stops leading some jobs and notes where they go.
-func (h *Host) takeOff(to string, ids []string) {
-	h.jobs.transfer.Lock()
-	defer h.jobs.transfer.Unlock()
-	carries, epoch := h.lead.HandOver(ids)
+// stopLeading stops leading some jobs and records them as outgoing.
+func (h *Host) stopLeading(to string, ids []string) {
+	h.jobs.transferMu.Lock()
+	defer h.jobs.transferMu.Unlock()
+	snapshots, epoch := h.leader.HandOver(ids)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, c := range carries {
-		h.jobs.handing[c.Spec.ID] = &handed{carry: c, to: to, epoch: epoch}
+	for _, c := range snapshots {
+		h.jobs.outgoing[c.Spec.ID] = &outgoingJob{snapshot: c, target: to, epoch: epoch}
 	}
 }
 
-// nextLead is the host that a job goes to. A host that stops before it has heard
-// of any peer, as right after its start, offers its jobs to one that the settings
-// name: with it would go all that is known of them, and they would have to wait
-// for a census.
-func (h *Host) nextLead(id string) string {
-	name := h.leadOf(id)
+// nextLeader returns the host that a job should go to. A host that stops before it has heard
+// from any peer, for instance right after its start, offers its jobs to a peer that the settings
+// name. Otherwise their state would be lost, and they would have to wait for an inventory.
+func (h *Host) nextLeader(id string) string {
+	name := h.leaderOf(id)
 	if h.Ready() || name != "" && name != h.cfg.Name {
 		return name
 	}
@@ -81,64 +80,65 @@
 	return first
 }
 
-// sendHanded offers jobs to their next leads. One sends at a time: of two hand-overs from one
-// host to another only the later counts.
-func (h *Host) sendHanded() {
-	h.jobs.sending.Lock()
-	defer h.jobs.sending.Unlock()
-	h.dropLapsed()
-	to := map[string][]*handed{}
+// sendOutgoing offers jobs to their next leaders. Only one call runs at a time: of two handovers
+// from one host to another only the later one counts.
+func (h *Host) sendOutgoing() {
+	h.jobs.sendMu.Lock()
+	defer h.jobs.sendMu.Unlock()
+	h.dropStaleOutgoing()
+	to := map[string][]*outgoingJob{}
 	h.mu.Lock()
-	for _, one := range h.jobs.handing {
-		to[one.to] = append(to[one.to], one)
+	for _, one := range h.jobs.outgoing {
+		to[one.target] = append(to[one.target], one)
 	}
 	h.mu.Unlock()
 	for name, all := range to {
-		h.sendTo(name, all)
+		h.sendOutgoingTo(name, all)
 	}
-	if !h.Ready() && len(to) > 0 && h.handing() == 0 {
-		h.share()
+	if !h.Ready() && len(to) > 0 && h.outgoingCount() == 0 {
+		h.updateShares()
 	}
 }
 
-// dropLapsed forgets jobs that were handed over before this host lost all its workers. Another
-// may have completed a census for them since.
-func (h *Host) dropLapsed() {
-	epoch := h.lead.Epoch()
+// dropStaleOutgoing forgets outgoing jobs from before this host lost all its workers. Another
+// host may have completed an inventory for them since.
+func (h *Host) dropStaleOutgoing() {
+	epoch := h.leader.Epoch()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for id, one := range h.jobs.handing {
+	for id, one := range h.jobs.outgoing {
 		if one.epoch != epoch {
-			h.log.Warn("host: job waits for a census.", "id", id, "epoch", epoch, "handed", one.epoch)
-			delete(h.jobs.handing, id)
+			h.log.Warn("host: job waits for an inventory.", "id", id, "epoch", epoch, "handed", one.epoch)
+			delete(h.jobs.outgoing, id)
 		}
 	}
 }
 
-// sendTo sends jobs to their next lead until it confirms. With its answer lost it may lead them
-// already, so they stay put and are sent again: it passes over what it has.
-func (h *Host) sendTo(name string, all []*handed) {
-	err := h.push(name, all)
+// sendOutgoingTo sends jobs to their next leader until it confirms them. If its answer is lost
+// it may lead them already, so they remain outgoing and are sent again; the receiver ignores
+// jobs that it has.
+func (h *Host) sendOutgoingTo(name string, all []*outgoingJob) {
+	err := h.transferJobs(name, all)
 	var refused *peer.RefusedError
 	var unreached *peer.UnreachableError
-	no := errors.As(err, &refused) || errors.As(err, &unreached)
+	rejected := errors.As(err, &refused) || errors.As(err, &unreached)
 	switch {
 	case err == nil:
-		h.clearHanded(all)
+		h.removeOutgoing(all)
 	case errors.As(err, new(*lead.StaleHandoverError)):
-		h.log.Info("host: hand-over was overtaken, it is sent again.", "to", name, "jobs", len(all))
-	case no && h.Ready(), !h.isLive(name):
+		h.log.Info("host: a newer handover replaced this one, sending it again.", "to", name, "jobs", len(all))
+	case rejected && h.Ready(), !h.isLive(name):
 		h.log.Warn("host: jobs not handed over.", "to", name, "jobs", len(all), "err", err)
-		h.giveUp(all)
+		h.abortHandover(all)
 	default:
-		// The next lead may hold no worker before this host has given up its own.
-		h.log.Info("host: jobs wait for their next lead.", "to", name, "jobs", len(all), "err", err)
+		// The next leader may not hold a worker before this host has released its own.
+		h.log.Info("host: jobs wait for their next leader.", "to", name, "jobs", len(all), "err", err)
 	}
 }
 
-// push hands jobs over to a peer that has just said that it expects them.
-func (h *Host) push(name string, all []*handed) error {
-	ctx, cancel := context.WithTimeout(h.ctx, handWait)
+// transferJobs hands jobs over to a peer after the peer has confirmed that it expects them.
+func (h *Host) transferJobs(name string, all []*outgoingJob) error {
+	ctx, cancel := context.WithTimeout(h.ctx, handoverTimeout)
 	defer cancel()
 	var expected peer.TokenReply
 	if err := h.peers.Ask(ctx, name, peer.AskToken{From: h.cfg.Name}, &expected); err != nil {
@@ -146,14 +146,14 @@
 	}
 	m := peer.Handover{From: h.cfg.Name, Token: expected.Token}
 	for _, one := range all {
-		m.Jobs = append(m.Jobs, one.carry)
+		m.Jobs = append(m.Jobs, one.snapshot)
 	}
-	m.Notes = h.notesOf(m.Jobs)
+	m.Notes = h.handoverNotes(m.Jobs)
 	var reply peer.HandoverReply
 	err := h.peers.Ask(ctx, name, m, &reply)
 	if errors.As(err, new(*peer.NoAnswerError)) {
 		for _, one := range all {
-			one.unsure = true
+			one.unconfirmed = true
 		}
 	}
 	if err == nil && reply.Stale {
@@ -162,70 +162,70 @@
 	return err
 }
 
-// giveUp ends the hand-over of jobs whose next lead does not take them. This host leads them
-// again, or offers them to another when it leaves; those that the next lead may have taken all
-// the same need a census.
-func (h *Host) giveUp(all []*handed) {
-	h.jobs.transfer.Lock()
-	defer h.jobs.transfer.Unlock()
+// abortHandover ends the handover of jobs that the next leader does not accept. This host leads
+// them again, or offers them to another host if it is leaving. Jobs that the next leader may
+// have accepted nevertheless need an inventory.
+func (h *Host) abortHandover(all []*outgoingJob) {
+	h.jobs.transferMu.Lock()
+	defer h.jobs.transferMu.Unlock()
 	for _, one := range all {
-		id := one.carry.Spec.ID
+		id := one.snapshot.Spec.ID
 		switch {
-		case one.unsure:
-			h.log.Warn("host: job waits for a census.", "id", id, "to", one.to)
+		case one.unconfirmed:
+			h.log.Warn("host: job waits for an inventory.", "id", id, "to", one.target)
 		case h.Ready():
-			if err := h.lead.TakeBack([]job.Snapshot{one.carry}, one.epoch); err != nil {
-				h.log.Warn("host: job waits for a census.", "id", id, "err", err)
+			if err := h.leader.TakeBack([]job.Snapshot{one.snapshot}, one.epoch); err != nil {
+				h.log.Warn("host: job waits for an inventory.", "id", id, "err", err)
 			}
 		default:
-			one.to = h.nextLead(id)
+			one.target = h.nextLeader(id)
 			continue
 		}
-		h.clearHanded([]*handed{one})
+		h.removeOutgoing([]*outgoingJob{one})
 	}
 }
 
-// lastHandOver offers what a leaving host still has to the hosts that hold its
-// workers by now. What nobody takes in time needs a census.
-func (h *Host) lastHandOver(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, 2*handWait)
+// finalHandover offers the remaining jobs of a leaving host to the hosts that hold its workers
+// by now. Jobs that no host accepts in time need an inventory.
+func (h *Host) finalHandover(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, 2*handoverTimeout)
 	defer cancel()
-	for h.handing() > 0 && ctx.Err() == nil {
-		h.sendHanded()
-		h.pause(takeoverEvery / 5)
+	for h.outgoingCount() > 0 && ctx.Err() == nil {
+		h.sendOutgoing()
+		h.pause(repairInterval / 5)
 	}
 }
 
-func (h *Host) handing() int {
+func (h *Host) outgoingCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return len(h.jobs.handing)
+	return len(h.jobs.outgoing)
 }
 
-// Notes that go along with jobs that are handed over: a few a job, and not so
-// many in all that looking them up holds up the hand-over.
+// Limits on the notes that are sent along with jobs: a few for each job, and few enough in total
+// that reading them does not delay the handover.
 const (
-	notesAJob = 8
-	notesMost = 400
+	notesPerJob      = 8
+	maxHandoverNotes = 400
 )
 
-func (h *Host) notesOf(carries []job.Snapshot) []trail.Note {
+func (h *Host) handoverNotes(snapshots []job.Snapshot) []trail.Note {
 	var all []trail.Note
-	for _, c := range carries {
-		if len(all) < notesMost {
-			all = append(all, h.trail.Excerpt(c.Spec.ID, notesAJob)...)
+	for _, c := range snapshots {
+		if len(all) < maxHandoverNotes {
+			all = append(all, h.history.Excerpt(c.Spec.ID, notesPerJob)...)
 		}
 	}
 	return all
 }
 
-func (h *Host) clearHanded(all []*handed) {
+func (h *Host) removeOutgoing(all []*outgoingJob) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, one := range all {
-		// The job may have come back meanwhile and be on its way again.
-		if id := one.carry.Spec.ID; h.jobs.handing[id] == one {
-			delete(h.jobs.handing, id)
+		// The job may have come back meanwhile and be outgoing again.
+		if id := one.snapshot.Spec.ID; h.jobs.outgoing[id] == one {
+			delete(h.jobs.outgoing, id)
 		}
 	}
 }
@@ -239,25 +239,25 @@
 	return false
 }
 
-// adopt takes jobs that a live lead hands over.
-func (h *Host) adopt(m peer.Handover) (peer.HandoverReply, error) {
+// adoptJobs accepts jobs that a live leader hands over.
+func (h *Host) adoptJobs(m peer.Handover) (peer.HandoverReply, error) {
 	h.mu.Lock()
 	for _, c := range m.Jobs {
 		if !h.jobs.log.Written(c.Spec.ID) {
 			rec := joblog.Record{ID: c.Spec.ID, Spec: &c.Spec}
 			h.jobs.log.Remember(rec)
-			h.jobs.owed[rec.ID] = rec.Merge(h.jobs.owed[rec.ID])
+			h.jobs.unwritten[rec.ID] = rec.Merge(h.jobs.unwritten[rec.ID])
 		}
 	}
 	h.mu.Unlock()
-	err := h.lead.Adopt(m.From, m.Token, m.Jobs)
+	err := h.leader.Adopt(m.From, m.Token, m.Jobs)
 	if errors.As(err, new(*lead.StaleHandoverError)) {
-		h.log.Warn("host: hand-over is out of date.", "from", m.From, "jobs", len(m.Jobs))
+		h.log.Warn("host: handover is out of date.", "from", m.From, "jobs", len(m.Jobs))
 		return peer.HandoverReply{Stale: true}, nil
 	}
 	if err != nil {
 		return peer.HandoverReply{}, err
 	}
-	h.trail.Merge(m.Notes)
+	h.history.Merge(m.Notes)
 	return peer.HandoverReply{}, nil
 }
--- a/internal/host/keep.go
+++ b/internal/host/keep.go
@@ -15,78 +15,79 @@
 	"pollencroft/internal/platform"
 )
 
-// Times of the log of jobs.
+// Settings of the job log.
 const (
-	// batchFor is how long records are gathered for one append.
-	batchFor = 10 * time.Millisecond
-	// batchMost bounds the records of one append.
-	batchMost = 200
-	keepWait  = time.Second
-	// renewPart is the oldest part of the log in which an open job's record is
-	// written again, before the log trims it.
-	renewPart = 4
+	// batchWindow is how long records are collected for one append.
+	batchWindow = 10 * time.Millisecond
+	// maxBatch limits the number of records in one append.
+	maxBatch    = 200
+	keepTimeout = time.Second
+	// renewFraction is the divisor that gives the oldest part of the log. The record of an open
+	// job in this part is written again before the log trims it.
+	renewFraction = 4
 )
 
-// pending is one record that waits for its append.
-type pending struct {
+// pendingRecord is a record that waits for its append.
+type pendingRecord struct {
 	rec  joblog.Record
 	done chan error
 }
 
-// keeper holds what this host's jobs need to outlive it.
-type keeper struct {
-	log     *joblog.Log
-	queue   chan pending
-	appends *semaphore.Weighted
-	// accepting are jobs that this host is about to lead.
+// jobStore holds the records of jobs that must survive this host, and the state of the jobs that
+// are changing their leader.
+type jobStore struct {
+	log         *joblog.Log
+	queue       chan pendingRecord
+	appendSlots *semaphore.Weighted
+	// accepting contains the jobs that this host is about to lead.
 	accepting map[string]bool
-	// transfer is held while jobs go from the lead to handing or back. Whoever looks in both
-	// without it may find a job in neither, and take it for one that nobody leads.
-	transfer   sync.RWMutex
-	collecting sync.Mutex
-	// ready is what repair last saw of this host's readiness.
-	ready bool
-	// handing are jobs on their way to another lead, by id.
-	handing map[string]*handed
-	// sending is held while jobs are offered to their next leads.
-	sending sync.Mutex
-	// owed are records that the log could not take yet, by id.
-	owed map[string]joblog.Record
-	// ends are jobs of this host whose end is in the log, shared those whose
+	// transferMu is held while jobs move between the leader and outgoing. Without it, a reader
+	// of both could find a job in neither, and conclude that nobody leads it.
+	transferMu sync.RWMutex
+	collectMu  sync.Mutex
+	// wasReady is the readiness of this host at the last call of repairJobs.
+	wasReady bool
+	// outgoing contains the jobs that are being handed over to another leader, by id.
+	outgoing map[string]*outgoingJob
+	// sendMu is held while jobs are offered to their next leaders.
+	sendMu sync.Mutex
+	// unwritten contains the records that are still to be written to the log, by id.
+	unwritten map[string]joblog.Record
+	// writtenEnds contains the jobs of this host whose end is in the log, sharedEnds those whose
 	// end a second host remembers.
-	ends, shared map[string]bool
+	writtenEnds, sharedEnds map[string]bool
 }
 
-func newKeeper() *keeper {
-	return &keeper{
-		log: joblog.New(), queue: make(chan pending), appends: semaphore.NewWeighted(4), accepting: map[string]bool{},
-		handing: map[string]*handed{}, owed: map[string]joblog.Record{}, ends: map[string]bool{}, shared: map[string]bool{},
+func newJobStore() *jobStore {
+	return &jobStore{
+		log: joblog.New(), queue: make(chan pendingRecord), appendSlots: semaphore.NewWeighted(4), accepting: map[string]bool{},
+		outgoing: map[string]*outgoingJob{}, unwritten: map[string]joblog.Record{}, writtenEnds: map[string]bool{}, sharedEnds: map[string]bool{},
 	}
 }
 
-// appendJobs gathers records and appends several at once until the host ends.
+// appendJobs appends records to the log in batches until the host ends.
 func (h *Host) appendJobs() {
 	for {
 		select {
 		case <-h.ctx.Done():
 			return
 		case first := <-h.jobs.queue:
-			batch := h.gather(first)
-			if h.jobs.appends.Acquire(h.ctx, 1) != nil {
+			batch := h.gatherBatch(first)
+			if h.jobs.appendSlots.Acquire(h.ctx, 1) != nil {
 				return
 			}
 			h.wg.Go(func() {
-				defer h.jobs.appends.Release(1)
+				defer h.jobs.appendSlots.Release(1)
 				h.appendBatch(batch)
 			})
 		}
 	}
 }
 
-func (h *Host) gather(first pending) []pending {
-	batch := []pending{first}
-	end := time.After(batchFor)
-	for len(batch) < batchMost {
+func (h *Host) gatherBatch(first pendingRecord) []pendingRecord {
+	batch := []pendingRecord{first}
+	end := time.After(batchWindow)
+	for len(batch) < maxBatch {
 		select {
 		case p := <-h.jobs.queue:
 			batch = append(batch, p)
@@ -99,14 +100,14 @@
 	return batch
 }
 
-func (h *Host) appendBatch(batch []pending) {
+func (h *Host) appendBatch(batch []pendingRecord) {
 	recs := make([]joblog.Record, 0, len(batch))
 	for _, p := range batch {
 		recs = append(recs, p.rec)
 	}
 	body, err := joblog.Encode(recs)
 	if err == nil {
-		ctx, cancel := context.WithTimeout(h.ctx, keepWait)
+		ctx, cancel := context.WithTimeout(h.ctx, keepTimeout)
 		_, err = h.platform.Append(ctx, joblog.Stream, body)
 		cancel()
 	}
@@ -115,10 +116,10 @@
 	}
 }
 
-// write appends one record. The error is a platform.NotWrittenError if nothing
-// was written, else the record may be in the log.
-func (h *Host) write(ctx context.Context, rec joblog.Record) error {
-	p := pending{rec: rec, done: make(chan error, 1)}
+// writeRecord appends one record. If the error is a platform.NotWrittenError, nothing was
+// written; after any other error the record may be in the log.
+func (h *Host) writeRecord(ctx context.Context, rec joblog.Record) error {
+	p := pendingRecord{rec: rec, done: make(chan error, 1)}
 	select {
 	case h.jobs.queue <- p:
 	case <-ctx.Done():
@@ -132,40 +133,42 @@
 	}
 }
 
-// keep writes a job to the log; while the log is away a peer remembers it, and
-// it is written when the log returns. An error that is not a
-// platform.NotWrittenError tells that the job may be kept.
-func (h *Host) keep(ctx context.Context, spec job.Spec) (string, error) {
+// keepJob writes a job to the log. While the log is unavailable, a peer remembers the job
+// instead, and it is written when the log is available again. After an error other than a
+// platform.NotWrittenError the job may be stored.
+func (h *Host) keepJob(ctx context.Context, spec job.Spec) (string, error) {
 	rec := joblog.Record{ID: spec.ID, Spec: &spec}
-	err := h.write(ctx, rec)
+	err := h.writeRecord(ctx, rec)
 	if err == nil {
-		h.remember(rec)
+		h.rememberRecord(rec)
 		return "log", nil
 	}
-	told, silent := h.tellPeer(ctx, rec)
+	kept, silent := h.askPeerToKeep(ctx, rec)
 	switch {
-	case told:
-		h.owe(rec)
+	case kept:
+		h.addUnwritten(rec)
 		return "peers", nil
 	case silent != nil:
-		// That peer may write the job to the log later: told as not run, it would run.
+		// That peer may write the job to the log later. A job reported as not run would then
+		// run.
 		return "", &platform.UnsureError{Cause: silent}
 	default:
 		return "", err
 	}
 }
 
-// tellPeer asks live peers of the domain in turn to remember a record. If none said that it
-// does, silent is of one that may all the same: its answer did not come.
-func (h *Host) tellPeer(ctx context.Context, rec joblog.Record) (told bool, silent *peer.NoAnswerError) {
+// askPeerToKeep asks live peers of the failure domain in turn to remember a record. If no peer
+// confirms it, silent is the error of a peer whose answer did not arrive and that may remember
+// it.
+func (h *Host) askPeerToKeep(ctx context.Context, rec joblog.Record) (kept bool, silent *peer.NoAnswerError) {
 	for _, name := range h.domainPeers() {
-		pctx, cancel := context.WithTimeout(ctx, keepWait)
+		pctx, cancel := context.WithTimeout(ctx, keepTimeout)
 		err := h.peers.Ask(pctx, name, peer.KeepRecord{Record: rec}, nil)
 		cancel()
 		if err == nil {
 			return true, nil
 		}
-		h.log.Warn("host: peer was not told of a job.", "peer", name, "id", rec.ID, "err", err)
+		h.log.Warn("host: peer did not confirm a job record.", "peer", name, "id", rec.ID, "err", err)
 		errors.As(err, &silent)
 	}
 	return false, silent
@@ -182,99 +185,99 @@
 	return peers
 }
 
-func (h *Host) remember(rec joblog.Record) {
+func (h *Host) rememberRecord(rec joblog.Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.jobs.log.Remember(rec)
 }
 
-// owe notes a record that has to be written when the log returns.
-func (h *Host) owe(rec joblog.Record) {
+// addUnwritten remembers a record that must be written when the log is available again.
+func (h *Host) addUnwritten(rec joblog.Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.jobs.log.Remember(rec)
-	h.jobs.owed[rec.ID] = rec.Merge(h.jobs.owed[rec.ID])
+	h.jobs.unwritten[rec.ID] = rec.Merge(h.jobs.unwritten[rec.ID])
 }
 
-// payOwed writes what the log could not take. Records that were written
-// already are harmless: the fold is idempotent.
-func (h *Host) payOwed() {
+// writeUnwritten writes the outstanding records. Writing a record twice does no harm, because
+// applying it is idempotent.
+func (h *Host) writeUnwritten() {
 	h.mu.Lock()
-	owed := make([]joblog.Record, 0, batchMost)
-	for _, rec := range h.jobs.owed {
-		if len(owed) < batchMost {
-			owed = append(owed, rec)
+	unwritten := make([]joblog.Record, 0, maxBatch)
+	for _, rec := range h.jobs.unwritten {
+		if len(unwritten) < maxBatch {
+			unwritten = append(unwritten, rec)
 		}
 	}
 	h.mu.Unlock()
-	body, err := joblog.Encode(owed)
-	if err != nil || len(owed) == 0 {
+	body, err := joblog.Encode(unwritten)
+	if err != nil || len(unwritten) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(h.ctx, keepWait)
+	ctx, cancel := context.WithTimeout(h.ctx, keepTimeout)
 	defer cancel()
 	if _, err := h.platform.Append(ctx, joblog.Stream, body); err != nil {
-		h.log.Warn("host: job records wait for the log.", "records", len(owed), "err", err)
+		h.log.Warn("host: cannot write job records to the log yet.", "records", len(unwritten), "err", err)
 		return
 	}
-	for _, rec := range owed {
-		h.paid(rec)
+	for _, rec := range unwritten {
+		h.recordWritten(rec)
 	}
 }
 
-// paid notes that a record is in the log.
-func (h *Host) paid(rec joblog.Record) {
+// recordWritten marks a record as written to the log.
+func (h *Host) recordWritten(rec joblog.Record) {
 	h.mu.Lock()
-	if rec.Covers(h.jobs.owed[rec.ID]) {
-		delete(h.jobs.owed, rec.ID)
+	if rec.Covers(h.jobs.unwritten[rec.ID]) {
+		delete(h.jobs.unwritten, rec.ID)
 	}
 	if rec.State != "" {
-		h.jobs.ends[rec.ID] = true
+		h.jobs.writtenEnds[rec.ID] = true
 	}
 	h.mu.Unlock()
 	if rec.State != "" {
-		h.lead.AckEnd(rec.ID)
+		h.leader.AckEnd(rec.ID)
 	}
-	h.noted(rec)
+	h.ackCrashes(rec)
 }
 
-// ended keeps the end of a job. Workers may forget its tasks when it is in the
-// log; until then their lists tell a successor that they ran.
-func (h *Host) ended(end job.Ended, ran bool) {
-	h.store(joblog.Record{ID: end.ID, State: end.State, Ran: ran, Reason: end.Reason}, func() {
+// storeEnd stores the end of a job. Workers may forget the job's tasks once the end is in the
+// log. Until then their task lists show the next leader that the tasks ran.
+func (h *Host) storeEnd(end job.Ended, ran bool) {
+	h.storeRecord(joblog.Record{ID: end.ID, State: end.State, Ran: ran, Reason: end.Reason}, func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.jobs.shared[end.ID] = true
+		h.jobs.sharedEnds[end.ID] = true
 	})
 }
 
-// store writes a record without waiting for it. If the log does not take it but a peer remembers
-// it, shared is called.
-func (h *Host) store(rec joblog.Record, shared func()) {
-	h.owe(rec)
+// storeRecord writes a record in the background. If the log does not accept it but a peer
+// remembers it, shared is called.
+func (h *Host) storeRecord(rec joblog.Record, shared func()) {
+	h.addUnwritten(rec)
 	h.wg.Go(func() {
-		ctx, cancel := context.WithTimeout(h.ctx, 2*keepWait)
+		ctx, cancel := context.WithTimeout(h.ctx, 2*keepTimeout)
 		defer cancel()
-		if h.write(ctx, rec) == nil {
-			h.paid(rec)
+		if h.writeRecord(ctx, rec) == nil {
+			h.recordWritten(rec)
 			return
 		}
-		if told, _ := h.tellPeer(ctx, rec); told {
+		if kept, _ := h.askPeerToKeep(ctx, rec); kept {
 			shared()
 		}
 	})
 }
 
-// done tells whether a job's end is in the log.
-func (h *Host) done(id string) bool {
+// endLogged reports whether a job's end is in the log.
+func (h *Host) endLogged(id string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_, ended := h.jobs.log.End(id)
-	_, owed := h.jobs.owed[id]
-	return h.jobs.ends[id] || ended && !owed && h.jobs.log.Written(id)
+	_, unwritten := h.jobs.unwritten[id]
+	return h.jobs.writtenEnds[id] || ended && !unwritten && h.jobs.log.Written(id)
 }
 
-// followJobs folds the log of jobs until the host ends.
+// followJobs reads the job log until the host ends.
 func (h *Host) followJobs() {
 	wait := time.Duration(0)
 	for h.ctx.Err() == nil {
@@ -282,7 +285,7 @@
 		from := h.jobs.log.Next()
 		h.mu.Unlock()
 		asked := h.clock()
-		ctx, cancel := context.WithTimeout(h.ctx, readWait+time.Second)
+		ctx, cancel := context.WithTimeout(h.ctx, readLongPoll+time.Second)
 		page, err := h.platform.Read(ctx, joblog.Stream, from, wait)
 		cancel()
 		var trimmed *platform.TrimmedError
@@ -293,20 +296,21 @@
 			h.mu.Unlock()
 			continue
 		case err != nil:
-			h.pause(readPause)
+			h.pause(readRetryPause)
 			continue
 		}
 		h.foldJobs(page, asked)
-		wait = h.jobsWait()
+		wait = h.jobLogWait()
 	}
 }
 
-// jobsWait makes the log answer at once while a census waits for it.
-func (h *Host) jobsWait() time.Duration {
-	if len(h.lead.AwaitingInventory()) > 0 {
-		return readPause
+// jobLogWait returns the wait for the next read of the job log, which is short while an
+// inventory depends on it.
+func (h *Host) jobLogWait() time.Duration {
+	if len(h.leader.AwaitingInventory()) > 0 {
+		return readRetryPause
 	}
-	return readWait
+	return readLongPoll
 }
 
 func (h *Host) foldJobs(page platform.Page, asked time.Time) {
@@ -314,51 +318,52 @@
 	var stored []joblog.Record
 	for _, e := range page.Entries {
 		for _, rec := range h.jobs.log.Fold(e.Offset, e.Body) {
-			if owed, ok := h.jobs.owed[rec.ID]; ok && owed.State == rec.State {
+			if unwritten, ok := h.jobs.unwritten[rec.ID]; ok && unwritten.State == rec.State {
 				stored = append(stored, rec)
 			}
 		}
 	}
 	h.mu.Unlock()
-	// A log that answers later than an append is waited for has stored it all the same. Written
-	// again and again, it was owed for ever, and callers were told "unknown" of what did not run.
+	// An append that the log answers too late has been stored nevertheless. If it were not
+	// recognised here, its record would be written again and again and remain unwritten for
+	// ever, and callers would get "unknown" for jobs that did not run.
 	for _, rec := range stored {
-		h.paid(rec)
+		h.recordWritten(rec)
 	}
 	h.mu.Lock()
-	h.jobs.tidy()
+	h.jobs.dropWrittenEnds()
 	whole := h.jobs.log.Next() >= page.Next
-	old := h.jobs.log.OpenBefore(page.Oldest + (page.Next-page.Oldest)/renewPart)
+	old := h.jobs.log.OpenBefore(page.Oldest + (page.Next-page.Oldest)/renewFraction)
 	h.mu.Unlock()
 	h.takeOver()
 	if whole {
-		h.lead.LogRead(asked)
+		h.leader.LogRead(asked)
 	}
 	if page.Oldest == 1 {
 		return
 	}
 	for _, s := range old {
-		if h.lead.HasJob(s.ID) {
-			h.owe(joblog.Record{ID: s.ID, Spec: &s, Crashes: h.lives(s.ID)})
+		if h.leader.HasJob(s.ID) {
+			h.addUnwritten(joblog.Record{ID: s.ID, Spec: &s, Crashes: h.crashCounts(s.ID)})
 		}
 	}
 }
 
-// tidy forgets marks of ended jobs that the folded log tells as well.
-func (k *keeper) tidy() {
-	for _, marks := range []map[string]bool{k.ends, k.shared} {
+// dropWrittenEnds drops entries on ended jobs that the copy of the log contains as well.
+func (k *jobStore) dropWrittenEnds() {
+	for _, marks := range []map[string]bool{k.writtenEnds, k.sharedEnds} {
 		for id := range marks {
 			_, ended := k.log.End(id)
-			_, owed := k.owed[id]
-			if ended && !owed && k.log.Written(id) {
+			_, unwritten := k.unwritten[id]
+			if ended && !unwritten && k.log.Written(id) {
 				delete(marks, id)
 			}
 		}
 	}
 }
 
-// leadOf is the live host that leads a job's rack, as this host sees it.
-func (h *Host) leadOf(id string) string {
+// leaderOf returns the live host that leads a job's rack according to this host's view.
+func (h *Host) leaderOf(id string) string {
 	home, err := cell.ParseHome(id)
 	if err != nil {
 		return ""
@@ -368,11 +373,12 @@
 	row, _ := h.table.Row(spec.Row)
 	h.mu.Unlock()
 	if !known || home.Domain != h.cfg.Domain {
-		return h.rackLead(home)
+		return h.rackLeader(home)
 	}
-	if rack := h.countedAt(row); rack != "" {
-		// Its row got a limit after the job: only the lead of that rack may start it.
+	if rack := h.limitRack(row); rack != "" {
+		// The row got a limit after the job was accepted: only the leader of that rack may start
+		// the job.
 		home.Rack = rack
 	}
-	return h.rackLead(home)
+	return h.rackLeader(home)
 }
--- a/internal/host/list.go
+++ b/internal/host/list.go
@@ -10,17 +10,17 @@
 	"pollencroft/internal/share"
 )
 
-// How often the host list is read. One host of each failure domain reads it
-// often and tells the others when it has changed; they read it seldom, for when
-// that host is gone or cannot reach them. A leaving backend server is so seen
-// within listOften, and within SilentAfter more when the reader has just died.
+// Intervals between reads of the host list. One host of each failure domain reads it often and
+// notifies the others of changes. The others read it rarely, in case that host is gone or cannot
+// reach them. So a leaving backend server is noticed within listReaderInterval, or up to
+// member.SilenceTimeout later if the reader has just died.
 const (
-	listOften  = time.Second
-	listSeldom = 10 * time.Second
+	listReaderInterval = time.Second
+	listOtherInterval  = 10 * time.Second
 )
 
-// readsList tells whether this host is the one that reads the list often.
-func (h *Host) readsList() bool {
+// isListReader reports whether this host is the one that reads the list often.
+func (h *Host) isListReader() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.members.LiveIn(h.cfg.Domain)[0] == h.cfg.Name
@@ -28,26 +28,25 @@
 
 // followList reads the list until the host ends.
 func (h *Host) followList() {
-	read := time.Time{}
+	lastRead := time.Time{}
 	for h.ctx.Err() == nil {
-		if h.readsList() || h.clock().Sub(read) >= listSeldom || h.listTold.Swap(false) {
+		if h.isListReader() || h.clock().Sub(lastRead) >= listOtherInterval || h.listNotified.Swap(false) {
 			h.refreshList()
-			read = h.clock()
+			lastRead = h.clock()
 		}
 		select {
-		case <-time.After(listOften):
-		case <-h.relist:
-			h.listTold.Store(true)
+		case <-time.After(listReaderInterval):
+		case <-h.listChanged:
+			h.listNotified.Store(true)
 		case <-h.ctx.Done():
 		}
 	}
 }
 
-// refreshSoon has the list read at once; more than one word of it waiting is
-// the same word.
-func (h *Host) refreshSoon() {
+// requestRefresh makes followList read the list at once. Several pending requests count as one.
+func (h *Host) requestRefresh() {
 	select {
-	case h.relist <- struct{}{}:
+	case h.listChanged <- struct{}{}:
 	default:
 	}
 }
@@ -57,16 +56,16 @@
 	defer cancel()
 	all, tag, err := h.platform.Hosts(ctx, h.listTag)
 	if err != nil {
-		h.log.Warn("platform: host list cannot be read.", "err", err)
+		h.log.Warn("platform: cannot read the host list.", "err", err)
 		return
 	}
 	if tag == h.listTag && tag != "" {
-		h.listedShares()
+		h.shareListedHosts()
 		return
 	}
 	h.listTag = tag
 	h.mu.Lock()
-	h.list = all
+	h.machines = all
 	h.mu.Unlock()
 	var leaving []string
 	for _, m := range all {
@@ -74,28 +73,29 @@
 			leaving = append(leaving, m.Name)
 		}
 	}
-	h.member(member.LeavingListed{Leaving: leaving})
-	h.listedShares()
-	h.share()
-	if h.readsList() {
-		h.tellList()
+	h.memberStep(member.LeavingListed{Leaving: leaving})
+	h.shareListedHosts()
+	h.updateShares()
+	if h.isListReader() {
+		h.notifyListChanged()
 	}
 }
 
-// listedShares tells the slots' core which entry hosts the platform lists now,
-// changed or not: a share is given up by what is listed, not by what changed.
-func (h *Host) listedShares() {
+// shareListedHosts passes the listed entry hosts to the share state machine, whether or not the
+// list has changed: a share is released because of what the list contains, not because of a
+// change.
+func (h *Host) shareListedHosts() {
 	h.mu.Lock()
-	names := entryHosts(h.list, h.cfg.Domain)
+	names := entryHosts(h.machines, h.cfg.Domain)
 	h.mu.Unlock()
 	h.shareStep(share.HostsListed{Names: names})
 }
 
-func (h *Host) tellList() {
+func (h *Host) notifyListChanged() {
 	near, _ := h.peersByDomain()
 	for _, name := range near {
 		h.wg.Go(func() {
-			ctx, cancel := context.WithTimeout(h.ctx, beatWait)
+			ctx, cancel := context.WithTimeout(h.ctx, sendTimeout)
 			defer cancel()
 			_ = h.peers.Notify(ctx, name, peer.HostListChanged{})
 		})
--- a/internal/host/routes.go
+++ b/internal/host/routes.go
@@ -23,16 +23,17 @@
 	r.Group(func(r chi.Router) {
 		r.Use(h.admit)
 		caller.New(caller.Deps{
-			Row: h.Row, Do: h.doHere, Submit: h.submitHere, Job: h.askJob, Cancel: h.cancelJob, Trail: h.explain,
-			Body: h.cfg.Limits.Body, Deadline: h.cfg.Limits.Deadline, Clock: h.clock,
+			Row: h.Row, Do: h.doIfServed, Submit: h.submitIfServed, Job: h.jobStatus, Cancel: h.cancelJob, Trail: h.explain,
+			MaxBody: h.cfg.Limits.Body, MaxWait: h.cfg.Limits.Deadline, Clock: h.clock,
 		}).Routes(r)
 	})
-	return h.count(r)
+	return h.countRequests(r)
 }
 
-// elsewhere tells why a row's work is not taken in this failure domain, empty
-// if it is. A row that is confined to some domains may need what only they have.
-func (h *Host) elsewhere(name string) string {
+// refusalReason returns why this failure domain does not accept a row's work, or an empty string
+// if it does. A row that is confined to some failure domains may need resources that only they
+// have.
+func (h *Host) refusalReason(name string) string {
 	row, _ := h.Row(name)
 	if row.Serves(h.cfg.Domain) {
 		return ""
@@ -40,15 +41,15 @@
 	return "row " + name + " runs only in " + strings.Join(row.Domains, ", ")
 }
 
-func (h *Host) doHere(ctx context.Context, req call.Request) call.Reply {
-	if reason := h.elsewhere(req.Row); reason != "" {
+func (h *Host) doIfServed(ctx context.Context, req call.Request) call.Reply {
+	if reason := h.refusalReason(req.Row); reason != "" {
 		return call.Refuse(http.StatusMisdirectedRequest, reason, 0)
 	}
 	return h.relay.Do(ctx, req)
 }
 
-func (h *Host) submitHere(ctx context.Context, j caller.Job) peer.JobReply {
-	if reason := h.elsewhere(j.Row); reason != "" {
+func (h *Host) submitIfServed(ctx context.Context, j caller.Job) peer.JobReply {
+	if reason := h.refusalReason(j.Row); reason != "" {
 		return peer.RefuseJob(http.StatusMisdirectedRequest, reason)
 	}
 	return h.submit(ctx, j)
@@ -59,9 +60,9 @@
 	h.health(r)
 	r.Group(func(r chi.Router) {
 		operator.New(operator.Deps{
-			Token: h.cfg.Operator.Token, Table: book{h}, Status: h.tableStatus,
-			Hosts: func() any { return h.hostsView() }, Workers: func() any { return h.lead.Held() },
-			Trail: h.explain, Drain: h.drainLater,
+			Token: h.cfg.Operator.Token, Table: operatorTable{h}, Status: h.tableStatus,
+			Hosts: func() any { return h.hostsView() }, Workers: func() any { return h.leader.Held() },
+			Trail: h.explain, Drain: h.stopInBackground,
 		}).Routes(r)
 	})
 	return r
@@ -82,8 +83,8 @@
 	})
 }
 
-// count keeps one counter an outcome and the times of all requests.
-func (h *Host) count(next http.Handler) http.Handler {
+// countRequests keeps a counter for each outcome and the durations of all requests.
+func (h *Host) countRequests(next http.Handler) http.Handler {
 	times := metrics.GetOrRegisterTimer("caller.time", h.metrics)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		began := h.clock()
@@ -96,11 +97,11 @@
 }
 
 type hostView struct {
-	// Slots is how many slots of each backend server this host may use, Awaited
-	// which hosts have not freed their part of its slots.
+	// Slots is how many slots of each backend server this host may use. Awaited lists the hosts
+	// that have not freed their part of this host's slots yet.
 	Slots   map[string]int `json:"slots,omitempty"`
 	Awaited []string       `json:"awaited,omitempty"`
-	// Aside are the backend servers that get less than that.
+	// Aside lists the backend servers that are quarantined and get less than their slots.
 	Aside map[string]outlier.State `json:"aside,omitempty"`
 	Self  string                   `json:"self"`
 	Live  []string                 `json:"live"`
@@ -116,7 +117,7 @@
 		Self: h.cfg.Name, Live: h.members.Live(), Next: h.table.NextOffset(), Seen: h.members.Heartbeats(),
 		Slots: map[string]int{}, Awaited: h.shares.AwaitedHosts(), Aside: aside,
 	}
-	for _, m := range h.list {
+	for _, m := range h.machines {
 		if m.Kind == cell.BackendHost && m.Domain == h.cfg.Domain {
 			v.Slots[m.Name] = h.shares.UsableSlots(m.Name, m.Slots)
 		}
@@ -124,7 +125,7 @@
 	return v
 }
 
-// tableStatus lists which host has which offset, this one first.
+// tableStatus lists the table offset of each host, this host first.
 func (h *Host) tableStatus() operator.TableStatus {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/host/table.go
+++ b/internal/host/table.go
@@ -11,46 +11,46 @@
 	"pollencroft/internal/table"
 )
 
-// Times of the table's log.
+// Time limits for reading the table's log.
 const (
-	readWait  = 1500 * time.Millisecond
-	readPause = 200 * time.Millisecond
+	readLongPoll   = 1500 * time.Millisecond
+	readRetryPause = 200 * time.Millisecond
 )
 
-// Row returns a row in force and its version, zero for none.
+// Row returns a row in force and its version, which is zero if there is no such row.
 func (h *Host) Row(name string) (table.Row, int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.table.Row(name)
 }
 
-// TeamShare returns what a team may use in this host's failure domain now;
-// false for a team without a quota.
+// TeamShare returns what a team may currently use in this host's failure domain, or false for a
+// team without a quota.
 func (h *Host) TeamShare(team string) (table.Share, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.table.TeamShare(team, h.cfg.Domain)
 }
 
-func (h *Host) meter(name string) { metrics.GetOrRegisterCounter("table."+name, h.metrics).Inc(1) }
+func (h *Host) countTable(name string) { metrics.GetOrRegisterCounter("table."+name, h.metrics).Inc(1) }
 
 // Count returns one of this host's counters.
 func (h *Host) Count(name string) int64 {
 	return metrics.GetOrRegisterCounter(name, h.metrics).Count()
 }
 
-// followTable folds the log until the host ends.
+// followTable reads the table's log until the host ends.
 func (h *Host) followTable() {
 	wait := time.Duration(0)
 	for h.ctx.Err() == nil {
 		if err := h.readTable(wait); err != nil {
-			h.meter("unread")
-			h.log.Warn("table: log cannot be read.", "err", err)
-			h.copySoon()
-			h.pause(readPause)
+			h.countTable("unread")
+			h.log.Warn("table: cannot read the log.", "err", err)
+			h.startTableCopy()
+			h.pause(readRetryPause)
 			continue
 		}
-		wait = readWait
+		wait = readLongPoll
 	}
 }
 
@@ -61,64 +61,64 @@
 	}
 }
 
-// readTable reads and folds one page. A page that ends before what this host
-// has seen is out of date; the peers' copy helps if they are further on.
+// readTable reads and applies one page. A page that ends before the offset that this host has
+// already reached is out of date; a peer's copy is used if a peer has read further.
 func (h *Host) readTable(wait time.Duration) error {
-	from := h.wants()
-	page, err := h.page(from, wait)
+	from := h.nextOffset()
+	page, err := h.readPage(from, wait)
 	var trimmed *platform.TrimmedError
 	if errors.As(err, &trimmed) {
-		return h.readBehind(trimmed.Oldest)
+		return h.readTrimmedLog(trimmed.Oldest)
 	}
 	if err != nil {
 		return err
 	}
 	if page.Next < from {
-		h.meter("stale")
-		h.log.Warn("table: log answer is out of date.", "next", page.Next, "wanted", from)
-		h.pause(readPause)
+		h.countTable("stale")
+		h.log.Warn("table: the log's answer is out of date.", "next", page.Next, "wanted", from)
+		h.pause(readRetryPause)
 	}
-	if err := h.fold(table.Records{Entries: entries(page)}); err != nil {
+	if err := h.foldTable(table.Records{Entries: tableEntries(page)}); err != nil {
 		return err
 	}
 	if len(page.Entries) == 0 {
-		h.copySoon()
+		h.startTableCopy()
 	}
-	h.move("table")
-	h.save(page.Oldest)
+	h.transition("table")
+	h.saveSnapshot(page.Oldest)
 	return nil
 }
 
-func (h *Host) wants() int64 {
+func (h *Host) nextOffset() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.table.NextOffset()
 }
 
-// readBehind reads all that a trimmed log still has.
-func (h *Host) readBehind(oldest int64) error {
-	h.meter("behind")
-	h.log.Warn("table: log is trimmed, a snapshot is needed.", "wanted", h.wants(), "oldest", oldest)
+// readTrimmedLog reads everything that a trimmed log still contains.
+func (h *Host) readTrimmedLog(oldest int64) error {
+	h.countTable("behind")
+	h.log.Warn("table: the log is trimmed, reading a snapshot.", "wanted", h.nextOffset(), "oldest", oldest)
 	var all []table.Entry
 	for from := oldest; ; {
-		page, err := h.page(from, 0)
+		page, err := h.readPage(from, 0)
 		if err != nil {
 			return err
 		}
-		all = append(all, entries(page)...)
+		all = append(all, tableEntries(page)...)
 		if len(page.Entries) == 0 {
 			break
 		}
 		from = all[len(all)-1].Offset + 1
 	}
-	if err := h.fold(table.TrimmedLog{Entries: all}); err != nil {
+	if err := h.foldTable(table.TrimmedLog{Entries: all}); err != nil {
 		return err
 	}
-	h.move("table")
+	h.transition("table")
 	return nil
 }
 
-func entries(p platform.Page) []table.Entry {
+func tableEntries(p platform.Page) []table.Entry {
 	all := make([]table.Entry, 0, len(p.Entries))
 	for _, e := range p.Entries {
 		all = append(all, table.Entry{Offset: e.Offset, Body: e.Body})
@@ -126,41 +126,41 @@
 	return all
 }
 
-// MissingError tells that records are missing before what was found.
-type MissingError struct{ Want int64 }
+// MissingError reports that records are missing before those that were found.
+type MissingError struct{ Wanted int64 }
 
 func (e *MissingError) Error() string { return "records are missing" }
 
-// fold steps the table and wakes those who wait for a verdict.
-func (h *Host) fold(ev table.Event) error {
+// foldTable applies an event to the table and wakes those who wait for a verdict.
+func (h *Host) foldTable(ev table.Event) error {
 	h.mu.Lock()
 	acts := h.table.Step(h.clock(), ev)
-	close(h.grown)
-	h.grown = make(chan struct{})
+	close(h.tableChanged)
+	h.tableChanged = make(chan struct{})
 	h.mu.Unlock()
 	var err error
 	for _, a := range acts {
 		switch a := a.(type) {
 		case table.Gap:
-			h.meter("gap")
-			err = &MissingError{Want: a.Want}
+			h.countTable("gap")
+			err = &MissingError{Wanted: a.Want}
 		case table.SnapshotMissing:
-			h.meter("lost")
-			err = &MissingError{Want: a.Want}
+			h.countTable("lost")
+			err = &MissingError{Wanted: a.Want}
 		case table.Restored:
-			h.meter("restored")
-			h.log.Info("table: started from a snapshot.", "next", a.Next)
+			h.countTable("restored")
+			h.log.Info("table: loaded a snapshot.", "next", a.Next)
 		case table.RowChanged:
-			h.log.Info("table: row is in force.", "row", a.Row.Name, "version", a.Version, "gone", a.Gone)
+			h.log.Info("table: row came into force.", "row", a.Row.Name, "version", a.Version, "gone", a.Gone)
 		}
 	}
 	return err
 }
 
-// save writes a snapshot when the table finds one due. The log may take its
-// time: nobody waits for it.
-func (h *Host) save(oldest int64) {
-	live, rank := h.rank()
+// saveSnapshot writes a snapshot if one is due. The write runs in the background, since the log
+// may be slow.
+func (h *Host) saveSnapshot(oldest int64) {
+	live, rank := h.liveRank()
 	h.mu.Lock()
 	acts := h.table.Step(h.clock(), table.Tick{Oldest: oldest, Rank: rank})
 	h.mu.Unlock()
@@ -170,24 +170,24 @@
 	h.log.Info("table: writing a snapshot.", "parts", len(acts), "live", live)
 	h.wg.Go(func() {
 		for _, a := range acts {
-			if err := h.append(a.(table.Append).Body); err != nil {
-				h.log.Warn("table: snapshot is not written.", "err", err)
+			if err := h.appendTable(a.(table.Append).Body); err != nil {
+				h.log.Warn("table: cannot write the snapshot.", "err", err)
 				return
 			}
 		}
-		h.meter("snapshots")
+		h.countTable("snapshots")
 	})
 }
 
-func (h *Host) append(body []byte) error {
-	ctx, cancel := context.WithTimeout(h.ctx, appendWait)
+func (h *Host) appendTable(body []byte) error {
+	ctx, cancel := context.WithTimeout(h.ctx, appendTimeout)
 	defer cancel()
 	_, err := h.platform.Append(ctx, table.Stream, body)
 	return err
 }
 
-// rank is this host's place among the live hosts.
-func (h *Host) rank() (live, rank int) {
+// liveRank returns the number of live hosts and this host's index among them.
+func (h *Host) liveRank() (live, rank int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	names := h.members.Live()
--- a/internal/host/table_test.go
+++ b/internal/host/table_test.go
@@ -20,19 +20,19 @@
 
 var local = netip.MustParseAddrPort("127.0.0.1:0")
 
-// rig is a platform and some entry hosts in one process.
-type rig struct {
+// testHosts is a simulated platform and some entry hosts in one process.
+type testHosts struct {
 	t        *testing.T
 	platform *standin.Platform
 	addr     netip.AddrPort
-	all      []settings.Settings
+	settings []settings.Settings
 	sockets  []host.Listeners
 	hosts    []*host.Host
 }
 
-// newRig opens the sockets of n hosts that know each other and starts none.
-func newRig(t *testing.T, n int) *rig {
-	c := &rig{t: t, platform: standin.NewPlatform(), hosts: make([]*host.Host, n)}
+// newTestHosts opens the sockets of n hosts that know each other and starts none of them.
+func newTestHosts(t *testing.T, n int) *testHosts {
+	c := &testHosts{t: t, platform: standin.NewPlatform(), hosts: make([]*host.Host, n)}
 	srv := httptest.NewServer(c.platform.Handler())
 	t.Cleanup(srv.Close)
 	c.addr = netip.MustParseAddrPort(srv.Listener.Addr().String())
@@ -40,155 +40,155 @@
 		ls, err := host.Listen(settings.Listen{Caller: local, Operator: local, Peer: local})
 		require.NoError(t, err)
 		c.sockets = append(c.sockets, ls)
-		c.all = append(c.all, settings.Settings{
+		c.settings = append(c.settings, settings.Settings{
 			Name: fmt.Sprint("nord-", i), Domain: "nord", Platform: c.addr, Operator: settings.Operator{Token: "secret"},
-			Limits: settings.Limits{Body: 1 << 20, Queue: 64, Deadline: time.Minute, DrainTimeout: limit},
+			Limits: settings.Limits{Body: 1 << 20, Queue: 64, Deadline: time.Minute, DrainTimeout: testTimeout},
 		})
 	}
-	for i := range c.all {
-		for j := range c.all {
+	for i := range c.settings {
+		for j := range c.settings {
 			if i != j {
-				c.all[i].Peers = append(c.all[i].Peers, settings.Peer{Name: c.all[j].Name, Domain: "nord", Address: at(c.sockets[j].Peer)})
+				c.settings[i].Peers = append(c.settings[i].Peers, settings.Peer{Name: c.settings[j].Name, Domain: "nord", Address: addrOf(c.sockets[j].Peer)})
 			}
 		}
 	}
 	return c
 }
 
-func at(ln net.Listener) netip.AddrPort { return netip.MustParseAddrPort(ln.Addr().String()) }
+func addrOf(ln net.Listener) netip.AddrPort { return netip.MustParseAddrPort(ln.Addr().String()) }
 
-func (c *rig) start(i int) *host.Host {
-	h := host.New(c.all[i], slog.New(slog.DiscardHandler), time.Now)
-	require.NoError(c.t, h.OpenKeys())
+func (c *testHosts) startHost(i int) *host.Host {
+	h := host.New(c.settings[i], slog.New(slog.DiscardHandler), time.Now)
+	require.NoError(c.t, h.LoadKeys())
 	h.Start(c.sockets[i])
 	c.t.Cleanup(h.Kill)
 	c.hosts[i] = h
 	return h
 }
 
-func (c *rig) operator(i int) *client.Client {
-	return client.New(at(c.sockets[i].Operator), "secret", nil)
+func (c *testHosts) operator(i int) *client.Client {
+	return client.New(addrOf(c.sockets[i].Operator), "secret", nil)
 }
 
-func (c *rig) set(i int, row string, fields map[string]any) error {
+func (c *testHosts) setRow(i int, row string, fields map[string]any) error {
 	return c.operator(i).SetRow(context.Background(), row, "", fields)
 }
 
-func (c *rig) until(what string, f func() bool) {
+func (c *testHosts) waitFor(what string, f func() bool) {
 	c.t.Helper()
-	require.Eventually(c.t, f, limit, 10*time.Millisecond, what)
+	require.Eventually(c.t, f, testTimeout, 10*time.Millisecond, what)
 }
 
-func (c *rig) ready(i int) { c.t.Helper(); c.until("ready", c.hosts[i].Ready) }
+func (c *testHosts) waitReady(i int) { c.t.Helper(); c.waitFor("ready", c.hosts[i].Ready) }
 
-func (c *rig) weight(i int, row string) int64 {
+func (c *testHosts) weight(i int, row string) int64 {
 	r, _ := c.hosts[i].Row(row)
 	return r.Weight
 }
 
-// The log writes an edit and its answer is lost. The operator must be told what
-// the record says, or an edit that is in force would be told as failed.
+// The log writes an edit and its answer is lost. The operator must get the verdict on the
+// record. Otherwise an edit that is in force would be reported as failed.
 func TestLostAppendAnswerIsSettledByTheRecord(t *testing.T) {
-	c := newRig(t, 1)
-	c.start(0)
-	c.ready(0)
+	c := newTestHosts(t, 1)
+	c.startHost(0)
+	c.waitReady(0)
 	c.platform.SetFaults(standin.PlatformFaults{LoseAnswers: 1})
-	require.NoError(t, c.set(0, "scan", map[string]any{"weight": 7}))
+	require.NoError(t, c.setRow(0, "scan", map[string]any{"weight": 7}))
 	require.Equal(t, int64(7), c.weight(0, "scan"))
 	require.Equal(t, int64(1), c.platform.Appends())
 }
 
-// The log is down for hours while operators try to edit. They are told "not
-// accepted", and the last accepted table stays in force.
+// The log is down for hours while operators try to edit. They get "not accepted", and the last
+// accepted table stays in force.
 func TestEditWhileTheLogIsDownIsNotAccepted(t *testing.T) {
-	c := newRig(t, 1)
-	c.start(0)
-	c.ready(0)
-	require.NoError(t, c.set(0, "scan", map[string]any{"weight": 7}))
+	c := newTestHosts(t, 1)
+	c.startHost(0)
+	c.waitReady(0)
+	require.NoError(t, c.setRow(0, "scan", map[string]any{"weight": 7}))
 	c.platform.SetFaults(standin.PlatformFaults{Down: true})
 	var status *client.StatusError
-	require.ErrorAs(t, c.set(0, "scan", map[string]any{"weight": 8}), &status)
+	require.ErrorAs(t, c.setRow(0, "scan", map[string]any{"weight": 8}), &status)
 	require.Equal(t, 503, status.Status)
 	require.Contains(t, status.Reason, "not accepted")
 	c.platform.SetFaults(standin.PlatformFaults{})
-	require.NoError(t, c.set(0, "print", nil))
+	require.NoError(t, c.setRow(0, "print", nil))
 	require.Equal(t, int64(7), c.weight(0, "scan"))
 }
 
-// The log takes an edit, but nobody can read it back. The operator gets the id
-// to ask with and finds the verdict there once the log can be read.
+// The log accepts an edit, but no host can read it back. The operator gets the edit's id and
+// finds the verdict under it once the log can be read.
 func TestUnreadEditIsUnknownUntilItIsFound(t *testing.T) {
 	t.Parallel()
-	c := newRig(t, 1)
-	c.start(0)
-	c.ready(0)
+	c := newTestHosts(t, 1)
+	c.startHost(0)
+	c.waitReady(0)
 	c.platform.SetFaults(standin.PlatformFaults{Deaf: true})
-	// The read that waits for the next record would still answer.
-	c.until("reads fail", func() bool { return c.hosts[0].Count("table.unread") > 0 })
-	err := c.set(0, "scan", map[string]any{"weight": 7})
+	// The read that waits for the next record could still be answered.
+	c.waitFor("reads fail", func() bool { return c.hosts[0].Count("table.unread") > 0 })
+	err := c.setRow(0, "scan", map[string]any{"weight": 7})
 	var unsure *client.UnsureError
 	require.ErrorAs(t, err, &unsure)
 	var state struct{ State string }
 	require.NoError(t, c.operator(0).Get(context.Background(), "/edits/"+unsure.ID, &state))
 	require.Equal(t, "unknown", state.State)
 	c.platform.SetFaults(standin.PlatformFaults{})
-	c.until("verdict", func() bool {
+	c.waitFor("verdict", func() bool {
 		return c.operator(0).Get(context.Background(), "/edits/"+unsure.ID, &state) == nil && state.State == "accepted"
 	})
 }
 
-// Hosts are replaced while the log is down. One with peers must come up with
-// their table; one that has never seen a table must take no work, because it
-// would refuse every caller or ignore every limit.
+// Hosts are replaced while the log is down. A host with peers must start with their table. A
+// host that has never seen a table must not accept work, because it would refuse every caller or
+// ignore every limit.
 func TestHostThatStartsWhileTheLogIsDownTakesThePeersTable(t *testing.T) {
-	c := newRig(t, 3)
-	c.all[2].Peers = nil
-	c.start(0)
-	c.ready(0)
-	require.NoError(t, c.set(0, "scan", map[string]any{"weight": 7}))
+	c := newTestHosts(t, 3)
+	c.settings[2].Peers = nil
+	c.startHost(0)
+	c.waitReady(0)
+	require.NoError(t, c.setRow(0, "scan", map[string]any{"weight": 7}))
 	c.platform.SetFaults(standin.PlatformFaults{Down: true})
-	c.start(2)
-	c.start(1)
-	c.ready(1)
+	c.startHost(2)
+	c.startHost(1)
+	c.waitReady(1)
 	require.Equal(t, int64(7), c.weight(1, "scan"))
 	require.False(t, c.hosts[2].Ready())
 	c.platform.SetFaults(standin.PlatformFaults{})
-	c.ready(2)
+	c.waitReady(2)
 	require.Equal(t, int64(7), c.weight(2, "scan"))
 }
 
-// The log has trimmed what a new host needs. It starts from the snapshot that
-// another wrote in time, though it knows no peer.
+// The log has trimmed records that a new host needs. The host must start from the snapshot that
+// another host wrote in time, even though it knows no peer.
 func TestNewHostStartsFromTheSnapshotInATrimmedLog(t *testing.T) {
-	c := newRig(t, 2)
-	c.all[1].Peers = nil
-	c.start(0)
-	c.ready(0)
+	c := newTestHosts(t, 2)
+	c.settings[1].Peers = nil
+	c.startHost(0)
+	c.waitReady(0)
 	c.platform.SetFaults(standin.PlatformFaults{Retain: 8})
-	require.NoError(t, c.set(0, "first", nil))
+	require.NoError(t, c.setRow(0, "first", nil))
 	for i := range 20 {
-		require.NoError(t, c.set(0, "scan", map[string]any{"weight": i + 1}))
+		require.NoError(t, c.setRow(0, "scan", map[string]any{"weight": i + 1}))
 	}
-	c.start(1)
-	c.ready(1)
-	c.until("both rows", func() bool { return c.weight(1, "scan") == 20 && c.weight(1, "first") == 1 })
+	c.startHost(1)
+	c.waitReady(1)
+	c.waitFor("both rows are in force", func() bool { return c.weight(1, "scan") == 20 && c.weight(1, "first") == 1 })
 }
 
-// The log answers with a page that lacks a record, or as it was some time ago.
-// The host keeps what it has and reads again, rather than folding over the gap.
+// The log answers with a page that lacks a record, or with an outdated one. The host must keep
+// its table and read again, rather than apply the records after the gap.
 func TestBadPagesOfTheLogAreNotFolded(t *testing.T) {
-	c := newRig(t, 1)
-	c.start(0)
-	c.ready(0)
-	require.NoError(t, c.set(0, "scan", map[string]any{"weight": 1}))
+	c := newTestHosts(t, 1)
+	c.startHost(0)
+	c.waitReady(0)
+	require.NoError(t, c.setRow(0, "scan", map[string]any{"weight": 1}))
 	c.platform.SetFaults(standin.PlatformFaults{Hole: 2, Stale: 1})
-	c.until("stale page", func() bool { return c.hosts[0].Count("table.stale") > 0 })
+	c.waitFor("a stale page was read", func() bool { return c.hosts[0].Count("table.stale") > 0 })
 	require.Equal(t, int64(1), c.weight(0, "scan"))
 	c.platform.SetFaults(standin.PlatformFaults{Hole: 2})
 	done := make(chan error, 2)
-	go func() { done <- c.set(0, "scan", map[string]any{"weight": 2}) }()
-	go func() { done <- c.set(0, "print", nil) }()
-	c.until("gap", func() bool { return c.hosts[0].Count("table.gap") > 0 })
+	go func() { done <- c.setRow(0, "scan", map[string]any{"weight": 2}) }()
+	go func() { done <- c.setRow(0, "print", nil) }()
+	c.waitFor("gap", func() bool { return c.hosts[0].Count("table.gap") > 0 })
 	require.Equal(t, int64(1), c.weight(0, "scan"))
 	c.platform.SetFaults(standin.PlatformFaults{})
 	require.NoError(t, <-done)
@@ -196,16 +196,16 @@
 	require.Equal(t, int64(2), c.weight(0, "scan"))
 }
 
-// Two operators race for one row through two hosts. Exactly one wins; the other
-// is told so with the row as it is.
+// Two operators edit the same row through two hosts at the same time. Exactly one edit is
+// accepted. The other operator is told so, with the current row.
 func TestOneOfTwoRacingOperatorsIsToldThatItLost(t *testing.T) {
-	c := newRig(t, 2)
+	c := newTestHosts(t, 2)
 	for i := range c.hosts {
-		c.start(i)
-		c.ready(i)
+		c.startHost(i)
+		c.waitReady(i)
 	}
-	require.NoError(t, c.set(0, "scan", nil))
-	c.until("row everywhere", func() bool { return c.weight(1, "scan") == 1 })
+	require.NoError(t, c.setRow(0, "scan", nil))
+	c.waitFor("the row is in force on both hosts", func() bool { return c.weight(1, "scan") == 1 })
 	ctx := context.Background()
 	done := make(chan error, 2)
 	for i := range c.hosts {
@@ -221,14 +221,14 @@
 	require.Contains(t, string(race.Row), `"version":2`)
 }
 
-// A row is confined to other failure domains. Its requests and jobs must be
-// refused here with the reason, not run where the row may not.
+// A row is confined to other failure domains. Its requests and jobs must be refused here with
+// the reason, and not run where the row may not run.
 func TestRowOfOtherDomainsIsRefused(t *testing.T) {
-	c := newRig(t, 1)
-	c.start(0)
-	c.ready(0)
-	require.NoError(t, c.set(0, "scan", map[string]any{"domains": []string{"sued"}}))
-	caller := client.New(at(c.sockets[0].Caller), "", nil)
+	c := newTestHosts(t, 1)
+	c.startHost(0)
+	c.waitReady(0)
+	require.NoError(t, c.setRow(0, "scan", map[string]any{"domains": []string{"sued"}}))
+	caller := client.New(addrOf(c.sockets[0].Caller), "", nil)
 	reply, err := caller.Do(context.Background(), client.Request{Workload: "scan", Method: "GET"})
 	require.NoError(t, err)
 	require.Equal(t, 421, reply.Status)
@@ -237,13 +237,13 @@
 	require.ErrorContains(t, err, "runs only in sued")
 }
 
-// Quota moves between two failure domains. The growing one gets its part only
-// after every host of the shrinking one has read the edit and the log says so.
+// A quota is moved between two failure domains. The growing domain gets its part only after
+// every host of the shrinking one has read the edit and the log says so.
 func TestQuotaMovesAfterTheShrinkingDomainHasSettled(t *testing.T) {
-	c := newRig(t, 2)
-	c.all[1].Domain, c.all[0].Peers[0].Domain = "sued", "sued"
-	c.start(0)
-	c.ready(0)
+	c := newTestHosts(t, 2)
+	c.settings[1].Domain, c.settings[0].Peers[0].Domain = "sued", "sued"
+	c.startHost(0)
+	c.waitReady(0)
 	ctx := context.Background()
 	put := func(nord, sued int) {
 		body := map[string]any{"tasks": 10, "domains": map[string]int{"nord": nord, "sued": sued}}
@@ -253,9 +253,9 @@
 	put(1, 0)
 	share, ok := c.hosts[0].TeamShare("x")
 	require.True(t, ok)
-	require.Zero(t, share.Tasks, "sued has no host that has read the edit")
-	c.start(1)
-	c.until("settled", func() bool { s, _ := c.hosts[0].TeamShare("x"); return s.Tasks == 10 })
+	require.Zero(t, share.Tasks, "no host of sued has read the edit")
+	c.startHost(1)
+	c.waitFor("settled", func() bool { s, _ := c.hosts[0].TeamShare("x"); return s.Tasks == 10 })
 	share, _ = c.hosts[1].TeamShare("x")
 	require.Zero(t, share.Tasks)
 }
--- a/internal/ledger/steps_test.go
+++ b/internal/ledger/steps_test.go
@@ -165,7 +165,7 @@
 
 // An entry host crashes with a request in flight. A repeat must get the outcome unknown at
 // once, not after its whole deadline.
-func TestRepeatOfADeadHostsTryIsToldAtOnce(t *testing.T) {
+func TestRepeatEndsAtOnceWhenTheEntryHostIsGone(t *testing.T) {
 	for _, fault := range []string{"entry host dies", "entry host is replaced"} {
 		s := newScenario(allRules)
 		for range steps["sent"] {
@@ -181,7 +181,7 @@
 // A failure domain has two entry hosts, and one of them crashes together with a host of
 // another domain. The remaining host must go on serving requests, including keyed ones. If
 // the domain is cut off from the others, its two hosts must do so together.
-func TestTwoHostDomainGoesOn(t *testing.T) {
+func TestTwoHostDomainToleratesFailures(t *testing.T) {
 	for name, fault := range map[string]func(w *simulation){
 		"one host and one witness die": func(w *simulation) { w.dead["nord-1"], w.dead["sued-0"] = true, true },
 		"cut off":                      func(w *simulation) { w.cut["nord"] = true },
--- a/internal/ledger/run.go
+++ b/internal/ledger/try.go
@@ -13,7 +13,7 @@
 const maxRounds = 4
 
 // TryEvent is an input of Try.Step.
-type TryEvent interface{ runEvent() }
+type TryEvent interface{ tryEvent() }
 
 // Begin starts the try.
 type Begin struct{}
@@ -34,15 +34,15 @@
 // was sent.
 type Canceled struct{}
 
-func (Begin) runEvent()        {}
-func (HomeAnswered) runEvent() {}
-func (HomeSilent) runEvent()   {}
-func (RequestEnded) runEvent() {}
-func (Canceled) runEvent()     {}
+func (Begin) tryEvent()        {}
+func (HomeAnswered) tryEvent() {}
+func (HomeSilent) tryEvent()   {}
+func (RequestEnded) tryEvent() {}
+func (Canceled) tryEvent()     {}
 
 // TryAction is an output of Try.Step, for the caller to carry out. Each step returns
 // exactly one of AskHome, AwaitHome, Send and Reply, as its last action.
-type TryAction interface{ runAction() }
+type TryAction interface{ tryAction() }
 
 // AskHome sends an Open to a home.
 type AskHome struct {
@@ -65,11 +65,11 @@
 	Close Close
 }
 
-func (AskHome) runAction()   {}
-func (AwaitHome) runAction() {}
-func (Send) runAction()      {}
-func (Reply) runAction()     {}
-func (RecordEnd) runAction() {}
+func (AskHome) tryAction()   {}
+func (AwaitHome) tryAction() {}
+func (Send) tryAction()      {}
+func (Reply) tryAction()     {}
+func (RecordEnd) tryAction() {}
 
 // Try is the state machine of one try of a keyed request at its entry host. It sends the
 // request only after enough homes of every group hold its key.
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -12,37 +12,37 @@
 
 var now = time.Unix(1_700_000_000, 0)
 
-// A host goes silent. Its peers must take over what it did; until they notice,
-// new work that they send there is lost time.
+// A host becomes silent. Its peers must take over its work soon: until they notice, every
+// request that they send to it is wasted time.
 func TestSilentPeerIsGone(t *testing.T) {
 	m := member.New(member.Heartbeat{Name: "a", Domain: "d"})
-	acts := m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Domain: "d", Ack: true}})
+	acts := m.Step(now, member.HeartbeatReceived{Heartbeat: member.Heartbeat{Name: "b", Domain: "d", Ack: true}})
 	require.Equal(t, []member.Action{member.LiveChanged{Live: []string{"a", "b"}}}, acts)
 	require.Equal(t, []string{"a", "b"}, m.LiveIn("d"))
-	// Ticks far apart would look like a pause of this host itself.
+	// Two ticks that are far apart would look like a pause of this host itself.
 	require.Empty(t, m.Step(now.Add(member.SilenceTimeout/2), member.Tick{}))
 	require.Empty(t, m.Step(now.Add(member.SilenceTimeout), member.Tick{}))
 	acts = m.Step(now.Add(member.SilenceTimeout+1), member.Tick{})
 	require.Equal(t, []member.Action{member.LiveChanged{Live: []string{"a"}}}, acts)
 }
 
-// A host was replaced, and a heartbeat that its predecessor sent arrives late.
-// It must not replace what is known of the successor.
-func TestOldIncarnationIsPassedOver(t *testing.T) {
+// A host was restarted, and a heartbeat of its previous incarnation arrives late. It must not
+// overwrite the state of the new incarnation.
+func TestOldIncarnationIsIgnored(t *testing.T) {
 	m := member.New(member.Heartbeat{Name: "a", Domain: "d"})
-	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Incarnation: 2, FreeSlots: 5}})
-	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Incarnation: 1, FreeSlots: 0}})
+	m.Step(now, member.HeartbeatReceived{Heartbeat: member.Heartbeat{Name: "b", Incarnation: 2, FreeSlots: 5}})
+	m.Step(now, member.HeartbeatReceived{Heartbeat: member.Heartbeat{Name: "b", Incarnation: 1, FreeSlots: 0}})
 	require.Equal(t, 5, m.Heartbeats()[0].FreeSlots)
 }
 
-// Guards against two hosts that lead one rack: a heartbeat from before the peer heard this host
-// overtakes the next one, and this host takes the peer for gone.
-func TestOvertakenHeartbeatIsPassedOver(t *testing.T) {
+// Guards against two hosts that lead the same rack. A heartbeat that the peer sent before it
+// heard this host arrives after a newer one, and this host counts the peer as gone.
+func TestOvertakenHeartbeatIsIgnored(t *testing.T) {
 	m := member.New(member.Heartbeat{Name: "a"})
-	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Seq: 2, Ack: true}})
-	require.Empty(t, m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Seq: 1}}))
+	m.Step(now, member.HeartbeatReceived{Heartbeat: member.Heartbeat{Name: "b", Seq: 2, Ack: true}})
+	require.Empty(t, m.Step(now, member.HeartbeatReceived{Heartbeat: member.Heartbeat{Name: "b", Seq: 1}}))
 	require.Equal(t, []string{"a", "b"}, m.Live())
-	require.NotEmpty(t, m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Seq: 3}}))
+	require.NotEmpty(t, m.Step(now, member.HeartbeatReceived{Heartbeat: member.Heartbeat{Name: "b", Seq: 3}}))
 }
 
 func TestRankNamesTwoDifferentHosts(t *testing.T) {
@@ -57,39 +57,38 @@
 	require.Empty(t, second)
 }
 
-// A link works one way only: this host hears a peer that does not hear it. Each
-// would go on with its own view, and work sent to the peer would be lost. The
-// peer's heartbeats say that it hears nothing, so both take the link for dead.
+// A link works in one direction only: this host hears a peer that does not hear it. Each would
+// act on its own view, and work sent to the peer would be lost. The peer's heartbeats say that
+// it hears nothing, so both hosts treat the link as down.
 func TestOneWayLinkIsDeadForBoth(t *testing.T) {
 	m := member.New(member.Heartbeat{Name: "a"})
-	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b"}})
+	m.Step(now, member.HeartbeatReceived{Heartbeat: member.Heartbeat{Name: "b"}})
 	require.Equal(t, []string{"a"}, m.Live())
 	require.Equal(t, 1, m.OneWayCount())
 	require.True(t, m.HearsFrom(now, "b"))
 	require.False(t, m.HearsFrom(now.Add(time.Minute), "b"))
-	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Ack: true}})
+	m.Step(now, member.HeartbeatReceived{Heartbeat: member.Heartbeat{Name: "b", Ack: true}})
 	require.Equal(t, []string{"a", "b"}, m.Live())
 }
 
-// This host is paused for a minute. Its peers beat all the time, but nothing of
-// that is read yet; it must not take over everything that they lead.
+// This host is paused for a minute. Its peers send heartbeats all the time, but this host has
+// not read any of them yet. It must not take over everything that they lead.
 func TestOwnPauseIsNotThePeersSilence(t *testing.T) {
 	m := member.New(member.Heartbeat{Name: "a"})
-	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Ack: true}})
+	m.Step(now, member.HeartbeatReceived{Heartbeat: member.Heartbeat{Name: "b", Ack: true}})
 	require.Empty(t, m.Step(now.Add(time.Minute), member.Tick{}))
 	require.Equal(t, 1, m.PauseCount())
 	later := now.Add(time.Minute)
 	for i := range 20 {
 		m.Step(later.Add(time.Duration(i)*100*time.Millisecond), member.Tick{})
 	}
-	require.Equal(t, []string{"a"}, m.Live(), "b is silent while this host runs")
+	require.Equal(t, []string{"a"}, m.Live(), "b is silent while this host is running")
 }
 
-// A peer's process dies: sending to it fails at once, long before it has been
-// silent for long enough.
-func TestFailedSendTakesAPeerForGoneUntilItIsHeard(t *testing.T) {
+// A peer's process dies. Sending to it fails at once, long before the silence timeout.
+func TestFailedSendMarksAPeerAsGoneUntilItIsHeard(t *testing.T) {
 	m := member.New(member.Heartbeat{Name: "a"})
-	beat := member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Ack: true}}
+	beat := member.HeartbeatReceived{Heartbeat: member.Heartbeat{Name: "b", Ack: true}}
 	m.Step(now, beat)
 	require.NotEmpty(t, m.Step(now, member.SendFailed{Name: "b"}))
 	require.Equal(t, []string{"a"}, m.Live())
@@ -97,25 +96,25 @@
 	require.Equal(t, []string{"a", "b"}, m.Live())
 }
 
-// The platform's list still shows a host as leaving that was replaced long ago
-// under the same name. What the peers hear of the new one counts.
-func TestLaggingListDoesNotHideASuccessor(t *testing.T) {
+// The platform's list still shows a host as leaving that was restarted long ago under the same
+// name. The heartbeats of the new incarnation take precedence.
+func TestLaggingListDoesNotHideARestartedHost(t *testing.T) {
 	m := member.New(member.Heartbeat{Name: "a"})
-	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Incarnation: 1, Ack: true}})
+	m.Step(now, member.HeartbeatReceived{Heartbeat: member.Heartbeat{Name: "b", Incarnation: 1, Ack: true}})
 	m.Step(now.Add(time.Second), member.LeavingListed{Leaving: []string{"b"}})
 	require.Equal(t, []string{"a"}, m.Live())
-	m.Step(now.Add(1500*time.Millisecond), member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Incarnation: 2, Ack: true}})
+	m.Step(now.Add(1500*time.Millisecond), member.HeartbeatReceived{Heartbeat: member.Heartbeat{Name: "b", Incarnation: 2, Ack: true}})
 	require.Equal(t, []string{"a", "b"}, m.Live())
 	m.Step(now.Add(1500*time.Millisecond), member.LeavingListed{})
 	require.Equal(t, []string{"a", "b"}, m.Live())
 }
 
-// A host of a large cell beats slowly to those far away. They must not take it
-// for dead between two heartbeats.
-func TestSlowBeaterIsGivenThreeOfItsPeriods(t *testing.T) {
+// A host of a large cell has a long heartbeat period towards distant peers. They must not count
+// it as dead between two heartbeats.
+func TestLongHeartbeatPeriodExtendsTheTimeout(t *testing.T) {
 	m := member.New(member.Heartbeat{Name: "a"})
 	far := member.FarPeriod(45)
-	m.Step(now, member.HeartbeatReceived{Beat: member.Heartbeat{Name: "b", Ack: true, Period: cell.Duration{Duration: far}}})
+	m.Step(now, member.HeartbeatReceived{Heartbeat: member.Heartbeat{Name: "b", Ack: true, Period: cell.Duration{Duration: far}}})
 	for at := time.Duration(0); at <= 4*far; at += 500 * time.Millisecond {
 		m.Step(now.Add(at), member.Tick{})
 		require.Equal(t, at <= 3*far, len(m.Live()) == 2, at)
--- a/internal/relay/home.go
+++ b/internal/relay/home.go
@@ -80,11 +80,11 @@
 // so that a repeat does not wait for a host that is gone.
 func (x *Relay) tickHome() {
 	_, beats := x.Members()
-	signs := map[string]ledger.Heartbeat{x.Name: {Incarnation: x.Incarnation, At: x.Clock()}}
+	heartbeats := map[string]ledger.Heartbeat{x.Name: {Incarnation: x.Incarnation, At: x.Clock()}}
 	for _, b := range beats {
-		signs[b.Name] = ledger.Heartbeat{Incarnation: b.Incarnation, At: b.ReceivedAt}
+		heartbeats[b.Name] = ledger.Heartbeat{Incarnation: b.Incarnation, At: b.ReceivedAt}
 	}
-	x.stepHome(ledger.HostHeartbeats{Heartbeats: signs})
+	x.stepHome(ledger.HostHeartbeats{Heartbeats: heartbeats})
 	x.stepHome(ledger.Tick{})
 	x.updateGauges()
 }
@@ -99,7 +99,7 @@
 	set("ledger.bytes", x.Ledger.Bytes())
 	set("ledger.reach", x.Clock().Sub(x.Ledger.Since()).Milliseconds())
 	set("peer.silent", x.Peers.Silent())
-	set("minion.dropped", x.Minions.Dropped())
+	set("minion.dropped", x.Backends.Dropped())
 }
 
 // liveHosts returns a function that reports whether a host of any failure domain is taken
--- a/internal/relay/keyed.go
+++ b/internal/relay/keyed.go
@@ -54,16 +54,16 @@
 }
 
 func toAnswer(r call.Reply) ledger.Answer {
-	return ledger.Answer{Outcome: r.Outcome, Status: r.Status, Header: r.Header, Body: r.Body, Reason: r.Reason, RetryAfter: r.Again}
+	return ledger.Answer{Outcome: r.Outcome, Status: r.Status, Header: r.Header, Body: r.Body, Reason: r.Reason, RetryAfter: r.RetryAfter}
 }
 
 func toReply(a ledger.Answer) call.Reply {
-	r := call.Reply{Outcome: a.Outcome, Status: a.Status, Header: a.Header, Body: a.Body, Reason: a.Reason, Again: a.RetryAfter}
+	r := call.Reply{Outcome: a.Outcome, Status: a.Status, Header: a.Header, Body: a.Body, Reason: a.Reason, RetryAfter: a.RetryAfter}
 	if r.Status == 0 {
 		r.Status = http.StatusServiceUnavailable
 	}
-	if r.Outcome == cell.Unknown && r.Again.Duration == 0 {
-		r.Again.Duration = keyRetryAfter
+	if r.Outcome == cell.Unknown && r.RetryAfter.Duration == 0 {
+		r.RetryAfter.Duration = keyRetryAfter
 	}
 	return r
 }
@@ -72,10 +72,10 @@
 	if a.Home == x.Name {
 		return ledger.HomeAnswered{Home: a.Home, Verdict: x.OpenKey(a.Open)}
 	}
-	short, cancel := context.WithTimeout(ctx, openTimeout)
+	openCtx, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
 	var v ledger.Verdict
-	err := x.Peers.Ask(short, a.Home, peer.OpenKey{Open: a.Open}, &v)
+	err := x.Peers.Ask(openCtx, a.Home, peer.OpenKey{Open: a.Open}, &v)
 	return toTryEvent(ctx, a.Home, v, err)
 }
 
--- a/internal/relay/keyed_test.go
+++ b/internal/relay/keyed_test.go
@@ -131,7 +131,7 @@
 			Plan:     ledger.NewPlan(ledger.Host{Name: name, Domain: "nord"}, others),
 			Outliers: outlier.New(outlier.DefaultLimits), Retries: retry.New(retry.DefaultLimits), Metrics: metrics.NewRegistry(),
 			LimitShare: func(_ string, limit int64) int64 { return limit },
-			Peers:      peers, Minions: minion.New(minion.NewTransport(dial.New().DialContext), 1<<20),
+			Peers:      peers, Backends: minion.New(minion.NewTransport(dial.New().DialContext), 1<<20),
 			Row:     func(string) (table.Row, int64) { return table.Row{Name: "scan", Weight: 1}, 1 },
 			Members: n.members, Clock: n.clock, Log: slog.New(slog.DiscardHandler),
 		})
@@ -230,7 +230,7 @@
 // An entry host crashes with a request in flight and restarts at once. The repeat, which
 // waits for the first try, gets the outcome unknown although the backend server still works
 // on the request and the deadline is far away.
-func TestWaitingRepeatIsToldWhenTheEntryHostIsGone(t *testing.T) {
+func TestWaitingRepeatEndsWhenTheEntryHostIsGone(t *testing.T) {
 	all, g := newNodes(t, 0)
 	defer close(g.release)
 	key := cell.NewID()
@@ -257,7 +257,7 @@
 
 // The message that a request has ended is lost on its way to the homes of the key. It is
 // sent again; otherwise the repeat would get the outcome unknown.
-func TestEndIsToldAgainWhenAHomeIsSilent(t *testing.T) {
+func TestEndIsResentWhenAHomeIsSilent(t *testing.T) {
 	all, g := newNodes(t, 0)
 	close(g.release)
 	for _, n := range all {
--- a/internal/relay/lost_test.go
+++ b/internal/relay/lost_test.go
@@ -16,9 +16,9 @@
 
 // newBenchWithBudget returns a bench whose row allows many tries and has accumulated a
 // retry budget.
-func newBenchWithBudget(t *testing.T, minions int) *bench {
+func newBenchWithBudget(t *testing.T, backends int) *bench {
 	t.Helper()
-	b := newBench(t, minions, 8)
+	b := newBench(t, backends, 8)
 	b.row.Idempotent, b.row.Tries = true, 100
 	for range 300 {
 		require.Equal(t, cell.Done, b.Do(t.Context(), request()).Outcome)
@@ -27,14 +27,14 @@
 }
 
 func (b *bench) setFaults(f standin.MinionFaults) {
-	for _, m := range b.minions {
+	for _, m := range b.backends {
 		m.SetFaults(f)
 	}
 }
 
 // reached returns how many backend servers received a request, and how often they ran it.
 func (b *bench) reached(id string) (servers, runs int) {
-	for _, m := range b.minions {
+	for _, m := range b.backends {
 		n := 0
 		for _, key := range []string{id, id + ".2"} {
 			n += m.Record().Ran[key]
@@ -46,9 +46,9 @@
 }
 
 // Guards against a request that crashes one backend server after another.
-func TestRequestThatEndsBackendServersIsGivenUp(t *testing.T) {
-	for _, minions := range []int{2, 12} {
-		b := newBenchWithBudget(t, minions)
+func TestRequestThatCrashesServersIsGivenUp(t *testing.T) {
+	for _, backends := range []int{2, 12} {
+		b := newBenchWithBudget(t, backends)
 		b.setFaults(standin.MinionFaults{Lose: 1000})
 		req := request()
 		reply := b.Do(t.Context(), req)
@@ -61,7 +61,7 @@
 }
 
 // Guards against a hedged request that crashes one backend server after another.
-func TestHedgedRequestThatEndsBackendServersIsGivenUp(t *testing.T) {
+func TestHedgedRequestThatCrashesServersIsGivenUp(t *testing.T) {
 	b := newBenchWithBudget(t, 12)
 	b.setFaults(standin.MinionFaults{Lose: 1000, Slow: 1500 * time.Millisecond})
 	req := request()
@@ -75,7 +75,7 @@
 
 // Guards against giving up requests whose servers answer with failures: such requests are
 // retried.
-func TestAnsweredFailuresEndNoServer(t *testing.T) {
+func TestErrorResponsesAreRetried(t *testing.T) {
 	b := newBenchWithBudget(t, 12)
 	b.setFaults(standin.MinionFaults{Fail: 100})
 	req := request()
