--- a/internal/commands/commands.go
+++ b/internal/commands/commands.go
@@ -13,25 +13,25 @@
 const Version = "0.1.0"
 
 type command struct {
-	name, about string
+	name, summary string
 	// flags, if set, adds the command's flags to its parser. run executes the command.
 	flags func(*flaggy.Subcommand)
 	run   func() error
 }
 
-var all []command
+var registered []command
 
-func register(c command) { all = append(all, c) }
+func register(c command) { registered = append(registered, c) }
 
 // Run parses and executes one command line and returns the exit status.
 func Run(args []string) int {
 	p := flaggy.NewParser("pollencroft")
 	p.Description = "a cluster scheduler for unlike workloads"
 	p.Version = Version
-	subs := make([]*flaggy.Subcommand, len(all))
-	for i, c := range all {
+	subs := make([]*flaggy.Subcommand, len(registered))
+	for i, c := range registered {
 		subs[i] = flaggy.NewSubcommand(c.name)
-		subs[i].Description = c.about
+		subs[i].Description = c.summary
 		if c.flags != nil {
 			c.flags(subs[i])
 		}
@@ -41,16 +41,16 @@
 		fmt.Fprintln(os.Stderr, "pollencroft:", err)
 		return 2
 	}
-	for i, c := range all {
+	for i, c := range registered {
 		if subs[i].Used {
-			return report(c.run())
+			return exitStatus(c.run())
 		}
 	}
 	p.ShowHelp()
 	return 2
 }
 
-func report(err error) int {
+func exitStatus(err error) int {
 	if err == nil {
 		return 0
 	}
--- a/internal/commands/explain.go
+++ b/internal/commands/explain.go
@@ -14,9 +14,9 @@
 	var id string
 	var logs bool
 	register(command{
-		name: "explain", about: "tell what was decided about a job or request",
+		name: "explain", summary: "tell what was decided about a job or request",
 		flags: func(s *flaggy.Subcommand) {
-			o.flags(s, usualOperator)
+			o.flags(s, defaultOperatorAddress)
 			s.Bool(&logs, "l", "logs", "read the hosts' log lines from standard input instead of asking a host")
 			s.AddPositionalValue(&id, "ID", 1, true, "job or request id")
 		},
@@ -24,7 +24,7 @@
 			if logs {
 				return explainLogs(id)
 			}
-			return o.show("/explain/" + id)
+			return o.printPage("/explain/" + id)
 		},
 	})
 }
