--- a/internal/commands/entry.go
+++ b/internal/commands/entry.go
@@ -21,7 +21,7 @@
 func init() {
 	var file string
 	register(command{
-		name: "entry", about: "run one entry host on the users' platform",
+		name: "entry", summary: "run one entry host on the users' platform",
 		flags: func(s *flaggy.Subcommand) {
 			s.String(&file, "s", "settings", "settings file; without it "+settingsVariable+" names it")
 		},
@@ -30,16 +30,16 @@
 }
 
 const (
-	// collect is the garbage collector's target percentage. The host's live heap is only a
+	// gcPercent is the garbage collector's target percentage. The host's live heap is only a
 	// few MiB, so collecting each time it doubles would cost more CPU time than the memory
 	// that it saves is worth.
-	collect = 400
-	// share is the fraction of the host's memory that is set as the garbage collector's soft
-	// limit.
-	share = 0.6
-	// lastLines is how long a stopping host waits until its remaining log lines are written
+	gcPercent = 400
+	// memoryLimitShare is the fraction of the host's memory that is set as the
+	// garbage collector's soft limit.
+	memoryLimitShare = 0.6
+	// logFlushTimeout is how long a stopping host waits until its remaining log lines are written
 	// to standard output.
-	lastLines = 200 * time.Millisecond
+	logFlushTimeout = 200 * time.Millisecond
 )
 
 func runEntry(file string) error {
@@ -50,12 +50,12 @@
 	if err != nil {
 		return err
 	}
-	debug.SetGCPercent(collect)
+	debug.SetGCPercent(gcPercent)
 	if cfg.Memory > 0 {
-		debug.SetMemoryLimit(int64(share * float64(cfg.Memory<<20)))
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(cfg.Memory<<20)))
 	}
 	w := logs.NewWriter(os.Stdout)
-	defer w.Close(lastLines)
+	defer w.Close(logFlushTimeout)
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(cfg.Log)); err != nil {
 		level = slog.LevelInfo
--- a/internal/commands/table.go
+++ b/internal/commands/table.go
@@ -16,8 +16,8 @@
 	"pollencroft/internal/table"
 )
 
-// maxWords is the maximum number of arguments after the verb: a row name and its fields.
-const maxWords = 16
+// maxArguments is the maximum number of arguments after the verb: a row name and its fields.
+const maxArguments = 16
 
 // tableVerbs maps each verb of the table command to its implementation. The empty verb shows
 // the table.
@@ -36,12 +36,12 @@
 func init() {
 	var o remote
 	var verb string
-	words := make([]string, maxWords)
+	words := make([]string, maxArguments)
 	register(command{
-		name:  "table",
-		about: "show the table; set ROW field=value…, drop ROW, dump FILE, load FILE, log, status, quotas, quota TEAM field=value…",
+		name:    "table",
+		summary: "show the table; set ROW field=value…, drop ROW, dump FILE, load FILE, log, status, quotas, quota TEAM field=value…",
 		flags: func(s *flaggy.Subcommand) {
-			o.flags(s, usualOperator)
+			o.flags(s, defaultOperatorAddress)
 			verb = ""
 			clear(words)
 			s.AddPositionalValue(&verb, "VERB", 1, false, "nothing to show the table")
@@ -55,14 +55,14 @@
 			if !ok {
 				return &cell.ValueError{Field: "verb", Found: verb, Allowed: "set, drop, dump, load, log, status, quotas or quota"}
 			}
-			return f(o, given(words))
+			return f(o, nonEmptyPrefix(words))
 		},
 	})
 }
 
-// given returns the arguments before the first empty one, since the parser leaves arguments
-// that are not on the command line empty.
-func given(words []string) []string {
+// nonEmptyPrefix returns the arguments before the first empty one, because the parser leaves the
+// arguments that are not on the command line empty.
+func nonEmptyPrefix(words []string) []string {
 	for i, w := range words {
 		if w == "" {
 			return words[:i]
@@ -71,9 +71,9 @@
 	return words
 }
 
-// page fetches a page from the host's operator listener and decodes it into the value that
+// getPage fetches a page from the host's operator listener and decodes it into the value that
 // into points to.
-func (o remote) page(path string, into any) error {
+func (o remote) getPage(path string, into any) error {
 	c, ctx, cancel, err := o.dial()
 	if err != nil {
 		return err
@@ -82,9 +82,9 @@
 	return c.Get(ctx, path, into)
 }
 
-// lines prints v as JSON if --json is set. Otherwise it prints an aligned table with the column
+// printRows prints v as JSON if --json is set. Otherwise it prints an aligned table with the column
 // heads in head and the rows that each writes.
-func (o remote) lines(v any, head string, each func(w io.Writer)) error {
+func (o remote) printRows(v any, head string, each func(w io.Writer)) error {
 	if o.json {
 		return printJSON(v)
 	}
@@ -96,23 +96,23 @@
 
 func showTable(o remote) error {
 	var lines []table.Line
-	if err := o.page("/table", &lines); err != nil {
+	if err := o.getPage("/table", &lines); err != nil {
 		return err
 	}
 	const head = "ROW\tKIND\tCLASS\tTEAM\tWEIGHT\tSLOTS\tQUEUE\tTASKS\tCPU\tMEM\tACCEL\tDOMAINS\tTRIES\tIDEMPOTENT\tDEADLINE\tVERSION"
-	return o.lines(lines, head, func(w io.Writer) {
+	return o.printRows(lines, head, func(w io.Writer) {
 		for _, l := range lines {
 			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%t\t%s\t%d\n",
-				l.Name, l.Kind, l.Class, l.Team, l.Weight, bounded(l.Limits.Slots), bounded(l.Limits.Queue), bounded(l.Limits.Tasks),
-				bounded(l.Limits.Capacity.CPU), bounded(l.Limits.Capacity.Mem), bounded(l.Limits.Capacity.Accel),
+				l.Name, l.Kind, l.Class, l.Team, l.Weight, formatLimit(l.Limits.Slots), formatLimit(l.Limits.Queue), formatLimit(l.Limits.Tasks),
+				formatLimit(l.Limits.Capacity.CPU), formatLimit(l.Limits.Capacity.Mem), formatLimit(l.Limits.Capacity.Accel),
 				strings.Join(l.Domains, ","), l.Tries, l.Idempotent, l.Deadline, l.Version)
 		}
 	})
 }
 
-// bounded formats a limit. The absence of a limit is shown as a dash, because 0 would read as
+// formatLimit formats a limit. The absence of a limit is shown as a dash, because 0 would read as
 // "nothing allowed".
-func bounded(n int64) string {
+func formatLimit(n int64) string {
 	if n == 0 || n == table.NoLimit {
 		return "-"
 	}
@@ -121,10 +121,10 @@
 
 func showLog(o remote) error {
 	var past []table.HistoryEntry
-	if err := o.page("/log", &past); err != nil {
+	if err := o.getPage("/log", &past); err != nil {
 		return err
 	}
-	return o.lines(past, "OFFSET\tWHEN\tWHO\tROW\tVERDICT\tWHAT", func(w io.Writer) {
+	return o.printRows(past, "OFFSET\tWHEN\tWHO\tROW\tVERDICT\tWHAT", func(w io.Writer) {
 		for _, p := range past {
 			verdict := "accepted"
 			if !p.Accepted {
@@ -137,10 +137,10 @@
 
 func showStatus(o remote) error {
 	var s operator.TableStatus
-	if err := o.page("/status", &s); err != nil {
+	if err := o.getPage("/status", &s); err != nil {
 		return err
 	}
-	err := o.lines(s, "HOST\tDOMAIN\tNEXT\tMARK\tHEARD", func(w io.Writer) {
+	err := o.printRows(s, "HOST\tDOMAIN\tNEXT\tMARK\tHEARD", func(w io.Writer) {
 		for _, h := range s.Hosts {
 			_, _ = fmt.Fprintf(w, "%s\t%s\t%d\t%08x\t%s\n", h.Host, h.Domain, h.Next, h.Mark, h.Heard.Format(time.RFC3339))
 		}
@@ -153,14 +153,14 @@
 
 func showQuotas(o remote) error {
 	var all []table.Quota
-	if err := o.page("/quotas", &all); err != nil {
+	if err := o.getPage("/quotas", &all); err != nil {
 		return err
 	}
-	return o.lines(all, "TEAM\tDOMAIN\tTASKS\tCPU\tMEM\tACCEL\tWAITS FOR\tVERSION", func(w io.Writer) {
+	return o.printRows(all, "TEAM\tDOMAIN\tTASKS\tCPU\tMEM\tACCEL\tWAITS FOR\tVERSION", func(w io.Writer) {
 		for _, q := range all {
 			for d, s := range q.Shares {
-				_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\n", q.Team, d, bounded(s.Tasks), bounded(s.Capacity.CPU),
-					bounded(s.Capacity.Mem), bounded(s.Capacity.Accel), strings.Join(q.Unconfirmed, ","), q.Version)
+				_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\n", q.Team, d, formatLimit(s.Tasks), formatLimit(s.Capacity.CPU),
+					formatLimit(s.Capacity.Mem), formatLimit(s.Capacity.Accel), strings.Join(q.Unconfirmed, ","), q.Version)
 			}
 		}
 	})
