--- a/internal/standin/oversight.go
+++ b/internal/standin/oversight.go
@@ -20,7 +20,7 @@
 	doubled []string
 }
 
-// NewCopyChecker returns an oversight without any recorded copies.
+// NewCopyChecker returns a checker without any recorded copies.
 func NewCopyChecker() *CopyChecker { return &CopyChecker{copies: map[string]map[copyKey]time.Time{}} }
 
 // runs records that a copy runs until the given time at the latest. If the copy is new and another
--- a/internal/standin/users/worker.go
+++ b/internal/standin/users/worker.go
@@ -28,7 +28,7 @@
 	finished map[string]bool
 }
 
-// NewInvariantChecker returns an oracle that has recorded nothing yet.
+// NewInvariantChecker returns a checker that has recorded nothing yet.
 func NewInvariantChecker() *InvariantChecker {
 	return &InvariantChecker{at: map[string]string{}, done: map[string]bool{}, runs: map[string]int{}, finished: map[string]bool{}}
 }
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -132,7 +132,7 @@
 	k.over.ended(t.ID, copyKey{k, t.Lease})
 }
 
-// watch reports to the Oversight the latest time at which a task can still run.
+// watch reports to the CopyChecker the latest time at which a task can still run.
 func (k *Worker) watch(t *Task) {
 	until := t.until
 	if t.ends.Before(until) {
