--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -137,7 +137,7 @@
 // startAllHosts opens the sockets of all hosts before it starts the first host, so that the settings
 // of every host can list the addresses of its peers.
 func (s *demo) startAllHosts() error {
-	u := s.cell.Users
+	u := s.cell.Deployment
 	var all []settings.Settings
 	var sockets []host.Listeners
 	any := netip.AddrPortFrom(s.cell.Address.Addr(), 0)
@@ -197,7 +197,7 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	s.logf("%d entry hosts in %d failure domains are ready", len(s.entries), len(s.cell.Users.Domains))
+	s.logf("%d entry hosts in %d failure domains are ready", len(s.entries), len(s.cell.Deployment.Domains))
 	return nil
 }
 
@@ -235,7 +235,7 @@
 	defer cancel()
 	var g errgroup.Group
 	play := audit.Load{
-		Names: s.names, Domains: s.cell.Users.Domains, Pick: s.pickClient, Tally: s.tally,
+		Names: s.names, Domains: s.cell.Deployment.Domains, Pick: s.pickClient, Tally: s.tally,
 		Urgent: urgentCallers, Flood: floodCallers, Batch: batchCallers,
 	}
 	g.Go(func() error { play.Run(ctx); return nil })
--- a/internal/standin/cell.go
+++ b/internal/standin/cell.go
@@ -41,13 +41,13 @@
 
 // Cell runs the stand-ins of one deployment on loopback sockets.
 type Cell struct {
-	Users    Deployment
-	Platform *Platform
-	Address  netip.AddrPort
-	Backends map[string]*Backend
-	Workers  map[string]*Worker
-	Over     *CopyChecker
-	Machines []platform.HostEntry
+	Deployment Deployment
+	Platform   *Platform
+	Address    netip.AddrPort
+	Backends   map[string]*Backend
+	Workers    map[string]*Worker
+	Over       *CopyChecker
+	Machines   []platform.HostEntry
 
 	servers []*http.Server
 	wg      sync.WaitGroup
@@ -58,7 +58,7 @@
 // operating system chooses.
 func NewCell(u Deployment, addr netip.AddrPort, clock func() time.Time) (*Cell, error) {
 	c := &Cell{
-		Users: u, Platform: NewPlatform(), Backends: map[string]*Backend{}, Workers: map[string]*Worker{}, Over: NewCopyChecker(),
+		Deployment: u, Platform: NewPlatform(), Backends: map[string]*Backend{}, Workers: map[string]*Worker{}, Over: NewCopyChecker(),
 	}
 	if err := c.fill(addr, clock); err != nil {
 		c.Close()
@@ -74,27 +74,29 @@
 		return err
 	}
 	any := netip.AddrPortFrom(addr.Addr(), 0)
-	for i := range c.Users.Backends {
+	for i := range c.Deployment.Backends {
 		name := fmt.Sprintf("minion-%02d", i)
-		m := NewBackend(c.Users.Slots)
+		m := NewBackend(c.Deployment.Slots)
 		c.Backends[name] = m
-		if err := c.add(any, m.Handler(), platform.HostEntry{Name: name, Kind: cell.BackendHost, Domain: c.domain(i, c.Users.Backends), Slots: c.Users.Slots}); err != nil {
+		if err := c.add(any, m.Handler(), platform.HostEntry{Name: name, Kind: cell.BackendHost, Domain: c.domain(i, c.Deployment.Backends), Slots: c.Deployment.Slots}); err != nil {
 			return err
 		}
 	}
-	for i := range c.Users.Workers {
+	for i := range c.Deployment.Workers {
 		name := fmt.Sprintf("worker-%02d", i)
-		w := NewWorker(c.Users.Worker, c.Over, clock)
+		w := NewWorker(c.Deployment.Worker, c.Over, clock)
 		c.Workers[name] = w
-		rack := fmt.Sprintf("r%d", i*c.Users.Racks/c.Users.Workers)
-		if err := c.add(any, w.Handler(), platform.HostEntry{Name: name, Kind: cell.WorkerHost, Domain: c.domain(i, c.Users.Workers), Rack: rack, Size: c.Users.Worker}); err != nil {
+		rack := fmt.Sprintf("r%d", i*c.Deployment.Racks/c.Deployment.Workers)
+		if err := c.add(any, w.Handler(), platform.HostEntry{Name: name, Kind: cell.WorkerHost, Domain: c.domain(i, c.Deployment.Workers), Rack: rack, Size: c.Deployment.Worker}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *Cell) domain(i, all int) string { return c.Users.Domains[i*len(c.Users.Domains)/all] }
+func (c *Cell) domain(i, all int) string {
+	return c.Deployment.Domains[i*len(c.Deployment.Domains)/all]
+}
 
 func (c *Cell) add(addr netip.AddrPort, h http.Handler, m platform.HostEntry) error {
 	at, err := c.serve(addr, h)
