--- a/internal/standin/cell.go
+++ b/internal/standin/cell.go
@@ -41,13 +41,13 @@
 
 // Cell runs the stand-ins of one deployment on loopback sockets.
 type Cell struct {
-	Deployment Deployment
-	Platform   *Platform
-	Address    netip.AddrPort
-	Backends   map[string]*Backend
-	Workers    map[string]*Worker
-	Over       *CopyChecker
-	Machines   []platform.HostEntry
+	Deployment  Deployment
+	Platform    *Platform
+	Address     netip.AddrPort
+	Backends    map[string]*Backend
+	Workers     map[string]*Worker
+	CopyChecker *CopyChecker
+	Machines    []platform.HostEntry
 
 	servers []*http.Server
 	wg      sync.WaitGroup
@@ -58,7 +58,7 @@
 // operating system chooses.
 func NewCell(u Deployment, addr netip.AddrPort, clock func() time.Time) (*Cell, error) {
 	c := &Cell{
-		Deployment: u, Platform: NewPlatform(), Backends: map[string]*Backend{}, Workers: map[string]*Worker{}, Over: NewCopyChecker(),
+		Deployment: u, Platform: NewPlatform(), Backends: map[string]*Backend{}, Workers: map[string]*Worker{}, CopyChecker: NewCopyChecker(),
 	}
 	if err := c.fill(addr, clock); err != nil {
 		c.Close()
@@ -84,7 +84,7 @@
 	}
 	for i := range c.Deployment.Workers {
 		name := fmt.Sprintf("worker-%02d", i)
-		w := NewWorker(c.Deployment.Worker, c.Over, clock)
+		w := NewWorker(c.Deployment.Worker, c.CopyChecker, clock)
 		c.Workers[name] = w
 		rack := fmt.Sprintf("r%d", i*c.Deployment.Racks/c.Deployment.Workers)
 		if err := c.add(any, w.Handler(), platform.HostEntry{Name: name, Kind: cell.WorkerHost, Domain: c.domain(i, c.Deployment.Workers), Rack: rack, Size: c.Deployment.Worker}); err != nil {
@@ -137,7 +137,7 @@
 
 // Report returns the current sum of all records.
 func (c *Cell) Report() Report {
-	r := Report{Doubled: c.Over.Doubled(), Ran: map[string]int{}, Tasks: map[string]int{}, Started: map[string]int{}}
+	r := Report{Doubled: c.CopyChecker.Doubled(), Ran: map[string]int{}, Tasks: map[string]int{}, Started: map[string]int{}}
 	for _, m := range c.Backends {
 		rec := m.Record()
 		r.SlotsOver += rec.Over
