--- a/internal/standin/oversight.go
+++ b/internal/standin/oversight.go
@@ -23,9 +23,9 @@
 // NewCopyChecker returns a checker without any recorded copies.
 func NewCopyChecker() *CopyChecker { return &CopyChecker{copies: map[string]map[copyKey]time.Time{}} }
 
-// runs records that a copy runs until the given time at the latest. If the copy is new and another
+// addCopy records that a copy addCopy until the given time at the latest. If the copy is new and another
 // copy of the task is still running, it also records the task as doubled.
-func (o *CopyChecker) runs(id string, key copyKey, now, until time.Time) {
+func (o *CopyChecker) addCopy(id string, key copyKey, now, until time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.copies[id] == nil {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -138,7 +138,7 @@
 	if t.ends.Before(until) {
 		until = t.ends
 	}
-	k.over.runs(t.ID, copyKey{k, t.Lease}, k.clock(), until)
+	k.over.addCopy(t.ID, copyKey{k, t.Lease}, k.clock(), until)
 }
 
 // change marks a task as changed, so that the next renewal reports it.
