--- a/internal/standin/oversight.go
+++ b/internal/standin/oversight.go
@@ -41,8 +41,8 @@
 	o.copies[id][key] = until
 }
 
-// ended removes a copy that no longer runs.
-func (o *CopyChecker) ended(id string, key copyKey) {
+// removeCopy removes a copy that no longer runs.
+func (o *CopyChecker) removeCopy(id string, key copyKey) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.copies[id], key)
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -129,7 +129,7 @@
 	k.area += at.Sub(t.began).Seconds() * float64(t.Size.CPU)
 	k.record.Ended[t.ID] = state
 	k.tell(t.ID, Step{At: at, What: state, Holder: t.Holder, Lease: t.Lease})
-	k.over.ended(t.ID, copyKey{k, t.Lease})
+	k.over.removeCopy(t.ID, copyKey{k, t.Lease})
 }
 
 // watch reports to the CopyChecker the latest time at which a task can still run.
