--- a/internal/standin/crash.go
+++ b/internal/standin/crash.go
@@ -6,7 +6,7 @@
 func (k *Worker) Crash() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.settle()
+	k.endExpired()
 	k.crash()
 }
 
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -71,7 +71,7 @@
 func (k *Worker) Record() WorkerRecord {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.settle()
+	k.endExpired()
 	r := k.record
 	r.Started = copyMap(k.record.Started)
 	r.Ended = copyMap(k.record.Ended)
@@ -91,7 +91,7 @@
 func (k *Worker) Utilization(since time.Time) float64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.settle()
+	k.endExpired()
 	whole := k.clock().Sub(since).Seconds() * float64(k.size.CPU)
 	if whole <= 0 {
 		return 0
@@ -101,9 +101,9 @@
 
 func (k *Worker) now() time.Time { return k.clock().Add(k.faults.Skew) }
 
-// settle ends the tasks whose run time or lease has expired. The caller holds mu. It is called
+// endExpired ends the tasks whose run time or lease has expired. The caller holds mu. It is called
 // before each answer, so that answers do not depend on the timing of a timer.
-func (k *Worker) settle() {
+func (k *Worker) endExpired() {
 	now := k.clock()
 	k.mayCrash(now)
 	for _, t := range k.tasks {
@@ -186,7 +186,7 @@
 			hangUp(w)
 			return
 		}
-		k.settle()
+		k.endExpired()
 		crashed := k.record.Crashed
 		status, says := do(ask)
 		k.mayCrash(k.clock())
