--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -157,7 +157,7 @@
 	r := chi.NewRouter()
 	r.Put("/faults", putFaults(k.SetFaults))
 	r.Get("/record", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, k.Record()) })
-	r.Post("/anchor", handleWorker(k, k.takeAnchor))
+	r.Post("/anchor", handleWorker(k, k.acquireAnchor))
 	r.Delete("/anchor", handleWorker(k, k.giveAnchor))
 	r.Post("/tasks", handleWorker(k, k.start))
 	r.Get("/tasks", handleWorker(k, k.list))
@@ -230,7 +230,7 @@
 	return WorkerReply{Holder: k.anchor.holder, Lease: k.anchor.lease, Left: k.anchor.until.Sub(k.clock()).Milliseconds()}
 }
 
-func (k *Worker) takeAnchor(ask WorkerRequest) (int, WorkerReply) {
+func (k *Worker) acquireAnchor(ask WorkerRequest) (int, WorkerReply) {
 	if k.heldByOther(ask.Holder, ask.Term) {
 		return http.StatusConflict, k.anchorSays()
 	}
