--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -158,7 +158,7 @@
 	r.Put("/faults", putFaults(k.SetFaults))
 	r.Get("/record", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, k.Record()) })
 	r.Post("/anchor", handleWorker(k, k.acquireAnchor))
-	r.Delete("/anchor", handleWorker(k, k.giveAnchor))
+	r.Delete("/anchor", handleWorker(k, k.releaseAnchor))
 	r.Post("/tasks", handleWorker(k, k.start))
 	r.Get("/tasks", handleWorker(k, k.list))
 	r.Post("/renew", handleWorker(k, k.renew))
@@ -243,7 +243,7 @@
 	return http.StatusOK, says
 }
 
-func (k *Worker) giveAnchor(ask WorkerRequest) (int, WorkerReply) {
+func (k *Worker) releaseAnchor(ask WorkerRequest) (int, WorkerReply) {
 	if k.anchor.holder == ask.Holder && k.anchor.lease == ask.Lease {
 		k.anchor = anchor{}
 	}
