--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -128,7 +128,7 @@
 	k.change(t)
 	k.area += at.Sub(t.began).Seconds() * float64(t.Size.CPU)
 	k.record.Ended[t.ID] = state
-	k.tell(t.ID, Step{At: at, What: state, Holder: t.Holder, Lease: t.Lease})
+	k.addStep(t.ID, Step{At: at, What: state, Holder: t.Holder, Lease: t.Lease})
 	k.over.removeCopy(t.ID, copyKey{k, t.Lease})
 }
 
@@ -263,7 +263,7 @@
 func (k *Worker) start(ask WorkerRequest) (int, WorkerReply) {
 	if ask.Deadline > 0 && k.now().UnixMilli() > ask.Deadline {
 		k.record.Late++
-		k.tell(ask.ID, Step{At: k.clock(), What: "late", Holder: ask.Holder})
+		k.addStep(ask.ID, Step{At: k.clock(), What: "late", Holder: ask.Holder})
 		return http.StatusGone, WorkerReply{}
 	}
 	now := k.clock()
@@ -284,7 +284,7 @@
 	delete(k.gone, t.ID)
 	k.change(t)
 	k.record.Started[t.ID]++
-	k.tell(t.ID, Step{At: now, What: "started", Holder: t.Holder, Lease: t.Lease, Left: time.Duration(ask.Deadline-k.now().UnixMilli()) * time.Millisecond})
+	k.addStep(t.ID, Step{At: now, What: "started", Holder: t.Holder, Lease: t.Lease, Left: time.Duration(ask.Deadline-k.now().UnixMilli()) * time.Millisecond})
 	k.watch(t)
 	if !k.used().Fits(k.size) {
 		k.record.Overfilled++
@@ -295,7 +295,7 @@
 	return http.StatusOK, WorkerReply{}
 }
 
-func (k *Worker) tell(id string, s Step) { k.history[id] = append(k.history[id], s) }
+func (k *Worker) addStep(id string, s Step) { k.history[id] = append(k.history[id], s) }
 
 // History returns the events of a task on this worker in order.
 func (k *Worker) History(id string) []Step {
