--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -87,7 +87,7 @@
 	r := chi.NewRouter()
 	r.Put("/faults", putFaults(p.SetFaults))
 	r.Group(func(r chi.Router) {
-		r.Use(p.hinder)
+		r.Use(p.applyFaults)
 		r.Post("/log/{stream}", p.append)
 		r.Get("/log/{stream}", p.read)
 		r.Get("/hosts", p.list)
@@ -108,7 +108,7 @@
 	}
 }
 
-func (p *Platform) hinder(next http.Handler) http.Handler {
+func (p *Platform) applyFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		p.mu.Lock()
 		f := p.faults
