--- a/internal/standin/users/log.go
+++ b/internal/standin/users/log.go
@@ -308,15 +308,15 @@
 	for n, m := range g.members {
 		if l.now().After(m.until) {
 			delete(g.members, n)
-			g.deal(l.parts)
+			g.assign(l.parts)
 		}
 	}
 	return g
 }
 
-// deal assigns every partition without an owner to the member that owns the fewest. A partition
+// assign assigns every partition without an owner to the member that owns the fewest. A partition
 // whose owner is still a member is not moved.
-func (g *group) deal(parts int) {
+func (g *group) assign(parts int) {
 	g.generation++
 	names := slices.Sorted(maps.Keys(g.members))
 	count := map[string]int{}
@@ -357,7 +357,7 @@
 			delete(g.owners, at)
 		}
 	}
-	g.deal(parts)
+	g.assign(parts)
 }
 
 func (g *group) sorted() []store.Share {
@@ -388,7 +388,7 @@
 	g := l.groupOf(c.Group)
 	if _, ok := g.members[c.Member]; ok {
 		delete(g.members, c.Member)
-		g.deal(l.parts)
+		g.assign(l.parts)
 	}
 }
 
@@ -416,5 +416,5 @@
 	for _, topic := range g.members[first].topics {
 		g.owners[store.Share{Topic: topic}] = first
 	}
-	g.deal(l.parts)
+	g.assign(l.parts)
 }
