--- a/internal/standin/users/log.go
+++ b/internal/standin/users/log.go
@@ -343,9 +343,9 @@
 	}
 }
 
-// even rebalances the partitions: it moves partitions away from members that own more than an equal
+// rebalance rebalances the partitions: it moves partitions away from members that own more than an equal
 // share, rounded up.
-func (g *group) even(parts int) {
+func (g *group) rebalance(parts int) {
 	if len(g.members) == 0 {
 		return
 	}
@@ -373,7 +373,7 @@
 	}
 	m.topics, m.until = c.Topics, l.now().Add(c.TTL)
 	if !ok {
-		g.even(l.parts)
+		g.rebalance(l.parts)
 	}
 	a := store.Answer{Generation: g.generation}
 	for _, at := range g.sorted() {
