--- a/internal/standin/users/worker.go
+++ b/internal/standin/users/worker.go
@@ -54,7 +54,7 @@
 	return o.finished[task]
 }
 
-func (o *InvariantChecker) wrong(format string, args ...any) {
+func (o *InvariantChecker) addViolation(format string, args ...any) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.wrongs = append(o.wrongs, fmt.Sprintf(format, args...))
@@ -262,7 +262,7 @@
 	r.timer = time.AfterFunc(w.work, func() { w.finish(o.Task, r, "done") })
 	w.runs[o.Task] = r
 	if used := int64(len(w.runs)) * TaskCPU; used > w.bound() {
-		w.oracle.wrong("task %s was started on %s, which has %d milli-CPU, and raised its use to %d", o.Task, w.ID, w.cpu, used)
+		w.oracle.addViolation("task %s was started on %s, which has %d milli-CPU, and raised its use to %d", o.Task, w.ID, w.cpu, used)
 	}
 	w.extend(o.DeadlineMs)
 	return http.StatusOK, ""
