--- a/internal/standin/users/worker.go
+++ b/internal/standin/users/worker.go
@@ -108,15 +108,15 @@
 	work   time.Duration
 	began  time.Time
 
-	mu       sync.Mutex
-	fence    int64
-	runs     map[string]*run
-	tombs    map[string]int
-	ends     []ended
-	number   int64
-	changed  chan struct{}
-	deadline time.Time
-	lapse    *time.Timer
+	mu        sync.Mutex
+	fence     int64
+	runs      map[string]*run
+	endedRuns map[string]int
+	ends      []ended
+	number    int64
+	changed   chan struct{}
+	deadline  time.Time
+	lapse     *time.Timer
 	// cpu is the capacity that the worker announces. Until the time until, its former capacity
 	// still counts if it is larger.
 	cpu, former int64
@@ -136,7 +136,7 @@
 
 // NewWorker starts a worker whose tasks each run for the duration work.
 func NewWorker(id string, work time.Duration, o *InvariantChecker) *Worker {
-	w := &Worker{ID: id, oracle: o, work: work, began: time.Now(), runs: map[string]*run{}, tombs: map[string]int{}, changed: make(chan struct{}), cpu: wholeCPU}
+	w := &Worker{ID: id, oracle: o, work: work, began: time.Now(), runs: map[string]*run{}, endedRuns: map[string]int{}, changed: make(chan struct{}), cpu: wholeCPU}
 	r := chi.NewRouter()
 	r.Post("/pollencroft/run-start", w.order(w.start))
 	r.Post("/pollencroft/run-stop", w.order(w.stop))
@@ -250,7 +250,7 @@
 		return http.StatusConflict, "fence"
 	case time.Duration(o.DeadlineMs)*time.Millisecond < w.clock():
 		return http.StatusConflict, "late"
-	case w.tombs[o.Task] >= o.Run:
+	case w.endedRuns[o.Task] >= o.Run:
 		return http.StatusConflict, "old"
 	}
 	w.fence = o.FencingToken
@@ -274,7 +274,7 @@
 		return http.StatusConflict, "fence"
 	}
 	w.fence = o.FencingToken
-	w.tombs[o.Task] = max(w.tombs[o.Task], o.Run)
+	w.endedRuns[o.Task] = max(w.endedRuns[o.Task], o.Run)
 	if r, ok := w.runs[o.Task]; ok && r.number == o.Run {
 		r.timer.Stop()
 		time.AfterFunc(20*time.Millisecond, func() { w.finish(o.Task, r, "stopped") })
@@ -294,7 +294,7 @@
 func (w *Worker) end(task string, r *run, how string) {
 	delete(w.runs, task)
 	w.oracle.end(task, how == "done")
-	w.tombs[task] = max(w.tombs[task], r.number)
+	w.endedRuns[task] = max(w.endedRuns[task], r.number)
 	w.number++
 	w.ends = append(w.ends, ended{w.number, task, r.number, how})
 	close(w.changed)
