--- a/internal/standin/minion_test.go
+++ b/internal/standin/minion_test.go
@@ -15,7 +15,7 @@
 
 // Other tests rely on the faults and the record of this stand-in. The Silent fault must affect only
 // the request that it applies to, and the record must contain both requests.
-func TestMinionIsSilentOnOneConnection(t *testing.T) {
+func TestSilentFaultAffectsOneConnection(t *testing.T) {
 	m := standin.NewBackend(8)
 	srv := httptest.NewServer(m.Handler())
 	defer srv.Close()
