--- a/internal/model/actions.go
+++ b/internal/model/actions.go
@@ -9,31 +9,31 @@
 	"pollencroft/internal/takeover"
 )
 
-// mostMail bounds how many messages may be on their way at once.
+// mostMail limits how many messages may be in flight at once.
 const mostMail = 6
 
-// mostRankings bounds how often the former lead loses and regains its racks.
+// mostRankings limits how often the former leader loses or regains its racks.
 const mostRankings = 2
 
-// choice is one thing that may happen next: a kind of event, and for those that
-// concern a message, which one.
+// choice is one event that may happen next: its kind and, if it concerns a
+// message, the index of the message.
 type choice struct {
 	what string
 	mail int
 }
 
-// The kinds of event.
+// The kinds of events.
 const (
 	timePasses = "time passes"
 	delivered  = "is delivered"
 	givenUp    = "is given up"
-	pauses     = "the former lead pauses or goes on"
-	takesOver  = "the next lead takes over"
-	replaced   = "the former lead is replaced"
-	unranked   = "the former lead is ranked otherwise"
+	pauses     = "the former leader pauses or resumes"
+	takesOver  = "the next leader takes over"
+	replaced   = "the former leader is replaced"
+	unranked   = "the former leader loses or regains its racks"
 )
 
-// choices lists all that may happen in this state.
+// choices returns all events that may happen in this state.
 func (w *World) choices() []choice {
 	all := []choice{{what: timePasses}}
 	for i, m := range w.mail {
@@ -57,7 +57,7 @@
 	return all
 }
 
-// name tells a choice in words.
+// name describes a choice in words, for the path to a violation.
 func (w *World) name(c choice) string {
 	if c.what != delivered && c.what != givenUp {
 		return c.what
@@ -97,7 +97,7 @@
 
 func (w *World) deliverable(m message) bool { return !m.done || !w.hosts[m.host].paused }
 
-// pass lets half an anchor lease go by.
+// pass advances the time by one step, which is half an anchor lease.
 func (w *World) pass() {
 	w.now = w.now.Add(step)
 	for _, name := range []string{former, next} {
@@ -120,8 +120,9 @@
 	}
 }
 
-// restart replaces the former lead by a host of the same name that knows
-// nothing; what its predecessor sent stays on its way.
+// restart replaces the former leader by a host of the same name without any
+// state. Requests that its predecessor sent stay in flight and may still be
+// carried out, but their answers are dropped.
 func (w *World) restart() {
 	w.restarts++
 	w.mail = slices.DeleteFunc(slices.Clone(w.mail), func(m message) bool { return m.host == former && m.done })
@@ -138,7 +139,7 @@
 	return m
 }
 
-// deliver carries a question out, or brings its answer back.
+// deliver delivers a request to its worker, which carries it out, or an answer to its host.
 func (w *World) deliver(i int) {
 	m := w.take(i)
 	if !m.done {
@@ -153,8 +154,8 @@
 	w.answered(w.hosts[m.host], m)
 }
 
-// giveUp lets the sender take a message for lost. A question that was not
-// carried out yet may still be, at any later time.
+// giveUp makes the sender treat a message as lost. A request that is not carried
+// out yet may still be carried out at any later time.
 func (w *World) giveUp(i int) {
 	m := w.take(i)
 	if !m.done {
--- a/internal/model/explore.go
+++ b/internal/model/explore.go
@@ -12,17 +12,18 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Found is what an exploration saw.
+// Found is the result of an exploration.
 type Found struct {
 	States int
 	Depth  int
-	// Wrong is the first broken promise and Path what led to it.
+	// Wrong describes the first violation of an invariant, and Path lists the events that led to it.
 	Wrong string
 	Path  []string
 }
 
-// Explore plays every order of events up to a depth. States that were reached
-// before are not played on; it ends at the first broken promise.
+// Explore tries every order of events up to a depth. It continues only from
+// states that it has not reached before, and stops at the first violation of an
+// invariant.
 func Explore(rules Rules, s Start, depth int) Found {
 	seen := map[uint64]bool{}
 	level := [][]int{nil}
@@ -45,7 +46,7 @@
 	return f
 }
 
-// child is a state that one more event leads to.
+// child is a state that is reached by one more event.
 type child struct {
 	path  []int
 	wrong string
@@ -53,8 +54,9 @@
 	mail  int
 }
 
-// childrenOf plays one more event after each path, several paths at once. The
-// result is in the order of the paths, so it is the same on every machine.
+// childrenOf tries every possible next event after each path, and handles
+// several paths concurrently. The result is in the order of the paths, so it is
+// the same on every machine.
 func childrenOf(rules Rules, s Start, level [][]int) []child {
 	found := make([][]child, len(level))
 	var g errgroup.Group
@@ -92,8 +94,9 @@
 	return all
 }
 
-// Play takes steps that pick chooses among so many, and returns the first
-// broken promise and what led to it.
+// Play runs the given number of steps and lets pick choose each event by its
+// index among n possible ones. It returns the first violation of an invariant
+// and the events that led to it, or an empty text and all events.
 func Play(rules Rules, s Start, steps int, pick func(n int) int) (string, []string) {
 	w := NewWorld(rules, s)
 	var path []string
@@ -109,7 +112,7 @@
 	return "", path
 }
 
-// key is the same for two worlds that cannot be told apart.
+// key returns a hash of the state: worlds with equal contents have the same key.
 func (w *World) key() uint64 {
 	h := xxhash.New()
 	digest(h, reflect.ValueOf(*w), map[uintptr]bool{})
@@ -118,7 +121,8 @@
 
 var timeType = reflect.TypeFor[time.Time]()
 
-// digest writes a value without the addresses of its parts, and maps in order.
+// digest adds the contents of a value to the hash. It follows pointers rather than
+// hashing addresses, and visits maps in the order of their keys.
 func digest(h *xxhash.Digest, v reflect.Value, seen map[uintptr]bool) {
 	switch v.Kind() {
 	case reflect.Pointer:
--- a/internal/model/machine.go
+++ b/internal/model/machine.go
@@ -7,20 +7,21 @@
 	"pollencroft/internal/lease"
 )
 
-// machine is a worker by the rules of the stand-in: it keeps an anchor and task
-// leases and refuses a start only when its deadline has passed. It holds one
-// task; a second one is the fault that the checker looks for.
+// machine models a worker with the rules of the stand-in platform: it keeps an
+// anchor and task leases, and refuses a start only if the deadline of the start
+// has passed. It has capacity for one task; a second task is a violation that the
+// checker looks for.
 type machine struct {
 	name   string
 	holder string
 	until  time.Time
 	lease  int
 	tasks  map[string]time.Time
-	// wrong is the first promise that was broken here.
+	// wrong describes the latest violation of an invariant on this worker.
 	wrong string
 }
 
-// skew is how far the workers' own clocks are off.
+// skew is how far the clocks of the workers are ahead of those of the hosts.
 const skew = 5 * time.Hour
 
 func (m *machine) settle(now time.Time) {
@@ -39,7 +40,7 @@
 	return r
 }
 
-// answer carries out a question and returns the answer to it.
+// answer carries out a request and returns the answer to it.
 func (m *machine) answer(now time.Time, q message) message {
 	m.settle(now)
 	held := m.until.After(now)
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -22,10 +22,10 @@
 	os.Exit(m.Run())
 }
 
-// Hosts pause, die, are replaced and are wrongly taken for dead, and every
-// message is late, lost or delivered in another order. Whatever the order, no
-// worker gets more than it holds, no task runs in two places and no start is
-// carried out under another host's anchor.
+// Hosts pause, die, are replaced or are wrongly considered dead, and any message
+// may be late, lost or reordered. In every order of these events, no worker gets
+// more tasks than it has capacity for, no task runs on two workers and no start
+// is carried out while another host holds the worker's anchor.
 func TestEveryOrderKeepsThePromises(t *testing.T) {
 	for _, c := range []struct {
 		start model.Start
@@ -47,8 +47,8 @@
 	})
 }
 
-// Each rule is left out once. If the checker stayed silent then, its silence
-// about the whole design would mean nothing.
+// Leaves out each rule once. If the checker found no violation then, finding none
+// with all rules in place would prove nothing.
 func TestCheckerFindsWhatEachRuleIsFor(t *testing.T) {
 	for name, c := range map[string]struct {
 		rules model.Rules
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -1,6 +1,7 @@
-// Package model checks the lease, takeover and job cores together: it plays
-// every order of events up to a depth on two entry hosts and their workers,
-// and says which order breaks a promise. It decides nothing in the product.
+// Package model checks the state machines of the packages lease, takeover and job
+// together: it tries every order of events up to a depth on two entry hosts and
+// their workers, and reports an order that violates an invariant. It is only a
+// check; the scheduler does not use it.
 package model
 
 import (
@@ -16,25 +17,27 @@
 	"pollencroft/internal/takeover"
 )
 
-// Rules are the rules of the design that can be left out, to show that the
-// checker finds what they are for.
+// Rules selects the rules of the design to leave out, to show that the checker
+// finds the faults that these rules prevent.
 type Rules struct {
-	// NoDeadline sends starts without a deadline.
+	// NoDeadline makes hosts send starts without a deadline.
 	NoDeadline bool
-	// NoCensus lets inherited jobs go on at once.
+	// NoCensus makes hosts continue inherited jobs at once, without waiting for the
+	// inventory of running tasks.
 	NoCensus bool
-	// NoTerm lets a replaced host go by its predecessor's name at the workers.
+	// NoTerm makes a replaced host use the same holder name at the workers as its
+	// predecessor.
 	NoTerm bool
 }
 
-// Times of the modelled cell. One step of time is half an anchor lease.
+// Durations of the modelled cell. One step of time is half an anchor lease.
 const (
 	step = 2 * time.Second
 	ttl  = 2 * step
 	long = 3 * step
-	// never keeps the checker from taking a silent worker for empty: whether a
-	// message is late or its worker is gone is the same to a host, so that rule
-	// rests on nobody else reaching the worker either, which is not modelled.
+	// never disables the rule that a worker counts as empty after a long silence. A
+	// host cannot distinguish a late message from a lost worker, so that rule relies
+	// on no other host reaching the worker either, which is not modelled.
 	never = 1000 * time.Hour
 )
 
@@ -46,7 +49,7 @@
 
 func jobOf(task string) string { return task[:strings.LastIndex(task, ".")] }
 
-// message is one question to a worker, or once it was carried out, its answer.
+// message is a request to a worker or, once the worker has carried it out, the answer.
 type message struct {
 	kind, host, holder, worker, task, lease string
 	inc                                     int
@@ -56,7 +59,7 @@
 	sent                                    time.Time
 	reading                                 lease.Reading
 	done, refused, late                     bool
-	// lost is set when the sender has given up waiting.
+	// lost is set once the sender no longer waits for the answer.
 	lost bool
 }
 
@@ -67,7 +70,7 @@
 	leases *lease.Leases
 	jobs   *job.Jobs
 	over   *takeover.Takeover
-	// room holds the tasks that take each held worker.
+	// room holds the tasks that occupy each held worker, as far as the host knows.
 	room  map[string]map[string]bool
 	queue []string
 	spec  map[string]job.Spec
@@ -82,21 +85,21 @@
 	mail     []message
 	led      bool
 	restarts int
-	// rankings counts how often the former lead was ranked or no longer so.
+	// rankings counts how often the former leader lost or regained its racks.
 	rankings int
 }
 
-// Start is the state from which orders of events are played.
+// Start describes the state in which every order of events begins.
 type Start struct {
 	Workers int
-	// Running tells that the task runs already; else its start is under way.
+	// Running reports whether the task runs already; otherwise its start is in flight.
 	Running bool
-	// Lapsed tells that the anchors ran out meanwhile, and the lead was paused.
+	// Lapsed reports whether the leader is paused and the anchors have expired.
 	Lapsed bool
 }
 
 // NewWorld returns a cell in which one host leads all workers and has just sent
-// the start of a task, or has had it confirmed.
+// the start of a task, or has received its confirmation.
 func NewWorld(rules Rules, s Start) *World {
 	w := &World{rules: rules, now: time.Unix(1_700_000_000, 0), hosts: map[string]*host{}}
 	for i := range s.Workers {
@@ -150,7 +153,8 @@
 
 func (w *World) submit(h *host, id string) { w.job(h, job.Submit{Spec: specOf(id)}) }
 
-// inherit lets a host take the former lead for dead.
+// inherit makes a host take over the workers and the job of a leader that it
+// considers dead.
 func (w *World) inherit(h *host) {
 	w.lead(h)
 	w.job(h, job.Inherit{Spec: specOf(old)})
@@ -197,7 +201,7 @@
 	w.fill(h)
 }
 
-// demote is what the lead does when it holds no worker any more.
+// demote makes a host drop its jobs once it holds no worker any more.
 func (w *World) demote(h *host) {
 	if len(h.leases.Held()) > 0 {
 		return
@@ -264,7 +268,7 @@
 	w.send(h, message{kind: "start", worker: a.Worker, task: a.Task, attempt: a.Attempt, ttl: ttl, deadline: deadline})
 }
 
-// fill places waiting tasks on held workers that are empty as far as the host
+// fill places queued tasks on held workers that are empty as far as the host
 // knows.
 func (w *World) fill(h *host) {
 	for _, name := range h.leases.Held() {
@@ -279,7 +283,7 @@
 	}
 }
 
-// Wrong returns the first promise that was broken; empty if none.
+// Wrong describes a violation of an invariant in this state; empty if there is none.
 func (w *World) Wrong() string {
 	at := map[string]string{}
 	for _, m := range w.machines {
