--- a/internal/randtest/randtest.go
+++ b/internal/randtest/randtest.go
@@ -1,5 +1,5 @@
-// Package randtest runs tests over random histories with a fixed seed, so that
-// CI gives the same verdict every time.
+// Package randtest runs property-based tests over random sequences of events with a
+// fixed seed, so that CI gets the same result on every run.
 package randtest
 
 import (
@@ -8,16 +8,17 @@
 	"strconv"
 	"testing"
 
-	// The flags below are this library's.
+	// This import registers the flags that Main sets.
 	_ "pgregory.net/rapid"
 )
 
-// seed is the one that CI uses.
+// seed is the random seed that CI uses.
 const seed = 4
 
-// Main is a package's TestMain. It sets how many histories of how many steps
-// are tried; flags on the command line go before. Counterexamples found with
-// other seeds lie under testdata and are always tried.
+// Main is called by the TestMain of a package. It sets the number of random
+// sequences (checks) and their number of steps; flags on the command line take
+// precedence. Counterexamples that were found with other seeds are stored under
+// testdata and always run.
 func Main(m *testing.M, checks, steps int) {
 	flag.Parse()
 	for name, value := range map[string]int{"rapid.seed": seed, "rapid.checks": checks, "rapid.steps": steps} {
