--- a/internal/model/explore.go
+++ b/internal/model/explore.go
@@ -12,8 +12,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Found is the result of an exploration.
-type Found struct {
+// Result is the result of an exploration.
+type Result struct {
 	States int
 	Depth  int
 	// Wrong describes the first violation of an invariant, and Path lists the events that led to it.
@@ -24,10 +24,10 @@
 // Explore tries every order of events up to a depth. It continues only from
 // states that it has not reached before, and stops at the first violation of an
 // invariant.
-func Explore(rules Rules, s Start, depth int) Found {
+func Explore(rules Rules, s Start, depth int) Result {
 	seen := map[uint64]bool{}
 	level := [][]int{nil}
-	f := Found{}
+	f := Result{}
 	for ; f.Depth < depth && len(level) > 0; f.Depth++ {
 		var nextLevel [][]int
 		for _, c := range childrenOf(rules, s, level) {
