--- a/internal/model/explore.go
+++ b/internal/model/explore.go
@@ -16,9 +16,9 @@
 type Result struct {
 	States int
 	Depth  int
-	// Wrong describes the first violation of an invariant, and Path lists the events that led to it.
-	Wrong string
-	Path  []string
+	// Violation describes the first violation of an invariant, and Path lists the events that led to it.
+	Violation string
+	Path      []string
 }
 
 // Explore tries every order of events up to a depth. It continues only from
@@ -32,7 +32,7 @@
 		var nextLevel [][]int
 		for _, c := range childrenOf(rules, s, level) {
 			if c.wrong != "" {
-				f.Wrong, f.Path, f.States = c.wrong, names(rules, s, c.path), len(seen)
+				f.Violation, f.Path, f.States = c.wrong, names(rules, s, c.path), len(seen)
 				return f
 			}
 			if !seen[c.key] && c.mail <= mostMail {
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -33,7 +33,7 @@
 	}{{model.Start{Workers: 1}, 6}, {model.Start{Workers: 2}, 4}, {model.Start{Workers: 2, Running: true}, 4}, {model.Start{Workers: 2, Running: true, Lapsed: true}, 5}} {
 		f := model.Explore(model.Rules{}, c.start, c.depth)
 		t.Logf("%+v: %d states, depth %d", c.start, f.States, f.Depth)
-		require.Empty(t, f.Wrong, strings.Join(f.Path, "\n"))
+		require.Empty(t, f.Violation, strings.Join(f.Path, "\n"))
 		require.Equal(t, c.depth, f.Depth)
 	}
 }
@@ -62,8 +62,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := model.Explore(c.rules, c.start, c.depth)
-			require.Contains(t, f.Wrong, c.wrong)
-			t.Logf("found in %d states: %s\n%s", f.States, f.Wrong, strings.Join(f.Path, "\n"))
+			require.Contains(t, f.Violation, c.wrong)
+			t.Logf("found in %d states: %s\n%s", f.States, f.Violation, strings.Join(f.Path, "\n"))
 		})
 	}
 }
