--- a/internal/model/explore.go
+++ b/internal/model/explore.go
@@ -66,7 +66,7 @@
 			for i := range replay(rules, s, path).choices() {
 				longer := append(slices.Clone(path), i)
 				w := replay(rules, s, longer)
-				found[at] = append(found[at], child{longer, w.Wrong(), w.key(), len(w.mail)})
+				found[at] = append(found[at], child{longer, w.Violation(), w.key(), len(w.mail)})
 			}
 			return nil
 		})
@@ -105,7 +105,7 @@
 		c := all[pick(len(all))]
 		path = append(path, w.name(c))
 		w.do(c)
-		if wrong := w.Wrong(); wrong != "" {
+		if wrong := w.Violation(); wrong != "" {
 			return wrong, path
 		}
 	}
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -283,8 +283,8 @@
 	}
 }
 
-// Wrong describes a violation of an invariant in this state; empty if there is none.
-func (w *World) Wrong() string {
+// Violation describes a violation of an invariant in this state; empty if there is none.
+func (w *World) Violation() string {
 	at := map[string]string{}
 	for _, m := range w.machines {
 		if m.wrong != "" {
