--- a/internal/model/explore.go
+++ b/internal/model/explore.go
@@ -31,8 +31,8 @@
 	for ; f.Depth < depth && len(level) > 0; f.Depth++ {
 		var nextLevel [][]int
 		for _, c := range childrenOf(rules, s, level) {
-			if c.wrong != "" {
-				f.Violation, f.Path, f.States = c.wrong, names(rules, s, c.path), len(seen)
+			if c.violation != "" {
+				f.Violation, f.Path, f.States = c.violation, names(rules, s, c.path), len(seen)
 				return f
 			}
 			if !seen[c.key] && c.mail <= mostMail {
@@ -48,10 +48,10 @@
 
 // child is a state that is reached by one more event.
 type child struct {
-	path  []int
-	wrong string
-	key   uint64
-	mail  int
+	path      []int
+	violation string
+	key       uint64
+	mail      int
 }
 
 // childrenOf tries every possible next event after each path, and handles
