--- a/internal/model/machine.go
+++ b/internal/model/machine.go
@@ -17,8 +17,8 @@
 	until  time.Time
 	lease  int
 	tasks  map[string]time.Time
-	// wrong describes the latest violation of an invariant on this worker.
-	wrong string
+	// violation describes the latest violation of an invariant on this worker.
+	violation string
 }
 
 // skew is how far the clocks of the workers are ahead of those of the hosts.
@@ -79,10 +79,10 @@
 		return
 	}
 	if m.until.After(now) && m.holder != q.holder {
-		m.wrong = "start of " + q.task + " ran after another host took " + m.name
+		m.violation = "start of " + q.task + " ran after another host took " + m.name
 	}
 	m.tasks[q.task] = now.Add(q.ttl)
 	if len(m.tasks) > 1 {
-		m.wrong = m.name + " was overfilled by " + q.task
+		m.violation = m.name + " was overfilled by " + q.task
 	}
 }
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -287,8 +287,8 @@
 func (w *World) Violation() string {
 	at := map[string]string{}
 	for _, m := range w.machines {
-		if m.wrong != "" {
-			return m.wrong
+		if m.violation != "" {
+			return m.violation
 		}
 		m.settle(w.now)
 		for _, id := range slices.Sorted(maps.Keys(m.tasks)) {
