--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -57,7 +57,7 @@
 		wrong string
 	}{
 		"no deadline on starts": {model.Rules{NoDeadline: true}, model.Start{Workers: 1}, 7, "after another host took"},
-		"census skipped":        {model.Rules{NoCensus: true}, model.Start{Workers: 2, Running: true, Lapsed: true}, 4, "and on"},
+		"census skipped":        {model.Rules{NoInventory: true}, model.Start{Workers: 2, Running: true, Lapsed: true}, 4, "and on"},
 		"term ignored":          {model.Rules{NoTerm: true}, model.Start{Workers: 1}, 5, "overfilled"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -22,9 +22,9 @@
 type Rules struct {
 	// NoDeadline makes hosts send starts without a deadline.
 	NoDeadline bool
-	// NoCensus makes hosts continue inherited jobs at once, without waiting for the
+	// NoInventory makes hosts continue inherited jobs at once, without waiting for the
 	// inventory of running tasks.
-	NoCensus bool
+	NoInventory bool
 	// NoTerm makes a replaced host use the same holder name at the workers as its
 	// predecessor.
 	NoTerm bool
@@ -159,7 +159,7 @@
 	w.lead(h)
 	w.job(h, job.Inherit{Spec: specOf(old)})
 	w.overtake(h, takeover.FoundJob{Job: old})
-	if w.rules.NoCensus {
+	if w.rules.NoInventory {
 		w.job(h, job.Release{ID: old})
 	}
 	w.submit(h, "d.r.of-"+h.name)
