--- a/internal/model/actions.go
+++ b/internal/model/actions.go
@@ -36,7 +36,7 @@
 // choices returns all events that may happen in this state.
 func (w *World) choices() []choice {
 	all := []choice{{what: timePasses}}
-	for i, m := range w.mail {
+	for i, m := range w.messages {
 		if w.deliverable(m) {
 			all = append(all, choice{delivered, i})
 		}
@@ -62,7 +62,7 @@
 	if c.what != delivered && c.what != givenUp {
 		return c.what
 	}
-	m := w.mail[c.mail]
+	m := w.messages[c.mail]
 	part := "question"
 	if m.done {
 		part = "answer"
@@ -125,17 +125,17 @@
 // carried out, but their answers are dropped.
 func (w *World) restart() {
 	w.restarts++
-	w.mail = slices.DeleteFunc(slices.Clone(w.mail), func(m message) bool { return m.host == former && m.done })
-	for i := range w.mail {
-		w.mail[i].lost = w.mail[i].lost || w.mail[i].host == former
+	w.messages = slices.DeleteFunc(slices.Clone(w.messages), func(m message) bool { return m.host == former && m.done })
+	for i := range w.messages {
+		w.messages[i].lost = w.messages[i].lost || w.messages[i].host == former
 	}
 	w.hosts[former] = w.newHost(former, 2)
 	w.inherit(w.hosts[former])
 }
 
 func (w *World) take(i int) message {
-	m := w.mail[i]
-	w.mail = slices.Delete(slices.Clone(w.mail), i, i+1)
+	m := w.messages[i]
+	w.messages = slices.Delete(slices.Clone(w.messages), i, i+1)
 	return m
 }
 
@@ -147,7 +147,7 @@
 		m = k.answer(w.now, m)
 		m.done = true
 		if !m.lost {
-			w.mail = append(w.mail, m)
+			w.messages = append(w.messages, m)
 		}
 		return
 	}
@@ -160,7 +160,7 @@
 	m := w.take(i)
 	if !m.done {
 		m.lost = true
-		w.mail = append(w.mail, m)
+		w.messages = append(w.messages, m)
 	}
 	h := w.hosts[m.host]
 	switch m.kind {
--- a/internal/model/explore.go
+++ b/internal/model/explore.go
@@ -66,7 +66,7 @@
 			for i := range replay(rules, s, path).choices() {
 				longer := append(slices.Clone(path), i)
 				w := replay(rules, s, longer)
-				found[at] = append(found[at], child{longer, w.Violation(), w.key(), len(w.mail)})
+				found[at] = append(found[at], child{longer, w.Violation(), w.key(), len(w.messages)})
 			}
 			return nil
 		})
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -82,7 +82,7 @@
 	now      time.Time
 	machines []*machine
 	hosts    map[string]*host
-	mail     []message
+	messages []message
 	led      bool
 	restarts int
 	// rankings counts how often the former leader lost or regained its racks.
@@ -122,7 +122,7 @@
 }
 
 func (w *World) deliverAll() {
-	for len(w.mail) > 0 {
+	for len(w.messages) > 0 {
 		w.deliver(0)
 	}
 }
@@ -174,7 +174,7 @@
 
 func (w *World) send(h *host, m message) {
 	m.host, m.inc, m.holder, m.sent = h.name, h.inc, h.holder(w.rules), w.now
-	w.mail = append(w.mail, m)
+	w.messages = append(w.messages, m)
 }
 
 func (w *World) lease(h *host, ev lease.Event) {
