--- a/internal/model/actions.go
+++ b/internal/model/actions.go
@@ -9,8 +9,8 @@
 	"pollencroft/internal/takeover"
 )
 
-// mostMail limits how many messages may be in flight at once.
-const mostMail = 6
+// maxMessages limits how many messages may be in flight at once.
+const maxMessages = 6
 
 // mostRankings limits how often the former leader loses or regains its racks.
 const mostRankings = 2
--- a/internal/model/explore.go
+++ b/internal/model/explore.go
@@ -35,7 +35,7 @@
 				f.Violation, f.Path, f.States = c.violation, names(rules, s, c.path), len(seen)
 				return f
 			}
-			if !seen[c.key] && c.mail <= mostMail {
+			if !seen[c.key] && c.mail <= maxMessages {
 				seen[c.key] = true
 				nextLevel = append(nextLevel, c.path)
 			}
