--- a/internal/model/actions.go
+++ b/internal/model/actions.go
@@ -12,8 +12,8 @@
 // maxMessages limits how many messages may be in flight at once.
 const maxMessages = 6
 
-// mostRankings limits how often the former leader loses or regains its racks.
-const mostRankings = 2
+// maxRankings limits how often the former leader loses or regains its racks.
+const maxRankings = 2
 
 // choice is one event that may happen next: its kind and, if it concerns a
 // message, the index of the message.
@@ -51,7 +51,7 @@
 	if w.restarts == 0 {
 		all = append(all, choice{what: replaced})
 	}
-	if w.rankings < mostRankings && !w.hosts[former].paused {
+	if w.rankings < maxRankings && !w.hosts[former].paused {
 		all = append(all, choice{what: unranked})
 	}
 	return all
