--- a/internal/model/machine.go
+++ b/internal/model/machine.go
@@ -24,7 +24,7 @@
 // skew is how far the clocks of the workers are ahead of those of the hosts.
 const skew = 5 * time.Hour
 
-func (m *machine) settle(now time.Time) {
+func (m *machine) dropExpired(now time.Time) {
 	for id, until := range m.tasks {
 		if !until.After(now) {
 			delete(m.tasks, id)
@@ -42,7 +42,7 @@
 
 // answer carries out a request and returns the answer to it.
 func (m *machine) answer(now time.Time, q message) message {
-	m.settle(now)
+	m.dropExpired(now)
 	held := m.until.After(now)
 	switch q.kind {
 	case "take":
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -290,7 +290,7 @@
 		if m.violation != "" {
 			return m.violation
 		}
-		m.settle(w.now)
+		m.dropExpired(w.now)
 		for _, id := range slices.Sorted(maps.Keys(m.tasks)) {
 			if other := at[id]; other != "" {
 				return id + " runs on " + other + " and on " + m.name
