--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -70,10 +70,10 @@
 	leases *lease.Leases
 	jobs   *job.Jobs
 	over   *takeover.Takeover
-	// room holds the tasks that occupy each held worker, as far as the host knows.
-	room  map[string]map[string]bool
-	queue []string
-	spec  map[string]job.Spec
+	// occupants holds the tasks that occupy each held worker, as far as the host knows.
+	occupants map[string]map[string]bool
+	queue     []string
+	spec      map[string]job.Spec
 }
 
 // World is one state of the modelled cell.
@@ -130,8 +130,8 @@
 func (w *World) newHost(name string, inc int) *host {
 	h := &host{
 		name: name, inc: inc, leases: lease.New(lease.Limits{TTL: ttl, TaskTTL: long, RetryInterval: step / 2}), jobs: job.New(),
-		over: takeover.New(name, takeover.Limits{LongestLease: never, AskInterval: never}),
-		room: map[string]map[string]bool{}, spec: map[string]job.Spec{},
+		over:      takeover.New(name, takeover.Limits{LongestLease: never, AskInterval: never}),
+		occupants: map[string]map[string]bool{}, spec: map[string]job.Spec{},
 	}
 	w.overtake(h, takeover.SetWorkers{Names: w.names()})
 	return h
@@ -187,13 +187,13 @@
 		case lease.Release:
 			w.send(h, message{kind: "give", worker: a.Worker, lease: a.Lease})
 		case lease.Up:
-			h.room[a.Worker] = map[string]bool{}
+			h.occupants[a.Worker] = map[string]bool{}
 			w.seen(h, a.Worker, a.Reading)
 			w.overtake(h, takeover.WorkerHeld{Worker: a.Worker})
 		case lease.Updated:
 			w.seen(h, a.Worker, a.Reading)
 		case lease.Down:
-			delete(h.room, a.Worker)
+			delete(h.occupants, a.Worker)
 			w.overtake(h, takeover.WorkerLost{Worker: a.Worker})
 			w.demote(h)
 		}
@@ -218,12 +218,12 @@
 	for _, t := range r.Tasks {
 		listed[t.ID] = true
 		ev.Tasks = append(ev.Tasks, job.ListedTask{ID: t.ID, State: t.State, Lease: t.Lease})
-		h.room[name][t.ID] = true
+		h.occupants[name][t.ID] = true
 	}
 	w.job(h, ev)
-	for id := range h.room[name] {
+	for id := range h.occupants[name] {
 		if !listed[id] && !h.jobs.HasTask(id) {
-			delete(h.room[name], id)
+			delete(h.occupants[name], id)
 		}
 	}
 }
@@ -245,7 +245,7 @@
 		case job.Start:
 			w.start(h, a)
 		case job.Free:
-			for _, tasks := range h.room {
+			for _, tasks := range h.occupants {
 				delete(tasks, a.Task)
 			}
 			h.queue = slices.DeleteFunc(h.queue, func(id string) bool { return id == a.Task })
@@ -272,7 +272,7 @@
 // knows.
 func (w *World) fill(h *host) {
 	for _, name := range h.leases.Held() {
-		room, up := h.room[name]
+		room, up := h.occupants[name]
 		if len(h.queue) == 0 || !up || len(room) > 0 {
 			continue
 		}
