--- a/internal/model/actions.go
+++ b/internal/model/actions.go
@@ -45,7 +45,7 @@
 		}
 	}
 	all = append(all, choice{what: pauses})
-	if !w.led {
+	if !w.takenOver {
 		all = append(all, choice{what: takesOver})
 	}
 	if w.restarts == 0 {
@@ -81,7 +81,7 @@
 	case pauses:
 		w.pause()
 	case takesOver:
-		w.led = true
+		w.takenOver = true
 		w.inherit(w.hosts[next])
 	case replaced:
 		w.restart()
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -78,13 +78,13 @@
 
 // World is one state of the modelled cell.
 type World struct {
-	rules    Rules
-	now      time.Time
-	machines []*machine
-	hosts    map[string]*host
-	messages []message
-	led      bool
-	restarts int
+	rules     Rules
+	now       time.Time
+	machines  []*machine
+	hosts     map[string]*host
+	messages  []message
+	takenOver bool
+	restarts  int
 	// rankings counts how often the former leader lost or regained its racks.
 	rankings int
 }
