--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -188,10 +188,10 @@
 			w.send(h, message{kind: "give", worker: a.Worker, lease: a.Lease})
 		case lease.Up:
 			h.occupants[a.Worker] = map[string]bool{}
-			w.seen(h, a.Worker, a.Reading)
+			w.handleWorkerList(h, a.Worker, a.Reading)
 			w.overtake(h, takeover.WorkerHeld{Worker: a.Worker})
 		case lease.Updated:
-			w.seen(h, a.Worker, a.Reading)
+			w.handleWorkerList(h, a.Worker, a.Reading)
 		case lease.Down:
 			delete(h.occupants, a.Worker)
 			w.overtake(h, takeover.WorkerLost{Worker: a.Worker})
@@ -212,7 +212,7 @@
 	}
 }
 
-func (w *World) seen(h *host, name string, r lease.Reading) {
+func (w *World) handleWorkerList(h *host, name string, r lease.Reading) {
 	ev := job.WorkerList{Worker: name, Clock: r.Clock, Sent: r.Sent}
 	listed := map[string]bool{}
 	for _, t := range r.Tasks {
