--- a/internal/model/actions.go
+++ b/internal/model/actions.go
@@ -151,7 +151,7 @@
 		}
 		return
 	}
-	w.answered(w.hosts[m.host], m)
+	w.handleAnswer(w.hosts[m.host], m)
 }
 
 // giveUp makes the sender treat a message as lost. A request that is not carried
@@ -172,7 +172,7 @@
 	}
 }
 
-func (w *World) answered(h *host, m message) {
+func (w *World) handleAnswer(h *host, m message) {
 	m.reading.Sent = m.sent
 	switch {
 	case m.kind == "start":
