--- a/internal/model/actions.go
+++ b/internal/model/actions.go
@@ -133,7 +133,7 @@
 	w.inherit(w.hosts[former])
 }
 
-func (w *World) take(i int) message {
+func (w *World) removeMessage(i int) message {
 	m := w.messages[i]
 	w.messages = slices.Delete(slices.Clone(w.messages), i, i+1)
 	return m
@@ -141,7 +141,7 @@
 
 // deliver delivers a request to its worker, which carries it out, or an answer to its host.
 func (w *World) deliver(i int) {
-	m := w.take(i)
+	m := w.removeMessage(i)
 	if !m.done {
 		k := w.machines[slices.Index(w.names(), m.worker)]
 		m = k.answer(w.now, m)
@@ -157,7 +157,7 @@
 // giveUp makes the sender treat a message as lost. A request that is not carried
 // out yet may still be carried out at any later time.
 func (w *World) giveUp(i int) {
-	m := w.take(i)
+	m := w.removeMessage(i)
 	if !m.done {
 		m.lost = true
 		w.messages = append(w.messages, m)
