--- a/internal/model/actions.go
+++ b/internal/model/actions.go
@@ -73,7 +73,7 @@
 func (w *World) do(c choice) {
 	switch c.what {
 	case timePasses:
-		w.pass()
+		w.advanceTime()
 	case delivered:
 		w.deliver(c.mail)
 	case givenUp:
@@ -97,8 +97,8 @@
 
 func (w *World) deliverable(m message) bool { return !m.done || !w.hosts[m.host].paused }
 
-// pass advances the time by one step, which is half an anchor lease.
-func (w *World) pass() {
+// advanceTime advances the time by one step, which is half an anchor lease.
+func (w *World) advanceTime() {
 	w.now = w.now.Add(step)
 	for _, name := range []string{former, next} {
 		if h := w.hosts[name]; !h.paused {
