--- a/internal/model/explore.go
+++ b/internal/model/explore.go
@@ -35,7 +35,7 @@
 				f.Violation, f.Path, f.States = c.violation, names(rules, s, c.path), len(seen)
 				return f
 			}
-			if !seen[c.key] && c.mail <= maxMessages {
+			if !seen[c.key] && c.messages <= maxMessages {
 				seen[c.key] = true
 				nextLevel = append(nextLevel, c.path)
 			}
@@ -51,7 +51,7 @@
 	path      []int
 	violation string
 	key       uint64
-	mail      int
+	messages  int
 }
 
 // childrenOf tries every possible next event after each path, and handles
