--- a/internal/model/actions.go
+++ b/internal/model/actions.go
@@ -18,8 +18,8 @@
 // choice is one event that may happen next: its kind and, if it concerns a
 // message, the index of the message.
 type choice struct {
-	what string
-	mail int
+	what    string
+	message int
 }
 
 // The kinds of events.
@@ -62,7 +62,7 @@
 	if c.what != delivered && c.what != givenUp {
 		return c.what
 	}
-	m := w.messages[c.mail]
+	m := w.messages[c.message]
 	part := "question"
 	if m.done {
 		part = "answer"
@@ -75,9 +75,9 @@
 	case timePasses:
 		w.advanceTime()
 	case delivered:
-		w.deliver(c.mail)
+		w.deliver(c.message)
 	case givenUp:
-		w.giveUp(c.mail)
+		w.giveUp(c.message)
 	case pauses:
 		w.pause()
 	case takesOver:
