--- a/internal/model/actions.go
+++ b/internal/model/actions.go
@@ -109,7 +109,7 @@
 
 func (w *World) tick(h *host) {
 	w.lease(h, lease.Tick{})
-	w.overtake(h, takeover.LogRead{Asked: w.now})
+	w.stepTakeover(h, takeover.LogRead{Asked: w.now})
 }
 
 func (w *World) pause() {
@@ -184,7 +184,7 @@
 		w.job(h, job.Started{Task: m.task, Attempt: m.attempt})
 	case m.kind == "give":
 	case m.refused:
-		w.overtake(h, takeover.WorkerContact{Worker: m.worker})
+		w.stepTakeover(h, takeover.WorkerContact{Worker: m.worker})
 		w.lease(h, lease.Refused{Worker: m.worker, Remaining: m.reading.Remaining, Sent: m.sent})
 	case m.kind == "take":
 		w.lease(h, lease.Granted{Worker: m.worker, Reading: m.reading})
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -133,7 +133,7 @@
 		over:      takeover.New(name, takeover.Limits{LongestLease: never, AskInterval: never}),
 		occupants: map[string]map[string]bool{}, spec: map[string]job.Spec{},
 	}
-	w.overtake(h, takeover.SetWorkers{Names: w.names()})
+	w.stepTakeover(h, takeover.SetWorkers{Names: w.names()})
 	return h
 }
 
@@ -158,7 +158,7 @@
 func (w *World) inherit(h *host) {
 	w.lead(h)
 	w.job(h, job.Inherit{Spec: specOf(old)})
-	w.overtake(h, takeover.FoundJob{Job: old})
+	w.stepTakeover(h, takeover.FoundJob{Job: old})
 	if w.rules.NoInventory {
 		w.job(h, job.Release{ID: old})
 	}
@@ -189,12 +189,12 @@
 		case lease.Up:
 			h.occupants[a.Worker] = map[string]bool{}
 			w.handleWorkerList(h, a.Worker, a.Reading)
-			w.overtake(h, takeover.WorkerHeld{Worker: a.Worker})
+			w.stepTakeover(h, takeover.WorkerHeld{Worker: a.Worker})
 		case lease.Updated:
 			w.handleWorkerList(h, a.Worker, a.Reading)
 		case lease.Down:
 			delete(h.occupants, a.Worker)
-			w.overtake(h, takeover.WorkerLost{Worker: a.Worker})
+			w.stepTakeover(h, takeover.WorkerLost{Worker: a.Worker})
 			w.demote(h)
 		}
 	}
@@ -207,7 +207,7 @@
 		return
 	}
 	for _, s := range h.jobs.Open() {
-		w.overtake(h, takeover.GoneJob{Job: s.ID})
+		w.stepTakeover(h, takeover.GoneJob{Job: s.ID})
 		w.job(h, job.Drop{ID: s.ID})
 	}
 }
@@ -228,7 +228,7 @@
 	}
 }
 
-func (w *World) overtake(h *host, ev takeover.Event) {
+func (w *World) stepTakeover(h *host, ev takeover.Event) {
 	for _, a := range h.over.Step(w.now, ev) {
 		if a, ok := a.(takeover.ReleaseJob); ok {
 			w.job(h, job.Release{ID: a.Job})
