--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -32,9 +32,9 @@
 
 // Durations of the modelled cell. One step of time is half an anchor lease.
 const (
-	step = 2 * time.Second
-	ttl  = 2 * step
-	long = 3 * step
+	step    = 2 * time.Second
+	ttl     = 2 * step
+	taskTTL = 3 * step
 	// never disables the rule that a worker counts as empty after a long silence. A
 	// host cannot distinguish a late message from a lost worker, so that rule relies
 	// on no other host reaching the worker either, which is not modelled.
@@ -112,7 +112,7 @@
 	w.submit(a, old)
 	if s.Running {
 		w.deliverAll()
-		w.machines[0].tasks[old+".0"] = w.now.Add(long)
+		w.machines[0].tasks[old+".0"] = w.now.Add(taskTTL)
 	}
 	if s.Lapsed {
 		w.now = w.now.Add(ttl)
@@ -129,7 +129,7 @@
 
 func (w *World) newHost(name string, inc int) *host {
 	h := &host{
-		name: name, inc: inc, leases: lease.New(lease.Limits{TTL: ttl, TaskTTL: long, RetryInterval: step / 2}), jobs: job.New(),
+		name: name, inc: inc, leases: lease.New(lease.Limits{TTL: ttl, TaskTTL: taskTTL, RetryInterval: step / 2}), jobs: job.New(),
 		over:      takeover.New(name, takeover.Limits{LongestLease: never, AskInterval: never}),
 		occupants: map[string]map[string]bool{}, spec: map[string]job.Spec{},
 	}
