--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -26,7 +26,7 @@
 // may be late, lost or reordered. In every order of these events, no worker gets
 // more tasks than it has capacity for, no task runs on two workers and no start
 // is carried out while another host holds the worker's anchor.
-func TestEveryOrderKeepsThePromises(t *testing.T) {
+func TestInvariantsHoldInEveryOrder(t *testing.T) {
 	for _, c := range []struct {
 		start model.Start
 		depth int
