--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestLongRandomOrdersKeepThePromises(t *testing.T) {
+func TestInvariantsHoldInLongRandomOrders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		wrong, path := model.Play(model.Rules{}, model.Start{Workers: rapid.IntRange(1, 2).Draw(t, "workers"), Running: rapid.Bool().Draw(t, "running"), Lapsed: rapid.Bool().Draw(t, "lapsed")}, 120, func(n int) int {
 			return rapid.IntRange(0, n-1).Draw(t, "choice")
