--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -272,13 +272,13 @@
 // knows.
 func (w *World) fill(h *host) {
 	for _, name := range h.leases.Held() {
-		room, up := h.occupants[name]
-		if len(h.queue) == 0 || !up || len(room) > 0 {
+		occupants, up := h.occupants[name]
+		if len(h.queue) == 0 || !up || len(occupants) > 0 {
 			continue
 		}
 		task := h.queue[0]
 		h.queue = h.queue[1:]
-		room[task] = true
+		occupants[task] = true
 		w.job(h, job.Placed{Task: task, Worker: name})
 	}
 }
