--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -13,25 +13,26 @@
 
 const (
 	body = `{"spec":"text","steps":[{"count":4,"cpu":500,"memMb":256,"estimateMs":400},{"count":3,"cpu":500,"memMb":256,"estimateMs":400,"after":[0]}]}`
-	// visible is how long after its confirmation a job may be unknown.
+	// visible is how long a job may be unknown to a host after its confirmation.
 	visible = 3 * time.Second
 	// patience is how long a caller waits for an answer.
 	patience = 3 * time.Second
 )
 
-// job is one job as its caller knows it.
+// job is what a caller knows about one of its jobs.
 type job struct {
 	id string
-	// accepted and cancelled are when that was confirmed; refused tells that every
-	// answer said that it was not stored.
+	// accepted and cancelled are the times at which a host confirmed that; refused reports
+	// whether every answer said that the job was not stored.
 	accepted, cancelled time.Time
-	asked               bool
-	refused             bool
-	state               string
+	// asked reports whether the caller asked for the cancellation.
+	asked   bool
+	refused bool
+	state   string
 }
 
-// callers hand in jobs, ask for them and cancel some, over connections that they keep
-// open, and note every answer that breaks a promise.
+// callers submits jobs, polls their states and cancels some, over persistent connections, and
+// records every answer that breaks a guarantee.
 type callers struct {
 	c      *cell
 	client *http.Client
@@ -50,7 +51,7 @@
 	a.wrongs = append(a.wrongs, fmt.Sprintf(format, args...))
 }
 
-// call makes a request; code 0 is no answer.
+// call sends a request and returns the status code and the body; code 0 means that there was no answer.
 func (a *callers) call(h *host, method, path string) (int, string) {
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
@@ -74,12 +75,12 @@
 		return 0, ""
 	}
 	if resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get("Retry-After") == "" {
-		a.wrong("%s %s is refused without a time to come back", method, path)
+		a.wrong("%s %s is refused without a Retry-After header", method, path)
 	}
 	return resp.StatusCode, string(b)
 }
 
-// handIn submits one job at one or two hosts, as a caller that tries again.
+// handIn submits one job to each host of tries in turn until one accepts it, as a caller that retries.
 func (a *callers) handIn(n int, tries []*host) {
 	j := &job{id: fmt.Sprintf("%016x", n), refused: true}
 	a.mu.Lock()
@@ -101,7 +102,7 @@
 	}
 }
 
-// look asks a host for a job's state and holds it against what was told before.
+// look asks a host for a job's state and compares it with the answers that the caller got before.
 func (a *callers) look(j *job, h *host) {
 	a.mu.Lock()
 	accepted, before := j.accepted, j.state
@@ -118,17 +119,17 @@
 		return
 	}
 	state := strings.TrimSuffix(strings.TrimPrefix(text, `{"state":"`), `"}`)
-	// The answer may be as new as a cancellation that was sent while it was waited for.
+	// The answer may reflect a cancellation that was sent while this request was in flight.
 	a.mu.Lock()
 	asked := j.asked
 	a.mu.Unlock()
 	switch {
 	case state == "failed":
-		a.wrong("job %s is told as failed, and no task failed", j.id)
+		a.wrong("job %s is reported as failed, but no task failed", j.id)
 	case state == "cancelled" && !asked:
-		a.wrong("job %s is told as cancelled, and nobody asked for it", j.id)
+		a.wrong("job %s is reported as cancelled, but no caller cancelled it", j.id)
 	case (before == "completed" || before == "cancelled") && state != before:
-		a.wrong("job %s is told as %s after it was %s", j.id, state, before)
+		a.wrong("job %s is reported as %s after it was reported as %s", j.id, state, before)
 	case state == "completed" && before != state:
 		a.finished(j.id)
 	}
@@ -137,17 +138,18 @@
 	a.mu.Unlock()
 }
 
-// finished checks that all tasks of a job that is told as completed were done.
+// finished checks that all tasks of a job that is reported as completed have finished.
 func (a *callers) finished(id string) {
 	for step, n := range []int{4, 3} {
 		for i := range n {
 			if task := fmt.Sprintf("%s.0.%d.%d", id, step, i); !a.c.oracle.Finished(task) {
-				a.wrong("job %s is told as completed before %s was done", id, task)
+				a.wrong("job %s is reported as completed before task %s finished", id, task)
 			}
 		}
 	}
 }
 
+// cancel cancels a job that was accepted and is not known to be completed.
 func (a *callers) cancel(j *job, h *host) {
 	a.mu.Lock()
 	open := !j.accepted.IsZero() && j.state != "completed"
@@ -163,14 +165,14 @@
 	}
 }
 
-// list returns the jobs that were handed in so far.
+// list returns the jobs that were submitted so far.
 func (a *callers) list() []*job {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return append([]*job(nil), a.jobs...)
 }
 
-// run hands in a job every 120 ms and does as much of the rest, until ctx ends.
+// run submits a job every 120 ms until ctx ends, and as often polls or cancels a recent job.
 func (a *callers) run(ctx context.Context, r *rand.Rand) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -200,7 +202,7 @@
 	}
 }
 
-// settled tells whether every job that was accepted is over, and asks for the rest.
+// settled reports whether every accepted job has ended, and polls the states of the others.
 func (a *callers) settled(h *host) bool {
 	over := true
 	for _, j := range a.list() {
--- a/soak/cell_test.go
+++ b/soak/cell_test.go
@@ -26,9 +26,9 @@
 const (
 	hosts   = 4
 	workers = 6
-	// work is how long each task takes: long enough that faults meet it.
+	// work is how long each task runs: long enough that faults occur while it runs.
 	work = 400 * time.Millisecond
-	// parts is how many partitions a topic has.
+	// parts is the number of partitions of a topic.
 	parts = 16
 )
 
@@ -48,8 +48,8 @@
 	return path, nil
 })
 
-// cell is a few hosts as processes, with a proxy on each of their ways to the store
-// and to callers, and one in front of each worker.
+// cell is a small cluster. Each host is a process with one proxy on its connection to the
+// store and one in front of its caller address; each worker has a proxy in front of it.
 type cell struct {
 	t       *testing.T
 	dir     string
@@ -63,7 +63,7 @@
 	busy    sync.WaitGroup
 }
 
-// host is one host: its process, and the ways to and from it.
+// host holds the process of one host and the proxies on its connections.
 type host struct {
 	name   string
 	file   string
@@ -76,6 +76,7 @@
 	out    *os.File
 }
 
+// worker is one incarnation of a worker and the proxy in front of it.
 type worker struct {
 	*users.Worker
 	proxy *toxiproxy.Proxy
@@ -125,7 +126,7 @@
 	return p
 }
 
-// newWorker begins a life of a worker and lists it.
+// newWorker starts a new incarnation of a worker and adds it to the list of servers.
 func (c *cell) newWorker() *worker {
 	c.lives++
 	w := users.NewWorker(fmt.Sprintf("w%d", c.lives), work, c.oracle)
@@ -140,11 +141,12 @@
 	c.log.Put("servers", w.ID, w.EntryAt(w.proxy.Listen, "pass", w.zone))
 }
 
-// sizeGrace is for how long a worker that shrank may be filled as before: a paused lead sends what
-// it had decided when it wakes, unless its successor has been at the worker.
+// sizeGrace is how long a worker that shrank may still be filled up to its old size: when a paused
+// leader resumes, it sends the orders that it had decided on before the pause, unless the next
+// leader has already contacted the worker.
 const sizeGrace = 15 * time.Second
 
-// resize lists a worker with room for so many tasks.
+// resize changes the capacity of a worker to the given number of tasks and lists the worker with it.
 func (c *cell) resize(i int, tasks int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -153,7 +155,7 @@
 	c.listWorker(w)
 }
 
-// crash ends a worker's life, with all that runs there, and begins another one.
+// crash ends a worker with all the tasks that it runs, and starts a new incarnation in its place.
 func (c *cell) crash(i int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -208,7 +210,7 @@
 	return h
 }
 
-// start begins a life of the host's process.
+// start starts a new process for the host.
 func (h *host) start(t *testing.T, path string) {
 	cmd := exec.Command(path, "entry", "--settings", h.file)
 	cmd.Stdout, cmd.Stderr = h.out, h.out
@@ -223,16 +225,17 @@
 	h.cmd, h.gone = cmd, gone
 }
 
-// signal sends a signal to this life of the process and returns what tells its end.
+// signal sends a signal to the current process of the host. The channel that it returns is
+// closed when that process has exited.
 func (h *host) signal(s os.Signal) <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	// A process that is gone takes none.
+	// Signal fails if the process has already exited.
 	_ = h.cmd.Process.Signal(s)
 	return h.gone
 }
 
-// served tells whether every host is ready.
+// served reports whether every host is ready.
 func (c *cell) served() bool {
 	for _, h := range c.hosts {
 		resp, err := http.Get("http://" + h.ready.String() + "/pollencroft/ready")
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,4 +1,4 @@
-// Package soak holds no code of the product: its tests run real hosts as processes
-// of one machine and disturb them from outside, by signals and by proxies on the
-// loopback interface, while callers and workers check what they were promised.
+// Package soak contains only tests. They run real hosts as processes on one machine and
+// inject faults from outside, with signals and with proxies on the loopback interface,
+// while callers and workers check that the product keeps its guarantees.
 package soak
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -16,13 +16,14 @@
 	"pollencroft/internal/standin/users"
 )
 
-// fault is one thing that goes wrong, for d; what it returns ends it.
+// fault is one kind of fault. The function do starts it and returns a function that waits until
+// its time is over and ends it. Most faults last for d.
 type fault struct {
 	name string
 	do   func(c *cell, r *rand.Rand, d time.Duration) func()
 }
 
-// faults are what may come, in any order, more than once and beside each other.
+// faults lists the faults that may occur, in any order, repeatedly and at the same time.
 var faults = []fault{
 	{"host is killed and comes back", func(c *cell, r *rand.Rand, d time.Duration) func() { return c.restart(c.host(r), syscall.SIGKILL, d) }},
 	{"host is stopped as planned and comes back", func(c *cell, r *rand.Rand, d time.Duration) func() {
@@ -131,7 +132,7 @@
 	}
 }
 
-// restart ends a host's process and begins another life of it d after its end.
+// restart ends a host's process with signal s and starts a new one d after the process has exited.
 func (c *cell) restart(h *host, s syscall.Signal, d time.Duration) func() {
 	gone := h.signal(s)
 	return func() {
@@ -142,7 +143,7 @@
 		h.mu.Lock()
 		again := h.gone == gone
 		h.mu.Unlock()
-		// Two faults may have ended the same life.
+		// Two faults may have ended the same process; only the first of them starts a new one.
 		if again {
 			h.start(c.t, path)
 		}
@@ -154,7 +155,8 @@
 	return after(d, func() { c.log.Break(name, users.None) })
 }
 
-// toxic disturbs what goes through a proxy.
+// toxic adds a fault to the traffic through a proxy. The function that it returns waits for d and
+// removes the fault.
 func (c *cell) toxic(p *toxiproxy.Proxy, kind, stream, attributes string, d time.Duration) func() {
 	name := fmt.Sprintf("%s %s %d", kind, stream, time.Now().UnixNano())
 	text := fmt.Sprintf(`{"name":%q,"type":%q,"stream":%q,"attributes":{%s}}`, name, kind, stream, attributes)
@@ -168,8 +170,8 @@
 	return after(d, func() { _ = p.Toxics.RemoveToxic(context.Background(), name) })
 }
 
-// disturb begins a fault every few hundred milliseconds until ctx ends, and returns
-// what it did, and when.
+// disturb starts a fault every few hundred milliseconds until ctx ends. It returns one line
+// for each fault, with the time at which the fault started.
 func (c *cell) disturb(ctx context.Context, r *rand.Rand) []string {
 	began := time.Now()
 	var said []string
@@ -187,10 +189,11 @@
 	}
 }
 
-// roomy is how many tasks a worker holds that has not shrunk.
+// roomy is the capacity, in tasks, of a worker that has not shrunk.
 const roomy = 128
 
-// resizeSome gives workers other sizes until ctx ends, beside the faults and drawn apart from them.
+// resizeSome resizes random workers until ctx ends. It runs at the same time as the faults and has
+// its own random generator.
 func (c *cell) resizeSome(ctx context.Context, r *rand.Rand) {
 	for {
 		i, tasks := r.IntN(workers), []int64{0, 1, 2, 5, roomy}[r.IntN(5)]
@@ -203,7 +206,7 @@
 	}
 }
 
-// calm ends what is left: every host runs, and nothing is broken.
+// calm ends the remaining faults: the store works, no host is paused and workers have full capacity.
 func (c *cell) calm() {
 	c.log.Break("", users.None)
 	for i := range workers {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -14,42 +14,42 @@
 )
 
 var (
-	seeds     = flag.Int("seeds", 2, "how many seeds to play")
+	seeds     = flag.Int("seeds", 2, "how many seeds to run")
 	firstSeed = flag.Uint64("seed", 1, "the first seed")
-	apart     = flag.Int("apart", 2, "how many seeds to play at once")
-	lasts     = flag.Duration("lasts", 12*time.Second, "how long faults go on")
+	apart     = flag.Int("apart", 2, "how many seeds to run at once")
+	lasts     = flag.Duration("lasts", 12*time.Second, "how long faults are injected")
 )
 
-// failedOnce are seeds that ever failed, each with a line on the cause.
+// failedOnce lists the seeds that failed in the past, each with the cause of the failure.
 var failedOnce = []uint64{
-	// A host that had accepted a job told it as queued while no lead could be asked,
-	// after another host had told it as completed.
+	// The host that had accepted a job reported it as queued while no leader could be asked,
+	// although another host had already reported it as completed.
 	125,
-	// An append that was tried at one partition in vain came to another one after a
-	// later append, whose records it wrote over; a completed job ran again.
+	// An append failed at one partition and reached another partition after a later append,
+	// whose records it overwrote. A completed job ran again.
 	141,
-	// The announcement of a lead had no answer. Nobody claimed beside it and nobody
-	// knew it: no host could tell a state any more.
+	// The announcement of a leader got no answer. No other host claimed the leadership and no
+	// host knew of this leader, so no host could report the state of a job any more.
 	121,
-	// A paused host answered a question after the job was cancelled, and the callers
-	// took the answer for one from before.
+	// A paused host answered a query after the job was cancelled, and the callers of this test
+	// treated the answer as one from before the cancellation.
 	41044,
 }
 
-// calm is how long hosts have, once no fault is left, to bring every job to its end:
-// leases of 10 s run out, and a lead is given up after 8 s, one after the other.
+// calm is how long the hosts may take to end every job after the last fault is over:
+// leases of 10 s expire and a leader is given up after 8 s, one after the other.
 const calm = 90 * time.Second
 
-// Hosts, their ways to the store and the workers are disturbed at random and all at
-// once while callers go on. A caller would notice a job that is lost, told as
-// completed too early, run although it was refused, or unknown after it was
-// confirmed; a worker a task that it or another one has been given already.
+// Random faults hit the hosts, their connections to the store and the workers, several at
+// once, while callers keep submitting jobs. The callers detect a job that is lost, reported
+// as completed too early, run although it was refused, or unknown after it was confirmed.
+// The workers detect a task that has already been given to the same or another worker.
 func TestPromisesHoldOutside(t *testing.T) {
 	all := failedOnce
 	for i := range *seeds {
 		all = append(all, *firstSeed+uint64(i))
 	}
-	// At most apart of them at once: each is a dozen processes and connections.
+	// At most apart seeds run at once: each needs a dozen processes and connections.
 	turn := make(chan struct{}, *apart)
 	for _, seed := range all {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -78,20 +78,21 @@
 	c.busy.Wait()
 	<-done
 	c.calm()
-	require.Eventually(t, func() bool { return a.settled(c.hosts[0]) }, calm, 200*time.Millisecond, "jobs end\n%s", strings.Join(said, "\n"))
+	require.Eventually(t, func() bool { return a.settled(c.hosts[0]) }, calm, 200*time.Millisecond, "accepted jobs have not ended\n%s", strings.Join(said, "\n"))
 	a.judge(t, said)
 }
 
-// judge holds what ran against what callers were told.
+// judge compares the tasks that ran with the answers that callers got, and fails the test on
+// any violation.
 func (a *callers) judge(t *testing.T, said []string) {
 	runs := a.c.oracle.Runs()
 	for _, j := range a.list() {
 		ran := runs[j.id+".0.0.0"] > 0
 		if j.refused && ran {
-			a.wrong("job %s was refused and ran", j.id)
+			a.wrong("job %s was refused, but it ran", j.id)
 		}
 		if !j.accepted.IsZero() && !j.cancelled.IsZero() && j.state != "cancelled" && j.state != "completed" {
-			a.wrong("job %s was cancelled and is %s", j.id, j.state)
+			a.wrong("job %s was cancelled, but its state is %s", j.id, j.state)
 		}
 	}
 	accepted := 0
@@ -102,5 +103,5 @@
 	}
 	t.Logf("%d jobs, %d accepted, %d faults", len(a.list()), accepted, len(said))
 	require.Empty(t, append(a.wrongs, a.c.oracle.Wrongs()...), strings.Join(said, "\n"))
-	require.Greater(t, accepted, 5, "callers were served at all\n%s", strings.Join(said, "\n"))
+	require.Greater(t, accepted, 5, "too few jobs were accepted\n%s", strings.Join(said, "\n"))
 }
