--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -36,9 +36,9 @@
 	41044,
 }
 
-// calm is how long the hosts may take to end every job after the last fault is over:
+// quietPeriod is how long the hosts may take to end every job after the last fault is over:
 // leases of 10 s expire and a leader is given up after 8 s, one after the other.
-const calm = 90 * time.Second
+const quietPeriod = 90 * time.Second
 
 // Random faults hit the hosts, their connections to the store and the workers, several at
 // once, while callers keep submitting jobs. The callers detect a job that is lost, reported
@@ -78,7 +78,7 @@
 	c.busy.Wait()
 	<-done
 	c.calm()
-	require.Eventually(t, func() bool { return a.settled(c.hosts[0]) }, calm, 200*time.Millisecond, "accepted jobs have not ended\n%s", strings.Join(said, "\n"))
+	require.Eventually(t, func() bool { return a.settled(c.hosts[0]) }, quietPeriod, 200*time.Millisecond, "accepted jobs have not ended\n%s", strings.Join(said, "\n"))
 	a.judge(t, said)
 }
 
