--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -206,8 +206,8 @@
 	}
 }
 
-// calm ends the remaining faults: the store works, no host is paused and workers have full capacity.
-func (c *cell) calm() {
+// endFaults ends the remaining faults: the store works, no host is paused and workers have full capacity.
+func (c *cell) endFaults() {
 	c.log.Break("", users.None)
 	for i := range workers {
 		c.resize(i, roomy)
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -77,7 +77,7 @@
 	said := c.disturb(ctx, rand.New(rand.NewPCG(seed, 2)))
 	c.busy.Wait()
 	<-done
-	c.calm()
+	c.endFaults()
 	require.Eventually(t, func() bool { return a.settled(c.hosts[0]) }, quietPeriod, 200*time.Millisecond, "accepted jobs have not ended\n%s", strings.Join(said, "\n"))
 	a.judge(t, said)
 }
