--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -79,12 +79,12 @@
 	<-done
 	c.endFaults()
 	require.Eventually(t, func() bool { return a.settled(c.hosts[0]) }, quietPeriod, 200*time.Millisecond, "accepted jobs have not ended\n%s", strings.Join(said, "\n"))
-	a.judge(t, said)
+	a.checkResults(t, said)
 }
 
-// judge compares the tasks that ran with the answers that callers got, and fails the test on
+// checkResults compares the tasks that ran with the answers that callers got, and fails the test on
 // any violation.
-func (a *callers) judge(t *testing.T, said []string) {
+func (a *callers) checkResults(t *testing.T, said []string) {
 	runs := a.c.oracle.Runs()
 	for _, j := range a.list() {
 		ran := runs[j.id+".0.0.0"] > 0
