--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// look asks a host for a job's state and compares it with the answers that the caller got before.
-func (a *callers) look(j *job, h *host) {
+// checkState asks a host for a job's state and compares it with the answers that the caller got before.
+func (a *callers) checkState(j *job, h *host) {
 	a.mu.Lock()
 	accepted, before := j.accepted, j.state
 	a.mu.Unlock()
@@ -197,7 +197,7 @@
 				a.cancel(j, asked)
 				return
 			}
-			a.look(j, asked)
+			a.checkState(j, asked)
 		})
 	}
 }
@@ -210,7 +210,7 @@
 		open := !j.accepted.IsZero() && j.state != "completed" && j.state != "cancelled"
 		a.mu.Unlock()
 		if open {
-			a.look(j, h)
+			a.checkState(j, h)
 			over = false
 		}
 	}
