--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -80,8 +80,8 @@
 	return resp.StatusCode, string(b)
 }
 
-// handIn submits one job to each host of tries in turn until one accepts it, as a caller that retries.
-func (a *callers) handIn(n int, tries []*host) {
+// submit submits one job to each host of tries in turn until one accepts it, as a caller that retries.
+func (a *callers) submit(n int, tries []*host) {
 	j := &job{id: fmt.Sprintf("%016x", n), refused: true}
 	a.mu.Lock()
 	a.jobs = append(a.jobs, j)
@@ -186,7 +186,7 @@
 		}
 		first, second := a.c.hosts[r.IntN(hosts)], a.c.hosts[r.IntN(hosts)]
 		asked, cancels, which := a.c.hosts[r.IntN(hosts)], r.IntN(12) == 0, r.IntN(20)
-		wg.Go(func() { a.handIn(n, []*host{first, second}) })
+		wg.Go(func() { a.submit(n, []*host{first, second}) })
 		all := a.list()
 		if len(all) <= which {
 			continue
