--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -34,11 +34,11 @@
 // callers submits jobs, polls their states and cancels some, over persistent connections, and
 // records every answer that breaks a guarantee.
 type callers struct {
-	c      *cell
-	client *http.Client
-	mu     sync.Mutex
-	jobs   []*job
-	wrongs []string
+	c          *cell
+	client     *http.Client
+	mu         sync.Mutex
+	jobs       []*job
+	violations []string
 }
 
 func newCallers(c *cell) *callers {
@@ -48,7 +48,7 @@
 func (a *callers) wrong(format string, args ...any) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.wrongs = append(a.wrongs, fmt.Sprintf(format, args...))
+	a.violations = append(a.violations, fmt.Sprintf(format, args...))
 }
 
 // call sends a request and returns the status code and the body; code 0 means that there was no answer.
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -102,6 +102,6 @@
 		}
 	}
 	t.Logf("%d jobs, %d accepted, %d faults", len(a.list()), accepted, len(said))
-	require.Empty(t, append(a.wrongs, a.c.oracle.Wrongs()...), strings.Join(said, "\n"))
+	require.Empty(t, append(a.violations, a.c.oracle.Wrongs()...), strings.Join(said, "\n"))
 	require.Greater(t, accepted, 5, "too few jobs were accepted\n%s", strings.Join(said, "\n"))
 }
