--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -45,7 +45,7 @@
 	return &callers{c: c, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}}
 }
 
-func (a *callers) wrong(format string, args ...any) {
+func (a *callers) violation(format string, args ...any) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.violations = append(a.violations, fmt.Sprintf(format, args...))
@@ -75,7 +75,7 @@
 		return 0, ""
 	}
 	if resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get("Retry-After") == "" {
-		a.wrong("%s %s is refused without a Retry-After header", method, path)
+		a.violation("%s %s is refused without a Retry-After header", method, path)
 	}
 	return resp.StatusCode, string(b)
 }
@@ -113,7 +113,7 @@
 	sent := time.Now()
 	code, text := a.call(h, http.MethodGet, "/scan/"+j.id)
 	if code == http.StatusGone && sent.Sub(accepted) > visible {
-		a.wrong("job %s is unknown at %s %s after its confirmation", j.id, h.name, sent.Sub(accepted))
+		a.violation("job %s is unknown at %s %s after its confirmation", j.id, h.name, sent.Sub(accepted))
 	}
 	if code != http.StatusOK {
 		return
@@ -125,11 +125,11 @@
 	a.mu.Unlock()
 	switch {
 	case state == "failed":
-		a.wrong("job %s is reported as failed, but no task failed", j.id)
+		a.violation("job %s is reported as failed, but no task failed", j.id)
 	case state == "cancelled" && !asked:
-		a.wrong("job %s is reported as cancelled, but no caller cancelled it", j.id)
+		a.violation("job %s is reported as cancelled, but no caller cancelled it", j.id)
 	case (before == "completed" || before == "cancelled") && state != before:
-		a.wrong("job %s is reported as %s after it was reported as %s", j.id, state, before)
+		a.violation("job %s is reported as %s after it was reported as %s", j.id, state, before)
 	case state == "completed" && before != state:
 		a.finished(j.id)
 	}
@@ -143,7 +143,7 @@
 	for step, n := range []int{4, 3} {
 		for i := range n {
 			if task := fmt.Sprintf("%s.0.%d.%d", id, step, i); !a.c.oracle.Finished(task) {
-				a.wrong("job %s is reported as completed before task %s finished", id, task)
+				a.violation("job %s is reported as completed before task %s finished", id, task)
 			}
 		}
 	}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -89,10 +89,10 @@
 	for _, j := range a.list() {
 		ran := runs[j.id+".0.0.0"] > 0
 		if j.refused && ran {
-			a.wrong("job %s was refused, but it ran", j.id)
+			a.violation("job %s was refused, but it ran", j.id)
 		}
 		if !j.accepted.IsZero() && !j.cancelled.IsZero() && j.state != "cancelled" && j.state != "completed" {
-			a.wrong("job %s was cancelled, but its state is %s", j.id, j.state)
+			a.violation("job %s was cancelled, but its state is %s", j.id, j.state)
 		}
 	}
 	accepted := 0
