--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -202,8 +202,8 @@
 	}
 }
 
-// settled reports whether every accepted job has ended, and polls the states of the others.
-func (a *callers) settled(h *host) bool {
+// allJobsEnded reports whether every accepted job has ended, and polls the states of the others.
+func (a *callers) allJobsEnded(h *host) bool {
 	over := true
 	for _, j := range a.list() {
 		a.mu.Lock()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -78,7 +78,7 @@
 	c.busy.Wait()
 	<-done
 	c.endFaults()
-	require.Eventually(t, func() bool { return a.settled(c.hosts[0]) }, quietPeriod, 200*time.Millisecond, "accepted jobs have not ended\n%s", strings.Join(said, "\n"))
+	require.Eventually(t, func() bool { return a.allJobsEnded(c.hosts[0]) }, quietPeriod, 200*time.Millisecond, "accepted jobs have not ended\n%s", strings.Join(said, "\n"))
 	a.checkResults(t, said)
 }
 
