--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -15,8 +15,8 @@
 	body = `{"spec":"text","steps":[{"count":4,"cpu":500,"memMb":256,"estimateMs":400},{"count":3,"cpu":500,"memMb":256,"estimateMs":400,"after":[0]}]}`
 	// visible is how long a job may be unknown to a host after its confirmation.
 	visible = 3 * time.Second
-	// patience is how long a caller waits for an answer.
-	patience = 3 * time.Second
+	// callerTimeout is how long a caller waits for an answer.
+	callerTimeout = 3 * time.Second
 )
 
 // job is what a caller knows about one of its jobs.
@@ -53,7 +53,7 @@
 
 // call sends a request and returns the status code and the body; code 0 means that there was no answer.
 func (a *callers) call(h *host, method, path string) (int, string) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 	defer cancel()
 	var text io.Reader
 	if method == http.MethodPost {
