--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -31,14 +31,14 @@
 	}},
 	{"two hosts are stopped as planned in a row", func(c *cell, r *rand.Rand, d time.Duration) func() {
 		i := r.IntN(hosts)
-		return both(c.restart(c.hosts[i], syscall.SIGTERM, d/4), c.restart(c.hosts[(i+1)%hosts], syscall.SIGTERM, d/2))
+		return runAll(c.restart(c.hosts[i], syscall.SIGTERM, d/4), c.restart(c.hosts[(i+1)%hosts], syscall.SIGTERM, d/2))
 	}},
 	{"all hosts are killed and come back", func(c *cell, _ *rand.Rand, d time.Duration) func() {
 		var all []func()
 		for _, h := range c.hosts {
 			all = append(all, c.restart(h, syscall.SIGKILL, d/4))
 		}
-		return both(all...)
+		return runAll(all...)
 	}},
 	{"host is paused", func(c *cell, r *rand.Rand, d time.Duration) func() {
 		h := c.host(r)
@@ -69,7 +69,7 @@
 		for _, h := range c.hosts {
 			all = append(all, c.toxic(h.store, "latency", "downstream", `"latency":200,"jitter":50`, d))
 		}
-		return both(all...)
+		return runAll(all...)
 	}},
 	{"callers' connections are reset", func(c *cell, r *rand.Rand, d time.Duration) func() {
 		return c.toxic(c.host(r).caller, "reset_peer", "downstream", `"timeout":30`, d/2)
@@ -117,7 +117,7 @@
 
 func stream(r *rand.Rand) string { return []string{"upstream", "downstream"}[r.IntN(2)] }
 
-func both(all ...func()) func() {
+func runAll(all ...func()) func() {
 	return func() {
 		for _, f := range all {
 			f()
