--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -189,14 +189,14 @@
 	}
 }
 
-// roomy is the capacity, in tasks, of a worker that has not shrunk.
-const roomy = 128
+// fullCapacity is the capacity, in tasks, of a worker that has not shrunk.
+const fullCapacity = 128
 
 // resizeSome resizes random workers until ctx ends. It runs at the same time as the faults and has
 // its own random generator.
 func (c *cell) resizeSome(ctx context.Context, r *rand.Rand) {
 	for {
-		i, tasks := r.IntN(workers), []int64{0, 1, 2, 5, roomy}[r.IntN(5)]
+		i, tasks := r.IntN(workers), []int64{0, 1, 2, 5, fullCapacity}[r.IntN(5)]
 		select {
 		case <-ctx.Done():
 			return
@@ -210,7 +210,7 @@
 func (c *cell) endFaults() {
 	c.log.Break("", users.None)
 	for i := range workers {
-		c.resize(i, roomy)
+		c.resize(i, fullCapacity)
 	}
 	for _, h := range c.hosts {
 		h.signal(syscall.SIGCONT)
