--- a/soak/cell_test.go
+++ b/soak/cell_test.go
@@ -51,16 +51,16 @@
 // cell is a small cluster. Each host is a process with one proxy on its connection to the
 // store and one in front of its caller address; each worker has a proxy in front of it.
 type cell struct {
-	t       *testing.T
-	dir     string
-	proxies *toxiproxy.ApiServer
-	log     *users.Log
-	oracle  *users.Oracle
-	hosts   []*host
-	mu      sync.Mutex
-	workers []*worker
-	lives   int
-	busy    sync.WaitGroup
+	t            *testing.T
+	dir          string
+	proxies      *toxiproxy.ApiServer
+	log          *users.Log
+	oracle       *users.Oracle
+	hosts        []*host
+	mu           sync.Mutex
+	workers      []*worker
+	incarnations int
+	busy         sync.WaitGroup
 }
 
 // host holds the process of one host and the proxies on its connections.
@@ -128,11 +128,11 @@
 
 // newWorker starts a new incarnation of a worker and adds it to the list of servers.
 func (c *cell) newWorker() *worker {
-	c.lives++
-	w := users.NewWorker(fmt.Sprintf("w%d", c.lives), work, c.oracle)
+	c.incarnations++
+	w := users.NewWorker(fmt.Sprintf("w%d", c.incarnations), work, c.oracle)
 	c.t.Cleanup(w.Close)
 	p := c.proxy("worker "+w.ID, w.Address())
-	n := &worker{w, p, fmt.Sprintf("zone%d", c.lives%3)}
+	n := &worker{w, p, fmt.Sprintf("zone%d", c.incarnations%3)}
 	c.listWorker(n)
 	return n
 }
