--- a/soak/cell_test.go
+++ b/soak/cell_test.go
@@ -72,7 +72,7 @@
 	store  *toxiproxy.Proxy
 	mu     sync.Mutex
 	cmd    *exec.Cmd
-	gone   chan struct{}
+	exited chan struct{}
 	out    *os.File
 }
 
@@ -106,7 +106,7 @@
 		c.busy.Wait()
 		for _, h := range c.hosts {
 			h.signal(syscall.SIGKILL)
-			<-h.gone
+			<-h.exited
 			_ = h.out.Close()
 		}
 		if t.Failed() {
@@ -222,7 +222,7 @@
 	}()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.cmd, h.gone = cmd, gone
+	h.cmd, h.exited = cmd, gone
 }
 
 // signal sends a signal to the current process of the host. The channel that it returns is
@@ -232,7 +232,7 @@
 	defer h.mu.Unlock()
 	// Signal fails if the process has already exited.
 	_ = h.cmd.Process.Signal(s)
-	return h.gone
+	return h.exited
 }
 
 // served reports whether every host is ready.
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -141,7 +141,7 @@
 		path, err := binary()
 		require.NoError(c.t, err)
 		h.mu.Lock()
-		again := h.gone == gone
+		again := h.exited == gone
 		h.mu.Unlock()
 		// Two faults may have ended the same process; only the first of them starts a new one.
 		if again {
