--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -14,10 +14,10 @@
 )
 
 var (
-	seeds     = flag.Int("seeds", 2, "how many seeds to run")
-	firstSeed = flag.Uint64("seed", 1, "the first seed")
-	apart     = flag.Int("apart", 2, "how many seeds to run at once")
-	lasts     = flag.Duration("lasts", 12*time.Second, "how long faults are injected")
+	seeds      = flag.Int("seeds", 2, "how many seeds to run")
+	firstSeed  = flag.Uint64("seed", 1, "the first seed")
+	concurrent = flag.Int("apart", 2, "how many seeds to run at once")
+	lasts      = flag.Duration("lasts", 12*time.Second, "how long faults are injected")
 )
 
 // failedOnce lists the seeds that failed in the past, each with the cause of the failure.
@@ -50,7 +50,7 @@
 		all = append(all, *firstSeed+uint64(i))
 	}
 	// At most apart seeds run at once: each needs a dozen processes and connections.
-	turn := make(chan struct{}, *apart)
+	turn := make(chan struct{}, *concurrent)
 	for _, seed := range all {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
