--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -17,7 +17,7 @@
 	seeds      = flag.Int("seeds", 2, "how many seeds to run")
 	firstSeed  = flag.Uint64("seed", 1, "the first seed")
 	concurrent = flag.Int("apart", 2, "how many seeds to run at once")
-	lasts      = flag.Duration("lasts", 12*time.Second, "how long faults are injected")
+	faultsFor  = flag.Duration("lasts", 12*time.Second, "how long faults are injected")
 )
 
 // failedOnce lists the seeds that failed in the past, each with the cause of the failure.
@@ -64,7 +64,7 @@
 func play(t *testing.T, seed uint64) {
 	c := newCell(t)
 	a := newCallers(c)
-	ctx, stop := context.WithTimeout(context.Background(), *lasts)
+	ctx, stop := context.WithTimeout(context.Background(), *faultsFor)
 	defer stop()
 	done := make(chan struct{})
 	go func() {
