--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -20,8 +20,8 @@
 	faultsFor  = flag.Duration("lasts", 12*time.Second, "how long faults are injected")
 )
 
-// failedOnce lists the seeds that failed in the past, each with the cause of the failure.
-var failedOnce = []uint64{
+// regressionSeeds lists the seeds that failed in the past, each with the cause of the failure.
+var regressionSeeds = []uint64{
 	// The host that had accepted a job reported it as queued while no leader could be asked,
 	// although another host had already reported it as completed.
 	125,
@@ -45,7 +45,7 @@
 // as completed too early, run although it was refused, or unknown after it was confirmed.
 // The workers detect a task that has already been given to the same or another worker.
 func TestPromisesHoldOutside(t *testing.T) {
-	all := failedOnce
+	all := regressionSeeds
 	for i := range *seeds {
 		all = append(all, *firstSeed+uint64(i))
 	}
@@ -71,7 +71,7 @@
 		defer close(done)
 		a.run(ctx, rand.New(rand.NewPCG(seed, 1)))
 	}()
-	if !slices.Contains(failedOnce, seed) {
+	if !slices.Contains(regressionSeeds, seed) {
 		c.busy.Go(func() { c.resizeSome(ctx, rand.New(rand.NewPCG(seed, 3))) })
 	}
 	said := c.disturb(ctx, rand.New(rand.NewPCG(seed, 2)))
