--- a/soak/cell_test.go
+++ b/soak/cell_test.go
@@ -26,8 +26,8 @@
 const (
 	hosts   = 4
 	workers = 6
-	// work is how long each task runs: long enough that faults occur while it runs.
-	work = 400 * time.Millisecond
+	// taskTime is how long each task runs: long enough that faults occur while it runs.
+	taskTime = 400 * time.Millisecond
 	// parts is the number of partitions of a topic.
 	parts = 16
 )
@@ -129,7 +129,7 @@
 // newWorker starts a new incarnation of a worker and adds it to the list of servers.
 func (c *cell) newWorker() *worker {
 	c.incarnations++
-	w := users.NewWorker(fmt.Sprintf("w%d", c.incarnations), work, c.oracle)
+	w := users.NewWorker(fmt.Sprintf("w%d", c.incarnations), taskTime, c.oracle)
 	c.t.Cleanup(w.Close)
 	p := c.proxy("worker "+w.ID, w.Address())
 	n := &worker{w, p, fmt.Sprintf("zone%d", c.incarnations%3)}
