--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -25,10 +25,10 @@
 	// accepted and cancelled are the times at which a host confirmed that; refused reports
 	// whether every answer said that the job was not stored.
 	accepted, cancelled time.Time
-	// asked reports whether the caller asked for the cancellation.
-	asked   bool
-	refused bool
-	state   string
+	// cancelAsked reports whether the caller cancelAsked for the cancellation.
+	cancelAsked bool
+	refused     bool
+	state       string
 }
 
 // callers submits jobs, polls their states and cancels some, over persistent connections, and
@@ -121,7 +121,7 @@
 	state := strings.TrimSuffix(strings.TrimPrefix(text, `{"state":"`), `"}`)
 	// The answer may reflect a cancellation that was sent while this request was in flight.
 	a.mu.Lock()
-	asked := j.asked
+	asked := j.cancelAsked
 	a.mu.Unlock()
 	switch {
 	case state == "failed":
@@ -153,7 +153,7 @@
 func (a *callers) cancel(j *job, h *host) {
 	a.mu.Lock()
 	open := !j.accepted.IsZero() && j.state != "completed"
-	j.asked = j.asked || open
+	j.cancelAsked = j.cancelAsked || open
 	a.mu.Unlock()
 	if !open {
 		return
