--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -25,7 +25,7 @@
 	// accepted and cancelled are the times at which a host confirmed that; refused reports
 	// whether every answer said that the job was not stored.
 	accepted, cancelled time.Time
-	// cancelAsked reports whether the caller cancelAsked for the cancellation.
+	// cancelAsked reports whether the caller asked for the cancellation.
 	cancelAsked bool
 	refused     bool
 	state       string
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -49,7 +49,7 @@
 	for i := range *seeds {
 		all = append(all, *firstSeed+uint64(i))
 	}
-	// At most apart seeds run at once: each needs a dozen processes and connections.
+	// At most concurrent seeds run at once: each needs a dozen processes and connections.
 	turn := make(chan struct{}, *concurrent)
 	for _, seed := range all {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -82,7 +82,7 @@
 	a.checkResults(t, said)
 }
 
-// checkResults compares the tasks that ran with the answers that callers got, and fails the test on
+// checkResults compares the tasks that ran with the answers that callers got and fails the test on
 // any violation.
 func (a *callers) checkResults(t *testing.T, said []string) {
 	runs := a.c.oracle.Runs()
