--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -38,8 +38,8 @@
 	Minions: 6, Workers: 12, Racks: 6, Slots: 8, Worker: cell.Size{CPU: 64_000, Mem: 256 << 30},
 }
 
-// node is one entry host as a process, with the proxies that lie in front
-// of it and between it and the rest.
+// node is one entry host that runs as a process, with the proxies in front of it and on its
+// connections to the platform and to its peers.
 type node struct {
 	name, domain string
 	file         string
@@ -54,8 +54,8 @@
 	peers    map[string]*toxiproxy.Proxy
 }
 
-// bench is a whole cell: stand-ins in this process, hosts as processes of
-// their own, and a fault-injecting proxy on every path between them.
+// bench is a whole cell: the stand-ins run in this process, each host runs as a process of its own,
+// and every connection between them goes through a proxy that can inject faults.
 type bench struct {
 	t        *testing.T
 	proxies  *toxiproxy.ApiServer
@@ -67,18 +67,19 @@
 	nodes    []*node
 	tally    *audit.Tally
 	names    audit.RowNames
-	// left is how many requests a leaving minion had run when its time was over.
+	// left is the number of requests that a leaving backend server had run after leaveWithin.
 	left  int
 	stop  context.CancelFunc
 	watch sync.WaitGroup
 }
 
+// newBench starts the cell small.
 func newBench(t *testing.T) *bench {
 	t.Helper()
 	return newBenchOf(t, small, func(string) string { return "" })
 }
 
-// newBenchOf runs other users' cell; more adds lines to a host's settings.
+// newBenchOf starts a cell for the given users; more returns lines to add to the settings of a host.
 func newBenchOf(t *testing.T, users standin.Users, more func(host string) string) *bench {
 	t.Helper()
 	c, err := standin.NewCell(users, netip.MustParseAddrPort("127.0.0.1:0"), time.Now)
@@ -120,6 +121,7 @@
 	return p
 }
 
+// makeNodes creates the hosts with their proxies, clients and settings, but does not start them.
 func (b *bench) makeNodes() {
 	addrs := freeAddrs(b.t, 3*6)
 	dir := b.t.ArtifactDir()
@@ -163,7 +165,7 @@
 	require.NoError(b.t, n.cmd.Start())
 }
 
-// unusual prints what the hosts told that is no plain information: errors, panics and races.
+// unusual prints the unexpected lines in the logs of the hosts: errors, panics and data races.
 func (b *bench) unusual() {
 	for _, n := range b.nodes {
 		if told := b.told(n, isUnusual); len(told) > 0 {
@@ -176,27 +178,27 @@
 	return line != "" && !strings.Contains(line, " level=INFO ") && !strings.Contains(line, " level=WARN ")
 }
 
-// told are the lines of a host that are wanted.
+// told returns the log lines of a host for which wanted returns true.
 func (b *bench) told(n *node, wanted func(line string) bool) []string {
 	text, err := os.ReadFile(n.logFile())
 	require.NoError(b.t, err)
 	return slices.DeleteFunc(strings.Split(string(text), "\n"), func(line string) bool { return !wanted(line) })
 }
 
-// logFile holds what all lives of the host told.
+// logFile is the path of the log of all incarnations of the host.
 func (n *node) logFile() string { return n.file + ".log" }
 
-// mostLines bounds what is printed of each host for each thing that went wrong.
+// mostLines limits the log lines that are printed for each host and violation.
 const mostLines = 120
 
-// explain prints what was lost or ran twice, and what the hosts told of it.
+// explain prints the lost jobs and what ran twice, with the log lines of the hosts about them.
 func (b *bench) explain() {
 	r := b.cell.Report()
 	lost, twice := b.tally.LostJobs(r), b.tally.Doubled(r)
 	b.t.Logf("lost jobs %v, twice %v", lost, twice)
 	for _, id := range slices.Concat(lost, twice) {
 		job := jobOf(id)
-		b.t.Logf("%s, what its lead tells:\n%s", id, b.story(job))
+		b.t.Logf("%s, what its leader reports:\n%s", id, b.story(job))
 		b.t.Logf("%s, what workers did:\n%s", id, b.history(id))
 		for _, n := range b.nodes {
 			if told := b.told(n, func(line string) bool { return strings.Contains(line, job) || b.ofWorkers(n, line, job) }); len(told) > 0 {
@@ -206,12 +208,12 @@
 	}
 }
 
-// ofWorkers tells whether a line tells which workers a host of the job's failure domain leads.
+// ofWorkers reports whether a log line says which workers a host in the job's failure domain leads.
 func (b *bench) ofWorkers(n *node, line, job string) bool {
 	return strings.HasPrefix(job, n.domain+".") && strings.Contains(line, `msg="lead: worker `)
 }
 
-// history is what workers did for a task.
+// history lists the steps that the workers recorded for a task.
 func (b *bench) history(id string) string {
 	var all []string
 	for _, name := range slices.Sorted(maps.Keys(b.cell.Workers)) {
@@ -224,8 +226,8 @@
 	return strings.Join(all, "\n")
 }
 
-// jobOf is the job of a task, whose name is the job's, a dot and a number. A job's own name has
-// dots too, and ends in an id that is no number.
+// jobOf returns the job of a task. The id of a task consists of the id of its job, a dot and a
+// number. The id of a job contains dots too, but its last part is not a number.
 func jobOf(id string) string {
 	i := strings.LastIndex(id, ".")
 	if i < 0 {
@@ -237,7 +239,8 @@
 	return id[:i]
 }
 
-// story is what was decided about a job, and what its callers are told now.
+// story returns the current state of a job, as its callers get it, and the history of the decisions
+// on it.
 func (b *bench) story(job string) string {
 	ctx, cancel := context.WithTimeout(context.Background(), longest)
 	defer cancel()
@@ -250,13 +253,14 @@
 	return strings.Join(all, "\n")
 }
 
+// kill kills the process of a host, which may be paused or may have exited.
 func (b *bench) kill(n *node) {
 	_ = n.cmd.Process.Signal(syscall.SIGCONT)
 	_ = n.cmd.Process.Kill()
 	_ = n.cmd.Wait()
 }
 
-// balance plays the platform's balancer: it asks each host whether it is ready.
+// balance stands in for the load balancer of the platform: it polls the readiness of each host.
 func (b *bench) balance(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, n := range b.nodes {
@@ -271,6 +275,8 @@
 	}
 }
 
+// pick returns a client for a random ready host of a failure domain, or for its first host if none
+// is ready.
 func (b *bench) pick(r *rand.Rand, domain string) *client.Client {
 	var in []*node
 	for _, n := range b.nodes {
@@ -284,6 +290,8 @@
 	return in[r.IntN(len(in))].viaProxy
 }
 
+// setTable stores the rows of the table and waits until every host serves requests by them and
+// every worker has a leader.
 func (b *bench) setTable() {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
@@ -307,11 +315,12 @@
 		})
 	}
 	for name := range b.cell.Workers {
-		eventually(b.t, name+" is led", func() bool { return b.led(name) })
+		eventually(b.t, name+" has a leader", func() bool { return b.led(name) })
 	}
 }
 
-// led tells whether some host has led a worker. Hosts that start together wait before they do.
+// led reports whether any host has logged that it leads the worker. Hosts that start together wait
+// before they lead a worker.
 func (b *bench) led(worker string) bool {
 	line := `msg="lead: worker is led." worker=` + worker + " "
 	return slices.ContainsFunc(b.nodes, func(n *node) bool {
@@ -319,11 +328,11 @@
 	})
 }
 
-// longest bounds every request, so that a replaced host waits no longer before
-// it uses its slots again.
+// longest is the longest deadline of a request. A host that was replaced waits for this time at most
+// before it uses its slots again.
 const longest = 3 * time.Second
 
-// Phases of every scenario.
+// Durations of the phases of a scenario.
 const (
 	calmFor    = 1500 * time.Millisecond
 	faultFor   = 3 * time.Second
@@ -332,8 +341,8 @@
 	settlePoll = 200 * time.Millisecond
 )
 
-// run plays the callers, brings about a fault meanwhile, mends it and returns
-// what was broken once all accepted jobs have had their time to end.
+// run simulates the callers and operators, meanwhile injects a fault and ends it, and returns the
+// violations after it has given all accepted jobs time to end.
 func (b *bench) run(fault func(b *bench), heal func(b *bench)) audit.ViolationsError {
 	ctx, cancel := context.WithTimeout(context.Background(), calmFor+faultFor+healedFor)
 	defer cancel()
@@ -361,6 +370,7 @@
 	}
 }
 
+// settle waits until no job counts as lost, for at most settleFor, and returns the violations.
 func (b *bench) settle() audit.ViolationsError {
 	end := time.Now().Add(settleFor)
 	w := b.tally.Violations(b.cell.Report())
@@ -373,8 +383,8 @@
 
 const toxicName = "fault"
 
-// toxic adds one kind of fault to proxies; stream is "upstream" for what
-// flows towards the server and "downstream" for its answers.
+// toxic adds one kind of fault to proxies. The stream "upstream" carries the bytes towards the
+// server, "downstream" those of its answers.
 func (b *bench) toxic(kind, stream, attributes string, on ...*toxiproxy.Proxy) {
 	for _, p := range on {
 		text := fmt.Sprintf(`{"name":"%s-%s","type":%q,"stream":%q,"attributes":{%s}}`, toxicName, stream, kind, stream, attributes)
@@ -383,13 +393,14 @@
 	}
 }
 
+// clear removes all faults from proxies.
 func (b *bench) clear(on ...*toxiproxy.Proxy) {
 	for _, p := range on {
 		p.Toxics.ResetToxics(context.Background())
 	}
 }
 
-// paths are the proxies between two sets of hosts, both ways.
+// paths returns the proxies on the connections for which between returns true.
 func (b *bench) paths(between func(from, to *node) bool) []*toxiproxy.Proxy {
 	var all []*toxiproxy.Proxy
 	for _, from := range b.nodes {
@@ -402,6 +413,7 @@
 	return all
 }
 
+// kinds returns the proxies of the first machines of a kind, at most most of them.
 func (b *bench) kinds(kind cell.Kind, most int) []*toxiproxy.Proxy {
 	var all []*toxiproxy.Proxy
 	for _, m := range b.machines {
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -14,13 +14,13 @@
 	"pollencroft/internal/standin"
 )
 
-// atOnce bounds how many cells run beside each other on one machine.
+// atOnce limits the number of cells that run at the same time on one machine.
 var atOnce = make(chan struct{}, 3)
 
-// Each scenario takes a whole cell of real processes through one fault, or
-// two at once, under all kinds of work. A user would notice a lost or doubled
-// scan, a batch that ran though it was told as not run, or an overfull worker;
-// all four are counted from the stand-ins' records.
+// Each scenario injects one fault, or two at once, into a whole cell of real processes under all
+// kinds of work. The test counts four violations that a user would notice, from the records of the
+// stand-ins: a lost scan, a scan that ran twice, a batch that ran although it was reported as not
+// run, and an overfull worker.
 func TestPromisesHoldUnderFaults(t *testing.T) {
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -30,12 +30,13 @@
 	}
 }
 
+// scenario is a fault and the function that ends it.
 type scenario struct {
 	name        string
 	fault, heal func(b *bench)
 }
 
-// play takes a cell of its own through the scenario.
+// play runs the scenario in a cell of its own.
 func (s scenario) play(t *testing.T) {
 	t.Helper()
 	atOnce <- struct{}{}
@@ -46,17 +47,18 @@
 		b.explain()
 	}
 	require.Equal(t, audit.ViolationsError{}, wrong)
-	require.Zero(t, b.cell.Report().SlotsOver, "requests over a minion's slots")
+	require.Zero(t, b.cell.Report().SlotsOver, "requests beyond the slots of a backend server")
 	asked, done := b.tally.Totals()
 	require.Positive(t, done, "of %d asked", asked)
 }
 
+// nothing injects no fault.
 func nothing(*bench) {}
 
-// leaveWithin is the promised time until a leaving minion gets no new work.
+// leaveWithin is the time after which a leaving backend server must get no new work.
 const leaveWithin = 3 * time.Second
 
-// silence swallows all bytes of open and new connections without a reset.
+// silence drops all bytes of open and new connections without a reset.
 func silence(b *bench, on []*toxiproxy.Proxy, streams ...string) {
 	for _, stream := range streams {
 		b.toxic("timeout", stream, `"timeout":0`, on...)
@@ -70,6 +72,8 @@
 
 func sameDomain(from, to *node) bool { return from.domain == to.domain }
 
+// cutPaths returns the proxies on all connections between the failure domain of the first host and
+// the other hosts, and on those of its hosts to the platform.
 func (b *bench) cutPaths() []*toxiproxy.Proxy {
 	cut := b.nodes[0].domain
 	paths := b.paths(func(from, to *node) bool { return (from.domain == cut) != (to.domain == cut) })
@@ -98,8 +102,8 @@
 	b.start(b.nodes[0])
 }
 
-// leave lists a minion as leaving, gives the hosts the promised time and keeps
-// what it had run by then.
+// leave lists a backend server as leaving, waits for leaveWithin and records how many requests the
+// server has run by then.
 func (b *bench) leave(name string) {
 	for i := range b.machines {
 		if b.machines[i].Name == name {
@@ -111,10 +115,10 @@
 	b.left = len(b.cell.Minions[name].Record().Ran)
 }
 
-// stillLeft tells that the minion got no request since.
+// stillLeft checks that the backend server has got no request since leave returned.
 func (b *bench) stillLeft(name string) {
 	wait(context.Background(), time.Second)
-	require.Equal(b.t, b.left, len(b.cell.Minions[name].Record().Ran), "requests that it ran since")
+	require.Equal(b.t, b.left, len(b.cell.Minions[name].Record().Ran), "the leaving backend server has run new requests")
 }
 
 func replaceFirst(b *bench) { b.start(b.nodes[0]) }
--- a/test/host_test.go
+++ b/test/host_test.go
@@ -23,11 +23,12 @@
 	Minions: 1, Workers: 2, Racks: 1, Slots: 8, Worker: small.Worker,
 }
 
+// none adds no settings to a host.
 func none(string) string { return "" }
 
-// A planned stop waits for a request that hangs. The operator who cannot wait
-// sends the signal again, and the host must end at once and say that it did
-// not end well.
+// A planned stop waits for requests in flight, also for one that hangs. An operator who cannot wait
+// sends the signal a second time: the host must then exit at once, with a status that reports
+// the unclean exit.
 func TestSecondSignalEndsAHostAtOnce(t *testing.T) {
 	b := newBenchOf(t, oneMinion, none)
 	b.cell.Minions["minion-00"].SetFaults(standin.MinionFaults{Hole: true})
@@ -43,10 +44,9 @@
 	require.Equal(t, 1, n.cmd.ProcessState.ExitCode())
 }
 
-// Hundreds of callers send the largest bodies to a host whose backend server
-// takes them and answers nothing. The host must shed what it cannot hold and
-// stay below its memory; a host that grows is killed by its machine with all
-// requests that it carries.
+// Hundreds of callers send bodies of the largest size to a host whose backend server accepts them
+// and never answers. The host must shed the requests that it cannot hold and stay below its memory
+// limit; if it exceeds the limit, its machine kills it along with all its requests in flight.
 func TestFloodOfBodiesStaysWithinTheMemoryOfAHost(t *testing.T) {
 	b := newBenchOf(t, oneMinion, none)
 	b.cell.Minions["minion-00"].SetFaults(standin.MinionFaults{Hole: true})
@@ -69,13 +69,13 @@
 	}
 	wg.Wait()
 	peak := peakMemory(t, n.cmd.Process.Pid)
-	t.Logf("peak %d MiB, told %v", peak>>20, told)
+	t.Logf("peak %d MiB, answers by status %v", peak>>20, told)
 	require.Less(t, peak, int64(256<<20))
-	require.Positive(t, told[http.StatusServiceUnavailable]+told[http.StatusTooManyRequests], "nothing was shed: %v", told)
+	require.Positive(t, told[http.StatusServiceUnavailable]+told[http.StatusTooManyRequests], "no request was shed: %v", told)
 	require.NoError(t, n.direct.Get(context.Background(), "/live", nil))
 }
 
-// peakMemory is the most that a process had in memory, in bytes.
+// peakMemory returns the peak resident memory of a process, in bytes.
 func peakMemory(t *testing.T, pid int) int64 {
 	t.Helper()
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
--- a/test/matrix_test.go
+++ b/test/matrix_test.go
@@ -15,11 +15,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write docs/FAULTS.md anew")
+var update = flag.Bool("update", false, "rewrite docs/FAULTS.md")
 
 const faultsPage = "../docs/FAULTS.md"
 
-// promises and faults are the brief's sentences behind the matrix's ids.
+// promises and faults map the ids that the matrix uses to the sentences of the brief.
 var (
 	promises = []struct{ id, text string }{
 		{"fill", "No worker is given more work than its processors, memory and accelerators hold."},
@@ -49,6 +49,9 @@
 	}
 )
 
+// matrixCell is one entry of the matrix. Promise is a list of ids of promises and faults, separated
+// by commas; Sees says what the caller or operator sees, and Why gives the reason of an entry
+// without a test.
 type matrixCell struct {
 	Promise string `toml:"promise"`
 	Step    string `toml:"step"`
@@ -58,8 +61,9 @@
 	Why     string `toml:"why"`
 }
 
-// matrixFile is one area's part of the matrix. Open cells are not proved;
-// none cells are pairs of promise and fault that cannot meet.
+// matrixFile is the part of the matrix for one area. Cell holds the entries that a test proves,
+// Open those that no test proves yet, and None the pairs of promise and fault that cannot occur
+// together.
 type matrixFile struct {
 	Cell []matrixCell `toml:"cell"`
 	Open []matrixCell `toml:"open"`
@@ -90,15 +94,15 @@
 	return out
 }
 
-// A cell that names a test which was renamed or removed proves nothing. The
-// operator who looks a fault up would trust a proof that nobody runs.
+// If a test is renamed or removed, the entries of the matrix that name it prove nothing any more,
+// and an operator who looks up a fault relies on a test that does not run.
 func TestEveryCellNamesATestThatExists(t *testing.T) {
 	for area, f := range readMatrix(t) {
 		for _, c := range f.Cell {
 			dir, name, ok := strings.Cut(c.Test, ".Test")
-			require.True(t, ok, "%s: test %q is not package dir . test func", area, c.Test)
+			require.True(t, ok, "%s: test %q does not have the form DIR.TestFUNC", area, c.Test)
 			name, _, _ = strings.Cut(name, "/")
-			require.True(t, hasTest(t, dir, "Test"+name), "%s: no test %s", area, c.Test)
+			require.True(t, hasTest(t, dir, "Test"+name), "%s: test %s does not exist", area, c.Test)
 			require.NotEmpty(t, c.Step, c.Test)
 			require.NotEmpty(t, c.Fault, c.Test)
 			require.NotEmpty(t, c.Sees, c.Test)
@@ -108,7 +112,7 @@
 		}
 		for _, c := range slices.Concat(f.Cell, f.Open, f.None) {
 			for _, id := range ids(c.Promise) {
-				require.True(t, known(id), "%s: id %q is not known", area, id)
+				require.True(t, known(id), "%s: unknown id %q", area, id)
 			}
 		}
 	}
@@ -143,7 +147,7 @@
 	return false
 }
 
-// count returns how many cells of one kind hold both ids.
+// count returns the number of cells that contain both ids.
 func count(cells []matrixCell, a, b string) int {
 	n := 0
 	for _, c := range cells {
@@ -154,8 +158,8 @@
 	return n
 }
 
-// Every promise must be tried against every fault, or be listed as not proved
-// or as unable to meet; else a gap would look like a proof.
+// Every pair of promise and fault needs a test or an entry under open or none. Without this check
+// a pair that nobody considered would look like one that is proved.
 func TestEveryPairIsProvedOrListed(t *testing.T) {
 	var cells, listed []matrixCell
 	for _, f := range readMatrix(t) {
@@ -165,12 +169,13 @@
 	for _, p := range promises {
 		for _, f := range faults {
 			if count(cells, p.id, f.id)+count(listed, p.id, f.id) == 0 {
-				t.Errorf("promise %s and fault %s: neither a test nor a line under not proved", p.id, f.id)
+				t.Errorf("promise %s and fault %s have neither a test nor an entry under open or none", p.id, f.id)
 			}
 		}
 	}
 }
 
+// docs/FAULTS.md is generated from the matrix; a change of the matrix must update it.
 func TestFaultsPageIsCurrent(t *testing.T) {
 	page := faultsText(readMatrix(t))
 	if *update {
@@ -181,6 +186,7 @@
 	require.Equal(t, page, string(b), "run: go test ./test -run TestFaultsPageIsCurrent -update")
 }
 
+// faultsText returns the text of docs/FAULTS.md.
 func faultsText(all map[string]matrixFile) string {
 	var b strings.Builder
 	b.WriteString("# Fault matrix\n\nMade from test/matrix/*.toml by `go test ./test -run TestFaultsPageIsCurrent -update`.\n")
@@ -208,6 +214,7 @@
 	return b.String()
 }
 
+// writeGrid writes the table of all pairs of promise and fault.
 func writeGrid(b *strings.Builder, all map[string]matrixFile) {
 	var cells, open []matrixCell
 	for _, f := range all {
@@ -234,6 +241,7 @@
 	}
 }
 
+// writeListed writes the entries that pick selects, with their reasons.
 func writeListed(b *strings.Builder, all map[string]matrixFile, pick func(matrixFile) []matrixCell) {
 	for _, area := range slices.Sorted(maps.Keys(all)) {
 		for _, c := range pick(all[area]) {
--- a/test/operators_test.go
+++ b/test/operators_test.go
@@ -15,16 +15,18 @@
 	"pollencroft/pkg/client"
 )
 
-// raced is the row that operators edit against each other in every scenario.
+// raced is the row that two operators edit concurrently in every scenario.
 const raced = "raced"
 
-// operators raise one limit by one, each from what it read, as two people with
-// the same table open would. Every accepted edit must be in the final value:
-// a lost or reverted one leaves it too low, a doubled one too high.
+// operators edits the row like two people who have the same table open: each of them reads one
+// limit and raises it by one. The final value must include every accepted edit. It is too low if
+// an edit was lost or reverted, and too high if an edit was applied twice.
 type operators struct {
-	b                 *bench
+	b *bench
+	// accepted counts the edits that were accepted, unknown those with an unknown outcome.
 	accepted, unknown atomic.Int64
-	back              atomic.Int64
+	// back counts how often a host returned to an older version.
+	back atomic.Int64
 }
 
 type racedRow struct {
@@ -32,6 +34,7 @@
 	Limits  struct{ Queue int64 }
 }
 
+// run edits the row and watches every host until ctx ends.
 func (o *operators) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for i := range uint64(2) {
@@ -50,6 +53,8 @@
 	}
 }
 
+// raise reads the limit and tries to store it raised by one, on condition that the version is
+// unchanged.
 func (o *operators) raise(ctx context.Context, c *client.Client) {
 	c2, cancel := context.WithTimeout(context.WithoutCancel(ctx), limit)
 	defer cancel()
@@ -75,8 +80,8 @@
 	return row, strconv.FormatInt(row.Version, 10), err
 }
 
-// watch sees whether a host ever goes back to an older version; a host that
-// was replaced may be behind only until it has told that it is ready.
+// watch counts how often a host returns to an older version of the row. A host that was replaced
+// may be behind only until it reports that it is ready.
 func (o *operators) watch(ctx context.Context, n *node) {
 	var seen int64
 	for ctx.Err() == nil {
@@ -91,14 +96,14 @@
 	}
 }
 
-// check waits until every host works by the same value and compares it with
-// what the operators were told.
+// check waits until every host uses the same value and compares it with the answers that the
+// operators got.
 func (o *operators) check() {
 	o.b.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*limit)
 	defer cancel()
 	var last racedRow
-	eventually(o.b.t, "every host works by the same version", func() bool {
+	eventually(o.b.t, "every host uses the same version", func() bool {
 		all := map[racedRow]bool{}
 		for _, n := range o.b.nodes {
 			row, _, err := o.read(ctx, n.operator)
@@ -112,7 +117,7 @@
 	})
 	got := last.Limits.Queue - 1
 	require.GreaterOrEqual(o.b.t, got, o.accepted.Load(), "an accepted edit was lost")
-	require.LessOrEqual(o.b.t, got, o.accepted.Load()+o.unknown.Load(), "an edit counts twice, or one that was refused")
-	require.Zero(o.b.t, o.back.Load(), "a host went back to an older version")
+	require.LessOrEqual(o.b.t, got, o.accepted.Load()+o.unknown.Load(), "an edit was applied twice, or a refused edit was applied")
+	require.Zero(o.b.t, o.back.Load(), "a host returned to an older version")
 	require.Positive(o.b.t, o.accepted.Load())
 }
--- a/test/pairs_test.go
+++ b/test/pairs_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// touches tells which part of the cell each fault is brought about at. Two
-// faults at the same part cannot be told apart, so pairs take different parts.
+// touches maps each fault to the parts of the cell where it is injected. The effects of two faults
+// at the same part cannot be distinguished, so a pair combines faults at different parts.
 var touches = map[string][]string{
 	"latency between hosts and to minions": {"hosts", "minions"},
 	"hosts silent one way":                 {"hosts"},
@@ -24,14 +24,15 @@
 	"log answers lost":                     {"platform"},
 }
 
-// The sample of pairs: its seed and size.
+// Seed and size of the sample of pairs.
 const (
 	pairsSeed = 20261202
 	pairs     = 5
 )
 
-// Faults come together. The promises that hold under each must hold under two;
-// the sample is the same in every run, and another seed is another sample.
+// Faults also occur at the same time, so the guarantees that hold under a single fault must hold
+// under two. The fixed seed gives the same sample of pairs in every run; another seed gives
+// another sample.
 func TestPromisesHoldUnderPairsOfFaults(t *testing.T) {
 	byName := map[string]scenario{}
 	for _, s := range scenarios {
@@ -49,6 +50,7 @@
 	}
 }
 
+// samplePairs returns the names of the faults of each pair.
 func samplePairs() [][2]string {
 	r := rand.New(rand.NewPCG(pairsSeed, pairsSeed))
 	names := slices.Sorted(maps.Keys(touches))
--- a/test/path_test.go
+++ b/test/path_test.go
@@ -1,4 +1,4 @@
-// Package test runs real processes and takes work from one end to the other.
+// Package test contains end-to-end tests that run the hosts as real processes.
 package test
 
 import (
@@ -23,8 +23,10 @@
 	"pollencroft/pkg/client"
 )
 
+// limit bounds each wait for a state of the running processes.
 const limit = 30 * time.Second
 
+// bin is the directory of the binaries that TestMain builds.
 var bin string
 
 func TestMain(m *testing.M) {
@@ -43,21 +45,22 @@
 	os.Exit(code)
 }
 
+// start returns the command for a binary of bin; the caller starts it.
 func start(t *testing.T, name string, args ...string) *exec.Cmd {
 	t.Helper()
 	cmd := exec.Command(filepath.Join(bin, name), args...)
 	cmd.Stderr = os.Stderr
-	// A test that is stopped from outside must not leave processes behind.
+	// The process must not outlive a test that is killed.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	return cmd
 }
 
-// nets counts the loopback addresses that were given out.
+// nets counts the loopback addresses that freeAddrs has used.
 var nets atomic.Uint32
 
-// freeAddrs lets the system choose ports that are free now, on a loopback
-// address that nothing else in this process uses: on a shared one another
-// socket could take a port before the host that it was chosen for starts.
+// freeAddrs returns n addresses with ports that are free now, chosen by the system. They are on a
+// loopback address that nothing else in this process uses. On a shared address, another socket
+// could take a port before the host that it is meant for starts.
 func freeAddrs(t *testing.T, n int) []string {
 	t.Helper()
 	ip := fmt.Sprintf("127.%d.%d.1:0", 1+os.Getpid()%250, nets.Add(1)%250)
@@ -71,6 +74,7 @@
 	return addrs
 }
 
+// startStandin starts the stand-in of the platform and returns its address.
 func startStandin(t *testing.T) string {
 	t.Helper()
 	cmd := start(t, "standin", "--listen", "127.0.0.1:0")
@@ -83,12 +87,14 @@
 	return strings.TrimSpace(strings.TrimPrefix(line, "platform "))
 }
 
+// process is a host that runs as a process, with clients for its two listeners.
 type process struct {
 	cmd              *exec.Cmd
 	caller, operator *client.Client
 	callerAddr       string
 }
 
+// startHosts starts n hosts of one failure domain.
 func startHosts(t *testing.T, platform string, n int) []process {
 	t.Helper()
 	addrs := freeAddrs(t, 3*n)
@@ -118,7 +124,7 @@
 	return all
 }
 
-// eventually waits for a state of the running processes, bounded by limit.
+// eventually waits until f returns true, and fails the test after limit.
 func eventually(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	require.Eventually(t, f, limit, 20*time.Millisecond, what)
@@ -133,6 +139,8 @@
 	}
 }
 
+// A row that one host stores takes effect on another, which then serves a request; a job that one
+// host accepts is reported as ended by the other, and a planned stop exits with status 0.
 func TestRequestJobAndRowGoFromEndToEnd(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*limit)
 	defer cancel()
@@ -167,6 +175,8 @@
 	require.NoError(t, hosts[0].cmd.Wait(), "a planned stop exits with status 0")
 }
 
+// The answer to invalid input must have a 4xx status, say that the request was refused and name
+// the invalid field.
 func TestWrongInputGetsA4xxThatNamesTheField(t *testing.T) {
 	hosts := startHosts(t, startStandin(t), 1)
 	waitReady(t, hosts)
--- a/test/trace_test.go
+++ b/test/trace_test.go
@@ -24,7 +24,7 @@
 	"pollencroft/pkg/client"
 )
 
-// span is one span as the trace file holds it.
+// span is one span as it is encoded in the trace file.
 type span struct {
 	Name        string
 	SpanContext struct{ TraceID, SpanID string }
@@ -37,6 +37,7 @@
 	}
 }
 
+// readSpans returns all spans of a trace file.
 func readSpans(t *testing.T, file string) []span {
 	t.Helper()
 	f, err := os.Open(file)
@@ -53,7 +54,7 @@
 	}
 }
 
-// chain walks up from a span to the caller's and returns the hops' names.
+// chain returns the spans from the root of the trace, which is the caller's span, down to s.
 func chain(byID map[string]span, s span) []span {
 	up := []span{s}
 	for parent, ok := byID[s.Parent.SpanID]; ok; parent, ok = byID[s.Parent.SpanID] {
@@ -64,9 +65,8 @@
 	return up
 }
 
-// An operator reads the trace of a scan that went through two hosts, because
-// the first had no free slot. Each hop must be there, in one trace, and no hop
-// may take longer than the one that waits for it.
+// A host that has no free slot relays a scan to a second host. The trace that an operator reads must
+// contain every hop in a single trace, and no hop may last longer than the one that waits for it.
 func TestTraceOfAScanThroughTwoHosts(t *testing.T) {
 	dir := t.TempDir()
 	users := standin.Users{
@@ -104,6 +104,7 @@
 	checkTraces(t, all)
 }
 
+// checkTraces checks the path to every span of a backend server.
 func checkTraces(t *testing.T, all []span) {
 	t.Helper()
 	byID := map[string]span{}
