--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -67,10 +67,10 @@
 	nodes    []*node
 	tally    *audit.Tally
 	names    audit.RowNames
-	// left is the number of requests that a leaving backend server had run after leaveWithin.
-	left  int
-	stop  context.CancelFunc
-	watch sync.WaitGroup
+	// ranBeforeLeaving is the number of requests that a leaving backend server had run after leaveWithin.
+	ranBeforeLeaving int
+	stop             context.CancelFunc
+	watch            sync.WaitGroup
 }
 
 // newBench starts the cell small.
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -112,13 +112,13 @@
 	}
 	b.cell.Platform.SetHosts(b.machines)
 	wait(context.Background(), leaveWithin)
-	b.left = len(b.cell.Minions[name].Record().Ran)
+	b.ranBeforeLeaving = len(b.cell.Minions[name].Record().Ran)
 }
 
 // stillLeft checks that the backend server has got no request since leave returned.
 func (b *bench) stillLeft(name string) {
 	wait(context.Background(), time.Second)
-	require.Equal(b.t, b.left, len(b.cell.Minions[name].Record().Ran), "the leaving backend server has run new requests")
+	require.Equal(b.t, b.ranBeforeLeaving, len(b.cell.Minions[name].Record().Ran), "the leaving backend server has run new requests")
 }
 
 func replaceFirst(b *bench) { b.start(b.nodes[0]) }
