--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -115,8 +115,8 @@
 	b.ranBeforeLeaving = len(b.cell.Minions[name].Record().Ran)
 }
 
-// stillLeft checks that the backend server has got no request since leave returned.
-func (b *bench) stillLeft(name string) {
+// checkStillLeft checks that the backend server has got no request since leave returned.
+func (b *bench) checkStillLeft(name string) {
 	wait(context.Background(), time.Second)
 	require.Equal(b.t, b.ranBeforeLeaving, len(b.cell.Minions[name].Record().Ran), "the leaving backend server has run new requests")
 }
@@ -209,7 +209,7 @@
 			b.cell.Minions["minion-03"].SetFaults(standin.MinionFaults{Leaving: true})
 			b.leave("minion-00")
 		},
-		func(b *bench) { b.stillLeft("minion-00") },
+		func(b *bench) { b.checkStillLeft("minion-00") },
 	},
 	{
 		"workers fail everything and one rack is silent",
@@ -254,7 +254,7 @@
 			killFirst(b)
 			b.leave("minion-00")
 		},
-		func(b *bench) { b.stillLeft("minion-00"); replaceFirst(b) },
+		func(b *bench) { b.checkStillLeft("minion-00"); replaceFirst(b) },
 	},
 	{
 		"planned stop",
