--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -168,7 +168,7 @@
 // unusual prints the unexpected lines in the logs of the hosts: errors, panics and data races.
 func (b *bench) unusual() {
 	for _, n := range b.nodes {
-		if told := b.told(n, isUnusual); len(told) > 0 {
+		if told := b.logLines(n, isUnusual); len(told) > 0 {
 			b.t.Logf("%s:\n%s", n.name, strings.Join(told, "\n"))
 		}
 	}
@@ -178,8 +178,8 @@
 	return line != "" && !strings.Contains(line, " level=INFO ") && !strings.Contains(line, " level=WARN ")
 }
 
-// told returns the log lines of a host for which wanted returns true.
-func (b *bench) told(n *node, wanted func(line string) bool) []string {
+// logLines returns the log lines of a host for which wanted returns true.
+func (b *bench) logLines(n *node, wanted func(line string) bool) []string {
 	text, err := os.ReadFile(n.logFile())
 	require.NoError(b.t, err)
 	return slices.DeleteFunc(strings.Split(string(text), "\n"), func(line string) bool { return !wanted(line) })
@@ -201,7 +201,7 @@
 		b.t.Logf("%s, what its leader reports:\n%s", id, b.story(job))
 		b.t.Logf("%s, what workers did:\n%s", id, b.history(id))
 		for _, n := range b.nodes {
-			if told := b.told(n, func(line string) bool { return strings.Contains(line, job) || b.ofWorkers(n, line, job) }); len(told) > 0 {
+			if told := b.logLines(n, func(line string) bool { return strings.Contains(line, job) || b.ofWorkers(n, line, job) }); len(told) > 0 {
 				b.t.Logf("%s of %s, the first %d of %d lines:\n%s", n.name, id, mostLines, len(told), strings.Join(told[:min(len(told), mostLines)], "\n"))
 			}
 		}
@@ -324,7 +324,7 @@
 func (b *bench) led(worker string) bool {
 	line := `msg="lead: worker is led." worker=` + worker + " "
 	return slices.ContainsFunc(b.nodes, func(n *node) bool {
-		return len(b.told(n, func(told string) bool { return strings.Contains(told, line) })) > 0
+		return len(b.logLines(n, func(told string) bool { return strings.Contains(told, line) })) > 0
 	})
 }
 
