--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -107,7 +107,7 @@
 		for _, n := range b.nodes {
 			b.kill(n)
 		}
-		b.unusual()
+		b.logUnexpectedLines()
 	})
 	b.watch.Go(func() { b.balance(ctx) })
 	b.setTable()
@@ -165,8 +165,8 @@
 	require.NoError(b.t, n.cmd.Start())
 }
 
-// unusual prints the unexpected lines in the logs of the hosts: errors, panics and data races.
-func (b *bench) unusual() {
+// logUnexpectedLines prints the unexpected lines in the logs of the hosts: errors, panics and data races.
+func (b *bench) logUnexpectedLines() {
 	for _, n := range b.nodes {
 		if told := b.logLines(n, isUnusual); len(told) > 0 {
 			b.t.Logf("%s:\n%s", n.name, strings.Join(told, "\n"))
