--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -168,13 +168,13 @@
 // logUnexpectedLines prints the unexpected lines in the logs of the hosts: errors, panics and data races.
 func (b *bench) logUnexpectedLines() {
 	for _, n := range b.nodes {
-		if told := b.logLines(n, isUnusual); len(told) > 0 {
+		if told := b.logLines(n, isUnexpected); len(told) > 0 {
 			b.t.Logf("%s:\n%s", n.name, strings.Join(told, "\n"))
 		}
 	}
 }
 
-func isUnusual(line string) bool {
+func isUnexpected(line string) bool {
 	return line != "" && !strings.Contains(line, " level=INFO ") && !strings.Contains(line, " level=WARN ")
 }
 
