--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -191,8 +191,8 @@
 // mostLines limits the log lines that are printed for each host and violation.
 const mostLines = 120
 
-// explain prints the lost jobs and what ran twice, with the log lines of the hosts about them.
-func (b *bench) explain() {
+// logViolations prints the lost jobs and what ran twice, with the log lines of the hosts about them.
+func (b *bench) logViolations() {
 	r := b.cell.Report()
 	lost, twice := b.tally.LostJobs(r), b.tally.Doubled(r)
 	b.t.Logf("lost jobs %v, twice %v", lost, twice)
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -44,7 +44,7 @@
 	b := newBench(t)
 	wrong := b.run(s.fault, s.heal)
 	if wrong != (audit.ViolationsError{}) {
-		b.explain()
+		b.logViolations()
 	}
 	require.Equal(t, audit.ViolationsError{}, wrong)
 	require.Zero(t, b.cell.Report().SlotsOver, "requests beyond the slots of a backend server")
