--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -198,7 +198,7 @@
 	b.t.Logf("lost jobs %v, twice %v", lost, twice)
 	for _, id := range slices.Concat(lost, twice) {
 		job := jobOf(id)
-		b.t.Logf("%s, what its leader reports:\n%s", id, b.story(job))
+		b.t.Logf("%s, what its leader reports:\n%s", id, b.jobHistory(job))
 		b.t.Logf("%s, what workers did:\n%s", id, b.history(id))
 		for _, n := range b.nodes {
 			if told := b.logLines(n, func(line string) bool { return strings.Contains(line, job) || b.ofWorkers(n, line, job) }); len(told) > 0 {
@@ -239,9 +239,9 @@
 	return id[:i]
 }
 
-// story returns the current state of a job, as its callers get it, and the history of the decisions
+// jobHistory returns the current state of a job, as its callers get it, and the history of the decisions
 // on it.
-func (b *bench) story(job string) string {
+func (b *bench) jobHistory(job string) string {
 	ctx, cancel := context.WithTimeout(context.Background(), longest)
 	defer cancel()
 	var all []string
