--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -199,7 +199,7 @@
 	for _, id := range slices.Concat(lost, twice) {
 		job := jobOf(id)
 		b.t.Logf("%s, what its leader reports:\n%s", id, b.jobHistory(job))
-		b.t.Logf("%s, what workers did:\n%s", id, b.history(id))
+		b.t.Logf("%s, what workers did:\n%s", id, b.taskHistory(id))
 		for _, n := range b.nodes {
 			if told := b.logLines(n, func(line string) bool { return strings.Contains(line, job) || b.ofWorkers(n, line, job) }); len(told) > 0 {
 				b.t.Logf("%s of %s, the first %d of %d lines:\n%s", n.name, id, mostLines, len(told), strings.Join(told[:min(len(told), mostLines)], "\n"))
@@ -213,8 +213,8 @@
 	return strings.HasPrefix(job, n.domain+".") && strings.Contains(line, `msg="lead: worker `)
 }
 
-// history lists the steps that the workers recorded for a task.
-func (b *bench) history(id string) string {
+// taskHistory lists the steps that the workers recorded for a task.
+func (b *bench) taskHistory(id string) string {
 	var all []string
 	for _, name := range slices.Sorted(maps.Keys(b.cell.Workers)) {
 		for _, s := range b.cell.Workers[name].History(id) {
