--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -109,7 +109,7 @@
 		}
 		b.logUnexpectedLines()
 	})
-	b.watch.Go(func() { b.balance(ctx) })
+	b.watch.Go(func() { b.pollReadiness(ctx) })
 	b.setTable()
 	return b
 }
@@ -260,8 +260,8 @@
 	_ = n.cmd.Wait()
 }
 
-// balance stands in for the load balancer of the platform: it polls the readiness of each host.
-func (b *bench) balance(ctx context.Context) {
+// pollReadiness stands in for the load balancer of the platform: it polls the readiness of each host.
+func (b *bench) pollReadiness(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, n := range b.nodes {
 			c, cancel := context.WithTimeout(ctx, 200*time.Millisecond)
