--- a/test/operators_test.go
+++ b/test/operators_test.go
@@ -25,8 +25,8 @@
 	b *bench
 	// accepted counts the edits that were accepted, unknown those with an unknown outcome.
 	accepted, unknown atomic.Int64
-	// back counts how often a host returned to an older version.
-	back atomic.Int64
+	// regressions counts how often a host returned to an older version.
+	regressions atomic.Int64
 }
 
 type racedRow struct {
@@ -88,7 +88,7 @@
 		row, _, err := o.read(ctx, n.operator)
 		if err == nil && n.ready.Load() {
 			if row.Version < seen {
-				o.back.Add(1)
+				o.regressions.Add(1)
 			}
 			seen = max(seen, row.Version)
 		}
@@ -118,6 +118,6 @@
 	got := last.Limits.Queue - 1
 	require.GreaterOrEqual(o.b.t, got, o.accepted.Load(), "an accepted edit was lost")
 	require.LessOrEqual(o.b.t, got, o.accepted.Load()+o.unknown.Load(), "an edit was applied twice, or a refused edit was applied")
-	require.Zero(o.b.t, o.back.Load(), "a host returned to an older version")
+	require.Zero(o.b.t, o.regressions.Load(), "a host returned to an older version")
 	require.Positive(o.b.t, o.accepted.Load())
 }
