--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -299,7 +299,7 @@
 		eventually(b.t, n.name+" is ready", n.ready.Load)
 	}
 	rows := b.names.Rows()
-	rows[raced] = map[string]any{"limits": map[string]any{"queue": 1}}
+	rows[contendedRow] = map[string]any{"limits": map[string]any{"queue": 1}}
 	for row, fields := range rows {
 		require.NoError(b.t, b.nodes[0].operator.SetRow(ctx, row, "", fields))
 	}
--- a/test/operators_test.go
+++ b/test/operators_test.go
@@ -15,8 +15,8 @@
 	"pollencroft/pkg/client"
 )
 
-// raced is the row that two operators edit concurrently in every scenario.
-const raced = "raced"
+// contendedRow is the row that two operators edit concurrently in every scenario.
+const contendedRow = "raced"
 
 // operators edits the row like two people who have the same table open: each of them reads one
 // limit and raises it by one. The final value must include every accepted edit. It is too low if
@@ -62,7 +62,7 @@
 	if err != nil {
 		return
 	}
-	err = c.SetRow(c2, raced, version, map[string]any{"limits": map[string]any{"queue": row.Limits.Queue + 1}})
+	err = c.SetRow(c2, contendedRow, version, map[string]any{"limits": map[string]any{"queue": row.Limits.Queue + 1}})
 	var status *client.StatusError
 	switch {
 	case err == nil:
@@ -76,7 +76,7 @@
 
 func (o *operators) read(ctx context.Context, c *client.Client) (racedRow, string, error) {
 	var row racedRow
-	err := c.Get(ctx, "/table/"+raced, &row)
+	err := c.Get(ctx, "/table/"+contendedRow, &row)
 	return row, strconv.FormatInt(row.Version, 10), err
 }
 
