--- a/test/pairs_test.go
+++ b/test/pairs_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// touches maps each fault to the parts of the cell where it is injected. The effects of two faults
+// injectedAt maps each fault to the parts of the cell where it is injected. The effects of two faults
 // at the same part cannot be distinguished, so a pair combines faults at different parts.
-var touches = map[string][]string{
+var injectedAt = map[string][]string{
 	"latency between hosts and to minions": {"hosts", "minions"},
 	"hosts silent one way":                 {"hosts"},
 	"two minions silent":                   {"minions"},
@@ -53,11 +53,11 @@
 // samplePairs returns the names of the faults of each pair.
 func samplePairs() [][2]string {
 	r := rand.New(rand.NewPCG(pairsSeed, pairsSeed))
-	names := slices.Sorted(maps.Keys(touches))
+	names := slices.Sorted(maps.Keys(injectedAt))
 	var all [][2]string
 	for len(all) < pairs {
 		p := [2]string{names[r.IntN(len(names))], names[r.IntN(len(names))]}
-		apart := !slices.ContainsFunc(touches[p[0]], func(at string) bool { return slices.Contains(touches[p[1]], at) })
+		apart := !slices.ContainsFunc(injectedAt[p[0]], func(at string) bool { return slices.Contains(injectedAt[p[1]], at) })
 		if apart && !slices.Contains(all, p) {
 			all = append(all, p)
 		}
