--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -57,16 +57,16 @@
 // bench is a whole cell: the stand-ins run in this process, each host runs as a process of its own,
 // and every connection between them goes through a proxy that can inject faults.
 type bench struct {
-	t        *testing.T
-	proxies  *toxiproxy.ApiServer
-	cell     *standin.Cell
-	users    standin.Users
-	more     func(host string) string
-	machines []platform.HostEntry
-	machine  map[string]*toxiproxy.Proxy
-	nodes    []*node
-	tally    *audit.Tally
-	names    audit.RowNames
+	t            *testing.T
+	proxies      *toxiproxy.ApiServer
+	cell         *standin.Cell
+	users        standin.Users
+	moreSettings func(host string) string
+	machines     []platform.HostEntry
+	machine      map[string]*toxiproxy.Proxy
+	nodes        []*node
+	tally        *audit.Tally
+	names        audit.RowNames
 	// ranBeforeLeaving is the number of requests that a leaving backend server had run after leaveWithin.
 	ranBeforeLeaving int
 	stop             context.CancelFunc
@@ -87,7 +87,7 @@
 	t.Cleanup(c.Close)
 	ctx, stop := context.WithCancel(context.Background())
 	b := &bench{
-		t: t, cell: c, machine: map[string]*toxiproxy.Proxy{}, tally: audit.NewTally(), names: audit.RowNamesOf(users), stop: stop, users: users, more: more,
+		t: t, cell: c, machine: map[string]*toxiproxy.Proxy{}, tally: audit.NewTally(), names: audit.RowNamesOf(users), stop: stop, users: users, moreSettings: more,
 		proxies: toxiproxy.NewServer(toxiproxy.NewMetricsContainer(prometheus.NewRegistry()), zerolog.Nop()),
 	}
 	for _, m := range c.Machines {
@@ -151,7 +151,7 @@
 			fmt.Fprintf(&s, "[[peers]]\nname = %q\ndomain = %q\naddress = %q\n", o.name, o.domain, n.peers[o.name].Listen)
 		}
 		fmt.Fprintf(&s, "[limits]\ndeadline = %q\n", longest.String())
-		s.WriteString(b.more(n.name))
+		s.WriteString(b.moreSettings(n.name))
 		require.NoError(b.t, os.WriteFile(n.file, []byte(s.String()), 0o600))
 	}
 }
