--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -32,8 +32,8 @@
 	"pollencroft/pkg/client"
 )
 
-// small is a cell of three failure domains with two entry hosts each.
-var small = standin.Users{
+// smallCell is a cell of three failure domains with two entry hosts each.
+var smallCell = standin.Users{
 	Name: "kronach", Domains: []string{"halle-nord", "halle-sued", "stadthalle"}, Hosts: []int{2, 2, 2},
 	Minions: 6, Workers: 12, Racks: 6, Slots: 8, Worker: cell.Size{CPU: 64_000, Mem: 256 << 30},
 }
@@ -76,7 +76,7 @@
 // newBench starts the cell small.
 func newBench(t *testing.T) *bench {
 	t.Helper()
-	return newBenchOf(t, small, func(string) string { return "" })
+	return newBenchOf(t, smallCell, func(string) string { return "" })
 }
 
 // newBenchOf starts a cell for the given users; more returns lines to add to the settings of a host.
--- a/test/host_test.go
+++ b/test/host_test.go
@@ -20,7 +20,7 @@
 // oneMinion is a failure domain with a single backend server behind two hosts.
 var oneMinion = standin.Users{
 	Name: "kronach", Domains: []string{"halle-nord"}, Hosts: []int{2},
-	Minions: 1, Workers: 2, Racks: 1, Slots: 8, Worker: small.Worker,
+	Minions: 1, Workers: 2, Racks: 1, Slots: 8, Worker: smallCell.Worker,
 }
 
 // none adds no settings to a host.
