--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -150,7 +150,7 @@
 			n.peers[o.name] = b.proxy(n.name+" to "+o.name, addrs[3*j+2])
 			fmt.Fprintf(&s, "[[peers]]\nname = %q\ndomain = %q\naddress = %q\n", o.name, o.domain, n.peers[o.name].Listen)
 		}
-		fmt.Fprintf(&s, "[limits]\ndeadline = %q\n", longest.String())
+		fmt.Fprintf(&s, "[limits]\ndeadline = %q\n", maxDeadline.String())
 		s.WriteString(b.moreSettings(n.name))
 		require.NoError(b.t, os.WriteFile(n.file, []byte(s.String()), 0o600))
 	}
@@ -242,7 +242,7 @@
 // jobHistory returns the current state of a job, as its callers get it, and the history of the decisions
 // on it.
 func (b *bench) jobHistory(job string) string {
-	ctx, cancel := context.WithTimeout(context.Background(), longest)
+	ctx, cancel := context.WithTimeout(context.Background(), maxDeadline)
 	defer cancel()
 	var all []string
 	for _, path := range []string{"/jobs/" + job, "/jobs/" + job + "/trail"} {
@@ -328,9 +328,9 @@
 	})
 }
 
-// longest is the longest deadline of a request. A host that was replaced waits for this time at most
+// maxDeadline is the maxDeadline deadline of a request. A host that was replaced waits for this time at most
 // before it uses its slots again.
-const longest = 3 * time.Second
+const maxDeadline = 3 * time.Second
 
 // Durations of the phases of a scenario.
 const (
--- a/test/host_test.go
+++ b/test/host_test.go
@@ -59,7 +59,7 @@
 		wg.Go(func() {
 			for range 3 {
 				reply, _ := n.direct.Do(context.Background(), client.Request{
-					Workload: b.names.Flood, Method: http.MethodPost, Path: "/page", Body: body, Deadline: longest,
+					Workload: b.names.Flood, Method: http.MethodPost, Path: "/page", Body: body, Deadline: maxDeadline,
 				})
 				mu.Lock()
 				told[reply.Status]++
