--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -188,8 +188,8 @@
 // logFile is the path of the log of all incarnations of the host.
 func (n *node) logFile() string { return n.file + ".log" }
 
-// mostLines limits the log lines that are printed for each host and violation.
-const mostLines = 120
+// maxLogLines limits the log lines that are printed for each host and violation.
+const maxLogLines = 120
 
 // logViolations prints the lost jobs and what ran twice, with the log lines of the hosts about them.
 func (b *bench) logViolations() {
@@ -202,7 +202,7 @@
 		b.t.Logf("%s, what workers did:\n%s", id, b.taskHistory(id))
 		for _, n := range b.nodes {
 			if told := b.logLines(n, func(line string) bool { return strings.Contains(line, job) || b.ofWorkers(n, line, job) }); len(told) > 0 {
-				b.t.Logf("%s of %s, the first %d of %d lines:\n%s", n.name, id, mostLines, len(told), strings.Join(told[:min(len(told), mostLines)], "\n"))
+				b.t.Logf("%s of %s, the first %d of %d lines:\n%s", n.name, id, maxLogLines, len(told), strings.Join(told[:min(len(told), maxLogLines)], "\n"))
 			}
 		}
 	}
