--- a/test/host_test.go
+++ b/test/host_test.go
@@ -17,8 +17,8 @@
 	"pollencroft/pkg/client"
 )
 
-// oneMinion is a failure domain with a single backend server behind two hosts.
-var oneMinion = standin.Users{
+// singleBackend is a failure domain with a single backend server behind two hosts.
+var singleBackend = standin.Users{
 	Name: "kronach", Domains: []string{"halle-nord"}, Hosts: []int{2},
 	Minions: 1, Workers: 2, Racks: 1, Slots: 8, Worker: smallCell.Worker,
 }
@@ -30,7 +30,7 @@
 // sends the signal a second time: the host must then exit at once, with a status that reports
 // the unclean exit.
 func TestSecondSignalEndsAHostAtOnce(t *testing.T) {
-	b := newBenchOf(t, oneMinion, none)
+	b := newBenchOf(t, singleBackend, none)
 	b.cell.Minions["minion-00"].SetFaults(standin.MinionFaults{Hole: true})
 	n := b.nodes[0]
 	go func() {
@@ -48,7 +48,7 @@
 // and never answers. The host must shed the requests that it cannot hold and stay below its memory
 // limit; if it exceeds the limit, its machine kills it along with all its requests in flight.
 func TestFloodOfBodiesStaysWithinTheMemoryOfAHost(t *testing.T) {
-	b := newBenchOf(t, oneMinion, none)
+	b := newBenchOf(t, singleBackend, none)
 	b.cell.Minions["minion-00"].SetFaults(standin.MinionFaults{Hole: true})
 	n := b.nodes[0]
 	body := []byte(strings.Repeat("x", 1<<20))
