--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -14,8 +14,8 @@
 	"pollencroft/internal/standin"
 )
 
-// atOnce limits the number of cells that run at the same time on one machine.
-var atOnce = make(chan struct{}, 3)
+// cellSlots limits the number of cells that run at the same time on one machine.
+var cellSlots = make(chan struct{}, 3)
 
 // Each scenario injects one fault, or two at once, into a whole cell of real processes under all
 // kinds of work. The test counts four violations that a user would notice, from the records of the
@@ -39,8 +39,8 @@
 // play runs the scenario in a cell of its own.
 func (s scenario) play(t *testing.T) {
 	t.Helper()
-	atOnce <- struct{}{}
-	defer func() { <-atOnce }()
+	cellSlots <- struct{}{}
+	defer func() { <-cellSlots }()
 	b := newBench(t)
 	wrong := b.run(s.fault, s.heal)
 	if wrong != (audit.ViolationsError{}) {
