--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -293,7 +293,7 @@
 // setTable stores the rows of the table and waits until every host serves requests by them and
 // every worker has a leader.
 func (b *bench) setTable() {
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 	for _, n := range b.nodes {
 		eventually(b.t, n.name+" is ready", n.ready.Load)
--- a/test/operators_test.go
+++ b/test/operators_test.go
@@ -56,7 +56,7 @@
 // raise reads the limit and tries to store it raised by one, on condition that the version is
 // unchanged.
 func (o *operators) raise(ctx context.Context, c *client.Client) {
-	c2, cancel := context.WithTimeout(context.WithoutCancel(ctx), limit)
+	c2, cancel := context.WithTimeout(context.WithoutCancel(ctx), waitLimit)
 	defer cancel()
 	row, version, err := o.read(c2, c)
 	if err != nil {
@@ -100,7 +100,7 @@
 // operators got.
 func (o *operators) check() {
 	o.b.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), 2*limit)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*waitLimit)
 	defer cancel()
 	var last racedRow
 	eventually(o.b.t, "every host uses the same version", func() bool {
--- a/test/path_test.go
+++ b/test/path_test.go
@@ -23,8 +23,8 @@
 	"pollencroft/pkg/client"
 )
 
-// limit bounds each wait for a state of the running processes.
-const limit = 30 * time.Second
+// waitLimit bounds each wait for a state of the running processes.
+const waitLimit = 30 * time.Second
 
 // bin is the directory of the binaries that TestMain builds.
 var bin string
@@ -127,7 +127,7 @@
 // eventually waits until f returns true, and fails the test after limit.
 func eventually(t *testing.T, what string, f func() bool) {
 	t.Helper()
-	require.Eventually(t, f, limit, 20*time.Millisecond, what)
+	require.Eventually(t, f, waitLimit, 20*time.Millisecond, what)
 }
 
 func waitReady(t *testing.T, all []process) {
@@ -142,7 +142,7 @@
 // A row that one host stores takes effect on another, which then serves a request; a job that one
 // host accepts is reported as ended by the other, and a planned stop exits with status 0.
 func TestRequestJobAndRowGoFromEndToEnd(t *testing.T) {
-	ctx, cancel := context.WithTimeout(context.Background(), 2*limit)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*waitLimit)
 	defer cancel()
 	hosts := startHosts(t, startStandin(t), 2)
 	waitReady(t, hosts)
--- a/test/trace_test.go
+++ b/test/trace_test.go
@@ -76,7 +76,7 @@
 	b := newBenchOf(t, users, func(host string) string {
 		return fmt.Sprintf("[trace]\nfile = %q\n", filepath.Join(dir, host))
 	})
-	ctx, cancel := context.WithTimeout(context.Background(), 2*limit)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*waitLimit)
 	defer cancel()
 	scan := func() bool {
 		reply, err := b.nodes[0].direct.Do(ctx, client.Request{
