--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -27,18 +27,18 @@
 
 // Timeouts and the schedule of the demo.
 const (
-	readyWait  = 5 * time.Second
-	changeAt   = 3 * time.Second
-	killAt     = 5 * time.Second
-	stopAt     = 8 * time.Second
-	loadFor    = 12 * time.Second
-	settleWait = 12 * time.Second
-
-	// vouchAfter is how long after its start a host replies that the outcome of a new
+	readyTimeout  = 5 * time.Second
+	changeAt      = 3 * time.Second
+	killAt        = 5 * time.Second
+	stopAt        = 8 * time.Second
+	loadDuration  = 12 * time.Second
+	jobEndTimeout = 12 * time.Second
+
+	// keyConfirmWait is how long after its start a host replies that the outcome of a new
 	// idempotency key is unknown, because its previous incarnation may have run the request.
-	vouchAfter  = 2100 * time.Millisecond
-	ledWithin   = 30 * time.Second
-	settlePause = 200 * time.Millisecond
+	keyConfirmWait     = 2100 * time.Millisecond
+	leadTimeout        = 30 * time.Second
+	jobEndPollInterval = 200 * time.Millisecond
 )
 
 // Number of simulated callers of each kind.
@@ -48,77 +48,79 @@
 	batchCallers  = 3
 )
 
-// UsersError reports that there is no deployment with this name.
-type UsersError struct{ Name string }
+// UnknownDeploymentError reports that there is no deployment with this name.
+type UnknownDeploymentError struct{ Name string }
 
-func (e *UsersError) Error() string { return "no deployment is called " + e.Name }
+func (e *UnknownDeploymentError) Error() string { return "no deployment is called " + e.Name }
 
-// LedError reports that some workers still had no leading host when the timeout expired.
-type LedError struct{ Led, Workers int }
+// WorkersNotLedError reports that some workers still had no leading host when the timeout expired.
+type WorkersNotLedError struct{ Led, Workers int }
 
-func (e *LedError) Error() string {
+func (e *WorkersNotLedError) Error() string {
 	return fmt.Sprintf("only %d of %d workers are led", e.Led, e.Workers)
 }
 
 // Run runs the demo and prints its progress and result tables to out. It returns an
 // audit.ViolationsError if any violation count of the last line is not zero.
 func Run(out io.Writer, users string) error {
-	for _, u := range []standin.Users{standin.Kronach, standin.Inzira} {
+	for _, u := range []standin.Deployment{standin.Kronach, standin.Inzira} {
 		if u.Name == users {
 			return run(out, u)
 		}
 	}
-	return &UsersError{Name: users}
+	return &UnknownDeploymentError{Name: users}
 }
 
+// entry is a running entry host with the clients of its caller and operator listeners.
 type entry struct {
 	name, domain     string
 	host             *host.Host
 	caller, operator *client.Client
 }
 
-type show struct {
-	out     io.Writer
-	began   time.Time
-	cell    *standin.Cell
-	entries []*entry
-	names   audit.RowNames
-	tally   *audit.Tally
+// demo is one run of the demo.
+type demo struct {
+	out       io.Writer
+	startedAt time.Time
+	cell      *standin.Cell
+	entries   []*entry
+	names     audit.RowNames
+	tally     *audit.Tally
 }
 
-func run(out io.Writer, u standin.Users) error {
+func run(out io.Writer, u standin.Deployment) error {
 	local := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), 0)
 	c, err := standin.NewCell(u, local, time.Now)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
-	s := &show{out: out, began: time.Now(), cell: c, names: audit.RowNamesOf(u), tally: audit.NewTally()}
-	if err := s.startHosts(); err != nil {
+	s := &demo{out: out, startedAt: time.Now(), cell: c, names: audit.RowNamesOf(u), tally: audit.NewTally()}
+	if err := s.startAllHosts(); err != nil {
 		return err
 	}
 	defer s.killAll()
-	if err := s.setTable(); err != nil {
+	if err := s.writeTable(); err != nil {
 		return err
 	}
-	s.say("waiting until the hosts vouch for fresh keys")
-	time.Sleep(vouchAfter)
-	s.say("waiting until the hosts lead the workers")
+	s.logf("waiting until the hosts vouch for fresh keys")
+	time.Sleep(keyConfirmWait)
+	s.logf("waiting until the hosts lead the workers")
 	if err := s.waitForWorkers(); err != nil {
 		return err
 	}
 	s.load()
-	return s.close()
+	return s.finish()
 }
 
-func (s *show) say(format string, args ...any) {
-	_, _ = fmt.Fprintf(s.out, "%5.1fs  %s\n", time.Since(s.began).Seconds(), fmt.Sprintf(format, args...))
+func (s *demo) logf(format string, args ...any) {
+	_, _ = fmt.Fprintf(s.out, "%5.1fs  %s\n", time.Since(s.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
 
 // waitForWorkers waits until every worker is led by a host. Hosts that start together delay
 // leading workers.
-func (s *show) waitForWorkers() error {
-	for end := time.Now().Add(ledWithin); ; time.Sleep(100 * time.Millisecond) {
+func (s *demo) waitForWorkers() error {
+	for end := time.Now().Add(leadTimeout); ; time.Sleep(100 * time.Millisecond) {
 		led := 0
 		for _, e := range s.entries {
 			led += len(e.host.Held())
@@ -127,14 +129,14 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return &LedError{Led: led, Workers: len(s.cell.Workers)}
+			return &WorkersNotLedError{Led: led, Workers: len(s.cell.Workers)}
 		}
 	}
 }
 
-// startHosts opens the sockets of all hosts before it starts the first host, so that the settings
+// startAllHosts opens the sockets of all hosts before it starts the first host, so that the settings
 // of every host can list the addresses of its peers.
-func (s *show) startHosts() error {
+func (s *demo) startAllHosts() error {
 	u := s.cell.Users
 	var all []settings.Settings
 	var sockets []host.Listeners
@@ -170,7 +172,7 @@
 
 func address(ln net.Listener) netip.AddrPort { return ln.Addr().(*net.TCPAddr).AddrPort() }
 
-func (s *show) startHost(cfg settings.Settings, ls host.Listeners) {
+func (s *demo) startHost(cfg settings.Settings, ls host.Listeners) {
 	h := host.New(cfg, slog.New(slog.DiscardHandler), time.Now)
 	h.Start(ls)
 	rt := &http.Transport{MaxIdleConnsPerHost: 256}
@@ -185,8 +187,8 @@
 
 func (e *NotReadyError) Error() string { return "host " + e.Name + " is not ready" }
 
-func (s *show) waitReady() error {
-	end := time.Now().Add(readyWait)
+func (s *demo) waitReady() error {
+	end := time.Now().Add(readyTimeout)
 	for _, e := range s.entries {
 		for !e.host.Ready() {
 			if time.Now().After(end) {
@@ -195,18 +197,18 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	s.say("%d entry hosts in %d failure domains are ready", len(s.entries), len(s.cell.Users.Domains))
+	s.logf("%d entry hosts in %d failure domains are ready", len(s.entries), len(s.cell.Users.Domains))
 	return nil
 }
 
-func (s *show) killAll() {
+func (s *demo) killAll() {
 	for _, e := range s.entries {
 		e.host.Kill()
 	}
 }
 
-func (s *show) setTable() error {
-	ctx, cancel := context.WithTimeout(context.Background(), readyWait)
+func (s *demo) writeTable() error {
+	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
 	for row, fields := range s.names.Rows() {
 		if err := s.entries[0].operator.SetRow(ctx, row, "", fields); err != nil {
@@ -223,28 +225,28 @@
 			}
 		}
 	}
-	s.say("%d rows are in force on every host", len(s.names.Rows()))
+	s.logf("%d rows are in force on every host", len(s.names.Rows()))
 	return nil
 }
 
 // load runs all workloads and injects the faults until the load duration has passed.
-func (s *show) load() {
-	ctx, cancel := context.WithTimeout(context.Background(), loadFor)
+func (s *demo) load() {
+	ctx, cancel := context.WithTimeout(context.Background(), loadDuration)
 	defer cancel()
 	var g errgroup.Group
 	play := audit.Load{
-		Names: s.names, Domains: s.cell.Users.Domains, Pick: s.pick, Tally: s.tally,
+		Names: s.names, Domains: s.cell.Users.Domains, Pick: s.pickClient, Tally: s.tally,
 		Urgent: urgentCallers, Flood: floodCallers, Batch: batchCallers,
 	}
 	g.Go(func() error { play.Run(ctx); return nil })
-	g.Go(func() error { s.mishaps(ctx); return nil })
+	g.Go(func() error { s.injectFaults(ctx); return nil })
 	g.Go(func() error { s.progress(ctx); return nil })
 	_ = g.Wait()
 }
 
-// pick returns the client of a random ready host in the domain, as the platform's load balancer
+// pickClient returns the client of a random ready host in the domain, as the platform's load balancer
 // would. If no host of the domain is ready, it returns the client of the first host.
-func (s *show) pick(r *rand.Rand, domain string) *client.Client {
+func (s *demo) pickClient(r *rand.Rand, domain string) *client.Client {
 	var in []*entry
 	for _, e := range s.entries {
 		if e.domain == domain && e.host.Ready() {
@@ -257,24 +259,24 @@
 	return in[r.IntN(len(in))].caller
 }
 
-func (s *show) mishaps(ctx context.Context) {
+func (s *demo) injectFaults(ctx context.Context) {
 	begin := time.Now()
 	sleep(ctx, changeAt-time.Since(begin))
 	err := s.entries[0].operator.SetRow(ctx, s.names.Flood, "", map[string]any{"weight": 5, "limits": map[string]any{"slots": 100}})
-	s.say("row %s is changed while it runs: %s", s.names.Flood, orGood(err))
+	s.logf("row %s is changed while it runs: %s", s.names.Flood, outcome(err))
 	sleep(ctx, killAt-time.Since(begin))
 	s.entries[1].host.Kill()
-	s.say("host %s is killed without warning", s.entries[1].name)
+	s.logf("host %s is killed without warning", s.entries[1].name)
 	sleep(ctx, stopAt-time.Since(begin))
 	leaving := s.entries[len(s.entries)-1]
-	stop, cancel := context.WithTimeout(context.Background(), readyWait)
+	stop, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
 	began := time.Now()
 	err = leaving.host.Stop(stop)
-	s.say("host %s is stopped in a planned way in %.1f s: %s", leaving.name, time.Since(began).Seconds(), orGood(err))
+	s.logf("host %s is stopped in a planned way in %.1f s: %s", leaving.name, time.Since(began).Seconds(), outcome(err))
 }
 
-func orGood(err error) string {
+func outcome(err error) string {
 	if err != nil {
 		return err.Error()
 	}
@@ -288,7 +290,7 @@
 	}
 }
 
-func (s *show) progress(ctx context.Context) {
+func (s *demo) progress(ctx context.Context) {
 	t := time.NewTicker(2 * time.Second)
 	defer t.Stop()
 	for {
@@ -297,41 +299,41 @@
 			return
 		case <-t.C:
 			asked, done := s.tally.Totals()
-			s.say("asked %d, done %d", asked, done)
+			s.logf("asked %d, done %d", asked, done)
 		}
 	}
 }
 
-// bytesASecond returns the average control traffic of one host in bytes per second.
-func (s *show) bytesASecond() float64 {
+// controlBytesPerSecond returns the average control traffic of one host in bytes per second.
+func (s *demo) controlBytesPerSecond() float64 {
 	sum := int64(0)
 	for _, e := range s.entries {
 		sum += e.host.ControlBytes()
 	}
-	return float64(sum) / time.Since(s.began).Seconds() / float64(len(s.entries))
+	return float64(sum) / time.Since(s.startedAt).Seconds() / float64(len(s.entries))
 }
 
-// packed returns the average fraction of the workers' processor time that tasks occupied.
-func (s *show) packed() float64 {
+// cpuPacking returns the average fraction of the workers' processor time that tasks occupied.
+func (s *demo) cpuPacking() float64 {
 	sum := 0.0
 	for _, w := range s.cell.Workers {
-		sum += w.Packed(s.began)
+		sum += w.Utilization(s.startedAt)
 	}
 	return sum / float64(len(s.cell.Workers))
 }
 
-// close waits until the accepted jobs have ended or the wait times out, prints the result tables and
+// finish waits until the accepted jobs have ended or the wait times out, prints the result tables and
 // returns an audit.ViolationsError if there were violations.
-func (s *show) close() error {
-	end := time.Now().Add(settleWait)
+func (s *demo) finish() error {
+	end := time.Now().Add(jobEndTimeout)
 	w := s.tally.Violations(s.cell.Report())
 	for w.Lost > 0 && time.Now().Before(end) {
-		time.Sleep(settlePause)
+		time.Sleep(jobEndPollInterval)
 		w = s.tally.Violations(s.cell.Report())
 	}
-	s.say("load is over")
+	s.logf("load is over")
 	s.tally.Print(s.out, s.names.Urgent, s.names.Flood, s.names.Batch, s.names.Gang, s.names.Watch)
-	_, _ = fmt.Fprintf(s.out, "packing %.1f %% of processor time, control %.0f bytes a second a host\n", 100*s.packed(), s.bytesASecond())
+	_, _ = fmt.Fprintf(s.out, "packing %.1f %% of processor time, control %.0f bytes a second a host\n", 100*s.cpuPacking(), s.controlBytesPerSecond())
 	_, _ = fmt.Fprintln(s.out, "demo: "+w.Error())
 	if w != (audit.ViolationsError{}) {
 		return &w
--- a/internal/measure/retry.go
+++ b/internal/measure/retry.go
@@ -12,11 +12,11 @@
 
 	"github.com/rcrowley/go-metrics"
 
+	"pollencroft/internal/backend"
 	"pollencroft/internal/call"
 	"pollencroft/internal/cell"
 	"pollencroft/internal/ledger"
 	"pollencroft/internal/member"
-	"pollencroft/internal/minion"
 	"pollencroft/internal/outlier"
 	"pollencroft/internal/peer"
 	"pollencroft/internal/queue"
@@ -37,17 +37,17 @@
 	x := relay.New(relay.Deps{
 		Name: "h1", Domain: "nord", Queue: queue.New(queue.DefaultLimits), Outliers: outlier.New(outlier.DefaultLimits),
 		Retries: retry.New(limits), Ledger: ledger.New(ledger.DefaultLimits, time.Now()),
-		Minions: minion.New(&http.Transport{}, 1<<20), Peers: peer.NewClients(nil),
+		Backends: backend.New(&http.Transport{}, 1<<20), Peers: peer.NewClients(nil),
 		Row:        func(string) (table.Row, int64) { return row, 1 },
 		LimitShare: func(_ string, limit int64) int64 { return limit },
 		Members:    func() ([]string, []member.Heartbeat) { return []string{"h1"}, nil },
 		Clock:      time.Now, Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
 	})
 	var servers []relay.Server
-	var minions []*standin.Minion
+	var minions []*standin.Backend
 	for i := range 4 {
-		m := standin.NewMinion(8)
-		m.SetFaults(standin.MinionFaults{Fail: 100})
+		m := standin.NewBackend(8)
+		m.SetFaults(standin.BackendFaults{Fail: 100})
 		srv := httptest.NewServer(m.Handler())
 		defer srv.Close()
 		at := netip.MustParseAddrPort(strings.TrimPrefix(srv.URL, "http://"))
--- a/internal/relay/lost_test.go
+++ b/internal/relay/lost_test.go
@@ -16,9 +16,9 @@
 
 // newBenchWithBudget returns a bench whose row allows many tries and has accumulated a
 // retry budget.
-func newBenchWithBudget(t *testing.T, minions int) *bench {
+func newBenchWithBudget(t *testing.T, backends int) *bench {
 	t.Helper()
-	b := newBench(t, minions, 8)
+	b := newBench(t, backends, 8)
 	b.row.Idempotent, b.row.Tries = true, 100
 	for range 300 {
 		require.Equal(t, cell.Done, b.Do(t.Context(), request()).Outcome)
@@ -26,15 +26,15 @@
 	return b
 }
 
-func (b *bench) setFaults(f standin.MinionFaults) {
-	for _, m := range b.minions {
+func (b *bench) setFaults(f standin.BackendFaults) {
+	for _, m := range b.backends {
 		m.SetFaults(f)
 	}
 }
 
 // reached returns how many backend servers received a request, and how often they ran it.
 func (b *bench) reached(id string) (servers, runs int) {
-	for _, m := range b.minions {
+	for _, m := range b.backends {
 		n := 0
 		for _, key := range []string{id, id + ".2"} {
 			n += m.Record().Ran[key]
@@ -47,9 +47,9 @@
 
 // Guards against a request that crashes one backend server after another.
 func TestRequestThatCrashesServersIsGivenUp(t *testing.T) {
-	for _, minions := range []int{2, 12} {
-		b := newBenchWithBudget(t, minions)
-		b.setFaults(standin.MinionFaults{Lose: 1000})
+	for _, backends := range []int{2, 12} {
+		b := newBenchWithBudget(t, backends)
+		b.setFaults(standin.BackendFaults{Lose: 1000})
 		req := request()
 		reply := b.Do(t.Context(), req)
 		servers, runs := b.reached(req.ID)
@@ -63,7 +63,7 @@
 // Guards against a hedged request that crashes one backend server after another.
 func TestHedgedRequestThatCrashesServersIsGivenUp(t *testing.T) {
 	b := newBenchWithBudget(t, 12)
-	b.setFaults(standin.MinionFaults{Lose: 1000, Slow: 1500 * time.Millisecond})
+	b.setFaults(standin.BackendFaults{Lose: 1000, Slow: 1500 * time.Millisecond})
 	req := request()
 	req.Deadline = time.Now().Add(30 * time.Second)
 	reply := b.Do(t.Context(), req)
@@ -77,7 +77,7 @@
 // retried.
 func TestErrorResponsesAreRetried(t *testing.T) {
 	b := newBenchWithBudget(t, 12)
-	b.setFaults(standin.MinionFaults{Fail: 100})
+	b.setFaults(standin.BackendFaults{Fail: 100})
 	req := request()
 	reply := b.Do(t.Context(), req)
 	_, runs := b.reached(req.ID)
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -13,23 +13,23 @@
 	"pollencroft/internal/cell"
 )
 
-// Worker stands in for one worker. It checks neither capacity nor who asks.
+// Worker simulates one worker. It checks neither its capacity nor the identity of the caller.
 type Worker struct {
 	size   cell.Size
 	clock  func() time.Time
-	over   *Oversight
+	over   *CopyChecker
 	mu     sync.Mutex
 	resume chan struct{}
 	faults WorkerFaults
 	anchor anchor
 	tasks  map[string]*Task
 	record WorkerRecord
-	// history holds by task what was asked and what came of it, in order.
+	// history lists, by task id, the requests and their results in order.
 	history map[string][]Step
 	nextID  int
 	mark    int64
 	gone    map[string]int64
-	// back is when the worker answers again after a crash.
+	// back is the time from which the worker answers again after a crash.
 	back   time.Time
 	area   float64
 	marked time.Time
@@ -41,22 +41,22 @@
 	until         time.Time
 }
 
-// NewWorker returns an empty worker of that size that reads the given clock.
-func NewWorker(size cell.Size, over *Oversight, clock func() time.Time) *Worker {
+// NewWorker returns a worker of the given size without tasks. It uses the given clock.
+func NewWorker(size cell.Size, over *CopyChecker, clock func() time.Time) *Worker {
 	return &Worker{
 		size: size, clock: clock, over: over, resume: make(chan struct{}), tasks: map[string]*Task{}, gone: map[string]int64{},
 		record: WorkerRecord{Started: map[string]int{}, Ended: map[string]string{}}, marked: clock(), history: map[string][]Step{},
 	}
 }
 
-// Resize gives the worker another size; what runs goes on.
+// Resize changes the worker's size. Running tasks are not affected.
 func (k *Worker) Resize(size cell.Size) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.size = size
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the active faults.
 func (k *Worker) SetFaults(f WorkerFaults) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -67,7 +67,7 @@
 	k.faults = f
 }
 
-// Record returns a copy of what was seen.
+// Record returns a copy of the record.
 func (k *Worker) Record() WorkerRecord {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -86,9 +86,9 @@
 	return out
 }
 
-// Packed returns the share of processor time that was given to tasks since
-// the worker was made.
-func (k *Worker) Packed(since time.Time) float64 {
+// Utilization returns the share of the worker's CPU time that was allocated to tasks that have ended.
+// The argument since is the time at which the worker was created.
+func (k *Worker) Utilization(since time.Time) float64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.settle()
@@ -101,8 +101,8 @@
 
 func (k *Worker) now() time.Time { return k.clock().Add(k.faults.Skew) }
 
-// settle ends tasks whose time or lease has run out. It is called with mu
-// held before each answer, so no timer decides what a reader sees.
+// settle ends the tasks whose run time or lease has expired. The caller holds mu. It is called
+// before each answer, so that answers do not depend on the timing of a timer.
 func (k *Worker) settle() {
 	now := k.clock()
 	k.mayCrash(now)
@@ -132,7 +132,7 @@
 	k.over.ended(t.ID, copyKey{k, t.Lease})
 }
 
-// watch tells the oversight until when a task runs at most.
+// watch reports to the Oversight the latest time at which a task can still run.
 func (k *Worker) watch(t *Task) {
 	until := t.until
 	if t.ends.Before(until) {
@@ -141,6 +141,7 @@
 	k.over.runs(t.ID, copyKey{k, t.Lease}, k.clock(), until)
 }
 
+// change marks a task as changed, so that the next renewal reports it.
 func (k *Worker) change(t *Task) {
 	k.mark++
 	t.mark = k.mark
@@ -151,7 +152,7 @@
 	return strconv.Itoa(k.nextID)
 }
 
-// Handler serves the worker's protocol, its record and its faults.
+// Handler returns the handler for the worker's protocol, its record and its faults.
 func (k *Worker) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Put("/faults", putFaults(k.SetFaults))
@@ -167,9 +168,9 @@
 	return r
 }
 
-func handleWorker(k *Worker, do func(WorkerAsk) (int, WorkerSays)) http.HandlerFunc {
+func handleWorker(k *Worker, do func(WorkerRequest) (int, WorkerReply)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		var ask WorkerAsk
+		var ask WorkerRequest
 		if r.Method != http.MethodGet && r.ContentLength != 0 {
 			if err := json.NewDecoder(r.Body).Decode(&ask); err != nil {
 				http.Error(w, err.Error(), http.StatusBadRequest)
@@ -204,6 +205,7 @@
 	}
 }
 
+// awake waits while the worker is paused. It returns false if the request ends first.
 func (k *Worker) awake(r *http.Request) bool {
 	k.mu.Lock()
 	paused, resume := k.faults.Paused, k.resume
@@ -224,11 +226,11 @@
 	return a.holder != "" && a.until.After(k.clock()) && (a.holder != holder || a.term > term)
 }
 
-func (k *Worker) anchorSays() WorkerSays {
-	return WorkerSays{Holder: k.anchor.holder, Lease: k.anchor.lease, Left: k.anchor.until.Sub(k.clock()).Milliseconds()}
+func (k *Worker) anchorSays() WorkerReply {
+	return WorkerReply{Holder: k.anchor.holder, Lease: k.anchor.lease, Left: k.anchor.until.Sub(k.clock()).Milliseconds()}
 }
 
-func (k *Worker) takeAnchor(ask WorkerAsk) (int, WorkerSays) {
+func (k *Worker) takeAnchor(ask WorkerRequest) (int, WorkerReply) {
 	if k.heldByOther(ask.Holder, ask.Term) {
 		return http.StatusConflict, k.anchorSays()
 	}
@@ -241,11 +243,11 @@
 	return http.StatusOK, says
 }
 
-func (k *Worker) giveAnchor(ask WorkerAsk) (int, WorkerSays) {
+func (k *Worker) giveAnchor(ask WorkerRequest) (int, WorkerReply) {
 	if k.anchor.holder == ask.Holder && k.anchor.lease == ask.Lease {
 		k.anchor = anchor{}
 	}
-	return http.StatusOK, WorkerSays{}
+	return http.StatusOK, WorkerReply{}
 }
 
 func (k *Worker) used() cell.Size {
@@ -258,11 +260,11 @@
 	return sum
 }
 
-func (k *Worker) start(ask WorkerAsk) (int, WorkerSays) {
+func (k *Worker) start(ask WorkerRequest) (int, WorkerReply) {
 	if ask.Deadline > 0 && k.now().UnixMilli() > ask.Deadline {
 		k.record.Late++
 		k.tell(ask.ID, Step{At: k.clock(), What: "late", Holder: ask.Holder})
-		return http.StatusGone, WorkerSays{}
+		return http.StatusGone, WorkerReply{}
 	}
 	now := k.clock()
 	asked := ask.Asked
@@ -275,7 +277,7 @@
 		Use: grown(asked, k.faults.Grow), began: now, ends: now.Add(run), until: now.Add(time.Duration(ask.TTL) * time.Millisecond),
 	}
 	if old := k.tasks[t.ID]; old != nil && old.State == TaskRunning {
-		// The second copy runs beside the first, which goes on under its lease.
+		// Both copies run: the first one continues under its own lease.
 		k.tasks[t.ID+"#"+old.Lease] = old
 	}
 	k.tasks[t.ID] = t
@@ -290,12 +292,12 @@
 	if k.faults.FailAll {
 		k.finish(t, TaskFailed, now)
 	}
-	return http.StatusOK, WorkerSays{}
+	return http.StatusOK, WorkerReply{}
 }
 
 func (k *Worker) tell(id string, s Step) { k.history[id] = append(k.history[id], s) }
 
-// History is what happened to a task here, in order.
+// History returns the events of a task on this worker in order.
 func (k *Worker) History(id string) []Step {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -316,7 +318,7 @@
 	return cell.Size{CPU: int64(float64(s.CPU) * by), Mem: int64(float64(s.Mem) * by), Accel: s.Accel}
 }
 
-// live lists the tasks that changed since a mark.
+// live lists the tasks that changed after the given mark.
 func (k *Worker) live(since int64) []Task {
 	var all []Task
 	now := k.clock()
@@ -334,14 +336,15 @@
 	return all
 }
 
-func (k *Worker) list(WorkerAsk) (int, WorkerSays) {
+func (k *Worker) list(WorkerRequest) (int, WorkerReply) {
 	says := k.anchorSays()
 	says.Tasks, says.Mark, says.Whole = k.live(0), k.mark, true
 	return http.StatusOK, says
 }
 
-// renew lengthens the anchor and all running tasks in one message, and forgets ended tasks that the holder has taken note of.
-func (k *Worker) renew(ask WorkerAsk) (int, WorkerSays) {
+// renew extends the lease on the anchor and the leases of all running tasks in one request, and
+// deletes the ended tasks that the holder has acknowledged.
+func (k *Worker) renew(ask WorkerRequest) (int, WorkerReply) {
 	if k.anchor.holder != ask.Holder || !k.anchor.until.After(k.clock()) {
 		return http.StatusConflict, k.anchorSays()
 	}
@@ -356,7 +359,7 @@
 			k.watch(t)
 		}
 	}
-	says := WorkerSays{Left: k.anchor.until.Sub(k.clock()).Milliseconds(), Lease: k.anchor.lease, Mark: k.mark, Tasks: k.live(ask.Since)}
+	says := WorkerReply{Left: k.anchor.until.Sub(k.clock()).Milliseconds(), Lease: k.anchor.lease, Mark: k.mark, Tasks: k.live(ask.Since)}
 	for id, mark := range k.gone {
 		if mark > ask.Since {
 			says.Gone = append(says.Gone, id)
@@ -365,7 +368,7 @@
 	return http.StatusOK, says
 }
 
-// forget drops ended starts by their leases.
+// forget deletes the ended tasks that were started under the given leases.
 func (k *Worker) forget(leases []string) {
 	for id, t := range k.tasks {
 		if t.State != TaskRunning && slices.Contains(leases, t.Lease) {
@@ -376,31 +379,31 @@
 	}
 }
 
-func (k *Worker) stop(ask WorkerAsk) (int, WorkerSays) {
+func (k *Worker) stop(ask WorkerRequest) (int, WorkerReply) {
 	t := k.tasks[ask.ID]
 	if t == nil {
-		return http.StatusNotFound, WorkerSays{}
+		return http.StatusNotFound, WorkerReply{}
 	}
 	if t.State == TaskRunning {
 		k.finish(t, TaskStopped, k.clock())
 	}
-	return http.StatusOK, WorkerSays{Tasks: []Task{*t}}
+	return http.StatusOK, WorkerReply{Tasks: []Task{*t}}
 }
 
-func (k *Worker) checkpoint(ask WorkerAsk) (int, WorkerSays) {
+func (k *Worker) checkpoint(ask WorkerRequest) (int, WorkerReply) {
 	t := k.tasks[ask.ID]
 	if t == nil || t.State != TaskRunning {
-		return http.StatusNotFound, WorkerSays{}
+		return http.StatusNotFound, WorkerReply{}
 	}
-	return http.StatusOK, WorkerSays{Tasks: []Task{*t}}
+	return http.StatusOK, WorkerReply{Tasks: []Task{*t}}
 }
 
-func (k *Worker) throttle(ask WorkerAsk) (int, WorkerSays) {
+func (k *Worker) throttle(ask WorkerRequest) (int, WorkerReply) {
 	t := k.tasks[ask.ID]
 	if t == nil || t.State != TaskRunning {
-		return http.StatusNotFound, WorkerSays{}
+		return http.StatusNotFound, WorkerReply{}
 	}
 	t.Use = grown(t.Size, ask.Share)
 	k.change(t)
-	return http.StatusOK, WorkerSays{Tasks: []Task{*t}}
+	return http.StatusOK, WorkerReply{Tasks: []Task{*t}}
 }
--- a/soak/cell_test.go
+++ b/soak/cell_test.go
@@ -55,7 +55,7 @@
 	dir          string
 	proxies      *toxiproxy.ApiServer
 	log          *users.Log
-	oracle       *users.Oracle
+	oracle       *users.InvariantChecker
 	hosts        []*host
 	mu           sync.Mutex
 	workers      []*worker
@@ -89,7 +89,7 @@
 	dir, err := os.MkdirTemp("", "pollencroft-soak-logs")
 	require.NoError(t, err)
 	c := &cell{
-		t: t, dir: dir, log: users.NewLog(parts, time.Now), oracle: users.NewOracle(),
+		t: t, dir: dir, log: users.NewLog(parts, time.Now), oracle: users.NewInvariantChecker(),
 		proxies: toxiproxy.NewServer(toxiproxy.NewMetricsContainer(prometheus.NewRegistry()), zerolog.Nop()),
 	}
 	c.log.Put("op", "config", []byte(table))
--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -33,9 +33,9 @@
 )
 
 // smallCell is a cell of three failure domains with two entry hosts each.
-var smallCell = standin.Users{
+var smallCell = standin.Deployment{
 	Name: "kronach", Domains: []string{"halle-nord", "halle-sued", "stadthalle"}, Hosts: []int{2, 2, 2},
-	Minions: 6, Workers: 12, Racks: 6, Slots: 8, Worker: cell.Size{CPU: 64_000, Mem: 256 << 30},
+	Backends: 6, Workers: 12, Racks: 6, Slots: 8, Worker: cell.Size{CPU: 64_000, Mem: 256 << 30},
 }
 
 // node is one entry host that runs as a process, with the proxies in front of it and on its
@@ -60,7 +60,7 @@
 	t            *testing.T
 	proxies      *toxiproxy.ApiServer
 	cell         *standin.Cell
-	users        standin.Users
+	users        standin.Deployment
 	moreSettings func(host string) string
 	machines     []platform.HostEntry
 	machine      map[string]*toxiproxy.Proxy
@@ -80,7 +80,7 @@
 }
 
 // newBenchOf starts a cell for the given users; more returns lines to add to the settings of a host.
-func newBenchOf(t *testing.T, users standin.Users, more func(host string) string) *bench {
+func newBenchOf(t *testing.T, users standin.Deployment, more func(host string) string) *bench {
 	t.Helper()
 	c, err := standin.NewCell(users, netip.MustParseAddrPort("127.0.0.1:0"), time.Now)
 	require.NoError(t, err)
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -112,13 +112,13 @@
 	}
 	b.cell.Platform.SetHosts(b.machines)
 	wait(context.Background(), leaveWithin)
-	b.ranBeforeLeaving = len(b.cell.Minions[name].Record().Ran)
+	b.ranBeforeLeaving = len(b.cell.Backends[name].Record().Ran)
 }
 
 // checkStillLeft checks that the backend server has got no request since leave returned.
 func (b *bench) checkStillLeft(name string) {
 	wait(context.Background(), time.Second)
-	require.Equal(b.t, b.ranBeforeLeaving, len(b.cell.Minions[name].Record().Ran), "the leaving backend server has run new requests")
+	require.Equal(b.t, b.ranBeforeLeaving, len(b.cell.Backends[name].Record().Ran), "the leaving backend server has run new requests")
 }
 
 func replaceFirst(b *bench) { b.start(b.nodes[0]) }
@@ -206,7 +206,7 @@
 	{
 		"minions leave",
 		func(b *bench) {
-			b.cell.Minions["minion-03"].SetFaults(standin.MinionFaults{Leaving: true})
+			b.cell.Backends["minion-03"].SetFaults(standin.BackendFaults{Leaving: true})
 			b.leave("minion-00")
 		},
 		func(b *bench) { b.checkStillLeft("minion-00") },
--- a/test/host_test.go
+++ b/test/host_test.go
@@ -18,9 +18,9 @@
 )
 
 // singleBackend is a failure domain with a single backend server behind two hosts.
-var singleBackend = standin.Users{
+var singleBackend = standin.Deployment{
 	Name: "kronach", Domains: []string{"halle-nord"}, Hosts: []int{2},
-	Minions: 1, Workers: 2, Racks: 1, Slots: 8, Worker: smallCell.Worker,
+	Backends: 1, Workers: 2, Racks: 1, Slots: 8, Worker: smallCell.Worker,
 }
 
 // none adds no settings to a host.
@@ -31,12 +31,12 @@
 // the unclean exit.
 func TestSecondSignalEndsAHostAtOnce(t *testing.T) {
 	b := newBenchOf(t, singleBackend, none)
-	b.cell.Minions["minion-00"].SetFaults(standin.MinionFaults{Hole: true})
+	b.cell.Backends["minion-00"].SetFaults(standin.BackendFaults{Hole: true})
 	n := b.nodes[0]
 	go func() {
 		_, _ = n.direct.Do(context.Background(), client.Request{Workload: b.names.Urgent, Method: http.MethodPost, Path: "/gate"})
 	}()
-	eventually(t, "request is sent", func() bool { return b.cell.Minions["minion-00"].Record().Most > 0 })
+	eventually(t, "request is sent", func() bool { return b.cell.Backends["minion-00"].Record().Most > 0 })
 	require.NoError(t, n.cmd.Process.Signal(syscall.SIGTERM))
 	eventually(t, "host is leaving", func() bool { return n.direct.Get(context.Background(), "/ready", nil) != nil })
 	require.NoError(t, n.cmd.Process.Signal(syscall.SIGTERM))
@@ -49,7 +49,7 @@
 // limit; if it exceeds the limit, its machine kills it along with all its requests in flight.
 func TestFloodOfBodiesStaysWithinTheMemoryOfAHost(t *testing.T) {
 	b := newBenchOf(t, singleBackend, none)
-	b.cell.Minions["minion-00"].SetFaults(standin.MinionFaults{Hole: true})
+	b.cell.Backends["minion-00"].SetFaults(standin.BackendFaults{Hole: true})
 	n := b.nodes[0]
 	body := []byte(strings.Repeat("x", 1<<20))
 	var wg sync.WaitGroup
