--- a/internal/commands/job.go
+++ b/internal/commands/job.go
@@ -10,9 +10,9 @@
 	var o remote
 	var verb, id string
 	register(command{
-		name: "job", about: "ask after a job or cancel it: job show|cancel ID",
+		name: "job", summary: "ask after a job or cancel it: job show|cancel ID",
 		flags: func(s *flaggy.Subcommand) {
-			o.flags(s, usualCaller)
+			o.flags(s, defaultCallerAddress)
 			s.AddPositionalValue(&verb, "VERB", 1, true, "show or cancel")
 			s.AddPositionalValue(&id, "ID", 2, true, "job id")
 		},
--- a/internal/entry/cluster_test.go
+++ b/internal/entry/cluster_test.go
@@ -37,7 +37,7 @@
 type cluster struct {
 	t       *testing.T
 	log     *users.Log
-	checker *users.Oracle
+	checker *users.InvariantChecker
 	workers []*users.Worker
 	hosts   map[string]*testHost
 	logs    *logBuffer
@@ -70,7 +70,7 @@
 }
 
 func newCluster(t *testing.T, hosts, workers int, work time.Duration) *cluster {
-	c := &cluster{t: t, log: users.NewLog(16, time.Now), checker: users.NewOracle(), hosts: map[string]*testHost{}, logs: &logBuffer{}}
+	c := &cluster{t: t, log: users.NewLog(16, time.Now), checker: users.NewInvariantChecker(), hosts: map[string]*testHost{}, logs: &logBuffer{}}
 	for i := range workers {
 		w := users.NewWorker(fmt.Sprintf("w%d", i), work, c.checker)
 		t.Cleanup(w.Close)
--- a/internal/host/stop_test.go
+++ b/internal/host/stop_test.go
@@ -18,22 +18,22 @@
 )
 
 // addBackend adds a backend server to the failure domain.
-func (c *testHosts) addBackend(slots int) *standin.Minion {
-	m := standin.NewMinion(slots)
+func (c *testHosts) addBackend(slots int) *standin.Backend {
+	m := standin.NewBackend(slots)
 	c.platform.SetHosts([]platform.HostEntry{{
 		Name: "m", Kind: cell.BackendHost, Domain: "nord", Slots: slots, Conns: 64, Address: serveBackend(c.t, m),
 	}})
 	return m
 }
 
-func serveBackend(t *testing.T, m *standin.Minion) netip.AddrPort {
+func serveBackend(t *testing.T, m *standin.Backend) netip.AddrPort {
 	t.Helper()
 	srv := httptest.NewServer(m.Handler())
 	t.Cleanup(srv.Close)
 	return netip.MustParseAddrPort(srv.Listener.Addr().String())
 }
 
-func maxRunning(m *standin.Minion) int { return m.Record().Most }
+func maxRunning(m *standin.Backend) int { return m.Record().Most }
 
 // A host is stopped while it serves a plain request, a keyed one, one that a peer relayed, and
 // connections that clients opened in advance and never used. Each request must get its complete
@@ -115,7 +115,7 @@
 		r, err := caller.Do(context.Background(), client.Request{Workload: "scan", Method: "GET"})
 		return err == nil && r.Outcome == client.Done
 	})
-	m.SetFaults(standin.MinionFaults{Hole: true})
+	m.SetFaults(standin.BackendFaults{Hole: true})
 	go func() {
 		defer close(done)
 		_, _ = caller.Do(context.Background(), client.Request{Workload: "scan", Method: "POST", Deadline: 2 * time.Second})
--- a/internal/standin/minion.go
+++ b/internal/standin/minion.go
@@ -12,73 +12,74 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// MinionFaults are switched over HTTP with PUT /faults.
-type MinionFaults struct {
-	// Slow is added to each request's service time.
+// BackendFaults are the faults that a backend server simulates; tests set them with PUT /faults.
+type BackendFaults struct {
+	// Slow is added to the service time of each request.
 	Slow time.Duration `json:"slow"`
-	// Fail answers 500 to that many of each hundred requests.
+	// Fail is the number of requests in each hundred that are answered with status 500.
 	Fail int `json:"fail"`
-	// Hole takes requests and never answers them.
+	// Hole accepts requests and never answers them.
 	Hole bool `json:"hole"`
-	// Silent takes that many requests and answers nothing on their connections;
-	// other connections go on.
+	// Silent is the number of requests that are accepted and never answered. Only the
+	// connections of these requests are affected.
 	Silent int `json:"silent"`
-	// Short sends that many answers with a body cut short.
+	// Short is the number of answers that are sent with a truncated body.
 	Short int `json:"short"`
-	// Cross sends that many answers under another request's id.
+	// Cross is the number of answers that carry the id of another request.
 	Cross int `json:"cross"`
-	// Lose runs that many requests and hangs up without an answer.
+	// Lose is the number of requests that are run and whose connection is then closed without
+	// an answer.
 	Lose int `json:"lose"`
-	// Leaving answers 503 with Connection: close.
+	// Leaving answers every request with status 503 and "Connection: close".
 	Leaving bool `json:"leaving"`
 }
 
-// Headers of the backend servers' protocol.
+// Headers of the protocol between hosts and backend servers.
 const (
-	// HeaderID carries the request id, which the backend server echoes.
+	// HeaderID carries the request id. The backend server echoes it.
 	HeaderID = "Pollencroft-Request"
 	// HeaderKey carries the caller's idempotency key.
 	HeaderKey = "Idempotency-Key"
-	// HeaderCost asks the stand-in for a service time.
+	// HeaderCost sets the service time that the stand-in simulates for the request.
 	HeaderCost = "Standin-Cost"
 )
 
-// MinionRecord is what a backend server saw.
-type MinionRecord struct {
-	// Ran counts runs by key, or by request id where there is no key.
+// BackendRecord counts what a backend server observed.
+type BackendRecord struct {
+	// Ran counts the runs by idempotency key, or by request id if the request has no key.
 	Ran map[string]int `json:"ran"`
-	// Most is the largest number of requests that ran at once.
+	// Most is the largest number of requests that ran at the same time.
 	Most int `json:"most"`
-	// Over counts requests that arrived while all slots were in use.
+	// Over counts the requests that arrived while all slots were in use.
 	Over int `json:"over"`
-	// Busy is the sum of service times.
+	// Busy is the sum of all service times.
 	Busy time.Duration `json:"busy"`
 }
 
-// Minion stands in for one backend server.
-type Minion struct {
+// Backend simulates one backend server.
+type Backend struct {
 	slots  int
 	mu     sync.Mutex
-	faults MinionFaults
+	faults BackendFaults
 	now    int
 	seen   int
-	record MinionRecord
+	record BackendRecord
 }
 
-// NewMinion returns a backend server with that many slots.
-func NewMinion(slots int) *Minion {
-	return &Minion{slots: slots, record: MinionRecord{Ran: map[string]int{}}}
+// NewBackend returns a backend server with the given number of slots.
+func NewBackend(slots int) *Backend {
+	return &Backend{slots: slots, record: BackendRecord{Ran: map[string]int{}}}
 }
 
-// SetFaults replaces the faults in force.
-func (m *Minion) SetFaults(f MinionFaults) {
+// SetFaults replaces the active faults.
+func (m *Backend) SetFaults(f BackendFaults) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.faults = f
 }
 
-// Record returns a copy of what was seen.
-func (m *Minion) Record() MinionRecord {
+// Record returns a copy of the record.
+func (m *Backend) Record() BackendRecord {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r := m.record
@@ -89,8 +90,8 @@
 	return r
 }
 
-// Handler serves requests under any path, the record and the faults.
-func (m *Minion) Handler() http.Handler {
+// Handler returns the handler for /record, /faults and, on any other path, requests.
+func (m *Backend) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Put("/faults", putFaults(m.SetFaults))
 	r.Get("/record", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, m.Record()) })
@@ -98,7 +99,7 @@
 	return r
 }
 
-func (m *Minion) serve(w http.ResponseWriter, r *http.Request) {
+func (m *Backend) serve(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -115,7 +116,7 @@
 	m.answer(w, r, f, body)
 }
 
-func (m *Minion) begin(r *http.Request) (MinionFaults, bool) {
+func (m *Backend) begin(r *http.Request) (BackendFaults, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f := m.faults
@@ -140,20 +141,20 @@
 	return f, false
 }
 
-func (m *Minion) end() {
+func (m *Backend) end() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.now--
 }
 
-func (m *Minion) work(ctx context.Context, cost time.Duration) {
+func (m *Backend) work(ctx context.Context, cost time.Duration) {
 	pause(ctx, cost)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.record.Busy += cost
 }
 
-func (m *Minion) answer(w http.ResponseWriter, r *http.Request, f MinionFaults, body []byte) {
+func (m *Backend) answer(w http.ResponseWriter, r *http.Request, f BackendFaults, body []byte) {
 	id := r.Header.Get(HeaderID)
 	switch {
 	case f.Hole, f.Silent > 0:
@@ -180,7 +181,7 @@
 	_, _ = io.WriteString(w, answer)
 }
 
-func (m *Minion) unlucky(share int) bool {
+func (m *Backend) unlucky(share int) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.seen%100 < share
--- a/internal/standin/oversight.go
+++ b/internal/standin/oversight.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// copyKey names one start of a task on one worker.
+// copyKey identifies one start of a task on one worker.
 type copyKey struct {
 	worker *Worker
 	lease  string
 }
 
-// Oversight sees the tasks of all workers and records a second copy of a task
-// that runs anywhere. It knows until when each copy runs at most, since a
-// worker notices a lapsed lease only when it is asked.
-type Oversight struct {
+// CopyChecker detects tasks of which two copies run at the same time. All workers report their tasks
+// to it. Each copy is recorded with the latest time at which it can still run, because a worker
+// detects an expired lease only when it handles a request.
+type CopyChecker struct {
 	mu      sync.Mutex
 	copies  map[string]map[copyKey]time.Time
 	doubled []string
 }
 
-// NewOversight returns an oversight that has seen nothing.
-func NewOversight() *Oversight { return &Oversight{copies: map[string]map[copyKey]time.Time{}} }
+// NewCopyChecker returns an oversight without any recorded copies.
+func NewCopyChecker() *CopyChecker { return &CopyChecker{copies: map[string]map[copyKey]time.Time{}} }
 
-// runs notes that a copy runs until then at most, and whether another does.
-func (o *Oversight) runs(id string, key copyKey, now, until time.Time) {
+// runs records that a copy runs until the given time at the latest. If the copy is new and another
+// copy of the task is still running, it also records the task as doubled.
+func (o *CopyChecker) runs(id string, key copyKey, now, until time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.copies[id] == nil {
@@ -40,14 +41,15 @@
 	o.copies[id][key] = until
 }
 
-func (o *Oversight) ended(id string, key copyKey) {
+// ended removes a copy that no longer runs.
+func (o *CopyChecker) ended(id string, key copyKey) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.copies[id], key)
 }
 
-// Doubled lists tasks that ran in two places at once.
-func (o *Oversight) Doubled() []string {
+// Doubled lists the tasks of which two copies ran at the same time, one entry for each case.
+func (o *CopyChecker) Doubled() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return append([]string(nil), o.doubled...)
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -147,31 +147,31 @@
 	return c.lease(ctx, addr, "/renew", requestBody{TTL: a.TTL.Milliseconds(), Keep: a.TaskTTL.Milliseconds(), Since: a.Since, Forget: forget})
 }
 
-func (c *Client) lease(ctx context.Context, addr netip.AddrPort, path string, ask requestBody) (lease.Reading, error) {
+func (c *Client) lease(ctx context.Context, addr netip.AddrPort, path string, request requestBody) (lease.Reading, error) {
 	sent := c.clock()
-	status, says, err := c.do(ctx, http.MethodPost, addr, path, ask)
+	status, answer, err := c.do(ctx, http.MethodPost, addr, path, request)
 	switch {
 	case err != nil:
 		return lease.Reading{}, err
 	case status == http.StatusConflict:
-		return lease.Reading{}, &HeldError{Holder: says.Holder, Remaining: time.Duration(says.Left) * time.Millisecond, Sent: sent, Incarnation: says.Life}
+		return lease.Reading{}, &HeldError{Holder: answer.Holder, Remaining: time.Duration(answer.Left) * time.Millisecond, Sent: sent, Incarnation: answer.Life}
 	case status != http.StatusOK:
 		return lease.Reading{}, &NoAnswerError{Cause: &StatusError{Status: status}}
 	default:
-		return says.reading(sent), nil
+		return answer.reading(sent), nil
 	}
 }
 
 // Incarnation returns a worker's incarnation.
 func (c *Client) Incarnation(ctx context.Context, addr netip.AddrPort) (string, error) {
-	status, says, err := c.do(ctx, http.MethodGet, addr, "/tasks", requestBody{})
+	status, answer, err := c.do(ctx, http.MethodGet, addr, "/tasks", requestBody{})
 	if err != nil {
 		return "", err
 	}
 	if status != http.StatusOK {
 		return "", &StatusError{Status: status}
 	}
-	return says.Life, nil
+	return answer.Life, nil
 }
 
 // Release gives up the anchor that was held under the named lease.
@@ -226,13 +226,13 @@
 	return c.onTask(ctx, addr, "/throttle", requestBody{ID: id, Share: share})
 }
 
-func (c *Client) onTask(ctx context.Context, addr netip.AddrPort, path string, ask requestBody) error {
-	status, _, err := c.do(ctx, http.MethodPost, addr, path, ask)
+func (c *Client) onTask(ctx context.Context, addr netip.AddrPort, path string, request requestBody) error {
+	status, _, err := c.do(ctx, http.MethodPost, addr, path, request)
 	switch {
 	case err != nil:
 		return err
 	case status == http.StatusNotFound:
-		return &UnknownTaskError{ID: ask.ID}
+		return &UnknownTaskError{ID: request.ID}
 	case status != http.StatusOK:
 		return &NoAnswerError{Cause: &StatusError{Status: status}}
 	default:
@@ -240,16 +240,16 @@
 	}
 }
 
-func (c *Client) do(ctx context.Context, method string, addr netip.AddrPort, path string, ask requestBody) (int, responseBody, error) {
-	var says responseBody
-	ask.Holder, ask.Term = c.holder, c.term
-	b, err := json.Marshal(ask)
+func (c *Client) do(ctx context.Context, method string, addr netip.AddrPort, path string, request requestBody) (int, responseBody, error) {
+	var answer responseBody
+	request.Holder, request.Term = c.holder, c.term
+	b, err := json.Marshal(request)
 	if err != nil {
-		return 0, says, errors.Wrap(err, "encode request to worker")
+		return 0, answer, errors.Wrap(err, "encode request to worker")
 	}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr.String()+path, bytes.NewReader(b))
 	if err != nil {
-		return 0, says, errors.Wrap(err, "create request to worker")
+		return 0, answer, errors.Wrap(err, "create request to worker")
 	}
 	// An empty value omits the header, which makes every renewal of every worker shorter.
 	req.Header.Set("User-Agent", "")
@@ -257,17 +257,17 @@
 	var op *net.OpError
 	switch {
 	case errors.As(err, &op) && op.Op == "dial":
-		return 0, says, &UnreachableError{Cause: err}
+		return 0, answer, &UnreachableError{Cause: err}
 	case err != nil:
-		return 0, says, &NoAnswerError{Cause: err}
+		return 0, answer, &NoAnswerError{Cause: err}
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return 0, says, &NoAnswerError{Cause: err}
+		return 0, answer, &NoAnswerError{Cause: err}
 	}
-	if err := json.Unmarshal(body, &says); err != nil {
-		return 0, says, &NoAnswerError{Cause: err}
+	if err := json.Unmarshal(body, &answer); err != nil {
+		return 0, answer, &NoAnswerError{Cause: err}
 	}
-	return resp.StatusCode, says, nil
+	return resp.StatusCode, answer, nil
 }
