--- a/internal/model/actions.go
+++ b/internal/model/actions.go
@@ -9,34 +9,34 @@
 	"pollencroft/internal/takeover"
 )
 
-// mostMail bounds how many messages may be on their way at once.
-const mostMail = 6
+// maxMessages limits how many messages may be in flight at once.
+const maxMessages = 6
 
-// mostRankings bounds how often the former lead loses and regains its racks.
-const mostRankings = 2
+// maxRankings limits how often the former leader loses or regains its racks.
+const maxRankings = 2
 
-// choice is one thing that may happen next: a kind of event, and for those that
-// concern a message, which one.
+// choice is one event that may happen next: its kind and, if it concerns a
+// message, the index of the message.
 type choice struct {
-	what string
-	mail int
+	what    string
+	message int
 }
 
-// The kinds of event.
+// The kinds of events.
 const (
 	timePasses = "time passes"
 	delivered  = "is delivered"
 	givenUp    = "is given up"
-	pauses     = "the former lead pauses or goes on"
-	takesOver  = "the next lead takes over"
-	replaced   = "the former lead is replaced"
-	unranked   = "the former lead is ranked otherwise"
+	pauses     = "the former leader pauses or resumes"
+	takesOver  = "the next leader takes over"
+	replaced   = "the former leader is replaced"
+	unranked   = "the former leader loses or regains its racks"
 )
 
-// choices lists all that may happen in this state.
+// choices returns all events that may happen in this state.
 func (w *World) choices() []choice {
 	all := []choice{{what: timePasses}}
-	for i, m := range w.mail {
+	for i, m := range w.messages {
 		if w.deliverable(m) {
 			all = append(all, choice{delivered, i})
 		}
@@ -45,24 +45,24 @@
 		}
 	}
 	all = append(all, choice{what: pauses})
-	if !w.led {
+	if !w.takenOver {
 		all = append(all, choice{what: takesOver})
 	}
 	if w.restarts == 0 {
 		all = append(all, choice{what: replaced})
 	}
-	if w.rankings < mostRankings && !w.hosts[former].paused {
+	if w.rankings < maxRankings && !w.hosts[former].paused {
 		all = append(all, choice{what: unranked})
 	}
 	return all
 }
 
-// name tells a choice in words.
+// name describes a choice in words, for the path to a violation.
 func (w *World) name(c choice) string {
 	if c.what != delivered && c.what != givenUp {
 		return c.what
 	}
-	m := w.mail[c.mail]
+	m := w.messages[c.message]
 	part := "question"
 	if m.done {
 		part = "answer"
@@ -73,15 +73,15 @@
 func (w *World) do(c choice) {
 	switch c.what {
 	case timePasses:
-		w.pass()
+		w.advanceTime()
 	case delivered:
-		w.deliver(c.mail)
+		w.deliver(c.message)
 	case givenUp:
-		w.giveUp(c.mail)
+		w.giveUp(c.message)
 	case pauses:
 		w.pause()
 	case takesOver:
-		w.led = true
+		w.takenOver = true
 		w.inherit(w.hosts[next])
 	case replaced:
 		w.restart()
@@ -97,8 +97,8 @@
 
 func (w *World) deliverable(m message) bool { return !m.done || !w.hosts[m.host].paused }
 
-// pass lets half an anchor lease go by.
-func (w *World) pass() {
+// advanceTime advances the time by one step, which is half an anchor lease.
+func (w *World) advanceTime() {
 	w.now = w.now.Add(step)
 	for _, name := range []string{former, next} {
 		if h := w.hosts[name]; !h.paused {
@@ -109,7 +109,7 @@
 
 func (w *World) tick(h *host) {
 	w.lease(h, lease.Tick{})
-	w.overtake(h, takeover.LogRead{Asked: w.now})
+	w.stepTakeover(h, takeover.LogRead{Asked: w.now})
 }
 
 func (w *World) pause() {
@@ -120,46 +120,47 @@
 	}
 }
 
-// restart replaces the former lead by a host of the same name that knows
-// nothing; what its predecessor sent stays on its way.
+// restart replaces the former leader by a host of the same name without any
+// state. Requests that its predecessor sent stay in flight and may still be
+// carried out, but their answers are dropped.
 func (w *World) restart() {
 	w.restarts++
-	w.mail = slices.DeleteFunc(slices.Clone(w.mail), func(m message) bool { return m.host == former && m.done })
-	for i := range w.mail {
-		w.mail[i].lost = w.mail[i].lost || w.mail[i].host == former
+	w.messages = slices.DeleteFunc(slices.Clone(w.messages), func(m message) bool { return m.host == former && m.done })
+	for i := range w.messages {
+		w.messages[i].lost = w.messages[i].lost || w.messages[i].host == former
 	}
 	w.hosts[former] = w.newHost(former, 2)
 	w.inherit(w.hosts[former])
 }
 
-func (w *World) take(i int) message {
-	m := w.mail[i]
-	w.mail = slices.Delete(slices.Clone(w.mail), i, i+1)
+func (w *World) removeMessage(i int) message {
+	m := w.messages[i]
+	w.messages = slices.Delete(slices.Clone(w.messages), i, i+1)
 	return m
 }
 
-// deliver carries a question out, or brings its answer back.
+// deliver delivers a request to its worker, which carries it out, or an answer to its host.
 func (w *World) deliver(i int) {
-	m := w.take(i)
+	m := w.removeMessage(i)
 	if !m.done {
 		k := w.machines[slices.Index(w.names(), m.worker)]
 		m = k.answer(w.now, m)
 		m.done = true
 		if !m.lost {
-			w.mail = append(w.mail, m)
+			w.messages = append(w.messages, m)
 		}
 		return
 	}
-	w.answered(w.hosts[m.host], m)
+	w.handleAnswer(w.hosts[m.host], m)
 }
 
-// giveUp lets the sender take a message for lost. A question that was not
-// carried out yet may still be, at any later time.
+// giveUp makes the sender treat a message as lost. A request that is not carried
+// out yet may still be carried out at any later time.
 func (w *World) giveUp(i int) {
-	m := w.take(i)
+	m := w.removeMessage(i)
 	if !m.done {
 		m.lost = true
-		w.mail = append(w.mail, m)
+		w.messages = append(w.messages, m)
 	}
 	h := w.hosts[m.host]
 	switch m.kind {
@@ -171,7 +172,7 @@
 	}
 }
 
-func (w *World) answered(h *host, m message) {
+func (w *World) handleAnswer(h *host, m message) {
 	m.reading.Sent = m.sent
 	switch {
 	case m.kind == "start":
@@ -183,7 +184,7 @@
 		w.job(h, job.Started{Task: m.task, Attempt: m.attempt})
 	case m.kind == "give":
 	case m.refused:
-		w.overtake(h, takeover.WorkerContact{Worker: m.worker})
+		w.stepTakeover(h, takeover.WorkerContact{Worker: m.worker})
 		w.lease(h, lease.Refused{Worker: m.worker, Remaining: m.reading.Remaining, Sent: m.sent})
 	case m.kind == "take":
 		w.lease(h, lease.Granted{Worker: m.worker, Reading: m.reading})
--- a/internal/model/machine.go
+++ b/internal/model/machine.go
@@ -7,23 +7,24 @@
 	"pollencroft/internal/lease"
 )
 
-// machine is a worker by the rules of the stand-in: it keeps an anchor and task
-// leases and refuses a start only when its deadline has passed. It holds one
-// task; a second one is the fault that the checker looks for.
+// machine models a worker with the rules of the stand-in platform: it keeps an
+// anchor and task leases, and refuses a start only if the deadline of the start
+// has passed. It has capacity for one task; a second task is a violation that the
+// checker looks for.
 type machine struct {
 	name   string
 	holder string
 	until  time.Time
 	lease  int
 	tasks  map[string]time.Time
-	// wrong is the first promise that was broken here.
-	wrong string
+	// violation describes the latest violation of an invariant on this worker.
+	violation string
 }
 
-// skew is how far the workers' own clocks are off.
+// skew is how far the clocks of the workers are ahead of those of the hosts.
 const skew = 5 * time.Hour
 
-func (m *machine) settle(now time.Time) {
+func (m *machine) dropExpired(now time.Time) {
 	for id, until := range m.tasks {
 		if !until.After(now) {
 			delete(m.tasks, id)
@@ -39,9 +40,9 @@
 	return r
 }
 
-// answer carries out a question and returns the answer to it.
+// answer carries out a request and returns the answer to it.
 func (m *machine) answer(now time.Time, q message) message {
-	m.settle(now)
+	m.dropExpired(now)
 	held := m.until.After(now)
 	switch q.kind {
 	case "take":
@@ -78,10 +79,10 @@
 		return
 	}
 	if m.until.After(now) && m.holder != q.holder {
-		m.wrong = "start of " + q.task + " ran after another host took " + m.name
+		m.violation = "start of " + q.task + " ran after another host took " + m.name
 	}
 	m.tasks[q.task] = now.Add(q.ttl)
 	if len(m.tasks) > 1 {
-		m.wrong = m.name + " was overfilled by " + q.task
+		m.violation = m.name + " was overfilled by " + q.task
 	}
 }
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -22,23 +22,23 @@
 	os.Exit(m.Run())
 }
 
-// Hosts pause, die, are replaced and are wrongly taken for dead, and every
-// message is late, lost or delivered in another order. Whatever the order, no
-// worker gets more than it holds, no task runs in two places and no start is
-// carried out under another host's anchor.
-func TestEveryOrderKeepsThePromises(t *testing.T) {
+// Hosts pause, die, are replaced or are wrongly considered dead, and any message
+// may be late, lost or reordered. In every order of these events, no worker gets
+// more tasks than it has capacity for, no task runs on two workers and no start
+// is carried out while another host holds the worker's anchor.
+func TestInvariantsHoldInEveryOrder(t *testing.T) {
 	for _, c := range []struct {
 		start model.Start
 		depth int
 	}{{model.Start{Workers: 1}, 6}, {model.Start{Workers: 2}, 4}, {model.Start{Workers: 2, Running: true}, 4}, {model.Start{Workers: 2, Running: true, Lapsed: true}, 5}} {
 		f := model.Explore(model.Rules{}, c.start, c.depth)
 		t.Logf("%+v: %d states, depth %d", c.start, f.States, f.Depth)
-		require.Empty(t, f.Wrong, strings.Join(f.Path, "\n"))
+		require.Empty(t, f.Violation, strings.Join(f.Path, "\n"))
 		require.Equal(t, c.depth, f.Depth)
 	}
 }
 
-func TestLongRandomOrdersKeepThePromises(t *testing.T) {
+func TestInvariantsHoldInLongRandomOrders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		wrong, path := model.Play(model.Rules{}, model.Start{Workers: rapid.IntRange(1, 2).Draw(t, "workers"), Running: rapid.Bool().Draw(t, "running"), Lapsed: rapid.Bool().Draw(t, "lapsed")}, 120, func(n int) int {
 			return rapid.IntRange(0, n-1).Draw(t, "choice")
@@ -47,8 +47,8 @@
 	})
 }
 
-// Each rule is left out once. If the checker stayed silent then, its silence
-// about the whole design would mean nothing.
+// Leaves out each rule once. If the checker found no violation then, finding none
+// with all rules in place would prove nothing.
 func TestCheckerFindsWhatEachRuleIsFor(t *testing.T) {
 	for name, c := range map[string]struct {
 		rules model.Rules
@@ -57,13 +57,13 @@
 		wrong string
 	}{
 		"no deadline on starts": {model.Rules{NoDeadline: true}, model.Start{Workers: 1}, 7, "after another host took"},
-		"census skipped":        {model.Rules{NoCensus: true}, model.Start{Workers: 2, Running: true, Lapsed: true}, 4, "and on"},
+		"census skipped":        {model.Rules{NoInventory: true}, model.Start{Workers: 2, Running: true, Lapsed: true}, 4, "and on"},
 		"term ignored":          {model.Rules{NoTerm: true}, model.Start{Workers: 1}, 5, "overfilled"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := model.Explore(c.rules, c.start, c.depth)
-			require.Contains(t, f.Wrong, c.wrong)
-			t.Logf("found in %d states: %s\n%s", f.States, f.Wrong, strings.Join(f.Path, "\n"))
+			require.Contains(t, f.Violation, c.wrong)
+			t.Logf("found in %d states: %s\n%s", f.States, f.Violation, strings.Join(f.Path, "\n"))
 		})
 	}
 }
