--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -15,15 +15,15 @@
 
 // Worker simulates one worker. It checks neither its capacity nor the identity of the caller.
 type Worker struct {
-	size   cell.Size
-	clock  func() time.Time
-	over   *CopyChecker
-	mu     sync.Mutex
-	resume chan struct{}
-	faults WorkerFaults
-	anchor anchor
-	tasks  map[string]*Task
-	record WorkerRecord
+	size        cell.Size
+	clock       func() time.Time
+	copyChecker *CopyChecker
+	mu          sync.Mutex
+	resume      chan struct{}
+	faults      WorkerFaults
+	anchor      anchor
+	tasks       map[string]*Task
+	record      WorkerRecord
 	// history lists, by task id, the requests and their results in order.
 	history map[string][]Step
 	nextID  int
@@ -44,7 +44,7 @@
 // NewWorker returns a worker of the given size without tasks. It uses the given clock.
 func NewWorker(size cell.Size, over *CopyChecker, clock func() time.Time) *Worker {
 	return &Worker{
-		size: size, clock: clock, over: over, resume: make(chan struct{}), tasks: map[string]*Task{}, gone: map[string]int64{},
+		size: size, clock: clock, copyChecker: over, resume: make(chan struct{}), tasks: map[string]*Task{}, gone: map[string]int64{},
 		record: WorkerRecord{Started: map[string]int{}, Ended: map[string]string{}}, marked: clock(), history: map[string][]Step{},
 	}
 }
@@ -129,7 +129,7 @@
 	k.area += at.Sub(t.began).Seconds() * float64(t.Size.CPU)
 	k.record.Ended[t.ID] = state
 	k.addStep(t.ID, Step{At: at, What: state, Holder: t.Holder, Lease: t.Lease})
-	k.over.removeCopy(t.ID, copyKey{k, t.Lease})
+	k.copyChecker.removeCopy(t.ID, copyKey{k, t.Lease})
 }
 
 // watch reports to the CopyChecker the latest time at which a task can still run.
@@ -138,7 +138,7 @@
 	if t.ends.Before(until) {
 		until = t.ends
 	}
-	k.over.addCopy(t.ID, copyKey{k, t.Lease}, k.clock(), until)
+	k.copyChecker.addCopy(t.ID, copyKey{k, t.Lease}, k.clock(), until)
 }
 
 // change marks a task as changed, so that the next renewal reports it.
