--- a/internal/standin/users/worker.go
+++ b/internal/standin/users/worker.go
@@ -102,11 +102,11 @@
 
 // Worker simulates one worker on the loopback interface. Every task runs for the duration work.
 type Worker struct {
-	ID     string
-	oracle *InvariantChecker
-	server *httptest.Server
-	work   time.Duration
-	began  time.Time
+	ID      string
+	checker *InvariantChecker
+	server  *httptest.Server
+	work    time.Duration
+	began   time.Time
 
 	mu        sync.Mutex
 	fence     int64
@@ -136,7 +136,7 @@
 
 // NewWorker starts a worker whose tasks each run for the duration work.
 func NewWorker(id string, work time.Duration, o *InvariantChecker) *Worker {
-	w := &Worker{ID: id, oracle: o, work: work, began: time.Now(), runs: map[string]*run{}, endedRuns: map[string]int{}, changed: make(chan struct{}), cpu: wholeCPU}
+	w := &Worker{ID: id, checker: o, work: work, began: time.Now(), runs: map[string]*run{}, endedRuns: map[string]int{}, changed: make(chan struct{}), cpu: wholeCPU}
 	r := chi.NewRouter()
 	r.Post("/pollencroft/run-start", w.order(w.start))
 	r.Post("/pollencroft/run-stop", w.order(w.stop))
@@ -150,7 +150,7 @@
 	w.mu.Lock()
 	for task, r := range w.runs {
 		r.timer.Stop()
-		w.oracle.end(task, false)
+		w.checker.end(task, false)
 	}
 	clear(w.runs)
 	w.mu.Unlock()
@@ -257,12 +257,12 @@
 	if r, ok := w.runs[o.Task]; ok && r.number == o.Run {
 		return http.StatusOK, ""
 	}
-	w.oracle.begin(o.Task, w.ID)
+	w.checker.begin(o.Task, w.ID)
 	r := &run{number: o.Run}
 	r.timer = time.AfterFunc(w.work, func() { w.finish(o.Task, r, "done") })
 	w.runs[o.Task] = r
 	if used := int64(len(w.runs)) * TaskCPU; used > w.bound() {
-		w.oracle.addViolation("task %s was started on %s, which has %d milli-CPU, and raised its use to %d", o.Task, w.ID, w.cpu, used)
+		w.checker.addViolation("task %s was started on %s, which has %d milli-CPU, and raised its use to %d", o.Task, w.ID, w.cpu, used)
 	}
 	w.extend(o.DeadlineMs)
 	return http.StatusOK, ""
@@ -293,7 +293,7 @@
 // end removes a run from the worker and adds its end to the list of ends. The caller holds mu.
 func (w *Worker) end(task string, r *run, how string) {
 	delete(w.runs, task)
-	w.oracle.end(task, how == "done")
+	w.checker.end(task, how == "done")
 	w.endedRuns[task] = max(w.endedRuns[task], r.number)
 	w.number++
 	w.ends = append(w.ends, ended{w.number, task, r.number, how})
@@ -341,7 +341,7 @@
 	w.fence = o.FencingToken
 	for len(w.ends) > 0 && w.ends[0].n <= o.LastSeen {
 		if w.ends[0].how == "done" {
-			w.oracle.noted(w.ends[0].task)
+			w.checker.noted(w.ends[0].task)
 		}
 		w.ends = w.ends[1:]
 	}
