--- a/internal/standin/users/worker.go
+++ b/internal/standin/users/worker.go
@@ -17,8 +17,8 @@
 // InvariantChecker checks the invariants of task execution on all workers and records violations: a task
 // never runs twice at the same time, and does not start again after its end was acknowledged.
 type InvariantChecker struct {
-	mu     sync.Mutex
-	wrongs []string
+	mu         sync.Mutex
+	violations []string
 	// at holds the worker on which each task runs, done the tasks whose successful end the host
 	// has acknowledged, runs the number of starts of each task.
 	at   map[string]string
@@ -37,7 +37,7 @@
 func (o *InvariantChecker) Violations() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return slices.Clone(o.wrongs)
+	return slices.Clone(o.violations)
 }
 
 // Runs returns the number of starts of each task.
@@ -57,17 +57,17 @@
 func (o *InvariantChecker) addViolation(format string, args ...any) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.wrongs = append(o.wrongs, fmt.Sprintf(format, args...))
+	o.violations = append(o.violations, fmt.Sprintf(format, args...))
 }
 
 func (o *InvariantChecker) begin(task, worker string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if at, ok := o.at[task]; ok {
-		o.wrongs = append(o.wrongs, fmt.Sprintf("task %s was started on %s while it was running on %s", task, worker, at))
+		o.violations = append(o.violations, fmt.Sprintf("task %s was started on %s while it was running on %s", task, worker, at))
 	}
 	if o.done[task] {
-		o.wrongs = append(o.wrongs, fmt.Sprintf("task %s was started on %s after its end was acknowledged", task, worker))
+		o.violations = append(o.violations, fmt.Sprintf("task %s was started on %s after its end was acknowledged", task, worker))
 	}
 	o.at[task] = worker
 	o.runs[task]++
