--- a/internal/standin/users/worker.go
+++ b/internal/standin/users/worker.go
@@ -82,7 +82,7 @@
 	}
 }
 
-func (o *InvariantChecker) noted(task string) {
+func (o *InvariantChecker) acknowledged(task string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.done[task] = true
@@ -341,7 +341,7 @@
 	w.fence = o.FencingToken
 	for len(w.ends) > 0 && w.ends[0].n <= o.LastSeen {
 		if w.ends[0].how == "done" {
-			w.checker.noted(w.ends[0].task)
+			w.checker.acknowledged(w.ends[0].task)
 		}
 		w.ends = w.ends[1:]
 	}
