--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -110,8 +110,8 @@
 		if t.State != TaskRunning {
 			continue
 		}
-		if !t.told && now.Sub(t.began) >= k.faults.Lag {
-			t.told = true
+		if !t.usageReported && now.Sub(t.began) >= k.faults.Lag {
+			t.usageReported = true
 			k.change(t)
 		}
 		switch {
@@ -328,7 +328,7 @@
 		}
 		c := *t
 		c.Left = t.until.Sub(now).Milliseconds()
-		if !t.told {
+		if !t.usageReported {
 			c.Use = cell.Size{}
 		}
 		all = append(all, c)
--- a/internal/standin/workerwire.go
+++ b/internal/standin/workerwire.go
@@ -50,8 +50,8 @@
 	ends  time.Time
 	began time.Time
 	mark  int64
-	// told is set once the task's usage is included in the list.
-	told bool
+	// usageReported is set once the task's usage is included in the list.
+	usageReported bool
 }
 
 // States of a task on a worker.
