--- a/internal/standin/minion.go
+++ b/internal/standin/minion.go
@@ -165,7 +165,7 @@
 		return
 	case f.Cross > 0:
 		id += "-other"
-	case f.Fail > 0 && m.unlucky(f.Fail):
+	case f.Fail > 0 && m.shouldFail(f.Fail):
 		w.Header().Set(HeaderID, id)
 		http.Error(w, "failed", http.StatusInternalServerError)
 		return
@@ -181,7 +181,7 @@
 	_, _ = io.WriteString(w, answer)
 }
 
-func (m *Backend) unlucky(share int) bool {
+func (m *Backend) shouldFail(share int) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.seen%100 < share
