--- a/internal/host/silent_test.go
+++ b/internal/host/silent_test.go
@@ -119,7 +119,7 @@
 	c.startHost(1)
 	c.waitReady(0)
 	c.waitReady(1)
-	c.platform.SetFaults(standin.PlatformFaults{Deaf: true})
+	c.platform.SetFaults(standin.PlatformFaults{FailReads: true})
 	c.waitFor("reads fail", func() bool { return c.hosts[0].Count("table.unread") > 0 })
 	done := make(chan error, 1)
 	go func() { done <- c.setRow(0, "scan", map[string]any{"weight": 7}) }()
--- a/internal/host/table_test.go
+++ b/internal/host/table_test.go
@@ -122,7 +122,7 @@
 	c := newTestHosts(t, 1)
 	c.startHost(0)
 	c.waitReady(0)
-	c.platform.SetFaults(standin.PlatformFaults{Deaf: true})
+	c.platform.SetFaults(standin.PlatformFaults{FailReads: true})
 	// The read that waits for the next record could still be answered.
 	c.waitFor("reads fail", func() bool { return c.hosts[0].Count("table.unread") > 0 })
 	err := c.setRow(0, "scan", map[string]any{"weight": 7})
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -31,8 +31,8 @@
 	Retain int `json:"retain"`
 	// FreezeHosts keeps serving the host list as it was when this fault was switched on.
 	FreezeHosts bool `json:"freeze"`
-	// Deaf answers reads of the log, and only these, with status 503.
-	Deaf bool `json:"deaf"`
+	// FailReads answers reads of the log, and only these, with status 503.
+	FailReads bool `json:"deaf"`
 	// Hole is the offset of a record that is left out of every page.
 	Hole int64 `json:"hole"`
 	// Stale is an offset before which the log appears to end; zero shows the whole log.
@@ -173,7 +173,7 @@
 		return
 	}
 	p.mu.Lock()
-	deaf := p.faults.Deaf
+	deaf := p.faults.FailReads
 	p.mu.Unlock()
 	if deaf {
 		http.Error(w, "down", http.StatusServiceUnavailable)
