--- a/internal/standin/pipes.go
+++ b/internal/standin/pipes.go
@@ -17,9 +17,9 @@
 
 // Pipe is the listener for one address.
 type Pipe struct {
-	conns chan net.Conn
-	over  chan struct{}
-	once  sync.Once
+	conns  chan net.Conn
+	closed chan struct{}
+	once   sync.Once
 }
 
 // Listen returns a new listener for the address. It replaces an earlier listener there.
@@ -29,7 +29,7 @@
 	if n.at == nil {
 		n.at = map[netip.AddrPort]*Pipe{}
 	}
-	p := &Pipe{conns: make(chan net.Conn), over: make(chan struct{})}
+	p := &Pipe{conns: make(chan net.Conn), closed: make(chan struct{})}
 	n.at[addr] = p
 	return p
 }
@@ -46,7 +46,7 @@
 	select {
 	case p.conns <- there:
 		return here, nil
-	case <-p.over:
+	case <-p.closed:
 		return nil, syscall.ECONNREFUSED
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -58,14 +58,14 @@
 	select {
 	case c := <-p.conns:
 		return c, nil
-	case <-p.over:
+	case <-p.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close makes Accept return net.ErrClosed and refuses further connections.
 func (p *Pipe) Close() error {
-	p.once.Do(func() { close(p.over) })
+	p.once.Do(func() { close(p.closed) })
 	return nil
 }
 
