--- a/internal/measure/control.go
+++ b/internal/measure/control.go
@@ -1,4 +1,6 @@
-// Package measure runs whole cells on stand-ins and measures what they cost.
+// Package measure holds the loads and baselines of the benchmarks. Some run whole cells against
+// stand-ins for the platform, workers and backend servers. Where the speed of the machine could
+// change a verdict, a load runs on a simulated clock instead.
 package measure
 
 import (
@@ -20,23 +22,24 @@
 	"pollencroft/pkg/client"
 )
 
-// Fleet is a cell of entry hosts in this process, spread over domains.
+// Fleet is a cell of entry hosts in this process, spread over failure domains.
 type Fleet struct {
 	Cell  *standin.Cell
 	Hosts []*host.Host
 	All   []settings.Settings
 }
 
-// startWait bounds how long a fleet may take to come up.
+// startWait limits how long Until waits, for example for a fleet to start.
 const startWait = 30 * time.Second
 
-// LateError tells that a fleet did not come to a state in time.
+// LateError reports that a fleet did not reach a state in time.
 type LateError struct{ What string }
 
-func (e *LateError) Error() string { return "fleet is late: " + e.What }
+func (e *LateError) Error() string { return "fleet did not reach a state in time: " + e.What }
 
-// NewFleet starts n hosts in the given number of failure domains with workers
-// in all. Every host stands by itself but for processor and memory.
+// NewFleet starts n hosts in the given number of failure domains, with the given number of workers
+// in total. The hosts are independent except that they share the process's processor time and
+// memory.
 func NewFleet(n, domains, workers int) (*Fleet, error) {
 	local := netip.MustParseAddrPort("127.0.0.1:0")
 	users := standin.Users{Name: "fleet", Workers: workers, Racks: max(1, workers/8), Slots: 8, Worker: cell.Size{CPU: 64_000, Mem: 256 << 30}}
@@ -86,7 +89,7 @@
 	}
 }
 
-// Until waits for a state; the error is a LateError.
+// Until waits until ok returns true. If that takes too long, it returns a LateError that names what.
 func (f *Fleet) Until(what string, ok func() bool) error {
 	for end := time.Now().Add(startWait); time.Now().Before(end); {
 		if ok() {
@@ -97,7 +100,7 @@
 	return &LateError{What: what}
 }
 
-// Close ends all hosts and stand-ins.
+// Close stops all hosts and stand-ins.
 func (f *Fleet) Close() {
 	for _, h := range f.Hosts {
 		h.Kill()
@@ -105,21 +108,21 @@
 	f.Cell.Close()
 }
 
-// Cost is what one host spends on control in a second, on average.
+// Cost is the average cost of control work per host: traffic and processor time per second, and memory.
 type Cost struct {
-	// Peers and Rest are bytes in both directions, to peers and to platform and
-	// workers; Core is a share of one processor core.
+	// Peers and Rest are bytes a second in both directions: Peers between hosts, Rest between the
+	// host and the platform and workers. Core is a fraction of one processor core.
 	Peers, Rest, Core float64
-	// Heap is bytes in use a host, the stand-ins' among them.
+	// Heap is the heap bytes in use per host, including those of the stand-ins.
 	Heap float64
 }
 
-// Warm waits until every host has beaten to every other. Before that, links
-// that are not open yet make a large cell look cheap.
+// Warm waits long enough for every host to send a heartbeat to every other. Earlier, connections
+// that are not open yet would make a large cell look cheaper than it is.
 func (f *Fleet) Warm() { time.Sleep(member.FarPeriod(len(f.Hosts)) + time.Second) }
 
-// Idle measures a fleet that has nothing to do but to control its workers. The
-// processor time is the whole process's, stand-ins among it.
+// Idle measures for d what a fleet costs that runs no work and only controls its workers. The
+// processor time is that of the whole process, including the stand-ins.
 func (f *Fleet) Idle(d time.Duration) Cost {
 	peers, rest := f.bytes()
 	cpu := processorTime()
@@ -168,13 +171,13 @@
 	return (sy - b*sx) / n, b
 }
 
-// Spread changes a row through one host and returns how long it took from
-// the operator's answer until every host works by it.
+// Spread changes the weight of a row through one host. It returns the time until the host accepts
+// the change, and the time from then until every host applies it.
 func (f *Fleet) Spread(ctx context.Context, weight int64) (accepted, everywhere time.Duration, err error) {
 	began := time.Now()
 	c := client.New(f.All[0].Listen.Operator, "", nil)
 	if err := c.SetRow(ctx, "scan", "", map[string]any{"weight": weight}); err != nil {
-		return 0, 0, errors.Wrap(err, "change a row")
+		return 0, 0, errors.Wrap(err, "change row weight")
 	}
 	accepted = time.Since(began)
 	err = f.Until("row is in force", func() bool {
--- a/internal/measure/control_test.go
+++ b/internal/measure/control_test.go
@@ -12,11 +12,11 @@
 	"pollencroft/internal/measure"
 )
 
-// controlSizes are hosts and failure domains, from today's to the target's.
+// controlSizes lists numbers of hosts and failure domains, from the present cell to the target size.
 var controlSizes = []struct{ hosts, domains int }{{3, 3}, {8, 3}, {20, 7}, {53, 7}}
 
-// BenchmarkControl prints what a host spends on control without work and, last,
-// the slope over the hosts. Its baselines are earlier versions, in
+// BenchmarkControl prints what control costs a host while no work runs and, at the end, how the
+// traffic between hosts grows with their number. Its baselines are earlier versions, in
 // docs/measures/table.md.
 func BenchmarkControl(b *testing.B) {
 	var x, y []float64
@@ -42,8 +42,8 @@
 	b.Logf("peers: %.0f B/s + %.1f B/s for each host of the cell", base, slope)
 }
 
-// BenchmarkLeading prints the same for hosts that lead 46 workers each, which is
-// what the target gives a host.
+// BenchmarkLeading prints the same cost for hosts that lead 46 workers each, the number of workers
+// per host at the target size.
 func BenchmarkLeading(b *testing.B) {
 	f, err := measure.NewFleet(3, 3, 3*46)
 	require.NoError(b, err)
@@ -58,8 +58,8 @@
 	}
 }
 
-// BenchmarkTableSpread prints the time from the operator's "accepted" until the
-// last host works by an edit, beside the time that "accepted" itself took.
+// BenchmarkTableSpread prints the time from the acceptance of an operator's edit of the table until
+// the last host applies it, and the time until the acceptance itself.
 func BenchmarkTableSpread(b *testing.B) {
 	for _, s := range controlSizes[1:] {
 		b.Run(fmt.Sprintf("hosts=%d", s.hosts), func(b *testing.B) {
--- a/internal/measure/decide.go
+++ b/internal/measure/decide.go
@@ -1,5 +1,3 @@
-// Package measure holds the loads and baselines of the benchmarks: what is
-// compared, on a passed-in clock wherever a verdict could hang on it.
 package measure
 
 import (
@@ -14,15 +12,15 @@
 	"pollencroft/internal/place"
 )
 
-// Decider is a placement core that can be measured.
+// Decider is the placement state machine or a baseline that a load can run on.
 type Decider interface {
 	Step(now time.Time, ev place.Event) []place.Action
 }
 
-// start is when every measured run begins, on its own clock.
+// start is the time at which every run's simulated clock begins.
 var start = time.Unix(1_700_000_000, 0)
 
-// Sizes of the workers and of the load that is decided on.
+// Size of each worker, and the number of workers in a rack.
 var (
 	workerSize = cell.Size{CPU: 64_000, Mem: 256 << 30, Accel: 2}
 	rackOf     = 8
@@ -33,8 +31,8 @@
 	decideTeams = 10
 )
 
-// Decide is a full cell with a queue of waiting jobs. Each Turn ends one
-// task and submits one job, so that the queue keeps its length.
+// Decide measures placement decisions in a full cell with a queue of waiting jobs. Each Turn ends
+// one task and submits one job, so that the length of the queue stays about the same.
 type Decide struct {
 	core    Decider
 	rng     *rand.Rand
@@ -42,13 +40,13 @@
 	stopped []string
 	jobs    int
 	now     time.Time
-	// Times are the times of single steps in nanoseconds.
+	// Times holds the durations of single steps in nanoseconds.
 	Times *hdrhistogram.Histogram
-	// Puts counts the tasks that were placed.
+	// Puts counts the placed tasks.
 	Puts int
 }
 
-// NewDecide fills the workers and queues jobs behind them.
+// NewDecide fills the workers with tasks and then queues the given number of waiting jobs.
 func NewDecide(core Decider, workers, queued int) *Decide {
 	d := &Decide{core: core, rng: rand.New(rand.NewPCG(1, 2)), now: start}
 	for i := range workers {
@@ -92,7 +90,7 @@
 	}
 }
 
-// confirm ends the tasks that were to be stopped.
+// confirm reports the preempted tasks as stopped.
 func (d *Decide) confirm() {
 	for len(d.stopped) > 0 {
 		task := d.stopped[0]
@@ -114,5 +112,5 @@
 	d.confirm()
 }
 
-// P99 is the time that 99 of 100 steps stayed under.
+// P99 returns the 99th percentile of the durations of steps.
 func (d *Decide) P99() time.Duration { return time.Duration(d.Times.ValueAtQuantile(99)) }
--- a/internal/measure/decide_test.go
+++ b/internal/measure/decide_test.go
@@ -8,9 +8,10 @@
 	"pollencroft/internal/place"
 )
 
-// scanTurns bounds the baseline, which is slow with many workers.
+// scanTurns limits the turns of the baseline, which is slow with many workers.
 const scanTurns = 20
 
+// BenchmarkDecide compares the time of placement decisions with that of a scan of all workers.
 func BenchmarkDecide(b *testing.B) {
 	for _, workers := range []int{48, 400, 2600} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
--- a/internal/measure/hole.go
+++ b/internal/measure/hole.go
@@ -10,10 +10,10 @@
 	"pollencroft/internal/queue"
 )
 
-// holePatience is how long a caller waits for an answer that never comes.
+// holePatience is the caller's timeout for a request that is never answered.
 const holePatience = 2 * time.Second
 
-// hole plays urgent work on minions of which the first swallows everything.
+// hole simulates urgent requests on backend servers, the first of which never answers.
 type hole struct {
 	o    ours
 	out  *outlier.Detector
@@ -24,8 +24,8 @@
 	n    int
 }
 
-// HoleLoss returns which part of the urgent requests one black hole among 16
-// minions swallows in a minute, with or without setting outliers aside.
+// HoleLoss returns the fraction of urgent requests that are lost within a minute because one of 16
+// backend servers never answers. The parameter selects whether outliers are quarantined.
 func HoleLoss(setAside bool) float64 {
 	start := time.Unix(1_700_000_000, 0)
 	load := UrgentLoad{Urgent: 0.45, For: time.Minute}
--- a/internal/measure/jobmemory.go
+++ b/internal/measure/jobmemory.go
@@ -10,11 +10,11 @@
 	"pollencroft/internal/place"
 )
 
-// tasksAJob is how many tasks each job of JobMemory has.
+// tasksAJob is the number of tasks in each job of JobMemory.
 const tasksAJob = 10
 
-// JobMemory returns the bytes that one waiting task takes in a lead's cores,
-// on average over that many tasks in jobs of ten.
+// JobMemory returns the average number of bytes that a waiting task occupies in the leader's job
+// and placement state machines, measured over the given number of tasks in jobs of ten.
 func JobMemory(tasks int) float64 {
 	now := time.Unix(1_700_000_000, 0)
 	jobs, placer := job.New(), place.New(place.DefaultLimits)
--- a/internal/measure/jobmemory_test.go
+++ b/internal/measure/jobmemory_test.go
@@ -7,7 +7,7 @@
 	"pollencroft/internal/measure"
 )
 
-// BenchmarkJobMemory prints what one waiting task takes in a lead's memory.
+// BenchmarkJobMemory prints the memory that one waiting task occupies in a leader.
 func BenchmarkJobMemory(b *testing.B) {
 	for _, tasks := range []int{1000, 5000, 25_000} {
 		b.Run(fmt.Sprint(tasks), func(b *testing.B) {
--- a/internal/measure/jobs.go
+++ b/internal/measure/jobs.go
@@ -14,61 +14,63 @@
 	"pollencroft/internal/place"
 )
 
-// JobLoad is one failure domain's workers and the jobs that come to them, on a
-// passed-in clock.
+// JobLoad describes the workers of one failure domain and the jobs submitted to them, on a
+// simulated clock.
 type JobLoad struct {
 	Workers int
-	// BlackHoles are workers that fail every task within a second.
+	// BlackHoles is the number of workers that fail every task after a second.
 	BlackHoles int
-	// Run is how long jobs come.
+	// Run is how long the load lasts.
 	Run time.Duration
-	// Rows are the workloads.
+	// Rows lists the workloads.
 	Rows []RowLoad
-	// Floor keeps so many tasks waiting from the first row on, round robin.
+	// Floor is the least number of waiting tasks; tasks are submitted across all rows to keep it.
 	Floor int
-	// Cancel is when half of the waiting bulk jobs are cancelled at once;
-	// zero is never.
+	// Cancel is the time at which half of the waiting bulk jobs are cancelled at once; zero means
+	// never.
 	Cancel time.Duration
 }
 
-// RowLoad is one row's jobs. CPU, Mem and Time are what its tasks really use
-// and how long they run, as a part of what is declared.
+// RowLoad describes the jobs of one row: one is submitted at each interval Every, and declares Size
+// and Time. CPU, Mem and Long are the factors by which the actual processor use, memory use and run
+// time of a task differ from the declared ones.
 type RowLoad struct {
 	Class          cell.Class
 	Every          time.Duration
 	Size           cell.Size
 	Time           time.Duration
 	CPU, Mem, Long float64
-	// Flood jobs come together at a time.
+	// Flood is the number of jobs that are submitted at once, at FloodAt.
 	Flood   int
 	FloodAt time.Duration
 }
 
-// JobsDone is what came of a JobLoad.
+// JobsDone is the result of a JobLoad.
 type JobsDone struct {
-	// Waits hold by class the times until the start that came to its end.
+	// Waits holds, by class, the milliseconds from a task's submission to the start of the run that
+	// completes.
 	Waits map[cell.Class]*hdrhistogram.Histogram
-	// Used is the part of the workers that was really used, in the part
-	// (processors or memory) that was used most.
+	// Used is the average fraction of the workers' capacity in actual use, of processors or of
+	// memory, whichever is higher.
 	Used float64
-	// Overfilled counts the seconds in which a worker's tasks used more than
-	// it has, over all workers.
+	// Overfilled counts the seconds in which the tasks of a worker use more than it has, summed over
+	// all workers.
 	Overfilled int
-	// Wasted counts the starts on black holes, Ended the tasks that ended.
+	// Wasted counts the starts on workers that fail every task, Ended the tasks that complete.
 	Wasted, Ended int
-	// Unstarted counts the tasks that waited at the end.
+	// Unstarted counts the tasks that still wait at the end.
 	Unstarted int
 }
 
-// jobTick is the grain of the clock; a stop takes two of them.
+// jobTick is the step of the simulated clock; stopping a task takes stopTicks of them.
 const (
 	jobTick   = 100 * time.Millisecond
 	stopTicks = 2
-	// reportLag is how old a worker's report of usage is.
+	// reportLag is the age of the usage that a worker reports.
 	reportLag   = 10 * time.Second
 	reportEvery = 5 * time.Second
 	settleFor   = 5 * time.Minute
-	// rampFor is how long a task uses less than it will.
+	// rampFor is how long after its start a task uses less than its full amount.
 	rampFor = 15 * time.Second
 )
 
@@ -85,7 +87,8 @@
 	tries    int
 }
 
-// uses is what the task uses at a time: less at first, then all.
+// uses returns what the task uses at the given time: 70 % of its processor and memory use until
+// rampFor has passed, then all of it.
 func (t *jobTask) uses(at time.Time) cell.Size {
 	if at.Sub(t.began) >= rampFor {
 		return t.use
@@ -131,8 +134,8 @@
 	samples int
 }
 
-// Play runs the load on a placement core. With estimates declared sizes and
-// times are corrected by what is measured.
+// Play runs the load on a placement state machine. If est is not nil, it corrects declared sizes
+// and times by the measured ones.
 func (l JobLoad) Play(core Decider, est *estimate.Estimates) JobsDone {
 	r := &jobRun{
 		JobLoad: l, core: core, est: est, rng: rand.New(rand.NewPCG(3, 4)), now: start, tasks: map[string]*jobTask{},
@@ -241,7 +244,7 @@
 	r.later(t.run, t, func() { r.ended(t, worker) })
 }
 
-// later does something to a task that runs unless it has gone on by then.
+// later calls do after d, unless the current run of the task has ended by then.
 func (r *jobRun) later(d time.Duration, t *jobTask, do func()) {
 	try := t.tries
 	r.jobs++
@@ -297,7 +300,7 @@
 	}
 }
 
-// look counts what is really used.
+// look samples the actual use of all workers and counts the overfilled ones.
 func (r *jobRun) look() {
 	var sum cell.Size
 	for _, on := range r.running {
@@ -308,7 +311,7 @@
 		if !used.Fits(workerSize) {
 			r.done.Overfilled++
 		}
-		// An overfilled worker gives no more than it has.
+		// An overfilled worker provides no more than its capacity.
 		sum = sum.Add(cell.Size{CPU: min(used.CPU, workerSize.CPU), Mem: min(used.Mem, workerSize.Mem)})
 	}
 	if r.since() < settleFor {
@@ -320,7 +323,7 @@
 	r.mem += float64(sum.Mem) / float64(workerSize.Mem) / n
 }
 
-// report tells the estimates what tasks use that run for longer than the lag.
+// report passes the usage of tasks that have run for at least reportLag to the estimates.
 func (r *jobRun) report() {
 	if r.est == nil {
 		return
--- a/internal/measure/jobs_test.go
+++ b/internal/measure/jobs_test.go
@@ -13,8 +13,8 @@
 	"pollencroft/internal/place"
 )
 
-// BenchmarkPacking fills a domain with a queue that is never empty and sizes
-// that are far off, beside first fit on declared sizes.
+// BenchmarkPacking compares the use of a failure domain's workers with that of first fit by declared
+// sizes. The queue is never empty, and declared sizes are far from the actual ones.
 func BenchmarkPacking(b *testing.B) {
 	load := measure.Packing(48, 30*time.Minute)
 	for b.Loop() {
@@ -27,8 +27,8 @@
 	}
 }
 
-// BenchmarkJobWait tells the waits by class with wrong sizes, black holes, a
-// flood and a wave of cancellations, beside one FIFO queue.
+// BenchmarkJobWait compares the waiting times by class with those of one FIFO queue. The load has
+// wrong declared sizes, workers that fail every task, a flood and many cancellations at once.
 func BenchmarkJobWait(b *testing.B) {
 	load := measure.JobWait(48)
 	for b.Loop() {
@@ -46,9 +46,9 @@
 	}
 }
 
-// Callers declare from half to five times what their tasks use. Packed by
-// that, workers stand half empty, and some are overfilled so that every task
-// on them is slow.
+// Callers declare from half to five times what their tasks use. Packed by declared sizes, workers
+// stay half empty, while a few are overfilled and slow down every task on them. The test checks that
+// packing by measured sizes overfills no worker and uses more of the capacity.
 func TestPackingByMeasuredSizes(t *testing.T) {
 	load := measure.Packing(12, 25*time.Minute)
 	ours, first := load.Play(place.New(place.DefaultLimits), estimate.New()), load.Play(measure.NewFirstFit(), nil)
@@ -56,8 +56,9 @@
 	require.Greater(t, ours.Used, first.Used+0.1)
 }
 
-// A flood of bulk jobs comes while gates submit urgent ones, and some workers
-// fail everything. The urgent ones start within 1.9 s nonetheless.
+// A flood of bulk jobs arrives while urgent jobs are submitted, and some workers fail every task.
+// The test checks that urgent jobs still start within 1.9 s and that few starts are wasted on the
+// failing workers.
 func TestUrgentJobsDoNotWaitBehindAFlood(t *testing.T) {
 	load := measure.JobWait(24)
 	load.Run = 5 * time.Minute
--- a/internal/measure/ledger.go
+++ b/internal/measure/ledger.go
@@ -17,11 +17,11 @@
 	"pollencroft/internal/peer"
 )
 
-// keyBody is the size of a stored answer in the ledger's benchmarks.
+// keyBody is the size in bytes of a stored answer in the benchmarks of the ledger.
 const keyBody = 200
 
-// Keys opens and closes n keys one after another in one home and returns how
-// many bytes of memory a kept key takes.
+// Keys opens and closes n keys one after another in one ledger and returns the average number of
+// bytes of memory that a stored key occupies.
 func Keys(n int) float64 {
 	limits := ledger.DefaultLimits
 	limits.MaxKeys, limits.MaxBytes = n, int64(n)*keyBody*2
@@ -47,9 +47,10 @@
 	return m.HeapAlloc
 }
 
-// SilentPeer asks a peer over loopback through a proxy, lets the connection go
-// silent, and returns how long the question on it took and how long the next.
-// The proxy acknowledges what it drops, so the system's own bounds do not help.
+// SilentPeer sends requests to a peer on loopback through a proxy, which drops all data of the first
+// connection after the first request. It returns how long the next request takes on the silent
+// connection, and how long the one after it takes. TCP acknowledges the data that the proxy drops,
+// so the operating system's own timeouts do not detect the failure.
 func SilentPeer(ctx context.Context) (told, next time.Duration, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -80,7 +81,7 @@
 	return ask(), ask(), nil
 }
 
-// swallower is a proxy that drops everything on its first connections.
+// swallower is a TCP proxy that drops all data on its first connections, up to number drop.
 type swallower struct {
 	target      string
 	conns, drop atomic.Int64
--- a/internal/measure/ledger_test.go
+++ b/internal/measure/ledger_test.go
@@ -10,8 +10,8 @@
 	"pollencroft/internal/measure"
 )
 
-// BenchmarkKeys is the cost of one keyed request in one home, and the memory
-// that a kept key takes.
+// BenchmarkKeys prints the time that the ledger takes for one request with an idempotency key, and
+// the memory that a stored key occupies.
 func BenchmarkKeys(b *testing.B) {
 	const n = 20_000
 	for b.Loop() {
@@ -22,8 +22,8 @@
 	}
 }
 
-// BenchmarkSilentPeer is how long a question takes whose connection has gone
-// silent, beside the deadline that it took before.
+// BenchmarkSilentPeer prints how long a request to a peer takes whose connection has gone silent,
+// and compares it with the deadline. Earlier versions waited until the deadline.
 func BenchmarkSilentPeer(b *testing.B) {
 	const deadline = 5 * time.Second
 	for b.Loop() {
--- a/internal/measure/packing.go
+++ b/internal/measure/packing.go
@@ -6,9 +6,9 @@
 	"pollencroft/internal/cell"
 )
 
-// Packing is a queue that is never empty, of rows that really use from a fifth
-// to 1.6 times what they declare. It is of the class normal, since what is kept
-// back from bulk work is not a matter of packing.
+// Packing returns a load whose queue is never empty. Its rows use between a fifth and 1.6 times what
+// they declare. All are of class normal, because capacity that is withheld from bulk jobs would
+// distort the measured packing.
 func Packing(workers int, run time.Duration) JobLoad {
 	l := JobLoad{Workers: workers, Run: run, Floor: 40 * workers / 2}
 	for i, by := range []float64{0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 1.2, 1.6} {
@@ -20,10 +20,10 @@
 	return l
 }
 
-// JobWait is a domain at about nine tenths of its room: urgent and normal jobs
-// come all the time, some sizes and times are far off, two workers fail all
-// that they start, and a flood of bulk jobs comes, half of which are cancelled
-// at once.
+// JobWait returns a load of about nine tenths of the capacity of a failure domain. Urgent and normal
+// jobs arrive continuously, some declared sizes and times are far from the actual ones, one worker
+// in 24 (two of 48) fails every task, and a flood of bulk jobs arrives. Later, half of the waiting
+// bulk jobs are cancelled at once.
 func JobWait(workers int) JobLoad {
 	second := time.Second
 	w := time.Duration(workers)
--- a/internal/measure/relay.go
+++ b/internal/measure/relay.go
@@ -24,8 +24,8 @@
 	"pollencroft/pkg/client"
 )
 
-// RelayBench is a failure domain of real hosts on loopback with one fast
-// backend server, and the standard library's reverse proxy before the same one.
+// RelayBench is a failure domain of real hosts on loopback with one fast backend server, and the
+// standard library's reverse proxy in front of the same server.
 type RelayBench struct {
 	Host, Proxy string
 	cell        *standin.Cell
@@ -34,7 +34,7 @@
 	client      *http.Client
 }
 
-// Sizes of the bench.
+// Sizes of a RelayBench, and the time that its hosts have to become ready.
 const (
 	relayHosts   = 2
 	relaySlots   = 256
@@ -42,12 +42,12 @@
 	relayReady   = 5 * time.Second
 )
 
-// NotReadyError tells that the bench's hosts did not come up in time.
+// NotReadyError reports that the hosts of a RelayBench did not become ready in time.
 type NotReadyError struct{}
 
-func (e *NotReadyError) Error() string { return "bench: hosts do not serve" }
+func (e *NotReadyError) Error() string { return "bench: hosts did not become ready in time" }
 
-// NewRelayBench starts the bench; Close ends it.
+// NewRelayBench starts a RelayBench, which Close stops.
 func NewRelayBench() (*RelayBench, error) {
 	local := netip.MustParseAddrPort("127.0.0.1:0")
 	users := standin.Users{Name: "one", Domains: []string{"nord"}, Hosts: []int{relayHosts}, Minions: 1, Slots: relaySlots}
@@ -116,7 +116,7 @@
 	return &NotReadyError{}
 }
 
-// StatusError tells that a request of the bench was not served.
+// StatusError reports that a request was answered with a status other than 200.
 type StatusError struct{ Status int }
 
 func (e *StatusError) Error() string { return fmt.Sprintf("bench: answered with status %d", e.Status) }
@@ -143,8 +143,8 @@
 	return nil
 }
 
-// Rate sends n requests from up to 64 callers and returns how many were
-// answered in a second.
+// Rate sends n requests from the given number of concurrent callers, up to 64, and returns the
+// number of answers a second. With keyed set, each request has an idempotency key.
 func (b *RelayBench) Rate(base string, keyed bool, callers, n int) (float64, error) {
 	var left atomic.Int64
 	left.Store(int64(n))
@@ -175,7 +175,7 @@
 	}
 }
 
-// Close ends the bench.
+// Close stops the hosts, the proxy and the backend server.
 func (b *RelayBench) Close() {
 	for _, h := range b.hosts {
 		h.Kill()
--- a/internal/measure/renew.go
+++ b/internal/measure/renew.go
@@ -17,14 +17,14 @@
 	"pollencroft/internal/worker"
 )
 
-// RenewBytes are the bytes on the wire, headers included, of one exchange with
-// a worker that runs some tasks.
+// RenewBytes holds the bytes on the wire, including headers, of one exchange with a worker that runs
+// some tasks.
 type RenewBytes struct {
-	// Renewal lengthens all leases and tells no change.
+	// Renewal is an exchange that renews all leases and reports no change.
 	Renewal float64
-	// Whole is the same with the whole list in it, as without marks.
+	// Whole is the same exchange without a cursor, so that the reply lists all tasks.
 	Whole float64
-	// Start is one start of a task, on average over all that were sent.
+	// Start is the start of a task, on average over all tasks.
 	Start float64
 }
 
@@ -45,7 +45,8 @@
 	return n, err
 }
 
-// CountRenewal runs exchanges with a worker of so many tasks on loopback.
+// CountRenewal counts the bytes of exchanges over loopback with a worker that runs the given number
+// of tasks.
 func CountRenewal(ctx context.Context, tasks int) (RenewBytes, error) {
 	w := standin.NewWorker(cell.Size{CPU: 64_000, Mem: 256 << 30}, standin.NewOversight(), time.Now)
 	srv := httptest.NewServer(w.Handler())
@@ -77,7 +78,8 @@
 	return got, err
 }
 
-// renewals returns the bytes of one renewal, on average over some of them.
+// renewals returns the average number of bytes of a renewal. With marks set, each renewal asks only
+// for changes since the cursor of the last reply.
 func renewals(ctx context.Context, c *worker.Client, addr netip.AddrPort, bytes *atomic.Int64, marks bool) (float64, error) {
 	const n = 20
 	ask := lease.Renew{TTL: time.Minute, TaskTTL: time.Minute}
--- a/internal/measure/requests_test.go
+++ b/internal/measure/requests_test.go
@@ -11,9 +11,9 @@
 	"pollencroft/internal/retry"
 )
 
-// BenchmarkUrgentWait compares urgent callers' p99 with and without a flood of
-// bulk requests, through our queue and through one FIFO queue. It runs on a
-// passed-in clock, so its figures are the same on every machine.
+// BenchmarkUrgentWait compares the p99 of urgent requests with and without a flood of bulk requests,
+// through the queue of this project and through one FIFO queue. It runs on a simulated clock, so its
+// figures are the same on every machine.
 func BenchmarkUrgentWait(b *testing.B) {
 	for name, load := range map[string]measure.UrgentLoad{
 		"mixed": {Urgent: 0.45, Bulk: 0.45, Burst: 500},
@@ -36,18 +36,19 @@
 	}
 }
 
-// A badge batch of five hundred arrives again and again while visitors are
-// scanned. The scans' p99 must stay within 1.2 times of what it is without.
+// Batches of five hundred bulk requests arrive repeatedly while urgent requests are served. The test
+// checks that the p99 of urgent requests stays within 1.2 times its value without the batches. With
+// one FIFO queue it more than doubles, which shows that the load is heavy enough.
 func TestFloodDoesNotDelayUrgent(t *testing.T) {
 	load := measure.UrgentLoad{Urgent: 0.45, Bulk: 0.45, Burst: 500, For: 30 * time.Second}
 	quiet := load
 	quiet.Bulk = 0
 	require.LessOrEqual(t, load.Ours().Urgent.Seconds(), 1.2*quiet.Ours().Urgent.Seconds())
-	require.Greater(t, load.FIFO().Urgent.Seconds(), 2*quiet.FIFO().Urgent.Seconds(), "the load is one that hurts")
+	require.Greater(t, load.FIFO().Urgent.Seconds(), 2*quiet.FIFO().Urgent.Seconds(), "the load must be heavy enough to delay urgent requests in a FIFO queue")
 }
 
-// BenchmarkRelay compares the throughput of small requests through a real host
-// with the standard library's reverse proxy before the same backend server.
+// BenchmarkRelay compares the throughput of small requests through a real host with that through the
+// standard library's reverse proxy, in front of the same backend server.
 func BenchmarkRelay(b *testing.B) {
 	bench, err := measure.NewRelayBench()
 	require.NoError(b, err)
@@ -73,8 +74,8 @@
 	}
 }
 
-// BenchmarkRetryLoad compares the load on backend servers that fail everything
-// with a row's retry budget and without one.
+// BenchmarkRetryLoad compares the load on backend servers that fail every request, with and without
+// a retry budget.
 func BenchmarkRetryLoad(b *testing.B) {
 	for b.Loop() {
 		b.ReportMetric(measure.RetryLoad(b.Context(), retry.DefaultLimits, 2000), "got/asked")
@@ -82,16 +83,16 @@
 	}
 }
 
-// BenchmarkQueueStep is the cost of one request through the queue core while
-// that many others wait.
+// BenchmarkQueueStep measures the cost of one request through the queue state machine while many
+// others wait.
 func BenchmarkQueueStep(b *testing.B) {
 	for _, waiting := range []int{16, 4000} {
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) { measure.QueueStep(waiting, b.Loop) })
 	}
 }
 
-// BenchmarkBlackHole is the part of urgent requests that one minion of 16
-// swallows, on a passed-in clock, with and without setting outliers aside.
+// BenchmarkBlackHole prints the fraction of urgent requests that are lost because one of 16 backend
+// servers never answers, with and without the quarantine of outliers. It runs on a simulated clock.
 func BenchmarkBlackHole(b *testing.B) {
 	for b.Loop() {
 		b.ReportMetric(1e6*measure.HoleLoss(true), "lost-ppm")
--- a/internal/measure/retry.go
+++ b/internal/measure/retry.go
@@ -26,12 +26,11 @@
 	"pollencroft/internal/table"
 )
 
-// NoBudget lets every request use all tries of its row: the baseline.
+// NoBudget is the baseline, in which every request may use all tries of its row.
 var NoBudget = retry.Limits{Ratio: 1 << 10, Initial: 1 << 20, Max: 1 << 20}
 
-// RetryLoad sends requests of an idempotent row through a relay to backend
-// servers that fail all of them, and returns how many of these the servers got
-// for each one asked.
+// RetryLoad sends requests of an idempotent row through a relay to backend servers that fail all of
+// them. It returns the average number of tries that reach the servers for each request.
 func RetryLoad(ctx context.Context, limits retry.Limits, asked int) float64 {
 	row := table.Row{Name: "badges", Class: "bulk", Weight: 1, Tries: 3, Idempotent: true}
 	x := relay.New(relay.Deps{
--- a/internal/measure/scan.go
+++ b/internal/measure/scan.go
@@ -8,35 +8,36 @@
 	"pollencroft/internal/place"
 )
 
-// Scan is the baseline of placement decisions: on every event it walks the
-// queue by class and age and scans all workers for each waiting task.
+// Scan is the baseline for placement decisions. On every event it goes through the queue by class
+// and age and scans all workers for each waiting task.
 type Scan struct {
 	names   []string
 	free    []cell.Size
 	taken   map[string]cell.Size
 	on      map[string]int
 	waiting [][]place.Request
-	// first takes the first worker that fits instead of the fullest, and one
-	// makes one queue of all classes, in which nothing passes the head.
+	// first selects the first worker on which a task fits, instead of the fullest one. With one set,
+	// all classes share one queue, in which no task passes the first one.
 	first, one bool
 }
 
-// NewFirstFit returns the baseline of packing: the first worker with room for
-// what is declared.
+// NewFirstFit returns the baseline for packing, which selects the first worker with enough free
+// capacity for the declared size.
 func NewFirstFit() *Scan {
 	s := NewScan()
 	s.first = true
 	return s
 }
 
-// NewFIFO returns the baseline of waiting: one queue in order of age.
+// NewFIFO returns the baseline for waiting times, a first-fit placement with one queue for all
+// classes in order of arrival.
 func NewFIFO() *Scan {
 	s := NewFirstFit()
 	s.one = true
 	return s
 }
 
-// NewScan returns a baseline without workers.
+// NewScan returns a Scan without workers.
 func NewScan() *Scan {
 	return &Scan{
 		taken: map[string]cell.Size{}, on: map[string]int{},
@@ -44,7 +45,8 @@
 	}
 }
 
-// Step takes Up, Want and Freed as the placement core does.
+// Step handles place.Up, place.Request and place.Freed as the placement state machine does, and
+// ignores all other events.
 func (s *Scan) Step(_ time.Time, ev place.Event) []place.Action {
 	switch ev := ev.(type) {
 	case place.Up:
--- a/internal/measure/takeover.go
+++ b/internal/measure/takeover.go
@@ -24,27 +24,28 @@
 	"pollencroft/internal/worker"
 )
 
-// Takeover is one failure domain on a passed-in clock whose busiest lead dies.
-// Messages take no time, so what is measured is what the rules wait for.
+// Takeover describes one failure domain on a simulated clock, in which the leader that has all jobs
+// dies. Messages take no time, so the results contain only the waits that the protocol prescribes.
 type Takeover struct {
-	// Hosts, Racks and Workers are counts in the domain.
+	// Hosts, Racks and Workers are numbers in the domain.
 	Hosts, Racks, Workers int
-	// Jobs run at the lead that dies, each with Tasks of one core. As many more
-	// were accepted, and the lead dies before their starts are on the wire.
+	// Jobs is the number of jobs that run under the leader that dies, each with Tasks tasks of one
+	// core. The leader accepts as many more and dies before it sends their starts.
 	Jobs, Tasks int
-	// OneLead gives all racks to one host, as the baseline does.
+	// OneLead assigns all racks to one host, which is the baseline.
 	OneLead bool
 }
 
-// TookOver is how long after the death things went on.
+// TookOver is the result of a Takeover. Times count from the death of the leader.
 type TookOver struct {
-	// Fresh is when an urgent job that came right after the death started.
+	// Fresh is when an urgent job starts that is submitted right after the death.
 	Fresh time.Duration
-	// Inherited is when the last inherited task that had waited started.
+	// Inherited is when the last task starts that was accepted but not started at the death.
 	Inherited time.Duration
-	// Waited counts the inherited jobs with tasks that had not started.
+	// Waited counts the inherited jobs with tasks that had not started at the death.
 	Waited int
-	// Doubled and Overfilled are the workers' records of broken promises.
+	// Doubled counts the tasks that ran in two places at once, and Overfilled the times a worker got
+	// more tasks than fit on it.
 	Doubled, Overfilled int
 }
 
@@ -73,14 +74,14 @@
 	open     map[string]job.Spec
 }
 
-// RoundTrip hands a request to the worker that it is for.
+// RoundTrip passes a request to the handler of the worker at its address.
 func (r *takeoverRun) RoundTrip(req *http.Request) (*http.Response, error) {
 	rec := httptest.NewRecorder()
 	r.workers[req.URL.Host].Handler().ServeHTTP(rec, req)
 	return rec.Result(), nil
 }
 
-// Run plays the death of a lead and returns what went on when.
+// Run simulates the death of a leader and returns when new and inherited jobs start.
 func (t Takeover) Run() TookOver {
 	r := &takeoverRun{
 		Takeover: t, now: time.Unix(1_700_000_000, 0), workers: map[string]*standin.Worker{},
@@ -116,7 +117,7 @@
 	r.live = append(r.live, name)
 }
 
-// ask brings the census question to all live peers at once.
+// ask sends the inventory request to all live peers at once and passes on their replies.
 func (r *takeoverRun) ask(h *domainHost) {
 	q := h.lead.InventoryRequest()
 	for _, other := range r.hosts {
@@ -126,7 +127,7 @@
 	}
 }
 
-// leads names the lead of each rack as the live hosts see it.
+// leads returns the leader of each rack as the live hosts determine it.
 func (r *takeoverRun) leads() map[string]string {
 	var racks []string
 	for i := range r.Racks {
@@ -158,7 +159,7 @@
 	}
 }
 
-// pass lets time go by in the steps of a host's own tick.
+// pass advances the clock by d in steps of tickEvery and ticks every live host in each.
 func (r *takeoverRun) pass(d time.Duration) {
 	for end := r.now.Add(d); r.now.Before(end); r.now = r.now.Add(tickEvery) {
 		for _, h := range r.hosts {
@@ -206,7 +207,7 @@
 	return ""
 }
 
-// started counts the tasks of a job that run or ran on any worker.
+// started counts the tasks of a job that any worker has started.
 func (r *takeoverRun) started(id string) int {
 	tasks := map[string]bool{}
 	for _, w := range r.workers {
@@ -266,7 +267,7 @@
 	return got
 }
 
-// offer submits an urgent job to the first live host that takes it.
+// offer submits an urgent job to the first live host that accepts it, and returns its id or "".
 func (r *takeoverRun) offer() string {
 	for _, h := range r.hosts {
 		if id := r.submit(h, cell.Urgent, 1, cell.Size{CPU: 500, Mem: 1 << 20}); id != "" {
--- a/internal/measure/takeover_test.go
+++ b/internal/measure/takeover_test.go
@@ -12,9 +12,9 @@
 	"pollencroft/internal/measure"
 )
 
-// BenchmarkTakeover kills a lead whose racks are full and whose jobs wait, and
-// tells after how long a fresh urgent job and the last inherited task start,
-// beside a domain in which one host leads all racks. The clock is passed in.
+// BenchmarkTakeover kills a leader that has running and waiting jobs. It prints how long after that
+// a new urgent job and the last inherited task start, and compares this with a failure domain in
+// which one host leads all racks. It runs on a simulated clock.
 func BenchmarkTakeover(b *testing.B) {
 	for name, load := range map[string]measure.Takeover{
 		"today":  {Hosts: 3, Racks: 2, Workers: 16, Jobs: 3, Tasks: 30},
@@ -36,8 +36,8 @@
 	}
 }
 
-// BenchmarkRenewal tells the bytes on the wire of one renewal, headers and all,
-// beside one that carries the whole list, and what 46 led workers cost.
+// BenchmarkRenewal prints the bytes on the wire of one renewal, including headers, compares it with
+// a renewal whose reply lists all tasks, and prints the bytes a second for 46 workers.
 func BenchmarkRenewal(b *testing.B) {
 	for b.Loop() {
 		got, err := measure.CountRenewal(context.Background(), 20)
@@ -56,9 +56,9 @@
 	}
 }
 
-// A lead dies at the height of the day. A job that comes right after goes to a
-// live lead and starts at once; what the dead one had accepted goes on after
-// one lease and a census, and nothing runs twice.
+// A leader dies under high load. An urgent job submitted right after that goes to a live leader and
+// starts without waiting for the takeover. Jobs that the dead leader had accepted start after one
+// lease and an inventory. No task runs twice and no worker is overfilled.
 func TestFreshUrgentJobDoesNotWaitForATakeover(t *testing.T) {
 	got := measure.Takeover{Hosts: 3, Racks: 2, Workers: 8, Jobs: 3, Tasks: 32}.Run()
 	require.Less(t, got.Fresh, 1900*time.Millisecond)
--- a/internal/measure/urgent.go
+++ b/internal/measure/urgent.go
@@ -12,17 +12,17 @@
 	"pollencroft/internal/queue"
 )
 
-// UrgentLoad is a load of urgent requests beside a flood of bulk ones. Loads
-// are parts of what all slots can do.
+// UrgentLoad is a load of urgent requests together with a flood of bulk requests. Urgent and Bulk
+// are fractions of the capacity of all slots.
 type UrgentLoad struct {
 	Urgent, Bulk float64
-	// Burst is how many bulk requests come at once.
+	// Burst is the number of bulk requests that arrive at once.
 	Burst int
-	// For is how long the load lasts on the passed-in clock.
+	// For is how long the load lasts on the simulated clock.
 	For time.Duration
 }
 
-// Servers and times of the load.
+// The backend servers, their slots, and the times of an UrgentLoad.
 const (
 	loadMinions = 16
 	loadSlots   = 3
@@ -39,7 +39,7 @@
 	took  time.Duration
 }
 
-// arrivals draws the same load for the same seed, whatever serves it.
+// arrivals draws the requests from a fixed seed, so that every server gets the same load.
 func (l UrgentLoad) arrivals(start time.Time) []arrival {
 	r := rand.New(rand.NewPCG(7, 11))
 	capacity := float64(loadMinions * loadSlots)
@@ -60,7 +60,7 @@
 	return all
 }
 
-// event is an arrival, the end of a request, or a tick when both are empty.
+// event is the arrival of a request, the end of a request, or a tick if both pointers are nil.
 type event struct {
 	at     time.Time
 	order  int
@@ -86,14 +86,14 @@
 	return last
 }
 
-// server decides when requests are sent; it returns those to send now.
+// server decides when requests are sent. Each method returns the ids of those to send now.
 type server interface {
 	arrive(now time.Time, a *arrival) []string
 	end(now time.Time, a *arrival) []string
 	tick(now time.Time) []string
 }
 
-// fifo is the baseline: one queue for all, in order of arrival.
+// fifo is the baseline, one queue for all requests in order of arrival.
 type fifo struct {
 	free int
 	wait []string
@@ -114,7 +114,7 @@
 	return out
 }
 
-// ours is the queue core.
+// ours is the queue state machine as a server.
 type ours struct{ q *queue.Queue }
 
 func newOurs(now time.Time) ours {
@@ -149,15 +149,15 @@
 	return ids
 }
 
-// Waits are how long callers waited for their answers.
+// Waits is the result of an UrgentLoad.
 type Waits struct {
-	// Urgent is the 99th percentile of urgent callers.
+	// Urgent is the 99th percentile of the time until an urgent request is answered.
 	Urgent time.Duration
-	// Bulk is how many bulk requests were answered.
+	// Bulk counts the answered bulk requests.
 	Bulk int
 }
 
-// play runs a load through a server until the load ends.
+// play runs the load through a server until no event is left.
 func (l UrgentLoad) play(start time.Time, s server) Waits {
 	var line events
 	all := l.arrivals(start)
@@ -201,19 +201,19 @@
 	w.Bulk++
 }
 
-// Ours plays the load through the queue core.
+// Ours runs the load through the queue state machine.
 func (l UrgentLoad) Ours() Waits {
 	start := time.Unix(1_700_000_000, 0)
 	return l.play(start, newOurs(start))
 }
 
-// FIFO plays the same load through one queue in order of arrival.
+// FIFO runs the same load through one queue in order of arrival.
 func (l UrgentLoad) FIFO() Waits {
 	return l.play(time.Unix(1_700_000_000, 0), &fifo{free: loadMinions * loadSlots})
 }
 
-// QueueStep takes one request after another in and out of a queue in which
-// that many others wait, while loop says so.
+// QueueStep adds and ends one request after another, in a queue in which the given number of others
+// wait, as long as loop returns true.
 func QueueStep(waiting int, loop func() bool) {
 	now := time.Unix(1_700_000_000, 0)
 	o := newOurs(now)
