--- a/internal/measure/hole.go
+++ b/internal/measure/hole.go
@@ -15,7 +15,7 @@
 
 // hole simulates urgent requests on backend servers, the first of which never answers.
 type hole struct {
-	o    ours
+	o    queueServer
 	out  *outlier.Detector
 	line events
 	byID map[string]*arrival
--- a/internal/measure/urgent.go
+++ b/internal/measure/urgent.go
@@ -114,11 +114,11 @@
 	return out
 }
 
-// ours is the queue state machine as a server.
-type ours struct{ q *queue.Queue }
+// queueServer is the queue state machine as a server.
+type queueServer struct{ q *queue.Queue }
 
-func newOurs(now time.Time) ours {
-	o := ours{queue.New(queue.DefaultLimits)}
+func newOurs(now time.Time) queueServer {
+	o := queueServer{queue.New(queue.DefaultLimits)}
 	var all []queue.Share
 	for i := range loadMinions {
 		all = append(all, queue.Share{Backend: fmt.Sprintf("m%02d", i), Slots: loadSlots})
@@ -127,17 +127,17 @@
 	return o
 }
 
-func (o ours) arrive(now time.Time, a *arrival) []string {
+func (o queueServer) arrive(now time.Time, a *arrival) []string {
 	return sends(o.q.Step(now, queue.Enqueue{
 		ID: a.id, Row: queue.Row{Name: a.class.String(), Class: a.class, Weight: 1}, Deadline: now.Add(patience),
 	}))
 }
 
-func (o ours) end(now time.Time, a *arrival) []string {
+func (o queueServer) end(now time.Time, a *arrival) []string {
 	return sends(o.q.Step(now, queue.Ended{ID: a.id, Took: a.took}))
 }
 
-func (o ours) tick(now time.Time) []string { return sends(o.q.Step(now, queue.Tick{})) }
+func (o queueServer) tick(now time.Time) []string { return sends(o.q.Step(now, queue.Tick{})) }
 
 func sends(acts []queue.Action) []string {
 	var ids []string
