--- a/internal/measure/hole.go
+++ b/internal/measure/hole.go
@@ -30,7 +30,7 @@
 	start := time.Unix(1_700_000_000, 0)
 	load := UrgentLoad{Urgent: 0.45, For: time.Minute}
 	all := load.arrivals(start)
-	h := &hole{o: newOurs(start), byID: map[string]*arrival{}, at: map[string]string{}}
+	h := &hole{o: newQueueServer(start), byID: map[string]*arrival{}, at: map[string]string{}}
 	if setAside {
 		h.out = outlier.New(outlier.DefaultLimits)
 		var names []string
--- a/internal/measure/urgent.go
+++ b/internal/measure/urgent.go
@@ -117,7 +117,7 @@
 // queueServer is the queue state machine as a server.
 type queueServer struct{ q *queue.Queue }
 
-func newOurs(now time.Time) queueServer {
+func newQueueServer(now time.Time) queueServer {
 	o := queueServer{queue.New(queue.DefaultLimits)}
 	var all []queue.Share
 	for i := range loadMinions {
@@ -204,7 +204,7 @@
 // Ours runs the load through the queue state machine.
 func (l UrgentLoad) Ours() Waits {
 	start := time.Unix(1_700_000_000, 0)
-	return l.play(start, newOurs(start))
+	return l.play(start, newQueueServer(start))
 }
 
 // FIFO runs the same load through one queue in order of arrival.
@@ -216,7 +216,7 @@
 // wait, as long as loop returns true.
 func QueueStep(waiting int, loop func() bool) {
 	now := time.Unix(1_700_000_000, 0)
-	o := newOurs(now)
+	o := newQueueServer(now)
 	at := func(i int) *arrival {
 		return &arrival{id: fmt.Sprintf("r%09d", i), class: cell.Classes[i%len(cell.Classes)], took: time.Millisecond}
 	}
