--- a/internal/measure/requests_test.go
+++ b/internal/measure/requests_test.go
@@ -24,7 +24,7 @@
 				load.For = 2 * time.Minute
 				quiet := load
 				quiet.Bulk = 0
-				none, flood, fifo := quiet.Ours(), load.Ours(), load.FIFO()
+				none, flood, fifo := quiet.RunQueue(), load.RunQueue(), load.FIFO()
 				b.ReportMetric(float64(none.Urgent.Microseconds())/1000, "quiet-ms")
 				b.ReportMetric(float64(flood.Urgent.Microseconds())/1000, "flood-ms")
 				b.ReportMetric(float64(fifo.Urgent.Microseconds())/1000, "fifo-ms")
@@ -43,7 +43,7 @@
 	load := measure.UrgentLoad{Urgent: 0.45, Bulk: 0.45, Burst: 500, For: 30 * time.Second}
 	quiet := load
 	quiet.Bulk = 0
-	require.LessOrEqual(t, load.Ours().Urgent.Seconds(), 1.2*quiet.Ours().Urgent.Seconds())
+	require.LessOrEqual(t, load.RunQueue().Urgent.Seconds(), 1.2*quiet.RunQueue().Urgent.Seconds())
 	require.Greater(t, load.FIFO().Urgent.Seconds(), 2*quiet.FIFO().Urgent.Seconds(), "the load must be heavy enough to delay urgent requests in a FIFO queue")
 }
 
--- a/internal/measure/urgent.go
+++ b/internal/measure/urgent.go
@@ -201,8 +201,8 @@
 	w.Bulk++
 }
 
-// Ours runs the load through the queue state machine.
-func (l UrgentLoad) Ours() Waits {
+// RunQueue runs the load through the queue state machine.
+func (l UrgentLoad) RunQueue() Waits {
 	start := time.Unix(1_700_000_000, 0)
 	return l.play(start, newQueueServer(start))
 }
