--- a/internal/measure/requests_test.go
+++ b/internal/measure/requests_test.go
@@ -24,12 +24,12 @@
 				load.For = 2 * time.Minute
 				quiet := load
 				quiet.Bulk = 0
-				none, flood, fifo := quiet.RunQueue(), load.RunQueue(), load.FIFO()
+				none, flood, fifo := quiet.RunQueue(), load.RunQueue(), load.RunFIFO()
 				b.ReportMetric(float64(none.Urgent.Microseconds())/1000, "quiet-ms")
 				b.ReportMetric(float64(flood.Urgent.Microseconds())/1000, "flood-ms")
 				b.ReportMetric(float64(fifo.Urgent.Microseconds())/1000, "fifo-ms")
 				b.ReportMetric(flood.Urgent.Seconds()/none.Urgent.Seconds(), "flood/quiet")
-				b.ReportMetric(fifo.Urgent.Seconds()/quiet.FIFO().Urgent.Seconds(), "fifo-flood/quiet")
+				b.ReportMetric(fifo.Urgent.Seconds()/quiet.RunFIFO().Urgent.Seconds(), "fifo-flood/quiet")
 				b.ReportMetric(float64(flood.Bulk)/float64(fifo.Bulk), "bulk/fifo")
 			}
 		})
@@ -44,7 +44,7 @@
 	quiet := load
 	quiet.Bulk = 0
 	require.LessOrEqual(t, load.RunQueue().Urgent.Seconds(), 1.2*quiet.RunQueue().Urgent.Seconds())
-	require.Greater(t, load.FIFO().Urgent.Seconds(), 2*quiet.FIFO().Urgent.Seconds(), "the load must be heavy enough to delay urgent requests in a FIFO queue")
+	require.Greater(t, load.RunFIFO().Urgent.Seconds(), 2*quiet.RunFIFO().Urgent.Seconds(), "the load must be heavy enough to delay urgent requests in a FIFO queue")
 }
 
 // BenchmarkRelay compares the throughput of small requests through a real host with that through the
--- a/internal/measure/urgent.go
+++ b/internal/measure/urgent.go
@@ -207,8 +207,8 @@
 	return l.play(start, newQueueServer(start))
 }
 
-// FIFO runs the same load through one queue in order of arrival.
-func (l UrgentLoad) FIFO() Waits {
+// RunFIFO runs the same load through one queue in order of arrival.
+func (l UrgentLoad) RunFIFO() Waits {
 	return l.play(time.Unix(1_700_000_000, 0), &fifo{free: loadMinions * loadSlots})
 }
 
