--- a/internal/measure/hole.go
+++ b/internal/measure/hole.go
@@ -34,7 +34,7 @@
 	if setAside {
 		h.out = outlier.New(outlier.DefaultLimits)
 		var names []string
-		for i := range loadMinions {
+		for i := range loadBackends {
 			names = append(names, fmt.Sprintf("m%02d", i))
 		}
 		h.out.Step(start, outlier.ServersListed{Backends: names})
@@ -85,7 +85,7 @@
 		return
 	}
 	var all []queue.Share
-	for i := range loadMinions {
+	for i := range loadBackends {
 		name := fmt.Sprintf("m%02d", i)
 		all = append(all, queue.Share{Backend: name, Slots: h.out.MaxSlots(name, loadSlots)})
 	}
--- a/internal/measure/urgent.go
+++ b/internal/measure/urgent.go
@@ -24,12 +24,12 @@
 
 // The backend servers, their slots, and the times of an UrgentLoad.
 const (
-	loadMinions = 16
-	loadSlots   = 3
-	urgentTime  = 20 * time.Millisecond
-	bulkTime    = 60 * time.Millisecond
-	patience    = 30 * time.Second
-	loadTick    = 20 * time.Millisecond
+	loadBackends = 16
+	loadSlots    = 3
+	urgentTime   = 20 * time.Millisecond
+	bulkTime     = 60 * time.Millisecond
+	patience     = 30 * time.Second
+	loadTick     = 20 * time.Millisecond
 )
 
 type arrival struct {
@@ -42,7 +42,7 @@
 // arrivals draws the requests from a fixed seed, so that every server gets the same load.
 func (l UrgentLoad) arrivals(start time.Time) []arrival {
 	r := rand.New(rand.NewPCG(7, 11))
-	capacity := float64(loadMinions * loadSlots)
+	capacity := float64(loadBackends * loadSlots)
 	var all []arrival
 	draw := func(class cell.Class, load float64, took time.Duration, burst int, spread func() float64) {
 		if load <= 0 {
@@ -120,7 +120,7 @@
 func newQueueServer(now time.Time) queueServer {
 	o := queueServer{queue.New(queue.DefaultLimits)}
 	var all []queue.Share
-	for i := range loadMinions {
+	for i := range loadBackends {
 		all = append(all, queue.Share{Backend: fmt.Sprintf("m%02d", i), Slots: loadSlots})
 	}
 	o.q.Step(now, queue.Shares{All: all})
@@ -209,7 +209,7 @@
 
 // RunFIFO runs the same load through one queue in order of arrival.
 func (l UrgentLoad) RunFIFO() Waits {
-	return l.play(time.Unix(1_700_000_000, 0), &fifo{free: loadMinions * loadSlots})
+	return l.play(time.Unix(1_700_000_000, 0), &fifo{free: loadBackends * loadSlots})
 }
 
 // QueueStep adds and ends one request after another, in a queue in which the given number of others
@@ -222,7 +222,7 @@
 	}
 	var line []string
 	n := 0
-	for ; n < waiting+loadMinions*loadSlots; n++ {
+	for ; n < waiting+loadBackends*loadSlots; n++ {
 		line = append(line, o.arrive(now, at(n))...)
 	}
 	for ; loop(); n++ {
