--- a/internal/measure/urgent.go
+++ b/internal/measure/urgent.go
@@ -24,12 +24,12 @@
 
 // The backend servers, their slots, and the times of an UrgentLoad.
 const (
-	loadBackends = 16
-	loadSlots    = 3
-	urgentTime   = 20 * time.Millisecond
-	bulkTime     = 60 * time.Millisecond
-	patience     = 30 * time.Second
-	loadTick     = 20 * time.Millisecond
+	loadBackends      = 16
+	loadSlots         = 3
+	urgentTime        = 20 * time.Millisecond
+	bulkTime          = 60 * time.Millisecond
+	urgentLoadTimeout = 30 * time.Second
+	loadTick          = 20 * time.Millisecond
 )
 
 type arrival struct {
@@ -129,7 +129,7 @@
 
 func (o queueServer) arrive(now time.Time, a *arrival) []string {
 	return sends(o.q.Step(now, queue.Enqueue{
-		ID: a.id, Row: queue.Row{Name: a.class.String(), Class: a.class, Weight: 1}, Deadline: now.Add(patience),
+		ID: a.id, Row: queue.Row{Name: a.class.String(), Class: a.class, Weight: 1}, Deadline: now.Add(urgentLoadTimeout),
 	}))
 }
 
