--- a/internal/measure/requests_test.go
+++ b/internal/measure/requests_test.go
@@ -95,7 +95,7 @@
 // servers never answers, with and without the quarantine of outliers. It runs on a simulated clock.
 func BenchmarkBlackHole(b *testing.B) {
 	for b.Loop() {
-		b.ReportMetric(1e6*measure.HoleLoss(true), "lost-ppm")
-		b.ReportMetric(1e6*measure.HoleLoss(false), "unguarded-lost-ppm")
+		b.ReportMetric(1e6*measure.BlackHoleLoss(true), "lost-ppm")
+		b.ReportMetric(1e6*measure.BlackHoleLoss(false), "unguarded-lost-ppm")
 	}
 }
