--- a/internal/measure/hole.go
+++ b/internal/measure/hole.go
@@ -13,8 +13,8 @@
 // holePatience is the caller's timeout for a request that is never answered.
 const holePatience = 2 * time.Second
 
-// hole simulates urgent requests on backend servers, the first of which never answers.
-type hole struct {
+// blackHoleRun simulates urgent requests on backend servers, the first of which never answers.
+type blackHoleRun struct {
 	o    queueServer
 	out  *outlier.Detector
 	line events
@@ -30,7 +30,7 @@
 	start := time.Unix(1_700_000_000, 0)
 	load := UrgentLoad{Urgent: 0.45, For: time.Minute}
 	all := load.arrivals(start)
-	h := &hole{o: newQueueServer(start), byID: map[string]*arrival{}, at: map[string]string{}}
+	h := &blackHoleRun{o: newQueueServer(start), byID: map[string]*arrival{}, at: map[string]string{}}
 	if setAside {
 		h.out = outlier.New(outlier.DefaultLimits)
 		var names []string
@@ -54,7 +54,7 @@
 	return float64(h.lost) / float64(len(all))
 }
 
-func (h *hole) step(e event) {
+func (h *blackHoleRun) step(e event) {
 	switch {
 	case e.arrive != nil:
 		h.send(e.at, h.o.q.Step(e.at, queue.Enqueue{
@@ -68,7 +68,7 @@
 	}
 }
 
-func (h *hole) end(e event) {
+func (h *blackHoleRun) end(e event) {
 	result := outlier.Succeeded
 	if h.swallows(e.end.id) {
 		h.lost++
@@ -78,9 +78,9 @@
 	h.send(e.at, h.o.q.Step(e.at, queue.Ended{ID: e.end.id, Took: e.end.took, Failed: result == outlier.Failed}))
 }
 
-func (h *hole) swallows(id string) bool { return h.at[id] == "m00" }
+func (h *blackHoleRun) swallows(id string) bool { return h.at[id] == "m00" }
 
-func (h *hole) watch(now time.Time, ev outlier.Event) {
+func (h *blackHoleRun) watch(now time.Time, ev outlier.Event) {
 	if h.out == nil || len(h.out.Step(now, ev)) == 0 {
 		return
 	}
@@ -92,7 +92,7 @@
 	h.send(now, h.o.q.Step(now, queue.Shares{All: all}))
 }
 
-func (h *hole) send(now time.Time, acts []queue.Action) {
+func (h *blackHoleRun) send(now time.Time, acts []queue.Action) {
 	for _, a := range acts {
 		send, ok := a.(queue.Send)
 		if !ok {
