--- a/internal/measure/hole.go
+++ b/internal/measure/hole.go
@@ -10,8 +10,8 @@
 	"pollencroft/internal/queue"
 )
 
-// holePatience is the caller's timeout for a request that is never answered.
-const holePatience = 2 * time.Second
+// blackHoleTimeout is the caller's timeout for a request that is never answered.
+const blackHoleTimeout = 2 * time.Second
 
 // blackHoleRun simulates urgent requests on backend servers, the first of which never answers.
 type blackHoleRun struct {
@@ -58,7 +58,7 @@
 	switch {
 	case e.arrive != nil:
 		h.send(e.at, h.o.q.Step(e.at, queue.Enqueue{
-			ID: e.arrive.id, Row: queue.Row{Name: "scan", Class: cell.Urgent, Weight: 1}, Deadline: e.at.Add(holePatience),
+			ID: e.arrive.id, Row: queue.Row{Name: "scan", Class: cell.Urgent, Weight: 1}, Deadline: e.at.Add(blackHoleTimeout),
 		}))
 	case e.end != nil:
 		h.end(e)
@@ -104,7 +104,7 @@
 		}
 		took := h.byID[send.ID].took
 		if h.swallows(send.ID) {
-			took = holePatience
+			took = blackHoleTimeout
 		}
 		h.n++
 		heap.Push(&h.line, event{at: now.Add(took), order: h.n, end: h.byID[send.ID]})
