--- a/internal/measure/hole.go
+++ b/internal/measure/hole.go
@@ -70,7 +70,7 @@
 
 func (h *blackHoleRun) end(e event) {
 	result := outlier.Succeeded
-	if h.swallows(e.end.id) {
+	if h.neverAnswered(e.end.id) {
 		h.lost++
 		result = outlier.Failed
 	}
@@ -78,7 +78,7 @@
 	h.send(e.at, h.o.q.Step(e.at, queue.Ended{ID: e.end.id, Took: e.end.took, Failed: result == outlier.Failed}))
 }
 
-func (h *blackHoleRun) swallows(id string) bool { return h.at[id] == "m00" }
+func (h *blackHoleRun) neverAnswered(id string) bool { return h.at[id] == "m00" }
 
 func (h *blackHoleRun) watch(now time.Time, ev outlier.Event) {
 	if h.out == nil || len(h.out.Step(now, ev)) == 0 {
@@ -103,7 +103,7 @@
 			h.out.Step(now, outlier.Sent{ID: send.ID, Backend: send.Backend, Row: "scan"})
 		}
 		took := h.byID[send.ID].took
-		if h.swallows(send.ID) {
+		if h.neverAnswered(send.ID) {
 			took = blackHoleTimeout
 		}
 		h.n++
