--- a/internal/measure/ledger.go
+++ b/internal/measure/ledger.go
@@ -66,7 +66,7 @@
 		return 0, 0, errors.Wrap(err, "listen as proxy")
 	}
 	defer front.Close()
-	p := &swallower{target: target.Addr().String()}
+	p := &droppingProxy{target: target.Addr().String()}
 	go p.serve(ctx, front)
 	clients := peer.NewClients(map[string]netip.AddrPort{"peer": netip.MustParseAddrPort(front.Addr().String())})
 	defer clients.Close()
@@ -81,13 +81,13 @@
 	return ask(), ask(), nil
 }
 
-// swallower is a TCP proxy that drops all data on its first connections, up to number drop.
-type swallower struct {
+// droppingProxy is a TCP proxy that drops all data on its first connections, up to number drop.
+type droppingProxy struct {
 	target      string
 	conns, drop atomic.Int64
 }
 
-func (p *swallower) serve(ctx context.Context, ln net.Listener) {
+func (p *droppingProxy) serve(ctx context.Context, ln net.Listener) {
 	for {
 		in, err := ln.Accept()
 		if err != nil {
@@ -104,7 +104,7 @@
 	}
 }
 
-func (p *swallower) pipe(from, to net.Conn, n int64) {
+func (p *droppingProxy) pipe(from, to net.Conn, n int64) {
 	defer to.Close()
 	b := make([]byte, 32<<10)
 	for {
