--- a/internal/measure/jobs.go
+++ b/internal/measure/jobs.go
@@ -45,8 +45,8 @@
 	FloodAt time.Duration
 }
 
-// JobsDone is the result of a JobLoad.
-type JobsDone struct {
+// JobLoadResult is the result of a JobLoad.
+type JobLoadResult struct {
 	// Waits holds, by class, the milliseconds from a task's submission to the start of the run that
 	// completes.
 	Waits map[cell.Class]*hdrhistogram.Histogram
@@ -128,7 +128,7 @@
 	running []map[string]*jobTask
 	waiting map[string]bool
 	jobs    int
-	done    JobsDone
+	done    JobLoadResult
 	cpu     float64
 	mem     float64
 	samples int
@@ -136,10 +136,10 @@
 
 // Play runs the load on a placement state machine. If est is not nil, it corrects declared sizes
 // and times by the measured ones.
-func (l JobLoad) Play(core Decider, est *estimate.Estimates) JobsDone {
+func (l JobLoad) Play(core Decider, est *estimate.Estimates) JobLoadResult {
 	r := &jobRun{
 		JobLoad: l, core: core, est: est, rng: rand.New(rand.NewPCG(3, 4)), now: start, tasks: map[string]*jobTask{},
-		waiting: map[string]bool{}, done: JobsDone{Waits: map[cell.Class]*hdrhistogram.Histogram{}},
+		waiting: map[string]bool{}, done: JobLoadResult{Waits: map[cell.Class]*hdrhistogram.Histogram{}},
 	}
 	for _, c := range cell.Classes {
 		r.done.Waits[c] = hdrhistogram.New(1, time.Hour.Milliseconds()*24, 3)
