--- a/internal/measure/jobs.go
+++ b/internal/measure/jobs.go
@@ -182,7 +182,7 @@
 	}
 	r.step(place.Tick{})
 	if r.since()%time.Second == 0 {
-		r.look()
+		r.sampleUsage()
 	}
 	if r.since()%reportEvery == 0 {
 		r.report()
@@ -300,8 +300,8 @@
 	}
 }
 
-// look samples the actual use of all workers and counts the overfilled ones.
-func (r *jobRun) look() {
+// sampleUsage samples the actual use of all workers and counts the overfilled ones.
+func (r *jobRun) sampleUsage() {
 	var sum cell.Size
 	for _, on := range r.running {
 		var used cell.Size
