--- a/internal/measure/jobs.go
+++ b/internal/measure/jobs.go
@@ -199,10 +199,10 @@
 		run: time.Duration(vary(int64(row.Time), row.Long)),
 	}
 	r.tasks[t.id] = t
-	r.want(t)
+	r.requestPlacement(t)
 }
 
-func (r *jobRun) want(t *jobTask) {
+func (r *jobRun) requestPlacement(t *jobTask) {
 	row := r.Rows[t.row]
 	w := place.Request{
 		Job: t.id, Row: fmt.Sprint(t.row), Class: row.Class, Size: t.declared, RunTime: row.Time, Tasks: []string{t.id},
@@ -222,7 +222,7 @@
 			r.begin(r.tasks[a.Task], a.Worker)
 		case place.Preempt:
 			t := r.tasks[a.Task]
-			r.later(stopTicks*jobTick, t, func() { r.end(t); r.want(t) })
+			r.later(stopTicks*jobTick, t, func() { r.end(t); r.requestPlacement(t) })
 		case place.Throttle:
 			t := r.tasks[a.Task]
 			t.use.CPU = int64(float64(t.use.CPU) * a.Share)
@@ -281,7 +281,7 @@
 	if !slices.Contains(t.avoid, worker) {
 		t.avoid = append(t.avoid, worker)
 	}
-	r.want(t)
+	r.requestPlacement(t)
 }
 
 func (r *jobRun) cancelHalf() {
