--- a/internal/measure/jobs.go
+++ b/internal/measure/jobs.go
@@ -69,7 +69,7 @@
 	// reportLag is the age of the usage that a worker reports.
 	reportLag   = 10 * time.Second
 	reportEvery = 5 * time.Second
-	settleFor   = 5 * time.Minute
+	warmUp      = 5 * time.Minute
 	// rampFor is how long after its start a task uses less than its full amount.
 	rampFor = 15 * time.Second
 )
@@ -314,7 +314,7 @@
 		// An overfilled worker provides no more than its capacity.
 		sum = sum.Add(cell.Size{CPU: min(used.CPU, workerSize.CPU), Mem: min(used.Mem, workerSize.Mem)})
 	}
-	if r.since() < settleFor {
+	if r.since() < warmUp {
 		return
 	}
 	n := float64(len(r.running))
