--- a/internal/measure/decide.go
+++ b/internal/measure/decide.go
@@ -54,7 +54,7 @@
 	}
 	for waiting := 0; waiting < queued; {
 		before := len(d.running)
-		d.step(d.want())
+		d.step(d.newRequest())
 		waiting += 1 - (len(d.running) - before)
 	}
 	d.Times = hdrhistogram.New(1, int64(time.Minute), 3)
@@ -62,7 +62,7 @@
 	return d
 }
 
-func (d *Decide) want() place.Request {
+func (d *Decide) newRequest() place.Request {
 	row := d.rng.IntN(decideRows)
 	d.jobs++
 	job := fmt.Sprintf("j%d", d.jobs)
@@ -108,7 +108,7 @@
 	d.running[i] = d.running[len(d.running)-1]
 	d.running = d.running[:len(d.running)-1]
 	d.step(place.Freed{Task: ended})
-	d.step(d.want())
+	d.step(d.newRequest())
 	d.confirm()
 }
 
