--- a/internal/measure/decide.go
+++ b/internal/measure/decide.go
@@ -42,8 +42,8 @@
 	now     time.Time
 	// Times holds the durations of single steps in nanoseconds.
 	Times *hdrhistogram.Histogram
-	// Puts counts the placed tasks.
-	Puts int
+	// Placed counts the placed tasks.
+	Placed int
 }
 
 // NewDecide fills the workers with tasks and then queues the given number of waiting jobs.
@@ -58,7 +58,7 @@
 		waiting += 1 - (len(d.running) - before)
 	}
 	d.Times = hdrhistogram.New(1, int64(time.Minute), 3)
-	d.Puts = 0
+	d.Placed = 0
 	return d
 }
 
@@ -83,7 +83,7 @@
 		switch a := a.(type) {
 		case place.Assign:
 			d.running = append(d.running, a.Task)
-			d.Puts++
+			d.Placed++
 		case place.Preempt:
 			d.stopped = append(d.stopped, a.Task)
 		}
