--- a/internal/measure/takeover.go
+++ b/internal/measure/takeover.go
@@ -36,8 +36,8 @@
 	OneLead bool
 }
 
-// TookOver is the result of a Takeover. Times count from the death of the leader.
-type TookOver struct {
+// TakeoverResult is the result of a Takeover. Times count from the death of the leader.
+type TakeoverResult struct {
 	// Fresh is when an urgent job starts that is submitted right after the death.
 	Fresh time.Duration
 	// Inherited is when the last task starts that was accepted but not started at the death.
@@ -82,7 +82,7 @@
 }
 
 // Run simulates the death of a leader and returns when new and inherited jobs start.
-func (t Takeover) Run() TookOver {
+func (t Takeover) Run() TakeoverResult {
 	r := &takeoverRun{
 		Takeover: t, now: time.Unix(1_700_000_000, 0), workers: map[string]*standin.Worker{},
 		over: standin.NewOversight(), open: map[string]job.Spec{},
@@ -220,7 +220,7 @@
 	return len(tasks)
 }
 
-func (r *takeoverRun) play() TookOver {
+func (r *takeoverRun) play() TakeoverResult {
 	leads := r.leads()
 	dead := r.hosts[slices.IndexFunc(r.hosts, func(h *domainHost) bool { return h.name == leads["r0"] })]
 	for range r.Jobs {
@@ -234,7 +234,7 @@
 	died := r.now
 	r.hosts = slices.DeleteFunc(r.hosts, func(h *domainHost) bool { return h == dead })
 	r.queue = nil
-	got := TookOver{Waited: len(waiting)}
+	got := TakeoverResult{Waited: len(waiting)}
 	fresh := ""
 	suspected := false
 	for got.Fresh == 0 || len(waiting) > 0 {
