--- a/internal/measure/takeover.go
+++ b/internal/measure/takeover.go
@@ -32,8 +32,8 @@
 	// Jobs is the number of jobs that run under the leader that dies, each with Tasks tasks of one
 	// core. The leader accepts as many more and dies before it sends their starts.
 	Jobs, Tasks int
-	// OneLead assigns all racks to one host, which is the baseline.
-	OneLead bool
+	// OneLeader assigns all racks to one host, which is the baseline.
+	OneLeader bool
 }
 
 // TakeoverResult is the result of a Takeover. Times count from the death of the leader.
@@ -133,7 +133,7 @@
 	for i := range r.Racks {
 		racks = append(racks, fmt.Sprintf("r%d", i))
 	}
-	if !r.OneLead {
+	if !r.OneLeader {
 		return member.AssignEvenly(racks, r.live)
 	}
 	all := map[string]string{}
--- a/internal/measure/takeover_test.go
+++ b/internal/measure/takeover_test.go
@@ -23,7 +23,7 @@
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
 				ours, one := load.Run(), measure.Takeover{
-					Hosts: load.Hosts, Racks: load.Racks, Workers: load.Workers, Jobs: load.Jobs, Tasks: load.Tasks, OneLead: true,
+					Hosts: load.Hosts, Racks: load.Racks, Workers: load.Workers, Jobs: load.Jobs, Tasks: load.Tasks, OneLeader: true,
 				}.Run()
 				b.ReportMetric(ours.Fresh.Seconds(), "fresh-s")
 				b.ReportMetric(ours.Inherited.Seconds(), "inherited-s")
