--- a/internal/measure/control.go
+++ b/internal/measure/control.go
@@ -117,9 +117,9 @@
 	Heap float64
 }
 
-// Warm waits long enough for every host to send a heartbeat to every other. Earlier, connections
+// WarmUp waits long enough for every host to send a heartbeat to every other. Earlier, connections
 // that are not open yet would make a large cell look cheaper than it is.
-func (f *Fleet) Warm() { time.Sleep(member.FarPeriod(len(f.Hosts)) + time.Second) }
+func (f *Fleet) WarmUp() { time.Sleep(member.FarPeriod(len(f.Hosts)) + time.Second) }
 
 // Idle measures for d what a fleet costs that runs no work and only controls its workers. The
 // processor time is that of the whole process, including the stand-ins.
--- a/internal/measure/control_test.go
+++ b/internal/measure/control_test.go
@@ -25,7 +25,7 @@
 			f, err := measure.NewFleet(s.hosts, s.domains, 46)
 			require.NoError(b, err)
 			defer f.Close()
-			f.Warm()
+			f.WarmUp()
 			b.ResetTimer()
 			var cost measure.Cost
 			for range b.N {
@@ -48,7 +48,7 @@
 	f, err := measure.NewFleet(3, 3, 3*46)
 	require.NoError(b, err)
 	defer f.Close()
-	f.Warm()
+	f.WarmUp()
 	for b.Loop() {
 		cost := f.Idle(16 * time.Second)
 		b.ReportMetric(cost.Peers, "peer-B/s")
