--- a/internal/measure/scan.go
+++ b/internal/measure/scan.go
@@ -16,9 +16,9 @@
 	taken   map[string]cell.Size
 	on      map[string]int
 	waiting [][]place.Request
-	// first selects the first worker on which a task fits, instead of the fullest one. With one set,
-	// all classes share one queue, in which no task passes the first one.
-	first, one bool
+	// first selects the first worker on which a task fits, instead of the fullest singleQueue. With singleQueue set,
+	// all classes share singleQueue queue, in which no task passes the first singleQueue.
+	first, singleQueue bool
 }
 
 // NewFirstFit returns the baseline for packing, which selects the first worker with enough free
@@ -33,7 +33,7 @@
 // classes in order of arrival.
 func NewFIFO() *Scan {
 	s := NewFirstFit()
-	s.one = true
+	s.singleQueue = true
 	return s
 }
 
@@ -54,7 +54,7 @@
 		s.free = append(s.free, ev.Size)
 	case place.Request:
 		c := ev.Class
-		if s.one {
+		if s.singleQueue {
 			c = cell.Urgent
 		}
 		s.waiting[c] = append(s.waiting[c], ev)
@@ -88,7 +88,7 @@
 			}
 			i := s.best(w.Size)
 			if i < 0 {
-				held = s.one
+				held = s.singleQueue
 				return false
 			}
 			s.free[i] = s.free[i].Sub(w.Size)
