--- a/internal/measure/scan.go
+++ b/internal/measure/scan.go
@@ -16,16 +16,16 @@
 	taken   map[string]cell.Size
 	on      map[string]int
 	waiting [][]place.Request
-	// first selects the first worker on which a task fits, instead of the fullest singleQueue. With singleQueue set,
-	// all classes share singleQueue queue, in which no task passes the first singleQueue.
-	first, singleQueue bool
+	// firstFit selects the firstFit worker on which a task fits, instead of the fullest singleQueue. With singleQueue set,
+	// all classes share singleQueue queue, in which no task passes the firstFit singleQueue.
+	firstFit, singleQueue bool
 }
 
 // NewFirstFit returns the baseline for packing, which selects the first worker with enough free
 // capacity for the declared size.
 func NewFirstFit() *Scan {
 	s := NewScan()
-	s.first = true
+	s.firstFit = true
 	return s
 }
 
@@ -109,7 +109,7 @@
 		if left := free.Sub(size).DominantShare(workerSize); best < 0 || left < least {
 			best, least = i, left
 		}
-		if s.first {
+		if s.firstFit {
 			break
 		}
 	}
