--- a/internal/measure/takeover.go
+++ b/internal/measure/takeover.go
@@ -127,8 +127,8 @@
 	}
 }
 
-// leads returns the leader of each rack as the live hosts determine it.
-func (r *takeoverRun) leads() map[string]string {
+// leaders returns the leader of each rack as the live hosts determine it.
+func (r *takeoverRun) leaders() map[string]string {
 	var racks []string
 	for i := range r.Racks {
 		racks = append(racks, fmt.Sprintf("r%d", i))
@@ -144,7 +144,7 @@
 }
 
 func (r *takeoverRun) rank() {
-	leads := r.leads()
+	leads := r.leaders()
 	var names []string
 	for _, m := range r.machines {
 		names = append(names, m.Name)
@@ -198,7 +198,7 @@
 }
 
 func (r *takeoverRun) rackOf(name string) string {
-	leads := r.leads()
+	leads := r.leaders()
 	for _, m := range r.machines {
 		if leads[m.Rack] == name {
 			return m.Rack
@@ -221,7 +221,7 @@
 }
 
 func (r *takeoverRun) play() TakeoverResult {
-	leads := r.leads()
+	leads := r.leaders()
 	dead := r.hosts[slices.IndexFunc(r.hosts, func(h *domainHost) bool { return h.name == leads["r0"] })]
 	for range r.Jobs {
 		r.submit(dead, cell.Normal, r.Tasks, cell.Size{CPU: 1000, Mem: 1 << 20})
@@ -288,7 +288,7 @@
 }
 
 func (r *takeoverRun) inherit() {
-	leads := r.leads()
+	leads := r.leaders()
 	for _, h := range r.hosts {
 		var mine []job.Spec
 		for id, s := range r.open {
