--- a/internal/measure/takeover.go
+++ b/internal/measure/takeover.go
@@ -57,9 +57,9 @@
 )
 
 type domainHost struct {
-	name string
-	lead *lead.Leader
-	jobs *job.Jobs
+	name   string
+	leader *lead.Leader
+	jobs   *job.Jobs
 }
 
 type takeoverRun struct {
@@ -105,7 +105,7 @@
 
 func (r *takeoverRun) addHost(name string, clock func() time.Time) {
 	h := &domainHost{name: name, jobs: job.New()}
-	h.lead = lead.New(context.Background(), lead.Deps{
+	h.leader = lead.New(context.Background(), lead.Deps{
 		Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: h.jobs,
 		Takeover: takeover.New(name, takeover.Limits{LongestLease: lease.DefaultLimits.TaskTTL, AskInterval: 250 * time.Millisecond}),
 		Workers:  worker.New(name, 1, r, clock), History: trail.New(1), Clock: clock, Log: slog.New(slog.DiscardHandler),
@@ -119,10 +119,10 @@
 
 // ask sends the inventory request to all live peers at once and passes on their replies.
 func (r *takeoverRun) ask(h *domainHost) {
-	q := h.lead.InventoryRequest()
+	q := h.leader.InventoryRequest()
 	for _, other := range r.hosts {
 		if other != h && slices.Contains(r.live, other.name) {
-			h.lead.HandleInventory(other.name, q, other.lead.Inventory(h.name, q))
+			h.leader.HandleInventory(other.name, q, other.leader.Inventory(h.name, q))
 		}
 	}
 }
@@ -154,8 +154,8 @@
 			continue
 		}
 		mine := slices.DeleteFunc(slices.Clone(r.machines), func(m lead.Machine) bool { return leads[m.Rack] != h.name })
-		h.lead.SetDomain(names, slices.DeleteFunc(slices.Clone(r.live), func(n string) bool { return n == h.name }))
-		h.lead.SetLedMachines(mine)
+		h.leader.SetDomain(names, slices.DeleteFunc(slices.Clone(r.live), func(n string) bool { return n == h.name }))
+		h.leader.SetLedMachines(mine)
 	}
 }
 
@@ -166,8 +166,8 @@
 			if !slices.Contains(r.live, h.name) {
 				continue
 			}
-			h.lead.Tick()
-			h.lead.LogRead(r.now)
+			h.leader.Tick()
+			h.leader.LogRead(r.now)
 			r.drain()
 		}
 	}
@@ -186,11 +186,11 @@
 		ID: cell.JobID(cell.Home{Domain: domain, Rack: r.rackOf(h.name)}), Row: class.String(), Tasks: tasks, Size: size,
 		Time: cell.Duration{Duration: taskTime}, Class: class, Tries: 3,
 	}
-	epoch, err := h.lead.Check(spec)
+	epoch, err := h.leader.Check(spec)
 	if err != nil {
 		return ""
 	}
-	if _, err := h.lead.Submit(spec, epoch); err != nil {
+	if _, err := h.leader.Submit(spec, epoch); err != nil {
 		return ""
 	}
 	r.open[spec.ID] = spec
@@ -297,6 +297,6 @@
 				mine = append(mine, s)
 			}
 		}
-		h.lead.Inherit(mine)
+		h.leader.Inherit(mine)
 	}
 }
