--- a/internal/measure/takeover.go
+++ b/internal/measure/takeover.go
@@ -98,7 +98,7 @@
 	for i := range t.Hosts {
 		r.addHost(fmt.Sprintf("h%d", i), clock)
 	}
-	r.rank()
+	r.assignLeaders()
 	r.pass(time.Second)
 	return r.play()
 }
@@ -143,7 +143,7 @@
 	return all
 }
 
-func (r *takeoverRun) rank() {
+func (r *takeoverRun) assignLeaders() {
 	leads := r.leaders()
 	var names []string
 	for _, m := range r.machines {
@@ -245,7 +245,7 @@
 		if !suspected && since > member.SilenceTimeout {
 			suspected = true
 			r.live = slices.DeleteFunc(r.live, func(n string) bool { return n == dead.name })
-			r.rank()
+			r.assignLeaders()
 			r.inherit()
 		}
 		if fresh == "" {
