--- a/internal/measure/takeover.go
+++ b/internal/measure/takeover.go
@@ -99,7 +99,7 @@
 		r.addHost(fmt.Sprintf("h%d", i), clock)
 	}
 	r.assignLeaders()
-	r.pass(time.Second)
+	r.advance(time.Second)
 	return r.play()
 }
 
@@ -159,8 +159,8 @@
 	}
 }
 
-// pass advances the clock by d in steps of tickEvery and ticks every live host in each.
-func (r *takeoverRun) pass(d time.Duration) {
+// advance advances the clock by d in steps of tickEvery and ticks every live host in each.
+func (r *takeoverRun) advance(d time.Duration) {
 	for end := r.now.Add(d); r.now.Before(end); r.now = r.now.Add(tickEvery) {
 		for _, h := range r.hosts {
 			if !slices.Contains(r.live, h.name) {
@@ -226,7 +226,7 @@
 	for range r.Jobs {
 		r.submit(dead, cell.Normal, r.Tasks, cell.Size{CPU: 1000, Mem: 1 << 20})
 	}
-	r.pass(10 * time.Second)
+	r.advance(10 * time.Second)
 	for range r.Jobs {
 		r.submit(dead, cell.Normal, r.Tasks, cell.Size{CPU: 1000, Mem: 1 << 20})
 	}
@@ -251,7 +251,7 @@
 		if fresh == "" {
 			fresh = r.offer()
 		}
-		r.pass(tickEvery)
+		r.advance(tickEvery)
 		if fresh != "" && got.Fresh == 0 && r.started(fresh) > 0 {
 			got.Fresh = r.now.Sub(died)
 		}
