--- a/internal/measure/takeover.go
+++ b/internal/measure/takeover.go
@@ -249,7 +249,7 @@
 			r.inherit()
 		}
 		if fresh == "" {
-			fresh = r.offer()
+			fresh = r.submitUrgent()
 		}
 		r.advance(tickEvery)
 		if fresh != "" && got.Fresh == 0 && r.started(fresh) > 0 {
@@ -267,8 +267,8 @@
 	return got
 }
 
-// offer submits an urgent job to the first live host that accepts it, and returns its id or "".
-func (r *takeoverRun) offer() string {
+// submitUrgent submits an urgent job to the first live host that accepts it, and returns its id or "".
+func (r *takeoverRun) submitUrgent() string {
 	for _, h := range r.hosts {
 		if id := r.submit(h, cell.Urgent, 1, cell.Size{CPU: 500, Mem: 1 << 20}); id != "" {
 			return id
