--- a/internal/measure/takeover.go
+++ b/internal/measure/takeover.go
@@ -111,14 +111,14 @@
 		Workers:  worker.New(name, 1, r, clock), History: trail.New(1), Clock: clock, Log: slog.New(slog.DiscardHandler),
 		Row:              func(string) (table.Row, int64) { return table.Row{Weight: 1}, 1 },
 		Go:               func(f func()) { r.queue = append(r.queue, f) },
-		RequestInventory: func() { r.queue = append(r.queue, func() { r.ask(h) }) },
+		RequestInventory: func() { r.queue = append(r.queue, func() { r.takeInventory(h) }) },
 	})
 	r.hosts = append(r.hosts, h)
 	r.live = append(r.live, name)
 }
 
-// ask sends the inventory request to all live peers at once and passes on their replies.
-func (r *takeoverRun) ask(h *domainHost) {
+// takeInventory sends the inventory request to all live peers at once and passes on their replies.
+func (r *takeoverRun) takeInventory(h *domainHost) {
 	q := h.leader.InventoryRequest()
 	for _, other := range r.hosts {
 		if other != h && slices.Contains(r.live, other.name) {
