--- a/internal/measure/retry.go
+++ b/internal/measure/retry.go
@@ -43,14 +43,14 @@
 		Clock:      time.Now, Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
 	})
 	var servers []relay.Server
-	var servers_ []*standin.Minion
+	var standins []*standin.Minion
 	for i := range 4 {
 		m := standin.NewMinion(8)
 		m.SetFaults(standin.MinionFaults{Fail: 100})
 		srv := httptest.NewServer(m.Handler())
 		defer srv.Close()
 		at := netip.MustParseAddrPort(strings.TrimPrefix(srv.URL, "http://"))
-		servers_ = append(servers_, m)
+		standins = append(standins, m)
 		servers = append(servers, relay.Server{Name: fmt.Sprint("m", i), Address: at, Slots: 8})
 	}
 	x.SetServers(servers)
@@ -60,7 +60,7 @@
 		})
 	}
 	got := 0
-	for _, m := range servers_ {
+	for _, m := range standins {
 		for _, n := range m.Record().Ran {
 			got += n
 		}
