--- a/internal/measure/blackhole.go
+++ b/internal/measure/blackhole.go
@@ -24,8 +24,8 @@
 	n    int
 }
 
-// BlackHoleLoss returns the fraction of urgent requests that are lost within a minute because one of 16
-// backend servers never answers. The parameter selects whether outliers are quarantined.
+// BlackHoleLoss returns the fraction of urgent requests that are lost within a minute because one of
+// 16 backend servers never answers. The parameter selects whether outliers are quarantined.
 func BlackHoleLoss(setAside bool) float64 {
 	start := time.Unix(1_700_000_000, 0)
 	load := UrgentLoad{Urgent: 0.45, For: time.Minute}
--- a/internal/measure/scan.go
+++ b/internal/measure/scan.go
@@ -16,8 +16,8 @@
 	taken   map[string]cell.Size
 	on      map[string]int
 	waiting [][]place.Request
-	// firstFit selects the firstFit worker on which a task fits, instead of the fullest singleQueue. With singleQueue set,
-	// all classes share singleQueue queue, in which no task passes the firstFit singleQueue.
+	// firstFit selects the first worker on which a task fits, instead of the fullest one. With
+	// singleQueue set, all classes share one queue, in which no task passes the first one.
 	firstFit, singleQueue bool
 }
 
