--- a/internal/measure/blackhole.go
+++ b/internal/measure/blackhole.go
@@ -26,12 +26,12 @@
 
 // BlackHoleLoss returns the fraction of urgent requests that are lost within a minute because one of
 // 16 backend servers never answers. The parameter selects whether outliers are quarantined.
-func BlackHoleLoss(setAside bool) float64 {
+func BlackHoleLoss(quarantine bool) float64 {
 	start := time.Unix(1_700_000_000, 0)
 	load := UrgentLoad{Urgent: 0.45, For: time.Minute}
 	all := load.arrivals(start)
 	h := &blackHoleRun{o: newQueueServer(start), byID: map[string]*arrival{}, at: map[string]string{}}
-	if setAside {
+	if quarantine {
 		h.out = outlier.New(outlier.DefaultLimits)
 		var names []string
 		for i := range loadBackends {
