--- a/internal/measure/ledger.go
+++ b/internal/measure/ledger.go
@@ -51,7 +51,7 @@
 // connection after the first request. It returns how long the next request takes on the silent
 // connection, and how long the one after it takes. TCP acknowledges the data that the proxy drops,
 // so the operating system's own timeouts do not detect the failure.
-func SilentPeer(ctx context.Context) (told, next time.Duration, err error) {
+func SilentPeer(ctx context.Context) (silent, next time.Duration, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	target, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
