--- a/internal/measure/ledger_test.go
+++ b/internal/measure/ledger_test.go
@@ -28,11 +28,11 @@
 	const deadline = 5 * time.Second
 	for b.Loop() {
 		ctx, cancel := context.WithTimeout(b.Context(), deadline)
-		told, next, err := measure.SilentPeer(ctx)
+		silent, next, err := measure.SilentPeer(ctx)
 		cancel()
 		require.NoError(b, err)
-		b.ReportMetric(float64(told.Milliseconds()), "told-ms")
+		b.ReportMetric(float64(silent.Milliseconds()), "told-ms")
 		b.ReportMetric(float64(next.Microseconds()), "next-us")
-		b.ReportMetric(told.Seconds()/deadline.Seconds(), "told/deadline")
+		b.ReportMetric(silent.Seconds()/deadline.Seconds(), "told/deadline")
 	}
 }
