--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -67,7 +67,8 @@
 	nodes        []*node
 	tally        *audit.Tally
 	names        audit.RowNames
-	// ranBeforeLeaving is the number of requests that a leaving backend server had run after leaveWithin.
+	// ranBeforeLeaving is the number of requests that a leaving backend server had run when
+	// leaveWithin was over.
 	ranBeforeLeaving int
 	stop             context.CancelFunc
 	watch            sync.WaitGroup
@@ -165,7 +166,8 @@
 	require.NoError(b.t, n.cmd.Start())
 }
 
-// logUnexpectedLines prints the unexpected lines in the logs of the hosts: errors, panics and data races.
+// logUnexpectedLines prints the unexpected lines in the logs of the hosts: errors, panics and data
+// races.
 func (b *bench) logUnexpectedLines() {
 	for _, n := range b.nodes {
 		if told := b.logLines(n, isUnexpected); len(told) > 0 {
@@ -239,8 +241,8 @@
 	return id[:i]
 }
 
-// jobHistory returns the current state of a job, as its callers get it, and the history of the decisions
-// on it.
+// jobHistory returns the current state of a job, as its callers get it, and the history of the
+// decisions on it.
 func (b *bench) jobHistory(job string) string {
 	ctx, cancel := context.WithTimeout(context.Background(), maxDeadline)
 	defer cancel()
@@ -328,8 +330,8 @@
 	})
 }
 
-// maxDeadline is the maxDeadline deadline of a request. A host that was replaced waits for this time at most
-// before it uses its slots again.
+// maxDeadline is the longest deadline of a request. A host that was replaced waits for this time at
+// most before it uses its slots again.
 const maxDeadline = 3 * time.Second
 
 // Durations of the phases of a scenario.
--- a/test/pairs_test.go
+++ b/test/pairs_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// injectedAt maps each fault to the parts of the cell where it is injected. The effects of two faults
-// at the same part cannot be distinguished, so a pair combines faults at different parts.
+// injectedAt maps each fault to the parts of the cell where it is injected. The effects of two
+// faults at the same part cannot be distinguished, so a pair combines faults at different parts.
 var injectedAt = map[string][]string{
 	"latency between hosts and to minions": {"hosts", "minions"},
 	"hosts silent one way":                 {"hosts"},
--- a/test/path_test.go
+++ b/test/path_test.go
@@ -124,7 +124,7 @@
 	return all
 }
 
-// eventually waits until f returns true, and fails the test after limit.
+// eventually waits until f returns true, and fails the test after waitLimit.
 func eventually(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	require.Eventually(t, f, waitLimit, 20*time.Millisecond, what)
