--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -142,7 +142,7 @@
 func (a *callers) finished(id string) {
 	for step, n := range []int{4, 3} {
 		for i := range n {
-			if task := fmt.Sprintf("%s.0.%d.%d", id, step, i); !a.c.oracle.Finished(task) {
+			if task := fmt.Sprintf("%s.0.%d.%d", id, step, i); !a.c.invariants.Finished(task) {
 				a.violation("job %s is reported as completed before task %s finished", id, task)
 			}
 		}
--- a/soak/cell_test.go
+++ b/soak/cell_test.go
@@ -55,7 +55,7 @@
 	dir          string
 	proxies      *toxiproxy.ApiServer
 	log          *users.Log
-	oracle       *users.InvariantChecker
+	invariants   *users.InvariantChecker
 	hosts        []*host
 	mu           sync.Mutex
 	workers      []*worker
@@ -89,7 +89,7 @@
 	dir, err := os.MkdirTemp("", "pollencroft-soak-logs")
 	require.NoError(t, err)
 	c := &cell{
-		t: t, dir: dir, log: users.NewLog(parts, time.Now), oracle: users.NewInvariantChecker(),
+		t: t, dir: dir, log: users.NewLog(parts, time.Now), invariants: users.NewInvariantChecker(),
 		proxies: toxiproxy.NewServer(toxiproxy.NewMetricsContainer(prometheus.NewRegistry()), zerolog.Nop()),
 	}
 	c.log.Put("op", "config", []byte(table))
@@ -129,7 +129,7 @@
 // newWorker starts a new incarnation of a worker and adds it to the list of servers.
 func (c *cell) newWorker() *worker {
 	c.incarnations++
-	w := users.NewWorker(fmt.Sprintf("w%d", c.incarnations), taskTime, c.oracle)
+	w := users.NewWorker(fmt.Sprintf("w%d", c.incarnations), taskTime, c.invariants)
 	c.t.Cleanup(w.Close)
 	p := c.proxy("worker "+w.ID, w.Address())
 	n := &worker{w, p, fmt.Sprintf("zone%d", c.incarnations%3)}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -85,7 +85,7 @@
 // checkResults compares the tasks that ran with the answers that callers got and fails the test on
 // any violation.
 func (a *callers) checkResults(t *testing.T, said []string) {
-	runs := a.c.oracle.Runs()
+	runs := a.c.invariants.Runs()
 	for _, j := range a.list() {
 		ran := runs[j.id+".0.0.0"] > 0
 		if j.refused && ran {
@@ -102,6 +102,6 @@
 		}
 	}
 	t.Logf("%d jobs, %d accepted, %d faults", len(a.list()), accepted, len(said))
-	require.Empty(t, append(a.violations, a.c.oracle.Violations()...), strings.Join(said, "\n"))
+	require.Empty(t, append(a.violations, a.c.invariants.Violations()...), strings.Join(said, "\n"))
 	require.Greater(t, accepted, 5, "too few jobs were accepted\n%s", strings.Join(said, "\n"))
 }
