--- a/test/operators_test.go
+++ b/test/operators_test.go
@@ -29,7 +29,7 @@
 	regressions atomic.Int64
 }
 
-type racedRow struct {
+type contendedValue struct {
 	Version int64
 	Limits  struct{ Queue int64 }
 }
@@ -74,8 +74,8 @@
 	}
 }
 
-func (o *operators) read(ctx context.Context, c *client.Client) (racedRow, string, error) {
-	var row racedRow
+func (o *operators) read(ctx context.Context, c *client.Client) (contendedValue, string, error) {
+	var row contendedValue
 	err := c.Get(ctx, "/table/"+contendedRow, &row)
 	return row, strconv.FormatInt(row.Version, 10), err
 }
@@ -102,9 +102,9 @@
 	o.b.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*waitLimit)
 	defer cancel()
-	var last racedRow
+	var last contendedValue
 	eventually(o.b.t, "every host uses the same version", func() bool {
-		all := map[racedRow]bool{}
+		all := map[contendedValue]bool{}
 		for _, n := range o.b.nodes {
 			row, _, err := o.read(ctx, n.operator)
 			if err != nil {
