--- a/test/host_test.go
+++ b/test/host_test.go
@@ -54,7 +54,7 @@
 	body := []byte(strings.Repeat("x", 1<<20))
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	told := map[int]int{}
+	byStatus := map[int]int{}
 	for range 400 {
 		wg.Go(func() {
 			for range 3 {
@@ -62,16 +62,16 @@
 					Workload: b.names.Flood, Method: http.MethodPost, Path: "/page", Body: body, Deadline: maxDeadline,
 				})
 				mu.Lock()
-				told[reply.Status]++
+				byStatus[reply.Status]++
 				mu.Unlock()
 			}
 		})
 	}
 	wg.Wait()
 	peak := peakMemory(t, n.cmd.Process.Pid)
-	t.Logf("peak %d MiB, answers by status %v", peak>>20, told)
+	t.Logf("peak %d MiB, answers by status %v", peak>>20, byStatus)
 	require.Less(t, peak, int64(256<<20))
-	require.Positive(t, told[http.StatusServiceUnavailable]+told[http.StatusTooManyRequests], "no request was shed: %v", told)
+	require.Positive(t, byStatus[http.StatusServiceUnavailable]+byStatus[http.StatusTooManyRequests], "no request was shed: %v", byStatus)
 	require.NoError(t, n.direct.Get(context.Background(), "/live", nil))
 }
 
