--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -203,15 +203,15 @@
 		b.t.Logf("%s, what its leader reports:\n%s", id, b.jobHistory(job))
 		b.t.Logf("%s, what workers did:\n%s", id, b.taskHistory(id))
 		for _, n := range b.nodes {
-			if told := b.logLines(n, func(line string) bool { return strings.Contains(line, job) || b.ofWorkers(n, line, job) }); len(told) > 0 {
+			if told := b.logLines(n, func(line string) bool { return strings.Contains(line, job) || b.aboutWorkers(n, line, job) }); len(told) > 0 {
 				b.t.Logf("%s of %s, the first %d of %d lines:\n%s", n.name, id, maxLogLines, len(told), strings.Join(told[:min(len(told), maxLogLines)], "\n"))
 			}
 		}
 	}
 }
 
-// ofWorkers reports whether a log line says which workers a host in the job's failure domain leads.
-func (b *bench) ofWorkers(n *node, line, job string) bool {
+// aboutWorkers reports whether a log line says which workers a host in the job's failure domain leads.
+func (b *bench) aboutWorkers(n *node, line, job string) bool {
 	return strings.HasPrefix(job, n.domain+".") && strings.Contains(line, `msg="lead: worker `)
 }
 
