--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -415,8 +415,8 @@
 	return all
 }
 
-// kinds returns the proxies of the first machines of a kind, at most most of them.
-func (b *bench) kinds(kind cell.Kind, most int) []*toxiproxy.Proxy {
+// proxiesOfKind returns the proxies of the first machines of a kind, at most most of them.
+func (b *bench) proxiesOfKind(kind cell.Kind, most int) []*toxiproxy.Proxy {
 	var all []*toxiproxy.Proxy
 	for _, m := range b.machines {
 		if m.Kind == kind && len(all) < most {
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -129,11 +129,11 @@
 		"latency between hosts and to minions",
 		func(b *bench) {
 			b.toxic("latency", down, `"latency":40,"jitter":20`, b.paths(sameDomain)...)
-			b.toxic("latency", down, `"latency":40,"jitter":20`, b.kinds(cell.BackendHost, 6)...)
+			b.toxic("latency", down, `"latency":40,"jitter":20`, b.proxiesOfKind(cell.BackendHost, 6)...)
 		},
 		func(b *bench) {
 			b.clear(b.paths(sameDomain)...)
-			b.clear(b.kinds(cell.BackendHost, 6)...)
+			b.clear(b.proxiesOfKind(cell.BackendHost, 6)...)
 		},
 	},
 	{
@@ -143,13 +143,13 @@
 	},
 	{
 		"two minions silent",
-		func(b *bench) { silence(b, b.kinds(cell.BackendHost, 2), up, down) },
-		func(b *bench) { b.clear(b.kinds(cell.BackendHost, 2)...) },
+		func(b *bench) { silence(b, b.proxiesOfKind(cell.BackendHost, 2), up, down) },
+		func(b *bench) { b.clear(b.proxiesOfKind(cell.BackendHost, 2)...) },
 	},
 	{
 		"minion answers cut after some bytes",
-		func(b *bench) { b.toxic("limit_data", down, `"bytes":2000`, b.kinds(cell.BackendHost, 3)...) },
-		func(b *bench) { b.clear(b.kinds(cell.BackendHost, 3)...) },
+		func(b *bench) { b.toxic("limit_data", down, `"bytes":2000`, b.proxiesOfKind(cell.BackendHost, 3)...) },
+		func(b *bench) { b.clear(b.proxiesOfKind(cell.BackendHost, 3)...) },
 	},
 	{
 		"callers' connections reset",
@@ -160,17 +160,17 @@
 		"connections close slowly",
 		func(b *bench) {
 			b.toxic("slow_close", down, `"delay":1000`, b.nodes[0].caller, b.nodes[2].caller)
-			b.toxic("slow_close", down, `"delay":1000`, b.kinds(cell.BackendHost, 3)...)
+			b.toxic("slow_close", down, `"delay":1000`, b.proxiesOfKind(cell.BackendHost, 3)...)
 		},
 		func(b *bench) {
 			b.clear(b.nodes[0].caller, b.nodes[2].caller)
-			b.clear(b.kinds(cell.BackendHost, 3)...)
+			b.clear(b.proxiesOfKind(cell.BackendHost, 3)...)
 		},
 	},
 	{
 		"workers silent",
-		func(b *bench) { silence(b, b.kinds(cell.WorkerHost, 3), down) },
-		func(b *bench) { b.clear(b.kinds(cell.WorkerHost, 3)...) },
+		func(b *bench) { silence(b, b.proxiesOfKind(cell.WorkerHost, 3), down) },
+		func(b *bench) { b.clear(b.proxiesOfKind(cell.WorkerHost, 3)...) },
 	},
 	{
 		"host paused",
@@ -194,12 +194,12 @@
 		"host killed while the host list is frozen and a minion is silent",
 		func(b *bench) {
 			platformFault(standin.PlatformFaults{FreezeHosts: true})(b)
-			silence(b, b.kinds(cell.BackendHost, 1), down)
+			silence(b, b.proxiesOfKind(cell.BackendHost, 1), down)
 			killFirst(b)
 		},
 		func(b *bench) {
 			platformFault(standin.PlatformFaults{})(b)
-			b.clear(b.kinds(cell.BackendHost, 1)...)
+			b.clear(b.proxiesOfKind(cell.BackendHost, 1)...)
 			replaceFirst(b)
 		},
 	},
@@ -215,11 +215,11 @@
 		"workers fail everything and one rack is silent",
 		func(b *bench) {
 			b.cell.Workers["worker-00"].SetFaults(standin.WorkerFaults{FailAll: true})
-			silence(b, b.kinds(cell.WorkerHost, 12)[2:4], up, down)
+			silence(b, b.proxiesOfKind(cell.WorkerHost, 12)[2:4], up, down)
 		},
 		func(b *bench) {
 			b.cell.Workers["worker-00"].SetFaults(standin.WorkerFaults{})
-			b.clear(b.kinds(cell.WorkerHost, 12)[2:4]...)
+			b.clear(b.proxiesOfKind(cell.WorkerHost, 12)[2:4]...)
 		},
 	},
 	{
