--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -402,8 +402,8 @@
 	}
 }
 
-// paths returns the proxies on the connections for which between returns true.
-func (b *bench) paths(between func(from, to *node) bool) []*toxiproxy.Proxy {
+// peerProxies returns the proxies on the connections for which between returns true.
+func (b *bench) peerProxies(between func(from, to *node) bool) []*toxiproxy.Proxy {
 	var all []*toxiproxy.Proxy
 	for _, from := range b.nodes {
 		for _, to := range b.nodes {
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -76,7 +76,7 @@
 // the other hosts, and on those of its hosts to the platform.
 func (b *bench) cutPaths() []*toxiproxy.Proxy {
 	cut := b.nodes[0].domain
-	paths := b.paths(func(from, to *node) bool { return (from.domain == cut) != (to.domain == cut) })
+	paths := b.peerProxies(func(from, to *node) bool { return (from.domain == cut) != (to.domain == cut) })
 	for _, n := range b.nodes {
 		if n.domain == cut {
 			paths = append(paths, n.platform)
@@ -128,18 +128,18 @@
 	{
 		"latency between hosts and to minions",
 		func(b *bench) {
-			b.toxic("latency", down, `"latency":40,"jitter":20`, b.paths(sameDomain)...)
+			b.toxic("latency", down, `"latency":40,"jitter":20`, b.peerProxies(sameDomain)...)
 			b.toxic("latency", down, `"latency":40,"jitter":20`, b.proxiesOfKind(cell.BackendHost, 6)...)
 		},
 		func(b *bench) {
-			b.clear(b.paths(sameDomain)...)
+			b.clear(b.peerProxies(sameDomain)...)
 			b.clear(b.proxiesOfKind(cell.BackendHost, 6)...)
 		},
 	},
 	{
 		"hosts silent one way",
-		func(b *bench) { silence(b, b.paths(sameDomain), down) },
-		func(b *bench) { b.clear(b.paths(sameDomain)...) },
+		func(b *bench) { silence(b, b.peerProxies(sameDomain), down) },
+		func(b *bench) { b.clear(b.peerProxies(sameDomain)...) },
 	},
 	{
 		"two minions silent",
