--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -72,9 +72,9 @@
 
 func sameDomain(from, to *node) bool { return from.domain == to.domain }
 
-// cutPaths returns the proxies on all connections between the failure domain of the first host and
+// domainProxies returns the proxies on all connections between the failure domain of the first host and
 // the other hosts, and on those of its hosts to the platform.
-func (b *bench) cutPaths() []*toxiproxy.Proxy {
+func (b *bench) domainProxies() []*toxiproxy.Proxy {
 	cut := b.nodes[0].domain
 	paths := b.peerProxies(func(from, to *node) bool { return (from.domain == cut) != (to.domain == cut) })
 	for _, n := range b.nodes {
@@ -180,8 +180,8 @@
 	{"host killed and replaced", killFirst, replaceFirst},
 	{
 		"failure domain cut off",
-		func(b *bench) { silence(b, b.cutPaths(), up, down) },
-		func(b *bench) { b.clear(b.cutPaths()...) },
+		func(b *bench) { silence(b, b.domainProxies(), up, down) },
+		func(b *bench) { b.clear(b.domainProxies()...) },
 	},
 	{"log down", platformFault(standin.PlatformFaults{Down: true}), platformFault(standin.PlatformFaults{})},
 	{"log answers lost", platformFault(standin.PlatformFaults{LoseAnswers: 20, Slow: 50 * time.Millisecond}), platformFault(standin.PlatformFaults{})},
