--- a/test/path_test.go
+++ b/test/path_test.go
@@ -55,15 +55,15 @@
 	return cmd
 }
 
-// nets counts the loopback addresses that freeAddrs has used.
-var nets atomic.Uint32
+// usedAddrs counts the loopback addresses that freeAddrs has used.
+var usedAddrs atomic.Uint32
 
 // freeAddrs returns n addresses with ports that are free now, chosen by the system. They are on a
 // loopback address that nothing else in this process uses. On a shared address, another socket
 // could take a port before the host that it is meant for starts.
 func freeAddrs(t *testing.T, n int) []string {
 	t.Helper()
-	ip := fmt.Sprintf("127.%d.%d.1:0", 1+os.Getpid()%250, nets.Add(1)%250)
+	ip := fmt.Sprintf("127.%d.%d.1:0", 1+os.Getpid()%250, usedAddrs.Add(1)%250)
 	addrs := make([]string, n)
 	for i := range addrs {
 		ln, err := net.Listen("tcp", ip)
