--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -74,7 +74,7 @@
 	watch            sync.WaitGroup
 }
 
-// newBench starts the cell small.
+// newBench starts the cell smallCell.
 func newBench(t *testing.T) *bench {
 	t.Helper()
 	return newBenchOf(t, smallCell, func(string) string { return "" })
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -55,7 +55,7 @@
 // nothing injects no fault.
 func nothing(*bench) {}
 
-// leaveWithin is the time after which a leaving backend server must get no new work.
+// leaveWithin is the promised time after which a leaving backend server gets no new work.
 const leaveWithin = 3 * time.Second
 
 // silence drops all bytes of open and new connections without a reset.
@@ -72,8 +72,8 @@
 
 func sameDomain(from, to *node) bool { return from.domain == to.domain }
 
-// domainProxies returns the proxies on all connections between the failure domain of the first host and
-// the other hosts, and on those of its hosts to the platform.
+// domainProxies returns the proxies on all connections between the failure domain of the first host
+// and the other domains, and on those of its hosts to the platform.
 func (b *bench) domainProxies() []*toxiproxy.Proxy {
 	cut := b.nodes[0].domain
 	paths := b.peerProxies(func(from, to *node) bool { return (from.domain == cut) != (to.domain == cut) })
