--- a/internal/commands/operator.go
+++ b/internal/commands/remote.go
@@ -26,10 +26,10 @@
 	cert, key, ca, server string
 }
 
-const commandWait = 10 * time.Second
+const commandTimeout = 10 * time.Second
 
-func (o *remote) flags(s *flaggy.Subcommand, usual string) {
-	o.host = usual
+func (o *remote) flags(s *flaggy.Subcommand, defaultHost string) {
+	o.host = defaultHost
 	o.token = os.Getenv("POLLENCROFT_TOKEN")
 	s.String(&o.host, "a", "host", "address of an entry host")
 	s.String(&o.token, "t", "token", "operators' token (or POLLENCROFT_TOKEN)")
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, nil, nil, errors.Wrap(err, "read host address")
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), commandWait)
+	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	if o.ca == "" {
 		return client.New(addr, o.token, nil), ctx, cancel, nil
 	}
@@ -76,8 +76,8 @@
 
 // Default listener addresses of a host that is started by hand.
 const (
-	usualCaller   = "127.0.0.1:7001"
-	usualOperator = "127.0.0.1:7002"
+	defaultCallerAddress   = "127.0.0.1:7001"
+	defaultOperatorAddress = "127.0.0.1:7002"
 )
 
 func printJSON(v any) error {
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// show fetches a page from the host's operator listener and prints it as JSON.
-func (o *remote) show(path string) error {
+// printPage fetches a page from the host's operator listener and prints it as JSON.
+func (o *remote) printPage(path string) error {
 	c, ctx, cancel, err := o.dial()
 	if err != nil {
 		return err
--- a/internal/commands/tableset.go
+++ b/internal/commands/tableedit.go
@@ -13,17 +13,17 @@
 	"pollencroft/pkg/client"
 )
 
-func firstWord(words []string, what string) (string, error) {
+func firstArgument(words []string, what string) (string, error) {
 	if len(words) == 0 {
 		return "", &cell.ValueError{Field: what, Found: "missing", Allowed: "a name"}
 	}
 	return words[0], nil
 }
 
-// put sends an edit to the host. The first argument is the name of the row or team, which is
+// putPage sends an edit to the host. The first argument is the name of the row or team, which is
 // appended to page, and the others are its fields. what names the first argument in errors.
-func (o remote) put(page, what string, words []string) error {
-	name, err := firstWord(words, what)
+func (o remote) putPage(page, what string, words []string) error {
+	name, err := firstArgument(words, what)
 	if err != nil {
 		return err
 	}
@@ -46,12 +46,12 @@
 	return nil
 }
 
-func setRow(o remote, words []string) error { return o.put("/table/", "row", words) }
+func setRow(o remote, words []string) error { return o.putPage("/table/", "row", words) }
 
-func setQuota(o remote, words []string) error { return o.put("/quotas/", "team", words) }
+func setQuota(o remote, words []string) error { return o.putPage("/quotas/", "team", words) }
 
 func dropRow(o remote, words []string) error {
-	name, err := firstWord(words, "row")
+	name, err := firstArgument(words, "row")
 	if err != nil {
 		return err
 	}
@@ -67,12 +67,12 @@
 // that starts the operator's editor, because a process of this program must not start other
 // processes. The operator runs the editor between the two commands.
 func dumpTable(o remote, words []string) error {
-	file, err := firstWord(words, "file")
+	file, err := firstArgument(words, "file")
 	if err != nil {
 		return err
 	}
 	var rows []json.RawMessage
-	if err := o.page("/table", &rows); err != nil {
+	if err := o.getPage("/table", &rows); err != nil {
 		return err
 	}
 	text, err := tablefile.Dump(rows)
@@ -89,8 +89,8 @@
 	return fmt.Sprintf("%d of %d changed rows lost a race; dump again and repeat them", e.Lost, e.Sent)
 }
 
-// result is the outcome of one changed row.
-type result struct {
+// rowResult is the outcome of one changed row.
+type rowResult struct {
 	Row   string                 `json:"row"`
 	State string                 `json:"state"`
 	Lost  []tablefile.Difference `json:"lost,omitempty"`
@@ -98,7 +98,7 @@
 
 // loadTable sends the rows that were changed in a file written by dumpTable.
 func loadTable(o remote, words []string) error {
-	file, err := firstWord(words, "file")
+	file, err := firstArgument(words, "file")
 	if err != nil {
 		return err
 	}
@@ -113,7 +113,7 @@
 	// All rows are validated before the first one is written, so that a mistyped column in one
 	// row does not leave the file half applied.
 	for _, ch := range changes {
-		if err := o.send(ch, true); err != nil && !errors.As(err, new(*client.RaceError)) {
+		if err := o.sendChange(ch, true); err != nil && !errors.As(err, new(*client.RaceError)) {
 			return errors.Wrapf(err, "row %s", ch.Row)
 		}
 	}
@@ -122,9 +122,9 @@
 
 func (o remote) sendAll(changes []tablefile.Change) error {
 	lost := 0
-	results := make([]result, 0, len(changes))
+	results := make([]rowResult, 0, len(changes))
 	for _, ch := range changes {
-		res, err := o.sendOne(ch)
+		res, err := o.sendAndCompare(ch)
 		if err != nil {
 			return err
 		}
@@ -147,29 +147,29 @@
 	return nil
 }
 
-func (o remote) sendOne(ch tablefile.Change) (result, error) {
-	err := o.send(ch, false)
+func (o remote) sendAndCompare(ch tablefile.Change) (rowResult, error) {
+	err := o.sendChange(ch, false)
 	var race *client.RaceError
 	switch {
 	case err == nil:
-		return result{Row: ch.Row, State: "accepted"}, nil
+		return rowResult{Row: ch.Row, State: "accepted"}, nil
 	case errors.As(err, &race):
 		diff, err := ch.Compare(race.Row)
-		return result{Row: ch.Row, State: "lost", Lost: diff}, err
+		return rowResult{Row: ch.Row, State: "lost", Lost: diff}, err
 	default:
-		return result{}, errors.Wrapf(err, "row %s", ch.Row)
+		return rowResult{}, errors.Wrapf(err, "row %s", ch.Row)
 	}
 }
 
-func printResult(r result) {
+func printResult(r rowResult) {
 	fmt.Printf("%s: %s\n", r.Row, r.State)
 	for _, d := range r.Lost {
 		fmt.Printf("  %s: yours is %v, in force is %v\n", d.Column, d.Wanted, d.Current)
 	}
 }
 
-// send sends one change to the host. If try is set, the host only validates the change.
-func (o remote) send(ch tablefile.Change, try bool) error {
+// sendChange sends one change to the host. If try is set, the host only validates the change.
+func (o remote) sendChange(ch tablefile.Change, try bool) error {
 	c, ctx, cancel, err := o.dial()
 	if err != nil {
 		return err
--- a/internal/measure/relay.go
+++ b/internal/measure/relay.go
@@ -50,7 +50,7 @@
 // NewRelayBench starts a RelayBench, which Close stops.
 func NewRelayBench() (*RelayBench, error) {
 	local := netip.MustParseAddrPort("127.0.0.1:0")
-	users := standin.Users{Name: "one", Domains: []string{"nord"}, Hosts: []int{relayHosts}, Minions: 1, Slots: relaySlots}
+	users := standin.Deployment{Name: "one", Domains: []string{"nord"}, Hosts: []int{relayHosts}, Backends: 1, Slots: relaySlots}
 	c, err := standin.NewCell(users, local, time.Now)
 	if err != nil {
 		return nil, err
--- a/internal/model/explore.go
+++ b/internal/model/explore.go
@@ -12,29 +12,30 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Found is what an exploration saw.
-type Found struct {
+// Result is the result of an exploration.
+type Result struct {
 	States int
 	Depth  int
-	// Wrong is the first broken promise and Path what led to it.
-	Wrong string
-	Path  []string
+	// Violation describes the first violation of an invariant, and Path lists the events that led to it.
+	Violation string
+	Path      []string
 }
 
-// Explore plays every order of events up to a depth. States that were reached
-// before are not played on; it ends at the first broken promise.
-func Explore(rules Rules, s Start, depth int) Found {
+// Explore tries every order of events up to a depth. It continues only from
+// states that it has not reached before, and stops at the first violation of an
+// invariant.
+func Explore(rules Rules, s Start, depth int) Result {
 	seen := map[uint64]bool{}
 	level := [][]int{nil}
-	f := Found{}
+	f := Result{}
 	for ; f.Depth < depth && len(level) > 0; f.Depth++ {
 		var nextLevel [][]int
 		for _, c := range childrenOf(rules, s, level) {
-			if c.wrong != "" {
-				f.Wrong, f.Path, f.States = c.wrong, names(rules, s, c.path), len(seen)
+			if c.violation != "" {
+				f.Violation, f.Path, f.States = c.violation, names(rules, s, c.path), len(seen)
 				return f
 			}
-			if !seen[c.key] && c.mail <= mostMail {
+			if !seen[c.key] && c.messages <= maxMessages {
 				seen[c.key] = true
 				nextLevel = append(nextLevel, c.path)
 			}
@@ -45,16 +46,17 @@
 	return f
 }
 
-// child is a state that one more event leads to.
+// child is a state that is reached by one more event.
 type child struct {
-	path  []int
-	wrong string
-	key   uint64
-	mail  int
+	path      []int
+	violation string
+	key       uint64
+	messages  int
 }
 
-// childrenOf plays one more event after each path, several paths at once. The
-// result is in the order of the paths, so it is the same on every machine.
+// childrenOf tries every possible next event after each path, and handles
+// several paths concurrently. The result is in the order of the paths, so it is
+// the same on every machine.
 func childrenOf(rules Rules, s Start, level [][]int) []child {
 	found := make([][]child, len(level))
 	var g errgroup.Group
@@ -64,7 +66,7 @@
 			for i := range replay(rules, s, path).choices() {
 				longer := append(slices.Clone(path), i)
 				w := replay(rules, s, longer)
-				found[at] = append(found[at], child{longer, w.Wrong(), w.key(), len(w.mail)})
+				found[at] = append(found[at], child{longer, w.Violation(), w.key(), len(w.messages)})
 			}
 			return nil
 		})
@@ -92,8 +94,9 @@
 	return all
 }
 
-// Play takes steps that pick chooses among so many, and returns the first
-// broken promise and what led to it.
+// Play runs the given number of steps and lets pick choose each event by its
+// index among n possible ones. It returns the first violation of an invariant
+// and the events that led to it, or an empty text and all events.
 func Play(rules Rules, s Start, steps int, pick func(n int) int) (string, []string) {
 	w := NewWorld(rules, s)
 	var path []string
@@ -102,14 +105,14 @@
 		c := all[pick(len(all))]
 		path = append(path, w.name(c))
 		w.do(c)
-		if wrong := w.Wrong(); wrong != "" {
+		if wrong := w.Violation(); wrong != "" {
 			return wrong, path
 		}
 	}
 	return "", path
 }
 
-// key is the same for two worlds that cannot be told apart.
+// key returns a hash of the state: worlds with equal contents have the same key.
 func (w *World) key() uint64 {
 	h := xxhash.New()
 	digest(h, reflect.ValueOf(*w), map[uintptr]bool{})
@@ -118,7 +121,8 @@
 
 var timeType = reflect.TypeFor[time.Time]()
 
-// digest writes a value without the addresses of its parts, and maps in order.
+// digest adds the contents of a value to the hash. It follows pointers rather than
+// hashing addresses, and visits maps in the order of their keys.
 func digest(h *xxhash.Digest, v reflect.Value, seen map[uintptr]bool) {
 	switch v.Kind() {
 	case reflect.Pointer:
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -1,6 +1,7 @@
-// Package model checks the lease, takeover and job cores together: it plays
-// every order of events up to a depth on two entry hosts and their workers,
-// and says which order breaks a promise. It decides nothing in the product.
+// Package model checks the state machines of the packages lease, takeover and job
+// together: it tries every order of events up to a depth on two entry hosts and
+// their workers, and reports an order that violates an invariant. It is only a
+// check; the scheduler does not use it.
 package model
 
 import (
@@ -16,25 +17,27 @@
 	"pollencroft/internal/takeover"
 )
 
-// Rules are the rules of the design that can be left out, to show that the
-// checker finds what they are for.
+// Rules selects the rules of the design to leave out, to show that the checker
+// finds the faults that these rules prevent.
 type Rules struct {
-	// NoDeadline sends starts without a deadline.
+	// NoDeadline makes hosts send starts without a deadline.
 	NoDeadline bool
-	// NoCensus lets inherited jobs go on at once.
-	NoCensus bool
-	// NoTerm lets a replaced host go by its predecessor's name at the workers.
+	// NoInventory makes hosts continue inherited jobs at once, without waiting for the
+	// inventory of running tasks.
+	NoInventory bool
+	// NoTerm makes a replaced host use the same holder name at the workers as its
+	// predecessor.
 	NoTerm bool
 }
 
-// Times of the modelled cell. One step of time is half an anchor lease.
+// Durations of the modelled cell. One step of time is half an anchor lease.
 const (
-	step = 2 * time.Second
-	ttl  = 2 * step
-	long = 3 * step
-	// never keeps the checker from taking a silent worker for empty: whether a
-	// message is late or its worker is gone is the same to a host, so that rule
-	// rests on nobody else reaching the worker either, which is not modelled.
+	step    = 2 * time.Second
+	ttl     = 2 * step
+	taskTTL = 3 * step
+	// never disables the rule that a worker counts as empty after a long silence. A
+	// host cannot distinguish a late message from a lost worker, so that rule relies
+	// on no other host reaching the worker either, which is not modelled.
 	never = 1000 * time.Hour
 )
 
@@ -46,7 +49,7 @@
 
 func jobOf(task string) string { return task[:strings.LastIndex(task, ".")] }
 
-// message is one question to a worker, or once it was carried out, its answer.
+// message is a request to a worker or, once the worker has carried it out, the answer.
 type message struct {
 	kind, host, holder, worker, task, lease string
 	inc                                     int
@@ -56,7 +59,7 @@
 	sent                                    time.Time
 	reading                                 lease.Reading
 	done, refused, late                     bool
-	// lost is set when the sender has given up waiting.
+	// lost is set once the sender no longer waits for the answer.
 	lost bool
 }
 
@@ -67,36 +70,36 @@
 	leases *lease.Leases
 	jobs   *job.Jobs
 	over   *takeover.Takeover
-	// room holds the tasks that take each held worker.
-	room  map[string]map[string]bool
-	queue []string
-	spec  map[string]job.Spec
+	// occupants holds the tasks that occupy each held worker, as far as the host knows.
+	occupants map[string]map[string]bool
+	queue     []string
+	spec      map[string]job.Spec
 }
 
 // World is one state of the modelled cell.
 type World struct {
-	rules    Rules
-	now      time.Time
-	machines []*machine
-	hosts    map[string]*host
-	mail     []message
-	led      bool
-	restarts int
-	// rankings counts how often the former lead was ranked or no longer so.
+	rules     Rules
+	now       time.Time
+	machines  []*machine
+	hosts     map[string]*host
+	messages  []message
+	takenOver bool
+	restarts  int
+	// rankings counts how often the former leader lost or regained its racks.
 	rankings int
 }
 
-// Start is the state from which orders of events are played.
+// Start describes the state in which every order of events begins.
 type Start struct {
 	Workers int
-	// Running tells that the task runs already; else its start is under way.
+	// Running reports whether the task runs already; otherwise its start is in flight.
 	Running bool
-	// Lapsed tells that the anchors ran out meanwhile, and the lead was paused.
+	// Lapsed reports whether the leader is paused and the anchors have expired.
 	Lapsed bool
 }
 
 // NewWorld returns a cell in which one host leads all workers and has just sent
-// the start of a task, or has had it confirmed.
+// the start of a task, or has received its confirmation.
 func NewWorld(rules Rules, s Start) *World {
 	w := &World{rules: rules, now: time.Unix(1_700_000_000, 0), hosts: map[string]*host{}}
 	for i := range s.Workers {
@@ -109,7 +112,7 @@
 	w.submit(a, old)
 	if s.Running {
 		w.deliverAll()
-		w.machines[0].tasks[old+".0"] = w.now.Add(long)
+		w.machines[0].tasks[old+".0"] = w.now.Add(taskTTL)
 	}
 	if s.Lapsed {
 		w.now = w.now.Add(ttl)
@@ -119,18 +122,18 @@
 }
 
 func (w *World) deliverAll() {
-	for len(w.mail) > 0 {
+	for len(w.messages) > 0 {
 		w.deliver(0)
 	}
 }
 
 func (w *World) newHost(name string, inc int) *host {
 	h := &host{
-		name: name, inc: inc, leases: lease.New(lease.Limits{TTL: ttl, TaskTTL: long, RetryInterval: step / 2}), jobs: job.New(),
-		over: takeover.New(name, takeover.Limits{LongestLease: never, AskInterval: never}),
-		room: map[string]map[string]bool{}, spec: map[string]job.Spec{},
+		name: name, inc: inc, leases: lease.New(lease.Limits{TTL: ttl, TaskTTL: taskTTL, RetryInterval: step / 2}), jobs: job.New(),
+		over:      takeover.New(name, takeover.Limits{LongestLease: never, AskInterval: never}),
+		occupants: map[string]map[string]bool{}, spec: map[string]job.Spec{},
 	}
-	w.overtake(h, takeover.SetWorkers{Names: w.names()})
+	w.stepTakeover(h, takeover.SetWorkers{Names: w.names()})
 	return h
 }
 
@@ -150,12 +153,13 @@
 
 func (w *World) submit(h *host, id string) { w.job(h, job.Submit{Spec: specOf(id)}) }
 
-// inherit lets a host take the former lead for dead.
+// inherit makes a host take over the workers and the job of a leader that it
+// considers dead.
 func (w *World) inherit(h *host) {
 	w.lead(h)
 	w.job(h, job.Inherit{Spec: specOf(old)})
-	w.overtake(h, takeover.FoundJob{Job: old})
-	if w.rules.NoCensus {
+	w.stepTakeover(h, takeover.FoundJob{Job: old})
+	if w.rules.NoInventory {
 		w.job(h, job.Release{ID: old})
 	}
 	w.submit(h, "d.r.of-"+h.name)
@@ -170,7 +174,7 @@
 
 func (w *World) send(h *host, m message) {
 	m.host, m.inc, m.holder, m.sent = h.name, h.inc, h.holder(w.rules), w.now
-	w.mail = append(w.mail, m)
+	w.messages = append(w.messages, m)
 }
 
 func (w *World) lease(h *host, ev lease.Event) {
@@ -183,48 +187,48 @@
 		case lease.Release:
 			w.send(h, message{kind: "give", worker: a.Worker, lease: a.Lease})
 		case lease.Up:
-			h.room[a.Worker] = map[string]bool{}
-			w.seen(h, a.Worker, a.Reading)
-			w.overtake(h, takeover.WorkerHeld{Worker: a.Worker})
+			h.occupants[a.Worker] = map[string]bool{}
+			w.handleWorkerList(h, a.Worker, a.Reading)
+			w.stepTakeover(h, takeover.WorkerHeld{Worker: a.Worker})
 		case lease.Updated:
-			w.seen(h, a.Worker, a.Reading)
+			w.handleWorkerList(h, a.Worker, a.Reading)
 		case lease.Down:
-			delete(h.room, a.Worker)
-			w.overtake(h, takeover.WorkerLost{Worker: a.Worker})
+			delete(h.occupants, a.Worker)
+			w.stepTakeover(h, takeover.WorkerLost{Worker: a.Worker})
 			w.demote(h)
 		}
 	}
 	w.fill(h)
 }
 
-// demote is what the lead does when it holds no worker any more.
+// demote makes a host drop its jobs once it holds no worker any more.
 func (w *World) demote(h *host) {
 	if len(h.leases.Held()) > 0 {
 		return
 	}
 	for _, s := range h.jobs.Open() {
-		w.overtake(h, takeover.GoneJob{Job: s.ID})
+		w.stepTakeover(h, takeover.GoneJob{Job: s.ID})
 		w.job(h, job.Drop{ID: s.ID})
 	}
 }
 
-func (w *World) seen(h *host, name string, r lease.Reading) {
+func (w *World) handleWorkerList(h *host, name string, r lease.Reading) {
 	ev := job.WorkerList{Worker: name, Clock: r.Clock, Sent: r.Sent}
 	listed := map[string]bool{}
 	for _, t := range r.Tasks {
 		listed[t.ID] = true
 		ev.Tasks = append(ev.Tasks, job.ListedTask{ID: t.ID, State: t.State, Lease: t.Lease})
-		h.room[name][t.ID] = true
+		h.occupants[name][t.ID] = true
 	}
 	w.job(h, ev)
-	for id := range h.room[name] {
+	for id := range h.occupants[name] {
 		if !listed[id] && !h.jobs.HasTask(id) {
-			delete(h.room[name], id)
+			delete(h.occupants[name], id)
 		}
 	}
 }
 
-func (w *World) overtake(h *host, ev takeover.Event) {
+func (w *World) stepTakeover(h *host, ev takeover.Event) {
 	for _, a := range h.over.Step(w.now, ev) {
 		if a, ok := a.(takeover.ReleaseJob); ok {
 			w.job(h, job.Release{ID: a.Job})
@@ -241,7 +245,7 @@
 		case job.Start:
 			w.start(h, a)
 		case job.Free:
-			for _, tasks := range h.room {
+			for _, tasks := range h.occupants {
 				delete(tasks, a.Task)
 			}
 			h.queue = slices.DeleteFunc(h.queue, func(id string) bool { return id == a.Task })
@@ -264,29 +268,29 @@
 	w.send(h, message{kind: "start", worker: a.Worker, task: a.Task, attempt: a.Attempt, ttl: ttl, deadline: deadline})
 }
 
-// fill places waiting tasks on held workers that are empty as far as the host
+// fill places queued tasks on held workers that are empty as far as the host
 // knows.
 func (w *World) fill(h *host) {
 	for _, name := range h.leases.Held() {
-		room, up := h.room[name]
-		if len(h.queue) == 0 || !up || len(room) > 0 {
+		occupants, up := h.occupants[name]
+		if len(h.queue) == 0 || !up || len(occupants) > 0 {
 			continue
 		}
 		task := h.queue[0]
 		h.queue = h.queue[1:]
-		room[task] = true
+		occupants[task] = true
 		w.job(h, job.Placed{Task: task, Worker: name})
 	}
 }
 
-// Wrong returns the first promise that was broken; empty if none.
-func (w *World) Wrong() string {
+// Violation describes a violation of an invariant in this state; empty if there is none.
+func (w *World) Violation() string {
 	at := map[string]string{}
 	for _, m := range w.machines {
-		if m.wrong != "" {
-			return m.wrong
+		if m.violation != "" {
+			return m.violation
 		}
-		m.settle(w.now)
+		m.dropExpired(w.now)
 		for _, id := range slices.Sorted(maps.Keys(m.tasks)) {
 			if other := at[id]; other != "" {
 				return id + " runs on " + other + " and on " + m.name
--- a/internal/standin/cell.go
+++ b/internal/standin/cell.go
@@ -15,49 +15,50 @@
 	"pollencroft/internal/platform"
 )
 
-// Users describes one deployment: its failure domains and their machines.
-type Users struct {
+// Deployment describes one deployment: its failure domains and the machines in them.
+type Deployment struct {
 	Name    string
 	Domains []string
-	// Hosts is how many entry hosts each failure domain has.
+	// Hosts is the number of entry hosts in each failure domain.
 	Hosts []int
-	// Minions, Workers and Racks are counts in the whole cell.
-	Minions, Workers, Racks int
-	Slots                   int
-	Worker                  cell.Size
+	// Backends, Workers and Racks are totals for the whole cell. Backends are backend servers.
+	Backends, Workers, Racks int
+	Slots                    int
+	Worker                   cell.Size
 }
 
-// The two deployments that the project is built for.
+// The two deployments that the project is designed for.
 var (
-	Kronach = Users{
+	Kronach = Deployment{
 		Name: "kronach", Domains: []string{"halle-nord", "halle-sued", "stadthalle"}, Hosts: []int{3, 3, 2},
-		Minions: 48, Workers: 48, Racks: 6, Slots: 8, Worker: cell.Size{CPU: 64_000, Mem: 256 << 30},
+		Backends: 48, Workers: 48, Racks: 6, Slots: 8, Worker: cell.Size{CPU: 64_000, Mem: 256 << 30},
 	}
-	Inzira = Users{
+	Inzira = Deployment{
 		Name: "inzira", Domains: []string{"nyarugenge", "gasabo", "kicukiro"}, Hosts: []int{3, 2, 2},
-		Minions: 48, Workers: 48, Racks: 6, Slots: 8, Worker: cell.Size{CPU: 32_000, Mem: 128 << 30},
+		Backends: 48, Workers: 48, Racks: 6, Slots: 8, Worker: cell.Size{CPU: 32_000, Mem: 128 << 30},
 	}
 )
 
 // Cell runs the stand-ins of one deployment on loopback sockets.
 type Cell struct {
-	Users    Users
-	Platform *Platform
-	Address  netip.AddrPort
-	Minions  map[string]*Minion
-	Workers  map[string]*Worker
-	Over     *Oversight
-	Machines []platform.HostEntry
+	Deployment  Deployment
+	Platform    *Platform
+	Address     netip.AddrPort
+	Backends    map[string]*Backend
+	Workers     map[string]*Worker
+	CopyChecker *CopyChecker
+	Machines    []platform.HostEntry
 
 	servers []*http.Server
 	wg      sync.WaitGroup
 }
 
-// NewCell starts the stand-ins. The platform listens on addr; a zero port and
-// all other ports are chosen by the system.
-func NewCell(u Users, addr netip.AddrPort, clock func() time.Time) (*Cell, error) {
+// NewCell starts the stand-ins. The platform listens on addr; if its port is zero, the operating
+// system chooses one. The other stand-ins listen on the same IP address and on ports that the
+// operating system chooses.
+func NewCell(u Deployment, addr netip.AddrPort, clock func() time.Time) (*Cell, error) {
 	c := &Cell{
-		Users: u, Platform: NewPlatform(), Minions: map[string]*Minion{}, Workers: map[string]*Worker{}, Over: NewOversight(),
+		Deployment: u, Platform: NewPlatform(), Backends: map[string]*Backend{}, Workers: map[string]*Worker{}, CopyChecker: NewCopyChecker(),
 	}
 	if err := c.fill(addr, clock); err != nil {
 		c.Close()
@@ -73,27 +74,29 @@
 		return err
 	}
 	any := netip.AddrPortFrom(addr.Addr(), 0)
-	for i := range c.Users.Minions {
+	for i := range c.Deployment.Backends {
 		name := fmt.Sprintf("minion-%02d", i)
-		m := NewMinion(c.Users.Slots)
-		c.Minions[name] = m
-		if err := c.add(any, m.Handler(), platform.HostEntry{Name: name, Kind: cell.BackendHost, Domain: c.domain(i, c.Users.Minions), Slots: c.Users.Slots}); err != nil {
+		m := NewBackend(c.Deployment.Slots)
+		c.Backends[name] = m
+		if err := c.add(any, m.Handler(), platform.HostEntry{Name: name, Kind: cell.BackendHost, Domain: c.domain(i, c.Deployment.Backends), Slots: c.Deployment.Slots}); err != nil {
 			return err
 		}
 	}
-	for i := range c.Users.Workers {
+	for i := range c.Deployment.Workers {
 		name := fmt.Sprintf("worker-%02d", i)
-		w := NewWorker(c.Users.Worker, c.Over, clock)
+		w := NewWorker(c.Deployment.Worker, c.CopyChecker, clock)
 		c.Workers[name] = w
-		rack := fmt.Sprintf("r%d", i*c.Users.Racks/c.Users.Workers)
-		if err := c.add(any, w.Handler(), platform.HostEntry{Name: name, Kind: cell.WorkerHost, Domain: c.domain(i, c.Users.Workers), Rack: rack, Size: c.Users.Worker}); err != nil {
+		rack := fmt.Sprintf("r%d", i*c.Deployment.Racks/c.Deployment.Workers)
+		if err := c.add(any, w.Handler(), platform.HostEntry{Name: name, Kind: cell.WorkerHost, Domain: c.domain(i, c.Deployment.Workers), Rack: rack, Size: c.Deployment.Worker}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *Cell) domain(i, all int) string { return c.Users.Domains[i*len(c.Users.Domains)/all] }
+func (c *Cell) domain(i, all int) string {
+	return c.Deployment.Domains[i*len(c.Deployment.Domains)/all]
+}
 
 func (c *Cell) add(addr netip.AddrPort, h http.Handler, m platform.HostEntry) error {
 	at, err := c.serve(addr, h)
@@ -120,22 +123,22 @@
 	return mux
 }
 
-// Report sums up what all stand-ins recorded.
+// Report is the sum of the records of all stand-ins.
 type Report struct {
 	Overfilled int            `json:"overfilled"`
 	Doubled    []string       `json:"doubled"`
 	SlotsOver  int            `json:"over"`
 	Ran        map[string]int `json:"ran"`
-	// Tasks counts by task id how often it ended well.
+	// Tasks counts, by task id, the runs that ended successfully.
 	Tasks map[string]int `json:"tasks"`
-	// Started counts starts by task id.
+	// Started counts the starts by task id.
 	Started map[string]int `json:"started"`
 }
 
-// Report returns the sum of all records now.
+// Report returns the current sum of all records.
 func (c *Cell) Report() Report {
-	r := Report{Doubled: c.Over.Doubled(), Ran: map[string]int{}, Tasks: map[string]int{}, Started: map[string]int{}}
-	for _, m := range c.Minions {
+	r := Report{Doubled: c.CopyChecker.Doubled(), Ran: map[string]int{}, Tasks: map[string]int{}, Started: map[string]int{}}
+	for _, m := range c.Backends {
 		rec := m.Record()
 		r.SlotsOver += rec.Over
 		for key, n := range rec.Ran {
@@ -157,7 +160,7 @@
 	return r
 }
 
-// Close ends all stand-ins.
+// Close stops the servers of all stand-ins.
 func (c *Cell) Close() {
 	for _, srv := range c.servers {
 		_ = srv.Close()
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -19,13 +19,13 @@
 // bench is one worker stand-in whose clock the test sets.
 type bench struct {
 	worker *standin.Worker
-	over   *standin.Oversight
+	over   *standin.CopyChecker
 	now    time.Time
 	addr   netip.AddrPort
 }
 
 func newBench(t *testing.T) *bench {
-	b := &bench{now: time.Unix(1_700_000_000, 0), over: standin.NewOversight()}
+	b := &bench{now: time.Unix(1_700_000_000, 0), over: standin.NewCopyChecker()}
 	b.worker = standin.NewWorker(cell.Size{CPU: 1000, Mem: 1000}, b.over, func() time.Time { return b.now })
 	srv := httptest.NewServer(b.worker.Handler())
 	t.Cleanup(srv.Close)
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -14,13 +14,13 @@
 	"pollencroft/internal/standin"
 )
 
-// atOnce bounds how many cells run beside each other on one machine.
-var atOnce = make(chan struct{}, 3)
+// cellSlots limits the number of cells that run at the same time on one machine.
+var cellSlots = make(chan struct{}, 3)
 
-// Each scenario takes a whole cell of real processes through one fault, or
-// two at once, under all kinds of work. A user would notice a lost or doubled
-// scan, a batch that ran though it was told as not run, or an overfull worker;
-// all four are counted from the stand-ins' records.
+// Each scenario injects one fault, or two at once, into a whole cell of real processes under all
+// kinds of work. The test counts four violations that a user would notice, from the records of the
+// stand-ins: a lost scan, a scan that ran twice, a batch that ran although it was reported as not
+// run, and an overfull worker.
 func TestPromisesHoldUnderFaults(t *testing.T) {
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -30,33 +30,35 @@
 	}
 }
 
+// scenario is a fault and the function that ends it.
 type scenario struct {
 	name        string
 	fault, heal func(b *bench)
 }
 
-// play takes a cell of its own through the scenario.
+// play runs the scenario in a cell of its own.
 func (s scenario) play(t *testing.T) {
 	t.Helper()
-	atOnce <- struct{}{}
-	defer func() { <-atOnce }()
+	cellSlots <- struct{}{}
+	defer func() { <-cellSlots }()
 	b := newBench(t)
 	wrong := b.run(s.fault, s.heal)
 	if wrong != (audit.ViolationsError{}) {
-		b.explain()
+		b.logViolations()
 	}
 	require.Equal(t, audit.ViolationsError{}, wrong)
-	require.Zero(t, b.cell.Report().SlotsOver, "requests over a minion's slots")
+	require.Zero(t, b.cell.Report().SlotsOver, "requests beyond the slots of a backend server")
 	asked, done := b.tally.Totals()
 	require.Positive(t, done, "of %d asked", asked)
 }
 
+// nothing injects no fault.
 func nothing(*bench) {}
 
-// leaveWithin is the promised time until a leaving minion gets no new work.
+// leaveWithin is the promised time after which a leaving backend server gets no new work.
 const leaveWithin = 3 * time.Second
 
-// silence swallows all bytes of open and new connections without a reset.
+// silence drops all bytes of open and new connections without a reset.
 func silence(b *bench, on []*toxiproxy.Proxy, streams ...string) {
 	for _, stream := range streams {
 		b.toxic("timeout", stream, `"timeout":0`, on...)
@@ -70,9 +72,11 @@
 
 func sameDomain(from, to *node) bool { return from.domain == to.domain }
 
-func (b *bench) cutPaths() []*toxiproxy.Proxy {
+// domainProxies returns the proxies on all connections between the failure domain of the first host
+// and the other domains, and on those of its hosts to the platform.
+func (b *bench) domainProxies() []*toxiproxy.Proxy {
 	cut := b.nodes[0].domain
-	paths := b.paths(func(from, to *node) bool { return (from.domain == cut) != (to.domain == cut) })
+	paths := b.peerProxies(func(from, to *node) bool { return (from.domain == cut) != (to.domain == cut) })
 	for _, n := range b.nodes {
 		if n.domain == cut {
 			paths = append(paths, n.platform)
@@ -98,8 +102,8 @@
 	b.start(b.nodes[0])
 }
 
-// leave lists a minion as leaving, gives the hosts the promised time and keeps
-// what it had run by then.
+// leave lists a backend server as leaving, waits for leaveWithin and records how many requests the
+// server has run by then.
 func (b *bench) leave(name string) {
 	for i := range b.machines {
 		if b.machines[i].Name == name {
@@ -108,13 +112,13 @@
 	}
 	b.cell.Platform.SetHosts(b.machines)
 	wait(context.Background(), leaveWithin)
-	b.left = len(b.cell.Minions[name].Record().Ran)
+	b.ranBeforeLeaving = len(b.cell.Backends[name].Record().Ran)
 }
 
-// stillLeft tells that the minion got no request since.
-func (b *bench) stillLeft(name string) {
+// checkStillLeft checks that the backend server has got no request since leave returned.
+func (b *bench) checkStillLeft(name string) {
 	wait(context.Background(), time.Second)
-	require.Equal(b.t, b.left, len(b.cell.Minions[name].Record().Ran), "requests that it ran since")
+	require.Equal(b.t, b.ranBeforeLeaving, len(b.cell.Backends[name].Record().Ran), "the leaving backend server has run new requests")
 }
 
 func replaceFirst(b *bench) { b.start(b.nodes[0]) }
@@ -124,28 +128,28 @@
 	{
 		"latency between hosts and to minions",
 		func(b *bench) {
-			b.toxic("latency", down, `"latency":40,"jitter":20`, b.paths(sameDomain)...)
-			b.toxic("latency", down, `"latency":40,"jitter":20`, b.kinds(cell.BackendHost, 6)...)
+			b.toxic("latency", down, `"latency":40,"jitter":20`, b.peerProxies(sameDomain)...)
+			b.toxic("latency", down, `"latency":40,"jitter":20`, b.proxiesOfKind(cell.BackendHost, 6)...)
 		},
 		func(b *bench) {
-			b.clear(b.paths(sameDomain)...)
-			b.clear(b.kinds(cell.BackendHost, 6)...)
+			b.clear(b.peerProxies(sameDomain)...)
+			b.clear(b.proxiesOfKind(cell.BackendHost, 6)...)
 		},
 	},
 	{
 		"hosts silent one way",
-		func(b *bench) { silence(b, b.paths(sameDomain), down) },
-		func(b *bench) { b.clear(b.paths(sameDomain)...) },
+		func(b *bench) { silence(b, b.peerProxies(sameDomain), down) },
+		func(b *bench) { b.clear(b.peerProxies(sameDomain)...) },
 	},
 	{
 		"two minions silent",
-		func(b *bench) { silence(b, b.kinds(cell.BackendHost, 2), up, down) },
-		func(b *bench) { b.clear(b.kinds(cell.BackendHost, 2)...) },
+		func(b *bench) { silence(b, b.proxiesOfKind(cell.BackendHost, 2), up, down) },
+		func(b *bench) { b.clear(b.proxiesOfKind(cell.BackendHost, 2)...) },
 	},
 	{
 		"minion answers cut after some bytes",
-		func(b *bench) { b.toxic("limit_data", down, `"bytes":2000`, b.kinds(cell.BackendHost, 3)...) },
-		func(b *bench) { b.clear(b.kinds(cell.BackendHost, 3)...) },
+		func(b *bench) { b.toxic("limit_data", down, `"bytes":2000`, b.proxiesOfKind(cell.BackendHost, 3)...) },
+		func(b *bench) { b.clear(b.proxiesOfKind(cell.BackendHost, 3)...) },
 	},
 	{
 		"callers' connections reset",
@@ -156,17 +160,17 @@
 		"connections close slowly",
 		func(b *bench) {
 			b.toxic("slow_close", down, `"delay":1000`, b.nodes[0].caller, b.nodes[2].caller)
-			b.toxic("slow_close", down, `"delay":1000`, b.kinds(cell.BackendHost, 3)...)
+			b.toxic("slow_close", down, `"delay":1000`, b.proxiesOfKind(cell.BackendHost, 3)...)
 		},
 		func(b *bench) {
 			b.clear(b.nodes[0].caller, b.nodes[2].caller)
-			b.clear(b.kinds(cell.BackendHost, 3)...)
+			b.clear(b.proxiesOfKind(cell.BackendHost, 3)...)
 		},
 	},
 	{
 		"workers silent",
-		func(b *bench) { silence(b, b.kinds(cell.WorkerHost, 3), down) },
-		func(b *bench) { b.clear(b.kinds(cell.WorkerHost, 3)...) },
+		func(b *bench) { silence(b, b.proxiesOfKind(cell.WorkerHost, 3), down) },
+		func(b *bench) { b.clear(b.proxiesOfKind(cell.WorkerHost, 3)...) },
 	},
 	{
 		"host paused",
@@ -176,8 +180,8 @@
 	{"host killed and replaced", killFirst, replaceFirst},
 	{
 		"failure domain cut off",
-		func(b *bench) { silence(b, b.cutPaths(), up, down) },
-		func(b *bench) { b.clear(b.cutPaths()...) },
+		func(b *bench) { silence(b, b.domainProxies(), up, down) },
+		func(b *bench) { b.clear(b.domainProxies()...) },
 	},
 	{"log down", platformFault(standin.PlatformFaults{Down: true}), platformFault(standin.PlatformFaults{})},
 	{"log answers lost", platformFault(standin.PlatformFaults{LoseAnswers: 20, Slow: 50 * time.Millisecond}), platformFault(standin.PlatformFaults{})},
@@ -190,32 +194,32 @@
 		"host killed while the host list is frozen and a minion is silent",
 		func(b *bench) {
 			platformFault(standin.PlatformFaults{FreezeHosts: true})(b)
-			silence(b, b.kinds(cell.BackendHost, 1), down)
+			silence(b, b.proxiesOfKind(cell.BackendHost, 1), down)
 			killFirst(b)
 		},
 		func(b *bench) {
 			platformFault(standin.PlatformFaults{})(b)
-			b.clear(b.kinds(cell.BackendHost, 1)...)
+			b.clear(b.proxiesOfKind(cell.BackendHost, 1)...)
 			replaceFirst(b)
 		},
 	},
 	{
 		"minions leave",
 		func(b *bench) {
-			b.cell.Minions["minion-03"].SetFaults(standin.MinionFaults{Leaving: true})
+			b.cell.Backends["minion-03"].SetFaults(standin.BackendFaults{Leaving: true})
 			b.leave("minion-00")
 		},
-		func(b *bench) { b.stillLeft("minion-00") },
+		func(b *bench) { b.checkStillLeft("minion-00") },
 	},
 	{
 		"workers fail everything and one rack is silent",
 		func(b *bench) {
 			b.cell.Workers["worker-00"].SetFaults(standin.WorkerFaults{FailAll: true})
-			silence(b, b.kinds(cell.WorkerHost, 12)[2:4], up, down)
+			silence(b, b.proxiesOfKind(cell.WorkerHost, 12)[2:4], up, down)
 		},
 		func(b *bench) {
 			b.cell.Workers["worker-00"].SetFaults(standin.WorkerFaults{})
-			b.clear(b.kinds(cell.WorkerHost, 12)[2:4]...)
+			b.clear(b.proxiesOfKind(cell.WorkerHost, 12)[2:4]...)
 		},
 	},
 	{
@@ -250,7 +254,7 @@
 			killFirst(b)
 			b.leave("minion-00")
 		},
-		func(b *bench) { b.stillLeft("minion-00"); replaceFirst(b) },
+		func(b *bench) { b.checkStillLeft("minion-00"); replaceFirst(b) },
 	},
 	{
 		"planned stop",
--- a/test/pairs_test.go
+++ b/test/pairs_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// touches tells which part of the cell each fault is brought about at. Two
-// faults at the same part cannot be told apart, so pairs take different parts.
-var touches = map[string][]string{
+// injectedAt maps each fault to the parts of the cell where it is injected. The effects of two
+// faults at the same part cannot be distinguished, so a pair combines faults at different parts.
+var injectedAt = map[string][]string{
 	"latency between hosts and to minions": {"hosts", "minions"},
 	"hosts silent one way":                 {"hosts"},
 	"two minions silent":                   {"minions"},
@@ -24,14 +24,15 @@
 	"log answers lost":                     {"platform"},
 }
 
-// The sample of pairs: its seed and size.
+// Seed and size of the sample of pairs.
 const (
 	pairsSeed = 20261202
 	pairs     = 5
 )
 
-// Faults come together. The promises that hold under each must hold under two;
-// the sample is the same in every run, and another seed is another sample.
+// Faults also occur at the same time, so the guarantees that hold under a single fault must hold
+// under two. The fixed seed gives the same sample of pairs in every run; another seed gives
+// another sample.
 func TestPromisesHoldUnderPairsOfFaults(t *testing.T) {
 	byName := map[string]scenario{}
 	for _, s := range scenarios {
@@ -49,13 +50,14 @@
 	}
 }
 
+// samplePairs returns the names of the faults of each pair.
 func samplePairs() [][2]string {
 	r := rand.New(rand.NewPCG(pairsSeed, pairsSeed))
-	names := slices.Sorted(maps.Keys(touches))
+	names := slices.Sorted(maps.Keys(injectedAt))
 	var all [][2]string
 	for len(all) < pairs {
 		p := [2]string{names[r.IntN(len(names))], names[r.IntN(len(names))]}
-		apart := !slices.ContainsFunc(touches[p[0]], func(at string) bool { return slices.Contains(touches[p[1]], at) })
+		apart := !slices.ContainsFunc(injectedAt[p[0]], func(at string) bool { return slices.Contains(injectedAt[p[1]], at) })
 		if apart && !slices.Contains(all, p) {
 			all = append(all, p)
 		}
