--- a/internal/measure/decide.go
+++ b/internal/measure/decide.go
@@ -112,5 +112,5 @@
 	d.confirm()
 }
 
-// P99 returns the 99th percentile of the durations of steps.
+// P99 returns the duration that 99 of 100 steps do not exceed.
 func (d *Decide) P99() time.Duration { return time.Duration(d.Times.ValueAtQuantile(99)) }
