--- a/internal/model/machine.go
+++ b/internal/model/machine.go
@@ -60,7 +60,7 @@
 		}
 		m.until = now.Add(q.ttl)
 		for id := range m.tasks {
-			m.tasks[id] = now.Add(q.long)
+			m.tasks[id] = now.Add(q.taskTTL)
 		}
 		q.reading = m.reading(now)
 	case "give":
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -54,7 +54,7 @@
 	kind, host, holder, worker, task, lease string
 	inc                                     int
 	attempt                                 int64
-	ttl, long                               time.Duration
+	ttl, taskTTL                            time.Duration
 	deadline                                time.Time
 	sent                                    time.Time
 	reading                                 lease.Reading
@@ -183,7 +183,7 @@
 		case lease.Acquire:
 			w.send(h, message{kind: "take", worker: a.Worker, ttl: a.TTL})
 		case lease.Renew:
-			w.send(h, message{kind: "renew", worker: a.Worker, ttl: a.TTL, long: a.TaskTTL})
+			w.send(h, message{kind: "renew", worker: a.Worker, ttl: a.TTL, taskTTL: a.TaskTTL})
 		case lease.Release:
 			w.send(h, message{kind: "give", worker: a.Worker, lease: a.Lease})
 		case lease.Up:
