--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -74,12 +74,12 @@
 	if !slices.Contains(regressionSeeds, seed) {
 		c.busy.Go(func() { c.resizeSome(ctx, rand.New(rand.NewPCG(seed, 3))) })
 	}
-	said := c.disturb(ctx, rand.New(rand.NewPCG(seed, 2)))
+	faultLog := c.disturb(ctx, rand.New(rand.NewPCG(seed, 2)))
 	c.busy.Wait()
 	<-done
 	c.endFaults()
-	require.Eventually(t, func() bool { return a.allJobsEnded(c.hosts[0]) }, quietPeriod, 200*time.Millisecond, "accepted jobs have not ended\n%s", strings.Join(said, "\n"))
-	a.checkResults(t, said)
+	require.Eventually(t, func() bool { return a.allJobsEnded(c.hosts[0]) }, quietPeriod, 200*time.Millisecond, "accepted jobs have not ended\n%s", strings.Join(faultLog, "\n"))
+	a.checkResults(t, faultLog)
 }
 
 // checkResults compares the tasks that ran with the answers that callers got and fails the test on
