--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -84,7 +84,7 @@
 
 // checkResults compares the tasks that ran with the answers that callers got and fails the test on
 // any violation.
-func (a *callers) checkResults(t *testing.T, said []string) {
+func (a *callers) checkResults(t *testing.T, faultLog []string) {
 	runs := a.c.invariants.Runs()
 	for _, j := range a.list() {
 		ran := runs[j.id+".0.0.0"] > 0
@@ -101,7 +101,7 @@
 			accepted++
 		}
 	}
-	t.Logf("%d jobs, %d accepted, %d faults", len(a.list()), accepted, len(said))
-	require.Empty(t, append(a.violations, a.c.invariants.Violations()...), strings.Join(said, "\n"))
-	require.Greater(t, accepted, 5, "too few jobs were accepted\n%s", strings.Join(said, "\n"))
+	t.Logf("%d jobs, %d accepted, %d faults", len(a.list()), accepted, len(faultLog))
+	require.Empty(t, append(a.violations, a.c.invariants.Violations()...), strings.Join(faultLog, "\n"))
+	require.Greater(t, accepted, 5, "too few jobs were accepted\n%s", strings.Join(faultLog, "\n"))
 }
