--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -174,16 +174,16 @@
 // for each fault, with the time at which the fault started.
 func (c *cell) disturb(ctx context.Context, r *rand.Rand) []string {
 	began := time.Now()
-	var said []string
+	var faultLog []string
 	for {
 		f, d := faults[r.IntN(len(faults))], time.Duration(300+r.IntN(4000))*time.Millisecond
 		pause := time.Duration(100+r.IntN(1500)) * time.Millisecond
 		select {
 		case <-ctx.Done():
-			return said
+			return faultLog
 		case <-time.After(pause):
 		}
-		said = append(said, fmt.Sprintf("%.3f s: %s, for %s", time.Since(began).Seconds(), f.name, d))
+		faultLog = append(faultLog, fmt.Sprintf("%.3f s: %s, for %s", time.Since(began).Seconds(), f.name, d))
 		end := f.do(c, r, d)
 		c.busy.Go(end)
 	}
