--- a/internal/standin/oversight.go
+++ b/internal/standin/oversight.go
@@ -20,12 +20,12 @@
 	doubled []string
 }
 
-// NewCopyChecker returns an oversight without any recorded copies.
+// NewCopyChecker returns a checker without any recorded copies.
 func NewCopyChecker() *CopyChecker { return &CopyChecker{copies: map[string]map[copyKey]time.Time{}} }
 
-// runs records that a copy runs until the given time at the latest. If the copy is new and another
+// addCopy records that a copy addCopy until the given time at the latest. If the copy is new and another
 // copy of the task is still running, it also records the task as doubled.
-func (o *CopyChecker) runs(id string, key copyKey, now, until time.Time) {
+func (o *CopyChecker) addCopy(id string, key copyKey, now, until time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.copies[id] == nil {
@@ -41,8 +41,8 @@
 	o.copies[id][key] = until
 }
 
-// ended removes a copy that no longer runs.
-func (o *CopyChecker) ended(id string, key copyKey) {
+// removeCopy removes a copy that no longer runs.
+func (o *CopyChecker) removeCopy(id string, key copyKey) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.copies[id], key)
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -71,7 +71,7 @@
 func (k *Worker) Record() WorkerRecord {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.settle()
+	k.endExpired()
 	r := k.record
 	r.Started = copyMap(k.record.Started)
 	r.Ended = copyMap(k.record.Ended)
@@ -91,7 +91,7 @@
 func (k *Worker) Utilization(since time.Time) float64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.settle()
+	k.endExpired()
 	whole := k.clock().Sub(since).Seconds() * float64(k.size.CPU)
 	if whole <= 0 {
 		return 0
@@ -101,9 +101,9 @@
 
 func (k *Worker) now() time.Time { return k.clock().Add(k.faults.Skew) }
 
-// settle ends the tasks whose run time or lease has expired. The caller holds mu. It is called
+// endExpired ends the tasks whose run time or lease has expired. The caller holds mu. It is called
 // before each answer, so that answers do not depend on the timing of a timer.
-func (k *Worker) settle() {
+func (k *Worker) endExpired() {
 	now := k.clock()
 	k.mayCrash(now)
 	for _, t := range k.tasks {
@@ -128,17 +128,17 @@
 	k.change(t)
 	k.area += at.Sub(t.began).Seconds() * float64(t.Size.CPU)
 	k.record.Ended[t.ID] = state
-	k.tell(t.ID, Step{At: at, What: state, Holder: t.Holder, Lease: t.Lease})
-	k.over.ended(t.ID, copyKey{k, t.Lease})
+	k.addStep(t.ID, Step{At: at, What: state, Holder: t.Holder, Lease: t.Lease})
+	k.over.removeCopy(t.ID, copyKey{k, t.Lease})
 }
 
-// watch reports to the Oversight the latest time at which a task can still run.
+// watch reports to the CopyChecker the latest time at which a task can still run.
 func (k *Worker) watch(t *Task) {
 	until := t.until
 	if t.ends.Before(until) {
 		until = t.ends
 	}
-	k.over.runs(t.ID, copyKey{k, t.Lease}, k.clock(), until)
+	k.over.addCopy(t.ID, copyKey{k, t.Lease}, k.clock(), until)
 }
 
 // change marks a task as changed, so that the next renewal reports it.
@@ -157,8 +157,8 @@
 	r := chi.NewRouter()
 	r.Put("/faults", putFaults(k.SetFaults))
 	r.Get("/record", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, k.Record()) })
-	r.Post("/anchor", handleWorker(k, k.takeAnchor))
-	r.Delete("/anchor", handleWorker(k, k.giveAnchor))
+	r.Post("/anchor", handleWorker(k, k.acquireAnchor))
+	r.Delete("/anchor", handleWorker(k, k.releaseAnchor))
 	r.Post("/tasks", handleWorker(k, k.start))
 	r.Get("/tasks", handleWorker(k, k.list))
 	r.Post("/renew", handleWorker(k, k.renew))
@@ -186,7 +186,7 @@
 			hangUp(w)
 			return
 		}
-		k.settle()
+		k.endExpired()
 		crashed := k.record.Crashed
 		status, says := do(ask)
 		k.mayCrash(k.clock())
@@ -230,7 +230,7 @@
 	return WorkerReply{Holder: k.anchor.holder, Lease: k.anchor.lease, Left: k.anchor.until.Sub(k.clock()).Milliseconds()}
 }
 
-func (k *Worker) takeAnchor(ask WorkerRequest) (int, WorkerReply) {
+func (k *Worker) acquireAnchor(ask WorkerRequest) (int, WorkerReply) {
 	if k.heldByOther(ask.Holder, ask.Term) {
 		return http.StatusConflict, k.anchorSays()
 	}
@@ -243,7 +243,7 @@
 	return http.StatusOK, says
 }
 
-func (k *Worker) giveAnchor(ask WorkerRequest) (int, WorkerReply) {
+func (k *Worker) releaseAnchor(ask WorkerRequest) (int, WorkerReply) {
 	if k.anchor.holder == ask.Holder && k.anchor.lease == ask.Lease {
 		k.anchor = anchor{}
 	}
@@ -263,7 +263,7 @@
 func (k *Worker) start(ask WorkerRequest) (int, WorkerReply) {
 	if ask.Deadline > 0 && k.now().UnixMilli() > ask.Deadline {
 		k.record.Late++
-		k.tell(ask.ID, Step{At: k.clock(), What: "late", Holder: ask.Holder})
+		k.addStep(ask.ID, Step{At: k.clock(), What: "late", Holder: ask.Holder})
 		return http.StatusGone, WorkerReply{}
 	}
 	now := k.clock()
@@ -284,7 +284,7 @@
 	delete(k.gone, t.ID)
 	k.change(t)
 	k.record.Started[t.ID]++
-	k.tell(t.ID, Step{At: now, What: "started", Holder: t.Holder, Lease: t.Lease, Left: time.Duration(ask.Deadline-k.now().UnixMilli()) * time.Millisecond})
+	k.addStep(t.ID, Step{At: now, What: "started", Holder: t.Holder, Lease: t.Lease, Left: time.Duration(ask.Deadline-k.now().UnixMilli()) * time.Millisecond})
 	k.watch(t)
 	if !k.used().Fits(k.size) {
 		k.record.Overfilled++
@@ -295,7 +295,7 @@
 	return http.StatusOK, WorkerReply{}
 }
 
-func (k *Worker) tell(id string, s Step) { k.history[id] = append(k.history[id], s) }
+func (k *Worker) addStep(id string, s Step) { k.history[id] = append(k.history[id], s) }
 
 // History returns the events of a task on this worker in order.
 func (k *Worker) History(id string) []Step {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -74,18 +74,18 @@
 	if !slices.Contains(regressionSeeds, seed) {
 		c.busy.Go(func() { c.resizeSome(ctx, rand.New(rand.NewPCG(seed, 3))) })
 	}
-	said := c.disturb(ctx, rand.New(rand.NewPCG(seed, 2)))
+	faultLog := c.disturb(ctx, rand.New(rand.NewPCG(seed, 2)))
 	c.busy.Wait()
 	<-done
 	c.endFaults()
-	require.Eventually(t, func() bool { return a.allJobsEnded(c.hosts[0]) }, quietPeriod, 200*time.Millisecond, "accepted jobs have not ended\n%s", strings.Join(said, "\n"))
-	a.checkResults(t, said)
+	require.Eventually(t, func() bool { return a.allJobsEnded(c.hosts[0]) }, quietPeriod, 200*time.Millisecond, "accepted jobs have not ended\n%s", strings.Join(faultLog, "\n"))
+	a.checkResults(t, faultLog)
 }
 
 // checkResults compares the tasks that ran with the answers that callers got and fails the test on
 // any violation.
-func (a *callers) checkResults(t *testing.T, said []string) {
-	runs := a.c.oracle.Runs()
+func (a *callers) checkResults(t *testing.T, faultLog []string) {
+	runs := a.c.invariants.Runs()
 	for _, j := range a.list() {
 		ran := runs[j.id+".0.0.0"] > 0
 		if j.refused && ran {
@@ -101,7 +101,7 @@
 			accepted++
 		}
 	}
-	t.Logf("%d jobs, %d accepted, %d faults", len(a.list()), accepted, len(said))
-	require.Empty(t, append(a.violations, a.c.oracle.Violations()...), strings.Join(said, "\n"))
-	require.Greater(t, accepted, 5, "too few jobs were accepted\n%s", strings.Join(said, "\n"))
+	t.Logf("%d jobs, %d accepted, %d faults", len(a.list()), accepted, len(faultLog))
+	require.Empty(t, append(a.violations, a.c.invariants.Violations()...), strings.Join(faultLog, "\n"))
+	require.Greater(t, accepted, 5, "too few jobs were accepted\n%s", strings.Join(faultLog, "\n"))
 }
