--- a/internal/measure/hole.go
+++ b/internal/measure/blackhole.go
@@ -10,12 +10,12 @@
 	"pollencroft/internal/queue"
 )
 
-// holePatience is how long a caller waits for an answer that never comes.
-const holePatience = 2 * time.Second
+// blackHoleTimeout is the caller's timeout for a request that is never answered.
+const blackHoleTimeout = 2 * time.Second
 
-// hole plays urgent work on minions of which the first swallows everything.
-type hole struct {
-	o    ours
+// blackHoleRun simulates urgent requests on backend servers, the first of which never answers.
+type blackHoleRun struct {
+	o    queueServer
 	out  *outlier.Detector
 	line events
 	byID map[string]*arrival
@@ -24,17 +24,17 @@
 	n    int
 }
 
-// HoleLoss returns which part of the urgent requests one black hole among 16
-// minions swallows in a minute, with or without setting outliers aside.
-func HoleLoss(setAside bool) float64 {
+// BlackHoleLoss returns the fraction of urgent requests that are lost within a minute because one of
+// 16 backend servers never answers. The parameter selects whether outliers are quarantined.
+func BlackHoleLoss(quarantine bool) float64 {
 	start := time.Unix(1_700_000_000, 0)
 	load := UrgentLoad{Urgent: 0.45, For: time.Minute}
 	all := load.arrivals(start)
-	h := &hole{o: newOurs(start), byID: map[string]*arrival{}, at: map[string]string{}}
-	if setAside {
+	h := &blackHoleRun{o: newQueueServer(start), byID: map[string]*arrival{}, at: map[string]string{}}
+	if quarantine {
 		h.out = outlier.New(outlier.DefaultLimits)
 		var names []string
-		for i := range loadMinions {
+		for i := range loadBackends {
 			names = append(names, fmt.Sprintf("m%02d", i))
 		}
 		h.out.Step(start, outlier.ServersListed{Backends: names})
@@ -54,11 +54,11 @@
 	return float64(h.lost) / float64(len(all))
 }
 
-func (h *hole) step(e event) {
+func (h *blackHoleRun) step(e event) {
 	switch {
 	case e.arrive != nil:
 		h.send(e.at, h.o.q.Step(e.at, queue.Enqueue{
-			ID: e.arrive.id, Row: queue.Row{Name: "scan", Class: cell.Urgent, Weight: 1}, Deadline: e.at.Add(holePatience),
+			ID: e.arrive.id, Row: queue.Row{Name: "scan", Class: cell.Urgent, Weight: 1}, Deadline: e.at.Add(blackHoleTimeout),
 		}))
 	case e.end != nil:
 		h.end(e)
@@ -68,9 +68,9 @@
 	}
 }
 
-func (h *hole) end(e event) {
+func (h *blackHoleRun) end(e event) {
 	result := outlier.Succeeded
-	if h.swallows(e.end.id) {
+	if h.neverAnswered(e.end.id) {
 		h.lost++
 		result = outlier.Failed
 	}
@@ -78,21 +78,21 @@
 	h.send(e.at, h.o.q.Step(e.at, queue.Ended{ID: e.end.id, Took: e.end.took, Failed: result == outlier.Failed}))
 }
 
-func (h *hole) swallows(id string) bool { return h.at[id] == "m00" }
+func (h *blackHoleRun) neverAnswered(id string) bool { return h.at[id] == "m00" }
 
-func (h *hole) watch(now time.Time, ev outlier.Event) {
+func (h *blackHoleRun) watch(now time.Time, ev outlier.Event) {
 	if h.out == nil || len(h.out.Step(now, ev)) == 0 {
 		return
 	}
 	var all []queue.Share
-	for i := range loadMinions {
+	for i := range loadBackends {
 		name := fmt.Sprintf("m%02d", i)
 		all = append(all, queue.Share{Backend: name, Slots: h.out.MaxSlots(name, loadSlots)})
 	}
 	h.send(now, h.o.q.Step(now, queue.Shares{All: all}))
 }
 
-func (h *hole) send(now time.Time, acts []queue.Action) {
+func (h *blackHoleRun) send(now time.Time, acts []queue.Action) {
 	for _, a := range acts {
 		send, ok := a.(queue.Send)
 		if !ok {
@@ -103,8 +103,8 @@
 			h.out.Step(now, outlier.Sent{ID: send.ID, Backend: send.Backend, Row: "scan"})
 		}
 		took := h.byID[send.ID].took
-		if h.swallows(send.ID) {
-			took = holePatience
+		if h.neverAnswered(send.ID) {
+			took = blackHoleTimeout
 		}
 		h.n++
 		heap.Push(&h.line, event{at: now.Add(took), order: h.n, end: h.byID[send.ID]})
--- a/internal/measure/ledger.go
+++ b/internal/measure/ledger.go
@@ -17,11 +17,11 @@
 	"pollencroft/internal/peer"
 )
 
-// keyBody is the size of a stored answer in the ledger's benchmarks.
+// keyBody is the size in bytes of a stored answer in the benchmarks of the ledger.
 const keyBody = 200
 
-// Keys opens and closes n keys one after another in one home and returns how
-// many bytes of memory a kept key takes.
+// Keys opens and closes n keys one after another in one ledger and returns the average number of
+// bytes of memory that a stored key occupies.
 func Keys(n int) float64 {
 	limits := ledger.DefaultLimits
 	limits.MaxKeys, limits.MaxBytes = n, int64(n)*keyBody*2
@@ -47,10 +47,11 @@
 	return m.HeapAlloc
 }
 
-// SilentPeer asks a peer over loopback through a proxy, lets the connection go
-// silent, and returns how long the question on it took and how long the next.
-// The proxy acknowledges what it drops, so the system's own bounds do not help.
-func SilentPeer(ctx context.Context) (told, next time.Duration, err error) {
+// SilentPeer sends requests to a peer on loopback through a proxy, which drops all data of the first
+// connection after the first request. It returns how long the next request takes on the silent
+// connection, and how long the one after it takes. TCP acknowledges the data that the proxy drops,
+// so the operating system's own timeouts do not detect the failure.
+func SilentPeer(ctx context.Context) (silent, next time.Duration, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	target, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
@@ -65,7 +66,7 @@
 		return 0, 0, errors.Wrap(err, "listen as proxy")
 	}
 	defer front.Close()
-	p := &swallower{target: target.Addr().String()}
+	p := &droppingProxy{target: target.Addr().String()}
 	go p.serve(ctx, front)
 	clients := peer.NewClients(map[string]netip.AddrPort{"peer": netip.MustParseAddrPort(front.Addr().String())})
 	defer clients.Close()
@@ -80,13 +81,13 @@
 	return ask(), ask(), nil
 }
 
-// swallower is a proxy that drops everything on its first connections.
-type swallower struct {
+// droppingProxy is a TCP proxy that drops all data on its first connections, up to number drop.
+type droppingProxy struct {
 	target      string
 	conns, drop atomic.Int64
 }
 
-func (p *swallower) serve(ctx context.Context, ln net.Listener) {
+func (p *droppingProxy) serve(ctx context.Context, ln net.Listener) {
 	for {
 		in, err := ln.Accept()
 		if err != nil {
@@ -103,7 +104,7 @@
 	}
 }
 
-func (p *swallower) pipe(from, to net.Conn, n int64) {
+func (p *droppingProxy) pipe(from, to net.Conn, n int64) {
 	defer to.Close()
 	b := make([]byte, 32<<10)
 	for {
--- a/internal/measure/ledger_test.go
+++ b/internal/measure/ledger_test.go
@@ -10,8 +10,8 @@
 	"pollencroft/internal/measure"
 )
 
-// BenchmarkKeys is the cost of one keyed request in one home, and the memory
-// that a kept key takes.
+// BenchmarkKeys prints the time that the ledger takes for one request with an idempotency key, and
+// the memory that a stored key occupies.
 func BenchmarkKeys(b *testing.B) {
 	const n = 20_000
 	for b.Loop() {
@@ -22,17 +22,17 @@
 	}
 }
 
-// BenchmarkSilentPeer is how long a question takes whose connection has gone
-// silent, beside the deadline that it took before.
+// BenchmarkSilentPeer prints how long a request to a peer takes whose connection has gone silent,
+// and compares it with the deadline. Earlier versions waited until the deadline.
 func BenchmarkSilentPeer(b *testing.B) {
 	const deadline = 5 * time.Second
 	for b.Loop() {
 		ctx, cancel := context.WithTimeout(b.Context(), deadline)
-		told, next, err := measure.SilentPeer(ctx)
+		silent, next, err := measure.SilentPeer(ctx)
 		cancel()
 		require.NoError(b, err)
-		b.ReportMetric(float64(told.Milliseconds()), "told-ms")
+		b.ReportMetric(float64(silent.Milliseconds()), "told-ms")
 		b.ReportMetric(float64(next.Microseconds()), "next-us")
-		b.ReportMetric(told.Seconds()/deadline.Seconds(), "told/deadline")
+		b.ReportMetric(silent.Seconds()/deadline.Seconds(), "told/deadline")
 	}
 }
--- a/internal/measure/retry.go
+++ b/internal/measure/retry.go
@@ -26,12 +26,11 @@
 	"pollencroft/internal/table"
 )
 
-// NoBudget lets every request use all tries of its row: the baseline.
+// NoBudget is the baseline, in which every request may use all tries of its row.
 var NoBudget = retry.Limits{Ratio: 1 << 10, Initial: 1 << 20, Max: 1 << 20}
 
-// RetryLoad sends requests of an idempotent row through a relay to backend
-// servers that fail all of them, and returns how many of these the servers got
-// for each one asked.
+// RetryLoad sends requests of an idempotent row through a relay to backend servers that fail all of
+// them. It returns the average number of tries that reach the servers for each request.
 func RetryLoad(ctx context.Context, limits retry.Limits, asked int) float64 {
 	row := table.Row{Name: "badges", Class: "bulk", Weight: 1, Tries: 3, Idempotent: true}
 	x := relay.New(relay.Deps{
@@ -44,14 +43,14 @@
 		Clock:      time.Now, Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
 	})
 	var servers []relay.Server
-	var minions []*standin.Backend
+	var standins []*standin.Backend
 	for i := range 4 {
 		m := standin.NewBackend(8)
 		m.SetFaults(standin.BackendFaults{Fail: 100})
 		srv := httptest.NewServer(m.Handler())
 		defer srv.Close()
 		at := netip.MustParseAddrPort(strings.TrimPrefix(srv.URL, "http://"))
-		minions = append(minions, m)
+		standins = append(standins, m)
 		servers = append(servers, relay.Server{Name: fmt.Sprint("m", i), Address: at, Slots: 8})
 	}
 	x.SetServers(servers)
@@ -61,7 +60,7 @@
 		})
 	}
 	got := 0
-	for _, m := range minions {
+	for _, m := range standins {
 		for _, n := range m.Record().Ran {
 			got += n
 		}
--- a/internal/measure/takeover.go
+++ b/internal/measure/takeover.go
@@ -24,27 +24,28 @@
 	"pollencroft/internal/worker"
 )
 
-// Takeover is one failure domain on a passed-in clock whose busiest lead dies.
-// Messages take no time, so what is measured is what the rules wait for.
+// Takeover describes one failure domain on a simulated clock, in which the leader that has all jobs
+// dies. Messages take no time, so the results contain only the waits that the protocol prescribes.
 type Takeover struct {
-	// Hosts, Racks and Workers are counts in the domain.
+	// Hosts, Racks and Workers are numbers in the domain.
 	Hosts, Racks, Workers int
-	// Jobs run at the lead that dies, each with Tasks of one core. As many more
-	// were accepted, and the lead dies before their starts are on the wire.
+	// Jobs is the number of jobs that run under the leader that dies, each with Tasks tasks of one
+	// core. The leader accepts as many more and dies before it sends their starts.
 	Jobs, Tasks int
-	// OneLead gives all racks to one host, as the baseline does.
-	OneLead bool
+	// OneLeader assigns all racks to one host, which is the baseline.
+	OneLeader bool
 }
 
-// TookOver is how long after the death things went on.
-type TookOver struct {
-	// Fresh is when an urgent job that came right after the death started.
+// TakeoverResult is the result of a Takeover. Times count from the death of the leader.
+type TakeoverResult struct {
+	// Fresh is when an urgent job starts that is submitted right after the death.
 	Fresh time.Duration
-	// Inherited is when the last inherited task that had waited started.
+	// Inherited is when the last task starts that was accepted but not started at the death.
 	Inherited time.Duration
-	// Waited counts the inherited jobs with tasks that had not started.
+	// Waited counts the inherited jobs with tasks that had not started at the death.
 	Waited int
-	// Doubled and Overfilled are the workers' records of broken promises.
+	// Doubled counts the tasks that ran in two places at once, and Overfilled the times a worker got
+	// more tasks than fit on it.
 	Doubled, Overfilled int
 }
 
@@ -56,9 +57,9 @@
 )
 
 type domainHost struct {
-	name string
-	lead *lead.Leader
-	jobs *job.Jobs
+	name   string
+	leader *lead.Leader
+	jobs   *job.Jobs
 }
 
 type takeoverRun struct {
@@ -73,15 +74,15 @@
 	open     map[string]job.Spec
 }
 
-// RoundTrip hands a request to the worker that it is for.
+// RoundTrip passes a request to the handler of the worker at its address.
 func (r *takeoverRun) RoundTrip(req *http.Request) (*http.Response, error) {
 	rec := httptest.NewRecorder()
 	r.workers[req.URL.Host].Handler().ServeHTTP(rec, req)
 	return rec.Result(), nil
 }
 
-// Run plays the death of a lead and returns what went on when.
-func (t Takeover) Run() TookOver {
+// Run simulates the death of a leader and returns when new and inherited jobs start.
+func (t Takeover) Run() TakeoverResult {
 	r := &takeoverRun{
 		Takeover: t, now: time.Unix(1_700_000_000, 0), workers: map[string]*standin.Worker{},
 		over: standin.NewCopyChecker(), open: map[string]job.Spec{},
@@ -97,42 +98,42 @@
 	for i := range t.Hosts {
 		r.addHost(fmt.Sprintf("h%d", i), clock)
 	}
-	r.rank()
-	r.pass(time.Second)
+	r.assignLeaders()
+	r.advance(time.Second)
 	return r.play()
 }
 
 func (r *takeoverRun) addHost(name string, clock func() time.Time) {
 	h := &domainHost{name: name, jobs: job.New()}
-	h.lead = lead.New(context.Background(), lead.Deps{
+	h.leader = lead.New(context.Background(), lead.Deps{
 		Leases: lease.New(lease.DefaultLimits), Placer: place.New(place.DefaultLimits), Jobs: h.jobs,
 		Takeover: takeover.New(name, takeover.Limits{LongestLease: lease.DefaultLimits.TaskTTL, AskInterval: 250 * time.Millisecond}),
 		Workers:  worker.New(name, 1, r, clock), History: trail.New(1), Clock: clock, Log: slog.New(slog.DiscardHandler),
 		Row:              func(string) (table.Row, int64) { return table.Row{Weight: 1}, 1 },
 		Go:               func(f func()) { r.queue = append(r.queue, f) },
-		RequestInventory: func() { r.queue = append(r.queue, func() { r.ask(h) }) },
+		RequestInventory: func() { r.queue = append(r.queue, func() { r.takeInventory(h) }) },
 	})
 	r.hosts = append(r.hosts, h)
 	r.live = append(r.live, name)
 }
 
-// ask brings the census question to all live peers at once.
-func (r *takeoverRun) ask(h *domainHost) {
-	q := h.lead.InventoryRequest()
+// takeInventory sends the inventory request to all live peers at once and passes on their replies.
+func (r *takeoverRun) takeInventory(h *domainHost) {
+	q := h.leader.InventoryRequest()
 	for _, other := range r.hosts {
 		if other != h && slices.Contains(r.live, other.name) {
-			h.lead.HandleInventory(other.name, q, other.lead.Inventory(h.name, q))
+			h.leader.HandleInventory(other.name, q, other.leader.Inventory(h.name, q))
 		}
 	}
 }
 
-// leads names the lead of each rack as the live hosts see it.
-func (r *takeoverRun) leads() map[string]string {
+// leaders returns the leader of each rack as the live hosts determine it.
+func (r *takeoverRun) leaders() map[string]string {
 	var racks []string
 	for i := range r.Racks {
 		racks = append(racks, fmt.Sprintf("r%d", i))
 	}
-	if !r.OneLead {
+	if !r.OneLeader {
 		return member.AssignEvenly(racks, r.live)
 	}
 	all := map[string]string{}
@@ -142,8 +143,8 @@
 	return all
 }
 
-func (r *takeoverRun) rank() {
-	leads := r.leads()
+func (r *takeoverRun) assignLeaders() {
+	leads := r.leaders()
 	var names []string
 	for _, m := range r.machines {
 		names = append(names, m.Name)
@@ -153,20 +154,20 @@
 			continue
 		}
 		mine := slices.DeleteFunc(slices.Clone(r.machines), func(m lead.Machine) bool { return leads[m.Rack] != h.name })
-		h.lead.SetDomain(names, slices.DeleteFunc(slices.Clone(r.live), func(n string) bool { return n == h.name }))
-		h.lead.SetLedMachines(mine)
+		h.leader.SetDomain(names, slices.DeleteFunc(slices.Clone(r.live), func(n string) bool { return n == h.name }))
+		h.leader.SetLedMachines(mine)
 	}
 }
 
-// pass lets time go by in the steps of a host's own tick.
-func (r *takeoverRun) pass(d time.Duration) {
+// advance advances the clock by d in steps of tickEvery and ticks every live host in each.
+func (r *takeoverRun) advance(d time.Duration) {
 	for end := r.now.Add(d); r.now.Before(end); r.now = r.now.Add(tickEvery) {
 		for _, h := range r.hosts {
 			if !slices.Contains(r.live, h.name) {
 				continue
 			}
-			h.lead.Tick()
-			h.lead.LogRead(r.now)
+			h.leader.Tick()
+			h.leader.LogRead(r.now)
 			r.drain()
 		}
 	}
@@ -185,11 +186,11 @@
 		ID: cell.JobID(cell.Home{Domain: domain, Rack: r.rackOf(h.name)}), Row: class.String(), Tasks: tasks, Size: size,
 		Time: cell.Duration{Duration: taskTime}, Class: class, Tries: 3,
 	}
-	epoch, err := h.lead.Check(spec)
+	epoch, err := h.leader.Check(spec)
 	if err != nil {
 		return ""
 	}
-	if _, err := h.lead.Submit(spec, epoch); err != nil {
+	if _, err := h.leader.Submit(spec, epoch); err != nil {
 		return ""
 	}
 	r.open[spec.ID] = spec
@@ -197,7 +198,7 @@
 }
 
 func (r *takeoverRun) rackOf(name string) string {
-	leads := r.leads()
+	leads := r.leaders()
 	for _, m := range r.machines {
 		if leads[m.Rack] == name {
 			return m.Rack
@@ -206,7 +207,7 @@
 	return ""
 }
 
-// started counts the tasks of a job that run or ran on any worker.
+// started counts the tasks of a job that any worker has started.
 func (r *takeoverRun) started(id string) int {
 	tasks := map[string]bool{}
 	for _, w := range r.workers {
@@ -219,13 +220,13 @@
 	return len(tasks)
 }
 
-func (r *takeoverRun) play() TookOver {
-	leads := r.leads()
+func (r *takeoverRun) play() TakeoverResult {
+	leads := r.leaders()
 	dead := r.hosts[slices.IndexFunc(r.hosts, func(h *domainHost) bool { return h.name == leads["r0"] })]
 	for range r.Jobs {
 		r.submit(dead, cell.Normal, r.Tasks, cell.Size{CPU: 1000, Mem: 1 << 20})
 	}
-	r.pass(10 * time.Second)
+	r.advance(10 * time.Second)
 	for range r.Jobs {
 		r.submit(dead, cell.Normal, r.Tasks, cell.Size{CPU: 1000, Mem: 1 << 20})
 	}
@@ -233,7 +234,7 @@
 	died := r.now
 	r.hosts = slices.DeleteFunc(r.hosts, func(h *domainHost) bool { return h == dead })
 	r.queue = nil
-	got := TookOver{Waited: len(waiting)}
+	got := TakeoverResult{Waited: len(waiting)}
 	fresh := ""
 	suspected := false
 	for got.Fresh == 0 || len(waiting) > 0 {
@@ -244,13 +245,13 @@
 		if !suspected && since > member.SilenceTimeout {
 			suspected = true
 			r.live = slices.DeleteFunc(r.live, func(n string) bool { return n == dead.name })
-			r.rank()
+			r.assignLeaders()
 			r.inherit()
 		}
 		if fresh == "" {
-			fresh = r.offer()
+			fresh = r.submitUrgent()
 		}
-		r.pass(tickEvery)
+		r.advance(tickEvery)
 		if fresh != "" && got.Fresh == 0 && r.started(fresh) > 0 {
 			got.Fresh = r.now.Sub(died)
 		}
@@ -266,8 +267,8 @@
 	return got
 }
 
-// offer submits an urgent job to the first live host that takes it.
-func (r *takeoverRun) offer() string {
+// submitUrgent submits an urgent job to the first live host that accepts it, and returns its id or "".
+func (r *takeoverRun) submitUrgent() string {
 	for _, h := range r.hosts {
 		if id := r.submit(h, cell.Urgent, 1, cell.Size{CPU: 500, Mem: 1 << 20}); id != "" {
 			return id
@@ -287,7 +288,7 @@
 }
 
 func (r *takeoverRun) inherit() {
-	leads := r.leads()
+	leads := r.leaders()
 	for _, h := range r.hosts {
 		var mine []job.Spec
 		for id, s := range r.open {
@@ -296,6 +297,6 @@
 				mine = append(mine, s)
 			}
 		}
-		h.lead.Inherit(mine)
+		h.leader.Inherit(mine)
 	}
 }
--- a/internal/measure/urgent.go
+++ b/internal/measure/urgent.go
@@ -12,24 +12,24 @@
 	"pollencroft/internal/queue"
 )
 
-// UrgentLoad is a load of urgent requests beside a flood of bulk ones. Loads
-// are parts of what all slots can do.
+// UrgentLoad is a load of urgent requests together with a flood of bulk requests. Urgent and Bulk
+// are fractions of the capacity of all slots.
 type UrgentLoad struct {
 	Urgent, Bulk float64
-	// Burst is how many bulk requests come at once.
+	// Burst is the number of bulk requests that arrive at once.
 	Burst int
-	// For is how long the load lasts on the passed-in clock.
+	// For is how long the load lasts on the simulated clock.
 	For time.Duration
 }
 
-// Servers and times of the load.
+// The backend servers, their slots, and the times of an UrgentLoad.
 const (
-	loadMinions = 16
-	loadSlots   = 3
-	urgentTime  = 20 * time.Millisecond
-	bulkTime    = 60 * time.Millisecond
-	patience    = 30 * time.Second
-	loadTick    = 20 * time.Millisecond
+	loadBackends      = 16
+	loadSlots         = 3
+	urgentTime        = 20 * time.Millisecond
+	bulkTime          = 60 * time.Millisecond
+	urgentLoadTimeout = 30 * time.Second
+	loadTick          = 20 * time.Millisecond
 )
 
 type arrival struct {
@@ -39,10 +39,10 @@
 	took  time.Duration
 }
 
-// arrivals draws the same load for the same seed, whatever serves it.
+// arrivals draws the requests from a fixed seed, so that every server gets the same load.
 func (l UrgentLoad) arrivals(start time.Time) []arrival {
 	r := rand.New(rand.NewPCG(7, 11))
-	capacity := float64(loadMinions * loadSlots)
+	capacity := float64(loadBackends * loadSlots)
 	var all []arrival
 	draw := func(class cell.Class, load float64, took time.Duration, burst int, spread func() float64) {
 		if load <= 0 {
@@ -60,7 +60,7 @@
 	return all
 }
 
-// event is an arrival, the end of a request, or a tick when both are empty.
+// event is the arrival of a request, the end of a request, or a tick if both pointers are nil.
 type event struct {
 	at     time.Time
 	order  int
@@ -86,14 +86,14 @@
 	return last
 }
 
-// server decides when requests are sent; it returns those to send now.
+// server decides when requests are sent. Each method returns the ids of those to send now.
 type server interface {
 	arrive(now time.Time, a *arrival) []string
 	end(now time.Time, a *arrival) []string
 	tick(now time.Time) []string
 }
 
-// fifo is the baseline: one queue for all, in order of arrival.
+// fifo is the baseline, one queue for all requests in order of arrival.
 type fifo struct {
 	free int
 	wait []string
@@ -114,30 +114,30 @@
 	return out
 }
 
-// ours is the queue core.
-type ours struct{ q *queue.Queue }
+// queueServer is the queue state machine as a server.
+type queueServer struct{ q *queue.Queue }
 
-func newOurs(now time.Time) ours {
-	o := ours{queue.New(queue.DefaultLimits)}
+func newQueueServer(now time.Time) queueServer {
+	o := queueServer{queue.New(queue.DefaultLimits)}
 	var all []queue.Share
-	for i := range loadMinions {
+	for i := range loadBackends {
 		all = append(all, queue.Share{Backend: fmt.Sprintf("m%02d", i), Slots: loadSlots})
 	}
 	o.q.Step(now, queue.Shares{All: all})
 	return o
 }
 
-func (o ours) arrive(now time.Time, a *arrival) []string {
+func (o queueServer) arrive(now time.Time, a *arrival) []string {
 	return sends(o.q.Step(now, queue.Enqueue{
-		ID: a.id, Row: queue.Row{Name: a.class.String(), Class: a.class, Weight: 1}, Deadline: now.Add(patience),
+		ID: a.id, Row: queue.Row{Name: a.class.String(), Class: a.class, Weight: 1}, Deadline: now.Add(urgentLoadTimeout),
 	}))
 }
 
-func (o ours) end(now time.Time, a *arrival) []string {
+func (o queueServer) end(now time.Time, a *arrival) []string {
 	return sends(o.q.Step(now, queue.Ended{ID: a.id, Took: a.took}))
 }
 
-func (o ours) tick(now time.Time) []string { return sends(o.q.Step(now, queue.Tick{})) }
+func (o queueServer) tick(now time.Time) []string { return sends(o.q.Step(now, queue.Tick{})) }
 
 func sends(acts []queue.Action) []string {
 	var ids []string
@@ -149,15 +149,15 @@
 	return ids
 }
 
-// Waits are how long callers waited for their answers.
+// Waits is the result of an UrgentLoad.
 type Waits struct {
-	// Urgent is the 99th percentile of urgent callers.
+	// Urgent is the 99th percentile of the time until an urgent request is answered.
 	Urgent time.Duration
-	// Bulk is how many bulk requests were answered.
+	// Bulk counts the answered bulk requests.
 	Bulk int
 }
 
-// play runs a load through a server until the load ends.
+// play runs the load through a server until no event is left.
 func (l UrgentLoad) play(start time.Time, s server) Waits {
 	var line events
 	all := l.arrivals(start)
@@ -201,28 +201,28 @@
 	w.Bulk++
 }
 
-// Ours plays the load through the queue core.
-func (l UrgentLoad) Ours() Waits {
+// RunQueue runs the load through the queue state machine.
+func (l UrgentLoad) RunQueue() Waits {
 	start := time.Unix(1_700_000_000, 0)
-	return l.play(start, newOurs(start))
+	return l.play(start, newQueueServer(start))
 }
 
-// FIFO plays the same load through one queue in order of arrival.
-func (l UrgentLoad) FIFO() Waits {
-	return l.play(time.Unix(1_700_000_000, 0), &fifo{free: loadMinions * loadSlots})
+// RunFIFO runs the same load through one queue in order of arrival.
+func (l UrgentLoad) RunFIFO() Waits {
+	return l.play(time.Unix(1_700_000_000, 0), &fifo{free: loadBackends * loadSlots})
 }
 
-// QueueStep takes one request after another in and out of a queue in which
-// that many others wait, while loop says so.
+// QueueStep adds and ends one request after another, in a queue in which the given number of others
+// wait, as long as loop returns true.
 func QueueStep(waiting int, loop func() bool) {
 	now := time.Unix(1_700_000_000, 0)
-	o := newOurs(now)
+	o := newQueueServer(now)
 	at := func(i int) *arrival {
 		return &arrival{id: fmt.Sprintf("r%09d", i), class: cell.Classes[i%len(cell.Classes)], took: time.Millisecond}
 	}
 	var line []string
 	n := 0
-	for ; n < waiting+loadMinions*loadSlots; n++ {
+	for ; n < waiting+loadBackends*loadSlots; n++ {
 		line = append(line, o.arrive(now, at(n))...)
 	}
 	for ; loop(); n++ {
--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -67,13 +67,14 @@
 	nodes        []*node
 	tally        *audit.Tally
 	names        audit.RowNames
-	// ranBeforeLeaving is the number of requests that a leaving backend server had run after leaveWithin.
+	// ranBeforeLeaving is the number of requests that a leaving backend server had run when
+	// leaveWithin was over.
 	ranBeforeLeaving int
 	stop             context.CancelFunc
 	watch            sync.WaitGroup
 }
 
-// newBench starts the cell small.
+// newBench starts the cell smallCell.
 func newBench(t *testing.T) *bench {
 	t.Helper()
 	return newBenchOf(t, smallCell, func(string) string { return "" })
@@ -165,7 +166,8 @@
 	require.NoError(b.t, n.cmd.Start())
 }
 
-// logUnexpectedLines prints the unexpected lines in the logs of the hosts: errors, panics and data races.
+// logUnexpectedLines prints the unexpected lines in the logs of the hosts: errors, panics and data
+// races.
 func (b *bench) logUnexpectedLines() {
 	for _, n := range b.nodes {
 		if told := b.logLines(n, isUnexpected); len(told) > 0 {
@@ -201,15 +203,15 @@
 		b.t.Logf("%s, what its leader reports:\n%s", id, b.jobHistory(job))
 		b.t.Logf("%s, what workers did:\n%s", id, b.taskHistory(id))
 		for _, n := range b.nodes {
-			if told := b.logLines(n, func(line string) bool { return strings.Contains(line, job) || b.ofWorkers(n, line, job) }); len(told) > 0 {
+			if told := b.logLines(n, func(line string) bool { return strings.Contains(line, job) || b.aboutWorkers(n, line, job) }); len(told) > 0 {
 				b.t.Logf("%s of %s, the first %d of %d lines:\n%s", n.name, id, maxLogLines, len(told), strings.Join(told[:min(len(told), maxLogLines)], "\n"))
 			}
 		}
 	}
 }
 
-// ofWorkers reports whether a log line says which workers a host in the job's failure domain leads.
-func (b *bench) ofWorkers(n *node, line, job string) bool {
+// aboutWorkers reports whether a log line says which workers a host in the job's failure domain leads.
+func (b *bench) aboutWorkers(n *node, line, job string) bool {
 	return strings.HasPrefix(job, n.domain+".") && strings.Contains(line, `msg="lead: worker `)
 }
 
@@ -239,8 +241,8 @@
 	return id[:i]
 }
 
-// jobHistory returns the current state of a job, as its callers get it, and the history of the decisions
-// on it.
+// jobHistory returns the current state of a job, as its callers get it, and the history of the
+// decisions on it.
 func (b *bench) jobHistory(job string) string {
 	ctx, cancel := context.WithTimeout(context.Background(), maxDeadline)
 	defer cancel()
@@ -328,8 +330,8 @@
 	})
 }
 
-// maxDeadline is the maxDeadline deadline of a request. A host that was replaced waits for this time at most
-// before it uses its slots again.
+// maxDeadline is the longest deadline of a request. A host that was replaced waits for this time at
+// most before it uses its slots again.
 const maxDeadline = 3 * time.Second
 
 // Durations of the phases of a scenario.
@@ -400,8 +402,8 @@
 	}
 }
 
-// paths returns the proxies on the connections for which between returns true.
-func (b *bench) paths(between func(from, to *node) bool) []*toxiproxy.Proxy {
+// peerProxies returns the proxies on the connections for which between returns true.
+func (b *bench) peerProxies(between func(from, to *node) bool) []*toxiproxy.Proxy {
 	var all []*toxiproxy.Proxy
 	for _, from := range b.nodes {
 		for _, to := range b.nodes {
@@ -413,8 +415,8 @@
 	return all
 }
 
-// kinds returns the proxies of the first machines of a kind, at most most of them.
-func (b *bench) kinds(kind cell.Kind, most int) []*toxiproxy.Proxy {
+// proxiesOfKind returns the proxies of the first machines of a kind, at most most of them.
+func (b *bench) proxiesOfKind(kind cell.Kind, most int) []*toxiproxy.Proxy {
 	var all []*toxiproxy.Proxy
 	for _, m := range b.machines {
 		if m.Kind == kind && len(all) < most {
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -55,7 +55,7 @@
 // nothing injects no fault.
 func nothing(*bench) {}
 
-// leaveWithin is the time after which a leaving backend server must get no new work.
+// leaveWithin is the promised time after which a leaving backend server gets no new work.
 const leaveWithin = 3 * time.Second
 
 // silence drops all bytes of open and new connections without a reset.
@@ -72,11 +72,11 @@
 
 func sameDomain(from, to *node) bool { return from.domain == to.domain }
 
-// cutPaths returns the proxies on all connections between the failure domain of the first host and
-// the other hosts, and on those of its hosts to the platform.
-func (b *bench) cutPaths() []*toxiproxy.Proxy {
+// domainProxies returns the proxies on all connections between the failure domain of the first host
+// and the other domains, and on those of its hosts to the platform.
+func (b *bench) domainProxies() []*toxiproxy.Proxy {
 	cut := b.nodes[0].domain
-	paths := b.paths(func(from, to *node) bool { return (from.domain == cut) != (to.domain == cut) })
+	paths := b.peerProxies(func(from, to *node) bool { return (from.domain == cut) != (to.domain == cut) })
 	for _, n := range b.nodes {
 		if n.domain == cut {
 			paths = append(paths, n.platform)
@@ -128,28 +128,28 @@
 	{
 		"latency between hosts and to minions",
 		func(b *bench) {
-			b.toxic("latency", down, `"latency":40,"jitter":20`, b.paths(sameDomain)...)
-			b.toxic("latency", down, `"latency":40,"jitter":20`, b.kinds(cell.BackendHost, 6)...)
+			b.toxic("latency", down, `"latency":40,"jitter":20`, b.peerProxies(sameDomain)...)
+			b.toxic("latency", down, `"latency":40,"jitter":20`, b.proxiesOfKind(cell.BackendHost, 6)...)
 		},
 		func(b *bench) {
-			b.clear(b.paths(sameDomain)...)
-			b.clear(b.kinds(cell.BackendHost, 6)...)
+			b.clear(b.peerProxies(sameDomain)...)
+			b.clear(b.proxiesOfKind(cell.BackendHost, 6)...)
 		},
 	},
 	{
 		"hosts silent one way",
-		func(b *bench) { silence(b, b.paths(sameDomain), down) },
-		func(b *bench) { b.clear(b.paths(sameDomain)...) },
+		func(b *bench) { silence(b, b.peerProxies(sameDomain), down) },
+		func(b *bench) { b.clear(b.peerProxies(sameDomain)...) },
 	},
 	{
 		"two minions silent",
-		func(b *bench) { silence(b, b.kinds(cell.BackendHost, 2), up, down) },
-		func(b *bench) { b.clear(b.kinds(cell.BackendHost, 2)...) },
+		func(b *bench) { silence(b, b.proxiesOfKind(cell.BackendHost, 2), up, down) },
+		func(b *bench) { b.clear(b.proxiesOfKind(cell.BackendHost, 2)...) },
 	},
 	{
 		"minion answers cut after some bytes",
-		func(b *bench) { b.toxic("limit_data", down, `"bytes":2000`, b.kinds(cell.BackendHost, 3)...) },
-		func(b *bench) { b.clear(b.kinds(cell.BackendHost, 3)...) },
+		func(b *bench) { b.toxic("limit_data", down, `"bytes":2000`, b.proxiesOfKind(cell.BackendHost, 3)...) },
+		func(b *bench) { b.clear(b.proxiesOfKind(cell.BackendHost, 3)...) },
 	},
 	{
 		"callers' connections reset",
@@ -160,17 +160,17 @@
 		"connections close slowly",
 		func(b *bench) {
 			b.toxic("slow_close", down, `"delay":1000`, b.nodes[0].caller, b.nodes[2].caller)
-			b.toxic("slow_close", down, `"delay":1000`, b.kinds(cell.BackendHost, 3)...)
+			b.toxic("slow_close", down, `"delay":1000`, b.proxiesOfKind(cell.BackendHost, 3)...)
 		},
 		func(b *bench) {
 			b.clear(b.nodes[0].caller, b.nodes[2].caller)
-			b.clear(b.kinds(cell.BackendHost, 3)...)
+			b.clear(b.proxiesOfKind(cell.BackendHost, 3)...)
 		},
 	},
 	{
 		"workers silent",
-		func(b *bench) { silence(b, b.kinds(cell.WorkerHost, 3), down) },
-		func(b *bench) { b.clear(b.kinds(cell.WorkerHost, 3)...) },
+		func(b *bench) { silence(b, b.proxiesOfKind(cell.WorkerHost, 3), down) },
+		func(b *bench) { b.clear(b.proxiesOfKind(cell.WorkerHost, 3)...) },
 	},
 	{
 		"host paused",
@@ -180,8 +180,8 @@
 	{"host killed and replaced", killFirst, replaceFirst},
 	{
 		"failure domain cut off",
-		func(b *bench) { silence(b, b.cutPaths(), up, down) },
-		func(b *bench) { b.clear(b.cutPaths()...) },
+		func(b *bench) { silence(b, b.domainProxies(), up, down) },
+		func(b *bench) { b.clear(b.domainProxies()...) },
 	},
 	{"log down", platformFault(standin.PlatformFaults{Down: true}), platformFault(standin.PlatformFaults{})},
 	{"log answers lost", platformFault(standin.PlatformFaults{LoseAnswers: 20, Slow: 50 * time.Millisecond}), platformFault(standin.PlatformFaults{})},
@@ -194,12 +194,12 @@
 		"host killed while the host list is frozen and a minion is silent",
 		func(b *bench) {
 			platformFault(standin.PlatformFaults{FreezeHosts: true})(b)
-			silence(b, b.kinds(cell.BackendHost, 1), down)
+			silence(b, b.proxiesOfKind(cell.BackendHost, 1), down)
 			killFirst(b)
 		},
 		func(b *bench) {
 			platformFault(standin.PlatformFaults{})(b)
-			b.clear(b.kinds(cell.BackendHost, 1)...)
+			b.clear(b.proxiesOfKind(cell.BackendHost, 1)...)
 			replaceFirst(b)
 		},
 	},
@@ -215,11 +215,11 @@
 		"workers fail everything and one rack is silent",
 		func(b *bench) {
 			b.cell.Workers["worker-00"].SetFaults(standin.WorkerFaults{FailAll: true})
-			silence(b, b.kinds(cell.WorkerHost, 12)[2:4], up, down)
+			silence(b, b.proxiesOfKind(cell.WorkerHost, 12)[2:4], up, down)
 		},
 		func(b *bench) {
 			b.cell.Workers["worker-00"].SetFaults(standin.WorkerFaults{})
-			b.clear(b.kinds(cell.WorkerHost, 12)[2:4]...)
+			b.clear(b.proxiesOfKind(cell.WorkerHost, 12)[2:4]...)
 		},
 	},
 	{
