--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -25,5 +25,5 @@
 		Tasks:   map[string]int{"d.r.a.0": 1},
 		Started: map[string]int{"d.r.a.0": 1, "d.r.b.0": 1, "d.r.c.0": 1},
 	})
-	require.Equal(t, ViolationsError{Lost: 2, RanTwice: 2, Overfilled: 3, WrongReplies: 3}, got)
+	require.Equal(t, ViolationsError{Lost: 2, RanTwice: 2, Overfilled: 3, ToldWrong: 3}, got)
 }
--- a/internal/audit/tally.go
+++ b/internal/audit/tally.go
@@ -26,12 +26,12 @@
 	RanTwice int
 	// Overfilled counts starts that exceeded the size of a worker.
 	Overfilled int
-	// WrongReplies counts replies that contradict the records.
-	WrongReplies int
+	// ToldWrong counts replies that contradict the records.
+	ToldWrong int
 }
 
 func (e *ViolationsError) Error() string {
-	return fmt.Sprintf("lost %d, twice %d, overfilled %d, told wrong %d", e.Lost, e.RanTwice, e.Overfilled, e.WrongReplies)
+	return fmt.Sprintf("lost %d, twice %d, overfilled %d, told wrong %d", e.Lost, e.RanTwice, e.Overfilled, e.ToldWrong)
 }
 
 type rowStats struct {
@@ -144,7 +144,7 @@
 func (t *Tally) Violations(r standin.Report) ViolationsError {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	w := ViolationsError{Overfilled: r.Overfilled, RanTwice: len(r.Doubled), WrongReplies: t.mismatched}
+	w := ViolationsError{Overfilled: r.Overfilled, RanTwice: len(r.Doubled), ToldWrong: t.mismatched}
 	for key, told := range t.requests {
 		ran := r.Ran[key]
 		if ran > 1 {
@@ -154,11 +154,11 @@
 		case slices.Contains(told, client.Done) && ran == 0:
 			w.Lost++
 		case told[len(told)-1] == client.Refused && ran > 0:
-			w.WrongReplies++
+			w.ToldWrong++
 		}
 	}
 	w.Lost += t.lostTasks(r)
-	w.WrongReplies += t.contradictedStarts(r)
+	w.ToldWrong += t.contradictedStarts(r)
 	return w
 }
 
