--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -30,9 +30,9 @@
 	mark    int64
 	gone    map[string]int64
 	// back is the time from which the worker answers again after a crash.
-	back   time.Time
-	area   float64
-	marked time.Time
+	back       time.Time
+	cpuSeconds float64
+	marked     time.Time
 }
 
 type anchor struct {
@@ -96,7 +96,7 @@
 	if whole <= 0 {
 		return 0
 	}
-	return k.area / whole
+	return k.cpuSeconds / whole
 }
 
 func (k *Worker) now() time.Time { return k.clock().Add(k.faults.Skew) }
@@ -126,7 +126,7 @@
 func (k *Worker) finish(t *Task, state string, at time.Time) {
 	t.State = state
 	k.change(t)
-	k.area += at.Sub(t.began).Seconds() * float64(t.Size.CPU)
+	k.cpuSeconds += at.Sub(t.began).Seconds() * float64(t.Size.CPU)
 	k.record.Ended[t.ID] = state
 	k.addStep(t.ID, Step{At: at, What: state, Holder: t.Holder, Lease: t.Lease})
 	k.copyChecker.removeCopy(t.ID, copyKey{k, t.Lease})
