--- a/internal/standin/crash.go
+++ b/internal/standin/crash.go
@@ -29,6 +29,6 @@
 		}
 	}
 	k.tasks, k.gone, k.anchor, k.mark = map[string]*Task{}, map[string]int64{}, anchor{}, 0
-	k.back = k.clock().Add(k.faults.CrashAway)
+	k.unavailableUntil = k.clock().Add(k.faults.CrashAway)
 	k.record.Crashed++
 }
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -29,10 +29,10 @@
 	nextID  int
 	mark    int64
 	gone    map[string]int64
-	// back is the time from which the worker answers again after a crash.
-	back       time.Time
-	cpuSeconds float64
-	marked     time.Time
+	// unavailableUntil is the time from which the worker answers again after a crash.
+	unavailableUntil time.Time
+	cpuSeconds       float64
+	marked           time.Time
 }
 
 type anchor struct {
@@ -181,7 +181,7 @@
 			return
 		}
 		k.mu.Lock()
-		if k.clock().Before(k.back) {
+		if k.clock().Before(k.unavailableUntil) {
 			k.mu.Unlock()
 			hangUp(w)
 			return
