--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -190,7 +190,7 @@
 		crashed := k.record.Crashed
 		status, says := do(ask)
 		k.mayCrash(k.clock())
-		says.Clock, says.Life = k.now().UnixMilli(), strconv.Itoa(k.record.Crashed+1)
+		says.Clock, says.Incarnation = k.now().UnixMilli(), strconv.Itoa(k.record.Crashed+1)
 		lose := k.faults.LoseAnswers > 0
 		if lose {
 			k.faults.LoseAnswers--
--- a/internal/standin/workerwire.go
+++ b/internal/standin/workerwire.go
@@ -121,8 +121,8 @@
 	Holder string `json:"holder,omitempty"`
 	Lease  string `json:"lease,omitempty"`
 	Left   int64  `json:"left,omitempty"`
-	// Life identifies the incarnation of the worker: it changes with each restart.
-	Life string `json:"life,omitempty"`
+	// Incarnation identifies the incarnation of the worker: it changes with each restart.
+	Incarnation string `json:"life,omitempty"`
 	// Mark counts the changes to the list of tasks. Whole reports whether Tasks contains all
 	// tasks, and not only those that changed since the mark in the request.
 	Mark  int64    `json:"mark,omitempty"`
