--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -177,7 +177,7 @@
 				return
 			}
 		}
-		if !k.awake(r) {
+		if !k.waitWhilePaused(r) {
 			return
 		}
 		k.mu.Lock()
@@ -205,8 +205,8 @@
 	}
 }
 
-// awake waits while the worker is paused. It returns false if the request ends first.
-func (k *Worker) awake(r *http.Request) bool {
+// waitWhilePaused waits while the worker is paused. It returns false if the request ends first.
+func (k *Worker) waitWhilePaused(r *http.Request) bool {
 	k.mu.Lock()
 	paused, resume := k.faults.Paused, k.resume
 	k.mu.Unlock()
