--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -239,7 +239,7 @@
 		until: k.clock().Add(time.Duration(ask.TTL) * time.Millisecond),
 	}
 	says := k.anchorSays()
-	says.Tasks, says.Mark, says.Whole = k.live(0), k.mark, true
+	says.Tasks, says.Mark, says.Whole = k.changedSince(0), k.mark, true
 	return http.StatusOK, says
 }
 
@@ -318,8 +318,8 @@
 	return cell.Size{CPU: int64(float64(s.CPU) * by), Mem: int64(float64(s.Mem) * by), Accel: s.Accel}
 }
 
-// live lists the tasks that changed after the given mark.
-func (k *Worker) live(since int64) []Task {
+// changedSince lists the tasks that changed after the given mark.
+func (k *Worker) changedSince(since int64) []Task {
 	var all []Task
 	now := k.clock()
 	for _, t := range k.tasks {
@@ -338,7 +338,7 @@
 
 func (k *Worker) list(WorkerRequest) (int, WorkerReply) {
 	says := k.anchorSays()
-	says.Tasks, says.Mark, says.Whole = k.live(0), k.mark, true
+	says.Tasks, says.Mark, says.Whole = k.changedSince(0), k.mark, true
 	return http.StatusOK, says
 }
 
@@ -359,7 +359,7 @@
 			k.watch(t)
 		}
 	}
-	says := WorkerReply{Left: k.anchor.until.Sub(k.clock()).Milliseconds(), Lease: k.anchor.lease, Mark: k.mark, Tasks: k.live(ask.Since)}
+	says := WorkerReply{Left: k.anchor.until.Sub(k.clock()).Milliseconds(), Lease: k.anchor.lease, Mark: k.mark, Tasks: k.changedSince(ask.Since)}
 	for id, mark := range k.gone {
 		if mark > ask.Since {
 			says.Gone = append(says.Gone, id)
