--- a/internal/standin/crash.go
+++ b/internal/standin/crash.go
@@ -10,9 +10,9 @@
 	k.crash()
 }
 
-// mayCrash crashes the worker if a task of the row faults.CrashRow has been running for
+// crashIfDue crashes the worker if a task of the row faults.CrashRow has been running for
 // faults.CrashAfter. The caller holds mu.
-func (k *Worker) mayCrash(now time.Time) {
+func (k *Worker) crashIfDue(now time.Time) {
 	for _, t := range k.tasks {
 		row := k.faults.CrashRow
 		if row != "" && t.Row == row && t.State == TaskRunning && now.Sub(t.began) >= k.faults.CrashAfter {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -105,7 +105,7 @@
 // before each answer, so that answers do not depend on the timing of a timer.
 func (k *Worker) endExpired() {
 	now := k.clock()
-	k.mayCrash(now)
+	k.crashIfDue(now)
 	for _, t := range k.tasks {
 		if t.State != TaskRunning {
 			continue
@@ -189,7 +189,7 @@
 		k.endExpired()
 		crashed := k.record.Crashed
 		status, says := do(ask)
-		k.mayCrash(k.clock())
+		k.crashIfDue(k.clock())
 		says.Clock, says.Incarnation = k.now().UnixMilli(), strconv.Itoa(k.record.Crashed+1)
 		lose := k.faults.LoseAnswers > 0
 		if lose {
