--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -274,7 +274,7 @@
 	run := stretch(time.Duration(ask.Run)*time.Millisecond, k.faults.Stretch)
 	t := &Task{
 		ID: ask.ID, Lease: k.newLease(), Holder: ask.Holder, Term: ask.Term, Row: ask.Row, Job: ask.Job, Size: ask.Size, State: TaskRunning,
-		Use: grown(asked, k.faults.Grow), began: now, ends: now.Add(run), until: now.Add(time.Duration(ask.TTL) * time.Millisecond),
+		Use: scaleSize(asked, k.faults.Grow), began: now, ends: now.Add(run), until: now.Add(time.Duration(ask.TTL) * time.Millisecond),
 	}
 	if old := k.tasks[t.ID]; old != nil && old.State == TaskRunning {
 		// Both copies run: the first one continues under its own lease.
@@ -311,7 +311,7 @@
 	return time.Duration(float64(d) * by)
 }
 
-func grown(s cell.Size, by float64) cell.Size {
+func scaleSize(s cell.Size, by float64) cell.Size {
 	if by <= 0 {
 		return s
 	}
@@ -403,7 +403,7 @@
 	if t == nil || t.State != TaskRunning {
 		return http.StatusNotFound, WorkerReply{}
 	}
-	t.Use = grown(t.Size, ask.Share)
+	t.Use = scaleSize(t.Size, ask.Share)
 	k.change(t)
 	return http.StatusOK, WorkerReply{Tasks: []Task{*t}}
 }
