--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -271,7 +271,7 @@
 	if asked == (cell.Size{}) {
 		asked = ask.Size
 	}
-	run := stretch(time.Duration(ask.Run)*time.Millisecond, k.faults.Stretch)
+	run := scaleDuration(time.Duration(ask.Run)*time.Millisecond, k.faults.Stretch)
 	t := &Task{
 		ID: ask.ID, Lease: k.newLease(), Holder: ask.Holder, Term: ask.Term, Row: ask.Row, Job: ask.Job, Size: ask.Size, State: TaskRunning,
 		Use: scaleSize(asked, k.faults.Grow), began: now, ends: now.Add(run), until: now.Add(time.Duration(ask.TTL) * time.Millisecond),
@@ -304,7 +304,7 @@
 	return slices.Clone(k.history[id])
 }
 
-func stretch(d time.Duration, by float64) time.Duration {
+func scaleDuration(d time.Duration, by float64) time.Duration {
 	if by <= 0 {
 		return d
 	}
