--- a/internal/standin/cell.go
+++ b/internal/standin/cell.go
@@ -15,13 +15,13 @@
 	"pollencroft/internal/platform"
 )
 
-// Deployment describes one deployment: its failure domains and the machines in them.
+// Deployment describes the failure domains of a cell and the machines in them.
 type Deployment struct {
 	Name    string
 	Domains []string
 	// Hosts is the number of entry hosts in each failure domain.
 	Hosts []int
-	// Backends, Workers and Racks are totals for the whole cell. Backends are backend servers.
+	// Backends, Workers and Racks are totals for the whole cell.
 	Backends, Workers, Racks int
 	Slots                    int
 	Worker                   cell.Size
--- a/internal/standin/users/log.go
+++ b/internal/standin/users/log.go
@@ -1,7 +1,7 @@
 // Package users simulates the platform of the organisations that use pollencroft: its log with
-// partitions, fencing and consumer groups, its workers, which start every task that they are asked
-// to, and its policy service. It speaks the platform's published protocol over HTTP on the loopback
-// interface, injects faults, and records violations of invariants.
+// partitions, fencing and consumer groups, and its workers, which check neither capacity nor
+// duplicates before they start a task. It speaks the platform's published protocol over HTTP on the
+// loopback interface, injects faults, and records violations of invariants.
 package users
 
 import (
@@ -19,7 +19,7 @@
 // Fault is a way in which the log fails the calls of a host.
 type Fault int
 
-// The faults.
+// Faults in order of severity: if several apply to a call, the last one in this list wins.
 const (
 	// None serves calls normally.
 	None Fault = iota
--- a/internal/standin/workerwire.go
+++ b/internal/standin/workerwire.go
@@ -121,7 +121,7 @@
 	Holder string `json:"holder,omitempty"`
 	Lease  string `json:"lease,omitempty"`
 	Left   int64  `json:"left,omitempty"`
-	// Incarnation identifies the incarnation of the worker: it changes with each restart.
+	// Incarnation identifies the worker's current process; it changes with each restart.
 	Incarnation string `json:"life,omitempty"`
 	// Mark counts the changes to the list of tasks. Whole reports whether Tasks contains all
 	// tasks, and not only those that changed since the mark in the request.
