--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -29,10 +29,10 @@
 	nextID  int
 	mark    int64
 	gone    map[string]int64
-	// back is the time from which the worker answers again after a crash.
-	back   time.Time
-	area   float64
-	marked time.Time
+	// unavailableUntil is the time from which the worker answers again after a crash.
+	unavailableUntil time.Time
+	cpuSeconds       float64
+	marked           time.Time
 }
 
 type anchor struct {
@@ -96,7 +96,7 @@
 	if whole <= 0 {
 		return 0
 	}
-	return k.area / whole
+	return k.cpuSeconds / whole
 }
 
 func (k *Worker) now() time.Time { return k.clock().Add(k.faults.Skew) }
@@ -105,7 +105,7 @@
 // before each answer, so that answers do not depend on the timing of a timer.
 func (k *Worker) endExpired() {
 	now := k.clock()
-	k.mayCrash(now)
+	k.crashIfDue(now)
 	for _, t := range k.tasks {
 		if t.State != TaskRunning {
 			continue
@@ -126,7 +126,7 @@
 func (k *Worker) finish(t *Task, state string, at time.Time) {
 	t.State = state
 	k.change(t)
-	k.area += at.Sub(t.began).Seconds() * float64(t.Size.CPU)
+	k.cpuSeconds += at.Sub(t.began).Seconds() * float64(t.Size.CPU)
 	k.record.Ended[t.ID] = state
 	k.addStep(t.ID, Step{At: at, What: state, Holder: t.Holder, Lease: t.Lease})
 	k.copyChecker.removeCopy(t.ID, copyKey{k, t.Lease})
@@ -177,11 +177,11 @@
 				return
 			}
 		}
-		if !k.awake(r) {
+		if !k.waitWhilePaused(r) {
 			return
 		}
 		k.mu.Lock()
-		if k.clock().Before(k.back) {
+		if k.clock().Before(k.unavailableUntil) {
 			k.mu.Unlock()
 			hangUp(w)
 			return
@@ -189,8 +189,8 @@
 		k.endExpired()
 		crashed := k.record.Crashed
 		status, says := do(ask)
-		k.mayCrash(k.clock())
-		says.Clock, says.Life = k.now().UnixMilli(), strconv.Itoa(k.record.Crashed+1)
+		k.crashIfDue(k.clock())
+		says.Clock, says.Incarnation = k.now().UnixMilli(), strconv.Itoa(k.record.Crashed+1)
 		lose := k.faults.LoseAnswers > 0
 		if lose {
 			k.faults.LoseAnswers--
@@ -205,8 +205,8 @@
 	}
 }
 
-// awake waits while the worker is paused. It returns false if the request ends first.
-func (k *Worker) awake(r *http.Request) bool {
+// waitWhilePaused waits while the worker is paused. It returns false if the request ends first.
+func (k *Worker) waitWhilePaused(r *http.Request) bool {
 	k.mu.Lock()
 	paused, resume := k.faults.Paused, k.resume
 	k.mu.Unlock()
@@ -239,7 +239,7 @@
 		until: k.clock().Add(time.Duration(ask.TTL) * time.Millisecond),
 	}
 	says := k.anchorSays()
-	says.Tasks, says.Mark, says.Whole = k.live(0), k.mark, true
+	says.Tasks, says.Mark, says.Whole = k.changedSince(0), k.mark, true
 	return http.StatusOK, says
 }
 
@@ -271,10 +271,10 @@
 	if asked == (cell.Size{}) {
 		asked = ask.Size
 	}
-	run := stretch(time.Duration(ask.Run)*time.Millisecond, k.faults.Stretch)
+	run := scaleDuration(time.Duration(ask.Run)*time.Millisecond, k.faults.Stretch)
 	t := &Task{
 		ID: ask.ID, Lease: k.newLease(), Holder: ask.Holder, Term: ask.Term, Row: ask.Row, Job: ask.Job, Size: ask.Size, State: TaskRunning,
-		Use: grown(asked, k.faults.Grow), began: now, ends: now.Add(run), until: now.Add(time.Duration(ask.TTL) * time.Millisecond),
+		Use: scaleSize(asked, k.faults.Grow), began: now, ends: now.Add(run), until: now.Add(time.Duration(ask.TTL) * time.Millisecond),
 	}
 	if old := k.tasks[t.ID]; old != nil && old.State == TaskRunning {
 		// Both copies run: the first one continues under its own lease.
@@ -304,22 +304,22 @@
 	return slices.Clone(k.history[id])
 }
 
-func stretch(d time.Duration, by float64) time.Duration {
+func scaleDuration(d time.Duration, by float64) time.Duration {
 	if by <= 0 {
 		return d
 	}
 	return time.Duration(float64(d) * by)
 }
 
-func grown(s cell.Size, by float64) cell.Size {
+func scaleSize(s cell.Size, by float64) cell.Size {
 	if by <= 0 {
 		return s
 	}
 	return cell.Size{CPU: int64(float64(s.CPU) * by), Mem: int64(float64(s.Mem) * by), Accel: s.Accel}
 }
 
-// live lists the tasks that changed after the given mark.
-func (k *Worker) live(since int64) []Task {
+// changedSince lists the tasks that changed after the given mark.
+func (k *Worker) changedSince(since int64) []Task {
 	var all []Task
 	now := k.clock()
 	for _, t := range k.tasks {
@@ -338,7 +338,7 @@
 
 func (k *Worker) list(WorkerRequest) (int, WorkerReply) {
 	says := k.anchorSays()
-	says.Tasks, says.Mark, says.Whole = k.live(0), k.mark, true
+	says.Tasks, says.Mark, says.Whole = k.changedSince(0), k.mark, true
 	return http.StatusOK, says
 }
 
@@ -359,7 +359,7 @@
 			k.watch(t)
 		}
 	}
-	says := WorkerReply{Left: k.anchor.until.Sub(k.clock()).Milliseconds(), Lease: k.anchor.lease, Mark: k.mark, Tasks: k.live(ask.Since)}
+	says := WorkerReply{Left: k.anchor.until.Sub(k.clock()).Milliseconds(), Lease: k.anchor.lease, Mark: k.mark, Tasks: k.changedSince(ask.Since)}
 	for id, mark := range k.gone {
 		if mark > ask.Since {
 			says.Gone = append(says.Gone, id)
@@ -403,7 +403,7 @@
 	if t == nil || t.State != TaskRunning {
 		return http.StatusNotFound, WorkerReply{}
 	}
-	t.Use = grown(t.Size, ask.Share)
+	t.Use = scaleSize(t.Size, ask.Share)
 	k.change(t)
 	return http.StatusOK, WorkerReply{Tasks: []Task{*t}}
 }
