--- a/internal/standin/users/log.go
+++ b/internal/standin/users/log.go
@@ -1,7 +1,7 @@
 // Package users simulates the platform of the organisations that use pollencroft: its log with
-// partitions, fencing and consumer groups, and its workers, which check neither capacity nor
-// duplicates before they start a task. It speaks the platform's published protocol over HTTP on the
-// loopback interface, injects faults, and records violations of invariants.
+// partitions, fencing and consumer groups, and its workers, which start a task without checking
+// their capacity or whether it runs elsewhere. It speaks the platform's published protocol over HTTP
+// on the loopback interface, injects faults, and records violations of invariants.
 package users
 
 import (
